--- /dev/null
+++ b/internal/contract/contract_test.go
@@ -0,0 +1,464 @@
+package contract
+
+import (
+	"flag"
+	"fmt"
+	"go/ast"
+	"go/constant"
+	"go/token"
+	"go/types"
+	"maps"
+	"os"
+	"path/filepath"
+	"reflect"
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"golang.org/x/tools/go/packages"
+
+	"bitternmoor/internal/jobs"
+	"bitternmoor/internal/leadership"
+	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/wire"
+	"bitternmoor/internal/workers"
+)
+
+var update = flag.Bool("update", false, "write the golden file anew")
+
+const golden = "testdata/contract.txt"
+
+// TestContract compares all names that leave a process or outlive it with the golden file.
+// A line that is missing or new there is a change that other versions, users, operators or
+// stored data notice.
+func TestContract(t *testing.T) {
+	got := strings.Join(names(t), "\n") + "\n"
+	if *update {
+		if err := os.WriteFile(golden, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	raw, err := os.ReadFile(golden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := lines(string(raw))
+	have := lines(got)
+	for line, n := range want {
+		if have[line] < n {
+			t.Errorf("gone: %s", line)
+		}
+	}
+	for line, n := range have {
+		if want[line] < n {
+			t.Errorf("new: %s", line)
+		}
+	}
+}
+
+func lines(text string) map[string]int {
+	out := map[string]int{}
+	for line := range strings.Lines(text) {
+		out[strings.TrimSpace(line)]++
+	}
+	return out
+}
+
+// collector gathers the names found in the sources.
+type collector struct {
+	t     *testing.T
+	found map[string]bool
+}
+
+func (c *collector) add(kind, format string, args ...any) {
+	c.found[kind+" "+fmt.Sprintf(format, args...)] = true
+}
+
+// names lists everything that is pinned, sorted, a line each.
+func names(t *testing.T) []string {
+	c := &collector{t: t, found: map[string]bool{}}
+	mode := packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports | packages.NeedDeps
+	list, err := packages.Load(&packages.Config{Mode: mode, Dir: "../.."}, "./internal/...", "./cmd/...")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, p := range list {
+		for _, e := range p.Errors {
+			t.Fatalf("%s: %v", p.PkgPath, e)
+		}
+		c.pkg(p)
+	}
+	c.storedNumbers()
+	c.stateKeys()
+	c.settingsKeys()
+	out := slices.Sorted(maps.Keys(c.found))
+	for _, kind := range []string{"rpc", "json", "toml", "command", "flag", "route", "path", "metric", "label", "key", "ini", "number", "owner", "env", "word"} {
+		if !slices.ContainsFunc(out, func(line string) bool { return strings.HasPrefix(line, kind+" ") }) {
+			t.Errorf("no names of the kind %q were found: the collector is blind to them", kind)
+		}
+	}
+	return out
+}
+
+func (c *collector) pkg(p *packages.Package) {
+	scope := p.Types.Scope()
+	for _, name := range scope.Names() {
+		switch o := scope.Lookup(name).(type) {
+		case *types.Const:
+			c.constant(o)
+		case *types.TypeName:
+			c.rpcService(p, o)
+		}
+	}
+	for _, f := range p.Syntax {
+		ast.Inspect(f, func(n ast.Node) bool {
+			switch n := n.(type) {
+			case *ast.CallExpr:
+				c.call(p, n)
+			case *ast.CompositeLit:
+				c.literal(p, n)
+			case *ast.StructType:
+				c.tags(p, n)
+			case *ast.BasicLit:
+				c.metricName(n)
+			}
+			return true
+		})
+	}
+}
+
+// constant pins paths, headers and prefixes of messages.
+func (c *collector) constant(o *types.Const) {
+	if o.Val().Kind() != constant.String {
+		return
+	}
+	v := constant.StringVal(o.Val())
+	switch {
+	case strings.HasPrefix(v, "/"), strings.HasSuffix(v, ": "), strings.HasSuffix(v, "/"), strings.HasPrefix(v, "X-"), strings.HasPrefix(v, "Bitternmoor-"):
+		c.add("path", "%q", v)
+	}
+}
+
+// rpcService pins the methods that net/rpc serves, and what they take and give, field by
+// field: gob goes by the names of fields, not by those of types.
+func (c *collector) rpcService(p *packages.Package, o *types.TypeName) {
+	named, ok := o.Type().(*types.Named)
+	if !ok || o.Name() != "Controller" || !strings.HasSuffix(p.PkgPath, "node") {
+		return
+	}
+	methods := types.NewMethodSet(types.NewPointer(named))
+	for m := range methods.Methods() {
+		sig, ok := m.Type().(*types.Signature)
+		if !ok || !m.Obj().Exported() || sig.Params().Len() != 2 {
+			continue
+		}
+		name := m.Obj().Name()
+		for i, side := range []string{"takes", "gives"} {
+			for _, line := range gobFields("", sig.Params().At(i).Type(), nil) {
+				c.add("rpc", "Controller.%s %s %s", name, side, line)
+			}
+		}
+	}
+}
+
+// gobFields lists the fields of a type as gob sees them, by path.
+func gobFields(path string, t types.Type, seen []types.Type) []string {
+	if slices.Contains(seen, t) {
+		return []string{path + " recursive"}
+	}
+	seen = append(slices.Clip(seen), t)
+	switch u := t.Underlying().(type) {
+	case *types.Pointer:
+		return gobFields(path, u.Elem(), seen)
+	case *types.Slice:
+		return gobFields(path+"[]", u.Elem(), seen)
+	case *types.Array:
+		return gobFields(path+"["+strconv.FormatInt(u.Len(), 10)+"]", u.Elem(), seen)
+	case *types.Map:
+		return append(gobFields(path+"{key}", u.Key(), seen), gobFields(path+"{}", u.Elem(), seen)...)
+	case *types.Struct:
+		var out []string
+		for f := range u.Fields() {
+			if f.Exported() {
+				out = append(out, gobFields(path+"."+f.Name(), f.Type(), seen)...)
+			}
+		}
+		return append(out, path+" struct")
+	}
+	return []string{path + " " + t.Underlying().String()}
+}
+
+// jsonShape is a type as encoding/json sees it: keys in their order, with the kinds of values.
+func jsonShape(t types.Type, tag string, seen []types.Type) string {
+	if slices.Contains(seen, t) {
+		return "recursive"
+	}
+	seen = append(slices.Clip(seen), t)
+	if named, ok := t.(*types.Named); ok && named.Obj().Pkg() != nil && named.Obj().Pkg().Path() == "encoding/json" {
+		return "raw"
+	}
+	switch u := t.Underlying().(type) {
+	case *types.Pointer:
+		return "*" + jsonShape(u.Elem(), tag, seen)
+	case *types.Slice:
+		return "[]" + jsonShape(u.Elem(), tag, seen)
+	case *types.Array:
+		return "[" + strconv.FormatInt(u.Len(), 10) + "]" + jsonShape(u.Elem(), tag, seen)
+	case *types.Map:
+		return "{" + jsonShape(u.Key(), tag, seen) + ":" + jsonShape(u.Elem(), tag, seen) + "}"
+	case *types.Struct:
+		return "{" + strings.Join(structKeys(u, tag, seen), " ") + "}"
+	case *types.Interface:
+		return "any"
+	}
+	return t.Underlying().String()
+}
+
+func structKeys(u *types.Struct, tag string, seen []types.Type) []string {
+	var out []string
+	for i := range u.NumFields() {
+		f := u.Field(i)
+		value, tagged := reflect.StructTag(u.Tag(i)).Lookup(tag)
+		key, options, _ := strings.Cut(value, ",")
+		if inner, ok := f.Type().Underlying().(*types.Struct); ok && f.Embedded() && key == "" {
+			out = append(out, structKeys(inner, tag, seen)...)
+			continue
+		}
+		if !f.Exported() || (tagged && value == "-") {
+			continue
+		}
+		if key == "" {
+			key = f.Name()
+		}
+		if options != "" {
+			key += "," + options
+		}
+		out = append(out, key+"="+jsonShape(f.Type(), tag, seen))
+	}
+	return out
+}
+
+// tags pins every struct that has tags.
+func (c *collector) tags(p *packages.Package, n *ast.StructType) {
+	u, ok := p.TypesInfo.TypeOf(n).(*types.Struct)
+	if !ok {
+		return
+	}
+	for _, tag := range []string{"json", "toml", "ini"} {
+		for i := range u.NumFields() {
+			if _, ok := reflect.StructTag(u.Tag(i)).Lookup(tag); ok {
+				c.add(tag, "%s", jsonShape(u, tag, nil))
+				break
+			}
+		}
+	}
+}
+
+// called is the name of a function or method, and of the type that a method belongs to.
+func called(p *packages.Package, n *ast.CallExpr) (receiver, name string) {
+	switch f := ast.Unparen(n.Fun).(type) {
+	case *ast.SelectorExpr:
+		if t := p.TypesInfo.TypeOf(f.X); t != nil {
+			receiver = t.String()
+		}
+		if id, ok := f.X.(*ast.Ident); ok {
+			if pkg, ok := p.TypesInfo.Uses[id].(*types.PkgName); ok {
+				receiver = pkg.Imported().Path()
+			}
+		}
+		return receiver, f.Sel.Name
+	case *ast.Ident:
+		return "", f.Name
+	}
+	return "", ""
+}
+
+// text is the value of an expression that is a constant string.
+func text(p *packages.Package, e ast.Expr) (string, bool) {
+	v := p.TypesInfo.Types[e].Value
+	if v == nil || v.Kind() != constant.String {
+		return "", false
+	}
+	return constant.StringVal(v), true
+}
+
+// call pins what is said in calls: what is encoded as JSON, routes, flags, the environment,
+// and under which names components of the leader store entries.
+func (c *collector) call(p *packages.Package, n *ast.CallExpr) {
+	receiver, name := called(p, n)
+	switch {
+	case receiver == "encoding/json" && (name == "Marshal" || name == "Unmarshal"), strings.HasPrefix(receiver, "*encoding/json."):
+		for _, arg := range n.Args {
+			c.encoded(p.TypesInfo.TypeOf(arg))
+		}
+	case strings.Contains(receiver, "chi/v5") && slices.Contains([]string{"Get", "Post", "Method", "Put", "Delete"}, name):
+		var words []string
+		for _, arg := range n.Args {
+			if v, ok := text(p, arg); ok {
+				words = append(words, v)
+			}
+		}
+		c.add("route", "%s %s", name, strings.Join(words, " "))
+	case strings.HasSuffix(receiver, "pflag.FlagSet"):
+		for _, arg := range n.Args {
+			if v, ok := text(p, arg); ok {
+				c.add("flag", "%s", v)
+				return
+			}
+		}
+	case receiver == "os" && name == "Getenv":
+		if v, ok := text(p, n.Args[0]); ok {
+			c.add("env", "%s", v)
+		}
+	case name == "add" && strings.HasSuffix(p.PkgPath, "term"), strings.HasSuffix(receiver, "/ledger") && (name == "NewOwn" || name == "ValueKey"):
+		if v, ok := text(p, n.Args[0]); ok && v != "" {
+			c.add("owner", "%s", v)
+		}
+	}
+	for _, arg := range n.Args {
+		c.metricLabels(p, n.Args, arg)
+	}
+	if t := p.TypesInfo.TypeOf(n); t != nil && strings.HasSuffix(t.String(), "cobra.Command") && len(n.Args) > 0 {
+		if v, ok := text(p, n.Args[0]); ok {
+			c.add("command", "%s: %s", filepath.Base(p.PkgPath), v)
+		}
+	}
+}
+
+func (c *collector) encoded(t types.Type) {
+	for {
+		pointer, ok := t.(*types.Pointer)
+		if !ok {
+			break
+		}
+		t = pointer.Elem()
+	}
+	if _, ok := t.Underlying().(*types.Struct); ok {
+		c.add("json", "%s", jsonShape(t, "json", nil))
+	}
+}
+
+var metric = regexp.MustCompile(`^"bitternmoor_[a-z_]+"$`)
+
+func (c *collector) metricName(n *ast.BasicLit) {
+	if n.Kind == token.STRING && metric.MatchString(n.Value) {
+		c.add("metric", "%s", strings.Trim(n.Value, `"`))
+	}
+}
+
+var label = regexp.MustCompile(`^[a-z][a-z_]*$`)
+
+// metricLabels pins the words that stand beside the name of a metric.
+func (c *collector) metricLabels(p *packages.Package, all []ast.Expr, name ast.Expr) {
+	metricName, ok := text(p, name)
+	if !ok || !strings.HasPrefix(metricName, "bitternmoor_") {
+		return
+	}
+	for _, e := range all {
+		ast.Inspect(e, func(n ast.Node) bool {
+			if x, ok := n.(ast.Expr); ok {
+				if v, ok := text(p, x); ok && label.MatchString(v) && v != metricName {
+					c.add("label", "%s %s", metricName, v)
+				}
+			}
+			return true
+		})
+	}
+}
+
+// literal pins commands, labels of metrics, and the words that count events.
+func (c *collector) literal(p *packages.Package, n *ast.CompositeLit) {
+	kind := p.TypesInfo.TypeOf(n)
+	if kind == nil {
+		return
+	}
+	var values []ast.Expr
+	for _, e := range n.Elts {
+		kv, ok := e.(*ast.KeyValueExpr)
+		if !ok {
+			values = append(values, e)
+			continue
+		}
+		values = append(values, kv.Value)
+		if id, ok := kv.Key.(*ast.Ident); ok && id.Name == "Use" && strings.HasSuffix(kind.String(), "cobra.Command") {
+			v, _ := text(p, kv.Value)
+			c.add("command", "%s: %s", filepath.Base(p.PkgPath), v)
+		}
+	}
+	for _, e := range values {
+		c.metricLabels(p, values, e)
+	}
+	if strings.HasSuffix(p.PkgPath, "/wire") && kind.String() == "[]string" {
+		c.wireWords(p, values)
+	}
+	_, row := kind.Underlying().(*types.Struct)
+	if row && strings.HasSuffix(p.PkgPath, "/node") && len(values) == 2 {
+		if v, ok := text(p, values[0]); ok && label.MatchString(v) {
+			c.add("label", "bitternmoor_events_total %s", v)
+		}
+	}
+}
+
+// wireWords pins a list of words of the platform's protocol, in the order of their numbers.
+func (c *collector) wireWords(p *packages.Package, values []ast.Expr) {
+	var words []string
+	for _, e := range values {
+		if v, ok := text(p, e); ok && label.MatchString(v) {
+			words = append(words, v)
+		}
+	}
+	if len(words) > 0 {
+		c.add("word", "%s", strings.Join(words, " "))
+	}
+}
+
+// storedNumbers pins enumerations whose numbers are stored or sent.
+func (c *collector) storedNumbers() {
+	for name, n := range map[string]int{
+		"kind array": int(jobs.Array), "kind gang": int(jobs.Gang), "kind service": int(jobs.Service),
+		"fleet unsaid": int(leadership.Unsaid), "fleet listening": int(leadership.Listening), "fleet known": int(leadership.Known),
+		"command start": int(workers.Start), "command stop": int(workers.Stop), "command reap": int(workers.Reap),
+		"reason vanished": int(workers.Vanished), "reason completed": int(workers.Completed), "reason stopped": int(workers.Stopped),
+		"reason peers lost": int(workers.PeersLost), "reason alone": int(workers.Alone), "reason failed": int(workers.Failed),
+		"reason no room": int(workers.NoRoom), "reason busy": int(workers.Busy), "reason unknown task": int(workers.UnknownTask),
+		"state queued": int(wire.Queued), "state running": int(wire.Running), "state done": int(wire.Done), "state cancelled": int(wire.Cancelled),
+	} {
+		c.add("number", "%s %d", name, n)
+	}
+	for n := range uint8(4) {
+		c.add("number", "priority %s %d", wire.PriorityWord(n), n)
+	}
+}
+
+// stateKeys pins keys of the state service.
+func (c *collector) stateKeys() {
+	for _, key := range []string{leadership.HolderKey, leadership.EpochKey, ledger.Key(7), ledger.ValueKey("x", 3), ledger.Prefix, ledger.SizesPrefix, ledger.OwnPrefix} {
+		c.add("key", "%s", key)
+	}
+}
+
+// settingsKeys pins the keys of the operators' file, as the files under deploy say them.
+func (c *collector) settingsKeys() {
+	files, err := filepath.Glob("../../deploy/*.ini*")
+	if err != nil || len(files) < 5 {
+		c.t.Fatalf("files of the operators' settings: %v, %v", files, err)
+	}
+	key := regexp.MustCompile(`^[;# ]*([a-z_]+) *=`)
+	for _, file := range files {
+		raw, err := os.ReadFile(file)
+		if err != nil {
+			c.t.Fatal(err)
+		}
+		section := ""
+		for line := range strings.Lines(string(raw)) {
+			line = strings.TrimSpace(line)
+			if strings.HasPrefix(line, "[") {
+				section = strings.Fields(strings.Trim(line, "[]"))[0]
+			} else if m := key.FindStringSubmatch(line); m != nil {
+				c.add("ini", "%s.%s", section, m[1])
+			}
+		}
+	}
+}
