--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -18,8 +18,8 @@
 	"github.com/prometheus/procfs"
 	"github.com/spf13/cobra"
 
-	"bitternmoor/internal/experiment"
-	"bitternmoor/internal/scalerun"
+	"bitternmoor/internal/scaletest/experiment"
+	"bitternmoor/internal/scaletest/scalerun"
 )
 
 // Exit statuses.
--- a/cmd/scalerun/print.go
+++ b/cmd/scalerun/print.go
@@ -12,8 +12,8 @@
 
 	"github.com/spf13/cobra"
 
-	"bitternmoor/internal/scalefit"
-	"bitternmoor/internal/scalerun"
+	"bitternmoor/internal/scaletest/scalefit"
+	"bitternmoor/internal/scaletest/scalerun"
 )
 
 func printResult(out io.Writer, r *scalerun.Result) {
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/standin"
 )
 
 func freeAddr(t *testing.T) string {
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -18,8 +18,8 @@
 	"bitternmoor/internal/control"
 	"bitternmoor/internal/pools"
 	"bitternmoor/internal/receipts"
+	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/standin"
 )
 
 // TestPoolsLoopback takes counted units through real sockets: the door, workers that are
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"bitternmoor/internal/runtimes"
+	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/standin"
 )
 
 // recorded is one run of a kind of work, as it was recorded.
--- a/internal/experiment/experiment_test.go
+++ b/internal/scaletest/experiment/experiment_test.go
@@ -75,7 +75,7 @@
 
 // The files that come with the project are in order.
 func TestExperimentsOfTheProject(t *testing.T) {
-	files, err := filepath.Glob("../../experiments/*.ini")
+	files, err := filepath.Glob("../../../experiments/*.ini")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%v %v", files, err)
 	}
--- a/internal/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/meter"
+	"bitternmoor/internal/scaletest/meter"
 )
 
 const (
--- a/internal/netproxy/netproxy_test.go
+++ b/internal/scaletest/netproxy/netproxy_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/meter"
+	"bitternmoor/internal/scaletest/meter"
 )
 
 // What is sent during a cut arrives after it, and all of it is counted.
--- a/internal/scalefit/scalefit.go
+++ b/internal/scaletest/scalefit/scalefit.go
@@ -11,7 +11,7 @@
 
 	"gonum.org/v1/gonum/mat"
 
-	"bitternmoor/internal/scalerun"
+	"bitternmoor/internal/scaletest/scalerun"
 )
 
 // Regressors are what a cost may be fitted against, by name.
--- a/internal/scalefit/scalefit_test.go
+++ b/internal/scaletest/scalefit/scalefit_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"bitternmoor/internal/scalerun"
+	"bitternmoor/internal/scaletest/scalerun"
 )
 
 func run(workers, starts, cpu float64) scalerun.Result {
--- a/internal/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -13,8 +13,8 @@
 
 	"bitternmoor/internal/leadership"
 	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/meter"
-	"bitternmoor/internal/standin"
+	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/standin"
 )
 
 // Children write a line when they listen, with their address, and end when their standard
--- a/internal/scalerun/latency.go
+++ b/internal/scaletest/scalerun/latency.go
@@ -6,7 +6,7 @@
 
 	"github.com/DataDog/sketches-go/ddsketch"
 
-	"bitternmoor/internal/standin"
+	"bitternmoor/internal/scaletest/standin"
 )
 
 // sketchError is the relative error of the quantiles.
--- a/internal/scalerun/load.go
+++ b/internal/scaletest/scalerun/load.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"bitternmoor/internal/experiment"
 	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/scaletest/experiment"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/meter"
-	"bitternmoor/internal/standin"
+	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/standin"
 )
 
 // NodeSample is what one controller has spent so far.
--- a/internal/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -4,9 +4,9 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/experiment"
-	"bitternmoor/internal/meter"
-	"bitternmoor/internal/netproxy"
+	"bitternmoor/internal/scaletest/experiment"
+	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/netproxy"
 )
 
 // outside is where the state service, the cloud and users are: in the first region, in no zone.
--- a/internal/scalerun/result.go
+++ b/internal/scaletest/scalerun/result.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"bitternmoor/internal/meter"
+	"bitternmoor/internal/scaletest/meter"
 )
 
 // Names of roles.
--- a/internal/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/experiment"
+	"bitternmoor/internal/scaletest/experiment"
 )
 
 const (
--- a/internal/scalerun/scalerun_test.go
+++ b/internal/scaletest/scalerun/scalerun_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/experiment"
-	"bitternmoor/internal/meter"
-	"bitternmoor/internal/standin"
+	"bitternmoor/internal/scaletest/experiment"
+	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/standin"
 )
 
 const root = "../.."
--- a/internal/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"bitternmoor/internal/meter"
-	"bitternmoor/internal/standin"
+	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -17,11 +17,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"bitternmoor/internal/experiment"
 	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/meter"
+	"bitternmoor/internal/scaletest/experiment"
+	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/standin"
 )
 
 // Options say where a run finds its programs, and where it tells what.
--- a/internal/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/meter"
+	"bitternmoor/internal/scaletest/meter"
 )
 
 // Fleet plays the workers of a cloud's machines: each reports to one controller at a time and
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"bitternmoor/internal/coldstart"
+	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/spread"
-	"bitternmoor/internal/standin"
 )
 
 // world is three controllers of this version under the settings of a cold start, with
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/standin"
+	"bitternmoor/internal/scaletest/standin"
 )
 
 // TestPoolsUnderKills runs real processes with pools against stand-ins for minutes:
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/standin"
+	"bitternmoor/internal/scaletest/standin"
 )
 
 const root = "../.."
