--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -17,8 +17,8 @@
 	"github.com/spf13/cobra"
 
 	"bitternmoor/internal/config"
-	"bitternmoor/internal/control"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/reconfig"
 	"bitternmoor/internal/settings"
 )
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
-	"bitternmoor/internal/certs"
-	"bitternmoor/internal/control"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/operators/control"
+	"bitternmoor/internal/operators/receipts"
 	"bitternmoor/internal/pools"
-	"bitternmoor/internal/receipts"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -19,7 +19,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/control"
+	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/pools"
 	"bitternmoor/internal/reconfig"
 	"bitternmoor/internal/wire"
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -21,8 +21,8 @@
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leadership"
 	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/operators/webhook"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/webhook"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -16,10 +16,10 @@
 
 	"golang.org/x/net/netutil"
 
-	"bitternmoor/internal/certs"
-	"bitternmoor/internal/control"
+	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/operators/control"
+	"bitternmoor/internal/operators/receipts"
 	"bitternmoor/internal/pools"
-	"bitternmoor/internal/receipts"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/certs"
-	"bitternmoor/internal/control"
+	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/operators/control"
+	"bitternmoor/internal/operators/receipts"
 	"bitternmoor/internal/pools"
-	"bitternmoor/internal/receipts"
 	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/settings"
 )
--- a/internal/control/control_test.go
+++ b/internal/operators/control/control_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/certs"
+	"bitternmoor/internal/operators/certs"
 )
 
 type backend struct {
--- a/internal/receipts/receipts.go
+++ b/internal/operators/receipts/receipts.go
@@ -13,7 +13,7 @@
 
 	"github.com/golang-jwt/jwt/v5"
 
-	"bitternmoor/internal/keys"
+	"bitternmoor/internal/operators/keys"
 )
 
 const issuer = "bitternmoor"
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -11,10 +11,10 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/certs"
 	"bitternmoor/internal/config"
-	"bitternmoor/internal/control"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/reconfig"
 )
 
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -9,8 +9,8 @@
 
 	"gopkg.in/ini.v1"
 
-	"bitternmoor/internal/certs"
 	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/operators/certs"
 )
 
 // Pool is a counted thing that tasks may need besides room.
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -10,7 +10,7 @@
 	"gopkg.in/ini.v1"
 
 	"bitternmoor/internal/calendar"
-	"bitternmoor/internal/keys"
+	"bitternmoor/internal/operators/keys"
 )
 
 // Tunables are the operators' own settings. Names of fields that the design
