--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -16,7 +16,7 @@
 
 	"github.com/spf13/cobra"
 
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/reconfig"
--- a/internal/cluster/plain.go
+++ b/internal/cluster/plain.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 )
 
 // Plain does nothing at any of the moments at which a duty may act. A duty
--- a/internal/cluster/reader.go
+++ b/internal/cluster/reader.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 )
 
 // askAgain is how long a page of values that could not be read is left alone.
--- a/internal/cluster/state.go
+++ b/internal/cluster/state.go
@@ -9,18 +9,18 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/blocks"
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/names"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/sizing"
+	"bitternmoor/internal/core/squaring"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/names"
-	"bitternmoor/internal/resources"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/sizing"
-	"bitternmoor/internal/squaring"
-	"bitternmoor/internal/workers"
 )
 
 // Bits of a token and of an attempt that count within a term.
--- a/internal/cluster/state_test.go
+++ b/internal/cluster/state_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Most machines are silent. That is a fault of the zones they are in where another
--- a/internal/cluster/teams.go
+++ b/internal/cluster/teams.go
@@ -4,11 +4,11 @@
 	"cmp"
 	"slices"
 
-	"bitternmoor/internal/blocks"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // TeamIndex is the index of a team, of the configuration or not. One that is not has no limit.
--- a/internal/coldstart/account.go
+++ b/internal/coldstart/account.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/squaring"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/squaring"
-	"bitternmoor/internal/workers"
 )
 
 // Record is the account of one cold start.
--- a/internal/coldstart/coldstart_test.go
+++ b/internal/coldstart/coldstart_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Whatever share of the machines is silent for ever, in whatever zones, and whichever
--- a/internal/coldstart/duty.go
+++ b/internal/coldstart/duty.go
@@ -12,13 +12,13 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/pacing"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/pacing"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Name is that of the duty, and of its entries.
--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -19,11 +19,11 @@
 
 	"golang.org/x/tools/go/packages"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 var update = flag.Bool("update", false, "write the golden file anew")
--- a/internal/blocks/accel_test.go
+++ b/internal/core/blocks/accel_test.go
@@ -5,11 +5,11 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
-	"bitternmoor/internal/sizing"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/sizing"
+	"bitternmoor/internal/core/workers"
 )
 
 // accelWorld has so many machines with two accelerators and twelve processors, and as many
--- a/internal/blocks/blocks.go
+++ b/internal/core/blocks/blocks.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 )
 
 // Limit is what a team may use at any time; 0 means no limit.
--- a/internal/blocks/blocks_test.go
+++ b/internal/core/blocks/blocks_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
-	"bitternmoor/internal/sizing"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/sizing"
+	"bitternmoor/internal/core/workers"
 )
 
 // randomWorld makes jobs of all kinds and machines of which many are full.
--- a/internal/blocks/holder.go
+++ b/internal/core/blocks/holder.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"bitternmoor/internal/resources"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 )
 
 // Holder is a controller's side of its block: the machines whose workers it
--- a/internal/blocks/move.go
+++ b/internal/core/blocks/move.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/resources"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 )
 
 const (
--- a/internal/blocks/order.go
+++ b/internal/core/blocks/order.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/resources"
 )
 
 // Order lists the jobs in the order in which they get room: HFSP's, with the
--- a/internal/blocks/world.go
+++ b/internal/core/blocks/world.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/resources"
-	"bitternmoor/internal/sizing"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/sizing"
+	"bitternmoor/internal/core/workers"
 )
 
 // World is what a pass looks at.
--- a/internal/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -5,8 +5,8 @@
 import (
 	"time"
 
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
 )
 
 // Kinds of jobs.
--- a/internal/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 )
 
 // Found on a day of gangs: a job that left twice had its index given to two
--- a/internal/squaring/squaring_test.go
+++ b/internal/core/squaring/squaring_test.go
@@ -142,7 +142,7 @@
 
 // The note has the table as the code has it.
 func TestTableInNote(t *testing.T) {
-	raw, err := os.ReadFile("../../docs/cold-start.md")
+	raw, err := os.ReadFile("../../../docs/cold-start.md")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/workers/known.go
+++ b/internal/core/workers/known.go
@@ -4,8 +4,8 @@
 	"maps"
 	"time"
 
-	"bitternmoor/internal/resources"
-	"bitternmoor/internal/squaring"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/squaring"
 )
 
 // Known is what the leader knows of a reported task.
--- a/internal/workers/tasks.go
+++ b/internal/core/workers/tasks.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/resources"
 )
 
 // TaskState is a task's state as its worker reports it.
--- a/internal/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -11,7 +11,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/resources"
 )
 
 type image struct {
--- a/internal/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/resources"
 )
 
 const token = 7
--- a/internal/direct/direct.go
+++ b/internal/direct/direct.go
@@ -17,9 +17,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Name is that of the duty's view.
--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -4,12 +4,12 @@
 package effects
 
 import (
-	"bitternmoor/internal/config"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // Asker is whoever waits for an answer; adapters map it to a connection.
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -6,9 +6,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/pacing"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/pacing"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 )
 
 const (
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 )
 
 var small = ledger.Type{Name: "small", CPUs: 4, Price: 0.16, SpotPrice: 0.04, BootS: 50, Zones: []string{"a", "b"}}
--- a/internal/fleet/renting.go
+++ b/internal/fleet/renting.go
@@ -7,15 +7,15 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/blocks"
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/pacing"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/pacing"
-	"bitternmoor/internal/resources"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 const (
--- a/internal/lifecycle/follow.go
+++ b/internal/lifecycle/follow.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/lifecycle/lifecycle.go
+++ b/internal/lifecycle/lifecycle.go
@@ -10,12 +10,12 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Upper bounds for what one item takes in an entry of the log, and rough sizes
--- a/internal/lifecycle/users.go
+++ b/internal/lifecycle/users.go
@@ -4,11 +4,11 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/blocks"
+	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -4,9 +4,9 @@
 	"fmt"
 	"math"
 
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/messages_test.go
+++ b/internal/node/messages_test.go
@@ -6,11 +6,11 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // What is malformed, too large or of somebody else is refused and counted, and nothing of it
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -17,10 +17,10 @@
 
 	"golang.org/x/net/netutil"
 
-	"bitternmoor/internal/admission"
+	"bitternmoor/internal/core/admission"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/operators/webhook"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/leadership"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/squaring"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/squaring"
-	"bitternmoor/internal/workers"
 )
 
 // Report takes a worker's report. The leader answers for its own block; any
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -4,11 +4,11 @@
 	"encoding/json"
 	"time"
 
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/term"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // Seen takes the result of leadership's Read.
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/jobs"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/term"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // Status is what operators may see of the service.
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/term"
 	"bitternmoor/internal/wire"
 )
--- a/internal/ordering/ordering.go
+++ b/internal/ordering/ordering.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/placing/marks.go
+++ b/internal/placing/marks.go
@@ -5,10 +5,10 @@
 	"maps"
 	"slices"
 
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/workers"
 )
 
 // What a new leader may start while machines are silent. Grants tell it which
--- a/internal/placing/marks_test.go
+++ b/internal/placing/marks_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // placer is the duty of a term of this epoch, with jobs of 100 tasks each.
--- a/internal/placing/placing.go
+++ b/internal/placing/placing.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 )
 
 const (
--- a/internal/placing/placing_test.go
+++ b/internal/placing/placing_test.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Grants of more machines than an entry of 2 KiB has room for are written in
--- a/internal/pools/allow.go
+++ b/internal/pools/allow.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
 )
 
 // Pass begins a pass of the planner. list has the jobs that could start a task if
--- a/internal/pools/count.go
+++ b/internal/pools/count.go
@@ -4,9 +4,9 @@
 	"math"
 	"time"
 
-	"bitternmoor/internal/blocks"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 )
 
 // strays are tasks that a machine shows and that no placement stands for.
--- a/internal/pools/loss.go
+++ b/internal/pools/loss.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/blocks"
-	"bitternmoor/internal/jobs"
+	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // A licence server may go on counting a holder for a while that died without a word.
--- a/internal/pools/papers.go
+++ b/internal/pools/papers.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 )
 
 // Receipts name the very units that a task has, so that a licence server can refuse
--- a/internal/pools/pools.go
+++ b/internal/pools/pools.go
@@ -18,11 +18,11 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Name is that of the duty, its entries and its values.
--- a/internal/pools/shelf.go
+++ b/internal/pools/shelf.go
@@ -7,8 +7,8 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 )
 
 // What operators change of pools, and units that stay out after a loss, is kept in
--- a/internal/pools/show.go
+++ b/internal/pools/show.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/jobs"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // View is a pool as operators see it.
--- a/internal/reconfig/change.go
+++ b/internal/reconfig/change.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/config"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/reconfig/controllers.go
+++ b/internal/reconfig/controllers.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
 )
 
 // controller is what the leader knows of the configuration that another one has.
--- a/internal/reconfig/duty.go
+++ b/internal/reconfig/duty.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/reconfig/duty_test.go
+++ b/internal/reconfig/duty_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/config"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/reconfig/show.go
+++ b/internal/reconfig/show.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/roster/events.go
+++ b/internal/roster/events.go
@@ -4,10 +4,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/squaring"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/squaring"
-	"bitternmoor/internal/workers"
 )
 
 // known tells what the leader knows of a task that a report shows. When it is
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -11,12 +11,12 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/squaring"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/resources"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/squaring"
-	"bitternmoor/internal/workers"
 )
 
 const (
--- a/internal/roster/watch.go
+++ b/internal/roster/watch.go
@@ -5,10 +5,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // watch looks after every machine: silent ones, boots that take too long,
--- a/internal/runtimes/duty.go
+++ b/internal/runtimes/duty.go
@@ -9,13 +9,13 @@
 
 	"github.com/DataDog/sketches-go/ddsketch"
 
-	"bitternmoor/internal/calendar"
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/calendar"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // Name is that of the duty, and of its entries.
--- a/internal/runtimes/duty_test.go
+++ b/internal/runtimes/duty_test.go
@@ -13,11 +13,11 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // world is a state service that holds a log, over the lives of several leaders.
--- a/internal/runtimes/forecast.go
+++ b/internal/runtimes/forecast.go
@@ -8,11 +8,11 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 const (
--- a/internal/runtimes/shelf.go
+++ b/internal/runtimes/shelf.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 )
 
 // What closed nights have shown is kept in values of the duty's own beside the log,
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
 )
--- a/internal/scaletest/scalerun/load.go
+++ b/internal/scaletest/scalerun/load.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/scaletest/experiment"
 	"bitternmoor/internal/wire"
 )
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/operators/certs"
 	"bitternmoor/internal/operators/control"
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -17,7 +17,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/scaletest/experiment"
 	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -10,8 +10,8 @@
 	"sync"
 	"time"
 
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // What the protocol says of a worker's reports.
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // checker watches the platform's rules all the time.
--- a/internal/scenario/cold_test.go
+++ b/internal/scenario/cold_test.go
@@ -11,10 +11,10 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // idleKind is an order that somebody who sees everything would not have given.
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/reconfig"
 	"bitternmoor/internal/settings"
 )
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -6,8 +6,8 @@
 	"encoding/json"
 	"fmt"
 
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/pools"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // ghost is a holder that a licence server goes on counting after its death.
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/runtimes"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/term"
 	"bitternmoor/internal/wire"
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -14,12 +14,12 @@
 	"github.com/cockroachdb/datadriven"
 
 	"bitternmoor/internal/coldstart"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/takeovers"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // TestScenarios plays every file of testdata. The first line of a file's
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/runtimes"
 	"bitternmoor/internal/term"
 	"bitternmoor/internal/wire"
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -9,13 +9,13 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // event is something due at a time; seq keeps the order of equal times.
--- a/internal/scenario/stage_test.go
+++ b/internal/scenario/stage_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -10,13 +10,13 @@
 	"testing"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/node"
-	"bitternmoor/internal/resources"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 func golden(t *testing.T, name string) []byte {
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/workers"
 )
 
 // machineCPUs is what the one type of machine has.
--- a/internal/served/served.go
+++ b/internal/served/served.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/served/served_test.go
+++ b/internal/served/served_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 func begun(floor float64) *Duty {
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -9,7 +9,7 @@
 
 	"gopkg.in/ini.v1"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/operators/certs"
 )
 
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -9,7 +9,7 @@
 
 	"gopkg.in/ini.v1"
 
-	"bitternmoor/internal/calendar"
+	"bitternmoor/internal/core/calendar"
 	"bitternmoor/internal/operators/keys"
 )
 
--- a/internal/spread/balance.go
+++ b/internal/spread/balance.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/pacing"
+	"bitternmoor/internal/core/pacing"
 )
 
 // Balance decides which machines report to another controller from now on. It is pure;
--- a/internal/spread/duty.go
+++ b/internal/spread/duty.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/workers"
 )
 
 // Name is that of the duty. It writes nothing.
--- a/internal/spread/spread_test.go
+++ b/internal/spread/spread_test.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // picture is controllers and where machines report.
--- a/internal/takeovers/takeovers.go
+++ b/internal/takeovers/takeovers.go
@@ -13,9 +13,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
 )
 
 // Name is that of the duty, and of its entries.
--- a/internal/takeovers/takeovers_test.go
+++ b/internal/takeovers/takeovers_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // begun is the duty of a term that has read ten registered machines, and a job
--- a/internal/term/clean.go
+++ b/internal/term/clean.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 )
 
 // The log is cleaned from its old end, a few segments at a time: what is still
--- a/internal/term/fit_test.go
+++ b/internal/term/fit_test.go
@@ -8,12 +8,12 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // smallTerm is a term whose values may have 2 KiB.
--- a/internal/term/follow_test.go
+++ b/internal/term/follow_test.go
@@ -4,8 +4,8 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/jobs"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/ledger"
 )
 
 // A job's times count from the moment when the last job that it follows was
--- a/internal/term/pools_scale_test.go
+++ b/internal/term/pools_scale_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 // What pools cost at the size of the larger fleet: 1,300 machines, a thousand pools,
--- a/internal/term/report_test.go
+++ b/internal/term/report_test.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/workers"
 )
 
 func scaleSettings() *settings.Settings {
--- a/internal/term/returns_test.go
+++ b/internal/term/returns_test.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/roster"
-	"bitternmoor/internal/workers"
 )
 
 // deletes lists the machines that a term has deleted since.
--- a/internal/term/scale_test.go
+++ b/internal/term/scale_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/workers"
 )
 
 // What an event costs at the size of the larger fleets and at twice that, with
--- a/internal/term/term.go
+++ b/internal/term/term.go
@@ -12,12 +12,13 @@
 	"bitternmoor/internal/asking"
 	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/coldstart"
-	"bitternmoor/internal/config"
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/direct"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/fleet"
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
 	"bitternmoor/internal/lifecycle"
 	"bitternmoor/internal/ordering"
 	"bitternmoor/internal/placing"
@@ -29,7 +30,6 @@
 	"bitternmoor/internal/spread"
 	"bitternmoor/internal/takeovers"
 	"bitternmoor/internal/wire"
-	"bitternmoor/internal/workers"
 )
 
 // Duty is one thing that a leader does. It keeps what it knows to itself and
--- a/internal/term/term_test.go
+++ b/internal/term/term_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"bitternmoor/internal/cluster"
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 )
 
 // This file is the other side of the protocols: what workers, users, the state service and the
--- a/internal/wire/platform_test.go
+++ b/internal/wire/platform_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 )
 
 // What one side writes the other reads as it was meant.
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -13,9 +13,9 @@
 	"strconv"
 	"time"
 
-	"bitternmoor/internal/leadership"
-	"bitternmoor/internal/ledger"
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/workers"
 )
 
 // Client calls one of the platform's services over HTTP.
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"bitternmoor/internal/ledger"
+	"bitternmoor/internal/core/ledger"
 )
 
 // MaxBody is the largest request body.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/workers"
 )
 
 const job = `{"name_id":"j-000412","herd":"train","keeper":"vision","gait":"gang","urgency":"urgent","head":16,
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"bitternmoor/internal/workers"
+	"bitternmoor/internal/core/workers"
 )
 
 type report struct {
