--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -17,9 +17,9 @@
 	"github.com/spf13/cobra"
 
 	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/operators/control"
-	"bitternmoor/internal/reconfig"
 	"bitternmoor/internal/settings"
 )
 
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -15,11 +15,11 @@
 
 	"github.com/spf13/cobra"
 
+	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/operators/certs"
 	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/operators/receipts"
-	"bitternmoor/internal/pools"
 	"bitternmoor/internal/settings"
 )
 
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -16,8 +16,8 @@
 
 	"github.com/spf13/cobra"
 
+	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/node"
-	"bitternmoor/internal/runtimes"
 )
 
 func forecastCommand() *cobra.Command {
--- a/cmd/bitternmoor/served.go
+++ b/cmd/bitternmoor/served.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
+	"bitternmoor/internal/leader/served"
 	"bitternmoor/internal/node"
-	"bitternmoor/internal/served"
 )
 
 func servedCommand() *cobra.Command {
--- a/cmd/bitternmoor/spread.go
+++ b/cmd/bitternmoor/spread.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
+	"bitternmoor/internal/leader/spread"
 	"bitternmoor/internal/node"
-	"bitternmoor/internal/spread"
 )
 
 func spreadCommand() *cobra.Command {
--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"bitternmoor/internal/coldstart"
+	"bitternmoor/internal/leader/coldstart"
+	"bitternmoor/internal/leader/takeovers"
 	"bitternmoor/internal/node"
-	"bitternmoor/internal/takeovers"
 )
 
 func takeoversCommand() *cobra.Command {
--- a/internal/asking/asking.go
+++ b/internal/leader/asking/asking.go
@@ -8,8 +8,8 @@
 import (
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -7,12 +7,12 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // Record is the account of one cold start.
--- a/internal/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -11,13 +11,13 @@
 import (
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/pacing"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/direct/direct.go
+++ b/internal/leader/direct/direct.go
@@ -16,9 +16,9 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/fleet/cloud.go
+++ b/internal/leader/fleet/cloud.go
@@ -5,10 +5,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/pacing"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
--- a/internal/fleet/renting.go
+++ b/internal/leader/fleet/renting.go
@@ -7,7 +7,6 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
@@ -15,6 +14,7 @@
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/placing/placing.go
+++ b/internal/leader/placing/placing.go
@@ -8,10 +8,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
+	"bitternmoor/internal/leader/cluster"
 )
 
 const (
--- a/internal/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -17,11 +17,11 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -9,12 +9,12 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // What operators change of pools, and units that stay out after a loss, is kept in
--- a/internal/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // controller is what the leader knows of the configuration that another one has.
--- a/internal/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -12,10 +12,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/reconfig/show.go
+++ b/internal/leader/reconfig/show.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/roster/events.go
+++ b/internal/leader/roster/events.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // known tells what the leader knows of a task that a report shows. When it is
--- a/internal/roster/roster.go
+++ b/internal/leader/roster/roster.go
@@ -10,12 +10,12 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/roster/watch.go
+++ b/internal/leader/roster/watch.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -9,12 +9,12 @@
 
 	"github.com/DataDog/sketches-go/ddsketch"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/calendar"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -7,10 +7,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
--- a/internal/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/served/served.go
+++ b/internal/leader/served/served.go
@@ -13,9 +13,9 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/served/served_test.go
+++ b/internal/leader/served/served_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/spread/duty.go
+++ b/internal/leader/spread/duty.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // Name is that of the duty. It writes nothing.
--- a/internal/spread/spread_test.go
+++ b/internal/leader/spread/spread_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/workers"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/takeovers/takeovers.go
+++ b/internal/leader/takeovers/takeovers.go
@@ -12,10 +12,10 @@
 	"strings"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // Name is that of the duty, and of its entries.
--- a/internal/takeovers/takeovers_test.go
+++ b/internal/leader/takeovers/takeovers_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -7,11 +7,11 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/roster"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/leader/roster"
 )
 
 // deletes lists the machines that a term has deleted since.
--- a/internal/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -6,10 +6,10 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // What an event costs at the size of the larger fleets and at twice that, with
--- a/internal/term/term_test.go
+++ b/internal/leader/term/term_test.go
@@ -3,8 +3,8 @@
 import (
 	"testing"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -4,14 +4,14 @@
 	"encoding/json"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/reconfig"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/leader/reconfig"
+	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/term"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -18,10 +18,10 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"bitternmoor/internal/cluster"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/leader/pools"
+	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/operators/control"
-	"bitternmoor/internal/pools"
-	"bitternmoor/internal/reconfig"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -16,10 +16,10 @@
 
 	"golang.org/x/net/netutil"
 
+	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/operators/certs"
 	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/operators/receipts"
-	"bitternmoor/internal/pools"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/operators/certs"
 	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/operators/receipts"
-	"bitternmoor/internal/pools"
 	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/settings"
 )
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -18,7 +18,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/runtimes"
+	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/scaletest/standin"
 	"bitternmoor/internal/settings"
 )
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -3,10 +3,10 @@
 import (
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -7,7 +7,7 @@
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
-	"bitternmoor/internal/term"
+	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -6,10 +6,10 @@
 	"strings"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
-	"bitternmoor/internal/term"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"bitternmoor/internal/core/ledger"
-	"bitternmoor/internal/term"
+	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/operators/certs"
 	"bitternmoor/internal/operators/control"
-	"bitternmoor/internal/reconfig"
 )
 
 const (
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/datadriven"
 
 	"bitternmoor/internal/core/config"
-	"bitternmoor/internal/reconfig"
+	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/settings"
 )
 
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -11,7 +11,7 @@
 
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
-	"bitternmoor/internal/pools"
+	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"bitternmoor/internal/core/ledger"
-	"bitternmoor/internal/runtimes"
+	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -11,11 +11,11 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/term"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -13,12 +13,12 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"bitternmoor/internal/coldstart"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/coldstart"
+	"bitternmoor/internal/leader/takeovers"
 	"bitternmoor/internal/settings"
-	"bitternmoor/internal/takeovers"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -11,8 +11,8 @@
 
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/core/ledger"
-	"bitternmoor/internal/runtimes"
-	"bitternmoor/internal/term"
+	"bitternmoor/internal/leader/runtimes"
+	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/wire"
 )
 
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -9,12 +9,12 @@
 	"reflect"
 	"testing"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/node"
 	"bitternmoor/internal/wire"
 )
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/cluster"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
 )
 
 // machineCPUs is what the one type of machine has.
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/coldstart"
+	"bitternmoor/internal/leader/coldstart"
+	"bitternmoor/internal/leader/spread"
 	"bitternmoor/internal/scaletest/standin"
-	"bitternmoor/internal/spread"
 )
 
 // world is three controllers of this version under the settings of a cold start, with
