--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -19,9 +19,9 @@
 
 	"golang.org/x/tools/go/packages"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/wire"
 )
@@ -434,7 +434,7 @@
 
 // stateKeys pins keys of the state service.
 func (c *collector) stateKeys() {
-	for _, key := range []string{leadership.HolderKey, leadership.EpochKey, ledger.Key(7), ledger.ValueKey("x", 3), ledger.Prefix, ledger.SizesPrefix, ledger.OwnPrefix} {
+	for _, key := range []string{leadership.HolderKey, leadership.EpochKey, eventlog.Key(7), eventlog.ValueKey("x", 3), eventlog.Prefix, eventlog.SizesPrefix, eventlog.OwnPrefix} {
 		c.add("key", "%s", key)
 	}
 }
--- a/internal/core/blocks/accel_test.go
+++ b/internal/core/blocks/accel_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/sizing"
 	"bitternmoor/internal/core/workers"
@@ -41,7 +41,7 @@
 }
 
 func (w *World) add(id uint64, kind uint8, tasks int, cpus, gpus float64, mean float64) *jobs.Job {
-	j := w.Jobs.Add(ledger.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, GPUs: gpus, MemoryGB: 1, EstimateS: mean, Spot: true})
+	j := w.Jobs.Add(eventlog.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, GPUs: gpus, MemoryGB: 1, EstimateS: mean, Spot: true})
 	j.Phase, j.OnPlain = jobs.Open, gpus == 0
 	if kind != jobs.Service {
 		w.Book.Add(j.Index, 0, tasks, cpus, kind == jobs.Gang)
--- a/internal/core/blocks/blocks.go
+++ b/internal/core/blocks/blocks.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 )
@@ -135,7 +135,7 @@
 	// Why says in words what a job waits for, Never why one could never have what
 	// it asks for; empty: nothing.
 	Why(j *jobs.Job) string
-	Never(rec *ledger.Job) string
+	Never(rec *eventlog.Job) string
 }
 
 // Accelerated is the largest need of a task with accelerators: of the jobs there are, or of
--- a/internal/core/blocks/blocks_test.go
+++ b/internal/core/blocks/blocks_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/sizing"
 	"bitternmoor/internal/core/workers"
@@ -35,7 +35,7 @@
 		}
 	}
 	for i := range count {
-		rec := ledger.Job{ID: uint64(i + 1), Kind: uint8(r.IntN(12) / 10), Priority: uint8(r.IntN(4)), Tasks: 1 + r.IntN(30),
+		rec := eventlog.Job{ID: uint64(i + 1), Kind: uint8(r.IntN(12) / 10), Priority: uint8(r.IntN(4)), Tasks: 1 + r.IntN(30),
 			CPUs: float64(1 + r.IntN(4)), MemoryGB: float64(1 + r.IntN(6)), ImageGB: 1, Spot: r.IntN(4) > 0, EstimateS: 10,
 			OneZone: r.IntN(8) == 0, Spread: r.IntN(16) == 0}
 		if r.IntN(6) == 0 {
@@ -181,7 +181,7 @@
 			return w.Yard.Add(&workers.Machine{Name: name, Cap: resources.Room(32, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: draining, CacheGB: 1, FetchGBPS: 1})
 		}
 		from, other := add("from", true), add("other", false)
-		j := w.Jobs.Add(ledger.Job{ID: 1, Tasks: 1, CPUs: 4, MemoryGB: 4, Checkpoint: 15, SaveS: 4, EstimateS: 300})
+		j := w.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1, CPUs: 4, MemoryGB: 4, Checkpoint: 15, SaveS: 4, EstimateS: 300})
 		j.Phase = jobs.Open
 		w.Book.Add(j.Index, 0, 1, 4, false)
 		j.Place(0)
@@ -203,7 +203,7 @@
 		Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	m := w.Yard.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, CacheGB: 1, FetchGBPS: 1})
 	add := func(id uint64, tasks int, cpus float64, priority uint8) *jobs.Job {
-		j := w.Jobs.Add(ledger.Job{ID: id, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Priority: priority, Checkpoint: 15, SaveS: 4, EstimateS: 300})
+		j := w.Jobs.Add(eventlog.Job{ID: id, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Priority: priority, Checkpoint: 15, SaveS: 4, EstimateS: 300})
 		j.Phase = jobs.Open
 		w.Book.Add(j.Index, 0, tasks, cpus, false)
 		return j
--- a/internal/core/ledger/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -1,4 +1,4 @@
-// Package ledger is the only writer of durable state. It keeps a log of
+// Package eventlog is the only writer of durable state. It keeps a log of
 // small entries in values of the state service and commits many entries with
 // one write.
 //
@@ -7,7 +7,7 @@
 // they fill up. Every write is conditional on the epoch key, so that a
 // transaction of an earlier term that comes late fails, and on the version
 // of the value it rewrites, so that a late one of this term does too.
-package ledger
+package eventlog
 
 import (
 	"bytes"
--- a/internal/core/ledger/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -1,4 +1,4 @@
-package ledger
+package eventlog
 
 import (
 	"encoding/json"
--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/resources"
 )
 
@@ -55,7 +55,7 @@
 // Job is an unfinished job, or a done one whose tasks are not all gone.
 type Job struct {
 	Index   int32
-	Rec     ledger.Job
+	Rec     eventlog.Job
 	Team    int32
 	Image   int32
 	Need    resources.Amounts
@@ -134,7 +134,7 @@
 }
 
 // Add enters a job.
-func (t *Table) Add(rec ledger.Job) *Job {
+func (t *Table) Add(rec eventlog.Job) *Job {
 	j := &Job{Rec: rec, Need: resources.Need(rec.CPUs, rec.GPUs, rec.MemoryGB), Priority: rec.Priority, Tasks: make([]TaskState, rec.Tasks), Waiting: rec.Tasks}
 	if n := len(t.free); n > 0 {
 		j.Index = t.free[n-1]
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -4,17 +4,17 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 )
 
 // Found on a day of gangs: a job that left twice had its index given to two
 // others, whose tasks were then taken for one another's.
 func TestIndexIsFreedOnce(t *testing.T) {
 	table := NewTable()
-	j := table.Add(ledger.Job{ID: 1, Tasks: 1})
+	j := table.Add(eventlog.Job{ID: 1, Tasks: 1})
 	table.Leave(j)
 	table.Leave(j)
-	a, b := table.Add(ledger.Job{ID: 2, Tasks: 3}), table.Add(ledger.Job{ID: 3, Tasks: 11})
+	a, b := table.Add(eventlog.Job{ID: 2, Tasks: 3}), table.Add(eventlog.Job{ID: 3, Tasks: 11})
 	if a.Index == b.Index {
 		t.Fatalf("jobs 2 and 3 share index %d", a.Index)
 	}
@@ -25,7 +25,7 @@
 }
 
 func TestTaskStates(t *testing.T) {
-	j := NewTable().Add(ledger.Job{ID: 1, Tasks: 4})
+	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 4})
 	for _, k := range []int{0, 1, 2} {
 		if got := j.NextWaiting(4); got != k {
 			t.Fatalf("next waiting is %d, want %d", got, k)
@@ -48,7 +48,7 @@
 }
 
 func TestZoneRules(t *testing.T) {
-	one := NewTable().Add(ledger.Job{Tasks: 3, OneZone: true})
+	one := NewTable().Add(eventlog.Job{Tasks: 3, OneZone: true})
 	one.MoveZone(0, 1)
 	if one.ZoneAllows(1) || !one.ZoneAllows(0) {
 		t.Error("one zone: the first task decides")
@@ -57,7 +57,7 @@
 	if !one.ZoneAllows(1) {
 		t.Error("one zone: free again once the first is gone")
 	}
-	half := NewTable().Add(ledger.Job{Tasks: 9, Spread: true})
+	half := NewTable().Add(eventlog.Job{Tasks: 9, Spread: true})
 	half.MoveZone(0, 4)
 	if !half.ZoneAllows(0) {
 		t.Error("the fifth of nine may be in the zone")
@@ -72,7 +72,7 @@
 // time counts from then. Read out of the code: the planner, which looks for such jobs, does not
 // look at all while nothing waits.
 func TestBesideRoomEndsWithWaiting(t *testing.T) {
-	j := NewTable().Add(ledger.Job{ID: 1, Tasks: 2})
+	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 2})
 	j.BesideRoom = time.Second
 	j.Place(0)
 	if j.BesideRoom == 0 {
--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -5,8 +5,8 @@
 
 import (
 	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/wire"
@@ -81,7 +81,7 @@
 	}
 	Lead    struct{ Order leadership.Order }
 	Load    struct{ Epoch uint64 }
-	Commit  struct{ Txn ledger.Txn }
+	Commit  struct{ Txn eventlog.Txn }
 	Recheck struct{ Key string }
 	Clean   struct{ First, Count int }
 	// Values reads a page of a duty's own values, those behind a key.
@@ -108,7 +108,7 @@
 		ID   string
 		Body []byte // JSON
 	}
-	Rent   struct{ Rental ledger.Rental }
+	Rent   struct{ Rental eventlog.Rental }
 	Delete struct{ Machines []string }
 	List   struct{}
 	Types  struct{}
--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 )
 
 // Plain does nothing at any of the moments at which a duty may act. A duty
@@ -11,13 +11,13 @@
 type Plain struct{}
 
 // Replay takes nothing from the log.
-func (Plain) Replay(time.Duration, ledger.Entry) {}
+func (Plain) Replay(time.Duration, eventlog.Entry) {}
 
 // Begin has nothing to settle.
 func (Plain) Begin(time.Duration) {}
 
 // Durable waits for no entry.
-func (Plain) Durable(time.Duration, bool, ledger.Entry) {}
+func (Plain) Durable(time.Duration, bool, eventlog.Entry) {}
 
 // Hear ignores what happens.
 func (Plain) Hear(Event) {}
@@ -35,7 +35,7 @@
 func (Plain) Live() int { return 0 }
 
 // Keep keeps nothing.
-func (Plain) Keep(time.Duration, ledger.Entry) {}
+func (Plain) Keep(time.Duration, eventlog.Entry) {}
 
 // Kept has nothing left to write.
 func (Plain) Kept() {}
--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 )
 
@@ -28,7 +28,7 @@
 
 // Page takes a page, and says whether it was the one that was asked for. After the
 // last one Read is set.
-func (r *Reader) Page(now time.Duration, list []ledger.Value, more, ok bool) bool {
+func (r *Reader) Page(now time.Duration, list []eventlog.Value, more, ok bool) bool {
 	if r.Read || !r.asked {
 		return false
 	}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -11,9 +11,9 @@
 
 	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/names"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/sizing"
@@ -63,7 +63,7 @@
 type State struct {
 	Start
 	Token    uint64 // of machines that have not changed their block
-	Log      *ledger.Log
+	Log      *eventlog.Log
 	Jobs     *jobs.Table
 	Yard     *workers.Yard
 	Book     *sizing.Book
@@ -73,7 +73,7 @@
 	Teams    names.Table
 	Zones    names.Table
 	Images   names.Table
-	Types    []ledger.Type // by index of TypeNames
+	Types    []eventlog.Type // by index of TypeNames
 	Where    map[workers.Ref]*workers.Placement
 	Units    blocks.Units         // nil: there are no pools
 	Gate     Gate                 // nil: nothing is held back
@@ -516,7 +516,7 @@
 
 // AddMachine enters a machine; nil if it is there already, is gone for good, or
 // is of a type that is not known.
-func (s *State) AddMachine(now time.Duration, m ledger.Machine) *workers.Machine {
+func (s *State) AddMachine(now time.Duration, m eventlog.Machine) *workers.Machine {
 	if s.Yard.Gone(m.Name) || s.Yard.Find(m.Name) != nil {
 		return nil
 	}
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
@@ -67,7 +67,7 @@
 		cfg := &settings.Settings{Tunables: settings.Defaults()}
 		cfg.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 20}}
 		s := New(Start{Cfg: cfg, Counts: &Counts{}})
-		j := s.Jobs.Add(ledger.Job{ID: 1, Team: "team", Kind: c.kind, Tasks: 6, CPUs: 1})
+		j := s.Jobs.Add(eventlog.Job{ID: 1, Team: "team", Kind: c.kind, Tasks: 6, CPUs: 1})
 		j.Phase, j.Need = jobs.Open, resources.Need(1, 0, 0)
 		m := s.Yard.Add(&workers.Machine{Name: "m", Up: true, Cap: resources.Room(9, 0, 9), Free: resources.Room(9, 0, 9)})
 		for k := range 6 {
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
@@ -78,7 +78,7 @@
 	}
 }
 
-func (a *account) replay(s *cluster.State, e ledger.Entry) {
+func (a *account) replay(s *cluster.State, e eventlog.Entry) {
 	var r Record
 	if err := json.Unmarshal(e.Own.Data, &r); err != nil {
 		s.Note(effects.Warn, "the account of a cold start cannot be read: it is left out", "error", err)
@@ -246,11 +246,11 @@
 		return
 	}
 	a.remember(a.own, keep)
-	e := ledger.NewOwn(Name, a.own)
+	e := eventlog.NewOwn(Name, a.own)
 	if !d.Log.Fits(e) { // its differences are the longest part, and the least needed
 		short := a.own
 		short.Differences = nil
-		e = ledger.NewOwn(Name, short)
+		e = eventlog.NewOwn(Name, short)
 	}
 	if !d.Log.Fits(e) {
 		d.Note(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Own.Data))
@@ -281,7 +281,7 @@
 func (d *Duty) Live() int { return len(d.account.past) * recordReserve }
 
 // Keep writes an account anew that is remembered still.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	var r Record
 	if e.Own == nil || json.Unmarshal(e.Own.Data, &r) != nil {
 		return
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -119,15 +119,15 @@
 	start := cluster.Start{Cfg: cfg, Zero: 1e6, Epoch: 7, Noticed: 99 * time.Second, Began: 100 * time.Second, Counts: &cluster.Counts{}, Measures: &cluster.Measures{}}
 	change(&start, &cfg.Tunables)
 	s := cluster.New(start)
-	s.Log = ledger.NewLog(ledger.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
+	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	s.Zones.Index("a")
-	j := s.Jobs.Add(ledger.Job{ID: 1, Tasks: 20, EstimateS: 60})
+	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20, EstimateS: 60})
 	j.Phase, j.Earlier, j.Unsettled, j.FreshFrom = jobs.Open, true, 10, 10
 	for n := range 10 {
 		s.Yard.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
 	d := New(s)
-	d.Replay(0, ledger.Entry{Job: &ledger.Job{ID: 1, AtMS: 1e6 + 60_000}})
+	d.Replay(0, eventlog.Entry{Job: &eventlog.Job{ID: 1, AtMS: 1e6 + 60_000}})
 	d.Begin(100 * time.Second)
 	return d
 }
@@ -259,9 +259,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next.Replay(0, ledger.Entry{Own: &ledger.Own{Duty: Name, Data: data}})
+		next.Replay(0, eventlog.Entry{Own: &eventlog.Own{Duty: Name, Data: data}})
 	}
-	next.Replay(0, ledger.Entry{Own: &ledger.Own{Duty: Name, Data: json.RawMessage(`"?"`)}})
+	next.Replay(0, eventlog.Entry{Own: &eventlog.Own{Duty: Name, Data: json.RawMessage(`"?"`)}})
 	if len(next.account.past) != 3 || next.account.past[2].Epoch != 7 {
 		t.Errorf("%d are remembered", len(next.account.past))
 	}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -11,9 +11,9 @@
 import (
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/pacing"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
@@ -70,7 +70,7 @@
 }
 
 // Replay looks for the last sign of the leaders before, and takes accounts.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
 		d.newest = max(d.newest, e.Job.AtMS)
--- a/internal/leader/fleet/cloud.go
+++ b/internal/leader/fleet/cloud.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/pacing"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -97,7 +97,7 @@
 	delete(d.rentDue, name)
 	d.buyer.Answered(now, name, len(machines))
 	for _, n := range machines {
-		if m := d.AddMachine(now, ledger.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}); m != nil {
+		if m := d.AddMachine(now, eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}); m != nil {
 			m.Resolved = true
 			d.Tell(cluster.Event{Kind: cluster.MachineRented, At: now, Machine: m})
 		}
@@ -110,7 +110,7 @@
 }
 
 // GotTypes takes the machine types; an empty list is a failure.
-func (d *Duty) GotTypes(now time.Duration, list []ledger.Type) {
+func (d *Duty) GotTypes(now time.Duration, list []eventlog.Type) {
 	d.typesAsked = false
 	d.answered(now, len(list) > 0)
 	if len(list) == 0 {
@@ -186,7 +186,7 @@
 	}
 }
 
-func (d *Duty) setTypes(list []ledger.Type) {
+func (d *Duty) setTypes(list []eventlog.Type) {
 	for _, ty := range list {
 		i := d.TypeNames.Index(ty.Name)
 		switch {
@@ -202,7 +202,7 @@
 
 // appendTypes appends machine types; further entries have the zones that do
 // not fit into the first of a type.
-func (d *Duty) appendTypes(list []ledger.Type) {
+func (d *Duty) appendTypes(list []eventlog.Type) {
 	for _, ty := range list {
 		all := ty.Zones
 		ty.Zones = nil
@@ -210,10 +210,10 @@
 		if err != nil {
 			continue // all amounts were checked when they came
 		}
-		for i, zones := range ledger.Split(all, d.Log.Room()-len(raw)-ledger.EntryBytes) {
+		for i, zones := range eventlog.Split(all, d.Log.Room()-len(raw)-eventlog.EntryBytes) {
 			part := ty
 			part.Zones, part.More = zones, i > 0
-			d.Log.Append(ledger.Entry{Types: []ledger.Type{part}})
+			d.Log.Append(eventlog.Entry{Types: []eventlog.Type{part}})
 		}
 	}
 }
@@ -221,11 +221,11 @@
 // appendAnswered appends the answer to a rental request. Where its machines
 // need several entries, the request is noted anew before each further one: a
 // leader that finds only the first ones sends it again and learns the rest.
-func (d *Duty) appendAnswered(r ledger.Rental, machines []string) {
-	for i, names := range ledger.Split(machines, d.Log.Room()-len(r.Name)-ledger.EntryBytes) {
+func (d *Duty) appendAnswered(r eventlog.Rental, machines []string) {
+	for i, names := range eventlog.Split(machines, d.Log.Room()-len(r.Name)-eventlog.EntryBytes) {
 		if i > 0 {
-			d.Log.Append(ledger.Entry{Rental: &r})
+			d.Log.Append(eventlog.Entry{Rental: &r})
 		}
-		d.Log.Append(ledger.Entry{Answered: &ledger.Answered{Name: r.Name, Machines: names}})
+		d.Log.Append(eventlog.Entry{Answered: &eventlog.Answered{Name: r.Name, Machines: names}})
 	}
 }
--- a/internal/leader/fleet/fleet.go
+++ b/internal/leader/fleet/fleet.go
@@ -12,7 +12,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 )
 
 const (
@@ -35,14 +35,14 @@
 	prefix  string
 	n       int
 	refused map[key]*refusal
-	asked   map[string]ledger.Rental // requests without an answer yet
-	avoided map[string]time.Duration // zones that seem cut off, until when
+	asked   map[string]eventlog.Rental // requests without an answer yet
+	avoided map[string]time.Duration   // zones that seem cut off, until when
 }
 
 // NewBuyer makes a buyer whose request names begin with a prefix used by no
 // other term.
 func NewBuyer(prefix string) *Buyer {
-	return &Buyer{prefix: prefix, refused: map[key]*refusal{}, asked: map[string]ledger.Rental{}, avoided: map[string]time.Duration{}}
+	return &Buyer{prefix: prefix, refused: map[key]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
 // Avoid leaves out a zone whose machines have fallen silent together: what is
@@ -58,12 +58,12 @@
 	Spot  bool               // spot machines, else ordinary ones
 	Zones map[string]float64 // processors there are in each zone
 	Stay  float64            // seconds that a machine is usually kept; its boot is paid too
-	Fits  func(t ledger.Type, zone string, spot bool) bool
+	Fits  func(t eventlog.Type, zone string, spot bool) bool
 }
 
 // Rent chooses requests that cover what is wanted.
-func (b *Buyer) Rent(now time.Duration, types []ledger.Type, w Want) []ledger.Rental {
-	var out []ledger.Rental
+func (b *Buyer) Rent(now time.Duration, types []eventlog.Type, w Want) []eventlog.Rental {
+	var out []eventlog.Rental
 	missing := w.CPUs
 	for missing > 0.5 && len(b.asked) < 4 {
 		type offer struct {
@@ -103,7 +103,7 @@
 			return cmp.Compare(w.Zones[a.zone], w.Zones[c.zone])
 		})
 		b.n++
-		r := ledger.Rental{Name: fmt.Sprintf("%s-%d", b.prefix, b.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
+		r := eventlog.Rental{Name: fmt.Sprintf("%s-%d", b.prefix, b.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
 		b.asked[r.Name] = r
 		out = append(out, r)
 		missing -= float64(best.count) * best.cpus
@@ -121,7 +121,7 @@
 }
 
 // Restore takes over a request of an earlier term that has no answer yet.
-func (b *Buyer) Restore(r ledger.Rental) { b.asked[r.Name] = r }
+func (b *Buyer) Restore(r eventlog.Rental) { b.asked[r.Name] = r }
 
 // Asked lists the processors of requests without an answer.
 func (b *Buyer) Asked(cpus func(typ string) float64) float64 {
@@ -133,7 +133,7 @@
 }
 
 // Answered notes how many machines a request brought.
-func (b *Buyer) Answered(now time.Duration, name string, got int) (ledger.Rental, bool) {
+func (b *Buyer) Answered(now time.Duration, name string, got int) (eventlog.Rental, bool) {
 	r, ok := b.asked[name]
 	if !ok {
 		return r, false
--- a/internal/leader/fleet/renting.go
+++ b/internal/leader/fleet/renting.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/pacing"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
@@ -32,7 +32,7 @@
 	buyer      *Buyer
 	typesAt    time.Duration
 	typesAsked bool
-	rentals    map[string]ledger.Rental // sent or to be sent
+	rentals    map[string]eventlog.Rental // sent or to be sent
 	rentDue    map[string]time.Duration
 	deleteBusy bool
 	listBusy   bool
@@ -43,7 +43,7 @@
 
 	// While the log is replayed: rented machines that are not registered, those
 	// that are, and requests without an answer.
-	booting    map[string]ledger.Machine
+	booting    map[string]eventlog.Machine
 	registered map[string]bool
 
 	typesKept bool // by the cleaning under way
@@ -67,12 +67,12 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
-	return &Duty{State: s, buyer: NewBuyer(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]ledger.Rental{}, rentDue: map[string]time.Duration{},
-		calls: newCalls(s), listAt: s.Began, booting: map[string]ledger.Machine{}, registered: map[string]bool{}}
+	return &Duty{State: s, buyer: NewBuyer(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
+		calls: newCalls(s), listAt: s.Began, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Types != nil:
 		d.setTypes(e.Types)
@@ -91,7 +91,7 @@
 		delete(d.rentals, e.Answered.Name)
 		for _, n := range e.Answered.Machines {
 			if !d.registered[n] && !d.Yard.Gone(n) {
-				d.booting[n] = ledger.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+				d.booting[n] = eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 			}
 		}
 	}
@@ -115,7 +115,7 @@
 }
 
 // Durable has a request sent whose name is noted.
-func (d *Duty) Durable(now time.Duration, _ bool, e ledger.Entry) {
+func (d *Duty) Durable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
 		d.rentals[e.Rental.Name] = *e.Rental
 		d.rentDue[e.Rental.Name] = now
@@ -141,7 +141,7 @@
 func (d *Duty) Send(now time.Duration, sure bool) { d.callCloud(now, sure) }
 
 // Keep writes anew what is live of an entry.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Types != nil:
 		if !d.typesKept {
@@ -150,7 +150,7 @@
 		}
 	case e.Rental != nil:
 		if r, open := d.rentals[e.Rental.Name]; open {
-			d.Log.Append(ledger.Entry{Rental: &r})
+			d.Log.Append(eventlog.Entry{Rental: &r})
 		}
 	}
 }
@@ -180,8 +180,8 @@
 	if len(d.Types) == 0 {
 		return
 	}
-	accel := slices.ContainsFunc(d.Types, func(ty ledger.Type) bool { return ty.GPUs > 0 })
-	if plain := slices.ContainsFunc(d.Types, func(ty ledger.Type) bool { return ty.GPUs == 0 }); !accel || !plain {
+	accel := slices.ContainsFunc(d.Types, func(ty eventlog.Type) bool { return ty.GPUs > 0 })
+	if plain := slices.ContainsFunc(d.Types, func(ty eventlog.Type) bool { return ty.GPUs == 0 }); !accel || !plain {
 		d.kinds[0].all = true
 		d.rentKind(now, &d.kinds[0])
 		return
@@ -238,7 +238,7 @@
 		}
 	}
 	bound := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool { return j.Spot })
-	var requests []ledger.Rental
+	var requests []eventlog.Rental
 	if len(bound) < len(open) && cheap > have {
 		requests = d.buyer.Rent(now, d.Types, d.wanted(k, cheap-have, true, open))
 	}
@@ -395,9 +395,9 @@
 }
 
 // request notes rentals durably; they are sent once that is done.
-func (d *Duty) request(text string, requests []ledger.Rental) {
+func (d *Duty) request(text string, requests []eventlog.Rental) {
 	for _, r := range requests {
-		d.Log.AppendFact(ledger.Entry{Rental: &r})
+		d.Log.AppendFact(eventlog.Entry{Rental: &r})
 		d.Note(effects.Info, text, "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count)
 	}
 }
@@ -641,7 +641,7 @@
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
 	}
 	w.CPUs, w.Spot, w.Stay = cpus, spot, d.Cfg.Tunables.UsualStayS
-	w.Fits = func(ty ledger.Type, zone string, spot bool) bool {
+	w.Fits = func(ty eventlog.Type, zone string, spot bool) bool {
 		i, ok := d.TypeNames.Find(ty.Name)
 		if !ok || !k.has(ty.GPUs) {
 			return false
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/wire"
@@ -22,18 +22,18 @@
 
 // stored is the form in which a job is written, and the entries that go before
 // it where it follows more jobs than fit.
-func (d *Duty) stored(rec ledger.Job) (ledger.Job, []ledger.Entry) {
+func (d *Duty) stored(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
 	rec.Rest = 0
 	rec.Guard()
 	if rec.ReleasedMS != 0 {
 		rec.Follows = nil
 	}
-	if len(rec.Follows) == 0 || d.Log.Fits(ledger.Entry{Job: &rec}) {
+	if len(rec.Follows) == 0 || d.Log.Fits(eventlog.Entry{Job: &rec}) {
 		return rec, nil
 	}
-	var parts []ledger.Entry
+	var parts []eventlog.Entry
 	for ids := range slices.Chunk(rec.Follows, max(1, d.Log.Room()/idBytes-4)) {
-		parts = append(parts, ledger.Entry{After: &ledger.After{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
+		parts = append(parts, eventlog.Entry{After: &eventlog.After{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
 	}
 	rec.Rest, rec.Follows = len(rec.Follows), nil
 	return rec, parts
@@ -41,7 +41,7 @@
 
 // unfollowable says why a job cannot follow what it names; known is false
 // while that cannot be decided.
-func (d *Duty) unfollowable(rec *ledger.Job) (why string, known bool) {
+func (d *Duty) unfollowable(rec *eventlog.Job) (why string, known bool) {
 	for _, id := range rec.Follows {
 		if _, over := d.Jobs.Final(id); over {
 			continue
@@ -154,7 +154,7 @@
 
 // restoreLinks settles after a replay what every job waits for. The log is
 // read as a whole before: cleaning changes the order of its entries.
-func (d *Duty) restoreLinks(now time.Duration, parts map[uint64][]ledger.After, doneAt map[uint64]int64) {
+func (d *Duty) restoreLinks(now time.Duration, parts map[uint64][]eventlog.After, doneAt map[uint64]int64) {
 	var cancelling []*jobs.Job
 	for _, j := range d.Jobs.All() {
 		if j == nil {
@@ -208,7 +208,7 @@
 
 // joined gathers what a job follows from the entries beside its own: each id
 // once, of the same acceptance only.
-func joined(rec ledger.Job, parts []ledger.After) []uint64 {
+func joined(rec eventlog.Job, parts []eventlog.After) []uint64 {
 	var out []uint64
 	for _, p := range parts {
 		if p.AtMS == rec.AtMS {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -9,8 +9,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
@@ -33,26 +33,26 @@
 	*cluster.State
 
 	// tasks completed but not yet handed to the log, by job id
-	completed  map[uint64]*ledger.Tasks
+	completed  map[uint64]*eventlog.Tasks
 	accepting  map[uint64][]effects.Asker
 	ending     map[uint64][]effects.Asker // askers of a cancellation
 	cancelling map[uint64]*jobs.Job       // jobs whose cancellation waits until nothing of them is anywhere
 
 	gone   *cluster.Histogram
-	parts  map[uint64][]ledger.After // while the log is replayed
+	parts  map[uint64][]eventlog.After // while the log is replayed
 	doneAt map[uint64]int64
-	over   ledger.Over // final states to be written anew by the cleaning under way
+	over   eventlog.Over // final states to be written anew by the cleaning under way
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
 	return &Duty{State: s, gone: s.Measures.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
-		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*ledger.Tasks{}, accepting: map[uint64][]effects.Asker{}, ending: map[uint64][]effects.Asker{},
-		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]ledger.After{}, doneAt: map[uint64]int64{}}
+		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.Tasks{}, accepting: map[uint64][]effects.Asker{}, ending: map[uint64][]effects.Asker{},
+		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.After{}, doneAt: map[uint64]int64{}}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(now time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Over != nil:
 		for _, id := range e.Over.Done {
@@ -120,7 +120,7 @@
 }
 
 // Durable acts on an entry that has become durable.
-func (d *Duty) Durable(now time.Duration, sure bool, e ledger.Entry) {
+func (d *Duty) Durable(now time.Duration, sure bool, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
 		d.accepted(now, sure, e.Job.ID)
@@ -166,7 +166,7 @@
 }
 
 // noted acts on completions that are durable.
-func (d *Duty) noted(now time.Duration, sure bool, done *ledger.Tasks) {
+func (d *Duty) noted(now time.Duration, sure bool, done *eventlog.Tasks) {
 	j := d.Jobs.Find(done.ID)
 	if j == nil {
 		return
@@ -202,7 +202,7 @@
 	id := e.Job.Rec.ID
 	b := d.completed[id]
 	if b == nil {
-		b = &ledger.Tasks{ID: id}
+		b = &eventlog.Tasks{ID: id}
 		d.completed[id] = b
 	}
 	b.Add(e.Task)
@@ -238,7 +238,7 @@
 	j.Ending = true
 	d.gone.Observe(j.Rec.Class, (now - j.AskedAt).Seconds())
 	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Rec.ID, "class", j.Rec.Class, "after", (now - j.AskedAt).Round(time.Millisecond))
-	d.Log.AppendFact(ledger.Entry{Cancel: &j.Rec.ID})
+	d.Log.AppendFact(eventlog.Entry{Cancel: &j.Rec.ID})
 }
 
 // writeTasks hands completed tasks to the log.
@@ -253,7 +253,7 @@
 func (d *Duty) Live() int { return d.Jobs.Len()*jobBytes + d.Jobs.Finals()*overBytes }
 
 // Keep writes anew what is live of an entry.
-func (d *Duty) Keep(now time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.After != nil:
 		// One for one, beside the job's own entry: the two may be in different
@@ -293,8 +293,8 @@
 func (d *Duty) writeOver(least int) {
 	if len(d.over.Done)+len(d.over.Cancelled) >= least {
 		o := d.over
-		d.Log.Append(ledger.Entry{Over: &o})
-		d.over = ledger.Over{}
+		d.Log.Append(eventlog.Entry{Over: &o})
+		d.over = eventlog.Over{}
 	}
 }
 
@@ -337,7 +337,7 @@
 	}
 }
 
-func (d *Duty) enter(rec ledger.Job, now time.Duration) *jobs.Job {
+func (d *Duty) enter(rec eventlog.Job, now time.Duration) *jobs.Job {
 	rec.Unguard()
 	j := d.Jobs.Add(rec)
 	j.Team = d.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
@@ -450,7 +450,7 @@
 
 // entryOf is what is durable of a job's acceptance. What it follows may take
 // entries of its own, which are appended and kept beside it from then on.
-func (d *Duty) entryOf(j *jobs.Job) ledger.Entry {
+func (d *Duty) entryOf(j *jobs.Job) eventlog.Entry {
 	rec, parts := d.stored(j.Rec)
 	if j.Rec.Rest == 0 {
 		for _, p := range parts {
@@ -458,22 +458,22 @@
 		}
 	}
 	j.Rec.Rest = rec.Rest
-	return ledger.Entry{Job: &rec}
+	return eventlog.Entry{Job: &rec}
 }
 
 // appendTasks appends completed tasks, in as many entries as they need, with
 // the time of day for a job that others wait for.
-func (d *Duty) appendTasks(now time.Duration, b ledger.Tasks) {
+func (d *Duty) appendTasks(now time.Duration, b eventlog.Tasks) {
 	if j := d.Jobs.Find(b.ID); j != nil && len(j.Followers) > 0 {
 		b.AtMS = d.Zero + now.Milliseconds()
 	}
 	most := max(1, d.Log.Room()/rangeBytes-4)
 	for len(b.Ranges) > most {
-		part := ledger.Tasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
-		d.Log.AppendFact(ledger.Entry{Tasks: &part})
+		part := eventlog.Tasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
+		d.Log.AppendFact(eventlog.Entry{Tasks: &part})
 		b.Ranges = b.Ranges[most:]
 	}
-	d.Log.AppendFact(ledger.Entry{Tasks: &b})
+	d.Log.AppendFact(eventlog.Entry{Tasks: &b})
 }
 
 // again appends what is known of an open job. Completed tasks that are on
@@ -481,7 +481,7 @@
 // that is written here, and be replayed without it.
 func (d *Duty) again(now time.Duration, j *jobs.Job) {
 	d.Log.Append(d.entryOf(j))
-	noted := ledger.Tasks{ID: j.Rec.ID, Seconds: j.SumS, Known: j.SumN}
+	noted := eventlog.Tasks{ID: j.Rec.ID, Seconds: j.SumS, Known: j.SumN}
 	for k, s := range j.Tasks {
 		if s == jobs.Noted || s == jobs.Finished {
 			noted.Add(k)
@@ -491,7 +491,7 @@
 		d.appendTasks(now, noted)
 	}
 	if size, final := d.Book.Size(j.Index); final && size > 0 {
-		d.Log.Append(ledger.Entry{Size: &ledger.Size{ID: j.Rec.ID, Size: size}})
+		d.Log.Append(eventlog.Entry{Size: &eventlog.Size{ID: j.Rec.ID, Size: size}})
 	}
 }
 
@@ -499,13 +499,13 @@
 // What was stored under larger limits may be too large now: then it stays
 // where it is until the job is over. A cancellation on its way to the log would
 // stand before the job that is written anew, and be replayed without it.
-func (d *Duty) CanKeep(entries []ledger.Entry) bool {
+func (d *Duty) CanKeep(entries []eventlog.Entry) bool {
 	for _, e := range entries {
 		if e.Job == nil {
 			continue
 		}
 		if j := d.Jobs.Find(e.Job.ID); j != nil {
-			if rec, _ := d.stored(j.Rec); j.Ending || !d.Log.Fits(ledger.Entry{Job: &rec}) {
+			if rec, _ := d.stored(j.Rec); j.Ending || !d.Log.Fits(eventlog.Entry{Job: &rec}) {
 				return false
 			}
 		}
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"bitternmoor/internal/core/blocks"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/wire"
@@ -54,7 +54,7 @@
 		return
 	}
 	s.Job.AtMS = d.Zero + now.Milliseconds()
-	if rec, _ := d.stored(*s.Job); !d.Log.Fits(ledger.Entry{Job: &rec}) {
+	if rec, _ := d.stored(*s.Job); !d.Log.Fits(eventlog.Entry{Job: &rec}) {
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 400, Why: "breeds and other names: too long to be stored"}})
 		return
 	}
@@ -69,13 +69,13 @@
 }
 
 // never says why a job can never run, or nothing.
-func (d *Duty) never(j *ledger.Job) string {
+func (d *Duty) never(j *eventlog.Job) string {
 	team, ok := d.Teams.Find(j.Team)
 	if !ok || !d.HasTeam(team) {
 		return "keeper: no such team"
 	}
 	need := resources.Need(j.CPUs, j.GPUs, j.MemoryGB)
-	fits := slices.ContainsFunc(d.Types, func(ty ledger.Type) bool {
+	fits := slices.ContainsFunc(d.Types, func(ty eventlog.Type) bool {
 		return need.Fits(resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)) &&
 			(j.Types == nil || slices.Contains(j.Types, ty.Name)) && (j.Zone == "" || slices.Contains(ty.Zones, j.Zone))
 	})
--- a/internal/leader/ordering/ordering.go
+++ b/internal/leader/ordering/ordering.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
@@ -31,7 +31,7 @@
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	if e.Size != nil {
 		d.finals[e.Size.ID] = e.Size.Size
 	}
@@ -49,7 +49,7 @@
 
 // Restore puts back the virtual sizes that an earlier term wrote down, oldest
 // first.
-func (d *Duty) Restore(now time.Duration, list []ledger.VirtualSize) {
+func (d *Duty) Restore(now time.Duration, list []eventlog.VirtualSize) {
 	for _, v := range list {
 		if j := d.Jobs.Find(v.ID); j != nil {
 			_, final := d.Book.Size(j.Index)
@@ -76,14 +76,14 @@
 }
 
 func (d *Duty) writeSizes() {
-	var list []ledger.VirtualSize
+	var list []eventlog.VirtualSize
 	for _, i := range d.Book.Order() {
 		if v := d.Book.Virtual(i); v > 0 {
 			s, _ := d.Book.Size(i)
-			list = append(list, ledger.VirtualSize{ID: d.Jobs.At(i).Rec.ID, Size: float64(int64(s*10)) / 10, Virtual: float64(int64(v*10)) / 10})
+			list = append(list, eventlog.VirtualSize{ID: d.Jobs.At(i).Rec.ID, Size: float64(int64(s*10)) / 10, Virtual: float64(int64(v*10)) / 10})
 		}
 	}
-	slices.SortFunc(list, func(a, b ledger.VirtualSize) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(list, func(a, b eventlog.VirtualSize) int { return cmp.Compare(a.ID, b.ID) })
 	d.Log.SetSizes(list)
 }
 
@@ -91,7 +91,7 @@
 func (d *Duty) Settle(now time.Duration) {
 	for _, i := range d.Book.Order() {
 		if s, ok := d.Book.Settle(i, now.Seconds()); ok {
-			d.Log.Append(ledger.Entry{Size: &ledger.Size{ID: d.Jobs.At(i).Rec.ID, Size: s}})
+			d.Log.Append(eventlog.Entry{Size: &eventlog.Size{ID: d.Jobs.At(i).Rec.ID, Size: s}})
 			d.Dirty = true
 		}
 	}
--- a/internal/leader/placing/marks.go
+++ b/internal/leader/placing/marks.go
@@ -5,8 +5,8 @@
 	"maps"
 	"slices"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 )
@@ -68,7 +68,7 @@
 	delete(m.waiting, id)
 }
 
-func (d *Duty) replayMarks(own *ledger.Own) {
+func (d *Duty) replayMarks(own *eventlog.Own) {
 	var e entry
 	if err := json.Unmarshal(own.Data, &e); err != nil {
 		// Without its mark a job would count as never handed out.
@@ -145,7 +145,7 @@
 		list = append(list, [2]uint64{id, uint64(m.raise[id])})
 	}
 	clear(m.raise)
-	for part := range slices.Chunk(list, max(1, (d.Log.Room()-ledger.EntryBytes)/markBytes)) {
+	for part := range slices.Chunk(list, max(1, (d.Log.Room()-eventlog.EntryBytes)/markBytes)) {
 		d.appendMarks(entry{Epoch: d.Epoch, Marks: part}, part)
 	}
 	if m.begin {
@@ -156,7 +156,7 @@
 
 func (d *Duty) appendMarks(e entry, marks [][2]uint64) {
 	d.marks.writing = append(d.marks.writing, marks)
-	d.Log.AppendFact(ledger.NewOwn(Name, e))
+	d.Log.AppendFact(eventlog.NewOwn(Name, e))
 }
 
 // marked lets the plans be offered that the marks which are durable now cover.
@@ -178,7 +178,7 @@
 }
 
 // keepMarks writes anew what is live of an entry.
-func (d *Duty) keepMarks(own *ledger.Own) {
+func (d *Duty) keepMarks(own *eventlog.Own) {
 	m := &d.marks
 	var e entry
 	if !m.on || json.Unmarshal(own.Data, &e) != nil {
--- a/internal/leader/placing/marks_test.go
+++ b/internal/leader/placing/marks_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
@@ -18,15 +18,15 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.NoteTasks = on
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
-	s.Log = ledger.NewLog(ledger.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
+	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	for id := range count {
-		s.Jobs.Add(ledger.Job{ID: uint64(id + 1), Tasks: 100}).Phase = jobs.Open
+		s.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 100}).Phase = jobs.Open
 	}
 	return New(s)
 }
 
 // settle has everything written that a duty wants to write, and returns it.
-func settle(t *testing.T, d *Duty) (out []ledger.Entry) {
+func settle(t *testing.T, d *Duty) (out []eventlog.Entry) {
 	t.Helper()
 	d.Write(0)
 	for mark := uint64(1); d.Log.Pending() > 0; mark++ {
@@ -37,7 +37,7 @@
 				t.Fatalf("a value of %d bytes", len(w.Value))
 			}
 		}
-		facts, _ := d.Log.Result(now, txn.Seq, ledger.Applied, mark, nil)
+		facts, _ := d.Log.Result(now, txn.Seq, eventlog.Applied, mark, nil)
 		for _, e := range facts {
 			d.Durable(now, true, e)
 		}
@@ -46,7 +46,7 @@
 	return out
 }
 
-func begin(epoch uint64, on int, log []ledger.Entry) *Duty {
+func begin(epoch uint64, on int, log []eventlog.Entry) *Duty {
 	d := placer(epoch, on, 2)
 	for _, e := range log {
 		d.Replay(0, e)
@@ -65,7 +65,7 @@
 // knows from the marks what was never handed out; a term that leaves no marks
 // behind ends that, and it begins anew after it.
 func TestMarks(t *testing.T) {
-	var log []ledger.Entry
+	var log []eventlog.Entry
 	d := begin(1, 1, nil)
 	if got := d.Jobs.Find(1).FreshFrom; got != 100 {
 		t.Errorf("what ran before the first marks is fresh from %d on", got)
@@ -73,7 +73,7 @@
 	log = append(log, settle(t, d)...)
 
 	d = begin(2, 1, log)
-	late := d.Jobs.Add(ledger.Job{ID: 3, Tasks: 100})
+	late := d.Jobs.Add(eventlog.Job{ID: 3, Tasks: 100})
 	late.Phase = jobs.Open
 	p, q := plan(d, 3, 0), plan(d, 3, 8)
 	if p.Noted || q.Noted {
@@ -88,7 +88,7 @@
 	}
 	// That one's mark is never written: the term ends here.
 
-	third := func(epoch uint64, on int, log []ledger.Entry) *Duty {
+	third := func(epoch uint64, on int, log []eventlog.Entry) *Duty {
 		d := placer(epoch, on, 3)
 		for _, e := range log {
 			d.Replay(0, e)
@@ -101,7 +101,7 @@
 		t.Errorf("read as fresh from %d and %d on, want 100 and 9", a, b)
 	}
 	for name, d := range map[string]*Duty{"a term between that left nothing": third(4, 1, log),
-		"an entry that cannot be read": third(3, 1, append(log[:len(log):len(log)], ledger.Entry{Own: &ledger.Own{Duty: Name, Data: json.RawMessage(`7`)}}))} {
+		"an entry that cannot be read": third(3, 1, append(log[:len(log):len(log)], eventlog.Entry{Own: &eventlog.Own{Duty: Name, Data: json.RawMessage(`7`)}}))} {
 		for id := range uint64(3) {
 			if got := d.Jobs.Find(id + 1).FreshFrom; got != 100 {
 				t.Errorf("%s: job %d is fresh from %d on", name, id+1, got)
@@ -115,7 +115,7 @@
 
 	// Cleaned, the marks and the span are those of the term that cleans.
 	settle(t, next)
-	var kept []ledger.Entry
+	var kept []eventlog.Entry
 	for _, e := range log {
 		next.Keep(0, e)
 	}
@@ -159,7 +159,7 @@
 		s.Plan.AddTeam()
 	}
 	for id := range 3 {
-		s.Jobs.Add(ledger.Job{ID: uint64(id + 1), Tasks: 1}).Team = int32(id)
+		s.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 1}).Team = int32(id)
 	}
 	s.Jobs.Finish(8, jobs.Done)
 	s.Jobs.Finish(9, jobs.Cancelled)
@@ -173,7 +173,7 @@
 	d := New(s)
 	for n, grants := range [][]uint64{{}, {1}, {1, 2, 8}, {9}} {
 		for _, id := range grants {
-			d.Replay(0, ledger.Entry{Grant: &ledger.Grant{Job: id, Machines: []int{n + 1}}})
+			d.Replay(0, eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: []int{n + 1}}})
 		}
 	}
 	d.Begin(0)
--- a/internal/leader/placing/placing.go
+++ b/internal/leader/placing/placing.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/cluster"
 )
@@ -48,7 +48,7 @@
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	if e.Own != nil {
 		d.replayMarks(e.Own)
 	}
@@ -110,7 +110,7 @@
 }
 
 // Durable lets the tasks of a grant that is noted start.
-func (d *Duty) Durable(_ time.Duration, _ bool, e ledger.Entry) {
+func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Own != nil {
 		d.marked()
 	}
@@ -177,7 +177,7 @@
 }
 
 // Keep writes anew what is live of an entry.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	if e.Own != nil {
 		d.keepMarks(e.Own)
 	}
@@ -187,14 +187,14 @@
 	if d.byNumber == nil {
 		d.byNumber = d.numbered()
 	}
-	g := ledger.Grant{Job: e.Grant.Job}
+	g := eventlog.Grant{Job: e.Grant.Job}
 	for _, number := range e.Grant.Machines {
 		if m := d.byNumber[number]; m != nil && (m.Grants[g.Job] || !m.Resolved) {
 			g.Machines = append(g.Machines, number)
 		}
 	}
 	if len(g.Machines) > 0 {
-		d.Log.Append(ledger.Entry{Grant: &g})
+		d.Log.Append(eventlog.Entry{Grant: &g})
 	}
 }
 
@@ -266,18 +266,18 @@
 	// First what is taken back: the same machine may have been granted anew.
 	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
 		for part := range slices.Chunk(d.withdrawn[id], most) {
-			d.Log.Append(ledger.Entry{Grant: &ledger.Grant{Job: id, Machines: part, Back: true}})
+			d.Log.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: part, Back: true}})
 		}
 	}
 	clear(d.withdrawn)
 	for _, id := range slices.Sorted(maps.Keys(d.granting)) {
 		for part := range slices.Chunk(d.granting[id], most) {
-			g := ledger.Grant{Job: id}
+			g := eventlog.Grant{Job: id}
 			for _, m := range part {
 				g.Machines = append(g.Machines, m.Number)
 			}
 			d.writing = append(d.writing, part)
-			d.Log.AppendFact(ledger.Entry{Grant: &g})
+			d.Log.AppendFact(eventlog.Entry{Grant: &g})
 		}
 	}
 	clear(d.granting)
--- a/internal/leader/placing/placing_test.go
+++ b/internal/leader/placing/placing_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
@@ -15,9 +15,9 @@
 // machines start.
 func TestGrantsInParts(t *testing.T) {
 	s := cluster.New(cluster.Start{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Epoch: 2, Counts: &cluster.Counts{}})
-	s.Log = ledger.NewLog(ledger.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 1}, "lead/epoch", 1, 0, 0)
+	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 1}, "lead/epoch", 1, 0, 0)
 	d := New(s)
-	s.Jobs.Add(ledger.Job{ID: 1, Tasks: 1})
+	s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1})
 	var all []*workers.Machine
 	for n := range 900 {
 		m := &workers.Machine{Number: 900000000 + n, Grants: map[uint64]bool{1: false}}
@@ -33,7 +33,7 @@
 		if len(txn.Writes[0].Value) > 2048 {
 			t.Fatalf("a value of %d bytes", len(txn.Writes[0].Value))
 		}
-		facts, _ := s.Log.Result(now, txn.Seq, ledger.Applied, mark, nil)
+		facts, _ := s.Log.Result(now, txn.Seq, eventlog.Applied, mark, nil)
 		for _, e := range facts {
 			d.Durable(now, true, e)
 			durable += len(e.Grant.Machines)
--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 )
 
 // Pass begins a pass of the planner. list has the jobs that could start a task if
@@ -234,7 +234,7 @@
 }
 
 // Never says why a job could never have the units that it asks for, or nothing.
-func (d *Duty) Never(rec *ledger.Job) string {
+func (d *Duty) Never(rec *eventlog.Job) string {
 	type sum struct{ task, job int64 }
 	sums := map[int32]*sum{}
 	team, _ := d.Teams.Find(rec.Team)
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 )
 
@@ -113,7 +113,7 @@
 		if p == nil || p.attempt != attempt {
 			p = &paper{attempt: attempt, numbers: d.choose(n)}
 			d.papers.set(key, p)
-			d.Log.AppendFact(ledger.NewOwn(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
+			d.Log.AppendFact(eventlog.NewOwn(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
 		out.Durable = out.Durable && p.durable
 		out.Units = append(out.Units, ReceiptUnits{d.pools[n.pool].name, p.numbers, n.perJob})
@@ -187,7 +187,7 @@
 	}
 }
 
-func (d *Duty) replayPaper(own *ledger.Own) {
+func (d *Duty) replayPaper(own *eventlog.Own) {
 	var e entry
 	if json.Unmarshal(own.Data, &e) != nil || e.Paper == nil {
 		return
@@ -196,7 +196,7 @@
 }
 
 // keepPaper writes anew the numbers of a holder that may be there.
-func (d *Duty) keepPaper(e ledger.Entry) {
+func (d *Duty) keepPaper(e eventlog.Entry) {
 	var x entry
 	if json.Unmarshal(e.Own.Data, &x) != nil || x.Paper == nil {
 		return
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -17,8 +17,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -135,7 +135,7 @@
 
 // Replay notes what jobs need that are over by the end of the log: their tasks may
 // be somewhere yet.
-func (d *Duty) Replay(now time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Own != nil:
 		d.replayPaper(e.Own)
@@ -162,7 +162,7 @@
 	}
 }
 
-func (d *Duty) needs(list []ledger.Counted) (out []need, unknown string) {
+func (d *Duty) needs(list []eventlog.Counted) (out []need, unknown string) {
 	for _, c := range list {
 		p := d.pool(c.Pool) // it may be in no settings any more, and units of it out
 		if !p.known {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
@@ -48,7 +48,7 @@
 	w.epoch++
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: w.epoch, Began: w.now, Counts: &cluster.Counts{}})
 	w.d = New(s)
-	s.Log = ledger.NewLog(ledger.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
+	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
 	s.Zones.Index("z")
 	w.m = s.Yard.Add(&workers.Machine{Name: "m", Durable: true, Resolved: true, Up: true})
 	w.d.Begin(w.now)
@@ -62,15 +62,15 @@
 	w.d.GotValues(w.now, nil, true, false) // once in vain
 	w.now += 2 * time.Second
 	w.d.Tick(w.now, true)
-	var list []ledger.Value
+	var list []eventlog.Value
 	for _, k := range slices.Sorted(func(yield func(string) bool) {
 		for k := range w.values {
-			if strings.HasPrefix(k, ledger.OwnPrefix) && !yield(k) {
+			if strings.HasPrefix(k, eventlog.OwnPrefix) && !yield(k) {
 				return
 			}
 		}
 	}) {
-		list = append(list, ledger.Value{Key: k, Data: w.values[k]})
+		list = append(list, eventlog.Value{Key: k, Data: w.values[k]})
 	}
 	w.d.GotValues(w.now, list, false, true)
 }
@@ -87,7 +87,7 @@
 		for _, op := range txn.Writes {
 			w.values[op.Key] = op.Value
 		}
-		facts, _ := w.d.Log.Result(w.now, txn.Seq, ledger.Applied, uint64(w.now), nil)
+		facts, _ := w.d.Log.Result(w.now, txn.Seq, eventlog.Applied, uint64(w.now), nil)
 		for _, e := range facts {
 			w.d.Durable(w.now, true, e)
 		}
@@ -95,18 +95,18 @@
 }
 
 // job enters a job of so many tasks.
-func (w *world) job(team string, tasks int, priority uint8, kind uint8, counted ...ledger.Counted) *jobs.Job {
+func (w *world) job(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.Counted) *jobs.Job {
 	w.ids++
-	j := w.d.Jobs.Add(ledger.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
+	j := w.d.Jobs.Add(eventlog.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
 	j.Team, j.Phase = w.d.Teams.Index(team), jobs.Open
 	w.d.Hear(cluster.Event{Kind: cluster.JobOrdered, At: w.now, Job: j})
 	return j
 }
 
-func per(pool string, units int) ledger.Counted { return ledger.Counted{Pool: pool, Units: units} }
+func per(pool string, units int) eventlog.Counted { return eventlog.Counted{Pool: pool, Units: units} }
 
-func whole(pool string, units int) ledger.Counted {
-	return ledger.Counted{Pool: pool, Units: units, PerJob: true}
+func whole(pool string, units int) eventlog.Counted {
+	return eventlog.Counted{Pool: pool, Units: units, PerJob: true}
 }
 
 // pass gives units to the jobs in this order and says how many tasks of each got
@@ -172,12 +172,12 @@
 	if why := w.d.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
-	for counted, want := range map[ledger.Counted]string{per("none", 1): "no such pool", per("p", 9): "more than the 8", whole("q", 4): "more than the 3"} {
-		if why := w.d.Never(&ledger.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []ledger.Counted{counted}}); !strings.Contains(why, want) {
+	for counted, want := range map[eventlog.Counted]string{per("none", 1): "no such pool", per("p", 9): "more than the 8", whole("q", 4): "more than the 3"} {
+		if why := w.d.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.Counted{counted}}); !strings.Contains(why, want) {
 			t.Errorf("%+v: %s", counted, why)
 		}
 	}
-	if why := w.d.Never(&ledger.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []ledger.Counted{per("q", 1)}}); !strings.Contains(why, "its team") {
+	if why := w.d.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.Counted{per("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
 	}
 }
@@ -244,18 +244,18 @@
 		w := newWorld(t, pools...)
 		var list []*jobs.Job
 		for range 3 + r.IntN(9) {
-			var counted []ledger.Counted
+			var counted []eventlog.Counted
 			for _, p := range pools {
 				if r.IntN(3) == 0 {
 					continue
 				}
-				counted = append(counted, ledger.Counted{Pool: p.Name, Units: 1 + r.IntN(p.Units), PerJob: r.IntN(3) == 0})
+				counted = append(counted, eventlog.Counted{Pool: p.Name, Units: 1 + r.IntN(p.Units), PerJob: r.IntN(3) == 0})
 			}
 			kind, tasks := jobs.Array, 1+r.IntN(4)
 			if r.IntN(4) == 0 {
 				kind = jobs.Gang
 			}
-			rec := &ledger.Job{Team: "a", Tasks: tasks, Kind: kind, Counted: counted}
+			rec := &eventlog.Job{Team: "a", Tasks: tasks, Kind: kind, Counted: counted}
 			if len(counted) == 0 || w.d.Never(rec) != "" {
 				continue
 			}
@@ -387,10 +387,10 @@
 // A cancelled job's task that a machine still shows keeps its units.
 func TestStrays(t *testing.T) {
 	w := newWorld(t, settings.Pool{Name: "p", Units: 4})
-	rec := ledger.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []ledger.Counted{per("p", 2)}}
+	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.Counted{per("p", 2)}}
 	rec.Guard()
 	w.lead(false)
-	w.d.Replay(w.now, ledger.Entry{Job: &rec})
+	w.d.Replay(w.now, eventlog.Entry{Job: &rec})
 	w.d.Jobs.Finish(77, jobs.Cancelled)
 	w.d.Begin(w.now)
 	w.read()
@@ -466,7 +466,7 @@
 		}
 	}
 	// A value of a later version: nobody can say what it means.
-	w.values[ledger.ValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
+	w.values[eventlog.ValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
 	w.lead(true)
 	expect(t, "closed", w.pass(w.job("a", 1, 1, jobs.Array, per("p", 1))), "[0]")
 	said := false
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
 )
@@ -69,7 +69,7 @@
 }
 
 // GotValues takes a page of values.
-func (d *Duty) GotValues(now time.Duration, list []ledger.Value, more, ok bool) {
+func (d *Duty) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
 	s := &d.shelf
 	if !s.Page(now, list, more, ok) {
 		return
@@ -86,8 +86,8 @@
 	}
 }
 
-func (d *Duty) restore(v ledger.Value) error {
-	n, err := ledger.ValueNumber(Name, v.Key)
+func (d *Duty) restore(v eventlog.Value) error {
+	n, err := eventlog.ValueNumber(Name, v.Key)
 	if err != nil {
 		return err
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("pools: a value that cannot be written: %v", err)) // names and numbers
 	}
-	if !d.Log.AppendWith(ledger.NewOwn(Name, entry{Stored: &w.n}), ledger.ValueKey(Name, w.n), raw) {
+	if !d.Log.AppendWith(eventlog.NewOwn(Name, entry{Stored: &w.n}), eventlog.ValueKey(Name, w.n), raw) {
 		d.Note(effects.Error, "what was changed of pools does not fit into a value", "value", w.n, "bytes", len(raw))
 		return
 	}
@@ -179,7 +179,7 @@
 }
 
 // Durable notes what is written: a larger size counts from then on.
-func (d *Duty) Durable(now time.Duration, _ bool, e ledger.Entry) {
+func (d *Duty) Durable(now time.Duration, _ bool, e eventlog.Entry) {
 	var x entry
 	if e.Own == nil || json.Unmarshal(e.Own.Data, &x) != nil {
 		return
@@ -210,7 +210,7 @@
 
 // Keep writes anew which units receipts were given for; entries that went along with
 // values are of no use any more.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	if e.Own != nil {
 		d.keepPaper(e)
 	}
@@ -282,8 +282,8 @@
 		return nil, fmt.Errorf("pools: what was changed before is still being read: try again in a second")
 	case c.ID == "" || len(c.ID) > 64:
 		return nil, fmt.Errorf("pools: id: has 1 to 64 bytes")
-	case c.Units != nil && *c.Units > ledger.UnitsMost:
-		return nil, fmt.Errorf("pools: units: more than %d", ledger.UnitsMost)
+	case c.Units != nil && *c.Units > eventlog.UnitsMost:
+		return nil, fmt.Errorf("pools: units: more than %d", eventlog.UnitsMost)
 	case c.Units == nil && c.Drain == nil:
 		return nil, fmt.Errorf("pools: neither units nor drain is to be changed")
 	}
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"bitternmoor/internal/core/config"
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
@@ -61,12 +61,12 @@
 	return d
 }
 
-func decode(e ledger.Entry) (x stored, ok bool) {
+func decode(e eventlog.Entry) (x stored, ok bool) {
 	return x, e.Own != nil && e.Own.Duty == Name && json.Unmarshal(e.Own.Data, &x) == nil
 }
 
 // Replay takes what is set. While the log is cleaned an entry may be there twice.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok {
 		return
@@ -117,7 +117,7 @@
 }
 
 // Durable has a revision in force.
-func (d *Duty) Durable(now time.Duration, _ bool, e ledger.Entry) {
+func (d *Duty) Durable(now time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok || x.Revision == nil {
 		return
@@ -217,7 +217,7 @@
 }
 
 // Keep writes revisions anew that are remembered, and gathers what others have set.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	switch {
 	case !ok:
@@ -245,10 +245,10 @@
 func (d *Duty) Kept() {
 	for len(d.kept) > 0 {
 		n := len(d.kept)
-		for n > 1 && !d.Log.Fits(ledger.NewOwn(Name, stored{Sets: d.kept[:n]})) {
+		for n > 1 && !d.Log.Fits(eventlog.NewOwn(Name, stored{Sets: d.kept[:n]})) {
 			n /= 2
 		}
-		d.Log.Append(ledger.NewOwn(Name, stored{Sets: d.kept[:n]}))
+		d.Log.Append(eventlog.NewOwn(Name, stored{Sets: d.kept[:n]}))
 		d.kept = d.kept[n:]
 	}
 	d.kept = nil
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"bitternmoor/internal/core/config"
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
@@ -18,12 +18,12 @@
 	*Duty
 	t       *testing.T
 	now     time.Duration
-	entries []ledger.Entry // durable
+	entries []eventlog.Entry // durable
 	mark    uint64
 	replica config.Replica
 }
 
-func newBench(t *testing.T, remember int, entries []ledger.Entry) *bench {
+func newBench(t *testing.T, remember int, entries []eventlog.Entry) *bench {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Tunables.ConfigHistory = remember
@@ -42,8 +42,8 @@
 }
 
 // newLog is a log whose last segment has a number.
-func newLog(last int) *ledger.Log {
-	return ledger.NewLog(ledger.Limits{WriteRPS: 100, ValueBytes: 8 << 10, TxnOps: 12}, "lead/epoch", 1, last, 0)
+func newLog(last int) *eventlog.Log {
+	return eventlog.NewLog(eventlog.Limits{WriteRPS: 100, ValueBytes: 8 << 10, TxnOps: 12}, "lead/epoch", 1, last, 0)
 }
 
 // commit has everything that waits become durable.
@@ -58,11 +58,11 @@
 		b.mark++
 		pending := b.Log.Pending()
 		for _, w := range txn.Writes {
-			if list, err := ledger.Decode(w.Value); err == nil && strings.HasPrefix(w.Key, ledger.Prefix) {
+			if list, err := eventlog.Decode(w.Value); err == nil && strings.HasPrefix(w.Key, eventlog.Prefix) {
 				b.entries = append(b.entries, list...) // some twice, which replay bears
 			}
 		}
-		facts, _ := b.Log.Result(b.now, txn.Seq, ledger.Applied, b.mark, nil)
+		facts, _ := b.Log.Result(b.now, txn.Seq, eventlog.Applied, b.mark, nil)
 		for _, e := range facts {
 			b.Durable(b.now, true, e)
 		}
--- a/internal/leader/roster/roster.go
+++ b/internal/leader/roster/roster.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
@@ -46,9 +46,9 @@
 	cuts      []cutZone // by zone
 	well      []bool    // by zone: whether it is heard well, where silent machines are asked
 
-	registry map[string]ledger.Machine // while the log is replayed
-	last     []returns                 // likewise
-	empty    []string                  // machines to be noted as empty and on their way out
+	registry map[string]eventlog.Machine // while the log is replayed
+	last     []returns                   // likewise
+	empty    []string                    // machines to be noted as empty and on their way out
 }
 
 // Name is that of the duty's own entries.
@@ -65,11 +65,11 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
-	return &Duty{State: s, lives: map[string]int64{}, seen: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]ledger.Machine{}}
+	return &Duty{State: s, lives: map[string]int64{}, seen: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Machine != nil:
 		d.registry[e.Machine.Name] = *e.Machine
@@ -125,15 +125,15 @@
 	if len(d.empty) == 0 {
 		return
 	}
-	for _, part := range ledger.Split(d.empty, d.Log.Room()-2*ledger.EntryBytes) {
-		d.Log.AppendFact(ledger.NewOwn(Name, returns{d.Epoch, part}))
+	for _, part := range eventlog.Split(d.empty, d.Log.Room()-2*eventlog.EntryBytes) {
+		d.Log.AppendFact(eventlog.NewOwn(Name, returns{d.Epoch, part}))
 	}
 	d.empty = nil
 }
 
 // Durable lets tasks start on a machine that is registered, and one be deleted
 // that is noted as empty.
-func (d *Duty) Durable(_ time.Duration, _ bool, e ledger.Entry) {
+func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Own != nil {
 		var r returns
 		if json.Unmarshal(e.Own.Data, &r) == nil { // this term wrote it
@@ -166,9 +166,9 @@
 func (d *Duty) Live() int { return len(d.Yard.All()) * machineBytes }
 
 // Keep writes anew what is live of an entry.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	if e.Machine != nil && d.Yard.Find(e.Machine.Name) != nil {
-		d.Log.Append(ledger.Entry{Machine: e.Machine})
+		d.Log.Append(eventlog.Entry{Machine: e.Machine})
 	}
 }
 
@@ -250,7 +250,7 @@
 func (d *Duty) Report(now time.Duration, sure bool, to effects.Asker, in effects.Relayed) {
 	r := &in.Report
 	answer := effects.ReportAnswer{Status: 200, Token: d.Token}
-	rec := ledger.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
+	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	m := d.Yard.Find(r.Machine)
 	diff := d.Squared.Found(d.square(m, r))
 	switch diff.Settlement() {
@@ -279,12 +279,12 @@
 	if !m.Durable && !m.Leaving {
 		m.Resolved = true // no task is ever started on a machine before it is registered
 		rec.Number = d.Numbers + 1
-		if !d.Log.Fits(ledger.Entry{Machine: &rec}) {
+		if !d.Log.Fits(eventlog.Entry{Machine: &rec}) {
 			d.Leave(now, m, cluster.Delete, "its names are too long to be stored")
 		} else if m.QueueRegistry() {
 			d.Numbers++
 			m.Number = d.Numbers
-			d.Log.AppendFact(ledger.Entry{Machine: &rec})
+			d.Log.AppendFact(eventlog.Entry{Machine: &rec})
 		}
 	}
 	if w := d.waits[m]; w != nil {
@@ -437,8 +437,8 @@
 		}
 		d.Tell(cluster.Event{Kind: cluster.MachineGone, At: now, Machine: m})
 	}
-	for _, part := range ledger.Split(list, d.Log.Room()-ledger.EntryBytes) {
-		d.Log.Append(ledger.Entry{Gone: part})
+	for _, part := range eventlog.Split(list, d.Log.Room()-eventlog.EntryBytes) {
+		d.Log.Append(eventlog.Entry{Gone: part})
 	}
 	d.Dirty = true
 }
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -10,8 +10,8 @@
 	"github.com/DataDog/sketches-go/ddsketch"
 
 	"bitternmoor/internal/core/calendar"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -150,7 +150,7 @@
 	return Night{int32(x[0]), int(x[1]), int(x[2]), x[3], x[4], x[5], x[6], x[7], x[8], x[9], x[10]}
 }
 
-func (d *Duty) decode(e ledger.Entry) (out entry, ok bool) {
+func (d *Duty) decode(e eventlog.Entry) (out entry, ok bool) {
 	if e.Own == nil {
 		return out, false
 	}
@@ -162,7 +162,7 @@
 }
 
 func (d *Duty) append(e entry) bool {
-	own := ledger.NewOwn(Name, e) // round leaves no number that cannot be written
+	own := eventlog.NewOwn(Name, e) // round leaves no number that cannot be written
 	if !d.Log.Fits(own) {
 		return false
 	}
@@ -173,7 +173,7 @@
 // Replay takes an entry of its own. A fact counts for a kind only if its night is
 // later than those that the kind's value holds, and once for each job: so nothing
 // is counted twice.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
@@ -438,7 +438,7 @@
 
 // Keep writes anew a fact that is in no value yet, and for some days that a kind was
 // forgotten.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -43,22 +43,22 @@
 	last := 0
 	d := New(s)
 	keys := slices.Sorted(maps.Keys(w.values))
-	logged := slices.IndexFunc(keys, func(k string) bool { return strings.HasPrefix(k, ledger.OwnPrefix) })
+	logged := slices.IndexFunc(keys, func(k string) bool { return strings.HasPrefix(k, eventlog.OwnPrefix) })
 	own := []string{}
 	if logged >= 0 {
 		keys, own = keys[:logged], keys[logged:]
 	}
 	for _, k := range keys {
-		list, err := ledger.Decode(w.values[k])
+		list, err := eventlog.Decode(w.values[k])
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range list {
 			d.Replay(w.now, e)
 		}
-		last, _ = ledger.Number(k)
+		last, _ = eventlog.Number(k)
 	}
-	s.Log = ledger.NewLog(ledger.Limits{WriteRPS: 1e6, ValueBytes: w.bytes, TxnOps: 9}, "lead/epoch", 1, last, 0)
+	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: w.bytes, TxnOps: 9}, "lead/epoch", 1, last, 0)
 	d.Begin(w.now)
 	w.history(d, own)
 	return d
@@ -77,10 +77,10 @@
 			}
 			w.effects = append(w.effects, e)
 		}
-		var page []ledger.Value
+		var page []eventlog.Value
 		for _, k := range keys {
 			if k > since && len(page) < 3 {
-				page = append(page, ledger.Value{Key: k, Data: w.values[k]})
+				page = append(page, eventlog.Value{Key: k, Data: w.values[k]})
 			}
 		}
 		more := len(page) > 0 && page[len(page)-1].Key != keys[len(keys)-1]
@@ -104,13 +104,13 @@
 				w.values[op.Key] = op.Value
 			}
 		}
-		d.Log.Result(w.now, txn.Seq, ledger.Applied, uint64(w.now), nil)
+		d.Log.Result(w.now, txn.Seq, eventlog.Applied, uint64(w.now), nil)
 	}
 }
 
 // job has a job of a class run and end, each of its tasks taking so long.
 func (w *world) job(d *Duty, id uint64, class string, took float64) {
-	j := d.Jobs.Add(ledger.Job{ID: id, Class: class, Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 10})
+	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 10})
 	j.Phase, j.AcceptedAt = jobs.Open, w.now
 	m := &workers.Machine{Name: fmt.Sprint("m", id%7)}
 	for k := range j.Tasks {
@@ -151,10 +151,10 @@
 // durable lists the jobs whose facts were ever written, with their work.
 func (w *world) durable(t *testing.T, into map[uint64]float64) {
 	for k, v := range w.values {
-		if strings.HasPrefix(k, ledger.OwnPrefix) {
+		if strings.HasPrefix(k, eventlog.OwnPrefix) {
 			continue
 		}
-		list, err := ledger.Decode(v)
+		list, err := eventlog.Decode(v)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -220,14 +220,14 @@
 // clean writes anew what is live of the oldest segments, and removes them once that
 // is durable, unless the leader is killed before.
 func (w *world) clean(t *testing.T, d *Duty, r *rand.Rand) {
-	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, ledger.OwnPrefix) })
+	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, eventlog.OwnPrefix) })
 	if len(keys) < 2 {
 		return
 	}
 	keys = keys[:1+r.IntN(len(keys)-1)]
 	w.write(d, 100)
 	for _, k := range keys {
-		list, err := ledger.Decode(w.values[k])
+		list, err := eventlog.Decode(w.values[k])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -255,7 +255,7 @@
 		w.job(d, id+1, "c", 10)
 	}
 	m, slow := &workers.Machine{Name: "m1"}, &workers.Machine{Name: "slow"}
-	j := d.Jobs.Add(ledger.Job{ID: 99, Class: "c", Team: "t", Image: "i", Tasks: 40, CPUs: 1, EstimateS: 10})
+	j := d.Jobs.Add(eventlog.Job{ID: 99, Class: "c", Team: "t", Image: "i", Tasks: 40, CPUs: 1, EstimateS: 10})
 	j.Phase = jobs.Open
 	done := func(k int, took float64, mine bool, m *workers.Machine) {
 		d.Hear(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, Took: took, Mine: mine, Machine: m})
@@ -300,7 +300,7 @@
 	for id := range uint64(12) {
 		w.job(d, id+1, "c", 18)
 	}
-	late := d.Jobs.Add(ledger.Job{ID: 50, Class: "c", Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 18})
+	late := d.Jobs.Add(eventlog.Job{ID: 50, Class: "c", Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 18})
 	d.Plan.AddTeam()
 	late.Phase, late.AcceptedAt, late.Share = jobs.Open, w.now, 1
 	d.Book.Add(late.Index, 0, 8, 1, false)
@@ -483,10 +483,10 @@
 		w.now += d.pace
 		d.Tick(w.now, true)
 		if txn := d.Log.Next(w.now); txn != nil {
-			large := slices.ContainsFunc(txn.Writes, func(o ledger.Op) bool { return len(o.Value) > 2000 })
+			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Op) bool { return len(o.Value) > 2000 })
 			if large {
 				refused++
-				d.Log.Result(w.now, txn.Seq, ledger.Invalid, 0, nil)
+				d.Log.Result(w.now, txn.Seq, eventlog.Invalid, 0, nil)
 				continue
 			}
 			for _, op := range txn.Writes {
@@ -511,8 +511,8 @@
 	}
 }
 
-func mustFacts(d *Duty, w *world, seq uint64) []ledger.Entry {
-	facts, _ := d.Log.Result(w.now, seq, ledger.Applied, uint64(w.now), nil)
+func mustFacts(d *Duty, w *world, seq uint64) []eventlog.Entry {
+	facts, _ := d.Log.Result(w.now, seq, eventlog.Applied, uint64(w.now), nil)
 	return facts
 }
 
@@ -573,7 +573,7 @@
 		want  float64
 	}{{0, "c", 30}, {1, "new", 30}, {1, "c", 8 * 18}} {
 		d.Cfg.Tunables.LearnedSizes = c.on
-		j := d.Jobs.Add(ledger.Job{ID: uint64(50 + i), Class: c.class, Team: "t", Image: c.class, Tasks: 8, CPUs: 1})
+		j := d.Jobs.Add(eventlog.Job{ID: uint64(50 + i), Class: c.class, Team: "t", Image: c.class, Tasks: 8, CPUs: 1})
 		j.Phase = jobs.Open
 		d.Book.Add(j.Index, 0, 8, 1, false)
 		d.Hear(cluster.Event{Kind: cluster.JobOrdered, Job: j})
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -8,14 +8,14 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
 
 // full gives the values of so many kinds of nine nights, in values of so many bytes,
 // and how large they are in all.
-func full(kinds, bytes int) (values []ledger.Value, total int) {
+func full(kinds, bytes int) (values []eventlog.Value, total int) {
 	s := newShelf(bytes)
 	var v storedValue
 	flush := func(n int) {
@@ -24,7 +24,7 @@
 			panic(err)
 		}
 		total += len(raw)
-		values = append(values, ledger.Value{Key: ledger.ValueKey(Name, n), Data: raw})
+		values = append(values, eventlog.Value{Key: eventlog.ValueKey(Name, n), Data: raw})
 		v.Kinds = nil
 	}
 	v.Version = valueVersion
@@ -114,7 +114,7 @@
 		d.Begin(0)
 		d.Tick(0, true)
 		d.GotValues(0, nil, false, true)
-		d.Log = ledger.NewLog(ledger.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
+		d.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
 		for n := range 9000 {
 			d.count(factOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
 		}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 )
 
@@ -140,12 +140,12 @@
 }
 
 // GotValues takes a page of the history.
-func (d *Duty) GotValues(now time.Duration, list []ledger.Value, more, ok bool) {
+func (d *Duty) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
 	if !d.history.Page(now, list, more, ok) {
 		return
 	}
 	for _, v := range list {
-		n, err := ledger.ValueNumber(Name, v.Key)
+		n, err := eventlog.ValueNumber(Name, v.Key)
 		if err != nil {
 			d.setAside(v.Key, err)
 			continue
@@ -234,7 +234,7 @@
 		}
 		raw, err = json.Marshal(v)
 	}
-	if err != nil || !d.Log.AppendWith(ledger.NewOwn(Name, entry{Stored: &n}), ledger.ValueKey(Name, n), raw) {
+	if err != nil || !d.Log.AppendWith(eventlog.NewOwn(Name, entry{Stored: &n}), eventlog.ValueKey(Name, n), raw) {
 		d.Note(effects.Warn, "learned run times that do not fit into a value are not kept", "value", n, "bytes", len(raw))
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 // Durable notes what is written.
-func (d *Duty) Durable(_ time.Duration, _ bool, e ledger.Entry) {
+func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	if !ok || x.Stored == nil || d.storing == nil || *x.Stored != d.storing.n {
 		return
--- a/internal/leader/served/served_test.go
+++ b/internal/leader/served/served_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
@@ -27,7 +27,7 @@
 }
 
 func (d *Duty) arrive(now time.Duration, id uint64, class, team string) *jobs.Job {
-	j := d.Jobs.Add(ledger.Job{ID: id, Class: class, Team: team, Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
+	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: team, Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
 	j.Phase, j.AcceptedAt, j.Share = jobs.Open, now, 1
 	d.Hear(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	return j
--- a/internal/leader/takeovers/takeovers.go
+++ b/internal/leader/takeovers/takeovers.go
@@ -12,8 +12,8 @@
 	"strings"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
 )
@@ -118,13 +118,13 @@
 
 // Replay takes an entry of its own. A record may be there twice, from a
 // cleaning that was under way.
-func (d *Duty) Replay(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok {
 		d.remember(r)
 	}
 }
 
-func (d *Duty) decode(e ledger.Entry) (stored, bool) {
+func (d *Duty) decode(e eventlog.Entry) (stored, bool) {
 	var r stored
 	if e.Own == nil {
 		return r, false
@@ -238,7 +238,7 @@
 		}
 	}
 	d.Note(effects.Info, "takeover", args...)
-	e := ledger.NewOwn(Name, d.own)
+	e := eventlog.NewOwn(Name, d.own)
 	if !d.Log.Fits(e) {
 		d.Note(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Own.Data))
 		return
@@ -262,7 +262,7 @@
 func (d *Duty) Live() int { return len(d.past) * recordBytes }
 
 // Keep writes a record anew that is still remembered.
-func (d *Duty) Keep(_ time.Duration, e ledger.Entry) {
+func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.past, func(o stored) bool { return o.Epoch == r.Epoch }) {
 		d.Log.Append(e)
 	}
--- a/internal/leader/takeovers/takeovers_test.go
+++ b/internal/leader/takeovers/takeovers_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -19,15 +19,15 @@
 func begun(measures *cluster.Measures) *Duty {
 	s := cluster.New(cluster.Start{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Zero: 1e6, Epoch: 7,
 		LastLed: 9 * time.Second, Noticed: 10 * time.Second, Began: 11 * time.Second, Counts: &cluster.Counts{}, Measures: measures})
-	s.Log = ledger.NewLog(ledger.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
-	j := s.Jobs.Add(ledger.Job{ID: 1, Tasks: 20})
+	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
+	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
 	j.Phase, j.Earlier, j.Unsettled = 2, true, 10
 	for n := range 10 {
 		s.Yard.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
 	d := New(s, 3)
 	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 is there twice, from a cleaning
-		d.Replay(0, ledger.Entry{Own: &ledger.Own{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))}})
+		d.Replay(0, eventlog.Entry{Own: &eventlog.Own{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))}})
 	}
 	d.Begin(12 * time.Second)
 	return d
@@ -131,13 +131,13 @@
 func TestCleaningKeepsTheLast(t *testing.T) {
 	d := begun(&cluster.Measures{})
 	for epoch := range 8 {
-		d.Keep(0, ledger.Entry{Own: &ledger.Own{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
+		d.Keep(0, eventlog.Entry{Own: &eventlog.Own{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
 	}
 	if n := d.Log.Pending(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
 	d.Take()
-	d.Keep(0, ledger.Entry{Own: &ledger.Own{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
+	d.Keep(0, eventlog.Entry{Own: &eventlog.Own{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
 	if out := d.Take(); len(out) != 1 || !strings.Contains(out[0].(effects.Note).Text, "cannot be read") || d.Log.Pending() != 3 {
 		t.Errorf("said: %+v", out)
 	}
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 )
 
@@ -45,7 +45,7 @@
 
 // Cleaned takes the segments numbered first to end-1, read back. A key that is
 // missing has been removed already.
-func (t *Term) Cleaned(now time.Duration, first, end int, read bool, entries []ledger.Entry) {
+func (t *Term) Cleaned(now time.Duration, first, end int, read bool, entries []eventlog.Entry) {
 	if !t.loaded {
 		return
 	}
@@ -63,14 +63,14 @@
 		d.Kept()
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
-	t.Log.Append(ledger.Entry{Over: &ledger.Over{}})
+	t.Log.Append(eventlog.Entry{Over: &eventlog.Over{}})
 	t.cleanTo, t.cleanPos = end, t.Log.Appended()
 }
 
 // canKeep says whether all that is live of these entries can be written anew.
 // What was stored under larger limits may be too large now: it stays where it
 // is.
-func (t *Term) canKeep(entries []ledger.Entry) bool {
+func (t *Term) canKeep(entries []eventlog.Entry) bool {
 	for _, e := range entries {
 		if (e.Own != nil || e.Unknown != nil) && !t.Log.Fits(e) {
 			return false
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -17,9 +17,9 @@
 )
 
 // smallTerm is a term whose values may have 2 KiB.
-func smallTerm(entries []ledger.Entry) *Term { return smallTermAt(0, entries) }
+func smallTerm(entries []eventlog.Entry) *Term { return smallTermAt(0, entries) }
 
-func smallTermAt(now time.Duration, entries []ledger.Entry) *Term {
+func smallTermAt(now time.Duration, entries []eventlog.Entry) *Term {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 1, 10, 30
@@ -34,9 +34,9 @@
 
 // written takes everything that a term has to write, checks every value and
 // transaction against the limits, and returns the entries.
-func written(t *testing.T, term *Term, now *time.Duration) []ledger.Entry {
+func written(t *testing.T, term *Term, now *time.Duration) []eventlog.Entry {
 	t.Helper()
-	segments := map[string][]ledger.Entry{}
+	segments := map[string][]eventlog.Entry{}
 	for mark := uint64(2); ; mark++ {
 		*now += time.Second
 		term.Take()
@@ -54,20 +54,20 @@
 			if len(w.Value) > 2048 {
 				t.Errorf("a value of %d bytes: %.80s…", len(w.Value), w.Value)
 			}
-			if _, err := ledger.Number(w.Key); err == nil && !w.Remove {
-				list, err := ledger.Decode(w.Value)
+			if _, err := eventlog.Number(w.Key); err == nil && !w.Remove {
+				list, err := eventlog.Decode(w.Value)
 				if err != nil {
 					t.Fatal(err)
 				}
 				segments[w.Key] = list
 			}
 		}
-		term.Committed(*now, true, txn.Seq, ledger.Applied, mark, nil)
+		term.Committed(*now, true, txn.Seq, eventlog.Applied, mark, nil)
 	}
 	if term.Log.Pending() > 0 {
 		t.Fatalf("%d entries are never written", term.Log.Pending())
 	}
-	var out []ledger.Entry
+	var out []eventlog.Entry
 	keys := make([]string, 0, len(segments))
 	for k := range segments {
 		keys = append(keys, k)
@@ -87,24 +87,24 @@
 	for n := range 80 {
 		zones = append(zones, long("zone", n))
 	}
-	ty := ledger.Type{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, BootS: 30, Zones: zones}
-	var done []ledger.Entry
+	ty := eventlog.Type{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, BootS: 30, Zones: zones}
+	var done []eventlog.Entry
 	var all []uint64
 	for n := range uint64(600) {
 		id := 123456789012345 + n
 		all = append(all, id)
-		done = append(done, ledger.Entry{Over: &ledger.Over{Done: []uint64{id}}})
+		done = append(done, eventlog.Entry{Over: &eventlog.Over{Done: []uint64{id}}})
 	}
-	open := ledger.Job{ID: 1, Class: "c", Team: "team", Tasks: 4000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 3}
+	open := eventlog.Job{ID: 1, Class: "c", Team: "team", Tasks: 4000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 3}
 	var now time.Duration
-	term := smallTerm(append(done, ledger.Entry{Job: &open}))
-	term.GotTypes(0, []ledger.Type{ty})
+	term := smallTerm(append(done, eventlog.Entry{Job: &open}))
+	term.GotTypes(0, []eventlog.Type{ty})
 
 	follower := open
 	follower.ID, follower.Tasks, follower.Follows = 2, 3, append([]uint64{1}, all...)
 	term.Users.Submit(time.Second, 1, wire.Submission{ID: 2, HasID: true, Job: &follower})
 
-	term.Log.AppendFact(ledger.Entry{Rental: &ledger.Rental{Name: "r-2-1", Type: "m", Zone: zones[0], Count: 50}})
+	term.Log.AppendFact(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: zones[0], Count: 50}})
 	var names []string
 	for n := range 50 {
 		names = append(names, long("host", n))
@@ -124,12 +124,12 @@
 	gone := written(t, term, &now)
 
 	// The whole is cleaned: what is live is written once more.
-	cleanAll(t, term, append([]ledger.Entry{{Job: &open}}, first...))
+	cleanAll(t, term, append([]eventlog.Entry{{Job: &open}}, first...))
 	again := written(t, term, &now)
 
-	for name, list := range map[string][]ledger.Entry{
-		"as written": append(append(append([]ledger.Entry{}, done...), ledger.Entry{Types: []ledger.Type{ty}}, ledger.Entry{Job: &open}), append(first, gone...)...),
-		"cleaned":    append(append([]ledger.Entry{}, done...), again...),
+	for name, list := range map[string][]eventlog.Entry{
+		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{Types: []eventlog.Type{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
+		"cleaned":    append(append([]eventlog.Entry{}, done...), again...),
 	} {
 		next := smallTerm(list)
 		f := next.Jobs.Find(2)
@@ -149,7 +149,7 @@
 }
 
 // cleanAll has a term clean entries that its first segment held.
-func cleanAll(t *testing.T, term *Term, entries []ledger.Entry) {
+func cleanAll(t *testing.T, term *Term, entries []eventlog.Entry) {
 	t.Helper()
 	term.first, term.cleaning = 1, true
 	term.Cleaned(time.Minute, 1, 2, true, entries)
@@ -173,16 +173,16 @@
 // A rental whose answer needs several entries: with only the first of them in
 // the log, the successor sends the request again and learns all machines.
 func TestAnswerCutShort(t *testing.T) {
-	term := smallTerm([]ledger.Entry{{Types: []ledger.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := smallTerm([]eventlog.Entry{{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
-	term.Log.AppendFact(ledger.Entry{Rental: &ledger.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
+	term.Log.AppendFact(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
 	list := written(t, term, &now)
 	var names []string
 	for n := range 50 {
 		names = append(names, fmt.Sprintf("host-%0100d", n))
 	}
 	term.Rented(time.Second, "r-2-1", names, wire.Rented)
-	list = append([]ledger.Entry{{Types: term.Types}}, append(list, written(t, term, &now)...)...)
+	list = append([]eventlog.Entry{{Types: term.Types}}, append(list, written(t, term, &now)...)...)
 	answers := 0
 	for n, e := range list {
 		if e.Answered == nil {
@@ -203,8 +203,8 @@
 
 // What cannot be stored at all is refused at once.
 func TestTooLongIsRefused(t *testing.T) {
-	term := smallTerm([]ledger.Entry{{Types: []ledger.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
-	job := ledger.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
+	term := smallTerm([]eventlog.Entry{{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	job := eventlog.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
 	for n := range 200 {
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
 	}
--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -4,23 +4,23 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/ledger"
 )
 
 // A job's times count from the moment when the last job that it follows was
 // done. That must outlive takeovers, and the cleaning of the log: the time of
 // day stands with the completion first, and with the job once that is gone.
 func TestReleaseTimeOutlivesTakeovers(t *testing.T) {
-	types := ledger.Entry{Types: []ledger.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}
-	first := ledger.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 1, AtMS: 1000}
+	types := eventlog.Entry{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}
+	first := eventlog.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 1, AtMS: 1000}
 	second := first
 	second.ID, second.AtMS, second.Follows = 2, 2000, []uint64{1}
 	third := first
 	third.ID, third.AtMS, third.Follows = 3, 70000, []uint64{1} // named it long after it was done
-	log := []ledger.Entry{types, {Job: &first}, {Job: &second},
-		{Tasks: &ledger.Tasks{ID: 1, Ranges: [][2]int{{0, 2}}, Seconds: 4, Known: 2, AtMS: 50000}}, {Job: &third}}
-	check := func(name string, entries []ledger.Entry) *Term {
+	log := []eventlog.Entry{types, {Job: &first}, {Job: &second},
+		{Tasks: &eventlog.Tasks{ID: 1, Ranges: [][2]int{{0, 2}}, Seconds: 4, Known: 2, AtMS: 50000}}, {Job: &third}}
+	check := func(name string, entries []eventlog.Entry) *Term {
 		t.Helper()
 		term := smallTermAt(90*time.Second, entries)
 		for id, want := range map[uint64]time.Duration{2: 50 * time.Second, 3: 70 * time.Second} {
@@ -45,11 +45,11 @@
 // What a held job follows has been lost, as an older version's cleaning would
 // lose it: whether the job may start is not known, and so it does not.
 func TestLostLinksAreNotStarted(t *testing.T) {
-	job := ledger.Job{ID: 2, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, AtMS: 1000}
+	job := eventlog.Job{ID: 2, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, AtMS: 1000}
 	unknown, short := job, job
 	unknown.Follows = []uint64{1}
 	short.ID, short.Rest = 3, 4
-	term := smallTerm([]ledger.Entry{{Job: &unknown}, {Job: &short}, {After: &ledger.After{ID: 3, AtMS: 999, Jobs: []uint64{7}}}})
+	term := smallTerm([]eventlog.Entry{{Job: &unknown}, {Job: &short}, {After: &eventlog.After{ID: 3, AtMS: 999, Jobs: []uint64{7}}}})
 	for _, id := range []uint64{2, 3} {
 		if j := term.Jobs.Find(id); j == nil || j.Phase != jobs.Held {
 			t.Errorf("job %d is read as %+v", id, j)
--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
@@ -20,13 +20,13 @@
 	pools, waiting int
 }{{"none", 0, 0}, {"idle", 1000, 0}, {"demands", 1000, 1000}}
 
-func poolTerm(pools, waiting int) (*Term, []ledger.Entry) {
+func poolTerm(pools, waiting int) (*Term, []eventlog.Entry) {
 	entries, _ := fullLog(1300, 100)
 	for i := range waiting {
-		rec := ledger.Job{ID: uint64(10000 + i), Class: "c", Team: "team", Priority: 1, Tasks: 10, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: .3, Spot: true, EstimateS: 60,
-			Counted: []ledger.Counted{{Pool: fmt.Sprint("pool", i%pools), Units: 1 + i%3}, {Pool: fmt.Sprint("pool", (i*7+1)%pools), Units: 1}}}
+		rec := eventlog.Job{ID: uint64(10000 + i), Class: "c", Team: "team", Priority: 1, Tasks: 10, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: .3, Spot: true, EstimateS: 60,
+			Counted: []eventlog.Counted{{Pool: fmt.Sprint("pool", i%pools), Units: 1 + i%3}, {Pool: fmt.Sprint("pool", (i*7+1)%pools), Units: 1}}}
 		rec.Guard()
-		entries = append(entries, ledger.Entry{Job: &rec})
+		entries = append(entries, eventlog.Entry{Job: &rec})
 	}
 	cfg := scaleSettings()
 	for i := range pools {
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -24,16 +24,16 @@
 
 // fullLog is the log of machines that run eight tasks each of so many jobs,
 // each of which has 200 more, and the machines' reports.
-func fullLog(machines, count int) ([]ledger.Entry, []effects.Relayed) {
-	entries := []ledger.Entry{{Types: []ledger.Type{{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}}}
+func fullLog(machines, count int) ([]eventlog.Entry, []effects.Relayed) {
+	entries := []eventlog.Entry{{Types: []eventlog.Type{{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}}}
 	for i := range count {
-		entries = append(entries, ledger.Entry{Job: &ledger.Job{ID: uint64(i + 1), Class: "class", Team: "team", Tasks: 200 + 8*machines/count, CPUs: 1, MemoryGB: 1,
+		entries = append(entries, eventlog.Entry{Job: &eventlog.Job{ID: uint64(i + 1), Class: "class", Team: "team", Tasks: 200 + 8*machines/count, CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprint(i % 10), ImageGB: 1, Spot: true, EstimateS: 60}})
 	}
 	var reports []effects.Relayed
 	for i := range machines {
-		m := ledger.Machine{Name: fmt.Sprintf("m%04d", i), Address: "x", Type: "t", Zone: "a", Number: i + 1}
-		entries = append(entries, ledger.Entry{Machine: &m})
+		m := eventlog.Machine{Name: fmt.Sprintf("m%04d", i), Address: "x", Type: "t", Zone: "a", Number: i + 1}
+		entries = append(entries, eventlog.Entry{Machine: &m})
 		r := workers.Report{Machine: m.Name, Address: "x", Type: "t", Zone: "a", Session: 1, Token: 2 << cluster.TokenBits}
 		for k := range 8 {
 			n := i*8 + k
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -29,9 +29,9 @@
 // next leader neither waits for it nor holds jobs back for what it may have. A
 // later one does: a term in between may have started tasks there.
 func TestReturnedMachineIsNoted(t *testing.T) {
-	job := ledger.Job{ID: 1, Team: "team", Tasks: 9, CPUs: 1, MemoryGB: 1}
-	log := []ledger.Entry{{Types: []ledger.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}},
-		{Machine: &ledger.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}, {Job: &job}, {Grant: &ledger.Grant{Job: 1, Machines: []int{1}}}}
+	job := eventlog.Job{ID: 1, Team: "team", Tasks: 9, CPUs: 1, MemoryGB: 1}
+	log := []eventlog.Entry{{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}},
+		{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}, {Job: &job}, {Grant: &eventlog.Grant{Job: 1, Machines: []int{1}}}}
 	term := smallTerm(log)
 	m := term.Yard.Find("host")
 	if n, _ := term.Unresolved(); n != 1 || term.Jobs.Find(1).Unsettled != 1 {
@@ -50,10 +50,10 @@
 		t.Errorf("once it is noted, %v is deleted", got)
 	}
 	for back, free := range []bool{true, false} {
-		again := append([]ledger.Entry{}, log...)
+		again := append([]eventlog.Entry{}, log...)
 		for _, e := range noted {
 			if e.Own != nil && e.Own.Duty == roster.Name {
-				e = ledger.Entry{Own: &ledger.Own{Duty: roster.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
+				e = eventlog.Entry{Own: &eventlog.Own{Duty: roster.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
 			}
 			again = append(again, e)
 		}
@@ -70,8 +70,8 @@
 // without a note: only the deletion proves what an earlier term left on it.
 func TestUnresolvedIsNotNotedAsEmpty(t *testing.T) {
 	for _, resolved := range []bool{true, false} {
-		log := []ledger.Entry{{Types: []ledger.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}},
-			{Machine: &ledger.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}}
+		log := []eventlog.Entry{{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}},
+			{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}}
 		term := smallTerm(log)
 		r := workers.Report{Machine: "host", Address: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}
 		if resolved {
@@ -93,7 +93,7 @@
 					for _, w := range e.Txn.Writes {
 						noted = noted || strings.Contains(string(w.Value), `"d":"roster"`)
 					}
-					term.Committed(now, true, e.Txn.Seq, ledger.Applied, uint64(now), nil)
+					term.Committed(now, true, e.Txn.Seq, eventlog.Applied, uint64(now), nil)
 				}
 			}
 			if deleted {
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -105,15 +105,15 @@
 	}
 }
 
-func scaleLog(machines int) []ledger.Entry {
+func scaleLog(machines int) []eventlog.Entry {
 	entries, _ := fullLog(machines, 100)
 	for j := range 100 {
 		for from := j % 5; from < machines; from += 500 {
-			g := ledger.Grant{Job: uint64(j + 1)}
+			g := eventlog.Grant{Job: uint64(j + 1)}
 			for m := from; m < min(from+500, machines); m += 5 {
 				g.Machines = append(g.Machines, m+1)
 			}
-			entries = append(entries, ledger.Entry{Grant: &g})
+			entries = append(entries, eventlog.Entry{Grant: &g})
 		}
 	}
 	return entries
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/asking"
@@ -39,10 +39,10 @@
 type Duty interface {
 	// Replay takes an entry of the log, in its order, before the term begins;
 	// Begin follows the last one.
-	Replay(now time.Duration, e ledger.Entry)
+	Replay(now time.Duration, e eventlog.Entry)
 	Begin(now time.Duration)
 	// Durable tells of an entry of this term that was appended as a fact.
-	Durable(now time.Duration, sure bool, e ledger.Entry)
+	Durable(now time.Duration, sure bool, e eventlog.Entry)
 	// Hear tells what happens, while it happens.
 	Hear(e cluster.Event)
 	// Tick does what is due by time, before a pass; Send what is due after it.
@@ -55,7 +55,7 @@
 	// is live of an entry whose segment is about to be removed; Kept follows the
 	// last entry of a cleaning.
 	Live() int
-	Keep(now time.Duration, e ledger.Entry)
+	Keep(now time.Duration, e eventlog.Entry)
 	Kept()
 }
 
@@ -64,8 +64,8 @@
 // with how many pieces of them there may be.
 type Durable struct {
 	First, Last int
-	Entries     []ledger.Entry
-	Sizes       []ledger.VirtualSize
+	Entries     []eventlog.Entry
+	Sizes       []eventlog.VirtualSize
 	Pieces      int
 }
 
@@ -150,7 +150,7 @@
 
 // each hands an entry to the duties that may know it: one that a duty owns to
 // that duty alone. It is false for an entry that none of them knows.
-func (t *Term) each(e ledger.Entry, f func(Duty)) bool {
+func (t *Term) each(e eventlog.Entry, f func(Duty)) bool {
 	if e.Own != nil {
 		if d := t.owners[e.Own.Duty]; d != nil {
 			f(d)
@@ -247,7 +247,7 @@
 // Load replays the whole log.
 func (t *Term) Load(now time.Duration, mark uint64, log Durable) {
 	w := t.Cfg.Writes()
-	t.Log = ledger.NewLog(ledger.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
+	t.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
 	t.first = max(log.First, 1)
 	for _, e := range log.Entries {
 		if !t.each(e, func(d Duty) { d.Replay(now, e) }) {
@@ -273,7 +273,7 @@
 
 // unknown says once in a term that the log has entries of a duty that this
 // program does not know, or that is switched off.
-func (t *Term) unknown(e ledger.Entry) {
+func (t *Term) unknown(e eventlog.Entry) {
 	if t.strange {
 		return
 	}
@@ -289,11 +289,11 @@
 type reader interface {
 	// GotValues takes a page of them, in the order of their keys; ok is false for
 	// one that could not be read.
-	GotValues(now time.Duration, list []ledger.Value, more, ok bool)
+	GotValues(now time.Duration, list []eventlog.Value, more, ok bool)
 }
 
 // GotValues takes a page of a duty's own values.
-func (t *Term) GotValues(now time.Duration, duty string, list []ledger.Value, more, ok bool) {
+func (t *Term) GotValues(now time.Duration, duty string, list []eventlog.Value, more, ok bool) {
 	if r, known := t.owners[duty].(reader); known {
 		r.GotValues(now, list, more, ok)
 	}
@@ -350,16 +350,16 @@
 }
 
 // Committed takes the outcome of a commit.
-func (t *Term) Committed(now time.Duration, sure bool, seq uint64, out ledger.Outcome, mark uint64, failed []string) ledger.Step {
+func (t *Term) Committed(now time.Duration, sure bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string) eventlog.Step {
 	facts, step := t.Log.Result(now, seq, out, mark, failed)
 	switch {
-	case out == ledger.Invalid && step == ledger.Lost:
+	case out == eventlog.Invalid && step == eventlog.Lost:
 		t.Note(effects.Error, "the state service refuses a transaction as malformed: the term ends", "epoch", t.Epoch, "pending", t.Log.Pending())
-	case out == ledger.Invalid:
+	case out == eventlog.Invalid:
 		t.Note(effects.Error, "the state service refuses a transaction as malformed: smaller values are tried", "epoch", t.Epoch, "pending", t.Log.Pending())
 	}
 	t.durable(now, sure, facts)
-	if step == ledger.Reread {
+	if step == eventlog.Reread {
 		t.Emit(effects.Recheck{Key: t.Log.Open()})
 	}
 	if sure {
@@ -377,7 +377,7 @@
 	t.durable(now, sure, t.Log.ReadBack(now, read, mark, value))
 }
 
-func (t *Term) durable(now time.Duration, sure bool, facts []ledger.Entry) {
+func (t *Term) durable(now time.Duration, sure bool, facts []eventlog.Entry) {
 	for _, e := range facts {
 		t.each(e, func(d Duty) { d.Durable(now, sure, e) })
 	}
@@ -452,7 +452,7 @@
 }
 
 // GotTypes takes the machine types; an empty list is a failure.
-func (t *Term) GotTypes(now time.Duration, list []ledger.Type) {
+func (t *Term) GotTypes(now time.Duration, list []eventlog.Type) {
 	if t.loaded {
 		t.fleet.GotTypes(now, list)
 	}
--- a/internal/leader/term/term_test.go
+++ b/internal/leader/term/term_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
 )
@@ -15,11 +15,11 @@
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
 	c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps = 10, 8, 12
 	term := New(cluster.Start{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
-	job := &ledger.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 8, Types: []string{"large"}}
-	term.Load(0, 1, Durable{First: 1, Last: 2, Entries: []ledger.Entry{
+	job := &eventlog.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 8, Types: []string{"large"}}
+	term.Load(0, 1, Durable{First: 1, Last: 2, Entries: []eventlog.Entry{
 		{Job: job},
-		{Types: []ledger.Type{{Name: "small", CPUs: 4, MemoryGB: 8}}},
-		{Types: []ledger.Type{{Name: "large", CPUs: 16, MemoryGB: 64}}},
+		{Types: []eventlog.Type{{Name: "small", CPUs: 4, MemoryGB: 8}}},
+		{Types: []eventlog.Type{{Name: "large", CPUs: 16, MemoryGB: 64}}},
 	}})
 	j := term.Jobs.Find(1)
 	if len(j.Types) != 2 || j.Types[0] || !j.Types[1] {
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -5,7 +5,7 @@
 	"math"
 
 	"bitternmoor/internal/core/config"
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/wire"
 )
@@ -44,7 +44,7 @@
 	return nil
 }
 
-func checkJob(id uint64, j *ledger.Job) error {
+func checkJob(id uint64, j *eventlog.Job) error {
 	switch {
 	case j.ID != id:
 		return fmt.Errorf("node: ask: job: %d, and the request of %d", j.ID, id)
--- a/internal/node/messages_test.go
+++ b/internal/node/messages_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/settings"
@@ -20,8 +20,8 @@
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}}
 	n := New(cfg, slog.New(slog.DiscardHandler))
 	c := &Controller{n}
-	job := func(change func(j *ledger.Job)) UserRequest {
-		j := &ledger.Job{ID: 7, Class: "c", Team: "t", Tasks: 3, CPUs: 1}
+	job := func(change func(j *eventlog.Job)) UserRequest {
+		j := &eventlog.Job{ID: 7, Class: "c", Team: "t", Tasks: 3, CPUs: 1}
 		change(j)
 		return UserRequest{Op: opSubmit, ID: 7, Submission: wire.Submission{ID: 7, HasID: true, Job: j}, Whole: true}
 	}
@@ -34,13 +34,13 @@
 	bad := map[string]func() error{
 		"no kind":             func() error { return c.Ask(UserRequest{ID: 7}, &effects.Answer{}) },
 		"an unknown kind":     func() error { return c.Ask(UserRequest{Op: "delete", ID: 7}, &effects.Answer{}) },
-		"another job's id":    func() error { return c.Ask(job(func(j *ledger.Job) { j.ID = 8 }), &effects.Answer{}) },
-		"no tasks":            func() error { return c.Ask(job(func(j *ledger.Job) { j.Tasks = 0 }), &effects.Answer{}) },
-		"far too many tasks":  func() error { return c.Ask(job(func(j *ledger.Job) { j.Tasks = 1 << 40 }), &effects.Answer{}) },
-		"an unknown priority": func() error { return c.Ask(job(func(j *ledger.Job) { j.Priority = 9 }), &effects.Answer{}) },
-		"no number":           func() error { return c.Ask(job(func(j *ledger.Job) { j.CPUs = math.NaN() }), &effects.Answer{}) },
+		"another job's id":    func() error { return c.Ask(job(func(j *eventlog.Job) { j.ID = 8 }), &effects.Answer{}) },
+		"no tasks":            func() error { return c.Ask(job(func(j *eventlog.Job) { j.Tasks = 0 }), &effects.Answer{}) },
+		"far too many tasks":  func() error { return c.Ask(job(func(j *eventlog.Job) { j.Tasks = 1 << 40 }), &effects.Answer{}) },
+		"an unknown priority": func() error { return c.Ask(job(func(j *eventlog.Job) { j.Priority = 9 }), &effects.Answer{}) },
+		"no number":           func() error { return c.Ask(job(func(j *eventlog.Job) { j.CPUs = math.NaN() }), &effects.Answer{}) },
 		"a name that is long": func() error {
-			return c.Ask(job(func(j *ledger.Job) { j.Team = string(make([]byte, 300)) }), &effects.Answer{})
+			return c.Ask(job(func(j *eventlog.Job) { j.Team = string(make([]byte, 300)) }), &effects.Answer{})
 		},
 		"no id": func() error { return c.AskCounted(UserRequest{Op: opSubmit, ID: 7}, &effects.Answer{}) },
 		"via nobody": func() error {
@@ -89,7 +89,7 @@
 	}()
 	defer close(n.in)
 	var a effects.Answer
-	if err := c.Ask(job(func(*ledger.Job) {}), &a); err != nil || a.Status != 503 { // nobody leads
+	if err := c.Ask(job(func(*eventlog.Job) {}), &a); err != nil || a.Status != 503 { // nobody leads
 		t.Errorf("a submission: %v, %+v", err, a)
 	}
 	if err := c.Hail(HeartbeatMessage{Node: "n1", Epoch: 3}, new(bool)); err != nil {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -18,8 +18,8 @@
 	"golang.org/x/net/netutil"
 
 	"bitternmoor/internal/core/admission"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/operators/webhook"
 	"bitternmoor/internal/settings"
@@ -229,7 +229,7 @@
 	case effects.Commit:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			out, mark, failed := n.state.Commit(ctx, e.Txn)
-			backOff(out == ledger.Applied || out == ledger.Conflict)
+			backOff(out == eventlog.Applied || out == eventlog.Conflict)
 			return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Seq, out, mark, failed) }
 		})
 	case effects.Recheck:
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -4,8 +4,8 @@
 	"encoding/json"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/wire"
@@ -50,9 +50,9 @@
 }
 
 // Committed takes the outcome of a commit of the term.
-func (c *Core) Committed(now time.Duration, epoch, seq uint64, out ledger.Outcome, mark uint64, failed []string) {
+func (c *Core) Committed(now time.Duration, epoch, seq uint64, out eventlog.Outcome, mark uint64, failed []string) {
 	if c.term != nil && c.term.Epoch == epoch {
-		if c.term.Committed(now, c.lead.Sure(now), seq, out, mark, failed) == ledger.Lost {
+		if c.term.Committed(now, c.lead.Sure(now), seq, out, mark, failed) == eventlog.Lost {
 			c.lead.Superseded(now, c.lead.Epoch()+1)
 		}
 	}
@@ -69,7 +69,7 @@
 
 // Cleaned takes the log's oldest segments, read back: from the first one on,
 // those numbered below end.
-func (c *Core) Cleaned(now time.Duration, epoch uint64, first, end int, read bool, entries []ledger.Entry) {
+func (c *Core) Cleaned(now time.Duration, epoch uint64, first, end int, read bool, entries []eventlog.Entry) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.Cleaned(now, first, end, read, entries)
 	}
@@ -77,7 +77,7 @@
 }
 
 // GotValues takes a page of a duty's own values.
-func (c *Core) GotValues(now time.Duration, epoch uint64, duty string, list []ledger.Value, more, ok bool) {
+func (c *Core) GotValues(now time.Duration, epoch uint64, duty string, list []eventlog.Value, more, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.GotValues(now, duty, list, more, ok)
 	}
@@ -118,7 +118,7 @@
 }
 
 // GotTypes takes the machine types; an empty list is a failure.
-func (c *Core) GotTypes(now time.Duration, epoch uint64, list []ledger.Type) {
+func (c *Core) GotTypes(now time.Duration, epoch uint64, list []eventlog.Type) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.GotTypes(now, list)
 	}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/wire"
 )
@@ -35,13 +35,13 @@
 
 func (n *Node) readAll() (term.Durable, error) {
 	var d term.Durable
-	err := n.readPrefix(ledger.Prefix, func(it wire.Item) error {
+	err := n.readPrefix(eventlog.Prefix, func(it wire.Item) error {
 		list, err := decode(it)
 		if err != nil {
 			return err
 		}
 		d.Entries = append(d.Entries, list...)
-		d.Last, err = ledger.Number(it.Key)
+		d.Last, err = eventlog.Number(it.Key)
 		if d.First == 0 {
 			d.First = d.Last
 		}
@@ -51,17 +51,17 @@
 		return term.Durable{}, err
 	}
 	var pieces []wire.Item
-	if err := n.readPrefix(ledger.SizesPrefix, func(it wire.Item) error { pieces = append(pieces, it); return nil }); err != nil {
+	if err := n.readPrefix(eventlog.SizesPrefix, func(it wire.Item) error { pieces = append(pieces, it); return nil }); err != nil {
 		return term.Durable{}, err
 	}
 	// A piece of an earlier list, by whatever version, must not overrule a newer one.
 	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Mark, b.Mark) })
 	for _, it := range pieces {
-		var v ledger.VirtualSizes
+		var v eventlog.VirtualSizes
 		if err := json.Unmarshal(it.Value, &v); err != nil {
 			return term.Durable{}, fmt.Errorf("%s: %w", it.Key, err)
 		}
-		n, err := ledger.SizesNumber(it.Key)
+		n, err := eventlog.SizesNumber(it.Key)
 		if err != nil {
 			return term.Durable{}, err
 		}
@@ -76,8 +76,8 @@
 const pageItems = 256
 
 // decode reads one segment.
-func decode(it wire.Item) ([]ledger.Entry, error) {
-	list, err := ledger.Decode(it.Value)
+func decode(it wire.Item) ([]eventlog.Entry, error) {
+	list, err := eventlog.Decode(it.Value)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", it.Key, err)
 	}
@@ -85,14 +85,14 @@
 }
 
 // segments reads the segments numbered first to end-1; some may be missing.
-func (n *Node) segments(ctx context.Context, first, end int) ([]ledger.Entry, error) {
-	items, _, _, err := n.state.List(ctx, ledger.Prefix, ledger.Key(first-1), end-first)
+func (n *Node) segments(ctx context.Context, first, end int) ([]eventlog.Entry, error) {
+	items, _, _, err := n.state.List(ctx, eventlog.Prefix, eventlog.Key(first-1), end-first)
 	if err != nil {
 		return nil, err
 	}
-	var entries []ledger.Entry
+	var entries []eventlog.Entry
 	for _, it := range items {
-		if it.Key >= ledger.Key(end) {
+		if it.Key >= eventlog.Key(end) {
 			break
 		}
 		list, err := decode(it)
@@ -109,14 +109,14 @@
 const pageValues = 16
 
 // values reads a page of a duty's own values.
-func (n *Node) values(ctx context.Context, duty, since string) ([]ledger.Value, bool, error) {
-	items, more, _, err := n.state.List(ctx, ledger.ValuePrefix(duty), since, pageValues)
+func (n *Node) values(ctx context.Context, duty, since string) ([]eventlog.Value, bool, error) {
+	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(duty), since, pageValues)
 	if err != nil {
 		return nil, false, err
 	}
-	list := make([]ledger.Value, len(items))
+	list := make([]eventlog.Value, len(items))
 	for i, it := range items {
-		list[i] = ledger.Value{Key: it.Key, Data: it.Value}
+		list[i] = eventlog.Value{Key: it.Key, Data: it.Value}
 	}
 	return list, more && len(items) > 0, nil
 }
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
 )
@@ -48,7 +48,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", store)
 	mux.HandleFunc(pathObserve, func(w http.ResponseWriter, _ *http.Request) {
-		o := observed{Counts: store.Counts(ledger.Prefix), Refused: store.Refused()}
+		o := observed{Counts: store.Counts(eventlog.Prefix), Refused: store.Refused()}
 		var holder leadership.Holder
 		if raw := store.Value(leadership.HolderKey); raw != nil && json.Unmarshal(raw, &holder) == nil {
 			o.Leader = holder.Node
--- a/internal/scaletest/scalerun/load.go
+++ b/internal/scaletest/scalerun/load.go
@@ -8,7 +8,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/scaletest/experiment"
 	"bitternmoor/internal/wire"
 )
@@ -90,8 +90,8 @@
 func (j *job) name() string { return wire.FormatID(j.id) }
 
 // describe is what the user of a job submits.
-func (j *job) describe(w *workload) *ledger.Job {
-	d := &ledger.Job{ID: j.id, Class: classBatch, Team: teamName(j.team), Priority: priorityNormal, Tasks: j.tasks, CPUs: taskCPUs, MemoryGB: taskMemoryGB,
+func (j *job) describe(w *workload) *eventlog.Job {
+	d := &eventlog.Job{ID: j.id, Class: classBatch, Team: teamName(j.team), Priority: priorityNormal, Tasks: j.tasks, CPUs: taskCPUs, MemoryGB: taskMemoryGB,
 		Image: w.image(j.name()), ImageGB: imageGB, Spot: true, EstimateS: w.TaskS}
 	if j.urgent {
 		d.Class, d.Priority = classUrgent, priorityUrgent
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -17,7 +17,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/scaletest/experiment"
 	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
@@ -169,7 +169,7 @@
 		capacity[w.zoneOf(k)]++
 	}
 	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, Up: w.up, Down: w.down, Address: w.address,
-		Types: []ledger.Type{{Name: machineType, CPUs: e.Workers.CPUs, MemoryGB: e.Workers.MemoryGB, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: machineBoot.Seconds(), Zones: e.Zones()}}}
+		Types: []eventlog.Type{{Name: machineType, CPUs: e.Workers.CPUs, MemoryGB: e.Workers.MemoryGB, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: machineBoot.Seconds(), Zones: e.Zones()}}}
 	return nil
 }
 
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -10,12 +10,12 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/wire"
 )
 
 // Machine is a machine as the cloud lists it.
-type Machine = ledger.Machine
+type Machine = eventlog.Machine
 
 // pageOfMachines is the most that one list gives.
 const pageOfMachines = 500
@@ -27,9 +27,9 @@
 	Up, Down func(m Machine)
 	// Address gives the address of a machine's worker. Where it is not set nobody listens there.
 	Address  func(m Machine) string
-	Types    []ledger.Type  // empty: one of 4 processors in zone a
-	Capacity map[string]int // most machines, by zone; nil: any number
-	Boot     time.Duration  // from a rental until Up
+	Types    []eventlog.Type // empty: one of 4 processors in zone a
+	Capacity map[string]int  // most machines, by zone; nil: any number
+	Boot     time.Duration   // from a rental until Up
 
 	mu       sync.Mutex
 	rented   map[string][]string // by request
@@ -50,7 +50,7 @@
 	}
 	c.rented, c.machines = map[string][]string{}, map[string]*rental{}
 	if len(c.Types) == 0 {
-		c.Types = []ledger.Type{{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a"}}}
+		c.Types = []eventlog.Type{{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a"}}}
 	}
 }
 
@@ -112,7 +112,7 @@
 	return reply{http.StatusOK, wire.MachineList(list, false)}
 }
 
-func (c *Cloud) rent(req ledger.Rental) reply {
+func (c *Cloud) rent(req eventlog.Rental) reply {
 	names, again := c.rented[req.Name]
 	if again {
 		return reply{http.StatusOK, wire.RentalAnswer(names)}
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/wire"
 )
 
-func commit(t *testing.T, c *wire.State, key string, mark uint64) ledger.Outcome {
+func commit(t *testing.T, c *wire.State, key string, mark uint64) eventlog.Outcome {
 	t.Helper()
-	out, _, _ := c.Commit(context.Background(), ledger.Txn{Conds: []ledger.Cond{{Key: key, Mark: mark}}, Writes: []ledger.Op{{Key: key, Value: []byte("1")}}})
+	out, _, _ := c.Commit(context.Background(), eventlog.Txn{Conds: []eventlog.Cond{{Key: key, Mark: mark}}, Writes: []eventlog.Op{{Key: key, Value: []byte("1")}}})
 	return out
 }
 
@@ -55,7 +55,7 @@
 	server := httptest.NewServer(store)
 	defer server.Close()
 	c := wire.NewState(server.Listener.Addr().String())
-	if a, b, x := commit(t, c, "k", 0), commit(t, c, "k", 0), commit(t, c, "l", 0); a != ledger.Applied || b != ledger.Conflict || x != ledger.Refused {
+	if a, b, x := commit(t, c, "k", 0), commit(t, c, "k", 0), commit(t, c, "l", 0); a != eventlog.Applied || b != eventlog.Conflict || x != eventlog.Refused {
 		t.Errorf("%v %v %v", a, b, x)
 	}
 	if n := store.Counts(""); n.Writes != 2 || n.Transactions != 1 || n.RateLimited != 1 || n.Keys != 1 {
@@ -72,7 +72,7 @@
 	c := wire.NewCloud(server.Listener.Addr().String())
 	ctx := context.Background()
 	rent := func(name string, count int) (int, wire.RentResult) {
-		names, res := c.Rent(ctx, ledger.Rental{Name: name, Type: "m4", Zone: "a", Count: count})
+		names, res := c.Rent(ctx, eventlog.Rental{Name: name, Type: "m4", Zone: "a", Count: count})
 		return len(names), res
 	}
 	for i, want := range []int{2, 2, 1, 0} {
--- a/internal/scenario/cold_test.go
+++ b/internal/scenario/cold_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
@@ -81,7 +81,7 @@
 		id++
 		i := id
 		run := time.Duration(4000+r.IntN(30000)) * time.Millisecond
-		job := &ledger.Job{ID: i, Class: []string{"quick", "usual", "long"}[i%3], Team: []string{"team", "other"}[i%2], Priority: []uint8{2, 1, 0}[i%3], Tasks: 1 + r.IntN(machines*3/4), CPUs: 1, MemoryGB: 1,
+		job := &eventlog.Job{ID: i, Class: []string{"quick", "usual", "long"}[i%3], Team: []string{"team", "other"}[i%2], Priority: []uint8{2, 1, 0}[i%3], Tasks: 1 + r.IntN(machines*3/4), CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprint(r.IntN(6)), ImageGB: 0.3, Spot: r.IntN(5) > 0, EstimateS: run.Seconds(), Checkpoint: float64(r.IntN(2) * 5), SaveS: 1}
 		if r.IntN(10) == 0 {
 			job.Kind, job.Tasks = 1, 1+r.IntN(12)
@@ -349,7 +349,7 @@
 	s.cloud.capacity = machines
 	s.scale = &scaleCounts{sent: map[string]int{}, spent: map[string]time.Duration{}}
 	for i := range uint64(machines / 25) {
-		job := &ledger.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 110, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(i % 16), ImageGB: 0.3, Spot: true, EstimateS: 60}
+		job := &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 110, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(i % 16), ImageGB: 0.3, Spot: true, EstimateS: 60}
 		j := &userJob{id: i + 1, run: 60 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 		s.jobs[i+1] = j
 		s.after(time.Duration(i%40)*500*time.Millisecond, func() { s.submit(j, int(i), func() bool { return true }) })
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -78,7 +78,7 @@
 	}
 	s := newSim(c, seed, 3, false)
 	submit := func(id uint64, kind uint8, tasks int, follows ...uint64) *userJob {
-		j := &userJob{id: id, run: 300 * time.Second, spec: wire.Submission{ID: id, HasID: true, Job: &ledger.Job{ID: id, Class: "class", Team: "team", Kind: kind, Priority: 1,
+		j := &userJob{id: id, run: 300 * time.Second, spec: wire.Submission{ID: id, HasID: true, Job: &eventlog.Job{ID: id, Class: "class", Team: "team", Kind: kind, Priority: 1,
 			Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 300, Follows: follows}}}
 		s.jobs[id] = j
 		s.submit(j, int(id), func() bool { return s.now < 60*time.Second })
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"fmt"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/wire"
 )
@@ -245,9 +245,9 @@
 
 // productionWrites checks that what an old controller writes is something
 // that production could have written.
-func (c *checker) productionWrites(t ledger.Txn) {
+func (c *checker) productionWrites(t eventlog.Txn) {
 	for _, w := range t.Writes {
-		if n, err := ledger.Number(w.Key); err == nil && n > 0 && !w.Remove && !bytes.Equal(asProductionReads(w.Value), w.Value) {
+		if n, err := eventlog.Number(w.Key); err == nil && n > 0 && !w.Remove && !bytes.Equal(asProductionReads(w.Value), w.Value) {
 			c.fail("old version", "%s holds what production cannot write: %s", w.Key, w.Value)
 		}
 	}
--- a/internal/scenario/hands_test.go
+++ b/internal/scenario/hands_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 )
 
@@ -16,10 +16,10 @@
 	playDays(t, 12, func(t *testing.T, seed uint64) *sim {
 		d := newStage(t, seed, 3, nil)
 		d.cloud.capacity = 4
-		first := d.add(60*time.Second, ledger.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
+		first := d.add(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 		d.askAll(time.Second)
 		d.runs(first, 4)
-		next := d.add(60*time.Second, ledger.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
+		next := d.add(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
 		d.run(3 * time.Second)
 		d.cloud.capacity, d.cloud.boot = 12, 0 // for what would start elsewhere
 		end := time.Hour
@@ -51,11 +51,11 @@
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 5, 26.5
 		})
 		d.cloud.capacity = 40
-		warm := d.add(50*time.Second, ledger.Job{Tasks: 60, Priority: 1, Spot: true})
+		warm := d.add(50*time.Second, eventlog.Job{Tasks: 60, Priority: 1, Spot: true})
 		d.askAll(2 * time.Second)
 		d.runs(warm, 40)
 		for i := range 160 {
-			d.addAt(time.Duration(i)*200*time.Millisecond, time.Duration(2000+d.r.IntN(4000))*time.Millisecond, ledger.Job{Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true})
+			d.addAt(time.Duration(i)*200*time.Millisecond, time.Duration(2000+d.r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true})
 		}
 		for i := range 50 { // some that have just begun tasks are not heard for a moment
 			d.after(time.Duration(i)*650*time.Millisecond, func() {
@@ -86,11 +86,11 @@
 func TestRepeatedStartAfterReap(t *testing.T) {
 	playDays(t, 8, func(t *testing.T, seed uint64) *sim {
 		d := newStage(t, seed, 3, startsDirectly)
-		d.warmUp(5*time.Second, ledger.Job{Tasks: 24, CPUs: 2, Priority: 1, Spot: true})
+		d.warmUp(5*time.Second, eventlog.Job{Tasks: 24, CPUs: 2, Priority: 1, Spot: true})
 		d.again = 9 * time.Second
 		for i := range 40 {
 			d.after(time.Duration(i)*600*time.Millisecond, func() {
-				j := d.add(20*time.Second, ledger.Job{Tasks: 1 + i%3, Priority: 1, Spot: true})
+				j := d.add(20*time.Second, eventlog.Job{Tasks: 1 + i%3, Priority: 1, Spot: true})
 				sent := d.launches
 				d.after(time.Duration(700+d.r.IntN(1500))*time.Millisecond, func() {
 					if d.launches > sent && j.accepted {
--- a/internal/scenario/hot_test.go
+++ b/internal/scenario/hot_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -30,7 +30,7 @@
 	add := func(class, team string, priority uint8, at time.Duration, tasks int, run time.Duration) {
 		id++
 		i := id
-		job := &ledger.Job{ID: i, Class: class, Team: team, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: class, ImageGB: 0.3, Spot: true, EstimateS: run.Seconds()}
+		job := &eventlog.Job{ID: i, Class: class, Team: team, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: class, ImageGB: 0.3, Spot: true, EstimateS: run.Seconds()}
 		j := &userJob{id: i, run: run, spec: wire.Submission{ID: i, HasID: true, Job: job}}
 		s.after(at, func() {
 			s.jobs[i] = j
--- a/internal/scenario/largest_test.go
+++ b/internal/scenario/largest_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/wire"
 )
 
@@ -21,19 +21,19 @@
 	s := newSim(c, 3, 3, false)
 	s.cloud.capacity = 12
 	r := rand.New(rand.NewPCG(3, 33))
-	add := func(at time.Duration, job ledger.Job, run time.Duration) {
+	add := func(at time.Duration, job eventlog.Job, run time.Duration) {
 		job.ID, job.Team, job.Priority, job.MemoryGB, job.Image, job.ImageGB, job.Spot, job.EstimateS = uint64(len(s.jobs)+1), "team", 1, 1, job.Class, 0.3, true, run.Seconds()
 		j := &userJob{id: job.ID, run: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
 		s.jobs[job.ID] = j
 		s.after(at, func() { s.submit(j, r.IntN(3), func() bool { return true }) })
 	}
 	for at := 10 * time.Second; at < 400*time.Second; at += time.Second {
-		add(at, ledger.Job{Class: "small", Tasks: 4, CPUs: 1}, time.Duration(10+r.IntN(9))*time.Second)
+		add(at, eventlog.Job{Class: "small", Tasks: 4, CPUs: 1}, time.Duration(10+r.IntN(9))*time.Second)
 	}
-	add(60*time.Second, ledger.Job{Class: "gang", Kind: 1, Tasks: 9, CPUs: 4}, 40*time.Second)
-	add(62*time.Second, ledger.Job{Class: "gang", Kind: 1, Tasks: 10, CPUs: 4}, 40*time.Second)
-	add(64*time.Second, ledger.Job{Class: "wide", Tasks: 60, CPUs: 3}, 30*time.Second)
-	add(66*time.Second, ledger.Job{Class: "zone", Kind: 1, Tasks: 5, CPUs: 4, OneZone: true}, 30*time.Second)
+	add(60*time.Second, eventlog.Job{Class: "gang", Kind: 1, Tasks: 9, CPUs: 4}, 40*time.Second)
+	add(62*time.Second, eventlog.Job{Class: "gang", Kind: 1, Tasks: 10, CPUs: 4}, 40*time.Second)
+	add(64*time.Second, eventlog.Job{Class: "wide", Tasks: 60, CPUs: 3}, 30*time.Second)
+	add(66*time.Second, eventlog.Job{Class: "zone", Kind: 1, Tasks: 5, CPUs: 4, OneZone: true}, 30*time.Second)
 	s.run(700 * time.Second)
 	s.check.beginInTime(s.now)
 	return s
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 )
 
@@ -23,14 +23,14 @@
 		teams := []string{"team", "other", "third"}
 		var first, waiting []*userJob
 		for i := range 6 {
-			first = append(first, d.add(120*time.Second, ledger.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
+			first = append(first, d.add(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
 		}
 		d.askAll(time.Second)
 		for _, j := range first {
 			d.runs(j, j.spec.Job.Tasks)
 		}
 		for i := range 6 {
-			waiting = append(waiting, d.add(20*time.Second, ledger.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
+			waiting = append(waiting, d.add(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
 		}
 		d.run(5 * time.Second)
 		if d.running(waiting[0].id) == 0 {
@@ -86,7 +86,7 @@
 		})
 		next := func() *userJob {
 			i := len(d.jobs)
-			return d.add(time.Duration(4+i%9*6)*time.Second, ledger.Job{Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5})
+			return d.add(time.Duration(4+i%9*6)*time.Second, eventlog.Job{Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5})
 		}
 		for range 8 {
 			next()
@@ -151,7 +151,7 @@
 	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
 		d := newStage(t, seed, 3, nil)
 		var list []*userJob
-		for i, job := range []ledger.Job{{Zone: "b", Tasks: 5}, {Zone: "b", Tasks: 3, Kind: 1}, {OneZone: true, Tasks: 5}, {OneZone: true, Tasks: 3, Kind: 1}, {Zone: "a", Tasks: 4, OneZone: true}} {
+		for i, job := range []eventlog.Job{{Zone: "b", Tasks: 5}, {Zone: "b", Tasks: 3, Kind: 1}, {OneZone: true, Tasks: 5}, {OneZone: true, Tasks: 3, Kind: 1}, {Zone: "a", Tasks: 4, OneZone: true}} {
 			job.Priority, job.Spot = 1, i%2 == int(seed)%2 || i == 2
 			list = append(list, d.add(time.Duration(25+5*i)*time.Second, job))
 		}
@@ -219,7 +219,7 @@
 		}
 		d.run(3 * time.Second)
 		for i := range 90 {
-			job := ledger.Job{Class: []string{"large", "small", "urgent"}[i%3], Team: []string{"team", "other"}[i/3%2], Priority: []uint8{0, 1, 2}[i%3], Spot: true}
+			job := eventlog.Job{Class: []string{"large", "small", "urgent"}[i%3], Team: []string{"team", "other"}[i/3%2], Priority: []uint8{0, 1, 2}[i%3], Spot: true}
 			switch i % 3 {
 			case 0:
 				job.Tasks, job.Checkpoint = 6+i%5, 5
@@ -245,20 +245,20 @@
 	for _, kind := range []uint8{0, 1} {
 		d := newStage(t, uint64(kind), 3, nil)
 		d.cloud.capacity = 6
-		stays := d.add(time.Hour, ledger.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
+		stays := d.add(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
 		d.askAll(2 * time.Second)
 		d.runs(stays, 6)
-		long := d.add(4*time.Minute, ledger.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and ends together
+		long := d.add(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and ends together
 		d.runs(long, 5)
 		if kind == 0 {
 			d.until(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.somewhere(long.id) > 0 })
 		}
 		d.cancel(long, 0)
-		first := d.add(30*time.Second, ledger.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has so much
+		first := d.add(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has so much
 		d.run(2 * time.Second)
 		var small []*userJob
 		for i := range 3 {
-			small = append(small, d.add(40*time.Second, ledger.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
+			small = append(small, d.add(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
 		}
 		d.run(10 * time.Second)
 		d.check.calm = d.now
@@ -282,10 +282,10 @@
 // another is rented in the other.
 func TestSpreadWithOneZone(t *testing.T) {
 	d := newStage(t, 5, 3, nil)
-	bound := d.add(6*time.Minute, ledger.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
+	bound := d.add(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
 	d.askAll(2 * time.Second)
 	d.runs(bound, 9)
-	spread := d.add(3*time.Minute, ledger.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // there is room for all, in one zone
+	spread := d.add(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // there is room for all, in one zone
 	d.run(20 * time.Second)
 	d.check.calm = d.now
 	d.run(40 * time.Second)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -127,7 +127,7 @@
 		if r.IntN(4) == 0 {
 			run += settingsSeconds(c.Deployment.Workers.CancelS)
 		}
-		job := &ledger.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(4)), Tasks: 1 + r.IntN(8+size/8), CPUs: float64(1 + r.IntN(2)), MemoryGB: 1,
+		job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(4)), Tasks: 1 + r.IntN(8+size/8), CPUs: float64(1 + r.IntN(2)), MemoryGB: 1,
 			Image: fmt.Sprint(r.IntN(3)), ImageGB: 0.3, Spot: r.IntN(4) > 0, EstimateS: run.Seconds(), OneZone: r.IntN(5) == 0}
 		job.Spread = !job.OneZone && r.IntN(5) == 0
 		if r.IntN(4) == 0 {
@@ -197,7 +197,7 @@
 						var list []*userJob
 						for i := range uint64(4) {
 							j := &userJob{id: i + 1, run: 12 * time.Second, apart: 7 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true,
-								Job: &ledger.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 10}}}
+								Job: &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 10}}}
 							s.jobs[j.id] = j
 							s.submit(j, int(i), func() bool { return s.now < 60*time.Second })
 							list = append(list, j)
@@ -284,9 +284,9 @@
 	s.run(3 * time.Second)
 	s.state.lateShare, s.state.atOnce = 0.4, atOnce
 	for i := range uint64(60) {
-		job := &ledger.Job{ID: i + 1, Class: fmt.Sprint("class", i%7), Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 4}
+		job := &eventlog.Job{ID: i + 1, Class: fmt.Sprint("class", i%7), Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 4}
 		if i%4 == 0 {
-			job.Counted = []ledger.Counted{{Pool: "licence", Units: 1}}
+			job.Counted = []eventlog.Counted{{Pool: "licence", Units: 1}}
 		}
 		j := &userJob{id: i + 1, run: time.Duration(1+r.IntN(6)) * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 		s.jobs[j.id] = j
@@ -350,7 +350,7 @@
 						}
 						c.Tunables.ZonePatienceS = float64(length % 2 * 40)
 						s := newSim(c, uint64(length*2+ends), 3, false)
-						kinds := []ledger.Job{{Tasks: 4, OneZone: true}, {Tasks: 4, Spread: true}, {Tasks: 3, Kind: 1}, {Tasks: 3, Kind: 1, OneZone: true}, {Tasks: 6, Zone: "b"}, {Tasks: 12}}
+						kinds := []eventlog.Job{{Tasks: 4, OneZone: true}, {Tasks: 4, Spread: true}, {Tasks: 3, Kind: 1}, {Tasks: 3, Kind: 1, OneZone: true}, {Tasks: 6, Zone: "b"}, {Tasks: 12}}
 						submit := func(i int) {
 							k := kinds[i]
 							k.ID, k.Class, k.Team, k.Priority, k.CPUs, k.MemoryGB, k.Image, k.ImageGB, k.Spot, k.EstimateS = uint64(i+1), "class", "team", 1, 1, 1, "image", 0.3, true, 90
@@ -455,7 +455,7 @@
 				r := rand.New(rand.NewPCG(seed, 13))
 				tr := &troubles{s: s, r: r, say: func(string, ...any) {}}
 				for i := range uint64(14) {
-					job := &ledger.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 15, Kind: uint8(r.IntN(5) / 4)}
+					job := &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 15, Kind: uint8(r.IntN(5) / 4)}
 					j := &userJob{id: i + 1, run: time.Duration(1000+r.IntN(40000)) * time.Millisecond, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 					s.jobs[j.id] = j
 					at := time.Duration(r.IntN(50000)) * time.Millisecond
@@ -518,14 +518,14 @@
 	const held = 22 * time.Second
 	playDays(t, 32, func(t *testing.T, seed uint64) *sim {
 		d := newStage(t, 1+seed/16, 3, startsDirectly)
-		d.warmUp(12*time.Second, ledger.Job{Tasks: 8, CPUs: 4, Priority: 1, Spot: true})
+		d.warmUp(12*time.Second, eventlog.Job{Tasks: 8, CPUs: 4, Priority: 1, Spot: true})
 		d.run(8 * time.Second)
 		ms := d.machines()
 		for _, m := range ms {
 			d.slow[m.name] = held
 		}
 		sent := d.launches
-		j := d.add(60*time.Second, ledger.Job{CPUs: 4, Priority: 1, Spot: true})
+		j := d.add(60*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
 		if !d.until(3*time.Second, func() bool { return d.launches > sent }) {
 			t.Fatal("nothing was sent straight to a worker")
 		}
@@ -563,13 +563,13 @@
 // elsewhere then. Without the deletion it would count there for ever.
 func TestLostStartThenLaterSession(t *testing.T) {
 	d := newStage(t, 2, 3, startsDirectly)
-	d.warmUp(12*time.Second, ledger.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
+	d.warmUp(12*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 	d.run(8 * time.Second)
 	sent := d.launches
 	for _, m := range d.machines() {
 		d.deaf[m.name] = true // heard, and nothing reaches them
 	}
-	j := d.add(20*time.Second, ledger.Job{CPUs: 4, Priority: 1, Spot: true})
+	j := d.add(20*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
 	if !d.until(3*time.Second, func() bool { return d.launches > sent }) {
 		t.Fatal("nothing was sent straight to a worker")
 	}
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 )
 
@@ -57,7 +57,7 @@
 			}
 		}
 		for i := range 10 {
-			d.add(time.Duration(6+i)*time.Second, ledger.Job{Tasks: 2 + i%4, Kind: uint8(i / 8), Priority: 1, Spot: i%3 > 0})
+			d.add(time.Duration(6+i)*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i / 8), Priority: 1, Spot: i%3 > 0})
 			d.run(1200 * time.Millisecond)
 		}
 		d.askAll(time.Second)
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/settings"
@@ -136,12 +136,12 @@
 	}
 }
 
-func demands(r *rand.Rand, job *ledger.Job) {
+func demands(r *rand.Rand, job *eventlog.Job) {
 	for _, name := range []string{"licence", "token"} {
 		if r.IntN(2) > 0 {
 			continue
 		}
-		x := ledger.Counted{Pool: name, Units: 1 + r.IntN(2), PerJob: r.IntN(4) == 0}
+		x := eventlog.Counted{Pool: name, Units: 1 + r.IntN(2), PerJob: r.IntN(4) == 0}
 		if job.Kind == 1 {
 			x.Units = 1
 			job.Tasks = min(job.Tasks, 2)
@@ -160,8 +160,8 @@
 		s := newSim(c, seed, 3, false)
 		s.poolUnits = map[string]int{"licence": units}
 		for id := range uint64(2) {
-			job := &ledger.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: .5, MemoryGB: 1, Image: "i", Spot: true, EstimateS: run.Seconds(),
-				Counted: []ledger.Counted{{Pool: "licence", Units: 1}}}
+			job := &eventlog.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: .5, MemoryGB: 1, Image: "i", Spot: true, EstimateS: run.Seconds(),
+				Counted: []eventlog.Counted{{Pool: "licence", Units: 1}}}
 			s.jobs[id+1] = &userJob{id: id + 1, run: run, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
 			s.submit(s.jobs[id+1], 0, func() bool { return true })
 		}
@@ -201,7 +201,7 @@
 			w := holder(s)
 			s.cuts = append(s.cuts, &cut{host: w.name})
 			for k, it := range s.state.items { // the log says that the machine is gone
-				if _, err := ledger.Number(k); err == nil {
+				if _, err := eventlog.Number(k); err == nil {
 					it.value = json.RawMessage(strings.TrimSuffix(string(it.value), "]}") + `,{"x":["` + w.name + `"]}]}`)
 					s.state.items[k] = it
 				}
@@ -225,7 +225,7 @@
 			s.resize("r", "licence", 2)
 			s.run(10 * time.Second)
 			for k := range s.state.items {
-				if strings.HasPrefix(k, ledger.ValuePrefix(pools.Name)) {
+				if strings.HasPrefix(k, eventlog.ValuePrefix(pools.Name)) {
 					delete(s.state.items, k)
 				}
 			}
@@ -255,7 +255,7 @@
 
 // Starts with units write nothing that starts without them do not.
 func TestPoolsWriteNothing(t *testing.T) {
-	writes := func(counted []ledger.Counted) int {
+	writes := func(counted []eventlog.Counted) int {
 		c := baseSettings()
 		c.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 100}}
 		s := newSim(c, 1, 1, false)
@@ -263,7 +263,7 @@
 		s.run(10 * time.Second)
 		before := s.state.writes
 		for id := range uint64(5) {
-			job := &ledger.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", Spot: true, EstimateS: 9, Counted: counted}
+			job := &eventlog.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", Spot: true, EstimateS: 9, Counted: counted}
 			s.jobs[id+1] = &userJob{id: id + 1, run: 9 * time.Second, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
 			s.submit(s.jobs[id+1], 0, func() bool { return true })
 		}
@@ -273,7 +273,7 @@
 		s.run(5 * time.Second)
 		return s.state.writes - before
 	}
-	with, without := writes([]ledger.Counted{{Pool: "licence", Units: 1}}), writes(nil)
+	with, without := writes([]eventlog.Counted{{Pool: "licence", Units: 1}}), writes(nil)
 	if with > without+without/10 {
 		t.Errorf("%d changes with units, %d without", with, without)
 	}
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
@@ -131,7 +131,7 @@
 	for i := range uint64(12 + r.IntN(15)) {
 		id := i + 1
 		run := time.Duration(2000+r.IntN(25000)) * time.Millisecond
-		job := &ledger.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(4)), Tasks: 1 + r.IntN(12), CPUs: float64(1 + r.IntN(2)), MemoryGB: 1,
+		job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(4)), Tasks: 1 + r.IntN(12), CPUs: float64(1 + r.IntN(2)), MemoryGB: 1,
 			Image: fmt.Sprint(r.IntN(3)), ImageGB: 0.3, Spot: r.IntN(4) > 0, EstimateS: run.Seconds(), OneZone: r.IntN(6) == 0, Spread: r.IntN(6) == 0}
 		if job.OneZone {
 			job.Spread = false
--- a/internal/scenario/record_test.go
+++ b/internal/scenario/record_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -50,7 +50,7 @@
 			}
 			took := base[key] * map[bool]float64{false: 1, true: 1.25}[tasks > 10] * math.Exp(.08*r.NormFloat64()) * slow
 			owner := base[key] * .6 * math.Exp(.5*r.NormFloat64())
-			job := &ledger.Job{ID: id, Class: class, Team: team, Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: image, ImageGB: .3, Spot: true, EstimateS: owner}
+			job := &eventlog.Job{ID: id, Class: class, Team: team, Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: image, ImageGB: .3, Spot: true, EstimateS: owner}
 			j := &userJob{id: id, run: time.Duration(took * float64(time.Second)), spec: wire.Submission{ID: id, HasID: true, Job: job}}
 			s.jobs[id] = j
 			at := time.Duration(n) * 8 * time.Second
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
@@ -21,7 +21,7 @@
 		d := newStage(t, seed, 3, nil)
 		d.looks = true
 		for i := range 25 {
-			d.addAt(time.Duration(2000+d.r.IntN(45000))*time.Millisecond, time.Duration(300+d.r.IntN(4000))*time.Millisecond, ledger.Job{Tasks: 1 + d.r.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
+			d.addAt(time.Duration(2000+d.r.IntN(45000))*time.Millisecond, time.Duration(300+d.r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + d.r.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
 		}
 		d.askAll(2 * time.Second)
 		for i := range 8 { // a controller between users and the leader
@@ -65,7 +65,7 @@
 		trial := seed % 4
 		list := make([]*userJob, 8)
 		for i := range list {
-			list[i] = d.add(25*time.Second, ledger.Job{Tasks: 1 + i%3, Kind: uint8(i / 6), Priority: 1, Spot: true})
+			list[i] = d.add(25*time.Second, eventlog.Job{Tasks: 1 + i%3, Kind: uint8(i / 6), Priority: 1, Spot: true})
 		}
 		d.askAll(time.Second)
 		for _, j := range list {
@@ -157,7 +157,7 @@
 		at := time.Duration(i) * 250 * time.Millisecond
 		d.after(at, func() {
 			all[id].sent = d.now
-			j := d.add(time.Duration(1000+d.r.IntN(5000))*time.Millisecond, ledger.Job{ID: id, Priority: uint8(i % 4), Spot: true})
+			j := d.add(time.Duration(1000+d.r.IntN(5000))*time.Millisecond, eventlog.Job{ID: id, Priority: uint8(i % 4), Spot: true})
 			if i%4 == 1 {
 				cancelled++
 				d.after(time.Duration(500+d.r.IntN(4000))*time.Millisecond, func() {
@@ -176,7 +176,7 @@
 		d.run(time.Second)
 		n := 0
 		for k := range d.state.items {
-			if _, err := ledger.Number(k); err == nil {
+			if _, err := eventlog.Number(k); err == nil {
 				n++
 			}
 		}
@@ -227,7 +227,7 @@
 	playDays(t, 6, func(t *testing.T, seed uint64) *sim {
 		d := newStage(t, seed, 3, nil)
 		for i := range 12 {
-			d.addAt(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+d.r.IntN(9))*time.Second, ledger.Job{Tasks: 1 + i%4, Priority: 1, Spot: true})
+			d.addAt(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+d.r.IntN(9))*time.Second, eventlog.Job{Tasks: 1 + i%4, Priority: 1, Spot: true})
 		}
 		d.askAll(time.Second)
 		d.after(3*time.Second, func() { d.tr.begin(oddRequests, 50*time.Second, 0) })
@@ -235,10 +235,10 @@
 		d.run(60 * time.Second)
 		entries := 0
 		for k, it := range d.state.items {
-			if _, err := ledger.Number(k); err != nil {
+			if _, err := eventlog.Number(k); err != nil {
 				continue
 			}
-			list, err := ledger.Decode(it.value)
+			list, err := eventlog.Decode(it.value)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -260,24 +260,24 @@
 	d := newStage(t, 1, 3, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
 	d.leads()
 	d.run(2 * time.Second)
-	base := ledger.Job{Class: "class", Team: "team", Tasks: 4, CPUs: 2, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true}
+	base := eventlog.Job{Class: "class", Team: "team", Tasks: 4, CPUs: 2, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true}
 	for i, c := range []struct {
 		status int
-		change func(j *ledger.Job)
+		change func(j *eventlog.Job)
 	}{
-		{201, func(*ledger.Job) {}}, // an array: one task counts
-		{422, func(j *ledger.Job) { j.Kind = 1 }},
-		{422, func(j *ledger.Job) { j.Kind = 2 }},
-		{201, func(j *ledger.Job) { j.Kind, j.Tasks = 1, 3 }},
-		{422, func(j *ledger.Job) { j.Team = "nobody" }},
-		{422, func(j *ledger.Job) { j.CPUs = 5 }},
-		{422, func(j *ledger.Job) { j.MemoryGB = 17 }},
-		{422, func(j *ledger.Job) { j.GPUs = 1 }},
-		{422, func(j *ledger.Job) { j.Types = []string{"m5"} }},
-		{422, func(j *ledger.Job) { j.Types = []string{} }},
-		{422, func(j *ledger.Job) { j.Zone = "c" }},
-		{422, func(j *ledger.Job) { j.Follows = []uint64{77} }},
-		{422, func(j *ledger.Job) { j.CPUs = 7; j.Tasks = 1 }},
+		{201, func(*eventlog.Job) {}}, // an array: one task counts
+		{422, func(j *eventlog.Job) { j.Kind = 1 }},
+		{422, func(j *eventlog.Job) { j.Kind = 2 }},
+		{201, func(j *eventlog.Job) { j.Kind, j.Tasks = 1, 3 }},
+		{422, func(j *eventlog.Job) { j.Team = "nobody" }},
+		{422, func(j *eventlog.Job) { j.CPUs = 5 }},
+		{422, func(j *eventlog.Job) { j.MemoryGB = 17 }},
+		{422, func(j *eventlog.Job) { j.GPUs = 1 }},
+		{422, func(j *eventlog.Job) { j.Types = []string{"m5"} }},
+		{422, func(j *eventlog.Job) { j.Types = []string{} }},
+		{422, func(j *eventlog.Job) { j.Zone = "c" }},
+		{422, func(j *eventlog.Job) { j.Follows = []uint64{77} }},
+		{422, func(j *eventlog.Job) { j.CPUs = 7; j.Tasks = 1 }},
 	} {
 		job := base
 		job.ID = uint64(i + 1)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/term"
@@ -52,7 +52,7 @@
 	wave := func(count, tasks int, run time.Duration) {
 		for range count {
 			id++
-			job := &ledger.Job{ID: id, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 16), ImageGB: 0.3,
+			job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 16), ImageGB: 0.3,
 				Spot: true, EstimateS: run.Seconds()}
 			j := &userJob{id: id, run: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 			s.jobs[id] = j
@@ -62,9 +62,9 @@
 	report := func(what string) {
 		log, entries := 0, 0
 		for k, it := range s.state.items {
-			if _, err := ledger.Number(k); err == nil {
+			if _, err := eventlog.Number(k); err == nil {
 				log++
-				list, err := ledger.Decode(it.value)
+				list, err := eventlog.Decode(it.value)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/cockroachdb/datadriven"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/coldstart"
@@ -166,7 +166,7 @@
 			}
 		}
 		j.asked, j.byProduction = true, true
-		s.state.append(t, ledger.Entry{Cancel: &j.id})
+		s.state.append(t, eventlog.Entry{Cancel: &j.id})
 		s.check.told(j, effects.Answer{Status: 200, State: wire.Cancelled}, s.now)
 	case "run":
 		s.run(span(t, d, "for"))
@@ -533,7 +533,7 @@
 func (p *player) submit(t *testing.T, d *datadriven.TestData, id uint64) {
 	kinds := map[string]uint8{"array": 0, "gang": 1, "service": 2}
 	runS := span(t, d, "run")
-	job := &ledger.Job{ID: id, Class: "class", Team: arg(t, d, "team", "team"), Kind: kinds[arg(t, d, "kind", "array")], Priority: uint8(arg(t, d, "priority", 1)), Checkpoint: float64(arg(t, d, "checkpoint", 0)),
+	job := &eventlog.Job{ID: id, Class: "class", Team: arg(t, d, "team", "team"), Kind: kinds[arg(t, d, "kind", "array")], Priority: uint8(arg(t, d, "priority", 1)), Checkpoint: float64(arg(t, d, "checkpoint", 0)),
 		Tasks: arg(t, d, "tasks", 1), CPUs: float64(arg(t, d, "cpus", 1)), MemoryGB: 1, Image: "image", ImageGB: 0.3,
 		Zone: arg(t, d, "zone", ""), OneZone: d.HasArg("one-zone"), Spread: d.HasArg("spread"), Spot: !d.HasArg("no-spot"), EstimateS: max(1, runS.Seconds())}
 	if counted := arg(t, d, "counted", ""); counted != "" { // POOL:UNITS, each with /job where it is for the job as a whole
@@ -544,7 +544,7 @@
 			if err != nil {
 				d.Fatalf(t, "counted: %v", err)
 			}
-			job.Counted = append(job.Counted, ledger.Counted{Pool: pool, Units: n, PerJob: whole})
+			job.Counted = append(job.Counted, eventlog.Counted{Pool: pool, Units: n, PerJob: whole})
 		}
 	}
 	if follows := arg(t, d, "follows", ""); follows != "" {
@@ -629,7 +629,7 @@
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = 2
 	s := newSim(c, 1, 0, false)
-	job := &ledger.Job{ID: 1, Team: "team", Tasks: 4, CPUs: 1, Spot: true}
+	job := &eventlog.Job{ID: 1, Team: "team", Tasks: 4, CPUs: 1, Spot: true}
 	j := &userJob{id: 1, spec: wire.Submission{ID: 1, HasID: true, Job: job}, accepted: true}
 	s.jobs[1] = j
 	return s, j, &worker{s: s, name: "w1", zone: "a"}, &worker{s: s, name: "w2", zone: "b"}
@@ -699,7 +699,7 @@
 		{"left_waiting", func(s *sim, j *userJob, w1, w2 *worker) { // a gang, over two machines
 			j.spec.Job.Kind, s.cfg.Deployment.Teams[0].CPUsMax = 1, 4
 			w1.tasks = map[task]*run{{9, 0}: {}}
-			s.jobs[9] = &userJob{id: 9, spec: wire.Submission{ID: 9, Job: &ledger.Job{ID: 9, CPUs: 3}}}
+			s.jobs[9] = &userJob{id: 9, spec: wire.Submission{ID: 9, Job: &eventlog.Job{ID: 9, CPUs: 3}}}
 			for _, w := range []*worker{w1, w2} {
 				s.cloud.machines[w.name], w.up = w, true
 			}
@@ -759,8 +759,8 @@
 			s.check.started(task{2, 0}, w1)
 		}},
 		{"orphaned", func(s *sim, j *userJob, _, _ *worker) {
-			third := &userJob{id: 3, accepted: true, spec: wire.Submission{ID: 3, Job: &ledger.Job{ID: 3, Tasks: 1, Follows: []uint64{2}}}}
-			s.jobs[2] = &userJob{id: 2, spec: wire.Submission{ID: 2, Job: &ledger.Job{ID: 2, Tasks: 1, Follows: []uint64{1}}}}
+			third := &userJob{id: 3, accepted: true, spec: wire.Submission{ID: 3, Job: &eventlog.Job{ID: 3, Tasks: 1, Follows: []uint64{2}}}}
+			s.jobs[2] = &userJob{id: 2, spec: wire.Submission{ID: 2, Job: &eventlog.Job{ID: 2, Tasks: 1, Follows: []uint64{1}}}}
 			j.asked = true
 			s.check.told(j, effects.Answer{Status: 200, State: wire.Cancelled}, s.now)
 			s.run(time.Minute)
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -9,8 +9,8 @@
 	"testing"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/leader/term"
 	"bitternmoor/internal/wire"
@@ -107,15 +107,15 @@
 }
 
 type txnResult struct {
-	out    ledger.Outcome
+	out    eventlog.Outcome
 	mark   uint64
 	failed []string
 }
 
-func (st *stateService) apply(conds []ledger.Cond, writes []ledger.Op, held uint64) txnResult {
+func (st *stateService) apply(conds []eventlog.Cond, writes []eventlog.Op, held uint64) txnResult {
 	st.expire()
 	if held != 0 && st.holds[held] == nil {
-		return txnResult{out: ledger.Refused}
+		return txnResult{out: eventlog.Refused}
 	}
 	var failed []string
 	for _, c := range conds {
@@ -134,15 +134,15 @@
 	for _, w := range writes {
 		if len(w.Value) > int(lim.ValueKB*1024) {
 			st.s.check.fail("state limits", "a value of %d bytes for %s", len(w.Value), w.Key)
-			return txnResult{out: ledger.Invalid}
+			return txnResult{out: eventlog.Invalid}
 		}
 	}
 	if len(writes) > lim.TxnOps {
 		st.s.check.fail("state limits", "a transaction of %d changes", len(writes))
-		return txnResult{out: ledger.Invalid}
+		return txnResult{out: eventlog.Invalid}
 	}
 	if failed != nil {
-		return txnResult{out: ledger.Conflict, failed: failed}
+		return txnResult{out: eventlog.Conflict, failed: failed}
 	}
 	st.rev++
 	for _, w := range writes {
@@ -158,12 +158,12 @@
 		}
 		st.changed(w.Key)
 	}
-	return txnResult{out: ledger.Applied, mark: st.rev}
+	return txnResult{out: eventlog.Applied, mark: st.rev}
 }
 
 // lateWrite says whether a transaction is one that has no answer, and has it carried out
 // later.
-func (st *stateService) lateWrite(writes []ledger.Op, apply func() ledger.Outcome) bool {
+func (st *stateService) lateWrite(writes []eventlog.Op, apply func() eventlog.Outcome) bool {
 	if st.lateShare == 0 || st.atOnce || st.s.rng.Float64() >= st.lateShare {
 		return false
 	}
@@ -179,7 +179,7 @@
 			if newer {
 				st.s.saw(what + ", after newer ones")
 			}
-			if out == ledger.Applied {
+			if out == eventlog.Applied {
 				st.s.saw(what + ", carried out")
 			}
 		}
@@ -199,7 +199,7 @@
 }
 
 // written names what a transaction changes, by kind.
-func written(writes []ledger.Op) []string {
+func written(writes []eventlog.Op) []string {
 	var out []string
 	for _, w := range writes {
 		kind := w.Key[:strings.LastIndex(w.Key, "/")]
@@ -211,11 +211,11 @@
 	return out
 }
 
-func (st *stateService) commit(c *controller, t ledger.Txn) {
+func (st *stateService) commit(c *controller, t eventlog.Txn) {
 	epoch := epochOf(c)
 	done := func(r txnResult, ok bool) {
 		if !ok {
-			r = txnResult{out: ledger.Unknown}
+			r = txnResult{out: eventlog.Unknown}
 		}
 		c.into(func(now time.Duration) { c.core.Committed(now, epoch, t.Seq, r.out, r.mark, r.failed) })()
 	}
@@ -223,7 +223,7 @@
 		st.s.check.productionWrites(t)
 	}
 	life := c.life
-	if st.lateWrite(t.Writes, func() ledger.Outcome { return st.apply(t.Conds, t.Writes, 0).out }) {
+	if st.lateWrite(t.Writes, func() eventlog.Outcome { return st.apply(t.Conds, t.Writes, 0).out }) {
 		st.s.after(wait, func() {
 			if c.life == life {
 				done(txnResult{}, false)
@@ -244,7 +244,7 @@
 	}
 	call(st.s, c.name, "state", wait, func(reply func(txnResult)) {
 		if st.down(c) {
-			reply(txnResult{out: ledger.Refused})
+			reply(txnResult{out: eventlog.Refused})
 			return
 		}
 		for _, step := range st.steps(t.Writes) {
@@ -258,7 +258,7 @@
 			st.loseOut--
 			return
 		}
-		if r.out == ledger.Applied && st.answerLost(written(t.Writes)...) {
+		if r.out == eventlog.Applied && st.answerLost(written(t.Writes)...) {
 			return
 		}
 		st.s.after(4*time.Millisecond, func() { reply(r) })
@@ -270,16 +270,16 @@
 }
 
 // steps names what a transaction makes durable on the way from a rental to a start.
-func (st *stateService) steps(writes []ledger.Op) []string {
+func (st *stateService) steps(writes []eventlog.Op) []string {
 	if st.s.moment == nil {
 		return nil
 	}
 	var out []string
 	for _, w := range writes {
-		if _, err := ledger.Number(w.Key); err != nil || w.Remove {
+		if _, err := eventlog.Number(w.Key); err != nil || w.Remove {
 			continue
 		}
-		list, err := ledger.Decode(w.Value)
+		list, err := eventlog.Decode(w.Value)
 		if err != nil {
 			panic(err)
 		}
@@ -301,18 +301,18 @@
 }
 
 // append writes an entry into the log as its last one.
-func (st *stateService) append(t *testing.T, e ledger.Entry) {
+func (st *stateService) append(t *testing.T, e eventlog.Entry) {
 	last := 0
 	for k := range st.items {
-		if n, err := ledger.Number(k); err == nil {
+		if n, err := eventlog.Number(k); err == nil {
 			last = max(last, n)
 		}
 	}
-	raw, err := json.Marshal(map[string][]ledger.Entry{"e": {e}})
+	raw, err := json.Marshal(map[string][]eventlog.Entry{"e": {e}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := st.apply(nil, []ledger.Op{{Key: ledger.Key(last + 1), Value: raw}}, 0); r.out != ledger.Applied {
+	if r := st.apply(nil, []eventlog.Op{{Key: eventlog.Key(last + 1), Value: raw}}, 0); r.out != eventlog.Applied {
 		t.Fatalf("not written: %v", r)
 	}
 }
@@ -334,19 +334,19 @@
 
 func (st *stateService) clean(c *controller, first, end int) {
 	epoch, life := epochOf(c), c.life
-	call(st.s, c.name, "state", wait, func(reply func([]ledger.Entry)) {
+	call(st.s, c.name, "state", wait, func(reply func([]eventlog.Entry)) {
 		if st.down(c) {
 			return
 		}
-		var list []ledger.Entry
+		var list []eventlog.Entry
 		for n := first; n < end; n++ {
-			if it, ok := st.items[ledger.Key(n)]; ok {
+			if it, ok := st.items[eventlog.Key(n)]; ok {
 				list = append(list, c.entries(it.value)...)
 				st.cleaned++
 			}
 		}
 		reply(list)
-	}, func(list []ledger.Entry, ok bool) {
+	}, func(list []eventlog.Entry, ok bool) {
 		if c.life == life {
 			c.into(func(now time.Duration) { c.core.Cleaned(now, epoch, first, end, ok, list) })()
 		}
@@ -356,7 +356,7 @@
 // values reads a page of a duty's own values, a few at a time.
 func (st *stateService) values(c *controller, duty, since string) {
 	type page struct {
-		list []ledger.Value
+		list []eventlog.Value
 		more bool
 	}
 	epoch, life := epochOf(c), c.life
@@ -366,14 +366,14 @@
 		}
 		var keys []string
 		for k := range st.items {
-			if strings.HasPrefix(k, ledger.ValuePrefix(duty)) && k > since {
+			if strings.HasPrefix(k, eventlog.ValuePrefix(duty)) && k > since {
 				keys = append(keys, k)
 			}
 		}
 		slices.Sort(keys)
 		p := page{more: len(keys) > 3}
 		for _, k := range keys[:min(len(keys), 3)] {
-			p.list = append(p.list, ledger.Value{Key: k, Data: st.items[k].value})
+			p.list = append(p.list, eventlog.Value{Key: k, Data: st.items[k].value})
 		}
 		reply(p)
 	}, func(p page, ok bool) {
@@ -392,13 +392,13 @@
 		var r term.Durable
 		var keys []string
 		for k := range st.items {
-			if strings.HasPrefix(k, ledger.Prefix) {
+			if strings.HasPrefix(k, eventlog.Prefix) {
 				keys = append(keys, k)
 			}
 		}
 		slices.Sort(keys)
 		for _, k := range keys {
-			r.Last, _ = ledger.Number(k)
+			r.Last, _ = eventlog.Number(k)
 			if r.First == 0 {
 				r.First = r.Last
 			}
@@ -406,17 +406,17 @@
 		}
 		keys = keys[:0]
 		for k := range st.items {
-			if strings.HasPrefix(k, ledger.SizesPrefix) {
+			if strings.HasPrefix(k, eventlog.SizesPrefix) {
 				keys = append(keys, k)
 			}
 		}
 		slices.SortFunc(keys, func(a, b string) int { return cmp.Compare(st.items[a].mark, st.items[b].mark) })
 		for _, k := range keys {
-			var v ledger.VirtualSizes
+			var v eventlog.VirtualSizes
 			if json.Unmarshal(st.items[k].value, &v) == nil {
 				r.Sizes = append(r.Sizes, v.Sizes...)
 			}
-			n, _ := ledger.SizesNumber(k)
+			n, _ := eventlog.SizesNumber(k)
 			r.Pieces = max(r.Pieces, n+1)
 		}
 		reply(r)
@@ -497,17 +497,17 @@
 		case leadership.Claim:
 			value, _ := json.Marshal(leadership.Holder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
-				return st.apply([]ledger.Cond{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Mark: o.View.EpochMark}},
-					[]ledger.Op{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.Hold)
+				return st.apply([]eventlog.Cond{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Mark: o.View.EpochMark}},
+					[]eventlog.Op{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.Hold)
 			}
-			if st.lateWrite([]ledger.Op{{Key: leadership.EpochKey}}, func() ledger.Outcome { return claim().out }) {
+			if st.lateWrite([]eventlog.Op{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
 				return
 			}
 			r := claim()
-			if r.out == ledger.Applied && st.answerLost("claim") {
+			if r.out == eventlog.Applied && st.answerLost("claim") {
 				return
 			}
-			reply(leadResult{ok: r.out == ledger.Applied, id: r.mark})
+			reply(leadResult{ok: r.out == eventlog.Applied, id: r.mark})
 		case leadership.Renew:
 			h := st.holds[o.Hold]
 			if h == nil {
@@ -561,9 +561,9 @@
 	deleted  int
 }
 
-var types = []ledger.Type{{Name: "m4", CPUs: machineCPUs, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}}}
+var types = []eventlog.Type{{Name: "m4", CPUs: machineCPUs, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}}}
 
-func (cl *cloud) execute(r ledger.Rental) []string {
+func (cl *cloud) execute(r eventlog.Rental) []string {
 	if got, ok := cl.answers[r.Name]; ok {
 		return got
 	}
@@ -596,7 +596,7 @@
 	res   wire.RentResult
 }
 
-func (cl *cloud) rent(c *controller, r ledger.Rental) {
+func (cl *cloud) rent(c *controller, r eventlog.Rental) {
 	epoch, life := epochOf(c), c.life
 	if cl.late > 0 {
 		cl.s.after(cl.late, func() { cl.execute(r) })
@@ -664,13 +664,13 @@
 
 func (cl *cloud) types(c *controller) {
 	epoch, life := epochOf(c), c.life
-	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]ledger.Type)) {
+	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]eventlog.Type)) {
 		if cl.outage {
 			reply(nil)
 			return
 		}
 		reply(types)
-	}, func(list []ledger.Type, _ bool) {
+	}, func(list []eventlog.Type, _ bool) {
 		if c.life == life {
 			c.into(func(now time.Duration) { c.core.GotTypes(now, epoch, list) })()
 		}
@@ -687,7 +687,7 @@
 	slices.Sort(names)
 	for _, n := range names {
 		w := cl.machines[n]
-		list = append(list, wire.Listed{Machine: ledger.Machine{Name: n, Address: n, Type: "m4", Zone: w.zone, Spot: w.spot}})
+		list = append(list, wire.Listed{Machine: eventlog.Machine{Name: n, Address: n, Type: "m4", Zone: w.zone, Spot: w.spot}})
 	}
 	// The list is as old as the time it takes to come.
 	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]wire.Listed)) {
@@ -702,11 +702,11 @@
 }
 
 // learned notes the jobs whose facts of run times were ever durable.
-func (st *stateService) learned(w ledger.Op) {
-	if _, err := ledger.Number(w.Key); st.facts == nil || err != nil {
+func (st *stateService) learned(w eventlog.Op) {
+	if _, err := eventlog.Number(w.Key); st.facts == nil || err != nil {
 		return
 	}
-	list, err := ledger.Decode(w.Value)
+	list, err := eventlog.Decode(w.Value)
 	if err != nil {
 		panic(err)
 	}
@@ -732,10 +732,10 @@
 func (st *stateService) owned(duty string) int {
 	n := 0
 	for k, it := range st.items {
-		if _, err := ledger.Number(k); err != nil {
+		if _, err := eventlog.Number(k); err != nil {
 			continue
 		}
-		list, err := ledger.Decode(it.value)
+		list, err := eventlog.Decode(it.value)
 		if err != nil {
 			panic(err)
 		}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -358,11 +358,11 @@
 }
 
 // entries reads a segment as this controller's version does.
-func (c *controller) entries(value json.RawMessage) []ledger.Entry {
+func (c *controller) entries(value json.RawMessage) []eventlog.Entry {
 	if c.old {
 		value = asProductionReads(value)
 	}
-	list, err := ledger.Decode(value)
+	list, err := eventlog.Decode(value)
 	if err != nil {
 		panic(err)
 	}
@@ -715,7 +715,7 @@
 func (s *sim) odd(j *userJob, at int) {
 	bad := wire.Submission{ID: j.id, HasID: true, Bad: "herd: missing"}
 	unfit := bad
-	unfit.Bad, unfit.Job = "", &ledger.Job{}
+	unfit.Bad, unfit.Job = "", &eventlog.Job{}
 	*unfit.Job = *j.spec.Job
 	unfit.Job.CPUs = 1e5
 	switch kind := s.rng.IntN(4); kind {
--- a/internal/scenario/spread_test.go
+++ b/internal/scenario/spread_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/wire"
 )
 
@@ -50,7 +50,7 @@
 	for i := range uint64(110) {
 		id := i + 1
 		run := time.Duration(700+r.IntN(3000)) * time.Millisecond
-		job := &ledger.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(3)), Tasks: 10 + r.IntN(40), CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 2), ImageGB: 0.3, Spot: true, EstimateS: 3}
+		job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(3)), Tasks: 10 + r.IntN(40), CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 2), ImageGB: 0.3, Spot: true, EstimateS: 3}
 		j := &userJob{id: id, run: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		s.jobs[id] = j
 		s.after(time.Duration(r.IntN(90000))*time.Millisecond, func() { s.submit(j, r.IntN(3), func() bool { return true }) })
--- a/internal/scenario/stage_test.go
+++ b/internal/scenario/stage_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -62,7 +62,7 @@
 
 // add has a user submit a job now, at one controller after the other for as long as users
 // try. What the description leaves out is filled in.
-func (d *stage) add(run time.Duration, job ledger.Job) *userJob {
+func (d *stage) add(run time.Duration, job eventlog.Job) *userJob {
 	if job.ID == 0 {
 		job.ID = uint64(len(d.jobs) + 1)
 	}
@@ -91,7 +91,7 @@
 }
 
 // warmUp has a first job be done, so that machines are there which are kept ready.
-func (d *stage) warmUp(run time.Duration, job ledger.Job) {
+func (d *stage) warmUp(run time.Duration, job eventlog.Job) {
 	d.t.Helper()
 	j := d.add(run, job)
 	d.askAll(2 * time.Second)
@@ -101,9 +101,9 @@
 }
 
 // addAt does so later.
-func (d *stage) addAt(after, run time.Duration, job ledger.Job) {
+func (d *stage) addAt(after, run time.Duration, job eventlog.Job) {
 	job.ID = uint64(len(d.jobs) + 1)
-	d.jobs[job.ID] = &userJob{id: job.ID, spec: wire.Submission{ID: job.ID, HasID: true, Job: &ledger.Job{}}}
+	d.jobs[job.ID] = &userJob{id: job.ID, spec: wire.Submission{ID: job.ID, HasID: true, Job: &eventlog.Job{}}}
 	d.after(after, func() { d.add(run, job) })
 }
 
@@ -194,7 +194,7 @@
 			d.run(3 * time.Second)
 			const begins, ends = 40 * time.Second, 140 * time.Second
 			for i := range 320 {
-				d.addAt(time.Duration(i)*400*time.Millisecond, time.Duration(2+i%5)*time.Second, ledger.Job{Priority: 1, Spot: true})
+				d.addAt(time.Duration(i)*400*time.Millisecond, time.Duration(2+i%5)*time.Second, eventlog.Job{Priority: 1, Spot: true})
 			}
 			d.askAll(time.Second)
 			d.after(begins, func() {
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/troubles_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/wire"
 )
 
@@ -274,7 +274,7 @@
 }
 
 // extra has a user submit a further job of the class and team that random days have.
-func (s *sim) extra(run time.Duration, job ledger.Job) *userJob {
+func (s *sim) extra(run time.Duration, job eventlog.Job) *userJob {
 	job.ID = uint64(len(s.jobs) + 1) // those of a day are numbered through
 	job.Class, job.Team, job.MemoryGB, job.Image, job.ImageGB, job.Spot, job.EstimateS = "class", "team", 1, "image", 0.3, true, run.Seconds()
 	j := &userJob{id: job.ID, run: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
@@ -287,7 +287,7 @@
 // burst has so many jobs come at once, urgent and not, each of them with many tasks.
 func (s *sim) burst(r *rand.Rand, count int) {
 	for i := range count {
-		s.extra(time.Duration(2000+r.IntN(9000))*time.Millisecond, ledger.Job{Tasks: 6 + r.IntN(10), CPUs: float64(1 + i%2), Priority: uint8(i % 4)})
+		s.extra(time.Duration(2000+r.IntN(9000))*time.Millisecond, eventlog.Job{Tasks: 6 + r.IntN(10), CPUs: float64(1 + i%2), Priority: uint8(i % 4)})
 	}
 	s.saw("more work than room")
 }
@@ -296,7 +296,7 @@
 func (s *sim) stream(r *rand.Rand, length time.Duration) {
 	for i := range int(length / (250 * time.Millisecond)) {
 		s.after(time.Duration(i)*250*time.Millisecond, func() {
-			j := s.extra(time.Duration(500+r.IntN(4000))*time.Millisecond, ledger.Job{Tasks: 1, CPUs: 1, Priority: uint8(i % 4)})
+			j := s.extra(time.Duration(500+r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1, CPUs: 1, Priority: uint8(i % 4)})
 			if i%4 == 1 {
 				s.after(time.Duration(200+r.IntN(2500))*time.Millisecond, func() {
 					if j.accepted {
--- a/internal/scenario/unheard_test.go
+++ b/internal/scenario/unheard_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/settings"
 )
 
@@ -21,7 +21,7 @@
 			}
 		})
 		for i := range 14 {
-			d.addAt(time.Duration(i)*2500*time.Millisecond, time.Duration(4+d.r.IntN(20))*time.Second, ledger.Job{Tasks: 1 + d.r.IntN(6), Kind: uint8(i % 5 / 4), Priority: 1, Spot: true, OneZone: i%4 == 0})
+			d.addAt(time.Duration(i)*2500*time.Millisecond, time.Duration(4+d.r.IntN(20))*time.Second, eventlog.Job{Tasks: 1 + d.r.IntN(6), Kind: uint8(i % 5 / 4), Priority: 1, Spot: true, OneZone: i%4 == 0})
 		}
 		for _, id := range []uint64{3, 7, 11} {
 			d.after(time.Duration(10+3*id)*time.Second, func() { d.cancel(d.jobs[id], int(id)) })
@@ -72,7 +72,7 @@
 		})
 		var list []*userJob
 		for i := range 5 {
-			list = append(list, d.add(150*time.Second, ledger.Job{Tasks: 3, Kind: uint8(i / 4), Priority: 1, Spot: true, OneZone: i == 2}))
+			list = append(list, d.add(150*time.Second, eventlog.Job{Tasks: 3, Kind: uint8(i / 4), Priority: 1, Spot: true, OneZone: i == 2}))
 		}
 		d.askAll(time.Second)
 		for _, j := range list {
@@ -83,7 +83,7 @@
 		before := d.check.starts
 		d.trouble("mute", on, length)
 		for i := range 6 { // some are sent straight to them
-			d.after(time.Duration(d.r.IntN(9000))*time.Millisecond, func() { d.add(20*time.Second, ledger.Job{Tasks: 1 + i%2, Priority: 2, Spot: true}) })
+			d.after(time.Duration(d.r.IntN(9000))*time.Millisecond, func() { d.add(20*time.Second, eventlog.Job{Tasks: 1 + i%2, Priority: 2, Spot: true}) })
 		}
 		d.after(2*time.Second, func() { d.cancel(list[1], 0) })
 		if seed%4 > 1 {
@@ -138,7 +138,7 @@
 			}
 		})
 		for i := range 10 {
-			d.addAt(time.Duration(i)*900*time.Millisecond, time.Duration(15+d.r.IntN(60))*time.Second, ledger.Job{Tasks: 2 + i%4, Kind: uint8(i % 4 / 3), Priority: uint8(i % 3), Spot: true, OneZone: i%4 == 1, Spread: i%4 == 2})
+			d.addAt(time.Duration(i)*900*time.Millisecond, time.Duration(15+d.r.IntN(60))*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i % 4 / 3), Priority: uint8(i % 3), Spot: true, OneZone: i%4 == 1, Spread: i%4 == 2})
 		}
 		d.askAll(time.Second)
 		d.run(25 * time.Second)
@@ -205,9 +205,9 @@
 		d := newStage(t, seed, 3, nil)
 		var list []*userJob
 		for i, kind := range []uint8{0, 1, 2, 0} {
-			list = append(list, d.add(200*time.Second, ledger.Job{Tasks: 2 + i, Kind: kind, Priority: 1, Spot: true}))
+			list = append(list, d.add(200*time.Second, eventlog.Job{Tasks: 2 + i, Kind: kind, Priority: 1, Spot: true}))
 		}
-		stays := d.add(150*time.Second, ledger.Job{Tasks: 4, Priority: 1, Spot: true})
+		stays := d.add(150*time.Second, eventlog.Job{Tasks: 4, Priority: 1, Spot: true})
 		d.askAll(time.Second)
 		for _, j := range append(list, stays) {
 			d.runs(j, j.spec.Job.Tasks)
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -9,8 +9,8 @@
 	"reflect"
 	"testing"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
@@ -33,7 +33,7 @@
 // same, or they would not be production's.
 func TestProductionsLog(t *testing.T) {
 	raw := golden(t, "segment.json")
-	list, err := ledger.Decode(raw)
+	list, err := eventlog.Decode(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,8 +56,8 @@
 	if got := asProductionReads(raw); !bytes.Equal(got, raw) {
 		t.Errorf("the frozen types write\n%s, production wrote\n%s", got, raw)
 	}
-	var sizes ledger.VirtualSizes
-	if err := json.Unmarshal(golden(t, "sizes.json"), &sizes); err != nil || !reflect.DeepEqual(sizes.Sizes, []ledger.VirtualSize{{ID: 413, Size: 31.5, Virtual: 12.3}}) {
+	var sizes eventlog.VirtualSizes
+	if err := json.Unmarshal(golden(t, "sizes.json"), &sizes); err != nil || !reflect.DeepEqual(sizes.Sizes, []eventlog.VirtualSize{{ID: 413, Size: 31.5, Virtual: 12.3}}) {
 		t.Errorf("sizes are read as %+v, %v", sizes, err)
 	}
 	var h leadership.Holder
@@ -69,15 +69,15 @@
 // What is new in the log is left out by production's reading, and everything
 // beside it is read as it is.
 func TestProductionReadsTheNewLog(t *testing.T) {
-	job := ledger.Job{ID: 9, Class: "c", Team: "t", Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", EstimateS: 5, AtMS: 7}
+	job := eventlog.Job{ID: 9, Class: "c", Team: "t", Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", EstimateS: 5, AtMS: 7}
 	next := job
 	next.Follows, next.Rest, next.ReleasedMS = []uint64{1, 2}, 3, 99
-	with := []ledger.Entry{{Job: &next}, {After: &ledger.After{ID: 9, AtMS: 7, Jobs: []uint64{5}}},
-		{Tasks: &ledger.Tasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3, AtMS: 88}},
-		{Types: []ledger.Type{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}, More: true}}}}
-	without := []ledger.Entry{{Job: &job}, {},
-		{Tasks: &ledger.Tasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3}},
-		{Types: []ledger.Type{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}}}}}
+	with := []eventlog.Entry{{Job: &next}, {After: &eventlog.After{ID: 9, AtMS: 7, Jobs: []uint64{5}}},
+		{Tasks: &eventlog.Tasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3, AtMS: 88}},
+		{Types: []eventlog.Type{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}, More: true}}}}
+	without := []eventlog.Entry{{Job: &job}, {},
+		{Tasks: &eventlog.Tasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3}},
+		{Types: []eventlog.Type{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}}}}}
 	raw, err := json.Marshal(map[string]any{"e": with})
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 // Messages between controllers: what production sent is understood, and it
 // understands what is sent to it, field by field.
 func TestProductionsMessages(t *testing.T) {
-	job := &ledger.Job{ID: 412, Class: "train", Team: "vision", Kind: 1, Priority: 2, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64.5,
+	job := &eventlog.Job{ID: 412, Class: "train", Team: "vision", Kind: 1, Priority: 2, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64.5,
 		Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true,
 		EstimateS: 240, Checkpoint: 30, SaveS: 4, DeadlineS: 900, AtMS: 1764590000123}
 	report := workers.Report{Machine: "host-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 88, Token: 7<<20 + 5,
@@ -148,7 +148,7 @@
 		}
 	}
 	if node.PathPeers != "/peers" || leadership.HolderKey != "lead/holder" || leadership.EpochKey != "lead/epoch" ||
-		ledger.Key(7) != "log/00000007" || ledger.SizesPrefix != "sizes/" {
+		eventlog.Key(7) != "log/00000007" || eventlog.SizesPrefix != "sizes/" {
 		t.Error("a path or key that the versions share has changed")
 	}
 }
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -9,7 +9,7 @@
 
 	"gopkg.in/ini.v1"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/operators/certs"
 )
 
@@ -77,9 +77,9 @@
 		var err error
 		switch key.Name() {
 		case "units":
-			p.Units, err = wholeOf(key.Value(), 0, ledger.UnitsMost)
+			p.Units, err = wholeOf(key.Value(), 0, eventlog.UnitsMost)
 		case "reserve":
-			p.Reserve, err = wholeOf(key.Value(), 0, ledger.UnitsMost)
+			p.Reserve, err = wholeOf(key.Value(), 0, eventlog.UnitsMost)
 		case "hold_after_loss":
 			p.HoldAfterLossS, err = strconv.ParseFloat(key.Value(), 64)
 			if err != nil || !(p.HoldAfterLossS >= 0) || p.HoldAfterLossS > 86400 {
@@ -113,7 +113,7 @@
 		if !ok || s.Team == "" {
 			return nil, fmt.Errorf("not a team and its units, like risk:3: %q", part)
 		}
-		if s.Units, err = wholeOf(strings.TrimSpace(units), 0, ledger.UnitsMost); err != nil {
+		if s.Units, err = wholeOf(strings.TrimSpace(units), 0, eventlog.UnitsMost); err != nil {
 			return nil, fmt.Errorf("%s: %w", s.Team, err)
 		}
 		if slices.ContainsFunc(out, func(o PoolShare) bool { return o.Team == s.Team }) {
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -7,7 +7,7 @@
 	"strconv"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 )
 
@@ -106,7 +106,7 @@
 }
 
 // EncodeSubmission is the body with which a user submits a job.
-func EncodeSubmission(j *ledger.Job) []byte {
+func EncodeSubmission(j *eventlog.Job) []byte {
 	id := FormatID(j.ID)
 	s := submission{ID: &id, Class: &j.Class, Team: &j.Team, Kind: &kinds[j.Kind], Priority: &priorities[j.Priority], Tasks: &j.Tasks,
 		CPUs: &j.CPUs, GPUs: &j.GPUs, MemoryGB: &j.MemoryGB, Image: &j.Image, ImageGB: &j.ImageGB, Types: j.Types,
@@ -150,7 +150,7 @@
 
 // StateTxn is a transaction, as the state service reads it.
 type StateTxn struct {
-	Conds  []ledger.Cond
+	Conds  []eventlog.Cond
 	Writes []StateWrite
 }
 
@@ -162,7 +162,7 @@
 	}
 	var out StateTxn
 	for _, c := range in.If {
-		out.Conds = append(out.Conds, ledger.Cond(c))
+		out.Conds = append(out.Conds, eventlog.Cond(c))
 	}
 	for _, p := range in.Then {
 		if p.Delete != "" {
@@ -280,7 +280,7 @@
 func HoldAnswer(id uint64) []byte { return encode(holdAnswer{id}) }
 
 // MachineTypes is the body with which the cloud gives its machine types.
-func MachineTypes(types []ledger.Type) []byte {
+func MachineTypes(types []eventlog.Type) []byte {
 	var out machineTypes
 	for _, t := range types {
 		out.Types = append(out.Types, machineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
@@ -290,12 +290,12 @@
 }
 
 // ParseRental reads a rental request.
-func ParseRental(body []byte) (ledger.Rental, error) {
+func ParseRental(body []byte) (eventlog.Rental, error) {
 	var in rental
 	if err := json.Unmarshal(body, &in); err != nil || in.Request == "" {
-		return ledger.Rental{}, fmt.Errorf("wire: a rental request that cannot be read")
+		return eventlog.Rental{}, fmt.Errorf("wire: a rental request that cannot be read")
 	}
-	return ledger.Rental{Name: in.Request, Type: in.Type, Zone: in.Zone, Spot: in.Spot, Count: in.Count}, nil
+	return eventlog.Rental{Name: in.Request, Type: in.Type, Zone: in.Zone, Spot: in.Spot, Count: in.Count}, nil
 }
 
 // RentalAnswer is the body that names the machines rented.
--- a/internal/wire/platform_test.go
+++ b/internal/wire/platform_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/workers"
 )
 
@@ -27,7 +27,7 @@
 	if got := ParseElsewhere(Elsewhere("n1")); got != "n1" {
 		t.Errorf("elsewhere: %q", got)
 	}
-	j := &ledger.Job{ID: 1, Class: "c", Team: "t", Priority: 2, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: .5, Types: []string{"m"}, Zone: "z",
+	j := &eventlog.Job{ID: 1, Class: "c", Team: "t", Priority: 2, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: .5, Types: []string{"m"}, Zone: "z",
 		Spot: true, EstimateS: 9, DeadlineS: 10, Follows: []uint64{7}}
 	if got := ParseSubmission(EncodeSubmission(j), false); got.Bad != "" || !reflect.DeepEqual(got.Job, j) {
 		t.Errorf("a submission: %+v", got)
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -13,8 +13,8 @@
 	"strconv"
 	"time"
 
+	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/ledger"
 	"bitternmoor/internal/core/workers"
 )
 
@@ -127,26 +127,26 @@
 	Failed []string `json:"failed"`
 }
 
-func (s *State) multi(ctx context.Context, t txn) (ledger.Outcome, uint64, []string) {
+func (s *State) multi(ctx context.Context, t txn) (eventlog.Outcome, uint64, []string) {
 	var out txnAnswer
 	status, err := s.c.call(ctx, "POST", PathTransactions, t, &out)
 	switch {
 	case err != nil:
-		return ledger.Unknown, 0, nil
+		return eventlog.Unknown, 0, nil
 	case status == 200:
-		return ledger.Applied, out.Rev, nil
+		return eventlog.Applied, out.Rev, nil
 	case status == 409:
-		return ledger.Conflict, 0, out.Failed
+		return eventlog.Conflict, 0, out.Failed
 	case status == 429 || status == 503:
-		return ledger.Refused, 0, nil
+		return eventlog.Refused, 0, nil
 	case status == 400:
-		return ledger.Invalid, 0, nil
+		return eventlog.Invalid, 0, nil
 	}
-	return ledger.Unknown, 0, nil
+	return eventlog.Unknown, 0, nil
 }
 
 // Commit runs a transaction of the ledger.
-func (s *State) Commit(ctx context.Context, t ledger.Txn) (ledger.Outcome, uint64, []string) {
+func (s *State) Commit(ctx context.Context, t eventlog.Txn) (eventlog.Outcome, uint64, []string) {
 	var x txn
 	for _, c := range t.Conds {
 		x.If = append(x.If, cond{c.Key, c.Mark})
@@ -190,7 +190,7 @@
 		If:   []cond{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochMark}},
 		Then: []put{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
-	return out == ledger.Applied, rev
+	return out == eventlog.Applied, rev
 }
 
 // Follow waits for a change of keys with a prefix; it says whether it waited
@@ -243,7 +243,7 @@
 }
 
 // Types reads the machine types.
-func (c *Cloud) Types(ctx context.Context) ([]ledger.Type, error) {
+func (c *Cloud) Types(ctx context.Context) ([]eventlog.Type, error) {
 	var out machineTypes
 	status, err := c.c.call(ctx, "GET", PathMachineTypes, nil, &out)
 	if err != nil {
@@ -252,12 +252,12 @@
 	if status != 200 {
 		return nil, fmt.Errorf("wire: cloud: status %d", status)
 	}
-	var types []ledger.Type
+	var types []eventlog.Type
 	for _, t := range out.Types {
 		if t.Name == "" || !(t.CPUs > 0) || math.IsInf(t.CPUs, 0) {
 			continue
 		}
-		types = append(types, ledger.Type{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+		types = append(types, eventlog.Type{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 			FetchGBPS: t.Fetch, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones})
 	}
 	return types, nil
@@ -290,7 +290,7 @@
 }
 
 // Rent sends a rental request.
-func (c *Cloud) Rent(ctx context.Context, r ledger.Rental) ([]string, RentResult) {
+func (c *Cloud) Rent(ctx context.Context, r eventlog.Rental) ([]string, RentResult) {
 	in := rental{r.Name, r.Type, r.Zone, r.Spot, r.Count}
 	var out machineNames
 	var refused problem
@@ -346,7 +346,7 @@
 
 // Listed is a machine of the cloud's list, which lags.
 type Listed struct {
-	Machine ledger.Machine
+	Machine eventlog.Machine
 	Failed  bool
 	HeldS   float64
 }
@@ -386,7 +386,7 @@
 			return nil, fmt.Errorf("wire: cloud: status %d", status)
 		}
 		for _, m := range out.Machines {
-			all = append(all, Listed{ledger.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.State == stateFailed, m.HeldS})
+			all = append(all, Listed{eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.State == stateFailed, m.HeldS})
 			since = m.Name
 		}
 		if !out.More || len(out.Machines) == 0 {
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -13,7 +13,7 @@
 	"strconv"
 	"strings"
 
-	"bitternmoor/internal/core/ledger"
+	"bitternmoor/internal/core/eventlog"
 )
 
 // MaxBody is the largest request body.
@@ -102,7 +102,7 @@
 type Submission struct {
 	ID    uint64
 	HasID bool
-	Job   *ledger.Job
+	Job   *eventlog.Job
 	Bad   string
 	// Overlooked says that it asks for units of pools which were not read: there are
 	// no pools here.
@@ -155,7 +155,7 @@
 const countedMost = 16 // pools of a job
 
 // counted reads the units of pools that a job needs.
-func (s *submission) counted(j *ledger.Job) error {
+func (s *submission) counted(j *eventlog.Job) error {
 	var list []counted
 	if len(s.Counted) > 0 {
 		if err := json.Unmarshal(s.Counted, &list); err != nil {
@@ -170,12 +170,12 @@
 		switch {
 		case c.Pool == nil || *c.Pool == "" || len(*c.Pool) > MaxName:
 			return fmt.Errorf("%spool: missing, empty or over %d bytes", field, MaxName)
-		case c.Units == nil || *c.Units < 1 || *c.Units > ledger.UnitsMost:
-			return fmt.Errorf("%sunits: missing or not between 1 and %d", field, ledger.UnitsMost)
+		case c.Units == nil || *c.Units < 1 || *c.Units > eventlog.UnitsMost:
+			return fmt.Errorf("%sunits: missing or not between 1 and %d", field, eventlog.UnitsMost)
 		case c.Per == nil || (*c.Per != "task" && *c.Per != "job"):
 			return fmt.Errorf("%sper: neither \"task\" nor \"job\"", field)
 		}
-		x := ledger.Counted{Pool: *c.Pool, Units: *c.Units, PerJob: *c.Per == "job"}
+		x := eventlog.Counted{Pool: *c.Pool, Units: *c.Units, PerJob: *c.Per == "job"}
 		for _, o := range j.Counted {
 			if o.Pool == x.Pool && o.PerJob == x.PerJob {
 				return fmt.Errorf("%spool: %s is there twice", field, x.Pool)
@@ -186,7 +186,7 @@
 	return nil
 }
 
-func (s *submission) check(id uint64) (*ledger.Job, error) {
+func (s *submission) check(id uint64) (*eventlog.Job, error) {
 	names := []struct {
 		field string
 		value *string
@@ -232,7 +232,7 @@
 	if !ok {
 		return nil, errors.New("urgency: not a known priority")
 	}
-	j := &ledger.Job{
+	j := &eventlog.Job{
 		ID: id, Class: *s.Class, Team: *s.Team, Kind: kind, Priority: priority, Tasks: *s.Tasks,
 		CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB, Types: s.Types,
 		OneZone: *s.OneZone, Spread: *s.Spread, Spot: *s.Spot,
