--- a/internal/core/squaring/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -1,10 +1,10 @@
-// Package squaring holds what a worker reports against what the leader has stored:
+// Package reconcile holds what a worker reports against what the leader has stored:
 // every difference that there can be, each with the one settlement that follows from
 // it and with what proves that settlement right. It is pure: it looks at two
 // descriptions and names their difference. Those who act on it (packages workers,
 // roster and pools) decide nothing of this kind by themselves. The table is that of
 // docs/cold-start.md, word for word.
-package squaring
+package reconcile
 
 // Diff is a difference between what is stored and what is reported; AsStored is that
 // there is none.
--- a/internal/core/squaring/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -1,4 +1,4 @@
-package squaring
+package reconcile
 
 import (
 	"fmt"
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -4,8 +4,8 @@
 	"maps"
 	"time"
 
+	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/resources"
-	"bitternmoor/internal/core/squaring"
 )
 
 // Known is what the leader knows of a reported task.
@@ -57,7 +57,7 @@
 // be nil. It returns the events and the commands that follow from the report
 // alone: reaps and the stops of tasks that should not be there. What follows from
 // which difference is package squaring's table.
-func (m *Machine) Absorb(now time.Duration, r *Report, token uint64, tally *squaring.Tally, known func(job uint64, task int, here bool) (Known, bool)) ([]Event, []Command) {
+func (m *Machine) Absorb(now time.Duration, r *Report, token uint64, tally *reconcile.Tally, known func(job uint64, task int, here bool) (Known, bool)) ([]Event, []Command) {
 	var events []Event
 	var cmds []Command
 	gone := func(p *Placement, why Reason) *Event {
@@ -75,7 +75,7 @@
 			if p.Planned {
 				continue
 			}
-			if tally.Found(squaring.Absent(true, m.unanswered(p), false)).Settlement() == squaring.Leave {
+			if tally.Found(reconcile.Absent(true, m.unanswered(p), false)).Settlement() == reconcile.Leave {
 				gone(p, Vanished).Died = true
 			} else {
 				m.Tainted = true
@@ -118,42 +118,42 @@
 				m.UseImage(k.Image, k.ImageGB, now)
 			}
 		}
-		st := squaring.Stored{Known: ok, Open: k.Open, Durable: k.Noted, Cancelled: k.Cancelled, Held: k.Held, Elsewhere: k.Elsewhere, Here: p != nil}
+		st := reconcile.Stored{Known: ok, Open: k.Open, Durable: k.Noted, Cancelled: k.Cancelled, Held: k.Held, Elsewhere: k.Elsewhere, Here: p != nil}
 		if p != nil {
 			st.Attempt = p.Attempt
 		}
 		st.Direct = ok && m.direct(k.Ref, t.Attempt, r.Token)
-		diff := tally.Found(squaring.Task(st, squaring.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
+		diff := tally.Found(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
 		switch diff.Settlement() {
-		case squaring.Complete:
+		case reconcile.Complete:
 			ev := Event{Kind: EvCompleted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Ran: -1}
-			if diff == squaring.Completed && p.Runs() {
+			if diff == reconcile.Completed && p.Runs() {
 				ev.Ran, ev.Running = now-p.RanAt, true
 			}
 			m.Take(k.Ref)
 			events = append(events, ev)
-		case squaring.Wait:
-			if diff == squaring.EndedDirect {
+		case reconcile.Wait:
+			if diff == reconcile.EndedDirect {
 				if m.raise = max(m.raise, RaiseSometime); p != nil && p.Attempt == t.Attempt {
 					m.raise, p.Seen, p.seq = RaiseNow, true, r.Seq
 				}
 			}
-		case squaring.LeaveReap:
+		case reconcile.LeaveReap:
 			delete(m.directs, attempt{k.Ref, t.Attempt})
 			gone(p, t.Reason)
 			cmds = append(cmds, Command{Op: Reap, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
-		case squaring.Reap:
+		case reconcile.Reap:
 			delete(m.directs, attempt{k.Ref, t.Attempt})
 			cmds = append(cmds, Command{Op: Reap, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
-		case squaring.Stop:
+		case reconcile.Stop:
 			strays = append(strays, t.Job)
 			cmds = append(cmds, Command{Op: Stop, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
-		case squaring.Adopt:
+		case reconcile.Adopt:
 			p = &Placement{Ref: k.Ref, JobID: t.Job, Image: k.Image, Need: k.Need, Attempt: t.Attempt, Home: m, State: Fetching}
 			m.add(p)
 			events = append(events, Event{Kind: EvAdopted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Placement: p})
 			fallthrough
-		case squaring.Keep:
+		case reconcile.Keep:
 			if t.State == Running && (!p.Seen || p.State != Running) {
 				p.RanAt = now
 				events = append(events, Event{Kind: EvBegan, Ref: p.Ref, JobID: t.Job, Attempt: t.Attempt})
@@ -171,7 +171,7 @@
 		}
 		late := !p.Seen && m.direct(p.Ref, p.Attempt, r.Token)
 		tainted := m.Tainted && m.unanswered(p)
-		if tally.Found(squaring.Absent(tainted, late || tainted, current)).Settlement() == squaring.Leave {
+		if tally.Found(reconcile.Absent(tainted, late || tainted, current)).Settlement() == reconcile.Leave {
 			delete(m.directs, attempt{p.Ref, p.Attempt})
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
 		}
@@ -186,5 +186,5 @@
 // Stands says whether an attempt of a task is the one that counts as being here.
 func (m *Machine) Stands(ref Ref, attempt uint64) bool {
 	p := m.Tasks[ref]
-	return p != nil && !p.Planned && squaring.Task(squaring.Stored{Known: true, Here: true, Attempt: p.Attempt}, squaring.Shown{Attempt: attempt}) == squaring.AsStored
+	return p != nil && !p.Planned && reconcile.Task(reconcile.Stored{Known: true, Here: true, Attempt: p.Attempt}, reconcile.Shown{Attempt: attempt}) == reconcile.AsStored
 }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -15,9 +15,9 @@
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/core/names"
+	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/sizing"
-	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/settings"
@@ -83,7 +83,7 @@
 	attempts uint64
 	tokens   uint64
 
-	Squared *squaring.Tally // differences between what was stored and reports, in this term
+	Squared *reconcile.Tally // differences between what was stored and reports, in this term
 
 	TypeNames names.Table
 	PlannedOn []*workers.Machine // all on which tasks may be planned
@@ -198,7 +198,7 @@
 		Jobs: jobs.NewTable(), Yard: workers.NewYard(),
 		Book: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
-		Where: map[workers.Ref]*workers.Placement{}, Squared: &squaring.Tally{},
+		Where: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
 	}
 	s.Plan = blocks.New(nil, cfg.Tunables.TrainingAtOnce)
 	for _, team := range cfg.Deployment.Teams {
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -9,7 +9,7 @@
 
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/squaring"
+	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -262,8 +262,8 @@
 // count takes over what was found different so far.
 func (a *account) count(d *Duty) {
 	a.own.Differences = map[string]uint64{}
-	d.Squared.Each(func(x squaring.Diff, n uint64) {
-		if s := x.Settlement(); s != squaring.Keep {
+	d.Squared.Each(func(x reconcile.Diff, n uint64) {
+		if s := x.Settlement(); s != reconcile.Keep {
 			a.own.Differences[x.String()] = n
 		}
 	})
--- a/internal/leader/roster/events.go
+++ b/internal/leader/roster/events.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/squaring"
+	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -46,12 +46,12 @@
 		d.Tell(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
 		if j.Rec.Kind == jobs.Gang {
-			diff := d.Squared.Found(squaring.Gang(j.Launch, e.Attempt))
-			if diff == squaring.GangFound {
+			diff := d.Squared.Found(reconcile.Gang(j.Launch, e.Attempt))
+			if diff == reconcile.GangFound {
 				j.Launch = e.Attempt
 			}
 			j.Began = true // or so it must be taken: it is not known whether it ran
-			if diff.Settlement() == squaring.Break {
+			if diff.Settlement() == reconcile.Break {
 				d.BreakGang(j)
 			}
 		}
--- a/internal/leader/roster/roster.go
+++ b/internal/leader/roster/roster.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/resources"
-	"bitternmoor/internal/core/squaring"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -254,7 +254,7 @@
 	m := d.Yard.Find(r.Machine)
 	diff := d.Squared.Found(d.square(m, r))
 	switch diff.Settlement() {
-	case squaring.Ignore:
+	case reconcile.Ignore:
 		if m != nil {
 			m.Stale(now, settings.Seconds(1.5*d.Cfg.Deployment.Workers.ReportS))
 			if sure && m.WantsToken(now) {
@@ -268,7 +268,7 @@
 		}
 		d.Emit(effects.ReplyReport{To: to, Answer: answer})
 		return
-	case squaring.Register:
+	case reconcile.Register:
 		if m = d.AddMachine(now, rec); m == nil {
 			d.Emit(effects.ReplyReport{To: to, Answer: answer})
 			return
@@ -298,10 +298,10 @@
 		m.UpSince = now
 		d.Dirty = true
 	}
-	if diff == squaring.MachineReborn {
+	if diff == reconcile.MachineReborn {
 		d.Note(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
-	if diff.Settlement() == squaring.Forget {
+	if diff.Settlement() == reconcile.Forget {
 		d.offersLost(now, m)
 	}
 	before := m.Resolved
@@ -358,14 +358,14 @@
 }
 
 // square names the difference between a machine, nil if it is not entered, and its report.
-func (d *Duty) square(m *workers.Machine, r *workers.Report) squaring.Diff {
+func (d *Duty) square(m *workers.Machine, r *workers.Report) reconcile.Diff {
 	_, typed := d.TypeNames.Find(r.Type)
-	x := squaring.Machine{Gone: d.Yard.Gone(r.Machine), Typed: typed, Epoch: d.Epoch,
+	x := reconcile.Machine{Gone: d.Yard.Gone(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
 	if m != nil {
 		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Leaving, m.Session, m.Seq, m.Token, m.Seen(), m.Doubt
 	}
-	return squaring.Report(x)
+	return reconcile.Report(x)
 }
 
 // reply answers a report: with what follows from it, the stops that are due
