--- a/internal/core/blocks/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -1,7 +1,7 @@
-// Package blocks hands the room of machines to jobs: training tasks ahead of
+// Package scheduler hands the room of machines to jobs: training tasks ahead of
 // the others, then the smallest aged virtual size whose team is under its
 // limit, and room held for a first job that does not fit.
-package blocks
+package scheduler
 
 import (
 	"cmp"
--- a/internal/core/blocks/move.go
+++ b/internal/core/scheduler/move.go
@@ -1,4 +1,4 @@
-package blocks
+package scheduler
 
 import (
 	"cmp"
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -9,7 +9,6 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
@@ -17,6 +16,7 @@
 	"bitternmoor/internal/core/names"
 	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/scheduler"
 	"bitternmoor/internal/core/sizing"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
@@ -67,7 +67,7 @@
 	Jobs     *jobs.Table
 	Yard     *workers.Yard
 	Book     *sizing.Book
-	Plan     *blocks.Planner
+	Plan     *scheduler.Planner
 	Dirty    bool // something has changed that a pass should look at
 	Numbers  int  // last one given to a machine
 	Teams    names.Table
@@ -75,7 +75,7 @@
 	Images   names.Table
 	Types    []eventlog.Type // by index of TypeNames
 	Where    map[workers.Ref]*workers.Placement
-	Units    blocks.Units         // nil: there are no pools
+	Units    scheduler.Units      // nil: there are no pools
 	Gate     Gate                 // nil: nothing is held back
 	Pacer    Pacer                // nil: starts are not paced
 	Spreader Spreader             // nil: machines stay where they report
@@ -200,7 +200,7 @@
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
 		Where: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
 	}
-	s.Plan = blocks.New(nil, cfg.Tunables.TrainingAtOnce)
+	s.Plan = scheduler.New(nil, cfg.Tunables.TrainingAtOnce)
 	for _, team := range cfg.Deployment.Teams {
 		s.SetTeam(team)
 	}
@@ -506,8 +506,8 @@
 }
 
 // World is what the planner looks at.
-func (s *State) World(now time.Duration) blocks.World {
-	w := blocks.World{Now: now, Quiet: s.Quiet(), Jobs: s.Jobs, Yard: s.Yard, Book: s.Book, Missing: s.missing, Blind: s.blind > 0, Zone: s.Zones.Index, Units: s.Units, Accel: s.Plan.Accelerated(now, s.Jobs)}
+func (s *State) World(now time.Duration) scheduler.World {
+	w := scheduler.World{Now: now, Quiet: s.Quiet(), Jobs: s.Jobs, Yard: s.Yard, Book: s.Book, Missing: s.missing, Blind: s.blind > 0, Zone: s.Zones.Index, Units: s.Units, Accel: s.Plan.Accelerated(now, s.Jobs)}
 	if s.Pacer != nil {
 		w.Pace = func(j *jobs.Job, m *workers.Machine) bool { return s.Pacer.Allows(now, j, m) }
 	}
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -4,9 +4,9 @@
 	"cmp"
 	"slices"
 
-	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/scheduler"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
 )
@@ -30,7 +30,7 @@
 	team := s.TeamIndex(t.Name)
 	s.teams[team] = true
 	limit := resources.Room(t.CPUsMax, t.GPUsMax, 0)
-	s.Plan.Limits[team] = blocks.Limit{CPU: limit.CPU, GPU: limit.GPU}
+	s.Plan.Limits[team] = scheduler.Limit{CPU: limit.CPU, GPU: limit.GPU}
 	for int(team) >= len(s.Book.Limits) {
 		s.Book.Limits = append(s.Book.Limits, 0)
 	}
@@ -55,9 +55,9 @@
 
 func (s *State) guarantee(team int32, g resources.Amounts) {
 	for int(team) >= len(s.Plan.Guarantees) {
-		s.Plan.Guarantees = append(s.Plan.Guarantees, blocks.Limit{})
+		s.Plan.Guarantees = append(s.Plan.Guarantees, scheduler.Limit{})
 	}
-	s.Plan.Guarantees[team] = blocks.Limit{CPU: g.CPU, GPU: g.GPU}
+	s.Plan.Guarantees[team] = scheduler.Limit{CPU: g.CPU, GPU: g.GPU}
 }
 
 // takeBackAbove takes back plans of a team, the last tasks first, until what is left is within
--- a/internal/leader/fleet/renting.go
+++ b/internal/leader/fleet/renting.go
@@ -7,11 +7,11 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/pacing"
 	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/scheduler"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -434,7 +434,7 @@
 
 // mayTake says whether a machine may have tasks of a job.
 func (d *Duty) mayTake(j *jobs.Job, m *workers.Machine) bool {
-	return !m.Leaving && !m.Notice && blocks.Allowed(j, m, d.Zones.Index) && (!j.Rec.OneZone || j.ZoneAllows(m.Zone))
+	return !m.Leaving && !m.Notice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Rec.OneZone || j.ZoneAllows(m.Zone))
 }
 
 // hasPlace says whether a machine could take a task of a job if it were free.
@@ -448,7 +448,7 @@
 	zones := map[int32]int{}
 	for _, m := range d.Yard.All() {
 		if d.mayTake(j, m) {
-			zones[m.Zone] += blocks.Slots(j.Need, m.Cap)
+			zones[m.Zone] += scheduler.Slots(j.Need, m.Cap)
 		}
 	}
 	return zones
@@ -630,7 +630,7 @@
 		if j.Rec.Kind == jobs.Service {
 			return noEnd // by itself: it would have to be stopped
 		}
-		end = max(end, now+blocks.Left(now, j, p))
+		end = max(end, now+scheduler.Left(now, j, p))
 	}
 	return end.Round(time.Second)
 }
@@ -648,7 +648,7 @@
 		}
 		m := &workers.Machine{Type: i, Zone: d.Zones.Index(zone), Spot: spot, Cap: resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)}
 		return slices.ContainsFunc(open, func(j *jobs.Job) bool {
-			if !j.Need.Fits(m.Cap) || !blocks.Allowed(j, m, d.Zones.Index) {
+			if !j.Need.Fits(m.Cap) || !scheduler.Allowed(j, m, d.Zones.Index) {
 				return false
 			}
 			// A zone that has its share of a spread job's tasks brings it no further.
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -4,10 +4,10 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/scheduler"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/wire"
 )
@@ -100,7 +100,7 @@
 	best := j.Rec.CPUs
 	found := false
 	for i, ty := range d.Types {
-		if n := blocks.Slots(j.Need, resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)); n > 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) {
+		if n := scheduler.Slots(j.Need, resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)); n > 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) {
 			if s := ty.CPUs / float64(n); !found || s < best {
 				best, found = s, true
 			}
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/scheduler"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
 )
@@ -66,7 +66,7 @@
 		if !m.MayHave(h.job.Rec.ID) {
 			continue
 		}
-		if n := min(mayRun(h.job), blocks.Slots(h.job.Need, m.Cap)); n > 0 {
+		if n := min(mayRun(h.job), scheduler.Slots(h.job.Need, m.Cap)); n > 0 {
 			d.lose(now, h.job, h.needs, int64(n))
 		}
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"time"
 
-	"bitternmoor/internal/core/blocks"
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/scheduler"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/reconfig"
@@ -23,7 +23,7 @@
 	zero int64 // time of day at time 0, in milliseconds; off by a known bound
 	lead *leadership.Core
 	term *term.Term
-	hold *blocks.Holder
+	hold *scheduler.Holder
 	out  []effects.Effect
 
 	counts      cluster.Counts
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.Doubt = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{cfg: cfg, zero: zero, hold: blocks.NewHolder(), open: map[effects.Asker]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
+	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewHolder(), open: map[effects.Asker]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
 }
 
 // Take returns the effects since the last call.
