--- a/internal/core/names/names.go
+++ b/internal/core/intern/names.go
@@ -1,6 +1,6 @@
-// Package names turns the names that arrive at the door into dense indices,
+// Package intern turns the names that arrive at the door into dense indices,
 // which is all that the rest of the program handles.
-package names
+package intern
 
 // Table gives each distinct name the next index.
 type Table struct {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -11,9 +11,9 @@
 
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/intern"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/names"
 	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/scheduler"
@@ -70,9 +70,9 @@
 	Plan     *scheduler.Planner
 	Dirty    bool // something has changed that a pass should look at
 	Numbers  int  // last one given to a machine
-	Teams    names.Table
-	Zones    names.Table
-	Images   names.Table
+	Teams    intern.Table
+	Zones    intern.Table
+	Images   intern.Table
 	Types    []eventlog.Type // by index of TypeNames
 	Where    map[workers.Ref]*workers.Placement
 	Units    scheduler.Units      // nil: there are no pools
@@ -85,7 +85,7 @@
 
 	Squared *reconcile.Tally // differences between what was stored and reports, in this term
 
-	TypeNames names.Table
+	TypeNames intern.Table
 	PlannedOn []*workers.Machine // all on which tasks may be planned
 
 	teams []bool // of the configuration, by index: they may submit
