--- a/internal/core/pacing/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -1,8 +1,8 @@
-// Package pacing bounds how fast a leader orders, for each receiver apart: the cloud's
+// Package ratelimit bounds how fast a leader orders, for each receiver apart: the cloud's
 // calls, and starts by zone and by image. It is pure; the time comes in. Nothing is
 // queued here: what a budget does not let pass now is computed anew at the next try,
 // in the order that holds then.
-package pacing
+package ratelimit
 
 import (
 	"math"
--- a/internal/core/pacing/pacing_test.go
+++ b/internal/core/ratelimit/pacing_test.go
@@ -1,4 +1,4 @@
-package pacing
+package ratelimit
 
 import (
 	"math/rand/v2"
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -14,7 +14,7 @@
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/core/pacing"
+	"bitternmoor/internal/core/ratelimit"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -54,7 +54,7 @@
 	askedAt time.Duration
 	heard   map[string]time.Duration // when the others last answered
 	census  *Census
-	starts  *pacing.Starts
+	starts  *ratelimit.Starts
 	newest  int64 // time of day of the newest entry that has one, in milliseconds
 	account account
 }
@@ -95,7 +95,7 @@
 		}
 	}
 	d.census = NewCensus(now, Params{Share: t.ColdSettled, Interval: settings.Seconds(d.Cfg.Deployment.Workers.ReportS), Peers: len(d.Cfg.Peers)}, unheard)
-	d.starts = pacing.NewStarts(pacing.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
+	d.starts = ratelimit.NewStarts(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
 	switch {
 	case n == 0 && d.Jobs.Len() == 0:
 		d.decide(now, ordinary) // there is nothing to find out
--- a/internal/leader/fleet/cloud.go
+++ b/internal/leader/fleet/cloud.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
-	"bitternmoor/internal/core/pacing"
+	"bitternmoor/internal/core/ratelimit"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/settings"
@@ -22,9 +22,9 @@
 
 // newCalls is the budget of calls: less than the cloud's rate, and nothing at first,
 // since the leader before may have used up what had gathered.
-func newCalls(s *cluster.State) pacing.Adaptive {
+func newCalls(s *cluster.State) ratelimit.Adaptive {
 	rate := s.Cfg.Deployment.Cloud.RPS * 0.8
-	a := pacing.NewAdaptive(s.Began, rate, max(1, rate))
+	a := ratelimit.NewAdaptive(s.Began, rate, max(1, rate))
 	a.Take(s.Began, a.Burst)
 	return a
 }
--- a/internal/leader/fleet/renting.go
+++ b/internal/leader/fleet/renting.go
@@ -9,7 +9,7 @@
 
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/pacing"
+	"bitternmoor/internal/core/ratelimit"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/scheduler"
 	"bitternmoor/internal/core/workers"
@@ -39,7 +39,7 @@
 	listAt     time.Duration
 	rentedAt   time.Duration
 	kinds      [2]kind
-	calls      pacing.Adaptive
+	calls      ratelimit.Adaptive
 
 	// While the log is replayed: rented machines that are not registered, those
 	// that are, and requests without an answer.
--- a/internal/leader/spread/balance.go
+++ b/internal/leader/spread/balance.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bitternmoor/internal/core/pacing"
+	"bitternmoor/internal/core/ratelimit"
 )
 
 // Balance decides which machines report to another controller from now on. It is pure;
@@ -17,7 +17,7 @@
 // was sent is left alone for longer: it may not reach that controller.
 type Balance struct {
 	p      Params
-	budget pacing.Bucket
+	budget ratelimit.Bucket
 	nodes  []Node
 	giving map[string]bool
 	moved  map[string]move
@@ -54,7 +54,7 @@
 
 // NewBalance begins one.
 func NewBalance(now time.Duration, p Params) *Balance {
-	return &Balance{p: p, budget: pacing.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
+	return &Balance{p: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
 }
 
 func (n *Node) load(more int) float64 { return float64(n.Machines+more) / n.Weight }
