--- a/internal/operators/receipts/receipts.go
+++ b/internal/operators/receipts/receipts.go
@@ -13,7 +13,7 @@
 
 	"github.com/golang-jwt/jwt/v5"
 
-	"bitternmoor/internal/operators/keys"
+	"bitternmoor/internal/operators/secretfile"
 )
 
 const issuer = "bitternmoor"
@@ -47,7 +47,7 @@
 func Read(files []string) (Keys, error) {
 	var out Keys
 	for _, f := range files {
-		secret, err := keys.Read(f)
+		secret, err := secretfile.Read(f)
 		if err != nil {
 			return nil, fmt.Errorf("receipts: %w", err)
 		}
--- a/internal/operators/keys/keys.go
+++ b/internal/operators/secretfile/keys.go
@@ -1,5 +1,5 @@
-// Package keys reads secret keys from files.
-package keys
+// Package secretfile reads secret keys from files.
+package secretfile
 
 import (
 	"bytes"
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -10,7 +10,7 @@
 	"gopkg.in/ini.v1"
 
 	"bitternmoor/internal/core/calendar"
-	"bitternmoor/internal/operators/keys"
+	"bitternmoor/internal/operators/secretfile"
 )
 
 // Tunables are the operators' own settings. Names of fields that the design
@@ -281,7 +281,7 @@
 
 // readKey reads a key from a file that a field names.
 func readKey(field, file string) ([]byte, error) {
-	key, err := keys.Read(file)
+	key, err := secretfile.Read(file)
 	if err != nil {
 		return nil, wrong(field, "%v", err)
 	}
