--- a/internal/scaletest/netproxy/netproxy_test.go
+++ b/internal/scaletest/netproxy/netproxy_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/traffic"
 )
 
 // What is sent during a cut arrives after it, and all of it is counted.
@@ -26,7 +26,7 @@
 			go func() { _, _ = io.Copy(c, c) }()
 		}
 	}()
-	var traffic meter.Traffic
+	var traffic traffic.Traffic
 	p, err := New(l.Addr().String(), time.Millisecond, &traffic)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -13,8 +13,8 @@
 
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
-	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
+	"bitternmoor/internal/scaletest/traffic"
 )
 
 // Children write a line when they listen, with their address, and end when their standard
@@ -81,11 +81,11 @@
 // workerNote is what it tells: a start or an end, which it reports to nobody before it was
 // acknowledged, or what it has sent and received so far.
 type workerNote struct {
-	Started string       `json:"started,omitempty"`
-	Attempt uint64       `json:"attempt,omitempty"`
-	Ended   string       `json:"ended,omitempty"`
-	Done    bool         `json:"done,omitempty"`
-	Traffic *meter.Count `json:"traffic,omitempty"`
+	Started string         `json:"started,omitempty"`
+	Attempt uint64         `json:"attempt,omitempty"`
+	Ended   string         `json:"ended,omitempty"`
+	Done    bool           `json:"done,omitempty"`
+	Traffic *traffic.Count `json:"traffic,omitempty"`
 }
 
 // trafficEvery is how often a worker's process tells its traffic.
@@ -142,7 +142,7 @@
 	p := &pipe{out: json.NewEncoder(out), acks: lines, ended: make(chan struct{})}
 	fleet := o.Workload.fleet(o.Doors, o.ReportS, o.LeaseS, o.FetchS)
 	fleet.Record = p
-	var traffic meter.Traffic
+	var traffic traffic.Traffic
 	for range o.Doors {
 		fleet.Traffic = append(fleet.Traffic, &traffic)
 	}
--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -7,32 +7,32 @@
 	"slices"
 	"time"
 
-	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
+	"bitternmoor/internal/scaletest/traffic"
 )
 
 // NodeSample is what one controller has spent so far.
 type NodeSample struct {
-	Name    string      `json:"name"`
-	PID     int         `json:"pid"` // 0: it is down
-	Leads   bool        `json:"leads"`
-	Usage   Usage       `json:"usage"`
-	Workers meter.Count `json:"workers"` // traffic, as the controller sees it
-	Users   meter.Count `json:"users"`
-	Peers   meter.Count `json:"peers"`
-	State   meter.Count `json:"state"`
-	Cloud   meter.Count `json:"cloud"`
+	Name    string        `json:"name"`
+	PID     int           `json:"pid"` // 0: it is down
+	Leads   bool          `json:"leads"`
+	Usage   Usage         `json:"usage"`
+	Workers traffic.Count `json:"workers"` // traffic, as the controller sees it
+	Users   traffic.Count `json:"users"`
+	Peers   traffic.Count `json:"peers"`
+	State   traffic.Count `json:"state"`
+	Cloud   traffic.Count `json:"cloud"`
 }
 
-func (n *NodeSample) traffic() meter.Count {
+func (n *NodeSample) traffic() traffic.Count {
 	return n.Workers.Plus(n.Users).Plus(n.Peers).Plus(n.State).Plus(n.Cloud)
 }
 
 // WorkerSample is what one worker's process has spent so far.
 type WorkerSample struct {
-	Machine string      `json:"machine"`
-	Usage   Usage       `json:"usage"`
-	Traffic meter.Count `json:"traffic"`
+	Machine string        `json:"machine"`
+	Usage   Usage         `json:"usage"`
+	Traffic traffic.Count `json:"traffic"`
 }
 
 // Sample is one look at everything. Times and traffic add up from the beginning of the run.
@@ -47,7 +47,7 @@
 	State    Usage               `json:"state_process"`
 	Counts   standin.StateCounts `json:"state"`
 	Workers  []WorkerSample      `json:"worker_processes"`
-	Hollow   meter.Count         `json:"hollow"`  // traffic of all hollow workers
+	Hollow   traffic.Count       `json:"hollow"`  // traffic of all hollow workers
 	Run      Usage               `json:"run"`     // hollow workers, users and cloud
 	Up       int                 `json:"workers"` // that are up, hollow ones
 	Running  int                 `json:"running"`
@@ -56,7 +56,9 @@
 }
 
 // flip is traffic as the other side sees it.
-func flip(c meter.Count) meter.Count { return meter.Count{In: c.Out, Out: c.In, Messages: c.Messages} }
+func flip(c traffic.Count) traffic.Count {
+	return traffic.Count{In: c.Out, Out: c.In, Messages: c.Messages}
+}
 
 // sample looks at everything.
 func (w *world) sample(begin time.Time, phase string, measured bool) Sample {
--- a/internal/scaletest/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"bitternmoor/internal/scaletest/experiment"
-	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/netproxy"
+	"bitternmoor/internal/scaletest/traffic"
 )
 
 // outside is where the state service, the cloud and users are: in the first region, in no zone.
@@ -26,7 +26,7 @@
 type link struct {
 	from, to string // zones
 	proxy    *netproxy.Proxy
-	traffic  meter.Traffic
+	traffic  traffic.Traffic
 }
 
 func (n *network) region(zone string) int {
--- a/internal/scaletest/scalerun/result.go
+++ b/internal/scaletest/scalerun/result.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/traffic"
 )
 
 // Names of roles.
@@ -83,12 +83,12 @@
 // account adds up what a role spends over samples.
 type account struct {
 	cpu, seconds float64
-	traffic      meter.Count
-	peers        meter.Count
+	traffic      traffic.Count
+	peers        traffic.Count
 	rss, sockets int
 }
 
-func (a *account) add(dt float64, before, after Usage, traffic, peers meter.Count) {
+func (a *account) add(dt float64, before, after Usage, traffic, peers traffic.Count) {
 	a.seconds += dt
 	a.cpu += max(0, after.CPUSeconds-before.CPUSeconds)
 	a.traffic = a.traffic.Plus(traffic)
@@ -142,14 +142,14 @@
 			}
 			to.add(dt, x.Usage, y.Usage, y.traffic().Minus(x.traffic()), y.Peers.Minus(x.Peers))
 		}
-		state.add(dt, a.State, b.State, meter.Count{}, meter.Count{})
+		state.add(dt, a.State, b.State, traffic.Count{}, traffic.Count{})
 		for k := range b.Workers {
 			y := &b.Workers[k]
 			if x := a.worker(y.Machine); x != nil {
-				workers.add(dt, x.Usage, y.Usage, y.Traffic.Minus(x.Traffic), meter.Count{})
+				workers.add(dt, x.Usage, y.Usage, y.Traffic.Minus(x.Traffic), traffic.Count{})
 			}
 		}
-		hollow.add(dt, a.Run, b.Run, b.Hollow.Minus(a.Hollow), meter.Count{})
+		hollow.add(dt, a.Run, b.Run, b.Hollow.Minus(a.Hollow), traffic.Count{})
 	}
 	h := hollow.role(RoleHollow, p.Seconds)
 	h.share(float64(last.Up))
--- a/internal/scaletest/scalerun/scalerun_test.go
+++ b/internal/scaletest/scalerun/scalerun_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"bitternmoor/internal/scaletest/experiment"
-	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
+	"bitternmoor/internal/scaletest/traffic"
 )
 
 const root = "../.."
@@ -146,7 +146,7 @@
 // whichever others are gone. Paired by their places, each processor's time came out too high.
 func TestWorkersArePairedByMachine(t *testing.T) {
 	of := func(machine string, cpu float64, sent uint64) WorkerSample {
-		return WorkerSample{machine, Usage{CPUSeconds: cpu}, meter.Count{Out: sent}}
+		return WorkerSample{machine, Usage{CPUSeconds: cpu}, traffic.Count{Out: sent}}
 	}
 	samples := []Sample{
 		{AtS: 0, Workers: []WorkerSample{of("a", 10, 1000), of("b", 20, 5000), of("c", 90, 9000)}},
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
-	"bitternmoor/internal/scaletest/meter"
 	"bitternmoor/internal/scaletest/standin"
+	"bitternmoor/internal/scaletest/traffic"
 	"bitternmoor/internal/wire"
 )
 
@@ -33,7 +33,7 @@
 	url     string
 	zone    string
 	client  *http.Client
-	traffic meter.Traffic
+	traffic traffic.Traffic
 
 	mu   sync.Mutex
 	skip time.Time // until then nobody is sent there
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"bitternmoor/internal/scaletest/meter"
+	"bitternmoor/internal/scaletest/traffic"
 )
 
 // Fleet plays the workers of a cloud's machines: each reports to one controller at a time and
@@ -45,9 +45,9 @@
 	// long a message takes one way.
 	Reaches func(zone string, door int) (ok bool, latency time.Duration)
 	// Traffic counts what is sent to each controller; nil: it is not counted.
-	Traffic []*meter.Traffic
+	Traffic []*traffic.Traffic
 	// Direct counts what controllers send to workers.
-	Direct meter.Traffic
+	Direct traffic.Traffic
 
 	mu      sync.Mutex
 	workers map[string]*worker
@@ -187,9 +187,9 @@
 }
 
 // traffic counts what is sent to a controller.
-func (f *Fleet) traffic(door int) *meter.Traffic {
+func (f *Fleet) traffic(door int) *traffic.Traffic {
 	if door < len(f.Traffic) {
 		return f.Traffic[door]
 	}
-	return &meter.Traffic{}
+	return &traffic.Traffic{}
 }
--- a/internal/scaletest/meter/meter.go
+++ b/internal/scaletest/traffic/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts the bytes and messages that cross connections.
-package meter
+// Package traffic counts the bytes and messages that cross connections.
+package traffic
 
 import (
 	"context"
