--- a/internal/leader/ordering/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -1,7 +1,7 @@
-// Package ordering is the duty that keeps the order of jobs: it ages their sizes
+// Package fairshare is the duty that keeps the order of jobs: it ages their sizes
 // in the virtual cluster, sets final ones, and writes both down. It alone writes
 // entries of sizes, but for those of a job that is written anew.
-package ordering
+package fairshare
 
 import (
 	"cmp"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -18,9 +18,9 @@
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/coldstart"
 	"bitternmoor/internal/leader/direct"
+	"bitternmoor/internal/leader/fairshare"
 	"bitternmoor/internal/leader/fleet"
 	"bitternmoor/internal/leader/lifecycle"
-	"bitternmoor/internal/leader/ordering"
 	"bitternmoor/internal/leader/placing"
 	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/leader/reconfig"
@@ -74,7 +74,7 @@
 type Term struct {
 	*cluster.State
 	Users   *lifecycle.Duty // what users ask goes to it directly
-	order   *ordering.Duty
+	order   *fairshare.Duty
 	roster  *roster.Duty
 	placing *placing.Duty
 	fleet   *fleet.Duty
@@ -97,7 +97,7 @@
 // New begins a term; it does little until Load.
 func New(start cluster.Start) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), order: ordering.New(s), roster: roster.New(s), placing: placing.New(s), fleet: fleet.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: roster.New(s), placing: placing.New(s), fleet: fleet.New(s),
 		owners: map[string]Duty{}}
 	t.add("", t.Users)
 	t.add("", t.order)
