--- a/internal/leader/roster/roster.go
+++ b/internal/leader/registry/roster.go
@@ -1,8 +1,8 @@
-// Package roster is the duty that looks after machines: it takes in what their
+// Package registry is the duty that looks after machines: it takes in what their
 // workers report, settles in whose block each is, registers them before their
 // first start, and gives up those that stay silent. It alone writes entries of
 // machines.
-package roster
+package registry
 
 import (
 	"encoding/json"
--- a/internal/leader/roster/watch.go
+++ b/internal/leader/registry/watch.go
@@ -1,4 +1,4 @@
-package roster
+package registry
 
 import (
 	"slices"
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -11,7 +11,7 @@
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
-	"bitternmoor/internal/leader/roster"
+	"bitternmoor/internal/leader/registry"
 )
 
 // deletes lists the machines that a term has deleted since.
@@ -52,8 +52,8 @@
 	for back, free := range []bool{true, false} {
 		again := append([]eventlog.Entry{}, log...)
 		for _, e := range noted {
-			if e.Own != nil && e.Own.Duty == roster.Name {
-				e = eventlog.Entry{Own: &eventlog.Own{Duty: roster.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
+			if e.Own != nil && e.Own.Duty == registry.Name {
+				e = eventlog.Entry{Own: &eventlog.Own{Duty: registry.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
 			}
 			again = append(again, e)
 		}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -24,7 +24,7 @@
 	"bitternmoor/internal/leader/placing"
 	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/leader/reconfig"
-	"bitternmoor/internal/leader/roster"
+	"bitternmoor/internal/leader/registry"
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/leader/served"
 	"bitternmoor/internal/leader/spread"
@@ -75,7 +75,7 @@
 	*cluster.State
 	Users   *lifecycle.Duty // what users ask goes to it directly
 	order   *fairshare.Duty
-	roster  *roster.Duty
+	roster  *registry.Duty
 	placing *placing.Duty
 	fleet   *fleet.Duty
 	cold    *coldstart.Duty // nil: switched off
@@ -97,11 +97,11 @@
 // New begins a term; it does little until Load.
 func New(start cluster.Start) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: roster.New(s), placing: placing.New(s), fleet: fleet.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placing.New(s), fleet: fleet.New(s),
 		owners: map[string]Duty{}}
 	t.add("", t.Users)
 	t.add("", t.order)
-	t.add(roster.Name, t.roster)
+	t.add(registry.Name, t.roster)
 	t.add(placing.Name, t.placing)
 	t.add("", t.fleet)
 	if keep := start.Cfg.Tunables.TakeoversKept; keep > 0 {
