--- a/internal/leader/placing/placing.go
+++ b/internal/leader/placement/placing.go
@@ -1,7 +1,7 @@
-// Package placing is the duty that gives room: it has the planner place waiting
+// Package placement is the duty that gives room: it has the planner place waiting
 // tasks, notes before a job's first start on a machine that its tasks may be
 // there, and takes that back. It alone writes entries of grants.
-package placing
+package placement
 
 import (
 	"maps"
--- a/internal/leader/placing/placing_test.go
+++ b/internal/leader/placement/placing_test.go
@@ -1,4 +1,4 @@
-package placing
+package placement
 
 import (
 	"testing"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -21,7 +21,7 @@
 	"bitternmoor/internal/leader/fairshare"
 	"bitternmoor/internal/leader/fleet"
 	"bitternmoor/internal/leader/lifecycle"
-	"bitternmoor/internal/leader/placing"
+	"bitternmoor/internal/leader/placement"
 	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/leader/registry"
@@ -76,7 +76,7 @@
 	Users   *lifecycle.Duty // what users ask goes to it directly
 	order   *fairshare.Duty
 	roster  *registry.Duty
-	placing *placing.Duty
+	placing *placement.Duty
 	fleet   *fleet.Duty
 	cold    *coldstart.Duty // nil: switched off
 	asking  *asking.Duty    // nil: switched off, or no aim asks for it
@@ -97,12 +97,12 @@
 // New begins a term; it does little until Load.
 func New(start cluster.Start) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placing.New(s), fleet: fleet.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: fleet.New(s),
 		owners: map[string]Duty{}}
 	t.add("", t.Users)
 	t.add("", t.order)
 	t.add(registry.Name, t.roster)
-	t.add(placing.Name, t.placing)
+	t.add(placement.Name, t.placing)
 	t.add("", t.fleet)
 	if keep := start.Cfg.Tunables.TakeoversKept; keep > 0 {
 		t.add(takeovers.Name, takeovers.New(s, keep))
