--- a/internal/leader/fleet/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -1,9 +1,9 @@
-// Package fleet is the duty that rents machines for the work there is and
+// Package autoscaler is the duty that rents machines for the work there is and
 // returns them. Its Buyer decides which to rent: the offers of type, zone and
 // kind that cover what is missing at the least price, leaving out for a while
 // those that were refused. It alone writes entries of machine types, of rental
 // requests and of their answers.
-package fleet
+package autoscaler
 
 import (
 	"cmp"
--- a/internal/leader/fleet/fleet_test.go
+++ b/internal/leader/autoscaler/fleet_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"testing"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -15,11 +15,11 @@
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/asking"
+	"bitternmoor/internal/leader/autoscaler"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/coldstart"
 	"bitternmoor/internal/leader/direct"
 	"bitternmoor/internal/leader/fairshare"
-	"bitternmoor/internal/leader/fleet"
 	"bitternmoor/internal/leader/lifecycle"
 	"bitternmoor/internal/leader/placement"
 	"bitternmoor/internal/leader/pools"
@@ -77,7 +77,7 @@
 	order   *fairshare.Duty
 	roster  *registry.Duty
 	placing *placement.Duty
-	fleet   *fleet.Duty
+	fleet   *autoscaler.Duty
 	cold    *coldstart.Duty // nil: switched off
 	asking  *asking.Duty    // nil: switched off, or no aim asks for it
 	config  *reconfig.Duty  // nil: switched off
@@ -97,7 +97,7 @@
 // New begins a term; it does little until Load.
 func New(start cluster.Start) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: fleet.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
 		owners: map[string]Duty{}}
 	t.add("", t.Users)
 	t.add("", t.order)
