--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -13,12 +13,12 @@
 	"github.com/spf13/cobra"
 
 	"bitternmoor/internal/leader/coldstart"
-	"bitternmoor/internal/leader/takeovers"
+	"bitternmoor/internal/leader/failover"
 	"bitternmoor/internal/node"
 )
 
 func takeoversCommand() *cobra.Command {
-	cmd := shows("takeovers", "Show the last takeovers, and when each of their steps was reached", node.PathDuties+takeovers.Name, printTakeovers)
+	cmd := shows("takeovers", "Show the last takeovers, and when each of their steps was reached", node.PathDuties+failover.Name, printTakeovers)
 	cmd.AddCommand(shows("cold", "Show the last starts in which nobody led before: what was found, ordered, and needless", node.PathDuties+coldstart.Name, printColdStarts))
 	return cmd
 }
@@ -37,7 +37,7 @@
 
 func utc(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05Z") }
 
-func printTakeovers(out io.Writer, list []takeovers.Record) {
+func printTakeovers(out io.Writer, list []failover.Record) {
 	if len(list) == 0 {
 		fmt.Fprintln(out, "no takeover is written down")
 		return
@@ -45,13 +45,13 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprint(w, "EPOCH\tLEADER\tFOUND VACANT\tMACHINES\tJOBS\tHELD BACK")
-	for _, s := range takeovers.Steps() {
+	for _, s := range failover.Steps() {
 		fmt.Fprintf(w, "\t%s", s.Words())
 	}
 	fmt.Fprintln(w)
 	for _, r := range list {
 		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d", r.Epoch, r.Node, utc(r.AtMS), r.Machines, r.Jobs, r.HeldBack)
-		for _, s := range takeovers.Steps() {
+		for _, s := range failover.Steps() {
 			ms, ok := r.After[s.String()]
 			if !ok {
 				ms = -1
--- a/internal/leader/takeovers/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -1,8 +1,8 @@
-// Package takeovers is the duty that keeps account of takeovers: how long each
+// Package failover is the duty that keeps account of takeovers: how long each
 // step took from the moment when a controller found that nobody led, until the
 // last job that was held back could start again. It stores one small entry for
 // each takeover, so that successors know of the earlier ones.
-package takeovers
+package failover
 
 import (
 	"cmp"
--- a/internal/leader/takeovers/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -1,4 +1,4 @@
-package takeovers
+package failover
 
 import (
 	"encoding/json"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -19,6 +19,7 @@
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/coldstart"
 	"bitternmoor/internal/leader/direct"
+	"bitternmoor/internal/leader/failover"
 	"bitternmoor/internal/leader/fairshare"
 	"bitternmoor/internal/leader/lifecycle"
 	"bitternmoor/internal/leader/placement"
@@ -28,7 +29,6 @@
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/leader/served"
 	"bitternmoor/internal/leader/spread"
-	"bitternmoor/internal/leader/takeovers"
 	"bitternmoor/internal/wire"
 )
 
@@ -105,7 +105,7 @@
 	t.add(placement.Name, t.placing)
 	t.add("", t.fleet)
 	if keep := start.Cfg.Tunables.TakeoversKept; keep > 0 {
-		t.add(takeovers.Name, takeovers.New(s, keep))
+		t.add(failover.Name, failover.New(s, keep))
 	}
 	if s.Cfg.Tunables.ConfigHistory > 0 {
 		t.config = reconfig.New(s)
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -17,7 +17,7 @@
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/coldstart"
-	"bitternmoor/internal/leader/takeovers"
+	"bitternmoor/internal/leader/failover"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -426,18 +426,18 @@
 		return fmt.Sprint(s.check.units()[arg(t, d, "pool", "licence")])
 	case "takeovers": // those that the leader knows, the last one first: epoch, and how many of their steps were reached
 		l := s.leader()
-		raw, known, err := l.core.Show(l.clock(), takeovers.Name)
+		raw, known, err := l.core.Show(l.clock(), failover.Name)
 		if err != nil || !known {
 			return fmt.Sprintf("cannot tell: %v", err)
 		}
 		if raw == nil {
 			return "switched off"
 		}
-		var list []takeovers.Record
+		var list []failover.Record
 		if err := json.Unmarshal(raw, &list); err != nil {
 			return err.Error()
 		}
-		out := []string{fmt.Sprintf("%d entries in the log", s.state.owned(takeovers.Name))}
+		out := []string{fmt.Sprintf("%d entries in the log", s.state.owned(failover.Name))}
 		for _, r := range list {
 			out = append(out, fmt.Sprintf("epoch %d: %d steps", r.Epoch, len(r.After)))
 		}
