--- a/internal/leader/direct/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -1,4 +1,4 @@
-// Package direct is the duty that starts tasks straight at their workers, without waiting
+// Package dispatch is the duty that starts tasks straight at their workers, without waiting
 // for a report: the exception direct_starts. Only tasks of classes whose wait aim is
 // shorter than a report interval go this way.
 //
@@ -9,7 +9,7 @@
 // (package squaring). What has ended is reaped only after that too, for a copy of the
 // command would begin it anew. A machine that did not answer gets nothing more this way
 // until it has seen a higher token, which it is given with its next report.
-package direct
+package dispatch
 
 import (
 	"encoding/json"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -18,7 +18,7 @@
 	"bitternmoor/internal/leader/autoscaler"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/coldstart"
-	"bitternmoor/internal/leader/direct"
+	"bitternmoor/internal/leader/dispatch"
 	"bitternmoor/internal/leader/failover"
 	"bitternmoor/internal/leader/fairshare"
 	"bitternmoor/internal/leader/lifecycle"
@@ -81,7 +81,7 @@
 	cold    *coldstart.Duty // nil: switched off
 	asking  *asking.Duty    // nil: switched off, or no aim asks for it
 	config  *reconfig.Duty  // nil: switched off
-	direct  *direct.Duty    // nil: switched off, or no aim asks for it
+	direct  *dispatch.Duty  // nil: switched off, or no aim asks for it
 	duties  []Duty          // in the order in which they begin and tick
 	owners  map[string]Duty // of entries of their own, by name
 	loaded  bool
@@ -116,8 +116,8 @@
 		t.add(coldstart.Name, t.cold)
 	}
 	if start.Cfg.Tunables.DirectStarts > 0 && start.Cfg.Prompts() {
-		t.direct = direct.New(s)
-		t.add(direct.Name, t.direct)
+		t.direct = dispatch.New(s)
+		t.add(dispatch.Name, t.direct)
 	}
 	if start.Cfg.Tunables.AskSilent > 0 && start.Cfg.Prompts() {
 		t.asking = asking.New(s)
