--- a/cmd/bitternmoor/spread.go
+++ b/cmd/bitternmoor/spread.go
@@ -7,15 +7,15 @@
 
 	"github.com/spf13/cobra"
 
-	"bitternmoor/internal/leader/spread"
+	"bitternmoor/internal/leader/rebalance"
 	"bitternmoor/internal/node"
 )
 
 func spreadCommand() *cobra.Command {
-	return shows("spread", "Show how reports are spread over controllers", node.PathDuties+spread.Name, printSpread)
+	return shows("spread", "Show how reports are spread over controllers", node.PathDuties+rebalance.Name, printSpread)
 }
 
-func printSpread(out io.Writer, list []spread.View) {
+func printSpread(out io.Writer, list []rebalance.View) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "CONTROLLER\tMACHINES\tWEIGHT\tLOAD\tTAKES MACHINES")
--- a/internal/leader/spread/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -1,7 +1,7 @@
-// Package spread is the duty that spreads reports over controllers: after one of them
+// Package rebalance is the duty that spreads reports over controllers: after one of them
 // returns, slows down, is cut off or healed, machines go from those that have many to
 // those that have few. docs/spread.md is its design note and the operators' page.
-package spread
+package rebalance
 
 import (
 	"cmp"
--- a/internal/leader/spread/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -1,4 +1,4 @@
-package spread
+package rebalance
 
 import (
 	"encoding/json"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -24,11 +24,11 @@
 	"bitternmoor/internal/leader/lifecycle"
 	"bitternmoor/internal/leader/placement"
 	"bitternmoor/internal/leader/pools"
+	"bitternmoor/internal/leader/rebalance"
 	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/leader/registry"
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/leader/served"
-	"bitternmoor/internal/leader/spread"
 	"bitternmoor/internal/wire"
 )
 
@@ -124,7 +124,7 @@
 		t.add("", t.asking)
 	}
 	if start.Cfg.Tunables.SpreadMoves > 0 {
-		t.add(spread.Name, spread.New(s))
+		t.add(rebalance.Name, rebalance.New(s))
 	}
 	if start.Cfg.Tunables.ServedWindowS > 0 {
 		t.add(served.Name, served.New(s))
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"bitternmoor/internal/leader/coldstart"
-	"bitternmoor/internal/leader/spread"
+	"bitternmoor/internal/leader/rebalance"
 	"bitternmoor/internal/scaletest/standin"
 )
 
@@ -105,11 +105,11 @@
 	for _, b := range append(fleet.Broken(), store.Refused()...) {
 		t.Error(b)
 	}
-	var loads []spread.View
+	var loads []rebalance.View
 	n++
 	ids = append(ids, c.submit(n, 120, 20*time.Second)) // machines for it come to whom they find first
 	c.eventually("reports are spread evenly", 60*time.Second, func() bool {
-		if get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], spread.Name), &loads) != 200 || len(loads) != 3 {
+		if get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], rebalance.Name), &loads) != 200 || len(loads) != 3 {
 			return false
 		}
 		machines, most := 0, 0.0
