--- a/cmd/bitternmoor/served.go
+++ b/cmd/bitternmoor/served.go
@@ -7,15 +7,15 @@
 
 	"github.com/spf13/cobra"
 
-	"bitternmoor/internal/leader/served"
+	"bitternmoor/internal/leader/slo"
 	"bitternmoor/internal/node"
 )
 
 func servedCommand() *cobra.Command {
-	return shows("served", "Show by class and by team how many jobs were due lately, and how many of them were done", node.PathDuties+served.Name, printServed)
+	return shows("served", "Show by class and by team how many jobs were due lately, and how many of them were done", node.PathDuties+slo.Name, printServed)
 }
 
-func printServed(out io.Writer, list []served.View) {
+func printServed(out io.Writer, list []slo.View) {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	defer w.Flush()
 	fmt.Fprintln(w, "KIND\tNAME\tDUE\tDONE BY THEN\tSHARE\tOPEN\tGO AHEAD\tMISSED\tWENT AHEAD\tLARGEST\tDONE BY THEN\tBEGAN WITHIN")
--- a/internal/leader/served/served.go
+++ b/internal/leader/slo/served.go
@@ -1,10 +1,10 @@
-// Package served is the duty that sees to it that every class and every team gets some
+// Package slo is the duty that sees to it that every class and every team gets some
 // of its work done in time, however much of another's comes. It measures, by class and
 // by team in a sliding window, how many jobs were due and how many of them were done by
 // then; and where a share is about to fall below a floor, it has jobs at their last
 // chance go ahead of everything: the exception `served_floor`. docs/spread.md is its
 // design note, with the bound on what it costs others, and the operators' page.
-package served
+package slo
 
 import (
 	"cmp"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -28,7 +28,7 @@
 	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/leader/registry"
 	"bitternmoor/internal/leader/runtimes"
-	"bitternmoor/internal/leader/served"
+	"bitternmoor/internal/leader/slo"
 	"bitternmoor/internal/wire"
 )
 
@@ -127,7 +127,7 @@
 		t.add(rebalance.Name, rebalance.New(s))
 	}
 	if start.Cfg.Tunables.ServedWindowS > 0 {
-		t.add(served.Name, served.New(s))
+		t.add(slo.Name, slo.New(s))
 	}
 	if len(start.Cfg.Tunables.Pools) > 0 {
 		t.add(pools.Name, pools.New(s))
