--- a/internal/leader/asking/asking.go
+++ b/internal/leader/probe/asking.go
@@ -1,9 +1,9 @@
-// Package asking is the duty that asks silent machines directly whether they live. An
+// Package probe is the duty that asks silent machines directly whether they live. An
 // answer shows that a machine lives; none proves nothing. But a machine that says nothing
 // by itself, nor when it is asked, while its zone is heard well, is more likely dead than
 // not, and is given up earlier where work waits that should start within a report interval:
 // what proves that nothing runs there is still the answer to its deletion.
-package asking
+package probe
 
 import (
 	"time"
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -14,7 +14,6 @@
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"bitternmoor/internal/leader/asking"
 	"bitternmoor/internal/leader/autoscaler"
 	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/coldstart"
@@ -24,6 +23,7 @@
 	"bitternmoor/internal/leader/lifecycle"
 	"bitternmoor/internal/leader/placement"
 	"bitternmoor/internal/leader/pools"
+	"bitternmoor/internal/leader/probe"
 	"bitternmoor/internal/leader/rebalance"
 	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/leader/registry"
@@ -79,7 +79,7 @@
 	placing *placement.Duty
 	fleet   *autoscaler.Duty
 	cold    *coldstart.Duty // nil: switched off
-	asking  *asking.Duty    // nil: switched off, or no aim asks for it
+	asking  *probe.Duty     // nil: switched off, or no aim asks for it
 	config  *reconfig.Duty  // nil: switched off
 	direct  *dispatch.Duty  // nil: switched off, or no aim asks for it
 	duties  []Duty          // in the order in which they begin and tick
@@ -120,7 +120,7 @@
 		t.add(dispatch.Name, t.direct)
 	}
 	if start.Cfg.Tunables.AskSilent > 0 && start.Cfg.Prompts() {
-		t.asking = asking.New(s)
+		t.asking = probe.New(s)
 		t.add("", t.asking)
 	}
 	if start.Cfg.Tunables.SpreadMoves > 0 {
