--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -312,7 +312,7 @@
 		if v, ok := text(p, n.Args[0]); ok {
 			c.add("env", "%s", v)
 		}
-	case name == "add" && strings.HasSuffix(p.PkgPath, "term"), strings.HasSuffix(receiver, "/ledger") && (name == "NewOwn" || name == "ValueKey"):
+	case name == "add" && strings.HasSuffix(p.PkgPath, "term"), strings.HasSuffix(receiver, "/eventlog") && (name == "NewOwn" || name == "ValueKey"):
 		if v, ok := text(p, n.Args[0]); ok && v != "" {
 			c.add("owner", "%s", v)
 		}
