--- a/internal/scaletest/scalerun/scalerun_test.go
+++ b/internal/scaletest/scalerun/scalerun_test.go
@@ -17,7 +17,7 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-const root = "../.."
+const root = "../../.."
 
 func smoke(t *testing.T) *experiment.Experiment {
 	t.Helper()
