--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -22,7 +22,10 @@
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/core/reconcile"
 	"bitternmoor/internal/core/workers"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/leader/failover"
 	"bitternmoor/internal/wire"
 )
 
@@ -91,6 +94,7 @@
 		c.pkg(p)
 	}
 	c.storedNumbers()
+	c.labelWords()
 	c.stateKeys()
 	c.settingsKeys()
 	out := slices.Sorted(maps.Keys(c.found))
@@ -432,6 +436,19 @@
 	}
 }
 
+// labelWords pins words that are labels of metrics, stand in views, or both.
+func (c *collector) labelWords() {
+	for diff := range reconcile.Kinds {
+		c.add("word", "difference %s: %s", diff, diff.Settlement())
+	}
+	for _, order := range []cluster.Order{cluster.StartNew, cluster.StartAgain, cluster.Rent, cluster.Return, cluster.Delete, cluster.Preempt, cluster.Move} {
+		c.add("word", "order %s", order)
+	}
+	for _, step := range failover.Steps() {
+		c.add("word", "step %s", step)
+	}
+}
+
 // stateKeys pins keys of the state service.
 func (c *collector) stateKeys() {
 	for _, key := range []string{leadership.HolderKey, leadership.EpochKey, eventlog.Key(7), eventlog.ValueKey("x", 3), eventlog.Prefix, eventlog.SizesPrefix, eventlog.OwnPrefix} {
