--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -56,12 +56,12 @@
 	Kinds // how many there are
 )
 
-// Settlement is what follows from a difference.
-type Settlement uint8
+// Resolution is what follows from a difference.
+type Resolution uint8
 
 // Settlements.
 const (
-	Keep      Settlement = iota // nothing changes
+	Keep      Resolution = iota // nothing changes
 	Complete                    // note its completion; reap once that is durable
 	Wait                        // nothing is told to the worker until more is durable or known
 	Reap                        // have the worker forget the ended attempt
@@ -81,14 +81,14 @@
 var settlementWords = [...]string{"keep", "complete, reap once durable", "wait", "reap", "release and reap", "release", "adopt", "adopt and give up the gang's attempt",
 	"stop", "register", "ignore", "listen", "release all", "delete", "step down"}
 
-func (s Settlement) String() string { return settlementWords[s] }
+func (s Resolution) String() string { return settlementWords[s] }
 
 // Row is a line of the table.
 type Row struct {
 	Name       string // for metrics and accounts
 	Stored     string // what the leader has
 	Shown      string // what the worker reports
-	Settlement Settlement
+	Settlement Resolution
 	Proof      string
 }
 
@@ -139,7 +139,7 @@
 func (d Diff) Row() Row { return table[d] }
 
 // Settlement is the one thing that follows from a difference.
-func (d Diff) Settlement() Settlement { return table[d].Settlement }
+func (d Diff) Settlement() Resolution { return table[d].Settlement }
 
 func (d Diff) String() string { return table[d].Name }
 
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -10,7 +10,7 @@
 
 // plainTask is a second version of Task: what is to be done, from the promises alone,
 // without naming any difference.
-func plainTask(st Stored, sh Shown) Settlement {
+func plainTask(st Stored, sh Shown) Resolution {
 	s := plainly(st, sh)
 	if st.Direct && (s == Reap || s == LeaveReap) {
 		return Wait // what is forgotten could be started by a copy of the command
@@ -18,7 +18,7 @@
 	return s
 }
 
-func plainly(st Stored, sh Shown) Settlement {
+func plainly(st Stored, sh Shown) Resolution {
 	counts := st.Known && st.Here && st.Attempt == sh.Attempt
 	if !sh.Ended {
 		if counts {
@@ -45,7 +45,7 @@
 	return Reap
 }
 
-func plainReport(m Machine) Settlement {
+func plainReport(m Machine) Resolution {
 	if m.ReportEpoch > m.Epoch {
 		return StepDown
 	}
