--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -439,7 +439,7 @@
 // labelWords pins words that are labels of metrics, stand in views, or both.
 func (c *collector) labelWords() {
 	for diff := range reconcile.Kinds {
-		c.add("word", "difference %s: %s", diff, diff.Settlement())
+		c.add("word", "difference %s: %s", diff, diff.Resolution())
 	}
 	for _, order := range []cluster.Order{cluster.StartNew, cluster.StartAgain, cluster.Rent, cluster.Return, cluster.Delete, cluster.Preempt, cluster.Move} {
 		c.add("word", "order %s", order)
--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -138,8 +138,8 @@
 // Row gives a difference's line of the table.
 func (d Diff) Row() Row { return table[d] }
 
-// Settlement is the one thing that follows from a difference.
-func (d Diff) Settlement() Resolution { return table[d].Settlement }
+// Resolution is the one thing that follows from a difference.
+func (d Diff) Resolution() Resolution { return table[d].Settlement }
 
 func (d Diff) String() string { return table[d].Name }
 
@@ -171,7 +171,7 @@
 // Task names the difference between what is stored of a task and what is shown of it.
 func Task(st Stored, sh Shown) Diff {
 	d := task(st, sh)
-	if s := d.Settlement(); st.Direct && (s == Reap || s == LeaveReap) {
+	if s := d.Resolution(); st.Direct && (s == Reap || s == LeaveReap) {
 		return EndedDirect
 	}
 	return d
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -101,13 +101,13 @@
 			sh.Saving = coin()
 		}
 		d := met.Found(Task(st, sh))
-		if got, want := d.Settlement(), plainTask(st, sh); got != want {
+		if got, want := d.Resolution(), plainTask(st, sh); got != want {
 			t.Fatalf("%+v shown as %+v: %v, so %v; plainly %v", st, sh, d, got, want)
 		}
 		m := Machine{Gone: r.IntN(6) == 0, Known: coin(), Typed: coin(), Leaving: r.IntN(4) == 0, Epoch: 2, ReportEpoch: uint64(r.IntN(4)),
 			Session: uint64(r.IntN(3)), Number: uint64(r.IntN(3)), Token: uint64(r.IntN(2)), ReportSession: uint64(r.IntN(3)), ReportNumber: uint64(r.IntN(3)), ReportToken: uint64(r.IntN(3)), Seen: uint64(r.IntN(2)), Doubt: uint64(r.IntN(3) / 2)}
 		d = met.Found(Report(m))
-		if got, want := d.Settlement(), plainReport(m); got != want {
+		if got, want := d.Resolution(), plainReport(m); got != want {
 			t.Fatalf("%+v: %v, so %v; plainly %v", m, d, got, want)
 		}
 		met.Found(Absent(coin(), coin(), coin()))
@@ -130,7 +130,7 @@
 			continue // no such state
 		}
 		sh := Shown{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Done: on(8) && on(9), Saving: !on(8) && on(10)}
-		s := Task(st, sh).Settlement()
+		s := Task(st, sh).Resolution()
 		if sh.Done && st.Known && !st.Durable && (s == Reap || s == LeaveReap) {
 			t.Errorf("%+v, %+v: a result is lost", st, sh)
 		}
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -75,7 +75,7 @@
 			if p.Planned {
 				continue
 			}
-			if tally.Found(reconcile.Absent(true, m.unanswered(p), false)).Settlement() == reconcile.Leave {
+			if tally.Found(reconcile.Absent(true, m.unanswered(p), false)).Resolution() == reconcile.Leave {
 				gone(p, Vanished).Died = true
 			} else {
 				m.Tainted = true
@@ -124,7 +124,7 @@
 		}
 		st.Direct = ok && m.direct(k.Ref, t.Attempt, r.Token)
 		diff := tally.Found(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
-		switch diff.Settlement() {
+		switch diff.Resolution() {
 		case reconcile.Complete:
 			ev := Event{Kind: EvCompleted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Ran: -1}
 			if diff == reconcile.Completed && p.Runs() {
@@ -171,7 +171,7 @@
 		}
 		late := !p.Seen && m.direct(p.Ref, p.Attempt, r.Token)
 		tainted := m.Tainted && m.unanswered(p)
-		if tally.Found(reconcile.Absent(tainted, late || tainted, current)).Settlement() == reconcile.Leave {
+		if tally.Found(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
 			delete(m.directs, attempt{p.Ref, p.Attempt})
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -51,7 +51,7 @@
 				j.Launch = e.Attempt
 			}
 			j.Began = true // or so it must be taken: it is not known whether it ran
-			if diff.Settlement() == reconcile.Break {
+			if diff.Resolution() == reconcile.Break {
 				d.BreakGang(j)
 			}
 		}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -253,7 +253,7 @@
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	m := d.Yard.Find(r.Machine)
 	diff := d.Squared.Found(d.square(m, r))
-	switch diff.Settlement() {
+	switch diff.Resolution() {
 	case reconcile.Ignore:
 		if m != nil {
 			m.Stale(now, settings.Seconds(1.5*d.Cfg.Deployment.Workers.ReportS))
@@ -301,7 +301,7 @@
 	if diff == reconcile.MachineReborn {
 		d.Note(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
-	if diff.Settlement() == reconcile.Forget {
+	if diff.Resolution() == reconcile.Forget {
 		d.offersLost(now, m)
 	}
 	before := m.Resolved
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -48,7 +48,7 @@
 // met ends the term when a worker has seen a token of a later one.
 func (c *Core) met(now time.Duration, r *workers.Report) {
 	epoch := r.Token >> cluster.TokenBits
-	if c.term != nil && reconcile.Report(reconcile.Machine{Epoch: c.lead.Epoch(), ReportEpoch: epoch}).Settlement() == reconcile.StepDown {
+	if c.term != nil && reconcile.Report(reconcile.Machine{Epoch: c.lead.Epoch(), ReportEpoch: epoch}).Resolution() == reconcile.StepDown {
 		c.lead.Superseded(now, epoch)
 		c.after(now)
 	}
