--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -88,7 +88,7 @@
 	Name       string // for metrics and accounts
 	Stored     string // what the leader has
 	Shown      string // what the worker reports
-	Settlement Resolution
+	Resolution Resolution
 	Proof      string
 }
 
@@ -139,7 +139,7 @@
 func (d Diff) Row() Row { return table[d] }
 
 // Resolution is the one thing that follows from a difference.
-func (d Diff) Resolution() Resolution { return table[d].Settlement }
+func (d Diff) Resolution() Resolution { return table[d].Resolution }
 
 func (d Diff) String() string { return table[d].Name }
 
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -148,7 +148,7 @@
 	}
 	seen := map[string]bool{}
 	for _, r := range Table() {
-		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.Name, r.Stored, r.Shown, r.Settlement, r.Proof)
+		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.Name, r.Stored, r.Shown, r.Resolution, r.Proof)
 		if r.Name == "" || r.Proof == "" || seen[r.Name] {
 			t.Errorf("%q: a name of its own and a proof are needed", r.Name)
 		}
