--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -294,8 +294,8 @@
 // Tally counts differences by kind.
 type Tally [Kinds]uint64
 
-// Found counts one.
-func (t *Tally) Found(d Diff) Diff {
+// Count counts one.
+func (t *Tally) Count(d Diff) Diff {
 	if t != nil {
 		t[d]++
 	}
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -100,18 +100,18 @@
 		} else {
 			sh.Saving = coin()
 		}
-		d := met.Found(Task(st, sh))
+		d := met.Count(Task(st, sh))
 		if got, want := d.Resolution(), plainTask(st, sh); got != want {
 			t.Fatalf("%+v shown as %+v: %v, so %v; plainly %v", st, sh, d, got, want)
 		}
 		m := Machine{Gone: r.IntN(6) == 0, Known: coin(), Typed: coin(), Leaving: r.IntN(4) == 0, Epoch: 2, ReportEpoch: uint64(r.IntN(4)),
 			Session: uint64(r.IntN(3)), Number: uint64(r.IntN(3)), Token: uint64(r.IntN(2)), ReportSession: uint64(r.IntN(3)), ReportNumber: uint64(r.IntN(3)), ReportToken: uint64(r.IntN(3)), Seen: uint64(r.IntN(2)), Doubt: uint64(r.IntN(3) / 2)}
-		d = met.Found(Report(m))
+		d = met.Count(Report(m))
 		if got, want := d.Resolution(), plainReport(m); got != want {
 			t.Fatalf("%+v: %v, so %v; plainly %v", m, d, got, want)
 		}
-		met.Found(Absent(coin(), coin(), coin()))
-		met.Found(Gang(uint64(r.IntN(3)), uint64(1+r.IntN(2))))
+		met.Count(Absent(coin(), coin(), coin()))
+		met.Count(Gang(uint64(r.IntN(3)), uint64(1+r.IntN(2))))
 	}
 	for d := range Kinds {
 		if met[d] == 0 {
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -75,7 +75,7 @@
 			if p.Planned {
 				continue
 			}
-			if tally.Found(reconcile.Absent(true, m.unanswered(p), false)).Resolution() == reconcile.Leave {
+			if tally.Count(reconcile.Absent(true, m.unanswered(p), false)).Resolution() == reconcile.Leave {
 				gone(p, Vanished).Died = true
 			} else {
 				m.Tainted = true
@@ -123,7 +123,7 @@
 			st.Attempt = p.Attempt
 		}
 		st.Direct = ok && m.direct(k.Ref, t.Attempt, r.Token)
-		diff := tally.Found(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
+		diff := tally.Count(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
 		switch diff.Resolution() {
 		case reconcile.Complete:
 			ev := Event{Kind: EvCompleted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Ran: -1}
@@ -171,7 +171,7 @@
 		}
 		late := !p.Seen && m.direct(p.Ref, p.Attempt, r.Token)
 		tainted := m.Tainted && m.unanswered(p)
-		if tally.Found(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
+		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
 			delete(m.directs, attempt{p.Ref, p.Attempt})
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -46,7 +46,7 @@
 		d.Tell(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
 		if j.Rec.Kind == jobs.Gang {
-			diff := d.Squared.Found(reconcile.Gang(j.Launch, e.Attempt))
+			diff := d.Squared.Count(reconcile.Gang(j.Launch, e.Attempt))
 			if diff == reconcile.GangFound {
 				j.Launch = e.Attempt
 			}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -252,7 +252,7 @@
 	answer := effects.ReportAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	m := d.Yard.Find(r.Machine)
-	diff := d.Squared.Found(d.square(m, r))
+	diff := d.Squared.Count(d.square(m, r))
 	switch diff.Resolution() {
 	case reconcile.Ignore:
 		if m != nil {
