--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -298,7 +298,7 @@
 		m.UpSince = now
 		d.Dirty = true
 	}
-	if diff == reconcile.MachineReborn {
+	if diff == reconcile.MachineRestarted {
 		d.Note(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
 	if diff.Resolution() == reconcile.Forget {
