--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -46,7 +46,7 @@
 	MachineLeaving     // its deletion is decided
 	MachineBehind      // it has not seen the current token
 	MachineNewSession  // it has begun a later session
-	MachineAhead       // it has seen a token of a later term
+	MachineNewerTerm   // it has seen a token of a later term
 	MachineRestarted   // it has begun anew under its name, and remembers nothing
 
 	GangFound // a part of a gang runs of which nothing was known
@@ -127,7 +127,7 @@
 	MachineLeaving:     {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
 	MachineBehind:      {"machine_behind", "registered", "an older token", Listen, "an answer at an older token may still be on its way"},
 	MachineNewSession:  {"machine_again", "registered", "a later session", Forget, "with its lease a worker kills and forgets all tasks"},
-	MachineAhead:       {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
+	MachineNewerTerm:   {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
 	MachineRestarted:   {"machine_reborn", "in doubt", "an older session or number, at a token given out since", Forget, "who got that token and counts from the beginning lives, and the one before it does not"},
 
 	GangFound: {"gang_found", "no attempt under way", "a part, not ended", Adopt, "the newest report shows it; the others are waited for like any task"},
@@ -258,7 +258,7 @@
 	older := m.ReportSession < m.Session || (m.ReportSession == m.Session && m.ReportNumber <= m.Number)
 	switch {
 	case m.ReportEpoch > m.Epoch:
-		return MachineAhead
+		return MachineNewerTerm
 	case m.Gone:
 		return MachineGone
 	case !m.Known && !m.Typed:
