--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -44,7 +44,7 @@
 	MachineUnknownType // its type is not known
 	MachineLate        // an older report than one that was taken in
 	MachineLeaving     // its deletion is decided
-	MachineBehind      // it has not seen the current token
+	MachineStaleToken  // it has not seen the current token
 	MachineNewSession  // it has begun a later session
 	MachineNewerTerm   // it has seen a token of a later term
 	MachineRestarted   // it has begun anew under its name, and remembers nothing
@@ -125,7 +125,7 @@
 	MachineUnknownType: {"machine_strange", "of no known type", "a report", Ignore, "none: it is asked for types, and the machine kept alive until then"},
 	MachineLate:        {"machine_late", "a newer report", "an older session or number, or a lower token", Ignore, "its list is as old as it is itself"},
 	MachineLeaving:     {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
-	MachineBehind:      {"machine_behind", "registered", "an older token", Listen, "an answer at an older token may still be on its way"},
+	MachineStaleToken:  {"machine_behind", "registered", "an older token", Listen, "an answer at an older token may still be on its way"},
 	MachineNewSession:  {"machine_again", "registered", "a later session", Forget, "with its lease a worker kills and forgets all tasks"},
 	MachineNewerTerm:   {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
 	MachineRestarted:   {"machine_reborn", "in doubt", "an older session or number, at a token given out since", Forget, "who got that token and counts from the beginning lives, and the one before it does not"},
@@ -274,7 +274,7 @@
 	case m.Leaving:
 		return MachineLeaving
 	case m.ReportToken != m.Token:
-		return MachineBehind
+		return MachineStaleToken
 	}
 	return MachineAsStored
 }
