--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -14,7 +14,7 @@
 	Now     time.Duration
 	Quiet   time.Duration // a machine silent for longer gets nothing
 	Jobs    *jobs.Table
-	Yard    *workers.Yard
+	Yard    *workers.Inventory
 	Book    *sizing.Book
 	Missing []resources.Amounts // by team: machines of an earlier term that may have its tasks
 	Blind   bool                // one of them may have tasks of any job
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -10,7 +10,7 @@
 
 const token = 7
 
-func machine() (*Yard, *Machine) {
+func machine() (*Inventory, *Machine) {
 	y := NewYard()
 	m := y.Add(&Machine{Name: "m", Cap: resources.Room(4, 0, 8), CacheGB: 10, FetchGBPS: 1, Durable: true})
 	return y, m
--- a/internal/core/workers/yard.go
+++ b/internal/core/workers/yard.go
@@ -1,23 +1,23 @@
 package workers
 
-// Yard holds all machines.
-type Yard struct {
+// Inventory holds all machines.
+type Inventory struct {
 	byName map[string]*Machine
 	all    []*Machine
 	gone   map[string]bool // deleted ones; their late reports mean nothing
 }
 
 // NewYard makes an empty yard.
-func NewYard() *Yard { return &Yard{byName: map[string]*Machine{}, gone: map[string]bool{}} }
+func NewYard() *Inventory { return &Inventory{byName: map[string]*Machine{}, gone: map[string]bool{}} }
 
 // Find returns a machine by name.
-func (y *Yard) Find(name string) *Machine { return y.byName[name] }
+func (y *Inventory) Find(name string) *Machine { return y.byName[name] }
 
 // Gone says whether a machine is known to be deleted.
-func (y *Yard) Gone(name string) bool { return y.gone[name] }
+func (y *Inventory) Gone(name string) bool { return y.gone[name] }
 
 // Add enters a machine.
-func (y *Yard) Add(m *Machine) *Machine {
+func (y *Inventory) Add(m *Machine) *Machine {
 	m.Index = int32(len(y.all))
 	m.Free, m.first = m.Cap, m.Token
 	m.Tasks = map[Ref]*Placement{}
@@ -28,7 +28,7 @@
 }
 
 // Remove takes a deleted machine out.
-func (y *Yard) Remove(name string) {
+func (y *Inventory) Remove(name string) {
 	y.gone[name] = true
 	if m := y.byName[name]; m != nil {
 		delete(y.byName, name)
@@ -40,4 +40,4 @@
 }
 
 // All returns the machines.
-func (y *Yard) All() []*Machine { return y.all }
+func (y *Inventory) All() []*Machine { return y.all }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -65,7 +65,7 @@
 	Token    uint64 // of machines that have not changed their block
 	Log      *eventlog.Log
 	Jobs     *jobs.Table
-	Yard     *workers.Yard
+	Yard     *workers.Inventory
 	Book     *sizing.Book
 	Plan     *scheduler.Planner
 	Dirty    bool // something has changed that a pass should look at
