--- a/internal/core/scheduler/accel_test.go
+++ b/internal/core/scheduler/accel_test.go
@@ -16,7 +16,7 @@
 // with eight processors and none.
 func accelWorld(n int) (*Planner, World, map[*workers.Machine]int) {
 	p := New([]Limit{{}}, 10)
-	w := World{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Yard: workers.NewYard(), Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
+	w := World{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Yard: workers.NewInventory(), Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	for i := range n {
 		for _, room := range []resources.Amounts{resources.Room(12, 2, 48), resources.Room(8, 0, 64)} {
 			w.Yard.Add(&workers.Machine{Name: fmt.Sprint(i, room.GPU), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -11,7 +11,7 @@
 const token = 7
 
 func machine() (*Inventory, *Machine) {
-	y := NewYard()
+	y := NewInventory()
 	m := y.Add(&Machine{Name: "m", Cap: resources.Room(4, 0, 8), CacheGB: 10, FetchGBPS: 1, Durable: true})
 	return y, m
 }
@@ -155,7 +155,7 @@
 // and enough time has passed from then: an outage in which none could be given is no fault
 // of its own.
 func TestDeaf(t *testing.T) {
-	m := NewYard().Add(&Machine{Name: "m", Token: 5, Up: true, Heard: time.Second})
+	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, Heard: time.Second})
 	m.Stale(10*time.Second, 5*time.Second)
 	m.Heard = 60 * time.Second
 	if m.Doubt != 5 || m.Deaf(60*time.Second, 20*time.Second) {
--- a/internal/core/workers/yard.go
+++ b/internal/core/workers/yard.go
@@ -7,8 +7,10 @@
 	gone   map[string]bool // deleted ones; their late reports mean nothing
 }
 
-// NewYard makes an empty yard.
-func NewYard() *Inventory { return &Inventory{byName: map[string]*Machine{}, gone: map[string]bool{}} }
+// NewInventory makes an empty yard.
+func NewInventory() *Inventory {
+	return &Inventory{byName: map[string]*Machine{}, gone: map[string]bool{}}
+}
 
 // Find returns a machine by name.
 func (y *Inventory) Find(name string) *Machine { return y.byName[name] }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -195,7 +195,7 @@
 	}
 	s := &State{
 		Start: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
-		Jobs: jobs.NewTable(), Yard: workers.NewYard(),
+		Jobs: jobs.NewTable(), Yard: workers.NewInventory(),
 		Book: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
 		Where: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
