--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -176,10 +176,10 @@
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
 		}
 	}
-	if len(strays) > 0 && len(m.Strays) == 0 {
+	if len(strays) > 0 && len(m.Orphans) == 0 {
 		m.StraysSince = now
 	}
-	m.Strays = strays
+	m.Orphans = strays
 	return events, cmds
 }
 
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -50,7 +50,7 @@
 	Unwritten      bool          // and waits until it is noted that nothing is on it
 	Why            string
 	Tasks          map[Ref]*Placement
-	Strays         []uint64 // jobs of tasks that should not be there and are still shown
+	Orphans        []uint64 // jobs of tasks that should not be there and are still shown
 	StraysSince    time.Duration
 	UpSince        time.Duration
 	Errors         int
@@ -121,7 +121,7 @@
 
 // Serves says whether it could run more tasks, even if it is to be returned.
 func (m *Machine) Serves(now, quiet time.Duration) bool {
-	return m.Durable && m.Up && m.Resolved && m.Doubt == 0 && !m.Tainted && !m.Leaving && !m.Notice && len(m.Strays) == 0 && now >= m.ShunUntil && now-m.Heard <= quiet
+	return m.Durable && m.Up && m.Resolved && m.Doubt == 0 && !m.Tainted && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.ShunUntil && now-m.Heard <= quiet
 }
 
 // Unresolved says whether an earlier term may have left something on the machine that is
@@ -418,7 +418,7 @@
 // Found on the users' bench, where a task planned on a machine that was moved was started
 // by both blocks.
 func (m *Machine) Still() bool {
-	if len(m.Offers) > 0 || len(m.Strays) > 0 {
+	if len(m.Offers) > 0 || len(m.Orphans) > 0 {
 		return false
 	}
 	for _, p := range m.Tasks {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -333,7 +333,7 @@
 // machine, on offer or on its way, none may run unseen, and none is shown where it does not
 // count.
 func (s *State) Quiescent(j *jobs.Job) bool {
-	return j.Placed == 0 && !s.MayRunUnseen(j) && !slices.ContainsFunc(s.Yard.All(), func(m *workers.Machine) bool { return slices.Contains(m.Strays, j.Rec.ID) })
+	return j.Placed == 0 && !s.MayRunUnseen(j) && !slices.ContainsFunc(s.Yard.All(), func(m *workers.Machine) bool { return slices.Contains(m.Orphans, j.Rec.ID) })
 }
 
 // mostMissing is the share of a team's limit that machines may take of which it is not
