--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -177,7 +177,7 @@
 		}
 	}
 	if len(strays) > 0 && len(m.Orphans) == 0 {
-		m.StraysSince = now
+		m.OrphansSince = now
 	}
 	m.Orphans = strays
 	return events, cmds
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -51,7 +51,7 @@
 	Why            string
 	Tasks          map[Ref]*Placement
 	Orphans        []uint64 // jobs of tasks that should not be there and are still shown
-	StraysSince    time.Duration
+	OrphansSince   time.Duration
 	UpSince        time.Duration
 	Errors         int
 	ShunUntil      time.Duration
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -61,7 +61,7 @@
 			d.Leave(now, m, cluster.Return, "taken by the cloud")
 		case m.Notice && len(m.Tasks) == 0:
 			d.Leave(now, m, cluster.Return, "to be taken by the cloud")
-		case len(m.Orphans) > 0 && now-m.StraysSince > overdue:
+		case len(m.Orphans) > 0 && now-m.OrphansSince > overdue:
 			d.Leave(now, m, cluster.Delete, "tasks that do not stop")
 		}
 		if !m.Notice && !m.Draining {
