--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -78,7 +78,7 @@
 			if tally.Count(reconcile.Absent(true, m.unanswered(p), false)).Resolution() == reconcile.Leave {
 				gone(p, Vanished).Died = true
 			} else {
-				m.Tainted = true
+				m.Quarantined = true
 			}
 		}
 		m.images = nil
@@ -170,7 +170,7 @@
 			continue
 		}
 		late := !p.Seen && m.direct(p.Ref, p.Attempt, r.Token)
-		tainted := m.Tainted && m.unanswered(p)
+		tainted := m.Quarantined && m.unanswered(p)
 		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
 			delete(m.directs, attempt{p.Ref, p.Attempt})
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -73,7 +73,7 @@
 	// out by a life that has seen no token, and until the deletion is answered its task counts
 	// as being here. Found in a random day in which a start was held up past its session, its
 	// task started elsewhere, and the machine began anew under its name.
-	Tainted bool
+	Quarantined bool
 	// Doubt is a token above which one must be seen before the machine gets new work; 0:
 	// there is none. A call that had no answer, a lease that ran out while the machine was
 	// heard, and signs that it began anew give rise to it: whoever then reports a token
@@ -121,7 +121,7 @@
 
 // Serves says whether it could run more tasks, even if it is to be returned.
 func (m *Machine) Serves(now, quiet time.Duration) bool {
-	return m.Durable && m.Up && m.Resolved && m.Doubt == 0 && !m.Tainted && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.ShunUntil && now-m.Heard <= quiet
+	return m.Durable && m.Up && m.Resolved && m.Doubt == 0 && !m.Quarantined && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.ShunUntil && now-m.Heard <= quiet
 }
 
 // Unresolved says whether an earlier term may have left something on the machine that is
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -53,7 +53,7 @@
 			d.Leave(now, m, cluster.Delete, "silent")
 		case sure && !m.Up && !m.Durable && now-m.RentedAt > settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS)+bootSlack:
 			d.Leave(now, m, cluster.Delete, "never came up")
-		case sure && m.Tainted:
+		case sure && m.Quarantined:
 			d.Leave(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
 		case sure && m.Deaf(now, settings.Seconds(1.2*w.LeaseS)):
 			d.Leave(now, m, cluster.Delete, "does not hear")
