--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -57,16 +57,16 @@
 // doubt has the machine get nothing new until it has seen a token above this one, which it
 // is given with its next report.
 func (m *Machine) doubt(now time.Duration, token uint64) {
-	if m.Doubt == 0 {
+	if m.SuspectBelow == 0 {
 		m.told = 0
 	}
-	m.Doubt, m.raise = max(m.Doubt, token), RaiseNow
+	m.SuspectBelow, m.raise = max(m.SuspectBelow, token), RaiseNow
 }
 
 // Stale takes a report that is older than one taken in, though nothing newer has come for
 // longer than a worker is silent: the machine may have begun anew.
 func (m *Machine) Stale(now, silent time.Duration) {
-	if m.Up && m.Doubt == 0 && now-m.Heard > silent {
+	if m.Up && m.SuspectBelow == 0 && now-m.Heard > silent {
 		m.doubt(now, m.Token)
 	}
 }
@@ -75,7 +75,7 @@
 // in doubt, and has not shown it for so long. Time in which nobody could give it one, as in
 // an outage, does not count.
 func (m *Machine) Deaf(now, limit time.Duration) bool {
-	return m.Doubt > 0 && m.told > 0 && m.Heard > m.told && now-m.told > limit
+	return m.SuspectBelow > 0 && m.told > 0 && m.Heard > m.told && now-m.told > limit
 }
 
 // Seen is the highest token that the machine has shown.
@@ -92,7 +92,7 @@
 		return false
 	}
 	m.raise, m.raised = NoRaise, now
-	if m.Doubt > 0 && m.told == 0 {
+	if m.SuspectBelow > 0 && m.told == 0 {
 		m.told = now
 	}
 	return true
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -69,7 +69,7 @@
 		m.Take(p.Ref)
 		return &events[len(events)-1]
 	}
-	reborn, doubted := !m.Fresh(r), m.Doubt > 0
+	reborn, doubted := !m.Fresh(r), m.SuspectBelow > 0
 	if (r.Session > m.Session && m.Session != 0) || reborn {
 		for _, p := range m.Tasks {
 			if p.Planned {
@@ -88,8 +88,8 @@
 			m.doubt(now, m.Token)
 		}
 	}
-	if r.Token > m.Doubt {
-		m.Doubt = 0
+	if r.Token > m.SuspectBelow {
+		m.SuspectBelow = 0
 	}
 	m.seen = r.Token
 	if !m.Up || r.Token >= m.first {
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -78,7 +78,7 @@
 	// there is none. A call that had no answer, a lease that ran out while the machine was
 	// heard, and signs that it began anew give rise to it: whoever then reports a token
 	// given out since hears us, and lives.
-	Doubt        uint64
+	SuspectBelow uint64
 	told         time.Duration // when it was first given one; 0: not yet
 	seen         uint64        // highest token in a report that was taken in
 	first        uint64        // lowest token of this term
@@ -121,7 +121,7 @@
 
 // Serves says whether it could run more tasks, even if it is to be returned.
 func (m *Machine) Serves(now, quiet time.Duration) bool {
-	return m.Durable && m.Up && m.Resolved && m.Doubt == 0 && !m.Quarantined && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.ShunUntil && now-m.Heard <= quiet
+	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.ShunUntil && now-m.Heard <= quiet
 }
 
 // Unresolved says whether an earlier term may have left something on the machine that is
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -158,7 +158,7 @@
 	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, Heard: time.Second})
 	m.Stale(10*time.Second, 5*time.Second)
 	m.Heard = 60 * time.Second
-	if m.Doubt != 5 || m.Deaf(60*time.Second, 20*time.Second) {
+	if m.SuspectBelow != 5 || m.Deaf(60*time.Second, 20*time.Second) {
 		t.Fatal("no token was given to it yet")
 	}
 	if !m.WantsToken(61*time.Second) || m.Deaf(90*time.Second, 20*time.Second) {
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -262,7 +262,7 @@
 			}
 			// The answer goes nowhere, or to a worker that has begun anew: that one must get
 			// no token but such as nobody had before it.
-			if answer.Token = m.Token; m.Doubt == 0 || m.Token <= m.Doubt {
+			if answer.Token = m.Token; m.SuspectBelow == 0 || m.Token <= m.SuspectBelow {
 				answer.Token = 0
 			}
 		}
@@ -363,7 +363,7 @@
 	x := reconcile.Machine{Gone: d.Yard.Gone(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
 	if m != nil {
-		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Leaving, m.Session, m.Seq, m.Token, m.Seen(), m.Doubt
+		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Leaving, m.Session, m.Seq, m.Token, m.Seen(), m.SuspectBelow
 	}
 	return reconcile.Report(x)
 }
