--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -52,12 +52,12 @@
 	return r.Session > m.Session || (r.Session == m.Session && r.Seq > m.Seq)
 }
 
-// Absorb takes in a fresh report. known tells what the leader knows of a
+// ApplyStatus takes in a fresh report. known tells what the leader knows of a
 // task that is here, or whose result is; tally counts the differences found and may
 // be nil. It returns the events and the commands that follow from the report
 // alone: reaps and the stops of tasks that should not be there. What follows from
 // which difference is package squaring's table.
-func (m *Machine) Absorb(now time.Duration, r *Report, token uint64, tally *reconcile.Tally, known func(job uint64, task int, here bool) (Known, bool)) ([]Event, []Command) {
+func (m *Machine) ApplyStatus(now time.Duration, r *Report, token uint64, tally *reconcile.Tally, known func(job uint64, task int, here bool) (Known, bool)) ([]Event, []Command) {
 	var events []Event
 	var cmds []Command
 	gone := func(p *Placement, why Reason) *Event {
