--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -71,10 +71,10 @@
 	}
 }
 
-// Deaf says whether the machine has been heard since it was given a higher token for being
+// Unreachable says whether the machine has been heard since it was given a higher token for being
 // in doubt, and has not shown it for so long. Time in which nobody could give it one, as in
 // an outage, does not count.
-func (m *Machine) Deaf(now, limit time.Duration) bool {
+func (m *Machine) Unreachable(now, limit time.Duration) bool {
 	return m.SuspectBelow > 0 && m.told > 0 && m.Heard > m.told && now-m.told > limit
 }
 
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -55,7 +55,7 @@
 			d.Leave(now, m, cluster.Delete, "never came up")
 		case sure && m.Quarantined:
 			d.Leave(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
-		case sure && m.Deaf(now, settings.Seconds(1.2*w.LeaseS)):
+		case sure && m.Unreachable(now, settings.Seconds(1.2*w.LeaseS)):
 			d.Leave(now, m, cluster.Delete, "does not hear")
 		case m.Notice && now > m.TakenAt:
 			d.Leave(now, m, cluster.Return, "taken by the cloud")
