--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -17,11 +17,11 @@
 	m.directs[attempt{p.Ref, p.Attempt}] = &directStart{token: m.Token}
 }
 
-// Launched takes the worker's answer to starts sent straight to it, under a token: its
+// DispatchResult takes the worker's answer to starts sent straight to it, under a token: its
 // report after them, nil if there was none or it does not say that they were carried out.
 // Of the report only the tasks that were sent are looked at: it may overtake the answer to
 // a report, and what is absent or newer in it proves nothing here.
-func (m *Machine) Launched(now time.Duration, token uint64, refs []Ref, r *Report) {
+func (m *Machine) DispatchResult(now time.Duration, token uint64, refs []Ref, r *Report) {
 	m.Calling = false
 	for _, ref := range refs {
 		p := m.Tasks[ref]
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -131,7 +131,7 @@
 			refs = append(refs, workers.Ref{Job: j.Index, Task: int32(c.Task)})
 		}
 	}
-	m.Launched(now, token, refs, r)
+	m.DispatchResult(now, token, refs, r)
 }
 
 // View is what operators may see.
