--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// StartDirect notes that a task planned here is sent straight to the worker. From now on
+// Dispatch notes that a task planned here is sent straight to the worker. From now on
 // it counts as being here, until a report at a higher token shows that it is not: the
 // command may be carried out late.
-func (m *Machine) StartDirect(p *Placement) {
+func (m *Machine) Dispatch(p *Placement) {
 	m.moveIn(p)
 	p.seq = m.Seq
 	if m.directs == nil {
