--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -78,8 +78,8 @@
 	return m.SuspectBelow > 0 && m.told > 0 && m.Heard > m.told && now-m.told > limit
 }
 
-// Seen is the highest token that the machine has shown.
-func (m *Machine) Seen() uint64 { return m.seen }
+// HighestTokenSeen is the highest token that the machine has shown.
+func (m *Machine) HighestTokenSeen() uint64 { return m.seen }
 
 // WantsToken says whether the machine should be given a higher token now, and takes it
 // that it will be.
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -363,7 +363,7 @@
 	x := reconcile.Machine{Gone: d.Yard.Gone(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
 	if m != nil {
-		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Leaving, m.Session, m.Seq, m.Token, m.Seen(), m.SuspectBelow
+		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Leaving, m.Session, m.Seq, m.Token, m.HighestTokenSeen(), m.SuspectBelow
 	}
 	return reconcile.Report(x)
 }
