--- a/internal/core/scheduler/accel_test.go
+++ b/internal/core/scheduler/accel_test.go
@@ -33,7 +33,7 @@
 	w.Unplace = func(j *jobs.Job, k int) {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		for _, m := range w.Yard.All() {
-			m.Take(ref)
+			m.RemovePlacement(ref)
 		}
 		j.Release(k)
 	}
@@ -119,7 +119,7 @@
 	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		place(j, k, m)
 		placed = append(placed, func() {
-			m.Take(workers.Ref{Job: j.Index, Task: int32(k)})
+			m.RemovePlacement(workers.Ref{Job: j.Index, Task: int32(k)})
 			j.Release(k)
 			p.Refund(0, j.Need)
 		})
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -62,7 +62,7 @@
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		for _, m := range w.Yard.All() {
 			if m.Tasks[ref] != nil {
-				m.Take(ref)
+				m.RemovePlacement(ref)
 				j.MoveZone(m.Zone, -1)
 			}
 		}
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -66,7 +66,7 @@
 			ran = now - p.RanAt
 		}
 		events = append(events, Event{Kind: EvGone, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Reason: why, Ran: ran, Running: p.Runs()})
-		m.Take(p.Ref)
+		m.RemovePlacement(p.Ref)
 		return &events[len(events)-1]
 	}
 	reborn, doubted := !m.Fresh(r), m.SuspectBelow > 0
@@ -130,7 +130,7 @@
 			if diff == reconcile.Completed && p.Runs() {
 				ev.Ran, ev.Running = now-p.RanAt, true
 			}
-			m.Take(k.Ref)
+			m.RemovePlacement(k.Ref)
 			events = append(events, ev)
 		case reconcile.Wait:
 			if diff == reconcile.EndedDirect {
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -197,8 +197,8 @@
 	}
 }
 
-// Take removes a placement.
-func (m *Machine) Take(ref Ref) {
+// RemovePlacement removes a placement.
+func (m *Machine) RemovePlacement(ref Ref) {
 	if p := m.Tasks[ref]; p != nil {
 		m.Free = m.Free.Plus(p.Need)
 		if p.Need.GPU == 0 {
@@ -278,7 +278,7 @@
 
 // moveIn makes a planned task one that is on the machine.
 func (m *Machine) moveIn(p *Placement) {
-	p.Home.Take(p.Ref)
+	p.Home.RemovePlacement(p.Ref)
 	p.Planned, p.Home = false, m
 	m.add(p)
 }
@@ -338,7 +338,7 @@
 // to, if there is any.
 func (p *Placement) Rehome() bool {
 	for m := range p.Offered {
-		p.Home.Take(p.Ref)
+		p.Home.RemovePlacement(p.Ref)
 		p.Home = m
 		m.add(p)
 		return true
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -243,7 +243,7 @@
 		p.Withdrawn = true
 		return
 	}
-	p.Home.Take(p.Ref)
+	p.Home.RemovePlacement(p.Ref)
 	s.Lift(p.Ref)
 }
 
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -428,7 +428,7 @@
 				continue
 			}
 			ev := workers.Event{Kind: workers.EvGone, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Reason: workers.Vanished, Ran: -1, Running: p.Runs(), Died: true}
-			m.Take(ref)
+			m.RemovePlacement(ref)
 			d.event(now, m, ev)
 		}
 		d.Yard.Remove(name)
