--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -411,13 +411,13 @@
 	delete(m.idle, job)
 }
 
-// Still says whether nothing is on its way to the machine, nor by way of its block's
+// Settled says whether nothing is on its way to the machine, nor by way of its block's
 // controller on behalf of it: no offer to it is open, none of its plans is on offer to
 // another machine of the block, and all that counts here has been seen. Only then may it be
 // moved to another block: a controller starts an offer once, two controllers would twice.
 // Found on the users' bench, where a task planned on a machine that was moved was started
 // by both blocks.
-func (m *Machine) Still() bool {
+func (m *Machine) Settled() bool {
 	if len(m.Offers) > 0 || len(m.Orphans) > 0 {
 		return false
 	}
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -119,12 +119,12 @@
 func TestStill(t *testing.T) {
 	y, m := machine()
 	other := y.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Holder: m.Holder})
-	if !m.Still() {
+	if !m.Settled() {
 		t.Error("an empty machine is not")
 	}
 	p := &Placement{Ref: Ref{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), Noted: true}
 	m.Plan(p)
-	if !m.Still() {
+	if !m.Settled() {
 		t.Error("a plan that is on offer to nobody keeps it")
 	}
 	other.Grants[1] = true
@@ -134,19 +134,19 @@
 	if len(other.Offer([]*Machine{m}, next, next)) != 1 {
 		t.Fatal("the plan is not on offer to the other machine")
 	}
-	if m.Still() || other.Still() {
+	if m.Settled() || other.Settled() {
 		t.Error("its plan is on offer, and it may be moved")
 	}
 	other.Session, other.Seq = 1, 1
 	absorb(other, Report{Session: 1, Seq: 2, Token: token})
-	if !m.Still() || !other.Still() {
+	if !m.Settled() || !other.Settled() {
 		t.Error("the offer is over, and it may not be moved")
 	}
 	q := place(other, 2, 0)
-	if other.Still() {
+	if other.Settled() {
 		t.Error("a start that was not seen yet is on its way")
 	}
-	if q.Seen = true; !other.Still() {
+	if q.Seen = true; !other.Settled() {
 		t.Error("a task that was seen keeps it")
 	}
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -320,7 +320,7 @@
 		d.Emit(effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 421, Node: elsewhere}})
 		return
 	}
-	if d.Spreader != nil && sure && m.Durable && m.Resolved && !m.Leaving && r.Token == m.Token && len(cmds) == 0 && m.Still() {
+	if d.Spreader != nil && sure && m.Durable && m.Resolved && !m.Leaving && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
 		if other := d.Spreader.Elsewhere(now, m); other != "" {
 			// Nothing is on its way to it. What was its due comes with its next report,
 			// by way of the other controller; the former one is turned away.
