--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -494,7 +494,7 @@
 	}
 	j.BesideRoom = 0
 	for _, m := range room {
-		if m.Draining && m.Plans() {
+		if m.Draining && m.HasPlans() {
 			m.Draining, m.KeptUntil = false, w.Now+leftAfter // the plan would be taken back else
 		}
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -429,8 +429,8 @@
 	return true
 }
 
-// Plans says whether tasks are planned on the machine.
-func (m *Machine) Plans() bool {
+// HasPlans says whether tasks are planned on the machine.
+func (m *Machine) HasPlans() bool {
 	for _, p := range m.Tasks {
 		if p.Planned {
 			return true
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -241,7 +241,7 @@
 	}
 	d.Counts.LeftWaiting += uint64(d.Plan.Pass(w))
 	d.PlannedOn = slices.DeleteFunc(d.PlannedOn, func(m *workers.Machine) bool {
-		m.Listed = m.Plans()
+		m.Listed = m.HasPlans()
 		return !m.Listed
 	})
 	for _, p := range d.planned {
