--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -355,9 +355,9 @@
 	return true
 }
 
-// Awaits says whether something must become durable before the machine can be
+// AwaitsDurability says whether something must become durable before the machine can be
 // told to start what is planned on it.
-func (m *Machine) Awaits() bool {
+func (m *Machine) AwaitsDurability() bool {
 	if !m.Durable {
 		return m.registryQueued
 	}
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -79,15 +79,15 @@
 	n := uint64(0)
 	next := func() uint64 { n++; return n }
 	m.Grants[3] = false
-	if got := m.Offer([]*Machine{m}, next, next); len(got) != 0 || !m.Awaits() {
+	if got := m.Offer([]*Machine{m}, next, next); len(got) != 0 || !m.AwaitsDurability() {
 		t.Errorf("offered %v before the grant is durable", got)
 	}
 	m.Grants[3] = true
-	if got := m.Offer([]*Machine{m}, next, next); len(got) != 0 || !m.Awaits() {
+	if got := m.Offer([]*Machine{m}, next, next); len(got) != 0 || !m.AwaitsDurability() {
 		t.Errorf("offered %v before the mark is durable", got)
 	}
 	p.Noted = true
-	if got := m.Offer([]*Machine{m}, next, next); len(got) != 1 || m.Awaits() {
+	if got := m.Offer([]*Machine{m}, next, next); len(got) != 1 || m.AwaitsDurability() {
 		t.Errorf("offered %v once it is", got)
 	}
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -333,7 +333,7 @@
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
 	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
-	if sure && !m.Leaving && !m.Notice && (d.Dirty || m.Awaits()) {
+	if sure && !m.Leaving && !m.Notice && (d.Dirty || m.AwaitsDurability()) {
 		d.waiting = append(d.waiting, w)
 		d.waits[m] = w
 		return
@@ -387,7 +387,7 @@
 		if w.over {
 			continue
 		}
-		if sure && w.m.Awaits() && now-w.since < grantWait && !w.m.Leaving {
+		if sure && w.m.AwaitsDurability() && now-w.since < grantWait && !w.m.Leaving {
 			kept = append(kept, w)
 			continue
 		}
