--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -183,8 +183,8 @@
 	return events, cmds
 }
 
-// Stands says whether an attempt of a task is the one that counts as being here.
-func (m *Machine) Stands(ref Ref, attempt uint64) bool {
+// IsCurrentAttempt says whether an attempt of a task is the one that counts as being here.
+func (m *Machine) IsCurrentAttempt(ref Ref, attempt uint64) bool {
 	p := m.Tasks[ref]
 	return p != nil && !p.Planned && reconcile.Task(reconcile.Stored{Known: true, Here: true, Attempt: p.Attempt}, reconcile.Shown{Attempt: attempt}) == reconcile.AsStored
 }
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -36,7 +36,7 @@
 		if h == nil {
 			continue
 		}
-		if !m.Stands(workers.Ref{Job: j.Index, Task: int32(t.Task)}, t.Attempt) {
+		if !m.IsCurrentAttempt(workers.Ref{Job: j.Index, Task: int32(t.Task)}, t.Attempt) {
 			s.needs = append(s.needs, h.needs...)
 		}
 	}
