--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -405,8 +405,8 @@
 	return out
 }
 
-// Withdraw forgets that a job may have tasks here.
-func (m *Machine) Withdraw(job uint64) {
+// RevokeGrant forgets that a job may have tasks here.
+func (m *Machine) RevokeGrant(job uint64) {
 	delete(m.Grants, job)
 	delete(m.idle, job)
 }
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -134,7 +134,7 @@
 	case cluster.JobLeft:
 		id := e.Job.Rec.ID
 		for _, m := range d.granted[id] {
-			m.Withdraw(id)
+			m.RevokeGrant(id)
 		}
 		delete(d.withdrawn, id)
 		delete(d.granted, id)
@@ -289,7 +289,7 @@
 // have.
 func (d *Duty) withdraw(now time.Duration, m *workers.Machine, r *workers.Report) {
 	for _, id := range m.Unused(now, grantIdle, r) {
-		m.Withdraw(id)
+		m.RevokeGrant(id)
 		d.granted[id] = slices.DeleteFunc(d.granted[id], func(o *workers.Machine) bool { return o == m })
 		d.withdrawn[id] = append(d.withdrawn[id], m.Number)
 	}
