--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -369,11 +369,11 @@
 	return false
 }
 
-// Unused returns the jobs whose grants may be taken back: for a while now
+// UnusedGrants returns the jobs whose grants may be taken back: for a while now
 // neither a task of theirs counts as being here, nor is one planned or on offer
 // here, nor does the report just taken in, which is at the current token, show
 // any, wanted or not.
-func (m *Machine) Unused(now, after time.Duration, r *Report) []uint64 {
+func (m *Machine) UnusedGrants(now, after time.Duration, r *Report) []uint64 {
 	var used, out []uint64
 	for _, p := range m.Tasks {
 		used = append(used, p.JobID)
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -100,16 +100,16 @@
 	place(m, 1, 0)
 	m.Plan(&Placement{Ref: Ref{Job: 2}, JobID: 2, Need: resources.Need(1, 0, 1)})
 	stray := Report{Tasks: []TaskReport{{Job: 3, State: Running}}}
-	if got := m.Unused(0, 8*time.Second, &stray); len(got) != 0 {
+	if got := m.UnusedGrants(0, 8*time.Second, &stray); len(got) != 0 {
 		t.Errorf("%v at once", got)
 	}
-	if got := m.Unused(9*time.Second, 8*time.Second, &stray); !slices.Equal(got, []uint64{4}) {
+	if got := m.UnusedGrants(9*time.Second, 8*time.Second, &stray); !slices.Equal(got, []uint64{4}) {
 		t.Errorf("%v after a while, want only job 4", got)
 	}
-	if got := m.Unused(9*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{4}) {
+	if got := m.UnusedGrants(9*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{4}) {
 		t.Errorf("%v when the stray has just gone, want only job 4", got)
 	}
-	if got := m.Unused(18*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{3, 4}) {
+	if got := m.UnusedGrants(18*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{3, 4}) {
 		t.Errorf("%v later, want jobs 3 and 4", got)
 	}
 }
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -288,7 +288,7 @@
 // a while, so that a successor that cannot hear it holds back only those that
 // have.
 func (d *Duty) withdraw(now time.Duration, m *workers.Machine, r *workers.Report) {
-	for _, id := range m.Unused(now, grantIdle, r) {
+	for _, id := range m.UnusedGrants(now, grantIdle, r) {
 		m.RevokeGrant(id)
 		d.granted[id] = slices.DeleteFunc(d.granted[id], func(o *workers.Machine) bool { return o == m })
 		d.withdrawn[id] = append(d.withdrawn[id], m.Number)
