--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -81,9 +81,9 @@
 // HighestTokenSeen is the highest token that the machine has shown.
 func (m *Machine) HighestTokenSeen() uint64 { return m.seen }
 
-// WantsToken says whether the machine should be given a higher token now, and takes it
+// NeedsToken says whether the machine should be given a higher token now, and takes it
 // that it will be.
-func (m *Machine) WantsToken(now time.Duration) bool {
+func (m *Machine) NeedsToken(now time.Duration) bool {
 	pause := raiseSometimePause
 	if m.raise == RaiseNow {
 		pause = raiseNowPause
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -161,7 +161,7 @@
 	if m.SuspectBelow != 5 || m.Unreachable(60*time.Second, 20*time.Second) {
 		t.Fatal("no token was given to it yet")
 	}
-	if !m.WantsToken(61*time.Second) || m.Unreachable(90*time.Second, 20*time.Second) {
+	if !m.NeedsToken(61*time.Second) || m.Unreachable(90*time.Second, 20*time.Second) {
 		t.Fatal("it was not heard since")
 	}
 	m.Heard = 62 * time.Second
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -257,7 +257,7 @@
 	case reconcile.Ignore:
 		if m != nil {
 			m.Stale(now, settings.Seconds(1.5*d.Cfg.Deployment.Workers.ReportS))
-			if sure && m.WantsToken(now) {
+			if sure && m.NeedsToken(now) {
 				m.Token = d.NextToken()
 			}
 			// The answer goes nowhere, or to a worker that has begun anew: that one must get
@@ -329,7 +329,7 @@
 			return
 		}
 	}
-	if sure && m.WantsToken(now) {
+	if sure && m.NeedsToken(now) {
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
 	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
