--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -78,7 +78,7 @@
 // machines of two accelerators and twelve processors: replicas of one processor stood on
 // most of them for minutes, and a third of the accelerators was idle while gangs waited.
 func (w *World) mayLend(j *jobs.Job, m *workers.Machine) bool {
-	left := m.Cap.Minus(m.Plain)
+	left := m.Cap.Minus(m.UsedWithoutGPU)
 	after := Slots(w.Accel, left.Minus(j.Need))
 	if after >= Slots(w.Accel, m.Cap) {
 		return true
@@ -88,7 +88,7 @@
 
 // lent counts what a task takes from those that need accelerators.
 func (w *World) lent(j *jobs.Job, m *workers.Machine) {
-	left := m.Cap.Minus(m.Plain)
+	left := m.Cap.Minus(m.UsedWithoutGPU)
 	w.lend -= max(0, Slots(w.Accel, left)-Slots(w.Accel, left.Minus(j.Need)))
 }
 
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -22,19 +22,19 @@
 
 // Machine is one machine.
 type Machine struct {
-	Index         int32
-	Name, Address string
-	Type, Zone    int32
-	Spot          bool
-	Cap, Free     resources.Amounts
-	Plain         resources.Amounts // of what is not free: taken by tasks that need no accelerator
-	CacheGB       float64
-	FetchGBPS     float64
-	Number        int             // in the registry
-	Grants        map[uint64]bool // jobs, by id, that may have tasks here; true once that is durable
-	Durable       bool            // in the registry: tasks may be started
-	Up            bool            // has reported in this term
-	Resolved      bool            // what an earlier term left on it is known
+	Index          int32
+	Name, Address  string
+	Type, Zone     int32
+	Spot           bool
+	Cap, Free      resources.Amounts
+	UsedWithoutGPU resources.Amounts // of what is not free: taken by tasks that need no accelerator
+	CacheGB        float64
+	FetchGBPS      float64
+	Number         int             // in the registry
+	Grants         map[uint64]bool // jobs, by id, that may have tasks here; true once that is durable
+	Durable        bool            // in the registry: tasks may be started
+	Up             bool            // has reported in this term
+	Resolved       bool            // what an earlier term left on it is known
 	// Claims are the teams whose tasks of earlier terms it may have while it is not
 	// resolved; AnyTeam says that they may be anybody's.
 	Claims         []int32
@@ -193,7 +193,7 @@
 	m.Tasks[p.Ref] = p
 	m.Free = m.Free.Minus(p.Need)
 	if p.Need.GPU == 0 {
-		m.Plain = m.Plain.Plus(p.Need)
+		m.UsedWithoutGPU = m.UsedWithoutGPU.Plus(p.Need)
 	}
 }
 
@@ -202,7 +202,7 @@
 	if p := m.Tasks[ref]; p != nil {
 		m.Free = m.Free.Plus(p.Need)
 		if p.Need.GPU == 0 {
-			m.Plain = m.Plain.Minus(p.Need)
+			m.UsedWithoutGPU = m.UsedWithoutGPU.Minus(p.Need)
 		}
 		delete(m.Tasks, ref)
 	}
