--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -54,7 +54,7 @@
 	OrphansSince   time.Duration
 	UpSince        time.Duration
 	Errors         int
-	ShunUntil      time.Duration
+	AvoidUntil     time.Duration
 	Token          uint64             // raised when the machine goes to another controller
 	Holder         string             // the controller whose block it is in
 	Offers         map[Ref]*Placement // open offers: what a newer report does not show was not started
@@ -121,7 +121,7 @@
 
 // Serves says whether it could run more tasks, even if it is to be returned.
 func (m *Machine) Serves(now, quiet time.Duration) bool {
-	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.ShunUntil && now-m.Heard <= quiet
+	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.AvoidUntil && now-m.Heard <= quiet
 }
 
 // Unresolved says whether an earlier term may have left something on the machine that is
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -120,7 +120,7 @@
 			j.Errors++
 			if m.Errors >= 3 {
 				// Few failures without a success between them: the machine is faulty.
-				m.ShunUntil = now + time.Minute
+				m.AvoidUntil = now + time.Minute
 			}
 			if j.Errors >= 3 {
 				// It fails wherever it goes: tried ever more slowly, so that others get on.
@@ -128,7 +128,7 @@
 			}
 			d.Note(effects.Debug, "task failed", "job", e.JobID, "task", k, "machine", m.Name)
 		case workers.NoRoom, workers.Busy:
-			m.ShunUntil = now + 2*time.Second // our count of its room is wrong for the moment
+			m.AvoidUntil = now + 2*time.Second // our count of its room is wrong for the moment
 		case workers.UnknownTask:
 			j.NotBefore = now + 2*time.Second
 		}
