--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -56,7 +56,7 @@
 	Errors         int
 	AvoidUntil     time.Duration
 	Token          uint64             // raised when the machine goes to another controller
-	Holder         string             // the controller whose block it is in
+	Shard          string             // the controller whose block it is in
 	Offers         map[Ref]*Placement // open offers: what a newer report does not show was not started
 	Listed         bool               // among the machines whose plans are offered
 	Held           bool               // room is held here for the first job in order
@@ -257,7 +257,7 @@
 		if m.Draining {
 			break // it is to become empty
 		}
-		if o == m || o.Holder != m.Holder || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot || m.Held {
+		if o == m || o.Shard != m.Shard || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot || m.Held {
 			continue
 		}
 		for _, p := range o.Tasks {
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -118,7 +118,7 @@
 // that is on offer to another machine of the block is: the other block would start it too.
 func TestStill(t *testing.T) {
 	y, m := machine()
-	other := y.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Holder: m.Holder})
+	other := y.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Shard: m.Shard})
 	if !m.Settled() {
 		t.Error("an empty machine is not")
 	}
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -83,8 +83,8 @@
 	d.lookAt = now
 	count := map[string]int{}
 	for _, m := range d.Yard.All() {
-		if m.Holder != "" && m.Up && !m.Leaving && now-m.Heard <= d.Quiet() {
-			count[m.Holder]++
+		if m.Shard != "" && m.Up && !m.Leaving && now-m.Heard <= d.Quiet() {
+			count[m.Shard]++
 		}
 	}
 	nodes := []Node{{Name: d.Cfg.Node, Machines: count[d.Cfg.Node], Weight: d.Cfg.Tunables.SpreadLeader, Ready: true}}
@@ -110,7 +110,7 @@
 // Elsewhere says to which controller a machine that has just reported should go; empty:
 // it stays. Nothing may be on its way to it.
 func (d *Duty) Elsewhere(now time.Duration, m *workers.Machine) string {
-	to := d.balance.Move(now, m.Name, m.Holder)
+	to := d.balance.Move(now, m.Name, m.Shard)
 	if to != "" {
 		d.moves++
 	}
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -157,7 +157,7 @@
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	for i := range 30 {
-		m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(i), Up: true, Heard: 30 * time.Second, Holder: "b"})
+		m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(i), Up: true, Heard: 30 * time.Second, Shard: "b"})
 		if i < 5 {
 			m.Heard = 0
 		}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -214,7 +214,7 @@
 		// The controller began anew and has forgotten what it took up: what is
 		// on offer by way of it must be settled before it is offered again.
 		for _, o := range d.Yard.All() {
-			if o.Holder == in.Via {
+			if o.Shard == in.Via {
 				d.freeze(o)
 			}
 		}
@@ -222,15 +222,15 @@
 	d.lives[in.Via] = in.Life
 	d.seen[in.Via] = now
 	switch {
-	case m.Holder == in.Via:
+	case m.Shard == in.Via:
 		return ""
-	case m.Holder != "" && now-m.Heard < moveAfter && now-d.seen[m.Holder] < moveAfter:
-		return m.Holder
-	case m.Holder != "":
+	case m.Shard != "" && now-m.Heard < moveAfter && now-d.seen[m.Shard] < moveAfter:
+		return m.Shard
+	case m.Shard != "":
 		d.freeze(m)
 		m.Token = d.NextToken() // the worker turns the former holder away
 	}
-	m.Holder = in.Via
+	m.Shard = in.Via
 	return ""
 }
 
@@ -324,7 +324,7 @@
 		if other := d.Spreader.Elsewhere(now, m); other != "" {
 			// Nothing is on its way to it. What was its due comes with its next report,
 			// by way of the other controller; the former one is turned away.
-			m.Token, m.Holder = d.NextToken(), other
+			m.Token, m.Shard = d.NextToken(), other
 			d.Emit(effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 421, Node: other}})
 			return
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -100,14 +100,14 @@
 	byHolder := map[string]*BlockStatus{}
 	for _, m := range t.Yard.All() {
 		s.Machines = append(s.Machines, MachineStatus{Name: m.Name, Type: t.TypeNames.Name(m.Type), Zone: t.Zones.Name(m.Zone), Spot: m.Spot,
-			State: machineState(m), Holder: m.Holder, FreeCPUs: m.Free.CPUs(), Tasks: len(m.Tasks)})
-		if m.Holder == "" {
+			State: machineState(m), Holder: m.Shard, FreeCPUs: m.Free.CPUs(), Tasks: len(m.Tasks)})
+		if m.Shard == "" {
 			continue
 		}
-		b := byHolder[m.Holder]
+		b := byHolder[m.Shard]
 		if b == nil {
-			b = &BlockStatus{Holder: m.Holder}
-			byHolder[m.Holder] = b
+			b = &BlockStatus{Holder: m.Shard}
+			byHolder[m.Shard] = b
 		}
 		b.Machines++
 		b.CPUs += m.Cap.CPUs()
