--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -47,7 +47,7 @@
 	var drain []*workers.Machine
 	for _, m := range w.Yard.All() {
 		switch {
-		case m.Draining && !m.Leaving && m.Up && !m.Notice && len(m.Tasks) > 0:
+		case m.Draining && !m.Deleting && m.Up && !m.Notice && len(m.Tasks) > 0:
 			drain = append(drain, m)
 		case !m.Held && m.Free.CPU > 0 && m.Usable(w.Now, w.Quiet):
 			rooms = append(rooms, room{m, m.Free})
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -46,7 +46,7 @@
 	TakenAt        time.Duration
 	Draining       bool          // gets no new tasks, to be returned when empty
 	KeptUntil      time.Duration // it is not to be drained before
-	Leaving        bool          // its deletion has been decided, for good
+	Deleting       bool          // its deletion has been decided, for good
 	Unwritten      bool          // and waits until it is noted that nothing is on it
 	Why            string
 	Tasks          map[Ref]*Placement
@@ -121,7 +121,7 @@
 
 // Serves says whether it could run more tasks, even if it is to be returned.
 func (m *Machine) Serves(now, quiet time.Duration) bool {
-	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Leaving && !m.Notice && len(m.Orphans) == 0 && now >= m.AvoidUntil && now-m.Heard <= quiet
+	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Deleting && !m.Notice && len(m.Orphans) == 0 && now >= m.AvoidUntil && now-m.Heard <= quiet
 }
 
 // Unresolved says whether an earlier term may have left something on the machine that is
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -54,7 +54,7 @@
 	if !d.deleteBusy {
 		var list []string
 		for _, m := range d.Yard.All() {
-			if m.Leaving && !m.Unwritten && len(list) < 100 {
+			if m.Deleting && !m.Unwritten && len(list) < 100 {
 				list = append(list, m.Name)
 			}
 		}
@@ -176,7 +176,7 @@
 	}
 	n := 0
 	for _, m := range d.Yard.All() {
-		if m.Durable && !m.Leaving && m.Name < last && !there[m.Name] && (!m.Up || now-m.Heard > d.Quiet()) {
+		if m.Durable && !m.Deleting && m.Name < last && !there[m.Name] && (!m.Up || now-m.Heard > d.Quiet()) {
 			d.Leave(now, m, cluster.Delete, "not in the cloud's list any more")
 			n++
 		}
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -213,7 +213,7 @@
 	k.spotPeak.add(now, d.window(d.Cfg.Tunables.SpotReturnS), cheap)
 	var have, up, ordinary float64
 	for _, m := range yard {
-		if !m.Leaving && !m.Notice && !m.Draining && (m.Up || !d.buyer.Avoided(now, d.Zones.Name(m.Zone))) {
+		if !m.Deleting && !m.Notice && !m.Draining && (m.Up || !d.buyer.Avoided(now, d.Zones.Name(m.Zone))) {
 			have += m.Cap.CPUs()
 			if m.Up {
 				up += m.Cap.CPUs()
@@ -230,7 +230,7 @@
 		return 0
 	})
 	for _, m := range yard {
-		if cheap > have && m.Draining && !m.Leaving {
+		if cheap > have && m.Draining && !m.Deleting {
 			m.Draining = false
 			have += m.Cap.CPUs()
 			up += m.Cap.CPUs()
@@ -246,7 +246,7 @@
 	// not use spot machines at all, however much room there is on those.
 	need := d.demand(bound, d.Cfg.Tunables.DrainBacklogS, true)
 	for _, m := range yard {
-		if need > ordinary && m.Draining && !m.Leaving && !m.Spot {
+		if need > ordinary && m.Draining && !m.Deleting && !m.Spot {
 			m.Draining = false
 			ordinary += m.Cap.CPUs()
 			d.Dirty = true
@@ -300,7 +300,7 @@
 	}
 	var sum float64
 	for _, m := range yard {
-		if m.Spot || m.Leaving || m.Notice || m.Draining {
+		if m.Spot || m.Deleting || m.Notice || m.Draining {
 			continue
 		}
 		for _, p := range m.Tasks {
@@ -434,7 +434,7 @@
 
 // mayTake says whether a machine may have tasks of a job.
 func (d *Duty) mayTake(j *jobs.Job, m *workers.Machine) bool {
-	return !m.Leaving && !m.Notice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Rec.OneZone || j.ZoneAllows(m.Zone))
+	return !m.Deleting && !m.Notice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Rec.OneZone || j.ZoneAllows(m.Zone))
 }
 
 // hasPlace says whether a machine could take a task of a job if it were free.
@@ -560,7 +560,7 @@
 		return false
 	}
 	list := slices.DeleteFunc(slices.Clone(yard), func(m *workers.Machine) bool {
-		return m.Leaving || !m.Up || m.Notice || m.Draining || now < m.KeptUntil || now-m.UpSince < settings.Seconds(d.Cfg.Tunables.IdleReturnS) ||
+		return m.Deleting || !m.Up || m.Notice || m.Draining || now < m.KeptUntil || now-m.UpSince < settings.Seconds(d.Cfg.Tunables.IdleReturnS) ||
 			slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return d.mayTake(j, m) })
 	})
 	ends := map[*workers.Machine]time.Duration{}
@@ -604,7 +604,7 @@
 		}
 	}
 	for _, m := range yard {
-		if m.Draining && !m.Leaving && len(m.Tasks) == 0 && len(m.Offers) == 0 && len(m.Orphans) == 0 {
+		if m.Draining && !m.Deleting && len(m.Tasks) == 0 && len(m.Offers) == 0 && len(m.Orphans) == 0 {
 			d.Leave(now, m, cluster.Return, "not needed")
 			if m.Resolved { // else only its deletion proves that nothing of an earlier term is there
 				d.Tell(cluster.Event{Kind: cluster.MachineEmpty, At: now, Machine: m})
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -291,7 +291,7 @@
 func (s *State) CPUs() float64 {
 	var sum float64
 	for _, m := range s.Yard.All() {
-		if m.Up && !m.Leaving {
+		if m.Up && !m.Deleting {
 			sum += m.Cap.CPUs()
 		}
 	}
@@ -352,7 +352,7 @@
 
 // StopNow sends a machine's stops without waiting for its next report.
 func (s *State) StopNow(m *workers.Machine) {
-	if m.Address != "" && m.Up && !m.Leaving {
+	if m.Address != "" && m.Up && !m.Deleting {
 		s.Emit(effects.Direct{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.Stops()})
 	}
 }
@@ -449,10 +449,10 @@
 
 // Leave decides, for good, that a machine is to be deleted: it is returned, or given up.
 func (s *State) Leave(now time.Duration, m *workers.Machine, o Order, why string) {
-	if m.Leaving {
+	if m.Deleting {
 		return
 	}
-	m.Leaving, m.Why = true, why
+	m.Deleting, m.Why = true, why
 	s.TakeBackAll(m)
 	s.Dirty = true
 	if len(m.Tasks) > 0 {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -529,8 +529,8 @@
 		w.now += 7 * time.Second
 		w.pass(b)
 		w.d.Tick(w.now, true)
-		if w.m.Leaving != (setting > 0) {
-			t.Errorf("with %v s it is given up: %v", setting, w.m.Leaving)
+		if w.m.Deleting != (setting > 0) {
+			t.Errorf("with %v s it is given up: %v", setting, w.m.Deleting)
 		}
 	}
 }
--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -44,7 +44,7 @@
 		if len(d.asked) >= atOnce {
 			return
 		}
-		if _, under := d.asked[m.Name]; under || !m.Durable || m.Leaving || m.Address == "" || now-heard <= from {
+		if _, under := d.asked[m.Name]; under || !m.Durable || m.Deleting || m.Address == "" || now-heard <= from {
 			continue
 		}
 		if m.UnansweredAt < heard {
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -276,7 +276,7 @@
 		d.Note(effects.Info, "machine appeared unasked", "machine", r.Machine)
 	}
 	m.Address = r.Address
-	if !m.Durable && !m.Leaving {
+	if !m.Durable && !m.Deleting {
 		m.Resolved = true // no task is ever started on a machine before it is registered
 		rec.Number = d.Numbers + 1
 		if !d.Log.Fits(eventlog.Entry{Machine: &rec}) {
@@ -320,7 +320,7 @@
 		d.Emit(effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 421, Node: elsewhere}})
 		return
 	}
-	if d.Spreader != nil && sure && m.Durable && m.Resolved && !m.Leaving && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
+	if d.Spreader != nil && sure && m.Durable && m.Resolved && !m.Deleting && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
 		if other := d.Spreader.Elsewhere(now, m); other != "" {
 			// Nothing is on its way to it. What was its due comes with its next report,
 			// by way of the other controller; the former one is turned away.
@@ -333,7 +333,7 @@
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
 	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
-	if sure && !m.Leaving && !m.Notice && (d.Dirty || m.AwaitsDurability()) {
+	if sure && !m.Deleting && !m.Notice && (d.Dirty || m.AwaitsDurability()) {
 		d.waiting = append(d.waiting, w)
 		d.waits[m] = w
 		return
@@ -363,7 +363,7 @@
 	x := reconcile.Machine{Gone: d.Yard.Gone(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
 	if m != nil {
-		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Leaving, m.Session, m.Seq, m.Token, m.HighestTokenSeen(), m.SuspectBelow
+		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Deleting, m.Session, m.Seq, m.Token, m.HighestTokenSeen(), m.SuspectBelow
 	}
 	return reconcile.Report(x)
 }
@@ -373,7 +373,7 @@
 func (d *Duty) reply(sure bool, w *waitingReport) {
 	m := w.m
 	answer := effects.ReportAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
-	if sure && m.Durable && m.Resolved && !m.Leaving && !m.Notice {
+	if sure && m.Durable && m.Resolved && !m.Deleting && !m.Notice {
 		answer.Offers = m.Offer(d.PlannedOn, func() uint64 { d.serials++; return d.Token + d.serials }, d.Attempt)
 		answer.Room = m.Free
 	}
@@ -387,7 +387,7 @@
 		if w.over {
 			continue
 		}
-		if sure && w.m.AwaitsDurability() && now-w.since < grantWait && !w.m.Leaving {
+		if sure && w.m.AwaitsDurability() && now-w.since < grantWait && !w.m.Deleting {
 			kept = append(kept, w)
 			continue
 		}
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -31,7 +31,7 @@
 		}
 	}
 	for _, m := range slices.Clone(d.Yard.All()) {
-		if m.Leaving {
+		if m.Deleting {
 			continue
 		}
 		heard := max(m.Heard, d.Began)
@@ -125,7 +125,7 @@
 	}
 	up, silent := make([]int, d.Zones.Len()), make([]int, d.Zones.Len())
 	for _, m := range d.Yard.All() {
-		if m.Durable && !m.Leaving {
+		if m.Durable && !m.Deleting {
 			up[m.Zone]++
 			if now-max(m.Heard, d.Began) > settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) {
 				silent[m.Zone]++
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -71,7 +71,7 @@
 
 func machineState(m *workers.Machine) string {
 	switch {
-	case m.Leaving:
+	case m.Deleting:
 		return "leaving: " + m.Why
 	case m.Notice:
 		return "to be taken by the cloud"
