--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -37,32 +37,32 @@
 	Resolved       bool            // what an earlier term left on it is known
 	// Claims are the teams whose tasks of earlier terms it may have while it is not
 	// resolved; AnyTeam says that they may be anybody's.
-	Claims         []int32
-	AnyTeam        bool
-	Session, Seq   uint64
-	Heard          time.Duration
-	RentedAt       time.Duration
-	Notice         bool
-	TakenAt        time.Duration
-	Draining       bool          // gets no new tasks, to be returned when empty
-	KeptUntil      time.Duration // it is not to be drained before
-	Deleting       bool          // its deletion has been decided, for good
-	Unwritten      bool          // and waits until it is noted that nothing is on it
-	Why            string
-	Tasks          map[Ref]*Placement
-	Orphans        []uint64 // jobs of tasks that should not be there and are still shown
-	OrphansSince   time.Duration
-	UpSince        time.Duration
-	Errors         int
-	AvoidUntil     time.Duration
-	Token          uint64             // raised when the machine goes to another controller
-	Shard          string             // the controller whose block it is in
-	Offers         map[Ref]*Placement // open offers: what a newer report does not show was not started
-	Listed         bool               // among the machines whose plans are offered
-	Held           bool               // room is held here for the first job in order
-	images         []image
-	idle           map[uint64]time.Duration // since when a job with a grant has had nothing here
-	registryQueued bool
+	Claims           []int32
+	AnyTeam          bool
+	Session, Seq     uint64
+	Heard            time.Duration
+	RentedAt         time.Duration
+	Notice           bool
+	TakenAt          time.Duration
+	Draining         bool          // gets no new tasks, to be returned when empty
+	KeptUntil        time.Duration // it is not to be drained before
+	Deleting         bool          // its deletion has been decided, for good
+	ReturnUnrecorded bool          // and waits until it is noted that nothing is on it
+	Why              string
+	Tasks            map[Ref]*Placement
+	Orphans          []uint64 // jobs of tasks that should not be there and are still shown
+	OrphansSince     time.Duration
+	UpSince          time.Duration
+	Errors           int
+	AvoidUntil       time.Duration
+	Token            uint64             // raised when the machine goes to another controller
+	Shard            string             // the controller whose block it is in
+	Offers           map[Ref]*Placement // open offers: what a newer report does not show was not started
+	Listed           bool               // among the machines whose plans are offered
+	Held             bool               // room is held here for the first job in order
+	images           []image
+	idle             map[uint64]time.Duration // since when a job with a grant has had nothing here
+	registryQueued   bool
 
 	// Starts sent straight to the worker, by attempt. Until it has seen a higher token than
 	// theirs they may be carried out, or once more.
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -54,7 +54,7 @@
 	if !d.deleteBusy {
 		var list []string
 		for _, m := range d.Yard.All() {
-			if m.Deleting && !m.Unwritten && len(list) < 100 {
+			if m.Deleting && !m.ReturnUnrecorded && len(list) < 100 {
 				list = append(list, m.Name)
 			}
 		}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -115,7 +115,7 @@
 // Hear has a machine noted on which nothing is before it is deleted.
 func (d *Duty) Hear(e cluster.Event) {
 	if e.Kind == cluster.MachineEmpty && d.Cfg.Tunables.NoteReturns == 1 {
-		e.Machine.Unwritten = true
+		e.Machine.ReturnUnrecorded = true
 		d.empty = append(d.empty, e.Machine.Name)
 	}
 }
@@ -139,7 +139,7 @@
 		if json.Unmarshal(e.Own.Data, &r) == nil { // this term wrote it
 			for _, name := range r.Machines {
 				if m := d.Yard.Find(name); m != nil {
-					m.Unwritten = false
+					m.ReturnUnrecorded = false
 				}
 			}
 		}
