--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -22,7 +22,7 @@
 // Of the report only the tasks that were sent are looked at: it may overtake the answer to
 // a report, and what is absent or newer in it proves nothing here.
 func (m *Machine) DispatchResult(now time.Duration, token uint64, refs []Ref, r *Report) {
-	m.Calling = false
+	m.Dispatching = false
 	for _, ref := range refs {
 		p := m.Tasks[ref]
 		if p == nil || p.Planned || p.Seen {
