--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -8,8 +8,8 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// Known is what the leader knows of a reported task.
-type Known struct {
+// TaskRecord is what the leader knows of a reported task.
+type TaskRecord struct {
 	Ref       Ref
 	Need      resources.Amounts
 	Image     int32
@@ -57,7 +57,7 @@
 // be nil. It returns the events and the commands that follow from the report
 // alone: reaps and the stops of tasks that should not be there. What follows from
 // which difference is package squaring's table.
-func (m *Machine) ApplyStatus(now time.Duration, r *Report, token uint64, tally *reconcile.Tally, known func(job uint64, task int, here bool) (Known, bool)) ([]Event, []Command) {
+func (m *Machine) ApplyStatus(now time.Duration, r *Report, token uint64, tally *reconcile.Tally, known func(job uint64, task int, here bool) (TaskRecord, bool)) ([]Event, []Command) {
 	var events []Event
 	var cmds []Command
 	gone := func(p *Placement, why Reason) *Event {
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -25,8 +25,8 @@
 }
 
 func absorb(m *Machine, r Report) []Event {
-	events, _ := m.ApplyStatus(time.Second, &r, token, nil, func(job uint64, task int, _ bool) (Known, bool) {
-		return Known{Ref: Ref{Job: int32(job), Task: int32(task)}, Need: resources.Need(1, 0, 1), Open: true}, true
+	events, _ := m.ApplyStatus(time.Second, &r, token, nil, func(job uint64, task int, _ bool) (TaskRecord, bool) {
+		return TaskRecord{Ref: Ref{Job: int32(job), Task: int32(task)}, Need: resources.Need(1, 0, 1), Open: true}, true
 	})
 	return events
 }
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -12,15 +12,15 @@
 
 // known tells what the leader knows of a task that a report shows. When it is
 // really there, a mere plan for it gives way.
-func (d *Duty) known(m *workers.Machine, id uint64, task int, here bool) (workers.Known, bool) {
+func (d *Duty) known(m *workers.Machine, id uint64, task int, here bool) (workers.TaskRecord, bool) {
 	j := d.Jobs.Find(id)
 	if j == nil {
 		// Leaders of the version in production have users told while tasks still run.
 		p, _ := d.Jobs.Final(id)
-		return workers.Known{Ref: workers.NoRef, Noted: true, Cancelled: true}, p == jobs.Cancelled
+		return workers.TaskRecord{Ref: workers.NoRef, Noted: true, Cancelled: true}, p == jobs.Cancelled
 	}
 	if task >= len(j.Tasks) || j.Phase == jobs.Accepting {
-		return workers.Known{}, false
+		return workers.TaskRecord{}, false
 	}
 	ref := workers.Ref{Job: j.Index, Task: int32(task)}
 	if p := d.Where[ref]; here && p != nil && p.Planned && len(p.Offered) == 0 {
@@ -29,7 +29,7 @@
 	p := d.Where[ref]
 	elsewhere := p != nil && (p.Home != m || p.Planned)
 	s := j.Tasks[task]
-	return workers.Known{Ref: ref, Need: j.Need, Image: j.Image, ImageGB: j.Rec.ImageGB,
+	return workers.TaskRecord{Ref: ref, Need: j.Need, Image: j.Image, ImageGB: j.Rec.ImageGB,
 		Open:  (j.Phase == jobs.Open || j.Phase == jobs.Cancelling) && s != jobs.Finished && s != jobs.Noted && !elsewhere,
 		Noted: s == jobs.Noted, Held: j.Phase == jobs.Held, Elsewhere: elsewhere}, true
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -305,7 +305,7 @@
 		d.offersLost(now, m)
 	}
 	before := m.Resolved
-	events, cmds := m.ApplyStatus(now, r, m.Token, d.Squared, func(job uint64, task int, here bool) (workers.Known, bool) {
+	events, cmds := m.ApplyStatus(now, r, m.Token, d.Squared, func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
 		return d.known(m, job, task, here)
 	})
 	if m.Resolved != before {
