--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -31,7 +31,7 @@
 	EvPlaced    // an offered task turned out to be on the machine
 	EvOfferOver // no offer of a planned task is open any more
 	EvCompleted
-	EvGone
+	EventGone
 )
 
 // Event is something a report told.
@@ -65,7 +65,7 @@
 		if p.Runs() {
 			ran = now - p.RanAt
 		}
-		events = append(events, Event{Kind: EvGone, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Reason: why, Ran: ran, Running: p.Runs()})
+		events = append(events, Event{Kind: EventGone, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Reason: why, Ran: ran, Running: p.Runs()})
 		m.RemovePlacement(p.Ref)
 		return &events[len(events)-1]
 	}
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -50,7 +50,7 @@
 		m.Session, m.Seq = 1, 4
 		place(m, 3, 0)
 		events := absorb(m, c.report)
-		gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EvGone })
+		gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EventGone })
 		if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Cap) != c.gone {
 			t.Errorf("%s: gone %v, %d tasks, %v free", c.name, gone, len(m.Tasks), m.Free)
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -100,7 +100,7 @@
 		d.Book.Completed(e.Ref.Job, k, took)
 		d.Tell(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, Took: took, Mine: d.Mine(e.Attempt), Machine: m})
 		d.Dirty = true
-	case workers.EvGone:
+	case workers.EventGone:
 		if e.Running {
 			j.Running--
 		}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -427,7 +427,7 @@
 				p.Withdrawn = true // it may yet turn out to be on a machine it was offered to
 				continue
 			}
-			ev := workers.Event{Kind: workers.EvGone, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Reason: workers.Vanished, Ran: -1, Running: p.Runs(), Died: true}
+			ev := workers.Event{Kind: workers.EventGone, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Reason: workers.Vanished, Ran: -1, Running: p.Runs(), Died: true}
 			m.RemovePlacement(ref)
 			d.event(now, m, ev)
 		}
