--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -28,7 +28,7 @@
 const (
 	EvBegan EventKind = iota // began to run
 	EvAdopted
-	EvPlaced    // an offered task turned out to be on the machine
+	EventPlaced // an offered task turned out to be on the machine
 	EvOfferOver // no offer of a planned task is open any more
 	EvCompleted
 	EventGone
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -312,7 +312,7 @@
 		switch {
 		case shown:
 			m.moveIn(p)
-			events = append(events, Event{Kind: EvPlaced, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
+			events = append(events, Event{Kind: EventPlaced, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		case len(p.Offered) == 0:
 			events = append(events, Event{Kind: EvOfferOver, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -55,7 +55,7 @@
 				d.BreakGang(j)
 			}
 		}
-	case workers.EvPlaced:
+	case workers.EventPlaced:
 		p := e.Placement
 		p.Withdrawn = false
 		d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: k, Machine: m})
