--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -27,7 +27,7 @@
 // Events of a report.
 const (
 	EvBegan EventKind = iota // began to run
-	EvAdopted
+	EventAdopted
 	EventPlaced // an offered task turned out to be on the machine
 	EvOfferOver // no offer of a planned task is open any more
 	EvCompleted
@@ -151,7 +151,7 @@
 		case reconcile.Adopt:
 			p = &Placement{Ref: k.Ref, JobID: t.Job, Image: k.Image, Need: k.Need, Attempt: t.Attempt, Home: m, State: Fetching}
 			m.add(p)
-			events = append(events, Event{Kind: EvAdopted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Placement: p})
+			events = append(events, Event{Kind: EventAdopted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Placement: p})
 			fallthrough
 		case reconcile.Keep:
 			if t.State == Running && (!p.Seen || p.State != Running) {
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -38,7 +38,7 @@
 	j := d.Jobs.At(e.Ref.Job)
 	k := int(e.Ref.Task)
 	switch e.Kind {
-	case workers.EvAdopted:
+	case workers.EventAdopted:
 		j.Place(k)
 		d.Plan.Charge(j.Team, j.Need)
 		j.MoveZone(m.Zone, 1)
