--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -26,7 +26,7 @@
 
 // Events of a report.
 const (
-	EvBegan EventKind = iota // began to run
+	EventBegan EventKind = iota // began to run
 	EventAdopted
 	EventPlaced // an offered task turned out to be on the machine
 	EvOfferOver // no offer of a planned task is open any more
@@ -156,7 +156,7 @@
 		case reconcile.Keep:
 			if t.State == Running && (!p.Seen || p.State != Running) {
 				p.RanAt = now
-				events = append(events, Event{Kind: EvBegan, Ref: p.Ref, JobID: t.Job, Attempt: t.Attempt})
+				events = append(events, Event{Kind: EventBegan, Ref: p.Ref, JobID: t.Job, Attempt: t.Attempt})
 			}
 			p.State, p.Seen, p.seq = t.State, true, r.Seq
 			if s := m.directOf(p); s != nil {
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -69,7 +69,7 @@
 			p.Withdrawn = false
 			d.TakeBack(p)
 		}
-	case workers.EvBegan:
+	case workers.EventBegan:
 		j.Running++
 		if j.FirstAt == 0 {
 			j.FirstAt = now
