--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -30,7 +30,7 @@
 	EventAdopted
 	EventPlaced // an offered task turned out to be on the machine
 	EvOfferOver // no offer of a planned task is open any more
-	EvCompleted
+	EventCompleted
 	EventGone
 )
 
@@ -126,7 +126,7 @@
 		diff := tally.Count(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
 		switch diff.Resolution() {
 		case reconcile.Complete:
-			ev := Event{Kind: EvCompleted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Ran: -1}
+			ev := Event{Kind: EventCompleted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Ran: -1}
 			if diff == reconcile.Completed && p.Runs() {
 				ev.Ran, ev.Running = now-p.RanAt, true
 			}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -78,7 +78,7 @@
 		j.Began = j.Began || j.Rec.Kind == jobs.Gang
 		d.Book.Began(e.Ref.Job, k, now.Seconds())
 		d.Tell(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: k, Machine: m})
-	case workers.EvCompleted:
+	case workers.EventCompleted:
 		if e.Running {
 			j.Running--
 		}
