--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -28,8 +28,8 @@
 const (
 	EventBegan EventKind = iota // began to run
 	EventAdopted
-	EventPlaced // an offered task turned out to be on the machine
-	EvOfferOver // no offer of a planned task is open any more
+	EventPlaced      // an offered task turned out to be on the machine
+	EventOfferClosed // no offer of a planned task is open any more
 	EventCompleted
 	EventGone
 )
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -314,7 +314,7 @@
 			m.moveIn(p)
 			events = append(events, Event{Kind: EventPlaced, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		case len(p.Offered) == 0:
-			events = append(events, Event{Kind: EvOfferOver, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
+			events = append(events, Event{Kind: EventOfferClosed, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		}
 	}
 	return events
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -63,7 +63,7 @@
 		if j.Rec.Kind == jobs.Gang && (j.Broken || j.Launch != p.Attempt) {
 			p.Stopping, p.GraceS = true, 0
 		}
-	case workers.EvOfferOver:
+	case workers.EventOfferClosed:
 		p := e.Placement
 		if p.Frozen = false; p.Withdrawn {
 			p.Withdrawn = false
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -419,7 +419,7 @@
 		}
 		d.offersLost(now, m)
 		for _, p := range m.CloseOffers() {
-			d.event(now, m, workers.Event{Kind: workers.EvOfferOver, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
+			d.event(now, m, workers.Event{Kind: workers.EventOfferClosed, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		}
 		for ref, p := range m.Tasks {
 			if p.Planned && p.Rehome() {
