--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -84,7 +84,7 @@
 	first        uint64        // lowest token of this term
 	Unanswered   int           // times that it was asked since it was last heard, and did not answer
 	UnansweredAt time.Duration // when it was last heard before that
-	raise        Raise         // whether a higher token is asked for
+	raise        TokenUrgency  // whether a higher token is asked for
 	raised       time.Duration
 }
 
@@ -99,12 +99,12 @@
 	arrived bool // the worker has answered it, or shown its task
 }
 
-// Raise says how much a higher token is wanted on a machine.
-type Raise uint8
+// TokenUrgency says how much a higher token is wanted on a machine.
+type TokenUrgency uint8
 
 // Not at all; for ended attempts that are only to be reaped; for a task that waits for it.
 const (
-	NoRaise Raise = iota
+	NoRaise TokenUrgency = iota
 	RaiseSometime
 	RaiseNow
 )
