--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -88,10 +88,10 @@
 	if m.raise == RaiseNow {
 		pause = raiseNowPause
 	}
-	if m.raise == NoRaise || (m.raised > 0 && now-m.raised < pause) {
+	if m.raise == TokenNotNeeded || (m.raised > 0 && now-m.raised < pause) {
 		return false
 	}
-	m.raise, m.raised = NoRaise, now
+	m.raise, m.raised = TokenNotNeeded, now
 	if m.SuspectBelow > 0 && m.told == 0 {
 		m.told = now
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -104,7 +104,7 @@
 
 // Not at all; for ended attempts that are only to be reaped; for a task that waits for it.
 const (
-	NoRaise TokenUrgency = iota
+	TokenNotNeeded TokenUrgency = iota
 	RaiseSometime
 	RaiseNow
 )
