--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -134,7 +134,7 @@
 			events = append(events, ev)
 		case reconcile.Wait:
 			if diff == reconcile.EndedDirect {
-				if m.raise = max(m.raise, RaiseSometime); p != nil && p.Attempt == t.Attempt {
+				if m.raise = max(m.raise, TokenEventually); p != nil && p.Attempt == t.Attempt {
 					m.raise, p.Seen, p.seq = RaiseNow, true, r.Seq
 				}
 			}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -105,7 +105,7 @@
 // Not at all; for ended attempts that are only to be reaped; for a task that waits for it.
 const (
 	TokenNotNeeded TokenUrgency = iota
-	RaiseSometime
+	TokenEventually
 	RaiseNow
 )
 
