--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -60,7 +60,7 @@
 	if m.SuspectBelow == 0 {
 		m.told = 0
 	}
-	m.SuspectBelow, m.raise = max(m.SuspectBelow, token), RaiseNow
+	m.SuspectBelow, m.raise = max(m.SuspectBelow, token), TokenNow
 }
 
 // Stale takes a report that is older than one taken in, though nothing newer has come for
@@ -85,7 +85,7 @@
 // that it will be.
 func (m *Machine) NeedsToken(now time.Duration) bool {
 	pause := raiseSometimePause
-	if m.raise == RaiseNow {
+	if m.raise == TokenNow {
 		pause = raiseNowPause
 	}
 	if m.raise == TokenNotNeeded || (m.raised > 0 && now-m.raised < pause) {
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -135,7 +135,7 @@
 		case reconcile.Wait:
 			if diff == reconcile.EndedDirect {
 				if m.raise = max(m.raise, TokenEventually); p != nil && p.Attempt == t.Attempt {
-					m.raise, p.Seen, p.seq = RaiseNow, true, r.Seq
+					m.raise, p.Seen, p.seq = TokenNow, true, r.Seq
 				}
 			}
 		case reconcile.LeaveReap:
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -106,7 +106,7 @@
 const (
 	TokenNotNeeded TokenUrgency = iota
 	TokenEventually
-	RaiseNow
+	TokenNow
 )
 
 // Pauses between two tokens given to one machine: a worker reports a higher one at once
