--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -267,7 +267,7 @@
 			if m.Cap.GPU > 0 && p.Need.GPU == 0 {
 				continue // how much of them it may have was looked at where they are planned
 			}
-			if p.Planned && !p.Once && p.Need.Fits(m.Free) && m.HasImage(p.Image) {
+			if p.Planned && !p.BoundToHome && p.Need.Fits(m.Free) && m.HasImage(p.Image) {
 				add(p, false)
 			}
 		}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -215,7 +215,7 @@
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		j.Place(k)
 		j.MoveZone(m.Zone, 1)
-		p := &workers.Placement{Ref: ref, JobID: j.Rec.ID, Image: j.Image, Need: j.Need, Once: j.Rec.Kind == jobs.Gang || j.ZoneRule(), Prompt: j.Prompt}
+		p := &workers.Placement{Ref: ref, JobID: j.Rec.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Rec.Kind == jobs.Gang || j.ZoneRule(), Prompt: j.Prompt}
 		d.Where[ref] = p
 		if j.Rec.Kind == jobs.Gang {
 			if j.Launch == 0 {
