--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -227,7 +227,7 @@
 func (m *Machine) Offer(planned []*Machine, serial, attempt func() uint64) []Offer {
 	var out []Offer
 	add := func(p *Placement, here bool) {
-		if !m.Grants[p.JobID] || !p.Noted {
+		if !m.Grants[p.JobID] || !p.IntentDurable {
 			return // a successor must be able to know first
 		}
 		if p.Frozen || p.Withdrawn || (len(p.Offered) > 0 && p.past[m]) {
@@ -362,7 +362,7 @@
 		return m.registryQueued
 	}
 	for _, p := range m.Tasks {
-		if p.Planned && (!m.Grants[p.JobID] || !p.Noted) {
+		if p.Planned && (!m.Grants[p.JobID] || !p.IntentDurable) {
 			return true
 		}
 	}
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -86,7 +86,7 @@
 	if got := m.Offer([]*Machine{m}, next, next); len(got) != 0 || !m.AwaitsDurability() {
 		t.Errorf("offered %v before the mark is durable", got)
 	}
-	p.Noted = true
+	p.IntentDurable = true
 	if got := m.Offer([]*Machine{m}, next, next); len(got) != 1 || m.AwaitsDurability() {
 		t.Errorf("offered %v once it is", got)
 	}
@@ -122,7 +122,7 @@
 	if !m.Settled() {
 		t.Error("an empty machine is not")
 	}
-	p := &Placement{Ref: Ref{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), Noted: true}
+	p := &Placement{Ref: Ref{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), IntentDurable: true}
 	m.Plan(p)
 	if !m.Settled() {
 		t.Error("a plan that is on offer to nobody keeps it")
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -121,7 +121,7 @@
 // mark settles whether a plan may be offered, and raises its job's mark if not.
 func (d *Duty) mark(p *workers.Placement) {
 	m, id, k := &d.marks, p.JobID, int(p.Ref.Task)
-	if p.Noted = !m.on || k < m.durable[id]; p.Noted {
+	if p.IntentDurable = !m.on || k < m.durable[id]; p.IntentDurable {
 		return
 	}
 	m.waiting[id] = append(m.waiting[id], p)
@@ -171,8 +171,8 @@
 		}
 		m.durable[id] = max(m.durable[id], int(x[1]))
 		m.waiting[id] = slices.DeleteFunc(m.waiting[id], func(p *workers.Placement) bool {
-			p.Noted = int(p.Ref.Task) < m.durable[id]
-			return p.Noted
+			p.IntentDurable = int(p.Ref.Task) < m.durable[id]
+			return p.IntentDurable
 		})
 	}
 }
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -76,14 +76,14 @@
 	late := d.Jobs.Add(eventlog.Job{ID: 3, Tasks: 100})
 	late.Phase = jobs.Open
 	p, q := plan(d, 3, 0), plan(d, 3, 8)
-	if p.Noted || q.Noted {
+	if p.IntentDurable || q.IntentDurable {
 		t.Error("offered before the mark is durable")
 	}
 	log = append(log, settle(t, d)...)
-	if !p.Noted || !q.Noted {
+	if !p.IntentDurable || !q.IntentDurable {
 		t.Error("not offered once it is")
 	}
-	if r := plan(d, 3, 9); r.Noted {
+	if r := plan(d, 3, 9); r.IntentDurable {
 		t.Error("a task beyond the mark is offered")
 	}
 	// That one's mark is never written: the term ends here.
@@ -109,7 +109,7 @@
 		}
 	}
 	off := third(3, 0, log)
-	if p := plan(off, 3, 50); !p.Noted || len(settle(t, off)) != 0 {
+	if p := plan(off, 3, 50); !p.IntentDurable || len(settle(t, off)) != 0 {
 		t.Error("switched off, it writes or waits all the same")
 	}
 
