--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -121,7 +121,7 @@
 				j.Priority = uint8(r.IntN(4))
 			}
 			for _, v := range p.Preempt(w) {
-				got[i] = append(got[i], fmt.Sprintf("%d/%d on %s", v.JobID, v.Ref.Task, v.Home.Name))
+				got[i] = append(got[i], fmt.Sprintf("%d/%d on %s", v.JobID, v.Ref.Task, v.Machine.Name))
 			}
 		}
 		if !slices.Equal(got[0], got[1]) {
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -100,7 +100,7 @@
 	}
 	var list []*workers.Placement
 	for _, v := range pool {
-		if !v.Stopping && w.suits(j, v.Home) && p.mayStop(w, j, v) {
+		if !v.Stopping && w.suits(j, v.Machine) && p.mayStop(w, j, v) {
 			list = append(list, v)
 		}
 	}
@@ -121,7 +121,7 @@
 	var out []*workers.Placement
 	got := 0
 	for _, v := range list {
-		m := v.Home
+		m := v.Machine
 		freed[m] = freed[m].Plus(v.Need)
 		chosen[m] = append(chosen[m], v)
 		if n := Slots(j.Need, m.Free.Plus(freed[m])); n > 0 {
--- a/internal/core/workers/tasks.go
+++ b/internal/core/workers/tasks.go
@@ -91,7 +91,7 @@
 	Need    resources.Amounts
 	Attempt uint64
 	Planned bool // not known to be anywhere yet: Home's room is kept for it
-	Home    *Machine
+	Machine *Machine
 	// A planned task is offered to the controller that holds Home's block,
 	// with the answers to reports of machines of that block. The controller
 	// starts it on one of them. Until a newer report of a machine it was
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -185,7 +185,7 @@
 
 // Plan gives a task to the machine, to be sent with its next answer.
 func (m *Machine) Plan(p *Placement) {
-	p.Planned, p.Home = true, m
+	p.Planned, p.Machine = true, m
 	m.add(p)
 }
 
@@ -278,8 +278,8 @@
 
 // moveIn makes a planned task one that is on the machine.
 func (m *Machine) moveIn(p *Placement) {
-	p.Home.RemovePlacement(p.Ref)
-	p.Planned, p.Home = false, m
+	p.Machine.RemovePlacement(p.Ref)
+	p.Planned, p.Machine = false, m
 	m.add(p)
 }
 
@@ -338,8 +338,8 @@
 // to, if there is any.
 func (p *Placement) Rehome() bool {
 	for m := range p.Offered {
-		p.Home.RemovePlacement(p.Ref)
-		p.Home = m
+		p.Machine.RemovePlacement(p.Ref)
+		p.Machine = m
 		m.add(p)
 		return true
 	}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -243,7 +243,7 @@
 		p.Withdrawn = true
 		return
 	}
-	p.Home.RemovePlacement(p.Ref)
+	p.Machine.RemovePlacement(p.Ref)
 	s.Lift(p.Ref)
 }
 
@@ -264,7 +264,7 @@
 	}
 	delete(s.Where, ref)
 	j := s.Jobs.At(ref.Job)
-	j.MoveZone(p.Home.Zone, -1)
+	j.MoveZone(p.Machine.Zone, -1)
 	s.Plan.Refund(j.Team, j.Need)
 	j.Release(int(ref.Task))
 	s.GangEnds(j)
@@ -377,9 +377,9 @@
 	for _, p := range list {
 		j := s.Jobs.At(p.Ref.Job)
 		s.SaveAndStop(now, j, p)
-		s.Tell(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Home, Order: o})
-		on[p.Home] = true
-		s.Note(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Home.Name)
+		s.Tell(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Order: o})
+		on[p.Machine] = true
+		s.Note(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
 	}
 	for m := range on {
 		s.StopNow(m)
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -71,7 +71,7 @@
 		j.Phase, j.Need = jobs.Open, resources.Need(1, 0, 0)
 		m := s.Yard.Add(&workers.Machine{Name: "m", Up: true, Cap: resources.Room(9, 0, 9), Free: resources.Room(9, 0, 9)})
 		for k := range 6 {
-			p := &workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, JobID: 1, Need: j.Need, Home: m}
+			p := &workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, JobID: 1, Need: j.Need, Machine: m}
 			m.Plan(p)
 			p.Planned = k >= c.begun
 			s.Where[p.Ref] = p
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -65,7 +65,7 @@
 	kept := d.Prompt[:0]
 	done := map[*workers.Machine]bool{}
 	for _, p := range d.Prompt {
-		m := p.Home
+		m := p.Machine
 		switch {
 		case !p.Planned || d.Where[p.Ref] != p: // it has gone the ordinary way, or was taken back
 		case done[m] || d.under >= d.Cfg.Tunables.DirectStarts || d.FewTokens() || !d.free(now, m):
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -320,7 +320,7 @@
 				d.TakeBack(p)
 			} else {
 				p.Stopping, p.GraceS = true, 0
-				on[p.Home] = true
+				on[p.Machine] = true
 			}
 		}
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -245,7 +245,7 @@
 		return !m.Listed
 	})
 	for _, p := range d.planned {
-		if m := p.Home; d.Where[p.Ref] == p {
+		if m := p.Machine; d.Where[p.Ref] == p {
 			d.ListPlans(m)
 			if p.Prompt {
 				d.Prompt = append(d.Prompt, p)
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -121,7 +121,7 @@
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
-				p := &workers.Placement{Ref: ref, JobID: j.Rec.ID, Home: w.m, Attempt: w.d.Attempt()}
+				p := &workers.Placement{Ref: ref, JobID: j.Rec.ID, Machine: w.m, Attempt: w.d.Attempt()}
 				w.d.Where[ref], w.m.Tasks[ref] = p, p
 				w.d.Took(j)
 				n++
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -142,7 +142,7 @@
 			continue
 		}
 		x := one
-		x.Task, x.Machine, x.Back = int(ref.Task), t.Home.Name, "a newer report of the machine without it, or its answered deletion"
+		x.Task, x.Machine, x.Back = int(ref.Task), t.Machine.Name, "a newer report of the machine without it, or its answered deletion"
 		if t.Planned {
 			x.Back = "the pass that takes its plan back, or its start"
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -27,7 +27,7 @@
 		d.TakeBack(p)
 	}
 	p := d.Where[ref]
-	elsewhere := p != nil && (p.Home != m || p.Planned)
+	elsewhere := p != nil && (p.Machine != m || p.Planned)
 	s := j.Tasks[task]
 	return workers.TaskRecord{Ref: ref, Need: j.Need, Image: j.Image, ImageGB: j.Rec.ImageGB,
 		Open:  (j.Phase == jobs.Open || j.Phase == jobs.Cancelling) && s != jobs.Finished && s != jobs.Noted && !elsewhere,
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -231,7 +231,7 @@
 		case p == nil || p.Planned:
 		case p.Runs():
 			running++
-			if d.isSlow(p.Home.Name) || (now-p.RanAt).Seconds() > 2*f.Estimate.P90 {
+			if d.isSlow(p.Machine.Name) || (now-p.RanAt).Seconds() > 2*f.Estimate.P90 {
 				slow++
 			}
 		case p.State == workers.Fetching:
