--- a/internal/core/workers/tasks.go
+++ b/internal/core/workers/tasks.go
@@ -109,7 +109,7 @@
 	Seen          bool
 	RanAt         time.Duration
 	Stopping      bool
-	GraceS        float64
+	GraceSeconds  float64
 }
 
 // Runs says whether the task was running when it was last reported.
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -460,8 +460,8 @@
 func (m *Machine) Stops() []Command {
 	var cmds []Command
 	for _, p := range m.Tasks {
-		if p.Stopping && !p.Planned && (p.State != Saving || p.GraceS == 0) {
-			cmds = append(cmds, Command{Op: Stop, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt, GraceS: p.GraceS})
+		if p.Stopping && !p.Planned && (p.State != Saving || p.GraceSeconds == 0) {
+			cmds = append(cmds, Command{Op: Stop, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt, GraceS: p.GraceSeconds})
 		}
 	}
 	slices.SortFunc(cmds, func(a, b Command) int {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -391,7 +391,7 @@
 func (s *State) SaveAndStop(now time.Duration, j *jobs.Job, p *workers.Placement) {
 	grace := j.Rec.SaveS + 5 + s.PeerTime(j)
 	if j.Rec.Kind != jobs.Gang {
-		p.Stopping, p.GraceS = true, grace
+		p.Stopping, p.GraceSeconds = true, grace
 		if j.Rec.Checkpoint > 0 && p.Runs() {
 			if j.Saved == nil {
 				j.Saved = map[int32]time.Duration{}
@@ -403,7 +403,7 @@
 	for k := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		if q := s.Where[ref]; q != nil && !q.Planned && !q.Stopping {
-			q.Stopping, q.GraceS = true, grace
+			q.Stopping, q.GraceSeconds = true, grace
 		}
 	}
 }
@@ -433,7 +433,7 @@
 		case p.Planned:
 			s.TakeBack(p)
 		case !p.Stopping:
-			p.Stopping, p.GraceS = true, 0
+			p.Stopping, p.GraceSeconds = true, 0
 		}
 	}
 	s.GangEnds(j)
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -319,7 +319,7 @@
 			if p.Planned {
 				d.TakeBack(p)
 			} else {
-				p.Stopping, p.GraceS = true, 0
+				p.Stopping, p.GraceSeconds = true, 0
 				on[p.Machine] = true
 			}
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -61,7 +61,7 @@
 		d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, p)
 		if j.Rec.Kind == jobs.Gang && (j.Broken || j.Launch != p.Attempt) {
-			p.Stopping, p.GraceS = true, 0
+			p.Stopping, p.GraceSeconds = true, 0
 		}
 	case workers.EventOfferClosed:
 		p := e.Placement
@@ -139,7 +139,7 @@
 // being cancelled.
 func (d *Duty) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
 	if j.Phase == jobs.Cancelling {
-		p.Stopping, p.GraceS = true, 0
+		p.Stopping, p.GraceSeconds = true, 0
 	}
 }
 
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -75,7 +75,7 @@
 			left := m.TakenAt - now
 			switch {
 			case j.Rec.Kind == jobs.Service && (m.Notice || m.Draining):
-				p.Stopping, p.GraceS = true, j.Rec.SaveS // replaced elsewhere once it is gone
+				p.Stopping, p.GraceSeconds = true, j.Rec.SaveS // replaced elsewhere once it is gone
 			case m.Notice && j.Rec.Checkpoint > 0 && p.State == workers.Running && left < settings.Seconds(j.Rec.SaveS+2+1.5*w.ReportS+d.PeerTime(j)):
 				d.SaveAndStop(now, j, p)
 			}
