--- a/internal/core/scheduler/accel_test.go
+++ b/internal/core/scheduler/accel_test.go
@@ -14,7 +14,7 @@
 
 // accelWorld has so many machines with two accelerators and twelve processors, and as many
 // with eight processors and none.
-func accelWorld(n int) (*Planner, World, map[*workers.Machine]int) {
+func accelWorld(n int) (*Scheduler, World, map[*workers.Machine]int) {
 	p := New([]Limit{{}}, 10)
 	w := World{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Yard: workers.NewInventory(), Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	for i := range n {
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -17,8 +17,8 @@
 // Limit is what a team may use at any time; 0 means no limit.
 type Limit struct{ CPU, GPU int64 }
 
-// Planner gives waiting tasks to machines.
-type Planner struct {
+// Scheduler gives waiting tasks to machines.
+type Scheduler struct {
 	Limits []Limit // by team
 	use    []resources.Amounts
 	AtOnce int // T
@@ -62,7 +62,7 @@
 }
 
 // refused says whether a job's need has found no machine already.
-func (p *Planner) refused(j *jobs.Job) bool {
+func (p *Scheduler) refused(j *jobs.Job) bool {
 	for i := range p.refusals {
 		if p.refusals[i].covers(j, j.Spot) {
 			return true
@@ -77,28 +77,28 @@
 }
 
 // New makes a planner for the teams with these limits.
-func New(limits []Limit, atOnce int) *Planner {
-	return &Planner{Limits: limits, use: make([]resources.Amounts, len(limits)), AtOnce: atOnce}
+func New(limits []Limit, atOnce int) *Scheduler {
+	return &Scheduler{Limits: limits, use: make([]resources.Amounts, len(limits)), AtOnce: atOnce}
 }
 
 // AddTeam adds a team without a limit.
-func (p *Planner) AddTeam() {
+func (p *Scheduler) AddTeam() {
 	p.Limits = append(p.Limits, Limit{})
 	p.use = append(p.use, resources.Amounts{})
 }
 
 // Charge counts a task against its team, Refund takes it back.
-func (p *Planner) Charge(team int32, a resources.Amounts) { p.use[team] = p.use[team].Plus(a) }
+func (p *Scheduler) Charge(team int32, a resources.Amounts) { p.use[team] = p.use[team].Plus(a) }
 
 // Refund takes back what Charge counted.
-func (p *Planner) Refund(team int32, a resources.Amounts) { p.use[team] = p.use[team].Minus(a) }
+func (p *Scheduler) Refund(team int32, a resources.Amounts) { p.use[team] = p.use[team].Minus(a) }
 
 // Use is what a team's tasks count as using.
-func (p *Planner) Use(team int32) resources.Amounts { return p.use[team] }
+func (p *Scheduler) Use(team int32) resources.Amounts { return p.use[team] }
 
 // Within says whether a team may use a more, with extra counted besides: an
 // unresolved machine counts full against every team.
-func (p *Planner) Within(team int32, a, extra resources.Amounts) bool {
+func (p *Scheduler) Within(team int32, a, extra resources.Amounts) bool {
 	return p.Limits[team].Covers(p.use[team].Plus(a).Plus(extra))
 }
 
@@ -140,7 +140,7 @@
 
 // Accelerated is the largest need of a task with accelerators: of the jobs there are, or of
 // the last ones for a while after they have left.
-func (p *Planner) Accelerated(now time.Duration, t *jobs.Table) resources.Amounts {
+func (p *Scheduler) Accelerated(now time.Duration, t *jobs.Table) resources.Amounts {
 	var most resources.Amounts
 	for _, j := range t.All() {
 		if j != nil && j.Need.GPU > 0 {
@@ -162,7 +162,7 @@
 
 // Pass gives out all room that the order lets it give, and says how many jobs got some
 // since they were left waiting.
-func (p *Planner) Pass(w World) (left int) {
+func (p *Scheduler) Pass(w World) (left int) {
 	p.refusals = p.refusals[:0]
 	if w.Accel.GPU > 0 {
 		w.lend = w.lendable()
@@ -241,7 +241,7 @@
 }
 
 // countUnits begins a pass for whoever counts units.
-func (p *Planner) countUnits(w *World, order []int32) {
+func (p *Scheduler) countUnits(w *World, order []int32) {
 	var list []*jobs.Job
 	add := func(j *jobs.Job) {
 		if len(j.Rec.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.next(j) >= 0 && p.Within(j.Team, j.Need, w.missing(j.Team)) {
@@ -261,7 +261,7 @@
 
 // inOrder gives room to the jobs in their order; room is held for the first
 // that does not fit, unless it is held already.
-func (p *Planner) inOrder(w *World, order []int32, machines []*workers.Machine, held bool) bool {
+func (p *Scheduler) inOrder(w *World, order []int32, machines []*workers.Machine, held bool) bool {
 	for _, i := range order {
 		j := w.Jobs.At(i)
 		for {
@@ -288,7 +288,7 @@
 }
 
 // services get room first, outside the order.
-func (p *Planner) services(w *World, machines []*workers.Machine) {
+func (p *Scheduler) services(w *World, machines []*workers.Machine) {
 	for _, j := range w.Jobs.All() {
 		if j == nil || j.Rec.Kind != jobs.Service {
 			continue
@@ -304,7 +304,7 @@
 
 // launch places all waiting tasks of a gang or none. While the gang still
 // gathers, lost tasks are replaced under the attempt it has.
-func (p *Planner) launch(w *World, j *jobs.Job, machines []*workers.Machine) bool {
+func (p *Scheduler) launch(w *World, j *jobs.Job, machines []*workers.Machine) bool {
 	if j.Broken || (j.Began && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.missing(j.Team)) || !w.units(j, j.Waiting) {
 		return false
 	}
@@ -329,7 +329,7 @@
 }
 
 // all places all waiting tasks of a job or none.
-func (p *Planner) all(w *World, j *jobs.Job, machines []*workers.Machine) bool {
+func (p *Scheduler) all(w *World, j *jobs.Job, machines []*workers.Machine) bool {
 	var placed []int
 	for {
 		k := w.next(j)
@@ -348,12 +348,12 @@
 	return false
 }
 
-func (p *Planner) ready(w *World, j *jobs.Job) bool {
+func (p *Scheduler) ready(w *World, j *jobs.Job) bool {
 	return j.Phase == jobs.Open && w.Now >= j.NotBefore
 }
 
 // give places one task on the best machine, if there is one.
-func (p *Planner) give(w *World, j *jobs.Job, k int, machines []*workers.Machine) bool {
+func (p *Scheduler) give(w *World, j *jobs.Job, k int, machines []*workers.Machine) bool {
 	p.paced = false
 	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.missing(j.Team)) || (!w.left && p.refused(j)) || !w.units(j, 1) {
 		return false
@@ -440,7 +440,7 @@
 // in a test with services on all machines, an urgent gang that fits none of them, and gangs
 // that waited beside them for as long as the day was. least is what the smallest task that
 // waits needs.
-func (p *Planner) leftWaiting(w *World, least int64) (given int) {
+func (p *Scheduler) leftWaiting(w *World, least int64) (given int) {
 	if w.Now-p.leftAt < leftEvery {
 		return 0
 	}
@@ -481,7 +481,7 @@
 
 // giveLeft gives a job that was left waiting what room there is for it, and says whether
 // that was any.
-func (p *Planner) giveLeft(w *World, j *jobs.Job, room []*workers.Machine) bool {
+func (p *Scheduler) giveLeft(w *World, j *jobs.Job, room []*workers.Machine) bool {
 	before := j.Placed
 	if j.Rec.Kind == jobs.Gang {
 		p.launch(w, j, room)
@@ -531,7 +531,7 @@
 // waitsForImage says whether a replica that should start within a moment leaves room on a
 // machine that would have to fetch its image first: for a fraction of the fetch, and not
 // for long. On a full cluster the next room comes free sooner, and often where the image is.
-func (p *Planner) waitsForImage(w *World, j *jobs.Job, m *workers.Machine) bool {
+func (p *Scheduler) waitsForImage(w *World, j *jobs.Job, m *workers.Machine) bool {
 	if j.Passed == 0 {
 		j.Passed = w.Now
 	}
@@ -546,7 +546,7 @@
 // tasks fill and its team may use. For a job bound to one zone they are of
 // one zone; for a gang nothing is held unless all of it would fit, for then
 // waiting would bring nothing.
-func (p *Planner) hold(w *World, j *jobs.Job) bool {
+func (p *Scheduler) hold(w *World, j *jobs.Job) bool {
 	var fit []*workers.Machine
 	slots := map[int32]int{}
 	total := 0
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -17,7 +17,7 @@
 )
 
 // randomWorld makes jobs of all kinds and machines of which many are full.
-func randomWorld(r *rand.Rand, machines, count int) (World, *[]string, *Planner) {
+func randomWorld(r *rand.Rand, machines, count int) (World, *[]string, *Scheduler) {
 	given := new([]string)
 	p := New([]Limit{{CPU: int64(1+r.IntN(machines)) * 4000}, {}}, 1+r.IntN(20))
 	p.UrgentFirst = true
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -67,7 +67,7 @@
 	Jobs     *jobs.Table
 	Yard     *workers.Inventory
 	Book     *sizing.Book
-	Plan     *scheduler.Planner
+	Plan     *scheduler.Scheduler
 	Dirty    bool // something has changed that a pass should look at
 	Numbers  int  // last one given to a machine
 	Teams    intern.Table
