--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -160,9 +160,9 @@
 // none is there.
 const accelKept = 10 * time.Minute
 
-// Pass gives out all room that the order lets it give, and says how many jobs got some
+// RunCycle gives out all room that the order lets it give, and says how many jobs got some
 // since they were left waiting.
-func (p *Scheduler) Pass(w World) (left int) {
+func (p *Scheduler) RunCycle(w World) (left int) {
 	p.refusals = p.refusals[:0]
 	if w.Accel.GPU > 0 {
 		w.lend = w.lendable()
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -82,9 +82,9 @@
 		for i, plain := range []bool{true, false} {
 			w, given, p := randomWorld(rand.New(rand.NewPCG(seed, 1)), 40, 25)
 			p.plain = plain
-			p.Pass(w)
+			p.RunCycle(w)
 			w.Now += time.Second
-			p.Pass(w)
+			p.RunCycle(w)
 			got[i] = *given
 		}
 		if !slices.Equal(got[0], got[1]) {
@@ -107,7 +107,7 @@
 			r := rand.New(rand.NewPCG(seed, 2))
 			w, _, p := randomWorld(r, 30, 40)
 			p.plain = plain
-			p.Pass(w)
+			p.RunCycle(w)
 			w.Now += 3 * time.Second
 			for _, m := range w.Yard.All() {
 				for _, ref := range slices.SortedFunc(maps.Keys(m.Tasks), func(a, b workers.Ref) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task)) }) {
@@ -138,10 +138,10 @@
 // hundred jobs with thousands of waiting tasks.
 func BenchmarkPass(b *testing.B) {
 	w, _, p := randomWorld(rand.New(rand.NewPCG(1, 1)), 1000, 100)
-	p.Pass(w)
+	p.RunCycle(w)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Pass(w)
+		p.RunCycle(w)
 	}
 }
 
@@ -150,8 +150,8 @@
 func TestFullClusterLooksOnce(t *testing.T) {
 	w, _, p := randomWorld(rand.New(rand.NewPCG(2, 1)), 200, 100)
 	p.Locality = 0
-	p.Pass(w)
-	p.Pass(w)
+	p.RunCycle(w)
+	p.RunCycle(w)
 	if n := len(p.refusals); n == 0 || n > 40 {
 		t.Errorf("%d refusals were found for 100 jobs", n)
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -239,7 +239,7 @@
 			d.Units.Gave(j)
 		}
 	}
-	d.Counts.LeftWaiting += uint64(d.Plan.Pass(w))
+	d.Counts.LeftWaiting += uint64(d.Plan.RunCycle(w))
 	d.PlannedOn = slices.DeleteFunc(d.PlannedOn, func(m *workers.Machine) bool {
 		m.Listed = m.HasPlans()
 		return !m.Listed
