--- a/internal/core/scheduler/accel_test.go
+++ b/internal/core/scheduler/accel_test.go
@@ -14,9 +14,9 @@
 
 // accelWorld has so many machines with two accelerators and twelve processors, and as many
 // with eight processors and none.
-func accelWorld(n int) (*Scheduler, World, map[*workers.Machine]int) {
+func accelWorld(n int) (*Scheduler, Snapshot, map[*workers.Machine]int) {
 	p := New([]Limit{{}}, 10)
-	w := World{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Yard: workers.NewInventory(), Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
+	w := Snapshot{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Yard: workers.NewInventory(), Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	for i := range n {
 		for _, room := range []resources.Amounts{resources.Room(12, 2, 48), resources.Room(8, 0, 64)} {
 			w.Yard.Add(&workers.Machine{Name: fmt.Sprint(i, room.GPU), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
@@ -40,7 +40,7 @@
 	return p, w, plain
 }
 
-func (w *World) add(id uint64, kind uint8, tasks int, cpus, gpus float64, mean float64) *jobs.Job {
+func (w *Snapshot) add(id uint64, kind uint8, tasks int, cpus, gpus float64, mean float64) *jobs.Job {
 	j := w.Jobs.Add(eventlog.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, GPUs: gpus, MemoryGB: 1, EstimateS: mean, Spot: true})
 	j.Phase, j.OnPlain = jobs.Open, gpus == 0
 	if kind != jobs.Service {
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -162,7 +162,7 @@
 
 // RunCycle gives out all room that the order lets it give, and says how many jobs got some
 // since they were left waiting.
-func (p *Scheduler) RunCycle(w World) (left int) {
+func (p *Scheduler) RunCycle(w Snapshot) (left int) {
 	p.refusals = p.refusals[:0]
 	if w.Accel.GPU > 0 {
 		w.lend = w.lendable()
@@ -241,7 +241,7 @@
 }
 
 // countUnits begins a pass for whoever counts units.
-func (p *Scheduler) countUnits(w *World, order []int32) {
+func (p *Scheduler) countUnits(w *Snapshot, order []int32) {
 	var list []*jobs.Job
 	add := func(j *jobs.Job) {
 		if len(j.Rec.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.next(j) >= 0 && p.Within(j.Team, j.Need, w.missing(j.Team)) {
@@ -261,7 +261,7 @@
 
 // inOrder gives room to the jobs in their order; room is held for the first
 // that does not fit, unless it is held already.
-func (p *Scheduler) inOrder(w *World, order []int32, machines []*workers.Machine, held bool) bool {
+func (p *Scheduler) inOrder(w *Snapshot, order []int32, machines []*workers.Machine, held bool) bool {
 	for _, i := range order {
 		j := w.Jobs.At(i)
 		for {
@@ -288,7 +288,7 @@
 }
 
 // services get room first, outside the order.
-func (p *Scheduler) services(w *World, machines []*workers.Machine) {
+func (p *Scheduler) services(w *Snapshot, machines []*workers.Machine) {
 	for _, j := range w.Jobs.All() {
 		if j == nil || j.Rec.Kind != jobs.Service {
 			continue
@@ -304,7 +304,7 @@
 
 // launch places all waiting tasks of a gang or none. While the gang still
 // gathers, lost tasks are replaced under the attempt it has.
-func (p *Scheduler) launch(w *World, j *jobs.Job, machines []*workers.Machine) bool {
+func (p *Scheduler) launch(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
 	if j.Broken || (j.Began && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.missing(j.Team)) || !w.units(j, j.Waiting) {
 		return false
 	}
@@ -329,7 +329,7 @@
 }
 
 // all places all waiting tasks of a job or none.
-func (p *Scheduler) all(w *World, j *jobs.Job, machines []*workers.Machine) bool {
+func (p *Scheduler) all(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
 	var placed []int
 	for {
 		k := w.next(j)
@@ -348,12 +348,12 @@
 	return false
 }
 
-func (p *Scheduler) ready(w *World, j *jobs.Job) bool {
+func (p *Scheduler) ready(w *Snapshot, j *jobs.Job) bool {
 	return j.Phase == jobs.Open && w.Now >= j.NotBefore
 }
 
 // give places one task on the best machine, if there is one.
-func (p *Scheduler) give(w *World, j *jobs.Job, k int, machines []*workers.Machine) bool {
+func (p *Scheduler) give(w *Snapshot, j *jobs.Job, k int, machines []*workers.Machine) bool {
 	p.paced = false
 	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.missing(j.Team)) || (!w.left && p.refused(j)) || !w.units(j, 1) {
 		return false
@@ -418,7 +418,7 @@
 
 // gives says whether room on a machine is for a job: not where it is held for another, or
 // kept for tasks that need its accelerators.
-func (w *World) gives(j *jobs.Job, m *workers.Machine) bool {
+func (w *Snapshot) gives(j *jobs.Job, m *workers.Machine) bool {
 	if w.left {
 		return permitted(j, m, w.Zone)
 	}
@@ -440,7 +440,7 @@
 // in a test with services on all machines, an urgent gang that fits none of them, and gangs
 // that waited beside them for as long as the day was. least is what the smallest task that
 // waits needs.
-func (p *Scheduler) leftWaiting(w *World, least int64) (given int) {
+func (p *Scheduler) leftWaiting(w *Snapshot, least int64) (given int) {
 	if w.Now-p.leftAt < leftEvery {
 		return 0
 	}
@@ -481,7 +481,7 @@
 
 // giveLeft gives a job that was left waiting what room there is for it, and says whether
 // that was any.
-func (p *Scheduler) giveLeft(w *World, j *jobs.Job, room []*workers.Machine) bool {
+func (p *Scheduler) giveLeft(w *Snapshot, j *jobs.Job, room []*workers.Machine) bool {
 	before := j.Placed
 	if j.Rec.Kind == jobs.Gang {
 		p.launch(w, j, room)
@@ -503,7 +503,7 @@
 
 // hasRoom says whether machines that a job may use have room for one more of its tasks, or
 // for all of a gang.
-func (w *World) hasRoom(j *jobs.Job, room []*workers.Machine) bool {
+func (w *Snapshot) hasRoom(j *jobs.Job, room []*workers.Machine) bool {
 	need := j.Together()
 	places := map[int32]int{}
 	for _, m := range room {
@@ -531,7 +531,7 @@
 // waitsForImage says whether a replica that should start within a moment leaves room on a
 // machine that would have to fetch its image first: for a fraction of the fetch, and not
 // for long. On a full cluster the next room comes free sooner, and often where the image is.
-func (p *Scheduler) waitsForImage(w *World, j *jobs.Job, m *workers.Machine) bool {
+func (p *Scheduler) waitsForImage(w *Snapshot, j *jobs.Job, m *workers.Machine) bool {
 	if j.Passed == 0 {
 		j.Passed = w.Now
 	}
@@ -546,7 +546,7 @@
 // tasks fill and its team may use. For a job bound to one zone they are of
 // one zone; for a gang nothing is held unless all of it would fit, for then
 // waiting would bring nothing.
-func (p *Scheduler) hold(w *World, j *jobs.Job) bool {
+func (p *Scheduler) hold(w *Snapshot, j *jobs.Job) bool {
 	var fit []*workers.Machine
 	slots := map[int32]int{}
 	total := 0
--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -32,7 +32,7 @@
 // moved before (they could go back and forth for ever), and have a place elsewhere that nobody
 // else of their team waits for, and when what its unused room would cost until
 // the end is more than what moving loses.
-func (p *Scheduler) Moves(w World) []*workers.Placement {
+func (p *Scheduler) Moves(w Snapshot) []*workers.Placement {
 	waits := make([]bool, len(p.Limits))
 	for _, i := range w.Book.Order() {
 		if j := w.Jobs.At(i); j.Waiting > 0 {
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -12,7 +12,7 @@
 // Order lists the jobs in the order in which they get room: HFSP's, with the
 // exceptions before and behind it. Services are not in it. The slice is valid
 // until the next call.
-func (p *Scheduler) Order(w *World) []int32 {
+func (p *Scheduler) Order(w *Snapshot) []int32 {
 	order := w.Book.Order()
 	if p.Guarantees != nil {
 		p.markGuaranteed(w, order)
@@ -37,7 +37,7 @@
 	return p.scratch
 }
 
-func (p *Scheduler) markGuaranteed(w *World, order []int32) {
+func (p *Scheduler) markGuaranteed(w *Snapshot, order []int32) {
 	p.scratch = append(p.scratch[:0], order...)
 	byArrival := p.scratch
 	slices.SortFunc(byArrival, func(a, b int32) int { return cmp.Compare(w.Jobs.At(a).AcceptedAt, w.Jobs.At(b).AcceptedAt) })
@@ -56,7 +56,7 @@
 }
 
 // Why says in plain words what a job's waiting tasks wait for.
-func (p *Scheduler) Why(w World, j *jobs.Job) []string {
+func (p *Scheduler) Why(w Snapshot, j *jobs.Job) []string {
 	if j.Waiting == 0 {
 		return nil
 	}
@@ -120,7 +120,7 @@
 
 // rank is 0 for jobs on the ordinary path, above it for those that an
 // exception puts ahead of the order and below for those it puts behind.
-func (p *Scheduler) rank(w *World, i int32) int {
+func (p *Scheduler) rank(w *Snapshot, i int32) int {
 	j := w.Jobs.At(i)
 	switch {
 	case j.Kept == jobs.KeptFirst:
@@ -141,6 +141,6 @@
 
 // overdue says whether none of a job's tasks has begun for longer than it should wait. The
 // largest come last by size, and where smaller ones keep coming they would never begin.
-func (p *Scheduler) overdue(w *World, j *jobs.Job) bool {
+func (p *Scheduler) overdue(w *Snapshot, j *jobs.Job) bool {
 	return p.BeginWithin > 0 && !j.HasBegun() && w.Now-j.AcceptedAt >= p.BeginWithin
 }
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -22,7 +22,7 @@
 // within its team's guarantee at the cost of teams beyond theirs. Only tasks
 // that save their progress, or have hardly begun, are stopped; gangs and
 // services never are.
-func (p *Scheduler) Preempt(w World) []*workers.Placement {
+func (p *Scheduler) Preempt(w Snapshot) []*workers.Placement {
 	var out []*workers.Placement
 	var pool []*workers.Placement
 	order := p.Order(&w)
@@ -68,7 +68,7 @@
 
 // pool lists the tasks that may be stopped for somebody, and the lowest rank
 // of their jobs.
-func (p *Scheduler) pool(w *World) (pool []*workers.Placement, lowest int8) {
+func (p *Scheduler) pool(w *Snapshot) (pool []*workers.Placement, lowest int8) {
 	lowest = 127
 	for _, m := range w.Yard.All() {
 		if !m.Usable(w.Now, w.Quiet) {
@@ -92,7 +92,7 @@
 	return !t.Planned && !t.Stopping && t.Runs() && j.Rec.Kind == jobs.Array && j.Phase == jobs.Open
 }
 
-func (p *Scheduler) victims(w *World, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
+func (p *Scheduler) victims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
 	for _, m := range w.Yard.All() {
 		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.Quiet) && w.suits(j, m) {
 			return nil // there is room: it only has to be given
@@ -138,7 +138,7 @@
 
 // mayStop says whether a task of the pool may be stopped to make room for a
 // job.
-func (p *Scheduler) mayStop(w *World, j *jobs.Job, v *workers.Placement) bool {
+func (p *Scheduler) mayStop(w *Snapshot, j *jobs.Job, v *workers.Placement) bool {
 	o := w.Jobs.At(v.Ref.Job)
 	if p.ranks[j.Index] <= p.ranks[o.Index] {
 		return false // the room would go back to the task that was stopped
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -9,8 +9,8 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// World is what a pass looks at.
-type World struct {
+// Snapshot is what a pass looks at.
+type Snapshot struct {
 	Now     time.Duration
 	Quiet   time.Duration // a machine silent for longer gets nothing
 	Jobs    *jobs.Table
@@ -30,7 +30,7 @@
 }
 
 // missing is what machines that are not resolved may be using of a team.
-func (w *World) missing(team int32) resources.Amounts {
+func (w *Snapshot) missing(team int32) resources.Amounts {
 	if int(team) < len(w.Missing) {
 		return w.Missing[team]
 	}
@@ -39,17 +39,17 @@
 
 // unsettled says whether tasks of a job that are not seen may run on machines
 // of an earlier term.
-func (w *World) unsettled(j *jobs.Job) bool { return j.MayRunUnseen(w.Blind) }
+func (w *Snapshot) unsettled(j *jobs.Job) bool { return j.MayRunUnseen(w.Blind) }
 
 // units says whether so many more tasks of a job may have the units that they need.
 // Without anybody who counts them none that needs any may start.
-func (w *World) units(j *jobs.Job, tasks int) bool {
+func (w *Snapshot) units(j *jobs.Job, tasks int) bool {
 	return len(j.Rec.Counted) == 0 || (w.Units != nil && w.Units.Allows(j, tasks))
 }
 
 // next is the task of a job that gets room next, or -1. While tasks of an earlier
 // term may run unseen it is one that no earlier term can have started.
-func (w *World) next(j *jobs.Job) int {
+func (w *Snapshot) next(j *jobs.Job) int {
 	switch {
 	case !w.unsettled(j):
 		return j.NextWaiting(len(j.Tasks))
@@ -61,14 +61,14 @@
 
 // suits says whether one more task of a job could be on a machine if that
 // were free.
-func (w *World) suits(j *jobs.Job, m *workers.Machine) bool {
+func (w *Snapshot) suits(j *jobs.Job, m *workers.Machine) bool {
 	return !w.kept(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
 }
 
 // kept says whether a machine is kept for tasks that need its accelerators, before one
 // that needs none and can be elsewhere: no more of them get there than leave as many of
 // the others their place as it has.
-func (w *World) kept(j *jobs.Job, m *workers.Machine) bool {
+func (w *Snapshot) kept(j *jobs.Job, m *workers.Machine) bool {
 	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.OnPlain && w.Accel.GPU > 0
 }
 
@@ -77,7 +77,7 @@
 // short while, where more are free than such tasks wait for. Found on a day with gangs on
 // machines of two accelerators and twelve processors: replicas of one processor stood on
 // most of them for minutes, and a third of the accelerators was idle while gangs waited.
-func (w *World) mayLend(j *jobs.Job, m *workers.Machine) bool {
+func (w *Snapshot) mayLend(j *jobs.Job, m *workers.Machine) bool {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
 	after := Slots(w.Accel, left.Minus(j.Need))
 	if after >= Slots(w.Accel, m.Cap) {
@@ -87,14 +87,14 @@
 }
 
 // lent counts what a task takes from those that need accelerators.
-func (w *World) lent(j *jobs.Job, m *workers.Machine) {
+func (w *Snapshot) lent(j *jobs.Job, m *workers.Machine) {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
 	w.lend -= max(0, Slots(w.Accel, left)-Slots(w.Accel, left.Minus(j.Need)))
 }
 
 // lendable is how many places for tasks with accelerators are free beyond those that wait
 // and some that may come.
-func (w *World) lendable() int {
+func (w *Snapshot) lendable() int {
 	free, all, waiting := 0, 0, 0
 	for _, m := range w.Yard.All() {
 		if m.Cap.GPU > 0 && m.Usable(w.Now, w.Quiet) {
