--- a/internal/core/scheduler/accel_test.go
+++ b/internal/core/scheduler/accel_test.go
@@ -16,10 +16,10 @@
 // with eight processors and none.
 func accelWorld(n int) (*Scheduler, Snapshot, map[*workers.Machine]int) {
 	p := New([]Limit{{}}, 10)
-	w := Snapshot{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Yard: workers.NewInventory(), Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
+	w := Snapshot{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(), Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	for i := range n {
 		for _, room := range []resources.Amounts{resources.Room(12, 2, 48), resources.Room(8, 0, 64)} {
-			w.Yard.Add(&workers.Machine{Name: fmt.Sprint(i, room.GPU), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
+			w.Inventory.Add(&workers.Machine{Name: fmt.Sprint(i, room.GPU), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
 		}
 	}
 	plain := map[*workers.Machine]int{} // tasks without accelerators, by machine that has some
@@ -32,7 +32,7 @@
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		for _, m := range w.Yard.All() {
+		for _, m := range w.Inventory.All() {
 			m.RemovePlacement(ref)
 		}
 		j.Release(k)
@@ -104,7 +104,7 @@
 	p, w, _ := accelWorld(1)
 	for i := range 850 {
 		room := []resources.Amounts{resources.Room(8, 0, 64), resources.Room(32, 0, 128), resources.Room(64, 0, 128), resources.Room(12, 2, 48)}[i%4]
-		m := w.Yard.Add(&workers.Machine{Name: fmt.Sprint("m", i), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
+		m := w.Inventory.Add(&workers.Machine{Name: fmt.Sprint("m", i), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
 		if i%10 > 0 {
 			m.Plan(&workers.Placement{Ref: workers.Ref{Job: 1 << 20, Task: int32(i)}, Need: room})
 		}
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -22,11 +22,11 @@
 	p := New([]Limit{{CPU: int64(1+r.IntN(machines)) * 4000}, {}}, 1+r.IntN(20))
 	p.UrgentFirst = true
 	p.Locality = 2 * time.Second
-	w := Snapshot{Now: time.Minute, Quiet: time.Hour, Jobs: jobs.NewTable(), Yard: workers.NewInventory(),
+	w := Snapshot{Now: time.Minute, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 1 }}
 	for i := range machines {
 		size := []float64{4, 16}[r.IntN(2)]
-		m := w.Yard.Add(&workers.Machine{Name: fmt.Sprint("m", i), Type: int32(r.IntN(2)), Zone: int32(r.IntN(3)), Spot: r.IntN(2) == 0,
+		m := w.Inventory.Add(&workers.Machine{Name: fmt.Sprint("m", i), Type: int32(r.IntN(2)), Zone: int32(r.IntN(3)), Spot: r.IntN(2) == 0,
 			Cap: resources.Room(size, 0, 2*size), CacheGB: 40, FetchGBPS: 0.5, Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: r.IntN(20) == 0})
 		m.Free.CPU = int64(r.IntN(int(size)+1)) * 1000
 		m.Free.Mem = int64(r.IntN(int(2*size)+1)) * 1000
@@ -60,7 +60,7 @@
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		for _, m := range w.Yard.All() {
+		for _, m := range w.Inventory.All() {
 			if m.Tasks[ref] != nil {
 				m.RemovePlacement(ref)
 				j.MoveZone(m.Zone, -1)
@@ -109,7 +109,7 @@
 			p.plain = plain
 			p.RunCycle(w)
 			w.Now += 3 * time.Second
-			for _, m := range w.Yard.All() {
+			for _, m := range w.Inventory.All() {
 				for _, ref := range slices.SortedFunc(maps.Keys(m.Tasks), func(a, b workers.Ref) int { return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task)) }) {
 					v := m.Tasks[ref]
 					v.Planned, v.Seen, v.State, v.RanAt = false, true, workers.Running, w.Now-time.Duration(r.IntN(9))*time.Second
@@ -175,10 +175,10 @@
 		{"its team waits", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Waiting = 1 }, 0},
 		{"it is nearly done", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Rec.EstimateS = 65 }, 0},
 	} {
-		w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Yard: workers.NewInventory(),
+		w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 			Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 		add := func(name string, draining bool) *workers.Machine {
-			return w.Yard.Add(&workers.Machine{Name: name, Cap: resources.Room(32, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: draining, CacheGB: 1, FetchGBPS: 1})
+			return w.Inventory.Add(&workers.Machine{Name: name, Cap: resources.Room(32, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: draining, CacheGB: 1, FetchGBPS: 1})
 		}
 		from, other := add("from", true), add("other", false)
 		j := w.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1, CPUs: 4, MemoryGB: 4, Checkpoint: 15, SaveS: 4, EstimateS: 300})
@@ -199,9 +199,9 @@
 // named once, and a task that was stopped before is left alone: found on a day
 // where one long job was stopped five times over and set the end of the day.
 func TestPreemptSparesTheSaved(t *testing.T) {
-	w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Yard: workers.NewInventory(),
+	w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
-	m := w.Yard.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, CacheGB: 1, FetchGBPS: 1})
+	m := w.Inventory.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, CacheGB: 1, FetchGBPS: 1})
 	add := func(id uint64, tasks int, cpus float64, priority uint8) *jobs.Job {
 		j := w.Jobs.Add(eventlog.Job{ID: id, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Priority: priority, Checkpoint: 15, SaveS: 4, EstimateS: 300})
 		j.Phase = jobs.Open
--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -45,7 +45,7 @@
 	}
 	var rooms []room
 	var drain []*workers.Machine
-	for _, m := range w.Yard.All() {
+	for _, m := range w.Inventory.All() {
 		switch {
 		case m.Draining && !m.Deleting && m.Up && !m.Notice && len(m.Tasks) > 0:
 			drain = append(drain, m)
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -78,7 +78,7 @@
 		}
 	}
 	fits, free := false, false
-	for _, m := range w.Yard.All() {
+	for _, m := range w.Inventory.All() {
 		if w.suits(j, m) && m.Usable(w.Now, w.Quiet) {
 			fits = true
 			free = free || j.Need.Fits(m.Free)
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -70,7 +70,7 @@
 // of their jobs.
 func (p *Scheduler) pool(w *Snapshot) (pool []*workers.Placement, lowest int8) {
 	lowest = 127
-	for _, m := range w.Yard.All() {
+	for _, m := range w.Inventory.All() {
 		if !m.Usable(w.Now, w.Quiet) {
 			continue
 		}
@@ -93,7 +93,7 @@
 }
 
 func (p *Scheduler) victims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
-	for _, m := range w.Yard.All() {
+	for _, m := range w.Inventory.All() {
 		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.Quiet) && w.suits(j, m) {
 			return nil // there is room: it only has to be given
 		}
