--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -182,9 +182,9 @@
 	for _, i := range order {
 		j := w.Jobs.At(i)
 		wants(j)
-		if w.Book.InTraining(i) {
+		if w.Estimator.InTraining(i) {
 			for k := range j.Tasks {
-				if !w.Book.Training(i, k) {
+				if !w.Estimator.Training(i, k) {
 					break
 				}
 				if j.Tasks[k] == jobs.Placed {
@@ -219,13 +219,13 @@
 		if training >= p.AtOnce {
 			break
 		}
-		if !w.Book.InTraining(i) {
+		if !w.Estimator.InTraining(i) {
 			continue
 		}
 		j := w.Jobs.At(i)
 		for training < p.AtOnce {
 			k := w.next(j)
-			if k < 0 || !w.Book.Training(i, k) || !p.give(&w, j, k, machines) {
+			if k < 0 || !w.Estimator.Training(i, k) || !p.give(&w, j, k, machines) {
 				break
 			}
 			training++
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -23,7 +23,7 @@
 	p.UrgentFirst = true
 	p.Locality = 2 * time.Second
 	w := Snapshot{Now: time.Minute, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
-		Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 1 }}
+		Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 1 }}
 	for i := range machines {
 		size := []float64{4, 16}[r.IntN(2)]
 		m := w.Inventory.Add(&workers.Machine{Name: fmt.Sprint("m", i), Type: int32(r.IntN(2)), Zone: int32(r.IntN(3)), Spot: r.IntN(2) == 0,
@@ -49,7 +49,7 @@
 		if r.IntN(2) == 0 {
 			j.Passed = w.Now - 3*time.Second
 		}
-		w.Book.Add(j.Index, j.Team, rec.Tasks, rec.CPUs, rec.Kind == jobs.Gang)
+		w.Estimator.Add(j.Index, j.Team, rec.Tasks, rec.CPUs, rec.Kind == jobs.Gang)
 	}
 	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		*given = append(*given, fmt.Sprintf("%d/%d on %s", j.Rec.ID, k, m.Name))
@@ -176,14 +176,14 @@
 		{"it is nearly done", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Rec.EstimateS = 65 }, 0},
 	} {
 		w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
-			Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
+			Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 		add := func(name string, draining bool) *workers.Machine {
 			return w.Inventory.Add(&workers.Machine{Name: name, Cap: resources.Room(32, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: draining, CacheGB: 1, FetchGBPS: 1})
 		}
 		from, other := add("from", true), add("other", false)
 		j := w.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1, CPUs: 4, MemoryGB: 4, Checkpoint: 15, SaveS: 4, EstimateS: 300})
 		j.Phase = jobs.Open
-		w.Book.Add(j.Index, 0, 1, 4, false)
+		w.Estimator.Add(j.Index, 0, 1, 4, false)
 		j.Place(0)
 		task := &workers.Placement{Ref: workers.Ref{Job: j.Index}, JobID: 1, Need: j.Need}
 		from.Plan(task)
@@ -200,12 +200,12 @@
 // where one long job was stopped five times over and set the end of the day.
 func TestPreemptSparesTheSaved(t *testing.T) {
 	w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
-		Book: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
+		Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	m := w.Inventory.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, CacheGB: 1, FetchGBPS: 1})
 	add := func(id uint64, tasks int, cpus float64, priority uint8) *jobs.Job {
 		j := w.Jobs.Add(eventlog.Job{ID: id, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Priority: priority, Checkpoint: 15, SaveS: 4, EstimateS: 300})
 		j.Phase = jobs.Open
-		w.Book.Add(j.Index, 0, tasks, cpus, false)
+		w.Estimator.Add(j.Index, 0, tasks, cpus, false)
 		return j
 	}
 	long := add(1, 4, 2, 0)
--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -34,7 +34,7 @@
 // the end is more than what moving loses.
 func (p *Scheduler) Moves(w Snapshot) []*workers.Placement {
 	waits := make([]bool, len(p.Limits))
-	for _, i := range w.Book.Order() {
+	for _, i := range w.Estimator.Order() {
 		if j := w.Jobs.At(i); j.Waiting > 0 {
 			waits[j.Team] = true
 		}
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -13,7 +13,7 @@
 // exceptions before and behind it. Services are not in it. The slice is valid
 // until the next call.
 func (p *Scheduler) Order(w *Snapshot) []int32 {
-	order := w.Book.Order()
+	order := w.Estimator.Order()
 	if p.Guarantees != nil {
 		p.markGuaranteed(w, order)
 	}
