--- a/internal/core/scheduler/holder.go
+++ b/internal/core/scheduler/holder.go
@@ -7,7 +7,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Holder is a controller's side of its block: the machines whose workers it
+// ShardHolder is a controller's side of its block: the machines whose workers it
 // answers, under a lease from the leader, and the offers it has taken up.
 //
 // The leader hands the block (task, attempt) as offers with its answer to
@@ -15,7 +15,7 @@
 // whose report it answers, or leaves them for another. A start travels only
 // in the answer to the very report for which the leader made the offer, and
 // one offer is started once.
-type Holder struct {
+type ShardHolder struct {
 	held  map[string]lease
 	taken map[uint64]time.Duration
 }
@@ -30,18 +30,18 @@
 const takenFor = 30 * time.Minute
 
 // NewHolder makes a holder of an empty block.
-func NewHolder() *Holder {
-	return &Holder{held: map[string]lease{}, taken: map[uint64]time.Duration{}}
+func NewHolder() *ShardHolder {
+	return &ShardHolder{held: map[string]lease{}, taken: map[uint64]time.Duration{}}
 }
 
 // Renew notes that the leader answered a report of a machine: it is ours
 // until then, under this token.
-func (h *Holder) Renew(machine string, token uint64, until time.Duration) {
+func (h *ShardHolder) Renew(machine string, token uint64, until time.Duration) {
 	h.held[machine] = lease{token, until}
 }
 
 // Release notes that a machine is in another block.
-func (h *Holder) Release(machine string) { delete(h.held, machine) }
+func (h *ShardHolder) Release(machine string) { delete(h.held, machine) }
 
 // KeepAlive is the token with which a worker may be answered while the
 // leader cannot be asked, so that its tasks outlive the leader. A worker that
@@ -49,14 +49,14 @@
 // it is new, or has begun anew, which the next leader must be able to tell. Found in a
 // random day on which the leader stood still, a machine began anew under its name and was
 // given its old token here: the next leader took the units of what it had lost for free.
-func (h *Holder) KeepAlive(now time.Duration, r *workers.Report) (uint64, bool) {
+func (h *ShardHolder) KeepAlive(now time.Duration, r *workers.Report) (uint64, bool) {
 	l, ok := h.held[r.Machine]
 	return l.token, ok && now < l.until && r.Token > 0 && r.Token <= l.token
 }
 
 // Pick takes up offers for the machine whose report is answered: those with
 // room kept there, then such that fit into the room left.
-func (h *Holder) Pick(now time.Duration, offers []workers.Offer, room resources.Amounts) []workers.Offer {
+func (h *ShardHolder) Pick(now time.Duration, offers []workers.Offer, room resources.Amounts) []workers.Offer {
 	var out []workers.Offer
 	for _, here := range []bool{true, false} {
 		for _, o := range offers {
@@ -80,7 +80,7 @@
 }
 
 // Tick forgets what is long over.
-func (h *Holder) Tick(now time.Duration) {
+func (h *ShardHolder) Tick(now time.Duration) {
 	for s, at := range h.taken {
 		if now-at > takenFor {
 			delete(h.taken, s)
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -23,7 +23,7 @@
 	zero int64 // time of day at time 0, in milliseconds; off by a known bound
 	lead *leadership.Core
 	term *term.Term
-	hold *scheduler.Holder
+	hold *scheduler.ShardHolder
 	out  []effects.Effect
 
 	counts      cluster.Counts
