--- a/internal/core/scheduler/holder.go
+++ b/internal/core/scheduler/holder.go
@@ -29,8 +29,8 @@
 // leader keeps offering it.
 const takenFor = 30 * time.Minute
 
-// NewHolder makes a holder of an empty block.
-func NewHolder() *ShardHolder {
+// NewShardHolder makes a holder of an empty block.
+func NewShardHolder() *ShardHolder {
 	return &ShardHolder{held: map[string]lease{}, taken: map[uint64]time.Duration{}}
 }
 
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.Doubt = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewHolder(), open: map[effects.Asker]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
+	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.Asker]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
 }
 
 // Take returns the effects since the last call.
