--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -513,7 +513,7 @@
 		if need == 1 {
 			return true
 		}
-		places[m.Zone] += Slots(j.Need, m.Free)
+		places[m.Zone] += TasksThatFit(j.Need, m.Free)
 	}
 	all, most := 0, 0
 	for z, n := range places {
@@ -553,7 +553,7 @@
 	for _, m := range w.Inventory.All() {
 		if m.Usable(w.Now, w.Quiet) && w.suits(j, m) {
 			fit = append(fit, m)
-			n := Slots(j.Need, m.Cap)
+			n := TasksThatFit(j.Need, m.Cap)
 			slots[m.Zone] += n
 			total += n
 		}
@@ -581,13 +581,13 @@
 			break
 		}
 		m.Held, held = true, true
-		want -= Slots(j.Need, m.Cap)
+		want -= TasksThatFit(j.Need, m.Cap)
 	}
 	return held
 }
 
-// Slots is how many tasks fit into room.
-func Slots(need, room resources.Amounts) int {
+// TasksThatFit is how many tasks fit into room.
+func TasksThatFit(need, room resources.Amounts) int {
 	n := int64(1 << 30)
 	for _, d := range [][2]int64{{need.CPU, room.CPU}, {need.GPU, room.GPU}, {need.Mem, room.Mem}} {
 		if d[0] > 0 {
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -124,7 +124,7 @@
 		m := v.Machine
 		freed[m] = freed[m].Plus(v.Need)
 		chosen[m] = append(chosen[m], v)
-		if n := Slots(j.Need, m.Free.Plus(freed[m])); n > 0 {
+		if n := TasksThatFit(j.Need, m.Free.Plus(freed[m])); n > 0 {
 			got += n
 			out = append(out, chosen[m]...)
 			chosen[m], freed[m] = nil, resources.Amounts{}.Minus(m.Free) // counted: the rest adds from nothing
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -79,17 +79,17 @@
 // most of them for minutes, and a third of the accelerators was idle while gangs waited.
 func (w *Snapshot) mayLend(j *jobs.Job, m *workers.Machine) bool {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
-	after := Slots(w.Accel, left.Minus(j.Need))
-	if after >= Slots(w.Accel, m.Cap) {
+	after := TasksThatFit(w.Accel, left.Minus(j.Need))
+	if after >= TasksThatFit(w.Accel, m.Cap) {
 		return true
 	}
-	return j.Rec.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= Slots(w.Accel, left))
+	return j.Rec.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= TasksThatFit(w.Accel, left))
 }
 
 // lent counts what a task takes from those that need accelerators.
 func (w *Snapshot) lent(j *jobs.Job, m *workers.Machine) {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
-	w.lend -= max(0, Slots(w.Accel, left)-Slots(w.Accel, left.Minus(j.Need)))
+	w.lend -= max(0, TasksThatFit(w.Accel, left)-TasksThatFit(w.Accel, left.Minus(j.Need)))
 }
 
 // lendable is how many places for tasks with accelerators are free beyond those that wait
@@ -98,8 +98,8 @@
 	free, all, waiting := 0, 0, 0
 	for _, m := range w.Inventory.All() {
 		if m.Cap.GPU > 0 && m.Usable(w.Now, w.Quiet) {
-			free += Slots(w.Accel, m.Free)
-			all += Slots(w.Accel, m.Cap)
+			free += TasksThatFit(w.Accel, m.Free)
+			all += TasksThatFit(w.Accel, m.Cap)
 		}
 	}
 	for _, j := range w.Jobs.All() {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -448,7 +448,7 @@
 	zones := map[int32]int{}
 	for _, m := range d.Yard.All() {
 		if d.mayTake(j, m) {
-			zones[m.Zone] += scheduler.Slots(j.Need, m.Cap)
+			zones[m.Zone] += scheduler.TasksThatFit(j.Need, m.Cap)
 		}
 	}
 	return zones
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -100,7 +100,7 @@
 	best := j.Rec.CPUs
 	found := false
 	for i, ty := range d.Types {
-		if n := scheduler.Slots(j.Need, resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)); n > 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) {
+		if n := scheduler.TasksThatFit(j.Need, resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)); n > 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) {
 			if s := ty.CPUs / float64(n); !found || s < best {
 				best, found = s, true
 			}
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -147,7 +147,7 @@
 				if n.perJob {
 					continue
 				}
-				units := float64(n.units * int64(scheduler.Slots(h.job.Need, m.Cap)))
+				units := float64(n.units * int64(scheduler.TasksThatFit(h.job.Need, m.Cap)))
 				if h.job.Need.CPU > 0 {
 					units = float64(n.units) * float64(m.Cap.CPU) / float64(h.job.Need.CPU)
 				}
@@ -224,7 +224,7 @@
 			break
 		}
 		if m.MayHave(j.Rec.ID) {
-			room += scheduler.Slots(j.Need, m.Cap)
+			room += scheduler.TasksThatFit(j.Need, m.Cap)
 		}
 	}
 	return min(n, room)
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -66,7 +66,7 @@
 		if !m.MayHave(h.job.Rec.ID) {
 			continue
 		}
-		if n := min(mayRun(h.job), scheduler.Slots(h.job.Need, m.Cap)); n > 0 {
+		if n := min(mayRun(h.job), scheduler.TasksThatFit(h.job.Need, m.Cap)); n > 0 {
 			d.lose(now, h.job, h.needs, int64(n))
 		}
 	}
