--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -16,8 +16,8 @@
 	movesAtOnce = 16               // machines emptied in one round
 )
 
-// Left is how long a placed task will probably still run.
-func Left(now time.Duration, j *jobs.Job, p *workers.Placement) time.Duration {
+// RemainingTime is how long a placed task will probably still run.
+func RemainingTime(now time.Duration, j *jobs.Job, p *workers.Placement) time.Duration {
 	left := time.Duration(j.Mean()*float64(time.Second)) - j.Saved[p.Ref.Task]
 	if p.Runs() {
 		left -= now - p.RanAt
@@ -86,7 +86,7 @@
 		all := true
 		for _, t := range m.Tasks {
 			j := w.Jobs.At(t.Ref.Job)
-			left := Left(w.Now, j, t)
+			left := RemainingTime(w.Now, j, t)
 			if !stoppable(j, t) || j.ZoneRule() || j.Rec.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < moveAfter || left < moveTakes || waits[j.Team] || !place(j) {
 				all = false
 				break
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -630,7 +630,7 @@
 		if j.Rec.Kind == jobs.Service {
 			return noEnd // by itself: it would have to be stopped
 		}
-		end = max(end, now+scheduler.Left(now, j, p))
+		end = max(end, now+scheduler.RemainingTime(now, j, p))
 	}
 	return end.Round(time.Second)
 }
