--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -15,7 +15,7 @@
 	Quiet     time.Duration // a machine silent for longer gets nothing
 	Jobs      *jobs.Table
 	Inventory *workers.Inventory
-	Estimator *sizing.Book
+	Estimator *sizing.Estimator
 	Missing   []resources.Amounts // by team: machines of an earlier term that may have its tasks
 	Blind     bool                // one of them may have tasks of any job
 	Accel     resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -37,8 +37,8 @@
 	took    float64 // negative: not completed
 }
 
-// Book holds the sizes of all unfinished jobs, by dense job index.
-type Book struct {
+// Estimator holds the sizes of all unfinished jobs, by dense job index.
+type Estimator struct {
 	p       Params
 	Limits  []float64 // processors that a team may use at once, by team; 0 or missing: no limit
 	jobs    []*Job    // nil where there is none
@@ -51,10 +51,10 @@
 }
 
 // New makes an empty book.
-func New(p Params) *Book { return &Book{p: p} }
+func New(p Params) *Estimator { return &Estimator{p: p} }
 
 // job returns the job with an index, or nil.
-func (b *Book) job(j int32) *Job {
+func (b *Estimator) job(j int32) *Job {
 	if int(j) >= len(b.jobs) {
 		return nil
 	}
@@ -62,10 +62,10 @@
 }
 
 // Len is the number of unfinished jobs.
-func (b *Book) Len() int { return len(b.order) }
+func (b *Estimator) Len() int { return len(b.order) }
 
 // Mean is s̄, the mean task time of finished jobs, and whether there is one.
-func (b *Book) Mean() (float64, bool) {
+func (b *Estimator) Mean() (float64, bool) {
 	if b.sumN == 0 {
 		return 0, false
 	}
@@ -74,7 +74,7 @@
 
 // Add enters a team's job of n tasks, each taking cpus. A job under t tasks is tiny
 // and gets size zero; a gang has no training and keeps its initial size.
-func (b *Book) Add(j, team int32, n int, cpus float64, gang bool) {
+func (b *Estimator) Add(j, team int32, n int, cpus float64, gang bool) {
 	b.nextSeq++
 	job := &Job{team: team, tasks: n, left: n, cpus: max(cpus, 0.001), seq: b.nextSeq}
 	switch {
@@ -102,7 +102,7 @@
 
 // Expect has a job that is not trained yet start from what its kind of work has
 // shown: n·ξ·mean in place of n·ξ·s̄.
-func (b *Book) Expect(j int32, mean float64) {
+func (b *Estimator) Expect(j int32, mean float64) {
 	if job := b.job(j); job != nil && !job.final {
 		job.size = float64(job.tasks) * b.p.Xi * mean
 		b.sorted = false
@@ -110,7 +110,7 @@
 }
 
 // Restore puts back what an earlier term had written down.
-func (b *Book) Restore(j int32, final bool, size, virtual float64) {
+func (b *Estimator) Restore(j int32, final bool, size, virtual float64) {
 	if job := b.job(j); job != nil {
 		b.sorted = false
 		job.final = job.final || final
@@ -120,14 +120,14 @@
 }
 
 // RestoreHistory counts the tasks of a job that finished in an earlier term.
-func (b *Book) RestoreHistory(seconds float64, tasks int) {
+func (b *Estimator) RestoreHistory(seconds float64, tasks int) {
 	b.sumS += seconds
 	b.sumN += float64(tasks)
 }
 
 // Remove takes out a job; seconds and tasks are what its completed tasks
 // took, counted into s̄ when it finished rather than being cancelled.
-func (b *Book) Remove(j int32, finished bool, seconds float64, tasks int) {
+func (b *Estimator) Remove(j int32, finished bool, seconds float64, tasks int) {
 	if b.job(j) == nil {
 		return
 	}
@@ -139,23 +139,23 @@
 }
 
 // Training says whether task k of job j is one that trains its size.
-func (b *Book) Training(j int32, k int) bool {
+func (b *Estimator) Training(j int32, k int) bool {
 	job := b.job(j)
 	return job != nil && !job.final && !job.skip && k < len(job.trained)
 }
 
 // InTraining says whether the job's size is still to be set from training.
-func (b *Book) InTraining(j int32) bool { return b.Training(j, 0) }
+func (b *Estimator) InTraining(j int32) bool { return b.Training(j, 0) }
 
 // Began notes that a task started to run.
-func (b *Book) Began(j int32, k int, now float64) {
+func (b *Estimator) Began(j int32, k int, now float64) {
 	if b.Training(j, k) && b.jobs[j].trained[k].started < 0 {
 		b.jobs[j].trained[k].started = now
 	}
 }
 
 // Lost notes that a task no longer runs and did not complete.
-func (b *Book) Lost(j int32, k int) {
+func (b *Estimator) Lost(j int32, k int) {
 	if b.Training(j, k) {
 		b.jobs[j].trained[k].started = -1
 	}
@@ -163,7 +163,7 @@
 
 // Completed notes that a task completed after took seconds of running. A
 // negative time is unknown, and the mean of the known ones stands in for it.
-func (b *Book) Completed(j int32, k int, took float64) {
+func (b *Estimator) Completed(j int32, k int, took float64) {
 	job := b.job(j)
 	if job == nil {
 		return
@@ -185,7 +185,7 @@
 // training tasks completed, or the ones left have run for Δ and count 2Δ
 // (workers report no progress, so p is taken as one half). It returns the
 // size and true when it was set by this call; it is set only once.
-func (b *Book) Settle(j int32, now float64) (float64, bool) {
+func (b *Estimator) Settle(j int32, now float64) (float64, bool) {
 	job := b.job(j)
 	if job == nil || job.final || job.skip {
 		return 0, false
@@ -210,7 +210,7 @@
 }
 
 // Virtual is what is left of a job in the virtual cluster.
-func (b *Book) Virtual(j int32) float64 {
+func (b *Estimator) Virtual(j int32) float64 {
 	job := b.job(j)
 	if job == nil {
 		return 0
@@ -219,7 +219,7 @@
 }
 
 // Size is the job's present estimate and whether it is final.
-func (b *Book) Size(j int32) (float64, bool) {
+func (b *Estimator) Size(j int32) (float64, bool) {
 	job := b.job(j)
 	if job == nil {
 		return 0, false
@@ -233,7 +233,7 @@
 // its limit in all, as in the real cluster: otherwise all jobs of a team at its
 // limit would be worked off in the virtual cluster long before the real one,
 // and would stand in the order of their arrival instead of their size.
-func (b *Book) Age(now, cpus float64) {
+func (b *Estimator) Age(now, cpus float64) {
 	dt := now - b.at
 	b.at = now
 	if dt <= 0 || cpus <= 0 {
@@ -298,7 +298,7 @@
 
 // Order lists the jobs, smallest virtual size first, then by arrival. The
 // slice is valid until the next call.
-func (b *Book) Order() []int32 {
+func (b *Estimator) Order() []int32 {
 	if b.sorted {
 		return b.order
 	}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -66,7 +66,7 @@
 	Log      *eventlog.Log
 	Jobs     *jobs.Table
 	Yard     *workers.Inventory
-	Book     *sizing.Book
+	Book     *sizing.Estimator
 	Plan     *scheduler.Scheduler
 	Dirty    bool // something has changed that a pass should look at
 	Numbers  int  // last one given to a machine
