--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -32,8 +32,8 @@
 	Remove bool
 }
 
-// Cond is a version that a key must have.
-type Cond struct {
+// Condition is a version that a key must have.
+type Condition struct {
 	Key  string
 	Mark uint64
 }
@@ -41,7 +41,7 @@
 // Txn is a transaction to be sent to the state service.
 type Txn struct {
 	Seq    uint64
-	Conds  []Cond
+	Conds  []Condition
 	Writes []Op
 }
 
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Txn{Seq: l.seq, Conds: []Cond{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
+	txn := Txn{Seq: l.seq, Conds: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
@@ -334,7 +334,7 @@
 				// A new segment must not be there yet. Without this a late copy of
 				// a transaction that left the open segment as it was would still
 				// meet its conditions and undo what was written since.
-				txn.Conds = append(txn.Conds, Cond{Key(s.number), 0})
+				txn.Conds = append(txn.Conds, Condition{Key(s.number), 0})
 			}
 			txn.Writes = append(txn.Writes, Op{Key: Key(s.number), Value: wrap(s.body)})
 		}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -112,7 +112,7 @@
 	failed []string
 }
 
-func (st *stateService) apply(conds []eventlog.Cond, writes []eventlog.Op, held uint64) txnResult {
+func (st *stateService) apply(conds []eventlog.Condition, writes []eventlog.Op, held uint64) txnResult {
 	st.expire()
 	if held != 0 && st.holds[held] == nil {
 		return txnResult{out: eventlog.Refused}
@@ -497,7 +497,7 @@
 		case leadership.Claim:
 			value, _ := json.Marshal(leadership.Holder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
-				return st.apply([]eventlog.Cond{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Mark: o.View.EpochMark}},
+				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Mark: o.View.EpochMark}},
 					[]eventlog.Op{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.Hold)
 			}
 			if st.lateWrite([]eventlog.Op{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -150,7 +150,7 @@
 
 // StateTxn is a transaction, as the state service reads it.
 type StateTxn struct {
-	Conds  []eventlog.Cond
+	Conds  []eventlog.Condition
 	Writes []StateWrite
 }
 
@@ -162,7 +162,7 @@
 	}
 	var out StateTxn
 	for _, c := range in.If {
-		out.Conds = append(out.Conds, eventlog.Cond(c))
+		out.Conds = append(out.Conds, eventlog.Condition(c))
 	}
 	for _, p := range in.Then {
 		if p.Delete != "" {
