--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -40,9 +40,9 @@
 
 // Txn is a transaction to be sent to the state service.
 type Txn struct {
-	Seq    uint64
-	Conds  []Condition
-	Writes []Op
+	Seq        uint64
+	Conditions []Condition
+	Writes     []Op
 }
 
 // Outcome is what became of a transaction.
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Txn{Seq: l.seq, Conds: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
+	txn := Txn{Seq: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
@@ -334,7 +334,7 @@
 				// A new segment must not be there yet. Without this a late copy of
 				// a transaction that left the open segment as it was would still
 				// meet its conditions and undo what was written since.
-				txn.Conds = append(txn.Conds, Condition{Key(s.number), 0})
+				txn.Conditions = append(txn.Conditions, Condition{Key(s.number), 0})
 			}
 			txn.Writes = append(txn.Writes, Op{Key: Key(s.number), Value: wrap(s.body)})
 		}
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -21,7 +21,7 @@
 
 func (s *store) apply(t Txn) (Outcome, uint64, []string) {
 	var failed []string
-	for _, c := range t.Conds {
+	for _, c := range t.Conditions {
 		if s.mark[c.Key] != c.Mark {
 			failed = append(failed, c.Key)
 		}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -223,7 +223,7 @@
 		st.s.check.productionWrites(t)
 	}
 	life := c.life
-	if st.lateWrite(t.Writes, func() eventlog.Outcome { return st.apply(t.Conds, t.Writes, 0).out }) {
+	if st.lateWrite(t.Writes, func() eventlog.Outcome { return st.apply(t.Conditions, t.Writes, 0).out }) {
 		st.s.after(wait, func() {
 			if c.life == life {
 				done(txnResult{}, false)
@@ -234,7 +234,7 @@
 	if st.delayed > 0 {
 		late := st.delayed
 		st.delayed = 0
-		st.s.after(late, func() { st.apply(t.Conds, t.Writes, 0) })
+		st.s.after(late, func() { st.apply(t.Conditions, t.Writes, 0) })
 		st.s.after(wait, func() {
 			if c.life == life {
 				done(txnResult{}, false)
@@ -250,7 +250,7 @@
 		for _, step := range st.steps(t.Writes) {
 			st.s.comes("before " + step)
 		}
-		r := st.apply(t.Conds, t.Writes, 0)
+		r := st.apply(t.Conditions, t.Writes, 0)
 		for _, step := range st.steps(t.Writes) {
 			st.s.comes("after " + step)
 		}
