--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -40,7 +40,7 @@
 
 // Txn is a transaction to be sent to the state service.
 type Txn struct {
-	Seq        uint64
+	Sequence   uint64
 	Conditions []Condition
 	Writes     []Op
 }
@@ -269,7 +269,7 @@
 			return nil
 		}
 		l.seq++
-		f.txn.Seq = l.seq
+		f.txn.Sequence = l.seq
 		f.sent = true
 		l.tokens -= float64(len(f.txn.Writes))
 		return &f.txn
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Txn{Seq: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
+	txn := Txn{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
@@ -388,7 +388,7 @@
 // that are now durable. mark is the revision of the change.
 func (l *Log) Result(now time.Duration, seq uint64, out Outcome, mark uint64, failed []string) ([]Entry, Step) {
 	f := l.inflight
-	if f == nil || f.txn.Seq != seq {
+	if f == nil || f.txn.Sequence != seq {
 		return nil, Carry
 	}
 	f.sent = false
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -104,7 +104,7 @@
 				w.values[op.Key] = op.Value
 			}
 		}
-		d.Log.Result(w.now, txn.Seq, eventlog.Applied, uint64(w.now), nil)
+		d.Log.Result(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
 	}
 }
 
@@ -486,13 +486,13 @@
 			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Op) bool { return len(o.Value) > 2000 })
 			if large {
 				refused++
-				d.Log.Result(w.now, txn.Seq, eventlog.Invalid, 0, nil)
+				d.Log.Result(w.now, txn.Sequence, eventlog.Invalid, 0, nil)
 				continue
 			}
 			for _, op := range txn.Writes {
 				w.values[op.Key] = op.Value
 			}
-			for _, e := range mustFacts(d, w, txn.Seq) {
+			for _, e := range mustFacts(d, w, txn.Sequence) {
 				d.Durable(w.now, true, e)
 			}
 		}
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -62,7 +62,7 @@
 				segments[w.Key] = list
 			}
 		}
-		term.Committed(*now, true, txn.Seq, eventlog.Applied, mark, nil)
+		term.Committed(*now, true, txn.Sequence, eventlog.Applied, mark, nil)
 	}
 	if term.Log.Pending() > 0 {
 		t.Fatalf("%d entries are never written", term.Log.Pending())
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -93,7 +93,7 @@
 					for _, w := range e.Txn.Writes {
 						noted = noted || strings.Contains(string(w.Value), `"d":"roster"`)
 					}
-					term.Committed(now, true, e.Txn.Seq, eventlog.Applied, uint64(now), nil)
+					term.Committed(now, true, e.Txn.Sequence, eventlog.Applied, uint64(now), nil)
 				}
 			}
 			if deleted {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -230,7 +230,7 @@
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			out, mark, failed := n.state.Commit(ctx, e.Txn)
 			backOff(out == eventlog.Applied || out == eventlog.Conflict)
-			return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Seq, out, mark, failed) }
+			return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Sequence, out, mark, failed) }
 		})
 	case effects.Recheck:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -217,7 +217,7 @@
 		if !ok {
 			r = txnResult{out: eventlog.Unknown}
 		}
-		c.into(func(now time.Duration) { c.core.Committed(now, epoch, t.Seq, r.out, r.mark, r.failed) })()
+		c.into(func(now time.Duration) { c.core.Committed(now, epoch, t.Sequence, r.out, r.mark, r.failed) })()
 	}
 	if c.old {
 		st.s.check.productionWrites(t)
