--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -153,8 +153,8 @@
 // appended.
 func (l *Log) Append(e Entry) { l.append(e, nil, nil) }
 
-// AppendFact queues an entry that Result returns once it is durable.
-func (l *Log) AppendFact(e Entry) { l.append(e, &e, nil) }
+// AppendTracked queues an entry that Result returns once it is durable.
+func (l *Log) AppendTracked(e Entry) { l.append(e, &e, nil) }
 
 // AppendWith queues an entry, as AppendFact does, with a value of a duty's own that
 // is written by the same transaction. It is the entry that makes this safe: it
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -63,7 +63,7 @@
 	s, l := newStore(), newLog()
 	now := time.Second
 	for n := range uint64(40) {
-		l.AppendFact(cancel(n))
+		l.AppendTracked(cancel(n))
 	}
 	first := *l.Next(now)
 	if _, step := l.Result(now, first.Sequence, Unknown, 0, nil); step != Reread {
@@ -72,7 +72,7 @@
 	if tags := l.ReadBack(now, true, 0, nil); tags != nil {
 		t.Fatal("told durable though not applied")
 	}
-	l.AppendFact(cancel(99))
+	l.AppendTracked(cancel(99))
 	now += time.Second
 	again := l.Next(now)
 	s.apply(first) // the late one
@@ -118,10 +118,10 @@
 		}
 	}
 	for n := uint64(0); l.Last() == 1 && len(l.body) < lim.ValueBytes-64-10; n++ {
-		l.AppendFact(cancel(100 + n))
+		l.AppendTracked(cancel(100 + n))
 		step()
 	}
-	l.AppendFact(cancel(7_000_000_000_000)) // does not fit into the open segment any more
+	l.AppendTracked(cancel(7_000_000_000_000)) // does not fit into the open segment any more
 	now += time.Second
 	late := *l.Next(now)
 	if len(late.Writes) != 1 || late.Writes[0].Key != Key(2) {
@@ -130,7 +130,7 @@
 	l.Result(now, late.Sequence, Unknown, 0, nil)
 	l.ReadBack(now, true, 0, nil)
 	step()
-	l.AppendFact(cancel(8))
+	l.AppendTracked(cancel(8))
 	step()
 	before := len(s.ids(t))
 	s.apply(late)
@@ -142,7 +142,7 @@
 // A transaction of an earlier term that comes late fails its condition.
 func TestLateCommitOfEarlierTerm(t *testing.T) {
 	s, l := newStore(), newLog()
-	l.AppendFact(cancel(1))
+	l.AppendTracked(cancel(1))
 	late := *l.Next(time.Second)
 	s.rev++
 	s.mark["lead/epoch"] = s.rev
@@ -162,7 +162,7 @@
 	small.WriteRPS = 10
 	l.lim = small
 	for n := range uint64(200) {
-		l.AppendFact(cancel(n))
+		l.AppendTracked(cancel(n))
 	}
 	for l.Pending() > 0 && now < time.Minute {
 		if txn := l.Next(now); txn != nil {
@@ -256,7 +256,7 @@
 	if !l.AppendWith(cancel(2), key, make(json.RawMessage, 3000)) {
 		t.Fatal("refused")
 	}
-	l.AppendFact(cancel(3))
+	l.AppendTracked(cancel(3))
 	now += time.Second
 	txn := l.Next(now)
 	l.Result(now, txn.Sequence, Invalid, 0, nil)
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -20,7 +20,7 @@
 		}
 		if step < 20 {
 			for n := range uint64(20) {
-				l.AppendFact(cancel(uint64(step)*20 + n))
+				l.AppendTracked(cancel(uint64(step)*20 + n))
 			}
 		}
 		if step == 5 {
@@ -58,13 +58,13 @@
 // still arrive: the term ends instead of trying for ever.
 func TestInvalidEndsTheTerm(t *testing.T) {
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: leastBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
-	l.AppendFact(cancel(1))
+	l.AppendTracked(cancel(1))
 	txn := l.Next(time.Second)
 	if _, step := l.Result(time.Second, txn.Sequence, Invalid, 0, nil); step != Lost {
 		t.Error("the smallest values were refused, and the term goes on")
 	}
 	l = NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 4}, "lead/epoch", 1, 0, 0)
-	l.AppendFact(cancel(1))
+	l.AppendTracked(cancel(1))
 	txn = l.Next(time.Second)
 	l.Result(time.Second, txn.Sequence, Unknown, 0, nil)
 	l.ReadBack(time.Second, true, 0, nil)
@@ -90,7 +90,7 @@
 	l.SetSizes(list)
 	now := time.Duration(0)
 	for step := range 60 {
-		l.AppendFact(cancel(uint64(step)))
+		l.AppendTracked(cancel(uint64(step)))
 		now += 200 * time.Millisecond
 		txn := l.Next(now)
 		if txn == nil {
@@ -142,11 +142,11 @@
 		return len(tags)
 	}
 	for n := range uint64(32) {
-		l.AppendFact(cancel(100 + n))
+		l.AppendTracked(cancel(100 + n))
 	}
 	commit()
 	for n := range uint64(100) {
-		l.AppendFact(cancel(200 + n))
+		l.AppendTracked(cancel(200 + n))
 	}
 	l.tokens = 1
 	if got := commit(); got < 30 {
@@ -162,7 +162,7 @@
 	removed, sizes, changes := 0, 0, 0
 	for step := range 400 { // 20 s
 		now := time.Duration(step) * 50 * time.Millisecond
-		l.AppendFact(cancel(uint64(step)))
+		l.AppendTracked(cancel(uint64(step)))
 		if step%20 == 0 {
 			l.Drop(1000 + step)
 			l.Drop(2000 + step)
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -397,7 +397,7 @@
 // request notes rentals durably; they are sent once that is done.
 func (d *Duty) request(text string, requests []eventlog.Rental) {
 	for _, r := range requests {
-		d.Log.AppendFact(eventlog.Entry{Rental: &r})
+		d.Log.AppendTracked(eventlog.Entry{Rental: &r})
 		d.Note(effects.Info, text, "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count)
 	}
 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -238,7 +238,7 @@
 	j.Ending = true
 	d.gone.Observe(j.Rec.Class, (now - j.AskedAt).Seconds())
 	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Rec.ID, "class", j.Rec.Class, "after", (now - j.AskedAt).Round(time.Millisecond))
-	d.Log.AppendFact(eventlog.Entry{Cancel: &j.Rec.ID})
+	d.Log.AppendTracked(eventlog.Entry{Cancel: &j.Rec.ID})
 }
 
 // writeTasks hands completed tasks to the log.
@@ -470,10 +470,10 @@
 	most := max(1, d.Log.Room()/rangeBytes-4)
 	for len(b.Ranges) > most {
 		part := eventlog.Tasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
-		d.Log.AppendFact(eventlog.Entry{Tasks: &part})
+		d.Log.AppendTracked(eventlog.Entry{Tasks: &part})
 		b.Ranges = b.Ranges[most:]
 	}
-	d.Log.AppendFact(eventlog.Entry{Tasks: &b})
+	d.Log.AppendTracked(eventlog.Entry{Tasks: &b})
 }
 
 // again appends what is known of an open job. Completed tasks that are on
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -65,7 +65,7 @@
 	j := d.enter(*s.Job, now)
 	d.suit(j)
 	d.accepting[s.ID] = append(d.accepting[s.ID], to)
-	d.Log.AppendFact(d.entryOf(j))
+	d.Log.AppendTracked(d.entryOf(j))
 }
 
 // never says why a job can never run, or nothing.
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -277,7 +277,7 @@
 				g.Machines = append(g.Machines, m.Number)
 			}
 			d.writing = append(d.writing, part)
-			d.Log.AppendFact(eventlog.Entry{Grant: &g})
+			d.Log.AppendTracked(eventlog.Entry{Grant: &g})
 		}
 	}
 	clear(d.granting)
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -101,7 +101,7 @@
 	if in.DryRun {
 		return a, nil
 	}
-	d.Log.AppendFact(e)
+	d.Log.AppendTracked(e)
 	d.pending = append(d.pending, r)
 	for _, c := range r.Changes {
 		if c.Item.Team != "" {
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -126,7 +126,7 @@
 		return
 	}
 	for _, part := range eventlog.Split(d.empty, d.Log.Room()-2*eventlog.EntryBytes) {
-		d.Log.AppendFact(eventlog.NewOwn(Name, returns{d.Epoch, part}))
+		d.Log.AppendTracked(eventlog.NewOwn(Name, returns{d.Epoch, part}))
 	}
 	d.empty = nil
 }
@@ -284,7 +284,7 @@
 		} else if m.QueueRegistry() {
 			d.Numbers++
 			m.Number = d.Numbers
-			d.Log.AppendFact(eventlog.Entry{Machine: &rec})
+			d.Log.AppendTracked(eventlog.Entry{Machine: &rec})
 		}
 	}
 	if w := d.waits[m]; w != nil {
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -104,7 +104,7 @@
 	follower.ID, follower.Tasks, follower.Follows = 2, 3, append([]uint64{1}, all...)
 	term.Users.Submit(time.Second, 1, wire.Submission{ID: 2, HasID: true, Job: &follower})
 
-	term.Log.AppendFact(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: zones[0], Count: 50}})
+	term.Log.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: zones[0], Count: 50}})
 	var names []string
 	for n := range 50 {
 		names = append(names, long("host", n))
@@ -175,7 +175,7 @@
 func TestAnswerCutShort(t *testing.T) {
 	term := smallTerm([]eventlog.Entry{{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
-	term.Log.AppendFact(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
+	term.Log.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
 	list := written(t, term, &now)
 	var names []string
 	for n := range 50 {
