--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -156,13 +156,13 @@
 // AppendTracked queues an entry that Result returns once it is durable.
 func (l *Log) AppendTracked(e Entry) { l.append(e, &e, nil) }
 
-// AppendWith queues an entry, as AppendFact does, with a value of a duty's own that
+// AppendWithValue queues an entry, as AppendFact does, with a value of a duty's own that
 // is written by the same transaction. It is the entry that makes this safe: it
 // changes the log, so that a late copy of the transaction, which could put an old
 // value back, fails. False: the value is larger than may be written. Should the
 // state service refuse it even so, both are left out, and the entry is never told
 // as a fact although Settled passes it.
-func (l *Log) AppendWith(e Entry, key string, value json.RawMessage) bool {
+func (l *Log) AppendWithValue(e Entry, key string, value json.RawMessage) bool {
 	if len(value) > min(l.room(), txnBytes/2) {
 		return false
 	}
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -221,7 +221,7 @@
 	key := ValueKey("d", 7)
 	put := func(v string) *Txn {
 		now += time.Second
-		if !l.AppendWith(cancel(1), key, json.RawMessage(v)) {
+		if !l.AppendWithValue(cancel(1), key, json.RawMessage(v)) {
 			t.Fatal("refused")
 		}
 		return l.Next(now)
@@ -248,12 +248,12 @@
 	if n, err := ValueNumber("d", key); n != 7 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
-	if l.AppendWith(cancel(1), key, make(json.RawMessage, lim.ValueBytes)) {
+	if l.AppendWithValue(cancel(1), key, make(json.RawMessage, lim.ValueBytes)) {
 		t.Error("a value that is too large is taken")
 	}
 	// Refused as too large after all: value and entry are left out, the others go on.
 	l.lim.ValueBytes = 4000
-	if !l.AppendWith(cancel(2), key, make(json.RawMessage, 3000)) {
+	if !l.AppendWithValue(cancel(2), key, make(json.RawMessage, 3000)) {
 		t.Fatal("refused")
 	}
 	l.AppendTracked(cancel(3))
