--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -180,9 +180,9 @@
 	l.appended++
 }
 
-// Appended counts the entries appended so far, and Settled those of them that
+// AppendedCount counts the entries appended so far, and Settled those of them that
 // are durable: an entry is once Settled has reached what Appended gave after it.
-func (l *Log) Appended() int { return l.appended }
+func (l *Log) AppendedCount() int { return l.appended }
 
 // Settled counts the entries that are durable.
 func (l *Log) Settled() int { return l.settled }
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -174,7 +174,7 @@
 		d.Note(effects.Error, "what was changed of pools does not fit into a value", "value", w.n, "bytes", len(raw))
 		return
 	}
-	w.pos = d.Log.Appended()
+	w.pos = d.Log.AppendedCount()
 	d.shelf.writing = append(d.shelf.writing, w)
 }
 
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -238,7 +238,7 @@
 		d.Note(effects.Warn, "learned run times that do not fit into a value are not kept", "value", n, "bytes", len(raw))
 		return
 	}
-	st.pos = d.Log.Appended()
+	st.pos = d.Log.AppendedCount()
 	d.storing = st
 }
 
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -64,7 +64,7 @@
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
 	t.Log.Append(eventlog.Entry{Over: &eventlog.Over{}})
-	t.cleanTo, t.cleanPos = end, t.Log.Appended()
+	t.cleanTo, t.cleanPos = end, t.Log.AppendedCount()
 }
 
 // canKeep says whether all that is live of these entries can be written anew.
