--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -184,8 +184,8 @@
 // are durable: an entry is once Settled has reached what Appended gave after it.
 func (l *Log) AppendedCount() int { return l.appended }
 
-// Settled counts the entries that are durable.
-func (l *Log) Settled() int { return l.settled }
+// DurableCount counts the entries that are durable.
+func (l *Log) DurableCount() int { return l.settled }
 
 // Fits says whether an entry can be stored at all.
 func (l *Log) Fits(e Entry) bool {
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -263,7 +263,7 @@
 	now += time.Second
 	txn = l.Next(now)
 	out, mark, failed = s.apply(*txn)
-	if facts, _ := l.Result(now, txn.Sequence, out, mark, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.Settled() != l.AppendedCount() {
-		t.Errorf("%d facts in %d changes, %d of %d entries settled", len(facts), len(txn.Writes), l.Settled(), l.AppendedCount())
+	if facts, _ := l.Result(now, txn.Sequence, out, mark, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.DurableCount() != l.AppendedCount() {
+		t.Errorf("%d facts in %d changes, %d of %d entries settled", len(facts), len(txn.Writes), l.DurableCount(), l.AppendedCount())
 	}
 }
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -123,7 +123,7 @@
 		return
 	}
 	s.writing = slices.DeleteFunc(s.writing, func(w *writing) bool {
-		if d.Log.Settled() < w.pos {
+		if d.Log.DurableCount() < w.pos {
 			return false
 		}
 		// Refused: it is tried again.
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -209,7 +209,7 @@
 // store writes one value, when nothing else waits and not too often.
 func (d *Duty) store(now time.Duration) {
 	if d.storing != nil {
-		if d.Log.Settled() < d.storing.pos {
+		if d.Log.DurableCount() < d.storing.pos {
 			return
 		}
 		d.shelf.push(d.storing.n) // refused: with smaller values it is tried again
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -81,7 +81,7 @@
 
 // dropCleaned removes the segments whose live entries are durable elsewhere.
 func (t *Term) dropCleaned() {
-	if t.cleanTo == 0 || t.Log.Settled() < t.cleanPos {
+	if t.cleanTo == 0 || t.Log.DurableCount() < t.cleanPos {
 		return
 	}
 	for ; t.first < t.cleanTo; t.first++ {
