--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -198,8 +198,8 @@
 // Last is the number of the open segment.
 func (l *Log) Last() int { return l.segment }
 
-// Drop removes a segment whose live entries are durable elsewhere.
-func (l *Log) Drop(n int) { l.drops = append(l.drops, Key(n)) }
+// DropSegment removes a segment whose live entries are durable elsewhere.
+func (l *Log) DropSegment(n int) { l.drops = append(l.drops, Key(n)) }
 
 // Room is how large an entry may be.
 func (l *Log) Room() int { return l.room() }
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -164,8 +164,8 @@
 		now := time.Duration(step) * 50 * time.Millisecond
 		l.AppendTracked(cancel(uint64(step)))
 		if step%20 == 0 {
-			l.Drop(1000 + step)
-			l.Drop(2000 + step)
+			l.DropSegment(1000 + step)
+			l.DropSegment(2000 + step)
 		}
 		if step%100 == 0 {
 			l.SetSizes([]VirtualSize{{ID: uint64(step), Size: 1, Virtual: 1}})
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -85,7 +85,7 @@
 		return
 	}
 	for ; t.first < t.cleanTo; t.first++ {
-		t.Log.Drop(t.first)
+		t.Log.DropSegment(t.first)
 	}
 	t.cleaning, t.cleanTo = false, 0
 }
