--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -256,8 +256,8 @@
 	return n, nil
 }
 
-// Next returns the transaction to send now, if any.
-func (l *Log) Next(now time.Duration) *Txn {
+// NextTransaction returns the transaction to send now, if any.
+func (l *Log) NextTransaction(now time.Duration) *Txn {
 	rate := l.lim.WriteRPS * openShare
 	l.tokens = min(max(2, rate/2), l.tokens+(now-l.at).Seconds()*rate)
 	l.at = now
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -65,7 +65,7 @@
 	for n := range uint64(40) {
 		l.AppendTracked(cancel(n))
 	}
-	first := *l.Next(now)
+	first := *l.NextTransaction(now)
 	if _, step := l.Result(now, first.Sequence, Unknown, 0, nil); step != Reread {
 		t.Fatal("an unknown outcome must be read back")
 	}
@@ -74,7 +74,7 @@
 	}
 	l.AppendTracked(cancel(99))
 	now += time.Second
-	again := l.Next(now)
+	again := l.NextTransaction(now)
 	s.apply(first) // the late one
 	out, mark, failed := s.apply(*again)
 	if out != Conflict {
@@ -86,7 +86,7 @@
 	tags := l.ReadBack(now, true, s.mark[l.Open()], s.data[l.Open()])
 	for len(tags) < 41 {
 		now += time.Second
-		txn := l.Next(now)
+		txn := l.NextTransaction(now)
 		if txn == nil {
 			t.Fatalf("stuck with %d of 41 durable", len(tags))
 		}
@@ -112,7 +112,7 @@
 	now := time.Second
 	step := func() {
 		now += time.Second
-		if txn := l.Next(now); txn != nil {
+		if txn := l.NextTransaction(now); txn != nil {
 			out, mark, failed := s.apply(*txn)
 			l.Result(now, txn.Sequence, out, mark, failed)
 		}
@@ -123,7 +123,7 @@
 	}
 	l.AppendTracked(cancel(7_000_000_000_000)) // does not fit into the open segment any more
 	now += time.Second
-	late := *l.Next(now)
+	late := *l.NextTransaction(now)
 	if len(late.Writes) != 1 || late.Writes[0].Key != Key(2) {
 		t.Fatalf("the case is not met: %d writes, the first to %s", len(late.Writes), late.Writes[0].Key)
 	}
@@ -143,7 +143,7 @@
 func TestLateCommitOfEarlierTerm(t *testing.T) {
 	s, l := newStore(), newLog()
 	l.AppendTracked(cancel(1))
-	late := *l.Next(time.Second)
+	late := *l.NextTransaction(time.Second)
 	s.rev++
 	s.mark["lead/epoch"] = s.rev
 	out, mark, failed := s.apply(late)
@@ -165,7 +165,7 @@
 		l.AppendTracked(cancel(n))
 	}
 	for l.Pending() > 0 && now < time.Minute {
-		if txn := l.Next(now); txn != nil {
+		if txn := l.NextTransaction(now); txn != nil {
 			if len(txn.Writes) > lim.TxnOps {
 				t.Fatalf("%d writes in one transaction", len(txn.Writes))
 			}
@@ -199,7 +199,7 @@
 	}
 	l.SetSizes(all)
 	seen := 0
-	txn := l.Next(time.Second)
+	txn := l.NextTransaction(time.Second)
 	for _, w := range txn.Writes {
 		var v VirtualSizes
 		if err := json.Unmarshal(w.Value, &v); err != nil || len(w.Value) > lim.ValueBytes {
@@ -224,7 +224,7 @@
 		if !l.AppendWithValue(cancel(1), key, json.RawMessage(v)) {
 			t.Fatal("refused")
 		}
-		return l.Next(now)
+		return l.NextTransaction(now)
 	}
 	first := *put(`"old"`)
 	if _, step := l.Result(now, first.Sequence, Unknown, 0, nil); step != Reread {
@@ -232,7 +232,7 @@
 	}
 	l.ReadBack(now, true, 0, nil) // it is not there
 	now += time.Second
-	again := l.Next(now)
+	again := l.NextTransaction(now)
 	out, mark, failed := s.apply(*again)
 	if facts, _ := l.Result(now, again.Sequence, out, mark, failed); len(facts) != 1 || string(s.data[key]) != `"old"` {
 		t.Errorf("%d facts, the value is %s", len(facts), s.data[key])
@@ -258,10 +258,10 @@
 	}
 	l.AppendTracked(cancel(3))
 	now += time.Second
-	txn := l.Next(now)
+	txn := l.NextTransaction(now)
 	l.Result(now, txn.Sequence, Invalid, 0, nil)
 	now += time.Second
-	txn = l.Next(now)
+	txn = l.NextTransaction(now)
 	out, mark, failed = s.apply(*txn)
 	if facts, _ := l.Result(now, txn.Sequence, out, mark, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.DurableCount() != l.AppendedCount() {
 		t.Errorf("%d facts in %d changes, %d of %d entries settled", len(facts), len(txn.Writes), l.DurableCount(), l.AppendedCount())
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -27,7 +27,7 @@
 			most = 600
 		}
 		now += time.Second
-		txn := l.Next(now)
+		txn := l.NextTransaction(now)
 		if txn == nil {
 			continue
 		}
@@ -59,16 +59,16 @@
 func TestInvalidEndsTheTerm(t *testing.T) {
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: leastBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
-	txn := l.Next(time.Second)
+	txn := l.NextTransaction(time.Second)
 	if _, step := l.Result(time.Second, txn.Sequence, Invalid, 0, nil); step != Lost {
 		t.Error("the smallest values were refused, and the term goes on")
 	}
 	l = NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
-	txn = l.Next(time.Second)
+	txn = l.NextTransaction(time.Second)
 	l.Result(time.Second, txn.Sequence, Unknown, 0, nil)
 	l.ReadBack(time.Second, true, 0, nil)
-	again := l.Next(3 * time.Second)
+	again := l.NextTransaction(3 * time.Second)
 	if _, step := l.Result(3*time.Second, again.Sequence, Invalid, 0, nil); step != Lost {
 		t.Error("an earlier copy may still be executed, and the term goes on")
 	}
@@ -92,7 +92,7 @@
 	for step := range 60 {
 		l.AppendTracked(cancel(uint64(step)))
 		now += 200 * time.Millisecond
-		txn := l.Next(now)
+		txn := l.NextTransaction(now)
 		if txn == nil {
 			continue
 		}
@@ -136,7 +136,7 @@
 	l := NewLog(Limits{WriteRPS: 100, ValueBytes: 400, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	now := 10 * time.Second
 	commit := func() int {
-		txn := l.Next(now)
+		txn := l.NextTransaction(now)
 		out, mark, failed := s.apply(*txn)
 		tags, _ := l.Result(now, txn.Sequence, out, mark, failed)
 		return len(tags)
@@ -170,7 +170,7 @@
 		if step%100 == 0 {
 			l.SetSizes([]VirtualSize{{ID: uint64(step), Size: 1, Virtual: 1}})
 		}
-		txn := l.Next(now)
+		txn := l.NextTransaction(now)
 		if txn == nil {
 			continue
 		}
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -31,7 +31,7 @@
 	d.Write(0)
 	for mark := uint64(1); d.Log.Pending() > 0; mark++ {
 		now := time.Duration(mark) * time.Second
-		txn := d.Log.Next(now)
+		txn := d.Log.NextTransaction(now)
 		for _, w := range txn.Writes {
 			if len(w.Value) > 2048 {
 				t.Fatalf("a value of %d bytes", len(w.Value))
--- a/internal/leader/placement/placing_test.go
+++ b/internal/leader/placement/placing_test.go
@@ -29,7 +29,7 @@
 	durable := 0
 	for mark := uint64(1); s.Log.Pending() > 0; mark++ {
 		now := time.Duration(mark) * time.Second
-		txn := s.Log.Next(now)
+		txn := s.Log.NextTransaction(now)
 		if len(txn.Writes[0].Value) > 2048 {
 			t.Fatalf("a value of %d bytes", len(txn.Writes[0].Value))
 		}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -80,7 +80,7 @@
 	for range 20 {
 		w.now += time.Second
 		w.d.Tick(w.now, true)
-		txn := w.d.Log.Next(w.now)
+		txn := w.d.Log.NextTransaction(w.now)
 		if txn == nil {
 			continue
 		}
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -51,7 +51,7 @@
 	b.t.Helper()
 	for b.Log.Pending() > 0 {
 		b.now += 100 * time.Millisecond
-		txn := b.Log.Next(b.now)
+		txn := b.Log.NextTransaction(b.now)
 		if txn == nil {
 			continue
 		}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -93,7 +93,7 @@
 func (w *world) write(d *Duty, most int) {
 	for range most {
 		w.now += time.Second
-		txn := d.Log.Next(w.now)
+		txn := d.Log.NextTransaction(w.now)
 		if txn == nil {
 			return
 		}
@@ -482,7 +482,7 @@
 	for range 400 {
 		w.now += d.pace
 		d.Tick(w.now, true)
-		if txn := d.Log.Next(w.now); txn != nil {
+		if txn := d.Log.NextTransaction(w.now); txn != nil {
 			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Op) bool { return len(o.Value) > 2000 })
 			if large {
 				refused++
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -344,7 +344,7 @@
 			t.duties[i].Write(now)
 		}
 	}
-	if txn := t.Log.Next(now); txn != nil {
+	if txn := t.Log.NextTransaction(now); txn != nil {
 		t.Emit(effects.Commit{Txn: *txn})
 	}
 }
