--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -195,8 +195,8 @@
 
 func (l *Log) room() int { return l.lim.ValueBytes - 64 }
 
-// Last is the number of the open segment.
-func (l *Log) Last() int { return l.segment }
+// LastSegment is the number of the open segment.
+func (l *Log) LastSegment() int { return l.segment }
 
 // DropSegment removes a segment whose live entries are durable elsewhere.
 func (l *Log) DropSegment(n int) { l.drops = append(l.drops, Key(n)) }
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -117,7 +117,7 @@
 			l.Result(now, txn.Sequence, out, mark, failed)
 		}
 	}
-	for n := uint64(0); l.Last() == 1 && len(l.body) < lim.ValueBytes-64-10; n++ {
+	for n := uint64(0); l.LastSegment() == 1 && len(l.body) < lim.ValueBytes-64-10; n++ {
 		l.AppendTracked(cancel(100 + n))
 		step()
 	}
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -32,7 +32,7 @@
 	}
 	value := int(t.Cfg.Writes().ValueKB * 1024)
 	most := max(fewSegments, 3*live/value)
-	spare := t.Log.Last() - t.first - most
+	spare := t.Log.LastSegment() - t.first - most
 	// What users wait for goes first, but not for ever: under steady load there
 	// is always something to write, and the log must not grow without end.
 	switch {
@@ -40,7 +40,7 @@
 		return
 	}
 	t.cleaning, t.cleanAt = true, now
-	t.Emit(effects.Clean{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.Log.Last()-t.first)})
+	t.Emit(effects.Clean{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.Log.LastSegment()-t.first)})
 }
 
 // Cleaned takes the segments numbered first to end-1, read back. A key that is
