--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -487,9 +487,9 @@
 	return facts
 }
 
-// Open is the key whose value settles an unknown outcome: the last segment
+// OpenSegmentKey is the key whose value settles an unknown outcome: the last segment
 // that the transaction in flight writes.
-func (l *Log) Open() string {
+func (l *Log) OpenSegmentKey() string {
 	if l.inflight != nil {
 		return Key(l.inflight.segments[len(l.inflight.segments)-1].number)
 	}
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -83,7 +83,7 @@
 	if _, step := l.Result(now, again.Sequence, out, mark, failed); step != Reread {
 		t.Fatal("the conflict must be settled by reading")
 	}
-	tags := l.ReadBack(now, true, s.mark[l.Open()], s.data[l.Open()])
+	tags := l.ReadBack(now, true, s.mark[l.OpenSegmentKey()], s.data[l.OpenSegmentKey()])
 	for len(tags) < 41 {
 		now += time.Second
 		txn := l.NextTransaction(now)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -360,7 +360,7 @@
 	}
 	t.durable(now, sure, facts)
 	if step == eventlog.Reread {
-		t.Emit(effects.Recheck{Key: t.Log.Open()})
+		t.Emit(effects.Recheck{Key: t.Log.OpenSegmentKey()})
 	}
 	if sure {
 		t.placing.PassSoon(now)
