--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -201,8 +201,8 @@
 // DropSegment removes a segment whose live entries are durable elsewhere.
 func (l *Log) DropSegment(n int) { l.drops = append(l.drops, Key(n)) }
 
-// Room is how large an entry may be.
-func (l *Log) Room() int { return l.room() }
+// MaxEntryBytes is how large an entry may be.
+func (l *Log) MaxEntryBytes() int { return l.room() }
 
 // Idle says whether nothing is on its way: what is appended now goes with the
 // next commit.
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -32,7 +32,7 @@
 		return rec, nil
 	}
 	var parts []eventlog.Entry
-	for ids := range slices.Chunk(rec.Follows, max(1, d.Log.Room()/idBytes-4)) {
+	for ids := range slices.Chunk(rec.Follows, max(1, d.Log.MaxEntryBytes()/idBytes-4)) {
 		parts = append(parts, eventlog.Entry{After: &eventlog.After{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
 	}
 	rec.Rest, rec.Follows = len(rec.Follows), nil
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -287,7 +287,7 @@
 	case jobs.Cancelled:
 		d.over.Cancelled = append(d.over.Cancelled, id)
 	}
-	d.writeOver(max(1, d.Log.Room()/idBytes-2))
+	d.writeOver(max(1, d.Log.MaxEntryBytes()/idBytes-2))
 }
 
 func (d *Duty) writeOver(least int) {
@@ -467,7 +467,7 @@
 	if j := d.Jobs.Find(b.ID); j != nil && len(j.Followers) > 0 {
 		b.AtMS = d.Zero + now.Milliseconds()
 	}
-	most := max(1, d.Log.Room()/rangeBytes-4)
+	most := max(1, d.Log.MaxEntryBytes()/rangeBytes-4)
 	for len(b.Ranges) > most {
 		part := eventlog.Tasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
 		d.Log.AppendTracked(eventlog.Entry{Tasks: &part})
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -145,7 +145,7 @@
 		list = append(list, [2]uint64{id, uint64(m.raise[id])})
 	}
 	clear(m.raise)
-	for part := range slices.Chunk(list, max(1, (d.Log.Room()-eventlog.EntryBytes)/markBytes)) {
+	for part := range slices.Chunk(list, max(1, (d.Log.MaxEntryBytes()-eventlog.EntryBytes)/markBytes)) {
 		d.appendMarks(entry{Epoch: d.Epoch, Marks: part}, part)
 	}
 	if m.begin {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -262,7 +262,7 @@
 
 // Write hands new grants, and those taken back, to the log.
 func (d *Duty) Write(time.Duration) {
-	most := max(1, d.Log.Room()/numberBytes-6)
+	most := max(1, d.Log.MaxEntryBytes()/numberBytes-6)
 	// First what is taken back: the same machine may have been granted anew.
 	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
 		for part := range slices.Chunk(d.withdrawn[id], most) {
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -218,7 +218,7 @@
 	if len(d.shelf.queue) == 0 || now-d.writtenAt < d.pace || d.Log.Pending() > 0 {
 		return
 	}
-	d.shelf.room = d.Log.Room()
+	d.shelf.room = d.Log.MaxEntryBytes()
 	n := d.shelf.pop()
 	if n >= keepNights && d.shelf.spread(n) {
 		return
