--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -384,9 +384,9 @@
 	Lost               // the term is over
 )
 
-// Result takes the outcome of the transaction in flight. It returns the facts
+// CommitResult takes the outcome of the transaction in flight. It returns the facts
 // that are now durable. mark is the revision of the change.
-func (l *Log) Result(now time.Duration, seq uint64, out Outcome, mark uint64, failed []string) ([]Entry, Step) {
+func (l *Log) CommitResult(now time.Duration, seq uint64, out Outcome, mark uint64, failed []string) ([]Entry, Step) {
 	f := l.inflight
 	if f == nil || f.txn.Sequence != seq {
 		return nil, Carry
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -66,7 +66,7 @@
 		l.AppendTracked(cancel(n))
 	}
 	first := *l.NextTransaction(now)
-	if _, step := l.Result(now, first.Sequence, Unknown, 0, nil); step != Reread {
+	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != Reread {
 		t.Fatal("an unknown outcome must be read back")
 	}
 	if tags := l.ReadBack(now, true, 0, nil); tags != nil {
@@ -80,7 +80,7 @@
 	if out != Conflict {
 		t.Fatal("both tries were applied")
 	}
-	if _, step := l.Result(now, again.Sequence, out, mark, failed); step != Reread {
+	if _, step := l.CommitResult(now, again.Sequence, out, mark, failed); step != Reread {
 		t.Fatal("the conflict must be settled by reading")
 	}
 	tags := l.ReadBack(now, true, s.mark[l.OpenSegmentKey()], s.data[l.OpenSegmentKey()])
@@ -91,7 +91,7 @@
 			t.Fatalf("stuck with %d of 41 durable", len(tags))
 		}
 		out, mark, failed := s.apply(*txn)
-		more, _ := l.Result(now, txn.Sequence, out, mark, failed)
+		more, _ := l.CommitResult(now, txn.Sequence, out, mark, failed)
 		tags = append(tags, more...)
 	}
 	got := s.ids(t)
@@ -114,7 +114,7 @@
 		now += time.Second
 		if txn := l.NextTransaction(now); txn != nil {
 			out, mark, failed := s.apply(*txn)
-			l.Result(now, txn.Sequence, out, mark, failed)
+			l.CommitResult(now, txn.Sequence, out, mark, failed)
 		}
 	}
 	for n := uint64(0); l.LastSegment() == 1 && len(l.body) < lim.ValueBytes-64-10; n++ {
@@ -127,7 +127,7 @@
 	if len(late.Writes) != 1 || late.Writes[0].Key != Key(2) {
 		t.Fatalf("the case is not met: %d writes, the first to %s", len(late.Writes), late.Writes[0].Key)
 	}
-	l.Result(now, late.Sequence, Unknown, 0, nil)
+	l.CommitResult(now, late.Sequence, Unknown, 0, nil)
 	l.ReadBack(now, true, 0, nil)
 	step()
 	l.AppendTracked(cancel(8))
@@ -150,7 +150,7 @@
 	if out != Conflict || len(s.ids(t)) != 0 {
 		t.Fatal("a superseded leader wrote")
 	}
-	if _, step := l.Result(time.Second, late.Sequence, out, mark, failed); step != Lost {
+	if _, step := l.CommitResult(time.Second, late.Sequence, out, mark, failed); step != Lost {
 		t.Error("the term must end")
 	}
 }
@@ -176,7 +176,7 @@
 				}
 			}
 			out, mark, failed := s.apply(*txn)
-			l.Result(now, txn.Sequence, out, mark, failed)
+			l.CommitResult(now, txn.Sequence, out, mark, failed)
 		}
 		now += 10 * time.Millisecond
 	}
@@ -227,19 +227,19 @@
 		return l.NextTransaction(now)
 	}
 	first := *put(`"old"`)
-	if _, step := l.Result(now, first.Sequence, Unknown, 0, nil); step != Reread {
+	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != Reread {
 		t.Fatal("an unknown outcome is not read back")
 	}
 	l.ReadBack(now, true, 0, nil) // it is not there
 	now += time.Second
 	again := l.NextTransaction(now)
 	out, mark, failed := s.apply(*again)
-	if facts, _ := l.Result(now, again.Sequence, out, mark, failed); len(facts) != 1 || string(s.data[key]) != `"old"` {
+	if facts, _ := l.CommitResult(now, again.Sequence, out, mark, failed); len(facts) != 1 || string(s.data[key]) != `"old"` {
 		t.Errorf("%d facts, the value is %s", len(facts), s.data[key])
 	}
 	next := put(`"new"`)
 	out, mark, failed = s.apply(*next)
-	if facts, _ := l.Result(now, next.Sequence, out, mark, failed); len(facts) != 1 {
+	if facts, _ := l.CommitResult(now, next.Sequence, out, mark, failed); len(facts) != 1 {
 		t.Errorf("%d facts", len(facts))
 	}
 	if out, _, _ := s.apply(first); out != Conflict || string(s.data[key]) != `"new"` {
@@ -259,11 +259,11 @@
 	l.AppendTracked(cancel(3))
 	now += time.Second
 	txn := l.NextTransaction(now)
-	l.Result(now, txn.Sequence, Invalid, 0, nil)
+	l.CommitResult(now, txn.Sequence, Invalid, 0, nil)
 	now += time.Second
 	txn = l.NextTransaction(now)
 	out, mark, failed = s.apply(*txn)
-	if facts, _ := l.Result(now, txn.Sequence, out, mark, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.DurableCount() != l.AppendedCount() {
+	if facts, _ := l.CommitResult(now, txn.Sequence, out, mark, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.DurableCount() != l.AppendedCount() {
 		t.Errorf("%d facts in %d changes, %d of %d entries settled", len(facts), len(txn.Writes), l.DurableCount(), l.AppendedCount())
 	}
 }
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -37,7 +37,7 @@
 		} else {
 			invalid++
 		}
-		tags, next := l.Result(now, txn.Sequence, out, mark, failed)
+		tags, next := l.CommitResult(now, txn.Sequence, out, mark, failed)
 		if next != Carry {
 			t.Fatalf("step %d: %v", step, next)
 		}
@@ -60,16 +60,16 @@
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: leastBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
 	txn := l.NextTransaction(time.Second)
-	if _, step := l.Result(time.Second, txn.Sequence, Invalid, 0, nil); step != Lost {
+	if _, step := l.CommitResult(time.Second, txn.Sequence, Invalid, 0, nil); step != Lost {
 		t.Error("the smallest values were refused, and the term goes on")
 	}
 	l = NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
 	txn = l.NextTransaction(time.Second)
-	l.Result(time.Second, txn.Sequence, Unknown, 0, nil)
+	l.CommitResult(time.Second, txn.Sequence, Unknown, 0, nil)
 	l.ReadBack(time.Second, true, 0, nil)
 	again := l.NextTransaction(3 * time.Second)
-	if _, step := l.Result(3*time.Second, again.Sequence, Invalid, 0, nil); step != Lost {
+	if _, step := l.CommitResult(3*time.Second, again.Sequence, Invalid, 0, nil); step != Lost {
 		t.Error("an earlier copy may still be executed, and the term goes on")
 	}
 }
@@ -109,7 +109,7 @@
 				}
 			}
 		}
-		l.Result(now, txn.Sequence, out, mark, failed)
+		l.CommitResult(now, txn.Sequence, out, mark, failed)
 	}
 	found := map[uint64]float64{}
 	for k, raw := range s.data {
@@ -138,7 +138,7 @@
 	commit := func() int {
 		txn := l.NextTransaction(now)
 		out, mark, failed := s.apply(*txn)
-		tags, _ := l.Result(now, txn.Sequence, out, mark, failed)
+		tags, _ := l.CommitResult(now, txn.Sequence, out, mark, failed)
 		return len(tags)
 	}
 	for n := range uint64(32) {
@@ -183,7 +183,7 @@
 			}
 		}
 		out, mark, failed := s.apply(*txn)
-		l.Result(now, txn.Sequence, out, mark, failed)
+		l.CommitResult(now, txn.Sequence, out, mark, failed)
 	}
 	if removed < 30 || sizes < 4 || changes > 20*15 {
 		t.Errorf("%d of 40 segments removed, %d of 4 sizes written, %d changes", removed, sizes, changes)
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -37,7 +37,7 @@
 				t.Fatalf("a value of %d bytes", len(w.Value))
 			}
 		}
-		facts, _ := d.Log.Result(now, txn.Sequence, eventlog.Applied, mark, nil)
+		facts, _ := d.Log.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
 		for _, e := range facts {
 			d.Durable(now, true, e)
 		}
--- a/internal/leader/placement/placing_test.go
+++ b/internal/leader/placement/placing_test.go
@@ -33,7 +33,7 @@
 		if len(txn.Writes[0].Value) > 2048 {
 			t.Fatalf("a value of %d bytes", len(txn.Writes[0].Value))
 		}
-		facts, _ := s.Log.Result(now, txn.Sequence, eventlog.Applied, mark, nil)
+		facts, _ := s.Log.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
 		for _, e := range facts {
 			d.Durable(now, true, e)
 			durable += len(e.Grant.Machines)
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -87,7 +87,7 @@
 		for _, op := range txn.Writes {
 			w.values[op.Key] = op.Value
 		}
-		facts, _ := w.d.Log.Result(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
+		facts, _ := w.d.Log.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
 		for _, e := range facts {
 			w.d.Durable(w.now, true, e)
 		}
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -62,7 +62,7 @@
 				b.entries = append(b.entries, list...) // some twice, which replay bears
 			}
 		}
-		facts, _ := b.Log.Result(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
+		facts, _ := b.Log.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
 		for _, e := range facts {
 			b.Durable(b.now, true, e)
 		}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -104,7 +104,7 @@
 				w.values[op.Key] = op.Value
 			}
 		}
-		d.Log.Result(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
+		d.Log.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
 	}
 }
 
@@ -486,7 +486,7 @@
 			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Op) bool { return len(o.Value) > 2000 })
 			if large {
 				refused++
-				d.Log.Result(w.now, txn.Sequence, eventlog.Invalid, 0, nil)
+				d.Log.CommitResult(w.now, txn.Sequence, eventlog.Invalid, 0, nil)
 				continue
 			}
 			for _, op := range txn.Writes {
@@ -512,7 +512,7 @@
 }
 
 func mustFacts(d *Duty, w *world, seq uint64) []eventlog.Entry {
-	facts, _ := d.Log.Result(w.now, seq, eventlog.Applied, uint64(w.now), nil)
+	facts, _ := d.Log.CommitResult(w.now, seq, eventlog.Applied, uint64(w.now), nil)
 	return facts
 }
 
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -351,7 +351,7 @@
 
 // Committed takes the outcome of a commit.
 func (t *Term) Committed(now time.Duration, sure bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string) eventlog.Step {
-	facts, step := t.Log.Result(now, seq, out, mark, failed)
+	facts, step := t.Log.CommitResult(now, seq, out, mark, failed)
 	switch {
 	case out == eventlog.Invalid && step == eventlog.Lost:
 		t.Note(effects.Error, "the state service refuses a transaction as malformed: the term ends", "epoch", t.Epoch, "pending", t.Log.Pending())
