--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -211,11 +211,11 @@
 // Pending is the number of entries not known to be durable.
 func (l *Log) Pending() int { return len(l.pending) }
 
-// SetSizes queues the virtual sizes of all jobs, in pieces: each commit takes
+// SetVirtualSizes queues the virtual sizes of all jobs, in pieces: each commit takes
 // along as many as it has room for, and a newer list replaces what is left of
 // one. Jobs should come in a steady order, so that few change their piece:
 // until all pieces are written, some are of the list before.
-func (l *Log) SetSizes(all []VirtualSize) {
+func (l *Log) SetVirtualSizes(all []VirtualSize) {
 	l.sizes = nil
 	l.list++
 	var list []VirtualSize
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -197,7 +197,7 @@
 	for n := range uint64(10) {
 		all = append(all, VirtualSize{n, 1.5, 0.5})
 	}
-	l.SetSizes(all)
+	l.SetVirtualSizes(all)
 	seen := 0
 	txn := l.NextTransaction(time.Second)
 	for _, w := range txn.Writes {
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -87,7 +87,7 @@
 	for n := range uint64(60) {
 		list = append(list, VirtualSize{ID: n, Size: 100, Virtual: float64(n)})
 	}
-	l.SetSizes(list)
+	l.SetVirtualSizes(list)
 	now := time.Duration(0)
 	for step := range 60 {
 		l.AppendTracked(cancel(uint64(step)))
@@ -168,7 +168,7 @@
 			l.DropSegment(2000 + step)
 		}
 		if step%100 == 0 {
-			l.SetSizes([]VirtualSize{{ID: uint64(step), Size: 1, Virtual: 1}})
+			l.SetVirtualSizes([]VirtualSize{{ID: uint64(step), Size: 1, Virtual: 1}})
 		}
 		txn := l.NextTransaction(now)
 		if txn == nil {
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -84,7 +84,7 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b eventlog.VirtualSize) int { return cmp.Compare(a.ID, b.ID) })
-	d.Log.SetSizes(list)
+	d.Log.SetVirtualSizes(list)
 }
 
 // Settle sets final sizes that are due; each is written once.
