--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -25,8 +25,8 @@
 	SizesPrefix = "sizes/"
 )
 
-// Op is a put (or, without a value, a delete) of a transaction.
-type Op struct {
+// Write is a put (or, without a value, a delete) of a transaction.
+type Write struct {
 	Key    string
 	Value  json.RawMessage
 	Remove bool
@@ -42,7 +42,7 @@
 type Txn struct {
 	Sequence   uint64
 	Conditions []Condition
-	Writes     []Op
+	Writes     []Write
 }
 
 // Outcome is what became of a transaction.
@@ -92,7 +92,7 @@
 	fails  int
 	sealed bool // the open segment is larger than what may be written: it stays as it is
 
-	sizes     []Op     // pieces of the last list of virtual sizes that are not written yet
+	sizes     []Write  // pieces of the last list of virtual sizes that are not written yet
 	sizeCount int      // pieces that may be there
 	sizeWant  int      // pieces of the last list
 	list      int      // counts the lists
@@ -104,7 +104,7 @@
 type pend struct {
 	raw   []byte
 	fact  *Entry // to be told once it is durable; nil: nobody waits for that
-	value *Op    // a value of its own that goes into the same transaction
+	value *Write // a value of its own that goes into the same transaction
 }
 
 func (p *pend) bytes() int {
@@ -118,7 +118,7 @@
 	txn      Txn
 	segments []segment
 	count    int // pending entries in it
-	sizes    []Op
+	sizes    []Write
 	list     int // which list of sizes they are of
 	drops    []string
 	sent     bool
@@ -166,11 +166,11 @@
 	if len(value) > min(l.room(), txnBytes/2) {
 		return false
 	}
-	l.append(e, &e, &Op{Key: key, Value: value})
+	l.append(e, &e, &Write{Key: key, Value: value})
 	return true
 }
 
-func (l *Log) append(e Entry, fact *Entry, value *Op) {
+func (l *Log) append(e Entry, fact *Entry, value *Write) {
 	raw, err := e.encode()
 	if err != nil {
 		panic(fmt.Sprintf("ledger: an entry that cannot be written: %v", err)) // no entry holds such a value
@@ -226,7 +226,7 @@
 		if err != nil {
 			panic(fmt.Sprintf("ledger: sizes that cannot be written: %v", err))
 		}
-		l.sizes = append(l.sizes, Op{Key: sizesKey(n), Value: raw})
+		l.sizes = append(l.sizes, Write{Key: sizesKey(n), Value: raw})
 		n++
 		list, used = nil, 16
 	}
@@ -241,7 +241,7 @@
 	flush()
 	l.sizeWant = n
 	for l.sizeCount = max(l.sizeCount, n); n < l.sizeCount; n++ {
-		l.sizes = append(l.sizes, Op{Key: sizesKey(n), Remove: true})
+		l.sizes = append(l.sizes, Write{Key: sizesKey(n), Remove: true})
 	}
 }
 
@@ -284,7 +284,7 @@
 	// Where a single change can be spent and not all goes into the open segment,
 	// a new one takes more than what is left of one that is nearly full.
 	fresh := l.sealed || (l.tokens < 2 && len(l.body) > l.room()/2 && len(l.body)+l.queued > l.room())
-	var values []Op
+	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
 		if total+p.bytes() > txnBytes {
@@ -292,7 +292,7 @@
 		}
 		need := ops
 		if p.value != nil {
-			if slices.ContainsFunc(values, func(o Op) bool { return o.Key == p.value.Key }) {
+			if slices.ContainsFunc(values, func(o Write) bool { return o.Key == p.value.Key }) {
 				break // one change of a key in a transaction
 			}
 			need++
@@ -336,7 +336,7 @@
 				// meet its conditions and undo what was written since.
 				txn.Conditions = append(txn.Conditions, Condition{Key(s.number), 0})
 			}
-			txn.Writes = append(txn.Writes, Op{Key: Key(s.number), Value: wrap(s.body)})
+			txn.Writes = append(txn.Writes, Write{Key: Key(s.number), Value: wrap(s.body)})
 		}
 		txn.Writes = append(txn.Writes, values...)
 	}
@@ -354,7 +354,7 @@
 	}
 	for len(l.drops) > 0 && spare() {
 		f.drops = append(f.drops, l.drops[0])
-		txn.Writes = append(txn.Writes, Op{Key: l.drops[0], Remove: true})
+		txn.Writes = append(txn.Writes, Write{Key: l.drops[0], Remove: true})
 		l.drops = l.drops[1:]
 	}
 	if len(txn.Writes) == 0 {
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -32,7 +32,7 @@
 			continue
 		}
 		out, mark, failed := Invalid, uint64(0), []string(nil)
-		if !slices.ContainsFunc(txn.Writes, func(o Op) bool { return len(o.Value) > most }) {
+		if !slices.ContainsFunc(txn.Writes, func(o Write) bool { return len(o.Value) > most }) {
 			out, mark, failed = s.apply(*txn)
 		} else {
 			invalid++
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -483,7 +483,7 @@
 		w.now += d.pace
 		d.Tick(w.now, true)
 		if txn := d.Log.NextTransaction(w.now); txn != nil {
-			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Op) bool { return len(o.Value) > 2000 })
+			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Write) bool { return len(o.Value) > 2000 })
 			if large {
 				refused++
 				d.Log.CommitResult(w.now, txn.Sequence, eventlog.Invalid, 0, nil)
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -112,7 +112,7 @@
 	failed []string
 }
 
-func (st *stateService) apply(conds []eventlog.Condition, writes []eventlog.Op, held uint64) txnResult {
+func (st *stateService) apply(conds []eventlog.Condition, writes []eventlog.Write, held uint64) txnResult {
 	st.expire()
 	if held != 0 && st.holds[held] == nil {
 		return txnResult{out: eventlog.Refused}
@@ -163,7 +163,7 @@
 
 // lateWrite says whether a transaction is one that has no answer, and has it carried out
 // later.
-func (st *stateService) lateWrite(writes []eventlog.Op, apply func() eventlog.Outcome) bool {
+func (st *stateService) lateWrite(writes []eventlog.Write, apply func() eventlog.Outcome) bool {
 	if st.lateShare == 0 || st.atOnce || st.s.rng.Float64() >= st.lateShare {
 		return false
 	}
@@ -199,7 +199,7 @@
 }
 
 // written names what a transaction changes, by kind.
-func written(writes []eventlog.Op) []string {
+func written(writes []eventlog.Write) []string {
 	var out []string
 	for _, w := range writes {
 		kind := w.Key[:strings.LastIndex(w.Key, "/")]
@@ -270,7 +270,7 @@
 }
 
 // steps names what a transaction makes durable on the way from a rental to a start.
-func (st *stateService) steps(writes []eventlog.Op) []string {
+func (st *stateService) steps(writes []eventlog.Write) []string {
 	if st.s.moment == nil {
 		return nil
 	}
@@ -312,7 +312,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := st.apply(nil, []eventlog.Op{{Key: eventlog.Key(last + 1), Value: raw}}, 0); r.out != eventlog.Applied {
+	if r := st.apply(nil, []eventlog.Write{{Key: eventlog.Key(last + 1), Value: raw}}, 0); r.out != eventlog.Applied {
 		t.Fatalf("not written: %v", r)
 	}
 }
@@ -498,9 +498,9 @@
 			value, _ := json.Marshal(leadership.Holder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
 				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Mark: o.View.EpochMark}},
-					[]eventlog.Op{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.Hold)
+					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.Hold)
 			}
-			if st.lateWrite([]eventlog.Op{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
+			if st.lateWrite([]eventlog.Write{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
 				return
 			}
 			r := claim()
@@ -702,7 +702,7 @@
 }
 
 // learned notes the jobs whose facts of run times were ever durable.
-func (st *stateService) learned(w eventlog.Op) {
+func (st *stateService) learned(w eventlog.Write) {
 	if _, err := eventlog.Number(w.Key); st.facts == nil || err != nil {
 		return
 	}
