--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -38,8 +38,8 @@
 	Mark uint64
 }
 
-// Txn is a transaction to be sent to the state service.
-type Txn struct {
+// Transaction is a transaction to be sent to the state service.
+type Transaction struct {
 	Sequence   uint64
 	Conditions []Condition
 	Writes     []Write
@@ -115,7 +115,7 @@
 }
 
 type flight struct {
-	txn      Txn
+	txn      Transaction
 	segments []segment
 	count    int // pending entries in it
 	sizes    []Write
@@ -257,7 +257,7 @@
 }
 
 // NextTransaction returns the transaction to send now, if any.
-func (l *Log) NextTransaction(now time.Duration) *Txn {
+func (l *Log) NextTransaction(now time.Duration) *Transaction {
 	rate := l.lim.WriteRPS * openShare
 	l.tokens = min(max(2, rate/2), l.tokens+(now-l.at).Seconds()*rate)
 	l.at = now
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Txn{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
+	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -19,7 +19,7 @@
 	return &store{rev: 1, mark: map[string]uint64{"lead/epoch": 1}, data: map[string]json.RawMessage{}}
 }
 
-func (s *store) apply(t Txn) (Outcome, uint64, []string) {
+func (s *store) apply(t Transaction) (Outcome, uint64, []string) {
 	var failed []string
 	for _, c := range t.Conditions {
 		if s.mark[c.Key] != c.Mark {
@@ -219,7 +219,7 @@
 	l := newLog()
 	now := time.Second
 	key := ValueKey("d", 7)
-	put := func(v string) *Txn {
+	put := func(v string) *Transaction {
 		now += time.Second
 		if !l.AppendWithValue(cancel(1), key, json.RawMessage(v)) {
 			t.Fatal("refused")
--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -81,7 +81,7 @@
 	}
 	Lead    struct{ Order leadership.Order }
 	Load    struct{ Epoch uint64 }
-	Commit  struct{ Txn eventlog.Txn }
+	Commit  struct{ Txn eventlog.Transaction }
 	Recheck struct{ Key string }
 	Clean   struct{ First, Count int }
 	// Values reads a page of a duty's own values, those behind a key.
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -211,7 +211,7 @@
 	return out
 }
 
-func (st *stateService) commit(c *controller, t eventlog.Txn) {
+func (st *stateService) commit(c *controller, t eventlog.Transaction) {
 	epoch := epochOf(c)
 	done := func(r txnResult, ok bool) {
 		if !ok {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -146,7 +146,7 @@
 }
 
 // Commit runs a transaction of the ledger.
-func (s *State) Commit(ctx context.Context, t eventlog.Txn) (eventlog.Outcome, uint64, []string) {
+func (s *State) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
 	var x txn
 	for _, c := range t.Conditions {
 		x.If = append(x.If, cond{c.Key, c.Mark})
