--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -11,27 +11,27 @@
 // of the first version store goes into Own, each under its own name, so that a
 // new one needs no field here.
 type Entry struct {
-	Job      *Job      `json:"j,omitempty"`
-	Cancel   *uint64   `json:"c,omitempty"`
-	Tasks    *Tasks    `json:"t,omitempty"`
-	Size     *Size     `json:"s,omitempty"`
-	Machine  *Machine  `json:"m,omitempty"`
-	Gone     []string  `json:"x,omitempty"`
-	Rental   *Rental   `json:"r,omitempty"`
-	Answered *Answered `json:"a,omitempty"`
-	Types    []Type    `json:"y,omitempty"`
-	Over     *Over     `json:"f,omitempty"`
-	Grant    *Grant    `json:"g,omitempty"`
-	After    *After    `json:"v,omitempty"`
-	Own      *Own      `json:"o,omitempty"`
+	Job      *Job            `json:"j,omitempty"`
+	Cancel   *uint64         `json:"c,omitempty"`
+	Tasks    *Tasks          `json:"t,omitempty"`
+	Size     *Size           `json:"s,omitempty"`
+	Machine  *Machine        `json:"m,omitempty"`
+	Gone     []string        `json:"x,omitempty"`
+	Rental   *Rental         `json:"r,omitempty"`
+	Answered *Answered       `json:"a,omitempty"`
+	Types    []Type          `json:"y,omitempty"`
+	Over     *Over           `json:"f,omitempty"`
+	Grant    *Grant          `json:"g,omitempty"`
+	After    *After          `json:"v,omitempty"`
+	Own      *ComponentEntry `json:"o,omitempty"`
 
 	// Unknown is an entry in which nothing that this version knows is set: it is
 	// kept as it was read.
 	Unknown json.RawMessage `json:"-"`
 }
 
-// Own is an entry that only the duty of that name reads and writes.
-type Own struct {
+// ComponentEntry is an entry that only the duty of that name reads and writes.
+type ComponentEntry struct {
 	Duty string          `json:"d"`
 	Data json.RawMessage `json:"v"`
 }
@@ -42,7 +42,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("ledger: an entry of %s that cannot be written: %v", duty, err)) // no duty stores such a value
 	}
-	return Entry{Own: &Own{Duty: duty, Data: raw}}
+	return Entry{Own: &ComponentEntry{Duty: duty, Data: raw}}
 }
 
 // known says whether anything is set that this version knows.
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -68,7 +68,7 @@
 	delete(m.waiting, id)
 }
 
-func (d *Duty) replayMarks(own *eventlog.Own) {
+func (d *Duty) replayMarks(own *eventlog.ComponentEntry) {
 	var e entry
 	if err := json.Unmarshal(own.Data, &e); err != nil {
 		// Without its mark a job would count as never handed out.
@@ -178,7 +178,7 @@
 }
 
 // keepMarks writes anew what is live of an entry.
-func (d *Duty) keepMarks(own *eventlog.Own) {
+func (d *Duty) keepMarks(own *eventlog.ComponentEntry) {
 	m := &d.marks
 	var e entry
 	if !m.on || json.Unmarshal(own.Data, &e) != nil {
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -187,7 +187,7 @@
 	}
 }
 
-func (d *Duty) replayPaper(own *eventlog.Own) {
+func (d *Duty) replayPaper(own *eventlog.ComponentEntry) {
 	var e entry
 	if json.Unmarshal(own.Data, &e) != nil || e.Paper == nil {
 		return
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -53,7 +53,7 @@
 		again := append([]eventlog.Entry{}, log...)
 		for _, e := range noted {
 			if e.Own != nil && e.Own.Duty == registry.Name {
-				e = eventlog.Entry{Own: &eventlog.Own{Duty: registry.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
+				e = eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: registry.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
 			}
 			again = append(again, e)
 		}
