--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -36,8 +36,8 @@
 	Data json.RawMessage `json:"v"`
 }
 
-// NewOwn is a duty's own entry that holds a value as JSON.
-func NewOwn[T any](duty string, v T) Entry {
+// NewComponentEntry is a duty's own entry that holds a value as JSON.
+func NewComponentEntry[T any](duty string, v T) Entry {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("ledger: an entry of %s that cannot be written: %v", duty, err)) // no duty stores such a value
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -246,11 +246,11 @@
 		return
 	}
 	a.remember(a.own, keep)
-	e := eventlog.NewOwn(Name, a.own)
+	e := eventlog.NewComponentEntry(Name, a.own)
 	if !d.Log.Fits(e) { // its differences are the longest part, and the least needed
 		short := a.own
 		short.Differences = nil
-		e = eventlog.NewOwn(Name, short)
+		e = eventlog.NewComponentEntry(Name, short)
 	}
 	if !d.Log.Fits(e) {
 		d.Note(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Own.Data))
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -238,7 +238,7 @@
 		}
 	}
 	d.Note(effects.Info, "takeover", args...)
-	e := eventlog.NewOwn(Name, d.own)
+	e := eventlog.NewComponentEntry(Name, d.own)
 	if !d.Log.Fits(e) {
 		d.Note(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Own.Data))
 		return
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -156,7 +156,7 @@
 
 func (d *Duty) appendMarks(e entry, marks [][2]uint64) {
 	d.marks.writing = append(d.marks.writing, marks)
-	d.Log.AppendTracked(eventlog.NewOwn(Name, e))
+	d.Log.AppendTracked(eventlog.NewComponentEntry(Name, e))
 }
 
 // marked lets the plans be offered that the marks which are durable now cover.
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -113,7 +113,7 @@
 		if p == nil || p.attempt != attempt {
 			p = &paper{attempt: attempt, numbers: d.choose(n)}
 			d.papers.set(key, p)
-			d.Log.AppendTracked(eventlog.NewOwn(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
+			d.Log.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
 		out.Durable = out.Durable && p.durable
 		out.Units = append(out.Units, ReceiptUnits{d.pools[n.pool].name, p.numbers, n.perJob})
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -170,7 +170,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("pools: a value that cannot be written: %v", err)) // names and numbers
 	}
-	if !d.Log.AppendWithValue(eventlog.NewOwn(Name, entry{Stored: &w.n}), eventlog.ValueKey(Name, w.n), raw) {
+	if !d.Log.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &w.n}), eventlog.ValueKey(Name, w.n), raw) {
 		d.Note(effects.Error, "what was changed of pools does not fit into a value", "value", w.n, "bytes", len(raw))
 		return
 	}
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -93,7 +93,7 @@
 	if d.doc.Len()+added > config.MostItems {
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("more than %d things would have been changed", config.MostItems)}
 	}
-	e := eventlog.NewOwn(Name, stored{Revision: &r})
+	e := eventlog.NewComponentEntry(Name, stored{Revision: &r})
 	if !d.Log.Fits(e) {
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("%d bytes are too many to be stored at once", len(e.Own.Data))}
 	}
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -245,10 +245,10 @@
 func (d *Duty) Kept() {
 	for len(d.kept) > 0 {
 		n := len(d.kept)
-		for n > 1 && !d.Log.Fits(eventlog.NewOwn(Name, stored{Sets: d.kept[:n]})) {
+		for n > 1 && !d.Log.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]})) {
 			n /= 2
 		}
-		d.Log.Append(eventlog.NewOwn(Name, stored{Sets: d.kept[:n]}))
+		d.Log.Append(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]}))
 		d.kept = d.kept[n:]
 	}
 	d.kept = nil
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -126,7 +126,7 @@
 		return
 	}
 	for _, part := range eventlog.Split(d.empty, d.Log.MaxEntryBytes()-2*eventlog.EntryBytes) {
-		d.Log.AppendTracked(eventlog.NewOwn(Name, returns{d.Epoch, part}))
+		d.Log.AppendTracked(eventlog.NewComponentEntry(Name, returns{d.Epoch, part}))
 	}
 	d.empty = nil
 }
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -162,7 +162,7 @@
 }
 
 func (d *Duty) append(e entry) bool {
-	own := eventlog.NewOwn(Name, e) // round leaves no number that cannot be written
+	own := eventlog.NewComponentEntry(Name, e) // round leaves no number that cannot be written
 	if !d.Log.Fits(own) {
 		return false
 	}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -234,7 +234,7 @@
 		}
 		raw, err = json.Marshal(v)
 	}
-	if err != nil || !d.Log.AppendWithValue(eventlog.NewOwn(Name, entry{Stored: &n}), eventlog.ValueKey(Name, n), raw) {
+	if err != nil || !d.Log.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &n}), eventlog.ValueKey(Name, n), raw) {
 		d.Note(effects.Warn, "learned run times that do not fit into a value are not kept", "value", n, "bytes", len(raw))
 		return
 	}
