--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -20,7 +20,7 @@
 	Rental   *Rental         `json:"r,omitempty"`
 	Answered *Answered       `json:"a,omitempty"`
 	Types    []Type          `json:"y,omitempty"`
-	Over     *Over           `json:"f,omitempty"`
+	Over     *FinalStates    `json:"f,omitempty"`
 	Grant    *Grant          `json:"g,omitempty"`
 	After    *After          `json:"v,omitempty"`
 	Own      *ComponentEntry `json:"o,omitempty"`
@@ -77,8 +77,8 @@
 	Back     bool   `json:"x,omitempty"`
 }
 
-// Over keeps the final states of jobs once their own entries are gone.
-type Over struct {
+// FinalStates keeps the final states of jobs once their own entries are gone.
+type FinalStates struct {
 	Done      []uint64 `json:"d,omitempty"`
 	Cancelled []uint64 `json:"c,omitempty"`
 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -41,7 +41,7 @@
 	gone   *cluster.Histogram
 	parts  map[uint64][]eventlog.After // while the log is replayed
 	doneAt map[uint64]int64
-	over   eventlog.Over // final states to be written anew by the cleaning under way
+	over   eventlog.FinalStates // final states to be written anew by the cleaning under way
 }
 
 // New makes the duty of a term.
@@ -294,7 +294,7 @@
 	if len(d.over.Done)+len(d.over.Cancelled) >= least {
 		o := d.over
 		d.Log.Append(eventlog.Entry{Over: &o})
-		d.over = eventlog.Over{}
+		d.over = eventlog.FinalStates{}
 	}
 }
 
