--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -22,7 +22,7 @@
 	Types    []Type          `json:"y,omitempty"`
 	Over     *FinalStates    `json:"f,omitempty"`
 	Grant    *Grant          `json:"g,omitempty"`
-	After    *After          `json:"v,omitempty"`
+	After    *Dependencies   `json:"v,omitempty"`
 	Own      *ComponentEntry `json:"o,omitempty"`
 
 	// Unknown is an entry in which nothing that this version knows is set: it is
@@ -59,9 +59,9 @@
 	return json.Marshal(e)
 }
 
-// After lists jobs that a job follows, where they are too many for its own
+// Dependencies lists jobs that a job follows, where they are too many for its own
 // entry. It belongs to the job's entry of the same time of acceptance.
-type After struct {
+type Dependencies struct {
 	ID   uint64   `json:"i"`
 	AtMS int64    `json:"a"`
 	Jobs []uint64 `json:"f"`
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -33,7 +33,7 @@
 	}
 	var parts []eventlog.Entry
 	for ids := range slices.Chunk(rec.Follows, max(1, d.Log.MaxEntryBytes()/idBytes-4)) {
-		parts = append(parts, eventlog.Entry{After: &eventlog.After{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
+		parts = append(parts, eventlog.Entry{After: &eventlog.Dependencies{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
 	}
 	rec.Rest, rec.Follows = len(rec.Follows), nil
 	return rec, parts
@@ -154,7 +154,7 @@
 
 // restoreLinks settles after a replay what every job waits for. The log is
 // read as a whole before: cleaning changes the order of its entries.
-func (d *Duty) restoreLinks(now time.Duration, parts map[uint64][]eventlog.After, doneAt map[uint64]int64) {
+func (d *Duty) restoreLinks(now time.Duration, parts map[uint64][]eventlog.Dependencies, doneAt map[uint64]int64) {
 	var cancelling []*jobs.Job
 	for _, j := range d.Jobs.All() {
 		if j == nil {
@@ -208,7 +208,7 @@
 
 // joined gathers what a job follows from the entries beside its own: each id
 // once, of the same acceptance only.
-func joined(rec eventlog.Job, parts []eventlog.After) []uint64 {
+func joined(rec eventlog.Job, parts []eventlog.Dependencies) []uint64 {
 	var out []uint64
 	for _, p := range parts {
 		if p.AtMS == rec.AtMS {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -39,7 +39,7 @@
 	cancelling map[uint64]*jobs.Job       // jobs whose cancellation waits until nothing of them is anywhere
 
 	gone   *cluster.Histogram
-	parts  map[uint64][]eventlog.After // while the log is replayed
+	parts  map[uint64][]eventlog.Dependencies // while the log is replayed
 	doneAt map[uint64]int64
 	over   eventlog.FinalStates // final states to be written anew by the cleaning under way
 }
@@ -48,7 +48,7 @@
 func New(s *cluster.State) *Duty {
 	return &Duty{State: s, gone: s.Measures.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
 		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.Tasks{}, accepting: map[uint64][]effects.Asker{}, ending: map[uint64][]effects.Asker{},
-		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.After{}, doneAt: map[uint64]int64{}}
+		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
 
 // Replay takes an entry of the log.
