--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -18,7 +18,7 @@
 	Machine  *Machine        `json:"m,omitempty"`
 	Gone     []string        `json:"x,omitempty"`
 	Rental   *Rental         `json:"r,omitempty"`
-	Answered *Answered       `json:"a,omitempty"`
+	Answered *RentalAnswer   `json:"a,omitempty"`
 	Types    []Type          `json:"y,omitempty"`
 	Over     *FinalStates    `json:"f,omitempty"`
 	Grant    *Grant          `json:"g,omitempty"`
@@ -159,8 +159,8 @@
 	Count int    `json:"c"`
 }
 
-// Answered notes that a rental request had its answer.
-type Answered struct {
+// RentalAnswer notes that a rental request had its answer.
+type RentalAnswer struct {
 	Name     string   `json:"n"`
 	Machines []string `json:"m,omitempty"`
 }
