--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -80,7 +80,7 @@
 
 func (a *account) replay(s *cluster.State, e eventlog.Entry) {
 	var r Record
-	if err := json.Unmarshal(e.Own.Data, &r); err != nil {
+	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
 		s.Note(effects.Warn, "the account of a cold start cannot be read: it is left out", "error", err)
 		return
 	}
@@ -253,7 +253,7 @@
 		e = eventlog.NewComponentEntry(Name, short)
 	}
 	if !d.Log.Fits(e) {
-		d.Note(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Own.Data))
+		d.Note(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Component.Data))
 		return
 	}
 	d.Log.Append(e)
@@ -283,7 +283,7 @@
 // Keep writes an account anew that is remembered still.
 func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	var r Record
-	if e.Own == nil || json.Unmarshal(e.Own.Data, &r) != nil {
+	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
 		return
 	}
 	if slices.ContainsFunc(d.account.past, func(x Record) bool { return x.Epoch == r.Epoch }) {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -259,9 +259,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next.Replay(0, eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: Name, Data: data}})
+		next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: data}})
 	}
-	next.Replay(0, eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`"?"`)}})
+	next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`"?"`)}})
 	if len(next.account.past) != 3 || next.account.past[2].Epoch != 7 {
 		t.Errorf("%d are remembered", len(next.account.past))
 	}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -76,7 +76,7 @@
 		d.newest = max(d.newest, e.Job.AtMS)
 	case e.Tasks != nil:
 		d.newest = max(d.newest, e.Tasks.AtMS)
-	case e.Own != nil:
+	case e.Component != nil:
 		d.account.replay(d.State, e)
 	}
 }
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -126,10 +126,10 @@
 
 func (d *Duty) decode(e eventlog.Entry) (stored, bool) {
 	var r stored
-	if e.Own == nil {
+	if e.Component == nil {
 		return r, false
 	}
-	if err := json.Unmarshal(e.Own.Data, &r); err != nil {
+	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
 		d.Note(effects.Warn, "the record of a takeover cannot be read: it is left out", "error", err)
 		return r, false
 	}
@@ -240,7 +240,7 @@
 	d.Note(effects.Info, "takeover", args...)
 	e := eventlog.NewComponentEntry(Name, d.own)
 	if !d.Log.Fits(e) {
-		d.Note(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Own.Data))
+		d.Note(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Component.Data))
 		return
 	}
 	d.Log.Append(e)
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -27,7 +27,7 @@
 	}
 	d := New(s, 3)
 	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 is there twice, from a cleaning
-		d.Replay(0, eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))}})
+		d.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))}})
 	}
 	d.Begin(12 * time.Second)
 	return d
@@ -131,13 +131,13 @@
 func TestCleaningKeepsTheLast(t *testing.T) {
 	d := begun(&cluster.Measures{})
 	for epoch := range 8 {
-		d.Keep(0, eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
+		d.Keep(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
 	}
 	if n := d.Log.Pending(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
 	d.Take()
-	d.Keep(0, eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
+	d.Keep(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
 	if out := d.Take(); len(out) != 1 || !strings.Contains(out[0].(effects.Note).Text, "cannot be read") || d.Log.Pending() != 3 {
 		t.Errorf("said: %+v", out)
 	}
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -101,7 +101,7 @@
 		t.Errorf("read as fresh from %d and %d on, want 100 and 9", a, b)
 	}
 	for name, d := range map[string]*Duty{"a term between that left nothing": third(4, 1, log),
-		"an entry that cannot be read": third(3, 1, append(log[:len(log):len(log)], eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`7`)}}))} {
+		"an entry that cannot be read": third(3, 1, append(log[:len(log):len(log)], eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`7`)}}))} {
 		for id := range uint64(3) {
 			if got := d.Jobs.Find(id + 1).FreshFrom; got != 100 {
 				t.Errorf("%s: job %d is fresh from %d on", name, id+1, got)
@@ -124,7 +124,7 @@
 	spans := 0
 	for _, e := range kept {
 		var x entry
-		if err := json.Unmarshal(e.Own.Data, &x); err != nil {
+		if err := json.Unmarshal(e.Component.Data, &x); err != nil {
 			t.Fatal(err)
 		}
 		if x.To > 0 {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -49,8 +49,8 @@
 
 // Replay takes an entry of the log.
 func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
-	if e.Own != nil {
-		d.replayMarks(e.Own)
+	if e.Component != nil {
+		d.replayMarks(e.Component)
 	}
 	if e.Grant == nil {
 		return
@@ -111,7 +111,7 @@
 
 // Durable lets the tasks of a grant that is noted start.
 func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
-	if e.Own != nil {
+	if e.Component != nil {
 		d.marked()
 	}
 	if e.Grant == nil {
@@ -178,8 +178,8 @@
 
 // Keep writes anew what is live of an entry.
 func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
-	if e.Own != nil {
-		d.keepMarks(e.Own)
+	if e.Component != nil {
+		d.keepMarks(e.Component)
 	}
 	if e.Grant == nil || e.Grant.Back {
 		return
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -198,7 +198,7 @@
 // keepPaper writes anew the numbers of a holder that may be there.
 func (d *Duty) keepPaper(e eventlog.Entry) {
 	var x entry
-	if json.Unmarshal(e.Own.Data, &x) != nil || x.Paper == nil {
+	if json.Unmarshal(e.Component.Data, &x) != nil || x.Paper == nil {
 		return
 	}
 	key := paperKey{x.Paper.Job, x.Paper.Task, d.pool(x.Paper.Pool).index}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -137,8 +137,8 @@
 // be somewhere yet.
 func (d *Duty) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
-	case e.Own != nil:
-		d.replayPaper(e.Own)
+	case e.Component != nil:
+		d.replayPaper(e.Component)
 	case e.Job != nil:
 		rec := *e.Job
 		rec.Unguard()
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -181,7 +181,7 @@
 // Durable notes what is written: a larger size counts from then on.
 func (d *Duty) Durable(now time.Duration, _ bool, e eventlog.Entry) {
 	var x entry
-	if e.Own == nil || json.Unmarshal(e.Own.Data, &x) != nil {
+	if e.Component == nil || json.Unmarshal(e.Component.Data, &x) != nil {
 		return
 	}
 	if x.Paper != nil {
@@ -211,7 +211,7 @@
 // Keep writes anew which units receipts were given for; entries that went along with
 // values are of no use any more.
 func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
-	if e.Own != nil {
+	if e.Component != nil {
 		d.keepPaper(e)
 	}
 }
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -95,7 +95,7 @@
 	}
 	e := eventlog.NewComponentEntry(Name, stored{Revision: &r})
 	if !d.Log.Fits(e) {
-		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("%d bytes are too many to be stored at once", len(e.Own.Data))}
+		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("%d bytes are too many to be stored at once", len(e.Component.Data))}
 	}
 	a := &Answer{Revision: r.Number, Remarks: d.remarks(r.Changes)}
 	if in.DryRun {
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -62,7 +62,7 @@
 }
 
 func decode(e eventlog.Entry) (x stored, ok bool) {
-	return x, e.Own != nil && e.Own.Duty == Name && json.Unmarshal(e.Own.Data, &x) == nil
+	return x, e.Component != nil && e.Component.Duty == Name && json.Unmarshal(e.Component.Data, &x) == nil
 }
 
 // Replay takes what is set. While the log is cleaned an entry may be there twice.
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -78,9 +78,9 @@
 			d.Yard.Remove(n)
 			delete(d.registry, n)
 		}
-	case e.Own != nil:
+	case e.Component != nil:
 		var r returns
-		if err := json.Unmarshal(e.Own.Data, &r); err != nil {
+		if err := json.Unmarshal(e.Component.Data, &r); err != nil {
 			d.Note(effects.Warn, "a note of machines that are returned cannot be read: they are waited for", "error", err)
 			return
 		}
@@ -134,9 +134,9 @@
 // Durable lets tasks start on a machine that is registered, and one be deleted
 // that is noted as empty.
 func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
-	if e.Own != nil {
+	if e.Component != nil {
 		var r returns
-		if json.Unmarshal(e.Own.Data, &r) == nil { // this term wrote it
+		if json.Unmarshal(e.Component.Data, &r) == nil { // this term wrote it
 			for _, name := range r.Machines {
 				if m := d.Yard.Find(name); m != nil {
 					m.ReturnUnrecorded = false
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -151,10 +151,10 @@
 }
 
 func (d *Duty) decode(e eventlog.Entry) (out entry, ok bool) {
-	if e.Own == nil {
+	if e.Component == nil {
 		return out, false
 	}
-	if err := json.Unmarshal(e.Own.Data, &out); err != nil {
+	if err := json.Unmarshal(e.Component.Data, &out); err != nil {
 		d.Note(effects.Warn, "an entry of learned run times cannot be read: it is left out, and learning goes on", "error", err)
 		return out, false
 	}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -160,7 +160,7 @@
 		}
 		for _, e := range list {
 			var x entry
-			if e.Own != nil && json.Unmarshal(e.Own.Data, &x) == nil && x.Fact != nil {
+			if e.Component != nil && json.Unmarshal(e.Component.Data, &x) == nil && x.Fact != nil {
 				into[x.Fact.ID] = x.Fact.Work
 			}
 		}
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -72,7 +72,7 @@
 // is.
 func (t *Term) canKeep(entries []eventlog.Entry) bool {
 	for _, e := range entries {
-		if (e.Own != nil || e.Unknown != nil) && !t.Log.Fits(e) {
+		if (e.Component != nil || e.Unknown != nil) && !t.Log.Fits(e) {
 			return false
 		}
 	}
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -52,8 +52,8 @@
 	for back, free := range []bool{true, false} {
 		again := append([]eventlog.Entry{}, log...)
 		for _, e := range noted {
-			if e.Own != nil && e.Own.Duty == registry.Name {
-				e = eventlog.Entry{Own: &eventlog.ComponentEntry{Duty: registry.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
+			if e.Component != nil && e.Component.Duty == registry.Name {
+				e = eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: registry.Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, 1-back))}}
 			}
 			again = append(again, e)
 		}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -151,8 +151,8 @@
 // each hands an entry to the duties that may know it: one that a duty owns to
 // that duty alone. It is false for an entry that none of them knows.
 func (t *Term) each(e eventlog.Entry, f func(Duty)) bool {
-	if e.Own != nil {
-		if d := t.owners[e.Own.Duty]; d != nil {
+	if e.Component != nil {
+		if d := t.owners[e.Component.Duty]; d != nil {
 			f(d)
 			return true
 		}
@@ -278,8 +278,8 @@
 		return
 	}
 	t.strange = true
-	if e.Own != nil {
-		t.Note(effects.Warn, "the log has entries of a duty that is not known or is switched off: they are kept as they are", "duty", e.Own.Duty)
+	if e.Component != nil {
+		t.Note(effects.Warn, "the log has entries of a duty that is not known or is switched off: they are kept as they are", "duty", e.Component.Duty)
 		return
 	}
 	t.Note(effects.Warn, "the log has entries that this version does not know: they are kept as they are", "first", string(e.Unknown[:min(len(e.Unknown), 80)]))
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -711,7 +711,7 @@
 		panic(err)
 	}
 	for _, e := range list {
-		if e.Own == nil || e.Own.Duty != runtimes.Name {
+		if e.Component == nil || e.Component.Duty != runtimes.Name {
 			continue
 		}
 		var x struct {
@@ -719,9 +719,9 @@
 				ID uint64 `json:"i"`
 			} `json:"f"`
 		}
-		if json.Unmarshal(e.Own.Data, &x) == nil && x.Fact != nil {
+		if json.Unmarshal(e.Component.Data, &x) == nil && x.Fact != nil {
 			if st.record != nil && !st.facts[x.Fact.ID] {
-				st.record(e.Own.Data)
+				st.record(e.Component.Data)
 			}
 			st.facts[x.Fact.ID] = true
 		}
@@ -740,7 +740,7 @@
 			panic(err)
 		}
 		for _, e := range list {
-			if e.Own != nil && e.Own.Duty == duty {
+			if e.Component != nil && e.Component.Duty == duty {
 				n++
 			}
 		}
