--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -54,11 +54,11 @@
 // Replay takes an entry of the log.
 func (d *Duty) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
-	case e.Over != nil:
-		for _, id := range e.Over.Done {
+	case e.FinalStates != nil:
+		for _, id := range e.FinalStates.Done {
 			d.isOver(id, jobs.Done)
 		}
-		for _, id := range e.Over.Cancelled {
+		for _, id := range e.FinalStates.Cancelled {
 			d.isOver(id, jobs.Cancelled)
 		}
 	case e.Job != nil:
@@ -267,11 +267,11 @@
 		} else if j := d.Jobs.Find(e.Job.ID); j != nil {
 			d.again(now, j)
 		}
-	case e.Over != nil:
-		for _, id := range e.Over.Done {
+	case e.FinalStates != nil:
+		for _, id := range e.FinalStates.Done {
 			d.keepFinal(id)
 		}
-		for _, id := range e.Over.Cancelled {
+		for _, id := range e.FinalStates.Cancelled {
 			d.keepFinal(id)
 		}
 	}
@@ -293,7 +293,7 @@
 func (d *Duty) writeOver(least int) {
 	if len(d.over.Done)+len(d.over.Cancelled) >= least {
 		o := d.over
-		d.Log.Append(eventlog.Entry{Over: &o})
+		d.Log.Append(eventlog.Entry{FinalStates: &o})
 		d.over = eventlog.FinalStates{}
 	}
 }
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -63,7 +63,7 @@
 		d.Kept()
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
-	t.Log.Append(eventlog.Entry{Over: &eventlog.FinalStates{}})
+	t.Log.Append(eventlog.Entry{FinalStates: &eventlog.FinalStates{}})
 	t.cleanTo, t.cleanPos = end, t.Log.AppendedCount()
 }
 
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -93,7 +93,7 @@
 	for n := range uint64(600) {
 		id := 123456789012345 + n
 		all = append(all, id)
-		done = append(done, eventlog.Entry{Over: &eventlog.FinalStates{Done: []uint64{id}}})
+		done = append(done, eventlog.Entry{FinalStates: &eventlog.FinalStates{Done: []uint64{id}}})
 	}
 	open := eventlog.Job{ID: 1, Class: "c", Team: "team", Tasks: 4000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 3}
 	var now time.Duration
