--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -33,7 +33,7 @@
 	}
 	var parts []eventlog.Entry
 	for ids := range slices.Chunk(rec.Follows, max(1, d.Log.MaxEntryBytes()/idBytes-4)) {
-		parts = append(parts, eventlog.Entry{After: &eventlog.Dependencies{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
+		parts = append(parts, eventlog.Entry{Dependencies: &eventlog.Dependencies{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
 	}
 	rec.Rest, rec.Follows = len(rec.Follows), nil
 	return rec, parts
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -88,8 +88,8 @@
 			d.Book.RestoreHistory(j.SumS, j.SumN)
 			d.isOver(j.Rec.ID, jobs.Done)
 		}
-	case e.After != nil:
-		d.parts[e.After.ID] = append(d.parts[e.After.ID], *e.After)
+	case e.Dependencies != nil:
+		d.parts[e.Dependencies.ID] = append(d.parts[e.Dependencies.ID], *e.Dependencies)
 	}
 }
 
@@ -255,10 +255,10 @@
 // Keep writes anew what is live of an entry.
 func (d *Duty) Keep(now time.Duration, e eventlog.Entry) {
 	switch {
-	case e.After != nil:
+	case e.Dependencies != nil:
 		// One for one, beside the job's own entry: the two may be in different
 		// segments, and what a waiting job follows must never be lost.
-		if j := d.Jobs.Find(e.After.ID); j != nil && j.Rec.AtMS == e.After.AtMS {
+		if j := d.Jobs.Find(e.Dependencies.ID); j != nil && j.Rec.AtMS == e.Dependencies.AtMS {
 			d.Log.Append(e)
 		}
 	case e.Job != nil:
