--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -18,7 +18,7 @@
 	Machine      *Machine        `json:"m,omitempty"`
 	Gone         []string        `json:"x,omitempty"`
 	Rental       *Rental         `json:"r,omitempty"`
-	Answered     *RentalAnswer   `json:"a,omitempty"`
+	RentalAnswer *RentalAnswer   `json:"a,omitempty"`
 	Types        []Type          `json:"y,omitempty"`
 	FinalStates  *FinalStates    `json:"f,omitempty"`
 	Grant        *Grant          `json:"g,omitempty"`
@@ -48,7 +48,7 @@
 // known says whether anything is set that this version knows.
 func (e *Entry) known() bool {
 	return e.Job != nil || e.Cancel != nil || e.Tasks != nil || e.Size != nil || e.Machine != nil || e.Gone != nil || e.Rental != nil ||
-		e.Answered != nil || e.Types != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
+		e.RentalAnswer != nil || e.Types != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
 }
 
 // encode is an entry as it is written.
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -226,6 +226,6 @@
 		if i > 0 {
 			d.Log.Append(eventlog.Entry{Rental: &r})
 		}
-		d.Log.Append(eventlog.Entry{Answered: &eventlog.RentalAnswer{Name: r.Name, Machines: names}})
+		d.Log.Append(eventlog.Entry{RentalAnswer: &eventlog.RentalAnswer{Name: r.Name, Machines: names}})
 	}
 }
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -86,10 +86,10 @@
 		}
 	case e.Rental != nil:
 		d.rentals[e.Rental.Name] = *e.Rental
-	case e.Answered != nil:
-		r := d.rentals[e.Answered.Name]
-		delete(d.rentals, e.Answered.Name)
-		for _, n := range e.Answered.Machines {
+	case e.RentalAnswer != nil:
+		r := d.rentals[e.RentalAnswer.Name]
+		delete(d.rentals, e.RentalAnswer.Name)
+		for _, n := range e.RentalAnswer.Machines {
 			if !d.registered[n] && !d.Yard.Gone(n) {
 				d.booting[n] = eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 			}
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -185,7 +185,7 @@
 	list = append([]eventlog.Entry{{Types: term.Types}}, append(list, written(t, term, &now)...)...)
 	answers := 0
 	for n, e := range list {
-		if e.Answered == nil {
+		if e.RentalAnswer == nil {
 			continue
 		}
 		answers++
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -287,7 +287,7 @@
 			switch {
 			case e.Rental != nil:
 				out = append(out, "the rental noted")
-			case e.Answered != nil:
+			case e.RentalAnswer != nil:
 				out = append(out, "the answer noted")
 			case e.Machine != nil:
 				out = append(out, "the machine registered")
