--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -11,19 +11,19 @@
 // of the first version store goes into Own, each under its own name, so that a
 // new one needs no field here.
 type Entry struct {
-	Job          *Job            `json:"j,omitempty"`
-	Cancel       *uint64         `json:"c,omitempty"`
-	Tasks        *Tasks          `json:"t,omitempty"`
-	Size         *Size           `json:"s,omitempty"`
-	Machine      *Machine        `json:"m,omitempty"`
-	Gone         []string        `json:"x,omitempty"`
-	Rental       *Rental         `json:"r,omitempty"`
-	RentalAnswer *RentalAnswer   `json:"a,omitempty"`
-	Types        []Type          `json:"y,omitempty"`
-	FinalStates  *FinalStates    `json:"f,omitempty"`
-	Grant        *Grant          `json:"g,omitempty"`
-	Dependencies *Dependencies   `json:"v,omitempty"`
-	Component    *ComponentEntry `json:"o,omitempty"`
+	Job             *Job            `json:"j,omitempty"`
+	Cancel          *uint64         `json:"c,omitempty"`
+	Tasks           *Tasks          `json:"t,omitempty"`
+	Size            *Size           `json:"s,omitempty"`
+	Machine         *Machine        `json:"m,omitempty"`
+	DeletedMachines []string        `json:"x,omitempty"`
+	Rental          *Rental         `json:"r,omitempty"`
+	RentalAnswer    *RentalAnswer   `json:"a,omitempty"`
+	Types           []Type          `json:"y,omitempty"`
+	FinalStates     *FinalStates    `json:"f,omitempty"`
+	Grant           *Grant          `json:"g,omitempty"`
+	Dependencies    *Dependencies   `json:"v,omitempty"`
+	Component       *ComponentEntry `json:"o,omitempty"`
 
 	// Unknown is an entry in which nothing that this version knows is set: it is
 	// kept as it was read.
@@ -47,7 +47,7 @@
 
 // known says whether anything is set that this version knows.
 func (e *Entry) known() bool {
-	return e.Job != nil || e.Cancel != nil || e.Tasks != nil || e.Size != nil || e.Machine != nil || e.Gone != nil || e.Rental != nil ||
+	return e.Job != nil || e.Cancel != nil || e.Tasks != nil || e.Size != nil || e.Machine != nil || e.DeletedMachines != nil || e.Rental != nil ||
 		e.RentalAnswer != nil || e.Types != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
 }
 
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -79,8 +79,8 @@
 	case e.Machine != nil:
 		d.registered[e.Machine.Name] = true
 		delete(d.booting, e.Machine.Name)
-	case e.Gone != nil:
-		for _, n := range e.Gone {
+	case e.DeletedMachines != nil:
+		for _, n := range e.DeletedMachines {
 			delete(d.registered, n)
 			delete(d.booting, n)
 		}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -73,8 +73,8 @@
 	switch {
 	case e.Machine != nil:
 		d.registry[e.Machine.Name] = *e.Machine
-	case e.Gone != nil:
-		for _, n := range e.Gone {
+	case e.DeletedMachines != nil:
+		for _, n := range e.DeletedMachines {
 			d.Yard.Remove(n)
 			delete(d.registry, n)
 		}
@@ -438,7 +438,7 @@
 		d.Tell(cluster.Event{Kind: cluster.MachineGone, At: now, Machine: m})
 	}
 	for _, part := range eventlog.Split(list, d.Log.MaxEntryBytes()-eventlog.EntryBytes) {
-		d.Log.Append(eventlog.Entry{Gone: part})
+		d.Log.Append(eventlog.Entry{DeletedMachines: part})
 	}
 	d.Dirty = true
 }
