--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -13,7 +13,7 @@
 type Entry struct {
 	Job             *Job            `json:"j,omitempty"`
 	Cancel          *uint64         `json:"c,omitempty"`
-	Tasks           *Tasks          `json:"t,omitempty"`
+	CompletedTasks  *Tasks          `json:"t,omitempty"`
 	Size            *Size           `json:"s,omitempty"`
 	Machine         *Machine        `json:"m,omitempty"`
 	DeletedMachines []string        `json:"x,omitempty"`
@@ -47,7 +47,7 @@
 
 // known says whether anything is set that this version knows.
 func (e *Entry) known() bool {
-	return e.Job != nil || e.Cancel != nil || e.Tasks != nil || e.Size != nil || e.Machine != nil || e.DeletedMachines != nil || e.Rental != nil ||
+	return e.Job != nil || e.Cancel != nil || e.CompletedTasks != nil || e.Size != nil || e.Machine != nil || e.DeletedMachines != nil || e.Rental != nil ||
 		e.RentalAnswer != nil || e.Types != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
 }
 
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -74,8 +74,8 @@
 	switch {
 	case e.Job != nil:
 		d.newest = max(d.newest, e.Job.AtMS)
-	case e.Tasks != nil:
-		d.newest = max(d.newest, e.Tasks.AtMS)
+	case e.CompletedTasks != nil:
+		d.newest = max(d.newest, e.CompletedTasks.AtMS)
 	case e.Component != nil:
 		d.account.replay(d.State, e)
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -69,21 +69,21 @@
 		if j := d.Jobs.Find(*e.Cancel); j != nil {
 			d.isOver(j.Rec.ID, jobs.Cancelled)
 		}
-	case e.Tasks != nil:
-		if e.Tasks.AtMS != 0 {
-			d.doneAt[e.Tasks.ID] = max(d.doneAt[e.Tasks.ID], e.Tasks.AtMS)
+	case e.CompletedTasks != nil:
+		if e.CompletedTasks.AtMS != 0 {
+			d.doneAt[e.CompletedTasks.ID] = max(d.doneAt[e.CompletedTasks.ID], e.CompletedTasks.AtMS)
 		}
-		j := d.Jobs.Find(e.Tasks.ID)
+		j := d.Jobs.Find(e.CompletedTasks.ID)
 		if j == nil {
 			return
 		}
-		for _, r := range e.Tasks.Ranges {
+		for _, r := range e.CompletedTasks.Ranges {
 			for k := r[0]; k < r[1] && k < len(j.Tasks); k++ {
 				j.Note(k)
 			}
 		}
-		j.SumS += e.Tasks.Seconds
-		j.SumN += e.Tasks.Known
+		j.SumS += e.CompletedTasks.Seconds
+		j.SumN += e.CompletedTasks.Known
 		if j.NotedN == len(j.Tasks) {
 			d.Book.RestoreHistory(j.SumS, j.SumN)
 			d.isOver(j.Rec.ID, jobs.Done)
@@ -130,8 +130,8 @@
 			d.cancelled(sure, j)
 		}
 		d.tellEnd(sure, id)
-	case e.Tasks != nil:
-		d.noted(now, sure, e.Tasks)
+	case e.CompletedTasks != nil:
+		d.noted(now, sure, e.CompletedTasks)
 	}
 }
 
@@ -470,10 +470,10 @@
 	most := max(1, d.Log.MaxEntryBytes()/rangeBytes-4)
 	for len(b.Ranges) > most {
 		part := eventlog.Tasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
-		d.Log.AppendTracked(eventlog.Entry{Tasks: &part})
+		d.Log.AppendTracked(eventlog.Entry{CompletedTasks: &part})
 		b.Ranges = b.Ranges[most:]
 	}
-	d.Log.AppendTracked(eventlog.Entry{Tasks: &b})
+	d.Log.AppendTracked(eventlog.Entry{CompletedTasks: &b})
 }
 
 // again appends what is known of an open job. Completed tasks that are on
