--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -19,7 +19,7 @@
 	DeletedMachines []string        `json:"x,omitempty"`
 	Rental          *Rental         `json:"r,omitempty"`
 	RentalAnswer    *RentalAnswer   `json:"a,omitempty"`
-	Types           []Type          `json:"y,omitempty"`
+	MachineTypes    []Type          `json:"y,omitempty"`
 	FinalStates     *FinalStates    `json:"f,omitempty"`
 	Grant           *Grant          `json:"g,omitempty"`
 	Dependencies    *Dependencies   `json:"v,omitempty"`
@@ -48,7 +48,7 @@
 // known says whether anything is set that this version knows.
 func (e *Entry) known() bool {
 	return e.Job != nil || e.Cancel != nil || e.CompletedTasks != nil || e.Size != nil || e.Machine != nil || e.DeletedMachines != nil || e.Rental != nil ||
-		e.RentalAnswer != nil || e.Types != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
+		e.RentalAnswer != nil || e.MachineTypes != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
 }
 
 // encode is an entry as it is written.
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -213,7 +213,7 @@
 		for i, zones := range eventlog.Split(all, d.Log.MaxEntryBytes()-len(raw)-eventlog.EntryBytes) {
 			part := ty
 			part.Zones, part.More = zones, i > 0
-			d.Log.Append(eventlog.Entry{Types: []eventlog.Type{part}})
+			d.Log.Append(eventlog.Entry{MachineTypes: []eventlog.Type{part}})
 		}
 	}
 }
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -74,8 +74,8 @@
 // Replay takes an entry of the log.
 func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
-	case e.Types != nil:
-		d.setTypes(e.Types)
+	case e.MachineTypes != nil:
+		d.setTypes(e.MachineTypes)
 	case e.Machine != nil:
 		d.registered[e.Machine.Name] = true
 		delete(d.booting, e.Machine.Name)
@@ -143,7 +143,7 @@
 // Keep writes anew what is live of an entry.
 func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	switch {
-	case e.Types != nil:
+	case e.MachineTypes != nil:
 		if !d.typesKept {
 			d.typesKept = true
 			d.appendTypes(d.Types)
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -128,7 +128,7 @@
 	again := written(t, term, &now)
 
 	for name, list := range map[string][]eventlog.Entry{
-		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{Types: []eventlog.Type{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
+		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{MachineTypes: []eventlog.Type{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
 		"cleaned":    append(append([]eventlog.Entry{}, done...), again...),
 	} {
 		next := smallTerm(list)
@@ -173,7 +173,7 @@
 // A rental whose answer needs several entries: with only the first of them in
 // the log, the successor sends the request again and learns all machines.
 func TestAnswerCutShort(t *testing.T) {
-	term := smallTerm([]eventlog.Entry{{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
 	term.Log.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
 	list := written(t, term, &now)
@@ -182,7 +182,7 @@
 		names = append(names, fmt.Sprintf("host-%0100d", n))
 	}
 	term.Rented(time.Second, "r-2-1", names, wire.Rented)
-	list = append([]eventlog.Entry{{Types: term.Types}}, append(list, written(t, term, &now)...)...)
+	list = append([]eventlog.Entry{{MachineTypes: term.Types}}, append(list, written(t, term, &now)...)...)
 	answers := 0
 	for n, e := range list {
 		if e.RentalAnswer == nil {
@@ -203,7 +203,7 @@
 
 // What cannot be stored at all is refused at once.
 func TestTooLongIsRefused(t *testing.T) {
-	term := smallTerm([]eventlog.Entry{{Types: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
 	for n := range 200 {
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
