--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -13,7 +13,7 @@
 type Entry struct {
 	Job             *Job            `json:"j,omitempty"`
 	Cancel          *uint64         `json:"c,omitempty"`
-	CompletedTasks  *Tasks          `json:"t,omitempty"`
+	CompletedTasks  *CompletedTasks `json:"t,omitempty"`
 	Size            *Size           `json:"s,omitempty"`
 	Machine         *Machine        `json:"m,omitempty"`
 	DeletedMachines []string        `json:"x,omitempty"`
@@ -114,10 +114,10 @@
 	Counted []Counted `json:"-"` // units of pools that it needs; written by way of Guard
 }
 
-// Tasks notes completed tasks of a job as ranges [from, to), and the run
+// CompletedTasks notes completed tasks of a job as ranges [from, to), and the run
 // time of those whose time is known. For a job that others wait for it has the
 // time of day, from which theirs counts.
-type Tasks struct {
+type CompletedTasks struct {
 	ID      uint64   `json:"i"`
 	Ranges  [][2]int `json:"r"`
 	Seconds float64  `json:"s,omitempty"`
@@ -126,7 +126,7 @@
 }
 
 // Add adds a task to the ranges; tasks in ascending order make few of them.
-func (t *Tasks) Add(k int) {
+func (t *CompletedTasks) Add(k int) {
 	if n := len(t.Ranges); n > 0 && t.Ranges[n-1][1] == k {
 		t.Ranges[n-1][1] = k + 1
 	} else {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -33,7 +33,7 @@
 	*cluster.State
 
 	// tasks completed but not yet handed to the log, by job id
-	completed  map[uint64]*eventlog.Tasks
+	completed  map[uint64]*eventlog.CompletedTasks
 	accepting  map[uint64][]effects.Asker
 	ending     map[uint64][]effects.Asker // askers of a cancellation
 	cancelling map[uint64]*jobs.Job       // jobs whose cancellation waits until nothing of them is anywhere
@@ -47,7 +47,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
 	return &Duty{State: s, gone: s.Measures.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
-		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.Tasks{}, accepting: map[uint64][]effects.Asker{}, ending: map[uint64][]effects.Asker{},
+		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.Asker{}, ending: map[uint64][]effects.Asker{},
 		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
 
@@ -166,7 +166,7 @@
 }
 
 // noted acts on completions that are durable.
-func (d *Duty) noted(now time.Duration, sure bool, done *eventlog.Tasks) {
+func (d *Duty) noted(now time.Duration, sure bool, done *eventlog.CompletedTasks) {
 	j := d.Jobs.Find(done.ID)
 	if j == nil {
 		return
@@ -202,7 +202,7 @@
 	id := e.Job.Rec.ID
 	b := d.completed[id]
 	if b == nil {
-		b = &eventlog.Tasks{ID: id}
+		b = &eventlog.CompletedTasks{ID: id}
 		d.completed[id] = b
 	}
 	b.Add(e.Task)
@@ -463,13 +463,13 @@
 
 // appendTasks appends completed tasks, in as many entries as they need, with
 // the time of day for a job that others wait for.
-func (d *Duty) appendTasks(now time.Duration, b eventlog.Tasks) {
+func (d *Duty) appendTasks(now time.Duration, b eventlog.CompletedTasks) {
 	if j := d.Jobs.Find(b.ID); j != nil && len(j.Followers) > 0 {
 		b.AtMS = d.Zero + now.Milliseconds()
 	}
 	most := max(1, d.Log.MaxEntryBytes()/rangeBytes-4)
 	for len(b.Ranges) > most {
-		part := eventlog.Tasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
+		part := eventlog.CompletedTasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
 		d.Log.AppendTracked(eventlog.Entry{CompletedTasks: &part})
 		b.Ranges = b.Ranges[most:]
 	}
@@ -481,7 +481,7 @@
 // that is written here, and be replayed without it.
 func (d *Duty) again(now time.Duration, j *jobs.Job) {
 	d.Log.Append(d.entryOf(j))
-	noted := eventlog.Tasks{ID: j.Rec.ID, Seconds: j.SumS, Known: j.SumN}
+	noted := eventlog.CompletedTasks{ID: j.Rec.ID, Seconds: j.SumS, Known: j.SumN}
 	for k, s := range j.Tasks {
 		if s == jobs.Noted || s == jobs.Finished {
 			noted.Add(k)
--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -19,7 +19,7 @@
 	third := first
 	third.ID, third.AtMS, third.Follows = 3, 70000, []uint64{1} // named it long after it was done
 	log := []eventlog.Entry{types, {Job: &first}, {Job: &second},
-		{CompletedTasks: &eventlog.Tasks{ID: 1, Ranges: [][2]int{{0, 2}}, Seconds: 4, Known: 2, AtMS: 50000}}, {Job: &third}}
+		{CompletedTasks: &eventlog.CompletedTasks{ID: 1, Ranges: [][2]int{{0, 2}}, Seconds: 4, Known: 2, AtMS: 50000}}, {Job: &third}}
 	check := func(name string, entries []eventlog.Entry) *Term {
 		t.Helper()
 		term := smallTermAt(90*time.Second, entries)
