--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -14,7 +14,7 @@
 	Job             *Job            `json:"j,omitempty"`
 	Cancel          *uint64         `json:"c,omitempty"`
 	CompletedTasks  *CompletedTasks `json:"t,omitempty"`
-	Size            *Size           `json:"s,omitempty"`
+	Size            *FinalSize      `json:"s,omitempty"`
 	Machine         *Machine        `json:"m,omitempty"`
 	DeletedMachines []string        `json:"x,omitempty"`
 	Rental          *Rental         `json:"r,omitempty"`
@@ -134,8 +134,8 @@
 	}
 }
 
-// Size notes a job's final size.
-type Size struct {
+// FinalSize notes a job's final size.
+type FinalSize struct {
 	ID   uint64  `json:"i"`
 	Size float64 `json:"s"`
 }
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -91,7 +91,7 @@
 func (d *Duty) Settle(now time.Duration) {
 	for _, i := range d.Book.Order() {
 		if s, ok := d.Book.Settle(i, now.Seconds()); ok {
-			d.Log.Append(eventlog.Entry{Size: &eventlog.Size{ID: d.Jobs.At(i).Rec.ID, Size: s}})
+			d.Log.Append(eventlog.Entry{Size: &eventlog.FinalSize{ID: d.Jobs.At(i).Rec.ID, Size: s}})
 			d.Dirty = true
 		}
 	}
