--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -14,7 +14,7 @@
 	Job             *Job            `json:"j,omitempty"`
 	Cancel          *uint64         `json:"c,omitempty"`
 	CompletedTasks  *CompletedTasks `json:"t,omitempty"`
-	Size            *FinalSize      `json:"s,omitempty"`
+	FinalSize       *FinalSize      `json:"s,omitempty"`
 	Machine         *Machine        `json:"m,omitempty"`
 	DeletedMachines []string        `json:"x,omitempty"`
 	Rental          *Rental         `json:"r,omitempty"`
@@ -47,7 +47,7 @@
 
 // known says whether anything is set that this version knows.
 func (e *Entry) known() bool {
-	return e.Job != nil || e.Cancel != nil || e.CompletedTasks != nil || e.Size != nil || e.Machine != nil || e.DeletedMachines != nil || e.Rental != nil ||
+	return e.Job != nil || e.Cancel != nil || e.CompletedTasks != nil || e.FinalSize != nil || e.Machine != nil || e.DeletedMachines != nil || e.Rental != nil ||
 		e.RentalAnswer != nil || e.MachineTypes != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
 }
 
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -32,8 +32,8 @@
 
 // Replay takes an entry of the log.
 func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
-	if e.Size != nil {
-		d.finals[e.Size.ID] = e.Size.Size
+	if e.FinalSize != nil {
+		d.finals[e.FinalSize.ID] = e.FinalSize.Size
 	}
 }
 
@@ -91,7 +91,7 @@
 func (d *Duty) Settle(now time.Duration) {
 	for _, i := range d.Book.Order() {
 		if s, ok := d.Book.Settle(i, now.Seconds()); ok {
-			d.Log.Append(eventlog.Entry{Size: &eventlog.FinalSize{ID: d.Jobs.At(i).Rec.ID, Size: s}})
+			d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Rec.ID, Size: s}})
 			d.Dirty = true
 		}
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -491,7 +491,7 @@
 		d.appendTasks(now, noted)
 	}
 	if size, final := d.Book.Size(j.Index); final && size > 0 {
-		d.Log.Append(eventlog.Entry{Size: &eventlog.FinalSize{ID: j.Rec.ID, Size: size}})
+		d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: j.Rec.ID, Size: size}})
 	}
 }
 
