--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -19,7 +19,7 @@
 	DeletedMachines []string        `json:"x,omitempty"`
 	Rental          *Rental         `json:"r,omitempty"`
 	RentalAnswer    *RentalAnswer   `json:"a,omitempty"`
-	MachineTypes    []Type          `json:"y,omitempty"`
+	MachineTypes    []MachineType   `json:"y,omitempty"`
 	FinalStates     *FinalStates    `json:"f,omitempty"`
 	Grant           *Grant          `json:"g,omitempty"`
 	Dependencies    *Dependencies   `json:"v,omitempty"`
@@ -165,8 +165,8 @@
 	Machines []string `json:"m,omitempty"`
 }
 
-// Type is a machine type as the cloud gave it.
-type Type struct {
+// MachineType is a machine type as the cloud gave it.
+type MachineType struct {
 	Name      string   `json:"n"`
 	CPUs      float64  `json:"c"`
 	GPUs      float64  `json:"g,omitempty"`
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -110,7 +110,7 @@
 }
 
 // GotTypes takes the machine types; an empty list is a failure.
-func (d *Duty) GotTypes(now time.Duration, list []eventlog.Type) {
+func (d *Duty) GotTypes(now time.Duration, list []eventlog.MachineType) {
 	d.typesAsked = false
 	d.answered(now, len(list) > 0)
 	if len(list) == 0 {
@@ -186,7 +186,7 @@
 	}
 }
 
-func (d *Duty) setTypes(list []eventlog.Type) {
+func (d *Duty) setTypes(list []eventlog.MachineType) {
 	for _, ty := range list {
 		i := d.TypeNames.Index(ty.Name)
 		switch {
@@ -202,7 +202,7 @@
 
 // appendTypes appends machine types; further entries have the zones that do
 // not fit into the first of a type.
-func (d *Duty) appendTypes(list []eventlog.Type) {
+func (d *Duty) appendTypes(list []eventlog.MachineType) {
 	for _, ty := range list {
 		all := ty.Zones
 		ty.Zones = nil
@@ -213,7 +213,7 @@
 		for i, zones := range eventlog.Split(all, d.Log.MaxEntryBytes()-len(raw)-eventlog.EntryBytes) {
 			part := ty
 			part.Zones, part.More = zones, i > 0
-			d.Log.Append(eventlog.Entry{MachineTypes: []eventlog.Type{part}})
+			d.Log.Append(eventlog.Entry{MachineTypes: []eventlog.MachineType{part}})
 		}
 	}
 }
--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -58,11 +58,11 @@
 	Spot  bool               // spot machines, else ordinary ones
 	Zones map[string]float64 // processors there are in each zone
 	Stay  float64            // seconds that a machine is usually kept; its boot is paid too
-	Fits  func(t eventlog.Type, zone string, spot bool) bool
+	Fits  func(t eventlog.MachineType, zone string, spot bool) bool
 }
 
 // Rent chooses requests that cover what is wanted.
-func (b *Buyer) Rent(now time.Duration, types []eventlog.Type, w Want) []eventlog.Rental {
+func (b *Buyer) Rent(now time.Duration, types []eventlog.MachineType, w Want) []eventlog.Rental {
 	var out []eventlog.Rental
 	missing := w.CPUs
 	for missing > 0.5 && len(b.asked) < 4 {
--- a/internal/leader/autoscaler/fleet_test.go
+++ b/internal/leader/autoscaler/fleet_test.go
@@ -7,11 +7,11 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-var small = eventlog.Type{Name: "small", CPUs: 4, Price: 0.16, SpotPrice: 0.04, BootS: 50, Zones: []string{"a", "b"}}
-var large = eventlog.Type{Name: "large", CPUs: 16, Price: 0.69, SpotPrice: 0.18, BootS: 20, Zones: []string{"b"}}
+var small = eventlog.MachineType{Name: "small", CPUs: 4, Price: 0.16, SpotPrice: 0.04, BootS: 50, Zones: []string{"a", "b"}}
+var large = eventlog.MachineType{Name: "large", CPUs: 16, Price: 0.69, SpotPrice: 0.18, BootS: 20, Zones: []string{"b"}}
 
 func want(cpus float64, spot bool) Want {
-	return Want{CPUs: cpus, Spot: spot, Stay: 120, Zones: map[string]float64{"a": 8}, Fits: func(eventlog.Type, string, bool) bool { return true }}
+	return Want{CPUs: cpus, Spot: spot, Stay: 120, Zones: map[string]float64{"a": 8}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
 }
 
 // The boot is paid as well: the type that boots faster wins for much work,
@@ -19,11 +19,11 @@
 // the one with less.
 func TestChoice(t *testing.T) {
 	b := NewBuyer("r-1")
-	got := b.Rent(0, []eventlog.Type{small, large}, want(32, false))
+	got := b.Rent(0, []eventlog.MachineType{small, large}, want(32, false))
 	if len(got) != 1 || got[0].Type != "large" || got[0].Count != 2 {
 		t.Errorf("32 processors: %+v", got)
 	}
-	got = NewBuyer("r-1").Rent(0, []eventlog.Type{small, large}, want(4, false))
+	got = NewBuyer("r-1").Rent(0, []eventlog.MachineType{small, large}, want(4, false))
 	if len(got) != 1 || got[0].Type != "small" || got[0].Zone != "b" || got[0].Count != 1 {
 		t.Errorf("4 processors: %+v", got)
 	}
@@ -33,7 +33,7 @@
 // is never used twice.
 func TestRefusal(t *testing.T) {
 	b := NewBuyer("r-1")
-	types := []eventlog.Type{large}
+	types := []eventlog.MachineType{large}
 	first := b.Rent(0, types, want(16, true))
 	if again := b.Rent(0, types, want(16, true)); len(again) != 0 {
 		t.Errorf("asked twice at once: %+v", again)
@@ -50,9 +50,9 @@
 
 // A zone that seems cut off is left out until the time has passed.
 func TestAvoidedZone(t *testing.T) {
-	types := []eventlog.Type{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
+	types := []eventlog.MachineType{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
 	b := NewBuyer("r")
-	w := Want{CPUs: 4, Stay: 100, Zones: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.Type, string, bool) bool { return true }}
+	w := Want{CPUs: 4, Stay: 100, Zones: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
 	b.Avoid("a", 10*time.Second)
 	if got := b.Rent(5*time.Second, types, w); len(got) != 1 || got[0].Zone != "b" {
 		t.Errorf("rented %v while zone a is avoided", got)
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -180,8 +180,8 @@
 	if len(d.Types) == 0 {
 		return
 	}
-	accel := slices.ContainsFunc(d.Types, func(ty eventlog.Type) bool { return ty.GPUs > 0 })
-	if plain := slices.ContainsFunc(d.Types, func(ty eventlog.Type) bool { return ty.GPUs == 0 }); !accel || !plain {
+	accel := slices.ContainsFunc(d.Types, func(ty eventlog.MachineType) bool { return ty.GPUs > 0 })
+	if plain := slices.ContainsFunc(d.Types, func(ty eventlog.MachineType) bool { return ty.GPUs == 0 }); !accel || !plain {
 		d.kinds[0].all = true
 		d.rentKind(now, &d.kinds[0])
 		return
@@ -641,7 +641,7 @@
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
 	}
 	w.CPUs, w.Spot, w.Stay = cpus, spot, d.Cfg.Tunables.UsualStayS
-	w.Fits = func(ty eventlog.Type, zone string, spot bool) bool {
+	w.Fits = func(ty eventlog.MachineType, zone string, spot bool) bool {
 		i, ok := d.TypeNames.Find(ty.Name)
 		if !ok || !k.has(ty.GPUs) {
 			return false
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -73,7 +73,7 @@
 	Teams    intern.Table
 	Zones    intern.Table
 	Images   intern.Table
-	Types    []eventlog.Type // by index of TypeNames
+	Types    []eventlog.MachineType // by index of TypeNames
 	Where    map[workers.Ref]*workers.Placement
 	Units    scheduler.Units      // nil: there are no pools
 	Gate     Gate                 // nil: nothing is held back
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -75,7 +75,7 @@
 		return "keeper: no such team"
 	}
 	need := resources.Need(j.CPUs, j.GPUs, j.MemoryGB)
-	fits := slices.ContainsFunc(d.Types, func(ty eventlog.Type) bool {
+	fits := slices.ContainsFunc(d.Types, func(ty eventlog.MachineType) bool {
 		return need.Fits(resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)) &&
 			(j.Types == nil || slices.Contains(j.Types, ty.Name)) && (j.Zone == "" || slices.Contains(ty.Zones, j.Zone))
 	})
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -87,7 +87,7 @@
 	for n := range 80 {
 		zones = append(zones, long("zone", n))
 	}
-	ty := eventlog.Type{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, BootS: 30, Zones: zones}
+	ty := eventlog.MachineType{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, BootS: 30, Zones: zones}
 	var done []eventlog.Entry
 	var all []uint64
 	for n := range uint64(600) {
@@ -98,7 +98,7 @@
 	open := eventlog.Job{ID: 1, Class: "c", Team: "team", Tasks: 4000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 3}
 	var now time.Duration
 	term := smallTerm(append(done, eventlog.Entry{Job: &open}))
-	term.GotTypes(0, []eventlog.Type{ty})
+	term.GotTypes(0, []eventlog.MachineType{ty})
 
 	follower := open
 	follower.ID, follower.Tasks, follower.Follows = 2, 3, append([]uint64{1}, all...)
@@ -128,7 +128,7 @@
 	again := written(t, term, &now)
 
 	for name, list := range map[string][]eventlog.Entry{
-		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{MachineTypes: []eventlog.Type{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
+		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{MachineTypes: []eventlog.MachineType{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
 		"cleaned":    append(append([]eventlog.Entry{}, done...), again...),
 	} {
 		next := smallTerm(list)
@@ -173,7 +173,7 @@
 // A rental whose answer needs several entries: with only the first of them in
 // the log, the successor sends the request again and learns all machines.
 func TestAnswerCutShort(t *testing.T) {
-	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
 	term.Log.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
 	list := written(t, term, &now)
@@ -203,7 +203,7 @@
 
 // What cannot be stored at all is refused at once.
 func TestTooLongIsRefused(t *testing.T) {
-	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
 	for n := range 200 {
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -12,7 +12,7 @@
 // done. That must outlive takeovers, and the cleaning of the log: the time of
 // day stands with the completion first, and with the job once that is gone.
 func TestReleaseTimeOutlivesTakeovers(t *testing.T) {
-	types := eventlog.Entry{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}
+	types := eventlog.Entry{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}
 	first := eventlog.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 1, AtMS: 1000}
 	second := first
 	second.ID, second.AtMS, second.Follows = 2, 2000, []uint64{1}
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -25,7 +25,7 @@
 // fullLog is the log of machines that run eight tasks each of so many jobs,
 // each of which has 200 more, and the machines' reports.
 func fullLog(machines, count int) ([]eventlog.Entry, []effects.Relayed) {
-	entries := []eventlog.Entry{{MachineTypes: []eventlog.Type{{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}}}
+	entries := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}}}
 	for i := range count {
 		entries = append(entries, eventlog.Entry{Job: &eventlog.Job{ID: uint64(i + 1), Class: "class", Team: "team", Tasks: 200 + 8*machines/count, CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprint(i % 10), ImageGB: 1, Spot: true, EstimateS: 60}})
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -30,7 +30,7 @@
 // later one does: a term in between may have started tasks there.
 func TestReturnedMachineIsNoted(t *testing.T) {
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 9, CPUs: 1, MemoryGB: 1}
-	log := []eventlog.Entry{{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}},
+	log := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}},
 		{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}, {Job: &job}, {Grant: &eventlog.Grant{Job: 1, Machines: []int{1}}}}
 	term := smallTerm(log)
 	m := term.Yard.Find("host")
@@ -70,7 +70,7 @@
 // without a note: only the deletion proves what an earlier term left on it.
 func TestUnresolvedIsNotNotedAsEmpty(t *testing.T) {
 	for _, resolved := range []bool{true, false} {
-		log := []eventlog.Entry{{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}},
+		log := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}},
 			{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}}
 		term := smallTerm(log)
 		r := workers.Report{Machine: "host", Address: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -452,7 +452,7 @@
 }
 
 // GotTypes takes the machine types; an empty list is a failure.
-func (t *Term) GotTypes(now time.Duration, list []eventlog.Type) {
+func (t *Term) GotTypes(now time.Duration, list []eventlog.MachineType) {
 	if t.loaded {
 		t.fleet.GotTypes(now, list)
 	}
--- a/internal/leader/term/term_test.go
+++ b/internal/leader/term/term_test.go
@@ -18,8 +18,8 @@
 	job := &eventlog.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 8, Types: []string{"large"}}
 	term.Load(0, 1, Durable{First: 1, Last: 2, Entries: []eventlog.Entry{
 		{Job: job},
-		{MachineTypes: []eventlog.Type{{Name: "small", CPUs: 4, MemoryGB: 8}}},
-		{MachineTypes: []eventlog.Type{{Name: "large", CPUs: 16, MemoryGB: 64}}},
+		{MachineTypes: []eventlog.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}}},
+		{MachineTypes: []eventlog.MachineType{{Name: "large", CPUs: 16, MemoryGB: 64}}},
 	}})
 	j := term.Jobs.Find(1)
 	if len(j.Types) != 2 || j.Types[0] || !j.Types[1] {
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -169,7 +169,7 @@
 		capacity[w.zoneOf(k)]++
 	}
 	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, Up: w.up, Down: w.down, Address: w.address,
-		Types: []eventlog.Type{{Name: machineType, CPUs: e.Workers.CPUs, MemoryGB: e.Workers.MemoryGB, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: machineBoot.Seconds(), Zones: e.Zones()}}}
+		Types: []eventlog.MachineType{{Name: machineType, CPUs: e.Workers.CPUs, MemoryGB: e.Workers.MemoryGB, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: machineBoot.Seconds(), Zones: e.Zones()}}}
 	return nil
 }
 
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -27,9 +27,9 @@
 	Up, Down func(m Machine)
 	// Address gives the address of a machine's worker. Where it is not set nobody listens there.
 	Address  func(m Machine) string
-	Types    []eventlog.Type // empty: one of 4 processors in zone a
-	Capacity map[string]int  // most machines, by zone; nil: any number
-	Boot     time.Duration   // from a rental until Up
+	Types    []eventlog.MachineType // empty: one of 4 processors in zone a
+	Capacity map[string]int         // most machines, by zone; nil: any number
+	Boot     time.Duration          // from a rental until Up
 
 	mu       sync.Mutex
 	rented   map[string][]string // by request
@@ -50,7 +50,7 @@
 	}
 	c.rented, c.machines = map[string][]string{}, map[string]*rental{}
 	if len(c.Types) == 0 {
-		c.Types = []eventlog.Type{{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a"}}}
+		c.Types = []eventlog.MachineType{{Name: "m4", CPUs: 4, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a"}}}
 	}
 }
 
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -561,7 +561,7 @@
 	deleted  int
 }
 
-var types = []eventlog.Type{{Name: "m4", CPUs: machineCPUs, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}}}
+var types = []eventlog.MachineType{{Name: "m4", CPUs: machineCPUs, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}}}
 
 func (cl *cloud) execute(r eventlog.Rental) []string {
 	if got, ok := cl.answers[r.Name]; ok {
@@ -664,13 +664,13 @@
 
 func (cl *cloud) types(c *controller) {
 	epoch, life := epochOf(c), c.life
-	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]eventlog.Type)) {
+	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]eventlog.MachineType)) {
 		if cl.outage {
 			reply(nil)
 			return
 		}
 		reply(types)
-	}, func(list []eventlog.Type, _ bool) {
+	}, func(list []eventlog.MachineType, _ bool) {
 		if c.life == life {
 			c.into(func(now time.Duration) { c.core.GotTypes(now, epoch, list) })()
 		}
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -74,10 +74,10 @@
 	next.Follows, next.Rest, next.ReleasedMS = []uint64{1, 2}, 3, 99
 	with := []eventlog.Entry{{Job: &next}, {Dependencies: &eventlog.Dependencies{ID: 9, AtMS: 7, Jobs: []uint64{5}}},
 		{CompletedTasks: &eventlog.CompletedTasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3, AtMS: 88}},
-		{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}, More: true}}}}
+		{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}, More: true}}}}
 	without := []eventlog.Entry{{Job: &job}, {},
 		{CompletedTasks: &eventlog.CompletedTasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3}},
-		{MachineTypes: []eventlog.Type{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}}}}}
+		{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}}}}}
 	raw, err := json.Marshal(map[string]any{"e": with})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -280,7 +280,7 @@
 func HoldAnswer(id uint64) []byte { return encode(holdAnswer{id}) }
 
 // MachineTypes is the body with which the cloud gives its machine types.
-func MachineTypes(types []eventlog.Type) []byte {
+func MachineTypes(types []eventlog.MachineType) []byte {
 	var out machineTypes
 	for _, t := range types {
 		out.Types = append(out.Types, machineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -243,7 +243,7 @@
 }
 
 // Types reads the machine types.
-func (c *Cloud) Types(ctx context.Context) ([]eventlog.Type, error) {
+func (c *Cloud) Types(ctx context.Context) ([]eventlog.MachineType, error) {
 	var out machineTypes
 	status, err := c.c.call(ctx, "GET", PathMachineTypes, nil, &out)
 	if err != nil {
@@ -252,12 +252,12 @@
 	if status != 200 {
 		return nil, fmt.Errorf("wire: cloud: status %d", status)
 	}
-	var types []eventlog.Type
+	var types []eventlog.MachineType
 	for _, t := range out.Types {
 		if t.Name == "" || !(t.CPUs > 0) || math.IsInf(t.CPUs, 0) {
 			continue
 		}
-		types = append(types, eventlog.Type{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+		types = append(types, eventlog.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
 			FetchGBPS: t.Fetch, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones})
 	}
 	return types, nil
