--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -137,8 +137,8 @@
 	return &Log{lim: lim, epochKey: epochKey, epochMark: epochMark, segment: last + 1, tokens: 1, sizeCount: sizes}
 }
 
-// Key is the key of a segment.
-func Key(n int) string { return fmt.Sprintf("%s%08d", Prefix, n) }
+// SegmentKey is the key of a segment.
+func SegmentKey(n int) string { return fmt.Sprintf("%s%08d", Prefix, n) }
 
 // Number is the number of the segment with a key.
 func Number(key string) (int, error) {
@@ -199,7 +199,7 @@
 func (l *Log) LastSegment() int { return l.segment }
 
 // DropSegment removes a segment whose live entries are durable elsewhere.
-func (l *Log) DropSegment(n int) { l.drops = append(l.drops, Key(n)) }
+func (l *Log) DropSegment(n int) { l.drops = append(l.drops, SegmentKey(n)) }
 
 // MaxEntryBytes is how large an entry may be.
 func (l *Log) MaxEntryBytes() int { return l.room() }
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {Key(l.segment), l.mark}}}
+	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {SegmentKey(l.segment), l.mark}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
@@ -334,9 +334,9 @@
 				// A new segment must not be there yet. Without this a late copy of
 				// a transaction that left the open segment as it was would still
 				// meet its conditions and undo what was written since.
-				txn.Conditions = append(txn.Conditions, Condition{Key(s.number), 0})
+				txn.Conditions = append(txn.Conditions, Condition{SegmentKey(s.number), 0})
 			}
-			txn.Writes = append(txn.Writes, Write{Key: Key(s.number), Value: wrap(s.body)})
+			txn.Writes = append(txn.Writes, Write{Key: SegmentKey(s.number), Value: wrap(s.body)})
 		}
 		txn.Writes = append(txn.Writes, values...)
 	}
@@ -491,9 +491,9 @@
 // that the transaction in flight writes.
 func (l *Log) OpenSegmentKey() string {
 	if l.inflight != nil {
-		return Key(l.inflight.segments[len(l.inflight.segments)-1].number)
+		return SegmentKey(l.inflight.segments[len(l.inflight.segments)-1].number)
 	}
-	return Key(l.segment)
+	return SegmentKey(l.segment)
 }
 
 // ReadBack settles an unknown outcome. It is called with the value of
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -39,8 +39,8 @@
 func (s *store) ids(t *testing.T) []uint64 {
 	t.Helper()
 	var out []uint64
-	for n := 1; s.mark[Key(n)] != 0; n++ {
-		es, err := Decode(s.data[Key(n)])
+	for n := 1; s.mark[SegmentKey(n)] != 0; n++ {
+		es, err := Decode(s.data[SegmentKey(n)])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,7 +124,7 @@
 	l.AppendTracked(cancel(7_000_000_000_000)) // does not fit into the open segment any more
 	now += time.Second
 	late := *l.NextTransaction(now)
-	if len(late.Writes) != 1 || late.Writes[0].Key != Key(2) {
+	if len(late.Writes) != 1 || late.Writes[0].Key != SegmentKey(2) {
 		t.Fatalf("the case is not met: %d writes, the first to %s", len(late.Writes), late.Writes[0].Key)
 	}
 	l.CommitResult(now, late.Sequence, Unknown, 0, nil)
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -86,13 +86,13 @@
 
 // segments reads the segments numbered first to end-1; some may be missing.
 func (n *Node) segments(ctx context.Context, first, end int) ([]eventlog.Entry, error) {
-	items, _, _, err := n.state.List(ctx, eventlog.Prefix, eventlog.Key(first-1), end-first)
+	items, _, _, err := n.state.List(ctx, eventlog.Prefix, eventlog.SegmentKey(first-1), end-first)
 	if err != nil {
 		return nil, err
 	}
 	var entries []eventlog.Entry
 	for _, it := range items {
-		if it.Key >= eventlog.Key(end) {
+		if it.Key >= eventlog.SegmentKey(end) {
 			break
 		}
 		list, err := decode(it)
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -312,7 +312,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := st.apply(nil, []eventlog.Write{{Key: eventlog.Key(last + 1), Value: raw}}, 0); r.out != eventlog.Applied {
+	if r := st.apply(nil, []eventlog.Write{{Key: eventlog.SegmentKey(last + 1), Value: raw}}, 0); r.out != eventlog.Applied {
 		t.Fatalf("not written: %v", r)
 	}
 }
@@ -340,7 +340,7 @@
 		}
 		var list []eventlog.Entry
 		for n := first; n < end; n++ {
-			if it, ok := st.items[eventlog.Key(n)]; ok {
+			if it, ok := st.items[eventlog.SegmentKey(n)]; ok {
 				list = append(list, c.entries(it.value)...)
 				st.cleaned++
 			}
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -148,7 +148,7 @@
 		}
 	}
 	if node.PathPeers != "/peers" || leadership.HolderKey != "lead/holder" || leadership.EpochKey != "lead/epoch" ||
-		eventlog.Key(7) != "log/00000007" || eventlog.SizesPrefix != "sizes/" {
+		eventlog.SegmentKey(7) != "log/00000007" || eventlog.SizesPrefix != "sizes/" {
 		t.Error("a path or key that the versions share has changed")
 	}
 }
