--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -140,8 +140,8 @@
 // SegmentKey is the key of a segment.
 func SegmentKey(n int) string { return fmt.Sprintf("%s%08d", Prefix, n) }
 
-// Number is the number of the segment with a key.
-func Number(key string) (int, error) {
+// SegmentNumber is the number of the segment with a key.
+func SegmentNumber(key string) (int, error) {
 	n, err := strconv.Atoi(strings.TrimPrefix(key, Prefix))
 	if err != nil {
 		return 0, fmt.Errorf("ledger: key %q: %w", key, err)
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -56,7 +56,7 @@
 		for _, e := range list {
 			d.Replay(w.now, e)
 		}
-		last, _ = eventlog.Number(k)
+		last, _ = eventlog.SegmentNumber(k)
 	}
 	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: w.bytes, TxnOps: 9}, "lead/epoch", 1, last, 0)
 	d.Begin(w.now)
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -54,7 +54,7 @@
 			if len(w.Value) > 2048 {
 				t.Errorf("a value of %d bytes: %.80s…", len(w.Value), w.Value)
 			}
-			if _, err := eventlog.Number(w.Key); err == nil && !w.Remove {
+			if _, err := eventlog.SegmentNumber(w.Key); err == nil && !w.Remove {
 				list, err := eventlog.Decode(w.Value)
 				if err != nil {
 					t.Fatal(err)
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -41,7 +41,7 @@
 			return err
 		}
 		d.Entries = append(d.Entries, list...)
-		d.Last, err = eventlog.Number(it.Key)
+		d.Last, err = eventlog.SegmentNumber(it.Key)
 		if d.First == 0 {
 			d.First = d.Last
 		}
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -247,7 +247,7 @@
 // that production could have written.
 func (c *checker) productionWrites(t eventlog.Transaction) {
 	for _, w := range t.Writes {
-		if n, err := eventlog.Number(w.Key); err == nil && n > 0 && !w.Remove && !bytes.Equal(asProductionReads(w.Value), w.Value) {
+		if n, err := eventlog.SegmentNumber(w.Key); err == nil && n > 0 && !w.Remove && !bytes.Equal(asProductionReads(w.Value), w.Value) {
 			c.fail("old version", "%s holds what production cannot write: %s", w.Key, w.Value)
 		}
 	}
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -201,7 +201,7 @@
 			w := holder(s)
 			s.cuts = append(s.cuts, &cut{host: w.name})
 			for k, it := range s.state.items { // the log says that the machine is gone
-				if _, err := eventlog.Number(k); err == nil {
+				if _, err := eventlog.SegmentNumber(k); err == nil {
 					it.value = json.RawMessage(strings.TrimSuffix(string(it.value), "]}") + `,{"x":["` + w.name + `"]}]}`)
 					s.state.items[k] = it
 				}
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -176,7 +176,7 @@
 		d.run(time.Second)
 		n := 0
 		for k := range d.state.items {
-			if _, err := eventlog.Number(k); err == nil {
+			if _, err := eventlog.SegmentNumber(k); err == nil {
 				n++
 			}
 		}
@@ -235,7 +235,7 @@
 		d.run(60 * time.Second)
 		entries := 0
 		for k, it := range d.state.items {
-			if _, err := eventlog.Number(k); err != nil {
+			if _, err := eventlog.SegmentNumber(k); err != nil {
 				continue
 			}
 			list, err := eventlog.Decode(it.value)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -62,7 +62,7 @@
 	report := func(what string) {
 		log, entries := 0, 0
 		for k, it := range s.state.items {
-			if _, err := eventlog.Number(k); err == nil {
+			if _, err := eventlog.SegmentNumber(k); err == nil {
 				log++
 				list, err := eventlog.Decode(it.value)
 				if err != nil {
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -276,7 +276,7 @@
 	}
 	var out []string
 	for _, w := range writes {
-		if _, err := eventlog.Number(w.Key); err != nil || w.Remove {
+		if _, err := eventlog.SegmentNumber(w.Key); err != nil || w.Remove {
 			continue
 		}
 		list, err := eventlog.Decode(w.Value)
@@ -304,7 +304,7 @@
 func (st *stateService) append(t *testing.T, e eventlog.Entry) {
 	last := 0
 	for k := range st.items {
-		if n, err := eventlog.Number(k); err == nil {
+		if n, err := eventlog.SegmentNumber(k); err == nil {
 			last = max(last, n)
 		}
 	}
@@ -398,7 +398,7 @@
 		}
 		slices.Sort(keys)
 		for _, k := range keys {
-			r.Last, _ = eventlog.Number(k)
+			r.Last, _ = eventlog.SegmentNumber(k)
 			if r.First == 0 {
 				r.First = r.Last
 			}
@@ -703,7 +703,7 @@
 
 // learned notes the jobs whose facts of run times were ever durable.
 func (st *stateService) learned(w eventlog.Write) {
-	if _, err := eventlog.Number(w.Key); st.facts == nil || err != nil {
+	if _, err := eventlog.SegmentNumber(w.Key); st.facts == nil || err != nil {
 		return
 	}
 	list, err := eventlog.Decode(w.Value)
@@ -732,7 +732,7 @@
 func (st *stateService) owned(duty string) int {
 	n := 0
 	for k, it := range st.items {
-		if _, err := eventlog.Number(k); err != nil {
+		if _, err := eventlog.SegmentNumber(k); err != nil {
 			continue
 		}
 		list, err := eventlog.Decode(it.value)
