--- a/internal/core/eventlog/decode.go
+++ b/internal/core/eventlog/decode.go
@@ -46,9 +46,9 @@
 // EntryBytes is what an entry takes besides a list that is split.
 const EntryBytes = 64
 
-// Split splits names into lists of at most room bytes as JSON; each has at
+// SplitNames splits names into lists of at most room bytes as JSON; each has at
 // least one name, unless there are none at all.
-func Split(names []string, room int) [][]string {
+func SplitNames(names []string, room int) [][]string {
 	var out [][]string
 	used, from := 0, 0
 	for i, n := range names {
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -125,7 +125,7 @@
 	if len(d.empty) == 0 {
 		return
 	}
-	for _, part := range eventlog.Split(d.empty, d.Log.MaxEntryBytes()-2*eventlog.EntryBytes) {
+	for _, part := range eventlog.SplitNames(d.empty, d.Log.MaxEntryBytes()-2*eventlog.EntryBytes) {
 		d.Log.AppendTracked(eventlog.NewComponentEntry(Name, returns{d.Epoch, part}))
 	}
 	d.empty = nil
@@ -437,7 +437,7 @@
 		}
 		d.Tell(cluster.Event{Kind: cluster.MachineGone, At: now, Machine: m})
 	}
-	for _, part := range eventlog.Split(list, d.Log.MaxEntryBytes()-eventlog.EntryBytes) {
+	for _, part := range eventlog.SplitNames(list, d.Log.MaxEntryBytes()-eventlog.EntryBytes) {
 		d.Log.Append(eventlog.Entry{DeletedMachines: part})
 	}
 	d.Dirty = true
