--- a/internal/core/eventlog/counted.go
+++ b/internal/core/eventlog/counted.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// Counted is how many units of a pool a job needs: each of its tasks while it is
+// PoolUnits is how many units of a pool a job needs: each of its tasks while it is
 // somewhere, or the job as a whole from its first start to its end.
-type Counted struct {
+type PoolUnits struct {
 	Pool   string `json:"p"`
 	Units  int    `json:"u"`
 	PerJob bool   `json:"j,omitempty"`
@@ -24,8 +24,8 @@
 const guard = "counted:"
 
 type guarded struct {
-	Types   []string  `json:"t,omitempty"`
-	Counted []Counted `json:"c"`
+	Types   []string    `json:"t,omitempty"`
+	Counted []PoolUnits `json:"c"`
 }
 
 // Guard puts what a job needs of pools into the form in which it is written.
--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -111,7 +111,7 @@
 	Rest       int      `json:"q,omitempty"` // so many of them stand in entries of their own
 	ReleasedMS int64    `json:"r,omitempty"` // time of day when the last of them was done; then they are left out
 
-	Counted []Counted `json:"-"` // units of pools that it needs; written by way of Guard
+	Counted []PoolUnits `json:"-"` // units of pools that it needs; written by way of Guard
 }
 
 // CompletedTasks notes completed tasks of a job as ranges [from, to), and the run
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -162,7 +162,7 @@
 	}
 }
 
-func (d *Duty) needs(list []eventlog.Counted) (out []need, unknown string) {
+func (d *Duty) needs(list []eventlog.PoolUnits) (out []need, unknown string) {
 	for _, c := range list {
 		p := d.pool(c.Pool) // it may be in no settings any more, and units of it out
 		if !p.known {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -95,7 +95,7 @@
 }
 
 // job enters a job of so many tasks.
-func (w *world) job(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.Counted) *jobs.Job {
+func (w *world) job(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.PoolUnits) *jobs.Job {
 	w.ids++
 	j := w.d.Jobs.Add(eventlog.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
 	j.Team, j.Phase = w.d.Teams.Index(team), jobs.Open
@@ -103,10 +103,12 @@
 	return j
 }
 
-func per(pool string, units int) eventlog.Counted { return eventlog.Counted{Pool: pool, Units: units} }
+func per(pool string, units int) eventlog.PoolUnits {
+	return eventlog.PoolUnits{Pool: pool, Units: units}
+}
 
-func whole(pool string, units int) eventlog.Counted {
-	return eventlog.Counted{Pool: pool, Units: units, PerJob: true}
+func whole(pool string, units int) eventlog.PoolUnits {
+	return eventlog.PoolUnits{Pool: pool, Units: units, PerJob: true}
 }
 
 // pass gives units to the jobs in this order and says how many tasks of each got
@@ -172,12 +174,12 @@
 	if why := w.d.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
-	for counted, want := range map[eventlog.Counted]string{per("none", 1): "no such pool", per("p", 9): "more than the 8", whole("q", 4): "more than the 3"} {
-		if why := w.d.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.Counted{counted}}); !strings.Contains(why, want) {
+	for counted, want := range map[eventlog.PoolUnits]string{per("none", 1): "no such pool", per("p", 9): "more than the 8", whole("q", 4): "more than the 3"} {
+		if why := w.d.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{counted}}); !strings.Contains(why, want) {
 			t.Errorf("%+v: %s", counted, why)
 		}
 	}
-	if why := w.d.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.Counted{per("q", 1)}}); !strings.Contains(why, "its team") {
+	if why := w.d.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{per("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
 	}
 }
@@ -244,12 +246,12 @@
 		w := newWorld(t, pools...)
 		var list []*jobs.Job
 		for range 3 + r.IntN(9) {
-			var counted []eventlog.Counted
+			var counted []eventlog.PoolUnits
 			for _, p := range pools {
 				if r.IntN(3) == 0 {
 					continue
 				}
-				counted = append(counted, eventlog.Counted{Pool: p.Name, Units: 1 + r.IntN(p.Units), PerJob: r.IntN(3) == 0})
+				counted = append(counted, eventlog.PoolUnits{Pool: p.Name, Units: 1 + r.IntN(p.Units), PerJob: r.IntN(3) == 0})
 			}
 			kind, tasks := jobs.Array, 1+r.IntN(4)
 			if r.IntN(4) == 0 {
@@ -387,7 +389,7 @@
 // A cancelled job's task that a machine still shows keeps its units.
 func TestStrays(t *testing.T) {
 	w := newWorld(t, settings.Pool{Name: "p", Units: 4})
-	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.Counted{per("p", 2)}}
+	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{per("p", 2)}}
 	rec.Guard()
 	w.lead(false)
 	w.d.Replay(w.now, eventlog.Entry{Job: &rec})
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -286,7 +286,7 @@
 	for i := range uint64(60) {
 		job := &eventlog.Job{ID: i + 1, Class: fmt.Sprint("class", i%7), Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 4}
 		if i%4 == 0 {
-			job.Counted = []eventlog.Counted{{Pool: "licence", Units: 1}}
+			job.Counted = []eventlog.PoolUnits{{Pool: "licence", Units: 1}}
 		}
 		j := &userJob{id: i + 1, run: time.Duration(1+r.IntN(6)) * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 		s.jobs[j.id] = j
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -141,7 +141,7 @@
 		if r.IntN(2) > 0 {
 			continue
 		}
-		x := eventlog.Counted{Pool: name, Units: 1 + r.IntN(2), PerJob: r.IntN(4) == 0}
+		x := eventlog.PoolUnits{Pool: name, Units: 1 + r.IntN(2), PerJob: r.IntN(4) == 0}
 		if job.Kind == 1 {
 			x.Units = 1
 			job.Tasks = min(job.Tasks, 2)
@@ -161,7 +161,7 @@
 		s.poolUnits = map[string]int{"licence": units}
 		for id := range uint64(2) {
 			job := &eventlog.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: .5, MemoryGB: 1, Image: "i", Spot: true, EstimateS: run.Seconds(),
-				Counted: []eventlog.Counted{{Pool: "licence", Units: 1}}}
+				Counted: []eventlog.PoolUnits{{Pool: "licence", Units: 1}}}
 			s.jobs[id+1] = &userJob{id: id + 1, run: run, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
 			s.submit(s.jobs[id+1], 0, func() bool { return true })
 		}
@@ -255,7 +255,7 @@
 
 // Starts with units write nothing that starts without them do not.
 func TestPoolsWriteNothing(t *testing.T) {
-	writes := func(counted []eventlog.Counted) int {
+	writes := func(counted []eventlog.PoolUnits) int {
 		c := baseSettings()
 		c.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 100}}
 		s := newSim(c, 1, 1, false)
@@ -273,7 +273,7 @@
 		s.run(5 * time.Second)
 		return s.state.writes - before
 	}
-	with, without := writes([]eventlog.Counted{{Pool: "licence", Units: 1}}), writes(nil)
+	with, without := writes([]eventlog.PoolUnits{{Pool: "licence", Units: 1}}), writes(nil)
 	if with > without+without/10 {
 		t.Errorf("%d changes with units, %d without", with, without)
 	}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -544,7 +544,7 @@
 			if err != nil {
 				d.Fatalf(t, "counted: %v", err)
 			}
-			job.Counted = append(job.Counted, eventlog.Counted{Pool: pool, Units: n, PerJob: whole})
+			job.Counted = append(job.Counted, eventlog.PoolUnits{Pool: pool, Units: n, PerJob: whole})
 		}
 	}
 	if follows := arg(t, d, "follows", ""); follows != "" {
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -175,7 +175,7 @@
 		case c.Per == nil || (*c.Per != "task" && *c.Per != "job"):
 			return fmt.Errorf("%sper: neither \"task\" nor \"job\"", field)
 		}
-		x := eventlog.Counted{Pool: *c.Pool, Units: *c.Units, PerJob: *c.Per == "job"}
+		x := eventlog.PoolUnits{Pool: *c.Pool, Units: *c.Units, PerJob: *c.Per == "job"}
 		for _, o := range j.Counted {
 			if o.Pool == x.Pool && o.PerJob == x.PerJob {
 				return fmt.Errorf("%spool: %s is there twice", field, x.Pool)
