--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -74,7 +74,7 @@
 type Grant struct {
 	Job      uint64 `json:"i"`
 	Machines []int  `json:"m"` // their numbers
-	Back     bool   `json:"x,omitempty"`
+	Revoked  bool   `json:"x,omitempty"`
 }
 
 // FinalStates keeps the final states of jobs once their own entries are gone.
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -61,7 +61,7 @@
 		d.noted[e.Grant.Job] = g
 	}
 	for _, n := range e.Grant.Machines {
-		g[n] = !e.Grant.Back
+		g[n] = !e.Grant.Revoked
 	}
 }
 
@@ -181,7 +181,7 @@
 	if e.Component != nil {
 		d.keepMarks(e.Component)
 	}
-	if e.Grant == nil || e.Grant.Back {
+	if e.Grant == nil || e.Grant.Revoked {
 		return
 	}
 	if d.byNumber == nil {
@@ -266,7 +266,7 @@
 	// First what is taken back: the same machine may have been granted anew.
 	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
 		for part := range slices.Chunk(d.withdrawn[id], most) {
-			d.Log.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: part, Back: true}})
+			d.Log.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: part, Revoked: true}})
 		}
 	}
 	clear(d.withdrawn)
