--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -374,19 +374,19 @@
 	return append(out, "]}"...)
 }
 
-// Step says what the holder of the log must do after a result.
-type Step uint8
+// CommitStep says what the holder of the log must do after a result.
+type CommitStep uint8
 
 // Steps after a result.
 const (
-	Carry  Step = iota // go on
-	Reread             // read the key of Log.Open back and hand it to ReadBack
-	Lost               // the term is over
+	Carry  CommitStep = iota // go on
+	Reread                   // read the key of Log.Open back and hand it to ReadBack
+	Lost                     // the term is over
 )
 
 // CommitResult takes the outcome of the transaction in flight. It returns the facts
 // that are now durable. mark is the revision of the change.
-func (l *Log) CommitResult(now time.Duration, seq uint64, out Outcome, mark uint64, failed []string) ([]Entry, Step) {
+func (l *Log) CommitResult(now time.Duration, seq uint64, out Outcome, mark uint64, failed []string) ([]Entry, CommitStep) {
 	f := l.inflight
 	if f == nil || f.txn.Sequence != seq {
 		return nil, Carry
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -350,7 +350,7 @@
 }
 
 // Committed takes the outcome of a commit.
-func (t *Term) Committed(now time.Duration, sure bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string) eventlog.Step {
+func (t *Term) Committed(now time.Duration, sure bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string) eventlog.CommitStep {
 	facts, step := t.Log.CommitResult(now, seq, out, mark, failed)
 	switch {
 	case out == eventlog.Invalid && step == eventlog.Lost:
