--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -189,7 +189,7 @@
 		from.Plan(task)
 		task.Planned, task.Seen, task.State, task.RanAt = false, true, workers.Running, 40*time.Second
 		c.change(j, task, other)
-		if got := New([]Limit{{}}, 10).Moves(w); len(got) != c.moves {
+		if got := New([]Limit{{}}, 10).PlanMigrations(w); len(got) != c.moves {
 			t.Errorf("%s: %d moves, want %d", c.name, len(got), c.moves)
 		}
 	}
--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -25,14 +25,14 @@
 	return max(left, 0)
 }
 
-// Moves returns the tasks to be stopped, with time to save, so that draining
+// PlanMigrations returns the tasks to be stopped, with time to save, so that draining
 // machines can be returned: a large machine on which one long task is left
 // costs as much as a full one. A machine is emptied only as a whole, only when
 // all its tasks save their progress, were not
 // moved before (they could go back and forth for ever), and have a place elsewhere that nobody
 // else of their team waits for, and when what its unused room would cost until
 // the end is more than what moving loses.
-func (p *Scheduler) Moves(w Snapshot) []*workers.Placement {
+func (p *Scheduler) PlanMigrations(w Snapshot) []*workers.Placement {
 	waits := make([]bool, len(p.Limits))
 	for _, i := range w.Estimator.Order() {
 		if j := w.Jobs.At(i); j.Waiting > 0 {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -612,7 +612,7 @@
 		}
 	}
 	if d.Cfg.Tunables.MoveSaved == 1 && d.May(now, cluster.Move) {
-		d.StopAll(now, d.Plan.Moves(d.World(now)), cluster.Move)
+		d.StopAll(now, d.Plan.PlanMigrations(d.World(now)), cluster.Move)
 	}
 }
 
