--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Why says in plain words what a job's waiting tasks wait for.
-func (p *Scheduler) Why(w Snapshot, j *jobs.Job) []string {
+// Explain says in plain words what a job's waiting tasks wait for.
+func (p *Scheduler) Explain(w Snapshot, j *jobs.Job) []string {
 	if j.Waiting == 0 {
 		return nil
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -227,7 +227,7 @@
 	if e.Place > 0 {
 		say("it is number %d in the order", e.Place)
 	}
-	for _, why := range t.Plan.Why(w, j) {
+	for _, why := range t.Plan.Explain(w, j) {
 		say("%s", why)
 	}
 	return e, true
