--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -167,7 +167,7 @@
 	if w.Accel.GPU > 0 {
 		w.lend = w.lendable()
 	}
-	order := p.Order(&w)
+	order := p.JobOrder(&w)
 	least, training := int64(-1), 0
 	wants := func(j *jobs.Job) {
 		if j.Waiting > 0 && (least < 0 || j.Need.CPU < least) {
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -9,10 +9,10 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// Order lists the jobs in the order in which they get room: HFSP's, with the
+// JobOrder lists the jobs in the order in which they get room: HFSP's, with the
 // exceptions before and behind it. Services are not in it. The slice is valid
 // until the next call.
-func (p *Scheduler) Order(w *Snapshot) []int32 {
+func (p *Scheduler) JobOrder(w *Snapshot) []int32 {
 	order := w.Estimator.Order()
 	if p.Guarantees != nil {
 		p.markGuaranteed(w, order)
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -25,7 +25,7 @@
 func (p *Scheduler) Preempt(w Snapshot) []*workers.Placement {
 	var out []*workers.Placement
 	var pool []*workers.Placement
-	order := p.Order(&w)
+	order := p.JobOrder(&w)
 	// The tasks are looked through only once a job is found that may have room at
 	// others' cost. Until then the lowest rank of any job with tasks stands in for
 	// that of those which may be stopped: it is no higher.
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -64,7 +64,7 @@
 	var out []Forecast
 	at := map[int32]int{} // by job index
 	ahead := 0.0          // processor seconds
-	for _, i := range d.Plan.Order(&w) {
+	for _, i := range d.Plan.JobOrder(&w) {
 		j := d.Jobs.At(i)
 		f, work := d.forecast(now, j, ahead/cpus, cpus)
 		ahead += work
