--- a/internal/core/scheduler/accel_test.go
+++ b/internal/core/scheduler/accel_test.go
@@ -16,7 +16,7 @@
 // with eight processors and none.
 func accelWorld(n int) (*Scheduler, Snapshot, map[*workers.Machine]int) {
 	p := New([]Limit{{}}, 10)
-	w := Snapshot{Now: time.Second, Quiet: time.Minute, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(), Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
+	w := Snapshot{Now: time.Second, SuspectAfter: time.Minute, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(), Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	for i := range n {
 		for _, room := range []resources.Amounts{resources.Room(12, 2, 48), resources.Room(8, 0, 64)} {
 			w.Inventory.Add(&workers.Machine{Name: fmt.Sprint(i, room.GPU), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -196,7 +196,7 @@
 	machines := make([]*workers.Machine, 0, 64)
 	for _, m := range w.Inventory.All() {
 		m.Held = false
-		if least >= 0 && (p.plain || m.Free.CPU >= least) && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Usable(w.Now, w.Quiet) {
+		if least >= 0 && (p.plain || m.Free.CPU >= least) && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Usable(w.Now, w.SuspectAfter) {
 			machines = append(machines, m)
 		}
 	}
@@ -447,7 +447,7 @@
 	p.leftAt = w.Now
 	var room []*workers.Machine
 	for _, m := range w.Inventory.All() {
-		if m.Free.CPU >= least && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Serves(w.Now, w.Quiet) {
+		if m.Free.CPU >= least && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Serves(w.Now, w.SuspectAfter) {
 			room = append(room, m)
 		}
 	}
@@ -551,7 +551,7 @@
 	slots := map[int32]int{}
 	total := 0
 	for _, m := range w.Inventory.All() {
-		if m.Usable(w.Now, w.Quiet) && w.suits(j, m) {
+		if m.Usable(w.Now, w.SuspectAfter) && w.suits(j, m) {
 			fit = append(fit, m)
 			n := TasksThatFit(j.Need, m.Cap)
 			slots[m.Zone] += n
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -22,7 +22,7 @@
 	p := New([]Limit{{CPU: int64(1+r.IntN(machines)) * 4000}, {}}, 1+r.IntN(20))
 	p.UrgentFirst = true
 	p.Locality = 2 * time.Second
-	w := Snapshot{Now: time.Minute, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
+	w := Snapshot{Now: time.Minute, SuspectAfter: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 1 }}
 	for i := range machines {
 		size := []float64{4, 16}[r.IntN(2)]
@@ -175,7 +175,7 @@
 		{"its team waits", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Waiting = 1 }, 0},
 		{"it is nearly done", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Rec.EstimateS = 65 }, 0},
 	} {
-		w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
+		w := Snapshot{Now: 100 * time.Second, SuspectAfter: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 			Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 		add := func(name string, draining bool) *workers.Machine {
 			return w.Inventory.Add(&workers.Machine{Name: name, Cap: resources.Room(32, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: draining, CacheGB: 1, FetchGBPS: 1})
@@ -199,7 +199,7 @@
 // named once, and a task that was stopped before is left alone: found on a day
 // where one long job was stopped five times over and set the end of the day.
 func TestPreemptSparesTheSaved(t *testing.T) {
-	w := Snapshot{Now: 100 * time.Second, Quiet: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
+	w := Snapshot{Now: 100 * time.Second, SuspectAfter: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	m := w.Inventory.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, CacheGB: 1, FetchGBPS: 1})
 	add := func(id uint64, tasks int, cpus float64, priority uint8) *jobs.Job {
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -71,7 +71,7 @@
 func (p *Scheduler) pool(w *Snapshot) (pool []*workers.Placement, lowest int8) {
 	lowest = 127
 	for _, m := range w.Inventory.All() {
-		if !m.Usable(w.Now, w.Quiet) {
+		if !m.Usable(w.Now, w.SuspectAfter) {
 			continue
 		}
 		for _, v := range m.Tasks {
@@ -94,7 +94,7 @@
 
 func (p *Scheduler) victims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
 	for _, m := range w.Inventory.All() {
-		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.Quiet) && w.suits(j, m) {
+		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.SuspectAfter) && w.suits(j, m) {
 			return nil // there is room: it only has to be given
 		}
 	}
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -11,22 +11,22 @@
 
 // Snapshot is what a pass looks at.
 type Snapshot struct {
-	Now       time.Duration
-	Quiet     time.Duration // a machine silent for longer gets nothing
-	Jobs      *jobs.Table
-	Inventory *workers.Inventory
-	Estimator *sizing.Estimator
-	Missing   []resources.Amounts // by team: machines of an earlier term that may have its tasks
-	Blind     bool                // one of them may have tasks of any job
-	Accel     resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
-	Units     Units               // nil: there are none
-	Zone      func(string) int32
-	Place     func(j *jobs.Job, k int, m *workers.Machine)
-	Pace      func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
-	lend      int                                        // places for tasks with accelerators that may be lent to others
-	local     bool                                       // jobs that have not waited long leave machines without their image
-	left      bool                                       // a job that was left waiting gets whatever it may have
-	Unplace   func(j *jobs.Job, k int)                   // takes back a plan that was not sent
+	Now          time.Duration
+	SuspectAfter time.Duration // a machine silent for longer gets nothing
+	Jobs         *jobs.Table
+	Inventory    *workers.Inventory
+	Estimator    *sizing.Estimator
+	Missing      []resources.Amounts // by team: machines of an earlier term that may have its tasks
+	Blind        bool                // one of them may have tasks of any job
+	Accel        resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
+	Units        Units               // nil: there are none
+	Zone         func(string) int32
+	Place        func(j *jobs.Job, k int, m *workers.Machine)
+	Pace         func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
+	lend         int                                        // places for tasks with accelerators that may be lent to others
+	local        bool                                       // jobs that have not waited long leave machines without their image
+	left         bool                                       // a job that was left waiting gets whatever it may have
+	Unplace      func(j *jobs.Job, k int)                   // takes back a plan that was not sent
 }
 
 // missing is what machines that are not resolved may be using of a team.
@@ -97,7 +97,7 @@
 func (w *Snapshot) lendable() int {
 	free, all, waiting := 0, 0, 0
 	for _, m := range w.Inventory.All() {
-		if m.Cap.GPU > 0 && m.Usable(w.Now, w.Quiet) {
+		if m.Cap.GPU > 0 && m.Usable(w.Now, w.SuspectAfter) {
 			free += TasksThatFit(w.Accel, m.Free)
 			all += TasksThatFit(w.Accel, m.Cap)
 		}
