--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -11,28 +11,28 @@
 
 // Snapshot is what a pass looks at.
 type Snapshot struct {
-	Now          time.Duration
-	SuspectAfter time.Duration // a machine silent for longer gets nothing
-	Jobs         *jobs.Table
-	Inventory    *workers.Inventory
-	Estimator    *sizing.Estimator
-	Missing      []resources.Amounts // by team: machines of an earlier term that may have its tasks
-	Blind        bool                // one of them may have tasks of any job
-	Accel        resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
-	Units        Units               // nil: there are none
-	Zone         func(string) int32
-	Place        func(j *jobs.Job, k int, m *workers.Machine)
-	Pace         func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
-	lend         int                                        // places for tasks with accelerators that may be lent to others
-	local        bool                                       // jobs that have not waited long leave machines without their image
-	left         bool                                       // a job that was left waiting gets whatever it may have
-	Unplace      func(j *jobs.Job, k int)                   // takes back a plan that was not sent
+	Now           time.Duration
+	SuspectAfter  time.Duration // a machine silent for longer gets nothing
+	Jobs          *jobs.Table
+	Inventory     *workers.Inventory
+	Estimator     *sizing.Estimator
+	UnresolvedUse []resources.Amounts // by team: machines of an earlier term that may have its tasks
+	Blind         bool                // one of them may have tasks of any job
+	Accel         resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
+	Units         Units               // nil: there are none
+	Zone          func(string) int32
+	Place         func(j *jobs.Job, k int, m *workers.Machine)
+	Pace          func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
+	lend          int                                        // places for tasks with accelerators that may be lent to others
+	local         bool                                       // jobs that have not waited long leave machines without their image
+	left          bool                                       // a job that was left waiting gets whatever it may have
+	Unplace       func(j *jobs.Job, k int)                   // takes back a plan that was not sent
 }
 
 // missing is what machines that are not resolved may be using of a team.
 func (w *Snapshot) missing(team int32) resources.Amounts {
-	if int(team) < len(w.Missing) {
-		return w.Missing[team]
+	if int(team) < len(w.UnresolvedUse) {
+		return w.UnresolvedUse[team]
 	}
 	return resources.Amounts{}
 }
