--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -17,7 +17,7 @@
 	Inventory     *workers.Inventory
 	Estimator     *sizing.Estimator
 	UnresolvedUse []resources.Amounts // by team: machines of an earlier term that may have its tasks
-	Blind         bool                // one of them may have tasks of any job
+	UnknownGrants bool                // one of them may have tasks of any job
 	Accel         resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
 	Units         Units               // nil: there are none
 	Zone          func(string) int32
@@ -39,7 +39,7 @@
 
 // unsettled says whether tasks of a job that are not seen may run on machines
 // of an earlier term.
-func (w *Snapshot) unsettled(j *jobs.Job) bool { return j.MayRunUnseen(w.Blind) }
+func (w *Snapshot) unsettled(j *jobs.Job) bool { return j.MayRunUnseen(w.UnknownGrants) }
 
 // units says whether so many more tasks of a job may have the units that they need.
 // Without anybody who counts them none that needs any may start.
