--- a/internal/core/scheduler/accel_test.go
+++ b/internal/core/scheduler/accel_test.go
@@ -67,7 +67,7 @@
 		p, w, plain := accelWorld(c.plain)
 		w.add(1, jobs.Gang, c.gang, 10, 2, 60)
 		j := w.add(2, c.kind, c.tasks, 1, 0, c.mean)
-		w.Accel = p.Accelerated(w.Now, w.Jobs)
+		w.AcceleratedNeed = p.Accelerated(w.Now, w.Jobs)
 		p.RunCycle(w)
 		broken := 0
 		for _, n := range plain {
@@ -91,7 +91,7 @@
 func TestAcceleratorsIdle(t *testing.T) {
 	p, w, _ := accelWorld(3)
 	j := w.add(2, jobs.Array, 60, 1, 0, 500)
-	w.Accel = p.Accelerated(w.Now, w.Jobs)
+	w.AcceleratedNeed = p.Accelerated(w.Now, w.Jobs)
 	p.RunCycle(w)
 	if j.Waiting > 0 {
 		t.Errorf("%d tasks wait beside idle machines", j.Waiting)
@@ -125,7 +125,7 @@
 		})
 	}
 	for b.Loop() {
-		w.Accel = p.Accelerated(w.Now, w.Jobs)
+		w.AcceleratedNeed = p.Accelerated(w.Now, w.Jobs)
 		p.RunCycle(w)
 		for _, f := range placed {
 			f()
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -164,7 +164,7 @@
 // since they were left waiting.
 func (p *Scheduler) RunCycle(w Snapshot) (left int) {
 	p.refusals = p.refusals[:0]
-	if w.Accel.GPU > 0 {
+	if w.AcceleratedNeed.GPU > 0 {
 		w.lend = w.lendable()
 	}
 	order := p.JobOrder(&w)
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -11,22 +11,22 @@
 
 // Snapshot is what a pass looks at.
 type Snapshot struct {
-	Now           time.Duration
-	SuspectAfter  time.Duration // a machine silent for longer gets nothing
-	Jobs          *jobs.Table
-	Inventory     *workers.Inventory
-	Estimator     *sizing.Estimator
-	UnresolvedUse []resources.Amounts // by team: machines of an earlier term that may have its tasks
-	UnknownGrants bool                // one of them may have tasks of any job
-	Accel         resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
-	Units         Units               // nil: there are none
-	Zone          func(string) int32
-	Place         func(j *jobs.Job, k int, m *workers.Machine)
-	Pace          func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
-	lend          int                                        // places for tasks with accelerators that may be lent to others
-	local         bool                                       // jobs that have not waited long leave machines without their image
-	left          bool                                       // a job that was left waiting gets whatever it may have
-	Unplace       func(j *jobs.Job, k int)                   // takes back a plan that was not sent
+	Now             time.Duration
+	SuspectAfter    time.Duration // a machine silent for longer gets nothing
+	Jobs            *jobs.Table
+	Inventory       *workers.Inventory
+	Estimator       *sizing.Estimator
+	UnresolvedUse   []resources.Amounts // by team: machines of an earlier term that may have its tasks
+	UnknownGrants   bool                // one of them may have tasks of any job
+	AcceleratedNeed resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
+	Units           Units               // nil: there are none
+	Zone            func(string) int32
+	Place           func(j *jobs.Job, k int, m *workers.Machine)
+	Pace            func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
+	lend            int                                        // places for tasks with accelerators that may be lent to others
+	local           bool                                       // jobs that have not waited long leave machines without their image
+	left            bool                                       // a job that was left waiting gets whatever it may have
+	Unplace         func(j *jobs.Job, k int)                   // takes back a plan that was not sent
 }
 
 // missing is what machines that are not resolved may be using of a team.
@@ -69,7 +69,7 @@
 // that needs none and can be elsewhere: no more of them get there than leave as many of
 // the others their place as it has.
 func (w *Snapshot) kept(j *jobs.Job, m *workers.Machine) bool {
-	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.OnPlain && w.Accel.GPU > 0
+	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.OnPlain && w.AcceleratedNeed.GPU > 0
 }
 
 // mayLend says whether one more task that needs no accelerator may have room on a machine
@@ -79,17 +79,17 @@
 // most of them for minutes, and a third of the accelerators was idle while gangs waited.
 func (w *Snapshot) mayLend(j *jobs.Job, m *workers.Machine) bool {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
-	after := TasksThatFit(w.Accel, left.Minus(j.Need))
-	if after >= TasksThatFit(w.Accel, m.Cap) {
+	after := TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need))
+	if after >= TasksThatFit(w.AcceleratedNeed, m.Cap) {
 		return true
 	}
-	return j.Rec.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= TasksThatFit(w.Accel, left))
+	return j.Rec.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
 }
 
 // lent counts what a task takes from those that need accelerators.
 func (w *Snapshot) lent(j *jobs.Job, m *workers.Machine) {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
-	w.lend -= max(0, TasksThatFit(w.Accel, left)-TasksThatFit(w.Accel, left.Minus(j.Need)))
+	w.lend -= max(0, TasksThatFit(w.AcceleratedNeed, left)-TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need)))
 }
 
 // lendable is how many places for tasks with accelerators are free beyond those that wait
@@ -98,8 +98,8 @@
 	free, all, waiting := 0, 0, 0
 	for _, m := range w.Inventory.All() {
 		if m.Cap.GPU > 0 && m.Usable(w.Now, w.SuspectAfter) {
-			free += TasksThatFit(w.Accel, m.Free)
-			all += TasksThatFit(w.Accel, m.Cap)
+			free += TasksThatFit(w.AcceleratedNeed, m.Free)
+			all += TasksThatFit(w.AcceleratedNeed, m.Cap)
 		}
 	}
 	for _, j := range w.Jobs.All() {
