--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -360,12 +360,12 @@
 	}
 	var best *workers.Machine
 	var bestScore int64
-	paces := w.Pace != nil && j.Rec.Kind == jobs.Array // gangs start as a whole, services first of all
+	paces := w.MayStart != nil && j.Rec.Kind == jobs.Array // gangs start as a whole, services first of all
 	for _, m := range machines {
 		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !w.gives(j, m) {
 			continue
 		}
-		if paces && !w.Pace(j, m) {
+		if paces && !w.MayStart(j, m) {
 			p.paced = true
 			continue
 		}
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -22,7 +22,7 @@
 	Units           Units               // nil: there are none
 	Zone            func(string) int32
 	Place           func(j *jobs.Job, k int, m *workers.Machine)
-	Pace            func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
+	MayStart        func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
 	lend            int                                        // places for tasks with accelerators that may be lent to others
 	local           bool                                       // jobs that have not waited long leave machines without their image
 	left            bool                                       // a job that was left waiting gets whatever it may have
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -509,7 +509,7 @@
 func (s *State) World(now time.Duration) scheduler.Snapshot {
 	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Yard, Estimator: s.Book, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Units: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
 	if s.Pacer != nil {
-		w.Pace = func(j *jobs.Job, m *workers.Machine) bool { return s.Pacer.Allows(now, j, m) }
+		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.Pacer.Allows(now, j, m) }
 	}
 	return w
 }
