--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -203,7 +203,7 @@
 	if least < 0 {
 		return 0
 	}
-	if w.Units != nil {
+	if w.Pools != nil {
 		p.countUnits(&w, order)
 	}
 	p.services(&w, machines)
@@ -256,7 +256,7 @@
 	for _, i := range order {
 		add(w.Jobs.At(i))
 	}
-	w.Units.Pass(w.Now, list)
+	w.Pools.Pass(w.Now, list)
 }
 
 // inOrder gives room to the jobs in their order; room is held for the first
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -71,9 +71,9 @@
 		out = append(out, "its team is at its limit")
 	}
 	if len(j.Rec.Counted) > 0 {
-		if w.Units == nil {
+		if w.Pools == nil {
 			out = append(out, "it needs counted units, and the leader has no pools in its settings")
-		} else if why := w.Units.Why(j); why != "" {
+		} else if why := w.Pools.Why(j); why != "" {
 			out = append(out, why)
 		}
 	}
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -19,7 +19,7 @@
 	UnresolvedUse   []resources.Amounts // by team: machines of an earlier term that may have its tasks
 	UnknownGrants   bool                // one of them may have tasks of any job
 	AcceleratedNeed resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
-	Units           Units               // nil: there are none
+	Pools           Units               // nil: there are none
 	Zone            func(string) int32
 	Place           func(j *jobs.Job, k int, m *workers.Machine)
 	MayStart        func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
@@ -44,7 +44,7 @@
 // units says whether so many more tasks of a job may have the units that they need.
 // Without anybody who counts them none that needs any may start.
 func (w *Snapshot) units(j *jobs.Job, tasks int) bool {
-	return len(j.Rec.Counted) == 0 || (w.Units != nil && w.Units.Allows(j, tasks))
+	return len(j.Rec.Counted) == 0 || (w.Pools != nil && w.Pools.Allows(j, tasks))
 }
 
 // next is the task of a job that gets room next, or -1. While tasks of an earlier
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -507,7 +507,7 @@
 
 // World is what the planner looks at.
 func (s *State) World(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Yard, Estimator: s.Book, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Units: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Yard, Estimator: s.Book, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
 	if s.Pacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.Pacer.Allows(now, j, m) }
 	}
