--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -118,9 +118,9 @@
 	return j.Rec.Zone == "" || zones(j.Rec.Zone) == m.Zone
 }
 
-// Units are counted things that some tasks need besides room. Whoever counts them
+// Pools are counted things that some tasks need besides room. Whoever counts them
 // says what may start; the planner tells what it gives out.
-type Units interface {
+type Pools interface {
 	// Pass begins a pass: list has the jobs that could start a task now but for
 	// units and room, in their order.
 	Pass(now time.Duration, list []*jobs.Job)
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -19,7 +19,7 @@
 	UnresolvedUse   []resources.Amounts // by team: machines of an earlier term that may have its tasks
 	UnknownGrants   bool                // one of them may have tasks of any job
 	AcceleratedNeed resources.Amounts   // the largest need of a task with accelerators, as of late; zero: there is none
-	Pools           Units               // nil: there are none
+	Pools           Pools               // nil: there are none
 	Zone            func(string) int32
 	Place           func(j *jobs.Job, k int, m *workers.Machine)
 	MayStart        func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -75,7 +75,7 @@
 	Images   intern.Table
 	Types    []eventlog.MachineType // by index of TypeNames
 	Where    map[workers.Ref]*workers.Placement
-	Units    scheduler.Units      // nil: there are no pools
+	Units    scheduler.Pools      // nil: there are no pools
 	Gate     Gate                 // nil: nothing is held back
 	Pacer    Pacer                // nil: starts are not paced
 	Spreader Spreader             // nil: machines stay where they report
