--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -34,8 +34,8 @@
 
 // Condition is a version that a key must have.
 type Condition struct {
-	Key  string
-	Mark uint64
+	Key     string
+	Version uint64
 }
 
 // Transaction is a transaction to be sent to the state service.
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -22,7 +22,7 @@
 func (s *store) apply(t Transaction) (Outcome, uint64, []string) {
 	var failed []string
 	for _, c := range t.Conditions {
-		if s.mark[c.Key] != c.Mark {
+		if s.mark[c.Key] != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -14,7 +14,7 @@
 
 func commit(t *testing.T, c *wire.State, key string, mark uint64) eventlog.Outcome {
 	t.Helper()
-	out, _, _ := c.Commit(context.Background(), eventlog.Transaction{Conditions: []eventlog.Condition{{Key: key, Mark: mark}}, Writes: []eventlog.Write{{Key: key, Value: []byte("1")}}})
+	out, _, _ := c.Commit(context.Background(), eventlog.Transaction{Conditions: []eventlog.Condition{{Key: key, Version: mark}}, Writes: []eventlog.Write{{Key: key, Value: []byte("1")}}})
 	return out
 }
 
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -190,7 +190,7 @@
 	s.counts.Writes += uint64(len(t.Writes))
 	var failed []string
 	for _, c := range t.Conds {
-		if s.items[c.Key].Mark != c.Mark {
+		if s.items[c.Key].Mark != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -119,7 +119,7 @@
 	}
 	var failed []string
 	for _, c := range conds {
-		if st.items[c.Key].mark != c.Mark {
+		if st.items[c.Key].mark != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -497,7 +497,7 @@
 		case leadership.Claim:
 			value, _ := json.Marshal(leadership.Holder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
-				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Mark: o.View.EpochMark}},
+				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: o.View.EpochMark}},
 					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.Hold)
 			}
 			if st.lateWrite([]eventlog.Write{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -149,7 +149,7 @@
 func (s *State) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
 	var x txn
 	for _, c := range t.Conditions {
-		x.If = append(x.If, cond{c.Key, c.Mark})
+		x.If = append(x.If, cond{c.Key, c.Version})
 	}
 	for _, w := range t.Writes {
 		if w.Remove {
