--- a/internal/core/eventlog/counted.go
+++ b/internal/core/eventlog/counted.go
@@ -28,8 +28,8 @@
 	Counted []PoolUnits `json:"c"`
 }
 
-// Guard puts what a job needs of pools into the form in which it is written.
-func (j *Job) Guard() {
+// HideFromOlderVersions puts what a job needs of pools into the form in which it is written.
+func (j *Job) HideFromOlderVersions() {
 	if len(j.Counted) == 0 {
 		return
 	}
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -24,7 +24,7 @@
 // it where it follows more jobs than fit.
 func (d *Duty) stored(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
 	rec.Rest = 0
-	rec.Guard()
+	rec.HideFromOlderVersions()
 	if rec.ReleasedMS != 0 {
 		rec.Follows = nil
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -390,7 +390,7 @@
 func TestStrays(t *testing.T) {
 	w := newWorld(t, settings.Pool{Name: "p", Units: 4})
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{per("p", 2)}}
-	rec.Guard()
+	rec.HideFromOlderVersions()
 	w.lead(false)
 	w.d.Replay(w.now, eventlog.Entry{Job: &rec})
 	w.d.Jobs.Finish(77, jobs.Cancelled)
--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -25,7 +25,7 @@
 	for i := range waiting {
 		rec := eventlog.Job{ID: uint64(10000 + i), Class: "c", Team: "team", Priority: 1, Tasks: 10, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: .3, Spot: true, EstimateS: 60,
 			Counted: []eventlog.PoolUnits{{Pool: fmt.Sprint("pool", i%pools), Units: 1 + i%3}, {Pool: fmt.Sprint("pool", (i*7+1)%pools), Units: 1}}}
-		rec.Guard()
+		rec.HideFromOlderVersions()
 		entries = append(entries, eventlog.Entry{Job: &rec})
 	}
 	cfg := scaleSettings()
