--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -162,7 +162,7 @@
 	}
 	var out StateTxn
 	for _, c := range in.If {
-		out.Conds = append(out.Conds, eventlog.Condition(c))
+		out.Conds = append(out.Conds, eventlog.Condition{Key: c.Key, Version: c.Mark})
 	}
 	for _, p := range in.Then {
 		if p.Delete != "" {
