--- a/internal/core/eventlog/counted.go
+++ b/internal/core/eventlog/counted.go
@@ -40,9 +40,9 @@
 	j.Types, j.Counted = []string{guard + string(raw)}, nil
 }
 
-// Unguard takes it out again. What cannot be read stays as it is: such a job is
+// RevealPoolUnits takes it out again. What cannot be read stays as it is: such a job is
 // never started either.
-func (j *Job) Unguard() {
+func (j *Job) RevealPoolUnits() {
 	if len(j.Types) != 1 {
 		return
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -338,7 +338,7 @@
 }
 
 func (d *Duty) enter(rec eventlog.Job, now time.Duration) *jobs.Job {
-	rec.Unguard()
+	rec.RevealPoolUnits()
 	j := d.Jobs.Add(rec)
 	j.Team = d.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
 	j.Image = d.Images.Index(rec.Image)
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -141,7 +141,7 @@
 		d.replayPaper(e.Component)
 	case e.Job != nil:
 		rec := *e.Job
-		rec.Unguard()
+		rec.RevealPoolUnits()
 		if len(rec.Counted) > 0 {
 			d.over[rec.ID], _ = d.needs(rec.Counted)
 		}
