--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -68,8 +68,8 @@
 	idle   = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
 )
 
-// Core is the state machine of one node.
-type Core struct {
+// Elector is the state machine of one node.
+type Elector struct {
 	node string
 	life time.Duration
 	// Doubt: a follower that has heard nothing of a leader for so long asks the state
@@ -108,23 +108,23 @@
 }
 
 // New makes a node's core; life is that of the hold.
-func New(node string, life time.Duration) *Core { return &Core{node: node, life: life} }
+func New(node string, life time.Duration) *Elector { return &Elector{node: node, life: life} }
 
 // Role is the node's role; a leader may be unsure, see Sure.
-func (c *Core) Role() Role { return c.role }
+func (c *Elector) Role() Role { return c.role }
 
 // Epoch and its key's version in our term.
-func (c *Core) Epoch() uint64 { return c.epoch }
+func (c *Elector) Epoch() uint64 { return c.epoch }
 
 // Mark is the version of the epoch key that our term's writes demand.
-func (c *Core) Mark() uint64 { return c.mark }
+func (c *Elector) Mark() uint64 { return c.mark }
 
 // Sure says whether no other node can be leading. The time is counted from
 // when the last renewal that succeeded was sent: a hold never ends early.
-func (c *Core) Sure(now time.Duration) bool { return c.role == Leader && now < c.sure }
+func (c *Elector) Sure(now time.Duration) bool { return c.role == Leader && now < c.sure }
 
 // LeaderName is the node that holds the key as last seen, or empty.
-func (c *Core) LeaderName() string {
+func (c *Elector) LeaderName() string {
 	if c.role == Leader {
 		return c.node
 	}
@@ -136,30 +136,30 @@
 
 // Watches says whether a change of the keys would be noticed at once: they were
 // read, and a watch is open since.
-func (c *Core) Watches() bool { return c.known && c.watching != nil }
+func (c *Elector) Watches() bool { return c.known && c.watching != nil }
 
 // unserved is for how long the state service must not have answered a node that asks it.
 const unserved = 3 * time.Second
 
 // Served says whether the state service has answered lately. It means something only
 // where nothing was heard of a leader for Doubt: until then the node merely watches.
-func (c *Core) Served(now time.Duration) bool { return now-c.served < unserved }
+func (c *Elector) Served(now time.Duration) bool { return now-c.served < unserved }
 
 // LastServed is when it answered last.
-func (c *Core) LastServed() time.Duration { return c.served }
+func (c *Elector) LastServed() time.Duration { return c.served }
 
 // inDoubt says whether a follower should ask instead of waiting for its watch: nothing was
 // heard of the leader for a while, nor of the state service.
-func (c *Core) inDoubt(now time.Duration) bool {
+func (c *Elector) inDoubt(now time.Duration) bool {
 	return c.Doubt > 0 && c.role == Follower && c.led > 0 && now-c.led >= c.Doubt && now-c.served >= unserved/2
 }
 
 // Vacancy is when this node last heard of another leader, 0 if it never did, and
 // since when it has seen that nobody leads. A new leader asks for it.
-func (c *Core) Vacancy() (led, since time.Duration) { return c.led, c.vacant }
+func (c *Elector) Vacancy() (led, since time.Duration) { return c.led, c.vacant }
 
 // heard notes that somebody leads, or led until now.
-func (c *Core) heard(now time.Duration, epoch uint64) {
+func (c *Elector) heard(now time.Duration, epoch uint64) {
 	if epoch != c.ledIn {
 		c.before, c.last, c.ledIn = c.last, Led{Ever: true, Since: now}, epoch
 	}
@@ -186,7 +186,7 @@
 }
 
 // LedBefore is what this node knows of the last leader of an epoch before the given one.
-func (c *Core) LedBefore(epoch uint64) Led {
+func (c *Elector) LedBefore(epoch uint64) Led {
 	if c.ledIn >= epoch {
 		return c.before
 	}
@@ -194,15 +194,15 @@
 }
 
 // Highest gives the highest epoch known.
-func (c *Core) Highest() uint64 { return max(c.epoch, c.view.Epoch) }
+func (c *Elector) Highest() uint64 { return max(c.epoch, c.view.Epoch) }
 
-func (c *Core) order(a Action) Order {
+func (c *Elector) order(a Action) Order {
 	c.seq++
 	return Order{Action: a, Seq: c.seq, Hold: c.hold, View: c.view, Revision: c.view.Revision}
 }
 
 // Tick returns what is due.
-func (c *Core) Tick(now time.Duration) []Order {
+func (c *Elector) Tick(now time.Duration) []Order {
 	var out []Order
 	if c.role == Leader {
 		if c.renewing == nil && now-c.renewed >= c.life/5 && now >= c.nextTry {
@@ -227,7 +227,7 @@
 }
 
 // Seen takes the result of Read.
-func (c *Core) Seen(now time.Duration, seq uint64, ok bool, v View) []Order {
+func (c *Elector) Seen(now time.Duration, seq uint64, ok bool, v View) []Order {
 	if c.reading == nil || c.reading.seq != seq {
 		return nil
 	}
@@ -265,7 +265,7 @@
 }
 
 // Changed takes the result of Watch: something changed, or the time ran out.
-func (c *Core) Changed(now time.Duration, seq uint64, ok bool) []Order {
+func (c *Elector) Changed(now time.Duration, seq uint64, ok bool) []Order {
 	if c.watching == nil || c.watching.seq != seq {
 		return nil
 	}
@@ -286,7 +286,7 @@
 }
 
 // Held takes the result of Hold.
-func (c *Core) Held(now time.Duration, seq uint64, ok bool, hold uint64) []Order {
+func (c *Elector) Held(now time.Duration, seq uint64, ok bool, hold uint64) []Order {
 	if c.election == nil || c.election.seq != seq {
 		return nil
 	}
@@ -305,7 +305,7 @@
 // Claimed takes the result of Claim; mark is the revision of the change. An
 // unanswered claim counts as failed: should it be applied yet, the hold that
 // is given back takes the key along.
-func (c *Core) Claimed(now time.Duration, seq uint64, ok bool, mark uint64) []Order {
+func (c *Elector) Claimed(now time.Duration, seq uint64, ok bool, mark uint64) []Order {
 	if c.election == nil || c.election.seq != seq {
 		return nil
 	}
@@ -327,7 +327,7 @@
 }
 
 // Renewed takes the result of Renew; gone means the hold has ended.
-func (c *Core) Renewed(now time.Duration, seq uint64, ok, gone bool) []Order {
+func (c *Elector) Renewed(now time.Duration, seq uint64, ok, gone bool) []Order {
 	if c.renewing == nil || c.renewing.seq != seq || c.role != Leader {
 		return nil
 	}
@@ -348,7 +348,7 @@
 // HeartbeatReceived takes a leader's word, from the leader itself, that it leads: a node
 // that the state service does not serve learns so where to send users and
 // workers. It is a hint for routing; nothing else depends on it.
-func (c *Core) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet Fleet) {
+func (c *Elector) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet Fleet) {
 	if epoch < c.Highest() || node == c.node {
 		return
 	}
@@ -367,14 +367,14 @@
 }
 
 // Superseded tells the core that a higher epoch was met.
-func (c *Core) Superseded(now time.Duration, epoch uint64) {
+func (c *Elector) Superseded(now time.Duration, epoch uint64) {
 	if epoch > c.epoch && c.role == Leader {
 		c.stepDown(now)
 	}
 }
 
 // Resign gives leadership up, for as long at least.
-func (c *Core) Resign(now, pause time.Duration) []Order {
+func (c *Elector) Resign(now, pause time.Duration) []Order {
 	if c.role != Leader {
 		return nil
 	}
@@ -384,12 +384,12 @@
 	return []Order{o}
 }
 
-func (c *Core) extend(sent time.Duration) {
+func (c *Elector) extend(sent time.Duration) {
 	until := sent + time.Duration(float64(c.life)*(1-drift)) - margin
 	c.sure = max(c.sure, until)
 }
 
-func (c *Core) stepDown(now time.Duration) {
+func (c *Elector) stepDown(now time.Duration) {
 	c.role = Follower
 	c.heard(now, c.epoch)
 	c.hold, c.renewing = 0, nil
@@ -399,7 +399,7 @@
 	c.nextRead, c.nextTry = now, now
 }
 
-func (c *Core) fallBack(now time.Duration) {
+func (c *Elector) fallBack(now time.Duration) {
 	c.role = Follower
 	c.hold = 0
 	c.nextRead = now + retry/3
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -21,7 +21,7 @@
 type Core struct {
 	cfg  *settings.Settings
 	zero int64 // time of day at time 0, in milliseconds; off by a known bound
-	lead *leadership.Core
+	lead *leadership.Elector
 	term *term.Term
 	hold *scheduler.ShardHolder
 	out  []effects.Effect
