--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -107,8 +107,8 @@
 	sent time.Duration
 }
 
-// New makes a node's core; life is that of the hold.
-func New(node string, life time.Duration) *Elector { return &Elector{node: node, life: life} }
+// NewElector makes a node's core; life is that of the hold.
+func NewElector(node string, life time.Duration) *Elector { return &Elector{node: node, life: life} }
 
 // Role is the node's role; a leader may be unsure, see Sure.
 func (c *Elector) Role() Role { return c.role }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -48,7 +48,7 @@
 // day, in milliseconds. The time of day orders nothing: it only tells a
 // successor how long a job has been waiting.
 func NewCore(cfg *settings.Settings, zero int64) *Core {
-	lead := leadership.New(cfg.Node, settings.Seconds(cfg.Tunables.LeaderHoldS))
+	lead := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderHoldS))
 	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.Doubt = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
