--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -42,8 +42,8 @@
 	Drop                // give the hold back; no result
 )
 
-// Order is an action with its arguments.
-type Order struct {
+// Request is an action with its arguments.
+type Request struct {
 	Action   Action
 	Seq      uint64
 	Hold     uint64
@@ -196,14 +196,14 @@
 // Highest gives the highest epoch known.
 func (c *Elector) Highest() uint64 { return max(c.epoch, c.view.Epoch) }
 
-func (c *Elector) order(a Action) Order {
+func (c *Elector) order(a Action) Request {
 	c.seq++
-	return Order{Action: a, Seq: c.seq, Hold: c.hold, View: c.view, Revision: c.view.Revision}
+	return Request{Action: a, Seq: c.seq, Hold: c.hold, View: c.view, Revision: c.view.Revision}
 }
 
 // Tick returns what is due.
-func (c *Elector) Tick(now time.Duration) []Order {
-	var out []Order
+func (c *Elector) Tick(now time.Duration) []Request {
+	var out []Request
 	if c.role == Leader {
 		if c.renewing == nil && now-c.renewed >= c.life/5 && now >= c.nextTry {
 			o := c.order(Renew)
@@ -227,7 +227,7 @@
 }
 
 // Seen takes the result of Read.
-func (c *Elector) Seen(now time.Duration, seq uint64, ok bool, v View) []Order {
+func (c *Elector) Seen(now time.Duration, seq uint64, ok bool, v View) []Request {
 	if c.reading == nil || c.reading.seq != seq {
 		return nil
 	}
@@ -254,18 +254,18 @@
 		c.role = Candidate
 		o := c.order(Hold)
 		c.election = &call{o.Seq, now}
-		return []Order{o}
+		return []Request{o}
 	}
 	if c.watching == nil {
 		o := c.order(Watch)
 		c.watching = &call{o.Seq, now}
-		return []Order{o}
+		return []Request{o}
 	}
 	return nil
 }
 
 // Changed takes the result of Watch: something changed, or the time ran out.
-func (c *Elector) Changed(now time.Duration, seq uint64, ok bool) []Order {
+func (c *Elector) Changed(now time.Duration, seq uint64, ok bool) []Request {
 	if c.watching == nil || c.watching.seq != seq {
 		return nil
 	}
@@ -280,13 +280,13 @@
 	if c.reading == nil && c.election == nil {
 		o := c.order(Read)
 		c.reading = &call{o.Seq, now}
-		return []Order{o}
+		return []Request{o}
 	}
 	return nil
 }
 
 // Held takes the result of Hold.
-func (c *Elector) Held(now time.Duration, seq uint64, ok bool, hold uint64) []Order {
+func (c *Elector) Held(now time.Duration, seq uint64, ok bool, hold uint64) []Request {
 	if c.election == nil || c.election.seq != seq {
 		return nil
 	}
@@ -299,13 +299,13 @@
 	c.hold = hold
 	o := c.order(Claim)
 	c.election = &call{o.Seq, sent} // sureness counts from the hold's making
-	return []Order{o}
+	return []Request{o}
 }
 
 // Claimed takes the result of Claim; mark is the revision of the change. An
 // unanswered claim counts as failed: should it be applied yet, the hold that
 // is given back takes the key along.
-func (c *Elector) Claimed(now time.Duration, seq uint64, ok bool, mark uint64) []Order {
+func (c *Elector) Claimed(now time.Duration, seq uint64, ok bool, mark uint64) []Request {
 	if c.election == nil || c.election.seq != seq {
 		return nil
 	}
@@ -314,7 +314,7 @@
 	if !ok {
 		o := c.order(Drop)
 		c.fallBack(now)
-		return []Order{o}
+		return []Request{o}
 	}
 	c.role = Leader
 	c.epoch = c.view.Epoch + 1
@@ -327,7 +327,7 @@
 }
 
 // Renewed takes the result of Renew; gone means the hold has ended.
-func (c *Elector) Renewed(now time.Duration, seq uint64, ok, gone bool) []Order {
+func (c *Elector) Renewed(now time.Duration, seq uint64, ok, gone bool) []Request {
 	if c.renewing == nil || c.renewing.seq != seq || c.role != Leader {
 		return nil
 	}
@@ -374,14 +374,14 @@
 }
 
 // Resign gives leadership up, for as long at least.
-func (c *Elector) Resign(now, pause time.Duration) []Order {
+func (c *Elector) Resign(now, pause time.Duration) []Request {
 	if c.role != Leader {
 		return nil
 	}
 	o := c.order(Drop)
 	c.stepDown(now)
 	c.nextTry = now + pause // it is for the others to lead
-	return []Order{o}
+	return []Request{o}
 }
 
 func (c *Elector) extend(sent time.Duration) {
--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -79,7 +79,7 @@
 		Peer  string
 		Epoch uint64
 	}
-	Lead    struct{ Order leadership.Order }
+	Lead    struct{ Order leadership.Request }
 	Load    struct{ Epoch uint64 }
 	Commit  struct{ Txn eventlog.Transaction }
 	Recheck struct{ Key string }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -72,7 +72,7 @@
 	return out
 }
 
-func (c *Core) orders(list []leadership.Order) {
+func (c *Core) orders(list []leadership.Request) {
 	for _, o := range list {
 		c.out = append(c.out, effects.Lead{Order: o})
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -342,7 +342,7 @@
 	}()
 }
 
-func (n *Node) lead(o leadership.Order) {
+func (n *Node) lead(o leadership.Request) {
 	limit := stateTimeout
 	if o.Action == leadership.Watch {
 		limit = watchFor + 2*time.Second
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -443,7 +443,7 @@
 	view     leadership.View
 }
 
-func (st *stateService) lead(c *controller, o leadership.Order) {
+func (st *stateService) lead(c *controller, o leadership.Request) {
 	life := c.life
 	finish := func(r leadResult, ok bool) {
 		if c.life != life {
