--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -46,7 +46,7 @@
 type Request struct {
 	Action   Action
 	Seq      uint64
-	Hold     uint64
+	LeaseID  uint64
 	View     View
 	Revision uint64
 }
@@ -198,7 +198,7 @@
 
 func (c *Elector) order(a Action) Request {
 	c.seq++
-	return Request{Action: a, Seq: c.seq, Hold: c.hold, View: c.view, Revision: c.view.Revision}
+	return Request{Action: a, Seq: c.seq, LeaseID: c.hold, View: c.view, Revision: c.view.Revision}
 }
 
 // Tick returns what is due.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -362,14 +362,14 @@
 		backOff(ok)
 		n.post(func(now time.Duration) { n.core.Held(now, o.Seq, ok, id) })
 	case leadership.Claim:
-		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.Hold)
+		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.LeaseID)
 		backOff(ok)
 		n.post(func(now time.Duration) { n.core.Claimed(now, o.Seq, ok, mark) })
 	case leadership.Renew:
-		ok, gone := n.state.Renew(ctx, o.Hold)
+		ok, gone := n.state.Renew(ctx, o.LeaseID)
 		n.post(func(now time.Duration) { n.core.Renewed(now, o.Seq, ok, gone) })
 	case leadership.Drop:
-		n.state.Release(ctx, o.Hold)
+		n.state.Release(ctx, o.LeaseID)
 	}
 }
 
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -498,7 +498,7 @@
 			value, _ := json.Marshal(leadership.Holder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
 				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: o.View.EpochMark}},
-					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.Hold)
+					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.LeaseID)
 			}
 			if st.lateWrite([]eventlog.Write{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
 				return
@@ -509,7 +509,7 @@
 			}
 			reply(leadResult{ok: r.out == eventlog.Applied, id: r.mark})
 		case leadership.Renew:
-			h := st.holds[o.Hold]
+			h := st.holds[o.LeaseID]
 			if h == nil {
 				reply(leadResult{gone: true})
 				return
@@ -521,7 +521,7 @@
 			}
 			reply(leadResult{ok: true})
 		case leadership.Drop:
-			st.drop(o.Hold)
+			st.drop(o.LeaseID)
 		}
 	}, finish)
 }
