--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -45,7 +45,7 @@
 // Request is an action with its arguments.
 type Request struct {
 	Action   Action
-	Seq      uint64
+	Sequence uint64
 	LeaseID  uint64
 	View     View
 	Revision uint64
@@ -198,7 +198,7 @@
 
 func (c *Elector) order(a Action) Request {
 	c.seq++
-	return Request{Action: a, Seq: c.seq, LeaseID: c.hold, View: c.view, Revision: c.view.Revision}
+	return Request{Action: a, Sequence: c.seq, LeaseID: c.hold, View: c.view, Revision: c.view.Revision}
 }
 
 // Tick returns what is due.
@@ -207,20 +207,20 @@
 	if c.role == Leader {
 		if c.renewing == nil && now-c.renewed >= c.life/5 && now >= c.nextTry {
 			o := c.order(Renew)
-			c.renewing = &call{o.Seq, now}
+			c.renewing = &call{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
 	if c.reading == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.known || (c.watching == nil && c.role != Candidate)) {
 		if !c.known || c.role != Leader {
 			o := c.order(Read)
-			c.reading = &call{o.Seq, now}
+			c.reading = &call{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
 	if c.role == Leader && c.watching == nil && c.known && now >= c.nextRead {
 		o := c.order(Watch)
-		c.watching = &call{o.Seq, now}
+		c.watching = &call{o.Sequence, now}
 		out = append(out, o)
 	}
 	return out
@@ -253,12 +253,12 @@
 	if v.Holder == nil && now >= c.nextTry {
 		c.role = Candidate
 		o := c.order(Hold)
-		c.election = &call{o.Seq, now}
+		c.election = &call{o.Sequence, now}
 		return []Request{o}
 	}
 	if c.watching == nil {
 		o := c.order(Watch)
-		c.watching = &call{o.Seq, now}
+		c.watching = &call{o.Sequence, now}
 		return []Request{o}
 	}
 	return nil
@@ -279,7 +279,7 @@
 	}
 	if c.reading == nil && c.election == nil {
 		o := c.order(Read)
-		c.reading = &call{o.Seq, now}
+		c.reading = &call{o.Sequence, now}
 		return []Request{o}
 	}
 	return nil
@@ -298,7 +298,7 @@
 	}
 	c.hold = hold
 	o := c.order(Claim)
-	c.election = &call{o.Seq, sent} // sureness counts from the hold's making
+	c.election = &call{o.Sequence, sent} // sureness counts from the hold's making
 	return []Request{o}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -353,21 +353,21 @@
 	case leadership.Read:
 		v, err := n.state.ReadLeadership(ctx)
 		backOff(err == nil)
-		n.post(func(now time.Duration) { n.core.Seen(now, o.Seq, err == nil, v) })
+		n.post(func(now time.Duration) { n.core.Seen(now, o.Sequence, err == nil, v) })
 	case leadership.Watch:
 		ok := n.state.Follow(ctx, leadership.Prefix, o.Revision, watchFor)
-		n.post(func(now time.Duration) { n.core.Changed(now, o.Seq, ok) })
+		n.post(func(now time.Duration) { n.core.Changed(now, o.Sequence, ok) })
 	case leadership.Hold:
 		id, ok := n.state.Hold(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
 		backOff(ok)
-		n.post(func(now time.Duration) { n.core.Held(now, o.Seq, ok, id) })
+		n.post(func(now time.Duration) { n.core.Held(now, o.Sequence, ok, id) })
 	case leadership.Claim:
 		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.LeaseID)
 		backOff(ok)
-		n.post(func(now time.Duration) { n.core.Claimed(now, o.Seq, ok, mark) })
+		n.post(func(now time.Duration) { n.core.Claimed(now, o.Sequence, ok, mark) })
 	case leadership.Renew:
 		ok, gone := n.state.Renew(ctx, o.LeaseID)
-		n.post(func(now time.Duration) { n.core.Renewed(now, o.Seq, ok, gone) })
+		n.post(func(now time.Duration) { n.core.Renewed(now, o.Sequence, ok, gone) })
 	case leadership.Drop:
 		n.state.Release(ctx, o.LeaseID)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -453,15 +453,15 @@
 		c.into(func(now time.Duration) {
 			switch o.Action {
 			case leadership.Read:
-				c.core.Seen(now, o.Seq, r.ok, r.view)
+				c.core.Seen(now, o.Sequence, r.ok, r.view)
 			case leadership.Watch:
-				c.core.Changed(now, o.Seq, r.ok)
+				c.core.Changed(now, o.Sequence, r.ok)
 			case leadership.Hold:
-				c.core.Held(now, o.Seq, r.ok, r.id)
+				c.core.Held(now, o.Sequence, r.ok, r.id)
 			case leadership.Claim:
-				c.core.Claimed(now, o.Seq, r.ok, r.id)
+				c.core.Claimed(now, o.Sequence, r.ok, r.id)
 			case leadership.Renew:
-				c.core.Renewed(now, o.Seq, r.ok, r.gone && ok)
+				c.core.Renewed(now, o.Sequence, r.ok, r.gone && ok)
 			}
 		})()
 	}
