--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -34,12 +34,12 @@
 
 // Actions.
 const (
-	Read  Action = iota // read both keys: Seen
-	Watch               // wait for a change of the keys after Revision: Changed
-	Hold                // make a hold: Held
-	Claim               // put both keys if unchanged: Claimed
-	Renew               // renew the hold: Renewed
-	Drop                // give the hold back; no result
+	Read        Action = iota // read both keys: Seen
+	Watch                     // wait for a change of the keys after Revision: Changed
+	CreateLease               // make a hold: Held
+	Claim                     // put both keys if unchanged: Claimed
+	Renew                     // renew the hold: Renewed
+	Drop                      // give the hold back; no result
 )
 
 // Request is an action with its arguments.
@@ -252,7 +252,7 @@
 	}
 	if v.Holder == nil && now >= c.nextTry {
 		c.role = Candidate
-		o := c.order(Hold)
+		o := c.order(CreateLease)
 		c.election = &call{o.Sequence, now}
 		return []Request{o}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -357,7 +357,7 @@
 	case leadership.Watch:
 		ok := n.state.Follow(ctx, leadership.Prefix, o.Revision, watchFor)
 		n.post(func(now time.Duration) { n.core.Changed(now, o.Sequence, ok) })
-	case leadership.Hold:
+	case leadership.CreateLease:
 		id, ok := n.state.Hold(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
 		backOff(ok)
 		n.post(func(now time.Duration) { n.core.Held(now, o.Sequence, ok, id) })
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -456,7 +456,7 @@
 				c.core.Seen(now, o.Sequence, r.ok, r.view)
 			case leadership.Watch:
 				c.core.Changed(now, o.Sequence, r.ok)
-			case leadership.Hold:
+			case leadership.CreateLease:
 				c.core.Held(now, o.Sequence, r.ok, r.id)
 			case leadership.Claim:
 				c.core.Claimed(now, o.Sequence, r.ok, r.id)
@@ -485,7 +485,7 @@
 			}
 			st.watches = append(st.watches, func() { reply(leadResult{ok: true}) })
 			st.s.after(10*time.Second, func() { reply(leadResult{ok: true}) })
-		case leadership.Hold:
+		case leadership.CreateLease:
 			st.nextID++
 			life := settingsSeconds(c.cfg.Tunables.LeaderHoldS)
 			st.holds[st.nextID] = &hold{life, st.s.now + life}
