--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -38,7 +38,7 @@
 	Watch                     // wait for a change of the keys after Revision: Changed
 	CreateLease               // make a hold: Held
 	Claim                     // put both keys if unchanged: Claimed
-	Renew                     // renew the hold: Renewed
+	RenewLease                // renew the hold: Renewed
 	Drop                      // give the hold back; no result
 )
 
@@ -206,7 +206,7 @@
 	var out []Request
 	if c.role == Leader {
 		if c.renewing == nil && now-c.renewed >= c.life/5 && now >= c.nextTry {
-			o := c.order(Renew)
+			o := c.order(RenewLease)
 			c.renewing = &call{o.Sequence, now}
 			out = append(out, o)
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -365,7 +365,7 @@
 		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.LeaseID)
 		backOff(ok)
 		n.post(func(now time.Duration) { n.core.Claimed(now, o.Sequence, ok, mark) })
-	case leadership.Renew:
+	case leadership.RenewLease:
 		ok, gone := n.state.Renew(ctx, o.LeaseID)
 		n.post(func(now time.Duration) { n.core.Renewed(now, o.Sequence, ok, gone) })
 	case leadership.Drop:
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -460,7 +460,7 @@
 				c.core.Held(now, o.Sequence, r.ok, r.id)
 			case leadership.Claim:
 				c.core.Claimed(now, o.Sequence, r.ok, r.id)
-			case leadership.Renew:
+			case leadership.RenewLease:
 				c.core.Renewed(now, o.Sequence, r.ok, r.gone && ok)
 			}
 		})()
@@ -508,7 +508,7 @@
 				return
 			}
 			reply(leadResult{ok: r.out == eventlog.Applied, id: r.mark})
-		case leadership.Renew:
+		case leadership.RenewLease:
 			h := st.holds[o.LeaseID]
 			if h == nil {
 				reply(leadResult{gone: true})
