--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -34,12 +34,12 @@
 
 // Actions.
 const (
-	Read        Action = iota // read both keys: Seen
-	Watch                     // wait for a change of the keys after Revision: Changed
-	CreateLease               // make a hold: Held
-	Claim                     // put both keys if unchanged: Claimed
-	RenewLease                // renew the hold: Renewed
-	Drop                      // give the hold back; no result
+	Read         Action = iota // read both keys: Seen
+	Watch                      // wait for a change of the keys after Revision: Changed
+	CreateLease                // make a hold: Held
+	Claim                      // put both keys if unchanged: Claimed
+	RenewLease                 // renew the hold: Renewed
+	ReleaseLease               // give the hold back; no result
 )
 
 // Request is an action with its arguments.
@@ -312,7 +312,7 @@
 	sent := c.election.sent
 	c.election = nil
 	if !ok {
-		o := c.order(Drop)
+		o := c.order(ReleaseLease)
 		c.fallBack(now)
 		return []Request{o}
 	}
@@ -378,7 +378,7 @@
 	if c.role != Leader {
 		return nil
 	}
-	o := c.order(Drop)
+	o := c.order(ReleaseLease)
 	c.stepDown(now)
 	c.nextTry = now + pause // it is for the others to lead
 	return []Request{o}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 		case <-ctx.Done():
 			n.core.Stop(time.Since(n.start))
 			for _, e := range n.core.Take() {
-				if o, ok := e.(effects.Lead); ok && o.Order.Action == leadership.Drop {
+				if o, ok := e.(effects.Lead); ok && o.Order.Action == leadership.ReleaseLease {
 					n.lead(o.Order)
 				} else if r, ok := e.(effects.Reply); ok {
 					n.do(r)
@@ -368,7 +368,7 @@
 	case leadership.RenewLease:
 		ok, gone := n.state.Renew(ctx, o.LeaseID)
 		n.post(func(now time.Duration) { n.core.Renewed(now, o.Sequence, ok, gone) })
-	case leadership.Drop:
+	case leadership.ReleaseLease:
 		n.state.Release(ctx, o.LeaseID)
 	}
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -520,7 +520,7 @@
 				return
 			}
 			reply(leadResult{ok: true})
-		case leadership.Drop:
+		case leadership.ReleaseLease:
 			st.drop(o.LeaseID)
 		}
 	}, finish)
