--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -34,12 +34,12 @@
 
 // Actions.
 const (
-	Read         Action = iota // read both keys: Seen
-	Watch                      // wait for a change of the keys after Revision: Changed
-	CreateLease                // make a hold: Held
-	Claim                      // put both keys if unchanged: Claimed
-	RenewLease                 // renew the hold: Renewed
-	ReleaseLease               // give the hold back; no result
+	Read            Action = iota // read both keys: Seen
+	Watch                         // wait for a change of the keys after Revision: Changed
+	CreateLease                   // make a hold: Held
+	ClaimLeadership               // put both keys if unchanged: Claimed
+	RenewLease                    // renew the hold: Renewed
+	ReleaseLease                  // give the hold back; no result
 )
 
 // Request is an action with its arguments.
@@ -297,7 +297,7 @@
 		return nil
 	}
 	c.hold = hold
-	o := c.order(Claim)
+	o := c.order(ClaimLeadership)
 	c.election = &call{o.Sequence, sent} // sureness counts from the hold's making
 	return []Request{o}
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -458,7 +458,7 @@
 				c.core.Changed(now, o.Sequence, r.ok)
 			case leadership.CreateLease:
 				c.core.Held(now, o.Sequence, r.ok, r.id)
-			case leadership.Claim:
+			case leadership.ClaimLeadership:
 				c.core.Claimed(now, o.Sequence, r.ok, r.id)
 			case leadership.RenewLease:
 				c.core.Renewed(now, o.Sequence, r.ok, r.gone && ok)
@@ -494,7 +494,7 @@
 				return
 			}
 			reply(leadResult{ok: true, id: st.nextID})
-		case leadership.Claim:
+		case leadership.ClaimLeadership:
 			value, _ := json.Marshal(leadership.Holder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
 				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: o.View.EpochMark}},
