--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -34,7 +34,7 @@
 
 // Actions.
 const (
-	Read            Action = iota // read both keys: Seen
+	ReadKeys        Action = iota // read both keys: Seen
 	Watch                         // wait for a change of the keys after Revision: Changed
 	CreateLease                   // make a hold: Held
 	ClaimLeadership               // put both keys if unchanged: Claimed
@@ -213,7 +213,7 @@
 	}
 	if c.reading == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.known || (c.watching == nil && c.role != Candidate)) {
 		if !c.known || c.role != Leader {
-			o := c.order(Read)
+			o := c.order(ReadKeys)
 			c.reading = &call{o.Sequence, now}
 			out = append(out, o)
 		}
@@ -278,7 +278,7 @@
 		return nil
 	}
 	if c.reading == nil && c.election == nil {
-		o := c.order(Read)
+		o := c.order(ReadKeys)
 		c.reading = &call{o.Sequence, now}
 		return []Request{o}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -350,7 +350,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	switch o.Action {
-	case leadership.Read:
+	case leadership.ReadKeys:
 		v, err := n.state.ReadLeadership(ctx)
 		backOff(err == nil)
 		n.post(func(now time.Duration) { n.core.Seen(now, o.Sequence, err == nil, v) })
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -452,7 +452,7 @@
 		r.ok = r.ok && ok
 		c.into(func(now time.Duration) {
 			switch o.Action {
-			case leadership.Read:
+			case leadership.ReadKeys:
 				c.core.Seen(now, o.Sequence, r.ok, r.view)
 			case leadership.Watch:
 				c.core.Changed(now, o.Sequence, r.ok)
@@ -476,7 +476,7 @@
 		}
 		st.expire()
 		switch o.Action {
-		case leadership.Read:
+		case leadership.ReadKeys:
 			reply(leadResult{ok: true, view: st.view()})
 		case leadership.Watch:
 			if st.rev > o.Revision && (st.items[leadership.HolderKey].mark > o.Revision || st.holder == "") {
