--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -35,7 +35,7 @@
 // Actions.
 const (
 	ReadKeys        Action = iota // read both keys: Seen
-	Watch                         // wait for a change of the keys after Revision: Changed
+	WatchKeys                     // wait for a change of the keys after Revision: Changed
 	CreateLease                   // make a hold: Held
 	ClaimLeadership               // put both keys if unchanged: Claimed
 	RenewLease                    // renew the hold: Renewed
@@ -219,7 +219,7 @@
 		}
 	}
 	if c.role == Leader && c.watching == nil && c.known && now >= c.nextRead {
-		o := c.order(Watch)
+		o := c.order(WatchKeys)
 		c.watching = &call{o.Sequence, now}
 		out = append(out, o)
 	}
@@ -257,7 +257,7 @@
 		return []Request{o}
 	}
 	if c.watching == nil {
-		o := c.order(Watch)
+		o := c.order(WatchKeys)
 		c.watching = &call{o.Sequence, now}
 		return []Request{o}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -344,7 +344,7 @@
 
 func (n *Node) lead(o leadership.Request) {
 	limit := stateTimeout
-	if o.Action == leadership.Watch {
+	if o.Action == leadership.WatchKeys {
 		limit = watchFor + 2*time.Second
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
@@ -354,7 +354,7 @@
 		v, err := n.state.ReadLeadership(ctx)
 		backOff(err == nil)
 		n.post(func(now time.Duration) { n.core.Seen(now, o.Sequence, err == nil, v) })
-	case leadership.Watch:
+	case leadership.WatchKeys:
 		ok := n.state.Follow(ctx, leadership.Prefix, o.Revision, watchFor)
 		n.post(func(now time.Duration) { n.core.Changed(now, o.Sequence, ok) })
 	case leadership.CreateLease:
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -454,7 +454,7 @@
 			switch o.Action {
 			case leadership.ReadKeys:
 				c.core.Seen(now, o.Sequence, r.ok, r.view)
-			case leadership.Watch:
+			case leadership.WatchKeys:
 				c.core.Changed(now, o.Sequence, r.ok)
 			case leadership.CreateLease:
 				c.core.Held(now, o.Sequence, r.ok, r.id)
@@ -466,7 +466,7 @@
 		})()
 	}
 	limit := wait
-	if o.Action == leadership.Watch {
+	if o.Action == leadership.WatchKeys {
 		limit = 12 * time.Second
 	}
 	call(st.s, c.name, "state", limit, func(reply func(leadResult)) {
@@ -478,7 +478,7 @@
 		switch o.Action {
 		case leadership.ReadKeys:
 			reply(leadResult{ok: true, view: st.view()})
-		case leadership.Watch:
+		case leadership.WatchKeys:
 			if st.rev > o.Revision && (st.items[leadership.HolderKey].mark > o.Revision || st.holder == "") {
 				reply(leadResult{ok: true})
 				return
