--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -12,8 +12,8 @@
 	EpochKey  = "lead/epoch"
 )
 
-// Holder is the value of both keys.
-type Holder struct {
+// LeaseHolder is the value of both keys.
+type LeaseHolder struct {
 	Node  string `json:"n"`
 	Epoch uint64 `json:"e"`
 }
@@ -21,7 +21,7 @@
 // View is what a read of both keys showed. Marks are 0 where a key is
 // missing; Revision is the store's at the time of the read.
 type View struct {
-	Holder     *Holder
+	Holder     *LeaseHolder
 	Epoch      uint64
 	EpochNode  string
 	EpochMark  uint64
@@ -320,7 +320,7 @@
 	c.epoch = c.view.Epoch + 1
 	c.mark = mark
 	c.view.Epoch, c.view.EpochMark, c.view.Revision = c.epoch, mark, mark
-	c.view.Holder = &Holder{c.node, c.epoch}
+	c.view.Holder = &LeaseHolder{c.node, c.epoch}
 	c.renewed = sent
 	c.extend(sent)
 	return nil
@@ -362,7 +362,7 @@
 		c.heard(now, epoch)
 		c.last.Fleet = fleet
 		c.view.Epoch = epoch
-		c.view.Holder = &Holder{node, epoch}
+		c.view.Holder = &LeaseHolder{node, epoch}
 	}
 }
 
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -49,7 +49,7 @@
 	mux.Handle("/", store)
 	mux.HandleFunc(pathObserve, func(w http.ResponseWriter, _ *http.Request) {
 		o := observed{Counts: store.Counts(eventlog.Prefix), Refused: store.Refused()}
-		var holder leadership.Holder
+		var holder leadership.LeaseHolder
 		if raw := store.Value(leadership.HolderKey); raw != nil && json.Unmarshal(raw, &holder) == nil {
 			o.Leader = holder.Node
 		}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -83,7 +83,7 @@
 	before := st.holder
 	st.holder = ""
 	if it, ok := st.items[leadership.HolderKey]; ok {
-		var h leadership.Holder
+		var h leadership.LeaseHolder
 		if json.Unmarshal(it.value, &h) == nil {
 			st.holder = h.Node
 		}
@@ -495,7 +495,7 @@
 			}
 			reply(leadResult{ok: true, id: st.nextID})
 		case leadership.ClaimLeadership:
-			value, _ := json.Marshal(leadership.Holder{Node: c.name, Epoch: o.View.Epoch + 1})
+			value, _ := json.Marshal(leadership.LeaseHolder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
 				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: o.View.EpochMark}},
 					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.LeaseID)
@@ -530,7 +530,7 @@
 	v := leadership.View{Revision: st.rev}
 	for _, k := range []string{leadership.HolderKey, leadership.EpochKey} {
 		it, ok := st.items[k]
-		var h leadership.Holder
+		var h leadership.LeaseHolder
 		if !ok || json.Unmarshal(it.value, &h) != nil {
 			continue
 		}
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -60,8 +60,8 @@
 	if err := json.Unmarshal(golden(t, "sizes.json"), &sizes); err != nil || !reflect.DeepEqual(sizes.Sizes, []eventlog.VirtualSize{{ID: 413, Size: 31.5, Virtual: 12.3}}) {
 		t.Errorf("sizes are read as %+v, %v", sizes, err)
 	}
-	var h leadership.Holder
-	if err := json.Unmarshal(golden(t, "leader.json"), &h); err != nil || h != (leadership.Holder{Node: "drover-1", Epoch: 7}) {
+	var h leadership.LeaseHolder
+	if err := json.Unmarshal(golden(t, "leader.json"), &h); err != nil || h != (leadership.LeaseHolder{Node: "drover-1", Epoch: 7}) {
 		t.Errorf("the leader is read as %+v, %v", h, err)
 	}
 }
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -169,7 +169,7 @@
 	}
 	v := leadership.View{Revision: rev}
 	for _, it := range items {
-		var h leadership.Holder
+		var h leadership.LeaseHolder
 		if err := json.Unmarshal(it.Value, &h); err != nil {
 			return v, fmt.Errorf("wire: key %s: %w", it.Key, err)
 		}
@@ -185,7 +185,7 @@
 
 // Claim takes leadership if the view still holds.
 func (s *State) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
-	value := encode(leadership.Holder{Node: node, Epoch: v.Epoch + 1})
+	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.multi(ctx, txn{
 		If:   []cond{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochMark}},
 		Then: []put{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
