--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -21,12 +21,12 @@
 // View is what a read of both keys showed. Marks are 0 where a key is
 // missing; Revision is the store's at the time of the read.
 type View struct {
-	Holder     *LeaseHolder
-	Epoch      uint64
-	EpochNode  string
-	EpochMark  uint64
-	HolderMark uint64
-	Revision   uint64
+	Holder        *LeaseHolder
+	Epoch         uint64
+	EpochNode     string
+	EpochMark     uint64
+	HolderVersion uint64
+	Revision      uint64
 }
 
 // Action is what the caller must do; its result comes back as an input.
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -535,7 +535,7 @@
 			continue
 		}
 		if k == leadership.HolderKey {
-			v.Holder, v.HolderMark = &h, it.mark
+			v.Holder, v.HolderVersion = &h, it.mark
 		} else {
 			v.Epoch, v.EpochNode, v.EpochMark = h.Epoch, h.Node, it.mark
 		}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -175,7 +175,7 @@
 		}
 		switch it.Key {
 		case leadership.HolderKey:
-			v.Holder, v.HolderMark = &h, it.Mark
+			v.Holder, v.HolderVersion = &h, it.Mark
 		case leadership.EpochKey:
 			v.Epoch, v.EpochNode, v.EpochMark = h.Epoch, h.Node, it.Mark
 		}
