--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -24,7 +24,7 @@
 	Holder        *LeaseHolder
 	Epoch         uint64
 	EpochNode     string
-	EpochMark     uint64
+	EpochVersion  uint64
 	HolderVersion uint64
 	Revision      uint64
 }
@@ -319,7 +319,7 @@
 	c.role = Leader
 	c.epoch = c.view.Epoch + 1
 	c.mark = mark
-	c.view.Epoch, c.view.EpochMark, c.view.Revision = c.epoch, mark, mark
+	c.view.Epoch, c.view.EpochVersion, c.view.Revision = c.epoch, mark, mark
 	c.view.Holder = &LeaseHolder{c.node, c.epoch}
 	c.renewed = sent
 	c.extend(sent)
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -497,7 +497,7 @@
 		case leadership.ClaimLeadership:
 			value, _ := json.Marshal(leadership.LeaseHolder{Node: c.name, Epoch: o.View.Epoch + 1})
 			claim := func() txnResult {
-				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: o.View.EpochMark}},
+				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: o.View.EpochVersion}},
 					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.LeaseID)
 			}
 			if st.lateWrite([]eventlog.Write{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
@@ -537,7 +537,7 @@
 		if k == leadership.HolderKey {
 			v.Holder, v.HolderVersion = &h, it.mark
 		} else {
-			v.Epoch, v.EpochNode, v.EpochMark = h.Epoch, h.Node, it.mark
+			v.Epoch, v.EpochNode, v.EpochVersion = h.Epoch, h.Node, it.mark
 		}
 	}
 	return v
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -177,7 +177,7 @@
 		case leadership.HolderKey:
 			v.Holder, v.HolderVersion = &h, it.Mark
 		case leadership.EpochKey:
-			v.Epoch, v.EpochNode, v.EpochMark = h.Epoch, h.Node, it.Mark
+			v.Epoch, v.EpochNode, v.EpochVersion = h.Epoch, h.Node, it.Mark
 		}
 	}
 	return v, nil
@@ -187,7 +187,7 @@
 func (s *State) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.multi(ctx, txn{
-		If:   []cond{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochMark}},
+		If:   []cond{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
 		Then: []put{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
 	return out == eventlog.Applied, rev
