--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -116,8 +116,8 @@
 // Epoch and its key's version in our term.
 func (c *Elector) Epoch() uint64 { return c.epoch }
 
-// Mark is the version of the epoch key that our term's writes demand.
-func (c *Elector) Mark() uint64 { return c.mark }
+// EpochVersion is the version of the epoch key that our term's writes demand.
+func (c *Elector) EpochVersion() uint64 { return c.mark }
 
 // Sure says whether no other node can be leading. The time is counted from
 // when the last renewal that succeeded was sent: a hold never ends early.
