--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -119,9 +119,9 @@
 // EpochVersion is the version of the epoch key that our term's writes demand.
 func (c *Elector) EpochVersion() uint64 { return c.mark }
 
-// Sure says whether no other node can be leading. The time is counted from
+// LeaseValid says whether no other node can be leading. The time is counted from
 // when the last renewal that succeeded was sent: a hold never ends early.
-func (c *Elector) Sure(now time.Duration) bool { return c.role == Leader && now < c.sure }
+func (c *Elector) LeaseValid(now time.Duration) bool { return c.role == Leader && now < c.sure }
 
 // LeaderName is the node that holds the key as last seen, or empty.
 func (c *Elector) LeaderName() string {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -120,7 +120,7 @@
 
 // ready says whether jobs can be spoken of.
 func (c *Core) ready(now time.Duration) bool {
-	return c.term != nil && c.term.Loaded() && c.lead.Sure(now)
+	return c.term != nil && c.term.Loaded() && c.lead.LeaseValid(now)
 }
 
 // Tick is called several times a second.
@@ -133,11 +133,11 @@
 		}
 	}
 	c.probe(now)
-	if c.lead.Sure(now) {
+	if c.lead.LeaseValid(now) {
 		c.sureAt = now
 	}
 	if c.term != nil {
-		c.term.Tick(now, c.lead.Sure(now))
+		c.term.Tick(now, c.lead.LeaseValid(now))
 		c.heartbeat(now)
 		if c.term.Spent() {
 			// After hundreds of thousands of machines that changed their block, or direct starts
@@ -165,7 +165,7 @@
 			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.Fleet(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
-	if len(c.cfg.Peers) == 0 || !c.lead.Sure(now) || now-c.term.Began < cutOffAfter || c.heardOf(now) || !c.term.Deaf(now) {
+	if len(c.cfg.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.Began < cutOffAfter || c.heardOf(now) || !c.term.Deaf(now) {
 		c.deafAt = now
 		return
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -52,7 +52,7 @@
 // Committed takes the outcome of a commit of the term.
 func (c *Core) Committed(now time.Duration, epoch, seq uint64, out eventlog.Outcome, mark uint64, failed []string) {
 	if c.term != nil && c.term.Epoch == epoch {
-		if c.term.Committed(now, c.lead.Sure(now), seq, out, mark, failed) == eventlog.Lost {
+		if c.term.Committed(now, c.lead.LeaseValid(now), seq, out, mark, failed) == eventlog.Lost {
 			c.lead.Superseded(now, c.lead.Epoch()+1)
 		}
 	}
@@ -62,7 +62,7 @@
 // Rechecked takes the value that settles a commit without an answer.
 func (c *Core) Rechecked(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Rechecked(now, c.lead.Sure(now), read, mark, value)
+		c.term.Rechecked(now, c.lead.LeaseValid(now), read, mark, value)
 	}
 	c.after(now)
 }
@@ -104,7 +104,7 @@
 // not known what became of them.
 func (c *Core) Launched(now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Launched(now, c.lead.Sure(now), machine, token, starts, r)
+		c.term.Launched(now, c.lead.LeaseValid(now), machine, token, starts, r)
 	}
 	c.after(now)
 }
