--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -285,8 +285,8 @@
 	return nil
 }
 
-// Held takes the result of Hold.
-func (c *Elector) Held(now time.Duration, seq uint64, ok bool, hold uint64) []Request {
+// LeaseCreated takes the result of Hold.
+func (c *Elector) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) []Request {
 	if c.election == nil || c.election.seq != seq {
 		return nil
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -25,7 +25,7 @@
 
 // Held takes the result of leadership's Hold.
 func (c *Core) Held(now time.Duration, seq uint64, ok bool, hold uint64) {
-	c.orders(c.lead.Held(now, seq, ok, hold))
+	c.orders(c.lead.LeaseCreated(now, seq, ok, hold))
 	c.after(now)
 }
 
