--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -226,8 +226,8 @@
 	return out
 }
 
-// Seen takes the result of Read.
-func (c *Elector) Seen(now time.Duration, seq uint64, ok bool, v View) []Request {
+// KeysRead takes the result of Read.
+func (c *Elector) KeysRead(now time.Duration, seq uint64, ok bool, v View) []Request {
 	if c.reading == nil || c.reading.seq != seq {
 		return nil
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -13,7 +13,7 @@
 
 // Seen takes the result of leadership's Read.
 func (c *Core) Seen(now time.Duration, seq uint64, ok bool, v leadership.View) {
-	c.orders(c.lead.Seen(now, seq, ok, v))
+	c.orders(c.lead.KeysRead(now, seq, ok, v))
 	c.after(now)
 }
 
