--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -264,8 +264,8 @@
 	return nil
 }
 
-// Changed takes the result of Watch: something changed, or the time ran out.
-func (c *Elector) Changed(now time.Duration, seq uint64, ok bool) []Request {
+// WatchEnded takes the result of Watch: something changed, or the time ran out.
+func (c *Elector) WatchEnded(now time.Duration, seq uint64, ok bool) []Request {
 	if c.watching == nil || c.watching.seq != seq {
 		return nil
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -19,7 +19,7 @@
 
 // Changed takes the result of leadership's Watch.
 func (c *Core) Changed(now time.Duration, seq uint64, ok bool) {
-	c.orders(c.lead.Changed(now, seq, ok))
+	c.orders(c.lead.WatchEnded(now, seq, ok))
 	c.after(now)
 }
 
