--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -302,10 +302,10 @@
 	return []Request{o}
 }
 
-// Claimed takes the result of Claim; mark is the revision of the change. An
+// LeadershipClaimed takes the result of Claim; mark is the revision of the change. An
 // unanswered claim counts as failed: should it be applied yet, the hold that
 // is given back takes the key along.
-func (c *Elector) Claimed(now time.Duration, seq uint64, ok bool, mark uint64) []Request {
+func (c *Elector) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) []Request {
 	if c.election == nil || c.election.seq != seq {
 		return nil
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -31,7 +31,7 @@
 
 // Claimed takes the result of leadership's Claim.
 func (c *Core) Claimed(now time.Duration, seq uint64, ok bool, mark uint64) {
-	c.orders(c.lead.Claimed(now, seq, ok, mark))
+	c.orders(c.lead.LeadershipClaimed(now, seq, ok, mark))
 	c.after(now)
 }
 
