--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -326,8 +326,8 @@
 	return nil
 }
 
-// Renewed takes the result of Renew; gone means the hold has ended.
-func (c *Elector) Renewed(now time.Duration, seq uint64, ok, gone bool) []Request {
+// LeaseRenewed takes the result of Renew; gone means the hold has ended.
+func (c *Elector) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) []Request {
 	if c.renewing == nil || c.renewing.seq != seq || c.role != Leader {
 		return nil
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -37,7 +37,7 @@
 
 // Renewed takes the result of leadership's Renew.
 func (c *Core) Renewed(now time.Duration, seq uint64, ok, gone bool) {
-	c.orders(c.lead.Renewed(now, seq, ok, gone))
+	c.orders(c.lead.LeaseRenewed(now, seq, ok, gone))
 	c.after(now)
 }
 
