--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -74,7 +74,7 @@
 	life time.Duration
 	// Doubt: a follower that has heard nothing of a leader for so long asks the state
 	// service, besides its watch, which says nothing while it is cut off. 0: never.
-	Doubt time.Duration
+	SilenceLimit time.Duration
 
 	role    Role
 	view    View
@@ -151,7 +151,7 @@
 // inDoubt says whether a follower should ask instead of waiting for its watch: nothing was
 // heard of the leader for a while, nor of the state service.
 func (c *Elector) inDoubt(now time.Duration) bool {
-	return c.Doubt > 0 && c.role == Follower && c.led > 0 && now-c.led >= c.Doubt && now-c.served >= unserved/2
+	return c.SilenceLimit > 0 && c.role == Follower && c.led > 0 && now-c.led >= c.SilenceLimit && now-c.served >= unserved/2
 }
 
 // Vacancy is when this node last heard of another leader, 0 if it never did, and
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -51,7 +51,7 @@
 	lead := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderHoldS))
 	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
 		// To tell a leader that merely does not reach this node from one that is gone.
-		lead.Doubt = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
+		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
 	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.Asker]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
 }
