--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -154,9 +154,9 @@
 	return c.SilenceLimit > 0 && c.role == Follower && c.led > 0 && now-c.led >= c.SilenceLimit && now-c.served >= unserved/2
 }
 
-// Vacancy is when this node last heard of another leader, 0 if it never did, and
+// WithoutLeader is when this node last heard of another leader, 0 if it never did, and
 // since when it has seen that nobody leads. A new leader asks for it.
-func (c *Elector) Vacancy() (led, since time.Duration) { return c.led, c.vacant }
+func (c *Elector) WithoutLeader() (led, since time.Duration) { return c.led, c.vacant }
 
 // heard notes that somebody leads, or led until now.
 func (c *Elector) heard(now time.Duration, epoch uint64) {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -89,7 +89,7 @@
 	}
 	if c.term == nil && leading {
 		c.counts.Terms++
-		led, vacant := c.lead.Vacancy()
+		led, vacant := c.lead.WithoutLeader()
 		c.term = term.New(cluster.Start{Cfg: c.cfg, Zero: c.zero, Epoch: c.lead.Epoch(), LastLed: led, Before: c.lead.LedBefore(c.lead.Epoch()), Noticed: vacant, Began: now, Counts: &c.counts, Measures: &c.measures, Config: &c.config})
 		c.out = append(c.out, effects.Note{Level: effects.Info, Text: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.Load{Epoch: c.term.Epoch})
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -86,7 +86,7 @@
 // highest token that the worker has seen, and with nothing to do. Such a worker has tried
 // the others before, and would be the same at another node that is cut off too.
 func (c *Core) cutOff(now time.Duration) bool {
-	heard, _ := c.lead.Vacancy()
+	heard, _ := c.lead.WithoutLeader()
 	silent := now - heard
 	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.cfg.Tunables.ZonePatienceS) && !c.lead.Served(now)
 }
