--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -141,9 +141,9 @@
 // unserved is for how long the state service must not have answered a node that asks it.
 const unserved = 3 * time.Second
 
-// Served says whether the state service has answered lately. It means something only
+// StateServiceAnswers says whether the state service has answered lately. It means something only
 // where nothing was heard of a leader for Doubt: until then the node merely watches.
-func (c *Elector) Served(now time.Duration) bool { return now-c.served < unserved }
+func (c *Elector) StateServiceAnswers(now time.Duration) bool { return now-c.served < unserved }
 
 // LastServed is when it answered last.
 func (c *Elector) LastServed() time.Duration { return c.served }
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -88,7 +88,7 @@
 func (c *Core) cutOff(now time.Duration) bool {
 	heard, _ := c.lead.WithoutLeader()
 	silent := now - heard
-	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.cfg.Tunables.ZonePatienceS) && !c.lead.Served(now)
+	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.cfg.Tunables.ZonePatienceS) && !c.lead.StateServiceAnswers(now)
 }
 
 // finish makes of the leader's word on a report what its worker is told: with
@@ -210,7 +210,7 @@
 // leftOut says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
 func (c *Core) leftOut(now time.Duration) bool {
-	return c.apartFrom != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.lead.Served(now) && c.lostAt < c.lead.LastServed()+together
+	return c.apartFrom != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.lead.StateServiceAnswers(now) && c.lostAt < c.lead.LastServed()+together
 }
 
 // together: what is lost within this time of one another is lost at once.
