--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -145,8 +145,8 @@
 // where nothing was heard of a leader for Doubt: until then the node merely watches.
 func (c *Elector) StateServiceAnswers(now time.Duration) bool { return now-c.served < unserved }
 
-// LastServed is when it answered last.
-func (c *Elector) LastServed() time.Duration { return c.served }
+// StateServiceAnsweredAt is when it answered last.
+func (c *Elector) StateServiceAnsweredAt() time.Duration { return c.served }
 
 // inDoubt says whether a follower should ask instead of waiting for its watch: nothing was
 // heard of the leader for a while, nor of the state service.
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -210,7 +210,7 @@
 // leftOut says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
 func (c *Core) leftOut(now time.Duration) bool {
-	return c.apartFrom != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.lead.StateServiceAnswers(now) && c.lostAt < c.lead.LastServed()+together
+	return c.apartFrom != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.lead.StateServiceAnswers(now) && c.lostAt < c.lead.StateServiceAnsweredAt()+together
 }
 
 // together: what is lost within this time of one another is lost at once.
