--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -134,9 +134,9 @@
 	return ""
 }
 
-// Watches says whether a change of the keys would be noticed at once: they were
+// Watching says whether a change of the keys would be noticed at once: they were
 // read, and a watch is open since.
-func (c *Elector) Watches() bool { return c.known && c.watching != nil }
+func (c *Elector) Watching() bool { return c.known && c.watching != nil }
 
 // unserved is for how long the state service must not have answered a node that asks it.
 const unserved = 3 * time.Second
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -147,7 +147,7 @@
 // users' requests nor reports.
 func (c *Core) Apart(now time.Duration) bool {
 	leader := c.lead.LeaderName()
-	return leader != "" && leader == c.apartFrom && now-c.lostAt >= c.tooFar() && c.lead.Watches()
+	return leader != "" && leader == c.apartFrom && now-c.lostAt >= c.tooFar() && c.lead.Watching()
 }
 
 // probe asks now and then whether a leader that was not reached can be: there may
