--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -193,8 +193,8 @@
 	return c.last
 }
 
-// Highest gives the highest epoch known.
-func (c *Elector) Highest() uint64 { return max(c.epoch, c.view.Epoch) }
+// HighestEpoch gives the highest epoch known.
+func (c *Elector) HighestEpoch() uint64 { return max(c.epoch, c.view.Epoch) }
 
 func (c *Elector) order(a Action) Request {
 	c.seq++
@@ -349,7 +349,7 @@
 // that the state service does not serve learns so where to send users and
 // workers. It is a hint for routing; nothing else depends on it.
 func (c *Elector) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet Fleet) {
-	if epoch < c.Highest() || node == c.node {
+	if epoch < c.HighestEpoch() || node == c.node {
 		return
 	}
 	if c.role == Leader {
