--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -185,8 +185,8 @@
 	Fleet        Fleet
 }
 
-// LedBefore is what this node knows of the last leader of an epoch before the given one.
-func (c *Elector) LedBefore(epoch uint64) Led {
+// PreviousLeader is what this node knows of the last leader of an epoch before the given one.
+func (c *Elector) PreviousLeader(epoch uint64) Led {
 	if c.ledIn >= epoch {
 		return c.before
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -90,7 +90,7 @@
 	if c.term == nil && leading {
 		c.counts.Terms++
 		led, vacant := c.lead.WithoutLeader()
-		c.term = term.New(cluster.Start{Cfg: c.cfg, Zero: c.zero, Epoch: c.lead.Epoch(), LastLed: led, Before: c.lead.LedBefore(c.lead.Epoch()), Noticed: vacant, Began: now, Counts: &c.counts, Measures: &c.measures, Config: &c.config})
+		c.term = term.New(cluster.Start{Cfg: c.cfg, Zero: c.zero, Epoch: c.lead.Epoch(), LastLed: led, Before: c.lead.PreviousLeader(c.lead.Epoch()), Noticed: vacant, Began: now, Counts: &c.counts, Measures: &c.measures, Config: &c.config})
 		c.out = append(c.out, effects.Note{Level: effects.Info, Text: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.Load{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
@@ -201,7 +201,7 @@
 }
 
 // LedBefore is what this node knows of the last leader of an epoch before the given one.
-func (c *Core) LedBefore(epoch uint64) leadership.Led { return c.lead.LedBefore(epoch) }
+func (c *Core) LedBefore(epoch uint64) leadership.Led { return c.lead.PreviousLeader(epoch) }
 
 // PeerLed takes a peer's answer to AskLed, with its times on this node's clock; known is
 // false where there was none.
