--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -96,8 +96,8 @@
 	served time.Duration // when the state service last answered
 	led    time.Duration // when a leader was last heard of, 0: never
 	ledIn  uint64        // its epoch
-	last   Led           // the leader of that epoch
-	before Led           // and of the one before it
+	last   LeaderRecord  // the leader of that epoch
+	before LeaderRecord  // and of the one before it
 	vacant time.Duration // since when nobody has led, as far as this node saw
 	empty  bool
 }
@@ -161,7 +161,7 @@
 // heard notes that somebody leads, or led until now.
 func (c *Elector) heard(now time.Duration, epoch uint64) {
 	if epoch != c.ledIn {
-		c.before, c.last, c.ledIn = c.last, Led{Ever: true, Since: now}, epoch
+		c.before, c.last, c.ledIn = c.last, LeaderRecord{Ever: true, Since: now}, epoch
 	}
 	c.led, c.empty = now, false
 	c.last.Until = now
@@ -177,16 +177,16 @@
 	Known                  // it does
 )
 
-// Led is what a node knows of a leader: that there ever was one, from when to when it was
+// LeaderRecord is what a node knows of a leader: that there ever was one, from when to when it was
 // heard, and what it last said of its fleet.
-type Led struct {
+type LeaderRecord struct {
 	Ever         bool
 	Since, Until time.Duration
 	Fleet        Fleet
 }
 
 // PreviousLeader is what this node knows of the last leader of an epoch before the given one.
-func (c *Elector) PreviousLeader(epoch uint64) Led {
+func (c *Elector) PreviousLeader(epoch uint64) LeaderRecord {
 	if c.ledIn >= epoch {
 		return c.before
 	}
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -136,13 +136,13 @@
 // otherwise what the others say. One that says nothing proves nothing.
 func TestTold(t *testing.T) {
 	at := 100 * time.Second
-	led := func(ago, lasted time.Duration, f leadership.Fleet) leadership.Led {
-		return leadership.Led{Ever: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
+	led := func(ago, lasted time.Duration, f leadership.Fleet) leadership.LeaderRecord {
+		return leadership.LeaderRecord{Ever: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
 	}
-	none := leadership.Led{}
+	none := leadership.LeaderRecord{}
 	for _, c := range []struct {
 		name   string
-		before leadership.Led
+		before leadership.LeaderRecord
 		answer func(d *Duty)
 		want   kind
 	}{
@@ -251,7 +251,7 @@
 	}
 	// A successor remembers it, once, and no more than it is to keep.
 	next := begun(func(s *cluster.Start, _ *settings.Tunables) {
-		s.Before = leadership.Led{Ever: true, Until: 99 * time.Second, Fleet: leadership.Known}
+		s.Before = leadership.LeaderRecord{Ever: true, Until: 99 * time.Second, Fleet: leadership.Known}
 	})
 	for _, epoch := range []uint64{1, 2, 7, 7} {
 		r.Epoch = epoch
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -118,7 +118,7 @@
 // said anything. Found by a random day on which the first leader after a cold start fell
 // in the middle of its census: the next one took over as from any other, and deleted
 // machines that were on their way.
-func (d *Duty) takenOver(now time.Duration, led leadership.Led) bool {
+func (d *Duty) takenOver(now time.Duration, led leadership.LeaderRecord) bool {
 	return led.Ever && now-led.Until < settings.Seconds(d.Cfg.Tunables.ColdAfterS) &&
 		(led.Fleet == leadership.Known || (led.Fleet == leadership.Unsaid && led.Until-led.Since >= saysWithin))
 }
@@ -133,7 +133,7 @@
 
 // PeerLed takes another controller's word on the last leader before this one. known is
 // false where there was no answer.
-func (d *Duty) PeerLed(now time.Duration, peer string, led leadership.Led, known bool) {
+func (d *Duty) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if known {
 		d.heard[peer] = now
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -300,7 +300,7 @@
 }
 
 // PeerLed takes another controller's word on when it last heard a leader before this one.
-func (t *Term) PeerLed(now time.Duration, peer string, led leadership.Led, known bool) {
+func (t *Term) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if t.cold != nil && t.loaded {
 		t.cold.PeerLed(now, peer, led, known)
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -201,11 +201,11 @@
 }
 
 // LedBefore is what this node knows of the last leader of an epoch before the given one.
-func (c *Core) LedBefore(epoch uint64) leadership.Led { return c.lead.PreviousLeader(epoch) }
+func (c *Core) LedBefore(epoch uint64) leadership.LeaderRecord { return c.lead.PreviousLeader(epoch) }
 
 // PeerLed takes a peer's answer to AskLed, with its times on this node's clock; known is
 // false where there was none.
-func (c *Core) PeerLed(now time.Duration, epoch uint64, peer string, led leadership.Led, known bool) {
+func (c *Core) PeerLed(now time.Duration, epoch uint64, peer string, led leadership.LeaderRecord, known bool) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.PeerLed(now, peer, led, known)
 	}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -468,13 +468,13 @@
 	case effects.AskLed:
 		if o := s.node(e.Peer); o != nil {
 			life := c.life
-			call(s, c.name, o.name, wait, func(reply func(leadership.Led)) {
+			call(s, c.name, o.name, wait, func(reply func(leadership.LeaderRecord)) {
 				if o.up && !o.old {
 					led, now := o.core.LedBefore(e.Epoch), o.clock()
 					led.Since, led.Until = led.Since-now, led.Until-now // so long before
 					reply(led)
 				}
-			}, func(led leadership.Led, ok bool) {
+			}, func(led leadership.LeaderRecord, ok bool) {
 				if c.life == life {
 					c.into(func(now time.Duration) {
 						led.Since, led.Until = now+led.Since, now+led.Until
