--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -167,14 +167,14 @@
 	c.last.Until = now
 }
 
-// Fleet is what a leader says of itself: whether it knows what its machines do.
-type Fleet uint8
+// FleetKnowledge is what a leader says of itself: whether it knows what its machines do.
+type FleetKnowledge uint8
 
 // What a leader may say.
 const (
-	Unsaid    Fleet = iota // nothing: it is of a version, or has settings, that do not
-	Listening              // not yet
-	Known                  // it does
+	Unsaid    FleetKnowledge = iota // nothing: it is of a version, or has settings, that do not
+	Listening                       // not yet
+	Known                           // it does
 )
 
 // LeaderRecord is what a node knows of a leader: that there ever was one, from when to when it was
@@ -182,7 +182,7 @@
 type LeaderRecord struct {
 	Ever         bool
 	Since, Until time.Duration
-	Fleet        Fleet
+	Fleet        FleetKnowledge
 }
 
 // PreviousLeader is what this node knows of the last leader of an epoch before the given one.
@@ -348,7 +348,7 @@
 // HeartbeatReceived takes a leader's word, from the leader itself, that it leads: a node
 // that the state service does not serve learns so where to send users and
 // workers. It is a hint for routing; nothing else depends on it.
-func (c *Elector) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet Fleet) {
+func (c *Elector) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet FleetKnowledge) {
 	if epoch < c.HighestEpoch() || node == c.node {
 		return
 	}
--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -69,7 +69,7 @@
 	Heartbeat struct {
 		Peer   string
 		Epoch  uint64
-		Fleet  leadership.Fleet
+		Fleet  leadership.FleetKnowledge
 		Config *config.Update // what it lacks of the configuration; nil: nothing is said of it
 	}
 	// Probe asks whether a peer can be reached at all.
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -136,7 +136,7 @@
 // otherwise what the others say. One that says nothing proves nothing.
 func TestTold(t *testing.T) {
 	at := 100 * time.Second
-	led := func(ago, lasted time.Duration, f leadership.Fleet) leadership.LeaderRecord {
+	led := func(ago, lasted time.Duration, f leadership.FleetKnowledge) leadership.LeaderRecord {
 		return leadership.LeaderRecord{Ever: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
 	}
 	none := leadership.LeaderRecord{}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -124,7 +124,7 @@
 }
 
 // Fleet is what this leader says of itself.
-func (d *Duty) Fleet() leadership.Fleet {
+func (d *Duty) Fleet() leadership.FleetKnowledge {
 	if d.kind == ordinary || (d.census != nil && d.census.done) {
 		return leadership.Known
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -307,7 +307,7 @@
 }
 
 // Fleet is what this leader tells the others of whether it knows what its machines do.
-func (t *Term) Fleet() leadership.Fleet {
+func (t *Term) Fleet() leadership.FleetKnowledge {
 	switch {
 	case t.cold == nil:
 		return leadership.Unsaid
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -213,7 +213,7 @@
 }
 
 // HeartbeatReceived takes a heartbeat of the leader.
-func (c *Core) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet leadership.Fleet) {
+func (c *Core) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet leadership.FleetKnowledge) {
 	c.lead.HeartbeatReceived(now, node, epoch, fleet)
 	c.after(now)
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -119,7 +119,7 @@
 type LedAnswer struct {
 	Ever            bool
 	AgoMS, LastedMS int64
-	Fleet           leadership.Fleet
+	Fleet           leadership.FleetKnowledge
 }
 
 // LedBefore tells a new leader when this controller last heard one of an earlier epoch.
@@ -134,7 +134,7 @@
 type HeartbeatMessage struct {
 	Node  string
 	Epoch uint64
-	Fleet leadership.Fleet // left out where nothing is said
+	Fleet leadership.FleetKnowledge // left out where nothing is said
 }
 
 // Hail takes the leader's heartbeat. Its name is the one that older versions call.
