--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -147,8 +147,8 @@
 		want   kind
 	}{
 		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.Known), func(*Duty) {}, ordinary},
-		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.Unsaid), func(*Duty) {}, ordinary},
-		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.Unsaid), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
+		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Duty) {}, ordinary},
+		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.Listening), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.Known), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"it never did, and nobody answers", none, func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
@@ -169,7 +169,7 @@
 			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.Listening), true)
 			d.PeerLed(at, "n2", none, true)
 		}, cold},
-		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.Unsaid), func(d *Duty) {
+		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Duty) {
 			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.Known), true)
 		}, ordinary},
 	} {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -310,7 +310,7 @@
 func (t *Term) Fleet() leadership.FleetKnowledge {
 	switch {
 	case t.cold == nil:
-		return leadership.Unsaid
+		return leadership.FleetUnsaid
 	case !t.loaded:
 		return leadership.Listening
 	}
