--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -172,9 +172,9 @@
 
 // What a leader may say.
 const (
-	FleetUnsaid FleetKnowledge = iota // nothing: it is of a version, or has settings, that do not
-	Listening                         // not yet
-	Known                             // it does
+	FleetUnsaid    FleetKnowledge = iota // nothing: it is of a version, or has settings, that do not
+	FleetListening                       // not yet
+	Known                                // it does
 )
 
 // LeaderRecord is what a node knows of a leader: that there ever was one, from when to when it was
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -149,7 +149,7 @@
 		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.Known), func(*Duty) {}, ordinary},
 		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Duty) {}, ordinary},
 		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.Listening), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
+		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.Known), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"it never did, and nobody answers", none, func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"the others have not answered yet", none, func(d *Duty) { d.PeerLed(at, "n1", none, true) }, undecided},
@@ -166,7 +166,7 @@
 			d.PeerLed(at, "n2", none, true)
 		}, cold},
 		{"another one heard one that was listening", none, func(d *Duty) {
-			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.Listening), true)
+			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.FleetListening), true)
 			d.PeerLed(at, "n2", none, true)
 		}, cold},
 		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Duty) {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -128,7 +128,7 @@
 	if d.kind == ordinary || (d.census != nil && d.census.done) {
 		return leadership.Known
 	}
-	return leadership.Listening
+	return leadership.FleetListening
 }
 
 // PeerLed takes another controller's word on the last leader before this one. known is
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -312,7 +312,7 @@
 	case t.cold == nil:
 		return leadership.FleetUnsaid
 	case !t.loaded:
-		return leadership.Listening
+		return leadership.FleetListening
 	}
 	return t.cold.Fleet()
 }
