--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -174,7 +174,7 @@
 const (
 	FleetUnsaid    FleetKnowledge = iota // nothing: it is of a version, or has settings, that do not
 	FleetListening                       // not yet
-	Known                                // it does
+	FleetKnown                           // it does
 )
 
 // LeaderRecord is what a node knows of a leader: that there ever was one, from when to when it was
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -146,11 +146,11 @@
 		answer func(d *Duty)
 		want   kind
 	}{
-		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.Known), func(*Duty) {}, ordinary},
+		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Duty) {}, ordinary},
 		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Duty) {}, ordinary},
 		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.Known), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
+		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"it never did, and nobody answers", none, func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
 		{"the others have not answered yet", none, func(d *Duty) { d.PeerLed(at, "n1", none, true) }, undecided},
 		{"nor did the others", none, func(d *Duty) {
@@ -159,10 +159,10 @@
 		}, cold},
 		{"another one did", none, func(d *Duty) {
 			d.PeerLed(at, "n1", none, true)
-			d.PeerLed(at, "n2", led(time.Second, time.Minute, leadership.Known), true)
+			d.PeerLed(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, ordinary},
 		{"another one did, long ago", none, func(d *Duty) {
-			d.PeerLed(at, "n1", led(9*time.Second, time.Minute, leadership.Known), true)
+			d.PeerLed(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
 			d.PeerLed(at, "n2", none, true)
 		}, cold},
 		{"another one heard one that was listening", none, func(d *Duty) {
@@ -170,7 +170,7 @@
 			d.PeerLed(at, "n2", none, true)
 		}, cold},
 		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Duty) {
-			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.Known), true)
+			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, ordinary},
 	} {
 		d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Before = c.before })
@@ -251,7 +251,7 @@
 	}
 	// A successor remembers it, once, and no more than it is to keep.
 	next := begun(func(s *cluster.Start, _ *settings.Tunables) {
-		s.Before = leadership.LeaderRecord{Ever: true, Until: 99 * time.Second, Fleet: leadership.Known}
+		s.Before = leadership.LeaderRecord{Ever: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
 	})
 	for _, epoch := range []uint64{1, 2, 7, 7} {
 		r.Epoch = epoch
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -120,13 +120,13 @@
 // machines that were on their way.
 func (d *Duty) takenOver(now time.Duration, led leadership.LeaderRecord) bool {
 	return led.Ever && now-led.Until < settings.Seconds(d.Cfg.Tunables.ColdAfterS) &&
-		(led.Fleet == leadership.Known || (led.Fleet == leadership.FleetUnsaid && led.Until-led.Since >= saysWithin))
+		(led.Fleet == leadership.FleetKnown || (led.Fleet == leadership.FleetUnsaid && led.Until-led.Since >= saysWithin))
 }
 
 // Fleet is what this leader says of itself.
 func (d *Duty) Fleet() leadership.FleetKnowledge {
 	if d.kind == ordinary || (d.census != nil && d.census.done) {
-		return leadership.Known
+		return leadership.FleetKnown
 	}
 	return leadership.FleetListening
 }
