--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -27,8 +27,8 @@
 	slice   = time.Second / 2
 )
 
-// Door counts who was turned away lately, and spreads them out.
-type Door struct {
+// Controller counts who was turned away lately, and spreads them out.
+type Controller struct {
 	rate    float64 // requests a second that are taken when all goes well
 	count   [kinds][slices]float64
 	at      int64         // the current slice
@@ -39,7 +39,9 @@
 // NewDoor makes a door behind which so many requests a second can be taken. zero is the
 // time of day at time 0: turns go by that, so that all controllers agree on them within
 // the bound of their clocks.
-func NewDoor(rate float64, zero time.Duration) *Door { return &Door{rate: max(rate, 1), zero: zero} }
+func NewDoor(rate float64, zero time.Duration) *Controller {
+	return &Controller{rate: max(rate, 1), zero: zero}
+}
 
 // Turns: where far more is asked than can be answered, chance alone would leave some
 // question unanswered for minutes. So each job has a turn of its own, once a cycle, in which
@@ -53,7 +55,7 @@
 )
 
 // untilTurn is in how many seconds a job's turn begins, 0 while it is under way.
-func (d *Door) untilTurn(now time.Duration, job uint64) int {
+func (d *Controller) untilTurn(now time.Duration, job uint64) int {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], job)
 	slot := int64(xxhash.Sum64(key[:]) % cycle)
@@ -72,7 +74,7 @@
 // submissions over the first of them and polls over those that follow. Where in its span
 // a request falls is the hash of its job and of the time: it differs from try to try, so
 // that two who met once do not meet for ever, and needs no randomness.
-func (d *Door) Turned(now time.Duration, kind Kind, job uint64, least int) int {
+func (d *Controller) Turned(now time.Duration, kind Kind, job uint64, least int) int {
 	d.turn(now)
 	d.count[kind][d.at%slices]++
 	before, span := 0.0, d.seconds(Submit)
@@ -103,7 +105,7 @@
 }
 
 // seconds is how long those turned away take to be served.
-func (d *Door) seconds(kind Kind) float64 {
+func (d *Controller) seconds(kind Kind) float64 {
 	sum := 0.0
 	for _, n := range d.count[kind] {
 		sum += n
@@ -112,7 +114,7 @@
 }
 
 // turn forgets what is over.
-func (d *Door) turn(now time.Duration) {
+func (d *Controller) turn(now time.Duration) {
 	at := int64(now / slice)
 	for n := min(at-d.at, slices); n > 0; n-- {
 		for k := range d.count {
@@ -132,7 +134,7 @@
 
 // LetIn says whether a request about a job may enter a queue of so many places with so many
 // taken.
-func (d *Door) LetIn(now time.Duration, kind Kind, job uint64, taken, places int) bool {
+func (d *Controller) LetIn(now time.Duration, kind Kind, job uint64, taken, places int) bool {
 	d.turn(now)
 	share := queueShare[kind]
 	if kind == Poll && now < d.crowded && d.untilTurn(now, job) > 0 {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 	workers *wire.Workers
 	hook    *webhook.Sender // nil: operators are told by logs alone
 
-	admit       *admission.Door // nil: users who are turned away are told the least there is
+	admit       *admission.Controller // nil: users who are turned away are told the least there is
 	admitMu     sync.Mutex
 	receiptKeys keyCache
 	refused     atomic.Uint64 // messages of other controllers that were not taken
