--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -36,10 +36,10 @@
 	crowded time.Duration // until when jobs take turns
 }
 
-// NewDoor makes a door behind which so many requests a second can be taken. zero is the
+// NewController makes a door behind which so many requests a second can be taken. zero is the
 // time of day at time 0: turns go by that, so that all controllers agree on them within
 // the bound of their clocks.
-func NewDoor(rate float64, zero time.Duration) *Controller {
+func NewController(rate float64, zero time.Duration) *Controller {
 	return &Controller{rate: max(rate, 1), zero: zero}
 }
 
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -8,7 +8,7 @@
 // A few who are turned away come back after the least there is: nobody waits longer
 // than needed.
 func TestFewComeBackAtOnce(t *testing.T) {
-	d := NewDoor(400, 0)
+	d := NewController(400, 0)
 	for i := range uint64(100) {
 		if s := d.Turned(time.Duration(i)*30*time.Millisecond, Kind(i%2), i, 1); s != 1 {
 			t.Fatalf("after %d s", s)
@@ -23,7 +23,7 @@
 // second brings back more than half as many again as can be taken; submissions first.
 func TestManyAreSpread(t *testing.T) {
 	const rate = 200
-	d := NewDoor(rate, 0)
+	d := NewController(rate, 0)
 	now := 10 * time.Second
 	for i := range uint64(2000) { // the first ones cannot know how many will follow
 		d.Turned(now, Kind(i%2), i, 1)
@@ -58,7 +58,7 @@
 // The same two jobs, turned away together again and again, do not always come back
 // together.
 func TestNotInStep(t *testing.T) {
-	d := NewDoor(1, 0)
+	d := NewController(1, 0)
 	apart := 0
 	for i := range 50 {
 		now := time.Duration(i) * 700 * time.Millisecond
@@ -72,7 +72,7 @@
 }
 
 func TestQueue(t *testing.T) {
-	in := func(k Kind, taken int) bool { return NewDoor(400, 0).LetIn(time.Second, k, 1, taken, 512) }
+	in := func(k Kind, taken int) bool { return NewController(400, 0).LetIn(time.Second, k, 1, taken, 512) }
 	if !in(Poll, 255) || in(Poll, 256) || !in(Submit, 383) || in(Submit, 384) {
 		t.Error("polls may fill half of the queue, submissions three quarters")
 	}
--- a/internal/core/admission/fair_test.go
+++ b/internal/core/admission/fair_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	const places, step = 512, 10 * time.Millisecond
 	r := rand.New(rand.NewPCG(1, 29))
-	d := NewDoor(float64(perSecond)*2/3, 0)
+	d := NewController(float64(perSecond)*2/3, 0)
 	due := make([][]int32, 40000) // by step
 	at := func(when time.Duration, u int32) {
 		i := int(when / step)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -85,7 +85,7 @@
 		n.hook = webhook.New(url, cfg.WebhookKey, log)
 	}
 	if rate := cfg.Tunables.DoorRate; rate > 0 {
-		n.admit = admission.NewDoor(rate, time.Duration(start.UnixMilli())*time.Millisecond)
+		n.admit = admission.NewController(rate, time.Duration(start.UnixMilli())*time.Millisecond)
 	}
 	n.now.Store(&standing{})
 	return n
