--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -132,9 +132,9 @@
 // outOfTurn is the share of that of polls which those get whose turn it is not.
 const outOfTurn = 0.25
 
-// LetIn says whether a request about a job may enter a queue of so many places with so many
+// Admit says whether a request about a job may enter a queue of so many places with so many
 // taken.
-func (d *Controller) LetIn(now time.Duration, kind Kind, job uint64, taken, places int) bool {
+func (d *Controller) Admit(now time.Duration, kind Kind, job uint64, taken, places int) bool {
 	d.turn(now)
 	share := queueShare[kind]
 	if kind == Poll && now < d.crowded && d.untilTurn(now, job) > 0 {
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -72,7 +72,7 @@
 }
 
 func TestQueue(t *testing.T) {
-	in := func(k Kind, taken int) bool { return NewController(400, 0).LetIn(time.Second, k, 1, taken, 512) }
+	in := func(k Kind, taken int) bool { return NewController(400, 0).Admit(time.Second, k, 1, taken, 512) }
 	if !in(Poll, 255) || in(Poll, 256) || !in(Submit, 383) || in(Submit, 384) {
 		t.Error("polls may fill half of the queue, submissions three quarters")
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -409,7 +409,7 @@
 	}
 	n.admitMu.Lock()
 	defer n.admitMu.Unlock()
-	return n.admit.LetIn(time.Since(n.start), kind, job, len(n.in), cap(n.in))
+	return n.admit.Admit(time.Since(n.start), kind, job, len(n.in), cap(n.in))
 }
 
 // ask hands a user's request to the loop and waits for its answer.
