--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -66,7 +66,7 @@
 	return int(cycle - past)
 }
 
-// Turned notes that a request about a job is turned away, and gives after how many
+// Reject notes that a request about a job is turned away, and gives after how many
 // seconds, 1 to 30, it should come back. least is what the refusal itself asks for.
 //
 // Those who were turned away in the last four seconds are the ones who will come back.
@@ -74,7 +74,7 @@
 // submissions over the first of them and polls over those that follow. Where in its span
 // a request falls is the hash of its job and of the time: it differs from try to try, so
 // that two who met once do not meet for ever, and needs no randomness.
-func (d *Controller) Turned(now time.Duration, kind Kind, job uint64, least int) int {
+func (d *Controller) Reject(now time.Duration, kind Kind, job uint64, least int) int {
 	d.turn(now)
 	d.count[kind][d.at%slices]++
 	before, span := 0.0, d.seconds(Submit)
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -10,11 +10,11 @@
 func TestFewComeBackAtOnce(t *testing.T) {
 	d := NewController(400, 0)
 	for i := range uint64(100) {
-		if s := d.Turned(time.Duration(i)*30*time.Millisecond, Kind(i%2), i, 1); s != 1 {
+		if s := d.Reject(time.Duration(i)*30*time.Millisecond, Kind(i%2), i, 1); s != 1 {
 			t.Fatalf("after %d s", s)
 		}
 	}
-	if s := d.Turned(time.Second, Submit, 7, 3); s < 3 {
+	if s := d.Reject(time.Second, Submit, 7, 3); s < 3 {
 		t.Errorf("%d s, though the refusal asks for 3", s)
 	}
 }
@@ -26,12 +26,12 @@
 	d := NewController(rate, 0)
 	now := 10 * time.Second
 	for i := range uint64(2000) { // the first ones cannot know how many will follow
-		d.Turned(now, Kind(i%2), i, 1)
+		d.Reject(now, Kind(i%2), i, 1)
 	}
 	var back [kinds][longest + 1]int
 	for i := range uint64(2000) {
 		k := Kind(i % 2)
-		s := d.Turned(now+time.Second, k, i, 1)
+		s := d.Reject(now+time.Second, k, i, 1)
 		back[k][s]++
 	}
 	first, last := 0, 0
@@ -50,7 +50,7 @@
 		t.Errorf("submissions come back until %d s, polls from %d s on", last, first)
 	}
 	// Four seconds later nobody is left to be spread.
-	if s := d.Turned(now+10*time.Second, Poll, 1, 1); s != 1 {
+	if s := d.Reject(now+10*time.Second, Poll, 1, 1); s != 1 {
 		t.Errorf("long after, %d s", s)
 	}
 }
@@ -62,7 +62,7 @@
 	apart := 0
 	for i := range 50 {
 		now := time.Duration(i) * 700 * time.Millisecond
-		if d.Turned(now, Submit, 1, 1) != d.Turned(now, Submit, 2, 1) {
+		if d.Reject(now, Submit, 1, 1) != d.Reject(now, Submit, 2, 1) {
 			apart++
 		}
 	}
--- a/internal/core/admission/fair_test.go
+++ b/internal/core/admission/fair_test.go
@@ -32,7 +32,7 @@
 		now := time.Duration(i) * step
 		for _, u := range due[i] {
 			if !d.Admit(now, Poll, uint64(u), len(queue), places) {
-				at(now+time.Duration(d.Turned(now, Poll, uint64(u), 1))*time.Second+time.Duration(r.IntN(100))*time.Millisecond, u)
+				at(now+time.Duration(d.Reject(now, Poll, uint64(u), 1))*time.Second+time.Duration(r.IntN(100))*time.Millisecond, u)
 				continue
 			}
 			queue = append(queue, u)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -397,7 +397,7 @@
 	if n.admit != nil && a.RetryAfter > 0 {
 		n.admitMu.Lock()
 		defer n.admitMu.Unlock()
-		a.RetryAfter = n.admit.Turned(time.Since(n.start), kindOf(in.Op), in.ID, a.RetryAfter)
+		a.RetryAfter = n.admit.Reject(time.Since(n.start), kindOf(in.Op), in.ID, a.RetryAfter)
 	}
 	return a
 }
