--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -62,8 +62,8 @@
 	return Adaptive{Bucket: NewBucket(now, top, burst), top: top, good: now}
 }
 
-// Bad notes that the receiver refused, did not answer in time, or was in trouble.
-func (a *Adaptive) Bad(now time.Duration) {
+// Failure notes that the receiver refused, did not answer in time, or was in trouble.
+func (a *Adaptive) Failure(now time.Duration) {
 	if a.wasBad && now-a.bad < oneSetback {
 		return
 	}
--- a/internal/core/ratelimit/pacing_test.go
+++ b/internal/core/ratelimit/pacing_test.go
@@ -40,13 +40,13 @@
 func TestAdaptive(t *testing.T) {
 	a := NewAdaptive(0, 8, 8)
 	for i := range 10 {
-		a.Bad(time.Duration(i) * 50 * time.Millisecond)
+		a.Failure(time.Duration(i) * 50 * time.Millisecond)
 	}
 	if a.Rate != 4 {
 		t.Errorf("a burst of failures leaves %v of 8", a.Rate)
 	}
 	for s := 2; s < 20; s++ {
-		a.Bad(time.Duration(s) * time.Second)
+		a.Failure(time.Duration(s) * time.Second)
 	}
 	if a.Rate != 2 {
 		t.Errorf("trouble for long leaves %v of 8: it would stop, or go on as before", a.Rate)
@@ -82,7 +82,7 @@
 				a.Good(now)
 				got[i]++
 			} else {
-				a.Bad(now)
+				a.Failure(now)
 			}
 		}
 	}
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -36,7 +36,7 @@
 	case ok:
 		d.calls.Good(now)
 	default:
-		d.calls.Bad(now)
+		d.calls.Failure(now)
 	}
 }
 
