--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -72,8 +72,8 @@
 	a.room = min(a.room, 1)
 }
 
-// Good notes an answer.
-func (a *Adaptive) Good(now time.Duration) {
+// Success notes an answer.
+func (a *Adaptive) Success(now time.Duration) {
 	if a.wasBad && now-a.bad < holdOffDown {
 		a.good = now
 		return
--- a/internal/core/ratelimit/pacing_test.go
+++ b/internal/core/ratelimit/pacing_test.go
@@ -54,7 +54,7 @@
 	steps := 0
 	for now := 20 * time.Second; now < 60*time.Second; now += 500 * time.Millisecond {
 		before := a.Rate
-		if a.Good(now); a.Rate > 8 || a.Rate < before {
+		if a.Success(now); a.Rate > 8 || a.Rate < before {
 			t.Fatalf("%v after %v", a.Rate, before)
 		}
 		if a.Rate < 8 {
@@ -79,7 +79,7 @@
 				continue
 			}
 			if serve.Take(now, 1) {
-				a.Good(now)
+				a.Success(now)
 				got[i]++
 			} else {
 				a.Failure(now)
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -34,7 +34,7 @@
 	switch {
 	case d.Cfg.Tunables.AdaptCalls == 0:
 	case ok:
-		d.calls.Good(now)
+		d.calls.Success(now)
 	default:
 		d.calls.Failure(now)
 	}
