--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -88,9 +88,9 @@
 	Images int     // images that a machine may be fetching at once; 0: any number
 }
 
-// Starts is the budget of starts. A pass asks it for each place that it would give; a
+// StartLimiter is the budget of starts. A pass asks it for each place that it would give; a
 // machine that may not take a task now is left out for this pass.
-type Starts struct {
+type StartLimiter struct {
 	limits Limits
 	zones  map[int32]*Bucket
 }
@@ -99,11 +99,11 @@
 const zoneBurst = 1
 
 // NewStarts makes a full budget.
-func NewStarts(l Limits) *Starts { return &Starts{limits: l, zones: map[int32]*Bucket{}} }
+func NewStarts(l Limits) *StartLimiter { return &StartLimiter{limits: l, zones: map[int32]*Bucket{}} }
 
 // Allows says whether a task may be started in a zone, on a machine that is fetching so
 // many images and has the task's or not. It spends nothing.
-func (s *Starts) Allows(now time.Duration, zone int32, has bool, fetching int) bool {
+func (s *StartLimiter) Allows(now time.Duration, zone int32, has bool, fetching int) bool {
 	if !has && s.limits.Images > 0 && fetching >= s.limits.Images {
 		return false // one fetch is shared by all who wait for it; two share the rate
 	}
@@ -111,13 +111,13 @@
 }
 
 // Spend counts a start.
-func (s *Starts) Spend(now time.Duration, zone int32) {
+func (s *StartLimiter) Spend(now time.Duration, zone int32) {
 	if s.limits.Zone > 0 {
 		s.zone(now, zone).Take(now, 1)
 	}
 }
 
-func (s *Starts) zone(now time.Duration, zone int32) *Bucket {
+func (s *StartLimiter) zone(now time.Duration, zone int32) *Bucket {
 	b := s.zones[zone]
 	if b == nil {
 		x := NewBucket(now, s.limits.Zone, math.Max(1, s.limits.Zone*zoneBurst))
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -54,7 +54,7 @@
 	askedAt time.Duration
 	heard   map[string]time.Duration // when the others last answered
 	census  *Census
-	starts  *ratelimit.Starts
+	starts  *ratelimit.StartLimiter
 	newest  int64 // time of day of the newest entry that has one, in milliseconds
 	account account
 }
