--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -98,8 +98,10 @@
 // zoneBurst is for how many seconds' worth a zone's starts may gather.
 const zoneBurst = 1
 
-// NewStarts makes a full budget.
-func NewStarts(l Limits) *StartLimiter { return &StartLimiter{limits: l, zones: map[int32]*Bucket{}} }
+// NewStartLimiter makes a full budget.
+func NewStartLimiter(l Limits) *StartLimiter {
+	return &StartLimiter{limits: l, zones: map[int32]*Bucket{}}
+}
 
 // Allows says whether a task may be started in a zone, on a machine that is fetching so
 // many images and has the task's or not. It spends nothing.
--- a/internal/core/ratelimit/pacing_test.go
+++ b/internal/core/ratelimit/pacing_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestStarts(t *testing.T) {
-	s := NewStarts(Limits{Zone: 5, Images: 1})
+	s := NewStartLimiter(Limits{Zone: 5, Images: 1})
 	n := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
 		for range 3 {
@@ -108,7 +108,7 @@
 	if !s.Allows(10*time.Second, 2, true, 9) || s.Allows(10*time.Second, 2, false, 1) || !s.Allows(10*time.Second, 2, false, 0) {
 		t.Error("a second image is fetched beside the first, or one that is there is refused")
 	}
-	free := NewStarts(Limits{})
+	free := NewStartLimiter(Limits{})
 	for range 1000 {
 		if !free.Allows(0, 1, false, 99) {
 			t.Fatal("no limit, and yet refused")
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -95,7 +95,7 @@
 		}
 	}
 	d.census = NewCensus(now, Params{Share: t.ColdSettled, Interval: settings.Seconds(d.Cfg.Deployment.Workers.ReportS), Peers: len(d.Cfg.Peers)}, unheard)
-	d.starts = ratelimit.NewStarts(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
+	d.starts = ratelimit.NewStartLimiter(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
 	switch {
 	case n == 0 && d.Jobs.Len() == 0:
 		d.decide(now, ordinary) // there is nothing to find out
