--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -55,7 +55,7 @@
 // Job is an unfinished job, or a done one whose tasks are not all gone.
 type Job struct {
 	Index   int32
-	Rec     eventlog.Job
+	Record  eventlog.Job
 	Team    int32
 	Image   int32
 	Need    resources.Amounts
@@ -135,7 +135,7 @@
 
 // Add enters a job.
 func (t *Table) Add(rec eventlog.Job) *Job {
-	j := &Job{Rec: rec, Need: resources.Need(rec.CPUs, rec.GPUs, rec.MemoryGB), Priority: rec.Priority, Tasks: make([]TaskState, rec.Tasks), Waiting: rec.Tasks}
+	j := &Job{Record: rec, Need: resources.Need(rec.CPUs, rec.GPUs, rec.MemoryGB), Priority: rec.Priority, Tasks: make([]TaskState, rec.Tasks), Waiting: rec.Tasks}
 	if n := len(t.free); n > 0 {
 		j.Index = t.free[n-1]
 		t.free = t.free[:n-1]
@@ -188,7 +188,7 @@
 	if t.jobs[j.Index] != j {
 		return
 	}
-	delete(t.byID, j.Rec.ID)
+	delete(t.byID, j.Record.ID)
 	t.jobs[j.Index] = nil
 	t.free = append(t.free, j.Index)
 }
@@ -239,7 +239,7 @@
 // HasBegun says whether a task of the job has its place or had one, as far as is known; a
 // gang has begun once all of them ran.
 func (j *Job) HasBegun() bool {
-	return j.Finished > 0 || j.FirstAt > 0 || (j.Rec.Kind != Gang && j.Placed > 0) || j.Began
+	return j.Finished > 0 || j.FirstAt > 0 || (j.Record.Kind != Gang && j.Placed > 0) || j.Began
 }
 
 // MayRunUnseen says whether tasks of the job that are not seen may run on machines of which
@@ -249,14 +249,14 @@
 
 // Together is how many of the job's waiting tasks start together.
 func (j *Job) Together() int {
-	if j.Rec.Kind == Gang {
+	if j.Record.Kind == Gang {
 		return max(1, j.Waiting)
 	}
 	return 1
 }
 
 // ZoneRule says whether the job restricts where its tasks may be together.
-func (j *Job) ZoneRule() bool { return j.Rec.OneZone || j.Rec.Spread }
+func (j *Job) ZoneRule() bool { return j.Record.OneZone || j.Record.Spread }
 
 // MostInZone is how many tasks of a spread job may be in one zone.
 func (j *Job) MostInZone() int { return (len(j.Tasks) + 1) / 2 }
@@ -264,14 +264,14 @@
 // ZoneAllows says whether one more task may be in a zone, given where the
 // placed ones are.
 func (j *Job) ZoneAllows(zone int32) bool {
-	if j.Rec.OneZone {
+	if j.Record.OneZone {
 		for z, n := range j.Zones {
 			if n > 0 && z != zone {
 				return false
 			}
 		}
 	}
-	return !j.Rec.Spread || j.Zones[zone] < j.MostInZone()
+	return !j.Record.Spread || j.Zones[zone] < j.MostInZone()
 }
 
 // MoveZone counts a task in or out of a zone.
@@ -315,5 +315,5 @@
 	if j.SumN > 0 {
 		return j.SumS / float64(j.SumN)
 	}
-	return max(j.Rec.EstimateS, 1)
+	return max(j.Record.EstimateS, 1)
 }
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -58,7 +58,7 @@
 }
 
 func (r *refusal) covers(j *jobs.Job, spot bool) bool {
-	return r.need.Fits(j.Need) && (r.spot || !spot) && (r.types == nil || slices.Equal(r.types, j.Types)) && (r.zone == "" || r.zone == j.Rec.Zone)
+	return r.need.Fits(j.Need) && (r.spot || !spot) && (r.types == nil || slices.Equal(r.types, j.Types)) && (r.zone == "" || r.zone == j.Record.Zone)
 }
 
 // refused says whether a job's need has found no machine already.
@@ -112,10 +112,10 @@
 	if j.Types != nil && (int(m.Type) >= len(j.Types) || !j.Types[m.Type]) {
 		return false
 	}
-	if m.Spot && !j.Rec.Spot {
+	if m.Spot && !j.Record.Spot {
 		return false
 	}
-	return j.Rec.Zone == "" || zones(j.Rec.Zone) == m.Zone
+	return j.Record.Zone == "" || zones(j.Record.Zone) == m.Zone
 }
 
 // Pools are counted things that some tasks need besides room. Whoever counts them
@@ -175,7 +175,7 @@
 		}
 	}
 	for _, j := range w.Jobs.All() {
-		if j != nil && j.Rec.Kind == jobs.Service {
+		if j != nil && j.Record.Kind == jobs.Service {
 			wants(j)
 		}
 	}
@@ -244,12 +244,12 @@
 func (p *Scheduler) countUnits(w *Snapshot, order []int32) {
 	var list []*jobs.Job
 	add := func(j *jobs.Job) {
-		if len(j.Rec.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.next(j) >= 0 && p.Within(j.Team, j.Need, w.missing(j.Team)) {
+		if len(j.Record.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.next(j) >= 0 && p.Within(j.Team, j.Need, w.missing(j.Team)) {
 			list = append(list, j)
 		}
 	}
 	for _, j := range w.Jobs.All() {
-		if j != nil && j.Rec.Kind == jobs.Service {
+		if j != nil && j.Record.Kind == jobs.Service {
 			add(j)
 		}
 	}
@@ -269,7 +269,7 @@
 			if k < 0 {
 				break
 			}
-			if j.Rec.Kind == jobs.Gang {
+			if j.Record.Kind == jobs.Gang {
 				if p.launch(w, j, machines) {
 					break
 				}
@@ -290,7 +290,7 @@
 // services get room first, outside the order.
 func (p *Scheduler) services(w *Snapshot, machines []*workers.Machine) {
 	for _, j := range w.Jobs.All() {
-		if j == nil || j.Rec.Kind != jobs.Service {
+		if j == nil || j.Record.Kind != jobs.Service {
 			continue
 		}
 		for {
@@ -308,7 +308,7 @@
 	if j.Broken || (j.Began && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.missing(j.Team)) || !w.units(j, j.Waiting) {
 		return false
 	}
-	if j.Rec.OneZone && j.Placed == 0 {
+	if j.Record.OneZone && j.Placed == 0 {
 		// The zone is open yet: the one of the machine that suits best need not
 		// be one where all tasks fit.
 		var tried []int32
@@ -360,7 +360,7 @@
 	}
 	var best *workers.Machine
 	var bestScore int64
-	paces := w.MayStart != nil && j.Rec.Kind == jobs.Array // gangs start as a whole, services first of all
+	paces := w.MayStart != nil && j.Record.Kind == jobs.Array // gangs start as a whole, services first of all
 	for _, m := range machines {
 		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !w.gives(j, m) {
 			continue
@@ -376,7 +376,7 @@
 			score += 1e5 // only where nothing else is
 		}
 		if !m.HasImage(j.Image) {
-			score += int64(1e4 * j.Rec.ImageGB / m.FetchGBPS)
+			score += int64(1e4 * j.Record.ImageGB / m.FetchGBPS)
 		}
 		if p.Affinity > 0 && j.HomeZone != 0 && j.HomeZone != m.Zone+1 {
 			score += int64(1e4 * p.Affinity)
@@ -387,15 +387,15 @@
 	}
 	if best == nil {
 		if !w.left && !j.ZoneRule() && !p.plain && !p.paced { // there may be room that is only not given yet
-			p.refusals = append(p.refusals, refusal{j.Need, j.Spot, j.Types, j.Rec.Zone})
+			p.refusals = append(p.refusals, refusal{j.Need, j.Spot, j.Types, j.Record.Zone})
 		}
 		return false
 	}
-	if !w.left && j.Prompt && j.Rec.Kind == jobs.Service && !best.HasImage(j.Image) && p.waitsForImage(w, j, best) {
+	if !w.left && j.Prompt && j.Record.Kind == jobs.Service && !best.HasImage(j.Image) && p.waitsForImage(w, j, best) {
 		p.paced = true
 		return false
 	}
-	if w.local && j.Rec.Kind == jobs.Array && !best.HasImage(j.Image) {
+	if w.local && j.Record.Kind == jobs.Array && !best.HasImage(j.Image) {
 		if j.Passed == 0 {
 			j.Passed = w.Now
 		}
@@ -455,7 +455,7 @@
 	w.left = true
 	for _, j := range w.Jobs.All() {
 		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.next(j) < 0 || !p.Within(j.Team, j.Need.Times(j.Together()), w.missing(j.Team)) || !w.units(j, j.Together()) ||
-			slices.ContainsFunc(none, func(r refusal) bool { return r.covers(j, j.Rec.Spot) }) {
+			slices.ContainsFunc(none, func(r refusal) bool { return r.covers(j, j.Record.Spot) }) {
 			if j != nil {
 				j.BesideRoom = 0
 			}
@@ -464,8 +464,8 @@
 		switch {
 		case !w.hasRoom(j, room):
 			j.BesideRoom = 0
-			if j.Rec.Kind != jobs.Gang && !j.ZoneRule() {
-				none = append(none, refusal{j.Need, j.Rec.Spot, j.Types, j.Rec.Zone})
+			if j.Record.Kind != jobs.Gang && !j.ZoneRule() {
+				none = append(none, refusal{j.Need, j.Record.Spot, j.Types, j.Record.Zone})
 			}
 		case j.BesideRoom == 0:
 			j.BesideRoom = w.Now
@@ -483,7 +483,7 @@
 // that was any.
 func (p *Scheduler) giveLeft(w *Snapshot, j *jobs.Job, room []*workers.Machine) bool {
 	before := j.Placed
-	if j.Rec.Kind == jobs.Gang {
+	if j.Record.Kind == jobs.Gang {
 		p.launch(w, j, room)
 	} else {
 		for k := w.next(j); k >= 0 && p.give(w, j, k, room); k = w.next(j) {
@@ -517,12 +517,12 @@
 	}
 	all, most := 0, 0
 	for z, n := range places {
-		if j.Rec.Spread {
+		if j.Record.Spread {
 			n = min(n, j.MostInZone()-j.Zones[z])
 		}
 		all, most = all+n, max(most, n)
 	}
-	if j.Rec.OneZone {
+	if j.Record.OneZone {
 		all = most
 	}
 	return all >= need && !j.Broken && (!j.Began || j.Placed == 0)
@@ -535,7 +535,7 @@
 	if j.Passed == 0 {
 		j.Passed = w.Now
 	}
-	return p.Locality > 0 && w.Now-j.Passed < min(promptPatience, time.Duration(j.Rec.ImageGB/m.FetchGBPS/4*float64(time.Second)))
+	return p.Locality > 0 && w.Now-j.Passed < min(promptPatience, time.Duration(j.Record.ImageGB/m.FetchGBPS/4*float64(time.Second)))
 }
 
 // promptPatience is how long it waits at most.
@@ -559,7 +559,7 @@
 		}
 	}
 	slices.SortFunc(fit, func(a, b *workers.Machine) int { return cmp.Compare(b.Free.CPU, a.Free.CPU) })
-	if j.Rec.OneZone && len(fit) > 0 {
+	if j.Record.OneZone && len(fit) > 0 {
 		zone := fit[0].Zone
 		for _, m := range fit {
 			if slots[m.Zone] > slots[zone] {
@@ -572,7 +572,7 @@
 	want := 0
 	for n := j.Waiting; want < n && p.Within(j.Team, j.Need.Times(want+1), w.missing(j.Team)); want++ {
 	}
-	if j.Rec.Kind == jobs.Gang && (want < j.Waiting || total < j.Waiting) {
+	if j.Record.Kind == jobs.Gang && (want < j.Waiting || total < j.Waiting) {
 		return false
 	}
 	held := false
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -52,10 +52,10 @@
 		w.Estimator.Add(j.Index, j.Team, rec.Tasks, rec.CPUs, rec.Kind == jobs.Gang)
 	}
 	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
-		*given = append(*given, fmt.Sprintf("%d/%d on %s", j.Rec.ID, k, m.Name))
+		*given = append(*given, fmt.Sprintf("%d/%d on %s", j.Record.ID, k, m.Name))
 		j.Place(k)
 		j.MoveZone(m.Zone, 1)
-		m.Plan(&workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, JobID: j.Rec.ID, Image: j.Image, Need: j.Need})
+		m.Plan(&workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, JobID: j.Record.ID, Image: j.Image, Need: j.Need})
 		m.UseImage(j.Image, 1, w.Now)
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
@@ -68,7 +68,7 @@
 		}
 		p.Refund(j.Team, j.Need)
 		j.Release(k)
-		*given = append(*given, fmt.Sprintf("%d/%d taken back", j.Rec.ID, k))
+		*given = append(*given, fmt.Sprintf("%d/%d taken back", j.Record.ID, k))
 	}
 	return w, given, p
 }
@@ -166,14 +166,14 @@
 		moves  int
 	}{
 		{"all is well", func(*jobs.Job, *workers.Placement, *workers.Machine) {}, 1},
-		{"it does not save", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Rec.Checkpoint = 0 }, 0},
+		{"it does not save", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Record.Checkpoint = 0 }, 0},
 		{"it has just begun", func(_ *jobs.Job, p *workers.Placement, _ *workers.Machine) { p.RanAt = 90 * time.Second }, 0},
 		{"it was moved before", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) {
 			j.Saved = map[int32]time.Duration{0: time.Second}
 		}, 0},
 		{"no room elsewhere", func(_ *jobs.Job, _ *workers.Placement, m *workers.Machine) { m.Free.CPU = 1000 }, 0},
 		{"its team waits", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Waiting = 1 }, 0},
-		{"it is nearly done", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Rec.EstimateS = 65 }, 0},
+		{"it is nearly done", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Record.EstimateS = 65 }, 0},
 	} {
 		w := Snapshot{Now: 100 * time.Second, SuspectAfter: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 			Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -70,7 +70,7 @@
 	if !p.Within(j.Team, j.Need, w.missing(j.Team)) {
 		out = append(out, "its team is at its limit")
 	}
-	if len(j.Rec.Counted) > 0 {
+	if len(j.Record.Counted) > 0 {
 		if w.Pools == nil {
 			out = append(out, "it needs counted units, and the leader has no pools in its settings")
 		} else if why := w.Pools.Why(j); why != "" {
@@ -95,7 +95,7 @@
 		out = append(out, "room that it may have is held or kept for others: if that lasts, it gets it in "+left.String()+" (exception left_waiting)")
 	}
 	switch r := p.rank(&w, j.Index); {
-	case j.Rec.Kind == jobs.Service:
+	case j.Record.Kind == jobs.Service:
 	case p.overdue(&w, j):
 		out = append(out, "none of its tasks has begun for long: it goes ahead of all but urgent jobs (exception begin_within)")
 	case r == keptRank, r == keptFirst:
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -44,7 +44,7 @@
 			break // nobody ranks below this job or those after it
 		}
 		j := w.Jobs.At(i)
-		if j.Waiting == 0 || j.Rec.Kind == jobs.Gang || !p.ready(&w, j) || w.unsettled(j) || !w.units(j, 1) || !p.Within(j.Team, j.Need, w.missing(j.Team)) ||
+		if j.Waiting == 0 || j.Record.Kind == jobs.Gang || !p.ready(&w, j) || w.unsettled(j) || !w.units(j, 1) || !p.Within(j.Team, j.Need, w.missing(j.Team)) ||
 			w.Now-j.AcceptedAt < preemptAfter || (j.PreemptedAt > 0 && w.Now-j.PreemptedAt < preemptPause) {
 			continue
 		}
@@ -76,7 +76,7 @@
 		}
 		for _, v := range m.Tasks {
 			o := w.Jobs.At(v.Ref.Job)
-			if !stoppable(o, v) || o.Saved[v.Ref.Task] > 0 || (o.Rec.Checkpoint == 0 && w.Now-v.RanAt > littleLost) {
+			if !stoppable(o, v) || o.Saved[v.Ref.Task] > 0 || (o.Record.Checkpoint == 0 && w.Now-v.RanAt > littleLost) {
 				continue
 			}
 			pool = append(pool, v)
@@ -89,7 +89,7 @@
 // stoppable says whether a task runs that may be stopped and run again
 // elsewhere: gangs and services never are.
 func stoppable(j *jobs.Job, t *workers.Placement) bool {
-	return !t.Planned && !t.Stopping && t.Runs() && j.Rec.Kind == jobs.Array && j.Phase == jobs.Open
+	return !t.Planned && !t.Stopping && t.Runs() && j.Record.Kind == jobs.Array && j.Phase == jobs.Open
 }
 
 func (p *Scheduler) victims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
@@ -105,7 +105,7 @@
 		}
 	}
 	loss := func(v *workers.Placement) time.Duration {
-		if w.Jobs.At(v.Ref.Job).Rec.Checkpoint > 0 {
+		if w.Jobs.At(v.Ref.Job).Record.Checkpoint > 0 {
 			return 0
 		}
 		return w.Now - v.RanAt
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -44,7 +44,7 @@
 // units says whether so many more tasks of a job may have the units that they need.
 // Without anybody who counts them none that needs any may start.
 func (w *Snapshot) units(j *jobs.Job, tasks int) bool {
-	return len(j.Rec.Counted) == 0 || (w.Pools != nil && w.Pools.Allows(j, tasks))
+	return len(j.Record.Counted) == 0 || (w.Pools != nil && w.Pools.Allows(j, tasks))
 }
 
 // next is the task of a job that gets room next, or -1. While tasks of an earlier
@@ -53,7 +53,7 @@
 	switch {
 	case !w.unsettled(j):
 		return j.NextWaiting(len(j.Tasks))
-	case j.Rec.Kind == jobs.Gang || j.ZoneRule():
+	case j.Record.Kind == jobs.Gang || j.ZoneRule():
 		return -1 // where the others may be matters too
 	}
 	return j.NextFresh()
@@ -83,7 +83,7 @@
 	if after >= TasksThatFit(w.AcceleratedNeed, m.Cap) {
 		return true
 	}
-	return j.Rec.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
+	return j.Record.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
 }
 
 // lent counts what a task takes from those that need accelerators.
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -263,7 +263,7 @@
 	picky := slices.DeleteFunc(d.picky(), func(j *jobs.Job) bool { return !k.wants(j) })
 	d.keepFor(picky)
 	stuck := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
-		return j.Waiting == 0 || (len(j.Rec.Counted) > 0 && d.units(j) == 0) || d.couldRun(j)
+		return j.Waiting == 0 || (len(j.Record.Counted) > 0 && d.units(j) == 0) || d.couldRun(j)
 	})
 	if len(requests) == 0 && len(stuck) > 0 {
 		// Jobs that would not fit if all machines were free.
@@ -340,7 +340,7 @@
 func (d *Duty) picky() []*jobs.Job {
 	var out []*jobs.Job
 	for _, j := range d.Jobs.All() {
-		if j != nil && j.Waiting > 0 && (!j.Spot || j.Types != nil || j.Rec.Zone != "") && (j.Phase == jobs.Open || d.soon(j)) {
+		if j != nil && j.Waiting > 0 && (!j.Spot || j.Types != nil || j.Record.Zone != "") && (j.Phase == jobs.Open || d.soon(j)) {
 			out = append(out, j)
 		}
 	}
@@ -408,7 +408,7 @@
 	if len(d.rentals) > 0 {
 		return true // more may be on the way
 	}
-	if j.Rec.Kind == jobs.Array {
+	if j.Record.Kind == jobs.Array {
 		return d.somewhere(j)
 	}
 	need := len(j.Tasks) - j.Finished
@@ -417,13 +417,13 @@
 	for _, n := range zones {
 		total += n
 	}
-	if j.Rec.OneZone {
+	if j.Record.OneZone {
 		total = 0
 		for _, n := range zones {
 			total = max(total, n)
 		}
 	}
-	if j.Rec.Spread {
+	if j.Record.Spread {
 		total = 0
 		for _, n := range zones {
 			total += min(n, j.MostInZone())
@@ -434,7 +434,7 @@
 
 // mayTake says whether a machine may have tasks of a job.
 func (d *Duty) mayTake(j *jobs.Job, m *workers.Machine) bool {
-	return !m.Deleting && !m.Notice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Rec.OneZone || j.ZoneAllows(m.Zone))
+	return !m.Deleting && !m.Notice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Record.OneZone || j.ZoneAllows(m.Zone))
 }
 
 // hasPlace says whether a machine could take a task of a job if it were free.
@@ -464,13 +464,13 @@
 		left := float64(len(j.Tasks) - j.Finished)
 		tasks := left
 		switch {
-		case j.Rec.Kind != jobs.Array:
+		case j.Record.Kind != jobs.Array:
 		case keep:
 			tasks = max(float64(j.Placed), min(left, math.Ceil(left*j.Mean()/horizon)))
 		default:
 			tasks = min(left, (left-float64(j.Placed)/2)*j.Mean()/d.horizon(j))
 		}
-		if len(j.Rec.Counted) > 0 { // machines for tasks without units would stand idle
+		if len(j.Record.Counted) > 0 { // machines for tasks without units would stand idle
 			tasks = min(tasks, float64(j.Placed+d.units(j)))
 		}
 		perTeam[j.Team] += tasks * j.Share
@@ -498,7 +498,7 @@
 func (d *Duty) horizon(j *jobs.Job) float64 {
 	best := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
-		if o.Class != j.Rec.Class {
+		if o.Class != j.Record.Class {
 			continue
 		}
 		var h float64
@@ -508,7 +508,7 @@
 		case settings.AimFinished:
 			h = o.WithinS - j.Mean()
 		case settings.AimDeadline:
-			h = j.Rec.DeadlineS - j.Mean()
+			h = j.Record.DeadlineS - j.Mean()
 		}
 		if h > 0 && (best == 0 || h < best) {
 			best = h
@@ -627,7 +627,7 @@
 			continue // it can still go elsewhere
 		}
 		j := d.Jobs.At(p.Ref.Job)
-		if j.Rec.Kind == jobs.Service {
+		if j.Record.Kind == jobs.Service {
 			return noEnd // by itself: it would have to be stopped
 		}
 		end = max(end, now+scheduler.RemainingTime(now, j, p))
@@ -652,7 +652,7 @@
 				return false
 			}
 			// A zone that has its share of a spread job's tasks brings it no further.
-			return !j.ZoneRule() || (j.ZoneAllows(m.Zone) && (!j.Rec.Spread || d.slots(j)[m.Zone] < j.MostInZone()))
+			return !j.ZoneRule() || (j.ZoneAllows(m.Zone) && (!j.Record.Spread || d.slots(j)[m.Zone] < j.MostInZone()))
 		})
 	}
 	return w
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -333,7 +333,7 @@
 // machine, on offer or on its way, none may run unseen, and none is shown where it does not
 // count.
 func (s *State) Quiescent(j *jobs.Job) bool {
-	return j.Placed == 0 && !s.MayRunUnseen(j) && !slices.ContainsFunc(s.Yard.All(), func(m *workers.Machine) bool { return slices.Contains(m.Orphans, j.Rec.ID) })
+	return j.Placed == 0 && !s.MayRunUnseen(j) && !slices.ContainsFunc(s.Yard.All(), func(m *workers.Machine) bool { return slices.Contains(m.Orphans, j.Record.ID) })
 }
 
 // mostMissing is the share of a team's limit that machines may take of which it is not
@@ -389,10 +389,10 @@
 // SaveAndStop stops a task with time to save; a gang is stopped as a whole,
 // for its progress is safe only when all of it is told in time.
 func (s *State) SaveAndStop(now time.Duration, j *jobs.Job, p *workers.Placement) {
-	grace := j.Rec.SaveS + 5 + s.PeerTime(j)
-	if j.Rec.Kind != jobs.Gang {
+	grace := j.Record.SaveS + 5 + s.PeerTime(j)
+	if j.Record.Kind != jobs.Gang {
 		p.Stopping, p.GraceSeconds = true, grace
-		if j.Rec.Checkpoint > 0 && p.Runs() {
+		if j.Record.Checkpoint > 0 && p.Runs() {
 			if j.Saved == nil {
 				j.Saved = map[int32]time.Duration{}
 			}
@@ -410,7 +410,7 @@
 
 // PeerTime is how long it may take until all tasks of a gang are told.
 func (s *State) PeerTime(j *jobs.Job) float64 {
-	if j.Rec.Kind != jobs.Gang {
+	if j.Record.Kind != jobs.Gang {
 		return 0
 	}
 	return s.Cfg.Deployment.Workers.GangPeerS
@@ -442,7 +442,7 @@
 // GangEnds makes a gang ready for its next launch once nothing of the last
 // one is left anywhere.
 func (s *State) GangEnds(j *jobs.Job) {
-	if j.Rec.Kind == jobs.Gang && j.Placed == 0 {
+	if j.Record.Kind == jobs.Gang && j.Placed == 0 {
 		j.Launch, j.Broken, j.Began = 0, false, false
 	}
 }
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -71,7 +71,7 @@
 	begun := map[int32]bool{} // gangs
 	for ref, p := range s.Where {
 		j := s.Jobs.At(ref.Job)
-		gang := j.Rec.Kind == jobs.Gang
+		gang := j.Record.Kind == jobs.Gang
 		switch {
 		case j.Team != team:
 		case gang && (!p.Planned || len(p.Offered) > 0):
@@ -89,7 +89,7 @@
 		if begun[job] || (job != whole && s.Plan.Limits[team].Covers(left)) {
 			continue
 		}
-		if s.Jobs.At(job).Rec.Kind == jobs.Gang {
+		if s.Jobs.At(job).Record.Kind == jobs.Gang {
 			whole = job
 		}
 		left = left.Minus(s.Jobs.At(job).Need)
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -116,7 +116,7 @@
 		}
 		a.own.Jobs++
 		for k, s := range j.Tasks {
-			if s == jobs.Waiting && (k < j.FreshFrom || j.Rec.Kind == jobs.Gang) {
+			if s == jobs.Waiting && (k < j.FreshFrom || j.Record.Kind == jobs.Gang) {
 				a.tasks[workers.Ref{Job: j.Index, Task: int32(k)}] = struct{}{}
 			}
 			if s != jobs.Noted && k < j.FreshFrom {
@@ -183,7 +183,7 @@
 	case cluster.TaskDone:
 		a.isBack(d, e.At, e.Job, e.Task)
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if _, here := a.started[ref]; here && e.Took < doneAtOnce && e.Job.Rec.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
+		if _, here := a.started[ref]; here && e.Took < doneAtOnce && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
 			a.own.Needless[StartedDone]++
 		}
 		delete(a.started, ref)
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -45,7 +45,7 @@
 // bounded number of labels. Those that run again have waited since their first start.
 func (d *Duty) Hear(e cluster.Event) {
 	if e.Kind != cluster.TaskBegan || !slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
-		return o.Kind == settings.AimWait && o.Class == e.Job.Rec.Class
+		return o.Kind == settings.AimWait && o.Class == e.Job.Record.Class
 	}) {
 		return
 	}
@@ -53,7 +53,7 @@
 	if e.Machine.WasSent(workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}) {
 		way = " directly"
 	}
-	d.began.Observe(e.Job.Rec.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
+	d.began.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
 }
 
 // Send sends what may go: tasks whose grant and mark are durable, to machines on which
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -80,7 +80,7 @@
 	for _, i := range d.Book.Order() {
 		if v := d.Book.Virtual(i); v > 0 {
 			s, _ := d.Book.Size(i)
-			list = append(list, eventlog.VirtualSize{ID: d.Jobs.At(i).Rec.ID, Size: float64(int64(s*10)) / 10, Virtual: float64(int64(v*10)) / 10})
+			list = append(list, eventlog.VirtualSize{ID: d.Jobs.At(i).Record.ID, Size: float64(int64(s*10)) / 10, Virtual: float64(int64(v*10)) / 10})
 		}
 	}
 	slices.SortFunc(list, func(a, b eventlog.VirtualSize) int { return cmp.Compare(a.ID, b.ID) })
@@ -91,7 +91,7 @@
 func (d *Duty) Settle(now time.Duration) {
 	for _, i := range d.Book.Order() {
 		if s, ok := d.Book.Settle(i, now.Seconds()); ok {
-			d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Rec.ID, Size: s}})
+			d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Record.ID, Size: s}})
 			d.Dirty = true
 		}
 	}
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -51,7 +51,7 @@
 			return "follows: " + wire.FormatID(id) + " was never accepted", true
 		case j.Phase == jobs.Accepting:
 			return "follows: " + wire.FormatID(id) + " is being accepted", false
-		case j.Rec.Kind == jobs.Service:
+		case j.Record.Kind == jobs.Service:
 			return "follows: " + wire.FormatID(id) + " is a service, which is never done", true
 		}
 	}
@@ -61,10 +61,10 @@
 // link settles what an accepted job waits for. It is false when the job is
 // cancelled from the start, since one that it follows is.
 func (d *Duty) link(j *jobs.Job) bool {
-	if j.Rec.ReleasedMS != 0 {
+	if j.Record.ReleasedMS != 0 {
 		return true
 	}
-	for _, id := range j.Rec.Follows {
+	for _, id := range j.Record.Follows {
 		switch p, _ := d.Jobs.Final(id); {
 		case p == jobs.Cancelled:
 			return false
@@ -97,10 +97,10 @@
 // calm recomputes the priority of jobs that a cancelled one needed.
 func (d *Duty) calm(list []*jobs.Job) {
 	for _, x := range list {
-		x.Priority = x.Rec.Priority
+		x.Priority = x.Record.Priority
 		if d.Cfg.Tunables.FollowUrgency == 1 {
 			for _, f := range d.Jobs.Needing(x) {
-				x.Priority = max(x.Priority, f.Rec.Priority)
+				x.Priority = max(x.Priority, f.Record.Priority)
 			}
 		}
 	}
@@ -110,18 +110,18 @@
 // order as if it had just arrived.
 func (d *Duty) letGo(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
-	j.Rec.ReleasedMS = d.Zero + now.Milliseconds()
+	j.Record.ReleasedMS = d.Zero + now.Milliseconds()
 	d.schedule(j, now)
 	d.order(now, j)
 	d.Counts.Released++
-	d.Note(effects.Debug, "job released: all that it follows are done", "job", j.Rec.ID, "class", j.Rec.Class, "follows", len(j.Rec.Follows))
+	d.Note(effects.Debug, "job released: all that it follows are done", "job", j.Record.ID, "class", j.Record.Class, "follows", len(j.Record.Follows))
 }
 
 // order enters a job into the order.
 func (d *Duty) order(now time.Duration, j *jobs.Job) {
 	d.Book.Age(now.Seconds(), d.CPUs())
-	if j.Rec.Kind != jobs.Service {
-		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Rec.CPUs, j.Rec.Kind == jobs.Gang)
+	if j.Record.Kind != jobs.Service {
+		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 	}
 	d.Tell(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	d.Dirty = true
@@ -135,8 +135,8 @@
 	for _, f := range needing {
 		d.wipe(f)
 		d.Counts.CancelSpread++
-		d.Note(effects.Info, "job cancelled with one that it needs", "job", f.Rec.ID, "needs", j.Rec.ID)
-		d.tellEnd(sure, f.Rec.ID)
+		d.Note(effects.Info, "job cancelled with one that it needs", "job", f.Record.ID, "needs", j.Record.ID)
+		d.tellEnd(sure, f.Record.ID)
 	}
 	d.calm(needed)
 }
@@ -144,8 +144,8 @@
 // wipe cancels one job, none of whose tasks is anywhere.
 func (d *Duty) wipe(j *jobs.Job) {
 	j.Phase = jobs.Cancelled
-	delete(d.cancelling, j.Rec.ID)
-	d.Jobs.Finish(j.Rec.ID, jobs.Cancelled)
+	delete(d.cancelling, j.Record.ID)
+	d.Jobs.Finish(j.Record.ID, jobs.Cancelled)
 	d.Jobs.Unlink(j)
 	d.Book.Remove(j.Index, false, 0, 0)
 	d.LeaveIfEmpty(j)
@@ -161,13 +161,13 @@
 			continue
 		}
 		j.Phase, j.Earlier = jobs.Open, true
-		if j.Rec.Rest > 0 && j.Rec.ReleasedMS == 0 {
-			j.Rec.Follows = joined(j.Rec, parts[j.Rec.ID])
+		if j.Record.Rest > 0 && j.Record.ReleasedMS == 0 {
+			j.Record.Follows = joined(j.Record, parts[j.Record.ID])
 		}
-		if len(j.Rec.Follows) < j.Rec.Rest || !d.found(j.Rec.Follows) {
+		if len(j.Record.Follows) < j.Record.Rest || !d.found(j.Record.Follows) {
 			// No leader that knows of links writes such a log. Whether it may
 			// start is not known any more: it waits for its user to cancel it.
-			d.Note(effects.Error, "what a job follows is not in the log: it is not started", "job", j.Rec.ID)
+			d.Note(effects.Error, "what a job follows is not in the log: it is not started", "job", j.Record.ID)
 			j.Phase = jobs.Held
 			continue
 		}
@@ -179,19 +179,19 @@
 			j.Phase, j.Earlier = jobs.Held, false // never started
 			continue
 		}
-		if len(j.Rec.Follows) > 0 && j.Rec.ReleasedMS == 0 {
-			j.Rec.ReleasedMS = j.Rec.AtMS
-			for _, id := range j.Rec.Follows {
-				j.Rec.ReleasedMS = max(j.Rec.ReleasedMS, doneAt[id])
+		if len(j.Record.Follows) > 0 && j.Record.ReleasedMS == 0 {
+			j.Record.ReleasedMS = j.Record.AtMS
+			for _, id := range j.Record.Follows {
+				j.Record.ReleasedMS = max(j.Record.ReleasedMS, doneAt[id])
 			}
 		}
-		if j.Rec.ReleasedMS != 0 {
-			d.schedule(j, d.timeOf(j.Rec.ReleasedMS, now))
+		if j.Record.ReleasedMS != 0 {
+			d.schedule(j, d.timeOf(j.Record.ReleasedMS, now))
 		}
 	}
 	for _, j := range cancelling {
 		for _, x := range append(d.Jobs.Needing(j), j) {
-			d.Jobs.Finish(x.Rec.ID, jobs.Cancelled)
+			d.Jobs.Finish(x.Record.ID, jobs.Cancelled)
 			d.Jobs.Unlink(x)
 			d.Jobs.Leave(x)
 		}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -67,7 +67,7 @@
 		}
 	case e.Cancel != nil:
 		if j := d.Jobs.Find(*e.Cancel); j != nil {
-			d.isOver(j.Rec.ID, jobs.Cancelled)
+			d.isOver(j.Record.ID, jobs.Cancelled)
 		}
 	case e.CompletedTasks != nil:
 		if e.CompletedTasks.AtMS != 0 {
@@ -86,7 +86,7 @@
 		j.SumN += e.CompletedTasks.Known
 		if j.NotedN == len(j.Tasks) {
 			d.Book.RestoreHistory(j.SumS, j.SumN)
-			d.isOver(j.Rec.ID, jobs.Done)
+			d.isOver(j.Record.ID, jobs.Done)
 		}
 	case e.Dependencies != nil:
 		d.parts[e.Dependencies.ID] = append(d.parts[e.Dependencies.ID], *e.Dependencies)
@@ -103,10 +103,10 @@
 			continue
 		}
 		d.suit(j)
-		if j.Rec.Kind == jobs.Service || j.Phase == jobs.Held {
+		if j.Record.Kind == jobs.Service || j.Phase == jobs.Held {
 			continue
 		}
-		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Rec.CPUs, j.Rec.Kind == jobs.Gang)
+		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 		took := -1.0
 		if j.SumN > 0 {
 			took = j.SumS / float64(j.SumN)
@@ -183,7 +183,7 @@
 	d.Jobs.Finish(done.ID, jobs.Done)
 	d.Book.Remove(j.Index, true, j.SumS, j.SumN)
 	d.Tell(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
-	d.Note(effects.Debug, "job done", "job", j.Rec.ID, "class", j.Rec.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Rec.EstimateS,
+	d.Note(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
 	for _, f := range d.Jobs.Unlink(j) {
 		if len(f.After) == 0 && f.Phase == jobs.Held {
@@ -199,7 +199,7 @@
 	if e.Kind != cluster.TaskDone {
 		return
 	}
-	id := e.Job.Rec.ID
+	id := e.Job.Record.ID
 	b := d.completed[id]
 	if b == nil {
 		b = &eventlog.CompletedTasks{ID: id}
@@ -236,9 +236,9 @@
 // end has a cancellation written.
 func (d *Duty) end(now time.Duration, j *jobs.Job) {
 	j.Ending = true
-	d.gone.Observe(j.Rec.Class, (now - j.AskedAt).Seconds())
-	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Rec.ID, "class", j.Rec.Class, "after", (now - j.AskedAt).Round(time.Millisecond))
-	d.Log.AppendTracked(eventlog.Entry{Cancel: &j.Rec.ID})
+	d.gone.Observe(j.Record.Class, (now - j.AskedAt).Seconds())
+	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.AskedAt).Round(time.Millisecond))
+	d.Log.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
 }
 
 // writeTasks hands completed tasks to the log.
@@ -258,7 +258,7 @@
 	case e.Dependencies != nil:
 		// One for one, beside the job's own entry: the two may be in different
 		// segments, and what a waiting job follows must never be lost.
-		if j := d.Jobs.Find(e.Dependencies.ID); j != nil && j.Rec.AtMS == e.Dependencies.AtMS {
+		if j := d.Jobs.Find(e.Dependencies.ID); j != nil && j.Record.AtMS == e.Dependencies.AtMS {
 			d.Log.Append(e)
 		}
 	case e.Job != nil:
@@ -359,7 +359,7 @@
 	j.Ahead, j.LastAim, j.LostUntil = nil, 0, 0
 	j.BehindUntil = at + d.patience(j)
 	for _, o := range d.Cfg.Deployment.Objectives {
-		if o.Class != j.Rec.Class {
+		if o.Class != j.Record.Class {
 			continue
 		}
 		if o.Kind == settings.AimFinished {
@@ -370,7 +370,7 @@
 		if o.Kind == settings.AimWait && d.Cfg.Tunables.WaitLeadS > 0 {
 			d.goAhead(j, at, o.WithinS)
 		}
-		if o.Kind == settings.AimWait && d.Cfg.Tunables.DirectStarts > 0 && j.Rec.Kind != jobs.Gang && d.Cfg.Prompt(o) {
+		if o.Kind == settings.AimWait && d.Cfg.Tunables.DirectStarts > 0 && j.Record.Kind != jobs.Gang && d.Cfg.Prompt(o) {
 			j.Prompt = true
 		}
 	}
@@ -383,7 +383,7 @@
 	if j.Priority > 0 || d.Cfg.Tunables.WaitLeadS == 0 {
 		return
 	}
-	latest := within - longRun*j.Rec.EstimateS - placing
+	latest := within - longRun*j.Record.EstimateS - placing
 	if latest <= 0 {
 		j.Ahead = append(j.Ahead, [2]time.Duration{at, at + settings.Seconds(within)})
 		j.BehindUntil = 0
@@ -413,9 +413,9 @@
 // them. It is called once the types are known: while the log is replayed they
 // may come after the job.
 func (d *Duty) suit(j *jobs.Job) {
-	if j.Rec.Types != nil {
+	if j.Record.Types != nil {
 		j.Types = make([]bool, max(d.TypeNames.Len(), 1))
-		for _, n := range j.Rec.Types {
+		for _, n := range j.Record.Types {
 			if i, ok := d.TypeNames.Find(n); ok {
 				j.Types[i] = true
 			}
@@ -424,7 +424,7 @@
 	j.Share = d.share(j)
 	j.OnPlain = false
 	for i, ty := range d.Types {
-		j.OnPlain = j.OnPlain || (ty.GPUs == 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) && (j.Rec.Zone == "" || slices.Contains(ty.Zones, j.Rec.Zone)) &&
+		j.OnPlain = j.OnPlain || (ty.GPUs == 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) && (j.Record.Zone == "" || slices.Contains(ty.Zones, j.Record.Zone)) &&
 			j.Need.Fits(resources.Room(ty.CPUs, 0, ty.MemoryGB)))
 	}
 }
@@ -438,7 +438,7 @@
 	}
 	tightest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
-		if o.Class == j.Rec.Class && o.WithinS > 0 && (tightest == 0 || o.WithinS < tightest) {
+		if o.Class == j.Record.Class && o.WithinS > 0 && (tightest == 0 || o.WithinS < tightest) {
 			tightest = o.WithinS
 		}
 	}
@@ -451,13 +451,13 @@
 // entryOf is what is durable of a job's acceptance. What it follows may take
 // entries of its own, which are appended and kept beside it from then on.
 func (d *Duty) entryOf(j *jobs.Job) eventlog.Entry {
-	rec, parts := d.stored(j.Rec)
-	if j.Rec.Rest == 0 {
+	rec, parts := d.stored(j.Record)
+	if j.Record.Rest == 0 {
 		for _, p := range parts {
 			d.Log.Append(p)
 		}
 	}
-	j.Rec.Rest = rec.Rest
+	j.Record.Rest = rec.Rest
 	return eventlog.Entry{Job: &rec}
 }
 
@@ -481,7 +481,7 @@
 // that is written here, and be replayed without it.
 func (d *Duty) again(now time.Duration, j *jobs.Job) {
 	d.Log.Append(d.entryOf(j))
-	noted := eventlog.CompletedTasks{ID: j.Rec.ID, Seconds: j.SumS, Known: j.SumN}
+	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.SumS, Known: j.SumN}
 	for k, s := range j.Tasks {
 		if s == jobs.Noted || s == jobs.Finished {
 			noted.Add(k)
@@ -491,7 +491,7 @@
 		d.appendTasks(now, noted)
 	}
 	if size, final := d.Book.Size(j.Index); final && size > 0 {
-		d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: j.Rec.ID, Size: size}})
+		d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: j.Record.ID, Size: size}})
 	}
 }
 
@@ -505,7 +505,7 @@
 			continue
 		}
 		if j := d.Jobs.Find(e.Job.ID); j != nil {
-			if rec, _ := d.stored(j.Rec); j.Ending || !d.Log.Fits(eventlog.Entry{Job: &rec}) {
+			if rec, _ := d.stored(j.Record); j.Ending || !d.Log.Fits(eventlog.Entry{Job: &rec}) {
 				return false
 			}
 		}
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -97,7 +97,7 @@
 // that its memory or accelerators leave unusable, on the type that suits it
 // best.
 func (d *Duty) share(j *jobs.Job) float64 {
-	best := j.Rec.CPUs
+	best := j.Record.CPUs
 	found := false
 	for i, ty := range d.Types {
 		if n := scheduler.TasksThatFit(j.Need, resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB)); n > 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) {
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	return max(best, j.Rec.CPUs)
+	return max(best, j.Record.CPUs)
 }
 
 // state is what users may be told of a job.
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -104,7 +104,7 @@
 		if j == nil {
 			continue
 		}
-		id := j.Rec.ID
+		id := j.Record.ID
 		if !whole {
 			m.durable[id] = len(j.Tasks)
 			m.raise[id] = len(j.Tasks)
@@ -130,7 +130,7 @@
 	}
 	j := d.Jobs.At(p.Ref.Job)
 	to := len(j.Tasks)
-	if j.Rec.Kind == jobs.Array {
+	if j.Record.Kind == jobs.Array {
 		to = min(to, k+1+max(markSlack, (k+1)/markShare))
 	}
 	m.wanted[id], m.raise[id] = to, to
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -132,7 +132,7 @@
 func (d *Duty) Hear(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobLeft:
-		id := e.Job.Rec.ID
+		id := e.Job.Record.ID
 		for _, m := range d.granted[id] {
 			m.RevokeGrant(id)
 		}
@@ -215,9 +215,9 @@
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		j.Place(k)
 		j.MoveZone(m.Zone, 1)
-		p := &workers.Placement{Ref: ref, JobID: j.Rec.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Rec.Kind == jobs.Gang || j.ZoneRule(), Prompt: j.Prompt}
+		p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Record.Kind == jobs.Gang || j.ZoneRule(), Prompt: j.Prompt}
 		d.Where[ref] = p
-		if j.Rec.Kind == jobs.Gang {
+		if j.Record.Kind == jobs.Gang {
 			if j.Launch == 0 {
 				j.Launch = d.Attempt()
 			}
@@ -231,7 +231,7 @@
 		if d.Units != nil {
 			d.Units.Took(j)
 		}
-		m.UseImage(j.Image, j.Rec.ImageGB, now)
+		m.UseImage(j.Image, j.Record.ImageGB, now)
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
 		d.TakeBack(d.Where[workers.Ref{Job: j.Index, Task: int32(k)}])
--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -80,7 +80,7 @@
 // next is what a job needs of a pool to start the next of its tasks.
 func (h *holder) next(n need) int64 {
 	switch {
-	case !n.perJob && h.job.Rec.Kind == jobs.Gang:
+	case !n.perJob && h.job.Record.Kind == jobs.Gang:
 		return n.units * int64(h.job.Waiting)
 	case n.perJob && h.begun:
 		return 0
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -140,7 +140,7 @@
 	for _, m := range unheard {
 		here := map[int32]float64{}
 		for _, h := range perhaps {
-			if !m.MayHave(h.job.Rec.ID) {
+			if !m.MayHave(h.job.Record.ID) {
 				continue
 			}
 			for _, n := range h.needs {
@@ -206,7 +206,7 @@
 
 // together is how many of a job's tasks start together.
 func together(j *jobs.Job) int64 {
-	if j.Rec.Kind == jobs.Gang {
+	if j.Record.Kind == jobs.Gang {
 		return int64(len(j.Tasks))
 	}
 	return 1
@@ -223,7 +223,7 @@
 		if room >= n {
 			break
 		}
-		if m.MayHave(j.Rec.ID) {
+		if m.MayHave(j.Record.ID) {
 			room += scheduler.TasksThatFit(j.Need, m.Cap)
 		}
 	}
@@ -234,7 +234,7 @@
 // earlier term.
 func mayRun(j *jobs.Job) int {
 	list := j.Tasks
-	if j.Rec.Kind != jobs.Gang && !j.ZoneRule() {
+	if j.Record.Kind != jobs.Gang && !j.ZoneRule() {
 		list = list[:min(j.FreshFrom, len(list))]
 	}
 	n := 0
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -174,11 +174,11 @@
 }
 
 func (d *Duty) enter(j *jobs.Job) {
-	if len(j.Rec.Counted) == 0 || d.byJob[j.Index] != nil {
+	if len(j.Record.Counted) == 0 || d.byJob[j.Index] != nil {
 		return
 	}
 	h := &holder{job: j}
-	h.needs, h.unknown = d.needs(j.Rec.Counted)
+	h.needs, h.unknown = d.needs(j.Record.Counted)
 	h.whole = slices.ContainsFunc(h.needs, func(n need) bool { return n.perJob })
 	d.holders = append(d.holders, h)
 	d.byJob[j.Index] = h
@@ -195,15 +195,15 @@
 			d.forget(h)
 			d.holders = slices.DeleteFunc(d.holders, func(o *holder) bool { return o == h })
 		}
-		d.dropPapers(e.Job.Rec.ID, -1)
+		d.dropPapers(e.Job.Record.ID, -1)
 	case cluster.TaskPlaced:
 		if h := d.byJob[e.Job.Index]; h != nil {
 			h.started = true
 		}
 	case cluster.TaskDone:
-		d.dropPapers(e.Job.Rec.ID, e.Task)
+		d.dropPapers(e.Job.Record.ID, e.Task)
 	case cluster.TaskGone:
-		d.dropPapers(e.Job.Rec.ID, e.Task)
+		d.dropPapers(e.Job.Record.ID, e.Task)
 		if h := d.byJob[e.Job.Index]; h != nil && e.Lost {
 			d.lose(e.At, h.job, h.needs, 1)
 		}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -123,7 +123,7 @@
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
-				p := &workers.Placement{Ref: ref, JobID: j.Rec.ID, Machine: w.m, Attempt: w.d.Attempt()}
+				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.m, Attempt: w.d.Attempt()}
 				w.d.Where[ref], w.m.Tasks[ref] = p, p
 				w.d.Took(j)
 				n++
@@ -143,7 +143,7 @@
 	w.d.Hear(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.m})
 	if j.Finished == len(j.Tasks) {
 		j.Phase = jobs.Done
-		w.d.Jobs.Finish(j.Rec.ID, jobs.Done)
+		w.d.Jobs.Finish(j.Record.ID, jobs.Done)
 		w.d.LeaveIfEmpty(j)
 	}
 }
@@ -267,7 +267,7 @@
 		for step := 0; slices.ContainsFunc(list, open); step++ {
 			if step > 500 {
 				for _, j := range list {
-					t.Logf("%+v: %d of %d done, %d placed; %s", j.Rec.Counted, j.Finished, len(j.Tasks), j.Placed, w.d.Why(j))
+					t.Logf("%+v: %d of %d done, %d placed; %s", j.Record.Counted, j.Finished, len(j.Tasks), j.Placed, w.d.Why(j))
 				}
 				t.Fatalf("seed %d: stuck", seed)
 			}
@@ -286,7 +286,7 @@
 			}
 			for _, j := range left {
 				for k, s := range j.Tasks {
-					if s == jobs.Placed && (r.IntN(2) == 0 || j.Rec.Kind == jobs.Gang) {
+					if s == jobs.Placed && (r.IntN(2) == 0 || j.Record.Kind == jobs.Gang) {
 						w.done(j, k)
 					}
 				}
@@ -311,7 +311,7 @@
 			lacks = lacks || p.out+h.next(n) > p.size
 		}
 		if !lacks {
-			w.t.Fatalf("seed %d: %+v waits, and all that it needs is free", seed, j.Rec.Counted)
+			w.t.Fatalf("seed %d: %+v waits, and all that it needs is free", seed, j.Record.Counted)
 		}
 		return
 	}
@@ -322,7 +322,7 @@
 	w.t.Helper()
 	sums := map[string]int64{}
 	for _, j := range list {
-		for _, c := range j.Rec.Counted {
+		for _, c := range j.Record.Counted {
 			switch {
 			case !c.PerJob:
 				sums[c.Pool] += int64(c.Units * j.Placed)
@@ -350,7 +350,7 @@
 	w.d.Expect(m)
 	j := w.job("a", 8, 1, jobs.Array, per("p", 1))
 	j.Earlier, j.Unsettled, j.FreshFrom = true, 1, 3
-	m.Grants[j.Rec.ID] = true
+	m.Grants[j.Record.ID] = true
 	other := w.job("a", 8, 1, jobs.Array, per("p", 1))
 	expect(t, "three may be there", w.out("p"), 3)
 	expect(t, "one is left", w.pass(other), "[1]")
@@ -489,7 +489,7 @@
 	a := w.job("a", 3, 1, jobs.Array, per("p", 2), whole("q", 1))
 	w.pass(a)
 	ask := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
-		body, _ := json.Marshal(Request{Receipt: &Holding{j.Rec.ID, k, attempt}})
+		body, _ := json.Marshal(Request{Receipt: &Holding{j.Record.ID, k, attempt}})
 		raw, err := w.d.Change(w.now, body)
 		if err == nil {
 			err = json.Unmarshal(raw, &r)
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -44,7 +44,7 @@
 	Back    string  `json:"back"`              // by what its units would come back
 }
 
-func idOf(j *jobs.Job) string { return wire.FormatID(j.Rec.ID) }
+func idOf(j *jobs.Job) string { return wire.FormatID(j.Record.ID) }
 
 // Show gives, as JSON, all pools, or with the name of one as the view that one with
 // its holders.
@@ -103,11 +103,11 @@
 			if n.pool != index {
 				continue
 			}
-			one := Holder{Job: idOf(h.job), Team: h.job.Rec.Team, Task: -1, Units: n.units}
+			one := Holder{Job: idOf(h.job), Team: h.job.Record.Team, Task: -1, Units: n.units}
 			if n.perJob {
 				if h.begun {
 					one.Back = "the end of the job's last task"
-					one.Numbers = d.numbers(h.job.Rec.ID, -1, index)
+					one.Numbers = d.numbers(h.job.Record.ID, -1, index)
 					out = append(out, one)
 				}
 				continue
@@ -149,7 +149,7 @@
 		if t.Runs() {
 			x.SinceS = (now - t.RanAt).Round(time.Millisecond).Seconds()
 		}
-		x.Numbers = d.numbers(j.Rec.ID, int(ref.Task), index)
+		x.Numbers = d.numbers(j.Record.ID, int(ref.Task), index)
 		out = append(out, x)
 	}
 	if n, _ := d.Unresolved(); n > 0 && j.Earlier && j.Unsettled > 0 {
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -186,8 +186,8 @@
 		}
 		open++
 		all := j.Need
-		if j.Rec.Kind != jobs.Array {
-			all = all.Times(j.Rec.Tasks)
+		if j.Record.Kind != jobs.Array {
+			all = all.Times(j.Record.Tasks)
 		}
 		if (t.CPUsMax > 0 && all.CPUs() > t.CPUsMax) || (t.GPUsMax > 0 && float64(all.GPU)/milli > t.GPUsMax) {
 			never++
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -29,7 +29,7 @@
 	p := d.Where[ref]
 	elsewhere := p != nil && (p.Machine != m || p.Planned)
 	s := j.Tasks[task]
-	return workers.TaskRecord{Ref: ref, Need: j.Need, Image: j.Image, ImageGB: j.Rec.ImageGB,
+	return workers.TaskRecord{Ref: ref, Need: j.Need, Image: j.Image, ImageGB: j.Record.ImageGB,
 		Open:  (j.Phase == jobs.Open || j.Phase == jobs.Cancelling) && s != jobs.Finished && s != jobs.Noted && !elsewhere,
 		Noted: s == jobs.Noted, Held: j.Phase == jobs.Held, Elsewhere: elsewhere}, true
 }
@@ -45,7 +45,7 @@
 		d.Where[e.Ref] = e.Placement
 		d.Tell(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
-		if j.Rec.Kind == jobs.Gang {
+		if j.Record.Kind == jobs.Gang {
 			diff := d.Squared.Count(reconcile.Gang(j.Launch, e.Attempt))
 			if diff == reconcile.GangFound {
 				j.Launch = e.Attempt
@@ -60,7 +60,7 @@
 		p.Withdrawn = false
 		d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, p)
-		if j.Rec.Kind == jobs.Gang && (j.Broken || j.Launch != p.Attempt) {
+		if j.Record.Kind == jobs.Gang && (j.Broken || j.Launch != p.Attempt) {
 			p.Stopping, p.GraceSeconds = true, 0
 		}
 	case workers.EventOfferClosed:
@@ -75,7 +75,7 @@
 			j.FirstAt = now
 		}
 		j.LastAt = now
-		j.Began = j.Began || j.Rec.Kind == jobs.Gang
+		j.Began = j.Began || j.Record.Kind == jobs.Gang
 		d.Book.Began(e.Ref.Job, k, now.Seconds())
 		d.Tell(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: k, Machine: m})
 	case workers.EventCompleted:
@@ -110,7 +110,7 @@
 		}
 		d.Tell(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, Lost: e.Died})
 		d.Lift(e.Ref)
-		if j.Rec.Kind == jobs.Gang && (j.Began || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
+		if j.Record.Kind == jobs.Gang && (j.Began || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
 			d.BreakGang(j)
 		}
 		d.GangEnds(j)
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -74,9 +74,9 @@
 			}
 			left := m.TakenAt - now
 			switch {
-			case j.Rec.Kind == jobs.Service && (m.Notice || m.Draining):
-				p.Stopping, p.GraceSeconds = true, j.Rec.SaveS // replaced elsewhere once it is gone
-			case m.Notice && j.Rec.Checkpoint > 0 && p.State == workers.Running && left < settings.Seconds(j.Rec.SaveS+2+1.5*w.ReportS+d.PeerTime(j)):
+			case j.Record.Kind == jobs.Service && (m.Notice || m.Draining):
+				p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once it is gone
+			case m.Notice && j.Record.Checkpoint > 0 && p.State == workers.Running && left < settings.Seconds(j.Record.SaveS+2+1.5*w.ReportS+d.PeerTime(j)):
 				d.SaveAndStop(now, j, p)
 			}
 		}
@@ -86,7 +86,7 @@
 // mayBeOn says whether a job may have a task on a machine, as far as is proved.
 func (d *Duty) mayBeOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
-		return d.MayRunUnseen(j) && m.MayHave(j.Rec.ID)
+		return d.MayRunUnseen(j) && m.MayHave(j.Record.ID)
 	}
 	for _, p := range m.Tasks {
 		if p.Ref.Job == j.Index && !p.Planned {
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -285,19 +285,19 @@
 }
 
 func (d *Duty) kind(j *jobs.Job) Kind {
-	return Kind{Class: j.Rec.Class, Team: j.Rec.Team, Image: j.Rec.Image, Shape: shape(len(j.Tasks), j.Need.CPU), Holiday: d.today.Holiday}
+	return Kind{Class: j.Record.Class, Team: j.Record.Team, Image: j.Record.Image, Shape: shape(len(j.Tasks), j.Need.CPU), Holiday: d.today.Holiday}
 }
 
 // estimate is what is expected of a job.
 func (d *Duty) estimate(now time.Duration, j *jobs.Job) Estimate {
-	return d.book.Estimate(d.kind(j), j.Rec.EstimateS, d.time(now).Unix())
+	return d.book.Estimate(d.kind(j), j.Record.EstimateS, d.time(now).Unix())
 }
 
 func (d *Duty) run(now time.Duration, j *jobs.Job) *run {
-	r := d.runs[j.Rec.ID]
+	r := d.runs[j.Record.ID]
 	if r == nil {
 		r = &run{kind: d.kind(j), est: d.estimate(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
-		d.runs[j.Rec.ID] = r
+		d.runs[j.Record.ID] = r
 	}
 	return r
 }
@@ -319,7 +319,7 @@
 		}
 	case cluster.TaskGone:
 		delete(d.placedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
-		if e.Job.Rec.Kind == jobs.Array {
+		if e.Job.Record.Kind == jobs.Array {
 			d.run(e.At, e.Job).disturbed[e.Task] = true
 		}
 	case cluster.TaskDone:
@@ -328,8 +328,8 @@
 	case cluster.JobDone:
 		d.finished(e.At, e.Job)
 	case cluster.JobLeft:
-		delete(d.runs, e.Job.Rec.ID)
-		d.clear(e.Job.Rec.ID, "over")
+		delete(d.runs, e.Job.Record.ID)
+		d.clear(e.Job.Record.ID, "over")
 	}
 }
 
@@ -344,7 +344,7 @@
 }
 
 func (d *Duty) done(e cluster.Event) {
-	if e.Took <= 0 || !e.Mine || e.Job.Rec.Kind != jobs.Array {
+	if e.Took <= 0 || !e.Mine || e.Job.Record.Kind != jobs.Array {
 		return
 	}
 	r := d.run(e.At, e.Job)
@@ -395,15 +395,15 @@
 
 // finished makes a fact of a job that is durably done.
 func (d *Duty) finished(now time.Duration, j *jobs.Job) {
-	r := d.runs[j.Rec.ID]
-	delete(d.runs, j.Rec.ID)
-	d.clear(j.Rec.ID, "done")
+	r := d.runs[j.Record.ID]
+	delete(d.runs, j.Record.ID)
+	d.clear(j.Record.ID, "done")
 	if r == nil || r.n == 0 {
 		return
 	}
 	d.newDay(now)
-	s := storedFact{ID: j.Rec.ID, At: d.time(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
-		Fetch: round(quantile(r.fetch, .5)), Job: round((now - j.AcceptedAt).Seconds()), Estimate: round(j.Rec.EstimateS)}
+	s := storedFact{ID: j.Record.ID, At: d.time(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
+		Fetch: round(quantile(r.fetch, .5)), Job: round((now - j.AcceptedAt).Seconds()), Estimate: round(j.Record.EstimateS)}
 	for i, q := range points {
 		s.Task[i] = round(quantile(r.task, q))
 	}
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -93,7 +93,7 @@
 			f, _ := d.forecast(now, j, begin, cpus)
 			f.EndP90S += p90 - begin
 			for _, a := range j.After {
-				f.After = append(f.After, wire.FormatID(d.Jobs.At(a).Rec.ID))
+				f.After = append(f.After, wire.FormatID(d.Jobs.At(a).Record.ID))
 			}
 			slices.Sort(f.After)
 			at[j.Index] = len(out)
@@ -111,7 +111,7 @@
 // much work it is, in processor seconds.
 func (d *Duty) forecast(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
 	e := d.estimate(now, j)
-	f := Forecast{Job: wire.FormatID(j.Rec.ID), Kind: d.kind(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
+	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kind(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
 	each := max(j.Share, j.Need.CPUs(), 0.001)
 	if l := d.Plan.Limits[j.Team].CPU; l > 0 {
 		cpus = min(cpus, float64(l)/1000)
@@ -142,11 +142,11 @@
 		}
 	}
 	age := (now - j.AcceptedAt).Seconds()
-	if j.Rec.DeadlineS > 0 && age+f.EndS > j.Rec.DeadlineS {
+	if j.Record.DeadlineS > 0 && age+f.EndS > j.Record.DeadlineS {
 		f.Misses = append(f.Misses, "its deadline")
 	}
 	for _, o := range d.Cfg.Deployment.Objectives {
-		if o.Class == j.Rec.Class && o.Kind == settings.AimFinished && age+f.EndS > o.WithinS {
+		if o.Class == j.Record.Class && o.Kind == settings.AimFinished && age+f.EndS > o.WithinS {
 			f.Misses = append(f.Misses, fmt.Sprintf("its class's aim of %v s", o.WithinS))
 		}
 	}
@@ -167,7 +167,7 @@
 		}
 		learned := d.learned(f.Estimate)
 		left := j.AcceptedAt + learned - now
-		l := d.late[j.Rec.ID]
+		l := d.late[j.Record.ID]
 		if l == nil && (f.EndS <= left.Seconds() || float64(left) > warnShare*float64(learned)) {
 			continue
 		}
@@ -175,10 +175,10 @@
 		why := d.why(now, j, f)
 		raised := l == nil
 		if raised {
-			l = &Late{Job: f.Job, Class: j.Rec.Class, Team: j.Rec.Team, RaisedMS: d.time(now).UnixMilli(), LeadS: left.Seconds()}
-			d.late[j.Rec.ID] = l
+			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.time(now).UnixMilli(), LeadS: left.Seconds()}
+			d.late[j.Record.ID] = l
 			d.leads.Observe(why, max(0, left.Seconds()))
-			d.Note(effects.Warn, "a job runs late", "job", f.Job, "class", j.Rec.Class, "team", j.Rec.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
+			d.Note(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
 				"expected_end", round(age+f.EndS), "from", f.Estimate.From)
 		}
 		l.Why, l.AgeS, l.LearnedS, l.EndS = why, round(age), round(learned.Seconds()), round(age+f.EndS)
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -115,18 +115,18 @@
 func (d *Duty) due(j *jobs.Job) time.Duration {
 	latest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
-		if o.Class != j.Rec.Class {
+		if o.Class != j.Record.Class {
 			continue
 		}
 		switch o.Kind {
 		case settings.AimFinished:
 			latest = max(latest, o.WithinS)
 		case settings.AimDeadline:
-			latest = max(latest, j.Rec.DeadlineS*max(1, o.Times))
+			latest = max(latest, j.Record.DeadlineS*max(1, o.Times))
 		}
 	}
 	if latest == 0 {
-		latest = max(d.Cfg.Tunables.ServedWithinS, 2*j.Rec.EstimateS)
+		latest = max(d.Cfg.Tunables.ServedWithinS, 2*j.Record.EstimateS)
 	}
 	return j.AcceptedAt + settings.Seconds(latest)
 }
@@ -145,10 +145,10 @@
 func byDue(a *entry, due time.Duration) int { return cmp.Compare(a.due, due) }
 
 func (d *Duty) enter(now time.Duration, j *jobs.Job) {
-	if j.Rec.Kind == jobs.Service || d.byJob[j] != nil {
+	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &entry{job: j, due: d.due(j), sums: [2]*sum{d.sum(who{name: j.Rec.Class}), d.sum(who{name: j.Rec.Team, team: true})}}
+	e := &entry{job: j, due: d.due(j), sums: [2]*sum{d.sum(who{name: j.Record.Class}), d.sum(who{name: j.Record.Team, team: true})}}
 	if e.due <= now {
 		return // it was lost before this term began
 	}
@@ -191,7 +191,7 @@
 func (d *Duty) count(now time.Duration, e *entry, met bool) {
 	j := e.job
 	began := j.FirstAt
-	if began == 0 || (j.Rec.Kind == jobs.Gang && !j.Began && !met) {
+	if began == 0 || (j.Record.Kind == jobs.Gang && !j.Began && !met) {
 		began = now
 	}
 	o := outcome{now, met, len(j.Tasks), float64(len(j.Tasks)) * j.Mean() * j.Share, began - j.AcceptedAt}
@@ -307,7 +307,7 @@
 			s.kept++
 			s.keptEver++
 		}
-		d.Note(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served", "job", j.Rec.ID, "class", j.Rec.Class, "team", j.Rec.Team, "due_in", (e.due - now).Round(time.Second).String())
+		d.Note(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served", "job", j.Record.ID, "class", j.Record.Class, "team", j.Record.Team, "due_in", (e.due - now).Round(time.Second).String())
 	}
 }
 
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -65,7 +65,7 @@
 			list = append(list, d.arrive(0, i+1, "a", "t"))
 		}
 		late := d.arrive(0, 99, "a", "t")
-		late.Rec.EstimateS = 90 // it needs 112 s of 100
+		late.Record.EstimateS = 90 // it needs 112 s of 100
 		kept := func() (n int) {
 			for _, j := range list {
 				if j.Kept != jobs.NotKept {
@@ -117,10 +117,10 @@
 			for j, due := range open {
 				switch {
 				case due < now:
-					all = append(all, past{j.Rec.Class, now, false})
+					all = append(all, past{j.Record.Class, now, false})
 					delete(open, j)
 				case r.IntN(250) == 0:
-					all = append(all, past{j.Rec.Class, now, true})
+					all = append(all, past{j.Record.Class, now, true})
 					delete(open, j)
 					d.Hear(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 				case r.IntN(900) == 0:
@@ -140,7 +140,7 @@
 					}
 				}
 				for j := range open {
-					if j.Rec.Class == class {
+					if j.Record.Class == class {
 						left++
 					}
 				}
@@ -177,12 +177,12 @@
 		j.FirstAt = time.Second
 		switch i {
 		case 3:
-			j.Rec.EstimateS, j.FirstAt = 500, 90*time.Second // most work, and begins late
+			j.Record.EstimateS, j.FirstAt = 500, 90*time.Second // most work, and begins late
 		case 7:
-			j.Rec.EstimateS = 400
+			j.Record.EstimateS = 400
 		case 9:
 			j.Tasks = make([]jobs.TaskState, 40) // the widest, of little work
-			j.Rec.EstimateS = 1
+			j.Record.EstimateS = 1
 		}
 		if i != 3 {
 			d.Hear(cluster.Event{Kind: cluster.JobDone, At: 50 * time.Second, Job: j})
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -123,7 +123,7 @@
 	}
 	for _, j := range t.Jobs.All() {
 		if j != nil && j.Phase == jobs.Held {
-			s.Held = append(s.Held, HeldStatus{ID: wire.FormatID(j.Rec.ID), Class: j.Rec.Class, Team: j.Rec.Team, Tasks: len(j.Tasks), After: ids(t, j.After)})
+			s.Held = append(s.Held, HeldStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Tasks: len(j.Tasks), After: ids(t, j.After)})
 		}
 	}
 	slices.SortFunc(s.Held, func(a, b HeldStatus) int { return compare(a.ID, b.ID) })
@@ -134,7 +134,7 @@
 func ids(t *term.Term, list []int32) []string {
 	var out []string
 	for _, i := range list {
-		out = append(out, wire.FormatID(t.Jobs.At(i).Rec.ID))
+		out = append(out, wire.FormatID(t.Jobs.At(i).Record.ID))
 	}
 	slices.Sort(out)
 	return out
@@ -152,7 +152,7 @@
 
 func jobStatus(t *term.Term, j *jobs.Job) JobStatus {
 	size, final := t.Book.Size(j.Index)
-	return JobStatus{ID: wire.FormatID(j.Rec.ID), Class: j.Rec.Class, Team: j.Rec.Team, Virtual: t.Book.Virtual(j.Index), Size: size, Final: final,
+	return JobStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Virtual: t.Book.Virtual(j.Index), Size: size, Final: final,
 		Waiting: j.Waiting, Placed: j.Placed, Finished: j.Finished}
 }
 
@@ -192,19 +192,19 @@
 	if len(j.Followers) > 0 {
 		say("jobs that wait for it: %s", strings.Join(ids(t, j.Followers), ", "))
 	}
-	if j.Priority > j.Rec.Priority {
-		say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)", wire.PriorityWord(j.Priority), wire.PriorityWord(j.Rec.Priority))
+	if j.Priority > j.Record.Priority {
+		say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)", wire.PriorityWord(j.Priority), wire.PriorityWord(j.Record.Priority))
 	}
 	if j.Phase == jobs.Held {
 		if len(j.After) == 0 {
 			say("what it follows is not in the log any more: it is not started, and waits to be cancelled")
 			return e, true
 		}
-		say("it waits for %d of the %d jobs that it follows: %s", len(j.After), len(j.Rec.Follows), strings.Join(ids(t, j.After), ", "))
+		say("it waits for %d of the %d jobs that it follows: %s", len(j.After), len(j.Record.Follows), strings.Join(ids(t, j.After), ", "))
 		say("until they are done it is outside the order and holds nothing of its team's share")
 		return e, true
 	}
-	if n := len(j.Rec.Follows); n > 0 {
+	if n := len(j.Record.Follows); n > 0 {
 		say("the %d jobs that it follows are done; its times count from then", n)
 	}
 	if j.Phase == jobs.Cancelling {
@@ -213,9 +213,9 @@
 	}
 	say("%d of its %d tasks are done, %d have a place, %d wait", j.Finished, len(j.Tasks), j.Placed, j.Waiting)
 	switch {
-	case j.Rec.Kind == jobs.Service:
+	case j.Record.Kind == jobs.Service:
 		say("it is a service: it gets room first, outside the order")
-	case j.Rec.Kind == jobs.Gang:
+	case j.Record.Kind == jobs.Gang:
 		say("it is a gang: it starts when all of its tasks fit; its size is an estimate of %.0f s of work", js.Size)
 	case js.Final && js.Size == 0 && j.Finished == 0:
 		say("it has fewer tasks than train a size: it counts as tiny, with size 0")
