--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -77,14 +77,14 @@
 	// directly or not.
 	Priority uint8
 
-	Tasks    []TaskState
-	Waiting  int
-	Placed   int
-	Running  int
-	Finished int // including the noted ones
-	NotedN   int
-	cursor   int
-	fresh    int // the same from FreshFrom on
+	Tasks        []TaskState
+	Waiting      int
+	Placed       int
+	Running      int
+	Finished     int // including the noted ones
+	DurableCount int
+	cursor       int
+	fresh        int // the same from FreshFrom on
 
 	Zones map[int32]int // placed tasks by zone, where the job has a say in that
 	// Launch is the attempt that all tasks of a gang share; 0 while none is
@@ -305,7 +305,7 @@
 	j.Complete(k)
 	if j.Tasks[k] != Noted {
 		j.Tasks[k] = Noted
-		j.NotedN++
+		j.DurableCount++
 	}
 }
 
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -84,7 +84,7 @@
 		}
 		j.SumS += e.CompletedTasks.Seconds
 		j.SumN += e.CompletedTasks.Known
-		if j.NotedN == len(j.Tasks) {
+		if j.DurableCount == len(j.Tasks) {
 			d.Book.RestoreHistory(j.SumS, j.SumN)
 			d.isOver(j.Record.ID, jobs.Done)
 		}
@@ -176,7 +176,7 @@
 			j.Note(k)
 		}
 	}
-	if j.NotedN < len(j.Tasks) {
+	if j.DurableCount < len(j.Tasks) {
 		return
 	}
 	j.Phase = jobs.Done
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -126,7 +126,7 @@
 	if j.Running > 0 {
 		s = wire.Running
 	}
-	return effects.Answer{Status: 200, ID: id, State: s, Counts: true, Done: j.NotedN, Running: j.Running}, true
+	return effects.Answer{Status: 200, ID: id, State: s, Counts: true, Done: j.DurableCount, Running: j.Running}, true
 }
 
 // Query answers for a job's state.
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -136,7 +136,7 @@
 		if f == nil || f.Phase != jobs.Held || len(f.Record.Follows) != 601 || len(f.After) != 1 {
 			t.Fatalf("%s: the follower is there: %v, or not as it was", name, f != nil)
 		}
-		if o := next.Jobs.Find(1); o == nil || o.NotedN != 2000 {
+		if o := next.Jobs.Find(1); o == nil || o.DurableCount != 2000 {
 			t.Errorf("%s: the open job is read as %+v", name, o)
 		}
 		if len(next.Yard.All()) != 10 {
