--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -63,7 +63,7 @@
 	Earlier bool // accepted in an earlier term: unseen tasks may be running
 	// Unsettled counts the machines that may have tasks of an earlier term and
 	// are not resolved yet: until there are none, what is unseen may run there.
-	Unsettled int
+	UnresolvedMachines int
 	// FreshFrom: no earlier term has handed out the tasks from this number on, so
 	// none of them can run unseen.
 	FreshFrom int
@@ -245,7 +245,7 @@
 // MayRunUnseen says whether tasks of the job that are not seen may run on machines of which
 // it is not known what an earlier term left on them; blind says that one of those may have
 // tasks of any job.
-func (j *Job) MayRunUnseen(blind bool) bool { return j.Earlier && (j.Unsettled > 0 || blind) }
+func (j *Job) MayRunUnseen(blind bool) bool { return j.Earlier && (j.UnresolvedMachines > 0 || blind) }
 
 // Together is how many of the job's waiting tasks start together.
 func (j *Job) Together() int {
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -21,7 +21,7 @@
 		LastLed: 9 * time.Second, Noticed: 10 * time.Second, Began: 11 * time.Second, Counts: &cluster.Counts{}, Measures: measures})
 	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
-	j.Phase, j.Earlier, j.Unsettled = 2, true, 10
+	j.Phase, j.Earlier, j.UnresolvedMachines = 2, true, 10
 	for n := range 10 {
 		s.Yard.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
@@ -56,7 +56,7 @@
 	for i, m := range all {
 		d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: at(13 + i), Machine: m, Report: &workers.Report{Token: m.Token}})
 		m.Resolved = true
-		d.Jobs.Find(1).Unsettled--
+		d.Jobs.Find(1).UnresolvedMachines--
 		d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
 		d.Tick(at(13+i), true)
 		if n := d.Log.Pending(); n != 0 {
@@ -111,7 +111,7 @@
 		d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
 	}
 	d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: 14 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
-	d.Jobs.Find(1).Unsettled = 0
+	d.Jobs.Find(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
 	if d.Log.Pending() != 0 {
 		t.Error("closed before a start could come")
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -79,7 +79,7 @@
 			case j != nil:
 				m.Grants[id] = true
 				d.granted[id] = append(d.granted[id], m)
-				j.Unsettled++
+				j.UnresolvedMachines++
 				if !slices.Contains(m.Claims, j.Team) {
 					m.Claims = append(m.Claims, j.Team)
 				}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -349,7 +349,7 @@
 	m := w.d.Yard.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
 	w.d.Expect(m)
 	j := w.job("a", 8, 1, jobs.Array, per("p", 1))
-	j.Earlier, j.Unsettled, j.FreshFrom = true, 1, 3
+	j.Earlier, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
 	m.Grants[j.Record.ID] = true
 	other := w.job("a", 8, 1, jobs.Array, per("p", 1))
 	expect(t, "three may be there", w.out("p"), 3)
@@ -361,7 +361,7 @@
 	// It is gone without a word: what may have been there stays out for a while.
 	w.d.Yard.Remove("old")
 	w.d.Found(m)
-	j.Unsettled--
+	j.UnresolvedMachines--
 	w.d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
 	w.d.Hear(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: m})
 	expect(t, "held after the loss", w.out("p"), 4)
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -152,8 +152,8 @@
 		x.Numbers = d.numbers(j.Record.ID, int(ref.Task), index)
 		out = append(out, x)
 	}
-	if n, _ := d.Unresolved(); n > 0 && j.Earlier && j.Unsettled > 0 {
-		one.Machine = fmt.Sprintf("%d machines not heard", j.Unsettled)
+	if n, _ := d.Unresolved(); n > 0 && j.Earlier && j.UnresolvedMachines > 0 {
+		one.Machine = fmt.Sprintf("%d machines not heard", j.UnresolvedMachines)
 		one.Back = "a report of those machines, or their answered deletion"
 		one.Units = 0
 		out = append(out, one)
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -197,8 +197,8 @@
 	d.Dirty = true
 	d.Found(m)
 	for id := range m.Grants {
-		if j := d.Jobs.Find(id); j != nil && j.Unsettled > 0 {
-			j.Unsettled--
+		if j := d.Jobs.Find(id); j != nil && j.UnresolvedMachines > 0 {
+			j.UnresolvedMachines--
 		}
 	}
 	d.Tell(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -34,7 +34,7 @@
 		{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}, {Job: &job}, {Grant: &eventlog.Grant{Job: 1, Machines: []int{1}}}}
 	term := smallTerm(log)
 	m := term.Yard.Find("host")
-	if n, _ := term.Unresolved(); n != 1 || term.Jobs.Find(1).Unsettled != 1 {
+	if n, _ := term.Unresolved(); n != 1 || term.Jobs.Find(1).UnresolvedMachines != 1 {
 		t.Fatal("the machine is not waited for: the test tests nothing")
 	}
 	term.Leave(0, m, cluster.Return, "not needed")
@@ -60,7 +60,7 @@
 		next := smallTerm(again) // of epoch 2
 		n, _ := next.Unresolved()
 		next.Tick(time.Second, true)
-		if gone := len(deletes(next)) == 1; gone != free || (n == 0) != free || (next.Jobs.Find(1).Unsettled == 0) != free {
+		if gone := len(deletes(next)) == 1; gone != free || (n == 0) != free || (next.Jobs.Find(1).UnresolvedMachines == 0) != free {
 			t.Errorf("noted %d terms before: deleted at once %v, %d machines are waited for", 1+back, gone, n)
 		}
 	}
