--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -66,10 +66,10 @@
 	UnresolvedMachines int
 	// FreshFrom: no earlier term has handed out the tasks from this number on, so
 	// none of them can run unseen.
-	FreshFrom int
-	Types     []bool
-	Spot      bool // may and should use spot machines
-	OnPlain   bool // its tasks fit machines without accelerators
+	FreshFrom      int
+	Types          []bool
+	Spot           bool // may and should use spot machines
+	FitsWithoutGPU bool // its tasks fit machines without accelerators
 
 	After     []int32 // open jobs that it waits for
 	Followers []int32 // open jobs that wait for it
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/world.go
@@ -69,7 +69,7 @@
 // that needs none and can be elsewhere: no more of them get there than leave as many of
 // the others their place as it has.
 func (w *Snapshot) kept(j *jobs.Job, m *workers.Machine) bool {
-	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.OnPlain && w.AcceleratedNeed.GPU > 0
+	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.FitsWithoutGPU && w.AcceleratedNeed.GPU > 0
 }
 
 // mayLend says whether one more task that needs no accelerator may have room on a machine
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -63,7 +63,9 @@
 func (k *kind) has(gpus float64) bool { return k.all || (gpus > 0) == k.accel }
 
 // wants says whether a job's work is for machines of this kind.
-func (k *kind) wants(j *jobs.Job) bool { return k.all || (j.Need.GPU > 0 || !j.OnPlain) == k.accel }
+func (k *kind) wants(j *jobs.Job) bool {
+	return k.all || (j.Need.GPU > 0 || !j.FitsWithoutGPU) == k.accel
+}
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -422,9 +422,9 @@
 		}
 	}
 	j.Share = d.share(j)
-	j.OnPlain = false
+	j.FitsWithoutGPU = false
 	for i, ty := range d.Types {
-		j.OnPlain = j.OnPlain || (ty.GPUs == 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) && (j.Record.Zone == "" || slices.Contains(ty.Zones, j.Record.Zone)) &&
+		j.FitsWithoutGPU = j.FitsWithoutGPU || (ty.GPUs == 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) && (j.Record.Zone == "" || slices.Contains(ty.Zones, j.Record.Zone)) &&
 			j.Need.Fits(resources.Room(ty.CPUs, 0, ty.MemoryGB)))
 	}
 }
