--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -97,8 +97,8 @@
 
 	Saved map[int32]time.Duration // by task: how long it ran before it was stopped with time to save
 
-	SumS float64 // run time of completed tasks
-	SumN int
+	RunSeconds float64 // run time of completed tasks
+	SumN       int
 
 	AskedAt     time.Duration // when its user asked to cancel it
 	Ending      bool          // its cancellation is on its way to the log
@@ -313,7 +313,7 @@
 // estimate while there are none.
 func (j *Job) Mean() float64 {
 	if j.SumN > 0 {
-		return j.SumS / float64(j.SumN)
+		return j.RunSeconds / float64(j.SumN)
 	}
 	return max(j.Record.EstimateS, 1)
 }
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -85,7 +85,7 @@
 		took := -1.0
 		if e.Ran >= 0 {
 			took = e.Ran.Seconds()
-			j.SumS += took
+			j.RunSeconds += took
 			j.SumN++
 		}
 		if d.Where[e.Ref] != nil {
