--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -98,7 +98,7 @@
 	Saved map[int32]time.Duration // by task: how long it ran before it was stopped with time to save
 
 	RunSeconds float64 // run time of completed tasks
-	SumN       int
+	RunCount   int
 
 	AskedAt     time.Duration // when its user asked to cancel it
 	Ending      bool          // its cancellation is on its way to the log
@@ -312,8 +312,8 @@
 // Mean is the mean run time of the job's completed tasks, or the owner's
 // estimate while there are none.
 func (j *Job) Mean() float64 {
-	if j.SumN > 0 {
-		return j.RunSeconds / float64(j.SumN)
+	if j.RunCount > 0 {
+		return j.RunSeconds / float64(j.RunCount)
 	}
 	return max(j.Record.EstimateS, 1)
 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -83,9 +83,9 @@
 			}
 		}
 		j.RunSeconds += e.CompletedTasks.Seconds
-		j.SumN += e.CompletedTasks.Known
+		j.RunCount += e.CompletedTasks.Known
 		if j.DurableCount == len(j.Tasks) {
-			d.Book.RestoreHistory(j.RunSeconds, j.SumN)
+			d.Book.RestoreHistory(j.RunSeconds, j.RunCount)
 			d.isOver(j.Record.ID, jobs.Done)
 		}
 	case e.Dependencies != nil:
@@ -108,8 +108,8 @@
 		}
 		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 		took := -1.0
-		if j.SumN > 0 {
-			took = j.RunSeconds / float64(j.SumN)
+		if j.RunCount > 0 {
+			took = j.RunSeconds / float64(j.RunCount)
 		}
 		for k, s := range j.Tasks {
 			if s == jobs.Noted {
@@ -181,7 +181,7 @@
 	}
 	j.Phase = jobs.Done
 	d.Jobs.Finish(done.ID, jobs.Done)
-	d.Book.Remove(j.Index, true, j.RunSeconds, j.SumN)
+	d.Book.Remove(j.Index, true, j.RunSeconds, j.RunCount)
 	d.Tell(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 	d.Note(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
@@ -481,7 +481,7 @@
 // that is written here, and be replayed without it.
 func (d *Duty) again(now time.Duration, j *jobs.Job) {
 	d.Log.Append(d.entryOf(j))
-	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.SumN}
+	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
 	for k, s := range j.Tasks {
 		if s == jobs.Noted || s == jobs.Finished {
 			noted.Add(k)
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -86,7 +86,7 @@
 		if e.Ran >= 0 {
 			took = e.Ran.Seconds()
 			j.RunSeconds += took
-			j.SumN++
+			j.RunCount++
 		}
 		if d.Where[e.Ref] != nil {
 			delete(d.Where, e.Ref)
