--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -90,10 +90,10 @@
 	// Launch is the attempt that all tasks of a gang share; 0 while none is
 	// under way. Broken says that it cannot succeed any more: the next one
 	// begins once every task is proved gone.
-	Launch uint64
-	Broken bool
-	Began  bool    // the gang has run in this launch
-	Share  float64 // processors of a machine that a task takes up, counting what it makes unusable
+	GangAttempt uint64
+	Broken      bool
+	Began       bool    // the gang has run in this launch
+	Share       float64 // processors of a machine that a task takes up, counting what it makes unusable
 
 	Saved map[int32]time.Duration // by task: how long it ran before it was stopped with time to save
 
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -218,10 +218,10 @@
 		p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Record.Kind == jobs.Gang || j.ZoneRule(), Prompt: j.Prompt}
 		d.Where[ref] = p
 		if j.Record.Kind == jobs.Gang {
-			if j.Launch == 0 {
-				j.Launch = d.Attempt()
+			if j.GangAttempt == 0 {
+				j.GangAttempt = d.Attempt()
 			}
-			p.Attempt = j.Launch
+			p.Attempt = j.GangAttempt
 		}
 		m.Plan(p)
 		d.planned = append(d.planned, p)
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -46,9 +46,9 @@
 		d.Tell(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
 		if j.Record.Kind == jobs.Gang {
-			diff := d.Squared.Count(reconcile.Gang(j.Launch, e.Attempt))
+			diff := d.Squared.Count(reconcile.Gang(j.GangAttempt, e.Attempt))
 			if diff == reconcile.GangFound {
-				j.Launch = e.Attempt
+				j.GangAttempt = e.Attempt
 			}
 			j.Began = true // or so it must be taken: it is not known whether it ran
 			if diff.Resolution() == reconcile.Break {
@@ -60,7 +60,7 @@
 		p.Withdrawn = false
 		d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, p)
-		if j.Record.Kind == jobs.Gang && (j.Broken || j.Launch != p.Attempt) {
+		if j.Record.Kind == jobs.Gang && (j.Broken || j.GangAttempt != p.Attempt) {
 			p.Stopping, p.GraceSeconds = true, 0
 		}
 	case workers.EventOfferClosed:
