--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -91,7 +91,7 @@
 	// under way. Broken says that it cannot succeed any more: the next one
 	// begins once every task is proved gone.
 	GangAttempt uint64
-	Broken      bool
+	GangFailed  bool
 	Began       bool    // the gang has run in this launch
 	Share       float64 // processors of a machine that a task takes up, counting what it makes unusable
 
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -419,10 +419,10 @@
 // BreakGang gives up a gang's launch: what was not sent is taken back, the
 // others are stopped, and the next launch waits until all are proved gone.
 func (s *State) BreakGang(j *jobs.Job) {
-	if j.Broken || j.Finished > 0 {
+	if j.GangFailed || j.Finished > 0 {
 		return // one that is done has all of them done
 	}
-	j.Broken = true
+	j.GangFailed = true
 	for k, task := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		p := s.Where[ref]
@@ -443,7 +443,7 @@
 // one is left anywhere.
 func (s *State) GangEnds(j *jobs.Job) {
 	if j.Record.Kind == jobs.Gang && j.Placed == 0 {
-		j.GangAttempt, j.Broken, j.Began = 0, false, false
+		j.GangAttempt, j.GangFailed, j.Began = 0, false, false
 	}
 }
 
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -60,7 +60,7 @@
 		p.Withdrawn = false
 		d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, p)
-		if j.Record.Kind == jobs.Gang && (j.Broken || j.GangAttempt != p.Attempt) {
+		if j.Record.Kind == jobs.Gang && (j.GangFailed || j.GangAttempt != p.Attempt) {
 			p.Stopping, p.GraceSeconds = true, 0
 		}
 	case workers.EventOfferClosed:
