--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -92,7 +92,7 @@
 	// begins once every task is proved gone.
 	GangAttempt uint64
 	GangFailed  bool
-	Began       bool    // the gang has run in this launch
+	GangBegan   bool    // the gang has run in this launch
 	Share       float64 // processors of a machine that a task takes up, counting what it makes unusable
 
 	Saved map[int32]time.Duration // by task: how long it ran before it was stopped with time to save
@@ -239,7 +239,7 @@
 // HasBegun says whether a task of the job has its place or had one, as far as is known; a
 // gang has begun once all of them ran.
 func (j *Job) HasBegun() bool {
-	return j.Finished > 0 || j.FirstAt > 0 || (j.Record.Kind != Gang && j.Placed > 0) || j.Began
+	return j.Finished > 0 || j.FirstAt > 0 || (j.Record.Kind != Gang && j.Placed > 0) || j.GangBegan
 }
 
 // MayRunUnseen says whether tasks of the job that are not seen may run on machines of which
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -305,7 +305,7 @@
 // launch places all waiting tasks of a gang or none. While the gang still
 // gathers, lost tasks are replaced under the attempt it has.
 func (p *Scheduler) launch(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
-	if j.GangFailed || (j.Began && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.missing(j.Team)) || !w.units(j, j.Waiting) {
+	if j.GangFailed || (j.GangBegan && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.missing(j.Team)) || !w.units(j, j.Waiting) {
 		return false
 	}
 	if j.Record.OneZone && j.Placed == 0 {
@@ -525,7 +525,7 @@
 	if j.Record.OneZone {
 		all = most
 	}
-	return all >= need && !j.GangFailed && (!j.Began || j.Placed == 0)
+	return all >= need && !j.GangFailed && (!j.GangBegan || j.Placed == 0)
 }
 
 // waitsForImage says whether a replica that should start within a moment leaves room on a
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -443,7 +443,7 @@
 // one is left anywhere.
 func (s *State) GangEnds(j *jobs.Job) {
 	if j.Record.Kind == jobs.Gang && j.Placed == 0 {
-		j.GangAttempt, j.GangFailed, j.Began = 0, false, false
+		j.GangAttempt, j.GangFailed, j.GangBegan = 0, false, false
 	}
 }
 
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -50,7 +50,7 @@
 			if diff == reconcile.GangFound {
 				j.GangAttempt = e.Attempt
 			}
-			j.Began = true // or so it must be taken: it is not known whether it ran
+			j.GangBegan = true // or so it must be taken: it is not known whether it ran
 			if diff.Resolution() == reconcile.Break {
 				d.BreakGang(j)
 			}
@@ -75,7 +75,7 @@
 			j.FirstAt = now
 		}
 		j.LastAt = now
-		j.Began = j.Began || j.Record.Kind == jobs.Gang
+		j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
 		d.Book.Began(e.Ref.Job, k, now.Seconds())
 		d.Tell(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: k, Machine: m})
 	case workers.EventCompleted:
@@ -110,7 +110,7 @@
 		}
 		d.Tell(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, Lost: e.Died})
 		d.Lift(e.Ref)
-		if j.Record.Kind == jobs.Gang && (j.Began || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
+		if j.Record.Kind == jobs.Gang && (j.GangBegan || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
 			d.BreakGang(j)
 		}
 		d.GangEnds(j)
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -191,7 +191,7 @@
 func (d *Duty) count(now time.Duration, e *entry, met bool) {
 	j := e.job
 	began := j.FirstAt
-	if began == 0 || (j.Record.Kind == jobs.Gang && !j.Began && !met) {
+	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
 		began = now
 	}
 	o := outcome{now, met, len(j.Tasks), float64(len(j.Tasks)) * j.Mean() * j.Share, began - j.AcceptedAt}
