--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -100,24 +100,24 @@
 	RunSeconds float64 // run time of completed tasks
 	RunCount   int
 
-	AskedAt     time.Duration // when its user asked to cancel it
-	Ending      bool          // its cancellation is on its way to the log
-	Errors      int
-	NotBefore   time.Duration
-	AcceptedAt  time.Duration      // or released, if it waited for others: its times count from then
-	FirstAt     time.Duration      // when its first task was seen running in this term
-	LastAt      time.Duration      // and the last to begin so far
-	BehindUntil time.Duration      // best-effort work goes behind the order until then
-	LastAim     time.Duration      // by when the job should have ended at the latest; 0: no such aim
-	LostUntil   time.Duration      // having missed it, it goes behind the order until then
-	PreemptedAt time.Duration      // when others were last stopped for it
-	HomeZone    int32              // the zone in which its first task was placed in this term, and one more; 0: none yet
-	Prompt      bool               // its tasks should start sooner than an idle worker reports
-	Kept        Kept               // whether it goes ahead so that its class or team is not served too little
-	Guaranteed  bool               // fits into its team's guarantee with its earlier jobs
-	BesideRoom  time.Duration      // since when a task has waited beside room that it may have; 0: none does
-	Passed      time.Duration      // since when it has left room to jobs with their image there; 0: not
-	Ahead       [][2]time.Duration // spans in which waiting tasks go ahead of the order
+	AskedAt         time.Duration // when its user asked to cancel it
+	Ending          bool          // its cancellation is on its way to the log
+	Errors          int
+	NotBefore       time.Duration
+	AcceptedAt      time.Duration      // or released, if it waited for others: its times count from then
+	FirstAt         time.Duration      // when its first task was seen running in this term
+	LastAt          time.Duration      // and the last to begin so far
+	BehindUntil     time.Duration      // best-effort work goes behind the order until then
+	LastAim         time.Duration      // by when the job should have ended at the latest; 0: no such aim
+	LostUntil       time.Duration      // having missed it, it goes behind the order until then
+	PreemptedAt     time.Duration      // when others were last stopped for it
+	HomeZone        int32              // the zone in which its first task was placed in this term, and one more; 0: none yet
+	Prompt          bool               // its tasks should start sooner than an idle worker reports
+	Kept            Kept               // whether it goes ahead so that its class or team is not served too little
+	Guaranteed      bool               // fits into its team's guarantee with its earlier jobs
+	BesideRoom      time.Duration      // since when a task has waited beside room that it may have; 0: none does
+	Passed          time.Duration      // since when it has left room to jobs with their image there; 0: not
+	PriorityWindows [][2]time.Duration // spans in which waiting tasks go ahead of the order
 }
 
 // Table holds all jobs by dense index, and the final states by id.
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -129,7 +129,7 @@
 		return int(j.Priority) + 1
 	case j.Kept == jobs.KeptBehindUrgent, p.overdue(w, j):
 		return keptRank
-	case slices.ContainsFunc(j.Ahead, func(a [2]time.Duration) bool { return a[0] <= w.Now && w.Now < a[1] }):
+	case slices.ContainsFunc(j.PriorityWindows, func(a [2]time.Duration) bool { return a[0] <= w.Now && w.Now < a[1] }):
 		return 1
 	case j.Guaranteed:
 		return 1
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -356,7 +356,7 @@
 // release.
 func (d *Duty) schedule(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
-	j.Ahead, j.LastAim, j.LostUntil = nil, 0, 0
+	j.PriorityWindows, j.LastAim, j.LostUntil = nil, 0, 0
 	j.BehindUntil = at + d.patience(j)
 	for _, o := range d.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
@@ -385,7 +385,7 @@
 	}
 	latest := within - longRun*j.Record.EstimateS - placing
 	if latest <= 0 {
-		j.Ahead = append(j.Ahead, [2]time.Duration{at, at + settings.Seconds(within)})
+		j.PriorityWindows = append(j.PriorityWindows, [2]time.Duration{at, at + settings.Seconds(within)})
 		j.BehindUntil = 0
 		return
 	}
@@ -396,7 +396,7 @@
 // the latest time at which they should start, and says from when on.
 func (d *Duty) goAhead(j *jobs.Job, at time.Duration, latest float64) time.Duration {
 	from := at + settings.Seconds(latest-min(d.Cfg.Tunables.WaitLeadS, mostLead*latest))
-	j.Ahead = append(j.Ahead, [2]time.Duration{from, at + settings.Seconds(latest)})
+	j.PriorityWindows = append(j.PriorityWindows, [2]time.Duration{from, at + settings.Seconds(latest)})
 	return from
 }
 
