--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -113,7 +113,7 @@
 	PreemptedAt     time.Duration      // when others were last stopped for it
 	HomeZone        int32              // the zone in which its first task was placed in this term, and one more; 0: none yet
 	Prompt          bool               // its tasks should start sooner than an idle worker reports
-	Kept            Kept               // whether it goes ahead so that its class or team is not served too little
+	Boost           Kept               // whether it goes ahead so that its class or team is not served too little
 	Guaranteed      bool               // fits into its team's guarantee with its earlier jobs
 	BesideRoom      time.Duration      // since when a task has waited beside room that it may have; 0: none does
 	Passed          time.Duration      // since when it has left room to jobs with their image there; 0: not
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -179,7 +179,7 @@
 		i++
 	}
 	d.open = slices.Delete(d.open, i, i+1)
-	e.job.Kept = jobs.NotKept
+	e.job.Boost = jobs.NotKept
 	for _, s := range e.sums {
 		s.remaining--
 		if e.kept {
@@ -272,10 +272,10 @@
 			continue
 		}
 		ahead += work(e.job)
-		if before := e.job.Kept; d.short(e) != (before == jobs.KeptFirst) {
-			e.job.Kept = jobs.KeptBehindUrgent
+		if before := e.job.Boost; d.short(e) != (before == jobs.KeptFirst) {
+			e.job.Boost = jobs.KeptBehindUrgent
 			if before != jobs.KeptFirst {
-				e.job.Kept = jobs.KeptFirst
+				e.job.Boost = jobs.KeptFirst
 			}
 			d.Dirty = true
 		}
@@ -299,7 +299,7 @@
 		if e.sums[0].share(e.sums[0].waiting) >= d.floor && e.sums[1].share(e.sums[1].waiting) >= d.floor {
 			continue
 		}
-		e.kept, j.Kept = true, jobs.KeptBehindUrgent
+		e.kept, j.Boost = true, jobs.KeptBehindUrgent
 		ahead += work(j)
 		d.Dirty = true
 		for _, s := range e.sums {
