--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -42,12 +42,12 @@
 	Done
 )
 
-// Kept says how far a job goes ahead of others for its class's or its team's sake.
-type Kept uint8
+// Boost says how far a job goes ahead of others for its class's or its team's sake.
+type Boost uint8
 
 // Not at all, of all but urgent jobs, or of everything.
 const (
-	NotKept Kept = iota
+	NotKept Boost = iota
 	KeptBehindUrgent
 	KeptFirst
 )
@@ -113,7 +113,7 @@
 	PreemptedAt     time.Duration      // when others were last stopped for it
 	HomeZone        int32              // the zone in which its first task was placed in this term, and one more; 0: none yet
 	Prompt          bool               // its tasks should start sooner than an idle worker reports
-	Boost           Kept               // whether it goes ahead so that its class or team is not served too little
+	Boost           Boost              // whether it goes ahead so that its class or team is not served too little
 	Guaranteed      bool               // fits into its team's guarantee with its earlier jobs
 	BesideRoom      time.Duration      // since when a task has waited beside room that it may have; 0: none does
 	Passed          time.Duration      // since when it has left room to jobs with their image there; 0: not
