--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -47,7 +47,7 @@
 
 // Not at all, of all but urgent jobs, or of everything.
 const (
-	NotKept Boost = iota
+	NoBoost Boost = iota
 	KeptBehindUrgent
 	KeptFirst
 )
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -179,7 +179,7 @@
 		i++
 	}
 	d.open = slices.Delete(d.open, i, i+1)
-	e.job.Boost = jobs.NotKept
+	e.job.Boost = jobs.NoBoost
 	for _, s := range e.sums {
 		s.remaining--
 		if e.kept {
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -68,7 +68,7 @@
 		late.Record.EstimateS = 90 // it needs 112 s of 100
 		kept := func() (n int) {
 			for _, j := range list {
-				if j.Boost != jobs.NotKept {
+				if j.Boost != jobs.NoBoost {
 					n++
 				}
 			}
@@ -84,7 +84,7 @@
 		if n := kept(); n < want-1 || n > want+1 {
 			t.Errorf("floor %v: %d of 20 go ahead", floor, n)
 		}
-		if late.Boost != jobs.NotKept {
+		if late.Boost != jobs.NoBoost {
 			t.Errorf("floor %v: room goes to a job that is lost", floor)
 		}
 		d.Tick(101*time.Second, true)
