--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -48,7 +48,7 @@
 // Not at all, of all but urgent jobs, or of everything.
 const (
 	NoBoost Boost = iota
-	KeptBehindUrgent
+	BoostBehindUrgent
 	KeptFirst
 )
 
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -127,7 +127,7 @@
 		return keptFirst
 	case p.UrgentFirst && j.Priority >= 2:
 		return int(j.Priority) + 1
-	case j.Boost == jobs.KeptBehindUrgent, p.overdue(w, j):
+	case j.Boost == jobs.BoostBehindUrgent, p.overdue(w, j):
 		return keptRank
 	case slices.ContainsFunc(j.PriorityWindows, func(a [2]time.Duration) bool { return a[0] <= w.Now && w.Now < a[1] }):
 		return 1
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -273,7 +273,7 @@
 		}
 		ahead += work(e.job)
 		if before := e.job.Boost; d.short(e) != (before == jobs.KeptFirst) {
-			e.job.Boost = jobs.KeptBehindUrgent
+			e.job.Boost = jobs.BoostBehindUrgent
 			if before != jobs.KeptFirst {
 				e.job.Boost = jobs.KeptFirst
 			}
@@ -299,7 +299,7 @@
 		if e.sums[0].share(e.sums[0].waiting) >= d.floor && e.sums[1].share(e.sums[1].waiting) >= d.floor {
 			continue
 		}
-		e.kept, j.Boost = true, jobs.KeptBehindUrgent
+		e.kept, j.Boost = true, jobs.BoostBehindUrgent
 		ahead += work(j)
 		d.Dirty = true
 		for _, s := range e.sums {
