--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -49,7 +49,7 @@
 const (
 	NoBoost Boost = iota
 	BoostBehindUrgent
-	KeptFirst
+	BoostFirst
 )
 
 // Job is an unfinished job, or a done one whose tasks are not all gone.
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -123,7 +123,7 @@
 func (p *Scheduler) rank(w *Snapshot, i int32) int {
 	j := w.Jobs.At(i)
 	switch {
-	case j.Boost == jobs.KeptFirst:
+	case j.Boost == jobs.BoostFirst:
 		return keptFirst
 	case p.UrgentFirst && j.Priority >= 2:
 		return int(j.Priority) + 1
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -272,10 +272,10 @@
 			continue
 		}
 		ahead += work(e.job)
-		if before := e.job.Boost; d.short(e) != (before == jobs.KeptFirst) {
+		if before := e.job.Boost; d.short(e) != (before == jobs.BoostFirst) {
 			e.job.Boost = jobs.BoostBehindUrgent
-			if before != jobs.KeptFirst {
-				e.job.Boost = jobs.KeptFirst
+			if before != jobs.BoostFirst {
+				e.job.Boost = jobs.BoostFirst
 			}
 			d.Dirty = true
 		}
