--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -115,7 +115,7 @@
 	Prompt          bool               // its tasks should start sooner than an idle worker reports
 	Boost           Boost              // whether it goes ahead so that its class or team is not served too little
 	Guaranteed      bool               // fits into its team's guarantee with its earlier jobs
-	BesideRoom      time.Duration      // since when a task has waited beside room that it may have; 0: none does
+	StarvedSince    time.Duration      // since when a task has waited beside room that it may have; 0: none does
 	Passed          time.Duration      // since when it has left room to jobs with their image there; 0: not
 	PriorityWindows [][2]time.Duration // spans in which waiting tasks go ahead of the order
 }
@@ -221,7 +221,7 @@
 	j.Waiting--
 	j.Placed++
 	if j.Waiting == 0 {
-		j.BesideRoom = 0
+		j.StarvedSince = 0
 	}
 }
 
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -73,13 +73,13 @@
 // look at all while nothing waits.
 func TestBesideRoomEndsWithWaiting(t *testing.T) {
 	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 2})
-	j.BesideRoom = time.Second
+	j.StarvedSince = time.Second
 	j.Place(0)
-	if j.BesideRoom == 0 {
+	if j.StarvedSince == 0 {
 		t.Error("one of its tasks still waits")
 	}
 	j.Place(1)
-	if j.BesideRoom != 0 {
+	if j.StarvedSince != 0 {
 		t.Error("nothing of it waits")
 	}
 }
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -457,19 +457,19 @@
 		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.next(j) < 0 || !p.Within(j.Team, j.Need.Times(j.Together()), w.missing(j.Team)) || !w.units(j, j.Together()) ||
 			slices.ContainsFunc(none, func(r refusal) bool { return r.covers(j, j.Record.Spot) }) {
 			if j != nil {
-				j.BesideRoom = 0
+				j.StarvedSince = 0
 			}
 			continue
 		}
 		switch {
 		case !w.hasRoom(j, room):
-			j.BesideRoom = 0
+			j.StarvedSince = 0
 			if j.Record.Kind != jobs.Gang && !j.ZoneRule() {
 				none = append(none, refusal{j.Need, j.Record.Spot, j.Types, j.Record.Zone})
 			}
-		case j.BesideRoom == 0:
-			j.BesideRoom = w.Now
-		case w.Now-j.BesideRoom >= leftAfter:
+		case j.StarvedSince == 0:
+			j.StarvedSince = w.Now
+		case w.Now-j.StarvedSince >= leftAfter:
 			if p.giveLeft(w, j, room) {
 				given++
 			}
@@ -492,7 +492,7 @@
 	if j.Placed == before {
 		return false
 	}
-	j.BesideRoom = 0
+	j.StarvedSince = 0
 	for _, m := range room {
 		if m.Draining && m.HasPlans() {
 			m.Draining, m.KeptUntil = false, w.Now+leftAfter // the plan would be taken back else
