--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -116,7 +116,7 @@
 	Boost           Boost              // whether it goes ahead so that its class or team is not served too little
 	Guaranteed      bool               // fits into its team's guarantee with its earlier jobs
 	StarvedSince    time.Duration      // since when a task has waited beside room that it may have; 0: none does
-	Passed          time.Duration      // since when it has left room to jobs with their image there; 0: not
+	DelayedSince    time.Duration      // since when it has left room to jobs with their image there; 0: not
 	PriorityWindows [][2]time.Duration // spans in which waiting tasks go ahead of the order
 }
 
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -396,14 +396,14 @@
 		return false
 	}
 	if w.local && j.Record.Kind == jobs.Array && !best.HasImage(j.Image) {
-		if j.Passed == 0 {
-			j.Passed = w.Now
+		if j.DelayedSince == 0 {
+			j.DelayedSince = w.Now
 		}
-		if w.Now-j.Passed < p.Locality {
+		if w.Now-j.DelayedSince < p.Locality {
 			return false
 		}
 	} else if best.HasImage(j.Image) {
-		j.Passed = 0
+		j.DelayedSince = 0
 	}
 	p.Charge(j.Team, j.Need)
 	if j.HomeZone == 0 {
@@ -532,10 +532,10 @@
 // machine that would have to fetch its image first: for a fraction of the fetch, and not
 // for long. On a full cluster the next room comes free sooner, and often where the image is.
 func (p *Scheduler) waitsForImage(w *Snapshot, j *jobs.Job, m *workers.Machine) bool {
-	if j.Passed == 0 {
-		j.Passed = w.Now
+	if j.DelayedSince == 0 {
+		j.DelayedSince = w.Now
 	}
-	return p.Locality > 0 && w.Now-j.Passed < min(promptPatience, time.Duration(j.Record.ImageGB/m.FetchGBPS/4*float64(time.Second)))
+	return p.Locality > 0 && w.Now-j.DelayedSince < min(promptPatience, time.Duration(j.Record.ImageGB/m.FetchGBPS/4*float64(time.Second)))
 }
 
 // promptPatience is how long it waits at most.
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -47,7 +47,7 @@
 			j.Types = []bool{true, false}
 		}
 		if r.IntN(2) == 0 {
-			j.Passed = w.Now - 3*time.Second
+			j.DelayedSince = w.Now - 3*time.Second
 		}
 		w.Estimator.Add(j.Index, j.Team, rec.Tasks, rec.CPUs, rec.Kind == jobs.Gang)
 	}
