--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -100,7 +100,7 @@
 	RunSeconds float64 // run time of completed tasks
 	RunCount   int
 
-	AskedAt         time.Duration // when its user asked to cancel it
+	CancelAskedAt   time.Duration // when its user asked to cancel it
 	Ending          bool          // its cancellation is on its way to the log
 	Errors          int
 	NotBefore       time.Duration
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -236,8 +236,8 @@
 // end has a cancellation written.
 func (d *Duty) end(now time.Duration, j *jobs.Job) {
 	j.Ending = true
-	d.gone.Observe(j.Record.Class, (now - j.AskedAt).Seconds())
-	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.AskedAt).Round(time.Millisecond))
+	d.gone.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
+	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
 	d.Log.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
 }
 
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -166,7 +166,7 @@
 	if j.Phase == jobs.Cancelling || j.Finished == len(j.Tasks) {
 		return // answered with what becomes durable first
 	}
-	j.AskedAt = now
+	j.CancelAskedAt = now
 	if j.Phase == jobs.Accepting {
 		if !j.Ending { // it has no task before its acceptance is durable
 			d.end(now, j)
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -26,7 +26,7 @@
 	overdue := settings.Seconds(0.5 * w.CancelS)
 	var late []*jobs.Job // being cancelled for longer than tasks may take to stop
 	for _, j := range d.Jobs.All() {
-		if j != nil && j.Phase == jobs.Cancelling && now-j.AskedAt > overdue {
+		if j != nil && j.Phase == jobs.Cancelling && now-j.CancelAskedAt > overdue {
 			late = append(late, j)
 		}
 	}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -208,7 +208,7 @@
 		say("the %d jobs that it follows are done; its times count from then", n)
 	}
 	if j.Phase == jobs.Cancelling {
-		say("its user has asked to cancel it %.0f s ago, and is told so once nothing of it is left anywhere: %d tasks are not proved gone, %d machines that may have some were not heard", (now - j.AskedAt).Seconds(), j.Placed, j.UnresolvedMachines)
+		say("its user has asked to cancel it %.0f s ago, and is told so once nothing of it is left anywhere: %d tasks are not proved gone, %d machines that may have some were not heard", (now - j.CancelAskedAt).Seconds(), j.Placed, j.UnresolvedMachines)
 		return e, true
 	}
 	say("%d of its %d tasks are done, %d have a place, %d wait", j.Finished, len(j.Tasks), j.Placed, j.Waiting)
