--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -101,7 +101,7 @@
 	RunCount   int
 
 	CancelAskedAt   time.Duration // when its user asked to cancel it
-	Ending          bool          // its cancellation is on its way to the log
+	CancelPending   bool          // its cancellation is on its way to the log
 	Errors          int
 	NotBefore       time.Duration
 	AcceptedAt      time.Duration      // or released, if it waited for others: its times count from then
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -235,7 +235,7 @@
 
 // end has a cancellation written.
 func (d *Duty) end(now time.Duration, j *jobs.Job) {
-	j.Ending = true
+	j.CancelPending = true
 	d.gone.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
 	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
 	d.Log.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
@@ -505,7 +505,7 @@
 			continue
 		}
 		if j := d.Jobs.Find(e.Job.ID); j != nil {
-			if rec, _ := d.stored(j.Record); j.Ending || !d.Log.Fits(eventlog.Entry{Job: &rec}) {
+			if rec, _ := d.stored(j.Record); j.CancelPending || !d.Log.Fits(eventlog.Entry{Job: &rec}) {
 				return false
 			}
 		}
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -168,7 +168,7 @@
 	}
 	j.CancelAskedAt = now
 	if j.Phase == jobs.Accepting {
-		if !j.Ending { // it has no task before its acceptance is durable
+		if !j.CancelPending { // it has no task before its acceptance is durable
 			d.end(now, j)
 		}
 		return
