--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -9,23 +9,23 @@
 // Follow notes that a job waits for another, open one.
 func (t *Table) Follow(j, before *Job) {
 	j.After = append(j.After, before.Index)
-	before.Followers = append(before.Followers, j.Index)
+	before.Dependents = append(before.Dependents, j.Index)
 }
 
 // Unlink takes a job that is over out of all links. It returns the jobs that
 // waited for it.
 func (t *Table) Unlink(j *Job) []*Job {
 	var waited []*Job
-	for _, i := range j.Followers {
+	for _, i := range j.Dependents {
 		f := t.jobs[i]
 		f.After = without(f.After, j.Index)
 		waited = append(waited, f)
 	}
 	for _, i := range j.After {
 		b := t.jobs[i]
-		b.Followers = without(b.Followers, j.Index)
+		b.Dependents = without(b.Dependents, j.Index)
 	}
-	j.After, j.Followers = nil, nil
+	j.After, j.Dependents = nil, nil
 	return waited
 }
 
@@ -36,7 +36,7 @@
 // Needing lists the open jobs that need a job, directly or through others,
 // each once.
 func (t *Table) Needing(j *Job) []*Job {
-	return t.reach(j, func(x *Job) []int32 { return x.Followers })
+	return t.reach(j, func(x *Job) []int32 { return x.Dependents })
 }
 
 // Needed lists the open jobs that a job needs, directly or through others,
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -464,7 +464,7 @@
 // appendTasks appends completed tasks, in as many entries as they need, with
 // the time of day for a job that others wait for.
 func (d *Duty) appendTasks(now time.Duration, b eventlog.CompletedTasks) {
-	if j := d.Jobs.Find(b.ID); j != nil && len(j.Followers) > 0 {
+	if j := d.Jobs.Find(b.ID); j != nil && len(j.Dependents) > 0 {
 		b.AtMS = d.Zero + now.Milliseconds()
 	}
 	most := max(1, d.Log.MaxEntryBytes()/rangeBytes-4)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -189,8 +189,8 @@
 			e.Place = n + 1
 		}
 	}
-	if len(j.Followers) > 0 {
-		say("jobs that wait for it: %s", strings.Join(ids(t, j.Followers), ", "))
+	if len(j.Dependents) > 0 {
+		say("jobs that wait for it: %s", strings.Join(ids(t, j.Dependents), ", "))
 	}
 	if j.Priority > j.Record.Priority {
 		say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)", wire.PriorityWord(j.Priority), wire.PriorityWord(j.Record.Priority))
