--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -71,8 +71,8 @@
 	Spot           bool // may and should use spot machines
 	FitsWithoutGPU bool // its tasks fit machines without accelerators
 
-	After      []int32 // open jobs that it waits for
-	Dependents []int32 // open jobs that wait for it
+	Dependencies []int32 // open jobs that it waits for
+	Dependents   []int32 // open jobs that wait for it
 	// Priority is the highest of its own and those of the jobs that need it,
 	// directly or not.
 	Priority uint8
--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -8,7 +8,7 @@
 
 // Follow notes that a job waits for another, open one.
 func (t *Table) Follow(j, before *Job) {
-	j.After = append(j.After, before.Index)
+	j.Dependencies = append(j.Dependencies, before.Index)
 	before.Dependents = append(before.Dependents, j.Index)
 }
 
@@ -18,14 +18,14 @@
 	var waited []*Job
 	for _, i := range j.Dependents {
 		f := t.jobs[i]
-		f.After = without(f.After, j.Index)
+		f.Dependencies = without(f.Dependencies, j.Index)
 		waited = append(waited, f)
 	}
-	for _, i := range j.After {
+	for _, i := range j.Dependencies {
 		b := t.jobs[i]
 		b.Dependents = without(b.Dependents, j.Index)
 	}
-	j.After, j.Dependents = nil, nil
+	j.Dependencies, j.Dependents = nil, nil
 	return waited
 }
 
@@ -42,7 +42,7 @@
 // Needed lists the open jobs that a job needs, directly or through others,
 // each once.
 func (t *Table) Needed(j *Job) []*Job {
-	return t.reach(j, func(x *Job) []int32 { return x.After })
+	return t.reach(j, func(x *Job) []int32 { return x.Dependencies })
 }
 
 func (t *Table) reach(j *Job, next func(*Job) []int32) []*Job {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -353,7 +353,7 @@
 // waits for have their place and run for no longer than a machine is usually
 // kept. Nothing is kept for one that waits for hours.
 func (d *Duty) soon(j *jobs.Job) bool {
-	return j.Phase == jobs.Held && len(j.After) > 0 && !slices.ContainsFunc(j.After, func(i int32) bool {
+	return j.Phase == jobs.Held && len(j.Dependencies) > 0 && !slices.ContainsFunc(j.Dependencies, func(i int32) bool {
 		b := d.Jobs.At(i)
 		return b.Phase != jobs.Open || b.Waiting > 0 || b.Mean() > d.Cfg.Tunables.UsualStayS
 	})
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -175,7 +175,7 @@
 			cancelling = append(cancelling, j)
 			continue
 		}
-		if len(j.After) > 0 {
+		if len(j.Dependencies) > 0 {
 			j.Phase, j.Earlier = jobs.Held, false // never started
 			continue
 		}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -148,7 +148,7 @@
 		d.cancelled(sure, j)
 		d.Counts.CancelSpread++
 		d.Note(effects.Info, "job cancelled on arrival: it follows a cancelled one", "job", id)
-	case len(j.After) == 0:
+	case len(j.Dependencies) == 0:
 		d.order(now, j)
 	case j.Phase == jobs.Open:
 		j.Phase = jobs.Held
@@ -186,7 +186,7 @@
 	d.Note(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
 	for _, f := range d.Jobs.Unlink(j) {
-		if len(f.After) == 0 && f.Phase == jobs.Held {
+		if len(f.Dependencies) == 0 && f.Phase == jobs.Held {
 			d.letGo(now, f)
 		}
 	}
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -75,7 +75,7 @@
 	// settled once all of them are; a job never follows a later one.
 	var held []*jobs.Job
 	for _, j := range d.Jobs.All() {
-		if j != nil && j.Phase == jobs.Held && len(j.After) > 0 {
+		if j != nil && j.Phase == jobs.Held && len(j.Dependencies) > 0 {
 			held = append(held, j)
 		}
 	}
@@ -83,7 +83,7 @@
 		before := len(held)
 		held = slices.DeleteFunc(held, func(j *jobs.Job) bool {
 			begin, p90 := 0.0, 0.0
-			for _, a := range j.After {
+			for _, a := range j.Dependencies {
 				n, known := at[a]
 				if !known {
 					return false
@@ -92,7 +92,7 @@
 			}
 			f, _ := d.forecast(now, j, begin, cpus)
 			f.EndP90S += p90 - begin
-			for _, a := range j.After {
+			for _, a := range j.Dependencies {
 				f.After = append(f.After, wire.FormatID(d.Jobs.At(a).Record.ID))
 			}
 			slices.Sort(f.After)
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -133,7 +133,7 @@
 	} {
 		next := smallTerm(list)
 		f := next.Jobs.Find(2)
-		if f == nil || f.Phase != jobs.Held || len(f.Record.Follows) != 601 || len(f.After) != 1 {
+		if f == nil || f.Phase != jobs.Held || len(f.Record.Follows) != 601 || len(f.Dependencies) != 1 {
 			t.Fatalf("%s: the follower is there: %v, or not as it was", name, f != nil)
 		}
 		if o := next.Jobs.Find(1); o == nil || o.DurableCount != 2000 {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -123,7 +123,7 @@
 	}
 	for _, j := range t.Jobs.All() {
 		if j != nil && j.Phase == jobs.Held {
-			s.Held = append(s.Held, HeldStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Tasks: len(j.Tasks), After: ids(t, j.After)})
+			s.Held = append(s.Held, HeldStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Tasks: len(j.Tasks), After: ids(t, j.Dependencies)})
 		}
 	}
 	slices.SortFunc(s.Held, func(a, b HeldStatus) int { return compare(a.ID, b.ID) })
@@ -196,11 +196,11 @@
 		say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)", wire.PriorityWord(j.Priority), wire.PriorityWord(j.Record.Priority))
 	}
 	if j.Phase == jobs.Held {
-		if len(j.After) == 0 {
+		if len(j.Dependencies) == 0 {
 			say("what it follows is not in the log any more: it is not started, and waits to be cancelled")
 			return e, true
 		}
-		say("it waits for %d of the %d jobs that it follows: %s", len(j.After), len(j.Record.Follows), strings.Join(ids(t, j.After), ", "))
+		say("it waits for %d of the %d jobs that it follows: %s", len(j.Dependencies), len(j.Record.Follows), strings.Join(ids(t, j.Dependencies), ", "))
 		say("until they are done it is outside the order and holds nothing of its team's share")
 		return e, true
 	}
