--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -6,8 +6,8 @@
 // only; a job that is over has none. So whatever happens to a job costs work
 // for its own neighbours alone.
 
-// Follow notes that a job waits for another, open one.
-func (t *Table) Follow(j, before *Job) {
+// AddDependency notes that a job waits for another, open one.
+func (t *Table) AddDependency(j, before *Job) {
 	j.Dependencies = append(j.Dependencies, before.Index)
 	before.Dependents = append(before.Dependents, j.Index)
 }
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -71,7 +71,7 @@
 		case p == jobs.Done:
 		default:
 			if before := d.Jobs.Find(id); before != nil {
-				d.Jobs.Follow(j, before)
+				d.Jobs.AddDependency(j, before)
 			}
 		}
 	}
