--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -39,9 +39,9 @@
 	return t.reach(j, func(x *Job) []int32 { return x.Dependents })
 }
 
-// Needed lists the open jobs that a job needs, directly or through others,
+// TransitiveDependencies lists the open jobs that a job needs, directly or through others,
 // each once.
-func (t *Table) Needed(j *Job) []*Job {
+func (t *Table) TransitiveDependencies(j *Job) []*Job {
 	return t.reach(j, func(x *Job) []int32 { return x.Dependencies })
 }
 
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -85,7 +85,7 @@
 	if d.Cfg.Tunables.FollowUrgency == 0 {
 		return
 	}
-	for _, x := range d.Jobs.Needed(j) {
+	for _, x := range d.Jobs.TransitiveDependencies(j) {
 		if x.Priority < j.Priority {
 			x.Priority = j.Priority
 			x.BehindUntil = 0
@@ -130,7 +130,7 @@
 // cancelled acts on a cancellation that is durable, of a job or of one that it
 // follows, and on all that need it.
 func (d *Duty) cancelled(sure bool, j *jobs.Job) {
-	needed, needing := d.Jobs.Needed(j), d.Jobs.Needing(j)
+	needed, needing := d.Jobs.TransitiveDependencies(j), d.Jobs.Needing(j)
 	d.wipe(j)
 	for _, f := range needing {
 		d.wipe(f)
