--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -33,9 +33,9 @@
 	return slices.DeleteFunc(list, func(o int32) bool { return o == i })
 }
 
-// Needing lists the open jobs that need a job, directly or through others,
+// TransitiveDependents lists the open jobs that need a job, directly or through others,
 // each once.
-func (t *Table) Needing(j *Job) []*Job {
+func (t *Table) TransitiveDependents(j *Job) []*Job {
 	return t.reach(j, func(x *Job) []int32 { return x.Dependents })
 }
 
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -99,7 +99,7 @@
 	for _, x := range list {
 		x.Priority = x.Record.Priority
 		if d.Cfg.Tunables.FollowUrgency == 1 {
-			for _, f := range d.Jobs.Needing(x) {
+			for _, f := range d.Jobs.TransitiveDependents(x) {
 				x.Priority = max(x.Priority, f.Record.Priority)
 			}
 		}
@@ -130,7 +130,7 @@
 // cancelled acts on a cancellation that is durable, of a job or of one that it
 // follows, and on all that need it.
 func (d *Duty) cancelled(sure bool, j *jobs.Job) {
-	needed, needing := d.Jobs.TransitiveDependencies(j), d.Jobs.Needing(j)
+	needed, needing := d.Jobs.TransitiveDependencies(j), d.Jobs.TransitiveDependents(j)
 	d.wipe(j)
 	for _, f := range needing {
 		d.wipe(f)
@@ -190,7 +190,7 @@
 		}
 	}
 	for _, j := range cancelling {
-		for _, x := range append(d.Jobs.Needing(j), j) {
+		for _, x := range append(d.Jobs.TransitiveDependents(j), j) {
 			d.Jobs.Finish(x.Record.ID, jobs.Cancelled)
 			d.Jobs.Unlink(x)
 			d.Jobs.Leave(x)
