--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -12,9 +12,9 @@
 	before.Dependents = append(before.Dependents, j.Index)
 }
 
-// Unlink takes a job that is over out of all links. It returns the jobs that
+// RemoveDependency takes a job that is over out of all links. It returns the jobs that
 // waited for it.
-func (t *Table) Unlink(j *Job) []*Job {
+func (t *Table) RemoveDependency(j *Job) []*Job {
 	var waited []*Job
 	for _, i := range j.Dependents {
 		f := t.jobs[i]
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -146,7 +146,7 @@
 	j.Phase = jobs.Cancelled
 	delete(d.cancelling, j.Record.ID)
 	d.Jobs.Finish(j.Record.ID, jobs.Cancelled)
-	d.Jobs.Unlink(j)
+	d.Jobs.RemoveDependency(j)
 	d.Book.Remove(j.Index, false, 0, 0)
 	d.LeaveIfEmpty(j)
 	d.Dirty = true
@@ -192,7 +192,7 @@
 	for _, j := range cancelling {
 		for _, x := range append(d.Jobs.TransitiveDependents(j), j) {
 			d.Jobs.Finish(x.Record.ID, jobs.Cancelled)
-			d.Jobs.Unlink(x)
+			d.Jobs.RemoveDependency(x)
 			d.Jobs.Leave(x)
 		}
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -185,7 +185,7 @@
 	d.Tell(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 	d.Note(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
-	for _, f := range d.Jobs.Unlink(j) {
+	for _, f := range d.Jobs.RemoveDependency(j) {
 		if len(f.Dependencies) == 0 && f.Phase == jobs.Held {
 			d.letGo(now, f)
 		}
