--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -181,10 +181,10 @@
 // Len is the number of jobs in the table.
 func (t *Table) Len() int { return len(t.byID) }
 
-// Leave takes a job out of the table; its index will be used again. A job
+// Remove takes a job out of the table; its index will be used again. A job
 // that has left already stays as it is: freeing its index twice would give
 // it to two jobs at once.
-func (t *Table) Leave(j *Job) {
+func (t *Table) Remove(j *Job) {
 	if t.jobs[j.Index] != j {
 		return
 	}
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -12,13 +12,13 @@
 func TestIndexIsFreedOnce(t *testing.T) {
 	table := NewTable()
 	j := table.Add(eventlog.Job{ID: 1, Tasks: 1})
-	table.Leave(j)
-	table.Leave(j)
+	table.Remove(j)
+	table.Remove(j)
 	a, b := table.Add(eventlog.Job{ID: 2, Tasks: 3}), table.Add(eventlog.Job{ID: 3, Tasks: 11})
 	if a.Index == b.Index {
 		t.Fatalf("jobs 2 and 3 share index %d", a.Index)
 	}
-	table.Leave(j)
+	table.Remove(j)
 	if table.Find(2) != a || table.At(a.Index) != a {
 		t.Error("a job that is long gone took another along")
 	}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -283,7 +283,7 @@
 
 // forget takes a job out of the table.
 func (s *State) forget(j *jobs.Job) {
-	s.Jobs.Leave(j)
+	s.Jobs.Remove(j)
 	s.Tell(Event{Kind: JobLeft, Job: j})
 }
 
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -193,7 +193,7 @@
 		for _, x := range append(d.Jobs.TransitiveDependents(j), j) {
 			d.Jobs.Finish(x.Record.ID, jobs.Cancelled)
 			d.Jobs.RemoveDependency(x)
-			d.Jobs.Leave(x)
+			d.Jobs.Remove(x)
 		}
 	}
 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -333,7 +333,7 @@
 func (d *Duty) isOver(id uint64, p jobs.Phase) {
 	d.Jobs.Finish(id, p)
 	if j := d.Jobs.Find(id); j != nil {
-		d.Jobs.Leave(j)
+		d.Jobs.Remove(j)
 	}
 }
 
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -120,7 +120,7 @@
 		d.Hear(cluster.Event{Kind: cluster.TaskDone, At: at + 20*time.Second, Job: j, Task: k, Took: took, Mine: true, Machine: m})
 	}
 	d.Hear(cluster.Event{Kind: cluster.JobDone, At: w.now + 20*time.Second, Job: j})
-	d.Jobs.Leave(j)
+	d.Jobs.Remove(j)
 }
 
 // counted is how many jobs the class has shown.
