--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -300,8 +300,8 @@
 	return true
 }
 
-// Note notes that a task's completion is durable.
-func (j *Job) Note(k int) {
+// MarkDurable notes that a task's completion is durable.
+func (j *Job) MarkDurable(k int) {
 	j.Complete(k)
 	if j.Tasks[k] != Noted {
 		j.Tasks[k] = Noted
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -40,8 +40,8 @@
 		t.Error("a task completes once")
 	}
 	j.Release(0) // a late word of its end changes nothing
-	j.Note(0)
-	j.Note(0)
+	j.MarkDurable(0)
+	j.MarkDurable(0)
 	if j.Waiting != 2 || j.Placed != 1 || j.Finished != 1 || j.DurableCount != 1 {
 		t.Errorf("%d waiting, %d placed, %d finished, %d noted", j.Waiting, j.Placed, j.Finished, j.DurableCount)
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -79,7 +79,7 @@
 		}
 		for _, r := range e.CompletedTasks.Ranges {
 			for k := r[0]; k < r[1] && k < len(j.Tasks); k++ {
-				j.Note(k)
+				j.MarkDurable(k)
 			}
 		}
 		j.RunSeconds += e.CompletedTasks.Seconds
@@ -173,7 +173,7 @@
 	}
 	for _, r := range done.Ranges {
 		for k := r[0]; k < r[1]; k++ {
-			j.Note(k)
+			j.MarkDurable(k)
 		}
 	}
 	if j.DurableCount < len(j.Tasks) {
