--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -24,7 +24,7 @@
 	Waiting TaskState = iota
 	Placed
 	Finished
-	Noted
+	DoneDurably
 )
 
 // Phase is a job's place in its life.
@@ -288,7 +288,7 @@
 // Complete notes that a task is done; false when it was already.
 func (j *Job) Complete(k int) bool {
 	switch j.Tasks[k] {
-	case Finished, Noted:
+	case Finished, DoneDurably:
 		return false
 	case Placed:
 		j.Placed--
@@ -303,8 +303,8 @@
 // MarkDurable notes that a task's completion is durable.
 func (j *Job) MarkDurable(k int) {
 	j.Complete(k)
-	if j.Tasks[k] != Noted {
-		j.Tasks[k] = Noted
+	if j.Tasks[k] != DoneDurably {
+		j.Tasks[k] = DoneDurably
 		j.DurableCount++
 	}
 }
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -119,7 +119,7 @@
 			if s == jobs.Waiting && (k < j.FreshFrom || j.Record.Kind == jobs.Gang) {
 				a.tasks[workers.Ref{Job: j.Index, Task: int32(k)}] = struct{}{}
 			}
-			if s != jobs.Noted && k < j.FreshFrom {
+			if s != jobs.DoneDurably && k < j.FreshFrom {
 				a.own.Tasks++
 			}
 		}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -112,7 +112,7 @@
 			took = j.RunSeconds / float64(j.RunCount)
 		}
 		for k, s := range j.Tasks {
-			if s == jobs.Noted {
+			if s == jobs.DoneDurably {
 				d.Book.Completed(j.Index, k, took)
 			}
 		}
@@ -483,7 +483,7 @@
 	d.Log.Append(d.entryOf(j))
 	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
 	for k, s := range j.Tasks {
-		if s == jobs.Noted || s == jobs.Finished {
+		if s == jobs.DoneDurably || s == jobs.Finished {
 			noted.Add(k)
 		}
 	}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -30,8 +30,8 @@
 	elsewhere := p != nil && (p.Machine != m || p.Planned)
 	s := j.Tasks[task]
 	return workers.TaskRecord{Ref: ref, Need: j.Need, Image: j.Image, ImageGB: j.Record.ImageGB,
-		Open:  (j.Phase == jobs.Open || j.Phase == jobs.Cancelling) && s != jobs.Finished && s != jobs.Noted && !elsewhere,
-		Noted: s == jobs.Noted, Held: j.Phase == jobs.Held, Elsewhere: elsewhere}, true
+		Open:  (j.Phase == jobs.Open || j.Phase == jobs.Cancelling) && s != jobs.Finished && s != jobs.DoneDurably && !elsewhere,
+		Noted: s == jobs.DoneDurably, Held: j.Phase == jobs.Held, Elsewhere: elsewhere}, true
 }
 
 func (d *Duty) event(now time.Duration, m *workers.Machine, e workers.Event) {
