--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -247,8 +247,8 @@
 // tasks of any job.
 func (j *Job) MayRunUnseen(blind bool) bool { return j.Earlier && (j.UnresolvedMachines > 0 || blind) }
 
-// Together is how many of the job's waiting tasks start together.
-func (j *Job) Together() int {
+// GangSize is how many of the job's waiting tasks start together.
+func (j *Job) GangSize() int {
 	if j.Record.Kind == Gang {
 		return max(1, j.Waiting)
 	}
--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -278,7 +278,7 @@
 			}
 			// Room is held only for a job that has its units: what it waits for then is
 			// the end of other tasks, and none of them waits for it.
-			if !held && !w.local && !p.paced && p.ready(w, j) && !w.unsettled(j) && w.units(j, j.Together()) && p.Within(j.Team, j.Need, w.missing(j.Team)) {
+			if !held && !w.local && !p.paced && p.ready(w, j) && !w.unsettled(j) && w.units(j, j.GangSize()) && p.Within(j.Team, j.Need, w.missing(j.Team)) {
 				held = p.hold(w, j)
 			}
 			break
@@ -454,7 +454,7 @@
 	var none []refusal // needs that found no room
 	w.left = true
 	for _, j := range w.Jobs.All() {
-		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.next(j) < 0 || !p.Within(j.Team, j.Need.Times(j.Together()), w.missing(j.Team)) || !w.units(j, j.Together()) ||
+		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.next(j) < 0 || !p.Within(j.Team, j.Need.Times(j.GangSize()), w.missing(j.Team)) || !w.units(j, j.GangSize()) ||
 			slices.ContainsFunc(none, func(r refusal) bool { return r.covers(j, j.Record.Spot) }) {
 			if j != nil {
 				j.StarvedSince = 0
@@ -504,7 +504,7 @@
 // hasRoom says whether machines that a job may use have room for one more of its tasks, or
 // for all of a gang.
 func (w *Snapshot) hasRoom(j *jobs.Job, room []*workers.Machine) bool {
-	need := j.Together()
+	need := j.GangSize()
 	places := map[int32]int{}
 	for _, m := range room {
 		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !permitted(j, m, w.Zone) {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -118,8 +118,8 @@
 	w.d.Pass(w.now, waiting)
 	for _, j := range list {
 		n := 0
-		for j.Waiting > 0 && w.d.Allows(j, j.Together()) {
-			for range j.Together() {
+		for j.Waiting > 0 && w.d.Allows(j, j.GangSize()) {
+			for range j.GangSize() {
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
