--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -274,8 +274,8 @@
 	return !j.Record.Spread || j.Zones[zone] < j.MostInZone()
 }
 
-// MoveZone counts a task in or out of a zone.
-func (j *Job) MoveZone(zone int32, n int) {
+// CountInZone counts a task in or out of a zone.
+func (j *Job) CountInZone(zone int32, n int) {
 	if !j.ZoneRule() {
 		return
 	}
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -49,20 +49,20 @@
 
 func TestZoneRules(t *testing.T) {
 	one := NewTable().Add(eventlog.Job{Tasks: 3, OneZone: true})
-	one.MoveZone(0, 1)
+	one.CountInZone(0, 1)
 	if one.ZoneAllows(1) || !one.ZoneAllows(0) {
 		t.Error("one zone: the first task decides")
 	}
-	one.MoveZone(0, -1)
+	one.CountInZone(0, -1)
 	if !one.ZoneAllows(1) {
 		t.Error("one zone: free again once the first is gone")
 	}
 	half := NewTable().Add(eventlog.Job{Tasks: 9, Spread: true})
-	half.MoveZone(0, 4)
+	half.CountInZone(0, 4)
 	if !half.ZoneAllows(0) {
 		t.Error("the fifth of nine may be in the zone")
 	}
-	half.MoveZone(0, 1)
+	half.CountInZone(0, 1)
 	if half.ZoneAllows(0) {
 		t.Error("five of nine are the most")
 	}
--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -54,7 +54,7 @@
 	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		*given = append(*given, fmt.Sprintf("%d/%d on %s", j.Record.ID, k, m.Name))
 		j.Place(k)
-		j.MoveZone(m.Zone, 1)
+		j.CountInZone(m.Zone, 1)
 		m.Plan(&workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, JobID: j.Record.ID, Image: j.Image, Need: j.Need})
 		m.UseImage(j.Image, 1, w.Now)
 	}
@@ -63,7 +63,7 @@
 		for _, m := range w.Inventory.All() {
 			if m.Tasks[ref] != nil {
 				m.RemovePlacement(ref)
-				j.MoveZone(m.Zone, -1)
+				j.CountInZone(m.Zone, -1)
 			}
 		}
 		p.Refund(j.Team, j.Need)
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -264,7 +264,7 @@
 	}
 	delete(s.Where, ref)
 	j := s.Jobs.At(ref.Job)
-	j.MoveZone(p.Machine.Zone, -1)
+	j.CountInZone(p.Machine.Zone, -1)
 	s.Plan.Refund(j.Team, j.Need)
 	j.Release(int(ref.Task))
 	s.GangEnds(j)
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -214,7 +214,7 @@
 	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		j.Place(k)
-		j.MoveZone(m.Zone, 1)
+		j.CountInZone(m.Zone, 1)
 		p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Record.Kind == jobs.Gang || j.ZoneRule(), Prompt: j.Prompt}
 		d.Where[ref] = p
 		if j.Record.Kind == jobs.Gang {
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -41,7 +41,7 @@
 	case workers.EventAdopted:
 		j.Place(k)
 		d.Plan.Charge(j.Team, j.Need)
-		j.MoveZone(m.Zone, 1)
+		j.CountInZone(m.Zone, 1)
 		d.Where[e.Ref] = e.Placement
 		d.Tell(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
@@ -91,7 +91,7 @@
 		if d.Where[e.Ref] != nil {
 			delete(d.Where, e.Ref)
 			d.Plan.Refund(j.Team, j.Need)
-			j.MoveZone(m.Zone, -1)
+			j.CountInZone(m.Zone, -1)
 		}
 		d.Counts.TasksDone++
 		j.Complete(k)
