--- a/internal/core/intern/names.go
+++ b/internal/core/intern/names.go
@@ -2,14 +2,14 @@
 // which is all that the rest of the program handles.
 package intern
 
-// Table gives each distinct name the next index.
-type Table struct {
+// Names gives each distinct name the next index.
+type Names struct {
 	index map[string]int32
 	names []string
 }
 
 // Index returns the index of name, adding it when it is new.
-func (t *Table) Index(name string) int32 {
+func (t *Names) Index(name string) int32 {
 	if i, ok := t.index[name]; ok {
 		return i
 	}
@@ -23,13 +23,13 @@
 }
 
 // Find returns the index of a known name.
-func (t *Table) Find(name string) (int32, bool) {
+func (t *Names) Find(name string) (int32, bool) {
 	i, ok := t.index[name]
 	return i, ok
 }
 
 // Name returns the name behind an index.
-func (t *Table) Name(i int32) string { return t.names[i] }
+func (t *Names) Name(i int32) string { return t.names[i] }
 
 // Len is the number of names.
-func (t *Table) Len() int { return len(t.names) }
+func (t *Names) Len() int { return len(t.names) }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -70,9 +70,9 @@
 	Plan     *scheduler.Scheduler
 	Dirty    bool // something has changed that a pass should look at
 	Numbers  int  // last one given to a machine
-	Teams    intern.Table
-	Zones    intern.Table
-	Images   intern.Table
+	Teams    intern.Names
+	Zones    intern.Names
+	Images   intern.Names
 	Types    []eventlog.MachineType // by index of TypeNames
 	Where    map[workers.Ref]*workers.Placement
 	Units    scheduler.Pools      // nil: there are no pools
@@ -85,7 +85,7 @@
 
 	Squared *reconcile.Tally // differences between what was stored and reports, in this term
 
-	TypeNames intern.Table
+	TypeNames intern.Names
 	PlannedOn []*workers.Machine // all on which tasks may be planned
 
 	teams []bool // of the configuration, by index: they may submit
