--- a/internal/core/intern/names.go
+++ b/internal/core/intern/names.go
@@ -22,8 +22,8 @@
 	return i
 }
 
-// Find returns the index of a known name.
-func (t *Names) Find(name string) (int32, bool) {
+// Lookup returns the index of a known name.
+func (t *Names) Lookup(name string) (int32, bool) {
 	i, ok := t.index[name]
 	return i, ok
 }
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -119,7 +119,7 @@
 	d.typesAt = now
 	changed := false
 	for _, ty := range list {
-		i, ok := d.TypeNames.Find(ty.Name)
+		i, ok := d.TypeNames.Lookup(ty.Name)
 		if !ok {
 			changed = true
 			continue
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -226,7 +226,7 @@
 		}
 	}
 	have += d.buyer.Asked(func(typ string) float64 {
-		if i, ok := d.TypeNames.Find(typ); ok && k.has(d.Types[i].GPUs) {
+		if i, ok := d.TypeNames.Lookup(typ); ok && k.has(d.Types[i].GPUs) {
 			return d.Types[i].CPUs
 		}
 		return 0
@@ -644,7 +644,7 @@
 	}
 	w.CPUs, w.Spot, w.Stay = cpus, spot, d.Cfg.Tunables.UsualStayS
 	w.Fits = func(ty eventlog.MachineType, zone string, spot bool) bool {
-		i, ok := d.TypeNames.Find(ty.Name)
+		i, ok := d.TypeNames.Lookup(ty.Name)
 		if !ok || !k.has(ty.GPUs) {
 			return false
 		}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -520,7 +520,7 @@
 	if s.Yard.Gone(m.Name) || s.Yard.Find(m.Name) != nil {
 		return nil
 	}
-	i, ok := s.TypeNames.Find(m.Type)
+	i, ok := s.TypeNames.Lookup(m.Type)
 	if !ok {
 		return nil
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -416,7 +416,7 @@
 	if j.Record.Types != nil {
 		j.Types = make([]bool, max(d.TypeNames.Len(), 1))
 		for _, n := range j.Record.Types {
-			if i, ok := d.TypeNames.Find(n); ok {
+			if i, ok := d.TypeNames.Lookup(n); ok {
 				j.Types[i] = true
 			}
 		}
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -70,7 +70,7 @@
 
 // never says why a job can never run, or nothing.
 func (d *Duty) never(j *eventlog.Job) string {
-	team, ok := d.Teams.Find(j.Team)
+	team, ok := d.Teams.Lookup(j.Team)
 	if !ok || !d.HasTeam(team) {
 		return "keeper: no such team"
 	}
--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -237,7 +237,7 @@
 func (d *Duty) Never(rec *eventlog.Job) string {
 	type sum struct{ task, job int64 }
 	sums := map[int32]*sum{}
-	team, _ := d.Teams.Find(rec.Team)
+	team, _ := d.Teams.Lookup(rec.Team)
 	each := int64(1)
 	if rec.Kind == jobs.Gang {
 		each = int64(rec.Tasks)
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -96,7 +96,7 @@
 	at := d.timeMS(now)
 	for _, l := range d.losses {
 		if l.Until > at {
-			team, ok := d.Teams.Find(l.Team)
+			team, ok := d.Teams.Lookup(l.Team)
 			if !ok {
 				team = -1
 			}
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -174,7 +174,7 @@
 }
 
 func (d *Duty) remarkTeam(c config.Change) string {
-	index, ok := d.Teams.Find(c.Item.Team)
+	index, ok := d.Teams.Lookup(c.Item.Team)
 	if !ok {
 		return ""
 	}
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -90,7 +90,7 @@
 }
 
 func (b *bench) limit(team string) float64 {
-	i, _ := b.Teams.Find(team)
+	i, _ := b.Teams.Lookup(team)
 	return float64(b.Plan.Limits[i].CPU) / milli
 }
 
@@ -120,7 +120,7 @@
 	if a, err := b.ask(first); err != nil || !a.Durable || a.Revision != 1 {
 		t.Errorf("a repeat: %+v %v", a, err)
 	}
-	blue, ok := b.Teams.Find("blue")
+	blue, ok := b.Teams.Lookup("blue")
 	if !ok || !b.HasTeam(blue) || b.limit("red") != 20 || b.replica.Revision() != 1 {
 		t.Errorf("red has %v, the replica %d", b.limit("red"), b.replica.Revision())
 	}
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	b.commit()
-	if blue, ok := b.Teams.Find("blue"); !ok || b.HasTeam(blue) || b.limit("blue") != 5 {
+	if blue, ok := b.Teams.Lookup("blue"); !ok || b.HasTeam(blue) || b.limit("blue") != 5 {
 		t.Errorf("the team is there, or its jobs have another limit: %v", b.limit("blue"))
 	}
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -359,7 +359,7 @@
 
 // square names the difference between a machine, nil if it is not entered, and its report.
 func (d *Duty) square(m *workers.Machine, r *workers.Report) reconcile.Diff {
-	_, typed := d.TypeNames.Find(r.Type)
+	_, typed := d.TypeNames.Lookup(r.Type)
 	x := reconcile.Machine{Gone: d.Yard.Gone(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
 	if m != nil {
