--- a/internal/core/workers/yard.go
+++ b/internal/core/workers/yard.go
@@ -15,8 +15,8 @@
 // Find returns a machine by name.
 func (y *Inventory) Find(name string) *Machine { return y.byName[name] }
 
-// Gone says whether a machine is known to be deleted.
-func (y *Inventory) Gone(name string) bool { return y.gone[name] }
+// WasDeleted says whether a machine is known to be deleted.
+func (y *Inventory) WasDeleted(name string) bool { return y.gone[name] }
 
 // Add enters a machine.
 func (y *Inventory) Add(m *Machine) *Machine {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -92,7 +92,7 @@
 		r := d.rentals[e.RentalAnswer.Name]
 		delete(d.rentals, e.RentalAnswer.Name)
 		for _, n := range e.RentalAnswer.Machines {
-			if !d.registered[n] && !d.Yard.Gone(n) {
+			if !d.registered[n] && !d.Yard.WasDeleted(n) {
 				d.booting[n] = eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 			}
 		}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -517,7 +517,7 @@
 // AddMachine enters a machine; nil if it is there already, is gone for good, or
 // is of a type that is not known.
 func (s *State) AddMachine(now time.Duration, m eventlog.Machine) *workers.Machine {
-	if s.Yard.Gone(m.Name) || s.Yard.Find(m.Name) != nil {
+	if s.Yard.WasDeleted(m.Name) || s.Yard.Find(m.Name) != nil {
 		return nil
 	}
 	i, ok := s.TypeNames.Lookup(m.Type)
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -360,7 +360,7 @@
 // square names the difference between a machine, nil if it is not entered, and its report.
 func (d *Duty) square(m *workers.Machine, r *workers.Report) reconcile.Diff {
 	_, typed := d.TypeNames.Lookup(r.Type)
-	x := reconcile.Machine{Gone: d.Yard.Gone(r.Machine), Typed: typed, Epoch: d.Epoch,
+	x := reconcile.Machine{Gone: d.Yard.WasDeleted(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
 	if m != nil {
 		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Deleting, m.Session, m.Seq, m.Token, m.HighestTokenSeen(), m.SuspectBelow
