--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -128,9 +128,9 @@
 // not known.
 func (m *Machine) Unresolved() bool { return m.Durable && !m.Resolved }
 
-// MayHave says whether tasks of a job may be on a machine that is unresolved: it has a
+// MayHaveTasksOf says whether tasks of a job may be on a machine that is unresolved: it has a
 // grant, or none were noted there at all.
-func (m *Machine) MayHave(job uint64) bool { return m.Grants[job] || m.Number == 0 }
+func (m *Machine) MayHaveTasksOf(job uint64) bool { return m.Grants[job] || m.Number == 0 }
 
 // HasImage says whether the machine has or is fetching an image.
 func (m *Machine) HasImage(id int32) bool {
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -140,7 +140,7 @@
 	for _, m := range unheard {
 		here := map[int32]float64{}
 		for _, h := range perhaps {
-			if !m.MayHave(h.job.Record.ID) {
+			if !m.MayHaveTasksOf(h.job.Record.ID) {
 				continue
 			}
 			for _, n := range h.needs {
@@ -223,7 +223,7 @@
 		if room >= n {
 			break
 		}
-		if m.MayHave(j.Record.ID) {
+		if m.MayHaveTasksOf(j.Record.ID) {
 			room += scheduler.TasksThatFit(j.Need, m.Cap)
 		}
 	}
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -63,7 +63,7 @@
 // began anew, before it was ever heard in this term.
 func (d *Duty) loseUnseen(now time.Duration, m *workers.Machine) {
 	for _, h := range d.holders {
-		if !m.MayHave(h.job.Record.ID) {
+		if !m.MayHaveTasksOf(h.job.Record.ID) {
 			continue
 		}
 		if n := min(mayRun(h.job), scheduler.TasksThatFit(h.job.Need, m.Cap)); n > 0 {
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -86,7 +86,7 @@
 // mayBeOn says whether a job may have a task on a machine, as far as is proved.
 func (d *Duty) mayBeOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
-		return d.MayRunUnseen(j) && m.MayHave(j.Record.ID)
+		return d.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
 	}
 	for _, p := range m.Tasks {
 		if p.Ref.Job == j.Index && !p.Planned {
