--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -283,9 +283,9 @@
 	m.add(p)
 }
 
-// Started notes that an offered task was sent with the answer to the
+// TaskStarted notes that an offered task was sent with the answer to the
 // machine's last report.
-func (m *Machine) Started(ref Ref) bool {
+func (m *Machine) TaskStarted(ref Ref) bool {
 	p := m.Offers[ref]
 	if p == nil || !p.Planned {
 		return false
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -403,7 +403,7 @@
 	m := d.Yard.Find(machine)
 	for _, o := range offers {
 		if j := d.Jobs.Find(o.Start.Job); j != nil && m != nil {
-			if m.Started(workers.Ref{Job: j.Index, Task: int32(o.Start.Task)}) {
+			if m.TaskStarted(workers.Ref{Job: j.Index, Task: int32(o.Start.Task)}) {
 				d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
 			}
 		}
