--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -57,7 +57,7 @@
 	AvoidUntil       time.Duration
 	Token            uint64             // raised when the machine goes to another controller
 	Shard            string             // the controller whose block it is in
-	Offers           map[Ref]*Placement // open offers: what a newer report does not show was not started
+	OpenOffers       map[Ref]*Placement // open offers: what a newer report does not show was not started
 	Listed           bool               // among the machines whose plans are offered
 	Held             bool               // room is held here for the first job in order
 	images           []image
@@ -241,10 +241,10 @@
 			}
 		}
 		p.Offered[m], p.past[m] = true, true
-		if m.Offers == nil {
-			m.Offers = map[Ref]*Placement{}
+		if m.OpenOffers == nil {
+			m.OpenOffers = map[Ref]*Placement{}
 		}
-		m.Offers[p.Ref] = p
+		m.OpenOffers[p.Ref] = p
 		out = append(out, Offer{Command{Op: Start, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt}, p.Serial, p.Need, here})
 	}
 	for _, p := range m.Tasks {
@@ -286,11 +286,11 @@
 // TaskStarted notes that an offered task was sent with the answer to the
 // machine's last report.
 func (m *Machine) TaskStarted(ref Ref) bool {
-	p := m.Offers[ref]
+	p := m.OpenOffers[ref]
 	if p == nil || !p.Planned {
 		return false
 	}
-	delete(m.Offers, ref)
+	delete(m.OpenOffers, ref)
 	delete(p.Offered, m)
 	m.moveIn(p)
 	p.seq = m.Seq
@@ -300,8 +300,8 @@
 // settleOffers closes the machine's open offers by a newer report.
 func (m *Machine) settleOffers(r *Report) []Event {
 	var events []Event
-	for ref, p := range m.Offers {
-		delete(m.Offers, ref)
+	for ref, p := range m.OpenOffers {
+		delete(m.OpenOffers, ref)
 		delete(p.Offered, m)
 		if !p.Planned {
 			continue
@@ -324,8 +324,8 @@
 // the plans that have no other one.
 func (m *Machine) CloseOffers() []*Placement {
 	var over []*Placement
-	for ref, p := range m.Offers {
-		delete(m.Offers, ref)
+	for ref, p := range m.OpenOffers {
+		delete(m.OpenOffers, ref)
 		delete(p.Offered, m)
 		if p.Planned && len(p.Offered) == 0 {
 			over = append(over, p)
@@ -378,7 +378,7 @@
 	for _, p := range m.Tasks {
 		used = append(used, p.JobID)
 	}
-	for _, p := range m.Offers {
+	for _, p := range m.OpenOffers {
 		used = append(used, p.JobID)
 	}
 	for _, t := range r.Tasks {
@@ -418,7 +418,7 @@
 // Found on the users' bench, where a task planned on a machine that was moved was started
 // by both blocks.
 func (m *Machine) Settled() bool {
-	if len(m.Offers) > 0 || len(m.Orphans) > 0 {
+	if len(m.OpenOffers) > 0 || len(m.Orphans) > 0 {
 		return false
 	}
 	for _, p := range m.Tasks {
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -146,7 +146,7 @@
 // offersLost tells of the tasks that were on offer to a machine whose worker has died:
 // another controller may have started them there, and no report will say so any more.
 func (d *Duty) offersLost(now time.Duration, m *workers.Machine) {
-	for ref, p := range m.Offers {
+	for ref, p := range m.OpenOffers {
 		if j := d.Jobs.At(ref.Job); p.Planned && j != nil {
 			d.Tell(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
 		}
