--- a/internal/core/scheduler/blocks_test.go
+++ b/internal/core/scheduler/blocks_test.go
@@ -27,7 +27,7 @@
 	for i := range machines {
 		size := []float64{4, 16}[r.IntN(2)]
 		m := w.Inventory.Add(&workers.Machine{Name: fmt.Sprint("m", i), Type: int32(r.IntN(2)), Zone: int32(r.IntN(3)), Spot: r.IntN(2) == 0,
-			Cap: resources.Room(size, 0, 2*size), CacheGB: 40, FetchGBPS: 0.5, Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: r.IntN(20) == 0})
+			Cap: resources.Room(size, 0, 2*size), CacheGB: 40, FetchGBPS: 0.5, Durable: true, Up: true, Resolved: true, LastHeartbeat: w.Now, Draining: r.IntN(20) == 0})
 		m.Free.CPU = int64(r.IntN(int(size)+1)) * 1000
 		m.Free.Mem = int64(r.IntN(int(2*size)+1)) * 1000
 		for range r.IntN(4) {
@@ -178,7 +178,7 @@
 		w := Snapshot{Now: 100 * time.Second, SuspectAfter: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 			Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 		add := func(name string, draining bool) *workers.Machine {
-			return w.Inventory.Add(&workers.Machine{Name: name, Cap: resources.Room(32, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, Draining: draining, CacheGB: 1, FetchGBPS: 1})
+			return w.Inventory.Add(&workers.Machine{Name: name, Cap: resources.Room(32, 0, 64), Durable: true, Up: true, Resolved: true, LastHeartbeat: w.Now, Draining: draining, CacheGB: 1, FetchGBPS: 1})
 		}
 		from, other := add("from", true), add("other", false)
 		j := w.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1, CPUs: 4, MemoryGB: 4, Checkpoint: 15, SaveS: 4, EstimateS: 300})
@@ -201,7 +201,7 @@
 func TestPreemptSparesTheSaved(t *testing.T) {
 	w := Snapshot{Now: 100 * time.Second, SuspectAfter: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
-	m := w.Inventory.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, Heard: w.Now, CacheGB: 1, FetchGBPS: 1})
+	m := w.Inventory.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, LastHeartbeat: w.Now, CacheGB: 1, FetchGBPS: 1})
 	add := func(id uint64, tasks int, cpus float64, priority uint8) *jobs.Job {
 		j := w.Jobs.Add(eventlog.Job{ID: id, Tasks: tasks, CPUs: cpus, MemoryGB: 1, Priority: priority, Checkpoint: 15, SaveS: 4, EstimateS: 300})
 		j.Phase = jobs.Open
--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -66,7 +66,7 @@
 // Stale takes a report that is older than one taken in, though nothing newer has come for
 // longer than a worker is silent: the machine may have begun anew.
 func (m *Machine) Stale(now, silent time.Duration) {
-	if m.Up && m.SuspectBelow == 0 && now-m.Heard > silent {
+	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > silent {
 		m.doubt(now, m.Token)
 	}
 }
@@ -75,7 +75,7 @@
 // in doubt, and has not shown it for so long. Time in which nobody could give it one, as in
 // an outage, does not count.
 func (m *Machine) Unreachable(now, limit time.Duration) bool {
-	return m.SuspectBelow > 0 && m.told > 0 && m.Heard > m.told && now-m.told > limit
+	return m.SuspectBelow > 0 && m.told > 0 && m.LastHeartbeat > m.told && now-m.told > limit
 }
 
 // HighestTokenSeen is the highest token that the machine has shown.
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -93,7 +93,7 @@
 	}
 	m.seen = r.Token
 	if !m.Up || r.Token >= m.first {
-		m.Heard = now // a machine that goes on reporting without the token of this term does not hear us
+		m.LastHeartbeat = now // a machine that goes on reporting without the token of this term does not hear us
 	}
 	events = append(events, m.settleOffers(r)...)
 	m.Session, m.Seq = r.Session, r.Seq
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -40,7 +40,7 @@
 	Claims           []int32
 	AnyTeam          bool
 	Session, Seq     uint64
-	Heard            time.Duration
+	LastHeartbeat    time.Duration
 	RentedAt         time.Duration
 	Notice           bool
 	TakenAt          time.Duration
@@ -121,7 +121,7 @@
 
 // Serves says whether it could run more tasks, even if it is to be returned.
 func (m *Machine) Serves(now, quiet time.Duration) bool {
-	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Deleting && !m.Notice && len(m.Orphans) == 0 && now >= m.AvoidUntil && now-m.Heard <= quiet
+	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Deleting && !m.Notice && len(m.Orphans) == 0 && now >= m.AvoidUntil && now-m.LastHeartbeat <= quiet
 }
 
 // Unresolved says whether an earlier term may have left something on the machine that is
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -155,16 +155,16 @@
 // and enough time has passed from then: an outage in which none could be given is no fault
 // of its own.
 func TestDeaf(t *testing.T) {
-	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, Heard: time.Second})
+	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, LastHeartbeat: time.Second})
 	m.Stale(10*time.Second, 5*time.Second)
-	m.Heard = 60 * time.Second
+	m.LastHeartbeat = 60 * time.Second
 	if m.SuspectBelow != 5 || m.Unreachable(60*time.Second, 20*time.Second) {
 		t.Fatal("no token was given to it yet")
 	}
 	if !m.NeedsToken(61*time.Second) || m.Unreachable(90*time.Second, 20*time.Second) {
 		t.Fatal("it was not heard since")
 	}
-	m.Heard = 62 * time.Second
+	m.LastHeartbeat = 62 * time.Second
 	if m.Unreachable(70*time.Second, 20*time.Second) || !m.Unreachable(82*time.Second, 20*time.Second) {
 		t.Error("twenty seconds after the token")
 	}
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -176,7 +176,7 @@
 	}
 	n := 0
 	for _, m := range d.Yard.All() {
-		if m.Durable && !m.Deleting && m.Name < last && !there[m.Name] && (!m.Up || now-m.Heard > d.Quiet()) {
+		if m.Durable && !m.Deleting && m.Name < last && !there[m.Name] && (!m.Up || now-m.LastHeartbeat > d.Quiet()) {
 			d.Leave(now, m, cluster.Delete, "not in the cloud's list any more")
 			n++
 		}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -469,7 +469,7 @@
 	for _, m := range s.Yard.All() {
 		if m.Up || m.Durable {
 			up[m.Zone]++
-			if now-max(m.Heard, s.Began) > s.Quiet() {
+			if now-max(m.LastHeartbeat, s.Began) > s.Quiet() {
 				silent[m.Zone]++
 			}
 		}
@@ -526,7 +526,7 @@
 	}
 	ty := s.Types[i]
 	return s.Yard.Add(&workers.Machine{Name: m.Name, Address: m.Address, Type: i, Zone: s.Zones.Index(m.Zone), Spot: m.Spot,
-		Cap: resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB), CacheGB: ty.CacheGB, FetchGBPS: max(ty.FetchGBPS, 0.001), Token: s.Token, RentedAt: now, Heard: now})
+		Cap: resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB), CacheGB: ty.CacheGB, FetchGBPS: max(ty.FetchGBPS, 0.001), Token: s.Token, RentedAt: now, LastHeartbeat: now})
 }
 
 // NextToken is a token that no machine had before.
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -35,9 +35,9 @@
 		for z, n := range c.up {
 			s.Zones.Index(fmt.Sprint(z))
 			for i := range n {
-				m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(z, " ", i), Zone: int32(z), Up: true, Heard: now})
+				m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(z, " ", i), Zone: int32(z), Up: true, LastHeartbeat: now})
 				if i < c.mute[z] {
-					m.Heard = now - 10*time.Second
+					m.LastHeartbeat = now - 10*time.Second
 				}
 			}
 		}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -526,7 +526,7 @@
 		w := newWorld(t, settings.Pool{Name: "p", Units: 1})
 		w.d.Cfg.Tunables.UnitsSilentS = setting
 		a, b := w.job("a", 1, 1, jobs.Array, per("p", 1)), w.job("a", 1, 1, jobs.Array, per("p", 1))
-		w.m.Heard = w.now
+		w.m.LastHeartbeat = w.now
 		w.pass(a, b)
 		w.now += 7 * time.Second
 		w.pass(b)
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -83,7 +83,7 @@
 	d.lookAt = now
 	count := map[string]int{}
 	for _, m := range d.Yard.All() {
-		if m.Shard != "" && m.Up && !m.Deleting && now-m.Heard <= d.Quiet() {
+		if m.Shard != "" && m.Up && !m.Deleting && now-m.LastHeartbeat <= d.Quiet() {
 			count[m.Shard]++
 		}
 	}
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -157,9 +157,9 @@
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	for i := range 30 {
-		m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(i), Up: true, Heard: 30 * time.Second, Shard: "b"})
+		m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(i), Up: true, LastHeartbeat: 30 * time.Second, Shard: "b"})
 		if i < 5 {
-			m.Heard = 0
+			m.LastHeartbeat = 0
 		}
 	}
 	for at := time.Duration(0); at <= 30*time.Second; at += time.Second {
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -224,7 +224,7 @@
 	switch {
 	case m.Shard == in.Via:
 		return ""
-	case m.Shard != "" && now-m.Heard < moveAfter && now-d.seen[m.Shard] < moveAfter:
+	case m.Shard != "" && now-m.LastHeartbeat < moveAfter && now-d.seen[m.Shard] < moveAfter:
 		return m.Shard
 	case m.Shard != "":
 		d.freeze(m)
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -34,7 +34,7 @@
 		if m.Deleting {
 			continue
 		}
-		heard := max(m.Heard, d.Began)
+		heard := max(m.LastHeartbeat, d.Began)
 		if now-heard > d.Quiet() {
 			d.TakeBackAll(m)
 		}
@@ -127,7 +127,7 @@
 	for _, m := range d.Yard.All() {
 		if m.Durable && !m.Deleting {
 			up[m.Zone]++
-			if now-max(m.Heard, d.Began) > settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) {
+			if now-max(m.LastHeartbeat, d.Began) > settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) {
 				silent[m.Zone]++
 			}
 		}
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -82,7 +82,7 @@
 		noted, deleted := false, false
 		for range 60 {
 			now += 250 * time.Millisecond
-			term.Yard.All()[0].Heard = now // it is not silent
+			term.Yard.All()[0].LastHeartbeat = now // it is not silent
 			term.Tick(now, true)
 			term.Pump(now)
 			for _, e := range term.Take() {
