--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -47,7 +47,7 @@
 	var drain []*workers.Machine
 	for _, m := range w.Inventory.All() {
 		switch {
-		case m.Draining && !m.Deleting && m.Up && !m.Notice && len(m.Tasks) > 0:
+		case m.Draining && !m.Deleting && m.Up && !m.PreemptionNotice && len(m.Tasks) > 0:
 			drain = append(drain, m)
 		case !m.Held && m.Free.CPU > 0 && m.Usable(w.Now, w.SuspectAfter):
 			rooms = append(rooms, room{m, m.Free})
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -99,10 +99,10 @@
 	m.Session, m.Seq = r.Session, r.Seq
 	m.Up = true
 	if r.Notice {
-		m.Notice = true
+		m.PreemptionNotice = true
 		m.TakenAt = now + time.Duration(r.NoticeS*float64(time.Second))
 	} else {
-		m.Notice = false
+		m.PreemptionNotice = false
 	}
 	current := r.Token == token
 	m.Resolved = m.Resolved || current
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -42,7 +42,7 @@
 	Session, Seq     uint64
 	LastHeartbeat    time.Duration
 	RentedAt         time.Duration
-	Notice           bool
+	PreemptionNotice bool
 	TakenAt          time.Duration
 	Draining         bool          // gets no new tasks, to be returned when empty
 	KeptUntil        time.Duration // it is not to be drained before
@@ -121,7 +121,7 @@
 
 // Serves says whether it could run more tasks, even if it is to be returned.
 func (m *Machine) Serves(now, quiet time.Duration) bool {
-	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Deleting && !m.Notice && len(m.Orphans) == 0 && now >= m.AvoidUntil && now-m.LastHeartbeat <= quiet
+	return m.Durable && m.Up && m.Resolved && m.SuspectBelow == 0 && !m.Quarantined && !m.Deleting && !m.PreemptionNotice && len(m.Orphans) == 0 && now >= m.AvoidUntil && now-m.LastHeartbeat <= quiet
 }
 
 // Unresolved says whether an earlier term may have left something on the machine that is
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -215,7 +215,7 @@
 	k.spotPeak.add(now, d.window(d.Cfg.Tunables.SpotReturnS), cheap)
 	var have, up, ordinary float64
 	for _, m := range yard {
-		if !m.Deleting && !m.Notice && !m.Draining && (m.Up || !d.buyer.Avoided(now, d.Zones.Name(m.Zone))) {
+		if !m.Deleting && !m.PreemptionNotice && !m.Draining && (m.Up || !d.buyer.Avoided(now, d.Zones.Name(m.Zone))) {
 			have += m.Cap.CPUs()
 			if m.Up {
 				up += m.Cap.CPUs()
@@ -302,7 +302,7 @@
 	}
 	var sum float64
 	for _, m := range yard {
-		if m.Spot || m.Deleting || m.Notice || m.Draining {
+		if m.Spot || m.Deleting || m.PreemptionNotice || m.Draining {
 			continue
 		}
 		for _, p := range m.Tasks {
@@ -436,7 +436,7 @@
 
 // mayTake says whether a machine may have tasks of a job.
 func (d *Duty) mayTake(j *jobs.Job, m *workers.Machine) bool {
-	return !m.Deleting && !m.Notice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Record.OneZone || j.ZoneAllows(m.Zone))
+	return !m.Deleting && !m.PreemptionNotice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Record.OneZone || j.ZoneAllows(m.Zone))
 }
 
 // hasPlace says whether a machine could take a task of a job if it were free.
@@ -562,7 +562,7 @@
 		return false
 	}
 	list := slices.DeleteFunc(slices.Clone(yard), func(m *workers.Machine) bool {
-		return m.Deleting || !m.Up || m.Notice || m.Draining || now < m.KeptUntil || now-m.UpSince < settings.Seconds(d.Cfg.Tunables.IdleReturnS) ||
+		return m.Deleting || !m.Up || m.PreemptionNotice || m.Draining || now < m.KeptUntil || now-m.UpSince < settings.Seconds(d.Cfg.Tunables.IdleReturnS) ||
 			slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return d.mayTake(j, m) })
 	})
 	ends := map[*workers.Machine]time.Duration{}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -333,7 +333,7 @@
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
 	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
-	if sure && !m.Deleting && !m.Notice && (d.Dirty || m.AwaitsDurability()) {
+	if sure && !m.Deleting && !m.PreemptionNotice && (d.Dirty || m.AwaitsDurability()) {
 		d.waiting = append(d.waiting, w)
 		d.waits[m] = w
 		return
@@ -373,7 +373,7 @@
 func (d *Duty) reply(sure bool, w *waitingReport) {
 	m := w.m
 	answer := effects.ReportAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
-	if sure && m.Durable && m.Resolved && !m.Deleting && !m.Notice {
+	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
 		answer.Offers = m.Offer(d.PlannedOn, func() uint64 { d.serials++; return d.Token + d.serials }, d.Attempt)
 		answer.Room = m.Free
 	}
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -57,14 +57,14 @@
 			d.Leave(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
 		case sure && m.Unreachable(now, settings.Seconds(1.2*w.LeaseS)):
 			d.Leave(now, m, cluster.Delete, "does not hear")
-		case m.Notice && now > m.TakenAt:
+		case m.PreemptionNotice && now > m.TakenAt:
 			d.Leave(now, m, cluster.Return, "taken by the cloud")
-		case m.Notice && len(m.Tasks) == 0:
+		case m.PreemptionNotice && len(m.Tasks) == 0:
 			d.Leave(now, m, cluster.Return, "to be taken by the cloud")
 		case len(m.Orphans) > 0 && now-m.OrphansSince > overdue:
 			d.Leave(now, m, cluster.Delete, "tasks that do not stop")
 		}
-		if !m.Notice && !m.Draining {
+		if !m.PreemptionNotice && !m.Draining {
 			continue // nothing that is on it is of any interest here
 		}
 		for _, p := range m.Tasks {
@@ -74,9 +74,9 @@
 			}
 			left := m.TakenAt - now
 			switch {
-			case j.Record.Kind == jobs.Service && (m.Notice || m.Draining):
+			case j.Record.Kind == jobs.Service && (m.PreemptionNotice || m.Draining):
 				p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once it is gone
-			case m.Notice && j.Record.Checkpoint > 0 && p.State == workers.Running && left < settings.Seconds(j.Record.SaveS+2+1.5*w.ReportS+d.PeerTime(j)):
+			case m.PreemptionNotice && j.Record.Checkpoint > 0 && p.State == workers.Running && left < settings.Seconds(j.Record.SaveS+2+1.5*w.ReportS+d.PeerTime(j)):
 				d.SaveAndStop(now, j, p)
 			}
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -73,7 +73,7 @@
 	switch {
 	case m.Deleting:
 		return "leaving: " + m.Why
-	case m.Notice:
+	case m.PreemptionNotice:
 		return "to be taken by the cloud"
 	case !m.Up && m.Durable:
 		return "not heard in this term"
