--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -100,7 +100,7 @@
 	m.Up = true
 	if r.Notice {
 		m.PreemptionNotice = true
-		m.TakenAt = now + time.Duration(r.NoticeS*float64(time.Second))
+		m.PreemptedAt = now + time.Duration(r.NoticeS*float64(time.Second))
 	} else {
 		m.PreemptionNotice = false
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -43,7 +43,7 @@
 	LastHeartbeat    time.Duration
 	RentedAt         time.Duration
 	PreemptionNotice bool
-	TakenAt          time.Duration
+	PreemptedAt      time.Duration
 	Draining         bool          // gets no new tasks, to be returned when empty
 	KeptUntil        time.Duration // it is not to be drained before
 	Deleting         bool          // its deletion has been decided, for good
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -57,7 +57,7 @@
 			d.Leave(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
 		case sure && m.Unreachable(now, settings.Seconds(1.2*w.LeaseS)):
 			d.Leave(now, m, cluster.Delete, "does not hear")
-		case m.PreemptionNotice && now > m.TakenAt:
+		case m.PreemptionNotice && now > m.PreemptedAt:
 			d.Leave(now, m, cluster.Return, "taken by the cloud")
 		case m.PreemptionNotice && len(m.Tasks) == 0:
 			d.Leave(now, m, cluster.Return, "to be taken by the cloud")
@@ -72,7 +72,7 @@
 			if p.Planned || p.Stopping {
 				continue
 			}
-			left := m.TakenAt - now
+			left := m.PreemptedAt - now
 			switch {
 			case j.Record.Kind == jobs.Service && (m.PreemptionNotice || m.Draining):
 				p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once it is gone
