--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -195,7 +195,7 @@
 	}
 	machines := make([]*workers.Machine, 0, 64)
 	for _, m := range w.Inventory.All() {
-		m.Held = false
+		m.Reserved = false
 		if least >= 0 && (p.plain || m.Free.CPU >= least) && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Usable(w.Now, w.SuspectAfter) {
 			machines = append(machines, m)
 		}
@@ -422,7 +422,7 @@
 	if w.left {
 		return permitted(j, m, w.Zone)
 	}
-	return !m.Held && Allowed(j, m, w.Zone) && (!w.kept(j, m) || w.mayLend(j, m))
+	return !m.Reserved && Allowed(j, m, w.Zone) && (!w.kept(j, m) || w.mayLend(j, m))
 }
 
 // leftAfter is how long a task waits beside room that its job may have before it gets it,
@@ -580,7 +580,7 @@
 		if want <= 0 {
 			break
 		}
-		m.Held, held = true, true
+		m.Reserved, held = true, true
 		want -= TasksThatFit(j.Need, m.Cap)
 	}
 	return held
--- a/internal/core/scheduler/move.go
+++ b/internal/core/scheduler/move.go
@@ -49,7 +49,7 @@
 		switch {
 		case m.Draining && !m.Deleting && m.Up && !m.PreemptionNotice && len(m.Tasks) > 0:
 			drain = append(drain, m)
-		case !m.Held && m.Free.CPU > 0 && m.Usable(w.Now, w.SuspectAfter):
+		case !m.Reserved && m.Free.CPU > 0 && m.Usable(w.Now, w.SuspectAfter):
 			rooms = append(rooms, room{m, m.Free})
 		}
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -59,7 +59,7 @@
 	Shard            string             // the controller whose block it is in
 	OpenOffers       map[Ref]*Placement // open offers: what a newer report does not show was not started
 	Listed           bool               // among the machines whose plans are offered
-	Held             bool               // room is held here for the first job in order
+	Reserved         bool               // room is held here for the first job in order
 	images           []image
 	idle             map[uint64]time.Duration // since when a job with a grant has had nothing here
 	registryQueued   bool
@@ -257,7 +257,7 @@
 		if m.Draining {
 			break // it is to become empty
 		}
-		if o == m || o.Shard != m.Shard || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot || m.Held {
+		if o == m || o.Shard != m.Shard || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot || m.Reserved {
 			continue
 		}
 		for _, p := range o.Tasks {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -83,7 +83,7 @@
 		return "not resolved"
 	case m.Draining:
 		return "draining"
-	case m.Held:
+	case m.Reserved:
 		return "room held"
 	}
 	return "up"
