--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -58,7 +58,7 @@
 	Token            uint64             // raised when the machine goes to another controller
 	Shard            string             // the controller whose block it is in
 	OpenOffers       map[Ref]*Placement // open offers: what a newer report does not show was not started
-	Listed           bool               // among the machines whose plans are offered
+	HasPlansListed   bool               // among the machines whose plans are offered
 	Reserved         bool               // room is held here for the first job in order
 	images           []image
 	idle             map[uint64]time.Duration // since when a job with a grant has had nothing here
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -551,8 +551,8 @@
 
 // ListPlans keeps a machine among those whose plans are offered.
 func (s *State) ListPlans(m *workers.Machine) {
-	if !m.Listed {
-		m.Listed = true
+	if !m.HasPlansListed {
+		m.HasPlansListed = true
 		s.PlannedOn = append(s.PlannedOn, m)
 	}
 }
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -241,8 +241,8 @@
 	}
 	d.Counts.LeftWaiting += uint64(d.Plan.RunCycle(w))
 	d.PlannedOn = slices.DeleteFunc(d.PlannedOn, func(m *workers.Machine) bool {
-		m.Listed = m.HasPlans()
-		return !m.Listed
+		m.HasPlansListed = m.HasPlans()
+		return !m.HasPlansListed
 	})
 	for _, p := range d.planned {
 		if m := p.Machine; d.Where[p.Ref] == p {
