--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -38,7 +38,7 @@
 	// Claims are the teams whose tasks of earlier terms it may have while it is not
 	// resolved; AnyTeam says that they may be anybody's.
 	Claims           []int32
-	AnyTeam          bool
+	ClaimedByAnyTeam bool
 	Session, Seq     uint64
 	LastHeartbeat    time.Duration
 	RentedAt         time.Duration
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -87,7 +87,7 @@
 				// A cancelled job, whose team is not known any more: its tasks may be
 				// there yet. One that is done has none anywhere.
 				if p, _ := d.Jobs.Final(id); p != jobs.Done {
-					m.AnyTeam = true
+					m.ClaimedByAnyTeam = true
 				}
 			}
 		}
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -74,7 +74,7 @@
 				unheard = append(unheard, m)
 				// A cancelled job whose needs are not known any more may be there, or
 				// no grants were noted at all.
-				d.closed = d.closed || m.AnyTeam || m.Number == 0
+				d.closed = d.closed || m.ClaimedByAnyTeam || m.Number == 0
 			}
 		}
 	}
