--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -37,7 +37,7 @@
 	Resolved       bool            // what an earlier term left on it is known
 	// Claims are the teams whose tasks of earlier terms it may have while it is not
 	// resolved; AnyTeam says that they may be anybody's.
-	Claims           []int32
+	ClaimedByTeams   []int32
 	ClaimedByAnyTeam bool
 	Session, Seq     uint64
 	LastHeartbeat    time.Duration
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -314,7 +314,7 @@
 		s.missing = append(s.missing, resources.Amounts{})
 	}
 	for team := range s.missing {
-		if m.ClaimedByAnyTeam || m.Number == 0 || slices.Contains(m.Claims, int32(team)) {
+		if m.ClaimedByAnyTeam || m.Number == 0 || slices.Contains(m.ClaimedByTeams, int32(team)) {
 			s.missing[team] = s.missing[team].Plus(m.Cap.Times(by))
 		}
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -80,8 +80,8 @@
 				m.Grants[id] = true
 				d.granted[id] = append(d.granted[id], m)
 				j.UnresolvedMachines++
-				if !slices.Contains(m.Claims, j.Team) {
-					m.Claims = append(m.Claims, j.Team)
+				if !slices.Contains(m.ClaimedByTeams, j.Team) {
+					m.ClaimedByTeams = append(m.ClaimedByTeams, j.Team)
 				}
 			default:
 				// A cancelled job, whose team is not known any more: its tasks may be
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -100,7 +100,7 @@
 		for _, m := range term.Yard.All() {
 			if m.Durable && !m.Resolved {
 				left++
-				for _, team := range m.Claims {
+				for _, team := range m.ClaimedByTeams {
 					plain[team] += m.Cap.CPU
 				}
 			}
