--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -230,7 +230,7 @@
 		if !m.Grants[p.JobID] || !p.IntentDurable {
 			return // a successor must be able to know first
 		}
-		if p.Frozen || p.Withdrawn || (len(p.Offered) > 0 && p.past[m]) {
+		if p.NotOfferedAgain || p.Withdrawn || (len(p.Offered) > 0 && p.past[m]) {
 			return
 		}
 		if len(p.Offered) == 0 {
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -65,7 +65,7 @@
 		}
 	case workers.EventOfferClosed:
 		p := e.Placement
-		if p.Frozen = false; p.Withdrawn {
+		if p.NotOfferedAgain = false; p.Withdrawn {
 			p.Withdrawn = false
 			d.TakeBack(p)
 		}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -239,7 +239,7 @@
 func (d *Duty) freeze(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned && len(p.Offered) > 0 {
-			p.Frozen = true
+			p.NotOfferedAgain = true
 		}
 	}
 }
