--- a/internal/core/workers/tasks.go
+++ b/internal/core/workers/tasks.go
@@ -104,7 +104,7 @@
 	NotOfferedAgain bool              // not offered again before no offer is open
 	Withdrawn       bool              // to be taken back once no offer is open
 	seq             uint64
-	Prompt          bool // its class should start sooner than an idle worker reports
+	StartNow        bool // its class should start sooner than an idle worker reports
 	State           TaskState
 	Seen            bool
 	RanAt           time.Duration
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -93,7 +93,7 @@
 func (d *Duty) launch(now time.Duration, m *workers.Machine) {
 	var starts []workers.Command
 	for _, p := range m.PlannedHere() {
-		if !p.Prompt || p.NotOfferedAgain || p.Withdrawn || len(p.Offered) > 0 || !m.Grants[p.JobID] || !p.IntentDurable {
+		if !p.StartNow || p.NotOfferedAgain || p.Withdrawn || len(p.Offered) > 0 || !m.Grants[p.JobID] || !p.IntentDurable {
 			continue
 		}
 		if p.Attempt == 0 {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -215,7 +215,7 @@
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		j.Place(k)
 		j.CountInZone(m.Zone, 1)
-		p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Record.Kind == jobs.Gang || j.ZoneRule(), Prompt: j.Prompt}
+		p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Record.Kind == jobs.Gang || j.ZoneRule(), StartNow: j.Prompt}
 		d.Where[ref] = p
 		if j.Record.Kind == jobs.Gang {
 			if j.GangAttempt == 0 {
@@ -247,7 +247,7 @@
 	for _, p := range d.planned {
 		if m := p.Machine; d.Where[p.Ref] == p {
 			d.ListPlans(m)
-			if p.Prompt {
+			if p.StartNow {
 				d.Prompt = append(d.Prompt, p)
 			}
 			d.mark(p)
