--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -63,9 +63,9 @@
 	m.SuspectBelow, m.raise = max(m.SuspectBelow, token), TokenNow
 }
 
-// Stale takes a report that is older than one taken in, though nothing newer has come for
+// CheckStale takes a report that is older than one taken in, though nothing newer has come for
 // longer than a worker is silent: the machine may have begun anew.
-func (m *Machine) Stale(now, silent time.Duration) {
+func (m *Machine) CheckStale(now, silent time.Duration) {
 	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > silent {
 		m.doubt(now, m.Token)
 	}
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -156,7 +156,7 @@
 // of its own.
 func TestDeaf(t *testing.T) {
 	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, LastHeartbeat: time.Second})
-	m.Stale(10*time.Second, 5*time.Second)
+	m.CheckStale(10*time.Second, 5*time.Second)
 	m.LastHeartbeat = 60 * time.Second
 	if m.SuspectBelow != 5 || m.Unreachable(60*time.Second, 20*time.Second) {
 		t.Fatal("no token was given to it yet")
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -256,7 +256,7 @@
 	switch diff.Resolution() {
 	case reconcile.Ignore:
 		if m != nil {
-			m.Stale(now, settings.Seconds(1.5*d.Cfg.Deployment.Workers.ReportS))
+			m.CheckStale(now, settings.Seconds(1.5*d.Cfg.Deployment.Workers.ReportS))
 			if sure && m.NeedsToken(now) {
 				m.Token = d.NextToken()
 			}
