--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -105,8 +105,8 @@
 	return s != nil && token <= s.token
 }
 
-// WasSent says whether a task that counts as being here was sent straight to the worker.
-func (m *Machine) WasSent(ref Ref) bool {
+// WasDispatched says whether a task that counts as being here was sent straight to the worker.
+func (m *Machine) WasDispatched(ref Ref) bool {
 	p := m.Tasks[ref]
 	return p != nil && m.directOf(p) != nil
 }
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -50,7 +50,7 @@
 		return
 	}
 	way := " by report"
-	if e.Machine.WasSent(workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}) {
+	if e.Machine.WasDispatched(workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}) {
 		way = " directly"
 	}
 	d.began.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
