--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -129,7 +129,7 @@
 	// Took and Gave count a task that was given room, and one whose room was taken
 	// back in the same pass.
 	Took(j *jobs.Job)
-	Gave(j *jobs.Job)
+	Returned(j *jobs.Job)
 	// Most is how many more tasks the units that are left let start.
 	Most(j *jobs.Job) int
 	// Why says in words what a job waits for, Never why one could never have what
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -236,7 +236,7 @@
 	w.Unplace = func(j *jobs.Job, k int) {
 		d.TakeBack(d.Where[workers.Ref{Job: j.Index, Task: int32(k)}])
 		if d.Units != nil {
-			d.Units.Gave(j)
+			d.Units.Returned(j)
 		}
 	}
 	d.Counts.LeftWaiting += uint64(d.Plan.RunCycle(w))
