--- a/internal/core/scheduler/blocks.go
+++ b/internal/core/scheduler/blocks.go
@@ -126,10 +126,10 @@
 	Pass(now time.Duration, list []*jobs.Job)
 	// Allows says whether so many more tasks of a job may start.
 	Allows(j *jobs.Job, tasks int) bool
-	// Took and Gave count a task that was given room, and one whose room was taken
+	// TaskPlaced and TaskRemoved count a task that was given room, and one whose room was taken
 	// back in the same pass.
-	Took(j *jobs.Job)
-	Returned(j *jobs.Job)
+	TaskPlaced(j *jobs.Job)
+	TaskRemoved(j *jobs.Job)
 	// Most is how many more tasks the units that are left let start.
 	Most(j *jobs.Job) int
 	// Why says in words what a job waits for, Never why one could never have what
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -229,14 +229,14 @@
 			d.Pacer.Took(now, m)
 		}
 		if d.Units != nil {
-			d.Units.Took(j)
+			d.Units.TaskPlaced(j)
 		}
 		m.UseImage(j.Image, j.Record.ImageGB, now)
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
 		d.TakeBack(d.Where[workers.Ref{Job: j.Index, Task: int32(k)}])
 		if d.Units != nil {
-			d.Units.Returned(j)
+			d.Units.TaskRemoved(j)
 		}
 	}
 	d.Counts.LeftWaiting += uint64(d.Plan.RunCycle(w))
--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -177,11 +177,11 @@
 	return held+task <= most
 }
 
-// Took counts a task that was given room.
-func (d *Duty) Took(j *jobs.Job) { d.took(j, 1) }
+// TaskPlaced counts a task that was given room.
+func (d *Duty) TaskPlaced(j *jobs.Job) { d.took(j, 1) }
 
-// Gave takes that back.
-func (d *Duty) Gave(j *jobs.Job) { d.took(j, -1) }
+// TaskRemoved takes that back.
+func (d *Duty) TaskRemoved(j *jobs.Job) { d.took(j, -1) }
 
 func (d *Duty) took(j *jobs.Job, by int64) {
 	h := d.byJob[j.Index]
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -125,7 +125,7 @@
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
 				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.m, Attempt: w.d.Attempt()}
 				w.d.Where[ref], w.m.Tasks[ref] = p, p
-				w.d.Took(j)
+				w.d.TaskPlaced(j)
 				n++
 			}
 		}
