--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -210,10 +210,10 @@
 		if err != nil {
 			continue // all amounts were checked when they came
 		}
-		for i, zones := range eventlog.SplitNames(all, d.Log.MaxEntryBytes()-len(raw)-eventlog.EntryBytes) {
+		for i, zones := range eventlog.SplitNames(all, d.EventLog.MaxEntryBytes()-len(raw)-eventlog.EntryBytes) {
 			part := ty
 			part.Zones, part.More = zones, i > 0
-			d.Log.Append(eventlog.Entry{MachineTypes: []eventlog.MachineType{part}})
+			d.EventLog.Append(eventlog.Entry{MachineTypes: []eventlog.MachineType{part}})
 		}
 	}
 }
@@ -222,10 +222,10 @@
 // need several entries, the request is noted anew before each further one: a
 // leader that finds only the first ones sends it again and learns the rest.
 func (d *Duty) appendAnswered(r eventlog.Rental, machines []string) {
-	for i, names := range eventlog.SplitNames(machines, d.Log.MaxEntryBytes()-len(r.Name)-eventlog.EntryBytes) {
+	for i, names := range eventlog.SplitNames(machines, d.EventLog.MaxEntryBytes()-len(r.Name)-eventlog.EntryBytes) {
 		if i > 0 {
-			d.Log.Append(eventlog.Entry{Rental: &r})
+			d.EventLog.Append(eventlog.Entry{Rental: &r})
 		}
-		d.Log.Append(eventlog.Entry{RentalAnswer: &eventlog.RentalAnswer{Name: r.Name, Machines: names}})
+		d.EventLog.Append(eventlog.Entry{RentalAnswer: &eventlog.RentalAnswer{Name: r.Name, Machines: names}})
 	}
 }
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -152,7 +152,7 @@
 		}
 	case e.Rental != nil:
 		if r, open := d.rentals[e.Rental.Name]; open {
-			d.Log.Append(eventlog.Entry{Rental: &r})
+			d.EventLog.Append(eventlog.Entry{Rental: &r})
 		}
 	}
 }
@@ -399,7 +399,7 @@
 // request notes rentals durably; they are sent once that is done.
 func (d *Duty) request(text string, requests []eventlog.Rental) {
 	for _, r := range requests {
-		d.Log.AppendTracked(eventlog.Entry{Rental: &r})
+		d.EventLog.AppendTracked(eventlog.Entry{Rental: &r})
 		d.Note(effects.Info, text, "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count)
 	}
 }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -63,7 +63,7 @@
 type State struct {
 	Start
 	Token    uint64 // of machines that have not changed their block
-	Log      *eventlog.Log
+	EventLog *eventlog.Log
 	Jobs     *jobs.Table
 	Yard     *workers.Inventory
 	Book     *sizing.Estimator
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -247,16 +247,16 @@
 	}
 	a.remember(a.own, keep)
 	e := eventlog.NewComponentEntry(Name, a.own)
-	if !d.Log.Fits(e) { // its differences are the longest part, and the least needed
+	if !d.EventLog.Fits(e) { // its differences are the longest part, and the least needed
 		short := a.own
 		short.Differences = nil
 		e = eventlog.NewComponentEntry(Name, short)
 	}
-	if !d.Log.Fits(e) {
+	if !d.EventLog.Fits(e) {
 		d.Note(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Component.Data))
 		return
 	}
-	d.Log.Append(e)
+	d.EventLog.Append(e)
 }
 
 // count takes over what was found different so far.
@@ -287,7 +287,7 @@
 		return
 	}
 	if slices.ContainsFunc(d.account.past, func(x Record) bool { return x.Epoch == r.Epoch }) {
-		d.Log.Append(e)
+		d.EventLog.Append(e)
 	}
 }
 
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -119,7 +119,7 @@
 	start := cluster.Start{Cfg: cfg, Zero: 1e6, Epoch: 7, Noticed: 99 * time.Second, Began: 100 * time.Second, Counts: &cluster.Counts{}, Measures: &cluster.Measures{}}
 	change(&start, &cfg.Tunables)
 	s := cluster.New(start)
-	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
+	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	s.Zones.Index("a")
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20, EstimateS: 60})
 	j.Phase, j.Earlier, j.UnresolvedMachines, j.FreshFrom = jobs.Open, true, 10, 10
@@ -246,8 +246,8 @@
 	if fmt.Sprint(r.Needless) != "map[deleted_alive:1 rented_unused:1 returned_and_rent:2 started_done:1 stopped_soon:1]" {
 		t.Errorf("needless: %v", r.Needless)
 	}
-	if d.Log.Pending() != 1 {
-		t.Errorf("%d entries are written", d.Log.Pending())
+	if d.EventLog.Pending() != 1 {
+		t.Errorf("%d entries are written", d.EventLog.Pending())
 	}
 	// A successor remembers it, once, and no more than it is to keep.
 	next := begun(func(s *cluster.Start, _ *settings.Tunables) {
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -239,11 +239,11 @@
 	}
 	d.Note(effects.Info, "takeover", args...)
 	e := eventlog.NewComponentEntry(Name, d.own)
-	if !d.Log.Fits(e) {
+	if !d.EventLog.Fits(e) {
 		d.Note(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Component.Data))
 		return
 	}
-	d.Log.Append(e)
+	d.EventLog.Append(e)
 }
 
 // complete says whether every step was reached that will be.
@@ -264,7 +264,7 @@
 // Keep writes a record anew that is still remembered.
 func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.past, func(o stored) bool { return o.Epoch == r.Epoch }) {
-		d.Log.Append(e)
+		d.EventLog.Append(e)
 	}
 }
 
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -19,7 +19,7 @@
 func begun(measures *cluster.Measures) *Duty {
 	s := cluster.New(cluster.Start{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Zero: 1e6, Epoch: 7,
 		LastLed: 9 * time.Second, Noticed: 10 * time.Second, Began: 11 * time.Second, Counts: &cluster.Counts{}, Measures: measures})
-	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
+	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
 	j.Phase, j.Earlier, j.UnresolvedMachines = 2, true, 10
 	for n := range 10 {
@@ -59,14 +59,14 @@
 		d.Jobs.Find(1).UnresolvedMachines--
 		d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
 		d.Tick(at(13+i), true)
-		if n := d.Log.Pending(); n != 0 {
+		if n := d.EventLog.Pending(); n != 0 {
 			t.Fatalf("%d entries after %d machines", n, i+1)
 		}
 	}
 	d.Hear(cluster.Event{Kind: cluster.TaskPlaced, At: at(24), Machine: all[0]})
 	d.Tick(at(25), true)
 	d.Tick(at(26), true)
-	if n := d.Log.Pending(); n != 1 {
+	if n := d.EventLog.Pending(); n != 1 {
 		t.Fatalf("%d entries were written, want one", n)
 	}
 	list := shown(t, d)
@@ -102,8 +102,8 @@
 func TestStepsThatDoNotCome(t *testing.T) {
 	d := begun(&cluster.Measures{})
 	d.Tick(12*time.Second+giveUp, true)
-	if list := shown(t, d); d.Log.Pending() != 1 || len(list[0].After) != 2 {
-		t.Errorf("%d entries, %+v", d.Log.Pending(), list[0])
+	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != 2 {
+		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
 	}
 	d = begun(&cluster.Measures{})
 	for _, m := range d.Yard.All() {
@@ -113,16 +113,16 @@
 	d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: 14 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
 	d.Jobs.Find(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
-	if d.Log.Pending() != 0 {
+	if d.EventLog.Pending() != 0 {
 		t.Error("closed before a start could come")
 	}
 	d.Tick(14*time.Second+startWait, false)
-	if d.Log.Pending() != 0 {
+	if d.EventLog.Pending() != 0 {
 		t.Error("closed by a leader that is not sure of its term")
 	}
 	d.Tick(14*time.Second+startWait, true)
-	if list := shown(t, d); d.Log.Pending() != 1 || len(list[0].After) != int(steps)-1 {
-		t.Errorf("%d entries, %+v", d.Log.Pending(), list[0])
+	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != int(steps)-1 {
+		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
 	}
 }
 
@@ -133,12 +133,12 @@
 	for epoch := range 8 {
 		d.Keep(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
 	}
-	if n := d.Log.Pending(); n != 3 {
+	if n := d.EventLog.Pending(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
 	d.Take()
 	d.Keep(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
-	if out := d.Take(); len(out) != 1 || !strings.Contains(out[0].(effects.Note).Text, "cannot be read") || d.Log.Pending() != 3 {
+	if out := d.Take(); len(out) != 1 || !strings.Contains(out[0].(effects.Note).Text, "cannot be read") || d.EventLog.Pending() != 3 {
 		t.Errorf("said: %+v", out)
 	}
 }
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -84,14 +84,14 @@
 		}
 	}
 	slices.SortFunc(list, func(a, b eventlog.VirtualSize) int { return cmp.Compare(a.ID, b.ID) })
-	d.Log.SetVirtualSizes(list)
+	d.EventLog.SetVirtualSizes(list)
 }
 
 // Settle sets final sizes that are due; each is written once.
 func (d *Duty) Settle(now time.Duration) {
 	for _, i := range d.Book.Order() {
 		if s, ok := d.Book.Settle(i, now.Seconds()); ok {
-			d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Record.ID, Size: s}})
+			d.EventLog.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Record.ID, Size: s}})
 			d.Dirty = true
 		}
 	}
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -28,11 +28,11 @@
 	if rec.ReleasedMS != 0 {
 		rec.Follows = nil
 	}
-	if len(rec.Follows) == 0 || d.Log.Fits(eventlog.Entry{Job: &rec}) {
+	if len(rec.Follows) == 0 || d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
 		return rec, nil
 	}
 	var parts []eventlog.Entry
-	for ids := range slices.Chunk(rec.Follows, max(1, d.Log.MaxEntryBytes()/idBytes-4)) {
+	for ids := range slices.Chunk(rec.Follows, max(1, d.EventLog.MaxEntryBytes()/idBytes-4)) {
 		parts = append(parts, eventlog.Entry{Dependencies: &eventlog.Dependencies{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
 	}
 	rec.Rest, rec.Follows = len(rec.Follows), nil
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -238,7 +238,7 @@
 	j.CancelPending = true
 	d.gone.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
 	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
-	d.Log.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
+	d.EventLog.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
 }
 
 // writeTasks hands completed tasks to the log.
@@ -259,7 +259,7 @@
 		// One for one, beside the job's own entry: the two may be in different
 		// segments, and what a waiting job follows must never be lost.
 		if j := d.Jobs.Find(e.Dependencies.ID); j != nil && j.Record.AtMS == e.Dependencies.AtMS {
-			d.Log.Append(e)
+			d.EventLog.Append(e)
 		}
 	case e.Job != nil:
 		if _, over := d.Jobs.Final(e.Job.ID); over {
@@ -287,13 +287,13 @@
 	case jobs.Cancelled:
 		d.over.Cancelled = append(d.over.Cancelled, id)
 	}
-	d.writeOver(max(1, d.Log.MaxEntryBytes()/idBytes-2))
+	d.writeOver(max(1, d.EventLog.MaxEntryBytes()/idBytes-2))
 }
 
 func (d *Duty) writeOver(least int) {
 	if len(d.over.Done)+len(d.over.Cancelled) >= least {
 		o := d.over
-		d.Log.Append(eventlog.Entry{FinalStates: &o})
+		d.EventLog.Append(eventlog.Entry{FinalStates: &o})
 		d.over = eventlog.FinalStates{}
 	}
 }
@@ -454,7 +454,7 @@
 	rec, parts := d.stored(j.Record)
 	if j.Record.Rest == 0 {
 		for _, p := range parts {
-			d.Log.Append(p)
+			d.EventLog.Append(p)
 		}
 	}
 	j.Record.Rest = rec.Rest
@@ -467,20 +467,20 @@
 	if j := d.Jobs.Find(b.ID); j != nil && len(j.Dependents) > 0 {
 		b.AtMS = d.Zero + now.Milliseconds()
 	}
-	most := max(1, d.Log.MaxEntryBytes()/rangeBytes-4)
+	most := max(1, d.EventLog.MaxEntryBytes()/rangeBytes-4)
 	for len(b.Ranges) > most {
 		part := eventlog.CompletedTasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
-		d.Log.AppendTracked(eventlog.Entry{CompletedTasks: &part})
+		d.EventLog.AppendTracked(eventlog.Entry{CompletedTasks: &part})
 		b.Ranges = b.Ranges[most:]
 	}
-	d.Log.AppendTracked(eventlog.Entry{CompletedTasks: &b})
+	d.EventLog.AppendTracked(eventlog.Entry{CompletedTasks: &b})
 }
 
 // again appends what is known of an open job. Completed tasks that are on
 // their way to the log are in it too: their own entry will stand before the job
 // that is written here, and be replayed without it.
 func (d *Duty) again(now time.Duration, j *jobs.Job) {
-	d.Log.Append(d.entryOf(j))
+	d.EventLog.Append(d.entryOf(j))
 	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
 	for k, s := range j.Tasks {
 		if s == jobs.DoneDurably || s == jobs.Finished {
@@ -491,7 +491,7 @@
 		d.appendTasks(now, noted)
 	}
 	if size, final := d.Book.Size(j.Index); final && size > 0 {
-		d.Log.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: j.Record.ID, Size: size}})
+		d.EventLog.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: j.Record.ID, Size: size}})
 	}
 }
 
@@ -505,7 +505,7 @@
 			continue
 		}
 		if j := d.Jobs.Find(e.Job.ID); j != nil {
-			if rec, _ := d.stored(j.Record); j.CancelPending || !d.Log.Fits(eventlog.Entry{Job: &rec}) {
+			if rec, _ := d.stored(j.Record); j.CancelPending || !d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
 				return false
 			}
 		}
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -54,18 +54,18 @@
 		return
 	}
 	s.Job.AtMS = d.Zero + now.Milliseconds()
-	if rec, _ := d.stored(*s.Job); !d.Log.Fits(eventlog.Entry{Job: &rec}) {
+	if rec, _ := d.stored(*s.Job); !d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 400, Why: "breeds and other names: too long to be stored"}})
 		return
 	}
-	if d.Log.Pending() > 2000 {
+	if d.EventLog.Pending() > 2000 {
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 429, Why: "too much is waiting to be written", RetryAfter: 2}})
 		return
 	}
 	j := d.enter(*s.Job, now)
 	d.suit(j)
 	d.accepting[s.ID] = append(d.accepting[s.ID], to)
-	d.Log.AppendTracked(d.entryOf(j))
+	d.EventLog.AppendTracked(d.entryOf(j))
 }
 
 // never says why a job can never run, or nothing.
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -145,7 +145,7 @@
 		list = append(list, [2]uint64{id, uint64(m.raise[id])})
 	}
 	clear(m.raise)
-	for part := range slices.Chunk(list, max(1, (d.Log.MaxEntryBytes()-eventlog.EntryBytes)/markBytes)) {
+	for part := range slices.Chunk(list, max(1, (d.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/markBytes)) {
 		d.appendMarks(entry{Epoch: d.Epoch, Marks: part}, part)
 	}
 	if m.begin {
@@ -156,7 +156,7 @@
 
 func (d *Duty) appendMarks(e entry, marks [][2]uint64) {
 	d.marks.writing = append(d.marks.writing, marks)
-	d.Log.AppendTracked(eventlog.NewComponentEntry(Name, e))
+	d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, e))
 }
 
 // marked lets the plans be offered that the marks which are durable now cover.
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -18,7 +18,7 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.NoteTasks = on
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
-	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
+	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	for id := range count {
 		s.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 100}).Phase = jobs.Open
 	}
@@ -29,15 +29,15 @@
 func settle(t *testing.T, d *Duty) (out []eventlog.Entry) {
 	t.Helper()
 	d.Write(0)
-	for mark := uint64(1); d.Log.Pending() > 0; mark++ {
+	for mark := uint64(1); d.EventLog.Pending() > 0; mark++ {
 		now := time.Duration(mark) * time.Second
-		txn := d.Log.NextTransaction(now)
+		txn := d.EventLog.NextTransaction(now)
 		for _, w := range txn.Writes {
 			if len(w.Value) > 2048 {
 				t.Fatalf("a value of %d bytes", len(w.Value))
 			}
 		}
-		facts, _ := d.Log.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
+		facts, _ := d.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
 		for _, e := range facts {
 			d.Durable(now, true, e)
 		}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -194,7 +194,7 @@
 		}
 	}
 	if len(g.Machines) > 0 {
-		d.Log.Append(eventlog.Entry{Grant: &g})
+		d.EventLog.Append(eventlog.Entry{Grant: &g})
 	}
 }
 
@@ -262,11 +262,11 @@
 
 // Write hands new grants, and those taken back, to the log.
 func (d *Duty) Write(time.Duration) {
-	most := max(1, d.Log.MaxEntryBytes()/numberBytes-6)
+	most := max(1, d.EventLog.MaxEntryBytes()/numberBytes-6)
 	// First what is taken back: the same machine may have been granted anew.
 	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
 		for part := range slices.Chunk(d.withdrawn[id], most) {
-			d.Log.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: part, Revoked: true}})
+			d.EventLog.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: part, Revoked: true}})
 		}
 	}
 	clear(d.withdrawn)
@@ -277,7 +277,7 @@
 				g.Machines = append(g.Machines, m.Number)
 			}
 			d.writing = append(d.writing, part)
-			d.Log.AppendTracked(eventlog.Entry{Grant: &g})
+			d.EventLog.AppendTracked(eventlog.Entry{Grant: &g})
 		}
 	}
 	clear(d.granting)
--- a/internal/leader/placement/placing_test.go
+++ b/internal/leader/placement/placing_test.go
@@ -15,7 +15,7 @@
 // machines start.
 func TestGrantsInParts(t *testing.T) {
 	s := cluster.New(cluster.Start{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Epoch: 2, Counts: &cluster.Counts{}})
-	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 1}, "lead/epoch", 1, 0, 0)
+	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 1}, "lead/epoch", 1, 0, 0)
 	d := New(s)
 	s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1})
 	var all []*workers.Machine
@@ -27,13 +27,13 @@
 	}
 	d.Write(0)
 	durable := 0
-	for mark := uint64(1); s.Log.Pending() > 0; mark++ {
+	for mark := uint64(1); s.EventLog.Pending() > 0; mark++ {
 		now := time.Duration(mark) * time.Second
-		txn := s.Log.NextTransaction(now)
+		txn := s.EventLog.NextTransaction(now)
 		if len(txn.Writes[0].Value) > 2048 {
 			t.Fatalf("a value of %d bytes", len(txn.Writes[0].Value))
 		}
-		facts, _ := s.Log.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
+		facts, _ := s.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
 		for _, e := range facts {
 			d.Durable(now, true, e)
 			durable += len(e.Grant.Machines)
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -113,7 +113,7 @@
 		if p == nil || p.attempt != attempt {
 			p = &paper{attempt: attempt, numbers: d.choose(n)}
 			d.papers.set(key, p)
-			d.Log.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
+			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
 		out.Durable = out.Durable && p.durable
 		out.Units = append(out.Units, ReceiptUnits{d.pools[n.pool].name, p.numbers, n.perJob})
@@ -203,7 +203,7 @@
 	}
 	key := paperKey{x.Paper.Job, x.Paper.Task, d.pool(x.Paper.Pool).index}
 	if p := d.papers.get(key); p != nil && p.attempt == x.Paper.Attempt && d.alive(key, p) {
-		d.Log.Append(e)
+		d.EventLog.Append(e)
 	}
 }
 
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -48,7 +48,7 @@
 	w.epoch++
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: w.epoch, Began: w.now, Counts: &cluster.Counts{}})
 	w.d = New(s)
-	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
+	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
 	s.Zones.Index("z")
 	w.m = s.Yard.Add(&workers.Machine{Name: "m", Durable: true, Resolved: true, Up: true})
 	w.d.Begin(w.now)
@@ -80,14 +80,14 @@
 	for range 20 {
 		w.now += time.Second
 		w.d.Tick(w.now, true)
-		txn := w.d.Log.NextTransaction(w.now)
+		txn := w.d.EventLog.NextTransaction(w.now)
 		if txn == nil {
 			continue
 		}
 		for _, op := range txn.Writes {
 			w.values[op.Key] = op.Value
 		}
-		facts, _ := w.d.Log.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
+		facts, _ := w.d.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
 		for _, e := range facts {
 			w.d.Durable(w.now, true, e)
 		}
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -123,7 +123,7 @@
 		return
 	}
 	s.writing = slices.DeleteFunc(s.writing, func(w *writing) bool {
-		if d.Log.DurableCount() < w.pos {
+		if d.EventLog.DurableCount() < w.pos {
 			return false
 		}
 		// Refused: it is tried again.
@@ -170,11 +170,11 @@
 	if err != nil {
 		panic(fmt.Sprintf("pools: a value that cannot be written: %v", err)) // names and numbers
 	}
-	if !d.Log.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &w.n}), eventlog.ValueKey(Name, w.n), raw) {
+	if !d.EventLog.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &w.n}), eventlog.ValueKey(Name, w.n), raw) {
 		d.Note(effects.Error, "what was changed of pools does not fit into a value", "value", w.n, "bytes", len(raw))
 		return
 	}
-	w.pos = d.Log.AppendedCount()
+	w.pos = d.EventLog.AppendedCount()
 	d.shelf.writing = append(d.shelf.writing, w)
 }
 
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -75,7 +75,7 @@
 	if err := config.Check(in.Changes, &d.Cfg.Platform); err != nil {
 		return nil, err
 	}
-	if len(d.pending) >= pendingMost || d.Log.Pending() > queuedMost {
+	if len(d.pending) >= pendingMost || d.EventLog.Pending() > queuedMost {
 		return nil, &settings.FieldError{Field: "changes", Why: "too many wait to be written: try again"}
 	}
 	r := config.Revision{Number: in.Revision + 1, ID: in.ID, By: by, AtMS: d.Zero + now.Milliseconds(), Note: in.Note, Changes: slices.Clone(in.Changes)}
@@ -94,14 +94,14 @@
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("more than %d things would have been changed", config.MostItems)}
 	}
 	e := eventlog.NewComponentEntry(Name, stored{Revision: &r})
-	if !d.Log.Fits(e) {
+	if !d.EventLog.Fits(e) {
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("%d bytes are too many to be stored at once", len(e.Component.Data))}
 	}
 	a := &Answer{Revision: r.Number, Remarks: d.remarks(r.Changes)}
 	if in.DryRun {
 		return a, nil
 	}
-	d.Log.AppendTracked(e)
+	d.EventLog.AppendTracked(e)
 	d.pending = append(d.pending, r)
 	for _, c := range r.Changes {
 		if c.Item.Team != "" {
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -222,7 +222,7 @@
 	switch {
 	case !ok:
 	case x.Revision != nil && d.remembers(x.Revision.Number):
-		d.Log.Append(e)
+		d.EventLog.Append(e)
 	case x.Revision != nil:
 		for _, c := range x.Revision.Changes {
 			d.gather(config.Set{Change: c, Revision: x.Revision.Number})
@@ -245,10 +245,10 @@
 func (d *Duty) Kept() {
 	for len(d.kept) > 0 {
 		n := len(d.kept)
-		for n > 1 && !d.Log.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]})) {
+		for n > 1 && !d.EventLog.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]})) {
 			n /= 2
 		}
-		d.Log.Append(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]}))
+		d.EventLog.Append(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]}))
 		d.kept = d.kept[n:]
 	}
 	d.kept = nil
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -31,7 +31,7 @@
 	cfg.Deployment.State.WriteRPS, cfg.Deployment.State.ValueKB, cfg.Deployment.State.TxnOps = 100, 8, 12
 	b := &bench{t: t, now: time.Second}
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}, Config: &b.replica})
-	s.Log = newLog(0)
+	s.EventLog = newLog(0)
 	b.Duty = New(s)
 	for _, e := range entries {
 		b.Replay(b.now, e)
@@ -49,24 +49,24 @@
 // commit has everything that waits become durable.
 func (b *bench) commit() {
 	b.t.Helper()
-	for b.Log.Pending() > 0 {
+	for b.EventLog.Pending() > 0 {
 		b.now += 100 * time.Millisecond
-		txn := b.Log.NextTransaction(b.now)
+		txn := b.EventLog.NextTransaction(b.now)
 		if txn == nil {
 			continue
 		}
 		b.mark++
-		pending := b.Log.Pending()
+		pending := b.EventLog.Pending()
 		for _, w := range txn.Writes {
 			if list, err := eventlog.Decode(w.Value); err == nil && strings.HasPrefix(w.Key, eventlog.Prefix) {
 				b.entries = append(b.entries, list...) // some twice, which replay bears
 			}
 		}
-		facts, _ := b.Log.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
+		facts, _ := b.EventLog.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
 		for _, e := range facts {
 			b.Durable(b.now, true, e)
 		}
-		if b.Log.Pending() == pending {
+		if b.EventLog.Pending() == pending {
 			b.t.Fatal("nothing becomes durable")
 		}
 	}
@@ -100,7 +100,7 @@
 	first := Request{ID: "a", Changes: []config.Change{limitTo("red", 20), limitTo("blue", 5)}}
 	dry := first
 	dry.DryRun = true
-	if a, err := b.ask(dry); err != nil || a.Revision != 1 || b.Log.Pending() != 0 {
+	if a, err := b.ask(dry); err != nil || a.Revision != 1 || b.EventLog.Pending() != 0 {
 		t.Fatalf("only asked: %+v %v", a, err)
 	}
 	bad := Request{ID: "bad", Changes: []config.Change{limitTo("red", 1), limitTo("blue", -1)}}
@@ -197,7 +197,7 @@
 	}
 	old := b.entries
 	b.entries = nil
-	b.Log = newLog(1) // all that was written is in older segments
+	b.EventLog = newLog(1) // all that was written is in older segments
 	for _, e := range old {
 		b.Keep(b.now, e)
 	}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -125,8 +125,8 @@
 	if len(d.empty) == 0 {
 		return
 	}
-	for _, part := range eventlog.SplitNames(d.empty, d.Log.MaxEntryBytes()-2*eventlog.EntryBytes) {
-		d.Log.AppendTracked(eventlog.NewComponentEntry(Name, returns{d.Epoch, part}))
+	for _, part := range eventlog.SplitNames(d.empty, d.EventLog.MaxEntryBytes()-2*eventlog.EntryBytes) {
+		d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, returns{d.Epoch, part}))
 	}
 	d.empty = nil
 }
@@ -168,7 +168,7 @@
 // Keep writes anew what is live of an entry.
 func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
 	if e.Machine != nil && d.Yard.Find(e.Machine.Name) != nil {
-		d.Log.Append(eventlog.Entry{Machine: e.Machine})
+		d.EventLog.Append(eventlog.Entry{Machine: e.Machine})
 	}
 }
 
@@ -279,12 +279,12 @@
 	if !m.Durable && !m.Deleting {
 		m.Resolved = true // no task is ever started on a machine before it is registered
 		rec.Number = d.Numbers + 1
-		if !d.Log.Fits(eventlog.Entry{Machine: &rec}) {
+		if !d.EventLog.Fits(eventlog.Entry{Machine: &rec}) {
 			d.Leave(now, m, cluster.Delete, "its names are too long to be stored")
 		} else if m.QueueRegistry() {
 			d.Numbers++
 			m.Number = d.Numbers
-			d.Log.AppendTracked(eventlog.Entry{Machine: &rec})
+			d.EventLog.AppendTracked(eventlog.Entry{Machine: &rec})
 		}
 	}
 	if w := d.waits[m]; w != nil {
@@ -437,8 +437,8 @@
 		}
 		d.Tell(cluster.Event{Kind: cluster.MachineGone, At: now, Machine: m})
 	}
-	for _, part := range eventlog.SplitNames(list, d.Log.MaxEntryBytes()-eventlog.EntryBytes) {
-		d.Log.Append(eventlog.Entry{DeletedMachines: part})
+	for _, part := range eventlog.SplitNames(list, d.EventLog.MaxEntryBytes()-eventlog.EntryBytes) {
+		d.EventLog.Append(eventlog.Entry{DeletedMachines: part})
 	}
 	d.Dirty = true
 }
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -163,10 +163,10 @@
 
 func (d *Duty) append(e entry) bool {
 	own := eventlog.NewComponentEntry(Name, e) // round leaves no number that cannot be written
-	if !d.Log.Fits(own) {
+	if !d.EventLog.Fits(own) {
 		return false
 	}
-	d.Log.Append(own)
+	d.EventLog.Append(own)
 	return true
 }
 
@@ -444,7 +444,7 @@
 	case !ok:
 	case x.Fact != nil:
 		if !d.history.Read || d.needs(x.Fact.fact()) {
-			d.Log.Append(e)
+			d.EventLog.Append(e)
 			return
 		}
 		d.facts = max(0, d.facts-1)
@@ -452,7 +452,7 @@
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
 		at := time.Unix(x.Forgot.At, 0)
 		if n, ok := d.shelf.home[k]; !d.history.Read || d.cal.At(at).Day >= d.today.Day-keepForgot || (ok && d.shelf.queued[n]) {
-			d.Log.Append(e)
+			d.EventLog.Append(e)
 		}
 	}
 }
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -58,7 +58,7 @@
 		}
 		last, _ = eventlog.SegmentNumber(k)
 	}
-	s.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: w.bytes, TxnOps: 9}, "lead/epoch", 1, last, 0)
+	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: w.bytes, TxnOps: 9}, "lead/epoch", 1, last, 0)
 	d.Begin(w.now)
 	w.history(d, own)
 	return d
@@ -93,7 +93,7 @@
 func (w *world) write(d *Duty, most int) {
 	for range most {
 		w.now += time.Second
-		txn := d.Log.NextTransaction(w.now)
+		txn := d.EventLog.NextTransaction(w.now)
 		if txn == nil {
 			return
 		}
@@ -104,7 +104,7 @@
 				w.values[op.Key] = op.Value
 			}
 		}
-		d.Log.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
+		d.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
 	}
 }
 
@@ -482,11 +482,11 @@
 	for range 400 {
 		w.now += d.pace
 		d.Tick(w.now, true)
-		if txn := d.Log.NextTransaction(w.now); txn != nil {
+		if txn := d.EventLog.NextTransaction(w.now); txn != nil {
 			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Write) bool { return len(o.Value) > 2000 })
 			if large {
 				refused++
-				d.Log.CommitResult(w.now, txn.Sequence, eventlog.Invalid, 0, nil)
+				d.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Invalid, 0, nil)
 				continue
 			}
 			for _, op := range txn.Writes {
@@ -512,7 +512,7 @@
 }
 
 func mustFacts(d *Duty, w *world, seq uint64) []eventlog.Entry {
-	facts, _ := d.Log.CommitResult(w.now, seq, eventlog.Applied, uint64(w.now), nil)
+	facts, _ := d.EventLog.CommitResult(w.now, seq, eventlog.Applied, uint64(w.now), nil)
 	return facts
 }
 
@@ -596,9 +596,9 @@
 		w.now += 24 * time.Hour
 		for range 200 {
 			w.now += d.pace / 5
-			before := d.Log.Pending()
+			before := d.EventLog.Pending()
 			d.Tick(w.now, true)
-			if after := d.Log.Pending(); after > before+1 || (before > 0 && after > before) {
+			if after := d.EventLog.Pending(); after > before+1 || (before > 0 && after > before) {
 				t.Fatalf("%d entries at once, with %d waiting", after-before, before)
 			}
 			w.write(d, 1)
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -114,7 +114,7 @@
 		d.Begin(0)
 		d.Tick(0, true)
 		d.GotValues(0, nil, false, true)
-		d.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
+		d.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
 		for n := range 9000 {
 			d.count(factOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
 		}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -209,16 +209,16 @@
 // store writes one value, when nothing else waits and not too often.
 func (d *Duty) store(now time.Duration) {
 	if d.storing != nil {
-		if d.Log.DurableCount() < d.storing.pos {
+		if d.EventLog.DurableCount() < d.storing.pos {
 			return
 		}
 		d.shelf.push(d.storing.n) // refused: with smaller values it is tried again
 		d.storing = nil
 	}
-	if len(d.shelf.queue) == 0 || now-d.writtenAt < d.pace || d.Log.Pending() > 0 {
+	if len(d.shelf.queue) == 0 || now-d.writtenAt < d.pace || d.EventLog.Pending() > 0 {
 		return
 	}
-	d.shelf.room = d.Log.MaxEntryBytes()
+	d.shelf.room = d.EventLog.MaxEntryBytes()
 	n := d.shelf.pop()
 	if n >= keepNights && d.shelf.spread(n) {
 		return
@@ -234,11 +234,11 @@
 		}
 		raw, err = json.Marshal(v)
 	}
-	if err != nil || !d.Log.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &n}), eventlog.ValueKey(Name, n), raw) {
+	if err != nil || !d.EventLog.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &n}), eventlog.ValueKey(Name, n), raw) {
 		d.Note(effects.Warn, "learned run times that do not fit into a value are not kept", "value", n, "bytes", len(raw))
 		return
 	}
-	st.pos = d.Log.AppendedCount()
+	st.pos = d.EventLog.AppendedCount()
 	d.storing = st
 }
 
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -32,15 +32,15 @@
 	}
 	value := int(t.Cfg.Writes().ValueKB * 1024)
 	most := max(fewSegments, 3*live/value)
-	spare := t.Log.LastSegment() - t.first - most
+	spare := t.EventLog.LastSegment() - t.first - most
 	// What users wait for goes first, but not for ever: under steady load there
 	// is always something to write, and the log must not grow without end.
 	switch {
-	case spare < 0, spare < most/2 && t.Log.Pending() > 0, spare < 2*most && now-t.cleanAt < cleanEvery:
+	case spare < 0, spare < most/2 && t.EventLog.Pending() > 0, spare < 2*most && now-t.cleanAt < cleanEvery:
 		return
 	}
 	t.cleaning, t.cleanAt = true, now
-	t.Emit(effects.Clean{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.Log.LastSegment()-t.first)})
+	t.Emit(effects.Clean{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.first)})
 }
 
 // Cleaned takes the segments numbered first to end-1, read back. A key that is
@@ -56,15 +56,15 @@
 	for _, e := range entries {
 		if !t.each(e, func(d Duty) { d.Keep(now, e) }) {
 			t.unknown(e)
-			t.Log.Append(e)
+			t.EventLog.Append(e)
 		}
 	}
 	for _, d := range t.duties {
 		d.Kept()
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
-	t.Log.Append(eventlog.Entry{FinalStates: &eventlog.FinalStates{}})
-	t.cleanTo, t.cleanPos = end, t.Log.AppendedCount()
+	t.EventLog.Append(eventlog.Entry{FinalStates: &eventlog.FinalStates{}})
+	t.cleanTo, t.cleanPos = end, t.EventLog.AppendedCount()
 }
 
 // canKeep says whether all that is live of these entries can be written anew.
@@ -72,7 +72,7 @@
 // is.
 func (t *Term) canKeep(entries []eventlog.Entry) bool {
 	for _, e := range entries {
-		if (e.Component != nil || e.Unknown != nil) && !t.Log.Fits(e) {
+		if (e.Component != nil || e.Unknown != nil) && !t.EventLog.Fits(e) {
 			return false
 		}
 	}
@@ -81,11 +81,11 @@
 
 // dropCleaned removes the segments whose live entries are durable elsewhere.
 func (t *Term) dropCleaned() {
-	if t.cleanTo == 0 || t.Log.DurableCount() < t.cleanPos {
+	if t.cleanTo == 0 || t.EventLog.DurableCount() < t.cleanPos {
 		return
 	}
 	for ; t.first < t.cleanTo; t.first++ {
-		t.Log.DropSegment(t.first)
+		t.EventLog.DropSegment(t.first)
 	}
 	t.cleaning, t.cleanTo = false, 0
 }
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -64,8 +64,8 @@
 		}
 		term.Committed(*now, true, txn.Sequence, eventlog.Applied, mark, nil)
 	}
-	if term.Log.Pending() > 0 {
-		t.Fatalf("%d entries are never written", term.Log.Pending())
+	if term.EventLog.Pending() > 0 {
+		t.Fatalf("%d entries are never written", term.EventLog.Pending())
 	}
 	var out []eventlog.Entry
 	keys := make([]string, 0, len(segments))
@@ -104,7 +104,7 @@
 	follower.ID, follower.Tasks, follower.Follows = 2, 3, append([]uint64{1}, all...)
 	term.Users.Submit(time.Second, 1, wire.Submission{ID: 2, HasID: true, Job: &follower})
 
-	term.Log.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: zones[0], Count: 50}})
+	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: zones[0], Count: 50}})
 	var names []string
 	for n := range 50 {
 		names = append(names, long("host", n))
@@ -153,7 +153,7 @@
 	t.Helper()
 	term.first, term.cleaning = 1, true
 	term.Cleaned(time.Minute, 1, 2, true, entries)
-	if term.Log.Pending() == 0 {
+	if term.EventLog.Pending() == 0 {
 		t.Fatal("nothing was kept")
 	}
 }
@@ -175,7 +175,7 @@
 func TestAnswerCutShort(t *testing.T) {
 	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
-	term.Log.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
+	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
 	list := written(t, term, &now)
 	var names []string
 	for n := range 50 {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -247,7 +247,7 @@
 // Load replays the whole log.
 func (t *Term) Load(now time.Duration, mark uint64, log Durable) {
 	w := t.Cfg.Writes()
-	t.Log = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
+	t.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
 	t.first = max(log.First, 1)
 	for _, e := range log.Entries {
 		if !t.each(e, func(d Duty) { d.Replay(now, e) }) {
@@ -336,7 +336,7 @@
 	if !t.loaded {
 		return
 	}
-	if t.Log.Idle() {
+	if t.EventLog.Idle() {
 		// Not before: so the entries of a job between two commits become one.
 		// The last duties go first: grants, for which starts wait, before
 		// completions.
@@ -344,23 +344,23 @@
 			t.duties[i].Write(now)
 		}
 	}
-	if txn := t.Log.NextTransaction(now); txn != nil {
+	if txn := t.EventLog.NextTransaction(now); txn != nil {
 		t.Emit(effects.Commit{Txn: *txn})
 	}
 }
 
 // Committed takes the outcome of a commit.
 func (t *Term) Committed(now time.Duration, sure bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string) eventlog.CommitStep {
-	facts, step := t.Log.CommitResult(now, seq, out, mark, failed)
+	facts, step := t.EventLog.CommitResult(now, seq, out, mark, failed)
 	switch {
 	case out == eventlog.Invalid && step == eventlog.Lost:
-		t.Note(effects.Error, "the state service refuses a transaction as malformed: the term ends", "epoch", t.Epoch, "pending", t.Log.Pending())
+		t.Note(effects.Error, "the state service refuses a transaction as malformed: the term ends", "epoch", t.Epoch, "pending", t.EventLog.Pending())
 	case out == eventlog.Invalid:
-		t.Note(effects.Error, "the state service refuses a transaction as malformed: smaller values are tried", "epoch", t.Epoch, "pending", t.Log.Pending())
+		t.Note(effects.Error, "the state service refuses a transaction as malformed: smaller values are tried", "epoch", t.Epoch, "pending", t.EventLog.Pending())
 	}
 	t.durable(now, sure, facts)
 	if step == eventlog.Reread {
-		t.Emit(effects.Recheck{Key: t.Log.OpenSegmentKey()})
+		t.Emit(effects.Recheck{Key: t.EventLog.OpenSegmentKey()})
 	}
 	if sure {
 		t.placing.PassSoon(now)
@@ -374,7 +374,7 @@
 
 // Rechecked takes the value that settles a commit without an answer.
 func (t *Term) Rechecked(now time.Duration, sure, read bool, mark uint64, value json.RawMessage) {
-	t.durable(now, sure, t.Log.ReadBack(now, read, mark, value))
+	t.durable(now, sure, t.EventLog.ReadBack(now, read, mark, value))
 }
 
 func (t *Term) durable(now time.Duration, sure bool, facts []eventlog.Entry) {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -96,7 +96,7 @@
 	if t == nil || !t.Loaded() {
 		return s
 	}
-	s.Loaded, s.Unsaved = true, t.Log.Pending()
+	s.Loaded, s.Unsaved = true, t.EventLog.Pending()
 	byHolder := map[string]*BlockStatus{}
 	for _, m := range t.Yard.All() {
 		s.Machines = append(s.Machines, MachineStatus{Name: m.Name, Type: t.TypeNames.Name(m.Type), Zone: t.Zones.Name(m.Zone), Spot: m.Spot,
