--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -106,7 +106,7 @@
 	if len(machines) == 0 {
 		d.Counts.RentalsRefused++
 	}
-	d.Note(effects.Info, "rental answered", "request", name, "asked", r.Count, "got", len(machines))
+	d.LogMessage(effects.Info, "rental answered", "request", name, "asked", r.Count, "got", len(machines))
 }
 
 // GotTypes takes the machine types; an empty list is a failure.
@@ -182,7 +182,7 @@
 		}
 	}
 	if n > 0 {
-		d.Note(effects.Info, "silent machines are not in the cloud's list any more: they are not waited for", "machines", n)
+		d.LogMessage(effects.Info, "silent machines are not in the cloud's list any more: they are not waited for", "machines", n)
 	}
 }
 
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -168,7 +168,7 @@
 		if cluster.Most(n, up[z]) {
 			name := d.Zones.Name(int32(z))
 			if !d.buyer.Avoided(now, name) {
-				d.Note(effects.Warn, "most machines of a zone are silent: nothing is rented there for now", "zone", name, "silent", n, "of", up[z])
+				d.LogMessage(effects.Warn, "most machines of a zone are silent: nothing is rented there for now", "zone", name, "silent", n, "of", up[z])
 			}
 			d.buyer.Avoid(name, now+avoidFor)
 		}
@@ -400,7 +400,7 @@
 func (d *Duty) request(text string, requests []eventlog.Rental) {
 	for _, r := range requests {
 		d.EventLog.AppendTracked(eventlog.Entry{Rental: &r})
-		d.Note(effects.Info, text, "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count)
+		d.LogMessage(effects.Info, text, "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count)
 	}
 }
 
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -231,8 +231,8 @@
 // Emit puts out an effect.
 func (s *State) Emit(e effects.Effect) { s.out = append(s.out, e) }
 
-// Note has something logged.
-func (s *State) Note(l effects.Level, text string, args ...any) {
+// LogMessage has something logged.
+func (s *State) LogMessage(l effects.Level, text string, args ...any) {
 	s.Emit(effects.Note{Level: l, Text: text, Args: args})
 }
 
@@ -379,7 +379,7 @@
 		s.SaveAndStop(now, j, p)
 		s.Tell(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Order: o})
 		on[p.Machine] = true
-		s.Note(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
+		s.LogMessage(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
 	}
 	for m := range on {
 		s.StopNow(m)
@@ -458,7 +458,7 @@
 	if len(m.Tasks) > 0 {
 		s.Counts.MachinesLost++
 	}
-	s.Note(effects.Info, "machine returned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
+	s.LogMessage(effects.Info, "machine returned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
 	s.Tell(Event{Kind: MachineLeft, At: now, Machine: m, Order: o})
 }
 
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -81,7 +81,7 @@
 func (a *account) replay(s *cluster.State, e eventlog.Entry) {
 	var r Record
 	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
-		s.Note(effects.Warn, "the account of a cold start cannot be read: it is left out", "error", err)
+		s.LogMessage(effects.Warn, "the account of a cold start cannot be read: it is left out", "error", err)
 		return
 	}
 	a.remember(r, s.Cfg.Tunables.ColdKept)
@@ -239,7 +239,7 @@
 	a.over = true
 	a.count(d)
 	keep := d.Cfg.Tunables.ColdKept
-	d.Note(effects.Info, "cold start", "epoch", a.own.Epoch, "machines", a.own.Machines, "jobs", a.own.Jobs, "tasks", a.own.Tasks, "settled_ms", a.own.SettledMS,
+	d.LogMessage(effects.Info, "cold start", "epoch", a.own.Epoch, "machines", a.own.Machines, "jobs", a.own.Jobs, "tasks", a.own.Tasks, "settled_ms", a.own.SettledMS,
 		"work_half_ms", a.own.HalfMS, "work_ninety_ms", a.own.NinetyMS, "work_all_ms", a.own.BackMS, "differences", words(a.own.Differences), "orders", words(a.own.Orders), "needless", words(a.own.Needless))
 	a.tasks, a.rented, a.started, a.left, a.deleted = nil, nil, nil, nil, nil
 	if keep == 0 {
@@ -253,7 +253,7 @@
 		e = eventlog.NewComponentEntry(Name, short)
 	}
 	if !d.EventLog.Fits(e) {
-		d.Note(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Component.Data))
+		d.LogMessage(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Component.Data))
 		return
 	}
 	d.EventLog.Append(e)
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -163,7 +163,7 @@
 	}
 	d.account.begin(d, now)
 	registered, _ := d.census.Counts()
-	d.Note(effects.Info, "cold start: nobody led before this term; the fleet is listened to first", "epoch", d.Epoch, "machines", registered,
+	d.LogMessage(effects.Info, "cold start: nobody led before this term; the fleet is listened to first", "epoch", d.Epoch, "machines", registered,
 		"jobs", d.Jobs.Len(), "down_at_least", d.account.own.least().String(), "down_at_most", d.account.own.most().String(), "at_longest", d.census.Longest().String())
 }
 
@@ -185,7 +185,7 @@
 	if before := d.census.done; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
 		d.Dirty = true
-		d.Note(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.Began).Round(10*time.Millisecond).String())
+		d.LogMessage(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.Began).Round(10*time.Millisecond).String())
 	}
 	d.account.tick(d, now, sure)
 }
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -130,7 +130,7 @@
 		return r, false
 	}
 	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
-		d.Note(effects.Warn, "the record of a takeover cannot be read: it is left out", "error", err)
+		d.LogMessage(effects.Warn, "the record of a takeover cannot be read: it is left out", "error", err)
 		return r, false
 	}
 	return r, true
@@ -237,10 +237,10 @@
 			args = append(args, s.String(), (time.Duration(ms) * time.Millisecond).String())
 		}
 	}
-	d.Note(effects.Info, "takeover", args...)
+	d.LogMessage(effects.Info, "takeover", args...)
 	e := eventlog.NewComponentEntry(Name, d.own)
 	if !d.EventLog.Fits(e) {
-		d.Note(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Component.Data))
+		d.LogMessage(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Component.Data))
 		return
 	}
 	d.EventLog.Append(e)
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -114,7 +114,7 @@
 	d.schedule(j, now)
 	d.order(now, j)
 	d.Counts.Released++
-	d.Note(effects.Debug, "job released: all that it follows are done", "job", j.Record.ID, "class", j.Record.Class, "follows", len(j.Record.Follows))
+	d.LogMessage(effects.Debug, "job released: all that it follows are done", "job", j.Record.ID, "class", j.Record.Class, "follows", len(j.Record.Follows))
 }
 
 // order enters a job into the order.
@@ -135,7 +135,7 @@
 	for _, f := range needing {
 		d.wipe(f)
 		d.Counts.CancelSpread++
-		d.Note(effects.Info, "job cancelled with one that it needs", "job", f.Record.ID, "needs", j.Record.ID)
+		d.LogMessage(effects.Info, "job cancelled with one that it needs", "job", f.Record.ID, "needs", j.Record.ID)
 		d.tellEnd(sure, f.Record.ID)
 	}
 	d.calm(needed)
@@ -167,7 +167,7 @@
 		if len(j.Record.Follows) < j.Record.Rest || !d.found(j.Record.Follows) {
 			// No leader that knows of links writes such a log. Whether it may
 			// start is not known any more: it waits for its user to cancel it.
-			d.Note(effects.Error, "what a job follows is not in the log: it is not started", "job", j.Record.ID)
+			d.LogMessage(effects.Error, "what a job follows is not in the log: it is not started", "job", j.Record.ID)
 			j.Phase = jobs.Held
 			continue
 		}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -147,7 +147,7 @@
 	case !linked:
 		d.cancelled(sure, j)
 		d.Counts.CancelSpread++
-		d.Note(effects.Info, "job cancelled on arrival: it follows a cancelled one", "job", id)
+		d.LogMessage(effects.Info, "job cancelled on arrival: it follows a cancelled one", "job", id)
 	case len(j.Dependencies) == 0:
 		d.order(now, j)
 	case j.Phase == jobs.Open:
@@ -183,7 +183,7 @@
 	d.Jobs.Finish(done.ID, jobs.Done)
 	d.Book.Remove(j.Index, true, j.RunSeconds, j.RunCount)
 	d.Tell(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
-	d.Note(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
+	d.LogMessage(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
 	for _, f := range d.Jobs.RemoveDependency(j) {
 		if len(f.Dependencies) == 0 && f.Phase == jobs.Held {
@@ -237,7 +237,7 @@
 func (d *Duty) end(now time.Duration, j *jobs.Job) {
 	j.CancelPending = true
 	d.gone.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
-	d.Note(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
+	d.LogMessage(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
 	d.EventLog.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
 }
 
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -72,7 +72,7 @@
 	var e entry
 	if err := json.Unmarshal(own.Data, &e); err != nil {
 		// Without its mark a job would count as never handed out.
-		d.Note(effects.Error, "what was handed out cannot be read: all tasks of all jobs count as handed out", "error", err)
+		d.LogMessage(effects.Error, "what was handed out cannot be read: all tasks of all jobs count as handed out", "error", err)
 		d.marks.unread = true
 		return
 	}
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -77,7 +77,7 @@
 	for _, v := range list {
 		if err := d.restore(v); err != nil {
 			s.strange = v.Key
-			d.Note(effects.Error, "what was changed of pools cannot be read: no units are given out", "key", v.Key, "error", err)
+			d.LogMessage(effects.Error, "what was changed of pools cannot be read: no units are given out", "key", v.Key, "error", err)
 		}
 	}
 	if s.Read && s.strange == "" {
@@ -171,7 +171,7 @@
 		panic(fmt.Sprintf("pools: a value that cannot be written: %v", err)) // names and numbers
 	}
 	if !d.EventLog.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &w.n}), eventlog.ValueKey(Name, w.n), raw) {
-		d.Note(effects.Error, "what was changed of pools does not fit into a value", "value", w.n, "bytes", len(raw))
+		d.LogMessage(effects.Error, "what was changed of pools does not fit into a value", "value", w.n, "bytes", len(raw))
 		return
 	}
 	w.pos = d.EventLog.AppendedCount()
@@ -313,6 +313,6 @@
 	}
 	d.shelf.due = append(d.shelf.due, p)
 	d.Dirty = true
-	d.Note(effects.Info, "a pool is changed", "pool", p.name, "version", p.version, "units", max(p.size, p.pending), "drained", p.drained)
+	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.version, "units", max(p.size, p.pending), "drained", p.drained)
 	return &Changed{Version: p.version, Pool: d.view(now, p, false)}, nil
 }
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -103,7 +103,7 @@
 		d.uneven = now
 	case even && d.uneven > 0:
 		d.took, d.uneven = now-d.uneven, 0
-		d.Note(effects.Info, "reports are spread evenly again", "after", d.took.Round(100*time.Millisecond).String(), "moves", d.moves)
+		d.LogMessage(effects.Info, "reports are spread evenly again", "after", d.took.Round(100*time.Millisecond).String(), "moves", d.moves)
 	}
 }
 
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -113,7 +113,7 @@
 		return
 	}
 	d.missing = revision
-	d.Note(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed", "revision", d.doc.Revision(), "was", revision)
+	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed", "revision", d.doc.Revision(), "was", revision)
 }
 
 // Durable has a revision in force.
@@ -133,7 +133,7 @@
 		d.Config.Keep(now, &d.doc)
 	}
 	d.wrote(now, r.Number)
-	d.Note(effects.Info, "the configuration has changed", "revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
+	d.LogMessage(effects.Info, "the configuration has changed", "revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
 }
 
 // apply has an item in force as it is set.
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -106,7 +106,7 @@
 		}
 		if j.Phase == jobs.Open && e.Reason != workers.Stopped {
 			d.Counts.TasksRerun++
-			d.Note(effects.Debug, "task to run again", "job", e.JobID, "task", k, "machine", m.Name, "why", e.Reason.String())
+			d.LogMessage(effects.Debug, "task to run again", "job", e.JobID, "task", k, "machine", m.Name, "why", e.Reason.String())
 		}
 		d.Tell(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, Lost: e.Died})
 		d.Lift(e.Ref)
@@ -126,7 +126,7 @@
 				// It fails wherever it goes: tried ever more slowly, so that others get on.
 				j.NotBefore = now + time.Second<<min(j.Errors-3, 6)
 			}
-			d.Note(effects.Debug, "task failed", "job", e.JobID, "task", k, "machine", m.Name)
+			d.LogMessage(effects.Debug, "task failed", "job", e.JobID, "task", k, "machine", m.Name)
 		case workers.NoRoom, workers.Busy:
 			m.AvoidUntil = now + 2*time.Second // our count of its room is wrong for the moment
 		case workers.UnknownTask:
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -81,7 +81,7 @@
 	case e.Component != nil:
 		var r returns
 		if err := json.Unmarshal(e.Component.Data, &r); err != nil {
-			d.Note(effects.Warn, "a note of machines that are returned cannot be read: they are waited for", "error", err)
+			d.LogMessage(effects.Warn, "a note of machines that are returned cannot be read: they are waited for", "error", err)
 			return
 		}
 		if r.Epoch == d.Epoch-1 {
@@ -203,7 +203,7 @@
 	}
 	d.Tell(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
 	if n, _ := d.Unresolved(); n == 0 {
-		d.Note(effects.Info, "all machines resolved", "epoch", d.Epoch, "after", (now - d.Began).Round(10*time.Millisecond))
+		d.LogMessage(effects.Info, "all machines resolved", "epoch", d.Epoch, "after", (now - d.Began).Round(10*time.Millisecond))
 	}
 }
 
@@ -273,7 +273,7 @@
 			d.Emit(effects.ReplyReport{To: to, Answer: answer})
 			return
 		}
-		d.Note(effects.Info, "machine appeared unasked", "machine", r.Machine)
+		d.LogMessage(effects.Info, "machine appeared unasked", "machine", r.Machine)
 	}
 	m.Address = r.Address
 	if !m.Durable && !m.Deleting {
@@ -299,7 +299,7 @@
 		d.Dirty = true
 	}
 	if diff == reconcile.MachineRestarted {
-		d.Note(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
+		d.LogMessage(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
 	if diff.Resolution() == reconcile.Forget {
 		d.offersLost(now, m)
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -155,7 +155,7 @@
 		return out, false
 	}
 	if err := json.Unmarshal(e.Component.Data, &out); err != nil {
-		d.Note(effects.Warn, "an entry of learned run times cannot be read: it is left out, and learning goes on", "error", err)
+		d.LogMessage(effects.Warn, "an entry of learned run times cannot be read: it is left out, and learning goes on", "error", err)
 		return out, false
 	}
 	return out, true
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -178,7 +178,7 @@
 			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.time(now).UnixMilli(), LeadS: left.Seconds()}
 			d.late[j.Record.ID] = l
 			d.leads.Observe(why, max(0, left.Seconds()))
-			d.Note(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
+			d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
 				"expected_end", round(age+f.EndS), "from", f.Estimate.From)
 		}
 		l.Why, l.AgeS, l.LearnedS, l.EndS = why, round(age), round(learned.Seconds()), round(age+f.EndS)
@@ -212,7 +212,7 @@
 	if l := d.late[id]; l != nil {
 		delete(d.late, id)
 		d.tell(*l, how)
-		d.Note(effects.Info, "a late job is over", "job", l.Job, "class", l.Class, "how", how)
+		d.LogMessage(effects.Info, "a late job is over", "job", l.Job, "class", l.Class, "how", how)
 	}
 }
 
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -175,7 +175,7 @@
 // setAside leaves a value as it is: another version may know it, or somebody may
 // want to see what has become of it. Its number is not used again.
 func (d *Duty) setAside(key string, err error) {
-	d.Note(effects.Warn, "a value of learned run times cannot be read: it is set aside, and learning goes on", "key", key, "error", err)
+	d.LogMessage(effects.Warn, "a value of learned run times cannot be read: it is set aside, and learning goes on", "key", key, "error", err)
 }
 
 // restore takes a kind of a value. It may be in two, while it moved: then the one
@@ -235,7 +235,7 @@
 		raw, err = json.Marshal(v)
 	}
 	if err != nil || !d.EventLog.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &n}), eventlog.ValueKey(Name, n), raw) {
-		d.Note(effects.Warn, "learned run times that do not fit into a value are not kept", "value", n, "bytes", len(raw))
+		d.LogMessage(effects.Warn, "learned run times that do not fit into a value are not kept", "value", n, "bytes", len(raw))
 		return
 	}
 	st.pos = d.EventLog.AppendedCount()
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -307,7 +307,7 @@
 			s.kept++
 			s.keptEver++
 		}
-		d.Note(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served", "job", j.Record.ID, "class", j.Record.Class, "team", j.Record.Team, "due_in", (e.due - now).Round(time.Second).String())
+		d.LogMessage(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served", "job", j.Record.ID, "class", j.Record.Class, "team", j.Record.Team, "due_in", (e.due - now).Round(time.Second).String())
 	}
 }
 
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -268,7 +268,7 @@
 			booting++
 		}
 	}
-	t.Note(effects.Info, "term begun", "epoch", t.Epoch, "jobs", t.Book.Len(), "machines", registered, "booting", booting, "segments", log.Last-log.First+1)
+	t.LogMessage(effects.Info, "term begun", "epoch", t.Epoch, "jobs", t.Book.Len(), "machines", registered, "booting", booting, "segments", log.Last-log.First+1)
 }
 
 // unknown says once in a term that the log has entries of a duty that this
@@ -279,10 +279,10 @@
 	}
 	t.strange = true
 	if e.Component != nil {
-		t.Note(effects.Warn, "the log has entries of a duty that is not known or is switched off: they are kept as they are", "duty", e.Component.Duty)
+		t.LogMessage(effects.Warn, "the log has entries of a duty that is not known or is switched off: they are kept as they are", "duty", e.Component.Duty)
 		return
 	}
-	t.Note(effects.Warn, "the log has entries that this version does not know: they are kept as they are", "first", string(e.Unknown[:min(len(e.Unknown), 80)]))
+	t.LogMessage(effects.Warn, "the log has entries that this version does not know: they are kept as they are", "first", string(e.Unknown[:min(len(e.Unknown), 80)]))
 }
 
 // reader is a duty that reads values of its own, after its term has begun.
@@ -354,9 +354,9 @@
 	facts, step := t.EventLog.CommitResult(now, seq, out, mark, failed)
 	switch {
 	case out == eventlog.Invalid && step == eventlog.Lost:
-		t.Note(effects.Error, "the state service refuses a transaction as malformed: the term ends", "epoch", t.Epoch, "pending", t.EventLog.Pending())
+		t.LogMessage(effects.Error, "the state service refuses a transaction as malformed: the term ends", "epoch", t.Epoch, "pending", t.EventLog.Pending())
 	case out == eventlog.Invalid:
-		t.Note(effects.Error, "the state service refuses a transaction as malformed: smaller values are tried", "epoch", t.Epoch, "pending", t.EventLog.Pending())
+		t.LogMessage(effects.Error, "the state service refuses a transaction as malformed: smaller values are tried", "epoch", t.Epoch, "pending", t.EventLog.Pending())
 	}
 	t.durable(now, sure, facts)
 	if step == eventlog.Reread {
