--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -27,7 +27,7 @@
 
 // Duty rents and returns machines in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	buyer      *Buyer
 	typesAt    time.Duration
--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -6,36 +6,36 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// Plain does nothing at any of the moments at which a duty may act. A duty
+// NopComponent does nothing at any of the moments at which a duty may act. A duty
 // embeds it and has methods of its own for those that concern it.
-type Plain struct{}
+type NopComponent struct{}
 
 // Replay takes nothing from the log.
-func (Plain) Replay(time.Duration, eventlog.Entry) {}
+func (NopComponent) Replay(time.Duration, eventlog.Entry) {}
 
 // Begin has nothing to settle.
-func (Plain) Begin(time.Duration) {}
+func (NopComponent) Begin(time.Duration) {}
 
 // Durable waits for no entry.
-func (Plain) Durable(time.Duration, bool, eventlog.Entry) {}
+func (NopComponent) Durable(time.Duration, bool, eventlog.Entry) {}
 
 // Hear ignores what happens.
-func (Plain) Hear(Event) {}
+func (NopComponent) Hear(Event) {}
 
 // Tick has nothing due before a pass.
-func (Plain) Tick(time.Duration, bool) {}
+func (NopComponent) Tick(time.Duration, bool) {}
 
 // Send has nothing due after a pass.
-func (Plain) Send(time.Duration, bool) {}
+func (NopComponent) Send(time.Duration, bool) {}
 
 // Write has gathered nothing for the log.
-func (Plain) Write(time.Duration) {}
+func (NopComponent) Write(time.Duration) {}
 
 // Live is nothing.
-func (Plain) Live() int { return 0 }
+func (NopComponent) Live() int { return 0 }
 
 // Keep keeps nothing.
-func (Plain) Keep(time.Duration, eventlog.Entry) {}
+func (NopComponent) Keep(time.Duration, eventlog.Entry) {}
 
 // Kept has nothing left to write.
-func (Plain) Kept() {}
+func (NopComponent) Kept() {}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -47,7 +47,7 @@
 
 // Duty begins a term. It is the term's gate (cluster.Gate) and pacer (cluster.Pacer).
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	kind    kind
 	asked   map[string]bool // others whose word is waited for
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -27,7 +27,7 @@
 
 // Duty sends starts in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	under int // calls under way
 
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -90,7 +90,7 @@
 
 // Duty keeps account of this term's takeover and remembers the last ones.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	keep    int // so many are remembered
 	past    []stored
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -18,7 +18,7 @@
 
 // Duty is the order in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	finals  map[uint64]float64 // while the log is replayed
 	agedAt  time.Duration
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -29,7 +29,7 @@
 
 // Duty is the life of all jobs in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 
 	// tasks completed but not yet handed to the log, by job id
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -25,7 +25,7 @@
 
 // Duty gives room in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	granting  map[uint64][]*workers.Machine // grants to be noted, by job id
 	granted   map[uint64][]*workers.Machine // grants noted or being noted
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -84,7 +84,7 @@
 
 // Duty counts units in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	pools  []*pool
 	byName map[string]int32
--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -21,7 +21,7 @@
 
 // Duty asks silent machines in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	asked  map[string]time.Duration // calls under way, by machine: when it was last heard before
 	lookAt time.Duration
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -34,7 +34,7 @@
 
 // Duty spreads reports in a term. It is the term's spreader (cluster.Spreader).
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	balance *Balance
 	peers   map[string]*peer
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -30,7 +30,7 @@
 
 // Duty changes the configuration in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	remember int               // revisions
 	base     settings.Tunables // as the settings say
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -35,7 +35,7 @@
 
 // Duty looks after the machines of a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	lives     map[string]int64         // of the controllers that hold blocks
 	seen      map[string]time.Duration // when they were last heard
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -32,7 +32,7 @@
 
 // Duty learns in a term.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	cal    *calendar.Calendar
 	book   *Book
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -72,7 +72,7 @@
 
 // Duty measures and guards.
 type Duty struct {
-	cluster.Plain
+	cluster.NopComponent
 	*cluster.State
 	window time.Duration
 	floor  float64
