--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -93,12 +93,12 @@
 	unresolved, blind int                 // machines, and those without a number among them
 	missing           []resources.Amounts // what they may be using, by team
 
-	listeners []Listener
+	listeners []Subscriber
 	out       []effects.Effect
 }
 
-// Listener hears what happens in a term, while it happens.
-type Listener interface{ Hear(Event) }
+// Subscriber hears what happens in a term, while it happens.
+type Subscriber interface{ Hear(Event) }
 
 // EventKind says what has happened.
 type EventKind uint8
@@ -212,7 +212,7 @@
 }
 
 // Listen has a listener hear everything from now on.
-func (s *State) Listen(l Listener) { s.listeners = append(s.listeners, l) }
+func (s *State) Listen(l Subscriber) { s.listeners = append(s.listeners, l) }
 
 // Tell tells all listeners what has happened.
 func (s *State) Tell(e Event) {
