--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -211,8 +211,8 @@
 	return s
 }
 
-// Listen has a listener hear everything from now on.
-func (s *State) Listen(l Subscriber) { s.listeners = append(s.listeners, l) }
+// Subscribe has a listener hear everything from now on.
+func (s *State) Subscribe(l Subscriber) { s.listeners = append(s.listeners, l) }
 
 // Tell tells all listeners what has happened.
 func (s *State) Tell(e Event) {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -142,7 +142,7 @@
 // the first version have their own fields and need none.
 func (t *Term) add(name string, d Duty) {
 	t.duties = append(t.duties, d)
-	t.Listen(d)
+	t.Subscribe(d)
 	if name != "" {
 		t.owners[name] = d
 	}
