--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -99,7 +99,7 @@
 	for _, n := range machines {
 		if m := d.AddMachine(now, eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}); m != nil {
 			m.Resolved = true
-			d.Tell(cluster.Event{Kind: cluster.MachineRented, At: now, Machine: m})
+			d.Publish(cluster.Event{Kind: cluster.MachineRented, At: now, Machine: m})
 		}
 	}
 	d.appendAnswered(r, machines)
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -214,8 +214,8 @@
 // Subscribe has a listener hear everything from now on.
 func (s *State) Subscribe(l Subscriber) { s.listeners = append(s.listeners, l) }
 
-// Tell tells all listeners what has happened.
-func (s *State) Tell(e Event) {
+// Publish tells all listeners what has happened.
+func (s *State) Publish(e Event) {
 	for _, l := range s.listeners {
 		l.Hear(e)
 	}
@@ -284,7 +284,7 @@
 // forget takes a job out of the table.
 func (s *State) forget(j *jobs.Job) {
 	s.Jobs.Remove(j)
-	s.Tell(Event{Kind: JobLeft, Job: j})
+	s.Publish(Event{Kind: JobLeft, Job: j})
 }
 
 // CPUs is the processors of the machines that report.
@@ -377,7 +377,7 @@
 	for _, p := range list {
 		j := s.Jobs.At(p.Ref.Job)
 		s.SaveAndStop(now, j, p)
-		s.Tell(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Order: o})
+		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Order: o})
 		on[p.Machine] = true
 		s.LogMessage(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
 	}
@@ -459,7 +459,7 @@
 		s.Counts.MachinesLost++
 	}
 	s.LogMessage(effects.Info, "machine returned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
-	s.Tell(Event{Kind: MachineLeft, At: now, Machine: m, Order: o})
+	s.Publish(Event{Kind: MachineLeft, At: now, Machine: m, Order: o})
 }
 
 // Heard counts the machines that should be heard, and those of them that are
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -101,7 +101,7 @@
 		}
 		m.Dispatch(p)
 		starts = append(starts, workers.Command{Op: workers.Start, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt})
-		d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: d.Jobs.At(p.Ref.Job), Task: int(p.Ref.Task), Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: d.Jobs.At(p.Ref.Job), Task: int(p.Ref.Task), Machine: m})
 	}
 	if len(starts) == 0 {
 		return
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -123,7 +123,7 @@
 	if j.Record.Kind != jobs.Service {
 		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 	}
-	d.Tell(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
+	d.Publish(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	d.Dirty = true
 }
 
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -182,7 +182,7 @@
 	j.Phase = jobs.Done
 	d.Jobs.Finish(done.ID, jobs.Done)
 	d.Book.Remove(j.Index, true, j.RunSeconds, j.RunCount)
-	d.Tell(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
+	d.Publish(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 	d.LogMessage(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
 	for _, f := range d.Jobs.RemoveDependency(j) {
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -43,7 +43,7 @@
 		d.Plan.Charge(j.Team, j.Need)
 		j.CountInZone(m.Zone, 1)
 		d.Where[e.Ref] = e.Placement
-		d.Tell(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
 		if j.Record.Kind == jobs.Gang {
 			diff := d.Squared.Count(reconcile.Gang(j.GangAttempt, e.Attempt))
@@ -58,7 +58,7 @@
 	case workers.EventPlaced:
 		p := e.Placement
 		p.Withdrawn = false
-		d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: k, Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, p)
 		if j.Record.Kind == jobs.Gang && (j.GangFailed || j.GangAttempt != p.Attempt) {
 			p.Stopping, p.GraceSeconds = true, 0
@@ -77,7 +77,7 @@
 		j.LastAt = now
 		j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
 		d.Book.Began(e.Ref.Job, k, now.Seconds())
-		d.Tell(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: k, Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: k, Machine: m})
 	case workers.EventCompleted:
 		if e.Running {
 			j.Running--
@@ -98,7 +98,7 @@
 		d.GangEnds(j)
 		j.Errors, m.Errors = 0, 0
 		d.Book.Completed(e.Ref.Job, k, took)
-		d.Tell(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, Took: took, Mine: d.Mine(e.Attempt), Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, Took: took, Mine: d.Mine(e.Attempt), Machine: m})
 		d.Dirty = true
 	case workers.EventGone:
 		if e.Running {
@@ -108,7 +108,7 @@
 			d.Counts.TasksRerun++
 			d.LogMessage(effects.Debug, "task to run again", "job", e.JobID, "task", k, "machine", m.Name, "why", e.Reason.String())
 		}
-		d.Tell(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, Lost: e.Died})
+		d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, Lost: e.Died})
 		d.Lift(e.Ref)
 		if j.Record.Kind == jobs.Gang && (j.GangBegan || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
 			d.BreakGang(j)
@@ -148,7 +148,7 @@
 func (d *Duty) offersLost(now time.Duration, m *workers.Machine) {
 	for ref, p := range m.OpenOffers {
 		if j := d.Jobs.At(ref.Job); p.Planned && j != nil {
-			d.Tell(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
+			d.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
 		}
 	}
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -201,7 +201,7 @@
 			j.UnresolvedMachines--
 		}
 	}
-	d.Tell(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
+	d.Publish(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
 	if n, _ := d.Unresolved(); n == 0 {
 		d.LogMessage(effects.Info, "all machines resolved", "epoch", d.Epoch, "after", (now - d.Began).Round(10*time.Millisecond))
 	}
@@ -315,7 +315,7 @@
 		d.event(now, m, e)
 	}
 	d.fit(m)
-	d.Tell(cluster.Event{Kind: cluster.ReportTaken, At: now, Machine: m, Report: r})
+	d.Publish(cluster.Event{Kind: cluster.ReportTaken, At: now, Machine: m, Report: r})
 	if elsewhere != "" {
 		d.Emit(effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 421, Node: elsewhere}})
 		return
@@ -404,7 +404,7 @@
 	for _, o := range offers {
 		if j := d.Jobs.Find(o.Start.Job); j != nil && m != nil {
 			if m.TaskStarted(workers.Ref{Job: j.Index, Task: int32(o.Start.Task)}) {
-				d.Tell(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
+				d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
 			}
 		}
 	}
@@ -435,7 +435,7 @@
 		if m.Unresolved() {
 			d.resolved(now, m)
 		}
-		d.Tell(cluster.Event{Kind: cluster.MachineGone, At: now, Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.MachineGone, At: now, Machine: m})
 	}
 	for _, part := range eventlog.SplitNames(list, d.EventLog.MaxEntryBytes()-eventlog.EntryBytes) {
 		d.EventLog.Append(eventlog.Entry{DeletedMachines: part})
