--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -19,8 +19,8 @@
 // Durable waits for no entry.
 func (NopComponent) Durable(time.Duration, bool, eventlog.Entry) {}
 
-// Hear ignores what happens.
-func (NopComponent) Hear(Event) {}
+// HandleEvent ignores what happens.
+func (NopComponent) HandleEvent(Event) {}
 
 // Tick has nothing due before a pass.
 func (NopComponent) Tick(time.Duration, bool) {}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -98,7 +98,7 @@
 }
 
 // Subscriber hears what happens in a term, while it happens.
-type Subscriber interface{ Hear(Event) }
+type Subscriber interface{ HandleEvent(Event) }
 
 // EventKind says what has happened.
 type EventKind uint8
@@ -217,7 +217,7 @@
 // Publish tells all listeners what has happened.
 func (s *State) Publish(e Event) {
 	for _, l := range s.listeners {
-		l.Hear(e)
+		l.HandleEvent(e)
 	}
 }
 
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -197,15 +197,15 @@
 		t.Fatalf("kind %v, account %+v", d.kind, d.account.own)
 	}
 	for i, m := range all[:9] {
-		d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: at(101), Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(101), Machine: m})
 		switch {
 		case i < 5:
-			d.Hear(cluster.Event{Kind: cluster.TaskAdopted, At: at(101), Job: j, Task: i, Machine: m})
+			d.HandleEvent(cluster.Event{Kind: cluster.TaskAdopted, At: at(101), Job: j, Task: i, Machine: m})
 		case i < 8:
-			d.Hear(cluster.Event{Kind: cluster.TaskDone, At: at(102), Job: j, Task: i, Took: -1, Machine: m})
+			d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at(102), Job: j, Task: i, Took: -1, Machine: m})
 		default:
-			d.Hear(cluster.Event{Kind: cluster.TaskPlaced, At: at(103), Job: j, Task: i, Machine: m})
-			d.Hear(cluster.Event{Kind: cluster.TaskDone, At: at(104), Job: j, Task: i, Took: -1, Machine: m})
+			d.HandleEvent(cluster.Event{Kind: cluster.TaskPlaced, At: at(103), Job: j, Task: i, Machine: m})
+			d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at(104), Job: j, Task: i, Took: -1, Machine: m})
 		}
 	}
 	d.Tick(at(104), true)
@@ -224,7 +224,7 @@
 		{Kind: cluster.ReportTaken, Machine: all[9], Report: &workers.Report{}},
 	} {
 		e.At = at(110)
-		d.Hear(e)
+		d.HandleEvent(e)
 	}
 	d.Tick(at(100)+lookFor, true)
 	d.Tick(at(200)+lookFor, true)
@@ -270,8 +270,8 @@
 // Work that is cancelled is back when its job leaves, not at the beginning.
 func TestCancelledWorkIsBack(t *testing.T) {
 	d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Cfg.Peers = nil })
-	d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: 107 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
-	d.Hear(cluster.Event{Kind: cluster.JobLeft, Job: d.Jobs.Find(1)})
+	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 107 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobLeft, Job: d.Jobs.Find(1)})
 	if d.account.own.BackMS != 7000 || !d.account.back() {
 		t.Errorf("back after %d ms", d.account.own.BackMS)
 	}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -227,8 +227,8 @@
 	return d.kind == cold && !d.account.back() && now-d.Began < catchUp
 }
 
-// Hear follows the census and keeps account.
-func (d *Duty) Hear(e cluster.Event) {
+// HandleEvent follows the census and keeps account.
+func (d *Duty) HandleEvent(e cluster.Event) {
 	if d.kind == ordinary {
 		return
 	}
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -41,9 +41,9 @@
 		"start", []float64{0.25, 0.5, 1, 2, 4, 8, 16, 32, 64, 128, 256})}
 }
 
-// Hear measures how long tasks of classes with a wait aim took to begin, by each way: a
+// HandleEvent measures how long tasks of classes with a wait aim took to begin, by each way: a
 // bounded number of labels. Those that run again have waited since their first start.
-func (d *Duty) Hear(e cluster.Event) {
+func (d *Duty) HandleEvent(e cluster.Event) {
 	if e.Kind != cluster.TaskBegan || !slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
 		return o.Kind == settings.AimWait && o.Class == e.Job.Record.Class
 	}) {
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// Hear follows the takeover.
-func (d *Duty) Hear(e cluster.Event) {
+// HandleEvent follows the takeover.
+func (d *Duty) HandleEvent(e cluster.Event) {
 	if d.over {
 		return
 	}
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -54,16 +54,16 @@
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	all := d.Yard.All()
 	for i, m := range all {
-		d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: at(13 + i), Machine: m, Report: &workers.Report{Token: m.Token}})
+		d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: at(13 + i), Machine: m, Report: &workers.Report{Token: m.Token}})
 		m.Resolved = true
 		d.Jobs.Find(1).UnresolvedMachines--
-		d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
 		d.Tick(at(13+i), true)
 		if n := d.EventLog.Pending(); n != 0 {
 			t.Fatalf("%d entries after %d machines", n, i+1)
 		}
 	}
-	d.Hear(cluster.Event{Kind: cluster.TaskPlaced, At: at(24), Machine: all[0]})
+	d.HandleEvent(cluster.Event{Kind: cluster.TaskPlaced, At: at(24), Machine: all[0]})
 	d.Tick(at(25), true)
 	d.Tick(at(26), true)
 	if n := d.EventLog.Pending(); n != 1 {
@@ -108,9 +108,9 @@
 	d = begun(&cluster.Measures{})
 	for _, m := range d.Yard.All() {
 		m.Resolved = true
-		d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
 	}
-	d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: 14 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
+	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 14 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
 	d.Jobs.Find(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
 	if d.EventLog.Pending() != 0 {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -194,8 +194,8 @@
 	d.tellEnd(sure, done.ID)
 }
 
-// Hear collects completed tasks for one entry of the log.
-func (d *Duty) Hear(e cluster.Event) {
+// HandleEvent collects completed tasks for one entry of the log.
+func (d *Duty) HandleEvent(e cluster.Event) {
 	if e.Kind != cluster.TaskDone {
 		return
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// Hear forgets the grants of a job that has left, and takes those back that a
+// HandleEvent forgets the grants of a job that has left, and takes those back that a
 // report shows to be of no use any more.
-func (d *Duty) Hear(e cluster.Event) {
+func (d *Duty) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobLeft:
 		id := e.Job.Record.ID
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -184,8 +184,8 @@
 	d.byJob[j.Index] = h
 }
 
-// Hear follows jobs and what is lost.
-func (d *Duty) Hear(e cluster.Event) {
+// HandleEvent follows jobs and what is lost.
+func (d *Duty) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.enter(e.Job)
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -99,7 +99,7 @@
 	w.ids++
 	j := w.d.Jobs.Add(eventlog.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
 	j.Team, j.Phase = w.d.Teams.Index(team), jobs.Open
-	w.d.Hear(cluster.Event{Kind: cluster.JobOrdered, At: w.now, Job: j})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: w.now, Job: j})
 	return j
 }
 
@@ -140,7 +140,7 @@
 	delete(w.d.Where, ref)
 	delete(w.m.Tasks, ref)
 	j.Complete(k)
-	w.d.Hear(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.m})
 	if j.Finished == len(j.Tasks) {
 		j.Phase = jobs.Done
 		w.d.Jobs.Finish(j.Record.ID, jobs.Done)
@@ -362,8 +362,8 @@
 	w.d.Yard.Remove("old")
 	w.d.Found(m)
 	j.UnresolvedMachines--
-	w.d.Hear(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
-	w.d.Hear(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: m})
 	expect(t, "held after the loss", w.out("p"), 4)
 	w.write()
 	w.lead(true)
@@ -378,7 +378,7 @@
 	w := newWorld(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
 	j := w.job("a", 1, 1, jobs.Array, per("p", 1), per("q", 1))
 	w.pass(j)
-	w.d.Hear(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.m})
 	expect(t, "the plan and the loss", []int64{w.out("p"), w.out("q")}, "[2 1]")
 	other := w.job("a", 9, 1, jobs.Array, per("p", 1))
 	expect(t, "none before the loss is written", w.pass(other), "[0]")
@@ -397,17 +397,17 @@
 	w.d.Begin(w.now)
 	w.read()
 	r := &workers.Report{Machine: "m", Tasks: []workers.TaskReport{{Job: 77, Task: 1, Attempt: 5, State: workers.Running}}}
-	w.d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
 	expect(t, "it still runs", w.out("p"), 2)
 	r.Tasks[0].State = workers.Ended
-	w.d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
 	expect(t, "it has ended", w.out("p"), 0)
 	// One of which nothing is known closes all pools while it is there.
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
-	w.d.Hear(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
 	j := w.job("a", 1, 1, jobs.Array, per("p", 1))
 	expect(t, "closed", w.pass(j), "[0]")
-	w.d.Hear(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: w.m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: w.m})
 	expect(t, "gone", w.pass(j), "[1]")
 }
 
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -112,8 +112,8 @@
 	d.registry, d.last = nil, nil
 }
 
-// Hear has a machine noted on which nothing is before it is deleted.
-func (d *Duty) Hear(e cluster.Event) {
+// HandleEvent has a machine noted on which nothing is before it is deleted.
+func (d *Duty) HandleEvent(e cluster.Event) {
 	if e.Kind == cluster.MachineEmpty && d.Cfg.Tunables.NoteReturns == 1 {
 		e.Machine.ReturnUnrecorded = true
 		d.empty = append(d.empty, e.Machine.Name)
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -302,10 +302,10 @@
 	return r
 }
 
-// Hear learns. Only tasks that this leader has started, that ran from their start
+// HandleEvent learns. Only tasks that this leader has started, that ran from their start
 // to their end in one go, and not on a machine known to be slow, tell how long
 // their kind takes.
-func (d *Duty) Hear(e cluster.Event) {
+func (d *Duty) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.expect(e.At, e.Job)
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -115,11 +115,11 @@
 	m := &workers.Machine{Name: fmt.Sprint("m", id%7)}
 	for k := range j.Tasks {
 		at := w.now + time.Duration(k)*time.Millisecond
-		d.Hear(cluster.Event{Kind: cluster.TaskPlaced, At: at, Job: j, Task: k, Machine: m})
-		d.Hear(cluster.Event{Kind: cluster.TaskBegan, At: at + 2*time.Second, Job: j, Task: k, Machine: m})
-		d.Hear(cluster.Event{Kind: cluster.TaskDone, At: at + 20*time.Second, Job: j, Task: k, Took: took, Mine: true, Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.TaskPlaced, At: at, Job: j, Task: k, Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.TaskBegan, At: at + 2*time.Second, Job: j, Task: k, Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at + 20*time.Second, Job: j, Task: k, Took: took, Mine: true, Machine: m})
 	}
-	d.Hear(cluster.Event{Kind: cluster.JobDone, At: w.now + 20*time.Second, Job: j})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: w.now + 20*time.Second, Job: j})
 	d.Jobs.Remove(j)
 }
 
@@ -258,9 +258,9 @@
 	j := d.Jobs.Add(eventlog.Job{ID: 99, Class: "c", Team: "t", Image: "i", Tasks: 40, CPUs: 1, EstimateS: 10})
 	j.Phase = jobs.Open
 	done := func(k int, took float64, mine bool, m *workers.Machine) {
-		d.Hear(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, Took: took, Mine: mine, Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, Took: took, Mine: mine, Machine: m})
 	}
-	d.Hear(cluster.Event{Kind: cluster.TaskGone, Job: j, Task: 0, Machine: m})
+	d.HandleEvent(cluster.Event{Kind: cluster.TaskGone, Job: j, Task: 0, Machine: m})
 	done(0, 50, true, m)
 	j.Saved = map[int32]time.Duration{1: time.Second}
 	done(1, 50, true, m)
@@ -275,7 +275,7 @@
 	for k := 20; k < 40; k++ {
 		done(k, 10, true, m)
 	}
-	d.Hear(cluster.Event{Kind: cluster.JobDone, At: time.Minute, Job: j})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: time.Minute, Job: j})
 	if e := d.book.Estimate(Kind{Class: "c"}, 0, 0); e.P50 > 10.5 {
 		t.Errorf("the class is estimated at %+v", e)
 	}
@@ -343,7 +343,7 @@
 	if raw, err := d.Show(w.now, "forecast"); err != nil || !strings.Contains(string(raw), "its learned deadline") {
 		t.Errorf("the forecast is %s %v", raw, err)
 	}
-	d.Hear(cluster.Event{Kind: cluster.JobDone, At: w.now, Job: late})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: w.now, Job: late})
 	if raw, _ := d.Show(w.now, "late"); string(raw) != "[]" || !slices.Contains(notes(), "a late job is over") {
 		t.Errorf("after its end: %s", raw)
 	}
@@ -576,7 +576,7 @@
 		j := d.Jobs.Add(eventlog.Job{ID: uint64(50 + i), Class: c.class, Team: "t", Image: c.class, Tasks: 8, CPUs: 1})
 		j.Phase = jobs.Open
 		d.Book.Add(j.Index, 0, 8, 1, false)
-		d.Hear(cluster.Event{Kind: cluster.JobOrdered, Job: j})
+		d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, Job: j})
 		if got, _ := d.Book.Size(j.Index); math.Abs(got/c.want-1) > .2 {
 			t.Errorf("%+v: its size is %v", c, got)
 		}
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Hear follows jobs.
-func (d *Duty) Hear(e cluster.Event) {
+// HandleEvent follows jobs.
+func (d *Duty) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.enter(e.At, e.Job)
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -29,7 +29,7 @@
 func (d *Duty) arrive(now time.Duration, id uint64, class, team string) *jobs.Job {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: team, Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
 	j.Phase, j.AcceptedAt, j.Share = jobs.Open, now, 1
-	d.Hear(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	return j
 }
 
@@ -122,10 +122,10 @@
 				case r.IntN(250) == 0:
 					all = append(all, past{j.Record.Class, now, true})
 					delete(open, j)
-					d.Hear(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
+					d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 				case r.IntN(900) == 0:
 					delete(open, j)
-					d.Hear(cluster.Event{Kind: cluster.JobLeft, Job: j})
+					d.HandleEvent(cluster.Event{Kind: cluster.JobLeft, Job: j})
 				}
 			}
 			d.Tick(now, true)
@@ -185,7 +185,7 @@
 			j.Record.EstimateS = 1
 		}
 		if i != 3 {
-			d.Hear(cluster.Event{Kind: cluster.JobDone, At: 50 * time.Second, Job: j})
+			d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: 50 * time.Second, Job: j})
 		}
 	}
 	d.Tick(101*time.Second, true)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -44,7 +44,7 @@
 	// Durable tells of an entry of this term that was appended as a fact.
 	Durable(now time.Duration, sure bool, e eventlog.Entry)
 	// Hear tells what happens, while it happens.
-	Hear(e cluster.Event)
+	HandleEvent(e cluster.Event)
 	// Tick does what is due by time, before a pass; Send what is due after it.
 	// Without being sure of the term nothing may be started or told of jobs.
 	Tick(now time.Duration, sure bool)
