--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -32,11 +32,11 @@
 	"bitternmoor/internal/wire"
 )
 
-// Duty is one thing that a leader does. It keeps what it knows to itself and
+// Component is one thing that a leader does. It keeps what it knows to itself and
 // is the only one to encode, replay and keep the entries that it writes; every
 // duty is offered every entry and takes its own. cluster.Plain has a method that
 // does nothing for each of these.
-type Duty interface {
+type Component interface {
 	// Replay takes an entry of the log, in its order, before the term begins;
 	// Begin follows the last one.
 	Replay(now time.Duration, e eventlog.Entry)
@@ -78,12 +78,12 @@
 	roster  *registry.Duty
 	placing *placement.Duty
 	fleet   *autoscaler.Duty
-	cold    *coldstart.Duty // nil: switched off
-	asking  *probe.Duty     // nil: switched off, or no aim asks for it
-	config  *reconfig.Duty  // nil: switched off
-	direct  *dispatch.Duty  // nil: switched off, or no aim asks for it
-	duties  []Duty          // in the order in which they begin and tick
-	owners  map[string]Duty // of entries of their own, by name
+	cold    *coldstart.Duty      // nil: switched off
+	asking  *probe.Duty          // nil: switched off, or no aim asks for it
+	config  *reconfig.Duty       // nil: switched off
+	direct  *dispatch.Duty       // nil: switched off, or no aim asks for it
+	duties  []Component          // in the order in which they begin and tick
+	owners  map[string]Component // of entries of their own, by name
 	loaded  bool
 
 	first    int // number of the log's oldest segment
@@ -98,7 +98,7 @@
 func New(start cluster.Start) *Term {
 	s := cluster.New(start)
 	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
-		owners: map[string]Duty{}}
+		owners: map[string]Component{}}
 	t.add("", t.Users)
 	t.add("", t.order)
 	t.add(registry.Name, t.roster)
@@ -140,7 +140,7 @@
 
 // add composes a duty into the term. name is that of its own entries; those of
 // the first version have their own fields and need none.
-func (t *Term) add(name string, d Duty) {
+func (t *Term) add(name string, d Component) {
 	t.duties = append(t.duties, d)
 	t.Subscribe(d)
 	if name != "" {
@@ -150,7 +150,7 @@
 
 // each hands an entry to the duties that may know it: one that a duty owns to
 // that duty alone. It is false for an entry that none of them knows.
-func (t *Term) each(e eventlog.Entry, f func(Duty)) bool {
+func (t *Term) each(e eventlog.Entry, f func(Component)) bool {
 	if e.Component != nil {
 		if d := t.owners[e.Component.Duty]; d != nil {
 			f(d)
@@ -250,7 +250,7 @@
 	t.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
 	t.first = max(log.First, 1)
 	for _, e := range log.Entries {
-		if !t.each(e, func(d Duty) { d.Replay(now, e) }) {
+		if !t.each(e, func(d Component) { d.Replay(now, e) }) {
 			t.unknown(e)
 		}
 	}
@@ -379,7 +379,7 @@
 
 func (t *Term) durable(now time.Duration, sure bool, facts []eventlog.Entry) {
 	for _, e := range facts {
-		t.each(e, func(d Duty) { d.Durable(now, sure, e) })
+		t.each(e, func(d Component) { d.Durable(now, sure, e) })
 	}
 	t.dropCleaned()
 }
