--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -142,8 +142,8 @@
 // Send calls the cloud.
 func (d *Duty) Send(now time.Duration, sure bool) { d.callCloud(now, sure) }
 
-// Keep writes anew what is live of an entry.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+// Compact writes anew what is live of an entry.
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
 		if !d.typesKept {
--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -34,8 +34,8 @@
 // Live is nothing.
 func (NopComponent) Live() int { return 0 }
 
-// Keep keeps nothing.
-func (NopComponent) Keep(time.Duration, eventlog.Entry) {}
+// Compact keeps nothing.
+func (NopComponent) Compact(time.Duration, eventlog.Entry) {}
 
 // Kept has nothing left to write.
 func (NopComponent) Kept() {}
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -280,8 +280,8 @@
 // Live is roughly how many bytes Keep would write for the whole log.
 func (d *Duty) Live() int { return len(d.account.past) * recordReserve }
 
-// Keep writes an account anew that is remembered still.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+// Compact writes an account anew that is remembered still.
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	var r Record
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
 		return
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -261,8 +261,8 @@
 // Live is roughly how many bytes Keep would write for the whole log.
 func (d *Duty) Live() int { return len(d.past) * recordBytes }
 
-// Keep writes a record anew that is still remembered.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+// Compact writes a record anew that is still remembered.
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.past, func(o stored) bool { return o.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -131,13 +131,13 @@
 func TestCleaningKeepsTheLast(t *testing.T) {
 	d := begun(&cluster.Measures{})
 	for epoch := range 8 {
-		d.Keep(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
+		d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
 	}
 	if n := d.EventLog.Pending(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
 	d.Take()
-	d.Keep(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
+	d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
 	if out := d.Take(); len(out) != 1 || !strings.Contains(out[0].(effects.Note).Text, "cannot be read") || d.EventLog.Pending() != 3 {
 		t.Errorf("said: %+v", out)
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -252,8 +252,8 @@
 // Live is roughly how many bytes Keep would write for the whole log.
 func (d *Duty) Live() int { return d.Jobs.Len()*jobBytes + d.Jobs.Finals()*overBytes }
 
-// Keep writes anew what is live of an entry.
-func (d *Duty) Keep(now time.Duration, e eventlog.Entry) {
+// Compact writes anew what is live of an entry.
+func (d *Duty) Compact(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Dependencies != nil:
 		// One for one, beside the job's own entry: the two may be in different
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -117,7 +117,7 @@
 	settle(t, next)
 	var kept []eventlog.Entry
 	for _, e := range log {
-		next.Keep(0, e)
+		next.Compact(0, e)
 	}
 	next.Kept()
 	kept = settle(t, next)
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -176,8 +176,8 @@
 	return live
 }
 
-// Keep writes anew what is live of an entry.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+// Compact writes anew what is live of an entry.
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
 		d.keepMarks(e.Component)
 	}
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -208,9 +208,9 @@
 	d.Dirty = true
 }
 
-// Keep writes anew which units receipts were given for; entries that went along with
+// Compact writes anew which units receipts were given for; entries that went along with
 // values are of no use any more.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
 		d.keepPaper(e)
 	}
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -216,8 +216,8 @@
 	return len(d.history) > 0 && revision >= d.history[0].Number
 }
 
-// Keep writes revisions anew that are remembered, and gathers what others have set.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+// Compact writes revisions anew that are remembered, and gathers what others have set.
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	switch {
 	case !ok:
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -199,7 +199,7 @@
 	b.entries = nil
 	b.EventLog = newLog(1) // all that was written is in older segments
 	for _, e := range old {
-		b.Keep(b.now, e)
+		b.Compact(b.now, e)
 	}
 	b.Kept()
 	b.commit()
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -165,8 +165,8 @@
 // Live is roughly how many bytes Keep would write for the whole log.
 func (d *Duty) Live() int { return len(d.Yard.All()) * machineBytes }
 
-// Keep writes anew what is live of an entry.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+// Compact writes anew what is live of an entry.
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Machine != nil && d.Yard.Find(e.Machine.Name) != nil {
 		d.EventLog.Append(eventlog.Entry{Machine: e.Machine})
 	}
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -436,9 +436,9 @@
 // Live is roughly how many bytes Keep would write for the whole log.
 func (d *Duty) Live() int { return d.facts * factBytes }
 
-// Keep writes anew a fact that is in no value yet, and for some days that a kind was
+// Compact writes anew a fact that is in no value yet, and for some days that a kind was
 // forgotten.
-func (d *Duty) Keep(_ time.Duration, e eventlog.Entry) {
+func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -232,7 +232,7 @@
 			t.Fatal(err)
 		}
 		for _, e := range list {
-			d.Keep(w.now, e)
+			d.Compact(w.now, e)
 		}
 	}
 	d.Kept()
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -54,7 +54,7 @@
 		return
 	}
 	for _, e := range entries {
-		if !t.each(e, func(d Component) { d.Keep(now, e) }) {
+		if !t.each(e, func(d Component) { d.Compact(now, e) }) {
 			t.unknown(e)
 			t.EventLog.Append(e)
 		}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -55,7 +55,7 @@
 	// is live of an entry whose segment is about to be removed; Kept follows the
 	// last entry of a cleaning.
 	Live() int
-	Keep(now time.Duration, e eventlog.Entry)
+	Compact(now time.Duration, e eventlog.Entry)
 	Kept()
 }
 
