--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -157,8 +157,8 @@
 	}
 }
 
-// Kept ends a cleaning.
-func (d *Duty) Kept() { d.typesKept = false }
+// CompactionDone ends a cleaning.
+func (d *Duty) CompactionDone() { d.typesKept = false }
 
 // avoidSilentZones has nothing rented for a while where most machines are
 // silent while others are heard.
--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -37,5 +37,5 @@
 // Compact keeps nothing.
 func (NopComponent) Compact(time.Duration, eventlog.Entry) {}
 
-// Kept has nothing left to write.
-func (NopComponent) Kept() {}
+// CompactionDone has nothing left to write.
+func (NopComponent) CompactionDone() {}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// Kept writes the final states gathered meanwhile.
-func (d *Duty) Kept() { d.writeOver(1) }
+// CompactionDone writes the final states gathered meanwhile.
+func (d *Duty) CompactionDone() { d.writeOver(1) }
 
 func (d *Duty) keepFinal(id uint64) {
 	switch p, _ := d.Jobs.Final(id); p {
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -119,7 +119,7 @@
 	for _, e := range log {
 		next.Compact(0, e)
 	}
-	next.Kept()
+	next.CompactionDone()
 	kept = settle(t, next)
 	spans := 0
 	for _, e := range kept {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -198,8 +198,8 @@
 	}
 }
 
-// Kept forgets what the cleaning needed.
-func (d *Duty) Kept() {
+// CompactionDone forgets what the cleaning needed.
+func (d *Duty) CompactionDone() {
 	d.byNumber = nil
 	d.marks.kept = false
 }
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -241,8 +241,8 @@
 	}
 }
 
-// Kept writes anew what was gathered.
-func (d *Duty) Kept() {
+// CompactionDone writes anew what was gathered.
+func (d *Duty) CompactionDone() {
 	for len(d.kept) > 0 {
 		n := len(d.kept)
 		for n > 1 && !d.EventLog.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]})) {
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -201,7 +201,7 @@
 	for _, e := range old {
 		b.Compact(b.now, e)
 	}
-	b.Kept()
+	b.CompactionDone()
 	b.commit()
 	next := newBench(t, 2, b.entries)
 	if next.doc.Revision() != 9 || len(next.history) != 2 || next.Cfg.Tunables.IdleReturnS != v {
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -235,7 +235,7 @@
 			d.Compact(w.now, e)
 		}
 	}
-	d.Kept()
+	d.CompactionDone()
 	if r.IntN(3) == 0 {
 		w.write(d, r.IntN(2)) // killed in the middle
 		return
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -60,7 +60,7 @@
 		}
 	}
 	for _, d := range t.duties {
-		d.Kept()
+		d.CompactionDone()
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
 	t.EventLog.Append(eventlog.Entry{FinalStates: &eventlog.FinalStates{}})
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -56,7 +56,7 @@
 	// last entry of a cleaning.
 	Live() int
 	Compact(now time.Duration, e eventlog.Entry)
-	Kept()
+	CompactionDone()
 }
 
 // Durable is what a new leader reads back: the log's entries in order, with the
