--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -31,8 +31,8 @@
 // Write has gathered nothing for the log.
 func (NopComponent) Write(time.Duration) {}
 
-// Live is nothing.
-func (NopComponent) Live() int { return 0 }
+// LiveBytes is nothing.
+func (NopComponent) LiveBytes() int { return 0 }
 
 // Compact keeps nothing.
 func (NopComponent) Compact(time.Duration, eventlog.Entry) {}
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -277,8 +277,8 @@
 	return string(raw)
 }
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int { return len(d.account.past) * recordReserve }
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int { return len(d.account.past) * recordReserve }
 
 // Compact writes an account anew that is remembered still.
 func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -258,8 +258,8 @@
 	return d.own.After[FirstStart] >= 0 || now-d.Noticed >= time.Duration(last)*time.Millisecond+startWait
 }
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int { return len(d.past) * recordBytes }
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int { return len(d.past) * recordBytes }
 
 // Compact writes a record anew that is still remembered.
 func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -249,8 +249,8 @@
 	clear(d.completed)
 }
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int { return d.Jobs.Len()*jobBytes + d.Jobs.Finals()*overBytes }
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int { return d.Jobs.Len()*jobBytes + d.Jobs.Finals()*overBytes }
 
 // Compact writes anew what is live of an entry.
 func (d *Duty) Compact(now time.Duration, e eventlog.Entry) {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -167,8 +167,8 @@
 	}
 }
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int {
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int {
 	live := 0
 	for _, list := range d.granted {
 		live += len(list) * grantBytes
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -216,8 +216,8 @@
 	}
 }
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int { return d.papers.n * paperBytes }
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int { return d.papers.n * paperBytes }
 
 // Request is what the duty can be asked to do: one of its fields is set.
 type Request struct {
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -208,8 +208,8 @@
 	revisionBytes = 120
 )
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int { return d.bytes }
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int { return d.bytes }
 
 // remembers says whether a revision is in the history.
 func (d *Duty) remembers(revision uint64) bool {
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -162,8 +162,8 @@
 	}
 }
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int { return len(d.Yard.All()) * machineBytes }
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int { return len(d.Yard.All()) * machineBytes }
 
 // Compact writes anew what is live of an entry.
 func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -433,8 +433,8 @@
 	d.store(now)
 }
 
-// Live is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) Live() int { return d.facts * factBytes }
+// LiveBytes is roughly how many bytes Keep would write for the whole log.
+func (d *Duty) LiveBytes() int { return d.facts * factBytes }
 
 // Compact writes anew a fact that is in no value yet, and for some days that a kind was
 // forgotten.
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -28,7 +28,7 @@
 	}
 	live := 0
 	for _, d := range t.duties {
-		live += d.Live()
+		live += d.LiveBytes()
 	}
 	value := int(t.Cfg.Writes().ValueKB * 1024)
 	most := max(fewSegments, 3*live/value)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -54,7 +54,7 @@
 	// Live is roughly how many bytes of the log are live. Keep writes anew what
 	// is live of an entry whose segment is about to be removed; Kept follows the
 	// last entry of a cleaning.
-	Live() int
+	LiveBytes() int
 	Compact(now time.Duration, e eventlog.Entry)
 	CompactionDone()
 }
