--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -139,8 +139,8 @@
 	d.Dirty = true
 }
 
-// Send calls the cloud.
-func (d *Duty) Send(now time.Duration, sure bool) { d.callCloud(now, sure) }
+// AfterCycle calls the cloud.
+func (d *Duty) AfterCycle(now time.Duration, sure bool) { d.callCloud(now, sure) }
 
 // Compact writes anew what is live of an entry.
 func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -25,8 +25,8 @@
 // Tick has nothing due before a pass.
 func (NopComponent) Tick(time.Duration, bool) {}
 
-// Send has nothing due after a pass.
-func (NopComponent) Send(time.Duration, bool) {}
+// AfterCycle has nothing due after a pass.
+func (NopComponent) AfterCycle(time.Duration, bool) {}
 
 // Write has gathered nothing for the log.
 func (NopComponent) Write(time.Duration) {}
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -56,9 +56,9 @@
 	d.began.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
 }
 
-// Send sends what may go: tasks whose grant and mark are durable, to machines on which
+// AfterCycle sends what may go: tasks whose grant and mark are durable, to machines on which
 // nothing else is on its way.
-func (d *Duty) Send(now time.Duration, sure bool) {
+func (d *Duty) AfterCycle(now time.Duration, sure bool) {
 	if !sure || len(d.Prompt) == 0 {
 		return
 	}
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Send writes the virtual sizes down from time to time.
-func (d *Duty) Send(now time.Duration, sure bool) {
+// AfterCycle writes the virtual sizes down from time to time.
+func (d *Duty) AfterCycle(now time.Duration, sure bool) {
 	if sure && now-d.sizesAt >= settings.Seconds(d.Cfg.Tunables.SizesEveryS) {
 		d.sizesAt = now
 		d.writeSizes()
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -48,7 +48,7 @@
 	// Tick does what is due by time, before a pass; Send what is due after it.
 	// Without being sure of the term nothing may be started or told of jobs.
 	Tick(now time.Duration, sure bool)
-	Send(now time.Duration, sure bool)
+	AfterCycle(now time.Duration, sure bool)
 	// Write hands what has gathered to the log, when the next commit may begin.
 	Write(now time.Duration)
 	// Live is roughly how many bytes of the log are live. Keep writes anew what
@@ -367,7 +367,7 @@
 	}
 	t.roster.Release(now, sure)
 	if t.direct != nil {
-		t.direct.Send(now, sure)
+		t.direct.AfterCycle(now, sure)
 	}
 	return step
 }
@@ -398,7 +398,7 @@
 		t.clean(now)
 	}
 	for _, d := range t.duties {
-		d.Send(now, sure)
+		d.AfterCycle(now, sure)
 	}
 	t.roster.Release(now, sure)
 }
@@ -434,7 +434,7 @@
 func (t *Term) Launched(now time.Duration, sure bool, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	if t.direct != nil && t.loaded {
 		t.direct.Launched(now, machine, token, starts, r)
-		t.direct.Send(now, sure)
+		t.direct.AfterCycle(now, sure)
 	}
 }
 
