--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -28,8 +28,8 @@
 // AfterCycle has nothing due after a pass.
 func (NopComponent) AfterCycle(time.Duration, bool) {}
 
-// Write has gathered nothing for the log.
-func (NopComponent) Write(time.Duration) {}
+// AppendEntries has gathered nothing for the log.
+func (NopComponent) AppendEntries(time.Duration) {}
 
 // LiveBytes is nothing.
 func (NopComponent) LiveBytes() int { return 0 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -212,7 +212,7 @@
 	}
 }
 
-// Write hands completed tasks to the log, and cancellations of which nothing is left.
+// AppendEntries hands completed tasks to the log, and cancellations of which nothing is left.
 //
 // A cancellation becomes durable, and its user is told, only once nothing of the job is on
 // any machine, nor can be. Found on days on which the state service refused the leader
@@ -220,7 +220,7 @@
 // its workers alive, and nobody who knew of the one could reach the other. Whatever fails
 // after the user was told, and whoever then leads, answers workers or knows of nothing:
 // there is nothing left that could run.
-func (d *Duty) Write(now time.Duration) {
+func (d *Duty) AppendEntries(now time.Duration) {
 	d.writeTasks(now)
 	for _, id := range slices.Sorted(maps.Keys(d.cancelling)) {
 		switch j := d.cancelling[id]; {
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -28,7 +28,7 @@
 // settle has everything written that a duty wants to write, and returns it.
 func settle(t *testing.T, d *Duty) (out []eventlog.Entry) {
 	t.Helper()
-	d.Write(0)
+	d.AppendEntries(0)
 	for mark := uint64(1); d.EventLog.Pending() > 0; mark++ {
 		now := time.Duration(mark) * time.Second
 		txn := d.EventLog.NextTransaction(now)
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -260,8 +260,8 @@
 	}
 }
 
-// Write hands new grants, and those taken back, to the log.
-func (d *Duty) Write(time.Duration) {
+// AppendEntries hands new grants, and those taken back, to the log.
+func (d *Duty) AppendEntries(time.Duration) {
 	most := max(1, d.EventLog.MaxEntryBytes()/numberBytes-6)
 	// First what is taken back: the same machine may have been granted anew.
 	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
--- a/internal/leader/placement/placing_test.go
+++ b/internal/leader/placement/placing_test.go
@@ -25,7 +25,7 @@
 		d.withdrawn[1] = append(d.withdrawn[1], m.Number)
 		d.granting[1], d.granted[1] = append(d.granting[1], m), append(d.granted[1], m)
 	}
-	d.Write(0)
+	d.AppendEntries(0)
 	durable := 0
 	for mark := uint64(1); s.EventLog.Pending() > 0; mark++ {
 		now := time.Duration(mark) * time.Second
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// Write notes machines that are to be returned.
-func (d *Duty) Write(time.Duration) {
+// AppendEntries notes machines that are to be returned.
+func (d *Duty) AppendEntries(time.Duration) {
 	if len(d.empty) == 0 {
 		return
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -50,7 +50,7 @@
 	Tick(now time.Duration, sure bool)
 	AfterCycle(now time.Duration, sure bool)
 	// Write hands what has gathered to the log, when the next commit may begin.
-	Write(now time.Duration)
+	AppendEntries(now time.Duration)
 	// Live is roughly how many bytes of the log are live. Keep writes anew what
 	// is live of an entry whose segment is about to be removed; Kept follows the
 	// last entry of a cleaning.
@@ -341,7 +341,7 @@
 		// The last duties go first: grants, for which starts wait, before
 		// completions.
 		for i := len(t.duties) - 1; i >= 0; i-- {
-			t.duties[i].Write(now)
+			t.duties[i].AppendEntries(now)
 		}
 	}
 	if txn := t.EventLog.NextTransaction(now); txn != nil {
