--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -116,8 +116,8 @@
 	d.booting, d.registered = nil, nil
 }
 
-// Durable has a request sent whose name is noted.
-func (d *Duty) Durable(now time.Duration, _ bool, e eventlog.Entry) {
+// EntryDurable has a request sent whose name is noted.
+func (d *Duty) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
 		d.rentals[e.Rental.Name] = *e.Rental
 		d.rentDue[e.Rental.Name] = now
--- a/internal/leader/cluster/plain.go
+++ b/internal/leader/cluster/plain.go
@@ -16,8 +16,8 @@
 // Begin has nothing to settle.
 func (NopComponent) Begin(time.Duration) {}
 
-// Durable waits for no entry.
-func (NopComponent) Durable(time.Duration, bool, eventlog.Entry) {}
+// EntryDurable waits for no entry.
+func (NopComponent) EntryDurable(time.Duration, bool, eventlog.Entry) {}
 
 // HandleEvent ignores what happens.
 func (NopComponent) HandleEvent(Event) {}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// Durable acts on an entry that has become durable.
-func (d *Duty) Durable(now time.Duration, sure bool, e eventlog.Entry) {
+// EntryDurable acts on an entry that has become durable.
+func (d *Duty) EntryDurable(now time.Duration, sure bool, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
 		d.accepted(now, sure, e.Job.ID)
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -39,7 +39,7 @@
 		}
 		facts, _ := d.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
 		for _, e := range facts {
-			d.Durable(now, true, e)
+			d.EntryDurable(now, true, e)
 		}
 		out = append(out, facts...)
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -109,8 +109,8 @@
 	return out
 }
 
-// Durable lets the tasks of a grant that is noted start.
-func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
+// EntryDurable lets the tasks of a grant that is noted start.
+func (d *Duty) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Component != nil {
 		d.marked()
 	}
--- a/internal/leader/placement/placing_test.go
+++ b/internal/leader/placement/placing_test.go
@@ -35,7 +35,7 @@
 		}
 		facts, _ := s.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
 		for _, e := range facts {
-			d.Durable(now, true, e)
+			d.EntryDurable(now, true, e)
 			durable += len(e.Grant.Machines)
 		}
 		for i, m := range all {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -89,7 +89,7 @@
 		}
 		facts, _ := w.d.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
 		for _, e := range facts {
-			w.d.Durable(w.now, true, e)
+			w.d.EntryDurable(w.now, true, e)
 		}
 	}
 }
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -178,8 +178,8 @@
 	d.shelf.writing = append(d.shelf.writing, w)
 }
 
-// Durable notes what is written: a larger size counts from then on.
-func (d *Duty) Durable(now time.Duration, _ bool, e eventlog.Entry) {
+// EntryDurable notes what is written: a larger size counts from then on.
+func (d *Duty) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	var x entry
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &x) != nil {
 		return
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -116,8 +116,8 @@
 	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed", "revision", d.doc.Revision(), "was", revision)
 }
 
-// Durable has a revision in force.
-func (d *Duty) Durable(now time.Duration, _ bool, e eventlog.Entry) {
+// EntryDurable has a revision in force.
+func (d *Duty) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok || x.Revision == nil {
 		return
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -64,7 +64,7 @@
 		}
 		facts, _ := b.EventLog.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
 		for _, e := range facts {
-			b.Durable(b.now, true, e)
+			b.EntryDurable(b.now, true, e)
 		}
 		if b.EventLog.Pending() == pending {
 			b.t.Fatal("nothing becomes durable")
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -131,9 +131,9 @@
 	d.empty = nil
 }
 
-// Durable lets tasks start on a machine that is registered, and one be deleted
+// EntryDurable lets tasks start on a machine that is registered, and one be deleted
 // that is noted as empty.
-func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
+func (d *Duty) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Component != nil {
 		var r returns
 		if json.Unmarshal(e.Component.Data, &r) == nil { // this term wrote it
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -493,7 +493,7 @@
 				w.values[op.Key] = op.Value
 			}
 			for _, e := range mustFacts(d, w, txn.Sequence) {
-				d.Durable(w.now, true, e)
+				d.EntryDurable(w.now, true, e)
 			}
 		}
 	}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -271,8 +271,8 @@
 	return v, st
 }
 
-// Durable notes what is written.
-func (d *Duty) Durable(_ time.Duration, _ bool, e eventlog.Entry) {
+// EntryDurable notes what is written.
+func (d *Duty) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	if !ok || x.Stored == nil || d.storing == nil || *x.Stored != d.storing.n {
 		return
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -42,7 +42,7 @@
 	Replay(now time.Duration, e eventlog.Entry)
 	Begin(now time.Duration)
 	// Durable tells of an entry of this term that was appended as a fact.
-	Durable(now time.Duration, sure bool, e eventlog.Entry)
+	EntryDurable(now time.Duration, sure bool, e eventlog.Entry)
 	// Hear tells what happens, while it happens.
 	HandleEvent(e cluster.Event)
 	// Tick does what is due by time, before a pass; Send what is due after it.
@@ -379,7 +379,7 @@
 
 func (t *Term) durable(now time.Duration, sure bool, facts []eventlog.Entry) {
 	for _, e := range facts {
-		t.each(e, func(d Component) { d.Durable(now, sure, e) })
+		t.each(e, func(d Component) { d.EntryDurable(now, sure, e) })
 	}
 	t.dropCleaned()
 }
