--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -28,7 +28,7 @@
 	kb, ops := 2.0, 4
 	c.Deployment.State.Next = &settings.NextLimits{ValueKB: &kb, TxnOps: &ops}
 	t := New(cluster.Start{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
-	t.Load(now, 1, Durable{First: 1, Last: 1, Entries: entries})
+	t.Load(now, 1, LoadedLog{First: 1, Last: 1, Entries: entries})
 	return t
 }
 
--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -33,7 +33,7 @@
 		cfg.Tunables.Pools = append(cfg.Tunables.Pools, settings.Pool{Name: fmt.Sprint("pool", i), Units: 2})
 	}
 	t := New(cluster.Start{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}})
-	t.Load(0, 1, Durable{First: 1, Last: 2, Entries: entries})
+	t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	return t, entries
 }
 
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -48,7 +48,7 @@
 func fullTerm(machines, count int) (*Term, []effects.Relayed) {
 	entries, reports := fullLog(machines, count)
 	t := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
-	t.Load(0, 1, Durable{First: 1, Last: 2, Entries: entries})
+	t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	return t, reports
 }
 
@@ -91,7 +91,7 @@
 	}
 	_, reports := fullLog(60, 100)
 	term := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
-	term.Load(0, 1, Durable{First: 1, Last: 2, Entries: entries})
+	term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	r := rand.New(rand.NewPCG(3, 3))
 	r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
 	for i := 0; ; i++ {
@@ -145,7 +145,7 @@
 	resolve := func(machines int) float64 {
 		_, reports := fullLog(machines, 100)
 		term := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
-		term.Load(0, 1, Durable{First: 1, Last: 2, Entries: scaleLog(machines)})
+		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: scaleLog(machines)})
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
 			term.take(time.Second, &reports[n%machines])
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -99,7 +99,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				t := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
-				t.Load(0, 1, Durable{First: 1, Last: 2, Entries: entries})
+				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 				b.StopTimer()
 				_, reports := fullLog(n, 100)
 				t := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
-				t.Load(0, 1, Durable{First: 1, Last: 2, Entries: entries})
+				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 				b.StartTimer()
 				for i := range reports {
 					t.take(time.Second, &reports[i])
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -59,10 +59,10 @@
 	CompactionDone()
 }
 
-// Durable is what a new leader reads back: the log's entries in order, with the
+// LoadedLog is what a new leader reads back: the log's entries in order, with the
 // numbers of its first and last segment, and the virtual sizes, oldest first,
 // with how many pieces of them there may be.
-type Durable struct {
+type LoadedLog struct {
 	First, Last int
 	Entries     []eventlog.Entry
 	Sizes       []eventlog.VirtualSize
@@ -245,7 +245,7 @@
 func (t *Term) Loaded() bool { return t.loaded }
 
 // Load replays the whole log.
-func (t *Term) Load(now time.Duration, mark uint64, log Durable) {
+func (t *Term) Load(now time.Duration, mark uint64, log LoadedLog) {
 	w := t.Cfg.Writes()
 	t.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
 	t.first = max(log.First, 1)
--- a/internal/leader/term/term_test.go
+++ b/internal/leader/term/term_test.go
@@ -16,7 +16,7 @@
 	c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps = 10, 8, 12
 	term := New(cluster.Start{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
 	job := &eventlog.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 8, Types: []string{"large"}}
-	term.Load(0, 1, Durable{First: 1, Last: 2, Entries: []eventlog.Entry{
+	term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: []eventlog.Entry{
 		{Job: job},
 		{MachineTypes: []eventlog.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}}},
 		{MachineTypes: []eventlog.MachineType{{Name: "large", CPUs: 16, MemoryGB: 64}}},
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -42,7 +42,7 @@
 }
 
 // Loaded takes the whole log, read after the term began.
-func (c *Core) Loaded(now time.Duration, epoch uint64, log term.Durable) {
+func (c *Core) Loaded(now time.Duration, epoch uint64, log term.LoadedLog) {
 	if c.term != nil && c.term.Epoch == epoch && !c.term.Loaded() {
 		c.term.Load(now, c.lead.EpochVersion(), log)
 	}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -33,8 +33,8 @@
 	}
 }
 
-func (n *Node) readAll() (term.Durable, error) {
-	var d term.Durable
+func (n *Node) readAll() (term.LoadedLog, error) {
+	var d term.LoadedLog
 	err := n.readPrefix(eventlog.Prefix, func(it wire.Item) error {
 		list, err := decode(it)
 		if err != nil {
@@ -48,22 +48,22 @@
 		return err
 	})
 	if err != nil {
-		return term.Durable{}, err
+		return term.LoadedLog{}, err
 	}
 	var pieces []wire.Item
 	if err := n.readPrefix(eventlog.SizesPrefix, func(it wire.Item) error { pieces = append(pieces, it); return nil }); err != nil {
-		return term.Durable{}, err
+		return term.LoadedLog{}, err
 	}
 	// A piece of an earlier list, by whatever version, must not overrule a newer one.
 	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Mark, b.Mark) })
 	for _, it := range pieces {
 		var v eventlog.VirtualSizes
 		if err := json.Unmarshal(it.Value, &v); err != nil {
-			return term.Durable{}, fmt.Errorf("%s: %w", it.Key, err)
+			return term.LoadedLog{}, fmt.Errorf("%s: %w", it.Key, err)
 		}
 		n, err := eventlog.SizesNumber(it.Key)
 		if err != nil {
-			return term.Durable{}, err
+			return term.LoadedLog{}, err
 		}
 		d.Sizes = append(d.Sizes, v.Sizes...)
 		d.Pieces = max(d.Pieces, n+1)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -183,8 +183,8 @@
 type scaleCounts struct {
 	sent    map[string]int
 	spent   map[string]time.Duration
-	largest *term.Durable // the largest log that a new leader has read
-	moved   int           // workers that were sent to another controller
+	largest *term.LoadedLog // the largest log that a new leader has read
+	moved   int             // workers that were sent to another controller
 }
 
 func (x *scaleCounts) effect(e effects.Effect) {
@@ -207,7 +207,7 @@
 	x.spent[what] += time.Since(at)
 }
 
-func (x *scaleCounts) read(d term.Durable) {
+func (x *scaleCounts) read(d term.LoadedLog) {
 	if x != nil && (x.largest == nil || len(d.Entries) > len(x.largest.Entries)) {
 		x.largest = &d
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -385,11 +385,11 @@
 
 func (st *stateService) load(c *controller, epoch uint64) {
 	life := c.life
-	call(st.s, c.name, "state", wait, func(reply func(term.Durable)) {
+	call(st.s, c.name, "state", wait, func(reply func(term.LoadedLog)) {
 		if st.down(c) {
 			return
 		}
-		var r term.Durable
+		var r term.LoadedLog
 		var keys []string
 		for k := range st.items {
 			if strings.HasPrefix(k, eventlog.Prefix) {
@@ -420,7 +420,7 @@
 			r.Pieces = max(r.Pieces, n+1)
 		}
 		reply(r)
-	}, func(r term.Durable, ok bool) {
+	}, func(r term.LoadedLog, ok bool) {
 		if c.life != life {
 			return
 		}
