--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -40,7 +40,7 @@
 	for mark := uint64(2); ; mark++ {
 		*now += time.Second
 		term.Take()
-		term.Pump(*now)
+		term.Flush(*now)
 		out := term.Take()
 		i := slices.IndexFunc(out, func(e effects.Effect) bool { _, ok := e.(effects.Commit); return ok })
 		if i < 0 {
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -55,7 +55,7 @@
 func (t *Term) take(now time.Duration, in *effects.Relayed) {
 	in.Report.Seq++
 	t.Report(now, true, 1, *in)
-	t.Pump(now)
+	t.Flush(now)
 	t.Take()
 }
 
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -84,7 +84,7 @@
 			now += 250 * time.Millisecond
 			term.Yard.All()[0].LastHeartbeat = now // it is not silent
 			term.Tick(now, true)
-			term.Pump(now)
+			term.Flush(now)
 			for _, e := range term.Take() {
 				switch e := e.(type) {
 				case effects.Delete:
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -331,8 +331,8 @@
 	}
 }
 
-// Pump hands what has gathered to the log and sends what the log allows.
-func (t *Term) Pump(now time.Duration) {
+// Flush hands what has gathered to the log and sends what the log allows.
+func (t *Term) Flush(now time.Duration) {
 	if !t.loaded {
 		return
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -94,7 +94,7 @@
 		c.out = append(c.out, effects.Note{Level: effects.Info, Text: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.Load{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
-		c.term.Pump(now)
+		c.term.Flush(now)
 		c.gather(now)
 	}
 }
