--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -372,8 +372,8 @@
 	return step
 }
 
-// Rechecked takes the value that settles a commit without an answer.
-func (t *Term) Rechecked(now time.Duration, sure, read bool, mark uint64, value json.RawMessage) {
+// ReadBack takes the value that settles a commit without an answer.
+func (t *Term) ReadBack(now time.Duration, sure, read bool, mark uint64, value json.RawMessage) {
 	t.durable(now, sure, t.EventLog.ReadBack(now, read, mark, value))
 }
 
