--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -423,8 +423,8 @@
 	t.roster.Started(now, machine, offers)
 }
 
-// Asked takes whether a silent worker has answered.
-func (t *Term) Asked(machine string, ok bool) {
+// WorkerProbed takes whether a silent worker has answered.
+func (t *Term) WorkerProbed(machine string, ok bool) {
 	if t.asking != nil && t.loaded {
 		t.asking.Asked(machine, ok)
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -95,7 +95,7 @@
 // Asked takes whether a silent worker that was asked has answered.
 func (c *Core) Asked(now time.Duration, epoch uint64, machine string, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Asked(machine, ok)
+		c.term.WorkerProbed(machine, ok)
 	}
 	c.after(now)
 }
