--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -104,7 +104,7 @@
 // not known what became of them.
 func (c *Core) Launched(now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Launched(now, c.lead.LeaseValid(now), machine, token, starts, r)
+		c.term.Dispatched(now, c.lead.LeaseValid(now), machine, token, starts, r)
 	}
 	c.after(now)
 }
