--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -98,7 +98,7 @@
 	open := eventlog.Job{ID: 1, Class: "c", Team: "team", Tasks: 4000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 3}
 	var now time.Duration
 	term := smallTerm(append(done, eventlog.Entry{Job: &open}))
-	term.GotTypes(0, []eventlog.MachineType{ty})
+	term.MachineTypesListed(0, []eventlog.MachineType{ty})
 
 	follower := open
 	follower.ID, follower.Tasks, follower.Follows = 2, 3, append([]uint64{1}, all...)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -451,8 +451,8 @@
 	t.fleet.Rented(now, name, machines, res)
 }
 
-// GotTypes takes the machine types; an empty list is a failure.
-func (t *Term) GotTypes(now time.Duration, list []eventlog.MachineType) {
+// MachineTypesListed takes the machine types; an empty list is a failure.
+func (t *Term) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
 	if t.loaded {
 		t.fleet.GotTypes(now, list)
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -120,7 +120,7 @@
 // GotTypes takes the machine types; an empty list is a failure.
 func (c *Core) GotTypes(now time.Duration, epoch uint64, list []eventlog.MachineType) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
-		c.term.GotTypes(now, list)
+		c.term.MachineTypesListed(now, list)
 	}
 	c.after(now)
 }
