--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -47,7 +47,7 @@
 				t.take(now, &reports[i])
 			}
 			t.Tick(now, true)
-			t.GotValues(now, "pools", nil, false, true)
+			t.ValuesRead(now, "pools", nil, false, true)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 500 * time.Millisecond
@@ -77,7 +77,7 @@
 				}
 				t.Tick(now, true)
 				t.Take()
-				t.GotValues(now, "pools", nil, false, true)
+				t.ValuesRead(now, "pools", nil, false, true)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
 					r := &reports[i%1300]
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -292,8 +292,8 @@
 	GotValues(now time.Duration, list []eventlog.Value, more, ok bool)
 }
 
-// GotValues takes a page of a duty's own values.
-func (t *Term) GotValues(now time.Duration, duty string, list []eventlog.Value, more, ok bool) {
+// ValuesRead takes a page of a duty's own values.
+func (t *Term) ValuesRead(now time.Duration, duty string, list []eventlog.Value, more, ok bool) {
 	if r, known := t.owners[duty].(reader); known {
 		r.GotValues(now, list, more, ok)
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -79,7 +79,7 @@
 // GotValues takes a page of a duty's own values.
 func (c *Core) GotValues(now time.Duration, epoch uint64, duty string, list []eventlog.Value, more, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
-		c.term.GotValues(now, duty, list, more, ok)
+		c.term.ValuesRead(now, duty, list, more, ok)
 	}
 	c.after(now)
 }
