--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -458,5 +458,7 @@
 	}
 }
 
-// Listed takes the cloud's list of machines.
-func (t *Term) Listed(now time.Duration, list []wire.Listed, ok bool) { t.fleet.Listed(now, list, ok) }
+// MachinesListed takes the cloud's list of machines.
+func (t *Term) MachinesListed(now time.Duration, list []wire.Listed, ok bool) {
+	t.fleet.Listed(now, list, ok)
+}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -128,7 +128,7 @@
 // Listed takes the cloud's list of machines.
 func (c *Core) Listed(now time.Duration, epoch uint64, list []wire.Listed, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Listed(now, list, ok)
+		c.term.MachinesListed(now, list, ok)
 	}
 	c.after(now)
 }
