--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -110,7 +110,7 @@
 		names = append(names, long("host", n))
 	}
 	first := written(t, term, &now)
-	term.Rented(time.Second, "r-2-1", names, wire.Rented)
+	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
 	for _, n := range names {
 		term.Report(time.Second, true, 1, effects.Relayed{Via: "n", Life: 1, Report: workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}})
 	}
@@ -181,7 +181,7 @@
 	for n := range 50 {
 		names = append(names, fmt.Sprintf("host-%0100d", n))
 	}
-	term.Rented(time.Second, "r-2-1", names, wire.Rented)
+	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
 	list = append([]eventlog.Entry{{MachineTypes: term.Types}}, append(list, written(t, term, &now)...)...)
 	answers := 0
 	for n, e := range list {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -446,8 +446,8 @@
 	}
 }
 
-// Rented takes the result of a rental request.
-func (t *Term) Rented(now time.Duration, name string, machines []string, res wire.RentResult) {
+// RentalAnswered takes the result of a rental request.
+func (t *Term) RentalAnswered(now time.Duration, name string, machines []string, res wire.RentResult) {
 	t.fleet.Rented(now, name, machines, res)
 }
 
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -112,7 +112,7 @@
 // Rented takes the result of a rental request.
 func (c *Core) Rented(now time.Duration, epoch uint64, name string, machines []string, res wire.RentResult) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Rented(now, name, machines, res)
+		c.term.RentalAnswered(now, name, machines, res)
 	}
 	c.after(now)
 }
