--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -120,7 +120,7 @@
 		term.Publish(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, Took: 3})
 	}
 	first = append(first, written(t, term, &now)...)
-	term.Deleted(time.Second, names[:40], true)
+	term.MachinesDeleted(time.Second, names[:40], true)
 	gone := written(t, term, &now)
 
 	// The whole is cleaned: what is live is written once more.
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -118,7 +118,7 @@
 			return
 		}
 		if i%3 == 0 {
-			term.Deleted(time.Second, []string{reports[i].Report.Machine}, true)
+			term.MachinesDeleted(time.Second, []string{reports[i].Report.Machine}, true)
 		} else {
 			term.take(time.Second, &reports[i])
 		}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -438,8 +438,8 @@
 	}
 }
 
-// Deleted takes the result of a deletion.
-func (t *Term) Deleted(now time.Duration, list []string, ok bool) {
+// MachinesDeleted takes the result of a deletion.
+func (t *Term) MachinesDeleted(now time.Duration, list []string, ok bool) {
 	t.fleet.Deleted(now, ok)
 	if ok {
 		t.roster.Deleted(now, list)
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -87,7 +87,7 @@
 // Deleted takes the result of a deletion.
 func (c *Core) Deleted(now time.Duration, epoch uint64, list []string, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Deleted(now, list, ok)
+		c.term.MachinesDeleted(now, list, ok)
 	}
 	c.after(now)
 }
