--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -418,8 +418,8 @@
 	t.roster.Report(now, sure, to, in)
 }
 
-// Started notes offers that the leader's own block has taken up.
-func (t *Term) Started(now time.Duration, machine string, offers []workers.Offer) {
+// OffersStarted notes offers that the leader's own block has taken up.
+func (t *Term) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
 	t.roster.Started(now, machine, offers)
 }
 
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -59,7 +59,7 @@
 	c.hold.Renew(r.Machine, a.Token, now+settings.Seconds(a.LeaseS))
 	picked := c.hold.Pick(now, a.Offers, a.Room)
 	if c.term != nil {
-		c.term.Started(now, r.Machine, picked)
+		c.term.OffersStarted(now, r.Machine, picked)
 	}
 	var starts []workers.Command
 	for _, o := range picked {
