--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -299,8 +299,8 @@
 	}
 }
 
-// PeerLed takes another controller's word on when it last heard a leader before this one.
-func (t *Term) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
+// PreviousLeaderReported takes another controller's word on when it last heard a leader before this one.
+func (t *Term) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if t.cold != nil && t.loaded {
 		t.cold.PeerLed(now, peer, led, known)
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -207,7 +207,7 @@
 // false where there was none.
 func (c *Core) PeerLed(now time.Duration, epoch uint64, peer string, led leadership.LeaderRecord, known bool) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.PeerLed(now, peer, led, known)
+		c.term.PreviousLeaderReported(now, peer, led, known)
 	}
 	c.after(now)
 }
