--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -234,8 +234,8 @@
 	return t.config.Tell(peer)
 }
 
-// ConfigHeld takes another controller's word on the revision that it has in force.
-func (t *Term) ConfigHeld(now time.Duration, peer string, revision uint64) {
+// ConfigAcknowledged takes another controller's word on the revision that it has in force.
+func (t *Term) ConfigAcknowledged(now time.Duration, peer string, revision uint64) {
 	if t.config != nil && t.loaded {
 		t.config.Held(now, peer, revision)
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -230,7 +230,7 @@
 // ConfigHeld takes a peer's word on the revision that it has in force.
 func (c *Core) ConfigHeld(now time.Duration, epoch uint64, peer string, revision uint64) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.ConfigHeld(now, peer, revision)
+		c.term.ConfigAcknowledged(now, peer, revision)
 	}
 }
 
