--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// Fleet is what this leader tells the others of whether it knows what its machines do.
-func (t *Term) Fleet() leadership.FleetKnowledge {
+// FleetKnowledge is what this leader tells the others of whether it knows what its machines do.
+func (t *Term) FleetKnowledge() leadership.FleetKnowledge {
 	switch {
 	case t.cold == nil:
 		return leadership.FleetUnsaid
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -162,7 +162,7 @@
 	if now-c.heartbeatAt >= heartbeatEvery {
 		c.heartbeatAt = now
 		for _, p := range c.cfg.Peers {
-			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.Fleet(), Config: c.term.ConfigFor(p.Node)})
+			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
 	if len(c.cfg.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.Began < cutOffAfter || c.heardOf(now) || !c.term.Deaf(now) {
