--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -167,7 +167,7 @@
 // Pacer bounds how fast tasks are started.
 type Pacer interface {
 	Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool
-	Took(now time.Duration, m *workers.Machine)
+	TaskStarted(now time.Duration, m *workers.Machine)
 }
 
 // Spreader spreads reports over controllers.
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -215,8 +215,8 @@
 	return !d.paces(now) || d.starts.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
 }
 
-// Took counts a start.
-func (d *Duty) Took(now time.Duration, m *workers.Machine) {
+// TaskStarted counts a start.
+func (d *Duty) TaskStarted(now time.Duration, m *workers.Machine) {
 	if d.paces(now) {
 		d.starts.Spend(now, m.Zone)
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -226,7 +226,7 @@
 		m.Plan(p)
 		d.planned = append(d.planned, p)
 		if d.Pacer != nil {
-			d.Pacer.Took(now, m)
+			d.Pacer.TaskStarted(now, m)
 		}
 		if d.Units != nil {
 			d.Units.TaskPlaced(j)
