--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -77,7 +77,7 @@
 	Where    map[workers.Ref]*workers.Placement
 	Units    scheduler.Pools      // nil: there are no pools
 	Gate     Gate                 // nil: nothing is held back
-	Pacer    Pacer                // nil: starts are not paced
+	Pacer    StartPacer           // nil: starts are not paced
 	Spreader Spreader             // nil: machines stay where they report
 	Prompt   []*workers.Placement // planned tasks that may be sent straight to their workers
 	attempts uint64
@@ -164,8 +164,8 @@
 	Patience() time.Duration
 }
 
-// Pacer bounds how fast tasks are started.
-type Pacer interface {
+// StartPacer bounds how fast tasks are started.
+type StartPacer interface {
 	Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool
 	TaskStarted(now time.Duration, m *workers.Machine)
 }
