--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -62,26 +62,26 @@
 // State is what all duties of a term share.
 type State struct {
 	Start
-	Token    uint64 // of machines that have not changed their block
-	EventLog *eventlog.Log
-	Jobs     *jobs.Table
-	Yard     *workers.Inventory
-	Book     *sizing.Estimator
-	Plan     *scheduler.Scheduler
-	Dirty    bool // something has changed that a pass should look at
-	Numbers  int  // last one given to a machine
-	Teams    intern.Names
-	Zones    intern.Names
-	Images   intern.Names
-	Types    []eventlog.MachineType // by index of TypeNames
-	Where    map[workers.Ref]*workers.Placement
-	Units    scheduler.Pools      // nil: there are no pools
-	Gate     Gate                 // nil: nothing is held back
-	Pacer    StartPacer           // nil: starts are not paced
-	Spreader Spreader             // nil: machines stay where they report
-	Prompt   []*workers.Placement // planned tasks that may be sent straight to their workers
-	attempts uint64
-	tokens   uint64
+	Token      uint64 // of machines that have not changed their block
+	EventLog   *eventlog.Log
+	Jobs       *jobs.Table
+	Yard       *workers.Inventory
+	Book       *sizing.Estimator
+	Plan       *scheduler.Scheduler
+	Dirty      bool // something has changed that a pass should look at
+	Numbers    int  // last one given to a machine
+	Teams      intern.Names
+	Zones      intern.Names
+	Images     intern.Names
+	Types      []eventlog.MachineType // by index of TypeNames
+	Where      map[workers.Ref]*workers.Placement
+	Units      scheduler.Pools      // nil: there are no pools
+	Gate       Gate                 // nil: nothing is held back
+	StartPacer StartPacer           // nil: starts are not paced
+	Spreader   Spreader             // nil: machines stay where they report
+	Prompt     []*workers.Placement // planned tasks that may be sent straight to their workers
+	attempts   uint64
+	tokens     uint64
 
 	Squared *reconcile.Tally // differences between what was stored and reports, in this term
 
@@ -508,8 +508,8 @@
 // World is what the planner looks at.
 func (s *State) World(now time.Duration) scheduler.Snapshot {
 	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Yard, Estimator: s.Book, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
-	if s.Pacer != nil {
-		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.Pacer.Allows(now, j, m) }
+	if s.StartPacer != nil {
+		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
 	return w
 }
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -64,7 +64,7 @@
 	d := &Duty{State: s, asked: map[string]bool{}, heard: map[string]time.Duration{}}
 	d.account.init(s)
 	if s.Cfg.Tunables.ColdListen == 1 {
-		s.Gate, s.Pacer = d, d
+		s.Gate, s.StartPacer = d, d
 	}
 	return d
 }
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -225,8 +225,8 @@
 		}
 		m.Plan(p)
 		d.planned = append(d.planned, p)
-		if d.Pacer != nil {
-			d.Pacer.TaskStarted(now, m)
+		if d.StartPacer != nil {
+			d.StartPacer.TaskStarted(now, m)
 		}
 		if d.Units != nil {
 			d.Units.TaskPlaced(j)
