--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -78,7 +78,7 @@
 	Units      scheduler.Pools      // nil: there are no pools
 	Gate       Gate                 // nil: nothing is held back
 	StartPacer StartPacer           // nil: starts are not paced
-	Spreader   Spreader             // nil: machines stay where they report
+	Spreader   Rebalancer           // nil: machines stay where they report
 	Prompt     []*workers.Placement // planned tasks that may be sent straight to their workers
 	attempts   uint64
 	tokens     uint64
@@ -170,8 +170,8 @@
 	TaskStarted(now time.Duration, m *workers.Machine)
 }
 
-// Spreader spreads reports over controllers.
-type Spreader interface {
+// Rebalancer spreads reports over controllers.
+type Rebalancer interface {
 	// Elsewhere says to which controller a machine that has just reported should go
 	// instead; empty: it stays.
 	Elsewhere(now time.Duration, m *workers.Machine) string
