--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -78,7 +78,7 @@
 	Units      scheduler.Pools      // nil: there are no pools
 	Gate       Gate                 // nil: nothing is held back
 	StartPacer StartPacer           // nil: starts are not paced
-	Spreader   Rebalancer           // nil: machines stay where they report
+	Rebalancer Rebalancer           // nil: machines stay where they report
 	Prompt     []*workers.Placement // planned tasks that may be sent straight to their workers
 	attempts   uint64
 	tokens     uint64
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -48,7 +48,7 @@
 func New(s *cluster.State) *Duty {
 	t := &s.Cfg.Tunables
 	d := &Duty{State: s, balance: NewBalance(s.Began, Params{Most: t.SpreadMost, PerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
-	s.Spreader = d
+	s.Rebalancer = d
 	return d
 }
 
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -320,8 +320,8 @@
 		d.Emit(effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 421, Node: elsewhere}})
 		return
 	}
-	if d.Spreader != nil && sure && m.Durable && m.Resolved && !m.Deleting && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
-		if other := d.Spreader.Elsewhere(now, m); other != "" {
+	if d.Rebalancer != nil && sure && m.Durable && m.Resolved && !m.Deleting && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
+		if other := d.Rebalancer.Elsewhere(now, m); other != "" {
 			// Nothing is on its way to it. What was its due comes with its next report,
 			// by way of the other controller; the former one is turned away.
 			m.Token, m.Shard = d.NextToken(), other
