--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -174,7 +174,7 @@
 type Rebalancer interface {
 	// Elsewhere says to which controller a machine that has just reported should go
 	// instead; empty: it stays.
-	Elsewhere(now time.Duration, m *workers.Machine) string
+	RedirectTo(now time.Duration, m *workers.Machine) string
 }
 
 // ErrNoView is what a duty answers that is asked for a view it does not have.
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// Elsewhere says to which controller a machine that has just reported should go; empty:
+// RedirectTo says to which controller a machine that has just reported should go; empty:
 // it stays. Nothing may be on its way to it.
-func (d *Duty) Elsewhere(now time.Duration, m *workers.Machine) string {
+func (d *Duty) RedirectTo(now time.Duration, m *workers.Machine) string {
 	to := d.balance.Move(now, m.Name, m.Shard)
 	if to != "" {
 		d.moves++
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -177,7 +177,7 @@
 	if list[0].Weight != 0.7 || !list[0].Ready || list[1].Weight != 1 || !list[1].Ready || list[1].Machines != 25 || list[2].Weight != 0.25 || list[2].Ready {
 		t.Errorf("%+v", list)
 	}
-	if to := d.Elsewhere(31*time.Second, s.Yard.Find("7")); to != "a" {
+	if to := d.RedirectTo(31*time.Second, s.Yard.Find("7")); to != "a" {
 		t.Errorf("it goes to %q", to)
 	}
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -321,7 +321,7 @@
 		return
 	}
 	if d.Rebalancer != nil && sure && m.Durable && m.Resolved && !m.Deleting && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
-		if other := d.Rebalancer.Elsewhere(now, m); other != "" {
+		if other := d.Rebalancer.RedirectTo(now, m); other != "" {
 			// Nothing is on its way to it. What was its due comes with its next report,
 			// by way of the other controller; the former one is turned away.
 			m.Token, m.Shard = d.NextToken(), other
