--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -441,7 +441,7 @@
 	for diff := range reconcile.Kinds {
 		c.add("word", "difference %s: %s", diff, diff.Resolution())
 	}
-	for _, order := range []cluster.Order{cluster.StartNew, cluster.StartAgain, cluster.Rent, cluster.Return, cluster.Delete, cluster.Preempt, cluster.Move} {
+	for _, order := range []cluster.Action{cluster.StartNew, cluster.StartAgain, cluster.Rent, cluster.Return, cluster.Delete, cluster.Preempt, cluster.Move} {
 		c.add("word", "order %s", order)
 	}
 	for _, step := range failover.Steps() {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -132,33 +132,33 @@
 	Took    float64
 	Mine    bool // of TaskDone: this leader has started the attempt, and seen it begin
 	Lost    bool // of TaskGone: its worker has died under it
-	Order   Order
+	Order   Action
 	Machine *workers.Machine
 	Report  *workers.Report
 }
 
-// Order is a kind of thing that a leader orders.
-type Order uint8
+// Action is a kind of thing that a leader orders.
+type Action uint8
 
 // Kinds of orders.
 const (
-	StartNew   Order = iota // a task that no earlier term can have handed out
-	StartAgain              // one that may have been handed out before
-	Rent                    // machines
-	Return                  // a machine that is not wanted, or that the cloud takes
-	Delete                  // a machine that is given up
-	Preempt                 // tasks, for others that go ahead of them
-	Move                    // tasks, off a machine that is returned
+	StartNew   Action = iota // a task that no earlier term can have handed out
+	StartAgain               // one that may have been handed out before
+	Rent                     // machines
+	Return                   // a machine that is not wanted, or that the cloud takes
+	Delete                   // a machine that is given up
+	Preempt                  // tasks, for others that go ahead of them
+	Move                     // tasks, off a machine that is returned
 )
 
 var orderWords = [...]string{"start_new", "start_again", "rent", "return", "delete", "preempt", "move"}
 
-func (o Order) String() string { return orderWords[o] }
+func (o Action) String() string { return orderWords[o] }
 
 // Gate holds orders back for a while, after a start in which nobody led before.
 type Gate interface {
 	// May says whether orders of a kind may be given now.
-	May(now time.Duration, o Order) bool
+	May(now time.Duration, o Action) bool
 	// Patience is how long after the beginning of the term a machine that was not heard
 	// in it may be one that lives.
 	Patience() time.Duration
@@ -358,7 +358,7 @@
 }
 
 // May says whether orders of a kind may be given now.
-func (s *State) May(now time.Duration, o Order) bool { return s.Gate == nil || s.Gate.May(now, o) }
+func (s *State) May(now time.Duration, o Action) bool { return s.Gate == nil || s.Gate.May(now, o) }
 
 // Patience is how long a machine may be silent that was not heard in this term yet.
 func (s *State) Patience() time.Duration {
@@ -368,10 +368,10 @@
 	return s.Gate.Patience()
 }
 
-var stopWords = map[Order]string{Preempt: "task stopped for another job", Move: "task moved off a machine that is returned"}
+var stopWords = map[Action]string{Preempt: "task stopped for another job", Move: "task moved off a machine that is returned"}
 
 // StopAll stops tasks with time to save, and says why.
-func (s *State) StopAll(now time.Duration, list []*workers.Placement, o Order) {
+func (s *State) StopAll(now time.Duration, list []*workers.Placement, o Action) {
 	on := map[*workers.Machine]bool{}
 	why := stopWords[o]
 	for _, p := range list {
@@ -448,7 +448,7 @@
 }
 
 // Leave decides, for good, that a machine is to be deleted: it is returned, or given up.
-func (s *State) Leave(now time.Duration, m *workers.Machine, o Order, why string) {
+func (s *State) Leave(now time.Duration, m *workers.Machine, o Action, why string) {
 	if m.Deleting {
 		return
 	}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -193,7 +193,7 @@
 // May says whether orders of a kind may be given now. Starts always may: what proves
 // that a task may be started proves it here as well. Machines are rented and returned,
 // and tasks stopped for others or moved, only once the picture is settled.
-func (d *Duty) May(now time.Duration, o cluster.Order) bool {
+func (d *Duty) May(now time.Duration, o cluster.Action) bool {
 	if d.kind == ordinary || o == cluster.StartNew || o == cluster.StartAgain || o == cluster.Delete {
 		return true
 	}
