--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -132,7 +132,7 @@
 	Took    float64
 	Mine    bool // of TaskDone: this leader has started the attempt, and seen it begin
 	Lost    bool // of TaskGone: its worker has died under it
-	Order   Action
+	Action  Action
 	Machine *workers.Machine
 	Report  *workers.Report
 }
@@ -377,7 +377,7 @@
 	for _, p := range list {
 		j := s.Jobs.At(p.Ref.Job)
 		s.SaveAndStop(now, j, p)
-		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Order: o})
+		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Action: o})
 		on[p.Machine] = true
 		s.LogMessage(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
 	}
@@ -459,7 +459,7 @@
 		s.Counts.MachinesLost++
 	}
 	s.LogMessage(effects.Info, "machine returned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
-	s.Publish(Event{Kind: MachineLeft, At: now, Machine: m, Order: o})
+	s.Publish(Event{Kind: MachineLeft, At: now, Machine: m, Action: o})
 }
 
 // Heard counts the machines that should be heard, and those of them that are
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -188,7 +188,7 @@
 		}
 		delete(a.started, ref)
 	case cluster.TaskStopped:
-		a.own.Orders[e.Order.String()]++
+		a.own.Orders[e.Action.String()]++
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
 		if at, here := a.started[ref]; here && e.At-at < soon {
 			a.own.Needless[StoppedSoon]++
@@ -200,13 +200,13 @@
 			a.own.Needless[ReturnedSoon]++
 		}
 	case cluster.MachineLeft:
-		a.own.Orders[e.Order.String()]++
-		if e.Order == cluster.Return {
+		a.own.Orders[e.Action.String()]++
+		if e.Action == cluster.Return {
 			a.left[kindOf(e.Machine)] = e.At
 			if a.rented[e.Machine] {
 				a.own.Needless[RentedUnused]++
 			}
-		} else if e.Order == cluster.Delete {
+		} else if e.Action == cluster.Delete {
 			a.deleted[e.Machine] = true
 		}
 	case cluster.ReportTaken:
