--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -203,7 +203,7 @@
 	}
 	// Until it is known what runs, machines are rented only for urgent work that not
 	// even the whole fleet could hold: those not heard yet count as there.
-	settled := d.May(now, cluster.Rent)
+	settled := d.Permits(now, cluster.Rent)
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open && j.Finished < len(j.Tasks) && k.wants(j) && (settled || j.Priority >= urgent) {
 			open = append(open, j)
@@ -283,7 +283,7 @@
 	// Jobs that fit nowhere keep the machines that they could use, and no others: found on
 	// a day on which ordinary machines were refused as long as idle spot ones were there,
 	// and those stayed for a gang that may not use them.
-	if cheap <= have && (len(stuck) == 0 || len(requests) == 0) && d.May(now, cluster.Return) {
+	if cheap <= have && (len(stuck) == 0 || len(requests) == 0) && d.Permits(now, cluster.Return) {
 		// Against what is up: what is only asked for or boots may never come,
 		// while the cloud is out for instance.
 		d.shrink(now, k, yard, up, ordinary, picky, stuck)
@@ -613,7 +613,7 @@
 			}
 		}
 	}
-	if d.Cfg.Tunables.MoveSaved == 1 && d.May(now, cluster.Move) {
+	if d.Cfg.Tunables.MoveSaved == 1 && d.Permits(now, cluster.Move) {
 		d.StopAll(now, d.Plan.PlanMigrations(d.World(now)), cluster.Move)
 	}
 }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -158,7 +158,7 @@
 // Gate holds orders back for a while, after a start in which nobody led before.
 type Gate interface {
 	// May says whether orders of a kind may be given now.
-	May(now time.Duration, o Action) bool
+	Permits(now time.Duration, o Action) bool
 	// Patience is how long after the beginning of the term a machine that was not heard
 	// in it may be one that lives.
 	Patience() time.Duration
@@ -357,8 +357,10 @@
 	}
 }
 
-// May says whether orders of a kind may be given now.
-func (s *State) May(now time.Duration, o Action) bool { return s.Gate == nil || s.Gate.May(now, o) }
+// Permits says whether orders of a kind may be given now.
+func (s *State) Permits(now time.Duration, o Action) bool {
+	return s.Gate == nil || s.Gate.Permits(now, o)
+}
 
 // Patience is how long a machine may be silent that was not heard in this term yet.
 func (s *State) Patience() time.Duration {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -177,10 +177,10 @@
 		if c.answer(d); d.kind != c.want {
 			t.Errorf("%s: %v, want %v", c.name, d.kind, c.want)
 		}
-		if open := d.kind == ordinary; d.May(at, cluster.Rent) != open || d.May(at, cluster.Return) != open || d.May(at, cluster.Preempt) != open || d.May(at, cluster.Move) != open {
+		if open := d.kind == ordinary; d.Permits(at, cluster.Rent) != open || d.Permits(at, cluster.Return) != open || d.Permits(at, cluster.Preempt) != open || d.Permits(at, cluster.Move) != open {
 			t.Errorf("%s: it may rent: %v", c.name, !open)
 		}
-		if !d.May(at, cluster.StartAgain) || !d.May(at, cluster.Delete) {
+		if !d.Permits(at, cluster.StartAgain) || !d.Permits(at, cluster.Delete) {
 			t.Errorf("%s: what is proved must not wait", c.name)
 		}
 	}
@@ -286,7 +286,7 @@
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	d.Begin(0)
-	if d.kind != ordinary || !s.May(0, cluster.Rent) || s.Patience() != 0 {
+	if d.kind != ordinary || !s.Permits(0, cluster.Rent) || s.Patience() != 0 {
 		t.Errorf("kind %v", d.kind)
 	}
 	for _, e := range s.Take() {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -190,10 +190,10 @@
 	d.account.tick(d, now, sure)
 }
 
-// May says whether orders of a kind may be given now. Starts always may: what proves
+// Permits says whether orders of a kind may be given now. Starts always may: what proves
 // that a task may be started proves it here as well. Machines are rented and returned,
 // and tasks stopped for others or moved, only once the picture is settled.
-func (d *Duty) May(now time.Duration, o cluster.Action) bool {
+func (d *Duty) Permits(now time.Duration, o cluster.Action) bool {
 	if d.kind == ordinary || o == cluster.StartNew || o == cluster.StartAgain || o == cluster.Delete {
 		return true
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -154,7 +154,7 @@
 		return
 	}
 	d.pass(now)
-	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptAt >= preemptEvery && d.May(now, cluster.Preempt) {
+	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptAt >= preemptEvery && d.Permits(now, cluster.Preempt) {
 		d.preemptAt = now
 		d.StopAll(now, d.Plan.Preempt(d.World(now)), cluster.Preempt)
 	}
