--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -53,7 +53,7 @@
 	spend := func() bool { return d.calls.Take(now, 1) }
 	if !d.deleteBusy {
 		var list []string
-		for _, m := range d.Yard.All() {
+		for _, m := range d.Inventory.All() {
 			if m.Deleting && !m.ReturnUnrecorded && len(list) < 100 {
 				list = append(list, m.Name)
 			}
@@ -141,7 +141,7 @@
 		return
 	}
 	for _, l := range list {
-		m := d.Yard.Find(l.Machine.Name)
+		m := d.Inventory.Find(l.Machine.Name)
 		if m == nil && len(d.rentals) == 0 {
 			// Rented by a request whose answer was lost for good, or there from the start.
 			if m = d.AddMachine(now, l.Machine); m != nil {
@@ -175,7 +175,7 @@
 		last = max(last, l.Machine.Name)
 	}
 	n := 0
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		if m.Durable && !m.Deleting && m.Name < last && !there[m.Name] && (!m.Up || now-m.LastHeartbeat > d.Quiet()) {
 			d.Leave(now, m, cluster.Delete, "not in the cloud's list any more")
 			n++
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -92,7 +92,7 @@
 		r := d.rentals[e.RentalAnswer.Name]
 		delete(d.rentals, e.RentalAnswer.Name)
 		for _, n := range e.RentalAnswer.Machines {
-			if !d.registered[n] && !d.Yard.WasDeleted(n) {
+			if !d.registered[n] && !d.Inventory.WasDeleted(n) {
 				d.booting[n] = eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 			}
 		}
@@ -197,7 +197,7 @@
 // rentKind does so for one kind of machines.
 func (d *Duty) rentKind(now time.Duration, k *kind) {
 	var open []*jobs.Job
-	yard := slices.Clone(d.Yard.All())
+	yard := slices.Clone(d.Inventory.All())
 	if !k.all {
 		yard = slices.DeleteFunc(yard, func(m *workers.Machine) bool { return !k.has(d.Types[m.Type].GPUs) })
 	}
@@ -363,13 +363,13 @@
 // test with a spread array of which one zone had its half: nothing was rented in the other,
 // and the rest waited until the first half was done.
 func (d *Duty) somewhere(j *jobs.Job) bool {
-	return slices.ContainsFunc(d.Yard.All(), func(m *workers.Machine) bool { return !m.Draining && d.hasPlace(j, m) && j.ZoneAllows(m.Zone) })
+	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool { return !m.Draining && d.hasPlace(j, m) && j.ZoneAllows(m.Zone) })
 }
 
 // places is how many machines that stay may take tasks of a job.
 func (d *Duty) places(j *jobs.Job) int {
 	n := 0
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		if !m.Draining && d.hasPlace(j, m) {
 			n++
 		}
@@ -386,7 +386,7 @@
 		if j.Phase != jobs.Open || d.somewhere(j) {
 			continue
 		}
-		for _, m := range d.Yard.All() {
+		for _, m := range d.Inventory.All() {
 			if m.Draining && d.hasPlace(j, m) {
 				m.Draining = false
 				d.Dirty = true
@@ -448,7 +448,7 @@
 // were free.
 func (d *Duty) slots(j *jobs.Job) map[int32]int {
 	zones := map[int32]int{}
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		if d.mayTake(j, m) {
 			zones[m.Zone] += scheduler.TasksThatFit(j.Need, m.Cap)
 		}
@@ -639,7 +639,7 @@
 
 func (d *Duty) wanted(k *kind, cpus float64, spot bool, open []*jobs.Job) (w Want) {
 	w.Zones = map[string]float64{}
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
 	}
 	w.CPUs, w.Spot, w.Stay = cpus, spot, d.Cfg.Tunables.UsualStayS
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -65,7 +65,7 @@
 	Token      uint64 // of machines that have not changed their block
 	EventLog   *eventlog.Log
 	Jobs       *jobs.Table
-	Yard       *workers.Inventory
+	Inventory  *workers.Inventory
 	Book       *sizing.Estimator
 	Plan       *scheduler.Scheduler
 	Dirty      bool // something has changed that a pass should look at
@@ -195,7 +195,7 @@
 	}
 	s := &State{
 		Start: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
-		Jobs: jobs.NewTable(), Yard: workers.NewInventory(),
+		Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Book: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
 		Where: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
@@ -290,7 +290,7 @@
 // CPUs is the processors of the machines that report.
 func (s *State) CPUs() float64 {
 	var sum float64
-	for _, m := range s.Yard.All() {
+	for _, m := range s.Inventory.All() {
 		if m.Up && !m.Deleting {
 			sum += m.Cap.CPUs()
 		}
@@ -333,7 +333,7 @@
 // machine, on offer or on its way, none may run unseen, and none is shown where it does not
 // count.
 func (s *State) Quiescent(j *jobs.Job) bool {
-	return j.Placed == 0 && !s.MayRunUnseen(j) && !slices.ContainsFunc(s.Yard.All(), func(m *workers.Machine) bool { return slices.Contains(m.Orphans, j.Record.ID) })
+	return j.Placed == 0 && !s.MayRunUnseen(j) && !slices.ContainsFunc(s.Inventory.All(), func(m *workers.Machine) bool { return slices.Contains(m.Orphans, j.Record.ID) })
 }
 
 // mostMissing is the share of a team's limit that machines may take of which it is not
@@ -468,7 +468,7 @@
 // silent, by zone.
 func (s *State) Heard(now time.Duration) (up, silent []int) {
 	up, silent = make([]int, s.Zones.Len()), make([]int, s.Zones.Len())
-	for _, m := range s.Yard.All() {
+	for _, m := range s.Inventory.All() {
 		if m.Up || m.Durable {
 			up[m.Zone]++
 			if now-max(m.LastHeartbeat, s.Began) > s.Quiet() {
@@ -509,7 +509,7 @@
 
 // World is what the planner looks at.
 func (s *State) World(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Yard, Estimator: s.Book, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Book, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
@@ -519,7 +519,7 @@
 // AddMachine enters a machine; nil if it is there already, is gone for good, or
 // is of a type that is not known.
 func (s *State) AddMachine(now time.Duration, m eventlog.Machine) *workers.Machine {
-	if s.Yard.WasDeleted(m.Name) || s.Yard.Find(m.Name) != nil {
+	if s.Inventory.WasDeleted(m.Name) || s.Inventory.Find(m.Name) != nil {
 		return nil
 	}
 	i, ok := s.TypeNames.Lookup(m.Type)
@@ -527,7 +527,7 @@
 		return nil
 	}
 	ty := s.Types[i]
-	return s.Yard.Add(&workers.Machine{Name: m.Name, Address: m.Address, Type: i, Zone: s.Zones.Index(m.Zone), Spot: m.Spot,
+	return s.Inventory.Add(&workers.Machine{Name: m.Name, Address: m.Address, Type: i, Zone: s.Zones.Index(m.Zone), Spot: m.Spot,
 		Cap: resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB), CacheGB: ty.CacheGB, FetchGBPS: max(ty.FetchGBPS, 0.001), Token: s.Token, RentedAt: now, LastHeartbeat: now})
 }
 
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -35,7 +35,7 @@
 		for z, n := range c.up {
 			s.Zones.Index(fmt.Sprint(z))
 			for i := range n {
-				m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(z, " ", i), Zone: int32(z), Up: true, LastHeartbeat: now})
+				m := s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(z, " ", i), Zone: int32(z), Up: true, LastHeartbeat: now})
 				if i < c.mute[z] {
 					m.LastHeartbeat = now - 10*time.Second
 				}
@@ -69,7 +69,7 @@
 		s := New(Start{Cfg: cfg, Counts: &Counts{}})
 		j := s.Jobs.Add(eventlog.Job{ID: 1, Team: "team", Kind: c.kind, Tasks: 6, CPUs: 1})
 		j.Phase, j.Need = jobs.Open, resources.Need(1, 0, 0)
-		m := s.Yard.Add(&workers.Machine{Name: "m", Up: true, Cap: resources.Room(9, 0, 9), Free: resources.Room(9, 0, 9)})
+		m := s.Inventory.Add(&workers.Machine{Name: "m", Up: true, Cap: resources.Room(9, 0, 9), Free: resources.Room(9, 0, 9)})
 		for k := range 6 {
 			p := &workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, JobID: 1, Need: j.Need, Machine: m}
 			m.Plan(p)
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -124,7 +124,7 @@
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20, EstimateS: 60})
 	j.Phase, j.Earlier, j.UnresolvedMachines, j.FreshFrom = jobs.Open, true, 10, 10
 	for n := range 10 {
-		s.Yard.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
+		s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
 	d := New(s)
 	d.Replay(0, eventlog.Entry{Job: &eventlog.Job{ID: 1, AtMS: 1e6 + 60_000}})
@@ -192,7 +192,7 @@
 func TestAccount(t *testing.T) {
 	d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
-	j, all := d.Jobs.Find(1), d.Yard.All()
+	j, all := d.Jobs.Find(1), d.Inventory.All()
 	if d.kind != cold || d.account.own.Tasks != 10 || d.account.own.MostMS != 40_000 {
 		t.Fatalf("kind %v, account %+v", d.kind, d.account.own)
 	}
@@ -270,7 +270,7 @@
 // Work that is cancelled is back when its job leaves, not at the beginning.
 func TestCancelledWorkIsBack(t *testing.T) {
 	d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Cfg.Peers = nil })
-	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 107 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
+	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobLeft, Job: d.Jobs.Find(1)})
 	if d.account.own.BackMS != 7000 || !d.account.back() {
 		t.Errorf("back after %d ms", d.account.own.BackMS)
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -88,7 +88,7 @@
 	t := &d.Cfg.Tunables
 	unheard := make([]int, d.Zones.Len())
 	n := 0
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
 			unheard[m.Zone]++
 			n++
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -121,7 +121,7 @@
 	} else {
 		d.unanswered++
 	}
-	m := d.Yard.Find(machine)
+	m := d.Inventory.Find(machine)
 	if m == nil {
 		return // deleted meanwhile, and all that was on it
 	}
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -150,7 +150,7 @@
 // Begin notes that the log is read. A term that finds neither machines nor jobs
 // has taken nothing over.
 func (d *Duty) Begin(now time.Duration) {
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
 			d.unknown++
 		}
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -23,7 +23,7 @@
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
 	j.Phase, j.Earlier, j.UnresolvedMachines = 2, true, 10
 	for n := range 10 {
-		s.Yard.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
+		s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
 	d := New(s, 3)
 	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 is there twice, from a cleaning
@@ -52,7 +52,7 @@
 	var measures cluster.Measures
 	d := begun(&measures)
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
-	all := d.Yard.All()
+	all := d.Inventory.All()
 	for i, m := range all {
 		d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: at(13 + i), Machine: m, Report: &workers.Report{Token: m.Token}})
 		m.Resolved = true
@@ -106,11 +106,11 @@
 		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
 	}
 	d = begun(&cluster.Measures{})
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		m.Resolved = true
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
 	}
-	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 14 * time.Second, Machine: d.Yard.All()[0], Report: &workers.Report{}})
+	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 14 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
 	d.Jobs.Find(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
 	if d.EventLog.Pending() != 0 {
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -164,7 +164,7 @@
 	s.Jobs.Finish(8, jobs.Done)
 	s.Jobs.Finish(9, jobs.Cancelled)
 	for n := range 5 {
-		m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(n), Number: n + 1, Durable: true})
+		m := s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Number: n + 1, Durable: true})
 		m.Cap.CPU = 1 << n
 		if n == 4 {
 			m.Number = 0 // of a version that notes no grants
@@ -182,7 +182,7 @@
 			t.Errorf("against team %d count %d, want %d", team, got, want)
 		}
 	}
-	for _, m := range s.Yard.All() {
+	for _, m := range s.Inventory.All() {
 		s.Found(m)
 	}
 	for team, m := range s.World(0).UnresolvedUse {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -93,7 +93,7 @@
 		}
 	}
 	d.noted = nil
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
 			d.Expect(m)
 		}
@@ -103,7 +103,7 @@
 
 func (d *Duty) numbered() map[int]*workers.Machine {
 	out := map[int]*workers.Machine{}
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		out[m.Number] = m
 	}
 	return out
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -69,7 +69,7 @@
 	d.closed = false
 	var unheard []*workers.Machine
 	if unresolved > 0 {
-		for _, m := range d.Yard.All() {
+		for _, m := range d.Inventory.All() {
 			if m.Unresolved() {
 				unheard = append(unheard, m)
 				// A cancelled job whose needs are not known any more may be there, or
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -226,7 +226,7 @@
 		d.resolved = nil
 	case cluster.MachineResolved:
 		d.resolved = e.Machine // what its report shows is counted first
-		if d.Yard.Find(e.Machine.Name) == nil {
+		if d.Inventory.Find(e.Machine.Name) == nil {
 			d.loseUnseen(e.At, e.Machine)
 			d.resolved = nil
 		}
@@ -293,7 +293,7 @@
 		h := d.byJob[j.Index]
 		return h != nil && slices.ContainsFunc(h.needs, func(n need) bool { return wanted[n.pool] })
 	}
-	for _, m := range slices.Clone(d.Yard.All()) {
+	for _, m := range slices.Clone(d.Inventory.All()) {
 		if m.Deleting || !m.Durable || now-max(m.LastHeartbeat, d.Began) <= max(after, d.Quiet()) {
 			continue
 		}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -50,7 +50,7 @@
 	w.d = New(s)
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
 	s.Zones.Index("z")
-	w.m = s.Yard.Add(&workers.Machine{Name: "m", Durable: true, Resolved: true, Up: true})
+	w.m = s.Inventory.Add(&workers.Machine{Name: "m", Durable: true, Resolved: true, Up: true})
 	w.d.Begin(w.now)
 	if read {
 		w.read()
@@ -346,7 +346,7 @@
 func TestTakeover(t *testing.T) {
 	w := newWorld(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
 	w.lead(true)
-	m := w.d.Yard.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
+	m := w.d.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
 	w.d.Expect(m)
 	j := w.job("a", 8, 1, jobs.Array, per("p", 1))
 	j.Earlier, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
@@ -359,7 +359,7 @@
 		t.Errorf("%s %v", raw, err)
 	}
 	// It is gone without a word: what may have been there stays out for a while.
-	w.d.Yard.Remove("old")
+	w.d.Inventory.Remove("old")
 	w.d.Found(m)
 	j.UnresolvedMachines--
 	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -39,7 +39,7 @@
 	}
 	d.lookAt = now
 	from := settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) + slack
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		heard := max(m.LastHeartbeat, d.Began)
 		if len(d.asked) >= atOnce {
 			return
@@ -59,7 +59,7 @@
 
 // Asked takes whether a machine answered.
 func (d *Duty) Asked(machine string, ok bool) {
-	m := d.Yard.Find(machine)
+	m := d.Inventory.Find(machine)
 	heard, under := d.asked[machine]
 	delete(d.asked, machine)
 	if m == nil || !under || max(m.LastHeartbeat, d.Began) != heard {
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -157,7 +157,7 @@
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	for i := range 30 {
-		m := s.Yard.Add(&workers.Machine{Name: fmt.Sprint(i), Up: true, LastHeartbeat: 30 * time.Second, Shard: "b"})
+		m := s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(i), Up: true, LastHeartbeat: 30 * time.Second, Shard: "b"})
 		if i < 5 {
 			m.LastHeartbeat = 0
 		}
@@ -177,7 +177,7 @@
 	if list[0].Weight != 0.7 || !list[0].Ready || list[1].Weight != 1 || !list[1].Ready || list[1].Machines != 25 || list[2].Weight != 0.25 || list[2].Ready {
 		t.Errorf("%+v", list)
 	}
-	if to := d.RedirectTo(31*time.Second, s.Yard.Find("7")); to != "a" {
+	if to := d.RedirectTo(31*time.Second, s.Inventory.Find("7")); to != "a" {
 		t.Errorf("it goes to %q", to)
 	}
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -75,7 +75,7 @@
 		d.registry[e.Machine.Name] = *e.Machine
 	case e.DeletedMachines != nil:
 		for _, n := range e.DeletedMachines {
-			d.Yard.Remove(n)
+			d.Inventory.Remove(n)
 			delete(d.registry, n)
 		}
 	case e.Component != nil:
@@ -102,7 +102,7 @@
 	}
 	for _, r := range d.last {
 		for _, name := range r.Machines {
-			if m := d.Yard.Find(name); m != nil {
+			if m := d.Inventory.Find(name); m != nil {
 				m.Resolved = true
 				d.Leave(now, m, cluster.Return, "not needed, as the term before has noted")
 				d.empty = append(d.empty, name) // for the term after this one
@@ -138,7 +138,7 @@
 		var r returns
 		if json.Unmarshal(e.Component.Data, &r) == nil { // this term wrote it
 			for _, name := range r.Machines {
-				if m := d.Yard.Find(name); m != nil {
+				if m := d.Inventory.Find(name); m != nil {
 					m.ReturnUnrecorded = false
 				}
 			}
@@ -148,7 +148,7 @@
 	if e.Machine == nil {
 		return
 	}
-	if m := d.Yard.Find(e.Machine.Name); m != nil {
+	if m := d.Inventory.Find(e.Machine.Name); m != nil {
 		m.Durable = true
 		d.Dirty = true
 	}
@@ -163,11 +163,11 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return len(d.Yard.All()) * machineBytes }
+func (d *Duty) LiveBytes() int { return len(d.Inventory.All()) * machineBytes }
 
 // Compact writes anew what is live of an entry.
 func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
-	if e.Machine != nil && d.Yard.Find(e.Machine.Name) != nil {
+	if e.Machine != nil && d.Inventory.Find(e.Machine.Name) != nil {
 		d.EventLog.Append(eventlog.Entry{Machine: e.Machine})
 	}
 }
@@ -213,7 +213,7 @@
 	if life, ok := d.lives[in.Via]; ok && life != in.Life {
 		// The controller began anew and has forgotten what it took up: what is
 		// on offer by way of it must be settled before it is offered again.
-		for _, o := range d.Yard.All() {
+		for _, o := range d.Inventory.All() {
 			if o.Shard == in.Via {
 				d.freeze(o)
 			}
@@ -251,7 +251,7 @@
 	r := &in.Report
 	answer := effects.ReportAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
-	m := d.Yard.Find(r.Machine)
+	m := d.Inventory.Find(r.Machine)
 	diff := d.Squared.Count(d.square(m, r))
 	switch diff.Resolution() {
 	case reconcile.Ignore:
@@ -360,7 +360,7 @@
 // square names the difference between a machine, nil if it is not entered, and its report.
 func (d *Duty) square(m *workers.Machine, r *workers.Report) reconcile.Diff {
 	_, typed := d.TypeNames.Lookup(r.Type)
-	x := reconcile.Machine{Gone: d.Yard.WasDeleted(r.Machine), Typed: typed, Epoch: d.Epoch,
+	x := reconcile.Machine{Gone: d.Inventory.WasDeleted(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
 	if m != nil {
 		x.Known, x.Leaving, x.Session, x.Number, x.Token, x.Seen, x.Doubt = true, m.Deleting, m.Session, m.Seq, m.Token, m.HighestTokenSeen(), m.SuspectBelow
@@ -400,7 +400,7 @@
 
 // Started notes offers that the leader's own block has taken up.
 func (d *Duty) Started(now time.Duration, machine string, offers []workers.Offer) {
-	m := d.Yard.Find(machine)
+	m := d.Inventory.Find(machine)
 	for _, o := range offers {
 		if j := d.Jobs.Find(o.Start.Job); j != nil && m != nil {
 			if m.TaskStarted(workers.Ref{Job: j.Index, Task: int32(o.Start.Task)}) {
@@ -413,7 +413,7 @@
 // Deleted takes machines out that are gone, and all that was on them.
 func (d *Duty) Deleted(now time.Duration, list []string) {
 	for _, name := range list {
-		m := d.Yard.Find(name)
+		m := d.Inventory.Find(name)
 		if m == nil {
 			continue
 		}
@@ -431,7 +431,7 @@
 			m.RemovePlacement(ref)
 			d.event(now, m, ev)
 		}
-		d.Yard.Remove(name)
+		d.Inventory.Remove(name)
 		if m.Unresolved() {
 			d.resolved(now, m)
 		}
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -30,7 +30,7 @@
 			late = append(late, j)
 		}
 	}
-	for _, m := range slices.Clone(d.Yard.All()) {
+	for _, m := range slices.Clone(d.Inventory.All()) {
 		if m.Deleting {
 			continue
 		}
@@ -124,7 +124,7 @@
 		return nil
 	}
 	up, silent := make([]int, d.Zones.Len()), make([]int, d.Zones.Len())
-	for _, m := range d.Yard.All() {
+	for _, m := range d.Inventory.All() {
 		if m.Durable && !m.Deleting {
 			up[m.Zone]++
 			if now-max(m.LastHeartbeat, d.Began) > settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) {
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -266,7 +266,7 @@
 		d.shelf.push(n)
 	}
 	for name := range d.speeds {
-		if d.Yard.Find(name) == nil {
+		if d.Inventory.Find(name) == nil {
 			delete(d.speeds, name)
 		}
 	}
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -21,7 +21,7 @@
 		{Kind: settings.AimDeadline, Class: "b", Times: 1.5},
 	}
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
-	m := s.Yard.Add(&workers.Machine{Name: "m", Up: true})
+	m := s.Inventory.Add(&workers.Machine{Name: "m", Up: true})
 	m.Cap.CPU = 1_000_000
 	return New(s)
 }
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -139,8 +139,8 @@
 		if o := next.Jobs.Find(1); o == nil || o.DurableCount != 2000 {
 			t.Errorf("%s: the open job is read as %+v", name, o)
 		}
-		if len(next.Yard.All()) != 10 {
-			t.Errorf("%s: %d machines, want 10", name, len(next.Yard.All()))
+		if len(next.Inventory.All()) != 10 {
+			t.Errorf("%s: %d machines, want 10", name, len(next.Inventory.All()))
 		}
 		if got := len(next.Types[0].Zones); got != 80 {
 			t.Errorf("%s: %d zones, want 80", name, got)
@@ -196,8 +196,8 @@
 	if answers < 2 {
 		t.Fatal("the answer fitted into one entry: the test tests nothing")
 	}
-	if next := smallTerm(list); asked(next) != 0 || len(next.Yard.All()) != 50 {
-		t.Errorf("%d requests open, %d machines", asked(next), len(next.Yard.All()))
+	if next := smallTerm(list); asked(next) != 0 || len(next.Inventory.All()) != 50 {
+		t.Errorf("%d requests open, %d machines", asked(next), len(next.Inventory.All()))
 	}
 }
 
--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -53,7 +53,7 @@
 				now += 500 * time.Millisecond
 				b.StopTimer()
 				for i := range reports {
-					t.Yard.Find(reports[i].Report.Machine).LastHeartbeat = now
+					t.Inventory.Find(reports[i].Report.Machine).LastHeartbeat = now
 				}
 				b.StartTimer()
 				t.Tick(now, true)
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -97,7 +97,7 @@
 	for i := 0; ; i++ {
 		plain := map[int32]int64{}
 		left := 0
-		for _, m := range term.Yard.All() {
+		for _, m := range term.Inventory.All() {
 			if m.Durable && !m.Resolved {
 				left++
 				for _, team := range m.ClaimedByTeams {
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -33,7 +33,7 @@
 	log := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}},
 		{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}, {Job: &job}, {Grant: &eventlog.Grant{Job: 1, Machines: []int{1}}}}
 	term := smallTerm(log)
-	m := term.Yard.Find("host")
+	m := term.Inventory.Find("host")
 	if n, _ := term.Unresolved(); n != 1 || term.Jobs.Find(1).UnresolvedMachines != 1 {
 		t.Fatal("the machine is not waited for: the test tests nothing")
 	}
@@ -82,7 +82,7 @@
 		noted, deleted := false, false
 		for range 60 {
 			now += 250 * time.Millisecond
-			term.Yard.All()[0].LastHeartbeat = now // it is not silent
+			term.Inventory.All()[0].LastHeartbeat = now // it is not silent
 			term.Tick(now, true)
 			term.Flush(now)
 			for _, e := range term.Take() {
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -52,7 +52,7 @@
 				now += 500 * time.Millisecond
 				b.StopTimer()
 				for i := range reports { // nobody is silent
-					t.Yard.Find(reports[i].Report.Machine).LastHeartbeat = now
+					t.Inventory.Find(reports[i].Report.Machine).LastHeartbeat = now
 				}
 				b.StartTimer()
 				t.Tick(now, true)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -261,7 +261,7 @@
 	t.loaded = true
 	t.Dirty = true
 	registered, booting := 0, 0
-	for _, m := range t.Yard.All() {
+	for _, m := range t.Inventory.All() {
 		if m.Durable {
 			registered++
 		} else {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -98,7 +98,7 @@
 	}
 	s.Loaded, s.Unsaved = true, t.EventLog.Pending()
 	byHolder := map[string]*BlockStatus{}
-	for _, m := range t.Yard.All() {
+	for _, m := range t.Inventory.All() {
 		s.Machines = append(s.Machines, MachineStatus{Name: m.Name, Type: t.TypeNames.Name(m.Type), Zone: t.Zones.Name(m.Zone), Spot: m.Spot,
 			State: machineState(m), Holder: m.Shard, FreeCPUs: m.Free.CPUs(), Tasks: len(m.Tasks)})
 		if m.Shard == "" {
