--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -66,7 +66,7 @@
 	EventLog   *eventlog.Log
 	Jobs       *jobs.Table
 	Inventory  *workers.Inventory
-	Book       *sizing.Estimator
+	Estimator  *sizing.Estimator
 	Plan       *scheduler.Scheduler
 	Dirty      bool // something has changed that a pass should look at
 	Numbers    int  // last one given to a machine
@@ -196,7 +196,7 @@
 	s := &State{
 		Start: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
 		Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
-		Book: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
+		Estimator: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
 		Where: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
 	}
@@ -268,7 +268,7 @@
 	s.Plan.Refund(j.Team, j.Need)
 	j.Release(int(ref.Task))
 	s.GangEnds(j)
-	s.Book.Lost(ref.Job, int(ref.Task))
+	s.Estimator.Lost(ref.Job, int(ref.Task))
 	s.LeaveIfEmpty(j)
 	s.Dirty = true
 }
@@ -509,7 +509,7 @@
 
 // World is what the planner looks at.
 func (s *State) World(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Book, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -31,10 +31,10 @@
 	s.teams[team] = true
 	limit := resources.Room(t.CPUsMax, t.GPUsMax, 0)
 	s.Plan.Limits[team] = scheduler.Limit{CPU: limit.CPU, GPU: limit.GPU}
-	for int(team) >= len(s.Book.Limits) {
-		s.Book.Limits = append(s.Book.Limits, 0)
+	for int(team) >= len(s.Estimator.Limits) {
+		s.Estimator.Limits = append(s.Estimator.Limits, 0)
 	}
-	s.Book.Limits[team] = t.CPUsMax
+	s.Estimator.Limits[team] = t.CPUsMax
 	if s.Cfg.Tunables.GuaranteeFirst == 1 {
 		s.guarantee(team, resources.Room(t.CPUs, t.GPUs, 0))
 	}
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -41,7 +41,7 @@
 func (d *Duty) Begin(time.Duration) {
 	for id, s := range d.finals {
 		if j := d.Jobs.Find(id); j != nil {
-			d.Book.Restore(j.Index, true, s, s)
+			d.Estimator.Restore(j.Index, true, s, s)
 		}
 	}
 	d.finals = nil
@@ -52,18 +52,18 @@
 func (d *Duty) Restore(now time.Duration, list []eventlog.VirtualSize) {
 	for _, v := range list {
 		if j := d.Jobs.Find(v.ID); j != nil {
-			_, final := d.Book.Size(j.Index)
-			d.Book.Restore(j.Index, final, v.Size, v.Virtual)
+			_, final := d.Estimator.Size(j.Index)
+			d.Estimator.Restore(j.Index, final, v.Size, v.Virtual)
 		}
 	}
-	d.Book.Age(now.Seconds(), 0)
+	d.Estimator.Age(now.Seconds(), 0)
 }
 
 // Tick ages the sizes.
 func (d *Duty) Tick(now time.Duration, _ bool) {
 	if now-d.agedAt >= ageEvery {
 		d.agedAt = now
-		d.Book.Age(now.Seconds(), d.CPUs())
+		d.Estimator.Age(now.Seconds(), d.CPUs())
 	}
 }
 
@@ -77,9 +77,9 @@
 
 func (d *Duty) writeSizes() {
 	var list []eventlog.VirtualSize
-	for _, i := range d.Book.Order() {
-		if v := d.Book.Virtual(i); v > 0 {
-			s, _ := d.Book.Size(i)
+	for _, i := range d.Estimator.Order() {
+		if v := d.Estimator.Virtual(i); v > 0 {
+			s, _ := d.Estimator.Size(i)
 			list = append(list, eventlog.VirtualSize{ID: d.Jobs.At(i).Record.ID, Size: float64(int64(s*10)) / 10, Virtual: float64(int64(v*10)) / 10})
 		}
 	}
@@ -89,8 +89,8 @@
 
 // Settle sets final sizes that are due; each is written once.
 func (d *Duty) Settle(now time.Duration) {
-	for _, i := range d.Book.Order() {
-		if s, ok := d.Book.Settle(i, now.Seconds()); ok {
+	for _, i := range d.Estimator.Order() {
+		if s, ok := d.Estimator.Settle(i, now.Seconds()); ok {
 			d.EventLog.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Record.ID, Size: s}})
 			d.Dirty = true
 		}
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -119,9 +119,9 @@
 
 // order enters a job into the order.
 func (d *Duty) order(now time.Duration, j *jobs.Job) {
-	d.Book.Age(now.Seconds(), d.CPUs())
+	d.Estimator.Age(now.Seconds(), d.CPUs())
 	if j.Record.Kind != jobs.Service {
-		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
+		d.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 	}
 	d.Publish(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	d.Dirty = true
@@ -147,7 +147,7 @@
 	delete(d.cancelling, j.Record.ID)
 	d.Jobs.Finish(j.Record.ID, jobs.Cancelled)
 	d.Jobs.RemoveDependency(j)
-	d.Book.Remove(j.Index, false, 0, 0)
+	d.Estimator.Remove(j.Index, false, 0, 0)
 	d.LeaveIfEmpty(j)
 	d.Dirty = true
 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -85,7 +85,7 @@
 		j.RunSeconds += e.CompletedTasks.Seconds
 		j.RunCount += e.CompletedTasks.Known
 		if j.DurableCount == len(j.Tasks) {
-			d.Book.RestoreHistory(j.RunSeconds, j.RunCount)
+			d.Estimator.RestoreHistory(j.RunSeconds, j.RunCount)
 			d.isOver(j.Record.ID, jobs.Done)
 		}
 	case e.Dependencies != nil:
@@ -106,14 +106,14 @@
 		if j.Record.Kind == jobs.Service || j.Phase == jobs.Held {
 			continue
 		}
-		d.Book.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
+		d.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 		took := -1.0
 		if j.RunCount > 0 {
 			took = j.RunSeconds / float64(j.RunCount)
 		}
 		for k, s := range j.Tasks {
 			if s == jobs.DoneDurably {
-				d.Book.Completed(j.Index, k, took)
+				d.Estimator.Completed(j.Index, k, took)
 			}
 		}
 	}
@@ -181,7 +181,7 @@
 	}
 	j.Phase = jobs.Done
 	d.Jobs.Finish(done.ID, jobs.Done)
-	d.Book.Remove(j.Index, true, j.RunSeconds, j.RunCount)
+	d.Estimator.Remove(j.Index, true, j.RunSeconds, j.RunCount)
 	d.Publish(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 	d.LogMessage(effects.Debug, "job done", "job", j.Record.ID, "class", j.Record.Class, "tasks", len(j.Tasks), "mean", j.Mean(), "estimate", j.Record.EstimateS,
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
@@ -490,7 +490,7 @@
 	if len(noted.Ranges) > 0 {
 		d.appendTasks(now, noted)
 	}
-	if size, final := d.Book.Size(j.Index); final && size > 0 {
+	if size, final := d.Estimator.Size(j.Index); final && size > 0 {
 		d.EventLog.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: j.Record.ID, Size: size}})
 	}
 }
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -76,7 +76,7 @@
 		}
 		j.LastAt = now
 		j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
-		d.Book.Began(e.Ref.Job, k, now.Seconds())
+		d.Estimator.Began(e.Ref.Job, k, now.Seconds())
 		d.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: k, Machine: m})
 	case workers.EventCompleted:
 		if e.Running {
@@ -97,7 +97,7 @@
 		j.Complete(k)
 		d.GangEnds(j)
 		j.Errors, m.Errors = 0, 0
-		d.Book.Completed(e.Ref.Job, k, took)
+		d.Estimator.Completed(e.Ref.Job, k, took)
 		d.Publish(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, Took: took, Mine: d.Mine(e.Attempt), Machine: m})
 		d.Dirty = true
 	case workers.EventGone:
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -339,7 +339,7 @@
 		return
 	}
 	if e := d.estimate(now, j); e.Tasks > 0 {
-		d.Book.Expect(j.Index, e.Mean())
+		d.Estimator.Expect(j.Index, e.Mean())
 	}
 }
 
@@ -424,7 +424,7 @@
 		d.history.Ask(d.State, now, Name)
 		return
 	}
-	if now-d.lookedAt >= max(lookEvery, time.Duration(d.Book.Len())*lookRest) {
+	if now-d.lookedAt >= max(lookEvery, time.Duration(d.Estimator.Len())*lookRest) {
 		d.lookedAt = now
 		d.newDay(now)
 		d.look(now)
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -303,7 +303,7 @@
 	late := d.Jobs.Add(eventlog.Job{ID: 50, Class: "c", Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 18})
 	d.Plan.AddTeam()
 	late.Phase, late.AcceptedAt, late.Share = jobs.Open, w.now, 1
-	d.Book.Add(late.Index, 0, 8, 1, false)
+	d.Estimator.Add(late.Index, 0, 8, 1, false)
 	learned := d.learned(d.estimate(w.now, late))
 	if learned < 20*time.Second || learned > 60*time.Second {
 		t.Fatalf("the learned deadline is %v", learned)
@@ -575,9 +575,9 @@
 		d.Cfg.Tunables.LearnedSizes = c.on
 		j := d.Jobs.Add(eventlog.Job{ID: uint64(50 + i), Class: c.class, Team: "t", Image: c.class, Tasks: 8, CPUs: 1})
 		j.Phase = jobs.Open
-		d.Book.Add(j.Index, 0, 8, 1, false)
+		d.Estimator.Add(j.Index, 0, 8, 1, false)
 		d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, Job: j})
-		if got, _ := d.Book.Size(j.Index); math.Abs(got/c.want-1) > .2 {
+		if got, _ := d.Estimator.Size(j.Index); math.Abs(got/c.want-1) > .2 {
 			t.Errorf("%+v: its size is %v", c, got)
 		}
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -268,7 +268,7 @@
 			booting++
 		}
 	}
-	t.LogMessage(effects.Info, "term begun", "epoch", t.Epoch, "jobs", t.Book.Len(), "machines", registered, "booting", booting, "segments", log.Last-log.First+1)
+	t.LogMessage(effects.Info, "term begun", "epoch", t.Epoch, "jobs", t.Estimator.Len(), "machines", registered, "booting", booting, "segments", log.Last-log.First+1)
 }
 
 // unknown says once in a term that the log has entries of a duty that this
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -151,8 +151,8 @@
 }
 
 func jobStatus(t *term.Term, j *jobs.Job) JobStatus {
-	size, final := t.Book.Size(j.Index)
-	return JobStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Virtual: t.Book.Virtual(j.Index), Size: size, Final: final,
+	size, final := t.Estimator.Size(j.Index)
+	return JobStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Virtual: t.Estimator.Virtual(j.Index), Size: size, Final: final,
 		Waiting: j.Waiting, Placed: j.Placed, Finished: j.Finished}
 }
 
