--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -461,7 +461,7 @@
 // so that machines stay as long as they are in use; without, it counts the
 // half that is left of it on average.
 func (d *Duty) demand(open []*jobs.Job, horizon float64, keep bool) float64 {
-	perTeam := make([]float64, len(d.Plan.Limits))
+	perTeam := make([]float64, len(d.Scheduler.Limits))
 	for _, j := range open {
 		left := float64(len(j.Tasks) - j.Finished)
 		tasks := left
@@ -479,7 +479,7 @@
 	}
 	var sum float64
 	for team, cpus := range perTeam {
-		if l := d.Plan.Limits[team].CPU; l > 0 {
+		if l := d.Scheduler.Limits[team].CPU; l > 0 {
 			cpus = min(cpus, float64(l)/1000)
 		}
 		sum += cpus
@@ -614,7 +614,7 @@
 		}
 	}
 	if d.Cfg.Tunables.MoveSaved == 1 && d.Permits(now, cluster.Move) {
-		d.StopAll(now, d.Plan.PlanMigrations(d.World(now)), cluster.Move)
+		d.StopAll(now, d.Scheduler.PlanMigrations(d.World(now)), cluster.Move)
 	}
 }
 
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -67,7 +67,7 @@
 	Jobs       *jobs.Table
 	Inventory  *workers.Inventory
 	Estimator  *sizing.Estimator
-	Plan       *scheduler.Scheduler
+	Scheduler  *scheduler.Scheduler
 	Dirty      bool // something has changed that a pass should look at
 	Numbers    int  // last one given to a machine
 	Teams      intern.Names
@@ -200,14 +200,14 @@
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
 		Where: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
 	}
-	s.Plan = scheduler.New(nil, cfg.Tunables.TrainingAtOnce)
+	s.Scheduler = scheduler.New(nil, cfg.Tunables.TrainingAtOnce)
 	for _, team := range cfg.Deployment.Teams {
 		s.SetTeam(team)
 	}
-	s.Plan.Locality = settings.Seconds(cfg.Tunables.LocalityS)
-	s.Plan.Affinity = cfg.Tunables.ZoneAffinityS
-	s.Plan.BeginWithin = settings.Seconds(cfg.Tunables.BeginWithinS)
-	s.Plan.UrgentFirst = cfg.Tunables.UrgentFirst == 1
+	s.Scheduler.Locality = settings.Seconds(cfg.Tunables.LocalityS)
+	s.Scheduler.Affinity = cfg.Tunables.ZoneAffinityS
+	s.Scheduler.BeginWithin = settings.Seconds(cfg.Tunables.BeginWithinS)
+	s.Scheduler.UrgentFirst = cfg.Tunables.UrgentFirst == 1
 	return s
 }
 
@@ -265,7 +265,7 @@
 	delete(s.Where, ref)
 	j := s.Jobs.At(ref.Job)
 	j.CountInZone(p.Machine.Zone, -1)
-	s.Plan.Refund(j.Team, j.Need)
+	s.Scheduler.Refund(j.Team, j.Need)
 	j.Release(int(ref.Task))
 	s.GangEnds(j)
 	s.Estimator.Lost(ref.Job, int(ref.Task))
@@ -310,7 +310,7 @@
 	if m.Number == 0 {
 		s.blind += by
 	}
-	for len(s.missing) < len(s.Plan.Limits) {
+	for len(s.missing) < len(s.Scheduler.Limits) {
 		s.missing = append(s.missing, resources.Amounts{})
 	}
 	for team := range s.missing {
@@ -343,7 +343,7 @@
 // Crowded says whether machines that are not resolved hold a team back at its limit.
 func (s *State) Crowded() bool {
 	for team, x := range s.missing {
-		if l := s.Plan.Limits[team]; (l.CPU > 0 && float64(x.CPU) > mostMissing*float64(l.CPU)) || (l.GPU > 0 && float64(x.GPU) > mostMissing*float64(l.GPU)) {
+		if l := s.Scheduler.Limits[team]; (l.CPU > 0 && float64(x.CPU) > mostMissing*float64(l.CPU)) || (l.GPU > 0 && float64(x.GPU) > mostMissing*float64(l.GPU)) {
 			return true
 		}
 	}
@@ -509,7 +509,7 @@
 
 // World is what the planner looks at.
 func (s *State) World(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Plan.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -75,7 +75,7 @@
 			m.Plan(p)
 			p.Planned = k >= c.begun
 			s.Where[p.Ref] = p
-			s.Plan.Charge(j.Team, j.Need)
+			s.Scheduler.Charge(j.Team, j.Need)
 			j.Place(k)
 		}
 		s.SetTeam(settings.Team{Name: "team", CPUsMax: c.limit})
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -14,8 +14,8 @@
 // TeamIndex is the index of a team, of the configuration or not. One that is not has no limit.
 func (s *State) TeamIndex(name string) int32 {
 	team := s.Teams.Index(name)
-	for int(team) >= len(s.Plan.Limits) {
-		s.Plan.AddTeam()
+	for int(team) >= len(s.Scheduler.Limits) {
+		s.Scheduler.AddTeam()
 		s.teams = append(s.teams, false)
 	}
 	return team
@@ -30,7 +30,7 @@
 	team := s.TeamIndex(t.Name)
 	s.teams[team] = true
 	limit := resources.Room(t.CPUsMax, t.GPUsMax, 0)
-	s.Plan.Limits[team] = scheduler.Limit{CPU: limit.CPU, GPU: limit.GPU}
+	s.Scheduler.Limits[team] = scheduler.Limit{CPU: limit.CPU, GPU: limit.GPU}
 	for int(team) >= len(s.Estimator.Limits) {
 		s.Estimator.Limits = append(s.Estimator.Limits, 0)
 	}
@@ -54,17 +54,17 @@
 }
 
 func (s *State) guarantee(team int32, g resources.Amounts) {
-	for int(team) >= len(s.Plan.Guarantees) {
-		s.Plan.Guarantees = append(s.Plan.Guarantees, scheduler.Limit{})
+	for int(team) >= len(s.Scheduler.Guarantees) {
+		s.Scheduler.Guarantees = append(s.Scheduler.Guarantees, scheduler.Limit{})
 	}
-	s.Plan.Guarantees[team] = scheduler.Limit{CPU: g.CPU, GPU: g.GPU}
+	s.Scheduler.Guarantees[team] = scheduler.Limit{CPU: g.CPU, GPU: g.GPU}
 }
 
 // takeBackAbove takes back plans of a team, the last tasks first, until what is left is within
 // its limit. Of a gang all or none are taken back: none where one may have begun.
 func (s *State) takeBackAbove(team int32) {
-	left := s.Plan.Use(team)
-	if s.Plan.Limits[team].Covers(left) {
+	left := s.Scheduler.Use(team)
+	if s.Scheduler.Limits[team].Covers(left) {
 		return
 	}
 	var planned []*workers.Placement
@@ -86,7 +86,7 @@
 	whole := int32(-1) // the gang of which all is taken back
 	for _, p := range planned {
 		job := p.Ref.Job
-		if begun[job] || (job != whole && s.Plan.Limits[team].Covers(left)) {
+		if begun[job] || (job != whole && s.Scheduler.Limits[team].Covers(left)) {
 			continue
 		}
 		if s.Jobs.At(job).Record.Kind == jobs.Gang {
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -86,7 +86,7 @@
 	if j.Kind != jobs.Array {
 		all = need.Times(j.Tasks)
 	}
-	l := d.Plan.Limits[team]
+	l := d.Scheduler.Limits[team]
 	if (l.CPU > 0 && all.CPU > l.CPU) || (l.GPU > 0 && all.GPU > l.GPU) {
 		return "more than the team's limit"
 	}
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -156,7 +156,7 @@
 	s := placer(2, 1, 0).State
 	for _, team := range []string{"a", "b", "c"} {
 		s.Teams.Index(team)
-		s.Plan.AddTeam()
+		s.Scheduler.AddTeam()
 	}
 	for id := range 3 {
 		s.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 1}).Team = int32(id)
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -156,7 +156,7 @@
 	d.pass(now)
 	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptAt >= preemptEvery && d.Permits(now, cluster.Preempt) {
 		d.preemptAt = now
-		d.StopAll(now, d.Plan.Preempt(d.World(now)), cluster.Preempt)
+		d.StopAll(now, d.Scheduler.Preempt(d.World(now)), cluster.Preempt)
 	}
 }
 
@@ -239,7 +239,7 @@
 			d.Units.TaskRemoved(j)
 		}
 	}
-	d.Counts.LeftWaiting += uint64(d.Plan.RunCycle(w))
+	d.Counts.LeftWaiting += uint64(d.Scheduler.RunCycle(w))
 	d.PlannedOn = slices.DeleteFunc(d.PlannedOn, func(m *workers.Machine) bool {
 		m.HasPlansListed = m.HasPlans()
 		return !m.HasPlansListed
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -193,7 +193,7 @@
 			never++
 		}
 	}
-	use := d.Plan.Use(index)
+	use := d.Scheduler.Use(index)
 	switch {
 	case !known:
 		return fmt.Sprintf("%s: %d open jobs go on, and no new one is taken", c.Item, open)
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -40,7 +40,7 @@
 	switch e.Kind {
 	case workers.EventAdopted:
 		j.Place(k)
-		d.Plan.Charge(j.Team, j.Need)
+		d.Scheduler.Charge(j.Team, j.Need)
 		j.CountInZone(m.Zone, 1)
 		d.Where[e.Ref] = e.Placement
 		d.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
@@ -90,7 +90,7 @@
 		}
 		if d.Where[e.Ref] != nil {
 			delete(d.Where, e.Ref)
-			d.Plan.Refund(j.Team, j.Need)
+			d.Scheduler.Refund(j.Team, j.Need)
 			j.CountInZone(m.Zone, -1)
 		}
 		d.Counts.TasksDone++
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -301,7 +301,7 @@
 		w.job(d, id+1, "c", 18)
 	}
 	late := d.Jobs.Add(eventlog.Job{ID: 50, Class: "c", Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 18})
-	d.Plan.AddTeam()
+	d.Scheduler.AddTeam()
 	late.Phase, late.AcceptedAt, late.Share = jobs.Open, w.now, 1
 	d.Estimator.Add(late.Index, 0, 8, 1, false)
 	learned := d.learned(d.estimate(w.now, late))
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -64,7 +64,7 @@
 	var out []Forecast
 	at := map[int32]int{} // by job index
 	ahead := 0.0          // processor seconds
-	for _, i := range d.Plan.JobOrder(&w) {
+	for _, i := range d.Scheduler.JobOrder(&w) {
 		j := d.Jobs.At(i)
 		f, work := d.forecast(now, j, ahead/cpus, cpus)
 		ahead += work
@@ -113,7 +113,7 @@
 	e := d.estimate(now, j)
 	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kind(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
 	each := max(j.Share, j.Need.CPUs(), 0.001)
-	if l := d.Plan.Limits[j.Team].CPU; l > 0 {
+	if l := d.Scheduler.Limits[j.Team].CPU; l > 0 {
 		cpus = min(cpus, float64(l)/1000)
 	}
 	abreast := max(1, min(float64(j.Waiting+j.Placed), cpus/each))
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -118,7 +118,7 @@
 	slices.SortFunc(s.Blocks, func(a, b BlockStatus) int { return compare(a.Holder, b.Holder) })
 	slices.SortFunc(s.Machines, func(a, b MachineStatus) int { return compare(a.Name, b.Name) })
 	w := t.World(now)
-	for _, i := range t.Plan.JobOrder(&w) {
+	for _, i := range t.Scheduler.JobOrder(&w) {
 		s.Queue = append(s.Queue, jobStatus(t, t.Jobs.At(i)))
 	}
 	for _, j := range t.Jobs.All() {
@@ -184,7 +184,7 @@
 	js := jobStatus(t, j)
 	e.Job = &js
 	w := t.World(now)
-	for n, i := range t.Plan.JobOrder(&w) {
+	for n, i := range t.Scheduler.JobOrder(&w) {
 		if i == j.Index {
 			e.Place = n + 1
 		}
@@ -227,7 +227,7 @@
 	if e.Place > 0 {
 		say("it is number %d in the order", e.Place)
 	}
-	for _, why := range t.Plan.Explain(w, j) {
+	for _, why := range t.Scheduler.Explain(w, j) {
 		say("%s", why)
 	}
 	return e, true
