--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -74,7 +74,7 @@
 	Zones      intern.Names
 	Images     intern.Names
 	Types      []eventlog.MachineType // by index of TypeNames
-	Where      map[workers.Ref]*workers.Placement
+	Placements map[workers.Ref]*workers.Placement
 	Units      scheduler.Pools      // nil: there are no pools
 	Gate       Gate                 // nil: nothing is held back
 	StartPacer StartPacer           // nil: starts are not paced
@@ -198,7 +198,7 @@
 		Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
-		Where: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
+		Placements: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
 	}
 	s.Scheduler = scheduler.New(nil, cfg.Tunables.TrainingAtOnce)
 	for _, team := range cfg.Deployment.Teams {
@@ -258,11 +258,11 @@
 
 // Lift takes a task off its machine in the books of jobs, teams and sizes.
 func (s *State) Lift(ref workers.Ref) {
-	p := s.Where[ref]
+	p := s.Placements[ref]
 	if p == nil {
 		return
 	}
-	delete(s.Where, ref)
+	delete(s.Placements, ref)
 	j := s.Jobs.At(ref.Job)
 	j.CountInZone(p.Machine.Zone, -1)
 	s.Scheduler.Refund(j.Team, j.Need)
@@ -404,7 +404,7 @@
 	}
 	for k := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		if q := s.Where[ref]; q != nil && !q.Planned && !q.Stopping {
+		if q := s.Placements[ref]; q != nil && !q.Planned && !q.Stopping {
 			q.Stopping, q.GraceSeconds = true, grace
 		}
 	}
@@ -427,7 +427,7 @@
 	j.GangFailed = true
 	for k, task := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		p := s.Where[ref]
+		p := s.Placements[ref]
 		if task != jobs.Placed || p == nil {
 			continue
 		}
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -74,13 +74,13 @@
 			p := &workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, JobID: 1, Need: j.Need, Machine: m}
 			m.Plan(p)
 			p.Planned = k >= c.begun
-			s.Where[p.Ref] = p
+			s.Placements[p.Ref] = p
 			s.Scheduler.Charge(j.Team, j.Need)
 			j.Place(k)
 		}
 		s.SetTeam(settings.Team{Name: "team", CPUsMax: c.limit})
 		planned, begun := 0, 0
-		for _, p := range s.Where {
+		for _, p := range s.Placements {
 			if p.Planned {
 				planned++
 			} else {
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -69,7 +69,7 @@
 	}
 	var planned []*workers.Placement
 	begun := map[int32]bool{} // gangs
-	for ref, p := range s.Where {
+	for ref, p := range s.Placements {
 		j := s.Jobs.At(ref.Job)
 		gang := j.Record.Kind == jobs.Gang
 		switch {
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -67,7 +67,7 @@
 	for _, p := range d.Prompt {
 		m := p.Machine
 		switch {
-		case !p.Planned || d.Where[p.Ref] != p: // it has gone the ordinary way, or was taken back
+		case !p.Planned || d.Placements[p.Ref] != p: // it has gone the ordinary way, or was taken back
 		case done[m] || d.under >= d.Cfg.Tunables.DirectStarts || d.FewTokens() || !d.free(now, m):
 			kept = append(kept, p)
 		default:
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -315,7 +315,7 @@
 	on := map[*workers.Machine]bool{}
 	for k, s := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		if p := d.Where[ref]; s == jobs.Placed && p != nil {
+		if p := d.Placements[ref]; s == jobs.Placed && p != nil {
 			if p.Planned {
 				d.TakeBack(p)
 			} else {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -216,7 +216,7 @@
 		j.Place(k)
 		j.CountInZone(m.Zone, 1)
 		p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Record.Kind == jobs.Gang || j.ZoneRule(), StartNow: j.Prompt}
-		d.Where[ref] = p
+		d.Placements[ref] = p
 		if j.Record.Kind == jobs.Gang {
 			if j.GangAttempt == 0 {
 				j.GangAttempt = d.Attempt()
@@ -234,7 +234,7 @@
 		m.UseImage(j.Image, j.Record.ImageGB, now)
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
-		d.TakeBack(d.Where[workers.Ref{Job: j.Index, Task: int32(k)}])
+		d.TakeBack(d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}])
 		if d.Units != nil {
 			d.Units.TaskRemoved(j)
 		}
@@ -245,7 +245,7 @@
 		return !m.HasPlansListed
 	})
 	for _, p := range d.planned {
-		if m := p.Machine; d.Where[p.Ref] == p {
+		if m := p.Machine; d.Placements[p.Ref] == p {
 			d.ListPlans(m)
 			if p.StartNow {
 				d.Prompt = append(d.Prompt, p)
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -94,7 +94,7 @@
 		return nil, fmt.Errorf("pools: receipt: no such task is running")
 	}
 	h := d.byJob[j.Index]
-	t := d.Where[workers.Ref{Job: j.Index, Task: int32(in.Task)}]
+	t := d.Placements[workers.Ref{Job: j.Index, Task: int32(in.Task)}]
 	switch {
 	case h == nil:
 		return nil, fmt.Errorf("pools: receipt: the job needs no units")
@@ -164,7 +164,7 @@
 		h := d.byJob[j.Index]
 		return h != nil && h.begun
 	}
-	t := d.Where[workers.Ref{Job: j.Index, Task: key.task}]
+	t := d.Placements[workers.Ref{Job: j.Index, Task: key.task}]
 	return t != nil && t.Attempt == p.attempt
 }
 
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -124,7 +124,7 @@
 				j.Place(k)
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
 				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.m, Attempt: w.d.Attempt()}
-				w.d.Where[ref], w.m.Tasks[ref] = p, p
+				w.d.Placements[ref], w.m.Tasks[ref] = p, p
 				w.d.TaskPlaced(j)
 				n++
 			}
@@ -137,7 +137,7 @@
 // done has a placed task complete.
 func (w *world) done(j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
-	delete(w.d.Where, ref)
+	delete(w.d.Placements, ref)
 	delete(w.m.Tasks, ref)
 	j.Complete(k)
 	w.d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.m})
@@ -497,7 +497,7 @@
 		return r, err
 	}
 	at := func(j *jobs.Job, k int) *workers.Placement {
-		return w.d.Where[workers.Ref{Job: j.Index, Task: int32(k)}]
+		return w.d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
 	}
 	if _, err := ask(a, 0, 1); err == nil {
 		t.Error("another attempt gets a receipt")
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -137,7 +137,7 @@
 	j := h.job
 	for k, s := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		t := d.Where[ref]
+		t := d.Placements[ref]
 		if s != jobs.Placed || t == nil {
 			continue
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -23,10 +23,10 @@
 		return workers.TaskRecord{}, false
 	}
 	ref := workers.Ref{Job: j.Index, Task: int32(task)}
-	if p := d.Where[ref]; here && p != nil && p.Planned && len(p.Offered) == 0 {
+	if p := d.Placements[ref]; here && p != nil && p.Planned && len(p.Offered) == 0 {
 		d.TakeBack(p)
 	}
-	p := d.Where[ref]
+	p := d.Placements[ref]
 	elsewhere := p != nil && (p.Machine != m || p.Planned)
 	s := j.Tasks[task]
 	return workers.TaskRecord{Ref: ref, Need: j.Need, Image: j.Image, ImageGB: j.Record.ImageGB,
@@ -42,7 +42,7 @@
 		j.Place(k)
 		d.Scheduler.Charge(j.Team, j.Need)
 		j.CountInZone(m.Zone, 1)
-		d.Where[e.Ref] = e.Placement
+		d.Placements[e.Ref] = e.Placement
 		d.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
 		if j.Record.Kind == jobs.Gang {
@@ -88,8 +88,8 @@
 			j.RunSeconds += took
 			j.RunCount++
 		}
-		if d.Where[e.Ref] != nil {
-			delete(d.Where, e.Ref)
+		if d.Placements[e.Ref] != nil {
+			delete(d.Placements, e.Ref)
 			d.Scheduler.Refund(j.Team, j.Need)
 			j.CountInZone(m.Zone, -1)
 		}
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -226,7 +226,7 @@
 		if s != jobs.Placed {
 			continue
 		}
-		p := d.Where[workers.Ref{Job: j.Index, Task: int32(k)}]
+		p := d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
 		switch {
 		case p == nil || p.Planned:
 		case p.Runs():
