--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -83,7 +83,7 @@
 	attempts   uint64
 	tokens     uint64
 
-	Squared *reconcile.Tally // differences between what was stored and reports, in this term
+	Reconciled *reconcile.Tally // differences between what was stored and reports, in this term
 
 	TypeNames intern.Names
 	PlannedOn []*workers.Machine // all on which tasks may be planned
@@ -198,7 +198,7 @@
 		Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
-		Placements: map[workers.Ref]*workers.Placement{}, Squared: &reconcile.Tally{},
+		Placements: map[workers.Ref]*workers.Placement{}, Reconciled: &reconcile.Tally{},
 	}
 	s.Scheduler = scheduler.New(nil, cfg.Tunables.TrainingAtOnce)
 	for _, team := range cfg.Deployment.Teams {
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -262,7 +262,7 @@
 // count takes over what was found different so far.
 func (a *account) count(d *Duty) {
 	a.own.Differences = map[string]uint64{}
-	d.Squared.Each(func(x reconcile.Diff, n uint64) {
+	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
 		if s := x.Resolution(); s != reconcile.Keep {
 			a.own.Differences[x.String()] = n
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -46,7 +46,7 @@
 		d.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: k, Machine: m})
 		d.stopIfCancelling(j, e.Placement)
 		if j.Record.Kind == jobs.Gang {
-			diff := d.Squared.Count(reconcile.Gang(j.GangAttempt, e.Attempt))
+			diff := d.Reconciled.Count(reconcile.Gang(j.GangAttempt, e.Attempt))
 			if diff == reconcile.GangFound {
 				j.GangAttempt = e.Attempt
 			}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -252,7 +252,7 @@
 	answer := effects.ReportAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	m := d.Inventory.Find(r.Machine)
-	diff := d.Squared.Count(d.square(m, r))
+	diff := d.Reconciled.Count(d.square(m, r))
 	switch diff.Resolution() {
 	case reconcile.Ignore:
 		if m != nil {
@@ -305,7 +305,7 @@
 		d.offersLost(now, m)
 	}
 	before := m.Resolved
-	events, cmds := m.ApplyStatus(now, r, m.Token, d.Squared, func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
+	events, cmds := m.ApplyStatus(now, r, m.Token, d.Reconciled, func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
 		return d.known(m, job, task, here)
 	})
 	if m.Resolved != before {
