--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -489,10 +489,10 @@
 
 // units is how many more tasks of a job that needs counted units could have them.
 func (d *Duty) units(j *jobs.Job) int {
-	if d.Units == nil {
+	if d.Pools == nil {
 		return 0
 	}
-	return d.Units.Most(j)
+	return d.Pools.Most(j)
 }
 
 // horizon is the time in which a job's work should be done if need be by
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -75,7 +75,7 @@
 	Images     intern.Names
 	Types      []eventlog.MachineType // by index of TypeNames
 	Placements map[workers.Ref]*workers.Placement
-	Units      scheduler.Pools      // nil: there are no pools
+	Pools      scheduler.Pools      // nil: there are no pools
 	Gate       Gate                 // nil: nothing is held back
 	StartPacer StartPacer           // nil: starts are not paced
 	Rebalancer Rebalancer           // nil: machines stay where they report
@@ -509,7 +509,7 @@
 
 // World is what the planner looks at.
 func (s *State) World(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Units, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -37,11 +37,11 @@
 		return
 	}
 	if len(s.Job.Counted) > 0 {
-		if d.Units == nil {
+		if d.Pools == nil {
 			d.Emit(effects.Reply{To: to, Answer: effects.Unavailable("counted: the leader has no pools in its settings")})
 			return
 		}
-		if why := d.Units.Never(s.Job); why != "" {
+		if why := d.Pools.Never(s.Job); why != "" {
 			d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 422, Why: why}})
 			return
 		}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -228,15 +228,15 @@
 		if d.StartPacer != nil {
 			d.StartPacer.TaskStarted(now, m)
 		}
-		if d.Units != nil {
-			d.Units.TaskPlaced(j)
+		if d.Pools != nil {
+			d.Pools.TaskPlaced(j)
 		}
 		m.UseImage(j.Image, j.Record.ImageGB, now)
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
 		d.TakeBack(d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}])
-		if d.Units != nil {
-			d.Units.TaskRemoved(j)
+		if d.Pools != nil {
+			d.Pools.TaskRemoved(j)
 		}
 	}
 	d.Counts.LeftWaiting += uint64(d.Scheduler.RunCycle(w))
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -118,7 +118,7 @@
 			p.shares[team], p.teams[team] = int64(share.Units), &tally{}
 		}
 	}
-	s.Units = d
+	s.Pools = d
 	return d
 }
 
