--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -136,7 +136,7 @@
 	if sure {
 		d.rent(now)
 	}
-	d.Dirty = true
+	d.NeedsCycle = true
 }
 
 // AfterCycle calls the cloud.
@@ -236,7 +236,7 @@
 			m.Draining = false
 			have += m.Cap.CPUs()
 			up += m.Cap.CPUs()
-			d.Dirty = true
+			d.NeedsCycle = true
 		}
 	}
 	bound := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool { return j.Spot })
@@ -251,7 +251,7 @@
 		if need > ordinary && m.Draining && !m.Deleting && !m.Spot {
 			m.Draining = false
 			ordinary += m.Cap.CPUs()
-			d.Dirty = true
+			d.NeedsCycle = true
 		}
 	}
 	k.boundPeak.add(now, d.window(d.Cfg.Tunables.IdleReturnS), need)
@@ -389,7 +389,7 @@
 		for _, m := range d.Inventory.All() {
 			if m.Draining && d.hasPlace(j, m) {
 				m.Draining = false
-				d.Dirty = true
+				d.NeedsCycle = true
 				break
 			}
 		}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -68,7 +68,7 @@
 	Inventory  *workers.Inventory
 	Estimator  *sizing.Estimator
 	Scheduler  *scheduler.Scheduler
-	Dirty      bool // something has changed that a pass should look at
+	NeedsCycle bool // something has changed that a pass should look at
 	Numbers    int  // last one given to a machine
 	Teams      intern.Names
 	Zones      intern.Names
@@ -270,7 +270,7 @@
 	s.GangEnds(j)
 	s.Estimator.Lost(ref.Job, int(ref.Task))
 	s.LeaveIfEmpty(j)
-	s.Dirty = true
+	s.NeedsCycle = true
 }
 
 // LeaveIfEmpty takes a job that is over out of the table once none of its tasks
@@ -456,7 +456,7 @@
 	}
 	m.Deleting, m.Why = true, why
 	s.TakeBackAll(m)
-	s.Dirty = true
+	s.NeedsCycle = true
 	if len(m.Tasks) > 0 {
 		s.Counts.MachinesLost++
 	}
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -39,7 +39,7 @@
 		s.guarantee(team, resources.Room(t.CPUs, t.GPUs, 0))
 	}
 	s.takeBackAbove(team)
-	s.Dirty = true
+	s.NeedsCycle = true
 }
 
 // RemoveTeam has a team submit nothing more. Its open jobs go on under its limit, without a
@@ -50,7 +50,7 @@
 	if s.Cfg.Tunables.GuaranteeFirst == 1 {
 		s.guarantee(team, resources.Amounts{})
 	}
-	s.Dirty = true
+	s.NeedsCycle = true
 }
 
 func (s *State) guarantee(team int32, g resources.Amounts) {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -156,7 +156,7 @@
 
 func (d *Duty) decide(now time.Duration, k kind) {
 	d.kind = k
-	d.Dirty = true
+	d.NeedsCycle = true
 	if k != cold {
 		d.account.over = true
 		return
@@ -184,7 +184,7 @@
 	d.census.Away(now, away)
 	if before := d.census.done; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
-		d.Dirty = true
+		d.NeedsCycle = true
 		d.LogMessage(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.Began).Round(10*time.Millisecond).String())
 	}
 	d.account.tick(d, now, sure)
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -92,7 +92,7 @@
 	for _, i := range d.Estimator.Order() {
 		if s, ok := d.Estimator.Settle(i, now.Seconds()); ok {
 			d.EventLog.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Record.ID, Size: s}})
-			d.Dirty = true
+			d.NeedsCycle = true
 		}
 	}
 }
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -89,7 +89,7 @@
 		if x.Priority < j.Priority {
 			x.Priority = j.Priority
 			x.BehindUntil = 0
-			d.Dirty = true
+			d.NeedsCycle = true
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		d.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 	}
 	d.Publish(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
-	d.Dirty = true
+	d.NeedsCycle = true
 }
 
 // cancelled acts on a cancellation that is durable, of a job or of one that it
@@ -149,7 +149,7 @@
 	d.Jobs.RemoveDependency(j)
 	d.Estimator.Remove(j.Index, false, 0, 0)
 	d.LeaveIfEmpty(j)
-	d.Dirty = true
+	d.NeedsCycle = true
 }
 
 // restoreLinks settles after a replay what every job waits for. The log is
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -150,7 +150,7 @@
 // Pass gives room if anything has changed, and stops tasks for others that go
 // ahead of them.
 func (d *Duty) Pass(now time.Duration) {
-	if !d.Dirty {
+	if !d.NeedsCycle {
 		return
 	}
 	d.pass(now)
@@ -162,7 +162,7 @@
 
 // PassSoon gives room after a commit, unless it was given just now.
 func (d *Duty) PassSoon(now time.Duration) {
-	if d.Dirty && now-d.passAt >= passPause {
+	if d.NeedsCycle && now-d.passAt >= passPause {
 		d.pass(now)
 	}
 }
@@ -207,7 +207,7 @@
 // pass gives room to waiting tasks. What gets a place on a machine for the first
 // time of its job is granted there.
 func (d *Duty) pass(now time.Duration) {
-	d.Dirty = false
+	d.NeedsCycle = false
 	d.passAt = now
 	d.planned = d.planned[:0]
 	w := d.World(now)
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if before := d.strays[m] != nil; before || len(s.needs) > 0 || s.unknown {
-		d.Dirty = true
+		d.NeedsCycle = true
 		if len(s.needs) == 0 && !s.unknown {
 			delete(d.strays, m)
 		} else {
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -264,7 +264,7 @@
 	before := len(d.losses)
 	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return l.Until <= at })
 	if len(d.losses) < before {
-		d.Dirty = true
+		d.NeedsCycle = true
 		d.shelf.lossesDue = true
 	}
 	if after := d.Cfg.Tunables.UnitsSilentS; after > 0 {
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -82,7 +82,7 @@
 	}
 	if s.Read && s.strange == "" {
 		s.read = true
-		d.Dirty = true
+		d.NeedsCycle = true
 	}
 }
 
@@ -205,7 +205,7 @@
 	if w.pending > 0 && p.pending == w.pending {
 		p.size, p.pending = p.pending, 0
 	}
-	d.Dirty = true
+	d.NeedsCycle = true
 }
 
 // Compact writes anew which units receipts were given for; entries that went along with
@@ -312,7 +312,7 @@
 		}
 	}
 	d.shelf.due = append(d.shelf.due, p)
-	d.Dirty = true
+	d.NeedsCycle = true
 	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.version, "units", max(p.size, p.pending), "drained", p.drained)
 	return &Changed{Version: p.version, Pool: d.view(now, p, false)}, nil
 }
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -147,7 +147,7 @@
 		v = *set
 	}
 	d.Cfg.Tunables.SetNumber(i.Tunable, v)
-	d.Dirty = true
+	d.NeedsCycle = true
 }
 
 // applyTeam has a team's limits in force: of what is durable and what is on its way the lower.
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -99,7 +99,7 @@
 		j.Errors, m.Errors = 0, 0
 		d.Estimator.Completed(e.Ref.Job, k, took)
 		d.Publish(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, Took: took, Mine: d.Mine(e.Attempt), Machine: m})
-		d.Dirty = true
+		d.NeedsCycle = true
 	case workers.EventGone:
 		if e.Running {
 			j.Running--
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -150,7 +150,7 @@
 	}
 	if m := d.Inventory.Find(e.Machine.Name); m != nil {
 		m.Durable = true
-		d.Dirty = true
+		d.NeedsCycle = true
 	}
 }
 
@@ -194,7 +194,7 @@
 
 // resolved notes that what an earlier term left on a machine is known.
 func (d *Duty) resolved(now time.Duration, m *workers.Machine) {
-	d.Dirty = true
+	d.NeedsCycle = true
 	d.Found(m)
 	for id := range m.Grants {
 		if j := d.Jobs.Find(id); j != nil && j.UnresolvedMachines > 0 {
@@ -296,7 +296,7 @@
 	elsewhere := d.hold(now, m, in)
 	if !m.Up {
 		m.UpSince = now
-		d.Dirty = true
+		d.NeedsCycle = true
 	}
 	if diff == reconcile.MachineRestarted {
 		d.LogMessage(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
@@ -333,7 +333,7 @@
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
 	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
-	if sure && !m.Deleting && !m.PreemptionNotice && (d.Dirty || m.AwaitsDurability()) {
+	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
 		d.waiting = append(d.waiting, w)
 		d.waits[m] = w
 		return
@@ -440,5 +440,5 @@
 	for _, part := range eventlog.SplitNames(list, d.EventLog.MaxEntryBytes()-eventlog.EntryBytes) {
 		d.EventLog.Append(eventlog.Entry{DeletedMachines: part})
 	}
-	d.Dirty = true
+	d.NeedsCycle = true
 }
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -277,7 +277,7 @@
 			if before != jobs.BoostFirst {
 				e.job.Boost = jobs.BoostFirst
 			}
-			d.Dirty = true
+			d.NeedsCycle = true
 		}
 	}
 	for _, e := range d.open {
@@ -301,7 +301,7 @@
 		}
 		e.kept, j.Boost = true, jobs.BoostBehindUrgent
 		ahead += work(j)
-		d.Dirty = true
+		d.NeedsCycle = true
 		for _, s := range e.sums {
 			s.waiting--
 			s.kept++
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -259,7 +259,7 @@
 	}
 	t.order.Restore(now, log.Sizes)
 	t.loaded = true
-	t.Dirty = true
+	t.NeedsCycle = true
 	registered, booting := 0, 0
 	for _, m := range t.Inventory.All() {
 		if m.Durable {
