--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -62,26 +62,26 @@
 // State is what all duties of a term share.
 type State struct {
 	Start
-	Token      uint64 // of machines that have not changed their block
-	EventLog   *eventlog.Log
-	Jobs       *jobs.Table
-	Inventory  *workers.Inventory
-	Estimator  *sizing.Estimator
-	Scheduler  *scheduler.Scheduler
-	NeedsCycle bool // something has changed that a pass should look at
-	Numbers    int  // last one given to a machine
-	Teams      intern.Names
-	Zones      intern.Names
-	Images     intern.Names
-	Types      []eventlog.MachineType // by index of TypeNames
-	Placements map[workers.Ref]*workers.Placement
-	Pools      scheduler.Pools      // nil: there are no pools
-	Gate       Gate                 // nil: nothing is held back
-	StartPacer StartPacer           // nil: starts are not paced
-	Rebalancer Rebalancer           // nil: machines stay where they report
-	Prompt     []*workers.Placement // planned tasks that may be sent straight to their workers
-	attempts   uint64
-	tokens     uint64
+	Token             uint64 // of machines that have not changed their block
+	EventLog          *eventlog.Log
+	Jobs              *jobs.Table
+	Inventory         *workers.Inventory
+	Estimator         *sizing.Estimator
+	Scheduler         *scheduler.Scheduler
+	NeedsCycle        bool // something has changed that a pass should look at
+	LastMachineNumber int  // last one given to a machine
+	Teams             intern.Names
+	Zones             intern.Names
+	Images            intern.Names
+	Types             []eventlog.MachineType // by index of TypeNames
+	Placements        map[workers.Ref]*workers.Placement
+	Pools             scheduler.Pools      // nil: there are no pools
+	Gate              Gate                 // nil: nothing is held back
+	StartPacer        StartPacer           // nil: starts are not paced
+	Rebalancer        Rebalancer           // nil: machines stay where they report
+	Prompt            []*workers.Placement // planned tasks that may be sent straight to their workers
+	attempts          uint64
+	tokens            uint64
 
 	Reconciled *reconcile.Tally // differences between what was stored and reports, in this term
 
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -72,7 +72,7 @@
 	for id, list := range d.noted {
 		j := d.Jobs.Find(id)
 		for n, open := range list {
-			d.Numbers = max(d.Numbers, n)
+			d.LastMachineNumber = max(d.LastMachineNumber, n)
 			m := byNumber[n]
 			switch {
 			case !open || m == nil || m.Resolved || n == 0:
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -97,7 +97,7 @@
 		m := d.registry[name]
 		if x := d.AddMachine(now, m); x != nil {
 			x.Durable, x.Number = true, m.Number
-			d.Numbers = max(d.Numbers, m.Number)
+			d.LastMachineNumber = max(d.LastMachineNumber, m.Number)
 		}
 	}
 	for _, r := range d.last {
@@ -278,12 +278,12 @@
 	m.Address = r.Address
 	if !m.Durable && !m.Deleting {
 		m.Resolved = true // no task is ever started on a machine before it is registered
-		rec.Number = d.Numbers + 1
+		rec.Number = d.LastMachineNumber + 1
 		if !d.EventLog.Fits(eventlog.Entry{Machine: &rec}) {
 			d.Leave(now, m, cluster.Delete, "its names are too long to be stored")
 		} else if m.QueueRegistry() {
-			d.Numbers++
-			m.Number = d.Numbers
+			d.LastMachineNumber++
+			m.Number = d.LastMachineNumber
 			d.EventLog.AppendTracked(eventlog.Entry{Machine: &rec})
 		}
 	}
