--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -79,7 +79,7 @@
 	Gate              Gate                 // nil: nothing is held back
 	StartPacer        StartPacer           // nil: starts are not paced
 	Rebalancer        Rebalancer           // nil: machines stay where they report
-	Prompt            []*workers.Placement // planned tasks that may be sent straight to their workers
+	DispatchQueue     []*workers.Placement // planned tasks that may be sent straight to their workers
 	attempts          uint64
 	tokens            uint64
 
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -59,12 +59,12 @@
 // AfterCycle sends what may go: tasks whose grant and mark are durable, to machines on which
 // nothing else is on its way.
 func (d *Duty) AfterCycle(now time.Duration, sure bool) {
-	if !sure || len(d.Prompt) == 0 {
+	if !sure || len(d.DispatchQueue) == 0 {
 		return
 	}
-	kept := d.Prompt[:0]
+	kept := d.DispatchQueue[:0]
 	done := map[*workers.Machine]bool{}
-	for _, p := range d.Prompt {
+	for _, p := range d.DispatchQueue {
 		m := p.Machine
 		switch {
 		case !p.Planned || d.Placements[p.Ref] != p: // it has gone the ordinary way, or was taken back
@@ -78,8 +78,8 @@
 			}
 		}
 	}
-	clear(d.Prompt[len(kept):])
-	d.Prompt = kept
+	clear(d.DispatchQueue[len(kept):])
+	d.DispatchQueue = kept
 }
 
 // free says whether starts may be sent straight to a machine: its worker is known to live,
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -248,7 +248,7 @@
 		if m := p.Machine; d.Placements[p.Ref] == p {
 			d.ListPlans(m)
 			if p.StartNow {
-				d.Prompt = append(d.Prompt, p)
+				d.DispatchQueue = append(d.DispatchQueue, p)
 			}
 			d.mark(p)
 			if _, noted := m.Grants[p.JobID]; !noted {
