--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -85,8 +85,8 @@
 
 	Reconciled *reconcile.Tally // differences between what was stored and reports, in this term
 
-	TypeNames intern.Names
-	PlannedOn []*workers.Machine // all on which tasks may be planned
+	TypeNames         intern.Names
+	MachinesWithPlans []*workers.Machine // all on which tasks may be planned
 
 	teams []bool // of the configuration, by index: they may submit
 
@@ -555,7 +555,7 @@
 func (s *State) ListPlans(m *workers.Machine) {
 	if !m.HasPlansListed {
 		m.HasPlansListed = true
-		s.PlannedOn = append(s.PlannedOn, m)
+		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
 	}
 }
 
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -240,7 +240,7 @@
 		}
 	}
 	d.Counts.LeftWaiting += uint64(d.Scheduler.RunCycle(w))
-	d.PlannedOn = slices.DeleteFunc(d.PlannedOn, func(m *workers.Machine) bool {
+	d.MachinesWithPlans = slices.DeleteFunc(d.MachinesWithPlans, func(m *workers.Machine) bool {
 		m.HasPlansListed = m.HasPlans()
 		return !m.HasPlansListed
 	})
