--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -180,8 +180,8 @@
 // ErrNoView is what a duty answers that is asked for a view it does not have.
 var ErrNoView = errors.New("no such view")
 
-// Mine says whether an attempt was given its number in this term.
-func (s *State) Mine(attempt uint64) bool { return attempt>>attemptBits == s.Epoch }
+// FromThisTerm says whether an attempt was given its number in this term.
+func (s *State) FromThisTerm(attempt uint64) bool { return attempt>>attemptBits == s.Epoch }
 
 // New makes the state of a term that knows nothing yet.
 func New(start Start) *State {
