--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -221,8 +221,8 @@
 	}
 }
 
-// Take returns the effects since the last call.
-func (s *State) Take() []effects.Effect {
+// TakeEffects returns the effects since the last call.
+func (s *State) TakeEffects() []effects.Effect {
 	out := s.out
 	s.out = nil
 	return out
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -289,7 +289,7 @@
 	if d.kind != ordinary || !s.Permits(0, cluster.Rent) || s.Patience() != 0 {
 		t.Errorf("kind %v", d.kind)
 	}
-	for _, e := range s.Take() {
+	for _, e := range s.TakeEffects() {
 		if _, asks := e.(effects.AskLed); asks {
 			t.Error("the others are asked")
 		}
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -87,7 +87,7 @@
 		t.Errorf("the histogram is %+v", h)
 	}
 	told := 0
-	for _, e := range d.Take() {
+	for _, e := range d.TakeEffects() {
 		if n, ok := e.(effects.Note); ok && n.Text == "takeover" {
 			told++
 		}
@@ -136,9 +136,9 @@
 	if n := d.EventLog.Pending(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
-	d.Take()
+	d.TakeEffects()
 	d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
-	if out := d.Take(); len(out) != 1 || !strings.Contains(out[0].(effects.Note).Text, "cannot be read") || d.EventLog.Pending() != 3 {
+	if out := d.TakeEffects(); len(out) != 1 || !strings.Contains(out[0].(effects.Note).Text, "cannot be read") || d.EventLog.Pending() != 3 {
 		t.Errorf("said: %+v", out)
 	}
 }
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -71,7 +71,7 @@
 		w.now += time.Second
 		d.Tick(w.now, true)
 		since := ""
-		for _, e := range d.Take() {
+		for _, e := range d.TakeEffects() {
 			if v, ok := e.(effects.Values); ok {
 				since = v.Since
 			}
@@ -86,7 +86,7 @@
 		more := len(page) > 0 && page[len(page)-1].Key != keys[len(keys)-1]
 		d.GotValues(w.now, page, more, w.epoch%3 > 0 || asked > 1)
 	}
-	w.effects = append(w.effects, d.Take()...)
+	w.effects = append(w.effects, d.TakeEffects()...)
 }
 
 // write makes at most so many commits durable.
@@ -310,7 +310,7 @@
 	}
 	var told []string
 	notes := func() (out []string) {
-		for _, e := range d.Take() {
+		for _, e := range d.TakeEffects() {
 			switch e := e.(type) {
 			case effects.Note:
 				out = append(out, e.Text)
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -39,9 +39,9 @@
 	segments := map[string][]eventlog.Entry{}
 	for mark := uint64(2); ; mark++ {
 		*now += time.Second
-		term.Take()
+		term.TakeEffects()
 		term.Flush(*now)
-		out := term.Take()
+		out := term.TakeEffects()
 		i := slices.IndexFunc(out, func(e effects.Effect) bool { _, ok := e.(effects.Commit); return ok })
 		if i < 0 {
 			break
@@ -162,7 +162,7 @@
 func asked(term *Term) int {
 	term.Tick(time.Second, true)
 	n := 0
-	for _, e := range term.Take() {
+	for _, e := range term.TakeEffects() {
 		if _, ok := e.(effects.Rent); ok {
 			n++
 		}
@@ -209,7 +209,7 @@
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
 	}
 	term.Users.Submit(0, 7, wire.Submission{ID: 1, HasID: true, Job: &job})
-	out := term.Take()
+	out := term.TakeEffects()
 	r, ok := out[len(out)-1].(effects.Reply)
 	if !ok || r.Answer.Status != 400 || term.Jobs.Find(1) != nil {
 		raw, _ := json.Marshal(r)
--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -57,7 +57,7 @@
 				}
 				b.StartTimer()
 				t.Tick(now, true)
-				t.Take()
+				t.TakeEffects()
 			}
 		})
 	}
@@ -76,7 +76,7 @@
 					t.take(now, &reports[i])
 				}
 				t.Tick(now, true)
-				t.Take()
+				t.TakeEffects()
 				t.ValuesRead(now, "pools", nil, false, true)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -56,7 +56,7 @@
 	in.Report.Seq++
 	t.Report(now, true, 1, *in)
 	t.Flush(now)
-	t.Take()
+	t.TakeEffects()
 }
 
 // What a report that brings nothing new costs must not grow with the number
@@ -169,7 +169,7 @@
 			if i%20 == 0 {
 				now += 70 * time.Millisecond
 				term.Tick(now, true)
-				term.Take()
+				term.TakeEffects()
 			}
 		}
 	}
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -17,7 +17,7 @@
 // deletes lists the machines that a term has deleted since.
 func deletes(term *Term) []string {
 	var out []string
-	for _, e := range term.Take() {
+	for _, e := range term.TakeEffects() {
 		if d, ok := e.(effects.Delete); ok {
 			out = append(out, d.Machines...)
 		}
@@ -85,7 +85,7 @@
 			term.Inventory.All()[0].LastHeartbeat = now // it is not silent
 			term.Tick(now, true)
 			term.Flush(now)
-			for _, e := range term.Take() {
+			for _, e := range term.TakeEffects() {
 				switch e := e.(type) {
 				case effects.Delete:
 					deleted = true
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -25,7 +25,7 @@
 		t.take(now, &reports[i])
 	}
 	t.Tick(now, true)
-	t.Take()
+	t.TakeEffects()
 	return t, reports, now
 }
 
@@ -56,7 +56,7 @@
 				}
 				b.StartTimer()
 				t.Tick(now, true)
-				t.Take()
+				t.TakeEffects()
 			}
 		})
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -102,7 +102,7 @@
 // gather takes the term's effects. Answers to reports of this node's own
 // block get what the block takes up.
 func (c *Core) gather(now time.Duration) {
-	for _, e := range c.term.Take() {
+	for _, e := range c.term.TakeEffects() {
 		if a, ok := e.(effects.ReplyReport); ok {
 			if o := c.open[a.To]; o != nil {
 				delete(c.open, a.To)
