--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -236,9 +236,9 @@
 	s.Emit(effects.Note{Level: l, Text: text, Args: args})
 }
 
-// TakeBack takes back a plan. One that is on offer may have been taken up
+// CancelPlan takes back a plan. One that is on offer may have been taken up
 // already: it counts until no offer is open.
-func (s *State) TakeBack(p *workers.Placement) {
+func (s *State) CancelPlan(p *workers.Placement) {
 	if len(p.Offered) > 0 {
 		p.Withdrawn = true
 		return
@@ -251,7 +251,7 @@
 func (s *State) TakeBackAll(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned {
-			s.TakeBack(p)
+			s.CancelPlan(p)
 		}
 	}
 }
@@ -433,7 +433,7 @@
 		}
 		switch {
 		case p.Planned:
-			s.TakeBack(p)
+			s.CancelPlan(p)
 		case !p.Stopping:
 			p.Stopping, p.GraceSeconds = true, 0
 		}
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -93,6 +93,6 @@
 			whole = job
 		}
 		left = left.Minus(s.Jobs.At(job).Need)
-		s.TakeBack(p)
+		s.CancelPlan(p)
 	}
 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -317,7 +317,7 @@
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		if p := d.Placements[ref]; s == jobs.Placed && p != nil {
 			if p.Planned {
-				d.TakeBack(p)
+				d.CancelPlan(p)
 			} else {
 				p.Stopping, p.GraceSeconds = true, 0
 				on[p.Machine] = true
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -234,7 +234,7 @@
 		m.UseImage(j.Image, j.Record.ImageGB, now)
 	}
 	w.Unplace = func(j *jobs.Job, k int) {
-		d.TakeBack(d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}])
+		d.CancelPlan(d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}])
 		if d.Pools != nil {
 			d.Pools.TaskRemoved(j)
 		}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -24,7 +24,7 @@
 	}
 	ref := workers.Ref{Job: j.Index, Task: int32(task)}
 	if p := d.Placements[ref]; here && p != nil && p.Planned && len(p.Offered) == 0 {
-		d.TakeBack(p)
+		d.CancelPlan(p)
 	}
 	p := d.Placements[ref]
 	elsewhere := p != nil && (p.Machine != m || p.Planned)
@@ -67,7 +67,7 @@
 		p := e.Placement
 		if p.NotOfferedAgain = false; p.Withdrawn {
 			p.Withdrawn = false
-			d.TakeBack(p)
+			d.CancelPlan(p)
 		}
 	case workers.EventBegan:
 		j.Running++
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -351,7 +351,7 @@
 		return
 	}
 	for _, p := range m.PlannedHere() {
-		if d.TakeBack(p); (resources.Amounts{}).Fits(m.Free) {
+		if d.CancelPlan(p); (resources.Amounts{}).Fits(m.Free) {
 			return
 		}
 	}
