--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -602,7 +602,7 @@
 					places[i]--
 				}
 			}
-			d.TakeBackAll(m)
+			d.CancelPlans(m)
 		}
 	}
 	for _, m := range yard {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -247,8 +247,8 @@
 	s.Lift(p.Ref)
 }
 
-// TakeBackAll takes back all that is planned on a machine.
-func (s *State) TakeBackAll(m *workers.Machine) {
+// CancelPlans takes back all that is planned on a machine.
+func (s *State) CancelPlans(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned {
 			s.CancelPlan(p)
@@ -455,7 +455,7 @@
 		return
 	}
 	m.Deleting, m.Why = true, why
-	s.TakeBackAll(m)
+	s.CancelPlans(m)
 	s.NeedsCycle = true
 	if len(m.Tasks) > 0 {
 		s.Counts.MachinesLost++
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -36,7 +36,7 @@
 		}
 		heard := max(m.LastHeartbeat, d.Began)
 		if now-heard > d.Quiet() {
-			d.TakeBackAll(m)
+			d.CancelPlans(m)
 		}
 		switch {
 		case sure && slices.ContainsFunc(late, func(j *jobs.Job) bool { return d.mayBeOn(j, m) }):
