--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -244,7 +244,7 @@
 		return
 	}
 	p.Machine.RemovePlacement(p.Ref)
-	s.Lift(p.Ref)
+	s.Unplace(p.Ref)
 }
 
 // CancelPlans takes back all that is planned on a machine.
@@ -256,8 +256,8 @@
 	}
 }
 
-// Lift takes a task off its machine in the books of jobs, teams and sizes.
-func (s *State) Lift(ref workers.Ref) {
+// Unplace takes a task off its machine in the books of jobs, teams and sizes.
+func (s *State) Unplace(ref workers.Ref) {
 	p := s.Placements[ref]
 	if p == nil {
 		return
