--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -269,13 +269,13 @@
 	j.Release(int(ref.Task))
 	s.GangEnds(j)
 	s.Estimator.Lost(ref.Job, int(ref.Task))
-	s.LeaveIfEmpty(j)
+	s.RemoveIfFinished(j)
 	s.NeedsCycle = true
 }
 
-// LeaveIfEmpty takes a job that is over out of the table once none of its tasks
+// RemoveIfFinished takes a job that is over out of the table once none of its tasks
 // counts as being anywhere.
-func (s *State) LeaveIfEmpty(j *jobs.Job) {
+func (s *State) RemoveIfFinished(j *jobs.Job) {
 	if j.Placed == 0 && (j.Phase == jobs.Cancelled || j.Phase == jobs.Done) {
 		s.forget(j)
 	}
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -148,7 +148,7 @@
 	d.Jobs.Finish(j.Record.ID, jobs.Cancelled)
 	d.Jobs.RemoveDependency(j)
 	d.Estimator.Remove(j.Index, false, 0, 0)
-	d.LeaveIfEmpty(j)
+	d.RemoveIfFinished(j)
 	d.NeedsCycle = true
 }
 
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -190,7 +190,7 @@
 			d.letGo(now, f)
 		}
 	}
-	d.LeaveIfEmpty(j)
+	d.RemoveIfFinished(j)
 	d.tellEnd(sure, done.ID)
 }
 
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -144,7 +144,7 @@
 	if j.Finished == len(j.Tasks) {
 		j.Phase = jobs.Done
 		w.d.Jobs.Finish(j.Record.ID, jobs.Done)
-		w.d.LeaveIfEmpty(j)
+		w.d.RemoveIfFinished(j)
 	}
 }
 
