--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -298,9 +298,9 @@
 	return sum
 }
 
-// Expect counts a machine of which it is not known what an earlier term left on
+// AddUnresolved counts a machine of which it is not known what an earlier term left on
 // it: in full against every team whose tasks it may have.
-func (s *State) Expect(m *workers.Machine) { s.expect(m, 1) }
+func (s *State) AddUnresolved(m *workers.Machine) { s.expect(m, 1) }
 
 // Found takes back what Expect counted: the machine has reported, or is gone.
 func (s *State) Found(m *workers.Machine) { s.expect(m, -1) }
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -95,7 +95,7 @@
 	d.noted = nil
 	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
-			d.Expect(m)
+			d.AddUnresolved(m)
 		}
 	}
 	d.beginMarks()
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -347,7 +347,7 @@
 	w := newWorld(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
 	w.lead(true)
 	m := w.d.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
-	w.d.Expect(m)
+	w.d.AddUnresolved(m)
 	j := w.job("a", 8, 1, jobs.Array, per("p", 1))
 	j.Earlier, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
 	m.Grants[j.Record.ID] = true
