--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -302,8 +302,8 @@
 // it: in full against every team whose tasks it may have.
 func (s *State) AddUnresolved(m *workers.Machine) { s.expect(m, 1) }
 
-// Found takes back what Expect counted: the machine has reported, or is gone.
-func (s *State) Found(m *workers.Machine) { s.expect(m, -1) }
+// RemoveUnresolved takes back what Expect counted: the machine has reported, or is gone.
+func (s *State) RemoveUnresolved(m *workers.Machine) { s.expect(m, -1) }
 
 func (s *State) expect(m *workers.Machine, by int) {
 	s.unresolved += by
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -183,7 +183,7 @@
 		}
 	}
 	for _, m := range s.Inventory.All() {
-		s.Found(m)
+		s.RemoveUnresolved(m)
 	}
 	for team, m := range s.World(0).UnresolvedUse {
 		if m.CPU != 0 {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -360,7 +360,7 @@
 	}
 	// It is gone without a word: what may have been there stays out for a while.
 	w.d.Inventory.Remove("old")
-	w.d.Found(m)
+	w.d.RemoveUnresolved(m)
 	j.UnresolvedMachines--
 	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
 	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: m})
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -195,7 +195,7 @@
 // resolved notes that what an earlier term left on a machine is known.
 func (d *Duty) resolved(now time.Duration, m *workers.Machine) {
 	d.NeedsCycle = true
-	d.Found(m)
+	d.RemoveUnresolved(m)
 	for id := range m.Grants {
 		if j := d.Jobs.Find(id); j != nil && j.UnresolvedMachines > 0 {
 			j.UnresolvedMachines--
