--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -340,8 +340,8 @@
 // known what they have, before the team is held back by them.
 const mostMissing = 0.25
 
-// Crowded says whether machines that are not resolved hold a team back at its limit.
-func (s *State) Crowded() bool {
+// HeldBackByUnresolved says whether machines that are not resolved hold a team back at its limit.
+func (s *State) HeldBackByUnresolved() bool {
 	for team, x := range s.missing {
 		if l := s.Scheduler.Limits[team]; (l.CPU > 0 && float64(x.CPU) > mostMissing*float64(l.CPU)) || (l.GPU > 0 && float64(x.GPU) > mostMissing*float64(l.GPU)) {
 			return true
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -190,5 +190,5 @@
 	if c.until == 0 || now-c.until > d.Silence() || now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)+d.Silence() || (c.until == now && now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)) {
 		return false
 	}
-	return !m.Unresolved() || !d.Crowded()
+	return !m.Unresolved() || !d.HeldBackByUnresolved()
 }
