--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -350,8 +350,8 @@
 	return false
 }
 
-// StopNow sends a machine's stops without waiting for its next report.
-func (s *State) StopNow(m *workers.Machine) {
+// SendStops sends a machine's stops without waiting for its next report.
+func (s *State) SendStops(m *workers.Machine) {
 	if m.Address != "" && m.Up && !m.Deleting {
 		s.Emit(effects.Direct{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.Stops()})
 	}
@@ -384,7 +384,7 @@
 		s.LogMessage(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
 	}
 	for m := range on {
-		s.StopNow(m)
+		s.SendStops(m)
 	}
 }
 
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -325,7 +325,7 @@
 		}
 	}
 	for m := range on {
-		d.StopNow(m)
+		d.SendStops(m)
 	}
 }
 
