--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -362,8 +362,8 @@
 	return s.Gate == nil || s.Gate.Permits(now, o)
 }
 
-// Patience is how long a machine may be silent that was not heard in this term yet.
-func (s *State) Patience() time.Duration {
+// SilenceAllowance is how long a machine may be silent that was not heard in this term yet.
+func (s *State) SilenceAllowance() time.Duration {
 	if s.Gate == nil {
 		return 0
 	}
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -286,7 +286,7 @@
 	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	d.Begin(0)
-	if d.kind != ordinary || !s.Permits(0, cluster.Rent) || s.Patience() != 0 {
+	if d.kind != ordinary || !s.Permits(0, cluster.Rent) || s.SilenceAllowance() != 0 {
 		t.Errorf("kind %v", d.kind)
 	}
 	for _, e := range s.TakeEffects() {
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -45,7 +45,7 @@
 			d.Leave(now, m, cluster.Delete, "a cancelled job's task not proved gone")
 		case sure && !deaf && now-heard > d.Quiet() && d.nothingElse(m):
 			d.Leave(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
-		case sure && !m.Up && m.Durable && now-d.Began <= d.Patience(): // it may live, and be on its way here
+		case sure && !m.Up && m.Durable && now-d.Began <= d.SilenceAllowance(): // it may live, and be on its way here
 		case sure && (m.Up || m.Durable) && now-heard > limit && d.waitsFor(now, m): // with its whole zone
 		case sure && m.Durable && d.mute(m, heard):
 			d.Leave(now, m, cluster.Delete, "does not answer")
