--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -161,7 +161,7 @@
 	Permits(now time.Duration, o Action) bool
 	// Patience is how long after the beginning of the term a machine that was not heard
 	// in it may be one that lives.
-	Patience() time.Duration
+	SilenceAllowance() time.Duration
 }
 
 // StartPacer bounds how fast tasks are started.
@@ -367,7 +367,7 @@
 	if s.Gate == nil {
 		return 0
 	}
-	return s.Gate.Patience()
+	return s.Gate.SilenceAllowance()
 }
 
 var stopWords = map[Action]string{Preempt: "task stopped for another job", Move: "task moved off a machine that is returned"}
--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -77,9 +77,9 @@
 	return registered, heard
 }
 
-// Patience is how long after the beginning a worker that lives and reaches any
+// SilenceAllowance is how long after the beginning a worker that lives and reaches any
 // controller may come for the first time.
-func (c *Census) Patience() time.Duration {
+func (c *Census) SilenceAllowance() time.Duration {
 	longest := c.Longest()
 	if !c.all {
 		return longest
@@ -112,7 +112,7 @@
 			all = false
 		}
 	}
-	if all || now-c.began >= c.Patience() {
+	if all || now-c.began >= c.SilenceAllowance() {
 		c.done, c.at = true, now
 	}
 	return c.done
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -45,14 +45,14 @@
 				heard++
 				c.Heard(now, int32(z))
 			}
-			if c.Patience() > c.Longest() {
-				t.Fatalf("seed %d: patience of %v, at most %v", seed, c.Patience(), c.Longest())
+			if c.SilenceAllowance() > c.Longest() {
+				t.Fatalf("seed %d: patience of %v, at most %v", seed, c.SilenceAllowance(), c.Longest())
 			}
 			is := c.Settled(now)
 			if was && !is {
 				t.Fatalf("seed %d: settled no more", seed)
 			}
-			if is && !was && now-began < c.Patience() {
+			if is && !was && now-began < c.SilenceAllowance() {
 				early++
 				if p.Share == 1 && heard*2 < registered {
 					t.Fatalf("seed %d: settled with %d of %d heard", seed, heard, registered)
@@ -102,7 +102,7 @@
 				}
 			}
 			c.Away(now, away)
-			if now > c.Patience() {
+			if now > c.SilenceAllowance() {
 				t.Fatalf("seed %d: given up after %v, it comes at %v: %v", seed, now, at, up)
 			}
 		}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -200,13 +200,13 @@
 	return d.census.Settled(now)
 }
 
-// Patience is how long after the beginning a machine that has not been heard in this
+// SilenceAllowance is how long after the beginning a machine that has not been heard in this
 // term may yet be one that lives.
-func (d *Duty) Patience() time.Duration {
+func (d *Duty) SilenceAllowance() time.Duration {
 	if d.kind == ordinary {
 		return 0
 	}
-	return d.census.Patience()
+	return d.census.SilenceAllowance()
 }
 
 // Allows says whether a task of a job may be given a machine now. While the leader
