--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -267,7 +267,7 @@
 	j.CountInZone(p.Machine.Zone, -1)
 	s.Scheduler.Refund(j.Team, j.Need)
 	j.Release(int(ref.Task))
-	s.GangEnds(j)
+	s.ResetGangIfEmpty(j)
 	s.Estimator.Lost(ref.Job, int(ref.Task))
 	s.RemoveIfFinished(j)
 	s.NeedsCycle = true
@@ -438,12 +438,12 @@
 			p.Stopping, p.GraceSeconds = true, 0
 		}
 	}
-	s.GangEnds(j)
+	s.ResetGangIfEmpty(j)
 }
 
-// GangEnds makes a gang ready for its next launch once nothing of the last
+// ResetGangIfEmpty makes a gang ready for its next launch once nothing of the last
 // one is left anywhere.
-func (s *State) GangEnds(j *jobs.Job) {
+func (s *State) ResetGangIfEmpty(j *jobs.Job) {
 	if j.Record.Kind == jobs.Gang && j.Placed == 0 {
 		j.GangAttempt, j.GangFailed, j.GangBegan = 0, false, false
 	}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -95,7 +95,7 @@
 		}
 		d.Counts.TasksDone++
 		j.Complete(k)
-		d.GangEnds(j)
+		d.ResetGangIfEmpty(j)
 		j.Errors, m.Errors = 0, 0
 		d.Estimator.Completed(e.Ref.Job, k, took)
 		d.Publish(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, Took: took, Mine: d.FromThisTerm(e.Attempt), Machine: m})
@@ -113,7 +113,7 @@
 		if j.Record.Kind == jobs.Gang && (j.GangBegan || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
 			d.BreakGang(j)
 		}
-		d.GangEnds(j)
+		d.ResetGangIfEmpty(j)
 		switch e.Reason {
 		case workers.Failed:
 			m.Errors++
