--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -418,9 +418,9 @@
 	return s.Cfg.Deployment.Workers.GangPeerS
 }
 
-// BreakGang gives up a gang's launch: what was not sent is taken back, the
+// FailGang gives up a gang's launch: what was not sent is taken back, the
 // others are stopped, and the next launch waits until all are proved gone.
-func (s *State) BreakGang(j *jobs.Job) {
+func (s *State) FailGang(j *jobs.Job) {
 	if j.GangFailed || j.Finished > 0 {
 		return // one that is done has all of them done
 	}
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -52,7 +52,7 @@
 			}
 			j.GangBegan = true // or so it must be taken: it is not known whether it ran
 			if diff.Resolution() == reconcile.Break {
-				d.BreakGang(j)
+				d.FailGang(j)
 			}
 		}
 	case workers.EventPlaced:
@@ -111,7 +111,7 @@
 		d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, Lost: e.Died})
 		d.Unplace(e.Ref)
 		if j.Record.Kind == jobs.Gang && (j.GangBegan || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
-			d.BreakGang(j)
+			d.FailGang(j)
 		}
 		d.ResetGangIfEmpty(j)
 		switch e.Reason {
