--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -150,7 +150,7 @@
 			}
 		}
 		if m != nil && l.Failed {
-			d.Leave(now, m, cluster.Delete, "failed")
+			d.Decommission(now, m, cluster.Delete, "failed")
 		}
 	}
 	if d.Cfg.Tunables.ListFirst == 1 {
@@ -177,7 +177,7 @@
 	n := 0
 	for _, m := range d.Inventory.All() {
 		if m.Durable && !m.Deleting && m.Name < last && !there[m.Name] && (!m.Up || now-m.LastHeartbeat > d.Quiet()) {
-			d.Leave(now, m, cluster.Delete, "not in the cloud's list any more")
+			d.Decommission(now, m, cluster.Delete, "not in the cloud's list any more")
 			n++
 		}
 	}
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -607,7 +607,7 @@
 	}
 	for _, m := range yard {
 		if m.Draining && !m.Deleting && len(m.Tasks) == 0 && len(m.OpenOffers) == 0 && len(m.Orphans) == 0 {
-			d.Leave(now, m, cluster.Return, "not needed")
+			d.Decommission(now, m, cluster.Return, "not needed")
 			if m.Resolved { // else only its deletion proves that nothing of an earlier term is there
 				d.Publish(cluster.Event{Kind: cluster.MachineEmpty, At: now, Machine: m})
 			}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -449,8 +449,8 @@
 	}
 }
 
-// Leave decides, for good, that a machine is to be deleted: it is returned, or given up.
-func (s *State) Leave(now time.Duration, m *workers.Machine, o Action, why string) {
+// Decommission decides, for good, that a machine is to be deleted: it is returned, or given up.
+func (s *State) Decommission(now time.Duration, m *workers.Machine, o Action, why string) {
 	if m.Deleting {
 		return
 	}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -310,7 +310,7 @@
 		}
 		if on {
 			d.LogMessage(effects.Info, "a silent machine is given up early: others wait for counted units there", "machine", m.Name)
-			d.Leave(now, m, cluster.Delete, "silent, and others wait for counted units there")
+			d.Decommission(now, m, cluster.Delete, "silent, and others wait for counted units there")
 		}
 	}
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -104,7 +104,7 @@
 		for _, name := range r.Machines {
 			if m := d.Inventory.Find(name); m != nil {
 				m.Resolved = true
-				d.Leave(now, m, cluster.Return, "not needed, as the term before has noted")
+				d.Decommission(now, m, cluster.Return, "not needed, as the term before has noted")
 				d.empty = append(d.empty, name) // for the term after this one
 			}
 		}
@@ -280,7 +280,7 @@
 		m.Resolved = true // no task is ever started on a machine before it is registered
 		rec.Number = d.LastMachineNumber + 1
 		if !d.EventLog.Fits(eventlog.Entry{Machine: &rec}) {
-			d.Leave(now, m, cluster.Delete, "its names are too long to be stored")
+			d.Decommission(now, m, cluster.Delete, "its names are too long to be stored")
 		} else if m.QueueRegistry() {
 			d.LastMachineNumber++
 			m.Number = d.LastMachineNumber
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -42,27 +42,27 @@
 		case sure && slices.ContainsFunc(late, func(j *jobs.Job) bool { return d.mayBeOn(j, m) }):
 			// The deletion will prove it. Without being sure of the term its user could not be
 			// told so.
-			d.Leave(now, m, cluster.Delete, "a cancelled job's task not proved gone")
+			d.Decommission(now, m, cluster.Delete, "a cancelled job's task not proved gone")
 		case sure && !deaf && now-heard > d.Quiet() && d.nothingElse(m):
-			d.Leave(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
+			d.Decommission(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
 		case sure && !m.Up && m.Durable && now-d.Began <= d.SilenceAllowance(): // it may live, and be on its way here
 		case sure && (m.Up || m.Durable) && now-heard > limit && d.waitsFor(now, m): // with its whole zone
 		case sure && m.Durable && d.mute(m, heard):
-			d.Leave(now, m, cluster.Delete, "does not answer")
+			d.Decommission(now, m, cluster.Delete, "does not answer")
 		case sure && (m.Up || m.Durable) && now-heard > limit:
-			d.Leave(now, m, cluster.Delete, "silent")
+			d.Decommission(now, m, cluster.Delete, "silent")
 		case sure && !m.Up && !m.Durable && now-m.RentedAt > settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS)+bootSlack:
-			d.Leave(now, m, cluster.Delete, "never came up")
+			d.Decommission(now, m, cluster.Delete, "never came up")
 		case sure && m.Quarantined:
-			d.Leave(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
+			d.Decommission(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
 		case sure && m.Unreachable(now, settings.Seconds(1.2*w.LeaseS)):
-			d.Leave(now, m, cluster.Delete, "does not hear")
+			d.Decommission(now, m, cluster.Delete, "does not hear")
 		case m.PreemptionNotice && now > m.PreemptedAt:
-			d.Leave(now, m, cluster.Return, "taken by the cloud")
+			d.Decommission(now, m, cluster.Return, "taken by the cloud")
 		case m.PreemptionNotice && len(m.Tasks) == 0:
-			d.Leave(now, m, cluster.Return, "to be taken by the cloud")
+			d.Decommission(now, m, cluster.Return, "to be taken by the cloud")
 		case len(m.Orphans) > 0 && now-m.OrphansSince > overdue:
-			d.Leave(now, m, cluster.Delete, "tasks that do not stop")
+			d.Decommission(now, m, cluster.Delete, "tasks that do not stop")
 		}
 		if !m.PreemptionNotice && !m.Draining {
 			continue // nothing that is on it is of any interest here
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -37,7 +37,7 @@
 	if n, _ := term.Unresolved(); n != 1 || term.Jobs.Find(1).UnresolvedMachines != 1 {
 		t.Fatal("the machine is not waited for: the test tests nothing")
 	}
-	term.Leave(0, m, cluster.Return, "not needed")
+	term.Decommission(0, m, cluster.Return, "not needed")
 	term.Publish(cluster.Event{Kind: cluster.MachineEmpty, Machine: m})
 	term.Tick(time.Second, true)
 	if got := deletes(term); len(got) != 0 {
