--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -163,7 +163,7 @@
 // avoidSilentZones has nothing rented for a while where most machines are
 // silent while others are heard.
 func (d *Duty) avoidSilentZones(now time.Duration) {
-	up, silent := d.Heard(now)
+	up, silent := d.SilentByZone(now)
 	for z, n := range silent {
 		if cluster.Most(n, up[z]) {
 			name := d.Zones.Name(int32(z))
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -464,9 +464,9 @@
 	s.Publish(Event{Kind: MachineLeft, At: now, Machine: m, Action: o})
 }
 
-// Heard counts the machines that should be heard, and those of them that are
+// SilentByZone counts the machines that should be heard, and those of them that are
 // silent, by zone.
-func (s *State) Heard(now time.Duration) (up, silent []int) {
+func (s *State) SilentByZone(now time.Duration) (up, silent []int) {
 	up, silent = make([]int, s.Zones.Len()), make([]int, s.Zones.Len())
 	for _, m := range s.Inventory.All() {
 		if m.Up || m.Durable {
@@ -485,7 +485,7 @@
 // machines were waited for twice as long, and more were rented there.
 func (s *State) Deaf(now time.Duration) bool {
 	up, silent := 0, 0
-	byZone, silentIn := s.Heard(now)
+	byZone, silentIn := s.SilentByZone(now)
 	for z := range byZone {
 		up += byZone[z]
 		silent += silentIn[z]
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -153,7 +153,7 @@
 	if d.Cfg.Tunables.ZonePatienceS == 0 {
 		return
 	}
-	up, silent := d.Heard(now)
+	up, silent := d.SilentByZone(now)
 	for len(d.cuts) < len(up) {
 		d.cuts = append(d.cuts, cutZone{})
 	}
