--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -130,7 +130,7 @@
 		return
 	}
 	d.rentedAt = now
-	if !d.Deaf(now) {
+	if !d.MostMachinesSilent(now) {
 		d.avoidSilentZones(now)
 	}
 	if sure {
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -479,11 +479,11 @@
 	return up, silent
 }
 
-// Deaf says whether most machines are silent at once, and the fault may be on our
+// MostMachinesSilent says whether most machines are silent at once, and the fault may be on our
 // side. Where a zone is heard well it is not: the others are cut off. Found at
 // twice the size of a fleet with two zones, of which the larger one was cut: its
 // machines were waited for twice as long, and more were rented there.
-func (s *State) Deaf(now time.Duration) bool {
+func (s *State) MostMachinesSilent(now time.Duration) bool {
 	up, silent := 0, 0
 	byZone, silentIn := s.SilentByZone(now)
 	for z := range byZone {
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -41,7 +41,7 @@
 				}
 			}
 		}
-		if got := s.Deaf(now); got != c.deaf {
+		if got := s.MostMachinesSilent(now); got != c.deaf {
 			t.Errorf("%s: deaf %v", c.name, got)
 		}
 	}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -286,7 +286,7 @@
 			}
 		}
 	}
-	if wanted == nil || d.Deaf(now) {
+	if wanted == nil || d.MostMachinesSilent(now) {
 		return
 	}
 	keeps := func(j *jobs.Job) bool {
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -16,7 +16,7 @@
 func (d *Duty) watch(now time.Duration, sure bool) {
 	w := d.Cfg.Deployment.Workers
 	limit := d.Silence()
-	deaf := d.Deaf(now)
+	deaf := d.MostMachinesSilent(now)
 	if deaf {
 		// Most of them at once: the fault is more likely on our side.
 		limit = max(limit, settings.Seconds(1.2*w.LeaseS))
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -165,7 +165,7 @@
 			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
-	if len(c.cfg.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.Began < cutOffAfter || c.heardOf(now) || !c.term.Deaf(now) {
+	if len(c.cfg.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.Began < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
 		c.deafAt = now
 		return
 	}
