--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -165,7 +165,7 @@
 func (d *Duty) avoidSilentZones(now time.Duration) {
 	up, silent := d.SilentByZone(now)
 	for z, n := range silent {
-		if cluster.Most(n, up[z]) {
+		if cluster.MostSilent(n, up[z]) {
 			name := d.Zones.Name(int32(z))
 			if !d.buyer.Avoided(now, name) {
 				d.LogMessage(effects.Warn, "most machines of a zone are silent: nothing is rented there for now", "zone", name, "silent", n, "of", up[z])
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -493,7 +493,7 @@
 			return false
 		}
 	}
-	return Most(silent, up)
+	return MostSilent(silent, up)
 }
 
 // Quiet is how long a worker may be silent before it gets no new tasks.
@@ -567,6 +567,6 @@
 	heardWell = 5
 )
 
-// Most says whether so many of so many machines are silent that the fault is
+// MostSilent says whether so many of so many machines are silent that the fault is
 // not theirs.
-func Most(silent, up int) bool { return silent >= fewSilent && silent*2 > up }
+func MostSilent(silent, up int) bool { return silent >= fewSilent && silent*2 > up }
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -158,7 +158,7 @@
 		d.cuts = append(d.cuts, cutZone{})
 	}
 	for z := range up {
-		if c := &d.cuts[z]; !deaf && cluster.Most(silent[z], up[z]) && d.kept(z) {
+		if c := &d.cuts[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.kept(z) {
 			if c.until == 0 || now-c.until > d.Silence() {
 				c.since = now - d.Quiet()
 				d.LogMessage(effects.Warn, "a zone is silent as a whole: its machines are waited for", "zone", d.Zones.Name(int32(z)), "silent", silent[z], "of", up[z], "for", d.Cfg.Tunables.ZonePatienceS)
