--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -176,7 +176,7 @@
 	}
 	n := 0
 	for _, m := range d.Inventory.All() {
-		if m.Durable && !m.Deleting && m.Name < last && !there[m.Name] && (!m.Up || now-m.LastHeartbeat > d.Quiet()) {
+		if m.Durable && !m.Deleting && m.Name < last && !there[m.Name] && (!m.Up || now-m.LastHeartbeat > d.SuspectAfter()) {
 			d.Decommission(now, m, cluster.Delete, "not in the cloud's list any more")
 			n++
 		}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -471,7 +471,7 @@
 	for _, m := range s.Inventory.All() {
 		if m.Up || m.Durable {
 			up[m.Zone]++
-			if now-max(m.LastHeartbeat, s.Began) > s.Quiet() {
+			if now-max(m.LastHeartbeat, s.Began) > s.SuspectAfter() {
 				silent[m.Zone]++
 			}
 		}
@@ -496,8 +496,8 @@
 	return MostSilent(silent, up)
 }
 
-// Quiet is how long a worker may be silent before it gets no new tasks.
-func (s *State) Quiet() time.Duration {
+// SuspectAfter is how long a worker may be silent before it gets no new tasks.
+func (s *State) SuspectAfter() time.Duration {
 	return settings.Seconds(2.5 * s.Cfg.Deployment.Workers.ReportS)
 }
 
@@ -509,7 +509,7 @@
 
 // World is what the planner looks at.
 func (s *State) World(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.Quiet(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.SuspectAfter(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -86,7 +86,7 @@
 // it has room, and neither an answer with offers for it is open, which another controller
 // may have filled with other tasks, nor a call without an answer.
 func (d *Duty) free(now time.Duration, m *workers.Machine) bool {
-	return m.Address != "" && m.Usable(now, d.Quiet()) && len(m.OpenOffers) == 0 && !m.Dispatching
+	return m.Address != "" && m.Usable(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
 // launch sends all that may be started on a machine in one command.
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -83,7 +83,7 @@
 	d.lookAt = now
 	count := map[string]int{}
 	for _, m := range d.Inventory.All() {
-		if m.Shard != "" && m.Up && !m.Deleting && now-m.LastHeartbeat <= d.Quiet() {
+		if m.Shard != "" && m.Up && !m.Deleting && now-m.LastHeartbeat <= d.SuspectAfter() {
 			count[m.Shard]++
 		}
 	}
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -35,7 +35,7 @@
 			continue
 		}
 		heard := max(m.LastHeartbeat, d.Began)
-		if now-heard > d.Quiet() {
+		if now-heard > d.SuspectAfter() {
 			d.CancelPlans(m)
 		}
 		switch {
@@ -43,7 +43,7 @@
 			// The deletion will prove it. Without being sure of the term its user could not be
 			// told so.
 			d.Decommission(now, m, cluster.Delete, "a cancelled job's task not proved gone")
-		case sure && !deaf && now-heard > d.Quiet() && d.nothingElse(m):
+		case sure && !deaf && now-heard > d.SuspectAfter() && d.nothingElse(m):
 			d.Decommission(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
 		case sure && !m.Up && m.Durable && now-d.Began <= d.SilenceAllowance(): // it may live, and be on its way here
 		case sure && (m.Up || m.Durable) && now-heard > limit && d.waitsFor(now, m): // with its whole zone
@@ -160,7 +160,7 @@
 	for z := range up {
 		if c := &d.cuts[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.kept(z) {
 			if c.until == 0 || now-c.until > d.Silence() {
-				c.since = now - d.Quiet()
+				c.since = now - d.SuspectAfter()
 				d.LogMessage(effects.Warn, "a zone is silent as a whole: its machines are waited for", "zone", d.Zones.Name(int32(z)), "silent", silent[z], "of", up[z], "for", d.Cfg.Tunables.ZonePatienceS)
 			}
 			c.until = now
