--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -501,8 +501,8 @@
 	return settings.Seconds(2.5 * s.Cfg.Deployment.Workers.ReportS)
 }
 
-// Silence is how long a worker may be silent before its machine is given up.
-func (s *State) Silence() time.Duration {
+// GiveUpAfter is how long a worker may be silent before its machine is given up.
+func (s *State) GiveUpAfter() time.Duration {
 	w := s.Cfg.Deployment.Workers
 	return settings.Seconds(max(3*w.ReportS+2, 0.6*w.LeaseS))
 }
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -15,7 +15,7 @@
 // spot notices, tasks that were to be stopped and are still there.
 func (d *Duty) watch(now time.Duration, sure bool) {
 	w := d.Cfg.Deployment.Workers
-	limit := d.Silence()
+	limit := d.GiveUpAfter()
 	deaf := d.MostMachinesSilent(now)
 	if deaf {
 		// Most of them at once: the fault is more likely on our side.
@@ -159,7 +159,7 @@
 	}
 	for z := range up {
 		if c := &d.cuts[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.kept(z) {
-			if c.until == 0 || now-c.until > d.Silence() {
+			if c.until == 0 || now-c.until > d.GiveUpAfter() {
 				c.since = now - d.SuspectAfter()
 				d.LogMessage(effects.Warn, "a zone is silent as a whole: its machines are waited for", "zone", d.Zones.Name(int32(z)), "silent", silent[z], "of", up[z], "for", d.Cfg.Tunables.ZonePatienceS)
 			}
@@ -187,7 +187,7 @@
 		return false
 	}
 	c := d.cuts[m.Zone]
-	if c.until == 0 || now-c.until > d.Silence() || now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)+d.Silence() || (c.until == now && now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)) {
+	if c.until == 0 || now-c.until > d.GiveUpAfter() || now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)+d.GiveUpAfter() || (c.until == now && now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)) {
 		return false
 	}
 	return !m.Unresolved() || !d.HeldBackByUnresolved()
