--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -614,7 +614,7 @@
 		}
 	}
 	if d.Cfg.Tunables.MoveSaved == 1 && d.Permits(now, cluster.Move) {
-		d.StopAll(now, d.Scheduler.PlanMigrations(d.World(now)), cluster.Move)
+		d.StopAll(now, d.Scheduler.PlanMigrations(d.Snapshot(now)), cluster.Move)
 	}
 }
 
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -507,8 +507,8 @@
 	return settings.Seconds(max(3*w.ReportS+2, 0.6*w.LeaseS))
 }
 
-// World is what the planner looks at.
-func (s *State) World(now time.Duration) scheduler.Snapshot {
+// Snapshot is what the planner looks at.
+func (s *State) Snapshot(now time.Duration) scheduler.Snapshot {
 	w := scheduler.Snapshot{Now: now, SuspectAfter: s.SuspectAfter(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -178,14 +178,14 @@
 	}
 	d.Begin(0)
 	for team, want := range []int64{2 + 4 + 8 + 16, 4 + 8 + 16, 8 + 16} {
-		if got := s.World(0).UnresolvedUse[team].CPU; got != want {
+		if got := s.Snapshot(0).UnresolvedUse[team].CPU; got != want {
 			t.Errorf("against team %d count %d, want %d", team, got, want)
 		}
 	}
 	for _, m := range s.Inventory.All() {
 		s.RemoveUnresolved(m)
 	}
-	for team, m := range s.World(0).UnresolvedUse {
+	for team, m := range s.Snapshot(0).UnresolvedUse {
 		if m.CPU != 0 {
 			t.Errorf("against team %d count %d once all are found", team, m.CPU)
 		}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -156,7 +156,7 @@
 	d.pass(now)
 	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptAt >= preemptEvery && d.Permits(now, cluster.Preempt) {
 		d.preemptAt = now
-		d.StopAll(now, d.Scheduler.Preempt(d.World(now)), cluster.Preempt)
+		d.StopAll(now, d.Scheduler.Preempt(d.Snapshot(now)), cluster.Preempt)
 	}
 }
 
@@ -210,7 +210,7 @@
 	d.NeedsCycle = false
 	d.passAt = now
 	d.planned = d.planned[:0]
-	w := d.World(now)
+	w := d.Snapshot(now)
 	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
 		j.Place(k)
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -60,7 +60,7 @@
 // takes the machines that report first.
 func (d *Duty) forecasts(now time.Duration) []Forecast {
 	cpus := max(d.CPUs(), 1)
-	w := d.World(now)
+	w := d.Snapshot(now)
 	var out []Forecast
 	at := map[int32]int{} // by job index
 	ahead := 0.0          // processor seconds
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -106,7 +106,7 @@
 			}
 		}
 		n, _ := term.Unresolved()
-		for team, sum := range term.World(0).UnresolvedUse {
+		for team, sum := range term.Snapshot(0).UnresolvedUse {
 			if sum.CPU != plain[int32(team)] || n != left {
 				t.Fatalf("after %d machines: %d of team %d, plain count %d; %d machines, plain count %d", i, sum.CPU, team, plain[int32(team)], n, left)
 			}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -117,7 +117,7 @@
 	}
 	slices.SortFunc(s.Blocks, func(a, b BlockStatus) int { return compare(a.Holder, b.Holder) })
 	slices.SortFunc(s.Machines, func(a, b MachineStatus) int { return compare(a.Name, b.Name) })
-	w := t.World(now)
+	w := t.Snapshot(now)
 	for _, i := range t.Scheduler.JobOrder(&w) {
 		s.Queue = append(s.Queue, jobStatus(t, t.Jobs.At(i)))
 	}
@@ -183,7 +183,7 @@
 	}
 	js := jobStatus(t, j)
 	e.Job = &js
-	w := t.World(now)
+	w := t.Snapshot(now)
 	for n, i := range t.Scheduler.JobOrder(&w) {
 		if i == j.Index {
 			e.Place = n + 1
