--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -537,9 +537,9 @@
 	return s.Token + s.tokens
 }
 
-// FewTokens says whether most tokens of the term are used up: those that are left are for
+// TokensRunLow says whether most tokens of the term are used up: those that are left are for
 // machines that change their block.
-func (s *State) FewTokens() bool { return s.tokens > 3<<(TokenBits-2) }
+func (s *State) TokensRunLow() bool { return s.tokens > 3<<(TokenBits-2) }
 
 // Spent says whether next to no tokens are left: the next one must not be one of a later
 // term.
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -102,7 +102,7 @@
 		if s.NextToken()>>TokenBits != 3 {
 			t.Fatalf("token %d is one of another term", n)
 		}
-		if few == 0 && s.FewTokens() {
+		if few == 0 && s.TokensRunLow() {
 			few = n
 		}
 	}
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -68,7 +68,7 @@
 		m := p.Machine
 		switch {
 		case !p.Planned || d.Placements[p.Ref] != p: // it has gone the ordinary way, or was taken back
-		case done[m] || d.under >= d.Cfg.Tunables.DirectStarts || d.FewTokens() || !d.free(now, m):
+		case done[m] || d.under >= d.Cfg.Tunables.DirectStarts || d.TokensRunLow() || !d.free(now, m):
 			kept = append(kept, p)
 		default:
 			done[m] = true
