--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -541,9 +541,9 @@
 // machines that change their block.
 func (s *State) TokensRunLow() bool { return s.tokens > 3<<(TokenBits-2) }
 
-// Spent says whether next to no tokens are left: the next one must not be one of a later
+// TokensExhausted says whether next to no tokens are left: the next one must not be one of a later
 // term.
-func (s *State) Spent() bool { return s.tokens > 15<<(TokenBits-4) }
+func (s *State) TokensExhausted() bool { return s.tokens > 15<<(TokenBits-4) }
 
 // Attempt is a number that no attempt had before.
 func (s *State) Attempt() uint64 {
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -98,7 +98,7 @@
 func TestTokensOfATerm(t *testing.T) {
 	s := New(Start{Cfg: &settings.Settings{}, Epoch: 3, Counts: &Counts{}})
 	few, n := 0, 0
-	for ; !s.Spent(); n++ {
+	for ; !s.TokensExhausted(); n++ {
 		if s.NextToken()>>TokenBits != 3 {
 			t.Fatalf("token %d is one of another term", n)
 		}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -139,7 +139,7 @@
 	if c.term != nil {
 		c.term.Tick(now, c.lead.LeaseValid(now))
 		c.heartbeat(now)
-		if c.term.Spent() {
+		if c.term.TokensExhausted() {
 			// After hundreds of thousands of machines that changed their block, or direct starts
 			// that had to be reaped: the next term has its own.
 			c.out = append(c.out, effects.Note{Level: effects.Info, Text: "the tokens of this term are used up: leadership given up", Args: []any{"epoch", c.term.Epoch}})
