--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -545,8 +545,8 @@
 // term.
 func (s *State) TokensExhausted() bool { return s.tokens > 15<<(TokenBits-4) }
 
-// Attempt is a number that no attempt had before.
-func (s *State) Attempt() uint64 {
+// NextAttempt is a number that no attempt had before.
+func (s *State) NextAttempt() uint64 {
 	s.attempts++
 	return s.attempts
 }
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -97,7 +97,7 @@
 			continue
 		}
 		if p.Attempt == 0 {
-			p.Attempt = d.Attempt()
+			p.Attempt = d.NextAttempt()
 		}
 		m.Dispatch(p)
 		starts = append(starts, workers.Command{Op: workers.Start, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt})
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -219,7 +219,7 @@
 		d.Placements[ref] = p
 		if j.Record.Kind == jobs.Gang {
 			if j.GangAttempt == 0 {
-				j.GangAttempt = d.Attempt()
+				j.GangAttempt = d.NextAttempt()
 			}
 			p.Attempt = j.GangAttempt
 		}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -123,7 +123,7 @@
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
-				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.m, Attempt: w.d.Attempt()}
+				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.m, Attempt: w.d.NextAttempt()}
 				w.d.Placements[ref], w.m.Tasks[ref] = p, p
 				w.d.TaskPlaced(j)
 				n++
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -374,7 +374,7 @@
 	m := w.m
 	answer := effects.ReportAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
-		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.serials++; return d.Token + d.serials }, d.Attempt)
+		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.serials++; return d.Token + d.serials }, d.NextAttempt)
 		answer.Room = m.Free
 	}
 	d.Emit(effects.ReplyReport{To: w.to, Answer: answer})
