--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -551,8 +551,8 @@
 	return s.attempts
 }
 
-// ListPlans keeps a machine among those whose plans are offered.
-func (s *State) ListPlans(m *workers.Machine) {
+// ListMachineWithPlans keeps a machine among those whose plans are offered.
+func (s *State) ListMachineWithPlans(m *workers.Machine) {
 	if !m.HasPlansListed {
 		m.HasPlansListed = true
 		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -246,7 +246,7 @@
 	})
 	for _, p := range d.planned {
 		if m := p.Machine; d.Placements[p.Ref] == p {
-			d.ListPlans(m)
+			d.ListMachineWithPlans(m)
 			if p.StartNow {
 				d.DispatchQueue = append(d.DispatchQueue, p)
 			}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -423,7 +423,7 @@
 		}
 		for ref, p := range m.Tasks {
 			if p.Planned && p.Rehome() {
-				d.ListPlans(p.Machine)
+				d.ListMachineWithPlans(p.Machine)
 				p.Withdrawn = true // it may yet turn out to be on a machine it was offered to
 				continue
 			}
