--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -125,16 +125,16 @@
 
 // Event is something that has happened. What its kind does not name is not set.
 type Event struct {
-	Kind    EventKind
-	At      time.Duration
-	Job     *jobs.Job
-	Task    int
-	Took    float64
-	Mine    bool // of TaskDone: this leader has started the attempt, and seen it begin
-	Lost    bool // of TaskGone: its worker has died under it
-	Action  Action
-	Machine *workers.Machine
-	Report  *workers.Report
+	Kind         EventKind
+	At           time.Duration
+	Job          *jobs.Job
+	Task         int
+	Took         float64
+	FromThisTerm bool // of TaskDone: this leader has started the attempt, and seen it begin
+	Lost         bool // of TaskGone: its worker has died under it
+	Action       Action
+	Machine      *workers.Machine
+	Report       *workers.Report
 }
 
 // Action is a kind of thing that a leader orders.
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -344,7 +344,7 @@
 }
 
 func (d *Duty) done(e cluster.Event) {
-	if e.Took <= 0 || !e.Mine || e.Job.Record.Kind != jobs.Array {
+	if e.Took <= 0 || !e.FromThisTerm || e.Job.Record.Kind != jobs.Array {
 		return
 	}
 	r := d.run(e.At, e.Job)
