--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -131,7 +131,7 @@
 	Task         int
 	Took         float64
 	FromThisTerm bool // of TaskDone: this leader has started the attempt, and seen it begin
-	Lost         bool // of TaskGone: its worker has died under it
+	WorkerDied   bool // of TaskGone: its worker has died under it
 	Action       Action
 	Machine      *workers.Machine
 	Report       *workers.Report
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -204,7 +204,7 @@
 		d.dropPapers(e.Job.Record.ID, e.Task)
 	case cluster.TaskGone:
 		d.dropPapers(e.Job.Record.ID, e.Task)
-		if h := d.byJob[e.Job.Index]; h != nil && e.Lost {
+		if h := d.byJob[e.Job.Index]; h != nil && e.WorkerDied {
 			d.lose(e.At, h.job, h.needs, 1)
 		}
 	case cluster.OfferLost:
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -108,7 +108,7 @@
 			d.Counts.TasksRerun++
 			d.LogMessage(effects.Debug, "task to run again", "job", e.JobID, "task", k, "machine", m.Name, "why", e.Reason.String())
 		}
-		d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, Lost: e.Died})
+		d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: k, Machine: m, WorkerDied: e.Died})
 		d.Unplace(e.Ref)
 		if j.Record.Kind == jobs.Gang && (j.GangBegan || e.Reason == workers.Alone || e.Reason == workers.PeersLost || e.Reason == workers.Failed || e.Reason == workers.Stopped) {
 			d.FailGang(j)
