--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -129,7 +129,7 @@
 	At           time.Duration
 	Job          *jobs.Job
 	Task         int
-	Took         float64
+	RunSeconds   float64
 	FromThisTerm bool // of TaskDone: this leader has started the attempt, and seen it begin
 	WorkerDied   bool // of TaskGone: its worker has died under it
 	Action       Action
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -183,7 +183,7 @@
 	case cluster.TaskDone:
 		a.isBack(d, e.At, e.Job, e.Task)
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if _, here := a.started[ref]; here && e.Took < doneAtOnce && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
+		if _, here := a.started[ref]; here && e.RunSeconds < doneAtOnce && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
 			a.own.Needless[StartedDone]++
 		}
 		delete(a.started, ref)
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -202,10 +202,10 @@
 		case i < 5:
 			d.HandleEvent(cluster.Event{Kind: cluster.TaskAdopted, At: at(101), Job: j, Task: i, Machine: m})
 		case i < 8:
-			d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at(102), Job: j, Task: i, Took: -1, Machine: m})
+			d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at(102), Job: j, Task: i, RunSeconds: -1, Machine: m})
 		default:
 			d.HandleEvent(cluster.Event{Kind: cluster.TaskPlaced, At: at(103), Job: j, Task: i, Machine: m})
-			d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at(104), Job: j, Task: i, Took: -1, Machine: m})
+			d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at(104), Job: j, Task: i, RunSeconds: -1, Machine: m})
 		}
 	}
 	d.Tick(at(104), true)
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -206,8 +206,8 @@
 		d.completed[id] = b
 	}
 	b.Add(e.Task)
-	if e.Took >= 0 {
-		b.Seconds = float64(int64((b.Seconds+e.Took)*100)) / 100
+	if e.RunSeconds >= 0 {
+		b.Seconds = float64(int64((b.Seconds+e.RunSeconds)*100)) / 100
 		b.Known++
 	}
 }
--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -98,7 +98,7 @@
 		d.ResetGangIfEmpty(j)
 		j.Errors, m.Errors = 0, 0
 		d.Estimator.Completed(e.Ref.Job, k, took)
-		d.Publish(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, Took: took, FromThisTerm: d.FromThisTerm(e.Attempt), Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.TaskDone, At: now, Job: j, Task: k, RunSeconds: took, FromThisTerm: d.FromThisTerm(e.Attempt), Machine: m})
 		d.NeedsCycle = true
 	case workers.EventGone:
 		if e.Running {
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -344,7 +344,7 @@
 }
 
 func (d *Duty) done(e cluster.Event) {
-	if e.Took <= 0 || !e.FromThisTerm || e.Job.Record.Kind != jobs.Array {
+	if e.RunSeconds <= 0 || !e.FromThisTerm || e.Job.Record.Kind != jobs.Array {
 		return
 	}
 	r := d.run(e.At, e.Job)
@@ -354,7 +354,7 @@
 	if d.slow(r, e) {
 		return
 	}
-	add(r.task, e.Took, 1)
+	add(r.task, e.RunSeconds, 1)
 	r.n++
 }
 
@@ -370,7 +370,7 @@
 		d.speeds[e.Machine.Name] = s
 	}
 	s.n++
-	s.log += (math.Log(e.Took/r.est.P50) - s.log) / float64(min(s.n, 2*slowAfter))
+	s.log += (math.Log(e.RunSeconds/r.est.P50) - s.log) / float64(min(s.n, 2*slowAfter))
 	return d.isSlow(e.Machine.Name)
 }
 
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -117,7 +117,7 @@
 		at := w.now + time.Duration(k)*time.Millisecond
 		d.HandleEvent(cluster.Event{Kind: cluster.TaskPlaced, At: at, Job: j, Task: k, Machine: m})
 		d.HandleEvent(cluster.Event{Kind: cluster.TaskBegan, At: at + 2*time.Second, Job: j, Task: k, Machine: m})
-		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at + 20*time.Second, Job: j, Task: k, Took: took, FromThisTerm: true, Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: at + 20*time.Second, Job: j, Task: k, RunSeconds: took, FromThisTerm: true, Machine: m})
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: w.now + 20*time.Second, Job: j})
 	d.Jobs.Remove(j)
@@ -258,7 +258,7 @@
 	j := d.Jobs.Add(eventlog.Job{ID: 99, Class: "c", Team: "t", Image: "i", Tasks: 40, CPUs: 1, EstimateS: 10})
 	j.Phase = jobs.Open
 	done := func(k int, took float64, mine bool, m *workers.Machine) {
-		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, Took: took, FromThisTerm: mine, Machine: m})
+		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, RunSeconds: took, FromThisTerm: mine, Machine: m})
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.TaskGone, Job: j, Task: 0, Machine: m})
 	done(0, 50, true, m)
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -117,7 +117,7 @@
 	j := term.Jobs.Find(1)
 	for k := 0; k < 4000; k += 2 {
 		j.Complete(k)
-		term.Publish(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, Took: 3})
+		term.Publish(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, RunSeconds: 3})
 	}
 	first = append(first, written(t, term, &now)...)
 	term.MachinesDeleted(time.Second, names[:40], true)
