--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -105,7 +105,7 @@
 
 // What listeners hear.
 const (
-	JobLeft         EventKind = iota // Job is over, and nothing of it is left anywhere
+	JobRemoved      EventKind = iota // Job is over, and nothing of it is left anywhere
 	TaskPlaced                       // Task of Job is on Machine, or on its way there: this leader started it
 	TaskBegan                        // Task of Job was seen to run on Machine
 	TaskDone                         // Task of Job has completed, after Took seconds of running or, below 0, after an unknown time
@@ -284,7 +284,7 @@
 // forget takes a job out of the table.
 func (s *State) forget(j *jobs.Job) {
 	s.Jobs.Remove(j)
-	s.Publish(Event{Kind: JobLeft, Job: j})
+	s.Publish(Event{Kind: JobRemoved, Job: j})
 }
 
 // CPUs is the processors of the machines that report.
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -214,7 +214,7 @@
 			delete(a.deleted, e.Machine)
 			a.own.Needless[DeletedAlive]++
 		}
-	case cluster.JobLeft:
+	case cluster.JobRemoved:
 		for k := range e.Job.Tasks {
 			a.isBack(d, max(a.at, d.Began), e.Job, k)
 			delete(a.started, workers.Ref{Job: e.Job.Index, Task: int32(k)})
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -271,7 +271,7 @@
 func TestCancelledWorkIsBack(t *testing.T) {
 	d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
-	d.HandleEvent(cluster.Event{Kind: cluster.JobLeft, Job: d.Jobs.Find(1)})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.Find(1)})
 	if d.account.own.BackMS != 7000 || !d.account.back() {
 		t.Errorf("back after %d ms", d.account.own.BackMS)
 	}
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -131,7 +131,7 @@
 // report shows to be of no use any more.
 func (d *Duty) HandleEvent(e cluster.Event) {
 	switch e.Kind {
-	case cluster.JobLeft:
+	case cluster.JobRemoved:
 		id := e.Job.Record.ID
 		for _, m := range d.granted[id] {
 			m.RevokeGrant(id)
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -189,7 +189,7 @@
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.enter(e.Job)
-	case cluster.JobLeft:
+	case cluster.JobRemoved:
 		if h := d.byJob[e.Job.Index]; h != nil && h.job == e.Job {
 			delete(d.byJob, e.Job.Index)
 			d.forget(h)
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -327,7 +327,7 @@
 		d.done(e)
 	case cluster.JobDone:
 		d.finished(e.At, e.Job)
-	case cluster.JobLeft:
+	case cluster.JobRemoved:
 		delete(d.runs, e.Job.Record.ID)
 		d.clear(e.Job.Record.ID, "over")
 	}
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -105,7 +105,7 @@
 		d.enter(e.At, e.Job)
 	case cluster.JobDone:
 		d.leave(e.At, e.Job, true)
-	case cluster.JobLeft:
+	case cluster.JobRemoved:
 		d.leave(0, e.Job, false) // cancelled: it is nobody's loss
 	}
 }
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -125,7 +125,7 @@
 					d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 				case r.IntN(900) == 0:
 					delete(open, j)
-					d.HandleEvent(cluster.Event{Kind: cluster.JobLeft, Job: j})
+					d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: j})
 				}
 			}
 			d.Tick(now, true)
