--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -105,22 +105,22 @@
 
 // What listeners hear.
 const (
-	JobRemoved      EventKind = iota // Job is over, and nothing of it is left anywhere
-	TaskPlaced                       // Task of Job is on Machine, or on its way there: this leader started it
-	TaskBegan                        // Task of Job was seen to run on Machine
-	TaskDone                         // Task of Job has completed, after Took seconds of running or, below 0, after an unknown time
-	ReportTaken                      // Report of Machine, newer than all before, was taken in
-	TaskGone                         // Task of Job is not on Machine any more, and has not completed
-	JobDone                          // all tasks of Job are durably done
-	MachineEmpty                     // Machine, on which nothing is, is to be returned: nothing will be started on it
-	MachineResolved                  // what earlier terms left on Machine is known
-	JobOrdered                       // Job has entered the order, with a first size, or is a service
-	OfferLost                        // Task of Job was on offer to Machine, whose worker has died since: it may have run there
-	MachineGone                      // Machine is proved gone; TaskGone of all that was on it came before
-	TaskAdopted                      // Task of Job, which an earlier leader had started, was found on Machine
-	TaskStopped                      // Task of Job on Machine is told to stop, by Order
-	MachineRented                    // Machine was rented by a request of this term
-	MachineLeft                      // the deletion of Machine is decided, by Order
+	JobRemoved            EventKind = iota // Job is over, and nothing of it is left anywhere
+	TaskPlaced                             // Task of Job is on Machine, or on its way there: this leader started it
+	TaskBegan                              // Task of Job was seen to run on Machine
+	TaskDone                               // Task of Job has completed, after Took seconds of running or, below 0, after an unknown time
+	ReportTaken                            // Report of Machine, newer than all before, was taken in
+	TaskGone                               // Task of Job is not on Machine any more, and has not completed
+	JobDone                                // all tasks of Job are durably done
+	MachineEmpty                           // Machine, on which nothing is, is to be returned: nothing will be started on it
+	MachineResolved                        // what earlier terms left on Machine is known
+	JobOrdered                             // Job has entered the order, with a first size, or is a service
+	OfferLost                              // Task of Job was on offer to Machine, whose worker has died since: it may have run there
+	MachineGone                            // Machine is proved gone; TaskGone of all that was on it came before
+	TaskAdopted                            // Task of Job, which an earlier leader had started, was found on Machine
+	TaskStopped                            // Task of Job on Machine is told to stop, by Order
+	MachineRented                          // Machine was rented by a request of this term
+	MachineDecommissioned                  // the deletion of Machine is decided, by Order
 )
 
 // Event is something that has happened. What its kind does not name is not set.
@@ -461,7 +461,7 @@
 		s.Counts.MachinesLost++
 	}
 	s.LogMessage(effects.Info, "machine returned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
-	s.Publish(Event{Kind: MachineLeft, At: now, Machine: m, Action: o})
+	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: o})
 }
 
 // SilentByZone counts the machines that should be heard, and those of them that are
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -199,7 +199,7 @@
 		if at, ok := a.left[kindOf(e.Machine)]; ok && e.At-at < soon {
 			a.own.Needless[ReturnedSoon]++
 		}
-	case cluster.MachineLeft:
+	case cluster.MachineDecommissioned:
 		a.own.Orders[e.Action.String()]++
 		if e.Action == cluster.Return {
 			a.left[kindOf(e.Machine)] = e.At
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -211,15 +211,15 @@
 	d.Tick(at(104), true)
 	rented, used := &workers.Machine{Name: "new"}, &workers.Machine{Name: "used"}
 	for _, e := range []cluster.Event{
-		{Kind: cluster.MachineLeft, Machine: all[8], Action: cluster.Return},
+		{Kind: cluster.MachineDecommissioned, Machine: all[8], Action: cluster.Return},
 		{Kind: cluster.MachineRented, Machine: rented},
 		{Kind: cluster.MachineRented, Machine: used},
 		{Kind: cluster.TaskPlaced, Machine: used, Job: j, Task: 9},
 		{Kind: cluster.TaskPlaced, Machine: used, Job: j, Task: 15},
 		{Kind: cluster.TaskStopped, Machine: used, Job: j, Task: 15, Action: cluster.Preempt},
-		{Kind: cluster.MachineLeft, Machine: used, Action: cluster.Return},
-		{Kind: cluster.MachineLeft, Machine: rented, Action: cluster.Return},
-		{Kind: cluster.MachineLeft, Machine: all[9], Action: cluster.Delete},
+		{Kind: cluster.MachineDecommissioned, Machine: used, Action: cluster.Return},
+		{Kind: cluster.MachineDecommissioned, Machine: rented, Action: cluster.Return},
+		{Kind: cluster.MachineDecommissioned, Machine: all[9], Action: cluster.Delete},
 		{Kind: cluster.ReportTaken, Machine: all[9], Report: &workers.Report{}},
 		{Kind: cluster.ReportTaken, Machine: all[9], Report: &workers.Report{}},
 	} {
