--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -609,7 +609,7 @@
 		if m.Draining && !m.Deleting && len(m.Tasks) == 0 && len(m.OpenOffers) == 0 && len(m.Orphans) == 0 {
 			d.Decommission(now, m, cluster.Return, "not needed")
 			if m.Resolved { // else only its deletion proves that nothing of an earlier term is there
-				d.Publish(cluster.Event{Kind: cluster.MachineEmpty, At: now, Machine: m})
+				d.Publish(cluster.Event{Kind: cluster.MachineReturnable, At: now, Machine: m})
 			}
 		}
 	}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -112,7 +112,7 @@
 	ReportTaken                            // Report of Machine, newer than all before, was taken in
 	TaskGone                               // Task of Job is not on Machine any more, and has not completed
 	JobDone                                // all tasks of Job are durably done
-	MachineEmpty                           // Machine, on which nothing is, is to be returned: nothing will be started on it
+	MachineReturnable                      // Machine, on which nothing is, is to be returned: nothing will be started on it
 	MachineResolved                        // what earlier terms left on Machine is known
 	JobOrdered                             // Job has entered the order, with a first size, or is a service
 	OfferLost                              // Task of Job was on offer to Machine, whose worker has died since: it may have run there
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -114,7 +114,7 @@
 
 // HandleEvent has a machine noted on which nothing is before it is deleted.
 func (d *Duty) HandleEvent(e cluster.Event) {
-	if e.Kind == cluster.MachineEmpty && d.Cfg.Tunables.NoteReturns == 1 {
+	if e.Kind == cluster.MachineReturnable && d.Cfg.Tunables.NoteReturns == 1 {
 		e.Machine.ReturnUnrecorded = true
 		d.empty = append(d.empty, e.Machine.Name)
 	}
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -38,7 +38,7 @@
 		t.Fatal("the machine is not waited for: the test tests nothing")
 	}
 	term.Decommission(0, m, cluster.Return, "not needed")
-	term.Publish(cluster.Event{Kind: cluster.MachineEmpty, Machine: m})
+	term.Publish(cluster.Event{Kind: cluster.MachineReturnable, Machine: m})
 	term.Tick(time.Second, true)
 	if got := deletes(term); len(got) != 0 {
 		t.Errorf("deleted before it is noted: %v", got)
