--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -116,7 +116,7 @@
 	MachineResolved                        // what earlier terms left on Machine is known
 	JobOrdered                             // Job has entered the order, with a first size, or is a service
 	OfferLost                              // Task of Job was on offer to Machine, whose worker has died since: it may have run there
-	MachineGone                            // Machine is proved gone; TaskGone of all that was on it came before
+	MachineProvedGone                      // Machine is proved gone; TaskGone of all that was on it came before
 	TaskAdopted                            // Task of Job, which an earlier leader had started, was found on Machine
 	TaskStopped                            // Task of Job on Machine is told to stop, by Order
 	MachineRented                          // Machine was rented by a request of this term
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -230,7 +230,7 @@
 			d.loseUnseen(e.At, e.Machine)
 			d.resolved = nil
 		}
-	case cluster.MachineGone:
+	case cluster.MachineProvedGone:
 		delete(d.anew, e.Machine)
 		d.strayLost(e.At, e.Machine)
 		// Before it is written that the machine is gone: a new leader would take
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -363,7 +363,7 @@
 	w.d.RemoveUnresolved(m)
 	j.UnresolvedMachines--
 	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
-	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: m})
 	expect(t, "held after the loss", w.out("p"), 4)
 	w.write()
 	w.lead(true)
@@ -407,7 +407,7 @@
 	w.d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
 	j := w.job("a", 1, 1, jobs.Array, per("p", 1))
 	expect(t, "closed", w.pass(j), "[0]")
-	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineGone, At: w.now, Machine: w.m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.m})
 	expect(t, "gone", w.pass(j), "[1]")
 }
 
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -435,7 +435,7 @@
 		if m.Unresolved() {
 			d.resolved(now, m)
 		}
-		d.Publish(cluster.Event{Kind: cluster.MachineGone, At: now, Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.MachineProvedGone, At: now, Machine: m})
 	}
 	for _, part := range eventlog.SplitNames(list, d.EventLog.MaxEntryBytes()-eventlog.EntryBytes) {
 		d.EventLog.Append(eventlog.Entry{DeletedMachines: part})
