--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -109,7 +109,7 @@
 	TaskPlaced                             // Task of Job is on Machine, or on its way there: this leader started it
 	TaskBegan                              // Task of Job was seen to run on Machine
 	TaskDone                               // Task of Job has completed, after Took seconds of running or, below 0, after an unknown time
-	ReportTaken                            // Report of Machine, newer than all before, was taken in
+	HeartbeatApplied                       // Report of Machine, newer than all before, was taken in
 	TaskGone                               // Task of Job is not on Machine any more, and has not completed
 	JobDone                                // all tasks of Job are durably done
 	MachineReturnable                      // Machine, on which nothing is, is to be returned: nothing will be started on it
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -209,7 +209,7 @@
 		} else if e.Action == cluster.Delete {
 			a.deleted[e.Machine] = true
 		}
-	case cluster.ReportTaken:
+	case cluster.HeartbeatApplied:
 		if a.deleted[e.Machine] {
 			delete(a.deleted, e.Machine)
 			a.own.Needless[DeletedAlive]++
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -220,8 +220,8 @@
 		{Kind: cluster.MachineDecommissioned, Machine: used, Action: cluster.Return},
 		{Kind: cluster.MachineDecommissioned, Machine: rented, Action: cluster.Return},
 		{Kind: cluster.MachineDecommissioned, Machine: all[9], Action: cluster.Delete},
-		{Kind: cluster.ReportTaken, Machine: all[9], Report: &workers.Report{}},
-		{Kind: cluster.ReportTaken, Machine: all[9], Report: &workers.Report{}},
+		{Kind: cluster.HeartbeatApplied, Machine: all[9], Report: &workers.Report{}},
+		{Kind: cluster.HeartbeatApplied, Machine: all[9], Report: &workers.Report{}},
 	} {
 		e.At = at(110)
 		d.HandleEvent(e)
@@ -270,7 +270,7 @@
 // Work that is cancelled is back when its job leaves, not at the beginning.
 func TestCancelledWorkIsBack(t *testing.T) {
 	d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Cfg.Peers = nil })
-	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
+	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.Find(1)})
 	if d.account.own.BackMS != 7000 || !d.account.back() {
 		t.Errorf("back after %d ms", d.account.own.BackMS)
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -206,7 +206,7 @@
 		return
 	}
 	switch e.Kind {
-	case cluster.ReportTaken:
+	case cluster.HeartbeatApplied:
 		if e.Machine.Durable && e.Report.Token == e.Machine.Token {
 			d.reach(FirstReport, e.At)
 		}
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -54,7 +54,7 @@
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	all := d.Inventory.All()
 	for i, m := range all {
-		d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: at(13 + i), Machine: m, Report: &workers.Report{Token: m.Token}})
+		d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: at(13 + i), Machine: m, Report: &workers.Report{Token: m.Token}})
 		m.Resolved = true
 		d.Jobs.Find(1).UnresolvedMachines--
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
@@ -110,7 +110,7 @@
 		m.Resolved = true
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
 	}
-	d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: 14 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
+	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 14 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
 	d.Jobs.Find(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
 	if d.EventLog.Pending() != 0 {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -140,7 +140,7 @@
 		delete(d.granted, id)
 		delete(d.granting, id)
 		d.marks.forget(id)
-	case cluster.ReportTaken:
+	case cluster.HeartbeatApplied:
 		if e.Report.Token == e.Machine.Token {
 			d.withdraw(e.At, e.Machine, e.Report)
 		}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -211,7 +211,7 @@
 		if h := d.byJob[e.Job.Index]; h != nil {
 			d.lose(e.At, h.job, h.needs, 1)
 		}
-	case cluster.ReportTaken:
+	case cluster.HeartbeatApplied:
 		d.look(e.Machine, e.Report)
 		// A machine that may have tasks of an earlier term has had a token then.
 		if e.Report.Token == 0 && e.Machine.Unresolved() {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -397,14 +397,14 @@
 	w.d.Begin(w.now)
 	w.read()
 	r := &workers.Report{Machine: "m", Tasks: []workers.TaskReport{{Job: 77, Task: 1, Attempt: 5, State: workers.Running}}}
-	w.d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.m, Report: r})
 	expect(t, "it still runs", w.out("p"), 2)
 	r.Tasks[0].State = workers.Ended
-	w.d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.m, Report: r})
 	expect(t, "it has ended", w.out("p"), 0)
 	// One of which nothing is known closes all pools while it is there.
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
-	w.d.HandleEvent(cluster.Event{Kind: cluster.ReportTaken, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.m, Report: r})
 	j := w.job("a", 1, 1, jobs.Array, per("p", 1))
 	expect(t, "closed", w.pass(j), "[0]")
 	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.m})
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -315,7 +315,7 @@
 		d.event(now, m, e)
 	}
 	d.fit(m)
-	d.Publish(cluster.Event{Kind: cluster.ReportTaken, At: now, Machine: m, Report: r})
+	d.Publish(cluster.Event{Kind: cluster.HeartbeatApplied, At: now, Machine: m, Report: r})
 	if elsewhere != "" {
 		d.Emit(effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 421, Node: elsewhere}})
 		return
