--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -44,8 +44,8 @@
 	LeftWaiting    uint64 `json:"left_waiting"`
 }
 
-// Start is what a term begins with.
-type Start struct {
+// TermStart is what a term begins with.
+type TermStart struct {
 	Cfg   *settings.Settings
 	Zero  int64 // time of day at time 0, in milliseconds
 	Epoch uint64
@@ -61,7 +61,7 @@
 
 // State is what all duties of a term share.
 type State struct {
-	Start
+	TermStart
 	Token             uint64 // of machines that have not changed their block
 	EventLog          *eventlog.Log
 	Jobs              *jobs.Table
@@ -184,7 +184,7 @@
 func (s *State) FromThisTerm(attempt uint64) bool { return attempt>>attemptBits == s.Epoch }
 
 // New makes the state of a term that knows nothing yet.
-func New(start Start) *State {
+func New(start TermStart) *State {
 	if start.Cfg.Tunables.ConfigHistory > 0 {
 		own := *start.Cfg // tunables may change during the term
 		start.Cfg = &own
@@ -194,7 +194,7 @@
 		start.Measures = &Measures{}
 	}
 	s := &State{
-		Start: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
+		TermStart: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
 		Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -30,7 +30,7 @@
 	} {
 		cfg := &settings.Settings{Tunables: settings.Defaults()}
 		cfg.Deployment.Workers.ReportS = 1
-		s := New(Start{Cfg: cfg, Counts: &Counts{}})
+		s := New(TermStart{Cfg: cfg, Counts: &Counts{}})
 		now := time.Minute
 		for z, n := range c.up {
 			s.Zones.Index(fmt.Sprint(z))
@@ -66,7 +66,7 @@
 	} {
 		cfg := &settings.Settings{Tunables: settings.Defaults()}
 		cfg.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 20}}
-		s := New(Start{Cfg: cfg, Counts: &Counts{}})
+		s := New(TermStart{Cfg: cfg, Counts: &Counts{}})
 		j := s.Jobs.Add(eventlog.Job{ID: 1, Team: "team", Kind: c.kind, Tasks: 6, CPUs: 1})
 		j.Phase, j.Need = jobs.Open, resources.Need(1, 0, 0)
 		m := s.Inventory.Add(&workers.Machine{Name: "m", Up: true, Cap: resources.Room(9, 0, 9), Free: resources.Room(9, 0, 9)})
@@ -96,7 +96,7 @@
 // Tokens of a term never reach those of the next: direct starts stop asking for them
 // first, and the term ends before they are out.
 func TestTokensOfATerm(t *testing.T) {
-	s := New(Start{Cfg: &settings.Settings{}, Epoch: 3, Counts: &Counts{}})
+	s := New(TermStart{Cfg: &settings.Settings{}, Epoch: 3, Counts: &Counts{}})
 	few, n := 0, 0
 	for ; !s.TokensExhausted(); n++ {
 		if s.NextToken()>>TokenBits != 3 {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -111,12 +111,12 @@
 
 // begun is the duty of a term that has read ten registered machines and a job with tasks
 // that may run on all of them.
-func begun(change func(*cluster.Start, *settings.Tunables)) *Duty {
+func begun(change func(*cluster.TermStart, *settings.Tunables)) *Duty {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Deployment.Workers.ReportS = 2
 	cfg.Tunables.ColdListen, cfg.Tunables.ColdKept = 1, 3
-	start := cluster.Start{Cfg: cfg, Zero: 1e6, Epoch: 7, Noticed: 99 * time.Second, Began: 100 * time.Second, Counts: &cluster.Counts{}, Measures: &cluster.Measures{}}
+	start := cluster.TermStart{Cfg: cfg, Zero: 1e6, Epoch: 7, Noticed: 99 * time.Second, Began: 100 * time.Second, Counts: &cluster.Counts{}, Measures: &cluster.Measures{}}
 	change(&start, &cfg.Tunables)
 	s := cluster.New(start)
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
@@ -173,7 +173,7 @@
 			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, ordinary},
 	} {
-		d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Before = c.before })
+		d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Before = c.before })
 		if c.answer(d); d.kind != c.want {
 			t.Errorf("%s: %v, want %v", c.name, d.kind, c.want)
 		}
@@ -190,7 +190,7 @@
 // which of them turned out to be needless; one entry in the end, which the next leaders
 // remember.
 func TestAccount(t *testing.T) {
-	d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Cfg.Peers = nil })
+	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	j, all := d.Jobs.Find(1), d.Inventory.All()
 	if d.kind != cold || d.account.own.Tasks != 10 || d.account.own.MostMS != 40_000 {
@@ -250,7 +250,7 @@
 		t.Errorf("%d entries are written", d.EventLog.Pending())
 	}
 	// A successor remembers it, once, and no more than it is to keep.
-	next := begun(func(s *cluster.Start, _ *settings.Tunables) {
+	next := begun(func(s *cluster.TermStart, _ *settings.Tunables) {
 		s.Before = leadership.LeaderRecord{Ever: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
 	})
 	for _, epoch := range []uint64{1, 2, 7, 7} {
@@ -269,7 +269,7 @@
 
 // Work that is cancelled is back when its job leaves, not at the beginning.
 func TestCancelledWorkIsBack(t *testing.T) {
-	d := begun(func(s *cluster.Start, _ *settings.Tunables) { s.Cfg.Peers = nil })
+	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.Find(1)})
 	if d.account.own.BackMS != 7000 || !d.account.back() {
@@ -283,7 +283,7 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}}
 	cfg.Tunables.ColdListen = 1
-	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
+	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	d.Begin(0)
 	if d.kind != ordinary || !s.Permits(0, cluster.Rent) || s.SilenceAllowance() != 0 {
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -17,7 +17,7 @@
 func placer(epoch uint64, on int, count int) *Duty {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.NoteTasks = on
-	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
+	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	for id := range count {
 		s.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 100}).Phase = jobs.Open
--- a/internal/leader/placement/placing_test.go
+++ b/internal/leader/placement/placing_test.go
@@ -14,7 +14,7 @@
 // parts, those taken back first; a part that is durable lets exactly its own
 // machines start.
 func TestGrantsInParts(t *testing.T) {
-	s := cluster.New(cluster.Start{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Epoch: 2, Counts: &cluster.Counts{}})
+	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Epoch: 2, Counts: &cluster.Counts{}})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 1}, "lead/epoch", 1, 0, 0)
 	d := New(s)
 	s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1})
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -154,7 +154,7 @@
 	cfg.Node, cfg.Peers = "a", []settings.Peer{{Node: "b"}, {Node: "c"}}
 	cfg.Tunables.SpreadMoves = 4
 	cfg.Deployment.Workers.ReportS = 1
-	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
+	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	for i := range 30 {
 		m := s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(i), Up: true, LastHeartbeat: 30 * time.Second, Shard: "b"})
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -30,7 +30,7 @@
 	cfg.Deployment.Teams = []settings.Team{{Name: "red", CPUs: 2, CPUsMax: 10}}
 	cfg.Deployment.State.WriteRPS, cfg.Deployment.State.ValueKB, cfg.Deployment.State.TxnOps = 100, 8, 12
 	b := &bench{t: t, now: time.Second}
-	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}, Config: &b.replica})
+	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}, Config: &b.replica})
 	s.EventLog = newLog(0)
 	b.Duty = New(s)
 	for _, e := range entries {
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -49,7 +49,7 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.RunTimesKinds = kinds
 	cfg.Deployment.State.WriteRPS = 40
-	return New(cluster.New(cluster.Start{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}}))
+	return New(cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}}))
 }
 
 // What a new leader reads after its term has begun, with a full book: ten thousand
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -20,7 +20,7 @@
 		{Kind: settings.AimFinished, Class: "a", WithinS: 60}, {Kind: settings.AimFinished, Class: "a", WithinS: 100},
 		{Kind: settings.AimDeadline, Class: "b", Times: 1.5},
 	}
-	s := cluster.New(cluster.Start{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
+	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	m := s.Inventory.Add(&workers.Machine{Name: "m", Up: true})
 	m.Cap.CPU = 1_000_000
 	return New(s)
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -27,7 +27,7 @@
 	c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps = 1e6, 8, 12
 	kb, ops := 2.0, 4
 	c.Deployment.State.Next = &settings.NextLimits{ValueKB: &kb, TxnOps: &ops}
-	t := New(cluster.Start{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
+	t := New(cluster.TermStart{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
 	t.Load(now, 1, LoadedLog{First: 1, Last: 1, Entries: entries})
 	return t
 }
--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -32,7 +32,7 @@
 	for i := range pools {
 		cfg.Tunables.Pools = append(cfg.Tunables.Pools, settings.Pool{Name: fmt.Sprint("pool", i), Units: 2})
 	}
-	t := New(cluster.Start{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}})
+	t := New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}})
 	t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	return t, entries
 }
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -47,7 +47,7 @@
 // fullTerm is a term that has read such a log.
 func fullTerm(machines, count int) (*Term, []effects.Relayed) {
 	entries, reports := fullLog(machines, count)
-	t := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
+	t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	return t, reports
 }
@@ -90,7 +90,7 @@
 		}
 	}
 	_, reports := fullLog(60, 100)
-	term := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
+	term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	r := rand.New(rand.NewPCG(3, 3))
 	r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
@@ -144,7 +144,7 @@
 	}
 	resolve := func(machines int) float64 {
 		_, reports := fullLog(machines, 100)
-		term := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
+		term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: scaleLog(machines)})
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -98,7 +98,7 @@
 			b.ReportMetric(float64(size)/1024, "KiB")
 			b.ReportAllocs()
 			for b.Loop() {
-				t := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
+				t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 			}
 		})
@@ -128,7 +128,7 @@
 			for b.Loop() {
 				b.StopTimer()
 				_, reports := fullLog(n, 100)
-				t := New(cluster.Start{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
+				t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 				b.StartTimer()
 				for i := range reports {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -95,7 +95,7 @@
 }
 
 // New begins a term; it does little until Load.
-func New(start cluster.Start) *Term {
+func New(start cluster.TermStart) *Term {
 	s := cluster.New(start)
 	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
 		owners: map[string]Component{}}
--- a/internal/leader/term/term_test.go
+++ b/internal/leader/term/term_test.go
@@ -14,7 +14,7 @@
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
 	c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps = 10, 8, 12
-	term := New(cluster.Start{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
+	term := New(cluster.TermStart{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
 	job := &eventlog.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 8, Types: []string{"large"}}
 	term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: []eventlog.Entry{
 		{Job: job},
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -169,7 +169,7 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	at := time.Now()
-	x := term.New(cluster.Start{Cfg: &c, Epoch: 99, Counts: &cluster.Counts{}})
+	x := term.New(cluster.TermStart{Cfg: &c, Epoch: 99, Counts: &cluster.Counts{}})
 	x.Load(0, 1, *s.scale.largest)
 	took := time.Since(at)
 	runtime.GC()
