--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -46,9 +46,9 @@
 
 // TermStart is what a term begins with.
 type TermStart struct {
-	Cfg   *settings.Settings
-	Zero  int64 // time of day at time 0, in milliseconds
-	Epoch uint64
+	Cfg         *settings.Settings
+	ClockZeroMS int64 // time of day at time 0, in milliseconds
+	Epoch       uint64
 	// LastLed is when this node last heard of a leader, 0 if it never did; Noticed
 	// when it found that nobody led, Began when it was elected.
 	LastLed, Noticed, Began time.Duration
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -101,13 +101,13 @@
 // handed out and is not known to have ended. What was reported while the others were
 // asked is back already.
 func (a *account) begin(d *Duty, now time.Duration) {
-	a.own.AtMS = d.Zero + d.Began.Milliseconds()
+	a.own.AtMS = d.ClockZeroMS + d.Began.Milliseconds()
 	if d.LastLed > 0 {
 		a.own.LeastMS = (d.Noticed - d.LastLed).Milliseconds()
 	}
 	a.own.MostMS = -1
 	if d.newest > 0 {
-		a.own.MostMS = max(0, d.Zero+now.Milliseconds()-d.newest)
+		a.own.MostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newest)
 	}
 	a.own.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -105,7 +105,7 @@
 func New(s *cluster.State, keep int) *Duty {
 	d := &Duty{State: s, keep: keep, hist: s.Measures.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
-	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.Zero + s.Noticed.Milliseconds()}
+	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.Noticed.Milliseconds()}
 	d.own.SilentMS = -1
 	if s.LastLed > 0 {
 		d.own.SilentMS = (s.Noticed - s.LastLed).Milliseconds()
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -17,7 +17,7 @@
 // begun is the duty of a term that has read ten registered machines, and a job
 // that may have tasks on all of them.
 func begun(measures *cluster.Measures) *Duty {
-	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Zero: 1e6, Epoch: 7,
+	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, ClockZeroMS: 1e6, Epoch: 7,
 		LastLed: 9 * time.Second, Noticed: 10 * time.Second, Began: 11 * time.Second, Counts: &cluster.Counts{}, Measures: measures})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -110,7 +110,7 @@
 // order as if it had just arrived.
 func (d *Duty) letGo(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
-	j.Record.ReleasedMS = d.Zero + now.Milliseconds()
+	j.Record.ReleasedMS = d.ClockZeroMS + now.Milliseconds()
 	d.schedule(j, now)
 	d.order(now, j)
 	d.Counts.Released++
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -349,7 +349,7 @@
 
 // timeOf is a time of day on this node's clock; none is later than now.
 func (d *Duty) timeOf(ms int64, now time.Duration) time.Duration {
-	return min(now, time.Duration(ms-d.Zero)*time.Millisecond)
+	return min(now, time.Duration(ms-d.ClockZeroMS)*time.Millisecond)
 }
 
 // schedule settles the times that count from a job's arrival, or from its
@@ -465,7 +465,7 @@
 // the time of day for a job that others wait for.
 func (d *Duty) appendTasks(now time.Duration, b eventlog.CompletedTasks) {
 	if j := d.Jobs.Find(b.ID); j != nil && len(j.Dependents) > 0 {
-		b.AtMS = d.Zero + now.Milliseconds()
+		b.AtMS = d.ClockZeroMS + now.Milliseconds()
 	}
 	most := max(1, d.EventLog.MaxEntryBytes()/rangeBytes-4)
 	for len(b.Ranges) > most {
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -53,7 +53,7 @@
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 422, Why: why}})
 		return
 	}
-	s.Job.AtMS = d.Zero + now.Milliseconds()
+	s.Job.AtMS = d.ClockZeroMS + now.Milliseconds()
 	if rec, _ := d.stored(*s.Job); !d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 400, Why: "breeds and other names: too long to be stored"}})
 		return
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -33,7 +33,7 @@
 // clockSlack is how far the times of day of two controllers may differ.
 const clockSlack = time.Second
 
-func (d *Duty) timeMS(now time.Duration) int64 { return d.Zero + now.Milliseconds() }
+func (d *Duty) timeMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
 
 // lose has the units of so many tasks of a job stay out where their pool says so.
 // Units that the job holds as a whole stay with it, unless it is over.
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -78,7 +78,7 @@
 	if len(d.pending) >= pendingMost || d.EventLog.Pending() > queuedMost {
 		return nil, &settings.FieldError{Field: "changes", Why: "too many wait to be written: try again"}
 	}
-	r := config.Revision{Number: in.Revision + 1, ID: in.ID, By: by, AtMS: d.Zero + now.Milliseconds(), Note: in.Note, Changes: slices.Clone(in.Changes)}
+	r := config.Revision{Number: in.Revision + 1, ID: in.ID, By: by, AtMS: d.ClockZeroMS + now.Milliseconds(), Note: in.Note, Changes: slices.Clone(in.Changes)}
 	added := 0
 	for i := range r.Changes {
 		before, err := d.prepare(&r.Changes[i])
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -247,7 +247,9 @@
 }
 
 // time is the time of day.
-func (d *Duty) time(now time.Duration) time.Time { return time.UnixMilli(d.Zero + now.Milliseconds()) }
+func (d *Duty) time(now time.Duration) time.Time {
+	return time.UnixMilli(d.ClockZeroMS + now.Milliseconds())
+}
 
 // newDay notes which night it is. Those before it are closed for all kinds.
 func (d *Duty) newDay(now time.Duration) {
