--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -103,7 +103,7 @@
 func (a *account) begin(d *Duty, now time.Duration) {
 	a.own.AtMS = d.ClockZeroMS + d.Began.Milliseconds()
 	if d.LastLed > 0 {
-		a.own.LeastMS = (d.Noticed - d.LastLed).Milliseconds()
+		a.own.LeastMS = (d.LeaderMissedAt - d.LastLed).Milliseconds()
 	}
 	a.own.MostMS = -1
 	if d.newest > 0 {
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -105,10 +105,10 @@
 func New(s *cluster.State, keep int) *Duty {
 	d := &Duty{State: s, keep: keep, hist: s.Measures.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
-	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.Noticed.Milliseconds()}
+	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
 	d.own.SilentMS = -1
 	if s.LastLed > 0 {
-		d.own.SilentMS = (s.Noticed - s.LastLed).Milliseconds()
+		d.own.SilentMS = (s.LeaderMissedAt - s.LastLed).Milliseconds()
 	}
 	for i := range d.own.After {
 		d.own.After[i] = -1
@@ -181,7 +181,7 @@
 // reach notes a step, the first time that it is reached.
 func (d *Duty) reach(s Step, now time.Duration) {
 	if d.own.After[s] < 0 {
-		d.own.After[s] = max(0, (now - d.Noticed).Milliseconds())
+		d.own.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
 		d.hist.Observe(s.String(), float64(d.own.After[s])/1000)
 	}
 }
@@ -255,7 +255,7 @@
 		}
 		last = max(last, d.own.After[s])
 	}
-	return d.own.After[FirstStart] >= 0 || now-d.Noticed >= time.Duration(last)*time.Millisecond+startWait
+	return d.own.After[FirstStart] >= 0 || now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+startWait
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
