--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -173,7 +173,7 @@
 			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, ordinary},
 	} {
-		d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Before = c.before })
+		d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.PreviousLeader = c.before })
 		if c.answer(d); d.kind != c.want {
 			t.Errorf("%s: %v, want %v", c.name, d.kind, c.want)
 		}
@@ -251,7 +251,7 @@
 	}
 	// A successor remembers it, once, and no more than it is to keep.
 	next := begun(func(s *cluster.TermStart, _ *settings.Tunables) {
-		s.Before = leadership.LeaderRecord{Ever: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
+		s.PreviousLeader = leadership.LeaderRecord{Ever: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
 	})
 	for _, epoch := range []uint64{1, 2, 7, 7} {
 		r.Epoch = epoch
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -99,7 +99,7 @@
 	switch {
 	case n == 0 && d.Jobs.Len() == 0:
 		d.decide(now, ordinary) // there is nothing to find out
-	case d.takenOver(d.LeaderMissedAt, d.Before):
+	case d.takenOver(d.LeaderMissedAt, d.PreviousLeader):
 		d.decide(now, ordinary)
 	case len(d.Cfg.Peers) == 0:
 		d.decide(now, cold)
