--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -51,8 +51,8 @@
 	Epoch       uint64
 	// LastLed is when this node last heard of a leader, 0 if it never did; Noticed
 	// when it found that nobody led, Began when it was elected.
-	LastLed, LeaderMissedAt, Began time.Duration
-	PreviousLeader                 leadership.LeaderRecord // the leader before, as this node heard it
+	LastLeaderHeard, LeaderMissedAt, Began time.Duration
+	PreviousLeader                         leadership.LeaderRecord // the leader before, as this node heard it
 	// Counts, Measures and Config outlive the term.
 	Counts   *Counts
 	Measures *Measures
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -102,8 +102,8 @@
 // asked is back already.
 func (a *account) begin(d *Duty, now time.Duration) {
 	a.own.AtMS = d.ClockZeroMS + d.Began.Milliseconds()
-	if d.LastLed > 0 {
-		a.own.LeastMS = (d.LeaderMissedAt - d.LastLed).Milliseconds()
+	if d.LastLeaderHeard > 0 {
+		a.own.LeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
 	a.own.MostMS = -1
 	if d.newest > 0 {
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -107,8 +107,8 @@
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
 	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
 	d.own.SilentMS = -1
-	if s.LastLed > 0 {
-		d.own.SilentMS = (s.LeaderMissedAt - s.LastLed).Milliseconds()
+	if s.LastLeaderHeard > 0 {
+		d.own.SilentMS = (s.LeaderMissedAt - s.LastLeaderHeard).Milliseconds()
 	}
 	for i := range d.own.After {
 		d.own.After[i] = -1
