--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -24,8 +24,8 @@
 // since the leader before may have used up what had gathered.
 func newCalls(s *cluster.State) ratelimit.Adaptive {
 	rate := s.Cfg.Deployment.Cloud.RPS * 0.8
-	a := ratelimit.NewAdaptive(s.Began, rate, max(1, rate))
-	a.Take(s.Began, a.Burst)
+	a := ratelimit.NewAdaptive(s.TermBegan, rate, max(1, rate))
+	a.Take(s.TermBegan, a.Burst)
 	return a
 }
 
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -70,7 +70,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
 	return &Duty{State: s, buyer: NewBuyer(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
-		calls: newCalls(s), listAt: s.Began, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
+		calls: newCalls(s), listAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
 // Replay takes an entry of the log.
@@ -111,7 +111,7 @@
 		d.buyer.Restore(r)
 	}
 	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
-		d.listAt = d.Began - listEvery // what the cloud has taken meanwhile need not be waited for
+		d.listAt = d.TermBegan - listEvery // what the cloud has taken meanwhile need not be waited for
 	}
 	d.booting, d.registered = nil, nil
 }
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -51,8 +51,8 @@
 	Epoch       uint64
 	// LastLed is when this node last heard of a leader, 0 if it never did; Noticed
 	// when it found that nobody led, Began when it was elected.
-	LastLeaderHeard, LeaderMissedAt, Began time.Duration
-	PreviousLeader                         leadership.LeaderRecord // the leader before, as this node heard it
+	LastLeaderHeard, LeaderMissedAt, TermBegan time.Duration
+	PreviousLeader                             leadership.LeaderRecord // the leader before, as this node heard it
 	// Counts, Measures and Config outlive the term.
 	Counts   *Counts
 	Measures *Measures
@@ -471,7 +471,7 @@
 	for _, m := range s.Inventory.All() {
 		if m.Up || m.Durable {
 			up[m.Zone]++
-			if now-max(m.LastHeartbeat, s.Began) > s.SuspectAfter() {
+			if now-max(m.LastHeartbeat, s.TermBegan) > s.SuspectAfter() {
 				silent[m.Zone]++
 			}
 		}
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -101,7 +101,7 @@
 // handed out and is not known to have ended. What was reported while the others were
 // asked is back already.
 func (a *account) begin(d *Duty, now time.Duration) {
-	a.own.AtMS = d.ClockZeroMS + d.Began.Milliseconds()
+	a.own.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
 		a.own.LeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
@@ -154,7 +154,7 @@
 }
 
 func (a *account) reach(d *Duty, now time.Duration, step string, at *int64) {
-	*at = max(0, (now - d.Began).Milliseconds())
+	*at = max(0, (now - d.TermBegan).Milliseconds())
 	if a.hist != nil {
 		a.hist.Observe(step, float64(*at)/1000)
 	}
@@ -216,7 +216,7 @@
 		}
 	case cluster.JobRemoved:
 		for k := range e.Job.Tasks {
-			a.isBack(d, max(a.at, d.Began), e.Job, k)
+			a.isBack(d, max(a.at, d.TermBegan), e.Job, k)
 			delete(a.started, workers.Ref{Job: e.Job.Index, Task: int32(k)})
 		}
 	}
@@ -228,12 +228,12 @@
 		return
 	}
 	if d.census.done && a.own.SettledMS < 0 {
-		a.own.SettledMS = (d.census.at - d.Began).Milliseconds()
+		a.own.SettledMS = (d.census.at - d.TermBegan).Milliseconds()
 		if a.hist != nil {
 			a.hist.Observe("settled", float64(a.own.SettledMS)/1000)
 		}
 	}
-	if now-d.Began < lookFor {
+	if now-d.TermBegan < lookFor {
 		return
 	}
 	a.over = true
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -185,7 +185,7 @@
 	if before := d.census.done; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
-		d.LogMessage(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.Began).Round(10*time.Millisecond).String())
+		d.LogMessage(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.TermBegan).Round(10*time.Millisecond).String())
 	}
 	d.account.tick(d, now, sure)
 }
@@ -224,7 +224,7 @@
 
 // paces says whether starts are paced: after a cold start, until the work is back.
 func (d *Duty) paces(now time.Duration) bool {
-	return d.kind == cold && !d.account.back() && now-d.Began < catchUp
+	return d.kind == cold && !d.account.back() && now-d.TermBegan < catchUp
 }
 
 // HandleEvent follows the census and keeps account.
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -161,7 +161,7 @@
 		d.over = true
 		return
 	}
-	d.reach(Elected, d.Began)
+	d.reach(Elected, d.TermBegan)
 	d.reach(LogRead, now)
 	d.progress(now)
 }
@@ -226,7 +226,7 @@
 	if d.own.After[Free] < 0 && d.heldBack() == 0 {
 		d.reach(Free, now)
 	}
-	if !d.complete(now) && now-d.Began < giveUp {
+	if !d.complete(now) && now-d.TermBegan < giveUp {
 		return
 	}
 	d.over = true
--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -27,7 +27,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
-	return &Duty{State: s, finals: map[uint64]float64{}, sizesAt: s.Began}
+	return &Duty{State: s, finals: map[uint64]float64{}, sizesAt: s.TermBegan}
 }
 
 // Replay takes an entry of the log.
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -294,7 +294,7 @@
 		return h != nil && slices.ContainsFunc(h.needs, func(n need) bool { return wanted[n.pool] })
 	}
 	for _, m := range slices.Clone(d.Inventory.All()) {
-		if m.Deleting || !m.Durable || now-max(m.LastHeartbeat, d.Began) <= max(after, d.SuspectAfter()) {
+		if m.Deleting || !m.Durable || now-max(m.LastHeartbeat, d.TermBegan) <= max(after, d.SuspectAfter()) {
 			continue
 		}
 		on := false
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -46,7 +46,7 @@
 	cfg.Deployment.Teams = []settings.Team{{Name: "a"}, {Name: "b"}}
 	cfg.Deployment.Workers.ReportS = 1
 	w.epoch++
-	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: w.epoch, Began: w.now, Counts: &cluster.Counts{}})
+	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: w.epoch, TermBegan: w.now, Counts: &cluster.Counts{}})
 	w.d = New(s)
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
 	s.Zones.Index("z")
--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -40,7 +40,7 @@
 	d.lookAt = now
 	from := settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) + slack
 	for _, m := range d.Inventory.All() {
-		heard := max(m.LastHeartbeat, d.Began)
+		heard := max(m.LastHeartbeat, d.TermBegan)
 		if len(d.asked) >= atOnce {
 			return
 		}
@@ -62,7 +62,7 @@
 	m := d.Inventory.Find(machine)
 	heard, under := d.asked[machine]
 	delete(d.asked, machine)
-	if m == nil || !under || max(m.LastHeartbeat, d.Began) != heard {
+	if m == nil || !under || max(m.LastHeartbeat, d.TermBegan) != heard {
 		return // deleted, or heard meanwhile
 	}
 	if m.Unanswered++; ok {
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -47,7 +47,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
 	t := &s.Cfg.Tunables
-	d := &Duty{State: s, balance: NewBalance(s.Began, Params{Most: t.SpreadMost, PerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
+	d := &Duty{State: s, balance: NewBalance(s.TermBegan, Params{Most: t.SpreadMost, PerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
 	s.Rebalancer = d
 	return d
 }
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -203,7 +203,7 @@
 	}
 	d.Publish(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
 	if n, _ := d.Unresolved(); n == 0 {
-		d.LogMessage(effects.Info, "all machines resolved", "epoch", d.Epoch, "after", (now - d.Began).Round(10*time.Millisecond))
+		d.LogMessage(effects.Info, "all machines resolved", "epoch", d.Epoch, "after", (now - d.TermBegan).Round(10*time.Millisecond))
 	}
 }
 
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -34,7 +34,7 @@
 		if m.Deleting {
 			continue
 		}
-		heard := max(m.LastHeartbeat, d.Began)
+		heard := max(m.LastHeartbeat, d.TermBegan)
 		if now-heard > d.SuspectAfter() {
 			d.CancelPlans(m)
 		}
@@ -45,7 +45,7 @@
 			d.Decommission(now, m, cluster.Delete, "a cancelled job's task not proved gone")
 		case sure && !deaf && now-heard > d.SuspectAfter() && d.nothingElse(m):
 			d.Decommission(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
-		case sure && !m.Up && m.Durable && now-d.Began <= d.SilenceAllowance(): // it may live, and be on its way here
+		case sure && !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance(): // it may live, and be on its way here
 		case sure && (m.Up || m.Durable) && now-heard > limit && d.waitsFor(now, m): // with its whole zone
 		case sure && m.Durable && d.mute(m, heard):
 			d.Decommission(now, m, cluster.Delete, "does not answer")
@@ -127,7 +127,7 @@
 	for _, m := range d.Inventory.All() {
 		if m.Durable && !m.Deleting {
 			up[m.Zone]++
-			if now-max(m.LastHeartbeat, d.Began) > settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) {
+			if now-max(m.LastHeartbeat, d.TermBegan) > settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) {
 				silent[m.Zone]++
 			}
 		}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -39,7 +39,7 @@
 	cfg.Deployment.Workers.ReportS = 1
 	cfg.Deployment.State.WriteRPS = 80
 	w.epoch++
-	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: w.epoch, Began: w.now, Counts: &cluster.Counts{}})
+	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: w.epoch, TermBegan: w.now, Counts: &cluster.Counts{}})
 	last := 0
 	d := New(s)
 	keys := slices.Sorted(maps.Keys(w.values))
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -90,7 +90,7 @@
 	if c.term == nil && leading {
 		c.counts.Terms++
 		led, vacant := c.lead.WithoutLeader()
-		c.term = term.New(cluster.TermStart{Cfg: c.cfg, ClockZeroMS: c.zero, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, Began: now, Counts: &c.counts, Measures: &c.measures, Config: &c.config})
+		c.term = term.New(cluster.TermStart{Cfg: c.cfg, ClockZeroMS: c.zero, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Measures: &c.measures, Config: &c.config})
 		c.out = append(c.out, effects.Note{Level: effects.Info, Text: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.Load{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
@@ -165,7 +165,7 @@
 			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
-	if len(c.cfg.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.Began < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
+	if len(c.cfg.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
 		c.deafAt = now
 		return
 	}
