--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -10,8 +10,8 @@
 // askAgain is how long a page of values that could not be read is left alone.
 const askAgain = time.Second
 
-// Reader reads a duty's own values, page by page, after its term has begun.
-type Reader struct {
+// ValueReader reads a duty's own values, page by page, after its term has begun.
+type ValueReader struct {
 	Read  bool // all of them
 	asked bool
 	since string
@@ -19,7 +19,7 @@
 }
 
 // Ask asks for the next page when it is due.
-func (r *Reader) Ask(s *State, now time.Duration, duty string) {
+func (r *ValueReader) Ask(s *State, now time.Duration, duty string) {
 	if !r.Read && !r.asked && now >= r.askAt {
 		r.asked = true
 		s.Emit(effects.Values{Duty: duty, Since: r.since})
@@ -28,7 +28,7 @@
 
 // Page takes a page, and says whether it was the one that was asked for. After the
 // last one Read is set.
-func (r *Reader) Page(now time.Duration, list []eventlog.Value, more, ok bool) bool {
+func (r *ValueReader) Page(now time.Duration, list []eventlog.Value, more, ok bool) bool {
 	if r.Read || !r.asked {
 		return false
 	}
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -44,7 +44,7 @@
 
 // shelf is what is kept of that.
 type shelf struct {
-	cluster.Reader
+	cluster.ValueReader
 	read      bool // whole, and nothing in it is strange
 	strange   string
 	next      int // values from this one on were never used
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -48,7 +48,7 @@
 	held     []*Fact // until the history is read
 	rolling  []Kind  // whose night is over and not closed yet
 
-	history   cluster.Reader
+	history   cluster.ValueReader
 	shelf     *shelf
 	storing   *storing
 	wrote     map[Kind]int32 // the last night of each kind that is written
