--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -18,8 +18,8 @@
 	askAt time.Duration
 }
 
-// Ask asks for the next page when it is due.
-func (r *ValueReader) Ask(s *State, now time.Duration, duty string) {
+// RequestNext asks for the next page when it is due.
+func (r *ValueReader) RequestNext(s *State, now time.Duration, duty string) {
 	if !r.Read && !r.asked && now >= r.askAt {
 		r.asked = true
 		s.Emit(effects.Values{Duty: duty, Since: r.since})
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -116,7 +116,7 @@
 func (d *Duty) keep(now time.Duration) {
 	s := &d.shelf
 	if !s.Read {
-		s.Ask(d.State, now, Name)
+		s.RequestNext(d.State, now, Name)
 		return
 	}
 	if s.strange != "" {
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -423,7 +423,7 @@
 		return
 	}
 	if !d.history.Read {
-		d.history.Ask(d.State, now, Name)
+		d.history.RequestNext(d.State, now, Name)
 		return
 	}
 	if now-d.lookedAt >= max(lookEvery, time.Duration(d.Estimator.Len())*lookRest) {
