--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -26,9 +26,9 @@
 	}
 }
 
-// Page takes a page, and says whether it was the one that was asked for. After the
+// TakePage takes a page, and says whether it was the one that was asked for. After the
 // last one Read is set.
-func (r *ValueReader) Page(now time.Duration, list []eventlog.Value, more, ok bool) bool {
+func (r *ValueReader) TakePage(now time.Duration, list []eventlog.Value, more, ok bool) bool {
 	if r.Read || !r.asked {
 		return false
 	}
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -71,7 +71,7 @@
 // GotValues takes a page of values.
 func (d *Duty) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
 	s := &d.shelf
-	if !s.Page(now, list, more, ok) {
+	if !s.TakePage(now, list, more, ok) {
 		return
 	}
 	for _, v := range list {
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -141,7 +141,7 @@
 
 // GotValues takes a page of the history.
 func (d *Duty) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
-	if !d.history.Page(now, list, more, ok) {
+	if !d.history.TakePage(now, list, more, ok) {
 		return
 	}
 	for _, v := range list {
