--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -12,7 +12,7 @@
 
 // ValueReader reads a duty's own values, page by page, after its term has begun.
 type ValueReader struct {
-	Read  bool // all of them
+	Done  bool // all of them
 	asked bool
 	since string
 	askAt time.Duration
@@ -20,7 +20,7 @@
 
 // RequestNext asks for the next page when it is due.
 func (r *ValueReader) RequestNext(s *State, now time.Duration, duty string) {
-	if !r.Read && !r.asked && now >= r.askAt {
+	if !r.Done && !r.asked && now >= r.askAt {
 		r.asked = true
 		s.Emit(effects.Values{Duty: duty, Since: r.since})
 	}
@@ -29,7 +29,7 @@
 // TakePage takes a page, and says whether it was the one that was asked for. After the
 // last one Read is set.
 func (r *ValueReader) TakePage(now time.Duration, list []eventlog.Value, more, ok bool) bool {
-	if r.Read || !r.asked {
+	if r.Done || !r.asked {
 		return false
 	}
 	r.asked = false
@@ -40,6 +40,6 @@
 	if len(list) > 0 {
 		r.since = list[len(list)-1].Key
 	}
-	r.Read = !more
+	r.Done = !more
 	return true
 }
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -80,7 +80,7 @@
 			d.LogMessage(effects.Error, "what was changed of pools cannot be read: no units are given out", "key", v.Key, "error", err)
 		}
 	}
-	if s.Read && s.strange == "" {
+	if s.Done && s.strange == "" {
 		s.read = true
 		d.NeedsCycle = true
 	}
@@ -115,7 +115,7 @@
 // keep reads and writes values.
 func (d *Duty) keep(now time.Duration) {
 	s := &d.shelf
-	if !s.Read {
+	if !s.Done {
 		s.RequestNext(d.State, now, Name)
 		return
 	}
@@ -158,7 +158,7 @@
 
 // writeLosses writes the units that stay out after losses, if there are new ones.
 func (d *Duty) writeLosses() {
-	if s := &d.shelf; s.lossesDue && s.Read && s.strange == "" {
+	if s := &d.shelf; s.lossesDue && s.Done && s.strange == "" {
 		s.lossesDue = false
 		d.write(&writing{n: lossValue}, stored{Losses: d.losses})
 	}
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -203,7 +203,7 @@
 	if _, seen := d.seen[f.ID]; seen {
 		return
 	}
-	if !d.history.Read {
+	if !d.history.Done {
 		d.hold(f)
 		return
 	}
@@ -337,7 +337,7 @@
 
 // expect has a job's size start from what its kind has shown (learned_sizes).
 func (d *Duty) expect(now time.Duration, j *jobs.Job) {
-	if d.Cfg.Tunables.LearnedSizes == 0 || !d.history.Read {
+	if d.Cfg.Tunables.LearnedSizes == 0 || !d.history.Done {
 		return
 	}
 	if e := d.estimate(now, j); e.Tasks > 0 {
@@ -422,7 +422,7 @@
 	if !sure {
 		return
 	}
-	if !d.history.Read {
+	if !d.history.Done {
 		d.history.RequestNext(d.State, now, Name)
 		return
 	}
@@ -445,7 +445,7 @@
 	switch {
 	case !ok:
 	case x.Fact != nil:
-		if !d.history.Read || d.needs(x.Fact.fact()) {
+		if !d.history.Done || d.needs(x.Fact.fact()) {
 			d.EventLog.Append(e)
 			return
 		}
@@ -453,7 +453,7 @@
 	case x.Forgot != nil:
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
 		at := time.Unix(x.Forgot.At, 0)
-		if n, ok := d.shelf.home[k]; !d.history.Read || d.cal.At(at).Day >= d.today.Day-keepForgot || (ok && d.shelf.queued[n]) {
+		if n, ok := d.shelf.home[k]; !d.history.Done || d.cal.At(at).Day >= d.today.Day-keepForgot || (ok && d.shelf.queued[n]) {
 			d.EventLog.Append(e)
 		}
 	}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -67,7 +67,7 @@
 // history has a leader read its values, a few at a time, some after failures.
 func (w *world) history(d *Duty, keys []string) {
 	w.effects = nil
-	for asked := 0; !d.history.Read; asked++ {
+	for asked := 0; !d.history.Done; asked++ {
 		w.now += time.Second
 		d.Tick(w.now, true)
 		since := ""
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -167,7 +167,7 @@
 			d.demand.restore(s.Demand)
 		}
 	}
-	if d.history.Read {
+	if d.history.Done {
 		d.start(now)
 	}
 }
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -79,7 +79,7 @@
 			return nil, fmt.Errorf("run-times: kinds[%d]: %w", i, err)
 		}
 	}
-	if !d.history.Read {
+	if !d.history.Done {
 		return nil, errReading
 	}
 	var out Imported
