--- a/internal/leader/cluster/measures.go
+++ b/internal/leader/cluster/measures.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Measures are the histograms that duties keep. They outlive terms: they belong
+// Metrics are the histograms that duties keep. They outlive terms: they belong
 // to the process, and count from its beginning.
-type Measures struct{ all []*Histogram }
+type Metrics struct{ all []*Histogram }
 
 // Histogram counts values in buckets, apart for each value of one label. It has
 // no clock and no lock; the node's collector reads it in the loop.
@@ -23,7 +23,7 @@
 }
 
 // Histogram returns the histogram with a name, made at its first use.
-func (m *Measures) Histogram(name, help, label string, bounds []float64) *Histogram {
+func (m *Metrics) Histogram(name, help, label string, bounds []float64) *Histogram {
 	for _, h := range m.all {
 		if h.Name == name {
 			return h
@@ -35,7 +35,7 @@
 }
 
 // All returns copies of all histograms.
-func (m *Measures) All() []Histogram {
+func (m *Metrics) All() []Histogram {
 	var out []Histogram
 	for _, h := range m.all {
 		c := *h
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -55,7 +55,7 @@
 	PreviousLeader                             leadership.LeaderRecord // the leader before, as this node heard it
 	// Counts, Measures and Config outlive the term.
 	Counts   *Counts
-	Measures *Measures
+	Measures *Metrics
 	Config   *config.Replica // nil: nothing may be changed while controllers run
 }
 
@@ -191,7 +191,7 @@
 	}
 	cfg := start.Cfg
 	if start.Measures == nil {
-		start.Measures = &Measures{}
+		start.Measures = &Metrics{}
 	}
 	s := &State{
 		TermStart: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -16,7 +16,7 @@
 
 // begun is the duty of a term that has read ten registered machines, and a job
 // that may have tasks on all of them.
-func begun(measures *cluster.Measures) *Duty {
+func begun(measures *cluster.Metrics) *Duty {
 	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, ClockZeroMS: 1e6, Epoch: 7,
 		LastLeaderHeard: 9 * time.Second, LeaderMissedAt: 10 * time.Second, TermBegan: 11 * time.Second, Counts: &cluster.Counts{}, Measures: measures})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
@@ -49,7 +49,7 @@
 // A takeover step by step: what each waited for, one entry in the end, and the
 // histogram of the process.
 func TestStepByStep(t *testing.T) {
-	var measures cluster.Measures
+	var measures cluster.Metrics
 	d := begun(&measures)
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	all := d.Inventory.All()
@@ -100,12 +100,12 @@
 // Nothing waits for a start, or machines are never resolved: the account is
 // closed all the same, without the steps that did not come.
 func TestStepsThatDoNotCome(t *testing.T) {
-	d := begun(&cluster.Measures{})
+	d := begun(&cluster.Metrics{})
 	d.Tick(12*time.Second+giveUp, true)
 	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != 2 {
 		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
 	}
-	d = begun(&cluster.Measures{})
+	d = begun(&cluster.Metrics{})
 	for _, m := range d.Inventory.All() {
 		m.Resolved = true
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
@@ -129,7 +129,7 @@
 // Cleaning keeps the records that are remembered, and those alone; one that
 // cannot be read is said and left out.
 func TestCleaningKeepsTheLast(t *testing.T) {
-	d := begun(&cluster.Measures{})
+	d := begun(&cluster.Metrics{})
 	for epoch := range 8 {
 		d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -27,7 +27,7 @@
 	out  []effects.Effect
 
 	counts      cluster.Counts
-	measures    cluster.Measures
+	measures    cluster.Metrics
 	config      config.Replica // what this node has of the configuration that may change
 	heartbeatAt time.Duration
 	deafAt      time.Duration                 // when this leader last heard of a peer or most of its machines
