--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -54,9 +54,9 @@
 	LastLeaderHeard, LeaderMissedAt, TermBegan time.Duration
 	PreviousLeader                             leadership.LeaderRecord // the leader before, as this node heard it
 	// Counts, Measures and Config outlive the term.
-	Counts   *Counts
-	Measures *Metrics
-	Config   *config.Replica // nil: nothing may be changed while controllers run
+	Counts  *Counts
+	Metrics *Metrics
+	Config  *config.Replica // nil: nothing may be changed while controllers run
 }
 
 // State is what all duties of a term share.
@@ -190,8 +190,8 @@
 		start.Cfg = &own
 	}
 	cfg := start.Cfg
-	if start.Measures == nil {
-		start.Measures = &Metrics{}
+	if start.Metrics == nil {
+		start.Metrics = &Metrics{}
 	}
 	s := &State{
 		TermStart: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -73,7 +73,7 @@
 	a.tasks, a.rented, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
 	a.left, a.deleted = map[string]time.Duration{}, map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
-		a.hist = s.Measures.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
+		a.hist = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
 			[]float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})
 	}
 }
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -116,7 +116,7 @@
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Deployment.Workers.ReportS = 2
 	cfg.Tunables.ColdListen, cfg.Tunables.ColdKept = 1, 3
-	start := cluster.TermStart{Cfg: cfg, ClockZeroMS: 1e6, Epoch: 7, LeaderMissedAt: 99 * time.Second, TermBegan: 100 * time.Second, Counts: &cluster.Counts{}, Measures: &cluster.Metrics{}}
+	start := cluster.TermStart{Cfg: cfg, ClockZeroMS: 1e6, Epoch: 7, LeaderMissedAt: 99 * time.Second, TermBegan: 100 * time.Second, Counts: &cluster.Counts{}, Metrics: &cluster.Metrics{}}
 	change(&start, &cfg.Tunables)
 	s := cluster.New(start)
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -37,7 +37,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
-	return &Duty{State: s, began: s.Measures.Histogram("bitternmoor_start_seconds", "Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
+	return &Duty{State: s, began: s.Metrics.Histogram("bitternmoor_start_seconds", "Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
 		"start", []float64{0.25, 0.5, 1, 2, 4, 8, 16, 32, 64, 128, 256})}
 }
 
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -103,7 +103,7 @@
 
 // New makes the duty of a term; it remembers so many takeovers.
 func New(s *cluster.State, keep int) *Duty {
-	d := &Duty{State: s, keep: keep, hist: s.Measures.Histogram("bitternmoor_takeover_seconds",
+	d := &Duty{State: s, keep: keep, hist: s.Metrics.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
 	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
 	d.own.SilentMS = -1
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -46,7 +46,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
-	return &Duty{State: s, gone: s.Measures.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
+	return &Duty{State: s, gone: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
 		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.Asker{}, ending: map[uint64][]effects.Asker{},
 		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -57,7 +57,7 @@
 	for _, p := range s.Cfg.Peers {
 		d.controllers[p.Node] = &controller{}
 	}
-	d.inForce = s.Measures.Histogram("bitternmoor_config_in_force_seconds", "From when a change of the configuration was durable until a controller had it in force.", "controller", inForceBounds)
+	d.inForce = s.Metrics.Histogram("bitternmoor_config_in_force_seconds", "From when a change of the configuration was durable until a controller had it in force.", "controller", inForceBounds)
 	return d
 }
 
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -256,7 +256,7 @@
 	if v := b.view(b.now); v.Controllers[1].LagS != 0 || v.Controllers[1].Revision != 3 || v.Controllers[2].Heard {
 		t.Errorf("%+v", v.Controllers)
 	}
-	if n := b.Measures.All()[0]; n.Series[0].Value != "n1" || n.Series[0].Count != 3 {
+	if n := b.Metrics.All()[0]; n.Series[0].Value != "n1" || n.Series[0].Count != 3 {
 		t.Errorf("%+v", n)
 	}
 }
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -87,7 +87,7 @@
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.Writes().WriteRPS))
 	return &Duty{State: s, cal: cal, margin: x.LateMargin, book: NewBook(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, placedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, seen: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
-		leads: s.Measures.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
+		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
 
 // entry is one of the duty's own in the log: what a job has shown, that a value was
