--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -178,7 +178,7 @@
 }
 
 // ErrNoView is what a duty answers that is asked for a view it does not have.
-var ErrNoView = errors.New("no such view")
+var ErrUnknownView = errors.New("no such view")
 
 // FromThisTerm says whether an attempt was given its number in this term.
 func (s *State) FromThisTerm(attempt uint64) bool { return attempt>>attemptBits == s.Epoch }
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -146,7 +146,7 @@
 // Show gives what this leader has sent.
 func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
-		return nil, cluster.ErrNoView
+		return nil, cluster.ErrUnknownView
 	}
 	return json.Marshal(View{d.sent, d.tasks, d.answered, d.unanswered, d.under})
 }
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -272,7 +272,7 @@
 // list of Record. The one under way is the first as long as it is.
 func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
-		return nil, cluster.ErrNoView
+		return nil, cluster.ErrUnknownView
 	}
 	out := []Record{}
 	add := func(r stored) {
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -61,7 +61,7 @@
 	} else {
 		i, ok := d.byName[view]
 		if !ok {
-			return nil, cluster.ErrNoView
+			return nil, cluster.ErrUnknownView
 		}
 		out = d.view(now, d.pools[i], true)
 	}
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -129,7 +129,7 @@
 // Show gives how reports are spread, as a JSON list of View.
 func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
-		return nil, cluster.ErrNoView
+		return nil, cluster.ErrUnknownView
 	}
 	out := []View{}
 	for _, n := range d.balance.nodes {
--- a/internal/leader/reconfig/show.go
+++ b/internal/leader/reconfig/show.go
@@ -66,7 +66,7 @@
 		slices.Reverse(list)
 		out = list
 	default:
-		return nil, cluster.ErrNoView
+		return nil, cluster.ErrUnknownView
 	}
 	raw, err := json.Marshal(out)
 	if err != nil {
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -289,7 +289,7 @@
 		slices.SortFunc(list, func(a, b shownKind) int { return cmp.Compare(a.Name, b.Name) })
 		out = list
 	default:
-		return nil, cluster.ErrNoView
+		return nil, cluster.ErrUnknownView
 	}
 	raw, err := json.Marshal(out)
 	if err != nil {
--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -341,7 +341,7 @@
 // Show gives classes and teams, as a JSON list of View.
 func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
-		return nil, cluster.ErrNoView
+		return nil, cluster.ErrUnknownView
 	}
 	raw, err := json.Marshal(d.views())
 	if err != nil {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -181,7 +181,7 @@
 		return nil, false, nil
 	}
 	raw, err = s.Show(now, view)
-	if errors.Is(err, cluster.ErrNoView) {
+	if errors.Is(err, cluster.ErrUnknownView) {
 		return nil, false, nil
 	}
 	return raw, true, err
