--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -12,8 +12,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// Asker is whoever waits for an answer; adapters map it to a connection.
-type Asker uint64
+// RequestID is whoever waits for an answer; adapters map it to a connection.
+type RequestID uint64
 
 // Answer is what a user is told.
 type Answer struct {
@@ -54,15 +54,15 @@
 // The effects. Each result comes back as an input of the same name.
 type (
 	Reply struct {
-		To     Asker
+		To     RequestID
 		Answer Answer
 	}
 	ReplyReport struct {
-		To     Asker
+		To     RequestID
 		Answer ReportAnswer
 	}
 	Relay struct {
-		To     Asker
+		To     RequestID
 		Leader string
 		Report Relayed
 	}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -34,9 +34,9 @@
 
 	// tasks completed but not yet handed to the log, by job id
 	completed  map[uint64]*eventlog.CompletedTasks
-	accepting  map[uint64][]effects.Asker
-	ending     map[uint64][]effects.Asker // askers of a cancellation
-	cancelling map[uint64]*jobs.Job       // jobs whose cancellation waits until nothing of them is anywhere
+	accepting  map[uint64][]effects.RequestID
+	ending     map[uint64][]effects.RequestID // askers of a cancellation
+	cancelling map[uint64]*jobs.Job           // jobs whose cancellation waits until nothing of them is anywhere
 
 	gone   *cluster.Histogram
 	parts  map[uint64][]eventlog.Dependencies // while the log is replayed
@@ -47,7 +47,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Duty {
 	return &Duty{State: s, gone: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
-		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.Asker{}, ending: map[uint64][]effects.Asker{},
+		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.RequestID{}, ending: map[uint64][]effects.RequestID{},
 		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
 
@@ -300,7 +300,7 @@
 
 // End answers everybody who still waits; the next leader knows more.
 func (d *Duty) End() {
-	for _, waiting := range []map[uint64][]effects.Asker{d.accepting, d.ending} {
+	for _, waiting := range []map[uint64][]effects.RequestID{d.accepting, d.ending} {
 		for _, list := range waiting {
 			for _, to := range list {
 				d.Emit(effects.Reply{To: to, Answer: effects.Unavailable("leadership has changed")})
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -15,7 +15,7 @@
 // What users ask of the leader.
 
 // Submit takes a submission.
-func (d *Duty) Submit(now time.Duration, to effects.Asker, s wire.Submission) {
+func (d *Duty) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
 	if j := d.Jobs.Find(s.ID); j != nil && j.Phase == jobs.Accepting {
 		d.accepting[s.ID] = append(d.accepting[s.ID], to)
 		return
@@ -130,7 +130,7 @@
 }
 
 // Query answers for a job's state.
-func (d *Duty) Query(to effects.Asker, id uint64) {
+func (d *Duty) Query(to effects.RequestID, id uint64) {
 	if a, ok := d.state(id); ok {
 		d.Emit(effects.Reply{To: to, Answer: a})
 		return
@@ -148,7 +148,7 @@
 
 // Abort cancels a job: its tasks are stopped at once, and its user is told once nothing of
 // it is left anywhere. A user who cannot be told in time asks again.
-func (d *Duty) Abort(now time.Duration, to effects.Asker, id uint64) {
+func (d *Duty) Abort(now time.Duration, to effects.RequestID, id uint64) {
 	if _, over := d.Jobs.Final(id); over {
 		a, _ := d.state(id)
 		d.Emit(effects.Reply{To: to, Answer: a})
@@ -178,7 +178,7 @@
 	d.stopTasks(j)
 }
 
-func (d *Duty) tell(sure bool, to effects.Asker, a effects.Answer) {
+func (d *Duty) tell(sure bool, to effects.RequestID, a effects.Answer) {
 	if !sure {
 		a = effects.Unavailable("leadership is in doubt")
 	}
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -185,7 +185,7 @@
 // waitingReport is a report taken in whose answer waits for a pass, or for
 // what must be durable before the machine may start its tasks.
 type waitingReport struct {
-	to    effects.Asker
+	to    effects.RequestID
 	m     *workers.Machine
 	cmds  []workers.Command
 	since time.Duration
@@ -247,7 +247,7 @@
 // Report takes in a worker's report, received by a controller. The answer,
 // which says how that controller may answer the worker, comes at once or with
 // the pass that follows.
-func (d *Duty) Report(now time.Duration, sure bool, to effects.Asker, in effects.Relayed) {
+func (d *Duty) Report(now time.Duration, sure bool, to effects.RequestID, in effects.Relayed) {
 	r := &in.Report
 	answer := effects.ReportAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -30,9 +30,9 @@
 	measures    cluster.Metrics
 	config      config.Replica // what this node has of the configuration that may change
 	heartbeatAt time.Duration
-	deafAt      time.Duration                 // when this leader last heard of a peer or most of its machines
-	peerAt      map[string]time.Duration      // when a peer last answered a heartbeat
-	open        map[effects.Asker]*openReport // reports of this node's workers without an answer yet
+	deafAt      time.Duration                     // when this leader last heard of a peer or most of its machines
+	peerAt      map[string]time.Duration          // when a peer last answered a heartbeat
+	open        map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
 
 	// The leader that the last call did not reach, or empty; since when none has,
 	// when it was last probed, and when machines were sent to it themselves.
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.Asker]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
+	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
 }
 
 // Take returns the effects since the last call.
@@ -248,7 +248,7 @@
 }
 
 // Submit takes a submission.
-func (c *Core) Submit(now time.Duration, to effects.Asker, s wire.Submission) {
+func (c *Core) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
 	if !c.ready(now) {
 		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
@@ -258,7 +258,7 @@
 }
 
 // Query answers for a job's state.
-func (c *Core) Query(now time.Duration, to effects.Asker, id uint64) {
+func (c *Core) Query(now time.Duration, to effects.RequestID, id uint64) {
 	if !c.ready(now) {
 		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
@@ -268,7 +268,7 @@
 }
 
 // Abort cancels a job.
-func (c *Core) Abort(now time.Duration, to effects.Asker, id uint64) {
+func (c *Core) Abort(now time.Duration, to effects.RequestID, id uint64) {
 	if !c.ready(now) {
 		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,9 +65,9 @@
 	direct      chan struct{} // bounds the direct calls under way
 	now         atomic.Pointer[standing]
 
-	nextAsker effects.Asker
-	users     map[effects.Asker]chan effects.Answer
-	reports   map[effects.Asker]chan effects.ReportAnswer
+	nextAsker effects.RequestID
+	users     map[effects.RequestID]chan effects.Answer
+	reports   map[effects.RequestID]chan effects.ReportAnswer
 }
 
 // New makes a controller.
@@ -76,7 +76,7 @@
 	n := &Node{
 		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), in: make(chan func(time.Duration), queueLength), start: start,
 		state: wire.NewState(cfg.External.State), cloud: wire.NewCloud(cfg.External.Cloud), workers: wire.NewWorkers(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
-		users: map[effects.Asker]chan effects.Answer{}, reports: map[effects.Asker]chan effects.ReportAnswer{},
+		users: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.ReportAnswer{},
 	}
 	for _, p := range cfg.Peers {
 		n.peers[p.Node] = &peer{addr: p.Endpoint}
@@ -413,9 +413,9 @@
 }
 
 // ask hands a user's request to the loop and waits for its answer.
-func (n *Node) ask(limit time.Duration, kind admission.Kind, job uint64, f func(now time.Duration, to effects.Asker)) effects.Answer {
+func (n *Node) ask(limit time.Duration, kind admission.Kind, job uint64, f func(now time.Duration, to effects.RequestID)) effects.Answer {
 	ch := make(chan effects.Answer, 1)
-	var id effects.Asker
+	var id effects.RequestID
 	err := errBusy
 	if n.letIn(kind, job) {
 		err = n.try(func(now time.Duration) {
@@ -454,7 +454,7 @@
 	}
 }
 
-func (n *Node) askReport(f func(now time.Duration, to effects.Asker)) (effects.ReportAnswer, error) {
+func (n *Node) askReport(f func(now time.Duration, to effects.RequestID)) (effects.ReportAnswer, error) {
 	ch := make(chan effects.ReportAnswer, 1)
 	if err := n.try(func(now time.Duration) {
 		n.nextAsker++
@@ -470,7 +470,7 @@
 
 // serve answers a request here, whoever leads.
 func (n *Node) serve(in UserRequest) effects.Answer {
-	return n.ask(askLimit, kindOf(in.Op), in.ID, func(now time.Duration, to effects.Asker) {
+	return n.ask(askLimit, kindOf(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
 		switch in.Op {
 		case opSubmit:
 			n.core.Submit(now, to, in.Submission)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -171,7 +171,7 @@
 	if err := c.n.refuse(c.n.checkRelay(in)); err != nil {
 		return err
 	}
-	a, err := c.n.askReport(func(now time.Duration, to effects.Asker) { c.n.core.Relayed(now, to, in) })
+	a, err := c.n.askReport(func(now time.Duration, to effects.RequestID) { c.n.core.Relayed(now, to, in) })
 	*out = a
 	return err
 }
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -12,7 +12,7 @@
 
 // Report takes a worker's report. The leader answers for its own block; any
 // other node hands the report to the leader and answers as that says.
-func (c *Core) Report(now time.Duration, to effects.Asker, r *workers.Report) {
+func (c *Core) Report(now time.Duration, to effects.RequestID, r *workers.Report) {
 	c.counts.Reports++
 	c.met(now, r)
 	c.take(now, to, &openReport{report: r})
@@ -26,7 +26,7 @@
 }
 
 // take has a report answered by this node's term, or hands it to the leader.
-func (c *Core) take(now time.Duration, to effects.Asker, o *openReport) {
+func (c *Core) take(now time.Duration, to effects.RequestID, o *openReport) {
 	in := effects.Relayed{Via: c.cfg.Node, Life: c.zero, Report: *o.report}
 	leader := c.lead.LeaderName()
 	switch {
@@ -106,7 +106,7 @@
 }
 
 // RelayAnswered takes the leader's word on a report that was handed to it.
-func (c *Core) RelayAnswered(now time.Duration, to effects.Asker, a effects.ReportAnswer, ok bool) {
+func (c *Core) RelayAnswered(now time.Duration, to effects.RequestID, a effects.ReportAnswer, ok bool) {
 	o := c.open[to]
 	delete(c.open, to)
 	if o == nil {
@@ -176,7 +176,7 @@
 // kept its workers alive for a block's lease, the leader heard most of them no
 // more, gave up leading, and the next one likewise. A machine that comes back
 // has not reached the leader either: then all are kept alive as before.
-func (c *Core) send(now time.Duration, to effects.Asker, r *workers.Report) bool {
+func (c *Core) send(now time.Duration, to effects.RequestID, r *workers.Report) bool {
 	if _, back := c.sentTo[r.Machine]; back {
 		c.backAt = now
 	}
@@ -222,7 +222,7 @@
 // node's block is always sent away. Found in a scenario in which the leader lost the state
 // service and its peers but not its workers: new machines came to it first, were kept alive
 // there, and the next leader never heard them.
-func (c *Core) sendAway(now time.Duration, to effects.Asker, r *workers.Report) bool {
+func (c *Core) sendAway(now time.Duration, to effects.RequestID, r *workers.Report) bool {
 	if c.cutOff(now) {
 		return false
 	}
@@ -241,7 +241,7 @@
 
 // Relayed serves a report that another controller handed on. It goes no
 // further.
-func (c *Core) Relayed(now time.Duration, to effects.Asker, in effects.Relayed) {
+func (c *Core) Relayed(now time.Duration, to effects.RequestID, in effects.Relayed) {
 	c.met(now, &in.Report)
 	if c.term == nil {
 		c.out = append(c.out, effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 503}})
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -283,7 +283,7 @@
 		job.ID = uint64(i + 1)
 		c.change(&job)
 		got := 0
-		d.request(i, 5*time.Second, func(c *controller, now time.Duration, to effects.Asker) {
+		d.request(i, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
 			c.core.Submit(now, to, wire.Submission{ID: job.ID, HasID: true, Job: &job})
 		}, func(a answer, _ bool) { got = a.Status })
 		d.run(2 * time.Second)
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -306,9 +306,9 @@
 	began   time.Duration
 	up      bool
 	old     bool // runs the version in production, see frozen_test.go
-	asker   effects.Asker
-	users   map[effects.Asker]func(effects.Answer)
-	reports map[effects.Asker]func(effects.ReportAnswer)
+	asker   effects.RequestID
+	users   map[effects.RequestID]func(effects.Answer)
+	reports map[effects.RequestID]func(effects.ReportAnswer)
 	notes   []string
 }
 
@@ -325,8 +325,8 @@
 		cfg.Tunables.Pools, cfg.Tunables.DirectStarts, cfg.Tunables.AskSilent, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
 	}
 	c.core = node.NewCore(&cfg, (c.s.began + c.s.now).Milliseconds())
-	c.users = map[effects.Asker]func(effects.Answer){}
-	c.reports = map[effects.Asker]func(effects.ReportAnswer){}
+	c.users = map[effects.RequestID]func(effects.Answer){}
+	c.reports = map[effects.RequestID]func(effects.ReportAnswer){}
 	life := c.life
 	var tick func()
 	tick = func() {
@@ -558,7 +558,7 @@
 }
 
 // ask carries a user's request to the core, by way of the leader.
-func (c *controller) ask(hop bool, f func(c *controller, now time.Duration, to effects.Asker), done func(answer)) {
+func (c *controller) ask(hop bool, f func(c *controller, now time.Duration, to effects.RequestID), done func(answer)) {
 	unavailable := answer{Answer: effects.Answer{Status: 503, RetryAfter: 1}}
 	if !c.up {
 		return // the connection is refused; the user's deadline stands in for it
@@ -624,14 +624,14 @@
 func (j *userJob) runs(k int) time.Duration { return j.run + time.Duration(k)*j.apart }
 
 // request carries a user's request to a node.
-func (s *sim) request(at int, limit time.Duration, f func(c *controller, now time.Duration, to effects.Asker), done func(a answer, ok bool)) {
+func (s *sim) request(at int, limit time.Duration, f func(c *controller, now time.Duration, to effects.RequestID), done func(a answer, ok bool)) {
 	c := s.nodes[at%len(s.nodes)]
 	call(s, "users", c.name, limit, func(reply func(answer)) { c.ask(false, f, reply) }, done)
 }
 
 func (s *sim) submit(j *userJob, at int, again func() bool) {
 	sent := s.now
-	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.Asker) {
+	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
 		door := s.nodes[at%len(s.nodes)]
 		if s.poolsRefuse(door, c, j) {
 			f := c.users[to]
@@ -669,7 +669,7 @@
 func (s *sim) poll(j *userJob, at int) {
 	sent := s.now
 	s.check.asked(j)
-	s.request(at, 2*time.Second, func(c *controller, now time.Duration, to effects.Asker) { c.core.Query(now, to, j.id) }, func(a answer, ok bool) {
+	s.request(at, 2*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Query(now, to, j.id) }, func(a answer, ok bool) {
 		if ok {
 			s.check.inOrder(j, a)
 			s.check.told(j, a.Answer, sent)
@@ -680,7 +680,7 @@
 func (s *sim) abort(j *userJob, at int) {
 	sent := s.now
 	j.asked = true
-	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.Asker) { c.core.Abort(now, to, j.id) }, func(a answer, ok bool) {
+	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Abort(now, to, j.id) }, func(a answer, ok bool) {
 		if ok && a.Status == 200 {
 			s.check.inOrder(j, a)
 			s.check.told(j, a.Answer, sent)
@@ -721,7 +721,7 @@
 	switch kind := s.rng.IntN(4); kind {
 	case 0, 1: // a repeat
 		spec := []wire.Submission{bad, unfit}[kind]
-		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.Asker) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
+		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
 			if ok && (a.Status == 400 || a.Status == 422) {
 				s.check.fail("forgotten", "%d, submitted again, gets %d", j.id, a.Status)
 			} else if ok && a.Status == 200 {
@@ -733,7 +733,7 @@
 			return
 		}
 		sent := s.now
-		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.Asker) { c.core.Abort(now, to, j.id) }, func(a answer, ok bool) {
+		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Abort(now, to, j.id) }, func(a answer, ok bool) {
 			if ok && a.Status == 200 {
 				s.saw("a done job asked to be cancelled")
 				s.check.told(j, a.Answer, sent)
@@ -749,7 +749,7 @@
 				spec.Job.CPUs, spec.Job.Team = 1, "nobody"
 			}
 		}
-		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.Asker) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
+		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
 			s.check.unfit(id, spec, a, ok)
 			s.poll(&userJob{id: id}, at) // nobody may be told of it
 		})
