--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -99,9 +99,9 @@
 		Token, Session   uint64
 		Starts           []workers.Command
 	}
-	// Ask asks a worker for a report, which is not looked at: whether it answers comes
+	// ProbeWorker asks a worker for a report, which is not looked at: whether it answers comes
 	// back as Asked.
-	Ask struct{ Machine, Address string }
+	ProbeWorker struct{ Machine, Address string }
 	// Notify tells the operators' webhook something; the id is the same for
 	// repeats. It has no result.
 	Notify struct {
@@ -144,7 +144,7 @@
 func (Values) effect()      {}
 func (Direct) effect()      {}
 func (Launch) effect()      {}
-func (Ask) effect()         {}
+func (ProbeWorker) effect() {}
 func (Notify) effect()      {}
 func (Rent) effect()        {}
 func (Delete) effect()      {}
--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -52,7 +52,7 @@
 		}
 		if m.Unanswered < d.Cfg.Tunables.AskSilent {
 			d.asked[m.Name] = heard
-			d.Emit(effects.Ask{Machine: m.Name, Address: m.Address})
+			d.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -263,7 +263,7 @@
 			}()
 		default: // enough are under way; the answer to the next report has the stops too
 		}
-	case effects.Ask:
+	case effects.ProbeWorker:
 		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
 			ok := n.workers.Show(ctx, e.Address)
 			return func(now time.Duration) { n.core.Asked(now, epoch, e.Machine, ok) }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -502,7 +502,7 @@
 		if w := s.cloud.machines[e.Address]; w != nil {
 			s.send(c.name, w.name, func() { w.direct(e.Token, e.Session, e.Stops, func(*workers.Report) {}) })
 		}
-	case effects.Ask:
+	case effects.ProbeWorker:
 		if w := s.cloud.machines[e.Address]; w != nil {
 			life, epoch := c.life, c.core.Epoch()
 			call(s, c.name, w.name, time.Second, func(reply func(bool)) {
