--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -72,8 +72,8 @@
 		Fleet  leadership.FleetKnowledge
 		Config *config.Update // what it lacks of the configuration; nil: nothing is said of it
 	}
-	// Probe asks whether a peer can be reached at all.
-	Probe struct{ Peer string }
+	// ProbePeer asks whether a peer can be reached at all.
+	ProbePeer struct{ Peer string }
 	// AskLed asks a peer when it last heard a leader of an epoch before this one.
 	AskLed struct {
 		Peer  string
@@ -134,7 +134,7 @@
 func (ReplyReport) effect() {}
 func (Relay) effect()       {}
 func (Heartbeat) effect()   {}
-func (Probe) effect()       {}
+func (ProbePeer) effect()   {}
 func (AskLed) effect()      {}
 func (Lead) effect()        {}
 func (Load) effect()        {}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -204,7 +204,7 @@
 				n.heartbeat(p, e)
 			}()
 		}
-	case effects.Probe:
+	case effects.ProbePeer:
 		if p := n.peers[e.Peer]; p != nil {
 			go func() {
 				ok := p.reaches()
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -158,7 +158,7 @@
 	}
 	if c.apartFrom != "" && now-c.probeAt >= heartbeatEvery {
 		c.probeAt = now
-		c.out = append(c.out, effects.Probe{Peer: c.apartFrom})
+		c.out = append(c.out, effects.ProbePeer{Peer: c.apartFrom})
 	}
 }
 
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -455,7 +455,7 @@
 				}
 			})
 		}
-	case effects.Probe:
+	case effects.ProbePeer:
 		if o := s.node(e.Peer); o != nil {
 			call(s, c.name, o.name, wait, func(reply func(bool)) {
 				if o.up {
