--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -74,8 +74,8 @@
 	}
 	// ProbePeer asks whether a peer can be reached at all.
 	ProbePeer struct{ Peer string }
-	// AskLed asks a peer when it last heard a leader of an epoch before this one.
-	AskLed struct {
+	// AskPreviousLeader asks a peer when it last heard a leader of an epoch before this one.
+	AskPreviousLeader struct {
 		Peer  string
 		Epoch uint64
 	}
@@ -130,27 +130,27 @@
 	Error
 )
 
-func (Reply) effect()       {}
-func (ReplyReport) effect() {}
-func (Relay) effect()       {}
-func (Heartbeat) effect()   {}
-func (ProbePeer) effect()   {}
-func (AskLed) effect()      {}
-func (Lead) effect()        {}
-func (Load) effect()        {}
-func (Commit) effect()      {}
-func (Recheck) effect()     {}
-func (Clean) effect()       {}
-func (Values) effect()      {}
-func (Direct) effect()      {}
-func (Launch) effect()      {}
-func (ProbeWorker) effect() {}
-func (Notify) effect()      {}
-func (Rent) effect()        {}
-func (Delete) effect()      {}
-func (List) effect()        {}
-func (Types) effect()       {}
-func (Note) effect()        {}
+func (Reply) effect()             {}
+func (ReplyReport) effect()       {}
+func (Relay) effect()             {}
+func (Heartbeat) effect()         {}
+func (ProbePeer) effect()         {}
+func (AskPreviousLeader) effect() {}
+func (Lead) effect()              {}
+func (Load) effect()              {}
+func (Commit) effect()            {}
+func (Recheck) effect()           {}
+func (Clean) effect()             {}
+func (Values) effect()            {}
+func (Direct) effect()            {}
+func (Launch) effect()            {}
+func (ProbeWorker) effect()       {}
+func (Notify) effect()            {}
+func (Rent) effect()              {}
+func (Delete) effect()            {}
+func (List) effect()              {}
+func (Types) effect()             {}
+func (Note) effect()              {}
 
 // Unavailable is the answer of a node that cannot tell at present.
 func Unavailable(why string) Answer { return Answer{Status: 503, Why: why, RetryAfter: 1} }
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -290,7 +290,7 @@
 		t.Errorf("kind %v", d.kind)
 	}
 	for _, e := range s.TakeEffects() {
-		if _, asks := e.(effects.AskLed); asks {
+		if _, asks := e.(effects.AskPreviousLeader); asks {
 			t.Error("the others are asked")
 		}
 	}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -107,7 +107,7 @@
 		d.askedAt = now
 		for _, p := range d.Cfg.Peers {
 			d.asked[p.Node] = true
-			d.Emit(effects.AskLed{Peer: p.Node, Epoch: d.Epoch})
+			d.Emit(effects.AskPreviousLeader{Peer: p.Node, Epoch: d.Epoch})
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -211,7 +211,7 @@
 				n.post(func(now time.Duration) { n.core.Reached(now, e.Peer, ok) })
 			}()
 		}
-	case effects.AskLed:
+	case effects.AskPreviousLeader:
 		if p := n.peers[e.Peer]; p != nil {
 			go func() {
 				var a LedAnswer
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -465,7 +465,7 @@
 				c.into(func(now time.Duration) { c.core.Reached(now, o.name, ok) })()
 			})
 		}
-	case effects.AskLed:
+	case effects.AskPreviousLeader:
 		if o := s.node(e.Peer); o != nil {
 			life := c.life
 			call(s, c.name, o.name, wait, func(reply func(leadership.LeaderRecord)) {
