--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -79,11 +79,11 @@
 		Peer  string
 		Epoch uint64
 	}
-	Lead    struct{ Order leadership.Request }
-	Load    struct{ Epoch uint64 }
-	Commit  struct{ Txn eventlog.Transaction }
-	Recheck struct{ Key string }
-	Clean   struct{ First, Count int }
+	LeadershipRequest struct{ Order leadership.Request }
+	Load              struct{ Epoch uint64 }
+	Commit            struct{ Txn eventlog.Transaction }
+	Recheck           struct{ Key string }
+	Clean             struct{ First, Count int }
 	// Values reads a page of a duty's own values, those behind a key.
 	Values struct{ Duty, Since string }
 	// Direct sends stops straight to a worker, besides the answer to its next
@@ -136,7 +136,7 @@
 func (Heartbeat) effect()         {}
 func (ProbePeer) effect()         {}
 func (AskPreviousLeader) effect() {}
-func (Lead) effect()              {}
+func (LeadershipRequest) effect() {}
 func (Load) effect()              {}
 func (Commit) effect()            {}
 func (Recheck) effect()           {}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,7 +147,7 @@
 		case <-ctx.Done():
 			n.core.Stop(time.Since(n.start))
 			for _, e := range n.core.Take() {
-				if o, ok := e.(effects.Lead); ok && o.Order.Action == leadership.ReleaseLease {
+				if o, ok := e.(effects.LeadershipRequest); ok && o.Order.Action == leadership.ReleaseLease {
 					n.lead(o.Order)
 				} else if r, ok := e.(effects.Reply); ok {
 					n.do(r)
@@ -222,7 +222,7 @@
 				})
 			}()
 		}
-	case effects.Lead:
+	case effects.LeadershipRequest:
 		go n.lead(e.Order)
 	case effects.Load:
 		go n.load(e.Epoch)
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -483,7 +483,7 @@
 				}
 			})
 		}
-	case effects.Lead:
+	case effects.LeadershipRequest:
 		s.state.lead(c, e.Order)
 	case effects.Load:
 		s.state.load(c, e.Epoch)
