--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -79,7 +79,7 @@
 		Peer  string
 		Epoch uint64
 	}
-	LeadershipRequest struct{ Order leadership.Request }
+	LeadershipRequest struct{ Request leadership.Request }
 	Load              struct{ Epoch uint64 }
 	Commit            struct{ Txn eventlog.Transaction }
 	Recheck           struct{ Key string }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -74,7 +74,7 @@
 
 func (c *Core) orders(list []leadership.Request) {
 	for _, o := range list {
-		c.out = append(c.out, effects.LeadershipRequest{Order: o})
+		c.out = append(c.out, effects.LeadershipRequest{Request: o})
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -147,8 +147,8 @@
 		case <-ctx.Done():
 			n.core.Stop(time.Since(n.start))
 			for _, e := range n.core.Take() {
-				if o, ok := e.(effects.LeadershipRequest); ok && o.Order.Action == leadership.ReleaseLease {
-					n.lead(o.Order)
+				if o, ok := e.(effects.LeadershipRequest); ok && o.Request.Action == leadership.ReleaseLease {
+					n.lead(o.Request)
 				} else if r, ok := e.(effects.Reply); ok {
 					n.do(r)
 				}
@@ -223,7 +223,7 @@
 			}()
 		}
 	case effects.LeadershipRequest:
-		go n.lead(e.Order)
+		go n.lead(e.Request)
 	case effects.Load:
 		go n.load(e.Epoch)
 	case effects.Commit:
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -484,7 +484,7 @@
 			})
 		}
 	case effects.LeadershipRequest:
-		s.state.lead(c, e.Order)
+		s.state.lead(c, e.Request)
 	case effects.Load:
 		s.state.load(c, e.Epoch)
 	case effects.Commit:
