--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -93,8 +93,8 @@
 		Token, Session uint64
 		Stops          []workers.Command
 	}
-	// Launch sends starts straight to a worker. Its result comes back as Launched.
-	Launch struct {
+	// Dispatch sends starts straight to a worker. Its result comes back as Launched.
+	Dispatch struct {
 		Machine, Address string
 		Token, Session   uint64
 		Starts           []workers.Command
@@ -143,7 +143,7 @@
 func (Clean) effect()             {}
 func (Values) effect()            {}
 func (Direct) effect()            {}
-func (Launch) effect()            {}
+func (Dispatch) effect()          {}
 func (ProbeWorker) effect()       {}
 func (Notify) effect()            {}
 func (Rent) effect()              {}
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -110,7 +110,7 @@
 	d.under++
 	d.sent++
 	d.tasks += uint64(len(starts))
-	d.Emit(effects.Launch{Machine: m.Name, Address: m.Address, Token: m.Token, Session: m.Session, Starts: starts})
+	d.Emit(effects.Dispatch{Machine: m.Name, Address: m.Address, Token: m.Token, Session: m.Session, Starts: starts})
 }
 
 // Launched takes a worker's report after starts that were sent to it, or none.
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -268,7 +268,7 @@
 			ok := n.workers.Show(ctx, e.Address)
 			return func(now time.Duration) { n.core.Asked(now, epoch, e.Machine, ok) }
 		})
-	case effects.Launch: // the leader bounds how many are under way
+	case effects.Dispatch: // the leader bounds how many are under way
 		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
 			r, err := n.workers.Do(ctx, e.Address, wire.Direct(e.Token, e.Session, e.Starts))
 			if err != nil {
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -515,7 +515,7 @@
 				}
 			})
 		}
-	case effects.Launch:
+	case effects.Dispatch:
 		life := c.life
 		epoch := c.core.Epoch()
 		if w := s.cloud.machines[e.Address]; w != nil {
