--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -86,9 +86,9 @@
 	Clean             struct{ First, Count int }
 	// Values reads a page of a duty's own values, those behind a key.
 	Values struct{ Duty, Since string }
-	// Direct sends stops straight to a worker, besides the answer to its next
+	// SendStops sends stops straight to a worker, besides the answer to its next
 	// report. It has no result: nothing is concluded from it.
-	Direct struct {
+	SendStops struct {
 		Address        string
 		Token, Session uint64
 		Stops          []workers.Command
@@ -142,7 +142,7 @@
 func (Recheck) effect()           {}
 func (Clean) effect()             {}
 func (Values) effect()            {}
-func (Direct) effect()            {}
+func (SendStops) effect()         {}
 func (Dispatch) effect()          {}
 func (ProbeWorker) effect()       {}
 func (Notify) effect()            {}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -353,7 +353,7 @@
 // SendStops sends a machine's stops without waiting for its next report.
 func (s *State) SendStops(m *workers.Machine) {
 	if m.Address != "" && m.Up && !m.Deleting {
-		s.Emit(effects.Direct{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.Stops()})
+		s.Emit(effects.SendStops{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.Stops()})
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -250,7 +250,7 @@
 			}
 			return func(now time.Duration) { n.core.GotValues(now, epoch, e.Duty, list, more, err == nil) }
 		})
-	case effects.Direct:
+	case effects.SendStops:
 		select {
 		case n.direct <- struct{}{}:
 			go func() {
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -493,7 +493,7 @@
 		s.state.recheck(c, e.Key)
 	case effects.Values:
 		s.state.values(c, e.Duty, e.Since)
-	case effects.Direct:
+	case effects.SendStops:
 		for _, cmd := range e.Stops {
 			if cmd.Op != workers.Stop {
 				s.check.fail("starts", "a direct command that is no stop")
