--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -82,7 +82,7 @@
 	LeadershipRequest struct{ Request leadership.Request }
 	Load              struct{ Epoch uint64 }
 	Commit            struct{ Txn eventlog.Transaction }
-	Recheck           struct{ Key string }
+	ReadBack          struct{ Key string }
 	Clean             struct{ First, Count int }
 	// Values reads a page of a duty's own values, those behind a key.
 	Values struct{ Duty, Since string }
@@ -139,7 +139,7 @@
 func (LeadershipRequest) effect() {}
 func (Load) effect()              {}
 func (Commit) effect()            {}
-func (Recheck) effect()           {}
+func (ReadBack) effect()          {}
 func (Clean) effect()             {}
 func (Values) effect()            {}
 func (SendStops) effect()         {}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -360,7 +360,7 @@
 	}
 	t.durable(now, sure, facts)
 	if step == eventlog.Reread {
-		t.Emit(effects.Recheck{Key: t.EventLog.OpenSegmentKey()})
+		t.Emit(effects.ReadBack{Key: t.EventLog.OpenSegmentKey()})
 	}
 	if sure {
 		t.placing.PassSoon(now)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -232,7 +232,7 @@
 			backOff(out == eventlog.Applied || out == eventlog.Conflict)
 			return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Sequence, out, mark, failed) }
 		})
-	case effects.Recheck:
+	case effects.ReadBack:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			it, err := n.state.Get(ctx, e.Key)
 			return func(now time.Duration) { n.core.Rechecked(now, epoch, err == nil, it.Mark, it.Value) }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -489,7 +489,7 @@
 		s.state.load(c, e.Epoch)
 	case effects.Commit:
 		s.state.commit(c, e.Txn)
-	case effects.Recheck:
+	case effects.ReadBack:
 		s.state.recheck(c, e.Key)
 	case effects.Values:
 		s.state.values(c, e.Duty, e.Since)
