--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -83,7 +83,7 @@
 	Load              struct{ Epoch uint64 }
 	Commit            struct{ Txn eventlog.Transaction }
 	ReadBack          struct{ Key string }
-	Clean             struct{ First, Count int }
+	ReadSegments      struct{ First, Count int }
 	// Values reads a page of a duty's own values, those behind a key.
 	Values struct{ Duty, Since string }
 	// SendStops sends stops straight to a worker, besides the answer to its next
@@ -140,7 +140,7 @@
 func (Load) effect()              {}
 func (Commit) effect()            {}
 func (ReadBack) effect()          {}
-func (Clean) effect()             {}
+func (ReadSegments) effect()      {}
 func (Values) effect()            {}
 func (SendStops) effect()         {}
 func (Dispatch) effect()          {}
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -40,7 +40,7 @@
 		return
 	}
 	t.cleaning, t.cleanAt = true, now
-	t.Emit(effects.Clean{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.first)})
+	t.Emit(effects.ReadSegments{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.first)})
 }
 
 // Cleaned takes the segments numbered first to end-1, read back. A key that is
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -237,7 +237,7 @@
 			it, err := n.state.Get(ctx, e.Key)
 			return func(now time.Duration) { n.core.Rechecked(now, epoch, err == nil, it.Mark, it.Value) }
 		})
-	case effects.Clean:
+	case effects.ReadSegments:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			entries, err := n.segments(ctx, e.First, e.First+e.Count)
 			return func(now time.Duration) { n.core.Cleaned(now, epoch, e.First, e.First+e.Count, err == nil, entries) }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -536,7 +536,7 @@
 				}
 			})
 		}
-	case effects.Clean:
+	case effects.ReadSegments:
 		s.state.clean(c, e.First, e.First+e.Count)
 	case effects.Rent:
 		s.cloud.rent(c, e.Rental)
