--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -84,8 +84,8 @@
 	Commit            struct{ Txn eventlog.Transaction }
 	ReadBack          struct{ Key string }
 	ReadSegments      struct{ First, Count int }
-	// Values reads a page of a duty's own values, those behind a key.
-	Values struct{ Duty, Since string }
+	// ReadValues reads a page of a duty's own values, those behind a key.
+	ReadValues struct{ Duty, Since string }
 	// SendStops sends stops straight to a worker, besides the answer to its next
 	// report. It has no result: nothing is concluded from it.
 	SendStops struct {
@@ -141,7 +141,7 @@
 func (Commit) effect()            {}
 func (ReadBack) effect()          {}
 func (ReadSegments) effect()      {}
-func (Values) effect()            {}
+func (ReadValues) effect()        {}
 func (SendStops) effect()         {}
 func (Dispatch) effect()          {}
 func (ProbeWorker) effect()       {}
--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -22,7 +22,7 @@
 func (r *ValueReader) RequestNext(s *State, now time.Duration, duty string) {
 	if !r.Done && !r.asked && now >= r.askAt {
 		r.asked = true
-		s.Emit(effects.Values{Duty: duty, Since: r.since})
+		s.Emit(effects.ReadValues{Duty: duty, Since: r.since})
 	}
 }
 
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -72,7 +72,7 @@
 		d.Tick(w.now, true)
 		since := ""
 		for _, e := range d.TakeEffects() {
-			if v, ok := e.(effects.Values); ok {
+			if v, ok := e.(effects.ReadValues); ok {
 				since = v.Since
 			}
 			w.effects = append(w.effects, e)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -242,7 +242,7 @@
 			entries, err := n.segments(ctx, e.First, e.First+e.Count)
 			return func(now time.Duration) { n.core.Cleaned(now, epoch, e.First, e.First+e.Count, err == nil, entries) }
 		})
-	case effects.Values:
+	case effects.ReadValues:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			list, more, err := n.values(ctx, e.Duty, e.Since)
 			if err != nil {
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -491,7 +491,7 @@
 		s.state.commit(c, e.Txn)
 	case effects.ReadBack:
 		s.state.recheck(c, e.Key)
-	case effects.Values:
+	case effects.ReadValues:
 		s.state.values(c, e.Duty, e.Since)
 	case effects.SendStops:
 		for _, cmd := range e.Stops {
