--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -80,7 +80,7 @@
 		Epoch uint64
 	}
 	LeadershipRequest struct{ Request leadership.Request }
-	Load              struct{ Epoch uint64 }
+	LoadLog           struct{ Epoch uint64 }
 	Commit            struct{ Txn eventlog.Transaction }
 	ReadBack          struct{ Key string }
 	ReadSegments      struct{ First, Count int }
@@ -137,7 +137,7 @@
 func (ProbePeer) effect()         {}
 func (AskPreviousLeader) effect() {}
 func (LeadershipRequest) effect() {}
-func (Load) effect()              {}
+func (LoadLog) effect()           {}
 func (Commit) effect()            {}
 func (ReadBack) effect()          {}
 func (ReadSegments) effect()      {}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -91,7 +91,7 @@
 		c.counts.Terms++
 		led, vacant := c.lead.WithoutLeader()
 		c.term = term.New(cluster.TermStart{Cfg: c.cfg, ClockZeroMS: c.zero, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
-		c.out = append(c.out, effects.Note{Level: effects.Info, Text: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.Load{Epoch: c.term.Epoch})
+		c.out = append(c.out, effects.Note{Level: effects.Info, Text: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
 		c.term.Flush(now)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -224,7 +224,7 @@
 		}
 	case effects.LeadershipRequest:
 		go n.lead(e.Request)
-	case effects.Load:
+	case effects.LoadLog:
 		go n.load(e.Epoch)
 	case effects.Commit:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -485,7 +485,7 @@
 		}
 	case effects.LeadershipRequest:
 		s.state.lead(c, e.Request)
-	case effects.Load:
+	case effects.LoadLog:
 		s.state.load(c, e.Epoch)
 	case effects.Commit:
 		s.state.commit(c, e.Txn)
