--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -108,11 +108,11 @@
 		ID   string
 		Body []byte // JSON
 	}
-	Rent   struct{ Rental eventlog.Rental }
-	Delete struct{ Machines []string }
-	List   struct{}
-	Types  struct{}
-	Note   struct {
+	RentMachines struct{ Rental eventlog.Rental }
+	Delete       struct{ Machines []string }
+	List         struct{}
+	Types        struct{}
+	Note         struct {
 		Level Level
 		Text  string
 		Args  []any
@@ -146,7 +146,7 @@
 func (Dispatch) effect()          {}
 func (ProbeWorker) effect()       {}
 func (Notify) effect()            {}
-func (Rent) effect()              {}
+func (RentMachines) effect()      {}
 func (Delete) effect()            {}
 func (List) effect()              {}
 func (Types) effect()             {}
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -73,7 +73,7 @@
 	for name, r := range d.rentals {
 		if now >= d.rentDue[name] && spend() {
 			d.rentDue[name] = now + 20*time.Second
-			d.Emit(effects.Rent{Rental: r})
+			d.Emit(effects.RentMachines{Rental: r})
 		}
 	}
 	if !d.listBusy && now-d.listAt > listEvery && spend() {
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -163,7 +163,7 @@
 	term.Tick(time.Second, true)
 	n := 0
 	for _, e := range term.TakeEffects() {
-		if _, ok := e.(effects.Rent); ok {
+		if _, ok := e.(effects.RentMachines); ok {
 			n++
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -280,7 +280,7 @@
 		if n.hook != nil {
 			n.hook.Send(webhook.Message{ID: e.ID, Body: e.Body})
 		}
-	case effects.Rent:
+	case effects.RentMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			names, res := n.cloud.Rent(ctx, e.Rental)
 			return func(now time.Duration) { n.core.Rented(now, epoch, e.Rental.Name, names, res) }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -538,7 +538,7 @@
 		}
 	case effects.ReadSegments:
 		s.state.clean(c, e.First, e.First+e.Count)
-	case effects.Rent:
+	case effects.RentMachines:
 		s.cloud.rent(c, e.Rental)
 	case effects.Delete:
 		s.cloud.delete(c, e.Machines)
