--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -108,11 +108,11 @@
 		ID   string
 		Body []byte // JSON
 	}
-	RentMachines struct{ Rental eventlog.Rental }
-	Delete       struct{ Machines []string }
-	List         struct{}
-	Types        struct{}
-	Note         struct {
+	RentMachines   struct{ Rental eventlog.Rental }
+	DeleteMachines struct{ Machines []string }
+	List           struct{}
+	Types          struct{}
+	Note           struct {
 		Level Level
 		Text  string
 		Args  []any
@@ -147,7 +147,7 @@
 func (ProbeWorker) effect()       {}
 func (Notify) effect()            {}
 func (RentMachines) effect()      {}
-func (Delete) effect()            {}
+func (DeleteMachines) effect()    {}
 func (List) effect()              {}
 func (Types) effect()             {}
 func (Note) effect()              {}
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -60,7 +60,7 @@
 		}
 		if len(list) > 0 && spend() {
 			d.deleteBusy = true
-			d.Emit(effects.Delete{Machines: list})
+			d.Emit(effects.DeleteMachines{Machines: list})
 		}
 	}
 	if !sure {
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -18,7 +18,7 @@
 func deletes(term *Term) []string {
 	var out []string
 	for _, e := range term.TakeEffects() {
-		if d, ok := e.(effects.Delete); ok {
+		if d, ok := e.(effects.DeleteMachines); ok {
 			out = append(out, d.Machines...)
 		}
 	}
@@ -87,7 +87,7 @@
 			term.Flush(now)
 			for _, e := range term.TakeEffects() {
 				switch e := e.(type) {
-				case effects.Delete:
+				case effects.DeleteMachines:
 					deleted = true
 				case effects.Commit:
 					for _, w := range e.Txn.Writes {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -285,7 +285,7 @@
 			names, res := n.cloud.Rent(ctx, e.Rental)
 			return func(now time.Duration) { n.core.Rented(now, epoch, e.Rental.Name, names, res) }
 		})
-	case effects.Delete:
+	case effects.DeleteMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			ok := n.cloud.Delete(ctx, e.Machines)
 			return func(now time.Duration) { n.core.Deleted(now, epoch, e.Machines, ok) }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -540,7 +540,7 @@
 		s.state.clean(c, e.First, e.First+e.Count)
 	case effects.RentMachines:
 		s.cloud.rent(c, e.Rental)
-	case effects.Delete:
+	case effects.DeleteMachines:
 		s.cloud.delete(c, e.Machines)
 	case effects.List:
 		s.cloud.list(c)
