--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -110,7 +110,7 @@
 	}
 	RentMachines   struct{ Rental eventlog.Rental }
 	DeleteMachines struct{ Machines []string }
-	List           struct{}
+	ListMachines   struct{}
 	Types          struct{}
 	Note           struct {
 		Level Level
@@ -148,7 +148,7 @@
 func (Notify) effect()            {}
 func (RentMachines) effect()      {}
 func (DeleteMachines) effect()    {}
-func (List) effect()              {}
+func (ListMachines) effect()      {}
 func (Types) effect()             {}
 func (Note) effect()              {}
 
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -78,7 +78,7 @@
 	}
 	if !d.listBusy && now-d.listAt > listEvery && spend() {
 		d.listBusy, d.listAt = true, now
-		d.Emit(effects.List{})
+		d.Emit(effects.ListMachines{})
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -290,7 +290,7 @@
 			ok := n.cloud.Delete(ctx, e.Machines)
 			return func(now time.Duration) { n.core.Deleted(now, epoch, e.Machines, ok) }
 		})
-	case effects.List:
+	case effects.ListMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			list, err := n.cloud.List(ctx)
 			return func(now time.Duration) { n.core.Listed(now, epoch, list, err == nil) }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -542,7 +542,7 @@
 		s.cloud.rent(c, e.Rental)
 	case effects.DeleteMachines:
 		s.cloud.delete(c, e.Machines)
-	case effects.List:
+	case effects.ListMachines:
 		s.cloud.list(c)
 	case effects.Types:
 		s.cloud.types(c)
