--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -108,11 +108,11 @@
 		ID   string
 		Body []byte // JSON
 	}
-	RentMachines   struct{ Rental eventlog.Rental }
-	DeleteMachines struct{ Machines []string }
-	ListMachines   struct{}
-	Types          struct{}
-	Note           struct {
+	RentMachines     struct{ Rental eventlog.Rental }
+	DeleteMachines   struct{ Machines []string }
+	ListMachines     struct{}
+	ListMachineTypes struct{}
+	Note             struct {
 		Level Level
 		Text  string
 		Args  []any
@@ -149,7 +149,7 @@
 func (RentMachines) effect()      {}
 func (DeleteMachines) effect()    {}
 func (ListMachines) effect()      {}
-func (Types) effect()             {}
+func (ListMachineTypes) effect()  {}
 func (Note) effect()              {}
 
 // Unavailable is the answer of a node that cannot tell at present.
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -68,7 +68,7 @@
 	}
 	if !d.typesAsked && (len(d.Types) == 0 || d.typesAt == 0 || now-d.typesAt > typesEvery) && spend() {
 		d.typesAsked = true
-		d.Emit(effects.Types{})
+		d.Emit(effects.ListMachineTypes{})
 	}
 	for name, r := range d.rentals {
 		if now >= d.rentDue[name] && spend() {
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -544,7 +544,7 @@
 		s.cloud.delete(c, e.Machines)
 	case effects.ListMachines:
 		s.cloud.list(c)
-	case effects.Types:
+	case effects.ListMachineTypes:
 		s.cloud.types(c)
 	case effects.Note:
 		c.notes = append(c.notes, e.Text)
