--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -112,7 +112,7 @@
 	DeleteMachines   struct{ Machines []string }
 	ListMachines     struct{}
 	ListMachineTypes struct{}
-	Note             struct {
+	LogMessage       struct {
 		Level Level
 		Text  string
 		Args  []any
@@ -150,7 +150,7 @@
 func (DeleteMachines) effect()    {}
 func (ListMachines) effect()      {}
 func (ListMachineTypes) effect()  {}
-func (Note) effect()              {}
+func (LogMessage) effect()        {}
 
 // Unavailable is the answer of a node that cannot tell at present.
 func Unavailable(why string) Answer { return Answer{Status: 503, Why: why, RetryAfter: 1} }
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -473,7 +473,7 @@
 	expect(t, "closed", w.pass(w.job("a", 1, 1, jobs.Array, per("p", 1))), "[0]")
 	said := false
 	for _, e := range w.d.TakeEffects() {
-		if n, ok := e.(effects.Note); ok && n.Level == effects.Error {
+		if n, ok := e.(effects.LogMessage); ok && n.Level == effects.Error {
 			said = true
 		}
 	}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -312,7 +312,7 @@
 	notes := func() (out []string) {
 		for _, e := range d.TakeEffects() {
 			switch e := e.(type) {
-			case effects.Note:
+			case effects.LogMessage:
 				out = append(out, e.Text)
 			case effects.Notify:
 				told = append(told, e.ID)
@@ -363,7 +363,7 @@
 	d := w.lead(t, 100)
 	said := 0
 	for _, e := range w.effects {
-		if _, ok := e.(effects.Note); ok {
+		if _, ok := e.(effects.LogMessage); ok {
 			said++
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -303,7 +303,7 @@
 			}
 			return func(now time.Duration) { n.core.GotTypes(now, epoch, list) }
 		})
-	case effects.Note:
+	case effects.LogMessage:
 		n.log.Log(context.Background(), []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}[e.Level], e.Text, e.Args...)
 	}
 }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -546,7 +546,7 @@
 		s.cloud.list(c)
 	case effects.ListMachineTypes:
 		s.cloud.types(c)
-	case effects.Note:
+	case effects.LogMessage:
 		c.notes = append(c.notes, e.Text)
 	}
 }
