--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -113,9 +113,9 @@
 	ListMachines     struct{}
 	ListMachineTypes struct{}
 	LogMessage       struct {
-		Level Level
-		Text  string
-		Args  []any
+		Level   Level
+		Message string
+		Args    []any
 	}
 )
 
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -233,7 +233,7 @@
 
 // LogMessage has something logged.
 func (s *State) LogMessage(l effects.Level, text string, args ...any) {
-	s.Emit(effects.LogMessage{Level: l, Text: text, Args: args})
+	s.Emit(effects.LogMessage{Level: l, Message: text, Args: args})
 }
 
 // CancelPlan takes back a plan. One that is on offer may have been taken up
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -88,7 +88,7 @@
 	}
 	told := 0
 	for _, e := range d.TakeEffects() {
-		if n, ok := e.(effects.LogMessage); ok && n.Text == "takeover" {
+		if n, ok := e.(effects.LogMessage); ok && n.Message == "takeover" {
 			told++
 		}
 	}
@@ -138,7 +138,7 @@
 	}
 	d.TakeEffects()
 	d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
-	if out := d.TakeEffects(); len(out) != 1 || !strings.Contains(out[0].(effects.LogMessage).Text, "cannot be read") || d.EventLog.Pending() != 3 {
+	if out := d.TakeEffects(); len(out) != 1 || !strings.Contains(out[0].(effects.LogMessage).Message, "cannot be read") || d.EventLog.Pending() != 3 {
 		t.Errorf("said: %+v", out)
 	}
 }
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -313,7 +313,7 @@
 		for _, e := range d.TakeEffects() {
 			switch e := e.(type) {
 			case effects.LogMessage:
-				out = append(out, e.Text)
+				out = append(out, e.Message)
 			case effects.Notify:
 				told = append(told, e.ID)
 			}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -84,14 +84,14 @@
 	if c.term != nil && (!leading || c.term.Epoch != c.lead.Epoch()) {
 		c.term.End()
 		c.gather(now)
-		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Text: "term ended", Args: []any{"epoch", c.term.Epoch}})
+		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "term ended", Args: []any{"epoch", c.term.Epoch}})
 		c.term = nil
 	}
 	if c.term == nil && leading {
 		c.counts.Terms++
 		led, vacant := c.lead.WithoutLeader()
 		c.term = term.New(cluster.TermStart{Cfg: c.cfg, ClockZeroMS: c.zero, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
-		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Text: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
+		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
 		c.term.Flush(now)
@@ -142,7 +142,7 @@
 		if c.term.TokensExhausted() {
 			// After hundreds of thousands of machines that changed their block, or direct starts
 			// that had to be reaped: the next term has its own.
-			c.out = append(c.out, effects.LogMessage{Level: effects.Info, Text: "the tokens of this term are used up: leadership given up", Args: []any{"epoch", c.term.Epoch}})
+			c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "the tokens of this term are used up: leadership given up", Args: []any{"epoch", c.term.Epoch}})
 			c.orders(c.lead.Resign(now, time.Second))
 		}
 	}
@@ -172,7 +172,7 @@
 	if now-c.deafAt < c.tooFar()+settings.Seconds(1.25*c.cfg.Deployment.Workers.ReportS)+peerTimeout {
 		return // machines that its peers cannot answer for are on their way here
 	}
-	c.out = append(c.out, effects.LogMessage{Level: effects.Warn, Text: "cut off from peers and machines: leadership given up", Args: nil})
+	c.out = append(c.out, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
 	c.orders(c.lead.Resign(now, resignFor))
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -304,7 +304,7 @@
 			return func(now time.Duration) { n.core.GotTypes(now, epoch, list) }
 		})
 	case effects.LogMessage:
-		n.log.Log(context.Background(), []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}[e.Level], e.Text, e.Args...)
+		n.log.Log(context.Background(), []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}[e.Level], e.Message, e.Args...)
 	}
 }
 
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -547,7 +547,7 @@
 	case effects.ListMachineTypes:
 		s.cloud.types(c)
 	case effects.LogMessage:
-		c.notes = append(c.notes, e.Text)
+		c.notes = append(c.notes, e.Message)
 	}
 }
 
