--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -39,10 +39,10 @@
 	LeaseS float64
 }
 
-// Relayed is a report that a controller hands to the leader. Life tells the
+// RelayedHeartbeat is a report that a controller hands to the leader. Life tells the
 // controller's processes apart: one that began anew has forgotten which
 // offers it took up.
-type Relayed struct {
+type RelayedHeartbeat struct {
 	Via    string
 	Life   int64
 	Report workers.Report
@@ -64,7 +64,7 @@
 	Relay struct {
 		To     RequestID
 		Leader string
-		Report Relayed
+		Report RelayedHeartbeat
 	}
 	Heartbeat struct {
 		Peer   string
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -209,7 +209,7 @@
 
 // hold settles in whose block the machine is that has reported by way of a
 // controller. It returns the holder to which the worker must go instead.
-func (d *Duty) hold(now time.Duration, m *workers.Machine, in effects.Relayed) string {
+func (d *Duty) hold(now time.Duration, m *workers.Machine, in effects.RelayedHeartbeat) string {
 	if life, ok := d.lives[in.Via]; ok && life != in.Life {
 		// The controller began anew and has forgotten what it took up: what is
 		// on offer by way of it must be settled before it is offered again.
@@ -247,7 +247,7 @@
 // Report takes in a worker's report, received by a controller. The answer,
 // which says how that controller may answer the worker, comes at once or with
 // the pass that follows.
-func (d *Duty) Report(now time.Duration, sure bool, to effects.RequestID, in effects.Relayed) {
+func (d *Duty) Report(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	r := &in.Report
 	answer := effects.ReportAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -24,13 +24,13 @@
 
 // fullLog is the log of machines that run eight tasks each of so many jobs,
 // each of which has 200 more, and the machines' reports.
-func fullLog(machines, count int) ([]eventlog.Entry, []effects.Relayed) {
+func fullLog(machines, count int) ([]eventlog.Entry, []effects.RelayedHeartbeat) {
 	entries := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}}}
 	for i := range count {
 		entries = append(entries, eventlog.Entry{Job: &eventlog.Job{ID: uint64(i + 1), Class: "class", Team: "team", Tasks: 200 + 8*machines/count, CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprint(i % 10), ImageGB: 1, Spot: true, EstimateS: 60}})
 	}
-	var reports []effects.Relayed
+	var reports []effects.RelayedHeartbeat
 	for i := range machines {
 		m := eventlog.Machine{Name: fmt.Sprintf("m%04d", i), Address: "x", Type: "t", Zone: "a", Number: i + 1}
 		entries = append(entries, eventlog.Entry{Machine: &m})
@@ -39,20 +39,20 @@
 			n := i*8 + k
 			r.Tasks = append(r.Tasks, workers.TaskReport{Job: uint64(n%count + 1), Task: n / count, Attempt: 1, State: workers.Running})
 		}
-		reports = append(reports, effects.Relayed{Via: "n", Life: 1, Report: r})
+		reports = append(reports, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: r})
 	}
 	return entries, reports
 }
 
 // fullTerm is a term that has read such a log.
-func fullTerm(machines, count int) (*Term, []effects.Relayed) {
+func fullTerm(machines, count int) (*Term, []effects.RelayedHeartbeat) {
 	entries, reports := fullLog(machines, count)
 	t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	return t, reports
 }
 
-func (t *Term) take(now time.Duration, in *effects.Relayed) {
+func (t *Term) take(now time.Duration, in *effects.RelayedHeartbeat) {
 	in.Report.Seq++
 	t.Report(now, true, 1, *in)
 	t.Flush(now)
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -18,7 +18,7 @@
 var scales = []int{650, 1300, 2600}
 
 // settled is a term all of whose machines have reported, after a pass.
-func settled(machines int) (*Term, []effects.Relayed, time.Duration) {
+func settled(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
 	t, reports := fullTerm(machines, 100)
 	now := time.Second
 	for i := range reports {
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-func (n *Node) checkRelay(in effects.Relayed) error {
+func (n *Node) checkRelay(in effects.RelayedHeartbeat) error {
 	r := &in.Report
 	switch {
 	case n.peers[in.Via] == nil:
--- a/internal/node/messages_test.go
+++ b/internal/node/messages_test.go
@@ -25,10 +25,10 @@
 		change(j)
 		return UserRequest{Op: opSubmit, ID: 7, Submission: wire.Submission{ID: 7, HasID: true, Job: j}, Whole: true}
 	}
-	relay := func(change func(r *workers.Report)) effects.Relayed {
+	relay := func(change func(r *workers.Report)) effects.RelayedHeartbeat {
 		r := workers.Report{Machine: "m", Session: 1, Seq: 1}
 		change(&r)
-		return effects.Relayed{Via: "n1", Life: 1, Report: r}
+		return effects.RelayedHeartbeat{Via: "n1", Life: 1, Report: r}
 	}
 	same := func(*workers.Report) {}
 	bad := map[string]func() error{
@@ -44,10 +44,10 @@
 		},
 		"no id": func() error { return c.AskCounted(UserRequest{Op: opSubmit, ID: 7}, &effects.Answer{}) },
 		"via nobody": func() error {
-			return c.Relay(effects.Relayed{Via: "n9", Report: relay(same).Report}, &effects.ReportAnswer{})
+			return c.Relay(effects.RelayedHeartbeat{Via: "n9", Report: relay(same).Report}, &effects.ReportAnswer{})
 		},
 		"via itself": func() error {
-			return c.Relay(effects.Relayed{Via: "n0", Report: relay(same).Report}, &effects.ReportAnswer{})
+			return c.Relay(effects.RelayedHeartbeat{Via: "n0", Report: relay(same).Report}, &effects.ReportAnswer{})
 		},
 		"no machine": func() error {
 			return c.Relay(relay(func(r *workers.Report) { r.Machine = "" }), &effects.ReportAnswer{})
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -27,7 +27,7 @@
 
 // take has a report answered by this node's term, or hands it to the leader.
 func (c *Core) take(now time.Duration, to effects.RequestID, o *openReport) {
-	in := effects.Relayed{Via: c.cfg.Node, Life: c.zero, Report: *o.report}
+	in := effects.RelayedHeartbeat{Via: c.cfg.Node, Life: c.zero, Report: *o.report}
 	leader := c.lead.LeaderName()
 	switch {
 	case c.term != nil && c.lonely(now) && c.sendAway(now, to, o.report):
@@ -241,7 +241,7 @@
 
 // Relayed serves a report that another controller handed on. It goes no
 // further.
-func (c *Core) Relayed(now time.Duration, to effects.RequestID, in effects.Relayed) {
+func (c *Core) Relayed(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
 	c.met(now, &in.Report)
 	if c.term == nil {
 		c.out = append(c.out, effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 503}})
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -266,12 +266,12 @@
 }
 
 // between is a report on its way from one controller to another.
-func between(from, to *controller, r effects.Relayed) effects.Relayed {
+func between(from, to *controller, r effects.RelayedHeartbeat) effects.RelayedHeartbeat {
 	if from.old == to.old {
 		return r
 	}
 	var there prodRelayed
-	var out effects.Relayed
+	var out effects.RelayedHeartbeat
 	throughGob(r, &there)
 	throughGob(there, &out)
 	return out
