--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -61,7 +61,7 @@
 		To     RequestID
 		Answer ReportAnswer
 	}
-	Relay struct {
+	RelayHeartbeat struct {
 		To     RequestID
 		Leader string
 		Report RelayedHeartbeat
@@ -132,7 +132,7 @@
 
 func (Reply) effect()             {}
 func (ReplyReport) effect()       {}
-func (Relay) effect()             {}
+func (RelayHeartbeat) effect()    {}
 func (Heartbeat) effect()         {}
 func (ProbePeer) effect()         {}
 func (AskPreviousLeader) effect() {}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -185,7 +185,7 @@
 			ch <- e.Answer
 			delete(n.reports, e.To)
 		}
-	case effects.Relay:
+	case effects.RelayHeartbeat:
 		p := n.peers[e.Leader]
 		go func() {
 			var a effects.ReportAnswer
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -39,7 +39,7 @@
 		o.leader = leader
 		o.tries++
 		c.open[to] = o
-		c.out = append(c.out, effects.Relay{To: to, Leader: leader, Report: in})
+		c.out = append(c.out, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
 	default:
 		c.out = append(c.out, effects.ReplyReport{To: to, Answer: c.alone(now, o.report)})
 	}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -418,7 +418,7 @@
 			delete(c.reports, e.To)
 			f(e.Answer)
 		}
-	case effects.Relay:
+	case effects.RelayHeartbeat:
 		life := c.life
 		if o := s.node(e.Leader); o != nil {
 			call(s, c.name, o.name, wait, func(reply func(effects.ReportAnswer)) {
