--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -57,7 +57,7 @@
 		To     RequestID
 		Answer Answer
 	}
-	ReplyReport struct {
+	ReplyHeartbeat struct {
 		To     RequestID
 		Answer ReportAnswer
 	}
@@ -131,7 +131,7 @@
 )
 
 func (Reply) effect()             {}
-func (ReplyReport) effect()       {}
+func (ReplyHeartbeat) effect()    {}
 func (RelayHeartbeat) effect()    {}
 func (Heartbeat) effect()         {}
 func (ProbePeer) effect()         {}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -103,10 +103,10 @@
 // block get what the block takes up.
 func (c *Core) gather(now time.Duration) {
 	for _, e := range c.term.TakeEffects() {
-		if a, ok := e.(effects.ReplyReport); ok {
+		if a, ok := e.(effects.ReplyHeartbeat); ok {
 			if o := c.open[a.To]; o != nil {
 				delete(c.open, a.To)
-				e = effects.ReplyReport{To: a.To, Answer: c.finish(now, o.report, a.Answer)}
+				e = effects.ReplyHeartbeat{To: a.To, Answer: c.finish(now, o.report, a.Answer)}
 			}
 		}
 		c.out = append(c.out, e)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -180,7 +180,7 @@
 			ch <- e.Answer
 			delete(n.users, e.To)
 		}
-	case effects.ReplyReport:
+	case effects.ReplyHeartbeat:
 		if ch := n.reports[e.To]; ch != nil {
 			ch <- e.Answer
 			delete(n.reports, e.To)
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -41,7 +41,7 @@
 		c.open[to] = o
 		c.out = append(c.out, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
 	default:
-		c.out = append(c.out, effects.ReplyReport{To: to, Answer: c.alone(now, o.report)})
+		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: c.alone(now, o.report)})
 	}
 }
 
@@ -127,7 +127,7 @@
 	case a.Status == 421:
 		c.hold.Release(r.Machine)
 	}
-	c.out = append(c.out, effects.ReplyReport{To: to, Answer: c.finish(now, r, a)})
+	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: c.finish(now, r, a)})
 	c.after(now)
 }
 
@@ -189,7 +189,7 @@
 	leader := c.lead.LeaderName()
 	c.sentTo[r.Machine] = now
 	c.hold.Release(r.Machine)
-	c.out = append(c.out, effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 421, Node: leader}})
+	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 421, Node: leader}})
 	return true
 }
 
@@ -235,7 +235,7 @@
 		}
 		c.sentTo[r.Machine] = now
 	}
-	c.out = append(c.out, effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 503}})
+	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 503}})
 	return true
 }
 
@@ -244,7 +244,7 @@
 func (c *Core) Relayed(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
 	c.met(now, &in.Report)
 	if c.term == nil {
-		c.out = append(c.out, effects.ReplyReport{To: to, Answer: effects.ReportAnswer{Status: 503}})
+		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 503}})
 		return
 	}
 	c.term.Report(now, c.lead.LeaseValid(now), to, in)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -189,7 +189,7 @@
 
 func (x *scaleCounts) effect(e effects.Effect) {
 	if x != nil {
-		if a, ok := e.(effects.ReplyReport); ok && a.Answer.Status == 421 {
+		if a, ok := e.(effects.ReplyHeartbeat); ok && a.Answer.Status == 421 {
 			x.moved++
 		}
 		x.sent[reflect.TypeOf(e).Name()]++
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -413,7 +413,7 @@
 			delete(c.users, e.To)
 			f(e.Answer)
 		}
-	case effects.ReplyReport:
+	case effects.ReplyHeartbeat:
 		if f := c.reports[e.To]; f != nil {
 			delete(c.reports, e.To)
 			f(e.Answer)
