--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -27,8 +27,8 @@
 	RetryAfter int
 }
 
-// ReportAnswer is what a worker is told.
-type ReportAnswer struct {
+// HeartbeatAnswer is what a worker is told.
+type HeartbeatAnswer struct {
 	Status   int
 	Token    uint64
 	Commands []workers.Command
@@ -59,7 +59,7 @@
 	}
 	ReplyHeartbeat struct {
 		To     RequestID
-		Answer ReportAnswer
+		Answer HeartbeatAnswer
 	}
 	RelayHeartbeat struct {
 		To     RequestID
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -176,7 +176,7 @@
 func (d *Duty) End() {
 	for _, w := range d.waiting {
 		if !w.over {
-			d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.ReportAnswer{Status: 503}})
+			d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		}
 	}
 	d.waiting = nil
@@ -249,7 +249,7 @@
 // the pass that follows.
 func (d *Duty) Report(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	r := &in.Report
-	answer := effects.ReportAnswer{Status: 200, Token: d.Token}
+	answer := effects.HeartbeatAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	m := d.Inventory.Find(r.Machine)
 	diff := d.Reconciled.Count(d.square(m, r))
@@ -289,7 +289,7 @@
 	}
 	if w := d.waits[m]; w != nil {
 		// The worker has given that one up: nothing may be started by it.
-		d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.ReportAnswer{Status: 200, Token: m.Token}})
+		d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 200, Token: m.Token}})
 		w.over = true
 		delete(d.waits, m)
 	}
@@ -317,7 +317,7 @@
 	d.fit(m)
 	d.Publish(cluster.Event{Kind: cluster.HeartbeatApplied, At: now, Machine: m, Report: r})
 	if elsewhere != "" {
-		d.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 421, Node: elsewhere}})
+		d.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: elsewhere}})
 		return
 	}
 	if d.Rebalancer != nil && sure && m.Durable && m.Resolved && !m.Deleting && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
@@ -325,7 +325,7 @@
 			// Nothing is on its way to it. What was its due comes with its next report,
 			// by way of the other controller; the former one is turned away.
 			m.Token, m.Shard = d.NextToken(), other
-			d.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 421, Node: other}})
+			d.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: other}})
 			return
 		}
 	}
@@ -372,7 +372,7 @@
 // and the offers.
 func (d *Duty) reply(sure bool, w *waitingReport) {
 	m := w.m
-	answer := effects.ReportAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
+	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
 		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.serials++; return d.Token + d.serials }, d.NextAttempt)
 		answer.Room = m.Free
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -412,7 +412,7 @@
 // Report takes in a worker's report, received by a controller.
 func (t *Term) Report(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	if !t.loaded {
-		t.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 200, Token: t.Token}})
+		t.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 200, Token: t.Token}})
 		return
 	}
 	t.roster.Report(now, sure, to, in)
--- a/internal/node/messages_test.go
+++ b/internal/node/messages_test.go
@@ -44,25 +44,25 @@
 		},
 		"no id": func() error { return c.AskCounted(UserRequest{Op: opSubmit, ID: 7}, &effects.Answer{}) },
 		"via nobody": func() error {
-			return c.Relay(effects.RelayedHeartbeat{Via: "n9", Report: relay(same).Report}, &effects.ReportAnswer{})
+			return c.Relay(effects.RelayedHeartbeat{Via: "n9", Report: relay(same).Report}, &effects.HeartbeatAnswer{})
 		},
 		"via itself": func() error {
-			return c.Relay(effects.RelayedHeartbeat{Via: "n0", Report: relay(same).Report}, &effects.ReportAnswer{})
+			return c.Relay(effects.RelayedHeartbeat{Via: "n0", Report: relay(same).Report}, &effects.HeartbeatAnswer{})
 		},
 		"no machine": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Machine = "" }), &effects.ReportAnswer{})
+			return c.Relay(relay(func(r *workers.Report) { r.Machine = "" }), &effects.HeartbeatAnswer{})
 		},
 		"a name that no report holds": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Zone = string(make([]byte, 70<<10)) }), &effects.ReportAnswer{})
+			return c.Relay(relay(func(r *workers.Report) { r.Zone = string(make([]byte, 70<<10)) }), &effects.HeartbeatAnswer{})
 		},
 		"no session": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Session = 0 }), &effects.ReportAnswer{})
+			return c.Relay(relay(func(r *workers.Report) { r.Session = 0 }), &effects.HeartbeatAnswer{})
 		},
 		"a task below 0": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Tasks = []workers.TaskReport{{Task: -1}} }), &effects.ReportAnswer{})
+			return c.Relay(relay(func(r *workers.Report) { r.Tasks = []workers.TaskReport{{Task: -1}} }), &effects.HeartbeatAnswer{})
 		},
 		"more tasks than fit": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Tasks = make([]workers.TaskReport, 5000) }), &effects.ReportAnswer{})
+			return c.Relay(relay(func(r *workers.Report) { r.Tasks = make([]workers.TaskReport, 5000) }), &effects.HeartbeatAnswer{})
 		},
 		"a heartbeat of nobody":     func() error { return c.Hail(HeartbeatMessage{Node: "n9", Epoch: 9}, new(bool)) },
 		"a heartbeat of no epoch":   func() error { return c.Hail(HeartbeatMessage{Node: "n1"}, new(bool)) },
@@ -95,7 +95,7 @@
 	if err := c.Hail(HeartbeatMessage{Node: "n1", Epoch: 3}, new(bool)); err != nil {
 		t.Errorf("a heartbeat: %v", err)
 	}
-	if err := c.Relay(relay(same), &effects.ReportAnswer{}); err != nil {
+	if err := c.Relay(relay(same), &effects.HeartbeatAnswer{}); err != nil {
 		t.Errorf("a report: %v", err)
 	}
 	if got := n.refused.Load(); got != uint64(len(bad)) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,7 +67,7 @@
 
 	nextAsker effects.RequestID
 	users     map[effects.RequestID]chan effects.Answer
-	reports   map[effects.RequestID]chan effects.ReportAnswer
+	reports   map[effects.RequestID]chan effects.HeartbeatAnswer
 }
 
 // New makes a controller.
@@ -76,7 +76,7 @@
 	n := &Node{
 		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), in: make(chan func(time.Duration), queueLength), start: start,
 		state: wire.NewState(cfg.External.State), cloud: wire.NewCloud(cfg.External.Cloud), workers: wire.NewWorkers(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
-		users: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.ReportAnswer{},
+		users: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
 	for _, p := range cfg.Peers {
 		n.peers[p.Node] = &peer{addr: p.Endpoint}
@@ -188,7 +188,7 @@
 	case effects.RelayHeartbeat:
 		p := n.peers[e.Leader]
 		go func() {
-			var a effects.ReportAnswer
+			var a effects.HeartbeatAnswer
 			ok := p != nil
 			if ok {
 				if err := p.call("Controller.Relay", e.Report, &a); err != nil {
@@ -454,14 +454,14 @@
 	}
 }
 
-func (n *Node) askReport(f func(now time.Duration, to effects.RequestID)) (effects.ReportAnswer, error) {
-	ch := make(chan effects.ReportAnswer, 1)
+func (n *Node) askReport(f func(now time.Duration, to effects.RequestID)) (effects.HeartbeatAnswer, error) {
+	ch := make(chan effects.HeartbeatAnswer, 1)
 	if err := n.try(func(now time.Duration) {
 		n.nextAsker++
 		n.reports[n.nextAsker] = ch
 		f(now, n.nextAsker)
 	}); err != nil {
-		return effects.ReportAnswer{}, err
+		return effects.HeartbeatAnswer{}, err
 	}
 	return <-ch, nil
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -167,7 +167,7 @@
 
 // Relay serves a report that another controller received. It is never handed
 // on a second time.
-func (c *Controller) Relay(in effects.RelayedHeartbeat, out *effects.ReportAnswer) error {
+func (c *Controller) Relay(in effects.RelayedHeartbeat, out *effects.HeartbeatAnswer) error {
 	if err := c.n.refuse(c.n.checkRelay(in)); err != nil {
 		return err
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -55,7 +55,7 @@
 }
 
 // pick has the node's block take up what it is offered for the machine.
-func (c *Core) pick(now time.Duration, r *workers.Report, a effects.ReportAnswer) []workers.Command {
+func (c *Core) pick(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) []workers.Command {
 	c.hold.Renew(r.Machine, a.Token, now+settings.Seconds(a.LeaseS))
 	picked := c.hold.Pick(now, a.Offers, a.Room)
 	if c.term != nil {
@@ -70,14 +70,14 @@
 
 // alone answers a worker while the leader cannot be asked: with the last
 // token, so that tasks outlive the leader and outages, and with no command.
-func (c *Core) alone(now time.Duration, r *workers.Report) effects.ReportAnswer {
+func (c *Core) alone(now time.Duration, r *workers.Report) effects.HeartbeatAnswer {
 	if token, ok := c.hold.KeepAlive(now, r); ok {
-		return effects.ReportAnswer{Status: 200, Token: token}
+		return effects.HeartbeatAnswer{Status: 200, Token: token}
 	}
 	if r.Token > 0 && c.cutOff(now) {
-		return effects.ReportAnswer{Status: 200, Token: r.Token}
+		return effects.HeartbeatAnswer{Status: 200, Token: r.Token}
 	}
-	return effects.ReportAnswer{Status: 503}
+	return effects.HeartbeatAnswer{Status: 503}
 }
 
 // cutOff says whether this node seems to be cut off with its zone: no leader has sent it a heartbeat
@@ -93,7 +93,7 @@
 
 // finish makes of the leader's word on a report what its worker is told: with
 // what the block takes up, or without the leader.
-func (c *Core) finish(now time.Duration, r *workers.Report, a effects.ReportAnswer) effects.ReportAnswer {
+func (c *Core) finish(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
 	switch a.Status {
 	case 200:
 		a.Commands = append(a.Commands, c.pick(now, r, a)...)
@@ -106,7 +106,7 @@
 }
 
 // RelayAnswered takes the leader's word on a report that was handed to it.
-func (c *Core) RelayAnswered(now time.Duration, to effects.RequestID, a effects.ReportAnswer, ok bool) {
+func (c *Core) RelayAnswered(now time.Duration, to effects.RequestID, a effects.HeartbeatAnswer, ok bool) {
 	o := c.open[to]
 	delete(c.open, to)
 	if o == nil {
@@ -123,7 +123,7 @@
 	}
 	switch {
 	case !ok, a.Status == 421 && (a.Node == c.cfg.Node || a.Node == ""):
-		a = effects.ReportAnswer{Status: 503}
+		a = effects.HeartbeatAnswer{Status: 503}
 	case a.Status == 421:
 		c.hold.Release(r.Machine)
 	}
@@ -189,7 +189,7 @@
 	leader := c.lead.LeaderName()
 	c.sentTo[r.Machine] = now
 	c.hold.Release(r.Machine)
-	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 421, Node: leader}})
+	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: leader}})
 	return true
 }
 
@@ -235,7 +235,7 @@
 		}
 		c.sentTo[r.Machine] = now
 	}
-	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 503}})
+	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 	return true
 }
 
@@ -244,7 +244,7 @@
 func (c *Core) Relayed(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
 	c.met(now, &in.Report)
 	if c.term == nil {
-		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.ReportAnswer{Status: 503}})
+		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		return
 	}
 	c.term.Report(now, c.lead.LeaseValid(now), to, in)
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -278,12 +278,12 @@
 }
 
 // answered is the answer to it on its way back.
-func answered(from, to *controller, a effects.ReportAnswer) effects.ReportAnswer {
+func answered(from, to *controller, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
 	if from.old == to.old {
 		return a
 	}
 	var there prodReportAnswer
-	var out effects.ReportAnswer
+	var out effects.HeartbeatAnswer
 	throughGob(a, &there)
 	throughGob(there, &out)
 	return out
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -308,7 +308,7 @@
 	old     bool // runs the version in production, see frozen_test.go
 	asker   effects.RequestID
 	users   map[effects.RequestID]func(effects.Answer)
-	reports map[effects.RequestID]func(effects.ReportAnswer)
+	reports map[effects.RequestID]func(effects.HeartbeatAnswer)
 	notes   []string
 }
 
@@ -326,7 +326,7 @@
 	}
 	c.core = node.NewCore(&cfg, (c.s.began + c.s.now).Milliseconds())
 	c.users = map[effects.RequestID]func(effects.Answer){}
-	c.reports = map[effects.RequestID]func(effects.ReportAnswer){}
+	c.reports = map[effects.RequestID]func(effects.HeartbeatAnswer){}
 	life := c.life
 	var tick func()
 	tick = func() {
@@ -421,7 +421,7 @@
 	case effects.RelayHeartbeat:
 		life := c.life
 		if o := s.node(e.Leader); o != nil {
-			call(s, c.name, o.name, wait, func(reply func(effects.ReportAnswer)) {
+			call(s, c.name, o.name, wait, func(reply func(effects.HeartbeatAnswer)) {
 				if !o.up {
 					return
 				}
@@ -429,7 +429,7 @@
 				o.reports[o.asker] = reply
 				s.scale.time("reports of peers", func() { o.core.Relayed(o.clock(), o.asker, between(c, o, e.Report)) })
 				o.drain()
-			}, func(a effects.ReportAnswer, ok bool) {
+			}, func(a effects.HeartbeatAnswer, ok bool) {
 				a = answered(c, o, a)
 				if c.life == life {
 					c.into(func(now time.Duration) { c.core.RelayAnswered(now, e.To, a, ok) })()
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -106,7 +106,7 @@
 		then any // points to production's type
 	}{
 		{"relay.gob", effects.RelayedHeartbeat{Via: "drover-1", Life: 1764590000000, Report: report}, &prodRelayed{}},
-		{"relay_answer.gob", effects.ReportAnswer{Status: 200, Token: 7<<20 + 5, Commands: []workers.Command{{Op: workers.Stop, Job: 412, Task: 1, Attempt: 4, GraceS: 9}},
+		{"relay_answer.gob", effects.HeartbeatAnswer{Status: 200, Token: 7<<20 + 5, Commands: []workers.Command{{Op: workers.Stop, Job: 412, Task: 1, Attempt: 4, GraceS: 9}},
 			Node: "drover-2", Offers: []workers.Offer{{Start: start, Serial: 77, Need: resources.Amounts{CPU: 500, Mem: 1000}, Here: true}},
 			Room: resources.Amounts{CPU: 96000, GPU: 8000, Mem: 768000}, LeaseS: 20}, &prodReportAnswer{}},
 		{"ask.gob", node.UserRequest{Op: "submit", ID: 412, Submission: wire.Submission{ID: 412, HasID: true, Job: job, Bad: "x"}}, &prodRequest{}},
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -153,7 +153,7 @@
 		next()
 		return
 	}
-	call(w.s, w.name, c.name, 4*time.Second, func(reply func(effects.ReportAnswer)) {
+	call(w.s, w.name, c.name, 4*time.Second, func(reply func(effects.HeartbeatAnswer)) {
 		if !c.up {
 			return
 		}
@@ -161,7 +161,7 @@
 		c.reports[c.asker] = reply
 		w.s.scale.time("reports", func() { c.core.Report(c.clock(), c.asker, r) })
 		c.drain()
-	}, func(a effects.ReportAnswer, ok bool) {
+	}, func(a effects.HeartbeatAnswer, ok bool) {
 		if life != w.life {
 			return // it was asked by a process that is gone
 		}
