--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -22,7 +22,7 @@
 
 // stored is the form in which a job is written, and the entries that go before
 // it where it follows more jobs than fit.
-func (d *Duty) stored(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
+func (d *Component) stored(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
 	rec.Rest = 0
 	rec.HideFromOlderVersions()
 	if rec.ReleasedMS != 0 {
@@ -41,7 +41,7 @@
 
 // unfollowable says why a job cannot follow what it names; known is false
 // while that cannot be decided.
-func (d *Duty) unfollowable(rec *eventlog.Job) (why string, known bool) {
+func (d *Component) unfollowable(rec *eventlog.Job) (why string, known bool) {
 	for _, id := range rec.Follows {
 		if _, over := d.Jobs.Final(id); over {
 			continue
@@ -60,7 +60,7 @@
 
 // link settles what an accepted job waits for. It is false when the job is
 // cancelled from the start, since one that it follows is.
-func (d *Duty) link(j *jobs.Job) bool {
+func (d *Component) link(j *jobs.Job) bool {
 	if j.Record.ReleasedMS != 0 {
 		return true
 	}
@@ -81,7 +81,7 @@
 
 // hurry has the jobs that a job needs take its priority: the exception
 // follow_urgency. Their place in the order changes, their size does not.
-func (d *Duty) hurry(j *jobs.Job) {
+func (d *Component) hurry(j *jobs.Job) {
 	if d.Cfg.Tunables.FollowUrgency == 0 {
 		return
 	}
@@ -95,7 +95,7 @@
 }
 
 // calm recomputes the priority of jobs that a cancelled one needed.
-func (d *Duty) calm(list []*jobs.Job) {
+func (d *Component) calm(list []*jobs.Job) {
 	for _, x := range list {
 		x.Priority = x.Record.Priority
 		if d.Cfg.Tunables.FollowUrgency == 1 {
@@ -108,7 +108,7 @@
 
 // letGo releases a job: all that it follows are durably done. It enters the
 // order as if it had just arrived.
-func (d *Duty) letGo(now time.Duration, j *jobs.Job) {
+func (d *Component) letGo(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
 	j.Record.ReleasedMS = d.ClockZeroMS + now.Milliseconds()
 	d.schedule(j, now)
@@ -118,7 +118,7 @@
 }
 
 // order enters a job into the order.
-func (d *Duty) order(now time.Duration, j *jobs.Job) {
+func (d *Component) order(now time.Duration, j *jobs.Job) {
 	d.Estimator.Age(now.Seconds(), d.CPUs())
 	if j.Record.Kind != jobs.Service {
 		d.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
@@ -129,7 +129,7 @@
 
 // cancelled acts on a cancellation that is durable, of a job or of one that it
 // follows, and on all that need it.
-func (d *Duty) cancelled(sure bool, j *jobs.Job) {
+func (d *Component) cancelled(sure bool, j *jobs.Job) {
 	needed, needing := d.Jobs.TransitiveDependencies(j), d.Jobs.TransitiveDependents(j)
 	d.wipe(j)
 	for _, f := range needing {
@@ -142,7 +142,7 @@
 }
 
 // wipe cancels one job, none of whose tasks is anywhere.
-func (d *Duty) wipe(j *jobs.Job) {
+func (d *Component) wipe(j *jobs.Job) {
 	j.Phase = jobs.Cancelled
 	delete(d.cancelling, j.Record.ID)
 	d.Jobs.Finish(j.Record.ID, jobs.Cancelled)
@@ -154,7 +154,7 @@
 
 // restoreLinks settles after a replay what every job waits for. The log is
 // read as a whole before: cleaning changes the order of its entries.
-func (d *Duty) restoreLinks(now time.Duration, parts map[uint64][]eventlog.Dependencies, doneAt map[uint64]int64) {
+func (d *Component) restoreLinks(now time.Duration, parts map[uint64][]eventlog.Dependencies, doneAt map[uint64]int64) {
 	var cancelling []*jobs.Job
 	for _, j := range d.Jobs.All() {
 		if j == nil {
@@ -199,7 +199,7 @@
 }
 
 // found says whether the log knows jobs that an accepted one follows.
-func (d *Duty) found(ids []uint64) bool {
+func (d *Component) found(ids []uint64) bool {
 	return !slices.ContainsFunc(ids, func(id uint64) bool {
 		_, over := d.Jobs.Final(id)
 		return !over && d.Jobs.Find(id) == nil
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -27,8 +27,8 @@
 	overBytes  = 9
 )
 
-// Duty is the life of all jobs in a term.
-type Duty struct {
+// Component is the life of all jobs in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 
@@ -45,14 +45,14 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	return &Duty{State: s, gone: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
+func New(s *cluster.State) *Component {
+	return &Component{State: s, gone: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
 		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.RequestID{}, ending: map[uint64][]effects.RequestID{},
 		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(now time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.FinalStates != nil:
 		for _, id := range e.FinalStates.Done {
@@ -95,7 +95,7 @@
 
 // Begin settles what every job waits for and enters the open ones into the
 // order.
-func (d *Duty) Begin(now time.Duration) {
+func (d *Component) Begin(now time.Duration) {
 	d.restoreLinks(now, d.parts, d.doneAt)
 	d.parts, d.doneAt = nil, nil
 	for _, j := range d.Jobs.All() {
@@ -120,7 +120,7 @@
 }
 
 // EntryDurable acts on an entry that has become durable.
-func (d *Duty) EntryDurable(now time.Duration, sure bool, e eventlog.Entry) {
+func (d *Component) EntryDurable(now time.Duration, sure bool, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
 		d.accepted(now, sure, e.Job.ID)
@@ -137,7 +137,7 @@
 
 // accepted acts on an acceptance that is durable: its user is told, and the job
 // enters the order unless it follows others.
-func (d *Duty) accepted(now time.Duration, sure bool, id uint64) {
+func (d *Component) accepted(now time.Duration, sure bool, id uint64) {
 	j := d.Jobs.Find(id)
 	j.Phase = jobs.Open
 	if len(d.ending[id]) > 0 {
@@ -166,7 +166,7 @@
 }
 
 // noted acts on completions that are durable.
-func (d *Duty) noted(now time.Duration, sure bool, done *eventlog.CompletedTasks) {
+func (d *Component) noted(now time.Duration, sure bool, done *eventlog.CompletedTasks) {
 	j := d.Jobs.Find(done.ID)
 	if j == nil {
 		return
@@ -195,7 +195,7 @@
 }
 
 // HandleEvent collects completed tasks for one entry of the log.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	if e.Kind != cluster.TaskDone {
 		return
 	}
@@ -220,7 +220,7 @@
 // its workers alive, and nobody who knew of the one could reach the other. Whatever fails
 // after the user was told, and whoever then leads, answers workers or knows of nothing:
 // there is nothing left that could run.
-func (d *Duty) AppendEntries(now time.Duration) {
+func (d *Component) AppendEntries(now time.Duration) {
 	d.writeTasks(now)
 	for _, id := range slices.Sorted(maps.Keys(d.cancelling)) {
 		switch j := d.cancelling[id]; {
@@ -234,7 +234,7 @@
 }
 
 // end has a cancellation written.
-func (d *Duty) end(now time.Duration, j *jobs.Job) {
+func (d *Component) end(now time.Duration, j *jobs.Job) {
 	j.CancelPending = true
 	d.gone.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
 	d.LogMessage(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
@@ -242,7 +242,7 @@
 }
 
 // writeTasks hands completed tasks to the log.
-func (d *Duty) writeTasks(now time.Duration) {
+func (d *Component) writeTasks(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(d.completed)) {
 		d.appendTasks(now, *d.completed[id])
 	}
@@ -250,10 +250,10 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return d.Jobs.Len()*jobBytes + d.Jobs.Finals()*overBytes }
+func (d *Component) LiveBytes() int { return d.Jobs.Len()*jobBytes + d.Jobs.Finals()*overBytes }
 
 // Compact writes anew what is live of an entry.
-func (d *Duty) Compact(now time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Dependencies != nil:
 		// One for one, beside the job's own entry: the two may be in different
@@ -278,9 +278,9 @@
 }
 
 // CompactionDone writes the final states gathered meanwhile.
-func (d *Duty) CompactionDone() { d.writeOver(1) }
+func (d *Component) CompactionDone() { d.writeOver(1) }
 
-func (d *Duty) keepFinal(id uint64) {
+func (d *Component) keepFinal(id uint64) {
 	switch p, _ := d.Jobs.Final(id); p {
 	case jobs.Done:
 		d.over.Done = append(d.over.Done, id)
@@ -290,7 +290,7 @@
 	d.writeOver(max(1, d.EventLog.MaxEntryBytes()/idBytes-2))
 }
 
-func (d *Duty) writeOver(least int) {
+func (d *Component) writeOver(least int) {
 	if len(d.over.Done)+len(d.over.Cancelled) >= least {
 		o := d.over
 		d.EventLog.Append(eventlog.Entry{FinalStates: &o})
@@ -299,7 +299,7 @@
 }
 
 // End answers everybody who still waits; the next leader knows more.
-func (d *Duty) End() {
+func (d *Component) End() {
 	for _, waiting := range []map[uint64][]effects.RequestID{d.accepting, d.ending} {
 		for _, list := range waiting {
 			for _, to := range list {
@@ -311,7 +311,7 @@
 }
 
 // stopTasks stops all tasks of a job that is to be cancelled.
-func (d *Duty) stopTasks(j *jobs.Job) {
+func (d *Component) stopTasks(j *jobs.Job) {
 	on := map[*workers.Machine]bool{}
 	for k, s := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
@@ -330,14 +330,14 @@
 }
 
 // isOver notes a final state while replaying, whatever stood before it.
-func (d *Duty) isOver(id uint64, p jobs.Phase) {
+func (d *Component) isOver(id uint64, p jobs.Phase) {
 	d.Jobs.Finish(id, p)
 	if j := d.Jobs.Find(id); j != nil {
 		d.Jobs.Remove(j)
 	}
 }
 
-func (d *Duty) enter(rec eventlog.Job, now time.Duration) *jobs.Job {
+func (d *Component) enter(rec eventlog.Job, now time.Duration) *jobs.Job {
 	rec.RevealPoolUnits()
 	j := d.Jobs.Add(rec)
 	j.Team = d.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
@@ -348,13 +348,13 @@
 }
 
 // timeOf is a time of day on this node's clock; none is later than now.
-func (d *Duty) timeOf(ms int64, now time.Duration) time.Duration {
+func (d *Component) timeOf(ms int64, now time.Duration) time.Duration {
 	return min(now, time.Duration(ms-d.ClockZeroMS)*time.Millisecond)
 }
 
 // schedule settles the times that count from a job's arrival, or from its
 // release.
-func (d *Duty) schedule(j *jobs.Job, at time.Duration) {
+func (d *Component) schedule(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
 	j.PriorityWindows, j.LastAim, j.LostUntil = nil, 0, 0
 	j.BehindUntil = at + d.patience(j)
@@ -379,7 +379,7 @@
 // startBy has a best-effort job, which goes behind the order at first, go
 // ahead of it in time for an aim for its end, and at once where that cannot be
 // made: such jobs set the end of the day.
-func (d *Duty) startBy(j *jobs.Job, at time.Duration, within float64) {
+func (d *Component) startBy(j *jobs.Job, at time.Duration, within float64) {
 	if j.Priority > 0 || d.Cfg.Tunables.WaitLeadS == 0 {
 		return
 	}
@@ -394,7 +394,7 @@
 
 // goAhead has a job's waiting tasks go ahead of the order for a while before
 // the latest time at which they should start, and says from when on.
-func (d *Duty) goAhead(j *jobs.Job, at time.Duration, latest float64) time.Duration {
+func (d *Component) goAhead(j *jobs.Job, at time.Duration, latest float64) time.Duration {
 	from := at + settings.Seconds(latest-min(d.Cfg.Tunables.WaitLeadS, mostLead*latest))
 	j.PriorityWindows = append(j.PriorityWindows, [2]time.Duration{from, at + settings.Seconds(latest)})
 	return from
@@ -412,7 +412,7 @@
 // suit settles which machine types a job may use and what a task takes up on
 // them. It is called once the types are known: while the log is replayed they
 // may come after the job.
-func (d *Duty) suit(j *jobs.Job) {
+func (d *Component) suit(j *jobs.Job) {
 	if j.Record.Types != nil {
 		j.Types = make([]bool, max(d.TypeNames.Len(), 1))
 		for _, n := range j.Record.Types {
@@ -432,7 +432,7 @@
 // patience is how long a job goes behind the order: best-effort work until
 // some time before its class's tightest aim, so that small jobs of it do not
 // jump the queue of those that are in more of a hurry.
-func (d *Duty) patience(j *jobs.Job) time.Duration {
+func (d *Component) patience(j *jobs.Job) time.Duration {
 	if j.Priority > 0 {
 		return 0
 	}
@@ -450,7 +450,7 @@
 
 // entryOf is what is durable of a job's acceptance. What it follows may take
 // entries of its own, which are appended and kept beside it from then on.
-func (d *Duty) entryOf(j *jobs.Job) eventlog.Entry {
+func (d *Component) entryOf(j *jobs.Job) eventlog.Entry {
 	rec, parts := d.stored(j.Record)
 	if j.Record.Rest == 0 {
 		for _, p := range parts {
@@ -463,7 +463,7 @@
 
 // appendTasks appends completed tasks, in as many entries as they need, with
 // the time of day for a job that others wait for.
-func (d *Duty) appendTasks(now time.Duration, b eventlog.CompletedTasks) {
+func (d *Component) appendTasks(now time.Duration, b eventlog.CompletedTasks) {
 	if j := d.Jobs.Find(b.ID); j != nil && len(j.Dependents) > 0 {
 		b.AtMS = d.ClockZeroMS + now.Milliseconds()
 	}
@@ -479,7 +479,7 @@
 // again appends what is known of an open job. Completed tasks that are on
 // their way to the log are in it too: their own entry will stand before the job
 // that is written here, and be replayed without it.
-func (d *Duty) again(now time.Duration, j *jobs.Job) {
+func (d *Component) again(now time.Duration, j *jobs.Job) {
 	d.EventLog.Append(d.entryOf(j))
 	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
 	for k, s := range j.Tasks {
@@ -499,7 +499,7 @@
 // What was stored under larger limits may be too large now: then it stays
 // where it is until the job is over. A cancellation on its way to the log would
 // stand before the job that is written anew, and be replayed without it.
-func (d *Duty) CanKeep(entries []eventlog.Entry) bool {
+func (d *Component) CanKeep(entries []eventlog.Entry) bool {
 	for _, e := range entries {
 		if e.Job == nil {
 			continue
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -15,7 +15,7 @@
 // What users ask of the leader.
 
 // Submit takes a submission.
-func (d *Duty) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
+func (d *Component) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
 	if j := d.Jobs.Find(s.ID); j != nil && j.Phase == jobs.Accepting {
 		d.accepting[s.ID] = append(d.accepting[s.ID], to)
 		return
@@ -69,7 +69,7 @@
 }
 
 // never says why a job can never run, or nothing.
-func (d *Duty) never(j *eventlog.Job) string {
+func (d *Component) never(j *eventlog.Job) string {
 	team, ok := d.Teams.Lookup(j.Team)
 	if !ok || !d.HasTeam(team) {
 		return "keeper: no such team"
@@ -96,7 +96,7 @@
 // share is how many processors of a machine a task takes up, counting those
 // that its memory or accelerators leave unusable, on the type that suits it
 // best.
-func (d *Duty) share(j *jobs.Job) float64 {
+func (d *Component) share(j *jobs.Job) float64 {
 	best := j.Record.CPUs
 	found := false
 	for i, ty := range d.Types {
@@ -110,7 +110,7 @@
 }
 
 // state is what users may be told of a job.
-func (d *Duty) state(id uint64) (effects.Answer, bool) {
+func (d *Component) state(id uint64) (effects.Answer, bool) {
 	if p, ok := d.Jobs.Final(id); ok {
 		s := wire.Done
 		if p == jobs.Cancelled {
@@ -130,7 +130,7 @@
 }
 
 // Query answers for a job's state.
-func (d *Duty) Query(to effects.RequestID, id uint64) {
+func (d *Component) Query(to effects.RequestID, id uint64) {
 	if a, ok := d.state(id); ok {
 		d.Emit(effects.Reply{To: to, Answer: a})
 		return
@@ -148,7 +148,7 @@
 
 // Abort cancels a job: its tasks are stopped at once, and its user is told once nothing of
 // it is left anywhere. A user who cannot be told in time asks again.
-func (d *Duty) Abort(now time.Duration, to effects.RequestID, id uint64) {
+func (d *Component) Abort(now time.Duration, to effects.RequestID, id uint64) {
 	if _, over := d.Jobs.Final(id); over {
 		a, _ := d.state(id)
 		d.Emit(effects.Reply{To: to, Answer: a})
@@ -178,14 +178,14 @@
 	d.stopTasks(j)
 }
 
-func (d *Duty) tell(sure bool, to effects.RequestID, a effects.Answer) {
+func (d *Component) tell(sure bool, to effects.RequestID, a effects.Answer) {
 	if !sure {
 		a = effects.Unavailable("leadership is in doubt")
 	}
 	d.Emit(effects.Reply{To: to, Answer: a})
 }
 
-func (d *Duty) tellEnd(sure bool, id uint64) {
+func (d *Component) tellEnd(sure bool, id uint64) {
 	a, _ := d.state(id)
 	for _, to := range d.ending[id] {
 		d.tell(sure, to, a)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -73,7 +73,7 @@
 // clock and does nothing by itself.
 type Term struct {
 	*cluster.State
-	Users   *lifecycle.Duty // what users ask goes to it directly
+	Users   *lifecycle.Component // what users ask goes to it directly
 	order   *fairshare.Duty
 	roster  *registry.Duty
 	placing *placement.Duty
