--- a/internal/leader/fairshare/ordering.go
+++ b/internal/leader/fairshare/ordering.go
@@ -16,8 +16,8 @@
 // ageEvery is how often the virtual cluster works on.
 const ageEvery = 500 * time.Millisecond
 
-// Duty is the order in a term.
-type Duty struct {
+// Component is the order in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	finals  map[uint64]float64 // while the log is replayed
@@ -26,19 +26,19 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	return &Duty{State: s, finals: map[uint64]float64{}, sizesAt: s.TermBegan}
+func New(s *cluster.State) *Component {
+	return &Component{State: s, finals: map[uint64]float64{}, sizesAt: s.TermBegan}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	if e.FinalSize != nil {
 		d.finals[e.FinalSize.ID] = e.FinalSize.Size
 	}
 }
 
 // Begin restores final sizes.
-func (d *Duty) Begin(time.Duration) {
+func (d *Component) Begin(time.Duration) {
 	for id, s := range d.finals {
 		if j := d.Jobs.Find(id); j != nil {
 			d.Estimator.Restore(j.Index, true, s, s)
@@ -49,7 +49,7 @@
 
 // Restore puts back the virtual sizes that an earlier term wrote down, oldest
 // first.
-func (d *Duty) Restore(now time.Duration, list []eventlog.VirtualSize) {
+func (d *Component) Restore(now time.Duration, list []eventlog.VirtualSize) {
 	for _, v := range list {
 		if j := d.Jobs.Find(v.ID); j != nil {
 			_, final := d.Estimator.Size(j.Index)
@@ -60,7 +60,7 @@
 }
 
 // Tick ages the sizes.
-func (d *Duty) Tick(now time.Duration, _ bool) {
+func (d *Component) Tick(now time.Duration, _ bool) {
 	if now-d.agedAt >= ageEvery {
 		d.agedAt = now
 		d.Estimator.Age(now.Seconds(), d.CPUs())
@@ -68,14 +68,14 @@
 }
 
 // AfterCycle writes the virtual sizes down from time to time.
-func (d *Duty) AfterCycle(now time.Duration, sure bool) {
+func (d *Component) AfterCycle(now time.Duration, sure bool) {
 	if sure && now-d.sizesAt >= settings.Seconds(d.Cfg.Tunables.SizesEveryS) {
 		d.sizesAt = now
 		d.writeSizes()
 	}
 }
 
-func (d *Duty) writeSizes() {
+func (d *Component) writeSizes() {
 	var list []eventlog.VirtualSize
 	for _, i := range d.Estimator.Order() {
 		if v := d.Estimator.Virtual(i); v > 0 {
@@ -88,7 +88,7 @@
 }
 
 // Settle sets final sizes that are due; each is written once.
-func (d *Duty) Settle(now time.Duration) {
+func (d *Component) Settle(now time.Duration) {
 	for _, i := range d.Estimator.Order() {
 		if s, ok := d.Estimator.Settle(i, now.Seconds()); ok {
 			d.EventLog.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Record.ID, Size: s}})
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -74,7 +74,7 @@
 type Term struct {
 	*cluster.State
 	Users   *lifecycle.Component // what users ask goes to it directly
-	order   *fairshare.Duty
+	order   *fairshare.Component
 	roster  *registry.Duty
 	placing *placement.Duty
 	fleet   *autoscaler.Duty
