--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -12,7 +12,7 @@
 
 // known tells what the leader knows of a task that a report shows. When it is
 // really there, a mere plan for it gives way.
-func (d *Duty) known(m *workers.Machine, id uint64, task int, here bool) (workers.TaskRecord, bool) {
+func (d *Component) known(m *workers.Machine, id uint64, task int, here bool) (workers.TaskRecord, bool) {
 	j := d.Jobs.Find(id)
 	if j == nil {
 		// Leaders of the version in production have users told while tasks still run.
@@ -34,7 +34,7 @@
 		Noted: s == jobs.DoneDurably, Held: j.Phase == jobs.Held, Elsewhere: elsewhere}, true
 }
 
-func (d *Duty) event(now time.Duration, m *workers.Machine, e workers.Event) {
+func (d *Component) event(now time.Duration, m *workers.Machine, e workers.Event) {
 	j := d.Jobs.At(e.Ref.Job)
 	k := int(e.Ref.Task)
 	switch e.Kind {
@@ -137,7 +137,7 @@
 
 // stopIfCancelling has a task stopped that turns out to be on a machine while its job is
 // being cancelled.
-func (d *Duty) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
+func (d *Component) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
 	if j.Phase == jobs.Cancelling {
 		p.Stopping, p.GraceSeconds = true, 0
 	}
@@ -145,7 +145,7 @@
 
 // offersLost tells of the tasks that were on offer to a machine whose worker has died:
 // another controller may have started them there, and no report will say so any more.
-func (d *Duty) offersLost(now time.Duration, m *workers.Machine) {
+func (d *Component) offersLost(now time.Duration, m *workers.Machine) {
 	for ref, p := range m.OpenOffers {
 		if j := d.Jobs.At(ref.Job); p.Planned && j != nil {
 			d.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -33,8 +33,8 @@
 	grantWait = 500 * time.Millisecond
 )
 
-// Duty looks after the machines of a term.
-type Duty struct {
+// Component looks after the machines of a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	lives     map[string]int64         // of the controllers that hold blocks
@@ -64,12 +64,12 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	return &Duty{State: s, lives: map[string]int64{}, seen: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
+func New(s *cluster.State) *Component {
+	return &Component{State: s, lives: map[string]int64{}, seen: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Machine != nil:
 		d.registry[e.Machine.Name] = *e.Machine
@@ -92,7 +92,7 @@
 
 // Begin enters the registered machines. What earlier terms left on them is not
 // known before they report.
-func (d *Duty) Begin(now time.Duration) {
+func (d *Component) Begin(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(d.registry)) {
 		m := d.registry[name]
 		if x := d.AddMachine(now, m); x != nil {
@@ -113,7 +113,7 @@
 }
 
 // HandleEvent has a machine noted on which nothing is before it is deleted.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	if e.Kind == cluster.MachineReturnable && d.Cfg.Tunables.NoteReturns == 1 {
 		e.Machine.ReturnUnrecorded = true
 		d.empty = append(d.empty, e.Machine.Name)
@@ -121,7 +121,7 @@
 }
 
 // AppendEntries notes machines that are to be returned.
-func (d *Duty) AppendEntries(time.Duration) {
+func (d *Component) AppendEntries(time.Duration) {
 	if len(d.empty) == 0 {
 		return
 	}
@@ -133,7 +133,7 @@
 
 // EntryDurable lets tasks start on a machine that is registered, and one be deleted
 // that is noted as empty.
-func (d *Duty) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
+func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Component != nil {
 		var r returns
 		if json.Unmarshal(e.Component.Data, &r) == nil { // this term wrote it
@@ -155,7 +155,7 @@
 }
 
 // Tick looks after every machine.
-func (d *Duty) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, sure bool) {
 	if now-d.watchedAt >= watchEvery {
 		d.watchedAt = now
 		d.watch(now, sure)
@@ -163,17 +163,17 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return len(d.Inventory.All()) * machineBytes }
+func (d *Component) LiveBytes() int { return len(d.Inventory.All()) * machineBytes }
 
 // Compact writes anew what is live of an entry.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Machine != nil && d.Inventory.Find(e.Machine.Name) != nil {
 		d.EventLog.Append(eventlog.Entry{Machine: e.Machine})
 	}
 }
 
 // End has all reports that wait answered without anything.
-func (d *Duty) End() {
+func (d *Component) End() {
 	for _, w := range d.waiting {
 		if !w.over {
 			d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 503}})
@@ -193,7 +193,7 @@
 }
 
 // resolved notes that what an earlier term left on a machine is known.
-func (d *Duty) resolved(now time.Duration, m *workers.Machine) {
+func (d *Component) resolved(now time.Duration, m *workers.Machine) {
 	d.NeedsCycle = true
 	d.RemoveUnresolved(m)
 	for id := range m.Grants {
@@ -209,7 +209,7 @@
 
 // hold settles in whose block the machine is that has reported by way of a
 // controller. It returns the holder to which the worker must go instead.
-func (d *Duty) hold(now time.Duration, m *workers.Machine, in effects.RelayedHeartbeat) string {
+func (d *Component) hold(now time.Duration, m *workers.Machine, in effects.RelayedHeartbeat) string {
 	if life, ok := d.lives[in.Via]; ok && life != in.Life {
 		// The controller began anew and has forgotten what it took up: what is
 		// on offer by way of it must be settled before it is offered again.
@@ -236,7 +236,7 @@
 
 // freeze keeps the tasks planned on a machine from being offered anew while
 // an offer of them is open.
-func (d *Duty) freeze(m *workers.Machine) {
+func (d *Component) freeze(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned && len(p.Offered) > 0 {
 			p.NotOfferedAgain = true
@@ -247,7 +247,7 @@
 // Report takes in a worker's report, received by a controller. The answer,
 // which says how that controller may answer the worker, comes at once or with
 // the pass that follows.
-func (d *Duty) Report(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
+func (d *Component) Report(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	r := &in.Report
 	answer := effects.HeartbeatAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
@@ -346,7 +346,7 @@
 // meanwhile its room was given once more. Found on a day with seven controllers, where one
 // start in thirty was refused for want of room, and each refusal kept its machine from work
 // for two seconds.
-func (d *Duty) fit(m *workers.Machine) {
+func (d *Component) fit(m *workers.Machine) {
 	if (resources.Amounts{}).Fits(m.Free) {
 		return
 	}
@@ -358,7 +358,7 @@
 }
 
 // square names the difference between a machine, nil if it is not entered, and its report.
-func (d *Duty) square(m *workers.Machine, r *workers.Report) reconcile.Diff {
+func (d *Component) square(m *workers.Machine, r *workers.Report) reconcile.Diff {
 	_, typed := d.TypeNames.Lookup(r.Type)
 	x := reconcile.Machine{Gone: d.Inventory.WasDeleted(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
@@ -370,7 +370,7 @@
 
 // reply answers a report: with what follows from it, the stops that are due
 // and the offers.
-func (d *Duty) reply(sure bool, w *waitingReport) {
+func (d *Component) reply(sure bool, w *waitingReport) {
 	m := w.m
 	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
@@ -381,7 +381,7 @@
 }
 
 // Release answers the reports that wait for nothing any more.
-func (d *Duty) Release(now time.Duration, sure bool) {
+func (d *Component) Release(now time.Duration, sure bool) {
 	kept := d.waiting[:0]
 	for _, w := range d.waiting {
 		if w.over {
@@ -399,7 +399,7 @@
 }
 
 // Started notes offers that the leader's own block has taken up.
-func (d *Duty) Started(now time.Duration, machine string, offers []workers.Offer) {
+func (d *Component) Started(now time.Duration, machine string, offers []workers.Offer) {
 	m := d.Inventory.Find(machine)
 	for _, o := range offers {
 		if j := d.Jobs.Find(o.Start.Job); j != nil && m != nil {
@@ -411,7 +411,7 @@
 }
 
 // Deleted takes machines out that are gone, and all that was on them.
-func (d *Duty) Deleted(now time.Duration, list []string) {
+func (d *Component) Deleted(now time.Duration, list []string) {
 	for _, name := range list {
 		m := d.Inventory.Find(name)
 		if m == nil {
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -13,7 +13,7 @@
 
 // watch looks after every machine: silent ones, boots that take too long,
 // spot notices, tasks that were to be stopped and are still there.
-func (d *Duty) watch(now time.Duration, sure bool) {
+func (d *Component) watch(now time.Duration, sure bool) {
 	w := d.Cfg.Deployment.Workers
 	limit := d.GiveUpAfter()
 	deaf := d.MostMachinesSilent(now)
@@ -84,7 +84,7 @@
 }
 
 // mayBeOn says whether a job may have a task on a machine, as far as is proved.
-func (d *Duty) mayBeOn(j *jobs.Job, m *workers.Machine) bool {
+func (d *Component) mayBeOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
 		return d.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
 	}
@@ -98,7 +98,7 @@
 
 // nothingElse says whether all that counts as being on a machine is of jobs that are being
 // cancelled: then nothing is lost with it, and their users wait.
-func (d *Duty) nothingElse(m *workers.Machine) bool {
+func (d *Component) nothingElse(m *workers.Machine) bool {
 	if len(m.Tasks) == 0 || m.Unresolved() {
 		return false
 	}
@@ -112,14 +112,14 @@
 
 // mute says whether a machine has been asked often enough while it was silent, and its zone
 // is heard: it is given up before others.
-func (d *Duty) mute(m *workers.Machine, heard time.Duration) bool {
+func (d *Component) mute(m *workers.Machine, heard time.Duration) bool {
 	most := d.Cfg.Tunables.AskSilent
 	return most > 0 && m.Unanswered >= most && m.UnansweredAt >= heard && int(m.Zone) < len(d.well) && d.well[m.Zone]
 }
 
 // hears says which zones are heard well: of a zone that is not, machines are no more
 // likely dead than cut off.
-func (d *Duty) hears(now time.Duration) []bool {
+func (d *Component) hears(now time.Duration) []bool {
 	if d.Cfg.Tunables.AskSilent == 0 || !d.Cfg.Prompts() {
 		return nil
 	}
@@ -149,7 +149,7 @@
 
 // watchZones notes which zones are silent as a whole: most of their machines are, while
 // others are heard.
-func (d *Duty) watchZones(now time.Duration, deaf bool) {
+func (d *Component) watchZones(now time.Duration, deaf bool) {
 	if d.Cfg.Tunables.ZonePatienceS == 0 {
 		return
 	}
@@ -171,7 +171,7 @@
 // kept says whether another controller is in a zone, which may keep its workers alive
 // while it is cut off. Found on a day on which there was none: all leases ran out there,
 // and their machines were waited for in vain.
-func (d *Duty) kept(zone int) bool {
+func (d *Component) kept(zone int) bool {
 	name := d.Zones.Name(int32(zone))
 	return slices.ContainsFunc(d.Cfg.Peers, func(p settings.Peer) bool { return p.Zone == name })
 }
@@ -182,7 +182,7 @@
 // until it is resolved, nothing of that team may start. Found on days with a zone cut for
 // longer than a machine is usually waited for: all that ran there was started again, on
 // machines that had to be rented first, while there it went on to its end.
-func (d *Duty) waitsFor(now time.Duration, m *workers.Machine) bool {
+func (d *Component) waitsFor(now time.Duration, m *workers.Machine) bool {
 	if int(m.Zone) >= len(d.cuts) {
 		return false
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -75,7 +75,7 @@
 	*cluster.State
 	Users   *lifecycle.Component // what users ask goes to it directly
 	order   *fairshare.Component
-	roster  *registry.Duty
+	roster  *registry.Component
 	placing *placement.Duty
 	fleet   *autoscaler.Duty
 	cold    *coldstart.Duty      // nil: switched off
