--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -68,7 +68,7 @@
 	delete(m.waiting, id)
 }
 
-func (d *Duty) replayMarks(own *eventlog.ComponentEntry) {
+func (d *Component) replayMarks(own *eventlog.ComponentEntry) {
 	var e entry
 	if err := json.Unmarshal(own.Data, &e); err != nil {
 		// Without its mark a job would count as never handed out.
@@ -80,7 +80,7 @@
 }
 
 // beginMarks settles what earlier terms can have handed out.
-func (d *Duty) beginMarks() {
+func (d *Component) beginMarks() {
 	m := &d.marks
 	m.on = d.Cfg.Tunables.NoteTasks == 1
 	for _, e := range m.replayed {
@@ -119,7 +119,7 @@
 }
 
 // mark settles whether a plan may be offered, and raises its job's mark if not.
-func (d *Duty) mark(p *workers.Placement) {
+func (d *Component) mark(p *workers.Placement) {
 	m, id, k := &d.marks, p.JobID, int(p.Ref.Task)
 	if p.IntentDurable = !m.on || k < m.durable[id]; p.IntentDurable {
 		return
@@ -138,7 +138,7 @@
 
 // writeMarks hands raised marks to the log, and first of all those of jobs that
 // earlier terms may have handed out, with the span of terms behind them.
-func (d *Duty) writeMarks() {
+func (d *Component) writeMarks() {
 	m := &d.marks
 	var list [][2]uint64
 	for _, id := range slices.Sorted(maps.Keys(m.raise)) {
@@ -154,13 +154,13 @@
 	}
 }
 
-func (d *Duty) appendMarks(e entry, marks [][2]uint64) {
+func (d *Component) appendMarks(e entry, marks [][2]uint64) {
 	d.marks.writing = append(d.marks.writing, marks)
 	d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, e))
 }
 
 // marked lets the plans be offered that the marks which are durable now cover.
-func (d *Duty) marked() {
+func (d *Component) marked() {
 	m := &d.marks
 	list := m.writing[0]
 	m.writing = m.writing[1:]
@@ -178,7 +178,7 @@
 }
 
 // keepMarks writes anew what is live of an entry.
-func (d *Duty) keepMarks(own *eventlog.ComponentEntry) {
+func (d *Component) keepMarks(own *eventlog.ComponentEntry) {
 	m := &d.marks
 	var e entry
 	if !m.on || json.Unmarshal(own.Data, &e) != nil {
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -14,7 +14,7 @@
 )
 
 // placer is the duty of a term of this epoch, with jobs of 100 tasks each.
-func placer(epoch uint64, on int, count int) *Duty {
+func placer(epoch uint64, on int, count int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.NoteTasks = on
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
@@ -26,7 +26,7 @@
 }
 
 // settle has everything written that a duty wants to write, and returns it.
-func settle(t *testing.T, d *Duty) (out []eventlog.Entry) {
+func settle(t *testing.T, d *Component) (out []eventlog.Entry) {
 	t.Helper()
 	d.AppendEntries(0)
 	for mark := uint64(1); d.EventLog.Pending() > 0; mark++ {
@@ -46,7 +46,7 @@
 	return out
 }
 
-func begin(epoch uint64, on int, log []eventlog.Entry) *Duty {
+func begin(epoch uint64, on int, log []eventlog.Entry) *Component {
 	d := placer(epoch, on, 2)
 	for _, e := range log {
 		d.Replay(0, e)
@@ -55,7 +55,7 @@
 	return d
 }
 
-func plan(d *Duty, id uint64, task int32) *workers.Placement {
+func plan(d *Component, id uint64, task int32) *workers.Placement {
 	p := &workers.Placement{Ref: workers.Ref{Job: d.Jobs.Find(id).Index, Task: task}, JobID: id}
 	d.mark(p)
 	return p
@@ -88,7 +88,7 @@
 	}
 	// That one's mark is never written: the term ends here.
 
-	third := func(epoch uint64, on int, log []eventlog.Entry) *Duty {
+	third := func(epoch uint64, on int, log []eventlog.Entry) *Component {
 		d := placer(epoch, on, 3)
 		for _, e := range log {
 			d.Replay(0, e)
@@ -100,7 +100,7 @@
 	if a, b := next.Jobs.Find(1).FreshFrom, next.Jobs.Find(3).FreshFrom; a != 100 || b != 9 {
 		t.Errorf("read as fresh from %d and %d on, want 100 and 9", a, b)
 	}
-	for name, d := range map[string]*Duty{"a term between that left nothing": third(4, 1, log),
+	for name, d := range map[string]*Component{"a term between that left nothing": third(4, 1, log),
 		"an entry that cannot be read": third(3, 1, append(log[:len(log):len(log)], eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`7`)}}))} {
 		for id := range uint64(3) {
 			if got := d.Jobs.Find(id + 1).FreshFrom; got != 100 {
--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -23,8 +23,8 @@
 	grantBytes  = 5  // what one takes usually
 )
 
-// Duty gives room in a term.
-type Duty struct {
+// Component gives room in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	granting  map[uint64][]*workers.Machine // grants to be noted, by job id
@@ -42,13 +42,13 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	return &Duty{State: s, granting: map[uint64][]*workers.Machine{}, granted: map[uint64][]*workers.Machine{}, withdrawn: map[uint64][]int{},
+func New(s *cluster.State) *Component {
+	return &Component{State: s, granting: map[uint64][]*workers.Machine{}, granted: map[uint64][]*workers.Machine{}, withdrawn: map[uint64][]int{},
 		marks: newMarks(), noted: map[uint64]map[int]bool{}}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
 		d.replayMarks(e.Component)
 	}
@@ -67,7 +67,7 @@
 
 // Begin settles which machines may have tasks of which jobs. Until such a
 // machine is resolved, what is not seen of the job may be there.
-func (d *Duty) Begin(time.Duration) {
+func (d *Component) Begin(time.Duration) {
 	byNumber := d.numbered()
 	for id, list := range d.noted {
 		j := d.Jobs.Find(id)
@@ -101,7 +101,7 @@
 	d.beginMarks()
 }
 
-func (d *Duty) numbered() map[int]*workers.Machine {
+func (d *Component) numbered() map[int]*workers.Machine {
 	out := map[int]*workers.Machine{}
 	for _, m := range d.Inventory.All() {
 		out[m.Number] = m
@@ -110,7 +110,7 @@
 }
 
 // EntryDurable lets the tasks of a grant that is noted start.
-func (d *Duty) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
+func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Component != nil {
 		d.marked()
 	}
@@ -129,7 +129,7 @@
 
 // HandleEvent forgets the grants of a job that has left, and takes those back that a
 // report shows to be of no use any more.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobRemoved:
 		id := e.Job.Record.ID
@@ -149,7 +149,7 @@
 
 // Pass gives room if anything has changed, and stops tasks for others that go
 // ahead of them.
-func (d *Duty) Pass(now time.Duration) {
+func (d *Component) Pass(now time.Duration) {
 	if !d.NeedsCycle {
 		return
 	}
@@ -161,14 +161,14 @@
 }
 
 // PassSoon gives room after a commit, unless it was given just now.
-func (d *Duty) PassSoon(now time.Duration) {
+func (d *Component) PassSoon(now time.Duration) {
 	if d.NeedsCycle && now-d.passAt >= passPause {
 		d.pass(now)
 	}
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int {
+func (d *Component) LiveBytes() int {
 	live := 0
 	for _, list := range d.granted {
 		live += len(list) * grantBytes
@@ -177,7 +177,7 @@
 }
 
 // Compact writes anew what is live of an entry.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
 		d.keepMarks(e.Component)
 	}
@@ -199,14 +199,14 @@
 }
 
 // CompactionDone forgets what the cleaning needed.
-func (d *Duty) CompactionDone() {
+func (d *Component) CompactionDone() {
 	d.byNumber = nil
 	d.marks.kept = false
 }
 
 // pass gives room to waiting tasks. What gets a place on a machine for the first
 // time of its job is granted there.
-func (d *Duty) pass(now time.Duration) {
+func (d *Component) pass(now time.Duration) {
 	d.NeedsCycle = false
 	d.passAt = now
 	d.planned = d.planned[:0]
@@ -261,7 +261,7 @@
 }
 
 // AppendEntries hands new grants, and those taken back, to the log.
-func (d *Duty) AppendEntries(time.Duration) {
+func (d *Component) AppendEntries(time.Duration) {
 	most := max(1, d.EventLog.MaxEntryBytes()/numberBytes-6)
 	// First what is taken back: the same machine may have been granted anew.
 	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
@@ -287,7 +287,7 @@
 // withdraw takes back the grants of jobs that have had nothing on a machine for
 // a while, so that a successor that cannot hear it holds back only those that
 // have.
-func (d *Duty) withdraw(now time.Duration, m *workers.Machine, r *workers.Report) {
+func (d *Component) withdraw(now time.Duration, m *workers.Machine, r *workers.Report) {
 	for _, id := range m.UnusedGrants(now, grantIdle, r) {
 		m.RevokeGrant(id)
 		d.granted[id] = slices.DeleteFunc(d.granted[id], func(o *workers.Machine) bool { return o == m })
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -76,7 +76,7 @@
 	Users   *lifecycle.Component // what users ask goes to it directly
 	order   *fairshare.Component
 	roster  *registry.Component
-	placing *placement.Duty
+	placing *placement.Component
 	fleet   *autoscaler.Duty
 	cold    *coldstart.Duty      // nil: switched off
 	asking  *probe.Duty          // nil: switched off, or no aim asks for it
