--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -30,7 +30,7 @@
 }
 
 // answered has the rate of calls follow what the cloud makes of them.
-func (d *Duty) answered(now time.Duration, ok bool) {
+func (d *Component) answered(now time.Duration, ok bool) {
 	switch {
 	case d.Cfg.Tunables.AdaptCalls == 0:
 	case ok:
@@ -42,14 +42,14 @@
 
 // Deleted notes that a deletion has had its answer, or none; the machines that
 // are still there are asked for again at the next tick.
-func (d *Duty) Deleted(now time.Duration, ok bool) {
+func (d *Component) Deleted(now time.Duration, ok bool) {
 	d.deleteBusy = false
 	d.answered(now, ok)
 }
 
 // callCloud sends what is due to the cloud, within its rate. When unsure of
 // the term it still deletes: that can lose work but break nothing.
-func (d *Duty) callCloud(now time.Duration, sure bool) {
+func (d *Component) callCloud(now time.Duration, sure bool) {
 	spend := func() bool { return d.calls.Take(now, 1) }
 	if !d.deleteBusy {
 		var list []string
@@ -83,7 +83,7 @@
 }
 
 // Rented takes the answer to a rental request.
-func (d *Duty) Rented(now time.Duration, name string, machines []string, res wire.RentResult) {
+func (d *Component) Rented(now time.Duration, name string, machines []string, res wire.RentResult) {
 	d.answered(now, res != wire.NoAnswer)
 	r, ok := d.rentals[name]
 	if !ok {
@@ -110,7 +110,7 @@
 }
 
 // GotTypes takes the machine types; an empty list is a failure.
-func (d *Duty) GotTypes(now time.Duration, list []eventlog.MachineType) {
+func (d *Component) GotTypes(now time.Duration, list []eventlog.MachineType) {
 	d.typesAsked = false
 	d.answered(now, len(list) > 0)
 	if len(list) == 0 {
@@ -134,7 +134,7 @@
 }
 
 // Listed takes the cloud's list of machines.
-func (d *Duty) Listed(now time.Duration, list []wire.Listed, ok bool) {
+func (d *Component) Listed(now time.Duration, list []wire.Listed, ok bool) {
 	d.listBusy = false
 	d.answered(now, ok)
 	if !ok {
@@ -164,7 +164,7 @@
 // been taken or deleted, however old the list is. What proves that nothing runs there is
 // still the answer to its deletion. Found on days with crashes of all controllers: what
 // the cloud took meanwhile held back most jobs until it had been silent for long enough.
-func (d *Duty) dropMissing(now time.Duration, list []wire.Listed) {
+func (d *Component) dropMissing(now time.Duration, list []wire.Listed) {
 	if len(list) == 0 {
 		return
 	}
@@ -186,7 +186,7 @@
 	}
 }
 
-func (d *Duty) setTypes(list []eventlog.MachineType) {
+func (d *Component) setTypes(list []eventlog.MachineType) {
 	for _, ty := range list {
 		i := d.TypeNames.Index(ty.Name)
 		switch {
@@ -202,7 +202,7 @@
 
 // appendTypes appends machine types; further entries have the zones that do
 // not fit into the first of a type.
-func (d *Duty) appendTypes(list []eventlog.MachineType) {
+func (d *Component) appendTypes(list []eventlog.MachineType) {
 	for _, ty := range list {
 		all := ty.Zones
 		ty.Zones = nil
@@ -221,7 +221,7 @@
 // appendAnswered appends the answer to a rental request. Where its machines
 // need several entries, the request is noted anew before each further one: a
 // leader that finds only the first ones sends it again and learns the rest.
-func (d *Duty) appendAnswered(r eventlog.Rental, machines []string) {
+func (d *Component) appendAnswered(r eventlog.Rental, machines []string) {
 	for i, names := range eventlog.SplitNames(machines, d.EventLog.MaxEntryBytes()-len(r.Name)-eventlog.EntryBytes) {
 		if i > 0 {
 			d.EventLog.Append(eventlog.Entry{Rental: &r})
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -25,8 +25,8 @@
 	urgent = 2 // the priority from which on a job is
 )
 
-// Duty rents and returns machines in a term.
-type Duty struct {
+// Component rents and returns machines in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	buyer      *Buyer
@@ -68,13 +68,13 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	return &Duty{State: s, buyer: NewBuyer(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
+func New(s *cluster.State) *Component {
+	return &Component{State: s, buyer: NewBuyer(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
 		calls: newCalls(s), listAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
 // Replay takes an entry of the log.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
 		d.setTypes(e.MachineTypes)
@@ -101,7 +101,7 @@
 
 // Begin enters the machines that have not reported yet: nothing was ever
 // started on them. Requests without an answer will be sent again.
-func (d *Duty) Begin(now time.Duration) {
+func (d *Component) Begin(now time.Duration) {
 	for _, m := range d.booting {
 		if x := d.AddMachine(now, m); x != nil {
 			x.Resolved = true
@@ -117,7 +117,7 @@
 }
 
 // EntryDurable has a request sent whose name is noted.
-func (d *Duty) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
+func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
 		d.rentals[e.Rental.Name] = *e.Rental
 		d.rentDue[e.Rental.Name] = now
@@ -125,7 +125,7 @@
 }
 
 // Tick rents and returns.
-func (d *Duty) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, sure bool) {
 	if now-d.rentedAt < rentEvery {
 		return
 	}
@@ -140,10 +140,10 @@
 }
 
 // AfterCycle calls the cloud.
-func (d *Duty) AfterCycle(now time.Duration, sure bool) { d.callCloud(now, sure) }
+func (d *Component) AfterCycle(now time.Duration, sure bool) { d.callCloud(now, sure) }
 
 // Compact writes anew what is live of an entry.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
 		if !d.typesKept {
@@ -158,11 +158,11 @@
 }
 
 // CompactionDone ends a cleaning.
-func (d *Duty) CompactionDone() { d.typesKept = false }
+func (d *Component) CompactionDone() { d.typesKept = false }
 
 // avoidSilentZones has nothing rented for a while where most machines are
 // silent while others are heard.
-func (d *Duty) avoidSilentZones(now time.Duration) {
+func (d *Component) avoidSilentZones(now time.Duration) {
 	up, silent := d.SilentByZone(now)
 	for z, n := range silent {
 		if cluster.MostSilent(n, up[z]) {
@@ -178,7 +178,7 @@
 // rent covers the work that is there with machines, and returns what was not
 // wanted for a while: machines are drained first, the dearest and emptiest
 // ones before the others, and deleted once empty.
-func (d *Duty) rent(now time.Duration) {
+func (d *Component) rent(now time.Duration) {
 	if len(d.Types) == 0 {
 		return
 	}
@@ -195,7 +195,7 @@
 }
 
 // rentKind does so for one kind of machines.
-func (d *Duty) rentKind(now time.Duration, k *kind) {
+func (d *Component) rentKind(now time.Duration, k *kind) {
 	var open []*jobs.Job
 	yard := slices.Clone(d.Inventory.All())
 	if !k.all {
@@ -295,7 +295,7 @@
 // begin_within lets it: such room counts for it then as not there. Found in a test in which
 // a service waited for five minutes: the ordinary machine was full of tasks of arrays, and
 // there was room enough for those on spot machines.
-func (d *Duty) taken(now time.Duration, yard []*workers.Machine, bound []*jobs.Job) float64 {
+func (d *Component) taken(now time.Duration, yard []*workers.Machine, bound []*jobs.Job) float64 {
 	wait := settings.Seconds(d.Cfg.Tunables.BeginWithinS / 2)
 	if wait == 0 || !slices.ContainsFunc(bound, func(j *jobs.Job) bool { return j.Waiting > 0 && !j.HasBegun() && now-j.AcceptedAt > wait }) {
 		return 0
@@ -318,7 +318,7 @@
 // class should start sooner than any machine boots, what is returned now cannot be rented
 // in time later. Found on days with services that should start within a second: machines
 // were returned between two bursts, and the replicas on them were stopped for it.
-func (d *Duty) window(s float64) time.Duration {
+func (d *Component) window(s float64) time.Duration {
 	if d.ready() {
 		s = max(s, d.Cfg.Tunables.ReadyWindowS)
 	}
@@ -326,7 +326,7 @@
 }
 
 // ready says whether some class is to start sooner than the quickest machine boots.
-func (d *Duty) ready() bool {
+func (d *Component) ready() bool {
 	quickest := math.Inf(1)
 	for _, ty := range d.Types {
 		quickest = min(quickest, ty.BootS)
@@ -339,7 +339,7 @@
 // picky lists the unfinished jobs that may not use every machine, those about
 // to be released among them: room that is enough on the whole may be none for
 // them.
-func (d *Duty) picky() []*jobs.Job {
+func (d *Component) picky() []*jobs.Job {
 	var out []*jobs.Job
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Waiting > 0 && (!j.Spot || j.Types != nil || j.Record.Zone != "") && (j.Phase == jobs.Open || d.soon(j)) {
@@ -352,7 +352,7 @@
 // soon says whether a held job will be released before long: all tasks that it
 // waits for have their place and run for no longer than a machine is usually
 // kept. Nothing is kept for one that waits for hours.
-func (d *Duty) soon(j *jobs.Job) bool {
+func (d *Component) soon(j *jobs.Job) bool {
 	return j.Phase == jobs.Held && len(j.Dependencies) > 0 && !slices.ContainsFunc(j.Dependencies, func(i int32) bool {
 		b := d.Jobs.At(i)
 		return b.Phase != jobs.Open || b.Waiting > 0 || b.Mean() > d.Cfg.Tunables.UsualStayS
@@ -362,12 +362,12 @@
 // somewhere says whether a machine that stays may take one more task of a job. Found in a
 // test with a spread array of which one zone had its half: nothing was rented in the other,
 // and the rest waited until the first half was done.
-func (d *Duty) somewhere(j *jobs.Job) bool {
+func (d *Component) somewhere(j *jobs.Job) bool {
 	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool { return !m.Draining && d.hasPlace(j, m) && j.ZoneAllows(m.Zone) })
 }
 
 // places is how many machines that stay may take tasks of a job.
-func (d *Duty) places(j *jobs.Job) int {
+func (d *Component) places(j *jobs.Job) int {
 	n := 0
 	for _, m := range d.Inventory.All() {
 		if !m.Draining && d.hasPlace(j, m) {
@@ -381,7 +381,7 @@
 // waiting job. Found on a day with pipelines: the last ordinary machine was
 // being returned for minutes, since spot ones had room enough, and jobs that may
 // not use those waited until it was gone.
-func (d *Duty) keepFor(picky []*jobs.Job) {
+func (d *Component) keepFor(picky []*jobs.Job) {
 	for _, j := range picky {
 		if j.Phase != jobs.Open || d.somewhere(j) {
 			continue
@@ -397,7 +397,7 @@
 }
 
 // request notes rentals durably; they are sent once that is done.
-func (d *Duty) request(text string, requests []eventlog.Rental) {
+func (d *Component) request(text string, requests []eventlog.Rental) {
 	for _, r := range requests {
 		d.EventLog.AppendTracked(eventlog.Entry{Rental: &r})
 		d.LogMessage(effects.Info, text, "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count)
@@ -406,7 +406,7 @@
 
 // couldRun says whether the machines there are or are coming have a place
 // for a job: for one task, or for all of a gang.
-func (d *Duty) couldRun(j *jobs.Job) bool {
+func (d *Component) couldRun(j *jobs.Job) bool {
 	if len(d.rentals) > 0 {
 		return true // more may be on the way
 	}
@@ -435,18 +435,18 @@
 }
 
 // mayTake says whether a machine may have tasks of a job.
-func (d *Duty) mayTake(j *jobs.Job, m *workers.Machine) bool {
+func (d *Component) mayTake(j *jobs.Job, m *workers.Machine) bool {
 	return !m.Deleting && !m.PreemptionNotice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Record.OneZone || j.ZoneAllows(m.Zone))
 }
 
 // hasPlace says whether a machine could take a task of a job if it were free.
-func (d *Duty) hasPlace(j *jobs.Job, m *workers.Machine) bool {
+func (d *Component) hasPlace(j *jobs.Job, m *workers.Machine) bool {
 	return d.mayTake(j, m) && j.Need.Fits(m.Cap)
 }
 
 // slots is how many tasks of a job each zone's machines could take if they
 // were free.
-func (d *Duty) slots(j *jobs.Job) map[int32]int {
+func (d *Component) slots(j *jobs.Job) map[int32]int {
 	zones := map[int32]int{}
 	for _, m := range d.Inventory.All() {
 		if d.mayTake(j, m) {
@@ -460,7 +460,7 @@
 // the horizon, team limits considered. With keep, what runs now counts full,
 // so that machines stay as long as they are in use; without, it counts the
 // half that is left of it on average.
-func (d *Duty) demand(open []*jobs.Job, horizon float64, keep bool) float64 {
+func (d *Component) demand(open []*jobs.Job, horizon float64, keep bool) float64 {
 	perTeam := make([]float64, len(d.Scheduler.Limits))
 	for _, j := range open {
 		left := float64(len(j.Tasks) - j.Finished)
@@ -488,7 +488,7 @@
 }
 
 // units is how many more tasks of a job that needs counted units could have them.
-func (d *Duty) units(j *jobs.Job) int {
+func (d *Component) units(j *jobs.Job) int {
 	if d.Pools == nil {
 		return 0
 	}
@@ -497,7 +497,7 @@
 
 // horizon is the time in which a job's work should be done if need be by
 // ordinary machines: a share of what its class's aims leave it.
-func (d *Duty) horizon(j *jobs.Job) float64 {
+func (d *Component) horizon(j *jobs.Job) float64 {
 	best := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
@@ -547,7 +547,7 @@
 	return p.demand[0]
 }
 
-func (d *Duty) shrink(now time.Duration, k *kind, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
+func (d *Component) shrink(now time.Duration, k *kind, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
 	places := make([]int, len(picky))
 	for i, j := range picky {
 		places[i] = d.places(j)
@@ -622,7 +622,7 @@
 const noEnd = time.Duration(math.MaxInt64)
 
 // busyUntil is when the last of a machine's tasks will probably have ended.
-func (d *Duty) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
+func (d *Component) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
 	end := now
 	for _, p := range m.Tasks {
 		if p.Planned {
@@ -637,7 +637,7 @@
 	return end.Round(time.Second)
 }
 
-func (d *Duty) wanted(k *kind, cpus float64, spot bool, open []*jobs.Job) (w Want) {
+func (d *Component) wanted(k *kind, cpus float64, spot bool, open []*jobs.Job) (w Want) {
 	w.Zones = map[string]float64{}
 	for _, m := range d.Inventory.All() {
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
@@ -660,7 +660,7 @@
 	return w
 }
 
-func (d *Duty) pricePerCPU(m *workers.Machine) float64 {
+func (d *Component) pricePerCPU(m *workers.Machine) float64 {
 	ty := d.Types[m.Type]
 	if m.Spot {
 		return ty.SpotPrice / ty.CPUs
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -77,7 +77,7 @@
 	order   *fairshare.Component
 	roster  *registry.Component
 	placing *placement.Component
-	fleet   *autoscaler.Duty
+	fleet   *autoscaler.Component
 	cold    *coldstart.Duty      // nil: switched off
 	asking  *probe.Duty          // nil: switched off, or no aim asks for it
 	config  *reconfig.Duty       // nil: switched off
