--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -88,8 +88,8 @@
 	After    [steps]int64 `json:"s"`
 }
 
-// Duty keeps account of this term's takeover and remembers the last ones.
-type Duty struct {
+// Component keeps account of this term's takeover and remembers the last ones.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	keep    int // so many are remembered
@@ -102,8 +102,8 @@
 }
 
 // New makes the duty of a term; it remembers so many takeovers.
-func New(s *cluster.State, keep int) *Duty {
-	d := &Duty{State: s, keep: keep, hist: s.Metrics.Histogram("bitternmoor_takeover_seconds",
+func New(s *cluster.State, keep int) *Component {
+	d := &Component{State: s, keep: keep, hist: s.Metrics.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
 	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
 	d.own.SilentMS = -1
@@ -118,13 +118,13 @@
 
 // Replay takes an entry of its own. A record may be there twice, from a
 // cleaning that was under way.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok {
 		d.remember(r)
 	}
 }
 
-func (d *Duty) decode(e eventlog.Entry) (stored, bool) {
+func (d *Component) decode(e eventlog.Entry) (stored, bool) {
 	var r stored
 	if e.Component == nil {
 		return r, false
@@ -136,7 +136,7 @@
 	return r, true
 }
 
-func (d *Duty) remember(r stored) {
+func (d *Component) remember(r stored) {
 	i, found := slices.BinarySearchFunc(d.past, r, func(a, b stored) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	if found {
 		return
@@ -149,7 +149,7 @@
 
 // Begin notes that the log is read. A term that finds neither machines nor jobs
 // has taken nothing over.
-func (d *Duty) Begin(now time.Duration) {
+func (d *Component) Begin(now time.Duration) {
 	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
 			d.unknown++
@@ -168,7 +168,7 @@
 
 // heldBack counts the jobs that may not start anything, since a machine that is
 // not resolved may have their tasks.
-func (d *Duty) heldBack() int {
+func (d *Component) heldBack() int {
 	n := 0
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open && d.MayRunUnseen(j) {
@@ -179,7 +179,7 @@
 }
 
 // reach notes a step, the first time that it is reached.
-func (d *Duty) reach(s Step, now time.Duration) {
+func (d *Component) reach(s Step, now time.Duration) {
 	if d.own.After[s] < 0 {
 		d.own.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
 		d.hist.Observe(s.String(), float64(d.own.After[s])/1000)
@@ -187,7 +187,7 @@
 }
 
 // progress notes what share of the machines is resolved.
-func (d *Duty) progress(now time.Duration) {
+func (d *Component) progress(now time.Duration) {
 	known := d.unknown - d.left
 	if known*2 >= d.unknown {
 		d.reach(Half, now)
@@ -201,7 +201,7 @@
 }
 
 // HandleEvent follows the takeover.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	if d.over {
 		return
 	}
@@ -219,7 +219,7 @@
 }
 
 // Tick closes the account once every step was reached, or some will not be.
-func (d *Duty) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, sure bool) {
 	if d.over || !sure {
 		return
 	}
@@ -247,7 +247,7 @@
 }
 
 // complete says whether every step was reached that will be.
-func (d *Duty) complete(now time.Duration) bool {
+func (d *Component) complete(now time.Duration) bool {
 	last := int64(0)
 	for _, s := range Steps() {
 		if d.own.After[s] < 0 && s != FirstStart {
@@ -259,10 +259,10 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return len(d.past) * recordBytes }
+func (d *Component) LiveBytes() int { return len(d.past) * recordBytes }
 
 // Compact writes a record anew that is still remembered.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.past, func(o stored) bool { return o.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
@@ -270,7 +270,7 @@
 
 // Show gives the takeovers that are remembered, the newest first, as a JSON
 // list of Record. The one under way is the first as long as it is.
-func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -16,7 +16,7 @@
 
 // begun is the duty of a term that has read ten registered machines, and a job
 // that may have tasks on all of them.
-func begun(measures *cluster.Metrics) *Duty {
+func begun(measures *cluster.Metrics) *Component {
 	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, ClockZeroMS: 1e6, Epoch: 7,
 		LastLeaderHeard: 9 * time.Second, LeaderMissedAt: 10 * time.Second, TermBegan: 11 * time.Second, Counts: &cluster.Counts{}, Metrics: measures})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
@@ -33,7 +33,7 @@
 	return d
 }
 
-func shown(t *testing.T, d *Duty) []Record {
+func shown(t *testing.T, d *Component) []Record {
 	t.Helper()
 	raw, err := d.Show(0, "")
 	if err != nil {
