--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -100,7 +100,7 @@
 // begin notes the work that may have been under way: what earlier terms may have
 // handed out and is not known to have ended. What was reported while the others were
 // asked is back already.
-func (a *account) begin(d *Duty, now time.Duration) {
+func (a *account) begin(d *Component, now time.Duration) {
 	a.own.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
 		a.own.LeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
@@ -131,7 +131,7 @@
 // back says whether all the work that may have been under way is.
 func (a *account) back() bool { return a.over || len(a.tasks) == 0 }
 
-func (a *account) isBack(d *Duty, now time.Duration, j *jobs.Job, k int) {
+func (a *account) isBack(d *Component, now time.Duration, j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
 	if _, open := a.tasks[ref]; open {
 		delete(a.tasks, ref)
@@ -140,7 +140,7 @@
 }
 
 // progress notes the steps that are reached.
-func (a *account) progress(d *Duty, now time.Duration) {
+func (a *account) progress(d *Component, now time.Duration) {
 	done := a.own.Tasks - len(a.tasks)
 	for _, s := range []struct {
 		name  string
@@ -153,7 +153,7 @@
 	}
 }
 
-func (a *account) reach(d *Duty, now time.Duration, step string, at *int64) {
+func (a *account) reach(d *Component, now time.Duration, step string, at *int64) {
 	*at = max(0, (now - d.TermBegan).Milliseconds())
 	if a.hist != nil {
 		a.hist.Observe(step, float64(*at)/1000)
@@ -163,7 +163,7 @@
 func kindOf(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
 
 // hear counts orders, and finds out which were needless.
-func (a *account) hear(d *Duty, e cluster.Event) {
+func (a *account) hear(d *Component, e cluster.Event) {
 	if a.over {
 		return
 	}
@@ -223,7 +223,7 @@
 }
 
 // tick closes the account.
-func (a *account) tick(d *Duty, now time.Duration, sure bool) {
+func (a *account) tick(d *Component, now time.Duration, sure bool) {
 	if d.kind != cold || a.over || !sure {
 		return
 	}
@@ -260,7 +260,7 @@
 }
 
 // count takes over what was found different so far.
-func (a *account) count(d *Duty) {
+func (a *account) count(d *Component) {
 	a.own.Differences = map[string]uint64{}
 	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
 		if s := x.Resolution(); s != reconcile.Keep {
@@ -278,10 +278,10 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return len(d.account.past) * recordReserve }
+func (d *Component) LiveBytes() int { return len(d.account.past) * recordReserve }
 
 // Compact writes an account anew that is remembered still.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	var r Record
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
 		return
@@ -293,7 +293,7 @@
 
 // Show gives the cold starts that are remembered, the newest first, as a JSON list of
 // Record. The one under way is the first as long as it is.
-func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
@@ -313,7 +313,7 @@
 }
 
 // Gauges gives the numbers of the last cold start of this term.
-func (d *Duty) Gauges(time.Duration) []cluster.Gauge {
+func (d *Component) Gauges(time.Duration) []cluster.Gauge {
 	if d.kind != cold {
 		return nil
 	}
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -111,7 +111,7 @@
 
 // begun is the duty of a term that has read ten registered machines and a job with tasks
 // that may run on all of them.
-func begun(change func(*cluster.TermStart, *settings.Tunables)) *Duty {
+func begun(change func(*cluster.TermStart, *settings.Tunables)) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Deployment.Workers.ReportS = 2
@@ -143,33 +143,33 @@
 	for _, c := range []struct {
 		name   string
 		before leadership.LeaderRecord
-		answer func(d *Duty)
+		answer func(d *Component)
 		want   kind
 	}{
-		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Duty) {}, ordinary},
-		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Duty) {}, ordinary},
-		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it never did, and nobody answers", none, func(d *Duty) { d.Tick(at+2*time.Second, true) }, cold},
-		{"the others have not answered yet", none, func(d *Duty) { d.PeerLed(at, "n1", none, true) }, undecided},
-		{"nor did the others", none, func(d *Duty) {
+		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Component) {}, ordinary},
+		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Component) {}, ordinary},
+		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
+		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
+		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
+		{"it never did, and nobody answers", none, func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
+		{"the others have not answered yet", none, func(d *Component) { d.PeerLed(at, "n1", none, true) }, undecided},
+		{"nor did the others", none, func(d *Component) {
 			d.PeerLed(at, "n1", none, true)
 			d.PeerLed(at, "n2", none, false)
 		}, cold},
-		{"another one did", none, func(d *Duty) {
+		{"another one did", none, func(d *Component) {
 			d.PeerLed(at, "n1", none, true)
 			d.PeerLed(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, ordinary},
-		{"another one did, long ago", none, func(d *Duty) {
+		{"another one did, long ago", none, func(d *Component) {
 			d.PeerLed(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
 			d.PeerLed(at, "n2", none, true)
 		}, cold},
-		{"another one heard one that was listening", none, func(d *Duty) {
+		{"another one heard one that was listening", none, func(d *Component) {
 			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.FleetListening), true)
 			d.PeerLed(at, "n2", none, true)
 		}, cold},
-		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Duty) {
+		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Component) {
 			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, ordinary},
 	} {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -45,8 +45,8 @@
 	saysWithin = 2 * time.Second
 )
 
-// Duty begins a term. It is the term's gate (cluster.Gate) and pacer (cluster.Pacer).
-type Duty struct {
+// Component begins a term. It is the term's gate (cluster.Gate) and pacer (cluster.Pacer).
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	kind    kind
@@ -60,8 +60,8 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	d := &Duty{State: s, asked: map[string]bool{}, heard: map[string]time.Duration{}}
+func New(s *cluster.State) *Component {
+	d := &Component{State: s, asked: map[string]bool{}, heard: map[string]time.Duration{}}
 	d.account.init(s)
 	if s.Cfg.Tunables.ColdListen == 1 {
 		s.Gate, s.StartPacer = d, d
@@ -70,7 +70,7 @@
 }
 
 // Replay looks for the last sign of the leaders before, and takes accounts.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
 		d.newest = max(d.newest, e.Job.AtMS)
@@ -84,7 +84,7 @@
 // Begin settles what sort of a beginning this is, as far as it can be told from here:
 // what is stored says whether there is anything to find out, and this process whether
 // it has heard a leader lately. Otherwise the others are asked.
-func (d *Duty) Begin(now time.Duration) {
+func (d *Component) Begin(now time.Duration) {
 	t := &d.Cfg.Tunables
 	unheard := make([]int, d.Zones.Len())
 	n := 0
@@ -118,13 +118,13 @@
 // said anything. Found by a random day on which the first leader after a cold start fell
 // in the middle of its census: the next one took over as from any other, and deleted
 // machines that were on their way.
-func (d *Duty) takenOver(now time.Duration, led leadership.LeaderRecord) bool {
+func (d *Component) takenOver(now time.Duration, led leadership.LeaderRecord) bool {
 	return led.Ever && now-led.Until < settings.Seconds(d.Cfg.Tunables.ColdAfterS) &&
 		(led.Fleet == leadership.FleetKnown || (led.Fleet == leadership.FleetUnsaid && led.Until-led.Since >= saysWithin))
 }
 
 // Fleet is what this leader says of itself.
-func (d *Duty) Fleet() leadership.FleetKnowledge {
+func (d *Component) Fleet() leadership.FleetKnowledge {
 	if d.kind == ordinary || (d.census != nil && d.census.done) {
 		return leadership.FleetKnown
 	}
@@ -133,7 +133,7 @@
 
 // PeerLed takes another controller's word on the last leader before this one. known is
 // false where there was no answer.
-func (d *Duty) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
+func (d *Component) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if known {
 		d.heard[peer] = now
 	}
@@ -152,9 +152,9 @@
 }
 
 // PeerHeard notes that another controller has answered a heartbeat.
-func (d *Duty) PeerHeard(now time.Duration, peer string, _ time.Duration) { d.heard[peer] = now }
+func (d *Component) PeerHeard(now time.Duration, peer string, _ time.Duration) { d.heard[peer] = now }
 
-func (d *Duty) decide(now time.Duration, k kind) {
+func (d *Component) decide(now time.Duration, k kind) {
 	d.kind = k
 	d.NeedsCycle = true
 	if k != cold {
@@ -168,7 +168,7 @@
 }
 
 // Tick settles what is due.
-func (d *Duty) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, sure bool) {
 	if d.kind == undecided && now-d.askedAt >= askedFor {
 		d.decide(now, cold)
 	}
@@ -193,7 +193,7 @@
 // Permits says whether orders of a kind may be given now. Starts always may: what proves
 // that a task may be started proves it here as well. Machines are rented and returned,
 // and tasks stopped for others or moved, only once the picture is settled.
-func (d *Duty) Permits(now time.Duration, o cluster.Action) bool {
+func (d *Component) Permits(now time.Duration, o cluster.Action) bool {
 	if d.kind == ordinary || o == cluster.StartNew || o == cluster.StartAgain || o == cluster.Delete {
 		return true
 	}
@@ -202,7 +202,7 @@
 
 // SilenceAllowance is how long after the beginning a machine that has not been heard in this
 // term may yet be one that lives.
-func (d *Duty) SilenceAllowance() time.Duration {
+func (d *Component) SilenceAllowance() time.Duration {
 	if d.kind == ordinary {
 		return 0
 	}
@@ -211,24 +211,24 @@
 
 // Allows says whether a task of a job may be given a machine now. While the leader
 // catches up, starts are bounded by zone and by images under way.
-func (d *Duty) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
+func (d *Component) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
 	return !d.paces(now) || d.starts.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
 }
 
 // TaskStarted counts a start.
-func (d *Duty) TaskStarted(now time.Duration, m *workers.Machine) {
+func (d *Component) TaskStarted(now time.Duration, m *workers.Machine) {
 	if d.paces(now) {
 		d.starts.Spend(now, m.Zone)
 	}
 }
 
 // paces says whether starts are paced: after a cold start, until the work is back.
-func (d *Duty) paces(now time.Duration) bool {
+func (d *Component) paces(now time.Duration) bool {
 	return d.kind == cold && !d.account.back() && now-d.TermBegan < catchUp
 }
 
 // HandleEvent follows the census and keeps account.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	if d.kind == ordinary {
 		return
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -78,7 +78,7 @@
 	roster  *registry.Component
 	placing *placement.Component
 	fleet   *autoscaler.Component
-	cold    *coldstart.Duty      // nil: switched off
+	cold    *coldstart.Component // nil: switched off
 	asking  *probe.Duty          // nil: switched off, or no aim asks for it
 	config  *reconfig.Duty       // nil: switched off
 	direct  *dispatch.Duty       // nil: switched off, or no aim asks for it
