--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -25,8 +25,8 @@
 // Name is that of the duty's view.
 const Name = "direct"
 
-// Duty sends starts in a term.
-type Duty struct {
+// Component sends starts in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	under int // calls under way
@@ -36,14 +36,14 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	return &Duty{State: s, began: s.Metrics.Histogram("bitternmoor_start_seconds", "Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
+func New(s *cluster.State) *Component {
+	return &Component{State: s, began: s.Metrics.Histogram("bitternmoor_start_seconds", "Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
 		"start", []float64{0.25, 0.5, 1, 2, 4, 8, 16, 32, 64, 128, 256})}
 }
 
 // HandleEvent measures how long tasks of classes with a wait aim took to begin, by each way: a
 // bounded number of labels. Those that run again have waited since their first start.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	if e.Kind != cluster.TaskBegan || !slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
 		return o.Kind == settings.AimWait && o.Class == e.Job.Record.Class
 	}) {
@@ -58,7 +58,7 @@
 
 // AfterCycle sends what may go: tasks whose grant and mark are durable, to machines on which
 // nothing else is on its way.
-func (d *Duty) AfterCycle(now time.Duration, sure bool) {
+func (d *Component) AfterCycle(now time.Duration, sure bool) {
 	if !sure || len(d.DispatchQueue) == 0 {
 		return
 	}
@@ -85,12 +85,12 @@
 // free says whether starts may be sent straight to a machine: its worker is known to live,
 // it has room, and neither an answer with offers for it is open, which another controller
 // may have filled with other tasks, nor a call without an answer.
-func (d *Duty) free(now time.Duration, m *workers.Machine) bool {
+func (d *Component) free(now time.Duration, m *workers.Machine) bool {
 	return m.Address != "" && m.Usable(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
 // launch sends all that may be started on a machine in one command.
-func (d *Duty) launch(now time.Duration, m *workers.Machine) {
+func (d *Component) launch(now time.Duration, m *workers.Machine) {
 	var starts []workers.Command
 	for _, p := range m.PlannedHere() {
 		if !p.StartNow || p.NotOfferedAgain || p.Withdrawn || len(p.Offered) > 0 || !m.Grants[p.JobID] || !p.IntentDurable {
@@ -114,7 +114,7 @@
 }
 
 // Launched takes a worker's report after starts that were sent to it, or none.
-func (d *Duty) Launched(now time.Duration, machine string, token uint64, starts []workers.Command, r *workers.Report) {
+func (d *Component) Launched(now time.Duration, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	d.under--
 	if r != nil {
 		d.answered++
@@ -144,7 +144,7 @@
 }
 
 // Show gives what this leader has sent.
-func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -81,7 +81,7 @@
 	cold    *coldstart.Component // nil: switched off
 	asking  *probe.Duty          // nil: switched off, or no aim asks for it
 	config  *reconfig.Duty       // nil: switched off
-	direct  *dispatch.Duty       // nil: switched off, or no aim asks for it
+	direct  *dispatch.Component  // nil: switched off, or no aim asks for it
 	duties  []Component          // in the order in which they begin and tick
 	owners  map[string]Component // of entries of their own, by name
 	loaded  bool
