--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -32,8 +32,8 @@
 	took        time.Duration // smoothed time of its answers
 }
 
-// Duty spreads reports in a term. It is the term's spreader (cluster.Spreader).
-type Duty struct {
+// Component spreads reports in a term. It is the term's spreader (cluster.Spreader).
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	balance *Balance
@@ -45,15 +45,15 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
+func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
-	d := &Duty{State: s, balance: NewBalance(s.TermBegan, Params{Most: t.SpreadMost, PerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
+	d := &Component{State: s, balance: NewBalance(s.TermBegan, Params{Most: t.SpreadMost, PerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
 	s.Rebalancer = d
 	return d
 }
 
 // PeerHeard notes that a controller has answered a heartbeat, after so long.
-func (d *Duty) PeerHeard(now time.Duration, name string, took time.Duration) {
+func (d *Component) PeerHeard(now time.Duration, name string, took time.Duration) {
 	p := d.peers[name]
 	if p == nil {
 		p = &peer{since: now, took: took}
@@ -67,7 +67,7 @@
 }
 
 // weight of a controller: one that answers slowly, next to the quickest, gets less.
-func (d *Duty) weight(p *peer) float64 {
+func (d *Component) weight(p *peer) float64 {
 	quickest := p.took
 	for _, o := range d.peers {
 		quickest = min(quickest, o.took)
@@ -76,7 +76,7 @@
 }
 
 // Tick looks how machines are spread.
-func (d *Duty) Tick(now time.Duration, _ bool) {
+func (d *Component) Tick(now time.Duration, _ bool) {
 	if now-d.lookAt < lookEvery {
 		return
 	}
@@ -109,7 +109,7 @@
 
 // RedirectTo says to which controller a machine that has just reported should go; empty:
 // it stays. Nothing may be on its way to it.
-func (d *Duty) RedirectTo(now time.Duration, m *workers.Machine) string {
+func (d *Component) RedirectTo(now time.Duration, m *workers.Machine) string {
 	to := d.balance.Move(now, m.Name, m.Shard)
 	if to != "" {
 		d.moves++
@@ -127,7 +127,7 @@
 }
 
 // Show gives how reports are spread, as a JSON list of View.
-func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
@@ -147,7 +147,7 @@
 }
 
 // Gauges gives each controller's load.
-func (d *Duty) Gauges(now time.Duration) []cluster.Gauge {
+func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
 	g := cluster.Gauge{Name: "bitternmoor_report_load", Help: "A controller's machines next to its even share.", Label: "holder", Values: map[string]float64{}}
 	for _, n := range d.balance.nodes {
 		if d.balance.mean > 0 {
