--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -70,8 +70,8 @@
 	kept bool
 }
 
-// Duty measures and guards.
-type Duty struct {
+// Component measures and guards.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	window time.Duration
@@ -83,14 +83,14 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
+func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
-	return &Duty{State: s, window: settings.Seconds(t.ServedWindowS), floor: t.ServedFloor, byJob: map[*jobs.Job]*entry{}}
+	return &Component{State: s, window: settings.Seconds(t.ServedWindowS), floor: t.ServedFloor, byJob: map[*jobs.Job]*entry{}}
 }
 
 // Begin takes up the jobs of earlier terms. What they had served is not known; a new
 // window begins.
-func (d *Duty) Begin(now time.Duration) {
+func (d *Component) Begin(now time.Duration) {
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open {
 			d.enter(now, j)
@@ -99,7 +99,7 @@
 }
 
 // HandleEvent follows jobs.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.enter(e.At, e.Job)
@@ -112,7 +112,7 @@
 
 // due is by when a job should have ended: the last of its class's aims for that, or its
 // deadline, or as the operators say where its class has neither.
-func (d *Duty) due(j *jobs.Job) time.Duration {
+func (d *Component) due(j *jobs.Job) time.Duration {
 	latest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
@@ -131,7 +131,7 @@
 	return j.AcceptedAt + settings.Seconds(latest)
 }
 
-func (d *Duty) sum(w who) *sum {
+func (d *Component) sum(w who) *sum {
 	for _, s := range d.sums {
 		if s.who == w {
 			return s
@@ -144,7 +144,7 @@
 
 func byDue(a *entry, due time.Duration) int { return cmp.Compare(a.due, due) }
 
-func (d *Duty) enter(now time.Duration, j *jobs.Job) {
+func (d *Component) enter(now time.Duration, j *jobs.Job) {
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
@@ -161,7 +161,7 @@
 }
 
 // leave takes a job out, done in time or not at all.
-func (d *Duty) leave(now time.Duration, j *jobs.Job, done bool) {
+func (d *Component) leave(now time.Duration, j *jobs.Job, done bool) {
 	e := d.byJob[j]
 	if e == nil {
 		return
@@ -172,7 +172,7 @@
 	}
 }
 
-func (d *Duty) drop(e *entry) {
+func (d *Component) drop(e *entry) {
 	delete(d.byJob, e.job)
 	i, _ := slices.BinarySearchFunc(d.open, e.due, byDue)
 	for d.open[i] != e {
@@ -188,7 +188,7 @@
 	}
 }
 
-func (d *Duty) count(now time.Duration, e *entry, met bool) {
+func (d *Component) count(now time.Duration, e *entry, met bool) {
 	j := e.job
 	began := j.FirstAt
 	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
@@ -243,7 +243,7 @@
 
 // Tick counts what was missed, and has jobs at their last chance go ahead where their
 // class or team would fall below the floor without them.
-func (d *Duty) Tick(now time.Duration, _ bool) {
+func (d *Component) Tick(now time.Duration, _ bool) {
 	if now-d.lookAt < lookEvery {
 		return
 	}
@@ -312,7 +312,7 @@
 }
 
 // short says whether a job's class or team has been served less than the floor already.
-func (d *Duty) short(e *entry) bool {
+func (d *Component) short(e *entry) bool {
 	return slices.ContainsFunc(e.sums[:], func(s *sum) bool {
 		return len(s.due) >= few && float64(s.done()) < d.floor*float64(len(s.due))
 	})
@@ -339,7 +339,7 @@
 }
 
 // Show gives classes and teams, as a JSON list of View.
-func (d *Duty) Show(_ time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
@@ -350,7 +350,7 @@
 	return raw, nil
 }
 
-func (d *Duty) views() []View {
+func (d *Component) views() []View {
 	out := []View{}
 	for _, s := range d.sums {
 		v := View{Name: s.name, Team: s.team, Due: len(s.due), Open: s.remaining, Kept: s.kept, Missed: s.missed, Helped: s.keptEver, Met: s.done(), Share: 1}
@@ -382,7 +382,7 @@
 const mostNamed = 100
 
 // Gauges gives the share of each class and team.
-func (d *Duty) Gauges(time.Duration) []cluster.Gauge {
+func (d *Component) Gauges(time.Duration) []cluster.Gauge {
 	g := [4]cluster.Gauge{
 		{Name: "bitternmoor_served_share_of_class", Help: "Share of the jobs due in the window that were done by then.", Label: "class", Values: map[string]float64{}},
 		{Name: "bitternmoor_served_share_of_team", Help: "Share of the jobs due in the window that were done by then.", Label: "team", Values: map[string]float64{}},
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -13,7 +13,7 @@
 	"bitternmoor/internal/settings"
 )
 
-func begun(floor float64) *Duty {
+func begun(floor float64) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.ServedFloor, cfg.Tunables.ServedWindowS, cfg.Tunables.ServedWithinS = floor, 300, 200
 	cfg.Deployment.Objectives = []settings.Objective{
@@ -26,14 +26,14 @@
 	return New(s)
 }
 
-func (d *Duty) arrive(now time.Duration, id uint64, class, team string) *jobs.Job {
+func (d *Component) arrive(now time.Duration, id uint64, class, team string) *jobs.Job {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: team, Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
 	j.Phase, j.AcceptedAt, j.Share = jobs.Open, now, 1
 	d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	return j
 }
 
-func (d *Duty) at(who string) View {
+func (d *Component) at(who string) View {
 	for _, v := range d.views() {
 		if v.Name == who {
 			return v
