--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -19,8 +19,8 @@
 	slack  = 500 * time.Millisecond
 )
 
-// Duty asks silent machines in a term.
-type Duty struct {
+// Component asks silent machines in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	asked  map[string]time.Duration // calls under way, by machine: when it was last heard before
@@ -28,12 +28,12 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	return &Duty{State: s, asked: map[string]time.Duration{}}
+func New(s *cluster.State) *Component {
+	return &Component{State: s, asked: map[string]time.Duration{}}
 }
 
 // Tick asks machines that have been silent for longer than between two reports.
-func (d *Duty) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, sure bool) {
 	if !sure || now-d.lookAt < every {
 		return
 	}
@@ -58,7 +58,7 @@
 }
 
 // Asked takes whether a machine answered.
-func (d *Duty) Asked(machine string, ok bool) {
+func (d *Component) Asked(machine string, ok bool) {
 	m := d.Inventory.Find(machine)
 	heard, under := d.asked[machine]
 	delete(d.asked, machine)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -79,7 +79,7 @@
 	placing *placement.Component
 	fleet   *autoscaler.Component
 	cold    *coldstart.Component // nil: switched off
-	asking  *probe.Duty          // nil: switched off, or no aim asks for it
+	asking  *probe.Component     // nil: switched off, or no aim asks for it
 	config  *reconfig.Duty       // nil: switched off
 	direct  *dispatch.Component  // nil: switched off, or no aim asks for it
 	duties  []Component          // in the order in which they begin and tick
