--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -140,7 +140,7 @@
 }
 
 // ahead is what is expected over the next hours.
-func (d *Duty) ahead(now time.Duration) []Expected {
+func (d *Component) ahead(now time.Duration) []Expected {
 	out := []Expected{}
 	rented := d.CPUs()
 	at := d.cal.Quarter(d.time(now))
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -30,8 +30,8 @@
 	closeMost  = 16  // kinds whose night is closed in one tick
 )
 
-// Duty learns in a term.
-type Duty struct {
+// Component learns in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	cal    *calendar.Calendar
@@ -77,7 +77,7 @@
 
 // New makes the duty of a term. How many kinds of work it knows, by which calendar
 // it counts nights and what it takes for late is in the operators' settings.
-func New(s *cluster.State) *Duty {
+func New(s *cluster.State) *Component {
 	x := s.Cfg.Tunables
 	cal, err := x.NewCalendar()
 	if err != nil {
@@ -85,7 +85,7 @@
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.Writes().WriteRPS))
-	return &Duty{State: s, cal: cal, margin: x.LateMargin, book: NewBook(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, placedAt: map[workers.Ref]time.Duration{},
+	return &Component{State: s, cal: cal, margin: x.LateMargin, book: NewBook(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, placedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, seen: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
 		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
@@ -150,7 +150,7 @@
 	return Night{int32(x[0]), int(x[1]), int(x[2]), x[3], x[4], x[5], x[6], x[7], x[8], x[9], x[10]}
 }
 
-func (d *Duty) decode(e eventlog.Entry) (out entry, ok bool) {
+func (d *Component) decode(e eventlog.Entry) (out entry, ok bool) {
 	if e.Component == nil {
 		return out, false
 	}
@@ -161,7 +161,7 @@
 	return out, true
 }
 
-func (d *Duty) append(e entry) bool {
+func (d *Component) append(e entry) bool {
 	own := eventlog.NewComponentEntry(Name, e) // round leaves no number that cannot be written
 	if !d.EventLog.Fits(own) {
 		return false
@@ -173,7 +173,7 @@
 // Replay takes an entry of its own. A fact counts for a kind only if its night is
 // later than those that the kind's value holds, and once for each job: so nothing
 // is counted twice.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
@@ -187,19 +187,19 @@
 }
 
 // hold keeps a fact until the history is read.
-func (d *Duty) hold(f *Fact) {
+func (d *Component) hold(f *Fact) {
 	if len(d.held) < heldMost {
 		d.held = append(d.held, f)
 	}
 }
 
 // written says whether a kind's summary up to a night is written.
-func (d *Duty) written(k Kind, day int32) bool {
+func (d *Component) written(k Kind, day int32) bool {
 	last, ok := d.wrote[k]
 	return ok && last >= day
 }
 
-func (d *Duty) count(f *Fact) {
+func (d *Component) count(f *Fact) {
 	if _, seen := d.seen[f.ID]; seen {
 		return
 	}
@@ -218,7 +218,7 @@
 }
 
 // leave has kinds that are in the book no more written nowhere.
-func (d *Duty) leave(list []Kind) {
+func (d *Component) leave(list []Kind) {
 	for _, k := range list {
 		delete(d.wrote, k)
 		d.shelf.remove(k)
@@ -228,7 +228,7 @@
 // start counts the facts that waited for the history, in the order of their nights:
 // cleaning may have left an older one behind a newer one. What they close, and what
 // the last leader has closed and not written, is written.
-func (d *Duty) start(now time.Duration) {
+func (d *Component) start(now time.Duration) {
 	d.book.drop()
 	d.leave(d.book.takeGone())
 	held := d.held
@@ -247,12 +247,12 @@
 }
 
 // time is the time of day.
-func (d *Duty) time(now time.Duration) time.Time {
+func (d *Component) time(now time.Duration) time.Time {
 	return time.UnixMilli(d.ClockZeroMS + now.Milliseconds())
 }
 
 // newDay notes which night it is. Those before it are closed for all kinds.
-func (d *Duty) newDay(now time.Duration) {
+func (d *Component) newDay(now time.Duration) {
 	today := d.cal.At(d.time(now))
 	if today == d.today {
 		return
@@ -275,7 +275,7 @@
 }
 
 // roll closes the night of some of the kinds for which it is over.
-func (d *Duty) roll() {
+func (d *Component) roll() {
 	n := min(closeMost, len(d.rolling))
 	for _, k := range d.rolling[:n] {
 		if m := d.book.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
@@ -286,16 +286,16 @@
 	d.rolling = d.rolling[n:]
 }
 
-func (d *Duty) kind(j *jobs.Job) Kind {
+func (d *Component) kind(j *jobs.Job) Kind {
 	return Kind{Class: j.Record.Class, Team: j.Record.Team, Image: j.Record.Image, Shape: shape(len(j.Tasks), j.Need.CPU), Holiday: d.today.Holiday}
 }
 
 // estimate is what is expected of a job.
-func (d *Duty) estimate(now time.Duration, j *jobs.Job) Estimate {
+func (d *Component) estimate(now time.Duration, j *jobs.Job) Estimate {
 	return d.book.Estimate(d.kind(j), j.Record.EstimateS, d.time(now).Unix())
 }
 
-func (d *Duty) run(now time.Duration, j *jobs.Job) *run {
+func (d *Component) run(now time.Duration, j *jobs.Job) *run {
 	r := d.runs[j.Record.ID]
 	if r == nil {
 		r = &run{kind: d.kind(j), est: d.estimate(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
@@ -307,7 +307,7 @@
 // HandleEvent learns. Only tasks that this leader has started, that ran from their start
 // to their end in one go, and not on a machine known to be slow, tell how long
 // their kind takes.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.expect(e.At, e.Job)
@@ -336,7 +336,7 @@
 }
 
 // expect has a job's size start from what its kind has shown (learned_sizes).
-func (d *Duty) expect(now time.Duration, j *jobs.Job) {
+func (d *Component) expect(now time.Duration, j *jobs.Job) {
 	if d.Cfg.Tunables.LearnedSizes == 0 || !d.history.Done {
 		return
 	}
@@ -345,7 +345,7 @@
 	}
 }
 
-func (d *Duty) done(e cluster.Event) {
+func (d *Component) done(e cluster.Event) {
 	if e.RunSeconds <= 0 || !e.FromThisTerm || e.Job.Record.Kind != jobs.Array {
 		return
 	}
@@ -362,7 +362,7 @@
 
 // slow notes how a machine's task went against what was expected, and says
 // whether the machine is known to be slow.
-func (d *Duty) slow(r *run, e cluster.Event) bool {
+func (d *Component) slow(r *run, e cluster.Event) bool {
 	if r.est.Tasks == 0 || r.est.P50 <= 0 {
 		return false
 	}
@@ -378,7 +378,7 @@
 
 // isSlow says whether a machine is far slower than the others: not when all of
 // them are.
-func (d *Duty) isSlow(machine string) bool {
+func (d *Component) isSlow(machine string) bool {
 	s := d.speeds[machine]
 	if s == nil || s.n < slowAfter || s.log < math.Log(slowRatio) {
 		return false
@@ -396,7 +396,7 @@
 }
 
 // finished makes a fact of a job that is durably done.
-func (d *Duty) finished(now time.Duration, j *jobs.Job) {
+func (d *Component) finished(now time.Duration, j *jobs.Job) {
 	r := d.runs[j.Record.ID]
 	delete(d.runs, j.Record.ID)
 	d.clear(j.Record.ID, "done")
@@ -418,7 +418,7 @@
 
 // Tick reads the history after a takeover, writes what nights have shown, and looks
 // after jobs that run late.
-func (d *Duty) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, sure bool) {
 	if !sure {
 		return
 	}
@@ -436,11 +436,11 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return d.facts * factBytes }
+func (d *Component) LiveBytes() int { return d.facts * factBytes }
 
 // Compact writes anew a fact that is in no value yet, and for some days that a kind was
 // forgotten.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
@@ -460,7 +460,7 @@
 }
 
 // needs says whether a fact is not in the values of all that it counts for.
-func (d *Duty) needs(f *Fact) bool {
+func (d *Component) needs(f *Fact) bool {
 	for _, k := range f.Kind.levels() {
 		if m := d.book.models[k]; m != nil && !d.written(k, f.Day) {
 			return true
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -31,7 +31,7 @@
 }
 
 // lead begins a term that reads the log as it is.
-func (w *world) lead(t *testing.T, kinds int) *Duty {
+func (w *world) lead(t *testing.T, kinds int) *Component {
 	t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.RunTimesKinds = kinds
@@ -65,7 +65,7 @@
 }
 
 // history has a leader read its values, a few at a time, some after failures.
-func (w *world) history(d *Duty, keys []string) {
+func (w *world) history(d *Component, keys []string) {
 	w.effects = nil
 	for asked := 0; !d.history.Done; asked++ {
 		w.now += time.Second
@@ -90,7 +90,7 @@
 }
 
 // write makes at most so many commits durable.
-func (w *world) write(d *Duty, most int) {
+func (w *world) write(d *Component, most int) {
 	for range most {
 		w.now += time.Second
 		txn := d.EventLog.NextTransaction(w.now)
@@ -109,7 +109,7 @@
 }
 
 // job has a job of a class run and end, each of its tasks taking so long.
-func (w *world) job(d *Duty, id uint64, class string, took float64) {
+func (w *world) job(d *Component, id uint64, class string, took float64) {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 10})
 	j.Phase, j.AcceptedAt = jobs.Open, w.now
 	m := &workers.Machine{Name: fmt.Sprint("m", id%7)}
@@ -124,7 +124,7 @@
 }
 
 // counted is how many jobs the class has shown.
-func counted(d *Duty, class string) int {
+func counted(d *Component, class string) int {
 	m := d.book.models[Kind{Class: class}]
 	if m == nil {
 		return 0
@@ -133,7 +133,7 @@
 }
 
 // worked is all the work that is counted.
-func worked(d *Duty) float64 {
+func worked(d *Component) float64 {
 	total := 0.0
 	for _, n := range slices.Concat(d.demand.nights, d.demand.open) {
 		total += sum(slices.Values(n.work[:]))
@@ -219,7 +219,7 @@
 
 // clean writes anew what is live of the oldest segments, and removes them once that
 // is durable, unless the leader is killed before.
-func (w *world) clean(t *testing.T, d *Duty, r *rand.Rand) {
+func (w *world) clean(t *testing.T, d *Component, r *rand.Rand) {
 	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, eventlog.OwnPrefix) })
 	if len(keys) < 2 {
 		return
@@ -511,7 +511,7 @@
 	}
 }
 
-func mustFacts(d *Duty, w *world, seq uint64) []eventlog.Entry {
+func mustFacts(d *Component, w *world, seq uint64) []eventlog.Entry {
 	facts, _ := d.EventLog.CommitResult(w.now, seq, eventlog.Applied, uint64(w.now), nil)
 	return facts
 }
@@ -542,7 +542,7 @@
 			w.write(d, 1)
 		}
 	}
-	for i, x := range []*Duty{d, w.lead(t, 100)} {
+	for i, x := range []*Component{d, w.lead(t, 100)} {
 		x.newDay(w.now)
 		at := 14*24*time.Hour + 20*time.Hour
 		var peak *Expected
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -58,7 +58,7 @@
 
 // forecasts goes through the order as the planner does: what stands ahead of a job
 // takes the machines that report first.
-func (d *Duty) forecasts(now time.Duration) []Forecast {
+func (d *Component) forecasts(now time.Duration) []Forecast {
 	cpus := max(d.CPUs(), 1)
 	w := d.Snapshot(now)
 	var out []Forecast
@@ -109,7 +109,7 @@
 
 // forecast is that of one job that may begin so many seconds from now on, and how
 // much work it is, in processor seconds.
-func (d *Duty) forecast(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
+func (d *Component) forecast(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
 	e := d.estimate(now, j)
 	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kind(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
 	each := max(j.Share, j.Need.CPUs(), 0.001)
@@ -154,12 +154,12 @@
 }
 
 // learned is the learned time of jobs like one, with the operators' margin.
-func (d *Duty) learned(e Estimate) time.Duration {
+func (d *Component) learned(e Estimate) time.Duration {
 	return time.Duration(e.JobP90 * d.margin * float64(time.Second))
 }
 
 // look raises, updates and clears warnings.
-func (d *Duty) look(now time.Duration) {
+func (d *Component) look(now time.Duration) {
 	for _, f := range d.forecasts(now) {
 		j := f.job
 		if f.Estimate.JobP90 <= 0 || j.Phase == jobs.Held {
@@ -196,7 +196,7 @@
 
 // tell sends a warning to the operators' webhook. A job is told of once each way,
 // and again under the same id by a new leader, which does not know that it was.
-func (d *Duty) tell(l Late, what string) {
+func (d *Component) tell(l Late, what string) {
 	if d.Cfg.Tunables.WebhookURL == "" {
 		return
 	}
@@ -208,7 +208,7 @@
 }
 
 // clear ends a warning.
-func (d *Duty) clear(id uint64, how string) {
+func (d *Component) clear(id uint64, how string) {
 	if l := d.late[id]; l != nil {
 		delete(d.late, id)
 		d.tell(*l, how)
@@ -217,7 +217,7 @@
 }
 
 // why says what a late job waits for, the worst first.
-func (d *Duty) why(now time.Duration, j *jobs.Job, f Forecast) string {
+func (d *Component) why(now time.Duration, j *jobs.Job, f Forecast) string {
 	if d.MayRunUnseen(j) && j.Waiting > 0 {
 		return "held back"
 	}
@@ -261,7 +261,7 @@
 
 // Show gives, as JSON, a list of kinds with their estimates and nights, or with the
 // view "forecast" the open jobs in their order, or with "late" the warnings.
-func (d *Duty) Show(now time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	var out any
 	switch view {
 	case "forecast":
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -45,7 +45,7 @@
 	return values, total
 }
 
-func leader(kinds int) *Duty {
+func leader(kinds int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.RunTimesKinds = kinds
 	cfg.Deployment.State.WriteRPS = 40
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -140,7 +140,7 @@
 }
 
 // GotValues takes a page of the history.
-func (d *Duty) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
+func (d *Component) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
 	if !d.history.TakePage(now, list, more, ok) {
 		return
 	}
@@ -174,13 +174,13 @@
 
 // setAside leaves a value as it is: another version may know it, or somebody may
 // want to see what has become of it. Its number is not used again.
-func (d *Duty) setAside(key string, err error) {
+func (d *Component) setAside(key string, err error) {
 	d.LogMessage(effects.Warn, "a value of learned run times cannot be read: it is set aside, and learning goes on", "key", key, "error", err)
 }
 
 // restore takes a kind of a value. It may be in two, while it moved: then the one
 // with the later nights counts, and the other one is written anew.
-func (d *Duty) restore(n int, s *storedKind) {
+func (d *Component) restore(n int, s *storedKind) {
 	k := kindOf(s.Kind, s.Holiday)
 	if at, ok := d.book.forgot[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
 		d.shelf.push(n)
@@ -207,7 +207,7 @@
 }
 
 // store writes one value, when nothing else waits and not too often.
-func (d *Duty) store(now time.Duration) {
+func (d *Component) store(now time.Duration) {
 	if d.storing != nil {
 		if d.EventLog.DurableCount() < d.storing.pos {
 			return
@@ -243,7 +243,7 @@
 }
 
 // value is what a value holds now.
-func (d *Duty) value(n int) (storedValue, *storing) {
+func (d *Component) value(n int) (storedValue, *storing) {
 	v, st := storedValue{Version: valueVersion}, &storing{n: n, days: map[Kind]int32{}, demand: math.MinInt32}
 	if n < keepNights {
 		v.Demand = d.demand.stored(n)
@@ -272,7 +272,7 @@
 }
 
 // EntryDurable notes what is written.
-func (d *Duty) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
+func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	if !ok || x.Stored == nil || d.storing == nil || *x.Stored != d.storing.n {
 		return
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -69,7 +69,7 @@
 
 // Change takes kinds in, or forgets some. All are checked before the first is
 // touched; what is taken in is written down like nights that have ended.
-func (d *Duty) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
+func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
 	var in Import
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, fmt.Errorf("run-times: %w", err)
@@ -120,7 +120,7 @@
 
 // forget forgets the kinds of these names, and notes that it has: facts that are
 // still in the log count for them no more. Coarser kinds stay.
-func (d *Duty) forget(now time.Duration, list []string) error {
+func (d *Component) forget(now time.Duration, list []string) error {
 	if len(list) == 0 {
 		return nil
 	}
--- a/internal/leader/runtimes/transfer_test.go
+++ b/internal/leader/runtimes/transfer_test.go
@@ -56,7 +56,7 @@
 		n.Tick(fresh.now, true)
 		fresh.write(n, 1)
 	}
-	for _, x := range []*Duty{n, fresh.lead(t, 100)} {
+	for _, x := range []*Component{n, fresh.lead(t, 100)} {
 		a, b := d.book.Estimate(in.Kinds[0].Kind, 5, 0), x.book.Estimate(in.Kinds[0].Kind, 5, 0)
 		if math.Abs(a.P50/b.P50-1) > .005 || math.Abs(a.P90/b.P90-1) > .005 || a.Jobs != b.Jobs { // three digits are exported
 			t.Errorf("estimated there %+v, here %+v", a, b)
