--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -14,7 +14,7 @@
 // its next units kept for it: others may pass it only where they leave so much.
 // Jobs that hold something as a whole come first, so that they get on and give it
 // back.
-func (d *Duty) Pass(now time.Duration, list []*jobs.Job) {
+func (d *Component) Pass(now time.Duration, list []*jobs.Job) {
 	d.count(now)
 	for _, p := range d.pools {
 		p.claim = nil
@@ -47,7 +47,7 @@
 func (h *holder) wants(n need) bool { return h.job.Waiting > 0 && h.next(n) > 0 }
 
 // couldTake says whether it wants some and its team's share lets it have them.
-func (d *Duty) couldTake(h *holder, n need) bool {
+func (d *Component) couldTake(h *holder, n need) bool {
 	p := d.pools[n.pool]
 	t := p.teams[h.job.Team]
 	return h.wants(n) && (t == nil || t.out+h.next(n) <= p.shares[h.job.Team])
@@ -55,7 +55,7 @@
 
 // claims settles again who is first for a pool: who was may have got all that it
 // could have in this pass.
-func (d *Duty) claims(n need, team int32) {
+func (d *Component) claims(n need, team int32) {
 	p := d.pools[n.pool]
 	still := func(h *holder, could func(*holder, need) bool) bool {
 		return h == nil || slices.ContainsFunc(h.needs, func(x need) bool { return x.pool == n.pool && could(h, x) })
@@ -97,13 +97,13 @@
 }
 
 // Allows says whether so many more tasks of a job may start.
-func (d *Duty) Allows(j *jobs.Job, n int) bool {
+func (d *Component) Allows(j *jobs.Job, n int) bool {
 	_, ok := d.blocked(j, int64(n))
 	return ok
 }
 
 // blocked finds the need that keeps a job from starting tasks.
-func (d *Duty) blocked(j *jobs.Job, n int64) (need, bool) {
+func (d *Component) blocked(j *jobs.Job, n int64) (need, bool) {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknown != "" || !d.shelf.read || d.closed {
 		return need{pool: -1}, false
@@ -116,7 +116,7 @@
 	return need{}, true
 }
 
-func (d *Duty) allows(h *holder, x need, n int64) bool {
+func (d *Component) allows(h *holder, x need, n int64) bool {
 	p, j := d.pools[x.pool], h.job
 	units := x.units
 	switch {
@@ -178,12 +178,12 @@
 }
 
 // TaskPlaced counts a task that was given room.
-func (d *Duty) TaskPlaced(j *jobs.Job) { d.took(j, 1) }
+func (d *Component) TaskPlaced(j *jobs.Job) { d.took(j, 1) }
 
 // TaskRemoved takes that back.
-func (d *Duty) TaskRemoved(j *jobs.Job) { d.took(j, -1) }
+func (d *Component) TaskRemoved(j *jobs.Job) { d.took(j, -1) }
 
-func (d *Duty) took(j *jobs.Job, by int64) {
+func (d *Component) took(j *jobs.Job, by int64) {
 	h := d.byJob[j.Index]
 	if h == nil {
 		return
@@ -208,7 +208,7 @@
 
 // Most is how many more tasks of a job the units that are left would let start:
 // machines for more would stand idle.
-func (d *Duty) Most(j *jobs.Job) int {
+func (d *Component) Most(j *jobs.Job) int {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknown != "" || !d.shelf.read {
 		return 0
@@ -234,7 +234,7 @@
 }
 
 // Never says why a job could never have the units that it asks for, or nothing.
-func (d *Duty) Never(rec *eventlog.Job) string {
+func (d *Component) Never(rec *eventlog.Job) string {
 	type sum struct{ task, job int64 }
 	sums := map[int32]*sum{}
 	team, _ := d.Teams.Lookup(rec.Team)
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -16,7 +16,7 @@
 }
 
 // look notes the tasks that a report shows beside those that count as being there.
-func (d *Duty) look(m *workers.Machine, r *workers.Report) {
+func (d *Component) look(m *workers.Machine, r *workers.Report) {
 	if len(d.holders) == 0 && len(d.over) == 0 && d.strays[m] == nil {
 		return
 	}
@@ -52,13 +52,13 @@
 
 // mayNeed says whether a job that is in no table may have needed units: its entry
 // may have been cleaned away.
-func (d *Duty) mayNeed(id uint64) bool {
+func (d *Component) mayNeed(id uint64) bool {
 	p, over := d.Jobs.Final(id)
 	return !over || p == jobs.Cancelled
 }
 
 // count finds out what is out.
-func (d *Duty) count(now time.Duration) {
+func (d *Component) count(now time.Duration) {
 	for _, p := range d.pools {
 		p.tally, p.uncertain, p.lost, p.waiting = tally{claim: p.claim}, 0, 0, 0
 		for _, t := range p.teams {
@@ -135,7 +135,7 @@
 // not heard could hold all together: each job was counted as if it had them for itself.
 // What runs on a machine fits its processors, so it holds no more units than if all of
 // them went to the job that needs most units for a processor.
-func (d *Duty) fitUnseen(perhaps []*holder, unheard []*workers.Machine) {
+func (d *Component) fitUnseen(perhaps []*holder, unheard []*workers.Machine) {
 	most := map[int32]float64{}
 	for _, m := range unheard {
 		here := map[int32]float64{}
@@ -175,7 +175,7 @@
 }
 
 // countHolder counts a job, and says how many tasks of it run perhaps unseen.
-func (d *Duty) countHolder(h *holder, unheard []*workers.Machine) int64 {
+func (d *Component) countHolder(h *holder, unheard []*workers.Machine) int64 {
 	j := h.job
 	unseen := int64(d.unseen(j, unheard))
 	h.begun = j.Placed > 0 || ((h.started || j.Finished > 0) && j.Finished < len(j.Tasks))
@@ -214,7 +214,7 @@
 
 // unseen is how many tasks of a job at most run on machines that have not reported
 // in this term.
-func (d *Duty) unseen(j *jobs.Job, unheard []*workers.Machine) int {
+func (d *Component) unseen(j *jobs.Job, unheard []*workers.Machine) int {
 	if len(unheard) == 0 || !d.MayRunUnseen(j) {
 		return 0
 	}
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -26,18 +26,18 @@
 // still wait then, and the new leader counts them as lost itself. Found by a random day
 // with two crashes in ten seconds: the first leader had started them anew elsewhere, and
 // the second took their units for free.
-func (d *Duty) lossesOpen() bool {
+func (d *Component) lossesOpen() bool {
 	return d.shelf.lossesDue || slices.ContainsFunc(d.shelf.writing, func(w *writing) bool { return w.pool == nil })
 }
 
 // clockSlack is how far the times of day of two controllers may differ.
 const clockSlack = time.Second
 
-func (d *Duty) timeMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
+func (d *Component) timeMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
 
 // lose has the units of so many tasks of a job stay out where their pool says so.
 // Units that the job holds as a whole stay with it, unless it is over.
-func (d *Duty) lose(now time.Duration, j *jobs.Job, needs []need, tasks int64) {
+func (d *Component) lose(now time.Duration, j *jobs.Job, needs []need, tasks int64) {
 	for _, n := range needs {
 		if n.perJob && (j.Phase == jobs.Open || j.Placed > 1) {
 			continue
@@ -52,7 +52,7 @@
 
 // stayOut has units stay out after a loss, where their pool says so. The team may be
 // unknown.
-func (d *Duty) stayOut(now time.Duration, p *pool, team string, units int64) {
+func (d *Component) stayOut(now time.Duration, p *pool, team string, units int64) {
 	if after := settings.Seconds(p.conf.HoldAfterLossS); after > 0 {
 		d.losses = append(d.losses, loss{p.name, team, units, d.timeMS(now + after + clockSlack)})
 		d.shelf.lossesDue = true
@@ -61,7 +61,7 @@
 
 // loseUnseen does so for what may have been on a machine that is gone, or whose worker
 // began anew, before it was ever heard in this term.
-func (d *Duty) loseUnseen(now time.Duration, m *workers.Machine) {
+func (d *Component) loseUnseen(now time.Duration, m *workers.Machine) {
 	for _, h := range d.holders {
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
 			continue
@@ -74,7 +74,7 @@
 
 // strayLost forgets the strays of a machine that is gone; their units stay out where
 // their pool says so.
-func (d *Duty) strayLost(now time.Duration, m *workers.Machine) {
+func (d *Component) strayLost(now time.Duration, m *workers.Machine) {
 	s := d.strays[m]
 	delete(d.strays, m)
 	if s == nil {
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -88,7 +88,7 @@
 }
 
 // receipt gives a task's units their numbers.
-func (d *Duty) receipt(now time.Duration, in *Holding) (*Receipt, error) {
+func (d *Component) receipt(now time.Duration, in *Holding) (*Receipt, error) {
 	j := d.Jobs.Find(in.Job)
 	if j == nil || in.Task < 0 || in.Task >= len(j.Tasks) {
 		return nil, fmt.Errorf("pools: receipt: no such task is running")
@@ -122,7 +122,7 @@
 }
 
 // choose picks the lowest numbers that nobody may have.
-func (d *Duty) choose(n need) (out []int64) {
+func (d *Component) choose(n need) (out []int64) {
 	taken := map[int64]bool{}
 	for _, list := range d.papers.of {
 		for key, p := range list {
@@ -148,7 +148,7 @@
 
 // alive says whether a holder that was given numbers may still be there, or its units
 // be counted elsewhere after its loss.
-func (d *Duty) alive(key paperKey, p *paper) bool {
+func (d *Component) alive(key paperKey, p *paper) bool {
 	if d.pools[key.pool].lost > 0 {
 		return true
 	}
@@ -170,7 +170,7 @@
 
 // dropPapers forgets the numbers of a task, or with -1 of a job that has left, unless
 // its units stay out.
-func (d *Duty) dropPapers(job uint64, task int) {
+func (d *Component) dropPapers(job uint64, task int) {
 	for key, p := range d.papers.of[job] {
 		if (task < 0 || key.task == int32(task)) && d.pools[key.pool].conf.HoldAfterLossS == 0 && p.durable {
 			d.papers.drop(key)
@@ -181,13 +181,13 @@
 	}
 }
 
-func (d *Duty) paperDurable(s *storedPaper) {
+func (d *Component) paperDurable(s *storedPaper) {
 	if p := d.papers.get(paperKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
 		p.durable = true
 	}
 }
 
-func (d *Duty) replayPaper(own *eventlog.ComponentEntry) {
+func (d *Component) replayPaper(own *eventlog.ComponentEntry) {
 	var e entry
 	if json.Unmarshal(own.Data, &e) != nil || e.Paper == nil {
 		return
@@ -196,7 +196,7 @@
 }
 
 // keepPaper writes anew the numbers of a holder that may be there.
-func (d *Duty) keepPaper(e eventlog.Entry) {
+func (d *Component) keepPaper(e eventlog.Entry) {
 	var x entry
 	if json.Unmarshal(e.Component.Data, &x) != nil || x.Paper == nil {
 		return
@@ -208,7 +208,7 @@
 }
 
 // numbers are those that a holder was given, if it asked.
-func (d *Duty) numbers(job uint64, task int, pool int32) []int64 {
+func (d *Component) numbers(job uint64, task int, pool int32) []int64 {
 	if p := d.papers.get(paperKey{job, int32(task), pool}); p != nil {
 		return p.numbers
 	}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -82,8 +82,8 @@
 	whole   bool   // it needs something as a whole
 }
 
-// Duty counts units in a term.
-type Duty struct {
+// Component counts units in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	pools  []*pool
@@ -104,8 +104,8 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	d := &Duty{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, over: map[uint64][]need{}, strays: map[*workers.Machine]*strays{}, anew: map[*workers.Machine]bool{}}
+func New(s *cluster.State) *Component {
+	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, over: map[uint64][]need{}, strays: map[*workers.Machine]*strays{}, anew: map[*workers.Machine]bool{}}
 	d.papers.of = map[uint64]map[paperKey]*paper{}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
@@ -123,7 +123,7 @@
 }
 
 // pool gives the pool with a name, which may be in no settings.
-func (d *Duty) pool(name string) *pool {
+func (d *Component) pool(name string) *pool {
 	i, ok := d.byName[name]
 	if !ok {
 		i = int32(len(d.pools))
@@ -135,7 +135,7 @@
 
 // Replay notes what jobs need that are over by the end of the log: their tasks may
 // be somewhere yet.
-func (d *Duty) Replay(now time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Component != nil:
 		d.replayPaper(e.Component)
@@ -149,7 +149,7 @@
 }
 
 // Begin enters the open jobs.
-func (d *Duty) Begin(time.Duration) {
+func (d *Component) Begin(time.Duration) {
 	for id := range d.over {
 		if p, _ := d.Jobs.Final(id); p != jobs.Cancelled {
 			delete(d.over, id)
@@ -162,7 +162,7 @@
 	}
 }
 
-func (d *Duty) needs(list []eventlog.PoolUnits) (out []need, unknown string) {
+func (d *Component) needs(list []eventlog.PoolUnits) (out []need, unknown string) {
 	for _, c := range list {
 		p := d.pool(c.Pool) // it may be in no settings any more, and units of it out
 		if !p.known {
@@ -173,7 +173,7 @@
 	return out, unknown
 }
 
-func (d *Duty) enter(j *jobs.Job) {
+func (d *Component) enter(j *jobs.Job) {
 	if len(j.Record.Counted) == 0 || d.byJob[j.Index] != nil {
 		return
 	}
@@ -185,7 +185,7 @@
 }
 
 // HandleEvent follows jobs and what is lost.
-func (d *Duty) HandleEvent(e cluster.Event) {
+func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.enter(e.Job)
@@ -240,7 +240,7 @@
 }
 
 // forget takes a job that has left out of all that refers to it.
-func (d *Duty) forget(h *holder) {
+func (d *Component) forget(h *holder) {
 	d.order = slices.DeleteFunc(d.order, func(o *holder) bool { return o == h })
 	for _, n := range h.needs {
 		p := d.pools[n.pool]
@@ -255,7 +255,7 @@
 
 // Tick reads and writes values, lets losses run out, and has machines deleted early
 // that keep units which others wait for.
-func (d *Duty) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, sure bool) {
 	if !sure {
 		return
 	}
@@ -274,7 +274,7 @@
 
 // hurry gives machines up early that are silent while others wait for units which
 // their tasks keep: the setting weighs the machine's price against the wait.
-func (d *Duty) hurry(now, after time.Duration) {
+func (d *Component) hurry(now, after time.Duration) {
 	var wanted []bool
 	for i, p := range d.pools {
 		if h := p.claim; h != nil && h.job.Waiting > 0 {
@@ -316,7 +316,7 @@
 }
 
 // Why says what a job waits for, in plain words; empty: it does not wait for units.
-func (d *Duty) Why(j *jobs.Job) string {
+func (d *Component) Why(j *jobs.Job) string {
 	h := d.byJob[j.Index]
 	switch {
 	case h == nil:
@@ -369,7 +369,7 @@
 
 // Gauges gives the numbers of each pool; those of many pools are summed up, so that
 // their labels stay few.
-func (d *Duty) Gauges(now time.Duration) []cluster.Gauge {
+func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
 	d.count(now)
 	out := []cluster.Gauge{{Name: "bitternmoor_pool_units", Help: "Units that a pool has."}, {Name: "bitternmoor_pool_units_out", Help: "Units that are out, or may be."},
 		{Name: "bitternmoor_pool_units_waiting", Help: "Units that waiting tasks need."}, {Name: "bitternmoor_pool_units_uncertain", Help: "Units that are out only perhaps: on machines that have not reported since the last takeover."}}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -26,7 +26,7 @@
 	values map[string]json.RawMessage
 	now    time.Duration
 	epoch  uint64
-	d      *Duty
+	d      *Component
 	m      *workers.Machine
 	ids    uint64
 }
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -69,7 +69,7 @@
 }
 
 // GotValues takes a page of values.
-func (d *Duty) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
+func (d *Component) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
 	s := &d.shelf
 	if !s.TakePage(now, list, more, ok) {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-func (d *Duty) restore(v eventlog.Value) error {
+func (d *Component) restore(v eventlog.Value) error {
 	n, err := eventlog.ValueNumber(Name, v.Key)
 	if err != nil {
 		return err
@@ -113,7 +113,7 @@
 }
 
 // keep reads and writes values.
-func (d *Duty) keep(now time.Duration) {
+func (d *Component) keep(now time.Duration) {
 	s := &d.shelf
 	if !s.Done {
 		s.RequestNext(d.State, now, Name)
@@ -157,14 +157,14 @@
 }
 
 // writeLosses writes the units that stay out after losses, if there are new ones.
-func (d *Duty) writeLosses() {
+func (d *Component) writeLosses() {
 	if s := &d.shelf; s.lossesDue && s.Done && s.strange == "" {
 		s.lossesDue = false
 		d.write(&writing{n: lossValue}, stored{Losses: d.losses})
 	}
 }
 
-func (d *Duty) write(w *writing, v stored) {
+func (d *Component) write(w *writing, v stored) {
 	v.Version = version
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -179,7 +179,7 @@
 }
 
 // EntryDurable notes what is written: a larger size counts from then on.
-func (d *Duty) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
+func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	var x entry
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &x) != nil {
 		return
@@ -210,14 +210,14 @@
 
 // Compact writes anew which units receipts were given for; entries that went along with
 // values are of no use any more.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
 		d.keepPaper(e)
 	}
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return d.papers.n * paperBytes }
+func (d *Component) LiveBytes() int { return d.papers.n * paperBytes }
 
 // Request is what the duty can be asked to do: one of its fields is set.
 type Request struct {
@@ -244,7 +244,7 @@
 }
 
 // Change does what it is asked to.
-func (d *Duty) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
+func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
 	var in Request
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, fmt.Errorf("pools: %w", err)
@@ -269,7 +269,7 @@
 	return raw, nil
 }
 
-func (d *Duty) change(now time.Duration, c *Change) (*Changed, error) {
+func (d *Component) change(now time.Duration, c *Change) (*Changed, error) {
 	i, ok := d.byName[c.Pool]
 	if !ok || !d.pools[i].known {
 		return nil, fmt.Errorf("pools: pool: no such pool: %q", c.Pool)
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -48,7 +48,7 @@
 
 // Show gives, as JSON, all pools, or with the name of one as the view that one with
 // its holders.
-func (d *Duty) Show(now time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	d.count(now)
 	var out any
 	if view == "" {
@@ -72,7 +72,7 @@
 	return raw, nil
 }
 
-func (d *Duty) view(now time.Duration, p *pool, holders bool) View {
+func (d *Component) view(now time.Duration, p *pool, holders bool) View {
 	v := View{Pool: p.name, Units: p.size, Settings: p.conf.Units, Pending: p.pending, Drained: p.drained, Out: p.out, Uncertain: p.uncertain, Lost: p.lost,
 		Waiting: p.waiting, Reserve: p.conf.Reserve, Version: p.version}
 	if p.claim != nil {
@@ -96,7 +96,7 @@
 
 // holding lists who has units of a pool out, since when, and what would prove that
 // they are back.
-func (d *Duty) holding(now time.Duration, p *pool) (out []Holder) {
+func (d *Component) holding(now time.Duration, p *pool) (out []Holder) {
 	index := p.index
 	for _, h := range d.holders {
 		for _, n := range h.needs {
@@ -133,7 +133,7 @@
 	return out
 }
 
-func (d *Duty) tasksOf(now time.Duration, h *holder, one Holder, index int32) (out []Holder) {
+func (d *Component) tasksOf(now time.Duration, h *holder, one Holder, index int32) (out []Holder) {
 	j := h.job
 	for k, s := range j.Tasks {
 		ref := workers.Ref{Job: j.Index, Task: int32(k)}
