--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -35,7 +35,7 @@
 const pendingMost = 64
 
 // ChangeBy does what an operator asks.
-func (d *Duty) ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error) {
+func (d *Component) ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error) {
 	var in Request
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
@@ -52,14 +52,14 @@
 }
 
 // newest is the last revision that was given out, durable or not.
-func (d *Duty) newest() uint64 {
+func (d *Component) newest() uint64 {
 	if n := len(d.pending); n > 0 {
 		return d.pending[n-1].Number
 	}
 	return d.doc.Revision()
 }
 
-func (d *Duty) change(now time.Duration, by string, in *Request) (*Answer, error) {
+func (d *Component) change(now time.Duration, by string, in *Request) (*Answer, error) {
 	if err := config.CheckWords(in.ID, in.Note); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 }
 
 // repeated answers a change that was made already; nil: it was not.
-func (d *Duty) repeated(id string) *Answer {
+func (d *Component) repeated(id string) *Answer {
 	same := func(r config.Revision) bool { return r.ID == id }
 	if i := slices.IndexFunc(d.pending, same); i >= 0 {
 		return &Answer{Revision: d.pending[i].Number}
@@ -124,7 +124,7 @@
 }
 
 // current is what an item is set to, with what is on its way.
-func (d *Duty) current(i config.Item) config.Set {
+func (d *Component) current(i config.Item) config.Set {
 	s := d.doc.Get(i)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
@@ -137,7 +137,7 @@
 }
 
 // prepare completes a change by what stood before, which it gives.
-func (d *Duty) prepare(c *config.Change) (config.Set, error) {
+func (d *Component) prepare(c *config.Change) (config.Set, error) {
 	before := d.current(c.Item)
 	if c.Item.Team == "" {
 		return before, nil
@@ -158,7 +158,7 @@
 }
 
 // remarks says what changes mean for jobs that are there.
-func (d *Duty) remarks(changes []config.Change) (out []string) {
+func (d *Component) remarks(changes []config.Change) (out []string) {
 	for _, c := range changes {
 		if c.Item.Team == "" {
 			if e := settings.EffectOf(c.Item.Tunable); e != settings.AtOnce {
@@ -173,7 +173,7 @@
 	return out
 }
 
-func (d *Duty) remarkTeam(c config.Change) string {
+func (d *Component) remarkTeam(c config.Change) string {
 	index, ok := d.Teams.Lookup(c.Item.Team)
 	if !ok {
 		return ""
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -31,7 +31,7 @@
 var inForceBounds = []float64{0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 11, 20, 60}
 
 // wrote notes that a revision is durable, and who lacks it now.
-func (d *Duty) wrote(now time.Duration, revision uint64) {
+func (d *Component) wrote(now time.Duration, revision uint64) {
 	d.written = append(d.written, written{revision, now})
 	d.written = slices.Delete(d.written, 0, max(0, len(d.written)-writtenMost))
 	for _, c := range d.controllers {
@@ -42,7 +42,7 @@
 }
 
 // Tell is what another controller is to be told with the next heartbeat.
-func (d *Duty) Tell(name string) *config.Update {
+func (d *Component) Tell(name string) *config.Update {
 	has := uint64(0)
 	if c := d.controllers[name]; c != nil {
 		has = c.revision
@@ -52,7 +52,7 @@
 }
 
 // Held takes another controller's word on the revision that it has in force.
-func (d *Duty) Held(now time.Duration, name string, revision uint64) {
+func (d *Component) Held(now time.Duration, name string, revision uint64) {
 	c := d.controllers[name]
 	if c == nil {
 		return
@@ -76,7 +76,7 @@
 }
 
 // everywhere says whether all controllers have a revision.
-func (d *Duty) everywhere(revision uint64) bool {
+func (d *Component) everywhere(revision uint64) bool {
 	for _, c := range d.controllers {
 		if c.revision < revision {
 			return false
@@ -94,7 +94,7 @@
 }
 
 // Gauges gives the revision and the lag of each controller.
-func (d *Duty) Gauges(now time.Duration) []cluster.Gauge {
+func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
 	revisions, lags := map[string]float64{d.Cfg.Node: float64(d.doc.Revision())}, map[string]float64{d.Cfg.Node: 0}
 	for _, name := range slices.Sorted(maps.Keys(d.controllers)) {
 		c := d.controllers[name]
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -28,8 +28,8 @@
 	Sets     []config.Set     `json:"s,omitempty"`
 }
 
-// Duty changes the configuration in a term.
-type Duty struct {
+// Component changes the configuration in a term.
+type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	remember int               // revisions
@@ -49,8 +49,8 @@
 }
 
 // New makes the duty of a term.
-func New(s *cluster.State) *Duty {
-	d := &Duty{State: s, remember: s.Cfg.Tunables.ConfigHistory, base: s.Cfg.Tunables, teams: map[string]settings.Team{}, controllers: map[string]*controller{}}
+func New(s *cluster.State) *Component {
+	d := &Component{State: s, remember: s.Cfg.Tunables.ConfigHistory, base: s.Cfg.Tunables, teams: map[string]settings.Team{}, controllers: map[string]*controller{}}
 	for _, t := range s.Cfg.Deployment.Teams {
 		d.teams[t.Name] = t
 	}
@@ -66,7 +66,7 @@
 }
 
 // Replay takes what is set. While the log is cleaned an entry may be there twice.
-func (d *Duty) Replay(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok {
 		return
@@ -80,7 +80,7 @@
 }
 
 // enter takes a durable revision.
-func (d *Duty) enter(r config.Revision) {
+func (d *Component) enter(r config.Revision) {
 	d.doc.Apply(&r)
 	i, known := slices.BinarySearchFunc(d.history, r.Number, func(o config.Revision, n uint64) int { return int(o.Number) - int(n) })
 	if known {
@@ -91,7 +91,7 @@
 }
 
 // Begin has in force what is set.
-func (d *Duty) Begin(now time.Duration) {
+func (d *Component) Begin(now time.Duration) {
 	for _, s := range d.doc.All() {
 		d.apply(s.Item)
 	}
@@ -108,7 +108,7 @@
 }
 
 // lacks notes that the log has lost revisions that were in force.
-func (d *Duty) lacks(revision uint64) {
+func (d *Component) lacks(revision uint64) {
 	if revision <= d.missing {
 		return
 	}
@@ -117,7 +117,7 @@
 }
 
 // EntryDurable has a revision in force.
-func (d *Duty) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
+func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok || x.Revision == nil {
 		return
@@ -137,7 +137,7 @@
 }
 
 // apply has an item in force as it is set.
-func (d *Duty) apply(i config.Item) {
+func (d *Component) apply(i config.Item) {
 	if i.Team != "" {
 		d.applyTeam(i.Team)
 		return
@@ -151,7 +151,7 @@
 }
 
 // applyTeam has a team's limits in force: of what is durable and what is on its way the lower.
-func (d *Duty) applyTeam(name string) {
+func (d *Component) applyTeam(name string) {
 	t, known := d.teamAt(name, d.doc.Get(config.Item{Team: name}).Value)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
@@ -169,7 +169,7 @@
 }
 
 // teamAt is what a team has by a value, and whether it may submit.
-func (d *Duty) teamAt(name string, v config.Value) (settings.Team, bool) {
+func (d *Component) teamAt(name string, v config.Value) (settings.Team, bool) {
 	if v.Limits != nil {
 		return v.Limits.Team(name), !v.Removed
 	}
@@ -195,7 +195,7 @@
 }
 
 // measure reckons what Keep would write.
-func (d *Duty) measure() {
+func (d *Component) measure() {
 	d.bytes = d.doc.Len() * setBytes
 	for i := range d.history {
 		d.bytes += revisionBytes + len(d.history[i].Changes)*setBytes
@@ -209,15 +209,15 @@
 )
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Duty) LiveBytes() int { return d.bytes }
+func (d *Component) LiveBytes() int { return d.bytes }
 
 // remembers says whether a revision is in the history.
-func (d *Duty) remembers(revision uint64) bool {
+func (d *Component) remembers(revision uint64) bool {
 	return len(d.history) > 0 && revision >= d.history[0].Number
 }
 
 // Compact writes revisions anew that are remembered, and gathers what others have set.
-func (d *Duty) Compact(_ time.Duration, e eventlog.Entry) {
+func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	switch {
 	case !ok:
@@ -235,14 +235,14 @@
 }
 
 // gather notes an item that is still set as it was, by a revision that is not remembered.
-func (d *Duty) gather(s config.Set) {
+func (d *Component) gather(s config.Set) {
 	if d.doc.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
 		d.kept = append(d.kept, s)
 	}
 }
 
 // CompactionDone writes anew what was gathered.
-func (d *Duty) CompactionDone() {
+func (d *Component) CompactionDone() {
 	for len(d.kept) > 0 {
 		n := len(d.kept)
 		for n > 1 && !d.EventLog.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]})) {
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -15,7 +15,7 @@
 
 // bench is a duty with a log of its own.
 type bench struct {
-	*Duty
+	*Component
 	t       *testing.T
 	now     time.Duration
 	entries []eventlog.Entry // durable
@@ -32,7 +32,7 @@
 	b := &bench{t: t, now: time.Second}
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}, Config: &b.replica})
 	s.EventLog = newLog(0)
-	b.Duty = New(s)
+	b.Component = New(s)
 	for _, e := range entries {
 		b.Replay(b.now, e)
 	}
--- a/internal/leader/reconfig/show.go
+++ b/internal/leader/reconfig/show.go
@@ -56,7 +56,7 @@
 )
 
 // Show gives the configuration, or its history, the newest revision first.
-func (d *Duty) Show(now time.Duration, view string) (json.RawMessage, error) {
+func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	var out any
 	switch view {
 	case "":
@@ -75,7 +75,7 @@
 	return raw, nil
 }
 
-func (d *Duty) view(now time.Duration) View {
+func (d *Component) view(now time.Duration) View {
 	v := View{Revision: d.doc.Revision(), Pending: len(d.pending), Missing: d.missing, Tunables: []Tunable{}, Teams: []Team{}}
 	v.Controllers = []Controller{{Name: d.Cfg.Node, Leads: true, Heard: true, Revision: v.Revision, SinceS: d.sinceS(now)}}
 	for _, name := range slices.Sorted(maps.Keys(d.controllers)) {
@@ -106,7 +106,7 @@
 	return v
 }
 
-func (d *Duty) sinceS(now time.Duration) float64 {
+func (d *Component) sinceS(now time.Duration) float64 {
 	if d.Config == nil {
 		return 0
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -80,7 +80,7 @@
 	fleet   *autoscaler.Component
 	cold    *coldstart.Component // nil: switched off
 	asking  *probe.Component     // nil: switched off, or no aim asks for it
-	config  *reconfig.Duty       // nil: switched off
+	config  *reconfig.Component  // nil: switched off
 	direct  *dispatch.Component  // nil: switched off, or no aim asks for it
 	duties  []Component          // in the order in which they begin and tick
 	owners  map[string]Component // of entries of their own, by name
