--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -30,8 +30,8 @@
 	until, pause time.Duration
 }
 
-// Buyer keeps what is known of the offers.
-type Buyer struct {
+// Provisioner keeps what is known of the offers.
+type Provisioner struct {
 	prefix  string
 	n       int
 	refused map[key]*refusal
@@ -41,16 +41,16 @@
 
 // NewBuyer makes a buyer whose request names begin with a prefix used by no
 // other term.
-func NewBuyer(prefix string) *Buyer {
-	return &Buyer{prefix: prefix, refused: map[key]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
+func NewBuyer(prefix string) *Provisioner {
+	return &Provisioner{prefix: prefix, refused: map[key]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
 // Avoid leaves out a zone whose machines have fallen silent together: what is
 // rented there would boot, cost money and not be heard either.
-func (b *Buyer) Avoid(zone string, until time.Duration) { b.avoided[zone] = until }
+func (b *Provisioner) Avoid(zone string, until time.Duration) { b.avoided[zone] = until }
 
 // Avoided says whether a zone is left out now.
-func (b *Buyer) Avoided(now time.Duration, zone string) bool { return now < b.avoided[zone] }
+func (b *Provisioner) Avoided(now time.Duration, zone string) bool { return now < b.avoided[zone] }
 
 // Want is what is missing.
 type Want struct {
@@ -62,7 +62,7 @@
 }
 
 // Rent chooses requests that cover what is wanted.
-func (b *Buyer) Rent(now time.Duration, types []eventlog.MachineType, w Want) []eventlog.Rental {
+func (b *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, w Want) []eventlog.Rental {
 	var out []eventlog.Rental
 	missing := w.CPUs
 	for missing > 0.5 && len(b.asked) < 4 {
@@ -111,7 +111,7 @@
 	return out
 }
 
-func (b *Buyer) outstanding(k key) bool {
+func (b *Provisioner) outstanding(k key) bool {
 	for _, r := range b.asked {
 		if k == (key{r.Type, r.Zone, r.Spot}) {
 			return true
@@ -121,10 +121,10 @@
 }
 
 // Restore takes over a request of an earlier term that has no answer yet.
-func (b *Buyer) Restore(r eventlog.Rental) { b.asked[r.Name] = r }
+func (b *Provisioner) Restore(r eventlog.Rental) { b.asked[r.Name] = r }
 
 // Asked lists the processors of requests without an answer.
-func (b *Buyer) Asked(cpus func(typ string) float64) float64 {
+func (b *Provisioner) Asked(cpus func(typ string) float64) float64 {
 	var sum float64
 	for _, r := range b.asked {
 		sum += cpus(r.Type) * float64(r.Count)
@@ -133,7 +133,7 @@
 }
 
 // Answered notes how many machines a request brought.
-func (b *Buyer) Answered(now time.Duration, name string, got int) (eventlog.Rental, bool) {
+func (b *Provisioner) Answered(now time.Duration, name string, got int) (eventlog.Rental, bool) {
 	r, ok := b.asked[name]
 	if !ok {
 		return r, false
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -29,7 +29,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	buyer      *Buyer
+	buyer      *Provisioner
 	typesAt    time.Duration
 	typesAsked bool
 	rentals    map[string]eventlog.Rental // sent or to be sent
