--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -39,9 +39,9 @@
 	avoided map[string]time.Duration   // zones that seem cut off, until when
 }
 
-// NewBuyer makes a buyer whose request names begin with a prefix used by no
+// NewProvisioner makes a buyer whose request names begin with a prefix used by no
 // other term.
-func NewBuyer(prefix string) *Provisioner {
+func NewProvisioner(prefix string) *Provisioner {
 	return &Provisioner{prefix: prefix, refused: map[key]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
--- a/internal/leader/autoscaler/fleet_test.go
+++ b/internal/leader/autoscaler/fleet_test.go
@@ -18,12 +18,12 @@
 // the smaller one where the large one would stay mostly empty; of two zones
 // the one with less.
 func TestChoice(t *testing.T) {
-	b := NewBuyer("r-1")
+	b := NewProvisioner("r-1")
 	got := b.Rent(0, []eventlog.MachineType{small, large}, want(32, false))
 	if len(got) != 1 || got[0].Type != "large" || got[0].Count != 2 {
 		t.Errorf("32 processors: %+v", got)
 	}
-	got = NewBuyer("r-1").Rent(0, []eventlog.MachineType{small, large}, want(4, false))
+	got = NewProvisioner("r-1").Rent(0, []eventlog.MachineType{small, large}, want(4, false))
 	if len(got) != 1 || got[0].Type != "small" || got[0].Zone != "b" || got[0].Count != 1 {
 		t.Errorf("4 processors: %+v", got)
 	}
@@ -32,7 +32,7 @@
 // An offer that was refused is left out for a while, then tried again; a name
 // is never used twice.
 func TestRefusal(t *testing.T) {
-	b := NewBuyer("r-1")
+	b := NewProvisioner("r-1")
 	types := []eventlog.MachineType{large}
 	first := b.Rent(0, types, want(16, true))
 	if again := b.Rent(0, types, want(16, true)); len(again) != 0 {
@@ -51,7 +51,7 @@
 // A zone that seems cut off is left out until the time has passed.
 func TestAvoidedZone(t *testing.T) {
 	types := []eventlog.MachineType{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
-	b := NewBuyer("r")
+	b := NewProvisioner("r")
 	w := Want{CPUs: 4, Stay: 100, Zones: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
 	b.Avoid("a", 10*time.Second)
 	if got := b.Rent(5*time.Second, types, w); len(got) != 1 || got[0].Zone != "b" {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -69,7 +69,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, buyer: NewBuyer(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
+	return &Component{State: s, buyer: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
 		calls: newCalls(s), listAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
