--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -123,8 +123,8 @@
 // Restore takes over a request of an earlier term that has no answer yet.
 func (b *Provisioner) Restore(r eventlog.Rental) { b.asked[r.Name] = r }
 
-// Asked lists the processors of requests without an answer.
-func (b *Provisioner) Asked(cpus func(typ string) float64) float64 {
+// RequestedCPUs lists the processors of requests without an answer.
+func (b *Provisioner) RequestedCPUs(cpus func(typ string) float64) float64 {
 	var sum float64
 	for _, r := range b.asked {
 		sum += cpus(r.Type) * float64(r.Count)
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -225,7 +225,7 @@
 			}
 		}
 	}
-	have += d.buyer.Asked(func(typ string) float64 {
+	have += d.buyer.RequestedCPUs(func(typ string) float64 {
 		if i, ok := d.TypeNames.Lookup(typ); ok && k.has(d.Types[i].GPUs) {
 			return d.Types[i].CPUs
 		}
