--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -132,8 +132,8 @@
 	return sum
 }
 
-// Answered notes how many machines a request brought.
-func (b *Provisioner) Answered(now time.Duration, name string, got int) (eventlog.Rental, bool) {
+// RequestAnswered notes how many machines a request brought.
+func (b *Provisioner) RequestAnswered(now time.Duration, name string, got int) (eventlog.Rental, bool) {
 	r, ok := b.asked[name]
 	if !ok {
 		return r, false
--- a/internal/leader/autoscaler/fleet_test.go
+++ b/internal/leader/autoscaler/fleet_test.go
@@ -38,7 +38,7 @@
 	if again := b.Rent(0, types, want(16, true)); len(again) != 0 {
 		t.Errorf("asked twice at once: %+v", again)
 	}
-	b.Answered(0, first[0].Name, 0)
+	b.RequestAnswered(0, first[0].Name, 0)
 	if got := b.Rent(time.Second, types, want(16, true)); len(got) != 0 {
 		t.Errorf("asked again at once after a refusal: %+v", got)
 	}
