--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -45,9 +45,9 @@
 	return &Provisioner{prefix: prefix, refused: map[key]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
-// Avoid leaves out a zone whose machines have fallen silent together: what is
+// AvoidZone leaves out a zone whose machines have fallen silent together: what is
 // rented there would boot, cost money and not be heard either.
-func (b *Provisioner) Avoid(zone string, until time.Duration) { b.avoided[zone] = until }
+func (b *Provisioner) AvoidZone(zone string, until time.Duration) { b.avoided[zone] = until }
 
 // Avoided says whether a zone is left out now.
 func (b *Provisioner) Avoided(now time.Duration, zone string) bool { return now < b.avoided[zone] }
--- a/internal/leader/autoscaler/fleet_test.go
+++ b/internal/leader/autoscaler/fleet_test.go
@@ -53,7 +53,7 @@
 	types := []eventlog.MachineType{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
 	b := NewProvisioner("r")
 	w := Want{CPUs: 4, Stay: 100, Zones: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
-	b.Avoid("a", 10*time.Second)
+	b.AvoidZone("a", 10*time.Second)
 	if got := b.Rent(5*time.Second, types, w); len(got) != 1 || got[0].Zone != "b" {
 		t.Errorf("rented %v while zone a is avoided", got)
 	}
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -170,7 +170,7 @@
 			if !d.buyer.Avoided(now, name) {
 				d.LogMessage(effects.Warn, "most machines of a zone are silent: nothing is rented there for now", "zone", name, "silent", n, "of", up[z])
 			}
-			d.buyer.Avoid(name, now+avoidFor)
+			d.buyer.AvoidZone(name, now+avoidFor)
 		}
 	}
 }
