--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -49,8 +49,8 @@
 // rented there would boot, cost money and not be heard either.
 func (b *Provisioner) AvoidZone(zone string, until time.Duration) { b.avoided[zone] = until }
 
-// Avoided says whether a zone is left out now.
-func (b *Provisioner) Avoided(now time.Duration, zone string) bool { return now < b.avoided[zone] }
+// ZoneAvoided says whether a zone is left out now.
+func (b *Provisioner) ZoneAvoided(now time.Duration, zone string) bool { return now < b.avoided[zone] }
 
 // Want is what is missing.
 type Want struct {
@@ -79,7 +79,7 @@
 				if r := b.refused[k]; r != nil && now < r.until {
 					continue
 				}
-				if b.Avoided(now, z) || b.outstanding(k) || !w.Fits(t, z, w.Spot) {
+				if b.ZoneAvoided(now, z) || b.outstanding(k) || !w.Fits(t, z, w.Spot) {
 					continue
 				}
 				price := t.Price
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -167,7 +167,7 @@
 	for z, n := range silent {
 		if cluster.MostSilent(n, up[z]) {
 			name := d.Zones.Name(int32(z))
-			if !d.buyer.Avoided(now, name) {
+			if !d.buyer.ZoneAvoided(now, name) {
 				d.LogMessage(effects.Warn, "most machines of a zone are silent: nothing is rented there for now", "zone", name, "silent", n, "of", up[z])
 			}
 			d.buyer.AvoidZone(name, now+avoidFor)
@@ -215,7 +215,7 @@
 	k.spotPeak.add(now, d.window(d.Cfg.Tunables.SpotReturnS), cheap)
 	var have, up, ordinary float64
 	for _, m := range yard {
-		if !m.Deleting && !m.PreemptionNotice && !m.Draining && (m.Up || !d.buyer.Avoided(now, d.Zones.Name(m.Zone))) {
+		if !m.Deleting && !m.PreemptionNotice && !m.Draining && (m.Up || !d.buyer.ZoneAvoided(now, d.Zones.Name(m.Zone))) {
 			have += m.Cap.CPUs()
 			if m.Up {
 				up += m.Cap.CPUs()
