--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -52,8 +52,8 @@
 // ZoneAvoided says whether a zone is left out now.
 func (b *Provisioner) ZoneAvoided(now time.Duration, zone string) bool { return now < b.avoided[zone] }
 
-// Want is what is missing.
-type Want struct {
+// Demand is what is missing.
+type Demand struct {
 	CPUs  float64
 	Spot  bool               // spot machines, else ordinary ones
 	Zones map[string]float64 // processors there are in each zone
@@ -62,7 +62,7 @@
 }
 
 // Rent chooses requests that cover what is wanted.
-func (b *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, w Want) []eventlog.Rental {
+func (b *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, w Demand) []eventlog.Rental {
 	var out []eventlog.Rental
 	missing := w.CPUs
 	for missing > 0.5 && len(b.asked) < 4 {
--- a/internal/leader/autoscaler/fleet_test.go
+++ b/internal/leader/autoscaler/fleet_test.go
@@ -10,8 +10,8 @@
 var small = eventlog.MachineType{Name: "small", CPUs: 4, Price: 0.16, SpotPrice: 0.04, BootS: 50, Zones: []string{"a", "b"}}
 var large = eventlog.MachineType{Name: "large", CPUs: 16, Price: 0.69, SpotPrice: 0.18, BootS: 20, Zones: []string{"b"}}
 
-func want(cpus float64, spot bool) Want {
-	return Want{CPUs: cpus, Spot: spot, Stay: 120, Zones: map[string]float64{"a": 8}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
+func want(cpus float64, spot bool) Demand {
+	return Demand{CPUs: cpus, Spot: spot, Stay: 120, Zones: map[string]float64{"a": 8}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
 }
 
 // The boot is paid as well: the type that boots faster wins for much work,
@@ -52,7 +52,7 @@
 func TestAvoidedZone(t *testing.T) {
 	types := []eventlog.MachineType{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
 	b := NewProvisioner("r")
-	w := Want{CPUs: 4, Stay: 100, Zones: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
+	w := Demand{CPUs: 4, Stay: 100, Zones: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
 	b.AvoidZone("a", 10*time.Second)
 	if got := b.Rent(5*time.Second, types, w); len(got) != 1 || got[0].Zone != "b" {
 		t.Errorf("rented %v while zone a is avoided", got)
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -637,7 +637,7 @@
 	return end.Round(time.Second)
 }
 
-func (d *Component) wanted(k *kind, cpus float64, spot bool, open []*jobs.Job) (w Want) {
+func (d *Component) wanted(k *kind, cpus float64, spot bool, open []*jobs.Job) (w Demand) {
 	w.Zones = map[string]float64{}
 	for _, m := range d.Inventory.All() {
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
