--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -109,8 +109,8 @@
 	d.LogMessage(effects.Info, "rental answered", "request", name, "asked", r.Count, "got", len(machines))
 }
 
-// GotTypes takes the machine types; an empty list is a failure.
-func (d *Component) GotTypes(now time.Duration, list []eventlog.MachineType) {
+// MachineTypesListed takes the machine types; an empty list is a failure.
+func (d *Component) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
 	d.typesAsked = false
 	d.answered(now, len(list) > 0)
 	if len(list) == 0 {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -454,7 +454,7 @@
 // MachineTypesListed takes the machine types; an empty list is a failure.
 func (t *Term) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
 	if t.loaded {
-		t.fleet.GotTypes(now, list)
+		t.fleet.MachineTypesListed(now, list)
 	}
 }
 
