--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Listed takes the cloud's list of machines.
-func (d *Component) Listed(now time.Duration, list []wire.Listed, ok bool) {
+// MachinesListed takes the cloud's list of machines.
+func (d *Component) MachinesListed(now time.Duration, list []wire.Listed, ok bool) {
 	d.listBusy = false
 	d.answered(now, ok)
 	if !ok {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -460,5 +460,5 @@
 
 // MachinesListed takes the cloud's list of machines.
 func (t *Term) MachinesListed(now time.Duration, list []wire.Listed, ok bool) {
-	t.fleet.Listed(now, list, ok)
+	t.fleet.MachinesListed(now, list, ok)
 }
