--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Rented takes the answer to a rental request.
-func (d *Component) Rented(now time.Duration, name string, machines []string, res wire.RentResult) {
+// RentalAnswered takes the answer to a rental request.
+func (d *Component) RentalAnswered(now time.Duration, name string, machines []string, res wire.RentResult) {
 	d.answered(now, res != wire.NoAnswer)
 	r, ok := d.rentals[name]
 	if !ok {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -448,7 +448,7 @@
 
 // RentalAnswered takes the result of a rental request.
 func (t *Term) RentalAnswered(now time.Duration, name string, machines []string, res wire.RentResult) {
-	t.fleet.Rented(now, name, machines, res)
+	t.fleet.RentalAnswered(now, name, machines, res)
 }
 
 // MachineTypesListed takes the machine types; an empty list is a failure.
