--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// Deleted notes that a deletion has had its answer, or none; the machines that
+// MachinesDeleted notes that a deletion has had its answer, or none; the machines that
 // are still there are asked for again at the next tick.
-func (d *Component) Deleted(now time.Duration, ok bool) {
+func (d *Component) MachinesDeleted(now time.Duration, ok bool) {
 	d.deleteBusy = false
 	d.answered(now, ok)
 }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -440,7 +440,7 @@
 
 // MachinesDeleted takes the result of a deletion.
 func (t *Term) MachinesDeleted(now time.Duration, list []string, ok bool) {
-	t.fleet.Deleted(now, ok)
+	t.fleet.MachinesDeleted(now, ok)
 	if ok {
 		t.roster.Deleted(now, list)
 	}
