--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -410,8 +410,8 @@
 	}
 }
 
-// Deleted takes machines out that are gone, and all that was on them.
-func (d *Component) Deleted(now time.Duration, list []string) {
+// MachinesDeleted takes machines out that are gone, and all that was on them.
+func (d *Component) MachinesDeleted(now time.Duration, list []string) {
 	for _, name := range list {
 		m := d.Inventory.Find(name)
 		if m == nil {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -442,7 +442,7 @@
 func (t *Term) MachinesDeleted(now time.Duration, list []string, ok bool) {
 	t.fleet.MachinesDeleted(now, ok)
 	if ok {
-		t.roster.Deleted(now, list)
+		t.roster.MachinesDeleted(now, list)
 	}
 }
 
