--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -244,10 +244,10 @@
 	}
 }
 
-// Report takes in a worker's report, received by a controller. The answer,
+// HandleHeartbeat takes in a worker's report, received by a controller. The answer,
 // which says how that controller may answer the worker, comes at once or with
 // the pass that follows.
-func (d *Component) Report(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
+func (d *Component) HandleHeartbeat(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	r := &in.Report
 	answer := effects.HeartbeatAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -415,7 +415,7 @@
 		t.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 200, Token: t.Token}})
 		return
 	}
-	t.roster.Report(now, sure, to, in)
+	t.roster.HandleHeartbeat(now, sure, to, in)
 }
 
 // OffersStarted notes offers that the leader's own block has taken up.
