--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -380,8 +380,8 @@
 	d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: answer})
 }
 
-// Release answers the reports that wait for nothing any more.
-func (d *Component) Release(now time.Duration, sure bool) {
+// AnswerHeartbeats answers the reports that wait for nothing any more.
+func (d *Component) AnswerHeartbeats(now time.Duration, sure bool) {
 	kept := d.waiting[:0]
 	for _, w := range d.waiting {
 		if w.over {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -365,7 +365,7 @@
 	if sure {
 		t.placing.PassSoon(now)
 	}
-	t.roster.Release(now, sure)
+	t.roster.AnswerHeartbeats(now, sure)
 	if t.direct != nil {
 		t.direct.AfterCycle(now, sure)
 	}
@@ -400,7 +400,7 @@
 	for _, d := range t.duties {
 		d.AfterCycle(now, sure)
 	}
-	t.roster.Release(now, sure)
+	t.roster.AnswerHeartbeats(now, sure)
 }
 
 // End answers everybody who still waits.
