--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -398,8 +398,8 @@
 	d.waiting = kept
 }
 
-// Started notes offers that the leader's own block has taken up.
-func (d *Component) Started(now time.Duration, machine string, offers []workers.Offer) {
+// OffersStarted notes offers that the leader's own block has taken up.
+func (d *Component) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
 	m := d.Inventory.Find(machine)
 	for _, o := range offers {
 		if j := d.Jobs.Find(o.Start.Job); j != nil && m != nil {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -420,7 +420,7 @@
 
 // OffersStarted notes offers that the leader's own block has taken up.
 func (t *Term) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
-	t.roster.Started(now, machine, offers)
+	t.roster.OffersStarted(now, machine, offers)
 }
 
 // WorkerProbed takes whether a silent worker has answered.
