--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -147,9 +147,9 @@
 	}
 }
 
-// Pass gives room if anything has changed, and stops tasks for others that go
+// RunCycle gives room if anything has changed, and stops tasks for others that go
 // ahead of them.
-func (d *Component) Pass(now time.Duration) {
+func (d *Component) RunCycle(now time.Duration) {
 	if !d.NeedsCycle {
 		return
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -394,7 +394,7 @@
 	}
 	t.order.Settle(now)
 	if sure {
-		t.placing.Pass(now)
+		t.placing.RunCycle(now)
 		t.clean(now)
 	}
 	for _, d := range t.duties {
