--- a/internal/leader/placement/placing.go
+++ b/internal/leader/placement/placing.go
@@ -160,8 +160,8 @@
 	}
 }
 
-// PassSoon gives room after a commit, unless it was given just now.
-func (d *Component) PassSoon(now time.Duration) {
+// RequestCycle gives room after a commit, unless it was given just now.
+func (d *Component) RequestCycle(now time.Duration) {
 	if d.NeedsCycle && now-d.passAt >= passPause {
 		d.pass(now)
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -363,7 +363,7 @@
 		t.Emit(effects.ReadBack{Key: t.EventLog.OpenSegmentKey()})
 	}
 	if sure {
-		t.placing.PassSoon(now)
+		t.placing.RequestCycle(now)
 	}
 	t.roster.AnswerHeartbeats(now, sure)
 	if t.direct != nil {
