--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -113,8 +113,8 @@
 	d.Emit(effects.Dispatch{Machine: m.Name, Address: m.Address, Token: m.Token, Session: m.Session, Starts: starts})
 }
 
-// Launched takes a worker's report after starts that were sent to it, or none.
-func (d *Component) Launched(now time.Duration, machine string, token uint64, starts []workers.Command, r *workers.Report) {
+// Dispatched takes a worker's report after starts that were sent to it, or none.
+func (d *Component) Dispatched(now time.Duration, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	d.under--
 	if r != nil {
 		d.answered++
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -433,7 +433,7 @@
 // Dispatched takes a worker's report after starts sent straight to it, or none.
 func (t *Term) Dispatched(now time.Duration, sure bool, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	if t.direct != nil && t.loaded {
-		t.direct.Launched(now, machine, token, starts, r)
+		t.direct.Dispatched(now, machine, token, starts, r)
 		t.direct.AfterCycle(now, sure)
 	}
 }
