--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// Asked takes whether a machine answered.
-func (d *Component) Asked(machine string, ok bool) {
+// WorkerProbed takes whether a machine answered.
+func (d *Component) WorkerProbed(machine string, ok bool) {
 	m := d.Inventory.Find(machine)
 	heard, under := d.asked[machine]
 	delete(d.asked, machine)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -426,7 +426,7 @@
 // WorkerProbed takes whether a silent worker has answered.
 func (t *Term) WorkerProbed(machine string, ok bool) {
 	if t.asking != nil && t.loaded {
-		t.asking.Asked(machine, ok)
+		t.asking.WorkerProbed(machine, ok)
 	}
 }
 
