--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -6,7 +6,7 @@
 	"bitternmoor/internal/core/ratelimit"
 )
 
-// Balance decides which machines report to another controller from now on. It is pure;
+// Balancer decides which machines report to another controller from now on. It is pure;
 // the time comes in.
 //
 // A controller's load is its machines divided by its weight. Once one has Most times the
@@ -15,7 +15,7 @@
 // after it than the giver had before. So the largest load never rises by a move, and moves
 // end. A machine that was moved stays for a while, and one that did not arrive where it
 // was sent is left alone for longer: it may not reach that controller.
-type Balance struct {
+type Balancer struct {
 	p      Params
 	budget ratelimit.Bucket
 	nodes  []Node
@@ -53,14 +53,14 @@
 )
 
 // NewBalance begins one.
-func NewBalance(now time.Duration, p Params) *Balance {
-	return &Balance{p: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
+func NewBalance(now time.Duration, p Params) *Balancer {
+	return &Balancer{p: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
 }
 
 func (n *Node) load(more int) float64 { return float64(n.Machines+more) / n.Weight }
 
 // Look takes in how the machines are spread now.
-func (b *Balance) Look(now time.Duration, nodes []Node) {
+func (b *Balancer) Look(now time.Duration, nodes []Node) {
 	b.nodes = nodes
 	machines, weight := 0, 0.0
 	for _, n := range nodes {
@@ -90,11 +90,11 @@
 }
 
 // Even says whether nobody has more than is borne.
-func (b *Balance) Even() bool { return len(b.giving) == 0 }
+func (b *Balancer) Even() bool { return len(b.giving) == 0 }
 
 // Move says where a machine that has just reported by way of its controller should go
 // instead; empty: nowhere.
-func (b *Balance) Move(now time.Duration, machine, holder string) string {
+func (b *Balancer) Move(now time.Duration, machine, holder string) string {
 	if x, was := b.moved[machine]; was {
 		if x.to != holder && !x.failed {
 			x.failed = true // it did not arrive
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -36,7 +36,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	balance *Balance
+	balance *Balancer
 	peers   map[string]*peer
 	lookAt  time.Duration
 	moves   uint64
