--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -52,8 +52,8 @@
 	remember = avoids
 )
 
-// NewBalance begins one.
-func NewBalance(now time.Duration, p Params) *Balancer {
+// NewBalancer begins one.
+func NewBalancer(now time.Duration, p Params) *Balancer {
 	return &Balancer{p: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
 }
 
