--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Even says whether nobody has more than is borne.
-func (b *Balancer) Even() bool { return len(b.giving) == 0 }
+// IsEven says whether nobody has more than is borne.
+func (b *Balancer) IsEven() bool { return len(b.giving) == 0 }
 
 // Move says where a machine that has just reported by way of its controller should go
 // instead; empty: nowhere.
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -98,7 +98,7 @@
 	}
 	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	d.balance.Look(now, nodes)
-	switch even := d.balance.Even(); {
+	switch even := d.balance.IsEven(); {
 	case !even && d.uneven == 0:
 		d.uneven = now
 	case even && d.uneven > 0:
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -89,7 +89,7 @@
 				t.Fatalf("seed %d: %d moves at once", seed, second)
 			}
 		}
-		if !b.Even() {
+		if !b.IsEven() {
 			t.Errorf("seed %d: uneven after %v: %+v", seed, end, p.nodes)
 		}
 		if last > time.Duration(5*moves/rate+20)*time.Second { // at worst they all report at once, and the budget gathers for a second
