--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -59,8 +59,8 @@
 
 func (n *Node) load(more int) float64 { return float64(n.Machines+more) / n.Weight }
 
-// Look takes in how the machines are spread now.
-func (b *Balancer) Look(now time.Duration, nodes []Node) {
+// Observe takes in how the machines are spread now.
+func (b *Balancer) Observe(now time.Duration, nodes []Node) {
 	b.nodes = nodes
 	machines, weight := 0, 0.0
 	for _, n := range nodes {
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -97,7 +97,7 @@
 		nodes = append(nodes, n)
 	}
 	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
-	d.balance.Look(now, nodes)
+	d.balance.Observe(now, nodes)
 	switch even := d.balance.IsEven(); {
 	case !even && d.uneven == 0:
 		d.uneven = now
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -57,7 +57,7 @@
 		interval := 5 * time.Second
 		end := time.Duration(len(p.holder)/rate+60) * time.Second
 		for now := time.Duration(0); now < end; now += 500 * time.Millisecond {
-			b.Look(now, append([]Node(nil), p.nodes...))
+			b.Observe(now, append([]Node(nil), p.nodes...))
 			second := 0
 			for m := range p.holder {
 				if (now+time.Duration(m)*time.Millisecond)%interval >= 500*time.Millisecond {
@@ -110,7 +110,7 @@
 	moves := 0
 	for now := time.Duration(0); now < 20*time.Minute; now += 500 * time.Millisecond {
 		p.nodes[1].Weight = []float64{1, 0.25}[int(now/(30*time.Second))%2]
-		b.Look(now, append([]Node(nil), p.nodes...))
+		b.Observe(now, append([]Node(nil), p.nodes...))
 		for m := range p.holder {
 			if to := b.Move(now, fmt.Sprint(m), p.nodes[p.holder[m]].Name); to != "" {
 				p.nodes[p.holder[m]].Machines--
@@ -130,7 +130,7 @@
 	b := NewBalancer(0, Params{Most: 1.25, PerSecond: 100})
 	sent := map[string]int{}
 	for now := time.Duration(0); now < 9*time.Minute; now += time.Second {
-		b.Look(now, []Node{{Name: "a", Machines: 40, Weight: 1, Ready: true}, {Name: "b", Weight: 1, Ready: true}})
+		b.Observe(now, []Node{{Name: "a", Machines: 40, Weight: 1, Ready: true}, {Name: "b", Weight: 1, Ready: true}})
 		for m := range 40 {
 			if b.Move(now, fmt.Sprint(m), "a") != "" {
 				sent[fmt.Sprint(m)]++
