--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -35,7 +35,7 @@
 	cluster.NopComponent
 	*cluster.State
 	cal    *calendar.Calendar
-	book   *Book
+	book   *Model
 	demand demand
 	margin float64
 
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -327,8 +327,8 @@
 	return m.shown
 }
 
-// Book is all history.
-type Book struct {
+// Model is all history.
+type Model struct {
 	most   int // kinds
 	models map[Kind]*model
 	forgot map[Kind]int64 // facts up to then, in seconds, count no more for a kind
@@ -337,13 +337,13 @@
 }
 
 // NewBook makes an empty book of at most so many kinds.
-func NewBook(most int) *Book {
-	return &Book{most: most, models: map[Kind]*model{}, forgot: map[Kind]int64{}}
+func NewBook(most int) *Model {
+	return &Model{most: most, models: map[Kind]*model{}, forgot: map[Kind]int64{}}
 }
 
 // Take counts a fact for its kind and the coarser ones. It returns the kinds for
 // which that has closed a night.
-func (b *Book) Take(f *Fact) (closed []Kind) {
+func (b *Model) Take(f *Fact) (closed []Kind) {
 	for _, k := range f.Kind.levels() {
 		if at, ok := b.forgot[k]; ok && f.At <= at {
 			continue
@@ -373,7 +373,7 @@
 // drop makes room in a book that is too full, a share of it at once, so that it
 // costs each fact little. The least useful kinds go: of those that are finest, the
 // ones that were not seen for longest. Coarser ones speak for many.
-func (b *Book) drop() {
+func (b *Model) drop() {
 	if len(b.models) <= b.most {
 		return
 	}
@@ -397,7 +397,7 @@
 }
 
 // over gives the kinds whose night is over on a day.
-func (b *Book) over(day int32) (out []Kind) {
+func (b *Model) over(day int32) (out []Kind) {
 	b.opened = slices.DeleteFunc(b.opened, func(k Kind) bool {
 		m := b.models[k]
 		if m != nil && m.open != nil && m.open.day >= day {
@@ -412,19 +412,19 @@
 }
 
 // takeGone gives the kinds that were dropped since the last call.
-func (b *Book) takeGone() []Kind {
+func (b *Model) takeGone() []Kind {
 	out := b.gone
 	b.gone = nil
 	return out
 }
 
 // Len is the number of kinds.
-func (b *Book) Len() int { return len(b.models) }
+func (b *Model) Len() int { return len(b.models) }
 
 // Estimate estimates work of a kind. owner is the owner's estimate of one task, in
 // seconds; it is used where there is no history, corrected by what this class's
 // owners have been off by.
-func (b *Book) Estimate(k Kind, owner float64, now int64) Estimate {
+func (b *Model) Estimate(k Kind, owner float64, now int64) Estimate {
 	kinds := k.levels()
 	if k.Holiday {
 		ordinary := k
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -31,7 +31,7 @@
 var recon = Kind{Class: "recon", Team: "ops", Image: "img-1", Shape: "7x10"}
 
 // nights plays nights of three jobs each; of gives the mean of each night.
-func nights(b *Book, n int, k Kind, of func(day int) float64) {
+func nights(b *Model, n int, k Kind, of func(day int) float64) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for day := range n {
 		for j := range 3 {
