--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -87,7 +87,7 @@
 		})
 		best = max(best, near*known)
 	}
-	book := NewBook(1000)
+	book := NewModel(1000)
 	near, known := share("the hierarchy", func(f *Fact) float64 {
 		guess := book.Estimate(f.Kind, f.Estimate, f.At).P50
 		book.Take(f)
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -336,8 +336,8 @@
 	opened []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
 }
 
-// NewBook makes an empty book of at most so many kinds.
-func NewBook(most int) *Model {
+// NewModel makes an empty book of at most so many kinds.
+func NewModel(most int) *Model {
 	return &Model{most: most, models: map[Kind]*model{}, forgot: map[Kind]int64{}}
 }
 
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -44,7 +44,7 @@
 // estimates by less than a tenth.
 func TestFreakNight(t *testing.T) {
 	for freak := 3; freak < 30; freak++ {
-		calm, hit := NewBook(100), NewBook(100)
+		calm, hit := NewModel(100), NewModel(100)
 		nights(calm, freak+2, recon, func(int) float64 { return 20 })
 		nights(hit, freak+2, recon, func(day int) float64 {
 			if day == freak {
@@ -64,7 +64,7 @@
 
 // Thirty nights of slow drift are followed within five of them.
 func TestDriftIsFollowed(t *testing.T) {
-	b := NewBook(100)
+	b := NewModel(100)
 	mean := func(day int) float64 { return 20 * math.Pow(1.02, float64(day)) }
 	nights(b, 30, recon, mean)
 	got := b.Estimate(recon, 20, 0).P50
@@ -76,7 +76,7 @@
 // A kind without history takes that of coarser ones, and says so; a new image of a
 // known class is its owner's estimate corrected by what such owners were off by.
 func TestFallingBack(t *testing.T) {
-	b := NewBook(100)
+	b := NewModel(100)
 	if e := b.Estimate(recon, 10, 0); e.P50 != 10 || e.P90 < 15 || e.Wide == "" {
 		t.Errorf("without any history: %+v", e)
 	}
@@ -113,7 +113,7 @@
 
 // Two modes: the interval holds both, and says that it is wide.
 func TestTwoModes(t *testing.T) {
-	b := NewBook(100)
+	b := NewModel(100)
 	r := rand.New(rand.NewPCG(2, 2))
 	for n := range 20 {
 		times := append(normal(r, 30, 10, .1), normal(r, 10, 90, .1)...)
@@ -128,7 +128,7 @@
 // third and tenth run, against the owner's estimate and the mean of all before.
 func TestEstimatesLand(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 9))
-	b := NewBook(1000)
+	b := NewModel(1000)
 	type score struct{ ten, twenty, fifty, n int }
 	learned, owners, means := map[int]*score{}, map[int]*score{}, map[int]*score{}
 	count := func(m map[int]*score, run int, guess, actual float64) {
@@ -198,7 +198,7 @@
 
 // A book is bounded, and forgets fine kinds before coarse ones.
 func TestBookIsBounded(t *testing.T) {
-	b := NewBook(50)
+	b := NewModel(50)
 	r := rand.New(rand.NewPCG(4, 4))
 	for n := range 300 {
 		b.Take(factOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1)))
@@ -215,7 +215,7 @@
 func BenchmarkTake(b *testing.B) {
 	for _, kinds := range []int{100, 10000} {
 		b.Run(fmt.Sprint(kinds), func(b *testing.B) {
-			book := NewBook(5 * kinds)
+			book := NewModel(5 * kinds)
 			r := rand.New(rand.NewPCG(4, 4))
 			facts := make([]*Fact, kinds)
 			for n := range facts {
--- a/internal/leader/runtimes/transfer_test.go
+++ b/internal/leader/runtimes/transfer_test.go
@@ -63,7 +63,7 @@
 		}
 	}
 	small := fresh.lead(t, 2)
-	small.book = NewBook(2)
+	small.book = NewModel(2)
 	body, _ := json.Marshal(in)
 	if answer, err := small.Change(0, body); err != nil || !strings.Contains(string(answer), `"added":2`) || !strings.Contains(string(answer), `"dropped":3`) {
 		t.Errorf("into a full book: %s %v", answer, err)
