--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -208,7 +208,7 @@
 		return
 	}
 	d.seen[f.ID] = f.Day
-	for _, k := range d.book.Take(f) {
+	for _, k := range d.book.AddRun(f) {
 		d.shelf.push(d.shelf.place(k))
 	}
 	d.leave(d.book.takeGone())
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -90,7 +90,7 @@
 	book := NewModel(1000)
 	near, known := share("the hierarchy", func(f *Fact) float64 {
 		guess := book.Estimate(f.Kind, f.Estimate, f.At).P50
-		book.Take(f)
+		book.AddRun(f)
 		return guess
 	})
 	share("the owner's estimate", func(f *Fact) float64 { return f.Estimate })
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -341,9 +341,9 @@
 	return &Model{most: most, models: map[Kind]*model{}, forgot: map[Kind]int64{}}
 }
 
-// Take counts a fact for its kind and the coarser ones. It returns the kinds for
+// AddRun counts a fact for its kind and the coarser ones. It returns the kinds for
 // which that has closed a night.
-func (b *Model) Take(f *Fact) (closed []Kind) {
+func (b *Model) AddRun(f *Fact) (closed []Kind) {
 	for _, k := range f.Kind.levels() {
 		if at, ok := b.forgot[k]; ok && f.At <= at {
 			continue
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -35,7 +35,7 @@
 	r := rand.New(rand.NewPCG(5, 5))
 	for day := range n {
 		for j := range 3 {
-			b.Take(factOf(uint64(day*3+j+1), int32(day), k, 20, normal(r, 40, of(day), .15)))
+			b.AddRun(factOf(uint64(day*3+j+1), int32(day), k, 20, normal(r, 40, of(day), .15)))
 		}
 	}
 }
@@ -101,7 +101,7 @@
 	nights(b, 0, day, nil)
 	r := rand.New(rand.NewPCG(1, 1))
 	for j := range 3 {
-		b.Take(factOf(uint64(900+j), 7, day, 20, normal(r, 40, 80, .1)))
+		b.AddRun(factOf(uint64(900+j), 7, day, 20, normal(r, 40, 80, .1)))
 	}
 	if e := b.Estimate(day, 20, 0); !strings.Contains(e.From, "holiday") || math.Abs(e.P50-80) > 6 {
 		t.Errorf("the next holiday: %+v", e)
@@ -117,7 +117,7 @@
 	r := rand.New(rand.NewPCG(2, 2))
 	for n := range 20 {
 		times := append(normal(r, 30, 10, .1), normal(r, 10, 90, .1)...)
-		b.Take(factOf(uint64(n+1), int32(n/4), recon, 20, times))
+		b.AddRun(factOf(uint64(n+1), int32(n/4), recon, 20, times))
 	}
 	if e := b.Estimate(recon, 20, 0); e.P50 > 15 || e.P90 < 70 || e.Wide == "" {
 		t.Errorf("%+v", e)
@@ -169,7 +169,7 @@
 					count(means, run, sum/n, actual)
 				}
 			}
-			b.Take(factOf(id, int32(run), k, owner, times))
+			b.AddRun(factOf(id, int32(run), k, owner, times))
 			for _, x := range times {
 				sum += x
 				n++
@@ -201,7 +201,7 @@
 	b := NewModel(50)
 	r := rand.New(rand.NewPCG(4, 4))
 	for n := range 300 {
-		b.Take(factOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1)))
+		b.AddRun(factOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1)))
 		if b.Len() > 50 {
 			t.Fatalf("%d kinds", b.Len())
 		}
@@ -220,11 +220,11 @@
 			facts := make([]*Fact, kinds)
 			for n := range facts {
 				facts[n] = factOf(uint64(n+1), 1, Kind{Class: fmt.Sprint("c", n%10), Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1))
-				book.Take(facts[n])
+				book.AddRun(facts[n])
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				book.Take(facts[i%kinds])
+				book.AddRun(facts[i%kinds])
 			}
 		})
 	}
