--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -44,9 +44,9 @@
 	speeds   map[string]*speed // by machine
 	seen     map[uint64]int32  // jobs whose fact is counted, and its night
 	today    calendar.Night
-	facts    int     // entries of facts that may have to be kept
-	held     []*Fact // until the history is read
-	rolling  []Kind  // whose night is over and not closed yet
+	facts    int          // entries of facts that may have to be kept
+	held     []*RunRecord // until the history is read
+	rolling  []Kind       // whose night is over and not closed yet
 
 	history   cluster.ValueReader
 	shelf     *shelf
@@ -138,8 +138,8 @@
 
 func kindOf(n [4]string, holiday bool) Kind { return Kind{n[0], n[1], n[2], n[3], holiday} }
 
-func (f *storedFact) fact() *Fact {
-	return &Fact{ID: f.ID, At: f.At, Day: f.Day, Kind: kindOf(f.Kind, f.Holiday), N: f.N, Task: f.Task, Fetch: f.Fetch, Job: f.Job, Estimate: f.Estimate, Work: f.Work}
+func (f *storedFact) fact() *RunRecord {
+	return &RunRecord{ID: f.ID, At: f.At, Day: f.Day, Kind: kindOf(f.Kind, f.Holiday), N: f.N, Task: f.Task, Fetch: f.Fetch, Job: f.Job, Estimate: f.Estimate, Work: f.Work}
 }
 
 func (n Night) numbers() [11]float64 {
@@ -187,7 +187,7 @@
 }
 
 // hold keeps a fact until the history is read.
-func (d *Component) hold(f *Fact) {
+func (d *Component) hold(f *RunRecord) {
 	if len(d.held) < heldMost {
 		d.held = append(d.held, f)
 	}
@@ -199,7 +199,7 @@
 	return ok && last >= day
 }
 
-func (d *Component) count(f *Fact) {
+func (d *Component) count(f *RunRecord) {
 	if _, seen := d.seen[f.ID]; seen {
 		return
 	}
@@ -233,7 +233,7 @@
 	d.leave(d.book.takeGone())
 	held := d.held
 	d.held = nil
-	slices.SortStableFunc(held, func(a, b *Fact) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
+	slices.SortStableFunc(held, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
 	for _, f := range held {
 		d.count(f)
 	}
@@ -460,7 +460,7 @@
 }
 
 // needs says whether a fact is not in the values of all that it counts for.
-func (d *Component) needs(f *Fact) bool {
+func (d *Component) needs(f *RunRecord) bool {
 	for _, k := range f.Kind.levels() {
 		if m := d.book.models[k]; m != nil && !d.written(k, f.Day) {
 			return true
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -22,7 +22,7 @@
 		t.Fatal(err)
 	}
 	defer f.Close()
-	var facts []*Fact
+	var facts []*RunRecord
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var e entry
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Fact == nil {
@@ -30,24 +30,24 @@
 		}
 		facts = append(facts, e.Fact.fact())
 	}
-	slices.SortFunc(facts, func(a, b *Fact) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
+	slices.SortFunc(facts, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
 	if len(facts) < 300 {
 		t.Fatalf("only %d facts are recorded", len(facts))
 	}
-	hour := func(f *Fact) string { return time.Unix(f.At, 0).UTC().Format("Mon 15:04")[:6] }
+	hour := func(f *RunRecord) string { return time.Unix(f.At, 0).UTC().Format("Mon 15:04")[:6] }
 	keys := []struct {
 		name string
-		of   func(f *Fact) Kind
+		of   func(f *RunRecord) Kind
 	}{
-		{"class", func(f *Fact) Kind { return Kind{Class: f.Kind.Class} }},
-		{"image", func(f *Fact) Kind { return Kind{Image: f.Kind.Image} }},
-		{"class+team", func(f *Fact) Kind { return Kind{Class: f.Kind.Class, Team: f.Kind.Team} }},
-		{"class+image", func(f *Fact) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image} }},
-		{"class+image+shape", func(f *Fact) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: f.Kind.Shape} }},
-		{"class+image+hour of the week", func(f *Fact) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: hour(f)} }},
-		{"all four", func(f *Fact) Kind { return f.Kind }},
+		{"class", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class} }},
+		{"image", func(f *RunRecord) Kind { return Kind{Image: f.Kind.Image} }},
+		{"class+team", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Team: f.Kind.Team} }},
+		{"class+image", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image} }},
+		{"class+image+shape", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: f.Kind.Shape} }},
+		{"class+image+hour of the week", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: hour(f)} }},
+		{"all four", func(f *RunRecord) Kind { return f.Kind }},
 	}
-	share := func(name string, estimate func(f *Fact) float64) (near, known float64) {
+	share := func(name string, estimate func(f *RunRecord) float64) (near, known float64) {
 		ten, twenty, fifty, n := 0.0, 0.0, 0.0, 0.0
 		for _, f := range facts {
 			guess := estimate(f)
@@ -72,7 +72,7 @@
 	best := 0.0
 	for _, k := range keys {
 		models := map[Kind]*model{}
-		near, known := share(k.name, func(f *Fact) float64 {
+		near, known := share(k.name, func(f *RunRecord) float64 {
 			m := models[k.of(f)]
 			if m == nil {
 				m = &model{}
@@ -88,12 +88,12 @@
 		best = max(best, near*known)
 	}
 	book := NewModel(1000)
-	near, known := share("the hierarchy", func(f *Fact) float64 {
+	near, known := share("the hierarchy", func(f *RunRecord) float64 {
 		guess := book.Estimate(f.Kind, f.Estimate, f.At).P50
 		book.AddRun(f)
 		return guess
 	})
-	share("the owner's estimate", func(f *Fact) float64 { return f.Estimate })
+	share("the owner's estimate", func(f *RunRecord) float64 { return f.Estimate })
 	if known < 1 || near < best {
 		t.Errorf("the hierarchy is within a fifth for %.2f of %.2f, the best single key for %.2f of all", near, known, best)
 	}
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -72,8 +72,8 @@
 	shares = [5]float64{.15, .225, .25, .225, .15}
 )
 
-// Fact is what one job has shown, once it is done. Times are in seconds.
-type Fact struct {
+// RunRecord is what one job has shown, once it is done. Times are in seconds.
+type RunRecord struct {
 	ID       uint64
 	At       int64 // time of day, in seconds
 	Day      int32 // of the night it belongs to
@@ -87,7 +87,7 @@
 }
 
 // accepted is when its job was accepted, or released.
-func (f *Fact) accepted() time.Time {
+func (f *RunRecord) accepted() time.Time {
 	return time.Unix(f.At, 0).Add(-time.Duration(f.Job * float64(time.Second)))
 }
 
@@ -167,7 +167,7 @@
 
 // take counts a fact. One of a night that is closed for this kind has been
 // counted.
-func (m *model) take(f *Fact) {
+func (m *model) take(f *RunRecord) {
 	if len(m.nights) > 0 && f.Day <= m.nights[len(m.nights)-1].Day {
 		return
 	}
@@ -343,7 +343,7 @@
 
 // AddRun counts a fact for its kind and the coarser ones. It returns the kinds for
 // which that has closed a night.
-func (b *Model) AddRun(f *Fact) (closed []Kind) {
+func (b *Model) AddRun(f *RunRecord) (closed []Kind) {
 	for _, k := range f.Kind.levels() {
 		if at, ok := b.forgot[k]; ok && f.At <= at {
 			continue
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -10,9 +10,9 @@
 )
 
 // factOf makes a fact of tasks with these times.
-func factOf(id uint64, day int32, k Kind, owner float64, times []float64) *Fact {
+func factOf(id uint64, day int32, k Kind, owner float64, times []float64) *RunRecord {
 	slices.Sort(times)
-	f := &Fact{ID: id, At: int64(day) * 86400, Day: day, Kind: k, N: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
+	f := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, N: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
 	for i, q := range points {
 		f.Task[i] = times[min(int(q*float64(len(times))), len(times)-1)]
 	}
@@ -217,7 +217,7 @@
 		b.Run(fmt.Sprint(kinds), func(b *testing.B) {
 			book := NewModel(5 * kinds)
 			r := rand.New(rand.NewPCG(4, 4))
-			facts := make([]*Fact, kinds)
+			facts := make([]*RunRecord, kinds)
 			for n := range facts {
 				facts[n] = factOf(uint64(n+1), 1, Kind{Class: fmt.Sprint("c", n%10), Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1))
 				book.AddRun(facts[n])
