--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -84,7 +84,7 @@
 			}
 		}
 		more := len(page) > 0 && page[len(page)-1].Key != keys[len(keys)-1]
-		d.GotValues(w.now, page, more, w.epoch%3 > 0 || asked > 1)
+		d.ValuesRead(w.now, page, more, w.epoch%3 > 0 || asked > 1)
 	}
 	w.effects = append(w.effects, d.TakeEffects()...)
 }
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -64,7 +64,7 @@
 				d.Begin(0)
 				for i := 0; i < len(values); i += 16 {
 					d.Tick(time.Duration(i)*time.Millisecond, true)
-					d.GotValues(0, values[i:min(i+16, len(values))], i+16 < len(values), true)
+					d.ValuesRead(0, values[i:min(i+16, len(values))], i+16 < len(values), true)
 				}
 				if d.book.Len() != 10000 {
 					b.Fatal(d.book.Len())
@@ -92,7 +92,7 @@
 		d.Begin(0)
 		d.Tick(0, true)
 		values, _ := full(9000, 8128)
-		d.GotValues(0, values, false, true)
+		d.ValuesRead(0, values, false, true)
 		values = nil
 		closed := heap()
 		for n := range 9000 {
@@ -113,7 +113,7 @@
 		d := leader(10000)
 		d.Begin(0)
 		d.Tick(0, true)
-		d.GotValues(0, nil, false, true)
+		d.ValuesRead(0, nil, false, true)
 		d.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
 		for n := range 9000 {
 			d.count(factOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -139,8 +139,8 @@
 	demand int32          // the night of demand in it
 }
 
-// GotValues takes a page of the history.
-func (d *Component) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
+// ValuesRead takes a page of the history.
+func (d *Component) ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool) {
 	if !d.history.TakePage(now, list, more, ok) {
 		return
 	}
