--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -59,7 +59,7 @@
 
 func (w *world) read() {
 	w.d.Tick(w.now, true)
-	w.d.GotValues(w.now, nil, true, false) // once in vain
+	w.d.ValuesRead(w.now, nil, true, false) // once in vain
 	w.now += 2 * time.Second
 	w.d.Tick(w.now, true)
 	var list []eventlog.Value
@@ -72,7 +72,7 @@
 	}) {
 		list = append(list, eventlog.Value{Key: k, Data: w.values[k]})
 	}
-	w.d.GotValues(w.now, list, false, true)
+	w.d.ValuesRead(w.now, list, false, true)
 }
 
 // write makes everything durable that waits.
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -68,8 +68,8 @@
 	Paper  *storedPaper `json:"r,omitempty"`
 }
 
-// GotValues takes a page of values.
-func (d *Component) GotValues(now time.Duration, list []eventlog.Value, more, ok bool) {
+// ValuesRead takes a page of values.
+func (d *Component) ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool) {
 	s := &d.shelf
 	if !s.TakePage(now, list, more, ok) {
 		return
