--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// Tell is what another controller is to be told with the next heartbeat.
-func (d *Component) Tell(name string) *config.Update {
+// UpdateFor is what another controller is to be told with the next heartbeat.
+func (d *Component) UpdateFor(name string) *config.Update {
 	has := uint64(0)
 	if c := d.controllers[name]; c != nil {
 		has = c.revision
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -240,12 +240,12 @@
 		}
 		b.commit()
 	}
-	if u := b.Tell("n1"); u.To != 3 || len(u.Sets) != 3 {
+	if u := b.UpdateFor("n1"); u.To != 3 || len(u.Sets) != 3 {
 		t.Errorf("%+v", u)
 	}
 	b.now += 2 * time.Second
 	b.Held(b.now, "n1", 2)
-	if u := b.Tell("n1"); u.From != 2 || len(u.Sets) != 1 || u.Sets[0].Item.Team != "t2" {
+	if u := b.UpdateFor("n1"); u.From != 2 || len(u.Sets) != 1 || u.Sets[0].Item.Team != "t2" {
 		t.Errorf("%+v", u)
 	}
 	lag := b.Gauges(b.now)[1].Values
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -231,7 +231,7 @@
 	if t.config == nil || !t.loaded {
 		return nil
 	}
-	return t.config.Tell(peer)
+	return t.config.UpdateFor(peer)
 }
 
 // ConfigAcknowledged takes another controller's word on the revision that it has in force.
