--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -51,8 +51,8 @@
 	return &u
 }
 
-// Held takes another controller's word on the revision that it has in force.
-func (d *Component) Held(now time.Duration, name string, revision uint64) {
+// Acknowledged takes another controller's word on the revision that it has in force.
+func (d *Component) Acknowledged(now time.Duration, name string, revision uint64) {
 	c := d.controllers[name]
 	if c == nil {
 		return
--- a/internal/leader/reconfig/duty_test.go
+++ b/internal/leader/reconfig/duty_test.go
@@ -224,7 +224,7 @@
 		t.Fatal(err)
 	}
 	b.commit()
-	b.Held(b.now, "n1", 3)
+	b.Acknowledged(b.now, "n1", 3)
 	if _, err := b.ask(Request{ID: "b", Revision: 1, Changes: []config.Change{limitTo("red", 5)}}); err == nil || !strings.Contains(err.Error(), "3 was in force") {
 		t.Errorf("%v", err)
 	}
@@ -233,7 +233,7 @@
 // A controller is told what it lacks, and is behind until it has it.
 func TestControllers(t *testing.T) {
 	b := newBench(t, 8, nil)
-	b.Held(b.now, "n1", 0)
+	b.Acknowledged(b.now, "n1", 0)
 	for i := range uint64(3) {
 		if _, err := b.ask(Request{ID: fmt.Sprint(i), Revision: i, Changes: []config.Change{limitTo(fmt.Sprint("t", i), 4)}}); err != nil {
 			t.Fatal(err)
@@ -244,7 +244,7 @@
 		t.Errorf("%+v", u)
 	}
 	b.now += 2 * time.Second
-	b.Held(b.now, "n1", 2)
+	b.Acknowledged(b.now, "n1", 2)
 	if u := b.UpdateFor("n1"); u.From != 2 || len(u.Sets) != 1 || u.Sets[0].Item.Team != "t2" {
 		t.Errorf("%+v", u)
 	}
@@ -252,7 +252,7 @@
 	if lag["n0"] != 0 || lag["n1"] <= 0 || lag["n2"] < lag["n1"] {
 		t.Errorf("%v", lag)
 	}
-	b.Held(b.now, "n1", 3)
+	b.Acknowledged(b.now, "n1", 3)
 	if v := b.view(b.now); v.Controllers[1].LagS != 0 || v.Controllers[1].Revision != 3 || v.Controllers[2].Heard {
 		t.Errorf("%+v", v.Controllers)
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -237,7 +237,7 @@
 // ConfigAcknowledged takes another controller's word on the revision that it has in force.
 func (t *Term) ConfigAcknowledged(now time.Duration, peer string, revision uint64) {
 	if t.config != nil && t.loaded {
-		t.config.Held(now, peer, revision)
+		t.config.Acknowledged(now, peer, revision)
 	}
 }
 
