--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -44,7 +44,7 @@
 				return err
 			}
 			// The leader is not reached: what this controller has, and how old that is.
-			var h reconfig.Here
+			var h reconfig.LocalView
 			return o.ask(out, path+"/"+reconfig.ViewHere, &h, func() { printHere(out, &h) })
 		},
 	})
@@ -99,7 +99,7 @@
 	return "revision " + strconv.FormatUint(revision, 10)
 }
 
-func printHere(out io.Writer, h *reconfig.Here) {
+func printHere(out io.Writer, h *reconfig.LocalView) {
 	age := "no leader has told of it"
 	if h.AgeS >= 0 {
 		age = "a leader told of it " + seconds(h.AgeS) + " ago"
--- a/internal/leader/reconfig/show.go
+++ b/internal/leader/reconfig/show.go
@@ -113,8 +113,8 @@
 	return (now - d.Config.Since()).Seconds()
 }
 
-// Here is what one controller has, by its own word. It decides nothing by it.
-type Here struct {
+// LocalView is what one controller has, by its own word. It decides nothing by it.
+type LocalView struct {
 	Node     string       `json:"node"`
 	Leads    bool         `json:"leads,omitempty"`
 	Leader   string       `json:"leader,omitempty"`
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -235,9 +235,9 @@
 }
 
 // ConfigHere is what this node has of the configuration, and since when.
-func (c *Core) ConfigHere(now time.Duration) reconfig.Here {
+func (c *Core) ConfigHere(now time.Duration) reconfig.LocalView {
 	leading, leader := c.Leading()
-	h := reconfig.Here{Node: c.cfg.Node, Leads: leading, Leader: leader, Revision: c.config.Revision(), SinceS: (now - c.config.Since()).Seconds(), AgeS: -1, Sets: c.config.All()}
+	h := reconfig.LocalView{Node: c.cfg.Node, Leads: leading, Leader: leader, Revision: c.config.Revision(), SinceS: (now - c.config.Since()).Seconds(), AgeS: -1, Sets: c.config.All()}
 	switch heard := c.config.Heard(); {
 	case c.ready(now):
 		h.AgeS = 0
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -178,7 +178,7 @@
 		if err != nil {
 			return 0, false
 		}
-		var here reconfig.Here
+		var here reconfig.LocalView
 		err = json.NewDecoder(resp.Body).Decode(&here)
 		resp.Body.Close()
 		if err != nil || resp.StatusCode != http.StatusOK {
