--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -90,12 +90,12 @@
 		t.Errorf("told: %+v", second)
 	}
 	var r Replica
-	r.Hear(1, second)
+	r.Apply(1, second)
 	if r.Revision() != 0 || r.Heard() != 1 {
 		t.Error("an update that lacks something was taken")
 	}
 	for now, u := range []Update{first, second, first, second} {
-		r.Hear(2, u)
+		r.Apply(2, u)
 		if want := min(uint64(now)+1, 2); r.Revision() != want {
 			t.Errorf("after %d updates it has revision %d", now+1, r.Revision())
 		}
--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -105,9 +105,9 @@
 // All lists what was ever set, as far as the controller has heard.
 func (r *Replica) All() []Set { return r.doc.All() }
 
-// Hear takes what a leader tells. It never goes back to an older revision: what comes late, or
+// Apply takes what a leader tells. It never goes back to an older revision: what comes late, or
 // lacks something in between, changes nothing.
-func (r *Replica) Hear(now time.Duration, u Update) {
+func (r *Replica) Apply(now time.Duration, u Update) {
 	r.heard = now
 	if u.To <= r.doc.revision || u.From > r.doc.revision {
 		return
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -222,7 +222,7 @@
 // revision that this node has in force then.
 func (c *Core) ConfigTold(now time.Duration, node string, u config.Update) uint64 {
 	if c.term == nil && node == c.lead.LeaderName() {
-		c.config.Hear(now, u)
+		c.config.Apply(now, u)
 	}
 	return c.config.Revision()
 }
