--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -119,8 +119,8 @@
 	r.since = now
 }
 
-// Keep takes over a leader's own document.
-func (r *Replica) Keep(now time.Duration, d *Document) {
+// Store takes over a leader's own document.
+func (r *Replica) Store(now time.Duration, d *Document) {
 	r.heard = now
 	if d.revision > r.doc.revision {
 		r.doc, r.since = d.clone(), now
--- a/internal/leader/reconfig/duty.go
+++ b/internal/leader/reconfig/duty.go
@@ -100,7 +100,7 @@
 		if had := d.Config.Revision(); had > d.doc.Revision() {
 			d.lacks(had)
 		}
-		d.Config.Keep(now, &d.doc)
+		d.Config.Store(now, &d.doc)
 	}
 	for _, c := range d.controllers {
 		c.behindSince = now
@@ -130,7 +130,7 @@
 	}
 	d.measure()
 	if d.Config != nil {
-		d.Config.Keep(now, &d.doc)
+		d.Config.Store(now, &d.doc)
 	}
 	d.wrote(now, r.Number)
 	d.LogMessage(effects.Info, "the configuration has changed", "revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
