--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -91,7 +91,7 @@
 	}
 	var r Replica
 	r.Apply(1, second)
-	if r.Revision() != 0 || r.Heard() != 1 {
+	if r.Revision() != 0 || r.UpdatedAt() != 1 {
 		t.Error("an update that lacks something was taken")
 	}
 	for now, u := range []Update{first, second, first, second} {
--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -99,8 +99,8 @@
 // Since is when that revision came, Heard when a leader last told of it; 0: never.
 func (r *Replica) Since() time.Duration { return r.since }
 
-// Heard is when a leader last told of the configuration; 0: never.
-func (r *Replica) Heard() time.Duration { return r.heard }
+// UpdatedAt is when a leader last told of the configuration; 0: never.
+func (r *Replica) UpdatedAt() time.Duration { return r.heard }
 
 // All lists what was ever set, as far as the controller has heard.
 func (r *Replica) All() []Set { return r.doc.All() }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -238,7 +238,7 @@
 func (c *Core) ConfigHere(now time.Duration) reconfig.LocalView {
 	leading, leader := c.Leading()
 	h := reconfig.LocalView{Node: c.cfg.Node, Leads: leading, Leader: leader, Revision: c.config.Revision(), SinceS: (now - c.config.Since()).Seconds(), AgeS: -1, Sets: c.config.All()}
-	switch heard := c.config.Heard(); {
+	switch heard := c.config.UpdatedAt(); {
 	case c.ready(now):
 		h.AgeS = 0
 	case heard > 0:
