--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -214,7 +214,7 @@
 	case effects.AskPreviousLeader:
 		if p := n.peers[e.Peer]; p != nil {
 			go func() {
-				var a LedAnswer
+				var a PreviousLeaderAnswer
 				err := p.call("Controller.LedBefore", e.Epoch, &a)
 				n.post(func(now time.Duration) {
 					until := now - time.Duration(a.AgoMS)*time.Millisecond
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -114,19 +114,19 @@
 // so that a leader that knows nothing of them refuses it.
 func (c *Controller) AskCounted(in UserRequest, out *effects.Answer) error { return c.Ask(in, out) }
 
-// LedAnswer says how long ago a controller last heard a leader, if it ever did, for how
+// PreviousLeaderAnswer says how long ago a controller last heard a leader, if it ever did, for how
 // long it heard that one, and what that said of its fleet.
-type LedAnswer struct {
+type PreviousLeaderAnswer struct {
 	Ever            bool
 	AgoMS, LastedMS int64
 	Fleet           leadership.FleetKnowledge
 }
 
 // LedBefore tells a new leader when this controller last heard one of an earlier epoch.
-func (c *Controller) LedBefore(epoch uint64, out *LedAnswer) error {
+func (c *Controller) LedBefore(epoch uint64, out *PreviousLeaderAnswer) error {
 	return c.n.here(func(now time.Duration) {
 		led := c.n.core.LedBefore(epoch)
-		*out = LedAnswer{led.Ever, (now - led.Until).Milliseconds(), (led.Until - led.Since).Milliseconds(), led.Fleet}
+		*out = PreviousLeaderAnswer{led.Ever, (now - led.Until).Milliseconds(), (led.Until - led.Since).Milliseconds(), led.Fleet}
 	})
 }
 
