--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -208,7 +208,7 @@
 		if p := n.peers[e.Peer]; p != nil {
 			go func() {
 				ok := p.reaches()
-				n.post(func(now time.Duration) { n.core.Reached(now, e.Peer, ok) })
+				n.post(func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
 			}()
 		}
 	case effects.AskPreviousLeader:
@@ -501,7 +501,7 @@
 		n.log.Debug("leader not reached", "leader", s.leader, "error", err)
 		var remote rpc.ServerError
 		if !errors.As(err, &remote) {
-			_ = n.try(func(now time.Duration) { n.core.Reached(now, s.leader, false) })
+			_ = n.try(func(now time.Duration) { n.core.PeerReached(now, s.leader, false) })
 		}
 		return effects.Unavailable("the leader does not answer")
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -113,7 +113,7 @@
 		return
 	}
 	r := o.report
-	c.Reached(now, o.leader, ok)
+	c.PeerReached(now, o.leader, ok)
 	if leader := c.lead.LeaderName(); !ok && o.tries < handOns && leader != "" && leader != o.leader {
 		c.take(now, to, o) // somebody else leads by now, this node perhaps
 		return
@@ -131,8 +131,8 @@
 	c.after(now)
 }
 
-// Reached notes whether a call reached the leader of that name, or a probe of it.
-func (c *Core) Reached(now time.Duration, leader string, ok bool) {
+// PeerReached notes whether a call reached the leader of that name, or a probe of it.
+func (c *Core) PeerReached(now time.Duration, leader string, ok bool) {
 	switch {
 	case leader != c.lead.LeaderName():
 	case ok:
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -462,7 +462,7 @@
 					reply(true)
 				}
 			}, func(_, ok bool) {
-				c.into(func(now time.Duration) { c.core.Reached(now, o.name, ok) })()
+				c.into(func(now time.Duration) { c.core.PeerReached(now, o.name, ok) })()
 			})
 		}
 	case effects.AskPreviousLeader:
