--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -165,7 +165,7 @@
 		}
 		leading, leader := n.core.Leading()
 		now := time.Since(n.start)
-		n.now.Store(&standing{leading, leader, n.core.Apart(now), now})
+		n.now.Store(&standing{leading, leader, n.core.Partitioned(now), now})
 	}
 }
 
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -142,10 +142,10 @@
 	}
 }
 
-// Apart says whether somebody leads, as the state service shows, whom this node
+// Partitioned says whether somebody leads, as the state service shows, whom this node
 // has not reached for longer than a dead leader's hold lasts: it can take neither
 // users' requests nor reports.
-func (c *Core) Apart(now time.Duration) bool {
+func (c *Core) Partitioned(now time.Duration) bool {
 	leader := c.lead.LeaderName()
 	return leader != "" && leader == c.apartFrom && now-c.lostAt >= c.tooFar() && c.lead.Watching()
 }
@@ -180,7 +180,7 @@
 	if _, back := c.sentTo[r.Machine]; back {
 		c.backAt = now
 	}
-	if (c.backAt > 0 && now-c.backAt < sendAgain) || !c.Apart(now) {
+	if (c.backAt > 0 && now-c.backAt < sendAgain) || !c.Partitioned(now) {
 		return false
 	}
 	if _, ours := c.hold.KeepAlive(now, r); !ours {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -291,7 +291,7 @@
 	case "apart": // nodes that do not reach the leader, and say so to the load balancer
 		n := 0
 		for _, c := range s.nodes {
-			if c.up && c.core.Apart(c.clock()) {
+			if c.up && c.core.Partitioned(c.clock()) {
 				n++
 			}
 		}
