--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -266,7 +266,7 @@
 	case effects.ProbeWorker:
 		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
 			ok := n.workers.Show(ctx, e.Address)
-			return func(now time.Duration) { n.core.Asked(now, epoch, e.Machine, ok) }
+			return func(now time.Duration) { n.core.WorkerProbed(now, epoch, e.Machine, ok) }
 		})
 	case effects.Dispatch: // the leader bounds how many are under way
 		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -92,8 +92,8 @@
 	c.after(now)
 }
 
-// Asked takes whether a silent worker that was asked has answered.
-func (c *Core) Asked(now time.Duration, epoch uint64, machine string, ok bool) {
+// WorkerProbed takes whether a silent worker that was asked has answered.
+func (c *Core) WorkerProbed(now time.Duration, epoch uint64, machine string, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.WorkerProbed(machine, ok)
 	}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -511,7 +511,7 @@
 				}
 			}, func(_, ok bool) {
 				if c.life == life {
-					c.into(func(now time.Duration) { c.core.Asked(now, epoch, e.Machine, ok) })()
+					c.into(func(now time.Duration) { c.core.WorkerProbed(now, epoch, e.Machine, ok) })()
 				}
 			})
 		}
