--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -274,7 +274,7 @@
 			if err != nil {
 				n.log.Debug("worker not reached", "address", e.Address, "error", err)
 			}
-			return func(now time.Duration) { n.core.Launched(now, epoch, e.Machine, e.Token, e.Starts, r) }
+			return func(now time.Duration) { n.core.Dispatched(now, epoch, e.Machine, e.Token, e.Starts, r) }
 		})
 	case effects.Notify:
 		if n.hook != nil {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -100,9 +100,9 @@
 	c.after(now)
 }
 
-// Launched takes a worker's report after starts that were sent straight to it; nil: it is
+// Dispatched takes a worker's report after starts that were sent straight to it; nil: it is
 // not known what became of them.
-func (c *Core) Launched(now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, r *workers.Report) {
+func (c *Core) Dispatched(now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.Dispatched(now, c.lead.LeaseValid(now), machine, token, starts, r)
 	}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -532,7 +532,7 @@
 				w.direct(e.Token, e.Session, e.Starts, reply)
 			}, func(r *workers.Report, _ bool) {
 				if c.life == life {
-					c.into(func(now time.Duration) { c.core.Launched(now, epoch, e.Machine, e.Token, e.Starts, r) })()
+					c.into(func(now time.Duration) { c.core.Dispatched(now, epoch, e.Machine, e.Token, e.Starts, r) })()
 				}
 			})
 		}
