--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -235,7 +235,7 @@
 	case effects.ReadBack:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			it, err := n.state.Get(ctx, e.Key)
-			return func(now time.Duration) { n.core.Rechecked(now, epoch, err == nil, it.Mark, it.Value) }
+			return func(now time.Duration) { n.core.ReadBack(now, epoch, err == nil, it.Mark, it.Value) }
 		})
 	case effects.ReadSegments:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -59,8 +59,8 @@
 	c.after(now)
 }
 
-// Rechecked takes the value that settles a commit without an answer.
-func (c *Core) Rechecked(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
+// ReadBack takes the value that settles a commit without an answer.
+func (c *Core) ReadBack(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.ReadBack(now, c.lead.LeaseValid(now), read, mark, value)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -327,7 +327,7 @@
 		}
 	}, func(it item, ok bool) {
 		if c.life == life {
-			c.into(func(now time.Duration) { c.core.Rechecked(now, epoch, ok, it.mark, it.value) })()
+			c.into(func(now time.Duration) { c.core.ReadBack(now, epoch, ok, it.mark, it.value) })()
 		}
 	})
 }
