--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -240,7 +240,9 @@
 	case effects.ReadSegments:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			entries, err := n.segments(ctx, e.First, e.First+e.Count)
-			return func(now time.Duration) { n.core.Cleaned(now, epoch, e.First, e.First+e.Count, err == nil, entries) }
+			return func(now time.Duration) {
+				n.core.SegmentsRead(now, epoch, e.First, e.First+e.Count, err == nil, entries)
+			}
 		})
 	case effects.ReadValues:
 		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -67,9 +67,9 @@
 	c.after(now)
 }
 
-// Cleaned takes the log's oldest segments, read back: from the first one on,
+// SegmentsRead takes the log's oldest segments, read back: from the first one on,
 // those numbered below end.
-func (c *Core) Cleaned(now time.Duration, epoch uint64, first, end int, read bool, entries []eventlog.Entry) {
+func (c *Core) SegmentsRead(now time.Duration, epoch uint64, first, end int, read bool, entries []eventlog.Entry) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.Cleaned(now, first, end, read, entries)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -348,7 +348,7 @@
 		reply(list)
 	}, func(list []eventlog.Entry, ok bool) {
 		if c.life == life {
-			c.into(func(now time.Duration) { c.core.Cleaned(now, epoch, first, end, ok, list) })()
+			c.into(func(now time.Duration) { c.core.SegmentsRead(now, epoch, first, end, ok, list) })()
 		}
 	})
 }
