--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -303,7 +303,7 @@
 			if err != nil {
 				n.log.Debug("machine types not read", "error", err)
 			}
-			return func(now time.Duration) { n.core.GotTypes(now, epoch, list) }
+			return func(now time.Duration) { n.core.MachineTypesListed(now, epoch, list) }
 		})
 	case effects.LogMessage:
 		n.log.Log(context.Background(), []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}[e.Level], e.Message, e.Args...)
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -117,8 +117,8 @@
 	c.after(now)
 }
 
-// GotTypes takes the machine types; an empty list is a failure.
-func (c *Core) GotTypes(now time.Duration, epoch uint64, list []eventlog.MachineType) {
+// MachineTypesListed takes the machine types; an empty list is a failure.
+func (c *Core) MachineTypesListed(now time.Duration, epoch uint64, list []eventlog.MachineType) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.MachineTypesListed(now, list)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -672,7 +672,7 @@
 		reply(types)
 	}, func(list []eventlog.MachineType, _ bool) {
 		if c.life == life {
-			c.into(func(now time.Duration) { c.core.GotTypes(now, epoch, list) })()
+			c.into(func(now time.Duration) { c.core.MachineTypesListed(now, epoch, list) })()
 		}
 	})
 }
