--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -250,7 +250,7 @@
 			if err != nil {
 				n.log.Debug("values not read", "duty", e.Duty, "error", err)
 			}
-			return func(now time.Duration) { n.core.GotValues(now, epoch, e.Duty, list, more, err == nil) }
+			return func(now time.Duration) { n.core.ValuesRead(now, epoch, e.Duty, list, more, err == nil) }
 		})
 	case effects.SendStops:
 		select {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -76,8 +76,8 @@
 	c.after(now)
 }
 
-// GotValues takes a page of a duty's own values.
-func (c *Core) GotValues(now time.Duration, epoch uint64, duty string, list []eventlog.Value, more, ok bool) {
+// ValuesRead takes a page of a duty's own values.
+func (c *Core) ValuesRead(now time.Duration, epoch uint64, duty string, list []eventlog.Value, more, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.ValuesRead(now, duty, list, more, ok)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -378,7 +378,7 @@
 		reply(p)
 	}, func(p page, ok bool) {
 		if c.life == life {
-			c.into(func(now time.Duration) { c.core.GotValues(now, epoch, duty, p.list, p.more, ok) })()
+			c.into(func(now time.Duration) { c.core.ValuesRead(now, epoch, duty, p.list, p.more, ok) })()
 		}
 	})
 }
