--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -295,7 +295,7 @@
 	case effects.ListMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			list, err := n.cloud.List(ctx)
-			return func(now time.Duration) { n.core.Listed(now, epoch, list, err == nil) }
+			return func(now time.Duration) { n.core.MachinesListed(now, epoch, list, err == nil) }
 		})
 	case effects.ListMachineTypes:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -125,8 +125,8 @@
 	c.after(now)
 }
 
-// Listed takes the cloud's list of machines.
-func (c *Core) Listed(now time.Duration, epoch uint64, list []wire.Listed, ok bool) {
+// MachinesListed takes the cloud's list of machines.
+func (c *Core) MachinesListed(now time.Duration, epoch uint64, list []wire.Listed, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.MachinesListed(now, list, ok)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -696,7 +696,7 @@
 		}
 	}, func(list []wire.Listed, ok bool) {
 		if c.life == life {
-			c.into(func(now time.Duration) { c.core.Listed(now, epoch, list, ok) })()
+			c.into(func(now time.Duration) { c.core.MachinesListed(now, epoch, list, ok) })()
 		}
 	})
 }
