--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -285,7 +285,7 @@
 	case effects.RentMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			names, res := n.cloud.Rent(ctx, e.Rental)
-			return func(now time.Duration) { n.core.Rented(now, epoch, e.Rental.Name, names, res) }
+			return func(now time.Duration) { n.core.RentalAnswered(now, epoch, e.Rental.Name, names, res) }
 		})
 	case effects.DeleteMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -109,8 +109,8 @@
 	c.after(now)
 }
 
-// Rented takes the result of a rental request.
-func (c *Core) Rented(now time.Duration, epoch uint64, name string, machines []string, res wire.RentResult) {
+// RentalAnswered takes the result of a rental request.
+func (c *Core) RentalAnswered(now time.Duration, epoch uint64, name string, machines []string, res wire.RentResult) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.RentalAnswered(now, name, machines, res)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -603,7 +603,7 @@
 		cl.late = 0
 		cl.s.after(wait, func() {
 			if c.life == life {
-				c.into(func(now time.Duration) { c.core.Rented(now, epoch, r.Name, nil, wire.NoAnswer) })()
+				c.into(func(now time.Duration) { c.core.RentalAnswered(now, epoch, r.Name, nil, wire.NoAnswer) })()
 			}
 		})
 		return
@@ -634,7 +634,7 @@
 			cl.told[n] = true
 		}
 		if c.life == life {
-			c.into(func(now time.Duration) { c.core.Rented(now, epoch, r.Name, x.names, x.res) })()
+			c.into(func(now time.Duration) { c.core.RentalAnswered(now, epoch, r.Name, x.names, x.res) })()
 		}
 	})
 }
