--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -290,7 +290,7 @@
 	case effects.DeleteMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			ok := n.cloud.Delete(ctx, e.Machines)
-			return func(now time.Duration) { n.core.Deleted(now, epoch, e.Machines, ok) }
+			return func(now time.Duration) { n.core.MachinesDeleted(now, epoch, e.Machines, ok) }
 		})
 	case effects.ListMachines:
 		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -84,8 +84,8 @@
 	c.after(now)
 }
 
-// Deleted takes the result of a deletion.
-func (c *Core) Deleted(now time.Duration, epoch uint64, list []string, ok bool) {
+// MachinesDeleted takes the result of a deletion.
+func (c *Core) MachinesDeleted(now time.Duration, epoch uint64, list []string, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.MachinesDeleted(now, list, ok)
 	}
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -191,7 +191,7 @@
 			w := holder(s)
 			s.cuts = append(s.cuts, &cut{host: w.name})
 			l := s.leader()
-			l.core.Deleted(l.clock(), l.core.Epoch(), []string{w.name}, true) // nobody has deleted it
+			l.core.MachinesDeleted(l.clock(), l.core.Epoch(), []string{w.name}, true) // nobody has deleted it
 			l.drain()
 			s.run(40 * time.Second) // its lease still holds
 			return s
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -657,7 +657,7 @@
 		reply(true)
 	}, func(res, ok bool) {
 		if c.life == life {
-			c.into(func(now time.Duration) { c.core.Deleted(now, epoch, names, res && ok) })()
+			c.into(func(now time.Duration) { c.core.MachinesDeleted(now, epoch, names, res && ok) })()
 		}
 	})
 }
