--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -362,7 +362,7 @@
 	case leadership.CreateLease:
 		id, ok := n.state.Hold(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
 		backOff(ok)
-		n.post(func(now time.Duration) { n.core.Held(now, o.Sequence, ok, id) })
+		n.post(func(now time.Duration) { n.core.LeaseCreated(now, o.Sequence, ok, id) })
 	case leadership.ClaimLeadership:
 		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.LeaseID)
 		backOff(ok)
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -23,8 +23,8 @@
 	c.after(now)
 }
 
-// Held takes the result of leadership's Hold.
-func (c *Core) Held(now time.Duration, seq uint64, ok bool, hold uint64) {
+// LeaseCreated takes the result of leadership's Hold.
+func (c *Core) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) {
 	c.orders(c.lead.LeaseCreated(now, seq, ok, hold))
 	c.after(now)
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -457,7 +457,7 @@
 			case leadership.WatchKeys:
 				c.core.Changed(now, o.Sequence, r.ok)
 			case leadership.CreateLease:
-				c.core.Held(now, o.Sequence, r.ok, r.id)
+				c.core.LeaseCreated(now, o.Sequence, r.ok, r.id)
 			case leadership.ClaimLeadership:
 				c.core.Claimed(now, o.Sequence, r.ok, r.id)
 			case leadership.RenewLease:
