--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -355,7 +355,7 @@
 	case leadership.ReadKeys:
 		v, err := n.state.ReadLeadership(ctx)
 		backOff(err == nil)
-		n.post(func(now time.Duration) { n.core.Seen(now, o.Sequence, err == nil, v) })
+		n.post(func(now time.Duration) { n.core.KeysRead(now, o.Sequence, err == nil, v) })
 	case leadership.WatchKeys:
 		ok := n.state.Follow(ctx, leadership.Prefix, o.Revision, watchFor)
 		n.post(func(now time.Duration) { n.core.Changed(now, o.Sequence, ok) })
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -11,8 +11,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// Seen takes the result of leadership's Read.
-func (c *Core) Seen(now time.Duration, seq uint64, ok bool, v leadership.View) {
+// KeysRead takes the result of leadership's Read.
+func (c *Core) KeysRead(now time.Duration, seq uint64, ok bool, v leadership.View) {
 	c.orders(c.lead.KeysRead(now, seq, ok, v))
 	c.after(now)
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -453,7 +453,7 @@
 		c.into(func(now time.Duration) {
 			switch o.Action {
 			case leadership.ReadKeys:
-				c.core.Seen(now, o.Sequence, r.ok, r.view)
+				c.core.KeysRead(now, o.Sequence, r.ok, r.view)
 			case leadership.WatchKeys:
 				c.core.Changed(now, o.Sequence, r.ok)
 			case leadership.CreateLease:
