--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -358,7 +358,7 @@
 		n.post(func(now time.Duration) { n.core.KeysRead(now, o.Sequence, err == nil, v) })
 	case leadership.WatchKeys:
 		ok := n.state.Follow(ctx, leadership.Prefix, o.Revision, watchFor)
-		n.post(func(now time.Duration) { n.core.Changed(now, o.Sequence, ok) })
+		n.post(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
 	case leadership.CreateLease:
 		id, ok := n.state.Hold(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
 		backOff(ok)
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -17,8 +17,8 @@
 	c.after(now)
 }
 
-// Changed takes the result of leadership's Watch.
-func (c *Core) Changed(now time.Duration, seq uint64, ok bool) {
+// WatchEnded takes the result of leadership's Watch.
+func (c *Core) WatchEnded(now time.Duration, seq uint64, ok bool) {
 	c.orders(c.lead.WatchEnded(now, seq, ok))
 	c.after(now)
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -455,7 +455,7 @@
 			case leadership.ReadKeys:
 				c.core.KeysRead(now, o.Sequence, r.ok, r.view)
 			case leadership.WatchKeys:
-				c.core.Changed(now, o.Sequence, r.ok)
+				c.core.WatchEnded(now, o.Sequence, r.ok)
 			case leadership.CreateLease:
 				c.core.LeaseCreated(now, o.Sequence, r.ok, r.id)
 			case leadership.ClaimLeadership:
