--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -366,7 +366,7 @@
 	case leadership.ClaimLeadership:
 		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.LeaseID)
 		backOff(ok)
-		n.post(func(now time.Duration) { n.core.Claimed(now, o.Sequence, ok, mark) })
+		n.post(func(now time.Duration) { n.core.LeadershipClaimed(now, o.Sequence, ok, mark) })
 	case leadership.RenewLease:
 		ok, gone := n.state.Renew(ctx, o.LeaseID)
 		n.post(func(now time.Duration) { n.core.Renewed(now, o.Sequence, ok, gone) })
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -29,8 +29,8 @@
 	c.after(now)
 }
 
-// Claimed takes the result of leadership's Claim.
-func (c *Core) Claimed(now time.Duration, seq uint64, ok bool, mark uint64) {
+// LeadershipClaimed takes the result of leadership's Claim.
+func (c *Core) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) {
 	c.orders(c.lead.LeadershipClaimed(now, seq, ok, mark))
 	c.after(now)
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -459,7 +459,7 @@
 			case leadership.CreateLease:
 				c.core.LeaseCreated(now, o.Sequence, r.ok, r.id)
 			case leadership.ClaimLeadership:
-				c.core.Claimed(now, o.Sequence, r.ok, r.id)
+				c.core.LeadershipClaimed(now, o.Sequence, r.ok, r.id)
 			case leadership.RenewLease:
 				c.core.Renewed(now, o.Sequence, r.ok, r.gone && ok)
 			}
