--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -369,7 +369,7 @@
 		n.post(func(now time.Duration) { n.core.LeadershipClaimed(now, o.Sequence, ok, mark) })
 	case leadership.RenewLease:
 		ok, gone := n.state.Renew(ctx, o.LeaseID)
-		n.post(func(now time.Duration) { n.core.Renewed(now, o.Sequence, ok, gone) })
+		n.post(func(now time.Duration) { n.core.LeaseRenewed(now, o.Sequence, ok, gone) })
 	case leadership.ReleaseLease:
 		n.state.Release(ctx, o.LeaseID)
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -35,8 +35,8 @@
 	c.after(now)
 }
 
-// Renewed takes the result of leadership's Renew.
-func (c *Core) Renewed(now time.Duration, seq uint64, ok, gone bool) {
+// LeaseRenewed takes the result of leadership's Renew.
+func (c *Core) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) {
 	c.orders(c.lead.LeaseRenewed(now, seq, ok, gone))
 	c.after(now)
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -461,7 +461,7 @@
 			case leadership.ClaimLeadership:
 				c.core.LeadershipClaimed(now, o.Sequence, r.ok, r.id)
 			case leadership.RenewLease:
-				c.core.Renewed(now, o.Sequence, r.ok, r.gone && ok)
+				c.core.LeaseRenewed(now, o.Sequence, r.ok, r.gone && ok)
 			}
 		})()
 	}
