--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -41,8 +41,8 @@
 	c.after(now)
 }
 
-// Loaded takes the whole log, read after the term began.
-func (c *Core) Loaded(now time.Duration, epoch uint64, log term.LoadedLog) {
+// LogLoaded takes the whole log, read after the term began.
+func (c *Core) LogLoaded(now time.Duration, epoch uint64, log term.LoadedLog) {
 	if c.term != nil && c.term.Epoch == epoch && !c.term.Loaded() {
 		c.term.Load(now, c.lead.EpochVersion(), log)
 	}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -20,7 +20,7 @@
 	for {
 		durable, err := n.readAll()
 		if err == nil {
-			n.post(func(now time.Duration) { n.core.Loaded(now, epoch, durable) })
+			n.post(func(now time.Duration) { n.core.LogLoaded(now, epoch, durable) })
 			return
 		}
 		n.log.Warn("durable state not read", "epoch", epoch, "error", err)
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -433,7 +433,7 @@
 			return
 		}
 		st.s.scale.read(r)
-		c.into(func(now time.Duration) { c.core.Loaded(now, epoch, r) })()
+		c.into(func(now time.Duration) { c.core.LogLoaded(now, epoch, r) })()
 	})
 }
 
