--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -203,9 +203,9 @@
 // LedBefore is what this node knows of the last leader of an epoch before the given one.
 func (c *Core) LedBefore(epoch uint64) leadership.LeaderRecord { return c.lead.PreviousLeader(epoch) }
 
-// PeerLed takes a peer's answer to AskLed, with its times on this node's clock; known is
+// PreviousLeaderReported takes a peer's answer to AskLed, with its times on this node's clock; known is
 // false where there was none.
-func (c *Core) PeerLed(now time.Duration, epoch uint64, peer string, led leadership.LeaderRecord, known bool) {
+func (c *Core) PreviousLeaderReported(now time.Duration, epoch uint64, peer string, led leadership.LeaderRecord, known bool) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.PreviousLeaderReported(now, peer, led, known)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -218,7 +218,7 @@
 				err := p.call("Controller.LedBefore", e.Epoch, &a)
 				n.post(func(now time.Duration) {
 					until := now - time.Duration(a.AgoMS)*time.Millisecond
-					n.core.PeerLed(now, e.Epoch, e.Peer, leadership.LeaderRecord{Ever: a.Ever, Since: until - time.Duration(a.LastedMS)*time.Millisecond, Until: until, Fleet: a.Fleet}, err == nil)
+					n.core.PreviousLeaderReported(now, e.Epoch, e.Peer, leadership.LeaderRecord{Ever: a.Ever, Since: until - time.Duration(a.LastedMS)*time.Millisecond, Until: until, Fleet: a.Fleet}, err == nil)
 				})
 			}()
 		}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -478,7 +478,7 @@
 				if c.life == life {
 					c.into(func(now time.Duration) {
 						led.Since, led.Until = now+led.Since, now+led.Until
-						c.core.PeerLed(now, e.Epoch, o.name, led, ok)
+						c.core.PreviousLeaderReported(now, e.Epoch, o.name, led, ok)
 					})()
 				}
 			})
