--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -200,8 +200,10 @@
 	}
 }
 
-// LedBefore is what this node knows of the last leader of an epoch before the given one.
-func (c *Core) LedBefore(epoch uint64) leadership.LeaderRecord { return c.lead.PreviousLeader(epoch) }
+// PreviousLeader is what this node knows of the last leader of an epoch before the given one.
+func (c *Core) PreviousLeader(epoch uint64) leadership.LeaderRecord {
+	return c.lead.PreviousLeader(epoch)
+}
 
 // PreviousLeaderReported takes a peer's answer to AskLed, with its times on this node's clock; known is
 // false where there was none.
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -125,7 +125,7 @@
 // LedBefore tells a new leader when this controller last heard one of an earlier epoch.
 func (c *Controller) LedBefore(epoch uint64, out *PreviousLeaderAnswer) error {
 	return c.n.here(func(now time.Duration) {
-		led := c.n.core.LedBefore(epoch)
+		led := c.n.core.PreviousLeader(epoch)
 		*out = PreviousLeaderAnswer{led.Ever, (now - led.Until).Milliseconds(), (led.Until - led.Since).Milliseconds(), led.Fleet}
 	})
 }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -470,7 +470,7 @@
 			life := c.life
 			call(s, c.name, o.name, wait, func(reply func(leadership.LeaderRecord)) {
 				if o.up && !o.old {
-					led, now := o.core.LedBefore(e.Epoch), o.clock()
+					led, now := o.core.PreviousLeader(e.Epoch), o.clock()
 					led.Since, led.Until = led.Since-now, led.Until-now // so long before
 					reply(led)
 				}
