--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -220,9 +220,9 @@
 	c.after(now)
 }
 
-// ConfigTold takes what the leader that has just sent a heartbeat tells of the configuration, and gives the
+// ApplyConfig takes what the leader that has just sent a heartbeat tells of the configuration, and gives the
 // revision that this node has in force then.
-func (c *Core) ConfigTold(now time.Duration, node string, u config.Update) uint64 {
+func (c *Core) ApplyConfig(now time.Duration, node string, u config.Update) uint64 {
 	if c.term == nil && node == c.lead.LeaderName() {
 		c.config.Apply(now, u)
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -161,7 +161,7 @@
 	}
 	return c.n.here(func(now time.Duration) {
 		c.n.core.HeartbeatReceived(now, in.Heartbeat.Node, in.Heartbeat.Epoch, in.Heartbeat.Fleet)
-		out.Revision = c.n.core.ConfigTold(now, in.Heartbeat.Node, in.Update)
+		out.Revision = c.n.core.ApplyConfig(now, in.Heartbeat.Node, in.Update)
 	})
 }
 
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -138,7 +138,7 @@
 	}
 	s.watchConfig(to)
 	defer s.watchConfig(to)
-	return to.core.ConfigTold(to.clock(), from.name, *u)
+	return to.core.ApplyConfig(to.clock(), from.name, *u)
 }
 
 // watchConfig holds that no controller goes back to an older revision, and that a leader has all
