--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -229,8 +229,8 @@
 	return c.config.Revision()
 }
 
-// ConfigHeld takes a peer's word on the revision that it has in force.
-func (c *Core) ConfigHeld(now time.Duration, epoch uint64, peer string, revision uint64) {
+// ConfigAcknowledged takes a peer's word on the revision that it has in force.
+func (c *Core) ConfigAcknowledged(now time.Duration, epoch uint64, peer string, revision uint64) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.ConfigAcknowledged(now, peer, revision)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -320,7 +320,7 @@
 		if err == nil {
 			n.post(func(now time.Duration) {
 				n.core.HeartbeatAnswered(now, e.Peer)
-				n.core.ConfigHeld(now, e.Epoch, e.Peer, a.Revision)
+				n.core.ConfigAcknowledged(now, e.Epoch, e.Peer, a.Revision)
 			})
 			return
 		}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -449,7 +449,7 @@
 					c.into(func(now time.Duration) {
 						c.core.HeartbeatAnswered(now, o.name)
 						if e.Config != nil && !o.old {
-							c.core.ConfigHeld(now, e.Epoch, o.name, revision)
+							c.core.ConfigAcknowledged(now, e.Epoch, o.name, revision)
 						}
 					})()
 				}
