--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -236,8 +236,8 @@
 	}
 }
 
-// ConfigHere is what this node has of the configuration, and since when.
-func (c *Core) ConfigHere(now time.Duration) reconfig.LocalView {
+// LocalConfig is what this node has of the configuration, and since when.
+func (c *Core) LocalConfig(now time.Duration) reconfig.LocalView {
 	leading, leader := c.Leading()
 	h := reconfig.LocalView{Node: c.cfg.Node, Leads: leading, Leader: leader, Revision: c.config.Revision(), SinceS: (now - c.config.Since()).Seconds(), AgeS: -1, Sets: c.config.All()}
 	switch heard := c.config.UpdatedAt(); {
@@ -283,7 +283,7 @@
 // cannot tell, and the answer nil where there is no such duty.
 func (c *Core) Show(now time.Duration, duty string) (raw json.RawMessage, known bool, err error) {
 	if duty == reconfig.Name+"/"+reconfig.ViewHere && c.cfg.Tunables.ConfigHistory > 0 {
-		raw, err = json.Marshal(c.ConfigHere(now)) // of this node, whoever leads
+		raw, err = json.Marshal(c.LocalConfig(now)) // of this node, whoever leads
 		return raw, true, err
 	}
 	if c.term == nil || !c.term.Loaded() {
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -152,7 +152,7 @@
 		p.seen = map[string]uint64{}
 	}
 	key := fmt.Sprint(c.name, c.life)
-	now := c.core.ConfigHere(c.clock()).Revision
+	now := c.core.LocalConfig(c.clock()).Revision
 	if now < p.seen[key] {
 		s.check.fail("config_went_back", "%s had revision %d and has %d", c.name, p.seen[key], now)
 	}
@@ -207,7 +207,7 @@
 		}
 		view, ok := l.configView()
 		for _, c := range s.nodes {
-			ok = ok && c.up && c.core.ConfigHere(c.clock()).Revision == view.Revision
+			ok = ok && c.up && c.core.LocalConfig(c.clock()).Revision == view.Revision
 		}
 		return ok && view.Revision >= s.configs.durable
 	}
@@ -241,7 +241,7 @@
 	}
 	for _, c := range s.nodes {
 		if c.up && !c.old {
-			out = append(out, fmt.Sprintf("%s has %d", c.name, c.core.ConfigHere(c.clock()).Revision))
+			out = append(out, fmt.Sprintf("%s has %d", c.name, c.core.LocalConfig(c.clock()).Revision))
 		}
 	}
 	return strings.Join(out, "\n")
