--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -239,9 +239,9 @@
 	return true
 }
 
-// Relayed serves a report that another controller handed on. It goes no
+// HandleRelayedHeartbeat serves a report that another controller handed on. It goes no
 // further.
-func (c *Core) Relayed(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
+func (c *Core) HandleRelayedHeartbeat(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
 	c.met(now, &in.Report)
 	if c.term == nil {
 		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -427,7 +427,7 @@
 				}
 				o.asker++
 				o.reports[o.asker] = reply
-				s.scale.time("reports of peers", func() { o.core.Relayed(o.clock(), o.asker, between(c, o, e.Report)) })
+				s.scale.time("reports of peers", func() { o.core.HandleRelayedHeartbeat(o.clock(), o.asker, between(c, o, e.Report)) })
 				o.drain()
 			}, func(a effects.HeartbeatAnswer, ok bool) {
 				a = answered(c, o, a)
