--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -10,9 +10,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// Report takes a worker's report. The leader answers for its own block; any
+// HandleHeartbeat takes a worker's report. The leader answers for its own block; any
 // other node hands the report to the leader and answers as that says.
-func (c *Core) Report(now time.Duration, to effects.RequestID, r *workers.Report) {
+func (c *Core) HandleHeartbeat(now time.Duration, to effects.RequestID, r *workers.Report) {
 	c.counts.Reports++
 	c.met(now, r)
 	c.take(now, to, &openReport{report: r})
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -210,7 +210,7 @@
 							s.saw("a kept report of an earlier session")
 						}
 					}
-					n.core.Report(n.clock(), 0, r) // nobody hears the answer
+					n.core.HandleHeartbeat(n.clock(), 0, r) // nobody hears the answer
 					n.drain()
 				})
 			}
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -134,7 +134,7 @@
 			if l := w.s.leader(); l != nil && l.core.Epoch() > r.Token>>cluster.TokenBits {
 				w.s.saw("a copy of a report of an earlier term")
 			}
-			o.core.Report(o.clock(), 0, r) // nobody hears the answer
+			o.core.HandleHeartbeat(o.clock(), 0, r) // nobody hears the answer
 			o.drain()
 		}
 	})
@@ -159,7 +159,7 @@
 		}
 		c.asker++
 		c.reports[c.asker] = reply
-		w.s.scale.time("reports", func() { c.core.Report(c.clock(), c.asker, r) })
+		w.s.scale.time("reports", func() { c.core.HandleHeartbeat(c.clock(), c.asker, r) })
 		c.drain()
 	}, func(a effects.HeartbeatAnswer, ok bool) {
 		if life != w.life {
