--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -56,8 +56,8 @@
 	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
 }
 
-// Take returns the effects since the last call.
-func (c *Core) Take() []effects.Effect {
+// TakeEffects returns the effects since the last call.
+func (c *Core) TakeEffects() []effects.Effect {
 	out := c.out
 	for _, e := range out {
 		if r, ok := e.(effects.Reply); ok {
--- a/internal/node/messages_test.go
+++ b/internal/node/messages_test.go
@@ -82,7 +82,7 @@
 	go func() { // the loop's stand-in
 		for f := range n.in {
 			f(time.Second)
-			for _, e := range n.core.Take() {
+			for _, e := range n.core.TakeEffects() {
 				n.do(e)
 			}
 		}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -146,7 +146,7 @@
 		select {
 		case <-ctx.Done():
 			n.core.Stop(time.Since(n.start))
-			for _, e := range n.core.Take() {
+			for _, e := range n.core.TakeEffects() {
 				if o, ok := e.(effects.LeadershipRequest); ok && o.Request.Action == leadership.ReleaseLease {
 					n.lead(o.Request)
 				} else if r, ok := e.(effects.Reply); ok {
@@ -160,7 +160,7 @@
 		case <-tick.C:
 			n.core.Tick(time.Since(n.start))
 		}
-		for _, e := range n.core.Take() {
+		for _, e := range n.core.TakeEffects() {
 			n.do(e)
 		}
 		leading, leader := n.core.Leading()
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -397,7 +397,7 @@
 }
 
 func (c *controller) drain() {
-	for _, e := range c.core.Take() {
+	for _, e := range c.core.TakeEffects() {
 		c.do(e)
 	}
 }
