--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -269,8 +269,8 @@
 	c.after(now)
 }
 
-// Abort cancels a job.
-func (c *Core) Abort(now time.Duration, to effects.RequestID, id uint64) {
+// Cancel cancels a job.
+func (c *Core) Cancel(now time.Duration, to effects.RequestID, id uint64) {
 	if !c.ready(now) {
 		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -479,7 +479,7 @@
 		case opQuery:
 			n.core.Query(now, to, in.ID)
 		default:
-			n.core.Abort(now, to, in.ID)
+			n.core.Cancel(now, to, in.ID)
 		}
 	})
 }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -680,7 +680,7 @@
 func (s *sim) abort(j *userJob, at int) {
 	sent := s.now
 	j.asked = true
-	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Abort(now, to, j.id) }, func(a answer, ok bool) {
+	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Cancel(now, to, j.id) }, func(a answer, ok bool) {
 		if ok && a.Status == 200 {
 			s.check.inOrder(j, a)
 			s.check.told(j, a.Answer, sent)
@@ -733,7 +733,7 @@
 			return
 		}
 		sent := s.now
-		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Abort(now, to, j.id) }, func(a answer, ok bool) {
+		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Cancel(now, to, j.id) }, func(a answer, ok bool) {
 			if ok && a.Status == 200 {
 				s.saw("a done job asked to be cancelled")
 				s.check.told(j, a.Answer, sent)
