--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -43,9 +43,9 @@
 	t.Emit(effects.ReadSegments{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.first)})
 }
 
-// Cleaned takes the segments numbered first to end-1, read back. A key that is
+// SegmentsRead takes the segments numbered first to end-1, read back. A key that is
 // missing has been removed already.
-func (t *Term) Cleaned(now time.Duration, first, end int, read bool, entries []eventlog.Entry) {
+func (t *Term) SegmentsRead(now time.Duration, first, end int, read bool, entries []eventlog.Entry) {
 	if !t.loaded {
 		return
 	}
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -152,7 +152,7 @@
 func cleanAll(t *testing.T, term *Term, entries []eventlog.Entry) {
 	t.Helper()
 	term.first, term.cleaning = 1, true
-	term.Cleaned(time.Minute, 1, 2, true, entries)
+	term.SegmentsRead(time.Minute, 1, 2, true, entries)
 	if term.EventLog.Pending() == 0 {
 		t.Fatal("nothing was kept")
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -71,7 +71,7 @@
 // those numbered below end.
 func (c *Core) SegmentsRead(now time.Duration, epoch uint64, first, end int, read bool, entries []eventlog.Entry) {
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
-		c.term.Cleaned(now, first, end, read, entries)
+		c.term.SegmentsRead(now, first, end, read, entries)
 	}
 	c.after(now)
 }
