--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -112,7 +112,7 @@
 	first := written(t, term, &now)
 	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
 	for _, n := range names {
-		term.Report(time.Second, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}})
+		term.HandleHeartbeat(time.Second, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}})
 	}
 	j := term.Jobs.Find(1)
 	for k := 0; k < 4000; k += 2 {
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -54,7 +54,7 @@
 
 func (t *Term) take(now time.Duration, in *effects.RelayedHeartbeat) {
 	in.Report.Seq++
-	t.Report(now, true, 1, *in)
+	t.HandleHeartbeat(now, true, 1, *in)
 	t.Flush(now)
 	t.TakeEffects()
 }
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -78,7 +78,7 @@
 			r.Token = term.Token
 		}
 		now := time.Duration(0)
-		term.Report(now, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: r})
+		term.HandleHeartbeat(now, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: r})
 		noted, deleted := false, false
 		for range 60 {
 			now += 250 * time.Millisecond
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -409,8 +409,8 @@
 	t.roster.End()
 }
 
-// Report takes in a worker's report, received by a controller.
-func (t *Term) Report(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
+// HandleHeartbeat takes in a worker's report, received by a controller.
+func (t *Term) HandleHeartbeat(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	if !t.loaded {
 		t.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 200, Token: t.Token}})
 		return
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -33,7 +33,7 @@
 	case c.term != nil && c.lonely(now) && c.sendAway(now, to, o.report):
 	case c.term != nil:
 		c.open[to] = o
-		c.term.Report(now, c.lead.LeaseValid(now), to, in)
+		c.term.HandleHeartbeat(now, c.lead.LeaseValid(now), to, in)
 		c.after(now)
 	case leader != "":
 		o.leader = leader
@@ -247,6 +247,6 @@
 		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		return
 	}
-	c.term.Report(now, c.lead.LeaseValid(now), to, in)
+	c.term.HandleHeartbeat(now, c.lead.LeaseValid(now), to, in)
 	c.after(now)
 }
