--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -146,9 +146,9 @@
 // after a second.
 const mostAskers = 64
 
-// Abort cancels a job: its tasks are stopped at once, and its user is told once nothing of
+// Cancel cancels a job: its tasks are stopped at once, and its user is told once nothing of
 // it is left anywhere. A user who cannot be told in time asks again.
-func (d *Component) Abort(now time.Duration, to effects.RequestID, id uint64) {
+func (d *Component) Cancel(now time.Duration, to effects.RequestID, id uint64) {
 	if _, over := d.Jobs.Final(id); over {
 		a, _ := d.state(id)
 		d.Emit(effects.Reply{To: to, Answer: a})
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -275,7 +275,7 @@
 		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
 	}
-	c.term.Users.Abort(now, to, id)
+	c.term.Users.Cancel(now, to, id)
 	c.after(now)
 }
 
