--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -495,11 +495,11 @@
 	}
 }
 
-// CanKeep says whether all that is live of these entries can be written anew.
+// CanCompact says whether all that is live of these entries can be written anew.
 // What was stored under larger limits may be too large now: then it stays
 // where it is until the job is over. A cancellation on its way to the log would
 // stand before the job that is written anew, and be replayed without it.
-func (d *Component) CanKeep(entries []eventlog.Entry) bool {
+func (d *Component) CanCompact(entries []eventlog.Entry) bool {
 	for _, e := range entries {
 		if e.Job == nil {
 			continue
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -76,7 +76,7 @@
 			return false
 		}
 	}
-	return t.Users.CanKeep(entries)
+	return t.Users.CanCompact(entries)
 }
 
 // dropCleaned removes the segments whose live entries are durable elsewhere.
