--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -181,7 +181,7 @@
 			away++
 		}
 	}
-	d.census.Away(now, away)
+	d.census.MachinesLeft(now, away)
 	if before := d.census.done; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
