--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -51,8 +51,8 @@
 	return c
 }
 
-// Heard notes that a machine of a zone is known.
-func (c *Census) Heard(now time.Duration, z int32) {
+// MachineHeard notes that a machine of a zone is known.
+func (c *Census) MachineHeard(now time.Duration, z int32) {
 	if int(z) < len(c.zones) {
 		c.zones[z].heard++
 		c.zones[z].last = now
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -43,7 +43,7 @@
 			if z := r.IntN(len(zones)); left[z] > int(lost*float64(zones[z])) {
 				left[z]--
 				heard++
-				c.Heard(now, int32(z))
+				c.MachineHeard(now, int32(z))
 			}
 			if c.SilenceAllowance() > c.Longest() {
 				t.Fatalf("seed %d: patience of %v, at most %v", seed, c.SilenceAllowance(), c.Longest())
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -233,7 +233,7 @@
 		return
 	}
 	if e.Kind == cluster.MachineResolved && d.census != nil {
-		d.census.Heard(e.At, e.Machine.Zone)
+		d.census.MachineHeard(e.At, e.Machine.Zone)
 	}
 	d.account.hear(d, e)
 }
