--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -134,7 +134,7 @@
 }
 
 // MachinesListed takes the cloud's list of machines.
-func (d *Component) MachinesListed(now time.Duration, list []wire.Listed, ok bool) {
+func (d *Component) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
 	d.listBusy = false
 	d.answered(now, ok)
 	if !ok {
@@ -164,7 +164,7 @@
 // been taken or deleted, however old the list is. What proves that nothing runs there is
 // still the answer to its deletion. Found on days with crashes of all controllers: what
 // the cloud took meanwhile held back most jobs until it had been silent for long enough.
-func (d *Component) dropMissing(now time.Duration, list []wire.Listed) {
+func (d *Component) dropMissing(now time.Duration, list []wire.ListedMachine) {
 	if len(list) == 0 {
 		return
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -459,6 +459,6 @@
 }
 
 // MachinesListed takes the cloud's list of machines.
-func (t *Term) MachinesListed(now time.Duration, list []wire.Listed, ok bool) {
+func (t *Term) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
 	t.fleet.MachinesListed(now, list, ok)
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -126,7 +126,7 @@
 }
 
 // MachinesListed takes the cloud's list of machines.
-func (c *Core) MachinesListed(now time.Duration, epoch uint64, list []wire.Listed, ok bool) {
+func (c *Core) MachinesListed(now time.Duration, epoch uint64, list []wire.ListedMachine, ok bool) {
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.MachinesListed(now, list, ok)
 	}
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -98,7 +98,7 @@
 	if n, err := strconv.Atoi(most); err == nil && n > 0 {
 		limit = min(limit, n)
 	}
-	var list []wire.Listed
+	var list []wire.ListedMachine
 	for _, n := range slices.Sorted(maps.Keys(c.machines)) {
 		if n <= since {
 			continue
@@ -107,7 +107,7 @@
 			return reply{http.StatusOK, wire.MachineList(list, true)}
 		}
 		m := c.machines[n]
-		list = append(list, wire.Listed{Machine: m.Machine, Failed: m.failed, HeldS: time.Since(m.at).Seconds()})
+		list = append(list, wire.ListedMachine{Machine: m.Machine, Failed: m.failed, HeldS: time.Since(m.at).Seconds()})
 	}
 	return reply{http.StatusOK, wire.MachineList(list, false)}
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -679,7 +679,7 @@
 
 func (cl *cloud) list(c *controller) {
 	epoch, life := epochOf(c), c.life
-	var list []wire.Listed
+	var list []wire.ListedMachine
 	var names []string
 	for n := range cl.machines {
 		names = append(names, n)
@@ -687,14 +687,14 @@
 	slices.Sort(names)
 	for _, n := range names {
 		w := cl.machines[n]
-		list = append(list, wire.Listed{Machine: eventlog.Machine{Name: n, Address: n, Type: "m4", Zone: w.zone, Spot: w.spot}})
+		list = append(list, wire.ListedMachine{Machine: eventlog.Machine{Name: n, Address: n, Type: "m4", Zone: w.zone, Spot: w.spot}})
 	}
 	// The list is as old as the time it takes to come.
-	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]wire.Listed)) {
+	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]wire.ListedMachine)) {
 		if !cl.outage {
 			cl.s.after(2*time.Second, func() { reply(list) })
 		}
-	}, func(list []wire.Listed, ok bool) {
+	}, func(list []wire.ListedMachine, ok bool) {
 		if c.life == life {
 			c.into(func(now time.Duration) { c.core.MachinesListed(now, epoch, list, ok) })()
 		}
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -314,7 +314,7 @@
 func NoCapacityProblem() []byte { return Problem(noCapacity) }
 
 // MachineList is the body with which the cloud lists machines.
-func MachineList(list []Listed, more bool) []byte {
+func MachineList(list []ListedMachine, more bool) []byte {
 	out := machineList{Machines: make([]listedMachine, len(list)), More: more}
 	for i, l := range list {
 		m := l.Machine
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -344,8 +344,8 @@
 	return err == nil && status == 200
 }
 
-// Listed is a machine of the cloud's list, which lags.
-type Listed struct {
+// ListedMachine is a machine of the cloud's list, which lags.
+type ListedMachine struct {
 	Machine eventlog.Machine
 	Failed  bool
 	HeldS   float64
@@ -369,8 +369,8 @@
 }
 
 // List reads the whole list of machines.
-func (c *Cloud) List(ctx context.Context) ([]Listed, error) {
-	var all []Listed
+func (c *Cloud) List(ctx context.Context) ([]ListedMachine, error) {
+	var all []ListedMachine
 	since := ""
 	for {
 		q := url.Values{"most": {"500"}}
@@ -386,7 +386,7 @@
 			return nil, fmt.Errorf("wire: cloud: status %d", status)
 		}
 		for _, m := range out.Machines {
-			all = append(all, Listed{eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.State == stateFailed, m.HeldS})
+			all = append(all, ListedMachine{eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.State == stateFailed, m.HeldS})
 			since = m.Name
 		}
 		if !out.More || len(out.Machines) == 0 {
