--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -360,7 +360,7 @@
 		ok := n.state.Follow(ctx, leadership.Prefix, o.Revision, watchFor)
 		n.post(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
 	case leadership.CreateLease:
-		id, ok := n.state.Hold(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
+		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
 		backOff(ok)
 		n.post(func(now time.Duration) { n.core.LeaseCreated(now, o.Sequence, ok, id) })
 	case leadership.ClaimLeadership:
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -32,7 +32,7 @@
 	}
 	told := make(chan bool, 1)
 	go func() { told <- c.Follow(ctx, "lead/", view.Revision, 10*time.Second) }()
-	hold, ok := c.Hold(ctx, 300*time.Millisecond)
+	hold, ok := c.CreateLease(ctx, 300*time.Millisecond)
 	if won, _ := c.Claim(ctx, "n0", view, hold); !ok || !won {
 		t.Fatal("nobody could lead")
 	}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -201,8 +201,8 @@
 	return err == nil && (status == 200 || status == 410)
 }
 
-// Hold makes a hold.
-func (s *State) Hold(ctx context.Context, life time.Duration) (uint64, bool) {
+// CreateLease makes a hold.
+func (s *State) CreateLease(ctx context.Context, life time.Duration) (uint64, bool) {
 	var out holdAnswer
 	status, err := s.c.call(ctx, "POST", PathHolds, hold{life.Milliseconds()}, &out)
 	return out.ID, err == nil && status == 200
