--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -368,7 +368,7 @@
 		backOff(ok)
 		n.post(func(now time.Duration) { n.core.LeadershipClaimed(now, o.Sequence, ok, mark) })
 	case leadership.RenewLease:
-		ok, gone := n.state.Renew(ctx, o.LeaseID)
+		ok, gone := n.state.RenewLease(ctx, o.LeaseID)
 		n.post(func(now time.Duration) { n.core.LeaseRenewed(now, o.Sequence, ok, gone) })
 	case leadership.ReleaseLease:
 		n.state.Release(ctx, o.LeaseID)
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -208,8 +208,8 @@
 	return out.ID, err == nil && status == 200
 }
 
-// Renew renews a hold; gone says that it has ended.
-func (s *State) Renew(ctx context.Context, id uint64) (ok, gone bool) {
+// RenewLease renews a hold; gone says that it has ended.
+func (s *State) RenewLease(ctx context.Context, id uint64) (ok, gone bool) {
 	status, err := s.c.call(ctx, "POST", PathHolds+"/"+strconv.FormatUint(id, 10)+"/renew", struct{}{}, nil)
 	return err == nil && status == 200, err == nil && status == 404
 }
