--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -371,7 +371,7 @@
 		ok, gone := n.state.RenewLease(ctx, o.LeaseID)
 		n.post(func(now time.Duration) { n.core.LeaseRenewed(now, o.Sequence, ok, gone) })
 	case leadership.ReleaseLease:
-		n.state.Release(ctx, o.LeaseID)
+		n.state.ReleaseLease(ctx, o.LeaseID)
 	}
 }
 
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -214,8 +214,8 @@
 	return err == nil && status == 200, err == nil && status == 404
 }
 
-// Release ends a hold.
-func (s *State) Release(ctx context.Context, id uint64) {
+// ReleaseLease ends a hold.
+func (s *State) ReleaseLease(ctx context.Context, id uint64) {
 	_, _ = s.c.call(ctx, "DELETE", PathHolds+"/"+strconv.FormatUint(id, 10), nil, nil) // it ends by itself otherwise
 }
 
