--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -357,7 +357,7 @@
 		backOff(err == nil)
 		n.post(func(now time.Duration) { n.core.KeysRead(now, o.Sequence, err == nil, v) })
 	case leadership.WatchKeys:
-		ok := n.state.Follow(ctx, leadership.Prefix, o.Revision, watchFor)
+		ok := n.state.Watch(ctx, leadership.Prefix, o.Revision, watchFor)
 		n.post(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
 	case leadership.CreateLease:
 		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	told := make(chan bool, 1)
-	go func() { told <- c.Follow(ctx, "lead/", view.Revision, 10*time.Second) }()
+	go func() { told <- c.Watch(ctx, "lead/", view.Revision, 10*time.Second) }()
 	hold, ok := c.CreateLease(ctx, 300*time.Millisecond)
 	if won, _ := c.Claim(ctx, "n0", view, hold); !ok || !won {
 		t.Fatal("nobody could lead")
@@ -40,7 +40,7 @@
 		t.Error("the follower was not told of the claim")
 	}
 	view, _ = c.ReadLeadership(ctx)
-	if view.Holder == nil || !c.Follow(ctx, "lead/", view.Revision, 10*time.Second) {
+	if view.Holder == nil || !c.Watch(ctx, "lead/", view.Revision, 10*time.Second) {
 		t.Fatal("the follower was not told that the hold has ended")
 	}
 	if view, _ = c.ReadLeadership(ctx); view.Holder != nil || view.Epoch != 1 {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -193,9 +193,9 @@
 	return out == eventlog.Applied, rev
 }
 
-// Follow waits for a change of keys with a prefix; it says whether it waited
+// Watch waits for a change of keys with a prefix; it says whether it waited
 // or saw one rather than failing.
-func (s *State) Follow(ctx context.Context, prefix string, since uint64, wait time.Duration) bool {
+func (s *State) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) bool {
 	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)}, "hold_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	status, err := s.c.call(ctx, "GET", PathFollow+"?"+q.Encode(), nil, nil)
 	return err == nil && (status == 200 || status == 410)
