--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -298,7 +298,7 @@
 	s.revision++
 	id := s.revision
 	s.holds[id] = &held{life: life, ends: time.Now().Add(life), timer: time.AfterFunc(life, func() { s.expire(id) })}
-	return reply{http.StatusOK, wire.HoldAnswer(id)}
+	return reply{http.StatusOK, wire.LeaseAnswer(id)}
 }
 
 // changeHold renews a hold, ID/renew, or ends it.
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -276,8 +276,8 @@
 	return time.Duration(in.LifeMS) * time.Millisecond, nil
 }
 
-// HoldAnswer is the body that gives a new hold.
-func HoldAnswer(id uint64) []byte { return encode(holdAnswer{id}) }
+// LeaseAnswer is the body that gives a new hold.
+func LeaseAnswer(id uint64) []byte { return encode(holdAnswer{id}) }
 
 // MachineTypes is the body with which the cloud gives its machine types.
 func MachineTypes(types []eventlog.MachineType) []byte {
