--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -291,7 +291,7 @@
 }
 
 func (s *State) hold(body []byte) reply {
-	life, err := wire.ParseHold(body)
+	life, err := wire.ParseLease(body)
 	if err != nil {
 		return refusal(http.StatusBadRequest, err.Error())
 	}
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -267,8 +267,8 @@
 	ID uint64 `json:"tether"`
 }
 
-// ParseHold reads how long a hold is to live.
-func ParseHold(body []byte) (time.Duration, error) {
+// ParseLease reads how long a hold is to live.
+func ParseLease(body []byte) (time.Duration, error) {
 	var in hold
 	if err := json.Unmarshal(body, &in); err != nil || in.LifeMS <= 0 {
 		return 0, fmt.Errorf("wire: life_ms: missing or not a number above 0")
