--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -100,7 +100,7 @@
 		send(w, a.Status, wire.JobAnswer(a.ID, a.State, a.Counts, a.Done, a.Running))
 		return
 	}
-	send(w, a.Status, wire.Problem(a.Why))
+	send(w, a.Status, wire.ErrorBody(a.Why))
 }
 
 func send(w http.ResponseWriter, status int, body []byte) {
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -167,7 +167,7 @@
 	body   []byte
 }
 
-func refusal(status int, why string) reply { return reply{status, wire.Problem(why)} }
+func refusal(status int, why string) reply { return reply{status, wire.ErrorBody(why)} }
 
 func (s *State) transact(t wire.StateTxn) reply {
 	for _, w := range t.Writes {
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -314,8 +314,8 @@
 	return encode(a)
 }
 
-// Problem is the body of an answer that is a refusal.
-func Problem(why string) []byte { return encode(problem{why}) }
+// ErrorBody is the body of an answer that is a refusal.
+func ErrorBody(why string) []byte { return encode(problem{why}) }
 
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
