--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -88,7 +88,7 @@
 	case a.Status == http.StatusOK:
 		send(w, a.Status, wire.ReportAnswer(a.Token, a.Commands))
 	default:
-		send(w, a.Status, wire.Elsewhere(a.Node))
+		send(w, a.Status, wire.RedirectAnswer(a.Node))
 	}
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -80,7 +80,7 @@
 	if got != want {
 		t.Errorf("answer is %s", got)
 	}
-	if got := string(Elsewhere("")); got != "{}" {
+	if got := string(RedirectAnswer("")); got != "{}" {
 		t.Errorf("without a node: %s", got)
 	}
 }
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -123,8 +123,8 @@
 	return encode(answer{token, commands(cmds)})
 }
 
-// Elsewhere sends a worker to another node; the name may be empty.
-func Elsewhere(node string) []byte { return encode(elsewhere{node}) }
+// RedirectAnswer sends a worker to another node; the name may be empty.
+func RedirectAnswer(node string) []byte { return encode(elsewhere{node}) }
 
 // PathCommands is where a worker takes direct commands.
 const PathCommands = "/do"
