--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -178,7 +178,7 @@
 	sent, door := time.Now(), w.at()
 	status, answer := w.post(door, body)
 	if status == http.StatusMisdirectedRequest {
-		if to, ok := w.fleet.door(wire.ParseElsewhere(answer)); ok && to != door {
+		if to, ok := w.fleet.door(wire.ParseRedirect(answer)); ok && to != door {
 			w.client.CloseIdleConnections()
 			w.move(to)
 			return true
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -80,8 +80,8 @@
 	return in.Token, cmds, err
 }
 
-// ParseElsewhere reads where a worker is sent with status 421; empty: to the next controller.
-func ParseElsewhere(body []byte) string {
+// ParseRedirect reads where a worker is sent with status 421; empty: to the next controller.
+func ParseRedirect(body []byte) string {
 	var in elsewhere
 	if json.Unmarshal(body, &in) != nil {
 		return ""
--- a/internal/wire/platform_test.go
+++ b/internal/wire/platform_test.go
@@ -24,7 +24,7 @@
 	if d, err := ParseDirect(Direct(7, 8, cmds)); err != nil || d.Token != 7 || d.Session != 8 || !reflect.DeepEqual(d.Commands, cmds) {
 		t.Errorf("direct commands: %+v %v", d, err)
 	}
-	if got := ParseElsewhere(RedirectAnswer("n1")); got != "n1" {
+	if got := ParseRedirect(RedirectAnswer("n1")); got != "n1" {
 		t.Errorf("elsewhere: %q", got)
 	}
 	j := &eventlog.Job{ID: 1, Class: "c", Team: "t", Priority: 2, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: .5, Types: []string{"m"}, Zone: "z",
