--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -132,7 +132,7 @@
 // PathShow is where a worker shows its report.
 const PathShow = "/show"
 
-// Direct is the body of a direct command.
-func Direct(token, session uint64, cmds []workers.Command) []byte {
+// EncodeDirectCommands is the body of a direct command.
+func EncodeDirectCommands(token, session uint64, cmds []workers.Command) []byte {
 	return encode(direct{token, session, commands(cmds)})
 }
