--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -380,7 +380,7 @@
 	case wire.PathShow:
 		return http.StatusOK, w.current()
 	case wire.PathCommands:
-		d, err := wire.ParseDirect(body)
+		d, err := wire.ParseDirectCommands(body)
 		switch {
 		case err != nil || d.Session == 0:
 			return http.StatusBadRequest, nil
--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -95,8 +95,8 @@
 	Commands       []workers.Command
 }
 
-// ParseDirect reads direct commands.
-func ParseDirect(body []byte) (DirectCommands, error) {
+// ParseDirectCommands reads direct commands.
+func ParseDirectCommands(body []byte) (DirectCommands, error) {
 	var in direct
 	if err := json.Unmarshal(body, &in); err != nil {
 		return DirectCommands{}, fmt.Errorf("wire: direct commands that cannot be read: %w", err)
--- a/internal/wire/platform_test.go
+++ b/internal/wire/platform_test.go
@@ -21,7 +21,7 @@
 	if token, got, err := ParseReportAnswer(ReportAnswer(7, cmds)); err != nil || token != 7 || !reflect.DeepEqual(got, cmds) {
 		t.Errorf("an answer: %d %+v %v", token, got, err)
 	}
-	if d, err := ParseDirect(EncodeDirectCommands(7, 8, cmds)); err != nil || d.Token != 7 || d.Session != 8 || !reflect.DeepEqual(d.Commands, cmds) {
+	if d, err := ParseDirectCommands(EncodeDirectCommands(7, 8, cmds)); err != nil || d.Token != 7 || d.Session != 8 || !reflect.DeepEqual(d.Commands, cmds) {
 		t.Errorf("direct commands: %+v %v", d, err)
 	}
 	if got := ParseRedirect(RedirectAnswer("n1")); got != "n1" {
