--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -259,7 +259,7 @@
 				defer func() { <-n.direct }()
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				defer cancel()
-				if _, err := n.workers.Do(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Stops)); err != nil {
+				if _, err := n.workers.SendCommands(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Stops)); err != nil {
 					n.log.Debug("worker not reached", "address", e.Address, "error", err)
 				}
 			}()
@@ -272,7 +272,7 @@
 		})
 	case effects.Dispatch: // the leader bounds how many are under way
 		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
-			r, err := n.workers.Do(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Starts))
+			r, err := n.workers.SendCommands(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Starts))
 			if err != nil {
 				n.log.Debug("worker not reached", "address", e.Address, "error", err)
 			}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -411,9 +411,9 @@
 	return err == nil && status == http.StatusOK
 }
 
-// Do sends direct commands to the worker at addr, and returns its report after them.
+// SendCommands sends direct commands to the worker at addr, and returns its report after them.
 // They may be carried out late whatever comes back.
-func (w *Workers) Do(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
+func (w *Workers) SendCommands(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
 	status, data, err := (&Client{"http://" + addr, w.c}).raw(ctx, "POST", PathCommands, json.RawMessage(body))
 	if err != nil {
 		return nil, err
