--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -267,7 +267,7 @@
 		}
 	case effects.ProbeWorker:
 		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
-			ok := n.workers.Show(ctx, e.Address)
+			ok := n.workers.Probe(ctx, e.Address)
 			return func(now time.Duration) { n.core.WorkerProbed(now, epoch, e.Machine, ok) }
 		})
 	case effects.Dispatch: // the leader bounds how many are under way
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -405,8 +405,8 @@
 	return &Workers{&http.Client{Transport: &http.Transport{DialContext: dial.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
 }
 
-// Show says whether the worker at addr answers.
-func (w *Workers) Show(ctx context.Context, addr string) bool {
+// Probe says whether the worker at addr answers.
+func (w *Workers) Probe(ctx context.Context, addr string) bool {
 	status, _, err := (&Client{"http://" + addr, w.c}).raw(ctx, "GET", PathShow, nil)
 	return err == nil && status == http.StatusOK
 }
