--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -52,7 +52,7 @@
 	core    *Core
 	in      chan func(now time.Duration)
 	start   time.Time
-	state   *wire.State
+	state   *wire.StateClient
 	cloud   *wire.Cloud
 	peers   map[string]*peer
 	workers *wire.Workers
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -12,7 +12,7 @@
 	"bitternmoor/internal/wire"
 )
 
-func commit(t *testing.T, c *wire.State, key string, mark uint64) eventlog.Outcome {
+func commit(t *testing.T, c *wire.StateClient, key string, mark uint64) eventlog.Outcome {
 	t.Helper()
 	out, _, _ := c.Commit(context.Background(), eventlog.Transaction{Conditions: []eventlog.Condition{{Key: key, Version: mark}}, Writes: []eventlog.Write{{Key: key, Value: []byte("1")}}})
 	return out
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -50,11 +50,11 @@
 
 const bigBody = 4 << 20
 
-// State is the state service.
-type State struct{ c *Client }
+// StateClient is the state service.
+type StateClient struct{ c *Client }
 
 // NewState makes a client of the state service.
-func NewState(addr string) *State { return &State{NewClient(addr, 6)} }
+func NewState(addr string) *StateClient { return &StateClient{NewClient(addr, 6)} }
 
 type item struct {
 	Key   string          `json:"k"`
@@ -70,7 +70,7 @@
 }
 
 // Get reads a key; a missing one has mark 0.
-func (s *State) Get(ctx context.Context, key string) (Item, error) {
+func (s *StateClient) Get(ctx context.Context, key string) (Item, error) {
 	var it item
 	status, err := s.c.call(ctx, "GET", PathKeys+"/"+key, nil, &it)
 	if err != nil {
@@ -86,7 +86,7 @@
 }
 
 // List reads one page of the keys with a prefix, after the key since.
-func (s *State) List(ctx context.Context, prefix, since string, most int) (items []Item, more bool, rev uint64, err error) {
+func (s *StateClient) List(ctx context.Context, prefix, since string, most int) (items []Item, more bool, rev uint64, err error) {
 	q := url.Values{"starts": {prefix}, "most": {strconv.Itoa(most)}}
 	if since != "" {
 		q.Set("since", since)
@@ -127,7 +127,7 @@
 	Failed []string `json:"failed"`
 }
 
-func (s *State) multi(ctx context.Context, t txn) (eventlog.Outcome, uint64, []string) {
+func (s *StateClient) multi(ctx context.Context, t txn) (eventlog.Outcome, uint64, []string) {
 	var out txnAnswer
 	status, err := s.c.call(ctx, "POST", PathTransactions, t, &out)
 	switch {
@@ -146,7 +146,7 @@
 }
 
 // Commit runs a transaction of the ledger.
-func (s *State) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
+func (s *StateClient) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
 	var x txn
 	for _, c := range t.Conditions {
 		x.If = append(x.If, cond{c.Key, c.Version})
@@ -162,7 +162,7 @@
 }
 
 // ReadLeadership reads the two keys of leadership.
-func (s *State) ReadLeadership(ctx context.Context) (leadership.View, error) {
+func (s *StateClient) ReadLeadership(ctx context.Context) (leadership.View, error) {
 	items, _, rev, err := s.List(ctx, leadership.Prefix, "", 10)
 	if err != nil {
 		return leadership.View{}, err
@@ -184,7 +184,7 @@
 }
 
 // Claim takes leadership if the view still holds.
-func (s *State) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
+func (s *StateClient) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.multi(ctx, txn{
 		If:   []cond{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
@@ -195,27 +195,27 @@
 
 // Watch waits for a change of keys with a prefix; it says whether it waited
 // or saw one rather than failing.
-func (s *State) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) bool {
+func (s *StateClient) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) bool {
 	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)}, "hold_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	status, err := s.c.call(ctx, "GET", PathFollow+"?"+q.Encode(), nil, nil)
 	return err == nil && (status == 200 || status == 410)
 }
 
 // CreateLease makes a hold.
-func (s *State) CreateLease(ctx context.Context, life time.Duration) (uint64, bool) {
+func (s *StateClient) CreateLease(ctx context.Context, life time.Duration) (uint64, bool) {
 	var out holdAnswer
 	status, err := s.c.call(ctx, "POST", PathHolds, hold{life.Milliseconds()}, &out)
 	return out.ID, err == nil && status == 200
 }
 
 // RenewLease renews a hold; gone says that it has ended.
-func (s *State) RenewLease(ctx context.Context, id uint64) (ok, gone bool) {
+func (s *StateClient) RenewLease(ctx context.Context, id uint64) (ok, gone bool) {
 	status, err := s.c.call(ctx, "POST", PathHolds+"/"+strconv.FormatUint(id, 10)+"/renew", struct{}{}, nil)
 	return err == nil && status == 200, err == nil && status == 404
 }
 
 // ReleaseLease ends a hold.
-func (s *State) ReleaseLease(ctx context.Context, id uint64) {
+func (s *StateClient) ReleaseLease(ctx context.Context, id uint64) {
 	_, _ = s.c.call(ctx, "DELETE", PathHolds+"/"+strconv.FormatUint(id, 10), nil, nil) // it ends by itself otherwise
 }
 
