--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -24,7 +24,7 @@
 	store := &State{}
 	server := httptest.NewServer(store)
 	defer server.Close()
-	c := wire.NewState(server.Listener.Addr().String())
+	c := wire.NewStateClient(server.Listener.Addr().String())
 	ctx := context.Background()
 	view, err := c.ReadLeadership(ctx)
 	if err != nil {
@@ -54,7 +54,7 @@
 	store.LimitRates(1000, 2)
 	server := httptest.NewServer(store)
 	defer server.Close()
-	c := wire.NewState(server.Listener.Addr().String())
+	c := wire.NewStateClient(server.Listener.Addr().String())
 	if a, b, x := commit(t, c, "k", 0), commit(t, c, "k", 0), commit(t, c, "l", 0); a != eventlog.Applied || b != eventlog.Conflict || x != eventlog.Refused {
 		t.Errorf("%v %v %v", a, b, x)
 	}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -53,8 +53,8 @@
 // StateClient is the state service.
 type StateClient struct{ c *Client }
 
-// NewState makes a client of the state service.
-func NewState(addr string) *StateClient { return &StateClient{NewClient(addr, 6)} }
+// NewStateClient makes a client of the state service.
+func NewStateClient(addr string) *StateClient { return &StateClient{NewClient(addr, 6)} }
 
 type item struct {
 	Key   string          `json:"k"`
