--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,7 +53,7 @@
 	in      chan func(now time.Duration)
 	start   time.Time
 	state   *wire.StateClient
-	cloud   *wire.Cloud
+	cloud   *wire.CloudClient
 	peers   map[string]*peer
 	workers *wire.Workers
 	hook    *webhook.Sender // nil: operators are told by logs alone
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -219,11 +219,11 @@
 	_, _ = s.c.call(ctx, "DELETE", PathHolds+"/"+strconv.FormatUint(id, 10), nil, nil) // it ends by itself otherwise
 }
 
-// Cloud is the cloud that rents machines.
-type Cloud struct{ c *Client }
+// CloudClient is the cloud that rents machines.
+type CloudClient struct{ c *Client }
 
 // NewCloud makes a client of the cloud.
-func NewCloud(addr string) *Cloud { return &Cloud{NewClient(addr, 4)} }
+func NewCloud(addr string) *CloudClient { return &CloudClient{NewClient(addr, 4)} }
 
 type machineType struct {
 	Name      string   `json:"label"`
@@ -243,7 +243,7 @@
 }
 
 // Types reads the machine types.
-func (c *Cloud) Types(ctx context.Context) ([]eventlog.MachineType, error) {
+func (c *CloudClient) Types(ctx context.Context) ([]eventlog.MachineType, error) {
 	var out machineTypes
 	status, err := c.c.call(ctx, "GET", PathMachineTypes, nil, &out)
 	if err != nil {
@@ -290,7 +290,7 @@
 }
 
 // Rent sends a rental request.
-func (c *Cloud) Rent(ctx context.Context, r eventlog.Rental) ([]string, RentResult) {
+func (c *CloudClient) Rent(ctx context.Context, r eventlog.Rental) ([]string, RentResult) {
 	in := rental{r.Name, r.Type, r.Zone, r.Spot, r.Count}
 	var out machineNames
 	var refused problem
@@ -339,7 +339,7 @@
 }
 
 // Delete returns machines; true means that they are gone.
-func (c *Cloud) Delete(ctx context.Context, names []string) bool {
+func (c *CloudClient) Delete(ctx context.Context, names []string) bool {
 	status, err := c.c.call(ctx, "POST", PathDelete, machineNames{names}, nil)
 	return err == nil && status == 200
 }
@@ -369,7 +369,7 @@
 }
 
 // List reads the whole list of machines.
-func (c *Cloud) List(ctx context.Context) ([]ListedMachine, error) {
+func (c *CloudClient) List(ctx context.Context) ([]ListedMachine, error) {
 	var all []ListedMachine
 	since := ""
 	for {
