--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -69,7 +69,7 @@
 	cloud := &Cloud{Capacity: map[string]int{"a": 3}}
 	server := httptest.NewServer(cloud)
 	defer server.Close()
-	c := wire.NewCloud(server.Listener.Addr().String())
+	c := wire.NewCloudClient(server.Listener.Addr().String())
 	ctx := context.Background()
 	rent := func(name string, count int) (int, wire.RentResult) {
 		names, res := c.Rent(ctx, eventlog.Rental{Name: name, Type: "m4", Zone: "a", Count: count})
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -222,8 +222,8 @@
 // CloudClient is the cloud that rents machines.
 type CloudClient struct{ c *Client }
 
-// NewCloud makes a client of the cloud.
-func NewCloud(addr string) *CloudClient { return &CloudClient{NewClient(addr, 4)} }
+// NewCloudClient makes a client of the cloud.
+func NewCloudClient(addr string) *CloudClient { return &CloudClient{NewClient(addr, 4)} }
 
 type machineType struct {
 	Name      string   `json:"label"`
