--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -55,7 +55,7 @@
 	state   *wire.StateClient
 	cloud   *wire.CloudClient
 	peers   map[string]*peer
-	workers *wire.Workers
+	workers *wire.WorkerClient
 	hook    *webhook.Sender // nil: operators are told by logs alone
 
 	admit       *admission.Controller // nil: users who are turned away are told the least there is
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -395,25 +395,25 @@
 	}
 }
 
-// Workers reaches workers directly.
-type Workers struct{ c *http.Client }
+// WorkerClient reaches workers directly.
+type WorkerClient struct{ c *http.Client }
 
 // NewWorkers makes a client for workers. Connections are not kept: a worker
 // is called this way rarely.
-func NewWorkers() *Workers {
+func NewWorkers() *WorkerClient {
 	dial := &net.Dialer{Timeout: time.Second, KeepAlive: -1}
-	return &Workers{&http.Client{Transport: &http.Transport{DialContext: dial.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
+	return &WorkerClient{&http.Client{Transport: &http.Transport{DialContext: dial.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
 }
 
 // Probe says whether the worker at addr answers.
-func (w *Workers) Probe(ctx context.Context, addr string) bool {
+func (w *WorkerClient) Probe(ctx context.Context, addr string) bool {
 	status, _, err := (&Client{"http://" + addr, w.c}).raw(ctx, "GET", PathShow, nil)
 	return err == nil && status == http.StatusOK
 }
 
 // SendCommands sends direct commands to the worker at addr, and returns its report after them.
 // They may be carried out late whatever comes back.
-func (w *Workers) SendCommands(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
+func (w *WorkerClient) SendCommands(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
 	status, data, err := (&Client{"http://" + addr, w.c}).raw(ctx, "POST", PathCommands, json.RawMessage(body))
 	if err != nil {
 		return nil, err
