--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -75,7 +75,7 @@
 	start := time.Now()
 	n := &Node{
 		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), in: make(chan func(time.Duration), queueLength), start: start,
-		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkers(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
+		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
 		users: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
 	for _, p := range cfg.Peers {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -398,9 +398,9 @@
 // WorkerClient reaches workers directly.
 type WorkerClient struct{ c *http.Client }
 
-// NewWorkers makes a client for workers. Connections are not kept: a worker
+// NewWorkerClient makes a client for workers. Connections are not kept: a worker
 // is called this way rarely.
-func NewWorkers() *WorkerClient {
+func NewWorkerClient() *WorkerClient {
 	dial := &net.Dialer{Timeout: time.Second, KeepAlive: -1}
 	return &WorkerClient{&http.Client{Transport: &http.Transport{DialContext: dial.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
 }
