--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -148,7 +148,7 @@
 	c := receipts.Claims{Attempt: given.Attempt, Epoch: given.Epoch}
 	c.Subject = job + "/" + strconv.Itoa(given.Task)
 	for _, u := range given.Units {
-		c.Units = append(c.Units, receipts.Units(u))
+		c.Units = append(c.Units, receipts.PoolUnits(u))
 	}
 	token, err := keys.Sign(c, time.Now(), time.Duration(n.cfg.Tunables.ReceiptLifeS*float64(time.Second)))
 	if err != nil {
--- a/internal/operators/receipts/receipts.go
+++ b/internal/operators/receipts/receipts.go
@@ -18,8 +18,8 @@
 
 const issuer = "bitternmoor"
 
-// Units are those of one pool.
-type Units struct {
+// PoolUnits are those of one pool.
+type PoolUnits struct {
 	Pool    string  `json:"pool"`
 	Numbers []int64 `json:"numbers"`
 	PerJob  bool    `json:"per_job,omitempty"`
@@ -29,9 +29,9 @@
 // task only grow: a licence server that has seen a higher one refuses a lower.
 type Claims struct {
 	jwt.RegisteredClaims
-	Attempt uint64  `json:"attempt"`
-	Epoch   uint64  `json:"epoch"`
-	Units   []Units `json:"units"`
+	Attempt uint64      `json:"attempt"`
+	Epoch   uint64      `json:"epoch"`
+	Units   []PoolUnits `json:"units"`
 }
 
 // Keys are the keys that are good; the first one signs.
--- a/internal/operators/receipts/receipts_test.go
+++ b/internal/operators/receipts/receipts_test.go
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	now := time.Unix(1_800_000_000, 0)
-	c := Claims{Attempt: 9, Epoch: 3, Units: []Units{{Pool: "p", Numbers: []int64{1, 4}}}}
+	c := Claims{Attempt: 9, Epoch: 3, Units: []PoolUnits{{Pool: "p", Numbers: []int64{1, 4}}}}
 	c.Subject = "j-000001/0"
 	token, err := one.Sign(c, now, time.Minute)
 	if err != nil {
