--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -22,7 +22,7 @@
 type Proxy struct {
 	target   string
 	latency  time.Duration // one way
-	traffic  *traffic.Traffic
+	traffic  *traffic.Meter
 	listener net.Listener
 
 	mu     sync.Mutex
@@ -33,7 +33,7 @@
 
 // New forwards connections to a target. Traffic counts what the connecting side receives and
 // sends; each of its writes counts as a message.
-func New(target string, latency time.Duration, traffic *traffic.Traffic) (*Proxy, error) {
+func New(target string, latency time.Duration, traffic *traffic.Meter) (*Proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("netproxy: %w", err)
--- a/internal/scaletest/netproxy/netproxy_test.go
+++ b/internal/scaletest/netproxy/netproxy_test.go
@@ -26,7 +26,7 @@
 			go func() { _, _ = io.Copy(c, c) }()
 		}
 	}()
-	var traffic traffic.Traffic
+	var traffic traffic.Meter
 	p, err := New(l.Addr().String(), time.Millisecond, &traffic)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -142,7 +142,7 @@
 	p := &pipe{out: json.NewEncoder(out), acks: lines, ended: make(chan struct{})}
 	fleet := o.Workload.fleet(o.Doors, o.ReportS, o.LeaseS, o.FetchS)
 	fleet.Record = p
-	var traffic traffic.Traffic
+	var traffic traffic.Meter
 	for range o.Doors {
 		fleet.Traffic = append(fleet.Traffic, &traffic)
 	}
--- a/internal/scaletest/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -26,7 +26,7 @@
 type link struct {
 	from, to string // zones
 	proxy    *netproxy.Proxy
-	traffic  traffic.Traffic
+	traffic  traffic.Meter
 }
 
 func (n *network) region(zone string) int {
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -33,7 +33,7 @@
 	url     string
 	zone    string
 	client  *http.Client
-	traffic traffic.Traffic
+	traffic traffic.Meter
 
 	mu   sync.Mutex
 	skip time.Time // until then nobody is sent there
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -40,7 +40,7 @@
 	control          string // where operators change the configuration
 	config           string
 	door             *door
-	reports          traffic.Traffic // of workers, as they see it
+	reports          traffic.Meter // of workers, as they see it
 	state, cloud     *link
 	peers            []*link // to the others
 
@@ -208,7 +208,7 @@
 }
 
 // serve begins a server that ends with the run; the caller holds the lock.
-func (w *world) serve(traffic *traffic.Traffic, h http.Handler) (string, error) {
+func (w *world) serve(traffic *traffic.Meter, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -227,7 +227,7 @@
 // counted is a listener whose connections' traffic is counted.
 type counted struct {
 	net.Listener
-	traffic *traffic.Traffic
+	traffic *traffic.Meter
 }
 
 func (c counted) Accept() (net.Conn, error) {
@@ -330,7 +330,7 @@
 
 func (w *world) makeControllers() error {
 	w.mu.Lock()
-	clouds, err := w.serve(&traffic.Traffic{}, w.cloud)
+	clouds, err := w.serve(&traffic.Meter{}, w.cloud)
 	w.mu.Unlock()
 	if err != nil {
 		return err
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -45,9 +45,9 @@
 	// long a message takes one way.
 	Reaches func(zone string, door int) (ok bool, latency time.Duration)
 	// Traffic counts what is sent to each controller; nil: it is not counted.
-	Traffic []*traffic.Traffic
+	Traffic []*traffic.Meter
 	// Direct counts what controllers send to workers.
-	Direct traffic.Traffic
+	Direct traffic.Meter
 
 	mu      sync.Mutex
 	workers map[string]*worker
@@ -187,9 +187,9 @@
 }
 
 // traffic counts what is sent to a controller.
-func (f *Fleet) traffic(door int) *traffic.Traffic {
+func (f *Fleet) traffic(door int) *traffic.Meter {
 	if door < len(f.Traffic) {
 		return f.Traffic[door]
 	}
-	return &traffic.Traffic{}
+	return &traffic.Meter{}
 }
--- a/internal/scaletest/traffic/meter.go
+++ b/internal/scaletest/traffic/meter.go
@@ -7,8 +7,8 @@
 	"sync/atomic"
 )
 
-// Traffic adds up what crosses connections, as seen from this end. The zero value is ready.
-type Traffic struct{ in, out, messages atomic.Uint64 }
+// Meter adds up what crosses connections, as seen from this end. The zero value is ready.
+type Meter struct{ in, out, messages atomic.Uint64 }
 
 // Count is a reading of Traffic.
 type Count struct {
@@ -28,20 +28,20 @@
 }
 
 // Read gives what has been counted so far.
-func (t *Traffic) Read() Count { return Count{t.in.Load(), t.out.Load(), t.messages.Load()} }
+func (t *Meter) Read() Count { return Count{t.in.Load(), t.out.Load(), t.messages.Load()} }
 
 // Message counts one request with its answer.
-func (t *Traffic) Message() { t.messages.Add(1) }
+func (t *Meter) Message() { t.messages.Add(1) }
 
 // In and Out count bytes that were received and sent.
-func (t *Traffic) In(n int)  { t.in.Add(uint64(n)) }
-func (t *Traffic) Out(n int) { t.out.Add(uint64(n)) }
+func (t *Meter) In(n int)  { t.in.Add(uint64(n)) }
+func (t *Meter) Out(n int) { t.out.Add(uint64(n)) }
 
 // Conn counts what crosses a connection.
-func (t *Traffic) Conn(c net.Conn) net.Conn { return &conn{c, t} }
+func (t *Meter) Conn(c net.Conn) net.Conn { return &conn{c, t} }
 
 // DialContext dials like a net.Dialer, and counts what crosses the connections it makes.
-func (t *Traffic) DialContext(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
+func (t *Meter) DialContext(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, addr)
 		if err != nil {
@@ -53,7 +53,7 @@
 
 type conn struct {
 	net.Conn
-	t *Traffic
+	t *Meter
 }
 
 func (c *conn) Read(p []byte) (int, error) {
