--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -370,7 +370,7 @@
 		if o.Kind == settings.AimWait && d.Cfg.Tunables.WaitLeadS > 0 {
 			d.goAhead(j, at, o.WithinS)
 		}
-		if o.Kind == settings.AimWait && d.Cfg.Tunables.DirectStarts > 0 && j.Record.Kind != jobs.Gang && d.Cfg.Prompt(o) {
+		if o.Kind == settings.AimWait && d.Cfg.Tunables.DirectStarts > 0 && j.Record.Kind != jobs.Gang && d.Cfg.NeedsDispatch(o) {
 			j.Prompt = true
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -154,14 +154,16 @@
 	WebhookKey []byte // what warnings are signed with
 }
 
-// Prompt says whether an aim is so tight that a start which waits for an idle worker's
+// NeedsDispatch says whether an aim is so tight that a start which waits for an idle worker's
 // next report would miss it.
-func (s *Settings) Prompt(o Objective) bool {
+func (s *Settings) NeedsDispatch(o Objective) bool {
 	return o.Kind == AimWait && o.WithinS < s.Deployment.Workers.ReportS
 }
 
 // Prompts says whether any aim is.
-func (s *Settings) Prompts() bool { return slices.ContainsFunc(s.Deployment.Objectives, s.Prompt) }
+func (s *Settings) Prompts() bool {
+	return slices.ContainsFunc(s.Deployment.Objectives, s.NeedsDispatch)
+}
 
 // checkDirect holds the calls to workers against the sockets there are.
 func (s *Settings) checkDirect() error {
