--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -120,7 +120,7 @@
 // hears says which zones are heard well: of a zone that is not, machines are no more
 // likely dead than cut off.
 func (d *Component) hears(now time.Duration) []bool {
-	if d.Cfg.Tunables.AskSilent == 0 || !d.Cfg.Prompts() {
+	if d.Cfg.Tunables.AskSilent == 0 || !d.Cfg.AnyNeedsDispatch() {
 		return nil
 	}
 	up, silent := make([]int, d.Zones.Len()), make([]int, d.Zones.Len())
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -115,11 +115,11 @@
 		t.cold = coldstart.New(s)
 		t.add(coldstart.Name, t.cold)
 	}
-	if start.Cfg.Tunables.DirectStarts > 0 && start.Cfg.Prompts() {
+	if start.Cfg.Tunables.DirectStarts > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.direct = dispatch.New(s)
 		t.add(dispatch.Name, t.direct)
 	}
-	if start.Cfg.Tunables.AskSilent > 0 && start.Cfg.Prompts() {
+	if start.Cfg.Tunables.AskSilent > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.asking = probe.New(s)
 		t.add("", t.asking)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -160,8 +160,8 @@
 	return o.Kind == AimWait && o.WithinS < s.Deployment.Workers.ReportS
 }
 
-// Prompts says whether any aim is.
-func (s *Settings) Prompts() bool {
+// AnyNeedsDispatch says whether any aim is.
+func (s *Settings) AnyNeedsDispatch() bool {
 	return slices.ContainsFunc(s.Deployment.Objectives, s.NeedsDispatch)
 }
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -230,11 +230,11 @@
 		t.Fatal(err)
 	}
 	s, err := Load(path, "", "exceptions.direct_starts=8")
-	if err != nil || s.Prompts() || !slices.Equal(s.UnknownAims(), []string{"brightness"}) {
-		t.Fatalf("%v: prompt %v, unknown %v", err, s != nil && s.Prompts(), s != nil)
+	if err != nil || s.AnyNeedsDispatch() || !slices.Equal(s.UnknownAims(), []string{"brightness"}) {
+		t.Fatalf("%v: prompt %v, unknown %v", err, s != nil && s.AnyNeedsDispatch(), s != nil)
 	}
 	s.Deployment.Objectives = append(s.Deployment.Objectives, Objective{Kind: AimWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2})
-	if !s.Prompts() {
+	if !s.AnyNeedsDispatch() {
 		t.Error("an aim of half a report interval is none that is prompt")
 	}
 	if _, err := Load(path, "", "exceptions.direct_starts=1000"); err == nil || !strings.Contains(err.Error(), "exceptions.direct_starts") {
