--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -84,7 +84,7 @@
 		panic(err) // settings are checked when they are read
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
-	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.Writes().WriteRPS))
+	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
 	return &Component{State: s, cal: cal, margin: x.LateMargin, book: NewModel(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, placedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, seen: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
 		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -30,7 +30,7 @@
 	for _, d := range t.duties {
 		live += d.LiveBytes()
 	}
-	value := int(t.Cfg.Writes().ValueKB * 1024)
+	value := int(t.Cfg.WriteLimits().ValueKB * 1024)
 	most := max(fewSegments, 3*live/value)
 	spare := t.EventLog.LastSegment() - t.first - most
 	// What users wait for goes first, but not for ever: under steady load there
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -246,7 +246,7 @@
 
 // Load replays the whole log.
 func (t *Term) Load(now time.Duration, mark uint64, log LoadedLog) {
-	w := t.Cfg.Writes()
+	w := t.Cfg.WriteLimits()
 	t.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
 	t.first = max(log.First, 1)
 	for _, e := range log.Entries {
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -129,7 +129,7 @@
 	}
 	lim := st.s.cfg.Deployment.State.StateLimits
 	if st.lowered {
-		lim = st.s.cfg.Writes()
+		lim = st.s.cfg.WriteLimits()
 	}
 	for _, w := range writes {
 		if len(w.Value) > int(lim.ValueKB*1024) {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -85,9 +85,9 @@
 	leaseReports = 3
 )
 
-// Writes is what every write must keep to: the smaller of the limits in force
+// WriteLimits is what every write must keep to: the smaller of the limits in force
 // and of those announced, limit by limit, since nobody says when they change.
-func (p *Platform) Writes() StateLimits {
+func (p *Platform) WriteLimits() StateLimits {
 	l := p.Deployment.State.StateLimits
 	if n := p.Deployment.State.Next; n != nil {
 		if n.WriteRPS != nil {
@@ -303,7 +303,7 @@
 	}
 	if d.State.Next != nil {
 		// Announced limits, where they say nothing, are those in force.
-		if err := p.Writes().check("deployment.state.next"); err != nil {
+		if err := p.WriteLimits().check("deployment.state.next"); err != nil {
 			return err
 		}
 	}
@@ -342,7 +342,7 @@
 
 // CarriesTeam says why a job of a team with this name could not be stored.
 func (p *Platform) CarriesTeam(name string) error {
-	least := min(p.Deployment.State.ValueKB, p.Writes().ValueKB)
+	least := min(p.Deployment.State.ValueKB, p.WriteLimits().ValueKB)
 	if entry := p.largestEntry() + len(name); least*1024 < float64(entry) {
 		return wrong("team", "a name of %d bytes is too long: an entry would take %d bytes, and a value has %v KiB", len(name), entry, least)
 	}
@@ -358,7 +358,7 @@
 		return wrong("deployment.workers.lease_s", "must be at least %d reports, %v s, is %v s: a worker would lose its tasks over two lost reports", leaseReports, least, w.LeaseS)
 	}
 	s, field := p.Deployment.State, "deployment.state"
-	for _, kb := range []float64{s.ValueKB, p.Writes().ValueKB} {
+	for _, kb := range []float64{s.ValueKB, p.WriteLimits().ValueKB} {
 		if entry := p.largestEntry(); kb*1024 < float64(entry) {
 			return wrong(field+".value_kb", "%v KiB are too little for one entry, which takes up to %d bytes with the names of this deployment", kb, entry)
 		}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -92,7 +92,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if got := s.Writes(); got != c.want {
+		if got := s.WriteLimits(); got != c.want {
 			t.Errorf("next %q: %+v, want %+v", c.next, got, c.want)
 		}
 	}
