--- a/cmd/bitternmoor/main.go
+++ b/cmd/bitternmoor/main.go
@@ -64,7 +64,7 @@
 			if err != nil {
 				return err
 			}
-			if err := cfg.Serves(); err != nil {
+			if err := cfg.CheckServable(); err != nil {
 				return err
 			}
 			cmd.Printf("settings of %s are in order\n", cfg.Node)
@@ -112,7 +112,7 @@
 	if !known {
 		log.Info("LOG_LEVEL not known, info is used", "value", word)
 	}
-	if err := cfg.Serves(); err != nil {
+	if err := cfg.CheckServable(); err != nil {
 		log.Warn("the settings describe a fleet that cannot be served well", "error", err)
 	}
 	if kinds := cfg.UnknownAims(); len(kinds) > 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -349,10 +349,10 @@
 	return nil
 }
 
-// Serves says which setting describes a fleet that a controller can start with
+// CheckServable says which setting describes a fleet that a controller can start with
 // but cannot serve well; nil if none does. check-config refuses such settings. A
 // controller that is told to start with them says so and does what it can.
-func (p *Platform) Serves() error {
+func (p *Platform) CheckServable() error {
 	w := p.Deployment.Workers
 	if least := leaseReports * w.ReportS; w.LeaseS < least {
 		return wrong("deployment.workers.lease_s", "must be at least %d reports, %v s, is %v s: a worker would lose its tasks over two lost reports", leaseReports, least, w.LeaseS)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -154,7 +154,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = s.Serves()
+		err = s.CheckServable()
 		var fe *FieldError
 		if (c.field == "") != (err == nil) || (err != nil && (!errors.As(err, &fe) || fe.Field != c.field || strings.Contains(err.Error(), "\n"))) {
 			t.Errorf("%.60q: %v, want the field %q named", c.to, err, c.field)
