--- a/cmd/bitternmoor/main.go
+++ b/cmd/bitternmoor/main.go
@@ -115,7 +115,7 @@
 	if err := cfg.CheckServable(); err != nil {
 		log.Warn("the settings describe a fleet that cannot be served well", "error", err)
 	}
-	if kinds := cfg.UnknownAims(); len(kinds) > 0 {
+	if kinds := cfg.UnknownObjectives(); len(kinds) > 0 {
 		log.Warn("objectives of kinds that are not known are left out of account", "kinds", kinds)
 	}
 	runtime.GOMAXPROCS(1) // a controller has a share of one core
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -42,8 +42,8 @@
 // aims are all kinds that there are; nothing follows from the others of them here.
 var aims = []string{AimWait, AimFinished, AimDeadline, "guarantee"}
 
-// UnknownAims lists the kinds of objectives that this version does not know, once each.
-func (p *Platform) UnknownAims() (out []string) {
+// UnknownObjectives lists the kinds of objectives that this version does not know, once each.
+func (p *Platform) UnknownObjectives() (out []string) {
 	for _, o := range p.Deployment.Objectives {
 		if !slices.Contains(aims, o.Kind) && !slices.Contains(out, o.Kind) {
 			out = append(out, o.Kind)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -230,7 +230,7 @@
 		t.Fatal(err)
 	}
 	s, err := Load(path, "", "exceptions.direct_starts=8")
-	if err != nil || s.AnyNeedsDispatch() || !slices.Equal(s.UnknownAims(), []string{"brightness"}) {
+	if err != nil || s.AnyNeedsDispatch() || !slices.Equal(s.UnknownObjectives(), []string{"brightness"}) {
 		t.Fatalf("%v: prompt %v, unknown %v", err, s != nil && s.AnyNeedsDispatch(), s != nil)
 	}
 	s.Deployment.Objectives = append(s.Deployment.Objectives, Objective{Kind: AimWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2})
