--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -129,9 +129,9 @@
 		return wrong(i.Tunable, "a tunable has a number")
 	case i.Tunable != "" && v.Number != nil:
 		return settings.CheckLive(i.Tunable, *v.Number)
-	case i.Tunable != "" && settings.EffectOf(i.Tunable) == "":
+	case i.Tunable != "" && settings.EffectOfChange(i.Tunable) == "":
 		return wrong(i.Tunable, "no such tunable")
-	case i.Tunable != "" && settings.EffectOf(i.Tunable) == settings.NeedsRestart:
+	case i.Tunable != "" && settings.EffectOfChange(i.Tunable) == settings.NeedsRestart:
 		return wrong(i.Tunable, "cannot change while controllers run: it needs a restart")
 	case i.Tunable != "":
 		return nil
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -161,7 +161,7 @@
 func (d *Component) remarks(changes []config.Change) (out []string) {
 	for _, c := range changes {
 		if c.Item.Team == "" {
-			if e := settings.EffectOf(c.Item.Tunable); e != settings.AtOnce {
+			if e := settings.EffectOfChange(c.Item.Tunable); e != settings.AtOnce {
 				out = append(out, fmt.Sprintf("%s counts %s", c.Item, e))
 			}
 			continue
--- a/internal/leader/reconfig/show.go
+++ b/internal/leader/reconfig/show.go
@@ -98,7 +98,7 @@
 		v.Teams = append(v.Teams, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsOf(t)})
 	}
 	for _, key := range settings.LiveTunables() {
-		x := Tunable{Key: key, Revision: d.doc.Get(config.Item{Tunable: key}).Revision, Effect: settings.EffectOf(key)}
+		x := Tunable{Key: key, Revision: d.doc.Get(config.Item{Tunable: key}).Revision, Effect: settings.EffectOfChange(key)}
 		x.Value, _ = d.Cfg.Tunables.Number(key)
 		x.Settings, _ = d.base.Number(key)
 		v.Tunables = append(v.Tunables, x)
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -36,8 +36,8 @@
 // LiveTunables lists the keys that may change while controllers run, SECTION.KEY, in order.
 func LiveTunables() []string { return slices.Sorted(maps.Keys(live)) }
 
-// EffectOf says when a change of a key counts. It is empty where there is no such key.
-func EffectOf(key string) Effect {
+// EffectOfChange says when a change of a key counts. It is empty where there is no such key.
+func EffectOfChange(key string) Effect {
 	if e, ok := live[key]; ok {
 		return e
 	}
@@ -58,7 +58,7 @@
 
 // CheckLive says why a tunable may not be given a value while controllers run.
 func CheckLive(key string, value float64) error {
-	switch EffectOf(key) {
+	switch EffectOfChange(key) {
 	case "":
 		return wrong(key, "no such tunable")
 	case NeedsRestart:
