--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -287,15 +287,15 @@
 
 // reader is a duty that reads values of its own, after its term has begun.
 type reader interface {
-	// GotValues takes a page of them, in the order of their keys; ok is false for
+	// ValuesRead takes a page of them, in the order of their keys; ok is false for
 	// one that could not be read.
-	GotValues(now time.Duration, list []eventlog.Value, more, ok bool)
+	ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool)
 }
 
 // ValuesRead takes a page of a duty's own values.
 func (t *Term) ValuesRead(now time.Duration, duty string, list []eventlog.Value, more, ok bool) {
 	if r, known := t.owners[duty].(reader); known {
-		r.GotValues(now, list, more, ok)
+		r.ValuesRead(now, list, more, ok)
 	}
 }
 
