--- a/internal/scaletest/netproxy/netproxy_test.go
+++ b/internal/scaletest/netproxy/netproxy_test.go
@@ -16,7 +16,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }() // it only ends the test's own accept
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -36,7 +36,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
+	defer func() { _ = c.Close() }() // what matters was read before
 	lines := bufio.NewReader(c)
 	say := func(s string) {
 		t.Helper()
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -180,7 +180,7 @@
 		}
 		var here reconfig.LocalView
 		err = json.NewDecoder(resp.Body).Decode(&here)
-		resp.Body.Close()
+		_ = resp.Body.Close() // it was read to its end, or is useless
 		if err != nil || resp.StatusCode != http.StatusOK {
 			return 0, false
 		}
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -220,7 +220,7 @@
 		w.options.Log.Error("the state service is gone", "error", err)
 		return
 	}
-	resp.Body.Close()
+	_ = resp.Body.Close() // the status alone was wanted
 }
 
 // restart kills a controller, which is back after a while.
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -87,7 +87,7 @@
 		d.avoid()
 		return reply{}
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // an error of reading is looked at below
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, answerBytes))
 	if err != nil {
 		return reply{}
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -319,7 +319,8 @@
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close() // not before all are found: otherwise one may be found twice
+		// Not before all are found: otherwise one may be found twice.
+		defer func() { _ = l.Close() }()
 		addrs = append(addrs, l.Addr().String())
 	}
 	return addrs, nil
@@ -460,7 +461,7 @@
 	if err != nil {
 		return o, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // an error of reading is returned
 	return o, json.NewDecoder(resp.Body).Decode(&o)
 }
 
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -31,9 +31,9 @@
 }
 
 func (f *Fleet) beginAudit() {
-	if f.audit.on == nil {
-		f.audit.on, f.audit.attempts, f.audit.done = map[string]string{}, map[string]uint64{}, map[string]bool{}
-		f.audit.used, f.audit.cancelled = map[string]float64{}, map[string]time.Time{}
+	if f.on == nil {
+		f.on, f.attempts, f.done = map[string]string{}, map[string]uint64{}, map[string]bool{}
+		f.used, f.cancelled = map[string]float64{}, map[string]time.Time{}
 	}
 }
 
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -88,7 +88,7 @@
 		case x.paused:
 			next, last = now.Add(pausedLook), now
 			continue
-		case now.Before(next) && !(w.hasChanged() && now.Sub(last) >= soonest):
+		case now.Before(next) && (!w.hasChanged() || now.Sub(last) < soonest):
 			continue
 		}
 		last = now
@@ -215,7 +215,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // an error of reading is looked at below
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
 	if err != nil {
 		return 0, nil
@@ -244,7 +244,7 @@
 	time.AfterFunc(rand.N(within), func() {
 		resp, err := http.Post(door+wire.PathReports, "application/json", bytes.NewReader(body))
 		if err == nil {
-			resp.Body.Close()
+			_ = resp.Body.Close() // a repeat has no use for its answer
 			w.fleet.mu.Lock()
 			w.fleet.late++
 			w.fleet.mu.Unlock()
--- a/internal/scaletest/traffic/meter.go
+++ b/internal/scaletest/traffic/meter.go
@@ -33,8 +33,10 @@
 // Message counts one request with its answer.
 func (t *Meter) Message() { t.messages.Add(1) }
 
-// In and Out count bytes that were received and sent.
-func (t *Meter) In(n int)  { t.in.Add(uint64(n)) }
+// In counts bytes that were received.
+func (t *Meter) In(n int) { t.in.Add(uint64(n)) }
+
+// Out counts bytes that were sent.
 func (t *Meter) Out(n int) { t.out.Add(uint64(n)) }
 
 // Conn counts what crosses a connection.
--- a/internal/scenario/hands_test.go
+++ b/internal/scenario/hands_test.go
@@ -14,7 +14,7 @@
 // nobody would know.
 func TestStartsWaitForGrants(t *testing.T) {
 	playDays(t, 12, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, nil)
+		d := newStage(t, seed, nil)
 		d.cloud.capacity = 4
 		first := d.add(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 		d.askAll(time.Second)
@@ -24,7 +24,7 @@
 		d.cloud.capacity, d.cloud.boot = 12, 0 // for what would start elsewhere
 		end := time.Hour
 		for k := range 4 {
-			end = min(end, d.sim.ends[task{first.id, k}])
+			end = min(end, d.ends[task{first.id, k}])
 		}
 		d.run(end - d.now - time.Duration(seed%4*150)*time.Millisecond)
 		l := d.leads()
@@ -47,7 +47,7 @@
 // is kept: the new life knows of no offer that the former one has taken up.
 func TestHolderBackAtOnce(t *testing.T) {
 	playDays(t, 16, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 5, 26.5
 		})
 		d.cloud.capacity = 40
@@ -85,7 +85,7 @@
 // jobs were cancelled, and their ended tasks reaped: none may begin once more.
 func TestRepeatedStartAfterReap(t *testing.T) {
 	playDays(t, 8, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, startsDirectly)
+		d := newStage(t, seed, startsDirectly)
 		d.warmUp(5*time.Second, eventlog.Job{Tasks: 24, CPUs: 2, Priority: 1, Spot: true})
 		d.again = 9 * time.Second
 		for i := range 40 {
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -16,7 +16,7 @@
 	trials := []string{"cut", "held", "hung", "deaf", "mute", "slow"}
 	playDays(t, 9*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 12}, {Name: "other", CPUsMax: 10, CPUs: 6}, {Name: "third", CPUsMax: 8}}
 			c.Tunables.ZonePatienceS = float64(variant % 2 * 40)
 		})
@@ -75,7 +75,7 @@
 	}
 	playDays(t, 10*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			if trial == "balance" || variant%2 == 0 {
 				c.Tunables.SpreadMoves = 8
 			}
@@ -149,7 +149,7 @@
 // nothing starts in another zone before the old tasks are gone, and none is stuck for ever.
 func TestBoundToOneZone(t *testing.T) {
 	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, nil)
+		d := newStage(t, seed, nil)
 		var list []*userJob
 		for i, job := range []eventlog.Job{{Zone: "b", Tasks: 5}, {Zone: "b", Tasks: 3, Kind: 1}, {OneZone: true, Tasks: 5}, {OneZone: true, Tasks: 3, Kind: 1}, {Zone: "a", Tasks: 4, OneZone: true}} {
 			job.Priority, job.Spot = 1, i%2 == int(seed)%2 || i == 2
@@ -199,7 +199,7 @@
 // equal or lower priority, and all comes to its end.
 func TestMoreWorkThanRoom(t *testing.T) {
 	playDays(t, 6, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 30}, {Name: "other", CPUsMax: 30}}
 			c.Tunables.BeginWithinS = 120
 		})
@@ -243,7 +243,7 @@
 // left. None may wait 90 s so, and the first one is not forgotten for it.
 func TestLeftWaiting(t *testing.T) {
 	for _, kind := range []uint8{0, 1} {
-		d := newStage(t, uint64(kind), 3, nil)
+		d := newStage(t, uint64(kind), nil)
 		d.cloud.capacity = 6
 		stays := d.add(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
 		d.askAll(2 * time.Second)
@@ -281,7 +281,7 @@
 // TestSpreadWithOneZone has a spread array wait while machines with room are in one zone only:
 // another is rented in the other.
 func TestSpreadWithOneZone(t *testing.T) {
-	d := newStage(t, 5, 3, nil)
+	d := newStage(t, 5, nil)
 	bound := d.add(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
 	d.askAll(2 * time.Second)
 	d.runs(bound, 9)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -517,7 +517,7 @@
 func TestHeldStartMeetsNewLife(t *testing.T) {
 	const held = 22 * time.Second
 	playDays(t, 32, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, 1+seed/16, 3, startsDirectly)
+		d := newStage(t, 1+seed/16, startsDirectly)
 		d.warmUp(12*time.Second, eventlog.Job{Tasks: 8, CPUs: 4, Priority: 1, Spot: true})
 		d.run(8 * time.Second)
 		ms := d.machines()
@@ -562,7 +562,7 @@
 // session show that the worker has nothing: its machine is deleted, and the task starts
 // elsewhere then. Without the deletion it would count there for ever.
 func TestLostStartThenLaterSession(t *testing.T) {
-	d := newStage(t, 2, 3, startsDirectly)
+	d := newStage(t, 2, startsDirectly)
 	d.warmUp(12*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 	d.run(8 * time.Second)
 	sent := d.launches
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -22,7 +22,7 @@
 	}
 	playDays(t, 4*len(steps), func(t *testing.T, seed uint64) *sim {
 		step, variant := steps[int(seed)%len(steps)], int(seed)/len(steps)
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 24
 			if variant%2 == 1 {
 				c.Tunables.DirectStarts = 8
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -18,7 +18,7 @@
 // before, but for what was on its way already, and that is given up in a bounded time.
 func TestCloseLooks(t *testing.T) {
 	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, nil)
+		d := newStage(t, seed, nil)
 		d.looks = true
 		for i := range 25 {
 			d.addAt(time.Duration(2000+d.r.IntN(45000))*time.Millisecond, time.Duration(300+d.r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + d.r.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
@@ -61,7 +61,7 @@
 // a change of leader: each job has one outcome, for ever.
 func TestEndMeetsRequest(t *testing.T) {
 	seen := playDays(t, 48, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, nil)
+		d := newStage(t, seed, nil)
 		trial := seed % 4
 		list := make([]*userJob, 8)
 		for i := range list {
@@ -78,7 +78,7 @@
 		for i, j := range list {
 			last := time.Duration(0)
 			for k := range j.spec.Job.Tasks {
-				last = max(last, d.sim.ends[task{j.id, k}])
+				last = max(last, d.ends[task{j.id, k}])
 			}
 			// From before the end until after it is durable and told.
 			at := last - d.now + time.Duration(int(seed)/4*8+i-20)*15*time.Millisecond
@@ -142,7 +142,7 @@
 // what is written stays within the limits, the log stays short, and all are served.
 func TestOneTaskJobs(t *testing.T) {
 	const count = 720
-	d := newStage(t, 3, 3, func(c *settings.Settings) {
+	d := newStage(t, 3, func(c *settings.Settings) {
 		st := &c.Deployment.State
 		st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps = 200, 15, 2, 4
 	})
@@ -225,7 +225,7 @@
 // leader: known ids are answered with their state, the others refused, and nothing is kept.
 func TestOddRequests(t *testing.T) {
 	playDays(t, 6, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, nil)
+		d := newStage(t, seed, nil)
 		for i := range 12 {
 			d.addAt(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+d.r.IntN(9))*time.Second, eventlog.Job{Tasks: 1 + i%4, Priority: 1, Spot: true})
 		}
@@ -257,7 +257,7 @@
 
 // TestOverLimits submits jobs that can never run for each reason that there is.
 func TestOverLimits(t *testing.T) {
-	d := newStage(t, 1, 3, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
+	d := newStage(t, 1, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
 	d.leads()
 	d.run(2 * time.Second)
 	base := eventlog.Job{Class: "class", Team: "team", Tasks: 4, CPUs: 2, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true}
--- a/internal/scenario/stage_test.go
+++ b/internal/scenario/stage_test.go
@@ -49,13 +49,16 @@
 	tr *troubles
 }
 
+// stageControllers is how many controllers a stage has.
+const stageControllers = 3
+
 // newStage makes one; conf changes its settings.
-func newStage(t *testing.T, seed uint64, count int, conf func(c *settings.Settings)) *stage {
+func newStage(t *testing.T, seed uint64, conf func(c *settings.Settings)) *stage {
 	c := baseSettings()
 	if conf != nil {
 		conf(&c)
 	}
-	s := newSim(c, seed, count, false)
+	s := newSim(c, seed, stageControllers, false)
 	r := rand.New(rand.NewPCG(seed, 17))
 	return &stage{sim: s, t: t, r: r, tr: &troubles{s: s, r: r, say: func(string, ...any) {}}}
 }
@@ -190,7 +193,7 @@
 	for kind := range kindsOfTrouble {
 		t.Run(troubleNames[kind], func(t *testing.T) {
 			t.Parallel()
-			d := newStage(t, 7, 3, nil)
+			d := newStage(t, 7, nil)
 			d.run(3 * time.Second)
 			const begins, ends = 40 * time.Second, 140 * time.Second
 			for i := range 320 {
@@ -228,7 +231,7 @@
 				}
 			}
 			gap := func(list []time.Duration) time.Duration {
-				longest, last := time.Duration(0), time.Duration(begins)
+				longest, last := time.Duration(0), begins
 				for _, at := range list {
 					longest, last = max(longest, at-last), at
 				}
--- a/internal/scenario/unheard_test.go
+++ b/internal/scenario/unheard_test.go
@@ -14,7 +14,7 @@
 // it has acted: also where all controllers ended and nobody led for a while.
 func TestOldReportsAtANewLeader(t *testing.T) {
 	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 30
 			if seed%2 == 1 {
 				c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
@@ -64,7 +64,7 @@
 // is no sign that the lease lives.
 func TestMuteMachines(t *testing.T) {
 	playDays(t, 32, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 20
 			c.Tunables.AskSilent, c.Tunables.DirectStarts, c.Tunables.ReadyWindowS = int(seed%2)*2, 8, 600
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
@@ -128,7 +128,7 @@
 	playDays(t, 8*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial := trials[int(seed)%len(trials)]
 		variant := int(seed) / len(trials)
-		d := newStage(t, seed, 3, func(c *settings.Settings) {
+		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 28
 			if variant%2 == 1 {
 				c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
@@ -202,7 +202,7 @@
 	}
 	playDays(t, 2*len(trials)*len(delays), func(t *testing.T, seed uint64) *sim {
 		trial, after := trials[int(seed)%len(trials)], delays[int(seed)/len(trials)%len(delays)]
-		d := newStage(t, seed, 3, nil)
+		d := newStage(t, seed, nil)
 		var list []*userJob
 		for i, kind := range []uint8{0, 1, 2, 0} {
 			list = append(list, d.add(200*time.Second, eventlog.Job{Tasks: 2 + i, Kind: kind, Priority: 1, Spot: true}))
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { l.Close() })
+	t.Cleanup(func() { _ = l.Close() }) // it only ends the accept below
 	g := &gate{listener: l, to: to}
 	go func() {
 		for {
@@ -45,17 +45,17 @@
 			}
 			out, err := net.DialTimeout("tcp4", g.to, time.Second)
 			if err != nil || g.shut.Load() {
-				in.Close()
+				_ = in.Close() // cut on purpose, as is all below
 				if err == nil {
-					out.Close()
+					_ = out.Close()
 				}
 				continue
 			}
 			g.mu.Lock()
 			g.open = append(g.open, in, out)
 			g.mu.Unlock()
-			go func() { _, _ = io.Copy(out, in); out.Close() }()
-			go func() { _, _ = io.Copy(in, out); in.Close() }()
+			go func() { _, _ = io.Copy(out, in); _ = out.Close() }()
+			go func() { _, _ = io.Copy(in, out); _ = in.Close() }()
 		}
 	}()
 	return g
@@ -67,7 +67,7 @@
 	defer g.mu.Unlock()
 	if shut {
 		for _, c := range g.open {
-			c.Close()
+			_ = c.Close()
 		}
 		g.open = nil
 	}
@@ -115,12 +115,11 @@
 }
 
 // begin starts the controllers, the first one before the others, so that it leads.
-func (a *apart) begin(first string) *apart {
+func (a *apart) begin(first string) {
 	a.start(0, first)
 	a.leader()
 	a.start(1, a.binary)
 	a.start(2, a.binary)
-	return a
 }
 
 // cut has a controller and the others reach one another no more, or again.
@@ -187,7 +186,7 @@
 				if err != nil {
 					return false
 				}
-				defer resp.Body.Close()
+				defer func() { _ = resp.Body.Close() }() // the status alone counts
 				return resp.StatusCode == 200
 			})
 			told := time.Now()
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }() // the address is all that was wanted
 	return l.Addr().String()
 }
 
@@ -189,7 +189,7 @@
 	if err != nil {
 		return 0
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // an error of reading shows in what was read
 	_ = json.NewDecoder(resp.Body).Decode(into)
 	return resp.StatusCode
 }
@@ -215,7 +215,7 @@
 		if err != nil {
 			return false
 		}
-		defer resp.Body.Close()
+		defer func() { _ = resp.Body.Close() }() // an error of reading shows in what was read
 		var out struct{ Standing string }
 		_ = json.NewDecoder(resp.Body).Decode(&out)
 		status, standing = resp.StatusCode, out.Standing
