--- /dev/null
+++ b/Makefile
@@ -0,0 +1,15 @@
+# Shorthands for what CI and the deployment call.
+
+.PHONY: build test lint ci
+
+build:
+	go build -ldflags=-linkmode=external -o target/bitternmoor ./cmd/bitternmoor
+
+test:
+	go test ./...
+
+lint:
+	.ci/lint
+
+ci:
+	.ci/run
