--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -135,8 +135,8 @@
 	f.paused[machine] = time.Now().Add(d)
 }
 
-// Deafen has a machine's reports arrive, and no answer reach it, for a while.
-func (f *Fleet) Deafen(machine string, d time.Duration) {
+// DropAnswers has a machine's reports arrive, and no answer reach it, for a while.
+func (f *Fleet) DropAnswers(machine string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.deaf == nil {
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -250,7 +250,7 @@
 			slices.Sort(busy)
 			for _, m := range slices.Compact(busy) {
 				if deafened++; deafened%2 == 0 {
-					a.fleet.Deafen(m, time.Duration(3+r.IntN(12))*time.Second)
+					a.fleet.DropAnswers(m, time.Duration(3+r.IntN(12))*time.Second)
 				}
 			}
 		default:
