--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -49,13 +49,13 @@
 	// Direct counts what controllers send to workers.
 	Direct traffic.Meter
 
-	mu      sync.Mutex
-	workers map[string]*worker
-	paused  map[string]time.Time // machines whose workers make no reports until then
-	deaf    map[string]time.Time // machines that answers do not reach until then
-	copies  time.Duration        // a copy of one in four reports arrives so much later at most; 0: none
-	late    int                  // copies that did arrive
-	gone    map[string]bool
+	mu             sync.Mutex
+	workers        map[string]*worker
+	paused         map[string]time.Time // machines whose workers make no reports until then
+	answersDropped map[string]time.Time // machines that answers do not reach until then
+	copies         time.Duration        // a copy of one in four reports arrives so much later at most; 0: none
+	late           int                  // copies that did arrive
+	gone           map[string]bool
 	audit
 }
 
@@ -139,10 +139,10 @@
 func (f *Fleet) DropAnswers(machine string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.deaf == nil {
-		f.deaf = map[string]time.Time{}
+	if f.answersDropped == nil {
+		f.answersDropped = map[string]time.Time{}
 	}
-	f.deaf[machine] = time.Now().Add(d)
+	f.answersDropped[machine] = time.Now().Add(d)
 }
 
 // Repeat has a copy of one in four reports arrive at some controller, so much later at most.
@@ -169,7 +169,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	return troubles{f.gone[machine], now.Before(f.paused[machine]), now.Before(f.deaf[machine]), f.copies}
+	return troubles{f.gone[machine], now.Before(f.paused[machine]), now.Before(f.answersDropped[machine]), f.copies}
 }
 
 func (f *Fleet) recorder() Recorder {
