--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -66,7 +66,7 @@
 		x.ReceiptKeyFiles, x.OperatorsListen, x.OperatorsOperate = key, freeAddr(t), "ann"
 		x.OperatorsCert, x.OperatorsKey, x.OperatorsCA = filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key"), filepath.Join(dir, "ca.pem")
 		cfgs = append(cfgs, c)
-		fleet.Doors = append(fleet.Doors, "http://"+c.PublicAddr)
+		fleet.Controllers = append(fleet.Controllers, "http://"+c.PublicAddr)
 	}
 	cfgs[0].Peers = []settings.Peer{{Node: "n1", Endpoint: cfgs[1].InternalAddr}}
 	cfgs[1].Peers = []settings.Peer{{Node: "n0", Endpoint: cfgs[0].InternalAddr}}
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -261,7 +261,7 @@
 		w.fleet.Up(m)
 		return
 	}
-	order := workerOrder{Machine: m, Doors: w.fleet.Doors, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
+	order := workerOrder{Machine: m, Doors: w.fleet.Controllers, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
 	if err := json.NewEncoder(r.process.stdin).Encode(order); err != nil {
 		w.options.Log.Error("a worker's process is gone", "machine", m.Name, "error", err)
 		return
@@ -347,7 +347,7 @@
 		c.public, c.internal, c.control = own[0], own[1], own[2]
 		c.door = newDoor(c.public, c.zone)
 		w.controllers = append(w.controllers, c)
-		w.fleet.Doors = append(w.fleet.Doors, "http://"+c.public)
+		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+c.public)
 		w.fleet.Traffic = append(w.fleet.Traffic, &c.reports)
 	}
 	for _, c := range w.controllers {
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -13,9 +13,9 @@
 // Fleet plays the workers of a cloud's machines: each reports to one controller at a time and
 // runs what it is told to, and the rules that concern a start are checked.
 type Fleet struct {
-	Doors []string // base addresses of the controllers, which are called n0, n1, …
-	Every time.Duration
-	Lease time.Duration
+	Controllers []string // base addresses of the controllers, which are called n0, n1, …
+	Every       time.Duration
+	Lease       time.Duration
 	// Prompt has changes reported at once, though half a second after the last report at the
 	// soonest, and intervals differ by a quarter, as the protocol has it.
 	Prompt bool
@@ -183,7 +183,7 @@
 func (f *Fleet) door(name string) (int, bool) {
 	number, ok := strings.CutPrefix(name, "n")
 	i, err := strconv.Atoi(number)
-	return i, ok && err == nil && i >= 0 && i < len(f.Doors)
+	return i, ok && err == nil && i >= 0 && i < len(f.Controllers)
 }
 
 // traffic counts what is sent to a controller.
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -61,8 +61,8 @@
 	w := &worker{fleet: f, m: m, down: make(chan struct{}), wake: make(chan struct{}, 1),
 		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, renewed: time.Now()}
 	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
-	if f.Prompt && len(f.Doors) > 0 {
-		w.door = rand.IntN(len(f.Doors))
+	if f.Prompt && len(f.Controllers) > 0 {
+		w.door = rand.IntN(len(f.Controllers))
 	}
 	return w
 }
@@ -154,7 +154,7 @@
 func (w *worker) at() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.door % len(w.fleet.Doors)
+	return w.door % len(w.fleet.Controllers)
 }
 
 // current is the worker's report as of now; the caller holds the lock.
@@ -211,7 +211,7 @@
 		}
 	}
 	w.sleepFor(latency)
-	resp, err := w.client.Post(w.fleet.Doors[door]+wire.PathReports, "application/json", bytes.NewReader(body))
+	resp, err := w.client.Post(w.fleet.Controllers[door]+wire.PathReports, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -240,7 +240,7 @@
 	if within == 0 || rand.IntN(4) > 0 {
 		return
 	}
-	door := w.fleet.Doors[rand.IntN(len(w.fleet.Doors))]
+	door := w.fleet.Controllers[rand.IntN(len(w.fleet.Controllers))]
 	time.AfterFunc(rand.N(within), func() {
 		resp, err := http.Post(door+wire.PathReports, "application/json", bytes.NewReader(body))
 		if err == nil {
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -50,7 +50,7 @@
 		Runs:  func(id string) (time.Duration, []string) { return w.get(id).run, nil },
 		Tasks: func(id string) int { return w.get(id).tasks }}
 	for _, d := range w.doors {
-		w.fleet.Doors = append(w.fleet.Doors, "http://"+d)
+		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+d)
 	}
 	w.cloud.Up, w.cloud.Down = w.fleet.Up, w.fleet.Down
 	return w
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -57,7 +57,7 @@
 		Runs:  func(id string) (time.Duration, []string) { return c.get(id).run, nil },
 		Tasks: func(id string) int { return c.get(id).tasks }}
 	for _, d := range c.doors {
-		fleet.Doors = append(fleet.Doors, "http://"+d)
+		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
 	cloud.Up, cloud.Down = fleet.Up, fleet.Down
 	fleet.Limit("licence", 24)
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -274,7 +274,7 @@
 		Runs:  func(id string) (time.Duration, []string) { j := c.get(id); return j.run, j.follows },
 		Tasks: func(id string) int { return c.get(id).tasks }}
 	for _, d := range c.doors {
-		fleet.Doors = append(fleet.Doors, "http://"+d)
+		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
 	cloud.Up, cloud.Down = fleet.Up, fleet.Down
 
