--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -45,7 +45,7 @@
 	state, clouds := httptest.NewServer(store), httptest.NewServer(cloud)
 	defer state.Close()
 	defer clouds.Close()
-	fleet := &standin.Fleet{Every: 200 * time.Millisecond, Lease: 6 * time.Second,
+	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 6 * time.Second,
 		Runs:  func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
 		Tasks: func(string) int { return 3 }, Units: func(string) map[string]int { return map[string]int{"licence": 1} }}
 	cloud.Up, cloud.Down = fleet.Up, fleet.Down
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -13,9 +13,9 @@
 // Fleet plays the workers of a cloud's machines: each reports to one controller at a time and
 // runs what it is told to, and the rules that concern a start are checked.
 type Fleet struct {
-	Controllers []string // base addresses of the controllers, which are called n0, n1, …
-	Every       time.Duration
-	Lease       time.Duration
+	Controllers       []string // base addresses of the controllers, which are called n0, n1, …
+	HeartbeatInterval time.Duration
+	Lease             time.Duration
 	// Prompt has changes reported at once, though half a second after the last report at the
 	// soonest, and intervals differ by a quarter, as the protocol has it.
 	Prompt bool
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -72,7 +72,7 @@
 	defer w.client.CloseIdleConnections()
 	next := time.Now()
 	if w.fleet.Prompt {
-		next = next.Add(rand.N(w.fleet.Every))
+		next = next.Add(rand.N(w.fleet.HeartbeatInterval))
 	}
 	var last time.Time
 	for {
@@ -102,7 +102,7 @@
 
 // interval is the time to the next report.
 func (w *worker) interval() time.Duration {
-	every := w.fleet.Every
+	every := w.fleet.HeartbeatInterval
 	if !w.fleet.Prompt {
 		return every
 	}
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -46,7 +46,7 @@
 	w.extra = func(int) []string {
 		return append([]string{"--tunables", filepath.Join(root, "deploy/cold-start.ini")}, args...)
 	}
-	w.fleet = &standin.Fleet{Every: 500 * time.Millisecond, Lease: 10 * time.Second,
+	w.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
 		Runs:  func(id string) (time.Duration, []string) { return w.get(id).run, nil },
 		Tasks: func(id string) int { return w.get(id).tasks }}
 	for _, d := range w.doors {
