--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -18,7 +18,7 @@
 	Lease             time.Duration
 	// Prompt has changes reported at once, though half a second after the last report at the
 	// soonest, and intervals differ by a quarter, as the protocol has it.
-	Prompt bool
+	ReportsChangesAtOnce bool
 	// Fetch is how long a machine takes to get an image that it does not have.
 	Fetch time.Duration
 	// Image names the image of a job; nil: no machine has to get any.
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -134,7 +134,7 @@
 		token++ // each answer has a higher one
 	}))
 	defer door.Close()
-	f := &Fleet{Controllers: []string{door.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, Prompt: true}
+	f := &Fleet{Controllers: []string{door.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
 	f.Up(Machine{Name: "host-1"})
 	first, second, third := <-reports, <-reports, <-reports
 	f.Down(Machine{Name: "host-1"})
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -61,7 +61,7 @@
 	w := &worker{fleet: f, m: m, down: make(chan struct{}), wake: make(chan struct{}, 1),
 		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, renewed: time.Now()}
 	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
-	if f.Prompt && len(f.Controllers) > 0 {
+	if f.ReportsChangesAtOnce && len(f.Controllers) > 0 {
 		w.door = rand.IntN(len(f.Controllers))
 	}
 	return w
@@ -71,7 +71,7 @@
 func (w *worker) live() {
 	defer w.client.CloseIdleConnections()
 	next := time.Now()
-	if w.fleet.Prompt {
+	if w.fleet.ReportsChangesAtOnce {
 		next = next.Add(rand.N(w.fleet.HeartbeatInterval))
 	}
 	var last time.Time
@@ -103,7 +103,7 @@
 // interval is the time to the next report.
 func (w *worker) interval() time.Duration {
 	every := w.fleet.HeartbeatInterval
-	if !w.fleet.Prompt {
+	if !w.fleet.ReportsChangesAtOnce {
 		return every
 	}
 	return every*3/4 + rand.N(every/2)
@@ -111,7 +111,7 @@
 
 // until is when the worker has something to do next: a report, or the end of a fetch or a run.
 func (w *worker) until(next, last time.Time) time.Time {
-	if !w.fleet.Prompt {
+	if !w.fleet.ReportsChangesAtOnce {
 		return next
 	}
 	w.mu.Lock()
@@ -143,7 +143,7 @@
 func (w *worker) hasChanged() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.fleet.Prompt && w.changed
+	return w.fleet.ReportsChangesAtOnce && w.changed
 }
 
 // dial reaches the controller that the worker is at.
