--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -104,7 +104,7 @@
 	d.Teams = []settings.Team{{Name: "team"}}
 	c.Tunables.RunTimesKinds, c.Tunables.WebhookURL, c.WebhookKey = 2000, hook.URL, []byte("0123456789abcdef")
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Controllers: []string{"http://" + c.PublicAddr},
-		Runs: func(string) (time.Duration, []string) { return 0, nil },
+		JobDuration: func(string) (time.Duration, []string) { return 0, nil },
 		Took: func(task string) time.Duration {
 			id, k, _ := strings.Cut(task, "/")
 			n, _ := strconv.Atoi(k)
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -59,8 +59,8 @@
 	if on := f.on[task]; on != "" {
 		f.breaks("ran_twice: %s on %s while on %s", task, machine, on)
 	}
-	if f.Runs != nil {
-		_, before := f.Runs(job)
+	if f.JobDuration != nil {
+		_, before := f.JobDuration(job)
 		for _, b := range before {
 			if !f.finished(b) {
 				f.breaks("too_early: %s before %s was done", task, b)
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -24,7 +24,7 @@
 	// Image names the image of a job; nil: no machine has to get any.
 	Image func(job string) string
 	// Runs says how long tasks of a job run, and which jobs must be done before.
-	Runs func(job string) (time.Duration, []string)
+	JobDuration func(job string) (time.Duration, []string)
 	// Took, where it is set, says it for each task instead.
 	Took func(task string) time.Duration
 	// Tasks is how many tasks a job has.
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -316,7 +316,7 @@
 	if w.fleet.Took != nil {
 		runs = w.fleet.Took(name)
 	} else {
-		runs, _ = w.fleet.Runs(wire.FormatID(t.Job))
+		runs, _ = w.fleet.JobDuration(wire.FormatID(t.Job))
 	}
 	t.State, t.until = workers.Running, time.Now().Add(runs)
 }
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -47,8 +47,8 @@
 		return append([]string{"--tunables", filepath.Join(root, "deploy/cold-start.ini")}, args...)
 	}
 	w.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
-		Runs:  func(id string) (time.Duration, []string) { return w.get(id).run, nil },
-		Tasks: func(id string) int { return w.get(id).tasks }}
+		JobDuration: func(id string) (time.Duration, []string) { return w.get(id).run, nil },
+		Tasks:       func(id string) int { return w.get(id).tasks }}
 	for _, d := range w.doors {
 		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+d)
 	}
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -54,8 +54,8 @@
 		return map[string]int{"licence": 1}
 	}
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Units: units,
-		Runs:  func(id string) (time.Duration, []string) { return c.get(id).run, nil },
-		Tasks: func(id string) int { return c.get(id).tasks }}
+		JobDuration: func(id string) (time.Duration, []string) { return c.get(id).run, nil },
+		Tasks:       func(id string) int { return c.get(id).tasks }}
 	for _, d := range c.doors {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
