--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -105,7 +105,7 @@
 	c.Tunables.RunTimesKinds, c.Tunables.WebhookURL, c.WebhookKey = 2000, hook.URL, []byte("0123456789abcdef")
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Controllers: []string{"http://" + c.PublicAddr},
 		JobDuration: func(string) (time.Duration, []string) { return 0, nil },
-		Took: func(task string) time.Duration {
+		TaskDuration: func(task string) time.Duration {
 			id, k, _ := strings.Cut(task, "/")
 			n, _ := strconv.Atoi(k)
 			mu.Lock()
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -26,7 +26,7 @@
 	// Runs says how long tasks of a job run, and which jobs must be done before.
 	JobDuration func(job string) (time.Duration, []string)
 	// Took, where it is set, says it for each task instead.
-	Took func(task string) time.Duration
+	TaskDuration func(task string) time.Duration
 	// Tasks is how many tasks a job has.
 	Tasks func(job string) int
 	// Units, where it is set, says how many units of which pools each task of a job
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -313,8 +313,8 @@
 	name := t.name()
 	w.fleet.recorder().Started(name, w.m.Name, t.Attempt)
 	var runs time.Duration
-	if w.fleet.Took != nil {
-		runs = w.fleet.Took(name)
+	if w.fleet.TaskDuration != nil {
+		runs = w.fleet.TaskDuration(name)
 	} else {
 		runs, _ = w.fleet.JobDuration(wire.FormatID(t.Job))
 	}
