--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -112,7 +112,7 @@
 			defer mu.Unlock()
 			return jobs[id].took[n]
 		},
-		Tasks: func(id string) int { mu.Lock(); defer mu.Unlock(); return len(jobs[id].took) }}
+		TaskCount: func(id string) int { mu.Lock(); defer mu.Unlock(); return len(jobs[id].took) }}
 	cloud.Up, cloud.Down = fleet.Up, fleet.Down
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -157,7 +157,7 @@
 	for _, j := range w.jobs {
 		byID[j.name()] = j
 	}
-	w.fleet.Tasks = func(id string) int { return byID[id].tasks }
+	w.fleet.TaskCount = func(id string) int { return byID[id].tasks }
 	limit := w.teamLimit()
 	w.fleet.Team = func(id string) (string, float64, float64) { return teamName(byID[id].team), taskCPUs, limit }
 	w.fleet.Reaches = func(zone string, door int) (bool, time.Duration) {
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -220,7 +220,7 @@
 }
 
 func (f *Fleet) finished(job string) bool {
-	for k := range f.Tasks(job) {
+	for k := range f.TaskCount(job) {
 		if !f.done[job+"/"+strconv.Itoa(k)] {
 			return false
 		}
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -28,7 +28,7 @@
 	// Took, where it is set, says it for each task instead.
 	TaskDuration func(task string) time.Duration
 	// Tasks is how many tasks a job has.
-	Tasks func(job string) int
+	TaskCount func(job string) int
 	// Units, where it is set, says how many units of which pools each task of a job
 	// holds while it runs; more than Limit allows are a broken rule.
 	Units func(job string) map[string]int
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -92,7 +92,7 @@
 
 // Each rule that the fleet checks is seen when it is broken.
 func TestFleetChecks(t *testing.T) {
-	f := &Fleet{Tasks: func(string) int { return 1 }, Team: func(string) (string, float64, float64) { return "team", 2, 3 },
+	f := &Fleet{TaskCount: func(string) int { return 1 }, Team: func(string) (string, float64, float64) { return "team", 2, 3 },
 		JobDuration: func(job string) (time.Duration, []string) {
 			if job == "j-000002" {
 				return 0, []string{"j-000001"}
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -48,7 +48,7 @@
 	}
 	w.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
 		JobDuration: func(id string) (time.Duration, []string) { return w.get(id).run, nil },
-		Tasks:       func(id string) int { return w.get(id).tasks }}
+		TaskCount:   func(id string) int { return w.get(id).tasks }}
 	for _, d := range w.doors {
 		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+d)
 	}
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -55,7 +55,7 @@
 	}
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Units: units,
 		JobDuration: func(id string) (time.Duration, []string) { return c.get(id).run, nil },
-		Tasks:       func(id string) int { return c.get(id).tasks }}
+		TaskCount:   func(id string) int { return c.get(id).tasks }}
 	for _, d := range c.doors {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -272,7 +272,7 @@
 	c := newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
 	fleet := &standin.Fleet{HeartbeatInterval: 600 * time.Millisecond, Lease: 10 * time.Second,
 		JobDuration: func(id string) (time.Duration, []string) { j := c.get(id); return j.run, j.follows },
-		Tasks:       func(id string) int { return c.get(id).tasks }}
+		TaskCount:   func(id string) int { return c.get(id).tasks }}
 	for _, d := range c.doors {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
