--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -47,7 +47,7 @@
 	defer clouds.Close()
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 6 * time.Second,
 		JobDuration: func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
-		TaskCount:   func(string) int { return 3 }, Units: func(string) map[string]int { return map[string]int{"licence": 1} }}
+		TaskCount:   func(string) int { return 3 }, PoolUnits: func(string) map[string]int { return map[string]int{"licence": 1} }}
 	cloud.Up, cloud.Down = fleet.Up, fleet.Down
 	fleet.Limit("licence", 3)
 	var cfgs []*settings.Settings
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -72,7 +72,7 @@
 	}
 	f.on[task], f.attempts[task] = machine, attempt
 	f.countTeam(job, 1)
-	if f.Units != nil {
+	if f.PoolUnits != nil {
 		f.countUnits(task)
 	}
 	if f.Observe != nil {
@@ -120,11 +120,11 @@
 func (f *Fleet) countUnits(started string) {
 	held := map[string]int{}
 	for t := range f.on {
-		for pool, n := range f.Units(JobOf(t)) {
+		for pool, n := range f.PoolUnits(JobOf(t)) {
 			held[pool] += n
 		}
 	}
-	for pool := range f.Units(JobOf(started)) {
+	for pool := range f.PoolUnits(JobOf(started)) {
 		f.peak[pool] = max(f.peak[pool], held[pool])
 		if held[pool] > f.most[pool] {
 			f.breaks("overdrawn: %d units of %s are held, there are %d", held[pool], pool, f.most[pool])
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -31,7 +31,7 @@
 	TaskCount func(job string) int
 	// Units, where it is set, says how many units of which pools each task of a job
 	// holds while it runs; more than Limit allows are a broken rule.
-	Units func(job string) map[string]int
+	PoolUnits func(job string) map[string]int
 	// Team, where it is set, says whose a job is, how many processors each of its tasks uses,
 	// and how many the team may use; 0: any number.
 	Team func(job string) (team string, cpus, limit float64)
