--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -49,7 +49,7 @@
 		JobDuration: func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
 		TaskCount:   func(string) int { return 3 }, PoolUnits: func(string) map[string]int { return map[string]int{"licence": 1} }}
 	cloud.Up, cloud.Down = fleet.Up, fleet.Down
-	fleet.Limit("licence", 3)
+	fleet.SetPoolLimit("licence", 3)
 	var cfgs []*settings.Settings
 	for i := range 2 {
 		c := &settings.Settings{Tunables: settings.Defaults()}
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -168,8 +168,8 @@
 	return slices.Clone(f.broken)
 }
 
-// Limit says how many units of a pool there are.
-func (f *Fleet) Limit(pool string, units int) {
+// SetPoolLimit says how many units of a pool there are.
+func (f *Fleet) SetPoolLimit(pool string, units int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.most == nil {
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -60,8 +60,8 @@
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
 	cloud.Up, cloud.Down = fleet.Up, fleet.Down
-	fleet.Limit("licence", 24)
-	fleet.Limit("token", 40)
+	fleet.SetPoolLimit("licence", 24)
+	fleet.SetPoolLimit("token", 40)
 	for i := range 3 {
 		c.start(i, binary)
 	}
@@ -81,14 +81,14 @@
 			}
 			want := []int{12, 24}[n%2]
 			if want > now {
-				fleet.Limit("licence", want)
+				fleet.SetPoolLimit("licence", want)
 			}
 			out, err := exec.Command(binary, "pools", "set", "licence", "--units", fmt.Sprint(want), "--control", listen[n%3], "--cert", filepath.Join(dir, "ann.pem"),
 				"--key", filepath.Join(dir, "ann.key"), "--ca", filepath.Join(dir, "ca.pem"), "--yes", "--json").CombinedOutput()
 			if err != nil {
 				t.Logf("the change is refused for now: %s", out)
 				if want > now {
-					fleet.Limit("licence", now)
+					fleet.SetPoolLimit("licence", now)
 				}
 				n++ // the other way next, which changes nothing
 				continue
@@ -96,7 +96,7 @@
 			changes.Add(1)
 			if want < now {
 				time.Sleep(5 * time.Second) // starts that were sent before
-				fleet.Limit("licence", want)
+				fleet.SetPoolLimit("licence", want)
 			}
 			now = want
 		}
