--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -216,7 +216,7 @@
 	for _, b := range append(fleet.Broken(), store.Refused()...) {
 		t.Error(b)
 	}
-	if fleet.Peak("licence") != 3 || !certified {
-		t.Errorf("at most %d licences were held", fleet.Peak("licence"))
+	if fleet.PoolPeak("licence") != 3 || !certified {
+		t.Errorf("at most %d licences were held", fleet.PoolPeak("licence"))
 	}
 }
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -178,8 +178,8 @@
 	f.most[pool] = units
 }
 
-// Peak is the most units of a pool that were ever held at once.
-func (f *Fleet) Peak(pool string) int {
+// PoolPeak is the most units of a pool that were ever held at once.
+func (f *Fleet) PoolPeak(pool string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.peak[pool]
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -142,10 +142,10 @@
 	for _, b := range append(fleet.Broken(), store.Refused()...) {
 		t.Error(b)
 	}
-	if fleet.Peak("licence") < 20 || changes.Load() < 3 {
-		t.Errorf("at most %d licences were held, %d changes", fleet.Peak("licence"), changes.Load())
+	if fleet.PoolPeak("licence") < 20 || changes.Load() < 3 {
+		t.Errorf("at most %d licences were held, %d changes", fleet.PoolPeak("licence"), changes.Load())
 	}
-	t.Logf("%d workers killed or cut off, %d leaders killed, %d jobs, %d changes of the pool; at most %d licences were held", killed, led, len(submitted), changes.Load(), fleet.Peak("licence"))
+	t.Logf("%d workers killed or cut off, %d leaders killed, %d jobs, %d changes of the pool; at most %d licences were held", killed, led, len(submitted), changes.Load(), fleet.PoolPeak("licence"))
 }
 
 // counted submits a job that needs units.
