--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -48,7 +48,7 @@
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 6 * time.Second,
 		JobDuration: func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
 		TaskCount:   func(string) int { return 3 }, PoolUnits: func(string) map[string]int { return map[string]int{"licence": 1} }}
-	cloud.Up, cloud.Down = fleet.Up, fleet.Down
+	cloud.Up, cloud.Down = fleet.StartWorker, fleet.Down
 	fleet.SetPoolLimit("licence", 3)
 	var cfgs []*settings.Settings
 	for i := range 2 {
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -146,7 +146,7 @@
 	for range o.Doors {
 		fleet.Traffic = append(fleet.Traffic, &traffic)
 	}
-	fleet.Up(o.Machine)
+	fleet.StartWorker(o.Machine)
 	go func() { _ = http.Serve(l, fleet.Handler(o.Machine.Name)) }() // it ends with the process
 	for {
 		select {
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -258,7 +258,7 @@
 func (w *world) up(m standin.Machine) {
 	r := w.remote(m.Name)
 	if r == nil {
-		w.fleet.Up(m)
+		w.fleet.StartWorker(m)
 		return
 	}
 	order := workerOrder{Machine: m, Doors: w.fleet.Controllers, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -76,8 +76,8 @@
 	At            time.Time
 }
 
-// Up begins a machine's worker, which ends with Down.
-func (f *Fleet) Up(m Machine) {
+// StartWorker begins a machine's worker, which ends with Down.
+func (f *Fleet) StartWorker(m Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.gone == nil {
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -135,7 +135,7 @@
 	}))
 	defer door.Close()
 	f := &Fleet{Controllers: []string{door.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
-	f.Up(Machine{Name: "host-1"})
+	f.StartWorker(Machine{Name: "host-1"})
 	first, second, third := <-reports, <-reports, <-reports
 	f.Down(Machine{Name: "host-1"})
 	if first != 0 || second != 1 || third != 2 {
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -59,7 +59,7 @@
 	for _, d := range c.doors {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
-	cloud.Up, cloud.Down = fleet.Up, fleet.Down
+	cloud.Up, cloud.Down = fleet.StartWorker, fleet.Down
 	fleet.SetPoolLimit("licence", 24)
 	fleet.SetPoolLimit("token", 40)
 	for i := range 3 {
