--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -48,7 +48,7 @@
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 6 * time.Second,
 		JobDuration: func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
 		TaskCount:   func(string) int { return 3 }, PoolUnits: func(string) map[string]int { return map[string]int{"licence": 1} }}
-	cloud.Up, cloud.Down = fleet.StartWorker, fleet.Down
+	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
 	fleet.SetPoolLimit("licence", 3)
 	var cfgs []*settings.Settings
 	for i := range 2 {
@@ -153,7 +153,7 @@
 	for k := range 12 { // workers killed, and cut off past their lease
 		eventually("something runs", func() bool { return len(fleet.Busy()) > 0 })
 		if m := fleet.Busy(); len(m) > 0 && k%2 == 0 {
-			fleet.Down(standin.Machine{Name: m[0]})
+			fleet.StopWorker(standin.Machine{Name: m[0]})
 		} else if len(m) > 0 {
 			fleet.Pause(m[0], 7*time.Second)
 		}
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -113,7 +113,7 @@
 			return jobs[id].took[n]
 		},
 		TaskCount: func(id string) int { mu.Lock(); defer mu.Unlock(); return len(jobs[id].took) }}
-	cloud.Up, cloud.Down = fleet.StartWorker, fleet.Down
+	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() {
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -300,7 +300,7 @@
 	if r := w.remote(m.Name); r != nil {
 		r.process.kill()
 	}
-	w.fleet.Down(m)
+	w.fleet.StopWorker(m)
 }
 
 // host is the loopback address of the controllers of this process's runs. Runs beside one another
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -89,8 +89,8 @@
 	go w.live()
 }
 
-// Down has a machine's worker end, with all that is on it.
-func (f *Fleet) Down(m Machine) {
+// StopWorker has a machine's worker end, with all that is on it.
+func (f *Fleet) StopWorker(m Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.workers[m.Name]; w != nil {
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -137,7 +137,7 @@
 	f := &Fleet{Controllers: []string{door.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
 	f.StartWorker(Machine{Name: "host-1"})
 	first, second, third := <-reports, <-reports, <-reports
-	f.Down(Machine{Name: "host-1"})
+	f.StopWorker(Machine{Name: "host-1"})
 	if first != 0 || second != 1 || third != 2 {
 		t.Errorf("tokens %d, %d and %d were reported", first, second, third)
 	}
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -52,7 +52,7 @@
 	for _, d := range w.doors {
 		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+d)
 	}
-	w.cloud.Up, w.cloud.Down = w.fleet.StartWorker, w.fleet.Down
+	w.cloud.Up, w.cloud.Down = w.fleet.StartWorker, w.fleet.StopWorker
 	return w
 }
 
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -59,7 +59,7 @@
 	for _, d := range c.doors {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
-	cloud.Up, cloud.Down = fleet.StartWorker, fleet.Down
+	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
 	fleet.SetPoolLimit("licence", 24)
 	fleet.SetPoolLimit("token", 40)
 	for i := range 3 {
@@ -114,7 +114,7 @@
 			m := busy[r.IntN(len(busy))]
 			switch killed++; r.IntN(3) {
 			case 0:
-				fleet.Down(standin.Machine{Name: m})
+				fleet.StopWorker(standin.Machine{Name: m})
 			case 1:
 				fleet.Pause(m, 3*time.Second)
 			default:
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -276,7 +276,7 @@
 	for _, d := range c.doors {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
-	cloud.Up, cloud.Down = fleet.StartWorker, fleet.Down
+	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
 
 	for i := range 3 {
 		c.start(i, old)
