--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -152,8 +152,8 @@
 	f.copies = within
 }
 
-// Late counts the copies of reports that arrived.
-func (f *Fleet) Late() int {
+// LateCopies counts the copies of reports that arrived.
+func (f *Fleet) LateCopies() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.late
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -279,8 +279,8 @@
 	for _, b := range append(a.fleet.Broken(), a.store.Refused()...) {
 		t.Error(b)
 	}
-	t.Logf("%d jobs, %d machines met, half of them deaf, %d late copies, %d leaders ended", len(ids), deafened, a.fleet.Late(), leaders)
-	if a.fleet.Late() < 20 || deafened < 4 {
-		t.Errorf("%d late copies, %d machines met", a.fleet.Late(), deafened)
+	t.Logf("%d jobs, %d machines met, half of them deaf, %d late copies, %d leaders ended", len(ids), deafened, a.fleet.LateCopies(), leaders)
+	if a.fleet.LateCopies() < 20 || deafened < 4 {
+		t.Errorf("%d late copies, %d machines met", a.fleet.LateCopies(), deafened)
 	}
 }
