--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -54,7 +54,7 @@
 	paused         map[string]time.Time // machines whose workers make no reports until then
 	answersDropped map[string]time.Time // machines that answers do not reach until then
 	copies         time.Duration        // a copy of one in four reports arrives so much later at most; 0: none
-	late           int                  // copies that did arrive
+	lateCopies     int                  // copies that did arrive
 	gone           map[string]bool
 	audit
 }
@@ -156,7 +156,7 @@
 func (f *Fleet) LateCopies() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.late
+	return f.lateCopies
 }
 
 // troubles is what a machine's worker meets now.
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -246,7 +246,7 @@
 		if err == nil {
 			_ = resp.Body.Close() // a repeat has no use for its answer
 			w.fleet.mu.Lock()
-			w.fleet.late++
+			w.fleet.lateCopies++
 			w.fleet.mu.Unlock()
 		}
 	})
