--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -53,7 +53,7 @@
 	workers        map[string]*worker
 	paused         map[string]time.Time // machines whose workers make no reports until then
 	answersDropped map[string]time.Time // machines that answers do not reach until then
-	copies         time.Duration        // a copy of one in four reports arrives so much later at most; 0: none
+	copyDelay      time.Duration        // a copy of one in four reports arrives so much later at most; 0: none
 	lateCopies     int                  // copies that did arrive
 	gone           map[string]bool
 	audit
@@ -149,7 +149,7 @@
 func (f *Fleet) Repeat(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.copies = within
+	f.copyDelay = within
 }
 
 // LateCopies counts the copies of reports that arrived.
@@ -169,7 +169,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	return troubles{f.gone[machine], now.Before(f.paused[machine]), now.Before(f.answersDropped[machine]), f.copies}
+	return troubles{f.gone[machine], now.Before(f.paused[machine]), now.Before(f.answersDropped[machine]), f.copyDelay}
 }
 
 func (f *Fleet) recorder() Recorder {
