--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -145,8 +145,8 @@
 	f.answersDropped[machine] = time.Now().Add(d)
 }
 
-// Repeat has a copy of one in four reports arrive at some controller, so much later at most.
-func (f *Fleet) Repeat(within time.Duration) {
+// RepeatHeartbeats has a copy of one in four reports arrive at some controller, so much later at most.
+func (f *Fleet) RepeatHeartbeats(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copyDelay = within
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -240,7 +240,7 @@
 			ids = append(ids, a.submit(n, 4+r.IntN(5), time.Duration(1+r.IntN(8))*time.Second))
 		}
 	}
-	a.fleet.Repeat(20 * time.Second)
+	a.fleet.RepeatHeartbeats(20 * time.Second)
 	for round := range 8 {
 		load(5)
 		time.Sleep(2 * time.Second)
