--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -158,7 +158,7 @@
 		return // never accepted
 	case http.StatusOK, http.StatusCreated:
 	default:
-		u.fleet.Broke(fmt.Sprintf("refused: %s is answered %d: %s", id, r.status, r.body))
+		u.fleet.RuleBroken(fmt.Sprintf("refused: %s is answered %d: %s", id, r.status, r.body))
 		return
 	}
 	u.accepted.Add(1)
@@ -186,7 +186,7 @@
 func (u *users) look(id uint64) bool {
 	r := u.ask(http.MethodGet, wire.JobPath(id), nil, pollTimeout)
 	if r.status == http.StatusNotFound {
-		u.fleet.Broke("forgotten: " + wire.FormatID(id))
+		u.fleet.RuleBroken("forgotten: " + wire.FormatID(id))
 	}
 	if r.status != http.StatusOK {
 		return false
@@ -199,16 +199,16 @@
 	name := wire.FormatID(id)
 	state, err := wire.ParseJobAnswer(body)
 	if err != nil {
-		u.fleet.Broke("unreadable: " + name + ": " + err.Error())
+		u.fleet.RuleBroken("unreadable: " + name + ": " + err.Error())
 		return false
 	}
 	if before, ok := u.told.Load(name); ok && before != state {
-		u.fleet.Broke(fmt.Sprintf("went_back: %s was in state %v and is in %v", name, before, state))
+		u.fleet.RuleBroken(fmt.Sprintf("went_back: %s was in state %v and is in %v", name, before, state))
 	}
 	switch state {
 	case wire.Done:
 		if !u.fleet.Finished(name) {
-			u.fleet.Broke("not_done: " + name)
+			u.fleet.RuleBroken("not_done: " + name)
 		}
 	case wire.Cancelled:
 		u.fleet.Cancelled(name)
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// Broke notes a broken rule that somebody else has seen.
-func (f *Fleet) Broke(rule string) {
+// RuleBroken notes a broken rule that somebody else has seen.
+func (f *Fleet) RuleBroken(rule string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.broken = append(f.broken, rule)
