--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -100,7 +100,7 @@
 	end()
 	open.Wait()
 	r.Accepted, r.Over = w.users.accepted.Load(), w.users.over.Load()
-	r.Broken = append([]string{}, w.fleet.Broken()...)
+	r.Broken = append([]string{}, w.fleet.BrokenRules()...)
 	if o, err := w.observe(); err == nil {
 		for _, what := range o.Refused {
 			r.Broken = append(r.Broken, "over the state service's limits: "+what)
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -161,8 +161,8 @@
 	f.broken = append(f.broken, rule)
 }
 
-// Broken lists the rules that were broken.
-func (f *Fleet) Broken() []string {
+// BrokenRules lists the rules that were broken.
+func (f *Fleet) BrokenRules() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.broken)
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -107,13 +107,13 @@
 	f.Started("j-000003/0", "host-4", 4)
 	f.Overdue()
 	found := map[string]bool{}
-	for _, b := range f.Broken() {
+	for _, b := range f.BrokenRules() {
 		rule, _, _ := strings.Cut(b, ":")
 		found[rule] = true
 	}
 	for _, rule := range []string{"ran_twice", "quota", "too_early", "ran_cancelled"} {
 		if !found[rule] {
-			t.Errorf("%s was not seen: %v", rule, f.Broken())
+			t.Errorf("%s was not seen: %v", rule, f.BrokenRules())
 		}
 	}
 }
