--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -199,8 +199,8 @@
 	return slices.Collect(maps.Values(f.on))
 }
 
-// On lists the machines on which tasks of a job run.
-func (f *Fleet) On(job string) []string {
+// MachinesRunning lists the machines on which tasks of a job run.
+func (f *Fleet) MachinesRunning(job string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -169,7 +169,9 @@
 			}
 			a.begin(first)
 			cancelling, stays := a.submit(1, 10, 10*time.Minute), a.submit(2, 6, 75*time.Second)
-			a.eventually("all run", 60*time.Second, func() bool { return len(a.fleet.On(cancelling)) == 10 && len(a.fleet.On(stays)) == 6 })
+			a.eventually("all run", 60*time.Second, func() bool {
+				return len(a.fleet.MachinesRunning(cancelling)) == 10 && len(a.fleet.MachinesRunning(stays)) == 6
+			})
 			before := map[string]uint64{}
 			for task, n := range a.fleet.Attempts() {
 				before[task] = n
@@ -190,12 +192,12 @@
 				return resp.StatusCode == 200
 			})
 			told := time.Now()
-			if on := a.fleet.On(cancelling); len(on) > 0 {
+			if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
 				t.Errorf("told while %d of its tasks run", len(on))
 			}
 			a.store.SetDown(true)
 			for time.Since(told) < 40*time.Second { // cancel_s is 30 s
-				if on := a.fleet.On(cancelling); len(on) > 0 {
+				if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
 					t.Fatalf("%v after its user was told a task runs on %v", time.Since(told), on)
 				}
 				time.Sleep(100 * time.Millisecond)
