--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -155,7 +155,7 @@
 		if m := fleet.Busy(); len(m) > 0 && k%2 == 0 {
 			fleet.StopWorker(standin.Machine{Name: m[0]})
 		} else if len(m) > 0 {
-			fleet.Pause(m[0], 7*time.Second)
+			fleet.PauseWorker(m[0], 7*time.Second)
 		}
 		switch k {
 		case 3:
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -124,9 +124,9 @@
 	return nil
 }
 
-// Pause has a machine's worker make no reports for a while; what runs there runs on
+// PauseWorker has a machine's worker make no reports for a while; what runs there runs on
 // until its lease is over.
-func (f *Fleet) Pause(machine string, d time.Duration) {
+func (f *Fleet) PauseWorker(machine string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.paused == nil {
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -87,9 +87,9 @@
 			case 0: // taken by the cloud, as its list shows
 				cloud.Take(m)
 			case 1:
-				fleet.Pause(m, 3*time.Second)
+				fleet.PauseWorker(m, 3*time.Second)
 			default:
-				fleet.Pause(m, 13*time.Second) // past its lease
+				fleet.PauseWorker(m, 13*time.Second) // past its lease
 			}
 		}
 		time.Sleep([]time.Duration{time.Second, 4 * time.Second, 12 * time.Second}[round%3])
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -116,9 +116,9 @@
 			case 0:
 				fleet.StopWorker(standin.Machine{Name: m})
 			case 1:
-				fleet.Pause(m, 3*time.Second)
+				fleet.PauseWorker(m, 3*time.Second)
 			default:
-				fleet.Pause(m, 13*time.Second) // past its lease
+				fleet.PauseWorker(m, 13*time.Second) // past its lease
 			}
 		}
 		if time.Now().After(next) && led < takeovers {
