--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -47,7 +47,7 @@
 // bringUp has the machines come up.
 func (w *world) bringUp() error {
 	for k := range w.size {
-		w.cloud.Add(machineType, w.zoneOf(k), false)
+		w.cloud.AddMachine(machineType, w.zoneOf(k), false)
 		if err := w.sleep(workersBegin / time.Duration(w.size)); err != nil {
 			return err
 		}
@@ -257,7 +257,7 @@
 	time.AfterFunc(replaced, func() {
 		for _, m := range machines {
 			if w.ctx.Err() == nil && w.cloud.Room(zones[m]) > 0 {
-				w.cloud.Add(machineType, zones[m], false)
+				w.cloud.AddMachine(machineType, zones[m], false)
 			}
 		}
 	})
@@ -288,7 +288,7 @@
 		}
 		w.latency.fail(m.Name)
 		w.cloud.Take(m.Name)
-		w.cloud.Add(m.Type, m.Zone, m.Spot)
+		w.cloud.AddMachine(m.Type, m.Zone, m.Spot)
 	}
 }
 
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// Add has a machine up that nobody has asked for, as after a request whose answer was lost.
-func (c *Cloud) Add(kind, zone string, spot bool) Machine {
+// AddMachine has a machine up that nobody has asked for, as after a request whose answer was lost.
+func (c *Cloud) AddMachine(kind, zone string, spot bool) Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.begin()
