--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -252,7 +252,7 @@
 		zones[m.Name] = m.Zone
 	}
 	for _, m := range machines {
-		w.cloud.Fail(m)
+		w.cloud.FailMachine(m)
 	}
 	time.AfterFunc(replaced, func() {
 		for _, m := range machines {
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -200,8 +200,8 @@
 	c.drop(name)
 }
 
-// Fail has a machine stop with all that is on it; it stays listed, as failed, until it is deleted.
-func (c *Cloud) Fail(name string) {
+// FailMachine has a machine stop with all that is on it; it stays listed, as failed, until it is deleted.
+func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if m := c.machines[name]; m != nil && !m.failed {
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -80,7 +80,7 @@
 			t.Errorf("request %d: %d machines, %v", i, n, res)
 		}
 	}
-	cloud.Fail("host-000001")
+	cloud.FailMachine("host-000001")
 	if n, _ := rent("r4", 2); n != 1 {
 		t.Errorf("%d machines in the place of a failed one", n)
 	}
