--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -287,7 +287,7 @@
 			continue
 		}
 		w.latency.fail(m.Name)
-		w.cloud.Take(m.Name)
+		w.cloud.PreemptMachine(m.Name)
 		w.cloud.AddMachine(m.Type, m.Zone, m.Spot)
 	}
 }
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// Take has the cloud take a machine back, without a word to its worker's controllers.
-func (c *Cloud) Take(name string) {
+// PreemptMachine has the cloud take a machine back, without a word to its worker's controllers.
+func (c *Cloud) PreemptMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.drop(name)
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -85,7 +85,7 @@
 			}
 			switch hit++; r.IntN(3) {
 			case 0: // taken by the cloud, as its list shows
-				cloud.Take(m)
+				cloud.PreemptMachine(m)
 			case 1:
 				fleet.PauseWorker(m, 3*time.Second)
 			default:
