--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -256,7 +256,7 @@
 	}
 	time.AfterFunc(replaced, func() {
 		for _, m := range machines {
-			if w.ctx.Err() == nil && w.cloud.Room(zones[m]) > 0 {
+			if w.ctx.Err() == nil && w.cloud.FreeCapacity(zones[m]) > 0 {
 				w.cloud.AddMachine(machineType, zones[m], false)
 			}
 		}
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -142,8 +142,8 @@
 	return left
 }
 
-// Room is how many more machines a zone has, where there is a capacity.
-func (c *Cloud) Room(zone string) int {
+// FreeCapacity is how many more machines a zone has, where there is a capacity.
+func (c *Cloud) FreeCapacity(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.room(zone)
