--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -50,7 +50,7 @@
 // TestLoopback takes a job through two controllers over real sockets: door,
 // relay to the leader, worker, state service and cloud as they are spoken.
 func TestLoopback(t *testing.T) {
-	store := &standin.State{}
+	store := &standin.StateService{}
 	state, cloud := httptest.NewServer(store), httptest.NewServer(&standin.Cloud{})
 	defer state.Close()
 	defer cloud.Close()
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	cloud := &standin.Cloud{}
-	store := &standin.State{}
+	store := &standin.StateService{}
 	state, clouds := httptest.NewServer(store), httptest.NewServer(cloud)
 	defer state.Close()
 	defer clouds.Close()
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -91,7 +91,7 @@
 	}))
 	defer hook.Close()
 	cloud := &standin.Cloud{}
-	state, clouds := httptest.NewServer(&standin.State{}), httptest.NewServer(cloud)
+	state, clouds := httptest.NewServer(&standin.StateService{}), httptest.NewServer(cloud)
 	defer state.Close()
 	defer clouds.Close()
 	c := &settings.Settings{Tunables: settings.Defaults()}
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -21,7 +21,7 @@
 // A follower is told of a change as it comes, and a hold that nobody renews takes its key away:
 // the leaders of a scale run are elected by both.
 func TestStateFollowsAndHolds(t *testing.T) {
-	store := &State{}
+	store := &StateService{}
 	server := httptest.NewServer(store)
 	defer server.Close()
 	c := wire.NewStateClient(server.Listener.Addr().String())
@@ -50,7 +50,7 @@
 
 // What is over a limit is refused, and counted.
 func TestStateLimits(t *testing.T) {
-	store := &State{}
+	store := &StateService{}
 	store.LimitRates(1000, 2)
 	server := httptest.NewServer(store)
 	defer server.Close()
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -25,9 +25,9 @@
 	followAtMost = time.Minute
 )
 
-// State is a state service: versions, conditions, holds that end, followers, and limits.
+// StateService is a state service: versions, conditions, holds that end, followers, and limits.
 // The zero value is ready and without limits.
-type State struct {
+type StateService struct {
 	mu       sync.Mutex
 	down     bool
 	value    int           // most bytes of a value; 0: any
@@ -67,7 +67,7 @@
 }
 
 // SetDown begins or ends an outage.
-func (s *State) SetDown(down bool) {
+func (s *StateService) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
@@ -77,7 +77,7 @@
 }
 
 // Limit has larger values and transactions refused from now on.
-func (s *State) Limit(valueBytes, ops int) {
+func (s *StateService) Limit(valueBytes, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value, s.ops = valueBytes, ops
@@ -85,7 +85,7 @@
 
 // LimitRates has more requests and changes a second refused from now on; bursts of one second's
 // worth are allowed.
-func (s *State) LimitRates(requests, writes float64) {
+func (s *StateService) LimitRates(requests, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requests = rate.NewLimiter(rate.Limit(requests), int(requests))
@@ -93,14 +93,14 @@
 }
 
 // Refused lists what was refused as too large.
-func (s *State) Refused() []string {
+func (s *StateService) Refused() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.bad)
 }
 
 // Counts says what the service has done; keys and bytes are those below a prefix.
-func (s *State) Counts(prefix string) StateCounts {
+func (s *StateService) Counts(prefix string) StateCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.counts
@@ -114,7 +114,7 @@
 }
 
 // Value reads a key, without a request.
-func (s *State) Value(key string) json.RawMessage {
+func (s *StateService) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.items[key].Value
@@ -126,7 +126,7 @@
 }
 
 // expire ends a hold whose time is over, but for outages.
-func (s *State) expire(id uint64) {
+func (s *StateService) expire(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.holds[id]
@@ -135,7 +135,7 @@
 	}
 }
 
-func (s *State) drop(id uint64) {
+func (s *StateService) drop(id uint64) {
 	if h := s.holds[id]; h != nil {
 		h.timer.Stop()
 	}
@@ -150,7 +150,7 @@
 }
 
 // note tells followers of a change.
-func (s *State) note(it wire.Item) {
+func (s *StateService) note(it wire.Item) {
 	s.changes = append(s.changes, it)
 	if n := len(s.changes) - changesKept; n > 0 {
 		s.changes = slices.Delete(s.changes, 0, n)
@@ -169,7 +169,7 @@
 
 func refusal(status int, why string) reply { return reply{status, wire.ErrorBody(why)} }
 
-func (s *State) transact(t wire.StateTxn) reply {
+func (s *StateService) transact(t wire.StateTxn) reply {
 	for _, w := range t.Writes {
 		if s.value > 0 && len(w.Value) > s.value {
 			s.bad = append(s.bad, fmt.Sprintf("%s: %d bytes", w.Key, len(w.Value)))
@@ -215,7 +215,7 @@
 }
 
 // ServeHTTP serves one request.
-func (s *State) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *StateService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody+1))
 	out := refusal(http.StatusBadRequest, "a body that cannot be read, or over 64 KiB")
 	if err == nil && len(body) <= wire.MaxBody {
@@ -225,7 +225,7 @@
 	_, _ = w.Write(out.body) // whoever asked may be gone
 }
 
-func (s *State) serve(r *http.Request, body []byte) reply {
+func (s *StateService) serve(r *http.Request, body []byte) reply {
 	query, err := wire.ParseStateQuery(r.URL.Query())
 	if err != nil {
 		return refusal(http.StatusBadRequest, err.Error())
@@ -269,7 +269,7 @@
 	return refusal(http.StatusNotFound, "no such path")
 }
 
-func (s *State) page(q wire.StateQuery) reply {
+func (s *StateService) page(q wire.StateQuery) reply {
 	most := pageMost
 	if q.Most > 0 {
 		most = min(most, q.Most)
@@ -290,7 +290,7 @@
 	return reply{http.StatusOK, wire.StatePage(rows, false, s.revision)}
 }
 
-func (s *State) hold(body []byte) reply {
+func (s *StateService) hold(body []byte) reply {
 	life, err := wire.ParseLease(body)
 	if err != nil {
 		return refusal(http.StatusBadRequest, err.Error())
@@ -302,7 +302,7 @@
 }
 
 // changeHold renews a hold, ID/renew, or ends it.
-func (s *State) changeHold(method, what string) reply {
+func (s *StateService) changeHold(method, what string) reply {
 	number, renew := strings.CutSuffix(what, "/renew")
 	id, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
@@ -323,7 +323,7 @@
 }
 
 // follow waits until a key with the prefix has changed. It gives up the lock meanwhile.
-func (s *State) follow(r *http.Request, q wire.StateQuery) reply {
+func (s *StateService) follow(r *http.Request, q wire.StateQuery) reply {
 	end := time.NewTimer(min(q.Wait, followAtMost))
 	defer end.Stop()
 	for over := false; ; {
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -20,7 +20,7 @@
 type world struct {
 	*cluster
 	fleet  *standin.Fleet
-	store  *standin.State
+	store  *standin.StateService
 	cloud  *standin.Cloud
 	binary string
 }
@@ -37,7 +37,7 @@
 
 // prepare makes one that is not started yet.
 func prepare(t *testing.T, args ...string) *world {
-	w := &world{store: &standin.State{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
+	w := &world{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
 	must(t, root, "go", "build", "-o", w.binary, "./cmd/bitternmoor")
 	state, clouds := httptest.NewServer(w.store), httptest.NewServer(w.cloud)
 	t.Cleanup(state.Close)
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -32,7 +32,7 @@
 	if err := os.WriteFile(key, []byte("0123456789abcdef"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	store, cloud := &standin.State{}, &standin.Cloud{}
+	store, cloud := &standin.StateService{}, &standin.Cloud{}
 	state, clouds := httptest.NewServer(store), httptest.NewServer(cloud)
 	defer state.Close()
 	defer clouds.Close()
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -264,7 +264,7 @@
 // and then pipelines run over further crashes.
 func TestUpgrade(t *testing.T) {
 	old, current := binaries(t)
-	store := &standin.State{}
+	store := &standin.StateService{}
 	cloud := &standin.Cloud{}
 	state, clouds := httptest.NewServer(store), httptest.NewServer(cloud)
 	defer state.Close()
