--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -213,7 +213,7 @@
 			return out["standing"] == "done"
 		})
 	}
-	for _, b := range append(fleet.BrokenRules(), store.Refused()...) {
+	for _, b := range append(fleet.BrokenRules(), store.RefusedTransactions()...) {
 		t.Error(b)
 	}
 	if fleet.PoolPeak("licence") != 3 || !certified {
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -48,7 +48,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("/", store)
 	mux.HandleFunc(pathObserve, func(w http.ResponseWriter, _ *http.Request) {
-		o := observed{Counts: store.Counts(eventlog.Prefix), Refused: store.Refused()}
+		o := observed{Counts: store.Counts(eventlog.Prefix), Refused: store.RefusedTransactions()}
 		var holder leadership.LeaseHolder
 		if raw := store.Value(leadership.HolderKey); raw != nil && json.Unmarshal(raw, &holder) == nil {
 			o.Leader = holder.Node
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -92,8 +92,8 @@
 	s.writes = rate.NewLimiter(rate.Limit(writes), int(writes))
 }
 
-// Refused lists what was refused as too large.
-func (s *StateService) Refused() []string {
+// RefusedTransactions lists what was refused as too large.
+func (s *StateService) RefusedTransactions() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.bad)
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -102,7 +102,7 @@
 	for _, id := range ids {
 		c.eventually(id+" is done", 120*time.Second, func() bool { return c.state(id) == "done" })
 	}
-	for _, b := range append(fleet.BrokenRules(), store.Refused()...) {
+	for _, b := range append(fleet.BrokenRules(), store.RefusedTransactions()...) {
 		t.Error(b)
 	}
 	var loads []rebalance.View
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -215,7 +215,7 @@
 			if got := a.state(cancelling); got != "aborted" {
 				t.Errorf("the cancelled job is %q", got)
 			}
-			for _, b := range append(a.fleet.BrokenRules(), a.store.Refused()...) {
+			for _, b := range append(a.fleet.BrokenRules(), a.store.RefusedTransactions()...) {
 				t.Error(b)
 			}
 			t.Logf("confirmed after %v; %d of 6 tasks of the other job ran on through the outage", told.Sub(asked).Round(10*time.Millisecond), kept)
@@ -278,7 +278,7 @@
 			t.Errorf("not_done: %s is called done", id)
 		}
 	}
-	for _, b := range append(a.fleet.BrokenRules(), a.store.Refused()...) {
+	for _, b := range append(a.fleet.BrokenRules(), a.store.RefusedTransactions()...) {
 		t.Error(b)
 	}
 	t.Logf("%d jobs, %d machines met, half of them deaf, %d late copies, %d leaders ended", len(ids), deafened, a.fleet.LateCopies(), leaders)
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -139,7 +139,7 @@
 	for id := range submitted {
 		c.eventually(id+" is done", 300*time.Second, func() bool { return c.state(id) == "done" })
 	}
-	for _, b := range append(fleet.BrokenRules(), store.Refused()...) {
+	for _, b := range append(fleet.BrokenRules(), store.RefusedTransactions()...) {
 		t.Error(b)
 	}
 	if fleet.PoolPeak("licence") < 20 || changes.Load() < 3 {
--- a/internal/upgrade/quick_test.go
+++ b/internal/upgrade/quick_test.go
@@ -53,7 +53,7 @@
 	for _, id := range ids {
 		c.eventually(id+" is done", 120*time.Second, func() bool { return c.state(id) == "done" })
 	}
-	for _, b := range append(w.fleet.BrokenRules(), w.store.Refused()...) {
+	for _, b := range append(w.fleet.BrokenRules(), w.store.RefusedTransactions()...) {
 		t.Error(b)
 	}
 	t.Logf("%d jobs, %d restarts", len(ids), kills)
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -346,7 +346,7 @@
 			t.Errorf("not_done: %s is called done", id)
 		}
 	}
-	for _, b := range append(fleet.BrokenRules(), store.Refused()...) {
+	for _, b := range append(fleet.BrokenRules(), store.RefusedTransactions()...) {
 		t.Error(b)
 	}
 	t.Logf("%d jobs came to their ends", len(want))
