--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -43,7 +43,7 @@
 // ServeState is the process of the state service.
 func ServeState(limits StateLimits, in io.Reader, out io.Writer) error {
 	store := &standin.StateService{}
-	store.Limit(int(limits.ValueKB*1024), limits.TxnOps)
+	store.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
 	store.LimitRates(limits.RPS, limits.WriteRPS)
 	mux := http.NewServeMux()
 	mux.Handle("/", store)
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Limit has larger values and transactions refused from now on.
-func (s *StateService) Limit(valueBytes, ops int) {
+// SetLimits has larger values and transactions refused from now on.
+func (s *StateService) SetLimits(valueBytes, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value, s.ops = valueBytes, ops
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -317,7 +317,7 @@
 		c.start(i, current)
 	}
 	c.leader()
-	store.Limit(1024, 4)
+	store.SetLimits(1024, 4)
 	n = 500
 	for p := range 6 { // pipelines, with crashes of the leader
 		first := n + 1
