--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -16,21 +16,21 @@
 	Controllers       []string // base addresses of the controllers, which are called n0, n1, …
 	HeartbeatInterval time.Duration
 	Lease             time.Duration
-	// Prompt has changes reported at once, though half a second after the last report at the
+	// ReportsChangesAtOnce has changes reported at once, though half a second after the last report at the
 	// soonest, and intervals differ by a quarter, as the protocol has it.
 	ReportsChangesAtOnce bool
 	// Fetch is how long a machine takes to get an image that it does not have.
 	Fetch time.Duration
 	// Image names the image of a job; nil: no machine has to get any.
 	Image func(job string) string
-	// Runs says how long tasks of a job run, and which jobs must be done before.
+	// JobDuration says how long tasks of a job run, and which jobs must be done before.
 	JobDuration func(job string) (time.Duration, []string)
-	// Took, where it is set, says it for each task instead.
+	// TaskDuration, where it is set, says it for each task instead.
 	TaskDuration func(task string) time.Duration
-	// Tasks is how many tasks a job has.
+	// TaskCount is how many tasks a job has.
 	TaskCount func(job string) int
-	// Units, where it is set, says how many units of which pools each task of a job
-	// holds while it runs; more than Limit allows are a broken rule.
+	// PoolUnits, where it is set, says how many units of which pools each task of a job
+	// holds while it runs; more than SetPoolLimit allows are a broken rule.
 	PoolUnits func(job string) map[string]int
 	// Team, where it is set, says whose a job is, how many processors each of its tasks uses,
 	// and how many the team may use; 0: any number.
@@ -76,7 +76,7 @@
 	At            time.Time
 }
 
-// StartWorker begins a machine's worker, which ends with Down.
+// StartWorker begins a machine's worker, which ends with StopWorker.
 func (f *Fleet) StartWorker(m Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
