--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -54,7 +54,7 @@
 	renewed      time.Time
 	changed      bool      // since the last report
 	raised       time.Time // when a higher token last counted as a change
-	door         int
+	controller   int
 }
 
 func newWorker(f *Fleet, m Machine) *worker {
@@ -62,7 +62,7 @@
 		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, renewed: time.Now()}
 	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	if f.ReportsChangesAtOnce && len(f.Controllers) > 0 {
-		w.door = rand.IntN(len(f.Controllers))
+		w.controller = rand.IntN(len(f.Controllers))
 	}
 	return w
 }
@@ -154,7 +154,7 @@
 func (w *worker) at() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.door % len(w.fleet.Controllers)
+	return w.controller % len(w.fleet.Controllers)
 }
 
 // current is the worker's report as of now; the caller holds the lock.
@@ -197,7 +197,7 @@
 func (w *worker) move(door int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.door = door
+	w.controller = door
 }
 
 // post sends a report to a controller; status 0: there was no answer.
