--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -148,10 +148,10 @@
 
 // dial reaches the controller that the worker is at.
 func (w *worker) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return w.fleet.traffic(w.at()).DialContext(&net.Dialer{Timeout: reportTimeout})(ctx, network, addr)
+	return w.fleet.traffic(w.currentController()).DialContext(&net.Dialer{Timeout: reportTimeout})(ctx, network, addr)
 }
 
-func (w *worker) at() int {
+func (w *worker) currentController() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.controller % len(w.fleet.Controllers)
@@ -175,7 +175,7 @@
 	w.changed = false
 	w.mu.Unlock()
 	w.repeat(body, x.copies)
-	sent, door := time.Now(), w.at()
+	sent, door := time.Now(), w.currentController()
 	status, answer := w.post(door, body)
 	if status == http.StatusMisdirectedRequest {
 		if to, ok := w.fleet.door(wire.ParseRedirect(answer)); ok && to != door {
