--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -180,12 +180,12 @@
 	if status == http.StatusMisdirectedRequest {
 		if to, ok := w.fleet.door(wire.ParseRedirect(answer)); ok && to != door {
 			w.client.CloseIdleConnections()
-			w.move(to)
+			w.switchController(to)
 			return true
 		}
 	}
 	if status != http.StatusOK || x.deaf {
-		w.move(door + 1)
+		w.switchController(door + 1)
 		return false
 	}
 	if token, commands, err := wire.ParseReportAnswer(answer); err == nil {
@@ -194,7 +194,7 @@
 	return true
 }
 
-func (w *worker) move(door int) {
+func (w *worker) switchController(door int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.controller = door
