--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -86,7 +86,7 @@
 	f.beginAudit()
 	w := newWorker(f, m)
 	f.workers[m.Name] = w
-	go w.live()
+	go w.run()
 }
 
 // StopWorker has a machine's worker end, with all that is on it.
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -67,8 +67,8 @@
 	return w
 }
 
-// live reports until the machine is gone.
-func (w *worker) live() {
+// run reports until the machine is gone.
+func (w *worker) run() {
 	defer w.client.CloseIdleConnections()
 	next := time.Now()
 	if w.fleet.ReportsChangesAtOnce {
