--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -294,7 +294,7 @@
 		w.changed = true
 		if t.State == workers.Fetching {
 			w.images[w.image(t)] = true
-			w.run(t)
+			w.runTask(t)
 			continue
 		}
 		t.State, t.Reason = workers.Ended, workers.Completed
@@ -309,7 +309,7 @@
 	return w.fleet.Image(wire.FormatID(t.Job))
 }
 
-func (w *worker) run(t *task) {
+func (w *worker) runTask(t *task) {
 	name := t.name()
 	w.fleet.recorder().Started(name, w.m.Name, t.Attempt)
 	var runs time.Duration
@@ -353,7 +353,7 @@
 		t.State, t.until = workers.Fetching, time.Now().Add(w.fleet.Fetch)
 		return
 	}
-	w.run(t)
+	w.runTask(t)
 }
 
 // ServeHTTP serves direct commands, and shows the worker's report.
