--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		last = now
-		if w.report(x) {
+		if w.sendHeartbeat(x) {
 			next = time.Now().Add(w.interval())
 		} else {
 			next = time.Now().Add(nextDoorAfter)
@@ -168,8 +168,8 @@
 	return wire.EncodeReport(&r)
 }
 
-// report makes one report; false says that the next controller is to be tried.
-func (w *worker) report(x troubles) bool {
+// sendHeartbeat makes one report; false says that the next controller is to be tried.
+func (w *worker) sendHeartbeat(x troubles) bool {
 	w.mu.Lock()
 	body := w.current()
 	w.changed = false
