--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -174,7 +174,7 @@
 	body := w.current()
 	w.changed = false
 	w.mu.Unlock()
-	w.repeat(body, x.copies)
+	w.sendLateCopy(body, x.copies)
 	sent, door := time.Now(), w.currentController()
 	status, answer := w.post(door, body)
 	if status == http.StatusMisdirectedRequest {
@@ -235,8 +235,8 @@
 	}
 }
 
-// repeat sends a copy of a report, now and then; nobody hears the answer.
-func (w *worker) repeat(body []byte, within time.Duration) {
+// sendLateCopy sends a copy of a report, now and then; nobody hears the answer.
+func (w *worker) sendLateCopy(body []byte, within time.Duration) {
 	if within == 0 || rand.IntN(4) > 0 {
 		return
 	}
