--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -142,12 +142,12 @@
 		t.Errorf("tokens %d, %d and %d were reported", first, second, third)
 	}
 	w := newWorker(f, Machine{Name: "host-2"})
-	w.see(7)
+	w.noteToken(7)
 	if !w.changed {
 		t.Error("a higher token is no change")
 	}
 	w.changed = false
-	w.see(8)
+	w.noteToken(8)
 	if w.changed || w.token != 8 {
 		t.Error("a second one within half of a lease is")
 	}
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -260,12 +260,12 @@
 		return
 	}
 	w.renewed = sent
-	w.see(token)
+	w.noteToken(token)
 	w.execute(commands)
 }
 
-// see notes a token. A higher one counts as a change no more than once in half of a lease.
-func (w *worker) see(token uint64) {
+// noteToken notes a token. A higher one counts as a change no more than once in half of a lease.
+func (w *worker) noteToken(token uint64) {
 	if now := time.Now(); token > w.token && now.Sub(w.raised) >= w.fleet.Lease/2 {
 		w.raised, w.changed = now, true
 	}
@@ -387,7 +387,7 @@
 		case d.Token < w.token || d.Session != w.session:
 			return http.StatusConflict, w.current()
 		}
-		w.see(d.Token)
+		w.noteToken(d.Token)
 		w.execute(d.Commands)
 		return http.StatusOK, w.current()
 	}
