--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -189,7 +189,7 @@
 		return false
 	}
 	if token, commands, err := wire.ParseReportAnswer(answer); err == nil {
-		w.take(sent, token, commands)
+		w.applyAnswer(sent, token, commands)
 	}
 	return true
 }
@@ -252,8 +252,8 @@
 	})
 }
 
-// take carries out the answer to a report, unless its token is an older one.
-func (w *worker) take(sent time.Time, token uint64, commands []workers.Command) {
+// applyAnswer carries out the answer to a report, unless its token is an older one.
+func (w *worker) applyAnswer(sent time.Time, token uint64, commands []workers.Command) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if token < w.token {
