--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -157,8 +157,8 @@
 	return w.controller % len(w.fleet.Controllers)
 }
 
-// current is the worker's report as of now; the caller holds the lock.
-func (w *worker) current() []byte {
+// encodeReport is the worker's report as of now; the caller holds the lock.
+func (w *worker) encodeReport() []byte {
 	w.seq++
 	r := workers.Report{Machine: w.m.Name, Address: w.m.Address, Type: w.m.Type, Zone: w.m.Zone, Spot: w.m.Spot,
 		Session: w.session, Seq: w.seq, Token: w.token}
@@ -171,7 +171,7 @@
 // sendHeartbeat makes one report; false says that the next controller is to be tried.
 func (w *worker) sendHeartbeat(x troubles) bool {
 	w.mu.Lock()
-	body := w.current()
+	body := w.encodeReport()
 	w.changed = false
 	w.mu.Unlock()
 	w.sendLateCopy(body, x.copies)
@@ -378,18 +378,18 @@
 	}
 	switch path {
 	case wire.PathShow:
-		return http.StatusOK, w.current()
+		return http.StatusOK, w.encodeReport()
 	case wire.PathCommands:
 		d, err := wire.ParseDirectCommands(body)
 		switch {
 		case err != nil || d.Session == 0:
 			return http.StatusBadRequest, nil
 		case d.Token < w.token || d.Session != w.session:
-			return http.StatusConflict, w.current()
+			return http.StatusConflict, w.encodeReport()
 		}
 		w.noteToken(d.Token)
 		w.execute(d.Commands)
-		return http.StatusOK, w.current()
+		return http.StatusOK, w.encodeReport()
 	}
 	return http.StatusNotFound, nil
 }
