--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -76,7 +76,7 @@
 	}
 	var last time.Time
 	for {
-		if !w.sleep(w.until(next, last)) {
+		if !w.sleep(w.nextDue(next, last)) {
 			return
 		}
 		now := time.Now()
@@ -109,8 +109,8 @@
 	return every*3/4 + rand.N(every/2)
 }
 
-// until is when the worker has something to do next: a report, or the end of a fetch or a run.
-func (w *worker) until(next, last time.Time) time.Time {
+// nextDue is when the worker has something to do next: a report, or the end of a fetch or a run.
+func (w *worker) nextDue(next, last time.Time) time.Time {
 	if !w.fleet.ReportsChangesAtOnce {
 		return next
 	}
