--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -46,15 +46,15 @@
 	down   chan struct{} // closed when the machine is gone
 	wake   chan struct{} // something is to be reported
 
-	mu           sync.Mutex
-	session, seq uint64
-	token        uint64
-	tasks        map[attempt]*task
-	images       map[string]bool
-	renewed      time.Time
-	changed      bool      // since the last report
-	raised       time.Time // when a higher token last counted as a change
-	controller   int
+	mu            sync.Mutex
+	session, seq  uint64
+	token         uint64
+	tasks         map[attempt]*task
+	images        map[string]bool
+	renewed       time.Time
+	changed       bool      // since the last report
+	tokenRaisedAt time.Time // when a higher token last counted as a change
+	controller    int
 }
 
 func newWorker(f *Fleet, m Machine) *worker {
@@ -266,8 +266,8 @@
 
 // noteToken notes a token. A higher one counts as a change no more than once in half of a lease.
 func (w *worker) noteToken(token uint64) {
-	if now := time.Now(); token > w.token && now.Sub(w.raised) >= w.fleet.Lease/2 {
-		w.raised, w.changed = now, true
+	if now := time.Now(); token > w.token && now.Sub(w.tokenRaisedAt) >= w.fleet.Lease/2 {
+		w.tokenRaisedAt, w.changed = now, true
 	}
 	w.token = token
 }
