--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -46,20 +46,20 @@
 	down   chan struct{} // closed when the machine is gone
 	wake   chan struct{} // something is to be reported
 
-	mu            sync.Mutex
-	session, seq  uint64
-	token         uint64
-	tasks         map[attempt]*task
-	images        map[string]bool
-	renewed       time.Time
-	changed       bool      // since the last report
-	tokenRaisedAt time.Time // when a higher token last counted as a change
-	controller    int
+	mu             sync.Mutex
+	session, seq   uint64
+	token          uint64
+	tasks          map[attempt]*task
+	images         map[string]bool
+	leaseRenewedAt time.Time
+	changed        bool      // since the last report
+	tokenRaisedAt  time.Time // when a higher token last counted as a change
+	controller     int
 }
 
 func newWorker(f *Fleet, m Machine) *worker {
 	w := &worker{fleet: f, m: m, down: make(chan struct{}), wake: make(chan struct{}, 1),
-		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, renewed: time.Now()}
+		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, leaseRenewedAt: time.Now()}
 	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	if f.ReportsChangesAtOnce && len(f.Controllers) > 0 {
 		w.controller = rand.IntN(len(f.Controllers))
@@ -259,7 +259,7 @@
 	if token < w.token {
 		return
 	}
-	w.renewed = sent
+	w.leaseRenewedAt = sent
 	w.noteToken(token)
 	w.execute(commands)
 }
@@ -276,7 +276,7 @@
 func (w *worker) advance(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if now.Sub(w.renewed) > w.fleet.Lease {
+	if now.Sub(w.leaseRenewedAt) > w.fleet.Lease {
 		for _, t := range w.tasks {
 			if t.State == workers.Running {
 				w.fleet.recorder().Ended(t.name(), w.m.Name, false)
@@ -284,7 +284,7 @@
 		}
 		w.tasks = map[attempt]*task{}
 		w.session++
-		w.renewed = now
+		w.leaseRenewedAt = now
 		w.changed = true
 	}
 	for _, t := range w.tasks {
