--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -40,11 +40,11 @@
 
 // worker is that of one machine.
 type worker struct {
-	fleet  *Fleet
-	m      Machine
-	client *http.Client
-	down   chan struct{} // closed when the machine is gone
-	wake   chan struct{} // something is to be reported
+	fleet   *Fleet
+	machine Machine
+	client  *http.Client
+	down    chan struct{} // closed when the machine is gone
+	wake    chan struct{} // something is to be reported
 
 	mu             sync.Mutex
 	session, seq   uint64
@@ -58,7 +58,7 @@
 }
 
 func newWorker(f *Fleet, m Machine) *worker {
-	w := &worker{fleet: f, m: m, down: make(chan struct{}), wake: make(chan struct{}, 1),
+	w := &worker{fleet: f, machine: m, down: make(chan struct{}), wake: make(chan struct{}, 1),
 		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, leaseRenewedAt: time.Now()}
 	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	if f.ReportsChangesAtOnce && len(f.Controllers) > 0 {
@@ -81,7 +81,7 @@
 		}
 		now := time.Now()
 		w.advance(now)
-		x := w.fleet.troubles(w.m.Name)
+		x := w.fleet.troubles(w.machine.Name)
 		switch {
 		case x.gone:
 			return
@@ -160,7 +160,7 @@
 // encodeReport is the worker's report as of now; the caller holds the lock.
 func (w *worker) encodeReport() []byte {
 	w.seq++
-	r := workers.Report{Machine: w.m.Name, Address: w.m.Address, Type: w.m.Type, Zone: w.m.Zone, Spot: w.m.Spot,
+	r := workers.Report{Machine: w.machine.Name, Address: w.machine.Address, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
 		Session: w.session, Seq: w.seq, Token: w.token}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, t.TaskReport)
@@ -205,7 +205,7 @@
 	var latency time.Duration
 	if w.fleet.Reaches != nil {
 		ok := false
-		if ok, latency = w.fleet.Reaches(w.m.Zone, door); !ok {
+		if ok, latency = w.fleet.Reaches(w.machine.Zone, door); !ok {
 			w.sleepFor(reportTimeout)
 			return 0, nil
 		}
@@ -279,7 +279,7 @@
 	if now.Sub(w.leaseRenewedAt) > w.fleet.Lease {
 		for _, t := range w.tasks {
 			if t.State == workers.Running {
-				w.fleet.recorder().Ended(t.name(), w.m.Name, false)
+				w.fleet.recorder().Ended(t.name(), w.machine.Name, false)
 			}
 		}
 		w.tasks = map[attempt]*task{}
@@ -298,7 +298,7 @@
 			continue
 		}
 		t.State, t.Reason = workers.Ended, workers.Completed
-		w.fleet.recorder().Ended(t.name(), w.m.Name, true)
+		w.fleet.recorder().Ended(t.name(), w.machine.Name, true)
 	}
 }
 
@@ -311,7 +311,7 @@
 
 func (w *worker) runTask(t *task) {
 	name := t.name()
-	w.fleet.recorder().Started(name, w.m.Name, t.Attempt)
+	w.fleet.recorder().Started(name, w.machine.Name, t.Attempt)
 	var runs time.Duration
 	if w.fleet.TaskDuration != nil {
 		runs = w.fleet.TaskDuration(name)
@@ -331,7 +331,7 @@
 			w.start(key)
 		case c.Op == workers.Stop && t != nil && t.State != workers.Ended:
 			if t.State == workers.Running {
-				w.fleet.recorder().Ended(t.name(), w.m.Name, false)
+				w.fleet.recorder().Ended(t.name(), w.machine.Name, false)
 			}
 			t.State, t.Reason = workers.Ended, workers.Stopped
 			w.changed = true
