--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -16,11 +16,11 @@
 
 // What the protocol says of a worker's reports.
 const (
-	reportTimeout = 4 * time.Second
-	nextDoorAfter = time.Second
-	soonest       = 500 * time.Millisecond // between two reports
-	pausedLook    = 50 * time.Millisecond
-	answerMost    = 1 << 20 // bytes
+	reportTimeout     = 4 * time.Second
+	nextDoorAfter     = time.Second
+	minHeartbeatPause = 500 * time.Millisecond // between two reports
+	pausedLook        = 50 * time.Millisecond
+	answerMost        = 1 << 20 // bytes
 )
 
 // task is one on a machine. It is fetched, runs, and ends.
@@ -88,7 +88,7 @@
 		case x.paused:
 			next, last = now.Add(pausedLook), now
 			continue
-		case now.Before(next) && (!w.hasChanged() || now.Sub(last) < soonest):
+		case now.Before(next) && (!w.hasChanged() || now.Sub(last) < minHeartbeatPause):
 			continue
 		}
 		last = now
@@ -116,7 +116,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if soon := last.Add(soonest); w.changed && soon.Before(next) {
+	if soon := last.Add(minHeartbeatPause); w.changed && soon.Before(next) {
 		next = soon
 	}
 	for _, t := range w.tasks {
