--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -16,11 +16,11 @@
 
 // What the protocol says of a worker's reports.
 const (
-	reportTimeout     = 4 * time.Second
-	nextDoorAfter     = time.Second
-	minHeartbeatPause = 500 * time.Millisecond // between two reports
-	pausedLook        = 50 * time.Millisecond
-	answerMost        = 1 << 20 // bytes
+	reportTimeout      = 4 * time.Second
+	nextDoorAfter      = time.Second
+	minHeartbeatPause  = 500 * time.Millisecond // between two reports
+	pausedPollInterval = 50 * time.Millisecond
+	answerMost         = 1 << 20 // bytes
 )
 
 // task is one on a machine. It is fetched, runs, and ends.
@@ -86,7 +86,7 @@
 		case x.gone:
 			return
 		case x.paused:
-			next, last = now.Add(pausedLook), now
+			next, last = now.Add(pausedPollInterval), now
 			continue
 		case now.Before(next) && (!w.hasChanged() || now.Sub(last) < minHeartbeatPause):
 			continue
