--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -17,7 +17,7 @@
 // What the protocol says of a worker's reports.
 const (
 	reportTimeout      = 4 * time.Second
-	nextDoorAfter      = time.Second
+	retryPause         = time.Second
 	minHeartbeatPause  = 500 * time.Millisecond // between two reports
 	pausedPollInterval = 50 * time.Millisecond
 	answerMost         = 1 << 20 // bytes
@@ -95,7 +95,7 @@
 		if w.sendHeartbeat(x) {
 			next = time.Now().Add(w.interval())
 		} else {
-			next = time.Now().Add(nextDoorAfter)
+			next = time.Now().Add(retryPause)
 		}
 	}
 }
