--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -16,7 +16,7 @@
 
 // What the protocol says of a worker's reports.
 const (
-	reportTimeout      = 4 * time.Second
+	heartbeatTimeout   = 4 * time.Second
 	retryPause         = time.Second
 	minHeartbeatPause  = 500 * time.Millisecond // between two reports
 	pausedPollInterval = 50 * time.Millisecond
@@ -60,7 +60,7 @@
 func newWorker(f *Fleet, m Machine) *worker {
 	w := &worker{fleet: f, machine: m, down: make(chan struct{}), wake: make(chan struct{}, 1),
 		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, leaseRenewedAt: time.Now()}
-	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
+	w.client = &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	if f.ReportsChangesAtOnce && len(f.Controllers) > 0 {
 		w.controller = rand.IntN(len(f.Controllers))
 	}
@@ -148,7 +148,7 @@
 
 // dial reaches the controller that the worker is at.
 func (w *worker) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return w.fleet.traffic(w.currentController()).DialContext(&net.Dialer{Timeout: reportTimeout})(ctx, network, addr)
+	return w.fleet.traffic(w.currentController()).DialContext(&net.Dialer{Timeout: heartbeatTimeout})(ctx, network, addr)
 }
 
 func (w *worker) currentController() int {
@@ -206,7 +206,7 @@
 	if w.fleet.Reaches != nil {
 		ok := false
 		if ok, latency = w.fleet.Reaches(w.machine.Zone, door); !ok {
-			w.sleepFor(reportTimeout)
+			w.sleepFor(heartbeatTimeout)
 			return 0, nil
 		}
 	}
