--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -20,7 +20,7 @@
 	retryPause         = time.Second
 	minHeartbeatPause  = 500 * time.Millisecond // between two reports
 	pausedPollInterval = 50 * time.Millisecond
-	answerMost         = 1 << 20 // bytes
+	maxAnswerBytes     = 1 << 20 // bytes
 )
 
 // task is one on a machine. It is fetched, runs, and ends.
@@ -216,7 +216,7 @@
 		return 0, nil
 	}
 	defer func() { _ = resp.Body.Close() }() // an error of reading is looked at below
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, nil
 	}
