--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -161,8 +161,8 @@
 
 // troubles is what a machine's worker meets now.
 type troubles struct {
-	gone, paused, deaf bool
-	copies             time.Duration
+	gone, paused, answersDropped bool
+	copies                       time.Duration
 }
 
 func (f *Fleet) troubles(machine string) troubles {
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -184,7 +184,7 @@
 			return true
 		}
 	}
-	if status != http.StatusOK || x.deaf {
+	if status != http.StatusOK || x.answersDropped {
 		w.switchController(door + 1)
 		return false
 	}
