--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -162,7 +162,7 @@
 // troubles is what a machine's worker meets now.
 type troubles struct {
 	gone, paused, answersDropped bool
-	copies                       time.Duration
+	copyDelay                    time.Duration
 }
 
 func (f *Fleet) troubles(machine string) troubles {
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -174,7 +174,7 @@
 	body := w.encodeReport()
 	w.changed = false
 	w.mu.Unlock()
-	w.sendLateCopy(body, x.copies)
+	w.sendLateCopy(body, x.copyDelay)
 	sent, door := time.Now(), w.currentController()
 	status, answer := w.post(door, body)
 	if status == http.StatusMisdirectedRequest {
