--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -179,8 +179,8 @@
 	return f
 }
 
-// door is the controller with a name.
-func (f *Fleet) door(name string) (int, bool) {
+// controllerNumber is the controller with a name.
+func (f *Fleet) controllerNumber(name string) (int, bool) {
 	number, ok := strings.CutPrefix(name, "n")
 	i, err := strconv.Atoi(number)
 	return i, ok && err == nil && i >= 0 && i < len(f.Controllers)
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -178,7 +178,7 @@
 	sent, door := time.Now(), w.currentController()
 	status, answer := w.post(door, body)
 	if status == http.StatusMisdirectedRequest {
-		if to, ok := w.fleet.door(wire.ParseRedirect(answer)); ok && to != door {
+		if to, ok := w.fleet.controllerNumber(wire.ParseRedirect(answer)); ok && to != door {
 			w.client.CloseIdleConnections()
 			w.switchController(to)
 			return true
