--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func (f *Fleet) breaks(rule string, args ...any) {
+func (f *Fleet) ruleBroken(rule string, args ...any) {
 	f.broken = append(f.broken, fmt.Sprintf(rule, args...))
 }
 
@@ -57,18 +57,18 @@
 	f.beginAudit()
 	job := JobOf(task)
 	if on := f.on[task]; on != "" {
-		f.breaks("ran_twice: %s on %s while on %s", task, machine, on)
+		f.ruleBroken("ran_twice: %s on %s while on %s", task, machine, on)
 	}
 	if f.JobDuration != nil {
 		_, before := f.JobDuration(job)
 		for _, b := range before {
 			if !f.finished(b) {
-				f.breaks("too_early: %s before %s was done", task, b)
+				f.ruleBroken("too_early: %s before %s was done", task, b)
 			}
 		}
 	}
 	if at, told := f.cancelled[job]; told && time.Since(at) > f.CancelWithin {
-		f.breaks("ran_cancelled: %s started %v after its user was told", task, time.Since(at).Round(time.Millisecond))
+		f.ruleBroken("ran_cancelled: %s started %v after its user was told", task, time.Since(at).Round(time.Millisecond))
 	}
 	f.on[task], f.attempts[task] = machine, attempt
 	f.countTeam(job, 1)
@@ -111,7 +111,7 @@
 	team, cpus, limit := f.Team(job)
 	f.used[team] += by * cpus
 	if by > 0 && limit > 0 && f.used[team] > limit {
-		f.breaks("quota: the tasks of %s use %.1f processors, of %.1f", team, f.used[team], limit)
+		f.ruleBroken("quota: the tasks of %s use %.1f processors, of %.1f", team, f.used[team], limit)
 	}
 }
 
@@ -127,7 +127,7 @@
 	for pool := range f.PoolUnits(JobOf(started)) {
 		f.peak[pool] = max(f.peak[pool], held[pool])
 		if held[pool] > f.most[pool] {
-			f.breaks("overdrawn: %d units of %s are held, there are %d", held[pool], pool, f.most[pool])
+			f.ruleBroken("overdrawn: %d units of %s are held, there are %d", held[pool], pool, f.most[pool])
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	defer f.mu.Unlock()
 	for task, machine := range f.on {
 		if at, told := f.cancelled[JobOf(task)]; told && time.Since(at) > f.CancelWithin {
-			f.breaks("ran_cancelled: %s on %s %v after its user was told", task, machine, time.Since(at).Round(time.Millisecond))
+			f.ruleBroken("ran_cancelled: %s on %s %v after its user was told", task, machine, time.Since(at).Round(time.Millisecond))
 		}
 	}
 }
