--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -20,7 +20,7 @@
 // audit is what really runs, against which the platform's rules are checked. The lock of its
 // fleet guards it.
 type audit struct {
-	on        map[string]string // task -> machine
+	runningOn map[string]string // task -> machine
 	attempts  map[string]uint64 // of the tasks that run
 	done      map[string]bool   // tasks
 	used      map[string]float64
@@ -31,8 +31,8 @@
 }
 
 func (f *Fleet) beginAudit() {
-	if f.on == nil {
-		f.on, f.attempts, f.done = map[string]string{}, map[string]uint64{}, map[string]bool{}
+	if f.runningOn == nil {
+		f.runningOn, f.attempts, f.done = map[string]string{}, map[string]uint64{}, map[string]bool{}
 		f.used, f.cancelled = map[string]float64{}, map[string]time.Time{}
 	}
 }
@@ -56,7 +56,7 @@
 	}
 	f.beginAudit()
 	job := JobOf(task)
-	if on := f.on[task]; on != "" {
+	if on := f.runningOn[task]; on != "" {
 		f.ruleBroken("ran_twice: %s on %s while on %s", task, machine, on)
 	}
 	if f.JobDuration != nil {
@@ -70,7 +70,7 @@
 	if at, told := f.cancelled[job]; told && time.Since(at) > f.CancelWithin {
 		f.ruleBroken("ran_cancelled: %s started %v after its user was told", task, time.Since(at).Round(time.Millisecond))
 	}
-	f.on[task], f.attempts[task] = machine, attempt
+	f.runningOn[task], f.attempts[task] = machine, attempt
 	f.countTeam(job, 1)
 	if f.PoolUnits != nil {
 		f.countUnits(task)
@@ -88,10 +88,10 @@
 }
 
 func (f *Fleet) ended(task, machine string, done bool) {
-	if f.on[task] != machine {
+	if f.runningOn[task] != machine {
 		return
 	}
-	delete(f.on, task)
+	delete(f.runningOn, task)
 	f.countTeam(JobOf(task), -1)
 	kind := TaskLost
 	if done {
@@ -119,7 +119,7 @@
 // task needs which has just started.
 func (f *Fleet) countUnits(started string) {
 	held := map[string]int{}
-	for t := range f.on {
+	for t := range f.runningOn {
 		for pool, n := range f.PoolUnits(JobOf(t)) {
 			held[pool] += n
 		}
@@ -147,7 +147,7 @@
 func (f *Fleet) Overdue() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for task, machine := range f.on {
+	for task, machine := range f.runningOn {
 		if at, told := f.cancelled[JobOf(task)]; told && time.Since(at) > f.CancelWithin {
 			f.ruleBroken("ran_cancelled: %s on %s %v after its user was told", task, machine, time.Since(at).Round(time.Millisecond))
 		}
@@ -189,14 +189,14 @@
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.on)
+	return len(f.runningOn)
 }
 
 // Busy lists the machines on which something runs, in no order.
 func (f *Fleet) Busy() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Collect(maps.Values(f.on))
+	return slices.Collect(maps.Values(f.runningOn))
 }
 
 // MachinesRunning lists the machines on which tasks of a job run.
@@ -204,7 +204,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
-	for t, m := range f.on {
+	for t, m := range f.runningOn {
 		if JobOf(t) == job {
 			out = append(out, m)
 		}
@@ -233,7 +233,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := map[string]uint64{}
-	for t := range f.on {
+	for t := range f.runningOn {
 		list[t] = f.attempts[t]
 	}
 	return maps.All(list)
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -100,7 +100,7 @@
 	if f.gone != nil {
 		f.gone[m.Name] = true
 	}
-	for t, on := range f.on {
+	for t, on := range f.runningOn {
 		if on == m.Name {
 			f.ended(t, on, false)
 		}
