--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -20,14 +20,14 @@
 // audit is what really runs, against which the platform's rules are checked. The lock of its
 // fleet guards it.
 type audit struct {
-	runningOn map[string]string // task -> machine
-	attempts  map[string]uint64 // of the tasks that run
-	done      map[string]bool   // tasks
-	used      map[string]float64
-	cancelled map[string]time.Time // by job: when its user was told
-	most      map[string]int       // units of pools
-	peak      map[string]int
-	broken    []string
+	runningOn  map[string]string // task -> machine
+	attempts   map[string]uint64 // of the tasks that run
+	done       map[string]bool   // tasks
+	used       map[string]float64
+	cancelled  map[string]time.Time // by job: when its user was told
+	poolLimits map[string]int       // units of pools
+	peak       map[string]int
+	broken     []string
 }
 
 func (f *Fleet) beginAudit() {
@@ -126,8 +126,8 @@
 	}
 	for pool := range f.PoolUnits(JobOf(started)) {
 		f.peak[pool] = max(f.peak[pool], held[pool])
-		if held[pool] > f.most[pool] {
-			f.ruleBroken("overdrawn: %d units of %s are held, there are %d", held[pool], pool, f.most[pool])
+		if held[pool] > f.poolLimits[pool] {
+			f.ruleBroken("overdrawn: %d units of %s are held, there are %d", held[pool], pool, f.poolLimits[pool])
 		}
 	}
 }
@@ -172,10 +172,10 @@
 func (f *Fleet) SetPoolLimit(pool string, units int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.most == nil {
-		f.most, f.peak = map[string]int{}, map[string]int{}
+	if f.poolLimits == nil {
+		f.poolLimits, f.peak = map[string]int{}, map[string]int{}
 	}
-	f.most[pool] = units
+	f.poolLimits[pool] = units
 }
 
 // PoolPeak is the most units of a pool that were ever held at once.
