--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -26,7 +26,7 @@
 	used       map[string]float64
 	cancelled  map[string]time.Time // by job: when its user was told
 	poolLimits map[string]int       // units of pools
-	peak       map[string]int
+	poolPeaks  map[string]int
 	broken     []string
 }
 
@@ -125,7 +125,7 @@
 		}
 	}
 	for pool := range f.PoolUnits(JobOf(started)) {
-		f.peak[pool] = max(f.peak[pool], held[pool])
+		f.poolPeaks[pool] = max(f.poolPeaks[pool], held[pool])
 		if held[pool] > f.poolLimits[pool] {
 			f.ruleBroken("overdrawn: %d units of %s are held, there are %d", held[pool], pool, f.poolLimits[pool])
 		}
@@ -173,7 +173,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.poolLimits == nil {
-		f.poolLimits, f.peak = map[string]int{}, map[string]int{}
+		f.poolLimits, f.poolPeaks = map[string]int{}, map[string]int{}
 	}
 	f.poolLimits[pool] = units
 }
@@ -182,7 +182,7 @@
 func (f *Fleet) PoolPeak(pool string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.peak[pool]
+	return f.poolPeaks[pool]
 }
 
 // Running counts the tasks that run.
