--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -23,7 +23,7 @@
 	runningOn  map[string]string // task -> machine
 	attempts   map[string]uint64 // of the tasks that run
 	done       map[string]bool   // tasks
-	used       map[string]float64
+	cpusUsed   map[string]float64
 	cancelled  map[string]time.Time // by job: when its user was told
 	poolLimits map[string]int       // units of pools
 	poolPeaks  map[string]int
@@ -33,7 +33,7 @@
 func (f *Fleet) beginAudit() {
 	if f.runningOn == nil {
 		f.runningOn, f.attempts, f.done = map[string]string{}, map[string]uint64{}, map[string]bool{}
-		f.used, f.cancelled = map[string]float64{}, map[string]time.Time{}
+		f.cpusUsed, f.cancelled = map[string]float64{}, map[string]time.Time{}
 	}
 }
 
@@ -109,9 +109,9 @@
 		return
 	}
 	team, cpus, limit := f.Team(job)
-	f.used[team] += by * cpus
-	if by > 0 && limit > 0 && f.used[team] > limit {
-		f.ruleBroken("quota: the tasks of %s use %.1f processors, of %.1f", team, f.used[team], limit)
+	f.cpusUsed[team] += by * cpus
+	if by > 0 && limit > 0 && f.cpusUsed[team] > limit {
+		f.ruleBroken("quota: the tasks of %s use %.1f processors, of %.1f", team, f.cpusUsed[team], limit)
 	}
 }
 
