--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -20,20 +20,20 @@
 // audit is what really runs, against which the platform's rules are checked. The lock of its
 // fleet guards it.
 type audit struct {
-	runningOn  map[string]string // task -> machine
-	attempts   map[string]uint64 // of the tasks that run
-	done       map[string]bool   // tasks
-	cpusUsed   map[string]float64
-	cancelled  map[string]time.Time // by job: when its user was told
-	poolLimits map[string]int       // units of pools
-	poolPeaks  map[string]int
-	broken     []string
+	runningOn   map[string]string // task -> machine
+	attempts    map[string]uint64 // of the tasks that run
+	done        map[string]bool   // tasks
+	cpusUsed    map[string]float64
+	cancelledAt map[string]time.Time // by job: when its user was told
+	poolLimits  map[string]int       // units of pools
+	poolPeaks   map[string]int
+	broken      []string
 }
 
 func (f *Fleet) beginAudit() {
 	if f.runningOn == nil {
 		f.runningOn, f.attempts, f.done = map[string]string{}, map[string]uint64{}, map[string]bool{}
-		f.cpusUsed, f.cancelled = map[string]float64{}, map[string]time.Time{}
+		f.cpusUsed, f.cancelledAt = map[string]float64{}, map[string]time.Time{}
 	}
 }
 
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	if at, told := f.cancelled[job]; told && time.Since(at) > f.CancelWithin {
+	if at, told := f.cancelledAt[job]; told && time.Since(at) > f.CancelWithin {
 		f.ruleBroken("ran_cancelled: %s started %v after its user was told", task, time.Since(at).Round(time.Millisecond))
 	}
 	f.runningOn[task], f.attempts[task] = machine, attempt
@@ -138,8 +138,8 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.beginAudit()
-	if _, told := f.cancelled[job]; !told {
-		f.cancelled[job] = time.Now()
+	if _, told := f.cancelledAt[job]; !told {
+		f.cancelledAt[job] = time.Now()
 	}
 }
 
@@ -148,7 +148,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for task, machine := range f.runningOn {
-		if at, told := f.cancelled[JobOf(task)]; told && time.Since(at) > f.CancelWithin {
+		if at, told := f.cancelledAt[JobOf(task)]; told && time.Since(at) > f.CancelWithin {
 			f.ruleBroken("ran_cancelled: %s on %s %v after its user was told", task, machine, time.Since(at).Round(time.Millisecond))
 		}
 	}
