--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -27,7 +27,7 @@
 	cancelledAt map[string]time.Time // by job: when its user was told
 	poolLimits  map[string]int       // units of pools
 	poolPeaks   map[string]int
-	broken      []string
+	brokenRules []string
 }
 
 func (f *Fleet) beginAudit() {
@@ -38,7 +38,7 @@
 }
 
 func (f *Fleet) ruleBroken(rule string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf(rule, args...))
+	f.brokenRules = append(f.brokenRules, fmt.Sprintf(rule, args...))
 }
 
 // JobOf is the job of a task, by its name.
@@ -158,14 +158,14 @@
 func (f *Fleet) RuleBroken(rule string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.broken = append(f.broken, rule)
+	f.brokenRules = append(f.brokenRules, rule)
 }
 
 // BrokenRules lists the rules that were broken.
 func (f *Fleet) BrokenRules() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.broken)
+	return slices.Clone(f.brokenRules)
 }
 
 // SetPoolLimit says how many units of a pool there are.
