--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -258,7 +258,7 @@
 	case path == wire.PathFollow:
 		return s.follow(r, query)
 	case strings.HasPrefix(path, wire.PathHolds+"/"):
-		return s.changeHold(r.Method, strings.TrimPrefix(path, wire.PathHolds+"/"))
+		return s.changeLease(r.Method, strings.TrimPrefix(path, wire.PathHolds+"/"))
 	case strings.HasPrefix(path, wire.PathKeys+"/"):
 		it, ok := s.items[strings.TrimPrefix(path, wire.PathKeys+"/")]
 		if !ok {
@@ -301,8 +301,8 @@
 	return reply{http.StatusOK, wire.LeaseAnswer(id)}
 }
 
-// changeHold renews a hold, ID/renew, or ends it.
-func (s *StateService) changeHold(method, what string) reply {
+// changeLease renews a hold, ID/renew, or ends it.
+func (s *StateService) changeLease(method, what string) reply {
 	number, renew := strings.CutSuffix(what, "/renew")
 	id, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
