--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -254,7 +254,7 @@
 		}
 		return s.transact(t)
 	case path == wire.PathHolds:
-		return s.hold(body)
+		return s.createLease(body)
 	case path == wire.PathFollow:
 		return s.follow(r, query)
 	case strings.HasPrefix(path, wire.PathHolds+"/"):
@@ -290,7 +290,7 @@
 	return reply{http.StatusOK, wire.StatePage(rows, false, s.revision)}
 }
 
-func (s *StateService) hold(body []byte) reply {
+func (s *StateService) createLease(body []byte) reply {
 	life, err := wire.ParseLease(body)
 	if err != nil {
 		return refusal(http.StatusBadRequest, err.Error())
