--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -256,7 +256,7 @@
 	case path == wire.PathHolds:
 		return s.createLease(body)
 	case path == wire.PathFollow:
-		return s.follow(r, query)
+		return s.watch(r, query)
 	case strings.HasPrefix(path, wire.PathHolds+"/"):
 		return s.changeLease(r.Method, strings.TrimPrefix(path, wire.PathHolds+"/"))
 	case strings.HasPrefix(path, wire.PathKeys+"/"):
@@ -322,8 +322,8 @@
 	return reply{http.StatusOK, []byte("{}")}
 }
 
-// follow waits until a key with the prefix has changed. It gives up the lock meanwhile.
-func (s *StateService) follow(r *http.Request, q wire.StateQuery) reply {
+// watch waits until a key with the prefix has changed. It gives up the lock meanwhile.
+func (s *StateService) watch(r *http.Request, q wire.StateQuery) reply {
 	end := time.NewTimer(min(q.Wait, followAtMost))
 	defer end.Stop()
 	for over := false; ; {
