--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -131,11 +131,11 @@
 	defer s.mu.Unlock()
 	h := s.holds[id]
 	if h != nil && !s.down && !time.Now().Before(h.ends) {
-		s.drop(id)
+		s.removeLease(id)
 	}
 }
 
-func (s *StateService) drop(id uint64) {
+func (s *StateService) removeLease(id uint64) {
 	if h := s.holds[id]; h != nil {
 		h.timer.Stop()
 	}
@@ -315,7 +315,7 @@
 	case renew:
 		h.renew()
 	case method == http.MethodDelete:
-		s.drop(id)
+		s.removeLease(id)
 	default:
 		return refusal(http.StatusBadRequest, "neither renewed nor deleted")
 	}
