--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -125,8 +125,8 @@
 	h.timer.Reset(h.life)
 }
 
-// expire ends a hold whose time is over, but for outages.
-func (s *StateService) expire(id uint64) {
+// expireLease ends a hold whose time is over, but for outages.
+func (s *StateService) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.holds[id]
@@ -297,7 +297,7 @@
 	}
 	s.revision++
 	id := s.revision
-	s.holds[id] = &held{life: life, ends: time.Now().Add(life), timer: time.AfterFunc(life, func() { s.expire(id) })}
+	s.holds[id] = &held{life: life, ends: time.Now().Add(life), timer: time.AfterFunc(life, func() { s.expireLease(id) })}
 	return reply{http.StatusOK, wire.LeaseAnswer(id)}
 }
 
