--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -144,13 +144,13 @@
 		if it.hold == id {
 			s.revision++
 			delete(s.items, k)
-			s.note(wire.Item{Key: k, Mark: s.revision})
+			s.notifyWatchers(wire.Item{Key: k, Mark: s.revision})
 		}
 	}
 }
 
-// note tells followers of a change.
-func (s *StateService) note(it wire.Item) {
+// notifyWatchers tells followers of a change.
+func (s *StateService) notifyWatchers(it wire.Item) {
 	s.changes = append(s.changes, it)
 	if n := len(s.changes) - changesKept; n > 0 {
 		s.changes = slices.Delete(s.changes, 0, n)
@@ -209,7 +209,7 @@
 			s.counts.BytesWritten += uint64(len(w.Value))
 			s.counts.Largest = max(s.counts.Largest, len(w.Value))
 		}
-		s.note(it)
+		s.notifyWatchers(it)
 	}
 	return reply{http.StatusOK, wire.TxnAnswer(s.revision, nil)}
 }
