--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -36,7 +36,7 @@
 	writes   *rate.Limiter // nil: any number
 	revision uint64
 	items    map[string]stored
-	holds    map[uint64]*held
+	holds    map[uint64]*lease
 	changes  []wire.Item   // the last ones; without a value: a removal
 	changed  chan struct{} // closed at the next change
 	bad      []string
@@ -60,7 +60,7 @@
 	hold uint64
 }
 
-type held struct {
+type lease struct {
 	life  time.Duration
 	ends  time.Time
 	timer *time.Timer
@@ -120,7 +120,7 @@
 	return s.items[key].Value
 }
 
-func (h *held) renew() {
+func (h *lease) renew() {
 	h.ends = time.Now().Add(h.life)
 	h.timer.Reset(h.life)
 }
@@ -241,7 +241,7 @@
 		return refusal(http.StatusTooManyRequests, "too many requests a second")
 	}
 	if s.items == nil {
-		s.items, s.holds = map[string]stored{}, map[uint64]*held{}
+		s.items, s.holds = map[string]stored{}, map[uint64]*lease{}
 	}
 	path := r.URL.Path
 	switch {
@@ -297,7 +297,7 @@
 	}
 	s.revision++
 	id := s.revision
-	s.holds[id] = &held{life: life, ends: time.Now().Add(life), timer: time.AfterFunc(life, func() { s.expireLease(id) })}
+	s.holds[id] = &lease{life: life, ends: time.Now().Add(life), timer: time.AfterFunc(life, func() { s.expireLease(id) })}
 	return reply{http.StatusOK, wire.LeaseAnswer(id)}
 }
 
