--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -119,7 +119,7 @@
 	}
 	count := req.Count
 	if c.Capacity != nil {
-		count = min(count, c.room(req.Zone))
+		count = min(count, c.freeCapacity(req.Zone))
 	}
 	if count <= 0 {
 		return reply{http.StatusServiceUnavailable, wire.NoCapacityProblem()}
@@ -131,8 +131,8 @@
 	return reply{http.StatusOK, wire.RentalAnswer(names)}
 }
 
-// room is how many more machines a zone has; the caller holds the lock.
-func (c *Cloud) room(zone string) int {
+// freeCapacity is how many more machines a zone has; the caller holds the lock.
+func (c *Cloud) freeCapacity(zone string) int {
 	left := c.Capacity[zone]
 	for _, m := range c.machines {
 		if m.Zone == zone && !m.failed {
@@ -146,7 +146,7 @@
 func (c *Cloud) FreeCapacity(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.room(zone)
+	return c.freeCapacity(zone)
 }
 
 func (c *Cloud) add(kind, zone string, spot bool, boot time.Duration) Machine {
