--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -86,7 +86,7 @@
 			return refusal(http.StatusBadRequest, err.Error())
 		}
 		for _, n := range names {
-			c.drop(n)
+			c.removeMachine(n)
 		}
 		return reply{http.StatusOK, []byte("{}")}
 	}
@@ -182,7 +182,7 @@
 	return c.add(kind, zone, spot, 0)
 }
 
-func (c *Cloud) drop(name string) {
+func (c *Cloud) removeMachine(name string) {
 	m := c.machines[name]
 	if m == nil {
 		return
@@ -197,7 +197,7 @@
 func (c *Cloud) PreemptMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drop(name)
+	c.removeMachine(name)
 }
 
 // FailMachine has a machine stop with all that is on it; it stays listed, as failed, until it is deleted.
