--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -18,7 +18,7 @@
 type Machine = eventlog.Machine
 
 // pageOfMachines is the most that one list gives.
-const pageOfMachines = 500
+const machinesPerPage = 500
 
 // Cloud rents machines. The zero value has as many as are asked for, of one type in zone a.
 type Cloud struct {
@@ -94,7 +94,7 @@
 }
 
 func (c *Cloud) list(since, most string) reply {
-	limit := pageOfMachines
+	limit := machinesPerPage
 	if n, err := strconv.Atoi(most); err == nil && n > 0 {
 		limit = min(limit, n)
 	}
