--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -28,8 +28,8 @@
 	answerBytes   = 64 << 10
 )
 
-// door is a controller as users reach it.
-type door struct {
+// controllerClient is a controller as users reach it.
+type controllerClient struct {
 	url     string
 	zone    string
 	client  *http.Client
@@ -42,7 +42,7 @@
 // users submits jobs, asks for them until they are over, and cancels some.
 type users struct {
 	net      *network
-	doors    []*door
+	doors    []*controllerClient
 	next     atomic.Uint64
 	fleet    *standin.Fleet
 	work     *workload
@@ -55,8 +55,8 @@
 	told     sync.Map // job -> final wire.JobState
 }
 
-func newDoor(addr, zone string) *door {
-	d := &door{url: "http://" + addr, zone: zone}
+func newDoor(addr, zone string) *controllerClient {
+	d := &controllerClient{url: "http://" + addr, zone: zone}
 	d.client = &http.Client{Transport: &http.Transport{DialContext: d.traffic.DialContext(&net.Dialer{Timeout: 500 * time.Millisecond}),
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second, DisableCompression: true}}
 	return d
@@ -98,8 +98,8 @@
 }
 
 // pick takes the next controller that is not skipped, as the load balancer does.
-func (u *users) pick() *door {
-	var d *door
+func (u *users) pick() *controllerClient {
+	var d *controllerClient
 	for range u.doors {
 		d = u.doors[u.next.Add(1)%uint64(len(u.doors))]
 		d.mu.Lock()
@@ -112,7 +112,7 @@
 	return d
 }
 
-func (d *door) avoid() {
+func (d *controllerClient) avoid() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.skip = time.Now().Add(skipDoorFor)
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -39,7 +39,7 @@
 	public, internal string
 	control          string // where operators change the configuration
 	config           string
-	door             *door
+	door             *controllerClient
 	reports          traffic.Meter // of workers, as they see it
 	state, cloud     *link
 	peers            []*link // to the others
