--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -55,7 +55,7 @@
 	told     sync.Map // job -> final wire.JobState
 }
 
-func newDoor(addr, zone string) *controllerClient {
+func newControllerClient(addr, zone string) *controllerClient {
 	d := &controllerClient{url: "http://" + addr, zone: zone}
 	d.client = &http.Client{Transport: &http.Transport{DialContext: d.traffic.DialContext(&net.Dialer{Timeout: 500 * time.Millisecond}),
 		MaxIdleConnsPerHost: 64, IdleConnTimeout: 20 * time.Second, DisableCompression: true}}
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -345,7 +345,7 @@
 		c := &controller{name: "n" + strconv.Itoa(i), zone: zones[i%len(zones)]}
 		own := addrs[i*addrsOfController:]
 		c.public, c.internal, c.control = own[0], own[1], own[2]
-		c.door = newDoor(c.public, c.zone)
+		c.door = newControllerClient(c.public, c.zone)
 		w.controllers = append(w.controllers, c)
 		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+c.public)
 		w.fleet.Traffic = append(w.fleet.Traffic, &c.reports)
