--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -75,7 +75,7 @@
 	defer cancel()
 	d := u.pick()
 	if !u.net.reaches(outside, d.zone) {
-		d.avoid()
+		d.avoidForAWhile()
 		return reply{}
 	}
 	req, err := http.NewRequestWithContext(ctx, method, d.url+path, bytes.NewReader(body))
@@ -84,7 +84,7 @@
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		d.avoid()
+		d.avoidForAWhile()
 		return reply{}
 	}
 	defer func() { _ = resp.Body.Close() }() // an error of reading is looked at below
@@ -112,7 +112,7 @@
 	return d
 }
 
-func (d *controllerClient) avoid() {
+func (d *controllerClient) avoidForAWhile() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.skip = time.Now().Add(skipDoorFor)
