--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -69,8 +69,8 @@
 	after  time.Duration // when to come back
 }
 
-// ask sends a request to one controller after the other.
-func (u *users) ask(method, path string, body []byte, timeout time.Duration) reply {
+// request sends a request to one controller after the other.
+func (u *users) request(method, path string, body []byte, timeout time.Duration) reply {
 	ctx, cancel := context.WithTimeout(u.stop, timeout)
 	defer cancel()
 	d := u.pick()
@@ -133,7 +133,7 @@
 // insist repeats a request until it has a final answer. 0: it never had one.
 func (u *users) insist(method, path string, body []byte) reply {
 	for end := time.Now().Add(giveUpAfter); time.Now().Before(end); {
-		r := u.ask(method, path, body, submitTimeout)
+		r := u.request(method, path, body, submitTimeout)
 		switch r.status {
 		case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
 			return r
@@ -184,7 +184,7 @@
 
 // look asks for a job, and says whether it is over.
 func (u *users) look(id uint64) bool {
-	r := u.ask(http.MethodGet, wire.JobPath(id), nil, pollTimeout)
+	r := u.request(http.MethodGet, wire.JobPath(id), nil, pollTimeout)
 	if r.status == http.StatusNotFound {
 		u.fleet.RuleBroken("forgotten: " + wire.FormatID(id))
 	}
