--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// insist repeats a request until it has a final answer. 0: it never had one.
-func (u *users) insist(method, path string, body []byte) reply {
+// requestUntilAnswered repeats a request until it has a final answer. 0: it never had one.
+func (u *users) requestUntilAnswered(method, path string, body []byte) reply {
 	for end := time.Now().Add(giveUpAfter); time.Now().Before(end); {
 		r := u.request(method, path, body, submitTimeout)
 		switch r.status {
@@ -152,7 +152,7 @@
 	}
 	id := j.name()
 	u.latency.submitted(id, j.urgent)
-	r := u.insist(http.MethodPost, wire.PathJobs, wire.EncodeSubmission(j.describe(u.work)))
+	r := u.requestUntilAnswered(http.MethodPost, wire.PathJobs, wire.EncodeSubmission(j.describe(u.work)))
 	switch r.status {
 	case 0:
 		return // never accepted
@@ -221,7 +221,7 @@
 
 func (u *users) cancel(id uint64) {
 	wished := time.Now()
-	if r := u.insist(http.MethodPost, wire.AbortPath(id), nil); r.status == http.StatusOK {
+	if r := u.requestUntilAnswered(http.MethodPost, wire.AbortPath(id), nil); r.status == http.StatusOK {
 		u.latency.cancelled(time.Since(wished))
 		u.hear(id, r.body)
 	}
