--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -175,15 +175,15 @@
 			cancel = nil
 		case <-time.After(u.poll):
 		}
-		if u.look(j.id) {
+		if u.queryJob(j.id) {
 			u.over.Add(1)
 			return
 		}
 	}
 }
 
-// look asks for a job, and says whether it is over.
-func (u *users) look(id uint64) bool {
+// queryJob asks for a job, and says whether it is over.
+func (u *users) queryJob(id uint64) bool {
 	r := u.request(http.MethodGet, wire.JobPath(id), nil, pollTimeout)
 	if r.status == http.StatusNotFound {
 		u.fleet.RuleBroken("forgotten: " + wire.FormatID(id))
@@ -231,7 +231,7 @@
 func (u *users) askAgain(jobs []job) {
 	for _, j := range jobs {
 		if _, over := u.told.Load(j.name()); over {
-			u.look(j.id)
+			u.queryJob(j.id)
 		}
 	}
 }
