--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -191,11 +191,11 @@
 	if r.status != http.StatusOK {
 		return false
 	}
-	return u.hear(id, r.body)
+	return u.takeAnswer(id, r.body)
 }
 
-// hear takes what a user is told of a job, and says whether it is over.
-func (u *users) hear(id uint64, body []byte) bool {
+// takeAnswer takes what a user is told of a job, and says whether it is over.
+func (u *users) takeAnswer(id uint64, body []byte) bool {
 	name := wire.FormatID(id)
 	state, err := wire.ParseJobAnswer(body)
 	if err != nil {
@@ -223,7 +223,7 @@
 	wished := time.Now()
 	if r := u.requestUntilAnswered(http.MethodPost, wire.AbortPath(id), nil); r.status == http.StatusOK {
 		u.latency.cancelled(time.Since(wished))
-		u.hear(id, r.body)
+		u.takeAnswer(id, r.body)
 	}
 }
 
