--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -73,7 +73,7 @@
 func (u *users) request(method, path string, body []byte, timeout time.Duration) reply {
 	ctx, cancel := context.WithTimeout(u.stop, timeout)
 	defer cancel()
-	d := u.pick()
+	d := u.pickController()
 	if !u.net.reaches(outside, d.zone) {
 		d.avoidForAWhile()
 		return reply{}
@@ -97,8 +97,8 @@
 	return reply{resp.StatusCode, raw, time.Duration(after) * time.Second}
 }
 
-// pick takes the next controller that is not skipped, as the load balancer does.
-func (u *users) pick() *controllerClient {
+// pickController takes the next controller that is not skipped, as the load balancer does.
+func (u *users) pickController() *controllerClient {
 	var d *controllerClient
 	for range u.doors {
 		d = u.doors[u.next.Add(1)%uint64(len(u.doors))]
