--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -74,7 +74,7 @@
 	}
 	var open sync.WaitGroup
 	for _, j := range w.jobs {
-		open.Go(func() { w.users.play(j) })
+		open.Go(func() { w.users.runJob(j) })
 	}
 	go w.failNow(stop)
 	changing, endChanges := context.WithCancel(stop)
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -145,8 +145,8 @@
 	return reply{}
 }
 
-// play is the life of one job, as its user sees it.
-func (u *users) play(j job) {
+// runJob is the life of one job, as its user sees it.
+func (u *users) runJob(j job) {
 	if !u.sleep(time.Until(u.begin.Add(j.at))) {
 		return
 	}
