--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -95,7 +95,7 @@
 		return err
 	}
 	w.operators.settle(stop)
-	w.users.askAgain(w.jobs)
+	w.users.resubmit(w.jobs)
 	r.Changes, r.Waiting = w.operators.counts()
 	end()
 	open.Wait()
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -227,8 +227,8 @@
 	}
 }
 
-// askAgain asks once more for every job that is over: none may go back.
-func (u *users) askAgain(jobs []job) {
+// resubmit asks once more for every job that is over: none may go back.
+func (u *users) resubmit(jobs []job) {
 	for _, j := range jobs {
 		if _, over := u.told.Load(j.name()); over {
 			u.queryJob(j.id)
