--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -48,8 +48,8 @@
 	process *process // nil: it is down
 }
 
-// remote is a worker with a process of its own.
-type remote struct {
+// workerProcess is a worker with a process of its own.
+type workerProcess struct {
 	process *process
 	addr    string
 	mu      sync.Mutex
@@ -78,12 +78,12 @@
 	counts      Counts // of the jobs
 
 	mu      sync.Mutex
-	remotes map[string]*remote // by machine
+	remotes map[string]*workerProcess // by machine
 	servers []io.Closer
 }
 
 func newWorld(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*world, error) {
-	w := &world{exp: e, size: size, seed: seed, options: o, ctx: ctx, network: &network{exp: e}, remotes: map[string]*remote{}, latency: newLatencies(seconds(e.Load.UrgentWithinS)),
+	w := &world{exp: e, size: size, seed: seed, options: o, ctx: ctx, network: &network{exp: e}, remotes: map[string]*workerProcess{}, latency: newLatencies(seconds(e.Load.UrgentWithinS)),
 		work: workload{Seed: seed, TaskS: e.TaskS(), Images: e.Workers.Images}}
 	w.jobs, w.counts = schedule(e, size, seed)
 	var err error
@@ -238,17 +238,17 @@
 	return c.traffic.Conn(conn), nil
 }
 
-func (w *world) startWorker(machine string) (*remote, error) {
+func (w *world) startWorker(machine string) (*workerProcess, error) {
 	p, err := spawn(w.ctx, machine, w.options.Self, w.log, nil, "worker")
 	if err != nil {
 		return nil, err
 	}
-	r := &remote{process: p}
+	r := &workerProcess{process: p}
 	r.addr, err = p.line()
 	return r, err
 }
 
-func (w *world) remote(machine string) *remote {
+func (w *world) remote(machine string) *workerProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.remotes[machine]
@@ -270,7 +270,7 @@
 }
 
 // hear takes what a worker's process tells, until it ends.
-func (r *remote) hear(machine string, fleet *standin.Fleet) {
+func (r *workerProcess) hear(machine string, fleet *standin.Fleet) {
 	for {
 		line, err := r.process.line()
 		if err != nil {
