--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -266,11 +266,11 @@
 		w.options.Log.Error("a worker's process is gone", "machine", m.Name, "error", err)
 		return
 	}
-	go r.hear(m.Name, w.fleet)
+	go r.readNotes(m.Name, w.fleet)
 }
 
-// hear takes what a worker's process tells, until it ends.
-func (r *workerProcess) hear(machine string, fleet *standin.Fleet) {
+// readNotes takes what a worker's process tells, until it ends.
+func (r *workerProcess) readNotes(machine string, fleet *standin.Fleet) {
 	for {
 		line, err := r.process.line()
 		if err != nil {
