--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -248,7 +248,7 @@
 	return r, err
 }
 
-func (w *world) remote(machine string) *workerProcess {
+func (w *world) workerProcess(machine string) *workerProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.remotes[machine]
@@ -256,7 +256,7 @@
 
 // up begins a machine's worker.
 func (w *world) up(m standin.Machine) {
-	r := w.remote(m.Name)
+	r := w.workerProcess(m.Name)
 	if r == nil {
 		w.fleet.StartWorker(m)
 		return
@@ -297,7 +297,7 @@
 }
 
 func (w *world) down(m standin.Machine) {
-	if r := w.remote(m.Name); r != nil {
+	if r := w.workerProcess(m.Name); r != nil {
 		r.process.kill()
 	}
 	w.fleet.StopWorker(m)
