--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -168,7 +168,7 @@
 	for k := range w.size {
 		capacity[w.zoneOf(k)]++
 	}
-	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, Up: w.up, Down: w.down, Address: w.address,
+	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, Up: w.startMachine, Down: w.down, Address: w.address,
 		Types: []eventlog.MachineType{{Name: machineType, CPUs: e.Workers.CPUs, MemoryGB: e.Workers.MemoryGB, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: machineBoot.Seconds(), Zones: e.Zones()}}}
 	return nil
 }
@@ -254,8 +254,8 @@
 	return w.remotes[machine]
 }
 
-// up begins a machine's worker.
-func (w *world) up(m standin.Machine) {
+// startMachine begins a machine's worker.
+func (w *world) startMachine(m standin.Machine) {
 	r := w.workerProcess(m.Name)
 	if r == nil {
 		w.fleet.StartWorker(m)
