--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -168,7 +168,7 @@
 	for k := range w.size {
 		capacity[w.zoneOf(k)]++
 	}
-	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, Up: w.startMachine, Down: w.down, Address: w.address,
+	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, Up: w.startMachine, Down: w.stopMachine, Address: w.address,
 		Types: []eventlog.MachineType{{Name: machineType, CPUs: e.Workers.CPUs, MemoryGB: e.Workers.MemoryGB, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: machineBoot.Seconds(), Zones: e.Zones()}}}
 	return nil
 }
@@ -296,7 +296,7 @@
 	}
 }
 
-func (w *world) down(m standin.Machine) {
+func (w *world) stopMachine(m standin.Machine) {
 	if r := w.workerProcess(m.Name); r != nil {
 		r.process.kill()
 	}
