--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -94,8 +94,8 @@
 	return s
 }
 
-// keep writes a sample down where samples are kept.
-func (w *world) keep(s Sample) error {
+// writeSample writes a sample down where samples are kept.
+func (w *world) writeSample(s Sample) error {
 	if w.options.Samples == nil {
 		return nil
 	}
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -142,7 +142,7 @@
 func (w *world) watch(p experiment.Phase, measured bool, lasts time.Duration) (samples []Sample, err error) {
 	for end := time.Now().Add(lasts); time.Now().Before(end); {
 		s := w.sample(w.users.begin, p.Name, measured)
-		if err := w.keep(s); err != nil {
+		if err := w.writeSample(s); err != nil {
 			return nil, err
 		}
 		samples = append(samples, s)
