--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -194,10 +194,10 @@
 				w.restart(c, lasts)
 			}
 		}
-		w.lose(w.inZone(p.Zone), lasts)
+		w.loseMachines(w.inZone(p.Zone), lasts)
 	case experiment.LoseRack:
 		machines := w.inZone(p.Zone)
-		w.lose(machines[:min(w.exp.Workers.Rack, len(machines))], lasts)
+		w.loseMachines(machines[:min(w.exp.Workers.Rack, len(machines))], lasts)
 	case experiment.StateOutage:
 		w.outage(true)
 		back := time.AfterFunc(lasts, func() { w.outage(false) })
@@ -244,8 +244,8 @@
 	return names
 }
 
-// lose has machines stop with all that is on them; others take their places after a while.
-func (w *world) lose(machines []string, replaced time.Duration) {
+// loseMachines has machines stop with all that is on them; others take their places after a while.
+func (w *world) loseMachines(machines []string, replaced time.Duration) {
 	w.latency.fail(machines...)
 	zones := map[string]string{}
 	for _, m := range w.cloud.Machines() {
@@ -283,7 +283,7 @@
 		}
 		m := machines[w.exp.Workers.Processes+rng.IntN(len(machines)-w.exp.Workers.Processes)]
 		if rng.Float64()*(f.LossesPerDay+f.RestartsPerDay) < f.LossesPerDay {
-			w.lose([]string{m.Name}, seconds(f.ReplacedS))
+			w.loseMachines([]string{m.Name}, seconds(f.ReplacedS))
 			continue
 		}
 		w.latency.fail(m.Name)
