--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -34,7 +34,7 @@
 	if err := w.awaitLeader(); err != nil {
 		return nil, err
 	}
-	if err := w.bringUp(); err != nil {
+	if err := w.startMachines(); err != nil {
 		return nil, err
 	}
 	r := &Result{Experiment: e.Name, Size: size, Seed: seed, Counts: w.counts}
@@ -44,8 +44,8 @@
 	return r, nil
 }
 
-// bringUp has the machines come up.
-func (w *world) bringUp() error {
+// startMachines has the machines come up.
+func (w *world) startMachines() error {
 	for k := range w.size {
 		w.cloud.AddMachine(machineType, w.zoneOf(k), false)
 		if err := w.sleep(workersBegin / time.Duration(w.size)); err != nil {
