--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -129,7 +129,7 @@
 	}
 	w.latency.turn()
 	w.options.Log.Info("measuring", "size", w.size, "seed", w.seed, "phase", p.Name, "event", p.Event)
-	undo := w.event(p)
+	undo := w.applyEvent(p)
 	samples, err := w.watch(p, true, seconds(p.MeasureS))
 	undo()
 	if err != nil {
@@ -160,8 +160,8 @@
 	return samples, nil
 }
 
-// event does what happens in a phase, and gives what is to be undone at its end.
-func (w *world) event(p experiment.Phase) (undo func()) {
+// applyEvent does what happens in a phase, and gives what is to be undone at its end.
+func (w *world) applyEvent(p experiment.Phase) (undo func()) {
 	undo = func() {}
 	lasts := seconds(p.EventS)
 	if lasts == 0 {
