--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	r := &Result{Experiment: e.Name, Size: size, Seed: seed, Counts: w.counts}
-	if err := w.play(r); err != nil {
+	if err := w.runPhases(r); err != nil {
 		return nil, err
 	}
 	return r, nil
@@ -64,8 +64,8 @@
 	}
 }
 
-// play goes through the phases, and waits until all jobs are over.
-func (w *world) play(r *Result) error {
+// runPhases goes through the phases, and waits until all jobs are over.
+func (w *world) runPhases(r *Result) error {
 	stop, end := context.WithCancel(w.ctx)
 	defer end()
 	w.users = &users{net: w.network, fleet: w.fleet, work: &w.work, latency: w.latency, poll: seconds(w.exp.Load.PollS), begin: time.Now(), stop: stop}
