--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -84,7 +84,7 @@
 		go w.operators.watch(stop)
 	}
 	for _, p := range w.exp.Phases {
-		measured, err := w.phase(p)
+		measured, err := w.runPhase(p)
 		if err != nil {
 			return err
 		}
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// phase plays one phase and measures it.
-func (w *world) phase(p experiment.Phase) (Phase, error) {
+// runPhase plays one phase and measures it.
+func (w *world) runPhase(p experiment.Phase) (Phase, error) {
 	if _, err := w.watch(p, false, seconds(p.SettleS)); err != nil {
 		return Phase{}, err
 	}
