--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -76,7 +76,7 @@
 	for _, j := range w.jobs {
 		open.Go(func() { w.users.runJob(j) })
 	}
-	go w.failNow(stop)
+	go w.failMachines(stop)
 	changing, endChanges := context.WithCancel(stop)
 	defer endChanges()
 	if w.operators != nil {
@@ -263,8 +263,8 @@
 	})
 }
 
-// failNow loses and restarts single machines at the rate of ordinary days.
-func (w *world) failNow(ctx context.Context) {
+// failMachines loses and restarts single machines at the rate of ordinary days.
+func (w *world) failMachines(ctx context.Context) {
 	f := w.exp.Failures
 	perSecond := (f.LossesPerDay + f.RestartsPerDay) * f.Speed * w.exp.Share(w.size) / (24 * time.Hour).Seconds()
 	if perSecond == 0 {
