--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -61,7 +61,7 @@
 }
 
 // sample looks at everything.
-func (w *world) sample(begin time.Time, phase string, measured bool) Sample {
+func (w *testbed) sample(begin time.Time, phase string, measured bool) Sample {
 	s := Sample{Size: w.size, Seed: w.seed, AtS: time.Since(begin).Seconds(), Phase: phase, Measured: measured, Up: w.fleet.Workers(), Running: w.fleet.Running()}
 	s.Starts, s.Ended = w.latency.counts()
 	if o, err := w.observe(); err == nil {
@@ -95,7 +95,7 @@
 }
 
 // writeSample writes a sample down where samples are kept.
-func (w *world) writeSample(s Sample) error {
+func (w *testbed) writeSample(s Sample) error {
 	if w.options.Samples == nil {
 		return nil
 	}
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -29,7 +29,7 @@
 
 // operators change the configuration, and watch when it is in force everywhere.
 type operators struct {
-	world *world
+	world *testbed
 	files certs.Files
 	rng   *rand.Rand
 
@@ -45,7 +45,7 @@
 }
 
 // newOperators makes the certificates of operators and controllers.
-func newOperators(w *world) (*operators, error) {
+func newOperators(w *testbed) (*operators, error) {
 	dir := w.options.Dir
 	if err := certs.MakeCA(dir, "scalerun", certLife); err != nil {
 		return nil, err
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -45,7 +45,7 @@
 }
 
 // startMachines has the machines come up.
-func (w *world) startMachines() error {
+func (w *testbed) startMachines() error {
 	for k := range w.size {
 		w.cloud.AddMachine(machineType, w.zoneOf(k), false)
 		if err := w.sleep(workersBegin / time.Duration(w.size)); err != nil {
@@ -55,7 +55,7 @@
 	return w.sleep(seconds(w.exp.Workers.ReportS))
 }
 
-func (w *world) sleep(d time.Duration) error {
+func (w *testbed) sleep(d time.Duration) error {
 	select {
 	case <-w.ctx.Done():
 		return w.ctx.Err()
@@ -65,7 +65,7 @@
 }
 
 // runPhases goes through the phases, and waits until all jobs are over.
-func (w *world) runPhases(r *Result) error {
+func (w *testbed) runPhases(r *Result) error {
 	stop, end := context.WithCancel(w.ctx)
 	defer end()
 	w.users = &users{net: w.network, fleet: w.fleet, work: &w.work, latency: w.latency, poll: seconds(w.exp.Load.PollS), begin: time.Now(), stop: stop}
@@ -110,7 +110,7 @@
 }
 
 // drain waits until users have heard of the end of all their jobs, as long as it may take.
-func (w *world) drain(open *sync.WaitGroup) error {
+func (w *testbed) drain(open *sync.WaitGroup) error {
 	over := make(chan struct{})
 	go func() { open.Wait(); close(over) }()
 	select {
@@ -123,7 +123,7 @@
 }
 
 // runPhase plays one phase and measures it.
-func (w *world) runPhase(p experiment.Phase) (Phase, error) {
+func (w *testbed) runPhase(p experiment.Phase) (Phase, error) {
 	if _, err := w.watch(p, false, seconds(p.SettleS)); err != nil {
 		return Phase{}, err
 	}
@@ -139,7 +139,7 @@
 }
 
 // watch samples for a while.
-func (w *world) watch(p experiment.Phase, measured bool, lasts time.Duration) (samples []Sample, err error) {
+func (w *testbed) watch(p experiment.Phase, measured bool, lasts time.Duration) (samples []Sample, err error) {
 	for end := time.Now().Add(lasts); time.Now().Before(end); {
 		s := w.sample(w.users.begin, p.Name, measured)
 		if err := w.writeSample(s); err != nil {
@@ -161,7 +161,7 @@
 }
 
 // applyEvent does what happens in a phase, and gives what is to be undone at its end.
-func (w *world) applyEvent(p experiment.Phase) (undo func()) {
+func (w *testbed) applyEvent(p experiment.Phase) (undo func()) {
 	undo = func() {}
 	lasts := seconds(p.EventS)
 	if lasts == 0 {
@@ -210,7 +210,7 @@
 	return undo
 }
 
-func (w *world) outage(down bool) {
+func (w *testbed) outage(down bool) {
 	flag := "0"
 	if down {
 		flag = "1"
@@ -224,7 +224,7 @@
 }
 
 // restart kills a controller, which is back after a while.
-func (w *world) restart(c *controller, after time.Duration) {
+func (w *testbed) restart(c *controller, after time.Duration) {
 	c.kill()
 	time.AfterFunc(after, func() {
 		if w.ctx.Err() == nil {
@@ -235,7 +235,7 @@
 	})
 }
 
-func (w *world) inZone(zone string) (names []string) {
+func (w *testbed) inZone(zone string) (names []string) {
 	for _, m := range w.cloud.Machines() {
 		if m.Zone == zone {
 			names = append(names, m.Name)
@@ -245,7 +245,7 @@
 }
 
 // loseMachines has machines stop with all that is on them; others take their places after a while.
-func (w *world) loseMachines(machines []string, replaced time.Duration) {
+func (w *testbed) loseMachines(machines []string, replaced time.Duration) {
 	w.latency.fail(machines...)
 	zones := map[string]string{}
 	for _, m := range w.cloud.Machines() {
@@ -264,7 +264,7 @@
 }
 
 // failMachines loses and restarts single machines at the rate of ordinary days.
-func (w *world) failMachines(ctx context.Context) {
+func (w *testbed) failMachines(ctx context.Context) {
 	f := w.exp.Failures
 	perSecond := (f.LossesPerDay + f.RestartsPerDay) * f.Speed * w.exp.Share(w.size) / (24 * time.Hour).Seconds()
 	if perSecond == 0 {
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -56,8 +56,8 @@
 	last    traffic.Count
 }
 
-// world is everything of one run.
-type world struct {
+// testbed is everything of one run.
+type testbed struct {
 	exp         *experiment.Experiment
 	size        int
 	seed        uint64
@@ -82,8 +82,8 @@
 	servers []io.Closer
 }
 
-func newWorld(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*world, error) {
-	w := &world{exp: e, size: size, seed: seed, options: o, ctx: ctx, network: &network{exp: e}, remotes: map[string]*workerProcess{}, latency: newLatencies(seconds(e.Load.UrgentWithinS)),
+func newWorld(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*testbed, error) {
+	w := &testbed{exp: e, size: size, seed: seed, options: o, ctx: ctx, network: &network{exp: e}, remotes: map[string]*workerProcess{}, latency: newLatencies(seconds(e.Load.UrgentWithinS)),
 		work: workload{Seed: seed, TaskS: e.TaskS(), Images: e.Workers.Images}}
 	w.jobs, w.counts = schedule(e, size, seed)
 	var err error
@@ -106,7 +106,7 @@
 }
 
 // close ends all processes and listeners of the run.
-func (w *world) close() {
+func (w *testbed) close() {
 	for _, c := range w.controllers {
 		c.kill()
 	}
@@ -125,7 +125,7 @@
 	_ = w.log.Close()
 }
 
-func (w *world) startState() error {
+func (w *testbed) startState() error {
 	l := w.exp.State
 	var err error
 	w.state, err = spawn(w.ctx, "state service", w.options.Self, w.log, nil, "state", "--rps", ftoa(l.RPS), "--write-rps", ftoa(l.WriteRPS),
@@ -140,7 +140,7 @@
 func ftoa(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
 // zoneOf is where a machine stands: those with a process of their own in the first zone.
-func (w *world) zoneOf(machine int) string {
+func (w *testbed) zoneOf(machine int) string {
 	zones := w.exp.Zones()
 	if machine < w.exp.Workers.Processes {
 		return zones[0]
@@ -148,7 +148,7 @@
 	return zones[machine%len(zones)]
 }
 
-func (w *world) startCloud() error {
+func (w *testbed) startCloud() error {
 	e := w.exp
 	w.fleet = w.work.fleet(nil, e.Workers.ReportS, e.Workers.LeaseS, e.Workers.FetchS)
 	w.fleet.CancelWithin = seconds(e.Workers.CancelS)
@@ -177,12 +177,12 @@
 const machineBoot = 20 * time.Second
 
 // teamLimit is how many processors a team may use; 0: any number.
-func (w *world) teamLimit() float64 {
+func (w *testbed) teamLimit() float64 {
 	return float64(int(w.exp.Load.TeamShare * float64(w.size) * w.exp.Workers.CPUs))
 }
 
 // address begins a listener for a machine's worker, or the process of a worker.
-func (w *world) address(m standin.Machine) string {
+func (w *testbed) address(m standin.Machine) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.remotes) < min(w.exp.Workers.Processes, w.size) {
@@ -208,7 +208,7 @@
 }
 
 // serve begins a server that ends with the run; the caller holds the lock.
-func (w *world) serve(traffic *traffic.Meter, h http.Handler) (string, error) {
+func (w *testbed) serve(traffic *traffic.Meter, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -238,7 +238,7 @@
 	return c.traffic.Conn(conn), nil
 }
 
-func (w *world) startWorker(machine string) (*workerProcess, error) {
+func (w *testbed) startWorker(machine string) (*workerProcess, error) {
 	p, err := spawn(w.ctx, machine, w.options.Self, w.log, nil, "worker")
 	if err != nil {
 		return nil, err
@@ -248,14 +248,14 @@
 	return r, err
 }
 
-func (w *world) workerProcess(machine string) *workerProcess {
+func (w *testbed) workerProcess(machine string) *workerProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.remotes[machine]
 }
 
 // startMachine begins a machine's worker.
-func (w *world) startMachine(m standin.Machine) {
+func (w *testbed) startMachine(m standin.Machine) {
 	r := w.workerProcess(m.Name)
 	if r == nil {
 		w.fleet.StartWorker(m)
@@ -296,7 +296,7 @@
 	}
 }
 
-func (w *world) stopMachine(m standin.Machine) {
+func (w *testbed) stopMachine(m standin.Machine) {
 	if r := w.workerProcess(m.Name); r != nil {
 		r.process.kill()
 	}
@@ -329,7 +329,7 @@
 // addrsOfController is how many addresses one has.
 const addrsOfController = 3
 
-func (w *world) makeControllers() error {
+func (w *testbed) makeControllers() error {
 	w.mu.Lock()
 	clouds, err := w.serve(&traffic.Meter{}, w.cloud)
 	w.mu.Unlock()
@@ -359,7 +359,7 @@
 }
 
 // connect makes a controller's ways to all others, and its settings.
-func (w *world) connect(c *controller, cloud string) (err error) {
+func (w *testbed) connect(c *controller, cloud string) (err error) {
 	if c.state, err = w.network.connect(c.zone, outside, w.stateAddr); err != nil {
 		return err
 	}
@@ -388,7 +388,7 @@
 }
 
 // platform is what the platform would tell a controller.
-func (w *world) platform(c *controller) settings.Platform {
+func (w *testbed) platform(c *controller) settings.Platform {
 	e := w.exp
 	var p settings.Platform
 	p.Node, p.Zone, p.PublicAddr, p.InternalAddr = c.name, c.zone, c.public, c.internal
@@ -414,7 +414,7 @@
 }
 
 // start begins a controller's process.
-func (w *world) start(c *controller) error {
+func (w *testbed) start(c *controller) error {
 	args := []string{"--config", c.config}
 	set := w.exp.Controllers.Set
 	if w.operators != nil {
@@ -455,7 +455,7 @@
 }
 
 // observe looks at the state service.
-func (w *world) observe() (o observed, err error) {
+func (w *testbed) observe() (o observed, err error) {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + w.stateAddr + pathObserve)
 	if err != nil {
@@ -466,7 +466,7 @@
 }
 
 // awaitLeader waits until somebody leads.
-func (w *world) awaitLeader() error {
+func (w *testbed) awaitLeader() error {
 	for end := time.Now().Add(seconds(w.exp.Controllers.HealthyWithS)); time.Now().Before(end); {
 		if o, err := w.observe(); err == nil && o.Leader != "" {
 			return nil
