--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -21,7 +21,7 @@
 func Run(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	w, err := newWorld(ctx, e, size, seed, o)
+	w, err := newTestbed(ctx, e, size, seed, o)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -82,7 +82,7 @@
 	servers []io.Closer
 }
 
-func newWorld(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*testbed, error) {
+func newTestbed(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*testbed, error) {
 	w := &testbed{exp: e, size: size, seed: seed, options: o, ctx: ctx, network: &network{exp: e}, remotes: map[string]*workerProcess{}, latency: newLatencies(seconds(e.Load.UrgentWithinS)),
 		work: workload{Seed: seed, TaskS: e.TaskS(), Images: e.Workers.Images}}
 	w.jobs, w.counts = schedule(e, size, seed)
