--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -100,7 +100,7 @@
 	once  sync.Once
 }
 
-func (p *pipe) tell(n workerNote) {
+func (p *pipe) send(n workerNote) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.out.Encode(n) != nil {
@@ -116,10 +116,10 @@
 
 // Started and Ended make a pipe a standin.Recorder.
 func (p *pipe) Started(task, _ string, attempt uint64) {
-	p.tell(workerNote{Started: task, Attempt: attempt})
+	p.send(workerNote{Started: task, Attempt: attempt})
 }
 
-func (p *pipe) Ended(task, _ string, done bool) { p.tell(workerNote{Ended: task, Done: done}) }
+func (p *pipe) Ended(task, _ string, done bool) { p.send(workerNote{Ended: task, Done: done}) }
 
 // ServeWorker is the process of one worker.
 func ServeWorker(in io.Reader, out io.Writer) error {
@@ -154,7 +154,7 @@
 			return nil
 		case <-time.After(trafficEvery):
 			now := traffic.Read().Plus(fleet.Direct.Read())
-			p.tell(workerNote{Traffic: &now})
+			p.send(workerNote{Traffic: &now})
 		}
 	}
 }
