--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -158,7 +158,7 @@
 	client := &http.Client{Timeout: lookTimeout}
 	for ctx.Err() == nil {
 		time.Sleep(lookEvery)
-		least, ok := o.least(client)
+		least, ok := o.lowestRevision(client)
 		if !ok {
 			continue
 		}
@@ -171,8 +171,8 @@
 	}
 }
 
-// least is the lowest revision that a controller has; false: one does not answer.
-func (o *operators) least(client *http.Client) (least uint64, ok bool) {
+// lowestRevision is the lowest revision that a controller has; false: one does not answer.
+func (o *operators) lowestRevision(client *http.Client) (least uint64, ok bool) {
 	for i, c := range o.world.controllers {
 		resp, err := client.Get("http://" + c.internal + node.PathDuties + reconfig.Name + "/" + reconfig.ViewHere)
 		if err != nil {
