--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -55,8 +55,8 @@
 	Ended    uint64              `json:"ended"`
 }
 
-// flip is traffic as the other side sees it.
-func flip(c traffic.Count) traffic.Count {
+// swapDirections is traffic as the other side sees it.
+func swapDirections(c traffic.Count) traffic.Count {
 	return traffic.Count{In: c.Out, Out: c.In, Messages: c.Messages}
 }
 
@@ -68,11 +68,11 @@
 		s.Leader, s.Counts = o.Leader, o.Counts
 	}
 	for i, c := range w.controllers {
-		n := NodeSample{Name: c.name, Leads: c.name == s.Leader, Workers: flip(c.reports.Read()), Users: flip(c.door.traffic.Read()), State: c.state.traffic.Read(), Cloud: c.cloud.traffic.Read()}
+		n := NodeSample{Name: c.name, Leads: c.name == s.Leader, Workers: swapDirections(c.reports.Read()), Users: swapDirections(c.door.traffic.Read()), State: c.state.traffic.Read(), Cloud: c.cloud.traffic.Read()}
 		n.Usage, n.PID, _ = c.usage()
 		for k, l := range c.peers {
 			if l != nil {
-				n.Peers = n.Peers.Plus(l.traffic.Read()).Plus(flip(w.controllers[k].peers[i].traffic.Read()))
+				n.Peers = n.Peers.Plus(l.traffic.Read()).Plus(swapDirections(w.controllers[k].peers[i].traffic.Read()))
 			}
 		}
 		s.Hollow = s.Hollow.Plus(c.reports.Read())
