--- a/internal/scaletest/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -10,7 +10,7 @@
 )
 
 // outside is where the state service, the cloud and users are: in the first region, in no zone.
-const outside = ""
+const noZone = ""
 
 // network knows which parts of the world reach one another, and how long that takes.
 type network struct {
@@ -30,7 +30,7 @@
 }
 
 func (n *network) region(zone string) int {
-	if zone == outside {
+	if zone == noZone {
 		return 0
 	}
 	return n.exp.RegionOf(zone)
@@ -55,11 +55,11 @@
 	if n.apart && n.region(from) != n.region(to) {
 		return false
 	}
-	return n.zone == outside || (from == n.zone) == (to == n.zone)
+	return n.zone == noZone || (from == n.zone) == (to == n.zone)
 }
 
 // isolated says whether a zone is cut off from the first region.
-func (n *network) isolated(zone string) bool { return !n.reaches(zone, outside) }
+func (n *network) isolated(zone string) bool { return !n.reaches(zone, noZone) }
 
 // connect makes the way from one place to an address in another.
 func (n *network) connect(from, to, addr string) (*link, error) {
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -182,10 +182,10 @@
 		}
 	case experiment.CutZone, experiment.CutRegions:
 		w.network.cut(p.Zone, p.Event == experiment.CutRegions)
-		heal := time.AfterFunc(lasts, func() { w.network.cut(outside, false) })
+		heal := time.AfterFunc(lasts, func() { w.network.cut(noZone, false) })
 		undo = func() {
 			if heal.Stop() {
-				w.network.cut(outside, false)
+				w.network.cut(noZone, false)
 			}
 		}
 	case experiment.LoseZone:
--- a/internal/scaletest/scalerun/scalerun_test.go
+++ b/internal/scaletest/scalerun/scalerun_test.go
@@ -93,16 +93,16 @@
 	for _, x := range []struct {
 		from, to string
 		want     bool
-	}{{"east-b", "east-b", true}, {"east-b", "east-a", false}, {outside, "east-b", false}, {"west-a", outside, true}} {
+	}{{"east-b", "east-b", true}, {"east-b", "east-a", false}, {noZone, "east-b", false}, {"west-a", noZone, true}} {
 		if got := n.reaches(x.from, x.to); got != x.want {
 			t.Errorf("a zone is cut off: from %q to %q: %v", x.from, x.to, got)
 		}
 	}
-	n.cut(outside, true)
+	n.cut(noZone, true)
 	for _, x := range []struct {
 		from, to string
 		want     bool
-	}{{"west-a", "west-b", true}, {"west-a", "east-b", false}, {outside, "west-a", false}, {"east-b", outside, true}} {
+	}{{"west-a", "west-b", true}, {"west-a", "east-b", false}, {noZone, "west-a", false}, {"east-b", noZone, true}} {
 		if got := n.reaches(x.from, x.to); got != x.want {
 			t.Errorf("the regions are apart: from %q to %q: %v", x.from, x.to, got)
 		}
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -74,7 +74,7 @@
 	ctx, cancel := context.WithTimeout(u.stop, timeout)
 	defer cancel()
 	d := u.pickController()
-	if !u.net.reaches(outside, d.zone) {
+	if !u.net.reaches(noZone, d.zone) {
 		d.avoidForAWhile()
 		return reply{}
 	}
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -360,10 +360,10 @@
 
 // connect makes a controller's ways to all others, and its settings.
 func (w *testbed) connect(c *controller, cloud string) (err error) {
-	if c.state, err = w.network.connect(c.zone, outside, w.stateAddr); err != nil {
+	if c.state, err = w.network.connect(c.zone, noZone, w.stateAddr); err != nil {
 		return err
 	}
-	if c.cloud, err = w.network.connect(c.zone, outside, cloud); err != nil {
+	if c.cloud, err = w.network.connect(c.zone, noZone, cloud); err != nil {
 		return err
 	}
 	p := w.platform(c)
