--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -215,7 +215,7 @@
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: serverTimeout}
 	w.servers = append(w.servers, server)
-	go func() { _ = server.Serve(counted{l, traffic}) }() // until it is closed
+	go func() { _ = server.Serve(countingListener{l, traffic}) }() // until it is closed
 	return l.Addr().String(), nil
 }
 
@@ -224,13 +224,13 @@
 // unreachableFor is how long a call to a machine that is gone or cut off has no answer.
 const unreachableFor = 3 * time.Second
 
-// counted is a listener whose connections' traffic is counted.
-type counted struct {
+// countingListener is a listener whose connections' traffic is counted.
+type countingListener struct {
 	net.Listener
 	traffic *traffic.Meter
 }
 
-func (c counted) Accept() (net.Conn, error) {
+func (c countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
