--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -101,7 +101,7 @@
 	return true
 }
 
-func (p *Proxy) drop(c net.Conn) {
+func (p *Proxy) forget(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -126,7 +126,7 @@
 }
 
 func (p *Proxy) forward(from net.Conn) {
-	defer p.drop(from)
+	defer p.forget(from)
 	if !p.passable() {
 		return
 	}
@@ -134,7 +134,7 @@
 	if err != nil || !p.keep(to) {
 		return
 	}
-	defer p.drop(to)
+	defer p.forget(to)
 	var both sync.WaitGroup
 	both.Go(func() {
 		p.pump(from, to, func(n int) {
