--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -81,14 +81,14 @@
 		if err != nil {
 			return
 		}
-		if p.keep(c) {
+		if p.track(c) {
 			go p.forward(c)
 		}
 	}
 }
 
-// keep notes a connection; false says that the proxy is closed.
-func (p *Proxy) keep(c net.Conn) bool {
+// track notes a connection; false says that the proxy is closed.
+func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -131,7 +131,7 @@
 		return
 	}
 	to, err := net.DialTimeout("tcp4", p.target, dialTimeout)
-	if err != nil || !p.keep(to) {
+	if err != nil || !p.track(to) {
 		return
 	}
 	defer p.forget(to)
