--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -137,12 +137,12 @@
 	defer p.forget(to)
 	var both sync.WaitGroup
 	both.Go(func() {
-		p.pump(from, to, func(n int) {
+		p.copyDelayed(from, to, func(n int) {
 			p.traffic.Out(n)
 			p.traffic.Message()
 		})
 	})
-	both.Go(func() { p.pump(to, from, p.traffic.In) })
+	both.Go(func() { p.copyDelayed(to, from, p.traffic.In) })
 	both.Wait()
 }
 
@@ -152,8 +152,8 @@
 	due  time.Time
 }
 
-// pump forwards one direction until either end is closed, and then closes both.
-func (p *Proxy) pump(from io.ReadCloser, to io.WriteCloser, count func(int)) {
+// copyDelayed forwards one direction until either end is closed, and then closes both.
+func (p *Proxy) copyDelayed(from io.ReadCloser, to io.WriteCloser, count func(int)) {
 	ahead := make(chan chunk, chunksAhead)
 	go func() {
 		defer close(ahead)
