--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -73,18 +73,18 @@
 // clock and does nothing by itself.
 type Term struct {
 	*cluster.State
-	Users   *lifecycle.Component // what users ask goes to it directly
-	order   *fairshare.Component
-	roster  *registry.Component
-	placing *placement.Component
-	fleet   *autoscaler.Component
-	cold    *coldstart.Component // nil: switched off
-	asking  *probe.Component     // nil: switched off, or no aim asks for it
-	config  *reconfig.Component  // nil: switched off
-	direct  *dispatch.Component  // nil: switched off, or no aim asks for it
-	duties  []Component          // in the order in which they begin and tick
-	owners  map[string]Component // of entries of their own, by name
-	loaded  bool
+	Users     *lifecycle.Component // what users ask goes to it directly
+	fairShare *fairshare.Component
+	roster    *registry.Component
+	placing   *placement.Component
+	fleet     *autoscaler.Component
+	cold      *coldstart.Component // nil: switched off
+	asking    *probe.Component     // nil: switched off, or no aim asks for it
+	config    *reconfig.Component  // nil: switched off
+	direct    *dispatch.Component  // nil: switched off, or no aim asks for it
+	duties    []Component          // in the order in which they begin and tick
+	owners    map[string]Component // of entries of their own, by name
+	loaded    bool
 
 	first    int // number of the log's oldest segment
 	cleaning bool
@@ -97,10 +97,10 @@
 // New begins a term; it does little until Load.
 func New(start cluster.TermStart) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), order: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
 		owners: map[string]Component{}}
 	t.add("", t.Users)
-	t.add("", t.order)
+	t.add("", t.fairShare)
 	t.add(registry.Name, t.roster)
 	t.add(placement.Name, t.placing)
 	t.add("", t.fleet)
@@ -257,7 +257,7 @@
 	for _, d := range t.duties {
 		d.Begin(now)
 	}
-	t.order.Restore(now, log.Sizes)
+	t.fairShare.Restore(now, log.Sizes)
 	t.loaded = true
 	t.NeedsCycle = true
 	registered, booting := 0, 0
@@ -392,7 +392,7 @@
 	for _, d := range t.duties {
 		d.Tick(now, sure)
 	}
-	t.order.Settle(now)
+	t.fairShare.Settle(now)
 	if sure {
 		t.placing.RunCycle(now)
 		t.clean(now)
