--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -75,7 +75,7 @@
 	*cluster.State
 	Users     *lifecycle.Component // what users ask goes to it directly
 	fairShare *fairshare.Component
-	roster    *registry.Component
+	registry  *registry.Component
 	placing   *placement.Component
 	fleet     *autoscaler.Component
 	cold      *coldstart.Component // nil: switched off
@@ -97,11 +97,11 @@
 // New begins a term; it does little until Load.
 func New(start cluster.TermStart) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), roster: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), registry: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
 		owners: map[string]Component{}}
 	t.add("", t.Users)
 	t.add("", t.fairShare)
-	t.add(registry.Name, t.roster)
+	t.add(registry.Name, t.registry)
 	t.add(placement.Name, t.placing)
 	t.add("", t.fleet)
 	if keep := start.Cfg.Tunables.TakeoversKept; keep > 0 {
@@ -365,7 +365,7 @@
 	if sure {
 		t.placing.RequestCycle(now)
 	}
-	t.roster.AnswerHeartbeats(now, sure)
+	t.registry.AnswerHeartbeats(now, sure)
 	if t.direct != nil {
 		t.direct.AfterCycle(now, sure)
 	}
@@ -400,13 +400,13 @@
 	for _, d := range t.duties {
 		d.AfterCycle(now, sure)
 	}
-	t.roster.AnswerHeartbeats(now, sure)
+	t.registry.AnswerHeartbeats(now, sure)
 }
 
 // End answers everybody who still waits.
 func (t *Term) End() {
 	t.Users.End()
-	t.roster.End()
+	t.registry.End()
 }
 
 // HandleHeartbeat takes in a worker's report, received by a controller.
@@ -415,12 +415,12 @@
 		t.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 200, Token: t.Token}})
 		return
 	}
-	t.roster.HandleHeartbeat(now, sure, to, in)
+	t.registry.HandleHeartbeat(now, sure, to, in)
 }
 
 // OffersStarted notes offers that the leader's own block has taken up.
 func (t *Term) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
-	t.roster.OffersStarted(now, machine, offers)
+	t.registry.OffersStarted(now, machine, offers)
 }
 
 // WorkerProbed takes whether a silent worker has answered.
@@ -442,7 +442,7 @@
 func (t *Term) MachinesDeleted(now time.Duration, list []string, ok bool) {
 	t.fleet.MachinesDeleted(now, ok)
 	if ok {
-		t.roster.MachinesDeleted(now, list)
+		t.registry.MachinesDeleted(now, list)
 	}
 }
 
