--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -76,7 +76,7 @@
 	Users     *lifecycle.Component // what users ask goes to it directly
 	fairShare *fairshare.Component
 	registry  *registry.Component
-	placing   *placement.Component
+	placement *placement.Component
 	fleet     *autoscaler.Component
 	cold      *coldstart.Component // nil: switched off
 	asking    *probe.Component     // nil: switched off, or no aim asks for it
@@ -97,12 +97,12 @@
 // New begins a term; it does little until Load.
 func New(start cluster.TermStart) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), registry: registry.New(s), placing: placement.New(s), fleet: autoscaler.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), registry: registry.New(s), placement: placement.New(s), fleet: autoscaler.New(s),
 		owners: map[string]Component{}}
 	t.add("", t.Users)
 	t.add("", t.fairShare)
 	t.add(registry.Name, t.registry)
-	t.add(placement.Name, t.placing)
+	t.add(placement.Name, t.placement)
 	t.add("", t.fleet)
 	if keep := start.Cfg.Tunables.TakeoversKept; keep > 0 {
 		t.add(failover.Name, failover.New(s, keep))
@@ -363,7 +363,7 @@
 		t.Emit(effects.ReadBack{Key: t.EventLog.OpenSegmentKey()})
 	}
 	if sure {
-		t.placing.RequestCycle(now)
+		t.placement.RequestCycle(now)
 	}
 	t.registry.AnswerHeartbeats(now, sure)
 	if t.direct != nil {
@@ -394,7 +394,7 @@
 	}
 	t.fairShare.Settle(now)
 	if sure {
-		t.placing.RunCycle(now)
+		t.placement.RunCycle(now)
 		t.clean(now)
 	}
 	for _, d := range t.duties {
