--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -73,18 +73,18 @@
 // clock and does nothing by itself.
 type Term struct {
 	*cluster.State
-	Users     *lifecycle.Component // what users ask goes to it directly
-	fairShare *fairshare.Component
-	registry  *registry.Component
-	placement *placement.Component
-	fleet     *autoscaler.Component
-	cold      *coldstart.Component // nil: switched off
-	asking    *probe.Component     // nil: switched off, or no aim asks for it
-	config    *reconfig.Component  // nil: switched off
-	direct    *dispatch.Component  // nil: switched off, or no aim asks for it
-	duties    []Component          // in the order in which they begin and tick
-	owners    map[string]Component // of entries of their own, by name
-	loaded    bool
+	Users      *lifecycle.Component // what users ask goes to it directly
+	fairShare  *fairshare.Component
+	registry   *registry.Component
+	placement  *placement.Component
+	autoscaler *autoscaler.Component
+	cold       *coldstart.Component // nil: switched off
+	asking     *probe.Component     // nil: switched off, or no aim asks for it
+	config     *reconfig.Component  // nil: switched off
+	direct     *dispatch.Component  // nil: switched off, or no aim asks for it
+	duties     []Component          // in the order in which they begin and tick
+	owners     map[string]Component // of entries of their own, by name
+	loaded     bool
 
 	first    int // number of the log's oldest segment
 	cleaning bool
@@ -97,13 +97,13 @@
 // New begins a term; it does little until Load.
 func New(start cluster.TermStart) *Term {
 	s := cluster.New(start)
-	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), registry: registry.New(s), placement: placement.New(s), fleet: autoscaler.New(s),
+	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), registry: registry.New(s), placement: placement.New(s), autoscaler: autoscaler.New(s),
 		owners: map[string]Component{}}
 	t.add("", t.Users)
 	t.add("", t.fairShare)
 	t.add(registry.Name, t.registry)
 	t.add(placement.Name, t.placement)
-	t.add("", t.fleet)
+	t.add("", t.autoscaler)
 	if keep := start.Cfg.Tunables.TakeoversKept; keep > 0 {
 		t.add(failover.Name, failover.New(s, keep))
 	}
@@ -440,7 +440,7 @@
 
 // MachinesDeleted takes the result of a deletion.
 func (t *Term) MachinesDeleted(now time.Duration, list []string, ok bool) {
-	t.fleet.MachinesDeleted(now, ok)
+	t.autoscaler.MachinesDeleted(now, ok)
 	if ok {
 		t.registry.MachinesDeleted(now, list)
 	}
@@ -448,17 +448,17 @@
 
 // RentalAnswered takes the result of a rental request.
 func (t *Term) RentalAnswered(now time.Duration, name string, machines []string, res wire.RentResult) {
-	t.fleet.RentalAnswered(now, name, machines, res)
+	t.autoscaler.RentalAnswered(now, name, machines, res)
 }
 
 // MachineTypesListed takes the machine types; an empty list is a failure.
 func (t *Term) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
 	if t.loaded {
-		t.fleet.MachineTypesListed(now, list)
+		t.autoscaler.MachineTypesListed(now, list)
 	}
 }
 
 // MachinesListed takes the cloud's list of machines.
 func (t *Term) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
-	t.fleet.MachinesListed(now, list, ok)
+	t.autoscaler.MachinesListed(now, list, ok)
 }
