--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -78,7 +78,7 @@
 	registry   *registry.Component
 	placement  *placement.Component
 	autoscaler *autoscaler.Component
-	cold       *coldstart.Component // nil: switched off
+	coldStart  *coldstart.Component // nil: switched off
 	asking     *probe.Component     // nil: switched off, or no aim asks for it
 	config     *reconfig.Component  // nil: switched off
 	direct     *dispatch.Component  // nil: switched off, or no aim asks for it
@@ -112,8 +112,8 @@
 		t.add(reconfig.Name, t.config)
 	}
 	if start.Cfg.Tunables.ColdListen == 1 || start.Cfg.Tunables.ColdKept > 0 {
-		t.cold = coldstart.New(s)
-		t.add(coldstart.Name, t.cold)
+		t.coldStart = coldstart.New(s)
+		t.add(coldstart.Name, t.coldStart)
 	}
 	if start.Cfg.Tunables.DirectStarts > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.direct = dispatch.New(s)
@@ -301,20 +301,20 @@
 
 // PreviousLeaderReported takes another controller's word on when it last heard a leader before this one.
 func (t *Term) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
-	if t.cold != nil && t.loaded {
-		t.cold.PeerLed(now, peer, led, known)
+	if t.coldStart != nil && t.loaded {
+		t.coldStart.PeerLed(now, peer, led, known)
 	}
 }
 
 // FleetKnowledge is what this leader tells the others of whether it knows what its machines do.
 func (t *Term) FleetKnowledge() leadership.FleetKnowledge {
 	switch {
-	case t.cold == nil:
+	case t.coldStart == nil:
 		return leadership.FleetUnsaid
 	case !t.loaded:
 		return leadership.FleetListening
 	}
-	return t.cold.Fleet()
+	return t.coldStart.Fleet()
 }
 
 // peerHearer is a duty that hears when other controllers answer heartbeats.
