--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -79,7 +79,7 @@
 	placement  *placement.Component
 	autoscaler *autoscaler.Component
 	coldStart  *coldstart.Component // nil: switched off
-	asking     *probe.Component     // nil: switched off, or no aim asks for it
+	probe      *probe.Component     // nil: switched off, or no aim asks for it
 	config     *reconfig.Component  // nil: switched off
 	direct     *dispatch.Component  // nil: switched off, or no aim asks for it
 	duties     []Component          // in the order in which they begin and tick
@@ -120,8 +120,8 @@
 		t.add(dispatch.Name, t.direct)
 	}
 	if start.Cfg.Tunables.AskSilent > 0 && start.Cfg.AnyNeedsDispatch() {
-		t.asking = probe.New(s)
-		t.add("", t.asking)
+		t.probe = probe.New(s)
+		t.add("", t.probe)
 	}
 	if start.Cfg.Tunables.SpreadMoves > 0 {
 		t.add(rebalance.Name, rebalance.New(s))
@@ -425,8 +425,8 @@
 
 // WorkerProbed takes whether a silent worker has answered.
 func (t *Term) WorkerProbed(machine string, ok bool) {
-	if t.asking != nil && t.loaded {
-		t.asking.WorkerProbed(machine, ok)
+	if t.probe != nil && t.loaded {
+		t.probe.WorkerProbed(machine, ok)
 	}
 }
 
