--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -80,7 +80,7 @@
 	autoscaler *autoscaler.Component
 	coldStart  *coldstart.Component // nil: switched off
 	probe      *probe.Component     // nil: switched off, or no aim asks for it
-	config     *reconfig.Component  // nil: switched off
+	reconfig   *reconfig.Component  // nil: switched off
 	direct     *dispatch.Component  // nil: switched off, or no aim asks for it
 	duties     []Component          // in the order in which they begin and tick
 	owners     map[string]Component // of entries of their own, by name
@@ -108,8 +108,8 @@
 		t.add(failover.Name, failover.New(s, keep))
 	}
 	if s.Cfg.Tunables.ConfigHistory > 0 {
-		t.config = reconfig.New(s)
-		t.add(reconfig.Name, t.config)
+		t.reconfig = reconfig.New(s)
+		t.add(reconfig.Name, t.reconfig)
 	}
 	if start.Cfg.Tunables.ColdListen == 1 || start.Cfg.Tunables.ColdKept > 0 {
 		t.coldStart = coldstart.New(s)
@@ -228,16 +228,16 @@
 
 // ConfigFor is what another controller is to be told of the configuration; nil: nothing.
 func (t *Term) ConfigFor(peer string) *config.Update {
-	if t.config == nil || !t.loaded {
+	if t.reconfig == nil || !t.loaded {
 		return nil
 	}
-	return t.config.UpdateFor(peer)
+	return t.reconfig.UpdateFor(peer)
 }
 
 // ConfigAcknowledged takes another controller's word on the revision that it has in force.
 func (t *Term) ConfigAcknowledged(now time.Duration, peer string, revision uint64) {
-	if t.config != nil && t.loaded {
-		t.config.Acknowledged(now, peer, revision)
+	if t.reconfig != nil && t.loaded {
+		t.reconfig.Acknowledged(now, peer, revision)
 	}
 }
 
