--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -81,7 +81,7 @@
 	coldStart  *coldstart.Component // nil: switched off
 	probe      *probe.Component     // nil: switched off, or no aim asks for it
 	reconfig   *reconfig.Component  // nil: switched off
-	direct     *dispatch.Component  // nil: switched off, or no aim asks for it
+	dispatch   *dispatch.Component  // nil: switched off, or no aim asks for it
 	duties     []Component          // in the order in which they begin and tick
 	owners     map[string]Component // of entries of their own, by name
 	loaded     bool
@@ -116,8 +116,8 @@
 		t.add(coldstart.Name, t.coldStart)
 	}
 	if start.Cfg.Tunables.DirectStarts > 0 && start.Cfg.AnyNeedsDispatch() {
-		t.direct = dispatch.New(s)
-		t.add(dispatch.Name, t.direct)
+		t.dispatch = dispatch.New(s)
+		t.add(dispatch.Name, t.dispatch)
 	}
 	if start.Cfg.Tunables.AskSilent > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.probe = probe.New(s)
@@ -366,8 +366,8 @@
 		t.placement.RequestCycle(now)
 	}
 	t.registry.AnswerHeartbeats(now, sure)
-	if t.direct != nil {
-		t.direct.AfterCycle(now, sure)
+	if t.dispatch != nil {
+		t.dispatch.AfterCycle(now, sure)
 	}
 	return step
 }
@@ -432,9 +432,9 @@
 
 // Dispatched takes a worker's report after starts sent straight to it, or none.
 func (t *Term) Dispatched(now time.Duration, sure bool, machine string, token uint64, starts []workers.Command, r *workers.Report) {
-	if t.direct != nil && t.loaded {
-		t.direct.Dispatched(now, machine, token, starts, r)
-		t.direct.AfterCycle(now, sure)
+	if t.dispatch != nil && t.loaded {
+		t.dispatch.Dispatched(now, machine, token, starts, r)
+		t.dispatch.AfterCycle(now, sure)
 	}
 }
 
