--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -27,7 +27,7 @@
 		return
 	}
 	live := 0
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		live += d.LiveBytes()
 	}
 	value := int(t.Cfg.WriteLimits().ValueKB * 1024)
@@ -59,7 +59,7 @@
 			t.EventLog.Append(e)
 		}
 	}
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		d.CompactionDone()
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -82,7 +82,7 @@
 	probe      *probe.Component     // nil: switched off, or no aim asks for it
 	reconfig   *reconfig.Component  // nil: switched off
 	dispatch   *dispatch.Component  // nil: switched off, or no aim asks for it
-	duties     []Component          // in the order in which they begin and tick
+	components []Component          // in the order in which they begin and tick
 	owners     map[string]Component // of entries of their own, by name
 	loaded     bool
 
@@ -141,7 +141,7 @@
 // add composes a duty into the term. name is that of its own entries; those of
 // the first version have their own fields and need none.
 func (t *Term) add(name string, d Component) {
-	t.duties = append(t.duties, d)
+	t.components = append(t.components, d)
 	t.Subscribe(d)
 	if name != "" {
 		t.owners[name] = d
@@ -161,7 +161,7 @@
 	if e.Unknown != nil {
 		return false
 	}
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		f(d)
 	}
 	return true
@@ -194,7 +194,7 @@
 
 // Gauges gives the numbers of all duties.
 func (t *Term) Gauges(now time.Duration) (out []cluster.Gauge) {
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		if g, ok := d.(gauger); ok {
 			out = append(out, g.Gauges(now)...)
 		}
@@ -254,7 +254,7 @@
 			t.unknown(e)
 		}
 	}
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		d.Begin(now)
 	}
 	t.fairShare.Restore(now, log.Sizes)
@@ -324,7 +324,7 @@
 
 // PeerHeard notes that another controller has answered a heartbeat, after so long.
 func (t *Term) PeerHeard(now time.Duration, peer string, took time.Duration) {
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		if h, ok := d.(peerHearer); ok {
 			h.PeerHeard(now, peer, took)
 		}
@@ -340,8 +340,8 @@
 		// Not before: so the entries of a job between two commits become one.
 		// The last duties go first: grants, for which starts wait, before
 		// completions.
-		for i := len(t.duties) - 1; i >= 0; i-- {
-			t.duties[i].AppendEntries(now)
+		for i := len(t.components) - 1; i >= 0; i-- {
+			t.components[i].AppendEntries(now)
 		}
 	}
 	if txn := t.EventLog.NextTransaction(now); txn != nil {
@@ -389,7 +389,7 @@
 	if !t.loaded {
 		return
 	}
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		d.Tick(now, sure)
 	}
 	t.fairShare.Settle(now)
@@ -397,7 +397,7 @@
 		t.placement.RunCycle(now)
 		t.clean(now)
 	}
-	for _, d := range t.duties {
+	for _, d := range t.components {
 		d.AfterCycle(now, sure)
 	}
 	t.registry.AnswerHeartbeats(now, sure)
