--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -73,18 +73,18 @@
 // clock and does nothing by itself.
 type Term struct {
 	*cluster.State
-	Users      *lifecycle.Component // what users ask goes to it directly
-	fairShare  *fairshare.Component
-	registry   *registry.Component
-	placement  *placement.Component
-	autoscaler *autoscaler.Component
-	coldStart  *coldstart.Component // nil: switched off
-	probe      *probe.Component     // nil: switched off, or no aim asks for it
-	reconfig   *reconfig.Component  // nil: switched off
-	dispatch   *dispatch.Component  // nil: switched off, or no aim asks for it
-	components []Component          // in the order in which they begin and tick
-	owners     map[string]Component // of entries of their own, by name
-	loaded     bool
+	Users            *lifecycle.Component // what users ask goes to it directly
+	fairShare        *fairshare.Component
+	registry         *registry.Component
+	placement        *placement.Component
+	autoscaler       *autoscaler.Component
+	coldStart        *coldstart.Component // nil: switched off
+	probe            *probe.Component     // nil: switched off, or no aim asks for it
+	reconfig         *reconfig.Component  // nil: switched off
+	dispatch         *dispatch.Component  // nil: switched off, or no aim asks for it
+	components       []Component          // in the order in which they begin and tick
+	componentsByName map[string]Component // of entries of their own, by name
+	loaded           bool
 
 	first    int // number of the log's oldest segment
 	cleaning bool
@@ -98,7 +98,7 @@
 func New(start cluster.TermStart) *Term {
 	s := cluster.New(start)
 	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), registry: registry.New(s), placement: placement.New(s), autoscaler: autoscaler.New(s),
-		owners: map[string]Component{}}
+		componentsByName: map[string]Component{}}
 	t.add("", t.Users)
 	t.add("", t.fairShare)
 	t.add(registry.Name, t.registry)
@@ -144,7 +144,7 @@
 	t.components = append(t.components, d)
 	t.Subscribe(d)
 	if name != "" {
-		t.owners[name] = d
+		t.componentsByName[name] = d
 	}
 }
 
@@ -152,7 +152,7 @@
 // that duty alone. It is false for an entry that none of them knows.
 func (t *Term) each(e eventlog.Entry, f func(Component)) bool {
 	if e.Component != nil {
-		if d := t.owners[e.Component.Duty]; d != nil {
+		if d := t.componentsByName[e.Component.Duty]; d != nil {
 			f(d)
 			return true
 		}
@@ -176,7 +176,7 @@
 // several. It is false where there is no such thing, or it is switched off.
 func (t *Term) Show(now time.Duration, what string) (raw json.RawMessage, ok bool, err error) {
 	name, view, _ := strings.Cut(what, "/")
-	s, ok := t.owners[name].(shower)
+	s, ok := t.componentsByName[name].(shower)
 	if !ok {
 		return nil, false, nil
 	}
@@ -215,7 +215,7 @@
 // Change has the duty with a name change something that somebody asks for. It is false where
 // there is no such duty, it is switched off, or there is nothing that could be changed.
 func (t *Term) Change(now time.Duration, name, by string, body json.RawMessage) (raw json.RawMessage, ok bool, err error) {
-	switch c := t.owners[name].(type) {
+	switch c := t.componentsByName[name].(type) {
 	case changer:
 		raw, err = c.Change(now, body)
 	case changerBy:
@@ -294,8 +294,8 @@
 
 // ValuesRead takes a page of a duty's own values.
 func (t *Term) ValuesRead(now time.Duration, duty string, list []eventlog.Value, more, ok bool) {
-	if r, known := t.owners[duty].(reader); known {
-		r.ValuesRead(now, list, more, ok)
+	if r, known := t.componentsByName[duty].(reader); known {
+		r.GotValues(now, list, more, ok)
 	}
 }
 
