--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -32,7 +32,7 @@
 	}
 	value := int(t.Cfg.WriteLimits().ValueKB * 1024)
 	most := max(fewSegments, 3*live/value)
-	spare := t.EventLog.LastSegment() - t.first - most
+	spare := t.EventLog.LastSegment() - t.firstSegment - most
 	// What users wait for goes first, but not for ever: under steady load there
 	// is always something to write, and the log must not grow without end.
 	switch {
@@ -40,7 +40,7 @@
 		return
 	}
 	t.cleaning, t.cleanAt = true, now
-	t.Emit(effects.ReadSegments{First: t.first, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.first)})
+	t.Emit(effects.ReadSegments{First: t.firstSegment, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.firstSegment)})
 }
 
 // SegmentsRead takes the segments numbered first to end-1, read back. A key that is
@@ -49,7 +49,7 @@
 	if !t.loaded {
 		return
 	}
-	if !read || first != t.first || !t.canKeep(entries) {
+	if !read || first != t.firstSegment || !t.canKeep(entries) {
 		t.cleaning = false
 		return
 	}
@@ -84,8 +84,8 @@
 	if t.cleanTo == 0 || t.EventLog.DurableCount() < t.cleanPos {
 		return
 	}
-	for ; t.first < t.cleanTo; t.first++ {
-		t.EventLog.DropSegment(t.first)
+	for ; t.firstSegment < t.cleanTo; t.firstSegment++ {
+		t.EventLog.DropSegment(t.firstSegment)
 	}
 	t.cleaning, t.cleanTo = false, 0
 }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -86,12 +86,12 @@
 	componentsByName map[string]Component // of entries of their own, by name
 	loaded           bool
 
-	first    int // number of the log's oldest segment
-	cleaning bool
-	cleanAt  time.Duration
-	cleanTo  int // the first segment that stays after the cleaning under way; 0: nothing is written yet
-	cleanPos int // how many entries must be durable before the others go
-	strange  bool
+	firstSegment int // number of the log's oldest segment
+	cleaning     bool
+	cleanAt      time.Duration
+	cleanTo      int // the first segment that stays after the cleaning under way; 0: nothing is written yet
+	cleanPos     int // how many entries must be durable before the others go
+	strange      bool
 }
 
 // New begins a term; it does little until Load.
@@ -248,7 +248,7 @@
 func (t *Term) Load(now time.Duration, mark uint64, log LoadedLog) {
 	w := t.Cfg.WriteLimits()
 	t.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
-	t.first = max(log.First, 1)
+	t.firstSegment = max(log.First, 1)
 	for _, e := range log.Entries {
 		if !t.each(e, func(d Component) { d.Replay(now, e) }) {
 			t.unknown(e)
