--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -23,7 +23,7 @@
 // clean asks for the oldest segments when the log has grown to a few times
 // what is live of it.
 func (t *Term) clean(now time.Duration) {
-	if t.cleaning || now-t.cleanAt < cleanSoon {
+	if t.compacting || now-t.cleanAt < cleanSoon {
 		return
 	}
 	live := 0
@@ -39,7 +39,7 @@
 	case spare < 0, spare < most/2 && t.EventLog.Pending() > 0, spare < 2*most && now-t.cleanAt < cleanEvery:
 		return
 	}
-	t.cleaning, t.cleanAt = true, now
+	t.compacting, t.cleanAt = true, now
 	t.Emit(effects.ReadSegments{First: t.firstSegment, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.firstSegment)})
 }
 
@@ -50,7 +50,7 @@
 		return
 	}
 	if !read || first != t.firstSegment || !t.canKeep(entries) {
-		t.cleaning = false
+		t.compacting = false
 		return
 	}
 	for _, e := range entries {
@@ -87,5 +87,5 @@
 	for ; t.firstSegment < t.cleanTo; t.firstSegment++ {
 		t.EventLog.DropSegment(t.firstSegment)
 	}
-	t.cleaning, t.cleanTo = false, 0
+	t.compacting, t.cleanTo = false, 0
 }
--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -151,7 +151,7 @@
 // cleanAll has a term clean entries that its first segment held.
 func cleanAll(t *testing.T, term *Term, entries []eventlog.Entry) {
 	t.Helper()
-	term.firstSegment, term.cleaning = 1, true
+	term.firstSegment, term.compacting = 1, true
 	term.SegmentsRead(time.Minute, 1, 2, true, entries)
 	if term.EventLog.Pending() == 0 {
 		t.Fatal("nothing was kept")
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -87,7 +87,7 @@
 	loaded           bool
 
 	firstSegment int // number of the log's oldest segment
-	cleaning     bool
+	compacting   bool
 	cleanAt      time.Duration
 	cleanTo      int // the first segment that stays after the cleaning under way; 0: nothing is written yet
 	cleanPos     int // how many entries must be durable before the others go
