--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -23,7 +23,7 @@
 // clean asks for the oldest segments when the log has grown to a few times
 // what is live of it.
 func (t *Term) clean(now time.Duration) {
-	if t.compacting || now-t.cleanAt < cleanSoon {
+	if t.compacting || now-t.compactionBegan < cleanSoon {
 		return
 	}
 	live := 0
@@ -36,10 +36,10 @@
 	// What users wait for goes first, but not for ever: under steady load there
 	// is always something to write, and the log must not grow without end.
 	switch {
-	case spare < 0, spare < most/2 && t.EventLog.Pending() > 0, spare < 2*most && now-t.cleanAt < cleanEvery:
+	case spare < 0, spare < most/2 && t.EventLog.Pending() > 0, spare < 2*most && now-t.compactionBegan < cleanEvery:
 		return
 	}
-	t.compacting, t.cleanAt = true, now
+	t.compacting, t.compactionBegan = true, now
 	t.Emit(effects.ReadSegments{First: t.firstSegment, Count: min(spare+1, max(1, min(cleanBytes/value, cleanMost)), t.EventLog.LastSegment()-t.firstSegment)})
 }
 
