--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -64,7 +64,7 @@
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
 	t.EventLog.Append(eventlog.Entry{FinalStates: &eventlog.FinalStates{}})
-	t.cleanTo, t.cleanPos = end, t.EventLog.AppendedCount()
+	t.compactionEnd, t.cleanPos = end, t.EventLog.AppendedCount()
 }
 
 // canKeep says whether all that is live of these entries can be written anew.
@@ -81,11 +81,11 @@
 
 // dropCleaned removes the segments whose live entries are durable elsewhere.
 func (t *Term) dropCleaned() {
-	if t.cleanTo == 0 || t.EventLog.DurableCount() < t.cleanPos {
+	if t.compactionEnd == 0 || t.EventLog.DurableCount() < t.cleanPos {
 		return
 	}
-	for ; t.firstSegment < t.cleanTo; t.firstSegment++ {
+	for ; t.firstSegment < t.compactionEnd; t.firstSegment++ {
 		t.EventLog.DropSegment(t.firstSegment)
 	}
-	t.compacting, t.cleanTo = false, 0
+	t.compacting, t.compactionEnd = false, 0
 }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -89,7 +89,7 @@
 	firstSegment    int // number of the log's oldest segment
 	compacting      bool
 	compactionBegan time.Duration
-	cleanTo         int // the first segment that stays after the cleaning under way; 0: nothing is written yet
+	compactionEnd   int // the first segment that stays after the cleaning under way; 0: nothing is written yet
 	cleanPos        int // how many entries must be durable before the others go
 	strange         bool
 }
