--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -64,7 +64,7 @@
 	}
 	// This entry says nothing by itself; when it is durable all before it is.
 	t.EventLog.Append(eventlog.Entry{FinalStates: &eventlog.FinalStates{}})
-	t.compactionEnd, t.cleanPos = end, t.EventLog.AppendedCount()
+	t.compactionEnd, t.compactionPosition = end, t.EventLog.AppendedCount()
 }
 
 // canKeep says whether all that is live of these entries can be written anew.
@@ -81,7 +81,7 @@
 
 // dropCleaned removes the segments whose live entries are durable elsewhere.
 func (t *Term) dropCleaned() {
-	if t.compactionEnd == 0 || t.EventLog.DurableCount() < t.cleanPos {
+	if t.compactionEnd == 0 || t.EventLog.DurableCount() < t.compactionPosition {
 		return
 	}
 	for ; t.firstSegment < t.compactionEnd; t.firstSegment++ {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -86,12 +86,12 @@
 	componentsByName map[string]Component // of entries of their own, by name
 	loaded           bool
 
-	firstSegment    int // number of the log's oldest segment
-	compacting      bool
-	compactionBegan time.Duration
-	compactionEnd   int // the first segment that stays after the cleaning under way; 0: nothing is written yet
-	cleanPos        int // how many entries must be durable before the others go
-	strange         bool
+	firstSegment       int // number of the log's oldest segment
+	compacting         bool
+	compactionBegan    time.Duration
+	compactionEnd      int // the first segment that stays after the cleaning under way; 0: nothing is written yet
+	compactionPosition int // how many entries must be durable before the others go
+	strange            bool
 }
 
 // New begins a term; it does little until Load.
