--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -91,7 +91,7 @@
 	compactionBegan    time.Duration
 	compactionEnd      int // the first segment that stays after the cleaning under way; 0: nothing is written yet
 	compactionPosition int // how many entries must be durable before the others go
-	strange            bool
+	unknownEntryLogged bool
 }
 
 // New begins a term; it does little until Load.
@@ -274,10 +274,10 @@
 // unknown says once in a term that the log has entries of a duty that this
 // program does not know, or that is switched off.
 func (t *Term) unknown(e eventlog.Entry) {
-	if t.strange {
+	if t.unknownEntryLogged {
 		return
 	}
-	t.strange = true
+	t.unknownEntryLogged = true
 	if e.Component != nil {
 		t.LogMessage(effects.Warn, "the log has entries of a duty that is not known or is switched off: they are kept as they are", "duty", e.Component.Duty)
 		return
