--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -54,7 +54,7 @@
 		return
 	}
 	for _, e := range entries {
-		if !t.each(e, func(d Component) { d.Compact(now, e) }) {
+		if !t.routeEntry(e, func(d Component) { d.Compact(now, e) }) {
 			t.unknown(e)
 			t.EventLog.Append(e)
 		}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -148,9 +148,9 @@
 	}
 }
 
-// each hands an entry to the duties that may know it: one that a duty owns to
+// routeEntry hands an entry to the duties that may know it: one that a duty owns to
 // that duty alone. It is false for an entry that none of them knows.
-func (t *Term) each(e eventlog.Entry, f func(Component)) bool {
+func (t *Term) routeEntry(e eventlog.Entry, f func(Component)) bool {
 	if e.Component != nil {
 		if d := t.componentsByName[e.Component.Duty]; d != nil {
 			f(d)
@@ -250,7 +250,7 @@
 	t.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: w.WriteRPS, ValueBytes: int(w.ValueKB * 1024), TxnOps: w.TxnOps}, leadership.EpochKey, mark, log.Last, log.Pieces)
 	t.firstSegment = max(log.First, 1)
 	for _, e := range log.Entries {
-		if !t.each(e, func(d Component) { d.Replay(now, e) }) {
+		if !t.routeEntry(e, func(d Component) { d.Replay(now, e) }) {
 			t.unknown(e)
 		}
 	}
@@ -379,7 +379,7 @@
 
 func (t *Term) durable(now time.Duration, sure bool, facts []eventlog.Entry) {
 	for _, e := range facts {
-		t.each(e, func(d Component) { d.EntryDurable(now, sure, e) })
+		t.routeEntry(e, func(d Component) { d.EntryDurable(now, sure, e) })
 	}
 	t.dropCleaned()
 }
