--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -55,7 +55,7 @@
 	}
 	for _, e := range entries {
 		if !t.routeEntry(e, func(d Component) { d.Compact(now, e) }) {
-			t.unknown(e)
+			t.logUnknownEntry(e)
 			t.EventLog.Append(e)
 		}
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -251,7 +251,7 @@
 	t.firstSegment = max(log.First, 1)
 	for _, e := range log.Entries {
 		if !t.routeEntry(e, func(d Component) { d.Replay(now, e) }) {
-			t.unknown(e)
+			t.logUnknownEntry(e)
 		}
 	}
 	for _, d := range t.components {
@@ -271,9 +271,9 @@
 	t.LogMessage(effects.Info, "term begun", "epoch", t.Epoch, "jobs", t.Estimator.Len(), "machines", registered, "booting", booting, "segments", log.Last-log.First+1)
 }
 
-// unknown says once in a term that the log has entries of a duty that this
+// logUnknownEntry says once in a term that the log has entries of a duty that this
 // program does not know, or that is switched off.
-func (t *Term) unknown(e eventlog.Entry) {
+func (t *Term) logUnknownEntry(e eventlog.Entry) {
 	if t.unknownEntryLogged {
 		return
 	}
