--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -358,7 +358,7 @@
 	case out == eventlog.Invalid:
 		t.LogMessage(effects.Error, "the state service refuses a transaction as malformed: smaller values are tried", "epoch", t.Epoch, "pending", t.EventLog.Pending())
 	}
-	t.durable(now, sure, facts)
+	t.entriesDurable(now, sure, facts)
 	if step == eventlog.Reread {
 		t.Emit(effects.ReadBack{Key: t.EventLog.OpenSegmentKey()})
 	}
@@ -374,10 +374,10 @@
 
 // ReadBack takes the value that settles a commit without an answer.
 func (t *Term) ReadBack(now time.Duration, sure, read bool, mark uint64, value json.RawMessage) {
-	t.durable(now, sure, t.EventLog.ReadBack(now, read, mark, value))
+	t.entriesDurable(now, sure, t.EventLog.ReadBack(now, read, mark, value))
 }
 
-func (t *Term) durable(now time.Duration, sure bool, facts []eventlog.Entry) {
+func (t *Term) entriesDurable(now time.Duration, sure bool, facts []eventlog.Entry) {
 	for _, e := range facts {
 		t.routeEntry(e, func(d Component) { d.EntryDurable(now, sure, e) })
 	}
