--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -20,9 +20,9 @@
 	fewSegments = 24                     // not worth cleaning
 )
 
-// clean asks for the oldest segments when the log has grown to a few times
+// requestCompaction asks for the oldest segments when the log has grown to a few times
 // what is live of it.
-func (t *Term) clean(now time.Duration) {
+func (t *Term) requestCompaction(now time.Duration) {
 	if t.compacting || now-t.compactionBegan < cleanSoon {
 		return
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -395,7 +395,7 @@
 	t.fairShare.Settle(now)
 	if sure {
 		t.placement.RunCycle(now)
-		t.clean(now)
+		t.requestCompaction(now)
 	}
 	for _, d := range t.components {
 		d.AfterCycle(now, sure)
