--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -49,7 +49,7 @@
 	if !t.loaded {
 		return
 	}
-	if !read || first != t.firstSegment || !t.canKeep(entries) {
+	if !read || first != t.firstSegment || !t.canCompact(entries) {
 		t.compacting = false
 		return
 	}
@@ -67,10 +67,10 @@
 	t.compactionEnd, t.compactionPosition = end, t.EventLog.AppendedCount()
 }
 
-// canKeep says whether all that is live of these entries can be written anew.
+// canCompact says whether all that is live of these entries can be written anew.
 // What was stored under larger limits may be too large now: it stays where it
 // is.
-func (t *Term) canKeep(entries []eventlog.Entry) bool {
+func (t *Term) canCompact(entries []eventlog.Entry) bool {
 	for _, e := range entries {
 		if (e.Component != nil || e.Unknown != nil) && !t.EventLog.Fits(e) {
 			return false
