--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -79,8 +79,8 @@
 	return t.Users.CanCompact(entries)
 }
 
-// dropCleaned removes the segments whose live entries are durable elsewhere.
-func (t *Term) dropCleaned() {
+// dropCompactedSegments removes the segments whose live entries are durable elsewhere.
+func (t *Term) dropCompactedSegments() {
 	if t.compactionEnd == 0 || t.EventLog.DurableCount() < t.compactionPosition {
 		return
 	}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -381,7 +381,7 @@
 	for _, e := range facts {
 		t.routeEntry(e, func(d Component) { d.EntryDurable(now, sure, e) })
 	}
-	t.dropCleaned()
+	t.dropCompactedSegments()
 }
 
 // Tick does what is due by time.
