--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -13,11 +13,11 @@
 // bears. Cleaning the oldest first keeps the order of what concerns one job.
 
 const (
-	cleanEvery  = 2 * time.Second
-	cleanSoon   = 700 * time.Millisecond // while the log is three times as long as it should be
-	cleanBytes  = 8 << 10                // taken at once, in whole segments
-	cleanMost   = 8                      // segments at once: each costs a change to remove
-	fewSegments = 24                     // not worth cleaning
+	compactionInterval = 2 * time.Second
+	cleanSoon          = 700 * time.Millisecond // while the log is three times as long as it should be
+	cleanBytes         = 8 << 10                // taken at once, in whole segments
+	cleanMost          = 8                      // segments at once: each costs a change to remove
+	fewSegments        = 24                     // not worth cleaning
 )
 
 // requestCompaction asks for the oldest segments when the log has grown to a few times
@@ -36,7 +36,7 @@
 	// What users wait for goes first, but not for ever: under steady load there
 	// is always something to write, and the log must not grow without end.
 	switch {
-	case spare < 0, spare < most/2 && t.EventLog.Pending() > 0, spare < 2*most && now-t.compactionBegan < cleanEvery:
+	case spare < 0, spare < most/2 && t.EventLog.Pending() > 0, spare < 2*most && now-t.compactionBegan < compactionInterval:
 		return
 	}
 	t.compacting, t.compactionBegan = true, now
