--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -13,17 +13,17 @@
 // bears. Cleaning the oldest first keeps the order of what concerns one job.
 
 const (
-	compactionInterval = 2 * time.Second
-	cleanSoon          = 700 * time.Millisecond // while the log is three times as long as it should be
-	cleanBytes         = 8 << 10                // taken at once, in whole segments
-	cleanMost          = 8                      // segments at once: each costs a change to remove
-	fewSegments        = 24                     // not worth cleaning
+	compactionInterval    = 2 * time.Second
+	compactionMinInterval = 700 * time.Millisecond // while the log is three times as long as it should be
+	cleanBytes            = 8 << 10                // taken at once, in whole segments
+	cleanMost             = 8                      // segments at once: each costs a change to remove
+	fewSegments           = 24                     // not worth cleaning
 )
 
 // requestCompaction asks for the oldest segments when the log has grown to a few times
 // what is live of it.
 func (t *Term) requestCompaction(now time.Duration) {
-	if t.compacting || now-t.compactionBegan < cleanSoon {
+	if t.compacting || now-t.compactionBegan < compactionMinInterval {
 		return
 	}
 	live := 0
