--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -16,7 +16,7 @@
 	compactionInterval    = 2 * time.Second
 	compactionMinInterval = 700 * time.Millisecond // while the log is three times as long as it should be
 	compactionBytes       = 8 << 10                // taken at once, in whole segments
-	cleanMost             = 8                      // segments at once: each costs a change to remove
+	compactionMaxSegments = 8                      // segments at once: each costs a change to remove
 	fewSegments           = 24                     // not worth cleaning
 )
 
@@ -40,7 +40,7 @@
 		return
 	}
 	t.compacting, t.compactionBegan = true, now
-	t.Emit(effects.ReadSegments{First: t.firstSegment, Count: min(spare+1, max(1, min(compactionBytes/value, cleanMost)), t.EventLog.LastSegment()-t.firstSegment)})
+	t.Emit(effects.ReadSegments{First: t.firstSegment, Count: min(spare+1, max(1, min(compactionBytes/value, compactionMaxSegments)), t.EventLog.LastSegment()-t.firstSegment)})
 }
 
 // SegmentsRead takes the segments numbered first to end-1, read back. A key that is
