--- a/internal/leader/term/clean.go
+++ b/internal/leader/term/clean.go
@@ -17,7 +17,7 @@
 	compactionMinInterval = 700 * time.Millisecond // while the log is three times as long as it should be
 	compactionBytes       = 8 << 10                // taken at once, in whole segments
 	compactionMaxSegments = 8                      // segments at once: each costs a change to remove
-	fewSegments           = 24                     // not worth cleaning
+	compactionMinSegments = 24                     // not worth cleaning
 )
 
 // requestCompaction asks for the oldest segments when the log has grown to a few times
@@ -31,7 +31,7 @@
 		live += d.LiveBytes()
 	}
 	value := int(t.Cfg.WriteLimits().ValueKB * 1024)
-	most := max(fewSegments, 3*live/value)
+	most := max(compactionMinSegments, 3*live/value)
 	spare := t.EventLog.LastSegment() - t.firstSegment - most
 	// What users wait for goes first, but not for ever: under steady load there
 	// is always something to write, and the log must not grow without end.
