--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -167,8 +167,8 @@
 	return true
 }
 
-// shower is a duty that operators may look into: it gives a JSON value.
-type shower interface {
+// viewer is a duty that operators may look into: it gives a JSON value.
+type viewer interface {
 	Show(now time.Duration, view string) (json.RawMessage, error)
 }
 
@@ -176,7 +176,7 @@
 // several. It is false where there is no such thing, or it is switched off.
 func (t *Term) Show(now time.Duration, what string) (raw json.RawMessage, ok bool, err error) {
 	name, view, _ := strings.Cut(what, "/")
-	s, ok := t.componentsByName[name].(shower)
+	s, ok := t.componentsByName[name].(viewer)
 	if !ok {
 		return nil, false, nil
 	}
