--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -202,8 +202,8 @@
 	return out
 }
 
-// changer is a duty that operators may ask to change something.
-type changer interface {
+// configurable is a duty that operators may ask to change something.
+type configurable interface {
 	Change(now time.Duration, body json.RawMessage) (json.RawMessage, error)
 }
 
@@ -216,7 +216,7 @@
 // there is no such duty, it is switched off, or there is nothing that could be changed.
 func (t *Term) Change(now time.Duration, name, by string, body json.RawMessage) (raw json.RawMessage, ok bool, err error) {
 	switch c := t.componentsByName[name].(type) {
-	case changer:
+	case configurable:
 		raw, err = c.Change(now, body)
 	case changerBy:
 		raw, err = c.ChangeBy(now, by, body)
