--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -207,8 +207,8 @@
 	Change(now time.Duration, body json.RawMessage) (json.RawMessage, error)
 }
 
-// changerBy is one that remembers who has asked.
-type changerBy interface {
+// auditedConfigurable is one that remembers who has asked.
+type auditedConfigurable interface {
 	ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error)
 }
 
@@ -218,7 +218,7 @@
 	switch c := t.componentsByName[name].(type) {
 	case configurable:
 		raw, err = c.Change(now, body)
-	case changerBy:
+	case auditedConfigurable:
 		raw, err = c.ChangeBy(now, by, body)
 	default:
 		return nil, false, nil
