--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -285,16 +285,16 @@
 	t.LogMessage(effects.Warn, "the log has entries that this version does not know: they are kept as they are", "first", string(e.Unknown[:min(len(e.Unknown), 80)]))
 }
 
-// reader is a duty that reads values of its own, after its term has begun.
-type reader interface {
-	// ValuesRead takes a page of them, in the order of their keys; ok is false for
+// valueReceiver is a duty that reads values of its own, after its term has begun.
+type valueReceiver interface {
+	// GotValues takes a page of them, in the order of their keys; ok is false for
 	// one that could not be read.
 	ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool)
 }
 
 // ValuesRead takes a page of a duty's own values.
 func (t *Term) ValuesRead(now time.Duration, duty string, list []eventlog.Value, more, ok bool) {
-	if r, known := t.componentsByName[duty].(reader); known {
+	if r, known := t.componentsByName[duty].(valueReceiver); known {
 		r.GotValues(now, list, more, ok)
 	}
 }
