--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -317,15 +317,15 @@
 	return t.coldStart.Fleet()
 }
 
-// peerHearer is a duty that hears when other controllers answer heartbeats.
-type peerHearer interface {
+// peerListener is a duty that hears when other controllers answer heartbeats.
+type peerListener interface {
 	PeerHeard(now time.Duration, peer string, took time.Duration)
 }
 
 // PeerHeard notes that another controller has answered a heartbeat, after so long.
 func (t *Term) PeerHeard(now time.Duration, peer string, took time.Duration) {
 	for _, d := range t.components {
-		if h, ok := d.(peerHearer); ok {
+		if h, ok := d.(peerListener); ok {
 			h.PeerHeard(now, peer, took)
 		}
 	}
