--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -124,7 +124,7 @@
 	gone := written(t, term, &now)
 
 	// The whole is cleaned: what is live is written once more.
-	cleanAll(t, term, append([]eventlog.Entry{{Job: &open}}, first...))
+	compactAll(t, term, append([]eventlog.Entry{{Job: &open}}, first...))
 	again := written(t, term, &now)
 
 	for name, list := range map[string][]eventlog.Entry{
@@ -148,8 +148,8 @@
 	}
 }
 
-// cleanAll has a term clean entries that its first segment held.
-func cleanAll(t *testing.T, term *Term, entries []eventlog.Entry) {
+// compactAll has a term clean entries that its first segment held.
+func compactAll(t *testing.T, term *Term, entries []eventlog.Entry) {
 	t.Helper()
 	term.firstSegment, term.compacting = 1, true
 	term.SegmentsRead(time.Minute, 1, 2, true, entries)
--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -31,7 +31,7 @@
 		return term
 	}
 	term := check("as written", log)
-	cleanAll(t, term, log)
+	compactAll(t, term, log)
 	now := 100 * time.Second
 	cleaned := written(t, term, &now)
 	for _, e := range cleaned {
