--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -16,8 +16,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// smallTerm is a term whose values may have 2 KiB.
-func smallTerm(entries []eventlog.Entry) *Term { return smallTermAt(0, entries) }
+// newSmallTerm is a term whose values may have 2 KiB.
+func newSmallTerm(entries []eventlog.Entry) *Term { return smallTermAt(0, entries) }
 
 func smallTermAt(now time.Duration, entries []eventlog.Entry) *Term {
 	c := &settings.Settings{Tunables: settings.Defaults()}
@@ -97,7 +97,7 @@
 	}
 	open := eventlog.Job{ID: 1, Class: "c", Team: "team", Tasks: 4000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 3}
 	var now time.Duration
-	term := smallTerm(append(done, eventlog.Entry{Job: &open}))
+	term := newSmallTerm(append(done, eventlog.Entry{Job: &open}))
 	term.MachineTypesListed(0, []eventlog.MachineType{ty})
 
 	follower := open
@@ -131,7 +131,7 @@
 		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{MachineTypes: []eventlog.MachineType{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
 		"cleaned":    append(append([]eventlog.Entry{}, done...), again...),
 	} {
-		next := smallTerm(list)
+		next := newSmallTerm(list)
 		f := next.Jobs.Find(2)
 		if f == nil || f.Phase != jobs.Held || len(f.Record.Follows) != 601 || len(f.Dependencies) != 1 {
 			t.Fatalf("%s: the follower is there: %v, or not as it was", name, f != nil)
@@ -173,7 +173,7 @@
 // A rental whose answer needs several entries: with only the first of them in
 // the log, the successor sends the request again and learns all machines.
 func TestAnswerCutShort(t *testing.T) {
-	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := newSmallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
 	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
 	list := written(t, term, &now)
@@ -189,21 +189,21 @@
 			continue
 		}
 		answers++
-		if n+1 < len(list) && asked(smallTerm(list[:n+2])) != 1 {
+		if n+1 < len(list) && asked(newSmallTerm(list[:n+2])) != 1 {
 			t.Errorf("after %d of the entries the request is not sent again", n+2)
 		}
 	}
 	if answers < 2 {
 		t.Fatal("the answer fitted into one entry: the test tests nothing")
 	}
-	if next := smallTerm(list); asked(next) != 0 || len(next.Inventory.All()) != 50 {
+	if next := newSmallTerm(list); asked(next) != 0 || len(next.Inventory.All()) != 50 {
 		t.Errorf("%d requests open, %d machines", asked(next), len(next.Inventory.All()))
 	}
 }
 
 // What cannot be stored at all is refused at once.
 func TestTooLongIsRefused(t *testing.T) {
-	term := smallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := newSmallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
 	for n := range 200 {
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -49,7 +49,7 @@
 	unknown, short := job, job
 	unknown.Follows = []uint64{1}
 	short.ID, short.Rest = 3, 4
-	term := smallTerm([]eventlog.Entry{{Job: &unknown}, {Job: &short}, {Dependencies: &eventlog.Dependencies{ID: 3, AtMS: 999, Jobs: []uint64{7}}}})
+	term := newSmallTerm([]eventlog.Entry{{Job: &unknown}, {Job: &short}, {Dependencies: &eventlog.Dependencies{ID: 3, AtMS: 999, Jobs: []uint64{7}}}})
 	for _, id := range []uint64{2, 3} {
 		if j := term.Jobs.Find(id); j == nil || j.Phase != jobs.Held {
 			t.Errorf("job %d is read as %+v", id, j)
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -32,7 +32,7 @@
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 9, CPUs: 1, MemoryGB: 1}
 	log := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}},
 		{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}, {Job: &job}, {Grant: &eventlog.Grant{Job: 1, Machines: []int{1}}}}
-	term := smallTerm(log)
+	term := newSmallTerm(log)
 	m := term.Inventory.Find("host")
 	if n, _ := term.Unresolved(); n != 1 || term.Jobs.Find(1).UnresolvedMachines != 1 {
 		t.Fatal("the machine is not waited for: the test tests nothing")
@@ -57,7 +57,7 @@
 			}
 			again = append(again, e)
 		}
-		next := smallTerm(again) // of epoch 2
+		next := newSmallTerm(again) // of epoch 2
 		n, _ := next.Unresolved()
 		next.Tick(time.Second, true)
 		if gone := len(deletes(next)) == 1; gone != free || (n == 0) != free || (next.Jobs.Find(1).UnresolvedMachines == 0) != free {
@@ -72,7 +72,7 @@
 	for _, resolved := range []bool{true, false} {
 		log := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}},
 			{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}}
-		term := smallTerm(log)
+		term := newSmallTerm(log)
 		r := workers.Report{Machine: "host", Address: "x", Type: "m", Zone: "a", Session: 1, Seq: 1}
 		if resolved {
 			r.Token = term.Token
