--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -17,9 +17,9 @@
 )
 
 // newSmallTerm is a term whose values may have 2 KiB.
-func newSmallTerm(entries []eventlog.Entry) *Term { return smallTermAt(0, entries) }
+func newSmallTerm(entries []eventlog.Entry) *Term { return newSmallTermAt(0, entries) }
 
-func smallTermAt(now time.Duration, entries []eventlog.Entry) *Term {
+func newSmallTermAt(now time.Duration, entries []eventlog.Entry) *Term {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 1, 10, 30
--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -22,7 +22,7 @@
 		{CompletedTasks: &eventlog.CompletedTasks{ID: 1, Ranges: [][2]int{{0, 2}}, Seconds: 4, Known: 2, AtMS: 50000}}, {Job: &third}}
 	check := func(name string, entries []eventlog.Entry) *Term {
 		t.Helper()
-		term := smallTermAt(90*time.Second, entries)
+		term := newSmallTermAt(90*time.Second, entries)
 		for id, want := range map[uint64]time.Duration{2: 50 * time.Second, 3: 70 * time.Second} {
 			if j := term.Jobs.Find(id); j == nil || j.Phase != jobs.Open || j.AcceptedAt != want {
 				t.Errorf("%s: job %d is read as %+v, want it released at %v", name, id, j, want)
