--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -32,9 +32,9 @@
 	return t
 }
 
-// written takes everything that a term has to write, checks every value and
+// drainLog takes everything that a term has to write, checks every value and
 // transaction against the limits, and returns the entries.
-func written(t *testing.T, term *Term, now *time.Duration) []eventlog.Entry {
+func drainLog(t *testing.T, term *Term, now *time.Duration) []eventlog.Entry {
 	t.Helper()
 	segments := map[string][]eventlog.Entry{}
 	for mark := uint64(2); ; mark++ {
@@ -109,7 +109,7 @@
 	for n := range 50 {
 		names = append(names, long("host", n))
 	}
-	first := written(t, term, &now)
+	first := drainLog(t, term, &now)
 	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
 	for _, n := range names {
 		term.HandleHeartbeat(time.Second, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}})
@@ -119,13 +119,13 @@
 		j.Complete(k)
 		term.Publish(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, RunSeconds: 3})
 	}
-	first = append(first, written(t, term, &now)...)
+	first = append(first, drainLog(t, term, &now)...)
 	term.MachinesDeleted(time.Second, names[:40], true)
-	gone := written(t, term, &now)
+	gone := drainLog(t, term, &now)
 
 	// The whole is cleaned: what is live is written once more.
 	compactAll(t, term, append([]eventlog.Entry{{Job: &open}}, first...))
-	again := written(t, term, &now)
+	again := drainLog(t, term, &now)
 
 	for name, list := range map[string][]eventlog.Entry{
 		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{MachineTypes: []eventlog.MachineType{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
@@ -176,13 +176,13 @@
 	term := newSmallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
 	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
-	list := written(t, term, &now)
+	list := drainLog(t, term, &now)
 	var names []string
 	for n := range 50 {
 		names = append(names, fmt.Sprintf("host-%0100d", n))
 	}
 	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
-	list = append([]eventlog.Entry{{MachineTypes: term.Types}}, append(list, written(t, term, &now)...)...)
+	list = append([]eventlog.Entry{{MachineTypes: term.Types}}, append(list, drainLog(t, term, &now)...)...)
 	answers := 0
 	for n, e := range list {
 		if e.RentalAnswer == nil {
--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -33,7 +33,7 @@
 	term := check("as written", log)
 	compactAll(t, term, log)
 	now := 100 * time.Second
-	cleaned := written(t, term, &now)
+	cleaned := drainLog(t, term, &now)
 	for _, e := range cleaned {
 		if e.CompletedTasks != nil && e.CompletedTasks.AtMS != 0 || e.Job != nil && e.Job.Follows != nil {
 			t.Errorf("cleaned, the log still has %+v", e)
--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -44,7 +44,7 @@
 		t.Errorf("deleted before it is noted: %v", got)
 	}
 	now := time.Second
-	noted := written(t, term, &now)
+	noted := drainLog(t, term, &now)
 	term.Tick(now+time.Second, true)
 	if got := deletes(term); len(got) != 1 {
 		t.Errorf("once it is noted, %v is deleted", got)
