--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -158,8 +158,8 @@
 	}
 }
 
-// asked counts the rental requests that a term sends at first.
-func asked(term *Term) int {
+// rentalRequests counts the rental requests that a term sends at first.
+func rentalRequests(term *Term) int {
 	term.Tick(time.Second, true)
 	n := 0
 	for _, e := range term.TakeEffects() {
@@ -189,15 +189,15 @@
 			continue
 		}
 		answers++
-		if n+1 < len(list) && asked(newSmallTerm(list[:n+2])) != 1 {
+		if n+1 < len(list) && rentalRequests(newSmallTerm(list[:n+2])) != 1 {
 			t.Errorf("after %d of the entries the request is not sent again", n+2)
 		}
 	}
 	if answers < 2 {
 		t.Fatal("the answer fitted into one entry: the test tests nothing")
 	}
-	if next := newSmallTerm(list); asked(next) != 0 || len(next.Inventory.All()) != 50 {
-		t.Errorf("%d requests open, %d machines", asked(next), len(next.Inventory.All()))
+	if next := newSmallTerm(list); rentalRequests(next) != 0 || len(next.Inventory.All()) != 50 {
+		t.Errorf("%d requests open, %d machines", rentalRequests(next), len(next.Inventory.All()))
 	}
 }
 
