--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -17,8 +17,8 @@
 
 var scales = []int{650, 1300, 2600}
 
-// settled is a term all of whose machines have reported, after a pass.
-func settled(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
+// newSettledTerm is a term all of whose machines have reported, after a pass.
+func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
 	t, reports := fullTerm(machines, 100)
 	now := time.Second
 	for i := range reports {
@@ -33,7 +33,7 @@
 func BenchmarkScaleReport(b *testing.B) {
 	for _, n := range scales {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := settled(n)
+			t, reports, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				t.take(now, &reports[i%n])
@@ -46,7 +46,7 @@
 func BenchmarkScaleTick(b *testing.B) {
 	for _, n := range scales {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := settled(n)
+			t, reports, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 500 * time.Millisecond
@@ -66,7 +66,7 @@
 func BenchmarkScaleCompletion(b *testing.B) {
 	for _, n := range scales {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := settled(n)
+			t, reports, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				r := &reports[i%n]
