--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -44,8 +44,8 @@
 	return entries, reports
 }
 
-// fullTerm is a term that has read such a log.
-func fullTerm(machines, count int) (*Term, []effects.RelayedHeartbeat) {
+// newFullTerm is a term that has read such a log.
+func newFullTerm(machines, count int) (*Term, []effects.RelayedHeartbeat) {
 	entries, reports := fullLog(machines, count)
 	t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
@@ -63,7 +63,7 @@
 // of machines, jobs and tasks elsewhere.
 func TestReportCostsLittle(t *testing.T) {
 	cost := func(machines int) float64 {
-		term, reports := fullTerm(machines, 100)
+		term, reports := newFullTerm(machines, 100)
 		now := time.Second
 		for i := range reports {
 			term.take(now, &reports[i])
@@ -129,7 +129,7 @@
 // the number of machines either: allocations at 100 and at 1,000 machines.
 func TestCompletionsAndTakeoversCostLittle(t *testing.T) {
 	completion := func(machines int) float64 {
-		term, reports := fullTerm(machines, 100)
+		term, reports := newFullTerm(machines, 100)
 		for i := range reports {
 			term.take(time.Second, &reports[i])
 		}
@@ -161,7 +161,7 @@
 
 // A round of reports of all machines, with a tick after each twentieth.
 func BenchmarkReports(b *testing.B) {
-	term, reports := fullTerm(1000, 100)
+	term, reports := newFullTerm(1000, 100)
 	now := time.Second
 	for b.Loop() {
 		for i := range reports {
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -19,7 +19,7 @@
 
 // newSettledTerm is a term all of whose machines have reported, after a pass.
 func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
-	t, reports := fullTerm(machines, 100)
+	t, reports := newFullTerm(machines, 100)
 	now := time.Second
 	for i := range reports {
 		t.take(now, &reports[i])
