--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -44,7 +44,7 @@
 			_, reports := fullLog(1300, 100)
 			now := time.Second
 			for i := range reports {
-				t.take(now, &reports[i])
+				t.heartbeat(now, &reports[i])
 			}
 			t.Tick(now, true)
 			t.ValuesRead(now, "pools", nil, false, true)
@@ -73,7 +73,7 @@
 				_, reports := fullLog(1300, 100)
 				now := time.Second
 				for i := range reports {
-					t.take(now, &reports[i])
+					t.heartbeat(now, &reports[i])
 				}
 				t.Tick(now, true)
 				t.TakeEffects()
@@ -87,7 +87,7 @@
 						}
 						now += 5 * time.Millisecond
 					}
-					t.take(now, r)
+					t.heartbeat(now, r)
 				}
 			})
 		}
--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -52,7 +52,7 @@
 	return t, reports
 }
 
-func (t *Term) take(now time.Duration, in *effects.RelayedHeartbeat) {
+func (t *Term) heartbeat(now time.Duration, in *effects.RelayedHeartbeat) {
 	in.Report.Seq++
 	t.HandleHeartbeat(now, true, 1, *in)
 	t.Flush(now)
@@ -66,11 +66,11 @@
 		term, reports := newFullTerm(machines, 100)
 		now := time.Second
 		for i := range reports {
-			term.take(now, &reports[i])
+			term.heartbeat(now, &reports[i])
 		}
 		term.Tick(now, true)
-		term.take(now, &reports[0])
-		return testing.AllocsPerRun(50, func() { term.take(now, &reports[0]) })
+		term.heartbeat(now, &reports[0])
+		return testing.AllocsPerRun(50, func() { term.heartbeat(now, &reports[0]) })
 	}
 	small, large := cost(50), cost(1000)
 	if large > small+5 || large > 60 {
@@ -120,7 +120,7 @@
 		if i%3 == 0 {
 			term.MachinesDeleted(time.Second, []string{reports[i].Report.Machine}, true)
 		} else {
-			term.take(time.Second, &reports[i])
+			term.heartbeat(time.Second, &reports[i])
 		}
 	}
 }
@@ -131,14 +131,14 @@
 	completion := func(machines int) float64 {
 		term, reports := newFullTerm(machines, 100)
 		for i := range reports {
-			term.take(time.Second, &reports[i])
+			term.heartbeat(time.Second, &reports[i])
 		}
 		term.Tick(time.Second, true)
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
 			r := &reports[n%machines]
 			r.Report.Tasks[n/machines].State, r.Report.Tasks[n/machines].Reason = workers.Ended, workers.Completed
-			term.take(time.Second, r)
+			term.heartbeat(time.Second, r)
 			n++
 		})
 	}
@@ -148,7 +148,7 @@
 		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: scaleLog(machines)})
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
-			term.take(time.Second, &reports[n%machines])
+			term.heartbeat(time.Second, &reports[n%machines])
 			n++
 		})
 	}
@@ -165,7 +165,7 @@
 	now := time.Second
 	for b.Loop() {
 		for i := range reports {
-			term.take(now, &reports[i])
+			term.heartbeat(now, &reports[i])
 			if i%20 == 0 {
 				now += 70 * time.Millisecond
 				term.Tick(now, true)
--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -22,7 +22,7 @@
 	t, reports := newFullTerm(machines, 100)
 	now := time.Second
 	for i := range reports {
-		t.take(now, &reports[i])
+		t.heartbeat(now, &reports[i])
 	}
 	t.Tick(now, true)
 	t.TakeEffects()
@@ -36,7 +36,7 @@
 			t, reports, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				t.take(now, &reports[i%n])
+				t.heartbeat(now, &reports[i%n])
 			}
 		})
 	}
@@ -75,7 +75,7 @@
 					k.State, k.Reason = workers.Ended, workers.Completed
 				}
 				now += 5 * time.Millisecond
-				t.take(now, r)
+				t.heartbeat(now, r)
 			}
 		})
 	}
@@ -132,7 +132,7 @@
 				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 				b.StartTimer()
 				for i := range reports {
-					t.take(time.Second, &reports[i])
+					t.heartbeat(time.Second, &reports[i])
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*n), "µs/machine")
