--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -14,8 +14,8 @@
 	"bitternmoor/internal/leader/registry"
 )
 
-// deletes lists the machines that a term has deleted since.
-func deletes(term *Term) []string {
+// deletedMachines lists the machines that a term has deleted since.
+func deletedMachines(term *Term) []string {
 	var out []string
 	for _, e := range term.TakeEffects() {
 		if d, ok := e.(effects.DeleteMachines); ok {
@@ -40,13 +40,13 @@
 	term.Decommission(0, m, cluster.Return, "not needed")
 	term.Publish(cluster.Event{Kind: cluster.MachineReturnable, Machine: m})
 	term.Tick(time.Second, true)
-	if got := deletes(term); len(got) != 0 {
+	if got := deletedMachines(term); len(got) != 0 {
 		t.Errorf("deleted before it is noted: %v", got)
 	}
 	now := time.Second
 	noted := drainLog(t, term, &now)
 	term.Tick(now+time.Second, true)
-	if got := deletes(term); len(got) != 1 {
+	if got := deletedMachines(term); len(got) != 1 {
 		t.Errorf("once it is noted, %v is deleted", got)
 	}
 	for back, free := range []bool{true, false} {
@@ -60,7 +60,7 @@
 		next := newSmallTerm(again) // of epoch 2
 		n, _ := next.Unresolved()
 		next.Tick(time.Second, true)
-		if gone := len(deletes(next)) == 1; gone != free || (n == 0) != free || (next.Jobs.Find(1).UnresolvedMachines == 0) != free {
+		if gone := len(deletedMachines(next)) == 1; gone != free || (n == 0) != free || (next.Jobs.Find(1).UnresolvedMachines == 0) != free {
 			t.Errorf("noted %d terms before: deleted at once %v, %d machines are waited for", 1+back, gone, n)
 		}
 	}
