--- a/internal/leader/term/scale_test.go
+++ b/internal/leader/term/scale_test.go
@@ -15,7 +15,7 @@
 // What an event costs at the size of the larger fleets and at twice that, with
 // 100 jobs of 200 tasks of which 8 a machine run: go test -bench Scale.
 
-var scales = []int{650, 1300, 2600}
+var machineCounts = []int{650, 1300, 2600}
 
 // newSettledTerm is a term all of whose machines have reported, after a pass.
 func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
@@ -31,7 +31,7 @@
 
 // A report that brings nothing new.
 func BenchmarkScaleReport(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			t, reports, now := newSettledTerm(n)
 			b.ReportAllocs()
@@ -44,7 +44,7 @@
 
 // A tick with a pass and all that is due twice a second.
 func BenchmarkScaleTick(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			t, reports, now := newSettledTerm(n)
 			b.ReportAllocs()
@@ -64,7 +64,7 @@
 
 // A report in which one task has ended, with the pass and the start that follow.
 func BenchmarkScaleCompletion(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			t, reports, now := newSettledTerm(n)
 			b.ReportAllocs()
@@ -84,7 +84,7 @@
 // The replay of a log with all machines, jobs, and a grant of each job on every
 // fifth machine.
 func BenchmarkScaleReplay(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			entries := scaleLog(n)
 			size := 0
@@ -121,7 +121,7 @@
 
 // The first reports of all machines after a takeover, each with its eight tasks.
 func BenchmarkScaleResolve(b *testing.B) {
-	for _, n := range scales {
+	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			entries := scaleLog(n)
 			b.ReportAllocs()
