--- a/internal/leader/term/pools_scale_test.go
+++ b/internal/leader/term/pools_scale_test.go
@@ -20,7 +20,7 @@
 	pools, waiting int
 }{{"none", 0, 0}, {"idle", 1000, 0}, {"demands", 1000, 1000}}
 
-func poolTerm(pools, waiting int) (*Term, []eventlog.Entry) {
+func newPoolTerm(pools, waiting int) (*Term, []eventlog.Entry) {
 	entries, _ := fullLog(1300, 100)
 	for i := range waiting {
 		rec := eventlog.Job{ID: uint64(10000 + i), Class: "c", Team: "team", Priority: 1, Tasks: 10, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: .3, Spot: true, EstimateS: 60,
@@ -40,7 +40,7 @@
 func BenchmarkPoolsTick(b *testing.B) {
 	for _, c := range poolCases {
 		b.Run(c.name, func(b *testing.B) {
-			t, _ := poolTerm(c.pools, c.waiting)
+			t, _ := newPoolTerm(c.pools, c.waiting)
 			_, reports := fullLog(1300, 100)
 			now := time.Second
 			for i := range reports {
@@ -69,7 +69,7 @@
 	for _, c := range poolCases {
 		for _, what := range []string{"nothing new", "an end"} {
 			b.Run(c.name+"/"+what, func(b *testing.B) {
-				t, _ := poolTerm(c.pools, c.waiting)
+				t, _ := newPoolTerm(c.pools, c.waiting)
 				_, reports := fullLog(1300, 100)
 				now := time.Second
 				for i := range reports {
@@ -98,7 +98,7 @@
 func BenchmarkPoolsReplay(b *testing.B) {
 	for _, c := range poolCases {
 		b.Run(c.name, func(b *testing.B) {
-			_, entries := poolTerm(c.pools, c.waiting)
+			_, entries := newPoolTerm(c.pools, c.waiting)
 			size := 0
 			for _, e := range entries[len(entries)-c.waiting:] {
 				raw, err := json.Marshal(e)
@@ -108,7 +108,7 @@
 				size += len(raw)
 			}
 			for b.Loop() {
-				poolTerm(c.pools, c.waiting)
+				newPoolTerm(c.pools, c.waiting)
 			}
 			b.ReportMetric(float64(size)/max(1, float64(c.waiting)), "bytes/job")
 		})
