--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -172,7 +172,7 @@
 
 // A rental whose answer needs several entries: with only the first of them in
 // the log, the successor sends the request again and learns all machines.
-func TestAnswerCutShort(t *testing.T) {
+func TestPartialRentalAnswerIsRequestedAgain(t *testing.T) {
 	term := newSmallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	var now time.Duration
 	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
