--- a/internal/leader/term/fit_test.go
+++ b/internal/leader/term/fit_test.go
@@ -202,7 +202,7 @@
 }
 
 // What cannot be stored at all is refused at once.
-func TestTooLongIsRefused(t *testing.T) {
+func TestUnstorableJobIsRefused(t *testing.T) {
 	term := newSmallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
 	for n := range 200 {
