--- a/internal/leader/term/follow_test.go
+++ b/internal/leader/term/follow_test.go
@@ -44,7 +44,7 @@
 
 // What a held job follows has been lost, as an older version's cleaning would
 // lose it: whether the job may start is not known, and so it does not.
-func TestLostLinksAreNotStarted(t *testing.T) {
+func TestJobWithLostDependenciesIsNotStarted(t *testing.T) {
 	job := eventlog.Job{ID: 2, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, AtMS: 1000}
 	unknown, short := job, job
 	unknown.Follows = []uint64{1}
