--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -61,7 +61,7 @@
 
 // What a report that brings nothing new costs must not grow with the number
 // of machines, jobs and tasks elsewhere.
-func TestReportCostsLittle(t *testing.T) {
+func TestHeartbeatCostIsIndependentOfScale(t *testing.T) {
 	cost := func(machines int) float64 {
 		term, reports := newFullTerm(machines, 100)
 		now := time.Second
