--- a/internal/leader/term/report_test.go
+++ b/internal/leader/term/report_test.go
@@ -80,7 +80,7 @@
 
 // The sums of what machines that are not resolved may have, kept up as they report
 // or are gone, are those of a plain count at every step.
-func TestUnresolvedSums(t *testing.T) {
+func TestUnresolvedSumsMatchPlainCount(t *testing.T) {
 	entries := scaleLog(60)
 	for i := range entries { // of three teams
 		if j := entries[i].Job; j != nil {
@@ -127,7 +127,7 @@
 
 // What a completion and the first report after a takeover cost must not grow with
 // the number of machines either: allocations at 100 and at 1,000 machines.
-func TestCompletionsAndTakeoversCostLittle(t *testing.T) {
+func TestCompletionAndTakeoverCostIsIndependentOfScale(t *testing.T) {
 	completion := func(machines int) float64 {
 		term, reports := newFullTerm(machines, 100)
 		for i := range reports {
