--- a/internal/leader/term/returns_test.go
+++ b/internal/leader/term/returns_test.go
@@ -28,7 +28,7 @@
 // A machine that is returned empty is deleted only once that is noted, and the
 // next leader neither waits for it nor holds jobs back for what it may have. A
 // later one does: a term in between may have started tasks there.
-func TestReturnedMachineIsNoted(t *testing.T) {
+func TestReturnedMachineIsDeletedOnceNoted(t *testing.T) {
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 9, CPUs: 1, MemoryGB: 1}
 	log := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}},
 		{Machine: &eventlog.Machine{Name: "host", Type: "m", Zone: "a", Number: 1}}, {Job: &job}, {Grant: &eventlog.Grant{Job: 1, Machines: []int{1}}}}
