--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -300,12 +300,12 @@
 
 // AddUnresolved counts a machine of which it is not known what an earlier term left on
 // it: in full against every team whose tasks it may have.
-func (s *State) AddUnresolved(m *workers.Machine) { s.expect(m, 1) }
+func (s *State) AddUnresolved(m *workers.Machine) { s.countUnresolved(m, 1) }
 
 // RemoveUnresolved takes back what Expect counted: the machine has reported, or is gone.
-func (s *State) RemoveUnresolved(m *workers.Machine) { s.expect(m, -1) }
+func (s *State) RemoveUnresolved(m *workers.Machine) { s.countUnresolved(m, -1) }
 
-func (s *State) expect(m *workers.Machine, by int) {
+func (s *State) countUnresolved(m *workers.Machine, by int) {
 	s.unresolved += by
 	if m.Number == 0 {
 		s.blind += by
