--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -90,8 +90,8 @@
 
 	teams []bool // of the configuration, by index: they may submit
 
-	unresolved, blind int                 // machines, and those without a number among them
-	missing           []resources.Amounts // what they may be using, by team
+	unresolvedMachines, blind int                 // machines, and those without a number among them
+	missing                   []resources.Amounts // what they may be using, by team
 
 	listeners []Subscriber
 	out       []effects.Effect
@@ -306,7 +306,7 @@
 func (s *State) RemoveUnresolved(m *workers.Machine) { s.countUnresolved(m, -1) }
 
 func (s *State) countUnresolved(m *workers.Machine, by int) {
-	s.unresolved += by
+	s.unresolvedMachines += by
 	if m.Number == 0 {
 		s.blind += by
 	}
@@ -323,7 +323,7 @@
 // Unresolved counts the machines of which it is not known what an earlier term
 // left on them, and says whether one of them may have tasks of any job, since no
 // grants were noted for it.
-func (s *State) Unresolved() (machines int, blind bool) { return s.unresolved, s.blind > 0 }
+func (s *State) Unresolved() (machines int, blind bool) { return s.unresolvedMachines, s.blind > 0 }
 
 // MayRunUnseen says whether tasks of a job that are not seen may run on machines of which it
 // is not known what an earlier term left on them.
