--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -90,8 +90,8 @@
 
 	teams []bool // of the configuration, by index: they may submit
 
-	unresolvedMachines, blind int                 // machines, and those without a number among them
-	missing                   []resources.Amounts // what they may be using, by team
+	unresolvedMachines, unresolvedUnnumbered int                 // machines, and those without a number among them
+	missing                                  []resources.Amounts // what they may be using, by team
 
 	listeners []Subscriber
 	out       []effects.Effect
@@ -308,7 +308,7 @@
 func (s *State) countUnresolved(m *workers.Machine, by int) {
 	s.unresolvedMachines += by
 	if m.Number == 0 {
-		s.blind += by
+		s.unresolvedUnnumbered += by
 	}
 	for len(s.missing) < len(s.Scheduler.Limits) {
 		s.missing = append(s.missing, resources.Amounts{})
@@ -323,11 +323,13 @@
 // Unresolved counts the machines of which it is not known what an earlier term
 // left on them, and says whether one of them may have tasks of any job, since no
 // grants were noted for it.
-func (s *State) Unresolved() (machines int, blind bool) { return s.unresolvedMachines, s.blind > 0 }
+func (s *State) Unresolved() (machines int, blind bool) {
+	return s.unresolvedMachines, s.unresolvedUnnumbered > 0
+}
 
 // MayRunUnseen says whether tasks of a job that are not seen may run on machines of which it
 // is not known what an earlier term left on them.
-func (s *State) MayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(s.blind > 0) }
+func (s *State) MayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(s.unresolvedUnnumbered > 0) }
 
 // Quiescent says whether nothing of a job is anywhere, nor can be: no task counts as being on a
 // machine, on offer or on its way, none may run unseen, and none is shown where it does not
@@ -509,7 +511,7 @@
 
 // Snapshot is what the planner looks at.
 func (s *State) Snapshot(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.SuspectAfter(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.blind > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.SuspectAfter(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.unresolvedUnnumbered > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
