--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -91,7 +91,7 @@
 	teams []bool // of the configuration, by index: they may submit
 
 	unresolvedMachines, unresolvedUnnumbered int                 // machines, and those without a number among them
-	missing                                  []resources.Amounts // what they may be using, by team
+	unresolvedUse                            []resources.Amounts // what they may be using, by team
 
 	listeners []Subscriber
 	out       []effects.Effect
@@ -310,12 +310,12 @@
 	if m.Number == 0 {
 		s.unresolvedUnnumbered += by
 	}
-	for len(s.missing) < len(s.Scheduler.Limits) {
-		s.missing = append(s.missing, resources.Amounts{})
+	for len(s.unresolvedUse) < len(s.Scheduler.Limits) {
+		s.unresolvedUse = append(s.unresolvedUse, resources.Amounts{})
 	}
-	for team := range s.missing {
+	for team := range s.unresolvedUse {
 		if m.ClaimedByAnyTeam || m.Number == 0 || slices.Contains(m.ClaimedByTeams, int32(team)) {
-			s.missing[team] = s.missing[team].Plus(m.Cap.Times(by))
+			s.unresolvedUse[team] = s.unresolvedUse[team].Plus(m.Cap.Times(by))
 		}
 	}
 }
@@ -344,7 +344,7 @@
 
 // HeldBackByUnresolved says whether machines that are not resolved hold a team back at its limit.
 func (s *State) HeldBackByUnresolved() bool {
-	for team, x := range s.missing {
+	for team, x := range s.unresolvedUse {
 		if l := s.Scheduler.Limits[team]; (l.CPU > 0 && float64(x.CPU) > mostMissing*float64(l.CPU)) || (l.GPU > 0 && float64(x.GPU) > mostMissing*float64(l.GPU)) {
 			return true
 		}
@@ -511,7 +511,7 @@
 
 // Snapshot is what the planner looks at.
 func (s *State) Snapshot(now time.Duration) scheduler.Snapshot {
-	w := scheduler.Snapshot{Now: now, SuspectAfter: s.SuspectAfter(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.missing, UnknownGrants: s.unresolvedUnnumbered > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
+	w := scheduler.Snapshot{Now: now, SuspectAfter: s.SuspectAfter(), Jobs: s.Jobs, Inventory: s.Inventory, Estimator: s.Estimator, UnresolvedUse: s.unresolvedUse, UnknownGrants: s.unresolvedUnnumbered > 0, Zone: s.Zones.Index, Pools: s.Pools, AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs)}
 	if s.StartPacer != nil {
 		w.MayStart = func(j *jobs.Job, m *workers.Machine) bool { return s.StartPacer.Allows(now, j, m) }
 	}
