--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -88,7 +88,7 @@
 	TypeNames         intern.Names
 	MachinesWithPlans []*workers.Machine // all on which tasks may be planned
 
-	teams []bool // of the configuration, by index: they may submit
+	configuredTeams []bool // of the configuration, by index: they may submit
 
 	unresolvedMachines, unresolvedUnnumbered int                 // machines, and those without a number among them
 	unresolvedUse                            []resources.Amounts // what they may be using, by team
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -16,19 +16,21 @@
 	team := s.Teams.Index(name)
 	for int(team) >= len(s.Scheduler.Limits) {
 		s.Scheduler.AddTeam()
-		s.teams = append(s.teams, false)
+		s.configuredTeams = append(s.configuredTeams, false)
 	}
 	return team
 }
 
 // HasTeam says whether a team is of the configuration, so that it may submit.
-func (s *State) HasTeam(team int32) bool { return int(team) < len(s.teams) && s.teams[team] }
+func (s *State) HasTeam(team int32) bool {
+	return int(team) < len(s.configuredTeams) && s.configuredTeams[team]
+}
 
 // SetTeam has a team's guarantee and limit hold from now on. What runs above a lower limit runs
 // on; what is only planned there is taken back.
 func (s *State) SetTeam(t settings.Team) {
 	team := s.TeamIndex(t.Name)
-	s.teams[team] = true
+	s.configuredTeams[team] = true
 	limit := resources.Room(t.CPUsMax, t.GPUsMax, 0)
 	s.Scheduler.Limits[team] = scheduler.Limit{CPU: limit.CPU, GPU: limit.GPU}
 	for int(team) >= len(s.Estimator.Limits) {
@@ -46,7 +48,7 @@
 // guarantee.
 func (s *State) RemoveTeam(name string) {
 	team := s.TeamIndex(name)
-	s.teams[team] = false
+	s.configuredTeams[team] = false
 	if s.Cfg.Tunables.GuaranteeFirst == 1 {
 		s.guarantee(team, resources.Amounts{})
 	}
