--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -93,8 +93,8 @@
 	unresolvedMachines, unresolvedUnnumbered int                 // machines, and those without a number among them
 	unresolvedUse                            []resources.Amounts // what they may be using, by team
 
-	listeners []Subscriber
-	out       []effects.Effect
+	listeners      []Subscriber
+	pendingEffects []effects.Effect
 }
 
 // Subscriber hears what happens in a term, while it happens.
@@ -223,13 +223,13 @@
 
 // TakeEffects returns the effects since the last call.
 func (s *State) TakeEffects() []effects.Effect {
-	out := s.out
-	s.out = nil
+	out := s.pendingEffects
+	s.pendingEffects = nil
 	return out
 }
 
 // Emit puts out an effect.
-func (s *State) Emit(e effects.Effect) { s.out = append(s.out, e) }
+func (s *State) Emit(e effects.Effect) { s.pendingEffects = append(s.pendingEffects, e) }
 
 // LogMessage has something logged.
 func (s *State) LogMessage(l effects.Level, text string, args ...any) {
