--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -80,7 +80,7 @@
 	StartPacer        StartPacer           // nil: starts are not paced
 	Rebalancer        Rebalancer           // nil: machines stay where they report
 	DispatchQueue     []*workers.Placement // planned tasks that may be sent straight to their workers
-	attempts          uint64
+	lastAttempt       uint64
 	tokens            uint64
 
 	Reconciled *reconcile.Tally // differences between what was stored and reports, in this term
@@ -194,7 +194,7 @@
 		start.Metrics = &Metrics{}
 	}
 	s := &State{
-		TermStart: start, Token: start.Epoch << TokenBits, attempts: start.Epoch << attemptBits,
+		TermStart: start, Token: start.Epoch << TokenBits, lastAttempt: start.Epoch << attemptBits,
 		Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
 			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
@@ -549,8 +549,8 @@
 
 // NextAttempt is a number that no attempt had before.
 func (s *State) NextAttempt() uint64 {
-	s.attempts++
-	return s.attempts
+	s.lastAttempt++
+	return s.lastAttempt
 }
 
 // ListMachineWithPlans keeps a machine among those whose plans are offered.
