--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -81,7 +81,7 @@
 	Rebalancer        Rebalancer           // nil: machines stay where they report
 	DispatchQueue     []*workers.Placement // planned tasks that may be sent straight to their workers
 	lastAttempt       uint64
-	tokens            uint64
+	issuedTokens      uint64
 
 	Reconciled *reconcile.Tally // differences between what was stored and reports, in this term
 
@@ -535,17 +535,17 @@
 
 // NextToken is a token that no machine had before.
 func (s *State) NextToken() uint64 {
-	s.tokens++
-	return s.Token + s.tokens
+	s.issuedTokens++
+	return s.Token + s.issuedTokens
 }
 
 // TokensRunLow says whether most tokens of the term are used up: those that are left are for
 // machines that change their block.
-func (s *State) TokensRunLow() bool { return s.tokens > 3<<(TokenBits-2) }
+func (s *State) TokensRunLow() bool { return s.issuedTokens > 3<<(TokenBits-2) }
 
 // TokensExhausted says whether next to no tokens are left: the next one must not be one of a later
 // term.
-func (s *State) TokensExhausted() bool { return s.tokens > 15<<(TokenBits-4) }
+func (s *State) TokensExhausted() bool { return s.issuedTokens > 15<<(TokenBits-4) }
 
 // NextAttempt is a number that no attempt had before.
 func (s *State) NextAttempt() uint64 {
