--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -93,7 +93,7 @@
 	unresolvedMachines, unresolvedUnnumbered int                 // machines, and those without a number among them
 	unresolvedUse                            []resources.Amounts // what they may be using, by team
 
-	listeners      []Subscriber
+	subscribers    []Subscriber
 	pendingEffects []effects.Effect
 }
 
@@ -212,11 +212,11 @@
 }
 
 // Subscribe has a listener hear everything from now on.
-func (s *State) Subscribe(l Subscriber) { s.listeners = append(s.listeners, l) }
+func (s *State) Subscribe(l Subscriber) { s.subscribers = append(s.subscribers, l) }
 
 // Publish tells all listeners what has happened.
 func (s *State) Publish(e Event) {
-	for _, l := range s.listeners {
+	for _, l := range s.subscribers {
 		l.HandleEvent(e)
 	}
 }
