--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -277,12 +277,12 @@
 // counts as being anywhere.
 func (s *State) RemoveIfFinished(j *jobs.Job) {
 	if j.Placed == 0 && (j.Phase == jobs.Cancelled || j.Phase == jobs.Done) {
-		s.forget(j)
+		s.removeJob(j)
 	}
 }
 
-// forget takes a job out of the table.
-func (s *State) forget(j *jobs.Job) {
+// removeJob takes a job out of the table.
+func (s *State) removeJob(j *jobs.Job) {
 	s.Jobs.Remove(j)
 	s.Publish(Event{Kind: JobRemoved, Job: j})
 }
