--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -38,7 +38,7 @@
 	}
 	s.Estimator.Limits[team] = t.CPUsMax
 	if s.Cfg.Tunables.GuaranteeFirst == 1 {
-		s.guarantee(team, resources.Room(t.CPUs, t.GPUs, 0))
+		s.setGuarantee(team, resources.Room(t.CPUs, t.GPUs, 0))
 	}
 	s.takeBackAbove(team)
 	s.NeedsCycle = true
@@ -50,12 +50,12 @@
 	team := s.TeamIndex(name)
 	s.configuredTeams[team] = false
 	if s.Cfg.Tunables.GuaranteeFirst == 1 {
-		s.guarantee(team, resources.Amounts{})
+		s.setGuarantee(team, resources.Amounts{})
 	}
 	s.NeedsCycle = true
 }
 
-func (s *State) guarantee(team int32, g resources.Amounts) {
+func (s *State) setGuarantee(team int32, g resources.Amounts) {
 	for int(team) >= len(s.Scheduler.Guarantees) {
 		s.Scheduler.Guarantees = append(s.Scheduler.Guarantees, scheduler.Limit{})
 	}
