--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -40,7 +40,7 @@
 	if s.Cfg.Tunables.GuaranteeFirst == 1 {
 		s.setGuarantee(team, resources.Room(t.CPUs, t.GPUs, 0))
 	}
-	s.takeBackAbove(team)
+	s.cancelPlansOverLimit(team)
 	s.NeedsCycle = true
 }
 
@@ -62,9 +62,9 @@
 	s.Scheduler.Guarantees[team] = scheduler.Limit{CPU: g.CPU, GPU: g.GPU}
 }
 
-// takeBackAbove takes back plans of a team, the last tasks first, until what is left is within
+// cancelPlansOverLimit takes back plans of a team, the last tasks first, until what is left is within
 // its limit. Of a gang all or none are taken back: none where one may have begun.
-func (s *State) takeBackAbove(team int32) {
+func (s *State) cancelPlansOverLimit(team int32) {
 	left := s.Scheduler.Use(team)
 	if s.Scheduler.Limits[team].Covers(left) {
 		return
