--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -151,9 +151,9 @@
 	Move                     // tasks, off a machine that is returned
 )
 
-var orderWords = [...]string{"start_new", "start_again", "rent", "return", "delete", "preempt", "move"}
+var actionNames = [...]string{"start_new", "start_again", "rent", "return", "delete", "preempt", "move"}
 
-func (o Action) String() string { return orderWords[o] }
+func (o Action) String() string { return actionNames[o] }
 
 // Gate holds orders back for a while, after a start in which nobody led before.
 type Gate interface {
