--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -372,12 +372,12 @@
 	return s.Gate.SilenceAllowance()
 }
 
-var stopWords = map[Action]string{Preempt: "task stopped for another job", Move: "task moved off a machine that is returned"}
+var stopMessages = map[Action]string{Preempt: "task stopped for another job", Move: "task moved off a machine that is returned"}
 
 // StopAll stops tasks with time to save, and says why.
 func (s *State) StopAll(now time.Duration, list []*workers.Placement, o Action) {
 	on := map[*workers.Machine]bool{}
-	why := stopWords[o]
+	why := stopMessages[o]
 	for _, p := range list {
 		j := s.Jobs.At(p.Ref.Job)
 		s.SaveAndStop(now, j, p)
