--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -8,7 +8,7 @@
 )
 
 // askAgain is how long a page of values that could not be read is left alone.
-const askAgain = time.Second
+const retryAfter = time.Second
 
 // ValueReader reads a duty's own values, page by page, after its term has begun.
 type ValueReader struct {
@@ -34,7 +34,7 @@
 	}
 	r.asked = false
 	if !ok {
-		r.askAt = now + askAgain
+		r.askAt = now + retryAfter
 		return false
 	}
 	if len(list) > 0 {
