--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -12,16 +12,16 @@
 
 // ValueReader reads a duty's own values, page by page, after its term has begun.
 type ValueReader struct {
-	Done  bool // all of them
-	asked bool
-	since string
-	askAt time.Duration
+	Done      bool // all of them
+	requested bool
+	since     string
+	askAt     time.Duration
 }
 
 // RequestNext asks for the next page when it is due.
 func (r *ValueReader) RequestNext(s *State, now time.Duration, duty string) {
-	if !r.Done && !r.asked && now >= r.askAt {
-		r.asked = true
+	if !r.Done && !r.requested && now >= r.askAt {
+		r.requested = true
 		s.Emit(effects.ReadValues{Duty: duty, Since: r.since})
 	}
 }
@@ -29,10 +29,10 @@
 // TakePage takes a page, and says whether it was the one that was asked for. After the
 // last one Read is set.
 func (r *ValueReader) TakePage(now time.Duration, list []eventlog.Value, more, ok bool) bool {
-	if r.Done || !r.asked {
+	if r.Done || !r.requested {
 		return false
 	}
-	r.asked = false
+	r.requested = false
 	if !ok {
 		r.askAt = now + retryAfter
 		return false
