--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -14,7 +14,7 @@
 type ValueReader struct {
 	Done      bool // all of them
 	requested bool
-	since     string
+	lastKey   string
 	askAt     time.Duration
 }
 
@@ -22,7 +22,7 @@
 func (r *ValueReader) RequestNext(s *State, now time.Duration, duty string) {
 	if !r.Done && !r.requested && now >= r.askAt {
 		r.requested = true
-		s.Emit(effects.ReadValues{Duty: duty, Since: r.since})
+		s.Emit(effects.ReadValues{Duty: duty, Since: r.lastKey})
 	}
 }
 
@@ -38,7 +38,7 @@
 		return false
 	}
 	if len(list) > 0 {
-		r.since = list[len(list)-1].Key
+		r.lastKey = list[len(list)-1].Key
 	}
 	r.Done = !more
 	return true
