--- a/internal/leader/cluster/reader.go
+++ b/internal/leader/cluster/reader.go
@@ -15,12 +15,12 @@
 	Done      bool // all of them
 	requested bool
 	lastKey   string
-	askAt     time.Duration
+	retryAt   time.Duration
 }
 
 // RequestNext asks for the next page when it is due.
 func (r *ValueReader) RequestNext(s *State, now time.Duration, duty string) {
-	if !r.Done && !r.requested && now >= r.askAt {
+	if !r.Done && !r.requested && now >= r.retryAt {
 		r.requested = true
 		s.Emit(effects.ReadValues{Duty: duty, Since: r.lastKey})
 	}
@@ -34,7 +34,7 @@
 	}
 	r.requested = false
 	if !ok {
-		r.askAt = now + retryAfter
+		r.retryAt = now + retryAfter
 		return false
 	}
 	if len(list) > 0 {
