--- a/internal/leader/cluster/measures.go
+++ b/internal/leader/cluster/measures.go
@@ -4,7 +4,7 @@
 
 // Metrics are the histograms that duties keep. They outlive terms: they belong
 // to the process, and count from its beginning.
-type Metrics struct{ all []*Histogram }
+type Metrics struct{ histograms []*Histogram }
 
 // Histogram counts values in buckets, apart for each value of one label. It has
 // no clock and no lock; the node's collector reads it in the loop.
@@ -24,20 +24,20 @@
 
 // Histogram returns the histogram with a name, made at its first use.
 func (m *Metrics) Histogram(name, help, label string, bounds []float64) *Histogram {
-	for _, h := range m.all {
+	for _, h := range m.histograms {
 		if h.Name == name {
 			return h
 		}
 	}
 	h := &Histogram{Name: name, Help: help, Label: label, Bounds: bounds}
-	m.all = append(m.all, h)
+	m.histograms = append(m.histograms, h)
 	return h
 }
 
 // All returns copies of all histograms.
 func (m *Metrics) All() []Histogram {
 	var out []Histogram
-	for _, h := range m.all {
+	for _, h := range m.histograms {
 		c := *h
 		c.Series = slices.Clone(h.Series)
 		for i := range c.Series {
