--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -340,12 +340,12 @@
 
 // mostMissing is the share of a team's limit that machines may take of which it is not
 // known what they have, before the team is held back by them.
-const mostMissing = 0.25
+const maxUnresolvedShare = 0.25
 
 // HeldBackByUnresolved says whether machines that are not resolved hold a team back at its limit.
 func (s *State) HeldBackByUnresolved() bool {
 	for team, x := range s.unresolvedUse {
-		if l := s.Scheduler.Limits[team]; (l.CPU > 0 && float64(x.CPU) > mostMissing*float64(l.CPU)) || (l.GPU > 0 && float64(x.GPU) > mostMissing*float64(l.GPU)) {
+		if l := s.Scheduler.Limits[team]; (l.CPU > 0 && float64(x.CPU) > maxUnresolvedShare*float64(l.CPU)) || (l.GPU > 0 && float64(x.GPU) > maxUnresolvedShare*float64(l.GPU)) {
 			return true
 		}
 	}
