--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -491,7 +491,7 @@
 	for z := range byZone {
 		up += byZone[z]
 		silent += silentIn[z]
-		if byZone[z] >= fewSilent && silentIn[z]*heardWell <= byZone[z] {
+		if byZone[z] >= minSilentMachines && silentIn[z]*heardWell <= byZone[z] {
 			return false
 		}
 	}
@@ -565,10 +565,10 @@
 // fewer heard ones.
 // heardWell: a zone is if at most one in so many of its machines is silent.
 const (
-	fewSilent = 4
-	heardWell = 5
+	minSilentMachines = 4
+	heardWell         = 5
 )
 
 // MostSilent says whether so many of so many machines are silent that the fault is
 // not theirs.
-func MostSilent(silent, up int) bool { return silent >= fewSilent && silent*2 > up }
+func MostSilent(silent, up int) bool { return silent >= minSilentMachines && silent*2 > up }
