--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -491,7 +491,7 @@
 	for z := range byZone {
 		up += byZone[z]
 		silent += silentIn[z]
-		if byZone[z] >= minSilentMachines && silentIn[z]*heardWell <= byZone[z] {
+		if byZone[z] >= minSilentMachines && silentIn[z]*zoneSilenceDivisor <= byZone[z] {
 			return false
 		}
 	}
@@ -565,8 +565,8 @@
 // fewer heard ones.
 // heardWell: a zone is if at most one in so many of its machines is silent.
 const (
-	minSilentMachines = 4
-	heardWell         = 5
+	minSilentMachines  = 4
+	zoneSilenceDivisor = 5
 )
 
 // MostSilent says whether so many of so many machines are silent that the fault is
