--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -14,7 +14,7 @@
 
 // Most machines are silent. That is a fault of the zones they are in where another
 // one is heard well, and perhaps our own otherwise.
-func TestDeaf(t *testing.T) {
+func TestMostMachinesSilent(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		up, mute []int // by zone
