--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -95,7 +95,7 @@
 
 // Tokens of a term never reach those of the next: direct starts stop asking for them
 // first, and the term ends before they are out.
-func TestTokensOfATerm(t *testing.T) {
+func TestTokensStayWithinTheirTerm(t *testing.T) {
 	s := New(TermStart{Cfg: &settings.Settings{}, Epoch: 3, Counts: &Counts{}})
 	few, n := 0, 0
 	for ; !s.TokensExhausted(); n++ {
