--- a/internal/leader/cluster/state_test.go
+++ b/internal/leader/cluster/state_test.go
@@ -49,7 +49,7 @@
 
 // A lower limit takes back plans above it, the last tasks first, and of a gang all or none; what
 // is not planned any more stays.
-func TestLowerLimitTakesPlansBack(t *testing.T) {
+func TestLowerLimitCancelsPlans(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		kind    uint8
