--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -75,13 +75,13 @@
 			}
 		}
 	}
-	d.hurry(j)
+	d.promoteDependencies(j)
 	return true
 }
 
-// hurry has the jobs that a job needs take its priority: the exception
+// promoteDependencies has the jobs that a job needs take its priority: the exception
 // follow_urgency. Their place in the order changes, their size does not.
-func (d *Component) hurry(j *jobs.Job) {
+func (d *Component) promoteDependencies(j *jobs.Job) {
 	if d.Cfg.Tunables.FollowUrgency == 0 {
 		return
 	}
