--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -94,8 +94,8 @@
 	}
 }
 
-// calm recomputes the priority of jobs that a cancelled one needed.
-func (d *Component) calm(list []*jobs.Job) {
+// restorePriorities recomputes the priority of jobs that a cancelled one needed.
+func (d *Component) restorePriorities(list []*jobs.Job) {
 	for _, x := range list {
 		x.Priority = x.Record.Priority
 		if d.Cfg.Tunables.FollowUrgency == 1 {
@@ -138,7 +138,7 @@
 		d.LogMessage(effects.Info, "job cancelled with one that it needs", "job", f.Record.ID, "needs", j.Record.ID)
 		d.tellEnd(sure, f.Record.ID)
 	}
-	d.calm(needed)
+	d.restorePriorities(needed)
 }
 
 // wipe cancels one job, none of whose tasks is anywhere.
