--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -106,9 +106,9 @@
 	}
 }
 
-// letGo releases a job: all that it follows are durably done. It enters the
+// release releases a job: all that it follows are durably done. It enters the
 // order as if it had just arrived.
-func (d *Component) letGo(now time.Duration, j *jobs.Job) {
+func (d *Component) release(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
 	j.Record.ReleasedMS = d.ClockZeroMS + now.Milliseconds()
 	d.schedule(j, now)
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -187,7 +187,7 @@
 		"first_start", (j.FirstAt - j.AcceptedAt).Round(100*time.Millisecond), "last_start", (j.LastAt - j.AcceptedAt).Round(100*time.Millisecond), "after", (now - j.AcceptedAt).Round(100*time.Millisecond))
 	for _, f := range d.Jobs.RemoveDependency(j) {
 		if len(f.Dependencies) == 0 && f.Phase == jobs.Held {
-			d.letGo(now, f)
+			d.release(now, f)
 		}
 	}
 	d.RemoveIfFinished(j)
