--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -112,13 +112,13 @@
 	j.Phase = jobs.Open
 	j.Record.ReleasedMS = d.ClockZeroMS + now.Milliseconds()
 	d.schedule(j, now)
-	d.order(now, j)
+	d.enqueue(now, j)
 	d.Counts.Released++
 	d.LogMessage(effects.Debug, "job released: all that it follows are done", "job", j.Record.ID, "class", j.Record.Class, "follows", len(j.Record.Follows))
 }
 
-// order enters a job into the order.
-func (d *Component) order(now time.Duration, j *jobs.Job) {
+// enqueue enters a job into the order.
+func (d *Component) enqueue(now time.Duration, j *jobs.Job) {
 	d.Estimator.Age(now.Seconds(), d.CPUs())
 	if j.Record.Kind != jobs.Service {
 		d.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -149,7 +149,7 @@
 		d.Counts.CancelSpread++
 		d.LogMessage(effects.Info, "job cancelled on arrival: it follows a cancelled one", "job", id)
 	case len(j.Dependencies) == 0:
-		d.order(now, j)
+		d.enqueue(now, j)
 	case j.Phase == jobs.Open:
 		j.Phase = jobs.Held
 	}
