--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -127,9 +127,9 @@
 	d.NeedsCycle = true
 }
 
-// cancelled acts on a cancellation that is durable, of a job or of one that it
+// applyCancellation acts on a cancellation that is durable, of a job or of one that it
 // follows, and on all that need it.
-func (d *Component) cancelled(sure bool, j *jobs.Job) {
+func (d *Component) applyCancellation(sure bool, j *jobs.Job) {
 	needed, needing := d.Jobs.TransitiveDependencies(j), d.Jobs.TransitiveDependents(j)
 	d.wipe(j)
 	for _, f := range needing {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -127,7 +127,7 @@
 	case e.Cancel != nil:
 		id := *e.Cancel
 		if j := d.Jobs.Find(id); j != nil && j.Phase != jobs.Done && j.Phase != jobs.Cancelled {
-			d.cancelled(sure, j)
+			d.applyCancellation(sure, j)
 		}
 		d.tellEnd(sure, id)
 	case e.CompletedTasks != nil:
@@ -145,7 +145,7 @@
 	}
 	switch linked := d.link(j); {
 	case !linked:
-		d.cancelled(sure, j)
+		d.applyCancellation(sure, j)
 		d.Counts.CancelSpread++
 		d.LogMessage(effects.Info, "job cancelled on arrival: it follows a cancelled one", "job", id)
 	case len(j.Dependencies) == 0:
