--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -131,9 +131,9 @@
 // follows, and on all that need it.
 func (d *Component) applyCancellation(sure bool, j *jobs.Job) {
 	needed, needing := d.Jobs.TransitiveDependencies(j), d.Jobs.TransitiveDependents(j)
-	d.wipe(j)
+	d.purge(j)
 	for _, f := range needing {
-		d.wipe(f)
+		d.purge(f)
 		d.Counts.CancelSpread++
 		d.LogMessage(effects.Info, "job cancelled with one that it needs", "job", f.Record.ID, "needs", j.Record.ID)
 		d.tellEnd(sure, f.Record.ID)
@@ -141,8 +141,8 @@
 	d.restorePriorities(needed)
 }
 
-// wipe cancels one job, none of whose tasks is anywhere.
-func (d *Component) wipe(j *jobs.Job) {
+// purge cancels one job, none of whose tasks is anywhere.
+func (d *Component) purge(j *jobs.Job) {
 	j.Phase = jobs.Cancelled
 	delete(d.cancelling, j.Record.ID)
 	d.Jobs.Finish(j.Record.ID, jobs.Cancelled)
