--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -32,7 +32,7 @@
 		d.Emit(effects.Reply{To: to, Answer: effects.Unavailable("the machine types are not known yet")})
 		return
 	}
-	if why := d.never(s.Job); why != "" {
+	if why := d.rejectionReason(s.Job); why != "" {
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 422, Why: why}})
 		return
 	}
@@ -68,8 +68,8 @@
 	d.EventLog.AppendTracked(d.entryOf(j))
 }
 
-// never says why a job can never run, or nothing.
-func (d *Component) never(j *eventlog.Job) string {
+// rejectionReason says why a job can never run, or nothing.
+func (d *Component) rejectionReason(j *eventlog.Job) string {
 	team, ok := d.Teams.Lookup(j.Team)
 	if !ok || !d.HasTeam(team) {
 		return "keeper: no such team"
