--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -156,7 +156,7 @@
 	a, _ := d.state(id)
 	a.Status, a.Counts = 201, false
 	for _, to := range d.accepting[id] {
-		d.tell(sure, to, a)
+		d.answer(sure, to, a)
 		a.Status = 200
 	}
 	delete(d.accepting, id)
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -178,7 +178,7 @@
 	d.stopTasks(j)
 }
 
-func (d *Component) tell(sure bool, to effects.RequestID, a effects.Answer) {
+func (d *Component) answer(sure bool, to effects.RequestID, a effects.Answer) {
 	if !sure {
 		a = effects.Unavailable("leadership is in doubt")
 	}
@@ -188,7 +188,7 @@
 func (d *Component) tellEnd(sure bool, id uint64) {
 	a, _ := d.state(id)
 	for _, to := range d.ending[id] {
-		d.tell(sure, to, a)
+		d.answer(sure, to, a)
 	}
 	delete(d.ending, id)
 }
