--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -136,7 +136,7 @@
 		d.purge(f)
 		d.Counts.CancelSpread++
 		d.LogMessage(effects.Info, "job cancelled with one that it needs", "job", f.Record.ID, "needs", j.Record.ID)
-		d.tellEnd(sure, f.Record.ID)
+		d.answerCancellations(sure, f.Record.ID)
 	}
 	d.restorePriorities(needed)
 }
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -129,7 +129,7 @@
 		if j := d.Jobs.Find(id); j != nil && j.Phase != jobs.Done && j.Phase != jobs.Cancelled {
 			d.applyCancellation(sure, j)
 		}
-		d.tellEnd(sure, id)
+		d.answerCancellations(sure, id)
 	case e.CompletedTasks != nil:
 		d.noted(now, sure, e.CompletedTasks)
 	}
@@ -161,7 +161,7 @@
 	}
 	delete(d.accepting, id)
 	if j.Phase == jobs.Cancelled {
-		d.tellEnd(sure, id)
+		d.answerCancellations(sure, id)
 	}
 }
 
@@ -191,7 +191,7 @@
 		}
 	}
 	d.RemoveIfFinished(j)
-	d.tellEnd(sure, done.ID)
+	d.answerCancellations(sure, done.ID)
 }
 
 // HandleEvent collects completed tasks for one entry of the log.
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -185,7 +185,7 @@
 	d.Emit(effects.Reply{To: to, Answer: a})
 }
 
-func (d *Component) tellEnd(sure bool, id uint64) {
+func (d *Component) answerCancellations(sure bool, id uint64) {
 	a, _ := d.state(id)
 	for _, to := range d.ending[id] {
 		d.answer(sure, to, a)
