--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -20,9 +20,9 @@
 //     job has no task anywhere: it was never released, for what it follows was
 //     not durably done, and what is durably cancelled never will be.
 
-// stored is the form in which a job is written, and the entries that go before
+// storedForm is the form in which a job is written, and the entries that go before
 // it where it follows more jobs than fit.
-func (d *Component) stored(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
+func (d *Component) storedForm(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
 	rec.Rest = 0
 	rec.HideFromOlderVersions()
 	if rec.ReleasedMS != 0 {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -451,7 +451,7 @@
 // entryOf is what is durable of a job's acceptance. What it follows may take
 // entries of its own, which are appended and kept beside it from then on.
 func (d *Component) entryOf(j *jobs.Job) eventlog.Entry {
-	rec, parts := d.stored(j.Record)
+	rec, parts := d.storedForm(j.Record)
 	if j.Record.Rest == 0 {
 		for _, p := range parts {
 			d.EventLog.Append(p)
@@ -505,7 +505,7 @@
 			continue
 		}
 		if j := d.Jobs.Find(e.Job.ID); j != nil {
-			if rec, _ := d.stored(j.Record); j.CancelPending || !d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
+			if rec, _ := d.storedForm(j.Record); j.CancelPending || !d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
 				return false
 			}
 		}
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -54,7 +54,7 @@
 		return
 	}
 	s.Job.AtMS = d.ClockZeroMS + now.Milliseconds()
-	if rec, _ := d.stored(*s.Job); !d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
+	if rec, _ := d.storedForm(*s.Job); !d.EventLog.Fits(eventlog.Entry{Job: &rec}) {
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 400, Why: "breeds and other names: too long to be stored"}})
 		return
 	}
