--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -39,9 +39,9 @@
 	return rec, parts
 }
 
-// unfollowable says why a job cannot follow what it names; known is false
+// dependencyProblem says why a job cannot follow what it names; known is false
 // while that cannot be decided.
-func (d *Component) unfollowable(rec *eventlog.Job) (why string, known bool) {
+func (d *Component) dependencyProblem(rec *eventlog.Job) (why string, known bool) {
 	for _, id := range rec.Follows {
 		if _, over := d.Jobs.Final(id); over {
 			continue
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -46,7 +46,7 @@
 			return
 		}
 	}
-	if why, known := d.unfollowable(s.Job); !known {
+	if why, known := d.dependencyProblem(s.Job); !known {
 		d.Emit(effects.Reply{To: to, Answer: effects.Unavailable(why)})
 		return
 	} else if why != "" {
