--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -58,9 +58,9 @@
 	return "", true
 }
 
-// link settles what an accepted job waits for. It is false when the job is
+// resolveDependencies settles what an accepted job waits for. It is false when the job is
 // cancelled from the start, since one that it follows is.
-func (d *Component) link(j *jobs.Job) bool {
+func (d *Component) resolveDependencies(j *jobs.Job) bool {
 	if j.Record.ReleasedMS != 0 {
 		return true
 	}
@@ -171,7 +171,7 @@
 			j.Phase = jobs.Held
 			continue
 		}
-		if !d.link(j) {
+		if !d.resolveDependencies(j) {
 			cancelling = append(cancelling, j)
 			continue
 		}
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -143,7 +143,7 @@
 	if len(d.ending[id]) > 0 {
 		j.Phase = jobs.Cancelling
 	}
-	switch linked := d.link(j); {
+	switch linked := d.resolveDependencies(j); {
 	case !linked:
 		d.applyCancellation(sure, j)
 		d.Counts.CancelSpread++
