--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -152,9 +152,9 @@
 	d.NeedsCycle = true
 }
 
-// restoreLinks settles after a replay what every job waits for. The log is
+// restoreDependencies settles after a replay what every job waits for. The log is
 // read as a whole before: cleaning changes the order of its entries.
-func (d *Component) restoreLinks(now time.Duration, parts map[uint64][]eventlog.Dependencies, doneAt map[uint64]int64) {
+func (d *Component) restoreDependencies(now time.Duration, parts map[uint64][]eventlog.Dependencies, doneAt map[uint64]int64) {
 	var cancelling []*jobs.Job
 	for _, j := range d.Jobs.All() {
 		if j == nil {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -96,7 +96,7 @@
 // Begin settles what every job waits for and enters the open ones into the
 // order.
 func (d *Component) Begin(now time.Duration) {
-	d.restoreLinks(now, d.parts, d.doneAt)
+	d.restoreDependencies(now, d.parts, d.doneAt)
 	d.parts, d.doneAt = nil, nil
 	for _, j := range d.Jobs.All() {
 		if j == nil {
