--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -164,7 +164,7 @@
 		if j.Record.Rest > 0 && j.Record.ReleasedMS == 0 {
 			j.Record.Follows = joined(j.Record, parts[j.Record.ID])
 		}
-		if len(j.Record.Follows) < j.Record.Rest || !d.found(j.Record.Follows) {
+		if len(j.Record.Follows) < j.Record.Rest || !d.dependenciesKnown(j.Record.Follows) {
 			// No leader that knows of links writes such a log. Whether it may
 			// start is not known any more: it waits for its user to cancel it.
 			d.LogMessage(effects.Error, "what a job follows is not in the log: it is not started", "job", j.Record.ID)
@@ -198,8 +198,8 @@
 	}
 }
 
-// found says whether the log knows jobs that an accepted one follows.
-func (d *Component) found(ids []uint64) bool {
+// dependenciesKnown says whether the log knows jobs that an accepted one follows.
+func (d *Component) dependenciesKnown(ids []uint64) bool {
 	return !slices.ContainsFunc(ids, func(id uint64) bool {
 		_, over := d.Jobs.Final(id)
 		return !over && d.Jobs.Find(id) == nil
