--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -162,7 +162,7 @@
 		}
 		j.Phase, j.Earlier = jobs.Open, true
 		if j.Record.Rest > 0 && j.Record.ReleasedMS == 0 {
-			j.Record.Follows = joined(j.Record, parts[j.Record.ID])
+			j.Record.Follows = joinDependencies(j.Record, parts[j.Record.ID])
 		}
 		if len(j.Record.Follows) < j.Record.Rest || !d.dependenciesKnown(j.Record.Follows) {
 			// No leader that knows of links writes such a log. Whether it may
@@ -206,9 +206,9 @@
 	})
 }
 
-// joined gathers what a job follows from the entries beside its own: each id
+// joinDependencies gathers what a job follows from the entries beside its own: each id
 // once, of the same acceptance only.
-func joined(rec eventlog.Job, parts []eventlog.Dependencies) []uint64 {
+func joinDependencies(rec eventlog.Job, parts []eventlog.Dependencies) []uint64 {
 	var out []uint64
 	for _, p := range parts {
 		if p.AtMS == rec.AtMS {
