--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -33,10 +33,10 @@
 	*cluster.State
 
 	// tasks completed but not yet handed to the log, by job id
-	completed  map[uint64]*eventlog.CompletedTasks
-	accepting  map[uint64][]effects.RequestID
-	ending     map[uint64][]effects.RequestID // askers of a cancellation
-	cancelling map[uint64]*jobs.Job           // jobs whose cancellation waits until nothing of them is anywhere
+	completed      map[uint64]*eventlog.CompletedTasks
+	accepting      map[uint64][]effects.RequestID
+	cancelRequests map[uint64][]effects.RequestID // askers of a cancellation
+	cancelling     map[uint64]*jobs.Job           // jobs whose cancellation waits until nothing of them is anywhere
 
 	gone   *cluster.Histogram
 	parts  map[uint64][]eventlog.Dependencies // while the log is replayed
@@ -47,7 +47,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, gone: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
-		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.RequestID{}, ending: map[uint64][]effects.RequestID{},
+		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.RequestID{}, cancelRequests: map[uint64][]effects.RequestID{},
 		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
 
@@ -140,7 +140,7 @@
 func (d *Component) accepted(now time.Duration, sure bool, id uint64) {
 	j := d.Jobs.Find(id)
 	j.Phase = jobs.Open
-	if len(d.ending[id]) > 0 {
+	if len(d.cancelRequests[id]) > 0 {
 		j.Phase = jobs.Cancelling
 	}
 	switch linked := d.resolveDependencies(j); {
@@ -300,14 +300,14 @@
 
 // End answers everybody who still waits; the next leader knows more.
 func (d *Component) End() {
-	for _, waiting := range []map[uint64][]effects.RequestID{d.accepting, d.ending} {
+	for _, waiting := range []map[uint64][]effects.RequestID{d.accepting, d.cancelRequests} {
 		for _, list := range waiting {
 			for _, to := range list {
 				d.Emit(effects.Reply{To: to, Answer: effects.Unavailable("leadership has changed")})
 			}
 		}
 	}
-	d.accepting, d.ending = nil, nil
+	d.accepting, d.cancelRequests = nil, nil
 }
 
 // stopTasks stops all tasks of a job that is to be cancelled.
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -159,10 +159,10 @@
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 404, Why: "no such job"}})
 		return
 	}
-	if list := d.ending[id]; len(list) >= mostAskers {
-		d.ending[id] = slices.Delete(list, 0, 1) // it was told to come back long ago
+	if list := d.cancelRequests[id]; len(list) >= mostAskers {
+		d.cancelRequests[id] = slices.Delete(list, 0, 1) // it was told to come back long ago
 	}
-	d.ending[id] = append(d.ending[id], to)
+	d.cancelRequests[id] = append(d.cancelRequests[id], to)
 	if j.Phase == jobs.Cancelling || j.Finished == len(j.Tasks) {
 		return // answered with what becomes durable first
 	}
@@ -187,8 +187,8 @@
 
 func (d *Component) answerCancellations(sure bool, id uint64) {
 	a, _ := d.state(id)
-	for _, to := range d.ending[id] {
+	for _, to := range d.cancelRequests[id] {
 		d.answer(sure, to, a)
 	}
-	delete(d.ending, id)
+	delete(d.cancelRequests, id)
 }
