--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -34,7 +34,7 @@
 
 	// tasks completed but not yet handed to the log, by job id
 	completed      map[uint64]*eventlog.CompletedTasks
-	accepting      map[uint64][]effects.RequestID
+	submitRequests map[uint64][]effects.RequestID
 	cancelRequests map[uint64][]effects.RequestID // askers of a cancellation
 	cancelling     map[uint64]*jobs.Job           // jobs whose cancellation waits until nothing of them is anywhere
 
@@ -47,7 +47,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, gone: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
-		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, accepting: map[uint64][]effects.RequestID{}, cancelRequests: map[uint64][]effects.RequestID{},
+		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, submitRequests: map[uint64][]effects.RequestID{}, cancelRequests: map[uint64][]effects.RequestID{},
 		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
 
@@ -155,11 +155,11 @@
 	}
 	a, _ := d.state(id)
 	a.Status, a.Counts = 201, false
-	for _, to := range d.accepting[id] {
+	for _, to := range d.submitRequests[id] {
 		d.answer(sure, to, a)
 		a.Status = 200
 	}
-	delete(d.accepting, id)
+	delete(d.submitRequests, id)
 	if j.Phase == jobs.Cancelled {
 		d.answerCancellations(sure, id)
 	}
@@ -300,14 +300,14 @@
 
 // End answers everybody who still waits; the next leader knows more.
 func (d *Component) End() {
-	for _, waiting := range []map[uint64][]effects.RequestID{d.accepting, d.cancelRequests} {
+	for _, waiting := range []map[uint64][]effects.RequestID{d.submitRequests, d.cancelRequests} {
 		for _, list := range waiting {
 			for _, to := range list {
 				d.Emit(effects.Reply{To: to, Answer: effects.Unavailable("leadership has changed")})
 			}
 		}
 	}
-	d.accepting, d.cancelRequests = nil, nil
+	d.submitRequests, d.cancelRequests = nil, nil
 }
 
 // stopTasks stops all tasks of a job that is to be cancelled.
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -17,7 +17,7 @@
 // Submit takes a submission.
 func (d *Component) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
 	if j := d.Jobs.Find(s.ID); j != nil && j.Phase == jobs.Accepting {
-		d.accepting[s.ID] = append(d.accepting[s.ID], to)
+		d.submitRequests[s.ID] = append(d.submitRequests[s.ID], to)
 		return
 	}
 	if a, ok := d.state(s.ID); ok {
@@ -64,7 +64,7 @@
 	}
 	j := d.enter(*s.Job, now)
 	d.suit(j)
-	d.accepting[s.ID] = append(d.accepting[s.ID], to)
+	d.submitRequests[s.ID] = append(d.submitRequests[s.ID], to)
 	d.EventLog.AppendTracked(d.entryOf(j))
 }
 
