--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -38,15 +38,15 @@
 	cancelRequests map[uint64][]effects.RequestID // askers of a cancellation
 	cancelling     map[uint64]*jobs.Job           // jobs whose cancellation waits until nothing of them is anywhere
 
-	gone   *cluster.Histogram
-	parts  map[uint64][]eventlog.Dependencies // while the log is replayed
-	doneAt map[uint64]int64
-	over   eventlog.FinalStates // final states to be written anew by the cleaning under way
+	cancelSeconds *cluster.Histogram
+	parts         map[uint64][]eventlog.Dependencies // while the log is replayed
+	doneAt        map[uint64]int64
+	over          eventlog.FinalStates // final states to be written anew by the cleaning under way
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, gone: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
+	return &Component{State: s, cancelSeconds: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
 		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, submitRequests: map[uint64][]effects.RequestID{}, cancelRequests: map[uint64][]effects.RequestID{},
 		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
@@ -236,7 +236,7 @@
 // end has a cancellation written.
 func (d *Component) end(now time.Duration, j *jobs.Job) {
 	j.CancelPending = true
-	d.gone.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
+	d.cancelSeconds.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
 	d.LogMessage(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
 	d.EventLog.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
 }
