--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -38,17 +38,17 @@
 	cancelRequests map[uint64][]effects.RequestID // askers of a cancellation
 	cancelling     map[uint64]*jobs.Job           // jobs whose cancellation waits until nothing of them is anywhere
 
-	cancelSeconds *cluster.Histogram
-	parts         map[uint64][]eventlog.Dependencies // while the log is replayed
-	doneAt        map[uint64]int64
-	over          eventlog.FinalStates // final states to be written anew by the cleaning under way
+	cancelSeconds        *cluster.Histogram
+	replayedDependencies map[uint64][]eventlog.Dependencies // while the log is replayed
+	doneAt               map[uint64]int64
+	over                 eventlog.FinalStates // final states to be written anew by the cleaning under way
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, cancelSeconds: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
 		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, submitRequests: map[uint64][]effects.RequestID{}, cancelRequests: map[uint64][]effects.RequestID{},
-		cancelling: map[uint64]*jobs.Job{}, parts: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
+		cancelling: map[uint64]*jobs.Job{}, replayedDependencies: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
 }
 
 // Replay takes an entry of the log.
@@ -89,15 +89,15 @@
 			d.isOver(j.Record.ID, jobs.Done)
 		}
 	case e.Dependencies != nil:
-		d.parts[e.Dependencies.ID] = append(d.parts[e.Dependencies.ID], *e.Dependencies)
+		d.replayedDependencies[e.Dependencies.ID] = append(d.replayedDependencies[e.Dependencies.ID], *e.Dependencies)
 	}
 }
 
 // Begin settles what every job waits for and enters the open ones into the
 // order.
 func (d *Component) Begin(now time.Duration) {
-	d.restoreDependencies(now, d.parts, d.doneAt)
-	d.parts, d.doneAt = nil, nil
+	d.restoreDependencies(now, d.replayedDependencies, d.doneAt)
+	d.replayedDependencies, d.doneAt = nil, nil
 	for _, j := range d.Jobs.All() {
 		if j == nil {
 			continue
