--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -40,7 +40,7 @@
 
 	cancelSeconds        *cluster.Histogram
 	replayedDependencies map[uint64][]eventlog.Dependencies // while the log is replayed
-	doneAt               map[uint64]int64
+	replayedDoneAt       map[uint64]int64
 	over                 eventlog.FinalStates // final states to be written anew by the cleaning under way
 }
 
@@ -48,7 +48,7 @@
 func New(s *cluster.State) *Component {
 	return &Component{State: s, cancelSeconds: s.Metrics.Histogram("bitternmoor_cancel_seconds", "Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
 		"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}), completed: map[uint64]*eventlog.CompletedTasks{}, submitRequests: map[uint64][]effects.RequestID{}, cancelRequests: map[uint64][]effects.RequestID{},
-		cancelling: map[uint64]*jobs.Job{}, replayedDependencies: map[uint64][]eventlog.Dependencies{}, doneAt: map[uint64]int64{}}
+		cancelling: map[uint64]*jobs.Job{}, replayedDependencies: map[uint64][]eventlog.Dependencies{}, replayedDoneAt: map[uint64]int64{}}
 }
 
 // Replay takes an entry of the log.
@@ -71,7 +71,7 @@
 		}
 	case e.CompletedTasks != nil:
 		if e.CompletedTasks.AtMS != 0 {
-			d.doneAt[e.CompletedTasks.ID] = max(d.doneAt[e.CompletedTasks.ID], e.CompletedTasks.AtMS)
+			d.replayedDoneAt[e.CompletedTasks.ID] = max(d.replayedDoneAt[e.CompletedTasks.ID], e.CompletedTasks.AtMS)
 		}
 		j := d.Jobs.Find(e.CompletedTasks.ID)
 		if j == nil {
@@ -96,8 +96,8 @@
 // Begin settles what every job waits for and enters the open ones into the
 // order.
 func (d *Component) Begin(now time.Duration) {
-	d.restoreDependencies(now, d.replayedDependencies, d.doneAt)
-	d.replayedDependencies, d.doneAt = nil, nil
+	d.restoreDependencies(now, d.replayedDependencies, d.replayedDoneAt)
+	d.replayedDependencies, d.replayedDoneAt = nil, nil
 	for _, j := range d.Jobs.All() {
 		if j == nil {
 			continue
