--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -41,7 +41,7 @@
 	cancelSeconds        *cluster.Histogram
 	replayedDependencies map[uint64][]eventlog.Dependencies // while the log is replayed
 	replayedDoneAt       map[uint64]int64
-	over                 eventlog.FinalStates // final states to be written anew by the cleaning under way
+	compactedFinals      eventlog.FinalStates // final states to be written anew by the cleaning under way
 }
 
 // New makes the duty of a term.
@@ -283,18 +283,18 @@
 func (d *Component) keepFinal(id uint64) {
 	switch p, _ := d.Jobs.Final(id); p {
 	case jobs.Done:
-		d.over.Done = append(d.over.Done, id)
+		d.compactedFinals.Done = append(d.compactedFinals.Done, id)
 	case jobs.Cancelled:
-		d.over.Cancelled = append(d.over.Cancelled, id)
+		d.compactedFinals.Cancelled = append(d.compactedFinals.Cancelled, id)
 	}
 	d.writeOver(max(1, d.EventLog.MaxEntryBytes()/idBytes-2))
 }
 
 func (d *Component) writeOver(least int) {
-	if len(d.over.Done)+len(d.over.Cancelled) >= least {
-		o := d.over
+	if len(d.compactedFinals.Done)+len(d.compactedFinals.Cancelled) >= least {
+		o := d.compactedFinals
 		d.EventLog.Append(eventlog.Entry{FinalStates: &o})
-		d.over = eventlog.FinalStates{}
+		d.compactedFinals = eventlog.FinalStates{}
 	}
 }
 
