--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -123,7 +123,7 @@
 func (d *Component) EntryDurable(now time.Duration, sure bool, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
-		d.accepted(now, sure, e.Job.ID)
+		d.acceptanceDurable(now, sure, e.Job.ID)
 	case e.Cancel != nil:
 		id := *e.Cancel
 		if j := d.Jobs.Find(id); j != nil && j.Phase != jobs.Done && j.Phase != jobs.Cancelled {
@@ -135,9 +135,9 @@
 	}
 }
 
-// accepted acts on an acceptance that is durable: its user is told, and the job
+// acceptanceDurable acts on an acceptance that is durable: its user is told, and the job
 // enters the order unless it follows others.
-func (d *Component) accepted(now time.Duration, sure bool, id uint64) {
+func (d *Component) acceptanceDurable(now time.Duration, sure bool, id uint64) {
 	j := d.Jobs.Find(id)
 	j.Phase = jobs.Open
 	if len(d.cancelRequests[id]) > 0 {
