--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -131,7 +131,7 @@
 		}
 		d.answerCancellations(sure, id)
 	case e.CompletedTasks != nil:
-		d.noted(now, sure, e.CompletedTasks)
+		d.completionsDurable(now, sure, e.CompletedTasks)
 	}
 }
 
@@ -165,8 +165,8 @@
 	}
 }
 
-// noted acts on completions that are durable.
-func (d *Component) noted(now time.Duration, sure bool, done *eventlog.CompletedTasks) {
+// completionsDurable acts on completions that are durable.
+func (d *Component) completionsDurable(now time.Duration, sure bool, done *eventlog.CompletedTasks) {
 	j := d.Jobs.Find(done.ID)
 	if j == nil {
 		return
