--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -228,13 +228,13 @@
 			delete(d.cancelling, id)
 		case d.Quiescent(j):
 			delete(d.cancelling, id)
-			d.end(now, j)
+			d.writeCancellation(now, j)
 		}
 	}
 }
 
-// end has a cancellation written.
-func (d *Component) end(now time.Duration, j *jobs.Job) {
+// writeCancellation has a cancellation written.
+func (d *Component) writeCancellation(now time.Duration, j *jobs.Job) {
 	j.CancelPending = true
 	d.cancelSeconds.Observe(j.Record.Class, (now - j.CancelAskedAt).Seconds())
 	d.LogMessage(effects.Debug, "nothing of a job that is to be cancelled is left", "job", j.Record.ID, "class", j.Record.Class, "after", (now - j.CancelAskedAt).Round(time.Millisecond))
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -169,7 +169,7 @@
 	j.CancelAskedAt = now
 	if j.Phase == jobs.Accepting {
 		if !j.CancelPending { // it has no task before its acceptance is durable
-			d.end(now, j)
+			d.writeCancellation(now, j)
 		}
 		return
 	}
