--- a/internal/leader/term/optional.go
+++ b/internal/leader/term/optional.go
@@ -14,14 +14,14 @@
 // What components implement besides Component is found by type assertions, which a renamed
 // method would leave unmatched without an error; these lines are checked by the compiler.
 var (
-	_ shower = (*failover.Component)(nil)
-	_ shower = (*coldstart.Component)(nil)
-	_ shower = (*dispatch.Component)(nil)
-	_ shower = (*rebalance.Component)(nil)
-	_ shower = (*slo.Component)(nil)
-	_ shower = (*pools.Component)(nil)
-	_ shower = (*runtimes.Component)(nil)
-	_ shower = (*reconfig.Component)(nil)
+	_ viewer = (*failover.Component)(nil)
+	_ viewer = (*coldstart.Component)(nil)
+	_ viewer = (*dispatch.Component)(nil)
+	_ viewer = (*rebalance.Component)(nil)
+	_ viewer = (*slo.Component)(nil)
+	_ viewer = (*pools.Component)(nil)
+	_ viewer = (*runtimes.Component)(nil)
+	_ viewer = (*reconfig.Component)(nil)
 
 	_ gauger = (*coldstart.Component)(nil)
 	_ gauger = (*rebalance.Component)(nil)
@@ -29,13 +29,13 @@
 	_ gauger = (*pools.Component)(nil)
 	_ gauger = (*reconfig.Component)(nil)
 
-	_ changer   = (*pools.Component)(nil)
-	_ changer   = (*runtimes.Component)(nil)
-	_ changerBy = (*reconfig.Component)(nil)
+	_ configurable        = (*pools.Component)(nil)
+	_ configurable        = (*runtimes.Component)(nil)
+	_ auditedConfigurable = (*reconfig.Component)(nil)
 
-	_ reader = (*pools.Component)(nil)
-	_ reader = (*runtimes.Component)(nil)
+	_ valueReceiver = (*pools.Component)(nil)
+	_ valueReceiver = (*runtimes.Component)(nil)
 
-	_ peerHearer = (*coldstart.Component)(nil)
-	_ peerHearer = (*rebalance.Component)(nil)
+	_ peerListener = (*coldstart.Component)(nil)
+	_ peerListener = (*rebalance.Component)(nil)
 )
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -287,7 +287,7 @@
 
 // valueReceiver is a duty that reads values of its own, after its term has begun.
 type valueReceiver interface {
-	// GotValues takes a page of them, in the order of their keys; ok is false for
+	// ValuesRead takes a page of them, in the order of their keys; ok is false for
 	// one that could not be read.
 	ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool)
 }
@@ -295,7 +295,7 @@
 // ValuesRead takes a page of a duty's own values.
 func (t *Term) ValuesRead(now time.Duration, duty string, list []eventlog.Value, more, ok bool) {
 	if r, known := t.componentsByName[duty].(valueReceiver); known {
-		r.GotValues(now, list, more, ok)
+		r.ValuesRead(now, list, more, ok)
 	}
 }
 
