--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -221,7 +221,7 @@
 // after the user was told, and whoever then leads, answers workers or knows of nothing:
 // there is nothing left that could run.
 func (d *Component) AppendEntries(now time.Duration) {
-	d.writeTasks(now)
+	d.appendCompleted(now)
 	for _, id := range slices.Sorted(maps.Keys(d.cancelling)) {
 		switch j := d.cancelling[id]; {
 		case j.Finished == len(j.Tasks): // done before it could be stopped
@@ -241,8 +241,8 @@
 	d.EventLog.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
 }
 
-// writeTasks hands completed tasks to the log.
-func (d *Component) writeTasks(now time.Duration) {
+// appendCompleted hands completed tasks to the log.
+func (d *Component) appendCompleted(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(d.completed)) {
 		d.appendTasks(now, *d.completed[id])
 	}
