--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -263,16 +263,16 @@
 		}
 	case e.Job != nil:
 		if _, over := d.Jobs.Final(e.Job.ID); over {
-			d.keepFinal(e.Job.ID)
+			d.compactFinalState(e.Job.ID)
 		} else if j := d.Jobs.Find(e.Job.ID); j != nil {
 			d.again(now, j)
 		}
 	case e.FinalStates != nil:
 		for _, id := range e.FinalStates.Done {
-			d.keepFinal(id)
+			d.compactFinalState(id)
 		}
 		for _, id := range e.FinalStates.Cancelled {
-			d.keepFinal(id)
+			d.compactFinalState(id)
 		}
 	}
 }
@@ -280,7 +280,7 @@
 // CompactionDone writes the final states gathered meanwhile.
 func (d *Component) CompactionDone() { d.writeOver(1) }
 
-func (d *Component) keepFinal(id uint64) {
+func (d *Component) compactFinalState(id uint64) {
 	switch p, _ := d.Jobs.Final(id); p {
 	case jobs.Done:
 		d.compactedFinals.Done = append(d.compactedFinals.Done, id)
