--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -278,7 +278,7 @@
 }
 
 // CompactionDone writes the final states gathered meanwhile.
-func (d *Component) CompactionDone() { d.writeOver(1) }
+func (d *Component) CompactionDone() { d.appendFinalStates(1) }
 
 func (d *Component) compactFinalState(id uint64) {
 	switch p, _ := d.Jobs.Final(id); p {
@@ -287,10 +287,10 @@
 	case jobs.Cancelled:
 		d.compactedFinals.Cancelled = append(d.compactedFinals.Cancelled, id)
 	}
-	d.writeOver(max(1, d.EventLog.MaxEntryBytes()/idBytes-2))
+	d.appendFinalStates(max(1, d.EventLog.MaxEntryBytes()/idBytes-2))
 }
 
-func (d *Component) writeOver(least int) {
+func (d *Component) appendFinalStates(least int) {
 	if len(d.compactedFinals.Done)+len(d.compactedFinals.Cancelled) >= least {
 		o := d.compactedFinals
 		d.EventLog.Append(eventlog.Entry{FinalStates: &o})
