--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -56,10 +56,10 @@
 	switch {
 	case e.FinalStates != nil:
 		for _, id := range e.FinalStates.Done {
-			d.isOver(id, jobs.Done)
+			d.replayFinalState(id, jobs.Done)
 		}
 		for _, id := range e.FinalStates.Cancelled {
-			d.isOver(id, jobs.Cancelled)
+			d.replayFinalState(id, jobs.Cancelled)
 		}
 	case e.Job != nil:
 		if _, over := d.Jobs.Final(e.Job.ID); !over && d.Jobs.Find(e.Job.ID) == nil {
@@ -67,7 +67,7 @@
 		}
 	case e.Cancel != nil:
 		if j := d.Jobs.Find(*e.Cancel); j != nil {
-			d.isOver(j.Record.ID, jobs.Cancelled)
+			d.replayFinalState(j.Record.ID, jobs.Cancelled)
 		}
 	case e.CompletedTasks != nil:
 		if e.CompletedTasks.AtMS != 0 {
@@ -86,7 +86,7 @@
 		j.RunCount += e.CompletedTasks.Known
 		if j.DurableCount == len(j.Tasks) {
 			d.Estimator.RestoreHistory(j.RunSeconds, j.RunCount)
-			d.isOver(j.Record.ID, jobs.Done)
+			d.replayFinalState(j.Record.ID, jobs.Done)
 		}
 	case e.Dependencies != nil:
 		d.replayedDependencies[e.Dependencies.ID] = append(d.replayedDependencies[e.Dependencies.ID], *e.Dependencies)
@@ -329,8 +329,8 @@
 	}
 }
 
-// isOver notes a final state while replaying, whatever stood before it.
-func (d *Component) isOver(id uint64, p jobs.Phase) {
+// replayFinalState notes a final state while replaying, whatever stood before it.
+func (d *Component) replayFinalState(id uint64, p jobs.Phase) {
 	d.Jobs.Finish(id, p)
 	if j := d.Jobs.Find(id); j != nil {
 		d.Jobs.Remove(j)
