--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -63,7 +63,7 @@
 		}
 	case e.Job != nil:
 		if _, over := d.Jobs.Final(e.Job.ID); !over && d.Jobs.Find(e.Job.ID) == nil {
-			d.enter(*e.Job, now)
+			d.addJob(*e.Job, now)
 		}
 	case e.Cancel != nil:
 		if j := d.Jobs.Find(*e.Cancel); j != nil {
@@ -337,7 +337,7 @@
 	}
 }
 
-func (d *Component) enter(rec eventlog.Job, now time.Duration) *jobs.Job {
+func (d *Component) addJob(rec eventlog.Job, now time.Duration) *jobs.Job {
 	rec.RevealPoolUnits()
 	j := d.Jobs.Add(rec)
 	j.Team = d.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -62,7 +62,7 @@
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 429, Why: "too much is waiting to be written", RetryAfter: 2}})
 		return
 	}
-	j := d.enter(*s.Job, now)
+	j := d.addJob(*s.Job, now)
 	d.suit(j)
 	d.submitRequests[s.ID] = append(d.submitRequests[s.ID], to)
 	d.EventLog.AppendTracked(d.entryOf(j))
