--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -186,7 +186,7 @@
 			}
 		}
 		if j.Record.ReleasedMS != 0 {
-			d.schedule(j, d.timeOf(j.Record.ReleasedMS, now))
+			d.schedule(j, d.toClock(j.Record.ReleasedMS, now))
 		}
 	}
 	for _, j := range cancelling {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -343,12 +343,12 @@
 	j.Team = d.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
 	j.Image = d.Images.Index(rec.Image)
 	j.Spot = rec.Spot && (rec.Checkpoint > 0 || rec.EstimateS <= d.Cfg.Tunables.SpotTaskS)
-	d.schedule(j, d.timeOf(rec.AtMS, now))
+	d.schedule(j, d.toClock(rec.AtMS, now))
 	return j
 }
 
-// timeOf is a time of day on this node's clock; none is later than now.
-func (d *Component) timeOf(ms int64, now time.Duration) time.Duration {
+// toClock is a time of day on this node's clock; none is later than now.
+func (d *Component) toClock(ms int64, now time.Duration) time.Duration {
 	return min(now, time.Duration(ms-d.ClockZeroMS)*time.Millisecond)
 }
 
