--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -111,7 +111,7 @@
 func (d *Component) release(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
 	j.Record.ReleasedMS = d.ClockZeroMS + now.Milliseconds()
-	d.schedule(j, now)
+	d.setDeadlines(j, now)
 	d.enqueue(now, j)
 	d.Counts.Released++
 	d.LogMessage(effects.Debug, "job released: all that it follows are done", "job", j.Record.ID, "class", j.Record.Class, "follows", len(j.Record.Follows))
@@ -186,7 +186,7 @@
 			}
 		}
 		if j.Record.ReleasedMS != 0 {
-			d.schedule(j, d.toClock(j.Record.ReleasedMS, now))
+			d.setDeadlines(j, d.toClock(j.Record.ReleasedMS, now))
 		}
 	}
 	for _, j := range cancelling {
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -343,7 +343,7 @@
 	j.Team = d.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
 	j.Image = d.Images.Index(rec.Image)
 	j.Spot = rec.Spot && (rec.Checkpoint > 0 || rec.EstimateS <= d.Cfg.Tunables.SpotTaskS)
-	d.schedule(j, d.toClock(rec.AtMS, now))
+	d.setDeadlines(j, d.toClock(rec.AtMS, now))
 	return j
 }
 
@@ -352,9 +352,9 @@
 	return min(now, time.Duration(ms-d.ClockZeroMS)*time.Millisecond)
 }
 
-// schedule settles the times that count from a job's arrival, or from its
+// setDeadlines settles the times that count from a job's arrival, or from its
 // release.
-func (d *Component) schedule(j *jobs.Job, at time.Duration) {
+func (d *Component) setDeadlines(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
 	j.PriorityWindows, j.LastAim, j.LostUntil = nil, 0, 0
 	j.BehindUntil = at + d.patience(j)
