--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -363,7 +363,7 @@
 			continue
 		}
 		if o.Kind == settings.AimFinished {
-			d.startBy(j, at, o.WithinS)
+			d.addStartDeadline(j, at, o.WithinS)
 			j.LastAim = max(j.LastAim, at+settings.Seconds(o.WithinS))
 			j.LostUntil = max(j.LostUntil, at+settings.Seconds(o.WithinS*d.Cfg.Tunables.LostBehind))
 		}
@@ -376,10 +376,10 @@
 	}
 }
 
-// startBy has a best-effort job, which goes behind the order at first, go
+// addStartDeadline has a best-effort job, which goes behind the order at first, go
 // ahead of it in time for an aim for its end, and at once where that cannot be
 // made: such jobs set the end of the day.
-func (d *Component) startBy(j *jobs.Job, at time.Duration, within float64) {
+func (d *Component) addStartDeadline(j *jobs.Job, at time.Duration, within float64) {
 	if j.Priority > 0 || d.Cfg.Tunables.WaitLeadS == 0 {
 		return
 	}
