--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -368,7 +368,7 @@
 			j.LostUntil = max(j.LostUntil, at+settings.Seconds(o.WithinS*d.Cfg.Tunables.LostBehind))
 		}
 		if o.Kind == settings.AimWait && d.Cfg.Tunables.WaitLeadS > 0 {
-			d.goAhead(j, at, o.WithinS)
+			d.addPriorityWindow(j, at, o.WithinS)
 		}
 		if o.Kind == settings.AimWait && d.Cfg.Tunables.DirectStarts > 0 && j.Record.Kind != jobs.Gang && d.Cfg.NeedsDispatch(o) {
 			j.Prompt = true
@@ -389,12 +389,12 @@
 		j.BehindUntil = 0
 		return
 	}
-	j.BehindUntil = min(j.BehindUntil, d.goAhead(j, at, latest))
+	j.BehindUntil = min(j.BehindUntil, d.addPriorityWindow(j, at, latest))
 }
 
-// goAhead has a job's waiting tasks go ahead of the order for a while before
+// addPriorityWindow has a job's waiting tasks go ahead of the order for a while before
 // the latest time at which they should start, and says from when on.
-func (d *Component) goAhead(j *jobs.Job, at time.Duration, latest float64) time.Duration {
+func (d *Component) addPriorityWindow(j *jobs.Job, at time.Duration, latest float64) time.Duration {
 	from := at + settings.Seconds(latest-min(d.Cfg.Tunables.WaitLeadS, mostLead*latest))
 	j.PriorityWindows = append(j.PriorityWindows, [2]time.Duration{from, at + settings.Seconds(latest)})
 	return from
