--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -102,7 +102,7 @@
 		if j == nil {
 			continue
 		}
-		d.suit(j)
+		d.resolveTypes(j)
 		if j.Record.Kind == jobs.Service || j.Phase == jobs.Held {
 			continue
 		}
@@ -409,10 +409,10 @@
 	mostLead = 0.7 // of an aim that is short: not all of its class goes ahead from the start
 )
 
-// suit settles which machine types a job may use and what a task takes up on
+// resolveTypes settles which machine types a job may use and what a task takes up on
 // them. It is called once the types are known: while the log is replayed they
 // may come after the job.
-func (d *Component) suit(j *jobs.Job) {
+func (d *Component) resolveTypes(j *jobs.Job) {
 	if j.Record.Types != nil {
 		j.Types = make([]bool, max(d.TypeNames.Len(), 1))
 		for _, n := range j.Record.Types {
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -63,7 +63,7 @@
 		return
 	}
 	j := d.addJob(*s.Job, now)
-	d.suit(j)
+	d.resolveTypes(j)
 	d.submitRequests[s.ID] = append(d.submitRequests[s.ID], to)
 	d.EventLog.AppendTracked(d.entryOf(j))
 }
