--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -357,7 +357,7 @@
 func (d *Component) setDeadlines(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
 	j.PriorityWindows, j.LastAim, j.LostUntil = nil, 0, 0
-	j.BehindUntil = at + d.patience(j)
+	j.BehindUntil = at + d.deferral(j)
 	for _, o := range d.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
 			continue
@@ -429,10 +429,10 @@
 	}
 }
 
-// patience is how long a job goes behind the order: best-effort work until
+// deferral is how long a job goes behind the order: best-effort work until
 // some time before its class's tightest aim, so that small jobs of it do not
 // jump the queue of those that are in more of a hurry.
-func (d *Component) patience(j *jobs.Job) time.Duration {
+func (d *Component) deferral(j *jobs.Job) time.Duration {
 	if j.Priority > 0 {
 		return 0
 	}
