--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -448,9 +448,9 @@
 	return settings.Seconds(max(0, tightest-d.Cfg.Tunables.LowLeadS))
 }
 
-// entryOf is what is durable of a job's acceptance. What it follows may take
+// acceptanceEntry is what is durable of a job's acceptance. What it follows may take
 // entries of its own, which are appended and kept beside it from then on.
-func (d *Component) entryOf(j *jobs.Job) eventlog.Entry {
+func (d *Component) acceptanceEntry(j *jobs.Job) eventlog.Entry {
 	rec, parts := d.storedForm(j.Record)
 	if j.Record.Rest == 0 {
 		for _, p := range parts {
@@ -480,7 +480,7 @@
 // their way to the log are in it too: their own entry will stand before the job
 // that is written here, and be replayed without it.
 func (d *Component) again(now time.Duration, j *jobs.Job) {
-	d.EventLog.Append(d.entryOf(j))
+	d.EventLog.Append(d.acceptanceEntry(j))
 	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
 	for k, s := range j.Tasks {
 		if s == jobs.DoneDurably || s == jobs.Finished {
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -65,7 +65,7 @@
 	j := d.addJob(*s.Job, now)
 	d.resolveTypes(j)
 	d.submitRequests[s.ID] = append(d.submitRequests[s.ID], to)
-	d.EventLog.AppendTracked(d.entryOf(j))
+	d.EventLog.AppendTracked(d.acceptanceEntry(j))
 }
 
 // rejectionReason says why a job can never run, or nothing.
