--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -265,7 +265,7 @@
 		if _, over := d.Jobs.Final(e.Job.ID); over {
 			d.compactFinalState(e.Job.ID)
 		} else if j := d.Jobs.Find(e.Job.ID); j != nil {
-			d.again(now, j)
+			d.compactOpenJob(now, j)
 		}
 	case e.FinalStates != nil:
 		for _, id := range e.FinalStates.Done {
@@ -476,10 +476,10 @@
 	d.EventLog.AppendTracked(eventlog.Entry{CompletedTasks: &b})
 }
 
-// again appends what is known of an open job. Completed tasks that are on
+// compactOpenJob appends what is known of an open job. Completed tasks that are on
 // their way to the log are in it too: their own entry will stand before the job
 // that is written here, and be replayed without it.
-func (d *Component) again(now time.Duration, j *jobs.Job) {
+func (d *Component) compactOpenJob(now time.Duration, j *jobs.Job) {
 	d.EventLog.Append(d.acceptanceEntry(j))
 	noted := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
 	for k, s := range j.Tasks {
