--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -421,7 +421,7 @@
 			}
 		}
 	}
-	j.Share = d.share(j)
+	j.Share = d.cpuShare(j)
 	j.FitsWithoutGPU = false
 	for i, ty := range d.Types {
 		j.FitsWithoutGPU = j.FitsWithoutGPU || (ty.GPUs == 0 && (j.Types == nil || (i < len(j.Types) && j.Types[i])) && (j.Record.Zone == "" || slices.Contains(ty.Zones, j.Record.Zone)) &&
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -93,10 +93,10 @@
 	return ""
 }
 
-// share is how many processors of a machine a task takes up, counting those
+// cpuShare is how many processors of a machine a task takes up, counting those
 // that its memory or accelerators leave unusable, on the type that suits it
 // best.
-func (d *Component) share(j *jobs.Job) float64 {
+func (d *Component) cpuShare(j *jobs.Job) float64 {
 	best := j.Record.CPUs
 	found := false
 	for i, ty := range d.Types {
