--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -153,7 +153,7 @@
 	case j.Phase == jobs.Open:
 		j.Phase = jobs.Held
 	}
-	a, _ := d.state(id)
+	a, _ := d.jobState(id)
 	a.Status, a.Counts = 201, false
 	for _, to := range d.submitRequests[id] {
 		d.answer(sure, to, a)
--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -20,7 +20,7 @@
 		d.submitRequests[s.ID] = append(d.submitRequests[s.ID], to)
 		return
 	}
-	if a, ok := d.state(s.ID); ok {
+	if a, ok := d.jobState(s.ID); ok {
 		d.Emit(effects.Reply{To: to, Answer: a})
 		return
 	}
@@ -109,8 +109,8 @@
 	return max(best, j.Record.CPUs)
 }
 
-// state is what users may be told of a job.
-func (d *Component) state(id uint64) (effects.Answer, bool) {
+// jobState is what users may be told of a job.
+func (d *Component) jobState(id uint64) (effects.Answer, bool) {
 	if p, ok := d.Jobs.Final(id); ok {
 		s := wire.Done
 		if p == jobs.Cancelled {
@@ -131,7 +131,7 @@
 
 // Query answers for a job's state.
 func (d *Component) Query(to effects.RequestID, id uint64) {
-	if a, ok := d.state(id); ok {
+	if a, ok := d.jobState(id); ok {
 		d.Emit(effects.Reply{To: to, Answer: a})
 		return
 	}
@@ -150,7 +150,7 @@
 // it is left anywhere. A user who cannot be told in time asks again.
 func (d *Component) Cancel(now time.Duration, to effects.RequestID, id uint64) {
 	if _, over := d.Jobs.Final(id); over {
-		a, _ := d.state(id)
+		a, _ := d.jobState(id)
 		d.Emit(effects.Reply{To: to, Answer: a})
 		return
 	}
@@ -186,7 +186,7 @@
 }
 
 func (d *Component) answerCancellations(sure bool, id uint64) {
-	a, _ := d.state(id)
+	a, _ := d.jobState(id)
 	for _, to := range d.cancelRequests[id] {
 		d.answer(sure, to, a)
 	}
