--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -21,10 +21,10 @@
 // Upper bounds for what one item takes in an entry of the log, and rough sizes
 // that tell how much of the log is live.
 const (
-	rangeBytes = 16
-	idBytes    = 21
-	jobBytes   = 400
-	overBytes  = 9
+	maxRangeBytes = 16
+	idBytes       = 21
+	jobBytes      = 400
+	overBytes     = 9
 )
 
 // Component is the life of all jobs in a term.
@@ -467,7 +467,7 @@
 	if j := d.Jobs.Find(b.ID); j != nil && len(j.Dependents) > 0 {
 		b.AtMS = d.ClockZeroMS + now.Milliseconds()
 	}
-	most := max(1, d.EventLog.MaxEntryBytes()/rangeBytes-4)
+	most := max(1, d.EventLog.MaxEntryBytes()/maxRangeBytes-4)
 	for len(b.Ranges) > most {
 		part := eventlog.CompletedTasks{ID: b.ID, Ranges: b.Ranges[:most], AtMS: b.AtMS}
 		d.EventLog.AppendTracked(eventlog.Entry{CompletedTasks: &part})
