--- a/internal/leader/lifecycle/follow.go
+++ b/internal/leader/lifecycle/follow.go
@@ -32,7 +32,7 @@
 		return rec, nil
 	}
 	var parts []eventlog.Entry
-	for ids := range slices.Chunk(rec.Follows, max(1, d.EventLog.MaxEntryBytes()/idBytes-4)) {
+	for ids := range slices.Chunk(rec.Follows, max(1, d.EventLog.MaxEntryBytes()/maxIDBytes-4)) {
 		parts = append(parts, eventlog.Entry{Dependencies: &eventlog.Dependencies{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}})
 	}
 	rec.Rest, rec.Follows = len(rec.Follows), nil
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -22,7 +22,7 @@
 // that tell how much of the log is live.
 const (
 	maxRangeBytes = 16
-	idBytes       = 21
+	maxIDBytes    = 21
 	jobBytes      = 400
 	overBytes     = 9
 )
@@ -287,7 +287,7 @@
 	case jobs.Cancelled:
 		d.compactedFinals.Cancelled = append(d.compactedFinals.Cancelled, id)
 	}
-	d.appendFinalStates(max(1, d.EventLog.MaxEntryBytes()/idBytes-2))
+	d.appendFinalStates(max(1, d.EventLog.MaxEntryBytes()/maxIDBytes-2))
 }
 
 func (d *Component) appendFinalStates(least int) {
