--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -23,7 +23,7 @@
 const (
 	maxRangeBytes = 16
 	maxIDBytes    = 21
-	jobBytes      = 400
+	openJobBytes  = 400
 	overBytes     = 9
 )
 
@@ -250,7 +250,7 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return d.Jobs.Len()*jobBytes + d.Jobs.Finals()*overBytes }
+func (d *Component) LiveBytes() int { return d.Jobs.Len()*openJobBytes + d.Jobs.Finals()*overBytes }
 
 // Compact writes anew what is live of an entry.
 func (d *Component) Compact(now time.Duration, e eventlog.Entry) {
