--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -21,10 +21,10 @@
 // Upper bounds for what one item takes in an entry of the log, and rough sizes
 // that tell how much of the log is live.
 const (
-	maxRangeBytes = 16
-	maxIDBytes    = 21
-	openJobBytes  = 400
-	overBytes     = 9
+	maxRangeBytes   = 16
+	maxIDBytes      = 21
+	openJobBytes    = 400
+	finalStateBytes = 9
 )
 
 // Component is the life of all jobs in a term.
@@ -250,7 +250,9 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return d.Jobs.Len()*openJobBytes + d.Jobs.Finals()*overBytes }
+func (d *Component) LiveBytes() int {
+	return d.Jobs.Len()*openJobBytes + d.Jobs.Finals()*finalStateBytes
+}
 
 // Compact writes anew what is live of an entry.
 func (d *Component) Compact(now time.Duration, e eventlog.Entry) {
