--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -385,7 +385,7 @@
 	if j.Priority > 0 || d.Cfg.Tunables.WaitLeadS == 0 {
 		return
 	}
-	latest := within - overrunFactor*j.Record.EstimateS - placing
+	latest := within - overrunFactor*j.Record.EstimateS - placingSeconds
 	if latest <= 0 {
 		j.PriorityWindows = append(j.PriorityWindows, [2]time.Duration{at, at + settings.Seconds(within)})
 		j.BehindUntil = 0
@@ -405,8 +405,8 @@
 // What startBy leaves for tasks that run longer than estimated, and for
 // placing all of a job.
 const (
-	overrunFactor = 1.2
-	placing       = 10
+	overrunFactor  = 1.2
+	placingSeconds = 10
 
 	mostLead = 0.7 // of an aim that is short: not all of its class goes ahead from the start
 )
