--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -397,7 +397,7 @@
 // addPriorityWindow has a job's waiting tasks go ahead of the order for a while before
 // the latest time at which they should start, and says from when on.
 func (d *Component) addPriorityWindow(j *jobs.Job, at time.Duration, latest float64) time.Duration {
-	from := at + settings.Seconds(latest-min(d.Cfg.Tunables.WaitLeadS, mostLead*latest))
+	from := at + settings.Seconds(latest-min(d.Cfg.Tunables.WaitLeadS, maxLeadShare*latest))
 	j.PriorityWindows = append(j.PriorityWindows, [2]time.Duration{from, at + settings.Seconds(latest)})
 	return from
 }
@@ -408,7 +408,7 @@
 	overrunFactor  = 1.2
 	placingSeconds = 10
 
-	mostLead = 0.7 // of an aim that is short: not all of its class goes ahead from the start
+	maxLeadShare = 0.7 // of an aim that is short: not all of its class goes ahead from the start
 )
 
 // resolveTypes settles which machine types a job may use and what a task takes up on
