--- a/internal/leader/lifecycle/users.go
+++ b/internal/leader/lifecycle/users.go
@@ -144,7 +144,7 @@
 
 // mostAskers bounds those who wait to be told of one cancellation: each is told to come back
 // after a second.
-const mostAskers = 64
+const maxCancelRequests = 64
 
 // Cancel cancels a job: its tasks are stopped at once, and its user is told once nothing of
 // it is left anywhere. A user who cannot be told in time asks again.
@@ -159,7 +159,7 @@
 		d.Emit(effects.Reply{To: to, Answer: effects.Answer{Status: 404, Why: "no such job"}})
 		return
 	}
-	if list := d.cancelRequests[id]; len(list) >= mostAskers {
+	if list := d.cancelRequests[id]; len(list) >= maxCancelRequests {
 		d.cancelRequests[id] = slices.Delete(list, 0, 1) // it was told to come back long ago
 	}
 	d.cancelRequests[id] = append(d.cancelRequests[id], to)
