--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -99,48 +99,48 @@
 	s := cluster.New(start)
 	t := &Term{State: s, Users: lifecycle.New(s), fairShare: fairshare.New(s), registry: registry.New(s), placement: placement.New(s), autoscaler: autoscaler.New(s),
 		componentsByName: map[string]Component{}}
-	t.addComponent("", t.Users)
-	t.addComponent("", t.fairShare)
-	t.addComponent(registry.Name, t.registry)
-	t.addComponent(placement.Name, t.placement)
-	t.addComponent("", t.autoscaler)
+	t.add("", t.Users)
+	t.add("", t.fairShare)
+	t.add(registry.Name, t.registry)
+	t.add(placement.Name, t.placement)
+	t.add("", t.autoscaler)
 	if keep := start.Cfg.Tunables.TakeoversKept; keep > 0 {
-		t.addComponent(failover.Name, failover.New(s, keep))
+		t.add(failover.Name, failover.New(s, keep))
 	}
 	if s.Cfg.Tunables.ConfigHistory > 0 {
 		t.reconfig = reconfig.New(s)
-		t.addComponent(reconfig.Name, t.reconfig)
+		t.add(reconfig.Name, t.reconfig)
 	}
 	if start.Cfg.Tunables.ColdListen == 1 || start.Cfg.Tunables.ColdKept > 0 {
 		t.coldStart = coldstart.New(s)
-		t.addComponent(coldstart.Name, t.coldStart)
+		t.add(coldstart.Name, t.coldStart)
 	}
 	if start.Cfg.Tunables.DirectStarts > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.dispatch = dispatch.New(s)
-		t.addComponent(dispatch.Name, t.dispatch)
+		t.add(dispatch.Name, t.dispatch)
 	}
 	if start.Cfg.Tunables.AskSilent > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.probe = probe.New(s)
-		t.addComponent("", t.probe)
+		t.add("", t.probe)
 	}
 	if start.Cfg.Tunables.SpreadMoves > 0 {
-		t.addComponent(rebalance.Name, rebalance.New(s))
+		t.add(rebalance.Name, rebalance.New(s))
 	}
 	if start.Cfg.Tunables.ServedWindowS > 0 {
-		t.addComponent(slo.Name, slo.New(s))
+		t.add(slo.Name, slo.New(s))
 	}
 	if len(start.Cfg.Tunables.Pools) > 0 {
-		t.addComponent(pools.Name, pools.New(s))
+		t.add(pools.Name, pools.New(s))
 	}
 	if start.Cfg.Tunables.RunTimesKinds > 0 {
-		t.addComponent(runtimes.Name, runtimes.New(s))
+		t.add(runtimes.Name, runtimes.New(s))
 	}
 	return t
 }
 
-// addComponent composes a duty into the term. name is that of its own entries; those of
+// add composes a duty into the term. name is that of its own entries; those of
 // the first version have their own fields and need none.
-func (t *Term) addComponent(name string, d Component) {
+func (t *Term) add(name string, d Component) {
 	t.components = append(t.components, d)
 	t.Subscribe(d)
 	if name != "" {
