--- a/internal/leader/term/optional.go
+++ b/internal/leader/term/optional.go
@@ -1,6 +1,13 @@
 package term
 
 import (
+	"encoding/json"
+	"errors"
+	"strings"
+	"time"
+
+	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/leader/cluster"
 	"bitternmoor/internal/leader/coldstart"
 	"bitternmoor/internal/leader/dispatch"
 	"bitternmoor/internal/leader/failover"
@@ -39,3 +46,94 @@
 	_ peerListener = (*coldstart.Component)(nil)
 	_ peerListener = (*rebalance.Component)(nil)
 )
+
+// viewer is a component that operators may look into.
+type viewer interface {
+	// Show gives a view as a JSON value; cluster.ErrUnknownView: there is no such view.
+	Show(now time.Duration, view string) (json.RawMessage, error)
+}
+
+// Show gives operators a view: NAME of a component, or NAME/VIEW where it has several. ok
+// is false where there is no such view, or the component is switched off.
+func (t *Term) Show(now time.Duration, what string) (raw json.RawMessage, ok bool, err error) {
+	name, view, _ := strings.Cut(what, "/")
+	c, ok := t.componentsByName[name].(viewer)
+	if !ok {
+		return nil, false, nil
+	}
+	raw, err = c.Show(now, view)
+	if errors.Is(err, cluster.ErrUnknownView) {
+		return nil, false, nil
+	}
+	return raw, true, err
+}
+
+// gauger is a component that has gauges of its own for metrics.
+type gauger interface {
+	Gauges(now time.Duration) []cluster.Gauge
+}
+
+// Gauges gives the gauges of all components, in their order.
+func (t *Term) Gauges(now time.Duration) []cluster.Gauge {
+	var gauges []cluster.Gauge
+	for _, c := range t.components {
+		if g, ok := c.(gauger); ok {
+			gauges = append(gauges, g.Gauges(now)...)
+		}
+	}
+	return gauges
+}
+
+// configurable is a component that operators may ask to change something.
+type configurable interface {
+	Change(now time.Duration, body json.RawMessage) (json.RawMessage, error)
+}
+
+// auditedConfigurable is one that records who has asked.
+type auditedConfigurable interface {
+	ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error)
+}
+
+// Change has the component with a name change something that an operator asks for. ok is
+// false where there is no such component, it is switched off, or it has nothing that could
+// be changed.
+func (t *Term) Change(now time.Duration, name, by string, body json.RawMessage) (raw json.RawMessage, ok bool, err error) {
+	switch c := t.componentsByName[name].(type) {
+	case configurable:
+		raw, err = c.Change(now, body)
+	case auditedConfigurable:
+		raw, err = c.ChangeBy(now, by, body)
+	default:
+		return nil, false, nil
+	}
+	return raw, true, err
+}
+
+// valueReceiver is a component that reads values of its own, after its term has begun.
+type valueReceiver interface {
+	// ValuesRead takes a page of them, in the order of their keys; ok is false for a page
+	// that could not be read.
+	ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool)
+}
+
+// ValuesRead takes a page of a component's own values.
+func (t *Term) ValuesRead(now time.Duration, component string, list []eventlog.Value, more, ok bool) {
+	if c, known := t.componentsByName[component].(valueReceiver); known {
+		c.ValuesRead(now, list, more, ok)
+	}
+}
+
+// peerListener is a component that is told when other controllers answer the leader's
+// heartbeats.
+type peerListener interface {
+	PeerHeard(now time.Duration, peer string, took time.Duration)
+}
+
+// PeerHeard notes that another controller has answered a heartbeat, and how long that took.
+func (t *Term) PeerHeard(now time.Duration, peer string, took time.Duration) {
+	for _, c := range t.components {
+		if l, ok := c.(peerListener); ok {
+			l.PeerHeard(now, peer, took)
+		}
+	}
+}
--- /dev/null
+++ b/internal/leader/term/replay.go
@@ -0,0 +1,104 @@
+package term
+
+import (
+	"time"
+
+	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/leadership"
+	"bitternmoor/internal/effects"
+)
+
+// unknownEntryShown is how many bytes of an entry that is not understood are logged.
+const unknownEntryShown = 80
+
+// LoadedLog is what a new leader reads back from the state service.
+type LoadedLog struct {
+	First, Last int                    // numbers of the log's first and last segment
+	Entries     []eventlog.Entry       // of all segments, in order
+	Sizes       []eventlog.VirtualSize // oldest first
+	Pieces      int                    // how many pieces of virtual sizes there may be
+}
+
+// Loaded says whether the log has been read: before, nothing is known of jobs.
+func (t *Term) Loaded() bool { return t.loaded }
+
+// Load replays the whole log. mark is the revision of the leader's epoch key, on which all
+// commits of the term are conditional.
+func (t *Term) Load(now time.Duration, mark uint64, log LoadedLog) {
+	writes := t.Cfg.WriteLimits()
+	limits := eventlog.Limits{
+		WriteRPS:   writes.WriteRPS,
+		ValueBytes: int(writes.ValueKB * 1024),
+		TxnOps:     writes.TxnOps,
+	}
+	t.EventLog = eventlog.NewLog(limits, leadership.EpochKey, mark, log.Last, log.Pieces)
+	t.firstSegment = max(log.First, 1)
+	for _, e := range log.Entries {
+		if !t.routeEntry(e, func(c Component) { c.Replay(now, e) }) {
+			t.logUnknownEntry(e)
+		}
+	}
+	for _, c := range t.components {
+		c.Begin(now)
+	}
+	t.fairShare.Restore(now, log.Sizes)
+	t.loaded = true
+	t.NeedsCycle = true
+	t.logTermBegun(log)
+}
+
+// logTermBegun logs what the replay has found.
+func (t *Term) logTermBegun(log LoadedLog) {
+	registered, booting := 0, 0
+	for _, m := range t.Inventory.All() {
+		if m.Durable {
+			registered++
+		} else {
+			booting++
+		}
+	}
+	t.LogMessage(effects.Info, "term begun",
+		"epoch", t.Epoch,
+		"jobs", t.Estimator.Len(),
+		"machines", registered,
+		"booting", booting,
+		"segments", log.Last-log.First+1)
+}
+
+// routeEntry hands an entry to the components that may know it: one that names its
+// component to that component alone. It is false for an entry that none of them knows.
+func (t *Term) routeEntry(e eventlog.Entry, f func(Component)) bool {
+	if e.Component != nil {
+		c := t.componentsByName[e.Component.Duty]
+		if c == nil {
+			return false
+		}
+		f(c)
+		return true
+	}
+	if e.Unknown != nil {
+		return false
+	}
+	for _, c := range t.components {
+		f(c)
+	}
+	return true
+}
+
+// logUnknownEntry says once in a term that the log has entries of a component that this
+// version does not know, or that is switched off.
+func (t *Term) logUnknownEntry(e eventlog.Entry) {
+	if t.unknownEntryLogged {
+		return
+	}
+	t.unknownEntryLogged = true
+	if e.Component != nil {
+		t.LogMessage(effects.Warn,
+			"the log has entries of a duty that is not known or is switched off: they are kept as they are",
+			"duty", e.Component.Duty)
+		return
+	}
+	t.LogMessage(effects.Warn,
+		"the log has entries that this version does not know: they are kept as they are",
+		"first", string(e.Unknown[:min(len(e.Unknown), unknownEntryShown)]))
+}
