--- /dev/null
+++ b/internal/leader/cluster/counts.go
@@ -0,0 +1,16 @@
+package cluster
+
+// Counts add up since the process began.
+type Counts struct {
+	Terms          uint64 `json:"terms"`
+	Reports        uint64 `json:"reports"`
+	Answered       uint64 `json:"user_requests_answered"`
+	Refused        uint64 `json:"user_requests_refused"`
+	MachinesLost   uint64 `json:"machines_lost"`
+	RentalsRefused uint64 `json:"rentals_refused"`
+	TasksDone      uint64 `json:"tasks_done"`
+	TasksRerun     uint64 `json:"tasks_rerun"`
+	Released       uint64 `json:"jobs_released"`
+	CancelSpread   uint64 `json:"cancellations_spread"`
+	LeftWaiting    uint64 `json:"left_waiting"`
+}
--- /dev/null
+++ b/internal/leader/cluster/plans.go
@@ -0,0 +1,65 @@
+package cluster
+
+import (
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
+)
+
+// CancelPlan takes back a plan. One that is on offer may have been taken up
+// already: it counts until no offer is open.
+func (s *State) CancelPlan(p *workers.Placement) {
+	if len(p.Offered) > 0 {
+		p.Withdrawn = true
+		return
+	}
+	p.Machine.RemovePlacement(p.Ref)
+	s.Unplace(p.Ref)
+}
+
+// CancelPlans takes back all that is planned on a machine.
+func (s *State) CancelPlans(m *workers.Machine) {
+	for _, p := range m.Tasks {
+		if p.Planned {
+			s.CancelPlan(p)
+		}
+	}
+}
+
+// Unplace takes a task off its machine in the books of jobs, teams and sizes.
+func (s *State) Unplace(ref workers.Ref) {
+	p := s.Placements[ref]
+	if p == nil {
+		return
+	}
+	delete(s.Placements, ref)
+	j := s.Jobs.At(ref.Job)
+	j.CountInZone(p.Machine.Zone, -1)
+	s.Scheduler.Refund(j.Team, j.Need)
+	j.Release(int(ref.Task))
+	s.ResetGangIfEmpty(j)
+	s.Estimator.Lost(ref.Job, int(ref.Task))
+	s.RemoveIfFinished(j)
+	s.NeedsCycle = true
+}
+
+// ListMachineWithPlans keeps a machine among those whose plans are offered.
+func (s *State) ListMachineWithPlans(m *workers.Machine) {
+	if !m.HasPlansListed {
+		m.HasPlansListed = true
+		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
+	}
+}
+
+// RemoveIfFinished takes a job that is over out of the table once none of its tasks
+// counts as being anywhere.
+func (s *State) RemoveIfFinished(j *jobs.Job) {
+	if j.Placed == 0 && (j.Phase == jobs.Cancelled || j.Phase == jobs.Done) {
+		s.removeJob(j)
+	}
+}
+
+// removeJob takes a job out of the table.
+func (s *State) removeJob(j *jobs.Job) {
+	s.Jobs.Remove(j)
+	s.Publish(Event{Kind: JobRemoved, Job: j})
+}
