--- a/internal/leader/cluster/actions.go
+++ b/internal/leader/cluster/actions.go
@@ -1,14 +1,14 @@
 package cluster
 
-// Action is a kind of thing that a leader orders.
+// Action is a kind of thing that a leader has done by workers or the cloud.
 type Action uint8
 
-// Kinds of orders.
+// Kinds of actions.
 const (
 	StartNew   Action = iota // a task that no earlier term can have handed out
-	StartAgain               // one that may have been handed out before
+	StartAgain               // a task that may have been handed out before
 	Rent                     // machines
-	Return                   // a machine that is not wanted, or that the cloud takes
+	Return                   // a machine that is not wanted, or that the cloud takes back
 	Delete                   // a machine that is given up
 	Preempt                  // tasks, for others that go ahead of them
 	Move                     // tasks, off a machine that is returned
@@ -16,4 +16,5 @@
 
 var actionNames = [...]string{"start_new", "start_again", "rent", "return", "delete", "preempt", "move"}
 
+// String is the action's name in views, metrics and stored entries.
 func (o Action) String() string { return actionNames[o] }
--- a/internal/leader/cluster/counts.go
+++ b/internal/leader/cluster/counts.go
@@ -1,9 +1,9 @@
 package cluster
 
-// Counts add up since the process began.
+// Counts add up since the process began; they outlive terms.
 type Counts struct {
 	Terms          uint64 `json:"terms"`
-	Reports        uint64 `json:"reports"`
+	Reports        uint64 `json:"reports"` // heartbeats
 	Answered       uint64 `json:"user_requests_answered"`
 	Refused        uint64 `json:"user_requests_refused"`
 	MachinesLost   uint64 `json:"machines_lost"`
@@ -11,6 +11,6 @@
 	TasksDone      uint64 `json:"tasks_done"`
 	TasksRerun     uint64 `json:"tasks_rerun"`
 	Released       uint64 `json:"jobs_released"`
-	CancelSpread   uint64 `json:"cancellations_spread"`
+	CancelSpread   uint64 `json:"cancellations_spread"` // to jobs that depend on a cancelled one
 	LeftWaiting    uint64 `json:"left_waiting"`
 }
--- a/internal/leader/cluster/effects.go
+++ b/internal/leader/cluster/effects.go
@@ -2,17 +2,18 @@
 
 import "bitternmoor/internal/effects"
 
-// TakeEffects returns the effects since the last call.
+// Emit adds an effect to those that the node carries out next.
+func (s *State) Emit(e effects.Effect) { s.pendingEffects = append(s.pendingEffects, e) }
+
+// TakeEffects returns the effects since the last call, in the order in which they were
+// emitted.
 func (s *State) TakeEffects() []effects.Effect {
 	out := s.pendingEffects
 	s.pendingEffects = nil
 	return out
 }
 
-// Emit puts out an effect.
-func (s *State) Emit(e effects.Effect) { s.pendingEffects = append(s.pendingEffects, e) }
-
-// LogMessage has something logged.
+// LogMessage has a message logged, with attributes as alternating keys and values.
 func (s *State) LogMessage(l effects.Level, text string, args ...any) {
 	s.Emit(effects.LogMessage{Level: l, Message: text, Args: args})
 }
--- a/internal/leader/cluster/events.go
+++ b/internal/leader/cluster/events.go
@@ -1,9 +1,10 @@
 package cluster
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
-	"time"
 )
 
 // Subscriber hears what happens in a term, while it happens.
@@ -12,12 +13,12 @@
 // EventKind says what has happened.
 type EventKind uint8
 
-// What listeners hear.
+// What subscribers hear. Job, Task, Machine, Report, RunSeconds and Action are fields of Event.
 const (
 	JobRemoved            EventKind = iota // Job is over, and nothing of it is left anywhere
 	TaskPlaced                             // Task of Job is on Machine, or on its way there: this leader started it
 	TaskBegan                              // Task of Job was seen to run on Machine
-	TaskDone                               // Task of Job has completed, after Took seconds of running or, below 0, after an unknown time
+	TaskDone                               // Task of Job has completed, after RunSeconds, or below 0: after an unknown time
 	HeartbeatApplied                       // Report of Machine, newer than all before, was taken in
 	TaskGone                               // Task of Job is not on Machine any more, and has not completed
 	JobDone                                // all tasks of Job are durably done
@@ -27,12 +28,13 @@
 	OfferLost                              // Task of Job was on offer to Machine, whose worker has died since: it may have run there
 	MachineProvedGone                      // Machine is proved gone; TaskGone of all that was on it came before
 	TaskAdopted                            // Task of Job, which an earlier leader had started, was found on Machine
-	TaskStopped                            // Task of Job on Machine is told to stop, by Order
+	TaskStopped                            // Task of Job on Machine is told to stop, by Action
 	MachineRented                          // Machine was rented by a request of this term
-	MachineDecommissioned                  // the deletion of Machine is decided, by Order
+	MachineDecommissioned                  // the deletion of Machine is decided, by Action
 )
 
-// Event is something that has happened. What its kind does not name is not set.
+// Event is something that has happened. Fields that the comment on its kind does not name
+// are not set.
 type Event struct {
 	Kind         EventKind
 	At           time.Duration
@@ -46,10 +48,10 @@
 	Report       *workers.Report
 }
 
-// Subscribe has a listener hear everything from now on.
+// Subscribe has a subscriber hear everything from now on, after those before it.
 func (s *State) Subscribe(l Subscriber) { s.subscribers = append(s.subscribers, l) }
 
-// Publish tells all listeners what has happened.
+// Publish tells all subscribers what has happened, in the order in which they subscribed.
 func (s *State) Publish(e Event) {
 	for _, l := range s.subscribers {
 		l.HandleEvent(e)
--- a/internal/leader/cluster/hooks.go
+++ b/internal/leader/cluster/hooks.go
@@ -1,36 +1,39 @@
 package cluster
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
-	"time"
 )
 
-// Gate holds orders back for a while, after a start in which nobody led before.
+// Gate holds actions back for a while, after a start in which nobody led before.
 type Gate interface {
-	// May says whether orders of a kind may be given now.
-	Permits(now time.Duration, o Action) bool
-	// Patience is how long after the beginning of the term a machine that was not heard
-	// in it may be one that lives.
+	// Permits says whether actions of a kind may be taken now.
+	Permits(now time.Duration, a Action) bool
+	// SilenceAllowance is how long after the beginning of the term a machine may live that
+	// has not been heard in it.
 	SilenceAllowance() time.Duration
 }
 
-// StartPacer bounds how fast tasks are started.
+// StartPacer is the rate limit of task starts.
 type StartPacer interface {
+	// Allows says whether a task of a job may be started on a machine now.
 	Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool
+	// TaskStarted counts a task that was started.
 	TaskStarted(now time.Duration, m *workers.Machine)
 }
 
-// Rebalancer spreads reports over controllers.
+// Rebalancer spreads heartbeats over controllers.
 type Rebalancer interface {
-	// Elsewhere says to which controller a machine that has just reported should go
+	// RedirectTo says to which controller a machine that has just reported should go
 	// instead; empty: it stays.
 	RedirectTo(now time.Duration, m *workers.Machine) string
 }
 
-// Permits says whether orders of a kind may be given now.
-func (s *State) Permits(now time.Duration, o Action) bool {
-	return s.Gate == nil || s.Gate.Permits(now, o)
+// Permits says whether actions of a kind may be taken now.
+func (s *State) Permits(now time.Duration, a Action) bool {
+	return s.Gate == nil || s.Gate.Permits(now, a)
 }
 
 // SilenceAllowance is how long a machine may be silent that was not heard in this term yet.
--- a/internal/leader/cluster/machines.go
+++ b/internal/leader/cluster/machines.go
@@ -1,30 +1,47 @@
 package cluster
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"time"
 )
 
-// AddMachine enters a machine; nil if it is there already, is gone for good, or
-// is of a type that is not known.
+// minFetchGBPS is the least rate at which a machine counts as fetching images, so that the
+// time that takes is finite.
+const minFetchGBPS = 0.001
+
+// AddMachine enters a machine; nil if it is there already, is gone for good, or is of a
+// type that is not known.
 func (s *State) AddMachine(now time.Duration, m eventlog.Machine) *workers.Machine {
 	if s.Inventory.WasDeleted(m.Name) || s.Inventory.Find(m.Name) != nil {
 		return nil
 	}
-	i, ok := s.TypeNames.Lookup(m.Type)
-	if !ok {
+	index, known := s.TypeNames.Lookup(m.Type)
+	if !known {
 		return nil
 	}
-	ty := s.Types[i]
-	return s.Inventory.Add(&workers.Machine{Name: m.Name, Address: m.Address, Type: i, Zone: s.Zones.Index(m.Zone), Spot: m.Spot,
-		Cap: resources.Room(ty.CPUs, ty.GPUs, ty.MemoryGB), CacheGB: ty.CacheGB, FetchGBPS: max(ty.FetchGBPS, 0.001), Token: s.Token, RentedAt: now, LastHeartbeat: now})
+	machineType := s.Types[index]
+	return s.Inventory.Add(&workers.Machine{
+		Name:          m.Name,
+		Address:       m.Address,
+		Type:          index,
+		Zone:          s.Zones.Index(m.Zone),
+		Spot:          m.Spot,
+		Cap:           resources.Room(machineType.CPUs, machineType.GPUs, machineType.MemoryGB),
+		CacheGB:       machineType.CacheGB,
+		FetchGBPS:     max(machineType.FetchGBPS, minFetchGBPS),
+		Token:         s.Token,
+		RentedAt:      now,
+		LastHeartbeat: now,
+	})
 }
 
-// Decommission decides, for good, that a machine is to be deleted: it is returned, or given up.
-func (s *State) Decommission(now time.Duration, m *workers.Machine, o Action, why string) {
+// Decommission decides, for good, that a machine is to be deleted: it is returned, or given
+// up.
+func (s *State) Decommission(now time.Duration, m *workers.Machine, a Action, why string) {
 	if m.Deleting {
 		return
 	}
@@ -35,7 +52,7 @@
 		s.Counts.MachinesLost++
 	}
 	s.LogMessage(effects.Info, "machine returned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
-	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: o})
+	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: a})
 }
 
 // CPUs is the processors of the machines that report.
--- a/internal/leader/cluster/metrics.go
+++ b/internal/leader/cluster/metrics.go
@@ -2,12 +2,14 @@
 
 import "slices"
 
-// Metrics are the histograms that duties keep. They outlive terms: they belong
+// Metrics are the histograms that components keep. They outlive terms: they belong
 // to the process, and count from its beginning.
-type Metrics struct{ histograms []*Histogram }
+type Metrics struct {
+	histograms []*Histogram // in the order of their first use
+}
 
 // Histogram counts values in buckets, apart for each value of one label. It has
-// no clock and no lock; the node's collector reads it in the loop.
+// no clock and no lock; the node's collector reads it in the node's event loop.
 type Histogram struct {
 	Name, Help, Label string
 	Bounds            []float64 // upper bounds of the buckets, rising
@@ -34,36 +36,37 @@
 	return h
 }
 
-// All returns copies of all histograms.
+// All returns deep copies of all histograms.
 func (m *Metrics) All() []Histogram {
-	var out []Histogram
+	var copies []Histogram
 	for _, h := range m.histograms {
 		c := *h
 		c.Series = slices.Clone(h.Series)
 		for i := range c.Series {
 			c.Series[i].Counts = slices.Clone(c.Series[i].Counts)
 		}
-		out = append(out, c)
+		copies = append(copies, c)
 	}
-	return out
+	return copies
 }
 
-// Observe counts a value.
-func (h *Histogram) Observe(label string, v float64) {
-	i := slices.IndexFunc(h.Series, func(s Series) bool { return s.Value == label })
-	if i < 0 {
-		i = len(h.Series)
+// Observe counts a value under a value of the label. One above all bounds counts in no
+// bucket, but in the count and the sum.
+func (h *Histogram) Observe(label string, value float64) {
+	index := slices.IndexFunc(h.Series, func(s Series) bool { return s.Value == label })
+	if index < 0 {
+		index = len(h.Series)
 		h.Series = append(h.Series, Series{Value: label, Counts: make([]uint64, len(h.Bounds))})
 	}
-	s := &h.Series[i]
+	s := &h.Series[index]
 	s.Count++
-	s.Sum += v
-	if b, _ := slices.BinarySearch(h.Bounds, v); b < len(h.Bounds) {
-		s.Counts[b]++
+	s.Sum += value
+	if bucket, _ := slices.BinarySearch(h.Bounds, value); bucket < len(h.Bounds) {
+		s.Counts[bucket]++
 	}
 }
 
-// Gauge is a number of a duty at present, by the values of one label.
+// Gauge is a number of a component at present, by the values of one label.
 type Gauge struct {
 	Name, Help, Label string
 	Values            map[string]float64
--- a/internal/leader/cluster/nop.go
+++ b/internal/leader/cluster/nop.go
@@ -6,14 +6,14 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// NopComponent does nothing at any of the moments at which a duty may act. A duty
-// embeds it and has methods of its own for those that concern it.
+// NopComponent has a method that does nothing for each method of term.Component. A
+// component embeds it and has methods of its own for those that concern it.
 type NopComponent struct{}
 
 // Replay takes nothing from the log.
 func (NopComponent) Replay(time.Duration, eventlog.Entry) {}
 
-// Begin has nothing to settle.
+// Begin has nothing to restore.
 func (NopComponent) Begin(time.Duration) {}
 
 // EntryDurable waits for no entry.
@@ -22,10 +22,10 @@
 // HandleEvent ignores what happens.
 func (NopComponent) HandleEvent(Event) {}
 
-// Tick has nothing due before a pass.
+// Tick has nothing due before a scheduling cycle.
 func (NopComponent) Tick(time.Duration, bool) {}
 
-// AfterCycle has nothing due after a pass.
+// AfterCycle has nothing due after a scheduling cycle.
 func (NopComponent) AfterCycle(time.Duration, bool) {}
 
 // AppendEntries has gathered nothing for the log.
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -5,8 +5,16 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// CancelPlan takes back a plan. One that is on offer may have been taken up
-// already: it counts until no offer is open.
+// ListMachineWithPlans keeps a machine among those whose plans are offered.
+func (s *State) ListMachineWithPlans(m *workers.Machine) {
+	if !m.HasPlansListed {
+		m.HasPlansListed = true
+		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
+	}
+}
+
+// CancelPlan cancels a planned task. One that is on offer may have been started already:
+// it counts until no offer is open.
 func (s *State) CancelPlan(p *workers.Placement) {
 	if len(p.Offered) > 0 {
 		p.Withdrawn = true
@@ -16,7 +24,7 @@
 	s.Unplace(p.Ref)
 }
 
-// CancelPlans takes back all that is planned on a machine.
+// CancelPlans cancels all that is planned on a machine.
 func (s *State) CancelPlans(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned {
@@ -25,7 +33,8 @@
 	}
 }
 
-// Unplace takes a task off its machine in the books of jobs, teams and sizes.
+// Unplace takes a task off its machine in the accounts of jobs, teams and sizes. The
+// machine's own list is the caller's.
 func (s *State) Unplace(ref workers.Ref) {
 	p := s.Placements[ref]
 	if p == nil {
@@ -42,24 +51,11 @@
 	s.NeedsCycle = true
 }
 
-// ListMachineWithPlans keeps a machine among those whose plans are offered.
-func (s *State) ListMachineWithPlans(m *workers.Machine) {
-	if !m.HasPlansListed {
-		m.HasPlansListed = true
-		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
-	}
-}
-
-// RemoveIfFinished takes a job that is over out of the table once none of its tasks
-// counts as being anywhere.
+// RemoveIfFinished removes a job that is over from the table once none of its tasks counts
+// as being anywhere.
 func (s *State) RemoveIfFinished(j *jobs.Job) {
 	if j.Placed == 0 && (j.Phase == jobs.Cancelled || j.Phase == jobs.Done) {
-		s.removeJob(j)
+		s.Jobs.Remove(j)
+		s.Publish(Event{Kind: JobRemoved, Job: j})
 	}
 }
-
-// removeJob takes a job out of the table.
-func (s *State) removeJob(j *jobs.Job) {
-	s.Jobs.Remove(j)
-	s.Publish(Event{Kind: JobRemoved, Job: j})
-}
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -1,7 +1,10 @@
-// Package cluster is what a leader knows during its term: jobs, machines, the
-// tasks that count as being on them, and the order in which they get room. All
-// duties of a leader look at it; each keeps what is its own business to itself.
-// It has no clock and does nothing by itself.
+// Package cluster is the shared state of a leader's term: jobs, machines, the tasks that
+// count as being on them, and the order in which jobs get resources, with the operations
+// that several components need. All components of a leader read it; each keeps what only
+// it needs to itself.
+//
+// It has no clock, socket or goroutine. Times are durations since an origin that the node
+// chooses; what is to be done outside is emitted as effects.
 package cluster
 
 import (
@@ -22,86 +25,115 @@
 	"bitternmoor/internal/settings"
 )
 
+// ErrUnknownView is what a component answers that is asked for a view it does not have.
+var ErrUnknownView = errors.New("no such view")
+
 // TermStart is what a term begins with.
 type TermStart struct {
 	Cfg         *settings.Settings
 	ClockZeroMS int64 // time of day at time 0, in milliseconds
 	Epoch       uint64
-	// LastLed is when this node last heard of a leader, 0 if it never did; Noticed
-	// when it found that nobody led, Began when it was elected.
-	LastLeaderHeard, LeaderMissedAt, TermBegan time.Duration
-	PreviousLeader                             leadership.LeaderRecord // the leader before, as this node heard it
-	// Counts, Measures and Config outlive the term.
+
+	LastLeaderHeard time.Duration           // when this node last heard from a leader; 0: it never did
+	LeaderMissedAt  time.Duration           // when it found that nobody led
+	TermBegan       time.Duration           // when it was elected
+	PreviousLeader  leadership.LeaderRecord // the leader before, as this node heard from it
+
+	// These outlive the term.
 	Counts  *Counts
 	Metrics *Metrics
 	Config  *config.Replica // nil: nothing may be changed while controllers run
 }
 
-// State is what all duties of a term share.
+// State is what all components of a term share. Its fields are grouped by who writes them;
+// everybody may read them.
 type State struct {
 	TermStart
-	Token             uint64 // of machines that have not changed their block
-	EventLog          *eventlog.Log
-	Jobs              *jobs.Table
+
+	// Set when the term begins, and not after.
+	Token    uint64        // fencing token of machines that have not changed their shard
+	EventLog *eventlog.Log // set by the term when it replays the log; all components append to it
+
+	// Jobs and their order. lifecycle adds, finishes and removes jobs, registry and
+	// placement place and release their tasks. lifecycle, registry and fairshare keep the
+	// sizes up, and runtimes its expectations; placement charges the scheduler's teams.
+	Jobs      *jobs.Table
+	Estimator *sizing.Estimator
+	Scheduler *scheduler.Scheduler
+
+	// Machines and the tasks on them. registry enters machines, takes in their heartbeats
+	// and adopts tasks; placement plans tasks.
 	Inventory         *workers.Inventory
-	Estimator         *sizing.Estimator
-	Scheduler         *scheduler.Scheduler
-	NeedsCycle        bool // something has changed that a pass should look at
-	LastMachineNumber int  // last one given to a machine
-	Teams             intern.Names
-	Zones             intern.Names
-	Images            intern.Names
-	Types             []eventlog.MachineType // by index of TypeNames
 	Placements        map[workers.Ref]*workers.Placement
-	Pools             scheduler.Pools      // nil: there are no pools
-	Gate              Gate                 // nil: nothing is held back
-	StartPacer        StartPacer           // nil: starts are not paced
-	Rebalancer        Rebalancer           // nil: machines stay where they report
-	DispatchQueue     []*workers.Placement // planned tasks that may be sent straight to their workers
-	lastAttempt       uint64
-	issuedTokens      uint64
+	MachinesWithPlans []*workers.Machine // all on which tasks may be planned: ListMachineWithPlans, placement
+	LastMachineNumber int                // last one given to a machine: registry, placement
+	Reconciled        *reconcile.Tally   // differences between what was stored and heartbeats, in this term: registry
 
-	Reconciled *reconcile.Tally // differences between what was stored and reports, in this term
+	// NeedsCycle says that something has changed that a scheduling cycle should look at.
+	// Every component may set it; placement resets it.
+	NeedsCycle bool
 
-	TypeNames         intern.Names
-	MachinesWithPlans []*workers.Machine // all on which tasks may be planned
+	// DispatchQueue is the planned tasks that may be pushed to their workers: placement
+	// appends them, dispatch takes them out.
+	DispatchQueue []*workers.Placement
 
-	configuredTeams []bool // of the configuration, by index: they may submit
+	// Names and their indices, which only grow.
+	Teams     intern.Names // SetTeam and others here, with the scheduler's limits
+	Zones     intern.Names
+	Images    intern.Names           // lifecycle
+	TypeNames intern.Names           // autoscaler
+	Types     []eventlog.MachineType // by index of TypeNames: autoscaler
 
-	unresolvedMachines, unresolvedUnnumbered int                 // machines, and those without a number among them
-	unresolvedUse                            []resources.Amounts // what they may be using, by team
+	// What a component decides for the others, each set by that component if it is
+	// switched on.
+	Pools      scheduler.Pools // pools; nil: there are no pools
+	Gate       Gate            // coldstart; nil: nothing is held back
+	StartPacer StartPacer      // coldstart; nil: starts are not paced
+	Rebalancer Rebalancer      // rebalance; nil: machines stay where they report
 
-	subscribers    []Subscriber
-	pendingEffects []effects.Effect
+	// Kept by the methods here.
+	lastAttempt          uint64
+	issuedTokens         uint64              // beside Token
+	configuredTeams      []bool              // teams of the configuration, by index: they may submit
+	unresolvedMachines   int                 // machines of which it is not known what an earlier term left on them
+	unresolvedUnnumbered int                 // those without a number among them
+	unresolvedUse        []resources.Amounts // what they may be using, by team
+	subscribers          []Subscriber
+	pendingEffects       []effects.Effect
 }
 
-// ErrNoView is what a duty answers that is asked for a view it does not have.
-var ErrUnknownView = errors.New("no such view")
-
 // New makes the state of a term that knows nothing yet.
 func New(start TermStart) *State {
 	if start.Cfg.Tunables.ConfigHistory > 0 {
 		own := *start.Cfg // tunables may change during the term
 		start.Cfg = &own
 	}
-	cfg := start.Cfg
 	if start.Metrics == nil {
 		start.Metrics = &Metrics{}
 	}
+	tunables := &start.Cfg.Tunables
 	s := &State{
-		TermStart: start, Token: start.Epoch << TokenBits, lastAttempt: start.Epoch << attemptBits,
-		Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
-		Estimator: sizing.New(sizing.Params{Train: cfg.Tunables.TrainingTasks,
-			Xi: cfg.Tunables.Eagerness, Delta: cfg.Tunables.TrainingLimitS, First: cfg.Tunables.FirstSizeS}),
-		Placements: map[workers.Ref]*workers.Placement{}, Reconciled: &reconcile.Tally{},
+		TermStart:   start,
+		Token:       start.Epoch << TokenBits,
+		lastAttempt: start.Epoch << attemptBits,
+		Jobs:        jobs.NewTable(),
+		Inventory:   workers.NewInventory(),
+		Estimator: sizing.New(sizing.Params{
+			Train: tunables.TrainingTasks,
+			Xi:    tunables.Eagerness,
+			Delta: tunables.TrainingLimitS,
+			First: tunables.FirstSizeS,
+		}),
+		Placements: map[workers.Ref]*workers.Placement{},
+		Reconciled: &reconcile.Tally{},
 	}
-	s.Scheduler = scheduler.New(nil, cfg.Tunables.TrainingAtOnce)
-	for _, team := range cfg.Deployment.Teams {
+	s.Scheduler = scheduler.New(nil, tunables.TrainingAtOnce)
+	for _, team := range start.Cfg.Deployment.Teams {
 		s.SetTeam(team)
 	}
-	s.Scheduler.Locality = settings.Seconds(cfg.Tunables.LocalityS)
-	s.Scheduler.Affinity = cfg.Tunables.ZoneAffinityS
-	s.Scheduler.BeginWithin = settings.Seconds(cfg.Tunables.BeginWithinS)
-	s.Scheduler.UrgentFirst = cfg.Tunables.UrgentFirst == 1
+	s.Scheduler.Locality = settings.Seconds(tunables.LocalityS)
+	s.Scheduler.Affinity = tunables.ZoneAffinityS
+	s.Scheduler.BeginWithin = settings.Seconds(tunables.BeginWithinS)
+	s.Scheduler.UrgentFirst = tunables.UrgentFirst == 1
 	return s
 }
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -1,53 +1,68 @@
 package cluster
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
-	"time"
 )
 
-var stopMessages = map[Action]string{Preempt: "task stopped for another job", Move: "task moved off a machine that is returned"}
+// saveMarginSeconds is what a task that is stopped gets beyond the time that it needs to
+// save a checkpoint.
+const saveMarginSeconds = 5
 
-// StopAll stops tasks with time to save, and says why.
-func (s *State) StopAll(now time.Duration, list []*workers.Placement, o Action) {
-	on := map[*workers.Machine]bool{}
-	why := stopMessages[o]
-	for _, p := range list {
+// stopMessages are the log messages for tasks that are stopped, by the reason.
+var stopMessages = map[Action]string{
+	Preempt: "task stopped for another job",
+	Move:    "task moved off a machine that is returned",
+}
+
+// StopAll stops tasks with time to save a checkpoint, and logs why.
+func (s *State) StopAll(now time.Duration, placements []*workers.Placement, a Action) {
+	machines := map[*workers.Machine]bool{}
+	message := stopMessages[a]
+	for _, p := range placements {
 		j := s.Jobs.At(p.Ref.Job)
 		s.SaveAndStop(now, j, p)
-		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Action: o})
-		on[p.Machine] = true
-		s.LogMessage(effects.Debug, why, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
+		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Action: a})
+		machines[p.Machine] = true
+		s.LogMessage(effects.Debug, message, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
 	}
-	for m := range on {
+	for m := range machines {
 		s.SendStops(m)
 	}
 }
 
-// SaveAndStop stops a task with time to save; a gang is stopped as a whole,
-// for its progress is safe only when all of it is told in time.
+// SaveAndStop stops a task with time to save a checkpoint; a gang is stopped as a whole,
+// for its progress is safe only when all of its tasks are told in time.
 func (s *State) SaveAndStop(now time.Duration, j *jobs.Job, p *workers.Placement) {
-	grace := j.Record.SaveS + 5 + s.PeerTime(j)
-	if j.Record.Kind != jobs.Gang {
-		p.Stopping, p.GraceSeconds = true, grace
-		if j.Record.Checkpoint > 0 && p.Runs() {
-			if j.Saved == nil {
-				j.Saved = map[int32]time.Duration{}
-			}
-			j.Saved[p.Ref.Task] += now - p.RanAt
-		}
+	grace := j.Record.SaveS + saveMarginSeconds + s.PeerTime(j)
+	if j.Record.Kind == jobs.Gang {
+		s.stopGang(j, grace)
 		return
 	}
+	p.Stopping, p.GraceSeconds = true, grace
+	if j.Record.Checkpoint > 0 && p.Runs() {
+		if j.Saved == nil {
+			j.Saved = map[int32]time.Duration{}
+		}
+		j.Saved[p.Ref.Task] += now - p.RanAt
+	}
+}
+
+// stopGang stops all tasks of a gang that are on machines or on their way.
+func (s *State) stopGang(j *jobs.Job, graceSeconds float64) {
 	for k := range j.Tasks {
-		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		if q := s.Placements[ref]; q != nil && !q.Planned && !q.Stopping {
-			q.Stopping, q.GraceSeconds = true, grace
+		p := s.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		if p != nil && !p.Planned && !p.Stopping {
+			p.Stopping, p.GraceSeconds = true, graceSeconds
 		}
 	}
 }
 
-// PeerTime is how long it may take until all tasks of a gang are told.
+// PeerTime is how long it may take until all tasks of a gang are told, in seconds; 0 for
+// other jobs.
 func (s *State) PeerTime(j *jobs.Job) float64 {
 	if j.Record.Kind != jobs.Gang {
 		return 0
@@ -55,7 +70,7 @@
 	return s.Cfg.Deployment.Workers.GangPeerS
 }
 
-// SendStops sends a machine's stops without waiting for its next report.
+// SendStops sends a machine's stops without waiting for its next heartbeat.
 func (s *State) SendStops(m *workers.Machine) {
 	if m.Address != "" && m.Up && !m.Deleting {
 		s.Emit(effects.SendStops{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.Stops()})
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -11,7 +11,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// TeamIndex is the index of a team, of the configuration or not. One that is not has no limit.
+// TeamIndex is the index of a team, of the configuration or not; it is given one if it has
+// none. A team that is not of the configuration has no limit.
 func (s *State) TeamIndex(name string) int32 {
 	team := s.Teams.Index(name)
 	for int(team) >= len(s.Scheduler.Limits) {
@@ -26,8 +27,8 @@
 	return int(team) < len(s.configuredTeams) && s.configuredTeams[team]
 }
 
-// SetTeam has a team's guarantee and limit hold from now on. What runs above a lower limit runs
-// on; what is only planned there is taken back.
+// SetTeam has a team's guarantee and limit hold from now on. What runs above a lower limit
+// runs on; what is only planned there is cancelled.
 func (s *State) SetTeam(t settings.Team) {
 	team := s.TeamIndex(t.Name)
 	s.configuredTeams[team] = true
@@ -55,29 +56,47 @@
 	s.NeedsCycle = true
 }
 
-func (s *State) setGuarantee(team int32, g resources.Amounts) {
+func (s *State) setGuarantee(team int32, guarantee resources.Amounts) {
 	for int(team) >= len(s.Scheduler.Guarantees) {
 		s.Scheduler.Guarantees = append(s.Scheduler.Guarantees, scheduler.Limit{})
 	}
-	s.Scheduler.Guarantees[team] = scheduler.Limit{CPU: g.CPU, GPU: g.GPU}
+	s.Scheduler.Guarantees[team] = scheduler.Limit{CPU: guarantee.CPU, GPU: guarantee.GPU}
 }
 
-// cancelPlansOverLimit takes back plans of a team, the last tasks first, until what is left is within
-// its limit. Of a gang all or none are taken back: none where one may have begun.
+// cancelPlansOverLimit cancels plans of a team, the last tasks first, until what is left is
+// within its limit. Of a gang all or none are cancelled: none where one may have begun.
 func (s *State) cancelPlansOverLimit(team int32) {
-	left := s.Scheduler.Use(team)
-	if s.Scheduler.Limits[team].Covers(left) {
+	use := s.Scheduler.Use(team)
+	limit := s.Scheduler.Limits[team]
+	if limit.Covers(use) {
 		return
 	}
-	var planned []*workers.Placement
-	begun := map[int32]bool{} // gangs
+	planned, begunGangs := s.cancellablePlans(team)
+	gang := int32(-1) // the one of which all plans are being cancelled
+	for _, p := range planned {
+		job := p.Ref.Job
+		if begunGangs[job] || (job != gang && limit.Covers(use)) {
+			continue
+		}
+		if s.Jobs.At(job).Record.Kind == jobs.Gang {
+			gang = job
+		}
+		use = use.Minus(s.Jobs.At(job).Need)
+		s.CancelPlan(p)
+	}
+}
+
+// cancellablePlans is the plans of a team, the last tasks of the last jobs first, and those
+// of its gangs of which a task may have begun.
+func (s *State) cancellablePlans(team int32) (planned []*workers.Placement, begunGangs map[int32]bool) {
+	begunGangs = map[int32]bool{}
 	for ref, p := range s.Placements {
 		j := s.Jobs.At(ref.Job)
 		gang := j.Record.Kind == jobs.Gang
 		switch {
 		case j.Team != team:
 		case gang && (!p.Planned || len(p.Offered) > 0):
-			begun[ref.Job] = true
+			begunGangs[ref.Job] = true
 		case p.Planned:
 			planned = append(planned, p)
 		}
@@ -85,16 +104,5 @@
 	slices.SortFunc(planned, func(a, b *workers.Placement) int {
 		return cmp.Or(cmp.Compare(b.Ref.Job, a.Ref.Job), cmp.Compare(b.Ref.Task, a.Ref.Task))
 	})
-	whole := int32(-1) // the gang of which all is taken back
-	for _, p := range planned {
-		job := p.Ref.Job
-		if begun[job] || (job != whole && s.Scheduler.Limits[team].Covers(left)) {
-			continue
-		}
-		if s.Jobs.At(job).Record.Kind == jobs.Gang {
-			whole = job
-		}
-		left = left.Minus(s.Jobs.At(job).Need)
-		s.CancelPlan(p)
-	}
+	return planned, begunGangs
 }
--- a/internal/leader/cluster/value_reader.go
+++ b/internal/leader/cluster/value_reader.go
@@ -7,27 +7,30 @@
 	"bitternmoor/internal/effects"
 )
 
-// askAgain is how long a page of values that could not be read is left alone.
+// retryAfter is how long to wait before a page of values that could not be read is requested
+// again.
 const retryAfter = time.Second
 
-// ValueReader reads a duty's own values, page by page, after its term has begun.
+// ValueReader reads a component's own values, page by page, after its term has begun. The
+// component gives it the name under which its values are stored.
 type ValueReader struct {
-	Done      bool // all of them
-	requested bool
-	lastKey   string
-	retryAt   time.Duration
+	Done bool // all of them are read
+
+	requested bool          // a page, which has not come yet
+	lastKey   string        // of the last value read
+	retryAt   time.Duration // no page is requested before
 }
 
-// RequestNext asks for the next page when it is due.
-func (r *ValueReader) RequestNext(s *State, now time.Duration, duty string) {
+// RequestNext requests the next page when it is due.
+func (r *ValueReader) RequestNext(s *State, now time.Duration, component string) {
 	if !r.Done && !r.requested && now >= r.retryAt {
 		r.requested = true
-		s.Emit(effects.ReadValues{Duty: duty, Since: r.lastKey})
+		s.Emit(effects.ReadValues{Duty: component, Since: r.lastKey})
 	}
 }
 
-// TakePage takes a page, and says whether it was the one that was asked for. After the
-// last one Read is set.
+// TakePage takes a page, and says whether it was the one that was requested and could be
+// read. After the last one Done is set.
 func (r *ValueReader) TakePage(now time.Duration, list []eventlog.Value, more, ok bool) bool {
 	if r.Done || !r.requested {
 		return false
