--- /dev/null
+++ b/internal/leader/lifecycle/completion.go
@@ -0,0 +1,104 @@
+package lifecycle
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
+)
+
+// HandleEvent collects completed tasks, so that those of a job that complete between two
+// commits take one entry of the log.
+func (c *Component) HandleEvent(e cluster.Event) {
+	if e.Kind != cluster.TaskDone {
+		return
+	}
+	id := e.Job.Record.ID
+	batch := c.completed[id]
+	if batch == nil {
+		batch = &eventlog.CompletedTasks{ID: id}
+		c.completed[id] = batch
+	}
+	batch.Add(e.Task)
+	if e.RunSeconds >= 0 {
+		batch.Seconds = float64(int64((batch.Seconds+e.RunSeconds)*100)) / 100 // to hundredths, to take less of the log
+		batch.Known++
+	}
+}
+
+// appendCompleted hands completed tasks to the log, in the order of their jobs' ids.
+func (c *Component) appendCompleted(now time.Duration) {
+	for _, id := range slices.Sorted(maps.Keys(c.completed)) {
+		c.appendTasks(now, *c.completed[id])
+	}
+	clear(c.completed)
+}
+
+// appendTasks appends completed tasks of a job, in as many entries as they need, with the
+// time of day for a job that others wait for.
+func (c *Component) appendTasks(now time.Duration, batch eventlog.CompletedTasks) {
+	if j := c.Jobs.Find(batch.ID); j != nil && len(j.Dependents) > 0 {
+		batch.AtMS = c.ClockZeroMS + now.Milliseconds()
+	}
+	maxRanges := max(1, c.EventLog.MaxEntryBytes()/maxRangeBytes-completedOverhead)
+	for len(batch.Ranges) > maxRanges {
+		part := eventlog.CompletedTasks{ID: batch.ID, Ranges: batch.Ranges[:maxRanges], AtMS: batch.AtMS}
+		c.EventLog.AppendTracked(eventlog.Entry{CompletedTasks: &part})
+		batch.Ranges = batch.Ranges[maxRanges:]
+	}
+	c.EventLog.AppendTracked(eventlog.Entry{CompletedTasks: &batch})
+}
+
+// completionsDurable acts on completed tasks that are durable: once all tasks of a job are,
+// it is done.
+func (c *Component) completionsDurable(now time.Duration, leaseValid bool, done *eventlog.CompletedTasks) {
+	j := c.Jobs.Find(done.ID)
+	if j == nil {
+		return
+	}
+	for _, r := range done.Ranges {
+		for k := r[0]; k < r[1]; k++ {
+			j.MarkDurable(k)
+		}
+	}
+	if j.DurableCount == len(j.Tasks) {
+		c.finish(now, leaseValid, j)
+	}
+}
+
+// finish ends a job all of whose tasks are durably done, and releases those that waited
+// only for it.
+func (c *Component) finish(now time.Duration, leaseValid bool, j *jobs.Job) {
+	id := j.Record.ID
+	j.Phase = jobs.Done
+	c.Jobs.Finish(id, jobs.Done)
+	c.Estimator.Remove(j.Index, true, j.RunSeconds, j.RunCount)
+	c.Publish(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
+	c.logJobDone(now, j)
+	for _, dependent := range c.Jobs.RemoveDependency(j) {
+		if len(dependent.Dependencies) == 0 && dependent.Phase == jobs.Held {
+			c.release(now, dependent)
+		}
+	}
+	c.RemoveIfFinished(j)
+	c.answerCancellations(leaseValid, id)
+}
+
+func (c *Component) logJobDone(now time.Duration, j *jobs.Job) {
+	sinceAccepted := func(at time.Duration) time.Duration {
+		return (at - j.AcceptedAt).Round(100 * time.Millisecond)
+	}
+	c.LogMessage(effects.Debug, "job done",
+		"job", j.Record.ID,
+		"class", j.Record.Class,
+		"tasks", len(j.Tasks),
+		"mean", j.Mean(),
+		"estimate", j.Record.EstimateS,
+		"first_start", sinceAccepted(j.FirstAt),
+		"last_start", sinceAccepted(j.LastAt),
+		"after", sinceAccepted(now))
+}
