--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -30,7 +30,9 @@
 // Committed takes the outcome of the commit with a sequence number: the revision it was
 // given, or the keys whose comparison failed. The step that it returns is what the node
 // must do next.
-func (t *Term) Committed(now time.Duration, leaseValid bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string) eventlog.CommitStep {
+func (t *Term) Committed(
+	now time.Duration, leaseValid bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string,
+) eventlog.CommitStep {
 	durable, step := t.EventLog.CommitResult(now, seq, out, mark, failed)
 	if out == eventlog.Invalid {
 		t.logInvalidCommit(step)
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -22,36 +22,69 @@
 	return c
 }
 
-// fullLog is the log of machines that run eight tasks each of so many jobs,
-// each of which has 200 more, and the machines' reports.
-func fullLog(machines, count int) ([]eventlog.Entry, []effects.RelayedHeartbeat) {
-	entries := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}}}}}
-	for i := range count {
-		entries = append(entries, eventlog.Entry{Job: &eventlog.Job{ID: uint64(i + 1), Class: "class", Team: "team", Tasks: 200 + 8*machines/count, CPUs: 1, MemoryGB: 1,
-			Image: fmt.Sprint(i % 10), ImageGB: 1, Spot: true, EstimateS: 60}})
+// jobCount is how many jobs run in a full term, and tasksPerMachine how many tasks each of
+// its machines runs.
+const (
+	jobCount        = 100
+	tasksPerMachine = 8
+)
+
+// fullLog is the log of machines that run eight tasks each, of a hundred jobs, each of which
+// has 200 more, and the machines' heartbeats.
+func fullLog(machines int) ([]eventlog.Entry, []effects.RelayedHeartbeat) {
+	entries := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{
+		{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}},
+	}}}
+	for i := range jobCount {
+		entries = append(entries, eventlog.Entry{Job: &eventlog.Job{
+			ID:        uint64(i + 1),
+			Class:     "class",
+			Team:      "team",
+			Tasks:     200 + tasksPerMachine*machines/jobCount,
+			CPUs:      1,
+			MemoryGB:  1,
+			Image:     fmt.Sprint(i % 10),
+			ImageGB:   1,
+			Spot:      true,
+			EstimateS: 60,
+		}})
 	}
-	var reports []effects.RelayedHeartbeat
+	var heartbeats []effects.RelayedHeartbeat
 	for i := range machines {
 		m := eventlog.Machine{Name: fmt.Sprintf("m%04d", i), Address: "x", Type: "t", Zone: "a", Number: i + 1}
 		entries = append(entries, eventlog.Entry{Machine: &m})
-		r := workers.Report{Machine: m.Name, Address: "x", Type: "t", Zone: "a", Session: 1, Token: 2 << cluster.TokenBits}
-		for k := range 8 {
-			n := i*8 + k
-			r.Tasks = append(r.Tasks, workers.TaskReport{Job: uint64(n%count + 1), Task: n / count, Attempt: 1, State: workers.Running})
+		report := workers.Report{
+			Machine: m.Name,
+			Address: "x",
+			Type:    "t",
+			Zone:    "a",
+			Session: 1,
+			Token:   2 << cluster.TokenBits,
+		}
+		for k := range tasksPerMachine {
+			n := i*tasksPerMachine + k
+			report.Tasks = append(report.Tasks, workers.TaskReport{
+				Job:     uint64(n%jobCount + 1),
+				Task:    n / jobCount,
+				Attempt: 1,
+				State:   workers.Running,
+			})
 		}
-		reports = append(reports, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: r})
+		heartbeats = append(heartbeats, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: report})
 	}
-	return entries, reports
+	return entries, heartbeats
 }
 
-// newFullTerm is a term that has read such a log.
-func newFullTerm(machines, count int) (*Term, []effects.RelayedHeartbeat) {
-	entries, reports := fullLog(machines, count)
+// newFullTerm is a term that has read such a log, and its machines' heartbeats.
+func newFullTerm(machines int) (*Term, []effects.RelayedHeartbeat) {
+	entries, heartbeats := fullLog(machines)
 	t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
-	return t, reports
+	return t, heartbeats
 }
 
+// heartbeat sends one heartbeat to a term, with the next sequence number, and drops what it
+// has done.
 func (t *Term) heartbeat(now time.Duration, in *effects.RelayedHeartbeat) {
 	in.Report.Seq++
 	t.HandleHeartbeat(now, true, 1, *in)
@@ -63,7 +96,7 @@
 // of machines, jobs and tasks elsewhere.
 func TestHeartbeatCostIsIndependentOfScale(t *testing.T) {
 	cost := func(machines int) float64 {
-		term, reports := newFullTerm(machines, 100)
+		term, reports := newFullTerm(machines)
 		now := time.Second
 		for i := range reports {
 			term.heartbeat(now, &reports[i])
@@ -89,7 +122,7 @@
 			entries[i].Job = &copied
 		}
 	}
-	_, reports := fullLog(60, 100)
+	_, reports := fullLog(60)
 	term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	r := rand.New(rand.NewPCG(3, 3))
@@ -129,7 +162,7 @@
 // the number of machines either: allocations at 100 and at 1,000 machines.
 func TestCompletionAndTakeoverCostIsIndependentOfScale(t *testing.T) {
 	completion := func(machines int) float64 {
-		term, reports := newFullTerm(machines, 100)
+		term, reports := newFullTerm(machines)
 		for i := range reports {
 			term.heartbeat(time.Second, &reports[i])
 		}
@@ -143,7 +176,7 @@
 		})
 	}
 	resolve := func(machines int) float64 {
-		_, reports := fullLog(machines, 100)
+		_, reports := fullLog(machines)
 		term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: scaleLog(machines)})
 		n := 0
@@ -161,7 +194,7 @@
 
 // A round of reports of all machines, with a tick after each twentieth.
 func BenchmarkReports(b *testing.B) {
-	term, reports := newFullTerm(1000, 100)
+	term, reports := newFullTerm(1000)
 	now := time.Second
 	for b.Loop() {
 		for i := range reports {
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -37,7 +37,9 @@
 
 // Dispatched takes a worker's heartbeat in answer to starts that were pushed to it; nil:
 // there was no answer.
-func (t *Term) Dispatched(now time.Duration, leaseValid bool, machine string, token uint64, starts []workers.Command, r *workers.Report) {
+func (t *Term) Dispatched(
+	now time.Duration, leaseValid bool, machine string, token uint64, starts []workers.Command, r *workers.Report,
+) {
 	if t.dispatch != nil && t.loaded {
 		t.dispatch.Dispatched(now, machine, token, starts, r)
 		t.dispatch.AfterCycle(now, leaseValid)
--- a/internal/leader/term/optional.go
+++ b/internal/leader/term/optional.go
@@ -97,7 +97,9 @@
 // Change has the component with a name change something that an operator asks for. ok is
 // false where there is no such component, it is switched off, or it has nothing that could
 // be changed.
-func (t *Term) Change(now time.Duration, name, by string, body json.RawMessage) (raw json.RawMessage, ok bool, err error) {
+func (t *Term) Change(
+	now time.Duration, name, by string, body json.RawMessage,
+) (raw json.RawMessage, ok bool, err error) {
 	switch c := t.componentsByName[name].(type) {
 	case configurable:
 		raw, err = c.Change(now, body)
--- a/internal/leader/term/pools_bench_test.go
+++ b/internal/leader/term/pools_bench_test.go
@@ -21,7 +21,7 @@
 }{{"none", 0, 0}, {"idle", 1000, 0}, {"demands", 1000, 1000}}
 
 func newPoolTerm(pools, waiting int) (*Term, []eventlog.Entry) {
-	entries, _ := fullLog(1300, 100)
+	entries, _ := fullLog(1300)
 	for i := range waiting {
 		rec := eventlog.Job{ID: uint64(10000 + i), Class: "c", Team: "team", Priority: 1, Tasks: 10, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: .3, Spot: true, EstimateS: 60,
 			Counted: []eventlog.PoolUnits{{Pool: fmt.Sprint("pool", i%pools), Units: 1 + i%3}, {Pool: fmt.Sprint("pool", (i*7+1)%pools), Units: 1}}}
@@ -41,7 +41,7 @@
 	for _, c := range poolCases {
 		b.Run(c.name, func(b *testing.B) {
 			t, _ := newPoolTerm(c.pools, c.waiting)
-			_, reports := fullLog(1300, 100)
+			_, reports := fullLog(1300)
 			now := time.Second
 			for i := range reports {
 				t.heartbeat(now, &reports[i])
@@ -70,7 +70,7 @@
 		for _, what := range []string{"nothing new", "an end"} {
 			b.Run(c.name+"/"+what, func(b *testing.B) {
 				t, _ := newPoolTerm(c.pools, c.waiting)
-				_, reports := fullLog(1300, 100)
+				_, reports := fullLog(1300)
 				now := time.Second
 				for i := range reports {
 					t.heartbeat(now, &reports[i])
--- a/internal/leader/term/scale_bench_test.go
+++ b/internal/leader/term/scale_bench_test.go
@@ -19,7 +19,7 @@
 
 // newSettledTerm is a term all of whose machines have reported, after a pass.
 func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
-	t, reports := newFullTerm(machines, 100)
+	t, reports := newFullTerm(machines)
 	now := time.Second
 	for i := range reports {
 		t.heartbeat(now, &reports[i])
@@ -106,7 +106,7 @@
 }
 
 func scaleLog(machines int) []eventlog.Entry {
-	entries, _ := fullLog(machines, 100)
+	entries, _ := fullLog(machines)
 	for j := range 100 {
 		for from := j % 5; from < machines; from += 500 {
 			g := eventlog.Grant{Job: uint64(j + 1)}
@@ -127,7 +127,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				_, reports := fullLog(n, 100)
+				_, reports := fullLog(n)
 				t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 				b.StartTimer()
