--- a/internal/leader/cluster/effects.go
+++ b/internal/leader/cluster/effects.go
@@ -2,6 +2,9 @@
 
 import "bitternmoor/internal/effects"
 
+// Emitter is the part of State that those need who only have something done outside.
+type Emitter interface{ Emit(e effects.Effect) }
+
 // Emit adds an effect to those that the node carries out next.
 func (s *State) Emit(e effects.Effect) { s.pendingEffects = append(s.pendingEffects, e) }
 
--- a/internal/leader/cluster/value_reader.go
+++ b/internal/leader/cluster/value_reader.go
@@ -22,10 +22,10 @@
 }
 
 // RequestNext requests the next page when it is due.
-func (r *ValueReader) RequestNext(s *State, now time.Duration, component string) {
+func (r *ValueReader) RequestNext(to Emitter, now time.Duration, component string) {
 	if !r.Done && !r.requested && now >= r.retryAt {
 		r.requested = true
-		s.Emit(effects.ReadValues{Duty: component, Since: r.lastKey})
+		to.Emit(effects.ReadValues{Duty: component, Since: r.lastKey})
 	}
 }
 
