--- a/internal/leader/cluster/events.go
+++ b/internal/leader/cluster/events.go
@@ -22,10 +22,10 @@
 	HeartbeatApplied                       // Report of Machine, newer than all before, was taken in
 	TaskGone                               // Task of Job is not on Machine any more, and has not completed
 	JobDone                                // all tasks of Job are durably done
-	MachineReturnable                      // Machine, on which nothing is, is to be returned: nothing will be started on it
+	MachineReturnable                      // Machine, which is empty, is to be returned: nothing will be started on it
 	MachineResolved                        // what earlier terms left on Machine is known
 	JobOrdered                             // Job has entered the order, with a first size, or is a service
-	OfferLost                              // Task of Job was on offer to Machine, whose worker has died since: it may have run there
+	OfferLost                              // Task of Job was on offer to Machine, whose worker died: it may have run there
 	MachineProvedGone                      // Machine is proved gone; TaskGone of all that was on it came before
 	TaskAdopted                            // Task of Job, which an earlier leader had started, was found on Machine
 	TaskStopped                            // Task of Job on Machine is told to stop, by Action
--- a/internal/leader/term/dependencies_test.go
+++ b/internal/leader/term/dependencies_test.go
@@ -8,18 +8,23 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// A job's times count from the moment when the last job that it follows was
-// done. That must outlive takeovers, and the cleaning of the log: the time of
-// day stands with the completion first, and with the job once that is gone.
+// A job's times count from the moment when the last job that it depends on was done. That
+// must outlive takeovers, and the compaction of the log: the time of day stands with the
+// completion first, and with the job once that is gone.
 func TestReleaseTimeOutlivesTakeovers(t *testing.T) {
-	types := eventlog.Entry{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}
 	first := eventlog.Job{ID: 1, Team: "team", Tasks: 2, CPUs: 1, MemoryGB: 1, AtMS: 1000}
 	second := first
 	second.ID, second.AtMS, second.Follows = 2, 2000, []uint64{1}
 	third := first
 	third.ID, third.AtMS, third.Follows = 3, 70000, []uint64{1} // named it long after it was done
-	log := []eventlog.Entry{types, {Job: &first}, {Job: &second},
-		{CompletedTasks: &eventlog.CompletedTasks{ID: 1, Ranges: [][2]int{{0, 2}}, Seconds: 4, Known: 2, AtMS: 50000}}, {Job: &third}}
+	done := eventlog.CompletedTasks{ID: 1, Ranges: [][2]int{{0, 2}}, Seconds: 4, Known: 2, AtMS: 50000}
+	log := []eventlog.Entry{
+		smallMachineType(),
+		{Job: &first},
+		{Job: &second},
+		{CompletedTasks: &done},
+		{Job: &third},
+	}
 	check := func(name string, entries []eventlog.Entry) *Term {
 		t.Helper()
 		term := newSmallTermAt(90*time.Second, entries)
@@ -33,23 +38,26 @@
 	term := check("as written", log)
 	compactAll(t, term, log)
 	now := 100 * time.Second
-	cleaned := drainLog(t, term, &now)
-	for _, e := range cleaned {
-		if e.CompletedTasks != nil && e.CompletedTasks.AtMS != 0 || e.Job != nil && e.Job.Follows != nil {
-			t.Errorf("cleaned, the log still has %+v", e)
+	compacted := drainLog(t, term, &now)
+	for _, e := range compacted {
+		timeKept := e.CompletedTasks != nil && e.CompletedTasks.AtMS != 0
+		dependenciesKept := e.Job != nil && e.Job.Follows != nil
+		if timeKept || dependenciesKept {
+			t.Errorf("compacted, the log still has %+v", e)
 		}
 	}
-	check("cleaned", cleaned)
+	check("compacted", compacted)
 }
 
-// What a held job follows has been lost, as an older version's cleaning would
-// lose it: whether the job may start is not known, and so it does not.
+// What a held job depends on has been lost, as an older version's compaction would lose it:
+// whether the job may start is not known, and so it does not.
 func TestJobWithLostDependenciesIsNotStarted(t *testing.T) {
 	job := eventlog.Job{ID: 2, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, AtMS: 1000}
 	unknown, short := job, job
 	unknown.Follows = []uint64{1}
 	short.ID, short.Rest = 3, 4
-	term := newSmallTerm([]eventlog.Entry{{Job: &unknown}, {Job: &short}, {Dependencies: &eventlog.Dependencies{ID: 3, AtMS: 999, Jobs: []uint64{7}}}})
+	ofAnotherAcceptance := eventlog.Dependencies{ID: 3, AtMS: 999, Jobs: []uint64{7}}
+	term := newSmallTerm([]eventlog.Entry{{Job: &unknown}, {Job: &short}, {Dependencies: &ofAnotherAcceptance}})
 	for _, id := range []uint64{2, 3} {
 		if j := term.Jobs.Find(id); j == nil || j.Phase != jobs.Held {
 			t.Errorf("job %d is read as %+v", id, j)
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -92,8 +92,8 @@
 	t.TakeEffects()
 }
 
-// What a report that brings nothing new costs must not grow with the number
-// of machines, jobs and tasks elsewhere.
+// What a heartbeat that brings nothing new costs must not grow with the number of machines,
+// jobs and tasks elsewhere.
 func TestHeartbeatCostIsIndependentOfScale(t *testing.T) {
 	cost := func(machines int) float64 {
 		term, reports := newFullTerm(machines)
@@ -107,12 +107,12 @@
 	}
 	small, large := cost(50), cost(1000)
 	if large > small+5 || large > 60 {
-		t.Errorf("a report takes %v allocations with 1000 machines, %v with 50", large, small)
+		t.Errorf("a heartbeat takes %v allocations with 1000 machines, %v with 50", large, small)
 	}
 }
 
-// The sums of what machines that are not resolved may have, kept up as they report
-// or are gone, are those of a plain count at every step.
+// The sums of what unresolved machines may have, kept up as they report or are gone, are those
+// of a plain count at every step.
 func TestUnresolvedSumsMatchPlainCount(t *testing.T) {
 	entries := scaleLog(60)
 	for i := range entries { // of three teams
@@ -141,7 +141,8 @@
 		n, _ := term.Unresolved()
 		for team, sum := range term.Snapshot(0).UnresolvedUse {
 			if sum.CPU != plain[int32(team)] || n != left {
-				t.Fatalf("after %d machines: %d of team %d, plain count %d; %d machines, plain count %d", i, sum.CPU, team, plain[int32(team)], n, left)
+				t.Fatalf("after %d machines: %d of team %d, plain count %d; %d machines, plain count %d",
+					i, sum.CPU, team, plain[int32(team)], n, left)
 			}
 		}
 		if i == len(reports) {
@@ -158,8 +159,8 @@
 	}
 }
 
-// What a completion and the first report after a takeover cost must not grow with
-// the number of machines either: allocations at 100 and at 1,000 machines.
+// What a completion and the first heartbeat after a takeover cost must not grow with the
+// number of machines either: allocations at 100 and at 1,000 machines.
 func TestCompletionAndTakeoverCostIsIndependentOfScale(t *testing.T) {
 	completion := func(machines int) float64 {
 		term, reports := newFullTerm(machines)
@@ -185,14 +186,16 @@
 			n++
 		})
 	}
-	for name, cost := range map[string]func(int) float64{"a completion": completion, "a first report": resolve} {
-		if small, large := cost(100), cost(1000); large > small+6 || large > 80 {
-			t.Errorf("%s takes %v allocations with 1,000 machines, %v with 100", name, large, small)
-		}
+	for name, cost := range map[string]func(int) float64{"a completion": completion, "a first heartbeat": resolve} {
+		t.Run(name, func(t *testing.T) {
+			if small, large := cost(100), cost(1000); large > small+6 || large > 80 {
+				t.Errorf("%v allocations with 1,000 machines, %v with 100", large, small)
+			}
+		})
 	}
 }
 
-// A round of reports of all machines, with a tick after each twentieth.
+// A round of heartbeats of all machines, with a tick after each twentieth.
 func BenchmarkReports(b *testing.B) {
 	term, reports := newFullTerm(1000)
 	now := time.Second
--- a/internal/leader/term/limits_test.go
+++ b/internal/leader/term/limits_test.go
@@ -16,16 +16,23 @@
 	"bitternmoor/internal/wire"
 )
 
+// Limits of the state service that a small term has to keep.
+const (
+	smallValueBytes = 2048
+	smallTxnOps     = 4
+)
+
 // newSmallTerm is a term whose values may have 2 KiB.
 func newSmallTerm(entries []eventlog.Entry) *Term { return newSmallTermAt(0, entries) }
 
+// newSmallTermAt is one that reads its log at a time of its clock.
 func newSmallTermAt(now time.Duration, entries []eventlog.Entry) *Term {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 1, 10, 30
 	c.Deployment.Cloud.RPS = 10
 	c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps = 1e6, 8, 12
-	kb, ops := 2.0, 4
+	kb, ops := smallValueBytes/1024.0, smallTxnOps
 	c.Deployment.State.Next = &settings.NextLimits{ValueKB: &kb, TxnOps: &ops}
 	t := New(cluster.TermStart{Cfg: c, Epoch: 2, Counts: &cluster.Counts{}})
 	t.Load(now, 1, LoadedLog{First: 1, Last: 1, Entries: entries})
@@ -42,16 +49,19 @@
 		term.TakeEffects()
 		term.Flush(*now)
 		out := term.TakeEffects()
-		i := slices.IndexFunc(out, func(e effects.Effect) bool { _, ok := e.(effects.Commit); return ok })
+		i := slices.IndexFunc(out, func(e effects.Effect) bool {
+			_, ok := e.(effects.Commit)
+			return ok
+		})
 		if i < 0 {
 			break
 		}
 		txn := out[i].(effects.Commit).Txn
-		if len(txn.Writes) > 4 {
+		if len(txn.Writes) > smallTxnOps {
 			t.Errorf("%d changes in a transaction", len(txn.Writes))
 		}
 		for _, w := range txn.Writes {
-			if len(w.Value) > 2048 {
+			if len(w.Value) > smallValueBytes {
 				t.Errorf("a value of %d bytes: %.80s…", len(w.Value), w.Value)
 			}
 			if _, err := eventlog.SegmentNumber(w.Key); err == nil && !w.Remove {
@@ -87,7 +97,17 @@
 	for n := range 80 {
 		zones = append(zones, long("zone", n))
 	}
-	ty := eventlog.MachineType{Name: "m", CPUs: 8, MemoryGB: 64, CacheGB: 10, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, BootS: 30, Zones: zones}
+	machineType := eventlog.MachineType{
+		Name:      "m",
+		CPUs:      8,
+		MemoryGB:  64,
+		CacheGB:   10,
+		FetchGBPS: 1,
+		Price:     1,
+		SpotPrice: 0.5,
+		BootS:     30,
+		Zones:     zones,
+	}
 	var done []eventlog.Entry
 	var all []uint64
 	for n := range uint64(600) {
@@ -98,7 +118,7 @@
 	open := eventlog.Job{ID: 1, Class: "c", Team: "team", Tasks: 4000, CPUs: 1, MemoryGB: 1, Image: "i", EstimateS: 3}
 	var now time.Duration
 	term := newSmallTerm(append(done, eventlog.Entry{Job: &open}))
-	term.MachineTypesListed(0, []eventlog.MachineType{ty})
+	term.MachineTypesListed(0, []eventlog.MachineType{machineType})
 
 	follower := open
 	follower.ID, follower.Tasks, follower.Follows = 2, 3, append([]uint64{1}, all...)
@@ -112,7 +132,8 @@
 	first := drainLog(t, term, &now)
 	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
 	for _, n := range names {
-		term.HandleHeartbeat(time.Second, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}})
+		report := workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}
+		term.HandleHeartbeat(time.Second, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: report})
 	}
 	j := term.Jobs.Find(1)
 	for k := 0; k < 4000; k += 2 {
@@ -123,32 +144,40 @@
 	term.MachinesDeleted(time.Second, names[:40], true)
 	gone := drainLog(t, term, &now)
 
-	// The whole is cleaned: what is live is written once more.
+	// The whole is compacted: what is live is written once more.
 	compactAll(t, term, append([]eventlog.Entry{{Job: &open}}, first...))
 	again := drainLog(t, term, &now)
 
+	types := eventlog.Entry{MachineTypes: []eventlog.MachineType{machineType}}
 	for name, list := range map[string][]eventlog.Entry{
-		"as written": append(append(append([]eventlog.Entry{}, done...), eventlog.Entry{MachineTypes: []eventlog.MachineType{ty}}, eventlog.Entry{Job: &open}), append(first, gone...)...),
-		"cleaned":    append(append([]eventlog.Entry{}, done...), again...),
+		"as written": slices.Concat(done, []eventlog.Entry{types, {Job: &open}}, first, gone),
+		"compacted":  slices.Concat(done, again),
 	} {
-		next := newSmallTerm(list)
-		f := next.Jobs.Find(2)
-		if f == nil || f.Phase != jobs.Held || len(f.Record.Follows) != 601 || len(f.Dependencies) != 1 {
-			t.Fatalf("%s: the follower is there: %v, or not as it was", name, f != nil)
-		}
-		if o := next.Jobs.Find(1); o == nil || o.DurableCount != 2000 {
-			t.Errorf("%s: the open job is read as %+v", name, o)
-		}
-		if len(next.Inventory.All()) != 10 {
-			t.Errorf("%s: %d machines, want 10", name, len(next.Inventory.All()))
-		}
-		if got := len(next.Types[0].Zones); got != 80 {
-			t.Errorf("%s: %d zones, want 80", name, got)
-		}
+		t.Run(name, func(t *testing.T) {
+			next := newSmallTerm(list)
+			dependent := next.Jobs.Find(2)
+			if dependent == nil {
+				t.Fatal("the dependent job is not there")
+			}
+			follows, waitsFor := len(dependent.Record.Follows), len(dependent.Dependencies)
+			if dependent.Phase != jobs.Held || follows != 601 || waitsFor != 1 {
+				t.Fatalf("the dependent job is in phase %v, follows %d jobs and waits for %d, want held, 601 and 1",
+					dependent.Phase, follows, waitsFor)
+			}
+			if j := next.Jobs.Find(1); j == nil || j.DurableCount != 2000 {
+				t.Errorf("the open job is read as %+v", j)
+			}
+			if machines := len(next.Inventory.All()); machines != 10 {
+				t.Errorf("%d machines, want 10", machines)
+			}
+			if got := len(next.Types[0].Zones); got != 80 {
+				t.Errorf("%d zones, want 80", got)
+			}
+		})
 	}
 }
 
-// compactAll has a term clean entries that its first segment held.
+// compactAll has a term compact entries that its first segment held.
 func compactAll(t *testing.T, term *Term, entries []eventlog.Entry) {
 	t.Helper()
 	term.firstSegment, term.compacting = 1, true
@@ -158,6 +187,13 @@
 	}
 }
 
+// smallMachineType is an entry with one machine type, in one zone.
+func smallMachineType() eventlog.Entry {
+	return eventlog.Entry{MachineTypes: []eventlog.MachineType{
+		{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}},
+	}}
+}
+
 // rentalRequests counts the rental requests that a term sends at first.
 func rentalRequests(term *Term) int {
 	term.Tick(time.Second, true)
@@ -173,7 +209,7 @@
 // A rental whose answer needs several entries: with only the first of them in
 // the log, the successor sends the request again and learns all machines.
 func TestPartialRentalAnswerIsRequestedAgain(t *testing.T) {
-	term := newSmallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := newSmallTerm([]eventlog.Entry{smallMachineType()})
 	var now time.Duration
 	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
 	list := drainLog(t, term, &now)
@@ -182,7 +218,8 @@
 		names = append(names, fmt.Sprintf("host-%0100d", n))
 	}
 	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
-	list = append([]eventlog.Entry{{MachineTypes: term.Types}}, append(list, drainLog(t, term, &now)...)...)
+	answered := drainLog(t, term, &now)
+	list = slices.Concat([]eventlog.Entry{{MachineTypes: term.Types}}, list, answered)
 	answers := 0
 	for n, e := range list {
 		if e.RentalAnswer == nil {
@@ -196,14 +233,15 @@
 	if answers < 2 {
 		t.Fatal("the answer fitted into one entry: the test tests nothing")
 	}
-	if next := newSmallTerm(list); rentalRequests(next) != 0 || len(next.Inventory.All()) != 50 {
-		t.Errorf("%d requests open, %d machines", rentalRequests(next), len(next.Inventory.All()))
+	next := newSmallTerm(list)
+	if open, machines := rentalRequests(next), len(next.Inventory.All()); open != 0 || machines != 50 {
+		t.Errorf("%d requests open, %d machines, want none and 50", open, machines)
 	}
 }
 
 // What cannot be stored at all is refused at once.
 func TestUnstorableJobIsRefused(t *testing.T) {
-	term := newSmallTerm([]eventlog.Entry{{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}}}}})
+	term := newSmallTerm([]eventlog.Entry{smallMachineType()})
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
 	for n := range 200 {
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
--- a/internal/leader/term/pools_bench_test.go
+++ b/internal/leader/term/pools_bench_test.go
@@ -20,11 +20,27 @@
 	pools, waiting int
 }{{"none", 0, 0}, {"idle", 1000, 0}, {"demands", 1000, 1000}}
 
+// newPoolTerm is a full term with pools and jobs that wait for units of them, and its log.
 func newPoolTerm(pools, waiting int) (*Term, []eventlog.Entry) {
 	entries, _ := fullLog(1300)
 	for i := range waiting {
-		rec := eventlog.Job{ID: uint64(10000 + i), Class: "c", Team: "team", Priority: 1, Tasks: 10, CPUs: 1, MemoryGB: 1, Image: "i", ImageGB: .3, Spot: true, EstimateS: 60,
-			Counted: []eventlog.PoolUnits{{Pool: fmt.Sprint("pool", i%pools), Units: 1 + i%3}, {Pool: fmt.Sprint("pool", (i*7+1)%pools), Units: 1}}}
+		rec := eventlog.Job{
+			ID:        uint64(10000 + i),
+			Class:     "c",
+			Team:      "team",
+			Priority:  1,
+			Tasks:     10,
+			CPUs:      1,
+			MemoryGB:  1,
+			Image:     "i",
+			ImageGB:   .3,
+			Spot:      true,
+			EstimateS: 60,
+			Counted: []eventlog.PoolUnits{
+				{Pool: fmt.Sprint("pool", i%pools), Units: 1 + i%3},
+				{Pool: fmt.Sprint("pool", (i*7+1)%pools), Units: 1},
+			},
+		}
 		rec.HideFromOlderVersions()
 		entries = append(entries, eventlog.Entry{Job: &rec})
 	}
@@ -37,6 +53,7 @@
 	return t, entries
 }
 
+// A tick with a scheduling cycle.
 func BenchmarkPoolsTick(b *testing.B) {
 	for _, c := range poolCases {
 		b.Run(c.name, func(b *testing.B) {
@@ -63,8 +80,8 @@
 	}
 }
 
-// A report that brings nothing new, and one with an end in it and the pass that
-// follows.
+// A heartbeat that brings nothing new, and one in which a task has ended, with the scheduling
+// cycle that follows.
 func BenchmarkPoolsReport(b *testing.B) {
 	for _, c := range poolCases {
 		for _, what := range []string{"nothing new", "an end"} {
--- a/internal/leader/term/scale_bench_test.go
+++ b/internal/leader/term/scale_bench_test.go
@@ -17,7 +17,7 @@
 
 var machineCounts = []int{650, 1300, 2600}
 
-// newSettledTerm is a term all of whose machines have reported, after a pass.
+// newSettledTerm is a term all of whose machines have reported, after a scheduling cycle.
 func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
 	t, reports := newFullTerm(machines)
 	now := time.Second
@@ -29,7 +29,7 @@
 	return t, reports, now
 }
 
-// A report that brings nothing new.
+// A heartbeat that brings nothing new.
 func BenchmarkScaleReport(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// A tick with a pass and all that is due twice a second.
+// A tick with a scheduling cycle and all that is due twice a second.
 func BenchmarkScaleTick(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// A report in which one task has ended, with the pass and the start that follow.
+// A heartbeat in which one task has ended, with the scheduling cycle and the start that follow.
 func BenchmarkScaleCompletion(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -105,6 +105,7 @@
 	}
 }
 
+// scaleLog is a full log with a grant of each job on every fifth machine.
 func scaleLog(machines int) []eventlog.Entry {
 	entries, _ := fullLog(machines)
 	for j := range 100 {
@@ -119,7 +120,7 @@
 	return entries
 }
 
-// The first reports of all machines after a takeover, each with its eight tasks.
+// The first heartbeats of all machines after a takeover, each with its eight tasks.
 func BenchmarkScaleResolve(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/leader/term/types_test.go
+++ b/internal/leader/term/types_test.go
@@ -8,8 +8,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// Cleaning moves the machine types to the log's end, behind jobs that are
-// bound to some of them: what a job may use is settled once all is read.
+// A compaction moves the machine types to the log's end, behind jobs that are bound to some
+// of them: what a job may use is settled once all is read.
 func TestTypesAfterJobsInTheLog(t *testing.T) {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
