--- a/internal/leader/cluster/actions.go
+++ b/internal/leader/cluster/actions.go
@@ -17,4 +17,4 @@
 var actionNames = [...]string{"start_new", "start_again", "rent", "return", "delete", "preempt", "move"}
 
 // String is the action's name in views, metrics and stored entries.
-func (o Action) String() string { return actionNames[o] }
+func (a Action) String() string { return actionNames[a] }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -75,7 +75,7 @@
 type Term struct {
 	*cluster.State
 
-	// The components that every term has. Users is exported because what users ask goes
+	// The components that every term has. The first is exported because what users ask goes
 	// to it directly.
 	Users      *lifecycle.Component
 	fairShare  *fairshare.Component
