--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -14,7 +14,7 @@
 	"bitternmoor/internal/core/resources"
 )
 
-type image struct {
+type cachedImage struct {
 	id   int32
 	gb   float64
 	used time.Duration
@@ -60,7 +60,7 @@
 	OpenOffers       map[Ref]*Placement // open offers: what a newer report does not show was not started
 	HasPlansListed   bool               // among the machines whose plans are offered
 	Reserved         bool               // room is held here for the first job in order
-	images           []image
+	images           []cachedImage
 	idle             map[uint64]time.Duration // since when a job with a grant has had nothing here
 	registryQueued   bool
 
@@ -172,8 +172,8 @@
 			return
 		}
 	}
-	m.images = append(m.images, image{id, gb, now})
-	slices.SortFunc(m.images, func(a, b image) int { return int(b.used - a.used) })
+	m.images = append(m.images, cachedImage{id, gb, now})
+	slices.SortFunc(m.images, func(a, b cachedImage) int { return int(b.used - a.used) })
 	var sum float64
 	for i, im := range m.images {
 		if sum += im.gb; sum > m.CacheGB && i > 0 {
