--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -66,7 +66,7 @@
 
 	// Starts sent straight to the worker, by attempt. Until it has seen a higher token than
 	// theirs they may be carried out, or once more.
-	directs     map[attempt]*directStart
+	directs     map[attemptKey]*directStart
 	Dispatching bool // one of them is under way
 	// Tainted: the worker has begun a later session or a new life while a start sent straight
 	// to it had no answer. It gets nothing more and is to be deleted: the start may be carried
@@ -88,7 +88,7 @@
 	raised       time.Duration
 }
 
-type attempt struct {
+type attemptKey struct {
 	ref Ref
 	n   uint64
 }
