--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		p.Seen, p.State, p.seq = true, Fetching, max(p.seq, r.Seq)
-		s.arrived = true
+		s.confirmed = true
 	}
 }
 
@@ -51,7 +51,7 @@
 // and nothing has shown that it arrived.
 func (m *Machine) unanswered(p *Placement) bool {
 	s := m.directOf(p)
-	return s != nil && !s.arrived
+	return s != nil && !s.confirmed
 }
 
 // doubt has the machine get nothing new until it has seen a token above this one, which it
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -82,7 +82,7 @@
 			}
 		}
 		m.images = nil
-		maps.DeleteFunc(m.directs, func(_ attemptKey, s *directStart) bool { return s.arrived }) // the others name the session too, and a new life may be in it
+		maps.DeleteFunc(m.directs, func(_ attemptKey, s *directStart) bool { return s.confirmed }) // the others name the session too, and a new life may be in it
 		if m.Up && !reborn {
 			// It was heard, and its lease ran out all the same: it may not hear us.
 			m.doubt(now, m.Token)
@@ -160,7 +160,7 @@
 			}
 			p.State, p.Seen, p.seq = t.State, true, r.Seq
 			if s := m.directOf(p); s != nil {
-				s.arrived = true
+				s.confirmed = true
 			}
 		}
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -95,8 +95,8 @@
 
 // directStart is a start that was sent straight to the worker.
 type directStart struct {
-	token   uint64
-	arrived bool // the worker has answered it, or shown its task
+	token     uint64
+	confirmed bool // the worker has answered it, or shown its task
 }
 
 // TokenUrgency says how much a higher token is wanted on a machine.
