--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -11,10 +11,10 @@
 func (m *Machine) Dispatch(p *Placement) {
 	m.moveIn(p)
 	p.seq = m.Seq
-	if m.directs == nil {
-		m.directs = map[attemptKey]*directStart{}
+	if m.directStarts == nil {
+		m.directStarts = map[attemptKey]*directStart{}
 	}
-	m.directs[attemptKey{p.Ref, p.Attempt}] = &directStart{token: m.Token}
+	m.directStarts[attemptKey{p.Ref, p.Attempt}] = &directStart{token: m.Token}
 }
 
 // DispatchResult takes the worker's answer to starts sent straight to it, under a token: its
@@ -45,7 +45,9 @@
 
 // directOf is the start of a task that counts as being here, if that was sent straight to
 // the worker; nil: it was not.
-func (m *Machine) directOf(p *Placement) *directStart { return m.directs[attemptKey{p.Ref, p.Attempt}] }
+func (m *Machine) directOf(p *Placement) *directStart {
+	return m.directStarts[attemptKey{p.Ref, p.Attempt}]
+}
 
 // unanswered says whether a task that counts as being here was sent straight to the worker,
 // and nothing has shown that it arrived.
@@ -101,7 +103,7 @@
 // direct says whether an attempt was sent straight to the worker and may still begin, or
 // begin once more, when the worker has seen no higher token than this one.
 func (m *Machine) direct(ref Ref, n, token uint64) bool {
-	s := m.directs[attemptKey{ref, n}]
+	s := m.directStarts[attemptKey{ref, n}]
 	return s != nil && token <= s.token
 }
 
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -82,7 +82,7 @@
 			}
 		}
 		m.images = nil
-		maps.DeleteFunc(m.directs, func(_ attemptKey, s *directStart) bool { return s.confirmed }) // the others name the session too, and a new life may be in it
+		maps.DeleteFunc(m.directStarts, func(_ attemptKey, s *directStart) bool { return s.confirmed }) // the others name the session too, and a new life may be in it
 		if m.Up && !reborn {
 			// It was heard, and its lease ran out all the same: it may not hear us.
 			m.doubt(now, m.Token)
@@ -139,11 +139,11 @@
 				}
 			}
 		case reconcile.LeaveReap:
-			delete(m.directs, attemptKey{k.Ref, t.Attempt})
+			delete(m.directStarts, attemptKey{k.Ref, t.Attempt})
 			gone(p, t.Reason)
 			cmds = append(cmds, Command{Op: Reap, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
 		case reconcile.Reap:
-			delete(m.directs, attemptKey{k.Ref, t.Attempt})
+			delete(m.directStarts, attemptKey{k.Ref, t.Attempt})
 			cmds = append(cmds, Command{Op: Reap, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
 		case reconcile.Stop:
 			strays = append(strays, t.Job)
@@ -172,7 +172,7 @@
 		late := !p.Seen && m.direct(p.Ref, p.Attempt, r.Token)
 		tainted := m.Quarantined && m.unanswered(p)
 		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
-			delete(m.directs, attemptKey{p.Ref, p.Attempt})
+			delete(m.directStarts, attemptKey{p.Ref, p.Attempt})
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
 		}
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -66,8 +66,8 @@
 
 	// Starts sent straight to the worker, by attempt. Until it has seen a higher token than
 	// theirs they may be carried out, or once more.
-	directs     map[attemptKey]*directStart
-	Dispatching bool // one of them is under way
+	directStarts map[attemptKey]*directStart
+	Dispatching  bool // one of them is under way
 	// Tainted: the worker has begun a later session or a new life while a start sent straight
 	// to it had no answer. It gets nothing more and is to be deleted: the start may be carried
 	// out by a life that has seen no token, and until the deletion is answered its task counts
