--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -60,7 +60,7 @@
 // is given with its next report.
 func (m *Machine) doubt(now time.Duration, token uint64) {
 	if m.SuspectBelow == 0 {
-		m.told = 0
+		m.tokenGivenAt = 0
 	}
 	m.SuspectBelow, m.raise = max(m.SuspectBelow, token), TokenNow
 }
@@ -77,7 +77,7 @@
 // in doubt, and has not shown it for so long. Time in which nobody could give it one, as in
 // an outage, does not count.
 func (m *Machine) Unreachable(now, limit time.Duration) bool {
-	return m.SuspectBelow > 0 && m.told > 0 && m.LastHeartbeat > m.told && now-m.told > limit
+	return m.SuspectBelow > 0 && m.tokenGivenAt > 0 && m.LastHeartbeat > m.tokenGivenAt && now-m.tokenGivenAt > limit
 }
 
 // HighestTokenSeen is the highest token that the machine has shown.
@@ -94,8 +94,8 @@
 		return false
 	}
 	m.raise, m.raised = TokenNotNeeded, now
-	if m.SuspectBelow > 0 && m.told == 0 {
-		m.told = now
+	if m.SuspectBelow > 0 && m.tokenGivenAt == 0 {
+		m.tokenGivenAt = now
 	}
 	return true
 }
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -79,7 +79,7 @@
 	// heard, and signs that it began anew give rise to it: whoever then reports a token
 	// given out since hears us, and lives.
 	SuspectBelow uint64
-	told         time.Duration // when it was first given one; 0: not yet
+	tokenGivenAt time.Duration // when it was first given one; 0: not yet
 	seen         uint64        // highest token in a report that was taken in
 	first        uint64        // lowest token of this term
 	Unanswered   int           // times that it was asked since it was last heard, and did not answer
