--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -81,7 +81,7 @@
 }
 
 // HighestTokenSeen is the highest token that the machine has shown.
-func (m *Machine) HighestTokenSeen() uint64 { return m.seen }
+func (m *Machine) HighestTokenSeen() uint64 { return m.highestTokenSeen }
 
 // NeedsToken says whether the machine should be given a higher token now, and takes it
 // that it will be.
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -91,7 +91,7 @@
 	if r.Token > m.SuspectBelow {
 		m.SuspectBelow = 0
 	}
-	m.seen = r.Token
+	m.highestTokenSeen = r.Token
 	if !m.Up || r.Token >= m.first {
 		m.LastHeartbeat = now // a machine that goes on reporting without the token of this term does not hear us
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -78,14 +78,14 @@
 	// there is none. A call that had no answer, a lease that ran out while the machine was
 	// heard, and signs that it began anew give rise to it: whoever then reports a token
 	// given out since hears us, and lives.
-	SuspectBelow uint64
-	tokenGivenAt time.Duration // when it was first given one; 0: not yet
-	seen         uint64        // highest token in a report that was taken in
-	first        uint64        // lowest token of this term
-	Unanswered   int           // times that it was asked since it was last heard, and did not answer
-	UnansweredAt time.Duration // when it was last heard before that
-	raise        TokenUrgency  // whether a higher token is asked for
-	raised       time.Duration
+	SuspectBelow     uint64
+	tokenGivenAt     time.Duration // when it was first given one; 0: not yet
+	highestTokenSeen uint64        // highest token in a report that was taken in
+	first            uint64        // lowest token of this term
+	Unanswered       int           // times that it was asked since it was last heard, and did not answer
+	UnansweredAt     time.Duration // when it was last heard before that
+	raise            TokenUrgency  // whether a higher token is asked for
+	raised           time.Duration
 }
 
 type attemptKey struct {
