--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -92,7 +92,7 @@
 		m.SuspectBelow = 0
 	}
 	m.highestTokenSeen = r.Token
-	if !m.Up || r.Token >= m.first {
+	if !m.Up || r.Token >= m.firstTokenOfTerm {
 		m.LastHeartbeat = now // a machine that goes on reporting without the token of this term does not hear us
 	}
 	events = append(events, m.settleOffers(r)...)
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -81,7 +81,7 @@
 	SuspectBelow     uint64
 	tokenGivenAt     time.Duration // when it was first given one; 0: not yet
 	highestTokenSeen uint64        // highest token in a report that was taken in
-	first            uint64        // lowest token of this term
+	firstTokenOfTerm uint64        // lowest token of this term
 	Unanswered       int           // times that it was asked since it was last heard, and did not answer
 	UnansweredAt     time.Duration // when it was last heard before that
 	raise            TokenUrgency  // whether a higher token is asked for
--- a/internal/core/workers/yard.go
+++ b/internal/core/workers/yard.go
@@ -21,7 +21,7 @@
 // Add enters a machine.
 func (y *Inventory) Add(m *Machine) *Machine {
 	m.Index = int32(len(y.all))
-	m.Free, m.first = m.Cap, m.Token
+	m.Free, m.firstTokenOfTerm = m.Cap, m.Token
 	m.Tasks = map[Ref]*Placement{}
 	m.Grants = map[uint64]bool{}
 	y.all = append(y.all, m)
