--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -62,7 +62,7 @@
 	if m.SuspectBelow == 0 {
 		m.tokenGivenAt = 0
 	}
-	m.SuspectBelow, m.raise = max(m.SuspectBelow, token), TokenNow
+	m.SuspectBelow, m.tokenUrgency = max(m.SuspectBelow, token), TokenNow
 }
 
 // CheckStale takes a report that is older than one taken in, though nothing newer has come for
@@ -87,13 +87,13 @@
 // that it will be.
 func (m *Machine) NeedsToken(now time.Duration) bool {
 	pause := raiseSometimePause
-	if m.raise == TokenNow {
+	if m.tokenUrgency == TokenNow {
 		pause = raiseNowPause
 	}
-	if m.raise == TokenNotNeeded || (m.raised > 0 && now-m.raised < pause) {
+	if m.tokenUrgency == TokenNotNeeded || (m.raised > 0 && now-m.raised < pause) {
 		return false
 	}
-	m.raise, m.raised = TokenNotNeeded, now
+	m.tokenUrgency, m.raised = TokenNotNeeded, now
 	if m.SuspectBelow > 0 && m.tokenGivenAt == 0 {
 		m.tokenGivenAt = now
 	}
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -134,8 +134,8 @@
 			events = append(events, ev)
 		case reconcile.Wait:
 			if diff == reconcile.EndedDirect {
-				if m.raise = max(m.raise, TokenEventually); p != nil && p.Attempt == t.Attempt {
-					m.raise, p.Seen, p.seq = TokenNow, true, r.Seq
+				if m.tokenUrgency = max(m.tokenUrgency, TokenEventually); p != nil && p.Attempt == t.Attempt {
+					m.tokenUrgency, p.Seen, p.seq = TokenNow, true, r.Seq
 				}
 			}
 		case reconcile.LeaveReap:
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -84,7 +84,7 @@
 	firstTokenOfTerm uint64        // lowest token of this term
 	Unanswered       int           // times that it was asked since it was last heard, and did not answer
 	UnansweredAt     time.Duration // when it was last heard before that
-	raise            TokenUrgency  // whether a higher token is asked for
+	tokenUrgency     TokenUrgency  // whether a higher token is asked for
 	raised           time.Duration
 }
 
