--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -90,10 +90,10 @@
 	if m.tokenUrgency == TokenNow {
 		pause = raiseNowPause
 	}
-	if m.tokenUrgency == TokenNotNeeded || (m.raised > 0 && now-m.raised < pause) {
+	if m.tokenUrgency == TokenNotNeeded || (m.tokenRequestedAt > 0 && now-m.tokenRequestedAt < pause) {
 		return false
 	}
-	m.tokenUrgency, m.raised = TokenNotNeeded, now
+	m.tokenUrgency, m.tokenRequestedAt = TokenNotNeeded, now
 	if m.SuspectBelow > 0 && m.tokenGivenAt == 0 {
 		m.tokenGivenAt = now
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -85,7 +85,7 @@
 	Unanswered       int           // times that it was asked since it was last heard, and did not answer
 	UnansweredAt     time.Duration // when it was last heard before that
 	tokenUrgency     TokenUrgency  // whether a higher token is asked for
-	raised           time.Duration
+	tokenRequestedAt time.Duration
 }
 
 type attemptKey struct {
