--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -61,7 +61,7 @@
 	HasPlansListed   bool               // among the machines whose plans are offered
 	Reserved         bool               // room is held here for the first job in order
 	images           []cachedImage
-	idle             map[uint64]time.Duration // since when a job with a grant has had nothing here
+	grantUnusedSince map[uint64]time.Duration // since when a job with a grant has had nothing here
 	registryQueued   bool
 
 	// Starts sent straight to the worker, by attempt. Until it has seen a higher token than
@@ -387,16 +387,16 @@
 	slices.Sort(used)
 	for id, durable := range m.Grants {
 		if _, found := slices.BinarySearch(used, id); found || !durable {
-			delete(m.idle, id)
+			delete(m.grantUnusedSince, id)
 			continue
 		}
-		since, known := m.idle[id]
+		since, known := m.grantUnusedSince[id]
 		switch {
 		case !known:
-			if m.idle == nil {
-				m.idle = map[uint64]time.Duration{}
+			if m.grantUnusedSince == nil {
+				m.grantUnusedSince = map[uint64]time.Duration{}
 			}
-			m.idle[id] = now
+			m.grantUnusedSince[id] = now
 		case now-since >= after:
 			out = append(out, id)
 		}
@@ -408,7 +408,7 @@
 // RevokeGrant forgets that a job may have tasks here.
 func (m *Machine) RevokeGrant(job uint64) {
 	delete(m.Grants, job)
-	delete(m.idle, job)
+	delete(m.grantUnusedSince, job)
 }
 
 // Settled says whether nothing is on its way to the machine, nor by way of its block's
