--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -28,7 +28,7 @@
 		if p == nil || p.Planned || p.Seen {
 			continue // a report has shown more meanwhile
 		}
-		s := m.directOf(p)
+		s := m.directStartOf(p)
 		if s == nil || s.token != token {
 			continue // likewise
 		}
@@ -43,16 +43,16 @@
 	}
 }
 
-// directOf is the start of a task that counts as being here, if that was sent straight to
+// directStartOf is the start of a task that counts as being here, if that was sent straight to
 // the worker; nil: it was not.
-func (m *Machine) directOf(p *Placement) *directStart {
+func (m *Machine) directStartOf(p *Placement) *directStart {
 	return m.directStarts[attemptKey{p.Ref, p.Attempt}]
 }
 
 // unanswered says whether a task that counts as being here was sent straight to the worker,
 // and nothing has shown that it arrived.
 func (m *Machine) unanswered(p *Placement) bool {
-	s := m.directOf(p)
+	s := m.directStartOf(p)
 	return s != nil && !s.confirmed
 }
 
@@ -110,5 +110,5 @@
 // WasDispatched says whether a task that counts as being here was sent straight to the worker.
 func (m *Machine) WasDispatched(ref Ref) bool {
 	p := m.Tasks[ref]
-	return p != nil && m.directOf(p) != nil
+	return p != nil && m.directStartOf(p) != nil
 }
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -159,7 +159,7 @@
 				events = append(events, Event{Kind: EventBegan, Ref: p.Ref, JobID: t.Job, Attempt: t.Attempt})
 			}
 			p.State, p.Seen, p.seq = t.State, true, r.Seq
-			if s := m.directOf(p); s != nil {
+			if s := m.directStartOf(p); s != nil {
 				s.confirmed = true
 			}
 		}
