--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -49,9 +49,9 @@
 	return m.directStarts[attemptKey{p.Ref, p.Attempt}]
 }
 
-// unanswered says whether a task that counts as being here was sent straight to the worker,
+// unconfirmedDirectStart says whether a task that counts as being here was sent straight to the worker,
 // and nothing has shown that it arrived.
-func (m *Machine) unanswered(p *Placement) bool {
+func (m *Machine) unconfirmedDirectStart(p *Placement) bool {
 	s := m.directStartOf(p)
 	return s != nil && !s.confirmed
 }
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -75,7 +75,7 @@
 			if p.Planned {
 				continue
 			}
-			if tally.Count(reconcile.Absent(true, m.unanswered(p), false)).Resolution() == reconcile.Leave {
+			if tally.Count(reconcile.Absent(true, m.unconfirmedDirectStart(p), false)).Resolution() == reconcile.Leave {
 				gone(p, Vanished).Died = true
 			} else {
 				m.Quarantined = true
@@ -170,7 +170,7 @@
 			continue
 		}
 		late := !p.Seen && m.direct(p.Ref, p.Attempt, r.Token)
-		tainted := m.Quarantined && m.unanswered(p)
+		tainted := m.Quarantined && m.unconfirmedDirectStart(p)
 		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
 			delete(m.directStarts, attemptKey{p.Ref, p.Attempt})
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
