--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -35,7 +35,7 @@
 		if r == nil || r.Machine != m.Name || r.Session != m.Session || !slices.ContainsFunc(r.Tasks, func(t TaskReport) bool {
 			return t.Job == p.JobID && t.Task == int(ref.Task) && t.Attempt == p.Attempt
 		}) {
-			m.doubt(now, token)
+			m.suspect(now, token)
 			continue
 		}
 		p.Seen, p.State, p.seq = true, Fetching, max(p.seq, r.Seq)
@@ -56,9 +56,9 @@
 	return s != nil && !s.confirmed
 }
 
-// doubt has the machine get nothing new until it has seen a token above this one, which it
+// suspect has the machine get nothing new until it has seen a token above this one, which it
 // is given with its next report.
-func (m *Machine) doubt(now time.Duration, token uint64) {
+func (m *Machine) suspect(now time.Duration, token uint64) {
 	if m.SuspectBelow == 0 {
 		m.tokenGivenAt = 0
 	}
@@ -69,7 +69,7 @@
 // longer than a worker is silent: the machine may have begun anew.
 func (m *Machine) CheckStale(now, silent time.Duration) {
 	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > silent {
-		m.doubt(now, m.Token)
+		m.suspect(now, m.Token)
 	}
 }
 
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -85,7 +85,7 @@
 		maps.DeleteFunc(m.directStarts, func(_ attemptKey, s *directStart) bool { return s.confirmed }) // the others name the session too, and a new life may be in it
 		if m.Up && !reborn {
 			// It was heard, and its lease ran out all the same: it may not hear us.
-			m.doubt(now, m.Token)
+			m.suspect(now, m.Token)
 		}
 	}
 	if r.Token > m.SuspectBelow {
