--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -100,9 +100,9 @@
 	return true
 }
 
-// direct says whether an attempt was sent straight to the worker and may still begin, or
+// mayStartLate says whether an attempt was sent straight to the worker and may still begin, or
 // begin once more, when the worker has seen no higher token than this one.
-func (m *Machine) direct(ref Ref, n, token uint64) bool {
+func (m *Machine) mayStartLate(ref Ref, n, token uint64) bool {
 	s := m.directStarts[attemptKey{ref, n}]
 	return s != nil && token <= s.token
 }
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -122,7 +122,7 @@
 		if p != nil {
 			st.Attempt = p.Attempt
 		}
-		st.Direct = ok && m.direct(k.Ref, t.Attempt, r.Token)
+		st.Direct = ok && m.mayStartLate(k.Ref, t.Attempt, r.Token)
 		diff := tally.Count(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
 		switch diff.Resolution() {
 		case reconcile.Complete:
@@ -169,7 +169,7 @@
 		if p.Planned || p.seq >= r.Seq {
 			continue
 		}
-		late := !p.Seen && m.direct(p.Ref, p.Attempt, r.Token)
+		late := !p.Seen && m.mayStartLate(p.Ref, p.Attempt, r.Token)
 		tainted := m.Quarantined && m.unconfirmedDirectStart(p)
 		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
 			delete(m.directStarts, attemptKey{p.Ref, p.Attempt})
