--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -150,7 +150,7 @@
 			cmds = append(cmds, Command{Op: Stop, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
 		case reconcile.Adopt:
 			p = &Placement{Ref: k.Ref, JobID: t.Job, Image: k.Image, Need: k.Need, Attempt: t.Attempt, Machine: m, State: Fetching}
-			m.add(p)
+			m.addPlacement(p)
 			events = append(events, Event{Kind: EventAdopted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Placement: p})
 			fallthrough
 		case reconcile.Keep:
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -186,10 +186,10 @@
 // Plan gives a task to the machine, to be sent with its next answer.
 func (m *Machine) Plan(p *Placement) {
 	p.Planned, p.Machine = true, m
-	m.add(p)
+	m.addPlacement(p)
 }
 
-func (m *Machine) add(p *Placement) {
+func (m *Machine) addPlacement(p *Placement) {
 	m.Tasks[p.Ref] = p
 	m.Free = m.Free.Minus(p.Need)
 	if p.Need.GPU == 0 {
@@ -280,7 +280,7 @@
 func (m *Machine) moveIn(p *Placement) {
 	p.Machine.RemovePlacement(p.Ref)
 	p.Planned, p.Machine = false, m
-	m.add(p)
+	m.addPlacement(p)
 }
 
 // TaskStarted notes that an offered task was sent with the answer to the
@@ -340,7 +340,7 @@
 	for m := range p.Offered {
 		p.Machine.RemovePlacement(p.Ref)
 		p.Machine = m
-		m.add(p)
+		m.addPlacement(p)
 		return true
 	}
 	return false
