--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -9,7 +9,7 @@
 // it counts as being here, until a report at a higher token shows that it is not: the
 // command may be carried out late.
 func (m *Machine) Dispatch(p *Placement) {
-	m.moveIn(p)
+	m.placePlanned(p)
 	p.seq = m.Seq
 	if m.directStarts == nil {
 		m.directStarts = map[attemptKey]*directStart{}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -276,8 +276,8 @@
 	return out
 }
 
-// moveIn makes a planned task one that is on the machine.
-func (m *Machine) moveIn(p *Placement) {
+// placePlanned makes a planned task one that is on the machine.
+func (m *Machine) placePlanned(p *Placement) {
 	p.Machine.RemovePlacement(p.Ref)
 	p.Planned, p.Machine = false, m
 	m.addPlacement(p)
@@ -292,7 +292,7 @@
 	}
 	delete(m.OpenOffers, ref)
 	delete(p.Offered, m)
-	m.moveIn(p)
+	m.placePlanned(p)
 	p.seq = m.Seq
 	return true
 }
@@ -311,7 +311,7 @@
 		})
 		switch {
 		case shown:
-			m.moveIn(p)
+			m.placePlanned(p)
 			events = append(events, Event{Kind: EventPlaced, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		case len(p.Offered) == 0:
 			events = append(events, Event{Kind: EventOfferClosed, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
