--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -95,7 +95,7 @@
 	if !m.Up || r.Token >= m.firstTokenOfTerm {
 		m.LastHeartbeat = now // a machine that goes on reporting without the token of this term does not hear us
 	}
-	events = append(events, m.settleOffers(r)...)
+	events = append(events, m.resolveOffers(r)...)
 	m.Session, m.Seq = r.Session, r.Seq
 	m.Up = true
 	if r.Notice {
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -297,8 +297,8 @@
 	return true
 }
 
-// settleOffers closes the machine's open offers by a newer report.
-func (m *Machine) settleOffers(r *Report) []Event {
+// resolveOffers closes the machine's open offers by a newer report.
+func (m *Machine) resolveOffers(r *Report) []Event {
 	var events []Event
 	for ref, p := range m.OpenOffers {
 		delete(m.OpenOffers, ref)
