--- a/internal/core/workers/tasks.go
+++ b/internal/core/workers/tasks.go
@@ -96,20 +96,20 @@
 	// with the answers to reports of machines of that block. The controller
 	// starts it on one of them. Until a newer report of a machine it was
 	// offered to has come, it may be there.
-	Offered         map[*Machine]bool
-	past            map[*Machine]bool // machines it was offered to under this serial
-	Serial          uint64            // of the offer; a controller starts a serial once
-	BoundToHome     bool              // bound to Home: tasks of gangs and of jobs with rules on zones
-	IntentDurable   bool              // it is noted that tasks up to its number may be handed out
-	NotOfferedAgain bool              // not offered again before no offer is open
-	Withdrawn       bool              // to be taken back once no offer is open
-	seq             uint64
-	StartNow        bool // its class should start sooner than an idle worker reports
-	State           TaskState
-	Seen            bool
-	RanAt           time.Duration
-	Stopping        bool
-	GraceSeconds    float64
+	Offered            map[*Machine]bool
+	offeredUnderSerial map[*Machine]bool // machines it was offered to under this serial
+	Serial             uint64            // of the offer; a controller starts a serial once
+	BoundToHome        bool              // bound to Home: tasks of gangs and of jobs with rules on zones
+	IntentDurable      bool              // it is noted that tasks up to its number may be handed out
+	NotOfferedAgain    bool              // not offered again before no offer is open
+	Withdrawn          bool              // to be taken back once no offer is open
+	seq                uint64
+	StartNow           bool // its class should start sooner than an idle worker reports
+	State              TaskState
+	Seen               bool
+	RanAt              time.Duration
+	Stopping           bool
+	GraceSeconds       float64
 }
 
 // Runs says whether the task was running when it was last reported.
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -230,17 +230,17 @@
 		if !m.Grants[p.JobID] || !p.IntentDurable {
 			return // a successor must be able to know first
 		}
-		if p.NotOfferedAgain || p.Withdrawn || (len(p.Offered) > 0 && p.past[m]) {
+		if p.NotOfferedAgain || p.Withdrawn || (len(p.Offered) > 0 && p.offeredUnderSerial[m]) {
 			return
 		}
 		if len(p.Offered) == 0 {
-			p.Serial, p.past = serial(), map[*Machine]bool{}
+			p.Serial, p.offeredUnderSerial = serial(), map[*Machine]bool{}
 			p.Offered = map[*Machine]bool{}
 			if p.Attempt == 0 {
 				p.Attempt = attempt()
 			}
 		}
-		p.Offered[m], p.past[m] = true, true
+		p.Offered[m], p.offeredUnderSerial[m] = true, true
 		if m.OpenOffers == nil {
 			m.OpenOffers = map[Ref]*Placement{}
 		}
