--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -10,7 +10,7 @@
 // command may be carried out late.
 func (m *Machine) Dispatch(p *Placement) {
 	m.placePlanned(p)
-	p.seq = m.Seq
+	p.lastReportSeq = m.Seq
 	if m.directStarts == nil {
 		m.directStarts = map[attemptKey]*directStart{}
 	}
@@ -38,7 +38,7 @@
 			m.suspect(now, token)
 			continue
 		}
-		p.Seen, p.State, p.seq = true, Fetching, max(p.seq, r.Seq)
+		p.Seen, p.State, p.lastReportSeq = true, Fetching, max(p.lastReportSeq, r.Seq)
 		s.confirmed = true
 	}
 }
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -135,7 +135,7 @@
 		case reconcile.Wait:
 			if diff == reconcile.EndedDirect {
 				if m.tokenUrgency = max(m.tokenUrgency, TokenEventually); p != nil && p.Attempt == t.Attempt {
-					m.tokenUrgency, p.Seen, p.seq = TokenNow, true, r.Seq
+					m.tokenUrgency, p.Seen, p.lastReportSeq = TokenNow, true, r.Seq
 				}
 			}
 		case reconcile.LeaveReap:
@@ -158,7 +158,7 @@
 				p.RanAt = now
 				events = append(events, Event{Kind: EventBegan, Ref: p.Ref, JobID: t.Job, Attempt: t.Attempt})
 			}
-			p.State, p.Seen, p.seq = t.State, true, r.Seq
+			p.State, p.Seen, p.lastReportSeq = t.State, true, r.Seq
 			if s := m.directStartOf(p); s != nil {
 				s.confirmed = true
 			}
@@ -166,7 +166,7 @@
 	}
 	for _, p := range m.Tasks {
 		// Sent with an earlier answer and not shown by this report.
-		if p.Planned || p.seq >= r.Seq {
+		if p.Planned || p.lastReportSeq >= r.Seq {
 			continue
 		}
 		late := !p.Seen && m.mayStartLate(p.Ref, p.Attempt, r.Token)
--- a/internal/core/workers/tasks.go
+++ b/internal/core/workers/tasks.go
@@ -103,7 +103,7 @@
 	IntentDurable      bool              // it is noted that tasks up to its number may be handed out
 	NotOfferedAgain    bool              // not offered again before no offer is open
 	Withdrawn          bool              // to be taken back once no offer is open
-	seq                uint64
+	lastReportSeq      uint64
 	StartNow           bool // its class should start sooner than an idle worker reports
 	State              TaskState
 	Seen               bool
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -293,7 +293,7 @@
 	delete(m.OpenOffers, ref)
 	delete(p.Offered, m)
 	m.placePlanned(p)
-	p.seq = m.Seq
+	p.lastReportSeq = m.Seq
 	return true
 }
 
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -20,7 +20,7 @@
 	p := &Placement{Ref: Ref{Job: int32(job), Task: task}, JobID: job, Need: resources.Need(1, 0, 1), Attempt: 1}
 	m.Plan(p)
 	m.placePlanned(p)
-	p.seq = m.Seq
+	p.lastReportSeq = m.Seq
 	return p
 }
 
