--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -88,7 +88,7 @@
 func (m *Machine) NeedsToken(now time.Duration) bool {
 	pause := raiseSometimePause
 	if m.tokenUrgency == TokenNow {
-		pause = raiseNowPause
+		pause = urgentTokenInterval
 	}
 	if m.tokenUrgency == TokenNotNeeded || (m.tokenRequestedAt > 0 && now-m.tokenRequestedAt < pause) {
 		return false
