--- a/internal/core/workers/direct.go
+++ b/internal/core/workers/direct.go
@@ -86,7 +86,7 @@
 // NeedsToken says whether the machine should be given a higher token now, and takes it
 // that it will be.
 func (m *Machine) NeedsToken(now time.Duration) bool {
-	pause := raiseSometimePause
+	pause := eventualTokenInterval
 	if m.tokenUrgency == TokenNow {
 		pause = urgentTokenInterval
 	}
--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -112,8 +112,8 @@
 // Pauses between two tokens given to one machine: a worker reports a higher one at once
 // only now and then, and tokens of a term are bounded.
 const (
-	urgentTokenInterval = 2 * time.Second
-	raiseSometimePause  = 60 * time.Second
+	urgentTokenInterval   = 2 * time.Second
+	eventualTokenInterval = 60 * time.Second
 )
 
 // Usable says whether tasks may be planned on the machine.
