--- a/internal/core/workers/workers.go
+++ b/internal/core/workers/workers.go
@@ -218,7 +218,7 @@
 }
 
 // offersAtOnce bounds the offers for other machines' tasks in one answer.
-const offersAtOnce = 8
+const maxForeignOffers = 8
 
 // Offer makes the offers for an answer to the machine's last report: the
 // tasks planned here, and such planned on machines of the same block, type,
@@ -261,7 +261,7 @@
 			continue
 		}
 		for _, p := range o.Tasks {
-			if len(out)-here >= offersAtOnce {
+			if len(out)-here >= maxForeignOffers {
 				break
 			}
 			if m.Cap.GPU > 0 && p.Need.GPU == 0 {
