--- a/internal/core/workers/tasks.go
+++ b/internal/core/workers/tasks.go
@@ -34,9 +34,9 @@
 	UnknownTask
 )
 
-var reasonWords = [...]string{"vanished", "done", "stopped", "a peer was lost", "gang not complete", "failed", "no room", "busy", "unknown task"}
+var reasonLabels = [...]string{"vanished", "done", "stopped", "a peer was lost", "gang not complete", "failed", "no room", "busy", "unknown task"}
 
-func (r Reason) String() string { return reasonWords[r] }
+func (r Reason) String() string { return reasonLabels[r] }
 
 // Report is a worker's report.
 type Report struct {
