--- a/internal/core/workers/yard.go
+++ b/internal/core/workers/yard.go
@@ -2,21 +2,21 @@
 
 // Inventory holds all machines.
 type Inventory struct {
-	byName map[string]*Machine
-	all    []*Machine
-	gone   map[string]bool // deleted ones; their late reports mean nothing
+	byName  map[string]*Machine
+	all     []*Machine
+	deleted map[string]bool // deleted ones; their late reports mean nothing
 }
 
 // NewInventory makes an empty yard.
 func NewInventory() *Inventory {
-	return &Inventory{byName: map[string]*Machine{}, gone: map[string]bool{}}
+	return &Inventory{byName: map[string]*Machine{}, deleted: map[string]bool{}}
 }
 
 // Find returns a machine by name.
 func (y *Inventory) Find(name string) *Machine { return y.byName[name] }
 
 // WasDeleted says whether a machine is known to be deleted.
-func (y *Inventory) WasDeleted(name string) bool { return y.gone[name] }
+func (y *Inventory) WasDeleted(name string) bool { return y.deleted[name] }
 
 // Add enters a machine.
 func (y *Inventory) Add(m *Machine) *Machine {
@@ -31,7 +31,7 @@
 
 // Remove takes a deleted machine out.
 func (y *Inventory) Remove(name string) {
-	y.gone[name] = true
+	y.deleted[name] = true
 	if m := y.byName[name]; m != nil {
 		delete(y.byName, name)
 		last := y.all[len(y.all)-1]
