--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -170,14 +170,14 @@
 
 // Task names the difference between what is stored of a task and what is shown of it.
 func Task(st Stored, sh Shown) Diff {
-	d := task(st, sh)
+	d := classifyTask(st, sh)
 	if s := d.Resolution(); st.Direct && (s == Reap || s == LeaveReap) {
 		return EndedDirect
 	}
 	return d
 }
 
-func task(st Stored, sh Shown) Diff {
+func classifyTask(st Stored, sh Shown) Diff {
 	mine := st.Here && st.Attempt == sh.Attempt
 	switch {
 	case !st.Known && sh.Ended:
