--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -78,10 +78,10 @@
 	StepDown                    // somebody else leads: the term is over
 )
 
-var settlementWords = [...]string{"keep", "complete, reap once durable", "wait", "reap", "release and reap", "release", "adopt", "adopt and give up the gang's attempt",
+var resolutionLabels = [...]string{"keep", "complete, reap once durable", "wait", "reap", "release and reap", "release", "adopt", "adopt and give up the gang's attempt",
 	"stop", "register", "ignore", "listen", "release all", "delete", "step down"}
 
-func (s Resolution) String() string { return settlementWords[s] }
+func (s Resolution) String() string { return resolutionLabels[s] }
 
 // Row is a line of the table.
 type Row struct {
