--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -18,18 +18,18 @@
 	var waited []*Job
 	for _, i := range j.Dependents {
 		f := t.jobs[i]
-		f.Dependencies = without(f.Dependencies, j.Index)
+		f.Dependencies = removeIndex(f.Dependencies, j.Index)
 		waited = append(waited, f)
 	}
 	for _, i := range j.Dependencies {
 		b := t.jobs[i]
-		b.Dependents = without(b.Dependents, j.Index)
+		b.Dependents = removeIndex(b.Dependents, j.Index)
 	}
 	j.Dependencies, j.Dependents = nil, nil
 	return waited
 }
 
-func without(list []int32, i int32) []int32 {
+func removeIndex(list []int32, i int32) []int32 {
 	return slices.DeleteFunc(list, func(o int32) bool { return o == i })
 }
 
