--- a/internal/core/jobs/links.go
+++ b/internal/core/jobs/links.go
@@ -36,16 +36,16 @@
 // TransitiveDependents lists the open jobs that need a job, directly or through others,
 // each once.
 func (t *Table) TransitiveDependents(j *Job) []*Job {
-	return t.reach(j, func(x *Job) []int32 { return x.Dependents })
+	return t.transitiveClosure(j, func(x *Job) []int32 { return x.Dependents })
 }
 
 // TransitiveDependencies lists the open jobs that a job needs, directly or through others,
 // each once.
 func (t *Table) TransitiveDependencies(j *Job) []*Job {
-	return t.reach(j, func(x *Job) []int32 { return x.Dependencies })
+	return t.transitiveClosure(j, func(x *Job) []int32 { return x.Dependencies })
 }
 
-func (t *Table) reach(j *Job, next func(*Job) []int32) []*Job {
+func (t *Table) transitiveClosure(j *Job, next func(*Job) []int32) []*Job {
 	var out []*Job
 	seen := map[int32]bool{j.Index: true}
 	for todo := []*Job{j}; len(todo) > 0; {
