--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -122,10 +122,10 @@
 
 // Table holds all jobs by dense index, and the final states by id.
 type Table struct {
-	byID   map[uint64]int32
-	jobs   []*Job
-	free   []int32
-	finals map[uint64]Phase
+	byID        map[uint64]int32
+	jobs        []*Job
+	freeIndexes []int32
+	finals      map[uint64]Phase
 }
 
 // NewTable makes an empty table.
@@ -136,9 +136,9 @@
 // Add enters a job.
 func (t *Table) Add(rec eventlog.Job) *Job {
 	j := &Job{Record: rec, Need: resources.Need(rec.CPUs, rec.GPUs, rec.MemoryGB), Priority: rec.Priority, Tasks: make([]TaskState, rec.Tasks), Waiting: rec.Tasks}
-	if n := len(t.free); n > 0 {
-		j.Index = t.free[n-1]
-		t.free = t.free[:n-1]
+	if n := len(t.freeIndexes); n > 0 {
+		j.Index = t.freeIndexes[n-1]
+		t.freeIndexes = t.freeIndexes[:n-1]
 		t.jobs[j.Index] = j
 	} else {
 		j.Index = int32(len(t.jobs))
@@ -190,7 +190,7 @@
 	}
 	delete(t.byID, j.Record.ID)
 	t.jobs[j.Index] = nil
-	t.free = append(t.free, j.Index)
+	t.freeIndexes = append(t.freeIndexes, j.Index)
 }
 
 // NextWaiting returns the waiting task of the lowest number below limit, or -1.
