--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -125,12 +125,12 @@
 	byID        map[uint64]int32
 	jobs        []*Job
 	freeIndexes []int32
-	finals      map[uint64]Phase
+	finalPhases map[uint64]Phase
 }
 
 // NewTable makes an empty table.
 func NewTable() *Table {
-	return &Table{byID: map[uint64]int32{}, finals: map[uint64]Phase{}}
+	return &Table{byID: map[uint64]int32{}, finalPhases: map[uint64]Phase{}}
 }
 
 // Add enters a job.
@@ -164,19 +164,19 @@
 
 // Final returns the final state of a job that is over.
 func (t *Table) Final(id uint64) (Phase, bool) {
-	p, ok := t.finals[id]
+	p, ok := t.finalPhases[id]
 	return p, ok
 }
 
 // Finish notes a job's final state; it stays so.
 func (t *Table) Finish(id uint64, p Phase) {
-	if _, ok := t.finals[id]; !ok {
-		t.finals[id] = p
+	if _, ok := t.finalPhases[id]; !ok {
+		t.finalPhases[id] = p
 	}
 }
 
 // Finals is the number of jobs that are over.
-func (t *Table) Finals() int { return len(t.finals) }
+func (t *Table) Finals() int { return len(t.finalPhases) }
 
 // Len is the number of jobs in the table.
 func (t *Table) Len() int { return len(t.byID) }
