--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -77,14 +77,14 @@
 	// directly or not.
 	Priority uint8
 
-	Tasks        []TaskState
-	Waiting      int
-	Placed       int
-	Running      int
-	Finished     int // including the noted ones
-	DurableCount int
-	cursor       int
-	fresh        int // the same from FreshFrom on
+	Tasks         []TaskState
+	Waiting       int
+	Placed        int
+	Running       int
+	Finished      int // including the noted ones
+	DurableCount  int
+	waitingCursor int
+	fresh         int // the same from FreshFrom on
 
 	Zones map[int32]int // placed tasks by zone, where the job has a say in that
 	// Launch is the attempt that all tasks of a gang share; 0 while none is
@@ -195,11 +195,11 @@
 
 // NextWaiting returns the waiting task of the lowest number below limit, or -1.
 func (j *Job) NextWaiting(limit int) int {
-	for j.cursor < len(j.Tasks) && j.Tasks[j.cursor] != Waiting {
-		j.cursor++
+	for j.waitingCursor < len(j.Tasks) && j.Tasks[j.waitingCursor] != Waiting {
+		j.waitingCursor++
 	}
-	if j.cursor < min(limit, len(j.Tasks)) {
-		return j.cursor
+	if j.waitingCursor < min(limit, len(j.Tasks)) {
+		return j.waitingCursor
 	}
 	return -1
 }
@@ -233,7 +233,7 @@
 	j.Tasks[k] = Waiting
 	j.Waiting++
 	j.Placed--
-	j.cursor, j.fresh = min(j.cursor, k), min(j.fresh, k)
+	j.waitingCursor, j.fresh = min(j.waitingCursor, k), min(j.fresh, k)
 }
 
 // HasBegun says whether a task of the job has its place or had one, as far as is known; a
