--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/jobs.go
@@ -84,7 +84,7 @@
 	Finished      int // including the noted ones
 	DurableCount  int
 	waitingCursor int
-	fresh         int // the same from FreshFrom on
+	freshCursor   int // the same from FreshFrom on
 
 	Zones map[int32]int // placed tasks by zone, where the job has a say in that
 	// Launch is the attempt that all tasks of a gang share; 0 while none is
@@ -207,9 +207,9 @@
 // NextFresh returns the waiting task of the lowest number that no earlier term
 // can have started, or -1.
 func (j *Job) NextFresh() int {
-	for j.fresh = max(j.fresh, j.FreshFrom); j.fresh < len(j.Tasks); j.fresh++ {
-		if j.Tasks[j.fresh] == Waiting {
-			return j.fresh
+	for j.freshCursor = max(j.freshCursor, j.FreshFrom); j.freshCursor < len(j.Tasks); j.freshCursor++ {
+		if j.Tasks[j.freshCursor] == Waiting {
+			return j.freshCursor
 		}
 	}
 	return -1
@@ -233,7 +233,7 @@
 	j.Tasks[k] = Waiting
 	j.Waiting++
 	j.Placed--
-	j.waitingCursor, j.fresh = min(j.waitingCursor, k), min(j.fresh, k)
+	j.waitingCursor, j.freshCursor = min(j.waitingCursor, k), min(j.freshCursor, k)
 }
 
 // HasBegun says whether a task of the job has its place or had one, as far as is known; a
