--- a/internal/core/resources/resources.go
+++ b/internal/core/resources/resources.go
@@ -8,13 +8,15 @@
 type Amounts struct{ CPU, GPU, Mem int64 }
 
 // Need rounds up what a task takes.
-func Need(cpus, gpus, memGB float64) Amounts { return Amounts{up(cpus), up(gpus), up(memGB)} }
+func Need(cpus, gpus, memGB float64) Amounts {
+	return Amounts{milliRoundedUp(cpus), milliRoundedUp(gpus), milliRoundedUp(memGB)}
+}
 
 // Room rounds down what a machine has.
 func Room(cpus, gpus, memGB float64) Amounts { return Amounts{down(cpus), down(gpus), down(memGB)} }
 
-func up(v float64) int64   { return int64(math.Ceil(v*1000 - 1e-6)) }
-func down(v float64) int64 { return int64(math.Floor(v*1000 + 1e-6)) }
+func milliRoundedUp(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
+func down(v float64) int64           { return int64(math.Floor(v*1000 + 1e-6)) }
 
 // Plus adds.
 func (a Amounts) Plus(b Amounts) Amounts { return Amounts{a.CPU + b.CPU, a.GPU + b.GPU, a.Mem + b.Mem} }
