--- a/internal/core/resources/resources.go
+++ b/internal/core/resources/resources.go
@@ -13,10 +13,12 @@
 }
 
 // Room rounds down what a machine has.
-func Room(cpus, gpus, memGB float64) Amounts { return Amounts{down(cpus), down(gpus), down(memGB)} }
+func Room(cpus, gpus, memGB float64) Amounts {
+	return Amounts{milliRoundedDown(cpus), milliRoundedDown(gpus), milliRoundedDown(memGB)}
+}
 
-func milliRoundedUp(v float64) int64 { return int64(math.Ceil(v*1000 - 1e-6)) }
-func down(v float64) int64           { return int64(math.Floor(v*1000 + 1e-6)) }
+func milliRoundedUp(v float64) int64   { return int64(math.Ceil(v*1000 - 1e-6)) }
+func milliRoundedDown(v float64) int64 { return int64(math.Floor(v*1000 + 1e-6)) }
 
 // Plus adds.
 func (a Amounts) Plus(b Amounts) Amounts { return Amounts{a.CPU + b.CPU, a.GPU + b.GPU, a.Mem + b.Mem} }
