--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -14,7 +14,7 @@
 const (
 	AsStored         Diff = iota
 	Completed             // it counted here, and has ended with its result
-	EndedUnheard          // it has ended with its result, and did not count here
+	EndedNotPlaced        // it has ended with its result, and did not count here
 	EndedNotDurable       // its result is known already, and not durable yet
 	EndedElsewhere        // it has ended here with its result, and counts on another machine
 	EndedDurable          // its end is durable, or its job is over
@@ -95,7 +95,7 @@
 var table = [Kinds]Row{
 	AsStored:         {"as_stored", "on this machine", "this attempt, not ended", Keep, "the newest report shows it"},
 	Completed:        {"completed", "on this machine, open", "this attempt, done", Complete, "the worker keeps the result until it is reaped"},
-	EndedUnheard:     {"ended_unheard", "not on this machine, open", "done", Complete, "a result counts whoever started it: a task has one result"},
+	EndedNotPlaced:   {"ended_unheard", "not on this machine, open", "done", Complete, "a result counts whoever started it: a task has one result"},
 	EndedNotDurable:  {"ended_not_durable", "done, not durable", "done", Wait, "reaped too early it would be lost with this leader"},
 	EndedElsewhere:   {"ended_elsewhere", "on another machine, or on offer to one", "done", Wait, "the one that counts ends at once with the same result"},
 	EndedDurable:     {"ended_durable", "done and durable, or its job over", "done", Reap, "nothing more is asked of this attempt by any leader"},
@@ -189,7 +189,7 @@
 		case st.Open && mine:
 			return Completed
 		case st.Open:
-			return EndedUnheard
+			return EndedNotPlaced
 		case mine && st.Durable:
 			return CancelledEnd
 		case st.Durable:
