--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -28,7 +28,7 @@
 	AbsentUnanswered      // it was sent straight to the worker, had no answer, and the worker has begun a later session or a new life
 	AbsentDirect          // it was sent straight to the worker, and a report lacks it at a token with which it may yet arrive
 	EndedDirect           // it was sent straight to the worker, has ended, and a copy of its start may yet arrive
-	RunsUnseen            // it counted nowhere, and runs here
+	RunsUnplaced          // it counted nowhere, and runs here
 	SavesUnseen           // it counted nowhere, and is saving here
 	RunsDone              // it runs, though its end is known
 	RunsCancelled         // it runs, though its job is cancelled
@@ -109,7 +109,7 @@
 	AbsentUnanswered: {"absent_unanswered", "on this machine, started directly, without an answer", "a later session, or a new life", Wait, "none: the command may be carried out late, by a life that counts sessions and tokens anew; the machine is deleted"},
 	AbsentDirect:     {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
 	EndedDirect:      {"ended_direct", "started directly", "ended, at no higher token than the start's", Wait, "reaped before the worker has seen a higher token, a late copy of its start would begin it once more"},
-	RunsUnseen:       {"runs_unseen", "nowhere, open", "not ended", Adopt, "the newest report shows it, and it counts nowhere else"},
+	RunsUnplaced:     {"runs_unseen", "nowhere, open", "not ended", Adopt, "the newest report shows it, and it counts nowhere else"},
 	SavesUnseen:      {"saves_unseen", "nowhere, open", "saving", Adopt, "the newest report shows it; what it saves is kept"},
 	RunsDone:         {"runs_done", "done", "not ended", Stop, "its result is known: more of it is of no use"},
 	RunsCancelled:    {"runs_cancelled", "nowhere, cancelled", "not ended", Stop, "its user was told that it is cancelled, by a leader of an older version"},
@@ -221,7 +221,7 @@
 	case sh.Saving:
 		return SavesUnseen
 	}
-	return RunsUnseen
+	return RunsUnplaced
 }
 
 // Absent names the difference where a report lacks a task that counts here. later says
