--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -29,7 +29,7 @@
 	AbsentDirect          // it was sent straight to the worker, and a report lacks it at a token with which it may yet arrive
 	EndedDirect           // it was sent straight to the worker, has ended, and a copy of its start may yet arrive
 	RunsUnplaced          // it counted nowhere, and runs here
-	SavesUnseen           // it counted nowhere, and is saving here
+	SavesUnplaced         // it counted nowhere, and is saving here
 	RunsDone              // it runs, though its end is known
 	RunsCancelled         // it runs, though its job is cancelled
 	RunsHeld              // it runs, though its job waits for others
@@ -110,7 +110,7 @@
 	AbsentDirect:     {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
 	EndedDirect:      {"ended_direct", "started directly", "ended, at no higher token than the start's", Wait, "reaped before the worker has seen a higher token, a late copy of its start would begin it once more"},
 	RunsUnplaced:     {"runs_unseen", "nowhere, open", "not ended", Adopt, "the newest report shows it, and it counts nowhere else"},
-	SavesUnseen:      {"saves_unseen", "nowhere, open", "saving", Adopt, "the newest report shows it; what it saves is kept"},
+	SavesUnplaced:    {"saves_unseen", "nowhere, open", "saving", Adopt, "the newest report shows it; what it saves is kept"},
 	RunsDone:         {"runs_done", "done", "not ended", Stop, "its result is known: more of it is of no use"},
 	RunsCancelled:    {"runs_cancelled", "nowhere, cancelled", "not ended", Stop, "its user was told that it is cancelled, by a leader of an older version"},
 	RunsHeld:         {"runs_held", "held for other jobs", "not ended", Stop, "it may not have been started"},
@@ -219,7 +219,7 @@
 	case !st.Open:
 		return RunsDone
 	case sh.Saving:
-		return SavesUnseen
+		return SavesUnplaced
 	}
 	return RunsUnplaced
 }
