--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -21,7 +21,7 @@
 	CancelledEnd            // it counted here, has ended, and its job is cancelled
 	EndedSaved              // it counted here, and was stopped with its progress saved
 	EndedWithoutResult      // it counted here, and has ended without a result
-	OldEnd                  // an attempt that did not count here has ended without a result
+	EndedOldAttempt         // an attempt that did not count here has ended without a result
 	AbsentNow               // it counted here; a newer report at the current token lacks it
 	AbsentLater             // it counted here; the worker has begun a later session
 	AbsentUnproved          // it counted here; a report at an older token lacks it
@@ -102,7 +102,7 @@
 	CancelledEnd:       {"cancelled_end", "on this machine, cancelled", "this attempt, done", LeaveReap, "a cancelled job's results are of no use"},
 	EndedSaved:         {"ended_saved", "on this machine", "this attempt, stopped, its progress saved", LeaveReap, "an ended attempt does not begin again; the next one goes on from what is saved"},
 	EndedWithoutResult: {"ended_without", "on this machine", "this attempt, ended without a result", LeaveReap, "an ended attempt does not begin again"},
-	OldEnd:             {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
+	EndedOldAttempt:    {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
 	AbsentNow:          {"absent_now", "on this machine", "not there, at the current token", Leave, "a start travels in the answer to the report before only, and would show in this one"},
 	AbsentLater:        {"absent_later", "on this machine", "a later session", Leave, "with its lease a worker kills and forgets all tasks"},
 	AbsentUnproved:     {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
@@ -205,7 +205,7 @@
 		case mine:
 			return EndedWithoutResult
 		}
-		return OldEnd
+		return EndedOldAttempt
 	case mine:
 		return AsStored
 	case st.Here:
