--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -23,7 +23,7 @@
 	EndedWithoutResult        // it counted here, and has ended without a result
 	EndedOldAttempt           // an attempt that did not count here has ended without a result
 	AbsentAtCurrentToken      // it counted here; a newer report at the current token lacks it
-	AbsentLater               // it counted here; the worker has begun a later session
+	AbsentInLaterSession      // it counted here; the worker has begun a later session
 	AbsentUnproved            // it counted here; a report at an older token lacks it
 	AbsentUnanswered          // it was sent straight to the worker, had no answer, and the worker has begun a later session or a new life
 	AbsentDirect              // it was sent straight to the worker, and a report lacks it at a token with which it may yet arrive
@@ -104,7 +104,7 @@
 	EndedWithoutResult:   {"ended_without", "on this machine", "this attempt, ended without a result", LeaveReap, "an ended attempt does not begin again"},
 	EndedOldAttempt:      {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
 	AbsentAtCurrentToken: {"absent_now", "on this machine", "not there, at the current token", Leave, "a start travels in the answer to the report before only, and would show in this one"},
-	AbsentLater:          {"absent_later", "on this machine", "a later session", Leave, "with its lease a worker kills and forgets all tasks"},
+	AbsentInLaterSession: {"absent_later", "on this machine", "a later session", Leave, "with its lease a worker kills and forgets all tasks"},
 	AbsentUnproved:       {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
 	AbsentUnanswered:     {"absent_unanswered", "on this machine, started directly, without an answer", "a later session, or a new life", Wait, "none: the command may be carried out late, by a life that counts sessions and tokens anew; the machine is deleted"},
 	AbsentDirect:         {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
@@ -233,7 +233,7 @@
 	case later && direct:
 		return AbsentUnanswered
 	case later:
-		return AbsentLater
+		return AbsentInLaterSession
 	case direct:
 		return AbsentDirect
 	case current:
