--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -24,7 +24,7 @@
 	EndedOldAttempt           // an attempt that did not count here has ended without a result
 	AbsentAtCurrentToken      // it counted here; a newer report at the current token lacks it
 	AbsentInLaterSession      // it counted here; the worker has begun a later session
-	AbsentUnproved            // it counted here; a report at an older token lacks it
+	AbsentAtOlderToken        // it counted here; a report at an older token lacks it
 	AbsentUnanswered          // it was sent straight to the worker, had no answer, and the worker has begun a later session or a new life
 	AbsentDirect              // it was sent straight to the worker, and a report lacks it at a token with which it may yet arrive
 	EndedDirect               // it was sent straight to the worker, has ended, and a copy of its start may yet arrive
@@ -105,7 +105,7 @@
 	EndedOldAttempt:      {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
 	AbsentAtCurrentToken: {"absent_now", "on this machine", "not there, at the current token", Leave, "a start travels in the answer to the report before only, and would show in this one"},
 	AbsentInLaterSession: {"absent_later", "on this machine", "a later session", Leave, "with its lease a worker kills and forgets all tasks"},
-	AbsentUnproved:       {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
+	AbsentAtOlderToken:   {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
 	AbsentUnanswered:     {"absent_unanswered", "on this machine, started directly, without an answer", "a later session, or a new life", Wait, "none: the command may be carried out late, by a life that counts sessions and tokens anew; the machine is deleted"},
 	AbsentDirect:         {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
 	EndedDirect:          {"ended_direct", "started directly", "ended, at no higher token than the start's", Wait, "reaped before the worker has seen a higher token, a late copy of its start would begin it once more"},
@@ -239,7 +239,7 @@
 	case current:
 		return AbsentAtCurrentToken
 	}
-	return AbsentUnproved
+	return AbsentAtOlderToken
 }
 
 // Machine is what the leader has of a machine, and what its report says of it.
