--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -12,31 +12,31 @@
 
 // The differences of a task. Those of machines follow, and then those of gangs.
 const (
-	AsStored             Diff = iota
-	Completed                 // it counted here, and has ended with its result
-	EndedNotPlaced            // it has ended with its result, and did not count here
-	EndedNotDurable           // its result is known already, and not durable yet
-	EndedElsewhere            // it has ended here with its result, and counts on another machine
-	EndedDurable              // its end is durable, or its job is over
-	CancelledEnd              // it counted here, has ended, and its job is cancelled
-	EndedSaved                // it counted here, and was stopped with its progress saved
-	EndedWithoutResult        // it counted here, and has ended without a result
-	EndedOldAttempt           // an attempt that did not count here has ended without a result
-	AbsentAtCurrentToken      // it counted here; a newer report at the current token lacks it
-	AbsentInLaterSession      // it counted here; the worker has begun a later session
-	AbsentAtOlderToken        // it counted here; a report at an older token lacks it
-	AbsentUnanswered          // it was sent straight to the worker, had no answer, and the worker has begun a later session or a new life
-	AbsentDirect              // it was sent straight to the worker, and a report lacks it at a token with which it may yet arrive
-	EndedDirect               // it was sent straight to the worker, has ended, and a copy of its start may yet arrive
-	RunsUnplaced              // it counted nowhere, and runs here
-	SavesUnplaced             // it counted nowhere, and is saving here
-	RunsDone                  // it runs, though its end is known
-	RunsCancelled             // it runs, though its job is cancelled
-	RunsHeld                  // it runs, though its job waits for others
-	RunsElsewhere             // it runs, though it counts on another machine or may be on one
-	RunsOtherAttempt          // another attempt of it counts here
-	RunsUnknown               // nobody accepted its job, or there is no such task
-	EndedUnknown              // the same, and it has ended
+	AsStored                   Diff = iota
+	Completed                       // it counted here, and has ended with its result
+	EndedNotPlaced                  // it has ended with its result, and did not count here
+	EndedNotDurable                 // its result is known already, and not durable yet
+	EndedElsewhere                  // it has ended here with its result, and counts on another machine
+	EndedDurable                    // its end is durable, or its job is over
+	CancelledEnd                    // it counted here, has ended, and its job is cancelled
+	EndedSaved                      // it counted here, and was stopped with its progress saved
+	EndedWithoutResult              // it counted here, and has ended without a result
+	EndedOldAttempt                 // an attempt that did not count here has ended without a result
+	AbsentAtCurrentToken            // it counted here; a newer report at the current token lacks it
+	AbsentInLaterSession            // it counted here; the worker has begun a later session
+	AbsentAtOlderToken              // it counted here; a report at an older token lacks it
+	AbsentDirectInLaterSession      // it was sent straight to the worker, had no answer, and the worker has begun a later session or a new life
+	AbsentDirect                    // it was sent straight to the worker, and a report lacks it at a token with which it may yet arrive
+	EndedDirect                     // it was sent straight to the worker, has ended, and a copy of its start may yet arrive
+	RunsUnplaced                    // it counted nowhere, and runs here
+	SavesUnplaced                   // it counted nowhere, and is saving here
+	RunsDone                        // it runs, though its end is known
+	RunsCancelled                   // it runs, though its job is cancelled
+	RunsHeld                        // it runs, though its job waits for others
+	RunsElsewhere                   // it runs, though it counts on another machine or may be on one
+	RunsOtherAttempt                // another attempt of it counts here
+	RunsUnknown                     // nobody accepted its job, or there is no such task
+	EndedUnknown                    // the same, and it has ended
 
 	MachineAsStored
 	MachineNew         // nothing is stored of it: rented late, or its rental was never durable
@@ -93,31 +93,31 @@
 }
 
 var table = [Kinds]Row{
-	AsStored:             {"as_stored", "on this machine", "this attempt, not ended", Keep, "the newest report shows it"},
-	Completed:            {"completed", "on this machine, open", "this attempt, done", Complete, "the worker keeps the result until it is reaped"},
-	EndedNotPlaced:       {"ended_unheard", "not on this machine, open", "done", Complete, "a result counts whoever started it: a task has one result"},
-	EndedNotDurable:      {"ended_not_durable", "done, not durable", "done", Wait, "reaped too early it would be lost with this leader"},
-	EndedElsewhere:       {"ended_elsewhere", "on another machine, or on offer to one", "done", Wait, "the one that counts ends at once with the same result"},
-	EndedDurable:         {"ended_durable", "done and durable, or its job over", "done", Reap, "nothing more is asked of this attempt by any leader"},
-	CancelledEnd:         {"cancelled_end", "on this machine, cancelled", "this attempt, done", LeaveReap, "a cancelled job's results are of no use"},
-	EndedSaved:           {"ended_saved", "on this machine", "this attempt, stopped, its progress saved", LeaveReap, "an ended attempt does not begin again; the next one goes on from what is saved"},
-	EndedWithoutResult:   {"ended_without", "on this machine", "this attempt, ended without a result", LeaveReap, "an ended attempt does not begin again"},
-	EndedOldAttempt:      {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
-	AbsentAtCurrentToken: {"absent_now", "on this machine", "not there, at the current token", Leave, "a start travels in the answer to the report before only, and would show in this one"},
-	AbsentInLaterSession: {"absent_later", "on this machine", "a later session", Leave, "with its lease a worker kills and forgets all tasks"},
-	AbsentAtOlderToken:   {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
-	AbsentUnanswered:     {"absent_unanswered", "on this machine, started directly, without an answer", "a later session, or a new life", Wait, "none: the command may be carried out late, by a life that counts sessions and tokens anew; the machine is deleted"},
-	AbsentDirect:         {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
-	EndedDirect:          {"ended_direct", "started directly", "ended, at no higher token than the start's", Wait, "reaped before the worker has seen a higher token, a late copy of its start would begin it once more"},
-	RunsUnplaced:         {"runs_unseen", "nowhere, open", "not ended", Adopt, "the newest report shows it, and it counts nowhere else"},
-	SavesUnplaced:        {"saves_unseen", "nowhere, open", "saving", Adopt, "the newest report shows it; what it saves is kept"},
-	RunsDone:             {"runs_done", "done", "not ended", Stop, "its result is known: more of it is of no use"},
-	RunsCancelled:        {"runs_cancelled", "nowhere, cancelled", "not ended", Stop, "its user was told that it is cancelled, by a leader of an older version"},
-	RunsHeld:             {"runs_held", "held for other jobs", "not ended", Stop, "it may not have been started"},
-	RunsElsewhere:        {"runs_elsewhere", "on another machine, or on offer to one", "not ended", Stop, "one of the two has to go, and the other is the one that counts"},
-	RunsOtherAttempt:     {"runs_other_attempt", "on this machine with another attempt", "not ended", Stop, "one of the two has to go, and the other is the one that counts"},
-	RunsUnknown:          {"runs_unknown", "no such job or task", "not ended", Stop, "the whole log is read: nobody was told that it is accepted"},
-	EndedUnknown:         {"ended_unknown", "no such job or task", "ended", Reap, "the same"},
+	AsStored:                   {"as_stored", "on this machine", "this attempt, not ended", Keep, "the newest report shows it"},
+	Completed:                  {"completed", "on this machine, open", "this attempt, done", Complete, "the worker keeps the result until it is reaped"},
+	EndedNotPlaced:             {"ended_unheard", "not on this machine, open", "done", Complete, "a result counts whoever started it: a task has one result"},
+	EndedNotDurable:            {"ended_not_durable", "done, not durable", "done", Wait, "reaped too early it would be lost with this leader"},
+	EndedElsewhere:             {"ended_elsewhere", "on another machine, or on offer to one", "done", Wait, "the one that counts ends at once with the same result"},
+	EndedDurable:               {"ended_durable", "done and durable, or its job over", "done", Reap, "nothing more is asked of this attempt by any leader"},
+	CancelledEnd:               {"cancelled_end", "on this machine, cancelled", "this attempt, done", LeaveReap, "a cancelled job's results are of no use"},
+	EndedSaved:                 {"ended_saved", "on this machine", "this attempt, stopped, its progress saved", LeaveReap, "an ended attempt does not begin again; the next one goes on from what is saved"},
+	EndedWithoutResult:         {"ended_without", "on this machine", "this attempt, ended without a result", LeaveReap, "an ended attempt does not begin again"},
+	EndedOldAttempt:            {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
+	AbsentAtCurrentToken:       {"absent_now", "on this machine", "not there, at the current token", Leave, "a start travels in the answer to the report before only, and would show in this one"},
+	AbsentInLaterSession:       {"absent_later", "on this machine", "a later session", Leave, "with its lease a worker kills and forgets all tasks"},
+	AbsentAtOlderToken:         {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
+	AbsentDirectInLaterSession: {"absent_unanswered", "on this machine, started directly, without an answer", "a later session, or a new life", Wait, "none: the command may be carried out late, by a life that counts sessions and tokens anew; the machine is deleted"},
+	AbsentDirect:               {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
+	EndedDirect:                {"ended_direct", "started directly", "ended, at no higher token than the start's", Wait, "reaped before the worker has seen a higher token, a late copy of its start would begin it once more"},
+	RunsUnplaced:               {"runs_unseen", "nowhere, open", "not ended", Adopt, "the newest report shows it, and it counts nowhere else"},
+	SavesUnplaced:              {"saves_unseen", "nowhere, open", "saving", Adopt, "the newest report shows it; what it saves is kept"},
+	RunsDone:                   {"runs_done", "done", "not ended", Stop, "its result is known: more of it is of no use"},
+	RunsCancelled:              {"runs_cancelled", "nowhere, cancelled", "not ended", Stop, "its user was told that it is cancelled, by a leader of an older version"},
+	RunsHeld:                   {"runs_held", "held for other jobs", "not ended", Stop, "it may not have been started"},
+	RunsElsewhere:              {"runs_elsewhere", "on another machine, or on offer to one", "not ended", Stop, "one of the two has to go, and the other is the one that counts"},
+	RunsOtherAttempt:           {"runs_other_attempt", "on this machine with another attempt", "not ended", Stop, "one of the two has to go, and the other is the one that counts"},
+	RunsUnknown:                {"runs_unknown", "no such job or task", "not ended", Stop, "the whole log is read: nobody was told that it is accepted"},
+	EndedUnknown:               {"ended_unknown", "no such job or task", "ended", Reap, "the same"},
 
 	MachineAsStored:    {"machine_as_stored", "registered", "the current token, this session", Keep, "what it shows, and what it lacks, is so"},
 	MachineNew:         {"machine_new", "nothing", "a report", Register, "no task is ever started on a machine before it is registered durably"},
@@ -231,7 +231,7 @@
 func Absent(later, direct, current bool) Diff {
 	switch {
 	case later && direct:
-		return AbsentUnanswered
+		return AbsentDirectInLaterSession
 	case later:
 		return AbsentInLaterSession
 	case direct:
