--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -27,7 +27,7 @@
 	AbsentAtOlderToken              // it counted here; a report at an older token lacks it
 	AbsentDirectInLaterSession      // it was sent straight to the worker, had no answer, and the worker has begun a later session or a new life
 	AbsentDirectMayArrive           // it was sent straight to the worker, and a report lacks it at a token with which it may yet arrive
-	EndedDirect                     // it was sent straight to the worker, has ended, and a copy of its start may yet arrive
+	EndedDirectMayArrive            // it was sent straight to the worker, has ended, and a copy of its start may yet arrive
 	RunsUnplaced                    // it counted nowhere, and runs here
 	SavesUnplaced                   // it counted nowhere, and is saving here
 	RunsDone                        // it runs, though its end is known
@@ -108,7 +108,7 @@
 	AbsentAtOlderToken:         {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
 	AbsentDirectInLaterSession: {"absent_unanswered", "on this machine, started directly, without an answer", "a later session, or a new life", Wait, "none: the command may be carried out late, by a life that counts sessions and tokens anew; the machine is deleted"},
 	AbsentDirectMayArrive:      {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
-	EndedDirect:                {"ended_direct", "started directly", "ended, at no higher token than the start's", Wait, "reaped before the worker has seen a higher token, a late copy of its start would begin it once more"},
+	EndedDirectMayArrive:       {"ended_direct", "started directly", "ended, at no higher token than the start's", Wait, "reaped before the worker has seen a higher token, a late copy of its start would begin it once more"},
 	RunsUnplaced:               {"runs_unseen", "nowhere, open", "not ended", Adopt, "the newest report shows it, and it counts nowhere else"},
 	SavesUnplaced:              {"saves_unseen", "nowhere, open", "saving", Adopt, "the newest report shows it; what it saves is kept"},
 	RunsDone:                   {"runs_done", "done", "not ended", Stop, "its result is known: more of it is of no use"},
@@ -172,7 +172,7 @@
 func Task(st Stored, sh Shown) Diff {
 	d := classifyTask(st, sh)
 	if s := d.Resolution(); st.Direct && (s == Reap || s == LeaveReap) {
-		return EndedDirect
+		return EndedDirectMayArrive
 	}
 	return d
 }
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -133,7 +133,7 @@
 			m.RemovePlacement(k.Ref)
 			events = append(events, ev)
 		case reconcile.Wait:
-			if diff == reconcile.EndedDirect {
+			if diff == reconcile.EndedDirectMayArrive {
 				if m.tokenUrgency = max(m.tokenUrgency, TokenEventually); p != nil && p.Attempt == t.Attempt {
 					m.tokenUrgency, p.Seen, p.lastReportSeq = TokenNow, true, r.Seq
 				}
