--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -40,7 +40,7 @@
 
 	MachineAsStored
 	MachineUnregistered // nothing is stored of it: rented late, or its rental was never durable
-	MachineGone         // it is stored as deleted
+	MachineDeleted      // it is stored as deleted
 	MachineUnknownType  // its type is not known
 	MachineLate         // an older report than one that was taken in
 	MachineLeaving      // its deletion is decided
@@ -121,7 +121,7 @@
 
 	MachineAsStored:     {"machine_as_stored", "registered", "the current token, this session", Keep, "what it shows, and what it lacks, is so"},
 	MachineUnregistered: {"machine_new", "nothing", "a report", Register, "no task is ever started on a machine before it is registered durably"},
-	MachineGone:         {"machine_gone", "deleted", "a report", Ignore, "the cloud has answered its deletion: the report is late"},
+	MachineDeleted:      {"machine_gone", "deleted", "a report", Ignore, "the cloud has answered its deletion: the report is late"},
 	MachineUnknownType:  {"machine_strange", "of no known type", "a report", Ignore, "none: it is asked for types, and the machine kept alive until then"},
 	MachineLate:         {"machine_late", "a newer report", "an older session or number, or a lower token", Ignore, "its list is as old as it is itself"},
 	MachineLeaving:      {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
@@ -260,7 +260,7 @@
 	case m.ReportEpoch > m.Epoch:
 		return MachineNewerTerm
 	case m.Gone:
-		return MachineGone
+		return MachineDeleted
 	case !m.Known && !m.Typed:
 		return MachineUnknownType
 	case !m.Known:
