--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -39,15 +39,15 @@
 	EndedUnknown                    // the same, and it has ended
 
 	MachineAsStored
-	MachineUnregistered // nothing is stored of it: rented late, or its rental was never durable
-	MachineDeleted      // it is stored as deleted
-	MachineUnknownType  // its type is not known
-	MachineLate         // an older report than one that was taken in
-	MachineLeaving      // its deletion is decided
-	MachineStaleToken   // it has not seen the current token
-	MachineNewSession   // it has begun a later session
-	MachineNewerTerm    // it has seen a token of a later term
-	MachineRestarted    // it has begun anew under its name, and remembers nothing
+	MachineUnregistered   // nothing is stored of it: rented late, or its rental was never durable
+	MachineDeleted        // it is stored as deleted
+	MachineUnknownType    // its type is not known
+	MachineOutdatedReport // an older report than one that was taken in
+	MachineLeaving        // its deletion is decided
+	MachineStaleToken     // it has not seen the current token
+	MachineNewSession     // it has begun a later session
+	MachineNewerTerm      // it has seen a token of a later term
+	MachineRestarted      // it has begun anew under its name, and remembers nothing
 
 	GangFound // a part of a gang runs of which nothing was known
 	GangPart  // a further part of the attempt that is known
@@ -119,16 +119,16 @@
 	RunsUnknown:                {"runs_unknown", "no such job or task", "not ended", Stop, "the whole log is read: nobody was told that it is accepted"},
 	EndedUnknown:               {"ended_unknown", "no such job or task", "ended", Reap, "the same"},
 
-	MachineAsStored:     {"machine_as_stored", "registered", "the current token, this session", Keep, "what it shows, and what it lacks, is so"},
-	MachineUnregistered: {"machine_new", "nothing", "a report", Register, "no task is ever started on a machine before it is registered durably"},
-	MachineDeleted:      {"machine_gone", "deleted", "a report", Ignore, "the cloud has answered its deletion: the report is late"},
-	MachineUnknownType:  {"machine_strange", "of no known type", "a report", Ignore, "none: it is asked for types, and the machine kept alive until then"},
-	MachineLate:         {"machine_late", "a newer report", "an older session or number, or a lower token", Ignore, "its list is as old as it is itself"},
-	MachineLeaving:      {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
-	MachineStaleToken:   {"machine_behind", "registered", "an older token", Listen, "an answer at an older token may still be on its way"},
-	MachineNewSession:   {"machine_again", "registered", "a later session", Forget, "with its lease a worker kills and forgets all tasks"},
-	MachineNewerTerm:    {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
-	MachineRestarted:    {"machine_reborn", "in doubt", "an older session or number, at a token given out since", Forget, "who got that token and counts from the beginning lives, and the one before it does not"},
+	MachineAsStored:       {"machine_as_stored", "registered", "the current token, this session", Keep, "what it shows, and what it lacks, is so"},
+	MachineUnregistered:   {"machine_new", "nothing", "a report", Register, "no task is ever started on a machine before it is registered durably"},
+	MachineDeleted:        {"machine_gone", "deleted", "a report", Ignore, "the cloud has answered its deletion: the report is late"},
+	MachineUnknownType:    {"machine_strange", "of no known type", "a report", Ignore, "none: it is asked for types, and the machine kept alive until then"},
+	MachineOutdatedReport: {"machine_late", "a newer report", "an older session or number, or a lower token", Ignore, "its list is as old as it is itself"},
+	MachineLeaving:        {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
+	MachineStaleToken:     {"machine_behind", "registered", "an older token", Listen, "an answer at an older token may still be on its way"},
+	MachineNewSession:     {"machine_again", "registered", "a later session", Forget, "with its lease a worker kills and forgets all tasks"},
+	MachineNewerTerm:      {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
+	MachineRestarted:      {"machine_reborn", "in doubt", "an older session or number, at a token given out since", Forget, "who got that token and counts from the beginning lives, and the one before it does not"},
 
 	GangFound: {"gang_found", "no attempt under way", "a part, not ended", Adopt, "the newest report shows it; the others are waited for like any task"},
 	GangPart:  {"gang_part", "this attempt", "a part, not ended", Adopt, "the newest report shows it"},
@@ -268,7 +268,7 @@
 	case older && m.Doubt > 0 && m.ReportToken > m.Doubt:
 		return MachineRestarted
 	case older || m.ReportToken < m.Seen:
-		return MachineLate
+		return MachineOutdatedReport
 	case m.Session != 0 && m.ReportSession > m.Session:
 		return MachineNewSession
 	case m.Leaving:
