--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -43,7 +43,7 @@
 	MachineDeleted        // it is stored as deleted
 	MachineUnknownType    // its type is not known
 	MachineOutdatedReport // an older report than one that was taken in
-	MachineLeaving        // its deletion is decided
+	MachineDeleting       // its deletion is decided
 	MachineStaleToken     // it has not seen the current token
 	MachineNewSession     // it has begun a later session
 	MachineNewerTerm      // it has seen a token of a later term
@@ -124,7 +124,7 @@
 	MachineDeleted:        {"machine_gone", "deleted", "a report", Ignore, "the cloud has answered its deletion: the report is late"},
 	MachineUnknownType:    {"machine_strange", "of no known type", "a report", Ignore, "none: it is asked for types, and the machine kept alive until then"},
 	MachineOutdatedReport: {"machine_late", "a newer report", "an older session or number, or a lower token", Ignore, "its list is as old as it is itself"},
-	MachineLeaving:        {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
+	MachineDeleting:       {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
 	MachineStaleToken:     {"machine_behind", "registered", "an older token", Listen, "an answer at an older token may still be on its way"},
 	MachineNewSession:     {"machine_again", "registered", "a later session", Forget, "with its lease a worker kills and forgets all tasks"},
 	MachineNewerTerm:      {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
@@ -272,7 +272,7 @@
 	case m.Session != 0 && m.ReportSession > m.Session:
 		return MachineNewSession
 	case m.Leaving:
-		return MachineLeaving
+		return MachineDeleting
 	case m.ReportToken != m.Token:
 		return MachineStaleToken
 	}
