--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -49,9 +49,9 @@
 	MachineNewerTerm      // it has seen a token of a later term
 	MachineRestarted      // it has begun anew under its name, and remembers nothing
 
-	GangFound       // a part of a gang runs of which nothing was known
-	GangSameAttempt // a further part of the attempt that is known
-	GangOther       // a part of another attempt than the one that is known
+	GangFound        // a part of a gang runs of which nothing was known
+	GangSameAttempt  // a further part of the attempt that is known
+	GangOtherAttempt // a part of another attempt than the one that is known
 
 	Kinds // how many there are
 )
@@ -130,9 +130,9 @@
 	MachineNewerTerm:      {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
 	MachineRestarted:      {"machine_reborn", "in doubt", "an older session or number, at a token given out since", Forget, "who got that token and counts from the beginning lives, and the one before it does not"},
 
-	GangFound:       {"gang_found", "no attempt under way", "a part, not ended", Adopt, "the newest report shows it; the others are waited for like any task"},
-	GangSameAttempt: {"gang_part", "this attempt", "a part, not ended", Adopt, "the newest report shows it"},
-	GangOther:       {"gang_other", "another attempt", "a part, not ended", Break, "two attempts never complete together: all parts go before the next"},
+	GangFound:        {"gang_found", "no attempt under way", "a part, not ended", Adopt, "the newest report shows it; the others are waited for like any task"},
+	GangSameAttempt:  {"gang_part", "this attempt", "a part, not ended", Adopt, "the newest report shows it"},
+	GangOtherAttempt: {"gang_other", "another attempt", "a part, not ended", Break, "two attempts never complete together: all parts go before the next"},
 }
 
 // Row gives a difference's line of the table.
@@ -288,7 +288,7 @@
 	case attempt:
 		return GangSameAttempt
 	}
-	return GangOther
+	return GangOtherAttempt
 }
 
 // Tally counts differences by kind.
