--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -61,21 +61,21 @@
 
 // Settlements.
 const (
-	Keep      Resolution = iota // nothing changes
-	Complete                    // note its completion; reap once that is durable
-	Wait                        // nothing is told to the worker until more is durable or known
-	Reap                        // have the worker forget the ended attempt
-	LeaveReap                   // it is proved gone from here: it may run again elsewhere; reap
-	Leave                       // it is proved gone from here: it may run again elsewhere
-	Adopt                       // it counts here from now on
-	Break                       // it counts here, and the gang's attempt is given up as a whole
-	Stop                        // it is stopped, and the machine gets nothing until it is gone
-	Register                    // enter it, and have it registered before its first start
-	Ignore                      // the report is answered, and nothing is taken from it
-	Listen                      // the report is taken in; it does not prove what is absent
-	Forget                      // all that counted there is proved gone
-	Delete                      // taken in; its deletion goes on, and nothing is started
-	StepDown                    // somebody else leads: the term is over
+	Keep             Resolution = iota // nothing changes
+	RecordCompletion                   // note its completion; reap once that is durable
+	Wait                               // nothing is told to the worker until more is durable or known
+	Reap                               // have the worker forget the ended attempt
+	LeaveReap                          // it is proved gone from here: it may run again elsewhere; reap
+	Leave                              // it is proved gone from here: it may run again elsewhere
+	Adopt                              // it counts here from now on
+	Break                              // it counts here, and the gang's attempt is given up as a whole
+	Stop                               // it is stopped, and the machine gets nothing until it is gone
+	Register                           // enter it, and have it registered before its first start
+	Ignore                             // the report is answered, and nothing is taken from it
+	Listen                             // the report is taken in; it does not prove what is absent
+	Forget                             // all that counted there is proved gone
+	Delete                             // taken in; its deletion goes on, and nothing is started
+	StepDown                           // somebody else leads: the term is over
 )
 
 var resolutionLabels = [...]string{"keep", "complete, reap once durable", "wait", "reap", "release and reap", "release", "adopt", "adopt and give up the gang's attempt",
@@ -94,8 +94,8 @@
 
 var table = [Kinds]Row{
 	AsStored:                   {"as_stored", "on this machine", "this attempt, not ended", Keep, "the newest report shows it"},
-	Completed:                  {"completed", "on this machine, open", "this attempt, done", Complete, "the worker keeps the result until it is reaped"},
-	EndedNotPlaced:             {"ended_unheard", "not on this machine, open", "done", Complete, "a result counts whoever started it: a task has one result"},
+	Completed:                  {"completed", "on this machine, open", "this attempt, done", RecordCompletion, "the worker keeps the result until it is reaped"},
+	EndedNotPlaced:             {"ended_unheard", "not on this machine, open", "done", RecordCompletion, "a result counts whoever started it: a task has one result"},
 	EndedNotDurable:            {"ended_not_durable", "done, not durable", "done", Wait, "reaped too early it would be lost with this leader"},
 	EndedElsewhere:             {"ended_elsewhere", "on another machine, or on offer to one", "done", Wait, "the one that counts ends at once with the same result"},
 	EndedDurable:               {"ended_durable", "done and durable, or its job over", "done", Reap, "nothing more is asked of this attempt by any leader"},
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -34,7 +34,7 @@
 		return Reap
 	}
 	if sh.Done && st.Open {
-		return Complete
+		return RecordCompletion
 	}
 	if sh.Done && !st.Durable {
 		return Wait // a result that is nowhere durable must not be reaped
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -125,7 +125,7 @@
 		st.Direct = ok && m.mayStartLate(k.Ref, t.Attempt, r.Token)
 		diff := tally.Count(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
 		switch diff.Resolution() {
-		case reconcile.Complete:
+		case reconcile.RecordCompletion:
 			ev := Event{Kind: EventCompleted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Ran: -1}
 			if diff == reconcile.Completed && p.Runs() {
 				ev.Ran, ev.Running = now-p.RanAt, true
