--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -66,7 +66,7 @@
 	Wait                               // nothing is told to the worker until more is durable or known
 	Reap                               // have the worker forget the ended attempt
 	LeaveReap                          // it is proved gone from here: it may run again elsewhere; reap
-	Leave                              // it is proved gone from here: it may run again elsewhere
+	Release                            // it is proved gone from here: it may run again elsewhere
 	Adopt                              // it counts here from now on
 	Break                              // it counts here, and the gang's attempt is given up as a whole
 	Stop                               // it is stopped, and the machine gets nothing until it is gone
@@ -103,8 +103,8 @@
 	EndedSaved:                 {"ended_saved", "on this machine", "this attempt, stopped, its progress saved", LeaveReap, "an ended attempt does not begin again; the next one goes on from what is saved"},
 	EndedWithoutResult:         {"ended_without", "on this machine", "this attempt, ended without a result", LeaveReap, "an ended attempt does not begin again"},
 	EndedOldAttempt:            {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
-	AbsentAtCurrentToken:       {"absent_now", "on this machine", "not there, at the current token", Leave, "a start travels in the answer to the report before only, and would show in this one"},
-	AbsentInLaterSession:       {"absent_later", "on this machine", "a later session", Leave, "with its lease a worker kills and forgets all tasks"},
+	AbsentAtCurrentToken:       {"absent_now", "on this machine", "not there, at the current token", Release, "a start travels in the answer to the report before only, and would show in this one"},
+	AbsentInLaterSession:       {"absent_later", "on this machine", "a later session", Release, "with its lease a worker kills and forgets all tasks"},
 	AbsentAtOlderToken:         {"absent_unproved", "on this machine", "not there, at an older token", Wait, "none: an answer with a start may still be on its way"},
 	AbsentDirectInLaterSession: {"absent_unanswered", "on this machine, started directly, without an answer", "a later session, or a new life", Wait, "none: the command may be carried out late, by a life that counts sessions and tokens anew; the machine is deleted"},
 	AbsentDirectMayArrive:      {"absent_direct", "on this machine, started directly", "not there, at no higher token than the start's", Wait, "none: the command may be carried out late, as long as its token matches"},
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -75,7 +75,7 @@
 			if p.Planned {
 				continue
 			}
-			if tally.Count(reconcile.Absent(true, m.unconfirmedDirectStart(p), false)).Resolution() == reconcile.Leave {
+			if tally.Count(reconcile.Absent(true, m.unconfirmedDirectStart(p), false)).Resolution() == reconcile.Release {
 				gone(p, Vanished).Died = true
 			} else {
 				m.Quarantined = true
@@ -171,7 +171,7 @@
 		}
 		late := !p.Seen && m.mayStartLate(p.Ref, p.Attempt, r.Token)
 		tainted := m.Quarantined && m.unconfirmedDirectStart(p)
-		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Leave {
+		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Release {
 			delete(m.directStarts, attemptKey{p.Ref, p.Attempt})
 			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
 		}
