--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -65,7 +65,7 @@
 	RecordCompletion                   // note its completion; reap once that is durable
 	Wait                               // nothing is told to the worker until more is durable or known
 	Reap                               // have the worker forget the ended attempt
-	LeaveReap                          // it is proved gone from here: it may run again elsewhere; reap
+	ReleaseAndReap                     // it is proved gone from here: it may run again elsewhere; reap
 	Release                            // it is proved gone from here: it may run again elsewhere
 	Adopt                              // it counts here from now on
 	Break                              // it counts here, and the gang's attempt is given up as a whole
@@ -99,9 +99,9 @@
 	EndedNotDurable:            {"ended_not_durable", "done, not durable", "done", Wait, "reaped too early it would be lost with this leader"},
 	EndedElsewhere:             {"ended_elsewhere", "on another machine, or on offer to one", "done", Wait, "the one that counts ends at once with the same result"},
 	EndedDurable:               {"ended_durable", "done and durable, or its job over", "done", Reap, "nothing more is asked of this attempt by any leader"},
-	CancelledEnd:               {"cancelled_end", "on this machine, cancelled", "this attempt, done", LeaveReap, "a cancelled job's results are of no use"},
-	EndedSaved:                 {"ended_saved", "on this machine", "this attempt, stopped, its progress saved", LeaveReap, "an ended attempt does not begin again; the next one goes on from what is saved"},
-	EndedWithoutResult:         {"ended_without", "on this machine", "this attempt, ended without a result", LeaveReap, "an ended attempt does not begin again"},
+	CancelledEnd:               {"cancelled_end", "on this machine, cancelled", "this attempt, done", ReleaseAndReap, "a cancelled job's results are of no use"},
+	EndedSaved:                 {"ended_saved", "on this machine", "this attempt, stopped, its progress saved", ReleaseAndReap, "an ended attempt does not begin again; the next one goes on from what is saved"},
+	EndedWithoutResult:         {"ended_without", "on this machine", "this attempt, ended without a result", ReleaseAndReap, "an ended attempt does not begin again"},
 	EndedOldAttempt:            {"old_end", "not on this machine, or with another attempt", "ended without a result", Reap, "an ended attempt does not begin again, and this one counted nowhere"},
 	AbsentAtCurrentToken:       {"absent_now", "on this machine", "not there, at the current token", Release, "a start travels in the answer to the report before only, and would show in this one"},
 	AbsentInLaterSession:       {"absent_later", "on this machine", "a later session", Release, "with its lease a worker kills and forgets all tasks"},
@@ -171,7 +171,7 @@
 // Task names the difference between what is stored of a task and what is shown of it.
 func Task(st Stored, sh Shown) Diff {
 	d := classifyTask(st, sh)
-	if s := d.Resolution(); st.Direct && (s == Reap || s == LeaveReap) {
+	if s := d.Resolution(); st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return EndedDirectMayArrive
 	}
 	return d
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -12,7 +12,7 @@
 // without naming any difference.
 func plainTask(st Stored, sh Shown) Resolution {
 	s := plainly(st, sh)
-	if st.Direct && (s == Reap || s == LeaveReap) {
+	if st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return Wait // what is forgotten could be started by a copy of the command
 	}
 	return s
@@ -40,7 +40,7 @@
 		return Wait // a result that is nowhere durable must not be reaped
 	}
 	if counts {
-		return LeaveReap
+		return ReleaseAndReap
 	}
 	return Reap
 }
@@ -131,7 +131,7 @@
 		}
 		sh := Shown{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Done: on(8) && on(9), Saving: !on(8) && on(10)}
 		s := Task(st, sh).Resolution()
-		if sh.Done && st.Known && !st.Durable && (s == Reap || s == LeaveReap) {
+		if sh.Done && st.Known && !st.Durable && (s == Reap || s == ReleaseAndReap) {
 			t.Errorf("%+v, %+v: a result is lost", st, sh)
 		}
 		if !sh.Ended && st.Elsewhere && s != Stop {
--- a/internal/core/workers/known.go
+++ b/internal/core/workers/known.go
@@ -138,7 +138,7 @@
 					m.tokenUrgency, p.Seen, p.lastReportSeq = TokenNow, true, r.Seq
 				}
 			}
-		case reconcile.LeaveReap:
+		case reconcile.ReleaseAndReap:
 			delete(m.directStarts, attemptKey{k.Ref, t.Attempt})
 			gone(p, t.Reason)
 			cmds = append(cmds, Command{Op: Reap, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
