--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -72,7 +72,7 @@
 	Stop                               // it is stopped, and the machine gets nothing until it is gone
 	Register                           // enter it, and have it registered before its first start
 	Ignore                             // the report is answered, and nothing is taken from it
-	Listen                             // the report is taken in; it does not prove what is absent
+	ApplyPresent                       // the report is taken in; it does not prove what is absent
 	Forget                             // all that counted there is proved gone
 	Delete                             // taken in; its deletion goes on, and nothing is started
 	StepDown                           // somebody else leads: the term is over
@@ -125,7 +125,7 @@
 	MachineUnknownType:    {"machine_strange", "of no known type", "a report", Ignore, "none: it is asked for types, and the machine kept alive until then"},
 	MachineOutdatedReport: {"machine_late", "a newer report", "an older session or number, or a lower token", Ignore, "its list is as old as it is itself"},
 	MachineDeleting:       {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
-	MachineStaleToken:     {"machine_behind", "registered", "an older token", Listen, "an answer at an older token may still be on its way"},
+	MachineStaleToken:     {"machine_behind", "registered", "an older token", ApplyPresent, "an answer at an older token may still be on its way"},
 	MachineNewSession:     {"machine_again", "registered", "a later session", Forget, "with its lease a worker kills and forgets all tasks"},
 	MachineNewerTerm:      {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
 	MachineRestarted:      {"machine_reborn", "in doubt", "an older session or number, at a token given out since", Forget, "who got that token and counts from the beginning lives, and the one before it does not"},
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -71,7 +71,7 @@
 	if m.ReportToken == m.Token {
 		return Keep
 	}
-	return Listen
+	return ApplyPresent
 }
 
 // On random states the table decides what the plain version does, and every one of its
