--- a/internal/core/reconcile/squaring.go
+++ b/internal/core/reconcile/squaring.go
@@ -74,7 +74,7 @@
 	Ignore                             // the report is answered, and nothing is taken from it
 	ApplyPresent                       // the report is taken in; it does not prove what is absent
 	Forget                             // all that counted there is proved gone
-	Delete                             // taken in; its deletion goes on, and nothing is started
+	ContinueDeletion                   // taken in; its deletion goes on, and nothing is started
 	StepDown                           // somebody else leads: the term is over
 )
 
@@ -124,7 +124,7 @@
 	MachineDeleted:        {"machine_gone", "deleted", "a report", Ignore, "the cloud has answered its deletion: the report is late"},
 	MachineUnknownType:    {"machine_strange", "of no known type", "a report", Ignore, "none: it is asked for types, and the machine kept alive until then"},
 	MachineOutdatedReport: {"machine_late", "a newer report", "an older session or number, or a lower token", Ignore, "its list is as old as it is itself"},
-	MachineDeleting:       {"machine_leaving", "to be deleted", "a report", Delete, "what is decided stays so: only the deletion proves what it proves"},
+	MachineDeleting:       {"machine_leaving", "to be deleted", "a report", ContinueDeletion, "what is decided stays so: only the deletion proves what it proves"},
 	MachineStaleToken:     {"machine_behind", "registered", "an older token", ApplyPresent, "an answer at an older token may still be on its way"},
 	MachineNewSession:     {"machine_again", "registered", "a later session", Forget, "with its lease a worker kills and forgets all tasks"},
 	MachineNewerTerm:      {"machine_ahead", "registered", "a token of a later term", StepDown, "tokens are given out by leaders alone, and only rise"},
--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -66,7 +66,7 @@
 		return Forget
 	}
 	if m.Leaving {
-		return Delete
+		return ContinueDeletion
 	}
 	if m.ReportToken == m.Token {
 		return Keep
