--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// plainTask is a second version of Task: what is to be done, from the promises alone,
+// referenceTask is a second version of Task: what is to be done, from the promises alone,
 // without naming any difference.
-func plainTask(st Stored, sh Shown) Resolution {
+func referenceTask(st Stored, sh Shown) Resolution {
 	s := plainly(st, sh)
 	if st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return Wait // what is forgotten could be started by a copy of the command
@@ -101,7 +101,7 @@
 			sh.Saving = coin()
 		}
 		d := met.Count(Task(st, sh))
-		if got, want := d.Resolution(), plainTask(st, sh); got != want {
+		if got, want := d.Resolution(), referenceTask(st, sh); got != want {
 			t.Fatalf("%+v shown as %+v: %v, so %v; plainly %v", st, sh, d, got, want)
 		}
 		m := Machine{Gone: r.IntN(6) == 0, Known: coin(), Typed: coin(), Leaving: r.IntN(4) == 0, Epoch: 2, ReportEpoch: uint64(r.IntN(4)),
