--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -11,14 +11,14 @@
 // referenceTask is a second version of Task: what is to be done, from the promises alone,
 // without naming any difference.
 func referenceTask(st Stored, sh Shown) Resolution {
-	s := plainly(st, sh)
+	s := referenceTaskWithoutDirect(st, sh)
 	if st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return Wait // what is forgotten could be started by a copy of the command
 	}
 	return s
 }
 
-func plainly(st Stored, sh Shown) Resolution {
+func referenceTaskWithoutDirect(st Stored, sh Shown) Resolution {
 	counts := st.Known && st.Here && st.Attempt == sh.Attempt
 	if !sh.Ended {
 		if counts {
