--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -45,7 +45,7 @@
 	return Reap
 }
 
-func plainReport(m Machine) Resolution {
+func referenceReport(m Machine) Resolution {
 	if m.ReportEpoch > m.Epoch {
 		return StepDown
 	}
@@ -107,7 +107,7 @@
 		m := Machine{Gone: r.IntN(6) == 0, Known: coin(), Typed: coin(), Leaving: r.IntN(4) == 0, Epoch: 2, ReportEpoch: uint64(r.IntN(4)),
 			Session: uint64(r.IntN(3)), Number: uint64(r.IntN(3)), Token: uint64(r.IntN(2)), ReportSession: uint64(r.IntN(3)), ReportNumber: uint64(r.IntN(3)), ReportToken: uint64(r.IntN(3)), Seen: uint64(r.IntN(2)), Doubt: uint64(r.IntN(3) / 2)}
 		d = met.Count(Report(m))
-		if got, want := d.Resolution(), plainReport(m); got != want {
+		if got, want := d.Resolution(), referenceReport(m); got != want {
 			t.Fatalf("%+v: %v, so %v; plainly %v", m, d, got, want)
 		}
 		met.Count(Absent(coin(), coin(), coin()))
