--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -76,7 +76,7 @@
 
 // On random states the table decides what the plain version does, and every one of its
 // lines is met.
-func TestAgainstPlain(t *testing.T) {
+func TestTableAgreesWithReference(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	coin := func() bool { return r.IntN(2) == 0 }
 	var met Tally
