--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -122,7 +122,7 @@
 
 // Two things must never be told to a worker, whatever is stored: to forget a result
 // that is nowhere durable, and to go on with a task that counts elsewhere.
-func TestNeverTold(t *testing.T) {
+func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
 		on := func(i int) bool { return bits>>i&1 == 1 }
 		st := Stored{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), Elsewhere: on(5), Here: on(6), Attempt: 1}
