--- a/internal/core/reconcile/squaring_test.go
+++ b/internal/core/reconcile/squaring_test.go
@@ -141,7 +141,7 @@
 }
 
 // The note has the table as the code has it.
-func TestTableInNote(t *testing.T) {
+func TestTableMatchesColdStartDocument(t *testing.T) {
 	raw, err := os.ReadFile("../../../docs/cold-start.md")
 	if err != nil {
 		t.Fatal(err)
