--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -33,7 +33,7 @@
 
 // A task counts as being on its machine until a newer report at the current
 // token does not show it, or a later session begins.
-func TestWhatProvesATaskGone(t *testing.T) {
+func TestProofsThatATaskIsGone(t *testing.T) {
 	cases := []struct {
 		name   string
 		report Report
