--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestLateReportsAreNotFresh(t *testing.T) {
+func TestOutdatedReportsAreNotNewer(t *testing.T) {
 	_, m := machine()
 	m.Session, m.Seq = 2, 10
 	for _, c := range []struct {
