--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -72,7 +72,7 @@
 
 // Nothing is offered to a machine before its grant is durable, and the job's mark
 // beyond the task.
-func TestOffersWaitForGrants(t *testing.T) {
+func TestOffersWaitForDurableGrantAndIntent(t *testing.T) {
 	_, m := machine()
 	p := &Placement{Ref: Ref{Job: 3}, JobID: 3, Need: resources.Need(1, 0, 1)}
 	m.Plan(p)
