--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -116,7 +116,7 @@
 
 // A machine is still only when nothing is on its way to it or for it. One of its plans
 // that is on offer to another machine of the block is: the other block would start it too.
-func TestStill(t *testing.T) {
+func TestSettledNeedsNoOpenOfferOrStart(t *testing.T) {
 	y, m := machine()
 	other := y.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Shard: m.Shard})
 	if !m.Settled() {
