--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -154,7 +154,7 @@
 // A machine in doubt is deaf only once a higher token was given to it, it was heard since,
 // and enough time has passed from then: an outage in which none could be given is no fault
 // of its own.
-func TestDeaf(t *testing.T) {
+func TestUnreachableCountsFromTokenGiven(t *testing.T) {
 	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, LastHeartbeat: time.Second})
 	m.CheckStale(10*time.Second, 5*time.Second)
 	m.LastHeartbeat = 60 * time.Second
