--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -10,7 +10,7 @@
 
 const token = 7
 
-func machine() (*Inventory, *Machine) {
+func newMachine() (*Inventory, *Machine) {
 	y := NewInventory()
 	m := y.Add(&Machine{Name: "m", Cap: resources.Room(4, 0, 8), CacheGB: 10, FetchGBPS: 1, Durable: true})
 	return y, m
@@ -46,7 +46,7 @@
 		{"a later session, whatever the token", Report{Session: 2, Seq: 1, Token: token - 1}, true},
 	}
 	for _, c := range cases {
-		_, m := machine()
+		_, m := newMachine()
 		m.Session, m.Seq = 1, 4
 		place(m, 3, 0)
 		events := absorb(m, c.report)
@@ -58,7 +58,7 @@
 }
 
 func TestOutdatedReportsAreNotNewer(t *testing.T) {
-	_, m := machine()
+	_, m := newMachine()
 	m.Session, m.Seq = 2, 10
 	for _, c := range []struct {
 		session, seq uint64
@@ -73,7 +73,7 @@
 // Nothing is offered to a machine before its grant is durable, and the job's mark
 // beyond the task.
 func TestOffersWaitForDurableGrantAndIntent(t *testing.T) {
-	_, m := machine()
+	_, m := newMachine()
 	p := &Placement{Ref: Ref{Job: 3}, JobID: 3, Need: resources.Need(1, 0, 1)}
 	m.Plan(p)
 	n := uint64(0)
@@ -95,7 +95,7 @@
 // A grant is unused only after a while in which no task of the job counted as
 // being here, was planned or on offer here, or was shown, wanted or not.
 func TestUnusedGrants(t *testing.T) {
-	_, m := machine()
+	_, m := newMachine()
 	m.Grants = map[uint64]bool{1: true, 2: true, 3: true, 4: true, 5: false}
 	place(m, 1, 0)
 	m.Plan(&Placement{Ref: Ref{Job: 2}, JobID: 2, Need: resources.Need(1, 0, 1)})
@@ -117,7 +117,7 @@
 // A machine is still only when nothing is on its way to it or for it. One of its plans
 // that is on offer to another machine of the block is: the other block would start it too.
 func TestSettledNeedsNoOpenOfferOrStart(t *testing.T) {
-	y, m := machine()
+	y, m := newMachine()
 	other := y.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Shard: m.Shard})
 	if !m.Settled() {
 		t.Error("an empty machine is not")
