--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -16,7 +16,7 @@
 	return y, m
 }
 
-func place(m *Machine, job uint64, task int32) *Placement {
+func placeTask(m *Machine, job uint64, task int32) *Placement {
 	p := &Placement{Ref: Ref{Job: int32(job), Task: task}, JobID: job, Need: resources.Need(1, 0, 1), Attempt: 1}
 	m.Plan(p)
 	m.placePlanned(p)
@@ -48,7 +48,7 @@
 	for _, c := range cases {
 		_, m := newMachine()
 		m.Session, m.Seq = 1, 4
-		place(m, 3, 0)
+		placeTask(m, 3, 0)
 		events := absorb(m, c.report)
 		gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EventGone })
 		if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Cap) != c.gone {
@@ -97,7 +97,7 @@
 func TestUnusedGrants(t *testing.T) {
 	_, m := newMachine()
 	m.Grants = map[uint64]bool{1: true, 2: true, 3: true, 4: true, 5: false}
-	place(m, 1, 0)
+	placeTask(m, 1, 0)
 	m.Plan(&Placement{Ref: Ref{Job: 2}, JobID: 2, Need: resources.Need(1, 0, 1)})
 	stray := Report{Tasks: []TaskReport{{Job: 3, State: Running}}}
 	if got := m.UnusedGrants(0, 8*time.Second, &stray); len(got) != 0 {
@@ -142,7 +142,7 @@
 	if !m.Settled() || !other.Settled() {
 		t.Error("the offer is over, and it may not be moved")
 	}
-	q := place(other, 2, 0)
+	q := placeTask(other, 2, 0)
 	if other.Settled() {
 		t.Error("a start that was not seen yet is on its way")
 	}
