--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -24,7 +24,7 @@
 	return p
 }
 
-func absorb(m *Machine, r Report) []Event {
+func applyReport(m *Machine, r Report) []Event {
 	events, _ := m.ApplyStatus(time.Second, &r, token, nil, func(job uint64, task int, _ bool) (TaskRecord, bool) {
 		return TaskRecord{Ref: Ref{Job: int32(job), Task: int32(task)}, Need: resources.Need(1, 0, 1), Open: true}, true
 	})
@@ -49,7 +49,7 @@
 		_, m := newMachine()
 		m.Session, m.Seq = 1, 4
 		placeTask(m, 3, 0)
-		events := absorb(m, c.report)
+		events := applyReport(m, c.report)
 		gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EventGone })
 		if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Cap) != c.gone {
 			t.Errorf("%s: gone %v, %d tasks, %v free", c.name, gone, len(m.Tasks), m.Free)
@@ -138,7 +138,7 @@
 		t.Error("its plan is on offer, and it may be moved")
 	}
 	other.Session, other.Seq = 1, 1
-	absorb(other, Report{Session: 1, Seq: 2, Token: token})
+	applyReport(other, Report{Session: 1, Seq: 2, Token: token})
 	if !m.Settled() || !other.Settled() {
 		t.Error("the offer is over, and it may not be moved")
 	}
