--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -71,7 +71,7 @@
 // A job none of whose tasks waits any more waits beside no room; should one come back later, its
 // time counts from then. Read out of the code: the planner, which looks for such jobs, does not
 // look at all while nothing waits.
-func TestBesideRoomEndsWithWaiting(t *testing.T) {
+func TestStarvedSinceClearedWhenNothingWaits(t *testing.T) {
 	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 2})
 	j.StarvedSince = time.Second
 	j.Place(0)
