--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -52,139 +52,304 @@
 	return r.Session > m.Session || (r.Session == m.Session && r.Seq > m.Seq)
 }
 
-// ApplyStatus takes in a fresh report. known tells what the leader knows of a
-// task that is here, or whose result is; tally counts the differences found and may
-// be nil. It returns the events and the commands that follow from the report
-// alone: reaps and the stops of tasks that should not be there. What follows from
-// which difference is package squaring's table.
-func (m *Machine) ApplyStatus(now time.Duration, r *Report, token uint64, tally *reconcile.Tally, known func(job uint64, task int, here bool) (TaskRecord, bool)) ([]Event, []Command) {
-	var events []Event
-	var cmds []Command
-	gone := func(p *Placement, why Reason) *Event {
-		ran := time.Duration(-1)
-		if p.Runs() {
-			ran = now - p.RanAt
-		}
-		events = append(events, Event{Kind: EventGone, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Reason: why, Ran: ran, Running: p.Runs()})
-		m.RemovePlacement(p.Ref)
-		return &events[len(events)-1]
-	}
-	reborn, doubted := !m.Fresh(r), m.SuspectBelow > 0
-	if (r.Session > m.Session && m.Session != 0) || reborn {
-		for _, p := range m.Tasks {
-			if p.Planned {
-				continue
-			}
-			if tally.Count(reconcile.Absent(true, m.unconfirmedDirectStart(p), false)).Resolution() == reconcile.Release {
-				gone(p, Vanished).Died = true
-			} else {
-				m.Quarantined = true
-			}
+// ApplyStatus applies a worker's status report to the machine. The report is newer than all before it
+// (see Fresh), or it proves that the machine was restarted under its name: package reconcile says which.
+//
+// now is the leader's clock, token the current fencing token of the machine, and lookup gives the leader's
+// record of a task: whether it is known at all, and what is stored of it. Its parameter here says that the
+// task is on the machine, or that its result is. tally counts the differences by kind and may be nil.
+//
+// The result is what the report showed, in events, and the commands that follow from the report alone: reaps
+// of ended attempts, and stops of tasks that should not be on the machine. Which resolution follows from
+// which difference is decided by the table of package reconcile.
+func (m *Machine) ApplyStatus(now time.Duration, r *Report, token uint64, tally *reconcile.Tally,
+	lookup func(job uint64, task int, here bool) (TaskRecord, bool)) ([]Event, []Command) {
+	u := statusUpdate{
+		machine:    m,
+		report:     r,
+		now:        now,
+		current:    r.Token == token,
+		wasSuspect: m.SuspectBelow > 0,
+		tally:      tally,
+		lookup:     lookup,
+	}
+	u.applySession()
+	u.applyToken()
+	u.events = append(u.events, m.resolveOffers(r)...)
+	u.applyHeader()
+	for i := range r.Tasks {
+		u.applyTask(&r.Tasks[i])
+	}
+	u.releaseAbsent()
+	u.recordOrphans()
+	return u.events, u.commands
+}
+
+// statusUpdate is the state of one call of ApplyStatus.
+type statusUpdate struct {
+	machine    *Machine
+	report     *Report
+	now        time.Duration
+	current    bool // the report is at the current token
+	wasSuspect bool // the machine was suspect before the report
+	tally      *reconcile.Tally
+	lookup     func(job uint64, task int, here bool) (TaskRecord, bool)
+
+	events   []Event
+	commands []Command
+	orphans  []uint64 // jobs of the tasks that are stopped
+}
+
+// applySession releases what was on the machine where the report is of a later session, or of a machine that
+// was restarted and counts sessions anew. A start that was sent straight to the worker and had no answer is
+// not proved gone by that: it quarantines the machine.
+func (u *statusUpdate) applySession() {
+	m, r := u.machine, u.report
+	restarted := !m.Fresh(r)
+	laterSession := r.Session > m.Session && m.Session != 0
+	if !laterSession && !restarted {
+		return
+	}
+	for _, p := range m.Tasks {
+		if p.Planned {
+			continue
 		}
-		m.images = nil
-		maps.DeleteFunc(m.directStarts, func(_ attemptKey, s *directStart) bool { return s.confirmed }) // the others name the session too, and a new life may be in it
-		if m.Up && !reborn {
-			// It was heard, and its lease ran out all the same: it may not hear us.
-			m.suspect(now, m.Token)
+		diff := u.tally.Count(reconcile.Absent(true, m.unconfirmedDirectStart(p), false))
+		if diff.Resolution() == reconcile.Release {
+			u.release(p, Vanished, true)
+		} else {
+			m.Quarantined = true
 		}
 	}
+	m.images = nil
+	// The starts that are not confirmed name the session too, and a new incarnation may be in that session.
+	maps.DeleteFunc(m.directStarts, func(_ attemptKey, s *directStart) bool { return s.confirmed })
+	if m.Up && !restarted {
+		// The leader has heard it, and its lease ran out all the same: it may not hear the leader.
+		m.suspect(m.Token)
+	}
+}
+
+// applyToken ends a suspicion by a token that was given out since, and notes the heartbeat.
+func (u *statusUpdate) applyToken() {
+	m, r := u.machine, u.report
 	if r.Token > m.SuspectBelow {
 		m.SuspectBelow = 0
 	}
 	m.highestTokenSeen = r.Token
+	// A machine that goes on reporting without a token of this term does not hear the leader.
 	if !m.Up || r.Token >= m.firstTokenOfTerm {
-		m.LastHeartbeat = now // a machine that goes on reporting without the token of this term does not hear us
+		m.LastHeartbeat = u.now
 	}
-	events = append(events, m.resolveOffers(r)...)
+}
+
+// applyHeader takes over what the report says of the machine itself.
+func (u *statusUpdate) applyHeader() {
+	m, r := u.machine, u.report
 	m.Session, m.Seq = r.Session, r.Seq
 	m.Up = true
+	m.PreemptionNotice = r.Notice
 	if r.Notice {
-		m.PreemptionNotice = true
-		m.PreemptedAt = now + time.Duration(r.NoticeS*float64(time.Second))
-	} else {
-		m.PreemptionNotice = false
-	}
-	current := r.Token == token
-	m.Resolved = m.Resolved || current
-	var strays []uint64
-	for _, t := range r.Tasks {
-		k, ok := known(t.Job, t.Task, t.State != Ended || t.Reason == Completed)
-		var p *Placement
-		if ok {
-			if p = m.Tasks[k.Ref]; p != nil && p.Planned {
-				p = nil
-			}
-			if t.State != Fetching && t.State != Ended && k.Ref != NoRef {
-				m.UseImage(k.Image, k.ImageGB, now)
-			}
+		m.PreemptedAt = u.now + time.Duration(r.NoticeS*float64(time.Second))
+	}
+	m.Resolved = m.Resolved || u.current
+}
+
+// reportedTask is a task of a report together with what the leader has of it.
+type reportedTask struct {
+	TaskReport
+	record TaskRecord
+	placed *Placement // its placement on the reporting machine; nil: it is not placed there
+}
+
+// key names the reported attempt among the direct starts.
+func (t *reportedTask) key() attemptKey { return attemptKey{t.record.Ref, t.Attempt} }
+
+// event is an event about the reported attempt.
+func (t *reportedTask) event(kind EventKind) Event {
+	return Event{Kind: kind, Ref: t.record.Ref, JobID: t.Job, Attempt: t.Attempt}
+}
+
+// applyTask does what follows from one task of the report.
+func (u *statusUpdate) applyTask(shown *TaskReport) {
+	task, diff := u.compare(shown)
+	t := &task
+	switch diff.Resolution() {
+	case reconcile.RecordCompletion:
+		u.recordCompletion(t, diff)
+	case reconcile.Wait:
+		if diff == reconcile.EndedDirectMayArrive {
+			u.awaitHigherToken(t)
 		}
-		st := reconcile.Stored{Known: ok, Open: k.Open, Durable: k.Noted, Cancelled: k.Cancelled, Held: k.Held, Elsewhere: k.Elsewhere, Here: p != nil}
-		if p != nil {
-			st.Attempt = p.Attempt
+	case reconcile.ReleaseAndReap:
+		delete(u.machine.directStarts, t.key())
+		u.release(t.placed, t.Reason, false)
+		u.command(Reap, t)
+	case reconcile.Reap:
+		delete(u.machine.directStarts, t.key())
+		u.command(Reap, t)
+	case reconcile.Stop:
+		u.orphans = append(u.orphans, t.Job)
+		u.command(Stop, t)
+	case reconcile.Adopt:
+		u.adopt(t)
+		u.updatePlaced(t)
+	case reconcile.Keep:
+		u.updatePlaced(t)
+	}
+}
+
+// compare looks up what the leader has of a reported task and names the difference. An image that the task
+// uses is noted as being on the machine.
+func (u *statusUpdate) compare(shown *TaskReport) (reportedTask, reconcile.Diff) {
+	m := u.machine
+	ended := shown.State == Ended
+	completed := ended && shown.Reason == Completed
+	record, known := u.lookup(shown.Job, shown.Task, !ended || completed)
+	t := reportedTask{TaskReport: *shown, record: record}
+	if known {
+		if p := m.Tasks[record.Ref]; p != nil && !p.Planned {
+			t.placed = p
 		}
-		st.Direct = ok && m.mayStartLate(k.Ref, t.Attempt, r.Token)
-		diff := tally.Count(reconcile.Task(st, reconcile.Shown{Attempt: t.Attempt, Ended: t.State == Ended, Done: t.State == Ended && t.Reason == Completed, Saved: t.Saved, Saving: t.State == Saving}))
-		switch diff.Resolution() {
-		case reconcile.RecordCompletion:
-			ev := Event{Kind: EventCompleted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Ran: -1}
-			if diff == reconcile.Completed && p.Runs() {
-				ev.Ran, ev.Running = now-p.RanAt, true
-			}
-			m.RemovePlacement(k.Ref)
-			events = append(events, ev)
-		case reconcile.Wait:
-			if diff == reconcile.EndedDirectMayArrive {
-				if m.tokenUrgency = max(m.tokenUrgency, TokenEventually); p != nil && p.Attempt == t.Attempt {
-					m.tokenUrgency, p.Seen, p.lastReportSeq = TokenNow, true, r.Seq
-				}
-			}
-		case reconcile.ReleaseAndReap:
-			delete(m.directStarts, attemptKey{k.Ref, t.Attempt})
-			gone(p, t.Reason)
-			cmds = append(cmds, Command{Op: Reap, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
-		case reconcile.Reap:
-			delete(m.directStarts, attemptKey{k.Ref, t.Attempt})
-			cmds = append(cmds, Command{Op: Reap, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
-		case reconcile.Stop:
-			strays = append(strays, t.Job)
-			cmds = append(cmds, Command{Op: Stop, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
-		case reconcile.Adopt:
-			p = &Placement{Ref: k.Ref, JobID: t.Job, Image: k.Image, Need: k.Need, Attempt: t.Attempt, Machine: m, State: Fetching}
-			m.addPlacement(p)
-			events = append(events, Event{Kind: EventAdopted, Ref: k.Ref, JobID: t.Job, Attempt: t.Attempt, Placement: p})
-			fallthrough
-		case reconcile.Keep:
-			if t.State == Running && (!p.Seen || p.State != Running) {
-				p.RanAt = now
-				events = append(events, Event{Kind: EventBegan, Ref: p.Ref, JobID: t.Job, Attempt: t.Attempt})
-			}
-			p.State, p.Seen, p.lastReportSeq = t.State, true, r.Seq
-			if s := m.directStartOf(p); s != nil {
-				s.confirmed = true
-			}
+		if shown.State != Fetching && !ended && record.Ref != NoRef {
+			m.UseImage(record.Image, record.ImageGB, u.now)
 		}
 	}
+	stored := reconcile.Stored{
+		Known:     known,
+		Open:      record.Open,
+		Durable:   record.Noted,
+		Cancelled: record.Cancelled,
+		Held:      record.Held,
+		Elsewhere: record.Elsewhere,
+		Here:      t.placed != nil,
+		Direct:    known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
+	}
+	if t.placed != nil {
+		stored.Attempt = t.placed.Attempt
+	}
+	diff := reconcile.Task(stored, reconcile.Shown{
+		Attempt: shown.Attempt,
+		Ended:   ended,
+		Done:    completed,
+		Saved:   shown.Saved,
+		Saving:  shown.State == Saving,
+	})
+	return t, u.tally.Count(diff)
+}
+
+// recordCompletion reports a task's completion. It is reaped once the completion is durable.
+func (u *statusUpdate) recordCompletion(t *reportedTask, diff reconcile.Diff) {
+	event := t.event(EventCompleted)
+	event.Ran = -1
+	if diff == reconcile.Completed && t.placed.Runs() {
+		event.Ran, event.Running = u.now-t.placed.RanAt, true
+	}
+	u.machine.RemovePlacement(t.record.Ref)
+	u.events = append(u.events, event)
+}
+
+// awaitHigherToken asks for a higher token on the machine, so that an ended attempt can be reaped: at once
+// if the attempt is the one placed there, since its task waits for that, and eventually else.
+func (u *statusUpdate) awaitHigherToken(t *reportedTask) {
+	m := u.machine
+	m.tokenUrgency = max(m.tokenUrgency, TokenEventually)
+	if p := t.placed; p != nil && p.Attempt == t.Attempt {
+		m.tokenUrgency = TokenNow
+		p.Seen, p.lastReportSeq = true, u.report.Seq
+	}
+}
+
+// adopt places a running task of which nothing was known on the machine.
+func (u *statusUpdate) adopt(t *reportedTask) {
+	t.placed = &Placement{
+		Ref:     t.record.Ref,
+		JobID:   t.Job,
+		Image:   t.record.Image,
+		Need:    t.record.Need,
+		Attempt: t.Attempt,
+		Machine: u.machine,
+		State:   Fetching,
+	}
+	u.machine.addPlacement(t.placed)
+	event := t.event(EventAdopted)
+	event.Placement = t.placed
+	u.events = append(u.events, event)
+}
+
+// updatePlaced takes over the state of a task that is placed on the machine.
+func (u *statusUpdate) updatePlaced(t *reportedTask) {
+	p := t.placed
+	if t.State == Running && !p.Runs() {
+		p.RanAt = u.now
+		u.events = append(u.events, t.event(EventBegan))
+	}
+	p.State, p.Seen, p.lastReportSeq = t.State, true, u.report.Seq
+	if s := u.machine.directStartOf(p); s != nil {
+		s.confirmed = true
+	}
+}
+
+// releaseAbsent releases the tasks placed on the machine that the report proves to be gone by lacking them.
+func (u *statusUpdate) releaseAbsent() {
+	m, r := u.machine, u.report
 	for _, p := range m.Tasks {
-		// Sent with an earlier answer and not shown by this report.
 		if p.Planned || p.lastReportSeq >= r.Seq {
 			continue
 		}
-		late := !p.Seen && m.mayStartLate(p.Ref, p.Attempt, r.Token)
-		tainted := m.Quarantined && m.unconfirmedDirectStart(p)
-		if tally.Count(reconcile.Absent(tainted, late || tainted, current)).Resolution() == reconcile.Release {
+		// It was sent with an earlier answer, and this report does not show it.
+		mayArrive := !p.Seen && m.mayStartLate(p.Ref, p.Attempt, r.Token)
+		quarantined := m.Quarantined && m.unconfirmedDirectStart(p)
+		diff := u.tally.Count(reconcile.Absent(quarantined, mayArrive || quarantined, u.current))
+		if diff.Resolution() == reconcile.Release {
 			delete(m.directStarts, attemptKey{p.Ref, p.Attempt})
-			gone(p, Vanished).Died = doubted // it may have begun anew, and have counted on past what we knew
+			// A suspect machine may have been restarted, and have counted on past what was known.
+			u.release(p, Vanished, u.wasSuspect)
 		}
 	}
-	if len(strays) > 0 && len(m.Orphans) == 0 {
-		m.OrphansSince = now
+}
+
+// recordOrphans takes over the jobs of the tasks that should not be on the machine, and since when there
+// are any.
+func (u *statusUpdate) recordOrphans() {
+	m := u.machine
+	if len(u.orphans) > 0 && len(m.Orphans) == 0 {
+		m.OrphansSince = u.now
 	}
-	m.Orphans = strays
-	return events, cmds
+	m.Orphans = u.orphans
+}
+
+// release removes a placement whose task is proved gone, and reports that. workerLost says that the worker
+// was lost with the task.
+func (u *statusUpdate) release(p *Placement, why Reason, workerLost bool) {
+	ran := time.Duration(-1)
+	if p.Runs() {
+		ran = u.now - p.RanAt
+	}
+	u.events = append(u.events, Event{
+		Kind:    EventGone,
+		Ref:     p.Ref,
+		JobID:   p.JobID,
+		Attempt: p.Attempt,
+		Reason:  why,
+		Ran:     ran,
+		Running: p.Runs(),
+		Died:    workerLost,
+	})
+	u.machine.RemovePlacement(p.Ref)
+}
+
+// command adds a command about the reported attempt.
+func (u *statusUpdate) command(op Op, t *reportedTask) {
+	u.commands = append(u.commands, Command{Op: op, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
 }
 
 // IsCurrentAttempt says whether an attempt of a task is the one that counts as being here.
 func (m *Machine) IsCurrentAttempt(ref Ref, attempt uint64) bool {
 	p := m.Tasks[ref]
-	return p != nil && !p.Planned && reconcile.Task(reconcile.Stored{Known: true, Here: true, Attempt: p.Attempt}, reconcile.Shown{Attempt: attempt}) == reconcile.AsStored
+	if p == nil || p.Planned {
+		return false
+	}
+	stored := reconcile.Stored{Known: true, Here: true, Attempt: p.Attempt}
+	return reconcile.Task(stored, reconcile.Shown{Attempt: attempt}) == reconcile.AsStored
 }
--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -21,7 +21,7 @@
 // report after them, nil if there was none or it does not say that they were carried out.
 // Of the report only the tasks that were sent are looked at: it may overtake the answer to
 // a report, and what is absent or newer in it proves nothing here.
-func (m *Machine) DispatchResult(now time.Duration, token uint64, refs []Ref, r *Report) {
+func (m *Machine) DispatchResult(_ time.Duration, token uint64, refs []Ref, r *Report) {
 	m.Dispatching = false
 	for _, ref := range refs {
 		p := m.Tasks[ref]
@@ -35,7 +35,7 @@
 		if r == nil || r.Machine != m.Name || r.Session != m.Session || !slices.ContainsFunc(r.Tasks, func(t TaskReport) bool {
 			return t.Job == p.JobID && t.Task == int(ref.Task) && t.Attempt == p.Attempt
 		}) {
-			m.suspect(now, token)
+			m.suspect(token)
 			continue
 		}
 		p.Seen, p.State, p.lastReportSeq = true, Fetching, max(p.lastReportSeq, r.Seq)
@@ -58,7 +58,7 @@
 
 // suspect has the machine get nothing new until it has seen a token above this one, which it
 // is given with its next report.
-func (m *Machine) suspect(now time.Duration, token uint64) {
+func (m *Machine) suspect(token uint64) {
 	if m.SuspectBelow == 0 {
 		m.tokenGivenAt = 0
 	}
@@ -69,7 +69,7 @@
 // longer than a worker is silent: the machine may have begun anew.
 func (m *Machine) CheckStale(now, silent time.Duration) {
 	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > silent {
-		m.suspect(now, m.Token)
+		m.suspect(m.Token)
 	}
 }
 
