--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -5,6 +5,17 @@
 	"time"
 )
 
+type attemptKey struct {
+	ref Ref
+	n   uint64
+}
+
+// directStart is a start that was sent straight to the worker.
+type directStart struct {
+	token     uint64
+	confirmed bool // the worker has answered it, or shown its task
+}
+
 // Dispatch notes that a task planned here is sent straight to the worker. From now on
 // it counts as being here, until a report at a higher token shows that it is not: the
 // command may be carried out late.
@@ -56,50 +67,6 @@
 	return s != nil && !s.confirmed
 }
 
-// suspect has the machine get nothing new until it has seen a token above this one, which it
-// is given with its next report.
-func (m *Machine) suspect(token uint64) {
-	if m.SuspectBelow == 0 {
-		m.tokenGivenAt = 0
-	}
-	m.SuspectBelow, m.tokenUrgency = max(m.SuspectBelow, token), TokenNow
-}
-
-// CheckStale takes a report that is older than one taken in, though nothing newer has come for
-// longer than a worker is silent: the machine may have begun anew.
-func (m *Machine) CheckStale(now, silent time.Duration) {
-	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > silent {
-		m.suspect(m.Token)
-	}
-}
-
-// Unreachable says whether the machine has been heard since it was given a higher token for being
-// in doubt, and has not shown it for so long. Time in which nobody could give it one, as in
-// an outage, does not count.
-func (m *Machine) Unreachable(now, limit time.Duration) bool {
-	return m.SuspectBelow > 0 && m.tokenGivenAt > 0 && m.LastHeartbeat > m.tokenGivenAt && now-m.tokenGivenAt > limit
-}
-
-// HighestTokenSeen is the highest token that the machine has shown.
-func (m *Machine) HighestTokenSeen() uint64 { return m.highestTokenSeen }
-
-// NeedsToken says whether the machine should be given a higher token now, and takes it
-// that it will be.
-func (m *Machine) NeedsToken(now time.Duration) bool {
-	pause := eventualTokenInterval
-	if m.tokenUrgency == TokenNow {
-		pause = urgentTokenInterval
-	}
-	if m.tokenUrgency == TokenNotNeeded || (m.tokenRequestedAt > 0 && now-m.tokenRequestedAt < pause) {
-		return false
-	}
-	m.tokenUrgency, m.tokenRequestedAt = TokenNotNeeded, now
-	if m.SuspectBelow > 0 && m.tokenGivenAt == 0 {
-		m.tokenGivenAt = now
-	}
-	return true
-}
-
 // mayStartLate says whether an attempt was sent straight to the worker and may still begin, or
 // begin once more, when the worker has seen no higher token than this one.
 func (m *Machine) mayStartLate(ref Ref, n, token uint64) bool {
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -1,82 +1,13 @@
 package workers
 
 import (
+	"cmp"
+	"slices"
 	"time"
 
 	"bitternmoor/internal/core/resources"
 )
 
-// TaskState is a task's state as its worker reports it.
-type TaskState uint8
-
-// States of a task on a machine.
-const (
-	Fetching TaskState = iota
-	Gathering
-	Running
-	Saving
-	Ended
-)
-
-// Reason is why a task ended.
-type Reason uint8
-
-// Reasons of an end; Vanished is a task that a report no longer shows.
-const (
-	Vanished Reason = iota
-	Completed
-	Stopped
-	PeersLost
-	Alone
-	Failed
-	NoRoom
-	Busy
-	UnknownTask
-)
-
-var reasonLabels = [...]string{"vanished", "done", "stopped", "a peer was lost", "gang not complete", "failed", "no room", "busy", "unknown task"}
-
-func (r Reason) String() string { return reasonLabels[r] }
-
-// Report is a worker's report.
-type Report struct {
-	Machine, Address, Type, Zone string
-	Spot                         bool
-	Session, Seq, Token          uint64
-	Notice                       bool
-	NoticeS                      float64
-	Tasks                        []TaskReport
-}
-
-// TaskReport is one task of a report.
-type TaskReport struct {
-	Job     uint64
-	Task    int
-	Attempt uint64
-	State   TaskState
-	Reason  Reason
-	Saved   bool
-}
-
-// Op is a command's verb.
-type Op uint8
-
-// Commands.
-const (
-	Start Op = iota
-	Stop
-	Reap
-)
-
-// Command is a command to a worker.
-type Command struct {
-	Op      Op
-	Job     uint64
-	Task    int
-	Attempt uint64
-	GraceS  float64
-}
-
 // Ref names a task by its job's dense index.
 type Ref struct{ Job, Task int32 }
 
@@ -114,3 +45,62 @@
 
 // Runs says whether the task was running when it was last reported.
 func (p *Placement) Runs() bool { return p.Seen && p.State == Running }
+
+// Plan gives a task to the machine, to be sent with its next answer.
+func (m *Machine) Plan(p *Placement) {
+	p.Planned, p.Machine = true, m
+	m.addPlacement(p)
+}
+
+// placePlanned makes a planned task one that is on the machine.
+func (m *Machine) placePlanned(p *Placement) {
+	p.Machine.RemovePlacement(p.Ref)
+	p.Planned, p.Machine = false, m
+	m.addPlacement(p)
+}
+
+func (m *Machine) addPlacement(p *Placement) {
+	m.Tasks[p.Ref] = p
+	m.Free = m.Free.Minus(p.Need)
+	if p.Need.GPU == 0 {
+		m.UsedWithoutGPU = m.UsedWithoutGPU.Plus(p.Need)
+	}
+}
+
+// RemovePlacement removes a placement.
+func (m *Machine) RemovePlacement(ref Ref) {
+	if p := m.Tasks[ref]; p != nil {
+		m.Free = m.Free.Plus(p.Need)
+		if p.Need.GPU == 0 {
+			m.UsedWithoutGPU = m.UsedWithoutGPU.Minus(p.Need)
+		}
+		delete(m.Tasks, ref)
+	}
+}
+
+// HasPlans says whether tasks are planned on the machine.
+func (m *Machine) HasPlans() bool {
+	for _, p := range m.Tasks {
+		if p.Planned {
+			return true
+		}
+	}
+	return false
+}
+
+// PlannedHere lists the tasks planned on the machine, those planned last first.
+func (m *Machine) PlannedHere() []*Placement {
+	var out []*Placement
+	for _, p := range m.Tasks {
+		if p.Planned {
+			out = append(out, p)
+		}
+	}
+	slices.SortFunc(out, func(a, b *Placement) int {
+		if c := cmp.Compare(b.Ref.Job, a.Ref.Job); c != 0 {
+			return c
+		}
+		return cmp.Compare(b.Ref.Task, a.Ref.Task)
+	})
+	return out
+}
