--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -1,7 +1,6 @@
 package workers
 
 import (
-	"slices"
 	"time"
 )
 
@@ -39,18 +38,16 @@
 		if p == nil || p.Planned || p.Seen {
 			continue // a report has shown more meanwhile
 		}
-		s := m.directStartOf(p)
-		if s == nil || s.token != token {
+		start := m.directStartOf(p)
+		if start == nil || start.token != token {
 			continue // likewise
 		}
-		if r == nil || r.Machine != m.Name || r.Session != m.Session || !slices.ContainsFunc(r.Tasks, func(t TaskReport) bool {
-			return t.Job == p.JobID && t.Task == int(ref.Task) && t.Attempt == p.Attempt
-		}) {
+		if r == nil || r.Machine != m.Name || r.Session != m.Session || !r.shows(p) {
 			m.suspect(token)
 			continue
 		}
 		p.Seen, p.State, p.lastReportSeq = true, Fetching, max(p.lastReportSeq, r.Seq)
-		s.confirmed = true
+		start.confirmed = true
 	}
 }
 
--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -7,76 +7,131 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// Offer is a planned task that a controller may start on the machine whose
-// report it answers. Here says that room is kept on that machine.
+// Offer is a planned task that a controller may start on the machine whose report it answers.
 type Offer struct {
 	Start  Command
-	Serial uint64
+	Serial uint64 // number of the offer: a controller starts a serial at most once
 	Need   resources.Amounts
-	Here   bool
+	Here   bool // room is kept for the task on that very machine
 }
 
-// offersAtOnce bounds the offers for other machines' tasks in one answer.
+// maxForeignOffers bounds the offers in one answer of tasks that are planned on other machines.
 const maxForeignOffers = 8
 
-// Offer makes the offers for an answer to the machine's last report: the
-// tasks planned here, and such planned on machines of the same block, type,
-// zone and kind as would fit here with their image at hand. serial gives
-// numbers to offers, attempt to tasks that have none.
+// Offer makes the offers for the answer to the machine's last report, in the order of their serials: the
+// tasks planned on it, and those planned on interchangeable machines (of the same shard, type, zone and
+// kind) that fit into its free room and whose image it has. planned lists the machines whose plans are
+// offered, serial gives numbers to new offers, and attempt gives numbers to tasks that have none.
 func (m *Machine) Offer(planned []*Machine, serial, attempt func() uint64) []Offer {
-	var out []Offer
-	add := func(p *Placement, here bool) {
-		if !m.Grants[p.JobID] || !p.IntentDurable {
-			return // a successor must be able to know first
-		}
-		if p.NotOfferedAgain || p.Withdrawn || (len(p.Offered) > 0 && p.offeredUnderSerial[m]) {
-			return
-		}
-		if len(p.Offered) == 0 {
-			p.Serial, p.offeredUnderSerial = serial(), map[*Machine]bool{}
-			p.Offered = map[*Machine]bool{}
-			if p.Attempt == 0 {
-				p.Attempt = attempt()
-			}
-		}
-		p.Offered[m], p.offeredUnderSerial[m] = true, true
-		if m.OpenOffers == nil {
-			m.OpenOffers = map[Ref]*Placement{}
-		}
-		m.OpenOffers[p.Ref] = p
-		out = append(out, Offer{Command{Op: Start, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt}, p.Serial, p.Need, here})
-	}
-	for _, p := range m.Tasks {
+	b := offerBuilder{machine: m, nextSerial: serial, nextAttempt: attempt}
+	b.addOwn()
+	b.addForeign(planned)
+	slices.SortFunc(b.offers, func(a, b Offer) int { return cmp.Compare(a.Serial, b.Serial) })
+	return b.offers
+}
+
+// offerBuilder collects the offers of one answer.
+type offerBuilder struct {
+	machine     *Machine
+	nextSerial  func() uint64
+	nextAttempt func() uint64
+	offers      []Offer
+}
+
+// addOwn offers the tasks planned on the machine itself.
+func (b *offerBuilder) addOwn() {
+	for _, p := range b.machine.Tasks {
 		if p.Planned {
-			add(p, true)
+			b.add(p, true)
 		}
 	}
-	here := len(out)
-	for _, o := range planned {
-		if m.Draining {
-			break // it is to become empty
-		}
-		if o == m || o.Shard != m.Shard || o.Type != m.Type || o.Zone != m.Zone || o.Spot != m.Spot || m.Reserved {
+}
+
+// addForeign offers tasks planned on other machines, up to maxForeignOffers of them. A machine that is being
+// drained gets none, since it is to become empty, nor does one whose room is reserved.
+func (b *offerBuilder) addForeign(planned []*Machine) {
+	m := b.machine
+	if m.Draining || m.Reserved {
+		return
+	}
+	own := len(b.offers)
+	for _, other := range planned {
+		if !m.interchangeable(other) {
 			continue
 		}
-		for _, p := range o.Tasks {
-			if len(out)-here >= maxForeignOffers {
-				break
-			}
-			if m.Cap.GPU > 0 && p.Need.GPU == 0 {
-				continue // how much of them it may have was looked at where they are planned
+		for _, p := range other.Tasks {
+			if len(b.offers)-own >= maxForeignOffers {
+				return
 			}
-			if p.Planned && !p.BoundToHome && p.Need.Fits(m.Free) && m.HasImage(p.Image) {
-				add(p, false)
+			if m.acceptsForeign(p) {
+				b.add(p, false)
 			}
 		}
 	}
-	slices.SortFunc(out, func(a, b Offer) int { return cmp.Compare(a.Serial, b.Serial) })
-	return out
 }
 
-// TaskStarted notes that an offered task was sent with the answer to the
-// machine's last report.
+// interchangeable says whether a task planned on another machine may be started on this one as well: both
+// are of one shard, type, zone and kind.
+func (m *Machine) interchangeable(other *Machine) bool {
+	return other != m &&
+		other.Shard == m.Shard &&
+		other.Type == m.Type &&
+		other.Zone == m.Zone &&
+		other.Spot == m.Spot
+}
+
+// acceptsForeign says whether a task planned on an interchangeable machine would fit here, with its image at
+// hand. How many tasks without need of accelerators a machine with accelerators may have was decided for the
+// machine where they are planned, so they stay there.
+func (m *Machine) acceptsForeign(p *Placement) bool {
+	if m.Cap.GPU > 0 && p.Need.GPU == 0 {
+		return false
+	}
+	return p.Planned && !p.BoundToHome && p.Need.Fits(m.Free) && m.HasImage(p.Image)
+}
+
+// add offers a planned task, unless it may not be offered now. here says that it is planned on the machine.
+func (b *offerBuilder) add(p *Placement, here bool) {
+	m := b.machine
+	if !p.offerable(m) {
+		return
+	}
+	if len(p.Offered) == 0 {
+		p.Serial = b.nextSerial()
+		p.offeredUnderSerial = map[*Machine]bool{}
+		p.Offered = map[*Machine]bool{}
+		if p.Attempt == 0 {
+			p.Attempt = b.nextAttempt()
+		}
+	}
+	p.Offered[m], p.offeredUnderSerial[m] = true, true
+	if m.OpenOffers == nil {
+		m.OpenOffers = map[Ref]*Placement{}
+	}
+	m.OpenOffers[p.Ref] = p
+	b.offers = append(b.offers, Offer{
+		Start:  Command{Op: Start, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt},
+		Serial: p.Serial,
+		Need:   p.Need,
+		Here:   here,
+	})
+}
+
+// offerable says whether a planned task may be offered to a machine now. The job's grant on the machine and
+// the intent to start the task must be durable first: the next leader has to know of them. Under one serial
+// a task is offered to a machine once.
+func (p *Placement) offerable(m *Machine) bool {
+	if !m.Grants[p.JobID] || !p.IntentDurable {
+		return false
+	}
+	if p.NotOfferedAgain || p.Withdrawn {
+		return false
+	}
+	return len(p.Offered) == 0 || !p.offeredUnderSerial[m]
+}
+
+// TaskStarted notes that a controller sent an offered task with its answer to the machine's last report. It
+// returns false if the task is not on offer to the machine, or is no longer planned.
 func (m *Machine) TaskStarted(ref Ref) bool {
 	p := m.OpenOffers[ref]
 	if p == nil || !p.Planned {
@@ -89,7 +144,8 @@
 	return true
 }
 
-// resolveOffers closes the machine's open offers by a newer report.
+// resolveOffers closes the machine's open offers by a newer report: a task that it shows was started here,
+// and one that it lacks was not.
 func (m *Machine) resolveOffers(r *Report) []Event {
 	var events []Event
 	for ref, p := range m.OpenOffers {
@@ -98,36 +154,36 @@
 		if !p.Planned {
 			continue
 		}
-		shown := slices.ContainsFunc(r.Tasks, func(t TaskReport) bool {
-			return t.Job == p.JobID && t.Task == int(ref.Task) && t.Attempt == p.Attempt
-		})
+		event := Event{Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p}
 		switch {
-		case shown:
+		case r.shows(p):
 			m.placePlanned(p)
-			events = append(events, Event{Kind: EventPlaced, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
+			event.Kind = EventPlaced
+			events = append(events, event)
 		case len(p.Offered) == 0:
-			events = append(events, Event{Kind: EventOfferClosed, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
+			event.Kind = EventOfferClosed
+			events = append(events, event)
 		}
 	}
 	return events
 }
 
-// CloseOffers ends the open offers of a machine that is gone, and returns
-// the plans that have no other one.
+// CloseOffers closes the open offers of a machine that is deleted, and returns the planned tasks that are not
+// on offer to any other machine.
 func (m *Machine) CloseOffers() []*Placement {
-	var over []*Placement
+	var withoutOffer []*Placement
 	for ref, p := range m.OpenOffers {
 		delete(m.OpenOffers, ref)
 		delete(p.Offered, m)
 		if p.Planned && len(p.Offered) == 0 {
-			over = append(over, p)
+			withoutOffer = append(withoutOffer, p)
 		}
 	}
-	return over
+	return withoutOffer
 }
 
-// Rehome moves a plan from a machine that is gone to one that it is on offer
-// to, if there is any.
+// Rehome moves a planned task from a machine that is deleted to one that it is on offer to. It returns false
+// if there is none.
 func (p *Placement) Rehome() bool {
 	for m := range p.Offered {
 		p.Machine.RemovePlacement(p.Ref)
--- a/internal/core/workers/report.go
+++ b/internal/core/workers/report.go
@@ -1,5 +1,7 @@
 package workers
 
+import "slices"
+
 // TaskState is a task's state as its worker reports it.
 type TaskState uint8
 
@@ -42,6 +44,13 @@
 	Tasks                        []TaskReport
 }
 
+// shows says whether the report lists a placement's attempt.
+func (r *Report) shows(p *Placement) bool {
+	return slices.ContainsFunc(r.Tasks, func(t TaskReport) bool {
+		return t.Job == p.JobID && t.Task == int(p.Ref.Task) && t.Attempt == p.Attempt
+	})
+}
+
 // TaskReport is one task of a report.
 type TaskReport struct {
 	Job     uint64
