--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -11,9 +11,9 @@
 const token = 7
 
 func newMachine() (*Inventory, *Machine) {
-	y := NewInventory()
-	m := y.Add(&Machine{Name: "m", Cap: resources.Room(4, 0, 8), CacheGB: 10, FetchGBPS: 1, Durable: true})
-	return y, m
+	inventory := NewInventory()
+	m := inventory.Add(&Machine{Name: "m", Cap: resources.Room(4, 0, 8), CacheGB: 10, FetchGBPS: 1, Durable: true})
+	return inventory, m
 }
 
 func placeTask(m *Machine, job uint64, task int32) *Placement {
@@ -25,15 +25,24 @@
 }
 
 func applyReport(m *Machine, r Report) []Event {
-	events, _ := m.ApplyStatus(time.Second, &r, token, nil, func(job uint64, task int, _ bool) (TaskRecord, bool) {
+	lookup := func(job uint64, task int, _ bool) (TaskRecord, bool) {
 		return TaskRecord{Ref: Ref{Job: int32(job), Task: int32(task)}, Need: resources.Need(1, 0, 1), Open: true}, true
-	})
+	}
+	events, _ := m.ApplyStatus(time.Second, &r, token, nil, lookup)
 	return events
 }
 
-// A task counts as being on its machine until a newer report at the current
-// token does not show it, or a later session begins.
+// counter returns a function that counts up from 1.
+func counter() func() uint64 {
+	n := uint64(0)
+	return func() uint64 { n++; return n }
+}
+
+// A task counts as being placed on its machine until a newer report at the current token lacks it, or a later
+// session begins.
 func TestProofsThatATaskIsGone(t *testing.T) {
+	running := TaskReport{Job: 3, Task: 0, Attempt: 1, State: Running}
+	failed := TaskReport{Job: 3, Task: 0, Attempt: 1, State: Ended, Reason: Failed}
 	cases := []struct {
 		name   string
 		report Report
@@ -41,19 +50,21 @@
 	}{
 		{"an older token proves nothing", Report{Session: 1, Seq: 5, Token: token - 1}, false},
 		{"the current token without it", Report{Session: 1, Seq: 5, Token: token}, true},
-		{"the current token with it", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{{Job: 3, Task: 0, Attempt: 1, State: Running}}}, false},
-		{"ended", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{{Job: 3, Task: 0, Attempt: 1, State: Ended, Reason: Failed}}}, true},
+		{"the current token with it", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{running}}, false},
+		{"ended", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{failed}}, true},
 		{"a later session, whatever the token", Report{Session: 2, Seq: 1, Token: token - 1}, true},
 	}
 	for _, c := range cases {
-		_, m := newMachine()
-		m.Session, m.Seq = 1, 4
-		placeTask(m, 3, 0)
-		events := applyReport(m, c.report)
-		gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EventGone })
-		if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Cap) != c.gone {
-			t.Errorf("%s: gone %v, %d tasks, %v free", c.name, gone, len(m.Tasks), m.Free)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			_, m := newMachine()
+			m.Session, m.Seq = 1, 4
+			placeTask(m, 3, 0)
+			events := applyReport(m, c.report)
+			gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EventGone })
+			if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Cap) != c.gone {
+				t.Errorf("gone %v, %d tasks, %v free", gone, len(m.Tasks), m.Free)
+			}
+		})
 	}
 }
 
@@ -70,102 +81,100 @@
 	}
 }
 
-// Nothing is offered to a machine before its grant is durable, and the job's mark
-// beyond the task.
+// Nothing is offered to a machine before the job's grant on it and the intent to start the task are durable.
 func TestOffersWaitForDurableGrantAndIntent(t *testing.T) {
 	_, m := newMachine()
 	p := &Placement{Ref: Ref{Job: 3}, JobID: 3, Need: resources.Need(1, 0, 1)}
 	m.Plan(p)
-	n := uint64(0)
-	next := func() uint64 { n++; return n }
+	next := counter()
 	m.Grants[3] = false
 	if got := m.Offer([]*Machine{m}, next, next); len(got) != 0 || !m.AwaitsDurability() {
 		t.Errorf("offered %v before the grant is durable", got)
 	}
 	m.Grants[3] = true
 	if got := m.Offer([]*Machine{m}, next, next); len(got) != 0 || !m.AwaitsDurability() {
-		t.Errorf("offered %v before the mark is durable", got)
+		t.Errorf("offered %v before the intent is durable", got)
 	}
 	p.IntentDurable = true
 	if got := m.Offer([]*Machine{m}, next, next); len(got) != 1 || m.AwaitsDurability() {
-		t.Errorf("offered %v once it is", got)
+		t.Errorf("offered %v once both are durable", got)
 	}
 }
 
-// A grant is unused only after a while in which no task of the job counted as
-// being here, was planned or on offer here, or was shown, wanted or not.
+// A grant is unused only after a while in which no task of the job was placed, planned or on offer on the
+// machine, or was reported, orphans included.
 func TestUnusedGrants(t *testing.T) {
 	_, m := newMachine()
 	m.Grants = map[uint64]bool{1: true, 2: true, 3: true, 4: true, 5: false}
 	placeTask(m, 1, 0)
 	m.Plan(&Placement{Ref: Ref{Job: 2}, JobID: 2, Need: resources.Need(1, 0, 1)})
-	stray := Report{Tasks: []TaskReport{{Job: 3, State: Running}}}
-	if got := m.UnusedGrants(0, 8*time.Second, &stray); len(got) != 0 {
+	orphan := Report{Tasks: []TaskReport{{Job: 3, State: Running}}}
+	if got := m.UnusedGrants(0, 8*time.Second, &orphan); len(got) != 0 {
 		t.Errorf("%v at once", got)
 	}
-	if got := m.UnusedGrants(9*time.Second, 8*time.Second, &stray); !slices.Equal(got, []uint64{4}) {
+	if got := m.UnusedGrants(9*time.Second, 8*time.Second, &orphan); !slices.Equal(got, []uint64{4}) {
 		t.Errorf("%v after a while, want only job 4", got)
 	}
 	if got := m.UnusedGrants(9*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{4}) {
-		t.Errorf("%v when the stray has just gone, want only job 4", got)
+		t.Errorf("%v when the orphan has just gone, want only job 4", got)
 	}
 	if got := m.UnusedGrants(18*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{3, 4}) {
 		t.Errorf("%v later, want jobs 3 and 4", got)
 	}
 }
 
-// A machine is still only when nothing is on its way to it or for it. One of its plans
-// that is on offer to another machine of the block is: the other block would start it too.
+// A machine is settled only when nothing is on its way to it or for it. A plan of it that is on offer to
+// another machine of the shard is on its way: moved to another shard, the machine would be offered it there
+// too.
 func TestSettledNeedsNoOpenOfferOrStart(t *testing.T) {
-	y, m := newMachine()
-	other := y.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Shard: m.Shard})
+	inventory, m := newMachine()
+	other := inventory.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Shard: m.Shard})
 	if !m.Settled() {
-		t.Error("an empty machine is not")
+		t.Error("an empty machine is not settled")
 	}
 	p := &Placement{Ref: Ref{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), IntentDurable: true}
 	m.Plan(p)
 	if !m.Settled() {
-		t.Error("a plan that is on offer to nobody keeps it")
+		t.Error("a plan that is on offer to nobody keeps it from being settled")
 	}
 	other.Grants[1] = true
 	other.UseImage(0, 1, 0)
-	n := uint64(0)
-	next := func() uint64 { n++; return n }
+	next := counter()
 	if len(other.Offer([]*Machine{m}, next, next)) != 1 {
 		t.Fatal("the plan is not on offer to the other machine")
 	}
 	if m.Settled() || other.Settled() {
-		t.Error("its plan is on offer, and it may be moved")
+		t.Error("its plan is on offer, and a machine is settled")
 	}
 	other.Session, other.Seq = 1, 1
 	applyReport(other, Report{Session: 1, Seq: 2, Token: token})
 	if !m.Settled() || !other.Settled() {
-		t.Error("the offer is over, and it may not be moved")
+		t.Error("the offer is resolved, and a machine is not settled")
 	}
-	q := placeTask(other, 2, 0)
+	placed := placeTask(other, 2, 0)
 	if other.Settled() {
-		t.Error("a start that was not seen yet is on its way")
+		t.Error("a start that was not seen yet is on its way, and the machine is settled")
 	}
-	if q.Seen = true; !other.Settled() {
-		t.Error("a task that was seen keeps it")
+	placed.Seen = true
+	if !other.Settled() {
+		t.Error("a task that was seen keeps the machine from being settled")
 	}
 }
 
-// A machine in doubt is deaf only once a higher token was given to it, it was heard since,
-// and enough time has passed from then: an outage in which none could be given is no fault
-// of its own.
+// A suspect machine is unreachable only once a higher token was given out for it, it was heard since, and
+// enough time has passed from then: an outage in which none could be given is no fault of its own.
 func TestUnreachableCountsFromTokenGiven(t *testing.T) {
 	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, LastHeartbeat: time.Second})
 	m.CheckStale(10*time.Second, 5*time.Second)
 	m.LastHeartbeat = 60 * time.Second
 	if m.SuspectBelow != 5 || m.Unreachable(60*time.Second, 20*time.Second) {
-		t.Fatal("no token was given to it yet")
+		t.Fatal("unreachable, though no token was given to it yet")
 	}
 	if !m.NeedsToken(61*time.Second) || m.Unreachable(90*time.Second, 20*time.Second) {
-		t.Fatal("it was not heard since")
+		t.Fatal("unreachable, though it was not heard since")
 	}
 	m.LastHeartbeat = 62 * time.Second
 	if m.Unreachable(70*time.Second, 20*time.Second) || !m.Unreachable(82*time.Second, 20*time.Second) {
-		t.Error("twenty seconds after the token")
+		t.Error("not unreachable from twenty seconds after the token on")
 	}
 }
