--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -8,46 +8,49 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// TaskRecord is what the leader knows of a reported task.
+// TaskRecord is what the leader has of a reported task.
 type TaskRecord struct {
 	Ref       Ref
 	Need      resources.Amounts
-	Image     int32
+	Image     int32 // index of its image
 	ImageGB   float64
 	Open      bool // the job is open and the task not finished
 	Noted     bool // the task's end is durable, or the job is over
-	Cancelled bool // the job is, and Ref is NoRef
+	Cancelled bool // the job is cancelled and has left the job table: Ref is NoRef
 	Held      bool // the job waits for others
-	Elsewhere bool // it counts as being on another machine
+	Elsewhere bool // the task is placed on another machine, or may be
 }
 
-// EventKind is what a report told.
+// EventKind is what a report has shown of a task.
 type EventKind uint8
 
 // Events of a report.
 const (
-	EventBegan EventKind = iota // began to run
-	EventAdopted
-	EventPlaced      // an offered task turned out to be on the machine
-	EventOfferClosed // no offer of a planned task is open any more
-	EventCompleted
-	EventGone
+	EventBegan       EventKind = iota // it began to run
+	EventAdopted                      // it runs, was placed nowhere, and is placed here now
+	EventPlaced                       // it was on offer, and turned out to be on the machine
+	EventOfferClosed                  // it is planned, and no offer of it is open any more
+	EventCompleted                    // it has ended with its result
+	EventGone                         // it was placed here, and is proved gone without a result
 )
 
-// Event is something a report told.
+// Event is what a report has shown of one task.
 type Event struct {
-	Kind      EventKind
-	Ref       Ref
-	JobID     uint64
-	Attempt   uint64
-	Reason    Reason
-	Ran       time.Duration // how long it ran; negative: not known
-	Running   bool          // it was running
-	Died      bool          // of EvGone: the worker was lost with it
-	Placement *Placement    // of EvAdopted, EvPlaced and EvOfferOver
+	Kind    EventKind
+	Ref     Ref
+	JobID   uint64
+	Attempt uint64
+
+	// Of EventCompleted and EventGone.
+	Reason  Reason        // of EventGone: why the task ended
+	Ran     time.Duration // how long it ran; negative: not known
+	Running bool          // it was running when it was last reported
+	Died    bool          // of EventGone: its worker was lost with it
+
+	Placement *Placement // of EventAdopted, EventPlaced and EventOfferClosed
 }
 
-// Fresh says whether a report is newer than all that were taken in.
+// Fresh says whether a report is newer than all that were applied.
 func (m *Machine) Fresh(r *Report) bool {
 	return r.Session > m.Session || (r.Session == m.Session && r.Seq > m.Seq)
 }
@@ -344,7 +347,7 @@
 	u.commands = append(u.commands, Command{Op: op, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
 }
 
-// IsCurrentAttempt says whether an attempt of a task is the one that counts as being here.
+// IsCurrentAttempt says whether an attempt of a task is the one that is placed on the machine.
 func (m *Machine) IsCurrentAttempt(ref Ref, attempt uint64) bool {
 	p := m.Tasks[ref]
 	if p == nil || p.Planned {
--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -1,23 +1,21 @@
 package workers
 
-import (
-	"time"
-)
+import "time"
 
+// attemptKey names an attempt of a task.
 type attemptKey struct {
-	ref Ref
-	n   uint64
+	ref     Ref
+	attempt uint64
 }
 
-// directStart is a start that was sent straight to the worker.
+// directStart is a start that was pushed straight to the worker.
 type directStart struct {
-	token     uint64
-	confirmed bool // the worker has answered it, or shown its task
+	token     uint64 // under which it was sent: a worker that has seen a higher one refuses it
+	confirmed bool   // the worker has answered it, or a report has shown its task
 }
 
-// Dispatch notes that a task planned here is sent straight to the worker. From now on
-// it counts as being here, until a report at a higher token shows that it is not: the
-// command may be carried out late.
+// Dispatch notes that a task planned here is sent straight to the worker. From now on it counts as being
+// placed here, until a report at a higher token shows that it is not: the command may be carried out late.
 func (m *Machine) Dispatch(p *Placement) {
 	m.placePlanned(p)
 	p.lastReportSeq = m.Seq
@@ -27,10 +25,10 @@
 	m.directStarts[attemptKey{p.Ref, p.Attempt}] = &directStart{token: m.Token}
 }
 
-// DispatchResult takes the worker's answer to starts sent straight to it, under a token: its
-// report after them, nil if there was none or it does not say that they were carried out.
-// Of the report only the tasks that were sent are looked at: it may overtake the answer to
-// a report, and what is absent or newer in it proves nothing here.
+// DispatchResult applies the worker's answer to the direct starts of tasks that were sent under a token. r is
+// the worker's report after them; it is nil if there was no answer, or none that says that they were carried
+// out, and the machine becomes suspect then. Of the report only the tasks that were sent are looked at: it may
+// overtake the answer to a regular report, and what is absent or newer in it proves nothing here.
 func (m *Machine) DispatchResult(_ time.Duration, token uint64, refs []Ref, r *Report) {
 	m.Dispatching = false
 	for _, ref := range refs {
@@ -51,27 +49,26 @@
 	}
 }
 
-// directStartOf is the start of a task that counts as being here, if that was sent straight to
-// the worker; nil: it was not.
+// directStartOf returns the direct start of a placed task; nil if it was not started directly.
 func (m *Machine) directStartOf(p *Placement) *directStart {
 	return m.directStarts[attemptKey{p.Ref, p.Attempt}]
 }
 
-// unconfirmedDirectStart says whether a task that counts as being here was sent straight to the worker,
-// and nothing has shown that it arrived.
+// unconfirmedDirectStart says whether a placed task was started directly, and nothing has shown that the start
+// arrived.
 func (m *Machine) unconfirmedDirectStart(p *Placement) bool {
 	s := m.directStartOf(p)
 	return s != nil && !s.confirmed
 }
 
-// mayStartLate says whether an attempt was sent straight to the worker and may still begin, or
-// begin once more, when the worker has seen no higher token than this one.
-func (m *Machine) mayStartLate(ref Ref, n, token uint64) bool {
-	s := m.directStarts[attemptKey{ref, n}]
-	return s != nil && token <= s.token
+// mayStartLate says whether an attempt was started directly and may still begin, or begin once more, on a
+// worker that has seen no higher token than the given one.
+func (m *Machine) mayStartLate(ref Ref, number, token uint64) bool {
+	start := m.directStarts[attemptKey{ref, number}]
+	return start != nil && token <= start.token
 }
 
-// WasDispatched says whether a task that counts as being here was sent straight to the worker.
+// WasDispatched says whether a task is placed here by a direct start.
 func (m *Machine) WasDispatched(ref Ref) bool {
 	p := m.Tasks[ref]
 	return p != nil && m.directStartOf(p) != nil
--- a/internal/core/workers/grants.go
+++ b/internal/core/workers/grants.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// QueueRegistry says, once, that the machine has to be registered.
+// QueueRegistry returns true, once, if the machine has to be registered durably: the caller then writes its
+// registration.
 func (m *Machine) QueueRegistry() bool {
 	if m.Durable || m.registryQueued {
 		return false
@@ -14,12 +15,12 @@
 	return true
 }
 
-// MayHaveTasksOf says whether tasks of a job may be on a machine that is unresolved: it has a
-// grant, or none were noted there at all.
+// MayHaveTasksOf says whether tasks of a job, by its id, may be on the machine while it is unresolved: the job
+// has a grant on it, or no grants are noted for it at all.
 func (m *Machine) MayHaveTasksOf(job uint64) bool { return m.Grants[job] || m.Number == 0 }
 
-// AwaitsDurability says whether something must become durable before the machine can be
-// told to start what is planned on it.
+// AwaitsDurability says whether something must become durable before the worker can be told to start what is
+// planned on the machine: its registration, a grant, or the intent to start a task.
 func (m *Machine) AwaitsDurability() bool {
 	if !m.Durable {
 		return m.registryQueued
@@ -32,43 +33,50 @@
 	return false
 }
 
-// UnusedGrants returns the jobs whose grants may be taken back: for a while now
-// neither a task of theirs counts as being here, nor is one planned or on offer
-// here, nor does the report just taken in, which is at the current token, show
-// any, wanted or not.
+// UnusedGrants returns the jobs, by ascending id, whose grants may be revoked. For as long as after there was
+// no task of the job placed, planned or on offer here, nor did a report show any, orphans included. r is the
+// report that was just applied; it is at the current token.
 func (m *Machine) UnusedGrants(now, after time.Duration, r *Report) []uint64 {
-	var used, out []uint64
-	for _, p := range m.Tasks {
-		used = append(used, p.JobID)
-	}
-	for _, p := range m.OpenOffers {
-		used = append(used, p.JobID)
-	}
-	for _, t := range r.Tasks {
-		used = append(used, t.Job)
-	}
-	slices.Sort(used)
+	used := m.jobsInUse(r)
+	var unused []uint64
 	for id, durable := range m.Grants {
-		if _, found := slices.BinarySearch(used, id); found || !durable {
+		if _, inUse := slices.BinarySearch(used, id); inUse || !durable {
 			delete(m.grantUnusedSince, id)
 			continue
 		}
-		since, known := m.grantUnusedSince[id]
+		since, noted := m.grantUnusedSince[id]
 		switch {
-		case !known:
+		case !noted:
 			if m.grantUnusedSince == nil {
 				m.grantUnusedSince = map[uint64]time.Duration{}
 			}
 			m.grantUnusedSince[id] = now
 		case now-since >= after:
-			out = append(out, id)
+			unused = append(unused, id)
 		}
 	}
-	slices.Sort(out)
-	return out
+	slices.Sort(unused)
+	return unused
+}
+
+// jobsInUse lists the ids of the jobs that have a task placed, planned or on offer on the machine, or in its
+// report, in ascending order and with repetitions.
+func (m *Machine) jobsInUse(r *Report) []uint64 {
+	var used []uint64
+	for _, p := range m.Tasks {
+		used = append(used, p.JobID)
+	}
+	for _, p := range m.OpenOffers {
+		used = append(used, p.JobID)
+	}
+	for _, t := range r.Tasks {
+		used = append(used, t.Job)
+	}
+	slices.Sort(used)
+	return used
 }
 
-// RevokeGrant forgets that a job may have tasks here.
+// RevokeGrant removes the grant of a job, by its id.
 func (m *Machine) RevokeGrant(job uint64) {
 	delete(m.Grants, job)
 	delete(m.grantUnusedSince, job)
--- a/internal/core/workers/images.go
+++ b/internal/core/workers/images.go
@@ -5,57 +5,53 @@
 	"time"
 )
 
+// cachedImage is an image that the leader takes to be in a machine's cache.
 type cachedImage struct {
-	id   int32
-	gb   float64
-	used time.Duration
+	id       int32
+	sizeGB   float64
+	lastUsed time.Duration
 }
 
-// HasImage says whether the machine has or is fetching an image.
+// HasImage says whether the machine has an image in its cache, or is fetching it, as far as the leader knows.
 func (m *Machine) HasImage(id int32) bool {
-	for _, im := range m.images {
-		if im.id == id {
-			return true
-		}
-	}
-	return false
+	return slices.ContainsFunc(m.images, func(image cachedImage) bool { return image.id == id })
 }
 
-// Fetching counts the images that the machine is fetching, or will once what is planned
-// on it starts.
+// Fetching counts the images that the machine is fetching, or will fetch once the tasks planned on it start.
 func (m *Machine) Fetching() int {
-	var under, there []int32
+	var needed, present []int32
 	for _, p := range m.Tasks {
 		if p.Planned || p.State == Fetching {
-			under = append(under, p.Image)
+			needed = append(needed, p.Image)
 		} else {
-			there = append(there, p.Image)
+			present = append(present, p.Image)
 		}
 	}
-	slices.Sort(under)
-	n := 0
-	for _, id := range slices.Compact(under) {
-		if !slices.Contains(there, id) {
-			n++
+	slices.Sort(needed)
+	count := 0
+	for _, id := range slices.Compact(needed) {
+		if !slices.Contains(present, id) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// UseImage notes that an image is on, or on its way to, the machine; the
-// least recently used ones are taken to be dropped when the cache is full.
-func (m *Machine) UseImage(id int32, gb float64, now time.Duration) {
+// UseImage notes that an image is on the machine, or on its way to it. The least recently used images are
+// taken to be evicted when the cache is full.
+func (m *Machine) UseImage(id int32, sizeGB float64, now time.Duration) {
 	for i := range m.images {
 		if m.images[i].id == id {
-			m.images[i].used = now
+			m.images[i].lastUsed = now
 			return
 		}
 	}
-	m.images = append(m.images, cachedImage{id, gb, now})
-	slices.SortFunc(m.images, func(a, b cachedImage) int { return int(b.used - a.used) })
-	var sum float64
-	for i, im := range m.images {
-		if sum += im.gb; sum > m.CacheGB && i > 0 {
+	m.images = append(m.images, cachedImage{id: id, sizeGB: sizeGB, lastUsed: now})
+	slices.SortFunc(m.images, func(a, b cachedImage) int { return int(b.lastUsed - a.lastUsed) })
+	var total float64
+	for i, image := range m.images {
+		total += image.sizeGB
+		if total > m.CacheGB && i > 0 {
 			m.images = m.images[:i]
 			break
 		}
--- a/internal/core/workers/inventory.go
+++ b/internal/core/workers/inventory.go
@@ -1,45 +1,45 @@
 package workers
 
-// Inventory holds all machines.
+// Inventory holds all machines that the leader knows.
 type Inventory struct {
 	byName  map[string]*Machine
 	all     []*Machine
-	deleted map[string]bool // deleted ones; their late reports mean nothing
+	deleted map[string]bool // names of deleted machines: their late reports are ignored
 }
 
-// NewInventory makes an empty yard.
+// NewInventory makes an empty inventory.
 func NewInventory() *Inventory {
 	return &Inventory{byName: map[string]*Machine{}, deleted: map[string]bool{}}
 }
 
-// Find returns a machine by name.
-func (y *Inventory) Find(name string) *Machine { return y.byName[name] }
+// Find returns a machine by name; nil if there is none.
+func (inv *Inventory) Find(name string) *Machine { return inv.byName[name] }
 
 // WasDeleted says whether a machine is known to be deleted.
-func (y *Inventory) WasDeleted(name string) bool { return y.deleted[name] }
+func (inv *Inventory) WasDeleted(name string) bool { return inv.deleted[name] }
 
-// Add enters a machine.
-func (y *Inventory) Add(m *Machine) *Machine {
-	m.Index = int32(len(y.all))
+// Add enters a machine, with all its capacity free and its token as the first of the term.
+func (inv *Inventory) Add(m *Machine) *Machine {
+	m.Index = int32(len(inv.all))
 	m.Free, m.firstTokenOfTerm = m.Cap, m.Token
 	m.Tasks = map[Ref]*Placement{}
 	m.Grants = map[uint64]bool{}
-	y.all = append(y.all, m)
-	y.byName[m.Name] = m
+	inv.all = append(inv.all, m)
+	inv.byName[m.Name] = m
 	return m
 }
 
-// Remove takes a deleted machine out.
-func (y *Inventory) Remove(name string) {
-	y.deleted[name] = true
-	if m := y.byName[name]; m != nil {
-		delete(y.byName, name)
-		last := y.all[len(y.all)-1]
-		y.all[m.Index] = last
+// Remove takes a deleted machine out. The last machine of All moves to its place.
+func (inv *Inventory) Remove(name string) {
+	inv.deleted[name] = true
+	if m := inv.byName[name]; m != nil {
+		delete(inv.byName, name)
+		last := inv.all[len(inv.all)-1]
+		inv.all[m.Index] = last
 		last.Index = m.Index
-		y.all = y.all[:len(y.all)-1]
+		inv.all = inv.all[:len(inv.all)-1]
 	}
 }
 
-// All returns the machines.
-func (y *Inventory) All() []*Machine { return y.all }
+// All returns the machines. The list is the inventory's own: it must not be changed.
+func (inv *Inventory) All() []*Machine { return inv.all }
--- a/internal/core/workers/report.go
+++ b/internal/core/workers/report.go
@@ -5,43 +5,61 @@
 // TaskState is a task's state as its worker reports it.
 type TaskState uint8
 
-// States of a task on a machine.
+// States of a task on a machine, in the order in which it goes through them.
 const (
-	Fetching TaskState = iota
-	Gathering
+	Fetching  TaskState = iota // its image is fetched
+	Gathering                  // it waits for the other tasks of its gang
 	Running
-	Saving
+	Saving // it was stopped, and saves its progress
 	Ended
 )
 
 // Reason is why a task ended.
 type Reason uint8
 
-// Reasons of an end; Vanished is a task that a report no longer shows.
+// Reasons of an end.
 const (
-	Vanished Reason = iota
-	Completed
-	Stopped
-	PeersLost
-	Alone
-	Failed
-	NoRoom
-	Busy
-	UnknownTask
+	Vanished    Reason = iota // a report does not show it any more
+	Completed                 // with its result
+	Stopped                   // by a command
+	PeersLost                 // another task of its gang was lost
+	Alone                     // its gang did not become complete in time
+	Failed                    // the task itself
+	NoRoom                    // the worker had no room for it
+	Busy                      // the worker could not take it on
+	UnknownTask               // the worker does not know it
 )
 
-var reasonLabels = [...]string{"vanished", "done", "stopped", "a peer was lost", "gang not complete", "failed", "no room", "busy", "unknown task"}
+// reasonLabels are the labels of the reasons in views, metrics and log entries.
+var reasonLabels = [...]string{
+	Vanished:    "vanished",
+	Completed:   "done",
+	Stopped:     "stopped",
+	PeersLost:   "a peer was lost",
+	Alone:       "gang not complete",
+	Failed:      "failed",
+	NoRoom:      "no room",
+	Busy:        "busy",
+	UnknownTask: "unknown task",
+}
 
 func (r Reason) String() string { return reasonLabels[r] }
 
-// Report is a worker's report.
+// Report is a worker's status report, which is its heartbeat too.
 type Report struct {
-	Machine, Address, Type, Zone string
-	Spot                         bool
-	Session, Seq, Token          uint64
-	Notice                       bool
-	NoticeS                      float64
-	Tasks                        []TaskReport
+	// The machine.
+	Machine, Address string
+	Type, Zone       string
+	Spot             bool
+	Notice           bool    // the cloud has announced that it takes the spot instance back
+	NoticeS          float64 // in how many seconds
+
+	// Order of reports.
+	Session uint64 // of the worker
+	Seq     uint64 // number within the session
+	Token   uint64 // highest fencing token that the worker has seen
+
+	Tasks []TaskReport
 }
 
 // shows says whether the report lists a placement's attempt.
@@ -51,31 +69,31 @@
 	})
 }
 
-// TaskReport is one task of a report.
+// TaskReport is one task in a status report.
 type TaskReport struct {
 	Job     uint64
 	Task    int
 	Attempt uint64
 	State   TaskState
-	Reason  Reason
-	Saved   bool
+	Reason  Reason // of an ended task
+	Saved   bool   // of a stopped task: its progress is saved
 }
 
-// Op is a command's verb.
+// Op is what a command asks for.
 type Op uint8
 
-// Commands.
+// Operations.
 const (
 	Start Op = iota
 	Stop
-	Reap
+	Reap // forget an ended attempt and its result
 )
 
-// Command is a command to a worker.
+// Command is a command to a worker about one attempt of a task.
 type Command struct {
 	Op      Op
 	Job     uint64
 	Task    int
 	Attempt uint64
-	GraceS  float64
+	GraceS  float64 // of a stop: seconds that the task gets to save its progress
 }
