--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -159,8 +159,8 @@
 	Direct    bool   // the attempt that is shown was sent straight to the worker, and its token is still good
 }
 
-// Shown is what a report says of a task.
-type Shown struct {
+// ReportedTask is what a report says of a task.
+type ReportedTask struct {
 	Attempt uint64
 	Ended   bool
 	Done    bool // of an ended one: with its result
@@ -169,7 +169,7 @@
 }
 
 // Task names the difference between what is stored of a task and what is shown of it.
-func Task(st Stored, sh Shown) Diff {
+func Task(st Stored, sh ReportedTask) Diff {
 	d := classifyTask(st, sh)
 	if s := d.Resolution(); st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return EndedDirectMayArrive
@@ -177,7 +177,7 @@
 	return d
 }
 
-func classifyTask(st Stored, sh Shown) Diff {
+func classifyTask(st Stored, sh ReportedTask) Diff {
 	mine := st.Here && st.Attempt == sh.Attempt
 	switch {
 	case !st.Known && sh.Ended:
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -10,7 +10,7 @@
 
 // referenceTask is a second version of Task: what is to be done, from the promises alone,
 // without naming any difference.
-func referenceTask(st Stored, sh Shown) Resolution {
+func referenceTask(st Stored, sh ReportedTask) Resolution {
 	s := referenceTaskWithoutDirect(st, sh)
 	if st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return Wait // what is forgotten could be started by a copy of the command
@@ -18,7 +18,7 @@
 	return s
 }
 
-func referenceTaskWithoutDirect(st Stored, sh Shown) Resolution {
+func referenceTaskWithoutDirect(st Stored, sh ReportedTask) Resolution {
 	counts := st.Known && st.Here && st.Attempt == sh.Attempt
 	if !sh.Ended {
 		if counts {
@@ -93,7 +93,7 @@
 			}
 		}
 		st.Direct = r.IntN(6) == 0
-		sh := Shown{Attempt: uint64(1 + r.IntN(2)), Ended: coin()}
+		sh := ReportedTask{Attempt: uint64(1 + r.IntN(2)), Ended: coin()}
 		if sh.Ended {
 			sh.Done = coin()
 			sh.Saved = !sh.Done && coin()
@@ -129,7 +129,7 @@
 		if (st.Open && (st.Durable || st.Elsewhere)) || (st.Here && st.Elsewhere) || (st.Cancelled && !st.Durable) {
 			continue // no such state
 		}
-		sh := Shown{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Done: on(8) && on(9), Saving: !on(8) && on(10)}
+		sh := ReportedTask{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Done: on(8) && on(9), Saving: !on(8) && on(10)}
 		s := Task(st, sh).Resolution()
 		if sh.Done && st.Known && !st.Durable && (s == Reap || s == ReleaseAndReap) {
 			t.Errorf("%+v, %+v: a result is lost", st, sh)
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -231,7 +231,7 @@
 	if t.placed != nil {
 		stored.Attempt = t.placed.Attempt
 	}
-	diff := reconcile.Task(stored, reconcile.Shown{
+	diff := reconcile.Task(stored, reconcile.ReportedTask{
 		Attempt: shown.Attempt,
 		Ended:   ended,
 		Done:    completed,
@@ -354,5 +354,5 @@
 		return false
 	}
 	stored := reconcile.Stored{Known: true, Here: true, Attempt: p.Attempt}
-	return reconcile.Task(stored, reconcile.Shown{Attempt: attempt}) == reconcile.AsStored
+	return reconcile.Task(stored, reconcile.ReportedTask{Attempt: attempt}) == reconcile.AsStored
 }
