--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -146,8 +146,8 @@
 // Table lists all differences in order.
 func Table() []Row { return table[:] }
 
-// Stored is what the leader has of a task, seen from the machine that reports.
-type Stored struct {
+// StoredTask is what the leader has of a task, seen from the machine that reports.
+type StoredTask struct {
 	Known     bool   // its job is accepted and not forgotten, and has such a task
 	Open      bool   // its completion would count: the job is open, and it has not ended
 	Durable   bool   // its end is durable, or its job cancelled
@@ -169,7 +169,7 @@
 }
 
 // Task names the difference between what is stored of a task and what is shown of it.
-func Task(st Stored, sh ReportedTask) Diff {
+func Task(st StoredTask, sh ReportedTask) Diff {
 	d := classifyTask(st, sh)
 	if s := d.Resolution(); st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return EndedDirectMayArrive
@@ -177,7 +177,7 @@
 	return d
 }
 
-func classifyTask(st Stored, sh ReportedTask) Diff {
+func classifyTask(st StoredTask, sh ReportedTask) Diff {
 	mine := st.Here && st.Attempt == sh.Attempt
 	switch {
 	case !st.Known && sh.Ended:
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -10,7 +10,7 @@
 
 // referenceTask is a second version of Task: what is to be done, from the promises alone,
 // without naming any difference.
-func referenceTask(st Stored, sh ReportedTask) Resolution {
+func referenceTask(st StoredTask, sh ReportedTask) Resolution {
 	s := referenceTaskWithoutDirect(st, sh)
 	if st.Direct && (s == Reap || s == ReleaseAndReap) {
 		return Wait // what is forgotten could be started by a copy of the command
@@ -18,7 +18,7 @@
 	return s
 }
 
-func referenceTaskWithoutDirect(st Stored, sh ReportedTask) Resolution {
+func referenceTaskWithoutDirect(st StoredTask, sh ReportedTask) Resolution {
 	counts := st.Known && st.Here && st.Attempt == sh.Attempt
 	if !sh.Ended {
 		if counts {
@@ -81,7 +81,7 @@
 	coin := func() bool { return r.IntN(2) == 0 }
 	var met Tally
 	for range 200_000 {
-		st := Stored{Known: r.IntN(8) > 0}
+		st := StoredTask{Known: r.IntN(8) > 0}
 		if st.Known {
 			st.Cancelled, st.Held = r.IntN(5) == 0, r.IntN(8) == 0
 			st.Durable = st.Cancelled || r.IntN(4) == 0
@@ -125,7 +125,7 @@
 func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
 		on := func(i int) bool { return bits>>i&1 == 1 }
-		st := Stored{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), Elsewhere: on(5), Here: on(6), Attempt: 1}
+		st := StoredTask{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), Elsewhere: on(5), Here: on(6), Attempt: 1}
 		if (st.Open && (st.Durable || st.Elsewhere)) || (st.Here && st.Elsewhere) || (st.Cancelled && !st.Durable) {
 			continue // no such state
 		}
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -218,7 +218,7 @@
 			m.UseImage(record.Image, record.ImageGB, u.now)
 		}
 	}
-	stored := reconcile.Stored{
+	stored := reconcile.StoredTask{
 		Known:     known,
 		Open:      record.Open,
 		Durable:   record.Noted,
@@ -353,6 +353,6 @@
 	if p == nil || p.Planned {
 		return false
 	}
-	stored := reconcile.Stored{Known: true, Here: true, Attempt: p.Attempt}
+	stored := reconcile.StoredTask{Known: true, Here: true, Attempt: p.Attempt}
 	return reconcile.Task(stored, reconcile.ReportedTask{Attempt: attempt}) == reconcile.AsStored
 }
