--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -83,8 +83,8 @@
 
 func (s Resolution) String() string { return resolutionLabels[s] }
 
-// Row is a line of the table.
-type Row struct {
+// row is a line of the table.
+type row struct {
 	Name       string // for metrics and accounts
 	Stored     string // what the leader has
 	Shown      string // what the worker reports
@@ -92,7 +92,7 @@
 	Proof      string
 }
 
-var table = [Kinds]Row{
+var table = [Kinds]row{
 	AsStored:                   {"as_stored", "on this machine", "this attempt, not ended", Keep, "the newest report shows it"},
 	Completed:                  {"completed", "on this machine, open", "this attempt, done", RecordCompletion, "the worker keeps the result until it is reaped"},
 	EndedNotPlaced:             {"ended_unheard", "not on this machine, open", "done", RecordCompletion, "a result counts whoever started it: a task has one result"},
@@ -136,7 +136,7 @@
 }
 
 // Row gives a difference's line of the table.
-func (d Diff) Row() Row { return table[d] }
+func (d Diff) Row() row { return table[d] }
 
 // Resolution is the one thing that follows from a difference.
 func (d Diff) Resolution() Resolution { return table[d].Resolution }
@@ -144,7 +144,7 @@
 func (d Diff) String() string { return table[d].Name }
 
 // Table lists all differences in order.
-func Table() []Row { return table[:] }
+func Table() []row { return table[:] }
 
 // StoredTask is what the leader has of a task, seen from the machine that reports.
 type StoredTask struct {
