--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -148,15 +148,15 @@
 
 // StoredTask is what the leader has of a task, seen from the machine that reports.
 type StoredTask struct {
-	Known     bool   // its job is accepted and not forgotten, and has such a task
-	Open      bool   // its completion would count: the job is open, and it has not ended
-	Durable   bool   // its end is durable, or its job cancelled
-	Cancelled bool   // its job is
-	Held      bool   // its job waits for others
-	Elsewhere bool   // it counts as being on another machine, or is on offer
-	Here      bool   // it counts as being on this one
-	Attempt   uint64 // where it counts here: which
-	Direct    bool   // the attempt that is shown was sent straight to the worker, and its token is still good
+	Known      bool   // its job is accepted and not forgotten, and has such a task
+	Open       bool   // its completion would count: the job is open, and it has not ended
+	Durable    bool   // its end is durable, or its job cancelled
+	Cancelled  bool   // its job is
+	Held       bool   // its job waits for others
+	Elsewhere  bool   // it counts as being on another machine, or is on offer
+	PlacedHere bool   // it counts as being on this one
+	Attempt    uint64 // where it counts here: which
+	Direct     bool   // the attempt that is shown was sent straight to the worker, and its token is still good
 }
 
 // ReportedTask is what a report says of a task.
@@ -178,7 +178,7 @@
 }
 
 func classifyTask(st StoredTask, sh ReportedTask) Diff {
-	mine := st.Here && st.Attempt == sh.Attempt
+	mine := st.PlacedHere && st.Attempt == sh.Attempt
 	switch {
 	case !st.Known && sh.Ended:
 		return EndedUnknown
@@ -208,7 +208,7 @@
 		return EndedOldAttempt
 	case mine:
 		return AsStored
-	case st.Here:
+	case st.PlacedHere:
 		return RunsOtherAttempt
 	case st.Elsewhere:
 		return RunsElsewhere
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -19,13 +19,13 @@
 }
 
 func referenceTaskWithoutDirect(st StoredTask, sh ReportedTask) Resolution {
-	counts := st.Known && st.Here && st.Attempt == sh.Attempt
+	counts := st.Known && st.PlacedHere && st.Attempt == sh.Attempt
 	if !sh.Ended {
 		if counts {
 			return Keep
 		}
 		// It may stay only if nothing else stands for it and its job wants it.
-		if st.Known && st.Open && !st.Here && !st.Elsewhere && !st.Cancelled && !st.Held {
+		if st.Known && st.Open && !st.PlacedHere && !st.Elsewhere && !st.Cancelled && !st.Held {
 			return Adopt
 		}
 		return Stop
@@ -86,9 +86,9 @@
 			st.Cancelled, st.Held = r.IntN(5) == 0, r.IntN(8) == 0
 			st.Durable = st.Cancelled || r.IntN(4) == 0
 			st.Elsewhere = r.IntN(4) == 0
-			st.Here = !st.Elsewhere && coin()
+			st.PlacedHere = !st.Elsewhere && coin()
 			st.Open = !st.Cancelled && !st.Held && !st.Durable && !st.Elsewhere && r.IntN(5) > 0
-			if st.Here {
+			if st.PlacedHere {
 				st.Attempt = uint64(1 + r.IntN(2))
 			}
 		}
@@ -125,8 +125,8 @@
 func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
 		on := func(i int) bool { return bits>>i&1 == 1 }
-		st := StoredTask{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), Elsewhere: on(5), Here: on(6), Attempt: 1}
-		if (st.Open && (st.Durable || st.Elsewhere)) || (st.Here && st.Elsewhere) || (st.Cancelled && !st.Durable) {
+		st := StoredTask{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), Elsewhere: on(5), PlacedHere: on(6), Attempt: 1}
+		if (st.Open && (st.Durable || st.Elsewhere)) || (st.PlacedHere && st.Elsewhere) || (st.Cancelled && !st.Durable) {
 			continue // no such state
 		}
 		sh := ReportedTask{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Done: on(8) && on(9), Saving: !on(8) && on(10)}
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -219,14 +219,14 @@
 		}
 	}
 	stored := reconcile.StoredTask{
-		Known:     known,
-		Open:      record.Open,
-		Durable:   record.Noted,
-		Cancelled: record.Cancelled,
-		Held:      record.Held,
-		Elsewhere: record.Elsewhere,
-		Here:      t.placed != nil,
-		Direct:    known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
+		Known:      known,
+		Open:       record.Open,
+		Durable:    record.Noted,
+		Cancelled:  record.Cancelled,
+		Held:       record.Held,
+		Elsewhere:  record.Elsewhere,
+		PlacedHere: t.placed != nil,
+		Direct:     known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
 	}
 	if t.placed != nil {
 		stored.Attempt = t.placed.Attempt
@@ -353,6 +353,6 @@
 	if p == nil || p.Planned {
 		return false
 	}
-	stored := reconcile.StoredTask{Known: true, Here: true, Attempt: p.Attempt}
+	stored := reconcile.StoredTask{Known: true, PlacedHere: true, Attempt: p.Attempt}
 	return reconcile.Task(stored, reconcile.ReportedTask{Attempt: attempt}) == reconcile.AsStored
 }
