--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -148,15 +148,15 @@
 
 // StoredTask is what the leader has of a task, seen from the machine that reports.
 type StoredTask struct {
-	Known      bool   // its job is accepted and not forgotten, and has such a task
-	Open       bool   // its completion would count: the job is open, and it has not ended
-	Durable    bool   // its end is durable, or its job cancelled
-	Cancelled  bool   // its job is
-	Held       bool   // its job waits for others
-	Elsewhere  bool   // it counts as being on another machine, or is on offer
-	PlacedHere bool   // it counts as being on this one
-	Attempt    uint64 // where it counts here: which
-	Direct     bool   // the attempt that is shown was sent straight to the worker, and its token is still good
+	Known           bool   // its job is accepted and not forgotten, and has such a task
+	Open            bool   // its completion would count: the job is open, and it has not ended
+	Durable         bool   // its end is durable, or its job cancelled
+	Cancelled       bool   // its job is
+	Held            bool   // its job waits for others
+	PlacedElsewhere bool   // it counts as being on another machine, or is on offer
+	PlacedHere      bool   // it counts as being on this one
+	Attempt         uint64 // where it counts here: which
+	Direct          bool   // the attempt that is shown was sent straight to the worker, and its token is still good
 }
 
 // ReportedTask is what a report says of a task.
@@ -194,7 +194,7 @@
 			return CancelledEnd
 		case st.Durable:
 			return EndedDurable
-		case st.Elsewhere:
+		case st.PlacedElsewhere:
 			return EndedElsewhere
 		}
 		return EndedNotDurable
@@ -210,7 +210,7 @@
 		return AsStored
 	case st.PlacedHere:
 		return RunsOtherAttempt
-	case st.Elsewhere:
+	case st.PlacedElsewhere:
 		return RunsElsewhere
 	case st.Cancelled:
 		return RunsCancelled
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -25,7 +25,7 @@
 			return Keep
 		}
 		// It may stay only if nothing else stands for it and its job wants it.
-		if st.Known && st.Open && !st.PlacedHere && !st.Elsewhere && !st.Cancelled && !st.Held {
+		if st.Known && st.Open && !st.PlacedHere && !st.PlacedElsewhere && !st.Cancelled && !st.Held {
 			return Adopt
 		}
 		return Stop
@@ -85,9 +85,9 @@
 		if st.Known {
 			st.Cancelled, st.Held = r.IntN(5) == 0, r.IntN(8) == 0
 			st.Durable = st.Cancelled || r.IntN(4) == 0
-			st.Elsewhere = r.IntN(4) == 0
-			st.PlacedHere = !st.Elsewhere && coin()
-			st.Open = !st.Cancelled && !st.Held && !st.Durable && !st.Elsewhere && r.IntN(5) > 0
+			st.PlacedElsewhere = r.IntN(4) == 0
+			st.PlacedHere = !st.PlacedElsewhere && coin()
+			st.Open = !st.Cancelled && !st.Held && !st.Durable && !st.PlacedElsewhere && r.IntN(5) > 0
 			if st.PlacedHere {
 				st.Attempt = uint64(1 + r.IntN(2))
 			}
@@ -125,8 +125,8 @@
 func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
 		on := func(i int) bool { return bits>>i&1 == 1 }
-		st := StoredTask{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), Elsewhere: on(5), PlacedHere: on(6), Attempt: 1}
-		if (st.Open && (st.Durable || st.Elsewhere)) || (st.PlacedHere && st.Elsewhere) || (st.Cancelled && !st.Durable) {
+		st := StoredTask{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), PlacedElsewhere: on(5), PlacedHere: on(6), Attempt: 1}
+		if (st.Open && (st.Durable || st.PlacedElsewhere)) || (st.PlacedHere && st.PlacedElsewhere) || (st.Cancelled && !st.Durable) {
 			continue // no such state
 		}
 		sh := ReportedTask{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Done: on(8) && on(9), Saving: !on(8) && on(10)}
@@ -134,7 +134,7 @@
 		if sh.Done && st.Known && !st.Durable && (s == Reap || s == ReleaseAndReap) {
 			t.Errorf("%+v, %+v: a result is lost", st, sh)
 		}
-		if !sh.Ended && st.Elsewhere && s != Stop {
+		if !sh.Ended && st.PlacedElsewhere && s != Stop {
 			t.Errorf("%+v, %+v: it would run twice", st, sh)
 		}
 	}
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -219,14 +219,14 @@
 		}
 	}
 	stored := reconcile.StoredTask{
-		Known:      known,
-		Open:       record.Open,
-		Durable:    record.Noted,
-		Cancelled:  record.Cancelled,
-		Held:       record.Held,
-		Elsewhere:  record.Elsewhere,
-		PlacedHere: t.placed != nil,
-		Direct:     known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
+		Known:           known,
+		Open:            record.Open,
+		Durable:         record.Noted,
+		Cancelled:       record.Cancelled,
+		Held:            record.Held,
+		PlacedElsewhere: record.Elsewhere,
+		PlacedHere:      t.placed != nil,
+		Direct:          known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
 	}
 	if t.placed != nil {
 		stored.Attempt = t.placed.Attempt
