--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -156,7 +156,7 @@
 	PlacedElsewhere bool   // it counts as being on another machine, or is on offer
 	PlacedHere      bool   // it counts as being on this one
 	Attempt         uint64 // where it counts here: which
-	Direct          bool   // the attempt that is shown was sent straight to the worker, and its token is still good
+	DirectMayArrive bool   // the attempt that is shown was sent straight to the worker, and its token is still good
 }
 
 // ReportedTask is what a report says of a task.
@@ -171,7 +171,7 @@
 // Task names the difference between what is stored of a task and what is shown of it.
 func Task(st StoredTask, sh ReportedTask) Diff {
 	d := classifyTask(st, sh)
-	if s := d.Resolution(); st.Direct && (s == Reap || s == ReleaseAndReap) {
+	if s := d.Resolution(); st.DirectMayArrive && (s == Reap || s == ReleaseAndReap) {
 		return EndedDirectMayArrive
 	}
 	return d
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -12,7 +12,7 @@
 // without naming any difference.
 func referenceTask(st StoredTask, sh ReportedTask) Resolution {
 	s := referenceTaskWithoutDirect(st, sh)
-	if st.Direct && (s == Reap || s == ReleaseAndReap) {
+	if st.DirectMayArrive && (s == Reap || s == ReleaseAndReap) {
 		return Wait // what is forgotten could be started by a copy of the command
 	}
 	return s
@@ -92,7 +92,7 @@
 				st.Attempt = uint64(1 + r.IntN(2))
 			}
 		}
-		st.Direct = r.IntN(6) == 0
+		st.DirectMayArrive = r.IntN(6) == 0
 		sh := ReportedTask{Attempt: uint64(1 + r.IntN(2)), Ended: coin()}
 		if sh.Ended {
 			sh.Done = coin()
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -226,7 +226,7 @@
 		Held:            record.Held,
 		PlacedElsewhere: record.Elsewhere,
 		PlacedHere:      t.placed != nil,
-		Direct:          known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
+		DirectMayArrive: known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
 	}
 	if t.placed != nil {
 		stored.Attempt = t.placed.Attempt
