--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -161,11 +161,11 @@
 
 // ReportedTask is what a report says of a task.
 type ReportedTask struct {
-	Attempt uint64
-	Ended   bool
-	Done    bool // of an ended one: with its result
-	Saved   bool // of one that was stopped: its progress
-	Saving  bool // of one that has not ended
+	Attempt   uint64
+	Ended     bool
+	Completed bool // of an ended one: with its result
+	Saved     bool // of one that was stopped: its progress
+	Saving    bool // of one that has not ended
 }
 
 // Task names the difference between what is stored of a task and what is shown of it.
@@ -184,7 +184,7 @@
 		return EndedUnknown
 	case !st.Known:
 		return RunsUnknown
-	case sh.Ended && sh.Done:
+	case sh.Ended && sh.Completed:
 		switch {
 		case st.Open && mine:
 			return Completed
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -33,10 +33,10 @@
 	if !st.Known {
 		return Reap
 	}
-	if sh.Done && st.Open {
+	if sh.Completed && st.Open {
 		return RecordCompletion
 	}
-	if sh.Done && !st.Durable {
+	if sh.Completed && !st.Durable {
 		return Wait // a result that is nowhere durable must not be reaped
 	}
 	if counts {
@@ -95,8 +95,8 @@
 		st.DirectMayArrive = r.IntN(6) == 0
 		sh := ReportedTask{Attempt: uint64(1 + r.IntN(2)), Ended: coin()}
 		if sh.Ended {
-			sh.Done = coin()
-			sh.Saved = !sh.Done && coin()
+			sh.Completed = coin()
+			sh.Saved = !sh.Completed && coin()
 		} else {
 			sh.Saving = coin()
 		}
@@ -129,9 +129,9 @@
 		if (st.Open && (st.Durable || st.PlacedElsewhere)) || (st.PlacedHere && st.PlacedElsewhere) || (st.Cancelled && !st.Durable) {
 			continue // no such state
 		}
-		sh := ReportedTask{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Done: on(8) && on(9), Saving: !on(8) && on(10)}
+		sh := ReportedTask{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Completed: on(8) && on(9), Saving: !on(8) && on(10)}
 		s := Task(st, sh).Resolution()
-		if sh.Done && st.Known && !st.Durable && (s == Reap || s == ReleaseAndReap) {
+		if sh.Completed && st.Known && !st.Durable && (s == Reap || s == ReleaseAndReap) {
 			t.Errorf("%+v, %+v: a result is lost", st, sh)
 		}
 		if !sh.Ended && st.PlacedElsewhere && s != Stop {
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -232,11 +232,11 @@
 		stored.Attempt = t.placed.Attempt
 	}
 	diff := reconcile.Task(stored, reconcile.ReportedTask{
-		Attempt: shown.Attempt,
-		Ended:   ended,
-		Done:    completed,
-		Saved:   shown.Saved,
-		Saving:  shown.State == Saving,
+		Attempt:   shown.Attempt,
+		Ended:     ended,
+		Completed: completed,
+		Saved:     shown.Saved,
+		Saving:    shown.State == Saving,
 	})
 	return t, u.tally.Count(diff)
 }
