--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -85,7 +85,7 @@
 
 // row is a line of the table.
 type row struct {
-	Name       string // for metrics and accounts
+	label      string // for metrics and accounts
 	Stored     string // what the leader has
 	Shown      string // what the worker reports
 	Resolution Resolution
@@ -141,7 +141,7 @@
 // Resolution is the one thing that follows from a difference.
 func (d Diff) Resolution() Resolution { return table[d].Resolution }
 
-func (d Diff) String() string { return table[d].Name }
+func (d Diff) String() string { return table[d].label }
 
 // Table lists all differences in order.
 func Table() []row { return table[:] }
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -148,11 +148,11 @@
 	}
 	seen := map[string]bool{}
 	for _, r := range Table() {
-		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.Name, r.Stored, r.Shown, r.Resolution, r.Proof)
-		if r.Name == "" || r.Proof == "" || seen[r.Name] {
-			t.Errorf("%q: a name of its own and a proof are needed", r.Name)
+		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.Stored, r.Shown, r.Resolution, r.Proof)
+		if r.label == "" || r.Proof == "" || seen[r.label] {
+			t.Errorf("%q: a name of its own and a proof are needed", r.label)
 		}
-		seen[r.Name] = true
+		seen[r.label] = true
 		if !strings.Contains(string(raw), line) {
 			t.Errorf("docs/cold-start.md lacks\n%s", line)
 		}
