--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -86,7 +86,7 @@
 // row is a line of the table.
 type row struct {
 	label      string // for metrics and accounts
-	Stored     string // what the leader has
+	stored     string // what the leader has
 	Shown      string // what the worker reports
 	Resolution Resolution
 	Proof      string
