--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -87,7 +87,7 @@
 type row struct {
 	label      string // for metrics and accounts
 	stored     string // what the leader has
-	Shown      string // what the worker reports
+	reported   string // what the worker reports
 	Resolution Resolution
 	Proof      string
 }
