--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -88,7 +88,7 @@
 	label      string // for metrics and accounts
 	stored     string // what the leader has
 	reported   string // what the worker reports
-	Resolution Resolution
+	resolution Resolution
 	Proof      string
 }
 
@@ -139,7 +139,7 @@
 func (d Diff) Row() row { return table[d] }
 
 // Resolution is the one thing that follows from a difference.
-func (d Diff) Resolution() Resolution { return table[d].Resolution }
+func (d Diff) Resolution() Resolution { return table[d].resolution }
 
 func (d Diff) String() string { return table[d].label }
 
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -148,7 +148,7 @@
 	}
 	seen := map[string]bool{}
 	for _, r := range Table() {
-		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.Resolution, r.Proof)
+		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.resolution, r.Proof)
 		if r.label == "" || r.Proof == "" || seen[r.label] {
 			t.Errorf("%q: a name of its own and a proof are needed", r.label)
 		}
