--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -89,7 +89,7 @@
 	stored     string // what the leader has
 	reported   string // what the worker reports
 	resolution Resolution
-	Proof      string
+	proof      string
 }
 
 var table = [Kinds]row{
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -148,8 +148,8 @@
 	}
 	seen := map[string]bool{}
 	for _, r := range Table() {
-		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.resolution, r.Proof)
-		if r.label == "" || r.Proof == "" || seen[r.label] {
+		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.resolution, r.proof)
+		if r.label == "" || r.proof == "" || seen[r.label] {
 			t.Errorf("%q: a name of its own and a proof are needed", r.label)
 		}
 		seen[r.label] = true
