--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -147,7 +147,7 @@
 		t.Fatal(err)
 	}
 	seen := map[string]bool{}
-	for _, r := range Table() {
+	for _, r := range table {
 		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.resolution, r.proof)
 		if r.label == "" || r.proof == "" || seen[r.label] {
 			t.Errorf("%q: a name of its own and a proof are needed", r.label)
