--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -8,43 +8,45 @@
 	"testing"
 )
 
-// referenceTask is a second version of Task: what is to be done, from the promises alone,
+// referenceTask is a second implementation of Task: it derives what is to be done from the guarantees alone,
 // without naming any difference.
-func referenceTask(st StoredTask, sh ReportedTask) Resolution {
-	s := referenceTaskWithoutDirect(st, sh)
-	if st.DirectMayArrive && (s == Reap || s == ReleaseAndReap) {
+func referenceTask(stored StoredTask, reported ReportedTask) Resolution {
+	r := referenceTaskWithoutDirect(stored, reported)
+	if stored.DirectMayArrive && (r == Reap || r == ReleaseAndReap) {
 		return Wait // what is forgotten could be started by a copy of the command
 	}
-	return s
+	return r
 }
 
-func referenceTaskWithoutDirect(st StoredTask, sh ReportedTask) Resolution {
-	counts := st.Known && st.PlacedHere && st.Attempt == sh.Attempt
-	if !sh.Ended {
-		if counts {
+func referenceTaskWithoutDirect(stored StoredTask, reported ReportedTask) Resolution {
+	placed := stored.Known && stored.PlacedHere && stored.Attempt == reported.Attempt
+	if !reported.Ended {
+		if placed {
 			return Keep
 		}
 		// It may stay only if nothing else stands for it and its job wants it.
-		if st.Known && st.Open && !st.PlacedHere && !st.PlacedElsewhere && !st.Cancelled && !st.Held {
+		wanted := stored.Known && stored.Open && !stored.Cancelled && !stored.Held
+		if wanted && !stored.PlacedHere && !stored.PlacedElsewhere {
 			return Adopt
 		}
 		return Stop
 	}
-	if !st.Known {
+	if !stored.Known {
 		return Reap
 	}
-	if sh.Completed && st.Open {
+	if reported.Completed && stored.Open {
 		return RecordCompletion
 	}
-	if sh.Completed && !st.Durable {
+	if reported.Completed && !stored.Durable {
 		return Wait // a result that is nowhere durable must not be reaped
 	}
-	if counts {
+	if placed {
 		return ReleaseAndReap
 	}
 	return Reap
 }
 
+// referenceReport is a second implementation of Report.
 func referenceReport(m Machine) Resolution {
 	if m.ReportEpoch > m.Epoch {
 		return StepDown
@@ -55,11 +57,11 @@
 	if !m.Known {
 		return Register
 	}
-	later := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportNumber > m.Number)
-	if !later && m.Doubt > 0 && m.ReportToken > m.Doubt {
-		return Forget // a token that only one who lives now can have, and numbers that the one before has used up
+	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportNumber > m.Number)
+	if !newer && m.Doubt > 0 && m.ReportToken > m.Doubt {
+		return Forget // only the current incarnation can have that token, and the one before has used up the numbers
 	}
-	if !later || m.ReportToken < m.Seen {
+	if !newer || m.ReportToken < m.Seen {
 		return Ignore
 	}
 	if m.Session > 0 && m.ReportSession != m.Session {
@@ -74,44 +76,78 @@
 	return ApplyPresent
 }
 
-// On random states the table decides what the plain version does, and every one of its
-// lines is met.
+// randomStates makes random inputs of the functions that name differences.
+type randomStates struct{ *rand.Rand }
+
+// oneIn is true once in n times, on average.
+func (r randomStates) oneIn(n int) bool { return r.IntN(n) == 0 }
+
+// below is a random number below n.
+func (r randomStates) below(n int) uint64 { return uint64(r.IntN(n)) }
+
+func (r randomStates) storedTask() StoredTask {
+	st := StoredTask{Known: r.IntN(8) > 0}
+	if st.Known {
+		st.Cancelled, st.Held = r.oneIn(5), r.oneIn(8)
+		st.Durable = st.Cancelled || r.oneIn(4)
+		st.PlacedElsewhere = r.oneIn(4)
+		st.PlacedHere = !st.PlacedElsewhere && r.oneIn(2)
+		st.Open = !st.Cancelled && !st.Held && !st.Durable && !st.PlacedElsewhere && r.IntN(5) > 0
+		if st.PlacedHere {
+			st.Attempt = 1 + r.below(2)
+		}
+	}
+	st.DirectMayArrive = r.oneIn(6)
+	return st
+}
+
+func (r randomStates) reportedTask() ReportedTask {
+	t := ReportedTask{Attempt: 1 + r.below(2), Ended: r.oneIn(2)}
+	if t.Ended {
+		t.Completed = r.oneIn(2)
+		t.Saved = !t.Completed && r.oneIn(2)
+	} else {
+		t.Saving = r.oneIn(2)
+	}
+	return t
+}
+
+func (r randomStates) machine() Machine {
+	return Machine{
+		Gone:          r.oneIn(6),
+		Known:         r.oneIn(2),
+		Typed:         r.oneIn(2),
+		Leaving:       r.oneIn(4),
+		Epoch:         2,
+		ReportEpoch:   r.below(4),
+		Session:       r.below(3),
+		Number:        r.below(3),
+		Token:         r.below(2),
+		ReportSession: r.below(3),
+		ReportNumber:  r.below(3),
+		ReportToken:   r.below(3),
+		Seen:          r.below(2),
+		Doubt:         r.below(3) / 2,
+	}
+}
+
+// On random states the table decides what the reference decides, and every one of its rows is met.
 func TestTableAgreesWithReference(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 1))
-	coin := func() bool { return r.IntN(2) == 0 }
+	random := randomStates{rand.New(rand.NewPCG(1, 1))}
 	var met Tally
 	for range 200_000 {
-		st := StoredTask{Known: r.IntN(8) > 0}
-		if st.Known {
-			st.Cancelled, st.Held = r.IntN(5) == 0, r.IntN(8) == 0
-			st.Durable = st.Cancelled || r.IntN(4) == 0
-			st.PlacedElsewhere = r.IntN(4) == 0
-			st.PlacedHere = !st.PlacedElsewhere && coin()
-			st.Open = !st.Cancelled && !st.Held && !st.Durable && !st.PlacedElsewhere && r.IntN(5) > 0
-			if st.PlacedHere {
-				st.Attempt = uint64(1 + r.IntN(2))
-			}
-		}
-		st.DirectMayArrive = r.IntN(6) == 0
-		sh := ReportedTask{Attempt: uint64(1 + r.IntN(2)), Ended: coin()}
-		if sh.Ended {
-			sh.Completed = coin()
-			sh.Saved = !sh.Completed && coin()
-		} else {
-			sh.Saving = coin()
-		}
-		d := met.Count(Task(st, sh))
-		if got, want := d.Resolution(), referenceTask(st, sh); got != want {
-			t.Fatalf("%+v shown as %+v: %v, so %v; plainly %v", st, sh, d, got, want)
+		stored, reported := random.storedTask(), random.reportedTask()
+		diff := met.Count(Task(stored, reported))
+		if got, want := diff.Resolution(), referenceTask(stored, reported); got != want {
+			t.Fatalf("%+v reported as %+v: %v, so %v; the reference says %v", stored, reported, diff, got, want)
 		}
-		m := Machine{Gone: r.IntN(6) == 0, Known: coin(), Typed: coin(), Leaving: r.IntN(4) == 0, Epoch: 2, ReportEpoch: uint64(r.IntN(4)),
-			Session: uint64(r.IntN(3)), Number: uint64(r.IntN(3)), Token: uint64(r.IntN(2)), ReportSession: uint64(r.IntN(3)), ReportNumber: uint64(r.IntN(3)), ReportToken: uint64(r.IntN(3)), Seen: uint64(r.IntN(2)), Doubt: uint64(r.IntN(3) / 2)}
-		d = met.Count(Report(m))
-		if got, want := d.Resolution(), referenceReport(m); got != want {
-			t.Fatalf("%+v: %v, so %v; plainly %v", m, d, got, want)
+		m := random.machine()
+		diff = met.Count(Report(m))
+		if got, want := diff.Resolution(), referenceReport(m); got != want {
+			t.Fatalf("%+v: %v, so %v; the reference says %v", m, diff, got, want)
 		}
-		met.Count(Absent(coin(), coin(), coin()))
-		met.Count(Gang(uint64(r.IntN(3)), uint64(1+r.IntN(2))))
+		met.Count(Absent(random.oneIn(2), random.oneIn(2), random.oneIn(2)))
+		met.Count(Gang(random.below(3), 1+random.below(2)))
 	}
 	for d := range Kinds {
 		if met[d] == 0 {
@@ -120,40 +156,56 @@
 	}
 }
 
-// Two things must never be told to a worker, whatever is stored: to forget a result
-// that is nowhere durable, and to go on with a task that counts elsewhere.
+// Two resolutions are wrong whatever is stored: to have a worker forget a result that is nowhere durable, and
+// to let a task go on that is placed elsewhere.
 func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
 		on := func(i int) bool { return bits>>i&1 == 1 }
-		st := StoredTask{Known: on(0), Open: on(1), Durable: on(2), Cancelled: on(3), Held: on(4), PlacedElsewhere: on(5), PlacedHere: on(6), Attempt: 1}
-		if (st.Open && (st.Durable || st.PlacedElsewhere)) || (st.PlacedHere && st.PlacedElsewhere) || (st.Cancelled && !st.Durable) {
+		stored := StoredTask{
+			Known:           on(0),
+			Open:            on(1),
+			Durable:         on(2),
+			Cancelled:       on(3),
+			Held:            on(4),
+			PlacedElsewhere: on(5),
+			PlacedHere:      on(6),
+			Attempt:         1,
+		}
+		openAndOver := stored.Open && (stored.Durable || stored.PlacedElsewhere)
+		placedTwice := stored.PlacedHere && stored.PlacedElsewhere
+		if openAndOver || placedTwice || (stored.Cancelled && !stored.Durable) {
 			continue // no such state
 		}
-		sh := ReportedTask{Attempt: 1 + uint64(bits>>7&1), Ended: on(8), Completed: on(8) && on(9), Saving: !on(8) && on(10)}
-		s := Task(st, sh).Resolution()
-		if sh.Completed && st.Known && !st.Durable && (s == Reap || s == ReleaseAndReap) {
-			t.Errorf("%+v, %+v: a result is lost", st, sh)
+		reported := ReportedTask{
+			Attempt:   1 + uint64(bits>>7&1),
+			Ended:     on(8),
+			Completed: on(8) && on(9),
+			Saving:    !on(8) && on(10),
+		}
+		r := Task(stored, reported).Resolution()
+		if reported.Completed && stored.Known && !stored.Durable && (r == Reap || r == ReleaseAndReap) {
+			t.Errorf("%+v, %+v: a result is lost", stored, reported)
 		}
-		if !sh.Ended && st.PlacedElsewhere && s != Stop {
-			t.Errorf("%+v, %+v: it would run twice", st, sh)
+		if !reported.Ended && stored.PlacedElsewhere && r != Stop {
+			t.Errorf("%+v, %+v: it would run twice", stored, reported)
 		}
 	}
 }
 
-// The note has the table as the code has it.
+// docs/cold-start.md has the table as the code has it, word for word.
 func TestTableMatchesColdStartDocument(t *testing.T) {
-	raw, err := os.ReadFile("../../../docs/cold-start.md")
+	document, err := os.ReadFile("../../../docs/cold-start.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	seen := map[string]bool{}
 	for _, r := range table {
-		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.resolution, r.proof)
 		if r.label == "" || r.proof == "" || seen[r.label] {
-			t.Errorf("%q: a name of its own and a proof are needed", r.label)
+			t.Errorf("%q: a label of its own and a proof are needed", r.label)
 		}
 		seen[r.label] = true
-		if !strings.Contains(string(raw), line) {
+		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.resolution, r.proof)
+		if !strings.Contains(string(document), line) {
 			t.Errorf("docs/cold-start.md lacks\n%s", line)
 		}
 	}
