--- a/internal/core/jobs/jobs.go
+++ b/internal/core/jobs/job.go
@@ -3,10 +3,9 @@
 package jobs
 
 import (
-	"time"
-
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/resources"
+	"time"
 )
 
 // Kinds of jobs.
@@ -120,122 +119,6 @@
 	PriorityWindows [][2]time.Duration // spans in which waiting tasks go ahead of the order
 }
 
-// Table holds all jobs by dense index, and the final states by id.
-type Table struct {
-	byID        map[uint64]int32
-	jobs        []*Job
-	freeIndexes []int32
-	finalPhases map[uint64]Phase
-}
-
-// NewTable makes an empty table.
-func NewTable() *Table {
-	return &Table{byID: map[uint64]int32{}, finalPhases: map[uint64]Phase{}}
-}
-
-// Add enters a job.
-func (t *Table) Add(rec eventlog.Job) *Job {
-	j := &Job{Record: rec, Need: resources.Need(rec.CPUs, rec.GPUs, rec.MemoryGB), Priority: rec.Priority, Tasks: make([]TaskState, rec.Tasks), Waiting: rec.Tasks}
-	if n := len(t.freeIndexes); n > 0 {
-		j.Index = t.freeIndexes[n-1]
-		t.freeIndexes = t.freeIndexes[:n-1]
-		t.jobs[j.Index] = j
-	} else {
-		j.Index = int32(len(t.jobs))
-		t.jobs = append(t.jobs, j)
-	}
-	t.byID[rec.ID] = j.Index
-	return j
-}
-
-// Find returns the job with an id, if it is in the table.
-func (t *Table) Find(id uint64) *Job {
-	if i, ok := t.byID[id]; ok {
-		return t.jobs[i]
-	}
-	return nil
-}
-
-// At returns the job with an index; nil when it has left.
-func (t *Table) At(i int32) *Job { return t.jobs[i] }
-
-// All returns the table's jobs; some may be nil.
-func (t *Table) All() []*Job { return t.jobs }
-
-// Final returns the final state of a job that is over.
-func (t *Table) Final(id uint64) (Phase, bool) {
-	p, ok := t.finalPhases[id]
-	return p, ok
-}
-
-// Finish notes a job's final state; it stays so.
-func (t *Table) Finish(id uint64, p Phase) {
-	if _, ok := t.finalPhases[id]; !ok {
-		t.finalPhases[id] = p
-	}
-}
-
-// Finals is the number of jobs that are over.
-func (t *Table) Finals() int { return len(t.finalPhases) }
-
-// Len is the number of jobs in the table.
-func (t *Table) Len() int { return len(t.byID) }
-
-// Remove takes a job out of the table; its index will be used again. A job
-// that has left already stays as it is: freeing its index twice would give
-// it to two jobs at once.
-func (t *Table) Remove(j *Job) {
-	if t.jobs[j.Index] != j {
-		return
-	}
-	delete(t.byID, j.Record.ID)
-	t.jobs[j.Index] = nil
-	t.freeIndexes = append(t.freeIndexes, j.Index)
-}
-
-// NextWaiting returns the waiting task of the lowest number below limit, or -1.
-func (j *Job) NextWaiting(limit int) int {
-	for j.waitingCursor < len(j.Tasks) && j.Tasks[j.waitingCursor] != Waiting {
-		j.waitingCursor++
-	}
-	if j.waitingCursor < min(limit, len(j.Tasks)) {
-		return j.waitingCursor
-	}
-	return -1
-}
-
-// NextFresh returns the waiting task of the lowest number that no earlier term
-// can have started, or -1.
-func (j *Job) NextFresh() int {
-	for j.freshCursor = max(j.freshCursor, j.FreshFrom); j.freshCursor < len(j.Tasks); j.freshCursor++ {
-		if j.Tasks[j.freshCursor] == Waiting {
-			return j.freshCursor
-		}
-	}
-	return -1
-}
-
-// Place notes that a task was given to a machine.
-func (j *Job) Place(k int) {
-	j.Tasks[k] = Placed
-	j.Waiting--
-	j.Placed++
-	if j.Waiting == 0 {
-		j.StarvedSince = 0
-	}
-}
-
-// Release notes that a task is proved gone from its machine, uncompleted.
-func (j *Job) Release(k int) {
-	if j.Tasks[k] != Placed {
-		return
-	}
-	j.Tasks[k] = Waiting
-	j.Waiting++
-	j.Placed--
-	j.waitingCursor, j.freshCursor = min(j.waitingCursor, k), min(j.freshCursor, k)
-}
-
 // HasBegun says whether a task of the job has its place or had one, as far as is known; a
 // gang has begun once all of them ran.
 func (j *Job) HasBegun() bool {
@@ -255,60 +138,6 @@
 	return 1
 }
 
-// ZoneRule says whether the job restricts where its tasks may be together.
-func (j *Job) ZoneRule() bool { return j.Record.OneZone || j.Record.Spread }
-
-// MostInZone is how many tasks of a spread job may be in one zone.
-func (j *Job) MostInZone() int { return (len(j.Tasks) + 1) / 2 }
-
-// ZoneAllows says whether one more task may be in a zone, given where the
-// placed ones are.
-func (j *Job) ZoneAllows(zone int32) bool {
-	if j.Record.OneZone {
-		for z, n := range j.Zones {
-			if n > 0 && z != zone {
-				return false
-			}
-		}
-	}
-	return !j.Record.Spread || j.Zones[zone] < j.MostInZone()
-}
-
-// CountInZone counts a task in or out of a zone.
-func (j *Job) CountInZone(zone int32, n int) {
-	if !j.ZoneRule() {
-		return
-	}
-	if j.Zones == nil {
-		j.Zones = map[int32]int{}
-	}
-	j.Zones[zone] += n
-}
-
-// Complete notes that a task is done; false when it was already.
-func (j *Job) Complete(k int) bool {
-	switch j.Tasks[k] {
-	case Finished, DoneDurably:
-		return false
-	case Placed:
-		j.Placed--
-	case Waiting:
-		j.Waiting--
-	}
-	j.Tasks[k] = Finished
-	j.Finished++
-	return true
-}
-
-// MarkDurable notes that a task's completion is durable.
-func (j *Job) MarkDurable(k int) {
-	j.Complete(k)
-	if j.Tasks[k] != DoneDurably {
-		j.Tasks[k] = DoneDurably
-		j.DurableCount++
-	}
-}
-
 // Mean is the mean run time of the job's completed tasks, or the owner's
 // estimate while there are none.
 func (j *Job) Mean() float64 {
