--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -7,30 +7,30 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// Found on a day of gangs: a job that left twice had its index given to two
-// others, whose tasks were then taken for one another's.
+// The index of a job that is removed twice is used again once. Found on a day of gangs: a job that left twice
+// had its index given to two others, whose tasks were then taken for one another's.
 func TestIndexIsFreedOnce(t *testing.T) {
 	table := NewTable()
 	j := table.Add(eventlog.Job{ID: 1, Tasks: 1})
 	table.Remove(j)
 	table.Remove(j)
-	a, b := table.Add(eventlog.Job{ID: 2, Tasks: 3}), table.Add(eventlog.Job{ID: 3, Tasks: 11})
-	if a.Index == b.Index {
-		t.Fatalf("jobs 2 and 3 share index %d", a.Index)
+	second, third := table.Add(eventlog.Job{ID: 2, Tasks: 3}), table.Add(eventlog.Job{ID: 3, Tasks: 11})
+	if second.Index == third.Index {
+		t.Fatalf("jobs 2 and 3 share index %d", second.Index)
 	}
 	table.Remove(j)
-	if table.Find(2) != a || table.At(a.Index) != a {
-		t.Error("a job that is long gone took another along")
+	if table.Find(2) != second || table.At(second.Index) != second {
+		t.Error("removing a job that has left removed another one")
 	}
 }
 
 func TestTaskStates(t *testing.T) {
 	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 4})
-	for _, k := range []int{0, 1, 2} {
-		if got := j.NextWaiting(4); got != k {
-			t.Fatalf("next waiting is %d, want %d", got, k)
+	for _, task := range []int{0, 1, 2} {
+		if got := j.NextWaiting(4); got != task {
+			t.Fatalf("next waiting is %d, want %d", got, task)
 		}
-		j.Place(k)
+		j.Place(task)
 	}
 	j.Release(1)
 	if got := j.NextWaiting(4); got != 1 {
@@ -39,11 +39,11 @@
 	if !j.Complete(0) || j.Complete(0) {
 		t.Error("a task completes once")
 	}
-	j.Release(0) // a late word of its end changes nothing
+	j.Release(0) // a late release of a finished task changes nothing
 	j.MarkDurable(0)
 	j.MarkDurable(0)
 	if j.Waiting != 2 || j.Placed != 1 || j.Finished != 1 || j.DurableCount != 1 {
-		t.Errorf("%d waiting, %d placed, %d finished, %d noted", j.Waiting, j.Placed, j.Finished, j.DurableCount)
+		t.Errorf("%d waiting, %d placed, %d finished, %d durable", j.Waiting, j.Placed, j.Finished, j.DurableCount)
 	}
 }
 
@@ -68,18 +68,18 @@
 	}
 }
 
-// A job none of whose tasks waits any more waits beside no room; should one come back later, its
-// time counts from then. Read out of the code: the planner, which looks for such jobs, does not
-// look at all while nothing waits.
+// A job none of whose tasks waits any more is not starved; should a task wait again later, its time counts from
+// then. Found by reading the code: the scheduler, which looks for such jobs, does not look at all while nothing
+// waits.
 func TestStarvedSinceClearedWhenNothingWaits(t *testing.T) {
 	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 2})
 	j.StarvedSince = time.Second
 	j.Place(0)
 	if j.StarvedSince == 0 {
-		t.Error("one of its tasks still waits")
+		t.Error("not starved, though one of its tasks still waits")
 	}
 	j.Place(1)
 	if j.StarvedSince != 0 {
-		t.Error("nothing of it waits")
+		t.Error("starved, though none of its tasks waits")
 	}
 }
