--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -2,62 +2,62 @@
 
 import "slices"
 
-// Links between jobs: which follow which. They are kept between open jobs
-// only; a job that is over has none. So whatever happens to a job costs work
-// for its own neighbours alone.
+// Dependencies form a directed acyclic graph of jobs. They are kept between open jobs only, and a job that is
+// over has none: whatever happens to a job costs work for its own neighbours alone.
 
 // AddDependency notes that a job waits for another, open one.
-func (t *Table) AddDependency(j, before *Job) {
-	j.Dependencies = append(j.Dependencies, before.Index)
-	before.Dependents = append(before.Dependents, j.Index)
+func (t *Table) AddDependency(j, dependency *Job) {
+	j.Dependencies = append(j.Dependencies, dependency.Index)
+	dependency.Dependents = append(dependency.Dependents, j.Index)
 }
 
-// RemoveDependency takes a job that is over out of all links. It returns the jobs that
-// waited for it.
+// RemoveDependency removes a job that is over from all dependencies. It returns the jobs that waited for it.
 func (t *Table) RemoveDependency(j *Job) []*Job {
 	var waited []*Job
 	for _, i := range j.Dependents {
-		f := t.jobs[i]
-		f.Dependencies = removeIndex(f.Dependencies, j.Index)
-		waited = append(waited, f)
+		dependent := t.jobs[i]
+		dependent.Dependencies = removeIndex(dependent.Dependencies, j.Index)
+		waited = append(waited, dependent)
 	}
 	for _, i := range j.Dependencies {
-		b := t.jobs[i]
-		b.Dependents = removeIndex(b.Dependents, j.Index)
+		dependency := t.jobs[i]
+		dependency.Dependents = removeIndex(dependency.Dependents, j.Index)
 	}
 	j.Dependencies, j.Dependents = nil, nil
 	return waited
 }
 
-func removeIndex(list []int32, i int32) []int32 {
-	return slices.DeleteFunc(list, func(o int32) bool { return o == i })
+// removeIndex removes a job's index from a list, in place.
+func removeIndex(list []int32, index int32) []int32 {
+	return slices.DeleteFunc(list, func(other int32) bool { return other == index })
 }
 
-// TransitiveDependents lists the open jobs that need a job, directly or through others,
-// each once.
+// TransitiveDependents lists the open jobs that need a job, directly or through others, each once.
 func (t *Table) TransitiveDependents(j *Job) []*Job {
-	return t.transitiveClosure(j, func(x *Job) []int32 { return x.Dependents })
+	return t.transitiveClosure(j, func(job *Job) []int32 { return job.Dependents })
 }
 
-// TransitiveDependencies lists the open jobs that a job needs, directly or through others,
-// each once.
+// TransitiveDependencies lists the open jobs that a job needs, directly or through others, each once.
 func (t *Table) TransitiveDependencies(j *Job) []*Job {
-	return t.transitiveClosure(j, func(x *Job) []int32 { return x.Dependencies })
+	return t.transitiveClosure(j, func(job *Job) []int32 { return job.Dependencies })
 }
 
-func (t *Table) transitiveClosure(j *Job, next func(*Job) []int32) []*Job {
-	var out []*Job
-	seen := map[int32]bool{j.Index: true}
-	for todo := []*Job{j}; len(todo) > 0; {
-		x := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		for _, i := range next(x) {
+// transitiveClosure lists the jobs that are reached from a job by any number of steps, each once and without
+// the job itself. neighbours gives the indexes of the jobs one step away.
+func (t *Table) transitiveClosure(from *Job, neighbours func(*Job) []int32) []*Job {
+	var reached []*Job
+	seen := map[int32]bool{from.Index: true}
+	stack := []*Job{from}
+	for len(stack) > 0 {
+		top := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		for _, i := range neighbours(top) {
 			if !seen[i] {
 				seen[i] = true
-				out = append(out, t.jobs[i])
-				todo = append(todo, t.jobs[i])
+				reached = append(reached, t.jobs[i])
+				stack = append(stack, t.jobs[i])
 			}
 		}
 	}
-	return out
+	return reached
 }
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -1,5 +1,8 @@
-// Package jobs keeps the life of every job: which are open, what each of
-// their tasks is doing, and the final state of those that are over.
+// Package jobs is the leader's table of jobs: which are open, the state of each of their tasks, the
+// dependencies between them, and the final phase of those that are over.
+//
+// It is part of the core: a pure state machine without clock, socket or goroutine. Times are durations on the
+// leader's clock. The fields of Job are written by the scheduler and the components of the leader's term.
 package jobs
 
 import (
@@ -8,129 +11,137 @@
 	"time"
 )
 
-// Kinds of jobs.
+// Kinds of jobs, as in eventlog.Job.
 const (
-	Array uint8 = iota
-	Gang
-	Service
+	Array   uint8 = iota // tasks that run independently of one another
+	Gang                 // tasks that start and run together
+	Service              // replicas of a long-running service
 )
 
 // TaskState is what the leader knows of a task.
 type TaskState uint8
 
-// States of a task. Finished tasks become Noted once that is durable.
+// States of a task. It goes from Waiting to Placed, back where it is proved gone from its machine without a
+// result, and to Finished from either.
 const (
-	Waiting TaskState = iota
-	Placed
-	Finished
-	DoneDurably
+	Waiting     TaskState = iota // not placed anywhere, as far as is known
+	Placed                       // planned on a machine, or placed there
+	Finished                     // done, and its completion is not durable yet
+	DoneDurably                  // done, and its completion is durable
 )
 
 // Phase is a job's place in its life.
 type Phase uint8
 
-// Phases. A job is Accepting until its acceptance is durable, Held until all
-// jobs that it follows are durably done, and Cancelling from when its user asked for that
-// until its cancellation is durable, which is written once nothing of it is anywhere.
+// Phases of a job.
 const (
-	Accepting Phase = iota
-	Held
-	Open
-	Cancelling
-	Cancelled
-	Done
+	Accepting  Phase = iota // its acceptance is not durable yet
+	Held                    // jobs that it depends on are not durably done yet
+	Open                    // its tasks may be started
+	Cancelling              // its user has asked to cancel it; that is written once nothing of it is anywhere
+	Cancelled               // its cancellation is durable
+	Done                    // all its tasks are done
 )
 
-// Boost says how far a job goes ahead of others for its class's or its team's sake.
+// Boost says how far a job goes ahead of the scheduling order so that its class or its team is not served too
+// little.
 type Boost uint8
 
-// Not at all, of all but urgent jobs, or of everything.
+// Boosts.
 const (
-	NoBoost Boost = iota
-	BoostBehindUrgent
-	BoostFirst
+	NoBoost           Boost = iota
+	BoostBehindUrgent       // ahead of all but urgent jobs
+	BoostFirst              // ahead of everything
 )
 
-// Job is an unfinished job, or a done one whose tasks are not all gone.
+// Job is a job that is not finished, or one that is done and whose tasks are not all gone from their machines.
 type Job struct {
-	Index   int32
-	Record  eventlog.Job
-	Team    int32
-	Image   int32
-	Need    resources.Amounts
-	Phase   Phase
-	Earlier bool // accepted in an earlier term: unseen tasks may be running
-	// Unsettled counts the machines that may have tasks of an earlier term and
-	// are not resolved yet: until there are none, what is unseen may run there.
+	// The request.
+	Index          int32             // its dense index in the table, used again once it has left
+	Record         eventlog.Job      // the request as it is stored in the event log
+	Team           int32             // index of its team
+	Image          int32             // index of its image
+	Need           resources.Amounts // what each of its tasks takes
+	Types          []bool            // by machine type: whether it may use it; nil: it may use all
+	Spot           bool              // it may and should use spot instances
+	FitsWithoutGPU bool              // its tasks fit machines without accelerators
+
+	// Share is the number of processors of a machine that a task takes up, counting those that it makes
+	// unusable for others.
+	Share float64
+
+	// Life.
+	Phase         Phase
+	AcceptedAt    time.Duration // or when it was released, if it depended on others: its times count from then
+	CancelAskedAt time.Duration // when its user asked to cancel it
+	CancelPending bool          // its cancellation is on its way to the event log
+
+	// What earlier terms of a leader may have started. Tasks that are not seen may be running then.
+	Earlier bool // it was accepted in an earlier term
+	// UnresolvedMachines counts the machines that may have tasks of it from an earlier term and are not
+	// resolved yet. Until there are none, what is not seen may run there.
 	UnresolvedMachines int
-	// FreshFrom: no earlier term has handed out the tasks from this number on, so
-	// none of them can run unseen.
-	FreshFrom      int
-	Types          []bool
-	Spot           bool // may and should use spot machines
-	FitsWithoutGPU bool // its tasks fit machines without accelerators
-
-	Dependencies []int32 // open jobs that it waits for
-	Dependents   []int32 // open jobs that wait for it
-	// Priority is the highest of its own and those of the jobs that need it,
-	// directly or not.
-	Priority uint8
+	// FreshFrom: no earlier term has handed out the tasks from this number on, so none of them can run unseen.
+	FreshFrom int
 
+	// Dependencies, between open jobs only.
+	Dependencies []int32 // indexes of the jobs that it waits for
+	Dependents   []int32 // indexes of the jobs that wait for it
+	Priority     uint8   // the highest of its own and of those of the jobs that need it, directly or not
+
+	// Tasks, and how many of them are in which state.
 	Tasks         []TaskState
 	Waiting       int
 	Placed        int
-	Running       int
-	Finished      int // including the noted ones
-	DurableCount  int
-	waitingCursor int
-	freshCursor   int // the same from FreshFrom on
-
-	Zones map[int32]int // placed tasks by zone, where the job has a say in that
-	// Launch is the attempt that all tasks of a gang share; 0 while none is
-	// under way. Broken says that it cannot succeed any more: the next one
-	// begins once every task is proved gone.
+	Running       int // of the placed ones
+	Finished      int // including those whose completion is durable
+	DurableCount  int // tasks whose completion is durable
+	waitingCursor int // no task below this number is waiting
+	freshCursor   int // none from FreshFrom to below this number is waiting
+
+	// A gang. GangAttempt is the attempt that all its tasks share; 0 while none is under way.
 	GangAttempt uint64
-	GangFailed  bool
-	GangBegan   bool    // the gang has run in this launch
-	Share       float64 // processors of a machine that a task takes up, counting what it makes unusable
-
-	Saved map[int32]time.Duration // by task: how long it ran before it was stopped with time to save
-
-	RunSeconds float64 // run time of completed tasks
-	RunCount   int
-
-	CancelAskedAt   time.Duration // when its user asked to cancel it
-	CancelPending   bool          // its cancellation is on its way to the log
-	Errors          int
-	NotBefore       time.Duration
-	AcceptedAt      time.Duration      // or released, if it waited for others: its times count from then
-	FirstAt         time.Duration      // when its first task was seen running in this term
-	LastAt          time.Duration      // and the last to begin so far
+	GangFailed  bool // the attempt cannot succeed any more: the next one begins once every task is proved gone
+	GangBegan   bool // all its tasks have run in this attempt
+
+	// Run times and failures.
+	RunSeconds float64                 // sum of the run times of the completed tasks that were measured
+	RunCount   int                     // number of these tasks
+	Saved      map[int32]time.Duration // by task: how long it ran before it was stopped with time to save its progress
+	Errors     int                     // failed tasks since one completed
+	NotBefore  time.Duration           // none of its tasks is started before
+	FirstAt    time.Duration           // when its first task was seen running in this term; 0: none was yet
+	LastAt     time.Duration           // when the last of its tasks so far was
+
+	// Service-level objectives of its class, and its place in the scheduling order.
 	BehindUntil     time.Duration      // best-effort work goes behind the order until then
-	LastAim         time.Duration      // by when the job should have ended at the latest; 0: no such aim
-	LostUntil       time.Duration      // having missed it, it goes behind the order until then
-	PreemptedAt     time.Duration      // when others were last stopped for it
-	HomeZone        int32              // the zone in which its first task was placed in this term, and one more; 0: none yet
-	Prompt          bool               // its tasks should start sooner than an idle worker reports
-	Boost           Boost              // whether it goes ahead so that its class or team is not served too little
-	Guaranteed      bool               // fits into its team's guarantee with its earlier jobs
-	StarvedSince    time.Duration      // since when a task has waited beside room that it may have; 0: none does
-	DelayedSince    time.Duration      // since when it has left room to jobs with their image there; 0: not
-	PriorityWindows [][2]time.Duration // spans in which waiting tasks go ahead of the order
+	PriorityWindows [][2]time.Duration // spans, from and to, in which waiting tasks go ahead of the order
+	LastAim         time.Duration      // by when it should have ended at the latest; 0: no objective says so
+	LostUntil       time.Duration      // if it cannot end by LastAim any more, it goes behind the order until then
+	Prompt          bool               // its tasks should start sooner than an idle worker reports: directly
+	Boost           Boost
+	Guaranteed      bool // it fits into its team's guaranteed quota, together with the team's earlier jobs
+
+	// Where it is placed.
+	Zones        map[int32]int // number of placed tasks by zone, where the job has a rule on zones
+	HomeZone     int32         // index of the zone in which its first task of this term was placed, plus 1; 0: none yet
+	StarvedSince time.Duration // since when a task waits beside room that it may have; 0: none does
+	DelayedSince time.Duration // since when it has left room to jobs whose image is there; 0: it has not
+	PreemptedAt  time.Duration // when others were last preempted for it
 }
 
-// HasBegun says whether a task of the job has its place or had one, as far as is known; a
-// gang has begun once all of them ran.
+// HasBegun says whether a task of the job is or was placed, as far as is known. A gang has begun once all of
+// its tasks have run.
 func (j *Job) HasBegun() bool {
-	return j.Finished > 0 || j.FirstAt > 0 || (j.Record.Kind != Gang && j.Placed > 0) || j.GangBegan
+	placed := j.Record.Kind != Gang && j.Placed > 0
+	return placed || j.Finished > 0 || j.FirstAt > 0 || j.GangBegan
 }
 
-// MayRunUnseen says whether tasks of the job that are not seen may run on machines of which
-// it is not known what an earlier term left on them; blind says that one of those may have
-// tasks of any job.
+// MayRunUnseen says whether tasks of the job that are not seen may run on machines of which it is not known
+// what an earlier term left on them. blind says that one of those may have tasks of any job.
 func (j *Job) MayRunUnseen(blind bool) bool { return j.Earlier && (j.UnresolvedMachines > 0 || blind) }
 
-// GangSize is how many of the job's waiting tasks start together.
+// GangSize is the number of the job's waiting tasks that start together: all of a gang, at least 1.
 func (j *Job) GangSize() int {
 	if j.Record.Kind == Gang {
 		return max(1, j.Waiting)
@@ -138,8 +149,8 @@
 	return 1
 }
 
-// Mean is the mean run time of the job's completed tasks, or the owner's
-// estimate while there are none.
+// Mean is the mean run time, in seconds, of the job's completed tasks. While there are none, it is the owner's
+// estimate, and at least 1.
 func (j *Job) Mean() float64 {
 	if j.RunCount > 0 {
 		return j.RunSeconds / float64(j.RunCount)
--- a/internal/core/jobs/table.go
+++ b/internal/core/jobs/table.go
@@ -5,12 +5,12 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// Table holds all jobs by dense index, and the final states by id.
+// Table holds the jobs by dense index, and the final phases of those that are over by id.
 type Table struct {
 	byID        map[uint64]int32
-	jobs        []*Job
-	freeIndexes []int32
-	finalPhases map[uint64]Phase
+	jobs        []*Job           // by index; nil where the index is free
+	freeIndexes []int32          // used again, the last one first
+	finalPhases map[uint64]Phase // of jobs that are over, by id
 }
 
 // NewTable makes an empty table.
@@ -18,9 +18,15 @@
 	return &Table{byID: map[uint64]int32{}, finalPhases: map[uint64]Phase{}}
 }
 
-// Add enters a job.
-func (t *Table) Add(rec eventlog.Job) *Job {
-	j := &Job{Record: rec, Need: resources.Need(rec.CPUs, rec.GPUs, rec.MemoryGB), Priority: rec.Priority, Tasks: make([]TaskState, rec.Tasks), Waiting: rec.Tasks}
+// Add enters a job, with all its tasks waiting, and returns it.
+func (t *Table) Add(record eventlog.Job) *Job {
+	j := &Job{
+		Record:   record,
+		Need:     resources.Need(record.CPUs, record.GPUs, record.MemoryGB),
+		Priority: record.Priority,
+		Tasks:    make([]TaskState, record.Tasks),
+		Waiting:  record.Tasks,
+	}
 	if n := len(t.freeIndexes); n > 0 {
 		j.Index = t.freeIndexes[n-1]
 		t.freeIndexes = t.freeIndexes[:n-1]
@@ -29,11 +35,11 @@
 		j.Index = int32(len(t.jobs))
 		t.jobs = append(t.jobs, j)
 	}
-	t.byID[rec.ID] = j.Index
+	t.byID[record.ID] = j.Index
 	return j
 }
 
-// Find returns the job with an id, if it is in the table.
+// Find returns the job with an id; nil if it is not in the table.
 func (t *Table) Find(id uint64) *Job {
 	if i, ok := t.byID[id]; ok {
 		return t.jobs[i]
@@ -41,19 +47,19 @@
 	return nil
 }
 
-// At returns the job with an index; nil when it has left.
+// At returns the job with an index; nil if it has left the table.
 func (t *Table) At(i int32) *Job { return t.jobs[i] }
 
-// All returns the table's jobs; some may be nil.
+// All returns the jobs by index, nil where a job has left. The list is the table's own: it must not be changed.
 func (t *Table) All() []*Job { return t.jobs }
 
-// Final returns the final state of a job that is over.
+// Final returns the final phase of a job that is over, by its id.
 func (t *Table) Final(id uint64) (Phase, bool) {
 	p, ok := t.finalPhases[id]
 	return p, ok
 }
 
-// Finish notes a job's final state; it stays so.
+// Finish notes a job's final phase, by its id. The first one stays.
 func (t *Table) Finish(id uint64, p Phase) {
 	if _, ok := t.finalPhases[id]; !ok {
 		t.finalPhases[id] = p
@@ -66,9 +72,8 @@
 // Len is the number of jobs in the table.
 func (t *Table) Len() int { return len(t.byID) }
 
-// Remove takes a job out of the table; its index will be used again. A job
-// that has left already stays as it is: freeing its index twice would give
-// it to two jobs at once.
+// Remove takes a job out of the table; its index will be used again. For a job that has left already it does
+// nothing: freeing its index twice would give the index to two jobs at once.
 func (t *Table) Remove(j *Job) {
 	if t.jobs[j.Index] != j {
 		return
--- a/internal/core/jobs/tasks.go
+++ b/internal/core/jobs/tasks.go
@@ -1,6 +1,6 @@
 package jobs
 
-// NextWaiting returns the waiting task of the lowest number below limit, or -1.
+// NextWaiting returns the lowest number of a waiting task below limit, or -1.
 func (j *Job) NextWaiting(limit int) int {
 	for j.waitingCursor < len(j.Tasks) && j.Tasks[j.waitingCursor] != Waiting {
 		j.waitingCursor++
@@ -11,20 +11,21 @@
 	return -1
 }
 
-// NextFresh returns the waiting task of the lowest number that no earlier term
-// can have started, or -1.
+// NextFresh returns the lowest number of a waiting task that no earlier term can have started, or -1.
 func (j *Job) NextFresh() int {
-	for j.freshCursor = max(j.freshCursor, j.FreshFrom); j.freshCursor < len(j.Tasks); j.freshCursor++ {
-		if j.Tasks[j.freshCursor] == Waiting {
-			return j.freshCursor
-		}
+	j.freshCursor = max(j.freshCursor, j.FreshFrom)
+	for j.freshCursor < len(j.Tasks) && j.Tasks[j.freshCursor] != Waiting {
+		j.freshCursor++
+	}
+	if j.freshCursor < len(j.Tasks) {
+		return j.freshCursor
 	}
 	return -1
 }
 
-// Place notes that a task was given to a machine.
-func (j *Job) Place(k int) {
-	j.Tasks[k] = Placed
+// Place notes that a waiting task is planned on a machine, or turned out to be on one.
+func (j *Job) Place(task int) {
+	j.Tasks[task] = Placed
 	j.Waiting--
 	j.Placed++
 	if j.Waiting == 0 {
@@ -32,20 +33,21 @@
 	}
 }
 
-// Release notes that a task is proved gone from its machine, uncompleted.
-func (j *Job) Release(k int) {
-	if j.Tasks[k] != Placed {
+// Release notes that a placed task is proved gone from its machine without a result: it waits again.
+func (j *Job) Release(task int) {
+	if j.Tasks[task] != Placed {
 		return
 	}
-	j.Tasks[k] = Waiting
+	j.Tasks[task] = Waiting
 	j.Waiting++
 	j.Placed--
-	j.waitingCursor, j.freshCursor = min(j.waitingCursor, k), min(j.freshCursor, k)
+	j.waitingCursor = min(j.waitingCursor, task)
+	j.freshCursor = min(j.freshCursor, task)
 }
 
-// Complete notes that a task is done; false when it was already.
-func (j *Job) Complete(k int) bool {
-	switch j.Tasks[k] {
+// Complete notes that a task is done. It returns false if the task was done already.
+func (j *Job) Complete(task int) bool {
+	switch j.Tasks[task] {
 	case Finished, DoneDurably:
 		return false
 	case Placed:
@@ -53,16 +55,16 @@
 	case Waiting:
 		j.Waiting--
 	}
-	j.Tasks[k] = Finished
+	j.Tasks[task] = Finished
 	j.Finished++
 	return true
 }
 
-// MarkDurable notes that a task's completion is durable.
-func (j *Job) MarkDurable(k int) {
-	j.Complete(k)
-	if j.Tasks[k] != DoneDurably {
-		j.Tasks[k] = DoneDurably
+// MarkDurable notes that a task's completion is durable, and with that that the task is done.
+func (j *Job) MarkDurable(task int) {
+	j.Complete(task)
+	if j.Tasks[task] != DoneDurably {
+		j.Tasks[task] = DoneDurably
 		j.DurableCount++
 	}
 }
--- a/internal/core/jobs/zones.go
+++ b/internal/core/jobs/zones.go
@@ -1,17 +1,16 @@
 package jobs
 
-// ZoneRule says whether the job restricts where its tasks may be together.
+// ZoneRule says whether the job has a rule on the zones of its tasks: all in one, or spread.
 func (j *Job) ZoneRule() bool { return j.Record.OneZone || j.Record.Spread }
 
-// MostInZone is how many tasks of a spread job may be in one zone.
+// MostInZone is how many tasks of a spread job may be in one zone: half of them, rounded up.
 func (j *Job) MostInZone() int { return (len(j.Tasks) + 1) / 2 }
 
-// ZoneAllows says whether one more task may be in a zone, given where the
-// placed ones are.
+// ZoneAllows says whether the job's rules allow one more task in a zone, given where the placed ones are.
 func (j *Job) ZoneAllows(zone int32) bool {
 	if j.Record.OneZone {
-		for z, n := range j.Zones {
-			if n > 0 && z != zone {
+		for other, placed := range j.Zones {
+			if placed > 0 && other != zone {
 				return false
 			}
 		}
@@ -19,13 +18,13 @@
 	return !j.Record.Spread || j.Zones[zone] < j.MostInZone()
 }
 
-// CountInZone counts a task in or out of a zone.
-func (j *Job) CountInZone(zone int32, n int) {
+// CountInZone counts a placed task in (1) or out (-1) of a zone, if the job has a rule on zones.
+func (j *Job) CountInZone(zone int32, change int) {
 	if !j.ZoneRule() {
 		return
 	}
 	if j.Zones == nil {
 		j.Zones = map[int32]int{}
 	}
-	j.Zones[zone] += n
+	j.Zones[zone] += change
 }
