--- a/internal/core/resources/resources.go
+++ b/internal/core/resources/resources.go
@@ -1,43 +1,55 @@
-// Package resources counts what tasks take and machines have, in thousandths,
-// so that sums are exact.
+// Package resources counts what tasks take and what machines have.
+//
+// It is part of the core: amounts are values without any state. They are whole thousandths, so that sums and
+// differences are exact, however often they are made.
 package resources
 
 import "math"
 
-// Amounts of processors, accelerators and gigabytes, in thousandths.
+const (
+	// milli is the number of units in a processor, an accelerator or a gigabyte.
+	milli = 1000
+	// roundingSlack is the part of a unit that is put down to the inexactness of a float: 0.1 processors are
+	// 100 units, and not 101.
+	roundingSlack = 1e-6
+)
+
+// Amounts are processors, accelerators and gigabytes of memory, in thousandths.
 type Amounts struct{ CPU, GPU, Mem int64 }
 
-// Need rounds up what a task takes.
+// Need is what a task takes, rounded up to whole thousandths.
 func Need(cpus, gpus, memGB float64) Amounts {
-	return Amounts{milliRoundedUp(cpus), milliRoundedUp(gpus), milliRoundedUp(memGB)}
+	return Amounts{CPU: milliRoundedUp(cpus), GPU: milliRoundedUp(gpus), Mem: milliRoundedUp(memGB)}
 }
 
-// Room rounds down what a machine has.
+// Room is what a machine has, rounded down to whole thousandths.
 func Room(cpus, gpus, memGB float64) Amounts {
-	return Amounts{milliRoundedDown(cpus), milliRoundedDown(gpus), milliRoundedDown(memGB)}
+	return Amounts{CPU: milliRoundedDown(cpus), GPU: milliRoundedDown(gpus), Mem: milliRoundedDown(memGB)}
 }
 
-func milliRoundedUp(v float64) int64   { return int64(math.Ceil(v*1000 - 1e-6)) }
-func milliRoundedDown(v float64) int64 { return int64(math.Floor(v*1000 + 1e-6)) }
+func milliRoundedUp(v float64) int64   { return int64(math.Ceil(v*milli - roundingSlack)) }
+func milliRoundedDown(v float64) int64 { return int64(math.Floor(v*milli + roundingSlack)) }
 
-// Plus adds.
-func (a Amounts) Plus(b Amounts) Amounts { return Amounts{a.CPU + b.CPU, a.GPU + b.GPU, a.Mem + b.Mem} }
+// Plus returns the sum of two amounts.
+func (a Amounts) Plus(b Amounts) Amounts {
+	return Amounts{CPU: a.CPU + b.CPU, GPU: a.GPU + b.GPU, Mem: a.Mem + b.Mem}
+}
 
-// Minus subtracts.
+// Minus returns the difference of two amounts, which may be negative.
 func (a Amounts) Minus(b Amounts) Amounts {
-	return Amounts{a.CPU - b.CPU, a.GPU - b.GPU, a.Mem - b.Mem}
+	return Amounts{CPU: a.CPU - b.CPU, GPU: a.GPU - b.GPU, Mem: a.Mem - b.Mem}
 }
 
-// Times multiplies.
+// Times returns n times the amounts.
 func (a Amounts) Times(n int) Amounts {
-	m := int64(n)
-	return Amounts{a.CPU * m, a.GPU * m, a.Mem * m}
+	factor := int64(n)
+	return Amounts{CPU: a.CPU * factor, GPU: a.GPU * factor, Mem: a.Mem * factor}
 }
 
-// Fits says whether a fits into room.
+// Fits says whether the amounts fit into room, in each of its parts.
 func (a Amounts) Fits(room Amounts) bool {
 	return a.CPU <= room.CPU && a.GPU <= room.GPU && a.Mem <= room.Mem
 }
 
 // CPUs is the number of processors.
-func (a Amounts) CPUs() float64 { return float64(a.CPU) / 1000 }
+func (a Amounts) CPUs() float64 { return float64(a.CPU) / milli }
