--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -81,7 +81,7 @@
 	// UnresolvedMachines counts the machines that may have tasks of it from an earlier term and are not
 	// resolved yet. Until there are none, what is not seen may run there.
 	UnresolvedMachines int
-	// FreshFrom: no earlier term has handed out the tasks from this number on, so none of them can run unseen.
+	// No earlier term has handed out the tasks from this number on, so none of them can run unseen.
 	FreshFrom int
 
 	// Dependencies, between open jobs only.
@@ -97,7 +97,7 @@
 	Finished      int // including those whose completion is durable
 	DurableCount  int // tasks whose completion is durable
 	waitingCursor int // no task below this number is waiting
-	freshCursor   int // none from FreshFrom to below this number is waiting
+	freshCursor   int // no task below this number that no earlier term has handed out is waiting
 
 	// A gang. GangAttempt is the attempt that all its tasks share; 0 while none is under way.
 	GangAttempt uint64
@@ -117,7 +117,7 @@
 	BehindUntil     time.Duration      // best-effort work goes behind the order until then
 	PriorityWindows [][2]time.Duration // spans, from and to, in which waiting tasks go ahead of the order
 	LastAim         time.Duration      // by when it should have ended at the latest; 0: no objective says so
-	LostUntil       time.Duration      // if it cannot end by LastAim any more, it goes behind the order until then
+	LostUntil       time.Duration      // if it cannot end in time any more, it goes behind the order until then
 	Prompt          bool               // its tasks should start sooner than an idle worker reports: directly
 	Boost           Boost
 	Guaranteed      bool // it fits into its team's guaranteed quota, together with the team's earlier jobs
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -74,8 +74,8 @@
 	Session       uint64        // session of the newest report
 	Seq           uint64        // number of the newest report within its session
 	LastHeartbeat time.Duration // when it was last heard by a report that shows that it hears the leader
-	Unanswered    int           // liveness probes without answer since LastHeartbeat; below 0 after one with an answer
-	UnansweredAt  time.Duration // the heartbeat since which Unanswered counts
+	Unanswered    int           // liveness probes without answer since it was last heard; below 0 after one with an answer
+	UnansweredAt  time.Duration // the heartbeat since which these probes count
 
 	// Tasks.
 	Tasks          map[Ref]*Placement // placed and planned on it
