--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -50,8 +50,8 @@
 	Placement *Placement // of EventAdopted, EventPlaced and EventOfferClosed
 }
 
-// Fresh says whether a report is newer than all that were applied.
-func (m *Machine) Fresh(r *Report) bool {
+// IsNewer says whether a report is newer than all that were applied.
+func (m *Machine) IsNewer(r *Report) bool {
 	return r.Session > m.Session || (r.Session == m.Session && r.Seq > m.Seq)
 }
 
@@ -108,7 +108,7 @@
 // not proved gone by that: it quarantines the machine.
 func (u *statusUpdate) applySession() {
 	m, r := u.machine, u.report
-	restarted := !m.Fresh(r)
+	restarted := !m.IsNewer(r)
 	laterSession := r.Session > m.Session && m.Session != 0
 	if !laterSession && !restarted {
 		return
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -75,7 +75,7 @@
 		session, seq uint64
 		fresh        bool
 	}{{1, 99, false}, {2, 10, false}, {2, 11, true}, {3, 1, true}} {
-		if got := m.Fresh(&Report{Session: c.session, Seq: c.seq}); got != c.fresh {
+		if got := m.IsNewer(&Report{Session: c.session, Seq: c.seq}); got != c.fresh {
 			t.Errorf("session %d, number %d: fresh is %v", c.session, c.seq, got)
 		}
 	}
