--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -90,14 +90,14 @@
 	Priority     uint8   // the highest of its own and of those of the jobs that need it, directly or not
 
 	// Tasks, and how many of them are in which state.
-	Tasks         []TaskState
-	Waiting       int
-	Placed        int
-	Running       int // of the placed ones
-	Finished      int // including those whose completion is durable
-	DurableCount  int // tasks whose completion is durable
-	waitingCursor int // no task below this number is waiting
-	freshCursor   int // no task below this number that no earlier term has handed out is waiting
+	Tasks            []TaskState
+	Waiting          int
+	Placed           int
+	Running          int // of the placed ones
+	Finished         int // including those whose completion is durable
+	DurableCount     int // tasks whose completion is durable
+	waitingCursor    int // no task below this number is waiting
+	unassignedCursor int // no task below this number that no earlier term has handed out is waiting
 
 	// A gang. GangAttempt is the attempt that all its tasks share; 0 while none is under way.
 	GangAttempt uint64
--- a/internal/core/jobs/tasks.go
+++ b/internal/core/jobs/tasks.go
@@ -13,12 +13,12 @@
 
 // NextFresh returns the lowest number of a waiting task that no earlier term can have started, or -1.
 func (j *Job) NextFresh() int {
-	j.freshCursor = max(j.freshCursor, j.FreshFrom)
-	for j.freshCursor < len(j.Tasks) && j.Tasks[j.freshCursor] != Waiting {
-		j.freshCursor++
+	j.unassignedCursor = max(j.unassignedCursor, j.FreshFrom)
+	for j.unassignedCursor < len(j.Tasks) && j.Tasks[j.unassignedCursor] != Waiting {
+		j.unassignedCursor++
 	}
-	if j.freshCursor < len(j.Tasks) {
-		return j.freshCursor
+	if j.unassignedCursor < len(j.Tasks) {
+		return j.unassignedCursor
 	}
 	return -1
 }
@@ -42,7 +42,7 @@
 	j.Waiting++
 	j.Placed--
 	j.waitingCursor = min(j.waitingCursor, task)
-	j.freshCursor = min(j.freshCursor, task)
+	j.unassignedCursor = min(j.unassignedCursor, task)
 }
 
 // Complete notes that a task is done. It returns false if the task was done already.
