--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -56,7 +56,7 @@
 }
 
 // ApplyStatus applies a worker's status report to the machine. The report is newer than all before it
-// (see Fresh), or it proves that the machine was restarted under its name: package reconcile says which.
+// (see IsNewer), or it proves that the machine was restarted under its name: package reconcile says which.
 //
 // now is the leader's clock, token the current fencing token of the machine, and lookup gives the leader's
 // record of a task: whether it is known at all, and what is stored of it. Its parameter here says that the
