--- /dev/null
+++ b/internal/core/scheduler/cycle.go
@@ -0,0 +1,129 @@
+package scheduler
+
+import (
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
+)
+
+// RunCycle gives out all room that the order lets it give, and says how many jobs got some
+// since they were left waiting.
+func (p *Scheduler) RunCycle(w Snapshot) (left int) {
+	p.refusals = p.refusals[:0]
+	if w.AcceleratedNeed.GPU > 0 {
+		w.lend = w.lendable()
+	}
+	order := p.JobOrder(&w)
+	least, training := int64(-1), 0
+	wants := func(j *jobs.Job) {
+		if j.Waiting > 0 && (least < 0 || j.Need.CPU < least) {
+			least = j.Need.CPU
+		}
+	}
+	for _, j := range w.Jobs.All() {
+		if j != nil && j.Record.Kind == jobs.Service {
+			wants(j)
+		}
+	}
+	for _, i := range order {
+		j := w.Jobs.At(i)
+		wants(j)
+		if w.Estimator.InTraining(i) {
+			for k := range j.Tasks {
+				if !w.Estimator.Training(i, k) {
+					break
+				}
+				if j.Tasks[k] == jobs.Placed {
+					training++
+				}
+			}
+		}
+	}
+	machines := make([]*workers.Machine, 0, 64)
+	for _, m := range w.Inventory.All() {
+		m.Reserved = false
+		if least >= 0 && (p.plain || m.Free.CPU >= least) && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Usable(w.Now, w.SuspectAfter) {
+			machines = append(machines, m)
+		}
+	}
+	if least < 0 {
+		return 0
+	}
+	if w.Pools != nil {
+		p.countUnits(&w, order)
+	}
+	p.services(&w, machines)
+	ahead, behind := 0, len(order)
+	for ahead < len(order) && p.ranks[order[ahead]] > 0 {
+		ahead++
+	}
+	for behind > 0 && p.ranks[order[behind-1]] < 0 {
+		behind--
+	}
+	held := p.inOrder(&w, order[:ahead], machines, false)
+	for _, i := range order[ahead:behind] {
+		if training >= p.AtOnce {
+			break
+		}
+		if !w.Estimator.InTraining(i) {
+			continue
+		}
+		j := w.Jobs.At(i)
+		for training < p.AtOnce {
+			k := w.next(j)
+			if k < 0 || !w.Estimator.Training(i, k) || !p.give(&w, j, k, machines) {
+				break
+			}
+			training++
+		}
+	}
+	if p.Locality > 0 {
+		w.local = true
+		held = p.inOrder(&w, order[ahead:], machines, held)
+		w.local = false
+	}
+	p.inOrder(&w, order[ahead:], machines, held)
+	return p.leftWaiting(&w, least)
+}
+
+// services get room first, outside the order.
+func (p *Scheduler) services(w *Snapshot, machines []*workers.Machine) {
+	for _, j := range w.Jobs.All() {
+		if j == nil || j.Record.Kind != jobs.Service {
+			continue
+		}
+		for {
+			k := w.next(j)
+			if k < 0 || !p.give(w, j, k, machines) {
+				break
+			}
+		}
+	}
+}
+
+// inOrder gives room to the jobs in their order; room is held for the first
+// that does not fit, unless it is held already.
+func (p *Scheduler) inOrder(w *Snapshot, order []int32, machines []*workers.Machine, held bool) bool {
+	for _, i := range order {
+		j := w.Jobs.At(i)
+		for {
+			k := w.next(j)
+			if k < 0 {
+				break
+			}
+			if j.Record.Kind == jobs.Gang {
+				if p.launch(w, j, machines) {
+					break
+				}
+			} else if p.give(w, j, k, machines) {
+				continue
+			}
+			// Room is held only for a job that has its units: what it waits for then is
+			// the end of other tasks, and none of them waits for it.
+			if !held && !w.local && !p.paced && p.ready(w, j) && !w.unsettled(j) && w.units(j, j.GangSize()) && p.Within(j.Team, j.Need, w.missing(j.Team)) {
+				held = p.hold(w, j)
+			}
+			break
+		}
+	}
+	return held
+}
--- /dev/null
+++ b/internal/core/scheduler/eligibility.go
@@ -0,0 +1,41 @@
+package scheduler
+
+import (
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
+)
+
+// Allowed says whether a job's tasks may, and should, be on a machine.
+func Allowed(j *jobs.Job, m *workers.Machine, zones func(string) int32) bool {
+	return (!m.Spot || j.Spot) && permitted(j, m, zones)
+}
+
+// permitted says whether a job's tasks may be on a machine by what its user has said.
+func permitted(j *jobs.Job, m *workers.Machine, zones func(string) int32) bool {
+	if j.Types != nil && (int(m.Type) >= len(j.Types) || !j.Types[m.Type]) {
+		return false
+	}
+	if m.Spot && !j.Record.Spot {
+		return false
+	}
+	return j.Record.Zone == "" || zones(j.Record.Zone) == m.Zone
+}
+
+// suits says whether one more task of a job could be on a machine if that
+// were free.
+func (w *Snapshot) suits(j *jobs.Job, m *workers.Machine) bool {
+	return !w.kept(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
+}
+
+// gives says whether room on a machine is for a job: not where it is held for another, or
+// kept for tasks that need its accelerators.
+func (w *Snapshot) gives(j *jobs.Job, m *workers.Machine) bool {
+	if w.left {
+		return permitted(j, m, w.Zone)
+	}
+	return !m.Reserved && Allowed(j, m, w.Zone) && (!w.kept(j, m) || w.mayLend(j, m))
+}
+
+func (p *Scheduler) ready(w *Snapshot, j *jobs.Job) bool {
+	return j.Phase == jobs.Open && w.Now >= j.NotBefore
+}
--- /dev/null
+++ b/internal/core/scheduler/gang.go
@@ -0,0 +1,53 @@
+package scheduler
+
+import (
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
+	"slices"
+)
+
+// launch places all waiting tasks of a gang or none. While the gang still
+// gathers, lost tasks are replaced under the attempt it has.
+func (p *Scheduler) launch(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
+	if j.GangFailed || (j.GangBegan && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.missing(j.Team)) || !w.units(j, j.Waiting) {
+		return false
+	}
+	if j.Record.OneZone && j.Placed == 0 {
+		// The zone is open yet: the one of the machine that suits best need not
+		// be one where all tasks fit.
+		var tried []int32
+		for _, m := range machines {
+			if slices.Contains(tried, m.Zone) {
+				continue
+			}
+			tried = append(tried, m.Zone)
+			zone := m.Zone
+			if p.all(w, j, slices.DeleteFunc(slices.Clone(machines), func(m *workers.Machine) bool { return m.Zone != zone })) {
+				return true
+			}
+			p.refusals = p.refusals[:0] // that was about one zone
+		}
+		return false
+	}
+	return p.all(w, j, machines)
+}
+
+// all places all waiting tasks of a job or none.
+func (p *Scheduler) all(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
+	var placed []int
+	for {
+		k := w.next(j)
+		if k < 0 {
+			return true
+		}
+		if !p.give(w, j, k, machines) {
+			break
+		}
+		placed = append(placed, k)
+	}
+	for _, k := range placed {
+		w.Unplace(j, k)
+		p.refusals = p.refusals[:0] // there is more room again
+	}
+	return false
+}
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preemption.go
@@ -1,13 +1,12 @@
 package scheduler
 
 import (
-	"cmp"
-	"slices"
-	"time"
-
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
+	"cmp"
+	"slices"
+	"time"
 )
 
 const (
--- a/internal/core/scheduler/holder.go
+++ b/internal/core/scheduler/shard.go
@@ -1,10 +1,9 @@
 package scheduler
 
 import (
-	"time"
-
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
+	"time"
 )
 
 // ShardHolder is a controller's side of its block: the machines whose workers it
--- a/internal/core/scheduler/world.go
+++ b/internal/core/scheduler/snapshot.go
@@ -1,12 +1,11 @@
 package scheduler
 
 import (
-	"time"
-
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/sizing"
 	"bitternmoor/internal/core/workers"
+	"time"
 )
 
 // Snapshot is what a pass looks at.
@@ -58,60 +57,3 @@
 	}
 	return j.NextFresh()
 }
-
-// suits says whether one more task of a job could be on a machine if that
-// were free.
-func (w *Snapshot) suits(j *jobs.Job, m *workers.Machine) bool {
-	return !w.kept(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
-}
-
-// kept says whether a machine is kept for tasks that need its accelerators, before one
-// that needs none and can be elsewhere: no more of them get there than leave as many of
-// the others their place as it has.
-func (w *Snapshot) kept(j *jobs.Job, m *workers.Machine) bool {
-	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.FitsWithoutGPU && w.AcceleratedNeed.GPU > 0
-}
-
-// mayLend says whether one more task that needs no accelerator may have room on a machine
-// that is kept: where it leaves room for as many that do as the machine has, or, for a
-// short while, where more are free than such tasks wait for. Found on a day with gangs on
-// machines of two accelerators and twelve processors: replicas of one processor stood on
-// most of them for minutes, and a third of the accelerators was idle while gangs waited.
-func (w *Snapshot) mayLend(j *jobs.Job, m *workers.Machine) bool {
-	left := m.Cap.Minus(m.UsedWithoutGPU)
-	after := TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need))
-	if after >= TasksThatFit(w.AcceleratedNeed, m.Cap) {
-		return true
-	}
-	return j.Record.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
-}
-
-// lent counts what a task takes from those that need accelerators.
-func (w *Snapshot) lent(j *jobs.Job, m *workers.Machine) {
-	left := m.Cap.Minus(m.UsedWithoutGPU)
-	w.lend -= max(0, TasksThatFit(w.AcceleratedNeed, left)-TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need)))
-}
-
-// lendable is how many places for tasks with accelerators are free beyond those that wait
-// and some that may come.
-func (w *Snapshot) lendable() int {
-	free, all, waiting := 0, 0, 0
-	for _, m := range w.Inventory.All() {
-		if m.Cap.GPU > 0 && m.Usable(w.Now, w.SuspectAfter) {
-			free += TasksThatFit(w.AcceleratedNeed, m.Free)
-			all += TasksThatFit(w.AcceleratedNeed, m.Cap)
-		}
-	}
-	for _, j := range w.Jobs.All() {
-		if j != nil && j.Need.GPU > 0 {
-			waiting += j.Waiting
-		}
-	}
-	return free - waiting - max(lendLeast, all/lendShare)
-}
-
-const (
-	lentFor   = 120 // seconds that a task runs at most for which such a place is lent
-	lendLeast = 8   // places that are never lent
-	lendShare = 8   // and one in so many of all
-)
