--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -148,6 +148,6 @@
 	if !j.Guaranteed || o.Team == j.Team || int(o.Team) >= len(p.Guarantees) {
 		return false
 	}
-	g, u := p.Guarantees[o.Team], p.use[o.Team].Minus(o.Need)
+	g, u := p.Guarantees[o.Team], p.teamUse[o.Team].Minus(o.Need)
 	return u.CPU >= g.CPU && u.GPU >= g.GPU
 }
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -10,9 +10,9 @@
 
 // Scheduler gives waiting tasks to machines.
 type Scheduler struct {
-	Limits []Limit // by team
-	use    []resources.Amounts
-	AtOnce int // T
+	Limits  []Limit // by team
+	teamUse []resources.Amounts
+	AtOnce  int // T
 	// UrgentFirst is an exception to the size order: urgent and critical jobs
 	// go ahead of it, in size order among themselves.
 	UrgentFirst bool
@@ -40,5 +40,5 @@
 
 // New makes a planner for the teams with these limits.
 func New(limits []Limit, atOnce int) *Scheduler {
-	return &Scheduler{Limits: limits, use: make([]resources.Amounts, len(limits)), AtOnce: atOnce}
+	return &Scheduler{Limits: limits, teamUse: make([]resources.Amounts, len(limits)), AtOnce: atOnce}
 }
