--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -28,14 +28,14 @@
 	Affinity float64
 	Locality time.Duration // for how long a job waits for machines with its image
 
-	leftAt   time.Duration // when it was last looked for jobs that are left waiting
-	ranks    []int8        // by job index, as of the last call of Order
-	scratch  []int32
-	refusals []refusal // of this pass
-	paced    bool      // a place was left out in the last try of give, since starts are paced
-	accel    resources.Amounts
-	accelAt  time.Duration
-	plain    bool // tests hold the quick path against one that remembers nothing
+	starvationCheckedAt time.Duration // when it was last looked for jobs that are left waiting
+	ranks               []int8        // by job index, as of the last call of Order
+	scratch             []int32
+	refusals            []refusal // of this pass
+	paced               bool      // a place was left out in the last try of give, since starts are paced
+	accel               resources.Amounts
+	accelAt             time.Duration
+	plain               bool // tests hold the quick path against one that remembers nothing
 }
 
 // New makes a planner for the teams with these limits.
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -23,10 +23,10 @@
 // that waited beside them for as long as the day was. least is what the smallest task that
 // waits needs.
 func (p *Scheduler) leftWaiting(w *Snapshot, least int64) (given int) {
-	if w.Now-p.leftAt < leftEvery {
+	if w.Now-p.starvationCheckedAt < leftEvery {
 		return 0
 	}
-	p.leftAt = w.Now
+	p.starvationCheckedAt = w.Now
 	var room []*workers.Machine
 	for _, m := range w.Inventory.All() {
 		if m.Free.CPU >= least && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Serves(w.Now, w.SuspectAfter) {
