--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -9,7 +9,7 @@
 
 // give places one task on the best machine, if there is one.
 func (p *Scheduler) give(w *Snapshot, j *jobs.Job, k int, machines []*workers.Machine) bool {
-	p.paced = false
+	p.placementDelayed = false
 	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.missing(j.Team)) || (!w.left && p.refused(j)) || !w.units(j, 1) {
 		return false
 	}
@@ -21,7 +21,7 @@
 			continue
 		}
 		if paces && !w.MayStart(j, m) {
-			p.paced = true
+			p.placementDelayed = true
 			continue
 		}
 		// The earliest start, then the tightest fit: a second of fetching
@@ -41,13 +41,13 @@
 		}
 	}
 	if best == nil {
-		if !w.left && !j.ZoneRule() && !p.plain && !p.paced { // there may be room that is only not given yet
+		if !w.left && !j.ZoneRule() && !p.plain && !p.placementDelayed { // there may be room that is only not given yet
 			p.refusals = append(p.refusals, refusal{j.Need, j.Spot, j.Types, j.Record.Zone})
 		}
 		return false
 	}
 	if !w.left && j.Prompt && j.Record.Kind == jobs.Service && !best.HasImage(j.Image) && p.waitsForImage(w, j, best) {
-		p.paced = true
+		p.placementDelayed = true
 		return false
 	}
 	if w.local && j.Record.Kind == jobs.Array && !best.HasImage(j.Image) {
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -119,7 +119,7 @@
 			}
 			// Room is held only for a job that has its units: what it waits for then is
 			// the end of other tasks, and none of them waits for it.
-			if !held && !w.local && !p.paced && p.ready(w, j) && !w.unsettled(j) && w.units(j, j.GangSize()) && p.Within(j.Team, j.Need, w.missing(j.Team)) {
+			if !held && !w.local && !p.placementDelayed && p.ready(w, j) && !w.unsettled(j) && w.units(j, j.GangSize()) && p.Within(j.Team, j.Need, w.missing(j.Team)) {
 				held = p.hold(w, j)
 			}
 			break
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -32,7 +32,7 @@
 	ranks               []int8        // by job index, as of the last call of Order
 	scratch             []int32
 	refusals            []refusal // of this pass
-	paced               bool      // a place was left out in the last try of give, since starts are paced
+	placementDelayed    bool      // a place was left out in the last try of give, since starts are paced
 	accel               resources.Amounts
 	accelAt             time.Duration
 	plain               bool // tests hold the quick path against one that remembers nothing
