--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -28,11 +28,11 @@
 	}
 	switch {
 	case most.GPU > 0:
-		p.accel, p.accelAt = most, now
+		p.acceleratedNeed, p.accelAt = most, now
 	case now-p.accelAt > accelKept:
-		p.accel = resources.Amounts{}
+		p.acceleratedNeed = resources.Amounts{}
 	}
-	return p.accel
+	return p.acceleratedNeed
 }
 
 // kept says whether a machine is kept for tasks that need its accelerators, before one
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -33,7 +33,7 @@
 	scratch             []int32
 	refusals            []refusal // of this pass
 	placementDelayed    bool      // a place was left out in the last try of give, since starts are paced
-	accel               resources.Amounts
+	acceleratedNeed     resources.Amounts
 	accelAt             time.Duration
 	plain               bool // tests hold the quick path against one that remembers nothing
 }
