--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -28,8 +28,8 @@
 	}
 	switch {
 	case most.GPU > 0:
-		p.acceleratedNeed, p.accelAt = most, now
-	case now-p.accelAt > accelKept:
+		p.acceleratedNeed, p.acceleratedNeedAt = most, now
+	case now-p.acceleratedNeedAt > accelKept:
 		p.acceleratedNeed = resources.Amounts{}
 	}
 	return p.acceleratedNeed
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -34,7 +34,7 @@
 	refusals            []refusal // of this pass
 	placementDelayed    bool      // a place was left out in the last try of give, since starts are paced
 	acceleratedNeed     resources.Amounts
-	accelAt             time.Duration
+	acceleratedNeedAt   time.Duration
 	plain               bool // tests hold the quick path against one that remembers nothing
 }
 
