--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -41,7 +41,7 @@
 		}
 	}
 	if best == nil {
-		if !w.left && !j.ZoneRule() && !p.plain && !p.placementDelayed { // there may be room that is only not given yet
+		if !w.left && !j.ZoneRule() && !p.exhaustive && !p.placementDelayed { // there may be room that is only not given yet
 			p.refusals = append(p.refusals, refusal{j.Need, j.Spot, j.Types, j.Record.Zone})
 		}
 		return false
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -41,7 +41,7 @@
 	machines := make([]*workers.Machine, 0, 64)
 	for _, m := range w.Inventory.All() {
 		m.Reserved = false
-		if least >= 0 && (p.plain || m.Free.CPU >= least) && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Usable(w.Now, w.SuspectAfter) {
+		if least >= 0 && (p.exhaustive || m.Free.CPU >= least) && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Usable(w.Now, w.SuspectAfter) {
 			machines = append(machines, m)
 		}
 	}
--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -81,7 +81,7 @@
 		var got [2][]string
 		for i, plain := range []bool{true, false} {
 			w, given, p := randomWorld(rand.New(rand.NewPCG(seed, 1)), 40, 25)
-			p.plain = plain
+			p.exhaustive = plain
 			p.RunCycle(w)
 			w.Now += time.Second
 			p.RunCycle(w)
@@ -106,7 +106,7 @@
 		for i, plain := range []bool{true, false} {
 			r := rand.New(rand.NewPCG(seed, 2))
 			w, _, p := randomWorld(r, 30, 40)
-			p.plain = plain
+			p.exhaustive = plain
 			p.RunCycle(w)
 			w.Now += 3 * time.Second
 			for _, m := range w.Inventory.All() {
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -35,7 +35,7 @@
 		}
 	}
 	for _, i := range order {
-		if p.plain && !pooled {
+		if p.exhaustive && !pooled {
 			pool, lowest = p.pool(&w)
 			pooled = true
 		}
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -35,7 +35,7 @@
 	placementDelayed    bool      // a place was left out in the last try of give, since starts are paced
 	acceleratedNeed     resources.Amounts
 	acceleratedNeedAt   time.Duration
-	plain               bool // tests hold the quick path against one that remembers nothing
+	exhaustive          bool // tests hold the quick path against one that remembers nothing
 }
 
 // New makes a planner for the teams with these limits.
