--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -31,20 +31,20 @@
 		p.ranks[i] = r
 		lowest, highest = min(lowest, r), max(highest, r)
 	}
-	p.scratch = p.scratch[:0]
+	p.orderBuffer = p.orderBuffer[:0]
 	for r := highest; r >= lowest; r-- {
 		for _, i := range order {
 			if p.ranks[i] == r {
-				p.scratch = append(p.scratch, i)
+				p.orderBuffer = append(p.orderBuffer, i)
 			}
 		}
 	}
-	return p.scratch
+	return p.orderBuffer
 }
 
 func (p *Scheduler) markGuaranteed(w *Snapshot, order []int32) {
-	p.scratch = append(p.scratch[:0], order...)
-	byArrival := p.scratch
+	p.orderBuffer = append(p.orderBuffer[:0], order...)
+	byArrival := p.orderBuffer
 	slices.SortFunc(byArrival, func(a, b int32) int { return cmp.Compare(w.Jobs.At(a).AcceptedAt, w.Jobs.At(b).AcceptedAt) })
 	sum := make([]resources.Amounts, len(p.Guarantees))
 	for _, i := range byArrival {
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -30,7 +30,7 @@
 
 	starvationCheckedAt time.Duration // when it was last looked for jobs that are left waiting
 	ranks               []int8        // by job index, as of the last call of Order
-	scratch             []int32
+	orderBuffer         []int32
 	refusals            []refusal // of this pass
 	placementDelayed    bool      // a place was left out in the last try of give, since starts are paced
 	acceleratedNeed     resources.Amounts
