--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -7,11 +7,11 @@
 
 // Allowed says whether a job's tasks may, and should, be on a machine.
 func Allowed(j *jobs.Job, m *workers.Machine, zones func(string) int32) bool {
-	return (!m.Spot || j.Spot) && permitted(j, m, zones)
+	return (!m.Spot || j.Spot) && permittedByUser(j, m, zones)
 }
 
-// permitted says whether a job's tasks may be on a machine by what its user has said.
-func permitted(j *jobs.Job, m *workers.Machine, zones func(string) int32) bool {
+// permittedByUser says whether a job's tasks may be on a machine by what its user has said.
+func permittedByUser(j *jobs.Job, m *workers.Machine, zones func(string) int32) bool {
 	if j.Types != nil && (int(m.Type) >= len(j.Types) || !j.Types[m.Type]) {
 		return false
 	}
@@ -31,7 +31,7 @@
 // kept for tasks that need its accelerators.
 func (w *Snapshot) gives(j *jobs.Job, m *workers.Machine) bool {
 	if w.left {
-		return permitted(j, m, w.Zone)
+		return permittedByUser(j, m, w.Zone)
 	}
 	return !m.Reserved && Allowed(j, m, w.Zone) && (!w.kept(j, m) || w.mayLend(j, m))
 }
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -89,7 +89,7 @@
 	need := j.GangSize()
 	places := map[int32]int{}
 	for _, m := range room {
-		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !permitted(j, m, w.Zone) {
+		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !permittedByUser(j, m, w.Zone) {
 			continue
 		}
 		if need == 1 {
