--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -9,7 +9,7 @@
 
 // accelKept is for how long machines are kept for work that needs their accelerators when
 // none is there.
-const accelKept = 10 * time.Minute
+const acceleratedNeedRetention = 10 * time.Minute
 
 const (
 	lentFor   = 120 // seconds that a task runs at most for which such a place is lent
@@ -29,7 +29,7 @@
 	switch {
 	case most.GPU > 0:
 		p.acceleratedNeed, p.acceleratedNeedAt = most, now
-	case now-p.acceleratedNeedAt > accelKept:
+	case now-p.acceleratedNeedAt > acceleratedNeedRetention:
 		p.acceleratedNeed = resources.Amounts{}
 	}
 	return p.acceleratedNeed
