--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -49,7 +49,7 @@
 		return 0
 	}
 	if w.Pools != nil {
-		p.countUnits(&w, order)
+		p.beginUnitCount(&w, order)
 	}
 	p.services(&w, machines)
 	ahead, behind := 0, len(order)
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -26,8 +26,8 @@
 	Never(rec *eventlog.Job) string
 }
 
-// countUnits begins a pass for whoever counts units.
-func (p *Scheduler) countUnits(w *Snapshot, order []int32) {
+// beginUnitCount begins a pass for whoever counts units.
+func (p *Scheduler) beginUnitCount(w *Snapshot, order []int32) {
 	var list []*jobs.Job
 	add := func(j *jobs.Job) {
 		if len(j.Record.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.next(j) >= 0 && p.Within(j.Team, j.Need, w.missing(j.Team)) {
