--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -59,7 +59,7 @@
 	for behind > 0 && p.ranks[order[behind-1]] < 0 {
 		behind--
 	}
-	held := p.inOrder(&w, order[:ahead], machines, false)
+	held := p.placeInOrder(&w, order[:ahead], machines, false)
 	for _, i := range order[ahead:behind] {
 		if training >= p.AtOnce {
 			break
@@ -78,10 +78,10 @@
 	}
 	if p.Locality > 0 {
 		w.local = true
-		held = p.inOrder(&w, order[ahead:], machines, held)
+		held = p.placeInOrder(&w, order[ahead:], machines, held)
 		w.local = false
 	}
-	p.inOrder(&w, order[ahead:], machines, held)
+	p.placeInOrder(&w, order[ahead:], machines, held)
 	return p.leftWaiting(&w, least)
 }
 
@@ -100,9 +100,9 @@
 	}
 }
 
-// inOrder gives room to the jobs in their order; room is held for the first
+// placeInOrder gives room to the jobs in their order; room is held for the first
 // that does not fit, unless it is held already.
-func (p *Scheduler) inOrder(w *Snapshot, order []int32, machines []*workers.Machine, held bool) bool {
+func (p *Scheduler) placeInOrder(w *Snapshot, order []int32, machines []*workers.Machine, held bool) bool {
 	for _, i := range order {
 		j := w.Jobs.At(i)
 		for {
