--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -51,7 +51,7 @@
 	if w.Pools != nil {
 		p.beginUnitCount(&w, order)
 	}
-	p.services(&w, machines)
+	p.placeServices(&w, machines)
 	ahead, behind := 0, len(order)
 	for ahead < len(order) && p.ranks[order[ahead]] > 0 {
 		ahead++
@@ -85,8 +85,8 @@
 	return p.leftWaiting(&w, least)
 }
 
-// services get room first, outside the order.
-func (p *Scheduler) services(w *Snapshot, machines []*workers.Machine) {
+// placeServices get room first, outside the order.
+func (p *Scheduler) placeServices(w *Snapshot, machines []*workers.Machine) {
 	for _, j := range w.Jobs.All() {
 		if j == nil || j.Record.Kind != jobs.Service {
 			continue
