--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -111,7 +111,7 @@
 				break
 			}
 			if j.Record.Kind == jobs.Gang {
-				if p.launch(w, j, machines) {
+				if p.placeGang(w, j, machines) {
 					break
 				}
 			} else if p.give(w, j, k, machines) {
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -66,7 +66,7 @@
 func (p *Scheduler) giveLeft(w *Snapshot, j *jobs.Job, room []*workers.Machine) bool {
 	before := j.Placed
 	if j.Record.Kind == jobs.Gang {
-		p.launch(w, j, room)
+		p.placeGang(w, j, room)
 	} else {
 		for k := w.next(j); k >= 0 && p.give(w, j, k, room); k = w.next(j) {
 		}
