--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -22,18 +22,18 @@
 			}
 			tried = append(tried, m.Zone)
 			zone := m.Zone
-			if p.all(w, j, slices.DeleteFunc(slices.Clone(machines), func(m *workers.Machine) bool { return m.Zone != zone })) {
+			if p.placeAllOrNone(w, j, slices.DeleteFunc(slices.Clone(machines), func(m *workers.Machine) bool { return m.Zone != zone })) {
 				return true
 			}
 			p.refusals = p.refusals[:0] // that was about one zone
 		}
 		return false
 	}
-	return p.all(w, j, machines)
+	return p.placeAllOrNone(w, j, machines)
 }
 
-// all places all waiting tasks of a job or none.
-func (p *Scheduler) all(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
+// placeAllOrNone places all waiting tasks of a job or none.
+func (p *Scheduler) placeAllOrNone(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
 	var placed []int
 	for {
 		k := w.next(j)
