--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// give places one task on the best machine, if there is one.
-func (p *Scheduler) give(w *Snapshot, j *jobs.Job, k int, machines []*workers.Machine) bool {
+// placeTask places one task on the best machine, if there is one.
+func (p *Scheduler) placeTask(w *Snapshot, j *jobs.Job, k int, machines []*workers.Machine) bool {
 	p.placementDelayed = false
 	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.missing(j.Team)) || (!w.left && p.refused(j)) || !w.units(j, 1) {
 		return false
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -70,7 +70,7 @@
 		j := w.Jobs.At(i)
 		for training < p.AtOnce {
 			k := w.next(j)
-			if k < 0 || !w.Estimator.Training(i, k) || !p.give(&w, j, k, machines) {
+			if k < 0 || !w.Estimator.Training(i, k) || !p.placeTask(&w, j, k, machines) {
 				break
 			}
 			training++
@@ -93,7 +93,7 @@
 		}
 		for {
 			k := w.next(j)
-			if k < 0 || !p.give(w, j, k, machines) {
+			if k < 0 || !p.placeTask(w, j, k, machines) {
 				break
 			}
 		}
@@ -114,7 +114,7 @@
 				if p.placeGang(w, j, machines) {
 					break
 				}
-			} else if p.give(w, j, k, machines) {
+			} else if p.placeTask(w, j, k, machines) {
 				continue
 			}
 			// Room is held only for a job that has its units: what it waits for then is
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -40,7 +40,7 @@
 		if k < 0 {
 			return true
 		}
-		if !p.give(w, j, k, machines) {
+		if !p.placeTask(w, j, k, machines) {
 			break
 		}
 		placed = append(placed, k)
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -68,7 +68,7 @@
 	if j.Record.Kind == jobs.Gang {
 		p.placeGang(w, j, room)
 	} else {
-		for k := w.next(j); k >= 0 && p.give(w, j, k, room); k = w.next(j) {
+		for k := w.next(j); k >= 0 && p.placeTask(w, j, k, room); k = w.next(j) {
 		}
 	}
 	if j.Placed == before {
