--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -17,7 +17,7 @@
 	var bestScore int64
 	paces := w.MayStart != nil && j.Record.Kind == jobs.Array // gangs start as a whole, services first of all
 	for _, m := range machines {
-		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !w.gives(j, m) {
+		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !w.mayUse(j, m) {
 			continue
 		}
 		if paces && !w.MayStart(j, m) {
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -27,9 +27,9 @@
 	return !w.kept(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
 }
 
-// gives says whether room on a machine is for a job: not where it is held for another, or
+// mayUse says whether room on a machine is for a job: not where it is held for another, or
 // kept for tasks that need its accelerators.
-func (w *Snapshot) gives(j *jobs.Job, m *workers.Machine) bool {
+func (w *Snapshot) mayUse(j *jobs.Job, m *workers.Machine) bool {
 	if w.left {
 		return permittedByUser(j, m, w.Zone)
 	}
