--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -41,7 +41,7 @@
 		out = append(out, "no machine that it may use has room; it gets the next that comes free in its order")
 	}
 	if j.StarvedSince > 0 {
-		left := max(0, leftAfter-(w.Now-j.StarvedSince)).Round(time.Second)
+		left := max(0, starvationLimit-(w.Now-j.StarvedSince)).Round(time.Second)
 		out = append(out, "room that it may have is held or kept for others: if that lasts, it gets it in "+left.String()+" (exception left_waiting)")
 	}
 	switch r := p.rank(&w, j.Index); {
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -10,8 +10,8 @@
 // leftAfter is how long a task waits beside room that its job may have before it gets it,
 // and leftEvery how often that is looked for.
 const (
-	leftAfter = 60 * time.Second
-	leftEvery = time.Second
+	starvationLimit = 60 * time.Second
+	leftEvery       = time.Second
 )
 
 // leftWaiting is the exception of that name: a job of which a task has waited for a minute
@@ -51,7 +51,7 @@
 			}
 		case j.StarvedSince == 0:
 			j.StarvedSince = w.Now
-		case w.Now-j.StarvedSince >= leftAfter:
+		case w.Now-j.StarvedSince >= starvationLimit:
 			if p.giveLeft(w, j, room) {
 				given++
 			}
@@ -77,7 +77,7 @@
 	j.StarvedSince = 0
 	for _, m := range room {
 		if m.Draining && m.HasPlans() {
-			m.Draining, m.KeptUntil = false, w.Now+leftAfter // the plan would be taken back else
+			m.Draining, m.KeptUntil = false, w.Now+starvationLimit // the plan would be taken back else
 		}
 	}
 	return true
