--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -10,8 +10,8 @@
 // leftAfter is how long a task waits beside room that its job may have before it gets it,
 // and leftEvery how often that is looked for.
 const (
-	starvationLimit = 60 * time.Second
-	leftEvery       = time.Second
+	starvationLimit         = 60 * time.Second
+	starvationCheckInterval = time.Second
 )
 
 // leftWaiting is the exception of that name: a job of which a task has waited for a minute
@@ -23,7 +23,7 @@
 // that waited beside them for as long as the day was. least is what the smallest task that
 // waits needs.
 func (p *Scheduler) leftWaiting(w *Snapshot, least int64) (given int) {
-	if w.Now-p.starvationCheckedAt < leftEvery {
+	if w.Now-p.starvationCheckedAt < starvationCheckInterval {
 		return 0
 	}
 	p.starvationCheckedAt = w.Now
