--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -82,7 +82,7 @@
 		w.local = false
 	}
 	p.placeInOrder(&w, order[ahead:], machines, held)
-	return p.leftWaiting(&w, least)
+	return p.placeStarved(&w, least)
 }
 
 // placeServices get room first, outside the order.
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -14,7 +14,7 @@
 	starvationCheckInterval = time.Second
 )
 
-// leftWaiting is the exception of that name: a job of which a task has waited for a minute
+// placeStarved is the exception of that name: a job of which a task has waited for a minute
 // while machines on which its user lets it be had room for it all the time, or for all of a
 // gang, and its team was under its limit, gets that room, whatever it was held or kept for,
 // whether we would rather have its tasks elsewhere, and whether the machine was to be
@@ -22,7 +22,7 @@
 // in a test with services on all machines, an urgent gang that fits none of them, and gangs
 // that waited beside them for as long as the day was. least is what the smallest task that
 // waits needs.
-func (p *Scheduler) leftWaiting(w *Snapshot, least int64) (given int) {
+func (p *Scheduler) placeStarved(w *Snapshot, least int64) (given int) {
 	if w.Now-p.starvationCheckedAt < starvationCheckInterval {
 		return 0
 	}
