--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -52,7 +52,7 @@
 		case j.StarvedSince == 0:
 			j.StarvedSince = w.Now
 		case w.Now-j.StarvedSince >= starvationLimit:
-			if p.giveLeft(w, j, room) {
+			if p.placeStarvedJob(w, j, room) {
 				given++
 			}
 		}
@@ -61,9 +61,9 @@
 	return given
 }
 
-// giveLeft gives a job that was left waiting what room there is for it, and says whether
+// placeStarvedJob gives a job that was left waiting what room there is for it, and says whether
 // that was any.
-func (p *Scheduler) giveLeft(w *Snapshot, j *jobs.Job, room []*workers.Machine) bool {
+func (p *Scheduler) placeStarvedJob(w *Snapshot, j *jobs.Job, room []*workers.Machine) bool {
 	before := j.Placed
 	if j.Record.Kind == jobs.Gang {
 		p.placeGang(w, j, room)
