--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -72,7 +72,7 @@
 }
 
 // promptPatience is how long it waits at most.
-const promptPatience = 400 * time.Millisecond
+const promptImageWait = 400 * time.Millisecond
 
 // waitsForImage says whether a replica that should start within a moment leaves room on a
 // machine that would have to fetch its image first: for a fraction of the fetch, and not
@@ -81,7 +81,7 @@
 	if j.DelayedSince == 0 {
 		j.DelayedSince = w.Now
 	}
-	return p.Locality > 0 && w.Now-j.DelayedSince < min(promptPatience, time.Duration(j.Record.ImageGB/m.FetchGBPS/4*float64(time.Second)))
+	return p.Locality > 0 && w.Now-j.DelayedSince < min(promptImageWait, time.Duration(j.Record.ImageGB/m.FetchGBPS/4*float64(time.Second)))
 }
 
 // TasksThatFit is how many tasks fit into room.
