--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -120,7 +120,7 @@
 			// Room is held only for a job that has its units: what it waits for then is
 			// the end of other tasks, and none of them waits for it.
 			if !held && !w.local && !p.placementDelayed && p.ready(w, j) && !w.unsettled(j) && w.units(j, j.GangSize()) && p.Within(j.Team, j.Need, w.missing(j.Team)) {
-				held = p.hold(w, j)
+				held = p.reserveFor(w, j)
 			}
 			break
 		}
--- a/internal/core/scheduler/reservation.go
+++ b/internal/core/scheduler/reservation.go
@@ -7,12 +7,12 @@
 	"slices"
 )
 
-// hold keeps the room of machines for a job that fits nowhere now: of those
+// reserveFor keeps the room of machines for a job that fits nowhere now: of those
 // that would fit it the ones with most room already, as many as its waiting
 // tasks fill and its team may use. For a job bound to one zone they are of
 // one zone; for a gang nothing is held unless all of it would fit, for then
 // waiting would bring nothing.
-func (p *Scheduler) hold(w *Snapshot, j *jobs.Job) bool {
+func (p *Scheduler) reserveFor(w *Snapshot, j *jobs.Job) bool {
 	var fit []*workers.Machine
 	slots := map[int32]int{}
 	total := 0
