--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -53,13 +53,13 @@
 	if after >= TasksThatFit(w.AcceleratedNeed, m.Cap) {
 		return true
 	}
-	return j.Record.Kind == jobs.Array && j.Mean() <= lentFor && (w.lend > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
+	return j.Record.Kind == jobs.Array && j.Mean() <= lentFor && (w.lendablePlaces > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
 }
 
 // lent counts what a task takes from those that need accelerators.
 func (w *Snapshot) lent(j *jobs.Job, m *workers.Machine) {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
-	w.lend -= max(0, TasksThatFit(w.AcceleratedNeed, left)-TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need)))
+	w.lendablePlaces -= max(0, TasksThatFit(w.AcceleratedNeed, left)-TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need)))
 }
 
 // lendable is how many places for tasks with accelerators are free beyond those that wait
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -22,7 +22,7 @@
 	Zone            func(string) int32
 	Place           func(j *jobs.Job, k int, m *workers.Machine)
 	MayStart        func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
-	lend            int                                        // places for tasks with accelerators that may be lent to others
+	lendablePlaces  int                                        // places for tasks with accelerators that may be lent to others
 	local           bool                                       // jobs that have not waited long leave machines without their image
 	left            bool                                       // a job that was left waiting gets whatever it may have
 	Unplace         func(j *jobs.Job, k int)                   // takes back a plan that was not sent
