--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -50,7 +50,7 @@
 		p.placementDelayed = true
 		return false
 	}
-	if w.local && j.Record.Kind == jobs.Array && !best.HasImage(j.Image) {
+	if w.localityOnly && j.Record.Kind == jobs.Array && !best.HasImage(j.Image) {
 		if j.DelayedSince == 0 {
 			j.DelayedSince = w.Now
 		}
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -23,7 +23,7 @@
 	Place           func(j *jobs.Job, k int, m *workers.Machine)
 	MayStart        func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
 	lendablePlaces  int                                        // places for tasks with accelerators that may be lent to others
-	local           bool                                       // jobs that have not waited long leave machines without their image
+	localityOnly    bool                                       // jobs that have not waited long leave machines without their image
 	left            bool                                       // a job that was left waiting gets whatever it may have
 	Unplace         func(j *jobs.Job, k int)                   // takes back a plan that was not sent
 }
