--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -10,7 +10,7 @@
 // placeTask places one task on the best machine, if there is one.
 func (p *Scheduler) placeTask(w *Snapshot, j *jobs.Job, k int, machines []*workers.Machine) bool {
 	p.placementDelayed = false
-	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.missing(j.Team)) || (!w.left && p.refused(j)) || !w.units(j, 1) {
+	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.missing(j.Team)) || (!w.starvedOnly && p.refused(j)) || !w.units(j, 1) {
 		return false
 	}
 	var best *workers.Machine
@@ -41,12 +41,12 @@
 		}
 	}
 	if best == nil {
-		if !w.left && !j.ZoneRule() && !p.exhaustive && !p.placementDelayed { // there may be room that is only not given yet
+		if !w.starvedOnly && !j.ZoneRule() && !p.exhaustive && !p.placementDelayed { // there may be room that is only not given yet
 			p.refusals = append(p.refusals, refusal{j.Need, j.Spot, j.Types, j.Record.Zone})
 		}
 		return false
 	}
-	if !w.left && j.Prompt && j.Record.Kind == jobs.Service && !best.HasImage(j.Image) && p.waitsForImage(w, j, best) {
+	if !w.starvedOnly && j.Prompt && j.Record.Kind == jobs.Service && !best.HasImage(j.Image) && p.waitsForImage(w, j, best) {
 		p.placementDelayed = true
 		return false
 	}
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -30,7 +30,7 @@
 // mayUse says whether room on a machine is for a job: not where it is held for another, or
 // kept for tasks that need its accelerators.
 func (w *Snapshot) mayUse(j *jobs.Job, m *workers.Machine) bool {
-	if w.left {
+	if w.starvedOnly {
 		return permittedByUser(j, m, w.Zone)
 	}
 	return !m.Reserved && Allowed(j, m, w.Zone) && (!w.kept(j, m) || w.mayLend(j, m))
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -24,7 +24,7 @@
 	MayStart        func(j *jobs.Job, m *workers.Machine) bool // whether a task may be started now; nil: any
 	lendablePlaces  int                                        // places for tasks with accelerators that may be lent to others
 	localityOnly    bool                                       // jobs that have not waited long leave machines without their image
-	left            bool                                       // a job that was left waiting gets whatever it may have
+	starvedOnly     bool                                       // a job that was left waiting gets whatever it may have
 	Unplace         func(j *jobs.Job, k int)                   // takes back a plan that was not sent
 }
 
