--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -17,7 +17,7 @@
 	if w.unsettled(j) {
 		out = append(out, "a leader before this one may have started its tasks on machines that have not reported yet")
 	}
-	if !p.Within(j.Team, j.Need, w.missing(j.Team)) {
+	if !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
 		out = append(out, "its team is at its limit")
 	}
 	if len(j.Record.Counted) > 0 {
--- a/internal/core/scheduler/reservation.go
+++ b/internal/core/scheduler/reservation.go
@@ -36,7 +36,7 @@
 		fit = slices.DeleteFunc(fit, func(m *workers.Machine) bool { return m.Zone != zone })
 	}
 	want := 0
-	for n := j.Waiting; want < n && p.Within(j.Team, j.Need.Times(want+1), w.missing(j.Team)); want++ {
+	for n := j.Waiting; want < n && p.Within(j.Team, j.Need.Times(want+1), w.unresolvedUseOf(j.Team)); want++ {
 	}
 	if j.Record.Kind == jobs.Gang && (want < j.Waiting || total < j.Waiting) {
 		return false
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -28,8 +28,8 @@
 	Unplace         func(j *jobs.Job, k int)                   // takes back a plan that was not sent
 }
 
-// missing is what machines that are not resolved may be using of a team.
-func (w *Snapshot) missing(team int32) resources.Amounts {
+// unresolvedUseOf is what machines that are not resolved may be using of a team.
+func (w *Snapshot) unresolvedUseOf(team int32) resources.Amounts {
 	if int(team) < len(w.UnresolvedUse) {
 		return w.UnresolvedUse[team]
 	}
