--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -14,7 +14,7 @@
 	if w.Now < j.NotBefore {
 		out = append(out, "its tasks failed wherever they were: the next try is in "+(j.NotBefore-w.Now).Round(time.Second).String())
 	}
-	if w.unsettled(j) {
+	if w.mayRunUnseen(j) {
 		out = append(out, "a leader before this one may have started its tasks on machines that have not reported yet")
 	}
 	if !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -36,9 +36,9 @@
 	return resources.Amounts{}
 }
 
-// unsettled says whether tasks of a job that are not seen may run on machines
+// mayRunUnseen says whether tasks of a job that are not seen may run on machines
 // of an earlier term.
-func (w *Snapshot) unsettled(j *jobs.Job) bool { return j.MayRunUnseen(w.UnknownGrants) }
+func (w *Snapshot) mayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(w.UnknownGrants) }
 
 // units says whether so many more tasks of a job may have the units that they need.
 // Without anybody who counts them none that needs any may start.
@@ -50,7 +50,7 @@
 // term may run unseen it is one that no earlier term can have started.
 func (w *Snapshot) next(j *jobs.Job) int {
 	switch {
-	case !w.unsettled(j):
+	case !w.mayRunUnseen(j):
 		return j.NextWaiting(len(j.Tasks))
 	case j.Record.Kind == jobs.Gang || j.ZoneRule():
 		return -1 // where the others may be matters too
