--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -10,7 +10,7 @@
 // placeTask places one task on the best machine, if there is one.
 func (p *Scheduler) placeTask(w *Snapshot, j *jobs.Job, k int, machines []*workers.Machine) bool {
 	p.placementDelayed = false
-	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) || (!w.starvedOnly && p.refused(j)) || !w.units(j, 1) {
+	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) || (!w.starvedOnly && p.refused(j)) || !w.unitsAllow(j, 1) {
 		return false
 	}
 	var best *workers.Machine
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -119,7 +119,7 @@
 			}
 			// Room is held only for a job that has its units: what it waits for then is
 			// the end of other tasks, and none of them waits for it.
-			if !held && !w.localityOnly && !p.placementDelayed && p.ready(w, j) && !w.mayRunUnseen(j) && w.units(j, j.GangSize()) && p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
+			if !held && !w.localityOnly && !p.placementDelayed && p.ready(w, j) && !w.mayRunUnseen(j) && w.unitsAllow(j, j.GangSize()) && p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
 				held = p.reserveFor(w, j)
 			}
 			break
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -9,7 +9,7 @@
 // placeGang places all waiting tasks of a gang or none. While the gang still
 // gathers, lost tasks are replaced under the attempt it has.
 func (p *Scheduler) placeGang(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
-	if j.GangFailed || (j.GangBegan && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.unresolvedUseOf(j.Team)) || !w.units(j, j.Waiting) {
+	if j.GangFailed || (j.GangBegan && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.unresolvedUseOf(j.Team)) || !w.unitsAllow(j, j.Waiting) {
 		return false
 	}
 	if j.Record.OneZone && j.Placed == 0 {
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -43,7 +43,7 @@
 			break // nobody ranks below this job or those after it
 		}
 		j := w.Jobs.At(i)
-		if j.Waiting == 0 || j.Record.Kind == jobs.Gang || !p.ready(&w, j) || w.mayRunUnseen(j) || !w.units(j, 1) || !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) ||
+		if j.Waiting == 0 || j.Record.Kind == jobs.Gang || !p.ready(&w, j) || w.mayRunUnseen(j) || !w.unitsAllow(j, 1) || !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) ||
 			w.Now-j.AcceptedAt < preemptAfter || (j.PreemptedAt > 0 && w.Now-j.PreemptedAt < preemptPause) {
 			continue
 		}
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -40,9 +40,9 @@
 // of an earlier term.
 func (w *Snapshot) mayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(w.UnknownGrants) }
 
-// units says whether so many more tasks of a job may have the units that they need.
+// unitsAllow says whether so many more tasks of a job may have the units that they need.
 // Without anybody who counts them none that needs any may start.
-func (w *Snapshot) units(j *jobs.Job, tasks int) bool {
+func (w *Snapshot) unitsAllow(j *jobs.Job, tasks int) bool {
 	return len(j.Record.Counted) == 0 || (w.Pools != nil && w.Pools.Allows(j, tasks))
 }
 
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -36,7 +36,7 @@
 	var none []refusal // needs that found no room
 	w.starvedOnly = true
 	for _, j := range w.Jobs.All() {
-		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.next(j) < 0 || !p.Within(j.Team, j.Need.Times(j.GangSize()), w.unresolvedUseOf(j.Team)) || !w.units(j, j.GangSize()) ||
+		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.next(j) < 0 || !p.Within(j.Team, j.Need.Times(j.GangSize()), w.unresolvedUseOf(j.Team)) || !w.unitsAllow(j, j.GangSize()) ||
 			slices.ContainsFunc(none, func(r refusal) bool { return r.covers(j, j.Record.Spot) }) {
 			if j != nil {
 				j.StarvedSince = 0
