--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -69,7 +69,7 @@
 		}
 		j := w.Jobs.At(i)
 		for training < p.AtOnce {
-			k := w.next(j)
+			k := w.nextTask(j)
 			if k < 0 || !w.Estimator.Training(i, k) || !p.placeTask(&w, j, k, machines) {
 				break
 			}
@@ -92,7 +92,7 @@
 			continue
 		}
 		for {
-			k := w.next(j)
+			k := w.nextTask(j)
 			if k < 0 || !p.placeTask(w, j, k, machines) {
 				break
 			}
@@ -106,7 +106,7 @@
 	for _, i := range order {
 		j := w.Jobs.At(i)
 		for {
-			k := w.next(j)
+			k := w.nextTask(j)
 			if k < 0 {
 				break
 			}
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -36,7 +36,7 @@
 func (p *Scheduler) placeAllOrNone(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
 	var placed []int
 	for {
-		k := w.next(j)
+		k := w.nextTask(j)
 		if k < 0 {
 			return true
 		}
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -30,7 +30,7 @@
 func (p *Scheduler) beginUnitCount(w *Snapshot, order []int32) {
 	var list []*jobs.Job
 	add := func(j *jobs.Job) {
-		if len(j.Record.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.next(j) >= 0 && p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
+		if len(j.Record.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.nextTask(j) >= 0 && p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
 			list = append(list, j)
 		}
 	}
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -46,9 +46,9 @@
 	return len(j.Record.Counted) == 0 || (w.Pools != nil && w.Pools.Allows(j, tasks))
 }
 
-// next is the task of a job that gets room next, or -1. While tasks of an earlier
+// nextTask is the task of a job that gets room next, or -1. While tasks of an earlier
 // term may run unseen it is one that no earlier term can have started.
-func (w *Snapshot) next(j *jobs.Job) int {
+func (w *Snapshot) nextTask(j *jobs.Job) int {
 	switch {
 	case !w.mayRunUnseen(j):
 		return j.NextWaiting(len(j.Tasks))
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -36,7 +36,7 @@
 	var none []refusal // needs that found no room
 	w.starvedOnly = true
 	for _, j := range w.Jobs.All() {
-		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.next(j) < 0 || !p.Within(j.Team, j.Need.Times(j.GangSize()), w.unresolvedUseOf(j.Team)) || !w.unitsAllow(j, j.GangSize()) ||
+		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.nextTask(j) < 0 || !p.Within(j.Team, j.Need.Times(j.GangSize()), w.unresolvedUseOf(j.Team)) || !w.unitsAllow(j, j.GangSize()) ||
 			slices.ContainsFunc(none, func(r refusal) bool { return r.covers(j, j.Record.Spot) }) {
 			if j != nil {
 				j.StarvedSince = 0
@@ -68,7 +68,7 @@
 	if j.Record.Kind == jobs.Gang {
 		p.placeGang(w, j, room)
 	} else {
-		for k := w.next(j); k >= 0 && p.placeTask(w, j, k, room); k = w.next(j) {
+		for k := w.nextTask(j); k >= 0 && p.placeTask(w, j, k, room); k = w.nextTask(j) {
 		}
 	}
 	if j.Placed == before {
