--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -21,9 +21,9 @@
 	return j.Record.Zone == "" || zones(j.Record.Zone) == m.Zone
 }
 
-// suits says whether one more task of a job could be on a machine if that
+// couldHost says whether one more task of a job could be on a machine if that
 // were free.
-func (w *Snapshot) suits(j *jobs.Job, m *workers.Machine) bool {
+func (w *Snapshot) couldHost(j *jobs.Job, m *workers.Machine) bool {
 	return !w.kept(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
 }
 
--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -29,7 +29,7 @@
 	}
 	fits, free := false, false
 	for _, m := range w.Inventory.All() {
-		if w.suits(j, m) && m.Usable(w.Now, w.SuspectAfter) {
+		if w.couldHost(j, m) && m.Usable(w.Now, w.SuspectAfter) {
 			fits = true
 			free = free || j.Need.Fits(m.Free)
 		}
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -93,13 +93,13 @@
 
 func (p *Scheduler) victims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
 	for _, m := range w.Inventory.All() {
-		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.SuspectAfter) && w.suits(j, m) {
+		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.SuspectAfter) && w.couldHost(j, m) {
 			return nil // there is room: it only has to be given
 		}
 	}
 	var list []*workers.Placement
 	for _, v := range pool {
-		if !v.Stopping && w.suits(j, v.Machine) && p.mayStop(w, j, v) {
+		if !v.Stopping && w.couldHost(j, v.Machine) && p.mayStop(w, j, v) {
 			list = append(list, v)
 		}
 	}
--- a/internal/core/scheduler/reservation.go
+++ b/internal/core/scheduler/reservation.go
@@ -17,7 +17,7 @@
 	slots := map[int32]int{}
 	total := 0
 	for _, m := range w.Inventory.All() {
-		if m.Usable(w.Now, w.SuspectAfter) && w.suits(j, m) {
+		if m.Usable(w.Now, w.SuspectAfter) && w.couldHost(j, m) {
 			fit = append(fit, m)
 			n := TasksThatFit(j.Need, m.Cap)
 			slots[m.Zone] += n
