--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -35,10 +35,10 @@
 	return p.acceleratedNeed
 }
 
-// kept says whether a machine is kept for tasks that need its accelerators, before one
+// keptForAccelerators says whether a machine is kept for tasks that need its accelerators, before one
 // that needs none and can be elsewhere: no more of them get there than leave as many of
 // the others their place as it has.
-func (w *Snapshot) kept(j *jobs.Job, m *workers.Machine) bool {
+func (w *Snapshot) keptForAccelerators(j *jobs.Job, m *workers.Machine) bool {
 	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.FitsWithoutGPU && w.AcceleratedNeed.GPU > 0
 }
 
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -27,7 +27,7 @@
 		// The earliest start, then the tightest fit: a second of fetching
 		// weighs as much as ten processors left over.
 		score := m.Free.CPU - j.Need.CPU
-		if w.kept(j, m) {
+		if w.keptForAccelerators(j, m) {
 			score += 1e5 // only where nothing else is
 		}
 		if !m.HasImage(j.Image) {
@@ -64,7 +64,7 @@
 	if j.HomeZone == 0 {
 		j.HomeZone = best.Zone + 1
 	}
-	if w.kept(j, best) {
+	if w.keptForAccelerators(j, best) {
 		w.lent(j, best)
 	}
 	w.Place(j, k, best)
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -24,7 +24,7 @@
 // couldHost says whether one more task of a job could be on a machine if that
 // were free.
 func (w *Snapshot) couldHost(j *jobs.Job, m *workers.Machine) bool {
-	return !w.kept(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
+	return !w.keptForAccelerators(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
 }
 
 // mayUse says whether room on a machine is for a job: not where it is held for another, or
@@ -33,7 +33,7 @@
 	if w.starvedOnly {
 		return permittedByUser(j, m, w.Zone)
 	}
-	return !m.Reserved && Allowed(j, m, w.Zone) && (!w.kept(j, m) || w.mayLend(j, m))
+	return !m.Reserved && Allowed(j, m, w.Zone) && (!w.keptForAccelerators(j, m) || w.mayLend(j, m))
 }
 
 func (p *Scheduler) ready(w *Snapshot, j *jobs.Job) bool {
