--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -56,8 +56,8 @@
 	return j.Record.Kind == jobs.Array && j.Mean() <= lentFor && (w.lendablePlaces > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
 }
 
-// lent counts what a task takes from those that need accelerators.
-func (w *Snapshot) lent(j *jobs.Job, m *workers.Machine) {
+// recordLent counts what a task takes from those that need accelerators.
+func (w *Snapshot) recordLent(j *jobs.Job, m *workers.Machine) {
 	left := m.Cap.Minus(m.UsedWithoutGPU)
 	w.lendablePlaces -= max(0, TasksThatFit(w.AcceleratedNeed, left)-TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need)))
 }
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -65,7 +65,7 @@
 		j.HomeZone = best.Zone + 1
 	}
 	if w.keptForAccelerators(j, best) {
-		w.lent(j, best)
+		w.recordLent(j, best)
 	}
 	w.Place(j, k, best)
 	return true
