--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -62,9 +62,9 @@
 	w.lendablePlaces -= max(0, TasksThatFit(w.AcceleratedNeed, left)-TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need)))
 }
 
-// lendable is how many places for tasks with accelerators are free beyond those that wait
+// countLendable is how many places for tasks with accelerators are free beyond those that wait
 // and some that may come.
-func (w *Snapshot) lendable() int {
+func (w *Snapshot) countLendable() int {
 	free, all, waiting := 0, 0, 0
 	for _, m := range w.Inventory.All() {
 		if m.Cap.GPU > 0 && m.Usable(w.Now, w.SuspectAfter) {
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -10,7 +10,7 @@
 func (p *Scheduler) RunCycle(w Snapshot) (left int) {
 	p.refusals = p.refusals[:0]
 	if w.AcceleratedNeed.GPU > 0 {
-		w.lendablePlaces = w.lendable()
+		w.lendablePlaces = w.countLendable()
 	}
 	order := p.JobOrder(&w)
 	least, training := int64(-1), 0
