--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -12,9 +12,9 @@
 const acceleratedNeedRetention = 10 * time.Minute
 
 const (
-	lentFor   = 120 // seconds that a task runs at most for which such a place is lent
-	lendLeast = 8   // places that are never lent
-	lendShare = 8   // and one in so many of all
+	maxLentSeconds = 120 // seconds that a task runs at most for which such a place is lent
+	lendLeast      = 8   // places that are never lent
+	lendShare      = 8   // and one in so many of all
 )
 
 // Accelerated is the largest need of a task with accelerators: of the jobs there are, or of
@@ -53,7 +53,7 @@
 	if after >= TasksThatFit(w.AcceleratedNeed, m.Cap) {
 		return true
 	}
-	return j.Record.Kind == jobs.Array && j.Mean() <= lentFor && (w.lendablePlaces > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
+	return j.Record.Kind == jobs.Array && j.Mean() <= maxLentSeconds && (w.lendablePlaces > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
 }
 
 // recordLent counts what a task takes from those that need accelerators.
