--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -78,7 +78,7 @@
 				broken++
 			}
 		}
-		if c.allowed > 2 && (broken == 0 || broken > c.plain-lendLeast) {
+		if c.allowed > 2 && (broken == 0 || broken > c.plain-minUnlentPlaces) {
 			t.Errorf("%s: %d of %d places lent", c.name, broken, c.plain)
 		}
 		if got := len(j.Tasks) - j.Waiting; got < 8*c.plain+2*(c.plain-c.gang) {
