--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -14,7 +14,7 @@
 const (
 	maxLentSeconds  = 120 // seconds that a task runs at most for which such a place is lent
 	minUnlentPlaces = 8   // places that are never lent
-	lendShare       = 8   // and one in so many of all
+	unlentShare     = 8   // and one in so many of all
 )
 
 // Accelerated is the largest need of a task with accelerators: of the jobs there are, or of
@@ -77,5 +77,5 @@
 			waiting += j.Waiting
 		}
 	}
-	return free - waiting - max(minUnlentPlaces, all/lendShare)
+	return free - waiting - max(minUnlentPlaces, all/unlentShare)
 }
