--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -10,8 +10,8 @@
 
 // Ranks of jobs that are kept: next to those of urgent jobs, which are above 2.
 const (
-	keptRank  = 2
-	keptFirst = 9
+	servedFloorRank = 2
+	keptFirst       = 9
 )
 
 // JobOrder lists the jobs in the order in which they get room: HFSP's, with the
@@ -70,7 +70,7 @@
 	case p.UrgentFirst && j.Priority >= 2:
 		return int(j.Priority) + 1
 	case j.Boost == jobs.BoostBehindUrgent, p.overdue(w, j):
-		return keptRank
+		return servedFloorRank
 	case slices.ContainsFunc(j.PriorityWindows, func(a [2]time.Duration) bool { return a[0] <= w.Now && w.Now < a[1] }):
 		return 1
 	case j.Guaranteed:
