--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -48,7 +48,7 @@
 	case j.Record.Kind == jobs.Service:
 	case p.overdue(&w, j):
 		out = append(out, "none of its tasks has begun for long: it goes ahead of all but urgent jobs (exception begin_within)")
-	case r == servedFloorRank, r == keptFirst:
+	case r == servedFloorRank, r == servedFloorFirstRank:
 		out = append(out, "it goes ahead of others: less than the floor of its class or team would be served in time otherwise (exception served_floor)")
 	case r > servedFloorRank:
 		out = append(out, "it is urgent and goes ahead of the size order (exception urgent_first)")
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -10,8 +10,8 @@
 
 // Ranks of jobs that are kept: next to those of urgent jobs, which are above 2.
 const (
-	servedFloorRank = 2
-	keptFirst       = 9
+	servedFloorRank      = 2
+	servedFloorFirstRank = 9
 )
 
 // JobOrder lists the jobs in the order in which they get room: HFSP's, with the
@@ -66,7 +66,7 @@
 	j := w.Jobs.At(i)
 	switch {
 	case j.Boost == jobs.BoostFirst:
-		return keptFirst
+		return servedFloorFirstRank
 	case p.UrgentFirst && j.Priority >= 2:
 		return int(j.Priority) + 1
 	case j.Boost == jobs.BoostBehindUrgent, p.overdue(w, j):
