--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	preemptAfter = time.Second     // a job waits at least this long before others are stopped for it
-	preemptPause = 5 * time.Second // between two rounds for one job: stopping takes time
-	littleLost   = 5 * time.Second // a task without checkpoints that has run for less may be stopped
-	victimsMost  = 8               // at once for one job
+	minWaitToPreempt = time.Second     // a job waits at least this long before others are stopped for it
+	preemptPause     = 5 * time.Second // between two rounds for one job: stopping takes time
+	littleLost       = 5 * time.Second // a task without checkpoints that has run for less may be stopped
+	victimsMost      = 8               // at once for one job
 )
 
 // Preempt returns the tasks to be stopped so that jobs get room which the
@@ -44,7 +44,7 @@
 		}
 		j := w.Jobs.At(i)
 		if j.Waiting == 0 || j.Record.Kind == jobs.Gang || !p.ready(&w, j) || w.mayRunUnseen(j) || !w.unitsAllow(j, 1) || !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) ||
-			w.Now-j.AcceptedAt < preemptAfter || (j.PreemptedAt > 0 && w.Now-j.PreemptedAt < preemptPause) {
+			w.Now-j.AcceptedAt < minWaitToPreempt || (j.PreemptedAt > 0 && w.Now-j.PreemptedAt < preemptPause) {
 			continue
 		}
 		if !pooled {
