--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -12,7 +12,7 @@
 const (
 	minWaitToPreempt = time.Second     // a job waits at least this long before others are stopped for it
 	preemptPause     = 5 * time.Second // between two rounds for one job: stopping takes time
-	littleLost       = 5 * time.Second // a task without checkpoints that has run for less may be stopped
+	maxLostRuntime   = 5 * time.Second // a task without checkpoints that has run for less may be stopped
 	victimsMost      = 8               // at once for one job
 )
 
@@ -75,7 +75,7 @@
 		}
 		for _, v := range m.Tasks {
 			o := w.Jobs.At(v.Ref.Job)
-			if !stoppable(o, v) || o.Saved[v.Ref.Task] > 0 || (o.Record.Checkpoint == 0 && w.Now-v.RanAt > littleLost) {
+			if !stoppable(o, v) || o.Saved[v.Ref.Task] > 0 || (o.Record.Checkpoint == 0 && w.Now-v.RanAt > maxLostRuntime) {
 				continue
 			}
 			pool = append(pool, v)
