--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -13,7 +13,7 @@
 	minWaitToPreempt = time.Second     // a job waits at least this long before others are stopped for it
 	preemptPause     = 5 * time.Second // between two rounds for one job: stopping takes time
 	maxLostRuntime   = 5 * time.Second // a task without checkpoints that has run for less may be stopped
-	victimsMost      = 8               // at once for one job
+	maxVictims       = 8               // at once for one job
 )
 
 // Preempt returns the tasks to be stopped so that jobs get room which the
@@ -128,7 +128,7 @@
 			out = append(out, chosen[m]...)
 			chosen[m], freed[m] = nil, resources.Amounts{}.Minus(m.Free) // counted: the rest adds from nothing
 		}
-		if got >= j.Waiting || len(out) >= victimsMost {
+		if got >= j.Waiting || len(out) >= maxVictims {
 			break
 		}
 	}
