--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -36,7 +36,7 @@
 	}
 	for _, i := range order {
 		if p.exhaustive && !pooled {
-			pool, lowest = p.pool(&w)
+			pool, lowest = p.preemptible(&w)
 			pooled = true
 		}
 		if p.ranks[i] <= lowest {
@@ -48,7 +48,7 @@
 			continue
 		}
 		if !pooled {
-			pool, lowest = p.pool(&w)
+			pool, lowest = p.preemptible(&w)
 			if pooled = true; p.ranks[i] <= lowest {
 				break
 			}
@@ -65,9 +65,9 @@
 	return out
 }
 
-// pool lists the tasks that may be stopped for somebody, and the lowest rank
+// preemptible lists the tasks that may be stopped for somebody, and the lowest rank
 // of their jobs.
-func (p *Scheduler) pool(w *Snapshot) (pool []*workers.Placement, lowest int8) {
+func (p *Scheduler) preemptible(w *Snapshot) (pool []*workers.Placement, lowest int8) {
 	lowest = 127
 	for _, m := range w.Inventory.All() {
 		if !m.Usable(w.Now, w.SuspectAfter) {
