--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -86,7 +86,7 @@
 		for _, t := range m.Tasks {
 			j := w.Jobs.At(t.Ref.Job)
 			left := RemainingTime(w.Now, j, t)
-			if !stoppable(j, t) || j.ZoneRule() || j.Record.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < moveAfter || left < moveTakes || waits[j.Team] || !place(j) {
+			if !restartable(j, t) || j.ZoneRule() || j.Record.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < moveAfter || left < moveTakes || waits[j.Team] || !place(j) {
 				all = false
 				break
 			}
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -75,7 +75,7 @@
 		}
 		for _, v := range m.Tasks {
 			o := w.Jobs.At(v.Ref.Job)
-			if !stoppable(o, v) || o.Saved[v.Ref.Task] > 0 || (o.Record.Checkpoint == 0 && w.Now-v.RanAt > maxLostRuntime) {
+			if !restartable(o, v) || o.Saved[v.Ref.Task] > 0 || (o.Record.Checkpoint == 0 && w.Now-v.RanAt > maxLostRuntime) {
 				continue
 			}
 			pool = append(pool, v)
@@ -85,9 +85,9 @@
 	return pool, lowest
 }
 
-// stoppable says whether a task runs that may be stopped and run again
+// restartable says whether a task runs that may be stopped and run again
 // elsewhere: gangs and services never are.
-func stoppable(j *jobs.Job, t *workers.Placement) bool {
+func restartable(j *jobs.Job, t *workers.Placement) bool {
 	return !t.Planned && !t.Stopping && t.Runs() && j.Record.Kind == jobs.Array && j.Phase == jobs.Open
 }
 
