--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -53,7 +53,7 @@
 				break
 			}
 		}
-		if victims := p.victims(&w, j, pool); len(victims) > 0 {
+		if victims := p.chooseVictims(&w, j, pool); len(victims) > 0 {
 			j.PreemptedAt = w.Now
 			for _, v := range victims {
 				if !slices.Contains(out, v) {
@@ -91,7 +91,7 @@
 	return !t.Planned && !t.Stopping && t.Runs() && j.Record.Kind == jobs.Array && j.Phase == jobs.Open
 }
 
-func (p *Scheduler) victims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
+func (p *Scheduler) chooseVictims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
 	for _, m := range w.Inventory.All() {
 		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.SuspectAfter) && w.couldHost(j, m) {
 			return nil // there is room: it only has to be given
