--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -99,7 +99,7 @@
 	}
 	var list []*workers.Placement
 	for _, v := range pool {
-		if !v.Stopping && w.couldHost(j, v.Machine) && p.mayStop(w, j, v) {
+		if !v.Stopping && w.couldHost(j, v.Machine) && p.mayPreempt(w, j, v) {
 			list = append(list, v)
 		}
 	}
@@ -135,9 +135,9 @@
 	return out
 }
 
-// mayStop says whether a task of the pool may be stopped to make room for a
+// mayPreempt says whether a task of the pool may be stopped to make room for a
 // job.
-func (p *Scheduler) mayStop(w *Snapshot, j *jobs.Job, v *workers.Placement) bool {
+func (p *Scheduler) mayPreempt(w *Snapshot, j *jobs.Job, v *workers.Placement) bool {
 	o := w.Jobs.At(v.Ref.Job)
 	if p.ranks[j.Index] <= p.ranks[o.Index] {
 		return false // the room would go back to the task that was stopped
