--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	moveAfter   = 35 * time.Second // a task that has run for less stays: its start would have been for nothing
-	moveTakes   = 12 * time.Second // saving, the next report, fetching the image
-	movesAtOnce = 16               // machines emptied in one round
+	minRuntimeToMigrate = 35 * time.Second // a task that has run for less stays: its start would have been for nothing
+	moveTakes           = 12 * time.Second // saving, the next report, fetching the image
+	movesAtOnce         = 16               // machines emptied in one round
 )
 
 // RemainingTime is how long a placed task will probably still run.
@@ -86,7 +86,7 @@
 		for _, t := range m.Tasks {
 			j := w.Jobs.At(t.Ref.Job)
 			left := RemainingTime(w.Now, j, t)
-			if !restartable(j, t) || j.ZoneRule() || j.Record.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < moveAfter || left < moveTakes || waits[j.Team] || !place(j) {
+			if !restartable(j, t) || j.ZoneRule() || j.Record.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < minRuntimeToMigrate || left < moveTakes || waits[j.Team] || !place(j) {
 				all = false
 				break
 			}
