--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -11,7 +11,7 @@
 
 const (
 	minRuntimeToMigrate = 35 * time.Second // a task that has run for less stays: its start would have been for nothing
-	moveTakes           = 12 * time.Second // saving, the next report, fetching the image
+	migrationTime       = 12 * time.Second // saving, the next report, fetching the image
 	movesAtOnce         = 16               // machines emptied in one round
 )
 
@@ -86,7 +86,7 @@
 		for _, t := range m.Tasks {
 			j := w.Jobs.At(t.Ref.Job)
 			left := RemainingTime(w.Now, j, t)
-			if !restartable(j, t) || j.ZoneRule() || j.Record.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < minRuntimeToMigrate || left < moveTakes || waits[j.Team] || !place(j) {
+			if !restartable(j, t) || j.ZoneRule() || j.Record.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < minRuntimeToMigrate || left < migrationTime || waits[j.Team] || !place(j) {
 				all = false
 				break
 			}
@@ -94,7 +94,7 @@
 			list = append(list, t)
 		}
 		used := m.Cap.CPU - m.Free.CPU
-		if !all || float64(m.Free.CPU)*(last-moveTakes).Seconds() < float64(used)*2*moveTakes.Seconds() {
+		if !all || float64(m.Free.CPU)*(last-migrationTime).Seconds() < float64(used)*2*migrationTime.Seconds() {
 			copy(rooms, before)
 			continue
 		}
