--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -12,7 +12,7 @@
 const (
 	minRuntimeToMigrate = 35 * time.Second // a task that has run for less stays: its start would have been for nothing
 	migrationTime       = 12 * time.Second // saving, the next report, fetching the image
-	movesAtOnce         = 16               // machines emptied in one round
+	maxMachinesEmptied  = 16               // machines emptied in one round
 )
 
 // RemainingTime is how long a placed task will probably still run.
@@ -76,7 +76,7 @@
 	var out []*workers.Placement
 	emptied := 0
 	for _, m := range drain {
-		if emptied == movesAtOnce {
+		if emptied == maxMachinesEmptied {
 			break
 		}
 		before := slices.Clone(rooms)
