--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -15,8 +15,8 @@
 // in the answer to the very report for which the leader made the offer, and
 // one offer is started once.
 type ShardHolder struct {
-	held  map[string]lease
-	taken map[uint64]time.Duration
+	leases map[string]lease
+	taken  map[uint64]time.Duration
 }
 
 type lease struct {
@@ -30,17 +30,17 @@
 
 // NewShardHolder makes a holder of an empty block.
 func NewShardHolder() *ShardHolder {
-	return &ShardHolder{held: map[string]lease{}, taken: map[uint64]time.Duration{}}
+	return &ShardHolder{leases: map[string]lease{}, taken: map[uint64]time.Duration{}}
 }
 
 // Renew notes that the leader answered a report of a machine: it is ours
 // until then, under this token.
 func (h *ShardHolder) Renew(machine string, token uint64, until time.Duration) {
-	h.held[machine] = lease{token, until}
+	h.leases[machine] = lease{token, until}
 }
 
 // Release notes that a machine is in another block.
-func (h *ShardHolder) Release(machine string) { delete(h.held, machine) }
+func (h *ShardHolder) Release(machine string) { delete(h.leases, machine) }
 
 // KeepAlive is the token with which a worker may be answered while the
 // leader cannot be asked, so that its tasks outlive the leader. A worker that
@@ -49,7 +49,7 @@
 // random day on which the leader stood still, a machine began anew under its name and was
 // given its old token here: the next leader took the units of what it had lost for free.
 func (h *ShardHolder) KeepAlive(now time.Duration, r *workers.Report) (uint64, bool) {
-	l, ok := h.held[r.Machine]
+	l, ok := h.leases[r.Machine]
 	return l.token, ok && now < l.until && r.Token > 0 && r.Token <= l.token
 }
 
@@ -85,9 +85,9 @@
 			delete(h.taken, s)
 		}
 	}
-	for m, l := range h.held {
+	for m, l := range h.leases {
 		if now > l.until {
-			delete(h.held, m)
+			delete(h.leases, m)
 		}
 	}
 }
