--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -15,8 +15,8 @@
 // in the answer to the very report for which the leader made the offer, and
 // one offer is started once.
 type ShardHolder struct {
-	leases map[string]lease
-	taken  map[uint64]time.Duration
+	leases   map[string]lease
+	accepted map[uint64]time.Duration
 }
 
 type lease struct {
@@ -30,7 +30,7 @@
 
 // NewShardHolder makes a holder of an empty block.
 func NewShardHolder() *ShardHolder {
-	return &ShardHolder{leases: map[string]lease{}, taken: map[uint64]time.Duration{}}
+	return &ShardHolder{leases: map[string]lease{}, accepted: map[uint64]time.Duration{}}
 }
 
 // Renew notes that the leader answered a report of a machine: it is ours
@@ -62,7 +62,7 @@
 			if o.Here != here {
 				continue
 			}
-			if _, taken := h.taken[o.Serial]; taken {
+			if _, taken := h.accepted[o.Serial]; taken {
 				continue
 			}
 			if !here {
@@ -71,7 +71,7 @@
 				}
 				room = room.Minus(o.Need)
 			}
-			h.taken[o.Serial] = now
+			h.accepted[o.Serial] = now
 			out = append(out, o)
 		}
 	}
@@ -80,9 +80,9 @@
 
 // Tick forgets what is long over.
 func (h *ShardHolder) Tick(now time.Duration) {
-	for s, at := range h.taken {
+	for s, at := range h.accepted {
 		if now-at > takenFor {
-			delete(h.taken, s)
+			delete(h.accepted, s)
 		}
 	}
 	for m, l := range h.leases {
