--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -15,11 +15,11 @@
 // in the answer to the very report for which the leader made the offer, and
 // one offer is started once.
 type ShardHolder struct {
-	leases   map[string]lease
+	leases   map[string]machineLease
 	accepted map[uint64]time.Duration
 }
 
-type lease struct {
+type machineLease struct {
 	token uint64
 	until time.Duration
 }
@@ -30,13 +30,13 @@
 
 // NewShardHolder makes a holder of an empty block.
 func NewShardHolder() *ShardHolder {
-	return &ShardHolder{leases: map[string]lease{}, accepted: map[uint64]time.Duration{}}
+	return &ShardHolder{leases: map[string]machineLease{}, accepted: map[uint64]time.Duration{}}
 }
 
 // Renew notes that the leader answered a report of a machine: it is ours
 // until then, under this token.
 func (h *ShardHolder) Renew(machine string, token uint64, until time.Duration) {
-	h.leases[machine] = lease{token, until}
+	h.leases[machine] = machineLease{token, until}
 }
 
 // Release notes that a machine is in another block.
