--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -26,7 +26,7 @@
 
 // takenFor is how long a taken offer is remembered: far longer than the
 // leader keeps offering it.
-const takenFor = 30 * time.Minute
+const acceptedRetention = 30 * time.Minute
 
 // NewShardHolder makes a holder of an empty block.
 func NewShardHolder() *ShardHolder {
@@ -81,7 +81,7 @@
 // Tick forgets what is long over.
 func (h *ShardHolder) Tick(now time.Duration) {
 	for s, at := range h.accepted {
-		if now-at > takenFor {
+		if now-at > acceptedRetention {
 			delete(h.accepted, s)
 		}
 	}
