--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -18,8 +18,8 @@
 	First float64 // size of a job without any history, in seconds
 }
 
-// Job is what HFSP knows of one job.
-type Job struct {
+// jobEstimate is what HFSP knows of one job.
+type jobEstimate struct {
 	team    int32
 	tasks   int
 	cpus    float64
@@ -40,8 +40,8 @@
 // Estimator holds the sizes of all unfinished jobs, by dense job index.
 type Estimator struct {
 	p       Params
-	Limits  []float64 // processors that a team may use at once, by team; 0 or missing: no limit
-	jobs    []*Job    // nil where there is none
+	Limits  []float64      // processors that a team may use at once, by team; 0 or missing: no limit
+	jobs    []*jobEstimate // nil where there is none
 	order   []int32
 	sorted  bool    // order is as it must be: no virtual size has changed since
 	sumS    float64 // run time of the tasks of finished jobs
@@ -54,7 +54,7 @@
 func New(p Params) *Estimator { return &Estimator{p: p} }
 
 // job returns the job with an index, or nil.
-func (b *Estimator) job(j int32) *Job {
+func (b *Estimator) job(j int32) *jobEstimate {
 	if int(j) >= len(b.jobs) {
 		return nil
 	}
@@ -76,7 +76,7 @@
 // and gets size zero; a gang has no training and keeps its initial size.
 func (b *Estimator) Add(j, team int32, n int, cpus float64, gang bool) {
 	b.nextSeq++
-	job := &Job{team: team, tasks: n, left: n, cpus: max(cpus, 0.001), seq: b.nextSeq}
+	job := &jobEstimate{team: team, tasks: n, left: n, cpus: max(cpus, 0.001), seq: b.nextSeq}
 	switch {
 	case n < b.p.Train && !gang:
 		job.final = true
@@ -253,7 +253,7 @@
 		if limit <= 0 {
 			continue
 		}
-		most := level(claims, limit, func(j *Job) bool { return int(j.team) == team })
+		most := level(claims, limit, func(j *jobEstimate) bool { return int(j.team) == team })
 		for i, c := range claims {
 			if int(c.job.team) == team {
 				claims[i].demand = min(c.demand, most)
@@ -261,7 +261,7 @@
 		}
 	}
 	slices.SortFunc(claims, byDemand)
-	most := level(claims, cpus, func(*Job) bool { return true })
+	most := level(claims, cpus, func(*jobEstimate) bool { return true })
 	for _, c := range claims {
 		c.job.aged = min(c.job.size, c.job.aged+min(c.demand, most)/c.job.cpus*dt)
 	}
@@ -269,7 +269,7 @@
 
 // claim is how many processors a job could use in the virtual cluster.
 type claim struct {
-	job    *Job
+	job    *jobEstimate
 	demand float64
 }
 
@@ -277,7 +277,7 @@
 
 // level is the most that one of the jobs may get where cpus processors are
 // shared max-min fairly among them. The claims come smallest first.
-func level(claims []claim, cpus float64, of func(*Job) bool) float64 {
+func level(claims []claim, cpus float64, of func(*jobEstimate) bool) float64 {
 	n := 0
 	for _, c := range claims {
 		if of(c.job) {
