--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -34,7 +34,7 @@
 
 type sample struct {
 	started float64 // when it began to run; negative: not running
-	took    float64 // negative: not completed
+	runTime float64 // negative: not completed
 }
 
 // Estimator holds the sizes of all unfinished jobs, by dense job index.
@@ -177,7 +177,7 @@
 				took = b.p.First
 			}
 		}
-		job.trained[k].took = took
+		job.trained[k].runTime = took
 	}
 }
 
@@ -193,8 +193,8 @@
 	var sum, open float64
 	for _, s := range job.trained {
 		switch {
-		case s.took >= 0:
-			sum += s.took
+		case s.runTime >= 0:
+			sum += s.runTime
 		case s.started >= 0 && now-s.started >= b.p.Delta:
 			sum += 2 * b.p.Delta
 			open += 0.5
