--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -33,8 +33,8 @@
 }
 
 type sample struct {
-	started float64 // when it began to run; negative: not running
-	runTime float64 // negative: not completed
+	startedAt float64 // when it began to run; negative: not running
+	runTime   float64 // negative: not completed
 }
 
 // Estimator holds the sizes of all unfinished jobs, by dense job index.
@@ -149,15 +149,15 @@
 
 // Began notes that a task started to run.
 func (b *Estimator) Began(j int32, k int, now float64) {
-	if b.Training(j, k) && b.jobs[j].trained[k].started < 0 {
-		b.jobs[j].trained[k].started = now
+	if b.Training(j, k) && b.jobs[j].trained[k].startedAt < 0 {
+		b.jobs[j].trained[k].startedAt = now
 	}
 }
 
 // Lost notes that a task no longer runs and did not complete.
 func (b *Estimator) Lost(j int32, k int) {
 	if b.Training(j, k) {
-		b.jobs[j].trained[k].started = -1
+		b.jobs[j].trained[k].startedAt = -1
 	}
 }
 
@@ -195,7 +195,7 @@
 		switch {
 		case s.runTime >= 0:
 			sum += s.runTime
-		case s.started >= 0 && now-s.started >= b.p.Delta:
+		case s.startedAt >= 0 && now-s.startedAt >= b.p.Delta:
 			sum += 2 * b.p.Delta
 			open += 0.5
 		default:
