--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -39,7 +39,7 @@
 
 // Estimator holds the sizes of all unfinished jobs, by dense job index.
 type Estimator struct {
-	p       Params
+	params  Params
 	Limits  []float64      // processors that a team may use at once, by team; 0 or missing: no limit
 	jobs    []*jobEstimate // nil where there is none
 	order   []int32
@@ -51,7 +51,7 @@
 }
 
 // New makes an empty book.
-func New(p Params) *Estimator { return &Estimator{p: p} }
+func New(p Params) *Estimator { return &Estimator{params: p} }
 
 // job returns the job with an index, or nil.
 func (b *Estimator) job(j int32) *jobEstimate {
@@ -78,16 +78,16 @@
 	b.nextSeq++
 	job := &jobEstimate{team: team, tasks: n, left: n, cpus: max(cpus, 0.001), seq: b.nextSeq}
 	switch {
-	case n < b.p.Train && !gang:
+	case n < b.params.Train && !gang:
 		job.final = true
 	default:
 		if mean, ok := b.Mean(); ok {
-			job.size = float64(n) * b.p.Xi * mean
+			job.size = float64(n) * b.params.Xi * mean
 		} else {
-			job.size = b.p.First
+			job.size = b.params.First
 		}
 		job.skip = gang
-		job.trained = make([]sample, min(n, b.p.Train))
+		job.trained = make([]sample, min(n, b.params.Train))
 		for k := range job.trained {
 			job.trained[k] = sample{-1, -1}
 		}
@@ -104,7 +104,7 @@
 // shown: n·ξ·mean in place of n·ξ·s̄.
 func (b *Estimator) Expect(j int32, mean float64) {
 	if job := b.job(j); job != nil && !job.final {
-		job.size = float64(job.tasks) * b.p.Xi * mean
+		job.size = float64(job.tasks) * b.params.Xi * mean
 		b.sorted = false
 	}
 }
@@ -174,7 +174,7 @@
 			if mean, ok := b.Mean(); ok {
 				took = mean
 			} else {
-				took = b.p.First
+				took = b.params.First
 			}
 		}
 		job.trained[k].runTime = took
@@ -195,8 +195,8 @@
 		switch {
 		case s.runTime >= 0:
 			sum += s.runTime
-		case s.startedAt >= 0 && now-s.startedAt >= b.p.Delta:
-			sum += 2 * b.p.Delta
+		case s.startedAt >= 0 && now-s.startedAt >= b.params.Delta:
+			sum += 2 * b.params.Delta
 			open += 0.5
 		default:
 			return 0, false
