--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -39,15 +39,15 @@
 
 // Estimator holds the sizes of all unfinished jobs, by dense job index.
 type Estimator struct {
-	params  Params
-	Limits  []float64      // processors that a team may use at once, by team; 0 or missing: no limit
-	jobs    []*jobEstimate // nil where there is none
-	order   []int32
-	sorted  bool    // order is as it must be: no virtual size has changed since
-	sumS    float64 // run time of the tasks of finished jobs
-	sumN    float64
-	nextSeq uint64
-	at      float64
+	params          Params
+	Limits          []float64      // processors that a team may use at once, by team; 0 or missing: no limit
+	jobs            []*jobEstimate // nil where there is none
+	order           []int32
+	sorted          bool    // order is as it must be: no virtual size has changed since
+	finishedSeconds float64 // run time of the tasks of finished jobs
+	sumN            float64
+	nextSeq         uint64
+	at              float64
 }
 
 // New makes an empty book.
@@ -69,7 +69,7 @@
 	if b.sumN == 0 {
 		return 0, false
 	}
-	return b.sumS / b.sumN, true
+	return b.finishedSeconds / b.sumN, true
 }
 
 // Add enters a team's job of n tasks, each taking cpus. A job under t tasks is tiny
@@ -121,7 +121,7 @@
 
 // RestoreHistory counts the tasks of a job that finished in an earlier term.
 func (b *Estimator) RestoreHistory(seconds float64, tasks int) {
-	b.sumS += seconds
+	b.finishedSeconds += seconds
 	b.sumN += float64(tasks)
 }
 
