--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -45,7 +45,7 @@
 	order           []int32
 	sorted          bool    // order is as it must be: no virtual size has changed since
 	finishedSeconds float64 // run time of the tasks of finished jobs
-	sumN            float64
+	finishedTasks   float64
 	nextSeq         uint64
 	at              float64
 }
@@ -66,10 +66,10 @@
 
 // Mean is s̄, the mean task time of finished jobs, and whether there is one.
 func (b *Estimator) Mean() (float64, bool) {
-	if b.sumN == 0 {
+	if b.finishedTasks == 0 {
 		return 0, false
 	}
-	return b.finishedSeconds / b.sumN, true
+	return b.finishedSeconds / b.finishedTasks, true
 }
 
 // Add enters a team's job of n tasks, each taking cpus. A job under t tasks is tiny
@@ -122,7 +122,7 @@
 // RestoreHistory counts the tasks of a job that finished in an earlier term.
 func (b *Estimator) RestoreHistory(seconds float64, tasks int) {
 	b.finishedSeconds += seconds
-	b.sumN += float64(tasks)
+	b.finishedTasks += float64(tasks)
 }
 
 // Remove takes out a job; seconds and tasks are what its completed tasks
