--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -46,7 +46,7 @@
 	sorted          bool    // order is as it must be: no virtual size has changed since
 	finishedSeconds float64 // run time of the tasks of finished jobs
 	finishedTasks   float64
-	nextSeq         uint64
+	lastArrival     uint64
 	at              float64
 }
 
@@ -75,8 +75,8 @@
 // Add enters a team's job of n tasks, each taking cpus. A job under t tasks is tiny
 // and gets size zero; a gang has no training and keeps its initial size.
 func (b *Estimator) Add(j, team int32, n int, cpus float64, gang bool) {
-	b.nextSeq++
-	job := &jobEstimate{team: team, tasks: n, left: n, cpus: max(cpus, 0.001), seq: b.nextSeq}
+	b.lastArrival++
+	job := &jobEstimate{team: team, tasks: n, left: n, cpus: max(cpus, 0.001), seq: b.lastArrival}
 	switch {
 	case n < b.params.Train && !gang:
 		job.final = true
