--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -47,7 +47,7 @@
 	finishedSeconds float64 // run time of the tasks of finished jobs
 	finishedTasks   float64
 	lastArrival     uint64
-	at              float64
+	agedAt          float64
 }
 
 // New makes an empty book.
@@ -234,8 +234,8 @@
 // limit would be worked off in the virtual cluster long before the real one,
 // and would stand in the order of their arrival instead of their size.
 func (b *Estimator) Age(now, cpus float64) {
-	dt := now - b.at
-	b.at = now
+	dt := now - b.agedAt
+	b.agedAt = now
 	if dt <= 0 || cpus <= 0 {
 		return
 	}
