--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -253,7 +253,7 @@
 		if limit <= 0 {
 			continue
 		}
-		most := level(claims, limit, func(j *jobEstimate) bool { return int(j.team) == team })
+		most := maxMinLevel(claims, limit, func(j *jobEstimate) bool { return int(j.team) == team })
 		for i, c := range claims {
 			if int(c.job.team) == team {
 				claims[i].demand = min(c.demand, most)
@@ -261,7 +261,7 @@
 		}
 	}
 	slices.SortFunc(claims, byDemand)
-	most := level(claims, cpus, func(*jobEstimate) bool { return true })
+	most := maxMinLevel(claims, cpus, func(*jobEstimate) bool { return true })
 	for _, c := range claims {
 		c.job.aged = min(c.job.size, c.job.aged+min(c.demand, most)/c.job.cpus*dt)
 	}
@@ -275,9 +275,9 @@
 
 func byDemand(a, b claim) int { return cmp.Compare(a.demand, b.demand) }
 
-// level is the most that one of the jobs may get where cpus processors are
+// maxMinLevel is the most that one of the jobs may get where cpus processors are
 // shared max-min fairly among them. The claims come smallest first.
-func level(claims []claim, cpus float64, of func(*jobEstimate) bool) float64 {
+func maxMinLevel(claims []claim, cpus float64, of func(*jobEstimate) bool) float64 {
 	n := 0
 	for _, c := range claims {
 		if of(c.job) {
