--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -14,7 +14,7 @@
 )
 
 // ageEvery is how often the virtual cluster works on.
-const ageEvery = 500 * time.Millisecond
+const agingInterval = 500 * time.Millisecond
 
 // Component is the order in a term.
 type Component struct {
@@ -61,7 +61,7 @@
 
 // Tick ages the sizes.
 func (d *Component) Tick(now time.Duration, _ bool) {
-	if now-d.agedAt >= ageEvery {
+	if now-d.agedAt >= agingInterval {
 		d.agedAt = now
 		d.Estimator.Age(now.Seconds(), d.CPUs())
 	}
