--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -20,31 +20,31 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	finals  map[uint64]float64 // while the log is replayed
-	agedAt  time.Duration
-	sizesAt time.Duration
+	replayedFinalSizes map[uint64]float64 // while the log is replayed
+	agedAt             time.Duration
+	sizesAt            time.Duration
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, finals: map[uint64]float64{}, sizesAt: s.TermBegan}
+	return &Component{State: s, replayedFinalSizes: map[uint64]float64{}, sizesAt: s.TermBegan}
 }
 
 // Replay takes an entry of the log.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	if e.FinalSize != nil {
-		d.finals[e.FinalSize.ID] = e.FinalSize.Size
+		d.replayedFinalSizes[e.FinalSize.ID] = e.FinalSize.Size
 	}
 }
 
 // Begin restores final sizes.
 func (d *Component) Begin(time.Duration) {
-	for id, s := range d.finals {
+	for id, s := range d.replayedFinalSizes {
 		if j := d.Jobs.Find(id); j != nil {
 			d.Estimator.Restore(j.Index, true, s, s)
 		}
 	}
-	d.finals = nil
+	d.replayedFinalSizes = nil
 }
 
 // Restore puts back the virtual sizes that an earlier term wrote down, oldest
