--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -22,12 +22,12 @@
 	*cluster.State
 	replayedFinalSizes map[uint64]float64 // while the log is replayed
 	agedAt             time.Duration
-	sizesAt            time.Duration
+	sizesWrittenAt     time.Duration
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, replayedFinalSizes: map[uint64]float64{}, sizesAt: s.TermBegan}
+	return &Component{State: s, replayedFinalSizes: map[uint64]float64{}, sizesWrittenAt: s.TermBegan}
 }
 
 // Replay takes an entry of the log.
@@ -69,8 +69,8 @@
 
 // AfterCycle writes the virtual sizes down from time to time.
 func (d *Component) AfterCycle(now time.Duration, sure bool) {
-	if sure && now-d.sizesAt >= settings.Seconds(d.Cfg.Tunables.SizesEveryS) {
-		d.sizesAt = now
+	if sure && now-d.sizesWrittenAt >= settings.Seconds(d.Cfg.Tunables.SizesEveryS) {
+		d.sizesWrittenAt = now
 		d.writeSizes()
 	}
 }
