--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	passPause    = 20 * time.Millisecond // between a pass and one that a commit asks for
-	preemptEvery = 500 * time.Millisecond
-	grantIdle    = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
+	minCyclePause = 20 * time.Millisecond // between a pass and one that a commit asks for
+	preemptEvery  = 500 * time.Millisecond
+	grantIdle     = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
 
 	numberBytes = 10 // upper bound for what a machine takes in an entry
 	grantBytes  = 5  // what one takes usually
@@ -162,7 +162,7 @@
 
 // RequestCycle gives room after a commit, unless it was given just now.
 func (d *Component) RequestCycle(now time.Duration) {
-	if d.NeedsCycle && now-d.passAt >= passPause {
+	if d.NeedsCycle && now-d.passAt >= minCyclePause {
 		d.pass(now)
 	}
 }
