--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	minCyclePause = 20 * time.Millisecond // between a pass and one that a commit asks for
-	preemptEvery  = 500 * time.Millisecond
-	grantIdle     = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
+	minCyclePause   = 20 * time.Millisecond // between a pass and one that a commit asks for
+	preemptInterval = 500 * time.Millisecond
+	grantIdle       = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
 
 	numberBytes = 10 // upper bound for what a machine takes in an entry
 	grantBytes  = 5  // what one takes usually
@@ -154,7 +154,7 @@
 		return
 	}
 	d.pass(now)
-	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptAt >= preemptEvery && d.Permits(now, cluster.Preempt) {
+	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptAt >= preemptInterval && d.Permits(now, cluster.Preempt) {
 		d.preemptAt = now
 		d.StopAll(now, d.Scheduler.Preempt(d.Snapshot(now)), cluster.Preempt)
 	}
