--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -15,9 +15,9 @@
 )
 
 const (
-	minCyclePause   = 20 * time.Millisecond // between a pass and one that a commit asks for
-	preemptInterval = 500 * time.Millisecond
-	grantIdle       = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
+	minCyclePause    = 20 * time.Millisecond // between a pass and one that a commit asks for
+	preemptInterval  = 500 * time.Millisecond
+	grantIdleTimeout = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
 
 	numberBytes = 10 // upper bound for what a machine takes in an entry
 	grantBytes  = 5  // what one takes usually
@@ -288,7 +288,7 @@
 // a while, so that a successor that cannot hear it holds back only those that
 // have.
 func (d *Component) withdraw(now time.Duration, m *workers.Machine, r *workers.Report) {
-	for _, id := range m.UnusedGrants(now, grantIdle, r) {
+	for _, id := range m.UnusedGrants(now, grantIdleTimeout, r) {
 		m.RevokeGrant(id)
 		d.granted[id] = slices.DeleteFunc(d.granted[id], func(o *workers.Machine) bool { return o == m })
 		d.withdrawn[id] = append(d.withdrawn[id], m.Number)
