--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -19,8 +19,8 @@
 	preemptInterval  = 500 * time.Millisecond
 	grantIdleTimeout = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
 
-	numberBytes = 10 // upper bound for what a machine takes in an entry
-	grantBytes  = 5  // what one takes usually
+	maxMachineBytes = 10 // upper bound for what a machine takes in an entry
+	grantBytes      = 5  // what one takes usually
 )
 
 // Component gives room in a term.
@@ -262,7 +262,7 @@
 
 // AppendEntries hands new grants, and those taken back, to the log.
 func (d *Component) AppendEntries(time.Duration) {
-	most := max(1, d.EventLog.MaxEntryBytes()/numberBytes-6)
+	most := max(1, d.EventLog.MaxEntryBytes()/maxMachineBytes-6)
 	// First what is taken back: the same machine may have been granted anew.
 	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
 		for part := range slices.Chunk(d.withdrawn[id], most) {
