--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -19,8 +19,8 @@
 	preemptInterval  = 500 * time.Millisecond
 	grantIdleTimeout = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
 
-	maxMachineBytes = 10 // upper bound for what a machine takes in an entry
-	grantBytes      = 5  // what one takes usually
+	maxMachineBytes   = 10 // upper bound for what a machine takes in an entry
+	usualMachineBytes = 5  // what one takes usually
 )
 
 // Component gives room in a term.
@@ -171,7 +171,7 @@
 func (d *Component) LiveBytes() int {
 	live := 0
 	for _, list := range d.granted {
-		live += len(list) * grantBytes
+		live += len(list) * usualMachineBytes
 	}
 	return live
 }
