--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -27,7 +27,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	granting  map[uint64][]*workers.Machine // grants to be noted, by job id
+	newGrants map[uint64][]*workers.Machine // grants to be noted, by job id
 	granted   map[uint64][]*workers.Machine // grants noted or being noted
 	withdrawn map[uint64][]int              // grants to be taken back, by job id: numbers of machines
 	writing   [][]*workers.Machine          // of the grants on their way to the log, in their order
@@ -43,7 +43,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, granting: map[uint64][]*workers.Machine{}, granted: map[uint64][]*workers.Machine{}, withdrawn: map[uint64][]int{},
+	return &Component{State: s, newGrants: map[uint64][]*workers.Machine{}, granted: map[uint64][]*workers.Machine{}, withdrawn: map[uint64][]int{},
 		marks: newMarks(), noted: map[uint64]map[int]bool{}}
 }
 
@@ -138,7 +138,7 @@
 		}
 		delete(d.withdrawn, id)
 		delete(d.granted, id)
-		delete(d.granting, id)
+		delete(d.newGrants, id)
 		d.marks.forget(id)
 	case cluster.HeartbeatApplied:
 		if e.Report.Token == e.Machine.Token {
@@ -253,7 +253,7 @@
 			d.mark(p)
 			if _, noted := m.Grants[p.JobID]; !noted {
 				m.Grants[p.JobID] = false
-				d.granting[p.JobID] = append(d.granting[p.JobID], m)
+				d.newGrants[p.JobID] = append(d.newGrants[p.JobID], m)
 				d.granted[p.JobID] = append(d.granted[p.JobID], m)
 			}
 		}
@@ -270,8 +270,8 @@
 		}
 	}
 	clear(d.withdrawn)
-	for _, id := range slices.Sorted(maps.Keys(d.granting)) {
-		for part := range slices.Chunk(d.granting[id], most) {
+	for _, id := range slices.Sorted(maps.Keys(d.newGrants)) {
+		for part := range slices.Chunk(d.newGrants[id], most) {
 			g := eventlog.Grant{Job: id}
 			for _, m := range part {
 				g.Machines = append(g.Machines, m.Number)
@@ -280,7 +280,7 @@
 			d.EventLog.AppendTracked(eventlog.Entry{Grant: &g})
 		}
 	}
-	clear(d.granting)
+	clear(d.newGrants)
 	d.writeMarks()
 }
 
