--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -28,7 +28,7 @@
 	cluster.NopComponent
 	*cluster.State
 	newGrants map[uint64][]*workers.Machine // grants to be noted, by job id
-	granted   map[uint64][]*workers.Machine // grants noted or being noted
+	grants    map[uint64][]*workers.Machine // grants noted or being noted
 	withdrawn map[uint64][]int              // grants to be taken back, by job id: numbers of machines
 	writing   [][]*workers.Machine          // of the grants on their way to the log, in their order
 	planned   []*workers.Placement          // by the pass under way
@@ -43,7 +43,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, newGrants: map[uint64][]*workers.Machine{}, granted: map[uint64][]*workers.Machine{}, withdrawn: map[uint64][]int{},
+	return &Component{State: s, newGrants: map[uint64][]*workers.Machine{}, grants: map[uint64][]*workers.Machine{}, withdrawn: map[uint64][]int{},
 		marks: newMarks(), noted: map[uint64]map[int]bool{}}
 }
 
@@ -78,7 +78,7 @@
 			case !open || m == nil || m.Resolved || n == 0:
 			case j != nil:
 				m.Grants[id] = true
-				d.granted[id] = append(d.granted[id], m)
+				d.grants[id] = append(d.grants[id], m)
 				j.UnresolvedMachines++
 				if !slices.Contains(m.ClaimedByTeams, j.Team) {
 					m.ClaimedByTeams = append(m.ClaimedByTeams, j.Team)
@@ -133,11 +133,11 @@
 	switch e.Kind {
 	case cluster.JobRemoved:
 		id := e.Job.Record.ID
-		for _, m := range d.granted[id] {
+		for _, m := range d.grants[id] {
 			m.RevokeGrant(id)
 		}
 		delete(d.withdrawn, id)
-		delete(d.granted, id)
+		delete(d.grants, id)
 		delete(d.newGrants, id)
 		d.marks.forget(id)
 	case cluster.HeartbeatApplied:
@@ -170,7 +170,7 @@
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
 func (d *Component) LiveBytes() int {
 	live := 0
-	for _, list := range d.granted {
+	for _, list := range d.grants {
 		live += len(list) * usualMachineBytes
 	}
 	return live
@@ -254,7 +254,7 @@
 			if _, noted := m.Grants[p.JobID]; !noted {
 				m.Grants[p.JobID] = false
 				d.newGrants[p.JobID] = append(d.newGrants[p.JobID], m)
-				d.granted[p.JobID] = append(d.granted[p.JobID], m)
+				d.grants[p.JobID] = append(d.grants[p.JobID], m)
 			}
 		}
 	}
@@ -290,7 +290,7 @@
 func (d *Component) withdraw(now time.Duration, m *workers.Machine, r *workers.Report) {
 	for _, id := range m.UnusedGrants(now, grantIdleTimeout, r) {
 		m.RevokeGrant(id)
-		d.granted[id] = slices.DeleteFunc(d.granted[id], func(o *workers.Machine) bool { return o == m })
+		d.grants[id] = slices.DeleteFunc(d.grants[id], func(o *workers.Machine) bool { return o == m })
 		d.withdrawn[id] = append(d.withdrawn[id], m.Number)
 	}
 }
