--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -29,7 +29,7 @@
 	*cluster.State
 	newGrants map[uint64][]*workers.Machine // grants to be noted, by job id
 	grants    map[uint64][]*workers.Machine // grants noted or being noted
-	withdrawn map[uint64][]int              // grants to be taken back, by job id: numbers of machines
+	revoked   map[uint64][]int              // grants to be taken back, by job id: numbers of machines
 	writing   [][]*workers.Machine          // of the grants on their way to the log, in their order
 	planned   []*workers.Placement          // by the pass under way
 	passAt    time.Duration
@@ -43,7 +43,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, newGrants: map[uint64][]*workers.Machine{}, grants: map[uint64][]*workers.Machine{}, withdrawn: map[uint64][]int{},
+	return &Component{State: s, newGrants: map[uint64][]*workers.Machine{}, grants: map[uint64][]*workers.Machine{}, revoked: map[uint64][]int{},
 		marks: newMarks(), noted: map[uint64]map[int]bool{}}
 }
 
@@ -136,7 +136,7 @@
 		for _, m := range d.grants[id] {
 			m.RevokeGrant(id)
 		}
-		delete(d.withdrawn, id)
+		delete(d.revoked, id)
 		delete(d.grants, id)
 		delete(d.newGrants, id)
 		d.marks.forget(id)
@@ -264,12 +264,12 @@
 func (d *Component) AppendEntries(time.Duration) {
 	most := max(1, d.EventLog.MaxEntryBytes()/maxMachineBytes-6)
 	// First what is taken back: the same machine may have been granted anew.
-	for _, id := range slices.Sorted(maps.Keys(d.withdrawn)) {
-		for part := range slices.Chunk(d.withdrawn[id], most) {
+	for _, id := range slices.Sorted(maps.Keys(d.revoked)) {
+		for part := range slices.Chunk(d.revoked[id], most) {
 			d.EventLog.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: part, Revoked: true}})
 		}
 	}
-	clear(d.withdrawn)
+	clear(d.revoked)
 	for _, id := range slices.Sorted(maps.Keys(d.newGrants)) {
 		for part := range slices.Chunk(d.newGrants[id], most) {
 			g := eventlog.Grant{Job: id}
@@ -291,6 +291,6 @@
 	for _, id := range m.UnusedGrants(now, grantIdleTimeout, r) {
 		m.RevokeGrant(id)
 		d.grants[id] = slices.DeleteFunc(d.grants[id], func(o *workers.Machine) bool { return o == m })
-		d.withdrawn[id] = append(d.withdrawn[id], m.Number)
+		d.revoked[id] = append(d.revoked[id], m.Number)
 	}
 }
--- a/internal/leader/placement/placement_test.go
+++ b/internal/leader/placement/placement_test.go
@@ -22,7 +22,7 @@
 	for n := range 900 {
 		m := &workers.Machine{Number: 900000000 + n, Grants: map[uint64]bool{1: false}}
 		all = append(all, m)
-		d.withdrawn[1] = append(d.withdrawn[1], m.Number)
+		d.revoked[1] = append(d.revoked[1], m.Number)
 		d.newGrants[1], d.grants[1] = append(d.newGrants[1], m), append(d.grants[1], m)
 	}
 	d.AppendEntries(0)
