--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -27,13 +27,13 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	newGrants map[uint64][]*workers.Machine // grants to be noted, by job id
-	grants    map[uint64][]*workers.Machine // grants noted or being noted
-	revoked   map[uint64][]int              // grants to be taken back, by job id: numbers of machines
-	writing   [][]*workers.Machine          // of the grants on their way to the log, in their order
-	planned   []*workers.Placement          // by the pass under way
-	passAt    time.Duration
-	preemptAt time.Duration
+	newGrants      map[uint64][]*workers.Machine // grants to be noted, by job id
+	grants         map[uint64][]*workers.Machine // grants noted or being noted
+	revoked        map[uint64][]int              // grants to be taken back, by job id: numbers of machines
+	grantsInFlight [][]*workers.Machine          // of the grants on their way to the log, in their order
+	planned        []*workers.Placement          // by the pass under way
+	passAt         time.Duration
+	preemptAt      time.Duration
 
 	marks marks
 
@@ -117,8 +117,8 @@
 	if e.Grant == nil {
 		return
 	}
-	machines := d.writing[0]
-	d.writing = d.writing[1:]
+	machines := d.grantsInFlight[0]
+	d.grantsInFlight = d.grantsInFlight[1:]
 	if d.Jobs.Find(e.Grant.Job) == nil {
 		return
 	}
@@ -276,7 +276,7 @@
 			for _, m := range part {
 				g.Machines = append(g.Machines, m.Number)
 			}
-			d.writing = append(d.writing, part)
+			d.grantsInFlight = append(d.grantsInFlight, part)
 			d.EventLog.AppendTracked(eventlog.Entry{Grant: &g})
 		}
 	}
