--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -32,7 +32,7 @@
 	revoked        map[uint64][]int              // grants to be taken back, by job id: numbers of machines
 	grantsInFlight [][]*workers.Machine          // of the grants on their way to the log, in their order
 	planned        []*workers.Placement          // by the pass under way
-	passAt         time.Duration
+	cycledAt       time.Duration
 	preemptAt      time.Duration
 
 	marks marks
@@ -162,7 +162,7 @@
 
 // RequestCycle gives room after a commit, unless it was given just now.
 func (d *Component) RequestCycle(now time.Duration) {
-	if d.NeedsCycle && now-d.passAt >= minCyclePause {
+	if d.NeedsCycle && now-d.cycledAt >= minCyclePause {
 		d.pass(now)
 	}
 }
@@ -208,7 +208,7 @@
 // time of its job is granted there.
 func (d *Component) pass(now time.Duration) {
 	d.NeedsCycle = false
-	d.passAt = now
+	d.cycledAt = now
 	d.planned = d.planned[:0]
 	w := d.Snapshot(now)
 	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
