--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -33,7 +33,7 @@
 	grantsInFlight [][]*workers.Machine          // of the grants on their way to the log, in their order
 	planned        []*workers.Placement          // by the pass under way
 	cycledAt       time.Duration
-	preemptAt      time.Duration
+	preemptedAt    time.Duration
 
 	marks marks
 
@@ -154,8 +154,8 @@
 		return
 	}
 	d.pass(now)
-	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptAt >= preemptInterval && d.Permits(now, cluster.Preempt) {
-		d.preemptAt = now
+	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptedAt >= preemptInterval && d.Permits(now, cluster.Preempt) {
+		d.preemptedAt = now
 		d.StopAll(now, d.Scheduler.Preempt(d.Snapshot(now)), cluster.Preempt)
 	}
 }
