--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -37,14 +37,14 @@
 
 	marks marks
 
-	noted    map[uint64]map[int]bool  // while the log is replayed
-	byNumber map[int]*workers.Machine // while the log is cleaned
+	replayedGrants map[uint64]map[int]bool  // while the log is replayed
+	byNumber       map[int]*workers.Machine // while the log is cleaned
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, newGrants: map[uint64][]*workers.Machine{}, grants: map[uint64][]*workers.Machine{}, revoked: map[uint64][]int{},
-		marks: newMarks(), noted: map[uint64]map[int]bool{}}
+		marks: newMarks(), replayedGrants: map[uint64]map[int]bool{}}
 }
 
 // Replay takes an entry of the log.
@@ -55,10 +55,10 @@
 	if e.Grant == nil {
 		return
 	}
-	g := d.noted[e.Grant.Job]
+	g := d.replayedGrants[e.Grant.Job]
 	if g == nil {
 		g = map[int]bool{}
-		d.noted[e.Grant.Job] = g
+		d.replayedGrants[e.Grant.Job] = g
 	}
 	for _, n := range e.Grant.Machines {
 		g[n] = !e.Grant.Revoked
@@ -69,7 +69,7 @@
 // machine is resolved, what is not seen of the job may be there.
 func (d *Component) Begin(time.Duration) {
 	byNumber := d.numbered()
-	for id, list := range d.noted {
+	for id, list := range d.replayedGrants {
 		j := d.Jobs.Find(id)
 		for n, open := range list {
 			d.LastMachineNumber = max(d.LastMachineNumber, n)
@@ -92,7 +92,7 @@
 			}
 		}
 	}
-	d.noted = nil
+	d.replayedGrants = nil
 	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
 			d.AddUnresolved(m)
