--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -37,8 +37,8 @@
 
 	marks marks
 
-	replayedGrants map[uint64]map[int]bool  // while the log is replayed
-	byNumber       map[int]*workers.Machine // while the log is cleaned
+	replayedGrants    map[uint64]map[int]bool  // while the log is replayed
+	compactedMachines map[int]*workers.Machine // while the log is cleaned
 }
 
 // New makes the duty of a term.
@@ -184,12 +184,12 @@
 	if e.Grant == nil || e.Grant.Revoked {
 		return
 	}
-	if d.byNumber == nil {
-		d.byNumber = d.numbered()
+	if d.compactedMachines == nil {
+		d.compactedMachines = d.numbered()
 	}
 	g := eventlog.Grant{Job: e.Grant.Job}
 	for _, number := range e.Grant.Machines {
-		if m := d.byNumber[number]; m != nil && (m.Grants[g.Job] || !m.Resolved) {
+		if m := d.compactedMachines[number]; m != nil && (m.Grants[g.Job] || !m.Resolved) {
 			g.Machines = append(g.Machines, number)
 		}
 	}
@@ -200,7 +200,7 @@
 
 // CompactionDone forgets what the cleaning needed.
 func (d *Component) CompactionDone() {
-	d.byNumber = nil
+	d.compactedMachines = nil
 	d.marks.kept = false
 }
 
