--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -68,7 +68,7 @@
 // Begin settles which machines may have tasks of which jobs. Until such a
 // machine is resolved, what is not seen of the job may be there.
 func (d *Component) Begin(time.Duration) {
-	byNumber := d.numbered()
+	byNumber := d.machinesByNumber()
 	for id, list := range d.replayedGrants {
 		j := d.Jobs.Find(id)
 		for n, open := range list {
@@ -101,7 +101,7 @@
 	d.beginMarks()
 }
 
-func (d *Component) numbered() map[int]*workers.Machine {
+func (d *Component) machinesByNumber() map[int]*workers.Machine {
 	out := map[int]*workers.Machine{}
 	for _, m := range d.Inventory.All() {
 		out[m.Number] = m
@@ -185,7 +185,7 @@
 		return
 	}
 	if d.compactedMachines == nil {
-		d.compactedMachines = d.numbered()
+		d.compactedMachines = d.machinesByNumber()
 	}
 	g := eventlog.Grant{Job: e.Grant.Job}
 	for _, number := range e.Grant.Machines {
