--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -153,7 +153,7 @@
 	if !d.NeedsCycle {
 		return
 	}
-	d.pass(now)
+	d.runCycle(now)
 	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptedAt >= preemptInterval && d.Permits(now, cluster.Preempt) {
 		d.preemptedAt = now
 		d.StopAll(now, d.Scheduler.Preempt(d.Snapshot(now)), cluster.Preempt)
@@ -163,7 +163,7 @@
 // RequestCycle gives room after a commit, unless it was given just now.
 func (d *Component) RequestCycle(now time.Duration) {
 	if d.NeedsCycle && now-d.cycledAt >= minCyclePause {
-		d.pass(now)
+		d.runCycle(now)
 	}
 }
 
@@ -204,9 +204,9 @@
 	d.marks.kept = false
 }
 
-// pass gives room to waiting tasks. What gets a place on a machine for the first
+// runCycle gives room to waiting tasks. What gets a place on a machine for the first
 // time of its job is granted there.
-func (d *Component) pass(now time.Duration) {
+func (d *Component) runCycle(now time.Duration) {
 	d.NeedsCycle = false
 	d.cycledAt = now
 	d.planned = d.planned[:0]
