--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -142,7 +142,7 @@
 		d.marks.forget(id)
 	case cluster.HeartbeatApplied:
 		if e.Report.Token == e.Machine.Token {
-			d.withdraw(e.At, e.Machine, e.Report)
+			d.revokeIdleGrants(e.At, e.Machine, e.Report)
 		}
 	}
 }
@@ -284,10 +284,10 @@
 	d.writeMarks()
 }
 
-// withdraw takes back the grants of jobs that have had nothing on a machine for
+// revokeIdleGrants takes back the grants of jobs that have had nothing on a machine for
 // a while, so that a successor that cannot hear it holds back only those that
 // have.
-func (d *Component) withdraw(now time.Duration, m *workers.Machine, r *workers.Report) {
+func (d *Component) revokeIdleGrants(now time.Duration, m *workers.Machine, r *workers.Report) {
 	for _, id := range m.UnusedGrants(now, grantIdleTimeout, r) {
 		m.RevokeGrant(id)
 		d.grants[id] = slices.DeleteFunc(d.grants[id], func(o *workers.Machine) bool { return o == m })
