--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -33,9 +33,9 @@
 	markBytes = 32 // upper bound for what a job's mark takes in an entry
 )
 
-// entry is one of the duty's own: marks of some jobs, or the span of terms that
+// markEntry is one of the duty's own: marks of some jobs, or the span of terms that
 // noted theirs.
-type entry struct {
+type markEntry struct {
 	Epoch uint64      `json:"e,omitempty"`
 	Marks [][2]uint64 `json:"m,omitempty"` // id of a job, and its mark
 	From  uint64      `json:"a,omitempty"`
@@ -53,8 +53,8 @@
 	begin   bool                            // the span is to be noted
 	kept    bool                            // it has been, by the cleaning under way
 
-	replayed []entry // while the log is replayed
-	unread   bool    // an entry could not be read
+	replayed []markEntry // while the log is replayed
+	unread   bool        // an entry could not be read
 }
 
 func newMarks() marks {
@@ -69,7 +69,7 @@
 }
 
 func (d *Component) replayMarks(own *eventlog.ComponentEntry) {
-	var e entry
+	var e markEntry
 	if err := json.Unmarshal(own.Data, &e); err != nil {
 		// Without its mark a job would count as never handed out.
 		d.LogMessage(effects.Error, "what was handed out cannot be read: all tasks of all jobs count as handed out", "error", err)
@@ -146,15 +146,15 @@
 	}
 	clear(m.raise)
 	for part := range slices.Chunk(list, max(1, (d.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/markBytes)) {
-		d.appendMarks(entry{Epoch: d.Epoch, Marks: part}, part)
+		d.appendMarks(markEntry{Epoch: d.Epoch, Marks: part}, part)
 	}
 	if m.begin {
 		m.begin = false
-		d.appendMarks(entry{From: m.from, To: d.Epoch}, nil)
+		d.appendMarks(markEntry{From: m.from, To: d.Epoch}, nil)
 	}
 }
 
-func (d *Component) appendMarks(e entry, marks [][2]uint64) {
+func (d *Component) appendMarks(e markEntry, marks [][2]uint64) {
 	d.marks.writing = append(d.marks.writing, marks)
 	d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, e))
 }
@@ -180,13 +180,13 @@
 // keepMarks writes anew what is live of an entry.
 func (d *Component) keepMarks(own *eventlog.ComponentEntry) {
 	m := &d.marks
-	var e entry
+	var e markEntry
 	if !m.on || json.Unmarshal(own.Data, &e) != nil {
 		return
 	}
 	if e.To > 0 && !m.kept {
 		m.kept = true
-		d.appendMarks(entry{From: m.from, To: d.Epoch}, nil)
+		d.appendMarks(markEntry{From: m.from, To: d.Epoch}, nil)
 	}
 	var list [][2]uint64
 	for _, x := range e.Marks {
@@ -195,6 +195,6 @@
 		}
 	}
 	if len(list) > 0 {
-		d.appendMarks(entry{Epoch: d.Epoch, Marks: list}, list)
+		d.appendMarks(markEntry{Epoch: d.Epoch, Marks: list}, list)
 	}
 }
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -123,7 +123,7 @@
 	kept = settle(t, next)
 	spans := 0
 	for _, e := range kept {
-		var x entry
+		var x markEntry
 		if err := json.Unmarshal(e.Component.Data, &x); err != nil {
 			t.Fatal(err)
 		}
