--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -42,7 +42,7 @@
 	To    uint64      `json:"b,omitempty"`
 }
 
-type marks struct {
+type intentMarks struct {
 	on      bool
 	from    uint64                          // the first term of the unbroken span up to this one
 	durable map[uint64]int                  // by job id: tasks below may be handed out
@@ -57,11 +57,11 @@
 	unread   bool        // an entry could not be read
 }
 
-func newMarks() marks {
-	return marks{durable: map[uint64]int{}, wanted: map[uint64]int{}, raise: map[uint64]int{}, waiting: map[uint64][]*workers.Placement{}}
+func newMarks() intentMarks {
+	return intentMarks{durable: map[uint64]int{}, wanted: map[uint64]int{}, raise: map[uint64]int{}, waiting: map[uint64][]*workers.Placement{}}
 }
 
-func (m *marks) forget(id uint64) {
+func (m *intentMarks) forget(id uint64) {
 	delete(m.durable, id)
 	delete(m.wanted, id)
 	delete(m.raise, id)
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -35,7 +35,7 @@
 	cycledAt       time.Duration
 	preemptedAt    time.Duration
 
-	marks marks
+	marks intentMarks
 
 	replayedGrants    map[uint64]map[int]bool  // while the log is replayed
 	compactedMachines map[int]*workers.Machine // while the log is cleaned
