--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -28,9 +28,9 @@
 const Name = "placing"
 
 const (
-	minMarkMargin = 8  // a mark is beyond the task that needs it by so many tasks at least,
-	markShare     = 8  // or by one in so many of those before it: few starts wait for a mark
-	markBytes     = 32 // upper bound for what a job's mark takes in an entry
+	minMarkMargin   = 8  // a mark is beyond the task that needs it by so many tasks at least,
+	markMarginShare = 8  // or by one in so many of those before it: few starts wait for a mark
+	markBytes       = 32 // upper bound for what a job's mark takes in an entry
 )
 
 // markEntry is one of the duty's own: marks of some jobs, or the span of terms that
@@ -131,7 +131,7 @@
 	j := d.Jobs.At(p.Ref.Job)
 	to := len(j.Tasks)
 	if j.Record.Kind == jobs.Array {
-		to = min(to, k+1+max(minMarkMargin, (k+1)/markShare))
+		to = min(to, k+1+max(minMarkMargin, (k+1)/markMarginShare))
 	}
 	m.wanted[id], m.raise[id] = to, to
 }
