--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -30,7 +30,7 @@
 const (
 	minMarkMargin   = 8  // a mark is beyond the task that needs it by so many tasks at least,
 	markMarginShare = 8  // or by one in so many of those before it: few starts wait for a mark
-	markBytes       = 32 // upper bound for what a job's mark takes in an entry
+	maxMarkBytes    = 32 // upper bound for what a job's mark takes in an entry
 )
 
 // markEntry is one of the duty's own: marks of some jobs, or the span of terms that
@@ -145,7 +145,7 @@
 		list = append(list, [2]uint64{id, uint64(m.raise[id])})
 	}
 	clear(m.raise)
-	for part := range slices.Chunk(list, max(1, (d.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/markBytes)) {
+	for part := range slices.Chunk(list, max(1, (d.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/maxMarkBytes)) {
 		d.appendMarks(markEntry{Epoch: d.Epoch, Marks: part}, part)
 	}
 	if m.begin {
