--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -79,8 +79,8 @@
 	d.marks.replayed = append(d.marks.replayed, e)
 }
 
-// beginMarks settles what earlier terms can have handed out.
-func (d *Component) beginMarks() {
+// recoverMarks settles what earlier terms can have handed out.
+func (d *Component) recoverMarks() {
 	m := &d.marks
 	m.on = d.Cfg.Tunables.NoteTasks == 1
 	for _, e := range m.replayed {
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -98,7 +98,7 @@
 			d.AddUnresolved(m)
 		}
 	}
-	d.beginMarks()
+	d.recoverMarks()
 }
 
 func (d *Component) machinesByNumber() map[int]*workers.Machine {
