--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -118,8 +118,8 @@
 	m.begin = m.on
 }
 
-// mark settles whether a plan may be offered, and raises its job's mark if not.
-func (d *Component) mark(p *workers.Placement) {
+// markPlan settles whether a plan may be offered, and raises its job's mark if not.
+func (d *Component) markPlan(p *workers.Placement) {
 	m, id, k := &d.marks, p.JobID, int(p.Ref.Task)
 	if p.IntentDurable = !m.on || k < m.durable[id]; p.IntentDurable {
 		return
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -57,7 +57,7 @@
 
 func plan(d *Component, id uint64, task int32) *workers.Placement {
 	p := &workers.Placement{Ref: workers.Ref{Job: d.Jobs.Find(id).Index, Task: task}, JobID: id}
-	d.mark(p)
+	d.markPlan(p)
 	return p
 }
 
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -250,7 +250,7 @@
 			if p.StartNow {
 				d.DispatchQueue = append(d.DispatchQueue, p)
 			}
-			d.mark(p)
+			d.markPlan(p)
 			if _, noted := m.Grants[p.JobID]; !noted {
 				m.Grants[p.JobID] = false
 				d.newGrants[p.JobID] = append(d.newGrants[p.JobID], m)
