--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -159,8 +159,8 @@
 	d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, e))
 }
 
-// marked lets the plans be offered that the marks which are durable now cover.
-func (d *Component) marked() {
+// marksDurable lets the plans be offered that the marks which are durable now cover.
+func (d *Component) marksDurable() {
 	m := &d.marks
 	list := m.writing[0]
 	m.writing = m.writing[1:]
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -112,7 +112,7 @@
 // EntryDurable lets the tasks of a grant that is noted start.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Component != nil {
-		d.marked()
+		d.marksDurable()
 	}
 	if e.Grant == nil {
 		return
