--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -177,8 +177,8 @@
 	}
 }
 
-// keepMarks writes anew what is live of an entry.
-func (d *Component) keepMarks(own *eventlog.ComponentEntry) {
+// compactMarks writes anew what is live of an entry.
+func (d *Component) compactMarks(own *eventlog.ComponentEntry) {
 	m := &d.marks
 	var e markEntry
 	if !m.on || json.Unmarshal(own.Data, &e) != nil {
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -179,7 +179,7 @@
 // Compact writes anew what is live of an entry.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
-		d.keepMarks(e.Component)
+		d.compactMarks(e.Component)
 	}
 	if e.Grant == nil || e.Grant.Revoked {
 		return
