--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -20,16 +20,16 @@
 
 // jobEstimate is what HFSP knows of one job.
 type jobEstimate struct {
-	team    int32
-	tasks   int
-	cpus    float64
-	left    int // tasks not completed
-	skip    bool
-	final   bool
-	size    float64 // S_i, then S_f
-	aged    float64 // virtual work done so far
-	seq     uint64
-	trained []sample
+	team      int32
+	tasks     int
+	cpus      float64
+	left      int // tasks not completed
+	untrained bool
+	final     bool
+	size      float64 // S_i, then S_f
+	aged      float64 // virtual work done so far
+	seq       uint64
+	trained   []sample
 }
 
 type sample struct {
@@ -86,7 +86,7 @@
 		} else {
 			job.size = b.params.First
 		}
-		job.skip = gang
+		job.untrained = gang
 		job.trained = make([]sample, min(n, b.params.Train))
 		for k := range job.trained {
 			job.trained[k] = sample{-1, -1}
@@ -141,7 +141,7 @@
 // Training says whether task k of job j is one that trains its size.
 func (b *Estimator) Training(j int32, k int) bool {
 	job := b.job(j)
-	return job != nil && !job.final && !job.skip && k < len(job.trained)
+	return job != nil && !job.final && !job.untrained && k < len(job.trained)
 }
 
 // InTraining says whether the job's size is still to be set from training.
@@ -187,7 +187,7 @@
 // size and true when it was set by this call; it is set only once.
 func (b *Estimator) Settle(j int32, now float64) (float64, bool) {
 	job := b.job(j)
-	if job == nil || job.final || job.skip {
+	if job == nil || job.final || job.untrained {
 		return 0, false
 	}
 	var sum, open float64
