--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -23,7 +23,7 @@
 	team      int32
 	tasks     int
 	cpus      float64
-	left      int // tasks not completed
+	tasksLeft int // tasks not completed
 	untrained bool
 	final     bool
 	size      float64 // S_i, then S_f
@@ -76,7 +76,7 @@
 // and gets size zero; a gang has no training and keeps its initial size.
 func (b *Estimator) Add(j, team int32, n int, cpus float64, gang bool) {
 	b.lastArrival++
-	job := &jobEstimate{team: team, tasks: n, left: n, cpus: max(cpus, 0.001), seq: b.lastArrival}
+	job := &jobEstimate{team: team, tasks: n, tasksLeft: n, cpus: max(cpus, 0.001), seq: b.lastArrival}
 	switch {
 	case n < b.params.Train && !gang:
 		job.final = true
@@ -168,7 +168,7 @@
 	if job == nil {
 		return
 	}
-	job.left--
+	job.tasksLeft--
 	if b.Training(j, k) {
 		if took < 0 {
 			if mean, ok := b.Mean(); ok {
@@ -243,7 +243,7 @@
 	for _, j := range b.order {
 		job := b.job(j)
 		if rest := job.size - job.aged; rest > 0 {
-			parallel := min(float64(job.left), math.Ceil(rest/dt))
+			parallel := min(float64(job.tasksLeft), math.Ceil(rest/dt))
 			claims = append(claims, claim{job, max(parallel, 1) * job.cpus})
 		}
 	}
