--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -28,7 +28,7 @@
 	final     bool
 	size      float64 // S_i, then S_f
 	aged      float64 // virtual work done so far
-	seq       uint64
+	arrival   uint64
 	trained   []sample
 }
 
@@ -76,7 +76,7 @@
 // and gets size zero; a gang has no training and keeps its initial size.
 func (b *Estimator) Add(j, team int32, n int, cpus float64, gang bool) {
 	b.lastArrival++
-	job := &jobEstimate{team: team, tasks: n, tasksLeft: n, cpus: max(cpus, 0.001), seq: b.lastArrival}
+	job := &jobEstimate{team: team, tasks: n, tasksLeft: n, cpus: max(cpus, 0.001), arrival: b.lastArrival}
 	switch {
 	case n < b.params.Train && !gang:
 		job.final = true
@@ -308,7 +308,7 @@
 		if c := cmp.Compare(max(0, jx.size-jx.aged), max(0, jy.size-jy.aged)); c != 0 {
 			return c
 		}
-		return cmp.Compare(jx.seq, jy.seq)
+		return cmp.Compare(jx.arrival, jy.arrival)
 	})
 	return b.order
 }
