--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -29,7 +29,7 @@
 	size      float64 // S_i, then S_f
 	aged      float64 // virtual work done so far
 	arrival   uint64
-	trained   []sample
+	samples   []sample
 }
 
 type sample struct {
@@ -87,9 +87,9 @@
 			job.size = b.params.First
 		}
 		job.untrained = gang
-		job.trained = make([]sample, min(n, b.params.Train))
-		for k := range job.trained {
-			job.trained[k] = sample{-1, -1}
+		job.samples = make([]sample, min(n, b.params.Train))
+		for k := range job.samples {
+			job.samples[k] = sample{-1, -1}
 		}
 	}
 	for int(j) >= len(b.jobs) {
@@ -141,7 +141,7 @@
 // Training says whether task k of job j is one that trains its size.
 func (b *Estimator) Training(j int32, k int) bool {
 	job := b.job(j)
-	return job != nil && !job.final && !job.untrained && k < len(job.trained)
+	return job != nil && !job.final && !job.untrained && k < len(job.samples)
 }
 
 // InTraining says whether the job's size is still to be set from training.
@@ -149,15 +149,15 @@
 
 // Began notes that a task started to run.
 func (b *Estimator) Began(j int32, k int, now float64) {
-	if b.Training(j, k) && b.jobs[j].trained[k].startedAt < 0 {
-		b.jobs[j].trained[k].startedAt = now
+	if b.Training(j, k) && b.jobs[j].samples[k].startedAt < 0 {
+		b.jobs[j].samples[k].startedAt = now
 	}
 }
 
 // Lost notes that a task no longer runs and did not complete.
 func (b *Estimator) Lost(j int32, k int) {
 	if b.Training(j, k) {
-		b.jobs[j].trained[k].startedAt = -1
+		b.jobs[j].samples[k].startedAt = -1
 	}
 }
 
@@ -177,7 +177,7 @@
 				took = b.params.First
 			}
 		}
-		job.trained[k].runTime = took
+		job.samples[k].runTime = took
 	}
 }
 
@@ -191,7 +191,7 @@
 		return 0, false
 	}
 	var sum, open float64
-	for _, s := range job.trained {
+	for _, s := range job.samples {
 		switch {
 		case s.runTime >= 0:
 			sum += s.runTime
@@ -202,8 +202,8 @@
 			return 0, false
 		}
 	}
-	mean := sum / float64(len(job.trained))
-	job.size = mean * (float64(job.tasks-len(job.trained)) + open)
+	mean := sum / float64(len(job.samples))
+	job.size = mean * (float64(job.tasks-len(job.samples)) + open)
 	job.final = true
 	b.sorted = false
 	return job.size, true
