--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -20,16 +20,16 @@
 
 // jobEstimate is what HFSP knows of one job.
 type jobEstimate struct {
-	team      int32
-	tasks     int
-	cpus      float64
-	tasksLeft int // tasks not completed
-	untrained bool
-	final     bool
-	size      float64 // S_i, then S_f
-	aged      float64 // virtual work done so far
-	arrival   uint64
-	samples   []sample
+	team        int32
+	tasks       int
+	cpus        float64
+	tasksLeft   int // tasks not completed
+	untrained   bool
+	final       bool
+	size        float64 // S_i, then S_f
+	virtualWork float64 // virtual work done so far
+	arrival     uint64
+	samples     []sample
 }
 
 type sample struct {
@@ -115,7 +115,7 @@
 		b.sorted = false
 		job.final = job.final || final
 		job.size = size
-		job.aged = max(0, size-virtual)
+		job.virtualWork = max(0, size-virtual)
 	}
 }
 
@@ -215,7 +215,7 @@
 	if job == nil {
 		return 0
 	}
-	return max(0, job.size-job.aged)
+	return max(0, job.size-job.virtualWork)
 }
 
 // Size is the job's present estimate and whether it is final.
@@ -242,7 +242,7 @@
 	claims := make([]claim, 0, len(b.order))
 	for _, j := range b.order {
 		job := b.job(j)
-		if rest := job.size - job.aged; rest > 0 {
+		if rest := job.size - job.virtualWork; rest > 0 {
 			parallel := min(float64(job.tasksLeft), math.Ceil(rest/dt))
 			claims = append(claims, claim{job, max(parallel, 1) * job.cpus})
 		}
@@ -263,7 +263,7 @@
 	slices.SortFunc(claims, byDemand)
 	most := maxMinLevel(claims, cpus, func(*jobEstimate) bool { return true })
 	for _, c := range claims {
-		c.job.aged = min(c.job.size, c.job.aged+min(c.demand, most)/c.job.cpus*dt)
+		c.job.virtualWork = min(c.job.size, c.job.virtualWork+min(c.demand, most)/c.job.cpus*dt)
 	}
 }
 
@@ -305,7 +305,7 @@
 	b.sorted = true
 	slices.SortFunc(b.order, func(x, y int32) int {
 		jx, jy := b.jobs[x], b.jobs[y]
-		if c := cmp.Compare(max(0, jx.size-jx.aged), max(0, jy.size-jy.aged)); c != 0 {
+		if c := cmp.Compare(max(0, jx.size-jx.virtualWork), max(0, jy.size-jy.virtualWork)); c != 0 {
 			return c
 		}
 		return cmp.Compare(jx.arrival, jy.arrival)
