--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -43,7 +43,7 @@
 }
 
 type intentMarks struct {
-	on      bool
+	enabled bool
 	from    uint64                          // the first term of the unbroken span up to this one
 	durable map[uint64]int                  // by job id: tasks below may be handed out
 	wanted  map[uint64]int                  // the same, noted or being noted
@@ -82,7 +82,7 @@
 // recoverMarks settles what earlier terms can have handed out.
 func (d *Component) recoverMarks() {
 	m := &d.marks
-	m.on = d.Cfg.Tunables.NoteTasks == 1
+	m.enabled = d.Cfg.Tunables.NoteTasks == 1
 	for _, e := range m.replayed {
 		if e.To == d.Epoch-1 && e.From > 0 {
 			m.from = e.From
@@ -112,16 +112,16 @@
 		m.wanted[id] = m.durable[id]
 		j.FreshFrom = m.durable[id]
 	}
-	if !m.on {
+	if !m.enabled {
 		clear(m.raise)
 	}
-	m.begin = m.on
+	m.begin = m.enabled
 }
 
 // markPlan settles whether a plan may be offered, and raises its job's mark if not.
 func (d *Component) markPlan(p *workers.Placement) {
 	m, id, k := &d.marks, p.JobID, int(p.Ref.Task)
-	if p.IntentDurable = !m.on || k < m.durable[id]; p.IntentDurable {
+	if p.IntentDurable = !m.enabled || k < m.durable[id]; p.IntentDurable {
 		return
 	}
 	m.waiting[id] = append(m.waiting[id], p)
@@ -181,7 +181,7 @@
 func (d *Component) compactMarks(own *eventlog.ComponentEntry) {
 	m := &d.marks
 	var e markEntry
-	if !m.on || json.Unmarshal(own.Data, &e) != nil {
+	if !m.enabled || json.Unmarshal(own.Data, &e) != nil {
 		return
 	}
 	if e.To > 0 && !m.kept {
