--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -43,15 +43,15 @@
 }
 
 type intentMarks struct {
-	enabled bool
-	from    uint64                          // the first term of the unbroken span up to this one
-	durable map[uint64]int                  // by job id: tasks below may be handed out
-	wanted  map[uint64]int                  // the same, noted or being noted
-	raise   map[uint64]int                  // to be noted
-	waiting map[uint64][]*workers.Placement // plans that need a higher mark
-	writing [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
-	begin   bool                            // the span is to be noted
-	kept    bool                            // it has been, by the cleaning under way
+	enabled   bool
+	spanStart uint64                          // the first term of the unbroken span up to this one
+	durable   map[uint64]int                  // by job id: tasks below may be handed out
+	wanted    map[uint64]int                  // the same, noted or being noted
+	raise     map[uint64]int                  // to be noted
+	waiting   map[uint64][]*workers.Placement // plans that need a higher mark
+	writing   [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
+	begin     bool                            // the span is to be noted
+	kept      bool                            // it has been, by the cleaning under way
 
 	replayed []markEntry // while the log is replayed
 	unread   bool        // an entry could not be read
@@ -85,20 +85,20 @@
 	m.enabled = d.Cfg.Tunables.NoteTasks == 1
 	for _, e := range m.replayed {
 		if e.To == d.Epoch-1 && e.From > 0 {
-			m.from = e.From
+			m.spanStart = e.From
 		}
 	}
-	whole := m.from > 0 && !m.unread
+	whole := m.spanStart > 0 && !m.unread
 	for _, e := range m.replayed {
 		for _, x := range e.Marks {
-			if j := d.Jobs.Find(x[0]); whole && j != nil && e.Epoch >= m.from {
+			if j := d.Jobs.Find(x[0]); whole && j != nil && e.Epoch >= m.spanStart {
 				m.durable[x[0]] = max(m.durable[x[0]], int(min(x[1], uint64(len(j.Tasks)))))
 			}
 		}
 	}
 	m.replayed = nil
 	if !whole {
-		m.from = d.Epoch
+		m.spanStart = d.Epoch
 	}
 	for _, j := range d.Jobs.All() {
 		if j == nil {
@@ -150,7 +150,7 @@
 	}
 	if m.begin {
 		m.begin = false
-		d.appendMarks(markEntry{From: m.from, To: d.Epoch}, nil)
+		d.appendMarks(markEntry{From: m.spanStart, To: d.Epoch}, nil)
 	}
 }
 
@@ -186,7 +186,7 @@
 	}
 	if e.To > 0 && !m.kept {
 		m.kept = true
-		d.appendMarks(markEntry{From: m.from, To: d.Epoch}, nil)
+		d.appendMarks(markEntry{From: m.spanStart, To: d.Epoch}, nil)
 	}
 	var list [][2]uint64
 	for _, x := range e.Marks {
