--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -46,7 +46,7 @@
 	enabled   bool
 	spanStart uint64                          // the first term of the unbroken span up to this one
 	durable   map[uint64]int                  // by job id: tasks below may be handed out
-	wanted    map[uint64]int                  // the same, noted or being noted
+	requested map[uint64]int                  // the same, noted or being noted
 	raise     map[uint64]int                  // to be noted
 	waiting   map[uint64][]*workers.Placement // plans that need a higher mark
 	writing   [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
@@ -58,12 +58,12 @@
 }
 
 func newMarks() intentMarks {
-	return intentMarks{durable: map[uint64]int{}, wanted: map[uint64]int{}, raise: map[uint64]int{}, waiting: map[uint64][]*workers.Placement{}}
+	return intentMarks{durable: map[uint64]int{}, requested: map[uint64]int{}, raise: map[uint64]int{}, waiting: map[uint64][]*workers.Placement{}}
 }
 
 func (m *intentMarks) forget(id uint64) {
 	delete(m.durable, id)
-	delete(m.wanted, id)
+	delete(m.requested, id)
 	delete(m.raise, id)
 	delete(m.waiting, id)
 }
@@ -109,7 +109,7 @@
 			m.durable[id] = len(j.Tasks)
 			m.raise[id] = len(j.Tasks)
 		}
-		m.wanted[id] = m.durable[id]
+		m.requested[id] = m.durable[id]
 		j.FreshFrom = m.durable[id]
 	}
 	if !m.enabled {
@@ -125,7 +125,7 @@
 		return
 	}
 	m.waiting[id] = append(m.waiting[id], p)
-	if k < m.wanted[id] {
+	if k < m.requested[id] {
 		return
 	}
 	j := d.Jobs.At(p.Ref.Job)
@@ -133,7 +133,7 @@
 	if j.Record.Kind == jobs.Array {
 		to = min(to, k+1+max(minMarkMargin, (k+1)/markMarginShare))
 	}
-	m.wanted[id], m.raise[id] = to, to
+	m.requested[id], m.raise[id] = to, to
 }
 
 // writeMarks hands raised marks to the log, and first of all those of jobs that
@@ -191,7 +191,7 @@
 	var list [][2]uint64
 	for _, x := range e.Marks {
 		if d.Jobs.Find(x[0]) != nil {
-			list = append(list, [2]uint64{x[0], uint64(m.wanted[x[0]])})
+			list = append(list, [2]uint64{x[0], uint64(m.requested[x[0]])})
 		}
 	}
 	if len(list) > 0 {
