--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -47,7 +47,7 @@
 	spanStart uint64                          // the first term of the unbroken span up to this one
 	durable   map[uint64]int                  // by job id: tasks below may be handed out
 	requested map[uint64]int                  // the same, noted or being noted
-	raise     map[uint64]int                  // to be noted
+	unwritten map[uint64]int                  // to be noted
 	waiting   map[uint64][]*workers.Placement // plans that need a higher mark
 	writing   [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
 	begin     bool                            // the span is to be noted
@@ -58,13 +58,13 @@
 }
 
 func newMarks() intentMarks {
-	return intentMarks{durable: map[uint64]int{}, requested: map[uint64]int{}, raise: map[uint64]int{}, waiting: map[uint64][]*workers.Placement{}}
+	return intentMarks{durable: map[uint64]int{}, requested: map[uint64]int{}, unwritten: map[uint64]int{}, waiting: map[uint64][]*workers.Placement{}}
 }
 
 func (m *intentMarks) forget(id uint64) {
 	delete(m.durable, id)
 	delete(m.requested, id)
-	delete(m.raise, id)
+	delete(m.unwritten, id)
 	delete(m.waiting, id)
 }
 
@@ -107,13 +107,13 @@
 		id := j.Record.ID
 		if !whole {
 			m.durable[id] = len(j.Tasks)
-			m.raise[id] = len(j.Tasks)
+			m.unwritten[id] = len(j.Tasks)
 		}
 		m.requested[id] = m.durable[id]
 		j.FreshFrom = m.durable[id]
 	}
 	if !m.enabled {
-		clear(m.raise)
+		clear(m.unwritten)
 	}
 	m.begin = m.enabled
 }
@@ -133,7 +133,7 @@
 	if j.Record.Kind == jobs.Array {
 		to = min(to, k+1+max(minMarkMargin, (k+1)/markMarginShare))
 	}
-	m.requested[id], m.raise[id] = to, to
+	m.requested[id], m.unwritten[id] = to, to
 }
 
 // writeMarks hands raised marks to the log, and first of all those of jobs that
@@ -141,10 +141,10 @@
 func (d *Component) writeMarks() {
 	m := &d.marks
 	var list [][2]uint64
-	for _, id := range slices.Sorted(maps.Keys(m.raise)) {
-		list = append(list, [2]uint64{id, uint64(m.raise[id])})
+	for _, id := range slices.Sorted(maps.Keys(m.unwritten)) {
+		list = append(list, [2]uint64{id, uint64(m.unwritten[id])})
 	}
-	clear(m.raise)
+	clear(m.unwritten)
 	for part := range slices.Chunk(list, max(1, (d.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/maxMarkBytes)) {
 		d.appendMarks(markEntry{Epoch: d.Epoch, Marks: part}, part)
 	}
