--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -43,29 +43,29 @@
 }
 
 type intentMarks struct {
-	enabled   bool
-	spanStart uint64                          // the first term of the unbroken span up to this one
-	durable   map[uint64]int                  // by job id: tasks below may be handed out
-	requested map[uint64]int                  // the same, noted or being noted
-	unwritten map[uint64]int                  // to be noted
-	waiting   map[uint64][]*workers.Placement // plans that need a higher mark
-	writing   [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
-	begin     bool                            // the span is to be noted
-	kept      bool                            // it has been, by the cleaning under way
+	enabled      bool
+	spanStart    uint64                          // the first term of the unbroken span up to this one
+	durable      map[uint64]int                  // by job id: tasks below may be handed out
+	requested    map[uint64]int                  // the same, noted or being noted
+	unwritten    map[uint64]int                  // to be noted
+	waitingPlans map[uint64][]*workers.Placement // plans that need a higher mark
+	writing      [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
+	begin        bool                            // the span is to be noted
+	kept         bool                            // it has been, by the cleaning under way
 
 	replayed []markEntry // while the log is replayed
 	unread   bool        // an entry could not be read
 }
 
 func newMarks() intentMarks {
-	return intentMarks{durable: map[uint64]int{}, requested: map[uint64]int{}, unwritten: map[uint64]int{}, waiting: map[uint64][]*workers.Placement{}}
+	return intentMarks{durable: map[uint64]int{}, requested: map[uint64]int{}, unwritten: map[uint64]int{}, waitingPlans: map[uint64][]*workers.Placement{}}
 }
 
 func (m *intentMarks) forget(id uint64) {
 	delete(m.durable, id)
 	delete(m.requested, id)
 	delete(m.unwritten, id)
-	delete(m.waiting, id)
+	delete(m.waitingPlans, id)
 }
 
 func (d *Component) replayMarks(own *eventlog.ComponentEntry) {
@@ -124,7 +124,7 @@
 	if p.IntentDurable = !m.enabled || k < m.durable[id]; p.IntentDurable {
 		return
 	}
-	m.waiting[id] = append(m.waiting[id], p)
+	m.waitingPlans[id] = append(m.waitingPlans[id], p)
 	if k < m.requested[id] {
 		return
 	}
@@ -170,7 +170,7 @@
 			continue
 		}
 		m.durable[id] = max(m.durable[id], int(x[1]))
-		m.waiting[id] = slices.DeleteFunc(m.waiting[id], func(p *workers.Placement) bool {
+		m.waitingPlans[id] = slices.DeleteFunc(m.waitingPlans[id], func(p *workers.Placement) bool {
 			p.IntentDurable = int(p.Ref.Task) < m.durable[id]
 			return p.IntentDurable
 		})
