--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -49,7 +49,7 @@
 	requested    map[uint64]int                  // the same, noted or being noted
 	unwritten    map[uint64]int                  // to be noted
 	waitingPlans map[uint64][]*workers.Placement // plans that need a higher mark
-	writing      [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
+	inFlight     [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
 	begin        bool                            // the span is to be noted
 	kept         bool                            // it has been, by the cleaning under way
 
@@ -155,15 +155,15 @@
 }
 
 func (d *Component) appendMarks(e markEntry, marks [][2]uint64) {
-	d.marks.writing = append(d.marks.writing, marks)
+	d.marks.inFlight = append(d.marks.inFlight, marks)
 	d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, e))
 }
 
 // marksDurable lets the plans be offered that the marks which are durable now cover.
 func (d *Component) marksDurable() {
 	m := &d.marks
-	list := m.writing[0]
-	m.writing = m.writing[1:]
+	list := m.inFlight[0]
+	m.inFlight = m.inFlight[1:]
 	for _, x := range list {
 		id := x[0]
 		if d.Jobs.Find(id) == nil {
