--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -50,7 +50,7 @@
 	unwritten    map[uint64]int                  // to be noted
 	waitingPlans map[uint64][]*workers.Placement // plans that need a higher mark
 	inFlight     [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
-	begin        bool                            // the span is to be noted
+	spanPending  bool                            // the span is to be noted
 	kept         bool                            // it has been, by the cleaning under way
 
 	replayed []markEntry // while the log is replayed
@@ -115,7 +115,7 @@
 	if !m.enabled {
 		clear(m.unwritten)
 	}
-	m.begin = m.enabled
+	m.spanPending = m.enabled
 }
 
 // markPlan settles whether a plan may be offered, and raises its job's mark if not.
@@ -148,8 +148,8 @@
 	for part := range slices.Chunk(list, max(1, (d.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/maxMarkBytes)) {
 		d.appendMarks(markEntry{Epoch: d.Epoch, Marks: part}, part)
 	}
-	if m.begin {
-		m.begin = false
+	if m.spanPending {
+		m.spanPending = false
 		d.appendMarks(markEntry{From: m.spanStart, To: d.Epoch}, nil)
 	}
 }
