--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -43,15 +43,15 @@
 }
 
 type intentMarks struct {
-	enabled      bool
-	spanStart    uint64                          // the first term of the unbroken span up to this one
-	durable      map[uint64]int                  // by job id: tasks below may be handed out
-	requested    map[uint64]int                  // the same, noted or being noted
-	unwritten    map[uint64]int                  // to be noted
-	waitingPlans map[uint64][]*workers.Placement // plans that need a higher mark
-	inFlight     [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
-	spanPending  bool                            // the span is to be noted
-	kept         bool                            // it has been, by the cleaning under way
+	enabled       bool
+	spanStart     uint64                          // the first term of the unbroken span up to this one
+	durable       map[uint64]int                  // by job id: tasks below may be handed out
+	requested     map[uint64]int                  // the same, noted or being noted
+	unwritten     map[uint64]int                  // to be noted
+	waitingPlans  map[uint64][]*workers.Placement // plans that need a higher mark
+	inFlight      [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
+	spanPending   bool                            // the span is to be noted
+	spanCompacted bool                            // it has been, by the cleaning under way
 
 	replayed []markEntry // while the log is replayed
 	unread   bool        // an entry could not be read
@@ -184,8 +184,8 @@
 	if !m.enabled || json.Unmarshal(own.Data, &e) != nil {
 		return
 	}
-	if e.To > 0 && !m.kept {
-		m.kept = true
+	if e.To > 0 && !m.spanCompacted {
+		m.spanCompacted = true
 		d.appendMarks(markEntry{From: m.spanStart, To: d.Epoch}, nil)
 	}
 	var list [][2]uint64
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -201,7 +201,7 @@
 // CompactionDone forgets what the cleaning needed.
 func (d *Component) CompactionDone() {
 	d.compactedMachines = nil
-	d.marks.kept = false
+	d.marks.spanCompacted = false
 }
 
 // runCycle gives room to waiting tasks. What gets a place on a machine for the first
