--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -53,8 +53,8 @@
 	spanPending   bool                            // the span is to be noted
 	spanCompacted bool                            // it has been, by the cleaning under way
 
-	replayed []markEntry // while the log is replayed
-	unread   bool        // an entry could not be read
+	replayed   []markEntry // while the log is replayed
+	unreadable bool        // an entry could not be read
 }
 
 func newMarks() intentMarks {
@@ -73,7 +73,7 @@
 	if err := json.Unmarshal(own.Data, &e); err != nil {
 		// Without its mark a job would count as never handed out.
 		d.LogMessage(effects.Error, "what was handed out cannot be read: all tasks of all jobs count as handed out", "error", err)
-		d.marks.unread = true
+		d.marks.unreadable = true
 		return
 	}
 	d.marks.replayed = append(d.marks.replayed, e)
@@ -88,7 +88,7 @@
 			m.spanStart = e.From
 		}
 	}
-	whole := m.spanStart > 0 && !m.unread
+	whole := m.spanStart > 0 && !m.unreadable
 	for _, e := range m.replayed {
 		for _, x := range e.Marks {
 			if j := d.Jobs.Find(x[0]); whole && j != nil && e.Epoch >= m.spanStart {
