--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -61,7 +61,7 @@
 	return intentMarks{durable: map[uint64]int{}, requested: map[uint64]int{}, unwritten: map[uint64]int{}, waitingPlans: map[uint64][]*workers.Placement{}}
 }
 
-func (m *intentMarks) forget(id uint64) {
+func (m *intentMarks) forgetJob(id uint64) {
 	delete(m.durable, id)
 	delete(m.requested, id)
 	delete(m.unwritten, id)
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -139,7 +139,7 @@
 		delete(d.revoked, id)
 		delete(d.grants, id)
 		delete(d.newGrants, id)
-		d.marks.forget(id)
+		d.marks.forgetJob(id)
 	case cluster.HeartbeatApplied:
 		if e.Report.Token == e.Machine.Token {
 			d.revokeIdleGrants(e.At, e.Machine, e.Report)
