--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -1,80 +1,96 @@
 package scheduler
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
-	"time"
 )
 
-// accelKept is for how long machines are kept for work that needs their accelerators when
-// none is there.
+// acceleratedNeedRetention is for how long machines are kept for work that needs their
+// accelerators while none is there.
 const acceleratedNeedRetention = 10 * time.Minute
 
+// Bounds for lending places of tasks with accelerators to tasks without.
 const (
-	maxLentSeconds  = 120 // seconds that a task runs at most for which such a place is lent
-	minUnlentPlaces = 8   // places that are never lent
-	unlentShare     = 8   // and one in so many of all
+	maxLentSeconds  = 120 // mean run time, in seconds, up to which a task may be lent a place
+	minUnlentPlaces = 8   // places that are never lent,
+	unlentShare     = 8   // or one in so many of all, if that is more
 )
 
 // Accelerated is the largest need of a task with accelerators: of the jobs there are, or of
-// the last ones for a while after they have left.
-func (p *Scheduler) Accelerated(now time.Duration, t *jobs.Table) resources.Amounts {
-	var most resources.Amounts
-	for _, j := range t.All() {
-		if j != nil && j.Need.GPU > 0 {
-			most = resources.Amounts{CPU: max(most.CPU, j.Need.CPU), GPU: max(most.GPU, j.Need.GPU), Mem: max(most.Mem, j.Need.Mem)}
+// the last ones for acceleratedNeedRetention after they have left.
+func (s *Scheduler) Accelerated(now time.Duration, table *jobs.Table) resources.Amounts {
+	var largest resources.Amounts
+	for _, job := range table.All() {
+		if job != nil && job.Need.GPU > 0 {
+			largest.CPU = max(largest.CPU, job.Need.CPU)
+			largest.GPU = max(largest.GPU, job.Need.GPU)
+			largest.Mem = max(largest.Mem, job.Need.Mem)
 		}
 	}
 	switch {
-	case most.GPU > 0:
-		p.acceleratedNeed, p.acceleratedNeedAt = most, now
-	case now-p.acceleratedNeedAt > acceleratedNeedRetention:
-		p.acceleratedNeed = resources.Amounts{}
+	case largest.GPU > 0:
+		s.acceleratedNeed, s.acceleratedNeedAt = largest, now
+	case now-s.acceleratedNeedAt > acceleratedNeedRetention:
+		s.acceleratedNeed = resources.Amounts{}
 	}
-	return p.acceleratedNeed
+	return s.acceleratedNeed
+}
+
+// keptForAccelerators reports whether a machine is kept for tasks that need its
+// accelerators, before a job that needs none and fits elsewhere: no more of its tasks get
+// there than leave the machine as many places for accelerated tasks as it has in all.
+func (snap *Snapshot) keptForAccelerators(job *jobs.Job, machine *workers.Machine) bool {
+	return machine.Cap.GPU > 0 &&
+		job.Need.GPU == 0 &&
+		job.FitsWithoutGPU &&
+		snap.AcceleratedNeed.GPU > 0
 }
 
-// keptForAccelerators says whether a machine is kept for tasks that need its accelerators, before one
-// that needs none and can be elsewhere: no more of them get there than leave as many of
-// the others their place as it has.
-func (w *Snapshot) keptForAccelerators(j *jobs.Job, m *workers.Machine) bool {
-	return m.Cap.GPU > 0 && j.Need.GPU == 0 && j.FitsWithoutGPU && w.AcceleratedNeed.GPU > 0
+// acceleratedPlaces is how many tasks of the largest need with accelerators fit into room.
+func (snap *Snapshot) acceleratedPlaces(room resources.Amounts) int {
+	return TasksThatFit(snap.AcceleratedNeed, room)
 }
 
-// mayLend says whether one more task that needs no accelerator may have room on a machine
-// that is kept: where it leaves room for as many that do as the machine has, or, for a
-// short while, where more are free than such tasks wait for. Found on a day with gangs on
+// mayLend reports whether one more task that needs no accelerator may be placed on a machine
+// that is kept for those that do: where it leaves as many places for them as the machine has
+// in all, or, for a short task, where it takes none of those left or more are free than
+// accelerated tasks wait for. Found on a day with gangs on
 // machines of two accelerators and twelve processors: replicas of one processor stood on
 // most of them for minutes, and a third of the accelerators was idle while gangs waited.
-func (w *Snapshot) mayLend(j *jobs.Job, m *workers.Machine) bool {
-	left := m.Cap.Minus(m.UsedWithoutGPU)
-	after := TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need))
-	if after >= TasksThatFit(w.AcceleratedNeed, m.Cap) {
+func (snap *Snapshot) mayLend(job *jobs.Job, machine *workers.Machine) bool {
+	unused := machine.Cap.Minus(machine.UsedWithoutGPU)
+	placesAfter := snap.acceleratedPlaces(unused.Minus(job.Need))
+	if placesAfter >= snap.acceleratedPlaces(machine.Cap) {
 		return true
 	}
-	return j.Record.Kind == jobs.Array && j.Mean() <= maxLentSeconds && (w.lendablePlaces > 0 || after >= TasksThatFit(w.AcceleratedNeed, left))
+	return job.Record.Kind == jobs.Array &&
+		job.Mean() <= maxLentSeconds &&
+		(snap.lendablePlaces > 0 || placesAfter >= snap.acceleratedPlaces(unused))
 }
 
-// recordLent counts what a task takes from those that need accelerators.
-func (w *Snapshot) recordLent(j *jobs.Job, m *workers.Machine) {
-	left := m.Cap.Minus(m.UsedWithoutGPU)
-	w.lendablePlaces -= max(0, TasksThatFit(w.AcceleratedNeed, left)-TasksThatFit(w.AcceleratedNeed, left.Minus(j.Need)))
+// recordLent takes the places that a task takes from accelerated ones off those that may
+// be lent.
+func (snap *Snapshot) recordLent(job *jobs.Job, machine *workers.Machine) {
+	unused := machine.Cap.Minus(machine.UsedWithoutGPU)
+	snap.lendablePlaces -= max(0, snap.acceleratedPlaces(unused)-snap.acceleratedPlaces(unused.Minus(job.Need)))
 }
 
-// countLendable is how many places for tasks with accelerators are free beyond those that wait
-// and some that may come.
-func (w *Snapshot) countLendable() int {
+// countLendable is how many places for tasks with accelerators are free beyond those for
+// which tasks wait and a reserve for tasks that may come.
+func (snap *Snapshot) countLendable() int {
 	free, all, waiting := 0, 0, 0
-	for _, m := range w.Inventory.All() {
-		if m.Cap.GPU > 0 && m.Usable(w.Now, w.SuspectAfter) {
-			free += TasksThatFit(w.AcceleratedNeed, m.Free)
-			all += TasksThatFit(w.AcceleratedNeed, m.Cap)
+	for _, machine := range snap.Inventory.All() {
+		if machine.Cap.GPU > 0 && machine.Usable(snap.Now, snap.SuspectAfter) {
+			free += snap.acceleratedPlaces(machine.Free)
+			all += snap.acceleratedPlaces(machine.Cap)
 		}
 	}
-	for _, j := range w.Jobs.All() {
-		if j != nil && j.Need.GPU > 0 {
-			waiting += j.Waiting
+	for _, job := range snap.Jobs.All() {
+		if job != nil && job.Need.GPU > 0 {
+			waiting += job.Waiting
 		}
 	}
 	return free - waiting - max(minUnlentPlaces, all/unlentShare)
--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -40,11 +40,11 @@
 	return p, w, plain
 }
 
-func (w *Snapshot) add(id uint64, kind uint8, tasks int, cpus, gpus float64, mean float64) *jobs.Job {
-	j := w.Jobs.Add(eventlog.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, GPUs: gpus, MemoryGB: 1, EstimateS: mean, Spot: true})
+func (snap *Snapshot) add(id uint64, kind uint8, tasks int, cpus, gpus float64, mean float64) *jobs.Job {
+	j := snap.Jobs.Add(eventlog.Job{ID: id, Kind: kind, Tasks: tasks, CPUs: cpus, GPUs: gpus, MemoryGB: 1, EstimateS: mean, Spot: true})
 	j.Phase, j.FitsWithoutGPU = jobs.Open, gpus == 0
 	if kind != jobs.Service {
-		w.Estimator.Add(j.Index, 0, tasks, cpus, kind == jobs.Gang)
+		snap.Estimator.Add(j.Index, 0, tasks, cpus, kind == jobs.Gang)
 	}
 	return j
 }
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -5,37 +5,54 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Allowed says whether a job's tasks may, and should, be on a machine.
-func Allowed(j *jobs.Job, m *workers.Machine, zones func(string) int32) bool {
-	return (!m.Spot || j.Spot) && permittedByUser(j, m, zones)
+// Allowed reports whether a job's tasks may, and should, be on a machine: its user
+// permits the machine, and the leader prefers it for the job. zones gives the index
+// of a zone by its name.
+func Allowed(job *jobs.Job, machine *workers.Machine, zones func(string) int32) bool {
+	return (!machine.Spot || job.Spot) && permittedByUser(job, machine, zones)
 }
 
-// permittedByUser says whether a job's tasks may be on a machine by what its user has said.
-func permittedByUser(j *jobs.Job, m *workers.Machine, zones func(string) int32) bool {
-	if j.Types != nil && (int(m.Type) >= len(j.Types) || !j.Types[m.Type]) {
+// permittedByUser reports whether a job's tasks may be on a machine by what its user
+// has asked for: type of machine, spot instance or not, zone.
+func permittedByUser(job *jobs.Job, machine *workers.Machine, zones func(string) int32) bool {
+	if job.Types != nil && (int(machine.Type) >= len(job.Types) || !job.Types[machine.Type]) {
 		return false
 	}
-	if m.Spot && !j.Record.Spot {
+	if machine.Spot && !job.Record.Spot {
 		return false
 	}
-	return j.Record.Zone == "" || zones(j.Record.Zone) == m.Zone
+	return job.Record.Zone == "" || zones(job.Record.Zone) == machine.Zone
 }
 
-// couldHost says whether one more task of a job could be on a machine if that
-// were free.
-func (w *Snapshot) couldHost(j *jobs.Job, m *workers.Machine) bool {
-	return !w.keptForAccelerators(j, m) && j.Need.Fits(m.Cap) && Allowed(j, m, w.Zone) && j.ZoneAllows(m.Zone)
+// couldHost reports whether one more task of a job could be on a machine if that
+// were empty.
+func (snap *Snapshot) couldHost(job *jobs.Job, machine *workers.Machine) bool {
+	return !snap.keptForAccelerators(job, machine) &&
+		job.Need.Fits(machine.Cap) &&
+		Allowed(job, machine, snap.Zone) &&
+		job.ZoneAllows(machine.Zone)
 }
 
-// mayUse says whether room on a machine is for a job: not where it is held for another, or
-// kept for tasks that need its accelerators.
-func (w *Snapshot) mayUse(j *jobs.Job, m *workers.Machine) bool {
-	if w.starvedOnly {
-		return permittedByUser(j, m, w.Zone)
+// mayUse reports whether the free room of a machine is open to a job: not where it is
+// reserved for another, or kept for tasks that need the machine's accelerators. A starved
+// job may use whatever its user permits.
+func (snap *Snapshot) mayUse(job *jobs.Job, machine *workers.Machine) bool {
+	if snap.starvedOnly {
+		return permittedByUser(job, machine, snap.Zone)
 	}
-	return !m.Reserved && Allowed(j, m, w.Zone) && (!w.keptForAccelerators(j, m) || w.mayLend(j, m))
+	return !machine.Reserved &&
+		Allowed(job, machine, snap.Zone) &&
+		(!snap.keptForAccelerators(job, machine) || snap.mayLend(job, machine))
 }
 
-func (p *Scheduler) ready(w *Snapshot, j *jobs.Job) bool {
-	return j.Phase == jobs.Open && w.Now >= j.NotBefore
+// ready reports whether a job's tasks may start at all now: it is open, and the pause
+// after failed tries is over.
+func (s *Scheduler) ready(snap *Snapshot, job *jobs.Job) bool {
+	return job.Phase == jobs.Open && snap.Now >= job.NotBefore
+}
+
+// withinLimit reports whether a job's team may use what that many more of the job's
+// tasks need.
+func (s *Scheduler) withinLimit(snap *Snapshot, job *jobs.Job, tasks int) bool {
+	return s.Within(job.Team, job.Need.Times(tasks), snap.unresolvedUseOf(job.Team))
 }
--- a/internal/core/scheduler/limits.go
+++ b/internal/core/scheduler/limits.go
@@ -2,35 +2,37 @@
 
 import "bitternmoor/internal/core/resources"
 
-// Limit is what a team may use at any time; 0 means no limit.
+// Limit is what a team may use at once, in thousandths of processors and of
+// accelerators as in resources.Amounts; 0 means no limit.
 type Limit struct{ CPU, GPU int64 }
 
-// Covers says whether so much may be used at once.
+// Covers reports whether that much may be used at once.
 func (l Limit) Covers(use resources.Amounts) bool {
 	return (l.CPU == 0 || use.CPU <= l.CPU) && (l.GPU == 0 || use.GPU <= l.GPU)
 }
 
-// AddTeam adds a team without a limit.
-func (p *Scheduler) AddTeam() {
-	p.Limits = append(p.Limits, Limit{})
-	p.teamUse = append(p.teamUse, resources.Amounts{})
+// AddTeam adds a team without a limit; its index is the next one.
+func (s *Scheduler) AddTeam() {
+	s.Limits = append(s.Limits, Limit{})
+	s.teamUse = append(s.teamUse, resources.Amounts{})
 }
 
-// Charge counts a task against its team, Refund takes it back.
-func (p *Scheduler) Charge(team int32, a resources.Amounts) {
-	p.teamUse[team] = p.teamUse[team].Plus(a)
+// Charge counts what a placed task needs against its team.
+func (s *Scheduler) Charge(team int32, need resources.Amounts) {
+	s.teamUse[team] = s.teamUse[team].Plus(need)
 }
 
 // Refund takes back what Charge counted.
-func (p *Scheduler) Refund(team int32, a resources.Amounts) {
-	p.teamUse[team] = p.teamUse[team].Minus(a)
+func (s *Scheduler) Refund(team int32, need resources.Amounts) {
+	s.teamUse[team] = s.teamUse[team].Minus(need)
 }
 
-// Use is what a team's tasks count as using.
-func (p *Scheduler) Use(team int32) resources.Amounts { return p.teamUse[team] }
+// Use returns what a team's placed tasks need together.
+func (s *Scheduler) Use(team int32) resources.Amounts { return s.teamUse[team] }
 
-// Within says whether a team may use a more, with extra counted besides: an
-// unresolved machine counts full against every team.
-func (p *Scheduler) Within(team int32, a, extra resources.Amounts) bool {
-	return p.Limits[team].Covers(p.teamUse[team].Plus(a).Plus(extra))
+// Within reports whether a team may use need more while unresolved counts besides:
+// a machine that is not resolved counts in full against every team that may have
+// tasks there.
+func (s *Scheduler) Within(team int32, need, unresolved resources.Amounts) bool {
+	return s.Limits[team].Covers(s.teamUse[team].Plus(need).Plus(unresolved))
 }
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -1,46 +1,55 @@
 package scheduler
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
-	"time"
 )
 
-// Pools are counted things that some tasks need besides room. Whoever counts them
-// says what may start; the planner tells what it gives out.
+// Pools counts the units (licences and the like) that some tasks need besides room on
+// a machine. It decides which tasks may start; the scheduler reports what it places.
 type Pools interface {
-	// Pass begins a pass: list has the jobs that could start a task now but for
-	// units and room, in their order.
+	// Pass begins a scheduling cycle: list has the jobs that could start a task now but for
+	// units and room, in the order in which they get room.
 	Pass(now time.Duration, list []*jobs.Job)
-	// Allows says whether so many more tasks of a job may start.
+	// Allows reports whether so many more tasks of a job may start.
 	Allows(j *jobs.Job, tasks int) bool
-	// TaskPlaced and TaskRemoved count a task that was given room, and one whose room was taken
-	// back in the same pass.
+	// TaskPlaced counts a task that was placed.
 	TaskPlaced(j *jobs.Job)
+	// TaskRemoved takes back TaskPlaced for a task whose plan was dropped in the same cycle.
 	TaskRemoved(j *jobs.Job)
 	// Most is how many more tasks the units that are left let start.
 	Most(j *jobs.Job) int
-	// Why says in words what a job waits for, Never why one could never have what
-	// it asks for; empty: nothing.
+	// Why says in words what a job waits for; empty: nothing.
 	Why(j *jobs.Job) string
+	// Never says in words why a job could never have the units it asks for; empty: it could.
 	Never(rec *eventlog.Job) string
 }
 
-// beginUnitCycle begins a pass for whoever counts units.
-func (p *Scheduler) beginUnitCycle(w *Snapshot, order []int32) {
-	var list []*jobs.Job
-	add := func(j *jobs.Job) {
-		if len(j.Record.Counted) > 0 && j.Waiting > 0 && p.ready(w, j) && w.nextTask(j) >= 0 && p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
-			list = append(list, j)
-		}
-	}
-	for _, j := range w.Jobs.All() {
-		if j != nil && j.Record.Kind == jobs.Service {
-			add(j)
+// beginUnitCycle gives the pools the jobs that could start a task in this cycle:
+// services first, then the others in their order.
+func (s *Scheduler) beginUnitCycle(snap *Snapshot, order []int32) {
+	var startable []*jobs.Job
+	for _, job := range snap.Jobs.All() {
+		if job != nil && job.Record.Kind == jobs.Service && s.couldUseUnits(snap, job) {
+			startable = append(startable, job)
 		}
 	}
 	for _, i := range order {
-		add(w.Jobs.At(i))
+		if job := snap.Jobs.At(i); s.couldUseUnits(snap, job) {
+			startable = append(startable, job)
+		}
 	}
-	w.Pools.Pass(w.Now, list)
+	snap.Pools.Pass(snap.Now, startable)
+}
+
+// couldUseUnits reports whether a job needs counted units, and could start a task now
+// but for units and room.
+func (s *Scheduler) couldUseUnits(snap *Snapshot, job *jobs.Job) bool {
+	return len(job.Record.Counted) > 0 &&
+		job.Waiting > 0 &&
+		s.ready(snap, job) &&
+		snap.nextTask(job) >= 0 &&
+		s.withinLimit(snap, job, 1)
 }
--- a/internal/core/scheduler/refusals.go
+++ b/internal/core/scheduler/refusals.go
@@ -1,29 +1,35 @@
 package scheduler
 
 import (
+	"slices"
+
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/resources"
-	"slices"
 )
 
-// refusal is a need that found no machine in this pass. Room only shrinks
-// while a pass goes on, so whatever needs as much of the same machines, or of
+// refusal is a need that found no machine in this cycle. Free room only shrinks
+// during a cycle, so a task that needs as much of the same machines, or of
 // fewer, finds none either.
 type refusal struct {
 	need  resources.Amounts
-	spot  bool
-	types []bool
-	zone  string
+	spot  bool   // spot instances were tried too
+	types []bool // types of machines that were tried; nil: all
+	zone  string // the zone that was tried; empty: all
 }
 
-func (r *refusal) covers(j *jobs.Job, spot bool) bool {
-	return r.need.Fits(j.Need) && (r.spot || !spot) && (r.types == nil || slices.Equal(r.types, j.Types)) && (r.zone == "" || r.zone == j.Record.Zone)
+// covers reports whether a job that may use spot instances or not can find no machine
+// since the refused need found none.
+func (r *refusal) covers(job *jobs.Job, spot bool) bool {
+	return r.need.Fits(job.Need) &&
+		(r.spot || !spot) &&
+		(r.types == nil || slices.Equal(r.types, job.Types)) &&
+		(r.zone == "" || r.zone == job.Record.Zone)
 }
 
-// refused says whether a job's need has found no machine already.
-func (p *Scheduler) refused(j *jobs.Job) bool {
-	for i := range p.refusals {
-		if p.refusals[i].covers(j, j.Spot) {
+// refused reports whether a job's need has found no machine in this cycle already.
+func (s *Scheduler) refused(job *jobs.Job) bool {
+	for i := range s.refusals {
+		if s.refusals[i].covers(job, job.Spot) {
 			return true
 		}
 	}
