--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -1,96 +1,144 @@
 package scheduler
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
-	"time"
 )
 
-// placeTask places one task on the best machine, if there is one.
-func (p *Scheduler) placeTask(w *Snapshot, j *jobs.Job, k int, machines []*workers.Machine) bool {
-	p.placementDelayed = false
-	if !p.ready(w, j) || !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) || (!w.starvedOnly && p.refused(j)) || !w.unitsAllow(j, 1) {
+// Costs that placementCost adds up: a thousandth of a processor left over counts 1, so a
+// second of fetching weighs as much as ten processors left over.
+const (
+	costPerFetchSecond = 1e4
+	costOfKeptMachine  = 1e5 // high enough that it is chosen only where nothing else is
+)
+
+// promptImageWait is how long a replica that should start at once waits at most for a
+// machine that has its image.
+const promptImageWait = 400 * time.Millisecond
+
+// placeTask places task k of a job on the best machine, and reports whether there was
+// one. It sets placementDelayed where there was room that may be used a little later.
+func (s *Scheduler) placeTask(snap *Snapshot, job *jobs.Job, k int, machines []*workers.Machine) bool {
+	s.placementDelayed = false
+	if !s.ready(snap, job) ||
+		!s.withinLimit(snap, job, 1) ||
+		(!snap.starvedOnly && s.refused(job)) ||
+		!snap.unitsAllow(job, 1) {
 		return false
 	}
-	var best *workers.Machine
-	var bestScore int64
-	paces := w.MayStart != nil && j.Record.Kind == jobs.Array // gangs start as a whole, services first of all
-	for _, m := range machines {
-		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !w.mayUse(j, m) {
-			continue
-		}
-		if paces && !w.MayStart(j, m) {
-			p.placementDelayed = true
-			continue
-		}
-		// The earliest start, then the tightest fit: a second of fetching
-		// weighs as much as ten processors left over.
-		score := m.Free.CPU - j.Need.CPU
-		if w.keptForAccelerators(j, m) {
-			score += 1e5 // only where nothing else is
-		}
-		if !m.HasImage(j.Image) {
-			score += int64(1e4 * j.Record.ImageGB / m.FetchGBPS)
-		}
-		if p.Affinity > 0 && j.HomeZone != 0 && j.HomeZone != m.Zone+1 {
-			score += int64(1e4 * p.Affinity)
-		}
-		if best == nil || score < bestScore {
-			best, bestScore = m, score
-		}
-	}
+	best := s.bestMachine(snap, job, machines)
 	if best == nil {
-		if !w.starvedOnly && !j.ZoneRule() && !p.exhaustive && !p.placementDelayed { // there may be room that is only not given yet
-			p.refusals = append(p.refusals, refusal{j.Need, j.Spot, j.Types, j.Record.Zone})
-		}
+		s.rememberRefusal(snap, job)
+		return false
+	}
+	if s.promptWaits(snap, job, best) {
+		s.placementDelayed = true
 		return false
 	}
-	if !w.starvedOnly && j.Prompt && j.Record.Kind == jobs.Service && !best.HasImage(j.Image) && p.waitsForImage(w, j, best) {
-		p.placementDelayed = true
+	if s.localityWaits(snap, job, best) {
 		return false
 	}
-	if w.localityOnly && j.Record.Kind == jobs.Array && !best.HasImage(j.Image) {
-		if j.DelayedSince == 0 {
-			j.DelayedSince = w.Now
+	s.Charge(job.Team, job.Need)
+	if job.HomeZone == 0 {
+		job.HomeZone = best.Zone + 1
+	}
+	if snap.keptForAccelerators(job, best) {
+		snap.recordLent(job, best)
+	}
+	snap.Place(job, k, best)
+	return true
+}
+
+// bestMachine is the machine of the lowest cost that may be given a task of a job now,
+// the first of several; nil if there is none.
+func (s *Scheduler) bestMachine(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) *workers.Machine {
+	var best *workers.Machine
+	var bestCost int64
+	// Only arrays are paced: gangs start as a whole, and services first of all.
+	paced := snap.MayStart != nil && job.Record.Kind == jobs.Array
+	for _, machine := range machines {
+		if !job.Need.Fits(machine.Free) || !job.ZoneAllows(machine.Zone) || !snap.mayUse(job, machine) {
+			continue
 		}
-		if w.Now-j.DelayedSince < p.Locality {
-			return false
+		if paced && !snap.MayStart(job, machine) {
+			s.placementDelayed = true
+			continue
+		}
+		cost := s.placementCost(snap, job, machine)
+		if best == nil || cost < bestCost {
+			best, bestCost = machine, cost
 		}
-	} else if best.HasImage(j.Image) {
-		j.DelayedSince = 0
 	}
-	p.Charge(j.Team, j.Need)
-	if j.HomeZone == 0 {
-		j.HomeZone = best.Zone + 1
+	return best
+}
+
+// placementCost orders the machines for a task: the earliest start first, then the
+// tightest fit.
+func (s *Scheduler) placementCost(snap *Snapshot, job *jobs.Job, machine *workers.Machine) int64 {
+	cost := machine.Free.CPU - job.Need.CPU
+	if snap.keptForAccelerators(job, machine) {
+		cost += costOfKeptMachine
 	}
-	if w.keptForAccelerators(j, best) {
-		w.recordLent(j, best)
+	if !machine.HasImage(job.Image) {
+		cost += int64(costPerFetchSecond * job.Record.ImageGB / machine.FetchGBPS)
 	}
-	w.Place(j, k, best)
-	return true
+	if s.Affinity > 0 && job.HomeZone != 0 && job.HomeZone != machine.Zone+1 {
+		cost += int64(costPerFetchSecond * s.Affinity)
+	}
+	return cost
 }
 
-// promptPatience is how long it waits at most.
-const promptImageWait = 400 * time.Millisecond
+// rememberRefusal notes that a job's need found no machine, unless there may be one that
+// is only not open to it yet, or its zone rule kept it away.
+func (s *Scheduler) rememberRefusal(snap *Snapshot, job *jobs.Job) {
+	if snap.starvedOnly || job.ZoneRule() || s.exhaustive || s.placementDelayed {
+		return
+	}
+	s.refusals = append(s.refusals, refusal{need: job.Need, spot: job.Spot, types: job.Types, zone: job.Record.Zone})
+}
 
-// waitsForImage says whether a replica that should start within a moment leaves room on a
+// promptWaits reports whether a replica that should start at once leaves room on a
 // machine that would have to fetch its image first: for a fraction of the fetch, and not
 // for long. On a full cluster the next room comes free sooner, and often where the image is.
-func (p *Scheduler) waitsForImage(w *Snapshot, j *jobs.Job, m *workers.Machine) bool {
-	if j.DelayedSince == 0 {
-		j.DelayedSince = w.Now
+func (s *Scheduler) promptWaits(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
+	if snap.starvedOnly || !job.Prompt || job.Record.Kind != jobs.Service || machine.HasImage(job.Image) {
+		return false
+	}
+	if job.DelayedSince == 0 {
+		job.DelayedSince = snap.Now
+	}
+	quarterOfFetch := time.Duration(job.Record.ImageGB / machine.FetchGBPS / 4 * float64(time.Second))
+	return s.Locality > 0 && snap.Now-job.DelayedSince < min(promptImageWait, quarterOfFetch)
+}
+
+// localityWaits reports whether a job leaves room on a machine without its image, since it
+// has not waited for long yet, and keeps the time since when it has.
+func (s *Scheduler) localityWaits(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
+	if snap.localityOnly && job.Record.Kind == jobs.Array && !machine.HasImage(job.Image) {
+		if job.DelayedSince == 0 {
+			job.DelayedSince = snap.Now
+		}
+		return snap.Now-job.DelayedSince < s.Locality
+	}
+	if machine.HasImage(job.Image) {
+		job.DelayedSince = 0
 	}
-	return p.Locality > 0 && w.Now-j.DelayedSince < min(promptImageWait, time.Duration(j.Record.ImageGB/m.FetchGBPS/4*float64(time.Second)))
+	return false
 }
 
-// TasksThatFit is how many tasks fit into room.
+// TasksThatFit is how many tasks of a need fit into room.
 func TasksThatFit(need, room resources.Amounts) int {
-	n := int64(1 << 30)
-	for _, d := range [][2]int64{{need.CPU, room.CPU}, {need.GPU, room.GPU}, {need.Mem, room.Mem}} {
-		if d[0] > 0 {
-			n = min(n, d[1]/d[0])
+	count := int64(1 << 30)
+	limit := func(need, room int64) {
+		if need > 0 {
+			count = min(count, room/need)
 		}
 	}
-	return int(n)
+	limit(need.CPU, room.CPU)
+	limit(need.GPU, room.GPU)
+	limit(need.Mem, room.Mem)
+	return int(count)
 }
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -5,125 +5,182 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// RunCycle gives out all room that the order lets it give, and says how many jobs got some
-// since they were left waiting.
-func (p *Scheduler) RunCycle(w Snapshot) (left int) {
-	p.refusals = p.refusals[:0]
-	if w.AcceleratedNeed.GPU > 0 {
-		w.lendablePlaces = w.countLendable()
+// RunCycle is one scheduling cycle: it places all tasks that the order and the limits
+// let have room, through snap.Place, and returns how many starved jobs got room.
+func (s *Scheduler) RunCycle(snap Snapshot) (starvedServed int) {
+	s.refusals = s.refusals[:0]
+	if snap.AcceleratedNeed.GPU > 0 {
+		snap.lendablePlaces = snap.countLendable()
 	}
-	order := p.JobOrder(&w)
-	least, training := int64(-1), 0
-	wants := func(j *jobs.Job) {
-		if j.Waiting > 0 && (least < 0 || j.Need.CPU < least) {
-			least = j.Need.CPU
+	order := s.JobOrder(&snap)
+	smallestCPU := snap.smallestWaitingCPU(order)
+	training := snap.runningTraining(order)
+	machines := s.machinesWithRoom(&snap, smallestCPU)
+	if smallestCPU < 0 {
+		return 0
+	}
+	if snap.Pools != nil {
+		s.beginUnitCycle(&snap, order)
+	}
+	s.placeServices(&snap, machines)
+	ahead, ordinary, rest := s.splitByRank(order)
+	reserved := s.placeInOrder(&snap, ahead, machines, false)
+	s.placeTraining(&snap, ordinary, machines, training)
+	if s.Locality > 0 {
+		snap.localityOnly = true
+		reserved = s.placeInOrder(&snap, rest, machines, reserved)
+		snap.localityOnly = false
+	}
+	s.placeInOrder(&snap, rest, machines, reserved)
+	return s.placeStarved(&snap, smallestCPU)
+}
+
+// smallestWaitingCPU is the least that a waiting task needs of processors, in
+// thousandths; -1 if no task of a service or of a job in the order waits.
+func (snap *Snapshot) smallestWaitingCPU(order []int32) int64 {
+	smallest := int64(-1)
+	consider := func(job *jobs.Job) {
+		if job.Waiting > 0 && (smallest < 0 || job.Need.CPU < smallest) {
+			smallest = job.Need.CPU
 		}
 	}
-	for _, j := range w.Jobs.All() {
-		if j != nil && j.Record.Kind == jobs.Service {
-			wants(j)
+	for _, job := range snap.Jobs.All() {
+		if job != nil && job.Record.Kind == jobs.Service {
+			consider(job)
 		}
 	}
 	for _, i := range order {
-		j := w.Jobs.At(i)
-		wants(j)
-		if w.Estimator.InTraining(i) {
-			for k := range j.Tasks {
-				if !w.Estimator.Training(i, k) {
-					break
-				}
-				if j.Tasks[k] == jobs.Placed {
-					training++
-				}
+		consider(snap.Jobs.At(i))
+	}
+	return smallest
+}
+
+// runningTraining is how many training tasks are placed already.
+func (snap *Snapshot) runningTraining(order []int32) int {
+	running := 0
+	for _, i := range order {
+		if !snap.Estimator.InTraining(i) {
+			continue
+		}
+		for k, state := range snap.Jobs.At(i).Tasks {
+			if !snap.Estimator.Training(i, k) {
+				break
+			}
+			if state == jobs.Placed {
+				running++
 			}
 		}
 	}
+	return running
+}
+
+// machinesWithRoom lists the machines that may be given tasks and have room for the
+// smallest one that waits, and clears the reservations of the last cycle on all machines.
+func (s *Scheduler) machinesWithRoom(snap *Snapshot, smallestCPU int64) []*workers.Machine {
 	machines := make([]*workers.Machine, 0, 64)
-	for _, m := range w.Inventory.All() {
-		m.Reserved = false
-		if least >= 0 && (p.exhaustive || m.Free.CPU >= least) && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Usable(w.Now, w.SuspectAfter) {
-			machines = append(machines, m)
+	for _, machine := range snap.Inventory.All() {
+		machine.Reserved = false
+		if smallestCPU >= 0 &&
+			(s.exhaustive || machine.Free.CPU >= smallestCPU) &&
+			(machine.Free.CPU > 0 || machine.Free.GPU > 0) &&
+			machine.Usable(snap.Now, snap.SuspectAfter) {
+			machines = append(machines, machine)
 		}
 	}
-	if least < 0 {
-		return 0
-	}
-	if w.Pools != nil {
-		p.beginUnitCycle(&w, order)
-	}
-	p.placeServices(&w, machines)
-	ahead, behind := 0, len(order)
-	for ahead < len(order) && p.ranks[order[ahead]] > 0 {
-		ahead++
+	return machines
+}
+
+// splitByRank splits the order into the jobs that an exception puts ahead of the size
+// order, those on the ordinary path, and all that are not ahead: the ordinary ones and
+// those behind them.
+func (s *Scheduler) splitByRank(order []int32) (ahead, ordinary, rest []int32) {
+	first, end := 0, len(order)
+	for first < len(order) && s.ranks[order[first]] > 0 {
+		first++
 	}
-	for behind > 0 && p.ranks[order[behind-1]] < 0 {
-		behind--
+	for end > 0 && s.ranks[order[end-1]] < 0 {
+		end--
 	}
-	held := p.placeInOrder(&w, order[:ahead], machines, false)
-	for _, i := range order[ahead:behind] {
-		if training >= p.AtOnce {
-			break
-		}
-		if !w.Estimator.InTraining(i) {
+	return order[:first], order[first:end], order[first:]
+}
+
+// placeServices places replicas of services: they come first, outside the order.
+func (s *Scheduler) placeServices(snap *Snapshot, machines []*workers.Machine) {
+	for _, job := range snap.Jobs.All() {
+		if job == nil || job.Record.Kind != jobs.Service {
 			continue
 		}
-		j := w.Jobs.At(i)
-		for training < p.AtOnce {
-			k := w.nextTask(j)
-			if k < 0 || !w.Estimator.Training(i, k) || !p.placeTask(&w, j, k, machines) {
+		for {
+			k := snap.nextTask(job)
+			if k < 0 || !s.placeTask(snap, job, k, machines) {
 				break
 			}
-			training++
 		}
 	}
-	if p.Locality > 0 {
-		w.localityOnly = true
-		held = p.placeInOrder(&w, order[ahead:], machines, held)
-		w.localityOnly = false
-	}
-	p.placeInOrder(&w, order[ahead:], machines, held)
-	return p.placeStarved(&w, least)
 }
 
-// placeServices get room first, outside the order.
-func (p *Scheduler) placeServices(w *Snapshot, machines []*workers.Machine) {
-	for _, j := range w.Jobs.All() {
-		if j == nil || j.Record.Kind != jobs.Service {
+// placeTraining places training tasks of the jobs on the ordinary path, in their order,
+// until T run at once; running is how many did before this cycle.
+func (s *Scheduler) placeTraining(snap *Snapshot, ordinary []int32, machines []*workers.Machine, running int) {
+	for _, i := range ordinary {
+		if running >= s.AtOnce {
+			return
+		}
+		if !snap.Estimator.InTraining(i) {
 			continue
 		}
-		for {
-			k := w.nextTask(j)
-			if k < 0 || !p.placeTask(w, j, k, machines) {
+		job := snap.Jobs.At(i)
+		for running < s.AtOnce {
+			k := snap.nextTask(job)
+			if k < 0 || !snap.Estimator.Training(i, k) || !s.placeTask(snap, job, k, machines) {
 				break
 			}
+			running++
 		}
 	}
 }
 
-// placeInOrder gives room to the jobs in their order; room is held for the first
-// that does not fit, unless it is held already.
-func (p *Scheduler) placeInOrder(w *Snapshot, order []int32, machines []*workers.Machine, held bool) bool {
+// placeInOrder places tasks of the jobs in their order. Room is reserved for the first
+// job that does not fit, unless it is reserved for another already; it returns whether
+// any is reserved now.
+func (s *Scheduler) placeInOrder(snap *Snapshot, order []int32, machines []*workers.Machine, reserved bool) bool {
 	for _, i := range order {
-		j := w.Jobs.At(i)
-		for {
-			k := w.nextTask(j)
-			if k < 0 {
-				break
-			}
-			if j.Record.Kind == jobs.Gang {
-				if p.placeGang(w, j, machines) {
-					break
-				}
-			} else if p.placeTask(w, j, k, machines) {
-				continue
-			}
-			// Room is held only for a job that has its units: what it waits for then is
-			// the end of other tasks, and none of them waits for it.
-			if !held && !w.localityOnly && !p.placementDelayed && p.ready(w, j) && !w.mayRunUnseen(j) && w.unitsAllow(j, j.GangSize()) && p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) {
-				held = p.reserveFor(w, j)
-			}
-			break
+		job := snap.Jobs.At(i)
+		if s.placeJob(snap, job, machines) {
+			continue
+		}
+		if !reserved && s.mayReserve(snap, job) {
+			reserved = s.reserveFor(snap, job)
+		}
+	}
+	return reserved
+}
+
+// placeJob places all of a job's tasks that can be, a gang's all or none, and reports
+// whether no task is left that could be placed now.
+func (s *Scheduler) placeJob(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
+	for {
+		k := snap.nextTask(job)
+		if k < 0 {
+			return true
+		}
+		if job.Record.Kind == jobs.Gang {
+			return s.placeGang(snap, job, machines)
+		}
+		if !s.placeTask(snap, job, k, machines) {
+			return false
 		}
 	}
-	return held
+}
+
+// mayReserve reports whether room may be reserved for a job that did not fit. It must
+// have its units: what it waits for then is the end of other tasks, and none of them
+// waits for it.
+func (s *Scheduler) mayReserve(snap *Snapshot, job *jobs.Job) bool {
+	return !snap.localityOnly &&
+		!s.placementDelayed &&
+		s.ready(snap, job) &&
+		!snap.mayRunUnseen(job) &&
+		snap.unitsAllow(job, job.GangSize()) &&
+		s.withinLimit(snap, job, 1)
 }
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -1,53 +1,67 @@
 package scheduler
 
 import (
+	"slices"
+
 	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
-	"slices"
 )
 
-// placeGang places all waiting tasks of a gang or none. While the gang still
-// gathers, lost tasks are replaced under the attempt it has.
-func (p *Scheduler) placeGang(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
-	if j.GangFailed || (j.GangBegan && j.Placed > 0) || !p.Within(j.Team, j.Need.Times(j.Waiting), w.unresolvedUseOf(j.Team)) || !w.unitsAllow(j, j.Waiting) {
+// placeGang places all waiting tasks of a gang or none, and reports which. While the
+// gang still gathers, lost tasks are replaced under the attempt it has.
+func (s *Scheduler) placeGang(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
+	if job.GangFailed ||
+		(job.GangBegan && job.Placed > 0) ||
+		!s.withinLimit(snap, job, job.Waiting) ||
+		!snap.unitsAllow(job, job.Waiting) {
 		return false
 	}
-	if j.Record.OneZone && j.Placed == 0 {
-		// The zone is open yet: the one of the machine that suits best need not
-		// be one where all tasks fit.
-		var tried []int32
-		for _, m := range machines {
-			if slices.Contains(tried, m.Zone) {
-				continue
-			}
-			tried = append(tried, m.Zone)
-			zone := m.Zone
-			if p.placeAllOrNone(w, j, slices.DeleteFunc(slices.Clone(machines), func(m *workers.Machine) bool { return m.Zone != zone })) {
-				return true
-			}
-			p.refusals = p.refusals[:0] // that was about one zone
+	if job.Record.OneZone && job.Placed == 0 {
+		return s.placeGangInOneZone(snap, job, machines)
+	}
+	return s.placeAllOrNone(snap, job, machines)
+}
+
+// placeGangInOneZone tries one zone after the other for a gang whose zone is open yet: the
+// zone of the machine that suits best need not be one where all tasks fit.
+func (s *Scheduler) placeGangInOneZone(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
+	var tried []int32
+	for _, machine := range machines {
+		zone := machine.Zone
+		if slices.Contains(tried, zone) {
+			continue
 		}
-		return false
+		tried = append(tried, zone)
+		if s.placeAllOrNone(snap, job, machinesInZone(machines, zone)) {
+			return true
+		}
+		s.refusals = s.refusals[:0] // they were about one zone
 	}
-	return p.placeAllOrNone(w, j, machines)
+	return false
+}
+
+// machinesInZone lists the machines of one zone, in their order, in a new slice.
+func machinesInZone(machines []*workers.Machine, zone int32) []*workers.Machine {
+	elsewhere := func(machine *workers.Machine) bool { return machine.Zone != zone }
+	return slices.DeleteFunc(slices.Clone(machines), elsewhere)
 }
 
-// placeAllOrNone places all waiting tasks of a job or none.
-func (p *Scheduler) placeAllOrNone(w *Snapshot, j *jobs.Job, machines []*workers.Machine) bool {
+// placeAllOrNone places all waiting tasks of a job or none, and reports which.
+func (s *Scheduler) placeAllOrNone(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
 	var placed []int
 	for {
-		k := w.nextTask(j)
+		k := snap.nextTask(job)
 		if k < 0 {
 			return true
 		}
-		if !p.placeTask(w, j, k, machines) {
+		if !s.placeTask(snap, job, k, machines) {
 			break
 		}
 		placed = append(placed, k)
 	}
 	for _, k := range placed {
-		w.Unplace(j, k)
-		p.refusals = p.refusals[:0] // there is more room again
+		snap.Unplace(job, k)
+		s.refusals = s.refusals[:0] // there is more room again
 	}
 	return false
 }
--- a/internal/core/scheduler/reservation.go
+++ b/internal/core/scheduler/reservation.go
@@ -1,53 +1,66 @@
 package scheduler
 
 import (
-	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/workers"
 	"cmp"
 	"slices"
+
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 )
 
-// reserveFor keeps the room of machines for a job that fits nowhere now: of those
+// reserveFor reserves the room of machines for a job that fits nowhere now: of those
 // that would fit it the ones with most room already, as many as its waiting
 // tasks fill and its team may use. For a job bound to one zone they are of
-// one zone; for a gang nothing is held unless all of it would fit, for then
-// waiting would bring nothing.
-func (p *Scheduler) reserveFor(w *Snapshot, j *jobs.Job) bool {
-	var fit []*workers.Machine
-	slots := map[int32]int{}
-	total := 0
-	for _, m := range w.Inventory.All() {
-		if m.Usable(w.Now, w.SuspectAfter) && w.couldHost(j, m) {
-			fit = append(fit, m)
-			n := TasksThatFit(j.Need, m.Cap)
-			slots[m.Zone] += n
-			total += n
-		}
+// one zone; for a gang nothing is reserved unless all of it would fit, for then
+// waiting would bring nothing. It reports whether any machine is reserved.
+func (s *Scheduler) reserveFor(snap *Snapshot, job *jobs.Job) bool {
+	hosts, places := snap.possibleHosts(job)
+	tasks := s.waitingWithinLimit(snap, job)
+	if job.Record.Kind == jobs.Gang && (tasks < job.Waiting || places < job.Waiting) {
+		return false
 	}
-	slices.SortFunc(fit, func(a, b *workers.Machine) int { return cmp.Compare(b.Free.CPU, a.Free.CPU) })
-	if j.Record.OneZone && len(fit) > 0 {
-		zone := fit[0].Zone
-		for _, m := range fit {
-			if slots[m.Zone] > slots[zone] {
-				zone = m.Zone
-			}
+	reserved := false
+	for _, machine := range hosts {
+		if tasks <= 0 {
+			break
 		}
-		total = slots[zone]
-		fit = slices.DeleteFunc(fit, func(m *workers.Machine) bool { return m.Zone != zone })
+		machine.Reserved, reserved = true, true
+		tasks -= TasksThatFit(job.Need, machine.Cap)
 	}
-	want := 0
-	for n := j.Waiting; want < n && p.Within(j.Team, j.Need.Times(want+1), w.unresolvedUseOf(j.Team)); want++ {
+	return reserved
+}
+
+// possibleHosts lists the machines that could host a job if they were empty, most free
+// processors first, and how many of its tasks fit there together; for a job bound to one
+// zone those of the zone with the most places.
+func (snap *Snapshot) possibleHosts(job *jobs.Job) (hosts []*workers.Machine, places int) {
+	placesByZone := map[int32]int{}
+	for _, machine := range snap.Inventory.All() {
+		if machine.Usable(snap.Now, snap.SuspectAfter) && snap.couldHost(job, machine) {
+			hosts = append(hosts, machine)
+			count := TasksThatFit(job.Need, machine.Cap)
+			placesByZone[machine.Zone] += count
+			places += count
+		}
 	}
-	if j.Record.Kind == jobs.Gang && (want < j.Waiting || total < j.Waiting) {
-		return false
+	slices.SortFunc(hosts, func(a, b *workers.Machine) int { return cmp.Compare(b.Free.CPU, a.Free.CPU) })
+	if !job.Record.OneZone || len(hosts) == 0 {
+		return hosts, places
 	}
-	held := false
-	for _, m := range fit {
-		if want <= 0 {
-			break
+	zone := hosts[0].Zone
+	for _, machine := range hosts {
+		if placesByZone[machine.Zone] > placesByZone[zone] {
+			zone = machine.Zone
 		}
-		m.Reserved, held = true, true
-		want -= TasksThatFit(j.Need, m.Cap)
 	}
-	return held
+	return machinesInZone(hosts, zone), placesByZone[zone]
+}
+
+// waitingWithinLimit is how many of a job's waiting tasks its team may use at once.
+func (s *Scheduler) waitingWithinLimit(snap *Snapshot, job *jobs.Job) int {
+	tasks := 0
+	for tasks < job.Waiting && s.withinLimit(snap, job, tasks+1) {
+		tasks++
+	}
+	return tasks
 }
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -1,111 +1,136 @@
 package scheduler
 
 import (
-	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/workers"
 	"slices"
 	"time"
+
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/workers"
 )
 
-// leftAfter is how long a task waits beside room that its job may have before it gets it,
-// and leftEvery how often that is looked for.
 const (
-	starvationLimit         = 60 * time.Second
-	starvationCheckInterval = time.Second
+	starvationLimit         = 60 * time.Second // how long a job waits beside room that it may have before it gets it
+	starvationCheckInterval = time.Second      // how often starved jobs are looked for
 )
 
-// placeStarved is the exception of that name: a job of which a task has waited for a minute
-// while machines on which its user lets it be had room for it all the time, or for all of a
-// gang, and its team was under its limit, gets that room, whatever it was held or kept for,
-// whether we would rather have its tasks elsewhere, and whether the machine was to be
-// returned. Room held for a first job that does not fit has no limit in time otherwise: found
+// placeStarved is the exception left_waiting: a job of which a task has waited for
+// starvationLimit while machines on which its user lets it be had room for it all the time,
+// or for all of a gang, and its team was under its limit, gets that room. It gets it whatever
+// the room was reserved or kept for, also where the leader would rather have the tasks
+// elsewhere, and also on machines that were to be returned. Room reserved for a first job
+// that does not fit has no limit in time otherwise: found
 // in a test with services on all machines, an urgent gang that fits none of them, and gangs
-// that waited beside them for as long as the day was. least is what the smallest task that
-// waits needs.
-func (p *Scheduler) placeStarved(w *Snapshot, least int64) (given int) {
-	if w.Now-p.starvationCheckedAt < starvationCheckInterval {
+// that waited beside them for as long as the day was. smallestCPU is what the smallest task
+// that waits needs. It returns how many jobs got room.
+func (s *Scheduler) placeStarved(snap *Snapshot, smallestCPU int64) (served int) {
+	if snap.Now-s.starvationCheckedAt < starvationCheckInterval {
 		return 0
 	}
-	p.starvationCheckedAt = w.Now
-	var room []*workers.Machine
-	for _, m := range w.Inventory.All() {
-		if m.Free.CPU >= least && (m.Free.CPU > 0 || m.Free.GPU > 0) && m.Serves(w.Now, w.SuspectAfter) {
-			room = append(room, m)
+	s.starvationCheckedAt = snap.Now
+	machines := snap.servingMachinesWithRoom(smallestCPU)
+	var refusals []refusal
+	snap.starvedOnly = true
+	for _, job := range snap.Jobs.All() {
+		if job == nil {
+			continue
 		}
-	}
-	var none []refusal // needs that found no room
-	w.starvedOnly = true
-	for _, j := range w.Jobs.All() {
-		if j == nil || j.Waiting == 0 || !p.ready(w, j) || w.nextTask(j) < 0 || !p.Within(j.Team, j.Need.Times(j.GangSize()), w.unresolvedUseOf(j.Team)) || !w.unitsAllow(j, j.GangSize()) ||
-			slices.ContainsFunc(none, func(r refusal) bool { return r.covers(j, j.Record.Spot) }) {
-			if j != nil {
-				j.StarvedSince = 0
-			}
+		refused := func(r refusal) bool { return r.covers(job, job.Record.Spot) }
+		if !s.mayStarve(snap, job) || slices.ContainsFunc(refusals, refused) {
+			job.StarvedSince = 0
 			continue
 		}
 		switch {
-		case !w.hasRoom(j, room):
-			j.StarvedSince = 0
-			if j.Record.Kind != jobs.Gang && !j.ZoneRule() {
-				none = append(none, refusal{j.Need, j.Record.Spot, j.Types, j.Record.Zone})
+		case !snap.hasRoom(job, machines):
+			job.StarvedSince = 0
+			if job.Record.Kind != jobs.Gang && !job.ZoneRule() {
+				refusals = append(refusals, refusal{need: job.Need, spot: job.Record.Spot, types: job.Types, zone: job.Record.Zone})
 			}
-		case j.StarvedSince == 0:
-			j.StarvedSince = w.Now
-		case w.Now-j.StarvedSince >= starvationLimit:
-			if p.placeStarvedJob(w, j, room) {
-				given++
+		case job.StarvedSince == 0:
+			job.StarvedSince = snap.Now
+		case snap.Now-job.StarvedSince >= starvationLimit:
+			if s.placeStarvedJob(snap, job, machines) {
+				served++
 			}
 		}
 	}
-	w.starvedOnly = false
-	return given
+	snap.starvedOnly = false
+	return served
 }
 
-// placeStarvedJob gives a job that was left waiting what room there is for it, and says whether
-// that was any.
-func (p *Scheduler) placeStarvedJob(w *Snapshot, j *jobs.Job, room []*workers.Machine) bool {
-	before := j.Placed
-	if j.Record.Kind == jobs.Gang {
-		p.placeGang(w, j, room)
-	} else {
-		for k := w.nextTask(j); k >= 0 && p.placeTask(w, j, k, room); k = w.nextTask(j) {
+// servingMachinesWithRoom lists the machines, also such that are to be returned, that have
+// room for the smallest task that waits.
+func (snap *Snapshot) servingMachinesWithRoom(smallestCPU int64) []*workers.Machine {
+	var machines []*workers.Machine
+	for _, machine := range snap.Inventory.All() {
+		if machine.Free.CPU >= smallestCPU &&
+			(machine.Free.CPU > 0 || machine.Free.GPU > 0) &&
+			machine.Serves(snap.Now, snap.SuspectAfter) {
+			machines = append(machines, machine)
 		}
 	}
-	if j.Placed == before {
+	return machines
+}
+
+// mayStarve reports whether a job waits for nothing but room.
+func (s *Scheduler) mayStarve(snap *Snapshot, job *jobs.Job) bool {
+	return job.Waiting > 0 &&
+		s.ready(snap, job) &&
+		snap.nextTask(job) >= 0 &&
+		s.withinLimit(snap, job, job.GangSize()) &&
+		snap.unitsAllow(job, job.GangSize())
+}
+
+// placeStarvedJob gives a starved job what room there is for it, and reports whether that
+// was any.
+func (s *Scheduler) placeStarvedJob(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
+	placedBefore := job.Placed
+	s.placeJob(snap, job, machines)
+	if job.Placed == placedBefore {
 		return false
 	}
-	j.StarvedSince = 0
-	for _, m := range room {
-		if m.Draining && m.HasPlans() {
-			m.Draining, m.KeptUntil = false, w.Now+starvationLimit // the plan would be taken back else
+	job.StarvedSince = 0
+	for _, machine := range machines {
+		if machine.Draining && machine.HasPlans() {
+			// The plan would be taken back otherwise.
+			machine.Draining = false
+			machine.KeptUntil = snap.Now + starvationLimit
 		}
 	}
 	return true
 }
 
-// hasRoom says whether machines that a job may use have room for one more of its tasks, or
-// for all of a gang.
-func (w *Snapshot) hasRoom(j *jobs.Job, room []*workers.Machine) bool {
-	need := j.GangSize()
-	places := map[int32]int{}
-	for _, m := range room {
-		if !j.Need.Fits(m.Free) || !j.ZoneAllows(m.Zone) || !permittedByUser(j, m, w.Zone) {
+// hasRoom reports whether the machines that a job may use have room for one more of its
+// tasks, or for all of a gang.
+func (snap *Snapshot) hasRoom(job *jobs.Job, machines []*workers.Machine) bool {
+	need := job.GangSize()
+	placesByZone := map[int32]int{}
+	for _, machine := range machines {
+		if !job.Need.Fits(machine.Free) || !job.ZoneAllows(machine.Zone) || !permittedByUser(job, machine, snap.Zone) {
 			continue
 		}
 		if need == 1 {
 			return true
 		}
-		places[m.Zone] += TasksThatFit(j.Need, m.Free)
+		placesByZone[machine.Zone] += TasksThatFit(job.Need, machine.Free)
 	}
-	all, most := 0, 0
-	for z, n := range places {
-		if j.Record.Spread {
-			n = min(n, j.MostInZone()-j.Zones[z])
+	return usablePlaces(job, placesByZone) >= need &&
+		!job.GangFailed &&
+		(!job.GangBegan || job.Placed == 0)
+}
+
+// usablePlaces is how many of the places in each zone a job may use together by its rule
+// on zones.
+func usablePlaces(job *jobs.Job, placesByZone map[int32]int) int {
+	total, mostInOneZone := 0, 0
+	for zone, places := range placesByZone {
+		if job.Record.Spread {
+			places = min(places, job.MostInZone()-job.Zones[zone])
 		}
-		all, most = all+n, max(most, n)
+		total += places
+		mostInOneZone = max(mostInOneZone, places)
 	}
-	if j.Record.OneZone {
-		all = most
+	if job.Record.OneZone {
+		return mostInOneZone
 	}
-	return all >= need && !j.GangFailed && (!j.GangBegan || j.Placed == 0)
+	return total
 }
