--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -1,88 +1,113 @@
 package scheduler
 
 import (
-	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/resources"
 	"cmp"
 	"slices"
 	"time"
+
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/resources"
 )
 
-// Ranks of jobs that are kept: next to those of urgent jobs, which are above 2.
+// Ranks of jobs. 0 is the ordinary path; an urgent or critical job has its priority plus
+// one, which is above servedFloorRank.
 const (
-	servedFloorRank      = 2
-	servedFloorFirstRank = 9
+	behindRank           = -1 // best-effort work for now, and jobs whose objectives are missed already
+	leadRank             = 1  // much of the class's objective has gone, or the team's guarantee covers it
+	servedFloorRank      = 2  // exceptions served_floor and begin_within: behind urgent jobs, ahead of all others
+	servedFloorFirstRank = 9  // exception served_floor, ahead of urgent jobs too
 )
 
+// urgentPriority is the lowest priority that counts as urgent.
+const urgentPriority = 2
+
 // JobOrder lists the jobs in the order in which they get room: HFSP's, with the
 // exceptions before and behind it. Services are not in it. The slice is valid
 // until the next call.
-func (p *Scheduler) JobOrder(w *Snapshot) []int32 {
-	order := w.Estimator.Order()
-	if p.Guarantees != nil {
-		p.markGuaranteed(w, order)
+func (s *Scheduler) JobOrder(snap *Snapshot) []int32 {
+	order := snap.Estimator.Order()
+	if s.Guarantees != nil {
+		s.markGuaranteed(snap, order)
 	}
-	for len(p.ranks) < len(w.Jobs.All()) {
-		p.ranks = append(p.ranks, 0)
+	for len(s.ranks) < len(snap.Jobs.All()) {
+		s.ranks = append(s.ranks, 0)
 	}
 	lowest, highest := int8(0), int8(0)
 	for _, i := range order {
-		r := int8(p.rank(w, i))
-		p.ranks[i] = r
-		lowest, highest = min(lowest, r), max(highest, r)
+		rank := int8(s.rank(snap, i))
+		s.ranks[i] = rank
+		lowest, highest = min(lowest, rank), max(highest, rank)
 	}
-	p.orderBuffer = p.orderBuffer[:0]
-	for r := highest; r >= lowest; r-- {
+	s.orderBuffer = s.orderBuffer[:0]
+	for rank := highest; rank >= lowest; rank-- {
 		for _, i := range order {
-			if p.ranks[i] == r {
-				p.orderBuffer = append(p.orderBuffer, i)
+			if s.ranks[i] == rank {
+				s.orderBuffer = append(s.orderBuffer, i)
 			}
 		}
 	}
-	return p.orderBuffer
+	return s.orderBuffer
 }
 
-func (p *Scheduler) markGuaranteed(w *Snapshot, order []int32) {
-	p.orderBuffer = append(p.orderBuffer[:0], order...)
-	byArrival := p.orderBuffer
-	slices.SortFunc(byArrival, func(a, b int32) int { return cmp.Compare(w.Jobs.At(a).AcceptedAt, w.Jobs.At(b).AcceptedAt) })
-	sum := make([]resources.Amounts, len(p.Guarantees))
+// markGuaranteed marks the jobs that fit into their team's guarantee together with the
+// team's earlier unfinished jobs.
+func (s *Scheduler) markGuaranteed(snap *Snapshot, order []int32) {
+	s.orderBuffer = append(s.orderBuffer[:0], order...)
+	byArrival := s.orderBuffer
+	slices.SortFunc(byArrival, func(a, b int32) int {
+		return cmp.Compare(snap.Jobs.At(a).AcceptedAt, snap.Jobs.At(b).AcceptedAt)
+	})
+	needByTeam := make([]resources.Amounts, len(s.Guarantees))
 	for _, i := range byArrival {
-		j := w.Jobs.At(i)
-		j.Guaranteed = false
-		if int(j.Team) >= len(sum) {
+		job := snap.Jobs.At(i)
+		job.Guaranteed = false
+		if int(job.Team) >= len(needByTeam) {
 			continue
 		}
-		g := p.Guarantees[j.Team]
-		sum[j.Team] = sum[j.Team].Plus(j.Need.Times(len(j.Tasks) - j.Finished))
-		s := sum[j.Team]
-		j.Guaranteed = s.CPU <= g.CPU && s.GPU <= g.GPU
+		guarantee := s.Guarantees[job.Team]
+		need := needByTeam[job.Team].Plus(job.Need.Times(len(job.Tasks) - job.Finished))
+		needByTeam[job.Team] = need
+		job.Guaranteed = need.CPU <= guarantee.CPU && need.GPU <= guarantee.GPU
 	}
 }
 
 // rank is 0 for jobs on the ordinary path, above it for those that an
 // exception puts ahead of the order and below for those it puts behind.
-func (p *Scheduler) rank(w *Snapshot, i int32) int {
-	j := w.Jobs.At(i)
+func (s *Scheduler) rank(snap *Snapshot, i int32) int {
+	job := snap.Jobs.At(i)
 	switch {
-	case j.Boost == jobs.BoostFirst:
+	case job.Boost == jobs.BoostFirst:
 		return servedFloorFirstRank
-	case p.UrgentFirst && j.Priority >= 2:
-		return int(j.Priority) + 1
-	case j.Boost == jobs.BoostBehindUrgent, p.overdue(w, j):
+	case s.UrgentFirst && job.Priority >= urgentPriority:
+		return int(job.Priority) + 1
+	case job.Boost == jobs.BoostBehindUrgent, s.overdue(snap, job):
 		return servedFloorRank
-	case slices.ContainsFunc(j.PriorityWindows, func(a [2]time.Duration) bool { return a[0] <= w.Now && w.Now < a[1] }):
-		return 1
-	case j.Guaranteed:
-		return 1
-	case w.Now < j.BehindUntil, j.LastAim > 0 && w.Now < j.LostUntil && w.Now+time.Duration(j.Mean()*float64(time.Second)) > j.LastAim:
-		return -1
+	case snap.inPriorityWindow(job), job.Guaranteed:
+		return leadRank
+	case snap.Now < job.BehindUntil, snap.missesLastObjective(job):
+		return behindRank
 	}
 	return 0
 }
 
-// overdue says whether none of a job's tasks has begun for longer than it should wait. The
+// inPriorityWindow reports whether a job goes ahead now since it has waited for much of
+// its class's objective.
+func (snap *Snapshot) inPriorityWindow(job *jobs.Job) bool {
+	return slices.ContainsFunc(job.PriorityWindows, func(window [2]time.Duration) bool {
+		return window[0] <= snap.Now && snap.Now < window[1]
+	})
+}
+
+// missesLastObjective reports whether a job has objectives, and a task of it that began
+// now would end after the last of them.
+func (snap *Snapshot) missesLastObjective(job *jobs.Job) bool {
+	return job.LastAim > 0 &&
+		snap.Now < job.LostUntil &&
+		snap.Now+time.Duration(job.Mean()*float64(time.Second)) > job.LastAim
+}
+
+// overdue reports whether none of a job's tasks has begun for longer than it should wait. The
 // largest come last by size, and where smaller ones keep coming they would never begin.
-func (p *Scheduler) overdue(w *Snapshot, j *jobs.Job) bool {
-	return p.BeginWithin > 0 && !j.HasBegun() && w.Now-j.AcceptedAt >= p.BeginWithin
+func (s *Scheduler) overdue(snap *Snapshot, job *jobs.Job) bool {
+	return s.BeginWithin > 0 && !job.HasBegun() && snap.Now-job.AcceptedAt >= s.BeginWithin
 }
