--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -1,19 +1,21 @@
 package scheduler
 
 import (
-	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/resources"
-	"bitternmoor/internal/core/workers"
 	"cmp"
+	"math"
 	"slices"
 	"time"
+
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 )
 
 const (
-	minWaitToPreempt = time.Second     // a job waits at least this long before others are stopped for it
+	minWaitToPreempt = time.Second     // a job waits at least this long before others are preempted for it
 	preemptPause     = 5 * time.Second // between two rounds for one job: stopping takes time
-	maxLostRuntime   = 5 * time.Second // a task without checkpoints that has run for less may be stopped
-	maxVictims       = 8               // at once for one job
+	maxLostRuntime   = 5 * time.Second // a task without checkpoints that has run for longer is not preempted
+	maxVictims       = 8               // tasks preempted in one round for one job
 )
 
 // Preempt returns the tasks to be stopped so that jobs get room which the
@@ -21,133 +23,183 @@
 // within its team's guarantee at the cost of teams beyond theirs. Only tasks
 // that save their progress, or have hardly begun, are stopped; gangs and
 // services never are.
-func (p *Scheduler) Preempt(w Snapshot) []*workers.Placement {
-	var out []*workers.Placement
-	var pool []*workers.Placement
-	order := p.JobOrder(&w)
+func (s *Scheduler) Preempt(snap Snapshot) []*workers.Placement {
+	var stopped, candidates []*workers.Placement
+	order := s.JobOrder(&snap)
 	// The tasks are looked through only once a job is found that may have room at
 	// others' cost. Until then the lowest rank of any job with tasks stands in for
 	// that of those which may be stopped: it is no higher.
-	lowest, pooled := int8(127), false
+	lowest, listed := s.lowestPlacedRank(&snap, order), false
 	for _, i := range order {
-		if w.Jobs.At(i).Placed > 0 {
-			lowest = min(lowest, p.ranks[i])
+		if s.exhaustive && !listed {
+			candidates, lowest = s.preemptible(&snap)
+			listed = true
 		}
-	}
-	for _, i := range order {
-		if p.exhaustive && !pooled {
-			pool, lowest = p.preemptible(&w)
-			pooled = true
+		if s.ranks[i] <= lowest {
+			break // no job ranks below this one or those after it
 		}
-		if p.ranks[i] <= lowest {
-			break // nobody ranks below this job or those after it
-		}
-		j := w.Jobs.At(i)
-		if j.Waiting == 0 || j.Record.Kind == jobs.Gang || !p.ready(&w, j) || w.mayRunUnseen(j) || !w.unitsAllow(j, 1) || !p.Within(j.Team, j.Need, w.unresolvedUseOf(j.Team)) ||
-			w.Now-j.AcceptedAt < minWaitToPreempt || (j.PreemptedAt > 0 && w.Now-j.PreemptedAt < preemptPause) {
+		job := snap.Jobs.At(i)
+		if !s.mayHavePreempted(&snap, job) {
 			continue
 		}
-		if !pooled {
-			pool, lowest = p.preemptible(&w)
-			if pooled = true; p.ranks[i] <= lowest {
+		if !listed {
+			candidates, lowest = s.preemptible(&snap)
+			listed = true
+			if s.ranks[i] <= lowest {
 				break
 			}
 		}
-		if victims := p.chooseVictims(&w, j, pool); len(victims) > 0 {
-			j.PreemptedAt = w.Now
-			for _, v := range victims {
-				if !slices.Contains(out, v) {
-					out = append(out, v)
-				}
+		victims := s.chooseVictims(&snap, job, candidates)
+		if len(victims) == 0 {
+			continue
+		}
+		job.PreemptedAt = snap.Now
+		for _, victim := range victims {
+			if !slices.Contains(stopped, victim) {
+				stopped = append(stopped, victim)
 			}
 		}
 	}
-	return out
+	return stopped
+}
+
+// lowestPlacedRank is the lowest rank of a job with placed tasks.
+func (s *Scheduler) lowestPlacedRank(snap *Snapshot, order []int32) int8 {
+	lowest := int8(math.MaxInt8)
+	for _, i := range order {
+		if snap.Jobs.At(i).Placed > 0 {
+			lowest = min(lowest, s.ranks[i])
+		}
+	}
+	return lowest
 }
 
-// preemptible lists the tasks that may be stopped for somebody, and the lowest rank
-// of their jobs.
-func (p *Scheduler) preemptible(w *Snapshot) (pool []*workers.Placement, lowest int8) {
-	lowest = 127
-	for _, m := range w.Inventory.All() {
-		if !m.Usable(w.Now, w.SuspectAfter) {
+// mayHavePreempted reports whether tasks of others may be preempted for a job now, as far
+// as that hangs on the job alone.
+func (s *Scheduler) mayHavePreempted(snap *Snapshot, job *jobs.Job) bool {
+	return job.Waiting > 0 &&
+		job.Record.Kind != jobs.Gang &&
+		s.ready(snap, job) &&
+		!snap.mayRunUnseen(job) &&
+		snap.unitsAllow(job, 1) &&
+		s.withinLimit(snap, job, 1) &&
+		snap.Now-job.AcceptedAt >= minWaitToPreempt &&
+		(job.PreemptedAt <= 0 || snap.Now-job.PreemptedAt >= preemptPause)
+}
+
+// preemptible lists the tasks that may be preempted for some job, and the lowest rank
+// of their jobs. A task that was stopped before is left alone.
+func (s *Scheduler) preemptible(snap *Snapshot) (candidates []*workers.Placement, lowest int8) {
+	lowest = math.MaxInt8
+	for _, machine := range snap.Inventory.All() {
+		if !machine.Usable(snap.Now, snap.SuspectAfter) {
 			continue
 		}
-		for _, v := range m.Tasks {
-			o := w.Jobs.At(v.Ref.Job)
-			if !restartable(o, v) || o.Saved[v.Ref.Task] > 0 || (o.Record.Checkpoint == 0 && w.Now-v.RanAt > maxLostRuntime) {
+		for _, task := range machine.Tasks {
+			owner := snap.Jobs.At(task.Ref.Job)
+			if !restartable(owner, task) || owner.Saved[task.Ref.Task] > 0 || snap.losesMuch(owner, task) {
 				continue
 			}
-			pool = append(pool, v)
-			lowest = min(lowest, p.ranks[v.Ref.Job])
+			candidates = append(candidates, task)
+			lowest = min(lowest, s.ranks[task.Ref.Job])
 		}
 	}
-	return pool, lowest
+	return candidates, lowest
+}
+
+// losesMuch reports whether a task saves nothing and has run for longer than may be lost.
+func (snap *Snapshot) losesMuch(owner *jobs.Job, task *workers.Placement) bool {
+	return owner.Record.Checkpoint == 0 && snap.Now-task.RanAt > maxLostRuntime
 }
 
-// restartable says whether a task runs that may be stopped and run again
+// restartable reports whether a task runs that may be stopped and run again
 // elsewhere: gangs and services never are.
-func restartable(j *jobs.Job, t *workers.Placement) bool {
-	return !t.Planned && !t.Stopping && t.Runs() && j.Record.Kind == jobs.Array && j.Phase == jobs.Open
+func restartable(job *jobs.Job, task *workers.Placement) bool {
+	return !task.Planned &&
+		!task.Stopping &&
+		task.Runs() &&
+		job.Record.Kind == jobs.Array &&
+		job.Phase == jobs.Open
 }
 
-func (p *Scheduler) chooseVictims(w *Snapshot, j *jobs.Job, pool []*workers.Placement) []*workers.Placement {
-	for _, m := range w.Inventory.All() {
-		if j.Need.Fits(m.Free) && m.Usable(w.Now, w.SuspectAfter) && w.couldHost(j, m) {
-			return nil // there is room: it only has to be given
-		}
-	}
-	var list []*workers.Placement
-	for _, v := range pool {
-		if !v.Stopping && w.couldHost(j, v.Machine) && p.mayPreempt(w, j, v) {
-			list = append(list, v)
-		}
+// chooseVictims picks those of the candidates whose room a job's waiting tasks fill, the
+// ones that lose least first; none if there is room for the job already.
+func (s *Scheduler) chooseVictims(snap *Snapshot, job *jobs.Job, candidates []*workers.Placement) []*workers.Placement {
+	if snap.hasFreeHost(job) {
+		return nil // it only has to be placed
 	}
-	loss := func(v *workers.Placement) time.Duration {
-		if w.Jobs.At(v.Ref.Job).Record.Checkpoint > 0 {
-			return 0
+	var eligible []*workers.Placement
+	for _, task := range candidates {
+		if !task.Stopping && snap.couldHost(job, task.Machine) && s.mayPreempt(snap, job, task) {
+			eligible = append(eligible, task)
 		}
-		return w.Now - v.RanAt
 	}
-	slices.SortFunc(list, func(a, b *workers.Placement) int {
-		if c := cmp.Compare(loss(a), loss(b)); c != 0 {
+	slices.SortFunc(eligible, func(a, b *workers.Placement) int {
+		if c := cmp.Compare(snap.lossOf(a), snap.lossOf(b)); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.Attempt, b.Attempt)
 	})
+	return victimsThatMakeRoom(job, eligible)
+}
+
+// hasFreeHost reports whether a machine has room for one more task of a job now.
+func (snap *Snapshot) hasFreeHost(job *jobs.Job) bool {
+	for _, machine := range snap.Inventory.All() {
+		if job.Need.Fits(machine.Free) && machine.Usable(snap.Now, snap.SuspectAfter) && snap.couldHost(job, machine) {
+			return true
+		}
+	}
+	return false
+}
+
+// lossOf is the run time that is lost when a task is stopped.
+func (snap *Snapshot) lossOf(task *workers.Placement) time.Duration {
+	if snap.Jobs.At(task.Ref.Job).Record.Checkpoint > 0 {
+		return 0
+	}
+	return snap.Now - task.RanAt
+}
+
+// victimsThatMakeRoom takes tasks in their order until their room, with what is free on
+// their machines, holds all waiting tasks of a job, or they are enough for one round. Tasks
+// of a machine count only once they make room for at least one.
+func victimsThatMakeRoom(job *jobs.Job, eligible []*workers.Placement) []*workers.Placement {
+	var victims []*workers.Placement
 	freed := map[*workers.Machine]resources.Amounts{}
 	chosen := map[*workers.Machine][]*workers.Placement{}
-	var out []*workers.Placement
-	got := 0
-	for _, v := range list {
-		m := v.Machine
-		freed[m] = freed[m].Plus(v.Need)
-		chosen[m] = append(chosen[m], v)
-		if n := TasksThatFit(j.Need, m.Free.Plus(freed[m])); n > 0 {
-			got += n
-			out = append(out, chosen[m]...)
-			chosen[m], freed[m] = nil, resources.Amounts{}.Minus(m.Free) // counted: the rest adds from nothing
+	places := 0
+	for _, task := range eligible {
+		machine := task.Machine
+		freed[machine] = freed[machine].Plus(task.Need)
+		chosen[machine] = append(chosen[machine], task)
+		if count := TasksThatFit(job.Need, machine.Free.Plus(freed[machine])); count > 0 {
+			places += count
+			victims = append(victims, chosen[machine]...)
+			// All this room is counted: the machine's other tasks add from nothing.
+			chosen[machine] = nil
+			freed[machine] = resources.Amounts{}.Minus(machine.Free)
 		}
-		if got >= j.Waiting || len(out) >= maxVictims {
+		if places >= job.Waiting || len(victims) >= maxVictims {
 			break
 		}
 	}
-	return out
+	return victims
 }
 
-// mayPreempt says whether a task of the pool may be stopped to make room for a
-// job.
-func (p *Scheduler) mayPreempt(w *Snapshot, j *jobs.Job, v *workers.Placement) bool {
-	o := w.Jobs.At(v.Ref.Job)
-	if p.ranks[j.Index] <= p.ranks[o.Index] {
+// mayPreempt reports whether a candidate may be stopped to make room for a job.
+func (s *Scheduler) mayPreempt(snap *Snapshot, job *jobs.Job, task *workers.Placement) bool {
+	owner := snap.Jobs.At(task.Ref.Job)
+	if s.ranks[job.Index] <= s.ranks[owner.Index] {
 		return false // the room would go back to the task that was stopped
 	}
-	if o.Priority < j.Priority && !o.Guaranteed {
+	if owner.Priority < job.Priority && !owner.Guaranteed {
 		return true
 	}
-	if !j.Guaranteed || o.Team == j.Team || int(o.Team) >= len(p.Guarantees) {
+	if !job.Guaranteed || owner.Team == job.Team || int(owner.Team) >= len(s.Guarantees) {
 		return false
 	}
-	g, u := p.Guarantees[o.Team], p.teamUse[o.Team].Minus(o.Need)
-	return u.CPU >= g.CPU && u.GPU >= g.GPU
+	guarantee := s.Guarantees[owner.Team]
+	useWithout := s.teamUse[owner.Team].Minus(owner.Need)
+	return useWithout.CPU >= guarantee.CPU && useWithout.GPU >= guarantee.GPU
 }
