--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -1,12 +1,13 @@
 package scheduler
 
 import (
-	"bitternmoor/internal/core/jobs"
-	"bitternmoor/internal/core/resources"
-	"bitternmoor/internal/core/workers"
 	"cmp"
 	"slices"
 	"time"
+
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
 )
 
 const (
@@ -15,11 +16,11 @@
 	maxMachinesEmptied  = 16               // machines emptied in one round
 )
 
-// RemainingTime is how long a placed task will probably still run.
-func RemainingTime(now time.Duration, j *jobs.Job, p *workers.Placement) time.Duration {
-	left := time.Duration(j.Mean()*float64(time.Second)) - j.Saved[p.Ref.Task]
-	if p.Runs() {
-		left -= now - p.RanAt
+// RemainingTime is how long a placed task will probably still run; never negative.
+func RemainingTime(now time.Duration, job *jobs.Job, task *workers.Placement) time.Duration {
+	left := time.Duration(job.Mean()*float64(time.Second)) - job.Saved[task.Ref.Task]
+	if task.Runs() {
+		left -= now - task.RanAt
 	}
 	return max(left, 0)
 }
@@ -31,75 +32,128 @@
 // moved before (they could go back and forth for ever), and have a place elsewhere that nobody
 // else of their team waits for, and when what its unused room would cost until
 // the end is more than what moving loses.
-func (p *Scheduler) PlanMigrations(w Snapshot) []*workers.Placement {
-	waits := make([]bool, len(p.Limits))
-	for _, i := range w.Estimator.Order() {
-		if j := w.Jobs.At(i); j.Waiting > 0 {
-			waits[j.Team] = true
+func (s *Scheduler) PlanMigrations(snap Snapshot) []*workers.Placement {
+	plan := migrationPlan{snap: &snap, teamWaits: s.teamsWithWaitingTasks(&snap)}
+	draining := plan.listMachines()
+	if len(draining) == 0 || len(plan.rooms) == 0 {
+		return nil
+	}
+	slices.SortStableFunc(plan.rooms, func(a, b hostRoom) int { return cmp.Compare(a.free.CPU, b.free.CPU) })
+	plan.placeStopping(draining)
+	var moved []*workers.Placement
+	emptied := 0
+	for _, machine := range draining {
+		if emptied == maxMachinesEmptied {
+			break
 		}
+		roomsBefore := slices.Clone(plan.rooms)
+		tasks, longest, all := plan.placeTasksOf(machine)
+		if !all || !worthEmptying(machine, longest) {
+			copy(plan.rooms, roomsBefore)
+			continue
+		}
+		emptied++
+		moved = append(moved, tasks...)
 	}
-	type room struct {
-		m    *workers.Machine
-		free resources.Amounts
+	return moved
+}
+
+// teamsWithWaitingTasks has, by team, whether jobs of it have waiting tasks.
+func (s *Scheduler) teamsWithWaitingTasks(snap *Snapshot) []bool {
+	waits := make([]bool, len(s.Limits))
+	for _, i := range snap.Estimator.Order() {
+		if job := snap.Jobs.At(i); job.Waiting > 0 {
+			waits[job.Team] = true
+		}
 	}
-	var rooms []room
-	var drain []*workers.Machine
-	for _, m := range w.Inventory.All() {
+	return waits
+}
+
+// migrationPlan is the state of one call of PlanMigrations.
+type migrationPlan struct {
+	snap      *Snapshot
+	teamWaits []bool     // by team, whether it has waiting tasks
+	rooms     []hostRoom // what is left beside the moves planned so far
+}
+
+// hostRoom is what is left free on a machine to which tasks may move.
+type hostRoom struct {
+	machine *workers.Machine
+	free    resources.Amounts
+}
+
+// listMachines returns the draining machines with tasks, and lists the rooms of those to
+// which tasks may move.
+func (plan *migrationPlan) listMachines() (draining []*workers.Machine) {
+	for _, machine := range plan.snap.Inventory.All() {
 		switch {
-		case m.Draining && !m.Deleting && m.Up && !m.PreemptionNotice && len(m.Tasks) > 0:
-			drain = append(drain, m)
-		case !m.Reserved && m.Free.CPU > 0 && m.Usable(w.Now, w.SuspectAfter):
-			rooms = append(rooms, room{m, m.Free})
+		case machine.Draining && !machine.Deleting && machine.Up && !machine.PreemptionNotice && len(machine.Tasks) > 0:
+			draining = append(draining, machine)
+		case !machine.Reserved && machine.Free.CPU > 0 && machine.Usable(plan.snap.Now, plan.snap.SuspectAfter):
+			plan.rooms = append(plan.rooms, hostRoom{machine: machine, free: machine.Free})
 		}
 	}
-	if len(drain) == 0 || len(rooms) == 0 {
-		return nil
-	}
-	slices.SortStableFunc(rooms, func(a, b room) int { return cmp.Compare(a.free.CPU, b.free.CPU) })
-	place := func(j *jobs.Job) bool {
-		for i := range rooms {
-			if r := &rooms[i]; j.Need.Fits(r.free) && Allowed(j, r.m, w.Zone) && j.ZoneAllows(r.m.Zone) {
-				r.free = r.free.Minus(j.Need)
-				return true
+	return draining
+}
+
+// placeStopping takes off the rooms what tasks need that are being moved already: they
+// come first.
+func (plan *migrationPlan) placeStopping(draining []*workers.Machine) {
+	for _, machine := range draining {
+		for _, task := range machine.Tasks {
+			if task.Stopping {
+				plan.place(plan.snap.Jobs.At(task.Ref.Job))
 			}
 		}
-		return false
 	}
-	// What is on its way already needs its room first.
-	for _, m := range drain {
-		for _, t := range m.Tasks {
-			if t.Stopping {
-				place(w.Jobs.At(t.Ref.Job))
-			}
+}
+
+// place takes one task of a job off the first room that it fits into, and reports whether
+// there was one.
+func (plan *migrationPlan) place(job *jobs.Job) bool {
+	for i := range plan.rooms {
+		room := &plan.rooms[i]
+		if job.Need.Fits(room.free) && Allowed(job, room.machine, plan.snap.Zone) && job.ZoneAllows(room.machine.Zone) {
+			room.free = room.free.Minus(job.Need)
+			return true
 		}
 	}
-	var out []*workers.Placement
-	emptied := 0
-	for _, m := range drain {
-		if emptied == maxMachinesEmptied {
-			break
-		}
-		before := slices.Clone(rooms)
-		var list []*workers.Placement
-		var last time.Duration
-		all := true
-		for _, t := range m.Tasks {
-			j := w.Jobs.At(t.Ref.Job)
-			left := RemainingTime(w.Now, j, t)
-			if !restartable(j, t) || j.ZoneRule() || j.Record.Checkpoint <= 0 || j.Saved[t.Ref.Task] > 0 || w.Now-t.RanAt < minRuntimeToMigrate || left < migrationTime || waits[j.Team] || !place(j) {
-				all = false
-				break
-			}
-			last = max(last, left)
-			list = append(list, t)
-		}
-		used := m.Cap.CPU - m.Free.CPU
-		if !all || float64(m.Free.CPU)*(last-migrationTime).Seconds() < float64(used)*2*migrationTime.Seconds() {
-			copy(rooms, before)
-			continue
+	return false
+}
+
+// placeTasksOf finds other places for the tasks of a machine. It returns them, the longest
+// time that one of them will probably still run, and whether all of them can move.
+func (plan *migrationPlan) placeTasksOf(
+	machine *workers.Machine,
+) (tasks []*workers.Placement, longest time.Duration, all bool) {
+	for _, task := range machine.Tasks {
+		job := plan.snap.Jobs.At(task.Ref.Job)
+		left := RemainingTime(plan.snap.Now, job, task)
+		if !plan.mayMove(job, task, left) || !plan.place(job) {
+			return tasks, longest, false
 		}
-		emptied++
-		out = append(out, list...)
+		longest = max(longest, left)
+		tasks = append(tasks, task)
 	}
-	return out
+	return tasks, longest, true
+}
+
+// mayMove reports whether a task that will run for left may be moved at all.
+func (plan *migrationPlan) mayMove(job *jobs.Job, task *workers.Placement, left time.Duration) bool {
+	return restartable(job, task) &&
+		!job.ZoneRule() &&
+		job.Record.Checkpoint > 0 &&
+		job.Saved[task.Ref.Task] <= 0 &&
+		plan.snap.Now-task.RanAt >= minRuntimeToMigrate &&
+		left >= migrationTime &&
+		!plan.teamWaits[job.Team]
+}
+
+// worthEmptying reports whether the unused room of a machine costs more until the last of
+// its tasks ends than moving them loses.
+func worthEmptying(machine *workers.Machine, longest time.Duration) bool {
+	used := machine.Cap.CPU - machine.Free.CPU
+	saved := float64(machine.Free.CPU) * (longest - migrationTime).Seconds()
+	lost := float64(used) * 2 * migrationTime.Seconds()
+	return saved >= lost
 }
