--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -1,314 +1,204 @@
-// Package sizing is HFSP: it estimates the size of each job from a few
-// training tasks, ages the sizes in a virtual cluster shared max-min fairly,
-// and orders jobs by what is left of them there. It is pure: times come in,
-// an order comes out.
+// Package sizing is the size estimator of HFSP, the Hadoop Fair Sojourn Protocol: it
+// estimates the size of each job from a few training tasks, ages the sizes in a virtual
+// cluster shared max-min fairly, and orders jobs by what is left of them there.
+//
+// It belongs to the core: a pure state machine without clock, socket or goroutine.
+// Times come in as seconds, an order comes out.
+//
+// The comments name the symbols of the paper and of the design document:
+//
+//	n    tasks of a job
+//	t    training tasks of a job, the first t of its n (Params.Train)
+//	T    training tasks that run at once in the cluster (scheduler.Scheduler.AtOnce)
+//	ξ    1 or more: how much larger a job counts until it is trained (Params.Xi)
+//	Δ    run time in seconds after which a training task need not end (Params.Delta)
+//	p_k  progress of training task k at that time, from 0 to 1
+//	s̄    mean run time of a task: of finished jobs for S_i, of training tasks for S_f
+//	s_0  S_i while no job has finished (Params.First)
+//	S_i  initial size, n·ξ·s̄
+//	S_f  final size, s̄·[(n−t) + Σ(1−p_k)]
+//
+// Sizes are in seconds of task run time: a job of n tasks, each of s seconds, has size n·s.
 package sizing
 
 import (
 	"cmp"
-	"math"
 	"slices"
 )
 
-// Params are the letters of the design document.
+// Params are the parameters of the design document.
 type Params struct {
 	Train int     // t
 	Xi    float64 // ξ
 	Delta float64 // Δ in seconds
-	First float64 // size of a job without any history, in seconds
+	First float64 // s_0 in seconds
 }
 
+// minCPUs stands in for the processors of a task that needs none, as the virtual cluster
+// divides by them.
+const minCPUs = 0.001
+
 // jobEstimate is what HFSP knows of one job.
 type jobEstimate struct {
-	team        int32
-	tasks       int
-	cpus        float64
-	tasksLeft   int // tasks not completed
-	untrained   bool
-	final       bool
+	team      int32
+	arrival   uint64  // orders jobs of the same virtual size
+	tasks     int     // n
+	tasksLeft int     // tasks not completed
+	cpus      float64 // processors of each task
+
 	size        float64 // S_i, then S_f
-	virtualWork float64 // virtual work done so far
-	arrival     uint64
-	samples     []sample
-}
+	final       bool    // size is S_f
+	virtualWork float64 // seconds of size that the virtual cluster has worked off
 
-type sample struct {
-	startedAt float64 // when it began to run; negative: not running
-	runTime   float64 // negative: not completed
+	untrained bool     // a gang: it keeps S_i
+	samples   []sample // one a training task
 }
 
+// remaining is the virtual size: what is left of a job in the virtual cluster.
+func (e *jobEstimate) remaining() float64 { return max(0, e.size-e.virtualWork) }
+
 // Estimator holds the sizes of all unfinished jobs, by dense job index.
 type Estimator struct {
-	params          Params
-	Limits          []float64      // processors that a team may use at once, by team; 0 or missing: no limit
-	jobs            []*jobEstimate // nil where there is none
-	order           []int32
-	sorted          bool    // order is as it must be: no virtual size has changed since
-	finishedSeconds float64 // run time of the tasks of finished jobs
+	params Params
+	// Limits has the processors that each team may use at once, by team index; 0 or
+	// missing: no limit.
+	Limits []float64
+
+	jobs        []*jobEstimate // by job index; nil where there is none
+	lastArrival uint64
+	order       []int32 // indices of the jobs
+	sorted      bool    // order is as Order returns it: no virtual size has changed since
+
+	// For s̄ of finished jobs.
+
+	finishedSeconds float64 // run time of their tasks
 	finishedTasks   float64
-	lastArrival     uint64
-	agedAt          float64
+
+	agedAt float64 // seconds at which the virtual cluster worked last
 }
 
-// New makes an empty book.
-func New(p Params) *Estimator { return &Estimator{params: p} }
+// New makes an estimator without jobs.
+func New(params Params) *Estimator { return &Estimator{params: params} }
 
 // job returns the job with an index, or nil.
-func (b *Estimator) job(j int32) *jobEstimate {
-	if int(j) >= len(b.jobs) {
+func (e *Estimator) job(index int32) *jobEstimate {
+	if int(index) >= len(e.jobs) {
 		return nil
 	}
-	return b.jobs[j]
+	return e.jobs[index]
 }
 
 // Len is the number of unfinished jobs.
-func (b *Estimator) Len() int { return len(b.order) }
+func (e *Estimator) Len() int { return len(e.order) }
 
-// Mean is s̄, the mean task time of finished jobs, and whether there is one.
-func (b *Estimator) Mean() (float64, bool) {
-	if b.finishedTasks == 0 {
+// Mean is s̄, the mean run time in seconds of the tasks of finished jobs, and whether
+// there is one.
+func (e *Estimator) Mean() (float64, bool) {
+	if e.finishedTasks == 0 {
 		return 0, false
 	}
-	return b.finishedSeconds / b.finishedTasks, true
+	return e.finishedSeconds / e.finishedTasks, true
 }
 
-// Add enters a team's job of n tasks, each taking cpus. A job under t tasks is tiny
-// and gets size zero; a gang has no training and keeps its initial size.
-func (b *Estimator) Add(j, team int32, n int, cpus float64, gang bool) {
-	b.lastArrival++
-	job := &jobEstimate{team: team, tasks: n, tasksLeft: n, cpus: max(cpus, 0.001), arrival: b.lastArrival}
-	switch {
-	case n < b.params.Train && !gang:
+// Add enters a team's job of n tasks, each taking cpus processors, with the initial size
+// S_i. A job under t tasks is tiny and gets size zero, which is final; a gang has no
+// training and keeps S_i.
+func (e *Estimator) Add(index, team int32, tasks int, cpus float64, gang bool) {
+	e.lastArrival++
+	job := &jobEstimate{team: team, tasks: tasks, tasksLeft: tasks, cpus: max(cpus, minCPUs), arrival: e.lastArrival}
+	if tasks < e.params.Train && !gang {
 		job.final = true
-	default:
-		if mean, ok := b.Mean(); ok {
-			job.size = float64(n) * b.params.Xi * mean
-		} else {
-			job.size = b.params.First
-		}
+	} else {
+		job.size = e.initialSize(tasks)
 		job.untrained = gang
-		job.samples = make([]sample, min(n, b.params.Train))
-		for k := range job.samples {
-			job.samples[k] = sample{-1, -1}
-		}
+		job.samples = newSamples(min(tasks, e.params.Train))
 	}
-	for int(j) >= len(b.jobs) {
-		b.jobs = append(b.jobs, nil)
+	for int(index) >= len(e.jobs) {
+		e.jobs = append(e.jobs, nil)
 	}
-	b.jobs[j] = job
-	b.order = append(b.order, j)
-	b.sorted = false
+	e.jobs[index] = job
+	e.order = append(e.order, index)
+	e.sorted = false
 }
 
-// Expect has a job that is not trained yet start from what its kind of work has
-// shown: n·ξ·mean in place of n·ξ·s̄.
-func (b *Estimator) Expect(j int32, mean float64) {
-	if job := b.job(j); job != nil && !job.final {
-		job.size = float64(job.tasks) * b.params.Xi * mean
-		b.sorted = false
+// initialSize is S_i = n·ξ·s̄, or Params.First while there is no s̄.
+func (e *Estimator) initialSize(tasks int) float64 {
+	if mean, ok := e.Mean(); ok {
+		return float64(tasks) * e.params.Xi * mean
 	}
+	return e.params.First
 }
 
-// Restore puts back what an earlier term had written down.
-func (b *Estimator) Restore(j int32, final bool, size, virtual float64) {
-	if job := b.job(j); job != nil {
-		b.sorted = false
+// Expect has a job that is not trained yet start from the mean run time in seconds that its
+// kind of work has shown: n·ξ·mean in place of n·ξ·s̄.
+func (e *Estimator) Expect(index int32, mean float64) {
+	if job := e.job(index); job != nil && !job.final {
+		job.size = float64(job.tasks) * e.params.Xi * mean
+		e.sorted = false
+	}
+}
+
+// Restore puts back a size and a virtual size, in seconds, that an earlier term wrote down.
+func (e *Estimator) Restore(index int32, final bool, size, virtual float64) {
+	if job := e.job(index); job != nil {
+		e.sorted = false
 		job.final = job.final || final
 		job.size = size
 		job.virtualWork = max(0, size-virtual)
 	}
 }
 
-// RestoreHistory counts the tasks of a job that finished in an earlier term.
-func (b *Estimator) RestoreHistory(seconds float64, tasks int) {
-	b.finishedSeconds += seconds
-	b.finishedTasks += float64(tasks)
+// RestoreHistory counts into s̄ the tasks of a job that finished, and the seconds that they
+// ran together.
+func (e *Estimator) RestoreHistory(seconds float64, tasks int) {
+	e.finishedSeconds += seconds
+	e.finishedTasks += float64(tasks)
 }
 
 // Remove takes out a job; seconds and tasks are what its completed tasks
 // took, counted into s̄ when it finished rather than being cancelled.
-func (b *Estimator) Remove(j int32, finished bool, seconds float64, tasks int) {
-	if b.job(j) == nil {
+func (e *Estimator) Remove(index int32, finished bool, seconds float64, tasks int) {
+	if e.job(index) == nil {
 		return
 	}
 	if finished {
-		b.RestoreHistory(seconds, tasks)
-	}
-	b.jobs[j] = nil
-	b.order = slices.DeleteFunc(b.order, func(o int32) bool { return o == j })
-}
-
-// Training says whether task k of job j is one that trains its size.
-func (b *Estimator) Training(j int32, k int) bool {
-	job := b.job(j)
-	return job != nil && !job.final && !job.untrained && k < len(job.samples)
-}
-
-// InTraining says whether the job's size is still to be set from training.
-func (b *Estimator) InTraining(j int32) bool { return b.Training(j, 0) }
-
-// Began notes that a task started to run.
-func (b *Estimator) Began(j int32, k int, now float64) {
-	if b.Training(j, k) && b.jobs[j].samples[k].startedAt < 0 {
-		b.jobs[j].samples[k].startedAt = now
-	}
-}
-
-// Lost notes that a task no longer runs and did not complete.
-func (b *Estimator) Lost(j int32, k int) {
-	if b.Training(j, k) {
-		b.jobs[j].samples[k].startedAt = -1
+		e.RestoreHistory(seconds, tasks)
 	}
+	e.jobs[index] = nil
+	e.order = slices.DeleteFunc(e.order, func(other int32) bool { return other == index })
 }
 
-// Completed notes that a task completed after took seconds of running. A
-// negative time is unknown, and the mean of the known ones stands in for it.
-func (b *Estimator) Completed(j int32, k int, took float64) {
-	job := b.job(j)
-	if job == nil {
-		return
-	}
-	job.tasksLeft--
-	if b.Training(j, k) {
-		if took < 0 {
-			if mean, ok := b.Mean(); ok {
-				took = mean
-			} else {
-				took = b.params.First
-			}
-		}
-		job.samples[k].runTime = took
-	}
-}
-
-// Settle sets the final size of job j when its training is over: all
-// training tasks completed, or the ones left have run for Δ and count 2Δ
-// (workers report no progress, so p is taken as one half). It returns the
-// size and true when it was set by this call; it is set only once.
-func (b *Estimator) Settle(j int32, now float64) (float64, bool) {
-	job := b.job(j)
-	if job == nil || job.final || job.untrained {
-		return 0, false
-	}
-	var sum, open float64
-	for _, s := range job.samples {
-		switch {
-		case s.runTime >= 0:
-			sum += s.runTime
-		case s.startedAt >= 0 && now-s.startedAt >= b.params.Delta:
-			sum += 2 * b.params.Delta
-			open += 0.5
-		default:
-			return 0, false
-		}
-	}
-	mean := sum / float64(len(job.samples))
-	job.size = mean * (float64(job.tasks-len(job.samples)) + open)
-	job.final = true
-	b.sorted = false
-	return job.size, true
-}
-
-// Virtual is what is left of a job in the virtual cluster.
-func (b *Estimator) Virtual(j int32) float64 {
-	job := b.job(j)
+// Virtual is the virtual size in seconds: what is left of a job in the virtual cluster.
+func (e *Estimator) Virtual(index int32) float64 {
+	job := e.job(index)
 	if job == nil {
 		return 0
 	}
-	return max(0, job.size-job.virtualWork)
+	return job.remaining()
 }
 
-// Size is the job's present estimate and whether it is final.
-func (b *Estimator) Size(j int32) (float64, bool) {
-	job := b.job(j)
+// Size is the job's present estimate in seconds, and whether it is S_f.
+func (e *Estimator) Size(index int32) (float64, bool) {
+	job := e.job(index)
 	if job == nil {
 		return 0, false
 	}
 	return job.size, job.final
 }
 
-// Age lets the virtual cluster of cpus processors work until now. Its
-// processors are shared max-min fairly: no job gets more than its tasks can
-// use, and what small jobs leave goes to the others. A team gets no more than
-// its limit in all, as in the real cluster: otherwise all jobs of a team at its
-// limit would be worked off in the virtual cluster long before the real one,
-// and would stand in the order of their arrival instead of their size.
-func (b *Estimator) Age(now, cpus float64) {
-	dt := now - b.agedAt
-	b.agedAt = now
-	if dt <= 0 || cpus <= 0 {
-		return
-	}
-	claims := make([]claim, 0, len(b.order))
-	for _, j := range b.order {
-		job := b.job(j)
-		if rest := job.size - job.virtualWork; rest > 0 {
-			parallel := min(float64(job.tasksLeft), math.Ceil(rest/dt))
-			claims = append(claims, claim{job, max(parallel, 1) * job.cpus})
-		}
-	}
-	slices.SortFunc(claims, byDemand)
-	b.sorted = b.sorted && len(claims) == 0
-	for team, limit := range b.Limits {
-		if limit <= 0 {
-			continue
-		}
-		most := maxMinLevel(claims, limit, func(j *jobEstimate) bool { return int(j.team) == team })
-		for i, c := range claims {
-			if int(c.job.team) == team {
-				claims[i].demand = min(c.demand, most)
-			}
-		}
-	}
-	slices.SortFunc(claims, byDemand)
-	most := maxMinLevel(claims, cpus, func(*jobEstimate) bool { return true })
-	for _, c := range claims {
-		c.job.virtualWork = min(c.job.size, c.job.virtualWork+min(c.demand, most)/c.job.cpus*dt)
-	}
-}
-
-// claim is how many processors a job could use in the virtual cluster.
-type claim struct {
-	job    *jobEstimate
-	demand float64
-}
-
-func byDemand(a, b claim) int { return cmp.Compare(a.demand, b.demand) }
-
-// maxMinLevel is the most that one of the jobs may get where cpus processors are
-// shared max-min fairly among them. The claims come smallest first.
-func maxMinLevel(claims []claim, cpus float64, of func(*jobEstimate) bool) float64 {
-	n := 0
-	for _, c := range claims {
-		if of(c.job) {
-			n++
-		}
-	}
-	most := 0.0
-	for _, c := range claims {
-		if of(c.job) {
-			share := cpus / float64(n)
-			most = max(most, share)
-			cpus -= min(c.demand, share)
-			n--
-		}
-	}
-	return most
-}
-
 // Order lists the jobs, smallest virtual size first, then by arrival. The
 // slice is valid until the next call.
-func (b *Estimator) Order() []int32 {
-	if b.sorted {
-		return b.order
-	}
-	b.sorted = true
-	slices.SortFunc(b.order, func(x, y int32) int {
-		jx, jy := b.jobs[x], b.jobs[y]
-		if c := cmp.Compare(max(0, jx.size-jx.virtualWork), max(0, jy.size-jy.virtualWork)); c != 0 {
+func (e *Estimator) Order() []int32 {
+	if e.sorted {
+		return e.order
+	}
+	e.sorted = true
+	slices.SortFunc(e.order, func(a, b int32) int {
+		jobA, jobB := e.jobs[a], e.jobs[b]
+		if c := cmp.Compare(jobA.remaining(), jobB.remaining()); c != 0 {
 			return c
 		}
-		return cmp.Compare(jx.arrival, jy.arrival)
+		return cmp.Compare(jobA.arrival, jobB.arrival)
 	})
-	return b.order
+	return e.order
 }
--- /dev/null
+++ b/internal/core/sizing/training.go
@@ -0,0 +1,96 @@
+package sizing
+
+// assumedProgress is p_k of a training task that has not ended after Δ: workers report no
+// progress, so it is taken as half done.
+const assumedProgress = 0.5
+
+// sample is what is known of one training task.
+type sample struct {
+	startedAt float64 // when it began to run, in seconds; negative: not running
+	runTime   float64 // seconds; negative: not completed
+}
+
+// newSamples makes samples of training tasks that have not begun.
+func newSamples(count int) []sample {
+	samples := make([]sample, count)
+	for k := range samples {
+		samples[k] = sample{startedAt: -1, runTime: -1}
+	}
+	return samples
+}
+
+// Training reports whether task k of a job is one that trains its size: one of the first t,
+// while the size is not final.
+func (e *Estimator) Training(index int32, k int) bool {
+	job := e.job(index)
+	return job != nil && !job.final && !job.untrained && k < len(job.samples)
+}
+
+// InTraining reports whether a job's S_f is still to be set from its training tasks.
+func (e *Estimator) InTraining(index int32) bool { return e.Training(index, 0) }
+
+// Began notes that task k of a job started to run at now, in seconds.
+func (e *Estimator) Began(index int32, k int, now float64) {
+	if e.Training(index, k) && e.jobs[index].samples[k].startedAt < 0 {
+		e.jobs[index].samples[k].startedAt = now
+	}
+}
+
+// Lost notes that task k of a job no longer runs and did not complete.
+func (e *Estimator) Lost(index int32, k int) {
+	if e.Training(index, k) {
+		e.jobs[index].samples[k].startedAt = -1
+	}
+}
+
+// Completed notes that task k of a job completed after runTime seconds. A
+// negative time is unknown, and s̄ stands in for it.
+func (e *Estimator) Completed(index int32, k int, runTime float64) {
+	job := e.job(index)
+	if job == nil {
+		return
+	}
+	job.tasksLeft--
+	if !e.Training(index, k) {
+		return
+	}
+	if runTime < 0 {
+		runTime = e.meanOrFirst()
+	}
+	job.samples[k].runTime = runTime
+}
+
+// meanOrFirst is s̄, or Params.First while there is none.
+func (e *Estimator) meanOrFirst() float64 {
+	if mean, ok := e.Mean(); ok {
+		return mean
+	}
+	return e.params.First
+}
+
+// Settle sets the final size S_f of a job when its training is over: each training task
+// has completed, or has run for Δ and counts Δ/p_k, which is 2Δ. It returns S_f in seconds
+// and true when it was set by this call; it is set only once.
+func (e *Estimator) Settle(index int32, now float64) (float64, bool) {
+	job := e.job(index)
+	if job == nil || job.final || job.untrained {
+		return 0, false
+	}
+	var sum, open float64 // of run times; Σ(1−p_k)
+	for _, s := range job.samples {
+		switch {
+		case s.runTime >= 0:
+			sum += s.runTime
+		case s.startedAt >= 0 && now-s.startedAt >= e.params.Delta:
+			sum += e.params.Delta / assumedProgress
+			open += 1 - assumedProgress
+		default:
+			return 0, false
+		}
+	}
+	mean := sum / float64(len(job.samples))
+	job.size = mean * (float64(job.tasks-len(job.samples)) + open)
+	job.final = true
+	e.sorted = false
+	return job.size, true
+}
