--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -12,9 +12,9 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// accelWorld has so many machines with two accelerators and twelve processors, and as many
+// acceleratedCluster has so many machines with two accelerators and twelve processors, and as many
 // with eight processors and none.
-func accelWorld(n int) (*Scheduler, Snapshot, map[*workers.Machine]int) {
+func acceleratedCluster(n int) (*Scheduler, Snapshot, map[*workers.Machine]int) {
 	p := New([]Limit{{}}, 10)
 	w := Snapshot{Now: time.Second, SuspectAfter: time.Minute, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(), Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	for i := range n {
@@ -64,7 +64,7 @@
 		{"short ones have what is free beyond a reserve", jobs.Array, 1000, 1, 30, 20, 12},
 		{"and nothing while gangs wait for all of it", jobs.Array, 1000, 25, 30, 20, 2},
 	} {
-		p, w, plain := accelWorld(c.plain)
+		p, w, plain := acceleratedCluster(c.plain)
 		w.add(1, jobs.Gang, c.gang, 10, 2, 60)
 		j := w.add(2, c.kind, c.tasks, 1, 0, c.mean)
 		w.AcceleratedNeed = p.Accelerated(w.Now, w.Jobs)
@@ -89,7 +89,7 @@
 
 // Without work that needs accelerators, machines that have some are as any.
 func TestAcceleratorsIdle(t *testing.T) {
-	p, w, _ := accelWorld(3)
+	p, w, _ := acceleratedCluster(3)
 	j := w.add(2, jobs.Array, 60, 1, 0, 500)
 	w.AcceleratedNeed = p.Accelerated(w.Now, w.Jobs)
 	p.RunCycle(w)
@@ -101,7 +101,7 @@
 // BenchmarkScalePass is a pass over 850 machines of four types with 10,000 waiting tasks,
 // replicas and gangs among them, on a cluster with room on one machine in ten.
 func BenchmarkScalePass(b *testing.B) {
-	p, w, _ := accelWorld(1)
+	p, w, _ := acceleratedCluster(1)
 	for i := range 850 {
 		room := []resources.Amounts{resources.Room(8, 0, 64), resources.Room(32, 0, 128), resources.Room(64, 0, 128), resources.Room(12, 2, 48)}[i%4]
 		m := w.Inventory.Add(&workers.Machine{Name: fmt.Sprint("m", i), Cap: room, Durable: true, Up: true, Resolved: true, FetchGBPS: 1})
