--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -16,8 +16,8 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// randomWorld makes jobs of all kinds and machines of which many are full.
-func randomWorld(r *rand.Rand, machines, count int) (Snapshot, *[]string, *Scheduler) {
+// randomCluster makes jobs of all kinds and machines of which many are full.
+func randomCluster(r *rand.Rand, machines, count int) (Snapshot, *[]string, *Scheduler) {
 	given := new([]string)
 	p := New([]Limit{{CPU: int64(1+r.IntN(machines)) * 4000}, {}}, 1+r.IntN(20))
 	p.UrgentFirst = true
@@ -80,7 +80,7 @@
 	for seed := range uint64(300) {
 		var got [2][]string
 		for i, plain := range []bool{true, false} {
-			w, given, p := randomWorld(rand.New(rand.NewPCG(seed, 1)), 40, 25)
+			w, given, p := randomCluster(rand.New(rand.NewPCG(seed, 1)), 40, 25)
 			p.exhaustive = plain
 			p.RunCycle(w)
 			w.Now += time.Second
@@ -105,7 +105,7 @@
 		var got [2][]string
 		for i, plain := range []bool{true, false} {
 			r := rand.New(rand.NewPCG(seed, 2))
-			w, _, p := randomWorld(r, 30, 40)
+			w, _, p := randomCluster(r, 30, 40)
 			p.exhaustive = plain
 			p.RunCycle(w)
 			w.Now += 3 * time.Second
@@ -137,7 +137,7 @@
 // A pass at full size: a thousand machines, of which most are full, and a
 // hundred jobs with thousands of waiting tasks.
 func BenchmarkPass(b *testing.B) {
-	w, _, p := randomWorld(rand.New(rand.NewPCG(1, 1)), 1000, 100)
+	w, _, p := randomCluster(rand.New(rand.NewPCG(1, 1)), 1000, 100)
 	p.RunCycle(w)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -148,7 +148,7 @@
 // Looked at is what a full cluster costs: refusals are found once a need, not
 // once a job, and machines without room are not looked at for each.
 func TestFullClusterLooksOnce(t *testing.T) {
-	w, _, p := randomWorld(rand.New(rand.NewPCG(2, 1)), 200, 100)
+	w, _, p := randomCluster(rand.New(rand.NewPCG(2, 1)), 200, 100)
 	p.Locality = 0
 	p.RunCycle(w)
 	p.RunCycle(w)
