--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -75,7 +75,7 @@
 
 // The quick pass remembers refusals and leaves out machines without room for
 // any waiting task. What it gives must be what a pass without both gives.
-func TestQuickPassDecidesAlike(t *testing.T) {
+func TestShortcutsDecideLikeExhaustiveCycle(t *testing.T) {
 	total := 0
 	for seed := range uint64(300) {
 		var got [2][]string
