--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -99,7 +99,7 @@
 
 // Preemption looks through the tasks only when it must. Held against a way that
 // always does, on random states, it stops the same tasks.
-func TestPreemptQuickAgainstPlain(t *testing.T) {
+func TestPreemptDecidesLikeExhaustiveOne(t *testing.T) {
 	total := 0
 	for seed := range uint64(200) {
 		var got [2][]string
