--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -147,7 +147,7 @@
 
 // Looked at is what a full cluster costs: refusals are found once a need, not
 // once a job, and machines without room are not looked at for each.
-func TestFullClusterLooksOnce(t *testing.T) {
+func TestFullClusterRefusesOnceANeed(t *testing.T) {
 	w, _, p := randomCluster(rand.New(rand.NewPCG(2, 1)), 200, 100)
 	p.Locality = 0
 	p.RunCycle(w)
