--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -159,7 +159,7 @@
 
 // A draining machine is emptied when all its tasks save, have run for a while,
 // were not moved before, and fit elsewhere; not while their team waits.
-func TestMoves(t *testing.T) {
+func TestPlanMigrationsConditions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(j *jobs.Job, task *workers.Placement, other *workers.Machine)
