--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -198,7 +198,7 @@
 // Two urgent jobs find the cluster full of tasks that save. Each victim is
 // named once, and a task that was stopped before is left alone: found on a day
 // where one long job was stopped five times over and set the end of the day.
-func TestPreemptSparesTheSaved(t *testing.T) {
+func TestPreemptSparesTasksStoppedBefore(t *testing.T) {
 	w := Snapshot{Now: 100 * time.Second, SuspectAfter: time.Hour, Jobs: jobs.NewTable(), Inventory: workers.NewInventory(),
 		Estimator: sizing.New(sizing.Params{Train: 5, Xi: 1, Delta: 60, First: 30}), Zone: func(string) int32 { return 0 }}
 	m := w.Inventory.Add(&workers.Machine{Name: "m", Cap: resources.Room(8, 0, 64), Durable: true, Up: true, Resolved: true, LastHeartbeat: w.Now, CacheGB: 1, FetchGBPS: 1})
