--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -88,7 +88,7 @@
 }
 
 // Without work that needs accelerators, machines that have some are as any.
-func TestAcceleratorsIdle(t *testing.T) {
+func TestIdleAcceleratorsAreOpenToAll(t *testing.T) {
 	p, w, _ := acceleratedCluster(3)
 	j := w.add(2, jobs.Array, 60, 1, 0, 500)
 	w.AcceleratedNeed = p.Accelerated(w.Now, w.Jobs)
