--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -136,7 +136,7 @@
 
 // A pass at full size: a thousand machines, of which most are full, and a
 // hundred jobs with thousands of waiting tasks.
-func BenchmarkPass(b *testing.B) {
+func BenchmarkCycle(b *testing.B) {
 	w, _, p := randomCluster(rand.New(rand.NewPCG(1, 1)), 1000, 100)
 	p.RunCycle(w)
 	b.ReportAllocs()
