--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// BenchmarkScalePass is a pass over 850 machines of four types with 10,000 waiting tasks,
+// BenchmarkCycleAtScale is a pass over 850 machines of four types with 10,000 waiting tasks,
 // replicas and gangs among them, on a cluster with room on one machine in ten.
-func BenchmarkScalePass(b *testing.B) {
+func BenchmarkCycleAtScale(b *testing.B) {
 	p, w, _ := acceleratedCluster(1)
 	for i := range 850 {
 		room := []resources.Amounts{resources.Room(8, 0, 64), resources.Room(32, 0, 128), resources.Room(64, 0, 128), resources.Room(12, 2, 48)}[i%4]
