--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestSizes(t *testing.T) {
+func TestInitialAndFinalSizes(t *testing.T) {
 	b := New(doc)
 	b.Add(0, 0, 4, 1, false)
 	near(t, "tiny job", b.Virtual(0), 0)
