--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestMaxMin(t *testing.T) {
+func TestAgingIsMaxMinFair(t *testing.T) {
 	b := New(doc)
 	b.Add(0, 0, 10, 1, false)
 	b.Add(1, 0, 10, 4, false)
