--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -82,7 +82,7 @@
 	near(t, "job 1", b.Virtual(1), 987.5)
 }
 
-func TestTraining(t *testing.T) {
+func TestFirstTasksTrainButNotOfGangs(t *testing.T) {
 	b := New(doc)
 	b.Add(0, 0, 20, 1, true)
 	if b.Training(0, 0) {
