--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var doc = Params{Train: 5, Xi: 1, Delta: 60, First: 30}
+var paperParams = Params{Train: 5, Xi: 1, Delta: 60, First: 30}
 
 func near(t *testing.T, what string, got, want float64) {
 	t.Helper()
@@ -19,7 +19,7 @@
 // and job 2 of 4 share the virtual cluster until time 3, when job 3 of 3
 // arrives; job 2 is then 2.5 and goes before job 3 although really larger.
 func TestFigure3(t *testing.T) {
-	b := New(doc)
+	b := New(paperParams)
 	for j, size := range []float64{3, 4} {
 		b.Add(int32(j+1), 0, 100, 1, false)
 		b.Restore(int32(j+1), true, size, size)
@@ -36,7 +36,7 @@
 }
 
 func TestInitialAndFinalSizes(t *testing.T) {
-	b := New(doc)
+	b := New(paperParams)
 	b.Add(0, 0, 4, 1, false)
 	near(t, "tiny job", b.Virtual(0), 0)
 	b.Add(1, 0, 8, 1, false)
@@ -65,7 +65,7 @@
 }
 
 func TestAgingIsMaxMinFair(t *testing.T) {
-	b := New(doc)
+	b := New(paperParams)
 	b.Add(0, 0, 10, 1, false)
 	b.Add(1, 0, 10, 4, false)
 	b.Add(2, 0, 10, 1, false)
@@ -83,7 +83,7 @@
 }
 
 func TestFirstTasksTrainButNotOfGangs(t *testing.T) {
-	b := New(doc)
+	b := New(paperParams)
 	b.Add(0, 0, 20, 1, true)
 	if b.Training(0, 0) {
 		t.Error("a gang trains")
@@ -105,7 +105,7 @@
 // A team at its limit gets no more than that in the virtual cluster either,
 // and its jobs share it max-min; the rest goes to the others.
 func TestAgingWithinTeamLimits(t *testing.T) {
-	b := New(doc)
+	b := New(paperParams)
 	b.Limits = []float64{4, 0}
 	for j, tasks := range []int{100, 100, 1, 100} {
 		b.Add(int32(j), int32(j/3), tasks, 1, true)
