--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -8,7 +8,7 @@
 
 var paperParams = Params{Train: 5, Xi: 1, Delta: 60, First: 30}
 
-func near(t *testing.T, what string, got, want float64) {
+func expectNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
 	if math.Abs(got-want) > 1e-9 {
 		t.Errorf("%s is %v, want %v", what, got, want)
@@ -25,8 +25,8 @@
 		b.Restore(int32(j+1), true, size, size)
 	}
 	b.Age(3, 1)
-	near(t, "job 1 at 3", b.Virtual(1), 1.5)
-	near(t, "job 2 at 3", b.Virtual(2), 2.5)
+	expectNear(t, "job 1 at 3", b.Virtual(1), 1.5)
+	expectNear(t, "job 2 at 3", b.Virtual(2), 2.5)
 	b.Remove(1, true, 3, 1)
 	b.Add(3, 0, 100, 1, false)
 	b.Restore(3, true, 3, 3)
@@ -38,12 +38,12 @@
 func TestInitialAndFinalSizes(t *testing.T) {
 	b := New(paperParams)
 	b.Add(0, 0, 4, 1, false)
-	near(t, "tiny job", b.Virtual(0), 0)
+	expectNear(t, "tiny job", b.Virtual(0), 0)
 	b.Add(1, 0, 8, 1, false)
-	near(t, "no history", b.Virtual(1), 30)
+	expectNear(t, "no history", b.Virtual(1), 30)
 	b.Remove(0, true, 40, 4)
 	b.Add(2, 0, 8, 1, false)
-	near(t, "n·ξ·s̄", b.Virtual(2), 80)
+	expectNear(t, "n·ξ·s̄", b.Virtual(2), 80)
 	for k := range 4 {
 		b.Began(2, k, 0)
 		b.Completed(2, k, 20)
@@ -57,7 +57,7 @@
 		t.Fatal("not settled at Δ")
 	}
 	// s̄ = (4·20 + 120)/5 = 40; (8−5) + 0.5 tasks are left.
-	near(t, "S_f", size, 140)
+	expectNear(t, "S_f", size, 140)
 	b.Completed(2, 4, 500)
 	if _, ok := b.Settle(2, 600); ok {
 		t.Error("size set twice")
@@ -74,12 +74,12 @@
 	}
 	// 30 processors, fair share 10 each: jobs 0 and 2 can use just 10.
 	b.Age(1, 30)
-	near(t, "job 0", b.Virtual(0), 990)
-	near(t, "job 1", b.Virtual(1), 997.5)
+	expectNear(t, "job 0", b.Virtual(0), 990)
+	expectNear(t, "job 1", b.Virtual(1), 997.5)
 	// With 60, what 0 and 2 leave goes to job 1: all 10 of its tasks run.
 	b.Age(2, 60)
-	near(t, "job 0", b.Virtual(0), 980)
-	near(t, "job 1", b.Virtual(1), 987.5)
+	expectNear(t, "job 0", b.Virtual(0), 980)
+	expectNear(t, "job 1", b.Virtual(1), 987.5)
 }
 
 func TestFirstTasksTrainButNotOfGangs(t *testing.T) {
@@ -112,8 +112,8 @@
 		b.Restore(int32(j), true, 100, 100)
 	}
 	b.Age(1, 20)
-	near(t, "first of the limited team", b.Virtual(0), 98.5)
-	near(t, "second of the limited team", b.Virtual(1), 98.5)
-	near(t, "its one-task job", b.Virtual(2), 99)
-	near(t, "job of the other team", b.Virtual(3), 84)
+	expectNear(t, "first of the limited team", b.Virtual(0), 98.5)
+	expectNear(t, "second of the limited team", b.Virtual(1), 98.5)
+	expectNear(t, "its one-task job", b.Virtual(2), 99)
+	expectNear(t, "job of the other team", b.Virtual(3), 84)
 }
