--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -1,9 +1,10 @@
 package scheduler
 
 import (
+	"time"
+
 	"bitternmoor/internal/core/resources"
 	"bitternmoor/internal/core/workers"
-	"time"
 )
 
 // ShardHolder is a controller's side of its shard: the machines whose workers it
