--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -1,6 +1,7 @@
-// Package fairshare is the duty that keeps the order of jobs: it ages their sizes
-// in the virtual cluster, sets final ones, and writes both down. It alone writes
-// entries of sizes, but for those of a job that is written anew.
+// Package fairshare is the component of a leader's term that keeps the order of the jobs: it
+// ages their sizes in the virtual cluster of HFSP (package sizing), sets final ones, and
+// writes both to the event log. It alone writes entries of sizes, but for those of a job that
+// is written anew.
 package fairshare
 
 import (
@@ -13,86 +14,96 @@
 	"bitternmoor/internal/settings"
 )
 
-// ageEvery is how often the virtual cluster works on.
+// agingInterval is how often the virtual cluster works on.
 const agingInterval = 500 * time.Millisecond
 
-// Component is the order in a term.
+// Component keeps the order of the jobs in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	replayedFinalSizes map[uint64]float64 // while the log is replayed
-	agedAt             time.Duration
-	sizesWrittenAt     time.Duration
+	replayedFinalSizes map[uint64]float64 // by job id, while the log is replayed
+	agedAt             time.Duration      // when the virtual cluster worked last
+	sizesWrittenAt     time.Duration      // when the virtual sizes were written last
 }
 
-// New makes the duty of a term.
-func New(s *cluster.State) *Component {
-	return &Component{State: s, replayedFinalSizes: map[uint64]float64{}, sizesWrittenAt: s.TermBegan}
+// New makes the component of a term.
+func New(state *cluster.State) *Component {
+	return &Component{State: state, replayedFinalSizes: map[uint64]float64{}, sizesWrittenAt: state.TermBegan}
 }
 
 // Replay takes an entry of the log.
-func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
-	if e.FinalSize != nil {
-		d.replayedFinalSizes[e.FinalSize.ID] = e.FinalSize.Size
+func (c *Component) Replay(_ time.Duration, entry eventlog.Entry) {
+	if entry.FinalSize != nil {
+		c.replayedFinalSizes[entry.FinalSize.ID] = entry.FinalSize.Size
 	}
 }
 
-// Begin restores final sizes.
-func (d *Component) Begin(time.Duration) {
-	for id, s := range d.replayedFinalSizes {
-		if j := d.Jobs.Find(id); j != nil {
-			d.Estimator.Restore(j.Index, true, s, s)
+// Begin restores the final sizes once the log is replayed.
+func (c *Component) Begin(time.Duration) {
+	for id, size := range c.replayedFinalSizes {
+		if job := c.Jobs.Find(id); job != nil {
+			c.Estimator.Restore(job.Index, true, size, size)
 		}
 	}
-	d.replayedFinalSizes = nil
+	c.replayedFinalSizes = nil
 }
 
 // Restore puts back the virtual sizes that an earlier term wrote down, oldest
 // first.
-func (d *Component) Restore(now time.Duration, list []eventlog.VirtualSize) {
-	for _, v := range list {
-		if j := d.Jobs.Find(v.ID); j != nil {
-			_, final := d.Estimator.Size(j.Index)
-			d.Estimator.Restore(j.Index, final, v.Size, v.Virtual)
+func (c *Component) Restore(now time.Duration, sizes []eventlog.VirtualSize) {
+	for _, size := range sizes {
+		if job := c.Jobs.Find(size.ID); job != nil {
+			_, final := c.Estimator.Size(job.Index)
+			c.Estimator.Restore(job.Index, final, size.Size, size.Virtual)
 		}
 	}
-	d.Estimator.Age(now.Seconds(), 0)
+	c.Estimator.Age(now.Seconds(), 0)
 }
 
 // Tick ages the sizes.
-func (d *Component) Tick(now time.Duration, _ bool) {
-	if now-d.agedAt >= agingInterval {
-		d.agedAt = now
-		d.Estimator.Age(now.Seconds(), d.CPUs())
+func (c *Component) Tick(now time.Duration, _ bool) {
+	if now-c.agedAt >= agingInterval {
+		c.agedAt = now
+		c.Estimator.Age(now.Seconds(), c.CPUs())
 	}
 }
 
-// AfterCycle writes the virtual sizes down from time to time.
-func (d *Component) AfterCycle(now time.Duration, sure bool) {
-	if sure && now-d.sizesWrittenAt >= settings.Seconds(d.Cfg.Tunables.SizesEveryS) {
-		d.sizesWrittenAt = now
-		d.writeSizes()
+// AfterCycle writes the virtual sizes from time to time, while the leader's lease is valid.
+func (c *Component) AfterCycle(now time.Duration, leaseValid bool) {
+	if leaseValid && now-c.sizesWrittenAt >= settings.Seconds(c.Cfg.Tunables.SizesEveryS) {
+		c.sizesWrittenAt = now
+		c.writeSizes()
 	}
 }
 
-func (d *Component) writeSizes() {
-	var list []eventlog.VirtualSize
-	for _, i := range d.Estimator.Order() {
-		if v := d.Estimator.Virtual(i); v > 0 {
-			s, _ := d.Estimator.Size(i)
-			list = append(list, eventlog.VirtualSize{ID: d.Jobs.At(i).Record.ID, Size: float64(int64(s*10)) / 10, Virtual: float64(int64(v*10)) / 10})
+// writeSizes writes the virtual sizes that are left, to a tenth of a second, by job id.
+func (c *Component) writeSizes() {
+	var sizes []eventlog.VirtualSize
+	for _, index := range c.Estimator.Order() {
+		virtual := c.Estimator.Virtual(index)
+		if virtual <= 0 {
+			continue
 		}
+		size, _ := c.Estimator.Size(index)
+		sizes = append(sizes, eventlog.VirtualSize{
+			ID:      c.Jobs.At(index).Record.ID,
+			Size:    truncateToTenth(size),
+			Virtual: truncateToTenth(virtual),
+		})
 	}
-	slices.SortFunc(list, func(a, b eventlog.VirtualSize) int { return cmp.Compare(a.ID, b.ID) })
-	d.EventLog.SetVirtualSizes(list)
+	slices.SortFunc(sizes, func(a, b eventlog.VirtualSize) int { return cmp.Compare(a.ID, b.ID) })
+	c.EventLog.SetVirtualSizes(sizes)
 }
 
+func truncateToTenth(seconds float64) float64 { return float64(int64(seconds*10)) / 10 }
+
 // Settle sets final sizes that are due; each is written once.
-func (d *Component) Settle(now time.Duration) {
-	for _, i := range d.Estimator.Order() {
-		if s, ok := d.Estimator.Settle(i, now.Seconds()); ok {
-			d.EventLog.Append(eventlog.Entry{FinalSize: &eventlog.FinalSize{ID: d.Jobs.At(i).Record.ID, Size: s}})
-			d.NeedsCycle = true
+func (c *Component) Settle(now time.Duration) {
+	for _, index := range c.Estimator.Order() {
+		if size, ok := c.Estimator.Settle(index, now.Seconds()); ok {
+			finalSize := &eventlog.FinalSize{ID: c.Jobs.At(index).Record.ID, Size: size}
+			c.EventLog.Append(eventlog.Entry{FinalSize: finalSize})
+			c.NeedsCycle = true
 		}
 	}
 }
