--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -11,9 +11,12 @@
 	"bitternmoor/internal/effects"
 )
 
-// What a new leader may start while machines are silent. Grants tell it which
+// Name is that of the component's own entries in the event log.
+const Name = "placing"
+
+// Marks bound what a new leader may start while machines are silent. Grants tell it which
 // jobs a machine that it cannot hear may have; marks tell it which of their
-// tasks. Tasks get room in the order of their numbers, so one number a job is
+// tasks. Tasks are placed in the order of their numbers, so one number a job is
 // enough: before a task is offered, it is noted that tasks below some number
 // beyond its own may have been handed out. What lies above that no earlier term
 // can have started, and it need not wait for any machine.
@@ -23,44 +26,62 @@
 // term that does notes an unbroken span of terms up to itself. Where the span
 // does not reach up to the term before, all tasks of all jobs count as handed
 // out, as they do without marks.
-
-// Name is that of the duty's own entries.
-const Name = "placing"
-
 const (
 	minMarkMargin   = 8  // a mark is beyond the task that needs it by so many tasks at least,
 	markMarginShare = 8  // or by one in so many of those before it: few starts wait for a mark
 	maxMarkBytes    = 32 // upper bound for what a job's mark takes in an entry
 )
 
-// markEntry is one of the duty's own: marks of some jobs, or the span of terms that
-// noted theirs.
+// markEntry is one of the component's own entries: marks of some jobs, or the span of terms
+// that noted theirs.
 type markEntry struct {
-	Epoch uint64      `json:"e,omitempty"`
-	Marks [][2]uint64 `json:"m,omitempty"` // id of a job, and its mark
-	From  uint64      `json:"a,omitempty"`
-	To    uint64      `json:"b,omitempty"`
+	Epoch uint64    `json:"e,omitempty"`
+	Marks []jobMark `json:"m,omitempty"`
+	From  uint64    `json:"a,omitempty"` // first epoch of the span
+	To    uint64    `json:"b,omitempty"` // last epoch of the span; 0: the entry has marks
 }
 
+// jobMark is the id of a job and its mark: tasks below may have been handed out.
+type jobMark [2]uint64
+
+func (m jobMark) jobID() uint64 { return m[0] }
+func (m jobMark) mark() uint64  { return m[1] }
+
+// intentMarks are the marks of a term.
 type intentMarks struct {
-	enabled       bool
-	spanStart     uint64                          // the first term of the unbroken span up to this one
-	durable       map[uint64]int                  // by job id: tasks below may be handed out
-	requested     map[uint64]int                  // the same, noted or being noted
-	unwritten     map[uint64]int                  // to be noted
-	waitingPlans  map[uint64][]*workers.Placement // plans that need a higher mark
-	inFlight      [][][2]uint64                   // on their way to the log, in their order; the span of terms is an empty one
-	spanPending   bool                            // the span is to be noted
-	spanCompacted bool                            // it has been, by the cleaning under way
-
-	replayed   []markEntry // while the log is replayed
-	unreadable bool        // an entry could not be read
+	enabled bool
+
+	// Marks, by job id.
+
+	durable      map[uint64]int                  // tasks below may be handed out
+	requested    map[uint64]int                  // the same, written or being written
+	unwritten    map[uint64]int                  // to be written
+	waitingPlans map[uint64][]*workers.Placement // plans that need a higher mark
+
+	inFlight [][]jobMark // marks of each entry on its way to the log, in their order; none for the span
+
+	// The span of terms that noted marks.
+
+	spanStart     uint64 // the first term of the unbroken span up to this one
+	spanPending   bool   // the span is to be written
+	spanCompacted bool   // it has been, by the compaction under way
+
+	// While the log is replayed.
+
+	replayed   []markEntry
+	unreadable bool // an entry could not be read
 }
 
 func newMarks() intentMarks {
-	return intentMarks{durable: map[uint64]int{}, requested: map[uint64]int{}, unwritten: map[uint64]int{}, waitingPlans: map[uint64][]*workers.Placement{}}
+	return intentMarks{
+		durable:      map[uint64]int{},
+		requested:    map[uint64]int{},
+		unwritten:    map[uint64]int{},
+		waitingPlans: map[uint64][]*workers.Placement{},
+	}
 }
 
+// forgetJob drops all that is kept of a job that has left.
 func (m *intentMarks) forgetJob(id uint64) {
 	delete(m.durable, id)
 	delete(m.requested, id)
@@ -68,133 +89,162 @@
 	delete(m.waitingPlans, id)
 }
 
-func (d *Component) replayMarks(own *eventlog.ComponentEntry) {
-	var e markEntry
-	if err := json.Unmarshal(own.Data, &e); err != nil {
+// replayMarks keeps an entry until the log is replayed.
+func (c *Component) replayMarks(own *eventlog.ComponentEntry) {
+	var entry markEntry
+	if err := json.Unmarshal(own.Data, &entry); err != nil {
 		// Without its mark a job would count as never handed out.
-		d.LogMessage(effects.Error, "what was handed out cannot be read: all tasks of all jobs count as handed out", "error", err)
-		d.marks.unreadable = true
+		c.LogMessage(effects.Error, "entry of marks unreadable, all tasks of all jobs count as handed out", "error", err)
+		c.marks.unreadable = true
 		return
 	}
-	d.marks.replayed = append(d.marks.replayed, e)
+	c.marks.replayed = append(c.marks.replayed, entry)
 }
 
 // recoverMarks settles what earlier terms can have handed out.
-func (d *Component) recoverMarks() {
-	m := &d.marks
-	m.enabled = d.Cfg.Tunables.NoteTasks == 1
-	for _, e := range m.replayed {
-		if e.To == d.Epoch-1 && e.From > 0 {
-			m.spanStart = e.From
+func (c *Component) recoverMarks() {
+	marks := &c.marks
+	marks.enabled = c.Cfg.Tunables.NoteTasks == 1
+	marks.recoverSpan(c.Epoch)
+	trusted := marks.spanStart > 0 && !marks.unreadable
+	if trusted {
+		c.recoverReplayedMarks()
+	} else {
+		marks.spanStart = c.Epoch
+	}
+	marks.replayed = nil
+	for _, job := range c.Jobs.All() {
+		if job == nil {
+			continue
 		}
-	}
-	whole := m.spanStart > 0 && !m.unreadable
-	for _, e := range m.replayed {
-		for _, x := range e.Marks {
-			if j := d.Jobs.Find(x[0]); whole && j != nil && e.Epoch >= m.spanStart {
-				m.durable[x[0]] = max(m.durable[x[0]], int(min(x[1], uint64(len(j.Tasks)))))
-			}
+		id := job.Record.ID
+		if !trusted {
+			marks.durable[id] = len(job.Tasks)
+			marks.unwritten[id] = len(job.Tasks)
 		}
+		marks.requested[id] = marks.durable[id]
+		job.FreshFrom = marks.durable[id]
+	}
+	if !marks.enabled {
+		clear(marks.unwritten)
 	}
-	m.replayed = nil
-	if !whole {
-		m.spanStart = d.Epoch
+	marks.spanPending = marks.enabled
+}
+
+// recoverSpan takes over the span of terms that reaches up to the one before this epoch.
+func (m *intentMarks) recoverSpan(epoch uint64) {
+	for _, entry := range m.replayed {
+		if entry.To == epoch-1 && entry.From > 0 {
+			m.spanStart = entry.From
+		}
 	}
-	for _, j := range d.Jobs.All() {
-		if j == nil {
+}
+
+// recoverReplayedMarks takes over the highest mark of each job within the span.
+func (c *Component) recoverReplayedMarks() {
+	for _, entry := range c.marks.replayed {
+		if entry.Epoch < c.marks.spanStart {
 			continue
 		}
-		id := j.Record.ID
-		if !whole {
-			m.durable[id] = len(j.Tasks)
-			m.unwritten[id] = len(j.Tasks)
+		for _, m := range entry.Marks {
+			if job := c.Jobs.Find(m.jobID()); job != nil {
+				mark := int(min(m.mark(), uint64(len(job.Tasks))))
+				c.marks.durable[m.jobID()] = max(c.marks.durable[m.jobID()], mark)
+			}
 		}
-		m.requested[id] = m.durable[id]
-		j.FreshFrom = m.durable[id]
 	}
-	if !m.enabled {
-		clear(m.unwritten)
-	}
-	m.spanPending = m.enabled
 }
 
 // markPlan settles whether a plan may be offered, and raises its job's mark if not.
-func (d *Component) markPlan(p *workers.Placement) {
-	m, id, k := &d.marks, p.JobID, int(p.Ref.Task)
-	if p.IntentDurable = !m.enabled || k < m.durable[id]; p.IntentDurable {
+func (c *Component) markPlan(plan *workers.Placement) {
+	marks, id, task := &c.marks, plan.JobID, int(plan.Ref.Task)
+	plan.IntentDurable = !marks.enabled || task < marks.durable[id]
+	if plan.IntentDurable {
 		return
 	}
-	m.waitingPlans[id] = append(m.waitingPlans[id], p)
-	if k < m.requested[id] {
+	marks.waitingPlans[id] = append(marks.waitingPlans[id], plan)
+	if task < marks.requested[id] {
 		return
 	}
-	j := d.Jobs.At(p.Ref.Job)
-	to := len(j.Tasks)
-	if j.Record.Kind == jobs.Array {
-		to = min(to, k+1+max(minMarkMargin, (k+1)/markMarginShare))
+	job := c.Jobs.At(plan.Ref.Job)
+	mark := len(job.Tasks)
+	if job.Record.Kind == jobs.Array {
+		mark = min(mark, task+1+max(minMarkMargin, (task+1)/markMarginShare))
 	}
-	m.requested[id], m.unwritten[id] = to, to
+	marks.requested[id], marks.unwritten[id] = mark, mark
 }
 
 // writeMarks hands raised marks to the log, and first of all those of jobs that
 // earlier terms may have handed out, with the span of terms behind them.
-func (d *Component) writeMarks() {
-	m := &d.marks
-	var list [][2]uint64
-	for _, id := range slices.Sorted(maps.Keys(m.unwritten)) {
-		list = append(list, [2]uint64{id, uint64(m.unwritten[id])})
+func (c *Component) writeMarks() {
+	marks := &c.marks
+	var raised []jobMark
+	for _, id := range slices.Sorted(maps.Keys(marks.unwritten)) {
+		raised = append(raised, jobMark{id, uint64(marks.unwritten[id])})
 	}
-	clear(m.unwritten)
-	for part := range slices.Chunk(list, max(1, (d.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/maxMarkBytes)) {
-		d.appendMarks(markEntry{Epoch: d.Epoch, Marks: part}, part)
+	clear(marks.unwritten)
+	marksPerEntry := max(1, (c.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/maxMarkBytes)
+	for part := range slices.Chunk(raised, marksPerEntry) {
+		c.appendMarks(part)
 	}
-	if m.spanPending {
-		m.spanPending = false
-		d.appendMarks(markEntry{From: m.spanStart, To: d.Epoch}, nil)
+	if marks.spanPending {
+		marks.spanPending = false
+		c.appendSpan()
 	}
 }
 
-func (d *Component) appendMarks(e markEntry, marks [][2]uint64) {
-	d.marks.inFlight = append(d.marks.inFlight, marks)
-	d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, e))
+// appendMarks hands an entry of marks to the log.
+func (c *Component) appendMarks(list []jobMark) {
+	c.appendMarkEntry(markEntry{Epoch: c.Epoch, Marks: list})
+}
+
+// appendSpan hands the entry of the span up to this term to the log.
+func (c *Component) appendSpan() {
+	c.appendMarkEntry(markEntry{From: c.marks.spanStart, To: c.Epoch})
+}
+
+func (c *Component) appendMarkEntry(entry markEntry) {
+	c.marks.inFlight = append(c.marks.inFlight, entry.Marks)
+	c.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry))
 }
 
-// marksDurable lets the plans be offered that the marks which are durable now cover.
-func (d *Component) marksDurable() {
-	m := &d.marks
-	list := m.inFlight[0]
-	m.inFlight = m.inFlight[1:]
-	for _, x := range list {
-		id := x[0]
-		if d.Jobs.Find(id) == nil {
+// marksDurable lets the plans be offered that are covered by the marks of the first entry in
+// flight, which is durable now.
+func (c *Component) marksDurable() {
+	marks := &c.marks
+	list := marks.inFlight[0]
+	marks.inFlight = marks.inFlight[1:]
+	for _, m := range list {
+		id := m.jobID()
+		if c.Jobs.Find(id) == nil {
 			continue
 		}
-		m.durable[id] = max(m.durable[id], int(x[1]))
-		m.waitingPlans[id] = slices.DeleteFunc(m.waitingPlans[id], func(p *workers.Placement) bool {
-			p.IntentDurable = int(p.Ref.Task) < m.durable[id]
-			return p.IntentDurable
+		marks.durable[id] = max(marks.durable[id], int(m.mark()))
+		marks.waitingPlans[id] = slices.DeleteFunc(marks.waitingPlans[id], func(plan *workers.Placement) bool {
+			plan.IntentDurable = int(plan.Ref.Task) < marks.durable[id]
+			return plan.IntentDurable
 		})
 	}
 }
 
 // compactMarks writes anew what is live of an entry.
-func (d *Component) compactMarks(own *eventlog.ComponentEntry) {
-	m := &d.marks
-	var e markEntry
-	if !m.enabled || json.Unmarshal(own.Data, &e) != nil {
-		return
-	}
-	if e.To > 0 && !m.spanCompacted {
-		m.spanCompacted = true
-		d.appendMarks(markEntry{From: m.spanStart, To: d.Epoch}, nil)
-	}
-	var list [][2]uint64
-	for _, x := range e.Marks {
-		if d.Jobs.Find(x[0]) != nil {
-			list = append(list, [2]uint64{x[0], uint64(m.requested[x[0]])})
+func (c *Component) compactMarks(own *eventlog.ComponentEntry) {
+	marks := &c.marks
+	var entry markEntry
+	if !marks.enabled || json.Unmarshal(own.Data, &entry) != nil {
+		return // nothing of an entry that cannot be read is live: recoverMarks has replaced it
+	}
+	if entry.To > 0 && !marks.spanCompacted {
+		marks.spanCompacted = true
+		c.appendSpan()
+	}
+	var live []jobMark
+	for _, m := range entry.Marks {
+		if id := m.jobID(); c.Jobs.Find(id) != nil {
+			live = append(live, jobMark{id, uint64(marks.requested[id])})
 		}
 	}
-	if len(list) > 0 {
-		d.appendMarks(markEntry{Epoch: d.Epoch, Marks: list}, list)
+	if len(live) > 0 {
+		c.appendMarks(live)
 	}
 }
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -1,10 +1,15 @@
-// Package placement is the duty that gives room: it has the planner place waiting
-// tasks, notes before a job's first start on a machine that its tasks may be
-// there, and takes that back. It alone writes entries of grants.
+// Package placement is the component of a leader's term that places tasks on machines: it
+// runs the scheduling cycle (package scheduler) over the state of the term and plans what
+// that decides.
+//
+// Before a task may be offered to a machine, the intent to start it is made durable in the
+// event log, so that a later leader knows what a machine which it cannot hear may be running.
+// Grants name the machines that may have tasks of a job, and are taken back once they have
+// none; marks bound the tasks of a job that may have been handed out. The component alone
+// writes entries of both.
 package placement
 
 import (
-	"maps"
 	"slices"
 	"time"
 
@@ -15,282 +20,200 @@
 )
 
 const (
-	minCyclePause    = 20 * time.Millisecond // between a pass and one that a commit asks for
-	preemptInterval  = 500 * time.Millisecond
-	grantIdleTimeout = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
-
-	maxMachineBytes   = 10 // upper bound for what a machine takes in an entry
-	usualMachineBytes = 5  // what one takes usually
+	minCyclePause   = 20 * time.Millisecond // between a cycle and one that a commit asks for
+	preemptInterval = 500 * time.Millisecond
 )
 
-// Component gives room in a term.
+// Component places tasks in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	newGrants      map[uint64][]*workers.Machine // grants to be noted, by job id
-	grants         map[uint64][]*workers.Machine // grants noted or being noted
-	revoked        map[uint64][]int              // grants to be taken back, by job id: numbers of machines
-	grantsInFlight [][]*workers.Machine          // of the grants on their way to the log, in their order
-	planned        []*workers.Placement          // by the pass under way
-	cycledAt       time.Duration
-	preemptedAt    time.Duration
 
-	marks intentMarks
+	// Scheduling cycle.
+
+	planned     []*workers.Placement // by the cycle under way
+	cycledAt    time.Duration        // when the last cycle ran
+	preemptedAt time.Duration        // when tasks to preempt were last looked for
+
+	// Grants, by job id.
+
+	newGrants      map[uint64][]*workers.Machine // to be written
+	grants         map[uint64][]*workers.Machine // written, in flight or to be written
+	revoked        map[uint64][]int              // to be taken back: numbers of machines
+	grantsInFlight [][]*workers.Machine          // machines of each entry on its way to the log, in their order
+
+	replayedGrants    map[uint64]map[int]bool  // by job id and number of the machine, while the log is replayed
+	compactedMachines map[int]*workers.Machine // by number, while the log is compacted
 
-	replayedGrants    map[uint64]map[int]bool  // while the log is replayed
-	compactedMachines map[int]*workers.Machine // while the log is cleaned
+	marks intentMarks
 }
 
-// New makes the duty of a term.
-func New(s *cluster.State) *Component {
-	return &Component{State: s, newGrants: map[uint64][]*workers.Machine{}, grants: map[uint64][]*workers.Machine{}, revoked: map[uint64][]int{},
-		marks: newMarks(), replayedGrants: map[uint64]map[int]bool{}}
+// New makes the component of a term.
+func New(state *cluster.State) *Component {
+	return &Component{
+		State:          state,
+		newGrants:      map[uint64][]*workers.Machine{},
+		grants:         map[uint64][]*workers.Machine{},
+		revoked:        map[uint64][]int{},
+		replayedGrants: map[uint64]map[int]bool{},
+		marks:          newMarks(),
+	}
 }
 
 // Replay takes an entry of the log.
-func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
-	if e.Component != nil {
-		d.replayMarks(e.Component)
-	}
-	if e.Grant == nil {
-		return
-	}
-	g := d.replayedGrants[e.Grant.Job]
-	if g == nil {
-		g = map[int]bool{}
-		d.replayedGrants[e.Grant.Job] = g
+func (c *Component) Replay(_ time.Duration, entry eventlog.Entry) {
+	if entry.Component != nil {
+		c.replayMarks(entry.Component)
 	}
-	for _, n := range e.Grant.Machines {
-		g[n] = !e.Grant.Revoked
+	if entry.Grant != nil {
+		c.replayGrant(entry.Grant)
 	}
 }
 
-// Begin settles which machines may have tasks of which jobs. Until such a
-// machine is resolved, what is not seen of the job may be there.
-func (d *Component) Begin(time.Duration) {
-	byNumber := d.machinesByNumber()
-	for id, list := range d.replayedGrants {
-		j := d.Jobs.Find(id)
-		for n, open := range list {
-			d.LastMachineNumber = max(d.LastMachineNumber, n)
-			m := byNumber[n]
-			switch {
-			case !open || m == nil || m.Resolved || n == 0:
-			case j != nil:
-				m.Grants[id] = true
-				d.grants[id] = append(d.grants[id], m)
-				j.UnresolvedMachines++
-				if !slices.Contains(m.ClaimedByTeams, j.Team) {
-					m.ClaimedByTeams = append(m.ClaimedByTeams, j.Team)
-				}
-			default:
-				// A cancelled job, whose team is not known any more: its tasks may be
-				// there yet. One that is done has none anywhere.
-				if p, _ := d.Jobs.Final(id); p != jobs.Done {
-					m.ClaimedByAnyTeam = true
-				}
-			}
+// Begin settles, once the log is replayed, which machines may have tasks of which jobs.
+// Until such a machine is resolved, tasks of the job that are not seen may be there.
+func (c *Component) Begin(time.Duration) {
+	c.recoverGrants()
+	for _, machine := range c.Inventory.All() {
+		if machine.Unresolved() {
+			c.AddUnresolved(machine)
 		}
 	}
-	d.replayedGrants = nil
-	for _, m := range d.Inventory.All() {
-		if m.Unresolved() {
-			d.AddUnresolved(m)
-		}
-	}
-	d.recoverMarks()
+	c.recoverMarks()
 }
 
-func (d *Component) machinesByNumber() map[int]*workers.Machine {
-	out := map[int]*workers.Machine{}
-	for _, m := range d.Inventory.All() {
-		out[m.Number] = m
+// EntryDurable lets the tasks start whose intent an entry of this component made durable.
+func (c *Component) EntryDurable(_ time.Duration, _ bool, entry eventlog.Entry) {
+	if entry.Component != nil {
+		c.marksDurable()
+	}
+	if entry.Grant != nil {
+		c.grantDurable(entry.Grant)
 	}
-	return out
 }
 
-// EntryDurable lets the tasks of a grant that is noted start.
-func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
-	if e.Component != nil {
-		d.marksDurable()
-	}
-	if e.Grant == nil {
-		return
-	}
-	machines := d.grantsInFlight[0]
-	d.grantsInFlight = d.grantsInFlight[1:]
-	if d.Jobs.Find(e.Grant.Job) == nil {
-		return
+// AppendEntries hands new grants, those taken back, and marks to the log.
+func (c *Component) AppendEntries(time.Duration) {
+	c.writeGrants()
+	c.writeMarks()
+}
+
+// Compact writes anew what is live of an entry.
+func (c *Component) Compact(_ time.Duration, entry eventlog.Entry) {
+	if entry.Component != nil {
+		c.compactMarks(entry.Component)
 	}
-	for _, m := range machines {
-		m.Grants[e.Grant.Job] = true
+	if entry.Grant != nil && !entry.Grant.Revoked {
+		c.compactGrant(entry.Grant)
 	}
 }
 
-// HandleEvent forgets the grants of a job that has left, and takes those back that a
+// CompactionDone forgets what the compaction needed.
+func (c *Component) CompactionDone() {
+	c.compactedMachines = nil
+	c.marks.spanCompacted = false
+}
+
+// HandleEvent forgets what is kept of a job that has left, and takes back the grants that a
 // report shows to be of no use any more.
-func (d *Component) HandleEvent(e cluster.Event) {
-	switch e.Kind {
+func (c *Component) HandleEvent(event cluster.Event) {
+	switch event.Kind {
 	case cluster.JobRemoved:
-		id := e.Job.Record.ID
-		for _, m := range d.grants[id] {
-			m.RevokeGrant(id)
-		}
-		delete(d.revoked, id)
-		delete(d.grants, id)
-		delete(d.newGrants, id)
-		d.marks.forgetJob(id)
+		c.forgetGrants(event.Job.Record.ID)
+		c.marks.forgetJob(event.Job.Record.ID)
 	case cluster.HeartbeatApplied:
-		if e.Report.Token == e.Machine.Token {
-			d.revokeIdleGrants(e.At, e.Machine, e.Report)
+		if event.Report.Token == event.Machine.Token {
+			c.revokeIdleGrants(event.At, event.Machine, event.Report)
 		}
 	}
 }
 
-// RunCycle gives room if anything has changed, and stops tasks for others that go
-// ahead of them.
-func (d *Component) RunCycle(now time.Duration) {
-	if !d.NeedsCycle {
+// RunCycle runs a scheduling cycle if anything has changed, and preempts tasks for jobs that
+// go ahead of theirs.
+func (c *Component) RunCycle(now time.Duration) {
+	if !c.NeedsCycle {
 		return
 	}
-	d.runCycle(now)
-	if d.Cfg.Tunables.Preempt == 1 && now-d.preemptedAt >= preemptInterval && d.Permits(now, cluster.Preempt) {
-		d.preemptedAt = now
-		d.StopAll(now, d.Scheduler.Preempt(d.Snapshot(now)), cluster.Preempt)
-	}
-}
-
-// RequestCycle gives room after a commit, unless it was given just now.
-func (d *Component) RequestCycle(now time.Duration) {
-	if d.NeedsCycle && now-d.cycledAt >= minCyclePause {
-		d.runCycle(now)
+	c.runCycle(now)
+	if c.Cfg.Tunables.Preempt == 1 && now-c.preemptedAt >= preemptInterval && c.Permits(now, cluster.Preempt) {
+		c.preemptedAt = now
+		c.StopAll(now, c.Scheduler.Preempt(c.Snapshot(now)), cluster.Preempt)
 	}
 }
 
-// LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int {
-	live := 0
-	for _, list := range d.grants {
-		live += len(list) * usualMachineBytes
+// RequestCycle runs a scheduling cycle after a commit, unless one ran just now.
+func (c *Component) RequestCycle(now time.Duration) {
+	if c.NeedsCycle && now-c.cycledAt >= minCyclePause {
+		c.runCycle(now)
 	}
-	return live
 }
 
-// Compact writes anew what is live of an entry.
-func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
-	if e.Component != nil {
-		d.compactMarks(e.Component)
-	}
-	if e.Grant == nil || e.Grant.Revoked {
-		return
-	}
-	if d.compactedMachines == nil {
-		d.compactedMachines = d.machinesByNumber()
-	}
-	g := eventlog.Grant{Job: e.Grant.Job}
-	for _, number := range e.Grant.Machines {
-		if m := d.compactedMachines[number]; m != nil && (m.Grants[g.Job] || !m.Resolved) {
-			g.Machines = append(g.Machines, number)
+// runCycle plans waiting tasks on machines, and has the intent to start them made durable.
+func (c *Component) runCycle(now time.Duration) {
+	c.NeedsCycle = false
+	c.cycledAt = now
+	c.planned = c.planned[:0]
+	snap := c.Snapshot(now)
+	snap.Place = func(job *jobs.Job, k int, machine *workers.Machine) { c.planTask(now, job, k, machine) }
+	snap.Unplace = c.cancelTask
+	c.Counts.LeftWaiting += uint64(c.Scheduler.RunCycle(snap))
+	c.MachinesWithPlans = slices.DeleteFunc(c.MachinesWithPlans, func(machine *workers.Machine) bool {
+		machine.HasPlansListed = machine.HasPlans()
+		return !machine.HasPlansListed
+	})
+	for _, plan := range c.planned {
+		if c.Placements[plan.Ref] == plan { // not taken back in the same cycle
+			c.announcePlan(plan)
 		}
 	}
-	if len(g.Machines) > 0 {
-		d.EventLog.Append(eventlog.Entry{Grant: &g})
-	}
-}
-
-// CompactionDone forgets what the cleaning needed.
-func (d *Component) CompactionDone() {
-	d.compactedMachines = nil
-	d.marks.spanCompacted = false
 }
 
-// runCycle gives room to waiting tasks. What gets a place on a machine for the first
-// time of its job is granted there.
-func (d *Component) runCycle(now time.Duration) {
-	d.NeedsCycle = false
-	d.cycledAt = now
-	d.planned = d.planned[:0]
-	w := d.Snapshot(now)
-	w.Place = func(j *jobs.Job, k int, m *workers.Machine) {
-		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		j.Place(k)
-		j.CountInZone(m.Zone, 1)
-		p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Image: j.Image, Need: j.Need, BoundToHome: j.Record.Kind == jobs.Gang || j.ZoneRule(), StartNow: j.Prompt}
-		d.Placements[ref] = p
-		if j.Record.Kind == jobs.Gang {
-			if j.GangAttempt == 0 {
-				j.GangAttempt = d.NextAttempt()
-			}
-			p.Attempt = j.GangAttempt
+// planTask plans task k of a job on a machine.
+func (c *Component) planTask(now time.Duration, job *jobs.Job, k int, machine *workers.Machine) {
+	ref := workers.Ref{Job: job.Index, Task: int32(k)}
+	job.Place(k)
+	job.CountInZone(machine.Zone, 1)
+	plan := &workers.Placement{
+		Ref:         ref,
+		JobID:       job.Record.ID,
+		Image:       job.Image,
+		Need:        job.Need,
+		BoundToHome: job.Record.Kind == jobs.Gang || job.ZoneRule(),
+		StartNow:    job.Prompt,
+	}
+	c.Placements[ref] = plan
+	if job.Record.Kind == jobs.Gang {
+		if job.GangAttempt == 0 {
+			job.GangAttempt = c.NextAttempt()
 		}
-		m.Plan(p)
-		d.planned = append(d.planned, p)
-		if d.StartPacer != nil {
-			d.StartPacer.TaskStarted(now, m)
-		}
-		if d.Pools != nil {
-			d.Pools.TaskPlaced(j)
-		}
-		m.UseImage(j.Image, j.Record.ImageGB, now)
+		plan.Attempt = job.GangAttempt
 	}
-	w.Unplace = func(j *jobs.Job, k int) {
-		d.CancelPlan(d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}])
-		if d.Pools != nil {
-			d.Pools.TaskRemoved(j)
-		}
+	machine.Plan(plan)
+	c.planned = append(c.planned, plan)
+	if c.StartPacer != nil {
+		c.StartPacer.TaskStarted(now, machine)
 	}
-	d.Counts.LeftWaiting += uint64(d.Scheduler.RunCycle(w))
-	d.MachinesWithPlans = slices.DeleteFunc(d.MachinesWithPlans, func(m *workers.Machine) bool {
-		m.HasPlansListed = m.HasPlans()
-		return !m.HasPlansListed
-	})
-	for _, p := range d.planned {
-		if m := p.Machine; d.Placements[p.Ref] == p {
-			d.ListMachineWithPlans(m)
-			if p.StartNow {
-				d.DispatchQueue = append(d.DispatchQueue, p)
-			}
-			d.markPlan(p)
-			if _, noted := m.Grants[p.JobID]; !noted {
-				m.Grants[p.JobID] = false
-				d.newGrants[p.JobID] = append(d.newGrants[p.JobID], m)
-				d.grants[p.JobID] = append(d.grants[p.JobID], m)
-			}
-		}
+	if c.Pools != nil {
+		c.Pools.TaskPlaced(job)
 	}
+	machine.UseImage(job.Image, job.Record.ImageGB, now)
 }
 
-// AppendEntries hands new grants, and those taken back, to the log.
-func (d *Component) AppendEntries(time.Duration) {
-	most := max(1, d.EventLog.MaxEntryBytes()/maxMachineBytes-6)
-	// First what is taken back: the same machine may have been granted anew.
-	for _, id := range slices.Sorted(maps.Keys(d.revoked)) {
-		for part := range slices.Chunk(d.revoked[id], most) {
-			d.EventLog.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: part, Revoked: true}})
-		}
-	}
-	clear(d.revoked)
-	for _, id := range slices.Sorted(maps.Keys(d.newGrants)) {
-		for part := range slices.Chunk(d.newGrants[id], most) {
-			g := eventlog.Grant{Job: id}
-			for _, m := range part {
-				g.Machines = append(g.Machines, m.Number)
-			}
-			d.grantsInFlight = append(d.grantsInFlight, part)
-			d.EventLog.AppendTracked(eventlog.Entry{Grant: &g})
-		}
+// cancelTask takes back the plan for task k of a job in the cycle that made it.
+func (c *Component) cancelTask(job *jobs.Job, k int) {
+	c.CancelPlan(c.Placements[workers.Ref{Job: job.Index, Task: int32(k)}])
+	if c.Pools != nil {
+		c.Pools.TaskRemoved(job)
 	}
-	clear(d.newGrants)
-	d.writeMarks()
 }
 
-// revokeIdleGrants takes back the grants of jobs that have had nothing on a machine for
-// a while, so that a successor that cannot hear it holds back only those that
-// have.
-func (d *Component) revokeIdleGrants(now time.Duration, m *workers.Machine, r *workers.Report) {
-	for _, id := range m.UnusedGrants(now, grantIdleTimeout, r) {
-		m.RevokeGrant(id)
-		d.grants[id] = slices.DeleteFunc(d.grants[id], func(o *workers.Machine) bool { return o == m })
-		d.revoked[id] = append(d.revoked[id], m.Number)
+// announcePlan lists a plan of the cycle for dispatch, and asks for the mark and the grant
+// that it needs before it may be offered.
+func (c *Component) announcePlan(plan *workers.Placement) {
+	c.ListMachineWithPlans(plan.Machine)
+	if plan.StartNow {
+		c.DispatchQueue = append(c.DispatchQueue, plan)
 	}
+	c.markPlan(plan)
+	c.requestGrant(plan)
 }
