--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -13,8 +13,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// placer is the duty of a term of this epoch, with jobs of 100 tasks each.
-func placer(epoch uint64, on int, count int) *Component {
+// newTermComponent is the duty of a term of this epoch, with jobs of 100 tasks each.
+func newTermComponent(epoch uint64, on int, count int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.NoteTasks = on
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
@@ -47,7 +47,7 @@
 }
 
 func begin(epoch uint64, on int, log []eventlog.Entry) *Component {
-	d := placer(epoch, on, 2)
+	d := newTermComponent(epoch, on, 2)
 	for _, e := range log {
 		d.Replay(0, e)
 	}
@@ -89,7 +89,7 @@
 	// That one's mark is never written: the term ends here.
 
 	third := func(epoch uint64, on int, log []eventlog.Entry) *Component {
-		d := placer(epoch, on, 3)
+		d := newTermComponent(epoch, on, 3)
 		for _, e := range log {
 			d.Replay(0, e)
 		}
@@ -138,7 +138,7 @@
 
 // Marks of many jobs are written in parts that fit.
 func TestMarksInParts(t *testing.T) {
-	d := placer(2, 1, 500)
+	d := newTermComponent(2, 1, 500)
 	d.Begin(0)
 	if got := settle(t, d); len(got) < 3 {
 		t.Errorf("%d entries", len(got))
@@ -153,7 +153,7 @@
 // A machine that is not resolved counts against the teams whose tasks it may
 // have, and against all of them where that is not known.
 func TestUnresolvedByTeam(t *testing.T) {
-	s := placer(2, 1, 0).State
+	s := newTermComponent(2, 1, 0).State
 	for _, team := range []string{"a", "b", "c"} {
 		s.Teams.Index(team)
 		s.Scheduler.AddTeam()
