--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -25,8 +25,8 @@
 	return New(s)
 }
 
-// settle has everything written that a duty wants to write, and returns it.
-func settle(t *testing.T, d *Component) (out []eventlog.Entry) {
+// commitAll has everything written that a duty wants to write, and returns it.
+func commitAll(t *testing.T, d *Component) (out []eventlog.Entry) {
 	t.Helper()
 	d.AppendEntries(0)
 	for mark := uint64(1); d.EventLog.Pending() > 0; mark++ {
@@ -70,7 +70,7 @@
 	if got := d.Jobs.Find(1).FreshFrom; got != 100 {
 		t.Errorf("what ran before the first marks is fresh from %d on", got)
 	}
-	log = append(log, settle(t, d)...)
+	log = append(log, commitAll(t, d)...)
 
 	d = begin(2, 1, log)
 	late := d.Jobs.Add(eventlog.Job{ID: 3, Tasks: 100})
@@ -79,7 +79,7 @@
 	if p.IntentDurable || q.IntentDurable {
 		t.Error("offered before the mark is durable")
 	}
-	log = append(log, settle(t, d)...)
+	log = append(log, commitAll(t, d)...)
 	if !p.IntentDurable || !q.IntentDurable {
 		t.Error("not offered once it is")
 	}
@@ -109,18 +109,18 @@
 		}
 	}
 	off := third(3, 0, log)
-	if p := plan(off, 3, 50); !p.IntentDurable || len(settle(t, off)) != 0 {
+	if p := plan(off, 3, 50); !p.IntentDurable || len(commitAll(t, off)) != 0 {
 		t.Error("switched off, it writes or waits all the same")
 	}
 
 	// Cleaned, the marks and the span are those of the term that cleans.
-	settle(t, next)
+	commitAll(t, next)
 	var kept []eventlog.Entry
 	for _, e := range log {
 		next.Compact(0, e)
 	}
 	next.CompactionDone()
-	kept = settle(t, next)
+	kept = commitAll(t, next)
 	spans := 0
 	for _, e := range kept {
 		var x markEntry
@@ -140,7 +140,7 @@
 func TestMarksInParts(t *testing.T) {
 	d := newTermComponent(2, 1, 500)
 	d.Begin(0)
-	if got := settle(t, d); len(got) < 3 {
+	if got := commitAll(t, d); len(got) < 3 {
 		t.Errorf("%d entries", len(got))
 	}
 	for id, m := range d.marks.durable {
