--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -46,7 +46,7 @@
 	return out
 }
 
-func begin(epoch uint64, on int, log []eventlog.Entry) *Component {
+func beginTerm(epoch uint64, on int, log []eventlog.Entry) *Component {
 	d := newTermComponent(epoch, on, 2)
 	for _, e := range log {
 		d.Replay(0, e)
@@ -66,13 +66,13 @@
 // behind ends that, and it begins anew after it.
 func TestMarks(t *testing.T) {
 	var log []eventlog.Entry
-	d := begin(1, 1, nil)
+	d := beginTerm(1, 1, nil)
 	if got := d.Jobs.Find(1).FreshFrom; got != 100 {
 		t.Errorf("what ran before the first marks is fresh from %d on", got)
 	}
 	log = append(log, commitAll(t, d)...)
 
-	d = begin(2, 1, log)
+	d = beginTerm(2, 1, log)
 	late := d.Jobs.Add(eventlog.Job{ID: 3, Tasks: 100})
 	late.Phase = jobs.Open
 	p, q := plan(d, 3, 0), plan(d, 3, 8)
