--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -55,7 +55,7 @@
 	return d
 }
 
-func plan(d *Component, id uint64, task int32) *workers.Placement {
+func planJob3(d *Component, id uint64, task int32) *workers.Placement {
 	p := &workers.Placement{Ref: workers.Ref{Job: d.Jobs.Find(id).Index, Task: task}, JobID: id}
 	d.markPlan(p)
 	return p
@@ -75,7 +75,7 @@
 	d = beginTerm(2, 1, log)
 	late := d.Jobs.Add(eventlog.Job{ID: 3, Tasks: 100})
 	late.Phase = jobs.Open
-	p, q := plan(d, 3, 0), plan(d, 3, 8)
+	p, q := planJob3(d, 3, 0), planJob3(d, 3, 8)
 	if p.IntentDurable || q.IntentDurable {
 		t.Error("offered before the mark is durable")
 	}
@@ -83,7 +83,7 @@
 	if !p.IntentDurable || !q.IntentDurable {
 		t.Error("not offered once it is")
 	}
-	if r := plan(d, 3, 9); r.IntentDurable {
+	if r := planJob3(d, 3, 9); r.IntentDurable {
 		t.Error("a task beyond the mark is offered")
 	}
 	// That one's mark is never written: the term ends here.
@@ -109,7 +109,7 @@
 		}
 	}
 	off := third(3, 0, log)
-	if p := plan(off, 3, 50); !p.IntentDurable || len(commitAll(t, off)) != 0 {
+	if p := planJob3(off, 3, 50); !p.IntentDurable || len(commitAll(t, off)) != 0 {
 		t.Error("switched off, it writes or waits all the same")
 	}
 
