--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -137,7 +137,7 @@
 }
 
 // Marks of many jobs are written in parts that fit.
-func TestMarksInParts(t *testing.T) {
+func TestMarksOfManyJobsAreWrittenInParts(t *testing.T) {
 	d := newTermComponent(2, 1, 500)
 	d.Begin(0)
 	if got := commitAll(t, d); len(got) < 3 {
