--- a/internal/leader/placement/placement_test.go
+++ b/internal/leader/placement/placement_test.go
@@ -13,7 +13,7 @@
 // Grants of more machines than an entry of 2 KiB has room for are written in
 // parts, those taken back first; a part that is durable lets exactly its own
 // machines start.
-func TestGrantsInParts(t *testing.T) {
+func TestGrantsAreWrittenInParts(t *testing.T) {
 	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, Epoch: 2, Counts: &cluster.Counts{}})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 1}, "lead/epoch", 1, 0, 0)
 	d := New(s)
