--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -152,7 +152,7 @@
 
 // A machine that is not resolved counts against the teams whose tasks it may
 // have, and against all of them where that is not known.
-func TestUnresolvedByTeam(t *testing.T) {
+func TestUnresolvedMachinesCountAgainstTeams(t *testing.T) {
 	s := newTermComponent(2, 1, 0).State
 	for _, team := range []string{"a", "b", "c"} {
 		s.Teams.Index(team)
