--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -13,139 +13,166 @@
 	"bitternmoor/internal/settings"
 )
 
-// newTermComponent is the duty of a term of this epoch, with jobs of 100 tasks each.
-func newTermComponent(epoch uint64, on int, count int) *Component {
+const (
+	jobTasks  = 100  // tasks of each job
+	valueSize = 2048 // bytes of an entry's value at most
+)
+
+// newTermComponent is the component of a term of this epoch, with jobs of jobTasks tasks each.
+func newTermComponent(epoch uint64, noteTasks int, jobCount int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
-	cfg.Tunables.NoteTasks = on
-	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
-	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
-	for id := range count {
-		s.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 100}).Phase = jobs.Open
-	}
-	return New(s)
+	cfg.Tunables.NoteTasks = noteTasks
+	state := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
+	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: valueSize, TxnOps: 4}
+	state.EventLog = eventlog.NewLog(limits, "lead/epoch", 1, 0, 0)
+	for id := range jobCount {
+		addOpenJob(state, uint64(id+1))
+	}
+	return New(state)
 }
 
-// commitAll has everything written that a duty wants to write, and returns it.
-func commitAll(t *testing.T, d *Component) (out []eventlog.Entry) {
+func addOpenJob(state *cluster.State, id uint64) {
+	state.Jobs.Add(eventlog.Job{ID: id, Tasks: jobTasks}).Phase = jobs.Open
+}
+
+// beginTerm is the component of a term that has replayed a log and begun.
+func beginTerm(epoch uint64, noteTasks, jobCount int, log []eventlog.Entry) *Component {
+	component := newTermComponent(epoch, noteTasks, jobCount)
+	for _, entry := range log {
+		component.Replay(0, entry)
+	}
+	component.Begin(0)
+	return component
+}
+
+// commitAll has everything written that a component wants to write, and returns it.
+func commitAll(t *testing.T, component *Component) (out []eventlog.Entry) {
 	t.Helper()
-	d.AppendEntries(0)
-	for mark := uint64(1); d.EventLog.Pending() > 0; mark++ {
-		now := time.Duration(mark) * time.Second
-		txn := d.EventLog.NextTransaction(now)
+	component.AppendEntries(0)
+	for revision := uint64(1); component.EventLog.Pending() > 0; revision++ {
+		now := time.Duration(revision) * time.Second
+		txn := component.EventLog.NextTransaction(now)
 		for _, w := range txn.Writes {
-			if len(w.Value) > 2048 {
+			if len(w.Value) > valueSize {
 				t.Fatalf("a value of %d bytes", len(w.Value))
 			}
 		}
-		facts, _ := d.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, mark, nil)
-		for _, e := range facts {
-			d.EntryDurable(now, true, e)
+		facts, _ := component.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
+		for _, entry := range facts {
+			component.EntryDurable(now, true, entry)
 		}
 		out = append(out, facts...)
 	}
 	return out
 }
 
-func beginTerm(epoch uint64, on int, log []eventlog.Entry) *Component {
-	d := newTermComponent(epoch, on, 2)
-	for _, e := range log {
-		d.Replay(0, e)
-	}
-	d.Begin(0)
-	return d
+// planJob3 plans a task of the job that logOfTwoTerms adds in its second term.
+func planJob3(component *Component, task int32) *workers.Placement {
+	ref := workers.Ref{Job: component.Jobs.Find(3).Index, Task: task}
+	plan := &workers.Placement{Ref: ref, JobID: 3}
+	component.markPlan(plan)
+	return plan
 }
 
-func planJob3(d *Component, id uint64, task int32) *workers.Placement {
-	p := &workers.Placement{Ref: workers.Ref{Job: d.Jobs.Find(id).Index, Task: task}, JobID: id}
-	d.markPlan(p)
-	return p
-}
+func freshFrom(component *Component, id uint64) int { return component.Jobs.Find(id).FreshFrom }
 
-// A task may be offered once its job's mark is durable beyond it. The next term
-// knows from the marks what was never handed out; a term that leaves no marks
-// behind ends that, and it begins anew after it.
-func TestMarks(t *testing.T) {
-	var log []eventlog.Entry
-	d := beginTerm(1, 1, nil)
-	if got := d.Jobs.Find(1).FreshFrom; got != 100 {
+// logOfTwoTerms is the log of a first term, which leaves marks for two jobs, and of a second
+// one, in which tasks 0 and 8 of job 3 may be offered; the mark for its task 9 is never
+// written.
+func logOfTwoTerms(t *testing.T) []eventlog.Entry {
+	t.Helper()
+	first := beginTerm(1, 1, 2, nil)
+	if got := freshFrom(first, 1); got != jobTasks {
 		t.Errorf("what ran before the first marks is fresh from %d on", got)
 	}
-	log = append(log, commitAll(t, d)...)
+	log := commitAll(t, first)
 
-	d = beginTerm(2, 1, log)
-	late := d.Jobs.Add(eventlog.Job{ID: 3, Tasks: 100})
-	late.Phase = jobs.Open
-	p, q := planJob3(d, 3, 0), planJob3(d, 3, 8)
-	if p.IntentDurable || q.IntentDurable {
+	second := beginTerm(2, 1, 2, log)
+	addOpenJob(second.State, 3)
+	plan0, plan8 := planJob3(second, 0), planJob3(second, 8)
+	if plan0.IntentDurable || plan8.IntentDurable {
 		t.Error("offered before the mark is durable")
 	}
-	log = append(log, commitAll(t, d)...)
-	if !p.IntentDurable || !q.IntentDurable {
+	log = append(log, commitAll(t, second)...)
+	if !plan0.IntentDurable || !plan8.IntentDurable {
 		t.Error("not offered once it is")
 	}
-	if r := planJob3(d, 3, 9); r.IntentDurable {
+	if planJob3(second, 9).IntentDurable {
 		t.Error("a task beyond the mark is offered")
 	}
-	// That one's mark is never written: the term ends here.
+	return log
+}
 
-	third := func(epoch uint64, on int, log []eventlog.Entry) *Component {
-		d := newTermComponent(epoch, on, 3)
-		for _, e := range log {
-			d.Replay(0, e)
-		}
-		d.Begin(0)
-		return d
-	}
-	next := third(3, 1, log)
-	if a, b := next.Jobs.Find(1).FreshFrom, next.Jobs.Find(3).FreshFrom; a != 100 || b != 9 {
-		t.Errorf("read as fresh from %d and %d on, want 100 and 9", a, b)
-	}
-	for name, d := range map[string]*Component{"a term between that left nothing": third(4, 1, log),
-		"an entry that cannot be read": third(3, 1, append(log[:len(log):len(log)], eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`7`)}}))} {
-		for id := range uint64(3) {
-			if got := d.Jobs.Find(id + 1).FreshFrom; got != 100 {
-				t.Errorf("%s: job %d is fresh from %d on", name, id+1, got)
+// A task may be offered once its job's mark is durable beyond it. The next term
+// knows from the marks what was never handed out.
+func TestNextTermKnowsFreshTasksFromMarks(t *testing.T) {
+	next := beginTerm(3, 1, 3, logOfTwoTerms(t))
+	if a, b := freshFrom(next, 1), freshFrom(next, 3); a != jobTasks || b != 9 {
+		t.Errorf("read as fresh from %d and %d on, want %d and 9", a, b, jobTasks)
+	}
+}
+
+// Where the span of terms that noted marks is broken, all tasks count as handed out.
+func TestBrokenSpanCountsAllTasksAsHandedOut(t *testing.T) {
+	log := logOfTwoTerms(t)
+	unreadable := eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`7`)}}
+	for name, component := range map[string]*Component{
+		"a term between that left nothing": beginTerm(4, 1, 3, log),
+		"an entry that cannot be read":     beginTerm(3, 1, 3, append(log[:len(log):len(log)], unreadable)),
+	} {
+		t.Run(name, func(t *testing.T) {
+			for id := uint64(1); id <= 3; id++ {
+				if got := freshFrom(component, id); got != jobTasks {
+					t.Errorf("job %d is fresh from %d on", id, got)
+				}
 			}
-		}
+		})
 	}
-	off := third(3, 0, log)
-	if p := planJob3(off, 3, 50); !p.IntentDurable || len(commitAll(t, off)) != 0 {
+}
+
+// With marks switched off nothing is written and no plan waits.
+func TestMarksSwitchedOff(t *testing.T) {
+	off := beginTerm(3, 0, 3, logOfTwoTerms(t))
+	if plan := planJob3(off, 50); !plan.IntentDurable || len(commitAll(t, off)) != 0 {
 		t.Error("switched off, it writes or waits all the same")
 	}
+}
 
-	// Cleaned, the marks and the span are those of the term that cleans.
+// After a compaction the marks and the one span are those of the term that compacts.
+func TestCompactionKeepsMarksAndOneSpan(t *testing.T) {
+	log := logOfTwoTerms(t)
+	next := beginTerm(3, 1, 3, log)
 	commitAll(t, next)
-	var kept []eventlog.Entry
-	for _, e := range log {
-		next.Compact(0, e)
+	for _, entry := range log {
+		next.Compact(0, entry)
 	}
 	next.CompactionDone()
-	kept = commitAll(t, next)
+	kept := commitAll(t, next)
 	spans := 0
-	for _, e := range kept {
-		var x markEntry
-		if err := json.Unmarshal(e.Component.Data, &x); err != nil {
+	for _, entry := range kept {
+		var own markEntry
+		if err := json.Unmarshal(entry.Component.Data, &own); err != nil {
 			t.Fatal(err)
 		}
-		if x.To > 0 {
+		if own.To > 0 {
 			spans++
 		}
 	}
-	if after := third(4, 1, kept); spans != 1 || after.Jobs.Find(3).FreshFrom != 9 {
-		t.Errorf("cleaned: %d spans, fresh from %d on", spans, after.Jobs.Find(3).FreshFrom)
+	if after := beginTerm(4, 1, 3, kept); spans != 1 || freshFrom(after, 3) != 9 {
+		t.Errorf("compacted: %d spans, fresh from %d on", spans, freshFrom(after, 3))
 	}
 }
 
 // Marks of many jobs are written in parts that fit.
 func TestMarksOfManyJobsAreWrittenInParts(t *testing.T) {
-	d := newTermComponent(2, 1, 500)
-	d.Begin(0)
-	if got := commitAll(t, d); len(got) < 3 {
+	component := newTermComponent(2, 1, 500)
+	component.Begin(0)
+	if got := commitAll(t, component); len(got) < 3 {
 		t.Errorf("%d entries", len(got))
 	}
-	for id, m := range d.marks.durable {
-		if m != 100 {
-			t.Fatalf("job %d has mark %d", id, m)
+	for id, mark := range component.marks.durable {
+		if mark != jobTasks {
+			t.Fatalf("job %d has mark %d", id, mark)
 		}
 	}
 }
@@ -153,41 +180,41 @@
 // A machine that is not resolved counts against the teams whose tasks it may
 // have, and against all of them where that is not known.
 func TestUnresolvedMachinesCountAgainstTeams(t *testing.T) {
-	s := newTermComponent(2, 1, 0).State
+	state := newTermComponent(2, 1, 0).State
 	for _, team := range []string{"a", "b", "c"} {
-		s.Teams.Index(team)
-		s.Scheduler.AddTeam()
+		state.Teams.Index(team)
+		state.Scheduler.AddTeam()
 	}
 	for id := range 3 {
-		s.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 1}).Team = int32(id)
+		state.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 1}).Team = int32(id)
 	}
-	s.Jobs.Finish(8, jobs.Done)
-	s.Jobs.Finish(9, jobs.Cancelled)
+	state.Jobs.Finish(8, jobs.Done)
+	state.Jobs.Finish(9, jobs.Cancelled)
 	for n := range 5 {
-		m := s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Number: n + 1, Durable: true})
+		m := state.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Number: n + 1, Durable: true})
 		m.Cap.CPU = 1 << n
 		if n == 4 {
 			m.Number = 0 // of a version that notes no grants
 		}
 	}
-	d := New(s)
+	component := New(state)
 	for n, grants := range [][]uint64{{}, {1}, {1, 2, 8}, {9}} {
 		for _, id := range grants {
-			d.Replay(0, eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: []int{n + 1}}})
+			component.Replay(0, eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: []int{n + 1}}})
 		}
 	}
-	d.Begin(0)
+	component.Begin(0)
 	for team, want := range []int64{2 + 4 + 8 + 16, 4 + 8 + 16, 8 + 16} {
-		if got := s.Snapshot(0).UnresolvedUse[team].CPU; got != want {
+		if got := state.Snapshot(0).UnresolvedUse[team].CPU; got != want {
 			t.Errorf("against team %d count %d, want %d", team, got, want)
 		}
 	}
-	for _, m := range s.Inventory.All() {
-		s.RemoveUnresolved(m)
+	for _, m := range state.Inventory.All() {
+		state.RemoveUnresolved(m)
 	}
-	for team, m := range s.Snapshot(0).UnresolvedUse {
-		if m.CPU != 0 {
-			t.Errorf("against team %d count %d once all are found", team, m.CPU)
+	for team, use := range state.Snapshot(0).UnresolvedUse {
+		if use.CPU != 0 {
+			t.Errorf("against team %d count %d once all are found", team, use.CPU)
 		}
 	}
 }
