--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -123,14 +123,14 @@
 // until T run at once; running is how many did before this cycle.
 func (s *Scheduler) placeTraining(snap *Snapshot, ordinary []int32, machines []*workers.Machine, running int) {
 	for _, i := range ordinary {
-		if running >= s.AtOnce {
+		if running >= s.MaxTraining {
 			return
 		}
 		if !snap.Estimator.InTraining(i) {
 			continue
 		}
 		job := snap.Jobs.At(i)
-		for running < s.AtOnce {
+		for running < s.MaxTraining {
 			k := snap.nextTask(job)
 			if k < 0 || !snap.Estimator.Training(i, k) || !s.placeTask(snap, job, k, machines) {
 				break
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -24,7 +24,7 @@
 	// Limits has what each team may use at once, by team index.
 	Limits []Limit
 	// AtOnce is the paper's T: how many training tasks run at once at most.
-	AtOnce int
+	MaxTraining int
 
 	// Exceptions to the size order.
 
@@ -68,5 +68,5 @@
 // New makes a scheduler for teams with these limits, by team index, that has at
 // most trainingAtOnce (the paper's T) training tasks run at once.
 func New(limits []Limit, trainingAtOnce int) *Scheduler {
-	return &Scheduler{Limits: limits, teamUse: make([]resources.Amounts, len(limits)), AtOnce: trainingAtOnce}
+	return &Scheduler{Limits: limits, teamUse: make([]resources.Amounts, len(limits)), MaxTraining: trainingAtOnce}
 }
