--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -57,9 +57,9 @@
 // mayLend reports whether one more task that needs no accelerator may be placed on a machine
 // that is kept for those that do: where it leaves as many places for them as the machine has
 // in all, or, for a short task, where it takes none of those left or more are free than
-// accelerated tasks wait for. Found on a day with gangs on
-// machines of two accelerators and twelve processors: replicas of one processor stood on
-// most of them for minutes, and a third of the accelerators was idle while gangs waited.
+// accelerated tasks wait for. Found on a day with gangs on machines of two accelerators and
+// twelve processors: replicas of one processor ran on most of them for minutes, and a third
+// of the accelerators was idle while gangs waited.
 func (snap *Snapshot) mayLend(job *jobs.Job, machine *workers.Machine) bool {
 	unused := machine.Cap.Minus(machine.UsedWithoutGPU)
 	placesAfter := snap.acceleratedPlaces(unused.Minus(job.Need))
--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A cycle remembers refusals and leaves out machines without room for
-// any waiting task. It must place what a cycle without both shortcuts places.
+// A cycle remembers refusals and leaves out machines without room for any waiting task. It
+// must place what a cycle without both shortcuts places.
 func TestShortcutsDecideLikeExhaustiveCycle(t *testing.T) {
 	total := 0
 	for seed := range uint64(300) {
@@ -42,8 +42,8 @@
 	}
 }
 
-// On a full cluster refusals are found once a need, not
-// once a job, and machines without room are not tried for each.
+// On a full cluster refusals are found once a need, not once a job, and machines without
+// room are not tried for each.
 func TestFullClusterRefusesOnceANeed(t *testing.T) {
 	snap, _, scheduler := randomCluster(rand.New(rand.NewPCG(2, 1)), 200, 100)
 	scheduler.Locality = 0
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -27,11 +27,10 @@
 
 // PlanMigrations returns the tasks to be stopped, with time to save, so that draining
 // machines can be returned: a large machine on which one long task is left
-// costs as much as a full one. A machine is emptied only as a whole, only when
-// all its tasks save their progress, were not
-// moved before (they could go back and forth for ever), and have a place elsewhere that nobody
-// else of their team waits for, and when what its unused room would cost until
-// the end is more than what moving loses.
+// costs as much as a full one. A machine is emptied only as a whole, only when all its tasks
+// save their progress, were not moved before (they could go back and forth for ever), and
+// have a place elsewhere that no other task of their team waits for, and when what its unused
+// room would cost until the end is more than what moving loses.
 func (s *Scheduler) PlanMigrations(snap Snapshot) []*workers.Placement {
 	plan := migrationPlan{snap: &snap, teamWaits: s.teamsWithWaitingTasks(&snap)}
 	draining := plan.listMachines()
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -23,7 +23,7 @@
 type Scheduler struct {
 	// Limits has what each team may use at once, by team index.
 	Limits []Limit
-	// AtOnce is the paper's T: how many training tasks run at once at most.
+	// MaxTraining is the paper's T: how many training tasks run at once at most.
 	MaxTraining int
 
 	// Exceptions to the size order.
@@ -66,7 +66,7 @@
 }
 
 // New makes a scheduler for teams with these limits, by team index, that has at
-// most trainingAtOnce (the paper's T) training tasks run at once.
-func New(limits []Limit, trainingAtOnce int) *Scheduler {
-	return &Scheduler{Limits: limits, teamUse: make([]resources.Amounts, len(limits)), MaxTraining: trainingAtOnce}
+// most maxTraining (the paper's T) training tasks run at once.
+func New(limits []Limit, maxTraining int) *Scheduler {
+	return &Scheduler{Limits: limits, teamUse: make([]resources.Amounts, len(limits)), MaxTraining: maxTraining}
 }
--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -47,9 +47,11 @@
 // KeepAlive returns the fencing token with which a worker may be answered while the
 // leader cannot be asked, so that its tasks outlive the leader, and whether it may be. A
 // worker that has seen a higher token belongs to another holder. One that has seen none has
-// no tasks: it is new, or a new incarnation, which the next leader must be able to tell. Found
-// in a random day on which the leader stood still, a machine began anew under its name and was
-// given its old token here: the next leader took the units of what it had lost for free.
+// no tasks: it is new, or a new incarnation, which the next leader must be able to tell.
+//
+// Found in a random day on which the leader stood still: a machine restarted under its name
+// and was given its old token here, and the next leader took the units of the tasks that it
+// had lost to be free.
 func (h *ShardHolder) KeepAlive(now time.Duration, report *workers.Report) (token uint64, ok bool) {
 	lease, held := h.leases[report.Machine]
 	return lease.token, held && now < lease.until && report.Token > 0 && report.Token <= lease.token
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -18,10 +18,12 @@
 // or for all of a gang, and its team was under its limit, gets that room. It gets it whatever
 // the room was reserved or kept for, also where the leader would rather have the tasks
 // elsewhere, and also on machines that were to be returned. Room reserved for a first job
-// that does not fit has no limit in time otherwise: found
-// in a test with services on all machines, an urgent gang that fits none of them, and gangs
-// that waited beside them for as long as the day was. smallestCPU is what the smallest task
-// that waits needs. It returns how many jobs got room.
+// that does not fit has no limit in time otherwise. Found in a test with services on all
+// machines, an urgent gang that fits none of them, and gangs that waited beside them for as
+// long as the day was.
+//
+// smallestCPU is what the smallest task that waits needs, in thousandths of a processor. It
+// returns how many jobs got room.
 func (s *Scheduler) placeStarved(snap *Snapshot, smallestCPU int64) (served int) {
 	if snap.Now-s.starvationCheckedAt < starvationCheckInterval {
 		return 0
--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -9,7 +9,7 @@
 //
 //	n    tasks of a job
 //	t    training tasks of a job, the first t of its n (Params.Train)
-//	T    training tasks that run at once in the cluster (scheduler.Scheduler.AtOnce)
+//	T    training tasks that run at once in the cluster (scheduler.Scheduler.MaxTraining)
 //	ξ    1 or more: how much larger a job counts until it is trained (Params.Xi)
 //	Δ    run time in seconds after which a training task need not end (Params.Delta)
 //	p_k  progress of training task k at that time, from 0 to 1
