--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -129,7 +129,7 @@
 		return false
 	}
 	d.claims(x, j.Team)
-	if !p.tally.allows(h, x, units, p.cap(j)) {
+	if !p.usage.allows(h, x, units, p.cap(j)) {
 		return false
 	}
 	t := p.teams[j.Team]
@@ -137,7 +137,7 @@
 }
 
 // allows says whether units may go out to a job.
-func (t *tally) allows(h *holder, x need, units, most int64) bool {
+func (t *usage) allows(h *holder, x need, units, most int64) bool {
 	kept, held, task := int64(0), t.held, t.most
 	if c := t.claim; c != nil && c != h {
 		for _, n := range c.needs {
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -60,9 +60,9 @@
 // count finds out what is out.
 func (d *Component) count(now time.Duration) {
 	for _, p := range d.pools {
-		p.tally, p.uncertain, p.lost, p.waiting = tally{claim: p.claim}, 0, 0, 0
+		p.usage, p.uncertain, p.lost, p.waiting = usage{claim: p.claim}, 0, 0, 0
 		for _, t := range p.teams {
-			*t = tally{claim: t.claim}
+			*t = usage{claim: t.claim}
 		}
 	}
 	unresolved, _ := d.Unresolved()
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -50,15 +50,15 @@
 	changes  []change        // the last ones, for repeats
 	value    int             // that keeps it; 0: none yet
 
-	tally
-	teams     map[int32]*tally // of teams with a share
+	usage
+	teams     map[int32]*usage // of teams with a share
 	uncertain int64            // of what is out: on machines that have not reported in this term
 	lost      int64            // of what is out: held after a loss
 	waiting   int64            // units that waiting tasks need
 }
 
-// tally is what is out of a pool, or of a team's share of it.
-type tally struct {
+// usage is what is out of a pool, or of a team's share of it.
+type usage struct {
 	out   int64
 	held  int64   // of what is out: for whole jobs
 	most  int64   // that a task needs of a job which holds units as a whole
@@ -113,9 +113,9 @@
 		for _, share := range c.Shares {
 			team := s.Teams.Index(share.Team)
 			if p.shares == nil {
-				p.shares, p.teams = map[int32]int64{}, map[int32]*tally{}
+				p.shares, p.teams = map[int32]int64{}, map[int32]*usage{}
 			}
-			p.shares[team], p.teams[team] = int64(share.Units), &tally{}
+			p.shares[team], p.teams[team] = int64(share.Units), &usage{}
 		}
 	}
 	s.Pools = d
