--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -194,12 +194,12 @@
 		p := d.pools[n.pool]
 		switch {
 		case !n.perJob:
-			p.add(j.Team, by*n.units)
+			p.addInUse(j.Team, by*n.units)
 			if begins && h.whole {
 				p.raise(j.Team, n.units*together(j))
 			}
 		case begins, ends:
-			p.add(j.Team, by*n.units)
+			p.addInUse(j.Team, by*n.units)
 			p.hold(j.Team, by*n.units)
 		}
 	}
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -89,7 +89,7 @@
 	}
 	for _, s := range d.strays {
 		for _, n := range s.needs {
-			d.pools[n.pool].add(-1, n.units)
+			d.pools[n.pool].addInUse(-1, n.units)
 		}
 		d.closed = d.closed || s.unknown
 	}
@@ -101,14 +101,14 @@
 				team = -1
 			}
 			p := d.pool(l.Pool)
-			p.add(team, l.Units)
+			p.addInUse(team, l.Units)
 			p.lost += l.Units
 		}
 	}
 }
 
-// add counts units as out; team -1 is nobody's.
-func (p *pool) add(team int32, units int64) {
+// addInUse counts units as out; team -1 is nobody's.
+func (p *pool) addInUse(team int32, units int64) {
 	p.out += units
 	if t := p.teams[team]; t != nil {
 		t.out += units
@@ -183,16 +183,16 @@
 		p := d.pools[n.pool]
 		switch {
 		case !n.perJob:
-			p.add(j.Team, n.units*(int64(j.Placed)+unseen))
+			p.addInUse(j.Team, n.units*(int64(j.Placed)+unseen))
 			p.uncertain += n.units * unseen
 			if j.Phase == jobs.Open {
 				p.waiting += n.units * int64(j.Waiting)
 			}
 		case h.begun:
-			p.add(j.Team, n.units)
+			p.addInUse(j.Team, n.units)
 			p.hold(j.Team, n.units)
 		case unseen > 0:
-			p.add(j.Team, n.units)
+			p.addInUse(j.Team, n.units)
 			p.uncertain += n.units
 		case j.Phase == jobs.Open && j.Waiting > 0:
 			p.waiting += n.units
