--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -200,7 +200,7 @@
 			}
 		case begins, ends:
 			p.addInUse(j.Team, by*n.units)
-			p.hold(j.Team, by*n.units)
+			p.addHeldByJob(j.Team, by*n.units)
 		}
 	}
 	h.begun = (h.begun || begins) && !ends
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// hold counts units as held by a job as a whole, which are out too.
-func (p *pool) hold(team int32, units int64) {
+// addHeldByJob counts units as held by a job as a whole, which are out too.
+func (p *pool) addHeldByJob(team int32, units int64) {
 	p.held += units
 	if t := p.teams[team]; t != nil {
 		t.held += units
@@ -190,7 +190,7 @@
 			}
 		case h.begun:
 			p.addInUse(j.Team, n.units)
-			p.hold(j.Team, n.units)
+			p.addHeldByJob(j.Team, n.units)
 		case unseen > 0:
 			p.addInUse(j.Team, n.units)
 			p.uncertain += n.units
