--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -196,7 +196,7 @@
 		case !n.perJob:
 			p.addInUse(j.Team, by*n.units)
 			if begins && h.whole {
-				p.raise(j.Team, n.units*together(j))
+				p.raiseLargestTask(j.Team, n.units*together(j))
 			}
 		case begins, ends:
 			p.addInUse(j.Team, by*n.units)
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// raise counts what a task needs of a job that holds units as a whole.
-func (p *pool) raise(team int32, units int64) {
+// raiseLargestTask counts what a task needs of a job that holds units as a whole.
+func (p *pool) raiseLargestTask(team int32, units int64) {
 	p.most = max(p.most, units)
 	if t := p.teams[team]; t != nil {
 		t.most = max(t.most, units)
@@ -198,7 +198,7 @@
 			p.waiting += n.units
 		}
 		if !n.perJob && h.whole && h.begun {
-			p.raise(j.Team, n.units*together(j))
+			p.raiseLargestTask(j.Team, n.units*together(j))
 		}
 	}
 	return unseen
