--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -88,8 +88,8 @@
 	return n.units
 }
 
-// cap is how many units of a pool may be out for a job to start.
-func (p *pool) cap(j *jobs.Job) int64 {
+// limitFor is how many units of a pool may be out for a job to start.
+func (p *pool) limitFor(j *jobs.Job) int64 {
 	if j.Priority >= urgent {
 		return p.size
 	}
@@ -129,7 +129,7 @@
 		return false
 	}
 	d.claims(x, j.Team)
-	if !p.usage.allows(h, x, units, p.cap(j)) {
+	if !p.usage.allows(h, x, units, p.limitFor(j)) {
 		return false
 	}
 	t := p.teams[j.Team]
@@ -219,7 +219,7 @@
 		if p.drained {
 			return 0
 		}
-		left := p.cap(j) - p.out
+		left := p.limitFor(j) - p.out
 		if t := p.teams[j.Team]; t != nil {
 			left = min(left, p.shares[j.Team]-t.out)
 		}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -282,7 +282,7 @@
 				wanted = make([]bool, len(d.pools))
 			}
 			for _, n := range h.needs {
-				wanted[n.pool] = wanted[n.pool] || (int(n.pool) == i && p.out+h.next(n) > p.cap(h.job))
+				wanted[n.pool] = wanted[n.pool] || (int(n.pool) == i && p.out+h.next(n) > p.limitFor(h.job))
 			}
 		}
 	}
