--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -36,19 +36,19 @@
 
 // pool is one pool, and what a count has found of it.
 type pool struct {
-	name     string
-	index    int32
-	conf     settings.Pool
-	known    bool // in the operators' settings
-	size     int64
-	drained  bool
-	shares   map[int32]int64 // most units a team may have out
-	pending  int64           // a larger size that is not durable yet; 0: none
-	override bool            // the size is not that of the settings
-	version  uint64          // of what operators changed; 0: nothing
-	durable  uint64          // the version that is durable
-	changes  []change        // the last ones, for repeats
-	value    int             // that keeps it; 0: none yet
+	name           string
+	index          int32
+	conf           settings.Pool
+	known          bool // in the operators' settings
+	size           int64
+	drained        bool
+	shares         map[int32]int64 // most units a team may have out
+	pending        int64           // a larger size that is not durable yet; 0: none
+	sizeOverridden bool            // the size is not that of the settings
+	version        uint64          // of what operators changed; 0: nothing
+	durable        uint64          // the version that is durable
+	changes        []change        // the last ones, for repeats
+	value          int             // that keeps it; 0: none yet
 
 	usage
 	teams     map[int32]*usage // of teams with a share
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -108,7 +108,7 @@
 	if s.Units >= 0 {
 		p.size = s.Units
 	}
-	p.override = s.Units >= 0
+	p.sizeOverridden = s.Units >= 0
 	return nil
 }
 
@@ -149,7 +149,7 @@
 			s.next++
 		}
 		v := stored{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.version, Changes: p.changes}
-		if p.override {
+		if p.sizeOverridden {
 			v.Units = max(p.size, p.pending)
 		}
 		d.write(&writing{n: p.value, pool: p, version: p.version, pending: p.pending}, v)
@@ -302,7 +302,7 @@
 	}
 	if c.Units != nil {
 		units := *c.Units
-		if p.override = units >= 0; !p.override {
+		if p.sizeOverridden = units >= 0; !p.sizeOverridden {
 			units = int64(p.conf.Units)
 		}
 		// Fewer count at once; more once a new leader would know of them.
