--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -45,7 +45,7 @@
 	shares         map[int32]int64 // most units a team may have out
 	pending        int64           // a larger size that is not durable yet; 0: none
 	sizeOverridden bool            // the size is not that of the settings
-	version        uint64          // of what operators changed; 0: nothing
+	changeVersion  uint64          // of what operators changed; 0: nothing
 	durable        uint64          // the version that is durable
 	changes        []change        // the last ones, for repeats
 	value          int             // that keeps it; 0: none yet
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -104,7 +104,7 @@
 		return nil
 	}
 	p := d.pool(s.Pool)
-	p.value, p.version, p.durable, p.changes, p.drained = n, s.Changed, s.Changed, s.Changes, s.Drained
+	p.value, p.changeVersion, p.durable, p.changes, p.drained = n, s.Changed, s.Changed, s.Changes, s.Drained
 	if s.Units >= 0 {
 		p.size = s.Units
 	}
@@ -148,11 +148,11 @@
 			p.value = s.next
 			s.next++
 		}
-		v := stored{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.version, Changes: p.changes}
+		v := stored{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.changeVersion, Changes: p.changes}
 		if p.sizeOverridden {
 			v.Units = max(p.size, p.pending)
 		}
-		d.write(&writing{n: p.value, pool: p, version: p.version, pending: p.pending}, v)
+		d.write(&writing{n: p.value, pool: p, version: p.changeVersion, pending: p.pending}, v)
 	}
 }
 
@@ -291,11 +291,11 @@
 		v := p.changes[n].Version
 		return &Changed{Durable: v <= p.durable, Version: v, Pool: d.view(now, p, false)}, nil
 	}
-	if c.Version != p.version {
-		return nil, fmt.Errorf("pools: version: this was planned for version %d, and another change has made it %d", c.Version, p.version)
+	if c.Version != p.changeVersion {
+		return nil, fmt.Errorf("pools: version: this was planned for version %d, and another change has made it %d", c.Version, p.changeVersion)
 	}
-	p.version++
-	p.changes = append(p.changes, change{c.ID, p.version})
+	p.changeVersion++
+	p.changes = append(p.changes, change{c.ID, p.changeVersion})
 	p.changes = slices.Delete(p.changes, 0, max(0, len(p.changes)-changesKept))
 	if c.Drain != nil {
 		p.drained = *c.Drain
@@ -313,6 +313,6 @@
 	}
 	d.shelf.due = append(d.shelf.due, p)
 	d.NeedsCycle = true
-	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.version, "units", max(p.size, p.pending), "drained", p.drained)
-	return &Changed{Version: p.version, Pool: d.view(now, p, false)}, nil
+	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.changeVersion, "units", max(p.size, p.pending), "drained", p.drained)
+	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
 }
