--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -46,7 +46,7 @@
 	pending        int64           // a larger size that is not durable yet; 0: none
 	sizeOverridden bool            // the size is not that of the settings
 	changeVersion  uint64          // of what operators changed; 0: nothing
-	durable        uint64          // the version that is durable
+	durableVersion uint64          // the version that is durable
 	changes        []change        // the last ones, for repeats
 	value          int             // that keeps it; 0: none yet
 
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -104,7 +104,7 @@
 		return nil
 	}
 	p := d.pool(s.Pool)
-	p.value, p.changeVersion, p.durable, p.changes, p.drained = n, s.Changed, s.Changed, s.Changes, s.Drained
+	p.value, p.changeVersion, p.durableVersion, p.changes, p.drained = n, s.Changed, s.Changed, s.Changes, s.Drained
 	if s.Units >= 0 {
 		p.size = s.Units
 	}
@@ -201,7 +201,7 @@
 	if p == nil {
 		return
 	}
-	p.durable = w.version
+	p.durableVersion = w.version
 	if w.pending > 0 && p.pending == w.pending {
 		p.size, p.pending = p.pending, 0
 	}
@@ -289,7 +289,7 @@
 	}
 	if n := slices.IndexFunc(p.changes, func(o change) bool { return o.ID == c.ID }); n >= 0 {
 		v := p.changes[n].Version
-		return &Changed{Durable: v <= p.durable, Version: v, Pool: d.view(now, p, false)}, nil
+		return &Changed{Durable: v <= p.durableVersion, Version: v, Pool: d.view(now, p, false)}, nil
 	}
 	if c.Version != p.changeVersion {
 		return nil, fmt.Errorf("pools: version: this was planned for version %d, and another change has made it %d", c.Version, p.changeVersion)
