--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -260,7 +260,7 @@
 	}
 	for _, i := range sortedKeys(sums) {
 		p, s := d.pools[i], sums[i]
-		most, what := max(p.size, p.pending), "it has"
+		most, what := max(p.size, p.pendingSize), "it has"
 		if rec.Priority < urgent {
 			most -= int64(p.conf.Reserve)
 			what = "others than urgent jobs may have of it"
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -43,7 +43,7 @@
 	size           int64
 	drained        bool
 	shares         map[int32]int64 // most units a team may have out
-	pending        int64           // a larger size that is not durable yet; 0: none
+	pendingSize    int64           // a larger size that is not durable yet; 0: none
 	sizeOverridden bool            // the size is not that of the settings
 	changeVersion  uint64          // of what operators changed; 0: nothing
 	durableVersion uint64          // the version that is durable
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -150,9 +150,9 @@
 		}
 		v := stored{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.changeVersion, Changes: p.changes}
 		if p.sizeOverridden {
-			v.Units = max(p.size, p.pending)
+			v.Units = max(p.size, p.pendingSize)
 		}
-		d.write(&writing{n: p.value, pool: p, version: p.changeVersion, pending: p.pending}, v)
+		d.write(&writing{n: p.value, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
 	}
 }
 
@@ -202,8 +202,8 @@
 		return
 	}
 	p.durableVersion = w.version
-	if w.pending > 0 && p.pending == w.pending {
-		p.size, p.pending = p.pending, 0
+	if w.pending > 0 && p.pendingSize == w.pending {
+		p.size, p.pendingSize = p.pendingSize, 0
 	}
 	d.NeedsCycle = true
 }
@@ -306,13 +306,13 @@
 			units = int64(p.conf.Units)
 		}
 		// Fewer count at once; more once a new leader would know of them.
-		p.size, p.pending = min(p.size, units), 0
+		p.size, p.pendingSize = min(p.size, units), 0
 		if units > p.size {
-			p.pending = units
+			p.pendingSize = units
 		}
 	}
 	d.shelf.due = append(d.shelf.due, p)
 	d.NeedsCycle = true
-	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.changeVersion, "units", max(p.size, p.pending), "drained", p.drained)
+	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.changeVersion, "units", max(p.size, p.pendingSize), "drained", p.drained)
 	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
 }
