--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -48,7 +48,7 @@
 	changeVersion  uint64          // of what operators changed; 0: nothing
 	durableVersion uint64          // the version that is durable
 	changes        []change        // the last ones, for repeats
-	value          int             // that keeps it; 0: none yet
+	valueNumber    int             // that keeps it; 0: none yet
 
 	usage
 	teams     map[int32]*usage // of teams with a share
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -104,7 +104,7 @@
 		return nil
 	}
 	p := d.pool(s.Pool)
-	p.value, p.changeVersion, p.durableVersion, p.changes, p.drained = n, s.Changed, s.Changed, s.Changes, s.Drained
+	p.valueNumber, p.changeVersion, p.durableVersion, p.changes, p.drained = n, s.Changed, s.Changed, s.Changes, s.Drained
 	if s.Units >= 0 {
 		p.size = s.Units
 	}
@@ -143,16 +143,16 @@
 	case len(s.due) > 0:
 		p := s.due[0]
 		s.due = s.due[1:]
-		if p.value == 0 {
+		if p.valueNumber == 0 {
 			s.next = max(s.next, lossValue+1)
-			p.value = s.next
+			p.valueNumber = s.next
 			s.next++
 		}
 		v := stored{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.changeVersion, Changes: p.changes}
 		if p.sizeOverridden {
 			v.Units = max(p.size, p.pendingSize)
 		}
-		d.write(&writing{n: p.value, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
+		d.write(&writing{n: p.valueNumber, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
 	}
 }
 
