--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -44,10 +44,10 @@
 }
 
 // wants says whether a job still needs units of a pool to start a task.
-func (h *holder) wants(n need) bool { return h.job.Waiting > 0 && h.next(n) > 0 }
+func (h *holder) wants(n requirement) bool { return h.job.Waiting > 0 && h.next(n) > 0 }
 
 // couldTake says whether it wants some and its team's share lets it have them.
-func (d *Component) couldTake(h *holder, n need) bool {
+func (d *Component) couldTake(h *holder, n requirement) bool {
 	p := d.pools[n.pool]
 	t := p.teams[h.job.Team]
 	return h.wants(n) && (t == nil || t.out+h.next(n) <= p.shares[h.job.Team])
@@ -55,12 +55,12 @@
 
 // claims settles again who is first for a pool: who was may have got all that it
 // could have in this pass.
-func (d *Component) claims(n need, team int32) {
+func (d *Component) claims(n requirement, team int32) {
 	p := d.pools[n.pool]
-	still := func(h *holder, could func(*holder, need) bool) bool {
-		return h == nil || slices.ContainsFunc(h.needs, func(x need) bool { return x.pool == n.pool && could(h, x) })
+	still := func(h *holder, could func(*holder, requirement) bool) bool {
+		return h == nil || slices.ContainsFunc(h.needs, func(x requirement) bool { return x.pool == n.pool && could(h, x) })
 	}
-	find := func(could func(*holder, need) bool) *holder {
+	find := func(could func(*holder, requirement) bool) *holder {
 		for _, h := range d.order {
 			if still(h, could) {
 				return h
@@ -71,14 +71,14 @@
 	if !still(p.claim, d.couldTake) {
 		p.claim = find(d.couldTake)
 	}
-	ofTeam := func(h *holder, x need) bool { return h.job.Team == team && h.wants(x) }
+	ofTeam := func(h *holder, x requirement) bool { return h.job.Team == team && h.wants(x) }
 	if t := p.teams[team]; t != nil && !still(t.claim, ofTeam) {
 		t.claim = find(ofTeam)
 	}
 }
 
 // next is what a job needs of a pool to start the next of its tasks.
-func (h *holder) next(n need) int64 {
+func (h *holder) next(n requirement) int64 {
 	switch {
 	case !n.perJob && h.job.Record.Kind == jobs.Gang:
 		return n.units * int64(h.job.Waiting)
@@ -103,20 +103,20 @@
 }
 
 // blocked finds the need that keeps a job from starting tasks.
-func (d *Component) blocked(j *jobs.Job, n int64) (need, bool) {
+func (d *Component) blocked(j *jobs.Job, n int64) (requirement, bool) {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknown != "" || !d.shelf.read || d.closed {
-		return need{pool: -1}, false
+		return requirement{pool: -1}, false
 	}
 	for _, x := range h.needs {
 		if n, ok := x, d.allows(h, x, n); !ok {
 			return n, false
 		}
 	}
-	return need{}, true
+	return requirement{}, true
 }
 
-func (d *Component) allows(h *holder, x need, n int64) bool {
+func (d *Component) allows(h *holder, x requirement, n int64) bool {
 	p, j := d.pools[x.pool], h.job
 	units := x.units
 	switch {
@@ -137,7 +137,7 @@
 }
 
 // allows says whether units may go out to a job.
-func (t *usage) allows(h *holder, x need, units, most int64) bool {
+func (t *usage) allows(h *holder, x requirement, units, most int64) bool {
 	kept, held, task := int64(0), t.held, t.most
 	if c := t.claim; c != nil && c != h {
 		for _, n := range c.needs {
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -11,7 +11,7 @@
 
 // strays are tasks that a machine shows and that no placement stands for.
 type strays struct {
-	needs   []need
+	needs   []requirement
 	unknown bool // what one of them needs is not known
 }
 
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -37,7 +37,7 @@
 
 // lose has the units of so many tasks of a job stay out where their pool says so.
 // Units that the job holds as a whole stay with it, unless it is over.
-func (d *Component) lose(now time.Duration, j *jobs.Job, needs []need, tasks int64) {
+func (d *Component) lose(now time.Duration, j *jobs.Job, needs []requirement, tasks int64) {
 	for _, n := range needs {
 		if n.perJob && (j.Phase == jobs.Open || j.Placed > 1) {
 			continue
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -122,7 +122,7 @@
 }
 
 // choose picks the lowest numbers that nobody may have.
-func (d *Component) choose(n need) (out []int64) {
+func (d *Component) choose(n requirement) (out []int64) {
 	taken := map[int64]bool{}
 	for _, list := range d.papers.of {
 		for key, p := range list {
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -65,8 +65,8 @@
 	claim *holder // the first in the order that could start a task but for units
 }
 
-// need is what a job needs of a pool.
-type need struct {
+// requirement is what a job needs of a pool.
+type requirement struct {
 	pool   int32
 	units  int64
 	perJob bool
@@ -75,7 +75,7 @@
 // holder is a job that needs units.
 type holder struct {
 	job     *jobs.Job
-	needs   []need
+	needs   []requirement
 	unknown string // a pool that it needs and that there is not; empty: none
 	started bool   // this leader has started a task of it
 	begun   bool   // it holds what it needs as a whole
@@ -92,7 +92,7 @@
 	holders []*holder // in the order in which they came
 	order   []*holder // those that could start a task in this pass, the first ones first
 	byJob   map[int32]*holder
-	over    map[uint64][]need // what cancelled jobs of earlier terms need, by id
+	over    map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
 	strays  map[*workers.Machine]*strays
 	closed  bool // a machine may have units of any pool
 
@@ -105,7 +105,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, over: map[uint64][]need{}, strays: map[*workers.Machine]*strays{}, anew: map[*workers.Machine]bool{}}
+	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, over: map[uint64][]requirement{}, strays: map[*workers.Machine]*strays{}, anew: map[*workers.Machine]bool{}}
 	d.papers.of = map[uint64]map[paperKey]*paper{}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
@@ -162,13 +162,13 @@
 	}
 }
 
-func (d *Component) needs(list []eventlog.PoolUnits) (out []need, unknown string) {
+func (d *Component) needs(list []eventlog.PoolUnits) (out []requirement, unknown string) {
 	for _, c := range list {
 		p := d.pool(c.Pool) // it may be in no settings any more, and units of it out
 		if !p.known {
 			unknown = c.Pool
 		}
-		out = append(out, need{p.index, int64(c.Units), c.PerJob})
+		out = append(out, requirement{p.index, int64(c.Units), c.PerJob})
 	}
 	return out, unknown
 }
@@ -179,7 +179,7 @@
 	}
 	h := &holder{job: j}
 	h.needs, h.unknown = d.needs(j.Record.Counted)
-	h.whole = slices.ContainsFunc(h.needs, func(n need) bool { return n.perJob })
+	h.whole = slices.ContainsFunc(h.needs, func(n requirement) bool { return n.perJob })
 	d.holders = append(d.holders, h)
 	d.byJob[j.Index] = h
 }
@@ -291,7 +291,7 @@
 	}
 	keeps := func(j *jobs.Job) bool {
 		h := d.byJob[j.Index]
-		return h != nil && slices.ContainsFunc(h.needs, func(n need) bool { return wanted[n.pool] })
+		return h != nil && slices.ContainsFunc(h.needs, func(n requirement) bool { return wanted[n.pool] })
 	}
 	for _, m := range slices.Clone(d.Inventory.All()) {
 		if m.Deleting || !m.Durable || now-max(m.LastHeartbeat, d.TermBegan) <= max(after, d.SuspectAfter()) {
