--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -31,7 +31,7 @@
 		}
 	}
 	for _, h := range d.order {
-		for _, n := range h.needs {
+		for _, n := range h.requirements {
 			p := d.pools[n.pool]
 			if t := p.teams[h.job.Team]; t != nil && t.claim == nil && h.wants(n) {
 				t.claim = h
@@ -58,7 +58,7 @@
 func (d *Component) claims(n requirement, team int32) {
 	p := d.pools[n.pool]
 	still := func(h *holder, could func(*holder, requirement) bool) bool {
-		return h == nil || slices.ContainsFunc(h.needs, func(x requirement) bool { return x.pool == n.pool && could(h, x) })
+		return h == nil || slices.ContainsFunc(h.requirements, func(x requirement) bool { return x.pool == n.pool && could(h, x) })
 	}
 	find := func(could func(*holder, requirement) bool) *holder {
 		for _, h := range d.order {
@@ -108,7 +108,7 @@
 	if h == nil || h.unknown != "" || !d.shelf.read || d.closed {
 		return requirement{pool: -1}, false
 	}
-	for _, x := range h.needs {
+	for _, x := range h.requirements {
 		if n, ok := x, d.allows(h, x, n); !ok {
 			return n, false
 		}
@@ -140,7 +140,7 @@
 func (t *usage) allows(h *holder, x requirement, units, most int64) bool {
 	kept, held, task := int64(0), t.held, t.most
 	if c := t.claim; c != nil && c != h {
-		for _, n := range c.needs {
+		for _, n := range c.requirements {
 			if n.pool != x.pool {
 				continue
 			}
@@ -164,7 +164,7 @@
 	// A job that will hold units as a whole may begin only if, with those that all
 	// such jobs hold, the largest start of any of them can still come about: then
 	// none of them ever waits for what another one keeps.
-	for _, n := range h.needs {
+	for _, n := range h.requirements {
 		if n.pool != x.pool {
 			continue
 		}
@@ -190,7 +190,7 @@
 	}
 	begins := by > 0 && !h.begun
 	ends := by < 0 && j.Placed == 0 && !h.started && j.Finished == 0
-	for _, n := range h.needs {
+	for _, n := range h.requirements {
 		p := d.pools[n.pool]
 		switch {
 		case !n.perJob:
@@ -214,7 +214,7 @@
 		return 0
 	}
 	most := j.Waiting
-	for _, n := range h.needs {
+	for _, n := range h.requirements {
 		p := d.pools[n.pool]
 		if p.drained {
 			return 0
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		if !m.IsCurrentAttempt(workers.Ref{Job: j.Index, Task: int32(t.Task)}, t.Attempt) {
-			s.needs = append(s.needs, h.needs...)
+			s.needs = append(s.needs, h.requirements...)
 		}
 	}
 	if before := d.strays[m] != nil; before || len(s.needs) > 0 || s.unknown {
@@ -143,7 +143,7 @@
 			if !m.MayHaveTasksOf(h.job.Record.ID) {
 				continue
 			}
-			for _, n := range h.needs {
+			for _, n := range h.requirements {
 				if n.perJob {
 					continue
 				}
@@ -160,7 +160,7 @@
 	}
 	whole := map[int32]int64{} // for jobs as a whole: these stay
 	for _, h := range perhaps {
-		for _, n := range h.needs {
+		for _, n := range h.requirements {
 			if n.perJob && !h.begun {
 				whole[n.pool] += n.units
 			}
@@ -179,7 +179,7 @@
 	j := h.job
 	unseen := int64(d.unseen(j, unheard))
 	h.begun = j.Placed > 0 || ((h.started || j.Finished > 0) && j.Finished < len(j.Tasks))
-	for _, n := range h.needs {
+	for _, n := range h.requirements {
 		p := d.pools[n.pool]
 		switch {
 		case !n.perJob:
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -67,7 +67,7 @@
 			continue
 		}
 		if n := min(mayRun(h.job), scheduler.TasksThatFit(h.job.Need, m.Cap)); n > 0 {
-			d.lose(now, h.job, h.needs, int64(n))
+			d.lose(now, h.job, h.requirements, int64(n))
 		}
 	}
 }
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -103,7 +103,7 @@
 	}
 	d.count(now)
 	out := &Receipt{Durable: true, Job: in.Job, Task: in.Task, Attempt: in.Attempt, Epoch: d.Epoch}
-	for _, n := range h.needs {
+	for _, n := range h.requirements {
 		key := paperKey{in.Job, int32(in.Task), n.pool}
 		attempt := in.Attempt
 		if n.perJob {
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -74,12 +74,12 @@
 
 // holder is a job that needs units.
 type holder struct {
-	job     *jobs.Job
-	needs   []requirement
-	unknown string // a pool that it needs and that there is not; empty: none
-	started bool   // this leader has started a task of it
-	begun   bool   // it holds what it needs as a whole
-	whole   bool   // it needs something as a whole
+	job          *jobs.Job
+	requirements []requirement
+	unknown      string // a pool that it needs and that there is not; empty: none
+	started      bool   // this leader has started a task of it
+	begun        bool   // it holds what it needs as a whole
+	whole        bool   // it needs something as a whole
 }
 
 // Component counts units in a term.
@@ -178,8 +178,8 @@
 		return
 	}
 	h := &holder{job: j}
-	h.needs, h.unknown = d.needs(j.Record.Counted)
-	h.whole = slices.ContainsFunc(h.needs, func(n requirement) bool { return n.perJob })
+	h.requirements, h.unknown = d.needs(j.Record.Counted)
+	h.whole = slices.ContainsFunc(h.requirements, func(n requirement) bool { return n.perJob })
 	d.holders = append(d.holders, h)
 	d.byJob[j.Index] = h
 }
@@ -205,11 +205,11 @@
 	case cluster.TaskGone:
 		d.dropPapers(e.Job.Record.ID, e.Task)
 		if h := d.byJob[e.Job.Index]; h != nil && e.WorkerDied {
-			d.lose(e.At, h.job, h.needs, 1)
+			d.lose(e.At, h.job, h.requirements, 1)
 		}
 	case cluster.OfferLost:
 		if h := d.byJob[e.Job.Index]; h != nil {
-			d.lose(e.At, h.job, h.needs, 1)
+			d.lose(e.At, h.job, h.requirements, 1)
 		}
 	case cluster.HeartbeatApplied:
 		d.look(e.Machine, e.Report)
@@ -242,7 +242,7 @@
 // forget takes a job that has left out of all that refers to it.
 func (d *Component) forget(h *holder) {
 	d.order = slices.DeleteFunc(d.order, func(o *holder) bool { return o == h })
-	for _, n := range h.needs {
+	for _, n := range h.requirements {
 		p := d.pools[n.pool]
 		if p.claim == h {
 			p.claim = nil
@@ -281,7 +281,7 @@
 			if wanted == nil {
 				wanted = make([]bool, len(d.pools))
 			}
-			for _, n := range h.needs {
+			for _, n := range h.requirements {
 				wanted[n.pool] = wanted[n.pool] || (int(n.pool) == i && p.out+h.next(n) > p.limitFor(h.job))
 			}
 		}
@@ -291,7 +291,7 @@
 	}
 	keeps := func(j *jobs.Job) bool {
 		h := d.byJob[j.Index]
-		return h != nil && slices.ContainsFunc(h.needs, func(n requirement) bool { return wanted[n.pool] })
+		return h != nil && slices.ContainsFunc(h.requirements, func(n requirement) bool { return wanted[n.pool] })
 	}
 	for _, m := range slices.Clone(d.Inventory.All()) {
 		if m.Deleting || !m.Durable || now-max(m.LastHeartbeat, d.TermBegan) <= max(after, d.SuspectAfter()) {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -306,7 +306,7 @@
 			continue
 		}
 		lacks := h.whole && !h.begun
-		for _, n := range h.needs {
+		for _, n := range h.requirements {
 			p := w.d.pools[n.pool]
 			lacks = lacks || p.out+h.next(n) > p.size
 		}
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -99,7 +99,7 @@
 func (d *Component) holding(now time.Duration, p *pool) (out []Holder) {
 	index := p.index
 	for _, h := range d.holders {
-		for _, n := range h.needs {
+		for _, n := range h.requirements {
 			if n.pool != index {
 				continue
 			}
