--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -25,7 +25,7 @@
 	d.order = d.order[:0]
 	for _, first := range []bool{true, false} {
 		for _, j := range list {
-			if h := d.byJob[j.Index]; h != nil && (h.whole && h.begun) == first {
+			if h := d.byJob[j.Index]; h != nil && (h.whole && h.holdsJobUnits) == first {
 				d.order = append(d.order, h)
 			}
 		}
@@ -82,7 +82,7 @@
 	switch {
 	case !n.perJob && h.job.Record.Kind == jobs.Gang:
 		return n.units * int64(h.job.Waiting)
-	case n.perJob && h.begun:
+	case n.perJob && h.holdsJobUnits:
 		return 0
 	}
 	return n.units
@@ -122,7 +122,7 @@
 	switch {
 	case !x.perJob:
 		units *= n
-	case h.begun:
+	case h.holdsJobUnits:
 		return true
 	}
 	if p.drained || (p.conf.HoldAfterLossS > 0 && d.lossesOpen()) {
@@ -145,20 +145,20 @@
 				continue
 			}
 			kept += c.next(n)
-			if n.perJob && !c.begun {
+			if n.perJob && !c.holdsJobUnits {
 				held += n.units
 			} else if !n.perJob && c.whole {
 				task = max(task, n.units*together(c.job))
 			}
 		}
-		if h.whole && h.begun && (!c.whole || !c.begun) {
+		if h.whole && h.holdsJobUnits && (!c.whole || !c.holdsJobUnits) {
 			kept, held = 0, t.held // it must get on for the others to get anything
 		}
 	}
 	if t.out+units+kept > most {
 		return false
 	}
-	if !h.whole || h.begun {
+	if !h.whole || h.holdsJobUnits {
 		return true
 	}
 	// A job that will hold units as a whole may begin only if, with those that all
@@ -188,7 +188,7 @@
 	if h == nil {
 		return
 	}
-	begins := by > 0 && !h.begun
+	begins := by > 0 && !h.holdsJobUnits
 	ends := by < 0 && j.Placed == 0 && !h.started && j.Finished == 0
 	for _, n := range h.requirements {
 		p := d.pools[n.pool]
@@ -203,7 +203,7 @@
 			p.addHeldByJob(j.Team, by*n.units)
 		}
 	}
-	h.begun = (h.begun || begins) && !ends
+	h.holdsJobUnits = (h.holdsJobUnits || begins) && !ends
 }
 
 // Most is how many more tasks of a job the units that are left would let start:
@@ -226,7 +226,7 @@
 		switch {
 		case !n.perJob:
 			most = min(most, int(max(0, left)/n.units))
-		case !h.begun && left < n.units:
+		case !h.holdsJobUnits && left < n.units:
 			return 0
 		}
 	}
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -161,7 +161,7 @@
 	whole := map[int32]int64{} // for jobs as a whole: these stay
 	for _, h := range perhaps {
 		for _, n := range h.requirements {
-			if n.perJob && !h.begun {
+			if n.perJob && !h.holdsJobUnits {
 				whole[n.pool] += n.units
 			}
 		}
@@ -178,7 +178,7 @@
 func (d *Component) countHolder(h *holder, unheard []*workers.Machine) int64 {
 	j := h.job
 	unseen := int64(d.unseen(j, unheard))
-	h.begun = j.Placed > 0 || ((h.started || j.Finished > 0) && j.Finished < len(j.Tasks))
+	h.holdsJobUnits = j.Placed > 0 || ((h.started || j.Finished > 0) && j.Finished < len(j.Tasks))
 	for _, n := range h.requirements {
 		p := d.pools[n.pool]
 		switch {
@@ -188,7 +188,7 @@
 			if j.Phase == jobs.Open {
 				p.waiting += n.units * int64(j.Waiting)
 			}
-		case h.begun:
+		case h.holdsJobUnits:
 			p.addInUse(j.Team, n.units)
 			p.addHeldByJob(j.Team, n.units)
 		case unseen > 0:
@@ -197,7 +197,7 @@
 		case j.Phase == jobs.Open && j.Waiting > 0:
 			p.waiting += n.units
 		}
-		if !n.perJob && h.whole && h.begun {
+		if !n.perJob && h.whole && h.holdsJobUnits {
 			p.raiseLargestTask(j.Team, n.units*together(j))
 		}
 	}
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -162,7 +162,7 @@
 	}
 	if key.task < 0 {
 		h := d.byJob[j.Index]
-		return h != nil && h.begun
+		return h != nil && h.holdsJobUnits
 	}
 	t := d.Placements[workers.Ref{Job: j.Index, Task: key.task}]
 	return t != nil && t.Attempt == p.attempt
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -74,12 +74,12 @@
 
 // holder is a job that needs units.
 type holder struct {
-	job          *jobs.Job
-	requirements []requirement
-	unknown      string // a pool that it needs and that there is not; empty: none
-	started      bool   // this leader has started a task of it
-	begun        bool   // it holds what it needs as a whole
-	whole        bool   // it needs something as a whole
+	job           *jobs.Job
+	requirements  []requirement
+	unknown       string // a pool that it needs and that there is not; empty: none
+	started       bool   // this leader has started a task of it
+	holdsJobUnits bool   // it holds what it needs as a whole
+	whole         bool   // it needs something as a whole
 }
 
 // Component counts units in a term.
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -105,7 +105,7 @@
 			}
 			one := Holder{Job: idOf(h.job), Team: h.job.Record.Team, Task: -1, Units: n.units}
 			if n.perJob {
-				if h.begun {
+				if h.holdsJobUnits {
 					one.Back = "the end of the job's last task"
 					one.Numbers = d.numbers(h.job.Record.ID, -1, index)
 					out = append(out, one)
