--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -25,7 +25,7 @@
 	d.order = d.order[:0]
 	for _, first := range []bool{true, false} {
 		for _, j := range list {
-			if h := d.byJob[j.Index]; h != nil && (h.whole && h.holdsJobUnits) == first {
+			if h := d.byJob[j.Index]; h != nil && (h.needsJobUnits && h.holdsJobUnits) == first {
 				d.order = append(d.order, h)
 			}
 		}
@@ -147,18 +147,18 @@
 			kept += c.next(n)
 			if n.perJob && !c.holdsJobUnits {
 				held += n.units
-			} else if !n.perJob && c.whole {
+			} else if !n.perJob && c.needsJobUnits {
 				task = max(task, n.units*together(c.job))
 			}
 		}
-		if h.whole && h.holdsJobUnits && (!c.whole || !c.holdsJobUnits) {
+		if h.needsJobUnits && h.holdsJobUnits && (!c.needsJobUnits || !c.holdsJobUnits) {
 			kept, held = 0, t.held // it must get on for the others to get anything
 		}
 	}
 	if t.out+units+kept > most {
 		return false
 	}
-	if !h.whole || h.holdsJobUnits {
+	if !h.needsJobUnits || h.holdsJobUnits {
 		return true
 	}
 	// A job that will hold units as a whole may begin only if, with those that all
@@ -195,7 +195,7 @@
 		switch {
 		case !n.perJob:
 			p.addInUse(j.Team, by*n.units)
-			if begins && h.whole {
+			if begins && h.needsJobUnits {
 				p.raiseLargestTask(j.Team, n.units*together(j))
 			}
 		case begins, ends:
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -197,7 +197,7 @@
 		case j.Phase == jobs.Open && j.Waiting > 0:
 			p.waiting += n.units
 		}
-		if !n.perJob && h.whole && h.holdsJobUnits {
+		if !n.perJob && h.needsJobUnits && h.holdsJobUnits {
 			p.raiseLargestTask(j.Team, n.units*together(j))
 		}
 	}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -79,7 +79,7 @@
 	unknown       string // a pool that it needs and that there is not; empty: none
 	started       bool   // this leader has started a task of it
 	holdsJobUnits bool   // it holds what it needs as a whole
-	whole         bool   // it needs something as a whole
+	needsJobUnits bool   // it needs something as a whole
 }
 
 // Component counts units in a term.
@@ -179,7 +179,7 @@
 	}
 	h := &holder{job: j}
 	h.requirements, h.unknown = d.needs(j.Record.Counted)
-	h.whole = slices.ContainsFunc(h.requirements, func(n requirement) bool { return n.perJob })
+	h.needsJobUnits = slices.ContainsFunc(h.requirements, func(n requirement) bool { return n.perJob })
 	d.holders = append(d.holders, h)
 	d.byJob[j.Index] = h
 }
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -305,7 +305,7 @@
 		if !slices.Contains(left, j) || j.Waiting == 0 {
 			continue
 		}
-		lacks := h.whole && !h.holdsJobUnits
+		lacks := h.needsJobUnits && !h.holdsJobUnits
 		for _, n := range h.requirements {
 			p := w.d.pools[n.pool]
 			lacks = lacks || p.out+h.next(n) > p.size
