--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -76,7 +76,7 @@
 type holder struct {
 	job           *jobs.Job
 	requirements  []requirement
-	unknown       string // a pool that it needs and that there is not; empty: none
+	unknownPool   string // a pool that it needs and that there is not; empty: none
 	started       bool   // this leader has started a task of it
 	holdsJobUnits bool   // it holds what it needs as a whole
 	needsJobUnits bool   // it needs something as a whole
@@ -178,7 +178,7 @@
 		return
 	}
 	h := &holder{job: j}
-	h.requirements, h.unknown = d.needs(j.Record.Counted)
+	h.requirements, h.unknownPool = d.needs(j.Record.Counted)
 	h.needsJobUnits = slices.ContainsFunc(h.requirements, func(n requirement) bool { return n.perJob })
 	d.holders = append(d.holders, h)
 	d.byJob[j.Index] = h
@@ -321,8 +321,8 @@
 	switch {
 	case h == nil:
 		return ""
-	case h.unknown != "":
-		return fmt.Sprintf("it needs units of the pool %s, which is not in the leader's settings", h.unknown)
+	case h.unknownPool != "":
+		return fmt.Sprintf("it needs units of the pool %s, which is not in the leader's settings", h.unknownPool)
 	case !d.shelf.read:
 		return "what operators have changed of pools is being read: no units are given out before"
 	case d.closed:
