--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -33,7 +33,7 @@
 	for _, h := range d.order {
 		for _, n := range h.requirements {
 			p := d.pools[n.pool]
-			if t := p.teams[h.job.Team]; t != nil && t.claim == nil && h.wants(n) {
+			if t := p.teams[h.job.Team]; t != nil && t.claim == nil && h.wantsMore(n) {
 				t.claim = h
 			}
 			if p.claim == nil && d.couldTake(h, n) {
@@ -43,14 +43,14 @@
 	}
 }
 
-// wants says whether a job still needs units of a pool to start a task.
-func (h *holder) wants(n requirement) bool { return h.job.Waiting > 0 && h.next(n) > 0 }
+// wantsMore says whether a job still needs units of a pool to start a task.
+func (h *holder) wantsMore(n requirement) bool { return h.job.Waiting > 0 && h.next(n) > 0 }
 
 // couldTake says whether it wants some and its team's share lets it have them.
 func (d *Component) couldTake(h *holder, n requirement) bool {
 	p := d.pools[n.pool]
 	t := p.teams[h.job.Team]
-	return h.wants(n) && (t == nil || t.out+h.next(n) <= p.shares[h.job.Team])
+	return h.wantsMore(n) && (t == nil || t.out+h.next(n) <= p.shares[h.job.Team])
 }
 
 // claims settles again who is first for a pool: who was may have got all that it
@@ -71,7 +71,7 @@
 	if !still(p.claim, d.couldTake) {
 		p.claim = find(d.couldTake)
 	}
-	ofTeam := func(h *holder, x requirement) bool { return h.job.Team == team && h.wants(x) }
+	ofTeam := func(h *holder, x requirement) bool { return h.job.Team == team && h.wantsMore(x) }
 	if t := p.teams[team]; t != nil && !still(t.claim, ofTeam) {
 		t.claim = find(ofTeam)
 	}
