--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -44,13 +44,13 @@
 }
 
 // wantsMore says whether a job still needs units of a pool to start a task.
-func (h *holder) wantsMore(n requirement) bool { return h.job.Waiting > 0 && h.next(n) > 0 }
+func (h *holder) wantsMore(n requirement) bool { return h.job.Waiting > 0 && h.nextUnits(n) > 0 }
 
 // couldTake says whether it wants some and its team's share lets it have them.
 func (d *Component) couldTake(h *holder, n requirement) bool {
 	p := d.pools[n.pool]
 	t := p.teams[h.job.Team]
-	return h.wantsMore(n) && (t == nil || t.out+h.next(n) <= p.shares[h.job.Team])
+	return h.wantsMore(n) && (t == nil || t.out+h.nextUnits(n) <= p.shares[h.job.Team])
 }
 
 // claims settles again who is first for a pool: who was may have got all that it
@@ -77,8 +77,8 @@
 	}
 }
 
-// next is what a job needs of a pool to start the next of its tasks.
-func (h *holder) next(n requirement) int64 {
+// nextUnits is what a job needs of a pool to start the next of its tasks.
+func (h *holder) nextUnits(n requirement) int64 {
 	switch {
 	case !n.perJob && h.job.Record.Kind == jobs.Gang:
 		return n.units * int64(h.job.Waiting)
@@ -144,7 +144,7 @@
 			if n.pool != x.pool {
 				continue
 			}
-			kept += c.next(n)
+			kept += c.nextUnits(n)
 			if n.perJob && !c.holdsJobUnits {
 				held += n.units
 			} else if !n.perJob && c.needsJobUnits {
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -282,7 +282,7 @@
 				wanted = make([]bool, len(d.pools))
 			}
 			for _, n := range h.requirements {
-				wanted[n.pool] = wanted[n.pool] || (int(n.pool) == i && p.out+h.next(n) > p.limitFor(h.job))
+				wanted[n.pool] = wanted[n.pool] || (int(n.pool) == i && p.out+h.nextUnits(n) > p.limitFor(h.job))
 			}
 		}
 	}
@@ -334,12 +334,12 @@
 	}
 	p := d.pools[x.pool]
 	if p.drained {
-		return fmt.Sprintf("it needs %d units of %s, which is drained", h.next(x), p.name)
+		return fmt.Sprintf("it needs %d units of %s, which is drained", h.nextUnits(x), p.name)
 	}
 	if p.conf.HoldAfterLossS > 0 && d.lossesOpen() {
-		return fmt.Sprintf("it needs %d units of %s; none go out before it is written which are lost", h.next(x), p.name)
+		return fmt.Sprintf("it needs %d units of %s; none go out before it is written which are lost", h.nextUnits(x), p.name)
 	}
-	why := fmt.Sprintf("it waits for units of %s: it needs %d, and %d of %d are out", p.name, h.next(x), p.out, p.size)
+	why := fmt.Sprintf("it waits for units of %s: it needs %d, and %d of %d are out", p.name, h.nextUnits(x), p.out, p.size)
 	if p.uncertain > 0 {
 		why += fmt.Sprintf(", %d of them perhaps, on machines that have not reported yet", p.uncertain)
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -308,7 +308,7 @@
 		lacks := h.needsJobUnits && !h.holdsJobUnits
 		for _, n := range h.requirements {
 			p := w.d.pools[n.pool]
-			lacks = lacks || p.out+h.next(n) > p.size
+			lacks = lacks || p.out+h.nextUnits(n) > p.size
 		}
 		if !lacks {
 			w.t.Fatalf("seed %d: %+v waits, and all that it needs is free", seed, j.Record.Counted)
