--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -143,7 +143,7 @@
 		rec := *e.Job
 		rec.RevealPoolUnits()
 		if len(rec.Counted) > 0 {
-			d.over[rec.ID], _ = d.needs(rec.Counted)
+			d.over[rec.ID], _ = d.requirementsOf(rec.Counted)
 		}
 	}
 }
@@ -162,7 +162,7 @@
 	}
 }
 
-func (d *Component) needs(list []eventlog.PoolUnits) (out []requirement, unknown string) {
+func (d *Component) requirementsOf(list []eventlog.PoolUnits) (out []requirement, unknown string) {
 	for _, c := range list {
 		p := d.pool(c.Pool) // it may be in no settings any more, and units of it out
 		if !p.known {
@@ -178,7 +178,7 @@
 		return
 	}
 	h := &holder{job: j}
-	h.requirements, h.unknownPool = d.needs(j.Record.Counted)
+	h.requirements, h.unknownPool = d.requirementsOf(j.Record.Counted)
 	h.needsJobUnits = slices.ContainsFunc(h.requirements, func(n requirement) bool { return n.perJob })
 	d.holders = append(d.holders, h)
 	d.byJob[j.Index] = h
