--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -22,15 +22,15 @@
 			t.claim = nil
 		}
 	}
-	d.order = d.order[:0]
+	d.candidates = d.candidates[:0]
 	for _, first := range []bool{true, false} {
 		for _, j := range list {
 			if h := d.byJob[j.Index]; h != nil && (h.needsJobUnits && h.holdsJobUnits) == first {
-				d.order = append(d.order, h)
+				d.candidates = append(d.candidates, h)
 			}
 		}
 	}
-	for _, h := range d.order {
+	for _, h := range d.candidates {
 		for _, n := range h.requirements {
 			p := d.pools[n.pool]
 			if t := p.teams[h.job.Team]; t != nil && t.claim == nil && h.wantsMore(n) {
@@ -61,7 +61,7 @@
 		return h == nil || slices.ContainsFunc(h.requirements, func(x requirement) bool { return x.pool == n.pool && could(h, x) })
 	}
 	find := func(could func(*holder, requirement) bool) *holder {
-		for _, h := range d.order {
+		for _, h := range d.candidates {
 			if still(h, could) {
 				return h
 			}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -89,12 +89,12 @@
 	pools  []*pool
 	byName map[string]int32
 
-	holders []*holder // in the order in which they came
-	order   []*holder // those that could start a task in this pass, the first ones first
-	byJob   map[int32]*holder
-	over    map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
-	strays  map[*workers.Machine]*strays
-	closed  bool // a machine may have units of any pool
+	holders    []*holder // in the order in which they came
+	candidates []*holder // those that could start a task in this pass, the first ones first
+	byJob      map[int32]*holder
+	over       map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
+	strays     map[*workers.Machine]*strays
+	closed     bool // a machine may have units of any pool
 
 	losses   []loss
 	anew     map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
@@ -241,7 +241,7 @@
 
 // forget takes a job that has left out of all that refers to it.
 func (d *Component) forget(h *holder) {
-	d.order = slices.DeleteFunc(d.order, func(o *holder) bool { return o == h })
+	d.candidates = slices.DeleteFunc(d.candidates, func(o *holder) bool { return o == h })
 	for _, n := range h.requirements {
 		p := d.pools[n.pool]
 		if p.claim == h {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -300,7 +300,7 @@
 // units that are out, or, if it would hold some as a whole, for others that do.
 func (w *world) nobodyWaitsInVain(seed uint64, left []*jobs.Job) {
 	w.t.Helper()
-	for _, h := range w.d.order {
+	for _, h := range w.d.candidates {
 		j := h.job
 		if !slices.Contains(left, j) || j.Waiting == 0 {
 			continue
