--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -17,7 +17,7 @@
 
 // look notes the tasks that a report shows beside those that count as being there.
 func (d *Component) look(m *workers.Machine, r *workers.Report) {
-	if len(d.holders) == 0 && len(d.over) == 0 && d.strays[m] == nil {
+	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.strays[m] == nil {
 		return
 	}
 	var s strays
@@ -27,7 +27,7 @@
 		}
 		j := d.Jobs.Find(t.Job)
 		if j == nil {
-			list, known := d.over[t.Job]
+			list, known := d.cancelledNeeds[t.Job]
 			s.needs = append(s.needs, list...)
 			s.unknown = s.unknown || (!known && d.mayNeed(t.Job))
 			continue
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -89,12 +89,12 @@
 	pools  []*pool
 	byName map[string]int32
 
-	holders    []*holder // in the order in which they came
-	candidates []*holder // those that could start a task in this pass, the first ones first
-	byJob      map[int32]*holder
-	over       map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
-	strays     map[*workers.Machine]*strays
-	closed     bool // a machine may have units of any pool
+	holders        []*holder // in the order in which they came
+	candidates     []*holder // those that could start a task in this pass, the first ones first
+	byJob          map[int32]*holder
+	cancelledNeeds map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
+	strays         map[*workers.Machine]*strays
+	closed         bool // a machine may have units of any pool
 
 	losses   []loss
 	anew     map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
@@ -105,7 +105,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, over: map[uint64][]requirement{}, strays: map[*workers.Machine]*strays{}, anew: map[*workers.Machine]bool{}}
+	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, cancelledNeeds: map[uint64][]requirement{}, strays: map[*workers.Machine]*strays{}, anew: map[*workers.Machine]bool{}}
 	d.papers.of = map[uint64]map[paperKey]*paper{}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
@@ -143,16 +143,16 @@
 		rec := *e.Job
 		rec.RevealPoolUnits()
 		if len(rec.Counted) > 0 {
-			d.over[rec.ID], _ = d.requirementsOf(rec.Counted)
+			d.cancelledNeeds[rec.ID], _ = d.requirementsOf(rec.Counted)
 		}
 	}
 }
 
 // Begin enters the open jobs.
 func (d *Component) Begin(time.Duration) {
-	for id := range d.over {
+	for id := range d.cancelledNeeds {
 		if p, _ := d.Jobs.Final(id); p != jobs.Cancelled {
-			delete(d.over, id)
+			delete(d.cancelledNeeds, id)
 		}
 	}
 	for _, j := range d.Jobs.All() {
