--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -9,8 +9,8 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// strays are tasks that a machine shows and that no placement stands for.
-type strays struct {
+// orphanedUnits are tasks that a machine shows and that no placement stands for.
+type orphanedUnits struct {
 	needs   []requirement
 	unknown bool // what one of them needs is not known
 }
@@ -20,7 +20,7 @@
 	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.strays[m] == nil {
 		return
 	}
-	var s strays
+	var s orphanedUnits
 	for _, t := range r.Tasks {
 		if t.State == workers.Ended {
 			continue
