--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -17,7 +17,7 @@
 
 // look notes the tasks that a report shows beside those that count as being there.
 func (d *Component) look(m *workers.Machine, r *workers.Report) {
-	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.strays[m] == nil {
+	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.orphans[m] == nil {
 		return
 	}
 	var s orphanedUnits
@@ -40,12 +40,12 @@
 			s.needs = append(s.needs, h.requirements...)
 		}
 	}
-	if before := d.strays[m] != nil; before || len(s.needs) > 0 || s.unknown {
+	if before := d.orphans[m] != nil; before || len(s.needs) > 0 || s.unknown {
 		d.NeedsCycle = true
 		if len(s.needs) == 0 && !s.unknown {
-			delete(d.strays, m)
+			delete(d.orphans, m)
 		} else {
-			d.strays[m] = &s
+			d.orphans[m] = &s
 		}
 	}
 }
@@ -87,7 +87,7 @@
 	if len(perhaps) > 1 {
 		d.fitUnseen(perhaps, unheard)
 	}
-	for _, s := range d.strays {
+	for _, s := range d.orphans {
 		for _, n := range s.needs {
 			d.pools[n.pool].addInUse(-1, n.units)
 		}
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -75,8 +75,8 @@
 // strayLost forgets the strays of a machine that is gone; their units stay out where
 // their pool says so.
 func (d *Component) strayLost(now time.Duration, m *workers.Machine) {
-	s := d.strays[m]
-	delete(d.strays, m)
+	s := d.orphans[m]
+	delete(d.orphans, m)
 	if s == nil {
 		return
 	}
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -155,7 +155,7 @@
 	unresolved, _ := d.Unresolved()
 	j := d.Jobs.Find(key.job)
 	if j == nil {
-		return unresolved > 0 || len(d.strays) > 0
+		return unresolved > 0 || len(d.orphans) > 0
 	}
 	if j.Earlier && unresolved > 0 {
 		return true
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -93,7 +93,7 @@
 	candidates     []*holder // those that could start a task in this pass, the first ones first
 	byJob          map[int32]*holder
 	cancelledNeeds map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
-	strays         map[*workers.Machine]*orphanedUnits
+	orphans        map[*workers.Machine]*orphanedUnits
 	closed         bool // a machine may have units of any pool
 
 	losses   []loss
@@ -105,7 +105,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, cancelledNeeds: map[uint64][]requirement{}, strays: map[*workers.Machine]*orphanedUnits{}, anew: map[*workers.Machine]bool{}}
+	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, cancelledNeeds: map[uint64][]requirement{}, orphans: map[*workers.Machine]*orphanedUnits{}, anew: map[*workers.Machine]bool{}}
 	d.papers.of = map[uint64]map[paperKey]*paper{}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
