--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -105,7 +105,7 @@
 // blocked finds the need that keeps a job from starting tasks.
 func (d *Component) blocked(j *jobs.Job, n int64) (requirement, bool) {
 	h := d.byJob[j.Index]
-	if h == nil || h.unknownPool != "" || !d.shelf.read || d.closed {
+	if h == nil || h.unknownPool != "" || !d.shelf.read || d.allocationBlocked {
 		return requirement{pool: -1}, false
 	}
 	for _, x := range h.requirements {
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -66,7 +66,7 @@
 		}
 	}
 	unresolved, _ := d.Unresolved()
-	d.closed = false
+	d.allocationBlocked = false
 	var unheard []*workers.Machine
 	if unresolved > 0 {
 		for _, m := range d.Inventory.All() {
@@ -74,7 +74,7 @@
 				unheard = append(unheard, m)
 				// A cancelled job whose needs are not known any more may be there, or
 				// no grants were noted at all.
-				d.closed = d.closed || m.ClaimedByAnyTeam || m.Number == 0
+				d.allocationBlocked = d.allocationBlocked || m.ClaimedByAnyTeam || m.Number == 0
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 		for _, n := range s.needs {
 			d.pools[n.pool].addInUse(-1, n.units)
 		}
-		d.closed = d.closed || s.unknown
+		d.allocationBlocked = d.allocationBlocked || s.unknown
 	}
 	at := d.timeMS(now)
 	for _, l := range d.losses {
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -89,12 +89,12 @@
 	pools  []*pool
 	byName map[string]int32
 
-	holders        []*holder // in the order in which they came
-	candidates     []*holder // those that could start a task in this pass, the first ones first
-	byJob          map[int32]*holder
-	cancelledNeeds map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
-	orphans        map[*workers.Machine]*orphanedUnits
-	closed         bool // a machine may have units of any pool
+	holders           []*holder // in the order in which they came
+	candidates        []*holder // those that could start a task in this pass, the first ones first
+	byJob             map[int32]*holder
+	cancelledNeeds    map[uint64][]requirement // what cancelled jobs of earlier terms need, by id
+	orphans           map[*workers.Machine]*orphanedUnits
+	allocationBlocked bool // a machine may have units of any pool
 
 	losses   []loss
 	anew     map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
@@ -325,7 +325,7 @@
 		return fmt.Sprintf("it needs units of the pool %s, which is not in the leader's settings", h.unknownPool)
 	case !d.shelf.read:
 		return "what operators have changed of pools is being read: no units are given out before"
-	case d.closed:
+	case d.allocationBlocked:
 		return "a machine that has not reported yet may have units of any pool: none are given out before it is heard or gone"
 	}
 	x, ok := d.blocked(j, together(j))
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -85,7 +85,7 @@
 		v.Closed = d.shelf.strange + " cannot be read"
 	case !d.shelf.read:
 		v.Closed = "what was changed of pools is being read"
-	case d.closed:
+	case d.allocationBlocked:
 		v.Closed = "a machine that has not reported may have units of any pool"
 	}
 	if holders {
