--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -96,16 +96,16 @@
 	orphans           map[*workers.Machine]*orphanedUnits
 	allocationBlocked bool // a machine may have units of any pool
 
-	losses   []loss
-	anew     map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
-	resolved *workers.Machine          // by the report that is being taken in
-	shelf    shelf
-	papers   papers
+	losses    []loss
+	restarted map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
+	resolved  *workers.Machine          // by the report that is being taken in
+	shelf     shelf
+	papers    papers
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, cancelledNeeds: map[uint64][]requirement{}, orphans: map[*workers.Machine]*orphanedUnits{}, anew: map[*workers.Machine]bool{}}
+	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, cancelledNeeds: map[uint64][]requirement{}, orphans: map[*workers.Machine]*orphanedUnits{}, restarted: map[*workers.Machine]bool{}}
 	d.papers.of = map[uint64]map[paperKey]*paper{}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
@@ -215,13 +215,13 @@
 		d.look(e.Machine, e.Report)
 		// A machine that may have tasks of an earlier term has had a token then.
 		if e.Report.Token == 0 && e.Machine.Unresolved() {
-			d.anew[e.Machine] = true
+			d.restarted[e.Machine] = true
 		}
-		if d.resolved == e.Machine && (e.Machine.Session > firstSession || d.anew[e.Machine]) {
+		if d.resolved == e.Machine && (e.Machine.Session > firstSession || d.restarted[e.Machine]) {
 			d.loseUnseen(e.At, e.Machine) // a worker of an earlier session, or life, may have died under its tasks
 		}
 		if !e.Machine.Unresolved() {
-			delete(d.anew, e.Machine)
+			delete(d.restarted, e.Machine)
 		}
 		d.resolved = nil
 	case cluster.MachineResolved:
@@ -231,7 +231,7 @@
 			d.resolved = nil
 		}
 	case cluster.MachineProvedGone:
-		delete(d.anew, e.Machine)
+		delete(d.restarted, e.Machine)
 		d.strayLost(e.At, e.Machine)
 		// Before it is written that the machine is gone: a new leader would take
 		// these units for free.
