--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -96,11 +96,11 @@
 	orphans           map[*workers.Machine]*orphanedUnits
 	allocationBlocked bool // a machine may have units of any pool
 
-	losses    []loss
-	restarted map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
-	resolved  *workers.Machine          // by the report that is being taken in
-	shelf     shelf
-	papers    papers
+	losses       []loss
+	restarted    map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
+	justResolved *workers.Machine          // by the report that is being taken in
+	shelf        shelf
+	papers       papers
 }
 
 // New makes the duty of a term.
@@ -217,18 +217,18 @@
 		if e.Report.Token == 0 && e.Machine.Unresolved() {
 			d.restarted[e.Machine] = true
 		}
-		if d.resolved == e.Machine && (e.Machine.Session > firstSession || d.restarted[e.Machine]) {
+		if d.justResolved == e.Machine && (e.Machine.Session > firstSession || d.restarted[e.Machine]) {
 			d.loseUnseen(e.At, e.Machine) // a worker of an earlier session, or life, may have died under its tasks
 		}
 		if !e.Machine.Unresolved() {
 			delete(d.restarted, e.Machine)
 		}
-		d.resolved = nil
+		d.justResolved = nil
 	case cluster.MachineResolved:
-		d.resolved = e.Machine // what its report shows is counted first
+		d.justResolved = e.Machine // what its report shows is counted first
 		if d.Inventory.Find(e.Machine.Name) == nil {
 			d.loseUnseen(e.At, e.Machine)
-			d.resolved = nil
+			d.justResolved = nil
 		}
 	case cluster.MachineProvedGone:
 		delete(d.restarted, e.Machine)
