--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -27,7 +27,7 @@
 // with two crashes in ten seconds: the first leader had started them anew elsewhere, and
 // the second took their units for free.
 func (d *Component) lossesOpen() bool {
-	return d.shelf.lossesDue || slices.ContainsFunc(d.shelf.writing, func(w *writing) bool { return w.pool == nil })
+	return d.store.lossesDue || slices.ContainsFunc(d.store.writing, func(w *writing) bool { return w.pool == nil })
 }
 
 // clockSlack is how far the times of day of two controllers may differ.
@@ -55,7 +55,7 @@
 func (d *Component) stayOut(now time.Duration, p *pool, team string, units int64) {
 	if after := settings.Seconds(p.conf.HoldAfterLossS); after > 0 {
 		d.losses = append(d.losses, loss{p.name, team, units, d.timeMS(now + after + clockSlack)})
-		d.shelf.lossesDue = true
+		d.store.lossesDue = true
 	}
 }
 
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -99,7 +99,7 @@
 	losses       []loss
 	restarted    map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
 	justResolved *workers.Machine          // by the report that is being taken in
-	shelf        shelf
+	store        shelf
 	papers       papers
 }
 
@@ -265,7 +265,7 @@
 	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return l.Until <= at })
 	if len(d.losses) < before {
 		d.NeedsCycle = true
-		d.shelf.lossesDue = true
+		d.store.lossesDue = true
 	}
 	if after := d.Cfg.Tunables.UnitsSilentS; after > 0 {
 		d.hurry(now, settings.Seconds(after))
@@ -323,7 +323,7 @@
 		return ""
 	case h.unknownPool != "":
 		return fmt.Sprintf("it needs units of the pool %s, which is not in the leader's settings", h.unknownPool)
-	case !d.shelf.read:
+	case !d.store.read:
 		return "what operators have changed of pools is being read: no units are given out before"
 	case d.allocationBlocked:
 		return "a machine that has not reported yet may have units of any pool: none are given out before it is heard or gone"
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -70,7 +70,7 @@
 
 // ValuesRead takes a page of values.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool) {
-	s := &d.shelf
+	s := &d.store
 	if !s.TakePage(now, list, more, ok) {
 		return
 	}
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	d.shelf.next = max(d.shelf.next, n+1)
+	d.store.next = max(d.store.next, n+1)
 	var s stored
 	if err := json.Unmarshal(v.Data, &s); err != nil {
 		return err
@@ -114,7 +114,7 @@
 
 // keep reads and writes values.
 func (d *Component) keep(now time.Duration) {
-	s := &d.shelf
+	s := &d.store
 	if !s.Done {
 		s.RequestNext(d.State, now, Name)
 		return
@@ -158,7 +158,7 @@
 
 // writeLosses writes the units that stay out after losses, if there are new ones.
 func (d *Component) writeLosses() {
-	if s := &d.shelf; s.lossesDue && s.Done && s.strange == "" {
+	if s := &d.store; s.lossesDue && s.Done && s.strange == "" {
 		s.lossesDue = false
 		d.write(&writing{n: lossValue}, stored{Losses: d.losses})
 	}
@@ -175,7 +175,7 @@
 		return
 	}
 	w.pos = d.EventLog.AppendedCount()
-	d.shelf.writing = append(d.shelf.writing, w)
+	d.store.writing = append(d.store.writing, w)
 }
 
 // EntryDurable notes what is written: a larger size counts from then on.
@@ -190,13 +190,13 @@
 	}
 	i := -1
 	if x.Stored != nil {
-		i = slices.IndexFunc(d.shelf.writing, func(w *writing) bool { return w.n == *x.Stored })
+		i = slices.IndexFunc(d.store.writing, func(w *writing) bool { return w.n == *x.Stored })
 	}
 	if i < 0 {
 		return
 	}
-	w := d.shelf.writing[i]
-	d.shelf.writing = slices.Delete(d.shelf.writing, i, i+1)
+	w := d.store.writing[i]
+	d.store.writing = slices.Delete(d.store.writing, i, i+1)
 	p := w.pool
 	if p == nil {
 		return
@@ -276,9 +276,9 @@
 	}
 	p := d.pools[i]
 	switch {
-	case !d.shelf.read && d.shelf.strange != "":
-		return nil, fmt.Errorf("pools: %s cannot be read: nothing is changed", d.shelf.strange)
-	case !d.shelf.read:
+	case !d.store.read && d.store.strange != "":
+		return nil, fmt.Errorf("pools: %s cannot be read: nothing is changed", d.store.strange)
+	case !d.store.read:
 		return nil, fmt.Errorf("pools: what was changed before is still being read: try again in a second")
 	case c.ID == "" || len(c.ID) > 64:
 		return nil, fmt.Errorf("pools: id: has 1 to 64 bytes")
@@ -311,7 +311,7 @@
 			p.pendingSize = units
 		}
 	}
-	d.shelf.due = append(d.shelf.due, p)
+	d.store.due = append(d.store.due, p)
 	d.NeedsCycle = true
 	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.changeVersion, "units", max(p.size, p.pendingSize), "drained", p.drained)
 	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -81,9 +81,9 @@
 	switch {
 	case !p.known:
 		v.Closed = "it is not in the leader's settings"
-	case d.shelf.strange != "":
-		v.Closed = d.shelf.strange + " cannot be read"
-	case !d.shelf.read:
+	case d.store.strange != "":
+		v.Closed = d.store.strange + " cannot be read"
+	case !d.store.read:
 		v.Closed = "what was changed of pools is being read"
 	case d.allocationBlocked:
 		v.Closed = "a machine that has not reported may have units of any pool"
