--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -99,7 +99,7 @@
 	losses       []loss
 	restarted    map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
 	justResolved *workers.Machine          // by the report that is being taken in
-	store        shelf
+	store        valueStore
 	papers       papers
 }
 
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -42,8 +42,8 @@
 	Version uint64 `json:"c"`
 }
 
-// shelf is what is kept of that.
-type shelf struct {
+// valueStore is what is kept of that.
+type valueStore struct {
 	cluster.ValueReader
 	read      bool // whole, and nothing in it is strange
 	strange   string
