--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -50,11 +50,11 @@
 	next      int // values from this one on were never used
 	lossesDue bool
 	due       []*pool // to be written
-	writing   []*writing
+	writing   []*pendingWrite
 }
 
-// writing is a value on its way.
-type writing struct {
+// pendingWrite is a value on its way.
+type pendingWrite struct {
 	n       int
 	pos     int
 	pool    *pool // nil: the losses
@@ -122,7 +122,7 @@
 	if s.strange != "" {
 		return
 	}
-	s.writing = slices.DeleteFunc(s.writing, func(w *writing) bool {
+	s.writing = slices.DeleteFunc(s.writing, func(w *pendingWrite) bool {
 		if d.EventLog.DurableCount() < w.pos {
 			return false
 		}
@@ -134,7 +134,7 @@
 		}
 		return true
 	})
-	if slices.ContainsFunc(s.writing, func(w *writing) bool { return w.pool != nil }) {
+	if slices.ContainsFunc(s.writing, func(w *pendingWrite) bool { return w.pool != nil }) {
 		return // one pool at a time
 	}
 	switch {
@@ -152,7 +152,7 @@
 		if p.sizeOverridden {
 			v.Units = max(p.size, p.pendingSize)
 		}
-		d.write(&writing{n: p.valueNumber, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
+		d.write(&pendingWrite{n: p.valueNumber, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
 	}
 }
 
@@ -160,11 +160,11 @@
 func (d *Component) writeLosses() {
 	if s := &d.store; s.lossesDue && s.Done && s.strange == "" {
 		s.lossesDue = false
-		d.write(&writing{n: lossValue}, stored{Losses: d.losses})
+		d.write(&pendingWrite{n: lossValue}, stored{Losses: d.losses})
 	}
 }
 
-func (d *Component) write(w *writing, v stored) {
+func (d *Component) write(w *pendingWrite, v stored) {
 	v.Version = version
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -190,7 +190,7 @@
 	}
 	i := -1
 	if x.Stored != nil {
-		i = slices.IndexFunc(d.store.writing, func(w *writing) bool { return w.n == *x.Stored })
+		i = slices.IndexFunc(d.store.writing, func(w *pendingWrite) bool { return w.n == *x.Stored })
 	}
 	if i < 0 {
 		return
