--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -24,8 +24,8 @@
 
 const changesKept = 16 // for repeats, by pool
 
-// stored is one value.
-type stored struct {
+// storedValue is one value.
+type storedValue struct {
 	Version int    `json:"v"`
 	Losses  []loss `json:"l,omitempty"`
 
@@ -92,7 +92,7 @@
 		return err
 	}
 	d.store.next = max(d.store.next, n+1)
-	var s stored
+	var s storedValue
 	if err := json.Unmarshal(v.Data, &s); err != nil {
 		return err
 	}
@@ -148,7 +148,7 @@
 			p.valueNumber = s.next
 			s.next++
 		}
-		v := stored{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.changeVersion, Changes: p.changes}
+		v := storedValue{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.changeVersion, Changes: p.changes}
 		if p.sizeOverridden {
 			v.Units = max(p.size, p.pendingSize)
 		}
@@ -160,11 +160,11 @@
 func (d *Component) writeLosses() {
 	if s := &d.store; s.lossesDue && s.Done && s.strange == "" {
 		s.lossesDue = false
-		d.write(&pendingWrite{n: lossValue}, stored{Losses: d.losses})
+		d.write(&pendingWrite{n: lossValue}, storedValue{Losses: d.losses})
 	}
 }
 
-func (d *Component) write(w *pendingWrite, v stored) {
+func (d *Component) write(w *pendingWrite, v storedValue) {
 	v.Version = version
 	raw, err := json.Marshal(v)
 	if err != nil {
