--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -47,7 +47,7 @@
 	sizeOverridden bool            // the size is not that of the settings
 	changeVersion  uint64          // of what operators changed; 0: nothing
 	durableVersion uint64          // the version that is durable
-	changes        []change        // the last ones, for repeats
+	changes        []appliedChange // the last ones, for repeats
 	valueNumber    int             // that keeps it; 0: none yet
 
 	usage
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -29,15 +29,15 @@
 	Version int    `json:"v"`
 	Losses  []loss `json:"l,omitempty"`
 
-	Pool    string   `json:"n,omitempty"`
-	Units   int64    `json:"u"` // below 0: as the settings say
-	Drained bool     `json:"d,omitempty"`
-	Changed uint64   `json:"c,omitempty"` // counts the changes
-	Changes []change `json:"i,omitempty"`
+	Pool    string          `json:"n,omitempty"`
+	Units   int64           `json:"u"` // below 0: as the settings say
+	Drained bool            `json:"d,omitempty"`
+	Changed uint64          `json:"c,omitempty"` // counts the changes
+	Changes []appliedChange `json:"i,omitempty"`
 }
 
-// change is one that was made; a repeat of it answers the same.
-type change struct {
+// appliedChange is one that was made; a repeat of it answers the same.
+type appliedChange struct {
 	ID      string `json:"i"`
 	Version uint64 `json:"c"`
 }
@@ -287,7 +287,7 @@
 	case c.Units == nil && c.Drain == nil:
 		return nil, fmt.Errorf("pools: neither units nor drain is to be changed")
 	}
-	if n := slices.IndexFunc(p.changes, func(o change) bool { return o.ID == c.ID }); n >= 0 {
+	if n := slices.IndexFunc(p.changes, func(o appliedChange) bool { return o.ID == c.ID }); n >= 0 {
 		v := p.changes[n].Version
 		return &Changed{Durable: v <= p.durableVersion, Version: v, Pool: d.view(now, p, false)}, nil
 	}
@@ -295,7 +295,7 @@
 		return nil, fmt.Errorf("pools: version: this was planned for version %d, and another change has made it %d", c.Version, p.changeVersion)
 	}
 	p.changeVersion++
-	p.changes = append(p.changes, change{c.ID, p.changeVersion})
+	p.changes = append(p.changes, appliedChange{c.ID, p.changeVersion})
 	p.changes = slices.Delete(p.changes, 0, max(0, len(p.changes)-changesKept))
 	if c.Drain != nil {
 		p.drained = *c.Drain
