--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -17,7 +17,7 @@
 
 // version is that of the values. A program that meets a later one gives out no units:
 // it cannot know what it would overlook.
-const version = 1
+const valueVersion = 1
 
 // lossValue keeps the losses, the values behind it a pool each.
 const lossValue = 0
@@ -96,7 +96,7 @@
 	if err := json.Unmarshal(v.Data, &s); err != nil {
 		return err
 	}
-	if s.Version != version {
+	if s.Version != valueVersion {
 		return fmt.Errorf("it is of version %d: all controllers must be of one that knows it", s.Version)
 	}
 	if n == lossValue {
@@ -165,7 +165,7 @@
 }
 
 func (d *Component) write(w *pendingWrite, v storedValue) {
-	v.Version = version
+	v.Version = valueVersion
 	raw, err := json.Marshal(v)
 	if err != nil {
 		panic(fmt.Sprintf("pools: a value that cannot be written: %v", err)) // names and numbers
