--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -90,7 +90,7 @@
 
 // limitFor is how many units of a pool may be out for a job to start.
 func (p *pool) limitFor(j *jobs.Job) int64 {
-	if j.Priority >= urgent {
+	if j.Priority >= urgentPriority {
 		return p.size
 	}
 	return p.size - int64(p.conf.Reserve)
@@ -261,7 +261,7 @@
 	for _, i := range sortedKeys(sums) {
 		p, s := d.pools[i], sums[i]
 		most, what := max(p.size, p.pendingSize), "it has"
-		if rec.Priority < urgent {
+		if rec.Priority < urgentPriority {
 			most -= int64(p.conf.Reserve)
 			what = "others than urgent jobs may have of it"
 		}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -32,7 +32,7 @@
 const firstSession = 1
 
 // urgent is the priority from which on the reserve of a pool may be used.
-const urgent = 2
+const urgentPriority = 2
 
 // pool is one pool, and what a count has found of it.
 type pool struct {
@@ -346,7 +346,7 @@
 	if p.lost > 0 {
 		why += fmt.Sprintf(", %d of them for a while after the loss of a machine", p.lost)
 	}
-	if j.Priority < urgent && p.conf.Reserve > 0 {
+	if j.Priority < urgentPriority && p.conf.Reserve > 0 {
 		why += fmt.Sprintf("; %d are for urgent jobs", p.conf.Reserve)
 	}
 	if t := p.teams[j.Team]; t != nil {
