--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -379,7 +379,7 @@
 	}
 	for n, p := range list {
 		name := p.name
-		if n >= labelsMost {
+		if n >= maxLabels {
 			name = "others"
 		}
 		for i, v := range []int64{p.size, p.out, p.waiting, p.uncertain} {
@@ -390,4 +390,4 @@
 }
 
 // labelsMost is how many pools have numbers of their own.
-const labelsMost = 100
+const maxLabels = 100
