--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -109,10 +109,10 @@
 		if n.perJob {
 			key.task, attempt = -1, 0
 		}
-		p := d.papers.get(key)
+		p := d.receipts.get(key)
 		if p == nil || p.attempt != attempt {
 			p = &paper{attempt: attempt, numbers: d.choose(n)}
-			d.papers.set(key, p)
+			d.receipts.set(key, p)
 			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
 		out.Durable = out.Durable && p.durable
@@ -124,13 +124,13 @@
 // choose picks the lowest numbers that nobody may have.
 func (d *Component) choose(n requirement) (out []int64) {
 	taken := map[int64]bool{}
-	for _, list := range d.papers.of {
+	for _, list := range d.receipts.of {
 		for key, p := range list {
 			if key.pool != n.pool {
 				continue
 			}
 			if !d.alive(key, p) {
-				d.papers.drop(key)
+				d.receipts.drop(key)
 				continue
 			}
 			for _, x := range p.numbers {
@@ -171,18 +171,18 @@
 // dropPapers forgets the numbers of a task, or with -1 of a job that has left, unless
 // its units stay out.
 func (d *Component) dropPapers(job uint64, task int) {
-	for key, p := range d.papers.of[job] {
+	for key, p := range d.receipts.of[job] {
 		if (task < 0 || key.task == int32(task)) && d.pools[key.pool].conf.HoldAfterLossS == 0 && p.durable {
-			d.papers.drop(key)
+			d.receipts.drop(key)
 		}
 	}
-	if len(d.papers.of[job]) == 0 {
-		delete(d.papers.of, job)
+	if len(d.receipts.of[job]) == 0 {
+		delete(d.receipts.of, job)
 	}
 }
 
 func (d *Component) paperDurable(s *storedPaper) {
-	if p := d.papers.get(paperKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
+	if p := d.receipts.get(paperKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
 		p.durable = true
 	}
 }
@@ -192,7 +192,7 @@
 	if json.Unmarshal(own.Data, &e) != nil || e.Paper == nil {
 		return
 	}
-	d.papers.set(paperKey{e.Paper.Job, e.Paper.Task, d.pool(e.Paper.Pool).index}, &paper{e.Paper.Attempt, e.Paper.Numbers, true})
+	d.receipts.set(paperKey{e.Paper.Job, e.Paper.Task, d.pool(e.Paper.Pool).index}, &paper{e.Paper.Attempt, e.Paper.Numbers, true})
 }
 
 // keepPaper writes anew the numbers of a holder that may be there.
@@ -202,14 +202,14 @@
 		return
 	}
 	key := paperKey{x.Paper.Job, x.Paper.Task, d.pool(x.Paper.Pool).index}
-	if p := d.papers.get(key); p != nil && p.attempt == x.Paper.Attempt && d.alive(key, p) {
+	if p := d.receipts.get(key); p != nil && p.attempt == x.Paper.Attempt && d.alive(key, p) {
 		d.EventLog.Append(e)
 	}
 }
 
 // numbers are those that a holder was given, if it asked.
 func (d *Component) numbers(job uint64, task int, pool int32) []int64 {
-	if p := d.papers.get(paperKey{job, int32(task), pool}); p != nil {
+	if p := d.receipts.get(paperKey{job, int32(task), pool}); p != nil {
 		return p.numbers
 	}
 	return nil
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -100,13 +100,13 @@
 	restarted    map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
 	justResolved *workers.Machine          // by the report that is being taken in
 	store        valueStore
-	papers       papers
+	receipts     papers
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, cancelledNeeds: map[uint64][]requirement{}, orphans: map[*workers.Machine]*orphanedUnits{}, restarted: map[*workers.Machine]bool{}}
-	d.papers.of = map[uint64]map[paperKey]*paper{}
+	d.receipts.of = map[uint64]map[paperKey]*paper{}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
 		p.conf, p.known, p.size = c, true, int64(c.Units)
