--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -29,15 +29,15 @@
 	durable bool
 }
 
-// papers are kept by job, so that an end costs work for its own job only.
-type papers struct {
+// receiptIndex are kept by job, so that an end costs work for its own job only.
+type receiptIndex struct {
 	of map[uint64]map[paperKey]*paper
 	n  int
 }
 
-func (p *papers) get(key paperKey) *paper { return p.of[key.job][key] }
+func (p *receiptIndex) get(key paperKey) *paper { return p.of[key.job][key] }
 
-func (p *papers) set(key paperKey, x *paper) {
+func (p *receiptIndex) set(key paperKey, x *paper) {
 	if p.of[key.job] == nil {
 		p.of[key.job] = map[paperKey]*paper{}
 	}
@@ -46,7 +46,7 @@
 	p.n++
 }
 
-func (p *papers) drop(key paperKey) {
+func (p *receiptIndex) drop(key paperKey) {
 	if p.of[key.job][key] != nil {
 		delete(p.of[key.job], key)
 		p.n--
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -100,7 +100,7 @@
 	restarted    map[*workers.Machine]bool // machines that began anew under their names and are not resolved yet
 	justResolved *workers.Machine          // by the report that is being taken in
 	store        valueStore
-	receipts     papers
+	receipts     receiptIndex
 }
 
 // New makes the duty of a term.
