--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -23,7 +23,7 @@
 	pool int32
 }
 
-type paper struct {
+type issuedReceipt struct {
 	attempt uint64
 	numbers []int64
 	durable bool
@@ -31,15 +31,15 @@
 
 // receiptIndex are kept by job, so that an end costs work for its own job only.
 type receiptIndex struct {
-	of map[uint64]map[paperKey]*paper
+	of map[uint64]map[paperKey]*issuedReceipt
 	n  int
 }
 
-func (p *receiptIndex) get(key paperKey) *paper { return p.of[key.job][key] }
+func (p *receiptIndex) get(key paperKey) *issuedReceipt { return p.of[key.job][key] }
 
-func (p *receiptIndex) set(key paperKey, x *paper) {
+func (p *receiptIndex) set(key paperKey, x *issuedReceipt) {
 	if p.of[key.job] == nil {
-		p.of[key.job] = map[paperKey]*paper{}
+		p.of[key.job] = map[paperKey]*issuedReceipt{}
 	}
 	p.drop(key)
 	p.of[key.job][key] = x
@@ -111,7 +111,7 @@
 		}
 		p := d.receipts.get(key)
 		if p == nil || p.attempt != attempt {
-			p = &paper{attempt: attempt, numbers: d.choose(n)}
+			p = &issuedReceipt{attempt: attempt, numbers: d.choose(n)}
 			d.receipts.set(key, p)
 			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
@@ -148,7 +148,7 @@
 
 // alive says whether a holder that was given numbers may still be there, or its units
 // be counted elsewhere after its loss.
-func (d *Component) alive(key paperKey, p *paper) bool {
+func (d *Component) alive(key paperKey, p *issuedReceipt) bool {
 	if d.pools[key.pool].lost > 0 {
 		return true
 	}
@@ -192,7 +192,7 @@
 	if json.Unmarshal(own.Data, &e) != nil || e.Paper == nil {
 		return
 	}
-	d.receipts.set(paperKey{e.Paper.Job, e.Paper.Task, d.pool(e.Paper.Pool).index}, &paper{e.Paper.Attempt, e.Paper.Numbers, true})
+	d.receipts.set(paperKey{e.Paper.Job, e.Paper.Task, d.pool(e.Paper.Pool).index}, &issuedReceipt{e.Paper.Attempt, e.Paper.Numbers, true})
 }
 
 // keepPaper writes anew the numbers of a holder that may be there.
