--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -17,7 +17,7 @@
 
 const paperBytes = 120
 
-type paperKey struct {
+type receiptKey struct {
 	job  uint64
 	task int32 // -1: the job as a whole
 	pool int32
@@ -31,22 +31,22 @@
 
 // receiptIndex are kept by job, so that an end costs work for its own job only.
 type receiptIndex struct {
-	of map[uint64]map[paperKey]*issuedReceipt
+	of map[uint64]map[receiptKey]*issuedReceipt
 	n  int
 }
 
-func (p *receiptIndex) get(key paperKey) *issuedReceipt { return p.of[key.job][key] }
+func (p *receiptIndex) get(key receiptKey) *issuedReceipt { return p.of[key.job][key] }
 
-func (p *receiptIndex) set(key paperKey, x *issuedReceipt) {
+func (p *receiptIndex) set(key receiptKey, x *issuedReceipt) {
 	if p.of[key.job] == nil {
-		p.of[key.job] = map[paperKey]*issuedReceipt{}
+		p.of[key.job] = map[receiptKey]*issuedReceipt{}
 	}
 	p.drop(key)
 	p.of[key.job][key] = x
 	p.n++
 }
 
-func (p *receiptIndex) drop(key paperKey) {
+func (p *receiptIndex) drop(key receiptKey) {
 	if p.of[key.job][key] != nil {
 		delete(p.of[key.job], key)
 		p.n--
@@ -104,7 +104,7 @@
 	d.count(now)
 	out := &Receipt{Durable: true, Job: in.Job, Task: in.Task, Attempt: in.Attempt, Epoch: d.Epoch}
 	for _, n := range h.requirements {
-		key := paperKey{in.Job, int32(in.Task), n.pool}
+		key := receiptKey{in.Job, int32(in.Task), n.pool}
 		attempt := in.Attempt
 		if n.perJob {
 			key.task, attempt = -1, 0
@@ -148,7 +148,7 @@
 
 // alive says whether a holder that was given numbers may still be there, or its units
 // be counted elsewhere after its loss.
-func (d *Component) alive(key paperKey, p *issuedReceipt) bool {
+func (d *Component) alive(key receiptKey, p *issuedReceipt) bool {
 	if d.pools[key.pool].lost > 0 {
 		return true
 	}
@@ -182,7 +182,7 @@
 }
 
 func (d *Component) paperDurable(s *storedPaper) {
-	if p := d.receipts.get(paperKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
+	if p := d.receipts.get(receiptKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
 		p.durable = true
 	}
 }
@@ -192,7 +192,7 @@
 	if json.Unmarshal(own.Data, &e) != nil || e.Paper == nil {
 		return
 	}
-	d.receipts.set(paperKey{e.Paper.Job, e.Paper.Task, d.pool(e.Paper.Pool).index}, &issuedReceipt{e.Paper.Attempt, e.Paper.Numbers, true})
+	d.receipts.set(receiptKey{e.Paper.Job, e.Paper.Task, d.pool(e.Paper.Pool).index}, &issuedReceipt{e.Paper.Attempt, e.Paper.Numbers, true})
 }
 
 // keepPaper writes anew the numbers of a holder that may be there.
@@ -201,7 +201,7 @@
 	if json.Unmarshal(e.Component.Data, &x) != nil || x.Paper == nil {
 		return
 	}
-	key := paperKey{x.Paper.Job, x.Paper.Task, d.pool(x.Paper.Pool).index}
+	key := receiptKey{x.Paper.Job, x.Paper.Task, d.pool(x.Paper.Pool).index}
 	if p := d.receipts.get(key); p != nil && p.attempt == x.Paper.Attempt && d.alive(key, p) {
 		d.EventLog.Append(e)
 	}
@@ -209,7 +209,7 @@
 
 // numbers are those that a holder was given, if it asked.
 func (d *Component) numbers(job uint64, task int, pool int32) []int64 {
-	if p := d.receipts.get(paperKey{job, int32(task), pool}); p != nil {
+	if p := d.receipts.get(receiptKey{job, int32(task), pool}); p != nil {
 		return p.numbers
 	}
 	return nil
