--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// storedPaper notes which units a task, or a job as a whole, was told to have.
-type storedPaper struct {
+// storedReceipt notes which units a task, or a job as a whole, was told to have.
+type storedReceipt struct {
 	Job     uint64  `json:"j"`
 	Task    int32   `json:"t"`
 	Attempt uint64  `json:"a,omitempty"`
@@ -113,7 +113,7 @@
 		if p == nil || p.attempt != attempt {
 			p = &issuedReceipt{attempt: attempt, numbers: d.choose(n)}
 			d.receipts.set(key, p)
-			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedPaper{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
+			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedReceipt{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
 		out.Durable = out.Durable && p.durable
 		out.Units = append(out.Units, ReceiptUnits{d.pools[n.pool].name, p.numbers, n.perJob})
@@ -181,7 +181,7 @@
 	}
 }
 
-func (d *Component) paperDurable(s *storedPaper) {
+func (d *Component) paperDurable(s *storedReceipt) {
 	if p := d.receipts.get(receiptKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
 		p.durable = true
 	}
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -64,8 +64,8 @@
 
 // entry goes along with a value, or says which units a receipt was given for.
 type entry struct {
-	Stored *int         `json:"w,omitempty"`
-	Paper  *storedPaper `json:"r,omitempty"`
+	Stored *int           `json:"w,omitempty"`
+	Paper  *storedReceipt `json:"r,omitempty"`
 }
 
 // ValuesRead takes a page of values.
