--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -113,7 +113,7 @@
 		if p == nil || p.attempt != attempt {
 			p = &issuedReceipt{attempt: attempt, numbers: d.choose(n)}
 			d.receipts.set(key, p)
-			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Paper: &storedReceipt{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
+			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Receipt: &storedReceipt{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
 		out.Durable = out.Durable && p.durable
 		out.Units = append(out.Units, ReceiptUnits{d.pools[n.pool].name, p.numbers, n.perJob})
@@ -189,20 +189,20 @@
 
 func (d *Component) replayPaper(own *eventlog.ComponentEntry) {
 	var e entry
-	if json.Unmarshal(own.Data, &e) != nil || e.Paper == nil {
+	if json.Unmarshal(own.Data, &e) != nil || e.Receipt == nil {
 		return
 	}
-	d.receipts.set(receiptKey{e.Paper.Job, e.Paper.Task, d.pool(e.Paper.Pool).index}, &issuedReceipt{e.Paper.Attempt, e.Paper.Numbers, true})
+	d.receipts.set(receiptKey{e.Receipt.Job, e.Receipt.Task, d.pool(e.Receipt.Pool).index}, &issuedReceipt{e.Receipt.Attempt, e.Receipt.Numbers, true})
 }
 
 // keepPaper writes anew the numbers of a holder that may be there.
 func (d *Component) keepPaper(e eventlog.Entry) {
 	var x entry
-	if json.Unmarshal(e.Component.Data, &x) != nil || x.Paper == nil {
+	if json.Unmarshal(e.Component.Data, &x) != nil || x.Receipt == nil {
 		return
 	}
-	key := receiptKey{x.Paper.Job, x.Paper.Task, d.pool(x.Paper.Pool).index}
-	if p := d.receipts.get(key); p != nil && p.attempt == x.Paper.Attempt && d.alive(key, p) {
+	key := receiptKey{x.Receipt.Job, x.Receipt.Task, d.pool(x.Receipt.Pool).index}
+	if p := d.receipts.get(key); p != nil && p.attempt == x.Receipt.Attempt && d.alive(key, p) {
 		d.EventLog.Append(e)
 	}
 }
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -64,8 +64,8 @@
 
 // entry goes along with a value, or says which units a receipt was given for.
 type entry struct {
-	Stored *int           `json:"w,omitempty"`
-	Paper  *storedReceipt `json:"r,omitempty"`
+	Stored  *int           `json:"w,omitempty"`
+	Receipt *storedReceipt `json:"r,omitempty"`
 }
 
 // ValuesRead takes a page of values.
@@ -184,8 +184,8 @@
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &x) != nil {
 		return
 	}
-	if x.Paper != nil {
-		d.paperDurable(x.Paper)
+	if x.Receipt != nil {
+		d.paperDurable(x.Receipt)
 		return
 	}
 	i := -1
