--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -15,7 +15,7 @@
 // numbers are noted before it is answered: no other holder is ever given the same
 // while this one may run.
 
-const paperBytes = 120
+const receiptBytes = 120
 
 type receiptKey struct {
 	job  uint64
