--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -15,8 +15,8 @@
 	unknown bool // what one of them needs is not known
 }
 
-// look notes the tasks that a report shows beside those that count as being there.
-func (d *Component) look(m *workers.Machine, r *workers.Report) {
+// noteOrphans notes the tasks that a report shows beside those that count as being there.
+func (d *Component) noteOrphans(m *workers.Machine, r *workers.Report) {
 	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.orphans[m] == nil {
 		return
 	}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -212,7 +212,7 @@
 			d.lose(e.At, h.job, h.requirements, 1)
 		}
 	case cluster.HeartbeatApplied:
-		d.look(e.Machine, e.Report)
+		d.noteOrphans(e.Machine, e.Report)
 		// A machine that may have tasks of an earlier term has had a token then.
 		if e.Report.Token == 0 && e.Machine.Unresolved() {
 			d.restarted[e.Machine] = true
