--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -29,7 +29,7 @@
 		if j == nil {
 			list, known := d.cancelledNeeds[t.Job]
 			s.needs = append(s.needs, list...)
-			s.unknown = s.unknown || (!known && d.mayNeed(t.Job))
+			s.unknown = s.unknown || (!known && d.mayHaveNeeded(t.Job))
 			continue
 		}
 		h := d.byJob[j.Index]
@@ -50,9 +50,9 @@
 	}
 }
 
-// mayNeed says whether a job that is in no table may have needed units: its entry
+// mayHaveNeeded says whether a job that is in no table may have needed units: its entry
 // may have been cleaned away.
-func (d *Component) mayNeed(id uint64) bool {
+func (d *Component) mayHaveNeeded(id uint64) bool {
 	p, over := d.Jobs.Final(id)
 	return !over || p == jobs.Cancelled
 }
