--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -15,7 +15,7 @@
 // Jobs that hold something as a whole come first, so that they get on and give it
 // back.
 func (d *Component) Pass(now time.Duration, list []*jobs.Job) {
-	d.count(now)
+	d.recount(now)
 	for _, p := range d.pools {
 		p.claim = nil
 		for _, t := range p.teams {
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -57,8 +57,8 @@
 	return !over || p == jobs.Cancelled
 }
 
-// count finds out what is out.
-func (d *Component) count(now time.Duration) {
+// recount finds out what is out.
+func (d *Component) recount(now time.Duration) {
 	for _, p := range d.pools {
 		p.usage, p.uncertain, p.lost, p.waiting = usage{claim: p.claim}, 0, 0, 0
 		for _, t := range p.teams {
--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -101,7 +101,7 @@
 	case t == nil || t.Attempt != in.Attempt || in.Attempt == 0 || (t.Planned && len(t.Offered) == 0):
 		return nil, fmt.Errorf("pools: receipt: that attempt does not hold the task's units")
 	}
-	d.count(now)
+	d.recount(now)
 	out := &Receipt{Durable: true, Job: in.Job, Task: in.Task, Attempt: in.Attempt, Epoch: d.Epoch}
 	for _, n := range h.requirements {
 		key := receiptKey{in.Job, int32(in.Task), n.pool}
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -370,7 +370,7 @@
 // Gauges gives the numbers of each pool; those of many pools are summed up, so that
 // their labels stay few.
 func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
-	d.count(now)
+	d.recount(now)
 	out := []cluster.Gauge{{Name: "bitternmoor_pool_units", Help: "Units that a pool has."}, {Name: "bitternmoor_pool_units_out", Help: "Units that are out, or may be."},
 		{Name: "bitternmoor_pool_units_waiting", Help: "Units that waiting tasks need."}, {Name: "bitternmoor_pool_units_uncertain", Help: "Units that are out only perhaps: on machines that have not reported since the last takeover."}}
 	list := slices.SortedFunc(slices.Values(d.pools), func(a, b *pool) int { return cmp.Compare(a.name, b.name) })
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -149,7 +149,7 @@
 }
 
 func (w *world) out(pool string) int64 {
-	w.d.count(w.now)
+	w.d.recount(w.now)
 	return w.d.pools[w.d.byName[pool]].out
 }
 
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -49,7 +49,7 @@
 // Show gives, as JSON, all pools, or with the name of one as the view that one with
 // its holders.
 func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
-	d.count(now)
+	d.recount(now)
 	var out any
 	if view == "" {
 		list := []View{}
