--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -80,7 +80,7 @@
 	}
 	var perhaps []*holder // with tasks that may be on those
 	for _, h := range d.holders {
-		if d.countHolder(h, unheard) > 0 {
+		if d.countJob(h, unheard) > 0 {
 			perhaps = append(perhaps, h)
 		}
 	}
@@ -174,8 +174,8 @@
 	}
 }
 
-// countHolder counts a job, and says how many tasks of it run perhaps unseen.
-func (d *Component) countHolder(h *holder, unheard []*workers.Machine) int64 {
+// countJob counts a job, and says how many tasks of it run perhaps unseen.
+func (d *Component) countJob(h *holder, unheard []*workers.Machine) int64 {
 	j := h.job
 	unseen := int64(d.unseen(j, unheard))
 	h.holdsJobUnits = j.Placed > 0 || ((h.started || j.Finished > 0) && j.Finished < len(j.Tasks))
