--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -85,7 +85,7 @@
 		}
 	}
 	if len(perhaps) > 1 {
-		d.fitUnseen(perhaps, unheard)
+		d.capUncertain(perhaps, unheard)
 	}
 	for _, s := range d.orphans {
 		for _, n := range s.needs {
@@ -131,11 +131,11 @@
 	}
 }
 
-// fitUnseen takes back what counts as out perhaps beyond what the machines that were
+// capUncertain takes back what counts as out perhaps beyond what the machines that were
 // not heard could hold all together: each job was counted as if it had them for itself.
 // What runs on a machine fits its processors, so it holds no more units than if all of
 // them went to the job that needs most units for a processor.
-func (d *Component) fitUnseen(perhaps []*holder, unheard []*workers.Machine) {
+func (d *Component) capUncertain(perhaps []*holder, unheard []*workers.Machine) {
 	most := map[int32]float64{}
 	for _, m := range unheard {
 		here := map[int32]float64{}
