--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -177,7 +177,7 @@
 // countJob counts a job, and says how many tasks of it run perhaps unseen.
 func (d *Component) countJob(h *holder, unheard []*workers.Machine) int64 {
 	j := h.job
-	unseen := int64(d.unseen(j, unheard))
+	unseen := int64(d.unseenTasks(j, unheard))
 	h.holdsJobUnits = j.Placed > 0 || ((h.started || j.Finished > 0) && j.Finished < len(j.Tasks))
 	for _, n := range h.requirements {
 		p := d.pools[n.pool]
@@ -212,9 +212,9 @@
 	return 1
 }
 
-// unseen is how many tasks of a job at most run on machines that have not reported
+// unseenTasks is how many tasks of a job at most run on machines that have not reported
 // in this term.
-func (d *Component) unseen(j *jobs.Job, unheard []*workers.Machine) int {
+func (d *Component) unseenTasks(j *jobs.Job, unheard []*workers.Machine) int {
 	if len(unheard) == 0 || !d.MayRunUnseen(j) {
 		return 0
 	}
