--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -218,7 +218,7 @@
 	if len(unheard) == 0 || !d.MayRunUnseen(j) {
 		return 0
 	}
-	n, room := mayRun(j), 0
+	n, room := mayBeRunning(j), 0
 	for _, m := range unheard {
 		if room >= n {
 			break
@@ -230,9 +230,9 @@
 	return min(n, room)
 }
 
-// mayRun is how many tasks of a job have no place and may have been started by an
+// mayBeRunning is how many tasks of a job have no place and may have been started by an
 // earlier term.
-func mayRun(j *jobs.Job) int {
+func mayBeRunning(j *jobs.Job) int {
 	list := j.Tasks
 	if j.Record.Kind != jobs.Gang && !j.ZoneRule() {
 		list = list[:min(j.FreshFrom, len(list))]
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -66,7 +66,7 @@
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
 			continue
 		}
-		if n := min(mayRun(h.job), scheduler.TasksThatFit(h.job.Need, m.Cap)); n > 0 {
+		if n := min(mayBeRunning(h.job), scheduler.TasksThatFit(h.job.Need, m.Cap)); n > 0 {
 			d.lose(now, h.job, h.requirements, int64(n))
 		}
 	}
