--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -148,7 +148,7 @@
 			if n.perJob && !c.holdsJobUnits {
 				held += n.units
 			} else if !n.perJob && c.needsJobUnits {
-				task = max(task, n.units*together(c.job))
+				task = max(task, n.units*startedTogether(c.job))
 			}
 		}
 		if h.needsJobUnits && h.holdsJobUnits && (!c.needsJobUnits || !c.holdsJobUnits) {
@@ -171,7 +171,7 @@
 		if n.perJob {
 			held += n.units
 		} else {
-			task = max(task, n.units*together(h.job))
+			task = max(task, n.units*startedTogether(h.job))
 		}
 	}
 	return held+task <= most
@@ -196,7 +196,7 @@
 		case !n.perJob:
 			p.addInUse(j.Team, by*n.units)
 			if begins && h.needsJobUnits {
-				p.raiseLargestTask(j.Team, n.units*together(j))
+				p.raiseLargestTask(j.Team, n.units*startedTogether(j))
 			}
 		case begins, ends:
 			p.addInUse(j.Team, by*n.units)
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -198,14 +198,14 @@
 			p.waiting += n.units
 		}
 		if !n.perJob && h.needsJobUnits && h.holdsJobUnits {
-			p.raiseLargestTask(j.Team, n.units*together(j))
+			p.raiseLargestTask(j.Team, n.units*startedTogether(j))
 		}
 	}
 	return unseen
 }
 
-// together is how many of a job's tasks start together.
-func together(j *jobs.Job) int64 {
+// startedTogether is how many of a job's tasks start together.
+func startedTogether(j *jobs.Job) int64 {
 	if j.Record.Kind == jobs.Gang {
 		return int64(len(j.Tasks))
 	}
