--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -53,9 +53,9 @@
 	return h.wantsMore(n) && (t == nil || t.out+h.nextUnits(n) <= p.shares[h.job.Team])
 }
 
-// claims settles again who is first for a pool: who was may have got all that it
+// refreshReservations settles again who is first for a pool: who was may have got all that it
 // could have in this pass.
-func (d *Component) claims(n requirement, team int32) {
+func (d *Component) refreshReservations(n requirement, team int32) {
 	p := d.pools[n.pool]
 	still := func(h *holder, could func(*holder, requirement) bool) bool {
 		return h == nil || slices.ContainsFunc(h.requirements, func(x requirement) bool { return x.pool == n.pool && could(h, x) })
@@ -128,7 +128,7 @@
 	if p.drained || (p.conf.HoldAfterLossS > 0 && d.lossesOpen()) {
 		return false
 	}
-	d.claims(x, j.Team)
+	d.refreshReservations(x, j.Team)
 	if !p.usage.allows(h, x, units, p.limitFor(j)) {
 		return false
 	}
