--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -36,7 +36,7 @@
 			if t := p.teams[h.job.Team]; t != nil && t.claim == nil && h.wantsMore(n) {
 				t.claim = h
 			}
-			if p.claim == nil && d.couldTake(h, n) {
+			if p.claim == nil && d.fitsTeamShare(h, n) {
 				p.claim = h
 			}
 		}
@@ -46,8 +46,8 @@
 // wantsMore says whether a job still needs units of a pool to start a task.
 func (h *holder) wantsMore(n requirement) bool { return h.job.Waiting > 0 && h.nextUnits(n) > 0 }
 
-// couldTake says whether it wants some and its team's share lets it have them.
-func (d *Component) couldTake(h *holder, n requirement) bool {
+// fitsTeamShare says whether it wants some and its team's share lets it have them.
+func (d *Component) fitsTeamShare(h *holder, n requirement) bool {
 	p := d.pools[n.pool]
 	t := p.teams[h.job.Team]
 	return h.wantsMore(n) && (t == nil || t.out+h.nextUnits(n) <= p.shares[h.job.Team])
@@ -68,8 +68,8 @@
 		}
 		return nil
 	}
-	if !still(p.claim, d.couldTake) {
-		p.claim = find(d.couldTake)
+	if !still(p.claim, d.fitsTeamShare) {
+		p.claim = find(d.fitsTeamShare)
 	}
 	ofTeam := func(h *holder, x requirement) bool { return h.job.Team == team && h.wantsMore(x) }
 	if t := p.teams[team]; t != nil && !still(t.claim, ofTeam) {
