--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -98,12 +98,12 @@
 
 // Allows says whether so many more tasks of a job may start.
 func (d *Component) Allows(j *jobs.Job, n int) bool {
-	_, ok := d.blocked(j, int64(n))
+	_, ok := d.blockingRequirement(j, int64(n))
 	return ok
 }
 
-// blocked finds the need that keeps a job from starting tasks.
-func (d *Component) blocked(j *jobs.Job, n int64) (requirement, bool) {
+// blockingRequirement finds the need that keeps a job from starting tasks.
+func (d *Component) blockingRequirement(j *jobs.Job, n int64) (requirement, bool) {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknownPool != "" || !d.store.read || d.allocationBlocked {
 		return requirement{pool: -1}, false
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -328,7 +328,7 @@
 	case d.allocationBlocked:
 		return "a machine that has not reported yet may have units of any pool: none are given out before it is heard or gone"
 	}
-	x, ok := d.blocked(j, startedTogether(j))
+	x, ok := d.blockingRequirement(j, startedTogether(j))
 	if ok {
 		return ""
 	}
