--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -109,14 +109,14 @@
 		return requirement{pool: -1}, false
 	}
 	for _, x := range h.requirements {
-		if n, ok := x, d.allows(h, x, n); !ok {
+		if n, ok := x, d.allowsRequirement(h, x, n); !ok {
 			return n, false
 		}
 	}
 	return requirement{}, true
 }
 
-func (d *Component) allows(h *holder, x requirement, n int64) bool {
+func (d *Component) allowsRequirement(h *holder, x requirement, n int64) bool {
 	p, j := d.pools[x.pool], h.job
 	units := x.units
 	switch {
