--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -178,12 +178,12 @@
 }
 
 // TaskPlaced counts a task that was given room.
-func (d *Component) TaskPlaced(j *jobs.Job) { d.took(j, 1) }
+func (d *Component) TaskPlaced(j *jobs.Job) { d.adjustInUse(j, 1) }
 
 // TaskRemoved takes that back.
-func (d *Component) TaskRemoved(j *jobs.Job) { d.took(j, -1) }
+func (d *Component) TaskRemoved(j *jobs.Job) { d.adjustInUse(j, -1) }
 
-func (d *Component) took(j *jobs.Job, by int64) {
+func (d *Component) adjustInUse(j *jobs.Job, by int64) {
 	h := d.byJob[j.Index]
 	if h == nil {
 		return
