--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -125,7 +125,7 @@
 	case h.holdsJobUnits:
 		return true
 	}
-	if p.drained || (p.conf.HoldAfterLossS > 0 && d.lossesOpen()) {
+	if p.drained || (p.conf.HoldAfterLossS > 0 && d.lossesNotDurable()) {
 		return false
 	}
 	d.refreshReservations(x, j.Team)
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -21,12 +21,12 @@
 	Until int64  `json:"t"` // time of day, in milliseconds
 }
 
-// lossesOpen says whether losses are known that a new leader would not know of. Until
+// lossesNotDurable says whether losses are known that a new leader would not know of. Until
 // they are written no unit of a pool that waits for them goes out: the tasks that died
 // still wait then, and the new leader counts them as lost itself. Found by a random day
 // with two crashes in ten seconds: the first leader had started them anew elsewhere, and
 // the second took their units for free.
-func (d *Component) lossesOpen() bool {
+func (d *Component) lossesNotDurable() bool {
 	return d.store.lossesDue || slices.ContainsFunc(d.store.writing, func(w *pendingWrite) bool { return w.pool == nil })
 }
 
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -336,7 +336,7 @@
 	if p.drained {
 		return fmt.Sprintf("it needs %d units of %s, which is drained", h.nextUnits(x), p.name)
 	}
-	if p.conf.HoldAfterLossS > 0 && d.lossesOpen() {
+	if p.conf.HoldAfterLossS > 0 && d.lossesNotDurable() {
 		return fmt.Sprintf("it needs %d units of %s; none go out before it is written which are lost", h.nextUnits(x), p.name)
 	}
 	why := fmt.Sprintf("it waits for units of %s: it needs %d, and %d of %d are out", p.name, h.nextUnits(x), p.out, p.size)
