--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -93,7 +93,7 @@
 		}
 		d.allocationBlocked = d.allocationBlocked || s.unknown
 	}
-	at := d.timeMS(now)
+	at := d.wallClockMS(now)
 	for _, l := range d.losses {
 		if l.Until > at {
 			team, ok := d.Teams.Lookup(l.Team)
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -33,7 +33,7 @@
 // clockSlack is how far the times of day of two controllers may differ.
 const clockSlack = time.Second
 
-func (d *Component) timeMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
+func (d *Component) wallClockMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
 
 // lose has the units of so many tasks of a job stay out where their pool says so.
 // Units that the job holds as a whole stay with it, unless it is over.
@@ -54,7 +54,7 @@
 // unknown.
 func (d *Component) stayOut(now time.Duration, p *pool, team string, units int64) {
 	if after := settings.Seconds(p.conf.HoldAfterLossS); after > 0 {
-		d.losses = append(d.losses, loss{p.name, team, units, d.timeMS(now + after + clockSlack)})
+		d.losses = append(d.losses, loss{p.name, team, units, d.wallClockMS(now + after + clockSlack)})
 		d.store.lossesDue = true
 	}
 }
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -260,7 +260,7 @@
 		return
 	}
 	d.keep(now)
-	at := d.timeMS(now)
+	at := d.wallClockMS(now)
 	before := len(d.losses)
 	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return l.Until <= at })
 	if len(d.losses) < before {
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -123,7 +123,7 @@
 		}
 	}
 	for _, l := range d.losses {
-		if left := l.Until - d.timeMS(now); l.Pool == p.name && left > 0 {
+		if left := l.Until - d.wallClockMS(now); l.Pool == p.name && left > 0 {
 			out = append(out, Holder{Job: "lost", Team: l.Team, Task: -1, Units: l.Units, Back: fmt.Sprintf("the end of hold_after_loss, in %d s", left/1000+1)})
 		}
 	}
