--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -35,9 +35,9 @@
 
 func (d *Component) wallClockMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
 
-// lose has the units of so many tasks of a job stay out where their pool says so.
+// holdAfterLoss has the units of so many tasks of a job stay out where their pool says so.
 // Units that the job holds as a whole stay with it, unless it is over.
-func (d *Component) lose(now time.Duration, j *jobs.Job, needs []requirement, tasks int64) {
+func (d *Component) holdAfterLoss(now time.Duration, j *jobs.Job, needs []requirement, tasks int64) {
 	for _, n := range needs {
 		if n.perJob && (j.Phase == jobs.Open || j.Placed > 1) {
 			continue
@@ -67,7 +67,7 @@
 			continue
 		}
 		if n := min(mayBeRunning(h.job), scheduler.TasksThatFit(h.job.Need, m.Cap)); n > 0 {
-			d.lose(now, h.job, h.requirements, int64(n))
+			d.holdAfterLoss(now, h.job, h.requirements, int64(n))
 		}
 	}
 }
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -205,11 +205,11 @@
 	case cluster.TaskGone:
 		d.dropPapers(e.Job.Record.ID, e.Task)
 		if h := d.byJob[e.Job.Index]; h != nil && e.WorkerDied {
-			d.lose(e.At, h.job, h.requirements, 1)
+			d.holdAfterLoss(e.At, h.job, h.requirements, 1)
 		}
 	case cluster.OfferLost:
 		if h := d.byJob[e.Job.Index]; h != nil {
-			d.lose(e.At, h.job, h.requirements, 1)
+			d.holdAfterLoss(e.At, h.job, h.requirements, 1)
 		}
 	case cluster.HeartbeatApplied:
 		d.noteOrphans(e.Machine, e.Report)
