--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -46,13 +46,13 @@
 		if !n.perJob {
 			units *= tasks
 		}
-		d.stayOut(now, d.pools[n.pool], d.Teams.Name(j.Team), units)
+		d.addLoss(now, d.pools[n.pool], d.Teams.Name(j.Team), units)
 	}
 }
 
-// stayOut has units stay out after a loss, where their pool says so. The team may be
+// addLoss has units stay out after a loss, where their pool says so. The team may be
 // unknown.
-func (d *Component) stayOut(now time.Duration, p *pool, team string, units int64) {
+func (d *Component) addLoss(now time.Duration, p *pool, team string, units int64) {
 	if after := settings.Seconds(p.conf.HoldAfterLossS); after > 0 {
 		d.losses = append(d.losses, loss{p.name, team, units, d.wallClockMS(now + after + clockSlack)})
 		d.store.lossesDue = true
@@ -81,6 +81,6 @@
 		return
 	}
 	for _, n := range s.needs {
-		d.stayOut(now, d.pools[n.pool], "", n.units)
+		d.addLoss(now, d.pools[n.pool], "", n.units)
 	}
 }
