--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// loseUnseen does so for what may have been on a machine that is gone, or whose worker
+// holdUnseenAfterLoss does so for what may have been on a machine that is gone, or whose worker
 // began anew, before it was ever heard in this term.
-func (d *Component) loseUnseen(now time.Duration, m *workers.Machine) {
+func (d *Component) holdUnseenAfterLoss(now time.Duration, m *workers.Machine) {
 	for _, h := range d.holders {
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
 			continue
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -218,7 +218,7 @@
 			d.restarted[e.Machine] = true
 		}
 		if d.justResolved == e.Machine && (e.Machine.Session > firstSession || d.restarted[e.Machine]) {
-			d.loseUnseen(e.At, e.Machine) // a worker of an earlier session, or life, may have died under its tasks
+			d.holdUnseenAfterLoss(e.At, e.Machine) // a worker of an earlier session, or life, may have died under its tasks
 		}
 		if !e.Machine.Unresolved() {
 			delete(d.restarted, e.Machine)
@@ -227,7 +227,7 @@
 	case cluster.MachineResolved:
 		d.justResolved = e.Machine // what its report shows is counted first
 		if d.Inventory.Find(e.Machine.Name) == nil {
-			d.loseUnseen(e.At, e.Machine)
+			d.holdUnseenAfterLoss(e.At, e.Machine)
 			d.justResolved = nil
 		}
 	case cluster.MachineProvedGone:
