--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -72,9 +72,9 @@
 	}
 }
 
-// strayLost forgets the strays of a machine that is gone; their units stay out where
+// dropOrphans forgets the strays of a machine that is gone; their units stay out where
 // their pool says so.
-func (d *Component) strayLost(now time.Duration, m *workers.Machine) {
+func (d *Component) dropOrphans(now time.Duration, m *workers.Machine) {
 	s := d.orphans[m]
 	delete(d.orphans, m)
 	if s == nil {
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -232,7 +232,7 @@
 		}
 	case cluster.MachineProvedGone:
 		delete(d.restarted, e.Machine)
-		d.strayLost(e.At, e.Machine)
+		d.dropOrphans(e.At, e.Machine)
 		// Before it is written that the machine is gone: a new leader would take
 		// these units for free.
 		d.writeLosses()
