--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -268,13 +268,13 @@
 		d.store.lossesDue = true
 	}
 	if after := d.Cfg.Tunables.UnitsSilentS; after > 0 {
-		d.hurry(now, settings.Seconds(after))
+		d.decommissionSilent(now, settings.Seconds(after))
 	}
 }
 
-// hurry gives machines up early that are silent while others wait for units which
+// decommissionSilent gives machines up early that are silent while others wait for units which
 // their tasks keep: the setting weighs the machine's price against the wait.
-func (d *Component) hurry(now, after time.Duration) {
+func (d *Component) decommissionSilent(now, after time.Duration) {
 	var wanted []bool
 	for i, p := range d.pools {
 		if h := p.claim; h != nil && h.job.Waiting > 0 {
