--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -157,7 +157,7 @@
 	}
 	for _, j := range d.Jobs.All() {
 		if j != nil {
-			d.enter(j)
+			d.addJob(j)
 		}
 	}
 }
@@ -173,7 +173,7 @@
 	return out, unknown
 }
 
-func (d *Component) enter(j *jobs.Job) {
+func (d *Component) addJob(j *jobs.Job) {
 	if len(j.Record.Counted) == 0 || d.byJob[j.Index] != nil {
 		return
 	}
@@ -188,7 +188,7 @@
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
-		d.enter(e.Job)
+		d.addJob(e.Job)
 	case cluster.JobRemoved:
 		if h := d.byJob[e.Job.Index]; h != nil && h.job == e.Job {
 			delete(d.byJob, e.Job.Index)
