--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -192,7 +192,7 @@
 	case cluster.JobRemoved:
 		if h := d.byJob[e.Job.Index]; h != nil && h.job == e.Job {
 			delete(d.byJob, e.Job.Index)
-			d.forget(h)
+			d.removeReferences(h)
 			d.holders = slices.DeleteFunc(d.holders, func(o *holder) bool { return o == h })
 		}
 		d.dropPapers(e.Job.Record.ID, -1)
@@ -239,8 +239,8 @@
 	}
 }
 
-// forget takes a job that has left out of all that refers to it.
-func (d *Component) forget(h *holder) {
+// removeReferences takes a job that has left out of all that refers to it.
+func (d *Component) removeReferences(h *holder) {
 	d.candidates = slices.DeleteFunc(d.candidates, func(o *holder) bool { return o == h })
 	for _, n := range h.requirements {
 		p := d.pools[n.pool]
