--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -352,7 +352,7 @@
 	if t := p.teams[j.Team]; t != nil {
 		why += fmt.Sprintf("; its team has %d of its %d", t.out, p.shares[j.Team])
 	}
-	for _, c := range []*holder{p.claim, teamClaim(p, j)} {
+	for _, c := range []*holder{p.claim, teamReservation(p, j)} {
 		if c != nil && c != h {
 			return why + fmt.Sprintf("; job %s is before it in the order, and its next units are kept for it", idOf(c.job))
 		}
@@ -360,7 +360,7 @@
 	return why
 }
 
-func teamClaim(p *pool, j *jobs.Job) *holder {
+func teamReservation(p *pool, j *jobs.Job) *holder {
 	if t := p.teams[j.Team]; t != nil {
 		return t.claim
 	}
