--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -259,7 +259,7 @@
 	if !sure {
 		return
 	}
-	d.keep(now)
+	d.syncStore(now)
 	at := d.wallClockMS(now)
 	before := len(d.losses)
 	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return l.Until <= at })
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -112,8 +112,8 @@
 	return nil
 }
 
-// keep reads and writes values.
-func (d *Component) keep(now time.Duration) {
+// syncStore reads and writes values.
+func (d *Component) syncStore(now time.Duration) {
 	s := &d.store
 	if !s.Done {
 		s.RequestNext(d.State, now, Name)
