--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -152,7 +152,7 @@
 		if p.sizeOverridden {
 			v.Units = max(p.size, p.pendingSize)
 		}
-		d.write(&pendingWrite{n: p.valueNumber, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
+		d.writeValue(&pendingWrite{n: p.valueNumber, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
 	}
 }
 
@@ -160,11 +160,11 @@
 func (d *Component) writeLosses() {
 	if s := &d.store; s.lossesDue && s.Done && s.strange == "" {
 		s.lossesDue = false
-		d.write(&pendingWrite{n: lossValue}, storedValue{Losses: d.losses})
+		d.writeValue(&pendingWrite{n: lossValue}, storedValue{Losses: d.losses})
 	}
 }
 
-func (d *Component) write(w *pendingWrite, v storedValue) {
+func (d *Component) writeValue(w *pendingWrite, v storedValue) {
 	v.Version = valueVersion
 	raw, err := json.Marshal(v)
 	if err != nil {
