--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -75,7 +75,7 @@
 		return
 	}
 	for _, v := range list {
-		if err := d.restore(v); err != nil {
+		if err := d.restoreValue(v); err != nil {
 			s.strange = v.Key
 			d.LogMessage(effects.Error, "what was changed of pools cannot be read: no units are given out", "key", v.Key, "error", err)
 		}
@@ -86,7 +86,7 @@
 	}
 }
 
-func (d *Component) restore(v eventlog.Value) error {
+func (d *Component) restoreValue(v eventlog.Value) error {
 	n, err := eventlog.ValueNumber(Name, v.Key)
 	if err != nil {
 		return err
