--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -87,8 +87,8 @@
 	PerJob  bool    `json:"per_job,omitempty"`
 }
 
-// receipt gives a task's units their numbers.
-func (d *Component) receipt(now time.Duration, in *Holding) (*Receipt, error) {
+// issueReceipt gives a task's units their numbers.
+func (d *Component) issueReceipt(now time.Duration, in *Holding) (*Receipt, error) {
 	j := d.Jobs.Find(in.Job)
 	if j == nil || in.Task < 0 || in.Task >= len(j.Tasks) {
 		return nil, fmt.Errorf("pools: receipt: no such task is running")
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -255,7 +255,7 @@
 	case in.Change != nil:
 		out, err = d.change(now, in.Change)
 	case in.Receipt != nil:
-		out, err = d.receipt(now, in.Receipt)
+		out, err = d.issueReceipt(now, in.Receipt)
 	default:
 		err = fmt.Errorf("pools: neither a change nor a receipt is asked for")
 	}
