--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -111,7 +111,7 @@
 		}
 		p := d.receipts.get(key)
 		if p == nil || p.attempt != attempt {
-			p = &issuedReceipt{attempt: attempt, numbers: d.choose(n)}
+			p = &issuedReceipt{attempt: attempt, numbers: d.pickNumbers(n)}
 			d.receipts.set(key, p)
 			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Receipt: &storedReceipt{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
 		}
@@ -121,8 +121,8 @@
 	return out, nil
 }
 
-// choose picks the lowest numbers that nobody may have.
-func (d *Component) choose(n requirement) (out []int64) {
+// pickNumbers picks the lowest numbers that nobody may have.
+func (d *Component) pickNumbers(n requirement) (out []int64) {
 	taken := map[int64]bool{}
 	for _, list := range d.receipts.of {
 		for key, p := range list {
