--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -129,7 +129,7 @@
 			if key.pool != n.pool {
 				continue
 			}
-			if !d.alive(key, p) {
+			if !d.mayStillHold(key, p) {
 				d.receipts.drop(key)
 				continue
 			}
@@ -146,9 +146,9 @@
 	return out
 }
 
-// alive says whether a holder that was given numbers may still be there, or its units
+// mayStillHold says whether a holder that was given numbers may still be there, or its units
 // be counted elsewhere after its loss.
-func (d *Component) alive(key receiptKey, p *issuedReceipt) bool {
+func (d *Component) mayStillHold(key receiptKey, p *issuedReceipt) bool {
 	if d.pools[key.pool].lost > 0 {
 		return true
 	}
@@ -202,7 +202,7 @@
 		return
 	}
 	key := receiptKey{x.Receipt.Job, x.Receipt.Task, d.pool(x.Receipt.Pool).index}
-	if p := d.receipts.get(key); p != nil && p.attempt == x.Receipt.Attempt && d.alive(key, p) {
+	if p := d.receipts.get(key); p != nil && p.attempt == x.Receipt.Attempt && d.mayStillHold(key, p) {
 		d.EventLog.Append(e)
 	}
 }
