--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -168,9 +168,9 @@
 	return t != nil && t.Attempt == p.attempt
 }
 
-// dropPapers forgets the numbers of a task, or with -1 of a job that has left, unless
+// dropReceipts forgets the numbers of a task, or with -1 of a job that has left, unless
 // its units stay out.
-func (d *Component) dropPapers(job uint64, task int) {
+func (d *Component) dropReceipts(job uint64, task int) {
 	for key, p := range d.receipts.of[job] {
 		if (task < 0 || key.task == int32(task)) && d.pools[key.pool].conf.HoldAfterLossS == 0 && p.durable {
 			d.receipts.drop(key)
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -195,15 +195,15 @@
 			d.removeReferences(h)
 			d.holders = slices.DeleteFunc(d.holders, func(o *holder) bool { return o == h })
 		}
-		d.dropPapers(e.Job.Record.ID, -1)
+		d.dropReceipts(e.Job.Record.ID, -1)
 	case cluster.TaskPlaced:
 		if h := d.byJob[e.Job.Index]; h != nil {
 			h.started = true
 		}
 	case cluster.TaskDone:
-		d.dropPapers(e.Job.Record.ID, e.Task)
+		d.dropReceipts(e.Job.Record.ID, e.Task)
 	case cluster.TaskGone:
-		d.dropPapers(e.Job.Record.ID, e.Task)
+		d.dropReceipts(e.Job.Record.ID, e.Task)
 		if h := d.byJob[e.Job.Index]; h != nil && e.WorkerDied {
 			d.holdAfterLoss(e.At, h.job, h.requirements, 1)
 		}
