--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -181,7 +181,7 @@
 	}
 }
 
-func (d *Component) paperDurable(s *storedReceipt) {
+func (d *Component) receiptDurable(s *storedReceipt) {
 	if p := d.receipts.get(receiptKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
 		p.durable = true
 	}
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -185,7 +185,7 @@
 		return
 	}
 	if x.Receipt != nil {
-		d.paperDurable(x.Receipt)
+		d.receiptDurable(x.Receipt)
 		return
 	}
 	i := -1
