--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -187,7 +187,7 @@
 	}
 }
 
-func (d *Component) replayPaper(own *eventlog.ComponentEntry) {
+func (d *Component) replayReceipt(own *eventlog.ComponentEntry) {
 	var e entry
 	if json.Unmarshal(own.Data, &e) != nil || e.Receipt == nil {
 		return
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -138,7 +138,7 @@
 func (d *Component) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Component != nil:
-		d.replayPaper(e.Component)
+		d.replayReceipt(e.Component)
 	case e.Job != nil:
 		rec := *e.Job
 		rec.RevealPoolUnits()
