--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -195,8 +195,8 @@
 	d.receipts.set(receiptKey{e.Receipt.Job, e.Receipt.Task, d.pool(e.Receipt.Pool).index}, &issuedReceipt{e.Receipt.Attempt, e.Receipt.Numbers, true})
 }
 
-// keepPaper writes anew the numbers of a holder that may be there.
-func (d *Component) keepPaper(e eventlog.Entry) {
+// compactReceipt writes anew the numbers of a holder that may be there.
+func (d *Component) compactReceipt(e eventlog.Entry) {
 	var x entry
 	if json.Unmarshal(e.Component.Data, &x) != nil || x.Receipt == nil {
 		return
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -212,7 +212,7 @@
 // values are of no use any more.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
-		d.keepPaper(e)
+		d.compactReceipt(e)
 	}
 }
 
