--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -207,8 +207,8 @@
 	}
 }
 
-// numbers are those that a holder was given, if it asked.
-func (d *Component) numbers(job uint64, task int, pool int32) []int64 {
+// issuedNumbers are those that a holder was given, if it asked.
+func (d *Component) issuedNumbers(job uint64, task int, pool int32) []int64 {
 	if p := d.receipts.get(receiptKey{job, int32(task), pool}); p != nil {
 		return p.numbers
 	}
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -107,7 +107,7 @@
 			if n.perJob {
 				if h.holdsJobUnits {
 					one.Back = "the end of the job's last task"
-					one.Numbers = d.numbers(h.job.Record.ID, -1, index)
+					one.Numbers = d.issuedNumbers(h.job.Record.ID, -1, index)
 					out = append(out, one)
 				}
 				continue
@@ -149,7 +149,7 @@
 		if t.Runs() {
 			x.SinceS = (now - t.RanAt).Round(time.Millisecond).Seconds()
 		}
-		x.Numbers = d.numbers(j.Record.ID, int(ref.Task), index)
+		x.Numbers = d.issuedNumbers(j.Record.ID, int(ref.Task), index)
 		out = append(out, x)
 	}
 	if n, _ := d.Unresolved(); n > 0 && j.Earlier && j.UnresolvedMachines > 0 {
