--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -18,9 +18,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// world is a leader with pools and room without end, whose state service keeps what
+// fixture is a leader with pools and room without end, whose state service keeps what
 // it writes.
-type world struct {
+type fixture struct {
 	t      *testing.T
 	pools  []settings.Pool
 	values map[string]json.RawMessage
@@ -31,15 +31,15 @@
 	ids    uint64
 }
 
-func newWorld(t *testing.T, pools ...settings.Pool) *world {
+func newWorld(t *testing.T, pools ...settings.Pool) *fixture {
 	t.Helper()
-	w := &world{t: t, pools: pools, values: map[string]json.RawMessage{}, now: time.Second}
+	w := &fixture{t: t, pools: pools, values: map[string]json.RawMessage{}, now: time.Second}
 	w.lead(true)
 	return w
 }
 
 // lead begins a term; its values are read if so wanted.
-func (w *world) lead(read bool) {
+func (w *fixture) lead(read bool) {
 	w.t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.Pools = w.pools
@@ -57,7 +57,7 @@
 	}
 }
 
-func (w *world) read() {
+func (w *fixture) read() {
 	w.d.Tick(w.now, true)
 	w.d.ValuesRead(w.now, nil, true, false) // once in vain
 	w.now += 2 * time.Second
@@ -76,7 +76,7 @@
 }
 
 // write makes everything durable that waits.
-func (w *world) write() {
+func (w *fixture) write() {
 	for range 20 {
 		w.now += time.Second
 		w.d.Tick(w.now, true)
@@ -95,7 +95,7 @@
 }
 
 // job enters a job of so many tasks.
-func (w *world) job(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.PoolUnits) *jobs.Job {
+func (w *fixture) job(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.PoolUnits) *jobs.Job {
 	w.ids++
 	j := w.d.Jobs.Add(eventlog.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
 	j.Team, j.Phase = w.d.Teams.Index(team), jobs.Open
@@ -113,7 +113,7 @@
 
 // pass gives units to the jobs in this order and says how many tasks of each got
 // them. Gangs get all or nothing.
-func (w *world) pass(list ...*jobs.Job) (out []int) {
+func (w *fixture) pass(list ...*jobs.Job) (out []int) {
 	waiting := slices.DeleteFunc(slices.Clone(list), func(j *jobs.Job) bool { return j.Waiting == 0 })
 	w.d.Pass(w.now, waiting)
 	for _, j := range list {
@@ -135,7 +135,7 @@
 }
 
 // done has a placed task complete.
-func (w *world) done(j *jobs.Job, k int) {
+func (w *fixture) done(j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
 	delete(w.d.Placements, ref)
 	delete(w.m.Tasks, ref)
@@ -148,7 +148,7 @@
 	}
 }
 
-func (w *world) out(pool string) int64 {
+func (w *fixture) out(pool string) int64 {
 	w.d.recount(w.now)
 	return w.d.pools[w.d.byName[pool]].out
 }
@@ -298,7 +298,7 @@
 
 // nobodyWaitsInVain: after a pass, the first job in order that still waits does so for
 // units that are out, or, if it would hold some as a whole, for others that do.
-func (w *world) nobodyWaitsInVain(seed uint64, left []*jobs.Job) {
+func (w *fixture) nobodyWaitsInVain(seed uint64, left []*jobs.Job) {
 	w.t.Helper()
 	for _, h := range w.d.candidates {
 		j := h.job
@@ -318,7 +318,7 @@
 }
 
 // verify counts the holders by what runs.
-func (w *world) verify(seed uint64, list []*jobs.Job) {
+func (w *fixture) verify(seed uint64, list []*jobs.Job) {
 	w.t.Helper()
 	sums := map[string]int64{}
 	for _, j := range list {
