--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -31,7 +31,7 @@
 	ids    uint64
 }
 
-func newWorld(t *testing.T, pools ...settings.Pool) *fixture {
+func newFixture(t *testing.T, pools ...settings.Pool) *fixture {
 	t.Helper()
 	w := &fixture{t: t, pools: pools, values: map[string]json.RawMessage{}, now: time.Second}
 	w.lead(true)
@@ -161,7 +161,7 @@
 }
 
 func TestUnits(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 10, Reserve: 2}, settings.Pool{Name: "q", Units: 3, Shares: []settings.PoolShare{{Team: "b", Units: 1}}})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 10, Reserve: 2}, settings.Pool{Name: "q", Units: 3, Shares: []settings.PoolShare{{Team: "b", Units: 1}}})
 	one := w.job("a", 20, 1, jobs.Array, per("p", 1))
 	expect(t, "all but the reserve", w.pass(one), "[8]")
 	urgentJob := w.job("a", 5, 2, jobs.Array, per("p", 1))
@@ -187,7 +187,7 @@
 // Several pools and several units are taken together or not at all, and are kept for
 // the first in order, so that small demands do not starve it.
 func TestFirstInOrderIsNotStarved(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 5})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 5})
 	small := w.job("a", 1000, 1, jobs.Array, per("p", 1))
 	w.pass(small)
 	big := w.job("a", 1, 1, jobs.Array, per("p", 5), per("q", 1))
@@ -203,7 +203,7 @@
 
 // What is held for a whole job never keeps another such job from going on.
 func TestWholeJobsDoNotBlockOneAnother(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 2}, settings.Pool{Name: "q", Units: 2})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 2}, settings.Pool{Name: "q", Units: 2})
 	a := w.job("a", 3, 1, jobs.Array, whole("p", 1), per("q", 1))
 	b := w.job("a", 3, 1, jobs.Array, whole("q", 1), per("p", 1))
 	c := w.job("a", 3, 1, jobs.Array, whole("p", 1), per("q", 1))
@@ -243,7 +243,7 @@
 		for i := range 1 + r.IntN(3) {
 			pools = append(pools, settings.Pool{Name: fmt.Sprint("p", i), Units: 2 + r.IntN(6)})
 		}
-		w := newWorld(t, pools...)
+		w := newFixture(t, pools...)
 		var list []*jobs.Job
 		for range 3 + r.IntN(9) {
 			var counted []eventlog.PoolUnits
@@ -344,7 +344,7 @@
 // After a takeover what a machine may have that was not heard counts as out, narrowed
 // by grants, until it is heard or gone.
 func TestTakeover(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
 	w.lead(true)
 	m := w.d.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
 	w.d.AddUnresolved(m)
@@ -375,7 +375,7 @@
 // A task that was on offer to a machine whose worker has died may have run there, while
 // its plan goes on elsewhere: its units stay out besides those of the plan.
 func TestOfferLost(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
 	j := w.job("a", 1, 1, jobs.Array, per("p", 1), per("q", 1))
 	w.pass(j)
 	w.d.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.m})
@@ -388,7 +388,7 @@
 
 // A cancelled job's task that a machine still shows keeps its units.
 func TestStrays(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 4})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{per("p", 2)}}
 	rec.HideFromOlderVersions()
 	w.lead(false)
@@ -414,7 +414,7 @@
 // Changes: fewer units count at once, more once that is durable; a repeat answers the
 // same, one planned for another version is refused; the next leader knows.
 func TestChanges(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 4})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	ask := func(body string) (Changed, error) {
 		raw, err := w.d.Change(w.now, json.RawMessage(`{"change":`+body+`}`))
 		var out Changed
@@ -485,7 +485,7 @@
 // Receipts: units get numbers that nobody else is given while their holder may run,
 // through takeovers too.
 func TestReceipts(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 3})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 3})
 	a := w.job("a", 3, 1, jobs.Array, per("p", 2), whole("q", 1))
 	w.pass(a)
 	ask := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
@@ -523,7 +523,7 @@
 // Where a unit is waited for, a silent machine that keeps one is given up early.
 func TestSilentMachineIsGivenUpEarly(t *testing.T) {
 	for _, setting := range []float64{0, 5} {
-		w := newWorld(t, settings.Pool{Name: "p", Units: 1})
+		w := newFixture(t, settings.Pool{Name: "p", Units: 1})
 		w.d.Cfg.Tunables.UnitsSilentS = setting
 		a, b := w.job("a", 1, 1, jobs.Array, per("p", 1)), w.job("a", 1, 1, jobs.Array, per("p", 1))
 		w.m.LastHeartbeat = w.now
@@ -541,7 +541,7 @@
 // has failed, must find what it needs when it is: else it would wait for one that
 // began meanwhile, whose next task waits for what is kept for the first.
 func TestNoRingOfWholeJobs(t *testing.T) {
-	w := newWorld(t, settings.Pool{Name: "p", Units: 3}, settings.Pool{Name: "q", Units: 3}, settings.Pool{Name: "s", Units: 1})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 3}, settings.Pool{Name: "q", Units: 3}, settings.Pool{Name: "s", Units: 1})
 	x := w.job("a", 2, 1, jobs.Array, whole("s", 1), per("p", 2), per("q", 3))
 	w.pass(x)
 	w.done(x, 0)
