--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -103,7 +103,7 @@
 	return j
 }
 
-func per(pool string, units int) eventlog.PoolUnits {
+func perTask(pool string, units int) eventlog.PoolUnits {
 	return eventlog.PoolUnits{Pool: pool, Units: units}
 }
 
@@ -162,24 +162,24 @@
 
 func TestUnits(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 10, Reserve: 2}, settings.Pool{Name: "q", Units: 3, Shares: []settings.PoolShare{{Team: "b", Units: 1}}})
-	one := w.job("a", 20, 1, jobs.Array, per("p", 1))
+	one := w.job("a", 20, 1, jobs.Array, perTask("p", 1))
 	expect(t, "all but the reserve", w.pass(one), "[8]")
-	urgentJob := w.job("a", 5, 2, jobs.Array, per("p", 1))
+	urgentJob := w.job("a", 5, 2, jobs.Array, perTask("p", 1))
 	expect(t, "the reserve", w.pass(urgentJob, one), "[2 0]")
 	w.done(one, 0)
 	expect(t, "a unit that came back goes to the first in order", w.pass(urgentJob, one), "[1 0]")
-	b := w.job("b", 5, 1, jobs.Array, per("q", 1))
-	a := w.job("a", 5, 1, jobs.Array, per("q", 1))
+	b := w.job("b", 5, 1, jobs.Array, perTask("q", 1))
+	a := w.job("a", 5, 1, jobs.Array, perTask("q", 1))
 	expect(t, "a team's share, the rest to others", w.pass(b, a), "[1 2]")
 	if why := w.d.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
-	for counted, want := range map[eventlog.PoolUnits]string{per("none", 1): "no such pool", per("p", 9): "more than the 8", whole("q", 4): "more than the 3"} {
+	for counted, want := range map[eventlog.PoolUnits]string{perTask("none", 1): "no such pool", perTask("p", 9): "more than the 8", whole("q", 4): "more than the 3"} {
 		if why := w.d.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{counted}}); !strings.Contains(why, want) {
 			t.Errorf("%+v: %s", counted, why)
 		}
 	}
-	if why := w.d.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{per("q", 1)}}); !strings.Contains(why, "its team") {
+	if why := w.d.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
 	}
 }
@@ -188,10 +188,10 @@
 // the first in order, so that small demands do not starve it.
 func TestFirstInOrderIsNotStarved(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 5})
-	small := w.job("a", 1000, 1, jobs.Array, per("p", 1))
+	small := w.job("a", 1000, 1, jobs.Array, perTask("p", 1))
 	w.pass(small)
-	big := w.job("a", 1, 1, jobs.Array, per("p", 5), per("q", 1))
-	other := w.job("a", 9, 1, jobs.Array, per("q", 5)) // would leave nothing of q
+	big := w.job("a", 1, 1, jobs.Array, perTask("p", 5), perTask("q", 1))
+	other := w.job("a", 9, 1, jobs.Array, perTask("q", 5)) // would leave nothing of q
 	for k := range 5 {
 		expect(t, "nothing passes", w.pass(big, small, other), "[0 0 0]")
 		w.done(small, k)
@@ -204,9 +204,9 @@
 // What is held for a whole job never keeps another such job from going on.
 func TestWholeJobsDoNotBlockOneAnother(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 2}, settings.Pool{Name: "q", Units: 2})
-	a := w.job("a", 3, 1, jobs.Array, whole("p", 1), per("q", 1))
-	b := w.job("a", 3, 1, jobs.Array, whole("q", 1), per("p", 1))
-	c := w.job("a", 3, 1, jobs.Array, whole("p", 1), per("q", 1))
+	a := w.job("a", 3, 1, jobs.Array, whole("p", 1), perTask("q", 1))
+	b := w.job("a", 3, 1, jobs.Array, whole("q", 1), perTask("p", 1))
+	c := w.job("a", 3, 1, jobs.Array, whole("p", 1), perTask("q", 1))
 	got := w.pass(a, b, c)
 	if got[0] == 0 {
 		t.Fatalf("%v", got)
@@ -348,10 +348,10 @@
 	w.lead(true)
 	m := w.d.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
 	w.d.AddUnresolved(m)
-	j := w.job("a", 8, 1, jobs.Array, per("p", 1))
+	j := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
 	j.Earlier, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
 	m.Grants[j.Record.ID] = true
-	other := w.job("a", 8, 1, jobs.Array, per("p", 1))
+	other := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
 	expect(t, "three may be there", w.out("p"), 3)
 	expect(t, "one is left", w.pass(other), "[1]")
 	w.d.pools[0].drained = false
@@ -376,11 +376,11 @@
 // its plan goes on elsewhere: its units stay out besides those of the plan.
 func TestOfferLost(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
-	j := w.job("a", 1, 1, jobs.Array, per("p", 1), per("q", 1))
+	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1), perTask("q", 1))
 	w.pass(j)
 	w.d.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.m})
 	expect(t, "the plan and the loss", []int64{w.out("p"), w.out("q")}, "[2 1]")
-	other := w.job("a", 9, 1, jobs.Array, per("p", 1))
+	other := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the loss is written", w.pass(other), "[0]")
 	w.write()
 	expect(t, "then the others", w.pass(other), "[2]")
@@ -389,7 +389,7 @@
 // A cancelled job's task that a machine still shows keeps its units.
 func TestStrays(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
-	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{per("p", 2)}}
+	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{perTask("p", 2)}}
 	rec.HideFromOlderVersions()
 	w.lead(false)
 	w.d.Replay(w.now, eventlog.Entry{Job: &rec})
@@ -405,7 +405,7 @@
 	// One of which nothing is known closes all pools while it is there.
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
 	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.m, Report: r})
-	j := w.job("a", 1, 1, jobs.Array, per("p", 1))
+	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1))
 	expect(t, "closed", w.pass(j), "[0]")
 	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.m})
 	expect(t, "gone", w.pass(j), "[1]")
@@ -434,7 +434,7 @@
 	if again, err := ask(`{"id":"x1","pool":"p","version":0,"units":6}`); err != nil || !again.Durable || again.Version != 1 || again.Pool.Units != 6 {
 		t.Errorf("%+v %v", again, err)
 	}
-	j := w.job("a", 9, 1, jobs.Array, per("p", 1))
+	j := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "six", w.pass(j), "[6]")
 	if less, err := ask(`{"id":"x3","pool":"p","version":1,"units":2}`); err != nil || less.Pool.Units != 2 || less.Pool.Out != 6 {
 		t.Errorf("%+v %v", less, err)
@@ -452,7 +452,7 @@
 	expect(t, "none of one that is drained", w.pass(j), "[0]")
 	w.write()
 	w.lead(false)
-	j = w.job("a", 9, 1, jobs.Array, per("p", 1))
+	j = w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the changes are read", w.pass(j), "[0]")
 	w.read()
 	expect(t, "none, it is drained", w.pass(j), "[0]")
@@ -470,7 +470,7 @@
 	// A value of a later version: nobody can say what it means.
 	w.values[eventlog.ValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
 	w.lead(true)
-	expect(t, "closed", w.pass(w.job("a", 1, 1, jobs.Array, per("p", 1))), "[0]")
+	expect(t, "closed", w.pass(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
 	said := false
 	for _, e := range w.d.TakeEffects() {
 		if n, ok := e.(effects.LogMessage); ok && n.Level == effects.Error {
@@ -486,7 +486,7 @@
 // through takeovers too.
 func TestReceipts(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 3})
-	a := w.job("a", 3, 1, jobs.Array, per("p", 2), whole("q", 1))
+	a := w.job("a", 3, 1, jobs.Array, perTask("p", 2), whole("q", 1))
 	w.pass(a)
 	ask := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
 		body, _ := json.Marshal(Request{Receipt: &Holding{j.Record.ID, k, attempt}})
@@ -525,7 +525,7 @@
 	for _, setting := range []float64{0, 5} {
 		w := newFixture(t, settings.Pool{Name: "p", Units: 1})
 		w.d.Cfg.Tunables.UnitsSilentS = setting
-		a, b := w.job("a", 1, 1, jobs.Array, per("p", 1)), w.job("a", 1, 1, jobs.Array, per("p", 1))
+		a, b := w.job("a", 1, 1, jobs.Array, perTask("p", 1)), w.job("a", 1, 1, jobs.Array, perTask("p", 1))
 		w.m.LastHeartbeat = w.now
 		w.pass(a, b)
 		w.now += 7 * time.Second
@@ -542,10 +542,10 @@
 // began meanwhile, whose next task waits for what is kept for the first.
 func TestNoRingOfWholeJobs(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 3}, settings.Pool{Name: "q", Units: 3}, settings.Pool{Name: "s", Units: 1})
-	x := w.job("a", 2, 1, jobs.Array, whole("s", 1), per("p", 2), per("q", 3))
+	x := w.job("a", 2, 1, jobs.Array, whole("s", 1), perTask("p", 2), perTask("q", 3))
 	w.pass(x)
 	w.done(x, 0)
-	z := w.job("a", 2, 1, jobs.Array, whole("q", 1), per("p", 2))
+	z := w.job("a", 2, 1, jobs.Array, whole("q", 1), perTask("p", 2))
 	expect(t, "while the first is not ready", w.pass(z), "[0]")
 	expect(t, "then", w.pass(x, z), "[1 0]")
 	w.done(x, 1)
