--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -107,7 +107,7 @@
 	return eventlog.PoolUnits{Pool: pool, Units: units}
 }
 
-func whole(pool string, units int) eventlog.PoolUnits {
+func wholeJob(pool string, units int) eventlog.PoolUnits {
 	return eventlog.PoolUnits{Pool: pool, Units: units, PerJob: true}
 }
 
@@ -174,7 +174,7 @@
 	if why := w.d.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
-	for counted, want := range map[eventlog.PoolUnits]string{perTask("none", 1): "no such pool", perTask("p", 9): "more than the 8", whole("q", 4): "more than the 3"} {
+	for counted, want := range map[eventlog.PoolUnits]string{perTask("none", 1): "no such pool", perTask("p", 9): "more than the 8", wholeJob("q", 4): "more than the 3"} {
 		if why := w.d.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{counted}}); !strings.Contains(why, want) {
 			t.Errorf("%+v: %s", counted, why)
 		}
@@ -204,9 +204,9 @@
 // What is held for a whole job never keeps another such job from going on.
 func TestWholeJobsDoNotBlockOneAnother(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 2}, settings.Pool{Name: "q", Units: 2})
-	a := w.job("a", 3, 1, jobs.Array, whole("p", 1), perTask("q", 1))
-	b := w.job("a", 3, 1, jobs.Array, whole("q", 1), perTask("p", 1))
-	c := w.job("a", 3, 1, jobs.Array, whole("p", 1), perTask("q", 1))
+	a := w.job("a", 3, 1, jobs.Array, wholeJob("p", 1), perTask("q", 1))
+	b := w.job("a", 3, 1, jobs.Array, wholeJob("q", 1), perTask("p", 1))
+	c := w.job("a", 3, 1, jobs.Array, wholeJob("p", 1), perTask("q", 1))
 	got := w.pass(a, b, c)
 	if got[0] == 0 {
 		t.Fatalf("%v", got)
@@ -486,7 +486,7 @@
 // through takeovers too.
 func TestReceipts(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 3})
-	a := w.job("a", 3, 1, jobs.Array, perTask("p", 2), whole("q", 1))
+	a := w.job("a", 3, 1, jobs.Array, perTask("p", 2), wholeJob("q", 1))
 	w.pass(a)
 	ask := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
 		body, _ := json.Marshal(Request{Receipt: &Holding{j.Record.ID, k, attempt}})
@@ -542,10 +542,10 @@
 // began meanwhile, whose next task waits for what is kept for the first.
 func TestNoRingOfWholeJobs(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 3}, settings.Pool{Name: "q", Units: 3}, settings.Pool{Name: "s", Units: 1})
-	x := w.job("a", 2, 1, jobs.Array, whole("s", 1), perTask("p", 2), perTask("q", 3))
+	x := w.job("a", 2, 1, jobs.Array, wholeJob("s", 1), perTask("p", 2), perTask("q", 3))
 	w.pass(x)
 	w.done(x, 0)
-	z := w.job("a", 2, 1, jobs.Array, whole("q", 1), perTask("p", 2))
+	z := w.job("a", 2, 1, jobs.Array, wholeJob("q", 1), perTask("p", 2))
 	expect(t, "while the first is not ready", w.pass(z), "[0]")
 	expect(t, "then", w.pass(x, z), "[1 0]")
 	w.done(x, 1)
