--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -50,7 +50,7 @@
 func (d *Component) fitsTeamShare(h *holder, n requirement) bool {
 	p := d.pools[n.pool]
 	t := p.teams[h.job.Team]
-	return h.wantsMore(n) && (t == nil || t.out+h.nextUnits(n) <= p.shares[h.job.Team])
+	return h.wantsMore(n) && (t == nil || t.inUse+h.nextUnits(n) <= p.shares[h.job.Team])
 }
 
 // refreshReservations settles again who is first for a pool: who was may have got all that it
@@ -155,7 +155,7 @@
 			kept, held = 0, t.held // it must get on for the others to get anything
 		}
 	}
-	if t.out+units+kept > most {
+	if t.inUse+units+kept > most {
 		return false
 	}
 	if !h.needsJobUnits || h.holdsJobUnits {
@@ -219,9 +219,9 @@
 		if p.drained {
 			return 0
 		}
-		left := p.limitFor(j) - p.out
+		left := p.limitFor(j) - p.inUse
 		if t := p.teams[j.Team]; t != nil {
-			left = min(left, p.shares[j.Team]-t.out)
+			left = min(left, p.shares[j.Team]-t.inUse)
 		}
 		switch {
 		case !n.perJob:
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -109,9 +109,9 @@
 
 // addInUse counts units as out; team -1 is nobody's.
 func (p *pool) addInUse(team int32, units int64) {
-	p.out += units
+	p.inUse += units
 	if t := p.teams[team]; t != nil {
-		t.out += units
+		t.inUse += units
 	}
 }
 
@@ -169,7 +169,7 @@
 	for i, p := range d.pools {
 		if over := p.uncertain - whole[int32(i)] - int64(math.Ceil(most[int32(i)])); over > 0 {
 			p.uncertain -= over
-			p.out -= over
+			p.inUse -= over
 		}
 	}
 }
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -59,7 +59,7 @@
 
 // usage is what is out of a pool, or of a team's share of it.
 type usage struct {
-	out   int64
+	inUse int64
 	held  int64   // of what is out: for whole jobs
 	most  int64   // that a task needs of a job which holds units as a whole
 	claim *holder // the first in the order that could start a task but for units
@@ -282,7 +282,7 @@
 				wanted = make([]bool, len(d.pools))
 			}
 			for _, n := range h.requirements {
-				wanted[n.pool] = wanted[n.pool] || (int(n.pool) == i && p.out+h.nextUnits(n) > p.limitFor(h.job))
+				wanted[n.pool] = wanted[n.pool] || (int(n.pool) == i && p.inUse+h.nextUnits(n) > p.limitFor(h.job))
 			}
 		}
 	}
@@ -339,7 +339,7 @@
 	if p.conf.HoldAfterLossS > 0 && d.lossesNotDurable() {
 		return fmt.Sprintf("it needs %d units of %s; none go out before it is written which are lost", h.nextUnits(x), p.name)
 	}
-	why := fmt.Sprintf("it waits for units of %s: it needs %d, and %d of %d are out", p.name, h.nextUnits(x), p.out, p.size)
+	why := fmt.Sprintf("it waits for units of %s: it needs %d, and %d of %d are out", p.name, h.nextUnits(x), p.inUse, p.size)
 	if p.uncertain > 0 {
 		why += fmt.Sprintf(", %d of them perhaps, on machines that have not reported yet", p.uncertain)
 	}
@@ -350,7 +350,7 @@
 		why += fmt.Sprintf("; %d are for urgent jobs", p.conf.Reserve)
 	}
 	if t := p.teams[j.Team]; t != nil {
-		why += fmt.Sprintf("; its team has %d of its %d", t.out, p.shares[j.Team])
+		why += fmt.Sprintf("; its team has %d of its %d", t.inUse, p.shares[j.Team])
 	}
 	for _, c := range []*holder{p.claim, teamReservation(p, j)} {
 		if c != nil && c != h {
@@ -382,7 +382,7 @@
 		if n >= maxLabels {
 			name = "others"
 		}
-		for i, v := range []int64{p.size, p.out, p.waiting, p.uncertain} {
+		for i, v := range []int64{p.size, p.inUse, p.waiting, p.uncertain} {
 			out[i].Values[name] += float64(v)
 		}
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -150,7 +150,7 @@
 
 func (w *fixture) out(pool string) int64 {
 	w.d.recount(w.now)
-	return w.d.pools[w.d.byName[pool]].out
+	return w.d.pools[w.d.byName[pool]].inUse
 }
 
 func expect(t *testing.T, what string, got any, want any) {
@@ -308,7 +308,7 @@
 		lacks := h.needsJobUnits && !h.holdsJobUnits
 		for _, n := range h.requirements {
 			p := w.d.pools[n.pool]
-			lacks = lacks || p.out+h.nextUnits(n) > p.size
+			lacks = lacks || p.inUse+h.nextUnits(n) > p.size
 		}
 		if !lacks {
 			w.t.Fatalf("seed %d: %+v waits, and all that it needs is free", seed, j.Record.Counted)
