--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -117,9 +117,9 @@
 
 // addHeldByJob counts units as held by a job as a whole, which are out too.
 func (p *pool) addHeldByJob(team int32, units int64) {
-	p.held += units
+	p.heldByJobs += units
 	if t := p.teams[team]; t != nil {
-		t.held += units
+		t.heldByJobs += units
 	}
 }
 
