--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -138,7 +138,7 @@
 
 // allows says whether units may go out to a job.
 func (t *usage) allows(h *holder, x requirement, units, most int64) bool {
-	kept, held, task := int64(0), t.heldByJobs, t.most
+	kept, held, task := int64(0), t.heldByJobs, t.largestTask
 	if c := t.claim; c != nil && c != h {
 		for _, n := range c.requirements {
 			if n.pool != x.pool {
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -125,9 +125,9 @@
 
 // raiseLargestTask counts what a task needs of a job that holds units as a whole.
 func (p *pool) raiseLargestTask(team int32, units int64) {
-	p.most = max(p.most, units)
+	p.largestTask = max(p.largestTask, units)
 	if t := p.teams[team]; t != nil {
-		t.most = max(t.most, units)
+		t.largestTask = max(t.largestTask, units)
 	}
 }
 
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -59,10 +59,10 @@
 
 // usage is what is out of a pool, or of a team's share of it.
 type usage struct {
-	inUse      int64
-	heldByJobs int64   // of what is out: for whole jobs
-	most       int64   // that a task needs of a job which holds units as a whole
-	claim      *holder // the first in the order that could start a task but for units
+	inUse       int64
+	heldByJobs  int64   // of what is out: for whole jobs
+	largestTask int64   // that a task needs of a job which holds units as a whole
+	claim       *holder // the first in the order that could start a task but for units
 }
 
 // requirement is what a job needs of a pool.
