--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -17,9 +17,9 @@
 func (d *Component) Pass(now time.Duration, list []*jobs.Job) {
 	d.recount(now)
 	for _, p := range d.pools {
-		p.claim = nil
+		p.reservedFor = nil
 		for _, t := range p.teams {
-			t.claim = nil
+			t.reservedFor = nil
 		}
 	}
 	d.candidates = d.candidates[:0]
@@ -33,11 +33,11 @@
 	for _, h := range d.candidates {
 		for _, n := range h.requirements {
 			p := d.pools[n.pool]
-			if t := p.teams[h.job.Team]; t != nil && t.claim == nil && h.wantsMore(n) {
-				t.claim = h
+			if t := p.teams[h.job.Team]; t != nil && t.reservedFor == nil && h.wantsMore(n) {
+				t.reservedFor = h
 			}
-			if p.claim == nil && d.fitsTeamShare(h, n) {
-				p.claim = h
+			if p.reservedFor == nil && d.fitsTeamShare(h, n) {
+				p.reservedFor = h
 			}
 		}
 	}
@@ -68,12 +68,12 @@
 		}
 		return nil
 	}
-	if !still(p.claim, d.fitsTeamShare) {
-		p.claim = find(d.fitsTeamShare)
+	if !still(p.reservedFor, d.fitsTeamShare) {
+		p.reservedFor = find(d.fitsTeamShare)
 	}
 	ofTeam := func(h *holder, x requirement) bool { return h.job.Team == team && h.wantsMore(x) }
-	if t := p.teams[team]; t != nil && !still(t.claim, ofTeam) {
-		t.claim = find(ofTeam)
+	if t := p.teams[team]; t != nil && !still(t.reservedFor, ofTeam) {
+		t.reservedFor = find(ofTeam)
 	}
 }
 
@@ -139,7 +139,7 @@
 // allows says whether units may go out to a job.
 func (t *usage) allows(h *holder, x requirement, units, most int64) bool {
 	kept, held, task := int64(0), t.heldByJobs, t.largestTask
-	if c := t.claim; c != nil && c != h {
+	if c := t.reservedFor; c != nil && c != h {
 		for _, n := range c.requirements {
 			if n.pool != x.pool {
 				continue
--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -60,9 +60,9 @@
 // recount finds out what is out.
 func (d *Component) recount(now time.Duration) {
 	for _, p := range d.pools {
-		p.usage, p.uncertain, p.lost, p.waiting = usage{claim: p.claim}, 0, 0, 0
+		p.usage, p.uncertain, p.lost, p.waiting = usage{reservedFor: p.reservedFor}, 0, 0, 0
 		for _, t := range p.teams {
-			*t = usage{claim: t.claim}
+			*t = usage{reservedFor: t.reservedFor}
 		}
 	}
 	unresolved, _ := d.Unresolved()
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -62,7 +62,7 @@
 	inUse       int64
 	heldByJobs  int64   // of what is out: for whole jobs
 	largestTask int64   // that a task needs of a job which holds units as a whole
-	claim       *holder // the first in the order that could start a task but for units
+	reservedFor *holder // the first in the order that could start a task but for units
 }
 
 // requirement is what a job needs of a pool.
@@ -244,11 +244,11 @@
 	d.candidates = slices.DeleteFunc(d.candidates, func(o *holder) bool { return o == h })
 	for _, n := range h.requirements {
 		p := d.pools[n.pool]
-		if p.claim == h {
-			p.claim = nil
+		if p.reservedFor == h {
+			p.reservedFor = nil
 		}
-		if t := p.teams[h.job.Team]; t != nil && t.claim == h {
-			t.claim = nil
+		if t := p.teams[h.job.Team]; t != nil && t.reservedFor == h {
+			t.reservedFor = nil
 		}
 	}
 }
@@ -277,7 +277,7 @@
 func (d *Component) decommissionSilent(now, after time.Duration) {
 	var wanted []bool
 	for i, p := range d.pools {
-		if h := p.claim; h != nil && h.job.Waiting > 0 {
+		if h := p.reservedFor; h != nil && h.job.Waiting > 0 {
 			if wanted == nil {
 				wanted = make([]bool, len(d.pools))
 			}
@@ -352,7 +352,7 @@
 	if t := p.teams[j.Team]; t != nil {
 		why += fmt.Sprintf("; its team has %d of its %d", t.inUse, p.shares[j.Team])
 	}
-	for _, c := range []*holder{p.claim, teamReservation(p, j)} {
+	for _, c := range []*holder{p.reservedFor, teamReservation(p, j)} {
 		if c != nil && c != h {
 			return why + fmt.Sprintf("; job %s is before it in the order, and its next units are kept for it", idOf(c.job))
 		}
@@ -362,7 +362,7 @@
 
 func teamReservation(p *pool, j *jobs.Job) *holder {
 	if t := p.teams[j.Team]; t != nil {
-		return t.claim
+		return t.reservedFor
 	}
 	return nil
 }
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -75,8 +75,8 @@
 func (d *Component) view(now time.Duration, p *pool, holders bool) View {
 	v := View{Pool: p.name, Units: p.size, Settings: p.conf.Units, Pending: p.pendingSize, Drained: p.drained, Out: p.inUse, Uncertain: p.uncertain, Lost: p.lost,
 		Waiting: p.waiting, Reserve: p.conf.Reserve, Version: p.changeVersion}
-	if p.claim != nil {
-		v.First = idOf(p.claim.job)
+	if p.reservedFor != nil {
+		v.First = idOf(p.reservedFor.job)
 	}
 	switch {
 	case !p.known:
