--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -129,15 +129,15 @@
 		return false
 	}
 	d.refreshReservations(x, j.Team)
-	if !p.usage.allows(h, x, units, p.limitFor(j)) {
+	if !p.usage.admits(h, x, units, p.limitFor(j)) {
 		return false
 	}
 	t := p.teams[j.Team]
-	return t == nil || t.allows(h, x, units, p.shares[j.Team])
+	return t == nil || t.admits(h, x, units, p.shares[j.Team])
 }
 
-// allows says whether units may go out to a job.
-func (t *usage) allows(h *holder, x requirement, units, most int64) bool {
+// admits says whether units may go out to a job.
+func (t *usage) admits(h *holder, x requirement, units, most int64) bool {
 	kept, held, task := int64(0), t.heldByJobs, t.largestTask
 	if c := t.reservedFor; c != nil && c != h {
 		for _, n := range c.requirements {
