--- a/internal/leader/pools/count.go
+++ b/internal/leader/pools/count.go
@@ -11,8 +11,8 @@
 
 // orphanedUnits are tasks that a machine shows and that no placement stands for.
 type orphanedUnits struct {
-	needs   []requirement
-	unknown bool // what one of them needs is not known
+	requirements []requirement
+	unknown      bool // what one of them needs is not known
 }
 
 // noteOrphans notes the tasks that a report shows beside those that count as being there.
@@ -28,7 +28,7 @@
 		j := d.Jobs.Find(t.Job)
 		if j == nil {
 			list, known := d.cancelledNeeds[t.Job]
-			s.needs = append(s.needs, list...)
+			s.requirements = append(s.requirements, list...)
 			s.unknown = s.unknown || (!known && d.mayHaveNeeded(t.Job))
 			continue
 		}
@@ -37,12 +37,12 @@
 			continue
 		}
 		if !m.IsCurrentAttempt(workers.Ref{Job: j.Index, Task: int32(t.Task)}, t.Attempt) {
-			s.needs = append(s.needs, h.requirements...)
+			s.requirements = append(s.requirements, h.requirements...)
 		}
 	}
-	if before := d.orphans[m] != nil; before || len(s.needs) > 0 || s.unknown {
+	if before := d.orphans[m] != nil; before || len(s.requirements) > 0 || s.unknown {
 		d.NeedsCycle = true
-		if len(s.needs) == 0 && !s.unknown {
+		if len(s.requirements) == 0 && !s.unknown {
 			delete(d.orphans, m)
 		} else {
 			d.orphans[m] = &s
@@ -88,7 +88,7 @@
 		d.capUncertain(perhaps, unheard)
 	}
 	for _, s := range d.orphans {
-		for _, n := range s.needs {
+		for _, n := range s.requirements {
 			d.pools[n.pool].addInUse(-1, n.units)
 		}
 		d.allocationBlocked = d.allocationBlocked || s.unknown
--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -80,7 +80,7 @@
 	if s == nil {
 		return
 	}
-	for _, n := range s.needs {
+	for _, n := range s.requirements {
 		d.addLoss(now, d.pools[n.pool], "", n.units)
 	}
 }
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -116,7 +116,7 @@
 		}
 	}
 	for m, s := range d.orphans {
-		for _, n := range s.needs {
+		for _, n := range s.requirements {
 			if n.pool == index {
 				out = append(out, Holder{Job: "a job that is over", Task: -1, Units: n.units, Machine: m.Name, Back: "a newer report of the machine without it, or its answered deletion"})
 			}
