--- a/internal/leader/pools/allow.go
+++ b/internal/leader/pools/allow.go
@@ -105,7 +105,7 @@
 // blockingRequirement finds the need that keeps a job from starting tasks.
 func (d *Component) blockingRequirement(j *jobs.Job, n int64) (requirement, bool) {
 	h := d.byJob[j.Index]
-	if h == nil || h.unknownPool != "" || !d.store.read || d.allocationBlocked {
+	if h == nil || h.unknownPool != "" || !d.store.loaded || d.allocationBlocked {
 		return requirement{pool: -1}, false
 	}
 	for _, x := range h.requirements {
@@ -210,7 +210,7 @@
 // machines for more would stand idle.
 func (d *Component) Most(j *jobs.Job) int {
 	h := d.byJob[j.Index]
-	if h == nil || h.unknownPool != "" || !d.store.read {
+	if h == nil || h.unknownPool != "" || !d.store.loaded {
 		return 0
 	}
 	most := j.Waiting
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -323,7 +323,7 @@
 		return ""
 	case h.unknownPool != "":
 		return fmt.Sprintf("it needs units of the pool %s, which is not in the leader's settings", h.unknownPool)
-	case !d.store.read:
+	case !d.store.loaded:
 		return "what operators have changed of pools is being read: no units are given out before"
 	case d.allocationBlocked:
 		return "a machine that has not reported yet may have units of any pool: none are given out before it is heard or gone"
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -45,7 +45,7 @@
 // valueStore is what is kept of that.
 type valueStore struct {
 	cluster.ValueReader
-	read      bool // whole, and nothing in it is strange
+	loaded    bool // whole, and nothing in it is strange
 	strange   string
 	next      int // values from this one on were never used
 	lossesDue bool
@@ -81,7 +81,7 @@
 		}
 	}
 	if s.Done && s.strange == "" {
-		s.read = true
+		s.loaded = true
 		d.NeedsCycle = true
 	}
 }
@@ -276,9 +276,9 @@
 	}
 	p := d.pools[i]
 	switch {
-	case !d.store.read && d.store.strange != "":
+	case !d.store.loaded && d.store.strange != "":
 		return nil, fmt.Errorf("pools: %s cannot be read: nothing is changed", d.store.strange)
-	case !d.store.read:
+	case !d.store.loaded:
 		return nil, fmt.Errorf("pools: what was changed before is still being read: try again in a second")
 	case c.ID == "" || len(c.ID) > 64:
 		return nil, fmt.Errorf("pools: id: has 1 to 64 bytes")
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -83,7 +83,7 @@
 		v.Closed = "it is not in the leader's settings"
 	case d.store.strange != "":
 		v.Closed = d.store.strange + " cannot be read"
-	case !d.store.read:
+	case !d.store.loaded:
 		v.Closed = "what was changed of pools is being read"
 	case d.allocationBlocked:
 		v.Closed = "a machine that has not reported may have units of any pool"
