--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -45,12 +45,12 @@
 // valueStore is what is kept of that.
 type valueStore struct {
 	cluster.ValueReader
-	loaded    bool // whole, and nothing in it is strange
-	strange   string
-	next      int // values from this one on were never used
-	lossesDue bool
-	due       []*pool // to be written
-	writing   []*pendingWrite
+	loaded        bool // whole, and nothing in it is strange
+	unreadableKey string
+	next          int // values from this one on were never used
+	lossesDue     bool
+	due           []*pool // to be written
+	writing       []*pendingWrite
 }
 
 // pendingWrite is a value on its way.
@@ -76,11 +76,11 @@
 	}
 	for _, v := range list {
 		if err := d.restoreValue(v); err != nil {
-			s.strange = v.Key
+			s.unreadableKey = v.Key
 			d.LogMessage(effects.Error, "what was changed of pools cannot be read: no units are given out", "key", v.Key, "error", err)
 		}
 	}
-	if s.Done && s.strange == "" {
+	if s.Done && s.unreadableKey == "" {
 		s.loaded = true
 		d.NeedsCycle = true
 	}
@@ -119,7 +119,7 @@
 		s.RequestNext(d.State, now, Name)
 		return
 	}
-	if s.strange != "" {
+	if s.unreadableKey != "" {
 		return
 	}
 	s.writing = slices.DeleteFunc(s.writing, func(w *pendingWrite) bool {
@@ -158,7 +158,7 @@
 
 // writeLosses writes the units that stay out after losses, if there are new ones.
 func (d *Component) writeLosses() {
-	if s := &d.store; s.lossesDue && s.Done && s.strange == "" {
+	if s := &d.store; s.lossesDue && s.Done && s.unreadableKey == "" {
 		s.lossesDue = false
 		d.writeValue(&pendingWrite{n: lossValue}, storedValue{Losses: d.losses})
 	}
@@ -276,8 +276,8 @@
 	}
 	p := d.pools[i]
 	switch {
-	case !d.store.loaded && d.store.strange != "":
-		return nil, fmt.Errorf("pools: %s cannot be read: nothing is changed", d.store.strange)
+	case !d.store.loaded && d.store.unreadableKey != "":
+		return nil, fmt.Errorf("pools: %s cannot be read: nothing is changed", d.store.unreadableKey)
 	case !d.store.loaded:
 		return nil, fmt.Errorf("pools: what was changed before is still being read: try again in a second")
 	case c.ID == "" || len(c.ID) > 64:
--- a/internal/leader/pools/show.go
+++ b/internal/leader/pools/show.go
@@ -81,8 +81,8 @@
 	switch {
 	case !p.known:
 		v.Closed = "it is not in the leader's settings"
-	case d.store.strange != "":
-		v.Closed = d.store.strange + " cannot be read"
+	case d.store.unreadableKey != "":
+		v.Closed = d.store.unreadableKey + " cannot be read"
 	case !d.store.loaded:
 		v.Closed = "what was changed of pools is being read"
 	case d.allocationBlocked:
