--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -47,7 +47,7 @@
 	cluster.ValueReader
 	loaded        bool // whole, and nothing in it is strange
 	unreadableKey string
-	next          int // values from this one on were never used
+	nextNumber    int // values from this one on were never used
 	lossesDue     bool
 	due           []*pool // to be written
 	writing       []*pendingWrite
@@ -91,7 +91,7 @@
 	if err != nil {
 		return err
 	}
-	d.store.next = max(d.store.next, n+1)
+	d.store.nextNumber = max(d.store.nextNumber, n+1)
 	var s storedValue
 	if err := json.Unmarshal(v.Data, &s); err != nil {
 		return err
@@ -144,9 +144,9 @@
 		p := s.due[0]
 		s.due = s.due[1:]
 		if p.valueNumber == 0 {
-			s.next = max(s.next, lossValue+1)
-			p.valueNumber = s.next
-			s.next++
+			s.nextNumber = max(s.nextNumber, lossValue+1)
+			p.valueNumber = s.nextNumber
+			s.nextNumber++
 		}
 		v := storedValue{Pool: p.name, Units: -1, Drained: p.drained, Changed: p.changeVersion, Changes: p.changes}
 		if p.sizeOverridden {
