--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -27,7 +27,7 @@
 // with two crashes in ten seconds: the first leader had started them anew elsewhere, and
 // the second took their units for free.
 func (d *Component) lossesNotDurable() bool {
-	return d.store.lossesDue || slices.ContainsFunc(d.store.writing, func(w *pendingWrite) bool { return w.pool == nil })
+	return d.store.lossesDirty || slices.ContainsFunc(d.store.writing, func(w *pendingWrite) bool { return w.pool == nil })
 }
 
 // clockSlack is how far the times of day of two controllers may differ.
@@ -55,7 +55,7 @@
 func (d *Component) addLoss(now time.Duration, p *pool, team string, units int64) {
 	if after := settings.Seconds(p.conf.HoldAfterLossS); after > 0 {
 		d.losses = append(d.losses, loss{p.name, team, units, d.wallClockMS(now + after + clockSlack)})
-		d.store.lossesDue = true
+		d.store.lossesDirty = true
 	}
 }
 
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -265,7 +265,7 @@
 	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return l.Until <= at })
 	if len(d.losses) < before {
 		d.NeedsCycle = true
-		d.store.lossesDue = true
+		d.store.lossesDirty = true
 	}
 	if after := d.Cfg.Tunables.UnitsSilentS; after > 0 {
 		d.decommissionSilent(now, settings.Seconds(after))
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -48,7 +48,7 @@
 	loaded        bool // whole, and nothing in it is strange
 	unreadableKey string
 	nextNumber    int // values from this one on were never used
-	lossesDue     bool
+	lossesDirty   bool
 	due           []*pool // to be written
 	writing       []*pendingWrite
 }
@@ -128,7 +128,7 @@
 		}
 		// Refused: it is tried again.
 		if w.pool == nil {
-			s.lossesDue = true
+			s.lossesDirty = true
 		} else {
 			s.due = append(s.due, w.pool)
 		}
@@ -138,7 +138,7 @@
 		return // one pool at a time
 	}
 	switch {
-	case s.lossesDue:
+	case s.lossesDirty:
 		d.writeLosses()
 	case len(s.due) > 0:
 		p := s.due[0]
@@ -158,8 +158,8 @@
 
 // writeLosses writes the units that stay out after losses, if there are new ones.
 func (d *Component) writeLosses() {
-	if s := &d.store; s.lossesDue && s.Done && s.unreadableKey == "" {
-		s.lossesDue = false
+	if s := &d.store; s.lossesDirty && s.Done && s.unreadableKey == "" {
+		s.lossesDirty = false
 		d.writeValue(&pendingWrite{n: lossValue}, storedValue{Losses: d.losses})
 	}
 }
