--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -49,7 +49,7 @@
 	unreadableKey string
 	nextNumber    int // values from this one on were never used
 	lossesDirty   bool
-	due           []*pool // to be written
+	dirty         []*pool // to be written
 	writing       []*pendingWrite
 }
 
@@ -130,7 +130,7 @@
 		if w.pool == nil {
 			s.lossesDirty = true
 		} else {
-			s.due = append(s.due, w.pool)
+			s.dirty = append(s.dirty, w.pool)
 		}
 		return true
 	})
@@ -140,9 +140,9 @@
 	switch {
 	case s.lossesDirty:
 		d.writeLosses()
-	case len(s.due) > 0:
-		p := s.due[0]
-		s.due = s.due[1:]
+	case len(s.dirty) > 0:
+		p := s.dirty[0]
+		s.dirty = s.dirty[1:]
 		if p.valueNumber == 0 {
 			s.nextNumber = max(s.nextNumber, lossValue+1)
 			p.valueNumber = s.nextNumber
@@ -311,7 +311,7 @@
 			p.pendingSize = units
 		}
 	}
-	d.store.due = append(d.store.due, p)
+	d.store.dirty = append(d.store.dirty, p)
 	d.NeedsCycle = true
 	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.changeVersion, "units", max(p.size, p.pendingSize), "drained", p.drained)
 	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
