--- a/internal/leader/pools/loss.go
+++ b/internal/leader/pools/loss.go
@@ -27,7 +27,7 @@
 // with two crashes in ten seconds: the first leader had started them anew elsewhere, and
 // the second took their units for free.
 func (d *Component) lossesNotDurable() bool {
-	return d.store.lossesDirty || slices.ContainsFunc(d.store.writing, func(w *pendingWrite) bool { return w.pool == nil })
+	return d.store.lossesDirty || slices.ContainsFunc(d.store.pending, func(w *pendingWrite) bool { return w.pool == nil })
 }
 
 // clockSlack is how far the times of day of two controllers may differ.
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -50,7 +50,7 @@
 	nextNumber    int // values from this one on were never used
 	lossesDirty   bool
 	dirty         []*pool // to be written
-	writing       []*pendingWrite
+	pending       []*pendingWrite
 }
 
 // pendingWrite is a value on its way.
@@ -122,7 +122,7 @@
 	if s.unreadableKey != "" {
 		return
 	}
-	s.writing = slices.DeleteFunc(s.writing, func(w *pendingWrite) bool {
+	s.pending = slices.DeleteFunc(s.pending, func(w *pendingWrite) bool {
 		if d.EventLog.DurableCount() < w.pos {
 			return false
 		}
@@ -134,7 +134,7 @@
 		}
 		return true
 	})
-	if slices.ContainsFunc(s.writing, func(w *pendingWrite) bool { return w.pool != nil }) {
+	if slices.ContainsFunc(s.pending, func(w *pendingWrite) bool { return w.pool != nil }) {
 		return // one pool at a time
 	}
 	switch {
@@ -175,7 +175,7 @@
 		return
 	}
 	w.pos = d.EventLog.AppendedCount()
-	d.store.writing = append(d.store.writing, w)
+	d.store.pending = append(d.store.pending, w)
 }
 
 // EntryDurable notes what is written: a larger size counts from then on.
@@ -190,13 +190,13 @@
 	}
 	i := -1
 	if x.Stored != nil {
-		i = slices.IndexFunc(d.store.writing, func(w *pendingWrite) bool { return w.n == *x.Stored })
+		i = slices.IndexFunc(d.store.pending, func(w *pendingWrite) bool { return w.n == *x.Stored })
 	}
 	if i < 0 {
 		return
 	}
-	w := d.store.writing[i]
-	d.store.writing = slices.Delete(d.store.writing, i, i+1)
+	w := d.store.pending[i]
+	d.store.pending = slices.Delete(d.store.pending, i, i+1)
 	p := w.pool
 	if p == nil {
 		return
