--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -55,7 +55,7 @@
 
 // pendingWrite is a value on its way.
 type pendingWrite struct {
-	n       int
+	number  int
 	pos     int
 	pool    *pool // nil: the losses
 	version uint64
@@ -152,7 +152,7 @@
 		if p.sizeOverridden {
 			v.Units = max(p.size, p.pendingSize)
 		}
-		d.writeValue(&pendingWrite{n: p.valueNumber, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
+		d.writeValue(&pendingWrite{number: p.valueNumber, pool: p, version: p.changeVersion, pending: p.pendingSize}, v)
 	}
 }
 
@@ -160,7 +160,7 @@
 func (d *Component) writeLosses() {
 	if s := &d.store; s.lossesDirty && s.Done && s.unreadableKey == "" {
 		s.lossesDirty = false
-		d.writeValue(&pendingWrite{n: lossValue}, storedValue{Losses: d.losses})
+		d.writeValue(&pendingWrite{number: lossValue}, storedValue{Losses: d.losses})
 	}
 }
 
@@ -170,8 +170,8 @@
 	if err != nil {
 		panic(fmt.Sprintf("pools: a value that cannot be written: %v", err)) // names and numbers
 	}
-	if !d.EventLog.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &w.n}), eventlog.ValueKey(Name, w.n), raw) {
-		d.LogMessage(effects.Error, "what was changed of pools does not fit into a value", "value", w.n, "bytes", len(raw))
+	if !d.EventLog.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &w.number}), eventlog.ValueKey(Name, w.number), raw) {
+		d.LogMessage(effects.Error, "what was changed of pools does not fit into a value", "value", w.number, "bytes", len(raw))
 		return
 	}
 	w.pos = d.EventLog.AppendedCount()
@@ -190,7 +190,7 @@
 	}
 	i := -1
 	if x.Stored != nil {
-		i = slices.IndexFunc(d.store.pending, func(w *pendingWrite) bool { return w.n == *x.Stored })
+		i = slices.IndexFunc(d.store.pending, func(w *pendingWrite) bool { return w.number == *x.Stored })
 	}
 	if i < 0 {
 		return
