--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -55,11 +55,11 @@
 
 // pendingWrite is a value on its way.
 type pendingWrite struct {
-	number  int
-	pos     int
-	pool    *pool // nil: the losses
-	version uint64
-	pending int64
+	number   int
+	position int
+	pool     *pool // nil: the losses
+	version  uint64
+	pending  int64
 }
 
 // entry goes along with a value, or says which units a receipt was given for.
@@ -123,7 +123,7 @@
 		return
 	}
 	s.pending = slices.DeleteFunc(s.pending, func(w *pendingWrite) bool {
-		if d.EventLog.DurableCount() < w.pos {
+		if d.EventLog.DurableCount() < w.position {
 			return false
 		}
 		// Refused: it is tried again.
@@ -174,7 +174,7 @@
 		d.LogMessage(effects.Error, "what was changed of pools does not fit into a value", "value", w.number, "bytes", len(raw))
 		return
 	}
-	w.pos = d.EventLog.AppendedCount()
+	w.position = d.EventLog.AppendedCount()
 	d.store.pending = append(d.store.pending, w)
 }
 
