--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -31,24 +31,24 @@
 
 // receiptIndex are kept by job, so that an end costs work for its own job only.
 type receiptIndex struct {
-	of map[uint64]map[receiptKey]*issuedReceipt
-	n  int
+	byJob map[uint64]map[receiptKey]*issuedReceipt
+	n     int
 }
 
-func (p *receiptIndex) get(key receiptKey) *issuedReceipt { return p.of[key.job][key] }
+func (p *receiptIndex) get(key receiptKey) *issuedReceipt { return p.byJob[key.job][key] }
 
 func (p *receiptIndex) set(key receiptKey, x *issuedReceipt) {
-	if p.of[key.job] == nil {
-		p.of[key.job] = map[receiptKey]*issuedReceipt{}
+	if p.byJob[key.job] == nil {
+		p.byJob[key.job] = map[receiptKey]*issuedReceipt{}
 	}
 	p.drop(key)
-	p.of[key.job][key] = x
+	p.byJob[key.job][key] = x
 	p.n++
 }
 
 func (p *receiptIndex) drop(key receiptKey) {
-	if p.of[key.job][key] != nil {
-		delete(p.of[key.job], key)
+	if p.byJob[key.job][key] != nil {
+		delete(p.byJob[key.job], key)
 		p.n--
 	}
 }
@@ -124,7 +124,7 @@
 // pickNumbers picks the lowest numbers that nobody may have.
 func (d *Component) pickNumbers(n requirement) (out []int64) {
 	taken := map[int64]bool{}
-	for _, list := range d.receipts.of {
+	for _, list := range d.receipts.byJob {
 		for key, p := range list {
 			if key.pool != n.pool {
 				continue
@@ -171,13 +171,13 @@
 // dropReceipts forgets the numbers of a task, or with -1 of a job that has left, unless
 // its units stay out.
 func (d *Component) dropReceipts(job uint64, task int) {
-	for key, p := range d.receipts.of[job] {
+	for key, p := range d.receipts.byJob[job] {
 		if (task < 0 || key.task == int32(task)) && d.pools[key.pool].conf.HoldAfterLossS == 0 && p.durable {
 			d.receipts.drop(key)
 		}
 	}
-	if len(d.receipts.of[job]) == 0 {
-		delete(d.receipts.of, job)
+	if len(d.receipts.byJob[job]) == 0 {
+		delete(d.receipts.byJob, job)
 	}
 }
 
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -106,7 +106,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, byName: map[string]int32{}, byJob: map[int32]*holder{}, cancelledNeeds: map[uint64][]requirement{}, orphans: map[*workers.Machine]*orphanedUnits{}, restarted: map[*workers.Machine]bool{}}
-	d.receipts.of = map[uint64]map[receiptKey]*issuedReceipt{}
+	d.receipts.byJob = map[uint64]map[receiptKey]*issuedReceipt{}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
 		p.conf, p.known, p.size = c, true, int64(c.Units)
