--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -32,7 +32,7 @@
 // receiptIndex are kept by job, so that an end costs work for its own job only.
 type receiptIndex struct {
 	byJob map[uint64]map[receiptKey]*issuedReceipt
-	n     int
+	total int
 }
 
 func (p *receiptIndex) get(key receiptKey) *issuedReceipt { return p.byJob[key.job][key] }
@@ -43,13 +43,13 @@
 	}
 	p.drop(key)
 	p.byJob[key.job][key] = x
-	p.n++
+	p.total++
 }
 
 func (p *receiptIndex) drop(key receiptKey) {
 	if p.byJob[key.job][key] != nil {
 		delete(p.byJob[key.job], key)
-		p.n--
+		p.total--
 	}
 }
 
--- a/internal/leader/pools/shelf.go
+++ b/internal/leader/pools/shelf.go
@@ -217,7 +217,7 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return d.receipts.n * receiptBytes }
+func (d *Component) LiveBytes() int { return d.receipts.total * receiptBytes }
 
 // Request is what the duty can be asked to do: one of its fields is set.
 type Request struct {
