--- a/internal/leader/pools/papers.go
+++ b/internal/leader/pools/papers.go
@@ -41,12 +41,12 @@
 	if p.byJob[key.job] == nil {
 		p.byJob[key.job] = map[receiptKey]*issuedReceipt{}
 	}
-	p.drop(key)
+	p.remove(key)
 	p.byJob[key.job][key] = x
 	p.total++
 }
 
-func (p *receiptIndex) drop(key receiptKey) {
+func (p *receiptIndex) remove(key receiptKey) {
 	if p.byJob[key.job][key] != nil {
 		delete(p.byJob[key.job], key)
 		p.total--
@@ -130,7 +130,7 @@
 				continue
 			}
 			if !d.mayStillHold(key, p) {
-				d.receipts.drop(key)
+				d.receipts.remove(key)
 				continue
 			}
 			for _, x := range p.numbers {
@@ -173,7 +173,7 @@
 func (d *Component) dropReceipts(job uint64, task int) {
 	for key, p := range d.receipts.byJob[job] {
 		if (task < 0 || key.task == int32(task)) && d.pools[key.pool].conf.HoldAfterLossS == 0 && p.durable {
-			d.receipts.drop(key)
+			d.receipts.remove(key)
 		}
 	}
 	if len(d.receipts.byJob[job]) == 0 {
