--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -21,14 +21,14 @@
 // fixture is a leader with pools and room without end, whose state service keeps what
 // it writes.
 type fixture struct {
-	t      *testing.T
-	pools  []settings.Pool
-	values map[string]json.RawMessage
-	now    time.Duration
-	epoch  uint64
-	d      *Component
-	m      *workers.Machine
-	ids    uint64
+	t       *testing.T
+	pools   []settings.Pool
+	values  map[string]json.RawMessage
+	now     time.Duration
+	epoch   uint64
+	d       *Component
+	machine *workers.Machine
+	ids     uint64
 }
 
 func newFixture(t *testing.T, pools ...settings.Pool) *fixture {
@@ -50,7 +50,7 @@
 	w.d = New(s)
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
 	s.Zones.Index("z")
-	w.m = s.Inventory.Add(&workers.Machine{Name: "m", Durable: true, Resolved: true, Up: true})
+	w.machine = s.Inventory.Add(&workers.Machine{Name: "m", Durable: true, Resolved: true, Up: true})
 	w.d.Begin(w.now)
 	if read {
 		w.read()
@@ -123,8 +123,8 @@
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
-				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.m, Attempt: w.d.NextAttempt()}
-				w.d.Placements[ref], w.m.Tasks[ref] = p, p
+				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.machine, Attempt: w.d.NextAttempt()}
+				w.d.Placements[ref], w.machine.Tasks[ref] = p, p
 				w.d.TaskPlaced(j)
 				n++
 			}
@@ -138,9 +138,9 @@
 func (w *fixture) done(j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
 	delete(w.d.Placements, ref)
-	delete(w.m.Tasks, ref)
+	delete(w.machine.Tasks, ref)
 	j.Complete(k)
-	w.d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.machine})
 	if j.Finished == len(j.Tasks) {
 		j.Phase = jobs.Done
 		w.d.Jobs.Finish(j.Record.ID, jobs.Done)
@@ -378,7 +378,7 @@
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1), perTask("q", 1))
 	w.pass(j)
-	w.d.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.machine})
 	expect(t, "the plan and the loss", []int64{w.out("p"), w.out("q")}, "[2 1]")
 	other := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the loss is written", w.pass(other), "[0]")
@@ -397,17 +397,17 @@
 	w.d.Begin(w.now)
 	w.read()
 	r := &workers.Report{Machine: "m", Tasks: []workers.TaskReport{{Job: 77, Task: 1, Attempt: 5, State: workers.Running}}}
-	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	expect(t, "it still runs", w.out("p"), 2)
 	r.Tasks[0].State = workers.Ended
-	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	expect(t, "it has ended", w.out("p"), 0)
 	// One of which nothing is known closes all pools while it is there.
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
-	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.m, Report: r})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1))
 	expect(t, "closed", w.pass(j), "[0]")
-	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.m})
+	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.machine})
 	expect(t, "gone", w.pass(j), "[1]")
 }
 
@@ -526,13 +526,13 @@
 		w := newFixture(t, settings.Pool{Name: "p", Units: 1})
 		w.d.Cfg.Tunables.UnitsSilentS = setting
 		a, b := w.job("a", 1, 1, jobs.Array, perTask("p", 1)), w.job("a", 1, 1, jobs.Array, perTask("p", 1))
-		w.m.LastHeartbeat = w.now
+		w.machine.LastHeartbeat = w.now
 		w.pass(a, b)
 		w.now += 7 * time.Second
 		w.pass(b)
 		w.d.Tick(w.now, true)
-		if w.m.Deleting != (setting > 0) {
-			t.Errorf("with %v s it is given up: %v", setting, w.m.Deleting)
+		if w.machine.Deleting != (setting > 0) {
+			t.Errorf("with %v s it is given up: %v", setting, w.machine.Deleting)
 		}
 	}
 }
