--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -21,14 +21,14 @@
 // fixture is a leader with pools and room without end, whose state service keeps what
 // it writes.
 type fixture struct {
-	t       *testing.T
-	pools   []settings.Pool
-	values  map[string]json.RawMessage
-	now     time.Duration
-	epoch   uint64
-	d       *Component
-	machine *workers.Machine
-	ids     uint64
+	t         *testing.T
+	pools     []settings.Pool
+	values    map[string]json.RawMessage
+	now       time.Duration
+	epoch     uint64
+	component *Component
+	machine   *workers.Machine
+	ids       uint64
 }
 
 func newFixture(t *testing.T, pools ...settings.Pool) *fixture {
@@ -47,21 +47,21 @@
 	cfg.Deployment.Workers.ReportS = 1
 	w.epoch++
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: w.epoch, TermBegan: w.now, Counts: &cluster.Counts{}})
-	w.d = New(s)
+	w.component = New(s)
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, int(w.epoch)*1000, 0)
 	s.Zones.Index("z")
 	w.machine = s.Inventory.Add(&workers.Machine{Name: "m", Durable: true, Resolved: true, Up: true})
-	w.d.Begin(w.now)
+	w.component.Begin(w.now)
 	if read {
 		w.read()
 	}
 }
 
 func (w *fixture) read() {
-	w.d.Tick(w.now, true)
-	w.d.ValuesRead(w.now, nil, true, false) // once in vain
+	w.component.Tick(w.now, true)
+	w.component.ValuesRead(w.now, nil, true, false) // once in vain
 	w.now += 2 * time.Second
-	w.d.Tick(w.now, true)
+	w.component.Tick(w.now, true)
 	var list []eventlog.Value
 	for _, k := range slices.Sorted(func(yield func(string) bool) {
 		for k := range w.values {
@@ -72,24 +72,24 @@
 	}) {
 		list = append(list, eventlog.Value{Key: k, Data: w.values[k]})
 	}
-	w.d.ValuesRead(w.now, list, false, true)
+	w.component.ValuesRead(w.now, list, false, true)
 }
 
 // write makes everything durable that waits.
 func (w *fixture) write() {
 	for range 20 {
 		w.now += time.Second
-		w.d.Tick(w.now, true)
-		txn := w.d.EventLog.NextTransaction(w.now)
+		w.component.Tick(w.now, true)
+		txn := w.component.EventLog.NextTransaction(w.now)
 		if txn == nil {
 			continue
 		}
 		for _, op := range txn.Writes {
 			w.values[op.Key] = op.Value
 		}
-		facts, _ := w.d.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
+		facts, _ := w.component.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
 		for _, e := range facts {
-			w.d.EntryDurable(w.now, true, e)
+			w.component.EntryDurable(w.now, true, e)
 		}
 	}
 }
@@ -97,9 +97,9 @@
 // job enters a job of so many tasks.
 func (w *fixture) job(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.PoolUnits) *jobs.Job {
 	w.ids++
-	j := w.d.Jobs.Add(eventlog.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
-	j.Team, j.Phase = w.d.Teams.Index(team), jobs.Open
-	w.d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: w.now, Job: j})
+	j := w.component.Jobs.Add(eventlog.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
+	j.Team, j.Phase = w.component.Teams.Index(team), jobs.Open
+	w.component.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: w.now, Job: j})
 	return j
 }
 
@@ -115,17 +115,17 @@
 // them. Gangs get all or nothing.
 func (w *fixture) pass(list ...*jobs.Job) (out []int) {
 	waiting := slices.DeleteFunc(slices.Clone(list), func(j *jobs.Job) bool { return j.Waiting == 0 })
-	w.d.Pass(w.now, waiting)
+	w.component.Pass(w.now, waiting)
 	for _, j := range list {
 		n := 0
-		for j.Waiting > 0 && w.d.Allows(j, j.GangSize()) {
+		for j.Waiting > 0 && w.component.Allows(j, j.GangSize()) {
 			for range j.GangSize() {
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
 				ref := workers.Ref{Job: j.Index, Task: int32(k)}
-				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.machine, Attempt: w.d.NextAttempt()}
-				w.d.Placements[ref], w.machine.Tasks[ref] = p, p
-				w.d.TaskPlaced(j)
+				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.machine, Attempt: w.component.NextAttempt()}
+				w.component.Placements[ref], w.machine.Tasks[ref] = p, p
+				w.component.TaskPlaced(j)
 				n++
 			}
 		}
@@ -137,20 +137,20 @@
 // done has a placed task complete.
 func (w *fixture) done(j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
-	delete(w.d.Placements, ref)
+	delete(w.component.Placements, ref)
 	delete(w.machine.Tasks, ref)
 	j.Complete(k)
-	w.d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.machine})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.machine})
 	if j.Finished == len(j.Tasks) {
 		j.Phase = jobs.Done
-		w.d.Jobs.Finish(j.Record.ID, jobs.Done)
-		w.d.RemoveIfFinished(j)
+		w.component.Jobs.Finish(j.Record.ID, jobs.Done)
+		w.component.RemoveIfFinished(j)
 	}
 }
 
 func (w *fixture) out(pool string) int64 {
-	w.d.recount(w.now)
-	return w.d.pools[w.d.byName[pool]].inUse
+	w.component.recount(w.now)
+	return w.component.pools[w.component.byName[pool]].inUse
 }
 
 func expect(t *testing.T, what string, got any, want any) {
@@ -171,15 +171,15 @@
 	b := w.job("b", 5, 1, jobs.Array, perTask("q", 1))
 	a := w.job("a", 5, 1, jobs.Array, perTask("q", 1))
 	expect(t, "a team's share, the rest to others", w.pass(b, a), "[1 2]")
-	if why := w.d.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
+	if why := w.component.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
 	for counted, want := range map[eventlog.PoolUnits]string{perTask("none", 1): "no such pool", perTask("p", 9): "more than the 8", wholeJob("q", 4): "more than the 3"} {
-		if why := w.d.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{counted}}); !strings.Contains(why, want) {
+		if why := w.component.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{counted}}); !strings.Contains(why, want) {
 			t.Errorf("%+v: %s", counted, why)
 		}
 	}
-	if why := w.d.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
+	if why := w.component.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
 	}
 }
@@ -213,7 +213,7 @@
 	}
 	for step := 0; a.Finished+b.Finished+c.Finished < 9; step++ {
 		if step > 60 {
-			t.Fatalf("stuck: %d %d %d done, %s; %s", a.Finished, b.Finished, c.Finished, w.d.Why(a), w.d.Why(b))
+			t.Fatalf("stuck: %d %d %d done, %s; %s", a.Finished, b.Finished, c.Finished, w.component.Why(a), w.component.Why(b))
 		}
 		for _, j := range []*jobs.Job{a, b, c} {
 			for k, s := range j.Tasks {
@@ -258,7 +258,7 @@
 				kind = jobs.Gang
 			}
 			rec := &eventlog.Job{Team: "a", Tasks: tasks, Kind: kind, Counted: counted}
-			if len(counted) == 0 || w.d.Never(rec) != "" {
+			if len(counted) == 0 || w.component.Never(rec) != "" {
 				continue
 			}
 			list = append(list, w.job("a", tasks, 1, kind, counted...))
@@ -267,7 +267,7 @@
 		for step := 0; slices.ContainsFunc(list, open); step++ {
 			if step > 500 {
 				for _, j := range list {
-					t.Logf("%+v: %d of %d done, %d placed; %s", j.Record.Counted, j.Finished, len(j.Tasks), j.Placed, w.d.Why(j))
+					t.Logf("%+v: %d of %d done, %d placed; %s", j.Record.Counted, j.Finished, len(j.Tasks), j.Placed, w.component.Why(j))
 				}
 				t.Fatalf("seed %d: stuck", seed)
 			}
@@ -282,7 +282,7 @@
 			w.verify(seed, list)
 			w.nobodyWaitsInVain(seed, left)
 			if running := slices.IndexFunc(left, func(j *jobs.Job) bool { return j.Placed > 0 }); running < 0 {
-				t.Fatalf("seed %d: nothing runs, and %d jobs wait: %s", seed, len(left), w.d.Why(left[0]))
+				t.Fatalf("seed %d: nothing runs, and %d jobs wait: %s", seed, len(left), w.component.Why(left[0]))
 			}
 			for _, j := range left {
 				for k, s := range j.Tasks {
@@ -300,14 +300,14 @@
 // units that are out, or, if it would hold some as a whole, for others that do.
 func (w *fixture) nobodyWaitsInVain(seed uint64, left []*jobs.Job) {
 	w.t.Helper()
-	for _, h := range w.d.candidates {
+	for _, h := range w.component.candidates {
 		j := h.job
 		if !slices.Contains(left, j) || j.Waiting == 0 {
 			continue
 		}
 		lacks := h.needsJobUnits && !h.holdsJobUnits
 		for _, n := range h.requirements {
-			p := w.d.pools[n.pool]
+			p := w.component.pools[n.pool]
 			lacks = lacks || p.inUse+h.nextUnits(n) > p.size
 		}
 		if !lacks {
@@ -346,24 +346,24 @@
 func TestTakeover(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
 	w.lead(true)
-	m := w.d.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
-	w.d.AddUnresolved(m)
+	m := w.component.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
+	w.component.AddUnresolved(m)
 	j := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
 	j.Earlier, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
 	m.Grants[j.Record.ID] = true
 	other := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
 	expect(t, "three may be there", w.out("p"), 3)
 	expect(t, "one is left", w.pass(other), "[1]")
-	w.d.pools[0].drained = false
-	if raw, err := w.d.Show(w.now, "p"); err != nil || !strings.Contains(string(raw), `"uncertain":3`) || !strings.Contains(string(raw), "machines not heard") {
+	w.component.pools[0].drained = false
+	if raw, err := w.component.Show(w.now, "p"); err != nil || !strings.Contains(string(raw), `"uncertain":3`) || !strings.Contains(string(raw), "machines not heard") {
 		t.Errorf("%s %v", raw, err)
 	}
 	// It is gone without a word: what may have been there stays out for a while.
-	w.d.Inventory.Remove("old")
-	w.d.RemoveUnresolved(m)
+	w.component.Inventory.Remove("old")
+	w.component.RemoveUnresolved(m)
 	j.UnresolvedMachines--
-	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
-	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: m})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: m})
 	expect(t, "held after the loss", w.out("p"), 4)
 	w.write()
 	w.lead(true)
@@ -378,7 +378,7 @@
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1), perTask("q", 1))
 	w.pass(j)
-	w.d.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.machine})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.machine})
 	expect(t, "the plan and the loss", []int64{w.out("p"), w.out("q")}, "[2 1]")
 	other := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the loss is written", w.pass(other), "[0]")
@@ -392,22 +392,22 @@
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{perTask("p", 2)}}
 	rec.HideFromOlderVersions()
 	w.lead(false)
-	w.d.Replay(w.now, eventlog.Entry{Job: &rec})
-	w.d.Jobs.Finish(77, jobs.Cancelled)
-	w.d.Begin(w.now)
+	w.component.Replay(w.now, eventlog.Entry{Job: &rec})
+	w.component.Jobs.Finish(77, jobs.Cancelled)
+	w.component.Begin(w.now)
 	w.read()
 	r := &workers.Report{Machine: "m", Tasks: []workers.TaskReport{{Job: 77, Task: 1, Attempt: 5, State: workers.Running}}}
-	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	expect(t, "it still runs", w.out("p"), 2)
 	r.Tasks[0].State = workers.Ended
-	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	expect(t, "it has ended", w.out("p"), 0)
 	// One of which nothing is known closes all pools while it is there.
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
-	w.d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1))
 	expect(t, "closed", w.pass(j), "[0]")
-	w.d.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.machine})
+	w.component.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.machine})
 	expect(t, "gone", w.pass(j), "[1]")
 }
 
@@ -416,7 +416,7 @@
 func TestChanges(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	ask := func(body string) (Changed, error) {
-		raw, err := w.d.Change(w.now, json.RawMessage(`{"change":`+body+`}`))
+		raw, err := w.component.Change(w.now, json.RawMessage(`{"change":`+body+`}`))
 		var out Changed
 		if err == nil {
 			err = json.Unmarshal(raw, &out)
@@ -472,7 +472,7 @@
 	w.lead(true)
 	expect(t, "closed", w.pass(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
 	said := false
-	for _, e := range w.d.TakeEffects() {
+	for _, e := range w.component.TakeEffects() {
 		if n, ok := e.(effects.LogMessage); ok && n.Level == effects.Error {
 			said = true
 		}
@@ -490,14 +490,14 @@
 	w.pass(a)
 	ask := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
 		body, _ := json.Marshal(Request{Receipt: &Holding{j.Record.ID, k, attempt}})
-		raw, err := w.d.Change(w.now, body)
+		raw, err := w.component.Change(w.now, body)
 		if err == nil {
 			err = json.Unmarshal(raw, &r)
 		}
 		return r, err
 	}
 	at := func(j *jobs.Job, k int) *workers.Placement {
-		return w.d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		return w.component.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
 	}
 	if _, err := ask(a, 0, 1); err == nil {
 		t.Error("another attempt gets a receipt")
@@ -524,13 +524,13 @@
 func TestSilentMachineIsGivenUpEarly(t *testing.T) {
 	for _, setting := range []float64{0, 5} {
 		w := newFixture(t, settings.Pool{Name: "p", Units: 1})
-		w.d.Cfg.Tunables.UnitsSilentS = setting
+		w.component.Cfg.Tunables.UnitsSilentS = setting
 		a, b := w.job("a", 1, 1, jobs.Array, perTask("p", 1)), w.job("a", 1, 1, jobs.Array, perTask("p", 1))
 		w.machine.LastHeartbeat = w.now
 		w.pass(a, b)
 		w.now += 7 * time.Second
 		w.pass(b)
-		w.d.Tick(w.now, true)
+		w.component.Tick(w.now, true)
 		if w.machine.Deleting != (setting > 0) {
 			t.Errorf("with %v s it is given up: %v", setting, w.machine.Deleting)
 		}
