--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -111,9 +111,9 @@
 	return eventlog.PoolUnits{Pool: pool, Units: units, PerJob: true}
 }
 
-// pass gives units to the jobs in this order and says how many tasks of each got
+// schedule gives units to the jobs in this order and says how many tasks of each got
 // them. Gangs get all or nothing.
-func (w *fixture) pass(list ...*jobs.Job) (out []int) {
+func (w *fixture) schedule(list ...*jobs.Job) (out []int) {
 	waiting := slices.DeleteFunc(slices.Clone(list), func(j *jobs.Job) bool { return j.Waiting == 0 })
 	w.component.Pass(w.now, waiting)
 	for _, j := range list {
@@ -163,14 +163,14 @@
 func TestUnits(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 10, Reserve: 2}, settings.Pool{Name: "q", Units: 3, Shares: []settings.PoolShare{{Team: "b", Units: 1}}})
 	one := w.job("a", 20, 1, jobs.Array, perTask("p", 1))
-	expect(t, "all but the reserve", w.pass(one), "[8]")
+	expect(t, "all but the reserve", w.schedule(one), "[8]")
 	urgentJob := w.job("a", 5, 2, jobs.Array, perTask("p", 1))
-	expect(t, "the reserve", w.pass(urgentJob, one), "[2 0]")
+	expect(t, "the reserve", w.schedule(urgentJob, one), "[2 0]")
 	w.done(one, 0)
-	expect(t, "a unit that came back goes to the first in order", w.pass(urgentJob, one), "[1 0]")
+	expect(t, "a unit that came back goes to the first in order", w.schedule(urgentJob, one), "[1 0]")
 	b := w.job("b", 5, 1, jobs.Array, perTask("q", 1))
 	a := w.job("a", 5, 1, jobs.Array, perTask("q", 1))
-	expect(t, "a team's share, the rest to others", w.pass(b, a), "[1 2]")
+	expect(t, "a team's share, the rest to others", w.schedule(b, a), "[1 2]")
 	if why := w.component.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
@@ -189,16 +189,16 @@
 func TestFirstInOrderIsNotStarved(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 5})
 	small := w.job("a", 1000, 1, jobs.Array, perTask("p", 1))
-	w.pass(small)
+	w.schedule(small)
 	big := w.job("a", 1, 1, jobs.Array, perTask("p", 5), perTask("q", 1))
 	other := w.job("a", 9, 1, jobs.Array, perTask("q", 5)) // would leave nothing of q
 	for k := range 5 {
-		expect(t, "nothing passes", w.pass(big, small, other), "[0 0 0]")
+		expect(t, "nothing passes", w.schedule(big, small, other), "[0 0 0]")
 		w.done(small, k)
 	}
-	expect(t, "all five of five", w.pass(big, small, other), "[1 0 0]")
+	expect(t, "all five of five", w.schedule(big, small, other), "[1 0 0]")
 	w.done(big, 0)
-	expect(t, "then the others", w.pass(small, other), "[5 1]")
+	expect(t, "then the others", w.schedule(small, other), "[5 1]")
 }
 
 // What is held for a whole job never keeps another such job from going on.
@@ -207,7 +207,7 @@
 	a := w.job("a", 3, 1, jobs.Array, wholeJob("p", 1), perTask("q", 1))
 	b := w.job("a", 3, 1, jobs.Array, wholeJob("q", 1), perTask("p", 1))
 	c := w.job("a", 3, 1, jobs.Array, wholeJob("p", 1), perTask("q", 1))
-	got := w.pass(a, b, c)
+	got := w.schedule(a, b, c)
 	if got[0] == 0 {
 		t.Fatalf("%v", got)
 	}
@@ -223,7 +223,7 @@
 				}
 			}
 		}
-		w.pass(slices.DeleteFunc([]*jobs.Job{a, b, c}, func(j *jobs.Job) bool { return j.Waiting == 0 })...)
+		w.schedule(slices.DeleteFunc([]*jobs.Job{a, b, c}, func(j *jobs.Job) bool { return j.Waiting == 0 })...)
 	}
 	expect(t, "all is back", []int64{w.out("p"), w.out("q")}, "[0 0]")
 }
@@ -278,7 +278,7 @@
 					left[i], left[k] = left[k], left[i] // the order changes as sizes age
 				}
 			})
-			w.pass(left...)
+			w.schedule(left...)
 			w.verify(seed, list)
 			w.nobodyWaitsInVain(seed, left)
 			if running := slices.IndexFunc(left, func(j *jobs.Job) bool { return j.Placed > 0 }); running < 0 {
@@ -353,7 +353,7 @@
 	m.Grants[j.Record.ID] = true
 	other := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
 	expect(t, "three may be there", w.out("p"), 3)
-	expect(t, "one is left", w.pass(other), "[1]")
+	expect(t, "one is left", w.schedule(other), "[1]")
 	w.component.pools[0].drained = false
 	if raw, err := w.component.Show(w.now, "p"); err != nil || !strings.Contains(string(raw), `"uncertain":3`) || !strings.Contains(string(raw), "machines not heard") {
 		t.Errorf("%s %v", raw, err)
@@ -377,13 +377,13 @@
 func TestOfferLost(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1), perTask("q", 1))
-	w.pass(j)
+	w.schedule(j)
 	w.component.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.machine})
 	expect(t, "the plan and the loss", []int64{w.out("p"), w.out("q")}, "[2 1]")
 	other := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
-	expect(t, "none before the loss is written", w.pass(other), "[0]")
+	expect(t, "none before the loss is written", w.schedule(other), "[0]")
 	w.write()
-	expect(t, "then the others", w.pass(other), "[2]")
+	expect(t, "then the others", w.schedule(other), "[2]")
 }
 
 // A cancelled job's task that a machine still shows keeps its units.
@@ -406,9 +406,9 @@
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
 	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1))
-	expect(t, "closed", w.pass(j), "[0]")
+	expect(t, "closed", w.schedule(j), "[0]")
 	w.component.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: w.machine})
-	expect(t, "gone", w.pass(j), "[1]")
+	expect(t, "gone", w.schedule(j), "[1]")
 }
 
 // Changes: fewer units count at once, more once that is durable; a repeat answers the
@@ -435,32 +435,32 @@
 		t.Errorf("%+v %v", again, err)
 	}
 	j := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
-	expect(t, "six", w.pass(j), "[6]")
+	expect(t, "six", w.schedule(j), "[6]")
 	if less, err := ask(`{"id":"x3","pool":"p","version":1,"units":2}`); err != nil || less.Pool.Units != 2 || less.Pool.Out != 6 {
 		t.Errorf("%+v %v", less, err)
 	}
 	for k := range 4 {
 		w.done(j, k)
-		expect(t, "none while more are out than there are", w.pass(j), "[0]")
+		expect(t, "none while more are out than there are", w.schedule(j), "[0]")
 	}
 	w.done(j, 4)
-	expect(t, "one", w.pass(j), "[1]")
+	expect(t, "one", w.schedule(j), "[1]")
 	if _, err := ask(`{"id":"x4","pool":"p","version":2,"drain":true}`); err != nil {
 		t.Error(err)
 	}
 	w.done(j, 5)
-	expect(t, "none of one that is drained", w.pass(j), "[0]")
+	expect(t, "none of one that is drained", w.schedule(j), "[0]")
 	w.write()
 	w.lead(false)
 	j = w.job("a", 9, 1, jobs.Array, perTask("p", 1))
-	expect(t, "none before the changes are read", w.pass(j), "[0]")
+	expect(t, "none before the changes are read", w.schedule(j), "[0]")
 	w.read()
-	expect(t, "none, it is drained", w.pass(j), "[0]")
+	expect(t, "none, it is drained", w.schedule(j), "[0]")
 	if undo, err := ask(`{"id":"x5","pool":"p","version":3,"drain":false,"units":-1}`); err != nil || undo.Version != 4 {
 		t.Errorf("%+v %v", undo, err)
 	}
 	w.write()
-	expect(t, "as the settings say", w.pass(j), "[4]")
+	expect(t, "as the settings say", w.schedule(j), "[4]")
 	for body, field := range map[string]string{`{"id":"y","pool":"none","version":0,"units":1}`: "pool", `{"pool":"p","version":4,"units":1}`: "id",
 		`{"id":"y","pool":"p","version":4}`: "neither", `{"id":"y","pool":"p","version":4,"units":2000000000}`: "units"} {
 		if _, err := ask(body); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
@@ -470,7 +470,7 @@
 	// A value of a later version: nobody can say what it means.
 	w.values[eventlog.ValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
 	w.lead(true)
-	expect(t, "closed", w.pass(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
+	expect(t, "closed", w.schedule(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
 	said := false
 	for _, e := range w.component.TakeEffects() {
 		if n, ok := e.(effects.LogMessage); ok && n.Level == effects.Error {
@@ -487,7 +487,7 @@
 func TestReceipts(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 3})
 	a := w.job("a", 3, 1, jobs.Array, perTask("p", 2), wholeJob("q", 1))
-	w.pass(a)
+	w.schedule(a)
 	ask := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
 		body, _ := json.Marshal(Request{Receipt: &Holding{j.Record.ID, k, attempt}})
 		raw, err := w.component.Change(w.now, body)
@@ -514,7 +514,7 @@
 		t.Errorf("%+v and %+v", one, two)
 	}
 	w.done(a, 0)
-	w.pass(a)
+	w.schedule(a)
 	if third, err := ask(a, 2, at(a, 2).Attempt); err != nil || fmt.Sprint(third.Units[0].Numbers) != "[1 2]" {
 		t.Errorf("%+v %v", third, err)
 	}
@@ -527,9 +527,9 @@
 		w.component.Cfg.Tunables.UnitsSilentS = setting
 		a, b := w.job("a", 1, 1, jobs.Array, perTask("p", 1)), w.job("a", 1, 1, jobs.Array, perTask("p", 1))
 		w.machine.LastHeartbeat = w.now
-		w.pass(a, b)
+		w.schedule(a, b)
 		w.now += 7 * time.Second
-		w.pass(b)
+		w.schedule(b)
 		w.component.Tick(w.now, true)
 		if w.machine.Deleting != (setting > 0) {
 			t.Errorf("with %v s it is given up: %v", setting, w.machine.Deleting)
@@ -543,11 +543,11 @@
 func TestNoRingOfWholeJobs(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 3}, settings.Pool{Name: "q", Units: 3}, settings.Pool{Name: "s", Units: 1})
 	x := w.job("a", 2, 1, jobs.Array, wholeJob("s", 1), perTask("p", 2), perTask("q", 3))
-	w.pass(x)
+	w.schedule(x)
 	w.done(x, 0)
 	z := w.job("a", 2, 1, jobs.Array, wholeJob("q", 1), perTask("p", 2))
-	expect(t, "while the first is not ready", w.pass(z), "[0]")
-	expect(t, "then", w.pass(x, z), "[1 0]")
+	expect(t, "while the first is not ready", w.schedule(z), "[0]")
+	expect(t, "then", w.schedule(x, z), "[1 0]")
 	w.done(x, 1)
-	expect(t, "and the other one", w.pass(z), "[1]")
+	expect(t, "and the other one", w.schedule(z), "[1]")
 }
