--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -34,12 +34,12 @@
 func newFixture(t *testing.T, pools ...settings.Pool) *fixture {
 	t.Helper()
 	w := &fixture{t: t, pools: pools, values: map[string]json.RawMessage{}, now: time.Second}
-	w.lead(true)
+	w.startTerm(true)
 	return w
 }
 
-// lead begins a term; its values are read if so wanted.
-func (w *fixture) lead(read bool) {
+// startTerm begins a term; its values are read if so wanted.
+func (w *fixture) startTerm(read bool) {
 	w.t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.Pools = w.pools
@@ -345,7 +345,7 @@
 // by grants, until it is heard or gone.
 func TestTakeover(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
-	w.lead(true)
+	w.startTerm(true)
 	m := w.component.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
 	w.component.AddUnresolved(m)
 	j := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
@@ -366,7 +366,7 @@
 	w.component.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: m})
 	expect(t, "held after the loss", w.out("p"), 4)
 	w.write()
-	w.lead(true)
+	w.startTerm(true)
 	expect(t, "and by the next leader", w.out("p"), 3)
 	w.now += 40 * time.Second
 	expect(t, "until the time is over", w.out("p"), 0)
@@ -391,7 +391,7 @@
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{perTask("p", 2)}}
 	rec.HideFromOlderVersions()
-	w.lead(false)
+	w.startTerm(false)
 	w.component.Replay(w.now, eventlog.Entry{Job: &rec})
 	w.component.Jobs.Finish(77, jobs.Cancelled)
 	w.component.Begin(w.now)
@@ -451,7 +451,7 @@
 	w.done(j, 5)
 	expect(t, "none of one that is drained", w.schedule(j), "[0]")
 	w.write()
-	w.lead(false)
+	w.startTerm(false)
 	j = w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the changes are read", w.schedule(j), "[0]")
 	w.read()
@@ -469,7 +469,7 @@
 	}
 	// A value of a later version: nobody can say what it means.
 	w.values[eventlog.ValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
-	w.lead(true)
+	w.startTerm(true)
 	expect(t, "closed", w.schedule(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
 	said := false
 	for _, e := range w.component.TakeEffects() {
