--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -134,8 +134,8 @@
 	return out
 }
 
-// done has a placed task complete.
-func (w *fixture) done(j *jobs.Job, k int) {
+// completeTask has a placed task complete.
+func (w *fixture) completeTask(j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
 	delete(w.component.Placements, ref)
 	delete(w.machine.Tasks, ref)
@@ -166,7 +166,7 @@
 	expect(t, "all but the reserve", w.schedule(one), "[8]")
 	urgentJob := w.job("a", 5, 2, jobs.Array, perTask("p", 1))
 	expect(t, "the reserve", w.schedule(urgentJob, one), "[2 0]")
-	w.done(one, 0)
+	w.completeTask(one, 0)
 	expect(t, "a unit that came back goes to the first in order", w.schedule(urgentJob, one), "[1 0]")
 	b := w.job("b", 5, 1, jobs.Array, perTask("q", 1))
 	a := w.job("a", 5, 1, jobs.Array, perTask("q", 1))
@@ -194,10 +194,10 @@
 	other := w.job("a", 9, 1, jobs.Array, perTask("q", 5)) // would leave nothing of q
 	for k := range 5 {
 		expect(t, "nothing passes", w.schedule(big, small, other), "[0 0 0]")
-		w.done(small, k)
+		w.completeTask(small, k)
 	}
 	expect(t, "all five of five", w.schedule(big, small, other), "[1 0 0]")
-	w.done(big, 0)
+	w.completeTask(big, 0)
 	expect(t, "then the others", w.schedule(small, other), "[5 1]")
 }
 
@@ -218,7 +218,7 @@
 		for _, j := range []*jobs.Job{a, b, c} {
 			for k, s := range j.Tasks {
 				if s == jobs.Placed {
-					w.done(j, k)
+					w.completeTask(j, k)
 					break
 				}
 			}
@@ -287,7 +287,7 @@
 			for _, j := range left {
 				for k, s := range j.Tasks {
 					if s == jobs.Placed && (r.IntN(2) == 0 || j.Record.Kind == jobs.Gang) {
-						w.done(j, k)
+						w.completeTask(j, k)
 					}
 				}
 			}
@@ -440,15 +440,15 @@
 		t.Errorf("%+v %v", less, err)
 	}
 	for k := range 4 {
-		w.done(j, k)
+		w.completeTask(j, k)
 		expect(t, "none while more are out than there are", w.schedule(j), "[0]")
 	}
-	w.done(j, 4)
+	w.completeTask(j, 4)
 	expect(t, "one", w.schedule(j), "[1]")
 	if _, err := ask(`{"id":"x4","pool":"p","version":2,"drain":true}`); err != nil {
 		t.Error(err)
 	}
-	w.done(j, 5)
+	w.completeTask(j, 5)
 	expect(t, "none of one that is drained", w.schedule(j), "[0]")
 	w.write()
 	w.startTerm(false)
@@ -513,7 +513,7 @@
 	if !one.Durable || fmt.Sprint(one.Units) != "[{p [1 2] false} {q [1] true}]" || fmt.Sprint(two.Units) != "[{p [3 4] false} {q [1] true}]" {
 		t.Errorf("%+v and %+v", one, two)
 	}
-	w.done(a, 0)
+	w.completeTask(a, 0)
 	w.schedule(a)
 	if third, err := ask(a, 2, at(a, 2).Attempt); err != nil || fmt.Sprint(third.Units[0].Numbers) != "[1 2]" {
 		t.Errorf("%+v %v", third, err)
@@ -544,10 +544,10 @@
 	w := newFixture(t, settings.Pool{Name: "p", Units: 3}, settings.Pool{Name: "q", Units: 3}, settings.Pool{Name: "s", Units: 1})
 	x := w.job("a", 2, 1, jobs.Array, wholeJob("s", 1), perTask("p", 2), perTask("q", 3))
 	w.schedule(x)
-	w.done(x, 0)
+	w.completeTask(x, 0)
 	z := w.job("a", 2, 1, jobs.Array, wholeJob("q", 1), perTask("p", 2))
 	expect(t, "while the first is not ready", w.schedule(z), "[0]")
 	expect(t, "then", w.schedule(x, z), "[1 0]")
-	w.done(x, 1)
+	w.completeTask(x, 1)
 	expect(t, "and the other one", w.schedule(z), "[1]")
 }
