--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -148,7 +148,7 @@
 	}
 }
 
-func (w *fixture) out(pool string) int64 {
+func (w *fixture) inUse(pool string) int64 {
 	w.component.recount(w.now)
 	return w.component.pools[w.component.byName[pool]].inUse
 }
@@ -225,7 +225,7 @@
 		}
 		w.schedule(slices.DeleteFunc([]*jobs.Job{a, b, c}, func(j *jobs.Job) bool { return j.Waiting == 0 })...)
 	}
-	expect(t, "all is back", []int64{w.out("p"), w.out("q")}, "[0 0]")
+	expect(t, "all is back", []int64{w.inUse("p"), w.inUse("q")}, "[0 0]")
 }
 
 // Thousands of random days with demands of all sorts and sizes: never more out than
@@ -335,7 +335,7 @@
 		if sums[p.Name] > int64(p.Units) {
 			w.t.Fatalf("seed %d: %d of %d units of %s are out", seed, sums[p.Name], p.Units, p.Name)
 		}
-		if got := w.out(p.Name); got != sums[p.Name] {
+		if got := w.inUse(p.Name); got != sums[p.Name] {
 			w.t.Fatalf("seed %d: %d units of %s count as out, %d are", seed, got, p.Name, sums[p.Name])
 		}
 	}
@@ -352,7 +352,7 @@
 	j.Earlier, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
 	m.Grants[j.Record.ID] = true
 	other := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
-	expect(t, "three may be there", w.out("p"), 3)
+	expect(t, "three may be there", w.inUse("p"), 3)
 	expect(t, "one is left", w.schedule(other), "[1]")
 	w.component.pools[0].drained = false
 	if raw, err := w.component.Show(w.now, "p"); err != nil || !strings.Contains(string(raw), `"uncertain":3`) || !strings.Contains(string(raw), "machines not heard") {
@@ -364,12 +364,12 @@
 	j.UnresolvedMachines--
 	w.component.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: w.now, Machine: m})
 	w.component.HandleEvent(cluster.Event{Kind: cluster.MachineProvedGone, At: w.now, Machine: m})
-	expect(t, "held after the loss", w.out("p"), 4)
+	expect(t, "held after the loss", w.inUse("p"), 4)
 	w.write()
 	w.startTerm(true)
-	expect(t, "and by the next leader", w.out("p"), 3)
+	expect(t, "and by the next leader", w.inUse("p"), 3)
 	w.now += 40 * time.Second
-	expect(t, "until the time is over", w.out("p"), 0)
+	expect(t, "until the time is over", w.inUse("p"), 0)
 }
 
 // A task that was on offer to a machine whose worker has died may have run there, while
@@ -379,7 +379,7 @@
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1), perTask("q", 1))
 	w.schedule(j)
 	w.component.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.machine})
-	expect(t, "the plan and the loss", []int64{w.out("p"), w.out("q")}, "[2 1]")
+	expect(t, "the plan and the loss", []int64{w.inUse("p"), w.inUse("q")}, "[2 1]")
 	other := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the loss is written", w.schedule(other), "[0]")
 	w.write()
@@ -398,10 +398,10 @@
 	w.read()
 	r := &workers.Report{Machine: "m", Tasks: []workers.TaskReport{{Job: 77, Task: 1, Attempt: 5, State: workers.Running}}}
 	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
-	expect(t, "it still runs", w.out("p"), 2)
+	expect(t, "it still runs", w.inUse("p"), 2)
 	r.Tasks[0].State = workers.Ended
 	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
-	expect(t, "it has ended", w.out("p"), 0)
+	expect(t, "it has ended", w.inUse("p"), 0)
 	// One of which nothing is known closes all pools while it is there.
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
 	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
