--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -35,7 +35,7 @@
 	cluster.NopComponent
 	*cluster.State
 	cal    *calendar.Calendar
-	book   *Model
+	model  *Model
 	demand demand
 	margin float64
 
@@ -85,7 +85,7 @@
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
-	return &Component{State: s, cal: cal, margin: x.LateMargin, book: NewModel(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, placedAt: map[workers.Ref]time.Duration{},
+	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, placedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, seen: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
 		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
@@ -182,7 +182,7 @@
 		d.hold(x.Fact.fact())
 	case x.Forgot != nil:
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
-		d.book.forgot[k] = max(d.book.forgot[k], x.Forgot.At)
+		d.model.forgot[k] = max(d.model.forgot[k], x.Forgot.At)
 	}
 }
 
@@ -208,10 +208,10 @@
 		return
 	}
 	d.seen[f.ID] = f.Day
-	for _, k := range d.book.AddRun(f) {
+	for _, k := range d.model.AddRun(f) {
 		d.shelf.push(d.shelf.place(k))
 	}
-	d.leave(d.book.takeGone())
+	d.leave(d.model.takeGone())
 	accepted := f.accepted()
 	night := d.cal.At(accepted)
 	d.demand.take(night.Day, night.Holiday, d.cal.Slot(accepted), f.Work)
@@ -229,8 +229,8 @@
 // cleaning may have left an older one behind a newer one. What they close, and what
 // the last leader has closed and not written, is written.
 func (d *Component) start(now time.Duration) {
-	d.book.drop()
-	d.leave(d.book.takeGone())
+	d.model.drop()
+	d.leave(d.model.takeGone())
 	held := d.held
 	d.held = nil
 	slices.SortStableFunc(held, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
@@ -263,7 +263,7 @@
 			delete(d.seen, id)
 		}
 	}
-	d.rolling = append(d.rolling, d.book.over(today.Day)...)
+	d.rolling = append(d.rolling, d.model.over(today.Day)...)
 	for _, n := range d.demand.close(today.Day) {
 		d.shelf.push(n)
 	}
@@ -278,7 +278,7 @@
 func (d *Component) roll() {
 	n := min(closeMost, len(d.rolling))
 	for _, k := range d.rolling[:n] {
-		if m := d.book.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
+		if m := d.model.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
 			m.close()
 			d.shelf.push(d.shelf.place(k))
 		}
@@ -292,7 +292,7 @@
 
 // estimate is what is expected of a job.
 func (d *Component) estimate(now time.Duration, j *jobs.Job) Estimate {
-	return d.book.Estimate(d.kind(j), j.Record.EstimateS, d.time(now).Unix())
+	return d.model.Estimate(d.kind(j), j.Record.EstimateS, d.time(now).Unix())
 }
 
 func (d *Component) run(now time.Duration, j *jobs.Job) *run {
@@ -462,7 +462,7 @@
 // needs says whether a fact is not in the values of all that it counts for.
 func (d *Component) needs(f *RunRecord) bool {
 	for _, k := range f.Kind.levels() {
-		if m := d.book.models[k]; m != nil && !d.written(k, f.Day) {
+		if m := d.model.models[k]; m != nil && !d.written(k, f.Day) {
 			return true
 		}
 	}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -125,7 +125,7 @@
 
 // counted is how many jobs the class has shown.
 func counted(d *Component, class string) int {
-	m := d.book.models[Kind{Class: class}]
+	m := d.model.models[Kind{Class: class}]
 	if m == nil {
 		return 0
 	}
@@ -276,7 +276,7 @@
 		done(k, 10, true, m)
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: time.Minute, Job: j})
-	if e := d.book.Estimate(Kind{Class: "c"}, 0, 0); e.P50 > 10.5 {
+	if e := d.model.Estimate(Kind{Class: "c"}, 0, 0); e.P50 > 10.5 {
 		t.Errorf("the class is estimated at %+v", e)
 	}
 	// All machines slow together are no slow machines: then the work takes longer.
@@ -287,7 +287,7 @@
 	for id := range uint64(30) {
 		w.job(d, 300+id, "c", 30)
 	}
-	if e := d.book.Estimate(Kind{Class: "c"}, 0, 0); e.P90 < 25 {
+	if e := d.model.Estimate(Kind{Class: "c"}, 0, 0); e.P90 < 25 {
 		t.Errorf("half of the night was three times slower, the class is estimated at %+v", e)
 	}
 }
@@ -409,7 +409,7 @@
 		if got := counted(d, "c"); got != life {
 			t.Errorf("life %d: %d jobs are counted", life, got)
 		}
-		if m := d.book.models[Kind{Class: "c", Team: "t"}]; m == nil || m.sum().est.Jobs != 6+life {
+		if m := d.model.models[Kind{Class: "c", Team: "t"}]; m == nil || m.sum().est.Jobs != 6+life {
 			t.Errorf("life %d: its team's is gone too", life)
 		}
 		w.now += time.Minute
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -279,7 +279,7 @@
 		out = d.ahead(now)
 	case "":
 		list := []shownKind{}
-		for k, m := range d.book.models {
+		for k, m := range d.model.models {
 			s := shownKind{Name: k.String(), Kind: k, Estimate: m.estimate(k, d.time(now).Unix())}
 			for _, n := range m.all() {
 				s.Nights = append(s.Nights, n.numbers())
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -66,8 +66,8 @@
 					d.Tick(time.Duration(i)*time.Millisecond, true)
 					d.ValuesRead(0, values[i:min(i+16, len(values))], i+16 < len(values), true)
 				}
-				if d.book.Len() != 10000 {
-					b.Fatal(d.book.Len())
+				if d.model.Len() != 10000 {
+					b.Fatal(d.model.Len())
 				}
 			}
 			b.ReportMetric(float64(total)/10000, "bytes/kind")
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -182,7 +182,7 @@
 // with the later nights counts, and the other one is written anew.
 func (d *Component) restore(n int, s *storedKind) {
 	k := kindOf(s.Kind, s.Holiday)
-	if at, ok := d.book.forgot[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
+	if at, ok := d.model.forgot[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
 		d.shelf.push(n)
 		return
 	}
@@ -193,10 +193,10 @@
 	}
 	d.shelf.remove(k)
 	d.shelf.put(n, k)
-	m := d.book.models[k]
+	m := d.model.models[k]
 	if m == nil {
 		m = &model{}
-		d.book.models[k] = m
+		d.model.models[k] = m
 	}
 	m.at, m.shown = max(m.at, s.At), nil
 	m.nights = nil
@@ -257,7 +257,7 @@
 		return v, st // all that it held is elsewhere
 	}
 	for _, k := range g.kinds {
-		m := d.book.models[k]
+		m := d.model.models[k]
 		if m == nil || len(m.nights) == 0 {
 			continue
 		}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -88,7 +88,7 @@
 	}
 	out.Forgot = len(in.Forget)
 	for _, x := range in.Kinds {
-		m, known := d.book.models[x.Kind]
+		m, known := d.model.models[x.Kind]
 		switch {
 		case known && !in.Replace:
 			out.Left++
@@ -96,18 +96,18 @@
 		case known:
 			out.Replaced++
 			m.nights, m.open = nil, nil
-		case len(d.book.models) >= d.book.most:
+		case len(d.model.models) >= d.model.most:
 			out.Dropped++
 			continue
 		default:
 			out.Added++
 			m = &model{}
-			d.book.models[x.Kind] = m
+			d.model.models[x.Kind] = m
 		}
 		for _, n := range x.Nights[max(0, len(x.Nights)-keepNights):] {
 			m.nights = append(m.nights, nightOf(n))
 		}
-		m.at, m.shown = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.book.forgot[x.Kind]+1), nil
+		m.at, m.shown = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.model.forgot[x.Kind]+1), nil
 		delete(d.wrote, x.Kind)
 		d.shelf.push(d.shelf.place(x.Kind))
 	}
@@ -125,7 +125,7 @@
 		return nil
 	}
 	byName := map[string]Kind{}
-	for k := range d.book.models {
+	for k := range d.model.models {
 		byName[k.String()] = k
 	}
 	for i, name := range list {
@@ -135,10 +135,10 @@
 	}
 	for _, name := range list {
 		k := byName[name]
-		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.time(now).Unix(), d.book.models[k].at)}
+		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.time(now).Unix(), d.model.models[k].at)}
 		d.append(entry{Forgot: &s})
-		d.book.forgot[k] = s.At
-		delete(d.book.models, k)
+		d.model.forgot[k] = s.At
+		delete(d.model.models, k)
 		d.leave([]Kind{k})
 	}
 	return nil
--- a/internal/leader/runtimes/transfer_test.go
+++ b/internal/leader/runtimes/transfer_test.go
@@ -57,13 +57,13 @@
 		fresh.write(n, 1)
 	}
 	for _, x := range []*Component{n, fresh.lead(t, 100)} {
-		a, b := d.book.Estimate(in.Kinds[0].Kind, 5, 0), x.book.Estimate(in.Kinds[0].Kind, 5, 0)
+		a, b := d.model.Estimate(in.Kinds[0].Kind, 5, 0), x.model.Estimate(in.Kinds[0].Kind, 5, 0)
 		if math.Abs(a.P50/b.P50-1) > .005 || math.Abs(a.P90/b.P90-1) > .005 || a.Jobs != b.Jobs { // three digits are exported
 			t.Errorf("estimated there %+v, here %+v", a, b)
 		}
 	}
 	small := fresh.lead(t, 2)
-	small.book = NewModel(2)
+	small.model = NewModel(2)
 	body, _ := json.Marshal(in)
 	if answer, err := small.Change(0, body); err != nil || !strings.Contains(string(answer), `"added":2`) || !strings.Contains(string(answer), `"dropped":3`) {
 		t.Errorf("into a full book: %s %v", answer, err)
@@ -86,8 +86,8 @@
 		w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
 		d := w.lead(t, 100)
 		_, err := d.Change(time.Second, json.RawMessage(`{"kinds":[`+good+`,`+bad+`]}`))
-		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") || d.book.Len() != 0 {
-			t.Errorf("%s: %v, %d kinds", bad, err, d.book.Len())
+		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") || d.model.Len() != 0 {
+			t.Errorf("%s: %v, %d kinds", bad, err, d.model.Len())
 		}
 	}
 }
