--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -39,14 +39,14 @@
 	demand demand
 	margin float64
 
-	runs     map[uint64]*run // open jobs of which something was seen, by id
-	placedAt map[workers.Ref]time.Duration
-	speeds   map[string]*speed // by machine
-	seen     map[uint64]int32  // jobs whose fact is counted, and its night
-	today    calendar.Night
-	facts    int          // entries of facts that may have to be kept
-	held     []*RunRecord // until the history is read
-	rolling  []Kind       // whose night is over and not closed yet
+	runs         map[uint64]*run // open jobs of which something was seen, by id
+	taskPlacedAt map[workers.Ref]time.Duration
+	speeds       map[string]*speed // by machine
+	seen         map[uint64]int32  // jobs whose fact is counted, and its night
+	today        calendar.Night
+	facts        int          // entries of facts that may have to be kept
+	held         []*RunRecord // until the history is read
+	rolling      []Kind       // whose night is over and not closed yet
 
 	history   cluster.ValueReader
 	shelf     *shelf
@@ -85,7 +85,7 @@
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
-	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, placedAt: map[workers.Ref]time.Duration{},
+	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, seen: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
 		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
@@ -312,20 +312,20 @@
 	case cluster.JobOrdered:
 		d.expect(e.At, e.Job)
 	case cluster.TaskPlaced:
-		d.placedAt[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
+		d.taskPlacedAt[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
 	case cluster.TaskBegan:
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if at, ok := d.placedAt[ref]; ok {
-			delete(d.placedAt, ref)
+		if at, ok := d.taskPlacedAt[ref]; ok {
+			delete(d.taskPlacedAt, ref)
 			add(d.run(e.At, e.Job).fetch, (e.At - at).Seconds(), 1)
 		}
 	case cluster.TaskGone:
-		delete(d.placedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
+		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
 		if e.Job.Record.Kind == jobs.Array {
 			d.run(e.At, e.Job).disturbed[e.Task] = true
 		}
 	case cluster.TaskDone:
-		delete(d.placedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
+		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
 		d.done(e)
 	case cluster.JobDone:
 		d.finished(e.At, e.Job)
