--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -42,7 +42,7 @@
 	runs         map[uint64]*run // open jobs of which something was seen, by id
 	taskPlacedAt map[workers.Ref]time.Duration
 	speeds       map[string]*speed // by machine
-	seen         map[uint64]int32  // jobs whose fact is counted, and its night
+	countedRuns  map[uint64]int32  // jobs whose fact is counted, and its night
 	today        calendar.Night
 	facts        int          // entries of facts that may have to be kept
 	held         []*RunRecord // until the history is read
@@ -86,7 +86,7 @@
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
 	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
-		speeds: map[string]*speed{}, seen: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
+		speeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
 		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
 
@@ -200,14 +200,14 @@
 }
 
 func (d *Component) count(f *RunRecord) {
-	if _, seen := d.seen[f.ID]; seen {
+	if _, seen := d.countedRuns[f.ID]; seen {
 		return
 	}
 	if !d.history.Done {
 		d.hold(f)
 		return
 	}
-	d.seen[f.ID] = f.Day
+	d.countedRuns[f.ID] = f.Day
 	for _, k := range d.model.AddRun(f) {
 		d.shelf.push(d.shelf.place(k))
 	}
@@ -258,9 +258,9 @@
 		return
 	}
 	d.today = today
-	for id, day := range d.seen {
+	for id, day := range d.countedRuns {
 		if day < today.Day-seenDays {
-			delete(d.seen, id)
+			delete(d.countedRuns, id)
 		}
 	}
 	d.rolling = append(d.rolling, d.model.over(today.Day)...)
