--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -39,14 +39,14 @@
 	demand demand
 	margin float64
 
-	runs         map[uint64]*run // open jobs of which something was seen, by id
-	taskPlacedAt map[workers.Ref]time.Duration
-	speeds       map[string]*speed // by machine
-	countedRuns  map[uint64]int32  // jobs whose fact is counted, and its night
-	today        calendar.Night
-	facts        int          // entries of facts that may have to be kept
-	held         []*RunRecord // until the history is read
-	rolling      []Kind       // whose night is over and not closed yet
+	runs          map[uint64]*run // open jobs of which something was seen, by id
+	taskPlacedAt  map[workers.Ref]time.Duration
+	speeds        map[string]*speed // by machine
+	countedRuns   map[uint64]int32  // jobs whose fact is counted, and its night
+	today         calendar.Night
+	loggedRecords int          // entries of facts that may have to be kept
+	held          []*RunRecord // until the history is read
+	rolling       []Kind       // whose night is over and not closed yet
 
 	history   cluster.ValueReader
 	shelf     *shelf
@@ -178,7 +178,7 @@
 	switch {
 	case !ok:
 	case x.Fact != nil:
-		d.facts++
+		d.loggedRecords++
 		d.hold(x.Fact.fact())
 	case x.Forgot != nil:
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
@@ -412,7 +412,7 @@
 	s.Work = round(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
 	if d.append(entry{Fact: &s}) {
 		d.count(s.fact())
-		d.facts++
+		d.loggedRecords++
 	}
 }
 
@@ -436,7 +436,7 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return d.facts * factBytes }
+func (d *Component) LiveBytes() int { return d.loggedRecords * factBytes }
 
 // Compact writes anew a fact that is in no value yet, and for some days that a kind was
 // forgotten.
@@ -449,7 +449,7 @@
 			d.EventLog.Append(e)
 			return
 		}
-		d.facts = max(0, d.facts-1)
+		d.loggedRecords = max(0, d.loggedRecords-1)
 	case x.Forgot != nil:
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
 		at := time.Unix(x.Forgot.At, 0)
