--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -39,14 +39,14 @@
 	demand demand
 	margin float64
 
-	runs          map[uint64]*run // open jobs of which something was seen, by id
-	taskPlacedAt  map[workers.Ref]time.Duration
-	speeds        map[string]*speed // by machine
-	countedRuns   map[uint64]int32  // jobs whose fact is counted, and its night
-	today         calendar.Night
-	loggedRecords int          // entries of facts that may have to be kept
-	held          []*RunRecord // until the history is read
-	rolling       []Kind       // whose night is over and not closed yet
+	runs            map[uint64]*run // open jobs of which something was seen, by id
+	taskPlacedAt    map[workers.Ref]time.Duration
+	speeds          map[string]*speed // by machine
+	countedRuns     map[uint64]int32  // jobs whose fact is counted, and its night
+	today           calendar.Night
+	loggedRecords   int          // entries of facts that may have to be kept
+	deferredRecords []*RunRecord // until the history is read
+	rolling         []Kind       // whose night is over and not closed yet
 
 	history   cluster.ValueReader
 	shelf     *shelf
@@ -188,8 +188,8 @@
 
 // hold keeps a fact until the history is read.
 func (d *Component) hold(f *RunRecord) {
-	if len(d.held) < heldMost {
-		d.held = append(d.held, f)
+	if len(d.deferredRecords) < heldMost {
+		d.deferredRecords = append(d.deferredRecords, f)
 	}
 }
 
@@ -231,8 +231,8 @@
 func (d *Component) start(now time.Duration) {
 	d.model.drop()
 	d.leave(d.model.takeGone())
-	held := d.held
-	d.held = nil
+	held := d.deferredRecords
+	d.deferredRecords = nil
 	slices.SortStableFunc(held, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
 	for _, f := range held {
 		d.count(f)
