--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -46,7 +46,7 @@
 	today           calendar.Night
 	loggedRecords   int          // entries of facts that may have to be kept
 	deferredRecords []*RunRecord // until the history is read
-	rolling         []Kind       // whose night is over and not closed yet
+	closingKinds    []Kind       // whose night is over and not closed yet
 
 	history   cluster.ValueReader
 	shelf     *shelf
@@ -263,7 +263,7 @@
 			delete(d.countedRuns, id)
 		}
 	}
-	d.rolling = append(d.rolling, d.model.over(today.Day)...)
+	d.closingKinds = append(d.closingKinds, d.model.over(today.Day)...)
 	for _, n := range d.demand.close(today.Day) {
 		d.shelf.push(n)
 	}
@@ -276,14 +276,14 @@
 
 // roll closes the night of some of the kinds for which it is over.
 func (d *Component) roll() {
-	n := min(closeMost, len(d.rolling))
-	for _, k := range d.rolling[:n] {
+	n := min(closeMost, len(d.closingKinds))
+	for _, k := range d.closingKinds[:n] {
 		if m := d.model.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
 			m.close()
 			d.shelf.push(d.shelf.place(k))
 		}
 	}
-	d.rolling = d.rolling[n:]
+	d.closingKinds = d.closingKinds[n:]
 }
 
 func (d *Component) kind(j *jobs.Job) Kind {
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -120,7 +120,7 @@
 		}
 		b.StartTimer()
 		longest, ticks := time.Duration(0), 0
-		for now := 40 * time.Hour; ticks == 0 || len(d.rolling) > 0; now += 50 * time.Millisecond {
+		for now := 40 * time.Hour; ticks == 0 || len(d.closingKinds) > 0; now += 50 * time.Millisecond {
 			from := time.Now()
 			d.Tick(now, true)
 			longest = max(longest, time.Since(from))
