--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -49,7 +49,7 @@
 	closingKinds    []Kind       // whose night is over and not closed yet
 
 	history   cluster.ValueReader
-	shelf     *shelf
+	store     *shelf
 	storing   *storing
 	wrote     map[Kind]int32 // the last night of each kind that is written
 	writtenAt time.Duration
@@ -85,7 +85,7 @@
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
-	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), shelf: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
+	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
 		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
@@ -209,7 +209,7 @@
 	}
 	d.countedRuns[f.ID] = f.Day
 	for _, k := range d.model.AddRun(f) {
-		d.shelf.push(d.shelf.place(k))
+		d.store.push(d.store.place(k))
 	}
 	d.leave(d.model.takeGone())
 	accepted := f.accepted()
@@ -221,7 +221,7 @@
 func (d *Component) leave(list []Kind) {
 	for _, k := range list {
 		delete(d.wrote, k)
-		d.shelf.remove(k)
+		d.store.remove(k)
 	}
 }
 
@@ -265,7 +265,7 @@
 	}
 	d.closingKinds = append(d.closingKinds, d.model.over(today.Day)...)
 	for _, n := range d.demand.close(today.Day) {
-		d.shelf.push(n)
+		d.store.push(n)
 	}
 	for name := range d.speeds {
 		if d.Inventory.Find(name) == nil {
@@ -280,7 +280,7 @@
 	for _, k := range d.closingKinds[:n] {
 		if m := d.model.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
 			m.close()
-			d.shelf.push(d.shelf.place(k))
+			d.store.push(d.store.place(k))
 		}
 	}
 	d.closingKinds = d.closingKinds[n:]
@@ -453,7 +453,7 @@
 	case x.Forgot != nil:
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
 		at := time.Unix(x.Forgot.At, 0)
-		if n, ok := d.shelf.home[k]; !d.history.Done || d.cal.At(at).Day >= d.today.Day-keepForgot || (ok && d.shelf.queued[n]) {
+		if n, ok := d.store.home[k]; !d.history.Done || d.cal.At(at).Day >= d.today.Day-keepForgot || (ok && d.store.queued[n]) {
 			d.EventLog.Append(e)
 		}
 	}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -500,8 +500,8 @@
 	if refused == 0 {
 		t.Fatal("nothing was refused")
 	}
-	if d.storing != nil || len(d.shelf.queue) > 0 {
-		t.Errorf("%d values still wait", len(d.shelf.queue))
+	if d.storing != nil || len(d.store.queue) > 0 {
+		t.Errorf("%d values still wait", len(d.store.queue))
 	}
 	next := w.lead(t, 100)
 	for id := range 9 {
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -150,7 +150,7 @@
 			d.setAside(v.Key, err)
 			continue
 		}
-		d.shelf.next = max(d.shelf.next, n+1)
+		d.store.next = max(d.store.next, n+1)
 		var s storedValue
 		if err := json.Unmarshal(v.Data, &s); err != nil {
 			d.setAside(v.Key, err)
@@ -183,16 +183,16 @@
 func (d *Component) restore(n int, s *storedKind) {
 	k := kindOf(s.Kind, s.Holiday)
 	if at, ok := d.model.forgot[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
-		d.shelf.push(n)
+		d.store.push(n)
 		return
 	}
 	last := int32(s.Nights[len(s.Nights)-1][0])
 	if d.written(k, last) {
-		d.shelf.push(n)
+		d.store.push(n)
 		return
 	}
-	d.shelf.remove(k)
-	d.shelf.put(n, k)
+	d.store.remove(k)
+	d.store.put(n, k)
 	m := d.model.models[k]
 	if m == nil {
 		m = &model{}
@@ -212,21 +212,21 @@
 		if d.EventLog.DurableCount() < d.storing.pos {
 			return
 		}
-		d.shelf.push(d.storing.n) // refused: with smaller values it is tried again
+		d.store.push(d.storing.n) // refused: with smaller values it is tried again
 		d.storing = nil
 	}
-	if len(d.shelf.queue) == 0 || now-d.writtenAt < d.pace || d.EventLog.Pending() > 0 {
+	if len(d.store.queue) == 0 || now-d.writtenAt < d.pace || d.EventLog.Pending() > 0 {
 		return
 	}
-	d.shelf.room = d.EventLog.MaxEntryBytes()
-	n := d.shelf.pop()
-	if n >= keepNights && d.shelf.spread(n) {
+	d.store.room = d.EventLog.MaxEntryBytes()
+	n := d.store.pop()
+	if n >= keepNights && d.store.spread(n) {
 		return
 	}
 	d.writtenAt = now
 	v, st := d.value(n)
 	raw, err := json.Marshal(v)
-	for cut := 1; err == nil && len(raw) > d.shelf.room && cut < keepNights; cut++ {
+	for cut := 1; err == nil && len(raw) > d.store.room && cut < keepNights; cut++ {
 		for i := range v.Kinds { // in small values the oldest nights go first
 			if k := &v.Kinds[i]; len(k.Nights) > 1 {
 				k.Nights = k.Nights[1:]
@@ -252,7 +252,7 @@
 		}
 		return v, st
 	}
-	g := d.shelf.groups[n]
+	g := d.store.groups[n]
 	if g == nil {
 		return v, st // all that it held is elsewhere
 	}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -109,7 +109,7 @@
 		}
 		m.at, m.shown = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.model.forgot[x.Kind]+1), nil
 		delete(d.wrote, x.Kind)
-		d.shelf.push(d.shelf.place(x.Kind))
+		d.store.push(d.store.place(x.Kind))
 	}
 	raw, err := json.Marshal(out)
 	if err != nil {
