--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -49,7 +49,7 @@
 	closingKinds    []Kind       // whose night is over and not closed yet
 
 	history   cluster.ValueReader
-	store     *shelf
+	store     *valueStore
 	storing   *storing
 	wrote     map[Kind]int32 // the last night of each kind that is written
 	writtenAt time.Duration
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -32,8 +32,8 @@
 
 // Values below keepNights hold the demand of one night each, the others kinds.
 
-// shelf says which value each kind is kept in, and which are to be written.
-type shelf struct {
+// valueStore says which value each kind is kept in, and which are to be written.
+type valueStore struct {
 	room   int // of a value, in bytes
 	groups map[int]*group
 	home   map[Kind]int
@@ -49,15 +49,15 @@
 	bytes int // when each of them has all its nights
 }
 
-func newShelf(room int) *shelf {
-	return &shelf{room: room, groups: map[int]*group{}, home: map[Kind]int{}, open: -1, next: keepNights, queued: map[int]bool{}}
+func newShelf(room int) *valueStore {
+	return &valueStore{room: room, groups: map[int]*group{}, home: map[Kind]int{}, open: -1, next: keepNights, queued: map[int]bool{}}
 }
 
 // size is roughly what a kind takes with all its nights.
 func size(k Kind) int { return 60 + len(k.String()) + keepNights*nightBytes }
 
 // put has a kind kept in a value.
-func (s *shelf) put(n int, k Kind) {
+func (s *valueStore) put(n int, k Kind) {
 	g := s.groups[n]
 	if g == nil {
 		g = &group{}
@@ -70,7 +70,7 @@
 }
 
 // remove has a kind kept nowhere.
-func (s *shelf) remove(k Kind) {
+func (s *valueStore) remove(k Kind) {
 	n, ok := s.home[k]
 	if !ok {
 		return
@@ -83,7 +83,7 @@
 }
 
 // place gives the value that a kind is kept in.
-func (s *shelf) place(k Kind) int {
+func (s *valueStore) place(k Kind) int {
 	if n, ok := s.home[k]; ok {
 		return n
 	}
@@ -95,14 +95,14 @@
 }
 
 // push has a value written when its turn comes.
-func (s *shelf) push(n int) {
+func (s *valueStore) push(n int) {
 	if !s.queued[n] {
 		s.queued[n] = true
 		s.queue = append(s.queue, n)
 	}
 }
 
-func (s *shelf) pop() int {
+func (s *valueStore) pop() int {
 	n := s.queue[0]
 	s.queue = s.queue[1:]
 	delete(s.queued, n)
@@ -112,7 +112,7 @@
 // spread moves kinds out of a value that is too full, into others: it may have been
 // written when values were larger. It says whether there was anything to move; the
 // others are written first then, so that every kind is always in one at least.
-func (s *shelf) spread(n int) bool {
+func (s *valueStore) spread(n int) bool {
 	g := s.groups[n]
 	if g == nil || g.bytes <= s.room || len(g.kinds) < 2 {
 		return false
