--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -500,7 +500,7 @@
 	if refused == 0 {
 		t.Fatal("nothing was refused")
 	}
-	if d.storing != nil || len(d.store.queue) > 0 {
+	if d.pending != nil || len(d.store.queue) > 0 {
 		t.Errorf("%d values still wait", len(d.store.queue))
 	}
 	next := w.lead(t, 100)
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -208,12 +208,12 @@
 
 // store writes one value, when nothing else waits and not too often.
 func (d *Component) store(now time.Duration) {
-	if d.storing != nil {
-		if d.EventLog.DurableCount() < d.storing.pos {
+	if d.pending != nil {
+		if d.EventLog.DurableCount() < d.pending.pos {
 			return
 		}
-		d.store.push(d.storing.n) // refused: with smaller values it is tried again
-		d.storing = nil
+		d.store.push(d.pending.n) // refused: with smaller values it is tried again
+		d.pending = nil
 	}
 	if len(d.store.queue) == 0 || now-d.writtenAt < d.pace || d.EventLog.Pending() > 0 {
 		return
@@ -239,7 +239,7 @@
 		return
 	}
 	st.pos = d.EventLog.AppendedCount()
-	d.storing = st
+	d.pending = st
 }
 
 // value is what a value holds now.
@@ -274,10 +274,10 @@
 // EntryDurable notes what is written.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := d.decode(e)
-	if !ok || x.Stored == nil || d.storing == nil || *x.Stored != d.storing.n {
+	if !ok || x.Stored == nil || d.pending == nil || *x.Stored != d.pending.n {
 		return
 	}
-	maps.Copy(d.wrote, d.storing.days)
-	d.demand.wrote = max(d.demand.wrote, d.storing.demand)
-	d.storing = nil
+	maps.Copy(d.wrote, d.pending.days)
+	d.demand.wrote = max(d.demand.wrote, d.pending.demand)
+	d.pending = nil
 }
