--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -50,7 +50,7 @@
 
 	history   cluster.ValueReader
 	store     *valueStore
-	pending   *storing
+	pending   *pendingWrite
 	wrote     map[Kind]int32 // the last night of each kind that is written
 	writtenAt time.Duration
 	pace      time.Duration // between values
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -131,8 +131,8 @@
 	return true
 }
 
-// storing is a value on its way.
-type storing struct {
+// pendingWrite is a value on its way.
+type pendingWrite struct {
 	n      int
 	pos    int            // it is settled when the log has come so far
 	days   map[Kind]int32 // the last night of each kind in it
@@ -243,8 +243,8 @@
 }
 
 // value is what a value holds now.
-func (d *Component) value(n int) (storedValue, *storing) {
-	v, st := storedValue{Version: valueVersion}, &storing{n: n, days: map[Kind]int32{}, demand: math.MinInt32}
+func (d *Component) value(n int) (storedValue, *pendingWrite) {
+	v, st := storedValue{Version: valueVersion}, &pendingWrite{n: n, days: map[Kind]int32{}, demand: math.MinInt32}
 	if n < keepNights {
 		v.Demand = d.demand.stored(n)
 		if v.Demand != nil {
