--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -48,12 +48,12 @@
 	deferredRecords []*RunRecord // until the history is read
 	closingKinds    []Kind       // whose night is over and not closed yet
 
-	history   cluster.ValueReader
-	store     *valueStore
-	pending   *pendingWrite
-	wrote     map[Kind]int32 // the last night of each kind that is written
-	writtenAt time.Duration
-	pace      time.Duration // between values
+	history       cluster.ValueReader
+	store         *valueStore
+	pending       *pendingWrite
+	durableNights map[Kind]int32 // the last night of each kind that is written
+	writtenAt     time.Duration
+	pace          time.Duration // between values
 
 	late     map[uint64]*Late
 	lookedAt time.Duration
@@ -86,7 +86,7 @@
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
 	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), pace: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
-		speeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, wrote: map[Kind]int32{}, late: map[uint64]*Late{},
+		speeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, late: map[uint64]*Late{},
 		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
 
@@ -195,7 +195,7 @@
 
 // written says whether a kind's summary up to a night is written.
 func (d *Component) written(k Kind, day int32) bool {
-	last, ok := d.wrote[k]
+	last, ok := d.durableNights[k]
 	return ok && last >= day
 }
 
@@ -220,7 +220,7 @@
 // leave has kinds that are in the book no more written nowhere.
 func (d *Component) leave(list []Kind) {
 	for _, k := range list {
-		delete(d.wrote, k)
+		delete(d.durableNights, k)
 		d.store.remove(k)
 	}
 }
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -203,7 +203,7 @@
 	for _, x := range s.Nights {
 		m.nights = append(m.nights, nightOf(x))
 	}
-	d.wrote[k] = last
+	d.durableNights[k] = last
 }
 
 // store writes one value, when nothing else waits and not too often.
@@ -277,7 +277,7 @@
 	if !ok || x.Stored == nil || d.pending == nil || *x.Stored != d.pending.n {
 		return
 	}
-	maps.Copy(d.wrote, d.pending.days)
+	maps.Copy(d.durableNights, d.pending.days)
 	d.demand.wrote = max(d.demand.wrote, d.pending.demand)
 	d.pending = nil
 }
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -108,7 +108,7 @@
 			m.nights = append(m.nights, nightOf(n))
 		}
 		m.at, m.shown = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.model.forgot[x.Kind]+1), nil
-		delete(d.wrote, x.Kind)
+		delete(d.durableNights, x.Kind)
 		d.store.push(d.store.place(x.Kind))
 	}
 	raw, err := json.Marshal(out)
