--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -52,7 +52,7 @@
 	store         *valueStore
 	pending       *pendingWrite
 	durableNights map[Kind]int32 // the last night of each kind that is written
-	writtenAt     time.Duration
+	lastWriteAt   time.Duration
 	pace          time.Duration // between values
 
 	late     map[uint64]*Late
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -215,7 +215,7 @@
 		d.store.push(d.pending.n) // refused: with smaller values it is tried again
 		d.pending = nil
 	}
-	if len(d.store.queue) == 0 || now-d.writtenAt < d.pace || d.EventLog.Pending() > 0 {
+	if len(d.store.queue) == 0 || now-d.lastWriteAt < d.pace || d.EventLog.Pending() > 0 {
 		return
 	}
 	d.store.room = d.EventLog.MaxEntryBytes()
@@ -223,7 +223,7 @@
 	if n >= keepNights && d.store.spread(n) {
 		return
 	}
-	d.writtenAt = now
+	d.lastWriteAt = now
 	v, st := d.value(n)
 	raw, err := json.Marshal(v)
 	for cut := 1; err == nil && len(raw) > d.store.room && cut < keepNights; cut++ {
