--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -196,7 +196,7 @@
 					d.Tick(w.now, true)
 				case 4:
 					for range 1 + r.IntN(9) {
-						w.now += d.pace
+						w.now += d.writeInterval
 						d.Tick(w.now, true)
 						if r.IntN(2) == 0 {
 							w.write(d, 1)
@@ -370,7 +370,7 @@
 	w.job(d, 1, "c", 10)
 	w.now += 30 * time.Hour
 	for range 20 {
-		w.now += d.pace
+		w.now += d.writeInterval
 		d.Tick(w.now, true)
 		w.write(d, 1)
 	}
@@ -392,7 +392,7 @@
 		w.write(d, 9)
 		w.now += 9 * time.Hour
 		for range 12 {
-			w.now += d.pace
+			w.now += d.writeInterval
 			d.Tick(w.now, true)
 			w.write(d, 1)
 		}
@@ -418,7 +418,7 @@
 		w.clean(t, d, rand.New(rand.NewPCG(uint64(life), 2)))
 		w.now += time.Duration(life) * 9 * time.Hour
 		for range 12 {
-			w.now += d.pace
+			w.now += d.writeInterval
 			d.Tick(w.now, true)
 			w.write(d, 1)
 		}
@@ -436,7 +436,7 @@
 		}
 		w.now += 30 * time.Hour
 		for range 40 {
-			w.now += d.pace
+			w.now += d.writeInterval
 			d.Tick(w.now, true)
 			w.write(d, 1)
 		}
@@ -448,7 +448,7 @@
 		w.write(d, 99)
 		w.now += 24 * time.Hour
 		for range kill {
-			w.now += d.pace
+			w.now += d.writeInterval
 			d.Tick(w.now, true)
 			w.write(d, 1)
 		}
@@ -460,7 +460,7 @@
 				}
 			}
 			for range 9 {
-				w.now += d.pace
+				w.now += d.writeInterval
 				d.Tick(w.now, true)
 				w.write(d, 1)
 			}
@@ -480,7 +480,7 @@
 	w.now += 30 * time.Hour
 	refused := 0
 	for range 400 {
-		w.now += d.pace
+		w.now += d.writeInterval
 		d.Tick(w.now, true)
 		if txn := d.EventLog.NextTransaction(w.now); txn != nil {
 			large := slices.ContainsFunc(txn.Writes, func(o eventlog.Write) bool { return len(o.Value) > 2000 })
@@ -537,7 +537,7 @@
 		w.write(d, 99)
 		w.now += 6 * time.Hour
 		for range 30 {
-			w.now += d.pace
+			w.now += d.writeInterval
 			d.Tick(w.now, true)
 			w.write(d, 1)
 		}
@@ -595,7 +595,7 @@
 		w.write(d, 1000)
 		w.now += 24 * time.Hour
 		for range 200 {
-			w.now += d.pace / 5
+			w.now += d.writeInterval / 5
 			before := d.EventLog.Pending()
 			d.Tick(w.now, true)
 			if after := d.EventLog.Pending(); after > before+1 || (before > 0 && after > before) {
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -215,7 +215,7 @@
 		d.store.push(d.pending.n) // refused: with smaller values it is tried again
 		d.pending = nil
 	}
-	if len(d.store.queue) == 0 || now-d.lastWriteAt < d.pace || d.EventLog.Pending() > 0 {
+	if len(d.store.queue) == 0 || now-d.lastWriteAt < d.writeInterval || d.EventLog.Pending() > 0 {
 		return
 	}
 	d.store.room = d.EventLog.MaxEntryBytes()
--- a/internal/leader/runtimes/transfer_test.go
+++ b/internal/leader/runtimes/transfer_test.go
@@ -52,7 +52,7 @@
 		t.Errorf("replacing: %+v", got)
 	}
 	for range 60 {
-		fresh.now += n.pace
+		fresh.now += n.writeInterval
 		n.Tick(fresh.now, true)
 		fresh.write(n, 1)
 	}
