--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -432,7 +432,7 @@
 		d.look(now)
 	}
 	d.roll()
-	d.store(now)
+	d.writeNext(now)
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -206,8 +206,8 @@
 	d.durableNights[k] = last
 }
 
-// store writes one value, when nothing else waits and not too often.
-func (d *Component) store(now time.Duration) {
+// writeNext writes one value, when nothing else waits and not too often.
+func (d *Component) writeNext(now time.Duration) {
 	if d.pending != nil {
 		if d.EventLog.DurableCount() < d.pending.pos {
 			return
