--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -167,7 +167,7 @@
 		}
 		learned := d.learned(f.Estimate)
 		left := j.AcceptedAt + learned - now
-		l := d.late[j.Record.ID]
+		l := d.lateJobs[j.Record.ID]
 		if l == nil && (f.EndS <= left.Seconds() || float64(left) > warnShare*float64(learned)) {
 			continue
 		}
@@ -176,7 +176,7 @@
 		raised := l == nil
 		if raised {
 			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.time(now).UnixMilli(), LeadS: left.Seconds()}
-			d.late[j.Record.ID] = l
+			d.lateJobs[j.Record.ID] = l
 			d.leads.Observe(why, max(0, left.Seconds()))
 			d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
 				"expected_end", round(age+f.EndS), "from", f.Estimate.From)
@@ -209,8 +209,8 @@
 
 // clear ends a warning.
 func (d *Component) clear(id uint64, how string) {
-	if l := d.late[id]; l != nil {
-		delete(d.late, id)
+	if l := d.lateJobs[id]; l != nil {
+		delete(d.lateJobs, id)
 		d.tell(*l, how)
 		d.LogMessage(effects.Info, "a late job is over", "job", l.Job, "class", l.Class, "how", how)
 	}
@@ -268,7 +268,7 @@
 		out = append([]Forecast{}, d.forecasts(now)...)
 	case "late":
 		list := []Late{}
-		for _, l := range d.late {
+		for _, l := range d.lateJobs {
 			list = append(list, *l)
 		}
 		slices.SortFunc(list, func(a, b Late) int {
