--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -55,9 +55,9 @@
 	lastWriteAt   time.Duration
 	writeInterval time.Duration // between values
 
-	lateJobs map[uint64]*Late
-	lookedAt time.Duration
-	leads    *cluster.Histogram
+	lateJobs    map[uint64]*Late
+	lastCheckAt time.Duration
+	leads       *cluster.Histogram
 }
 
 // run is what is known of an open job's tasks.
@@ -426,8 +426,8 @@
 		d.history.RequestNext(d.State, now, Name)
 		return
 	}
-	if now-d.lookedAt >= max(lookEvery, time.Duration(d.Estimator.Len())*lookRest) {
-		d.lookedAt = now
+	if now-d.lastCheckAt >= max(lookEvery, time.Duration(d.Estimator.Len())*lookRest) {
+		d.lastCheckAt = now
 		d.newDay(now)
 		d.look(now)
 	}
