--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -57,7 +57,7 @@
 
 	lateJobs    map[uint64]*Late
 	lastCheckAt time.Duration
-	leads       *cluster.Histogram
+	leadTimes   *cluster.Histogram
 }
 
 // run is what is known of an open job's tasks.
@@ -87,7 +87,7 @@
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
 	return &Component{State: s, cal: cal, margin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
-		leads: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
+		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
 
 // entry is one of the duty's own in the log: what a job has shown, that a value was
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -177,7 +177,7 @@
 		if raised {
 			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.time(now).UnixMilli(), LeadS: left.Seconds()}
 			d.lateJobs[j.Record.ID] = l
-			d.leads.Observe(why, max(0, left.Seconds()))
+			d.leadTimes.Observe(why, max(0, left.Seconds()))
 			d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
 				"expected_end", round(age+f.EndS), "from", f.Estimate.From)
 		}
