--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -155,7 +155,7 @@
 
 // learned is the learned time of jobs like one, with the operators' margin.
 func (d *Component) learned(e Estimate) time.Duration {
-	return time.Duration(e.JobP90 * d.margin * float64(time.Second))
+	return time.Duration(e.JobP90 * d.lateMargin * float64(time.Second))
 }
 
 // look raises, updates and clears warnings.
