--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -34,7 +34,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	cal        *calendar.Calendar
+	calendar   *calendar.Calendar
 	model      *Model
 	demand     demand
 	lateMargin float64
@@ -85,7 +85,7 @@
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
-	return &Component{State: s, cal: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
+	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
 		speeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
 		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
@@ -213,8 +213,8 @@
 	}
 	d.leave(d.model.takeGone())
 	accepted := f.accepted()
-	night := d.cal.At(accepted)
-	d.demand.take(night.Day, night.Holiday, d.cal.Slot(accepted), f.Work)
+	night := d.calendar.At(accepted)
+	d.demand.take(night.Day, night.Holiday, d.calendar.Slot(accepted), f.Work)
 }
 
 // leave has kinds that are in the book no more written nowhere.
@@ -253,7 +253,7 @@
 
 // newDay notes which night it is. Those before it are closed for all kinds.
 func (d *Component) newDay(now time.Duration) {
-	today := d.cal.At(d.time(now))
+	today := d.calendar.At(d.time(now))
 	if today == d.today {
 		return
 	}
@@ -453,7 +453,7 @@
 	case x.Forgot != nil:
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
 		at := time.Unix(x.Forgot.At, 0)
-		if n, ok := d.store.home[k]; !d.history.Done || d.cal.At(at).Day >= d.today.Day-keepForgot || (ok && d.store.queued[n]) {
+		if n, ok := d.store.home[k]; !d.history.Done || d.calendar.At(at).Day >= d.today.Day-keepForgot || (ok && d.store.queued[n]) {
 			d.EventLog.Append(e)
 		}
 	}
@@ -466,5 +466,5 @@
 			return true
 		}
 	}
-	return f.Work > 0 && d.demand.unwritten(d.cal.At(f.accepted()).Day)
+	return f.Work > 0 && d.demand.unwritten(d.calendar.At(f.accepted()).Day)
 }
