--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -41,7 +41,7 @@
 
 	runs            map[uint64]*run // open jobs of which something was seen, by id
 	taskPlacedAt    map[workers.Ref]time.Duration
-	speeds          map[string]*speed // by machine
+	machineSpeeds   map[string]*speed // by machine
 	countedRuns     map[uint64]int32  // jobs whose fact is counted, and its night
 	today           calendar.Night
 	loggedRecords   int          // entries of facts that may have to be kept
@@ -86,7 +86,7 @@
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
 	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
-		speeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
+		machineSpeeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
 		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
 
@@ -267,9 +267,9 @@
 	for _, n := range d.demand.close(today.Day) {
 		d.store.push(n)
 	}
-	for name := range d.speeds {
+	for name := range d.machineSpeeds {
 		if d.Inventory.Find(name) == nil {
-			delete(d.speeds, name)
+			delete(d.machineSpeeds, name)
 		}
 	}
 }
@@ -366,10 +366,10 @@
 	if r.est.Tasks == 0 || r.est.P50 <= 0 {
 		return false
 	}
-	s := d.speeds[e.Machine.Name]
+	s := d.machineSpeeds[e.Machine.Name]
 	if s == nil {
 		s = &speed{}
-		d.speeds[e.Machine.Name] = s
+		d.machineSpeeds[e.Machine.Name] = s
 	}
 	s.n++
 	s.log += (math.Log(e.RunSeconds/r.est.P50) - s.log) / float64(min(s.n, 2*slowAfter))
@@ -379,12 +379,12 @@
 // isSlow says whether a machine is far slower than the others: not when all of
 // them are.
 func (d *Component) isSlow(machine string) bool {
-	s := d.speeds[machine]
+	s := d.machineSpeeds[machine]
 	if s == nil || s.n < slowAfter || s.log < math.Log(slowRatio) {
 		return false
 	}
 	slow, known := 0, 0
-	for _, o := range d.speeds {
+	for _, o := range d.machineSpeeds {
 		if o.n >= slowAfter {
 			known++
 			if o.log >= math.Log(slowRatio) {
