--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -93,7 +93,7 @@
 // entry is one of the duty's own in the log: what a job has shown, that a value was
 // written, or that a kind was forgotten.
 type entry struct {
-	Fact   *storedFact   `json:"f,omitempty"`
+	Record *storedFact   `json:"f,omitempty"`
 	Stored *int          `json:"w,omitempty"`
 	Forgot *storedForgot `json:"x,omitempty"`
 }
@@ -177,9 +177,9 @@
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
-	case x.Fact != nil:
+	case x.Record != nil:
 		d.loggedRecords++
-		d.hold(x.Fact.fact())
+		d.hold(x.Record.fact())
 	case x.Forgot != nil:
 		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
 		d.model.forgot[k] = max(d.model.forgot[k], x.Forgot.At)
@@ -410,7 +410,7 @@
 		s.Task[i] = round(quantile(r.task, q))
 	}
 	s.Work = round(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
-	if d.append(entry{Fact: &s}) {
+	if d.append(entry{Record: &s}) {
 		d.count(s.fact())
 		d.loggedRecords++
 	}
@@ -444,8 +444,8 @@
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
-	case x.Fact != nil:
-		if !d.history.Done || d.needs(x.Fact.fact()) {
+	case x.Record != nil:
+		if !d.history.Done || d.needs(x.Record.fact()) {
 			d.EventLog.Append(e)
 			return
 		}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -160,8 +160,8 @@
 		}
 		for _, e := range list {
 			var x entry
-			if e.Component != nil && json.Unmarshal(e.Component.Data, &x) == nil && x.Fact != nil {
-				into[x.Fact.ID] = x.Fact.Work
+			if e.Component != nil && json.Unmarshal(e.Component.Data, &x) == nil && x.Record != nil {
+				into[x.Record.ID] = x.Record.Work
 			}
 		}
 	}
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -25,10 +25,10 @@
 	var facts []*RunRecord
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var e entry
-		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Fact == nil {
+		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Record == nil {
 			t.Fatal(err)
 		}
-		facts = append(facts, e.Fact.fact())
+		facts = append(facts, e.Record.fact())
 	}
 	slices.SortFunc(facts, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
 	if len(facts) < 300 {
