--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -93,9 +93,9 @@
 // entry is one of the duty's own in the log: what a job has shown, that a value was
 // written, or that a kind was forgotten.
 type entry struct {
-	Record *storedFact   `json:"f,omitempty"`
-	Stored *int          `json:"w,omitempty"`
-	Forgot *storedForgot `json:"x,omitempty"`
+	Record    *storedFact   `json:"f,omitempty"`
+	Stored    *int          `json:"w,omitempty"`
+	Forgotten *storedForgot `json:"x,omitempty"`
 }
 
 type storedForgot struct {
@@ -180,9 +180,9 @@
 	case x.Record != nil:
 		d.loggedRecords++
 		d.hold(x.Record.fact())
-	case x.Forgot != nil:
-		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
-		d.model.forgot[k] = max(d.model.forgot[k], x.Forgot.At)
+	case x.Forgotten != nil:
+		k := kindOf(x.Forgotten.Kind, x.Forgotten.Holiday)
+		d.model.forgot[k] = max(d.model.forgot[k], x.Forgotten.At)
 	}
 }
 
@@ -450,9 +450,9 @@
 			return
 		}
 		d.loggedRecords = max(0, d.loggedRecords-1)
-	case x.Forgot != nil:
-		k := kindOf(x.Forgot.Kind, x.Forgot.Holiday)
-		at := time.Unix(x.Forgot.At, 0)
+	case x.Forgotten != nil:
+		k := kindOf(x.Forgotten.Kind, x.Forgotten.Holiday)
+		at := time.Unix(x.Forgotten.At, 0)
 		if n, ok := d.store.home[k]; !d.history.Done || d.calendar.At(at).Day >= d.today.Day-keepForgot || (ok && d.store.queued[n]) {
 			d.EventLog.Append(e)
 		}
