--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -179,15 +179,15 @@
 	case !ok:
 	case x.Record != nil:
 		d.loggedRecords++
-		d.hold(x.Record.fact())
+		d.deferRecord(x.Record.fact())
 	case x.Forgotten != nil:
 		k := kindOf(x.Forgotten.Kind, x.Forgotten.Holiday)
 		d.model.forgot[k] = max(d.model.forgot[k], x.Forgotten.At)
 	}
 }
 
-// hold keeps a fact until the history is read.
-func (d *Component) hold(f *RunRecord) {
+// deferRecord keeps a fact until the history is read.
+func (d *Component) deferRecord(f *RunRecord) {
 	if len(d.deferredRecords) < heldMost {
 		d.deferredRecords = append(d.deferredRecords, f)
 	}
@@ -204,7 +204,7 @@
 		return
 	}
 	if !d.history.Done {
-		d.hold(f)
+		d.deferRecord(f)
 		return
 	}
 	d.countedRuns[f.ID] = f.Day
