--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -193,8 +193,8 @@
 	}
 }
 
-// written says whether a kind's summary up to a night is written.
-func (d *Component) written(k Kind, day int32) bool {
+// nightDurable says whether a kind's summary up to a night is written.
+func (d *Component) nightDurable(k Kind, day int32) bool {
 	last, ok := d.durableNights[k]
 	return ok && last >= day
 }
@@ -462,7 +462,7 @@
 // needs says whether a fact is not in the values of all that it counts for.
 func (d *Component) needs(f *RunRecord) bool {
 	for _, k := range f.Kind.levels() {
-		if m := d.model.models[k]; m != nil && !d.written(k, f.Day) {
+		if m := d.model.models[k]; m != nil && !d.nightDurable(k, f.Day) {
 			return true
 		}
 	}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -187,7 +187,7 @@
 		return
 	}
 	last := int32(s.Nights[len(s.Nights)-1][0])
-	if d.written(k, last) {
+	if d.nightDurable(k, last) {
 		d.store.push(n)
 		return
 	}
