--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -199,7 +199,7 @@
 	return ok && last >= day
 }
 
-func (d *Component) count(f *RunRecord) {
+func (d *Component) countRecord(f *RunRecord) {
 	if _, seen := d.countedRuns[f.ID]; seen {
 		return
 	}
@@ -235,7 +235,7 @@
 	d.deferredRecords = nil
 	slices.SortStableFunc(held, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
 	for _, f := range held {
-		d.count(f)
+		d.countRecord(f)
 	}
 	d.today = calendar.Night{}
 	d.newDay(now)
@@ -411,7 +411,7 @@
 	}
 	s.Work = round(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
 	if d.append(entry{Record: &s}) {
-		d.count(s.fact())
+		d.countRecord(s.fact())
 		d.loggedRecords++
 	}
 }
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -96,7 +96,7 @@
 		values = nil
 		closed := heap()
 		for n := range 9000 {
-			d.count(factOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(factOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
 		}
 		open := heap()
 		b.ReportMetric((closed-before)/9000, "closed-B/kind")
@@ -116,7 +116,7 @@
 		d.ValuesRead(0, nil, false, true)
 		d.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
 		for n := range 9000 {
-			d.count(factOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(factOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
 		}
 		b.StartTimer()
 		longest, ticks := time.Duration(0), 0
