--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -211,14 +211,14 @@
 	for _, k := range d.model.AddRun(f) {
 		d.store.push(d.store.place(k))
 	}
-	d.leave(d.model.takeGone())
+	d.removeFromStore(d.model.takeGone())
 	accepted := f.accepted()
 	night := d.calendar.At(accepted)
 	d.demand.take(night.Day, night.Holiday, d.calendar.Slot(accepted), f.Work)
 }
 
-// leave has kinds that are in the book no more written nowhere.
-func (d *Component) leave(list []Kind) {
+// removeFromStore has kinds that are in the book no more written nowhere.
+func (d *Component) removeFromStore(list []Kind) {
 	for _, k := range list {
 		delete(d.durableNights, k)
 		d.store.remove(k)
@@ -230,7 +230,7 @@
 // the last leader has closed and not written, is written.
 func (d *Component) start(now time.Duration) {
 	d.model.drop()
-	d.leave(d.model.takeGone())
+	d.removeFromStore(d.model.takeGone())
 	held := d.deferredRecords
 	d.deferredRecords = nil
 	slices.SortStableFunc(held, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -139,7 +139,7 @@
 		d.append(entry{Forgotten: &s})
 		d.model.forgot[k] = s.At
 		delete(d.model.models, k)
-		d.leave([]Kind{k})
+		d.removeFromStore([]Kind{k})
 	}
 	return nil
 }
