--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -225,10 +225,10 @@
 	}
 }
 
-// start counts the facts that waited for the history, in the order of their nights:
+// historyLoaded counts the facts that waited for the history, in the order of their nights:
 // cleaning may have left an older one behind a newer one. What they close, and what
 // the last leader has closed and not written, is written.
-func (d *Component) start(now time.Duration) {
+func (d *Component) historyLoaded(now time.Duration) {
 	d.model.drop()
 	d.removeFromStore(d.model.takeGone())
 	held := d.deferredRecords
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -168,7 +168,7 @@
 		}
 	}
 	if d.history.Done {
-		d.start(now)
+		d.historyLoaded(now)
 	}
 }
 
