--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -143,11 +143,11 @@
 func (d *Component) ahead(now time.Duration) []Expected {
 	out := []Expected{}
 	rented := d.CPUs()
-	at := d.calendar.Quarter(d.time(now))
+	at := d.calendar.Quarter(d.wallClock(now))
 	for range aheadSlots {
 		night := d.calendar.At(at)
 		n, median, most := d.demand.expect(night.Holiday, d.calendar.Slot(at))
-		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.time(now)).Seconds()), Nights: n, Work: round(median), Most: round(most),
+		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.wallClock(now)).Seconds()), Nights: n, Work: round(median), Most: round(most),
 			CPUs: round(median / slotLasts.Seconds()), CPUsMost: round(most / slotLasts.Seconds()), Now: round(rented)})
 		at = at.Add(slotLasts)
 	}
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -246,14 +246,14 @@
 	}
 }
 
-// time is the time of day.
-func (d *Component) time(now time.Duration) time.Time {
+// wallClock is the time of day.
+func (d *Component) wallClock(now time.Duration) time.Time {
 	return time.UnixMilli(d.ClockZeroMS + now.Milliseconds())
 }
 
 // newDay notes which night it is. Those before it are closed for all kinds.
 func (d *Component) newDay(now time.Duration) {
-	today := d.calendar.At(d.time(now))
+	today := d.calendar.At(d.wallClock(now))
 	if today == d.today {
 		return
 	}
@@ -292,7 +292,7 @@
 
 // estimate is what is expected of a job.
 func (d *Component) estimate(now time.Duration, j *jobs.Job) Estimate {
-	return d.model.Estimate(d.kind(j), j.Record.EstimateS, d.time(now).Unix())
+	return d.model.Estimate(d.kind(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
 
 func (d *Component) run(now time.Duration, j *jobs.Job) *run {
@@ -404,7 +404,7 @@
 		return
 	}
 	d.newDay(now)
-	s := storedFact{ID: j.Record.ID, At: d.time(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
+	s := storedFact{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
 		Fetch: round(quantile(r.fetch, .5)), Job: round((now - j.AcceptedAt).Seconds()), Estimate: round(j.Record.EstimateS)}
 	for i, q := range points {
 		s.Task[i] = round(quantile(r.task, q))
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -175,7 +175,7 @@
 		why := d.why(now, j, f)
 		raised := l == nil
 		if raised {
-			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.time(now).UnixMilli(), LeadS: left.Seconds()}
+			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.wallClock(now).UnixMilli(), LeadS: left.Seconds()}
 			d.lateJobs[j.Record.ID] = l
 			d.leadTimes.Observe(why, max(0, left.Seconds()))
 			d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
@@ -280,7 +280,7 @@
 	case "":
 		list := []shownKind{}
 		for k, m := range d.model.models {
-			s := shownKind{Name: k.String(), Kind: k, Estimate: m.estimate(k, d.time(now).Unix())}
+			s := shownKind{Name: k.String(), Kind: k, Estimate: m.estimate(k, d.wallClock(now).Unix())}
 			for _, n := range m.all() {
 				s.Nights = append(s.Nights, n.numbers())
 			}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -135,7 +135,7 @@
 	}
 	for _, name := range list {
 		k := byName[name]
-		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.time(now).Unix(), d.model.models[k].at)}
+		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.models[k].at)}
 		d.append(entry{Forgotten: &s})
 		d.model.forgot[k] = s.At
 		delete(d.model.models, k)
