--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -238,7 +238,7 @@
 		d.countRecord(f)
 	}
 	d.today = calendar.Night{}
-	d.newDay(now)
+	d.startNight(now)
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open {
 			d.expect(now, j)
@@ -251,8 +251,8 @@
 	return time.UnixMilli(d.ClockZeroMS + now.Milliseconds())
 }
 
-// newDay notes which night it is. Those before it are closed for all kinds.
-func (d *Component) newDay(now time.Duration) {
+// startNight notes which night it is. Those before it are closed for all kinds.
+func (d *Component) startNight(now time.Duration) {
 	today := d.calendar.At(d.wallClock(now))
 	if today == d.today {
 		return
@@ -403,7 +403,7 @@
 	if r == nil || r.n == 0 {
 		return
 	}
-	d.newDay(now)
+	d.startNight(now)
 	s := storedFact{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
 		Fetch: round(quantile(r.fetch, .5)), Job: round((now - j.AcceptedAt).Seconds()), Estimate: round(j.Record.EstimateS)}
 	for i, q := range points {
@@ -428,7 +428,7 @@
 	}
 	if now-d.lastCheckAt >= max(lookEvery, time.Duration(d.Estimator.Len())*lookRest) {
 		d.lastCheckAt = now
-		d.newDay(now)
+		d.startNight(now)
 		d.look(now)
 	}
 	d.roll()
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -543,7 +543,7 @@
 		}
 	}
 	for i, x := range []*Component{d, w.lead(t, 100)} {
-		x.newDay(w.now)
+		x.startNight(w.now)
 		at := 14*24*time.Hour + 20*time.Hour
 		var peak *Expected
 		total := 0.0
