--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -274,8 +274,8 @@
 	}
 }
 
-// roll closes the night of some of the kinds for which it is over.
-func (d *Component) roll() {
+// closeNights closes the night of some of the kinds for which it is over.
+func (d *Component) closeNights() {
 	n := min(closeMost, len(d.closingKinds))
 	for _, k := range d.closingKinds[:n] {
 		if m := d.model.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
@@ -431,7 +431,7 @@
 		d.startNight(now)
 		d.look(now)
 	}
-	d.roll()
+	d.closeNights()
 	d.writeNext(now)
 }
 
