--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -286,19 +286,19 @@
 	d.closingKinds = d.closingKinds[n:]
 }
 
-func (d *Component) kind(j *jobs.Job) Kind {
+func (d *Component) kindOfJob(j *jobs.Job) Kind {
 	return Kind{Class: j.Record.Class, Team: j.Record.Team, Image: j.Record.Image, Shape: shape(len(j.Tasks), j.Need.CPU), Holiday: d.today.Holiday}
 }
 
 // estimate is what is expected of a job.
 func (d *Component) estimate(now time.Duration, j *jobs.Job) Estimate {
-	return d.model.Estimate(d.kind(j), j.Record.EstimateS, d.wallClock(now).Unix())
+	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
 
 func (d *Component) run(now time.Duration, j *jobs.Job) *run {
 	r := d.runs[j.Record.ID]
 	if r == nil {
-		r = &run{kind: d.kind(j), est: d.estimate(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
+		r = &run{kind: d.kindOfJob(j), est: d.estimate(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
 		d.runs[j.Record.ID] = r
 	}
 	return r
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -111,7 +111,7 @@
 // much work it is, in processor seconds.
 func (d *Component) forecast(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
 	e := d.estimate(now, j)
-	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kind(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
+	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kindOfJob(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
 	each := max(j.Share, j.Need.CPUs(), 0.001)
 	if l := d.Scheduler.Limits[j.Team].CPU; l > 0 {
 		cpus = min(cpus, float64(l)/1000)
