--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -290,15 +290,15 @@
 	return Kind{Class: j.Record.Class, Team: j.Record.Team, Image: j.Record.Image, Shape: shape(len(j.Tasks), j.Need.CPU), Holiday: d.today.Holiday}
 }
 
-// estimate is what is expected of a job.
-func (d *Component) estimate(now time.Duration, j *jobs.Job) Estimate {
+// estimateJob is what is expected of a job.
+func (d *Component) estimateJob(now time.Duration, j *jobs.Job) Estimate {
 	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
 
 func (d *Component) run(now time.Duration, j *jobs.Job) *run {
 	r := d.runs[j.Record.ID]
 	if r == nil {
-		r = &run{kind: d.kindOfJob(j), est: d.estimate(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
+		r = &run{kind: d.kindOfJob(j), est: d.estimateJob(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
 		d.runs[j.Record.ID] = r
 	}
 	return r
@@ -340,7 +340,7 @@
 	if d.Cfg.Tunables.LearnedSizes == 0 || !d.history.Done {
 		return
 	}
-	if e := d.estimate(now, j); e.Tasks > 0 {
+	if e := d.estimateJob(now, j); e.Tasks > 0 {
 		d.Estimator.Expect(j.Index, e.Mean())
 	}
 }
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -110,7 +110,7 @@
 // forecast is that of one job that may begin so many seconds from now on, and how
 // much work it is, in processor seconds.
 func (d *Component) forecast(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
-	e := d.estimate(now, j)
+	e := d.estimateJob(now, j)
 	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kindOfJob(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
 	each := max(j.Share, j.Need.CPUs(), 0.001)
 	if l := d.Scheduler.Limits[j.Team].CPU; l > 0 {
