--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -295,7 +295,7 @@
 	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
 
-func (d *Component) run(now time.Duration, j *jobs.Job) *run {
+func (d *Component) runOf(now time.Duration, j *jobs.Job) *run {
 	r := d.runs[j.Record.ID]
 	if r == nil {
 		r = &run{kind: d.kindOfJob(j), est: d.estimateJob(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
@@ -317,12 +317,12 @@
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
 		if at, ok := d.taskPlacedAt[ref]; ok {
 			delete(d.taskPlacedAt, ref)
-			add(d.run(e.At, e.Job).fetch, (e.At - at).Seconds(), 1)
+			add(d.runOf(e.At, e.Job).fetch, (e.At - at).Seconds(), 1)
 		}
 	case cluster.TaskGone:
 		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
 		if e.Job.Record.Kind == jobs.Array {
-			d.run(e.At, e.Job).disturbed[e.Task] = true
+			d.runOf(e.At, e.Job).disturbed[e.Task] = true
 		}
 	case cluster.TaskDone:
 		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
@@ -349,7 +349,7 @@
 	if e.RunSeconds <= 0 || !e.FromThisTerm || e.Job.Record.Kind != jobs.Array {
 		return
 	}
-	r := d.run(e.At, e.Job)
+	r := d.runOf(e.At, e.Job)
 	if r.disturbed[e.Task] || e.Job.Saved[int32(e.Task)] > 0 {
 		return
 	}
