--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -241,7 +241,7 @@
 	d.startNight(now)
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open {
-			d.expect(now, j)
+			d.seedEstimator(now, j)
 		}
 	}
 }
@@ -310,7 +310,7 @@
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
-		d.expect(e.At, e.Job)
+		d.seedEstimator(e.At, e.Job)
 	case cluster.TaskPlaced:
 		d.taskPlacedAt[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
 	case cluster.TaskBegan:
@@ -335,8 +335,8 @@
 	}
 }
 
-// expect has a job's size start from what its kind has shown (learned_sizes).
-func (d *Component) expect(now time.Duration, j *jobs.Job) {
+// seedEstimator has a job's size start from what its kind has shown (learned_sizes).
+func (d *Component) seedEstimator(now time.Duration, j *jobs.Job) {
 	if d.Cfg.Tunables.LearnedSizes == 0 || !d.history.Done {
 		return
 	}
