--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -326,7 +326,7 @@
 		}
 	case cluster.TaskDone:
 		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
-		d.done(e)
+		d.taskDone(e)
 	case cluster.JobDone:
 		d.finished(e.At, e.Job)
 	case cluster.JobRemoved:
@@ -345,7 +345,7 @@
 	}
 }
 
-func (d *Component) done(e cluster.Event) {
+func (d *Component) taskDone(e cluster.Event) {
 	if e.RunSeconds <= 0 || !e.FromThisTerm || e.Job.Record.Kind != jobs.Array {
 		return
 	}
