--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -353,16 +353,16 @@
 	if r.disturbed[e.Task] || e.Job.Saved[int32(e.Task)] > 0 {
 		return
 	}
-	if d.slow(r, e) {
+	if d.observeSpeed(r, e) {
 		return
 	}
 	add(r.task, e.RunSeconds, 1)
 	r.n++
 }
 
-// slow notes how a machine's task went against what was expected, and says
+// observeSpeed notes how a machine's task went against what was expected, and says
 // whether the machine is known to be slow.
-func (d *Component) slow(r *run, e cluster.Event) bool {
+func (d *Component) observeSpeed(r *run, e cluster.Event) bool {
 	if r.est.Tasks == 0 || r.est.P50 <= 0 {
 		return false
 	}
