--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -328,7 +328,7 @@
 		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
 		d.taskDone(e)
 	case cluster.JobDone:
-		d.finished(e.At, e.Job)
+		d.jobDone(e.At, e.Job)
 	case cluster.JobRemoved:
 		delete(d.runs, e.Job.Record.ID)
 		d.clear(e.Job.Record.ID, "over")
@@ -395,8 +395,8 @@
 	return slow*4 <= known
 }
 
-// finished makes a fact of a job that is durably done.
-func (d *Component) finished(now time.Duration, j *jobs.Job) {
+// jobDone makes a fact of a job that is durably done.
+func (d *Component) jobDone(now time.Duration, j *jobs.Job) {
 	r := d.runs[j.Record.ID]
 	delete(d.runs, j.Record.ID)
 	d.clear(j.Record.ID, "done")
