--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -445,7 +445,7 @@
 	switch {
 	case !ok:
 	case x.Record != nil:
-		if !d.history.Done || d.needs(x.Record.fact()) {
+		if !d.history.Done || d.recordNeeded(x.Record.fact()) {
 			d.EventLog.Append(e)
 			return
 		}
@@ -459,8 +459,8 @@
 	}
 }
 
-// needs says whether a fact is not in the values of all that it counts for.
-func (d *Component) needs(f *RunRecord) bool {
+// recordNeeded says whether a fact is not in the values of all that it counts for.
+func (d *Component) recordNeeded(f *RunRecord) bool {
 	for _, k := range f.Kind.levels() {
 		if m := d.model.models[k]; m != nil && !d.nightDurable(k, f.Day) {
 			return true
