--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -138,7 +138,7 @@
 
 func kindOf(n [4]string, holiday bool) Kind { return Kind{n[0], n[1], n[2], n[3], holiday} }
 
-func (f *storedFact) fact() *RunRecord {
+func (f *storedFact) runRecord() *RunRecord {
 	return &RunRecord{ID: f.ID, At: f.At, Day: f.Day, Kind: kindOf(f.Kind, f.Holiday), N: f.N, Task: f.Task, Fetch: f.Fetch, Job: f.Job, Estimate: f.Estimate, Work: f.Work}
 }
 
@@ -179,7 +179,7 @@
 	case !ok:
 	case x.Record != nil:
 		d.loggedRecords++
-		d.deferRecord(x.Record.fact())
+		d.deferRecord(x.Record.runRecord())
 	case x.Forgotten != nil:
 		k := kindOf(x.Forgotten.Kind, x.Forgotten.Holiday)
 		d.model.forgot[k] = max(d.model.forgot[k], x.Forgotten.At)
@@ -411,7 +411,7 @@
 	}
 	s.Work = round(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
 	if d.append(entry{Record: &s}) {
-		d.countRecord(s.fact())
+		d.countRecord(s.runRecord())
 		d.loggedRecords++
 	}
 }
@@ -445,7 +445,7 @@
 	switch {
 	case !ok:
 	case x.Record != nil:
-		if !d.history.Done || d.recordNeeded(x.Record.fact()) {
+		if !d.history.Done || d.recordNeeded(x.Record.runRecord()) {
 			d.EventLog.Append(e)
 			return
 		}
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -28,7 +28,7 @@
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Record == nil {
 			t.Fatal(err)
 		}
-		facts = append(facts, e.Record.fact())
+		facts = append(facts, e.Record.runRecord())
 	}
 	slices.SortFunc(facts, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
 	if len(facts) < 300 {
