--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -161,7 +161,7 @@
 	return out, true
 }
 
-func (d *Component) append(e entry) bool {
+func (d *Component) appendEntry(e entry) bool {
 	own := eventlog.NewComponentEntry(Name, e) // round leaves no number that cannot be written
 	if !d.EventLog.Fits(own) {
 		return false
@@ -410,7 +410,7 @@
 		s.Task[i] = round(quantile(r.task, q))
 	}
 	s.Work = round(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
-	if d.append(entry{Record: &s}) {
+	if d.appendEntry(entry{Record: &s}) {
 		d.countRecord(s.runRecord())
 		d.loggedRecords++
 	}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -136,7 +136,7 @@
 	for _, name := range list {
 		k := byName[name]
 		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.models[k].at)}
-		d.append(entry{Forgotten: &s})
+		d.appendEntry(entry{Forgotten: &s})
 		d.model.forgot[k] = s.At
 		delete(d.model.models, k)
 		d.removeFromStore([]Kind{k})
