--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -429,7 +429,7 @@
 	if now-d.lastCheckAt >= max(lookEvery, time.Duration(d.Estimator.Len())*lookRest) {
 		d.lastCheckAt = now
 		d.startNight(now)
-		d.look(now)
+		d.checkLateJobs(now)
 	}
 	d.closeNights()
 	d.writeNext(now)
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -158,8 +158,8 @@
 	return time.Duration(e.JobP90 * d.lateMargin * float64(time.Second))
 }
 
-// look raises, updates and clears warnings.
-func (d *Component) look(now time.Duration) {
+// checkLateJobs raises, updates and clears warnings.
+func (d *Component) checkLateJobs(now time.Duration) {
 	for _, f := range d.forecasts(now) {
 		j := f.job
 		if f.Estimate.JobP90 <= 0 || j.Phase == jobs.Held {
