--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -183,7 +183,7 @@
 		}
 		l.Why, l.AgeS, l.LearnedS, l.EndS = why, round(age), round(learned.Seconds()), round(age+f.EndS)
 		if raised {
-			d.tell(*l, "raised")
+			d.notifyWebhook(*l, "raised")
 		}
 	}
 }
@@ -194,9 +194,9 @@
 	Late
 }
 
-// tell sends a warning to the operators' webhook. A job is told of once each way,
+// notifyWebhook sends a warning to the operators' webhook. A job is told of once each way,
 // and again under the same id by a new leader, which does not know that it was.
-func (d *Component) tell(l Late, what string) {
+func (d *Component) notifyWebhook(l Late, what string) {
 	if d.Cfg.Tunables.WebhookURL == "" {
 		return
 	}
@@ -211,7 +211,7 @@
 func (d *Component) clear(id uint64, how string) {
 	if l := d.lateJobs[id]; l != nil {
 		delete(d.lateJobs, id)
-		d.tell(*l, how)
+		d.notifyWebhook(*l, how)
 		d.LogMessage(effects.Info, "a late job is over", "job", l.Job, "class", l.Class, "how", how)
 	}
 }
