--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -331,7 +331,7 @@
 		d.jobDone(e.At, e.Job)
 	case cluster.JobRemoved:
 		delete(d.runs, e.Job.Record.ID)
-		d.clear(e.Job.Record.ID, "over")
+		d.clearWarning(e.Job.Record.ID, "over")
 	}
 }
 
@@ -399,7 +399,7 @@
 func (d *Component) jobDone(now time.Duration, j *jobs.Job) {
 	r := d.runs[j.Record.ID]
 	delete(d.runs, j.Record.ID)
-	d.clear(j.Record.ID, "done")
+	d.clearWarning(j.Record.ID, "done")
 	if r == nil || r.n == 0 {
 		return
 	}
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -207,8 +207,8 @@
 	d.Emit(effects.Notify{ID: "late/" + l.Job + "/" + what, Body: raw})
 }
 
-// clear ends a warning.
-func (d *Component) clear(id uint64, how string) {
+// clearWarning ends a warning.
+func (d *Component) clearWarning(id uint64, how string) {
 	if l := d.lateJobs[id]; l != nil {
 		delete(d.lateJobs, id)
 		d.notifyWebhook(*l, how)
