--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -172,7 +172,7 @@
 			continue
 		}
 		age := (now - j.AcceptedAt).Seconds()
-		why := d.why(now, j, f)
+		why := d.delayReason(now, j, f)
 		raised := l == nil
 		if raised {
 			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.wallClock(now).UnixMilli(), LeadS: left.Seconds()}
@@ -216,8 +216,8 @@
 	}
 }
 
-// why says what a late job waits for, the worst first.
-func (d *Component) why(now time.Duration, j *jobs.Job, f Forecast) string {
+// delayReason says what a late job waits for, the worst first.
+func (d *Component) delayReason(now time.Duration, j *jobs.Job, f Forecast) string {
 	if d.MayRunUnseen(j) && j.Waiting > 0 {
 		return "held back"
 	}
