--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -304,7 +304,7 @@
 	d.Scheduler.AddTeam()
 	late.Phase, late.AcceptedAt, late.Share = jobs.Open, w.now, 1
 	d.Estimator.Add(late.Index, 0, 8, 1, false)
-	learned := d.learned(d.estimateJob(w.now, late))
+	learned := d.learnedDeadline(d.estimateJob(w.now, late))
 	if learned < 20*time.Second || learned > 60*time.Second {
 		t.Fatalf("the learned deadline is %v", learned)
 	}
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -136,7 +136,7 @@
 	f.EndS = wait + rounds*e.P50 + e.Fetch
 	f.EndP90S = wait + max(rounds*e.P50, e.P90) + 2*e.Fetch
 	if e.JobP90 > 0 {
-		f.LearnedS = (j.AcceptedAt + d.learned(e) - now).Seconds()
+		f.LearnedS = (j.AcceptedAt + d.learnedDeadline(e) - now).Seconds()
 		if f.EndS > f.LearnedS {
 			f.Misses = append(f.Misses, "its learned deadline")
 		}
@@ -153,8 +153,8 @@
 	return f, tasks * e.P50 * each
 }
 
-// learned is the learned time of jobs like one, with the operators' margin.
-func (d *Component) learned(e Estimate) time.Duration {
+// learnedDeadline is the learned time of jobs like one, with the operators' margin.
+func (d *Component) learnedDeadline(e Estimate) time.Duration {
 	return time.Duration(e.JobP90 * d.lateMargin * float64(time.Second))
 }
 
@@ -165,7 +165,7 @@
 		if f.Estimate.JobP90 <= 0 || j.Phase == jobs.Held {
 			continue
 		}
-		learned := d.learned(f.Estimate)
+		learned := d.learnedDeadline(f.Estimate)
 		left := j.AcceptedAt + learned - now
 		l := d.lateJobs[j.Record.ID]
 		if l == nil && (f.EndS <= left.Seconds() || float64(left) > warnShare*float64(learned)) {
