--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -66,7 +66,7 @@
 	ahead := 0.0          // processor seconds
 	for _, i := range d.Scheduler.JobOrder(&w) {
 		j := d.Jobs.At(i)
-		f, work := d.forecast(now, j, ahead/cpus, cpus)
+		f, work := d.forecastJob(now, j, ahead/cpus, cpus)
 		ahead += work
 		at[i] = len(out)
 		out = append(out, f)
@@ -90,7 +90,7 @@
 				}
 				begin, p90 = max(begin, out[n].EndS), max(p90, out[n].EndP90S)
 			}
-			f, _ := d.forecast(now, j, begin, cpus)
+			f, _ := d.forecastJob(now, j, begin, cpus)
 			f.EndP90S += p90 - begin
 			for _, a := range j.Dependencies {
 				f.After = append(f.After, wire.FormatID(d.Jobs.At(a).Record.ID))
@@ -107,9 +107,9 @@
 	return out
 }
 
-// forecast is that of one job that may begin so many seconds from now on, and how
+// forecastJob is that of one job that may begin so many seconds from now on, and how
 // much work it is, in processor seconds.
-func (d *Component) forecast(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
+func (d *Component) forecastJob(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
 	e := d.estimateJob(now, j)
 	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kindOfJob(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
 	each := max(j.Share, j.Need.CPUs(), 0.001)
