--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -139,8 +139,8 @@
 	return n, (list[(n-1)/2] + list[n/2]) / 2, list[n-1]
 }
 
-// ahead is what is expected over the next hours.
-func (d *Component) ahead(now time.Duration) []Expected {
+// expectedDemand is what is expected over the next hours.
+func (d *Component) expectedDemand(now time.Duration) []Expected {
 	out := []Expected{}
 	rented := d.CPUs()
 	at := d.calendar.Quarter(d.wallClock(now))
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -547,7 +547,7 @@
 		at := 14*24*time.Hour + 20*time.Hour
 		var peak *Expected
 		total := 0.0
-		for _, e := range x.ahead(at) {
+		for _, e := range x.expectedDemand(at) {
 			total += e.Work
 			if e.At == "22:00" {
 				peak = &e
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -276,7 +276,7 @@
 		})
 		out = list
 	case "ahead":
-		out = d.ahead(now)
+		out = d.expectedDemand(now)
 	case "":
 		list := []shownKind{}
 		for k, m := range d.model.models {
