--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -82,7 +82,7 @@
 			if m.enough() {
 				guess = m.sum().est.P50
 			}
-			m.take(f)
+			m.addRecord(f)
 			return guess
 		})
 		best = max(best, near*known)
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -165,9 +165,9 @@
 	return v
 }
 
-// take counts a fact. One of a night that is closed for this kind has been
+// addRecord counts a fact. One of a night that is closed for this kind has been
 // counted.
-func (m *model) take(f *RunRecord) {
+func (m *model) addRecord(f *RunRecord) {
 	if len(m.nights) > 0 && f.Day <= m.nights[len(m.nights)-1].Day {
 		return
 	}
@@ -358,7 +358,7 @@
 		if before > 0 {
 			last = m.nights[before-1].Day
 		}
-		m.take(f)
+		m.addRecord(f)
 		if m.open != was {
 			b.opened = append(b.opened, k)
 		}
