--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -279,7 +279,7 @@
 	n := min(closeMost, len(d.closingKinds))
 	for _, k := range d.closingKinds[:n] {
 		if m := d.model.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
-			m.close()
+			m.closeNight()
 			d.store.push(d.store.place(k))
 		}
 	}
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -175,7 +175,7 @@
 		return
 	}
 	if m.open != nil && f.Day > m.open.day {
-		m.close()
+		m.closeNight()
 	}
 	if m.open == nil {
 		m.open = &night{day: f.Day, task: newSketch(), fetch: newSketch(), job: newSketch(), ratios: newSketch()}
@@ -195,8 +195,8 @@
 	add(o.job, f.Job, 1)
 }
 
-// close ends the open night.
-func (m *model) close() {
+// closeNight ends the open night.
+func (m *model) closeNight() {
 	if m.open == nil {
 		return
 	}
