--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -123,10 +123,10 @@
 
 // model is the history of one kind.
 type model struct {
-	nights []Night // closed ones, by day
-	open   *night
-	at     int64    // of its last fact
-	shown  *summary // what they come to; nil: to be worked out anew
+	nights  []Night // closed ones, by day
+	open    *night
+	at      int64    // of its last fact
+	summary *summary // what they come to; nil: to be worked out anew
 }
 
 // summary is what all nights of a kind come to.
@@ -181,7 +181,7 @@
 		m.open = &night{day: f.Day, task: newSketch(), fetch: newSketch(), job: newSketch(), ratios: newSketch()}
 	}
 	m.at = max(m.at, f.At)
-	m.shown = nil
+	m.summary = nil
 	o := m.open
 	o.jobs++
 	o.n += f.N
@@ -204,7 +204,7 @@
 	if over := len(m.nights) - keepNights; over > 0 {
 		m.nights = slices.Delete(m.nights, 0, over)
 	}
-	m.open, m.shown = nil, nil
+	m.open, m.summary = nil, nil
 }
 
 func (o *night) close() Night {
@@ -302,8 +302,8 @@
 
 // sum is what all nights come to.
 func (m *model) sum() *summary {
-	if m.shown != nil {
-		return m.shown
+	if m.summary != nil {
+		return m.summary
 	}
 	nights := m.all()
 	e := Estimate{Nights: len(nights),
@@ -322,9 +322,9 @@
 	if e.P90 > wideRatio*e.P50 {
 		e.Wide = "tasks of this kind differ widely among themselves"
 	}
-	m.shown = &summary{est: e, low: median(nights, func(n Night) float64 { return n.RatioP10 }), mid: median(nights, func(n Night) float64 { return n.RatioP50 }),
+	m.summary = &summary{est: e, low: median(nights, func(n Night) float64 { return n.RatioP10 }), mid: median(nights, func(n Night) float64 { return n.RatioP50 }),
 		high: median(nights, func(n Night) float64 { return n.RP90 })}
-	return m.shown
+	return m.summary
 }
 
 // Model is all history.
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -198,7 +198,7 @@
 		m = &model{}
 		d.model.models[k] = m
 	}
-	m.at, m.shown = max(m.at, s.At), nil
+	m.at, m.summary = max(m.at, s.At), nil
 	m.nights = nil
 	for _, x := range s.Nights {
 		m.nights = append(m.nights, nightOf(x))
