--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -123,10 +123,10 @@
 
 // model is the history of one kind.
 type model struct {
-	nights  []Night // closed ones, by day
-	open    *night
-	at      int64    // of its last fact
-	summary *summary // what they come to; nil: to be worked out anew
+	nights       []Night // closed ones, by day
+	open         *night
+	lastRecordAt int64    // of its last fact
+	summary      *summary // what they come to; nil: to be worked out anew
 }
 
 // summary is what all nights of a kind come to.
@@ -180,7 +180,7 @@
 	if m.open == nil {
 		m.open = &night{day: f.Day, task: newSketch(), fetch: newSketch(), job: newSketch(), ratios: newSketch()}
 	}
-	m.at = max(m.at, f.At)
+	m.lastRecordAt = max(m.lastRecordAt, f.At)
 	m.summary = nil
 	o := m.open
 	o.jobs++
@@ -296,7 +296,7 @@
 // estimate makes an estimate of a kind's own history.
 func (m *model) estimate(k Kind, now int64) Estimate {
 	e := m.sum().est
-	e.From, e.AgeS = k.Level(), float64(max(0, now-m.at))
+	e.From, e.AgeS = k.Level(), float64(max(0, now-m.lastRecordAt))
 	return e
 }
 
@@ -385,7 +385,7 @@
 	}
 	list := make([]known, 0, len(b.models))
 	for k, m := range b.models {
-		list = append(list, known{k, k.String(), len(k.levels()), m.at})
+		list = append(list, known{k, k.String(), len(k.levels()), m.lastRecordAt})
 	}
 	slices.SortFunc(list, func(x, y known) int {
 		return cmp.Or(cmp.Compare(y.fine, x.fine), cmp.Compare(x.at, y.at), cmp.Compare(x.name, y.name))
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -198,7 +198,7 @@
 		m = &model{}
 		d.model.models[k] = m
 	}
-	m.at, m.summary = max(m.at, s.At), nil
+	m.lastRecordAt, m.summary = max(m.lastRecordAt, s.At), nil
 	m.nights = nil
 	for _, x := range s.Nights {
 		m.nights = append(m.nights, nightOf(x))
@@ -261,7 +261,7 @@
 		if m == nil || len(m.nights) == 0 {
 			continue
 		}
-		s := storedKind{Kind: names(k), Holiday: k.Holiday, At: m.at}
+		s := storedKind{Kind: names(k), Holiday: k.Holiday, At: m.lastRecordAt}
 		for _, x := range m.nights {
 			s.Nights = append(s.Nights, x.numbers())
 		}
