--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -129,7 +129,7 @@
 	if m == nil {
 		return 0
 	}
-	return m.sum().est.Jobs
+	return m.summarize().est.Jobs
 }
 
 // worked is all the work that is counted.
@@ -409,7 +409,7 @@
 		if got := counted(d, "c"); got != life {
 			t.Errorf("life %d: %d jobs are counted", life, got)
 		}
-		if m := d.model.models[Kind{Class: "c", Team: "t"}]; m == nil || m.sum().est.Jobs != 6+life {
+		if m := d.model.models[Kind{Class: "c", Team: "t"}]; m == nil || m.summarize().est.Jobs != 6+life {
 			t.Errorf("life %d: its team's is gone too", life)
 		}
 		w.now += time.Minute
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -80,7 +80,7 @@
 			}
 			guess := 0.0
 			if m.enough() {
-				guess = m.sum().est.P50
+				guess = m.summarize().est.P50
 			}
 			m.addRecord(f)
 			return guess
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -221,7 +221,7 @@
 }
 
 func (m *model) enough() bool {
-	e := &m.sum().est
+	e := &m.summarize().est
 	return e.Jobs >= enoughJobs && e.Tasks >= enoughN || e.Jobs >= soloJobs
 }
 
@@ -295,13 +295,13 @@
 
 // estimate makes an estimate of a kind's own history.
 func (m *model) estimate(k Kind, now int64) Estimate {
-	e := m.sum().est
+	e := m.summarize().est
 	e.From, e.AgeS = k.Level(), float64(max(0, now-m.lastRecordAt))
 	return e
 }
 
-// sum is what all nights come to.
-func (m *model) sum() *summary {
+// summarize is what all nights come to.
+func (m *model) summarize() *summary {
 	if m.summary != nil {
 		return m.summary
 	}
@@ -454,7 +454,7 @@
 // corrected is an owner's estimate, corrected by what owners of the class were off
 // by.
 func corrected(m *model, class Estimate, owner float64) Estimate {
-	s := m.sum()
+	s := m.summarize()
 	if s.mid <= 0 {
 		return class
 	}
