--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -281,7 +281,7 @@
 		list := []shownKind{}
 		for k, m := range d.model.models {
 			s := shownKind{Name: k.String(), Kind: k, Estimate: m.estimate(k, d.wallClock(now).Unix())}
-			for _, n := range m.all() {
+			for _, n := range m.allNights() {
 				s.Nights = append(s.Nights, n.numbers())
 			}
 			list = append(list, s)
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -212,8 +212,8 @@
 		JobP50: quantile(o.job, .5), JobP90: quantile(o.job, .9), RatioP10: quantile(o.ratios, .1), RatioP50: quantile(o.ratios, .5), RP90: quantile(o.ratios, .9)}
 }
 
-// all lists the nights, the open one as it stands.
-func (m *model) all() []Night {
+// allNights lists the nights, the open one as it stands.
+func (m *model) allNights() []Night {
 	if m.open == nil {
 		return m.nights
 	}
@@ -305,7 +305,7 @@
 	if m.summary != nil {
 		return m.summary
 	}
-	nights := m.all()
+	nights := m.allNights()
 	e := Estimate{Nights: len(nights),
 		P50: median(nights, func(n Night) float64 { return n.P50 }), P90: median(nights, func(n Night) float64 { return n.P90 }),
 		Fetch:  median(nights, func(n Night) float64 { return n.Fetch }),
