--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -79,7 +79,7 @@
 				models[k.of(f)] = m
 			}
 			guess := 0.0
-			if m.enough() {
+			if m.hasEnough() {
 				guess = m.summarize().est.P50
 			}
 			m.addRecord(f)
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -220,7 +220,7 @@
 	return append(m.nights[:len(m.nights):len(m.nights)], m.open.close())
 }
 
-func (m *model) enough() bool {
+func (m *model) hasEnough() bool {
 	e := &m.summarize().est
 	return e.Jobs >= enoughJobs && e.Tasks >= enoughN || e.Jobs >= soloJobs
 }
@@ -434,7 +434,7 @@
 	fresh := k.Image != ""
 	for _, l := range kinds {
 		m := b.models[l]
-		if m == nil || !m.enough() {
+		if m == nil || !m.hasEnough() {
 			continue
 		}
 		e := m.estimate(l, now)
