--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -329,16 +329,16 @@
 
 // Model is all history.
 type Model struct {
-	most   int // kinds
-	models map[Kind]*model
-	forgot map[Kind]int64 // facts up to then, in seconds, count no more for a kind
-	gone   []Kind         // dropped for want of room since they were last asked for
-	opened []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
+	maxKinds int // kinds
+	models   map[Kind]*model
+	forgot   map[Kind]int64 // facts up to then, in seconds, count no more for a kind
+	gone     []Kind         // dropped for want of room since they were last asked for
+	opened   []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
 }
 
 // NewModel makes an empty book of at most so many kinds.
 func NewModel(most int) *Model {
-	return &Model{most: most, models: map[Kind]*model{}, forgot: map[Kind]int64{}}
+	return &Model{maxKinds: most, models: map[Kind]*model{}, forgot: map[Kind]int64{}}
 }
 
 // AddRun counts a fact for its kind and the coarser ones. It returns the kinds for
@@ -374,7 +374,7 @@
 // costs each fact little. The least useful kinds go: of those that are finest, the
 // ones that were not seen for longest. Coarser ones speak for many.
 func (b *Model) drop() {
-	if len(b.models) <= b.most {
+	if len(b.models) <= b.maxKinds {
 		return
 	}
 	type known struct {
@@ -390,7 +390,7 @@
 	slices.SortFunc(list, func(x, y known) int {
 		return cmp.Or(cmp.Compare(y.fine, x.fine), cmp.Compare(x.at, y.at), cmp.Compare(x.name, y.name))
 	})
-	for _, x := range list[:len(list)-(b.most-b.most/spareShare)] {
+	for _, x := range list[:len(list)-(b.maxKinds-b.maxKinds/spareShare)] {
 		delete(b.models, x.k)
 		b.gone = append(b.gone, x.k)
 	}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -96,7 +96,7 @@
 		case known:
 			out.Replaced++
 			m.nights, m.open = nil, nil
-		case len(d.model.models) >= d.model.most:
+		case len(d.model.models) >= d.model.maxKinds:
 			out.Dropped++
 			continue
 		default:
