--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -278,7 +278,7 @@
 func (d *Component) closeNights() {
 	n := min(closeMost, len(d.closingKinds))
 	for _, k := range d.closingKinds[:n] {
-		if m := d.model.models[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
+		if m := d.model.histories[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
 			m.closeNight()
 			d.store.push(d.store.place(k))
 		}
@@ -462,7 +462,7 @@
 // recordNeeded says whether a fact is not in the values of all that it counts for.
 func (d *Component) recordNeeded(f *RunRecord) bool {
 	for _, k := range f.Kind.levels() {
-		if m := d.model.models[k]; m != nil && !d.nightDurable(k, f.Day) {
+		if m := d.model.histories[k]; m != nil && !d.nightDurable(k, f.Day) {
 			return true
 		}
 	}
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -125,7 +125,7 @@
 
 // counted is how many jobs the class has shown.
 func counted(d *Component, class string) int {
-	m := d.model.models[Kind{Class: class}]
+	m := d.model.histories[Kind{Class: class}]
 	if m == nil {
 		return 0
 	}
@@ -409,7 +409,7 @@
 		if got := counted(d, "c"); got != life {
 			t.Errorf("life %d: %d jobs are counted", life, got)
 		}
-		if m := d.model.models[Kind{Class: "c", Team: "t"}]; m == nil || m.summarize().est.Jobs != 6+life {
+		if m := d.model.histories[Kind{Class: "c", Team: "t"}]; m == nil || m.summarize().est.Jobs != 6+life {
 			t.Errorf("life %d: its team's is gone too", life)
 		}
 		w.now += time.Minute
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -279,7 +279,7 @@
 		out = d.expectedDemand(now)
 	case "":
 		list := []shownKind{}
-		for k, m := range d.model.models {
+		for k, m := range d.model.histories {
 			s := shownKind{Name: k.String(), Kind: k, Estimate: m.estimate(k, d.wallClock(now).Unix())}
 			for _, n := range m.allNights() {
 				s.Nights = append(s.Nights, n.numbers())
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -329,16 +329,16 @@
 
 // Model is all history.
 type Model struct {
-	maxKinds int // kinds
-	models   map[Kind]*model
-	forgot   map[Kind]int64 // facts up to then, in seconds, count no more for a kind
-	gone     []Kind         // dropped for want of room since they were last asked for
-	opened   []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
+	maxKinds  int // kinds
+	histories map[Kind]*model
+	forgot    map[Kind]int64 // facts up to then, in seconds, count no more for a kind
+	gone      []Kind         // dropped for want of room since they were last asked for
+	opened    []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
 }
 
 // NewModel makes an empty book of at most so many kinds.
 func NewModel(most int) *Model {
-	return &Model{maxKinds: most, models: map[Kind]*model{}, forgot: map[Kind]int64{}}
+	return &Model{maxKinds: most, histories: map[Kind]*model{}, forgot: map[Kind]int64{}}
 }
 
 // AddRun counts a fact for its kind and the coarser ones. It returns the kinds for
@@ -348,10 +348,10 @@
 		if at, ok := b.forgot[k]; ok && f.At <= at {
 			continue
 		}
-		m := b.models[k]
+		m := b.histories[k]
 		if m == nil {
 			m = &model{}
-			b.models[k] = m
+			b.histories[k] = m
 		}
 		before, was := len(m.nights), m.open
 		last := int32(-1)
@@ -374,7 +374,7 @@
 // costs each fact little. The least useful kinds go: of those that are finest, the
 // ones that were not seen for longest. Coarser ones speak for many.
 func (b *Model) drop() {
-	if len(b.models) <= b.maxKinds {
+	if len(b.histories) <= b.maxKinds {
 		return
 	}
 	type known struct {
@@ -383,15 +383,15 @@
 		fine int
 		at   int64
 	}
-	list := make([]known, 0, len(b.models))
-	for k, m := range b.models {
+	list := make([]known, 0, len(b.histories))
+	for k, m := range b.histories {
 		list = append(list, known{k, k.String(), len(k.levels()), m.lastRecordAt})
 	}
 	slices.SortFunc(list, func(x, y known) int {
 		return cmp.Or(cmp.Compare(y.fine, x.fine), cmp.Compare(x.at, y.at), cmp.Compare(x.name, y.name))
 	})
 	for _, x := range list[:len(list)-(b.maxKinds-b.maxKinds/spareShare)] {
-		delete(b.models, x.k)
+		delete(b.histories, x.k)
 		b.gone = append(b.gone, x.k)
 	}
 }
@@ -399,7 +399,7 @@
 // over gives the kinds whose night is over on a day.
 func (b *Model) over(day int32) (out []Kind) {
 	b.opened = slices.DeleteFunc(b.opened, func(k Kind) bool {
-		m := b.models[k]
+		m := b.histories[k]
 		if m != nil && m.open != nil && m.open.day >= day {
 			return false
 		}
@@ -419,7 +419,7 @@
 }
 
 // Len is the number of kinds.
-func (b *Model) Len() int { return len(b.models) }
+func (b *Model) Len() int { return len(b.histories) }
 
 // Estimate estimates work of a kind. owner is the owner's estimate of one task, in
 // seconds; it is used where there is no history, corrected by what this class's
@@ -433,7 +433,7 @@
 	}
 	fresh := k.Image != ""
 	for _, l := range kinds {
-		m := b.models[l]
+		m := b.histories[l]
 		if m == nil || !m.hasEnough() {
 			continue
 		}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -193,10 +193,10 @@
 	}
 	d.store.remove(k)
 	d.store.put(n, k)
-	m := d.model.models[k]
+	m := d.model.histories[k]
 	if m == nil {
 		m = &model{}
-		d.model.models[k] = m
+		d.model.histories[k] = m
 	}
 	m.lastRecordAt, m.summary = max(m.lastRecordAt, s.At), nil
 	m.nights = nil
@@ -257,7 +257,7 @@
 		return v, st // all that it held is elsewhere
 	}
 	for _, k := range g.kinds {
-		m := d.model.models[k]
+		m := d.model.histories[k]
 		if m == nil || len(m.nights) == 0 {
 			continue
 		}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -88,7 +88,7 @@
 	}
 	out.Forgot = len(in.Forget)
 	for _, x := range in.Kinds {
-		m, known := d.model.models[x.Kind]
+		m, known := d.model.histories[x.Kind]
 		switch {
 		case known && !in.Replace:
 			out.Left++
@@ -96,13 +96,13 @@
 		case known:
 			out.Replaced++
 			m.nights, m.open = nil, nil
-		case len(d.model.models) >= d.model.maxKinds:
+		case len(d.model.histories) >= d.model.maxKinds:
 			out.Dropped++
 			continue
 		default:
 			out.Added++
 			m = &model{}
-			d.model.models[x.Kind] = m
+			d.model.histories[x.Kind] = m
 		}
 		for _, n := range x.Nights[max(0, len(x.Nights)-keepNights):] {
 			m.nights = append(m.nights, nightOf(n))
@@ -125,7 +125,7 @@
 		return nil
 	}
 	byName := map[string]Kind{}
-	for k := range d.model.models {
+	for k := range d.model.histories {
 		byName[k.String()] = k
 	}
 	for i, name := range list {
@@ -135,10 +135,10 @@
 	}
 	for _, name := range list {
 		k := byName[name]
-		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.models[k].lastRecordAt)}
+		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.histories[k].lastRecordAt)}
 		d.appendEntry(entry{Forgotten: &s})
 		d.model.forgot[k] = s.At
-		delete(d.model.models, k)
+		delete(d.model.histories, k)
 		d.removeFromStore([]Kind{k})
 	}
 	return nil
