--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -182,7 +182,7 @@
 		d.deferRecord(x.Record.runRecord())
 	case x.Forgotten != nil:
 		k := kindOf(x.Forgotten.Kind, x.Forgotten.Holiday)
-		d.model.forgot[k] = max(d.model.forgot[k], x.Forgotten.At)
+		d.model.forgottenAt[k] = max(d.model.forgottenAt[k], x.Forgotten.At)
 	}
 }
 
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -329,23 +329,23 @@
 
 // Model is all history.
 type Model struct {
-	maxKinds  int // kinds
-	histories map[Kind]*model
-	forgot    map[Kind]int64 // facts up to then, in seconds, count no more for a kind
-	gone      []Kind         // dropped for want of room since they were last asked for
-	opened    []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
+	maxKinds    int // kinds
+	histories   map[Kind]*model
+	forgottenAt map[Kind]int64 // facts up to then, in seconds, count no more for a kind
+	gone        []Kind         // dropped for want of room since they were last asked for
+	opened      []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
 }
 
 // NewModel makes an empty book of at most so many kinds.
 func NewModel(most int) *Model {
-	return &Model{maxKinds: most, histories: map[Kind]*model{}, forgot: map[Kind]int64{}}
+	return &Model{maxKinds: most, histories: map[Kind]*model{}, forgottenAt: map[Kind]int64{}}
 }
 
 // AddRun counts a fact for its kind and the coarser ones. It returns the kinds for
 // which that has closed a night.
 func (b *Model) AddRun(f *RunRecord) (closed []Kind) {
 	for _, k := range f.Kind.levels() {
-		if at, ok := b.forgot[k]; ok && f.At <= at {
+		if at, ok := b.forgottenAt[k]; ok && f.At <= at {
 			continue
 		}
 		m := b.histories[k]
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -182,7 +182,7 @@
 // with the later nights counts, and the other one is written anew.
 func (d *Component) restore(n int, s *storedKind) {
 	k := kindOf(s.Kind, s.Holiday)
-	if at, ok := d.model.forgot[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
+	if at, ok := d.model.forgottenAt[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
 		d.store.push(n)
 		return
 	}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -107,7 +107,7 @@
 		for _, n := range x.Nights[max(0, len(x.Nights)-keepNights):] {
 			m.nights = append(m.nights, nightOf(n))
 		}
-		m.lastRecordAt, m.summary = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.model.forgot[x.Kind]+1), nil
+		m.lastRecordAt, m.summary = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.model.forgottenAt[x.Kind]+1), nil
 		delete(d.durableNights, x.Kind)
 		d.store.push(d.store.place(x.Kind))
 	}
@@ -137,7 +137,7 @@
 		k := byName[name]
 		s := storedForgot{Kind: names(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.histories[k].lastRecordAt)}
 		d.appendEntry(entry{Forgotten: &s})
-		d.model.forgot[k] = s.At
+		d.model.forgottenAt[k] = s.At
 		delete(d.model.histories, k)
 		d.removeFromStore([]Kind{k})
 	}
