--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -332,7 +332,7 @@
 	maxKinds    int // kinds
 	histories   map[Kind]*model
 	forgottenAt map[Kind]int64 // facts up to then, in seconds, count no more for a kind
-	gone        []Kind         // dropped for want of room since they were last asked for
+	evicted     []Kind         // dropped for want of room since they were last asked for
 	opened      []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
 }
 
@@ -392,7 +392,7 @@
 	})
 	for _, x := range list[:len(list)-(b.maxKinds-b.maxKinds/spareShare)] {
 		delete(b.histories, x.k)
-		b.gone = append(b.gone, x.k)
+		b.evicted = append(b.evicted, x.k)
 	}
 }
 
@@ -413,8 +413,8 @@
 
 // takeGone gives the kinds that were dropped since the last call.
 func (b *Model) takeGone() []Kind {
-	out := b.gone
-	b.gone = nil
+	out := b.evicted
+	b.evicted = nil
 	return out
 }
 
