--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -333,7 +333,7 @@
 	histories   map[Kind]*model
 	forgottenAt map[Kind]int64 // facts up to then, in seconds, count no more for a kind
 	evicted     []Kind         // dropped for want of room since they were last asked for
-	opened      []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
+	openKinds   []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
 }
 
 // NewModel makes an empty book of at most so many kinds.
@@ -360,7 +360,7 @@
 		}
 		m.addRecord(f)
 		if m.open != was {
-			b.opened = append(b.opened, k)
+			b.openKinds = append(b.openKinds, k)
 		}
 		if n := len(m.nights); n > 0 && m.nights[n-1].Day != last {
 			closed = append(closed, k)
@@ -398,7 +398,7 @@
 
 // over gives the kinds whose night is over on a day.
 func (b *Model) over(day int32) (out []Kind) {
-	b.opened = slices.DeleteFunc(b.opened, func(k Kind) bool {
+	b.openKinds = slices.DeleteFunc(b.openKinds, func(k Kind) bool {
 		m := b.histories[k]
 		if m != nil && m.open != nil && m.open.day >= day {
 			return false
