--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -229,7 +229,7 @@
 // cleaning may have left an older one behind a newer one. What they close, and what
 // the last leader has closed and not written, is written.
 func (d *Component) historyLoaded(now time.Duration) {
-	d.model.drop()
+	d.model.evict()
 	d.removeFromStore(d.model.takeGone())
 	held := d.deferredRecords
 	d.deferredRecords = nil
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -366,14 +366,14 @@
 			closed = append(closed, k)
 		}
 	}
-	b.drop()
+	b.evict()
 	return closed
 }
 
-// drop makes room in a book that is too full, a share of it at once, so that it
+// evict makes room in a book that is too full, a share of it at once, so that it
 // costs each fact little. The least useful kinds go: of those that are finest, the
 // ones that were not seen for longest. Coarser ones speak for many.
-func (b *Model) drop() {
+func (b *Model) evict() {
 	if len(b.histories) <= b.maxKinds {
 		return
 	}
