--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -263,7 +263,7 @@
 			delete(d.countedRuns, id)
 		}
 	}
-	d.closingKinds = append(d.closingKinds, d.model.over(today.Day)...)
+	d.closingKinds = append(d.closingKinds, d.model.kindsEndedBefore(today.Day)...)
 	for _, n := range d.demand.close(today.Day) {
 		d.store.push(n)
 	}
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -396,8 +396,8 @@
 	}
 }
 
-// over gives the kinds whose night is over on a day.
-func (b *Model) over(day int32) (out []Kind) {
+// kindsEndedBefore gives the kinds whose night is over on a day.
+func (b *Model) kindsEndedBefore(day int32) (out []Kind) {
 	b.openKinds = slices.DeleteFunc(b.openKinds, func(k Kind) bool {
 		m := b.histories[k]
 		if m != nil && m.open != nil && m.open.day >= day {
