--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -211,7 +211,7 @@
 	for _, k := range d.model.AddRun(f) {
 		d.store.push(d.store.place(k))
 	}
-	d.removeFromStore(d.model.takeGone())
+	d.removeFromStore(d.model.takeEvicted())
 	accepted := f.accepted()
 	night := d.calendar.At(accepted)
 	d.demand.take(night.Day, night.Holiday, d.calendar.Slot(accepted), f.Work)
@@ -230,7 +230,7 @@
 // the last leader has closed and not written, is written.
 func (d *Component) historyLoaded(now time.Duration) {
 	d.model.evict()
-	d.removeFromStore(d.model.takeGone())
+	d.removeFromStore(d.model.takeEvicted())
 	held := d.deferredRecords
 	d.deferredRecords = nil
 	slices.SortStableFunc(held, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -411,8 +411,8 @@
 	return out
 }
 
-// takeGone gives the kinds that were dropped since the last call.
-func (b *Model) takeGone() []Kind {
+// takeEvicted gives the kinds that were dropped since the last call.
+func (b *Model) takeEvicted() []Kind {
 	out := b.evicted
 	b.evicted = nil
 	return out
