--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -39,8 +39,8 @@
 	Work    []float64 `json:"w"`
 }
 
-// take counts work. That of a night that is closed has been counted.
-func (m *demand) take(day int32, holiday bool, slot int, work float64) {
+// addWork counts work. That of a night that is closed has been counted.
+func (m *demand) addWork(day int32, holiday bool, slot int, work float64) {
 	if n := len(m.nights); (n > 0 && day <= m.nights[n-1].day) || work <= 0 {
 		return
 	}
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -214,7 +214,7 @@
 	d.removeFromStore(d.model.takeEvicted())
 	accepted := f.accepted()
 	night := d.calendar.At(accepted)
-	d.demand.take(night.Day, night.Holiday, d.calendar.Slot(accepted), f.Work)
+	d.demand.addWork(night.Day, night.Holiday, d.calendar.Slot(accepted), f.Work)
 }
 
 // removeFromStore has kinds that are in the book no more written nowhere.
