--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -57,8 +57,8 @@
 	return day > m.wrote && (slices.ContainsFunc(m.open, of) || slices.ContainsFunc(m.nights, of))
 }
 
-// close ends nights that are long over, and gives the values they are kept in.
-func (m *demand) close(today int32) (values []int) {
+// closeNights ends nights that are long over, and gives the values they are kept in.
+func (m *demand) closeNights(today int32) (values []int) {
 	for len(m.open) > 0 && m.open[0].day < today-1 {
 		m.keep(m.open[0])
 		values = append(values, valueOf(m.open[0].day))
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -264,7 +264,7 @@
 		}
 	}
 	d.closingKinds = append(d.closingKinds, d.model.kindsEndedBefore(today.Day)...)
-	for _, n := range d.demand.close(today.Day) {
+	for _, n := range d.demand.closeNights(today.Day) {
 		d.store.push(n)
 	}
 	for name := range d.machineSpeeds {
