--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -60,7 +60,7 @@
 // closeNights ends nights that are long over, and gives the values they are kept in.
 func (m *demand) closeNights(today int32) (values []int) {
 	for len(m.open) > 0 && m.open[0].day < today-1 {
-		m.keep(m.open[0])
+		m.keepNight(m.open[0])
 		values = append(values, valueOf(m.open[0].day))
 		m.open = m.open[1:]
 	}
@@ -70,7 +70,7 @@
 // valueOf is the number of the value that keeps a night's demand.
 func valueOf(day int32) int { return int((day%keepNights + keepNights) % keepNights) }
 
-func (m *demand) keep(n *demandNight) {
+func (m *demand) keepNight(n *demandNight) {
 	m.nights = append(m.nights, n)
 	if over := len(m.nights) - keepNights; over > 0 {
 		m.nights = slices.Delete(m.nights, 0, over)
