--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -27,9 +27,9 @@
 // demand is that of the last nights. A night is closed once the one after it is
 // over too: its last jobs may end as late as that.
 type demand struct {
-	nights []*demandNight // closed ones, by day
-	open   []*demandNight
-	wrote  int32 // the last night that is written
+	nights     []*demandNight // closed ones, by day
+	open       []*demandNight
+	durableDay int32 // the last night that is written
 }
 
 // storedDemand is a night's demand as it is written, without its last empty slots.
@@ -54,7 +54,7 @@
 // unwritten says whether a night is known and in no value.
 func (m *demand) unwritten(day int32) bool {
 	of := func(n *demandNight) bool { return n.day == day }
-	return day > m.wrote && (slices.ContainsFunc(m.open, of) || slices.ContainsFunc(m.nights, of))
+	return day > m.durableDay && (slices.ContainsFunc(m.open, of) || slices.ContainsFunc(m.nights, of))
 }
 
 // closeNights ends nights that are long over, and gives the values they are kept in.
@@ -82,7 +82,7 @@
 	copy(n.work[:], s.Work)
 	m.nights = append(m.nights, n)
 	slices.SortFunc(m.nights, func(a, b *demandNight) int { return cmp.Compare(a.day, b.day) })
-	m.wrote = max(m.wrote, s.Day)
+	m.durableDay = max(m.durableDay, s.Day)
 }
 
 // stored is the night that a value keeps; nil if there is none.
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -85,7 +85,7 @@
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
-	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{wrote: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
+	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{durableDay: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
 		machineSpeeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
 		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -278,6 +278,6 @@
 		return
 	}
 	maps.Copy(d.durableNights, d.pending.days)
-	d.demand.wrote = max(d.demand.wrote, d.pending.demand)
+	d.demand.durableDay = max(d.demand.durableDay, d.pending.demand)
 	d.pending = nil
 }
