--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -51,8 +51,8 @@
 	m.open[i].work[slot] += work
 }
 
-// unwritten says whether a night is known and in no value.
-func (m *demand) unwritten(day int32) bool {
+// notDurable says whether a night is known and in no value.
+func (m *demand) notDurable(day int32) bool {
 	of := func(n *demandNight) bool { return n.day == day }
 	return day > m.durableDay && (slices.ContainsFunc(m.open, of) || slices.ContainsFunc(m.nights, of))
 }
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -466,5 +466,5 @@
 			return true
 		}
 	}
-	return f.Work > 0 && d.demand.unwritten(d.calendar.At(f.accepted()).Day)
+	return f.Work > 0 && d.demand.notDurable(d.calendar.At(f.accepted()).Day)
 }
