--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -118,9 +118,9 @@
 	Now      float64 `json:"cpus_rented"` // at present
 }
 
-// expect is a slot's demand, learned from nights of the same sort, or from all of
+// expected is a slot's demand, learned from nights of the same sort, or from all of
 // them while there are none of that.
-func (m *demand) expect(holiday bool, slot int) (nights int, median, most float64) {
+func (m *demand) expected(holiday bool, slot int) (nights int, median, most float64) {
 	var list, all []float64
 	for _, n := range m.nights {
 		all = append(all, n.work[slot])
@@ -146,7 +146,7 @@
 	at := d.calendar.Quarter(d.wallClock(now))
 	for range aheadSlots {
 		night := d.calendar.At(at)
-		n, median, most := d.demand.expect(night.Holiday, d.calendar.Slot(at))
+		n, median, most := d.demand.expected(night.Holiday, d.calendar.Slot(at))
 		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.wallClock(now)).Seconds()), Nights: n, Work: round(median), Most: round(most),
 			CPUs: round(median / slotLasts.Seconds()), CPUsMost: round(most / slotLasts.Seconds()), Now: round(rented)})
 		at = at.Add(slotLasts)
