--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -147,17 +147,17 @@
 	for _, v := range list {
 		n, err := eventlog.ValueNumber(Name, v.Key)
 		if err != nil {
-			d.setAside(v.Key, err)
+			d.logUnreadable(v.Key, err)
 			continue
 		}
 		d.store.next = max(d.store.next, n+1)
 		var s storedValue
 		if err := json.Unmarshal(v.Data, &s); err != nil {
-			d.setAside(v.Key, err)
+			d.logUnreadable(v.Key, err)
 			continue
 		}
 		if s.Version != valueVersion {
-			d.setAside(v.Key, fmt.Errorf("it is of version %d", s.Version))
+			d.logUnreadable(v.Key, fmt.Errorf("it is of version %d", s.Version))
 			continue
 		}
 		for _, k := range s.Kinds {
@@ -172,9 +172,9 @@
 	}
 }
 
-// setAside leaves a value as it is: another version may know it, or somebody may
+// logUnreadable leaves a value as it is: another version may know it, or somebody may
 // want to see what has become of it. Its number is not used again.
-func (d *Component) setAside(key string, err error) {
+func (d *Component) logUnreadable(key string, err error) {
 	d.LogMessage(effects.Warn, "a value of learned run times cannot be read: it is set aside, and learning goes on", "key", key, "error", err)
 }
 
