--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -161,7 +161,7 @@
 			continue
 		}
 		for _, k := range s.Kinds {
-			d.restore(n, &k)
+			d.restoreKind(n, &k)
 		}
 		if s.Demand != nil {
 			d.demand.restore(s.Demand)
@@ -178,9 +178,9 @@
 	d.LogMessage(effects.Warn, "a value of learned run times cannot be read: it is set aside, and learning goes on", "key", key, "error", err)
 }
 
-// restore takes a kind of a value. It may be in two, while it moved: then the one
+// restoreKind takes a kind of a value. It may be in two, while it moved: then the one
 // with the later nights counts, and the other one is written anew.
-func (d *Component) restore(n int, s *storedKind) {
+func (d *Component) restoreKind(n int, s *storedKind) {
 	k := kindOf(s.Kind, s.Holiday)
 	if at, ok := d.model.forgottenAt[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
 		d.store.push(n)
