--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -224,7 +224,7 @@
 		return
 	}
 	d.lastWriteAt = now
-	v, st := d.value(n)
+	v, st := d.snapshotValue(n)
 	raw, err := json.Marshal(v)
 	for cut := 1; err == nil && len(raw) > d.store.room && cut < keepNights; cut++ {
 		for i := range v.Kinds { // in small values the oldest nights go first
@@ -242,8 +242,8 @@
 	d.pending = st
 }
 
-// value is what a value holds now.
-func (d *Component) value(n int) (storedValue, *pendingWrite) {
+// snapshotValue is what a value holds now.
+func (d *Component) snapshotValue(n int) (storedValue, *pendingWrite) {
 	v, st := storedValue{Version: valueVersion}, &pendingWrite{n: n, days: map[Kind]int32{}, demand: math.MinInt32}
 	if n < keepNights {
 		v.Demand = d.demand.stored(n)
