--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -83,7 +83,7 @@
 		return nil, errReading
 	}
 	var out Imported
-	if err := d.forget(now, in.Forget); err != nil {
+	if err := d.forgetKinds(now, in.Forget); err != nil {
 		return nil, err
 	}
 	out.Forgot = len(in.Forget)
@@ -118,9 +118,9 @@
 	return raw, nil
 }
 
-// forget forgets the kinds of these names, and notes that it has: facts that are
+// forgetKinds forgets the kinds of these names, and notes that it has: facts that are
 // still in the log count for them no more. Coarser kinds stay.
-func (d *Component) forget(now time.Duration, list []string) error {
+func (d *Component) forgetKinds(now time.Duration, list []string) error {
 	if len(list) == 0 {
 		return nil
 	}
