--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -64,10 +64,10 @@
 
 // entry is an open job that has a time by which it is due.
 type entry struct {
-	job  *jobs.Job
-	due  time.Duration
-	sums [2]*sum
-	kept bool
+	job     *jobs.Job
+	due     time.Duration
+	sums    [2]*sum
+	boosted bool
 }
 
 // Component measures and guards.
@@ -182,7 +182,7 @@
 	e.job.Boost = jobs.NoBoost
 	for _, s := range e.sums {
 		s.remaining--
-		if e.kept {
+		if e.boosted {
 			s.kept--
 		}
 	}
@@ -268,7 +268,7 @@
 	cpus := max(d.CPUs(), 1)
 	ahead := 0.0 // work of those that go ahead already: what comes after waits for it
 	for _, e := range d.open {
-		if !e.kept {
+		if !e.boosted {
 			continue
 		}
 		ahead += work(e.job)
@@ -282,7 +282,7 @@
 	}
 	for _, e := range d.open {
 		j := e.job
-		if e.kept || j.Waiting == 0 || j.Phase != jobs.Open {
+		if e.boosted || j.Waiting == 0 || j.Phase != jobs.Open {
 			continue
 		}
 		needs := settings.Seconds(longRun*j.Mean()+(ahead+work(j))/cpus) + placing
@@ -299,7 +299,7 @@
 		if e.sums[0].share(e.sums[0].waiting) >= d.floor && e.sums[1].share(e.sums[1].waiting) >= d.floor {
 			continue
 		}
-		e.kept, j.Boost = true, jobs.BoostBehindUrgent
+		e.boosted, j.Boost = true, jobs.BoostBehindUrgent
 		ahead += work(j)
 		d.NeedsCycle = true
 		for _, s := range e.sums {
