--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -46,7 +46,7 @@
 type sum struct {
 	who
 	due       []outcome // in the window, by when they were due
-	kept      int       // jobs under way that the exception has gone ahead
+	boosted   int       // jobs under way that the exception has gone ahead
 	keptEver  uint64
 	missed    uint64 // since the term began
 	met       uint64
@@ -183,7 +183,7 @@
 	for _, s := range e.sums {
 		s.remaining--
 		if e.boosted {
-			s.kept--
+			s.boosted--
 		}
 	}
 }
@@ -208,11 +208,11 @@
 // share is how much of a class or a team was served of what was due in the window, if
 // those that go ahead make it and so many more do not.
 func (s *sum) share(lost int) float64 {
-	all := len(s.due) + s.kept + lost
+	all := len(s.due) + s.boosted + lost
 	if all == 0 {
 		return 1
 	}
-	return float64(s.done()+s.kept) / float64(all)
+	return float64(s.done()+s.boosted) / float64(all)
 }
 
 // done is how many of those due in the window were done by then.
@@ -304,7 +304,7 @@
 		d.NeedsCycle = true
 		for _, s := range e.sums {
 			s.waiting--
-			s.kept++
+			s.boosted++
 			s.keptEver++
 		}
 		d.LogMessage(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served", "job", j.Record.ID, "class", j.Record.Class, "team", j.Record.Team, "due_in", (e.due - now).Round(time.Second).String())
@@ -353,7 +353,7 @@
 func (d *Component) views() []View {
 	out := []View{}
 	for _, s := range d.sums {
-		v := View{Name: s.name, Team: s.team, Due: len(s.due), Open: s.remaining, Kept: s.kept, Missed: s.missed, Helped: s.keptEver, Met: s.done(), Share: 1}
+		v := View{Name: s.name, Team: s.team, Due: len(s.due), Open: s.remaining, Kept: s.boosted, Missed: s.missed, Helped: s.keptEver, Met: s.done(), Share: 1}
 		if v.Due > 0 {
 			v.Share = float64(v.Met) / float64(v.Due)
 		}
