--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -45,13 +45,13 @@
 // sum is what is known of a class or a team.
 type sum struct {
 	who
-	due       []outcome // in the window, by when they were due
-	boosted   int       // jobs under way that the exception has gone ahead
-	keptEver  uint64
-	missed    uint64 // since the term began
-	met       uint64
-	waiting   int // jobs at their last chance, this look
-	remaining int // jobs that are open
+	due          []outcome // in the window, by when they were due
+	boosted      int       // jobs under way that the exception has gone ahead
+	boostedTotal uint64
+	missed       uint64 // since the term began
+	met          uint64
+	waiting      int // jobs at their last chance, this look
+	remaining    int // jobs that are open
 }
 
 type outcome struct {
@@ -305,7 +305,7 @@
 		for _, s := range e.sums {
 			s.waiting--
 			s.boosted++
-			s.keptEver++
+			s.boostedTotal++
 		}
 		d.LogMessage(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served", "job", j.Record.ID, "class", j.Record.Class, "team", j.Record.Team, "due_in", (e.due - now).Round(time.Second).String())
 	}
@@ -353,7 +353,7 @@
 func (d *Component) views() []View {
 	out := []View{}
 	for _, s := range d.sums {
-		v := View{Name: s.name, Team: s.team, Due: len(s.due), Open: s.remaining, Kept: s.boosted, Missed: s.missed, Helped: s.keptEver, Met: s.done(), Share: 1}
+		v := View{Name: s.name, Team: s.team, Due: len(s.due), Open: s.remaining, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.done(), Share: 1}
 		if v.Due > 0 {
 			v.Share = float64(v.Met) / float64(v.Due)
 		}
