--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -45,7 +45,7 @@
 // sum is what is known of a class or a team.
 type sum struct {
 	who
-	due          []outcome // in the window, by when they were due
+	outcomes     []outcome // in the window, by when they were due
 	boosted      int       // jobs under way that the exception has gone ahead
 	boostedTotal uint64
 	missed       uint64 // since the term began
@@ -196,7 +196,7 @@
 	}
 	o := outcome{now, met, len(j.Tasks), float64(len(j.Tasks)) * j.Mean() * j.Share, began - j.AcceptedAt}
 	for _, s := range e.sums {
-		s.due = append(s.due, o)
+		s.outcomes = append(s.outcomes, o)
 		if met {
 			s.met++
 		} else {
@@ -208,7 +208,7 @@
 // share is how much of a class or a team was served of what was due in the window, if
 // those that go ahead make it and so many more do not.
 func (s *sum) share(lost int) float64 {
-	all := len(s.due) + s.boosted + lost
+	all := len(s.outcomes) + s.boosted + lost
 	if all == 0 {
 		return 1
 	}
@@ -217,7 +217,7 @@
 
 // done is how many of those due in the window were done by then.
 func (s *sum) done() (n int) {
-	for _, o := range s.due {
+	for _, o := range s.outcomes {
 		if o.met {
 			n++
 		}
@@ -228,10 +228,10 @@
 // largest are the largest of those due in the window: the tenth with most work, and the
 // widest.
 func (s *sum) largest() []outcome {
-	if len(s.due) == 0 {
+	if len(s.outcomes) == 0 {
 		return nil
 	}
-	list := slices.Clone(s.due)
+	list := slices.Clone(s.outcomes)
 	slices.SortStableFunc(list, func(a, b outcome) int { return cmp.Compare(b.work, a.work) })
 	n := (len(list) + 9) / 10
 	widest := slices.MaxFunc(list, func(a, b outcome) int { return cmp.Compare(a.tasks, b.tasks) })
@@ -250,11 +250,11 @@
 	d.lookAt = now
 	for _, s := range d.sums {
 		s.waiting = 0
-		if n := slices.IndexFunc(s.due, func(o outcome) bool { return now-o.at <= d.window }); n != 0 {
+		if n := slices.IndexFunc(s.outcomes, func(o outcome) bool { return now-o.at <= d.window }); n != 0 {
 			if n < 0 {
-				n = len(s.due)
+				n = len(s.outcomes)
 			}
-			s.due = slices.Delete(s.due, 0, n)
+			s.outcomes = slices.Delete(s.outcomes, 0, n)
 		}
 	}
 	for len(d.open) > 0 && d.open[0].due < now {
@@ -314,7 +314,7 @@
 // short says whether a job's class or team has been served less than the floor already.
 func (d *Component) short(e *entry) bool {
 	return slices.ContainsFunc(e.sums[:], func(s *sum) bool {
-		return len(s.due) >= few && float64(s.done()) < d.floor*float64(len(s.due))
+		return len(s.outcomes) >= few && float64(s.done()) < d.floor*float64(len(s.outcomes))
 	})
 }
 
@@ -353,7 +353,7 @@
 func (d *Component) views() []View {
 	out := []View{}
 	for _, s := range d.sums {
-		v := View{Name: s.name, Team: s.team, Due: len(s.due), Open: s.remaining, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.done(), Share: 1}
+		v := View{Name: s.name, Team: s.team, Due: len(s.outcomes), Open: s.remaining, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.done(), Share: 1}
 		if v.Due > 0 {
 			v.Share = float64(v.Met) / float64(v.Due)
 		}
