--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -50,7 +50,7 @@
 	boostedTotal uint64
 	missed       uint64 // since the term began
 	met          uint64
-	waiting      int // jobs at their last chance, this look
+	atRisk       int // jobs at their last chance, this look
 	remaining    int // jobs that are open
 }
 
@@ -249,7 +249,7 @@
 	}
 	d.lookAt = now
 	for _, s := range d.sums {
-		s.waiting = 0
+		s.atRisk = 0
 		if n := slices.IndexFunc(s.outcomes, func(o outcome) bool { return now-o.at <= d.window }); n != 0 {
 			if n < 0 {
 				n = len(s.outcomes)
@@ -293,17 +293,17 @@
 			continue // there is time yet
 		}
 		for _, s := range e.sums {
-			s.waiting++
+			s.atRisk++
 		}
 		// This one and all that stand where it does count as lost unless they go ahead.
-		if e.sums[0].share(e.sums[0].waiting) >= d.floor && e.sums[1].share(e.sums[1].waiting) >= d.floor {
+		if e.sums[0].share(e.sums[0].atRisk) >= d.floor && e.sums[1].share(e.sums[1].atRisk) >= d.floor {
 			continue
 		}
 		e.boosted, j.Boost = true, jobs.BoostBehindUrgent
 		ahead += work(j)
 		d.NeedsCycle = true
 		for _, s := range e.sums {
-			s.waiting--
+			s.atRisk--
 			s.boosted++
 			s.boostedTotal++
 		}
