--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -51,7 +51,7 @@
 	missed       uint64 // since the term began
 	met          uint64
 	atRisk       int // jobs at their last chance, this look
-	remaining    int // jobs that are open
+	openJobs     int // jobs that are open
 }
 
 type outcome struct {
@@ -156,7 +156,7 @@
 	i, _ := slices.BinarySearchFunc(d.open, e.due, byDue)
 	d.open = slices.Insert(d.open, i, e)
 	for _, s := range e.sums {
-		s.remaining++
+		s.openJobs++
 	}
 }
 
@@ -181,7 +181,7 @@
 	d.open = slices.Delete(d.open, i, i+1)
 	e.job.Boost = jobs.NoBoost
 	for _, s := range e.sums {
-		s.remaining--
+		s.openJobs--
 		if e.boosted {
 			s.boosted--
 		}
@@ -353,7 +353,7 @@
 func (d *Component) views() []View {
 	out := []View{}
 	for _, s := range d.sums {
-		v := View{Name: s.name, Team: s.team, Due: len(s.outcomes), Open: s.remaining, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.done(), Share: 1}
+		v := View{Name: s.name, Team: s.team, Due: len(s.outcomes), Open: s.openJobs, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.done(), Share: 1}
 		if v.Due > 0 {
 			v.Share = float64(v.Met) / float64(v.Due)
 		}
