--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -212,11 +212,11 @@
 	if all == 0 {
 		return 1
 	}
-	return float64(s.done()+s.boosted) / float64(all)
+	return float64(s.metCount()+s.boosted) / float64(all)
 }
 
-// done is how many of those due in the window were done by then.
-func (s *sum) done() (n int) {
+// metCount is how many of those due in the window were done by then.
+func (s *sum) metCount() (n int) {
 	for _, o := range s.outcomes {
 		if o.met {
 			n++
@@ -314,7 +314,7 @@
 // short says whether a job's class or team has been served less than the floor already.
 func (d *Component) short(e *entry) bool {
 	return slices.ContainsFunc(e.sums[:], func(s *sum) bool {
-		return len(s.outcomes) >= few && float64(s.done()) < d.floor*float64(len(s.outcomes))
+		return len(s.outcomes) >= few && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
 }
 
@@ -353,7 +353,7 @@
 func (d *Component) views() []View {
 	out := []View{}
 	for _, s := range d.sums {
-		v := View{Name: s.name, Team: s.team, Due: len(s.outcomes), Open: s.openJobs, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.done(), Share: 1}
+		v := View{Name: s.name, Team: s.team, Due: len(s.outcomes), Open: s.openJobs, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.metCount(), Share: 1}
 		if v.Due > 0 {
 			v.Share = float64(v.Met) / float64(v.Due)
 		}
