--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -205,9 +205,9 @@
 	}
 }
 
-// share is how much of a class or a team was served of what was due in the window, if
+// attainmentIf is how much of a class or a team was served of what was due in the window, if
 // those that go ahead make it and so many more do not.
-func (s *sum) share(lost int) float64 {
+func (s *sum) attainmentIf(lost int) float64 {
 	all := len(s.outcomes) + s.boosted + lost
 	if all == 0 {
 		return 1
@@ -296,7 +296,7 @@
 			s.atRisk++
 		}
 		// This one and all that stand where it does count as lost unless they go ahead.
-		if e.sums[0].share(e.sums[0].atRisk) >= d.floor && e.sums[1].share(e.sums[1].atRisk) >= d.floor {
+		if e.sums[0].attainmentIf(e.sums[0].atRisk) >= d.floor && e.sums[1].attainmentIf(e.sums[1].atRisk) >= d.floor {
 			continue
 		}
 		e.boosted, j.Boost = true, jobs.BoostBehindUrgent
