--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -76,7 +76,7 @@
 	*cluster.State
 	window time.Duration
 	floor  float64
-	sums   []*sum
+	groups []*sum
 	open   []*entry // by when they are due
 	byJob  map[*jobs.Job]*entry
 	lookAt time.Duration
@@ -132,13 +132,13 @@
 }
 
 func (d *Component) sum(w who) *sum {
-	for _, s := range d.sums {
+	for _, s := range d.groups {
 		if s.who == w {
 			return s
 		}
 	}
 	s := &sum{who: w}
-	d.sums = append(d.sums, s)
+	d.groups = append(d.groups, s)
 	return s
 }
 
@@ -248,7 +248,7 @@
 		return
 	}
 	d.lookAt = now
-	for _, s := range d.sums {
+	for _, s := range d.groups {
 		s.atRisk = 0
 		if n := slices.IndexFunc(s.outcomes, func(o outcome) bool { return now-o.at <= d.window }); n != 0 {
 			if n < 0 {
@@ -352,7 +352,7 @@
 
 func (d *Component) views() []View {
 	out := []View{}
-	for _, s := range d.sums {
+	for _, s := range d.groups {
 		v := View{Name: s.name, Team: s.team, Due: len(s.outcomes), Open: s.openJobs, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.metCount(), Share: 1}
 		if v.Due > 0 {
 			v.Share = float64(v.Met) / float64(v.Due)
