--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -131,7 +131,7 @@
 	return j.AcceptedAt + settings.Seconds(latest)
 }
 
-func (d *Component) sum(w who) *sum {
+func (d *Component) statsOf(w who) *sum {
 	for _, s := range d.groups {
 		if s.who == w {
 			return s
@@ -148,7 +148,7 @@
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &entry{job: j, due: d.due(j), sums: [2]*sum{d.sum(who{name: j.Record.Class}), d.sum(who{name: j.Record.Team, team: true})}}
+	e := &entry{job: j, due: d.due(j), sums: [2]*sum{d.statsOf(who{name: j.Record.Class}), d.statsOf(who{name: j.Record.Team, team: true})}}
 	if e.due <= now {
 		return // it was lost before this term began
 	}
