--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -66,7 +66,7 @@
 type entry struct {
 	job     *jobs.Job
 	due     time.Duration
-	sums    [2]*sum
+	groups  [2]*sum
 	boosted bool
 }
 
@@ -148,14 +148,14 @@
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &entry{job: j, due: d.due(j), sums: [2]*sum{d.statsOf(who{name: j.Record.Class}), d.statsOf(who{name: j.Record.Team, team: true})}}
+	e := &entry{job: j, due: d.due(j), groups: [2]*sum{d.statsOf(who{name: j.Record.Class}), d.statsOf(who{name: j.Record.Team, team: true})}}
 	if e.due <= now {
 		return // it was lost before this term began
 	}
 	d.byJob[j] = e
 	i, _ := slices.BinarySearchFunc(d.open, e.due, byDue)
 	d.open = slices.Insert(d.open, i, e)
-	for _, s := range e.sums {
+	for _, s := range e.groups {
 		s.openJobs++
 	}
 }
@@ -180,7 +180,7 @@
 	}
 	d.open = slices.Delete(d.open, i, i+1)
 	e.job.Boost = jobs.NoBoost
-	for _, s := range e.sums {
+	for _, s := range e.groups {
 		s.openJobs--
 		if e.boosted {
 			s.boosted--
@@ -195,7 +195,7 @@
 		began = now
 	}
 	o := outcome{now, met, len(j.Tasks), float64(len(j.Tasks)) * j.Mean() * j.Share, began - j.AcceptedAt}
-	for _, s := range e.sums {
+	for _, s := range e.groups {
 		s.outcomes = append(s.outcomes, o)
 		if met {
 			s.met++
@@ -292,17 +292,17 @@
 		if now+needs+chance < e.due {
 			continue // there is time yet
 		}
-		for _, s := range e.sums {
+		for _, s := range e.groups {
 			s.atRisk++
 		}
 		// This one and all that stand where it does count as lost unless they go ahead.
-		if e.sums[0].attainmentIf(e.sums[0].atRisk) >= d.floor && e.sums[1].attainmentIf(e.sums[1].atRisk) >= d.floor {
+		if e.groups[0].attainmentIf(e.groups[0].atRisk) >= d.floor && e.groups[1].attainmentIf(e.groups[1].atRisk) >= d.floor {
 			continue
 		}
 		e.boosted, j.Boost = true, jobs.BoostBehindUrgent
 		ahead += work(j)
 		d.NeedsCycle = true
-		for _, s := range e.sums {
+		for _, s := range e.groups {
 			s.atRisk--
 			s.boosted++
 			s.boostedTotal++
@@ -313,7 +313,7 @@
 
 // short says whether a job's class or team has been served less than the floor already.
 func (d *Component) short(e *entry) bool {
-	return slices.ContainsFunc(e.sums[:], func(s *sum) bool {
+	return slices.ContainsFunc(e.groups[:], func(s *sum) bool {
 		return len(s.outcomes) >= few && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
 }
