--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -74,12 +74,12 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	window time.Duration
-	floor  float64
-	groups []*sum
-	open   []*entry // by when they are due
-	byJob  map[*jobs.Job]*entry
-	lookAt time.Duration
+	window      time.Duration
+	floor       float64
+	groups      []*sum
+	open        []*entry // by when they are due
+	byJob       map[*jobs.Job]*entry
+	lastCheckAt time.Duration
 }
 
 // New makes the duty of a term.
@@ -244,10 +244,10 @@
 // Tick counts what was missed, and has jobs at their last chance go ahead where their
 // class or team would fall below the floor without them.
 func (d *Component) Tick(now time.Duration, _ bool) {
-	if now-d.lookAt < lookEvery {
+	if now-d.lastCheckAt < lookEvery {
 		return
 	}
-	d.lookAt = now
+	d.lastCheckAt = now
 	for _, s := range d.groups {
 		s.atRisk = 0
 		if n := slices.IndexFunc(s.outcomes, func(o outcome) bool { return now-o.at <= d.window }); n != 0 {
