--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -110,9 +110,9 @@
 	}
 }
 
-// due is by when a job should have ended: the last of its class's aims for that, or its
+// dueTime is by when a job should have ended: the last of its class's aims for that, or its
 // deadline, or as the operators say where its class has neither.
-func (d *Component) due(j *jobs.Job) time.Duration {
+func (d *Component) dueTime(j *jobs.Job) time.Duration {
 	latest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
@@ -148,7 +148,7 @@
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &entry{job: j, due: d.due(j), groups: [2]*sum{d.statsOf(who{name: j.Record.Class}), d.statsOf(who{name: j.Record.Team, team: true})}}
+	e := &entry{job: j, due: d.dueTime(j), groups: [2]*sum{d.statsOf(who{name: j.Record.Class}), d.statsOf(who{name: j.Record.Team, team: true})}}
 	if e.due <= now {
 		return // it was lost before this term began
 	}
--- a/internal/leader/slo/served_test.go
+++ b/internal/leader/slo/served_test.go
@@ -48,7 +48,7 @@
 	d := begun(0)
 	for class, want := range map[string]time.Duration{"a": 100 * time.Second, "b": 120 * time.Second, "c": 200 * time.Second} {
 		j := d.arrive(10*time.Second, uint64(len(class))+uint64(class[0]), class, "t")
-		if got := d.due(j); got != 10*time.Second+want {
+		if got := d.dueTime(j); got != 10*time.Second+want {
 			t.Errorf("%s: %v", class, got)
 		}
 	}
@@ -112,7 +112,7 @@
 			if r.IntN(6) == 0 {
 				id++
 				j := d.arrive(now, id, []string{"a", "b"}[r.IntN(2)], "t")
-				open[j] = d.due(j)
+				open[j] = d.dueTime(j)
 			}
 			for j, due := range open {
 				switch {
