--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -93,7 +93,7 @@
 func (d *Component) Begin(now time.Duration) {
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open {
-			d.enter(now, j)
+			d.trackJob(now, j)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
-		d.enter(e.At, e.Job)
+		d.trackJob(e.At, e.Job)
 	case cluster.JobDone:
 		d.leave(e.At, e.Job, true)
 	case cluster.JobRemoved:
@@ -144,7 +144,7 @@
 
 func byDue(a *entry, due time.Duration) int { return cmp.Compare(a.due, due) }
 
-func (d *Component) enter(now time.Duration, j *jobs.Job) {
+func (d *Component) trackJob(now time.Duration, j *jobs.Job) {
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
