--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -104,9 +104,9 @@
 	case cluster.JobOrdered:
 		d.trackJob(e.At, e.Job)
 	case cluster.JobDone:
-		d.leave(e.At, e.Job, true)
+		d.jobEnded(e.At, e.Job, true)
 	case cluster.JobRemoved:
-		d.leave(0, e.Job, false) // cancelled: it is nobody's loss
+		d.jobEnded(0, e.Job, false) // cancelled: it is nobody's loss
 	}
 }
 
@@ -160,8 +160,8 @@
 	}
 }
 
-// leave takes a job out, done in time or not at all.
-func (d *Component) leave(now time.Duration, j *jobs.Job, done bool) {
+// jobEnded takes a job out, done in time or not at all.
+func (d *Component) jobEnded(now time.Duration, j *jobs.Job, done bool) {
 	e := d.byJob[j]
 	if e == nil {
 		return
