--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -166,13 +166,13 @@
 	if e == nil {
 		return
 	}
-	d.drop(e)
+	d.untrack(e)
 	if done {
 		d.count(now, e, true)
 	}
 }
 
-func (d *Component) drop(e *entry) {
+func (d *Component) untrack(e *entry) {
 	delete(d.byJob, e.job)
 	i, _ := slices.BinarySearchFunc(d.open, e.due, byDue)
 	for d.open[i] != e {
@@ -259,7 +259,7 @@
 	}
 	for len(d.open) > 0 && d.open[0].due < now {
 		e := d.open[0]
-		d.drop(e)
+		d.untrack(e)
 		d.count(now, e, false)
 	}
 	if d.floor == 0 {
