--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -168,7 +168,7 @@
 	}
 	d.untrack(e)
 	if done {
-		d.count(now, e, true)
+		d.recordOutcome(now, e, true)
 	}
 }
 
@@ -188,7 +188,7 @@
 	}
 }
 
-func (d *Component) count(now time.Duration, e *entry, met bool) {
+func (d *Component) recordOutcome(now time.Duration, e *entry, met bool) {
 	j := e.job
 	began := j.FirstAt
 	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
@@ -260,7 +260,7 @@
 	for len(d.open) > 0 && d.open[0].due < now {
 		e := d.open[0]
 		d.untrack(e)
-		d.count(now, e, false)
+		d.recordOutcome(now, e, false)
 	}
 	if d.floor == 0 {
 		return
