--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -272,7 +272,7 @@
 			continue
 		}
 		ahead += work(e.job)
-		if before := e.job.Boost; d.short(e) != (before == jobs.BoostFirst) {
+		if before := e.job.Boost; d.belowFloor(e) != (before == jobs.BoostFirst) {
 			e.job.Boost = jobs.BoostBehindUrgent
 			if before != jobs.BoostFirst {
 				e.job.Boost = jobs.BoostFirst
@@ -311,8 +311,8 @@
 	}
 }
 
-// short says whether a job's class or team has been served less than the floor already.
-func (d *Component) short(e *entry) bool {
+// belowFloor says whether a job's class or team has been served less than the floor already.
+func (d *Component) belowFloor(e *entry) bool {
 	return slices.ContainsFunc(e.groups[:], func(s *sum) bool {
 		return len(s.outcomes) >= few && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
