--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -16,7 +16,7 @@
 // end. A machine that was moved stays for a while, and one that did not arrive where it
 // was sent is left alone for longer: it may not reach that controller.
 type Balancer struct {
-	p      Params
+	params Params
 	budget ratelimit.Bucket
 	nodes  []Node
 	giving map[string]bool
@@ -54,7 +54,7 @@
 
 // NewBalancer begins one.
 func NewBalancer(now time.Duration, p Params) *Balancer {
-	return &Balancer{p: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
+	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
 }
 
 func (n *Node) load(more int) float64 { return float64(n.Machines+more) / n.Weight }
@@ -78,7 +78,7 @@
 		switch over := n.load(0); {
 		case machines < fewest, b.mean == 0, over <= enough*b.mean:
 			delete(b.giving, n.Name)
-		case over > b.p.Most*b.mean:
+		case over > b.params.Most*b.mean:
 			b.giving[n.Name] = true
 		}
 	}
