--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -16,12 +16,12 @@
 // end. A machine that was moved stays for a while, and one that did not arrive where it
 // was sent is left alone for longer: it may not reach that controller.
 type Balancer struct {
-	params Params
-	budget ratelimit.Bucket
-	nodes  []Node
-	giving map[string]bool
-	moved  map[string]move
-	mean   float64
+	params     Params
+	budget     ratelimit.Bucket
+	nodes      []Node
+	overloaded map[string]bool
+	moved      map[string]move
+	mean       float64
 }
 
 // Params of a balance.
@@ -54,7 +54,7 @@
 
 // NewBalancer begins one.
 func NewBalancer(now time.Duration, p Params) *Balancer {
-	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), giving: map[string]bool{}, moved: map[string]move{}}
+	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), overloaded: map[string]bool{}, moved: map[string]move{}}
 }
 
 func (n *Node) load(more int) float64 { return float64(n.Machines+more) / n.Weight }
@@ -77,9 +77,9 @@
 		n := &nodes[i]
 		switch over := n.load(0); {
 		case machines < fewest, b.mean == 0, over <= enough*b.mean:
-			delete(b.giving, n.Name)
+			delete(b.overloaded, n.Name)
 		case over > b.params.Most*b.mean:
-			b.giving[n.Name] = true
+			b.overloaded[n.Name] = true
 		}
 	}
 	for m, x := range b.moved {
@@ -90,7 +90,7 @@
 }
 
 // IsEven says whether nobody has more than is borne.
-func (b *Balancer) IsEven() bool { return len(b.giving) == 0 }
+func (b *Balancer) IsEven() bool { return len(b.overloaded) == 0 }
 
 // Move says where a machine that has just reported by way of its controller should go
 // instead; empty: nowhere.
@@ -104,7 +104,7 @@
 			return ""
 		}
 	}
-	if !b.giving[holder] {
+	if !b.overloaded[holder] {
 		return ""
 	}
 	var from, to *Node
