--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -20,7 +20,7 @@
 	budget     ratelimit.Bucket
 	nodes      []Node
 	overloaded map[string]bool
-	moved      map[string]move
+	moves      map[string]move
 	mean       float64
 }
 
@@ -54,7 +54,7 @@
 
 // NewBalancer begins one.
 func NewBalancer(now time.Duration, p Params) *Balancer {
-	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), overloaded: map[string]bool{}, moved: map[string]move{}}
+	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), overloaded: map[string]bool{}, moves: map[string]move{}}
 }
 
 func (n *Node) load(more int) float64 { return float64(n.Machines+more) / n.Weight }
@@ -82,9 +82,9 @@
 			b.overloaded[n.Name] = true
 		}
 	}
-	for m, x := range b.moved {
+	for m, x := range b.moves {
 		if now-x.at > remember {
-			delete(b.moved, m)
+			delete(b.moves, m)
 		}
 	}
 }
@@ -95,10 +95,10 @@
 // Move says where a machine that has just reported by way of its controller should go
 // instead; empty: nowhere.
 func (b *Balancer) Move(now time.Duration, machine, holder string) string {
-	if x, was := b.moved[machine]; was {
+	if x, was := b.moves[machine]; was {
 		if x.to != holder && !x.failed {
 			x.failed = true // it did not arrive
-			b.moved[machine] = x
+			b.moves[machine] = x
 		}
 		if now-x.at < stays || (x.failed && now-x.at < avoids) {
 			return ""
@@ -121,6 +121,6 @@
 	}
 	from.Machines--
 	to.Machines++
-	b.moved[machine] = move{at: now, to: to.Name}
+	b.moves[machine] = move{at: now, to: to.Name}
 	return to.Name
 }
