--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -21,7 +21,7 @@
 	nodes      []Node
 	overloaded map[string]bool
 	moves      map[string]move
-	mean       float64
+	meanLoad   float64
 }
 
 // Params of a balance.
@@ -69,16 +69,16 @@
 			weight += n.Weight
 		}
 	}
-	b.mean = 0
+	b.meanLoad = 0
 	if weight > 0 {
-		b.mean = float64(machines) / weight
+		b.meanLoad = float64(machines) / weight
 	}
 	for i := range nodes {
 		n := &nodes[i]
 		switch over := n.load(0); {
-		case machines < fewest, b.mean == 0, over <= enough*b.mean:
+		case machines < fewest, b.meanLoad == 0, over <= enough*b.meanLoad:
 			delete(b.overloaded, n.Name)
-		case over > b.params.Most*b.mean:
+		case over > b.params.Most*b.meanLoad:
 			b.overloaded[n.Name] = true
 		}
 	}
@@ -116,7 +116,7 @@
 			to = n
 		}
 	}
-	if from == nil || to == nil || to.load(1) > from.load(0) || from.load(0) <= enough*b.mean || !b.budget.Take(now, 1) {
+	if from == nil || to == nil || to.load(1) > from.load(0) || from.load(0) <= enough*b.meanLoad || !b.budget.Take(now, 1) {
 		return ""
 	}
 	from.Machines--
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -134,8 +134,8 @@
 	out := []View{}
 	for _, n := range d.balance.nodes {
 		v := View{Node: n.Name, Machines: n.Machines, Weight: n.Weight, Ready: n.Ready}
-		if d.balance.mean > 0 {
-			v.Load = n.load(0) / d.balance.mean
+		if d.balance.meanLoad > 0 {
+			v.Load = n.load(0) / d.balance.meanLoad
 		}
 		out = append(out, v)
 	}
@@ -150,8 +150,8 @@
 func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
 	g := cluster.Gauge{Name: "bitternmoor_report_load", Help: "A controller's machines next to its even share.", Label: "holder", Values: map[string]float64{}}
 	for _, n := range d.balance.nodes {
-		if d.balance.mean > 0 {
-			g.Values[n.Name] = n.load(0) / d.balance.mean
+		if d.balance.meanLoad > 0 {
+			g.Values[n.Name] = n.load(0) / d.balance.meanLoad
 		}
 	}
 	return []cluster.Gauge{g}
