--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -57,7 +57,7 @@
 	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), overloaded: map[string]bool{}, moves: map[string]move{}}
 }
 
-func (n *Node) load(more int) float64 { return float64(n.Machines+more) / n.Weight }
+func (n *Node) loadWith(more int) float64 { return float64(n.Machines+more) / n.Weight }
 
 // Observe takes in how the machines are spread now.
 func (b *Balancer) Observe(now time.Duration, nodes []Node) {
@@ -75,7 +75,7 @@
 	}
 	for i := range nodes {
 		n := &nodes[i]
-		switch over := n.load(0); {
+		switch over := n.loadWith(0); {
 		case machines < fewest, b.meanLoad == 0, over <= enough*b.meanLoad:
 			delete(b.overloaded, n.Name)
 		case over > b.params.Most*b.meanLoad:
@@ -112,11 +112,11 @@
 		n := &b.nodes[i]
 		if n.Name == holder {
 			from = n
-		} else if n.Ready && (to == nil || n.load(1) < to.load(1)) {
+		} else if n.Ready && (to == nil || n.loadWith(1) < to.loadWith(1)) {
 			to = n
 		}
 	}
-	if from == nil || to == nil || to.load(1) > from.load(0) || from.load(0) <= enough*b.meanLoad || !b.budget.Take(now, 1) {
+	if from == nil || to == nil || to.loadWith(1) > from.loadWith(0) || from.loadWith(0) <= enough*b.meanLoad || !b.budget.Take(now, 1) {
 		return ""
 	}
 	from.Machines--
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -135,7 +135,7 @@
 	for _, n := range d.balance.nodes {
 		v := View{Node: n.Name, Machines: n.Machines, Weight: n.Weight, Ready: n.Ready}
 		if d.balance.meanLoad > 0 {
-			v.Load = n.load(0) / d.balance.meanLoad
+			v.Load = n.loadWith(0) / d.balance.meanLoad
 		}
 		out = append(out, v)
 	}
@@ -151,7 +151,7 @@
 	g := cluster.Gauge{Name: "bitternmoor_report_load", Help: "A controller's machines next to its even share.", Label: "holder", Values: map[string]float64{}}
 	for _, n := range d.balance.nodes {
 		if d.balance.meanLoad > 0 {
-			g.Values[n.Name] = n.load(0) / d.balance.meanLoad
+			g.Values[n.Name] = n.loadWith(0) / d.balance.meanLoad
 		}
 	}
 	return []cluster.Gauge{g}
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -37,7 +37,7 @@
 
 func (p *picture) most() (load float64) {
 	for i := range p.nodes {
-		load = max(load, p.nodes[i].load(0))
+		load = max(load, p.nodes[i].loadWith(0))
 	}
 	return load
 }
