--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -26,7 +26,7 @@
 
 // Params of a balance.
 type Params struct {
-	Most      float64 // load over the mean that is borne
+	MaxLoad   float64 // load over the mean that is borne
 	PerSecond float64 // moves
 }
 
@@ -78,7 +78,7 @@
 		switch over := n.loadWith(0); {
 		case machines < fewest, b.meanLoad == 0, over <= enough*b.meanLoad:
 			delete(b.overloaded, n.Name)
-		case over > b.params.Most*b.meanLoad:
+		case over > b.params.MaxLoad*b.meanLoad:
 			b.overloaded[n.Name] = true
 		}
 	}
