--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -26,8 +26,8 @@
 
 // Params of a balance.
 type Params struct {
-	MaxLoad   float64 // load over the mean that is borne
-	PerSecond float64 // moves
+	MaxLoad        float64 // load over the mean that is borne
+	MovesPerSecond float64 // moves
 }
 
 // Node is a controller.
@@ -54,7 +54,7 @@
 
 // NewBalancer begins one.
 func NewBalancer(now time.Duration, p Params) *Balancer {
-	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.PerSecond, max(1, p.PerSecond)), overloaded: map[string]bool{}, moves: map[string]move{}}
+	return &Balancer{params: p, budget: ratelimit.NewBucket(now, p.MovesPerSecond, max(1, p.MovesPerSecond)), overloaded: map[string]bool{}, moves: map[string]move{}}
 }
 
 func (n *Node) loadWith(more int) float64 { return float64(n.Machines+more) / n.Weight }
--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -47,7 +47,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
-	d := &Component{State: s, balance: NewBalancer(s.TermBegan, Params{MaxLoad: t.SpreadMost, PerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
+	d := &Component{State: s, balance: NewBalancer(s.TermBegan, Params{MaxLoad: t.SpreadMost, MovesPerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
 	s.Rebalancer = d
 	return d
 }
--- a/internal/leader/rebalance/spread_test.go
+++ b/internal/leader/rebalance/spread_test.go
@@ -51,7 +51,7 @@
 		r := rand.New(rand.NewPCG(seed, 6))
 		p := random(r)
 		const rate = 20
-		b := NewBalancer(0, Params{MaxLoad: 1.25, PerSecond: rate})
+		b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: rate})
 		twice := map[int]bool{}
 		moves, last := 0, time.Duration(0)
 		interval := 5 * time.Second
@@ -101,7 +101,7 @@
 // A controller that is quick and slow in turn every half minute costs at most as many
 // moves as machines stay a minute where they were sent to.
 func TestSwinging(t *testing.T) {
-	b := NewBalancer(0, Params{MaxLoad: 1.25, PerSecond: 10})
+	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 10})
 	p := &picture{nodes: []Node{{Name: "n0", Weight: 1, Ready: true}, {Name: "n1", Weight: 1, Ready: true}}}
 	for m := range 400 {
 		p.holder = append(p.holder, m%2)
@@ -127,7 +127,7 @@
 
 // A machine that does not arrive where it was sent is left alone.
 func TestNotReached(t *testing.T) {
-	b := NewBalancer(0, Params{MaxLoad: 1.25, PerSecond: 100})
+	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 100})
 	sent := map[string]int{}
 	for now := time.Duration(0); now < 9*time.Minute; now += time.Second {
 		b.Observe(now, []Node{{Name: "a", Machines: 40, Weight: 1, Ready: true}, {Name: "b", Weight: 1, Ready: true}})
