--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -29,7 +29,7 @@
 
 type peer struct {
 	since, last time.Duration // answered from then on, and last
-	took        time.Duration // smoothed time of its answers
+	latency     time.Duration // smoothed time of its answers
 }
 
 // Component spreads reports in a term. It is the term's spreader (cluster.Spreader).
@@ -56,23 +56,23 @@
 func (d *Component) PeerHeard(now time.Duration, name string, took time.Duration) {
 	p := d.peers[name]
 	if p == nil {
-		p = &peer{since: now, took: took}
+		p = &peer{since: now, latency: took}
 		d.peers[name] = p
 	}
 	if now-p.last > lostAfter {
 		p.since = now
 	}
 	p.last = now
-	p.took += time.Duration(smoothing * float64(took-p.took))
+	p.latency += time.Duration(smoothing * float64(took-p.latency))
 }
 
 // weight of a controller: one that answers slowly, next to the quickest, gets less.
 func (d *Component) weight(p *peer) float64 {
-	quickest := p.took
+	quickest := p.latency
 	for _, o := range d.peers {
-		quickest = min(quickest, o.took)
+		quickest = min(quickest, o.latency)
 	}
-	return max(leastPart, min(1, float64(max(quickest, slowFrom))/float64(max(p.took, slowFrom))))
+	return max(leastPart, min(1, float64(max(quickest, slowFrom))/float64(max(p.latency, slowFrom))))
 }
 
 // Tick looks how machines are spread.
