--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -28,8 +28,8 @@
 )
 
 type peer struct {
-	since, last time.Duration // answered from then on, and last
-	latency     time.Duration // smoothed time of its answers
+	answeringSince, last time.Duration // answered from then on, and last
+	latency              time.Duration // smoothed time of its answers
 }
 
 // Component spreads reports in a term. It is the term's spreader (cluster.Spreader).
@@ -56,11 +56,11 @@
 func (d *Component) PeerHeard(now time.Duration, name string, took time.Duration) {
 	p := d.peers[name]
 	if p == nil {
-		p = &peer{since: now, latency: took}
+		p = &peer{answeringSince: now, latency: took}
 		d.peers[name] = p
 	}
 	if now-p.last > lostAfter {
-		p.since = now
+		p.answeringSince = now
 	}
 	p.last = now
 	p.latency += time.Duration(smoothing * float64(took-p.latency))
@@ -92,7 +92,7 @@
 		n := Node{Name: c.Node, Machines: count[c.Node], Weight: 1}
 		if p := d.peers[c.Node]; p != nil {
 			n.Weight = d.weight(p)
-			n.Ready = now-p.last <= lostAfter && now-p.since >= steady
+			n.Ready = now-p.last <= lostAfter && now-p.answeringSince >= steady
 		}
 		nodes = append(nodes, n)
 	}
