--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -28,8 +28,8 @@
 )
 
 type peer struct {
-	answeringSince, last time.Duration // answered from then on, and last
-	latency              time.Duration // smoothed time of its answers
+	answeringSince, lastAnswerAt time.Duration // answered from then on, and last
+	latency                      time.Duration // smoothed time of its answers
 }
 
 // Component spreads reports in a term. It is the term's spreader (cluster.Spreader).
@@ -59,10 +59,10 @@
 		p = &peer{answeringSince: now, latency: took}
 		d.peers[name] = p
 	}
-	if now-p.last > lostAfter {
+	if now-p.lastAnswerAt > lostAfter {
 		p.answeringSince = now
 	}
-	p.last = now
+	p.lastAnswerAt = now
 	p.latency += time.Duration(smoothing * float64(took-p.latency))
 }
 
@@ -92,7 +92,7 @@
 		n := Node{Name: c.Node, Machines: count[c.Node], Weight: 1}
 		if p := d.peers[c.Node]; p != nil {
 			n.Weight = d.weight(p)
-			n.Ready = now-p.last <= lostAfter && now-p.answeringSince >= steady
+			n.Ready = now-p.lastAnswerAt <= lostAfter && now-p.answeringSince >= steady
 		}
 		nodes = append(nodes, n)
 	}
