--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -36,12 +36,12 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	balance *Balancer
-	peers   map[string]*peer
-	lookAt  time.Duration
-	moves   uint64
-	uneven  time.Duration // since when some controller has had too many; 0: none
-	took    time.Duration // the last time that it took to even out
+	balance      *Balancer
+	peers        map[string]*peer
+	lookAt       time.Duration
+	moves        uint64
+	uneven       time.Duration // since when some controller has had too many; 0: none
+	lastDuration time.Duration // the last time that it took to even out
 }
 
 // New makes the duty of a term.
@@ -102,8 +102,8 @@
 	case !even && d.uneven == 0:
 		d.uneven = now
 	case even && d.uneven > 0:
-		d.took, d.uneven = now-d.uneven, 0
-		d.LogMessage(effects.Info, "reports are spread evenly again", "after", d.took.Round(100*time.Millisecond).String(), "moves", d.moves)
+		d.lastDuration, d.uneven = now-d.uneven, 0
+		d.LogMessage(effects.Info, "reports are spread evenly again", "after", d.lastDuration.Round(100*time.Millisecond).String(), "moves", d.moves)
 	}
 }
 
