--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -40,7 +40,7 @@
 	peers        map[string]*peer
 	lookAt       time.Duration
 	moves        uint64
-	uneven       time.Duration // since when some controller has had too many; 0: none
+	unevenSince  time.Duration // since when some controller has had too many; 0: none
 	lastDuration time.Duration // the last time that it took to even out
 }
 
@@ -99,10 +99,10 @@
 	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
 	d.balance.Observe(now, nodes)
 	switch even := d.balance.IsEven(); {
-	case !even && d.uneven == 0:
-		d.uneven = now
-	case even && d.uneven > 0:
-		d.lastDuration, d.uneven = now-d.uneven, 0
+	case !even && d.unevenSince == 0:
+		d.unevenSince = now
+	case even && d.unevenSince > 0:
+		d.lastDuration, d.unevenSince = now-d.unevenSince, 0
 		d.LogMessage(effects.Info, "reports are spread evenly again", "after", d.lastDuration.Round(100*time.Millisecond).String(), "moves", d.moves)
 	}
 }
