--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -38,7 +38,7 @@
 	*cluster.State
 	balance      *Balancer
 	peers        map[string]*peer
-	lookAt       time.Duration
+	lastCheckAt  time.Duration
 	moves        uint64
 	unevenSince  time.Duration // since when some controller has had too many; 0: none
 	lastDuration time.Duration // the last time that it took to even out
@@ -77,10 +77,10 @@
 
 // Tick looks how machines are spread.
 func (d *Component) Tick(now time.Duration, _ bool) {
-	if now-d.lookAt < lookEvery {
+	if now-d.lastCheckAt < lookEvery {
 		return
 	}
-	d.lookAt = now
+	d.lastCheckAt = now
 	count := map[string]int{}
 	for _, m := range d.Inventory.All() {
 		if m.Shard != "" && m.Up && !m.Deleting && now-m.LastHeartbeat <= d.SuspectAfter() {
