--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -36,7 +36,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	balance      *Balancer
+	balancer     *Balancer
 	peers        map[string]*peer
 	lastCheckAt  time.Duration
 	moves        uint64
@@ -47,7 +47,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
-	d := &Component{State: s, balance: NewBalancer(s.TermBegan, Params{MaxLoad: t.SpreadMost, MovesPerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
+	d := &Component{State: s, balancer: NewBalancer(s.TermBegan, Params{MaxLoad: t.SpreadMost, MovesPerSecond: t.SpreadMoves}), peers: map[string]*peer{}}
 	s.Rebalancer = d
 	return d
 }
@@ -97,8 +97,8 @@
 		nodes = append(nodes, n)
 	}
 	slices.SortFunc(nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
-	d.balance.Observe(now, nodes)
-	switch even := d.balance.IsEven(); {
+	d.balancer.Observe(now, nodes)
+	switch even := d.balancer.IsEven(); {
 	case !even && d.unevenSince == 0:
 		d.unevenSince = now
 	case even && d.unevenSince > 0:
@@ -110,7 +110,7 @@
 // RedirectTo says to which controller a machine that has just reported should go; empty:
 // it stays. Nothing may be on its way to it.
 func (d *Component) RedirectTo(now time.Duration, m *workers.Machine) string {
-	to := d.balance.Move(now, m.Name, m.Shard)
+	to := d.balancer.Move(now, m.Name, m.Shard)
 	if to != "" {
 		d.moves++
 	}
@@ -132,10 +132,10 @@
 		return nil, cluster.ErrUnknownView
 	}
 	out := []View{}
-	for _, n := range d.balance.nodes {
+	for _, n := range d.balancer.nodes {
 		v := View{Node: n.Name, Machines: n.Machines, Weight: n.Weight, Ready: n.Ready}
-		if d.balance.meanLoad > 0 {
-			v.Load = n.loadWith(0) / d.balance.meanLoad
+		if d.balancer.meanLoad > 0 {
+			v.Load = n.loadWith(0) / d.balancer.meanLoad
 		}
 		out = append(out, v)
 	}
@@ -149,9 +149,9 @@
 // Gauges gives each controller's load.
 func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
 	g := cluster.Gauge{Name: "bitternmoor_report_load", Help: "A controller's machines next to its even share.", Label: "holder", Values: map[string]float64{}}
-	for _, n := range d.balance.nodes {
-		if d.balance.meanLoad > 0 {
-			g.Values[n.Name] = n.loadWith(0) / d.balance.meanLoad
+	for _, n := range d.balancer.nodes {
+		if d.balancer.meanLoad > 0 {
+			g.Values[n.Name] = n.loadWith(0) / d.balancer.meanLoad
 		}
 	}
 	return []cluster.Gauge{g}
