--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -39,7 +39,7 @@
 	demand     demand
 	lateMargin float64
 
-	runs            map[uint64]*run // open jobs of which something was seen, by id
+	runs            map[uint64]*jobRun // open jobs of which something was seen, by id
 	taskPlacedAt    map[workers.Ref]time.Duration
 	machineSpeeds   map[string]*speed // by machine
 	countedRuns     map[uint64]int32  // jobs whose fact is counted, and its night
@@ -60,8 +60,8 @@
 	leadTimes   *cluster.Histogram
 }
 
-// run is what is known of an open job's tasks.
-type run struct {
+// jobRun is what is known of an open job's tasks.
+type jobRun struct {
 	kind        Kind
 	est         Estimate
 	task, fetch *ddsketch.DDSketch
@@ -85,7 +85,7 @@
 	}
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
-	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{durableDay: math.MinInt32}, runs: map[uint64]*run{}, taskPlacedAt: map[workers.Ref]time.Duration{},
+	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{durableDay: math.MinInt32}, runs: map[uint64]*jobRun{}, taskPlacedAt: map[workers.Ref]time.Duration{},
 		machineSpeeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
 		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
@@ -295,10 +295,10 @@
 	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
 
-func (d *Component) runOf(now time.Duration, j *jobs.Job) *run {
+func (d *Component) runOf(now time.Duration, j *jobs.Job) *jobRun {
 	r := d.runs[j.Record.ID]
 	if r == nil {
-		r = &run{kind: d.kindOfJob(j), est: d.estimateJob(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
+		r = &jobRun{kind: d.kindOfJob(j), est: d.estimateJob(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
 		d.runs[j.Record.ID] = r
 	}
 	return r
@@ -362,7 +362,7 @@
 
 // observeSpeed notes how a machine's task went against what was expected, and says
 // whether the machine is known to be slow.
-func (d *Component) observeSpeed(r *run, e cluster.Event) bool {
+func (d *Component) observeSpeed(r *jobRun, e cluster.Event) bool {
 	if r.est.Tasks == 0 || r.est.P50 <= 0 {
 		return false
 	}
