--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -41,8 +41,8 @@
 
 	runs            map[uint64]*jobRun // open jobs of which something was seen, by id
 	taskPlacedAt    map[workers.Ref]time.Duration
-	machineSpeeds   map[string]*speed // by machine
-	countedRuns     map[uint64]int32  // jobs whose fact is counted, and its night
+	machineSpeeds   map[string]*machineSpeed // by machine
+	countedRuns     map[uint64]int32         // jobs whose fact is counted, and its night
 	today           calendar.Night
 	loggedRecords   int          // entries of facts that may have to be kept
 	deferredRecords []*RunRecord // until the history is read
@@ -69,8 +69,8 @@
 	disturbed   map[int]bool // tasks that were started more than once, or moved
 }
 
-// speed is how slow a machine's tasks are, as a mean of logarithms.
-type speed struct {
+// machineSpeed is how slow a machine's tasks are, as a mean of logarithms.
+type machineSpeed struct {
 	n   int
 	log float64
 }
@@ -86,7 +86,7 @@
 	// Each value costs a change for itself and one for the entry that goes along.
 	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
 	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{durableDay: math.MinInt32}, runs: map[uint64]*jobRun{}, taskPlacedAt: map[workers.Ref]time.Duration{},
-		machineSpeeds: map[string]*speed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
+		machineSpeeds: map[string]*machineSpeed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
 		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
 }
 
@@ -368,7 +368,7 @@
 	}
 	s := d.machineSpeeds[e.Machine.Name]
 	if s == nil {
-		s = &speed{}
+		s = &machineSpeed{}
 		d.machineSpeeds[e.Machine.Name] = s
 	}
 	s.n++
