--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -93,7 +93,7 @@
 // entry is one of the duty's own in the log: what a job has shown, that a value was
 // written, or that a kind was forgotten.
 type entry struct {
-	Record    *storedFact   `json:"f,omitempty"`
+	Record    *storedRecord `json:"f,omitempty"`
 	Stored    *int          `json:"w,omitempty"`
 	Forgotten *storedForgot `json:"x,omitempty"`
 }
@@ -104,7 +104,7 @@
 	At      int64     `json:"a"` // facts up to then count no more
 }
 
-type storedFact struct {
+type storedRecord struct {
 	ID       uint64     `json:"i"`
 	At       int64      `json:"a"`
 	Day      int32      `json:"d"`
@@ -138,7 +138,7 @@
 
 func kindOf(n [4]string, holiday bool) Kind { return Kind{n[0], n[1], n[2], n[3], holiday} }
 
-func (f *storedFact) runRecord() *RunRecord {
+func (f *storedRecord) runRecord() *RunRecord {
 	return &RunRecord{ID: f.ID, At: f.At, Day: f.Day, Kind: kindOf(f.Kind, f.Holiday), N: f.N, Task: f.Task, Fetch: f.Fetch, Job: f.Job, Estimate: f.Estimate, Work: f.Work}
 }
 
@@ -404,7 +404,7 @@
 		return
 	}
 	d.startNight(now)
-	s := storedFact{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
+	s := storedRecord{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
 		Fetch: round(quantile(r.fetch, .5)), Job: round((now - j.AcceptedAt).Seconds()), Estimate: round(j.Record.EstimateS)}
 	for i, q := range points {
 		s.Task[i] = round(quantile(r.task, q))
