--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -93,12 +93,12 @@
 // entry is one of the duty's own in the log: what a job has shown, that a value was
 // written, or that a kind was forgotten.
 type entry struct {
-	Record    *storedRecord `json:"f,omitempty"`
-	Stored    *int          `json:"w,omitempty"`
-	Forgotten *storedForgot `json:"x,omitempty"`
+	Record    *storedRecord    `json:"f,omitempty"`
+	Stored    *int             `json:"w,omitempty"`
+	Forgotten *storedForgotten `json:"x,omitempty"`
 }
 
-type storedForgot struct {
+type storedForgotten struct {
 	Kind    [4]string `json:"k"`
 	Holiday bool      `json:"h,omitempty"`
 	At      int64     `json:"a"` // facts up to then count no more
