--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -54,7 +54,7 @@
 }
 
 // size is roughly what a kind takes with all its nights.
-func size(k Kind) int { return 60 + len(k.String()) + keepNights*nightBytes }
+func size(k Kind) int { return 60 + len(k.String()) + keepNights*bytesPerNight }
 
 // put has a kind kept in a value.
 func (s *valueStore) put(n int, k Kind) {
