--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -22,12 +22,12 @@
 const Name = "run-times"
 
 const (
-	bytesPerNight = 80  // rough sizes of a night in a value,
-	factBytes     = 160 // and of a fact in the log
-	slowAfter     = 4   // tasks of which a machine is known to be slow
-	slowRatio     = 1.7 // from which on it is
-	seenDays      = 2   // for how long ids of facts are remembered
-	closeMost     = 16  // kinds whose night is closed in one tick
+	bytesPerNight  = 80  // rough sizes of a night in a value,
+	bytesPerRecord = 160 // and of a fact in the log
+	slowAfter      = 4   // tasks of which a machine is known to be slow
+	slowRatio      = 1.7 // from which on it is
+	seenDays       = 2   // for how long ids of facts are remembered
+	closeMost      = 16  // kinds whose night is closed in one tick
 )
 
 // Component learns in a term.
@@ -436,7 +436,7 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return d.loggedRecords * factBytes }
+func (d *Component) LiveBytes() int { return d.loggedRecords * bytesPerRecord }
 
 // Compact writes anew a fact that is in no value yet, and for some days that a kind was
 // forgotten.
