--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -22,12 +22,12 @@
 const Name = "run-times"
 
 const (
-	bytesPerNight  = 80  // rough sizes of a night in a value,
-	bytesPerRecord = 160 // and of a fact in the log
-	slowAfter      = 4   // tasks of which a machine is known to be slow
-	slowRatio      = 1.7 // from which on it is
-	seenDays       = 2   // for how long ids of facts are remembered
-	closeMost      = 16  // kinds whose night is closed in one tick
+	bytesPerNight    = 80  // rough sizes of a night in a value,
+	bytesPerRecord   = 160 // and of a fact in the log
+	minTasksForSpeed = 4   // tasks of which a machine is known to be slow
+	slowRatio        = 1.7 // from which on it is
+	seenDays         = 2   // for how long ids of facts are remembered
+	closeMost        = 16  // kinds whose night is closed in one tick
 )
 
 // Component learns in a term.
@@ -372,7 +372,7 @@
 		d.machineSpeeds[e.Machine.Name] = s
 	}
 	s.n++
-	s.log += (math.Log(e.RunSeconds/r.est.P50) - s.log) / float64(min(s.n, 2*slowAfter))
+	s.log += (math.Log(e.RunSeconds/r.est.P50) - s.log) / float64(min(s.n, 2*minTasksForSpeed))
 	return d.isSlow(e.Machine.Name)
 }
 
@@ -380,12 +380,12 @@
 // them are.
 func (d *Component) isSlow(machine string) bool {
 	s := d.machineSpeeds[machine]
-	if s == nil || s.n < slowAfter || s.log < math.Log(slowRatio) {
+	if s == nil || s.n < minTasksForSpeed || s.log < math.Log(slowRatio) {
 		return false
 	}
 	slow, known := 0, 0
 	for _, o := range d.machineSpeeds {
-		if o.n >= slowAfter {
+		if o.n >= minTasksForSpeed {
 			known++
 			if o.log >= math.Log(slowRatio) {
 				slow++
--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -269,7 +269,7 @@
 	for k := 4; k < 20; k++ {
 		done(k, 30, true, slow) // the first few tell that it is slow
 	}
-	if n := d.runs[99].n; n > slowAfter {
+	if n := d.runs[99].n; n > minTasksForSpeed {
 		t.Errorf("%d tasks count", n)
 	}
 	for k := 20; k < 40; k++ {
