--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -26,7 +26,7 @@
 	bytesPerRecord   = 160 // and of a fact in the log
 	minTasksForSpeed = 4   // tasks of which a machine is known to be slow
 	slowRatio        = 1.7 // from which on it is
-	seenDays         = 2   // for how long ids of facts are remembered
+	countedRunDays   = 2   // for how long ids of facts are remembered
 	closeMost        = 16  // kinds whose night is closed in one tick
 )
 
@@ -259,7 +259,7 @@
 	}
 	d.today = today
 	for id, day := range d.countedRuns {
-		if day < today.Day-seenDays {
+		if day < today.Day-countedRunDays {
 			delete(d.countedRuns, id)
 		}
 	}
