--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -22,12 +22,12 @@
 const Name = "run-times"
 
 const (
-	bytesPerNight    = 80  // rough sizes of a night in a value,
-	bytesPerRecord   = 160 // and of a fact in the log
-	minTasksForSpeed = 4   // tasks of which a machine is known to be slow
-	slowRatio        = 1.7 // from which on it is
-	countedRunDays   = 2   // for how long ids of facts are remembered
-	closeMost        = 16  // kinds whose night is closed in one tick
+	bytesPerNight         = 80  // rough sizes of a night in a value,
+	bytesPerRecord        = 160 // and of a fact in the log
+	minTasksForSpeed      = 4   // tasks of which a machine is known to be slow
+	slowRatio             = 1.7 // from which on it is
+	countedRunDays        = 2   // for how long ids of facts are remembered
+	maxKindsClosedPerTick = 16  // kinds whose night is closed in one tick
 )
 
 // Component learns in a term.
@@ -276,7 +276,7 @@
 
 // closeNights closes the night of some of the kinds for which it is over.
 func (d *Component) closeNights() {
-	n := min(closeMost, len(d.closingKinds))
+	n := min(maxKindsClosedPerTick, len(d.closingKinds))
 	for _, k := range d.closingKinds[:n] {
 		if m := d.model.histories[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
 			m.closeNight()
