--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -188,7 +188,7 @@
 
 // deferRecord keeps a fact until the history is read.
 func (d *Component) deferRecord(f *RunRecord) {
-	if len(d.deferredRecords) < heldMost {
+	if len(d.deferredRecords) < maxDeferredRecords {
 		d.deferredRecords = append(d.deferredRecords, f)
 	}
 }
