--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -453,7 +453,7 @@
 	case x.Forgotten != nil:
 		k := kindOf(x.Forgotten.Kind, x.Forgotten.Holiday)
 		at := time.Unix(x.Forgotten.At, 0)
-		if n, ok := d.store.home[k]; !d.history.Done || d.calendar.At(at).Day >= d.today.Day-keepForgot || (ok && d.store.queued[n]) {
+		if n, ok := d.store.home[k]; !d.history.Done || d.calendar.At(at).Day >= d.today.Day-keepForgottenDays || (ok && d.store.queued[n]) {
 			d.EventLog.Append(e)
 		}
 	}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -20,7 +20,7 @@
 	valueVersion       = 1
 	writeShare         = 0.05  // of the changes that the state service takes
 	maxDeferredRecords = 20000 // facts that wait in memory for the history to be read
-	keepForgot         = 3     // days for which it is noted that a kind was forgotten
+	keepForgottenDays  = 3     // days for which it is noted that a kind was forgotten
 )
 
 // storedValue is one value: some kinds, or a night's demand.
