--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -68,11 +68,11 @@
 }
 
 // valueOf is the number of the value that keeps a night's demand.
-func valueOf(day int32) int { return int((day%keepNights + keepNights) % keepNights) }
+func valueOf(day int32) int { return int((day%maxNights + maxNights) % maxNights) }
 
 func (m *demand) keepNight(n *demandNight) {
 	m.nights = append(m.nights, n)
-	if over := len(m.nights) - keepNights; over > 0 {
+	if over := len(m.nights) - maxNights; over > 0 {
 		m.nights = slices.Delete(m.nights, 0, over)
 	}
 }
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -102,7 +102,7 @@
 
 const (
 	accuracy   = 0.02 // of sketches, relative
-	keepNights = 9    // closed ones: a freak one among them moves no median
+	maxNights  = 9    // closed ones: a freak one among them moves no median
 	enoughJobs = 2    // for a kind to speak for itself,
 	enoughN    = 10   // with so many tasks,
 	soloJobs   = 4    // or so many jobs, however few their tasks
@@ -201,7 +201,7 @@
 		return
 	}
 	m.nights = append(m.nights, m.open.close())
-	if over := len(m.nights) - keepNights; over > 0 {
+	if over := len(m.nights) - maxNights; over > 0 {
 		m.nights = slices.Delete(m.nights, 0, over)
 	}
 	m.open, m.summary = nil, nil
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -206,7 +206,7 @@
 			t.Fatalf("%d kinds", b.Len())
 		}
 	}
-	if e := b.Estimate(Kind{Class: "c", Team: "t"}, 0, 0); e.Nights < keepNights {
+	if e := b.Estimate(Kind{Class: "c", Team: "t"}, 0, 0); e.Nights < maxNights {
 		t.Errorf("the class is forgotten: %+v", e)
 	}
 }
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -28,7 +28,7 @@
 		v.Kinds = nil
 	}
 	v.Version = valueVersion
-	last := keepNights
+	last := maxNights
 	for k := range kinds {
 		kind := Kind{fmt.Sprint("class", k%20), "team", fmt.Sprint("image", k), "7x10", false}
 		if n := s.place(kind); n != last {
@@ -36,7 +36,7 @@
 			last = n
 		}
 		x := storedKind{Kind: names(kind), At: 1}
-		for n := range keepNights {
+		for n := range maxNights {
 			x.Nights = append(x.Nights, Night{Day: int32(n), Jobs: 3, N: 120, P50: 20.4, P90: 31.2, Fetch: 3.2, JobP50: 60.2, JobP90: 88.5, RatioP10: .5, RatioP50: 1.1, RP90: 1.8}.numbers())
 		}
 		v.Kinds = append(v.Kinds, x)
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -50,11 +50,11 @@
 }
 
 func newShelf(room int) *valueStore {
-	return &valueStore{room: room, groups: map[int]*group{}, home: map[Kind]int{}, open: -1, next: keepNights, queued: map[int]bool{}}
+	return &valueStore{room: room, groups: map[int]*group{}, home: map[Kind]int{}, open: -1, next: maxNights, queued: map[int]bool{}}
 }
 
 // size is roughly what a kind takes with all its nights.
-func size(k Kind) int { return 60 + len(k.String()) + keepNights*bytesPerNight }
+func size(k Kind) int { return 60 + len(k.String()) + maxNights*bytesPerNight }
 
 // put has a kind kept in a value.
 func (s *valueStore) put(n int, k Kind) {
@@ -220,13 +220,13 @@
 	}
 	d.store.room = d.EventLog.MaxEntryBytes()
 	n := d.store.pop()
-	if n >= keepNights && d.store.spread(n) {
+	if n >= maxNights && d.store.spread(n) {
 		return
 	}
 	d.lastWriteAt = now
 	v, st := d.snapshotValue(n)
 	raw, err := json.Marshal(v)
-	for cut := 1; err == nil && len(raw) > d.store.room && cut < keepNights; cut++ {
+	for cut := 1; err == nil && len(raw) > d.store.room && cut < maxNights; cut++ {
 		for i := range v.Kinds { // in small values the oldest nights go first
 			if k := &v.Kinds[i]; len(k.Nights) > 1 {
 				k.Nights = k.Nights[1:]
@@ -245,7 +245,7 @@
 // snapshotValue is what a value holds now.
 func (d *Component) snapshotValue(n int) (storedValue, *pendingWrite) {
 	v, st := storedValue{Version: valueVersion}, &pendingWrite{n: n, days: map[Kind]int32{}, demand: math.MinInt32}
-	if n < keepNights {
+	if n < maxNights {
 		v.Demand = d.demand.stored(n)
 		if v.Demand != nil {
 			st.demand = v.Demand.Day
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -104,7 +104,7 @@
 			m = &model{}
 			d.model.histories[x.Kind] = m
 		}
-		for _, n := range x.Nights[max(0, len(x.Nights)-keepNights):] {
+		for _, n := range x.Nights[max(0, len(x.Nights)-maxNights):] {
 			m.nights = append(m.nights, nightOf(n))
 		}
 		m.lastRecordAt, m.summary = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.model.forgottenAt[x.Kind]+1), nil
