--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -134,7 +134,7 @@
 	return math.Round(v*scale) / scale
 }
 
-func names(k Kind) [4]string { return [4]string{k.Class, k.Team, k.Image, k.Shape} }
+func kindFields(k Kind) [4]string { return [4]string{k.Class, k.Team, k.Image, k.Shape} }
 
 func kindOf(n [4]string, holiday bool) Kind { return Kind{n[0], n[1], n[2], n[3], holiday} }
 
@@ -404,7 +404,7 @@
 		return
 	}
 	d.startNight(now)
-	s := storedRecord{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: names(r.kind), Holiday: d.today.Holiday, N: r.n,
+	s := storedRecord{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: kindFields(r.kind), Holiday: d.today.Holiday, N: r.n,
 		Fetch: round(quantile(r.fetch, .5)), Job: round((now - j.AcceptedAt).Seconds()), Estimate: round(j.Record.EstimateS)}
 	for i, q := range points {
 		s.Task[i] = round(quantile(r.task, q))
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -35,7 +35,7 @@
 			flush(last)
 			last = n
 		}
-		x := storedKind{Kind: names(kind), At: 1}
+		x := storedKind{Kind: kindFields(kind), At: 1}
 		for n := range maxNights {
 			x.Nights = append(x.Nights, Night{Day: int32(n), Jobs: 3, N: 120, P50: 20.4, P90: 31.2, Fetch: 3.2, JobP50: 60.2, JobP90: 88.5, RatioP10: .5, RatioP50: 1.1, RP90: 1.8}.numbers())
 		}
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -261,7 +261,7 @@
 		if m == nil || len(m.nights) == 0 {
 			continue
 		}
-		s := storedKind{Kind: names(k), Holiday: k.Holiday, At: m.lastRecordAt}
+		s := storedKind{Kind: kindFields(k), Holiday: k.Holiday, At: m.lastRecordAt}
 		for _, x := range m.nights {
 			s.Nights = append(s.Nights, x.numbers())
 		}
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -135,7 +135,7 @@
 	}
 	for _, name := range list {
 		k := byName[name]
-		s := storedForgotten{Kind: names(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.histories[k].lastRecordAt)}
+		s := storedForgotten{Kind: kindFields(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.histories[k].lastRecordAt)}
 		d.appendEntry(entry{Forgotten: &s})
 		d.model.forgottenAt[k] = s.At
 		delete(d.model.histories, k)
