--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -99,7 +99,7 @@
 			}
 		}
 		for _, w := range n.work[:last] {
-			s.Work = append(s.Work, round(w))
+			s.Work = append(s.Work, roundDigits(w))
 		}
 		return s
 	}
@@ -147,8 +147,8 @@
 	for range aheadSlots {
 		night := d.calendar.At(at)
 		n, median, most := d.demand.expected(night.Holiday, d.calendar.Slot(at))
-		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.wallClock(now)).Seconds()), Nights: n, Work: round(median), Most: round(most),
-			CPUs: round(median / slotLasts.Seconds()), CPUsMost: round(most / slotLasts.Seconds()), Now: round(rented)})
+		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.wallClock(now)).Seconds()), Nights: n, Work: roundDigits(median), Most: roundDigits(most),
+			CPUs: roundDigits(median / slotLasts.Seconds()), CPUsMost: roundDigits(most / slotLasts.Seconds()), Now: roundDigits(rented)})
 		at = at.Add(slotLasts)
 	}
 	return out
--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -125,8 +125,8 @@
 	Nights  [][11]float64 `json:"n"` // the fields of Night, in their order
 }
 
-// round keeps three digits: no estimate is better than that.
-func round(v float64) float64 {
+// roundDigits keeps three digits: no estimate is better than that.
+func roundDigits(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return 0
 	}
@@ -143,7 +143,7 @@
 }
 
 func (n Night) numbers() [11]float64 {
-	return [11]float64{float64(n.Day), float64(n.Jobs), float64(n.N), round(n.P50), round(n.P90), round(n.Fetch), round(n.JobP50), round(n.JobP90), round(n.RatioP10), round(n.RatioP50), round(n.RP90)}
+	return [11]float64{float64(n.Day), float64(n.Jobs), float64(n.N), roundDigits(n.P50), roundDigits(n.P90), roundDigits(n.Fetch), roundDigits(n.JobP50), roundDigits(n.JobP90), roundDigits(n.RatioP10), roundDigits(n.RatioP50), roundDigits(n.RP90)}
 }
 
 func nightOf(x [11]float64) Night {
@@ -405,11 +405,11 @@
 	}
 	d.startNight(now)
 	s := storedRecord{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: kindFields(r.kind), Holiday: d.today.Holiday, N: r.n,
-		Fetch: round(quantile(r.fetch, .5)), Job: round((now - j.AcceptedAt).Seconds()), Estimate: round(j.Record.EstimateS)}
+		Fetch: roundDigits(quantile(r.fetch, .5)), Job: roundDigits((now - j.AcceptedAt).Seconds()), Estimate: roundDigits(j.Record.EstimateS)}
 	for i, q := range points {
-		s.Task[i] = round(quantile(r.task, q))
+		s.Task[i] = roundDigits(quantile(r.task, q))
 	}
-	s.Work = round(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
+	s.Work = roundDigits(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
 	if d.appendEntry(entry{Record: &s}) {
 		d.countRecord(s.runRecord())
 		d.loggedRecords++
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -178,10 +178,10 @@
 			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.wallClock(now).UnixMilli(), LeadS: left.Seconds()}
 			d.lateJobs[j.Record.ID] = l
 			d.leadTimes.Observe(why, max(0, left.Seconds()))
-			d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", round(age), "learned_deadline", round(learned.Seconds()),
-				"expected_end", round(age+f.EndS), "from", f.Estimate.From)
+			d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", roundDigits(age), "learned_deadline", roundDigits(learned.Seconds()),
+				"expected_end", roundDigits(age+f.EndS), "from", f.Estimate.From)
 		}
-		l.Why, l.AgeS, l.LearnedS, l.EndS = why, round(age), round(learned.Seconds()), round(age+f.EndS)
+		l.Why, l.AgeS, l.LearnedS, l.EndS = why, roundDigits(age), roundDigits(learned.Seconds()), roundDigits(age+f.EndS)
 		if raised {
 			d.notifyWebhook(*l, "raised")
 		}
