--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -188,8 +188,8 @@
 	}
 }
 
-// told is what the webhook is sent of a warning.
-type told struct {
+// webhookNotice is what the webhook is sent of a warning.
+type webhookNotice struct {
 	What string `json:"what"` // raised, done or over
 	Late
 }
@@ -200,7 +200,7 @@
 	if d.Cfg.Tunables.WebhookURL == "" {
 		return
 	}
-	raw, err := json.Marshal(told{what, l})
+	raw, err := json.Marshal(webhookNotice{what, l})
 	if err != nil {
 		return // all numbers are finite
 	}
