--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -144,7 +144,7 @@
 	out := []Expected{}
 	rented := d.CPUs()
 	at := d.calendar.Quarter(d.wallClock(now))
-	for range aheadSlots {
+	for range expectedSlots {
 		night := d.calendar.At(at)
 		n, median, most := d.demand.expected(night.Holiday, d.calendar.Slot(at))
 		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.wallClock(now)).Seconds()), Nights: n, Work: roundDigits(median), Most: roundDigits(most),
@@ -155,4 +155,4 @@
 }
 
 // aheadSlots is how far the expected demand is shown: twelve hours.
-const aheadSlots = 48
+const expectedSlots = 48
