--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -426,7 +426,7 @@
 		d.history.RequestNext(d.State, now, Name)
 		return
 	}
-	if now-d.lastCheckAt >= max(lateCheckInterval, time.Duration(d.Estimator.Len())*lookRest) {
+	if now-d.lastCheckAt >= max(lateCheckInterval, time.Duration(d.Estimator.Len())*lateCheckPerJob) {
 		d.lastCheckAt = now
 		d.startNight(now)
 		d.checkLateJobs(now)
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -19,7 +19,7 @@
 	// Jobs are looked at for lateness this often at best, and no more often than
 	// leaves lookRest after each job that is looked at.
 	lateCheckInterval = time.Second
-	lookRest          = 5 * time.Millisecond
+	lateCheckPerJob   = 5 * time.Millisecond
 	// warnShare of the learned time before a job's learned deadline it is warned of
 	// at the latest, if it will not make it.
 	warnShare = 0.2
