--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -22,7 +22,7 @@
 	lateCheckPerJob   = 5 * time.Millisecond
 	// warnShare of the learned time before a job's learned deadline it is warned of
 	// at the latest, if it will not make it.
-	warnShare = 0.2
+	minLeadShare = 0.2
 )
 
 // Forecast says when an open job should begin and end at the present rate. Times
@@ -168,7 +168,7 @@
 		learned := d.learnedDeadline(f.Estimate)
 		left := j.AcceptedAt + learned - now
 		l := d.lateJobs[j.Record.ID]
-		if l == nil && (f.EndS <= left.Seconds() || float64(left) > warnShare*float64(learned)) {
+		if l == nil && (f.EndS <= left.Seconds() || float64(left) > minLeadShare*float64(learned)) {
 			continue
 		}
 		age := (now - j.AcceptedAt).Seconds()
