--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -279,8 +279,8 @@
 const (
 	wideRatio = 2.5 // p90 over p50, from which on a kind is said to vary
 	// Without any history of the class: what owners are usually off by.
-	ownerLowFactor, blindHigh = 1.0, 2.0
-	normalP90                 = 1.2816 // of the standard normal distribution
+	ownerLowFactor, ownerHighFactor = 1.0, 2.0
+	normalP90                       = 1.2816 // of the standard normal distribution
 )
 
 // Mean is the mean of tasks, in seconds, taking them for lognormal: the interval
@@ -448,7 +448,7 @@
 	if owner <= 0 {
 		return Estimate{From: "nothing", Wide: "neither history nor an owner's estimate"}
 	}
-	return Estimate{P50: owner * ownerLowFactor, P90: owner * blindHigh, From: "owner's estimate", Wide: "no history: the owner's estimate alone"}
+	return Estimate{P50: owner * ownerLowFactor, P90: owner * ownerHighFactor, From: "owner's estimate", Wide: "no history: the owner's estimate alone"}
 }
 
 // corrected is an owner's estimate, corrected by what owners of the class were off
