--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -101,13 +101,13 @@
 }
 
 const (
-	accuracy   = 0.02 // of sketches, relative
-	maxNights  = 9    // closed ones: a freak one among them moves no median
-	enoughJobs = 2    // for a kind to speak for itself,
-	enoughN    = 10   // with so many tasks,
-	soloJobs   = 4    // or so many jobs, however few their tasks
-	spareShare = 16   // of a full book one in so many kinds is forgotten at once
-	nightMost  = 200  // tasks: more give a night no more weight
+	accuracy    = 0.02 // of sketches, relative
+	maxNights   = 9    // closed ones: a freak one among them moves no median
+	enoughJobs  = 2    // for a kind to speak for itself,
+	enoughTasks = 10   // with so many tasks,
+	soloJobs    = 4    // or so many jobs, however few their tasks
+	spareShare  = 16   // of a full book one in so many kinds is forgotten at once
+	nightMost   = 200  // tasks: more give a night no more weight
 )
 
 // Night is what a kind has shown in one night: all that is kept of it once it is
@@ -188,7 +188,7 @@
 	for i, v := range f.Task {
 		add(o.task, v, shares[i]*float64(f.N))
 		if f.Estimate > 0 {
-			add(o.ratios, v/f.Estimate, shares[i]*float64(min(f.N, enoughN)))
+			add(o.ratios, v/f.Estimate, shares[i]*float64(min(f.N, enoughTasks)))
 		}
 	}
 	add(o.fetch, f.Fetch, 1)
@@ -222,7 +222,7 @@
 
 func (m *model) hasEnough() bool {
 	e := &m.summarize().est
-	return e.Jobs >= enoughJobs && e.Tasks >= enoughN || e.Jobs >= soloJobs
+	return e.Jobs >= enoughJobs && e.Tasks >= enoughTasks || e.Jobs >= soloJobs
 }
 
 // median is the weighted median of a value over nights: a night's weight is
