--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -101,13 +101,13 @@
 }
 
 const (
-	accuracy    = 0.02 // of sketches, relative
-	maxNights   = 9    // closed ones: a freak one among them moves no median
-	enoughJobs  = 2    // for a kind to speak for itself,
-	enoughTasks = 10   // with so many tasks,
-	soloJobs    = 4    // or so many jobs, however few their tasks
-	spareShare  = 16   // of a full book one in so many kinds is forgotten at once
-	nightMost   = 200  // tasks: more give a night no more weight
+	accuracy       = 0.02 // of sketches, relative
+	maxNights      = 9    // closed ones: a freak one among them moves no median
+	enoughJobs     = 2    // for a kind to speak for itself,
+	enoughTasks    = 10   // with so many tasks,
+	soloJobs       = 4    // or so many jobs, however few their tasks
+	spareShare     = 16   // of a full book one in so many kinds is forgotten at once
+	maxNightWeight = 200  // tasks: more give a night no more weight
 )
 
 // Night is what a kind has shown in one night: all that is kept of it once it is
@@ -233,7 +233,7 @@
 	total := 0.0
 	for _, n := range nights {
 		if v := of(n); v > 0 {
-			w := float64(min(n.N, nightMost))
+			w := float64(min(n.N, maxNightWeight))
 			list = append(list, point{v, w})
 			total += w
 		}
