--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -106,7 +106,7 @@
 	enoughJobs     = 2    // for a kind to speak for itself,
 	enoughTasks    = 10   // with so many tasks,
 	soloJobs       = 4    // or so many jobs, however few their tasks
-	spareShare     = 16   // of a full book one in so many kinds is forgotten at once
+	evictionShare  = 16   // of a full book one in so many kinds is forgotten at once
 	maxNightWeight = 200  // tasks: more give a night no more weight
 )
 
@@ -390,7 +390,7 @@
 	slices.SortFunc(list, func(x, y known) int {
 		return cmp.Or(cmp.Compare(y.fine, x.fine), cmp.Compare(x.at, y.at), cmp.Compare(x.name, y.name))
 	})
-	for _, x := range list[:len(list)-(b.maxKinds-b.maxKinds/spareShare)] {
+	for _, x := range list[:len(list)-(b.maxKinds-b.maxKinds/evictionShare)] {
 		delete(b.histories, x.k)
 		b.evicted = append(b.evicted, x.k)
 	}
