--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -317,7 +317,7 @@
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
 		if at, ok := d.taskPlacedAt[ref]; ok {
 			delete(d.taskPlacedAt, ref)
-			add(d.runOf(e.At, e.Job).fetch, (e.At - at).Seconds(), 1)
+			addToSketch(d.runOf(e.At, e.Job).fetch, (e.At - at).Seconds(), 1)
 		}
 	case cluster.TaskGone:
 		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
@@ -356,7 +356,7 @@
 	if d.observeSpeed(r, e) {
 		return
 	}
-	add(r.task, e.RunSeconds, 1)
+	addToSketch(r.task, e.RunSeconds, 1)
 	r.n++
 }
 
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -150,8 +150,8 @@
 	return s
 }
 
-// add counts a value; one that no sketch can hold is left out.
-func add(s *ddsketch.DDSketch, v, count float64) {
+// addToSketch counts a value; one that no sketch can hold is left out.
+func addToSketch(s *ddsketch.DDSketch, v, count float64) {
 	if v > 1e-6 && v < 1e9 && count > 0 {
 		_ = s.AddWithCount(v, count)
 	}
@@ -186,13 +186,13 @@
 	o.jobs++
 	o.n += f.N
 	for i, v := range f.Task {
-		add(o.task, v, shares[i]*float64(f.N))
+		addToSketch(o.task, v, shares[i]*float64(f.N))
 		if f.Estimate > 0 {
-			add(o.ratios, v/f.Estimate, shares[i]*float64(min(f.N, enoughTasks)))
+			addToSketch(o.ratios, v/f.Estimate, shares[i]*float64(min(f.N, enoughTasks)))
 		}
 	}
-	add(o.fetch, f.Fetch, 1)
-	add(o.job, f.Job, 1)
+	addToSketch(o.fetch, f.Fetch, 1)
+	addToSketch(o.job, f.Job, 1)
 }
 
 // closeNight ends the open night.
