--- a/internal/leader/runtimes/duty.go
+++ b/internal/leader/runtimes/duty.go
@@ -406,7 +406,7 @@
 	d.startNight(now)
 	s := storedRecord{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: kindFields(r.kind), Holiday: d.today.Holiday, N: r.n,
 		Fetch: roundDigits(quantile(r.fetch, .5)), Job: roundDigits((now - j.AcceptedAt).Seconds()), Estimate: roundDigits(j.Record.EstimateS)}
-	for i, q := range points {
+	for i, q := range recordQuantiles {
 		s.Task[i] = roundDigits(quantile(r.task, q))
 	}
 	s.Work = roundDigits(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -68,8 +68,8 @@
 // Points of a distribution that a fact carries; each stands for as many values as
 // lie nearest to it.
 var (
-	points = [5]float64{.05, .25, .5, .75, .95}
-	shares = [5]float64{.15, .225, .25, .225, .15}
+	recordQuantiles = [5]float64{.05, .25, .5, .75, .95}
+	shares          = [5]float64{.15, .225, .25, .225, .15}
 )
 
 // RunRecord is what one job has shown, once it is done. Times are in seconds.
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -13,7 +13,7 @@
 func factOf(id uint64, day int32, k Kind, owner float64, times []float64) *RunRecord {
 	slices.Sort(times)
 	f := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, N: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
-	for i, q := range points {
+	for i, q := range recordQuantiles {
 		f.Task[i] = times[min(int(q*float64(len(times))), len(times)-1)]
 	}
 	return f
