--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -69,7 +69,7 @@
 // lie nearest to it.
 var (
 	recordQuantiles = [5]float64{.05, .25, .5, .75, .95}
-	shares          = [5]float64{.15, .225, .25, .225, .15}
+	quantileWeights = [5]float64{.15, .225, .25, .225, .15}
 )
 
 // RunRecord is what one job has shown, once it is done. Times are in seconds.
@@ -95,7 +95,7 @@
 func mean(task [5]float64) float64 {
 	sum := 0.0
 	for i, v := range task {
-		sum += shares[i] * v
+		sum += quantileWeights[i] * v
 	}
 	return sum
 }
@@ -186,9 +186,9 @@
 	o.jobs++
 	o.n += f.N
 	for i, v := range f.Task {
-		addToSketch(o.task, v, shares[i]*float64(f.N))
+		addToSketch(o.task, v, quantileWeights[i]*float64(f.N))
 		if f.Estimate > 0 {
-			addToSketch(o.ratios, v/f.Estimate, shares[i]*float64(min(f.N, enoughTasks)))
+			addToSketch(o.ratios, v/f.Estimate, quantileWeights[i]*float64(min(f.N, enoughTasks)))
 		}
 	}
 	addToSketch(o.fetch, f.Fetch, 1)
