--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -71,11 +71,11 @@
 	}
 	best := 0.0
 	for _, k := range keys {
-		models := map[Kind]*model{}
+		models := map[Kind]*history{}
 		near, known := share(k.name, func(f *RunRecord) float64 {
 			m := models[k.of(f)]
 			if m == nil {
-				m = &model{}
+				m = &history{}
 				models[k.of(f)] = m
 			}
 			guess := 0.0
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -121,8 +121,8 @@
 	RatioP10, RatioP50, RP90 float64 // of tasks, against their owners' estimates
 }
 
-// model is the history of one kind.
-type model struct {
+// history is the history of one kind.
+type history struct {
 	nights       []Night // closed ones, by day
 	open         *night
 	lastRecordAt int64    // of its last fact
@@ -167,7 +167,7 @@
 
 // addRecord counts a fact. One of a night that is closed for this kind has been
 // counted.
-func (m *model) addRecord(f *RunRecord) {
+func (m *history) addRecord(f *RunRecord) {
 	if len(m.nights) > 0 && f.Day <= m.nights[len(m.nights)-1].Day {
 		return
 	}
@@ -196,7 +196,7 @@
 }
 
 // closeNight ends the open night.
-func (m *model) closeNight() {
+func (m *history) closeNight() {
 	if m.open == nil {
 		return
 	}
@@ -213,14 +213,14 @@
 }
 
 // allNights lists the nights, the open one as it stands.
-func (m *model) allNights() []Night {
+func (m *history) allNights() []Night {
 	if m.open == nil {
 		return m.nights
 	}
 	return append(m.nights[:len(m.nights):len(m.nights)], m.open.close())
 }
 
-func (m *model) hasEnough() bool {
+func (m *history) hasEnough() bool {
 	e := &m.summarize().est
 	return e.Jobs >= enoughJobs && e.Tasks >= enoughTasks || e.Jobs >= soloJobs
 }
@@ -294,14 +294,14 @@
 }
 
 // estimate makes an estimate of a kind's own history.
-func (m *model) estimate(k Kind, now int64) Estimate {
+func (m *history) estimate(k Kind, now int64) Estimate {
 	e := m.summarize().est
 	e.From, e.AgeS = k.Level(), float64(max(0, now-m.lastRecordAt))
 	return e
 }
 
 // summarize is what all nights come to.
-func (m *model) summarize() *summary {
+func (m *history) summarize() *summary {
 	if m.summary != nil {
 		return m.summary
 	}
@@ -330,7 +330,7 @@
 // Model is all history.
 type Model struct {
 	maxKinds    int // kinds
-	histories   map[Kind]*model
+	histories   map[Kind]*history
 	forgottenAt map[Kind]int64 // facts up to then, in seconds, count no more for a kind
 	evicted     []Kind         // dropped for want of room since they were last asked for
 	openKinds   []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
@@ -338,7 +338,7 @@
 
 // NewModel makes an empty book of at most so many kinds.
 func NewModel(most int) *Model {
-	return &Model{maxKinds: most, histories: map[Kind]*model{}, forgottenAt: map[Kind]int64{}}
+	return &Model{maxKinds: most, histories: map[Kind]*history{}, forgottenAt: map[Kind]int64{}}
 }
 
 // AddRun counts a fact for its kind and the coarser ones. It returns the kinds for
@@ -350,7 +350,7 @@
 		}
 		m := b.histories[k]
 		if m == nil {
-			m = &model{}
+			m = &history{}
 			b.histories[k] = m
 		}
 		before, was := len(m.nights), m.open
@@ -453,7 +453,7 @@
 
 // corrected is an owner's estimate, corrected by what owners of the class were off
 // by.
-func corrected(m *model, class Estimate, owner float64) Estimate {
+func corrected(m *history, class Estimate, owner float64) Estimate {
 	s := m.summarize()
 	if s.mid <= 0 {
 		return class
--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -195,7 +195,7 @@
 	d.store.put(n, k)
 	m := d.model.histories[k]
 	if m == nil {
-		m = &model{}
+		m = &history{}
 		d.model.histories[k] = m
 	}
 	m.lastRecordAt, m.summary = max(m.lastRecordAt, s.At), nil
--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -101,7 +101,7 @@
 			continue
 		default:
 			out.Added++
-			m = &model{}
+			m = &history{}
 			d.model.histories[x.Kind] = m
 		}
 		for _, n := range x.Nights[max(0, len(x.Nights)-maxNights):] {
