--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -125,12 +125,12 @@
 type history struct {
 	nights       []Night // closed ones, by day
 	open         *night
-	lastRecordAt int64    // of its last fact
-	summary      *summary // what they come to; nil: to be worked out anew
+	lastRecordAt int64           // of its last fact
+	summary      *historySummary // what they come to; nil: to be worked out anew
 }
 
-// summary is what all nights of a kind come to.
-type summary struct {
+// historySummary is what all nights of a kind come to.
+type historySummary struct {
 	est            Estimate
 	low, mid, high float64 // tasks against their owners' estimates
 }
@@ -301,7 +301,7 @@
 }
 
 // summarize is what all nights come to.
-func (m *history) summarize() *summary {
+func (m *history) summarize() *historySummary {
 	if m.summary != nil {
 		return m.summary
 	}
@@ -322,7 +322,7 @@
 	if e.P90 > wideRatio*e.P50 {
 		e.Wide = "tasks of this kind differ widely among themselves"
 	}
-	m.summary = &summary{est: e, low: median(nights, func(n Night) float64 { return n.RatioP10 }), mid: median(nights, func(n Night) float64 { return n.RatioP50 }),
+	m.summary = &historySummary{est: e, low: median(nights, func(n Night) float64 { return n.RatioP10 }), mid: median(nights, func(n Night) float64 { return n.RatioP50 }),
 		high: median(nights, func(n Night) float64 { return n.RP90 })}
 	return m.summary
 }
