--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -441,7 +441,7 @@
 		if fresh && l.Image == "" && owner > 0 {
 			// A new image of a class that is known: the class's own range, about what
 			// the owner says of this one.
-			return corrected(m, e, owner)
+			return correctedEstimate(m, e, owner)
 		}
 		return e
 	}
@@ -451,9 +451,9 @@
 	return Estimate{P50: owner * ownerLowFactor, P90: owner * ownerHighFactor, From: "owner's estimate", Wide: "no history: the owner's estimate alone"}
 }
 
-// corrected is an owner's estimate, corrected by what owners of the class were off
+// correctedEstimate is an owner's estimate, corrected by what owners of the class were off
 // by.
-func corrected(m *history, class Estimate, owner float64) Estimate {
+func correctedEstimate(m *history, class Estimate, owner float64) Estimate {
 	s := m.summarize()
 	if s.mid <= 0 {
 		return class
