--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -61,14 +61,14 @@
 func (m *demand) closeNights(today int32) (values []int) {
 	for len(m.open) > 0 && m.open[0].day < today-1 {
 		m.keepNight(m.open[0])
-		values = append(values, valueOf(m.open[0].day))
+		values = append(values, demandValueNumber(m.open[0].day))
 		m.open = m.open[1:]
 	}
 	return values
 }
 
-// valueOf is the number of the value that keeps a night's demand.
-func valueOf(day int32) int { return int((day%maxNights + maxNights) % maxNights) }
+// demandValueNumber is the number of the value that keeps a night's demand.
+func demandValueNumber(day int32) int { return int((day%maxNights + maxNights) % maxNights) }
 
 func (m *demand) keepNight(n *demandNight) {
 	m.nights = append(m.nights, n)
@@ -88,7 +88,7 @@
 // stored is the night that a value keeps; nil if there is none.
 func (m *demand) stored(value int) *storedDemand {
 	for _, n := range m.nights {
-		if valueOf(n.day) != value {
+		if demandValueNumber(n.day) != value {
 			continue
 		}
 		s := &storedDemand{Day: n.day, Holiday: n.holiday}
