--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -12,8 +12,8 @@
 // slots of a day: local quarters of an hour. An hour that the clocks repeat counts
 // into the same ones, one that they skip leaves them empty, for one night.
 const (
-	slots     = 96
-	slotLasts = 15 * time.Minute
+	slotsPerDay = 96
+	slotLasts   = 15 * time.Minute
 )
 
 // demandNight is the work, in processor seconds, that came in one night, by the
@@ -21,7 +21,7 @@
 type demandNight struct {
 	day     int32
 	holiday bool
-	work    [slots]float64
+	work    [slotsPerDay]float64
 }
 
 // demand is that of the last nights. A night is closed once the one after it is
