--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -13,7 +13,7 @@
 // into the same ones, one that they skip leaves them empty, for one night.
 const (
 	slotsPerDay = 96
-	slotLasts   = 15 * time.Minute
+	slotLength  = 15 * time.Minute
 )
 
 // demandNight is the work, in processor seconds, that came in one night, by the
@@ -148,8 +148,8 @@
 		night := d.calendar.At(at)
 		n, median, most := d.demand.expected(night.Holiday, d.calendar.Slot(at))
 		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.wallClock(now)).Seconds()), Nights: n, Work: roundDigits(median), Most: roundDigits(most),
-			CPUs: roundDigits(median / slotLasts.Seconds()), CPUsMost: roundDigits(most / slotLasts.Seconds()), Now: roundDigits(rented)})
-		at = at.Add(slotLasts)
+			CPUs: roundDigits(median / slotLength.Seconds()), CPUsMost: roundDigits(most / slotLength.Seconds()), Now: roundDigits(rented)})
+		at = at.Add(slotLength)
 	}
 	return out
 }
