--- a/internal/leader/runtimes/shelf.go
+++ b/internal/leader/runtimes/shelf.go
@@ -53,8 +53,8 @@
 	return &valueStore{room: room, groups: map[int]*group{}, home: map[Kind]int{}, open: -1, next: maxNights, queued: map[int]bool{}}
 }
 
-// size is roughly what a kind takes with all its nights.
-func size(k Kind) int { return 60 + len(k.String()) + maxNights*bytesPerNight }
+// storedSize is roughly what a kind takes with all its nights.
+func storedSize(k Kind) int { return 60 + len(k.String()) + maxNights*bytesPerNight }
 
 // put has a kind kept in a value.
 func (s *valueStore) put(n int, k Kind) {
@@ -64,7 +64,7 @@
 		s.groups[n] = g
 	}
 	g.kinds = append(g.kinds, k)
-	g.bytes += size(k)
+	g.bytes += storedSize(k)
 	s.home[k] = n
 	s.next = max(s.next, n+1)
 }
@@ -78,7 +78,7 @@
 	delete(s.home, k)
 	g := s.groups[n]
 	g.kinds = slices.DeleteFunc(g.kinds, func(o Kind) bool { return o == k })
-	g.bytes -= size(k)
+	g.bytes -= storedSize(k)
 	s.push(n)
 }
 
@@ -87,7 +87,7 @@
 	if n, ok := s.home[k]; ok {
 		return n
 	}
-	if g := s.groups[s.open]; g == nil || g.bytes+size(k) > s.room {
+	if g := s.groups[s.open]; g == nil || g.bytes+storedSize(k) > s.room {
 		s.open = s.next
 	}
 	s.put(s.open, k)
@@ -120,7 +120,7 @@
 	for g.bytes > s.room && len(g.kinds) > 1 {
 		k := g.kinds[len(g.kinds)-1]
 		g.kinds = g.kinds[:len(g.kinds)-1]
-		g.bytes -= size(k)
+		g.bytes -= storedSize(k)
 		delete(s.home, k)
 		if s.open == n {
 			s.open = -1
