--- a/internal/leader/runtimes/transfer.go
+++ b/internal/leader/runtimes/transfer.go
@@ -65,7 +65,7 @@
 	Forgot   int `json:"forgotten,omitempty"`
 }
 
-var errReading = errors.New("run-times: the history is still being read: try again in a few seconds")
+var errHistoryLoading = errors.New("run-times: the history is still being read: try again in a few seconds")
 
 // Change takes kinds in, or forgets some. All are checked before the first is
 // touched; what is taken in is written down like nights that have ended.
@@ -80,7 +80,7 @@
 		}
 	}
 	if !d.history.Done {
-		return nil, errReading
+		return nil, errHistoryLoading
 	}
 	var out Imported
 	if err := d.forgetKinds(now, in.Forget); err != nil {
