--- a/internal/leader/runtimes/duty_test.go
+++ b/internal/leader/runtimes/duty_test.go
@@ -20,8 +20,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// world is a state service that holds a log, over the lives of several leaders.
-type world struct {
+// fixture is a state service that holds a log, over the lives of several leaders.
+type fixture struct {
 	values map[string]json.RawMessage
 	epoch  uint64
 	now    time.Duration
@@ -31,7 +31,7 @@
 }
 
 // lead begins a term that reads the log as it is.
-func (w *world) lead(t *testing.T, kinds int) *Component {
+func (w *fixture) lead(t *testing.T, kinds int) *Component {
 	t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.RunTimesKinds = kinds
@@ -65,7 +65,7 @@
 }
 
 // history has a leader read its values, a few at a time, some after failures.
-func (w *world) history(d *Component, keys []string) {
+func (w *fixture) history(d *Component, keys []string) {
 	w.effects = nil
 	for asked := 0; !d.history.Done; asked++ {
 		w.now += time.Second
@@ -90,7 +90,7 @@
 }
 
 // write makes at most so many commits durable.
-func (w *world) write(d *Component, most int) {
+func (w *fixture) write(d *Component, most int) {
 	for range most {
 		w.now += time.Second
 		txn := d.EventLog.NextTransaction(w.now)
@@ -109,7 +109,7 @@
 }
 
 // job has a job of a class run and end, each of its tasks taking so long.
-func (w *world) job(d *Component, id uint64, class string, took float64) {
+func (w *fixture) job(d *Component, id uint64, class string, took float64) {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 10})
 	j.Phase, j.AcceptedAt = jobs.Open, w.now
 	m := &workers.Machine{Name: fmt.Sprint("m", id%7)}
@@ -149,7 +149,7 @@
 }
 
 // durable lists the jobs whose facts were ever written, with their work.
-func (w *world) durable(t *testing.T, into map[uint64]float64) {
+func (w *fixture) durable(t *testing.T, into map[uint64]float64) {
 	for k, v := range w.values {
 		if strings.HasPrefix(k, eventlog.OwnPrefix) {
 			continue
@@ -174,7 +174,7 @@
 	facts, lives := 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		w := &world{values: map[string]json.RawMessage{}, bytes: 2048}
+		w := &fixture{values: map[string]json.RawMessage{}, bytes: 2048}
 		ever := map[uint64]float64{}
 		id := uint64(0)
 		for range 6 {
@@ -219,7 +219,7 @@
 
 // clean writes anew what is live of the oldest segments, and removes them once that
 // is durable, unless the leader is killed before.
-func (w *world) clean(t *testing.T, d *Component, r *rand.Rand) {
+func (w *fixture) clean(t *testing.T, d *Component, r *rand.Rand) {
 	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, eventlog.OwnPrefix) })
 	if len(keys) < 2 {
 		return
@@ -249,7 +249,7 @@
 // Tasks that were retried, moved, stopped, adopted from an earlier leader or ran on
 // a slow machine tell nothing of their kind.
 func TestWhatDoesNotCount(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(10) {
 		w.job(d, id+1, "c", 10)
@@ -295,7 +295,7 @@
 // A job that will not make its learned deadline is warned of once, before that
 // passes, with why; the warning is kept up to date and cleared at its end.
 func TestLateJobs(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(12) {
 		w.job(d, id+1, "c", 18)
@@ -358,7 +358,7 @@
 // An entry or a value that cannot be read, or that another version has written, is
 // said and left as it is, and learning goes on.
 func TestDamaged(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{"log/00000001": json.RawMessage(`{"e":[{"o":{"d":"run-times","v":{"f":7}}}]}`),
+	w := &fixture{values: map[string]json.RawMessage{"log/00000001": json.RawMessage(`{"e":[{"o":{"d":"run-times","v":{"f":7}}}]}`),
 		"own/run-times/000009": json.RawMessage(`{"v":1,"k":7}`), "own/run-times/000010": json.RawMessage(`{"v":99}`), "own/run-times/x": json.RawMessage(`{}`)}, bytes: 8192}
 	d := w.lead(t, 100)
 	said := 0
@@ -385,7 +385,7 @@
 // A kind that is forgotten stays so through takeovers, cleaning and facts that are
 // still in the log; what it shows afterwards counts.
 func TestForget(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(6) {
 		w.job(d, id+1, "c", 10)
@@ -429,7 +429,7 @@
 // and none is lost on the way, whenever a leader is killed.
 func TestSmallerValues(t *testing.T) {
 	for kill := range 60 {
-		w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+		w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 		d := w.lead(t, 100)
 		for id := range uint64(12) {
 			w.job(d, id+1, fmt.Sprint("class", id), 10)
@@ -471,7 +471,7 @@
 // A value that the state service refuses is written in smaller ones, and what it
 // was to hold is still in the log.
 func TestRefusedValue(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(9) {
 		w.job(d, id+1, fmt.Sprint("class", id), 10)
@@ -511,7 +511,7 @@
 	}
 }
 
-func mustFacts(d *Component, w *world, seq uint64) []eventlog.Entry {
+func mustFacts(d *Component, w *fixture, seq uint64) []eventlog.Entry {
 	facts, _ := d.EventLog.CommitResult(w.now, seq, eventlog.Applied, uint64(w.now), nil)
 	return facts
 }
@@ -519,7 +519,7 @@
 // Work is expected at the local time at which it came in the nights before, a
 // holiday's from holidays alone; a new leader expects the same.
 func TestDemandAhead(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	id := uint64(0)
 	for day := range 14 {
@@ -562,7 +562,7 @@
 // With learned_sizes a job's size starts from what its kind has shown; without it,
 // or where the kind is new, as it always did.
 func TestLearnedSizes(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(12) {
 		w.job(d, id+1, "c", 18)
@@ -586,7 +586,7 @@
 // Summaries of many kinds at the end of a night are written one at a time and only
 // when nothing else waits; each fits into a small value.
 func TestWritingIsBounded(t *testing.T) {
-	w := &world{values: map[string]json.RawMessage{}, bytes: 700}
+	w := &fixture{values: map[string]json.RawMessage{}, bytes: 700}
 	d := w.lead(t, 1000)
 	for day := range 12 {
 		for id := range uint64(20) {
--- a/internal/leader/runtimes/transfer_test.go
+++ b/internal/leader/runtimes/transfer_test.go
@@ -11,7 +11,7 @@
 // What one installation exports another takes in: the same estimates, which its
 // next leader still has. What it knows itself stays, unless it is to be replaced.
 func TestExportAndImport(t *testing.T) {
-	old := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	old := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := old.lead(t, 100)
 	for id := range uint64(12) {
 		old.job(d, id+1, "c", 18)
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(raw, &in.Kinds); err != nil || len(in.Kinds) != 5 {
 		t.Fatalf("%d kinds, %v", len(in.Kinds), err)
 	}
-	fresh := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+	fresh := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	n := fresh.lead(t, 100)
 	change := func(in Import) (out Imported) {
 		t.Helper()
@@ -83,7 +83,7 @@
 		`{"class":"c","nights":[[1,2,30,5,1e12,1,20,30,0.5,1,2]]}`:                           "nights[0]",
 		`{"class":7}`: "class",
 	} {
-		w := &world{values: map[string]json.RawMessage{}, bytes: 8192}
+		w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 		d := w.lead(t, 100)
 		_, err := d.Change(time.Second, json.RawMessage(`{"kinds":[`+good+`,`+bad+`]}`))
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") || d.model.Len() != 0 {
