--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -36,15 +36,15 @@
 	few = 4
 )
 
-// who is a class or a team.
-type who struct {
+// group is a class or a team.
+type group struct {
 	name string
 	team bool
 }
 
 // sum is what is known of a class or a team.
 type sum struct {
-	who
+	group
 	outcomes     []outcome // in the window, by when they were due
 	boosted      int       // jobs under way that the exception has gone ahead
 	boostedTotal uint64
@@ -131,13 +131,13 @@
 	return j.AcceptedAt + settings.Seconds(latest)
 }
 
-func (d *Component) statsOf(w who) *sum {
+func (d *Component) statsOf(w group) *sum {
 	for _, s := range d.groups {
-		if s.who == w {
+		if s.group == w {
 			return s
 		}
 	}
-	s := &sum{who: w}
+	s := &sum{group: w}
 	d.groups = append(d.groups, s)
 	return s
 }
@@ -148,7 +148,7 @@
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &entry{job: j, due: d.dueTime(j), groups: [2]*sum{d.statsOf(who{name: j.Record.Class}), d.statsOf(who{name: j.Record.Team, team: true})}}
+	e := &entry{job: j, due: d.dueTime(j), groups: [2]*sum{d.statsOf(group{name: j.Record.Class}), d.statsOf(group{name: j.Record.Team, team: true})}}
 	if e.due <= now {
 		return // it was lost before this term began
 	}
