--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -42,8 +42,8 @@
 	team bool
 }
 
-// sum is what is known of a class or a team.
-type sum struct {
+// groupStats is what is known of a class or a team.
+type groupStats struct {
 	group
 	outcomes     []outcome // in the window, by when they were due
 	boosted      int       // jobs under way that the exception has gone ahead
@@ -66,7 +66,7 @@
 type entry struct {
 	job     *jobs.Job
 	due     time.Duration
-	groups  [2]*sum
+	groups  [2]*groupStats
 	boosted bool
 }
 
@@ -76,7 +76,7 @@
 	*cluster.State
 	window      time.Duration
 	floor       float64
-	groups      []*sum
+	groups      []*groupStats
 	open        []*entry // by when they are due
 	byJob       map[*jobs.Job]*entry
 	lastCheckAt time.Duration
@@ -131,13 +131,13 @@
 	return j.AcceptedAt + settings.Seconds(latest)
 }
 
-func (d *Component) statsOf(w group) *sum {
+func (d *Component) statsOf(w group) *groupStats {
 	for _, s := range d.groups {
 		if s.group == w {
 			return s
 		}
 	}
-	s := &sum{group: w}
+	s := &groupStats{group: w}
 	d.groups = append(d.groups, s)
 	return s
 }
@@ -148,7 +148,7 @@
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &entry{job: j, due: d.dueTime(j), groups: [2]*sum{d.statsOf(group{name: j.Record.Class}), d.statsOf(group{name: j.Record.Team, team: true})}}
+	e := &entry{job: j, due: d.dueTime(j), groups: [2]*groupStats{d.statsOf(group{name: j.Record.Class}), d.statsOf(group{name: j.Record.Team, team: true})}}
 	if e.due <= now {
 		return // it was lost before this term began
 	}
@@ -207,7 +207,7 @@
 
 // attainmentIf is how much of a class or a team was served of what was due in the window, if
 // those that go ahead make it and so many more do not.
-func (s *sum) attainmentIf(lost int) float64 {
+func (s *groupStats) attainmentIf(lost int) float64 {
 	all := len(s.outcomes) + s.boosted + lost
 	if all == 0 {
 		return 1
@@ -216,7 +216,7 @@
 }
 
 // metCount is how many of those due in the window were done by then.
-func (s *sum) metCount() (n int) {
+func (s *groupStats) metCount() (n int) {
 	for _, o := range s.outcomes {
 		if o.met {
 			n++
@@ -227,7 +227,7 @@
 
 // largest are the largest of those due in the window: the tenth with most work, and the
 // widest.
-func (s *sum) largest() []outcome {
+func (s *groupStats) largest() []outcome {
 	if len(s.outcomes) == 0 {
 		return nil
 	}
@@ -313,7 +313,7 @@
 
 // belowFloor says whether a job's class or team has been served less than the floor already.
 func (d *Component) belowFloor(e *entry) bool {
-	return slices.ContainsFunc(e.groups[:], func(s *sum) bool {
+	return slices.ContainsFunc(e.groups[:], func(s *groupStats) bool {
 		return len(s.outcomes) >= few && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
 }
