--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -62,8 +62,8 @@
 	waited time.Duration // until it began; where it has not, until it was due
 }
 
-// entry is an open job that has a time by which it is due.
-type entry struct {
+// trackedJob is an open job that has a time by which it is due.
+type trackedJob struct {
 	job     *jobs.Job
 	due     time.Duration
 	groups  [2]*groupStats
@@ -77,15 +77,15 @@
 	window      time.Duration
 	floor       float64
 	groups      []*groupStats
-	open        []*entry // by when they are due
-	byJob       map[*jobs.Job]*entry
+	open        []*trackedJob // by when they are due
+	byJob       map[*jobs.Job]*trackedJob
 	lastCheckAt time.Duration
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
-	return &Component{State: s, window: settings.Seconds(t.ServedWindowS), floor: t.ServedFloor, byJob: map[*jobs.Job]*entry{}}
+	return &Component{State: s, window: settings.Seconds(t.ServedWindowS), floor: t.ServedFloor, byJob: map[*jobs.Job]*trackedJob{}}
 }
 
 // Begin takes up the jobs of earlier terms. What they had served is not known; a new
@@ -142,13 +142,13 @@
 	return s
 }
 
-func byDue(a *entry, due time.Duration) int { return cmp.Compare(a.due, due) }
+func byDue(a *trackedJob, due time.Duration) int { return cmp.Compare(a.due, due) }
 
 func (d *Component) trackJob(now time.Duration, j *jobs.Job) {
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &entry{job: j, due: d.dueTime(j), groups: [2]*groupStats{d.statsOf(group{name: j.Record.Class}), d.statsOf(group{name: j.Record.Team, team: true})}}
+	e := &trackedJob{job: j, due: d.dueTime(j), groups: [2]*groupStats{d.statsOf(group{name: j.Record.Class}), d.statsOf(group{name: j.Record.Team, team: true})}}
 	if e.due <= now {
 		return // it was lost before this term began
 	}
@@ -172,7 +172,7 @@
 	}
 }
 
-func (d *Component) untrack(e *entry) {
+func (d *Component) untrack(e *trackedJob) {
 	delete(d.byJob, e.job)
 	i, _ := slices.BinarySearchFunc(d.open, e.due, byDue)
 	for d.open[i] != e {
@@ -188,7 +188,7 @@
 	}
 }
 
-func (d *Component) recordOutcome(now time.Duration, e *entry, met bool) {
+func (d *Component) recordOutcome(now time.Duration, e *trackedJob, met bool) {
 	j := e.job
 	began := j.FirstAt
 	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
@@ -312,7 +312,7 @@
 }
 
 // belowFloor says whether a job's class or team has been served less than the floor already.
-func (d *Component) belowFloor(e *entry) bool {
+func (d *Component) belowFloor(e *trackedJob) bool {
 	return slices.ContainsFunc(e.groups[:], func(s *groupStats) bool {
 		return len(s.outcomes) >= few && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
