--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -271,7 +271,7 @@
 		if !e.boosted {
 			continue
 		}
-		ahead += work(e.job)
+		ahead += remainingWork(e.job)
 		if before := e.job.Boost; d.belowFloor(e) != (before == jobs.BoostFirst) {
 			e.job.Boost = jobs.BoostBehindUrgent
 			if before != jobs.BoostFirst {
@@ -285,7 +285,7 @@
 		if e.boosted || j.Waiting == 0 || j.Phase != jobs.Open {
 			continue
 		}
-		needs := settings.Seconds(longRun*j.Mean()+(ahead+work(j))/cpus) + placing
+		needs := settings.Seconds(longRun*j.Mean()+(ahead+remainingWork(j))/cpus) + placing
 		if now+needs > e.due {
 			continue // it can no longer make it: room given to it would be lost
 		}
@@ -300,7 +300,7 @@
 			continue
 		}
 		e.boosted, j.Boost = true, jobs.BoostBehindUrgent
-		ahead += work(j)
+		ahead += remainingWork(j)
 		d.NeedsCycle = true
 		for _, s := range e.groups {
 			s.atRisk--
@@ -318,8 +318,8 @@
 	})
 }
 
-// work is what a job's waiting tasks take, in processor seconds.
-func work(j *jobs.Job) float64 { return float64(j.Waiting) * j.Mean() * j.Share }
+// remainingWork is what a job's waiting tasks take, in processor seconds.
+func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.Mean() * j.Share }
 
 // View is what operators see of a class or a team.
 type View struct {
