--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -23,7 +23,7 @@
 const Name = "served"
 
 const (
-	lookEvery = 500 * time.Millisecond
+	checkInterval = 500 * time.Millisecond
 	// longRun and placing are what a job needs beyond its mean run time: tasks that run
 	// longer, and the time until all have their place.
 	longRun = 1.25
@@ -244,7 +244,7 @@
 // Tick counts what was missed, and has jobs at their last chance go ahead where their
 // class or team would fall below the floor without them.
 func (d *Component) Tick(now time.Duration, _ bool) {
-	if now-d.lastCheckAt < lookEvery {
+	if now-d.lastCheckAt < checkInterval {
 		return
 	}
 	d.lastCheckAt = now
