--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -26,8 +26,8 @@
 	checkInterval = 500 * time.Millisecond
 	// longRun and placing are what a job needs beyond its mean run time: tasks that run
 	// longer, and the time until all have their place.
-	runTimeSlack = 1.25
-	placing      = 8 * time.Second
+	runTimeSlack  = 1.25
+	placementTime = 8 * time.Second
 	// chance is how long before its last moment a job is looked at: room comes free by
 	// the end of others' tasks.
 	chance = 10 * time.Second
@@ -285,7 +285,7 @@
 		if e.boosted || j.Waiting == 0 || j.Phase != jobs.Open {
 			continue
 		}
-		needs := settings.Seconds(runTimeSlack*j.Mean()+(ahead+remainingWork(j))/cpus) + placing
+		needs := settings.Seconds(runTimeSlack*j.Mean()+(ahead+remainingWork(j))/cpus) + placementTime
 		if now+needs > e.due {
 			continue // it can no longer make it: room given to it would be lost
 		}
