--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -30,7 +30,7 @@
 	placementTime = 8 * time.Second
 	// chance is how long before its last moment a job is looked at: room comes free by
 	// the end of others' tasks.
-	chance = 10 * time.Second
+	leadTime = 10 * time.Second
 	// few: a class or a team of which so many were due, and less than the floor was met,
 	// goes ahead of urgent jobs too.
 	few = 4
@@ -289,7 +289,7 @@
 		if now+needs > e.due {
 			continue // it can no longer make it: room given to it would be lost
 		}
-		if now+needs+chance < e.due {
+		if now+needs+leadTime < e.due {
 			continue // there is time yet
 		}
 		for _, s := range e.groups {
