--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -33,7 +33,7 @@
 	leadTime = 10 * time.Second
 	// few: a class or a team of which so many were due, and less than the floor was met,
 	// goes ahead of urgent jobs too.
-	few = 4
+	minOutcomes = 4
 )
 
 // group is a class or a team.
@@ -314,7 +314,7 @@
 // belowFloor says whether a job's class or team has been served less than the floor already.
 func (d *Component) belowFloor(e *trackedJob) bool {
 	return slices.ContainsFunc(e.groups[:], func(s *groupStats) bool {
-		return len(s.outcomes) >= few && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
+		return len(s.outcomes) >= minOutcomes && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
 }
 
