--- a/internal/leader/slo/served.go
+++ b/internal/leader/slo/served.go
@@ -379,7 +379,7 @@
 }
 
 // mostNamed bounds the labels of metrics; the rest is left out.
-const mostNamed = 100
+const maxLabels = 100
 
 // Gauges gives the share of each class and team.
 func (d *Component) Gauges(time.Duration) []cluster.Gauge {
@@ -394,7 +394,7 @@
 		if v.Team {
 			i = 1
 		}
-		if len(g[i].Values) < mostNamed {
+		if len(g[i].Values) < maxLabels {
 			g[i].Values[v.Name] = v.Share
 			if !v.Team && v.Largest > 0 {
 				g[2].Values[v.Name] = float64(v.LargestMet) / float64(v.Largest)
