--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -45,11 +45,11 @@
 }
 
 const (
-	enough   = 1.05             // a giver stops at so much over the mean
-	stays    = time.Minute      // a machine that was moved
-	avoids   = 10 * time.Minute // one that did not arrive
-	fewest   = 8                // machines: fewer are not worth a move
-	remember = avoids
+	balancedLoad = 1.05             // a giver stops at so much over the mean
+	stays        = time.Minute      // a machine that was moved
+	avoids       = 10 * time.Minute // one that did not arrive
+	fewest       = 8                // machines: fewer are not worth a move
+	remember     = avoids
 )
 
 // NewBalancer begins one.
@@ -76,7 +76,7 @@
 	for i := range nodes {
 		n := &nodes[i]
 		switch over := n.loadWith(0); {
-		case machines < fewest, b.meanLoad == 0, over <= enough*b.meanLoad:
+		case machines < fewest, b.meanLoad == 0, over <= balancedLoad*b.meanLoad:
 			delete(b.overloaded, n.Name)
 		case over > b.params.MaxLoad*b.meanLoad:
 			b.overloaded[n.Name] = true
@@ -116,7 +116,7 @@
 			to = n
 		}
 	}
-	if from == nil || to == nil || to.loadWith(1) > from.loadWith(0) || from.loadWith(0) <= enough*b.meanLoad || !b.budget.Take(now, 1) {
+	if from == nil || to == nil || to.loadWith(1) > from.loadWith(0) || from.loadWith(0) <= balancedLoad*b.meanLoad || !b.budget.Take(now, 1) {
 		return ""
 	}
 	from.Machines--
