--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -46,7 +46,7 @@
 
 const (
 	balancedLoad = 1.05             // a giver stops at so much over the mean
-	stays        = time.Minute      // a machine that was moved
+	moveCooldown = time.Minute      // a machine that was moved
 	avoids       = 10 * time.Minute // one that did not arrive
 	fewest       = 8                // machines: fewer are not worth a move
 	remember     = avoids
@@ -100,7 +100,7 @@
 			x.failed = true // it did not arrive
 			b.moves[machine] = x
 		}
-		if now-x.at < stays || (x.failed && now-x.at < avoids) {
+		if now-x.at < moveCooldown || (x.failed && now-x.at < avoids) {
 			return ""
 		}
 	}
