--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -45,11 +45,11 @@
 }
 
 const (
-	balancedLoad = 1.05             // a giver stops at so much over the mean
-	moveCooldown = time.Minute      // a machine that was moved
-	avoids       = 10 * time.Minute // one that did not arrive
-	fewest       = 8                // machines: fewer are not worth a move
-	remember     = avoids
+	balancedLoad   = 1.05             // a giver stops at so much over the mean
+	moveCooldown   = time.Minute      // a machine that was moved
+	failedCooldown = 10 * time.Minute // one that did not arrive
+	fewest         = 8                // machines: fewer are not worth a move
+	remember       = failedCooldown
 )
 
 // NewBalancer begins one.
@@ -100,7 +100,7 @@
 			x.failed = true // it did not arrive
 			b.moves[machine] = x
 		}
-		if now-x.at < moveCooldown || (x.failed && now-x.at < avoids) {
+		if now-x.at < moveCooldown || (x.failed && now-x.at < failedCooldown) {
 			return ""
 		}
 	}
