--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -48,7 +48,7 @@
 	balancedLoad   = 1.05             // a giver stops at so much over the mean
 	moveCooldown   = time.Minute      // a machine that was moved
 	failedCooldown = 10 * time.Minute // one that did not arrive
-	fewest         = 8                // machines: fewer are not worth a move
+	minMachines    = 8                // machines: fewer are not worth a move
 	remember       = failedCooldown
 )
 
@@ -76,7 +76,7 @@
 	for i := range nodes {
 		n := &nodes[i]
 		switch over := n.loadWith(0); {
-		case machines < fewest, b.meanLoad == 0, over <= balancedLoad*b.meanLoad:
+		case machines < minMachines, b.meanLoad == 0, over <= balancedLoad*b.meanLoad:
 			delete(b.overloaded, n.Name)
 		case over > b.params.MaxLoad*b.meanLoad:
 			b.overloaded[n.Name] = true
