--- a/internal/leader/rebalance/balance.go
+++ b/internal/leader/rebalance/balance.go
@@ -49,7 +49,7 @@
 	moveCooldown   = time.Minute      // a machine that was moved
 	failedCooldown = 10 * time.Minute // one that did not arrive
 	minMachines    = 8                // machines: fewer are not worth a move
-	remember       = failedCooldown
+	moveRetention  = failedCooldown
 )
 
 // NewBalancer begins one.
@@ -83,7 +83,7 @@
 		}
 	}
 	for m, x := range b.moves {
-		if now-x.at > remember {
+		if now-x.at > moveRetention {
 			delete(b.moves, m)
 		}
 	}
