--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -19,12 +19,12 @@
 const Name = "spread"
 
 const (
-	lookEvery = 500 * time.Millisecond
-	steady    = 10 * time.Second // without a gap, before machines are sent to a controller
-	lostAfter = 3 * time.Second  // without an answer to a heartbeat
-	leastPart = 0.25             // of a slow controller's weight
-	smoothing = 0.2              // of the newest answer's time in the mean
-	slowFrom  = 20 * time.Millisecond
+	checkInterval = 500 * time.Millisecond
+	steady        = 10 * time.Second // without a gap, before machines are sent to a controller
+	lostAfter     = 3 * time.Second  // without an answer to a heartbeat
+	leastPart     = 0.25             // of a slow controller's weight
+	smoothing     = 0.2              // of the newest answer's time in the mean
+	slowFrom      = 20 * time.Millisecond
 )
 
 type peer struct {
@@ -77,7 +77,7 @@
 
 // Tick looks how machines are spread.
 func (d *Component) Tick(now time.Duration, _ bool) {
-	if now-d.lastCheckAt < lookEvery {
+	if now-d.lastCheckAt < checkInterval {
 		return
 	}
 	d.lastCheckAt = now
