--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -20,7 +20,7 @@
 
 const (
 	checkInterval = 500 * time.Millisecond
-	steady        = 10 * time.Second // without a gap, before machines are sent to a controller
+	readyAfter    = 10 * time.Second // without a gap, before machines are sent to a controller
 	lostAfter     = 3 * time.Second  // without an answer to a heartbeat
 	leastPart     = 0.25             // of a slow controller's weight
 	smoothing     = 0.2              // of the newest answer's time in the mean
@@ -92,7 +92,7 @@
 		n := Node{Name: c.Node, Machines: count[c.Node], Weight: 1}
 		if p := d.peers[c.Node]; p != nil {
 			n.Weight = d.weight(p)
-			n.Ready = now-p.lastAnswerAt <= lostAfter && now-p.answeringSince >= steady
+			n.Ready = now-p.lastAnswerAt <= lostAfter && now-p.answeringSince >= readyAfter
 		}
 		nodes = append(nodes, n)
 	}
