--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -22,7 +22,7 @@
 	checkInterval = 500 * time.Millisecond
 	readyAfter    = 10 * time.Second // without a gap, before machines are sent to a controller
 	lostAfter     = 3 * time.Second  // without an answer to a heartbeat
-	leastPart     = 0.25             // of a slow controller's weight
+	minWeight     = 0.25             // of a slow controller's weight
 	smoothing     = 0.2              // of the newest answer's time in the mean
 	slowFrom      = 20 * time.Millisecond
 )
@@ -72,7 +72,7 @@
 	for _, o := range d.peers {
 		quickest = min(quickest, o.latency)
 	}
-	return max(leastPart, min(1, float64(max(quickest, slowFrom))/float64(max(p.latency, slowFrom))))
+	return max(minWeight, min(1, float64(max(quickest, slowFrom))/float64(max(p.latency, slowFrom))))
 }
 
 // Tick looks how machines are spread.
