--- a/internal/leader/rebalance/duty.go
+++ b/internal/leader/rebalance/duty.go
@@ -24,7 +24,7 @@
 	lostAfter     = 3 * time.Second  // without an answer to a heartbeat
 	minWeight     = 0.25             // of a slow controller's weight
 	smoothing     = 0.2              // of the newest answer's time in the mean
-	slowFrom      = 20 * time.Millisecond
+	slowResponse  = 20 * time.Millisecond
 )
 
 type peer struct {
@@ -72,7 +72,7 @@
 	for _, o := range d.peers {
 		quickest = min(quickest, o.latency)
 	}
-	return max(minWeight, min(1, float64(max(quickest, slowFrom))/float64(max(p.latency, slowFrom))))
+	return max(minWeight, min(1, float64(max(quickest, slowResponse))/float64(max(p.latency, slowResponse))))
 }
 
 // Tick looks how machines are spread.
