--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -2,187 +2,124 @@
 
 import (
 	"fmt"
+	"maps"
 	"slices"
-	"time"
 
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/jobs"
 )
 
-// Pass begins a pass of the planner. list has the jobs that could start a task if
-// they had units and room, in their order. The first of them that needs a pool has
-// its next units kept for it: others may pass it only where they leave so much.
-// Jobs that hold something as a whole come first, so that they get on and give it
-// back.
-func (d *Component) Pass(now time.Duration, list []*jobs.Job) {
-	d.recount(now)
-	for _, p := range d.pools {
-		p.reservedFor = nil
-		for _, t := range p.teams {
-			t.reservedFor = nil
-		}
-	}
-	d.candidates = d.candidates[:0]
-	for _, first := range []bool{true, false} {
-		for _, j := range list {
-			if h := d.byJob[j.Index]; h != nil && (h.needsJobUnits && h.holdsJobUnits) == first {
-				d.candidates = append(d.candidates, h)
-			}
-		}
-	}
-	for _, h := range d.candidates {
-		for _, n := range h.requirements {
-			p := d.pools[n.pool]
-			if t := p.teams[h.job.Team]; t != nil && t.reservedFor == nil && h.wantsMore(n) {
-				t.reservedFor = h
-			}
-			if p.reservedFor == nil && d.fitsTeamShare(h, n) {
-				p.reservedFor = h
-			}
-		}
-	}
-}
-
-// wantsMore says whether a job still needs units of a pool to start a task.
-func (h *holder) wantsMore(n requirement) bool { return h.job.Waiting > 0 && h.nextUnits(n) > 0 }
-
-// fitsTeamShare says whether it wants some and its team's share lets it have them.
-func (d *Component) fitsTeamShare(h *holder, n requirement) bool {
-	p := d.pools[n.pool]
-	t := p.teams[h.job.Team]
-	return h.wantsMore(n) && (t == nil || t.inUse+h.nextUnits(n) <= p.shares[h.job.Team])
-}
-
-// refreshReservations settles again who is first for a pool: who was may have got all that it
-// could have in this pass.
-func (d *Component) refreshReservations(n requirement, team int32) {
-	p := d.pools[n.pool]
-	still := func(h *holder, could func(*holder, requirement) bool) bool {
-		return h == nil || slices.ContainsFunc(h.requirements, func(x requirement) bool { return x.pool == n.pool && could(h, x) })
-	}
-	find := func(could func(*holder, requirement) bool) *holder {
-		for _, h := range d.candidates {
-			if still(h, could) {
-				return h
-			}
-		}
-		return nil
-	}
-	if !still(p.reservedFor, d.fitsTeamShare) {
-		p.reservedFor = find(d.fitsTeamShare)
-	}
-	ofTeam := func(h *holder, x requirement) bool { return h.job.Team == team && h.wantsMore(x) }
-	if t := p.teams[team]; t != nil && !still(t.reservedFor, ofTeam) {
-		t.reservedFor = find(ofTeam)
-	}
-}
-
-// nextUnits is what a job needs of a pool to start the next of its tasks.
-func (h *holder) nextUnits(n requirement) int64 {
-	switch {
-	case !n.perJob && h.job.Record.Kind == jobs.Gang:
-		return n.units * int64(h.job.Waiting)
-	case n.perJob && h.holdsJobUnits:
-		return 0
-	}
-	return n.units
-}
-
-// limitFor is how many units of a pool may be out for a job to start.
-func (p *pool) limitFor(j *jobs.Job) int64 {
-	if j.Priority >= urgentPriority {
-		return p.size
-	}
-	return p.size - int64(p.conf.Reserve)
-}
-
-// Allows says whether so many more tasks of a job may start.
+// Allows reports whether so many more tasks of a job may start.
 func (d *Component) Allows(j *jobs.Job, n int) bool {
 	_, ok := d.blockingRequirement(j, int64(n))
 	return ok
 }
 
-// blockingRequirement finds the need that keeps a job from starting tasks.
-func (d *Component) blockingRequirement(j *jobs.Job, n int64) (requirement, bool) {
+// noPool is the pool of a requirement that stands for none.
+const noPool = -1
+
+// blockingRequirement returns the first requirement that keeps a job from starting so
+// many tasks, and false; or true: nothing does. It is of no pool where no unit of any is
+// allocated.
+func (d *Component) blockingRequirement(j *jobs.Job, tasks int64) (requirement, bool) {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknownPool != "" || !d.store.loaded || d.allocationBlocked {
-		return requirement{pool: -1}, false
+		return requirement{pool: noPool}, false
 	}
-	for _, x := range h.requirements {
-		if n, ok := x, d.allowsRequirement(h, x, n); !ok {
-			return n, false
+	for _, r := range h.requirements {
+		if !d.allowsRequirement(h, r, tasks) {
+			return r, false
 		}
 	}
 	return requirement{}, true
 }
 
-func (d *Component) allowsRequirement(h *holder, x requirement, n int64) bool {
-	p, j := d.pools[x.pool], h.job
-	units := x.units
+func (d *Component) allowsRequirement(h *holder, r requirement, tasks int64) bool {
+	p, j := d.pools[r.pool], h.job
+	units := r.units
 	switch {
-	case !x.perJob:
-		units *= n
+	case !r.perJob:
+		units *= tasks
 	case h.holdsJobUnits:
 		return true
 	}
 	if p.drained || (p.conf.HoldAfterLossS > 0 && d.lossesNotDurable()) {
 		return false
 	}
-	d.refreshReservations(x, j.Team)
-	if !p.usage.admits(h, x, units, p.limitFor(j)) {
+	d.refreshReservations(r, j.Team)
+	if !p.admits(h, r, units, p.limitFor(j)) {
 		return false
 	}
 	t := p.teams[j.Team]
-	return t == nil || t.admits(h, x, units, p.shares[j.Team])
+	return t == nil || t.admits(h, r, units, p.shares[j.Team])
 }
 
-// admits says whether units may go out to a job.
-func (t *usage) admits(h *holder, x requirement, units, most int64) bool {
-	kept, held, task := int64(0), t.heldByJobs, t.largestTask
-	if c := t.reservedFor; c != nil && c != h {
-		for _, n := range c.requirements {
-			if n.pool != x.pool {
-				continue
-			}
-			kept += c.nextUnits(n)
-			if n.perJob && !c.holdsJobUnits {
-				held += n.units
-			} else if !n.perJob && c.needsJobUnits {
-				task = max(task, n.units*startedTogether(c.job))
-			}
-		}
-		if h.needsJobUnits && h.holdsJobUnits && (!c.needsJobUnits || !c.holdsJobUnits) {
-			kept, held = 0, t.heldByJobs // it must get on for the others to get anything
-		}
-	}
-	if t.inUse+units+kept > most {
+// admits reports whether units may be allocated to a job, with at most so many in use.
+func (u *usage) admits(h *holder, r requirement, units, limit int64) bool {
+	reserved := u.reservationBefore(h, r.pool)
+	if u.inUse+units+reserved.next > limit {
 		return false
 	}
 	if !h.needsJobUnits || h.holdsJobUnits {
 		return true
 	}
-	// A job that will hold units as a whole may begin only if, with those that all
-	// such jobs hold, the largest start of any of them can still come about: then
-	// none of them ever waits for what another one keeps.
-	for _, n := range h.requirements {
-		if n.pool != x.pool {
+	// A job that will hold units as a whole may begin only if, with those that all such
+	// jobs hold, the largest start of any of them can still come about: then none of them
+	// ever waits for what another one keeps.
+	heldByJobs, largestTask := reserved.heldByJobs, reserved.largestTask
+	for _, own := range h.requirements {
+		if own.pool != r.pool {
 			continue
 		}
-		if n.perJob {
-			held += n.units
+		if own.perJob {
+			heldByJobs += own.units
 		} else {
-			task = max(task, n.units*startedTogether(h.job))
+			largestTask = max(largestTask, own.units*startedTogether(h.job))
+		}
+	}
+	return heldByJobs+largestTask <= limit
+}
+
+// reservation is what another job's reservation asks for.
+type reservation struct {
+	next        int64 // units that its next start needs
+	heldByJobs  int64 // as in usage, once it has them
+	largestTask int64 // as in usage, once it has them
+}
+
+// reservationBefore is what must be left of a pool for the job that has the next units
+// reserved, if that is another one.
+func (u *usage) reservationBefore(h *holder, pool int32) reservation {
+	out := reservation{heldByJobs: u.heldByJobs, largestTask: u.largestTask}
+	first := u.reservedFor
+	if first == nil || first == h {
+		return out
+	}
+	for _, r := range first.requirements {
+		if r.pool != pool {
+			continue
+		}
+		out.next += first.nextUnits(r)
+		if r.perJob && !first.holdsJobUnits {
+			out.heldByJobs += r.units
+		} else if !r.perJob && first.needsJobUnits {
+			out.largestTask = max(out.largestTask, r.units*startedTogether(first.job))
 		}
 	}
-	return held+task <= most
+	if h.needsJobUnits && h.holdsJobUnits && (!first.needsJobUnits || !first.holdsJobUnits) {
+		// It must get on for the others to get anything.
+		out.next, out.heldByJobs = 0, u.heldByJobs
+	}
+	return out
 }
 
-// TaskPlaced counts a task that was given room.
+// TaskPlaced counts a task that was given room on a machine.
 func (d *Component) TaskPlaced(j *jobs.Job) { d.adjustInUse(j, 1) }
 
-// TaskRemoved takes that back.
+// TaskRemoved takes TaskPlaced back.
 func (d *Component) TaskRemoved(j *jobs.Job) { d.adjustInUse(j, -1) }
 
+// adjustInUse counts a task more (1) or less (-1).
 func (d *Component) adjustInUse(j *jobs.Job, by int64) {
 	h := d.byJob[j.Index]
 	if h == nil {
@@ -190,32 +127,32 @@
 	}
 	begins := by > 0 && !h.holdsJobUnits
 	ends := by < 0 && j.Placed == 0 && !h.started && j.Finished == 0
-	for _, n := range h.requirements {
-		p := d.pools[n.pool]
+	for _, r := range h.requirements {
+		p := d.pools[r.pool]
 		switch {
-		case !n.perJob:
-			p.addInUse(j.Team, by*n.units)
+		case !r.perJob:
+			p.addInUse(j.Team, by*r.units)
 			if begins && h.needsJobUnits {
-				p.raiseLargestTask(j.Team, n.units*startedTogether(j))
+				p.raiseLargestTask(j.Team, r.units*startedTogether(j))
 			}
 		case begins, ends:
-			p.addInUse(j.Team, by*n.units)
-			p.addHeldByJob(j.Team, by*n.units)
+			p.addInUse(j.Team, by*r.units)
+			p.addHeldByJob(j.Team, by*r.units)
 		}
 	}
 	h.holdsJobUnits = (h.holdsJobUnits || begins) && !ends
 }
 
-// Most is how many more tasks of a job the units that are left would let start:
-// machines for more would stand idle.
+// Most is how many more tasks of a job the units that are left would let start: machines
+// for more would stand idle.
 func (d *Component) Most(j *jobs.Job) int {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknownPool != "" || !d.store.loaded {
 		return 0
 	}
 	most := j.Waiting
-	for _, n := range h.requirements {
-		p := d.pools[n.pool]
+	for _, r := range h.requirements {
+		p := d.pools[r.pool]
 		if p.drained {
 			return 0
 		}
@@ -224,9 +161,9 @@
 			left = min(left, p.shares[j.Team]-t.inUse)
 		}
 		switch {
-		case !n.perJob:
-			most = min(most, int(max(0, left)/n.units))
-		case !h.holdsJobUnits && left < n.units:
+		case !r.perJob:
+			most = min(most, int(max(0, left)/r.units))
+		case !h.holdsJobUnits && left < r.units:
 			return 0
 		}
 	}
@@ -234,52 +171,48 @@
 }
 
 // Never says why a job could never have the units that it asks for, or nothing.
-func (d *Component) Never(rec *eventlog.Job) string {
-	type sum struct{ task, job int64 }
-	sums := map[int32]*sum{}
-	team, _ := d.Teams.Lookup(rec.Team)
-	each := int64(1)
-	if rec.Kind == jobs.Gang {
-		each = int64(rec.Tasks)
+func (d *Component) Never(record *eventlog.Job) string {
+	needed, unknownPool := d.neededAtOnce(record)
+	if unknownPool != "" {
+		return fmt.Sprintf("counted: no such pool: %s", unknownPool)
 	}
-	for _, c := range rec.Counted {
-		i, ok := d.byName[c.Pool]
-		if !ok || !d.pools[i].known {
-			return fmt.Sprintf("counted: no such pool: %s", c.Pool)
+	team, _ := d.Teams.Lookup(record.Team)
+	for _, i := range slices.Sorted(maps.Keys(needed)) {
+		p := d.pools[i]
+		limit, whose := max(p.size, p.pendingSize), "it has"
+		if record.Priority < urgentPriority {
+			limit -= int64(p.conf.Reserve)
+			whose = "others than urgent jobs may have of it"
 		}
-		s := sums[i]
-		if s == nil {
-			s = &sum{}
-			sums[i] = s
+		if share, ok := p.shares[team]; ok && share < limit {
+			limit, whose = share, "its team may have of it"
 		}
-		if c.PerJob {
-			s.job += int64(c.Units)
-		} else {
-			s.task += int64(c.Units) * each
-		}
-	}
-	for _, i := range sortedKeys(sums) {
-		p, s := d.pools[i], sums[i]
-		most, what := max(p.size, p.pendingSize), "it has"
-		if rec.Priority < urgentPriority {
-			most -= int64(p.conf.Reserve)
-			what = "others than urgent jobs may have of it"
-		}
-		if share, ok := p.shares[team]; ok && share < most {
-			most, what = share, "its team may have of it"
-		}
-		if s.task+s.job > most {
-			return fmt.Sprintf("counted: %d units of %s are needed at once, more than the %d that %s", s.task+s.job, p.name, max(0, most), what)
+		if needed[i] > limit {
+			return fmt.Sprintf("counted: %d units of %s are needed at once, more than the %d that %s",
+				needed[i], p.name, max(0, limit), whose)
 		}
 	}
 	return ""
 }
 
-func sortedKeys[V any](m map[int32]V) []int32 {
-	out := make([]int32, 0, len(m))
-	for k := range m {
-		out = append(out, k)
+// neededAtOnce is what a job needs of each pool for one start, and as a whole; or the
+// first pool that there is not.
+func (d *Component) neededAtOnce(record *eventlog.Job) (needed map[int32]int64, unknownPool string) {
+	needed = map[int32]int64{}
+	together := int64(1)
+	if record.Kind == jobs.Gang {
+		together = int64(record.Tasks)
 	}
-	slices.Sort(out)
-	return out
+	for _, c := range record.Counted {
+		i, ok := d.byName[c.Pool]
+		if !ok || !d.pools[i].known {
+			return nil, c.Pool
+		}
+		units := int64(c.Units)
+		if !c.PerJob {
+			units *= together
+		}
+		needed[i] += units
+	}
+	return needed, ""
 }
--- /dev/null
+++ b/internal/leader/pools/change.go
@@ -0,0 +1,146 @@
+package pools
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/effects"
+)
+
+const (
+	changesKept = 16 // of each pool, so that repeats are answered alike
+	maxIDBytes  = 64 // of a change
+)
+
+var (
+	errNoOperation   = errors.New("pools: neither a change nor a receipt is asked for")
+	errNothingToDo   = errors.New("pools: neither units nor drain is to be changed")
+	errInvalidID     = fmt.Errorf("pools: id: has 1 to %d bytes", maxIDBytes)
+	errTooManyUnits  = fmt.Errorf("pools: units: more than %d", eventlog.UnitsMost)
+	errValuesLoading = errors.New("pools: what was changed before is still being read: try again in a second")
+)
+
+// Request is what the component can be asked to do: one of its fields is set.
+type Request struct {
+	Change  *Change  `json:"change,omitempty"`
+	Receipt *Holding `json:"receipt,omitempty"`
+}
+
+// Change is a change of a pool that an operator asks for. It is idempotent by its id: a
+// repeat is answered alike. Version is that of the pool that it was planned for; where
+// another change came first it is refused.
+type Change struct {
+	ID      string `json:"id"`
+	Pool    string `json:"pool"`
+	Version uint64 `json:"version"`
+	Units   *int64 `json:"units,omitempty"` // below 0: as the settings say
+	Drain   *bool  `json:"drain,omitempty"`
+}
+
+// Changed is the answer. Until it is durable the same change is to be asked for again.
+type Changed struct {
+	Durable bool   `json:"durable"`
+	Version uint64 `json:"version"`
+	Pool    View   `json:"pool"`
+}
+
+// appliedChange is a change that was made, by its id.
+type appliedChange struct {
+	ID      string `json:"i"`
+	Version uint64 `json:"c"`
+}
+
+// Change applies a Request and returns a Changed or a Receipt, as JSON.
+func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
+	var in Request
+	if err := json.Unmarshal(body, &in); err != nil {
+		return nil, fmt.Errorf("pools: %w", err)
+	}
+	var out any
+	var err error
+	switch {
+	case in.Change != nil:
+		out, err = d.change(now, in.Change)
+	case in.Receipt != nil:
+		out, err = d.issueReceipt(now, in.Receipt)
+	default:
+		err = errNoOperation
+	}
+	if err != nil {
+		return nil, err
+	}
+	raw, err := json.Marshal(out)
+	if err != nil {
+		return nil, fmt.Errorf("pools: %w", err)
+	}
+	return raw, nil
+}
+
+func (d *Component) change(now time.Duration, c *Change) (*Changed, error) {
+	i, ok := d.byName[c.Pool]
+	if !ok || !d.pools[i].known {
+		return nil, fmt.Errorf("pools: pool: no such pool: %q", c.Pool)
+	}
+	p := d.pools[i]
+	if err := d.checkChange(c); err != nil {
+		return nil, err
+	}
+	if n := slices.IndexFunc(p.changes, func(o appliedChange) bool { return o.ID == c.ID }); n >= 0 {
+		version := p.changes[n].Version
+		return &Changed{Durable: version <= p.durableVersion, Version: version, Pool: d.view(now, p, false)}, nil
+	}
+	if c.Version != p.changeVersion {
+		return nil, fmt.Errorf("pools: version: this was planned for version %d, and another change has made it %d",
+			c.Version, p.changeVersion)
+	}
+	p.apply(c)
+	d.store.dirty = append(d.store.dirty, p)
+	d.NeedsCycle = true
+	d.LogMessage(effects.Info, "pool changed", "pool", p.name, "version", p.changeVersion,
+		"units", max(p.size, p.pendingSize), "drained", p.drained)
+	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
+}
+
+// checkChange says what is wrong with a change, whatever its pool.
+func (d *Component) checkChange(c *Change) error {
+	switch {
+	case !d.store.loaded && d.store.unreadableKey != "":
+		return fmt.Errorf("pools: %s cannot be read: nothing is changed", d.store.unreadableKey)
+	case !d.store.loaded:
+		return errValuesLoading
+	case c.ID == "" || len(c.ID) > maxIDBytes:
+		return errInvalidID
+	case c.Units != nil && *c.Units > eventlog.UnitsMost:
+		return errTooManyUnits
+	case c.Units == nil && c.Drain == nil:
+		return errNothingToDo
+	}
+	return nil
+}
+
+// apply makes a change: fewer units count at once, more once a new leader would know of
+// them.
+func (p *pool) apply(c *Change) {
+	p.changeVersion++
+	p.changes = append(p.changes, appliedChange{ID: c.ID, Version: p.changeVersion})
+	p.changes = slices.Delete(p.changes, 0, max(0, len(p.changes)-changesKept))
+	if c.Drain != nil {
+		p.drained = *c.Drain
+	}
+	if c.Units == nil {
+		return
+	}
+	units := *c.Units
+	p.sizeOverridden = units >= 0
+	if !p.sizeOverridden {
+		units = int64(p.conf.Units)
+	}
+	p.size, p.pendingSize = min(p.size, units), 0
+	if units > p.size {
+		p.pendingSize = units
+	}
+}
--- a/internal/leader/pools/losses.go
+++ b/internal/leader/pools/losses.go
@@ -11,9 +11,10 @@
 )
 
 // A licence server may go on counting a holder for a while that died without a word.
-// Units of such a task stay out for that long after it is proved gone.
+// Units of such a task stay in use for that long (hold_after_loss) after it is proved
+// gone.
 
-// loss is some units that stay out after a loss.
+// loss is some units that stay in use after a loss.
 type loss struct {
 	Pool  string `json:"p"`
 	Team  string `json:"m"`
@@ -21,46 +22,61 @@
 	Until int64  `json:"t"` // time of day, in milliseconds
 }
 
-// lossesNotDurable says whether losses are known that a new leader would not know of. Until
-// they are written no unit of a pool that waits for them goes out: the tasks that died
-// still wait then, and the new leader counts them as lost itself. Found by a random day
-// with two crashes in ten seconds: the first leader had started them anew elsewhere, and
-// the second took their units for free.
-func (d *Component) lossesNotDurable() bool {
-	return d.store.lossesDirty || slices.ContainsFunc(d.store.pending, func(w *pendingWrite) bool { return w.pool == nil })
-}
-
 // clockSlack is how far the times of day of two controllers may differ.
 const clockSlack = time.Second
 
+// wallClockMS is the time of day, in milliseconds.
 func (d *Component) wallClockMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
 
-// holdAfterLoss has the units of so many tasks of a job stay out where their pool says so.
-// Units that the job holds as a whole stay with it, unless it is over.
-func (d *Component) holdAfterLoss(now time.Duration, j *jobs.Job, needs []requirement, tasks int64) {
-	for _, n := range needs {
-		if n.perJob && (j.Phase == jobs.Open || j.Placed > 1) {
+// lossesNotDurable reports whether losses are known that a new leader would not know of.
+// Until they are durable no unit is allocated of a pool that has a hold after losses: the
+// tasks that died are still waiting then, and the new leader counts them as lost itself.
+// Found by a random day with two crashes in ten seconds: the first leader had started
+// them anew elsewhere, and the second took their units as free.
+func (d *Component) lossesNotDurable() bool {
+	return d.store.lossesDirty || d.store.writes.HasPending(func(w poolWrite) bool { return w.pool == nil })
+}
+
+// holdAfterLoss keeps the units of so many tasks of a job in use where their pool says
+// so. Units that the job holds as a whole stay with it, unless it is over.
+func (d *Component) holdAfterLoss(now time.Duration, j *jobs.Job, requirements []requirement, tasks int64) {
+	for _, r := range requirements {
+		if r.perJob && (j.Phase == jobs.Open || j.Placed > 1) {
 			continue
 		}
-		units := n.units
-		if !n.perJob {
+		units := r.units
+		if !r.perJob {
 			units *= tasks
 		}
-		d.addLoss(now, d.pools[n.pool], d.Teams.Name(j.Team), units)
+		d.addLoss(now, d.pools[r.pool], d.Teams.Name(j.Team), units)
 	}
 }
 
-// addLoss has units stay out after a loss, where their pool says so. The team may be
+// addLoss keeps units in use after a loss, where their pool says so. The team may be
 // unknown.
 func (d *Component) addLoss(now time.Duration, p *pool, team string, units int64) {
-	if after := settings.Seconds(p.conf.HoldAfterLossS); after > 0 {
-		d.losses = append(d.losses, loss{p.name, team, units, d.wallClockMS(now + after + clockSlack)})
+	hold := settings.Seconds(p.conf.HoldAfterLossS)
+	if hold <= 0 {
+		return
+	}
+	until := d.wallClockMS(now + hold + clockSlack)
+	d.losses = append(d.losses, loss{Pool: p.name, Team: team, Units: units, Until: until})
+	d.store.lossesDirty = true
+}
+
+// expireLosses drops the losses whose time is over.
+func (d *Component) expireLosses(now time.Duration) {
+	at := d.wallClockMS(now)
+	before := len(d.losses)
+	d.losses = slices.DeleteFunc(d.losses, func(l loss) bool { return l.Until <= at })
+	if len(d.losses) < before {
+		d.NeedsCycle = true
 		d.store.lossesDirty = true
 	}
 }
 
-// holdUnseenAfterLoss does so for what may have been on a machine that is gone, or whose worker
-// began anew, before it was ever heard in this term.
+// holdUnseenAfterLoss is holdAfterLoss for what may have been on a machine that is gone,
+// or whose agent started anew, before it ever reported in this term.
 func (d *Component) holdUnseenAfterLoss(now time.Duration, m *workers.Machine) {
 	for _, h := range d.holders {
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
@@ -72,15 +88,15 @@
 	}
 }
 
-// dropOrphans forgets the strays of a machine that is gone; their units stay out where
-// their pool says so.
+// dropOrphans forgets the orphans of a machine that is gone. Their units stay in use
+// where their pool says so.
 func (d *Component) dropOrphans(now time.Duration, m *workers.Machine) {
 	s := d.orphans[m]
 	delete(d.orphans, m)
 	if s == nil {
 		return
 	}
-	for _, n := range s.requirements {
-		d.addLoss(now, d.pools[n.pool], "", n.units)
+	for _, r := range s.requirements {
+		d.addLoss(now, d.pools[r.pool], "", r.units)
 	}
 }
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -2,7 +2,7 @@
 
 import (
 	"encoding/json"
-	"fmt"
+	"errors"
 	"slices"
 	"time"
 
@@ -10,50 +10,62 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Receipts name the very units that a task has, so that a licence server can refuse
-// a holder that was replaced. Units get numbers only when a holder asks, and the
-// numbers are noted before it is answered: no other holder is ever given the same
-// while this one may run.
+// Receipts name the very units that a task has, so that a licence server can refuse a
+// holder that was replaced. Units get numbers only when a holder asks, and the numbers
+// are logged before it is answered: no other holder is ever given the same while this one
+// may run.
 
+// receiptBytes is roughly what a receipt takes in the log.
 const receiptBytes = 120
 
+// wholeJobTask is the task number of what a job holds as a whole.
+const wholeJobTask = -1
+
+var (
+	errNoSuchTask   = errors.New("pools: receipt: no such task is running")
+	errNoUnits      = errors.New("pools: receipt: the job needs no units")
+	errNotTheHolder = errors.New("pools: receipt: that attempt does not hold the task's units")
+)
+
 type receiptKey struct {
 	job  uint64
-	task int32 // -1: the job as a whole
+	task int32 // wholeJobTask: the job as a whole
 	pool int32
 }
 
 type issuedReceipt struct {
-	attempt uint64
+	attempt uint64 // 0 for a job as a whole
 	numbers []int64
 	durable bool
 }
 
-// receiptIndex are kept by job, so that an end costs work for its own job only.
+// receiptIndex has the receipts by job, so that the end of a job or task costs work for
+// its own job only.
 type receiptIndex struct {
 	byJob map[uint64]map[receiptKey]*issuedReceipt
 	total int
 }
 
-func (p *receiptIndex) get(key receiptKey) *issuedReceipt { return p.byJob[key.job][key] }
+func (x *receiptIndex) get(key receiptKey) *issuedReceipt { return x.byJob[key.job][key] }
 
-func (p *receiptIndex) set(key receiptKey, x *issuedReceipt) {
-	if p.byJob[key.job] == nil {
-		p.byJob[key.job] = map[receiptKey]*issuedReceipt{}
+func (x *receiptIndex) set(key receiptKey, r *issuedReceipt) {
+	if x.byJob[key.job] == nil {
+		x.byJob[key.job] = map[receiptKey]*issuedReceipt{}
 	}
-	p.remove(key)
-	p.byJob[key.job][key] = x
-	p.total++
+	x.remove(key)
+	x.byJob[key.job][key] = r
+	x.total++
 }
 
-func (p *receiptIndex) remove(key receiptKey) {
-	if p.byJob[key.job][key] != nil {
-		delete(p.byJob[key.job], key)
-		p.total--
+func (x *receiptIndex) remove(key receiptKey) {
+	if x.byJob[key.job][key] != nil {
+		delete(x.byJob[key.job], key)
+		x.total--
 	}
 }
 
-// storedReceipt notes which units a task, or a job as a whole, was told to have.
+// storedReceipt is the log's entry of the units that a task, or a job as a whole, was
+// given a receipt for.
 type storedReceipt struct {
 	Job     uint64  `json:"j"`
 	Task    int32   `json:"t"`
@@ -89,66 +101,85 @@
 
 // issueReceipt gives a task's units their numbers.
 func (d *Component) issueReceipt(now time.Duration, in *Holding) (*Receipt, error) {
-	j := d.Jobs.Find(in.Job)
-	if j == nil || in.Task < 0 || in.Task >= len(j.Tasks) {
-		return nil, fmt.Errorf("pools: receipt: no such task is running")
-	}
-	h := d.byJob[j.Index]
-	t := d.Placements[workers.Ref{Job: j.Index, Task: int32(in.Task)}]
-	switch {
-	case h == nil:
-		return nil, fmt.Errorf("pools: receipt: the job needs no units")
-	case t == nil || t.Attempt != in.Attempt || in.Attempt == 0 || (t.Planned && len(t.Offered) == 0):
-		return nil, fmt.Errorf("pools: receipt: that attempt does not hold the task's units")
+	h, err := d.holderOf(in)
+	if err != nil {
+		return nil, err
 	}
 	d.recount(now)
 	out := &Receipt{Durable: true, Job: in.Job, Task: in.Task, Attempt: in.Attempt, Epoch: d.Epoch}
-	for _, n := range h.requirements {
-		key := receiptKey{in.Job, int32(in.Task), n.pool}
-		attempt := in.Attempt
-		if n.perJob {
-			key.task, attempt = -1, 0
+	for _, r := range h.requirements {
+		key, attempt := receiptKey{job: in.Job, task: int32(in.Task), pool: r.pool}, in.Attempt
+		if r.perJob {
+			key.task, attempt = wholeJobTask, 0
 		}
-		p := d.receipts.get(key)
-		if p == nil || p.attempt != attempt {
-			p = &issuedReceipt{attempt: attempt, numbers: d.pickNumbers(n)}
-			d.receipts.set(key, p)
-			d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Receipt: &storedReceipt{key.job, key.task, p.attempt, d.pools[key.pool].name, p.numbers}}))
+		issued := d.receipts.get(key)
+		if issued == nil || issued.attempt != attempt {
+			issued = &issuedReceipt{attempt: attempt, numbers: d.pickNumbers(r)}
+			d.receipts.set(key, issued)
+			d.logReceipt(key, issued)
 		}
-		out.Durable = out.Durable && p.durable
-		out.Units = append(out.Units, ReceiptUnits{d.pools[n.pool].name, p.numbers, n.perJob})
+		out.Durable = out.Durable && issued.durable
+		out.Units = append(out.Units, ReceiptUnits{Pool: d.pools[r.pool].name, Numbers: issued.numbers, PerJob: r.perJob})
 	}
 	return out, nil
 }
 
-// pickNumbers picks the lowest numbers that nobody may have.
-func (d *Component) pickNumbers(n requirement) (out []int64) {
+// holderOf returns the job of a task that holds its units now.
+func (d *Component) holderOf(in *Holding) (*holder, error) {
+	j := d.Jobs.Find(in.Job)
+	if j == nil || in.Task < 0 || in.Task >= len(j.Tasks) {
+		return nil, errNoSuchTask
+	}
+	h := d.byJob[j.Index]
+	if h == nil {
+		return nil, errNoUnits
+	}
+	t := d.Placements[workers.Ref{Job: j.Index, Task: int32(in.Task)}]
+	if t == nil || t.Attempt != in.Attempt || in.Attempt == 0 || (t.Planned && len(t.Offered) == 0) {
+		return nil, errNotTheHolder
+	}
+	return h, nil
+}
+
+func (d *Component) logReceipt(key receiptKey, issued *issuedReceipt) {
+	d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry{Receipt: &storedReceipt{
+		Job:     key.job,
+		Task:    key.task,
+		Attempt: issued.attempt,
+		Pool:    d.pools[key.pool].name,
+		Numbers: issued.numbers,
+	}}))
+}
+
+// pickNumbers picks the lowest numbers that nobody may have, and forgets those of holders
+// that are gone.
+func (d *Component) pickNumbers(r requirement) (out []int64) {
 	taken := map[int64]bool{}
 	for _, list := range d.receipts.byJob {
-		for key, p := range list {
-			if key.pool != n.pool {
+		for key, issued := range list {
+			if key.pool != r.pool {
 				continue
 			}
-			if !d.mayStillHold(key, p) {
+			if !d.mayStillHold(key, issued) {
 				d.receipts.remove(key)
 				continue
 			}
-			for _, x := range p.numbers {
-				taken[x] = true
+			for _, n := range issued.numbers {
+				taken[n] = true
 			}
 		}
 	}
-	for x := int64(1); int64(len(out)) < n.units; x++ {
-		if !taken[x] {
-			out = append(out, x)
+	for n := int64(1); int64(len(out)) < r.units; n++ {
+		if !taken[n] {
+			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// mayStillHold says whether a holder that was given numbers may still be there, or its units
-// be counted elsewhere after its loss.
-func (d *Component) mayStillHold(key receiptKey, p *issuedReceipt) bool {
+// mayStillHold reports whether a holder that was given numbers may still be there, or its
+// units count as in use after its loss.
+func (d *Component) mayStillHold(key receiptKey, issued *issuedReceipt) bool {
 	if d.pools[key.pool].lost > 0 {
 		return true
 	}
@@ -160,19 +191,20 @@
 	if j.Earlier && unresolved > 0 {
 		return true
 	}
-	if key.task < 0 {
+	if key.task == wholeJobTask {
 		h := d.byJob[j.Index]
 		return h != nil && h.holdsJobUnits
 	}
 	t := d.Placements[workers.Ref{Job: j.Index, Task: key.task}]
-	return t != nil && t.Attempt == p.attempt
+	return t != nil && t.Attempt == issued.attempt
 }
 
-// dropReceipts forgets the numbers of a task, or with -1 of a job that has left, unless
-// its units stay out.
+// dropReceipts forgets the numbers of a task, or with wholeJobTask all of a job that was
+// removed, unless its units stay in use after a loss.
 func (d *Component) dropReceipts(job uint64, task int) {
-	for key, p := range d.receipts.byJob[job] {
-		if (task < 0 || key.task == int32(task)) && d.pools[key.pool].conf.HoldAfterLossS == 0 && p.durable {
+	for key, issued := range d.receipts.byJob[job] {
+		ofTask := task == wholeJobTask || key.task == int32(task)
+		if ofTask && d.pools[key.pool].conf.HoldAfterLossS == 0 && issued.durable {
 			d.receipts.remove(key)
 		}
 	}
@@ -181,36 +213,50 @@
 	}
 }
 
+// keyOf is the key of a stored receipt.
+func (d *Component) keyOf(s *storedReceipt) receiptKey {
+	return receiptKey{job: s.Job, task: s.Task, pool: d.pool(s.Pool).index}
+}
+
 func (d *Component) receiptDurable(s *storedReceipt) {
-	if p := d.receipts.get(receiptKey{s.Job, s.Task, d.pool(s.Pool).index}); p != nil && p.attempt == s.Attempt && slices.Equal(p.numbers, s.Numbers) {
-		p.durable = true
+	issued := d.receipts.get(d.keyOf(s))
+	if issued != nil && issued.attempt == s.Attempt && slices.Equal(issued.numbers, s.Numbers) {
+		issued.durable = true
 	}
 }
 
-func (d *Component) replayReceipt(own *eventlog.ComponentEntry) {
+// decodeReceipt decodes an entry of the component's own; nil: it is not of a receipt.
+func decodeReceipt(own *eventlog.ComponentEntry) *storedReceipt {
 	var e entry
-	if json.Unmarshal(own.Data, &e) != nil || e.Receipt == nil {
-		return
+	if json.Unmarshal(own.Data, &e) != nil {
+		return nil
+	}
+	return e.Receipt
+}
+
+func (d *Component) replayReceipt(own *eventlog.ComponentEntry) {
+	if s := decodeReceipt(own); s != nil {
+		d.receipts.set(d.keyOf(s), &issuedReceipt{attempt: s.Attempt, numbers: s.Numbers, durable: true})
 	}
-	d.receipts.set(receiptKey{e.Receipt.Job, e.Receipt.Task, d.pool(e.Receipt.Pool).index}, &issuedReceipt{e.Receipt.Attempt, e.Receipt.Numbers, true})
 }
 
-// compactReceipt writes anew the numbers of a holder that may be there.
+// compactReceipt writes anew the numbers of a holder that may still be there.
 func (d *Component) compactReceipt(e eventlog.Entry) {
-	var x entry
-	if json.Unmarshal(e.Component.Data, &x) != nil || x.Receipt == nil {
+	s := decodeReceipt(e.Component)
+	if s == nil {
 		return
 	}
-	key := receiptKey{x.Receipt.Job, x.Receipt.Task, d.pool(x.Receipt.Pool).index}
-	if p := d.receipts.get(key); p != nil && p.attempt == x.Receipt.Attempt && d.mayStillHold(key, p) {
+	key := d.keyOf(s)
+	issued := d.receipts.get(key)
+	if issued != nil && issued.attempt == s.Attempt && d.mayStillHold(key, issued) {
 		d.EventLog.Append(e)
 	}
 }
 
 // issuedNumbers are those that a holder was given, if it asked.
 func (d *Component) issuedNumbers(job uint64, task int, pool int32) []int64 {
-	if p := d.receipts.get(receiptKey{job, int32(task), pool}); p != nil {
-		return p.numbers
+	if issued := d.receipts.get(receiptKey{job: job, task: int32(task), pool: pool}); issued != nil {
+		return issued.numbers
 	}
 	return nil
 }
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -46,18 +46,13 @@
 
 func idOf(j *jobs.Job) string { return wire.FormatID(j.Record.ID) }
 
-// Show gives, as JSON, all pools, or with the name of one as the view that one with
-// its holders.
+// Show returns, as JSON, a list of View of all pools, or with the name of one as the view
+// that one with its holders.
 func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	d.recount(now)
 	var out any
 	if view == "" {
-		list := []View{}
-		for _, p := range d.pools {
-			list = append(list, d.view(now, p, false))
-		}
-		slices.SortFunc(list, func(a, b View) int { return strings.Compare(a.Pool, b.Pool) })
-		out = list
+		out = d.views(now)
 	} else {
 		i, ok := d.byName[view]
 		if !ok {
@@ -72,91 +67,155 @@
 	return raw, nil
 }
 
-func (d *Component) view(now time.Duration, p *pool, holders bool) View {
-	v := View{Pool: p.name, Units: p.size, Settings: p.conf.Units, Pending: p.pendingSize, Drained: p.drained, Out: p.inUse, Uncertain: p.uncertain, Lost: p.lost,
-		Waiting: p.waiting, Reserve: p.conf.Reserve, Version: p.changeVersion}
+// views are all pools by name, without their holders.
+func (d *Component) views(now time.Duration) []View {
+	list := []View{}
+	for _, p := range d.pools {
+		list = append(list, d.view(now, p, false))
+	}
+	slices.SortFunc(list, func(a, b View) int { return strings.Compare(a.Pool, b.Pool) })
+	return list
+}
+
+func (d *Component) view(now time.Duration, p *pool, withHolders bool) View {
+	v := View{
+		Pool:      p.name,
+		Units:     p.size,
+		Settings:  p.conf.Units,
+		Pending:   p.pendingSize,
+		Drained:   p.drained,
+		Out:       p.inUse,
+		Uncertain: p.uncertain,
+		Lost:      p.lost,
+		Waiting:   p.waiting,
+		Reserve:   p.conf.Reserve,
+		Version:   p.changeVersion,
+		Closed:    d.closedReason(p),
+	}
 	if p.reservedFor != nil {
 		v.First = idOf(p.reservedFor.job)
 	}
+	if withHolders {
+		v.Holders = d.holdersOf(now, p)
+	}
+	return v
+}
+
+// closedReason says why no unit of a pool is allocated; empty: some may be.
+func (d *Component) closedReason(p *pool) string {
 	switch {
 	case !p.known:
-		v.Closed = "it is not in the leader's settings"
+		return "it is not in the leader's settings"
 	case d.store.unreadableKey != "":
-		v.Closed = d.store.unreadableKey + " cannot be read"
+		return d.store.unreadableKey + " cannot be read"
 	case !d.store.loaded:
-		v.Closed = "what was changed of pools is being read"
+		return "what was changed of pools is being read"
 	case d.allocationBlocked:
-		v.Closed = "a machine that has not reported may have units of any pool"
-	}
-	if holders {
-		v.Holders = d.holding(now, p)
+		return "a machine that has not reported may have units of any pool"
 	}
-	return v
+	return ""
 }
 
-// holding lists who has units of a pool out, since when, and what would prove that
+// releasedByReport is by what the units of a task on a machine come back.
+const releasedByReport = "a newer report of the machine without it, or its answered deletion"
+
+// holdersOf lists who has units of a pool in use, since when, and what would prove that
 // they are back.
-func (d *Component) holding(now time.Duration, p *pool) (out []Holder) {
-	index := p.index
+func (d *Component) holdersOf(now time.Duration, p *pool) (out []Holder) {
 	for _, h := range d.holders {
-		for _, n := range h.requirements {
-			if n.pool != index {
-				continue
-			}
-			one := Holder{Job: idOf(h.job), Team: h.job.Record.Team, Task: -1, Units: n.units}
-			if n.perJob {
-				if h.holdsJobUnits {
-					one.Back = "the end of the job's last task"
-					one.Numbers = d.issuedNumbers(h.job.Record.ID, -1, index)
-					out = append(out, one)
-				}
-				continue
+		for _, r := range h.requirements {
+			switch {
+			case r.pool != p.index:
+			case !r.perJob:
+				out = append(out, d.taskHolders(now, h, r)...)
+			case h.holdsJobUnits:
+				out = append(out, d.jobHolder(h, r))
 			}
-			out = append(out, d.tasksOf(now, h, one, index)...)
-		}
-	}
-	for m, s := range d.orphans {
-		for _, n := range s.requirements {
-			if n.pool == index {
-				out = append(out, Holder{Job: "a job that is over", Task: -1, Units: n.units, Machine: m.Name, Back: "a newer report of the machine without it, or its answered deletion"})
-			}
-		}
-	}
-	for _, l := range d.losses {
-		if left := l.Until - d.wallClockMS(now); l.Pool == p.name && left > 0 {
-			out = append(out, Holder{Job: "lost", Team: l.Team, Task: -1, Units: l.Units, Back: fmt.Sprintf("the end of hold_after_loss, in %d s", left/1000+1)})
 		}
 	}
+	out = append(out, d.orphanHolders(p)...)
+	out = append(out, d.lossHolders(now, p)...)
 	slices.SortFunc(out, func(a, b Holder) int {
-		return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task), strings.Compare(a.Machine, b.Machine))
+		return cmp.Or(
+			strings.Compare(a.Job, b.Job),
+			cmp.Compare(a.Task, b.Task),
+			strings.Compare(a.Machine, b.Machine),
+		)
 	})
 	return out
 }
 
-func (d *Component) tasksOf(now time.Duration, h *holder, one Holder, index int32) (out []Holder) {
+// newView makes the view of a job that holds units as a whole, or of its tasks.
+func (h *holder) newView(r requirement) Holder {
+	return Holder{Job: idOf(h.job), Team: h.job.Record.Team, Task: wholeJobTask, Units: r.units}
+}
+
+func (d *Component) jobHolder(h *holder, r requirement) Holder {
+	v := h.newView(r)
+	v.Back = "the end of the job's last task"
+	v.Numbers = d.issuedNumbers(h.job.Record.ID, wholeJobTask, r.pool)
+	return v
+}
+
+// taskHolders lists the placed tasks of a job, and the machines that have not reported and
+// may have more of them.
+func (d *Component) taskHolders(now time.Duration, h *holder, r requirement) (out []Holder) {
 	j := h.job
-	for k, s := range j.Tasks {
-		ref := workers.Ref{Job: j.Index, Task: int32(k)}
-		t := d.Placements[ref]
-		if s != jobs.Placed || t == nil {
+	for k, state := range j.Tasks {
+		t := d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		if state != jobs.Placed || t == nil {
 			continue
 		}
-		x := one
-		x.Task, x.Machine, x.Back = int(ref.Task), t.Machine.Name, "a newer report of the machine without it, or its answered deletion"
+		v := h.newView(r)
+		v.Task, v.Machine, v.Back = k, t.Machine.Name, releasedByReport
 		if t.Planned {
-			x.Back = "the pass that takes its plan back, or its start"
+			v.Back = "the pass that takes its plan back, or its start"
 		}
 		if t.Runs() {
-			x.SinceS = (now - t.RanAt).Round(time.Millisecond).Seconds()
+			v.SinceS = (now - t.RanAt).Round(time.Millisecond).Seconds()
 		}
-		x.Numbers = d.issuedNumbers(j.Record.ID, int(ref.Task), index)
-		out = append(out, x)
+		v.Numbers = d.issuedNumbers(j.Record.ID, k, r.pool)
+		out = append(out, v)
 	}
 	if n, _ := d.Unresolved(); n > 0 && j.Earlier && j.UnresolvedMachines > 0 {
-		one.Machine = fmt.Sprintf("%d machines not heard", j.UnresolvedMachines)
-		one.Back = "a report of those machines, or their answered deletion"
-		one.Units = 0
-		out = append(out, one)
+		v := h.newView(r)
+		v.Units = 0
+		v.Machine = fmt.Sprintf("%d machines not heard", j.UnresolvedMachines)
+		v.Back = "a report of those machines, or their answered deletion"
+		out = append(out, v)
+	}
+	return out
+}
+
+func (d *Component) orphanHolders(p *pool) (out []Holder) {
+	for m, s := range d.orphans {
+		for _, r := range s.requirements {
+			if r.pool == p.index {
+				out = append(out, Holder{
+					Job:     "a job that is over",
+					Task:    wholeJobTask,
+					Units:   r.units,
+					Machine: m.Name,
+					Back:    releasedByReport,
+				})
+			}
+		}
+	}
+	return out
+}
+
+func (d *Component) lossHolders(now time.Duration, p *pool) (out []Holder) {
+	for _, l := range d.losses {
+		leftMS := l.Until - d.wallClockMS(now)
+		if l.Pool == p.name && leftMS > 0 {
+			out = append(out, Holder{
+				Job:   "lost",
+				Team:  l.Team,
+				Task:  wholeJobTask,
+				Units: l.Units,
+				Back:  fmt.Sprintf("the end of hold_after_loss, in %d s", leftMS/1000+1),
+			})
+		}
 	}
 	return out
 }
--- /dev/null
+++ b/internal/leader/valuestore/valuestore_test.go
@@ -0,0 +1,82 @@
+package valuestore
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"testing"
+	"time"
+
+	"bitternmoor/internal/core/eventlog"
+)
+
+type contents struct {
+	Version int `json:"v"`
+	Number  int `json:"n"`
+}
+
+func (c *contents) FormatVersion() int { return c.Version }
+
+func TestDecodeKeepsTheNumberOfAnUnreadableValue(t *testing.T) {
+	for name, test := range map[string]struct {
+		key, data string
+		number    int
+		fails     bool
+		version   int // of a *VersionError; 0: another error or none
+	}{
+		"readable":     {key: eventlog.ValueKey("own", 7), data: `{"v":1,"n":5}`, number: 7},
+		"key":          {key: "other", data: `{"v":1}`, number: NoNumber, fails: true},
+		"not JSON":     {key: eventlog.ValueKey("own", 8), data: `{`, number: 8, fails: true},
+		"later format": {key: eventlog.ValueKey("own", 9), data: `{"v":2}`, number: 9, fails: true, version: 2},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var got contents
+			number, err := Decode("own", eventlog.Value{Key: test.key, Data: json.RawMessage(test.data)}, 1, &got)
+			if number != test.number || (err != nil) != test.fails {
+				t.Errorf("number %d, error %v", number, err)
+			}
+			var wrongVersion *VersionError
+			if is := errors.As(err, &wrongVersion); is != (test.version > 0) || (is && wrongVersion.Version != test.version) {
+				t.Errorf("version error: %v", err)
+			}
+			if !test.fails && got.Number != 5 {
+				t.Errorf("contents: %+v", got)
+			}
+		})
+	}
+}
+
+func TestWriterFollowsEachWriteToItsOutcome(t *testing.T) {
+	log := eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 0, 0)
+	w := Writer[string]{Component: "own"}
+	for number, details := range []string{"first", "second"} {
+		if !w.Append(log, struct{}{}, number, json.RawMessage(`{}`), details) {
+			t.Fatalf("%s does not fit", details)
+		}
+	}
+	if refused := w.TakeRefused(log); len(refused) > 0 || w.Len() != 2 {
+		t.Fatalf("before the log has passed them: refused %v, %d pending", refused, w.Len())
+	}
+	if details, found := w.TakeDurable(0); !found || details != "first" {
+		t.Errorf("durable: %q %v", details, found)
+	}
+	if _, found := w.TakeDurable(0); found {
+		t.Error("a write is durable twice")
+	}
+	if w.HasPending(func(s string) bool { return s == "first" }) || !w.HasPending(func(s string) bool { return s == "second" }) {
+		t.Error("not just the second is pending")
+	}
+	for i := range 20 {
+		now := time.Duration(i) * time.Second
+		if txn := log.NextTransaction(now); txn != nil {
+			log.CommitResult(now, txn.Sequence, eventlog.Applied, uint64(i+1), nil)
+		}
+	}
+	if refused := w.TakeRefused(log); fmt.Sprint(refused) != "[second]" || w.Len() != 0 {
+		t.Errorf("passed by the log without being durable: %v, %d pending", refused, w.Len())
+	}
+	large := json.RawMessage(`"` + string(make([]byte, 1<<20)) + `"`)
+	if w.Append(log, struct{}{}, 2, large, "large") || w.Len() != 0 {
+		t.Error("a value that is too large is pending")
+	}
+}
