--- /dev/null
+++ b/internal/leader/runtimes/learn.go
@@ -0,0 +1,167 @@
+package runtimes
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/DataDog/sketches-go/ddsketch"
+
+	"bitternmoor/internal/core/calendar"
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/leader/cluster"
+)
+
+// jobRun is what is known of an open job's tasks.
+type jobRun struct {
+	kind        Kind
+	est         Estimate
+	task, fetch *ddsketch.DDSketch
+	n           int
+	disturbed   map[int]bool // tasks that were started more than once, or moved
+}
+
+// RunRecord is what one job has shown, once it is done. Times are in seconds.
+type RunRecord struct {
+	ID       uint64
+	At       int64 // time of day, in seconds
+	Day      int32 // of the night it belongs to
+	Kind     Kind
+	N        int // tasks whose time counts
+	Task     [5]float64
+	Fetch    float64 // the median of what passed between a task's start and its running; 0: none was seen
+	Job      float64 // from its acceptance, or release, to its end
+	Estimate float64 // its owner's, of one task
+	Work     float64 // of all its tasks, in processor seconds
+}
+
+// accepted is when its job was accepted, or released.
+func (f *RunRecord) accepted() time.Time {
+	return time.Unix(f.At, 0).Add(-time.Duration(f.Job * float64(time.Second)))
+}
+
+// Points of a distribution that a fact carries; each stands for as many values as
+// lie nearest to it.
+var (
+	recordQuantiles = [5]float64{.05, .25, .5, .75, .95}
+	quantileWeights = [5]float64{.15, .225, .25, .225, .15}
+)
+
+// mean is the mean of a job's tasks by what is kept of them.
+func mean(task [5]float64) float64 {
+	sum := 0.0
+	for i, v := range task {
+		sum += quantileWeights[i] * v
+	}
+	return sum
+}
+
+func (d *Component) kindOfJob(j *jobs.Job) Kind {
+	return Kind{Class: j.Record.Class, Team: j.Record.Team, Image: j.Record.Image, Shape: shape(len(j.Tasks), j.Need.CPU), Holiday: d.today.Holiday}
+}
+
+// estimateJob is what is expected of a job.
+func (d *Component) estimateJob(now time.Duration, j *jobs.Job) Estimate {
+	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
+}
+
+func (d *Component) runOf(now time.Duration, j *jobs.Job) *jobRun {
+	r := d.runs[j.Record.ID]
+	if r == nil {
+		r = &jobRun{kind: d.kindOfJob(j), est: d.estimateJob(now, j), task: newSketch(), fetch: newSketch(), disturbed: map[int]bool{}}
+		d.runs[j.Record.ID] = r
+	}
+	return r
+}
+
+// seedEstimator has a job's size start from what its kind has shown (learned_sizes).
+func (d *Component) seedEstimator(now time.Duration, j *jobs.Job) {
+	if d.Cfg.Tunables.LearnedSizes == 0 || !d.history.Done {
+		return
+	}
+	if e := d.estimateJob(now, j); e.Tasks > 0 {
+		d.Estimator.Expect(j.Index, e.Mean())
+	}
+}
+
+func (d *Component) taskDone(e cluster.Event) {
+	if e.RunSeconds <= 0 || !e.FromThisTerm || e.Job.Record.Kind != jobs.Array {
+		return
+	}
+	r := d.runOf(e.At, e.Job)
+	if r.disturbed[e.Task] || e.Job.Saved[int32(e.Task)] > 0 {
+		return
+	}
+	if d.observeSpeed(r, e) {
+		return
+	}
+	addToSketch(r.task, e.RunSeconds, 1)
+	r.n++
+}
+
+// jobDone makes a fact of a job that is durably done.
+func (d *Component) jobDone(now time.Duration, j *jobs.Job) {
+	r := d.runs[j.Record.ID]
+	delete(d.runs, j.Record.ID)
+	d.clearWarning(j.Record.ID, "done")
+	if r == nil || r.n == 0 {
+		return
+	}
+	d.startNight(now)
+	s := storedRecord{ID: j.Record.ID, At: d.wallClock(now).Unix(), Day: d.today.Day, Kind: kindFields(r.kind), Holiday: d.today.Holiday, N: r.n,
+		Fetch: roundDigits(quantile(r.fetch, .5)), Job: roundDigits((now - j.AcceptedAt).Seconds()), Estimate: roundDigits(j.Record.EstimateS)}
+	for i, q := range recordQuantiles {
+		s.Task[i] = roundDigits(quantile(r.task, q))
+	}
+	s.Work = roundDigits(mean(s.Task) * float64(len(j.Tasks)) * j.Need.CPUs())
+	if d.appendEntry(entry{Record: &s}) {
+		d.countRecord(s.runRecord())
+		d.loggedRecords++
+	}
+}
+
+func (d *Component) countRecord(f *RunRecord) {
+	if _, seen := d.countedRuns[f.ID]; seen {
+		return
+	}
+	if !d.history.Done {
+		d.deferRecord(f)
+		return
+	}
+	d.countedRuns[f.ID] = f.Day
+	for _, k := range d.model.AddRun(f) {
+		d.store.push(d.store.place(k))
+	}
+	d.removeFromStore(d.model.takeEvicted())
+	accepted := f.accepted()
+	night := d.calendar.At(accepted)
+	d.demand.addWork(night.Day, night.Holiday, d.calendar.Slot(accepted), f.Work)
+}
+
+// deferRecord keeps a fact until the history is read.
+func (d *Component) deferRecord(f *RunRecord) {
+	if len(d.deferredRecords) < maxDeferredRecords {
+		d.deferredRecords = append(d.deferredRecords, f)
+	}
+}
+
+// historyLoaded counts the facts that waited for the history, in the order of their nights:
+// cleaning may have left an older one behind a newer one. What they close, and what
+// the last leader has closed and not written, is written.
+func (d *Component) historyLoaded(now time.Duration) {
+	d.model.evict()
+	d.removeFromStore(d.model.takeEvicted())
+	held := d.deferredRecords
+	d.deferredRecords = nil
+	slices.SortStableFunc(held, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.Day, b.Day), cmp.Compare(a.At, b.At)) })
+	for _, f := range held {
+		d.countRecord(f)
+	}
+	d.today = calendar.Night{}
+	d.startNight(now)
+	for _, j := range d.Jobs.All() {
+		if j != nil && j.Phase == jobs.Open {
+			d.seedEstimator(now, j)
+		}
+	}
+}
--- /dev/null
+++ b/internal/leader/runtimes/sketch.go
@@ -0,0 +1,66 @@
+package runtimes
+
+import (
+	"cmp"
+	"slices"
+
+	"github.com/DataDog/sketches-go/ddsketch"
+)
+
+func newSketch() *ddsketch.DDSketch {
+	s, err := ddsketch.LogCollapsingLowestDenseDDSketch(accuracy, 512)
+	if err != nil {
+		panic(err) // the accuracy is a constant within its range
+	}
+	return s
+}
+
+// addToSketch counts a value; one that no sketch can hold is left out.
+func addToSketch(s *ddsketch.DDSketch, v, count float64) {
+	if v > 1e-6 && v < 1e9 && count > 0 {
+		_ = s.AddWithCount(v, count)
+	}
+}
+
+func quantile(s *ddsketch.DDSketch, q float64) float64 {
+	v, err := s.GetValueAtQuantile(q)
+	if err != nil {
+		return 0 // it is empty
+	}
+	return v
+}
+
+// median is the weighted median of a value over nights: a night's weight is
+// bounded, and one freak night among several moves it to a neighbour at most.
+func median(nights []Night, of func(Night) float64) float64 {
+	type point struct{ v, w float64 }
+	var list []point
+	total := 0.0
+	for _, n := range nights {
+		if v := of(n); v > 0 {
+			w := float64(min(n.N, maxNightWeight))
+			list = append(list, point{v, w})
+			total += w
+		}
+	}
+	if len(list) == 0 {
+		return 0
+	}
+	slices.SortFunc(list, func(a, b point) int { return cmp.Compare(a.v, b.v) })
+	// Between the two nights that the middle lies between, in proportion: so that an
+	// even number of nights does not jump.
+	sum := 0.0
+	for i, p := range list {
+		mid := sum + p.w/2
+		if mid >= total/2 {
+			if i == 0 {
+				return p.v
+			}
+			q := list[i-1]
+			from := sum - q.w/2
+			return q.v + (p.v-q.v)*(total/2-from)/(mid-from)
+		}
+		sum += p.w
+	}
+	return list[len(list)-1].v
+}
