--- a/internal/leader/runtimes/component.go
+++ b/internal/leader/runtimes/component.go
@@ -1,3 +1,8 @@
+// Package runtimes is the component of a leader's term that learns how long each kind of
+// work usually takes, from its own history, and says with it when open jobs should begin
+// and end and which of them will be late. It is pure: run records and times come in;
+// estimates, warnings and entries of the log come out. docs/run-times.md has the design
+// and the operators' page.
 package runtimes
 
 import (
@@ -6,72 +11,86 @@
 
 	"bitternmoor/internal/core/calendar"
 	"bitternmoor/internal/core/eventlog"
-	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/cluster"
-	"bitternmoor/internal/settings"
+	"bitternmoor/internal/leader/valuestore"
 )
 
-// Name is that of the duty, and of its entries.
+// Name is that of the component, of its entries and of its values.
 const Name = "run-times"
 
-const (
-	bytesPerNight         = 80  // rough sizes of a night in a value,
-	bytesPerRecord        = 160 // and of a fact in the log
-	minTasksForSpeed      = 4   // tasks of which a machine is known to be slow
-	slowRatio             = 1.7 // from which on it is
-	countedRunDays        = 2   // for how long ids of facts are remembered
-	maxKindsClosedPerTick = 16  // kinds whose night is closed in one tick
-)
+// bytesPerRecord is roughly what a run record takes in the log.
+const bytesPerRecord = 160
+
+// leadTimeBounds are the buckets, in seconds, of how long ahead a late job was warned of.
+var leadTimeBounds = []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600}
 
 // Component learns in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
+
+	// What has been learned.
 	calendar   *calendar.Calendar
 	model      *Model
 	demand     demand
-	lateMargin float64
+	lateMargin float64 // the operators' setting, as a factor
 
-	runs            map[uint64]*jobRun // open jobs of which something was seen, by id
+	// What is being learned.
+	runs            map[uint64]*jobRun // of open jobs of which something was seen, by job id
 	taskPlacedAt    map[workers.Ref]time.Duration
 	machineSpeeds   map[string]*machineSpeed // by machine
-	countedRuns     map[uint64]int32         // jobs whose fact is counted, and its night
+	countedRuns     map[uint64]int32         // night of the jobs whose record is counted, by job id
 	today           calendar.Night
-	loggedRecords   int          // entries of facts that may have to be kept
-	deferredRecords []*RunRecord // until the history is read
+	loggedRecords   int          // entries that compaction may have to keep
+	deferredRecords []*RunRecord // until the history is loaded
 	closingKinds    []Kind       // whose night is over and not closed yet
 
-	history       cluster.ValueReader
+	// The history in values.
+	historyReader cluster.ValueReader
 	store         *valueStore
-	pending       *pendingWrite
-	durableNights map[Kind]int32 // the last night of each kind that is written
+	writes        valuestore.Writer[valueWrite]
+	durableNights map[Kind]int32 // the last night of each kind that is durable
 	lastWriteAt   time.Duration
 	writeInterval time.Duration // between values
 
-	lateJobs    map[uint64]*Late
+	// Jobs that run late.
+	lateJobs    map[uint64]*Late // by job id
 	lastCheckAt time.Duration
 	leadTimes   *cluster.Histogram
 }
 
-// New makes the duty of a term. How many kinds of work it knows, by which calendar
+// New makes the component of a term. How many kinds of work it knows, by which calendar
 // it counts nights and what it takes for late is in the operators' settings.
 func New(s *cluster.State) *Component {
-	x := s.Cfg.Tunables
-	cal, err := x.NewCalendar()
+	tunables := s.Cfg.Tunables
+	cal, err := tunables.NewCalendar()
 	if err != nil {
 		panic(err) // settings are checked when they are read
 	}
-	// Each value costs a change for itself and one for the entry that goes along.
-	pace := settings.Seconds(2 / max(.01, writeShare*s.Cfg.WriteLimits().WriteRPS))
-	return &Component{State: s, calendar: cal, lateMargin: x.LateMargin, model: NewModel(x.RunTimesKinds), store: newShelf(0), writeInterval: pace, demand: demand{durableDay: math.MinInt32}, runs: map[uint64]*jobRun{}, taskPlacedAt: map[workers.Ref]time.Duration{},
-		machineSpeeds: map[string]*machineSpeed{}, countedRuns: map[uint64]int32{}, durableNights: map[Kind]int32{}, lateJobs: map[uint64]*Late{},
-		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds", "How long before its learned deadline a job was warned of, by why it is late.", "why", []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600})}
+	return &Component{
+		State:         s,
+		calendar:      cal,
+		model:         NewModel(tunables.RunTimesKinds),
+		demand:        demand{durableDay: math.MinInt32},
+		lateMargin:    tunables.LateMargin,
+		runs:          map[uint64]*jobRun{},
+		taskPlacedAt:  map[workers.Ref]time.Duration{},
+		machineSpeeds: map[string]*machineSpeed{},
+		countedRuns:   map[uint64]int32{},
+		store:         newValueStore(0),
+		writes:        valuestore.Writer[valueWrite]{Component: Name},
+		durableNights: map[Kind]int32{},
+		writeInterval: writeInterval(s.Cfg.WriteLimits().WriteRPS),
+		lateJobs:      map[uint64]*Late{},
+		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds",
+			"How long before its learned deadline a job was warned of, by why it is late.", "why", leadTimeBounds),
+	}
 }
 
-// Replay takes an entry of its own. A fact counts for a kind only if its night is
-// later than those that the kind's value holds, and once for each job: so nothing
-// is counted twice.
+// Replay applies an entry of the component's own. A record counts for a kind only if its
+// night is later than those that the kind's value holds, and once for each job: so
+// nothing is counted twice.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
@@ -86,44 +105,36 @@
 }
 
 // HandleEvent learns. Only tasks that this leader has started, that ran from their start
-// to their end in one go, and not on a machine known to be slow, tell how long
-// their kind takes.
+// to their end in one go, and not on a machine known to be slow, show how long their kind
+// takes.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
 		d.seedEstimator(e.At, e.Job)
 	case cluster.TaskPlaced:
-		d.taskPlacedAt[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
+		d.taskPlacedAt[taskOf(e)] = e.At
 	case cluster.TaskBegan:
-		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if at, ok := d.taskPlacedAt[ref]; ok {
-			delete(d.taskPlacedAt, ref)
-			addToSketch(d.runOf(e.At, e.Job).fetch, (e.At - at).Seconds(), 1)
-		}
+		d.taskBegan(e)
 	case cluster.TaskGone:
-		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
-		if e.Job.Record.Kind == jobs.Array {
-			d.runOf(e.At, e.Job).disturbed[e.Task] = true
-		}
+		d.taskGone(e)
 	case cluster.TaskDone:
-		delete(d.taskPlacedAt, workers.Ref{Job: e.Job.Index, Task: int32(e.Task)})
 		d.taskDone(e)
 	case cluster.JobDone:
 		d.jobDone(e.At, e.Job)
 	case cluster.JobRemoved:
 		delete(d.runs, e.Job.Record.ID)
-		d.clearWarning(e.Job.Record.ID, "over")
+		d.clearWarning(e.Job.Record.ID, endedByRemoval)
 	}
 }
 
-// Tick reads the history after a takeover, writes what nights have shown, and looks
-// after jobs that run late.
-func (d *Component) Tick(now time.Duration, sure bool) {
-	if !sure {
+// Tick reads the history after a takeover, writes what nights have shown, and checks for
+// jobs that run late.
+func (d *Component) Tick(now time.Duration, leaseValid bool) {
+	if !leaseValid {
 		return
 	}
-	if !d.history.Done {
-		d.history.RequestNext(d.State, now, Name)
+	if !d.historyReader.Done {
+		d.historyReader.RequestNext(d.State, now, Name)
 		return
 	}
 	if now-d.lastCheckAt >= max(lateCheckInterval, time.Duration(d.Estimator.Len())*lateCheckPerJob) {
@@ -135,25 +146,23 @@
 	d.writeNext(now)
 }
 
-// LiveBytes is roughly how many bytes Keep would write for the whole log.
+// LiveBytes is roughly how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return d.loggedRecords * bytesPerRecord }
 
-// Compact writes anew a fact that is in no value yet, and for some days that a kind was
+// Compact writes anew a record that is in no value yet, and for some days that a kind was
 // forgotten.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
 	case !ok:
 	case x.Record != nil:
-		if !d.history.Done || d.recordNeeded(x.Record.runRecord()) {
+		if !d.historyReader.Done || d.recordNeeded(x.Record.runRecord()) {
 			d.EventLog.Append(e)
 			return
 		}
 		d.loggedRecords = max(0, d.loggedRecords-1)
 	case x.Forgotten != nil:
-		k := kindOf(x.Forgotten.Kind, x.Forgotten.Holiday)
-		at := time.Unix(x.Forgotten.At, 0)
-		if n, ok := d.store.home[k]; !d.history.Done || d.calendar.At(at).Day >= d.today.Day-keepForgottenDays || (ok && d.store.queued[n]) {
+		if d.forgottenNeeded(x.Forgotten) {
 			d.EventLog.Append(e)
 		}
 	}
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -67,7 +67,7 @@
 // history has a leader read its values, a few at a time, some after failures.
 func (w *fixture) history(d *Component, keys []string) {
 	w.effects = nil
-	for asked := 0; !d.history.Done; asked++ {
+	for asked := 0; !d.historyReader.Done; asked++ {
 		w.now += time.Second
 		d.Tick(w.now, true)
 		since := ""
@@ -500,8 +500,8 @@
 	if refused == 0 {
 		t.Fatal("nothing was refused")
 	}
-	if d.pending != nil || len(d.store.queue) > 0 {
-		t.Errorf("%d values still wait", len(d.store.queue))
+	if d.writes.Len() > 0 || len(d.store.dirty) > 0 {
+		t.Errorf("%d values still wait", len(d.store.dirty))
 	}
 	next := w.lead(t, 100)
 	for id := range 9 {
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -9,7 +9,7 @@
 // How much work comes at which time of a night, learned from the nights before, so
 // that operators see a nightly peak ahead of it.
 
-// slots of a day: local quarters of an hour. An hour that the clocks repeat counts
+// The slots of a day are local quarters of an hour. An hour that the clocks repeat counts
 // into the same ones, one that they skip leaves them empty, for one night.
 const (
 	slotsPerDay = 96
@@ -24,12 +24,12 @@
 	work    [slotsPerDay]float64
 }
 
-// demand is that of the last nights. A night is closed once the one after it is
-// over too: its last jobs may end as late as that.
+// demand is the demand of the last nights. A night is closed once the one after it is over
+// too: its last jobs may end as late as that.
 type demand struct {
 	nights     []*demandNight // closed ones, by day
 	open       []*demandNight
-	durableDay int32 // the last night that is written
+	durableDay int32 // the last night that is durable
 }
 
 // storedDemand is a night's demand as it is written, without its last empty slots.
@@ -39,22 +39,28 @@
 	Work    []float64 `json:"w"`
 }
 
-// addWork counts work. That of a night that is closed has been counted.
+// addWork counts work, in processor seconds. That of a night that is closed was counted
+// before.
 func (m *demand) addWork(day int32, holiday bool, slot int, work float64) {
-	if n := len(m.nights); (n > 0 && day <= m.nights[n-1].day) || work <= 0 {
+	if n := len(m.nights); n > 0 && day <= m.nights[n-1].day {
 		return
 	}
-	i, found := slices.BinarySearchFunc(m.open, day, func(n *demandNight, day int32) int { return cmp.Compare(n.day, day) })
+	if work <= 0 {
+		return
+	}
+	byDay := func(n *demandNight, day int32) int { return cmp.Compare(n.day, day) }
+	i, found := slices.BinarySearchFunc(m.open, day, byDay)
 	if !found {
 		m.open = slices.Insert(m.open, i, &demandNight{day: day, holiday: holiday})
 	}
 	m.open[i].work[slot] += work
 }
 
-// notDurable says whether a night is known and in no value.
+// notDurable reports whether a night is known and not in a durable value.
 func (m *demand) notDurable(day int32) bool {
-	of := func(n *demandNight) bool { return n.day == day }
-	return day > m.durableDay && (slices.ContainsFunc(m.open, of) || slices.ContainsFunc(m.nights, of))
+	isDay := func(n *demandNight) bool { return n.day == day }
+	known := slices.ContainsFunc(m.open, isDay) || slices.ContainsFunc(m.nights, isDay)
+	return day > m.durableDay && known
 }
 
 // closeNights ends nights that are long over, and gives the values they are kept in.
--- a/internal/leader/runtimes/entries.go
+++ b/internal/leader/runtimes/entries.go
@@ -8,7 +8,7 @@
 	"bitternmoor/internal/effects"
 )
 
-// entry is one of the duty's own in the log: what a job has shown, that a value was
+// entry is one of the component's own in the log: what a job has shown, that a value was
 // written, or that a kind was forgotten.
 type entry struct {
 	Record    *storedRecord    `json:"f,omitempty"`
@@ -16,6 +16,7 @@
 	Forgotten *storedForgotten `json:"x,omitempty"`
 }
 
+// storedRecord is a RunRecord as it is logged.
 type storedRecord struct {
 	ID       uint64     `json:"i"`
 	At       int64      `json:"a"`
@@ -30,12 +31,14 @@
 	Work     float64    `json:"w,omitempty"`
 }
 
+// storedForgotten says that a kind was forgotten.
 type storedForgotten struct {
 	Kind    [4]string `json:"k"`
 	Holiday bool      `json:"h,omitempty"`
-	At      int64     `json:"a"` // facts up to then count no more
+	At      int64     `json:"a"` // time of day, in seconds: records up to then count no more
 }
 
+// storedKind is the closed nights of a kind.
 type storedKind struct {
 	Kind    [4]string     `json:"k"`
 	Holiday bool          `json:"h,omitempty"`
@@ -43,20 +46,59 @@
 	Nights  [][11]float64 `json:"n"` // the fields of Night, in their order
 }
 
+// kindFields are the names of a kind as they are stored, and kindOf is the kind of them.
 func kindFields(k Kind) [4]string { return [4]string{k.Class, k.Team, k.Image, k.Shape} }
 
-func kindOf(n [4]string, holiday bool) Kind { return Kind{n[0], n[1], n[2], n[3], holiday} }
+func kindOf(n [4]string, holiday bool) Kind {
+	return Kind{Class: n[0], Team: n[1], Image: n[2], Shape: n[3], Holiday: holiday}
+}
 
-func (f *storedRecord) runRecord() *RunRecord {
-	return &RunRecord{ID: f.ID, At: f.At, Day: f.Day, Kind: kindOf(f.Kind, f.Holiday), N: f.N, Task: f.Task, Fetch: f.Fetch, Job: f.Job, Estimate: f.Estimate, Work: f.Work}
+func (s *storedRecord) runRecord() *RunRecord {
+	return &RunRecord{
+		ID:       s.ID,
+		At:       s.At,
+		Day:      s.Day,
+		Kind:     kindOf(s.Kind, s.Holiday),
+		N:        s.N,
+		Task:     s.Task,
+		Fetch:    s.Fetch,
+		Job:      s.Job,
+		Estimate: s.Estimate,
+		Work:     s.Work,
+	}
 }
 
+// numbers are the fields of a night as they are stored, and nightOf is the night of them.
 func (n Night) numbers() [11]float64 {
-	return [11]float64{float64(n.Day), float64(n.Jobs), float64(n.N), roundDigits(n.P50), roundDigits(n.P90), roundDigits(n.Fetch), roundDigits(n.JobP50), roundDigits(n.JobP90), roundDigits(n.RatioP10), roundDigits(n.RatioP50), roundDigits(n.RP90)}
+	return [11]float64{
+		float64(n.Day),
+		float64(n.Jobs),
+		float64(n.N),
+		roundDigits(n.P50),
+		roundDigits(n.P90),
+		roundDigits(n.Fetch),
+		roundDigits(n.JobP50),
+		roundDigits(n.JobP90),
+		roundDigits(n.RatioP10),
+		roundDigits(n.RatioP50),
+		roundDigits(n.RP90),
+	}
 }
 
-func nightOf(x [11]float64) Night {
-	return Night{int32(x[0]), int(x[1]), int(x[2]), x[3], x[4], x[5], x[6], x[7], x[8], x[9], x[10]}
+func nightOf(numbers [11]float64) Night {
+	return Night{
+		Day:      int32(numbers[0]),
+		Jobs:     int(numbers[1]),
+		N:        int(numbers[2]),
+		P50:      numbers[3],
+		P90:      numbers[4],
+		Fetch:    numbers[5],
+		JobP50:   numbers[6],
+		JobP90:   numbers[7],
+		RatioP10: numbers[8],
+		RatioP50: numbers[9],
+		RP90:     numbers[10],
+	}
 }
 
 // roundDigits keeps three digits: no estimate is better than that.
@@ -68,19 +110,22 @@
 	return math.Round(v*scale) / scale
 }
 
+// decode decodes an entry of the component's own; false: it is of another kind, or cannot
+// be decoded.
 func (d *Component) decode(e eventlog.Entry) (out entry, ok bool) {
 	if e.Component == nil {
 		return out, false
 	}
 	if err := json.Unmarshal(e.Component.Data, &out); err != nil {
-		d.LogMessage(effects.Warn, "an entry of learned run times cannot be read: it is left out, and learning goes on", "error", err)
+		d.LogMessage(effects.Warn, "an entry of learned run times cannot be read", "error", err)
 		return out, false
 	}
 	return out, true
 }
 
+// appendEntry reports whether the entry fits into the log.
 func (d *Component) appendEntry(e entry) bool {
-	own := eventlog.NewComponentEntry(Name, e) // round leaves no number that cannot be written
+	own := eventlog.NewComponentEntry(Name, e) // roundDigits leaves no number that cannot be written
 	if !d.EventLog.Fits(own) {
 		return false
 	}
--- a/internal/leader/runtimes/estimate.go
+++ b/internal/leader/runtimes/estimate.go
@@ -38,46 +38,53 @@
 	return min(e.P90, e.P50*math.Exp(sigma*sigma/2))
 }
 
-// Estimate estimates work of a kind. owner is the owner's estimate of one task, in
-// seconds; it is used where there is no history, corrected by what this class's
-// owners have been off by.
-func (b *Model) Estimate(k Kind, owner float64, now int64) Estimate {
+// Estimate estimates work of a kind at a time of day, in seconds. owner is the owner's
+// estimate of one task, in seconds, or 0; it is used where there is no history, corrected
+// by what this class's owners have been off by.
+func (m *Model) Estimate(k Kind, owner float64, now int64) Estimate {
 	kinds := k.levels()
 	if k.Holiday {
 		ordinary := k
 		ordinary.Holiday = false
 		kinds = append(kinds, ordinary.levels()...)
 	}
-	fresh := k.Image != ""
-	for _, l := range kinds {
-		m := b.histories[l]
-		if m == nil || !m.hasEnough() {
+	for _, level := range kinds {
+		h := m.histories[level]
+		if h == nil || !h.hasEnough() {
 			continue
 		}
-		e := m.estimate(l, now)
-		if fresh && l.Image == "" && owner > 0 {
+		e := h.estimate(level, now)
+		if k.Image != "" && level.Image == "" && owner > 0 {
 			// A new image of a class that is known: the class's own range, about what
 			// the owner says of this one.
-			return correctedEstimate(m, e, owner)
+			return correctedEstimate(h, e, owner)
 		}
 		return e
 	}
 	if owner <= 0 {
 		return Estimate{From: "nothing", Wide: "neither history nor an owner's estimate"}
 	}
-	return Estimate{P50: owner * ownerLowFactor, P90: owner * ownerHighFactor, From: "owner's estimate", Wide: "no history: the owner's estimate alone"}
+	return Estimate{
+		P50:  owner * ownerLowFactor,
+		P90:  owner * ownerHighFactor,
+		From: "owner's estimate",
+		Wide: "no history: the owner's estimate alone",
+	}
 }
 
+// minCorrectedSpread is the least 90th percentile of a corrected estimate, in medians.
+const minCorrectedSpread = 1.3
+
 // correctedEstimate is an owner's estimate, corrected by what owners of the class were off
 // by.
-func correctedEstimate(m *history, class Estimate, owner float64) Estimate {
-	s := m.summarize()
+func correctedEstimate(h *history, class Estimate, owner float64) Estimate {
+	s := h.summarize()
 	if s.mid <= 0 {
 		return class
 	}
 	e := class
 	e.From = "owner's estimate, corrected by " + class.From
-	e.P50, e.P90 = owner*s.mid, max(owner*s.high, owner*s.mid*1.3)
+	e.P50, e.P90 = owner*s.mid, max(owner*s.high, owner*s.mid*minCorrectedSpread)
 	e.JobP50, e.JobP90 = 0, 0
 	e.Wide = fmt.Sprintf("this image has no history: owners of the class are off by %.2g to %.2g times", s.low, s.high)
 	return e
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -28,23 +28,49 @@
 	job *jobs.Job
 }
 
-// forecasts goes through the order as the planner does: what stands ahead of a job
-// takes the machines that report first.
+// forecasts goes through the jobs in the scheduler's order: what is ahead of a job takes
+// the machines that report first.
 func (d *Component) forecasts(now time.Duration) []Forecast {
+	list := &forecastList{byJob: map[int32]int{}}
 	cpus := max(d.CPUs(), 1)
-	w := d.Snapshot(now)
-	var out []Forecast
-	at := map[int32]int{} // by job index
-	ahead := 0.0          // processor seconds
-	for _, i := range d.Scheduler.JobOrder(&w) {
-		j := d.Jobs.At(i)
-		f, work := d.forecastJob(now, j, ahead/cpus, cpus)
+	snapshot := d.Snapshot(now)
+	ahead := 0.0 // processor seconds
+	for _, i := range d.Scheduler.JobOrder(&snapshot) {
+		f, work := d.forecastJob(now, d.Jobs.At(i), ahead/cpus, cpus)
 		ahead += work
-		at[i] = len(out)
-		out = append(out, f)
+		list.add(f)
 	}
-	// Jobs that are held begin when the last of those that they follow ends. Each is
-	// settled once all of them are; a job never follows a later one.
+	d.forecastHeld(now, cpus, list)
+	return list.forecasts
+}
+
+// forecastList is the forecasts so far.
+type forecastList struct {
+	forecasts []Forecast
+	byJob     map[int32]int // place in forecasts, by job index
+}
+
+func (l *forecastList) add(f Forecast) {
+	l.byJob[f.job.Index] = len(l.forecasts)
+	l.forecasts = append(l.forecasts, f)
+}
+
+// endOf is when the last of some jobs ends, in the median and in the 90th percentile;
+// false: one of them has no forecast.
+func (l *forecastList) endOf(list []int32) (end, p90 float64, known bool) {
+	for _, i := range list {
+		n, known := l.byJob[i]
+		if !known {
+			return 0, 0, false
+		}
+		end, p90 = max(end, l.forecasts[n].EndS), max(p90, l.forecasts[n].EndP90S)
+	}
+	return end, p90, true
+}
+
+// forecastHeld adds the held jobs, which begin when the last of their dependencies ends.
+// Each is forecast once all of those are; a job never depends on a later one.
+func (d *Component) forecastHeld(now time.Duration, cpus float64, list *forecastList) {
 	var held []*jobs.Job
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Held && len(j.Dependencies) > 0 {
@@ -54,53 +80,52 @@
 	for len(held) > 0 {
 		before := len(held)
 		held = slices.DeleteFunc(held, func(j *jobs.Job) bool {
-			begin, p90 := 0.0, 0.0
-			for _, a := range j.Dependencies {
-				n, known := at[a]
-				if !known {
-					return false
-				}
-				begin, p90 = max(begin, out[n].EndS), max(p90, out[n].EndP90S)
+			begin, p90, known := list.endOf(j.Dependencies)
+			if !known {
+				return false
 			}
 			f, _ := d.forecastJob(now, j, begin, cpus)
 			f.EndP90S += p90 - begin
-			for _, a := range j.Dependencies {
-				f.After = append(f.After, wire.FormatID(d.Jobs.At(a).Record.ID))
+			for _, dependency := range j.Dependencies {
+				f.After = append(f.After, wire.FormatID(d.Jobs.At(dependency).Record.ID))
 			}
 			slices.Sort(f.After)
-			at[j.Index] = len(out)
-			out = append(out, f)
+			list.add(f)
 			return true
 		})
 		if len(held) == before {
-			break // they wait for a job that has no end, a service
+			return // they wait for a job that has no end, a service
 		}
 	}
-	return out
 }
 
-// forecastJob is that of one job that may begin so many seconds from now on, and how
-// much work it is, in processor seconds.
+// minTaskCPUs is the least that a task counts for, in processors.
+const minTaskCPUs = 0.001
+
+// milli is how many of the scheduler's units make a processor.
+const milli = 1000
+
+// forecastJob is the forecast of one job that may begin so many seconds from now on, and
+// how much work it is, in processor seconds.
 func (d *Component) forecastJob(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
 	e := d.estimateJob(now, j)
-	f := Forecast{Job: wire.FormatID(j.Record.ID), Kind: d.kindOfJob(j).String(), Waiting: j.Waiting, Placed: j.Placed, Estimate: e, BeginS: begin, job: j}
-	each := max(j.Share, j.Need.CPUs(), 0.001)
-	if l := d.Scheduler.Limits[j.Team].CPU; l > 0 {
-		cpus = min(cpus, float64(l)/1000)
+	f := Forecast{
+		Job:      wire.FormatID(j.Record.ID),
+		Kind:     d.kindOfJob(j).String(),
+		Waiting:  j.Waiting,
+		Placed:   j.Placed,
+		Estimate: e,
+		BeginS:   begin,
+		job:      j,
 	}
-	abreast := max(1, min(float64(j.Waiting+j.Placed), cpus/each))
-	// Half of what is placed is done, on average.
-	tasks := float64(j.Waiting) + float64(j.Placed)/2
-	rounds := max(1, tasks/abreast)
 	if j.Placed > 0 {
 		f.BeginS = 0
-		if j.Waiting == 0 {
-			rounds = .5
-		}
 	}
-	if j.Waiting+j.Placed == 0 {
-		rounds = 0
+	perTask := max(j.Share, j.Need.CPUs(), minTaskCPUs)
+	if limit := d.Scheduler.Limits[j.Team].CPU; limit > 0 {
+		cpus = min(cpus, float64(limit)/milli)
 	}
+	tasks, rounds := remainingRounds(j, cpus/perTask)
 	wait := 0.0
 	if j.Waiting > 0 {
 		wait = begin
@@ -109,18 +134,42 @@
 	f.EndP90S = wait + max(rounds*e.P50, e.P90) + 2*e.Fetch
 	if e.JobP90 > 0 {
 		f.LearnedS = (j.AcceptedAt + d.learnedDeadline(e) - now).Seconds()
-		if f.EndS > f.LearnedS {
-			f.Misses = append(f.Misses, "its learned deadline")
-		}
+	}
+	f.Misses = d.missedDeadlines(now, &f)
+	return f, tasks * e.P50 * perTask
+}
+
+// remainingRounds is how many tasks of a job are left, and in how many rounds they run one
+// after the other, if at most so many run at the same time.
+func remainingRounds(j *jobs.Job, parallel float64) (tasks, rounds float64) {
+	abreast := max(1, min(float64(j.Waiting+j.Placed), parallel))
+	// Half of what is placed is done, on average.
+	tasks = float64(j.Waiting) + float64(j.Placed)/2
+	switch {
+	case j.Waiting+j.Placed == 0:
+		rounds = 0
+	case j.Waiting == 0:
+		rounds = .5
+	default:
+		rounds = max(1, tasks/abreast)
+	}
+	return tasks, rounds
+}
+
+// missedDeadlines names the deadlines that a job will miss.
+func (d *Component) missedDeadlines(now time.Duration, f *Forecast) (misses []string) {
+	j := f.job
+	if f.Estimate.JobP90 > 0 && f.EndS > f.LearnedS {
+		misses = append(misses, "its learned deadline")
 	}
 	age := (now - j.AcceptedAt).Seconds()
 	if j.Record.DeadlineS > 0 && age+f.EndS > j.Record.DeadlineS {
-		f.Misses = append(f.Misses, "its deadline")
+		misses = append(misses, "its deadline")
 	}
 	for _, o := range d.Cfg.Deployment.Objectives {
 		if o.Class == j.Record.Class && o.Kind == settings.AimFinished && age+f.EndS > o.WithinS {
-			f.Misses = append(f.Misses, fmt.Sprintf("its class's aim of %v s", o.WithinS))
+			misses = append(misses, fmt.Sprintf("its class's aim of %v s", o.WithinS))
 		}
 	}
-	return f, tasks * e.P50 * each
+	return misses
 }
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -9,28 +9,31 @@
 	"time"
 )
 
-// Taking in what another installation has learned.
+// What another installation has learned can be imported.
 
-// Exported is one kind of work as it is exported and taken in.
+// Exported is one kind of work as it is exported and imported.
 type Exported struct {
 	Kind
 	Nights [][11]float64 `json:"nights"` // the fields of Night, in their order
 }
 
 // Name is the kind's name.
-func (x Exported) Name() string { return x.Kind.String() }
+func (x Exported) Name() string { return x.String() }
+
+// maxNumber bounds what is imported, in seconds or as a count.
+const maxNumber = 1e9
 
 // Check says what is wrong with an exported kind: the field, and why.
 func (x Exported) Check() error {
 	if x.Class == "" {
-		return fmt.Errorf("class: missing")
+		return errors.New("class: missing")
 	}
 	if len(x.Nights) == 0 {
-		return fmt.Errorf("nights: there are none")
+		return errors.New("nights: there are none")
 	}
 	for i, n := range x.Nights {
 		for _, v := range n {
-			if math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > 1e9 {
+			if math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > maxNumber {
 				return fmt.Errorf("nights[%d]: a number out of range: %v", i, v)
 			}
 		}
@@ -48,8 +51,9 @@
 	return nil
 }
 
-// Import is what the duty can be asked to change: kinds to be taken in. Those that
-// are known already are left as they are, unless Replace says otherwise.
+// Import is what the component can be asked to change: kinds to be imported, and kinds to
+// be forgotten. Those that are known already are left as they are, unless Replace says
+// otherwise.
 type Import struct {
 	Kinds   []Exported `json:"kinds"`
 	Replace bool       `json:"replace"`
@@ -67,8 +71,8 @@
 
 var errHistoryLoading = errors.New("run-times: the history is still being read: try again in a few seconds")
 
-// Change takes kinds in, or forgets some. All are checked before the first is
-// touched; what is taken in is written down like nights that have ended.
+// Change applies an Import and returns an Imported, as JSON. All kinds are checked before
+// the first is touched; what is imported is written like nights that have ended.
 func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
 	var in Import
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -79,37 +83,15 @@
 			return nil, fmt.Errorf("run-times: kinds[%d]: %w", i, err)
 		}
 	}
-	if !d.history.Done {
+	if !d.historyReader.Done {
 		return nil, errHistoryLoading
 	}
-	var out Imported
 	if err := d.forgetKinds(now, in.Forget); err != nil {
 		return nil, err
 	}
-	out.Forgot = len(in.Forget)
+	out := Imported{Forgot: len(in.Forget)}
 	for _, x := range in.Kinds {
-		m, known := d.model.histories[x.Kind]
-		switch {
-		case known && !in.Replace:
-			out.Left++
-			continue
-		case known:
-			out.Replaced++
-			m.nights, m.open = nil, nil
-		case len(d.model.histories) >= d.model.maxKinds:
-			out.Dropped++
-			continue
-		default:
-			out.Added++
-			m = &history{}
-			d.model.histories[x.Kind] = m
-		}
-		for _, n := range x.Nights[max(0, len(x.Nights)-maxNights):] {
-			m.nights = append(m.nights, nightOf(n))
-		}
-		m.lastRecordAt, m.summary = max(int64(m.nights[len(m.nights)-1].Day)*86400, d.model.forgottenAt[x.Kind]+1), nil
-		delete(d.durableNights, x.Kind)
-		d.store.push(d.store.place(x.Kind))
+		d.importKind(x, in.Replace, &out)
 	}
 	raw, err := json.Marshal(out)
 	if err != nil {
@@ -118,28 +100,62 @@
 	return raw, nil
 }
 
-// forgetKinds forgets the kinds of these names, and notes that it has: facts that are
+const secondsPerDay = 24 * 60 * 60
+
+// importKind takes a kind in, and counts what became of it.
+func (d *Component) importKind(x Exported, replace bool, out *Imported) {
+	_, known := d.model.histories[x.Kind]
+	switch {
+	case known && !replace:
+		out.Left++
+		return
+	case known:
+		out.Replaced++
+	case len(d.model.histories) >= d.model.maxKinds:
+		out.Dropped++
+		return
+	default:
+		out.Added++
+	}
+	h := d.model.historyOf(x.Kind)
+	h.nights, h.open, h.summary = nil, nil, nil
+	for _, numbers := range x.Nights[max(0, len(x.Nights)-maxNights):] {
+		h.nights = append(h.nights, nightOf(numbers))
+	}
+	h.lastRecordAt = max(int64(h.lastDay())*secondsPerDay, d.model.forgottenAt[x.Kind]+1)
+	delete(d.durableNights, x.Kind)
+	d.store.markDirty(d.store.assign(x.Kind))
+}
+
+// forgetKinds forgets the kinds of these names, and logs that it has: records that are
 // still in the log count for them no more. Coarser kinds stay.
-func (d *Component) forgetKinds(now time.Duration, list []string) error {
-	if len(list) == 0 {
+func (d *Component) forgetKinds(now time.Duration, names []string) error {
+	if len(names) == 0 {
 		return nil
 	}
 	byName := map[string]Kind{}
 	for k := range d.model.histories {
 		byName[k.String()] = k
 	}
-	for i, name := range list {
+	for i, name := range names {
 		if _, ok := byName[name]; !ok {
 			return fmt.Errorf("run-times: forget[%d]: no kind of work is called %q", i, name)
 		}
 	}
-	for _, name := range list {
-		k := byName[name]
-		s := storedForgotten{Kind: kindFields(k), Holiday: k.Holiday, At: max(d.wallClock(now).Unix(), d.model.histories[k].lastRecordAt)}
-		d.appendEntry(entry{Forgotten: &s})
-		d.model.forgottenAt[k] = s.At
-		delete(d.model.histories, k)
-		d.removeFromStore([]Kind{k})
+	for _, name := range names {
+		d.forgetKind(now, byName[name])
 	}
 	return nil
 }
+
+func (d *Component) forgetKind(now time.Duration, k Kind) {
+	s := storedForgotten{
+		Kind:    kindFields(k),
+		Holiday: k.Holiday,
+		At:      max(d.wallClock(now).Unix(), d.model.histories[k].lastRecordAt),
+	}
+	d.appendEntry(entry{Forgotten: &s})
+	d.model.forgottenAt[k] = s.At
+	delete(d.model.histories, k)
+	d.removeFromStore([]Kind{k})
+}
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -21,7 +21,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() {
+		if err := f.Close(); err != nil {
+			t.Error(err)
+		}
+	}()
 	var facts []*RunRecord
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var e entry
--- a/internal/leader/runtimes/kind.go
+++ b/internal/leader/runtimes/kind.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// Kind is what is taken for the same work. Ids of jobs are unique, so history goes
-// by what jobs have in common, finer or coarser.
+// Kind is what counts as the same work. Job ids are unique, so history goes by what jobs
+// have in common, finer or coarser.
 type Kind struct {
 	Class   string `json:"class"`
 	Team    string `json:"team,omitempty"`
@@ -26,8 +26,13 @@
 // levels lists a kind and the coarser ones that stand in for it while it has too
 // little history, the finest first.
 func (k Kind) levels() []Kind {
-	out := []Kind{k, {k.Class, "", k.Image, k.Shape, k.Holiday}, {k.Class, "", k.Image, "", k.Holiday}, {k.Class, k.Team, "", "", k.Holiday}, {k.Class, "", "", "", k.Holiday}}
-	return slices.Compact(out)
+	return slices.Compact([]Kind{
+		k,
+		{Class: k.Class, Image: k.Image, Shape: k.Shape, Holiday: k.Holiday},
+		{Class: k.Class, Image: k.Image, Holiday: k.Holiday},
+		{Class: k.Class, Team: k.Team, Holiday: k.Holiday},
+		{Class: k.Class, Holiday: k.Holiday},
+	})
 }
 
 // Level names how fine a kind is.
@@ -36,7 +41,13 @@
 	for _, p := range []struct {
 		set  bool
 		name string
-	}{{k.Class != "", "class"}, {k.Team != "", "team"}, {k.Image != "", "image"}, {k.Shape != "", "shape"}, {k.Holiday, "holiday"}} {
+	}{
+		{k.Class != "", "class"},
+		{k.Team != "", "team"},
+		{k.Image != "", "image"},
+		{k.Shape != "", "shape"},
+		{k.Holiday, "holiday"},
+	} {
 		if p.set {
 			parts = append(parts, p.name)
 		}
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -23,13 +23,22 @@
 }
 
 const (
-	// Jobs are looked at for lateness this often at best, and no more often than
-	// leaves lookRest after each job that is looked at.
+	// Jobs are checked for lateness this often at best, and no more often than leaves
+	// lateCheckPerJob after each job that is checked.
 	lateCheckInterval = time.Second
 	lateCheckPerJob   = 5 * time.Millisecond
-	// warnShare of the learned time before a job's learned deadline it is warned of
-	// at the latest, if it will not make it.
+	// minLeadShare: a job that will not make its learned deadline is warned of at the
+	// latest when this share of the learned time is left.
 	minLeadShare = 0.2
+	// slowTaskFactor times the learned 90th percentile a task must run to count as slow.
+	slowTaskFactor = 2
+)
+
+// What a webhook is told of a warning.
+const (
+	warningRaised     = "raised"
+	endedByCompletion = "done"
+	endedByRemoval    = "over"
 )
 
 // webhookNotice is what the webhook is sent of a warning.
@@ -38,36 +47,55 @@
 	Late
 }
 
-// checkLateJobs raises, updates and clears warnings.
+// checkLateJobs raises and updates warnings.
 func (d *Component) checkLateJobs(now time.Duration) {
 	for _, f := range d.forecasts(now) {
-		j := f.job
-		if f.Estimate.JobP90 <= 0 || j.Phase == jobs.Held {
-			continue
-		}
-		learned := d.learnedDeadline(f.Estimate)
-		left := j.AcceptedAt + learned - now
-		l := d.lateJobs[j.Record.ID]
-		if l == nil && (f.EndS <= left.Seconds() || float64(left) > minLeadShare*float64(learned)) {
-			continue
-		}
-		age := (now - j.AcceptedAt).Seconds()
-		why := d.delayReason(now, j, f)
-		raised := l == nil
-		if raised {
-			l = &Late{Job: f.Job, Class: j.Record.Class, Team: j.Record.Team, RaisedMS: d.wallClock(now).UnixMilli(), LeadS: left.Seconds()}
-			d.lateJobs[j.Record.ID] = l
-			d.leadTimes.Observe(why, max(0, left.Seconds()))
-			d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team, "why", why, "age", roundDigits(age), "learned_deadline", roundDigits(learned.Seconds()),
-				"expected_end", roundDigits(age+f.EndS), "from", f.Estimate.From)
-		}
-		l.Why, l.AgeS, l.LearnedS, l.EndS = why, roundDigits(age), roundDigits(learned.Seconds()), roundDigits(age+f.EndS)
-		if raised {
-			d.notifyWebhook(*l, "raised")
+		if f.Estimate.JobP90 > 0 && f.job.Phase != jobs.Held {
+			d.checkLateJob(now, f)
 		}
 	}
 }
 
+func (d *Component) checkLateJob(now time.Duration, f Forecast) {
+	j := f.job
+	learned := d.learnedDeadline(f.Estimate)
+	left := j.AcceptedAt + learned - now
+	warning := d.lateJobs[j.Record.ID]
+	onTime := f.EndS <= left.Seconds() || float64(left) > minLeadShare*float64(learned)
+	if warning == nil && onTime {
+		return
+	}
+	age := (now - j.AcceptedAt).Seconds()
+	why := d.delayReason(now, j, f)
+	isNew := warning == nil
+	if isNew {
+		warning = d.raiseWarning(now, f, left)
+		d.leadTimes.Observe(why, max(0, left.Seconds()))
+		d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team,
+			"why", why, "age", roundDigits(age), "learned_deadline", roundDigits(learned.Seconds()),
+			"expected_end", roundDigits(age+f.EndS), "from", f.Estimate.From)
+	}
+	warning.Why = why
+	warning.AgeS = roundDigits(age)
+	warning.LearnedS = roundDigits(learned.Seconds())
+	warning.EndS = roundDigits(age + f.EndS)
+	if isNew {
+		d.notifyWebhook(*warning, warningRaised)
+	}
+}
+
+func (d *Component) raiseWarning(now time.Duration, f Forecast, left time.Duration) *Late {
+	warning := &Late{
+		Job:      f.Job,
+		Class:    f.job.Record.Class,
+		Team:     f.job.Record.Team,
+		RaisedMS: d.wallClock(now).UnixMilli(),
+		LeadS:    left.Seconds(),
+	}
+	d.lateJobs[f.job.Record.ID] = warning
+	return warning
+}
+
 // learnedDeadline is the learned time of jobs like one, with the operators' margin.
 func (d *Component) learnedDeadline(e Estimate) time.Duration {
 	return time.Duration(e.JobP90 * d.lateMargin * float64(time.Second))
@@ -100,7 +128,25 @@
 	if d.MayRunUnseen(j) && j.Waiting > 0 {
 		return "held back"
 	}
-	slow, fetching, running := 0, 0, 0
+	tasks := d.countPlacedTasks(now, j, f.Estimate.P90)
+	switch {
+	case j.Waiting > 0 && j.Waiting >= tasks.running:
+		return "more work than room"
+	case tasks.fetching > tasks.running:
+		return "slow image"
+	case tasks.slow > 0:
+		return "slow machine"
+	case j.Waiting > 0:
+		return "more work than room"
+	}
+	return "it takes longer than its kind"
+}
+
+// placedTasks counts a job's placed tasks. The slow ones are running too.
+type placedTasks struct{ running, slow, fetching int }
+
+// countPlacedTasks counts them, at a learned 90th percentile of their run time in seconds.
+func (d *Component) countPlacedTasks(now time.Duration, j *jobs.Job, p90 float64) (n placedTasks) {
 	for k, s := range j.Tasks {
 		if s != jobs.Placed {
 			continue
@@ -109,23 +155,13 @@
 		switch {
 		case p == nil || p.Planned:
 		case p.Runs():
-			running++
-			if d.isSlow(p.Machine.Name) || (now-p.RanAt).Seconds() > 2*f.Estimate.P90 {
-				slow++
+			n.running++
+			if d.isSlow(p.Machine.Name) || (now-p.RanAt).Seconds() > slowTaskFactor*p90 {
+				n.slow++
 			}
 		case p.State == workers.Fetching:
-			fetching++
+			n.fetching++
 		}
 	}
-	switch {
-	case j.Waiting > 0 && j.Waiting >= running:
-		return "more work than room"
-	case fetching > running:
-		return "slow image"
-	case slow > 0:
-		return "slow machine"
-	case j.Waiting > 0:
-		return "more work than room"
-	}
-	return "it takes longer than its kind"
+	return n
 }
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -1,8 +1,3 @@
-// Package runtimes is the duty that learns how long each kind of work usually
-// takes, from its own history, and says with it when open jobs should begin and
-// end and which of them will be late. It is pure: facts and times come in;
-// estimates, warnings and entries of the log come out. docs/run-times.md is its
-// design note and the operators' page.
 package runtimes
 
 import (
@@ -10,106 +5,108 @@
 	"slices"
 )
 
-const (
-	accuracy       = 0.02 // of sketches, relative
-	maxNights      = 9    // closed ones: a freak one among them moves no median
-	enoughJobs     = 2    // for a kind to speak for itself,
-	enoughTasks    = 10   // with so many tasks,
-	soloJobs       = 4    // or so many jobs, however few their tasks
-	evictionShare  = 16   // of a full book one in so many kinds is forgotten at once
-	maxNightWeight = 200  // tasks: more give a night no more weight
-)
+// evictionShare: of a full model one in so many kinds is evicted at once.
+const evictionShare = 16
 
-// Model is all history.
+// Model is the history of all kinds of work.
 type Model struct {
-	maxKinds    int // kinds
+	maxKinds    int
 	histories   map[Kind]*history
-	forgottenAt map[Kind]int64 // facts up to then, in seconds, count no more for a kind
-	evicted     []Kind         // dropped for want of room since they were last asked for
-	openKinds   []Kind         // with a night that goes on, in the order in which it began; some of them are closed or gone
+	forgottenAt map[Kind]int64 // records up to then, in seconds, count no more for a kind
+	evicted     []Kind         // for want of room, since they were last asked for
+	openKinds   []Kind         // with an open night, in the order in which it began; some are closed or gone
 }
 
-// NewModel makes an empty book of at most so many kinds.
-func NewModel(most int) *Model {
-	return &Model{maxKinds: most, histories: map[Kind]*history{}, forgottenAt: map[Kind]int64{}}
+// NewModel makes an empty model of at most so many kinds.
+func NewModel(maxKinds int) *Model {
+	return &Model{maxKinds: maxKinds, histories: map[Kind]*history{}, forgottenAt: map[Kind]int64{}}
 }
 
-// AddRun counts a fact for its kind and the coarser ones. It returns the kinds for
-// which that has closed a night.
-func (b *Model) AddRun(f *RunRecord) (closed []Kind) {
-	for _, k := range f.Kind.levels() {
-		if at, ok := b.forgottenAt[k]; ok && f.At <= at {
+// historyOf returns the history of a kind, an empty one if there was none.
+func (m *Model) historyOf(k Kind) *history {
+	h := m.histories[k]
+	if h == nil {
+		h = &history{}
+		m.histories[k] = h
+	}
+	return h
+}
+
+// AddRun counts a record for its kind and the coarser ones. It returns the kinds for which
+// that has closed a night.
+func (m *Model) AddRun(r *RunRecord) (closed []Kind) {
+	for _, k := range r.Kind.levels() {
+		if at, ok := m.forgottenAt[k]; ok && r.At <= at {
 			continue
 		}
-		m := b.histories[k]
-		if m == nil {
-			m = &history{}
-			b.histories[k] = m
-		}
-		before, was := len(m.nights), m.open
-		last := int32(-1)
-		if before > 0 {
-			last = m.nights[before-1].Day
+		h := m.historyOf(k)
+		openBefore, lastBefore := h.open, h.lastDay()
+		h.addRecord(r)
+		if h.open != openBefore {
+			m.openKinds = append(m.openKinds, k)
 		}
-		m.addRecord(f)
-		if m.open != was {
-			b.openKinds = append(b.openKinds, k)
-		}
-		if n := len(m.nights); n > 0 && m.nights[n-1].Day != last {
+		if len(h.nights) > 0 && h.lastDay() != lastBefore {
 			closed = append(closed, k)
 		}
 	}
-	b.evict()
+	m.evict()
 	return closed
 }
 
-// evict makes room in a book that is too full, a share of it at once, so that it
-// costs each fact little. The least useful kinds go: of those that are finest, the
-// ones that were not seen for longest. Coarser ones speak for many.
-func (b *Model) evict() {
-	if len(b.histories) <= b.maxKinds {
+// evict makes room in a model that is too full, a share of it at once, so that it costs
+// each record little. The least useful kinds go: of those that are finest, the ones that
+// were not seen for longest. Coarser ones speak for many.
+func (m *Model) evict() {
+	if len(m.histories) <= m.maxKinds {
 		return
 	}
-	type known struct {
-		k    Kind
-		name string
-		fine int
-		at   int64
+	type candidate struct {
+		kind         Kind
+		name         string
+		levels       int // coarser kinds, itself included
+		lastRecordAt int64
 	}
-	list := make([]known, 0, len(b.histories))
-	for k, m := range b.histories {
-		list = append(list, known{k, k.String(), len(k.levels()), m.lastRecordAt})
+	list := make([]candidate, 0, len(m.histories))
+	for k, h := range m.histories {
+		list = append(list, candidate{kind: k, name: k.String(), levels: len(k.levels()), lastRecordAt: h.lastRecordAt})
 	}
-	slices.SortFunc(list, func(x, y known) int {
-		return cmp.Or(cmp.Compare(y.fine, x.fine), cmp.Compare(x.at, y.at), cmp.Compare(x.name, y.name))
+	slices.SortFunc(list, func(x, y candidate) int {
+		return cmp.Or(
+			cmp.Compare(y.levels, x.levels),
+			cmp.Compare(x.lastRecordAt, y.lastRecordAt),
+			cmp.Compare(x.name, y.name),
+		)
 	})
-	for _, x := range list[:len(list)-(b.maxKinds-b.maxKinds/evictionShare)] {
-		delete(b.histories, x.k)
-		b.evicted = append(b.evicted, x.k)
+	keep := m.maxKinds - m.maxKinds/evictionShare
+	for _, x := range list[:len(list)-keep] {
+		delete(m.histories, x.kind)
+		m.evicted = append(m.evicted, x.kind)
 	}
 }
 
-// kindsEndedBefore gives the kinds whose night is over on a day.
-func (b *Model) kindsEndedBefore(day int32) (out []Kind) {
-	b.openKinds = slices.DeleteFunc(b.openKinds, func(k Kind) bool {
-		m := b.histories[k]
-		if m != nil && m.open != nil && m.open.day >= day {
-			return false
+// kindsEndedBefore returns the kinds with an open night before a day, and forgets which
+// nights began before it.
+func (m *Model) kindsEndedBefore(day int32) (ended []Kind) {
+	m.openKinds = slices.DeleteFunc(m.openKinds, func(k Kind) bool {
+		h := m.histories[k]
+		if h == nil || h.open == nil {
+			return true
 		}
-		if m != nil && m.open != nil {
-			out = append(out, k)
+		if h.open.day >= day {
+			return false
 		}
+		ended = append(ended, k)
 		return true
 	})
-	return out
+	return ended
 }
 
-// takeEvicted gives the kinds that were dropped since the last call.
-func (b *Model) takeEvicted() []Kind {
-	out := b.evicted
-	b.evicted = nil
+// takeEvicted returns the kinds that were evicted since the last call.
+func (m *Model) takeEvicted() []Kind {
+	out := m.evicted
+	m.evicted = nil
 	return out
 }
 
 // Len is the number of kinds.
-func (b *Model) Len() int { return len(b.histories) }
+func (m *Model) Len() int { return len(m.histories) }
--- a/internal/leader/runtimes/nights.go
+++ b/internal/leader/runtimes/nights.go
@@ -1,7 +1,11 @@
 package runtimes
 
-import (
-	"time"
+import "time"
+
+const (
+	countedRunDays        = 2  // for how long the ids of counted jobs are remembered
+	keepForgottenDays     = 3  // for how long it is logged that a kind was forgotten
+	maxKindsClosedPerTick = 16 // kinds whose night is closed in one tick
 )
 
 // wallClock is the time of day.
@@ -22,8 +26,8 @@
 		}
 	}
 	d.closingKinds = append(d.closingKinds, d.model.kindsEndedBefore(today.Day)...)
-	for _, n := range d.demand.closeNights(today.Day) {
-		d.store.push(n)
+	for _, number := range d.demand.closeNights(today.Day) {
+		d.store.markDirty(number)
 	}
 	for name := range d.machineSpeeds {
 		if d.Inventory.Find(name) == nil {
@@ -36,26 +40,37 @@
 func (d *Component) closeNights() {
 	n := min(maxKindsClosedPerTick, len(d.closingKinds))
 	for _, k := range d.closingKinds[:n] {
-		if m := d.model.histories[k]; m != nil && m.open != nil && m.open.day < d.today.Day {
-			m.closeNight()
-			d.store.push(d.store.place(k))
+		h := d.model.histories[k]
+		if h != nil && h.open != nil && h.open.day < d.today.Day {
+			h.closeNight()
+			d.store.markDirty(d.store.assign(k))
 		}
 	}
 	d.closingKinds = d.closingKinds[n:]
 }
 
-// nightDurable says whether a kind's summary up to a night is written.
+// nightDurable reports whether a kind's summary up to a night is durable.
 func (d *Component) nightDurable(k Kind, day int32) bool {
 	last, ok := d.durableNights[k]
 	return ok && last >= day
 }
 
-// recordNeeded says whether a fact is not in the values of all that it counts for.
-func (d *Component) recordNeeded(f *RunRecord) bool {
-	for _, k := range f.Kind.levels() {
-		if m := d.model.histories[k]; m != nil && !d.nightDurable(k, f.Day) {
+// recordNeeded reports whether a record is not in the values of all that it counts for.
+func (d *Component) recordNeeded(r *RunRecord) bool {
+	for _, k := range r.Kind.levels() {
+		if d.model.histories[k] != nil && !d.nightDurable(k, r.Day) {
 			return true
 		}
 	}
-	return f.Work > 0 && d.demand.notDurable(d.calendar.At(f.accepted()).Day)
+	return r.Work > 0 && d.demand.notDurable(d.calendar.At(r.accepted()).Day)
+}
+
+// forgottenNeeded reports whether records of a kind that was forgotten may still be in the
+// log, or the kind in a value.
+func (d *Component) forgottenNeeded(f *storedForgotten) bool {
+	if !d.historyReader.Done || d.calendar.At(time.Unix(f.At, 0)).Day >= d.today.Day-keepForgottenDays {
+		return true
+	}
+	number, ok := d.store.valueOf[kindOf(f.Kind, f.Holiday)]
+	return ok && d.store.isDirty[number]
 }
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -16,7 +16,7 @@
 // full gives the values of so many kinds of nine nights, in values of so many bytes,
 // and how large they are in all.
 func full(kinds, bytes int) (values []eventlog.Value, total int) {
-	s := newShelf(bytes)
+	s := newValueStore(bytes)
 	var v storedValue
 	flush := func(n int) {
 		raw, err := json.Marshal(v)
@@ -31,7 +31,7 @@
 	last := maxNights
 	for k := range kinds {
 		kind := Kind{fmt.Sprint("class", k%20), "team", fmt.Sprint("image", k), "7x10", false}
-		if n := s.place(kind); n != last {
+		if n := s.assign(kind); n != last {
 			flush(last)
 			last = n
 		}
@@ -93,7 +93,6 @@
 		d.Tick(0, true)
 		values, _ := full(9000, 8128)
 		d.ValuesRead(0, values, false, true)
-		values = nil
 		closed := heap()
 		for n := range 9000 {
 			d.countRecord(factOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
--- a/internal/leader/runtimes/sketch.go
+++ b/internal/leader/runtimes/sketch.go
@@ -7,8 +7,15 @@
 	"github.com/DataDog/sketches-go/ddsketch"
 )
 
+const (
+	sketchAccuracy = 0.02 // relative
+	sketchBins     = 512
+	minSketched    = 1e-6 // no sketch can hold values that are as small,
+	maxSketched    = 1e9  // or as large
+)
+
 func newSketch() *ddsketch.DDSketch {
-	s, err := ddsketch.LogCollapsingLowestDenseDDSketch(accuracy, 512)
+	s, err := ddsketch.LogCollapsingLowestDenseDDSketch(sketchAccuracy, sketchBins)
 	if err != nil {
 		panic(err) // the accuracy is a constant within its range
 	}
@@ -17,8 +24,8 @@
 
 // addToSketch counts a value; one that no sketch can hold is left out.
 func addToSketch(s *ddsketch.DDSketch, v, count float64) {
-	if v > 1e-6 && v < 1e9 && count > 0 {
-		_ = s.AddWithCount(v, count)
+	if v > minSketched && v < maxSketched && count > 0 {
+		_ = s.AddWithCount(v, count) // it fails for values outside these bounds only
 	}
 }
 
--- a/internal/leader/runtimes/speed.go
+++ b/internal/leader/runtimes/speed.go
@@ -6,14 +6,20 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
+const (
+	minTasksForSpeed = 4   // of a machine, before it is known to be slow
+	slowRatio        = 1.7 // times what was expected, from which on it is
+	knownPerSlow     = 4   // machines; where more than one in so many is slow, none counts as slow
+)
+
 // machineSpeed is how slow a machine's tasks are, as a mean of logarithms.
 type machineSpeed struct {
-	n   int
-	log float64
+	n   int     // tasks
+	log float64 // of the time that a task took next to the expected one
 }
 
-// observeSpeed notes how a machine's task went against what was expected, and says
-// whether the machine is known to be slow.
+// observeSpeed notes how a machine's task went against what was expected, and
+// reports whether the machine is known to be slow.
 func (d *Component) observeSpeed(r *jobRun, e cluster.Event) bool {
 	if r.est.Tasks == 0 || r.est.P50 <= 0 {
 		return false
@@ -28,8 +34,8 @@
 	return d.isSlow(e.Machine.Name)
 }
 
-// isSlow says whether a machine is far slower than the others: not when all of
-// them are.
+// isSlow reports whether a machine is far slower than the others: not when all of them
+// are.
 func (d *Component) isSlow(machine string) bool {
 	s := d.machineSpeeds[machine]
 	if s == nil || s.n < minTasksForSpeed || s.log < math.Log(slowRatio) {
@@ -44,5 +50,5 @@
 			}
 		}
 	}
-	return slow*4 <= known
+	return slow*knownPerSlow <= known
 }
--- a/internal/leader/runtimes/store.go
+++ b/internal/leader/runtimes/store.go
@@ -1,115 +1,123 @@
 package runtimes
 
-import (
-	"slices"
-)
+import "slices"
 
-// What closed nights have shown is kept in values of the duty's own beside the log,
-// a few kinds to a value. A new leader begins its term without them and reads them
-// page by page while it works; until then facts wait, and estimates are owners'.
+// What closed nights have shown is kept in values of the component's own beside the log,
+// a few kinds to a value. A new leader begins its term without them and reads them page by
+// page while it works; until then records wait, and estimates are the owners'.
+//
+// Values with a number below maxNights hold the demand of one night each, the others
+// kinds.
 
 const (
-	valueVersion       = 1
-	writeShare         = 0.05  // of the changes that the state service takes
-	maxDeferredRecords = 20000 // facts that wait in memory for the history to be read
-	keepForgottenDays  = 3     // days for which it is noted that a kind was forgotten
+	bytesPerNight = 80 // rough size of a night in a value
+	bytesPerKind  = 60 // rough size of a kind in a value, beside its name and nights
+	noValue       = -1 // the number of no value
 )
 
-// valueStore says which value each kind is kept in, and which are to be written.
+// valueStore says which value each kind is kept in, and which values are to be written.
 type valueStore struct {
-	room   int // of a value, in bytes
-	groups map[int]*group
-	home   map[Kind]int
-	open   int // the value that takes new kinds
-	next   int // numbers from this one on were never used
-	queue  []int
-	queued map[int]bool
+	maxBytes int // of a value
+	groups   map[int]*kindGroup
+	valueOf  map[Kind]int
+	filling  int // the value that takes new kinds; noValue: none yet
+	next     int // numbers from this one on were never used
+	dirty    []int
+	isDirty  map[int]bool
 }
 
-// group is what one value holds.
-type group struct {
+// kindGroup is what one value holds.
+type kindGroup struct {
 	kinds []Kind
-	bytes int // when each of them has all its nights
+	bytes int // roughly, once each of them has all its nights
 }
 
-func newShelf(room int) *valueStore {
-	return &valueStore{room: room, groups: map[int]*group{}, home: map[Kind]int{}, open: -1, next: maxNights, queued: map[int]bool{}}
+func newValueStore(maxBytes int) *valueStore {
+	return &valueStore{
+		maxBytes: maxBytes,
+		groups:   map[int]*kindGroup{},
+		valueOf:  map[Kind]int{},
+		filling:  noValue,
+		next:     maxNights,
+		isDirty:  map[int]bool{},
+	}
 }
 
 // storedSize is roughly what a kind takes with all its nights.
-func storedSize(k Kind) int { return 60 + len(k.String()) + maxNights*bytesPerNight }
+func storedSize(k Kind) int { return bytesPerKind + len(k.String()) + maxNights*bytesPerNight }
 
-// put has a kind kept in a value.
-func (s *valueStore) put(n int, k Kind) {
-	g := s.groups[n]
+// put keeps a kind in a value.
+func (s *valueStore) put(number int, k Kind) {
+	g := s.groups[number]
 	if g == nil {
-		g = &group{}
-		s.groups[n] = g
+		g = &kindGroup{}
+		s.groups[number] = g
 	}
 	g.kinds = append(g.kinds, k)
 	g.bytes += storedSize(k)
-	s.home[k] = n
-	s.next = max(s.next, n+1)
+	s.valueOf[k] = number
+	s.next = max(s.next, number+1)
 }
 
-// remove has a kind kept nowhere.
+// remove keeps a kind nowhere.
 func (s *valueStore) remove(k Kind) {
-	n, ok := s.home[k]
+	number, ok := s.valueOf[k]
 	if !ok {
 		return
 	}
-	delete(s.home, k)
-	g := s.groups[n]
+	delete(s.valueOf, k)
+	g := s.groups[number]
 	g.kinds = slices.DeleteFunc(g.kinds, func(o Kind) bool { return o == k })
 	g.bytes -= storedSize(k)
-	s.push(n)
+	s.markDirty(number)
 }
 
-// place gives the value that a kind is kept in.
-func (s *valueStore) place(k Kind) int {
-	if n, ok := s.home[k]; ok {
-		return n
+// assign returns the value that a kind is kept in, a new one if need be.
+func (s *valueStore) assign(k Kind) int {
+	if number, ok := s.valueOf[k]; ok {
+		return number
 	}
-	if g := s.groups[s.open]; g == nil || g.bytes+storedSize(k) > s.room {
-		s.open = s.next
+	if g := s.groups[s.filling]; g == nil || g.bytes+storedSize(k) > s.maxBytes {
+		s.filling = s.next
 	}
-	s.put(s.open, k)
-	return s.open
+	s.put(s.filling, k)
+	return s.filling
 }
 
-// push has a value written when its turn comes.
-func (s *valueStore) push(n int) {
-	if !s.queued[n] {
-		s.queued[n] = true
-		s.queue = append(s.queue, n)
+// markDirty has a value written when its turn comes.
+func (s *valueStore) markDirty(number int) {
+	if !s.isDirty[number] {
+		s.isDirty[number] = true
+		s.dirty = append(s.dirty, number)
 	}
 }
 
-func (s *valueStore) pop() int {
-	n := s.queue[0]
-	s.queue = s.queue[1:]
-	delete(s.queued, n)
-	return n
+// takeDirty returns the value whose turn it is. There must be one.
+func (s *valueStore) takeDirty() int {
+	number := s.dirty[0]
+	s.dirty = s.dirty[1:]
+	delete(s.isDirty, number)
+	return number
 }
 
-// spread moves kinds out of a value that is too full, into others: it may have been
-// written when values were larger. It says whether there was anything to move; the
-// others are written first then, so that every kind is always in one at least.
-func (s *valueStore) spread(n int) bool {
-	g := s.groups[n]
-	if g == nil || g.bytes <= s.room || len(g.kinds) < 2 {
+// split moves kinds out of a value that is too full, into others: it may have been written
+// when values were larger. It reports whether there was anything to move; the others are
+// written first then, so that every kind is always in one at least.
+func (s *valueStore) split(number int) bool {
+	g := s.groups[number]
+	if g == nil || g.bytes <= s.maxBytes || len(g.kinds) < 2 {
 		return false
 	}
-	for g.bytes > s.room && len(g.kinds) > 1 {
+	for g.bytes > s.maxBytes && len(g.kinds) > 1 {
 		k := g.kinds[len(g.kinds)-1]
 		g.kinds = g.kinds[:len(g.kinds)-1]
 		g.bytes -= storedSize(k)
-		delete(s.home, k)
-		if s.open == n {
-			s.open = -1
+		delete(s.valueOf, k)
+		if s.filling == number {
+			s.filling = noValue
 		}
-		s.push(s.place(k))
+		s.markDirty(s.assign(k))
 	}
-	s.push(n)
+	s.markDirty(number)
 	return true
 }
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -2,15 +2,29 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"maps"
 	"math"
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/valuestore"
+	"bitternmoor/internal/settings"
 )
 
+const (
+	valueVersion   = 1    // format of the values
+	writeShare     = 0.05 // of the changes a second that the state service takes
+	changesPerPair = 2    // a value costs a change for itself and one for its entry
+	minWriteRate   = 0.01 // changes a second, however slow the state service
+)
+
+// writeInterval is the time between values, at so many changes a second that the state
+// service takes.
+func writeInterval(changesPerSecond float64) time.Duration {
+	return settings.Seconds(changesPerPair / max(minWriteRate, writeShare*changesPerSecond))
+}
+
 // storedValue is one value: some kinds, or a night's demand.
 type storedValue struct {
 	Version int           `json:"v"`
@@ -18,163 +32,157 @@
 	Demand  *storedDemand `json:"d,omitempty"`
 }
 
-// Values below maxNights hold the demand of one night each, the others kinds.
+// FormatVersion implements valuestore.Versioned.
+func (v *storedValue) FormatVersion() int { return v.Version }
 
-// pendingWrite is a value on its way.
-type pendingWrite struct {
-	n      int
-	pos    int            // it is settled when the log has come so far
-	days   map[Kind]int32 // the last night of each kind in it
-	demand int32          // the night of demand in it
+// valueWrite is a write of a value.
+type valueWrite struct {
+	number     int
+	lastNights map[Kind]int32 // of each kind in it
+	demandDay  int32          // the night of the demand in it; math.MinInt32: none
 }
 
 // ValuesRead takes a page of the history.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool) {
-	if !d.history.TakePage(now, list, more, ok) {
+	if !d.historyReader.TakePage(now, list, more, ok) {
 		return
 	}
 	for _, v := range list {
-		n, err := eventlog.ValueNumber(Name, v.Key)
-		if err != nil {
-			d.logUnreadable(v.Key, err)
-			continue
-		}
-		d.store.next = max(d.store.next, n+1)
-		var s storedValue
-		if err := json.Unmarshal(v.Data, &s); err != nil {
-			d.logUnreadable(v.Key, err)
-			continue
-		}
-		if s.Version != valueVersion {
-			d.logUnreadable(v.Key, fmt.Errorf("it is of version %d", s.Version))
-			continue
-		}
-		for _, k := range s.Kinds {
-			d.restoreKind(n, &k)
-		}
-		if s.Demand != nil {
-			d.demand.restore(s.Demand)
-		}
+		d.restoreValue(v)
 	}
-	if d.history.Done {
+	if d.historyReader.Done {
 		d.historyLoaded(now)
 	}
 }
 
-// logUnreadable leaves a value as it is: another version may know it, or somebody may
-// want to see what has become of it. Its number is not used again.
-func (d *Component) logUnreadable(key string, err error) {
-	d.LogMessage(effects.Warn, "a value of learned run times cannot be read: it is set aside, and learning goes on", "key", key, "error", err)
+// restoreValue takes a value. One that cannot be decoded is left as it is: another version
+// may know it, or somebody may want to see what has become of it. Its number is not used
+// again.
+func (d *Component) restoreValue(v eventlog.Value) {
+	var stored storedValue
+	number, err := valuestore.Decode(Name, v, valueVersion, &stored)
+	d.store.next = max(d.store.next, number+1)
+	if err != nil {
+		d.LogMessage(effects.Warn, "a value of learned run times cannot be read", "key", v.Key, "error", err)
+		return
+	}
+	for _, k := range stored.Kinds {
+		d.restoreKind(number, &k)
+	}
+	if stored.Demand != nil {
+		d.demand.restore(stored.Demand)
+	}
 }
 
-// restoreKind takes a kind of a value. It may be in two, while it moved: then the one
-// with the later nights counts, and the other one is written anew.
-func (d *Component) restoreKind(n int, s *storedKind) {
+// restoreKind takes a kind of a value. It may be in two, while it moved: then the one with
+// the later nights counts, and the other one is written anew.
+func (d *Component) restoreKind(number int, s *storedKind) {
 	k := kindOf(s.Kind, s.Holiday)
 	if at, ok := d.model.forgottenAt[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
-		d.store.push(n)
+		d.store.markDirty(number)
 		return
 	}
-	last := int32(s.Nights[len(s.Nights)-1][0])
+	last := nightOf(s.Nights[len(s.Nights)-1]).Day
 	if d.nightDurable(k, last) {
-		d.store.push(n)
+		d.store.markDirty(number)
 		return
 	}
 	d.store.remove(k)
-	d.store.put(n, k)
-	m := d.model.histories[k]
-	if m == nil {
-		m = &history{}
-		d.model.histories[k] = m
-	}
-	m.lastRecordAt, m.summary = max(m.lastRecordAt, s.At), nil
-	m.nights = nil
-	for _, x := range s.Nights {
-		m.nights = append(m.nights, nightOf(x))
+	d.store.put(number, k)
+	h := d.model.historyOf(k)
+	h.lastRecordAt, h.summary = max(h.lastRecordAt, s.At), nil
+	h.nights = nil
+	for _, numbers := range s.Nights {
+		h.nights = append(h.nights, nightOf(numbers))
 	}
 	d.durableNights[k] = last
 }
 
+// removeFromStore keeps kinds that are in the model no more nowhere.
+func (d *Component) removeFromStore(list []Kind) {
+	for _, k := range list {
+		delete(d.durableNights, k)
+		d.store.remove(k)
+	}
+}
+
 // writeNext writes one value, when nothing else waits and not too often.
 func (d *Component) writeNext(now time.Duration) {
-	if d.pending != nil {
-		if d.EventLog.DurableCount() < d.pending.pos {
-			return
-		}
-		d.store.push(d.pending.n) // refused: with smaller values it is tried again
-		d.pending = nil
+	for _, refused := range d.writes.TakeRefused(d.EventLog) {
+		d.store.markDirty(refused.number) // with smaller values it is tried again
+	}
+	if d.writes.Len() > 0 {
+		return // one at a time
 	}
-	if len(d.store.queue) == 0 || now-d.lastWriteAt < d.writeInterval || d.EventLog.Pending() > 0 {
+	if len(d.store.dirty) == 0 || now-d.lastWriteAt < d.writeInterval || d.EventLog.Pending() > 0 {
 		return
 	}
-	d.store.room = d.EventLog.MaxEntryBytes()
-	n := d.store.pop()
-	if n >= maxNights && d.store.spread(n) {
+	d.store.maxBytes = d.EventLog.MaxEntryBytes()
+	number := d.store.takeDirty()
+	if number >= maxNights && d.store.split(number) {
 		return
 	}
 	d.lastWriteAt = now
-	v, st := d.snapshotValue(n)
-	raw, err := json.Marshal(v)
-	for cut := 1; err == nil && len(raw) > d.store.room && cut < maxNights; cut++ {
-		for i := range v.Kinds { // in small values the oldest nights go first
-			if k := &v.Kinds[i]; len(k.Nights) > 1 {
+	value, write := d.snapshotValue(number)
+	raw, err := marshalWithin(&value, d.store.maxBytes)
+	if err != nil || !d.writes.Append(d.EventLog, entry{Stored: &number}, number, raw, write) {
+		d.LogMessage(effects.Warn, "learned run times are too large to be stored", "value", number, "bytes", len(raw))
+	}
+}
+
+// marshalWithin encodes a value. Of one that is too large the oldest nights of each kind
+// go first; it may be too large even so.
+func marshalWithin(value *storedValue, maxBytes int) ([]byte, error) {
+	raw, err := json.Marshal(*value)
+	for cut := 1; err == nil && len(raw) > maxBytes && cut < maxNights; cut++ {
+		for i := range value.Kinds {
+			if k := &value.Kinds[i]; len(k.Nights) > 1 {
 				k.Nights = k.Nights[1:]
 			}
 		}
-		raw, err = json.Marshal(v)
-	}
-	if err != nil || !d.EventLog.AppendWithValue(eventlog.NewComponentEntry(Name, entry{Stored: &n}), eventlog.ValueKey(Name, n), raw) {
-		d.LogMessage(effects.Warn, "learned run times that do not fit into a value are not kept", "value", n, "bytes", len(raw))
-		return
+		raw, err = json.Marshal(*value)
 	}
-	st.pos = d.EventLog.AppendedCount()
-	d.pending = st
+	return raw, err
 }
 
 // snapshotValue is what a value holds now.
-func (d *Component) snapshotValue(n int) (storedValue, *pendingWrite) {
-	v, st := storedValue{Version: valueVersion}, &pendingWrite{n: n, days: map[Kind]int32{}, demand: math.MinInt32}
-	if n < maxNights {
-		v.Demand = d.demand.stored(n)
-		if v.Demand != nil {
-			st.demand = v.Demand.Day
+func (d *Component) snapshotValue(number int) (storedValue, valueWrite) {
+	value := storedValue{Version: valueVersion}
+	write := valueWrite{number: number, lastNights: map[Kind]int32{}, demandDay: math.MinInt32}
+	if number < maxNights {
+		value.Demand = d.demand.stored(number)
+		if value.Demand != nil {
+			write.demandDay = value.Demand.Day
 		}
-		return v, st
+		return value, write
 	}
-	g := d.store.groups[n]
+	g := d.store.groups[number]
 	if g == nil {
-		return v, st // all that it held is elsewhere
+		return value, write // all that it held is elsewhere
 	}
 	for _, k := range g.kinds {
-		m := d.model.histories[k]
-		if m == nil || len(m.nights) == 0 {
+		h := d.model.histories[k]
+		if h == nil || len(h.nights) == 0 {
 			continue
 		}
-		s := storedKind{Kind: kindFields(k), Holiday: k.Holiday, At: m.lastRecordAt}
-		for _, x := range m.nights {
-			s.Nights = append(s.Nights, x.numbers())
+		s := storedKind{Kind: kindFields(k), Holiday: k.Holiday, At: h.lastRecordAt}
+		for _, n := range h.nights {
+			s.Nights = append(s.Nights, n.numbers())
 		}
-		v.Kinds = append(v.Kinds, s)
-		st.days[k] = m.nights[len(m.nights)-1].Day
+		value.Kinds = append(value.Kinds, s)
+		write.lastNights[k] = h.nights[len(h.nights)-1].Day
 	}
-	return v, st
+	return value, write
 }
 
-// EntryDurable notes what is written.
+// EntryDurable notes which nights are durable.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := d.decode(e)
-	if !ok || x.Stored == nil || d.pending == nil || *x.Stored != d.pending.n {
+	if !ok || x.Stored == nil {
 		return
 	}
-	maps.Copy(d.durableNights, d.pending.days)
-	d.demand.durableDay = max(d.demand.durableDay, d.pending.demand)
-	d.pending = nil
-}
-
-// removeFromStore has kinds that are in the book no more written nowhere.
-func (d *Component) removeFromStore(list []Kind) {
-	for _, k := range list {
-		delete(d.durableNights, k)
-		d.store.remove(k)
+	if write, found := d.writes.TakeDurable(*x.Stored); found {
+		maps.Copy(d.durableNights, write.lastNights)
+		d.demand.durableDay = max(d.demand.durableDay, write.demandDay)
 	}
 }
