--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -1,15 +1,14 @@
-// Package slo is the duty that sees to it that every class and every team gets some
-// of its work done in time, however much of another's comes. It measures, by class and
-// by team in a sliding window, how many jobs were due and how many of them were done by
-// then; and where a share is about to fall below a floor, it has jobs at their last
-// chance go ahead of everything: the exception `served_floor`. docs/spread.md is its
-// design note, with the bound on what it costs others, and the operators' page.
+// Package slo is the component of a leader's term that guards service-level objectives:
+// every class and every team gets some of its work done in time, however much of another's
+// comes. It measures, by class and by team in a sliding window, how many jobs were due and
+// how many of them were done by then; and where a share is about to fall below a floor, it
+// boosts jobs at their last chance ahead of all others: the exception `served_floor`.
+// docs/spread.md has the design, with the bound on what it costs others, and the operators'
+// page.
 package slo
 
 import (
 	"cmp"
-	"encoding/json"
-	"fmt"
 	"slices"
 	"time"
 
@@ -19,21 +18,26 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is that of the duty. It writes nothing.
+// Name is that of the component. It writes nothing.
 const Name = "served"
 
 const (
 	checkInterval = 500 * time.Millisecond
-	// longRun and placing are what a job needs beyond its mean run time: tasks that run
-	// longer, and the time until all have their place.
+	// runTimeSlack and placementTime are what a job needs beyond its mean run time: some
+	// tasks run longer, and it takes a time until all are placed.
 	runTimeSlack  = 1.25
 	placementTime = 8 * time.Second
-	// chance is how long before its last moment a job is looked at: room comes free by
+	// leadTime is how long before its last moment a job is considered: room comes free by
 	// the end of others' tasks.
 	leadTime = 10 * time.Second
-	// few: a class or a team of which so many were due, and less than the floor was met,
-	// goes ahead of urgent jobs too.
+	// minOutcomes: a class or a team of which so many jobs were due, and less than the
+	// floor was met, goes ahead of urgent jobs too.
 	minOutcomes = 4
+	// minEstimates: a job of a class without an objective, and without a deadline, is due
+	// no sooner than after so many of its owner's estimates of one task.
+	minEstimates = 2
+	// largestShare: one in so many of the outcomes counts as largest.
+	largestShare = 10
 )
 
 // group is a class or a team.
@@ -45,15 +49,20 @@
 // groupStats is what is known of a class or a team.
 type groupStats struct {
 	group
-	outcomes     []outcome // in the window, by when they were due
-	boosted      int       // jobs under way that the exception has gone ahead
-	boostedTotal uint64
-	missed       uint64 // since the term began
+	outcomes []outcome // in the window, by when they were known
+
+	// Open jobs.
+	openJobs int
+	boosted  int // of them
+	atRisk   int // of them: at their last chance and not boosted, as of this check
+
+	// Since the term began.
 	met          uint64
-	atRisk       int // jobs at their last chance, this look
-	openJobs     int // jobs that are open
+	missed       uint64
+	boostedTotal uint64
 }
 
+// outcome is what has become of a job that was due.
 type outcome struct {
 	at     time.Duration
 	met    bool
@@ -66,30 +75,35 @@
 type trackedJob struct {
 	job     *jobs.Job
 	due     time.Duration
-	groups  [2]*groupStats
+	groups  [2]*groupStats // its class and its team
 	boosted bool
 }
 
-// Component measures and guards.
+// Component measures and guards objectives in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	window      time.Duration
-	floor       float64
+	floor       float64 // 0: it measures only
 	groups      []*groupStats
 	open        []*trackedJob // by when they are due
 	byJob       map[*jobs.Job]*trackedJob
 	lastCheckAt time.Duration
 }
 
-// New makes the duty of a term.
+// New makes the component of a term.
 func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
-	return &Component{State: s, window: settings.Seconds(t.ServedWindowS), floor: t.ServedFloor, byJob: map[*jobs.Job]*trackedJob{}}
+	return &Component{
+		State:  s,
+		window: settings.Seconds(t.ServedWindowS),
+		floor:  t.ServedFloor,
+		byJob:  map[*jobs.Job]*trackedJob{},
+	}
 }
 
-// Begin takes up the jobs of earlier terms. What they had served is not known; a new
-// window begins.
+// Begin tracks the open jobs of earlier terms. What of them was done in time is not known;
+// a new window begins.
 func (d *Component) Begin(now time.Duration) {
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open {
@@ -110,8 +124,8 @@
 	}
 }
 
-// dueTime is by when a job should have ended: the last of its class's aims for that, or its
-// deadline, or as the operators say where its class has neither.
+// dueTime is by when a job should have ended: the last of its class's objectives for
+// that, or its deadline, or as the operators say where its class has neither.
 func (d *Component) dueTime(j *jobs.Job) time.Duration {
 	latest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
@@ -126,76 +140,85 @@
 		}
 	}
 	if latest == 0 {
-		latest = max(d.Cfg.Tunables.ServedWithinS, 2*j.Record.EstimateS)
+		latest = max(d.Cfg.Tunables.ServedWithinS, minEstimates*j.Record.EstimateS)
 	}
 	return j.AcceptedAt + settings.Seconds(latest)
 }
 
-func (d *Component) statsOf(w group) *groupStats {
+// statsOf returns the statistics of a class or a team, empty ones if there were none.
+func (d *Component) statsOf(g group) *groupStats {
 	for _, s := range d.groups {
-		if s.group == w {
+		if s.group == g {
 			return s
 		}
 	}
-	s := &groupStats{group: w}
+	s := &groupStats{group: g}
 	d.groups = append(d.groups, s)
 	return s
 }
 
 func byDue(a *trackedJob, due time.Duration) int { return cmp.Compare(a.due, due) }
 
+// trackJob follows a job until it is done or due.
 func (d *Component) trackJob(now time.Duration, j *jobs.Job) {
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
 	}
-	e := &trackedJob{job: j, due: d.dueTime(j), groups: [2]*groupStats{d.statsOf(group{name: j.Record.Class}), d.statsOf(group{name: j.Record.Team, team: true})}}
-	if e.due <= now {
-		return // it was lost before this term began
+	class, team := d.statsOf(group{name: j.Record.Class}), d.statsOf(group{name: j.Record.Team, team: true})
+	t := &trackedJob{job: j, due: d.dueTime(j), groups: [2]*groupStats{class, team}}
+	if t.due <= now {
+		return // it was missed before this term began
 	}
-	d.byJob[j] = e
-	i, _ := slices.BinarySearchFunc(d.open, e.due, byDue)
-	d.open = slices.Insert(d.open, i, e)
-	for _, s := range e.groups {
+	d.byJob[j] = t
+	i, _ := slices.BinarySearchFunc(d.open, t.due, byDue)
+	d.open = slices.Insert(d.open, i, t)
+	for _, s := range t.groups {
 		s.openJobs++
 	}
 }
 
-// jobEnded takes a job out, done in time or not at all.
+// jobEnded stops following a job that is done in time, or was cancelled.
 func (d *Component) jobEnded(now time.Duration, j *jobs.Job, done bool) {
-	e := d.byJob[j]
-	if e == nil {
+	t := d.byJob[j]
+	if t == nil {
 		return
 	}
-	d.untrack(e)
+	d.untrack(t)
 	if done {
-		d.recordOutcome(now, e, true)
+		d.recordOutcome(now, t, true)
 	}
 }
 
-func (d *Component) untrack(e *trackedJob) {
-	delete(d.byJob, e.job)
-	i, _ := slices.BinarySearchFunc(d.open, e.due, byDue)
-	for d.open[i] != e {
+func (d *Component) untrack(t *trackedJob) {
+	delete(d.byJob, t.job)
+	i, _ := slices.BinarySearchFunc(d.open, t.due, byDue)
+	for d.open[i] != t {
 		i++
 	}
 	d.open = slices.Delete(d.open, i, i+1)
-	e.job.Boost = jobs.NoBoost
-	for _, s := range e.groups {
+	t.job.Boost = jobs.NoBoost
+	for _, s := range t.groups {
 		s.openJobs--
-		if e.boosted {
+		if t.boosted {
 			s.boosted--
 		}
 	}
 }
 
-func (d *Component) recordOutcome(now time.Duration, e *trackedJob, met bool) {
-	j := e.job
+func (d *Component) recordOutcome(now time.Duration, t *trackedJob, met bool) {
+	j := t.job
 	began := j.FirstAt
 	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
 		began = now
 	}
-	o := outcome{now, met, len(j.Tasks), float64(len(j.Tasks)) * j.Mean() * j.Share, began - j.AcceptedAt}
-	for _, s := range e.groups {
+	o := outcome{
+		at:     now,
+		met:    met,
+		tasks:  len(j.Tasks),
+		work:   float64(len(j.Tasks)) * j.Mean() * j.Share,
+		waited: began - j.AcceptedAt,
+	}
+	for _, s := range t.groups {
 		s.outcomes = append(s.outcomes, o)
 		if met {
 			s.met++
@@ -205,8 +228,8 @@
 	}
 }
 
-// attainmentIf is how much of a class or a team was served of what was due in the window, if
-// those that go ahead make it and so many more do not.
+// attainmentIf is the share of what was due in the window that was done by then, if the jobs
+// that are boosted make it and so many more do not.
 func (s *groupStats) attainmentIf(lost int) float64 {
 	all := len(s.outcomes) + s.boosted + lost
 	if all == 0 {
@@ -225,182 +248,122 @@
 	return n
 }
 
-// largest are the largest of those due in the window: the tenth with most work, and the
-// widest.
-func (s *groupStats) largest() []outcome {
-	if len(s.outcomes) == 0 {
-		return nil
-	}
-	list := slices.Clone(s.outcomes)
-	slices.SortStableFunc(list, func(a, b outcome) int { return cmp.Compare(b.work, a.work) })
-	n := (len(list) + 9) / 10
-	widest := slices.MaxFunc(list, func(a, b outcome) int { return cmp.Compare(a.tasks, b.tasks) })
-	if slices.ContainsFunc(list[:n], func(o outcome) bool { return o.tasks == widest.tasks }) {
-		return list[:n]
-	}
-	return append(list[:n:n], widest)
-}
-
-// Tick counts what was missed, and has jobs at their last chance go ahead where their
-// class or team would fall below the floor without them.
+// Tick counts what was missed, and boosts jobs at their last chance where their class or
+// team would fall below the floor without them.
 func (d *Component) Tick(now time.Duration, _ bool) {
 	if now-d.lastCheckAt < checkInterval {
 		return
 	}
 	d.lastCheckAt = now
+	d.expireOutcomes(now)
+	d.recordMissed(now)
+	if d.floor == 0 {
+		return
+	}
+	ahead := d.updateBoosted()
+	d.boostAtRisk(now, ahead)
+}
+
+// expireOutcomes drops the outcomes that have left the window.
+func (d *Component) expireOutcomes(now time.Duration) {
 	for _, s := range d.groups {
 		s.atRisk = 0
-		if n := slices.IndexFunc(s.outcomes, func(o outcome) bool { return now-o.at <= d.window }); n != 0 {
-			if n < 0 {
-				n = len(s.outcomes)
-			}
-			s.outcomes = slices.Delete(s.outcomes, 0, n)
+		n := slices.IndexFunc(s.outcomes, func(o outcome) bool { return now-o.at <= d.window })
+		if n < 0 {
+			n = len(s.outcomes)
 		}
+		s.outcomes = slices.Delete(s.outcomes, 0, n)
 	}
+}
+
+// recordMissed records the jobs that were due before now and are still open.
+func (d *Component) recordMissed(now time.Duration) {
 	for len(d.open) > 0 && d.open[0].due < now {
-		e := d.open[0]
-		d.untrack(e)
-		d.recordOutcome(now, e, false)
+		missed := d.open[0]
+		d.untrack(missed)
+		d.recordOutcome(now, missed, false)
 	}
-	if d.floor == 0 {
-		return
-	}
-	cpus := max(d.CPUs(), 1)
-	ahead := 0.0 // work of those that go ahead already: what comes after waits for it
-	for _, e := range d.open {
-		if !e.boosted {
+}
+
+// updateBoosted puts boosted jobs ahead of urgent ones or behind them, and returns the work
+// of all boosted jobs, in processor seconds: those that are boosted next wait for it.
+func (d *Component) updateBoosted() (ahead float64) {
+	for _, t := range d.open {
+		if !t.boosted {
+			continue
+		}
+		ahead += remainingWork(t.job)
+		wasFirst := t.job.Boost == jobs.BoostFirst
+		if d.belowFloor(t) == wasFirst {
 			continue
 		}
-		ahead += remainingWork(e.job)
-		if before := e.job.Boost; d.belowFloor(e) != (before == jobs.BoostFirst) {
-			e.job.Boost = jobs.BoostBehindUrgent
-			if before != jobs.BoostFirst {
-				e.job.Boost = jobs.BoostFirst
-			}
-			d.NeedsCycle = true
+		t.job.Boost = jobs.BoostBehindUrgent
+		if !wasFirst {
+			t.job.Boost = jobs.BoostFirst
 		}
+		d.NeedsCycle = true
 	}
-	for _, e := range d.open {
-		j := e.job
-		if e.boosted || j.Waiting == 0 || j.Phase != jobs.Open {
+	return ahead
+}
+
+// boostAtRisk boosts the jobs at their last chance whose class or team would be below the
+// floor without them, in the order in which they are due.
+func (d *Component) boostAtRisk(now time.Duration, ahead float64) {
+	cpus := max(d.CPUs(), 1)
+	for _, t := range d.open {
+		j := t.job
+		if t.boosted || j.Waiting == 0 || j.Phase != jobs.Open {
 			continue
 		}
 		needs := settings.Seconds(runTimeSlack*j.Mean()+(ahead+remainingWork(j))/cpus) + placementTime
-		if now+needs > e.due {
+		if now+needs > t.due {
 			continue // it can no longer make it: room given to it would be lost
 		}
-		if now+needs+leadTime < e.due {
+		if now+needs+leadTime < t.due {
 			continue // there is time yet
 		}
-		for _, s := range e.groups {
+		for _, s := range t.groups {
 			s.atRisk++
 		}
-		// This one and all that stand where it does count as lost unless they go ahead.
-		if e.groups[0].attainmentIf(e.groups[0].atRisk) >= d.floor && e.groups[1].attainmentIf(e.groups[1].atRisk) >= d.floor {
+		if d.keepsFloorWithout(t) {
 			continue
 		}
-		e.boosted, j.Boost = true, jobs.BoostBehindUrgent
+		d.boost(now, t)
 		ahead += remainingWork(j)
-		d.NeedsCycle = true
-		for _, s := range e.groups {
-			s.atRisk--
-			s.boosted++
-			s.boostedTotal++
-		}
-		d.LogMessage(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served", "job", j.Record.ID, "class", j.Record.Class, "team", j.Record.Team, "due_in", (e.due - now).Round(time.Second).String())
 	}
 }
 
-// belowFloor says whether a job's class or team has been served less than the floor already.
-func (d *Component) belowFloor(e *trackedJob) bool {
-	return slices.ContainsFunc(e.groups[:], func(s *groupStats) bool {
-		return len(s.outcomes) >= minOutcomes && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
-	})
-}
-
-// remainingWork is what a job's waiting tasks take, in processor seconds.
-func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.Mean() * j.Share }
-
-// View is what operators see of a class or a team.
-type View struct {
-	Name   string  `json:"name"`
-	Team   bool    `json:"team"`
-	Due    int     `json:"due"`    // jobs due in the window
-	Met    int     `json:"met"`    // of them, done by then
-	Share  float64 `json:"share"`  // 1 where none was due
-	Open   int     `json:"open"`   // jobs not due yet
-	Kept   int     `json:"kept"`   // of them, those that go ahead of everything
-	Missed uint64  `json:"missed"` // since the leader began
-	Helped uint64  `json:"kept_ever"`
-	// Of those due, the largest: the tenth with most work, and the widest.
-	Largest     int     `json:"largest"`
-	LargestMet  int     `json:"largest_met"`
-	LargestWait float64 `json:"largest_began_after_s"` // the longest of them
+// keepsFloorWithout reports whether a job's class and team would keep the floor if it, and
+// all that are at risk as it is, were lost.
+func (d *Component) keepsFloorWithout(t *trackedJob) bool {
+	for _, s := range t.groups {
+		if s.attainmentIf(s.atRisk) < d.floor {
+			return false
+		}
+	}
+	return true
 }
 
-// Show gives classes and teams, as a JSON list of View.
-func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
-	if view != "" {
-		return nil, cluster.ErrUnknownView
-	}
-	raw, err := json.Marshal(d.views())
-	if err != nil {
-		return nil, fmt.Errorf("served: %w", err)
+// boost has a job at risk go ahead of others, behind urgent ones at first.
+func (d *Component) boost(now time.Duration, t *trackedJob) {
+	t.boosted, t.job.Boost = true, jobs.BoostBehindUrgent
+	d.NeedsCycle = true
+	for _, s := range t.groups {
+		s.atRisk--
+		s.boosted++
+		s.boostedTotal++
 	}
-	return raw, nil
+	record := t.job.Record
+	d.LogMessage(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served",
+		"job", record.ID, "class", record.Class, "team", record.Team, "due_in", (t.due - now).Round(time.Second).String())
 }
 
-func (d *Component) views() []View {
-	out := []View{}
-	for _, s := range d.groups {
-		v := View{Name: s.name, Team: s.team, Due: len(s.outcomes), Open: s.openJobs, Kept: s.boosted, Missed: s.missed, Helped: s.boostedTotal, Met: s.metCount(), Share: 1}
-		if v.Due > 0 {
-			v.Share = float64(v.Met) / float64(v.Due)
-		}
-		for _, o := range s.largest() {
-			v.Largest++
-			if o.met {
-				v.LargestMet++
-			}
-			v.LargestWait = max(v.LargestWait, o.waited.Seconds())
-		}
-		out = append(out, v)
-	}
-	slices.SortFunc(out, func(a, b View) int {
-		if a.Team != b.Team {
-			if a.Team {
-				return 1
-			}
-			return -1
-		}
-		return cmp.Compare(a.Name, b.Name)
+// belowFloor reports whether less than the floor of a job's class or team was met already.
+func (d *Component) belowFloor(t *trackedJob) bool {
+	return slices.ContainsFunc(t.groups[:], func(s *groupStats) bool {
+		return len(s.outcomes) >= minOutcomes && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
-	return out
 }
 
-// mostNamed bounds the labels of metrics; the rest is left out.
-const maxLabels = 100
-
-// Gauges gives the share of each class and team.
-func (d *Component) Gauges(time.Duration) []cluster.Gauge {
-	g := [4]cluster.Gauge{
-		{Name: "bitternmoor_served_share_of_class", Help: "Share of the jobs due in the window that were done by then.", Label: "class", Values: map[string]float64{}},
-		{Name: "bitternmoor_served_share_of_team", Help: "Share of the jobs due in the window that were done by then.", Label: "team", Values: map[string]float64{}},
-		{Name: "bitternmoor_served_share_of_largest", Help: "The same of the class's largest jobs.", Label: "class", Values: map[string]float64{}},
-		{Name: "bitternmoor_largest_began_seconds", Help: "Longest time that one of a class's largest jobs waited to begin.", Label: "class", Values: map[string]float64{}},
-	}
-	for _, v := range d.views() {
-		i := 0
-		if v.Team {
-			i = 1
-		}
-		if len(g[i].Values) < maxLabels {
-			g[i].Values[v.Name] = v.Share
-			if !v.Team && v.Largest > 0 {
-				g[2].Values[v.Name] = float64(v.LargestMet) / float64(v.Largest)
-				g[3].Values[v.Name] = v.LargestWait
-			}
-		}
-	}
-	return g[:]
-}
+// remainingWork is what a job's waiting tasks take, in processor seconds.
+func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.Mean() * j.Share }
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -26,8 +26,8 @@
 	return New(s)
 }
 
-func (d *Component) arrive(now time.Duration, id uint64, class, team string) *jobs.Job {
-	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: team, Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
+func (d *Component) arrive(now time.Duration, id uint64, class string) *jobs.Job {
+	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
 	j.Phase, j.AcceptedAt, j.Share = jobs.Open, now, 1
 	d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	return j
@@ -47,7 +47,7 @@
 func TestDue(t *testing.T) {
 	d := begun(0)
 	for class, want := range map[string]time.Duration{"a": 100 * time.Second, "b": 120 * time.Second, "c": 200 * time.Second} {
-		j := d.arrive(10*time.Second, uint64(len(class))+uint64(class[0]), class, "t")
+		j := d.arrive(10*time.Second, uint64(len(class))+uint64(class[0]), class)
 		if got := d.dueTime(j); got != 10*time.Second+want {
 			t.Errorf("%s: %v", class, got)
 		}
@@ -62,9 +62,9 @@
 		d := begun(floor)
 		var list []*jobs.Job
 		for i := range uint64(20) {
-			list = append(list, d.arrive(0, i+1, "a", "t"))
+			list = append(list, d.arrive(0, i+1, "a"))
 		}
-		late := d.arrive(0, 99, "a", "t")
+		late := d.arrive(0, 99, "a")
 		late.Record.EstimateS = 90 // it needs 112 s of 100
 		kept := func() (n int) {
 			for _, j := range list {
@@ -111,7 +111,7 @@
 		for now := time.Duration(0); now < 900*time.Second; now += 500 * time.Millisecond {
 			if r.IntN(6) == 0 {
 				id++
-				j := d.arrive(now, id, []string{"a", "b"}[r.IntN(2)], "t")
+				j := d.arrive(now, id, []string{"a", "b"}[r.IntN(2)])
 				open[j] = d.dueTime(j)
 			}
 			for j, due := range open {
@@ -154,7 +154,7 @@
 
 func TestShow(t *testing.T) {
 	d := begun(0.5)
-	d.arrive(0, 1, "a", "t")
+	d.arrive(0, 1, "a")
 	raw, err := d.Show(0, "")
 	var list []View
 	if err != nil || json.Unmarshal(raw, &list) != nil || len(list) != 2 || list[0].Team || !list[1].Team || list[0].Share != 1 {
@@ -173,7 +173,7 @@
 func TestLargest(t *testing.T) {
 	d := begun(0)
 	for i := range uint64(20) {
-		j := d.arrive(0, i+1, "a", "t")
+		j := d.arrive(0, i+1, "a")
 		j.FirstAt = time.Second
 		switch i {
 		case 3:
