--- a/internal/leader/rebalance/balancer_test.go
+++ b/internal/leader/rebalance/balancer_test.go
@@ -70,7 +70,9 @@
 				}
 				before := p.most()
 				var n int
-				fmt.Sscanf(to, "n%d", &n)
+				if _, err := fmt.Sscanf(to, "n%d", &n); err != nil {
+					t.Fatalf("seed %d: %d goes to %q: %v", seed, m, to, err)
+				}
 				if !p.nodes[n].Ready || n == h || twice[m] {
 					t.Fatalf("seed %d: %d goes from %d to %s", seed, m, h, to)
 				}
