--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -32,9 +32,9 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	remember int               // revisions
-	base     settings.Tunables // as the settings say
-	teams    map[string]settings.Team
+	historyLimit int               // revisions
+	base         settings.Tunables // as the settings say
+	teams        map[string]settings.Team
 
 	doc     config.Document   // what is durable
 	history []config.Revision // the last ones that are durable, oldest first, without gaps
@@ -50,7 +50,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, remember: s.Cfg.Tunables.ConfigHistory, base: s.Cfg.Tunables, teams: map[string]settings.Team{}, controllers: map[string]*controller{}}
+	d := &Component{State: s, historyLimit: s.Cfg.Tunables.ConfigHistory, base: s.Cfg.Tunables, teams: map[string]settings.Team{}, controllers: map[string]*controller{}}
 	for _, t := range s.Cfg.Deployment.Teams {
 		d.teams[t.Name] = t
 	}
@@ -87,7 +87,7 @@
 		return
 	}
 	d.history = slices.Insert(d.history, i, r)
-	d.history = slices.Delete(d.history, 0, max(0, len(d.history)-d.remember))
+	d.history = slices.Delete(d.history, 0, max(0, len(d.history)-d.historyLimit))
 }
 
 // Begin has in force what is set.
