--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -32,9 +32,9 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	historyLimit int               // revisions
-	base         settings.Tunables // as the settings say
-	teams        map[string]settings.Team
+	historyLimit     int               // revisions
+	settingsTunables settings.Tunables // as the settings say
+	teams            map[string]settings.Team
 
 	doc     config.Document   // what is durable
 	history []config.Revision // the last ones that are durable, oldest first, without gaps
@@ -50,7 +50,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, historyLimit: s.Cfg.Tunables.ConfigHistory, base: s.Cfg.Tunables, teams: map[string]settings.Team{}, controllers: map[string]*controller{}}
+	d := &Component{State: s, historyLimit: s.Cfg.Tunables.ConfigHistory, settingsTunables: s.Cfg.Tunables, teams: map[string]settings.Team{}, controllers: map[string]*controller{}}
 	for _, t := range s.Cfg.Deployment.Teams {
 		d.teams[t.Name] = t
 	}
@@ -142,7 +142,7 @@
 		d.applyTeam(i.Team)
 		return
 	}
-	v, _ := d.base.Number(i.Tunable)
+	v, _ := d.settingsTunables.Number(i.Tunable)
 	if set := d.doc.Get(i).Value.Number; set != nil {
 		v = *set
 	}
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -100,7 +100,7 @@
 	for _, key := range settings.LiveTunables() {
 		x := Tunable{Key: key, Revision: d.doc.Get(config.Item{Tunable: key}).Revision, Effect: settings.EffectOfChange(key)}
 		x.Value, _ = d.Cfg.Tunables.Number(key)
-		x.Settings, _ = d.base.Number(key)
+		x.Settings, _ = d.settingsTunables.Number(key)
 		v.Tunables = append(v.Tunables, x)
 	}
 	return v
