--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -143,7 +143,7 @@
 		return before, nil
 	}
 	t, known := d.teamAt(c.Item.Team, before.Value)
-	if _, inSettings := d.teams[c.Item.Team]; c.Value.AsSettings() && !inSettings {
+	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.AsSettings() && !inSettings {
 		c.Value.Removed = true // the settings say that there is no such team
 	}
 	if !c.Value.Removed {
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -34,7 +34,7 @@
 	*cluster.State
 	historyLimit     int               // revisions
 	settingsTunables settings.Tunables // as the settings say
-	teams            map[string]settings.Team
+	settingsTeams    map[string]settings.Team
 
 	doc     config.Document   // what is durable
 	history []config.Revision // the last ones that are durable, oldest first, without gaps
@@ -50,9 +50,9 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, historyLimit: s.Cfg.Tunables.ConfigHistory, settingsTunables: s.Cfg.Tunables, teams: map[string]settings.Team{}, controllers: map[string]*controller{}}
+	d := &Component{State: s, historyLimit: s.Cfg.Tunables.ConfigHistory, settingsTunables: s.Cfg.Tunables, settingsTeams: map[string]settings.Team{}, controllers: map[string]*controller{}}
 	for _, t := range s.Cfg.Deployment.Teams {
-		d.teams[t.Name] = t
+		d.settingsTeams[t.Name] = t
 	}
 	for _, p := range s.Cfg.Peers {
 		d.controllers[p.Node] = &controller{}
@@ -173,7 +173,7 @@
 	if v.Limits != nil {
 		return v.Limits.Team(name), !v.Removed
 	}
-	t, known := d.teams[name]
+	t, known := d.settingsTeams[name]
 	t.Name = name
 	return t, known && !v.Removed
 }
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -86,7 +86,7 @@
 		}
 		v.Controllers = append(v.Controllers, x)
 	}
-	names := maps.Clone(d.teams)
+	names := maps.Clone(d.settingsTeams)
 	for _, s := range d.doc.All() {
 		if s.Item.Team != "" {
 			names[s.Item.Team] = settings.Team{}
