--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -56,7 +56,7 @@
 	if n := len(d.pending); n > 0 {
 		return d.pending[n-1].Number
 	}
-	return d.doc.Revision()
+	return d.document.Revision()
 }
 
 func (d *Component) change(now time.Duration, by string, in *Request) (*Answer, error) {
@@ -90,7 +90,7 @@
 			added++
 		}
 	}
-	if d.doc.Len()+added > config.MostItems {
+	if d.document.Len()+added > config.MostItems {
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("more than %d things would have been changed", config.MostItems)}
 	}
 	e := eventlog.NewComponentEntry(Name, stored{Revision: &r})
@@ -125,7 +125,7 @@
 
 // current is what an item is set to, with what is on its way.
 func (d *Component) current(i config.Item) config.Set {
-	s := d.doc.Get(i)
+	s := d.document.Get(i)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
 			if c.Item == i {
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -36,12 +36,12 @@
 	settingsTunables settings.Tunables // as the settings say
 	settingsTeams    map[string]settings.Team
 
-	doc     config.Document   // what is durable
-	history []config.Revision // the last ones that are durable, oldest first, without gaps
-	pending []config.Revision // on their way, oldest first
-	missing uint64            // a revision that was in force and is not in the log; 0: none
-	kept    []config.Set      // to be written anew in the cleaning under way
-	bytes   int               // of what Keep would write for the whole log
+	document config.Document   // what is durable
+	history  []config.Revision // the last ones that are durable, oldest first, without gaps
+	pending  []config.Revision // on their way, oldest first
+	missing  uint64            // a revision that was in force and is not in the log; 0: none
+	kept     []config.Set      // to be written anew in the cleaning under way
+	bytes    int               // of what Keep would write for the whole log
 
 	controllers map[string]*controller
 	written     []written // revisions that are not in force everywhere yet, oldest first
@@ -72,7 +72,7 @@
 		return
 	}
 	for _, s := range x.Sets {
-		d.doc.Put(s)
+		d.document.Put(s)
 	}
 	if x.Revision != nil {
 		d.enter(*x.Revision)
@@ -81,7 +81,7 @@
 
 // enter takes a durable revision.
 func (d *Component) enter(r config.Revision) {
-	d.doc.Apply(&r)
+	d.document.Apply(&r)
 	i, known := slices.BinarySearchFunc(d.history, r.Number, func(o config.Revision, n uint64) int { return int(o.Number) - int(n) })
 	if known {
 		return
@@ -92,15 +92,15 @@
 
 // Begin has in force what is set.
 func (d *Component) Begin(now time.Duration) {
-	for _, s := range d.doc.All() {
+	for _, s := range d.document.All() {
 		d.apply(s.Item)
 	}
 	d.measure()
 	if d.Config != nil {
-		if had := d.Config.Revision(); had > d.doc.Revision() {
+		if had := d.Config.Revision(); had > d.document.Revision() {
 			d.lacks(had)
 		}
-		d.Config.Store(now, &d.doc)
+		d.Config.Store(now, &d.document)
 	}
 	for _, c := range d.controllers {
 		c.behindSince = now
@@ -113,7 +113,7 @@
 		return
 	}
 	d.missing = revision
-	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed", "revision", d.doc.Revision(), "was", revision)
+	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed", "revision", d.document.Revision(), "was", revision)
 }
 
 // EntryDurable has a revision in force.
@@ -130,7 +130,7 @@
 	}
 	d.measure()
 	if d.Config != nil {
-		d.Config.Store(now, &d.doc)
+		d.Config.Store(now, &d.document)
 	}
 	d.wrote(now, r.Number)
 	d.LogMessage(effects.Info, "the configuration has changed", "revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
@@ -143,7 +143,7 @@
 		return
 	}
 	v, _ := d.settingsTunables.Number(i.Tunable)
-	if set := d.doc.Get(i).Value.Number; set != nil {
+	if set := d.document.Get(i).Value.Number; set != nil {
 		v = *set
 	}
 	d.Cfg.Tunables.SetNumber(i.Tunable, v)
@@ -152,7 +152,7 @@
 
 // applyTeam has a team's limits in force: of what is durable and what is on its way the lower.
 func (d *Component) applyTeam(name string) {
-	t, known := d.teamAt(name, d.doc.Get(config.Item{Team: name}).Value)
+	t, known := d.teamAt(name, d.document.Get(config.Item{Team: name}).Value)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
 			if c.Item.Team == name && c.Value.Limits != nil {
@@ -196,7 +196,7 @@
 
 // measure reckons what Keep would write.
 func (d *Component) measure() {
-	d.bytes = d.doc.Len() * setBytes
+	d.bytes = d.document.Len() * setBytes
 	for i := range d.history {
 		d.bytes += revisionBytes + len(d.history[i].Changes)*setBytes
 	}
@@ -236,7 +236,7 @@
 
 // gather notes an item that is still set as it was, by a revision that is not remembered.
 func (d *Component) gather(s config.Set) {
-	if d.doc.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
+	if d.document.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
 		d.kept = append(d.kept, s)
 	}
 }
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -204,8 +204,8 @@
 	b.CompactionDone()
 	b.commit()
 	next := newBench(t, 2, b.entries)
-	if next.doc.Revision() != 9 || len(next.history) != 2 || next.Cfg.Tunables.IdleReturnS != v {
-		t.Errorf("revision %d, %d remembered, idle_return %v", next.doc.Revision(), len(next.history), next.Cfg.Tunables.IdleReturnS)
+	if next.document.Revision() != 9 || len(next.history) != 2 || next.Cfg.Tunables.IdleReturnS != v {
+		t.Errorf("revision %d, %d remembered, idle_return %v", next.document.Revision(), len(next.history), next.Cfg.Tunables.IdleReturnS)
 	}
 	for team, want := range map[string]float64{"team-0": 18, "team-1": 15, "team-2": 16, "team-3": 17, "red": 10} {
 		if next.limit(team) != want {
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -47,7 +47,7 @@
 	if c := d.controllers[name]; c != nil {
 		has = c.revision
 	}
-	u := d.doc.Update(has)
+	u := d.document.Update(has)
 	return &u
 }
 
@@ -57,7 +57,7 @@
 	if c == nil {
 		return
 	}
-	if revision > d.doc.Revision() {
+	if revision > d.document.Revision() {
 		d.lacks(revision)
 	}
 	if revision != c.revision || c.heard == 0 {
@@ -69,7 +69,7 @@
 		}
 	}
 	c.heard, c.revision = now, revision
-	if revision >= d.doc.Revision() {
+	if revision >= d.document.Revision() {
 		c.behindSince = 0
 	}
 	d.written = slices.DeleteFunc(d.written, func(w written) bool { return d.everywhere(w.revision) })
@@ -95,7 +95,7 @@
 
 // Gauges gives the revision and the lag of each controller.
 func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
-	revisions, lags := map[string]float64{d.Cfg.Node: float64(d.doc.Revision())}, map[string]float64{d.Cfg.Node: 0}
+	revisions, lags := map[string]float64{d.Cfg.Node: float64(d.document.Revision())}, map[string]float64{d.Cfg.Node: 0}
 	for _, name := range slices.Sorted(maps.Keys(d.controllers)) {
 		c := d.controllers[name]
 		revisions[name], lags[name] = float64(c.revision), c.lag(now)
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -76,7 +76,7 @@
 }
 
 func (d *Component) view(now time.Duration) View {
-	v := View{Revision: d.doc.Revision(), Pending: len(d.pending), Missing: d.missing, Tunables: []Tunable{}, Teams: []Team{}}
+	v := View{Revision: d.document.Revision(), Pending: len(d.pending), Missing: d.missing, Tunables: []Tunable{}, Teams: []Team{}}
 	v.Controllers = []Controller{{Name: d.Cfg.Node, Leads: true, Heard: true, Revision: v.Revision, SinceS: d.sinceS(now)}}
 	for _, name := range slices.Sorted(maps.Keys(d.controllers)) {
 		c := d.controllers[name]
@@ -87,18 +87,18 @@
 		v.Controllers = append(v.Controllers, x)
 	}
 	names := maps.Clone(d.settingsTeams)
-	for _, s := range d.doc.All() {
+	for _, s := range d.document.All() {
 		if s.Item.Team != "" {
 			names[s.Item.Team] = settings.Team{}
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		s := d.doc.Get(config.Item{Team: name})
+		s := d.document.Get(config.Item{Team: name})
 		t, known := d.teamAt(name, s.Value)
 		v.Teams = append(v.Teams, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsOf(t)})
 	}
 	for _, key := range settings.LiveTunables() {
-		x := Tunable{Key: key, Revision: d.doc.Get(config.Item{Tunable: key}).Revision, Effect: settings.EffectOfChange(key)}
+		x := Tunable{Key: key, Revision: d.document.Get(config.Item{Tunable: key}).Revision, Effect: settings.EffectOfChange(key)}
 		x.Value, _ = d.Cfg.Tunables.Number(key)
 		x.Settings, _ = d.settingsTunables.Number(key)
 		v.Tunables = append(v.Tunables, x)
