--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -66,8 +66,8 @@
 	if a := d.repeated(in.ID); a != nil {
 		return a, nil
 	}
-	if d.missing > 0 {
-		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("%d was in force and is not in the log any more: see docs/configuration.md", d.missing)}
+	if d.missingRevision > 0 {
+		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("%d was in force and is not in the log any more: see docs/configuration.md", d.missingRevision)}
 	}
 	if in.Revision != d.newest() {
 		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("this was planned for revision %d, and another change has made it %d", in.Revision, d.newest())}
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -36,12 +36,12 @@
 	settingsTunables settings.Tunables // as the settings say
 	settingsTeams    map[string]settings.Team
 
-	document config.Document   // what is durable
-	history  []config.Revision // the last ones that are durable, oldest first, without gaps
-	pending  []config.Revision // on their way, oldest first
-	missing  uint64            // a revision that was in force and is not in the log; 0: none
-	kept     []config.Set      // to be written anew in the cleaning under way
-	bytes    int               // of what Keep would write for the whole log
+	document        config.Document   // what is durable
+	history         []config.Revision // the last ones that are durable, oldest first, without gaps
+	pending         []config.Revision // on their way, oldest first
+	missingRevision uint64            // a revision that was in force and is not in the log; 0: none
+	kept            []config.Set      // to be written anew in the cleaning under way
+	bytes           int               // of what Keep would write for the whole log
 
 	controllers map[string]*controller
 	written     []written // revisions that are not in force everywhere yet, oldest first
@@ -109,10 +109,10 @@
 
 // lacks notes that the log has lost revisions that were in force.
 func (d *Component) lacks(revision uint64) {
-	if revision <= d.missing {
+	if revision <= d.missingRevision {
 		return
 	}
-	d.missing = revision
+	d.missingRevision = revision
 	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed", "revision", d.document.Revision(), "was", revision)
 }
 
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -76,7 +76,7 @@
 }
 
 func (d *Component) view(now time.Duration) View {
-	v := View{Revision: d.document.Revision(), Pending: len(d.pending), Missing: d.missing, Tunables: []Tunable{}, Teams: []Team{}}
+	v := View{Revision: d.document.Revision(), Pending: len(d.pending), Missing: d.missingRevision, Tunables: []Tunable{}, Teams: []Team{}}
 	v.Controllers = []Controller{{Name: d.Cfg.Node, Leads: true, Heard: true, Revision: v.Revision, SinceS: d.sinceS(now)}}
 	for _, name := range slices.Sorted(maps.Keys(d.controllers)) {
 		c := d.controllers[name]
