--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -40,7 +40,7 @@
 	history         []config.Revision // the last ones that are durable, oldest first, without gaps
 	pending         []config.Revision // on their way, oldest first
 	missingRevision uint64            // a revision that was in force and is not in the log; 0: none
-	kept            []config.Set      // to be written anew in the cleaning under way
+	compactedSets   []config.Set      // to be written anew in the cleaning under way
 	bytes           int               // of what Keep would write for the whole log
 
 	controllers map[string]*controller
@@ -237,19 +237,19 @@
 // gather notes an item that is still set as it was, by a revision that is not remembered.
 func (d *Component) gather(s config.Set) {
 	if d.document.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
-		d.kept = append(d.kept, s)
+		d.compactedSets = append(d.compactedSets, s)
 	}
 }
 
 // CompactionDone writes anew what was gathered.
 func (d *Component) CompactionDone() {
-	for len(d.kept) > 0 {
-		n := len(d.kept)
-		for n > 1 && !d.EventLog.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]})) {
+	for len(d.compactedSets) > 0 {
+		n := len(d.compactedSets)
+		for n > 1 && !d.EventLog.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.compactedSets[:n]})) {
 			n /= 2
 		}
-		d.EventLog.Append(eventlog.NewComponentEntry(Name, stored{Sets: d.kept[:n]}))
-		d.kept = d.kept[n:]
+		d.EventLog.Append(eventlog.NewComponentEntry(Name, stored{Sets: d.compactedSets[:n]}))
+		d.compactedSets = d.compactedSets[n:]
 	}
-	d.kept = nil
+	d.compactedSets = nil
 }
