--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -41,7 +41,7 @@
 	pending         []config.Revision // on their way, oldest first
 	missingRevision uint64            // a revision that was in force and is not in the log; 0: none
 	compactedSets   []config.Set      // to be written anew in the cleaning under way
-	bytes           int               // of what Keep would write for the whole log
+	liveBytes       int               // of what Keep would write for the whole log
 
 	controllers map[string]*controller
 	written     []written // revisions that are not in force everywhere yet, oldest first
@@ -196,9 +196,9 @@
 
 // measure reckons what Keep would write.
 func (d *Component) measure() {
-	d.bytes = d.document.Len() * setBytes
+	d.liveBytes = d.document.Len() * setBytes
 	for i := range d.history {
-		d.bytes += revisionBytes + len(d.history[i].Changes)*setBytes
+		d.liveBytes += revisionBytes + len(d.history[i].Changes)*setBytes
 	}
 }
 
@@ -209,7 +209,7 @@
 )
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return d.bytes }
+func (d *Component) LiveBytes() int { return d.liveBytes }
 
 // remembers says whether a revision is in the history.
 func (d *Component) remembers(revision uint64) bool {
