--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -32,8 +32,8 @@
 
 // wrote notes that a revision is durable, and who lacks it now.
 func (d *Component) wrote(now time.Duration, revision uint64) {
-	d.written = append(d.written, written{revision, now})
-	d.written = slices.Delete(d.written, 0, max(0, len(d.written)-writtenMost))
+	d.spreading = append(d.spreading, written{revision, now})
+	d.spreading = slices.Delete(d.spreading, 0, max(0, len(d.spreading)-writtenMost))
 	for _, c := range d.controllers {
 		if c.behindSince == 0 {
 			c.behindSince = now
@@ -63,7 +63,7 @@
 	if revision != c.revision || c.heard == 0 {
 		c.since = now
 	}
-	for _, w := range d.written {
+	for _, w := range d.spreading {
 		if w.revision > c.revision && w.revision <= revision && c.heard > 0 {
 			d.inForce.Observe(name, (now - w.at).Seconds())
 		}
@@ -72,7 +72,7 @@
 	if revision >= d.document.Revision() {
 		c.behindSince = 0
 	}
-	d.written = slices.DeleteFunc(d.written, func(w written) bool { return d.everywhere(w.revision) })
+	d.spreading = slices.DeleteFunc(d.spreading, func(w written) bool { return d.everywhere(w.revision) })
 }
 
 // everywhere says whether all controllers have a revision.
