--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -45,7 +45,7 @@
 
 	controllers map[string]*controller
 	spreading   []written // revisions that are not in force everywhere yet, oldest first
-	inForce     *cluster.Histogram
+	propagation *cluster.Histogram
 }
 
 // New makes the duty of a term.
@@ -57,7 +57,7 @@
 	for _, p := range s.Cfg.Peers {
 		d.controllers[p.Node] = &controller{}
 	}
-	d.inForce = s.Metrics.Histogram("bitternmoor_config_in_force_seconds", "From when a change of the configuration was durable until a controller had it in force.", "controller", inForceBounds)
+	d.propagation = s.Metrics.Histogram("bitternmoor_config_in_force_seconds", "From when a change of the configuration was durable until a controller had it in force.", "controller", inForceBounds)
 	return d
 }
 
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -65,7 +65,7 @@
 	}
 	for _, w := range d.spreading {
 		if w.revision > c.revision && w.revision <= revision && c.heard > 0 {
-			d.inForce.Observe(name, (now - w.at).Seconds())
+			d.propagation.Observe(name, (now - w.at).Seconds())
 		}
 	}
 	c.heard, c.revision = now, revision
