--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -75,12 +75,12 @@
 		d.document.Put(s)
 	}
 	if x.Revision != nil {
-		d.enter(*x.Revision)
+		d.addRevision(*x.Revision)
 	}
 }
 
-// enter takes a durable revision.
-func (d *Component) enter(r config.Revision) {
+// addRevision takes a durable revision.
+func (d *Component) addRevision(r config.Revision) {
 	d.document.Apply(&r)
 	i, known := slices.BinarySearchFunc(d.history, r.Number, func(o config.Revision, n uint64) int { return int(o.Number) - int(n) })
 	if known {
@@ -124,7 +124,7 @@
 	}
 	r := *x.Revision
 	d.pending = slices.DeleteFunc(d.pending, func(o config.Revision) bool { return o.Number == r.Number })
-	d.enter(r)
+	d.addRevision(r)
 	for _, c := range r.Changes {
 		d.apply(c.Item)
 	}
