--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -98,7 +98,7 @@
 	d.measure()
 	if d.Config != nil {
 		if had := d.Config.Revision(); had > d.document.Revision() {
-			d.lacks(had)
+			d.noteMissing(had)
 		}
 		d.Config.Store(now, &d.document)
 	}
@@ -107,8 +107,8 @@
 	}
 }
 
-// lacks notes that the log has lost revisions that were in force.
-func (d *Component) lacks(revision uint64) {
+// noteMissing notes that the log has lost revisions that were in force.
+func (d *Component) noteMissing(revision uint64) {
 	if revision <= d.missingRevision {
 		return
 	}
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -58,7 +58,7 @@
 		return
 	}
 	if revision > d.document.Revision() {
-		d.lacks(revision)
+		d.noteMissing(revision)
 	}
 	if revision != c.revision || c.heard == 0 {
 		c.since = now
