--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -95,7 +95,7 @@
 	for _, s := range d.document.All() {
 		d.apply(s.Item)
 	}
-	d.measure()
+	d.updateLiveBytes()
 	if d.Config != nil {
 		if had := d.Config.Revision(); had > d.document.Revision() {
 			d.noteMissing(had)
@@ -128,7 +128,7 @@
 	for _, c := range r.Changes {
 		d.apply(c.Item)
 	}
-	d.measure()
+	d.updateLiveBytes()
 	if d.Config != nil {
 		d.Config.Store(now, &d.document)
 	}
@@ -194,8 +194,8 @@
 	return min(v, limit)
 }
 
-// measure reckons what Keep would write.
-func (d *Component) measure() {
+// updateLiveBytes reckons what Keep would write.
+func (d *Component) updateLiveBytes() {
 	d.liveBytes = d.document.Len() * setBytes
 	for i := range d.history {
 		d.liveBytes += revisionBytes + len(d.history[i].Changes)*setBytes
