--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -225,17 +225,17 @@
 		d.EventLog.Append(e)
 	case x.Revision != nil:
 		for _, c := range x.Revision.Changes {
-			d.gather(config.Set{Change: c, Revision: x.Revision.Number})
+			d.gatherSet(config.Set{Change: c, Revision: x.Revision.Number})
 		}
 	default:
 		for _, s := range x.Sets {
-			d.gather(s)
+			d.gatherSet(s)
 		}
 	}
 }
 
-// gather notes an item that is still set as it was, by a revision that is not remembered.
-func (d *Component) gather(s config.Set) {
+// gatherSet notes an item that is still set as it was, by a revision that is not remembered.
+func (d *Component) gatherSet(s config.Set) {
 	if d.document.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
 		d.compactedSets = append(d.compactedSets, s)
 	}
