--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -132,7 +132,7 @@
 	if d.Config != nil {
 		d.Config.Store(now, &d.document)
 	}
-	d.wrote(now, r.Number)
+	d.revisionDurable(now, r.Number)
 	d.LogMessage(effects.Info, "the configuration has changed", "revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
 }
 
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -30,8 +30,8 @@
 // inForceBounds are the buckets, in seconds, of how long a change takes to be in force.
 var inForceBounds = []float64{0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 11, 20, 60}
 
-// wrote notes that a revision is durable, and who lacks it now.
-func (d *Component) wrote(now time.Duration, revision uint64) {
+// revisionDurable notes that a revision is durable, and who lacks it now.
+func (d *Component) revisionDurable(now time.Duration, revision uint64) {
 	d.spreading = append(d.spreading, written{revision, now})
 	d.spreading = slices.Delete(d.spreading, 0, max(0, len(d.spreading)-writtenMost))
 	for _, c := range d.controllers {
