--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -72,11 +72,11 @@
 	if revision >= d.document.Revision() {
 		c.behindSince = 0
 	}
-	d.spreading = slices.DeleteFunc(d.spreading, func(w written) bool { return d.everywhere(w.revision) })
+	d.spreading = slices.DeleteFunc(d.spreading, func(w written) bool { return d.inForceEverywhere(w.revision) })
 }
 
-// everywhere says whether all controllers have a revision.
-func (d *Component) everywhere(revision uint64) bool {
+// inForceEverywhere says whether all controllers have a revision.
+func (d *Component) inForceEverywhere(revision uint64) bool {
 	for _, c := range d.controllers {
 		if c.revision < revision {
 			return false
