--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -51,8 +51,8 @@
 	return raw, nil
 }
 
-// newest is the last revision that was given out, durable or not.
-func (d *Component) newest() uint64 {
+// newestRevision is the last revision that was given out, durable or not.
+func (d *Component) newestRevision() uint64 {
 	if n := len(d.pending); n > 0 {
 		return d.pending[n-1].Number
 	}
@@ -69,8 +69,8 @@
 	if d.missingRevision > 0 {
 		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("%d was in force and is not in the log any more: see docs/configuration.md", d.missingRevision)}
 	}
-	if in.Revision != d.newest() {
-		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("this was planned for revision %d, and another change has made it %d", in.Revision, d.newest())}
+	if in.Revision != d.newestRevision() {
+		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("this was planned for revision %d, and another change has made it %d", in.Revision, d.newestRevision())}
 	}
 	if err := config.Check(in.Changes, &d.Cfg.Platform); err != nil {
 		return nil, err
