--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -63,7 +63,7 @@
 	if err := config.CheckWords(in.ID, in.Note); err != nil {
 		return nil, err
 	}
-	if a := d.repeated(in.ID); a != nil {
+	if a := d.repeatedAnswer(in.ID); a != nil {
 		return a, nil
 	}
 	if d.missingRevision > 0 {
@@ -111,8 +111,8 @@
 	return a, nil
 }
 
-// repeated answers a change that was made already; nil: it was not.
-func (d *Component) repeated(id string) *Answer {
+// repeatedAnswer answers a change that was made already; nil: it was not.
+func (d *Component) repeatedAnswer(id string) *Answer {
 	same := func(r config.Revision) bool { return r.ID == id }
 	if i := slices.IndexFunc(d.pending, same); i >= 0 {
 		return &Answer{Revision: d.pending[i].Number}
