--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// current is what an item is set to, with what is on its way.
-func (d *Component) current(i config.Item) config.Set {
+// currentSet is what an item is set to, with what is on its way.
+func (d *Component) currentSet(i config.Item) config.Set {
 	s := d.document.Get(i)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
@@ -138,7 +138,7 @@
 
 // prepare completes a change by what stood before, which it gives.
 func (d *Component) prepare(c *config.Change) (config.Set, error) {
-	before := d.current(c.Item)
+	before := d.currentSet(c.Item)
 	if c.Item.Team == "" {
 		return before, nil
 	}
