--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -97,7 +97,7 @@
 	if !d.EventLog.Fits(e) {
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("%d bytes are too many to be stored at once", len(e.Component.Data))}
 	}
-	a := &Answer{Revision: r.Number, Remarks: d.remarks(r.Changes)}
+	a := &Answer{Revision: r.Number, Remarks: d.remarksOn(r.Changes)}
 	if in.DryRun {
 		return a, nil
 	}
@@ -157,8 +157,8 @@
 	return before, nil
 }
 
-// remarks says what changes mean for jobs that are there.
-func (d *Component) remarks(changes []config.Change) (out []string) {
+// remarksOn says what changes mean for jobs that are there.
+func (d *Component) remarksOn(changes []config.Change) (out []string) {
 	for _, c := range changes {
 		if c.Item.Team == "" {
 			if e := settings.EffectOfChange(c.Item.Tunable); e != settings.AtOnce {
