--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -166,14 +166,14 @@
 			}
 			continue
 		}
-		if r := d.remarkTeam(c); r != "" {
+		if r := d.remarkOnTeam(c); r != "" {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func (d *Component) remarkTeam(c config.Change) string {
+func (d *Component) remarkOnTeam(c config.Change) string {
 	index, ok := d.Teams.Lookup(c.Item.Team)
 	if !ok {
 		return ""
