--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -142,7 +142,7 @@
 	if c.Item.Team == "" {
 		return before, nil
 	}
-	t, known := d.teamAt(c.Item.Team, before.Value)
+	t, known := d.teamWith(c.Item.Team, before.Value)
 	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.AsSettings() && !inSettings {
 		c.Value.Removed = true // the settings say that there is no such team
 	}
@@ -178,7 +178,7 @@
 	if !ok {
 		return ""
 	}
-	t, known := d.teamAt(c.Item.Team, c.Value)
+	t, known := d.teamWith(c.Item.Team, c.Value)
 	open, never := 0, 0
 	for _, j := range d.Jobs.All() {
 		if j == nil || j.Team != index || j.Phase == jobs.Done || j.Phase == jobs.Cancelled {
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -152,7 +152,7 @@
 
 // applyTeam has a team's limits in force: of what is durable and what is on its way the lower.
 func (d *Component) applyTeam(name string) {
-	t, known := d.teamAt(name, d.document.Get(config.Item{Team: name}).Value)
+	t, known := d.teamWith(name, d.document.Get(config.Item{Team: name}).Value)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
 			if c.Item.Team == name && c.Value.Limits != nil {
@@ -168,8 +168,8 @@
 	}
 }
 
-// teamAt is what a team has by a value, and whether it may submit.
-func (d *Component) teamAt(name string, v config.Value) (settings.Team, bool) {
+// teamWith is what a team has by a value, and whether it may submit.
+func (d *Component) teamWith(name string, v config.Value) (settings.Team, bool) {
 	if v.Limits != nil {
 		return v.Limits.Team(name), !v.Removed
 	}
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -94,7 +94,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		s := d.document.Get(config.Item{Team: name})
-		t, known := d.teamAt(name, s.Value)
+		t, known := d.teamWith(name, s.Value)
 		v.Teams = append(v.Teams, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsOf(t)})
 	}
 	for _, key := range settings.LiveTunables() {
