--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -11,7 +11,7 @@
 
 // controller is what the leader knows of the configuration that another one has.
 type controller struct {
-	heard       time.Duration // when it last said so, 0: never in this term
+	heardAt     time.Duration // when it last said so, 0: never in this term
 	revision    uint64
 	since       time.Duration // when it was first heard to have it
 	behindSince time.Duration // since when it lacks something; 0: it lacks nothing
@@ -60,15 +60,15 @@
 	if revision > d.document.Revision() {
 		d.noteMissing(revision)
 	}
-	if revision != c.revision || c.heard == 0 {
+	if revision != c.revision || c.heardAt == 0 {
 		c.since = now
 	}
 	for _, w := range d.spreading {
-		if w.revision > c.revision && w.revision <= revision && c.heard > 0 {
+		if w.revision > c.revision && w.revision <= revision && c.heardAt > 0 {
 			d.propagation.Observe(name, (now - w.at).Seconds())
 		}
 	}
-	c.heard, c.revision = now, revision
+	c.heardAt, c.revision = now, revision
 	if revision >= d.document.Revision() {
 		c.behindSince = 0
 	}
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -80,7 +80,7 @@
 	v.Controllers = []Controller{{Name: d.Cfg.Node, Leads: true, Heard: true, Revision: v.Revision, SinceS: d.sinceS(now)}}
 	for _, name := range slices.Sorted(maps.Keys(d.controllers)) {
 		c := d.controllers[name]
-		x := Controller{Name: name, Heard: c.heard > 0, Revision: c.revision, LagS: c.lag(now)}
+		x := Controller{Name: name, Heard: c.heardAt > 0, Revision: c.revision, LagS: c.lag(now)}
 		if x.Heard {
 			x.SinceS = (now - c.since).Seconds()
 		}
