--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -13,7 +13,7 @@
 type controller struct {
 	heardAt     time.Duration // when it last said so, 0: never in this term
 	revision    uint64
-	since       time.Duration // when it was first heard to have it
+	hasSince    time.Duration // when it was first heard to have it
 	behindSince time.Duration // since when it lacks something; 0: it lacks nothing
 }
 
@@ -61,7 +61,7 @@
 		d.noteMissing(revision)
 	}
 	if revision != c.revision || c.heardAt == 0 {
-		c.since = now
+		c.hasSince = now
 	}
 	for _, w := range d.spreading {
 		if w.revision > c.revision && w.revision <= revision && c.heardAt > 0 {
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -82,7 +82,7 @@
 		c := d.controllers[name]
 		x := Controller{Name: name, Heard: c.heardAt > 0, Revision: c.revision, LagS: c.lag(now)}
 		if x.Heard {
-			x.SinceS = (now - c.since).Seconds()
+			x.SinceS = (now - c.hasSince).Seconds()
 		}
 		v.Controllers = append(v.Controllers, x)
 	}
