--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -29,7 +29,7 @@
 }
 
 // queuedMost bounds the entries that wait to be written when a change is taken.
-const queuedMost = 2000
+const maxQueuedEntries = 2000
 
 // pendingMost bounds the changes that wait to be durable.
 const pendingMost = 64
@@ -75,7 +75,7 @@
 	if err := config.Check(in.Changes, &d.Cfg.Platform); err != nil {
 		return nil, err
 	}
-	if len(d.pending) >= pendingMost || d.EventLog.Pending() > queuedMost {
+	if len(d.pending) >= pendingMost || d.EventLog.Pending() > maxQueuedEntries {
 		return nil, &settings.FieldError{Field: "changes", Why: "too many wait to be written: try again"}
 	}
 	r := config.Revision{Number: in.Revision + 1, ID: in.ID, By: by, AtMS: d.ClockZeroMS + now.Milliseconds(), Note: in.Note, Changes: slices.Clone(in.Changes)}
