--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -32,7 +32,7 @@
 const maxQueuedEntries = 2000
 
 // pendingMost bounds the changes that wait to be durable.
-const pendingMost = 64
+const maxPending = 64
 
 // ChangeBy does what an operator asks.
 func (d *Component) ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error) {
@@ -75,7 +75,7 @@
 	if err := config.Check(in.Changes, &d.Cfg.Platform); err != nil {
 		return nil, err
 	}
-	if len(d.pending) >= pendingMost || d.EventLog.Pending() > maxQueuedEntries {
+	if len(d.pending) >= maxPending || d.EventLog.Pending() > maxQueuedEntries {
 		return nil, &settings.FieldError{Field: "changes", Why: "too many wait to be written: try again"}
 	}
 	r := config.Revision{Number: in.Revision + 1, ID: in.ID, By: by, AtMS: d.ClockZeroMS + now.Milliseconds(), Note: in.Note, Changes: slices.Clone(in.Changes)}
