--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -25,7 +25,7 @@
 
 // writtenMost bounds the revisions that are not in force everywhere: a controller may be down for
 // long.
-const writtenMost = 1000
+const maxSpreading = 1000
 
 // inForceBounds are the buckets, in seconds, of how long a change takes to be in force.
 var inForceBounds = []float64{0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 11, 20, 60}
@@ -33,7 +33,7 @@
 // revisionDurable notes that a revision is durable, and who lacks it now.
 func (d *Component) revisionDurable(now time.Duration, revision uint64) {
 	d.spreading = append(d.spreading, written{revision, now})
-	d.spreading = slices.Delete(d.spreading, 0, max(0, len(d.spreading)-writtenMost))
+	d.spreading = slices.Delete(d.spreading, 0, max(0, len(d.spreading)-maxSpreading))
 	for _, c := range d.controllers {
 		if c.behindSince == 0 {
 			c.behindSince = now
