--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -156,8 +156,8 @@
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
 			if c.Item.Team == name && c.Value.Limits != nil {
-				t.CPUsMax = lower(t.CPUsMax, c.Value.Limits.CPUsMax)
-				t.GPUsMax = lower(t.GPUsMax, c.Value.Limits.GPUsMax)
+				t.CPUsMax = lowerLimit(t.CPUsMax, c.Value.Limits.CPUsMax)
+				t.GPUsMax = lowerLimit(t.GPUsMax, c.Value.Limits.GPUsMax)
 			}
 		}
 	}
@@ -178,8 +178,8 @@
 	return t, known && !v.Removed
 }
 
-// lower is the lower of two limits, of which 0 is none.
-func lower(a, b float64) float64 {
+// lowerLimit is the lower of two limits, of which 0 is none.
+func lowerLimit(a, b float64) float64 {
 	if a == 0 || b == 0 {
 		return a + b
 	}
