--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -161,7 +161,7 @@
 			}
 		}
 	}
-	t.CPUs, t.GPUs = guaranteed(t.CPUs, t.CPUsMax), guaranteed(t.GPUs, t.GPUsMax)
+	t.CPUs, t.GPUs = capGuarantee(t.CPUs, t.CPUsMax), capGuarantee(t.GPUs, t.GPUsMax)
 	d.SetTeam(t)
 	if !known {
 		d.RemoveTeam(name)
@@ -186,8 +186,8 @@
 	return min(a, b)
 }
 
-// guaranteed is a guarantee that does not go beyond a limit, of which 0 is none.
-func guaranteed(v, limit float64) float64 {
+// capGuarantee is a guarantee that does not go beyond a limit, of which 0 is none.
+func capGuarantee(v, limit float64) float64 {
 	if limit == 0 {
 		return v
 	}
