--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -189,7 +189,7 @@
 		if j.Record.Kind != jobs.Array {
 			all = all.Times(j.Record.Tasks)
 		}
-		if (t.CPUsMax > 0 && all.CPUs() > t.CPUsMax) || (t.GPUsMax > 0 && float64(all.GPU)/milli > t.GPUsMax) {
+		if (t.CPUsMax > 0 && all.CPUs() > t.CPUsMax) || (t.GPUsMax > 0 && float64(all.GPU)/unitsPerGPU > t.GPUsMax) {
 			never++
 		}
 	}
@@ -206,4 +206,4 @@
 }
 
 // milli is how many parts amounts count of one accelerator.
-const milli = 1000
+const unitsPerGPU = 1000
