--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -93,7 +93,7 @@
 	if d.document.Len()+added > config.MostItems {
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("more than %d things would have been changed", config.MostItems)}
 	}
-	e := eventlog.NewComponentEntry(Name, stored{Revision: &r})
+	e := eventlog.NewComponentEntry(Name, storedEntry{Revision: &r})
 	if !d.EventLog.Fits(e) {
 		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("%d bytes are too many to be stored at once", len(e.Component.Data))}
 	}
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -22,8 +22,8 @@
 // Name is that of the duty and of its entries.
 const Name = "config"
 
-// stored is an entry: a revision, or what is still set by those that are not remembered any more.
-type stored struct {
+// storedEntry is an entry: a revision, or what is still set by those that are not remembered any more.
+type storedEntry struct {
 	Revision *config.Revision `json:"r,omitempty"`
 	Sets     []config.Set     `json:"s,omitempty"`
 }
@@ -61,7 +61,7 @@
 	return d
 }
 
-func decode(e eventlog.Entry) (x stored, ok bool) {
+func decode(e eventlog.Entry) (x storedEntry, ok bool) {
 	return x, e.Component != nil && e.Component.Duty == Name && json.Unmarshal(e.Component.Data, &x) == nil
 }
 
@@ -245,10 +245,10 @@
 func (d *Component) CompactionDone() {
 	for len(d.compactedSets) > 0 {
 		n := len(d.compactedSets)
-		for n > 1 && !d.EventLog.Fits(eventlog.NewComponentEntry(Name, stored{Sets: d.compactedSets[:n]})) {
+		for n > 1 && !d.EventLog.Fits(eventlog.NewComponentEntry(Name, storedEntry{Sets: d.compactedSets[:n]})) {
 			n /= 2
 		}
-		d.EventLog.Append(eventlog.NewComponentEntry(Name, stored{Sets: d.compactedSets[:n]}))
+		d.EventLog.Append(eventlog.NewComponentEntry(Name, storedEntry{Sets: d.compactedSets[:n]}))
 		d.compactedSets = d.compactedSets[n:]
 	}
 	d.compactedSets = nil
