--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -44,7 +44,7 @@
 	liveBytes       int               // of what Keep would write for the whole log
 
 	controllers map[string]*controller
-	spreading   []written // revisions that are not in force everywhere yet, oldest first
+	spreading   []durableRevision // revisions that are not in force everywhere yet, oldest first
 	propagation *cluster.Histogram
 }
 
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -17,8 +17,8 @@
 	behindSince time.Duration // since when it lacks something; 0: it lacks nothing
 }
 
-// written is a revision that is durable.
-type written struct {
+// durableRevision is a revision that is durable.
+type durableRevision struct {
 	revision uint64
 	at       time.Duration
 }
@@ -32,7 +32,7 @@
 
 // revisionDurable notes that a revision is durable, and who lacks it now.
 func (d *Component) revisionDurable(now time.Duration, revision uint64) {
-	d.spreading = append(d.spreading, written{revision, now})
+	d.spreading = append(d.spreading, durableRevision{revision, now})
 	d.spreading = slices.Delete(d.spreading, 0, max(0, len(d.spreading)-maxSpreading))
 	for _, c := range d.controllers {
 		if c.behindSince == 0 {
@@ -72,7 +72,7 @@
 	if revision >= d.document.Revision() {
 		c.behindSince = 0
 	}
-	d.spreading = slices.DeleteFunc(d.spreading, func(w written) bool { return d.inForceEverywhere(w.revision) })
+	d.spreading = slices.DeleteFunc(d.spreading, func(w durableRevision) bool { return d.inForceEverywhere(w.revision) })
 }
 
 // inForceEverywhere says whether all controllers have a revision.
