--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -13,8 +13,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// bench is a duty with a log of its own.
-type bench struct {
+// fixture is a duty with a log of its own.
+type fixture struct {
 	*Component
 	t       *testing.T
 	now     time.Duration
@@ -23,13 +23,13 @@
 	replica config.Replica
 }
 
-func newBench(t *testing.T, remember int, entries []eventlog.Entry) *bench {
+func newBench(t *testing.T, remember int, entries []eventlog.Entry) *fixture {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Tunables.ConfigHistory = remember
 	cfg.Deployment.Teams = []settings.Team{{Name: "red", CPUs: 2, CPUsMax: 10}}
 	cfg.Deployment.State.WriteRPS, cfg.Deployment.State.ValueKB, cfg.Deployment.State.TxnOps = 100, 8, 12
-	b := &bench{t: t, now: time.Second}
+	b := &fixture{t: t, now: time.Second}
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}, Config: &b.replica})
 	s.EventLog = newLog(0)
 	b.Component = New(s)
@@ -47,7 +47,7 @@
 }
 
 // commit has everything that waits become durable.
-func (b *bench) commit() {
+func (b *fixture) commit() {
 	b.t.Helper()
 	for b.EventLog.Pending() > 0 {
 		b.now += 100 * time.Millisecond
@@ -72,7 +72,7 @@
 	}
 }
 
-func (b *bench) ask(r Request) (Answer, error) {
+func (b *fixture) ask(r Request) (Answer, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
 		b.t.Fatal(err)
@@ -89,7 +89,7 @@
 	return config.Change{Item: config.Item{Team: team}, Value: config.Value{Limits: &config.Limits{CPUsMax: most}}}
 }
 
-func (b *bench) limit(team string) float64 {
+func (b *fixture) limit(team string) float64 {
 	i, _ := b.Teams.Lookup(team)
 	return float64(b.Scheduler.Limits[i].CPU) / unitsPerGPU
 }
