--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -23,7 +23,7 @@
 	replica config.Replica
 }
 
-func newBench(t *testing.T, remember int, entries []eventlog.Entry) *fixture {
+func newFixture(t *testing.T, remember int, entries []eventlog.Entry) *fixture {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Tunables.ConfigHistory = remember
@@ -96,7 +96,7 @@
 
 // A change is made once, for the revision that was seen, whole or not at all.
 func TestChange(t *testing.T) {
-	b := newBench(t, 8, nil)
+	b := newFixture(t, 8, nil)
 	first := Request{ID: "a", Changes: []config.Change{limitTo("red", 20), limitTo("blue", 5)}}
 	dry := first
 	dry.DryRun = true
@@ -134,7 +134,7 @@
 // Going back to before a team came to be removes it: the settings say nothing of it. Before, a
 // rollback over such a revision was refused.
 func TestBackToBeforeATeam(t *testing.T) {
-	b := newBench(t, 8, nil)
+	b := newFixture(t, 8, nil)
 	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("blue", 5)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 
 // A lower limit counts from when it is written, a higher one once it is durable.
 func TestLimitsOnTheirWay(t *testing.T) {
-	b := newBench(t, 8, nil)
+	b := newFixture(t, 8, nil)
 	ask := func(id string, seen uint64, most float64) {
 		t.Helper()
 		if _, err := b.ask(Request{ID: id, Revision: seen, Changes: []config.Change{limitTo("red", most)}}); err != nil {
@@ -182,7 +182,7 @@
 
 // What was set long ago outlives the cleaning of the log, and its revision is not remembered.
 func TestCleaningKeepsWhatIsSet(t *testing.T) {
-	b := newBench(t, 2, nil)
+	b := newFixture(t, 2, nil)
 	v := 77.0
 	for i := range uint64(9) {
 		c := limitTo(fmt.Sprint("team-", i%4), float64(10+i))
@@ -203,7 +203,7 @@
 	}
 	b.CompactionDone()
 	b.commit()
-	next := newBench(t, 2, b.entries)
+	next := newFixture(t, 2, b.entries)
 	if next.document.Revision() != 9 || len(next.history) != 2 || next.Cfg.Tunables.IdleReturnS != v {
 		t.Errorf("revision %d, %d remembered, idle_return %v", next.document.Revision(), len(next.history), next.Cfg.Tunables.IdleReturnS)
 	}
@@ -219,7 +219,7 @@
 
 // A leader whose log lacks what was in force changes nothing more.
 func TestLostRevision(t *testing.T) {
-	b := newBench(t, 8, nil)
+	b := newFixture(t, 8, nil)
 	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("red", 4)}}); err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 
 // A controller is told what it lacks, and is behind until it has it.
 func TestControllers(t *testing.T) {
-	b := newBench(t, 8, nil)
+	b := newFixture(t, 8, nil)
 	b.Acknowledged(b.now, "n1", 0)
 	for i := range uint64(3) {
 		if _, err := b.ask(Request{ID: fmt.Sprint(i), Revision: i, Changes: []config.Change{limitTo(fmt.Sprint("t", i), 4)}}); err != nil {
