--- a/internal/leader/pools/store.go
+++ b/internal/leader/pools/store.go
@@ -80,7 +80,8 @@
 	for _, v := range list {
 		if err := d.restoreValue(v); err != nil {
 			s.unreadableKey = v.Key
-			d.LogMessage(effects.Error, "what was changed of pools cannot be read: no units are given out", "key", v.Key, "error", err)
+			d.LogMessage(effects.Error, "what was changed of pools cannot be read: no units are given out",
+				"key", v.Key, "error", err)
 		}
 	}
 	if s.writable() {
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -12,7 +12,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// Request is a change that an operator asks for. It carries an id: a repeat answers the same.
+// Request is a change that an operator asks for. It is idempotent by its id: a repeat is
+// answered alike.
 type Request struct {
 	ID       string          `json:"id"`
 	Revision uint64          `json:"revision"` // that the operator saw; another one since is refused
@@ -21,20 +22,21 @@
 	DryRun   bool            `json:"dry_run,omitempty"` // it is checked, and nothing is changed
 }
 
-// Answer is what became of a change. Until it is durable the same one is to be asked for again.
+// Answer is what became of a change. Until it is durable the same one is to be asked for
+// again.
 type Answer struct {
 	Durable  bool     `json:"durable"`
 	Revision uint64   `json:"revision"`
 	Remarks  []string `json:"remarks,omitempty"` // what it means for what is there
 }
 
-// queuedMost bounds the entries that wait to be written when a change is taken.
-const maxQueuedEntries = 2000
-
-// pendingMost bounds the changes that wait to be durable.
-const maxPending = 64
+const (
+	maxQueuedEntries = 2000 // that wait to be written when a change is accepted
+	maxPending       = 64   // changes that are not durable yet
+)
 
-// ChangeBy does what an operator asks.
+// ChangeBy applies a Request of an operator and returns an Answer, as JSON. What is wrong
+// with a request is a *settings.FieldError, as far as it is of one of its fields.
 func (d *Component) ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error) {
 	var in Request
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -51,7 +53,7 @@
 	return raw, nil
 }
 
-// newestRevision is the last revision that was given out, durable or not.
+// newestRevision is the last revision that was made, durable or not.
 func (d *Component) newestRevision() uint64 {
 	if n := len(d.pending); n > 0 {
 		return d.pending[n-1].Number
@@ -59,6 +61,7 @@
 	return d.document.Revision()
 }
 
+// change checks a request as a whole before anything is changed.
 func (d *Component) change(now time.Duration, by string, in *Request) (*Answer, error) {
 	if err := config.CheckWords(in.ID, in.Note); err != nil {
 		return nil, err
@@ -66,19 +69,64 @@
 	if a := d.repeatedAnswer(in.ID); a != nil {
 		return a, nil
 	}
+	if err := d.checkRequest(in); err != nil {
+		return nil, err
+	}
+	r, err := d.prepareRevision(now, by, in)
+	if err != nil {
+		return nil, err
+	}
+	e := eventlog.NewComponentEntry(Name, storedEntry{Revision: r})
+	if !d.EventLog.Fits(e) {
+		return nil, fieldError("changes", "%d bytes are too many to be stored at once", len(e.Component.Data))
+	}
+	a := &Answer{Revision: r.Number, Remarks: d.remarksOn(r.Changes)}
+	if in.DryRun {
+		return a, nil
+	}
+	d.EventLog.AppendTracked(e)
+	d.pending = append(d.pending, *r)
+	for _, c := range r.Changes {
+		if c.Item.Team != "" {
+			d.applyTeam(c.Item.Team) // a lower limit counts from now on
+		}
+	}
+	return a, nil
+}
+
+func fieldError(field, format string, args ...any) error {
+	return &settings.FieldError{Field: field, Why: fmt.Sprintf(format, args...)}
+}
+
+// checkRequest says what is wrong with a request: with its revision, or a change by itself.
+func (d *Component) checkRequest(in *Request) error {
 	if d.missingRevision > 0 {
-		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("%d was in force and is not in the log any more: see docs/configuration.md", d.missingRevision)}
+		return fieldError("revision", "%d was in force and is not in the log any more: see docs/configuration.md",
+			d.missingRevision)
 	}
-	if in.Revision != d.newestRevision() {
-		return nil, &settings.FieldError{Field: "revision", Why: fmt.Sprintf("this was planned for revision %d, and another change has made it %d", in.Revision, d.newestRevision())}
+	if newest := d.newestRevision(); in.Revision != newest {
+		return fieldError("revision", "this was planned for revision %d, and another change has made it %d",
+			in.Revision, newest)
 	}
 	if err := config.Check(in.Changes, &d.Cfg.Platform); err != nil {
-		return nil, err
+		return err
 	}
 	if len(d.pending) >= maxPending || d.EventLog.Pending() > maxQueuedEntries {
-		return nil, &settings.FieldError{Field: "changes", Why: "too many wait to be written: try again"}
+		return fieldError("changes", "too many wait to be written: try again")
+	}
+	return nil
+}
+
+// prepareRevision makes the revision of a request, with what stood before its changes.
+func (d *Component) prepareRevision(now time.Duration, by string, in *Request) (*config.Revision, error) {
+	r := &config.Revision{
+		Number:  in.Revision + 1,
+		ID:      in.ID,
+		By:      by,
+		AtMS:    d.ClockZeroMS + now.Milliseconds(),
+		Note:    in.Note,
+		Changes: slices.Clone(in.Changes),
 	}
-	r := config.Revision{Number: in.Revision + 1, ID: in.ID, By: by, AtMS: d.ClockZeroMS + now.Milliseconds(), Note: in.Note, Changes: slices.Clone(in.Changes)}
 	added := 0
 	for i := range r.Changes {
 		before, err := d.prepare(&r.Changes[i])
@@ -91,24 +139,9 @@
 		}
 	}
 	if d.document.Len()+added > config.MostItems {
-		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("more than %d things would have been changed", config.MostItems)}
-	}
-	e := eventlog.NewComponentEntry(Name, storedEntry{Revision: &r})
-	if !d.EventLog.Fits(e) {
-		return nil, &settings.FieldError{Field: "changes", Why: fmt.Sprintf("%d bytes are too many to be stored at once", len(e.Component.Data))}
-	}
-	a := &Answer{Revision: r.Number, Remarks: d.remarksOn(r.Changes)}
-	if in.DryRun {
-		return a, nil
+		return nil, fieldError("changes", "more than %d things would have been changed", config.MostItems)
 	}
-	d.EventLog.AppendTracked(e)
-	d.pending = append(d.pending, r)
-	for _, c := range r.Changes {
-		if c.Item.Team != "" {
-			d.applyTeam(c.Item.Team) // a lower limit counts from now on
-		}
-	}
-	return a, nil
+	return r, nil
 }
 
 // repeatedAnswer answers a change that was made already; nil: it was not.
@@ -123,7 +156,7 @@
 	return nil
 }
 
-// currentSet is what an item is set to, with what is on its way.
+// currentSet is what an item is set to, by revisions that are not durable yet too.
 func (d *Component) currentSet(i config.Item) config.Set {
 	s := d.document.Get(i)
 	for _, r := range d.pending {
@@ -136,7 +169,7 @@
 	return s
 }
 
-// prepare completes a change by what stood before, which it gives.
+// prepare completes a change by what stood before, and returns that.
 func (d *Component) prepare(c *config.Change) (config.Set, error) {
 	before := d.currentSet(c.Item)
 	if c.Item.Team == "" {
@@ -150,7 +183,7 @@
 		return before, nil
 	}
 	if !known {
-		return before, &settings.FieldError{Field: c.Item.String(), Why: "there is no such team"}
+		return before, fieldError(c.Item.String(), "there is no such team")
 	}
 	l := config.LimitsOf(t) // its open jobs go on under the limit that it had
 	c.Value.Limits = &l
@@ -173,37 +206,47 @@
 	return out
 }
 
+// remarkOnTeam says what a change of a team means for its open jobs; empty: nothing.
 func (d *Component) remarkOnTeam(c config.Change) string {
 	index, ok := d.Teams.Lookup(c.Item.Team)
 	if !ok {
 		return ""
 	}
 	t, known := d.teamWith(c.Item.Team, c.Value)
-	open, never := 0, 0
-	for _, j := range d.Jobs.All() {
-		if j == nil || j.Team != index || j.Phase == jobs.Done || j.Phase == jobs.Cancelled {
-			continue
-		}
-		open++
-		all := j.Need
-		if j.Record.Kind != jobs.Array {
-			all = all.Times(j.Record.Tasks)
-		}
-		if (t.CPUsMax > 0 && all.CPUs() > t.CPUsMax) || (t.GPUsMax > 0 && float64(all.GPU)/unitsPerGPU > t.GPUsMax) {
-			never++
-		}
-	}
+	open, tooLarge := d.countOpenJobs(index, t)
 	use := d.Scheduler.Use(index)
 	switch {
 	case !known:
 		return fmt.Sprintf("%s: %d open jobs go on, and no new one is taken", c.Item, open)
-	case never > 0:
-		return fmt.Sprintf("%s: %d of %d open jobs need more than its limit, and wait until it is raised", c.Item, never, open)
+	case tooLarge > 0:
+		return fmt.Sprintf("%s: %d of %d open jobs need more than its limit, and wait until it is raised", c.Item, tooLarge, open)
 	case t.CPUsMax > 0 && use.CPUs() > t.CPUsMax:
-		return fmt.Sprintf("%s: %.1f processors are in use; what runs goes on, and nothing starts above %.1f", c.Item, use.CPUs(), t.CPUsMax)
+		return fmt.Sprintf("%s: %.1f processors are in use; what runs goes on, and nothing starts above %.1f",
+			c.Item, use.CPUs(), t.CPUsMax)
 	}
 	return ""
 }
 
-// milli is how many parts amounts count of one accelerator.
+// unitsPerGPU is how many parts amounts count of one accelerator.
 const unitsPerGPU = 1000
+
+// countOpenJobs counts a team's open jobs, and those of them of which one start needs more
+// than the team's limit.
+func (d *Component) countOpenJobs(team int32, limits settings.Team) (open, tooLarge int) {
+	for _, j := range d.Jobs.All() {
+		if j == nil || j.Team != team || j.Phase == jobs.Done || j.Phase == jobs.Cancelled {
+			continue
+		}
+		open++
+		need := j.Need
+		if j.Record.Kind != jobs.Array {
+			need = need.Times(j.Record.Tasks)
+		}
+		overCPUs := limits.CPUsMax > 0 && need.CPUs() > limits.CPUsMax
+		overGPUs := limits.GPUsMax > 0 && float64(need.GPU)/unitsPerGPU > limits.GPUsMax
+		if overCPUs || overGPUs {
+			tooLarge++
+		}
+	}
+	return open, tooLarge
+}
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -1,10 +1,11 @@
-// Package reconfig is the duty of a leader that changes the configuration while controllers run:
-// teams, and tunables that are read each time they are used. docs/configuration.md is its design
-// note and the operators' page.
+// Package reconfig is the component of a leader's term that changes the configuration while
+// controllers run: teams, and tunables that are read each time they are used.
+// docs/configuration.md has the design and the operators' page.
 //
-// One entry of the log is one revision, with all its changes, so that it is durable whole or not
-// at all, before anybody is told. A lower limit counts from when it is handed to the log, a
-// higher one once it is durable: whoever leads next never allows less than what was started.
+// One entry of the log is one revision, with all its changes, so that it is durable whole or
+// not at all, before anybody is told. A lower limit counts from when it is handed to the
+// log, a higher one once it is durable: whoever leads next never allows less than what was
+// started.
 package reconfig
 
 import (
@@ -19,10 +20,11 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is that of the duty and of its entries.
+// Name is that of the component and of its entries.
 const Name = "config"
 
-// storedEntry is an entry: a revision, or what is still set by those that are not remembered any more.
+// storedEntry is an entry: a revision, or what is still set by revisions that are not in the
+// history any more.
 type storedEntry struct {
 	Revision *config.Revision `json:"r,omitempty"`
 	Sets     []config.Set     `json:"s,omitempty"`
@@ -32,40 +34,55 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	historyLimit     int               // revisions
-	settingsTunables settings.Tunables // as the settings say
+
+	// From the settings.
+	historyLimit     int // revisions
+	settingsTunables settings.Tunables
 	settingsTeams    map[string]settings.Team
 
+	// Revisions.
 	document        config.Document   // what is durable
 	history         []config.Revision // the last ones that are durable, oldest first, without gaps
-	pending         []config.Revision // on their way, oldest first
-	missingRevision uint64            // a revision that was in force and is not in the log; 0: none
-	compactedSets   []config.Set      // to be written anew in the cleaning under way
-	liveBytes       int               // of what Keep would write for the whole log
+	pending         []config.Revision // not durable yet, oldest first
+	missingRevision uint64            // one that was in force and is not in the log; 0: none
+
+	// Compaction of the log.
+	compactedSets []config.Set // to be written anew by the compaction that is going on
+	liveBytes     int          // roughly what Compact would write for the whole log
 
+	// Other controllers.
 	controllers map[string]*controller
-	spreading   []durableRevision // revisions that are not in force everywhere yet, oldest first
+	spreading   []durableRevision // not in force everywhere yet, oldest first
 	propagation *cluster.Histogram
 }
 
-// New makes the duty of a term.
+// New makes the component of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, historyLimit: s.Cfg.Tunables.ConfigHistory, settingsTunables: s.Cfg.Tunables, settingsTeams: map[string]settings.Team{}, controllers: map[string]*controller{}}
+	d := &Component{
+		State:            s,
+		historyLimit:     s.Cfg.Tunables.ConfigHistory,
+		settingsTunables: s.Cfg.Tunables,
+		settingsTeams:    map[string]settings.Team{},
+		controllers:      map[string]*controller{},
+		propagation: s.Metrics.Histogram("bitternmoor_config_in_force_seconds",
+			"From when a change of the configuration was durable until a controller had it in force.",
+			"controller", propagationBounds),
+	}
 	for _, t := range s.Cfg.Deployment.Teams {
 		d.settingsTeams[t.Name] = t
 	}
 	for _, p := range s.Cfg.Peers {
 		d.controllers[p.Node] = &controller{}
 	}
-	d.propagation = s.Metrics.Histogram("bitternmoor_config_in_force_seconds", "From when a change of the configuration was durable until a controller had it in force.", "controller", inForceBounds)
 	return d
 }
 
+// decode decodes an entry of the component's own; false: it is of another kind.
 func decode(e eventlog.Entry) (x storedEntry, ok bool) {
 	return x, e.Component != nil && e.Component.Duty == Name && json.Unmarshal(e.Component.Data, &x) == nil
 }
 
-// Replay takes what is set. While the log is cleaned an entry may be there twice.
+// Replay applies an entry. While the log is compacted an entry may be there twice.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok {
@@ -79,10 +96,11 @@
 	}
 }
 
-// addRevision takes a durable revision.
+// addRevision applies a durable revision.
 func (d *Component) addRevision(r config.Revision) {
 	d.document.Apply(&r)
-	i, known := slices.BinarySearchFunc(d.history, r.Number, func(o config.Revision, n uint64) int { return int(o.Number) - int(n) })
+	byNumber := func(o config.Revision, n uint64) int { return int(o.Number) - int(n) }
+	i, known := slices.BinarySearchFunc(d.history, r.Number, byNumber)
 	if known {
 		return
 	}
@@ -90,7 +108,7 @@
 	d.history = slices.Delete(d.history, 0, max(0, len(d.history)-d.historyLimit))
 }
 
-// Begin has in force what is set.
+// Begin puts in force what is set.
 func (d *Component) Begin(now time.Duration) {
 	for _, s := range d.document.All() {
 		d.apply(s.Item)
@@ -113,10 +131,11 @@
 		return
 	}
 	d.missingRevision = revision
-	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed", "revision", d.document.Revision(), "was", revision)
+	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed",
+		"revision", d.document.Revision(), "was", revision)
 }
 
-// EntryDurable has a revision in force.
+// EntryDurable puts a revision in force.
 func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok || x.Revision == nil {
@@ -133,10 +152,11 @@
 		d.Config.Store(now, &d.document)
 	}
 	d.revisionDurable(now, r.Number)
-	d.LogMessage(effects.Info, "the configuration has changed", "revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
+	d.LogMessage(effects.Info, "the configuration has changed",
+		"revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
 }
 
-// apply has an item in force as it is set.
+// apply puts an item in force as it is set.
 func (d *Component) apply(i config.Item) {
 	if i.Team != "" {
 		d.applyTeam(i.Team)
@@ -150,7 +170,8 @@
 	d.NeedsCycle = true
 }
 
-// applyTeam has a team's limits in force: of what is durable and what is on its way the lower.
+// applyTeam puts a team's limits in force: the lower ones of what is durable and what is not
+// yet.
 func (d *Component) applyTeam(name string) {
 	t, known := d.teamWith(name, d.document.Get(config.Item{Team: name}).Value)
 	for _, r := range d.pending {
@@ -168,7 +189,7 @@
 	}
 }
 
-// teamWith is what a team has by a value, and whether it may submit.
+// teamWith is a team with a value, and whether it may submit jobs.
 func (d *Component) teamWith(name string, v config.Value) (settings.Team, bool) {
 	if v.Limits != nil {
 		return v.Limits.Team(name), !v.Removed
@@ -178,7 +199,7 @@
 	return t, known && !v.Removed
 }
 
-// lowerLimit is the lower of two limits, of which 0 is none.
+// lowerLimit is the lower of two limits; 0 is no limit.
 func lowerLimit(a, b float64) float64 {
 	if a == 0 || b == 0 {
 		return a + b
@@ -186,7 +207,7 @@
 	return min(a, b)
 }
 
-// capGuarantee is a guarantee that does not go beyond a limit, of which 0 is none.
+// capGuarantee is a guarantee that does not go beyond a limit; 0 is no limit.
 func capGuarantee(v, limit float64) float64 {
 	if limit == 0 {
 		return v
@@ -194,7 +215,7 @@
 	return min(v, limit)
 }
 
-// updateLiveBytes reckons what Keep would write.
+// updateLiveBytes estimates what Compact would write.
 func (d *Component) updateLiveBytes() {
 	d.liveBytes = d.document.Len() * setBytes
 	for i := range d.history {
@@ -208,15 +229,15 @@
 	revisionBytes = 120
 )
 
-// LiveBytes is roughly how many bytes Keep would write for the whole log.
+// LiveBytes is roughly how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return d.liveBytes }
 
-// remembers says whether a revision is in the history.
+// remembers reports whether a revision is in the history.
 func (d *Component) remembers(revision uint64) bool {
 	return len(d.history) > 0 && revision >= d.history[0].Number
 }
 
-// Compact writes revisions anew that are remembered, and gathers what others have set.
+// Compact writes revisions anew that are in the history, and gathers what others have set.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	switch {
@@ -234,7 +255,8 @@
 	}
 }
 
-// gatherSet notes an item that is still set as it was, by a revision that is not remembered.
+// gatherSet notes an item that is still set as it was, by a revision that is not in the
+// history.
 func (d *Component) gatherSet(s config.Set) {
 	if d.document.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
 		d.compactedSets = append(d.compactedSets, s)
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -49,13 +49,14 @@
 	Effect   settings.Effect `json:"effect"`
 }
 
-// Views of the duty.
+// Views of the component, beside the empty one.
 const (
 	ViewHistory = "history"
 	ViewHere    = "here" // what one controller has; answered by it alone
 )
 
-// Show gives the configuration, or its history, the newest revision first.
+// Show returns, as JSON, the configuration as a View, or with ViewHistory its history, the
+// newest revision first.
 func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	var out any
 	switch view {
@@ -76,36 +77,64 @@
 }
 
 func (d *Component) view(now time.Duration) View {
-	v := View{Revision: d.document.Revision(), Pending: len(d.pending), Missing: d.missingRevision, Tunables: []Tunable{}, Teams: []Team{}}
-	v.Controllers = []Controller{{Name: d.Cfg.Node, Leads: true, Heard: true, Revision: v.Revision, SinceS: d.sinceS(now)}}
+	return View{
+		Revision:    d.document.Revision(),
+		Pending:     len(d.pending),
+		Missing:     d.missingRevision,
+		Controllers: d.controllerViews(now),
+		Teams:       d.teamViews(),
+		Tunables:    d.tunableViews(),
+	}
+}
+
+// controllerViews are this controller, then the others by name.
+func (d *Component) controllerViews(now time.Duration) []Controller {
+	self := Controller{Name: d.Cfg.Node, Leads: true, Heard: true, Revision: d.document.Revision(), SinceS: d.sinceS(now)}
+	views := []Controller{self}
 	for _, name := range slices.Sorted(maps.Keys(d.controllers)) {
 		c := d.controllers[name]
-		x := Controller{Name: name, Heard: c.heardAt > 0, Revision: c.revision, LagS: c.lag(now)}
-		if x.Heard {
-			x.SinceS = (now - c.hasSince).Seconds()
+		v := Controller{Name: name, Heard: c.heardAt > 0, Revision: c.revision, LagS: c.lag(now)}
+		if v.Heard {
+			v.SinceS = (now - c.hasSince).Seconds()
 		}
-		v.Controllers = append(v.Controllers, x)
+		views = append(views, v)
 	}
+	return views
+}
+
+// teamViews are the teams of the settings, and those that were ever changed, by name.
+func (d *Component) teamViews() []Team {
 	names := maps.Clone(d.settingsTeams)
 	for _, s := range d.document.All() {
 		if s.Item.Team != "" {
 			names[s.Item.Team] = settings.Team{}
 		}
 	}
+	views := []Team{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		s := d.document.Get(config.Item{Team: name})
 		t, known := d.teamWith(name, s.Value)
-		v.Teams = append(v.Teams, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsOf(t)})
+		views = append(views, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsOf(t)})
 	}
+	return views
+}
+
+func (d *Component) tunableViews() []Tunable {
+	views := []Tunable{}
 	for _, key := range settings.LiveTunables() {
-		x := Tunable{Key: key, Revision: d.document.Get(config.Item{Tunable: key}).Revision, Effect: settings.EffectOfChange(key)}
-		x.Value, _ = d.Cfg.Tunables.Number(key)
-		x.Settings, _ = d.settingsTunables.Number(key)
-		v.Tunables = append(v.Tunables, x)
+		v := Tunable{
+			Key:      key,
+			Revision: d.document.Get(config.Item{Tunable: key}).Revision,
+			Effect:   settings.EffectOfChange(key),
+		}
+		v.Value, _ = d.Cfg.Tunables.Number(key)
+		v.Settings, _ = d.settingsTunables.Number(key)
+		views = append(views, v)
 	}
-	return v
+	return views
 }
 
+// sinceS is for how many seconds this controller has had its revision.
 func (d *Component) sinceS(now time.Duration) float64 {
 	if d.Config == nil {
 		return 0
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -63,7 +63,8 @@
 	return day > m.durableDay && known
 }
 
-// closeNights ends nights that are long over, and gives the values they are kept in.
+// closeNights closes the nights that are long over, and returns the numbers of the values
+// that keep them.
 func (m *demand) closeNights(today int32) (values []int) {
 	for len(m.open) > 0 && m.open[0].day < today-1 {
 		m.keepNight(m.open[0])
@@ -76,6 +77,7 @@
 // demandValueNumber is the number of the value that keeps a night's demand.
 func demandValueNumber(day int32) int { return int((day%maxNights + maxNights) % maxNights) }
 
+// keepNight adds a closed night, in place of the oldest one if there are too many.
 func (m *demand) keepNight(n *demandNight) {
 	m.nights = append(m.nights, n)
 	if over := len(m.nights) - maxNights; over > 0 {
@@ -83,6 +85,7 @@
 	}
 }
 
+// restore takes a night of a value.
 func (m *demand) restore(s *storedDemand) {
 	n := &demandNight{day: s.Day, holiday: s.Holiday}
 	copy(n.work[:], s.Work)
@@ -92,24 +95,23 @@
 }
 
 // stored is the night that a value keeps; nil if there is none.
-func (m *demand) stored(value int) *storedDemand {
-	for _, n := range m.nights {
-		if demandValueNumber(n.day) != value {
-			continue
-		}
-		s := &storedDemand{Day: n.day, Holiday: n.holiday}
-		last := 0
-		for i, w := range n.work {
-			if w > 0 {
-				last = i + 1
-			}
-		}
-		for _, w := range n.work[:last] {
-			s.Work = append(s.Work, roundDigits(w))
+func (m *demand) stored(number int) *storedDemand {
+	i := slices.IndexFunc(m.nights, func(n *demandNight) bool { return demandValueNumber(n.day) == number })
+	if i < 0 {
+		return nil
+	}
+	n := m.nights[i]
+	s := &storedDemand{Day: n.day, Holiday: n.holiday}
+	used := 0 // slots, up to the last one with work
+	for slot, work := range n.work {
+		if work > 0 {
+			used = slot + 1
 		}
-		return s
 	}
-	return nil
+	for _, work := range n.work[:used] {
+		s.Work = append(s.Work, roundDigits(work))
+	}
+	return s
 }
 
 // Expected is what is expected to come in a quarter of an hour.
@@ -124,41 +126,56 @@
 	Now      float64 `json:"cpus_rented"` // at present
 }
 
-// expected is a slot's demand, learned from nights of the same sort, or from all of
-// them while there are none of that.
-func (m *demand) expected(holiday bool, slot int) (nights int, median, most float64) {
-	var list, all []float64
+// slotForecast is what is expected of a slot: work in processor seconds.
+type slotForecast struct {
+	nights       int // that it was learned from
+	median, most float64
+}
+
+// expected is a slot's demand, learned from nights of the same sort, or from all of them
+// while there are none of that.
+func (m *demand) expected(holiday bool, slot int) slotForecast {
+	var sameSort, all []float64
 	for _, n := range m.nights {
 		all = append(all, n.work[slot])
 		if n.holiday == holiday {
-			list = append(list, n.work[slot])
+			sameSort = append(sameSort, n.work[slot])
 		}
 	}
+	list := sameSort
 	if len(list) == 0 {
 		list = all
 	}
-	if len(list) == 0 {
-		return 0, 0, 0
+	n := len(list)
+	if n == 0 {
+		return slotForecast{}
 	}
 	slices.Sort(list)
-	n := len(list)
-	return n, (list[(n-1)/2] + list[n/2]) / 2, list[n-1]
+	return slotForecast{nights: n, median: (list[(n-1)/2] + list[n/2]) / 2, most: list[n-1]}
 }
 
+// expectedSlots is how far the expected demand is shown: twelve hours.
+const expectedSlots = 48
+
 // expectedDemand is what is expected over the next hours.
 func (d *Component) expectedDemand(now time.Duration) []Expected {
 	out := []Expected{}
 	rented := d.CPUs()
+	slotCPUs := func(work float64) float64 { return roundDigits(work / slotLength.Seconds()) }
 	at := d.calendar.Quarter(d.wallClock(now))
 	for range expectedSlots {
-		night := d.calendar.At(at)
-		n, median, most := d.demand.expected(night.Holiday, d.calendar.Slot(at))
-		out = append(out, Expected{At: d.calendar.Clock(at), InS: max(0, at.Sub(d.wallClock(now)).Seconds()), Nights: n, Work: roundDigits(median), Most: roundDigits(most),
-			CPUs: roundDigits(median / slotLength.Seconds()), CPUsMost: roundDigits(most / slotLength.Seconds()), Now: roundDigits(rented)})
+		f := d.demand.expected(d.calendar.At(at).Holiday, d.calendar.Slot(at))
+		out = append(out, Expected{
+			At:       d.calendar.Clock(at),
+			InS:      max(0, at.Sub(d.wallClock(now)).Seconds()),
+			Nights:   f.nights,
+			Work:     roundDigits(f.median),
+			Most:     roundDigits(f.most),
+			CPUs:     slotCPUs(f.median),
+			CPUsMost: slotCPUs(f.most),
+			Now:      roundDigits(rented),
+		})
 		at = at.Add(slotLength)
 	}
 	return out
 }
-
-// aheadSlots is how far the expected demand is shown: twelve hours.
-const expectedSlots = 48
