--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -87,8 +87,8 @@
 		for _, op := range txn.Writes {
 			w.values[op.Key] = op.Value
 		}
-		facts, _ := w.component.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
-		for _, e := range facts {
+		durable, _ := w.component.EventLog.CommitResult(w.now, txn.Sequence, eventlog.Applied, uint64(w.now), nil)
+		for _, e := range durable {
 			w.component.EntryDurable(w.now, true, e)
 		}
 	}
@@ -160,7 +160,7 @@
 	}
 }
 
-func TestUnits(t *testing.T) {
+func TestUnitsReserveAndShares(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 10, Reserve: 2}, settings.Pool{Name: "q", Units: 3, Shares: []settings.PoolShare{{Team: "b", Units: 1}}})
 	one := w.job("a", 20, 1, jobs.Array, perTask("p", 1))
 	expect(t, "all but the reserve", w.schedule(one), "[8]")
@@ -202,7 +202,7 @@
 }
 
 // What is held for a whole job never keeps another such job from going on.
-func TestWholeJobsDoNotBlockOneAnother(t *testing.T) {
+func TestJobsHoldingUnitsDoNotDeadlock(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 2}, settings.Pool{Name: "q", Units: 2})
 	a := w.job("a", 3, 1, jobs.Array, wholeJob("p", 1), perTask("q", 1))
 	b := w.job("a", 3, 1, jobs.Array, wholeJob("q", 1), perTask("p", 1))
@@ -231,7 +231,7 @@
 // Thousands of random days with demands of all sorts and sizes: never more out than
 // there are by what really runs, no job waits for ever, and none waits while enough is
 // free for it and nobody is before it.
-func TestRandomDemands(t *testing.T) {
+func TestRandomDemandsStayWithinLimitsAndComplete(t *testing.T) {
 	days := 3000
 	if testing.Short() {
 		days = 100
@@ -343,7 +343,7 @@
 
 // After a takeover what a machine may have that was not heard counts as out, narrowed
 // by grants, until it is heard or gone.
-func TestTakeover(t *testing.T) {
+func TestUnheardMachinesCountAsInUseAfterTakeover(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
 	w.startTerm(true)
 	m := w.component.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
@@ -374,7 +374,7 @@
 
 // A task that was on offer to a machine whose worker has died may have run there, while
 // its plan goes on elsewhere: its units stay out besides those of the plan.
-func TestOfferLost(t *testing.T) {
+func TestLostOfferHoldsUnits(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1), perTask("q", 1))
 	w.schedule(j)
@@ -387,7 +387,7 @@
 }
 
 // A cancelled job's task that a machine still shows keeps its units.
-func TestStrays(t *testing.T) {
+func TestOrphansKeepTheirUnits(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{perTask("p", 2)}}
 	rec.HideFromOlderVersions()
@@ -413,7 +413,7 @@
 
 // Changes: fewer units count at once, more once that is durable; a repeat answers the
 // same, one planned for another version is refused; the next leader knows.
-func TestChanges(t *testing.T) {
+func TestChangesAreIdempotentAndVersioned(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	ask := func(body string) (Changed, error) {
 		raw, err := w.component.Change(w.now, json.RawMessage(`{"change":`+body+`}`))
@@ -484,7 +484,7 @@
 
 // Receipts: units get numbers that nobody else is given while their holder may run,
 // through takeovers too.
-func TestReceipts(t *testing.T) {
+func TestReceiptsNumberUnitsUniquely(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 3})
 	a := w.job("a", 3, 1, jobs.Array, perTask("p", 2), wholeJob("q", 1))
 	w.schedule(a)
@@ -521,7 +521,7 @@
 }
 
 // Where a unit is waited for, a silent machine that keeps one is given up early.
-func TestSilentMachineIsGivenUpEarly(t *testing.T) {
+func TestSilentMachineIsDecommissionedEarly(t *testing.T) {
 	for _, setting := range []float64{0, 5} {
 		w := newFixture(t, settings.Pool{Name: "p", Units: 1})
 		w.component.Cfg.Tunables.UnitsSilentS = setting
--- a/internal/leader/rebalance/balancer_test.go
+++ b/internal/leader/rebalance/balancer_test.go
@@ -102,7 +102,7 @@
 
 // A controller that is quick and slow in turn every half minute costs at most as many
 // moves as machines stay a minute where they were sent to.
-func TestSwinging(t *testing.T) {
+func TestMachinesDoNotOscillate(t *testing.T) {
 	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 10})
 	p := &picture{nodes: []Node{{Name: "n0", Weight: 1, Ready: true}, {Name: "n1", Weight: 1, Ready: true}}}
 	for m := range 400 {
@@ -128,7 +128,7 @@
 }
 
 // A machine that does not arrive where it was sent is left alone.
-func TestNotReached(t *testing.T) {
+func TestMachineThatDidNotArriveIsLeftAlone(t *testing.T) {
 	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 100})
 	sent := map[string]int{}
 	for now := time.Duration(0); now < 9*time.Minute; now += time.Second {
@@ -151,7 +151,7 @@
 
 // The leader and a slow controller get less; one that has only just come back gets none
 // yet; silent machines are not counted.
-func TestWeights(t *testing.T) {
+func TestNodesFollowWeightAndReadiness(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "a", []settings.Peer{{Node: "b"}, {Node: "c"}}
 	cfg.Tunables.SpreadMoves = 4
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -13,7 +13,7 @@
 	"bitternmoor/internal/settings"
 )
 
-// fixture is a duty with a log of its own.
+// fixture is the component with a log of its own.
 type fixture struct {
 	*Component
 	t       *testing.T
@@ -24,6 +24,7 @@
 }
 
 func newFixture(t *testing.T, remember int, entries []eventlog.Entry) *fixture {
+	t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Tunables.ConfigHistory = remember
@@ -62,8 +63,8 @@
 				b.entries = append(b.entries, list...) // some twice, which replay bears
 			}
 		}
-		facts, _ := b.EventLog.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
-		for _, e := range facts {
+		durable, _ := b.EventLog.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
+		for _, e := range durable {
 			b.EntryDurable(b.now, true, e)
 		}
 		if b.EventLog.Pending() == pending {
@@ -95,7 +96,7 @@
 }
 
 // A change is made once, for the revision that was seen, whole or not at all.
-func TestChange(t *testing.T) {
+func TestChangeIsMadeOnceAndWhole(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	first := Request{ID: "a", Changes: []config.Change{limitTo("red", 20), limitTo("blue", 5)}}
 	dry := first
@@ -133,7 +134,7 @@
 
 // Going back to before a team came to be removes it: the settings say nothing of it. Before, a
 // rollback over such a revision was refused.
-func TestBackToBeforeATeam(t *testing.T) {
+func TestRevertRemovesATeam(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("blue", 5)}}); err != nil {
 		t.Fatal(err)
@@ -218,7 +219,7 @@
 }
 
 // A leader whose log lacks what was in force changes nothing more.
-func TestLostRevision(t *testing.T) {
+func TestLostRevisionBlocksChanges(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("red", 4)}}); err != nil {
 		t.Fatal(err)
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -148,7 +148,7 @@
 	return total
 }
 
-// durable lists the jobs whose facts were ever written, with their work.
+// durable lists the jobs whose records were ever written, with their work.
 func (w *fixture) durable(t *testing.T, into map[uint64]float64) {
 	for k, v := range w.values {
 		if strings.HasPrefix(k, eventlog.OwnPrefix) {
@@ -167,11 +167,11 @@
 	}
 }
 
-// Leaders are killed at any moment, with facts, summaries and cleanings half
+// Leaders are killed at any moment, with records, summaries and cleanings half
 // written; nights end in between. Whatever was durable counts once, whatever was
 // not counts for nobody.
 func TestKilledAtAnyMoment(t *testing.T) {
-	facts, lives := 0, 0
+	records, lives := 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		w := &fixture{values: map[string]json.RawMessage{}, bytes: 2048}
@@ -210,10 +210,10 @@
 				w.durable(t, ever)
 			}
 		}
-		facts += len(ever)
+		records += len(ever)
 	}
-	if facts < 2000 || lives < 900 {
-		t.Errorf("only %d facts in %d lives", facts, lives)
+	if records < 2000 || lives < 900 {
+		t.Errorf("only %d records in %d lives", records, lives)
 	}
 }
 
@@ -248,7 +248,7 @@
 
 // Tasks that were retried, moved, stopped, adopted from an earlier leader or ran on
 // a slow machine tell nothing of their kind.
-func TestWhatDoesNotCount(t *testing.T) {
+func TestDisturbedTasksDoNotCount(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(10) {
@@ -294,7 +294,7 @@
 
 // A job that will not make its learned deadline is warned of once, before that
 // passes, with why; the warning is kept up to date and cleared at its end.
-func TestLateJobs(t *testing.T) {
+func TestLateJobIsWarnedOfOnce(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(12) {
@@ -357,7 +357,7 @@
 
 // An entry or a value that cannot be read, or that another version has written, is
 // said and left as it is, and learning goes on.
-func TestDamaged(t *testing.T) {
+func TestUnreadableEntriesAndValuesAreLeftAlone(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{"log/00000001": json.RawMessage(`{"e":[{"o":{"d":"run-times","v":{"f":7}}}]}`),
 		"own/run-times/000009": json.RawMessage(`{"v":1,"k":7}`), "own/run-times/000010": json.RawMessage(`{"v":99}`), "own/run-times/x": json.RawMessage(`{}`)}, bytes: 8192}
 	d := w.lead(t, 100)
@@ -382,9 +382,9 @@
 	}
 }
 
-// A kind that is forgotten stays so through takeovers, cleaning and facts that are
+// A kind that is forgotten stays so through takeovers, cleaning and records that are
 // still in the log; what it shows afterwards counts.
-func TestForget(t *testing.T) {
+func TestForgottenKindStaysForgotten(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(6) {
@@ -470,7 +470,7 @@
 
 // A value that the state service refuses is written in smaller ones, and what it
 // was to hold is still in the log.
-func TestRefusedValue(t *testing.T) {
+func TestRefusedValueIsRetried(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(9) {
@@ -492,7 +492,7 @@
 			for _, op := range txn.Writes {
 				w.values[op.Key] = op.Value
 			}
-			for _, e := range mustFacts(d, w, txn.Sequence) {
+			for _, e := range applyTransaction(d, w, txn.Sequence) {
 				d.EntryDurable(w.now, true, e)
 			}
 		}
@@ -511,14 +511,14 @@
 	}
 }
 
-func mustFacts(d *Component, w *fixture, seq uint64) []eventlog.Entry {
-	facts, _ := d.EventLog.CommitResult(w.now, seq, eventlog.Applied, uint64(w.now), nil)
-	return facts
+func applyTransaction(d *Component, w *fixture, seq uint64) []eventlog.Entry {
+	durable, _ := d.EventLog.CommitResult(w.now, seq, eventlog.Applied, uint64(w.now), nil)
+	return durable
 }
 
 // Work is expected at the local time at which it came in the nights before, a
 // holiday's from holidays alone; a new leader expects the same.
-func TestDemandAhead(t *testing.T) {
+func TestExpectedDemandFollowsNights(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	id := uint64(0)
@@ -561,7 +561,7 @@
 
 // With learned_sizes a job's size starts from what its kind has shown; without it,
 // or where the kind is new, as it always did.
-func TestLearnedSizes(t *testing.T) {
+func TestLearnedSizesSeedTheEstimator(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
 	for id := range uint64(12) {
@@ -585,7 +585,7 @@
 
 // Summaries of many kinds at the end of a night are written one at a time and only
 // when nothing else waits; each fits into a small value.
-func TestWritingIsBounded(t *testing.T) {
+func TestWriteRateIsBounded(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 700}
 	d := w.lead(t, 1000)
 	for day := range 12 {
--- a/internal/leader/runtimes/import_test.go
+++ b/internal/leader/runtimes/import_test.go
@@ -66,12 +66,12 @@
 	small.model = NewModel(2)
 	body, _ := json.Marshal(in)
 	if answer, err := small.Change(0, body); err != nil || !strings.Contains(string(answer), `"added":2`) || !strings.Contains(string(answer), `"dropped":3`) {
-		t.Errorf("into a full book: %s %v", answer, err)
+		t.Errorf("into a full model: %s %v", answer, err)
 	}
 }
 
 // One kind that is wrong, and nothing is taken in.
-func TestWrongImport(t *testing.T) {
+func TestWrongImportChangesNothing(t *testing.T) {
 	good := `{"class":"c","nights":[[1,2,30,5,9,1,20,30,0.5,1,2]]}`
 	for bad, field := range map[string]string{
 		`{"nights":[[1,2,30,5,9,1,20,30,0.5,1,2]]}`:                                          "class",
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -26,17 +26,17 @@
 			t.Error(err)
 		}
 	}()
-	var facts []*RunRecord
+	var records []*RunRecord
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		var e entry
 		if err := json.Unmarshal(lines.Bytes(), &e); err != nil || e.Record == nil {
 			t.Fatal(err)
 		}
-		facts = append(facts, e.Record.runRecord())
+		records = append(records, e.Record.runRecord())
 	}
-	slices.SortFunc(facts, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
-	if len(facts) < 300 {
-		t.Fatalf("only %d facts are recorded", len(facts))
+	slices.SortFunc(records, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
+	if len(records) < 300 {
+		t.Fatalf("only %d records are recorded", len(records))
 	}
 	hour := func(f *RunRecord) string { return time.Unix(f.At, 0).UTC().Format("Mon 15:04")[:6] }
 	keys := []struct {
@@ -53,7 +53,7 @@
 	}
 	share := func(name string, estimate func(f *RunRecord) float64) (near, known float64) {
 		ten, twenty, fifty, n := 0.0, 0.0, 0.0, 0.0
-		for _, f := range facts {
+		for _, f := range records {
 			guess := estimate(f)
 			if guess <= 0 {
 				continue
@@ -70,8 +70,8 @@
 				fifty++
 			}
 		}
-		t.Logf("%-30s knows %.2f of %d runs; within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f of those", name, n/float64(len(facts)), len(facts), ten/n, twenty/n, fifty/n)
-		return twenty / n, n / float64(len(facts))
+		t.Logf("%-30s knows %.2f of %d runs; within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f of those", name, n/float64(len(records)), len(records), ten/n, twenty/n, fifty/n)
+		return twenty / n, n / float64(len(records))
 	}
 	best := 0.0
 	for _, k := range keys {
@@ -91,10 +91,10 @@
 		})
 		best = max(best, near*known)
 	}
-	book := NewModel(1000)
+	model := NewModel(1000)
 	near, known := share("the hierarchy", func(f *RunRecord) float64 {
-		guess := book.Estimate(f.Kind, f.Estimate, f.At).P50
-		book.AddRun(f)
+		guess := model.Estimate(f.Kind, f.Estimate, f.At).P50
+		model.AddRun(f)
 		return guess
 	})
 	share("the owner's estimate", func(f *RunRecord) float64 { return f.Estimate })
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// factOf makes a fact of tasks with these times.
-func factOf(id uint64, day int32, k Kind, owner float64, times []float64) *RunRecord {
+// recordOf makes a run record of tasks with these times.
+func recordOf(id uint64, day int32, k Kind, owner float64, times []float64) *RunRecord {
 	slices.Sort(times)
 	f := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, N: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
 	for i, q := range recordQuantiles {
@@ -35,7 +35,7 @@
 	r := rand.New(rand.NewPCG(5, 5))
 	for day := range n {
 		for j := range 3 {
-			b.AddRun(factOf(uint64(day*3+j+1), int32(day), k, 20, normal(r, 40, of(day), .15)))
+			b.AddRun(recordOf(uint64(day*3+j+1), int32(day), k, 20, normal(r, 40, of(day), .15)))
 		}
 	}
 }
@@ -75,7 +75,7 @@
 
 // A kind without history takes that of coarser ones, and says so; a new image of a
 // known class is its owner's estimate corrected by what such owners were off by.
-func TestFallingBack(t *testing.T) {
+func TestEstimateFallsBackToCoarserKinds(t *testing.T) {
 	b := NewModel(100)
 	if e := b.Estimate(recon, 10, 0); e.P50 != 10 || e.P90 < 15 || e.Wide == "" {
 		t.Errorf("without any history: %+v", e)
@@ -101,7 +101,7 @@
 	nights(b, 0, day, nil)
 	r := rand.New(rand.NewPCG(1, 1))
 	for j := range 3 {
-		b.AddRun(factOf(uint64(900+j), 7, day, 20, normal(r, 40, 80, .1)))
+		b.AddRun(recordOf(uint64(900+j), 7, day, 20, normal(r, 40, 80, .1)))
 	}
 	if e := b.Estimate(day, 20, 0); !strings.Contains(e.From, "holiday") || math.Abs(e.P50-80) > 6 {
 		t.Errorf("the next holiday: %+v", e)
@@ -112,12 +112,12 @@
 }
 
 // Two modes: the interval holds both, and says that it is wide.
-func TestTwoModes(t *testing.T) {
+func TestTwoModesWidenTheInterval(t *testing.T) {
 	b := NewModel(100)
 	r := rand.New(rand.NewPCG(2, 2))
 	for n := range 20 {
 		times := append(normal(r, 30, 10, .1), normal(r, 10, 90, .1)...)
-		b.AddRun(factOf(uint64(n+1), int32(n/4), recon, 20, times))
+		b.AddRun(recordOf(uint64(n+1), int32(n/4), recon, 20, times))
 	}
 	if e := b.Estimate(recon, 20, 0); e.P50 > 15 || e.P90 < 70 || e.Wide == "" {
 		t.Errorf("%+v", e)
@@ -169,7 +169,7 @@
 					count(means, run, sum/n, actual)
 				}
 			}
-			b.AddRun(factOf(id, int32(run), k, owner, times))
+			b.AddRun(recordOf(id, int32(run), k, owner, times))
 			for _, x := range times {
 				sum += x
 				n++
@@ -196,12 +196,12 @@
 	}
 }
 
-// A book is bounded, and forgets fine kinds before coarse ones.
-func TestBookIsBounded(t *testing.T) {
+// The model is bounded, and forgets fine kinds before coarse ones.
+func TestModelIsBounded(t *testing.T) {
 	b := NewModel(50)
 	r := rand.New(rand.NewPCG(4, 4))
 	for n := range 300 {
-		b.AddRun(factOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1)))
+		b.AddRun(recordOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1)))
 		if b.Len() > 50 {
 			t.Fatalf("%d kinds", b.Len())
 		}
@@ -211,20 +211,20 @@
 	}
 }
 
-// What a fact costs does not grow with the number of kinds.
-func BenchmarkTake(b *testing.B) {
+// What a record costs does not grow with the number of kinds.
+func BenchmarkAddRun(b *testing.B) {
 	for _, kinds := range []int{100, 10000} {
 		b.Run(fmt.Sprint(kinds), func(b *testing.B) {
-			book := NewModel(5 * kinds)
+			model := NewModel(5 * kinds)
 			r := rand.New(rand.NewPCG(4, 4))
-			facts := make([]*RunRecord, kinds)
-			for n := range facts {
-				facts[n] = factOf(uint64(n+1), 1, Kind{Class: fmt.Sprint("c", n%10), Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1))
-				book.AddRun(facts[n])
+			records := make([]*RunRecord, kinds)
+			for n := range records {
+				records[n] = recordOf(uint64(n+1), 1, Kind{Class: fmt.Sprint("c", n%10), Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1))
+				model.AddRun(records[n])
 			}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				book.AddRun(facts[i%kinds])
+				model.AddRun(records[i%kinds])
 			}
 		})
 	}
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -52,7 +52,7 @@
 	return New(cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}}))
 }
 
-// What a new leader reads after its term has begun, with a full book: ten thousand
+// What a new leader reads after its term has begun, with a full model: ten thousand
 // kinds of nine nights. Nothing of it stands between its election and its work.
 func BenchmarkReadTenThousandKinds(b *testing.B) {
 	for _, bytes := range []int{960, 8128} {
@@ -95,7 +95,7 @@
 		d.ValuesRead(0, values, false, true)
 		closed := heap()
 		for n := range 9000 {
-			d.countRecord(factOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(recordOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
 		}
 		open := heap()
 		b.ReportMetric((closed-before)/9000, "closed-B/kind")
@@ -115,7 +115,7 @@
 		d.ValuesRead(0, nil, false, true)
 		d.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
 		for n := range 9000 {
-			d.countRecord(factOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(recordOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
 		}
 		b.StartTimer()
 		longest, ticks := time.Duration(0), 0
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -44,7 +44,7 @@
 
 // By when a job is due: the last of its class's aims, its deadline times what its class
 // bears, or what the operators say.
-func TestDue(t *testing.T) {
+func TestDueTime(t *testing.T) {
 	d := begun(0)
 	for class, want := range map[string]time.Duration{"a": 100 * time.Second, "b": 120 * time.Second, "c": 200 * time.Second} {
 		j := d.arrive(10*time.Second, uint64(len(class))+uint64(class[0]), class)
@@ -57,7 +57,7 @@
 // Of jobs that all stand where they would be lost, as many go ahead as the floor asks for
 // and no more, at their last chance and not before; one that cannot make it any more never
 // does, and after its time none goes ahead still.
-func TestFloor(t *testing.T) {
+func TestFloorBoostsNoMoreThanNeeded(t *testing.T) {
 	for _, floor := range []float64{0, 0.5, 0.6, 1} {
 		d := begun(floor)
 		var list []*jobs.Job
@@ -96,7 +96,7 @@
 
 // What is shown is what a plain count of all that was due in the window gives, at every
 // step of random days; and the window forgets.
-func TestAgainstPlain(t *testing.T) {
+func TestAttainmentMatchesPlainCount(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		d := begun(0.6)
@@ -170,7 +170,7 @@
 
 // Of those due, the tenth with most work and the widest are the largest; how long the last
 // of them waited to begin is shown.
-func TestLargest(t *testing.T) {
+func TestLargestOutcomes(t *testing.T) {
 	d := begun(0)
 	for i := range uint64(20) {
 		j := d.arrive(0, i+1, "a")
