--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -161,7 +161,8 @@
 }
 
 func TestUnitsReserveAndShares(t *testing.T) {
-	w := newFixture(t, settings.Pool{Name: "p", Units: 10, Reserve: 2}, settings.Pool{Name: "q", Units: 3, Shares: []settings.PoolShare{{Team: "b", Units: 1}}})
+	w := newFixture(t, settings.Pool{Name: "p", Units: 10, Reserve: 2},
+		settings.Pool{Name: "q", Units: 3, Shares: []settings.PoolShare{{Team: "b", Units: 1}}})
 	one := w.job("a", 20, 1, jobs.Array, perTask("p", 1))
 	expect(t, "all but the reserve", w.schedule(one), "[8]")
 	urgentJob := w.job("a", 5, 2, jobs.Array, perTask("p", 1))
@@ -174,10 +175,20 @@
 	if why := w.component.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
-	for counted, want := range map[eventlog.PoolUnits]string{perTask("none", 1): "no such pool", perTask("p", 9): "more than the 8", wholeJob("q", 4): "more than the 3"} {
-		if why := w.component.Never(&eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{counted}}); !strings.Contains(why, want) {
-			t.Errorf("%+v: %s", counted, why)
-		}
+	for name, impossible := range map[string]struct {
+		counted eventlog.PoolUnits
+		why     string
+	}{
+		"unknown pool":         {counted: perTask("none", 1), why: "no such pool"},
+		"more than unreserved": {counted: perTask("p", 9), why: "more than the 8"},
+		"more than the pool":   {counted: wholeJob("q", 4), why: "more than the 3"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			job := &eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{impossible.counted}}
+			if why := w.component.Never(job); !strings.Contains(why, impossible.why) {
+				t.Errorf("%+v: %s", impossible.counted, why)
+			}
+		})
 	}
 	if why := w.component.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
@@ -461,11 +472,18 @@
 	}
 	w.write()
 	expect(t, "as the settings say", w.schedule(j), "[4]")
-	for body, field := range map[string]string{`{"id":"y","pool":"none","version":0,"units":1}`: "pool", `{"pool":"p","version":4,"units":1}`: "id",
-		`{"id":"y","pool":"p","version":4}`: "neither", `{"id":"y","pool":"p","version":4,"units":2000000000}`: "units"} {
-		if _, err := ask(body); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", body, err)
-		}
+	for _, refused := range []struct{ names, body string }{
+		{names: "pool", body: `{"id":"y","pool":"none","version":0,"units":1}`},
+		{names: "id", body: `{"pool":"p","version":4,"units":1}`},
+		{names: "neither", body: `{"id":"y","pool":"p","version":4}`},
+		{names: "units", body: `{"id":"y","pool":"p","version":4,"units":2000000000}`},
+	} {
+		t.Run("refused for "+refused.names, func(t *testing.T) {
+			_, err := ask(refused.body)
+			if err == nil || !strings.Contains(err.Error(), refused.names) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s: %v", refused.body, err)
+			}
+		})
 	}
 	// A value of a later version: nobody can say what it means.
 	w.values[eventlog.ValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
