--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -228,7 +228,7 @@
 }
 
 // unitsPerGPU is how many parts amounts count of one accelerator.
-const unitsPerGPU = 1000
+const partsPerUnit = 1000
 
 // countOpenJobs counts a team's open jobs, and those of them of which one start needs more
 // than the team's limit.
@@ -243,7 +243,7 @@
 			need = need.Times(j.Record.Tasks)
 		}
 		overCPUs := limits.CPUsMax > 0 && need.CPUs() > limits.CPUsMax
-		overGPUs := limits.GPUsMax > 0 && float64(need.GPU)/unitsPerGPU > limits.GPUsMax
+		overGPUs := limits.GPUsMax > 0 && float64(need.GPU)/partsPerUnit > limits.GPUsMax
 		if overCPUs || overGPUs {
 			tooLarge++
 		}
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -92,7 +92,7 @@
 
 func (b *fixture) limit(team string) float64 {
 	i, _ := b.Teams.Lookup(team)
-	return float64(b.Scheduler.Limits[i].CPU) / unitsPerGPU
+	return float64(b.Scheduler.Limits[i].CPU) / partsPerUnit
 }
 
 // A change is made once, for the revision that was seen, whole or not at all.
