--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -227,7 +227,7 @@
 	return ""
 }
 
-// unitsPerGPU is how many parts amounts count of one accelerator.
+// partsPerUnit is how many parts amounts count of one processor or accelerator.
 const partsPerUnit = 1000
 
 // countOpenJobs counts a team's open jobs, and those of them of which one start needs more
