--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -37,14 +37,14 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	lives     map[string]int64         // of the controllers that hold blocks
-	seen      map[string]time.Duration // when they were last heard
-	serials   uint64
-	waiting   []*waitingReport // reports not answered yet, in the order in which they came
-	waits     map[*workers.Machine]*waitingReport
-	watchedAt time.Duration
-	cuts      []cutZone // by zone
-	well      []bool    // by zone: whether it is heard well, where silent machines are asked
+	controllerIncarnations map[string]int64         // of the controllers that hold blocks
+	seen                   map[string]time.Duration // when they were last heard
+	serials                uint64
+	waiting                []*waitingReport // reports not answered yet, in the order in which they came
+	waits                  map[*workers.Machine]*waitingReport
+	watchedAt              time.Duration
+	cuts                   []cutZone // by zone
+	well                   []bool    // by zone: whether it is heard well, where silent machines are asked
 
 	registry map[string]eventlog.Machine // while the log is replayed
 	last     []returns                   // likewise
@@ -65,7 +65,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, lives: map[string]int64{}, seen: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
+	return &Component{State: s, controllerIncarnations: map[string]int64{}, seen: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
 }
 
 // Replay takes an entry of the log.
@@ -210,7 +210,7 @@
 // hold settles in whose block the machine is that has reported by way of a
 // controller. It returns the holder to which the worker must go instead.
 func (d *Component) hold(now time.Duration, m *workers.Machine, in effects.RelayedHeartbeat) string {
-	if life, ok := d.lives[in.Via]; ok && life != in.Life {
+	if life, ok := d.controllerIncarnations[in.Via]; ok && life != in.Life {
 		// The controller began anew and has forgotten what it took up: what is
 		// on offer by way of it must be settled before it is offered again.
 		for _, o := range d.Inventory.All() {
@@ -219,7 +219,7 @@
 			}
 		}
 	}
-	d.lives[in.Via] = in.Life
+	d.controllerIncarnations[in.Via] = in.Life
 	d.seen[in.Via] = now
 	switch {
 	case m.Shard == in.Via:
