--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -38,7 +38,7 @@
 	cluster.NopComponent
 	*cluster.State
 	controllerIncarnations map[string]int64         // of the controllers that hold blocks
-	seen                   map[string]time.Duration // when they were last heard
+	controllerLastHeard    map[string]time.Duration // when they were last heard
 	serials                uint64
 	waiting                []*waitingReport // reports not answered yet, in the order in which they came
 	waits                  map[*workers.Machine]*waitingReport
@@ -65,7 +65,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, controllerIncarnations: map[string]int64{}, seen: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
+	return &Component{State: s, controllerIncarnations: map[string]int64{}, controllerLastHeard: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
 }
 
 // Replay takes an entry of the log.
@@ -220,11 +220,11 @@
 		}
 	}
 	d.controllerIncarnations[in.Via] = in.Life
-	d.seen[in.Via] = now
+	d.controllerLastHeard[in.Via] = now
 	switch {
 	case m.Shard == in.Via:
 		return ""
-	case m.Shard != "" && now-m.LastHeartbeat < moveAfter && now-d.seen[m.Shard] < moveAfter:
+	case m.Shard != "" && now-m.LastHeartbeat < moveAfter && now-d.controllerLastHeard[m.Shard] < moveAfter:
 		return m.Shard
 	case m.Shard != "":
 		d.freeze(m)
