--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -39,7 +39,7 @@
 	*cluster.State
 	controllerIncarnations map[string]int64         // of the controllers that hold blocks
 	controllerLastHeard    map[string]time.Duration // when they were last heard
-	serials                uint64
+	lastOfferSerial        uint64
 	waiting                []*waitingReport // reports not answered yet, in the order in which they came
 	waits                  map[*workers.Machine]*waitingReport
 	watchedAt              time.Duration
@@ -374,7 +374,7 @@
 	m := w.m
 	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
-		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.serials++; return d.Token + d.serials }, d.NextAttempt)
+		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.lastOfferSerial++; return d.Token + d.lastOfferSerial }, d.NextAttempt)
 		answer.Room = m.Free
 	}
 	d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: answer})
