--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -40,7 +40,7 @@
 	controllerIncarnations map[string]int64         // of the controllers that hold blocks
 	controllerLastHeard    map[string]time.Duration // when they were last heard
 	lastOfferSerial        uint64
-	waiting                []*waitingReport // reports not answered yet, in the order in which they came
+	pendingReplies         []*waitingReport // reports not answered yet, in the order in which they came
 	waits                  map[*workers.Machine]*waitingReport
 	watchedAt              time.Duration
 	cuts                   []cutZone // by zone
@@ -174,12 +174,12 @@
 
 // End has all reports that wait answered without anything.
 func (d *Component) End() {
-	for _, w := range d.waiting {
+	for _, w := range d.pendingReplies {
 		if !w.over {
 			d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		}
 	}
-	d.waiting = nil
+	d.pendingReplies = nil
 }
 
 // waitingReport is a report taken in whose answer waits for a pass, or for
@@ -334,7 +334,7 @@
 	}
 	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
 	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
-		d.waiting = append(d.waiting, w)
+		d.pendingReplies = append(d.pendingReplies, w)
 		d.waits[m] = w
 		return
 	}
@@ -382,8 +382,8 @@
 
 // AnswerHeartbeats answers the reports that wait for nothing any more.
 func (d *Component) AnswerHeartbeats(now time.Duration, sure bool) {
-	kept := d.waiting[:0]
-	for _, w := range d.waiting {
+	kept := d.pendingReplies[:0]
+	for _, w := range d.pendingReplies {
 		if w.over {
 			continue
 		}
@@ -394,8 +394,8 @@
 		delete(d.waits, w.m)
 		d.reply(sure, w)
 	}
-	clear(d.waiting[len(kept):])
-	d.waiting = kept
+	clear(d.pendingReplies[len(kept):])
+	d.pendingReplies = kept
 }
 
 // OffersStarted notes offers that the leader's own block has taken up.
