--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -41,7 +41,7 @@
 	controllerLastHeard    map[string]time.Duration // when they were last heard
 	lastOfferSerial        uint64
 	pendingReplies         []*waitingReport // reports not answered yet, in the order in which they came
-	waits                  map[*workers.Machine]*waitingReport
+	pendingByMachine       map[*workers.Machine]*waitingReport
 	watchedAt              time.Duration
 	cuts                   []cutZone // by zone
 	well                   []bool    // by zone: whether it is heard well, where silent machines are asked
@@ -65,7 +65,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, controllerIncarnations: map[string]int64{}, controllerLastHeard: map[string]time.Duration{}, waits: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
+	return &Component{State: s, controllerIncarnations: map[string]int64{}, controllerLastHeard: map[string]time.Duration{}, pendingByMachine: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
 }
 
 // Replay takes an entry of the log.
@@ -287,11 +287,11 @@
 			d.EventLog.AppendTracked(eventlog.Entry{Machine: &rec})
 		}
 	}
-	if w := d.waits[m]; w != nil {
+	if w := d.pendingByMachine[m]; w != nil {
 		// The worker has given that one up: nothing may be started by it.
 		d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 200, Token: m.Token}})
 		w.over = true
-		delete(d.waits, m)
+		delete(d.pendingByMachine, m)
 	}
 	elsewhere := d.hold(now, m, in)
 	if !m.Up {
@@ -335,7 +335,7 @@
 	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
 	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
 		d.pendingReplies = append(d.pendingReplies, w)
-		d.waits[m] = w
+		d.pendingByMachine[m] = w
 		return
 	}
 	d.reply(sure, w)
@@ -391,7 +391,7 @@
 			kept = append(kept, w)
 			continue
 		}
-		delete(d.waits, w.m)
+		delete(d.pendingByMachine, w.m)
 		d.reply(sure, w)
 	}
 	clear(d.pendingReplies[len(kept):])
