--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -42,7 +42,7 @@
 	lastOfferSerial        uint64
 	pendingReplies         []*waitingReport // reports not answered yet, in the order in which they came
 	pendingByMachine       map[*workers.Machine]*waitingReport
-	watchedAt              time.Duration
+	lastCheckAt            time.Duration
 	cuts                   []cutZone // by zone
 	well                   []bool    // by zone: whether it is heard well, where silent machines are asked
 
@@ -156,8 +156,8 @@
 
 // Tick looks after every machine.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if now-d.watchedAt >= watchEvery {
-		d.watchedAt = now
+	if now-d.lastCheckAt >= watchEvery {
+		d.lastCheckAt = now
 		d.watch(now, sure)
 	}
 }
