--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -43,7 +43,7 @@
 	pendingReplies         []*waitingReport // reports not answered yet, in the order in which they came
 	pendingByMachine       map[*workers.Machine]*waitingReport
 	lastCheckAt            time.Duration
-	cuts                   []cutZone // by zone
+	zoneOutages            []cutZone // by zone
 	well                   []bool    // by zone: whether it is heard well, where silent machines are asked
 
 	registry map[string]eventlog.Machine // while the log is replayed
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -154,11 +154,11 @@
 		return
 	}
 	up, silent := d.SilentByZone(now)
-	for len(d.cuts) < len(up) {
-		d.cuts = append(d.cuts, cutZone{})
+	for len(d.zoneOutages) < len(up) {
+		d.zoneOutages = append(d.zoneOutages, cutZone{})
 	}
 	for z := range up {
-		if c := &d.cuts[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.kept(z) {
+		if c := &d.zoneOutages[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.kept(z) {
 			if c.until == 0 || now-c.until > d.GiveUpAfter() {
 				c.since = now - d.SuspectAfter()
 				d.LogMessage(effects.Warn, "a zone is silent as a whole: its machines are waited for", "zone", d.Zones.Name(int32(z)), "silent", silent[z], "of", up[z], "for", d.Cfg.Tunables.ZonePatienceS)
@@ -183,10 +183,10 @@
 // longer than a machine is usually waited for: all that ran there was started again, on
 // machines that had to be rented first, while there it went on to its end.
 func (d *Component) waitsFor(now time.Duration, m *workers.Machine) bool {
-	if int(m.Zone) >= len(d.cuts) {
+	if int(m.Zone) >= len(d.zoneOutages) {
 		return false
 	}
-	c := d.cuts[m.Zone]
+	c := d.zoneOutages[m.Zone]
 	if c.until == 0 || now-c.until > d.GiveUpAfter() || now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)+d.GiveUpAfter() || (c.until == now && now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)) {
 		return false
 	}
