--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -44,7 +44,7 @@
 	pendingByMachine       map[*workers.Machine]*waitingReport
 	lastCheckAt            time.Duration
 	zoneOutages            []cutZone // by zone
-	well                   []bool    // by zone: whether it is heard well, where silent machines are asked
+	zoneReachable          []bool    // by zone: whether it is heard well, where silent machines are asked
 
 	registry map[string]eventlog.Machine // while the log is replayed
 	last     []returns                   // likewise
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -22,7 +22,7 @@
 		limit = max(limit, settings.Seconds(1.2*w.LeaseS))
 	}
 	d.watchZones(now, deaf)
-	d.well = d.hears(now)
+	d.zoneReachable = d.hears(now)
 	overdue := settings.Seconds(0.5 * w.CancelS)
 	var late []*jobs.Job // being cancelled for longer than tasks may take to stop
 	for _, j := range d.Jobs.All() {
@@ -114,7 +114,7 @@
 // is heard: it is given up before others.
 func (d *Component) mute(m *workers.Machine, heard time.Duration) bool {
 	most := d.Cfg.Tunables.AskSilent
-	return most > 0 && m.Unanswered >= most && m.UnansweredAt >= heard && int(m.Zone) < len(d.well) && d.well[m.Zone]
+	return most > 0 && m.Unanswered >= most && m.UnansweredAt >= heard && int(m.Zone) < len(d.zoneReachable) && d.zoneReachable[m.Zone]
 }
 
 // hears says which zones are heard well: of a zone that is not, machines are no more
