--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -46,9 +46,9 @@
 	zoneOutages            []cutZone // by zone
 	zoneReachable          []bool    // by zone: whether it is heard well, where silent machines are asked
 
-	registry map[string]eventlog.Machine // while the log is replayed
-	last     []returns                   // likewise
-	empty    []string                    // machines to be noted as empty and on their way out
+	replayedMachines map[string]eventlog.Machine // while the log is replayed
+	last             []returns                   // likewise
+	empty            []string                    // machines to be noted as empty and on their way out
 }
 
 // Name is that of the duty's own entries.
@@ -65,18 +65,18 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, controllerIncarnations: map[string]int64{}, controllerLastHeard: map[string]time.Duration{}, pendingByMachine: map[*workers.Machine]*waitingReport{}, registry: map[string]eventlog.Machine{}}
+	return &Component{State: s, controllerIncarnations: map[string]int64{}, controllerLastHeard: map[string]time.Duration{}, pendingByMachine: map[*workers.Machine]*waitingReport{}, replayedMachines: map[string]eventlog.Machine{}}
 }
 
 // Replay takes an entry of the log.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Machine != nil:
-		d.registry[e.Machine.Name] = *e.Machine
+		d.replayedMachines[e.Machine.Name] = *e.Machine
 	case e.DeletedMachines != nil:
 		for _, n := range e.DeletedMachines {
 			d.Inventory.Remove(n)
-			delete(d.registry, n)
+			delete(d.replayedMachines, n)
 		}
 	case e.Component != nil:
 		var r returns
@@ -93,8 +93,8 @@
 // Begin enters the registered machines. What earlier terms left on them is not
 // known before they report.
 func (d *Component) Begin(now time.Duration) {
-	for _, name := range slices.Sorted(maps.Keys(d.registry)) {
-		m := d.registry[name]
+	for _, name := range slices.Sorted(maps.Keys(d.replayedMachines)) {
+		m := d.replayedMachines[name]
 		if x := d.AddMachine(now, m); x != nil {
 			x.Durable, x.Number = true, m.Number
 			d.LastMachineNumber = max(d.LastMachineNumber, m.Number)
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	d.registry, d.last = nil, nil
+	d.replayedMachines, d.last = nil, nil
 }
 
 // HandleEvent has a machine noted on which nothing is before it is deleted.
