--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -47,7 +47,7 @@
 	zoneReachable          []bool    // by zone: whether it is heard well, where silent machines are asked
 
 	replayedMachines map[string]eventlog.Machine // while the log is replayed
-	last             []returns                   // likewise
+	replayedReturns  []returns                   // likewise
 	empty            []string                    // machines to be noted as empty and on their way out
 }
 
@@ -85,7 +85,7 @@
 			return
 		}
 		if r.Epoch == d.Epoch-1 {
-			d.last = append(d.last, r)
+			d.replayedReturns = append(d.replayedReturns, r)
 		}
 	}
 }
@@ -100,7 +100,7 @@
 			d.LastMachineNumber = max(d.LastMachineNumber, m.Number)
 		}
 	}
-	for _, r := range d.last {
+	for _, r := range d.replayedReturns {
 		for _, name := range r.Machines {
 			if m := d.Inventory.Find(name); m != nil {
 				m.Resolved = true
@@ -109,7 +109,7 @@
 			}
 		}
 	}
-	d.replayedMachines, d.last = nil, nil
+	d.replayedMachines, d.replayedReturns = nil, nil
 }
 
 // HandleEvent has a machine noted on which nothing is before it is deleted.
