--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -48,7 +48,7 @@
 
 	replayedMachines map[string]eventlog.Machine // while the log is replayed
 	replayedReturns  []returns                   // likewise
-	empty            []string                    // machines to be noted as empty and on their way out
+	returnsToRecord  []string                    // machines to be noted as empty and on their way out
 }
 
 // Name is that of the duty's own entries.
@@ -105,7 +105,7 @@
 			if m := d.Inventory.Find(name); m != nil {
 				m.Resolved = true
 				d.Decommission(now, m, cluster.Return, "not needed, as the term before has noted")
-				d.empty = append(d.empty, name) // for the term after this one
+				d.returnsToRecord = append(d.returnsToRecord, name) // for the term after this one
 			}
 		}
 	}
@@ -116,19 +116,19 @@
 func (d *Component) HandleEvent(e cluster.Event) {
 	if e.Kind == cluster.MachineReturnable && d.Cfg.Tunables.NoteReturns == 1 {
 		e.Machine.ReturnUnrecorded = true
-		d.empty = append(d.empty, e.Machine.Name)
+		d.returnsToRecord = append(d.returnsToRecord, e.Machine.Name)
 	}
 }
 
 // AppendEntries notes machines that are to be returned.
 func (d *Component) AppendEntries(time.Duration) {
-	if len(d.empty) == 0 {
+	if len(d.returnsToRecord) == 0 {
 		return
 	}
-	for _, part := range eventlog.SplitNames(d.empty, d.EventLog.MaxEntryBytes()-2*eventlog.EntryBytes) {
+	for _, part := range eventlog.SplitNames(d.returnsToRecord, d.EventLog.MaxEntryBytes()-2*eventlog.EntryBytes) {
 		d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, returns{d.Epoch, part}))
 	}
-	d.empty = nil
+	d.returnsToRecord = nil
 }
 
 // EntryDurable lets tasks start on a machine that is registered, and one be deleted
