--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -47,18 +47,18 @@
 	zoneReachable          []bool    // by zone: whether it is heard well, where silent machines are asked
 
 	replayedMachines map[string]eventlog.Machine // while the log is replayed
-	replayedReturns  []returns                   // likewise
+	replayedReturns  []returnRecord              // likewise
 	returnsToRecord  []string                    // machines to be noted as empty and on their way out
 }
 
 // Name is that of the duty's own entries.
 const Name = "roster"
 
-// returns notes in which term machines were to be returned on which nothing is
+// returnRecord notes in which term machines were to be returned on which nothing is
 // any more, before they are deleted. The next term need not wait for them. It
 // holds for that term alone: one in between may not have known of it, and have
 // started tasks there.
-type returns struct {
+type returnRecord struct {
 	Epoch    uint64   `json:"e"`
 	Machines []string `json:"m"`
 }
@@ -79,7 +79,7 @@
 			delete(d.replayedMachines, n)
 		}
 	case e.Component != nil:
-		var r returns
+		var r returnRecord
 		if err := json.Unmarshal(e.Component.Data, &r); err != nil {
 			d.LogMessage(effects.Warn, "a note of machines that are returned cannot be read: they are waited for", "error", err)
 			return
@@ -126,7 +126,7 @@
 		return
 	}
 	for _, part := range eventlog.SplitNames(d.returnsToRecord, d.EventLog.MaxEntryBytes()-2*eventlog.EntryBytes) {
-		d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, returns{d.Epoch, part}))
+		d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, returnRecord{d.Epoch, part}))
 	}
 	d.returnsToRecord = nil
 }
@@ -135,7 +135,7 @@
 // that is noted as empty.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	if e.Component != nil {
-		var r returns
+		var r returnRecord
 		if json.Unmarshal(e.Component.Data, &r) == nil { // this term wrote it
 			for _, name := range r.Machines {
 				if m := d.Inventory.Find(name); m != nil {
