--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -40,8 +40,8 @@
 	controllerIncarnations map[string]int64         // of the controllers that hold blocks
 	controllerLastHeard    map[string]time.Duration // when they were last heard
 	lastOfferSerial        uint64
-	pendingReplies         []*waitingReport // reports not answered yet, in the order in which they came
-	pendingByMachine       map[*workers.Machine]*waitingReport
+	pendingReplies         []*pendingReply // reports not answered yet, in the order in which they came
+	pendingByMachine       map[*workers.Machine]*pendingReply
 	lastCheckAt            time.Duration
 	zoneOutages            []cutZone // by zone
 	zoneReachable          []bool    // by zone: whether it is heard well, where silent machines are asked
@@ -65,7 +65,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, controllerIncarnations: map[string]int64{}, controllerLastHeard: map[string]time.Duration{}, pendingByMachine: map[*workers.Machine]*waitingReport{}, replayedMachines: map[string]eventlog.Machine{}}
+	return &Component{State: s, controllerIncarnations: map[string]int64{}, controllerLastHeard: map[string]time.Duration{}, pendingByMachine: map[*workers.Machine]*pendingReply{}, replayedMachines: map[string]eventlog.Machine{}}
 }
 
 // Replay takes an entry of the log.
@@ -182,9 +182,9 @@
 	d.pendingReplies = nil
 }
 
-// waitingReport is a report taken in whose answer waits for a pass, or for
+// pendingReply is a report taken in whose answer waits for a pass, or for
 // what must be durable before the machine may start its tasks.
-type waitingReport struct {
+type pendingReply struct {
 	to    effects.RequestID
 	m     *workers.Machine
 	cmds  []workers.Command
@@ -332,7 +332,7 @@
 	if sure && m.NeedsToken(now) {
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
-	w := &waitingReport{to: to, m: m, cmds: cmds, since: now}
+	w := &pendingReply{to: to, m: m, cmds: cmds, since: now}
 	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
 		d.pendingReplies = append(d.pendingReplies, w)
 		d.pendingByMachine[m] = w
@@ -370,7 +370,7 @@
 
 // reply answers a report: with what follows from it, the stops that are due
 // and the offers.
-func (d *Component) reply(sure bool, w *waitingReport) {
+func (d *Component) reply(sure bool, w *pendingReply) {
 	m := w.m
 	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
