--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -10,9 +10,9 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// known tells what the leader knows of a task that a report shows. When it is
+// taskRecord tells what the leader knows of a task that a report shows. When it is
 // really there, a mere plan for it gives way.
-func (d *Component) known(m *workers.Machine, id uint64, task int, here bool) (workers.TaskRecord, bool) {
+func (d *Component) taskRecord(m *workers.Machine, id uint64, task int, here bool) (workers.TaskRecord, bool) {
 	j := d.Jobs.Find(id)
 	if j == nil {
 		// Leaders of the version in production have users told while tasks still run.
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -306,7 +306,7 @@
 	}
 	before := m.Resolved
 	events, cmds := m.ApplyStatus(now, r, m.Token, d.Reconciled, func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
-		return d.known(m, job, task, here)
+		return d.taskRecord(m, job, task, here)
 	})
 	if m.Resolved != before {
 		d.resolved(now, m)
