--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -34,7 +34,7 @@
 		Noted: s == jobs.DoneDurably, Held: j.Phase == jobs.Held, Elsewhere: elsewhere}, true
 }
 
-func (d *Component) event(now time.Duration, m *workers.Machine, e workers.Event) {
+func (d *Component) applyTaskEvent(now time.Duration, m *workers.Machine, e workers.Event) {
 	j := d.Jobs.At(e.Ref.Job)
 	k := int(e.Ref.Task)
 	switch e.Kind {
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -312,7 +312,7 @@
 		d.resolved(now, m)
 	}
 	for _, e := range events {
-		d.event(now, m, e)
+		d.applyTaskEvent(now, m, e)
 	}
 	d.fit(m)
 	d.Publish(cluster.Event{Kind: cluster.HeartbeatApplied, At: now, Machine: m, Report: r})
@@ -419,7 +419,7 @@
 		}
 		d.offersLost(now, m)
 		for _, p := range m.CloseOffers() {
-			d.event(now, m, workers.Event{Kind: workers.EventOfferClosed, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
+			d.applyTaskEvent(now, m, workers.Event{Kind: workers.EventOfferClosed, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		}
 		for ref, p := range m.Tasks {
 			if p.Planned && p.Rehome() {
@@ -429,7 +429,7 @@
 			}
 			ev := workers.Event{Kind: workers.EventGone, Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Reason: workers.Vanished, Ran: -1, Running: p.Runs(), Died: true}
 			m.RemovePlacement(ref)
-			d.event(now, m, ev)
+			d.applyTaskEvent(now, m, ev)
 		}
 		d.Inventory.Remove(name)
 		if m.Unresolved() {
