--- a/internal/leader/registry/events.go
+++ b/internal/leader/registry/events.go
@@ -143,9 +143,9 @@
 	}
 }
 
-// offersLost tells of the tasks that were on offer to a machine whose worker has died:
+// publishLostOffers tells of the tasks that were on offer to a machine whose worker has died:
 // another controller may have started them there, and no report will say so any more.
-func (d *Component) offersLost(now time.Duration, m *workers.Machine) {
+func (d *Component) publishLostOffers(now time.Duration, m *workers.Machine) {
 	for ref, p := range m.OpenOffers {
 		if j := d.Jobs.At(ref.Job); p.Planned && j != nil {
 			d.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -302,7 +302,7 @@
 		d.LogMessage(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
 	if diff.Resolution() == reconcile.Forget {
-		d.offersLost(now, m)
+		d.publishLostOffers(now, m)
 	}
 	before := m.Resolved
 	events, cmds := m.ApplyStatus(now, r, m.Token, d.Reconciled, func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
@@ -417,7 +417,7 @@
 		if m == nil {
 			continue
 		}
-		d.offersLost(now, m)
+		d.publishLostOffers(now, m)
 		for _, p := range m.CloseOffers() {
 			d.applyTaskEvent(now, m, workers.Event{Kind: workers.EventOfferClosed, Ref: p.Ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p})
 		}
