--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -192,8 +192,8 @@
 	over  bool // answered, since the machine has reported again
 }
 
-// resolved notes that what an earlier term left on a machine is known.
-func (d *Component) resolved(now time.Duration, m *workers.Machine) {
+// machineResolved notes that what an earlier term left on a machine is known.
+func (d *Component) machineResolved(now time.Duration, m *workers.Machine) {
 	d.NeedsCycle = true
 	d.RemoveUnresolved(m)
 	for id := range m.Grants {
@@ -309,7 +309,7 @@
 		return d.taskRecord(m, job, task, here)
 	})
 	if m.Resolved != before {
-		d.resolved(now, m)
+		d.machineResolved(now, m)
 	}
 	for _, e := range events {
 		d.applyTaskEvent(now, m, e)
@@ -433,7 +433,7 @@
 		}
 		d.Inventory.Remove(name)
 		if m.Unresolved() {
-			d.resolved(now, m)
+			d.machineResolved(now, m)
 		}
 		d.Publish(cluster.Event{Kind: cluster.MachineProvedGone, At: now, Machine: m})
 	}
