--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -207,9 +207,9 @@
 	}
 }
 
-// hold settles in whose block the machine is that has reported by way of a
+// assignShard settles in whose block the machine is that has reported by way of a
 // controller. It returns the holder to which the worker must go instead.
-func (d *Component) hold(now time.Duration, m *workers.Machine, in effects.RelayedHeartbeat) string {
+func (d *Component) assignShard(now time.Duration, m *workers.Machine, in effects.RelayedHeartbeat) string {
 	if life, ok := d.controllerIncarnations[in.Via]; ok && life != in.Life {
 		// The controller began anew and has forgotten what it took up: what is
 		// on offer by way of it must be settled before it is offered again.
@@ -293,7 +293,7 @@
 		w.over = true
 		delete(d.pendingByMachine, m)
 	}
-	elsewhere := d.hold(now, m, in)
+	elsewhere := d.assignShard(now, m, in)
 	if !m.Up {
 		m.UpSince = now
 		d.NeedsCycle = true
