--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -215,7 +215,7 @@
 		// on offer by way of it must be settled before it is offered again.
 		for _, o := range d.Inventory.All() {
 			if o.Shard == in.Via {
-				d.freeze(o)
+				d.suspendOffers(o)
 			}
 		}
 	}
@@ -227,16 +227,16 @@
 	case m.Shard != "" && now-m.LastHeartbeat < moveAfter && now-d.controllerLastHeard[m.Shard] < moveAfter:
 		return m.Shard
 	case m.Shard != "":
-		d.freeze(m)
+		d.suspendOffers(m)
 		m.Token = d.NextToken() // the worker turns the former holder away
 	}
 	m.Shard = in.Via
 	return ""
 }
 
-// freeze keeps the tasks planned on a machine from being offered anew while
+// suspendOffers keeps the tasks planned on a machine from being offered anew while
 // an offer of them is open.
-func (d *Component) freeze(m *workers.Machine) {
+func (d *Component) suspendOffers(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned && len(p.Offered) > 0 {
 			p.NotOfferedAgain = true
