--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -314,7 +314,7 @@
 	for _, e := range events {
 		d.applyTaskEvent(now, m, e)
 	}
-	d.fit(m)
+	d.cancelExcessPlans(m)
 	d.Publish(cluster.Event{Kind: cluster.HeartbeatApplied, At: now, Machine: m, Report: r})
 	if elsewhere != "" {
 		d.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: elsewhere}})
@@ -341,12 +341,12 @@
 	d.reply(sure, w)
 }
 
-// fit takes back plans for which a machine has no room any more: its controller has
+// cancelExcessPlans takes back plans for which a machine has no room any more: its controller has
 // started tasks there, out of the block's offers, that were planned on other machines, and
 // meanwhile its room was given once more. Found on a day with seven controllers, where one
 // start in thirty was refused for want of room, and each refusal kept its machine from work
 // for two seconds.
-func (d *Component) fit(m *workers.Machine) {
+func (d *Component) cancelExcessPlans(m *workers.Machine) {
 	if (resources.Amounts{}).Fits(m.Free) {
 		return
 	}
