--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -252,7 +252,7 @@
 	answer := effects.HeartbeatAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
 	m := d.Inventory.Find(r.Machine)
-	diff := d.Reconciled.Count(d.square(m, r))
+	diff := d.Reconciled.Count(d.reconcileReport(m, r))
 	switch diff.Resolution() {
 	case reconcile.Ignore:
 		if m != nil {
@@ -357,8 +357,8 @@
 	}
 }
 
-// square names the difference between a machine, nil if it is not entered, and its report.
-func (d *Component) square(m *workers.Machine, r *workers.Report) reconcile.Diff {
+// reconcileReport names the difference between a machine, nil if it is not entered, and its report.
+func (d *Component) reconcileReport(m *workers.Machine, r *workers.Report) reconcile.Diff {
 	_, typed := d.TypeNames.Lookup(r.Type)
 	x := reconcile.Machine{Gone: d.Inventory.WasDeleted(r.Machine), Typed: typed, Epoch: d.Epoch,
 		ReportSession: r.Session, ReportNumber: r.Seq, ReportToken: r.Token, ReportEpoch: r.Token >> cluster.TokenBits}
