--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -338,7 +338,7 @@
 		d.pendingByMachine[m] = w
 		return
 	}
-	d.reply(sure, w)
+	d.sendReply(sure, w)
 }
 
 // cancelExcessPlans takes back plans for which a machine has no room any more: its controller has
@@ -368,9 +368,9 @@
 	return reconcile.Report(x)
 }
 
-// reply answers a report: with what follows from it, the stops that are due
+// sendReply answers a report: with what follows from it, the stops that are due
 // and the offers.
-func (d *Component) reply(sure bool, w *pendingReply) {
+func (d *Component) sendReply(sure bool, w *pendingReply) {
 	m := w.m
 	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
@@ -392,7 +392,7 @@
 			continue
 		}
 		delete(d.pendingByMachine, w.m)
-		d.reply(sure, w)
+		d.sendReply(sure, w)
 	}
 	clear(d.pendingReplies[len(kept):])
 	d.pendingReplies = kept
