--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -158,7 +158,7 @@
 func (d *Component) Tick(now time.Duration, sure bool) {
 	if now-d.lastCheckAt >= watchEvery {
 		d.lastCheckAt = now
-		d.watch(now, sure)
+		d.detectFailures(now, sure)
 	}
 }
 
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -11,9 +11,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// watch looks after every machine: silent ones, boots that take too long,
+// detectFailures looks after every machine: silent ones, boots that take too long,
 // spot notices, tasks that were to be stopped and are still there.
-func (d *Component) watch(now time.Duration, sure bool) {
+func (d *Component) detectFailures(now time.Duration, sure bool) {
 	w := d.Cfg.Deployment.Workers
 	limit := d.GiveUpAfter()
 	deaf := d.MostMachinesSilent(now)
