--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -39,7 +39,7 @@
 			d.CancelPlans(m)
 		}
 		switch {
-		case sure && slices.ContainsFunc(late, func(j *jobs.Job) bool { return d.mayBeOn(j, m) }):
+		case sure && slices.ContainsFunc(late, func(j *jobs.Job) bool { return d.mayHaveTaskOn(j, m) }):
 			// The deletion will prove it. Without being sure of the term its user could not be
 			// told so.
 			d.Decommission(now, m, cluster.Delete, "a cancelled job's task not proved gone")
@@ -83,8 +83,8 @@
 	}
 }
 
-// mayBeOn says whether a job may have a task on a machine, as far as is proved.
-func (d *Component) mayBeOn(j *jobs.Job, m *workers.Machine) bool {
+// mayHaveTaskOn says whether a job may have a task on a machine, as far as is proved.
+func (d *Component) mayHaveTaskOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
 		return d.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
 	}
