--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -43,7 +43,7 @@
 			// The deletion will prove it. Without being sure of the term its user could not be
 			// told so.
 			d.Decommission(now, m, cluster.Delete, "a cancelled job's task not proved gone")
-		case sure && !deaf && now-heard > d.SuspectAfter() && d.nothingElse(m):
+		case sure && !deaf && now-heard > d.SuspectAfter() && d.hasOnlyCancelledTasks(m):
 			d.Decommission(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
 		case sure && !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance(): // it may live, and be on its way here
 		case sure && (m.Up || m.Durable) && now-heard > limit && d.waitsFor(now, m): // with its whole zone
@@ -96,9 +96,9 @@
 	return false
 }
 
-// nothingElse says whether all that counts as being on a machine is of jobs that are being
+// hasOnlyCancelledTasks says whether all that counts as being on a machine is of jobs that are being
 // cancelled: then nothing is lost with it, and their users wait.
-func (d *Component) nothingElse(m *workers.Machine) bool {
+func (d *Component) hasOnlyCancelledTasks(m *workers.Machine) bool {
 	if len(m.Tasks) == 0 || m.Unresolved() {
 		return false
 	}
