--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -47,7 +47,7 @@
 			d.Decommission(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
 		case sure && !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance(): // it may live, and be on its way here
 		case sure && (m.Up || m.Durable) && now-heard > limit && d.waitsFor(now, m): // with its whole zone
-		case sure && m.Durable && d.mute(m, heard):
+		case sure && m.Durable && d.probesUnanswered(m, heard):
 			d.Decommission(now, m, cluster.Delete, "does not answer")
 		case sure && (m.Up || m.Durable) && now-heard > limit:
 			d.Decommission(now, m, cluster.Delete, "silent")
@@ -110,9 +110,9 @@
 	return true
 }
 
-// mute says whether a machine has been asked often enough while it was silent, and its zone
+// probesUnanswered says whether a machine has been asked often enough while it was silent, and its zone
 // is heard: it is given up before others.
-func (d *Component) mute(m *workers.Machine, heard time.Duration) bool {
+func (d *Component) probesUnanswered(m *workers.Machine, heard time.Duration) bool {
 	most := d.Cfg.Tunables.AskSilent
 	return most > 0 && m.Unanswered >= most && m.UnansweredAt >= heard && int(m.Zone) < len(d.zoneReachable) && d.zoneReachable[m.Zone]
 }
