--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -22,7 +22,7 @@
 		limit = max(limit, settings.Seconds(1.2*w.LeaseS))
 	}
 	d.watchZones(now, deaf)
-	d.zoneReachable = d.hears(now)
+	d.zoneReachable = d.reachableZones(now)
 	overdue := settings.Seconds(0.5 * w.CancelS)
 	var late []*jobs.Job // being cancelled for longer than tasks may take to stop
 	for _, j := range d.Jobs.All() {
@@ -117,9 +117,9 @@
 	return most > 0 && m.Unanswered >= most && m.UnansweredAt >= heard && int(m.Zone) < len(d.zoneReachable) && d.zoneReachable[m.Zone]
 }
 
-// hears says which zones are heard well: of a zone that is not, machines are no more
+// reachableZones says which zones are heard well: of a zone that is not, machines are no more
 // likely dead than cut off.
-func (d *Component) hears(now time.Duration) []bool {
+func (d *Component) reachableZones(now time.Duration) []bool {
 	if d.Cfg.Tunables.AskSilent == 0 || !d.Cfg.AnyNeedsDispatch() {
 		return nil
 	}
