--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -134,13 +134,13 @@
 	}
 	well := make([]bool, len(up))
 	for z := range up {
-		well[z] = silent[z]*wellHeard <= up[z]
+		well[z] = silent[z]*minReachableRatio <= up[z]
 	}
 	return well
 }
 
 // wellHeard: a zone is if at most one in so many of its machines is late.
-const wellHeard = 5
+const minReachableRatio = 5
 
 // cutZone is what is known of a zone that is silent as a whole, or was until lately.
 type cutZone struct {
