--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -43,8 +43,8 @@
 	pendingReplies         []*pendingReply // reports not answered yet, in the order in which they came
 	pendingByMachine       map[*workers.Machine]*pendingReply
 	lastCheckAt            time.Duration
-	zoneOutages            []cutZone // by zone
-	zoneReachable          []bool    // by zone: whether it is heard well, where silent machines are asked
+	zoneOutages            []zoneOutage // by zone
+	zoneReachable          []bool       // by zone: whether it is heard well, where silent machines are asked
 
 	replayedMachines map[string]eventlog.Machine // while the log is replayed
 	replayedReturns  []returnRecord              // likewise
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -142,8 +142,8 @@
 // wellHeard: a zone is if at most one in so many of its machines is late.
 const minReachableRatio = 5
 
-// cutZone is what is known of a zone that is silent as a whole, or was until lately.
-type cutZone struct {
+// zoneOutage is what is known of a zone that is silent as a whole, or was until lately.
+type zoneOutage struct {
 	since, until time.Duration // from when to when; until 0: never
 }
 
@@ -155,7 +155,7 @@
 	}
 	up, silent := d.SilentByZone(now)
 	for len(d.zoneOutages) < len(up) {
-		d.zoneOutages = append(d.zoneOutages, cutZone{})
+		d.zoneOutages = append(d.zoneOutages, zoneOutage{})
 	}
 	for z := range up {
 		if c := &d.zoneOutages[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.kept(z) {
