--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -21,7 +21,7 @@
 		// Most of them at once: the fault is more likely on our side.
 		limit = max(limit, settings.Seconds(1.2*w.LeaseS))
 	}
-	d.watchZones(now, deaf)
+	d.trackZoneOutages(now, deaf)
 	d.zoneReachable = d.reachableZones(now)
 	overdue := settings.Seconds(0.5 * w.CancelS)
 	var late []*jobs.Job // being cancelled for longer than tasks may take to stop
@@ -147,9 +147,9 @@
 	since, until time.Duration // from when to when; until 0: never
 }
 
-// watchZones notes which zones are silent as a whole: most of their machines are, while
+// trackZoneOutages notes which zones are silent as a whole: most of their machines are, while
 // others are heard.
-func (d *Component) watchZones(now time.Duration, deaf bool) {
+func (d *Component) trackZoneOutages(now time.Duration, deaf bool) {
 	if d.Cfg.Tunables.ZonePatienceS == 0 {
 		return
 	}
