--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -158,7 +158,7 @@
 		d.zoneOutages = append(d.zoneOutages, zoneOutage{})
 	}
 	for z := range up {
-		if c := &d.zoneOutages[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.kept(z) {
+		if c := &d.zoneOutages[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.zoneHasPeer(z) {
 			if c.until == 0 || now-c.until > d.GiveUpAfter() {
 				c.since = now - d.SuspectAfter()
 				d.LogMessage(effects.Warn, "a zone is silent as a whole: its machines are waited for", "zone", d.Zones.Name(int32(z)), "silent", silent[z], "of", up[z], "for", d.Cfg.Tunables.ZonePatienceS)
@@ -168,10 +168,10 @@
 	}
 }
 
-// kept says whether another controller is in a zone, which may keep its workers alive
+// zoneHasPeer says whether another controller is in a zone, which may keep its workers alive
 // while it is cut off. Found on a day on which there was none: all leases ran out there,
 // and their machines were waited for in vain.
-func (d *Component) kept(zone int) bool {
+func (d *Component) zoneHasPeer(zone int) bool {
 	name := d.Zones.Name(int32(zone))
 	return slices.ContainsFunc(d.Cfg.Peers, func(p settings.Peer) bool { return p.Zone == name })
 }
