--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -46,7 +46,7 @@
 		case sure && !deaf && now-heard > d.SuspectAfter() && d.hasOnlyCancelledTasks(m):
 			d.Decommission(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
 		case sure && !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance(): // it may live, and be on its way here
-		case sure && (m.Up || m.Durable) && now-heard > limit && d.waitsFor(now, m): // with its whole zone
+		case sure && (m.Up || m.Durable) && now-heard > limit && d.toleratesSilence(now, m): // with its whole zone
 		case sure && m.Durable && d.probesUnanswered(m, heard):
 			d.Decommission(now, m, cluster.Delete, "does not answer")
 		case sure && (m.Up || m.Durable) && now-heard > limit:
@@ -176,13 +176,13 @@
 	return slices.ContainsFunc(d.Cfg.Peers, func(p settings.Peer) bool { return p.Zone == name })
 }
 
-// waitsFor says whether a silent machine is waited for with its whole zone: for a bounded
+// toleratesSilence says whether a silent machine is waited for with its whole zone: for a bounded
 // time, and for as long as any machine has to come back after that time or the cut's end.
 // One whose tasks are not known is not waited for where it takes much of a team's limit:
 // until it is resolved, nothing of that team may start. Found on days with a zone cut for
 // longer than a machine is usually waited for: all that ran there was started again, on
 // machines that had to be rented first, while there it went on to its end.
-func (d *Component) waitsFor(now time.Duration, m *workers.Machine) bool {
+func (d *Component) toleratesSilence(now time.Duration, m *workers.Machine) bool {
 	if int(m.Zone) >= len(d.zoneOutages) {
 		return false
 	}
