--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	watchEvery   = 500 * time.Millisecond
-	bootSlack    = 20 * time.Second
-	machineBytes = 100 // rough size of an entry
+	checkInterval = 500 * time.Millisecond
+	bootSlack     = 20 * time.Second
+	machineBytes  = 100 // rough size of an entry
 
 	// moveAfter is how long a machine's own controller must not have heard it
 	// before another one gets it.
@@ -156,7 +156,7 @@
 
 // Tick looks after every machine.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if now-d.lastCheckAt >= watchEvery {
+	if now-d.lastCheckAt >= checkInterval {
 		d.lastCheckAt = now
 		d.detectFailures(now, sure)
 	}
