--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	checkInterval = 500 * time.Millisecond
-	bootSlack     = 20 * time.Second
-	machineBytes  = 100 // rough size of an entry
+	checkInterval   = 500 * time.Millisecond
+	bootGracePeriod = 20 * time.Second
+	machineBytes    = 100 // rough size of an entry
 
 	// moveAfter is how long a machine's own controller must not have heard it
 	// before another one gets it.
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -51,7 +51,7 @@
 			d.Decommission(now, m, cluster.Delete, "does not answer")
 		case sure && (m.Up || m.Durable) && now-heard > limit:
 			d.Decommission(now, m, cluster.Delete, "silent")
-		case sure && !m.Up && !m.Durable && now-m.RentedAt > settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS)+bootSlack:
+		case sure && !m.Up && !m.Durable && now-m.RentedAt > settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS)+bootGracePeriod:
 			d.Decommission(now, m, cluster.Delete, "never came up")
 		case sure && m.Quarantined:
 			d.Decommission(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
