--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	checkInterval   = 500 * time.Millisecond
-	bootGracePeriod = 20 * time.Second
-	machineBytes    = 100 // rough size of an entry
+	checkInterval     = 500 * time.Millisecond
+	bootGracePeriod   = 20 * time.Second
+	machineEntryBytes = 100 // rough size of an entry
 
 	// moveAfter is how long a machine's own controller must not have heard it
 	// before another one gets it.
@@ -163,7 +163,7 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return len(d.Inventory.All()) * machineBytes }
+func (d *Component) LiveBytes() int { return len(d.Inventory.All()) * machineEntryBytes }
 
 // Compact writes anew what is live of an entry.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
