--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -26,7 +26,7 @@
 
 	// moveAfter is how long a machine's own controller must not have heard it
 	// before another one gets it.
-	moveAfter = 2 * time.Second
+	reassignAfter = 2 * time.Second
 
 	// grantWait is how long an answer waits at most: the machine's next report
 	// gets what this one did not.
@@ -224,7 +224,7 @@
 	switch {
 	case m.Shard == in.Via:
 		return ""
-	case m.Shard != "" && now-m.LastHeartbeat < moveAfter && now-d.controllerLastHeard[m.Shard] < moveAfter:
+	case m.Shard != "" && now-m.LastHeartbeat < reassignAfter && now-d.controllerLastHeard[m.Shard] < reassignAfter:
 		return m.Shard
 	case m.Shard != "":
 		d.suspendOffers(m)
