--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -30,7 +30,7 @@
 
 	// grantWait is how long an answer waits at most: the machine's next report
 	// gets what this one did not.
-	grantWait = 500 * time.Millisecond
+	maxReplyDelay = 500 * time.Millisecond
 )
 
 // Component looks after the machines of a term.
@@ -387,7 +387,7 @@
 		if w.over {
 			continue
 		}
-		if sure && w.m.AwaitsDurability() && now-w.since < grantWait && !w.m.Deleting {
+		if sure && w.m.AwaitsDurability() && now-w.since < maxReplyDelay && !w.m.Deleting {
 			kept = append(kept, w)
 			continue
 		}
