--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -29,7 +29,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	under int // calls under way
+	callsInFlight int // calls under way
 
 	sent, answered, unanswered, tasks uint64
 	began                             *cluster.Histogram
@@ -68,7 +68,7 @@
 		m := p.Machine
 		switch {
 		case !p.Planned || d.Placements[p.Ref] != p: // it has gone the ordinary way, or was taken back
-		case done[m] || d.under >= d.Cfg.Tunables.DirectStarts || d.TokensRunLow() || !d.free(now, m):
+		case done[m] || d.callsInFlight >= d.Cfg.Tunables.DirectStarts || d.TokensRunLow() || !d.free(now, m):
 			kept = append(kept, p)
 		default:
 			done[m] = true
@@ -107,7 +107,7 @@
 		return
 	}
 	m.Dispatching = true
-	d.under++
+	d.callsInFlight++
 	d.sent++
 	d.tasks += uint64(len(starts))
 	d.Emit(effects.Dispatch{Machine: m.Name, Address: m.Address, Token: m.Token, Session: m.Session, Starts: starts})
@@ -115,7 +115,7 @@
 
 // Dispatched takes a worker's report after starts that were sent to it, or none.
 func (d *Component) Dispatched(now time.Duration, machine string, token uint64, starts []workers.Command, r *workers.Report) {
-	d.under--
+	d.callsInFlight--
 	if r != nil {
 		d.answered++
 	} else {
@@ -148,5 +148,5 @@
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
-	return json.Marshal(View{d.sent, d.tasks, d.answered, d.unanswered, d.under})
+	return json.Marshal(View{d.sent, d.tasks, d.answered, d.unanswered, d.callsInFlight})
 }
