--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -32,12 +32,12 @@
 	callsInFlight int // calls under way
 
 	sent, answered, unanswered, tasks uint64
-	began                             *cluster.Histogram
+	startSeconds                      *cluster.Histogram
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, began: s.Metrics.Histogram("bitternmoor_start_seconds", "Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
+	return &Component{State: s, startSeconds: s.Metrics.Histogram("bitternmoor_start_seconds", "Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
 		"start", []float64{0.25, 0.5, 1, 2, 4, 8, 16, 32, 64, 128, 256})}
 }
 
@@ -53,7 +53,7 @@
 	if e.Machine.WasDispatched(workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}) {
 		way = " directly"
 	}
-	d.began.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
+	d.startSeconds.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
 }
 
 // AfterCycle sends what may go: tasks whose grant and mark are durable, to machines on which
