--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -31,8 +31,8 @@
 	*cluster.State
 	callsInFlight int // calls under way
 
-	callsSent, answered, unanswered, tasks uint64
-	startSeconds                           *cluster.Histogram
+	callsSent, callsAnswered, unanswered, tasks uint64
+	startSeconds                                *cluster.Histogram
 }
 
 // New makes the duty of a term.
@@ -117,7 +117,7 @@
 func (d *Component) Dispatched(now time.Duration, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	d.callsInFlight--
 	if r != nil {
-		d.answered++
+		d.callsAnswered++
 	} else {
 		d.unanswered++
 	}
@@ -148,5 +148,5 @@
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
-	return json.Marshal(View{d.callsSent, d.tasks, d.answered, d.unanswered, d.callsInFlight})
+	return json.Marshal(View{d.callsSent, d.tasks, d.callsAnswered, d.unanswered, d.callsInFlight})
 }
