--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -31,8 +31,8 @@
 	*cluster.State
 	callsInFlight int // calls under way
 
-	callsSent, callsAnswered, unanswered, tasks uint64
-	startSeconds                                *cluster.Histogram
+	callsSent, callsAnswered, callsUnanswered, tasks uint64
+	startSeconds                                     *cluster.Histogram
 }
 
 // New makes the duty of a term.
@@ -119,7 +119,7 @@
 	if r != nil {
 		d.callsAnswered++
 	} else {
-		d.unanswered++
+		d.callsUnanswered++
 	}
 	m := d.Inventory.Find(machine)
 	if m == nil {
@@ -148,5 +148,5 @@
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
-	return json.Marshal(View{d.callsSent, d.tasks, d.callsAnswered, d.unanswered, d.callsInFlight})
+	return json.Marshal(View{d.callsSent, d.tasks, d.callsAnswered, d.callsUnanswered, d.callsInFlight})
 }
