--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -31,8 +31,8 @@
 	*cluster.State
 	callsInFlight int // calls under way
 
-	callsSent, callsAnswered, callsUnanswered, tasks uint64
-	startSeconds                                     *cluster.Histogram
+	callsSent, callsAnswered, callsUnanswered, tasksSent uint64
+	startSeconds                                         *cluster.Histogram
 }
 
 // New makes the duty of a term.
@@ -109,7 +109,7 @@
 	m.Dispatching = true
 	d.callsInFlight++
 	d.callsSent++
-	d.tasks += uint64(len(starts))
+	d.tasksSent += uint64(len(starts))
 	d.Emit(effects.Dispatch{Machine: m.Name, Address: m.Address, Token: m.Token, Session: m.Session, Starts: starts})
 }
 
@@ -148,5 +148,5 @@
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
-	return json.Marshal(View{d.callsSent, d.tasks, d.callsAnswered, d.callsUnanswered, d.callsInFlight})
+	return json.Marshal(View{d.callsSent, d.tasksSent, d.callsAnswered, d.callsUnanswered, d.callsInFlight})
 }
