--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -68,7 +68,7 @@
 		m := p.Machine
 		switch {
 		case !p.Planned || d.Placements[p.Ref] != p: // it has gone the ordinary way, or was taken back
-		case done[m] || d.callsInFlight >= d.Cfg.Tunables.DirectStarts || d.TokensRunLow() || !d.free(now, m):
+		case done[m] || d.callsInFlight >= d.Cfg.Tunables.DirectStarts || d.TokensRunLow() || !d.isDispatchable(now, m):
 			kept = append(kept, p)
 		default:
 			done[m] = true
@@ -82,10 +82,10 @@
 	d.DispatchQueue = kept
 }
 
-// free says whether starts may be sent straight to a machine: its worker is known to live,
+// isDispatchable says whether starts may be sent straight to a machine: its worker is known to live,
 // it has room, and neither an answer with offers for it is open, which another controller
 // may have filled with other tasks, nor a call without an answer.
-func (d *Component) free(now time.Duration, m *workers.Machine) bool {
+func (d *Component) isDispatchable(now time.Duration, m *workers.Machine) bool {
 	return m.Address != "" && m.Usable(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
