--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/direct.go
@@ -72,7 +72,7 @@
 			kept = append(kept, p)
 		default:
 			done[m] = true
-			d.launch(now, m)
+			d.dispatchTo(now, m)
 			if p.Planned {
 				kept = append(kept, p)
 			}
@@ -89,8 +89,8 @@
 	return m.Address != "" && m.Usable(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
-// launch sends all that may be started on a machine in one command.
-func (d *Component) launch(now time.Duration, m *workers.Machine) {
+// dispatchTo sends all that may be started on a machine in one command.
+func (d *Component) dispatchTo(now time.Duration, m *workers.Machine) {
 	var starts []workers.Command
 	for _, p := range m.PlannedHere() {
 		if !p.StartNow || p.NotOfferedAgain || p.Withdrawn || len(p.Offered) > 0 || !m.Grants[p.JobID] || !p.IntentDurable {
