--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	every  = 250 * time.Millisecond
-	atOnce = 16 // calls under way
-	slack  = 500 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
+	atOnce        = 16 // calls under way
+	slack         = 500 * time.Millisecond
 )
 
 // Component asks silent machines in a term.
@@ -34,7 +34,7 @@
 
 // Tick asks machines that have been silent for longer than between two reports.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if !sure || now-d.lookAt < every {
+	if !sure || now-d.lookAt < probeInterval {
 		return
 	}
 	d.lookAt = now
