--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -15,7 +15,7 @@
 
 const (
 	probeInterval = 250 * time.Millisecond
-	atOnce        = 16 // calls under way
+	maxInFlight   = 16 // calls under way
 	slack         = 500 * time.Millisecond
 )
 
@@ -41,7 +41,7 @@
 	from := settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) + slack
 	for _, m := range d.Inventory.All() {
 		heard := max(m.LastHeartbeat, d.TermBegan)
-		if len(d.asked) >= atOnce {
+		if len(d.asked) >= maxInFlight {
 			return
 		}
 		if _, under := d.asked[m.Name]; under || !m.Durable || m.Deleting || m.Address == "" || now-heard <= from {
