--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	probeInterval = 250 * time.Millisecond
-	maxInFlight   = 16 // calls under way
-	slack         = 500 * time.Millisecond
+	probeInterval  = 250 * time.Millisecond
+	maxInFlight    = 16 // calls under way
+	heartbeatGrace = 500 * time.Millisecond
 )
 
 // Component asks silent machines in a term.
@@ -38,7 +38,7 @@
 		return
 	}
 	d.lookAt = now
-	from := settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) + slack
+	from := settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) + heartbeatGrace
 	for _, m := range d.Inventory.All() {
 		heard := max(m.LastHeartbeat, d.TermBegan)
 		if len(d.asked) >= maxInFlight {
