--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -66,9 +66,9 @@
 		return // deleted, or heard meanwhile
 	}
 	if m.Unanswered++; ok {
-		m.Unanswered = -lives
+		m.Unanswered = -extraProbesAfterAnswer
 	}
 }
 
 // lives is how many more times a machine is asked that has answered.
-const lives = 4
+const extraProbesAfterAnswer = 4
