--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -23,13 +23,13 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	asked  map[string]time.Duration // calls under way, by machine: when it was last heard before
-	lookAt time.Duration
+	inFlight map[string]time.Duration // calls under way, by machine: when it was last heard before
+	lookAt   time.Duration
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, asked: map[string]time.Duration{}}
+	return &Component{State: s, inFlight: map[string]time.Duration{}}
 }
 
 // Tick asks machines that have been silent for longer than between two reports.
@@ -41,17 +41,17 @@
 	from := settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) + heartbeatGrace
 	for _, m := range d.Inventory.All() {
 		heard := max(m.LastHeartbeat, d.TermBegan)
-		if len(d.asked) >= maxInFlight {
+		if len(d.inFlight) >= maxInFlight {
 			return
 		}
-		if _, under := d.asked[m.Name]; under || !m.Durable || m.Deleting || m.Address == "" || now-heard <= from {
+		if _, under := d.inFlight[m.Name]; under || !m.Durable || m.Deleting || m.Address == "" || now-heard <= from {
 			continue
 		}
 		if m.UnansweredAt < heard {
 			m.Unanswered, m.UnansweredAt = 0, heard
 		}
 		if m.Unanswered < d.Cfg.Tunables.AskSilent {
-			d.asked[m.Name] = heard
+			d.inFlight[m.Name] = heard
 			d.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
 		}
 	}
@@ -60,8 +60,8 @@
 // WorkerProbed takes whether a machine answered.
 func (d *Component) WorkerProbed(machine string, ok bool) {
 	m := d.Inventory.Find(machine)
-	heard, under := d.asked[machine]
-	delete(d.asked, machine)
+	heard, under := d.inFlight[machine]
+	delete(d.inFlight, machine)
 	if m == nil || !under || max(m.LastHeartbeat, d.TermBegan) != heard {
 		return // deleted, or heard meanwhile
 	}
