--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/asking.go
@@ -23,8 +23,8 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	inFlight map[string]time.Duration // calls under way, by machine: when it was last heard before
-	lookAt   time.Duration
+	inFlight  map[string]time.Duration // calls under way, by machine: when it was last heard before
+	lastRunAt time.Duration
 }
 
 // New makes the duty of a term.
@@ -34,10 +34,10 @@
 
 // Tick asks machines that have been silent for longer than between two reports.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if !sure || now-d.lookAt < probeInterval {
+	if !sure || now-d.lastRunAt < probeInterval {
 		return
 	}
-	d.lookAt = now
+	d.lastRunAt = now
 	from := settings.Seconds(1.25*d.Cfg.Deployment.Workers.ReportS) + heartbeatGrace
 	for _, m := range d.Inventory.All() {
 		heard := max(m.LastHeartbeat, d.TermBegan)
