--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -24,8 +24,8 @@
 const (
 	// giveUp ends the account of a takeover some of whose steps do not come;
 	// startWait that of one where all is resolved and nothing waits for a start.
-	giveUp    = 3 * time.Minute
-	startWait = 10 * time.Second
+	maxAccountTime = 3 * time.Minute
+	startWait      = 10 * time.Second
 
 	recordBytes = 220 // rough size of an entry
 )
@@ -226,7 +226,7 @@
 	if d.own.After[Free] < 0 && d.heldBack() == 0 {
 		d.reach(Free, now)
 	}
-	if !d.complete(now) && now-d.TermBegan < giveUp {
+	if !d.complete(now) && now-d.TermBegan < maxAccountTime {
 		return
 	}
 	d.over = true
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -101,7 +101,7 @@
 // closed all the same, without the steps that did not come.
 func TestStepsThatDoNotCome(t *testing.T) {
 	d := begun(&cluster.Metrics{})
-	d.Tick(12*time.Second+giveUp, true)
+	d.Tick(12*time.Second+maxAccountTime, true)
 	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != 2 {
 		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
 	}
