--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -24,8 +24,8 @@
 const (
 	// giveUp ends the account of a takeover some of whose steps do not come;
 	// startWait that of one where all is resolved and nothing waits for a start.
-	maxAccountTime = 3 * time.Minute
-	startWait      = 10 * time.Second
+	maxAccountTime    = 3 * time.Minute
+	firstStartTimeout = 10 * time.Second
 
 	recordBytes = 220 // rough size of an entry
 )
@@ -255,7 +255,7 @@
 		}
 		last = max(last, d.own.After[s])
 	}
-	return d.own.After[FirstStart] >= 0 || now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+startWait
+	return d.own.After[FirstStart] >= 0 || now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -116,11 +116,11 @@
 	if d.EventLog.Pending() != 0 {
 		t.Error("closed before a start could come")
 	}
-	d.Tick(14*time.Second+startWait, false)
+	d.Tick(14*time.Second+firstStartTimeout, false)
 	if d.EventLog.Pending() != 0 {
 		t.Error("closed by a leader that is not sure of its term")
 	}
-	d.Tick(14*time.Second+startWait, true)
+	d.Tick(14*time.Second+firstStartTimeout, true)
 	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != int(steps)-1 {
 		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
 	}
