--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -92,18 +92,18 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	keep    int // so many are remembered
-	past    []stored
-	own     stored
-	over    bool // the account of this term's takeover is closed
-	unknown int  // registered machines that were not resolved when the log was read
-	left    int  // those of them that are not yet
-	hist    *cluster.Histogram
+	maxRecords int // so many are remembered
+	past       []stored
+	own        stored
+	over       bool // the account of this term's takeover is closed
+	unknown    int  // registered machines that were not resolved when the log was read
+	left       int  // those of them that are not yet
+	hist       *cluster.Histogram
 }
 
 // New makes the duty of a term; it remembers so many takeovers.
 func New(s *cluster.State, keep int) *Component {
-	d := &Component{State: s, keep: keep, hist: s.Metrics.Histogram("bitternmoor_takeover_seconds",
+	d := &Component{State: s, maxRecords: keep, hist: s.Metrics.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
 	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
 	d.own.SilentMS = -1
@@ -142,7 +142,7 @@
 		return
 	}
 	d.past = slices.Insert(d.past, i, r)
-	if over := len(d.past) - d.keep; over > 0 {
+	if over := len(d.past) - d.maxRecords; over > 0 {
 		d.past = slices.Delete(d.past, 0, over)
 	}
 }
