--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -93,7 +93,7 @@
 	cluster.NopComponent
 	*cluster.State
 	maxRecords int // so many are remembered
-	past       []stored
+	earlier    []stored
 	own        stored
 	over       bool // the account of this term's takeover is closed
 	unknown    int  // registered machines that were not resolved when the log was read
@@ -137,13 +137,13 @@
 }
 
 func (d *Component) remember(r stored) {
-	i, found := slices.BinarySearchFunc(d.past, r, func(a, b stored) int { return cmp.Compare(a.Epoch, b.Epoch) })
+	i, found := slices.BinarySearchFunc(d.earlier, r, func(a, b stored) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	if found {
 		return
 	}
-	d.past = slices.Insert(d.past, i, r)
-	if over := len(d.past) - d.maxRecords; over > 0 {
-		d.past = slices.Delete(d.past, 0, over)
+	d.earlier = slices.Insert(d.earlier, i, r)
+	if over := len(d.earlier) - d.maxRecords; over > 0 {
+		d.earlier = slices.Delete(d.earlier, 0, over)
 	}
 }
 
@@ -259,11 +259,11 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return len(d.past) * recordBytes }
+func (d *Component) LiveBytes() int { return len(d.earlier) * recordBytes }
 
 // Compact writes a record anew that is still remembered.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
-	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.past, func(o stored) bool { return o.Epoch == r.Epoch }) {
+	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.earlier, func(o stored) bool { return o.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
 }
@@ -287,7 +287,7 @@
 	if !d.over {
 		add(d.own)
 	}
-	for _, r := range slices.Backward(d.past) {
+	for _, r := range slices.Backward(d.earlier) {
 		add(r)
 	}
 	raw, err := json.Marshal(out)
