--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -94,7 +94,7 @@
 	*cluster.State
 	maxRecords int // so many are remembered
 	earlier    []stored
-	own        stored
+	current    stored
 	over       bool // the account of this term's takeover is closed
 	unknown    int  // registered machines that were not resolved when the log was read
 	left       int  // those of them that are not yet
@@ -105,13 +105,13 @@
 func New(s *cluster.State, keep int) *Component {
 	d := &Component{State: s, maxRecords: keep, hist: s.Metrics.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
-	d.own = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
-	d.own.SilentMS = -1
+	d.current = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
+	d.current.SilentMS = -1
 	if s.LastLeaderHeard > 0 {
-		d.own.SilentMS = (s.LeaderMissedAt - s.LastLeaderHeard).Milliseconds()
+		d.current.SilentMS = (s.LeaderMissedAt - s.LastLeaderHeard).Milliseconds()
 	}
-	for i := range d.own.After {
-		d.own.After[i] = -1
+	for i := range d.current.After {
+		d.current.After[i] = -1
 	}
 	return d
 }
@@ -156,8 +156,8 @@
 		}
 	}
 	d.left = d.unknown
-	d.own.Machines, d.own.Jobs, d.own.HeldBack = d.unknown, d.Jobs.Len(), d.heldBack()
-	if d.unknown == 0 && d.own.Jobs == 0 {
+	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unknown, d.Jobs.Len(), d.heldBack()
+	if d.unknown == 0 && d.current.Jobs == 0 {
 		d.over = true
 		return
 	}
@@ -180,9 +180,9 @@
 
 // reach notes a step, the first time that it is reached.
 func (d *Component) reach(s Step, now time.Duration) {
-	if d.own.After[s] < 0 {
-		d.own.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
-		d.hist.Observe(s.String(), float64(d.own.After[s])/1000)
+	if d.current.After[s] < 0 {
+		d.current.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
+		d.hist.Observe(s.String(), float64(d.current.After[s])/1000)
 	}
 }
 
@@ -223,22 +223,22 @@
 	if d.over || !sure {
 		return
 	}
-	if d.own.After[Free] < 0 && d.heldBack() == 0 {
+	if d.current.After[Free] < 0 && d.heldBack() == 0 {
 		d.reach(Free, now)
 	}
 	if !d.complete(now) && now-d.TermBegan < maxAccountTime {
 		return
 	}
 	d.over = true
-	d.remember(d.own)
-	args := []any{"epoch", d.own.Epoch, "machines", d.own.Machines, "jobs", d.own.Jobs, "held_back", d.own.HeldBack}
+	d.remember(d.current)
+	args := []any{"epoch", d.current.Epoch, "machines", d.current.Machines, "jobs", d.current.Jobs, "held_back", d.current.HeldBack}
 	for _, s := range Steps() {
-		if ms := d.own.After[s]; ms >= 0 {
+		if ms := d.current.After[s]; ms >= 0 {
 			args = append(args, s.String(), (time.Duration(ms) * time.Millisecond).String())
 		}
 	}
 	d.LogMessage(effects.Info, "takeover", args...)
-	e := eventlog.NewComponentEntry(Name, d.own)
+	e := eventlog.NewComponentEntry(Name, d.current)
 	if !d.EventLog.Fits(e) {
 		d.LogMessage(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Component.Data))
 		return
@@ -250,12 +250,12 @@
 func (d *Component) complete(now time.Duration) bool {
 	last := int64(0)
 	for _, s := range Steps() {
-		if d.own.After[s] < 0 && s != FirstStart {
+		if d.current.After[s] < 0 && s != FirstStart {
 			return false
 		}
-		last = max(last, d.own.After[s])
+		last = max(last, d.current.After[s])
 	}
-	return d.own.After[FirstStart] >= 0 || now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
+	return d.current.After[FirstStart] >= 0 || now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
@@ -285,7 +285,7 @@
 		out = append(out, x)
 	}
 	if !d.over {
-		add(d.own)
+		add(d.current)
 	}
 	for _, r := range slices.Backward(d.earlier) {
 		add(r)
