--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -95,7 +95,7 @@
 	maxRecords int // so many are remembered
 	earlier    []stored
 	current    stored
-	over       bool // the account of this term's takeover is closed
+	closed     bool // the account of this term's takeover is closed
 	unknown    int  // registered machines that were not resolved when the log was read
 	left       int  // those of them that are not yet
 	hist       *cluster.Histogram
@@ -158,7 +158,7 @@
 	d.left = d.unknown
 	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unknown, d.Jobs.Len(), d.heldBack()
 	if d.unknown == 0 && d.current.Jobs == 0 {
-		d.over = true
+		d.closed = true
 		return
 	}
 	d.reach(Elected, d.TermBegan)
@@ -202,7 +202,7 @@
 
 // HandleEvent follows the takeover.
 func (d *Component) HandleEvent(e cluster.Event) {
-	if d.over {
+	if d.closed {
 		return
 	}
 	switch e.Kind {
@@ -220,7 +220,7 @@
 
 // Tick closes the account once every step was reached, or some will not be.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if d.over || !sure {
+	if d.closed || !sure {
 		return
 	}
 	if d.current.After[Free] < 0 && d.heldBack() == 0 {
@@ -229,7 +229,7 @@
 	if !d.complete(now) && now-d.TermBegan < maxAccountTime {
 		return
 	}
-	d.over = true
+	d.closed = true
 	d.remember(d.current)
 	args := []any{"epoch", d.current.Epoch, "machines", d.current.Machines, "jobs", d.current.Jobs, "held_back", d.current.HeldBack}
 	for _, s := range Steps() {
@@ -284,7 +284,7 @@
 		}
 		out = append(out, x)
 	}
-	if !d.over {
+	if !d.closed {
 		add(d.current)
 	}
 	for _, r := range slices.Backward(d.earlier) {
