--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -92,13 +92,13 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	maxRecords int // so many are remembered
-	earlier    []stored
-	current    stored
-	closed     bool // the account of this term's takeover is closed
-	unknown    int  // registered machines that were not resolved when the log was read
-	left       int  // those of them that are not yet
-	hist       *cluster.Histogram
+	maxRecords        int // so many are remembered
+	earlier           []stored
+	current           stored
+	closed            bool // the account of this term's takeover is closed
+	unresolvedAtStart int  // registered machines that were not resolved when the log was read
+	left              int  // those of them that are not yet
+	hist              *cluster.Histogram
 }
 
 // New makes the duty of a term; it remembers so many takeovers.
@@ -152,12 +152,12 @@
 func (d *Component) Begin(now time.Duration) {
 	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
-			d.unknown++
+			d.unresolvedAtStart++
 		}
 	}
-	d.left = d.unknown
-	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unknown, d.Jobs.Len(), d.heldBack()
-	if d.unknown == 0 && d.current.Jobs == 0 {
+	d.left = d.unresolvedAtStart
+	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unresolvedAtStart, d.Jobs.Len(), d.heldBack()
+	if d.unresolvedAtStart == 0 && d.current.Jobs == 0 {
 		d.closed = true
 		return
 	}
@@ -188,11 +188,11 @@
 
 // progress notes what share of the machines is resolved.
 func (d *Component) progress(now time.Duration) {
-	known := d.unknown - d.left
-	if known*2 >= d.unknown {
+	known := d.unresolvedAtStart - d.left
+	if known*2 >= d.unresolvedAtStart {
 		d.reach(Half, now)
 	}
-	if known*10 >= d.unknown*9 {
+	if known*10 >= d.unresolvedAtStart*9 {
 		d.reach(Ninety, now)
 	}
 	if d.left == 0 {
