--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -97,7 +97,7 @@
 	current           stored
 	closed            bool // the account of this term's takeover is closed
 	unresolvedAtStart int  // registered machines that were not resolved when the log was read
-	left              int  // those of them that are not yet
+	unresolvedNow     int  // those of them that are not yet
 	hist              *cluster.Histogram
 }
 
@@ -155,7 +155,7 @@
 			d.unresolvedAtStart++
 		}
 	}
-	d.left = d.unresolvedAtStart
+	d.unresolvedNow = d.unresolvedAtStart
 	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unresolvedAtStart, d.Jobs.Len(), d.heldBack()
 	if d.unresolvedAtStart == 0 && d.current.Jobs == 0 {
 		d.closed = true
@@ -188,14 +188,14 @@
 
 // progress notes what share of the machines is resolved.
 func (d *Component) progress(now time.Duration) {
-	known := d.unresolvedAtStart - d.left
+	known := d.unresolvedAtStart - d.unresolvedNow
 	if known*2 >= d.unresolvedAtStart {
 		d.reach(Half, now)
 	}
 	if known*10 >= d.unresolvedAtStart*9 {
 		d.reach(Ninety, now)
 	}
-	if d.left == 0 {
+	if d.unresolvedNow == 0 {
 		d.reach(Resolved, now)
 	}
 }
@@ -211,7 +211,7 @@
 			d.reach(FirstReport, e.At)
 		}
 	case cluster.MachineResolved:
-		d.left--
+		d.unresolvedNow--
 		d.progress(e.At)
 	case cluster.TaskPlaced:
 		d.reach(FirstStart, e.At)
