--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -98,12 +98,12 @@
 	closed            bool // the account of this term's takeover is closed
 	unresolvedAtStart int  // registered machines that were not resolved when the log was read
 	unresolvedNow     int  // those of them that are not yet
-	hist              *cluster.Histogram
+	stepSeconds       *cluster.Histogram
 }
 
 // New makes the duty of a term; it remembers so many takeovers.
 func New(s *cluster.State, keep int) *Component {
-	d := &Component{State: s, maxRecords: keep, hist: s.Metrics.Histogram("bitternmoor_takeover_seconds",
+	d := &Component{State: s, maxRecords: keep, stepSeconds: s.Metrics.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
 	d.current = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
 	d.current.SilentMS = -1
@@ -182,7 +182,7 @@
 func (d *Component) reach(s Step, now time.Duration) {
 	if d.current.After[s] < 0 {
 		d.current.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
-		d.hist.Observe(s.String(), float64(d.current.After[s])/1000)
+		d.stepSeconds.Observe(s.String(), float64(d.current.After[s])/1000)
 	}
 }
 
