--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -76,8 +76,8 @@
 	After map[string]int64 `json:"after_ms"`
 }
 
-// stored is a record as it stands in the log: steps by number, -1 for none.
-type stored struct {
+// storedRecord is a record as it stands in the log: steps by number, -1 for none.
+type storedRecord struct {
 	Epoch    uint64       `json:"e"`
 	Node     string       `json:"n"`
 	AtMS     int64        `json:"a"`
@@ -93,8 +93,8 @@
 	cluster.NopComponent
 	*cluster.State
 	maxRecords        int // so many are remembered
-	earlier           []stored
-	current           stored
+	earlier           []storedRecord
+	current           storedRecord
 	closed            bool // the account of this term's takeover is closed
 	unresolvedAtStart int  // registered machines that were not resolved when the log was read
 	unresolvedNow     int  // those of them that are not yet
@@ -105,7 +105,7 @@
 func New(s *cluster.State, keep int) *Component {
 	d := &Component{State: s, maxRecords: keep, stepSeconds: s.Metrics.Histogram("bitternmoor_takeover_seconds",
 		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
-	d.current = stored{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
+	d.current = storedRecord{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
 	d.current.SilentMS = -1
 	if s.LastLeaderHeard > 0 {
 		d.current.SilentMS = (s.LeaderMissedAt - s.LastLeaderHeard).Milliseconds()
@@ -124,8 +124,8 @@
 	}
 }
 
-func (d *Component) decode(e eventlog.Entry) (stored, bool) {
-	var r stored
+func (d *Component) decode(e eventlog.Entry) (storedRecord, bool) {
+	var r storedRecord
 	if e.Component == nil {
 		return r, false
 	}
@@ -136,8 +136,8 @@
 	return r, true
 }
 
-func (d *Component) remember(r stored) {
-	i, found := slices.BinarySearchFunc(d.earlier, r, func(a, b stored) int { return cmp.Compare(a.Epoch, b.Epoch) })
+func (d *Component) remember(r storedRecord) {
+	i, found := slices.BinarySearchFunc(d.earlier, r, func(a, b storedRecord) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	if found {
 		return
 	}
@@ -263,7 +263,7 @@
 
 // Compact writes a record anew that is still remembered.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
-	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.earlier, func(o stored) bool { return o.Epoch == r.Epoch }) {
+	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.earlier, func(o storedRecord) bool { return o.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
 }
@@ -275,7 +275,7 @@
 		return nil, cluster.ErrUnknownView
 	}
 	out := []Record{}
-	add := func(r stored) {
+	add := func(r storedRecord) {
 		x := Record{Epoch: r.Epoch, Node: r.Node, SilentMS: r.SilentMS, AtMS: r.AtMS, Machines: r.Machines, Jobs: r.Jobs, HeldBack: r.HeldBack, After: map[string]int64{}}
 		for _, s := range Steps() {
 			if ms := r.After[s]; ms >= 0 {
