--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -156,7 +156,7 @@
 		}
 	}
 	d.unresolvedNow = d.unresolvedAtStart
-	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unresolvedAtStart, d.Jobs.Len(), d.heldBack()
+	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unresolvedAtStart, d.Jobs.Len(), d.blockedJobs()
 	if d.unresolvedAtStart == 0 && d.current.Jobs == 0 {
 		d.closed = true
 		return
@@ -166,9 +166,9 @@
 	d.progress(now)
 }
 
-// heldBack counts the jobs that may not start anything, since a machine that is
+// blockedJobs counts the jobs that may not start anything, since a machine that is
 // not resolved may have their tasks.
-func (d *Component) heldBack() int {
+func (d *Component) blockedJobs() int {
 	n := 0
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open && d.MayRunUnseen(j) {
@@ -223,7 +223,7 @@
 	if d.closed || !sure {
 		return
 	}
-	if d.current.After[Free] < 0 && d.heldBack() == 0 {
+	if d.current.After[Free] < 0 && d.blockedJobs() == 0 {
 		d.reach(Free, now)
 	}
 	if !d.complete(now) && now-d.TermBegan < maxAccountTime {
