--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -161,8 +161,8 @@
 		d.closed = true
 		return
 	}
-	d.reach(Elected, d.TermBegan)
-	d.reach(LogRead, now)
+	d.recordStep(Elected, d.TermBegan)
+	d.recordStep(LogRead, now)
 	d.progress(now)
 }
 
@@ -178,8 +178,8 @@
 	return n
 }
 
-// reach notes a step, the first time that it is reached.
-func (d *Component) reach(s Step, now time.Duration) {
+// recordStep notes a step, the first time that it is reached.
+func (d *Component) recordStep(s Step, now time.Duration) {
 	if d.current.After[s] < 0 {
 		d.current.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
 		d.stepSeconds.Observe(s.String(), float64(d.current.After[s])/1000)
@@ -190,13 +190,13 @@
 func (d *Component) progress(now time.Duration) {
 	known := d.unresolvedAtStart - d.unresolvedNow
 	if known*2 >= d.unresolvedAtStart {
-		d.reach(Half, now)
+		d.recordStep(Half, now)
 	}
 	if known*10 >= d.unresolvedAtStart*9 {
-		d.reach(Ninety, now)
+		d.recordStep(Ninety, now)
 	}
 	if d.unresolvedNow == 0 {
-		d.reach(Resolved, now)
+		d.recordStep(Resolved, now)
 	}
 }
 
@@ -208,13 +208,13 @@
 	switch e.Kind {
 	case cluster.HeartbeatApplied:
 		if e.Machine.Durable && e.Report.Token == e.Machine.Token {
-			d.reach(FirstReport, e.At)
+			d.recordStep(FirstReport, e.At)
 		}
 	case cluster.MachineResolved:
 		d.unresolvedNow--
 		d.progress(e.At)
 	case cluster.TaskPlaced:
-		d.reach(FirstStart, e.At)
+		d.recordStep(FirstStart, e.At)
 	}
 }
 
@@ -224,7 +224,7 @@
 		return
 	}
 	if d.current.After[Free] < 0 && d.blockedJobs() == 0 {
-		d.reach(Free, now)
+		d.recordStep(Free, now)
 	}
 	if !d.complete(now) && now-d.TermBegan < maxAccountTime {
 		return
