--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -163,7 +163,7 @@
 	}
 	d.recordStep(Elected, d.TermBegan)
 	d.recordStep(LogRead, now)
-	d.progress(now)
+	d.recordResolvedShare(now)
 }
 
 // blockedJobs counts the jobs that may not start anything, since a machine that is
@@ -186,8 +186,8 @@
 	}
 }
 
-// progress notes what share of the machines is resolved.
-func (d *Component) progress(now time.Duration) {
+// recordResolvedShare notes what share of the machines is resolved.
+func (d *Component) recordResolvedShare(now time.Duration) {
 	known := d.unresolvedAtStart - d.unresolvedNow
 	if known*2 >= d.unresolvedAtStart {
 		d.recordStep(Half, now)
@@ -212,7 +212,7 @@
 		}
 	case cluster.MachineResolved:
 		d.unresolvedNow--
-		d.progress(e.At)
+		d.recordResolvedShare(e.At)
 	case cluster.TaskPlaced:
 		d.recordStep(FirstStart, e.At)
 	}
