--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -226,7 +226,7 @@
 	if d.current.After[Free] < 0 && d.blockedJobs() == 0 {
 		d.recordStep(Free, now)
 	}
-	if !d.complete(now) && now-d.TermBegan < maxAccountTime {
+	if !d.allStepsReached(now) && now-d.TermBegan < maxAccountTime {
 		return
 	}
 	d.closed = true
@@ -246,8 +246,8 @@
 	d.EventLog.Append(e)
 }
 
-// complete says whether every step was reached that will be.
-func (d *Component) complete(now time.Duration) bool {
+// allStepsReached says whether every step was reached that will be.
+func (d *Component) allStepsReached(now time.Duration) bool {
 	last := int64(0)
 	for _, s := range Steps() {
 		if d.current.After[s] < 0 && s != FirstStart {
