--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/takeovers.go
@@ -43,10 +43,10 @@
 	Resolved                // all of them are
 	FirstStart              // a task is on a machine that this leader gave to it
 	Free                    // no job is held back any more for what an unheard machine may have
-	steps
+	stepCount
 )
 
-var stepWords = [steps]string{"elected", "log_read", "first_report", "half_resolved", "ninety_resolved", "all_resolved", "first_start", "all_jobs_free"}
+var stepWords = [stepCount]string{"elected", "log_read", "first_report", "half_resolved", "ninety_resolved", "all_resolved", "first_start", "all_jobs_free"}
 
 func (s Step) String() string { return stepWords[s] }
 
@@ -55,7 +55,7 @@
 
 // Steps lists all steps in order.
 func Steps() []Step {
-	out := make([]Step, steps)
+	out := make([]Step, stepCount)
 	for i := range out {
 		out[i] = Step(i)
 	}
@@ -78,14 +78,14 @@
 
 // storedRecord is a record as it stands in the log: steps by number, -1 for none.
 type storedRecord struct {
-	Epoch    uint64       `json:"e"`
-	Node     string       `json:"n"`
-	AtMS     int64        `json:"a"`
-	SilentMS int64        `json:"l"`
-	Machines int          `json:"m"`
-	Jobs     int          `json:"j"`
-	HeldBack int          `json:"h,omitempty"`
-	After    [steps]int64 `json:"s"`
+	Epoch    uint64           `json:"e"`
+	Node     string           `json:"n"`
+	AtMS     int64            `json:"a"`
+	SilentMS int64            `json:"l"`
+	Machines int              `json:"m"`
+	Jobs     int              `json:"j"`
+	HeldBack int              `json:"h,omitempty"`
+	After    [stepCount]int64 `json:"s"`
 }
 
 // Component keeps account of this term's takeover and remembers the last ones.
--- a/internal/leader/failover/takeovers_test.go
+++ b/internal/leader/failover/takeovers_test.go
@@ -83,7 +83,7 @@
 		}
 	}
 	h := measures.All()
-	if len(h) != 1 || len(h[0].Series) != int(steps) || h[0].Series[0].Count != 1 {
+	if len(h) != 1 || len(h[0].Series) != int(stepCount) || h[0].Series[0].Count != 1 {
 		t.Errorf("the histogram is %+v", h)
 	}
 	told := 0
@@ -121,7 +121,7 @@
 		t.Error("closed by a leader that is not sure of its term")
 	}
 	d.Tick(14*time.Second+firstStartTimeout, true)
-	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != int(steps)-1 {
+	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != int(stepCount)-1 {
 		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
 	}
 }
