--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -175,7 +175,7 @@
 // End has all reports that wait answered without anything.
 func (d *Component) End() {
 	for _, w := range d.pendingReplies {
-		if !w.over {
+		if !w.superseded {
 			d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		}
 	}
@@ -185,11 +185,11 @@
 // pendingReply is a report taken in whose answer waits for a pass, or for
 // what must be durable before the machine may start its tasks.
 type pendingReply struct {
-	to    effects.RequestID
-	m     *workers.Machine
-	cmds  []workers.Command
-	since time.Duration
-	over  bool // answered, since the machine has reported again
+	to         effects.RequestID
+	m          *workers.Machine
+	cmds       []workers.Command
+	since      time.Duration
+	superseded bool // answered, since the machine has reported again
 }
 
 // machineResolved notes that what an earlier term left on a machine is known.
@@ -290,7 +290,7 @@
 	if w := d.pendingByMachine[m]; w != nil {
 		// The worker has given that one up: nothing may be started by it.
 		d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 200, Token: m.Token}})
-		w.over = true
+		w.superseded = true
 		delete(d.pendingByMachine, m)
 	}
 	elsewhere := d.assignShard(now, m, in)
@@ -384,7 +384,7 @@
 func (d *Component) AnswerHeartbeats(now time.Duration, sure bool) {
 	kept := d.pendingReplies[:0]
 	for _, w := range d.pendingReplies {
-		if w.over {
+		if w.superseded {
 			continue
 		}
 		if sure && w.m.AwaitsDurability() && now-w.since < maxReplyDelay && !w.m.Deleting {
