--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -186,7 +186,7 @@
 // what must be durable before the machine may start its tasks.
 type pendingReply struct {
 	to         effects.RequestID
-	m          *workers.Machine
+	machine    *workers.Machine
 	cmds       []workers.Command
 	since      time.Duration
 	superseded bool // answered, since the machine has reported again
@@ -332,7 +332,7 @@
 	if sure && m.NeedsToken(now) {
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
-	w := &pendingReply{to: to, m: m, cmds: cmds, since: now}
+	w := &pendingReply{to: to, machine: m, cmds: cmds, since: now}
 	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
 		d.pendingReplies = append(d.pendingReplies, w)
 		d.pendingByMachine[m] = w
@@ -371,7 +371,7 @@
 // sendReply answers a report: with what follows from it, the stops that are due
 // and the offers.
 func (d *Component) sendReply(sure bool, w *pendingReply) {
-	m := w.m
+	m := w.machine
 	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
 		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.lastOfferSerial++; return d.Token + d.lastOfferSerial }, d.NextAttempt)
@@ -387,11 +387,11 @@
 		if w.superseded {
 			continue
 		}
-		if sure && w.m.AwaitsDurability() && now-w.since < maxReplyDelay && !w.m.Deleting {
+		if sure && w.machine.AwaitsDurability() && now-w.since < maxReplyDelay && !w.machine.Deleting {
 			kept = append(kept, w)
 			continue
 		}
-		delete(d.pendingByMachine, w.m)
+		delete(d.pendingByMachine, w.machine)
 		d.sendReply(sure, w)
 	}
 	clear(d.pendingReplies[len(kept):])
