--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -187,7 +187,7 @@
 type pendingReply struct {
 	to         effects.RequestID
 	machine    *workers.Machine
-	cmds       []workers.Command
+	commands   []workers.Command
 	since      time.Duration
 	superseded bool // answered, since the machine has reported again
 }
@@ -332,7 +332,7 @@
 	if sure && m.NeedsToken(now) {
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
-	w := &pendingReply{to: to, machine: m, cmds: cmds, since: now}
+	w := &pendingReply{to: to, machine: m, commands: cmds, since: now}
 	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
 		d.pendingReplies = append(d.pendingReplies, w)
 		d.pendingByMachine[m] = w
@@ -372,7 +372,7 @@
 // and the offers.
 func (d *Component) sendReply(sure bool, w *pendingReply) {
 	m := w.machine
-	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.cmds, m.Stops()...)}
+	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.commands, m.Stops()...)}
 	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
 		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.lastOfferSerial++; return d.Token + d.lastOfferSerial }, d.NextAttempt)
 		answer.Room = m.Free
