--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/roster.go
@@ -176,7 +176,7 @@
 func (d *Component) End() {
 	for _, w := range d.pendingReplies {
 		if !w.superseded {
-			d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 503}})
+			d.Emit(effects.ReplyHeartbeat{To: w.request, Answer: effects.HeartbeatAnswer{Status: 503}})
 		}
 	}
 	d.pendingReplies = nil
@@ -185,7 +185,7 @@
 // pendingReply is a report taken in whose answer waits for a pass, or for
 // what must be durable before the machine may start its tasks.
 type pendingReply struct {
-	to         effects.RequestID
+	request    effects.RequestID
 	machine    *workers.Machine
 	commands   []workers.Command
 	since      time.Duration
@@ -289,7 +289,7 @@
 	}
 	if w := d.pendingByMachine[m]; w != nil {
 		// The worker has given that one up: nothing may be started by it.
-		d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: effects.HeartbeatAnswer{Status: 200, Token: m.Token}})
+		d.Emit(effects.ReplyHeartbeat{To: w.request, Answer: effects.HeartbeatAnswer{Status: 200, Token: m.Token}})
 		w.superseded = true
 		delete(d.pendingByMachine, m)
 	}
@@ -332,7 +332,7 @@
 	if sure && m.NeedsToken(now) {
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
-	w := &pendingReply{to: to, machine: m, commands: cmds, since: now}
+	w := &pendingReply{request: to, machine: m, commands: cmds, since: now}
 	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
 		d.pendingReplies = append(d.pendingReplies, w)
 		d.pendingByMachine[m] = w
@@ -377,7 +377,7 @@
 		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.lastOfferSerial++; return d.Token + d.lastOfferSerial }, d.NextAttempt)
 		answer.Room = m.Free
 	}
-	d.Emit(effects.ReplyHeartbeat{To: w.to, Answer: answer})
+	d.Emit(effects.ReplyHeartbeat{To: w.request, Answer: answer})
 }
 
 // AnswerHeartbeats answers the reports that wait for nothing any more.
