--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/watch.go
@@ -144,7 +144,7 @@
 
 // zoneOutage is what is known of a zone that is silent as a whole, or was until lately.
 type zoneOutage struct {
-	since, lastSeenAt time.Duration // from when to when; until 0: never
+	beganAt, lastSeenAt time.Duration // from when to when; until 0: never
 }
 
 // trackZoneOutages notes which zones are silent as a whole: most of their machines are, while
@@ -160,7 +160,7 @@
 	for z := range up {
 		if c := &d.zoneOutages[z]; !deaf && cluster.MostSilent(silent[z], up[z]) && d.zoneHasPeer(z) {
 			if c.lastSeenAt == 0 || now-c.lastSeenAt > d.GiveUpAfter() {
-				c.since = now - d.SuspectAfter()
+				c.beganAt = now - d.SuspectAfter()
 				d.LogMessage(effects.Warn, "a zone is silent as a whole: its machines are waited for", "zone", d.Zones.Name(int32(z)), "silent", silent[z], "of", up[z], "for", d.Cfg.Tunables.ZonePatienceS)
 			}
 			c.lastSeenAt = now
@@ -187,7 +187,7 @@
 		return false
 	}
 	c := d.zoneOutages[m.Zone]
-	if c.lastSeenAt == 0 || now-c.lastSeenAt > d.GiveUpAfter() || now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)+d.GiveUpAfter() || (c.lastSeenAt == now && now-c.since > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)) {
+	if c.lastSeenAt == 0 || now-c.lastSeenAt > d.GiveUpAfter() || now-c.beganAt > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)+d.GiveUpAfter() || (c.lastSeenAt == now && now-c.beganAt > settings.Seconds(d.Cfg.Tunables.ZonePatienceS)) {
 		return false
 	}
 	return !m.Unresolved() || !d.HeldBackByUnresolved()
