--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -95,7 +95,7 @@
 	}
 	delete(d.rentals, name)
 	delete(d.rentDue, name)
-	d.buyer.RequestAnswered(now, name, len(machines))
+	d.provisioner.RequestAnswered(now, name, len(machines))
 	for _, n := range machines {
 		if m := d.AddMachine(now, eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}); m != nil {
 			m.Resolved = true
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -29,17 +29,17 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	buyer      *Provisioner
-	typesAt    time.Duration
-	typesAsked bool
-	rentals    map[string]eventlog.Rental // sent or to be sent
-	rentDue    map[string]time.Duration
-	deleteBusy bool
-	listBusy   bool
-	listAt     time.Duration
-	rentedAt   time.Duration
-	kinds      [2]kind
-	calls      ratelimit.Adaptive
+	provisioner *Provisioner
+	typesAt     time.Duration
+	typesAsked  bool
+	rentals     map[string]eventlog.Rental // sent or to be sent
+	rentDue     map[string]time.Duration
+	deleteBusy  bool
+	listBusy    bool
+	listAt      time.Duration
+	rentedAt    time.Duration
+	kinds       [2]kind
+	calls       ratelimit.Adaptive
 
 	// While the log is replayed: rented machines that are not registered, those
 	// that are, and requests without an answer.
@@ -69,7 +69,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, buyer: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
+	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
 		calls: newCalls(s), listAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
@@ -108,7 +108,7 @@
 		}
 	}
 	for _, r := range d.rentals {
-		d.buyer.Restore(r)
+		d.provisioner.Restore(r)
 	}
 	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
 		d.listAt = d.TermBegan - listEvery // what the cloud has taken meanwhile need not be waited for
@@ -167,10 +167,10 @@
 	for z, n := range silent {
 		if cluster.MostSilent(n, up[z]) {
 			name := d.Zones.Name(int32(z))
-			if !d.buyer.ZoneAvoided(now, name) {
+			if !d.provisioner.ZoneAvoided(now, name) {
 				d.LogMessage(effects.Warn, "most machines of a zone are silent: nothing is rented there for now", "zone", name, "silent", n, "of", up[z])
 			}
-			d.buyer.AvoidZone(name, now+avoidFor)
+			d.provisioner.AvoidZone(name, now+avoidFor)
 		}
 	}
 }
@@ -215,7 +215,7 @@
 	k.spotPeak.add(now, d.window(d.Cfg.Tunables.SpotReturnS), cheap)
 	var have, up, ordinary float64
 	for _, m := range yard {
-		if !m.Deleting && !m.PreemptionNotice && !m.Draining && (m.Up || !d.buyer.ZoneAvoided(now, d.Zones.Name(m.Zone))) {
+		if !m.Deleting && !m.PreemptionNotice && !m.Draining && (m.Up || !d.provisioner.ZoneAvoided(now, d.Zones.Name(m.Zone))) {
 			have += m.Cap.CPUs()
 			if m.Up {
 				up += m.Cap.CPUs()
@@ -225,7 +225,7 @@
 			}
 		}
 	}
-	have += d.buyer.RequestedCPUs(func(typ string) float64 {
+	have += d.provisioner.RequestedCPUs(func(typ string) float64 {
 		if i, ok := d.TypeNames.Lookup(typ); ok && k.has(d.Types[i].GPUs) {
 			return d.Types[i].CPUs
 		}
@@ -242,7 +242,7 @@
 	bound := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool { return j.Spot })
 	var requests []eventlog.Rental
 	if len(bound) < len(open) && cheap > have {
-		requests = d.buyer.Rent(now, d.Types, d.wanted(k, cheap-have, true, open))
+		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, cheap-have, true, open))
 	}
 	// Ordinary machines: what spot ones could not bring, and jobs that may
 	// not use spot machines at all, however much room there is on those.
@@ -256,10 +256,10 @@
 	}
 	k.boundPeak.add(now, d.window(d.Cfg.Tunables.IdleReturnS), need)
 	if len(requests) == 0 && dear > have {
-		requests = d.buyer.Rent(now, d.Types, d.wanted(k, dear-have, false, open))
+		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, dear-have, false, open))
 	}
 	if free := ordinary - d.taken(now, yard, bound); len(requests) == 0 && need > free {
-		requests = d.buyer.Rent(now, d.Types, d.wanted(k, need-free, false, bound))
+		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, need-free, false, bound))
 	}
 	d.request("renting", requests)
 	picky := slices.DeleteFunc(d.picky(), func(j *jobs.Job) bool { return !k.wants(j) })
@@ -274,9 +274,9 @@
 			cpus += float64(j.Waiting) * j.Share
 		}
 		spotless := slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return !j.Spot })
-		requests = d.buyer.Rent(now, d.Types, d.wanted(k, cpus, !spotless, stuck))
+		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, cpus, !spotless, stuck))
 		if len(requests) == 0 {
-			requests = d.buyer.Rent(now, d.Types, d.wanted(k, cpus, false, stuck))
+			requests = d.provisioner.Rent(now, d.Types, d.wanted(k, cpus, false, stuck))
 		}
 		d.request("renting for jobs that fit nowhere", requests)
 	}
