--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -66,7 +66,7 @@
 	if !sure {
 		return
 	}
-	if !d.typesAsked && (len(d.Types) == 0 || d.typesAt == 0 || now-d.typesAt > typesEvery) && spend() {
+	if !d.typesAsked && (len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesEvery) && spend() {
 		d.typesAsked = true
 		d.Emit(effects.ListMachineTypes{})
 	}
@@ -116,7 +116,7 @@
 	if len(list) == 0 {
 		return
 	}
-	d.typesAt = now
+	d.typesListedAt = now
 	changed := false
 	for _, ty := range list {
 		i, ok := d.TypeNames.Lookup(ty.Name)
