--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -66,8 +66,8 @@
 	if !sure {
 		return
 	}
-	if !d.typesAsked && (len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesEvery) && spend() {
-		d.typesAsked = true
+	if !d.typesRequested && (len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesEvery) && spend() {
+		d.typesRequested = true
 		d.Emit(effects.ListMachineTypes{})
 	}
 	for name, r := range d.rentals {
@@ -111,7 +111,7 @@
 
 // MachineTypesListed takes the machine types; an empty list is a failure.
 func (d *Component) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
-	d.typesAsked = false
+	d.typesRequested = false
 	d.answered(now, len(list) > 0)
 	if len(list) == 0 {
 		return
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -29,17 +29,17 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	provisioner   *Provisioner
-	typesListedAt time.Duration
-	typesAsked    bool
-	rentals       map[string]eventlog.Rental // sent or to be sent
-	rentDue       map[string]time.Duration
-	deleteBusy    bool
-	listBusy      bool
-	listAt        time.Duration
-	rentedAt      time.Duration
-	kinds         [2]kind
-	calls         ratelimit.Adaptive
+	provisioner    *Provisioner
+	typesListedAt  time.Duration
+	typesRequested bool
+	rentals        map[string]eventlog.Rental // sent or to be sent
+	rentDue        map[string]time.Duration
+	deleteBusy     bool
+	listBusy       bool
+	listAt         time.Duration
+	rentedAt       time.Duration
+	kinds          [2]kind
+	calls          ratelimit.Adaptive
 
 	// While the log is replayed: rented machines that are not registered, those
 	// that are, and requests without an answer.
