--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -70,7 +70,7 @@
 		d.typesRequested = true
 		d.Emit(effects.ListMachineTypes{})
 	}
-	for name, r := range d.rentals {
+	for name, r := range d.pendingRentals {
 		if now >= d.rentDue[name] && spend() {
 			d.rentDue[name] = now + 20*time.Second
 			d.Emit(effects.RentMachines{Rental: r})
@@ -85,7 +85,7 @@
 // RentalAnswered takes the answer to a rental request.
 func (d *Component) RentalAnswered(now time.Duration, name string, machines []string, res wire.RentResult) {
 	d.answered(now, res != wire.NoAnswer)
-	r, ok := d.rentals[name]
+	r, ok := d.pendingRentals[name]
 	if !ok {
 		return
 	}
@@ -93,7 +93,7 @@
 		d.rentDue[name] = now + time.Second // the same name again: it may have been executed
 		return
 	}
-	delete(d.rentals, name)
+	delete(d.pendingRentals, name)
 	delete(d.rentDue, name)
 	d.provisioner.RequestAnswered(now, name, len(machines))
 	for _, n := range machines {
@@ -142,7 +142,7 @@
 	}
 	for _, l := range list {
 		m := d.Inventory.Find(l.Machine.Name)
-		if m == nil && len(d.rentals) == 0 {
+		if m == nil && len(d.pendingRentals) == 0 {
 			// Rented by a request whose answer was lost for good, or there from the start.
 			if m = d.AddMachine(now, l.Machine); m != nil {
 				m.Resolved = true
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -32,7 +32,7 @@
 	provisioner    *Provisioner
 	typesListedAt  time.Duration
 	typesRequested bool
-	rentals        map[string]eventlog.Rental // sent or to be sent
+	pendingRentals map[string]eventlog.Rental // sent or to be sent
 	rentDue        map[string]time.Duration
 	deleteBusy     bool
 	listBusy       bool
@@ -69,7 +69,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), rentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
+	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), pendingRentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
 		calls: newCalls(s), listAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
@@ -87,10 +87,10 @@
 			delete(d.booting, n)
 		}
 	case e.Rental != nil:
-		d.rentals[e.Rental.Name] = *e.Rental
+		d.pendingRentals[e.Rental.Name] = *e.Rental
 	case e.RentalAnswer != nil:
-		r := d.rentals[e.RentalAnswer.Name]
-		delete(d.rentals, e.RentalAnswer.Name)
+		r := d.pendingRentals[e.RentalAnswer.Name]
+		delete(d.pendingRentals, e.RentalAnswer.Name)
 		for _, n := range e.RentalAnswer.Machines {
 			if !d.registered[n] && !d.Inventory.WasDeleted(n) {
 				d.booting[n] = eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
@@ -107,7 +107,7 @@
 			x.Resolved = true
 		}
 	}
-	for _, r := range d.rentals {
+	for _, r := range d.pendingRentals {
 		d.provisioner.Restore(r)
 	}
 	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
@@ -119,7 +119,7 @@
 // EntryDurable has a request sent whose name is noted.
 func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
-		d.rentals[e.Rental.Name] = *e.Rental
+		d.pendingRentals[e.Rental.Name] = *e.Rental
 		d.rentDue[e.Rental.Name] = now
 	}
 }
@@ -151,7 +151,7 @@
 			d.appendTypes(d.Types)
 		}
 	case e.Rental != nil:
-		if r, open := d.rentals[e.Rental.Name]; open {
+		if r, open := d.pendingRentals[e.Rental.Name]; open {
 			d.EventLog.Append(eventlog.Entry{Rental: &r})
 		}
 	}
@@ -407,7 +407,7 @@
 // couldRun says whether the machines there are or are coming have a place
 // for a job: for one task, or for all of a gang.
 func (d *Component) couldRun(j *jobs.Job) bool {
-	if len(d.rentals) > 0 {
+	if len(d.pendingRentals) > 0 {
 		return true // more may be on the way
 	}
 	if j.Record.Kind == jobs.Array {
