--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -71,8 +71,8 @@
 		d.Emit(effects.ListMachineTypes{})
 	}
 	for name, r := range d.pendingRentals {
-		if now >= d.rentDue[name] && spend() {
-			d.rentDue[name] = now + 20*time.Second
+		if now >= d.rentalDueAt[name] && spend() {
+			d.rentalDueAt[name] = now + 20*time.Second
 			d.Emit(effects.RentMachines{Rental: r})
 		}
 	}
@@ -90,11 +90,11 @@
 		return
 	}
 	if res == wire.NoAnswer {
-		d.rentDue[name] = now + time.Second // the same name again: it may have been executed
+		d.rentalDueAt[name] = now + time.Second // the same name again: it may have been executed
 		return
 	}
 	delete(d.pendingRentals, name)
-	delete(d.rentDue, name)
+	delete(d.rentalDueAt, name)
 	d.provisioner.RequestAnswered(now, name, len(machines))
 	for _, n := range machines {
 		if m := d.AddMachine(now, eventlog.Machine{Name: n, Type: r.Type, Zone: r.Zone, Spot: r.Spot}); m != nil {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -33,7 +33,7 @@
 	typesListedAt  time.Duration
 	typesRequested bool
 	pendingRentals map[string]eventlog.Rental // sent or to be sent
-	rentDue        map[string]time.Duration
+	rentalDueAt    map[string]time.Duration
 	deleteBusy     bool
 	listBusy       bool
 	listAt         time.Duration
@@ -69,7 +69,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), pendingRentals: map[string]eventlog.Rental{}, rentDue: map[string]time.Duration{},
+	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), pendingRentals: map[string]eventlog.Rental{}, rentalDueAt: map[string]time.Duration{},
 		calls: newCalls(s), listAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
@@ -120,7 +120,7 @@
 func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
 		d.pendingRentals[e.Rental.Name] = *e.Rental
-		d.rentDue[e.Rental.Name] = now
+		d.rentalDueAt[e.Rental.Name] = now
 	}
 }
 
