--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -43,7 +43,7 @@
 // MachinesDeleted notes that a deletion has had its answer, or none; the machines that
 // are still there are asked for again at the next tick.
 func (d *Component) MachinesDeleted(now time.Duration, ok bool) {
-	d.deleteBusy = false
+	d.deleteInFlight = false
 	d.answered(now, ok)
 }
 
@@ -51,7 +51,7 @@
 // the term it still deletes: that can lose work but break nothing.
 func (d *Component) callCloud(now time.Duration, sure bool) {
 	spend := func() bool { return d.calls.Take(now, 1) }
-	if !d.deleteBusy {
+	if !d.deleteInFlight {
 		var list []string
 		for _, m := range d.Inventory.All() {
 			if m.Deleting && !m.ReturnUnrecorded && len(list) < 100 {
@@ -59,7 +59,7 @@
 			}
 		}
 		if len(list) > 0 && spend() {
-			d.deleteBusy = true
+			d.deleteInFlight = true
 			d.Emit(effects.DeleteMachines{Machines: list})
 		}
 	}
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -34,7 +34,7 @@
 	typesRequested bool
 	pendingRentals map[string]eventlog.Rental // sent or to be sent
 	rentalDueAt    map[string]time.Duration
-	deleteBusy     bool
+	deleteInFlight bool
 	listBusy       bool
 	listAt         time.Duration
 	rentedAt       time.Duration
