--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -76,8 +76,8 @@
 			d.Emit(effects.RentMachines{Rental: r})
 		}
 	}
-	if !d.listBusy && now-d.listAt > listEvery && spend() {
-		d.listBusy, d.listAt = true, now
+	if !d.listInFlight && now-d.listAt > listEvery && spend() {
+		d.listInFlight, d.listAt = true, now
 		d.Emit(effects.ListMachines{})
 	}
 }
@@ -135,7 +135,7 @@
 
 // MachinesListed takes the cloud's list of machines.
 func (d *Component) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
-	d.listBusy = false
+	d.listInFlight = false
 	d.answered(now, ok)
 	if !ok {
 		return
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -35,7 +35,7 @@
 	pendingRentals map[string]eventlog.Rental // sent or to be sent
 	rentalDueAt    map[string]time.Duration
 	deleteInFlight bool
-	listBusy       bool
+	listInFlight   bool
 	listAt         time.Duration
 	rentedAt       time.Duration
 	kinds          [2]kind
