--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -76,8 +76,8 @@
 			d.Emit(effects.RentMachines{Rental: r})
 		}
 	}
-	if !d.listInFlight && now-d.listAt > listEvery && spend() {
-		d.listInFlight, d.listAt = true, now
+	if !d.listInFlight && now-d.listedAt > listEvery && spend() {
+		d.listInFlight, d.listedAt = true, now
 		d.Emit(effects.ListMachines{})
 	}
 }
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -36,7 +36,7 @@
 	rentalDueAt    map[string]time.Duration
 	deleteInFlight bool
 	listInFlight   bool
-	listAt         time.Duration
+	listedAt       time.Duration
 	rentedAt       time.Duration
 	kinds          [2]kind
 	calls          ratelimit.Adaptive
@@ -70,7 +70,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), pendingRentals: map[string]eventlog.Rental{}, rentalDueAt: map[string]time.Duration{},
-		calls: newCalls(s), listAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
+		calls: newCalls(s), listedAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
 // Replay takes an entry of the log.
@@ -111,7 +111,7 @@
 		d.provisioner.Restore(r)
 	}
 	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
-		d.listAt = d.TermBegan - listEvery // what the cloud has taken meanwhile need not be waited for
+		d.listedAt = d.TermBegan - listEvery // what the cloud has taken meanwhile need not be waited for
 	}
 	d.booting, d.registered = nil, nil
 }
