--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -37,7 +37,7 @@
 	deleteInFlight bool
 	listInFlight   bool
 	listedAt       time.Duration
-	rentedAt       time.Duration
+	lastScaledAt   time.Duration
 	kinds          [2]kind
 	calls          ratelimit.Adaptive
 
@@ -126,10 +126,10 @@
 
 // Tick rents and returns.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if now-d.rentedAt < rentEvery {
+	if now-d.lastScaledAt < rentEvery {
 		return
 	}
-	d.rentedAt = now
+	d.lastScaledAt = now
 	if !d.MostMachinesSilent(now) {
 		d.avoidSilentZones(now)
 	}
