--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -38,7 +38,7 @@
 	listInFlight   bool
 	listedAt       time.Duration
 	lastScaledAt   time.Duration
-	kinds          [2]kind
+	groups         [2]kind
 	calls          ratelimit.Adaptive
 
 	// While the log is replayed: rented machines that are not registered, those
@@ -184,13 +184,13 @@
 	}
 	accel := slices.ContainsFunc(d.Types, func(ty eventlog.MachineType) bool { return ty.GPUs > 0 })
 	if plain := slices.ContainsFunc(d.Types, func(ty eventlog.MachineType) bool { return ty.GPUs == 0 }); !accel || !plain {
-		d.kinds[0].all = true
-		d.rentKind(now, &d.kinds[0])
+		d.groups[0].all = true
+		d.rentKind(now, &d.groups[0])
 		return
 	}
-	d.kinds[0].all, d.kinds[1].accel = false, true
-	for i := range d.kinds {
-		d.rentKind(now, &d.kinds[i])
+	d.groups[0].all, d.groups[1].accel = false, true
+	for i := range d.groups {
+		d.rentKind(now, &d.groups[i])
 	}
 }
 
