--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -34,9 +34,9 @@
 	switch {
 	case d.Cfg.Tunables.AdaptCalls == 0:
 	case ok:
-		d.calls.Success(now)
+		d.callBudget.Success(now)
 	default:
-		d.calls.Failure(now)
+		d.callBudget.Failure(now)
 	}
 }
 
@@ -50,7 +50,7 @@
 // callCloud sends what is due to the cloud, within its rate. When unsure of
 // the term it still deletes: that can lose work but break nothing.
 func (d *Component) callCloud(now time.Duration, sure bool) {
-	spend := func() bool { return d.calls.Take(now, 1) }
+	spend := func() bool { return d.callBudget.Take(now, 1) }
 	if !d.deleteInFlight {
 		var list []string
 		for _, m := range d.Inventory.All() {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -39,7 +39,7 @@
 	listedAt       time.Duration
 	lastScaledAt   time.Duration
 	groups         [2]kind
-	calls          ratelimit.Adaptive
+	callBudget     ratelimit.Adaptive
 
 	// While the log is replayed: rented machines that are not registered, those
 	// that are, and requests without an answer.
@@ -70,7 +70,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), pendingRentals: map[string]eventlog.Rental{}, rentalDueAt: map[string]time.Duration{},
-		calls: newCalls(s), listedAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
+		callBudget: newCalls(s), listedAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
 // Replay takes an entry of the log.
