--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -46,7 +46,7 @@
 	booting    map[string]eventlog.Machine
 	registered map[string]bool
 
-	typesKept bool // by the cleaning under way
+	typesCompacted bool // by the cleaning under way
 }
 
 // kind is a kind of machines that are rented and returned by a demand of their own: those
@@ -146,8 +146,8 @@
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
-		if !d.typesKept {
-			d.typesKept = true
+		if !d.typesCompacted {
+			d.typesCompacted = true
 			d.appendTypes(d.Types)
 		}
 	case e.Rental != nil:
@@ -158,7 +158,7 @@
 }
 
 // CompactionDone ends a cleaning.
-func (d *Component) CompactionDone() { d.typesKept = false }
+func (d *Component) CompactionDone() { d.typesCompacted = false }
 
 // avoidSilentZones has nothing rented for a while where most machines are
 // silent while others are heard.
