--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -38,7 +38,7 @@
 	listInFlight   bool
 	listedAt       time.Duration
 	lastScaledAt   time.Duration
-	groups         [2]kind
+	groups         [2]machineGroup
 	callBudget     ratelimit.Adaptive
 
 	// While the log is replayed: rented machines that are not registered, those
@@ -49,9 +49,9 @@
 	typesCompacted bool // by the cleaning under way
 }
 
-// kind is a kind of machines that are rented and returned by a demand of their own: those
+// machineGroup is a kind of machines that are rented and returned by a demand of their own: those
 // with accelerators, where there are others too, and the rest.
-type kind struct {
+type machineGroup struct {
 	accel     bool // machines with accelerators
 	all       bool // there is but one kind
 	dearPeak  peak
@@ -60,10 +60,10 @@
 }
 
 // has says whether machines of a type are of this kind.
-func (k *kind) has(gpus float64) bool { return k.all || (gpus > 0) == k.accel }
+func (k *machineGroup) has(gpus float64) bool { return k.all || (gpus > 0) == k.accel }
 
 // wants says whether a job's work is for machines of this kind.
-func (k *kind) wants(j *jobs.Job) bool {
+func (k *machineGroup) wants(j *jobs.Job) bool {
 	return k.all || (j.Need.GPU > 0 || !j.FitsWithoutGPU) == k.accel
 }
 
@@ -195,7 +195,7 @@
 }
 
 // rentKind does so for one kind of machines.
-func (d *Component) rentKind(now time.Duration, k *kind) {
+func (d *Component) rentKind(now time.Duration, k *machineGroup) {
 	var open []*jobs.Job
 	yard := slices.Clone(d.Inventory.All())
 	if !k.all {
@@ -547,7 +547,7 @@
 	return p.demand[0]
 }
 
-func (d *Component) shrink(now time.Duration, k *kind, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
+func (d *Component) shrink(now time.Duration, k *machineGroup, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
 	places := make([]int, len(picky))
 	for i, j := range picky {
 		places[i] = d.places(j)
@@ -637,7 +637,7 @@
 	return end.Round(time.Second)
 }
 
-func (d *Component) wanted(k *kind, cpus float64, spot bool, open []*jobs.Job) (w Demand) {
+func (d *Component) wanted(k *machineGroup, cpus float64, spot bool, open []*jobs.Job) (w Demand) {
 	w.Zones = map[string]float64{}
 	for _, m := range d.Inventory.All() {
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
