--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -29,8 +29,8 @@
 	return a
 }
 
-// answered has the rate of calls follow what the cloud makes of them.
-func (d *Component) answered(now time.Duration, ok bool) {
+// recordCallResult has the rate of calls follow what the cloud makes of them.
+func (d *Component) recordCallResult(now time.Duration, ok bool) {
 	switch {
 	case d.Cfg.Tunables.AdaptCalls == 0:
 	case ok:
@@ -44,7 +44,7 @@
 // are still there are asked for again at the next tick.
 func (d *Component) MachinesDeleted(now time.Duration, ok bool) {
 	d.deleteInFlight = false
-	d.answered(now, ok)
+	d.recordCallResult(now, ok)
 }
 
 // callCloud sends what is due to the cloud, within its rate. When unsure of
@@ -84,7 +84,7 @@
 
 // RentalAnswered takes the answer to a rental request.
 func (d *Component) RentalAnswered(now time.Duration, name string, machines []string, res wire.RentResult) {
-	d.answered(now, res != wire.NoAnswer)
+	d.recordCallResult(now, res != wire.NoAnswer)
 	r, ok := d.pendingRentals[name]
 	if !ok {
 		return
@@ -112,7 +112,7 @@
 // MachineTypesListed takes the machine types; an empty list is a failure.
 func (d *Component) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
 	d.typesRequested = false
-	d.answered(now, len(list) > 0)
+	d.recordCallResult(now, len(list) > 0)
 	if len(list) == 0 {
 		return
 	}
@@ -136,7 +136,7 @@
 // MachinesListed takes the cloud's list of machines.
 func (d *Component) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
 	d.listInFlight = false
-	d.answered(now, ok)
+	d.recordCallResult(now, ok)
 	if !ok {
 		return
 	}
