--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -20,9 +20,9 @@
 	typesEvery = 60 * time.Second
 )
 
-// newCalls is the budget of calls: less than the cloud's rate, and nothing at first,
+// newCallBudget is the budget of calls: less than the cloud's rate, and nothing at first,
 // since the leader before may have used up what had gathered.
-func newCalls(s *cluster.State) ratelimit.Adaptive {
+func newCallBudget(s *cluster.State) ratelimit.Adaptive {
 	rate := s.Cfg.Deployment.Cloud.RPS * 0.8
 	a := ratelimit.NewAdaptive(s.TermBegan, rate, max(1, rate))
 	a.Take(s.TermBegan, a.Burst)
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -70,7 +70,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, provisioner: NewProvisioner(fmt.Sprintf("r-%d", s.Epoch)), pendingRentals: map[string]eventlog.Rental{}, rentalDueAt: map[string]time.Duration{},
-		callBudget: newCalls(s), listedAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
+		callBudget: newCallBudget(s), listedAt: s.TermBegan, booting: map[string]eventlog.Machine{}, registered: map[string]bool{}}
 }
 
 // Replay takes an entry of the log.
