--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -154,17 +154,17 @@
 		}
 	}
 	if d.Cfg.Tunables.ListFirst == 1 {
-		d.dropMissing(now, list)
+		d.decommissionMissing(now, list)
 	}
 }
 
-// dropMissing gives up silent machines that the cloud's list lacks. The list describes
+// decommissionMissing gives up silent machines that the cloud's list lacks. The list describes
 // one moment, in the order in which machines were created, and one that was listed stays
 // until it is gone. So where a later machine is listed, an earlier one that is not has
 // been taken or deleted, however old the list is. What proves that nothing runs there is
 // still the answer to its deletion. Found on days with crashes of all controllers: what
 // the cloud took meanwhile held back most jobs until it had been silent for long enough.
-func (d *Component) dropMissing(now time.Duration, list []wire.ListedMachine) {
+func (d *Component) decommissionMissing(now time.Duration, list []wire.ListedMachine) {
 	if len(list) == 0 {
 		return
 	}
