--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -258,7 +258,7 @@
 	if len(requests) == 0 && dear > have {
 		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, dear-have, false, open))
 	}
-	if free := ordinary - d.taken(now, yard, bound); len(requests) == 0 && need > free {
+	if free := ordinary - d.cpusUsedBySpotJobs(now, yard, bound); len(requests) == 0 && need > free {
 		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, need-free, false, bound))
 	}
 	d.request("renting", requests)
@@ -290,12 +290,12 @@
 	}
 }
 
-// taken is how many processors of ordinary machines are in use by jobs that could use spot
+// cpusUsedBySpotJobs is how many processors of ordinary machines are in use by jobs that could use spot
 // ones, where one that may not has waited to begin for half as long as the exception
 // begin_within lets it: such room counts for it then as not there. Found in a test in which
 // a service waited for five minutes: the ordinary machine was full of tasks of arrays, and
 // there was room enough for those on spot machines.
-func (d *Component) taken(now time.Duration, yard []*workers.Machine, bound []*jobs.Job) float64 {
+func (d *Component) cpusUsedBySpotJobs(now time.Duration, yard []*workers.Machine, bound []*jobs.Job) float64 {
 	wait := settings.Seconds(d.Cfg.Tunables.BeginWithinS / 2)
 	if wait == 0 || !slices.ContainsFunc(bound, func(j *jobs.Job) bool { return j.Waiting > 0 && !j.HasBegun() && now-j.AcceptedAt > wait }) {
 		return 0
