--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -211,8 +211,8 @@
 	}
 	cheap := d.demand(open, d.Cfg.Tunables.DrainBacklogS, true)
 	dear := d.demand(open, 0, false)
-	k.dearPeak.add(now, d.window(d.Cfg.Tunables.IdleReturnS), cheap)
-	k.spotPeak.add(now, d.window(d.Cfg.Tunables.SpotReturnS), cheap)
+	k.dearPeak.add(now, d.retentionWindow(d.Cfg.Tunables.IdleReturnS), cheap)
+	k.spotPeak.add(now, d.retentionWindow(d.Cfg.Tunables.SpotReturnS), cheap)
 	var have, up, ordinary float64
 	for _, m := range yard {
 		if !m.Deleting && !m.PreemptionNotice && !m.Draining && (m.Up || !d.provisioner.ZoneAvoided(now, d.Zones.Name(m.Zone))) {
@@ -254,7 +254,7 @@
 			d.NeedsCycle = true
 		}
 	}
-	k.boundPeak.add(now, d.window(d.Cfg.Tunables.IdleReturnS), need)
+	k.boundPeak.add(now, d.retentionWindow(d.Cfg.Tunables.IdleReturnS), need)
 	if len(requests) == 0 && dear > have {
 		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, dear-have, false, open))
 	}
@@ -314,11 +314,11 @@
 	return sum
 }
 
-// window is for how long room must not have been wanted before it is returned. Where a
+// retentionWindow is for how long room must not have been wanted before it is returned. Where a
 // class should start sooner than any machine boots, what is returned now cannot be rented
 // in time later. Found on days with services that should start within a second: machines
 // were returned between two bursts, and the replicas on them were stopped for it.
-func (d *Component) window(s float64) time.Duration {
+func (d *Component) retentionWindow(s float64) time.Duration {
 	if d.ready() {
 		s = max(s, d.Cfg.Tunables.ReadyWindowS)
 	}
