--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -319,14 +319,14 @@
 // in time later. Found on days with services that should start within a second: machines
 // were returned between two bursts, and the replicas on them were stopped for it.
 func (d *Component) retentionWindow(s float64) time.Duration {
-	if d.ready() {
+	if d.needsStandbyRoom() {
 		s = max(s, d.Cfg.Tunables.ReadyWindowS)
 	}
 	return settings.Seconds(s)
 }
 
-// ready says whether some class is to start sooner than the quickest machine boots.
-func (d *Component) ready() bool {
+// needsStandbyRoom says whether some class is to start sooner than the quickest machine boots.
+func (d *Component) needsStandbyRoom() bool {
 	quickest := math.Inf(1)
 	for _, ty := range d.Types {
 		quickest = min(quickest, ty.BootS)
