--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -262,7 +262,7 @@
 		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, need-free, false, bound))
 	}
 	d.request("renting", requests)
-	picky := slices.DeleteFunc(d.picky(), func(j *jobs.Job) bool { return !k.wants(j) })
+	picky := slices.DeleteFunc(d.restrictedJobs(), func(j *jobs.Job) bool { return !k.wants(j) })
 	d.keepFor(picky)
 	stuck := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
 		return j.Waiting == 0 || (len(j.Record.Counted) > 0 && d.units(j) == 0) || d.couldRun(j)
@@ -336,10 +336,10 @@
 	})
 }
 
-// picky lists the unfinished jobs that may not use every machine, those about
+// restrictedJobs lists the unfinished jobs that may not use every machine, those about
 // to be released among them: room that is enough on the whole may be none for
 // them.
-func (d *Component) picky() []*jobs.Job {
+func (d *Component) restrictedJobs() []*jobs.Job {
 	var out []*jobs.Job
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Waiting > 0 && (!j.Spot || j.Types != nil || j.Record.Zone != "") && (j.Phase == jobs.Open || d.soon(j)) {
