--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -342,17 +342,17 @@
 func (d *Component) restrictedJobs() []*jobs.Job {
 	var out []*jobs.Job
 	for _, j := range d.Jobs.All() {
-		if j != nil && j.Waiting > 0 && (!j.Spot || j.Types != nil || j.Record.Zone != "") && (j.Phase == jobs.Open || d.soon(j)) {
+		if j != nil && j.Waiting > 0 && (!j.Spot || j.Types != nil || j.Record.Zone != "") && (j.Phase == jobs.Open || d.releasedSoon(j)) {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-// soon says whether a held job will be released before long: all tasks that it
+// releasedSoon says whether a held job will be released before long: all tasks that it
 // waits for have their place and run for no longer than a machine is usually
 // kept. Nothing is kept for one that waits for hours.
-func (d *Component) soon(j *jobs.Job) bool {
+func (d *Component) releasedSoon(j *jobs.Job) bool {
 	return j.Phase == jobs.Held && len(j.Dependencies) > 0 && !slices.ContainsFunc(j.Dependencies, func(i int32) bool {
 		b := d.Jobs.At(i)
 		return b.Phase != jobs.Open || b.Waiting > 0 || b.Mean() > d.Cfg.Tunables.UsualStayS
