--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -359,10 +359,10 @@
 	})
 }
 
-// somewhere says whether a machine that stays may take one more task of a job. Found in a
+// hasPlaceFor says whether a machine that stays may take one more task of a job. Found in a
 // test with a spread array of which one zone had its half: nothing was rented in the other,
 // and the rest waited until the first half was done.
-func (d *Component) somewhere(j *jobs.Job) bool {
+func (d *Component) hasPlaceFor(j *jobs.Job) bool {
 	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool { return !m.Draining && d.hasPlace(j, m) && j.ZoneAllows(m.Zone) })
 }
 
@@ -383,7 +383,7 @@
 // not use those waited until it was gone.
 func (d *Component) keepFor(picky []*jobs.Job) {
 	for _, j := range picky {
-		if j.Phase != jobs.Open || d.somewhere(j) {
+		if j.Phase != jobs.Open || d.hasPlaceFor(j) {
 			continue
 		}
 		for _, m := range d.Inventory.All() {
@@ -411,7 +411,7 @@
 		return true // more may be on the way
 	}
 	if j.Record.Kind == jobs.Array {
-		return d.somewhere(j)
+		return d.hasPlaceFor(j)
 	}
 	need := len(j.Tasks) - j.Finished
 	zones := d.slots(j)
