--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -366,8 +366,8 @@
 	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool { return !m.Draining && d.hasPlace(j, m) && j.ZoneAllows(m.Zone) })
 }
 
-// places is how many machines that stay may take tasks of a job.
-func (d *Component) places(j *jobs.Job) int {
+// countHosts is how many machines that stay may take tasks of a job.
+func (d *Component) countHosts(j *jobs.Job) int {
 	n := 0
 	for _, m := range d.Inventory.All() {
 		if !m.Draining && d.hasPlace(j, m) {
@@ -550,7 +550,7 @@
 func (d *Component) shrink(now time.Duration, k *machineGroup, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
 	places := make([]int, len(picky))
 	for i, j := range picky {
-		places[i] = d.places(j)
+		places[i] = d.countHosts(j)
 	}
 	// last says whether a picky job would have no place without a machine.
 	last := func(m *workers.Machine) bool {
