--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -263,7 +263,7 @@
 	}
 	d.request("renting", requests)
 	picky := slices.DeleteFunc(d.restrictedJobs(), func(j *jobs.Job) bool { return !k.wants(j) })
-	d.keepFor(picky)
+	d.undrainOnlyHosts(picky)
 	stuck := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
 		return j.Waiting == 0 || (len(j.Record.Counted) > 0 && d.units(j) == 0) || d.couldRun(j)
 	})
@@ -377,11 +377,11 @@
 	return n
 }
 
-// keepFor takes back the return of machines that are the only ones for a
+// undrainOnlyHosts takes back the return of machines that are the only ones for a
 // waiting job. Found on a day with pipelines: the last ordinary machine was
 // being returned for minutes, since spot ones had room enough, and jobs that may
 // not use those waited until it was gone.
-func (d *Component) keepFor(picky []*jobs.Job) {
+func (d *Component) undrainOnlyHosts(picky []*jobs.Job) {
 	for _, j := range picky {
 		if j.Phase != jobs.Open || d.hasPlaceFor(j) {
 			continue
