--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -261,7 +261,7 @@
 	if free := ordinary - d.cpusUsedBySpotJobs(now, yard, bound); len(requests) == 0 && need > free {
 		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, need-free, false, bound))
 	}
-	d.request("renting", requests)
+	d.recordRentals("renting", requests)
 	picky := slices.DeleteFunc(d.restrictedJobs(), func(j *jobs.Job) bool { return !k.wants(j) })
 	d.undrainOnlyHosts(picky)
 	stuck := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
@@ -278,7 +278,7 @@
 		if len(requests) == 0 {
 			requests = d.provisioner.Rent(now, d.Types, d.wanted(k, cpus, false, stuck))
 		}
-		d.request("renting for jobs that fit nowhere", requests)
+		d.recordRentals("renting for jobs that fit nowhere", requests)
 	}
 	// Jobs that fit nowhere keep the machines that they could use, and no others: found on
 	// a day on which ordinary machines were refused as long as idle spot ones were there,
@@ -396,8 +396,8 @@
 	}
 }
 
-// request notes rentals durably; they are sent once that is done.
-func (d *Component) request(text string, requests []eventlog.Rental) {
+// recordRentals notes rentals durably; they are sent once that is done.
+func (d *Component) recordRentals(text string, requests []eventlog.Rental) {
 	for _, r := range requests {
 		d.EventLog.AppendTracked(eventlog.Entry{Rental: &r})
 		d.LogMessage(effects.Info, text, "request", r.Name, "type", r.Type, "zone", r.Zone, "spot", r.Spot, "count", r.Count)
