--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -265,7 +265,7 @@
 	picky := slices.DeleteFunc(d.restrictedJobs(), func(j *jobs.Job) bool { return !k.wants(j) })
 	d.undrainOnlyHosts(picky)
 	stuck := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
-		return j.Waiting == 0 || (len(j.Record.Counted) > 0 && d.units(j) == 0) || d.couldRun(j)
+		return j.Waiting == 0 || (len(j.Record.Counted) > 0 && d.units(j) == 0) || d.fitsFleet(j)
 	})
 	if len(requests) == 0 && len(stuck) > 0 {
 		// Jobs that would not fit if all machines were free.
@@ -404,9 +404,9 @@
 	}
 }
 
-// couldRun says whether the machines there are or are coming have a place
+// fitsFleet says whether the machines there are or are coming have a place
 // for a job: for one task, or for all of a gang.
-func (d *Component) couldRun(j *jobs.Job) bool {
+func (d *Component) fitsFleet(j *jobs.Job) bool {
 	if len(d.pendingRentals) > 0 {
 		return true // more may be on the way
 	}
