--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -434,14 +434,14 @@
 	return total >= need
 }
 
-// mayTake says whether a machine may have tasks of a job.
-func (d *Component) mayTake(j *jobs.Job, m *workers.Machine) bool {
+// mayHost says whether a machine may have tasks of a job.
+func (d *Component) mayHost(j *jobs.Job, m *workers.Machine) bool {
 	return !m.Deleting && !m.PreemptionNotice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Record.OneZone || j.ZoneAllows(m.Zone))
 }
 
 // hasPlace says whether a machine could take a task of a job if it were free.
 func (d *Component) hasPlace(j *jobs.Job, m *workers.Machine) bool {
-	return d.mayTake(j, m) && j.Need.Fits(m.Cap)
+	return d.mayHost(j, m) && j.Need.Fits(m.Cap)
 }
 
 // slots is how many tasks of a job each zone's machines could take if they
@@ -449,7 +449,7 @@
 func (d *Component) slots(j *jobs.Job) map[int32]int {
 	zones := map[int32]int{}
 	for _, m := range d.Inventory.All() {
-		if d.mayTake(j, m) {
+		if d.mayHost(j, m) {
 			zones[m.Zone] += scheduler.TasksThatFit(j.Need, m.Cap)
 		}
 	}
@@ -563,7 +563,7 @@
 	}
 	list := slices.DeleteFunc(slices.Clone(yard), func(m *workers.Machine) bool {
 		return m.Deleting || !m.Up || m.PreemptionNotice || m.Draining || now < m.KeptUntil || now-m.UpSince < settings.Seconds(d.Cfg.Tunables.IdleReturnS) ||
-			slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return d.mayTake(j, m) })
+			slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return d.mayHost(j, m) })
 	})
 	ends := map[*workers.Machine]time.Duration{}
 	for _, m := range list {
