--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -363,14 +363,14 @@
 // test with a spread array of which one zone had its half: nothing was rented in the other,
 // and the rest waited until the first half was done.
 func (d *Component) hasPlaceFor(j *jobs.Job) bool {
-	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool { return !m.Draining && d.hasPlace(j, m) && j.ZoneAllows(m.Zone) })
+	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool { return !m.Draining && d.canHost(j, m) && j.ZoneAllows(m.Zone) })
 }
 
 // countHosts is how many machines that stay may take tasks of a job.
 func (d *Component) countHosts(j *jobs.Job) int {
 	n := 0
 	for _, m := range d.Inventory.All() {
-		if !m.Draining && d.hasPlace(j, m) {
+		if !m.Draining && d.canHost(j, m) {
 			n++
 		}
 	}
@@ -387,7 +387,7 @@
 			continue
 		}
 		for _, m := range d.Inventory.All() {
-			if m.Draining && d.hasPlace(j, m) {
+			if m.Draining && d.canHost(j, m) {
 				m.Draining = false
 				d.NeedsCycle = true
 				break
@@ -439,8 +439,8 @@
 	return !m.Deleting && !m.PreemptionNotice && scheduler.Allowed(j, m, d.Zones.Index) && (!j.Record.OneZone || j.ZoneAllows(m.Zone))
 }
 
-// hasPlace says whether a machine could take a task of a job if it were free.
-func (d *Component) hasPlace(j *jobs.Job, m *workers.Machine) bool {
+// canHost says whether a machine could take a task of a job if it were free.
+func (d *Component) canHost(j *jobs.Job, m *workers.Machine) bool {
 	return d.mayHost(j, m) && j.Need.Fits(m.Cap)
 }
 
@@ -555,7 +555,7 @@
 	// last says whether a picky job would have no place without a machine.
 	last := func(m *workers.Machine) bool {
 		for i, j := range picky {
-			if places[i] == 1 && d.hasPlace(j, m) {
+			if places[i] == 1 && d.canHost(j, m) {
 				return true
 			}
 		}
@@ -598,7 +598,7 @@
 			}
 			m.Draining = true
 			for i, j := range picky {
-				if d.hasPlace(j, m) {
+				if d.canHost(j, m) {
 					places[i]--
 				}
 			}
