--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -414,7 +414,7 @@
 		return d.hasPlaceFor(j)
 	}
 	need := len(j.Tasks) - j.Finished
-	zones := d.slots(j)
+	zones := d.slotsByZone(j)
 	total := 0
 	for _, n := range zones {
 		total += n
@@ -444,9 +444,9 @@
 	return d.mayHost(j, m) && j.Need.Fits(m.Cap)
 }
 
-// slots is how many tasks of a job each zone's machines could take if they
+// slotsByZone is how many tasks of a job each zone's machines could take if they
 // were free.
-func (d *Component) slots(j *jobs.Job) map[int32]int {
+func (d *Component) slotsByZone(j *jobs.Job) map[int32]int {
 	zones := map[int32]int{}
 	for _, m := range d.Inventory.All() {
 		if d.mayHost(j, m) {
@@ -654,7 +654,7 @@
 				return false
 			}
 			// A zone that has its share of a spread job's tasks brings it no further.
-			return !j.ZoneRule() || (j.ZoneAllows(m.Zone) && (!j.Record.Spread || d.slots(j)[m.Zone] < j.MostInZone()))
+			return !j.ZoneRule() || (j.ZoneAllows(m.Zone) && (!j.Record.Spread || d.slotsByZone(j)[m.Zone] < j.MostInZone()))
 		})
 	}
 	return w
