--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -209,8 +209,8 @@
 			open = append(open, j)
 		}
 	}
-	cheap := d.demand(open, d.Cfg.Tunables.DrainBacklogS, true)
-	dear := d.demand(open, 0, false)
+	cheap := d.cpuDemand(open, d.Cfg.Tunables.DrainBacklogS, true)
+	dear := d.cpuDemand(open, 0, false)
 	k.dearPeak.add(now, d.retentionWindow(d.Cfg.Tunables.IdleReturnS), cheap)
 	k.spotPeak.add(now, d.retentionWindow(d.Cfg.Tunables.SpotReturnS), cheap)
 	var have, up, ordinary float64
@@ -246,7 +246,7 @@
 	}
 	// Ordinary machines: what spot ones could not bring, and jobs that may
 	// not use spot machines at all, however much room there is on those.
-	need := d.demand(bound, d.Cfg.Tunables.DrainBacklogS, true)
+	need := d.cpuDemand(bound, d.Cfg.Tunables.DrainBacklogS, true)
 	for _, m := range yard {
 		if need > ordinary && m.Draining && !m.Deleting && !m.Spot {
 			m.Draining = false
@@ -456,11 +456,11 @@
 	return zones
 }
 
-// demand is how many processors would have the open jobs' work done within
+// cpuDemand is how many processors would have the open jobs' work done within
 // the horizon, team limits considered. With keep, what runs now counts full,
 // so that machines stay as long as they are in use; without, it counts the
 // half that is left of it on average.
-func (d *Component) demand(open []*jobs.Job, horizon float64, keep bool) float64 {
+func (d *Component) cpuDemand(open []*jobs.Job, horizon float64, keep bool) float64 {
 	perTeam := make([]float64, len(d.Scheduler.Limits))
 	for _, j := range open {
 		left := float64(len(j.Tasks) - j.Finished)
