--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -265,7 +265,7 @@
 	picky := slices.DeleteFunc(d.restrictedJobs(), func(j *jobs.Job) bool { return !k.wants(j) })
 	d.undrainOnlyHosts(picky)
 	stuck := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
-		return j.Waiting == 0 || (len(j.Record.Counted) > 0 && d.units(j) == 0) || d.fitsFleet(j)
+		return j.Waiting == 0 || (len(j.Record.Counted) > 0 && d.availableUnits(j) == 0) || d.fitsFleet(j)
 	})
 	if len(requests) == 0 && len(stuck) > 0 {
 		// Jobs that would not fit if all machines were free.
@@ -473,7 +473,7 @@
 			tasks = min(left, (left-float64(j.Placed)/2)*j.Mean()/d.horizon(j))
 		}
 		if len(j.Record.Counted) > 0 { // machines for tasks without units would stand idle
-			tasks = min(tasks, float64(j.Placed+d.units(j)))
+			tasks = min(tasks, float64(j.Placed+d.availableUnits(j)))
 		}
 		perTeam[j.Team] += tasks * j.Share
 	}
@@ -487,8 +487,8 @@
 	return sum
 }
 
-// units is how many more tasks of a job that needs counted units could have them.
-func (d *Component) units(j *jobs.Job) int {
+// availableUnits is how many more tasks of a job that needs counted units could have them.
+func (d *Component) availableUnits(j *jobs.Job) int {
 	if d.Pools == nil {
 		return 0
 	}
