--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -470,7 +470,7 @@
 		case keep:
 			tasks = max(float64(j.Placed), min(left, math.Ceil(left*j.Mean()/horizon)))
 		default:
-			tasks = min(left, (left-float64(j.Placed)/2)*j.Mean()/d.horizon(j))
+			tasks = min(left, (left-float64(j.Placed)/2)*j.Mean()/d.backlogHorizon(j))
 		}
 		if len(j.Record.Counted) > 0 { // machines for tasks without units would stand idle
 			tasks = min(tasks, float64(j.Placed+d.availableUnits(j)))
@@ -495,9 +495,9 @@
 	return d.Pools.Most(j)
 }
 
-// horizon is the time in which a job's work should be done if need be by
+// backlogHorizon is the time in which a job's work should be done if need be by
 // ordinary machines: a share of what its class's aims leave it.
-func (d *Component) horizon(j *jobs.Job) float64 {
+func (d *Component) backlogHorizon(j *jobs.Job) float64 {
 	best := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
