--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -286,7 +286,7 @@
 	if cheap <= have && (len(stuck) == 0 || len(requests) == 0) && d.Permits(now, cluster.Return) {
 		// Against what is up: what is only asked for or boots may never come,
 		// while the cloud is out for instance.
-		d.shrink(now, k, yard, up, ordinary, picky, stuck)
+		d.scaleIn(now, k, yard, up, ordinary, picky, stuck)
 	}
 }
 
@@ -547,7 +547,7 @@
 	return p.demand[0]
 }
 
-func (d *Component) shrink(now time.Duration, k *machineGroup, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
+func (d *Component) scaleIn(now time.Duration, k *machineGroup, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
 	places := make([]int, len(picky))
 	for i, j := range picky {
 		places[i] = d.countHosts(j)
