--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -619,7 +619,7 @@
 }
 
 // noEnd is later than anything ends.
-const noEnd = time.Duration(math.MaxInt64)
+const unbounded = time.Duration(math.MaxInt64)
 
 // busyUntil is when the last of a machine's tasks will probably have ended.
 func (d *Component) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
@@ -630,7 +630,7 @@
 		}
 		j := d.Jobs.At(p.Ref.Job)
 		if j.Record.Kind == jobs.Service {
-			return noEnd // by itself: it would have to be stopped
+			return unbounded // by itself: it would have to be stopped
 		}
 		end = max(end, now+scheduler.RemainingTime(now, j, p))
 	}
