--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -242,7 +242,7 @@
 	bound := slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool { return j.Spot })
 	var requests []eventlog.Rental
 	if len(bound) < len(open) && cheap > have {
-		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, cheap-have, true, open))
+		requests = d.provisioner.Rent(now, d.Types, d.demandFor(k, cheap-have, true, open))
 	}
 	// Ordinary machines: what spot ones could not bring, and jobs that may
 	// not use spot machines at all, however much room there is on those.
@@ -256,10 +256,10 @@
 	}
 	k.boundPeak.add(now, d.retentionWindow(d.Cfg.Tunables.IdleReturnS), need)
 	if len(requests) == 0 && dear > have {
-		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, dear-have, false, open))
+		requests = d.provisioner.Rent(now, d.Types, d.demandFor(k, dear-have, false, open))
 	}
 	if free := ordinary - d.cpusUsedBySpotJobs(now, yard, bound); len(requests) == 0 && need > free {
-		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, need-free, false, bound))
+		requests = d.provisioner.Rent(now, d.Types, d.demandFor(k, need-free, false, bound))
 	}
 	d.recordRentals("renting", requests)
 	picky := slices.DeleteFunc(d.restrictedJobs(), func(j *jobs.Job) bool { return !k.wants(j) })
@@ -274,9 +274,9 @@
 			cpus += float64(j.Waiting) * j.Share
 		}
 		spotless := slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return !j.Spot })
-		requests = d.provisioner.Rent(now, d.Types, d.wanted(k, cpus, !spotless, stuck))
+		requests = d.provisioner.Rent(now, d.Types, d.demandFor(k, cpus, !spotless, stuck))
 		if len(requests) == 0 {
-			requests = d.provisioner.Rent(now, d.Types, d.wanted(k, cpus, false, stuck))
+			requests = d.provisioner.Rent(now, d.Types, d.demandFor(k, cpus, false, stuck))
 		}
 		d.recordRentals("renting for jobs that fit nowhere", requests)
 	}
@@ -637,7 +637,7 @@
 	return end.Round(time.Second)
 }
 
-func (d *Component) wanted(k *machineGroup, cpus float64, spot bool, open []*jobs.Job) (w Demand) {
+func (d *Component) demandFor(k *machineGroup, cpus float64, spot bool, open []*jobs.Job) (w Demand) {
 	w.Zones = map[string]float64{}
 	for _, m := range d.Inventory.All() {
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
