--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -134,7 +134,7 @@
 		d.avoidSilentZones(now)
 	}
 	if sure {
-		d.rent(now)
+		d.scale(now)
 	}
 	d.NeedsCycle = true
 }
@@ -175,10 +175,10 @@
 	}
 }
 
-// rent covers the work that is there with machines, and returns what was not
+// scale covers the work that is there with machines, and returns what was not
 // wanted for a while: machines are drained first, the dearest and emptiest
 // ones before the others, and deleted once empty.
-func (d *Component) rent(now time.Duration) {
+func (d *Component) scale(now time.Duration) {
 	if len(d.Types) == 0 {
 		return
 	}
