--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -185,17 +185,17 @@
 	accel := slices.ContainsFunc(d.Types, func(ty eventlog.MachineType) bool { return ty.GPUs > 0 })
 	if plain := slices.ContainsFunc(d.Types, func(ty eventlog.MachineType) bool { return ty.GPUs == 0 }); !accel || !plain {
 		d.groups[0].all = true
-		d.rentKind(now, &d.groups[0])
+		d.scaleGroup(now, &d.groups[0])
 		return
 	}
 	d.groups[0].all, d.groups[1].accel = false, true
 	for i := range d.groups {
-		d.rentKind(now, &d.groups[i])
+		d.scaleGroup(now, &d.groups[i])
 	}
 }
 
-// rentKind does so for one kind of machines.
-func (d *Component) rentKind(now time.Duration, k *machineGroup) {
+// scaleGroup does so for one kind of machines.
+func (d *Component) scaleGroup(now time.Duration, k *machineGroup) {
 	var open []*jobs.Job
 	yard := slices.Clone(d.Inventory.All())
 	if !k.all {
