--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -22,7 +22,7 @@
 	rentEvery = 500 * time.Millisecond
 	avoidFor  = 45 * time.Second // a zone whose machines were silent together
 
-	urgent = 2 // the priority from which on a job is
+	urgentPriority = 2 // the priority from which on a job is
 )
 
 // Component rents and returns machines in a term.
@@ -205,7 +205,7 @@
 	// even the whole fleet could hold: those not heard yet count as there.
 	settled := d.Permits(now, cluster.Rent)
 	for _, j := range d.Jobs.All() {
-		if j != nil && j.Phase == jobs.Open && j.Finished < len(j.Tasks) && k.wants(j) && (settled || j.Priority >= urgent) {
+		if j != nil && j.Phase == jobs.Open && j.Finished < len(j.Tasks) && k.wants(j) && (settled || j.Priority >= urgentPriority) {
 			open = append(open, j)
 		}
 	}
