--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	rentEvery = 500 * time.Millisecond
-	avoidFor  = 45 * time.Second // a zone whose machines were silent together
+	scaleInterval = 500 * time.Millisecond
+	avoidFor      = 45 * time.Second // a zone whose machines were silent together
 
 	urgentPriority = 2 // the priority from which on a job is
 )
@@ -126,7 +126,7 @@
 
 // Tick rents and returns.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if now-d.lastScaledAt < rentEvery {
+	if now-d.lastScaledAt < scaleInterval {
 		return
 	}
 	d.lastScaledAt = now
