--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -20,7 +20,7 @@
 
 const (
 	scaleInterval = 500 * time.Millisecond
-	avoidFor      = 45 * time.Second // a zone whose machines were silent together
+	zoneAvoidance = 45 * time.Second // a zone whose machines were silent together
 
 	urgentPriority = 2 // the priority from which on a job is
 )
@@ -170,7 +170,7 @@
 			if !d.provisioner.ZoneAvoided(now, name) {
 				d.LogMessage(effects.Warn, "most machines of a zone are silent: nothing is rented there for now", "zone", name, "silent", n, "of", up[z])
 			}
-			d.provisioner.AvoidZone(name, now+avoidFor)
+			d.provisioner.AvoidZone(name, now+zoneAvoidance)
 		}
 	}
 }
