--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -16,8 +16,8 @@
 // What is asked of the cloud, and what it answers.
 
 const (
-	listEvery  = 12 * time.Second
-	typesEvery = 60 * time.Second
+	listInterval = 12 * time.Second
+	typesEvery   = 60 * time.Second
 )
 
 // newCallBudget is the budget of calls: less than the cloud's rate, and nothing at first,
@@ -76,7 +76,7 @@
 			d.Emit(effects.RentMachines{Rental: r})
 		}
 	}
-	if !d.listInFlight && now-d.listedAt > listEvery && spend() {
+	if !d.listInFlight && now-d.listedAt > listInterval && spend() {
 		d.listInFlight, d.listedAt = true, now
 		d.Emit(effects.ListMachines{})
 	}
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -111,7 +111,7 @@
 		d.provisioner.Restore(r)
 	}
 	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
-		d.listedAt = d.TermBegan - listEvery // what the cloud has taken meanwhile need not be waited for
+		d.listedAt = d.TermBegan - listInterval // what the cloud has taken meanwhile need not be waited for
 	}
 	d.booting, d.registered = nil, nil
 }
