--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -16,8 +16,8 @@
 // What is asked of the cloud, and what it answers.
 
 const (
-	listInterval = 12 * time.Second
-	typesEvery   = 60 * time.Second
+	listInterval  = 12 * time.Second
+	typesInterval = 60 * time.Second
 )
 
 // newCallBudget is the budget of calls: less than the cloud's rate, and nothing at first,
@@ -66,7 +66,7 @@
 	if !sure {
 		return
 	}
-	if !d.typesRequested && (len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesEvery) && spend() {
+	if !d.typesRequested && (len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesInterval) && spend() {
 		d.typesRequested = true
 		d.Emit(effects.ListMachineTypes{})
 	}
