--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	maxCount    = 50
-	firstPause  = 10 * time.Second
-	longestWait = 80 * time.Second
+	maxMachinesPerRental = 50
+	firstPause           = 10 * time.Second
+	longestWait          = 80 * time.Second
 )
 
 type key struct {
@@ -87,7 +87,7 @@
 					price = t.SpotPrice
 				}
 				price *= 1 + t.BootS/w.Stay
-				count := max(1, min(maxCount, int(math.Ceil(missing/t.CPUs-0.01))))
+				count := max(1, min(maxMachinesPerRental, int(math.Ceil(missing/t.CPUs-0.01))))
 				covered := min(missing, float64(count)*t.CPUs)
 				offers = append(offers, offer{k, count, price * float64(count) / covered, t.CPUs})
 			}
