--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -17,7 +17,7 @@
 
 const (
 	maxMachinesPerRental = 50
-	firstPause           = 10 * time.Second
+	initialBackoff       = 10 * time.Second
 	longestWait          = 80 * time.Second
 )
 
@@ -146,12 +146,12 @@
 	}
 	f := b.refused[k]
 	if f == nil {
-		f = &refusal{pause: firstPause / 2}
+		f = &refusal{pause: initialBackoff / 2}
 		b.refused[k] = f
 	}
 	f.pause = min(2*f.pause, longestWait)
 	if got > 0 {
-		f.pause = firstPause
+		f.pause = initialBackoff
 	}
 	f.until = now + f.pause
 	return r, true
