--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -18,7 +18,7 @@
 const (
 	maxMachinesPerRental = 50
 	initialBackoff       = 10 * time.Second
-	longestWait          = 80 * time.Second
+	maxBackoff           = 80 * time.Second
 )
 
 type key struct {
@@ -149,7 +149,7 @@
 		f = &refusal{pause: initialBackoff / 2}
 		b.refused[k] = f
 	}
-	f.pause = min(2*f.pause, longestWait)
+	f.pause = min(2*f.pause, maxBackoff)
 	if got > 0 {
 		f.pause = initialBackoff
 	}
