--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -21,7 +21,7 @@
 	maxBackoff           = 80 * time.Second
 )
 
-type key struct {
+type offerKey struct {
 	typ, zone string
 	spot      bool
 }
@@ -34,7 +34,7 @@
 type Provisioner struct {
 	prefix  string
 	n       int
-	refused map[key]*refusal
+	refused map[offerKey]*refusal
 	asked   map[string]eventlog.Rental // requests without an answer yet
 	avoided map[string]time.Duration   // zones that seem cut off, until when
 }
@@ -42,7 +42,7 @@
 // NewProvisioner makes a buyer whose request names begin with a prefix used by no
 // other term.
 func NewProvisioner(prefix string) *Provisioner {
-	return &Provisioner{prefix: prefix, refused: map[key]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
+	return &Provisioner{prefix: prefix, refused: map[offerKey]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
 // AvoidZone leaves out a zone whose machines have fallen silent together: what is
@@ -67,7 +67,7 @@
 	missing := w.CPUs
 	for missing > 0.5 && len(b.asked) < 4 {
 		type offer struct {
-			key
+			offerKey
 			count int
 			cost  float64
 			cpus  float64
@@ -75,7 +75,7 @@
 		var offers []offer
 		for _, t := range types {
 			for _, z := range t.Zones {
-				k := key{t.Name, z, w.Spot}
+				k := offerKey{t.Name, z, w.Spot}
 				if r := b.refused[k]; r != nil && now < r.until {
 					continue
 				}
@@ -111,9 +111,9 @@
 	return out
 }
 
-func (b *Provisioner) outstanding(k key) bool {
+func (b *Provisioner) outstanding(k offerKey) bool {
 	for _, r := range b.asked {
-		if k == (key{r.Type, r.Zone, r.Spot}) {
+		if k == (offerKey{r.Type, r.Zone, r.Spot}) {
 			return true
 		}
 	}
@@ -139,7 +139,7 @@
 		return r, false
 	}
 	delete(b.asked, name)
-	k := key{r.Type, r.Zone, r.Spot}
+	k := offerKey{r.Type, r.Zone, r.Spot}
 	if got >= r.Count {
 		delete(b.refused, k)
 		return r, true
