--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -27,7 +27,7 @@
 }
 
 type refusal struct {
-	until, pause time.Duration
+	retryAt, pause time.Duration
 }
 
 // Provisioner keeps what is known of the offers.
@@ -76,7 +76,7 @@
 		for _, t := range types {
 			for _, z := range t.Zones {
 				k := offerKey{t.Name, z, w.Spot}
-				if r := b.refused[k]; r != nil && now < r.until {
+				if r := b.refused[k]; r != nil && now < r.retryAt {
 					continue
 				}
 				if b.ZoneAvoided(now, z) || b.outstanding(k) || !w.Fits(t, z, w.Spot) {
@@ -153,6 +153,6 @@
 	if got > 0 {
 		f.pause = initialBackoff
 	}
-	f.until = now + f.pause
+	f.retryAt = now + f.pause
 	return r, true
 }
