--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -27,7 +27,7 @@
 }
 
 type refusal struct {
-	retryAt, pause time.Duration
+	retryAt, backoff time.Duration
 }
 
 // Provisioner keeps what is known of the offers.
@@ -146,13 +146,13 @@
 	}
 	f := b.refused[k]
 	if f == nil {
-		f = &refusal{pause: initialBackoff / 2}
+		f = &refusal{backoff: initialBackoff / 2}
 		b.refused[k] = f
 	}
-	f.pause = min(2*f.pause, maxBackoff)
+	f.backoff = min(2*f.backoff, maxBackoff)
 	if got > 0 {
-		f.pause = initialBackoff
+		f.backoff = initialBackoff
 	}
-	f.retryAt = now + f.pause
+	f.retryAt = now + f.backoff
 	return r, true
 }
