--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -32,17 +32,17 @@
 
 // Provisioner keeps what is known of the offers.
 type Provisioner struct {
-	prefix  string
-	n       int
-	refused map[offerKey]*refusal
-	asked   map[string]eventlog.Rental // requests without an answer yet
-	avoided map[string]time.Duration   // zones that seem cut off, until when
+	namePrefix string
+	n          int
+	refused    map[offerKey]*refusal
+	asked      map[string]eventlog.Rental // requests without an answer yet
+	avoided    map[string]time.Duration   // zones that seem cut off, until when
 }
 
 // NewProvisioner makes a buyer whose request names begin with a prefix used by no
 // other term.
 func NewProvisioner(prefix string) *Provisioner {
-	return &Provisioner{prefix: prefix, refused: map[offerKey]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
+	return &Provisioner{namePrefix: prefix, refused: map[offerKey]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
 // AvoidZone leaves out a zone whose machines have fallen silent together: what is
@@ -103,7 +103,7 @@
 			return cmp.Compare(w.Zones[a.zone], w.Zones[c.zone])
 		})
 		b.n++
-		r := eventlog.Rental{Name: fmt.Sprintf("%s-%d", b.prefix, b.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
+		r := eventlog.Rental{Name: fmt.Sprintf("%s-%d", b.namePrefix, b.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
 		b.asked[r.Name] = r
 		out = append(out, r)
 		missing -= float64(best.count) * best.cpus
