--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -33,7 +33,7 @@
 // Provisioner keeps what is known of the offers.
 type Provisioner struct {
 	namePrefix string
-	n          int
+	lastNumber int
 	refused    map[offerKey]*refusal
 	asked      map[string]eventlog.Rental // requests without an answer yet
 	avoided    map[string]time.Duration   // zones that seem cut off, until when
@@ -102,8 +102,8 @@
 			}
 			return cmp.Compare(w.Zones[a.zone], w.Zones[c.zone])
 		})
-		b.n++
-		r := eventlog.Rental{Name: fmt.Sprintf("%s-%d", b.namePrefix, b.n), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
+		b.lastNumber++
+		r := eventlog.Rental{Name: fmt.Sprintf("%s-%d", b.namePrefix, b.lastNumber), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
 		b.asked[r.Name] = r
 		out = append(out, r)
 		missing -= float64(best.count) * best.cpus
