--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -34,7 +34,7 @@
 type Provisioner struct {
 	namePrefix string
 	lastNumber int
-	refused    map[offerKey]*refusal
+	refusals   map[offerKey]*refusal
 	asked      map[string]eventlog.Rental // requests without an answer yet
 	avoided    map[string]time.Duration   // zones that seem cut off, until when
 }
@@ -42,7 +42,7 @@
 // NewProvisioner makes a buyer whose request names begin with a prefix used by no
 // other term.
 func NewProvisioner(prefix string) *Provisioner {
-	return &Provisioner{namePrefix: prefix, refused: map[offerKey]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
+	return &Provisioner{namePrefix: prefix, refusals: map[offerKey]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
 // AvoidZone leaves out a zone whose machines have fallen silent together: what is
@@ -76,7 +76,7 @@
 		for _, t := range types {
 			for _, z := range t.Zones {
 				k := offerKey{t.Name, z, w.Spot}
-				if r := b.refused[k]; r != nil && now < r.retryAt {
+				if r := b.refusals[k]; r != nil && now < r.retryAt {
 					continue
 				}
 				if b.ZoneAvoided(now, z) || b.outstanding(k) || !w.Fits(t, z, w.Spot) {
@@ -141,13 +141,13 @@
 	delete(b.asked, name)
 	k := offerKey{r.Type, r.Zone, r.Spot}
 	if got >= r.Count {
-		delete(b.refused, k)
+		delete(b.refusals, k)
 		return r, true
 	}
-	f := b.refused[k]
+	f := b.refusals[k]
 	if f == nil {
 		f = &refusal{backoff: initialBackoff / 2}
-		b.refused[k] = f
+		b.refusals[k] = f
 	}
 	f.backoff = min(2*f.backoff, maxBackoff)
 	if got > 0 {
