--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -35,14 +35,14 @@
 	namePrefix string
 	lastNumber int
 	refusals   map[offerKey]*refusal
-	asked      map[string]eventlog.Rental // requests without an answer yet
+	unanswered map[string]eventlog.Rental // requests without an answer yet
 	avoided    map[string]time.Duration   // zones that seem cut off, until when
 }
 
 // NewProvisioner makes a buyer whose request names begin with a prefix used by no
 // other term.
 func NewProvisioner(prefix string) *Provisioner {
-	return &Provisioner{namePrefix: prefix, refusals: map[offerKey]*refusal{}, asked: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
+	return &Provisioner{namePrefix: prefix, refusals: map[offerKey]*refusal{}, unanswered: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
 }
 
 // AvoidZone leaves out a zone whose machines have fallen silent together: what is
@@ -65,7 +65,7 @@
 func (b *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, w Demand) []eventlog.Rental {
 	var out []eventlog.Rental
 	missing := w.CPUs
-	for missing > 0.5 && len(b.asked) < 4 {
+	for missing > 0.5 && len(b.unanswered) < 4 {
 		type offer struct {
 			offerKey
 			count int
@@ -104,7 +104,7 @@
 		})
 		b.lastNumber++
 		r := eventlog.Rental{Name: fmt.Sprintf("%s-%d", b.namePrefix, b.lastNumber), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
-		b.asked[r.Name] = r
+		b.unanswered[r.Name] = r
 		out = append(out, r)
 		missing -= float64(best.count) * best.cpus
 	}
@@ -112,7 +112,7 @@
 }
 
 func (b *Provisioner) outstanding(k offerKey) bool {
-	for _, r := range b.asked {
+	for _, r := range b.unanswered {
 		if k == (offerKey{r.Type, r.Zone, r.Spot}) {
 			return true
 		}
@@ -121,12 +121,12 @@
 }
 
 // Restore takes over a request of an earlier term that has no answer yet.
-func (b *Provisioner) Restore(r eventlog.Rental) { b.asked[r.Name] = r }
+func (b *Provisioner) Restore(r eventlog.Rental) { b.unanswered[r.Name] = r }
 
 // RequestedCPUs lists the processors of requests without an answer.
 func (b *Provisioner) RequestedCPUs(cpus func(typ string) float64) float64 {
 	var sum float64
-	for _, r := range b.asked {
+	for _, r := range b.unanswered {
 		sum += cpus(r.Type) * float64(r.Count)
 	}
 	return sum
@@ -134,11 +134,11 @@
 
 // RequestAnswered notes how many machines a request brought.
 func (b *Provisioner) RequestAnswered(now time.Duration, name string, got int) (eventlog.Rental, bool) {
-	r, ok := b.asked[name]
+	r, ok := b.unanswered[name]
 	if !ok {
 		return r, false
 	}
-	delete(b.asked, name)
+	delete(b.unanswered, name)
 	k := offerKey{r.Type, r.Zone, r.Spot}
 	if got >= r.Count {
 		delete(b.refusals, k)
