--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -32,25 +32,27 @@
 
 // Provisioner keeps what is known of the offers.
 type Provisioner struct {
-	namePrefix string
-	lastNumber int
-	refusals   map[offerKey]*refusal
-	unanswered map[string]eventlog.Rental // requests without an answer yet
-	avoided    map[string]time.Duration   // zones that seem cut off, until when
+	namePrefix   string
+	lastNumber   int
+	refusals     map[offerKey]*refusal
+	unanswered   map[string]eventlog.Rental // requests without an answer yet
+	avoidedUntil map[string]time.Duration   // zones that seem cut off, until when
 }
 
 // NewProvisioner makes a buyer whose request names begin with a prefix used by no
 // other term.
 func NewProvisioner(prefix string) *Provisioner {
-	return &Provisioner{namePrefix: prefix, refusals: map[offerKey]*refusal{}, unanswered: map[string]eventlog.Rental{}, avoided: map[string]time.Duration{}}
+	return &Provisioner{namePrefix: prefix, refusals: map[offerKey]*refusal{}, unanswered: map[string]eventlog.Rental{}, avoidedUntil: map[string]time.Duration{}}
 }
 
 // AvoidZone leaves out a zone whose machines have fallen silent together: what is
 // rented there would boot, cost money and not be heard either.
-func (b *Provisioner) AvoidZone(zone string, until time.Duration) { b.avoided[zone] = until }
+func (b *Provisioner) AvoidZone(zone string, until time.Duration) { b.avoidedUntil[zone] = until }
 
 // ZoneAvoided says whether a zone is left out now.
-func (b *Provisioner) ZoneAvoided(now time.Duration, zone string) bool { return now < b.avoided[zone] }
+func (b *Provisioner) ZoneAvoided(now time.Duration, zone string) bool {
+	return now < b.avoidedUntil[zone]
+}
 
 // Demand is what is missing.
 type Demand struct {
