--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -81,7 +81,7 @@
 				if r := b.refusals[k]; r != nil && now < r.retryAt {
 					continue
 				}
-				if b.ZoneAvoided(now, z) || b.outstanding(k) || !w.Fits(t, z, w.Spot) {
+				if b.ZoneAvoided(now, z) || b.isOutstanding(k) || !w.Fits(t, z, w.Spot) {
 					continue
 				}
 				price := t.Price
@@ -113,7 +113,7 @@
 	return out
 }
 
-func (b *Provisioner) outstanding(k offerKey) bool {
+func (b *Provisioner) isOutstanding(k offerKey) bool {
 	for _, r := range b.unanswered {
 		if k == (offerKey{r.Type, r.Zone, r.Spot}) {
 			return true
