--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -56,11 +56,11 @@
 
 // Demand is what is missing.
 type Demand struct {
-	CPUs  float64
-	Spot  bool               // spot machines, else ordinary ones
-	Zones map[string]float64 // processors there are in each zone
-	Stay  float64            // seconds that a machine is usually kept; its boot is paid too
-	Fits  func(t eventlog.MachineType, zone string, spot bool) bool
+	CPUs       float64
+	Spot       bool               // spot machines, else ordinary ones
+	Zones      map[string]float64 // processors there are in each zone
+	UsualStayS float64            // seconds that a machine is usually kept; its boot is paid too
+	Fits       func(t eventlog.MachineType, zone string, spot bool) bool
 }
 
 // Rent chooses requests that cover what is wanted.
@@ -88,7 +88,7 @@
 				if w.Spot {
 					price = t.SpotPrice
 				}
-				price *= 1 + t.BootS/w.Stay
+				price *= 1 + t.BootS/w.UsualStayS
 				count := max(1, min(maxMachinesPerRental, int(math.Ceil(missing/t.CPUs-0.01))))
 				covered := min(missing, float64(count)*t.CPUs)
 				offers = append(offers, offer{k, count, price * float64(count) / covered, t.CPUs})
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -642,7 +642,7 @@
 	for _, m := range d.Inventory.All() {
 		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
 	}
-	w.CPUs, w.Spot, w.Stay = cpus, spot, d.Cfg.Tunables.UsualStayS
+	w.CPUs, w.Spot, w.UsualStayS = cpus, spot, d.Cfg.Tunables.UsualStayS
 	w.Fits = func(ty eventlog.MachineType, zone string, spot bool) bool {
 		i, ok := d.TypeNames.Lookup(ty.Name)
 		if !ok || !k.has(ty.GPUs) {
