--- a/internal/leader/autoscaler/fleet.go
+++ b/internal/leader/autoscaler/fleet.go
@@ -58,7 +58,7 @@
 type Demand struct {
 	CPUs       float64
 	Spot       bool               // spot machines, else ordinary ones
-	Zones      map[string]float64 // processors there are in each zone
+	CPUsByZone map[string]float64 // processors there are in each zone
 	UsualStayS float64            // seconds that a machine is usually kept; its boot is paid too
 	Fits       func(t eventlog.MachineType, zone string, spot bool) bool
 }
@@ -102,7 +102,7 @@
 			if o := cmp.Compare(a.cost, c.cost); o != 0 {
 				return o
 			}
-			return cmp.Compare(w.Zones[a.zone], w.Zones[c.zone])
+			return cmp.Compare(w.CPUsByZone[a.zone], w.CPUsByZone[c.zone])
 		})
 		b.lastNumber++
 		r := eventlog.Rental{Name: fmt.Sprintf("%s-%d", b.namePrefix, b.lastNumber), Type: best.typ, Zone: best.zone, Spot: best.spot, Count: best.count}
--- a/internal/leader/autoscaler/fleet_test.go
+++ b/internal/leader/autoscaler/fleet_test.go
@@ -11,7 +11,7 @@
 var large = eventlog.MachineType{Name: "large", CPUs: 16, Price: 0.69, SpotPrice: 0.18, BootS: 20, Zones: []string{"b"}}
 
 func want(cpus float64, spot bool) Demand {
-	return Demand{CPUs: cpus, Spot: spot, UsualStayS: 120, Zones: map[string]float64{"a": 8}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
+	return Demand{CPUs: cpus, Spot: spot, UsualStayS: 120, CPUsByZone: map[string]float64{"a": 8}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
 }
 
 // The boot is paid as well: the type that boots faster wins for much work,
@@ -52,7 +52,7 @@
 func TestAvoidedZone(t *testing.T) {
 	types := []eventlog.MachineType{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
 	b := NewProvisioner("r")
-	w := Demand{CPUs: 4, UsualStayS: 100, Zones: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
+	w := Demand{CPUs: 4, UsualStayS: 100, CPUsByZone: map[string]float64{"a": 1, "b": 9}, Fits: func(eventlog.MachineType, string, bool) bool { return true }}
 	b.AvoidZone("a", 10*time.Second)
 	if got := b.Rent(5*time.Second, types, w); len(got) != 1 || got[0].Zone != "b" {
 		t.Errorf("rented %v while zone a is avoided", got)
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -638,9 +638,9 @@
 }
 
 func (d *Component) demandFor(k *machineGroup, cpus float64, spot bool, open []*jobs.Job) (w Demand) {
-	w.Zones = map[string]float64{}
+	w.CPUsByZone = map[string]float64{}
 	for _, m := range d.Inventory.All() {
-		w.Zones[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
+		w.CPUsByZone[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
 	}
 	w.CPUs, w.Spot, w.UsualStayS = cpus, spot, d.Cfg.Tunables.UsualStayS
 	w.Fits = func(ty eventlog.MachineType, zone string, spot bool) bool {
