--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -525,7 +525,7 @@
 // peak is the highest demand of the last while: a sample is kept as long as
 // no later one is as high.
 type peak struct {
-	at     []time.Duration
+	times  []time.Duration
 	demand []float64
 }
 
@@ -534,9 +534,9 @@
 	for n > 0 && p.demand[n-1] <= demand {
 		n--
 	}
-	p.at, p.demand = append(p.at[:n], now), append(p.demand[:n], demand)
-	for now-p.at[0] > window {
-		p.at, p.demand = p.at[1:], p.demand[1:]
+	p.times, p.demand = append(p.times[:n], now), append(p.demand[:n], demand)
+	for now-p.times[0] > window {
+		p.times, p.demand = p.times[1:], p.demand[1:]
 	}
 }
 
