--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -525,26 +525,26 @@
 // peak is the highest demand of the last while: a sample is kept as long as
 // no later one is as high.
 type peak struct {
-	times  []time.Duration
-	demand []float64
+	times   []time.Duration
+	samples []float64
 }
 
 func (p *peak) add(now, window time.Duration, demand float64) {
-	n := len(p.demand)
-	for n > 0 && p.demand[n-1] <= demand {
+	n := len(p.samples)
+	for n > 0 && p.samples[n-1] <= demand {
 		n--
 	}
-	p.times, p.demand = append(p.times[:n], now), append(p.demand[:n], demand)
+	p.times, p.samples = append(p.times[:n], now), append(p.samples[:n], demand)
 	for now-p.times[0] > window {
-		p.times, p.demand = p.times[1:], p.demand[1:]
+		p.times, p.samples = p.times[1:], p.samples[1:]
 	}
 }
 
 func (p *peak) value() float64 {
-	if len(p.demand) == 0 {
+	if len(p.samples) == 0 {
 		return 0
 	}
-	return p.demand[0]
+	return p.samples[0]
 }
 
 func (d *Component) scaleIn(now time.Duration, k *machineGroup, yard []*workers.Machine, have, ordinary float64, picky, stuck []*jobs.Job) {
