--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -144,7 +144,7 @@
 		name   string
 		before leadership.LeaderRecord
 		answer func(d *Component)
-		want   kind
+		want   startKind
 	}{
 		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Component) {}, ordinary},
 		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Component) {}, ordinary},
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -24,13 +24,13 @@
 // Name is that of the duty, and of its entries.
 const Name = "cold-start"
 
-// kind says what sort of a beginning this is.
-type kind uint8
+// startKind says what sort of a beginning this is.
+type startKind uint8
 
 const (
-	undecided kind = iota // the others have not said yet whether they heard a leader
-	cold                  // nobody led before it
-	ordinary              // a takeover from a leader, or the very first start
+	undecided startKind = iota // the others have not said yet whether they heard a leader
+	cold                       // nobody led before it
+	ordinary                   // a takeover from a leader, or the very first start
 )
 
 const (
@@ -49,7 +49,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	kind    kind
+	kind    startKind
 	asked   map[string]bool // others whose word is waited for
 	askedAt time.Duration
 	heard   map[string]time.Duration // when the others last answered
@@ -154,7 +154,7 @@
 // PeerHeard notes that another controller has answered a heartbeat.
 func (d *Component) PeerHeard(now time.Duration, peer string, _ time.Duration) { d.heard[peer] = now }
 
-func (d *Component) decide(now time.Duration, k kind) {
+func (d *Component) decide(now time.Duration, k startKind) {
 	d.kind = k
 	d.NeedsCycle = true
 	if k != cold {
