--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -224,7 +224,7 @@
 
 // tick closes the account.
 func (a *account) tick(d *Component, now time.Duration, sure bool) {
-	if d.kind != cold || a.over || !sure {
+	if d.kind != coldStart || a.over || !sure {
 		return
 	}
 	if d.census.done && a.own.SettledMS < 0 {
@@ -298,7 +298,7 @@
 		return nil, cluster.ErrUnknownView
 	}
 	out := []Record{}
-	if d.kind == cold && !d.account.over {
+	if d.kind == coldStart && !d.account.over {
 		d.account.count(d)
 		out = append(out, d.account.own)
 	}
@@ -314,7 +314,7 @@
 
 // Gauges gives the numbers of the last cold start of this term.
 func (d *Component) Gauges(time.Duration) []cluster.Gauge {
-	if d.kind != cold {
+	if d.kind != coldStart {
 		return nil
 	}
 	if !d.account.over {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -148,15 +148,15 @@
 	}{
 		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Component) {}, ordinary},
 		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Component) {}, ordinary},
-		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
-		{"it never did, and nobody answers", none, func(d *Component) { d.Tick(at+2*time.Second, true) }, cold},
+		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
+		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
+		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
+		{"it never did, and nobody answers", none, func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
 		{"the others have not answered yet", none, func(d *Component) { d.PeerLed(at, "n1", none, true) }, undecided},
 		{"nor did the others", none, func(d *Component) {
 			d.PeerLed(at, "n1", none, true)
 			d.PeerLed(at, "n2", none, false)
-		}, cold},
+		}, coldStart},
 		{"another one did", none, func(d *Component) {
 			d.PeerLed(at, "n1", none, true)
 			d.PeerLed(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
@@ -164,11 +164,11 @@
 		{"another one did, long ago", none, func(d *Component) {
 			d.PeerLed(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
 			d.PeerLed(at, "n2", none, true)
-		}, cold},
+		}, coldStart},
 		{"another one heard one that was listening", none, func(d *Component) {
 			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.FleetListening), true)
 			d.PeerLed(at, "n2", none, true)
-		}, cold},
+		}, coldStart},
 		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Component) {
 			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, ordinary},
@@ -193,7 +193,7 @@
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	j, all := d.Jobs.Find(1), d.Inventory.All()
-	if d.kind != cold || d.account.own.Tasks != 10 || d.account.own.MostMS != 40_000 {
+	if d.kind != coldStart || d.account.own.Tasks != 10 || d.account.own.MostMS != 40_000 {
 		t.Fatalf("kind %v, account %+v", d.kind, d.account.own)
 	}
 	for i, m := range all[:9] {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -29,7 +29,7 @@
 
 const (
 	undecided startKind = iota // the others have not said yet whether they heard a leader
-	cold                       // nobody led before it
+	coldStart                  // nobody led before it
 	ordinary                   // a takeover from a leader, or the very first start
 )
 
@@ -102,7 +102,7 @@
 	case d.takenOver(d.LeaderMissedAt, d.PreviousLeader):
 		d.decide(now, ordinary)
 	case len(d.Cfg.Peers) == 0:
-		d.decide(now, cold)
+		d.decide(now, coldStart)
 	default:
 		d.askedAt = now
 		for _, p := range d.Cfg.Peers {
@@ -147,7 +147,7 @@
 	if known && d.takenOver(now, led) {
 		d.decide(now, ordinary)
 	} else if len(d.asked) == 0 {
-		d.decide(now, cold)
+		d.decide(now, coldStart)
 	}
 }
 
@@ -157,7 +157,7 @@
 func (d *Component) decide(now time.Duration, k startKind) {
 	d.kind = k
 	d.NeedsCycle = true
-	if k != cold {
+	if k != coldStart {
 		d.account.over = true
 		return
 	}
@@ -170,7 +170,7 @@
 // Tick settles what is due.
 func (d *Component) Tick(now time.Duration, sure bool) {
 	if d.kind == undecided && now-d.askedAt >= askedFor {
-		d.decide(now, cold)
+		d.decide(now, coldStart)
 	}
 	if d.kind == ordinary {
 		return
@@ -224,7 +224,7 @@
 
 // paces says whether starts are paced: after a cold start, until the work is back.
 func (d *Component) paces(now time.Duration) bool {
-	return d.kind == cold && !d.account.back() && now-d.TermBegan < catchUp
+	return d.kind == coldStart && !d.account.back() && now-d.TermBegan < catchUp
 }
 
 // HandleEvent follows the census and keeps account.
