--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -146,8 +146,8 @@
 		answer func(d *Component)
 		want   startKind
 	}{
-		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Component) {}, ordinary},
-		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Component) {}, ordinary},
+		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Component) {}, failoverStart},
+		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Component) {}, failoverStart},
 		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
 		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
 		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
@@ -160,7 +160,7 @@
 		{"another one did", none, func(d *Component) {
 			d.PeerLed(at, "n1", none, true)
 			d.PeerLed(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
-		}, ordinary},
+		}, failoverStart},
 		{"another one did, long ago", none, func(d *Component) {
 			d.PeerLed(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
 			d.PeerLed(at, "n2", none, true)
@@ -171,13 +171,13 @@
 		}, coldStart},
 		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Component) {
 			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
-		}, ordinary},
+		}, failoverStart},
 	} {
 		d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.PreviousLeader = c.before })
 		if c.answer(d); d.kind != c.want {
 			t.Errorf("%s: %v, want %v", c.name, d.kind, c.want)
 		}
-		if open := d.kind == ordinary; d.Permits(at, cluster.Rent) != open || d.Permits(at, cluster.Return) != open || d.Permits(at, cluster.Preempt) != open || d.Permits(at, cluster.Move) != open {
+		if open := d.kind == failoverStart; d.Permits(at, cluster.Rent) != open || d.Permits(at, cluster.Return) != open || d.Permits(at, cluster.Preempt) != open || d.Permits(at, cluster.Move) != open {
 			t.Errorf("%s: it may rent: %v", c.name, !open)
 		}
 		if !d.Permits(at, cluster.StartAgain) || !d.Permits(at, cluster.Delete) {
@@ -286,7 +286,7 @@
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	d.Begin(0)
-	if d.kind != ordinary || !s.Permits(0, cluster.Rent) || s.SilenceAllowance() != 0 {
+	if d.kind != failoverStart || !s.Permits(0, cluster.Rent) || s.SilenceAllowance() != 0 {
 		t.Errorf("kind %v", d.kind)
 	}
 	for _, e := range s.TakeEffects() {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -28,9 +28,9 @@
 type startKind uint8
 
 const (
-	undecided startKind = iota // the others have not said yet whether they heard a leader
-	coldStart                  // nobody led before it
-	ordinary                   // a takeover from a leader, or the very first start
+	undecided     startKind = iota // the others have not said yet whether they heard a leader
+	coldStart                      // nobody led before it
+	failoverStart                  // a takeover from a leader, or the very first start
 )
 
 const (
@@ -98,9 +98,9 @@
 	d.starts = ratelimit.NewStartLimiter(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
 	switch {
 	case n == 0 && d.Jobs.Len() == 0:
-		d.decide(now, ordinary) // there is nothing to find out
+		d.decide(now, failoverStart) // there is nothing to find out
 	case d.takenOver(d.LeaderMissedAt, d.PreviousLeader):
-		d.decide(now, ordinary)
+		d.decide(now, failoverStart)
 	case len(d.Cfg.Peers) == 0:
 		d.decide(now, coldStart)
 	default:
@@ -125,7 +125,7 @@
 
 // Fleet is what this leader says of itself.
 func (d *Component) Fleet() leadership.FleetKnowledge {
-	if d.kind == ordinary || (d.census != nil && d.census.done) {
+	if d.kind == failoverStart || (d.census != nil && d.census.done) {
 		return leadership.FleetKnown
 	}
 	return leadership.FleetListening
@@ -145,7 +145,7 @@
 		return
 	}
 	if known && d.takenOver(now, led) {
-		d.decide(now, ordinary)
+		d.decide(now, failoverStart)
 	} else if len(d.asked) == 0 {
 		d.decide(now, coldStart)
 	}
@@ -172,7 +172,7 @@
 	if d.kind == undecided && now-d.askedAt >= askedFor {
 		d.decide(now, coldStart)
 	}
-	if d.kind == ordinary {
+	if d.kind == failoverStart {
 		return
 	}
 	away := 0
@@ -194,7 +194,7 @@
 // that a task may be started proves it here as well. Machines are rented and returned,
 // and tasks stopped for others or moved, only once the picture is settled.
 func (d *Component) Permits(now time.Duration, o cluster.Action) bool {
-	if d.kind == ordinary || o == cluster.StartNew || o == cluster.StartAgain || o == cluster.Delete {
+	if d.kind == failoverStart || o == cluster.StartNew || o == cluster.StartAgain || o == cluster.Delete {
 		return true
 	}
 	return d.census.Settled(now)
@@ -203,7 +203,7 @@
 // SilenceAllowance is how long after the beginning a machine that has not been heard in this
 // term may yet be one that lives.
 func (d *Component) SilenceAllowance() time.Duration {
-	if d.kind == ordinary {
+	if d.kind == failoverStart {
 		return 0
 	}
 	return d.census.SilenceAllowance()
@@ -229,7 +229,7 @@
 
 // HandleEvent follows the census and keeps account.
 func (d *Component) HandleEvent(e cluster.Event) {
-	if d.kind == ordinary {
+	if d.kind == failoverStart {
 		return
 	}
 	if e.Kind == cluster.MachineResolved && d.census != nil {
