--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -36,7 +36,7 @@
 const (
 	// askedFor is how long the others have for their word. One that does not answer
 	// says nothing: it is down, cut off, or of a version that does not know the question.
-	askedFor = 1500 * time.Millisecond
+	peerAnswerTimeout = 1500 * time.Millisecond
 	// catchUp ends pacing, and needless orders are looked for a while longer.
 	catchUp  = time.Minute
 	lookFor  = 2 * time.Minute
@@ -169,7 +169,7 @@
 
 // Tick settles what is due.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if d.kind == undecided && now-d.askedAt >= askedFor {
+	if d.kind == undecided && now-d.askedAt >= peerAnswerTimeout {
 		d.decide(now, coldStart)
 	}
 	if d.kind == failoverStart {
