--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -38,9 +38,9 @@
 	// says nothing: it is down, cut off, or of a version that does not know the question.
 	peerAnswerTimeout = 1500 * time.Millisecond
 	// catchUp ends pacing, and needless orders are looked for a while longer.
-	catchUp  = time.Minute
-	lookFor  = 2 * time.Minute
-	awayFrom = 3 * time.Second // without an answer to a heartbeat
+	maxPacingTime = time.Minute
+	lookFor       = 2 * time.Minute
+	awayFrom      = 3 * time.Second // without an answer to a heartbeat
 	// saysWithin is how long after its election a leader has told the others so.
 	saysWithin = 2 * time.Second
 )
@@ -224,7 +224,7 @@
 
 // paces says whether starts are paced: after a cold start, until the work is back.
 func (d *Component) paces(now time.Duration) bool {
-	return d.kind == coldStart && !d.account.back() && now-d.TermBegan < catchUp
+	return d.kind == coldStart && !d.account.back() && now-d.TermBegan < maxPacingTime
 }
 
 // HandleEvent follows the census and keeps account.
