--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -233,7 +233,7 @@
 			a.hist.Observe("settled", float64(a.own.SettledMS)/1000)
 		}
 	}
-	if now-d.TermBegan < lookFor {
+	if now-d.TermBegan < accountTime {
 		return
 	}
 	a.over = true
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -226,8 +226,8 @@
 		e.At = at(110)
 		d.HandleEvent(e)
 	}
-	d.Tick(at(100)+lookFor, true)
-	d.Tick(at(200)+lookFor, true)
+	d.Tick(at(100)+accountTime, true)
+	d.Tick(at(200)+accountTime, true)
 	raw, err := d.Show(0, "")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -39,7 +39,7 @@
 	peerAnswerTimeout = 1500 * time.Millisecond
 	// catchUp ends pacing, and needless orders are looked for a while longer.
 	maxPacingTime = time.Minute
-	lookFor       = 2 * time.Minute
+	accountTime   = 2 * time.Minute
 	awayFrom      = 3 * time.Second // without an answer to a heartbeat
 	// saysWithin is how long after its election a leader has told the others so.
 	saysWithin = 2 * time.Second
