--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -40,7 +40,7 @@
 	// catchUp ends pacing, and needless orders are looked for a while longer.
 	maxPacingTime = time.Minute
 	accountTime   = 2 * time.Minute
-	awayFrom      = 3 * time.Second // without an answer to a heartbeat
+	peerLostAfter = 3 * time.Second // without an answer to a heartbeat
 	// saysWithin is how long after its election a leader has told the others so.
 	saysWithin = 2 * time.Second
 )
@@ -177,7 +177,7 @@
 	}
 	away := 0
 	for _, p := range d.Cfg.Peers {
-		if at, ok := d.heard[p.Node]; !ok || now-at > awayFrom {
+		if at, ok := d.heard[p.Node]; !ok || now-at > peerLostAfter {
 			away++
 		}
 	}
