--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -42,7 +42,7 @@
 	accountTime   = 2 * time.Minute
 	peerLostAfter = 3 * time.Second // without an answer to a heartbeat
 	// saysWithin is how long after its election a leader has told the others so.
-	saysWithin = 2 * time.Second
+	announceWithin = 2 * time.Second
 )
 
 // Component begins a term. It is the term's gate (cluster.Gate) and pacer (cluster.Pacer).
@@ -120,7 +120,7 @@
 // machines that were on their way.
 func (d *Component) takenOver(now time.Duration, led leadership.LeaderRecord) bool {
 	return led.Ever && now-led.Until < settings.Seconds(d.Cfg.Tunables.ColdAfterS) &&
-		(led.Fleet == leadership.FleetKnown || (led.Fleet == leadership.FleetUnsaid && led.Until-led.Since >= saysWithin))
+		(led.Fleet == leadership.FleetKnown || (led.Fleet == leadership.FleetUnsaid && led.Until-led.Since >= announceWithin))
 }
 
 // Fleet is what this leader says of itself.
