--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -49,19 +49,19 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	kind    startKind
-	asked   map[string]bool // others whose word is waited for
-	askedAt time.Duration
-	heard   map[string]time.Duration // when the others last answered
-	census  *Census
-	starts  *ratelimit.StartLimiter
-	newest  int64 // time of day of the newest entry that has one, in milliseconds
-	account account
+	kind       startKind
+	peersAsked map[string]bool // others whose word is waited for
+	askedAt    time.Duration
+	heard      map[string]time.Duration // when the others last answered
+	census     *Census
+	starts     *ratelimit.StartLimiter
+	newest     int64 // time of day of the newest entry that has one, in milliseconds
+	account    account
 }
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, asked: map[string]bool{}, heard: map[string]time.Duration{}}
+	d := &Component{State: s, peersAsked: map[string]bool{}, heard: map[string]time.Duration{}}
 	d.account.init(s)
 	if s.Cfg.Tunables.ColdListen == 1 {
 		s.Gate, s.StartPacer = d, d
@@ -106,7 +106,7 @@
 	default:
 		d.askedAt = now
 		for _, p := range d.Cfg.Peers {
-			d.asked[p.Node] = true
+			d.peersAsked[p.Node] = true
 			d.Emit(effects.AskPreviousLeader{Peer: p.Node, Epoch: d.Epoch})
 		}
 	}
@@ -137,16 +137,16 @@
 	if known {
 		d.heard[peer] = now
 	}
-	if !d.asked[peer] {
+	if !d.peersAsked[peer] {
 		return
 	}
-	delete(d.asked, peer)
+	delete(d.peersAsked, peer)
 	if d.kind != undecided {
 		return
 	}
 	if known && d.takenOver(now, led) {
 		d.decide(now, failoverStart)
-	} else if len(d.asked) == 0 {
+	} else if len(d.peersAsked) == 0 {
 		d.decide(now, coldStart)
 	}
 }
