--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -49,14 +49,14 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	kind       startKind
-	peersAsked map[string]bool // others whose word is waited for
-	askedAt    time.Duration
-	heard      map[string]time.Duration // when the others last answered
-	census     *Census
-	starts     *ratelimit.StartLimiter
-	newest     int64 // time of day of the newest entry that has one, in milliseconds
-	account    account
+	kind         startKind
+	peersAsked   map[string]bool // others whose word is waited for
+	peersAskedAt time.Duration
+	heard        map[string]time.Duration // when the others last answered
+	census       *Census
+	starts       *ratelimit.StartLimiter
+	newest       int64 // time of day of the newest entry that has one, in milliseconds
+	account      account
 }
 
 // New makes the duty of a term.
@@ -104,7 +104,7 @@
 	case len(d.Cfg.Peers) == 0:
 		d.decide(now, coldStart)
 	default:
-		d.askedAt = now
+		d.peersAskedAt = now
 		for _, p := range d.Cfg.Peers {
 			d.peersAsked[p.Node] = true
 			d.Emit(effects.AskPreviousLeader{Peer: p.Node, Epoch: d.Epoch})
@@ -169,7 +169,7 @@
 
 // Tick settles what is due.
 func (d *Component) Tick(now time.Duration, sure bool) {
-	if d.kind == undecided && now-d.askedAt >= peerAnswerTimeout {
+	if d.kind == undecided && now-d.peersAskedAt >= peerAnswerTimeout {
 		d.decide(now, coldStart)
 	}
 	if d.kind == failoverStart {
