--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -52,7 +52,7 @@
 	kind         startKind
 	peersAsked   map[string]bool // others whose word is waited for
 	peersAskedAt time.Duration
-	heard        map[string]time.Duration // when the others last answered
+	peerHeardAt  map[string]time.Duration // when the others last answered
 	census       *Census
 	starts       *ratelimit.StartLimiter
 	newest       int64 // time of day of the newest entry that has one, in milliseconds
@@ -61,7 +61,7 @@
 
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
-	d := &Component{State: s, peersAsked: map[string]bool{}, heard: map[string]time.Duration{}}
+	d := &Component{State: s, peersAsked: map[string]bool{}, peerHeardAt: map[string]time.Duration{}}
 	d.account.init(s)
 	if s.Cfg.Tunables.ColdListen == 1 {
 		s.Gate, s.StartPacer = d, d
@@ -135,7 +135,7 @@
 // false where there was no answer.
 func (d *Component) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if known {
-		d.heard[peer] = now
+		d.peerHeardAt[peer] = now
 	}
 	if !d.peersAsked[peer] {
 		return
@@ -152,7 +152,9 @@
 }
 
 // PeerHeard notes that another controller has answered a heartbeat.
-func (d *Component) PeerHeard(now time.Duration, peer string, _ time.Duration) { d.heard[peer] = now }
+func (d *Component) PeerHeard(now time.Duration, peer string, _ time.Duration) {
+	d.peerHeardAt[peer] = now
+}
 
 func (d *Component) decide(now time.Duration, k startKind) {
 	d.kind = k
@@ -177,7 +179,7 @@
 	}
 	away := 0
 	for _, p := range d.Cfg.Peers {
-		if at, ok := d.heard[p.Node]; !ok || now-at > peerLostAfter {
+		if at, ok := d.peerHeardAt[p.Node]; !ok || now-at > peerLostAfter {
 			away++
 		}
 	}
