--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -54,7 +54,7 @@
 	peersAskedAt time.Duration
 	peerHeardAt  map[string]time.Duration // when the others last answered
 	census       *Census
-	starts       *ratelimit.StartLimiter
+	startLimiter *ratelimit.StartLimiter
 	newest       int64 // time of day of the newest entry that has one, in milliseconds
 	account      account
 }
@@ -95,7 +95,7 @@
 		}
 	}
 	d.census = NewCensus(now, Params{Share: t.ColdSettled, Interval: settings.Seconds(d.Cfg.Deployment.Workers.ReportS), Peers: len(d.Cfg.Peers)}, unheard)
-	d.starts = ratelimit.NewStartLimiter(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
+	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
 	switch {
 	case n == 0 && d.Jobs.Len() == 0:
 		d.decide(now, failoverStart) // there is nothing to find out
@@ -214,13 +214,13 @@
 // Allows says whether a task of a job may be given a machine now. While the leader
 // catches up, starts are bounded by zone and by images under way.
 func (d *Component) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
-	return !d.paces(now) || d.starts.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
+	return !d.paces(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
 }
 
 // TaskStarted counts a start.
 func (d *Component) TaskStarted(now time.Duration, m *workers.Machine) {
 	if d.paces(now) {
-		d.starts.Spend(now, m.Zone)
+		d.startLimiter.Spend(now, m.Zone)
 	}
 }
 
