--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -106,8 +106,8 @@
 		a.own.LeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
 	a.own.MostMS = -1
-	if d.newest > 0 {
-		a.own.MostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newest)
+	if d.newestEntryMS > 0 {
+		a.own.MostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
 	}
 	a.own.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -49,14 +49,14 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	kind         startKind
-	peersAsked   map[string]bool // others whose word is waited for
-	peersAskedAt time.Duration
-	peerHeardAt  map[string]time.Duration // when the others last answered
-	census       *Census
-	startLimiter *ratelimit.StartLimiter
-	newest       int64 // time of day of the newest entry that has one, in milliseconds
-	account      account
+	kind          startKind
+	peersAsked    map[string]bool // others whose word is waited for
+	peersAskedAt  time.Duration
+	peerHeardAt   map[string]time.Duration // when the others last answered
+	census        *Census
+	startLimiter  *ratelimit.StartLimiter
+	newestEntryMS int64 // time of day of the newest entry that has one, in milliseconds
+	account       account
 }
 
 // New makes the duty of a term.
@@ -73,9 +73,9 @@
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
-		d.newest = max(d.newest, e.Job.AtMS)
+		d.newestEntryMS = max(d.newestEntryMS, e.Job.AtMS)
 	case e.CompletedTasks != nil:
-		d.newest = max(d.newest, e.CompletedTasks.AtMS)
+		d.newestEntryMS = max(d.newestEntryMS, e.CompletedTasks.AtMS)
 	case e.Component != nil:
 		d.account.replay(d.State, e)
 	}
