--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -99,7 +99,7 @@
 	switch {
 	case n == 0 && d.Jobs.Len() == 0:
 		d.decide(now, failoverStart) // there is nothing to find out
-	case d.takenOver(d.LeaderMissedAt, d.PreviousLeader):
+	case d.isFailoverFrom(d.LeaderMissedAt, d.PreviousLeader):
 		d.decide(now, failoverStart)
 	case len(d.Cfg.Peers) == 0:
 		d.decide(now, coldStart)
@@ -112,13 +112,13 @@
 	}
 }
 
-// takenOver says whether a leader that was heard before knew what the fleet does: it led
+// isFailoverFrom says whether a leader that was heard before knew what the fleet does: it led
 // until lately, and said so. One that says nothing of its fleet, being of an older version
 // or set otherwise, is taken for one that did, unless it was gone before it could have
 // said anything. Found by a random day on which the first leader after a cold start fell
 // in the middle of its census: the next one took over as from any other, and deleted
 // machines that were on their way.
-func (d *Component) takenOver(now time.Duration, led leadership.LeaderRecord) bool {
+func (d *Component) isFailoverFrom(now time.Duration, led leadership.LeaderRecord) bool {
 	return led.Ever && now-led.Until < settings.Seconds(d.Cfg.Tunables.ColdAfterS) &&
 		(led.Fleet == leadership.FleetKnown || (led.Fleet == leadership.FleetUnsaid && led.Until-led.Since >= announceWithin))
 }
@@ -144,7 +144,7 @@
 	if d.kind != undecided {
 		return
 	}
-	if known && d.takenOver(now, led) {
+	if known && d.isFailoverFrom(now, led) {
 		d.decide(now, failoverStart)
 	} else if len(d.peersAsked) == 0 {
 		d.decide(now, coldStart)
