--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -214,18 +214,18 @@
 // Allows says whether a task of a job may be given a machine now. While the leader
 // catches up, starts are bounded by zone and by images under way.
 func (d *Component) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
-	return !d.paces(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
+	return !d.pacesStarts(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
 }
 
 // TaskStarted counts a start.
 func (d *Component) TaskStarted(now time.Duration, m *workers.Machine) {
-	if d.paces(now) {
+	if d.pacesStarts(now) {
 		d.startLimiter.Spend(now, m.Zone)
 	}
 }
 
-// paces says whether starts are paced: after a cold start, until the work is back.
-func (d *Component) paces(now time.Duration) bool {
+// pacesStarts says whether starts are paced: after a cold start, until the work is back.
+func (d *Component) pacesStarts(now time.Duration) bool {
 	return d.kind == coldStart && !d.account.back() && now-d.TermBegan < maxPacingTime
 }
 
