--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -98,11 +98,11 @@
 	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
 	switch {
 	case n == 0 && d.Jobs.Len() == 0:
-		d.decide(now, failoverStart) // there is nothing to find out
+		d.setKind(now, failoverStart) // there is nothing to find out
 	case d.isFailoverFrom(d.LeaderMissedAt, d.PreviousLeader):
-		d.decide(now, failoverStart)
+		d.setKind(now, failoverStart)
 	case len(d.Cfg.Peers) == 0:
-		d.decide(now, coldStart)
+		d.setKind(now, coldStart)
 	default:
 		d.peersAskedAt = now
 		for _, p := range d.Cfg.Peers {
@@ -145,9 +145,9 @@
 		return
 	}
 	if known && d.isFailoverFrom(now, led) {
-		d.decide(now, failoverStart)
+		d.setKind(now, failoverStart)
 	} else if len(d.peersAsked) == 0 {
-		d.decide(now, coldStart)
+		d.setKind(now, coldStart)
 	}
 }
 
@@ -156,7 +156,7 @@
 	d.peerHeardAt[peer] = now
 }
 
-func (d *Component) decide(now time.Duration, k startKind) {
+func (d *Component) setKind(now time.Duration, k startKind) {
 	d.kind = k
 	d.NeedsCycle = true
 	if k != coldStart {
@@ -172,7 +172,7 @@
 // Tick settles what is due.
 func (d *Component) Tick(now time.Duration, sure bool) {
 	if d.kind == undecided && now-d.peersAskedAt >= peerAnswerTimeout {
-		d.decide(now, coldStart)
+		d.setKind(now, coldStart)
 	}
 	if d.kind == failoverStart {
 		return
