--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -56,7 +56,7 @@
 )
 
 type account struct {
-	over    bool          // closed, or there is nothing to keep
+	closed  bool          // closed, or there is nothing to keep
 	at      time.Duration // of the last event that has a time
 	own     Record
 	past    []Record
@@ -129,7 +129,7 @@
 }
 
 // back says whether all the work that may have been under way is.
-func (a *account) back() bool { return a.over || len(a.tasks) == 0 }
+func (a *account) back() bool { return a.closed || len(a.tasks) == 0 }
 
 func (a *account) isBack(d *Component, now time.Duration, j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
@@ -164,7 +164,7 @@
 
 // hear counts orders, and finds out which were needless.
 func (a *account) hear(d *Component, e cluster.Event) {
-	if a.over {
+	if a.closed {
 		return
 	}
 	a.at = max(a.at, e.At)
@@ -224,7 +224,7 @@
 
 // tick closes the account.
 func (a *account) tick(d *Component, now time.Duration, sure bool) {
-	if d.kind != coldStart || a.over || !sure {
+	if d.kind != coldStart || a.closed || !sure {
 		return
 	}
 	if d.census.done && a.own.SettledMS < 0 {
@@ -236,7 +236,7 @@
 	if now-d.TermBegan < accountTime {
 		return
 	}
-	a.over = true
+	a.closed = true
 	a.count(d)
 	keep := d.Cfg.Tunables.ColdKept
 	d.LogMessage(effects.Info, "cold start", "epoch", a.own.Epoch, "machines", a.own.Machines, "jobs", a.own.Jobs, "tasks", a.own.Tasks, "settled_ms", a.own.SettledMS,
@@ -298,7 +298,7 @@
 		return nil, cluster.ErrUnknownView
 	}
 	out := []Record{}
-	if d.kind == coldStart && !d.account.over {
+	if d.kind == coldStart && !d.account.closed {
 		d.account.count(d)
 		out = append(out, d.account.own)
 	}
@@ -317,7 +317,7 @@
 	if d.kind != coldStart {
 		return nil
 	}
-	if !d.account.over {
+	if !d.account.closed {
 		d.account.count(d)
 	}
 	all := func(m map[string]uint64) map[string]float64 {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -160,7 +160,7 @@
 	d.kind = k
 	d.NeedsCycle = true
 	if k != coldStart {
-		d.account.over = true
+		d.account.closed = true
 		return
 	}
 	d.account.begin(d, now)
