--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -56,16 +56,16 @@
 )
 
 type account struct {
-	closed  bool          // closed, or there is nothing to keep
-	at      time.Duration // of the last event that has a time
-	own     Record
-	past    []Record
-	hist    *cluster.Histogram
-	tasks   map[workers.Ref]struct{} // that are not back yet
-	rented  map[*workers.Machine]bool
-	started map[workers.Ref]time.Duration
-	left    map[string]time.Duration // when machines of a type and kind were last returned
-	deleted map[*workers.Machine]bool
+	closed      bool          // closed, or there is nothing to keep
+	lastEventAt time.Duration // of the last event that has a time
+	own         Record
+	past        []Record
+	hist        *cluster.Histogram
+	tasks       map[workers.Ref]struct{} // that are not back yet
+	rented      map[*workers.Machine]bool
+	started     map[workers.Ref]time.Duration
+	left        map[string]time.Duration // when machines of a type and kind were last returned
+	deleted     map[*workers.Machine]bool
 }
 
 func (a *account) init(s *cluster.State) {
@@ -167,7 +167,7 @@
 	if a.closed {
 		return
 	}
-	a.at = max(a.at, e.At)
+	a.lastEventAt = max(a.lastEventAt, e.At)
 	switch e.Kind {
 	case cluster.TaskAdopted:
 		a.isBack(d, e.At, e.Job, e.Task)
@@ -216,7 +216,7 @@
 		}
 	case cluster.JobRemoved:
 		for k := range e.Job.Tasks {
-			a.isBack(d, max(a.at, d.TermBegan), e.Job, k)
+			a.isBack(d, max(a.lastEventAt, d.TermBegan), e.Job, k)
 			delete(a.started, workers.Ref{Job: e.Job.Index, Task: int32(k)})
 		}
 	}
