--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -58,7 +58,7 @@
 type account struct {
 	closed      bool          // closed, or there is nothing to keep
 	lastEventAt time.Duration // of the last event that has a time
-	own         Record
+	current     Record
 	past        []Record
 	hist        *cluster.Histogram
 	tasks       map[workers.Ref]struct{} // that are not back yet
@@ -69,7 +69,7 @@
 }
 
 func (a *account) init(s *cluster.State) {
-	a.own = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
+	a.current = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
 	a.tasks, a.rented, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
 	a.left, a.deleted = map[string]time.Duration{}, map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
@@ -101,30 +101,30 @@
 // handed out and is not known to have ended. What was reported while the others were
 // asked is back already.
 func (a *account) begin(d *Component, now time.Duration) {
-	a.own.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
+	a.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
-		a.own.LeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
+		a.current.LeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
-	a.own.MostMS = -1
+	a.current.MostMS = -1
 	if d.newestEntryMS > 0 {
-		a.own.MostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
+		a.current.MostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
 	}
-	a.own.Machines, _ = d.census.Counts()
+	a.current.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
 		if j == nil || j.Phase != jobs.Open || !j.Earlier {
 			continue
 		}
-		a.own.Jobs++
+		a.current.Jobs++
 		for k, s := range j.Tasks {
 			if s == jobs.Waiting && (k < j.FreshFrom || j.Record.Kind == jobs.Gang) {
 				a.tasks[workers.Ref{Job: j.Index, Task: int32(k)}] = struct{}{}
 			}
 			if s != jobs.DoneDurably && k < j.FreshFrom {
-				a.own.Tasks++
+				a.current.Tasks++
 			}
 		}
 	}
-	a.own.Tasks = max(a.own.Tasks, len(a.tasks))
+	a.current.Tasks = max(a.current.Tasks, len(a.tasks))
 	a.progress(d, now)
 }
 
@@ -141,13 +141,13 @@
 
 // progress notes the steps that are reached.
 func (a *account) progress(d *Component, now time.Duration) {
-	done := a.own.Tasks - len(a.tasks)
+	done := a.current.Tasks - len(a.tasks)
 	for _, s := range []struct {
 		name  string
 		at    *int64
 		share int
-	}{{"work_half", &a.own.HalfMS, 50}, {"work_ninety", &a.own.NinetyMS, 90}, {"work_all", &a.own.BackMS, 100}} {
-		if *s.at < 0 && done*100 >= a.own.Tasks*s.share {
+	}{{"work_half", &a.current.HalfMS, 50}, {"work_ninety", &a.current.NinetyMS, 90}, {"work_all", &a.current.BackMS, 100}} {
+		if *s.at < 0 && done*100 >= a.current.Tasks*s.share {
 			a.reach(d, now, s.name, s.at)
 		}
 	}
@@ -176,7 +176,7 @@
 		if e.Job.Earlier && e.Task < e.Job.FreshFrom {
 			o = cluster.StartAgain
 		}
-		a.own.Orders[o.String()]++
+		a.current.Orders[o.String()]++
 		a.started[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
 		delete(a.rented, e.Machine)
 		a.isBack(d, e.At, e.Job, e.Task)
@@ -184,27 +184,27 @@
 		a.isBack(d, e.At, e.Job, e.Task)
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
 		if _, here := a.started[ref]; here && e.RunSeconds < doneAtOnce && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
-			a.own.Needless[StartedDone]++
+			a.current.Needless[StartedDone]++
 		}
 		delete(a.started, ref)
 	case cluster.TaskStopped:
-		a.own.Orders[e.Action.String()]++
+		a.current.Orders[e.Action.String()]++
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
 		if at, here := a.started[ref]; here && e.At-at < soon {
-			a.own.Needless[StoppedSoon]++
+			a.current.Needless[StoppedSoon]++
 		}
 	case cluster.MachineRented:
-		a.own.Orders[cluster.Rent.String()]++
+		a.current.Orders[cluster.Rent.String()]++
 		a.rented[e.Machine] = true
 		if at, ok := a.left[kindOf(e.Machine)]; ok && e.At-at < soon {
-			a.own.Needless[ReturnedSoon]++
+			a.current.Needless[ReturnedSoon]++
 		}
 	case cluster.MachineDecommissioned:
-		a.own.Orders[e.Action.String()]++
+		a.current.Orders[e.Action.String()]++
 		if e.Action == cluster.Return {
 			a.left[kindOf(e.Machine)] = e.At
 			if a.rented[e.Machine] {
-				a.own.Needless[RentedUnused]++
+				a.current.Needless[RentedUnused]++
 			}
 		} else if e.Action == cluster.Delete {
 			a.deleted[e.Machine] = true
@@ -212,7 +212,7 @@
 	case cluster.HeartbeatApplied:
 		if a.deleted[e.Machine] {
 			delete(a.deleted, e.Machine)
-			a.own.Needless[DeletedAlive]++
+			a.current.Needless[DeletedAlive]++
 		}
 	case cluster.JobRemoved:
 		for k := range e.Job.Tasks {
@@ -227,10 +227,10 @@
 	if d.kind != coldStart || a.closed || !sure {
 		return
 	}
-	if d.census.done && a.own.SettledMS < 0 {
-		a.own.SettledMS = (d.census.at - d.TermBegan).Milliseconds()
+	if d.census.done && a.current.SettledMS < 0 {
+		a.current.SettledMS = (d.census.at - d.TermBegan).Milliseconds()
 		if a.hist != nil {
-			a.hist.Observe("settled", float64(a.own.SettledMS)/1000)
+			a.hist.Observe("settled", float64(a.current.SettledMS)/1000)
 		}
 	}
 	if now-d.TermBegan < accountTime {
@@ -239,16 +239,16 @@
 	a.closed = true
 	a.count(d)
 	keep := d.Cfg.Tunables.ColdKept
-	d.LogMessage(effects.Info, "cold start", "epoch", a.own.Epoch, "machines", a.own.Machines, "jobs", a.own.Jobs, "tasks", a.own.Tasks, "settled_ms", a.own.SettledMS,
-		"work_half_ms", a.own.HalfMS, "work_ninety_ms", a.own.NinetyMS, "work_all_ms", a.own.BackMS, "differences", words(a.own.Differences), "orders", words(a.own.Orders), "needless", words(a.own.Needless))
+	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
+		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", words(a.current.Differences), "orders", words(a.current.Orders), "needless", words(a.current.Needless))
 	a.tasks, a.rented, a.started, a.left, a.deleted = nil, nil, nil, nil, nil
 	if keep == 0 {
 		return
 	}
-	a.remember(a.own, keep)
-	e := eventlog.NewComponentEntry(Name, a.own)
+	a.remember(a.current, keep)
+	e := eventlog.NewComponentEntry(Name, a.current)
 	if !d.EventLog.Fits(e) { // its differences are the longest part, and the least needed
-		short := a.own
+		short := a.current
 		short.Differences = nil
 		e = eventlog.NewComponentEntry(Name, short)
 	}
@@ -261,10 +261,10 @@
 
 // count takes over what was found different so far.
 func (a *account) count(d *Component) {
-	a.own.Differences = map[string]uint64{}
+	a.current.Differences = map[string]uint64{}
 	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
 		if s := x.Resolution(); s != reconcile.Keep {
-			a.own.Differences[x.String()] = n
+			a.current.Differences[x.String()] = n
 		}
 	})
 }
@@ -300,7 +300,7 @@
 	out := []Record{}
 	if d.kind == coldStart && !d.account.closed {
 		d.account.count(d)
-		out = append(out, d.account.own)
+		out = append(out, d.account.current)
 	}
 	for _, r := range slices.Backward(d.account.past) {
 		out = append(out, r)
@@ -327,7 +327,7 @@
 		}
 		return out
 	}
-	a := &d.account.own
+	a := &d.account.current
 	return []cluster.Gauge{
 		{Name: "bitternmoor_cold_start_differences", Help: "Differences between what was stored and what workers reported, since the last cold start.", Label: "difference", Values: all(a.Differences)},
 		{Name: "bitternmoor_cold_start_orders", Help: "Orders given since the last cold start.", Label: "order", Values: all(a.Orders)},
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -193,8 +193,8 @@
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	j, all := d.Jobs.Find(1), d.Inventory.All()
-	if d.kind != coldStart || d.account.own.Tasks != 10 || d.account.own.MostMS != 40_000 {
-		t.Fatalf("kind %v, account %+v", d.kind, d.account.own)
+	if d.kind != coldStart || d.account.current.Tasks != 10 || d.account.current.MostMS != 40_000 {
+		t.Fatalf("kind %v, account %+v", d.kind, d.account.current)
 	}
 	for i, m := range all[:9] {
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(101), Machine: m})
@@ -272,8 +272,8 @@
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.Find(1)})
-	if d.account.own.BackMS != 7000 || !d.account.back() {
-		t.Errorf("back after %d ms", d.account.own.BackMS)
+	if d.account.current.BackMS != 7000 || !d.account.back() {
+		t.Errorf("back after %d ms", d.account.current.BackMS)
 	}
 }
 
