--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -59,7 +59,7 @@
 	closed      bool          // closed, or there is nothing to keep
 	lastEventAt time.Duration // of the last event that has a time
 	current     Record
-	past        []Record
+	earlier     []Record
 	hist        *cluster.Histogram
 	tasks       map[workers.Ref]struct{} // that are not back yet
 	rented      map[*workers.Machine]bool
@@ -88,12 +88,12 @@
 }
 
 func (a *account) remember(r Record, keep int) {
-	i, found := slices.BinarySearchFunc(a.past, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
+	i, found := slices.BinarySearchFunc(a.earlier, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
 	if !found {
-		a.past = slices.Insert(a.past, i, r)
+		a.earlier = slices.Insert(a.earlier, i, r)
 	}
-	if more := len(a.past) - keep; more > 0 {
-		a.past = slices.Delete(a.past, 0, more)
+	if more := len(a.earlier) - keep; more > 0 {
+		a.earlier = slices.Delete(a.earlier, 0, more)
 	}
 }
 
@@ -278,7 +278,7 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return len(d.account.past) * recordReserve }
+func (d *Component) LiveBytes() int { return len(d.account.earlier) * recordReserve }
 
 // Compact writes an account anew that is remembered still.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
@@ -286,7 +286,7 @@
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
 		return
 	}
-	if slices.ContainsFunc(d.account.past, func(x Record) bool { return x.Epoch == r.Epoch }) {
+	if slices.ContainsFunc(d.account.earlier, func(x Record) bool { return x.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
 }
@@ -302,7 +302,7 @@
 		d.account.count(d)
 		out = append(out, d.account.current)
 	}
-	for _, r := range slices.Backward(d.account.past) {
+	for _, r := range slices.Backward(d.account.earlier) {
 		out = append(out, r)
 	}
 	raw, err := json.Marshal(out)
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -262,8 +262,8 @@
 		next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: data}})
 	}
 	next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`"?"`)}})
-	if len(next.account.past) != 3 || next.account.past[2].Epoch != 7 {
-		t.Errorf("%d are remembered", len(next.account.past))
+	if len(next.account.earlier) != 3 || next.account.earlier[2].Epoch != 7 {
+		t.Errorf("%d are remembered", len(next.account.earlier))
 	}
 }
 
