--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -60,7 +60,7 @@
 	lastEventAt time.Duration // of the last event that has a time
 	current     Record
 	earlier     []Record
-	hist        *cluster.Histogram
+	stepSeconds *cluster.Histogram
 	tasks       map[workers.Ref]struct{} // that are not back yet
 	rented      map[*workers.Machine]bool
 	started     map[workers.Ref]time.Duration
@@ -73,7 +73,7 @@
 	a.tasks, a.rented, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
 	a.left, a.deleted = map[string]time.Duration{}, map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
-		a.hist = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
+		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
 			[]float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})
 	}
 }
@@ -155,8 +155,8 @@
 
 func (a *account) reach(d *Component, now time.Duration, step string, at *int64) {
 	*at = max(0, (now - d.TermBegan).Milliseconds())
-	if a.hist != nil {
-		a.hist.Observe(step, float64(*at)/1000)
+	if a.stepSeconds != nil {
+		a.stepSeconds.Observe(step, float64(*at)/1000)
 	}
 }
 
@@ -229,8 +229,8 @@
 	}
 	if d.census.done && a.current.SettledMS < 0 {
 		a.current.SettledMS = (d.census.at - d.TermBegan).Milliseconds()
-		if a.hist != nil {
-			a.hist.Observe("settled", float64(a.current.SettledMS)/1000)
+		if a.stepSeconds != nil {
+			a.stepSeconds.Observe("settled", float64(a.current.SettledMS)/1000)
 		}
 	}
 	if now-d.TermBegan < accountTime {
