--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -56,21 +56,21 @@
 )
 
 type account struct {
-	closed      bool          // closed, or there is nothing to keep
-	lastEventAt time.Duration // of the last event that has a time
-	current     Record
-	earlier     []Record
-	stepSeconds *cluster.Histogram
-	tasks       map[workers.Ref]struct{} // that are not back yet
-	rented      map[*workers.Machine]bool
-	started     map[workers.Ref]time.Duration
-	left        map[string]time.Duration // when machines of a type and kind were last returned
-	deleted     map[*workers.Machine]bool
+	closed       bool          // closed, or there is nothing to keep
+	lastEventAt  time.Duration // of the last event that has a time
+	current      Record
+	earlier      []Record
+	stepSeconds  *cluster.Histogram
+	missingTasks map[workers.Ref]struct{} // that are not back yet
+	rented       map[*workers.Machine]bool
+	started      map[workers.Ref]time.Duration
+	left         map[string]time.Duration // when machines of a type and kind were last returned
+	deleted      map[*workers.Machine]bool
 }
 
 func (a *account) init(s *cluster.State) {
 	a.current = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
-	a.tasks, a.rented, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
+	a.missingTasks, a.rented, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
 	a.left, a.deleted = map[string]time.Duration{}, map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
 		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
@@ -117,31 +117,31 @@
 		a.current.Jobs++
 		for k, s := range j.Tasks {
 			if s == jobs.Waiting && (k < j.FreshFrom || j.Record.Kind == jobs.Gang) {
-				a.tasks[workers.Ref{Job: j.Index, Task: int32(k)}] = struct{}{}
+				a.missingTasks[workers.Ref{Job: j.Index, Task: int32(k)}] = struct{}{}
 			}
 			if s != jobs.DoneDurably && k < j.FreshFrom {
 				a.current.Tasks++
 			}
 		}
 	}
-	a.current.Tasks = max(a.current.Tasks, len(a.tasks))
+	a.current.Tasks = max(a.current.Tasks, len(a.missingTasks))
 	a.progress(d, now)
 }
 
 // back says whether all the work that may have been under way is.
-func (a *account) back() bool { return a.closed || len(a.tasks) == 0 }
+func (a *account) back() bool { return a.closed || len(a.missingTasks) == 0 }
 
 func (a *account) isBack(d *Component, now time.Duration, j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
-	if _, open := a.tasks[ref]; open {
-		delete(a.tasks, ref)
+	if _, open := a.missingTasks[ref]; open {
+		delete(a.missingTasks, ref)
 		a.progress(d, now)
 	}
 }
 
 // progress notes the steps that are reached.
 func (a *account) progress(d *Component, now time.Duration) {
-	done := a.current.Tasks - len(a.tasks)
+	done := a.current.Tasks - len(a.missingTasks)
 	for _, s := range []struct {
 		name  string
 		at    *int64
@@ -241,7 +241,7 @@
 	keep := d.Cfg.Tunables.ColdKept
 	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
 		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", words(a.current.Differences), "orders", words(a.current.Orders), "needless", words(a.current.Needless))
-	a.tasks, a.rented, a.started, a.left, a.deleted = nil, nil, nil, nil, nil
+	a.missingTasks, a.rented, a.started, a.left, a.deleted = nil, nil, nil, nil, nil
 	if keep == 0 {
 		return
 	}
