--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -56,21 +56,21 @@
 )
 
 type account struct {
-	closed       bool          // closed, or there is nothing to keep
-	lastEventAt  time.Duration // of the last event that has a time
-	current      Record
-	earlier      []Record
-	stepSeconds  *cluster.Histogram
-	missingTasks map[workers.Ref]struct{} // that are not back yet
-	rented       map[*workers.Machine]bool
-	started      map[workers.Ref]time.Duration
-	left         map[string]time.Duration // when machines of a type and kind were last returned
-	deleted      map[*workers.Machine]bool
+	closed        bool          // closed, or there is nothing to keep
+	lastEventAt   time.Duration // of the last event that has a time
+	current       Record
+	earlier       []Record
+	stepSeconds   *cluster.Histogram
+	missingTasks  map[workers.Ref]struct{} // that are not back yet
+	unusedRentals map[*workers.Machine]bool
+	started       map[workers.Ref]time.Duration
+	left          map[string]time.Duration // when machines of a type and kind were last returned
+	deleted       map[*workers.Machine]bool
 }
 
 func (a *account) init(s *cluster.State) {
 	a.current = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
-	a.missingTasks, a.rented, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
+	a.missingTasks, a.unusedRentals, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
 	a.left, a.deleted = map[string]time.Duration{}, map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
 		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
@@ -178,7 +178,7 @@
 		}
 		a.current.Orders[o.String()]++
 		a.started[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
-		delete(a.rented, e.Machine)
+		delete(a.unusedRentals, e.Machine)
 		a.isBack(d, e.At, e.Job, e.Task)
 	case cluster.TaskDone:
 		a.isBack(d, e.At, e.Job, e.Task)
@@ -195,7 +195,7 @@
 		}
 	case cluster.MachineRented:
 		a.current.Orders[cluster.Rent.String()]++
-		a.rented[e.Machine] = true
+		a.unusedRentals[e.Machine] = true
 		if at, ok := a.left[kindOf(e.Machine)]; ok && e.At-at < soon {
 			a.current.Needless[ReturnedSoon]++
 		}
@@ -203,7 +203,7 @@
 		a.current.Orders[e.Action.String()]++
 		if e.Action == cluster.Return {
 			a.left[kindOf(e.Machine)] = e.At
-			if a.rented[e.Machine] {
+			if a.unusedRentals[e.Machine] {
 				a.current.Needless[RentedUnused]++
 			}
 		} else if e.Action == cluster.Delete {
@@ -241,7 +241,7 @@
 	keep := d.Cfg.Tunables.ColdKept
 	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
 		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", words(a.current.Differences), "orders", words(a.current.Orders), "needless", words(a.current.Needless))
-	a.missingTasks, a.rented, a.started, a.left, a.deleted = nil, nil, nil, nil, nil
+	a.missingTasks, a.unusedRentals, a.started, a.left, a.deleted = nil, nil, nil, nil, nil
 	if keep == 0 {
 		return
 	}
