--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -63,14 +63,14 @@
 	stepSeconds   *cluster.Histogram
 	missingTasks  map[workers.Ref]struct{} // that are not back yet
 	unusedRentals map[*workers.Machine]bool
-	started       map[workers.Ref]time.Duration
+	startedAt     map[workers.Ref]time.Duration
 	left          map[string]time.Duration // when machines of a type and kind were last returned
 	deleted       map[*workers.Machine]bool
 }
 
 func (a *account) init(s *cluster.State) {
 	a.current = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
-	a.missingTasks, a.unusedRentals, a.started = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
+	a.missingTasks, a.unusedRentals, a.startedAt = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
 	a.left, a.deleted = map[string]time.Duration{}, map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
 		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
@@ -177,20 +177,20 @@
 			o = cluster.StartAgain
 		}
 		a.current.Orders[o.String()]++
-		a.started[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
+		a.startedAt[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
 		delete(a.unusedRentals, e.Machine)
 		a.isBack(d, e.At, e.Job, e.Task)
 	case cluster.TaskDone:
 		a.isBack(d, e.At, e.Job, e.Task)
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if _, here := a.started[ref]; here && e.RunSeconds < doneAtOnce && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
+		if _, here := a.startedAt[ref]; here && e.RunSeconds < doneAtOnce && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
 			a.current.Needless[StartedDone]++
 		}
-		delete(a.started, ref)
+		delete(a.startedAt, ref)
 	case cluster.TaskStopped:
 		a.current.Orders[e.Action.String()]++
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if at, here := a.started[ref]; here && e.At-at < soon {
+		if at, here := a.startedAt[ref]; here && e.At-at < soon {
 			a.current.Needless[StoppedSoon]++
 		}
 	case cluster.MachineRented:
@@ -217,7 +217,7 @@
 	case cluster.JobRemoved:
 		for k := range e.Job.Tasks {
 			a.isBack(d, max(a.lastEventAt, d.TermBegan), e.Job, k)
-			delete(a.started, workers.Ref{Job: e.Job.Index, Task: int32(k)})
+			delete(a.startedAt, workers.Ref{Job: e.Job.Index, Task: int32(k)})
 		}
 	}
 }
@@ -241,7 +241,7 @@
 	keep := d.Cfg.Tunables.ColdKept
 	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
 		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", words(a.current.Differences), "orders", words(a.current.Orders), "needless", words(a.current.Needless))
-	a.missingTasks, a.unusedRentals, a.started, a.left, a.deleted = nil, nil, nil, nil, nil
+	a.missingTasks, a.unusedRentals, a.startedAt, a.left, a.deleted = nil, nil, nil, nil, nil
 	if keep == 0 {
 		return
 	}
