--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -65,13 +65,13 @@
 	unusedRentals map[*workers.Machine]bool
 	startedAt     map[workers.Ref]time.Duration
 	returnedAt    map[string]time.Duration // when machines of a type and kind were last returned
-	deleted       map[*workers.Machine]bool
+	deletedSilent map[*workers.Machine]bool
 }
 
 func (a *account) init(s *cluster.State) {
 	a.current = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
 	a.missingTasks, a.unusedRentals, a.startedAt = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
-	a.returnedAt, a.deleted = map[string]time.Duration{}, map[*workers.Machine]bool{}
+	a.returnedAt, a.deletedSilent = map[string]time.Duration{}, map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
 		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
 			[]float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})
@@ -207,11 +207,11 @@
 				a.current.Needless[RentedUnused]++
 			}
 		} else if e.Action == cluster.Delete {
-			a.deleted[e.Machine] = true
+			a.deletedSilent[e.Machine] = true
 		}
 	case cluster.HeartbeatApplied:
-		if a.deleted[e.Machine] {
-			delete(a.deleted, e.Machine)
+		if a.deletedSilent[e.Machine] {
+			delete(a.deletedSilent, e.Machine)
 			a.current.Needless[DeletedAlive]++
 		}
 	case cluster.JobRemoved:
@@ -241,7 +241,7 @@
 	keep := d.Cfg.Tunables.ColdKept
 	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
 		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", words(a.current.Differences), "orders", words(a.current.Orders), "needless", words(a.current.Needless))
-	a.missingTasks, a.unusedRentals, a.startedAt, a.returnedAt, a.deleted = nil, nil, nil, nil, nil
+	a.missingTasks, a.unusedRentals, a.startedAt, a.returnedAt, a.deletedSilent = nil, nil, nil, nil, nil
 	if keep == 0 {
 		return
 	}
