--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -162,8 +162,8 @@
 
 func kindOf(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
 
-// hear counts orders, and finds out which were needless.
-func (a *account) hear(d *Component, e cluster.Event) {
+// handleEvent counts orders, and finds out which were needless.
+func (a *account) handleEvent(d *Component, e cluster.Event) {
 	if a.closed {
 		return
 	}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -237,5 +237,5 @@
 	if e.Kind == cluster.MachineResolved && d.census != nil {
 		d.census.MachineHeard(e.At, e.Machine.Zone)
 	}
-	d.account.hear(d, e)
+	d.account.handleEvent(d, e)
 }
