--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -131,7 +131,7 @@
 // back says whether all the work that may have been under way is.
 func (a *account) back() bool { return a.closed || len(a.missingTasks) == 0 }
 
-func (a *account) isBack(d *Component, now time.Duration, j *jobs.Job, k int) {
+func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
 	if _, open := a.missingTasks[ref]; open {
 		delete(a.missingTasks, ref)
@@ -170,7 +170,7 @@
 	a.lastEventAt = max(a.lastEventAt, e.At)
 	switch e.Kind {
 	case cluster.TaskAdopted:
-		a.isBack(d, e.At, e.Job, e.Task)
+		a.taskRecovered(d, e.At, e.Job, e.Task)
 	case cluster.TaskPlaced:
 		o := cluster.StartNew
 		if e.Job.Earlier && e.Task < e.Job.FreshFrom {
@@ -179,9 +179,9 @@
 		a.current.Orders[o.String()]++
 		a.startedAt[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
 		delete(a.unusedRentals, e.Machine)
-		a.isBack(d, e.At, e.Job, e.Task)
+		a.taskRecovered(d, e.At, e.Job, e.Task)
 	case cluster.TaskDone:
-		a.isBack(d, e.At, e.Job, e.Task)
+		a.taskRecovered(d, e.At, e.Job, e.Task)
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
 		if _, here := a.startedAt[ref]; here && e.RunSeconds < doneAtOnce && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
 			a.current.Needless[StartedDone]++
@@ -216,7 +216,7 @@
 		}
 	case cluster.JobRemoved:
 		for k := range e.Job.Tasks {
-			a.isBack(d, max(a.lastEventAt, d.TermBegan), e.Job, k)
+			a.taskRecovered(d, max(a.lastEventAt, d.TermBegan), e.Job, k)
 			delete(a.startedAt, workers.Ref{Job: e.Job.Index, Task: int32(k)})
 		}
 	}
