--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -128,8 +128,8 @@
 	a.progress(d, now)
 }
 
-// back says whether all the work that may have been under way is.
-func (a *account) back() bool { return a.closed || len(a.missingTasks) == 0 }
+// allRecovered says whether all the work that may have been under way is.
+func (a *account) allRecovered() bool { return a.closed || len(a.missingTasks) == 0 }
 
 func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, k int) {
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -272,7 +272,7 @@
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.Find(1)})
-	if d.account.current.BackMS != 7000 || !d.account.back() {
+	if d.account.current.BackMS != 7000 || !d.account.allRecovered() {
 		t.Errorf("back after %d ms", d.account.current.BackMS)
 	}
 }
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -226,7 +226,7 @@
 
 // pacesStarts says whether starts are paced: after a cold start, until the work is back.
 func (d *Component) pacesStarts(now time.Duration) bool {
-	return d.kind == coldStart && !d.account.back() && now-d.TermBegan < maxPacingTime
+	return d.kind == coldStart && !d.account.allRecovered() && now-d.TermBegan < maxPacingTime
 }
 
 // HandleEvent follows the census and keeps account.
