--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -125,7 +125,7 @@
 		}
 	}
 	a.current.Tasks = max(a.current.Tasks, len(a.missingTasks))
-	a.progress(d, now)
+	a.recordRecoveredShare(d, now)
 }
 
 // allRecovered says whether all the work that may have been under way is.
@@ -135,12 +135,12 @@
 	ref := workers.Ref{Job: j.Index, Task: int32(k)}
 	if _, open := a.missingTasks[ref]; open {
 		delete(a.missingTasks, ref)
-		a.progress(d, now)
+		a.recordRecoveredShare(d, now)
 	}
 }
 
-// progress notes the steps that are reached.
-func (a *account) progress(d *Component, now time.Duration) {
+// recordRecoveredShare notes the steps that are reached.
+func (a *account) recordRecoveredShare(d *Component, now time.Duration) {
 	done := a.current.Tasks - len(a.missingTasks)
 	for _, s := range []struct {
 		name  string
