--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -148,12 +148,12 @@
 		share int
 	}{{"work_half", &a.current.HalfMS, 50}, {"work_ninety", &a.current.NinetyMS, 90}, {"work_all", &a.current.BackMS, 100}} {
 		if *s.at < 0 && done*100 >= a.current.Tasks*s.share {
-			a.reach(d, now, s.name, s.at)
+			a.recordStep(d, now, s.name, s.at)
 		}
 	}
 }
 
-func (a *account) reach(d *Component, now time.Duration, step string, at *int64) {
+func (a *account) recordStep(d *Component, now time.Duration, step string, at *int64) {
 	*at = max(0, (now - d.TermBegan).Milliseconds())
 	if a.stepSeconds != nil {
 		a.stepSeconds.Observe(step, float64(*at)/1000)
