--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -237,7 +237,7 @@
 		return
 	}
 	a.closed = true
-	a.count(d)
+	a.copyDifferences(d)
 	keep := d.Cfg.Tunables.ColdKept
 	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
 		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", words(a.current.Differences), "orders", words(a.current.Orders), "needless", words(a.current.Needless))
@@ -259,8 +259,8 @@
 	d.EventLog.Append(e)
 }
 
-// count takes over what was found different so far.
-func (a *account) count(d *Component) {
+// copyDifferences takes over what was found different so far.
+func (a *account) copyDifferences(d *Component) {
 	a.current.Differences = map[string]uint64{}
 	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
 		if s := x.Resolution(); s != reconcile.Keep {
@@ -299,7 +299,7 @@
 	}
 	out := []Record{}
 	if d.kind == coldStart && !d.account.closed {
-		d.account.count(d)
+		d.account.copyDifferences(d)
 		out = append(out, d.account.current)
 	}
 	for _, r := range slices.Backward(d.account.earlier) {
@@ -318,7 +318,7 @@
 		return nil
 	}
 	if !d.account.closed {
-		d.account.count(d)
+		d.account.copyDifferences(d)
 	}
 	all := func(m map[string]uint64) map[string]float64 {
 		out := map[string]float64{}
