--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -68,7 +68,7 @@
 	deletedSilent map[*workers.Machine]bool
 }
 
-func (a *account) init(s *cluster.State) {
+func (a *account) initialize(s *cluster.State) {
 	a.current = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
 	a.missingTasks, a.unusedRentals, a.startedAt = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
 	a.returnedAt, a.deletedSilent = map[string]time.Duration{}, map[*workers.Machine]bool{}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -62,7 +62,7 @@
 // New makes the duty of a term.
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, peersAsked: map[string]bool{}, peerHeardAt: map[string]time.Duration{}}
-	d.account.init(s)
+	d.account.initialize(s)
 	if s.Cfg.Tunables.ColdListen == 1 {
 		s.Gate, s.StartPacer = d, d
 	}
