--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -160,7 +160,7 @@
 	}
 }
 
-func kindOf(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
+func machineKind(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
 
 // handleEvent counts orders, and finds out which were needless.
 func (a *account) handleEvent(d *Component, e cluster.Event) {
@@ -196,13 +196,13 @@
 	case cluster.MachineRented:
 		a.current.Orders[cluster.Rent.String()]++
 		a.unusedRentals[e.Machine] = true
-		if at, ok := a.returnedAt[kindOf(e.Machine)]; ok && e.At-at < soon {
+		if at, ok := a.returnedAt[machineKind(e.Machine)]; ok && e.At-at < soon {
 			a.current.Needless[ReturnedSoon]++
 		}
 	case cluster.MachineDecommissioned:
 		a.current.Orders[e.Action.String()]++
 		if e.Action == cluster.Return {
-			a.returnedAt[kindOf(e.Machine)] = e.At
+			a.returnedAt[machineKind(e.Machine)] = e.At
 			if a.unusedRentals[e.Machine] {
 				a.current.Needless[RentedUnused]++
 			}
