--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -240,7 +240,7 @@
 	a.copyDifferences(d)
 	keep := d.Cfg.Tunables.ColdKept
 	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
-		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", words(a.current.Differences), "orders", words(a.current.Orders), "needless", words(a.current.Needless))
+		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", jsonText(a.current.Differences), "orders", jsonText(a.current.Orders), "needless", jsonText(a.current.Needless))
 	a.missingTasks, a.unusedRentals, a.startedAt, a.returnedAt, a.deletedSilent = nil, nil, nil, nil, nil
 	if keep == 0 {
 		return
@@ -269,7 +269,7 @@
 	})
 }
 
-func words(m map[string]uint64) string {
+func jsonText(m map[string]uint64) string {
 	raw, err := json.Marshal(m)
 	if err != nil {
 		return err.Error()
