--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -38,7 +38,7 @@
 	Needless    map[string]uint64 `json:"needless"`
 }
 
-func (r *Record) least() time.Duration { return time.Duration(r.LeastMS) * time.Millisecond }
+func (r *Record) minDowntime() time.Duration { return time.Duration(r.LeastMS) * time.Millisecond }
 
 func (r *Record) most() time.Duration { return time.Duration(r.MostMS) * time.Millisecond }
 
