--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -40,7 +40,7 @@
 
 func (r *Record) minDowntime() time.Duration { return time.Duration(r.LeastMS) * time.Millisecond }
 
-func (r *Record) most() time.Duration { return time.Duration(r.MostMS) * time.Millisecond }
+func (r *Record) maxDowntime() time.Duration { return time.Duration(r.MostMS) * time.Millisecond }
 
 // Needless kinds of orders.
 const (
