--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -49,7 +49,7 @@
 	StartedDone   = "started_done"      // started, and at once over with a result that was there already
 	StoppedSoon   = "stopped_soon"      // started, and stopped for another job or moved within seconds
 	ReturnedSoon  = "returned_and_rent" // returned, and a machine of its type and kind rented within seconds
-	soon          = 10 * time.Second
+	soonAfter     = 10 * time.Second
 	doneAtOnce    = 1.5 // seconds
 	longEnough    = 5   // seconds: shorter tasks end between two reports by themselves
 	recordReserve = 512 // bytes left beside the maps
@@ -190,13 +190,13 @@
 	case cluster.TaskStopped:
 		a.current.Orders[e.Action.String()]++
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if at, here := a.startedAt[ref]; here && e.At-at < soon {
+		if at, here := a.startedAt[ref]; here && e.At-at < soonAfter {
 			a.current.Needless[StoppedSoon]++
 		}
 	case cluster.MachineRented:
 		a.current.Orders[cluster.Rent.String()]++
 		a.unusedRentals[e.Machine] = true
-		if at, ok := a.returnedAt[machineKind(e.Machine)]; ok && e.At-at < soon {
+		if at, ok := a.returnedAt[machineKind(e.Machine)]; ok && e.At-at < soonAfter {
 			a.current.Needless[ReturnedSoon]++
 		}
 	case cluster.MachineDecommissioned:
