--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -44,15 +44,15 @@
 
 // Needless kinds of orders.
 const (
-	RentedUnused      = "rented_unused"     // rented, and returned without having had a task
-	DeletedAlive      = "deleted_alive"     // given up as silent, and heard again before it was gone
-	StartedDone       = "started_done"      // started, and at once over with a result that was there already
-	StoppedSoon       = "stopped_soon"      // started, and stopped for another job or moved within seconds
-	ReturnedSoon      = "returned_and_rent" // returned, and a machine of its type and kind rented within seconds
-	soonAfter         = 10 * time.Second
-	instantRunSeconds = 1.5 // seconds
-	longEnough        = 5   // seconds: shorter tasks end between two reports by themselves
-	recordReserve     = 512 // bytes left beside the maps
+	RentedUnused       = "rented_unused"     // rented, and returned without having had a task
+	DeletedAlive       = "deleted_alive"     // given up as silent, and heard again before it was gone
+	StartedDone        = "started_done"      // started, and at once over with a result that was there already
+	StoppedSoon        = "stopped_soon"      // started, and stopped for another job or moved within seconds
+	ReturnedSoon       = "returned_and_rent" // returned, and a machine of its type and kind rented within seconds
+	soonAfter          = 10 * time.Second
+	instantRunSeconds  = 1.5 // seconds
+	minEstimateSeconds = 5   // seconds: shorter tasks end between two reports by themselves
+	recordReserve      = 512 // bytes left beside the maps
 )
 
 type account struct {
@@ -183,7 +183,7 @@
 	case cluster.TaskDone:
 		a.taskRecovered(d, e.At, e.Job, e.Task)
 		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if _, here := a.startedAt[ref]; here && e.RunSeconds < instantRunSeconds && e.Job.Record.EstimateS > longEnough && e.Job.Earlier && e.Task < e.Job.FreshFrom {
+		if _, here := a.startedAt[ref]; here && e.RunSeconds < instantRunSeconds && e.Job.Record.EstimateS > minEstimateSeconds && e.Job.Earlier && e.Task < e.Job.FreshFrom {
 			a.current.Needless[StartedDone]++
 		}
 		delete(a.startedAt, ref)
