--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -52,7 +52,7 @@
 	soonAfter          = 10 * time.Second
 	instantRunSeconds  = 1.5 // seconds
 	minEstimateSeconds = 5   // seconds: shorter tasks end between two reports by themselves
-	recordReserve      = 512 // bytes left beside the maps
+	recordBytes        = 512 // bytes left beside the maps
 )
 
 type account struct {
@@ -278,7 +278,7 @@
 }
 
 // LiveBytes is roughly how many bytes Keep would write for the whole log.
-func (d *Component) LiveBytes() int { return len(d.account.earlier) * recordReserve }
+func (d *Component) LiveBytes() int { return len(d.account.earlier) * recordBytes }
 
 // Compact writes an account anew that is remembered still.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
