--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -11,13 +11,13 @@
 // that those who are missing do not merely come late: they are dead, hung or cut off. The
 // picture is settled once all zones are, and in any case after Patience.
 type Census struct {
-	p     Params
-	began time.Duration
-	zones []zone
-	whole time.Duration // since when all other controllers are reached
-	all   bool          // they are
-	done  bool
-	at    time.Duration // when it was settled
+	params Params
+	began  time.Duration
+	zones  []zone
+	whole  time.Duration // since when all other controllers are reached
+	all    bool          // they are
+	done   bool
+	at     time.Duration // when it was settled
 }
 
 // Params of a census.
@@ -43,7 +43,7 @@
 
 // NewCensus begins one. registered counts the machines that are to be heard, by zone.
 func NewCensus(now time.Duration, p Params, registered []int) *Census {
-	c := &Census{p: p, began: now, all: p.Peers == 0, whole: now}
+	c := &Census{params: p, began: now, all: p.Peers == 0, whole: now}
 	for _, n := range registered {
 		c.zones = append(c.zones, zone{registered: n, last: now})
 	}
@@ -90,13 +90,13 @@
 // next is how long a worker takes to its next try: it is between two reports, or waits
 // at a controller that was away when it came.
 func (c *Census) next() time.Duration {
-	return max(time.Duration(lateReport*float64(c.p.Interval)), perAway)
+	return max(time.Duration(lateReport*float64(c.params.Interval)), perAway)
 }
 
 // Longest is what Patience is at most, whoever is away: after it every kind of order is
 // allowed.
 func (c *Census) Longest() time.Duration {
-	return c.next() + time.Duration(c.p.Peers)*perAway + slack
+	return c.next() + time.Duration(c.params.Peers)*perAway + slack
 }
 
 // Settled says whether the picture is settled. Once it is, it stays so.
@@ -104,11 +104,11 @@
 	if c.done {
 		return true
 	}
-	quiet := time.Duration(lateReport*float64(c.p.Interval)) + slack
+	quiet := time.Duration(lateReport*float64(c.params.Interval)) + slack
 	registered, heard := c.Counts()
 	all := true
 	for _, z := range c.zones {
-		if float64(z.heard) < c.p.Share*float64(z.registered) && (now-z.last < quiet || heard*2 < registered) {
+		if float64(z.heard) < c.params.Share*float64(z.registered) && (now-z.last < quiet || heard*2 < registered) {
 			all = false
 		}
 	}
