--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -11,13 +11,13 @@
 // that those who are missing do not merely come late: they are dead, hung or cut off. The
 // picture is settled once all zones are, and in any case after Patience.
 type Census struct {
-	params Params
-	began  time.Duration
-	zones  []zone
-	whole  time.Duration // since when all other controllers are reached
-	all    bool          // they are
-	done   bool
-	at     time.Duration // when it was settled
+	params        Params
+	began         time.Duration
+	zones         []zone
+	allPeersSince time.Duration // since when all other controllers are reached
+	all           bool          // they are
+	done          bool
+	at            time.Duration // when it was settled
 }
 
 // Params of a census.
@@ -43,7 +43,7 @@
 
 // NewCensus begins one. registered counts the machines that are to be heard, by zone.
 func NewCensus(now time.Duration, p Params, registered []int) *Census {
-	c := &Census{params: p, began: now, all: p.Peers == 0, whole: now}
+	c := &Census{params: p, began: now, all: p.Peers == 0, allPeersSince: now}
 	for _, n := range registered {
 		c.zones = append(c.zones, zone{registered: n, last: now})
 	}
@@ -64,7 +64,7 @@
 // was back does so still.
 func (c *Census) MachinesLeft(now time.Duration, n int) {
 	if all := n == 0; all != c.all {
-		c.all, c.whole = all, now
+		c.all, c.allPeersSince = all, now
 	}
 }
 
@@ -84,7 +84,7 @@
 	if !c.all {
 		return longest
 	}
-	return min(longest, c.whole-c.began+c.next()+slack)
+	return min(longest, c.allPeersSince-c.began+c.next()+slack)
 }
 
 // next is how long a worker takes to its next try: it is between two reports, or waits
