--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -11,13 +11,13 @@
 // that those who are missing do not merely come late: they are dead, hung or cut off. The
 // picture is settled once all zones are, and in any case after Patience.
 type Census struct {
-	params        Params
-	began         time.Duration
-	zones         []zone
-	allPeersSince time.Duration // since when all other controllers are reached
-	all           bool          // they are
-	done          bool
-	at            time.Duration // when it was settled
+	params          Params
+	began           time.Duration
+	zones           []zone
+	allPeersSince   time.Duration // since when all other controllers are reached
+	allPeersReached bool          // they are
+	done            bool
+	at              time.Duration // when it was settled
 }
 
 // Params of a census.
@@ -43,7 +43,7 @@
 
 // NewCensus begins one. registered counts the machines that are to be heard, by zone.
 func NewCensus(now time.Duration, p Params, registered []int) *Census {
-	c := &Census{params: p, began: now, all: p.Peers == 0, allPeersSince: now}
+	c := &Census{params: p, began: now, allPeersReached: p.Peers == 0, allPeersSince: now}
 	for _, n := range registered {
 		c.zones = append(c.zones, zone{registered: n, last: now})
 	}
@@ -63,8 +63,8 @@
 // those takes so much longer to find its way here; and one that tried it just before it
 // was back does so still.
 func (c *Census) MachinesLeft(now time.Duration, n int) {
-	if all := n == 0; all != c.all {
-		c.all, c.allPeersSince = all, now
+	if all := n == 0; all != c.allPeersReached {
+		c.allPeersReached, c.allPeersSince = all, now
 	}
 }
 
@@ -81,7 +81,7 @@
 // controller may come for the first time.
 func (c *Census) SilenceAllowance() time.Duration {
 	longest := c.Longest()
-	if !c.all {
+	if !c.allPeersReached {
 		return longest
 	}
 	return min(longest, c.allPeersSince-c.began+c.next()+slack)
