--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -227,7 +227,7 @@
 	if d.kind != coldStart || a.closed || !sure {
 		return
 	}
-	if d.census.done && a.current.SettledMS < 0 {
+	if d.census.settled && a.current.SettledMS < 0 {
 		a.current.SettledMS = (d.census.at - d.TermBegan).Milliseconds()
 		if a.stepSeconds != nil {
 			a.stepSeconds.Observe("settled", float64(a.current.SettledMS)/1000)
--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -16,7 +16,7 @@
 	zones           []zone
 	allPeersSince   time.Duration // since when all other controllers are reached
 	allPeersReached bool          // they are
-	done            bool
+	settled         bool
 	at              time.Duration // when it was settled
 }
 
@@ -101,7 +101,7 @@
 
 // Settled says whether the picture is settled. Once it is, it stays so.
 func (c *Census) Settled(now time.Duration) bool {
-	if c.done {
+	if c.settled {
 		return true
 	}
 	quiet := time.Duration(lateReport*float64(c.params.Interval)) + slack
@@ -113,7 +113,7 @@
 		}
 	}
 	if all || now-c.began >= c.SilenceAllowance() {
-		c.done, c.at = true, now
+		c.settled, c.at = true, now
 	}
-	return c.done
+	return c.settled
 }
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -125,7 +125,7 @@
 
 // Fleet is what this leader says of itself.
 func (d *Component) Fleet() leadership.FleetKnowledge {
-	if d.kind == failoverStart || (d.census != nil && d.census.done) {
+	if d.kind == failoverStart || (d.census != nil && d.census.settled) {
 		return leadership.FleetKnown
 	}
 	return leadership.FleetListening
@@ -184,7 +184,7 @@
 		}
 	}
 	d.census.MachinesLeft(now, away)
-	if before := d.census.done; d.census.Settled(now) && !before {
+	if before := d.census.settled; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
 		d.LogMessage(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.TermBegan).Round(10*time.Millisecond).String())
