--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -228,7 +228,7 @@
 		return
 	}
 	if d.census.settled && a.current.SettledMS < 0 {
-		a.current.SettledMS = (d.census.at - d.TermBegan).Milliseconds()
+		a.current.SettledMS = (d.census.settledAt - d.TermBegan).Milliseconds()
 		if a.stepSeconds != nil {
 			a.stepSeconds.Observe("settled", float64(a.current.SettledMS)/1000)
 		}
--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -17,7 +17,7 @@
 	allPeersSince   time.Duration // since when all other controllers are reached
 	allPeersReached bool          // they are
 	settled         bool
-	at              time.Duration // when it was settled
+	settledAt       time.Duration // when it was settled
 }
 
 // Params of a census.
@@ -113,7 +113,7 @@
 		}
 	}
 	if all || now-c.began >= c.SilenceAllowance() {
-		c.settled, c.at = true, now
+		c.settled, c.settledAt = true, now
 	}
 	return c.settled
 }
