--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -84,19 +84,19 @@
 	if !c.allPeersReached {
 		return longest
 	}
-	return min(longest, c.allPeersSince-c.began+c.next()+slack)
+	return min(longest, c.allPeersSince-c.began+c.nextAttemptDelay()+slack)
 }
 
-// next is how long a worker takes to its next try: it is between two reports, or waits
+// nextAttemptDelay is how long a worker takes to its next try: it is between two reports, or waits
 // at a controller that was away when it came.
-func (c *Census) next() time.Duration {
+func (c *Census) nextAttemptDelay() time.Duration {
 	return max(time.Duration(lateReport*float64(c.params.Interval)), perAway)
 }
 
 // Longest is what Patience is at most, whoever is away: after it every kind of order is
 // allowed.
 func (c *Census) Longest() time.Duration {
-	return c.next() + time.Duration(c.params.Peers)*perAway + slack
+	return c.nextAttemptDelay() + time.Duration(c.params.Peers)*perAway + slack
 }
 
 // Settled says whether the picture is settled. Once it is, it stays so.
