--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -59,10 +59,10 @@
 	}
 }
 
-// MachinesLeft says how many of the other controllers are not reached. A worker that tries one of
+// PeersUnreached says how many of the other controllers are not reached. A worker that tries one of
 // those takes so much longer to find its way here; and one that tried it just before it
 // was back does so still.
-func (c *Census) MachinesLeft(now time.Duration, n int) {
+func (c *Census) PeersUnreached(now time.Duration, n int) {
 	if all := n == 0; all != c.allPeersReached {
 		c.allPeersReached, c.allPeersSince = all, now
 	}
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -38,7 +38,7 @@
 		}
 		for now := began; now <= began+c.Longest()+time.Second; now += 50 * time.Millisecond {
 			if r.IntN(10) == 0 {
-				c.MachinesLeft(now, r.IntN(p.Peers+1))
+				c.PeersUnreached(now, r.IntN(p.Peers+1))
 			}
 			if z := r.IntN(len(zones)); left[z] > int(lost*float64(zones[z])) {
 				left[z]--
@@ -101,7 +101,7 @@
 					away++
 				}
 			}
-			c.MachinesLeft(now, away)
+			c.PeersUnreached(now, away)
 			if now > c.SilenceAllowance() {
 				t.Fatalf("seed %d: given up after %v, it comes at %v: %v", seed, now, at, up)
 			}
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -183,7 +183,7 @@
 			away++
 		}
 	}
-	d.census.MachinesLeft(now, away)
+	d.census.PeersUnreached(now, away)
 	if before := d.census.settled; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
