--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -80,7 +80,7 @@
 // SilenceAllowance is how long after the beginning a worker that lives and reaches any
 // controller may come for the first time.
 func (c *Census) SilenceAllowance() time.Duration {
-	longest := c.Longest()
+	longest := c.MaxSilenceAllowance()
 	if !c.allPeersReached {
 		return longest
 	}
@@ -93,9 +93,9 @@
 	return max(time.Duration(lateReport*float64(c.params.Interval)), perAway)
 }
 
-// Longest is what Patience is at most, whoever is away: after it every kind of order is
+// MaxSilenceAllowance is what Patience is at most, whoever is away: after it every kind of order is
 // allowed.
-func (c *Census) Longest() time.Duration {
+func (c *Census) MaxSilenceAllowance() time.Duration {
 	return c.nextAttemptDelay() + time.Duration(c.params.Peers)*perAway + slack
 }
 
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -36,7 +36,7 @@
 		for _, n := range zones {
 			registered += n
 		}
-		for now := began; now <= began+c.Longest()+time.Second; now += 50 * time.Millisecond {
+		for now := began; now <= began+c.MaxSilenceAllowance()+time.Second; now += 50 * time.Millisecond {
 			if r.IntN(10) == 0 {
 				c.PeersUnreached(now, r.IntN(p.Peers+1))
 			}
@@ -45,8 +45,8 @@
 				heard++
 				c.MachineHeard(now, int32(z))
 			}
-			if c.SilenceAllowance() > c.Longest() {
-				t.Fatalf("seed %d: patience of %v, at most %v", seed, c.SilenceAllowance(), c.Longest())
+			if c.SilenceAllowance() > c.MaxSilenceAllowance() {
+				t.Fatalf("seed %d: patience of %v, at most %v", seed, c.SilenceAllowance(), c.MaxSilenceAllowance())
 			}
 			is := c.Settled(now)
 			if was && !is {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/duty.go
@@ -166,7 +166,7 @@
 	d.account.begin(d, now)
 	registered, _ := d.census.Counts()
 	d.LogMessage(effects.Info, "cold start: nobody led before this term; the fleet is listened to first", "epoch", d.Epoch, "machines", registered,
-		"jobs", d.Jobs.Len(), "down_at_least", d.account.current.minDowntime().String(), "down_at_most", d.account.current.maxDowntime().String(), "at_longest", d.census.Longest().String())
+		"jobs", d.Jobs.Len(), "down_at_least", d.account.current.minDowntime().String(), "down_at_most", d.account.current.maxDowntime().String(), "at_longest", d.census.MaxSilenceAllowance().String())
 }
 
 // Tick settles what is due.
