--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -29,7 +29,7 @@
 
 type zone struct {
 	registered, heard int
-	last              time.Duration // when the last one was heard
+	lastHeardAt       time.Duration // when the last one was heard
 }
 
 // What the platform's workers do: a report comes up to a quarter later than its
@@ -45,7 +45,7 @@
 func NewCensus(now time.Duration, p Params, registered []int) *Census {
 	c := &Census{params: p, began: now, allPeersReached: p.Peers == 0, allPeersSince: now}
 	for _, n := range registered {
-		c.zones = append(c.zones, zone{registered: n, last: now})
+		c.zones = append(c.zones, zone{registered: n, lastHeardAt: now})
 	}
 	c.Settled(now)
 	return c
@@ -55,7 +55,7 @@
 func (c *Census) MachineHeard(now time.Duration, z int32) {
 	if int(z) < len(c.zones) {
 		c.zones[z].heard++
-		c.zones[z].last = now
+		c.zones[z].lastHeardAt = now
 	}
 }
 
@@ -108,7 +108,7 @@
 	registered, heard := c.Counts()
 	all := true
 	for _, z := range c.zones {
-		if float64(z.heard) < c.params.Share*float64(z.registered) && (now-z.last < quiet || heard*2 < registered) {
+		if float64(z.heard) < c.params.Share*float64(z.registered) && (now-z.lastHeardAt < quiet || heard*2 < registered) {
 			all = false
 		}
 	}
