--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -36,9 +36,9 @@
 // interval; one without an answer is given up after four seconds, and the next
 // controller is tried a second later.
 const (
-	lateReport = 1.25
-	perAway    = 5 * time.Second
-	slack      = time.Second
+	lateHeartbeatFactor = 1.25
+	perAway             = 5 * time.Second
+	slack               = time.Second
 )
 
 // NewCensus begins one. registered counts the machines that are to be heard, by zone.
@@ -90,7 +90,7 @@
 // nextAttemptDelay is how long a worker takes to its next try: it is between two reports, or waits
 // at a controller that was away when it came.
 func (c *Census) nextAttemptDelay() time.Duration {
-	return max(time.Duration(lateReport*float64(c.params.Interval)), perAway)
+	return max(time.Duration(lateHeartbeatFactor*float64(c.params.Interval)), perAway)
 }
 
 // MaxSilenceAllowance is what Patience is at most, whoever is away: after it every kind of order is
@@ -104,7 +104,7 @@
 	if c.settled {
 		return true
 	}
-	quiet := time.Duration(lateReport*float64(c.params.Interval)) + slack
+	quiet := time.Duration(lateHeartbeatFactor*float64(c.params.Interval)) + slack
 	registered, heard := c.Counts()
 	all := true
 	for _, z := range c.zones {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -91,7 +91,7 @@
 			node = (node + 1) % n
 		}
 		if at < 0 {
-			at += time.Duration(lateReport * float64(interval)) // answered just before we began: it comes with its next report
+			at += time.Duration(lateHeartbeatFactor * float64(interval)) // answered just before we began: it comes with its next report
 		}
 		var now time.Duration
 		for ; now < at; now += 50 * time.Millisecond {
