--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -37,7 +37,7 @@
 // controller is tried a second later.
 const (
 	lateHeartbeatFactor = 1.25
-	perAway             = 5 * time.Second
+	delayPerLostPeer    = 5 * time.Second
 	slack               = time.Second
 )
 
@@ -90,13 +90,13 @@
 // nextAttemptDelay is how long a worker takes to its next try: it is between two reports, or waits
 // at a controller that was away when it came.
 func (c *Census) nextAttemptDelay() time.Duration {
-	return max(time.Duration(lateHeartbeatFactor*float64(c.params.Interval)), perAway)
+	return max(time.Duration(lateHeartbeatFactor*float64(c.params.Interval)), delayPerLostPeer)
 }
 
 // MaxSilenceAllowance is what Patience is at most, whoever is away: after it every kind of order is
 // allowed.
 func (c *Census) MaxSilenceAllowance() time.Duration {
-	return c.nextAttemptDelay() + time.Duration(c.params.Peers)*perAway + slack
+	return c.nextAttemptDelay() + time.Duration(c.params.Peers)*delayPerLostPeer + slack
 }
 
 // Settled says whether the picture is settled. Once it is, it stays so.
