--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -49,7 +49,7 @@
 
 // callCloud sends what is due to the cloud, within its rate. When unsure of
 // the term it still deletes: that can lose work but break nothing.
-func (d *Component) callCloud(now time.Duration, sure bool) {
+func (d *Component) callCloud(now time.Duration, leaseValid bool) {
 	spend := func() bool { return d.callBudget.Take(now, 1) }
 	if !d.deleteInFlight {
 		var list []string
@@ -63,7 +63,7 @@
 			d.Emit(effects.DeleteMachines{Machines: list})
 		}
 	}
-	if !sure {
+	if !leaseValid {
 		return
 	}
 	if !d.typesRequested && (len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesInterval) && spend() {
--- a/internal/leader/autoscaler/renting.go
+++ b/internal/leader/autoscaler/renting.go
@@ -125,7 +125,7 @@
 }
 
 // Tick rents and returns.
-func (d *Component) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if now-d.lastScaledAt < scaleInterval {
 		return
 	}
@@ -133,14 +133,14 @@
 	if !d.MostMachinesSilent(now) {
 		d.avoidSilentZones(now)
 	}
-	if sure {
+	if leaseValid {
 		d.scale(now)
 	}
 	d.NeedsCycle = true
 }
 
 // AfterCycle calls the cloud.
-func (d *Component) AfterCycle(now time.Duration, sure bool) { d.callCloud(now, sure) }
+func (d *Component) AfterCycle(now time.Duration, leaseValid bool) { d.callCloud(now, leaseValid) }
 
 // Compact writes anew what is live of an entry.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -223,8 +223,8 @@
 }
 
 // tick closes the account.
-func (a *account) tick(d *Component, now time.Duration, sure bool) {
-	if d.kind != coldStart || a.closed || !sure {
+func (a *account) tick(d *Component, now time.Duration, leaseValid bool) {
+	if d.kind != coldStart || a.closed || !leaseValid {
 		return
 	}
 	if d.census.settled && a.current.SettledMS < 0 {
--- a/internal/leader/coldstart/duty.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -170,7 +170,7 @@
 }
 
 // Tick settles what is due.
-func (d *Component) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if d.kind == undecided && now-d.peersAskedAt >= peerAnswerTimeout {
 		d.setKind(now, coldStart)
 	}
@@ -189,7 +189,7 @@
 		d.NeedsCycle = true
 		d.LogMessage(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.TermBegan).Round(10*time.Millisecond).String())
 	}
-	d.account.tick(d, now, sure)
+	d.account.tick(d, now, leaseValid)
 }
 
 // Permits says whether orders of a kind may be given now. Starts always may: what proves
--- a/internal/leader/dispatch/direct.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -58,8 +58,8 @@
 
 // AfterCycle sends what may go: tasks whose grant and mark are durable, to machines on which
 // nothing else is on its way.
-func (d *Component) AfterCycle(now time.Duration, sure bool) {
-	if !sure || len(d.DispatchQueue) == 0 {
+func (d *Component) AfterCycle(now time.Duration, leaseValid bool) {
+	if !leaseValid || len(d.DispatchQueue) == 0 {
 		return
 	}
 	kept := d.DispatchQueue[:0]
--- a/internal/leader/failover/takeovers.go
+++ b/internal/leader/failover/failover.go
@@ -219,8 +219,8 @@
 }
 
 // Tick closes the account once every step was reached, or some will not be.
-func (d *Component) Tick(now time.Duration, sure bool) {
-	if d.closed || !sure {
+func (d *Component) Tick(now time.Duration, leaseValid bool) {
+	if d.closed || !leaseValid {
 		return
 	}
 	if d.current.After[Free] < 0 && d.blockedJobs() == 0 {
--- a/internal/leader/probe/asking.go
+++ b/internal/leader/probe/probe.go
@@ -33,8 +33,8 @@
 }
 
 // Tick asks machines that have been silent for longer than between two reports.
-func (d *Component) Tick(now time.Duration, sure bool) {
-	if !sure || now-d.lastRunAt < probeInterval {
+func (d *Component) Tick(now time.Duration, leaseValid bool) {
+	if !leaseValid || now-d.lastRunAt < probeInterval {
 		return
 	}
 	d.lastRunAt = now
--- a/internal/leader/registry/watch.go
+++ b/internal/leader/registry/failure_detector.go
@@ -13,7 +13,7 @@
 
 // detectFailures looks after every machine: silent ones, boots that take too long,
 // spot notices, tasks that were to be stopped and are still there.
-func (d *Component) detectFailures(now time.Duration, sure bool) {
+func (d *Component) detectFailures(now time.Duration, leaseValid bool) {
 	w := d.Cfg.Deployment.Workers
 	limit := d.GiveUpAfter()
 	deaf := d.MostMachinesSilent(now)
@@ -39,23 +39,23 @@
 			d.CancelPlans(m)
 		}
 		switch {
-		case sure && slices.ContainsFunc(late, func(j *jobs.Job) bool { return d.mayHaveTaskOn(j, m) }):
+		case leaseValid && slices.ContainsFunc(late, func(j *jobs.Job) bool { return d.mayHaveTaskOn(j, m) }):
 			// The deletion will prove it. Without being sure of the term its user could not be
 			// told so.
 			d.Decommission(now, m, cluster.Delete, "a cancelled job's task not proved gone")
-		case sure && !deaf && now-heard > d.SuspectAfter() && d.hasOnlyCancelledTasks(m):
+		case leaseValid && !deaf && now-heard > d.SuspectAfter() && d.hasOnlyCancelledTasks(m):
 			d.Decommission(now, m, cluster.Delete, "silent, with nothing but cancelled jobs' tasks")
-		case sure && !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance(): // it may live, and be on its way here
-		case sure && (m.Up || m.Durable) && now-heard > limit && d.toleratesSilence(now, m): // with its whole zone
-		case sure && m.Durable && d.probesUnanswered(m, heard):
+		case leaseValid && !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance(): // it may live, and be on its way here
+		case leaseValid && (m.Up || m.Durable) && now-heard > limit && d.toleratesSilence(now, m): // with its whole zone
+		case leaseValid && m.Durable && d.probesUnanswered(m, heard):
 			d.Decommission(now, m, cluster.Delete, "does not answer")
-		case sure && (m.Up || m.Durable) && now-heard > limit:
+		case leaseValid && (m.Up || m.Durable) && now-heard > limit:
 			d.Decommission(now, m, cluster.Delete, "silent")
-		case sure && !m.Up && !m.Durable && now-m.RentedAt > settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS)+bootGracePeriod:
+		case leaseValid && !m.Up && !m.Durable && now-m.RentedAt > settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS)+bootGracePeriod:
 			d.Decommission(now, m, cluster.Delete, "never came up")
-		case sure && m.Quarantined:
+		case leaseValid && m.Quarantined:
 			d.Decommission(now, m, cluster.Delete, "a start sent to it may be carried out by its next life")
-		case sure && m.Unreachable(now, settings.Seconds(1.2*w.LeaseS)):
+		case leaseValid && m.Unreachable(now, settings.Seconds(1.2*w.LeaseS)):
 			d.Decommission(now, m, cluster.Delete, "does not hear")
 		case m.PreemptionNotice && now > m.PreemptedAt:
 			d.Decommission(now, m, cluster.Return, "taken by the cloud")
--- a/internal/leader/registry/roster.go
+++ b/internal/leader/registry/registry.go
@@ -155,10 +155,10 @@
 }
 
 // Tick looks after every machine.
-func (d *Component) Tick(now time.Duration, sure bool) {
+func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if now-d.lastCheckAt >= checkInterval {
 		d.lastCheckAt = now
-		d.detectFailures(now, sure)
+		d.detectFailures(now, leaseValid)
 	}
 }
 
@@ -247,7 +247,7 @@
 // HandleHeartbeat takes in a worker's report, received by a controller. The answer,
 // which says how that controller may answer the worker, comes at once or with
 // the pass that follows.
-func (d *Component) HandleHeartbeat(now time.Duration, sure bool, to effects.RequestID, in effects.RelayedHeartbeat) {
+func (d *Component) HandleHeartbeat(now time.Duration, leaseValid bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	r := &in.Report
 	answer := effects.HeartbeatAnswer{Status: 200, Token: d.Token}
 	rec := eventlog.Machine{Name: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot}
@@ -257,7 +257,7 @@
 	case reconcile.Ignore:
 		if m != nil {
 			m.CheckStale(now, settings.Seconds(1.5*d.Cfg.Deployment.Workers.ReportS))
-			if sure && m.NeedsToken(now) {
+			if leaseValid && m.NeedsToken(now) {
 				m.Token = d.NextToken()
 			}
 			// The answer goes nowhere, or to a worker that has begun anew: that one must get
@@ -320,7 +320,7 @@
 		d.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: elsewhere}})
 		return
 	}
-	if d.Rebalancer != nil && sure && m.Durable && m.Resolved && !m.Deleting && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
+	if d.Rebalancer != nil && leaseValid && m.Durable && m.Resolved && !m.Deleting && r.Token == m.Token && len(cmds) == 0 && m.Settled() {
 		if other := d.Rebalancer.RedirectTo(now, m); other != "" {
 			// Nothing is on its way to it. What was its due comes with its next report,
 			// by way of the other controller; the former one is turned away.
@@ -329,16 +329,16 @@
 			return
 		}
 	}
-	if sure && m.NeedsToken(now) {
+	if leaseValid && m.NeedsToken(now) {
 		m.Token = d.NextToken() // what was sent straight to the worker before cannot begin once it has seen this
 	}
 	w := &pendingReply{request: to, machine: m, commands: cmds, since: now}
-	if sure && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
+	if leaseValid && !m.Deleting && !m.PreemptionNotice && (d.NeedsCycle || m.AwaitsDurability()) {
 		d.pendingReplies = append(d.pendingReplies, w)
 		d.pendingByMachine[m] = w
 		return
 	}
-	d.sendReply(sure, w)
+	d.sendReply(leaseValid, w)
 }
 
 // cancelExcessPlans takes back plans for which a machine has no room any more: its controller has
@@ -370,10 +370,10 @@
 
 // sendReply answers a report: with what follows from it, the stops that are due
 // and the offers.
-func (d *Component) sendReply(sure bool, w *pendingReply) {
+func (d *Component) sendReply(leaseValid bool, w *pendingReply) {
 	m := w.machine
 	answer := effects.HeartbeatAnswer{Status: 200, Token: m.Token, LeaseS: d.Cfg.Tunables.BlockLeaseS, Commands: append(w.commands, m.Stops()...)}
-	if sure && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
+	if leaseValid && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
 		answer.Offers = m.Offer(d.MachinesWithPlans, func() uint64 { d.lastOfferSerial++; return d.Token + d.lastOfferSerial }, d.NextAttempt)
 		answer.Room = m.Free
 	}
@@ -381,18 +381,18 @@
 }
 
 // AnswerHeartbeats answers the reports that wait for nothing any more.
-func (d *Component) AnswerHeartbeats(now time.Duration, sure bool) {
+func (d *Component) AnswerHeartbeats(now time.Duration, leaseValid bool) {
 	kept := d.pendingReplies[:0]
 	for _, w := range d.pendingReplies {
 		if w.superseded {
 			continue
 		}
-		if sure && w.machine.AwaitsDurability() && now-w.since < maxReplyDelay && !w.machine.Deleting {
+		if leaseValid && w.machine.AwaitsDurability() && now-w.since < maxReplyDelay && !w.machine.Deleting {
 			kept = append(kept, w)
 			continue
 		}
 		delete(d.pendingByMachine, w.machine)
-		d.sendReply(sure, w)
+		d.sendReply(leaseValid, w)
 	}
 	clear(d.pendingReplies[len(kept):])
 	d.pendingReplies = kept
