--- /dev/null
+++ b/internal/leader/registry/heartbeat.go
@@ -0,0 +1,275 @@
+package registry
+
+import (
+	"time"
+
+	"bitternmoor/internal/core/reconcile"
+	"bitternmoor/internal/core/resources"
+	"bitternmoor/internal/core/workers"
+	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/settings"
+)
+
+// HTTP statuses that a controller gives its worker as the answer to a heartbeat.
+const (
+	statusOK          = 200
+	statusMisdirected = 421 // the worker belongs to another controller's shard
+	statusUnavailable = 503
+)
+
+const (
+	// maxReplyDelay bounds how long an answer waits for entries to become durable: what it
+	// does not carry goes with the answer to the machine's next heartbeat.
+	maxReplyDelay = 500 * time.Millisecond
+
+	// staleIntervals is how many heartbeat intervals pass before heartbeats that are ignored
+	// raise the suspicion that the worker has lost its state.
+	staleIntervals = 1.5
+)
+
+// pendingReply is the answer to a heartbeat that was applied. It waits for a scheduling
+// cycle, or for what must be durable before the machine may start its tasks.
+type pendingReply struct {
+	request    effects.RequestID
+	machine    *workers.Machine
+	commands   []workers.Command
+	since      time.Duration
+	superseded bool // answered already, since the machine has sent a newer heartbeat
+}
+
+// HandleHeartbeat applies a worker's status report, relayed by the controller that received
+// it. The answer, which says how that controller may answer the worker, is emitted at once
+// or after the scheduling cycle that follows.
+func (d *Component) HandleHeartbeat(
+	now time.Duration, leaseValid bool, request effects.RequestID, relayed effects.RelayedHeartbeat,
+) {
+	report := &relayed.Report
+	m := d.Inventory.Find(report.Machine)
+	difference := d.Reconciled.Count(d.reconcileReport(m, report))
+	switch difference.Resolution() {
+	case reconcile.Ignore:
+		d.replyWithoutApplying(now, leaseValid, request, m)
+		return
+	case reconcile.Register:
+		if m = d.AddMachine(now, machineEntry(report)); m == nil {
+			d.Emit(effects.ReplyHeartbeat{To: request, Answer: effects.HeartbeatAnswer{Status: statusOK, Token: d.Token}})
+			return
+		}
+		d.LogMessage(effects.Info, "unknown machine reported", "machine", report.Machine)
+	}
+	m.Address = report.Address
+	if !m.Durable && !m.Deleting {
+		d.register(now, m, report)
+	}
+	d.supersedeReply(m)
+	owner := d.assignShard(now, m, relayed)
+	commands := d.applyReport(now, m, report, difference)
+	if owner != "" {
+		d.redirect(request, owner)
+		return
+	}
+	if target := d.rebalanceTarget(now, leaseValid, m, report, commands); target != "" {
+		// Nothing is in flight to the machine. What it is due comes with its next heartbeat,
+		// by way of the other controller; the higher token makes it refuse the former one.
+		m.Token, m.Shard = d.NextToken(), target
+		d.redirect(request, target)
+		return
+	}
+	if leaseValid && m.NeedsToken(now) {
+		m.Token = d.NextToken() // once seen, no earlier push dispatch can begin any more
+	}
+	d.replyWhenDurable(leaseValid, &pendingReply{request: request, machine: m, commands: commands, since: now})
+}
+
+// reconcileReport names the difference between a machine's stored state and its report; m is
+// nil if the machine is not in the inventory.
+func (d *Component) reconcileReport(m *workers.Machine, report *workers.Report) reconcile.Diff {
+	_, typed := d.TypeNames.Lookup(report.Type)
+	x := reconcile.Machine{
+		Gone:          d.Inventory.WasDeleted(report.Machine),
+		Typed:         typed,
+		Epoch:         d.Epoch,
+		ReportSession: report.Session,
+		ReportNumber:  report.Seq,
+		ReportToken:   report.Token,
+		ReportEpoch:   report.Token >> cluster.TokenBits,
+	}
+	if m != nil {
+		x.Known = true
+		x.Leaving = m.Deleting
+		x.Session, x.Number, x.Token = m.Session, m.Seq, m.Token
+		x.Seen = m.HighestTokenSeen()
+		x.Doubt = m.SuspectBelow
+	}
+	return reconcile.Report(x)
+}
+
+// replyWithoutApplying answers a heartbeat from which nothing is taken: a late one, or one
+// of a machine that is gone or of an unknown type (m is nil).
+func (d *Component) replyWithoutApplying(
+	now time.Duration, leaseValid bool, request effects.RequestID, m *workers.Machine,
+) {
+	answer := effects.HeartbeatAnswer{Status: statusOK, Token: d.Token}
+	if m != nil {
+		m.CheckStale(now, settings.Seconds(staleIntervals*d.Cfg.Deployment.Workers.ReportS))
+		if leaseValid && m.NeedsToken(now) {
+			m.Token = d.NextToken()
+		}
+		// The answer goes nowhere, or to a worker that has restarted with its state lost: that
+		// one must get no token that any process was given before it.
+		answer.Token = m.Token
+		if m.SuspectBelow != 0 && m.Token <= m.SuspectBelow {
+			answer.Token = 0
+		}
+	}
+	d.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
+}
+
+// supersedeReply answers a machine's earlier heartbeat whose answer still waits. The worker
+// has given that request up, so the answer must not start anything.
+func (d *Component) supersedeReply(m *workers.Machine) {
+	pending := d.pendingByMachine[m]
+	if pending == nil {
+		return
+	}
+	answer := effects.HeartbeatAnswer{Status: statusOK, Token: m.Token}
+	d.Emit(effects.ReplyHeartbeat{To: pending.request, Answer: answer})
+	pending.superseded = true
+	delete(d.pendingByMachine, m)
+}
+
+// applyReport updates the machine and its tasks from a report and returns the commands that
+// follow from it for the worker.
+func (d *Component) applyReport(
+	now time.Duration, m *workers.Machine, report *workers.Report, difference reconcile.Diff,
+) []workers.Command {
+	if !m.Up {
+		m.UpSince = now
+		d.NeedsCycle = true
+	}
+	if difference == reconcile.MachineRestarted {
+		d.LogMessage(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
+	}
+	if difference.Resolution() == reconcile.Forget {
+		d.publishLostOffers(now, m)
+	}
+	resolvedBefore := m.Resolved
+	lookup := func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
+		return d.taskRecord(m, job, task, here)
+	}
+	events, commands := m.ApplyStatus(now, report, m.Token, d.Reconciled, lookup)
+	if m.Resolved != resolvedBefore {
+		d.machineResolved(now, m)
+	}
+	for _, e := range events {
+		d.applyTaskEvent(now, m, e)
+	}
+	d.cancelExcessPlans(m)
+	d.Publish(cluster.Event{Kind: cluster.HeartbeatApplied, At: now, Machine: m, Report: report})
+	return commands
+}
+
+// cancelExcessPlans cancels plans for which a machine has no room any more: its controller
+// has started tasks there, out of the shard's offers, that were planned on other machines,
+// and meanwhile the room was allocated once more. Found on a day with seven controllers,
+// where one start in thirty was refused for want of room, and each refusal kept its machine
+// from work for two seconds.
+func (d *Component) cancelExcessPlans(m *workers.Machine) {
+	var none resources.Amounts
+	if none.Fits(m.Free) {
+		return
+	}
+	for _, p := range m.PlannedHere() {
+		d.CancelPlan(p)
+		if none.Fits(m.Free) {
+			return
+		}
+	}
+}
+
+// rebalanceTarget returns the controller to which a machine's heartbeats move for load
+// balancing, empty for none. A machine moves only when nothing is in flight to it.
+func (d *Component) rebalanceTarget(
+	now time.Duration, leaseValid bool, m *workers.Machine, report *workers.Report, commands []workers.Command,
+) string {
+	if d.Rebalancer == nil || !leaseValid {
+		return ""
+	}
+	registered := m.Durable && m.Resolved && !m.Deleting
+	idle := report.Token == m.Token && len(commands) == 0
+	if !registered || !idle || !m.Settled() {
+		return ""
+	}
+	return d.Rebalancer.RedirectTo(now, m)
+}
+
+// redirect sends a worker to the controller that holds its shard.
+func (d *Component) redirect(request effects.RequestID, controller string) {
+	d.Emit(effects.ReplyHeartbeat{To: request, Answer: effects.HeartbeatAnswer{Status: statusMisdirected, Node: controller}})
+}
+
+// replyWhenDurable answers at once, or keeps the answer for AnswerHeartbeats where the next
+// scheduling cycle or an entry that becomes durable may add starts to it.
+func (d *Component) replyWhenDurable(leaseValid bool, reply *pendingReply) {
+	m := reply.machine
+	mayStart := leaseValid && !m.Deleting && !m.PreemptionNotice
+	if mayStart && (d.NeedsCycle || m.AwaitsDurability()) {
+		d.pendingReplies = append(d.pendingReplies, reply)
+		d.pendingByMachine[m] = reply
+		return
+	}
+	d.sendReply(leaseValid, reply)
+}
+
+// sendReply answers a heartbeat with the commands that follow from it, the stops that are
+// due and the offers of tasks to start.
+func (d *Component) sendReply(leaseValid bool, reply *pendingReply) {
+	m := reply.machine
+	answer := effects.HeartbeatAnswer{
+		Status:   statusOK,
+		Token:    m.Token,
+		LeaseS:   d.Cfg.Tunables.BlockLeaseS,
+		Commands: append(reply.commands, m.Stops()...),
+	}
+	if leaseValid && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
+		answer.Offers = m.Offer(d.MachinesWithPlans, d.nextOfferSerial, d.NextAttempt)
+		answer.Room = m.Free
+	}
+	d.Emit(effects.ReplyHeartbeat{To: reply.request, Answer: answer})
+}
+
+// nextOfferSerial returns a serial that no other offer of any term has.
+func (d *Component) nextOfferSerial() uint64 {
+	d.lastOfferSerial++
+	return d.Token + d.lastOfferSerial
+}
+
+// AnswerHeartbeats answers the heartbeats whose answers wait for nothing any more.
+func (d *Component) AnswerHeartbeats(now time.Duration, leaseValid bool) {
+	kept := d.pendingReplies[:0]
+	for _, reply := range d.pendingReplies {
+		if reply.superseded {
+			continue
+		}
+		m := reply.machine
+		if leaseValid && m.AwaitsDurability() && now-reply.since < maxReplyDelay && !m.Deleting {
+			kept = append(kept, reply)
+			continue
+		}
+		delete(d.pendingByMachine, m)
+		d.sendReply(leaseValid, reply)
+	}
+	clear(d.pendingReplies[len(kept):])
+	d.pendingReplies = kept
+}
+
+// End answers all heartbeats that still wait: the term is over, and the workers retry.
+func (d *Component) End() {
+	for _, reply := range d.pendingReplies {
+		if !reply.superseded {
+			d.Emit(effects.ReplyHeartbeat{To: reply.request, Answer: effects.HeartbeatAnswer{Status: statusUnavailable}})
+		}
+	}
+	d.pendingReplies = nil
+}
