--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -1,14 +1,15 @@
-// Package dispatch is the duty that starts tasks straight at their workers, without waiting
-// for a report: the exception direct_starts. Only tasks of classes whose wait aim is
-// shorter than a report interval go this way.
+// Package dispatch is the component of a leader's term for push dispatch: it starts tasks by
+// a command sent straight to their workers, without waiting for a heartbeat (the setting
+// direct_starts). Only tasks of classes whose wait objective is shorter than a heartbeat
+// interval go this way.
 //
 // Such a command may be carried out late, minutes after it was given up, as long as its
 // token and session match. So a task that was sent counts as being on its machine from
 // before the command leaves, and one that is not seen there is proved gone only by a
 // report at a higher token, a later session, or the answered deletion of the machine
-// (package squaring). What has ended is reaped only after that too, for a copy of the
+// (package reconcile). What has ended is reaped only after that too, for a copy of the
 // command would begin it anew. A machine that did not answer gets nothing more this way
-// until it has seen a higher token, which it is given with its next report.
+// until it has seen a higher token, which it is given with its next heartbeat.
 package dispatch
 
 import (
@@ -22,31 +23,38 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is that of the duty's view.
+// Name is the key of the component's view.
 const Name = "direct"
 
-// Component sends starts in a term.
+// startSecondsBuckets are the upper bounds of the histogram of start latency, in seconds.
+var startSecondsBuckets = []float64{0.25, 0.5, 1, 2, 4, 8, 16, 32, 64, 128, 256}
+
+// Component dispatches starts in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	callsInFlight int // calls under way
+	callsInFlight int
 
-	callsSent, callsAnswered, callsUnanswered, tasksSent uint64
-	startSeconds                                         *cluster.Histogram
+	// Totals of the term, for the view and metrics.
+	callsSent       uint64
+	callsAnswered   uint64
+	callsUnanswered uint64
+	tasksSent       uint64
+	startSeconds    *cluster.Histogram
 }
 
-// New makes the duty of a term.
+// New makes the component of a term.
 func New(s *cluster.State) *Component {
-	return &Component{State: s, startSeconds: s.Metrics.Histogram("bitternmoor_start_seconds", "Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
-		"start", []float64{0.25, 0.5, 1, 2, 4, 8, 16, 32, 64, 128, 256})}
+	return &Component{State: s, startSeconds: s.Metrics.Histogram("bitternmoor_start_seconds",
+		"Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
+		"start", startSecondsBuckets)}
 }
 
-// HandleEvent measures how long tasks of classes with a wait aim took to begin, by each way: a
-// bounded number of labels. Those that run again have waited since their first start.
+// HandleEvent measures how long tasks of classes with a wait objective took to begin, by each
+// way of starting: a bounded number of labels. The time of one that runs again counts from
+// its job's acceptance too.
 func (d *Component) HandleEvent(e cluster.Event) {
-	if e.Kind != cluster.TaskBegan || !slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
-		return o.Kind == settings.AimWait && o.Class == e.Job.Record.Class
-	}) {
+	if e.Kind != cluster.TaskBegan || !d.hasWaitObjective(e.Job.Record.Class) {
 		return
 	}
 	way := " by report"
@@ -56,22 +64,29 @@
 	d.startSeconds.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
 }
 
-// AfterCycle sends what may go: tasks whose grant and mark are durable, to machines on which
-// nothing else is on its way.
+// hasWaitObjective says whether a class has an objective for how long its jobs wait.
+func (d *Component) hasWaitObjective(class string) bool {
+	return slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
+		return o.Kind == settings.AimWait && o.Class == class
+	})
+}
+
+// AfterCycle dispatches tasks whose grant and intent are durable to machines to which nothing
+// else is in flight, at most one command to each.
 func (d *Component) AfterCycle(now time.Duration, leaseValid bool) {
 	if !leaseValid || len(d.DispatchQueue) == 0 {
 		return
 	}
 	kept := d.DispatchQueue[:0]
-	done := map[*workers.Machine]bool{}
+	dispatched := map[*workers.Machine]bool{}
 	for _, p := range d.DispatchQueue {
 		m := p.Machine
 		switch {
-		case !p.Planned || d.Placements[p.Ref] != p: // it has gone the ordinary way, or was taken back
-		case done[m] || d.callsInFlight >= d.Cfg.Tunables.DirectStarts || d.TokensRunLow() || !d.isDispatchable(now, m):
+		case !p.Planned || d.Placements[p.Ref] != p: // it was started by an offer, or its plan was cancelled
+		case dispatched[m] || !d.hasCallBudget() || !d.isDispatchable(now, m):
 			kept = append(kept, p)
 		default:
-			done[m] = true
+			dispatched[m] = true
 			d.dispatchTo(now, m)
 			if p.Planned {
 				kept = append(kept, p)
@@ -82,26 +97,32 @@
 	d.DispatchQueue = kept
 }
 
-// isDispatchable says whether starts may be sent straight to a machine: its worker is known to live,
-// it has room, and neither an answer with offers for it is open, which another controller
-// may have filled with other tasks, nor a call without an answer.
+// hasCallBudget says whether a further command may be sent now.
+func (d *Component) hasCallBudget() bool {
+	return d.callsInFlight < d.Cfg.Tunables.DirectStarts && !d.TokensRunLow()
+}
+
+// isDispatchable says whether starts may be sent straight to a machine: its worker is known to
+// live and may have more tasks, and there is neither an open answer with offers for it, which another controller may
+// have filled with other tasks, nor a call without an answer.
 func (d *Component) isDispatchable(now time.Duration, m *workers.Machine) bool {
 	return m.Address != "" && m.Usable(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
-// dispatchTo sends all that may be started on a machine in one command.
+// dispatchTo sends all starts for a machine that may be sent in one command.
 func (d *Component) dispatchTo(now time.Duration, m *workers.Machine) {
 	var starts []workers.Command
 	for _, p := range m.PlannedHere() {
-		if !p.StartNow || p.NotOfferedAgain || p.Withdrawn || len(p.Offered) > 0 || !m.Grants[p.JobID] || !p.IntentDurable {
+		if !mayDispatch(m, p) {
 			continue
 		}
 		if p.Attempt == 0 {
 			p.Attempt = d.NextAttempt()
 		}
 		m.Dispatch(p)
-		starts = append(starts, workers.Command{Op: workers.Start, Job: p.JobID, Task: int(p.Ref.Task), Attempt: p.Attempt})
-		d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: d.Jobs.At(p.Ref.Job), Task: int(p.Ref.Task), Machine: m})
+		task := int(p.Ref.Task)
+		starts = append(starts, workers.Command{Op: workers.Start, Job: p.JobID, Task: task, Attempt: p.Attempt})
+		d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: d.Jobs.At(p.Ref.Job), Task: task, Machine: m})
 	}
 	if len(starts) == 0 {
 		return
@@ -110,13 +131,31 @@
 	d.callsInFlight++
 	d.callsSent++
 	d.tasksSent += uint64(len(starts))
-	d.Emit(effects.Dispatch{Machine: m.Name, Address: m.Address, Token: m.Token, Session: m.Session, Starts: starts})
+	d.Emit(effects.Dispatch{
+		Machine: m.Name,
+		Address: m.Address,
+		Token:   m.Token,
+		Session: m.Session,
+		Starts:  starts,
+	})
+}
+
+// mayDispatch says whether a planned task may be sent straight to its machine: it asks for
+// that, is not on offer, and its grant and intent are durable.
+func mayDispatch(m *workers.Machine, p *workers.Placement) bool {
+	if p.NotOfferedAgain || p.Withdrawn || len(p.Offered) > 0 {
+		return false
+	}
+	return p.StartNow && m.Grants[p.JobID] && p.IntentDurable
 }
 
-// Dispatched takes a worker's report after starts that were sent to it, or none.
-func (d *Component) Dispatched(now time.Duration, machine string, token uint64, starts []workers.Command, r *workers.Report) {
+// Dispatched applies a worker's report after starts that were sent to it; report is nil if it did
+// not answer.
+func (d *Component) Dispatched(
+	now time.Duration, machine string, token uint64, starts []workers.Command, report *workers.Report,
+) {
 	d.callsInFlight--
-	if r != nil {
+	if report != nil {
 		d.callsAnswered++
 	} else {
 		d.callsUnanswered++
@@ -131,10 +170,10 @@
 			refs = append(refs, workers.Ref{Job: j.Index, Task: int32(c.Task)})
 		}
 	}
-	m.DispatchResult(now, token, refs, r)
+	m.DispatchResult(now, token, refs, report)
 }
 
-// View is what operators may see.
+// View is what operators may see: totals of the term, and calls in flight.
 type View struct {
 	Calls      uint64 `json:"calls"`
 	Tasks      uint64 `json:"tasks"`
@@ -143,10 +182,16 @@
 	UnderWay   int    `json:"under_way"`
 }
 
-// Show gives what this leader has sent.
+// Show returns the component's view as JSON; it has but one, without a name.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
-	return json.Marshal(View{d.callsSent, d.tasksSent, d.callsAnswered, d.callsUnanswered, d.callsInFlight})
+	return json.Marshal(View{
+		Calls:      d.callsSent,
+		Tasks:      d.tasksSent,
+		Answered:   d.callsAnswered,
+		Unanswered: d.callsUnanswered,
+		UnderWay:   d.callsInFlight,
+	})
 }
