--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -1,7 +1,7 @@
-// Package failover is the duty that keeps account of takeovers: how long each
-// step took from the moment when a controller found that nobody led, until the
-// last job that was held back could start again. It stores one small entry for
-// each takeover, so that successors know of the earlier ones.
+// Package failover is the component of a leader's term that measures failovers: how long each
+// step took from the moment when a controller found that nobody led, until the last job that
+// was blocked could start again. It stores one small entry for each failover, so that later
+// leaders know of the earlier ones.
 package failover
 
 import (
@@ -18,35 +18,44 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// Name is that of the duty, and of its entries.
+// Name is the key of the component, and of its entries.
 const Name = "takeovers"
 
 const (
-	// giveUp ends the account of a takeover some of whose steps do not come;
-	// startWait that of one where all is resolved and nothing waits for a start.
+	// maxAccountTime ends the account of a failover some of whose steps do not come;
+	// firstStartTimeout that of one where all is resolved and nothing waits for a start.
 	maxAccountTime    = 3 * time.Minute
 	firstStartTimeout = 10 * time.Second
 
 	recordBytes = 220 // rough size of an entry
 )
 
-// Step is one of a takeover's steps.
+// Step is one of a failover's steps.
 type Step uint8
 
 // The steps, in their usual order.
 const (
-	Elected     Step = iota // the hold and the epoch are this controller's
+	Elected     Step = iota // the leader's lease and the epoch are this controller's
 	LogRead                 // the whole log is read and replayed
-	FirstReport             // a registered machine has reported at the new token
+	FirstReport             // a registered machine has sent a heartbeat at the new token
 	Half                    // half of the registered machines are resolved
 	Ninety                  // 90 % of them are
 	Resolved                // all of them are
-	FirstStart              // a task is on a machine that this leader gave to it
-	Free                    // no job is held back any more for what an unheard machine may have
+	FirstStart              // a task that this leader has started is on its machine
+	Free                    // no job is blocked any more by what an unresolved machine may run
 	stepCount
 )
 
-var stepWords = [stepCount]string{"elected", "log_read", "first_report", "half_resolved", "ninety_resolved", "all_resolved", "first_start", "all_jobs_free"}
+var stepWords = [stepCount]string{
+	Elected:     "elected",
+	LogRead:     "log_read",
+	FirstReport: "first_report",
+	Half:        "half_resolved",
+	Ninety:      "ninety_resolved",
+	Resolved:    "all_resolved",
+	FirstStart:  "first_start",
+	Free:        "all_jobs_free",
+}
 
 func (s Step) String() string { return stepWords[s] }
 
@@ -62,7 +71,7 @@
 	return out
 }
 
-// Record is the account of one takeover.
+// Record is the account of one failover.
 type Record struct {
 	Epoch    uint64 `json:"epoch"`
 	Node     string `json:"node"`
@@ -70,7 +79,7 @@
 	AtMS     int64  `json:"at_ms"`            // time of day when it was found that nobody led, as this node's clock had it
 	Machines int    `json:"machines"`
 	Jobs     int    `json:"jobs"`
-	HeldBack int    `json:"jobs_held_back"` // for what an unheard machine may have, once the log was read
+	HeldBack int    `json:"jobs_held_back"` // by what an unresolved machine may run, once the log was read
 	// After is how long after that moment each step was reached, in
 	// milliseconds, by the step's name; one that was not reached is missing.
 	After map[string]int64 `json:"after_ms"`
@@ -88,25 +97,35 @@
 	After    [stepCount]int64 `json:"s"`
 }
 
-// Component keeps account of this term's takeover and remembers the last ones.
+// stepSecondsBuckets are the upper bounds of the histogram of steps, in seconds.
+var stepSecondsBuckets = []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120}
+
+// Component measures this term's failover and keeps the records of the last ones.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	maxRecords        int // so many are remembered
-	earlier           []storedRecord
+	maxRecords  int            // that are kept
+	earlier     []storedRecord // by epoch
+	stepSeconds *cluster.Histogram
+
+	// This term's failover.
 	current           storedRecord
-	closed            bool // the account of this term's takeover is closed
+	closed            bool // its account is
 	unresolvedAtStart int  // registered machines that were not resolved when the log was read
 	unresolvedNow     int  // those of them that are not yet
-	stepSeconds       *cluster.Histogram
 }
 
-// New makes the duty of a term; it remembers so many takeovers.
-func New(s *cluster.State, keep int) *Component {
-	d := &Component{State: s, maxRecords: keep, stepSeconds: s.Metrics.Histogram("bitternmoor_takeover_seconds",
-		"Time from finding that nobody leads to each step of a takeover.", "step", []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})}
-	d.current = storedRecord{Epoch: s.Epoch, Node: s.Cfg.Node, AtMS: s.ClockZeroMS + s.LeaderMissedAt.Milliseconds()}
-	d.current.SilentMS = -1
+// New makes the component of a term; it keeps so many records.
+func New(s *cluster.State, maxRecords int) *Component {
+	d := &Component{State: s, maxRecords: maxRecords}
+	d.stepSeconds = s.Metrics.Histogram("bitternmoor_takeover_seconds",
+		"Time from finding that nobody leads to each step of a takeover.", "step", stepSecondsBuckets)
+	d.current = storedRecord{
+		Epoch:    s.Epoch,
+		Node:     s.Cfg.Node,
+		AtMS:     s.ClockZeroMS + s.LeaderMissedAt.Milliseconds(),
+		SilentMS: -1,
+	}
 	if s.LastLeaderHeard > 0 {
 		d.current.SilentMS = (s.LeaderMissedAt - s.LastLeaderHeard).Milliseconds()
 	}
@@ -116,39 +135,41 @@
 	return d
 }
 
-// Replay takes an entry of its own. A record may be there twice, from a
-// cleaning that was under way.
+// Replay applies an entry of its own. A record may be there twice, from a compaction that
+// was under way.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok {
 		d.remember(r)
 	}
 }
 
+// decode reads the record of an entry, if it has one that can be read.
 func (d *Component) decode(e eventlog.Entry) (storedRecord, bool) {
 	var r storedRecord
 	if e.Component == nil {
 		return r, false
 	}
 	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
-		d.LogMessage(effects.Warn, "the record of a takeover cannot be read: it is left out", "error", err)
+		d.LogMessage(effects.Warn, "failover record cannot be read: skipped", "error", err)
 		return r, false
 	}
 	return r, true
 }
 
+// remember adds a record in the order of epochs, and drops the oldest beyond the limit.
 func (d *Component) remember(r storedRecord) {
 	i, found := slices.BinarySearchFunc(d.earlier, r, func(a, b storedRecord) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	if found {
 		return
 	}
 	d.earlier = slices.Insert(d.earlier, i, r)
-	if over := len(d.earlier) - d.maxRecords; over > 0 {
-		d.earlier = slices.Delete(d.earlier, 0, over)
+	if excess := len(d.earlier) - d.maxRecords; excess > 0 {
+		d.earlier = slices.Delete(d.earlier, 0, excess)
 	}
 }
 
-// Begin notes that the log is read. A term that finds neither machines nor jobs
-// has taken nothing over.
+// Begin notes that the log is read. A term that finds neither machines nor jobs has taken
+// nothing over and is not accounted for.
 func (d *Component) Begin(now time.Duration) {
 	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
@@ -166,8 +187,8 @@
 	d.recordResolvedShare(now)
 }
 
-// blockedJobs counts the jobs that may not start anything, since a machine that is
-// not resolved may have their tasks.
+// blockedJobs counts the jobs that may not start anything, since a machine that is not
+// resolved may run their tasks.
 func (d *Component) blockedJobs() int {
 	n := 0
 	for _, j := range d.Jobs.All() {
@@ -188,11 +209,11 @@
 
 // recordResolvedShare notes what share of the machines is resolved.
 func (d *Component) recordResolvedShare(now time.Duration) {
-	known := d.unresolvedAtStart - d.unresolvedNow
-	if known*2 >= d.unresolvedAtStart {
+	resolved := d.unresolvedAtStart - d.unresolvedNow
+	if resolved*2 >= d.unresolvedAtStart {
 		d.recordStep(Half, now)
 	}
-	if known*10 >= d.unresolvedAtStart*9 {
+	if resolved*10 >= d.unresolvedAtStart*9 {
 		d.recordStep(Ninety, now)
 	}
 	if d.unresolvedNow == 0 {
@@ -200,7 +221,7 @@
 	}
 }
 
-// HandleEvent follows the takeover.
+// HandleEvent records the steps that show in events.
 func (d *Component) HandleEvent(e cluster.Event) {
 	if d.closed {
 		return
@@ -231,22 +252,34 @@
 	}
 	d.closed = true
 	d.remember(d.current)
-	args := []any{"epoch", d.current.Epoch, "machines", d.current.Machines, "jobs", d.current.Jobs, "held_back", d.current.HeldBack}
+	d.logSteps()
+	d.storeRecord()
+}
+
+// logSteps logs the finished account.
+func (d *Component) logSteps() {
+	r := &d.current
+	args := []any{"epoch", r.Epoch, "machines", r.Machines, "jobs", r.Jobs, "held_back", r.HeldBack}
 	for _, s := range Steps() {
-		if ms := d.current.After[s]; ms >= 0 {
+		if ms := r.After[s]; ms >= 0 {
 			args = append(args, s.String(), (time.Duration(ms) * time.Millisecond).String())
 		}
 	}
 	d.LogMessage(effects.Info, "takeover", args...)
+}
+
+// storeRecord appends the finished account to the log.
+func (d *Component) storeRecord() {
 	e := eventlog.NewComponentEntry(Name, d.current)
 	if !d.EventLog.Fits(e) {
-		d.LogMessage(effects.Error, "the record of a takeover is too large to be stored", "bytes", len(e.Component.Data))
+		d.LogMessage(effects.Error, "failover record too large to store", "bytes", len(e.Component.Data))
 		return
 	}
 	d.EventLog.Append(e)
 }
 
-// allStepsReached says whether every step was reached that will be.
+// allStepsReached says whether every step was reached that will be. The first start may never
+// come, where nothing waits for one.
 func (d *Component) allStepsReached(now time.Duration) bool {
 	last := int64(0)
 	for _, s := range Steps() {
@@ -255,44 +288,62 @@
 		}
 		last = max(last, d.current.After[s])
 	}
-	return d.current.After[FirstStart] >= 0 || now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
+	if d.current.After[FirstStart] >= 0 {
+		return true
+	}
+	return now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
 }
 
-// LiveBytes is roughly how many bytes Keep would write for the whole log.
+// LiveBytes is roughly how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return len(d.earlier) * recordBytes }
 
-// Compact writes a record anew that is still remembered.
+// Compact writes a record anew that is still kept.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
-	if r, ok := d.decode(e); ok && slices.ContainsFunc(d.earlier, func(o storedRecord) bool { return o.Epoch == r.Epoch }) {
+	r, ok := d.decode(e)
+	if !ok {
+		return
+	}
+	if slices.ContainsFunc(d.earlier, func(kept storedRecord) bool { return kept.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
 }
 
-// Show gives the takeovers that are remembered, the newest first, as a JSON
-// list of Record. The one under way is the first as long as it is.
+// Show returns the failovers that are kept, the newest first, as a JSON list of Record. The
+// one under way is the first as long as it is.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
-	out := []Record{}
-	add := func(r storedRecord) {
-		x := Record{Epoch: r.Epoch, Node: r.Node, SilentMS: r.SilentMS, AtMS: r.AtMS, Machines: r.Machines, Jobs: r.Jobs, HeldBack: r.HeldBack, After: map[string]int64{}}
-		for _, s := range Steps() {
-			if ms := r.After[s]; ms >= 0 {
-				x.After[s.String()] = ms
-			}
-		}
-		out = append(out, x)
-	}
+	records := []Record{}
 	if !d.closed {
-		add(d.current)
+		records = append(records, d.current.record())
 	}
 	for _, r := range slices.Backward(d.earlier) {
-		add(r)
+		records = append(records, r.record())
 	}
-	raw, err := json.Marshal(out)
+	raw, err := json.Marshal(records)
 	if err != nil {
 		return nil, fmt.Errorf("takeovers: %w", err)
 	}
 	return raw, nil
 }
+
+// record is the record as operators see it.
+func (r storedRecord) record() Record {
+	out := Record{
+		Epoch:    r.Epoch,
+		Node:     r.Node,
+		SilentMS: r.SilentMS,
+		AtMS:     r.AtMS,
+		Machines: r.Machines,
+		Jobs:     r.Jobs,
+		HeldBack: r.HeldBack,
+		After:    map[string]int64{},
+	}
+	for _, s := range Steps() {
+		if ms := r.After[s]; ms >= 0 {
+			out.After[s.String()] = ms
+		}
+	}
+	return out
+}
