--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -42,64 +42,91 @@
 
 func (r *Record) maxDowntime() time.Duration { return time.Duration(r.MostMS) * time.Millisecond }
 
-// Needless kinds of orders.
+// Needless kinds of actions, as they are counted in Record.Needless.
+const (
+	RentedUnused = "rented_unused"     // rented, and returned without having had a task
+	DeletedAlive = "deleted_alive"     // given up as silent, and heard again before it was gone
+	StartedDone  = "started_done"      // started, and at once over with a result that was there already
+	StoppedSoon  = "stopped_soon"      // started, and stopped for another job or moved within seconds
+	ReturnedSoon = "returned_and_rent" // returned, and a machine of its type and kind rented within seconds
+)
+
 const (
-	RentedUnused       = "rented_unused"     // rented, and returned without having had a task
-	DeletedAlive       = "deleted_alive"     // given up as silent, and heard again before it was gone
-	StartedDone        = "started_done"      // started, and at once over with a result that was there already
-	StoppedSoon        = "stopped_soon"      // started, and stopped for another job or moved within seconds
-	ReturnedSoon       = "returned_and_rent" // returned, and a machine of its type and kind rented within seconds
 	soonAfter          = 10 * time.Second
-	instantRunSeconds  = 1.5 // seconds
-	minEstimateSeconds = 5   // seconds: shorter tasks end between two reports by themselves
-	recordBytes        = 512 // bytes left beside the maps
+	instantRunSeconds  = 1.5 // a task that ran for less had its result already
+	minEstimateSeconds = 5   // shorter tasks end between two heartbeats by themselves
+	recordBytes        = 512 // rough size of a record in the log
 )
 
+// stepSecondsBuckets are the upper bounds of the histogram of steps, in seconds.
+var stepSecondsBuckets = []float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120}
+
+// account follows a cold start, and keeps the records of earlier ones.
 type account struct {
-	closed        bool          // closed, or there is nothing to keep
-	lastEventAt   time.Duration // of the last event that has a time
-	current       Record
-	earlier       []Record
-	stepSeconds   *cluster.Histogram
-	missingTasks  map[workers.Ref]struct{} // that are not back yet
-	unusedRentals map[*workers.Machine]bool
-	startedAt     map[workers.Ref]time.Duration
-	returnedAt    map[string]time.Duration // when machines of a type and kind were last returned
-	deletedSilent map[*workers.Machine]bool
+	closed      bool          // or there is nothing to follow
+	lastEventAt time.Duration // of the last event that has a time
+	current     Record
+	earlier     []Record           // by epoch
+	stepSeconds *cluster.Histogram // nil where no records are kept
+
+	missingTasks map[workers.Ref]struct{} // tasks that may have been under way, not recovered yet
+
+	// What tells which actions were needless.
+	unusedRentals map[*workers.Machine]bool     // on which no task was started yet
+	startedAt     map[workers.Ref]time.Duration // tasks of this term
+	returnedAt    map[string]time.Duration      // when a machine of a type and kind was last returned
+	deletedSilent map[*workers.Machine]bool     // given up and not heard since
 }
 
+// notReached stands in a record for a step that was not reached.
+const notReached = -1
+
 func (a *account) initialize(s *cluster.State) {
-	a.current = Record{Epoch: s.Epoch, Node: s.Cfg.Node, SettledMS: -1, HalfMS: -1, NinetyMS: -1, BackMS: -1, Orders: map[string]uint64{}, Needless: map[string]uint64{}}
-	a.missingTasks, a.unusedRentals, a.startedAt = map[workers.Ref]struct{}{}, map[*workers.Machine]bool{}, map[workers.Ref]time.Duration{}
-	a.returnedAt, a.deletedSilent = map[string]time.Duration{}, map[*workers.Machine]bool{}
+	a.current = Record{
+		Epoch:     s.Epoch,
+		Node:      s.Cfg.Node,
+		SettledMS: notReached,
+		HalfMS:    notReached,
+		NinetyMS:  notReached,
+		BackMS:    notReached,
+		Orders:    map[string]uint64{},
+		Needless:  map[string]uint64{},
+	}
+	a.missingTasks = map[workers.Ref]struct{}{}
+	a.unusedRentals = map[*workers.Machine]bool{}
+	a.startedAt = map[workers.Ref]time.Duration{}
+	a.returnedAt = map[string]time.Duration{}
+	a.deletedSilent = map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
-		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds", "Time from the beginning of a term in which nobody led before to each step.", "step",
-			[]float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120})
+		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds",
+			"Time from the beginning of a term in which nobody led before to each step.", "step", stepSecondsBuckets)
 	}
 }
 
+// replay keeps the record of an earlier term's entry.
 func (a *account) replay(s *cluster.State, e eventlog.Entry) {
 	var r Record
 	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
-		s.LogMessage(effects.Warn, "the account of a cold start cannot be read: it is left out", "error", err)
+		s.LogMessage(effects.Warn, "cold start record cannot be read: skipped", "error", err)
 		return
 	}
 	a.remember(r, s.Cfg.Tunables.ColdKept)
 }
 
-func (a *account) remember(r Record, keep int) {
+// remember adds a record in the order of epochs, and drops the oldest beyond the limit.
+func (a *account) remember(r Record, maxRecords int) {
 	i, found := slices.BinarySearchFunc(a.earlier, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
 	if !found {
 		a.earlier = slices.Insert(a.earlier, i, r)
 	}
-	if more := len(a.earlier) - keep; more > 0 {
-		a.earlier = slices.Delete(a.earlier, 0, more)
+	if excess := len(a.earlier) - maxRecords; excess > 0 {
+		a.earlier = slices.Delete(a.earlier, 0, excess)
 	}
 }
 
 // begin notes the work that may have been under way: what earlier terms may have
-// handed out and is not known to have ended. What was reported while the others were
-// asked is back already.
+// started and is not known to have ended. What was reported while the peers were asked is
+// recovered already.
 func (a *account) begin(d *Component, now time.Duration) {
 	a.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
@@ -111,28 +138,33 @@
 	}
 	a.current.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
-		if j == nil || j.Phase != jobs.Open || !j.Earlier {
-			continue
-		}
-		a.current.Jobs++
-		for k, s := range j.Tasks {
-			if s == jobs.Waiting && (k < j.FreshFrom || j.Record.Kind == jobs.Gang) {
-				a.missingTasks[workers.Ref{Job: j.Index, Task: int32(k)}] = struct{}{}
-			}
-			if s != jobs.DoneDurably && k < j.FreshFrom {
-				a.current.Tasks++
-			}
+		if j != nil && j.Phase == jobs.Open && j.Earlier {
+			a.addJob(j)
 		}
 	}
 	a.current.Tasks = max(a.current.Tasks, len(a.missingTasks))
 	a.recordRecoveredShare(d, now)
 }
 
-// allRecovered says whether all the work that may have been under way is.
+// addJob counts an earlier term's job, and those of its tasks that may have been under way.
+func (a *account) addJob(j *jobs.Job) {
+	a.current.Jobs++
+	for task, state := range j.Tasks {
+		if state == jobs.Waiting && (task < j.FreshFrom || j.Record.Kind == jobs.Gang) {
+			a.missingTasks[workers.Ref{Job: j.Index, Task: int32(task)}] = struct{}{}
+		}
+		if state != jobs.DoneDurably && task < j.FreshFrom {
+			a.current.Tasks++
+		}
+	}
+}
+
+// allRecovered says whether all the work that may have been under way is recovered.
 func (a *account) allRecovered() bool { return a.closed || len(a.missingTasks) == 0 }
 
-func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, k int) {
-	ref := workers.Ref{Job: j.Index, Task: int32(k)}
+// taskRecovered notes that a task was found, has ended or was started again.
+func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, task int) {
+	ref := workers.Ref{Job: j.Index, Task: int32(task)}
 	if _, open := a.missingTasks[ref]; open {
 		delete(a.missingTasks, ref)
 		a.recordRecoveredShare(d, now)
@@ -141,28 +173,40 @@
 
 // recordRecoveredShare notes the steps that are reached.
 func (a *account) recordRecoveredShare(d *Component, now time.Duration) {
-	done := a.current.Tasks - len(a.missingTasks)
-	for _, s := range []struct {
-		name  string
-		at    *int64
-		share int
-	}{{"work_half", &a.current.HalfMS, 50}, {"work_ninety", &a.current.NinetyMS, 90}, {"work_all", &a.current.BackMS, 100}} {
-		if *s.at < 0 && done*100 >= a.current.Tasks*s.share {
-			a.recordStep(d, now, s.name, s.at)
+	recovered := a.current.Tasks - len(a.missingTasks)
+	steps := []struct {
+		name    string
+		afterMS *int64
+		percent int
+	}{
+		{"work_half", &a.current.HalfMS, 50},
+		{"work_ninety", &a.current.NinetyMS, 90},
+		{"work_all", &a.current.BackMS, 100},
+	}
+	for _, s := range steps {
+		if *s.afterMS < 0 && recovered*100 >= a.current.Tasks*s.percent {
+			a.recordStep(d, now, s.name, s.afterMS)
 		}
 	}
 }
 
-func (a *account) recordStep(d *Component, now time.Duration, step string, at *int64) {
-	*at = max(0, (now - d.TermBegan).Milliseconds())
+// recordStep notes when a step was reached, in milliseconds since the term's beginning.
+func (a *account) recordStep(d *Component, now time.Duration, step string, afterMS *int64) {
+	*afterMS = max(0, (now - d.TermBegan).Milliseconds())
+	a.observeStep(step, *afterMS)
+}
+
+// observeStep adds a step to the histogram.
+func (a *account) observeStep(step string, afterMS int64) {
 	if a.stepSeconds != nil {
-		a.stepSeconds.Observe(step, float64(*at)/1000)
+		a.stepSeconds.Observe(step, float64(afterMS)/1000)
 	}
 }
 
+// machineKind is a machine's type, and whether it is a spot one, in one word.
 func machineKind(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
 
-// handleEvent counts orders, and finds out which were needless.
+// handleEvent counts actions, and finds out which were needless.
 func (a *account) handleEvent(d *Component, e cluster.Event) {
 	if a.closed {
 		return
@@ -172,80 +216,124 @@
 	case cluster.TaskAdopted:
 		a.taskRecovered(d, e.At, e.Job, e.Task)
 	case cluster.TaskPlaced:
-		o := cluster.StartNew
-		if e.Job.Earlier && e.Task < e.Job.FreshFrom {
-			o = cluster.StartAgain
-		}
-		a.current.Orders[o.String()]++
-		a.startedAt[workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}] = e.At
-		delete(a.unusedRentals, e.Machine)
-		a.taskRecovered(d, e.At, e.Job, e.Task)
+		a.taskPlaced(d, e)
 	case cluster.TaskDone:
-		a.taskRecovered(d, e.At, e.Job, e.Task)
-		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if _, here := a.startedAt[ref]; here && e.RunSeconds < instantRunSeconds && e.Job.Record.EstimateS > minEstimateSeconds && e.Job.Earlier && e.Task < e.Job.FreshFrom {
-			a.current.Needless[StartedDone]++
-		}
-		delete(a.startedAt, ref)
+		a.taskDone(d, e)
 	case cluster.TaskStopped:
-		a.current.Orders[e.Action.String()]++
-		ref := workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
-		if at, here := a.startedAt[ref]; here && e.At-at < soonAfter {
-			a.current.Needless[StoppedSoon]++
-		}
+		a.taskStopped(e)
 	case cluster.MachineRented:
-		a.current.Orders[cluster.Rent.String()]++
-		a.unusedRentals[e.Machine] = true
-		if at, ok := a.returnedAt[machineKind(e.Machine)]; ok && e.At-at < soonAfter {
-			a.current.Needless[ReturnedSoon]++
-		}
+		a.machineRented(e)
 	case cluster.MachineDecommissioned:
-		a.current.Orders[e.Action.String()]++
-		if e.Action == cluster.Return {
-			a.returnedAt[machineKind(e.Machine)] = e.At
-			if a.unusedRentals[e.Machine] {
-				a.current.Needless[RentedUnused]++
-			}
-		} else if e.Action == cluster.Delete {
-			a.deletedSilent[e.Machine] = true
-		}
+		a.machineDecommissioned(e)
 	case cluster.HeartbeatApplied:
 		if a.deletedSilent[e.Machine] {
 			delete(a.deletedSilent, e.Machine)
 			a.current.Needless[DeletedAlive]++
 		}
 	case cluster.JobRemoved:
-		for k := range e.Job.Tasks {
-			a.taskRecovered(d, max(a.lastEventAt, d.TermBegan), e.Job, k)
-			delete(a.startedAt, workers.Ref{Job: e.Job.Index, Task: int32(k)})
+		a.jobRemoved(d, e.Job)
+	}
+}
+
+// taskOf is the task that an event is about.
+func taskOf(e cluster.Event) workers.Ref {
+	return workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
+}
+
+// mayHaveRun says whether an earlier term may have started the task that an event is about.
+func mayHaveRun(e cluster.Event) bool { return e.Job.Earlier && e.Task < e.Job.FreshFrom }
+
+func (a *account) taskPlaced(d *Component, e cluster.Event) {
+	action := cluster.StartNew
+	if mayHaveRun(e) {
+		action = cluster.StartAgain
+	}
+	a.current.Orders[action.String()]++
+	a.startedAt[taskOf(e)] = e.At
+	delete(a.unusedRentals, e.Machine)
+	a.taskRecovered(d, e.At, e.Job, e.Task)
+}
+
+func (a *account) taskDone(d *Component, e cluster.Event) {
+	a.taskRecovered(d, e.At, e.Job, e.Task)
+	_, startedHere := a.startedAt[taskOf(e)]
+	tooQuick := e.RunSeconds < instantRunSeconds && e.Job.Record.EstimateS > minEstimateSeconds
+	if startedHere && tooQuick && mayHaveRun(e) {
+		a.current.Needless[StartedDone]++
+	}
+	delete(a.startedAt, taskOf(e))
+}
+
+func (a *account) taskStopped(e cluster.Event) {
+	a.current.Orders[e.Action.String()]++
+	if at, startedHere := a.startedAt[taskOf(e)]; startedHere && e.At-at < soonAfter {
+		a.current.Needless[StoppedSoon]++
+	}
+}
+
+func (a *account) machineRented(e cluster.Event) {
+	a.current.Orders[cluster.Rent.String()]++
+	a.unusedRentals[e.Machine] = true
+	if at, returned := a.returnedAt[machineKind(e.Machine)]; returned && e.At-at < soonAfter {
+		a.current.Needless[ReturnedSoon]++
+	}
+}
+
+func (a *account) machineDecommissioned(e cluster.Event) {
+	a.current.Orders[e.Action.String()]++
+	switch e.Action {
+	case cluster.Return:
+		a.returnedAt[machineKind(e.Machine)] = e.At
+		if a.unusedRentals[e.Machine] {
+			a.current.Needless[RentedUnused]++
 		}
+	case cluster.Delete:
+		a.deletedSilent[e.Machine] = true
 	}
 }
 
-// tick closes the account.
+// jobRemoved counts a removed job's tasks as recovered. The event has no time of its own.
+func (a *account) jobRemoved(d *Component, j *jobs.Job) {
+	now := max(a.lastEventAt, d.TermBegan)
+	for task := range j.Tasks {
+		a.taskRecovered(d, now, j, task)
+		delete(a.startedAt, workers.Ref{Job: j.Index, Task: int32(task)})
+	}
+}
+
+// tick records when the census settled, and closes the account when its time is over.
 func (a *account) tick(d *Component, now time.Duration, leaseValid bool) {
 	if d.kind != coldStart || a.closed || !leaseValid {
 		return
 	}
 	if d.census.settled && a.current.SettledMS < 0 {
 		a.current.SettledMS = (d.census.settledAt - d.TermBegan).Milliseconds()
-		if a.stepSeconds != nil {
-			a.stepSeconds.Observe("settled", float64(a.current.SettledMS)/1000)
-		}
+		a.observeStep("settled", a.current.SettledMS)
 	}
 	if now-d.TermBegan < accountTime {
 		return
 	}
 	a.closed = true
 	a.copyDifferences(d)
-	keep := d.Cfg.Tunables.ColdKept
-	d.LogMessage(effects.Info, "cold start", "epoch", a.current.Epoch, "machines", a.current.Machines, "jobs", a.current.Jobs, "tasks", a.current.Tasks, "settled_ms", a.current.SettledMS,
-		"work_half_ms", a.current.HalfMS, "work_ninety_ms", a.current.NinetyMS, "work_all_ms", a.current.BackMS, "differences", jsonText(a.current.Differences), "orders", jsonText(a.current.Orders), "needless", jsonText(a.current.Needless))
+	a.log(d)
 	a.missingTasks, a.unusedRentals, a.startedAt, a.returnedAt, a.deletedSilent = nil, nil, nil, nil, nil
-	if keep == 0 {
-		return
+	if d.Cfg.Tunables.ColdKept > 0 {
+		a.remember(a.current, d.Cfg.Tunables.ColdKept)
+		a.store(d)
 	}
-	a.remember(a.current, keep)
+}
+
+// log logs the finished record.
+func (a *account) log(d *Component) {
+	r := &a.current
+	d.LogMessage(effects.Info, "cold start",
+		"epoch", r.Epoch, "machines", r.Machines, "jobs", r.Jobs, "tasks", r.Tasks,
+		"settled_ms", r.SettledMS, "work_half_ms", r.HalfMS, "work_ninety_ms", r.NinetyMS, "work_all_ms", r.BackMS,
+		"differences", jsonText(r.Differences), "orders", jsonText(r.Orders), "needless", jsonText(r.Needless))
+}
+
+// store appends the finished record to the log.
+func (a *account) store(d *Component) {
 	e := eventlog.NewComponentEntry(Name, a.current)
 	if !d.EventLog.Fits(e) { // its differences are the longest part, and the least needed
 		short := a.current
@@ -253,13 +341,13 @@
 		e = eventlog.NewComponentEntry(Name, short)
 	}
 	if !d.EventLog.Fits(e) {
-		d.LogMessage(effects.Error, "the account of a cold start is too large to be stored", "bytes", len(e.Component.Data))
+		d.LogMessage(effects.Error, "cold start record too large to store", "bytes", len(e.Component.Data))
 		return
 	}
 	d.EventLog.Append(e)
 }
 
-// copyDifferences takes over what was found different so far.
+// copyDifferences copies what reconciliation has found different so far.
 func (a *account) copyDifferences(d *Component) {
 	a.current.Differences = map[string]uint64{}
 	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
@@ -269,6 +357,7 @@
 	})
 }
 
+// jsonText is a map of counts as JSON, for the log.
 func jsonText(m map[string]uint64) string {
 	raw, err := json.Marshal(m)
 	if err != nil {
@@ -277,10 +366,10 @@
 	return string(raw)
 }
 
-// LiveBytes is roughly how many bytes Keep would write for the whole log.
+// LiveBytes is roughly how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return len(d.account.earlier) * recordBytes }
 
-// Compact writes an account anew that is remembered still.
+// Compact writes a record anew that is still kept.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	var r Record
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
@@ -291,28 +380,28 @@
 	}
 }
 
-// Show gives the cold starts that are remembered, the newest first, as a JSON list of
-// Record. The one under way is the first as long as it is.
+// Show returns the cold starts that are kept, the newest first, as a JSON list of Record. The
+// one under way is the first as long as it is.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
-	out := []Record{}
+	records := []Record{}
 	if d.kind == coldStart && !d.account.closed {
 		d.account.copyDifferences(d)
-		out = append(out, d.account.current)
+		records = append(records, d.account.current)
 	}
 	for _, r := range slices.Backward(d.account.earlier) {
-		out = append(out, r)
+		records = append(records, r)
 	}
-	raw, err := json.Marshal(out)
+	raw, err := json.Marshal(records)
 	if err != nil {
 		return nil, fmt.Errorf("cold starts: %w", err)
 	}
 	return raw, nil
 }
 
-// Gauges gives the numbers of the last cold start of this term.
+// Gauges returns the counts of this term's cold start.
 func (d *Component) Gauges(time.Duration) []cluster.Gauge {
 	if d.kind != coldStart {
 		return nil
@@ -320,17 +409,34 @@
 	if !d.account.closed {
 		d.account.copyDifferences(d)
 	}
-	all := func(m map[string]uint64) map[string]float64 {
-		out := map[string]float64{}
-		for k, n := range m {
-			out[k] = float64(n)
-		}
-		return out
-	}
-	a := &d.account.current
+	r := &d.account.current
 	return []cluster.Gauge{
-		{Name: "bitternmoor_cold_start_differences", Help: "Differences between what was stored and what workers reported, since the last cold start.", Label: "difference", Values: all(a.Differences)},
-		{Name: "bitternmoor_cold_start_orders", Help: "Orders given since the last cold start.", Label: "order", Values: all(a.Orders)},
-		{Name: "bitternmoor_cold_start_needless", Help: "Orders since the last cold start that turned out to be needless.", Label: "why", Values: all(a.Needless)},
+		{
+			Name:   "bitternmoor_cold_start_differences",
+			Help:   "Differences between what was stored and what workers reported, since the last cold start.",
+			Label:  "difference",
+			Values: gaugeValues(r.Differences),
+		},
+		{
+			Name:   "bitternmoor_cold_start_orders",
+			Help:   "Orders given since the last cold start.",
+			Label:  "order",
+			Values: gaugeValues(r.Orders),
+		},
+		{
+			Name:   "bitternmoor_cold_start_needless",
+			Help:   "Orders since the last cold start that turned out to be needless.",
+			Label:  "why",
+			Values: gaugeValues(r.Needless),
+		},
+	}
+}
+
+// gaugeValues converts counts by label for a gauge.
+func gaugeValues(counts map[string]uint64) map[string]float64 {
+	values := map[string]float64{}
+	for label, n := range counts {
+		values[label] = float64(n)
 	}
+	return values
 }
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -1,11 +1,11 @@
-// Package coldstart is the duty that begins a term after a time in which nobody led.
-// The leader then listens before it orders: a census of the registered machines says
-// when the picture is settled enough for which kind of order; starts are paced while it
-// catches up; and one account is kept of the whole, with the orders that turned out to
-// be needless. docs/cold-start.md is its design note and the operators' page.
+// Package coldstart is the component that begins a leader's term after a time in which nobody
+// led. The leader then listens before it acts: a census of the registered machines says when
+// enough of the fleet's state is known for which kind of action; starts are rate-limited
+// while it catches up; and one account is kept of the whole, with the actions that turned
+// out to be needless. docs/cold-start.md is its design note and the operators' page.
 //
-// What proves anything stays as it is (package squaring, grants and marks): the census
-// only ever holds back orders that are allowed, and none for longer than a bounded time.
+// What proves anything stays as it is (package reconcile, grants and intents): the census
+// only ever holds back actions that are allowed, and none for longer than a bounded time.
 package coldstart
 
 import (
@@ -21,45 +21,53 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is that of the duty, and of its entries.
+// Name is the key of the component, and of its entries.
 const Name = "cold-start"
 
 // startKind says what sort of a beginning this is.
 type startKind uint8
 
 const (
-	undecided     startKind = iota // the others have not said yet whether they heard a leader
+	undecided     startKind = iota // the peers have not said yet whether they heard a leader
 	coldStart                      // nobody led before it
-	failoverStart                  // a takeover from a leader, or the very first start
+	failoverStart                  // a failover from a leader, or the very first start
 )
 
 const (
-	// askedFor is how long the others have for their word. One that does not answer
-	// says nothing: it is down, cut off, or of a version that does not know the question.
+	// peerAnswerTimeout is how long the peers have to answer. One that does not proves
+	// nothing: it is down, cut off, or of a version that does not know the question.
 	peerAnswerTimeout = 1500 * time.Millisecond
-	// catchUp ends pacing, and needless orders are looked for a while longer.
+
+	// maxPacingTime ends the rate limit of starts; needless actions are looked for until
+	// accountTime, both from the term's beginning.
 	maxPacingTime = time.Minute
 	accountTime   = 2 * time.Minute
-	peerLostAfter = 3 * time.Second // without an answer to a heartbeat
-	// saysWithin is how long after its election a leader has told the others so.
+
+	// peerLostAfter is how long after its last answer to a heartbeat a peer counts as lost.
+	peerLostAfter = 3 * time.Second
+
+	// announceWithin is how long after its election a leader has announced itself to peers.
 	announceWithin = 2 * time.Second
 )
 
-// Component begins a term. It is the term's gate (cluster.Gate) and pacer (cluster.Pacer).
+// Component begins a term. It is the term's cluster.Gate and cluster.StartPacer.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	kind          startKind
-	peersAsked    map[string]bool // others whose word is waited for
-	peersAskedAt  time.Duration
-	peerHeardAt   map[string]time.Duration // when the others last answered
-	census        *Census
-	startLimiter  *ratelimit.StartLimiter
+	kind         startKind
+	census       *Census
+	startLimiter *ratelimit.StartLimiter
+	account      account
+
+	// Peers, by node name.
+	peersAsked   map[string]bool // those whose answer is waited for
+	peersAskedAt time.Duration
+	peerHeardAt  map[string]time.Duration // when they last answered
+
 	newestEntryMS int64 // time of day of the newest entry that has one, in milliseconds
-	account       account
 }
 
-// New makes the duty of a term.
+// New makes the component of a term.
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, peersAsked: map[string]bool{}, peerHeardAt: map[string]time.Duration{}}
 	d.account.initialize(s)
@@ -69,7 +77,7 @@
 	return d
 }
 
-// Replay looks for the last sign of the leaders before, and takes accounts.
+// Replay looks for the last durable sign of the leaders before, and keeps their accounts.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
@@ -81,34 +89,44 @@
 	}
 }
 
-// Begin settles what sort of a beginning this is, as far as it can be told from here:
-// what is stored says whether there is anything to find out, and this process whether
-// it has heard a leader lately. Otherwise the others are asked.
+// Begin decides what sort of a beginning this is, as far as it can be told from here: what is
+// stored says whether there is anything to find out, and this process whether it has heard a
+// leader lately. Otherwise the peers are asked.
 func (d *Component) Begin(now time.Duration) {
-	t := &d.Cfg.Tunables
-	unheard := make([]int, d.Zones.Len())
-	n := 0
+	tunables := &d.Cfg.Tunables
+	unresolvedByZone := make([]int, d.Zones.Len())
+	unresolved := 0
 	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
-			unheard[m.Zone]++
-			n++
+			unresolvedByZone[m.Zone]++
+			unresolved++
 		}
 	}
-	d.census = NewCensus(now, Params{Share: t.ColdSettled, Interval: settings.Seconds(d.Cfg.Deployment.Workers.ReportS), Peers: len(d.Cfg.Peers)}, unheard)
-	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.Limits{Zone: t.ColdStarts, Images: t.ColdImages})
+	params := Params{
+		Share:    tunables.ColdSettled,
+		Interval: settings.Seconds(d.Cfg.Deployment.Workers.ReportS),
+		Peers:    len(d.Cfg.Peers),
+	}
+	d.census = NewCensus(now, params, unresolvedByZone)
+	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.Limits{Zone: tunables.ColdStarts, Images: tunables.ColdImages})
 	switch {
-	case n == 0 && d.Jobs.Len() == 0:
+	case unresolved == 0 && d.Jobs.Len() == 0:
 		d.setKind(now, failoverStart) // there is nothing to find out
 	case d.isFailoverFrom(d.LeaderMissedAt, d.PreviousLeader):
 		d.setKind(now, failoverStart)
 	case len(d.Cfg.Peers) == 0:
 		d.setKind(now, coldStart)
 	default:
-		d.peersAskedAt = now
-		for _, p := range d.Cfg.Peers {
-			d.peersAsked[p.Node] = true
-			d.Emit(effects.AskPreviousLeader{Peer: p.Node, Epoch: d.Epoch})
-		}
+		d.askPeers(now)
+	}
+}
+
+// askPeers asks all peers when they last heard a leader.
+func (d *Component) askPeers(now time.Duration) {
+	d.peersAskedAt = now
+	for _, p := range d.Cfg.Peers {
+		d.peersAsked[p.Node] = true
+		d.Emit(effects.AskPreviousLeader{Peer: p.Node, Epoch: d.Epoch})
 	}
 }
 
@@ -119,11 +137,19 @@
 // in the middle of its census: the next one took over as from any other, and deleted
 // machines that were on their way.
 func (d *Component) isFailoverFrom(now time.Duration, led leadership.LeaderRecord) bool {
-	return led.Ever && now-led.Until < settings.Seconds(d.Cfg.Tunables.ColdAfterS) &&
-		(led.Fleet == leadership.FleetKnown || (led.Fleet == leadership.FleetUnsaid && led.Until-led.Since >= announceWithin))
+	if !led.Ever || now-led.Until >= settings.Seconds(d.Cfg.Tunables.ColdAfterS) {
+		return false
+	}
+	switch led.Fleet {
+	case leadership.FleetKnown:
+		return true
+	case leadership.FleetUnsaid:
+		return led.Until-led.Since >= announceWithin
+	}
+	return false
 }
 
-// Fleet is what this leader says of itself.
+// Fleet is what this leader announces: whether it knows the fleet's state.
 func (d *Component) Fleet() leadership.FleetKnowledge {
 	if d.kind == failoverStart || (d.census != nil && d.census.settled) {
 		return leadership.FleetKnown
@@ -131,8 +157,8 @@
 	return leadership.FleetListening
 }
 
-// PeerLed takes another controller's word on the last leader before this one. known is
-// false where there was no answer.
+// PeerLed applies a peer's answer on the last leader before this one. known is false where
+// there was no answer.
 func (d *Component) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if known {
 		d.peerHeardAt[peer] = now
@@ -151,11 +177,12 @@
 	}
 }
 
-// PeerHeard notes that another controller has answered a heartbeat.
+// PeerHeard notes that a peer has answered a heartbeat.
 func (d *Component) PeerHeard(now time.Duration, peer string, _ time.Duration) {
 	d.peerHeardAt[peer] = now
 }
 
+// setKind decides what sort of a beginning this is; a cold start begins its account.
 func (d *Component) setKind(now time.Duration, k startKind) {
 	d.kind = k
 	d.NeedsCycle = true
@@ -165,11 +192,14 @@
 	}
 	d.account.begin(d, now)
 	registered, _ := d.census.Counts()
-	d.LogMessage(effects.Info, "cold start: nobody led before this term; the fleet is listened to first", "epoch", d.Epoch, "machines", registered,
-		"jobs", d.Jobs.Len(), "down_at_least", d.account.current.minDowntime().String(), "down_at_most", d.account.current.maxDowntime().String(), "at_longest", d.census.MaxSilenceAllowance().String())
+	d.LogMessage(effects.Info, "cold start: nobody led before this term; the fleet is listened to first",
+		"epoch", d.Epoch, "machines", registered, "jobs", d.Jobs.Len(),
+		"down_at_least", d.account.current.minDowntime().String(),
+		"down_at_most", d.account.current.maxDowntime().String(),
+		"at_longest", d.census.MaxSilenceAllowance().String())
 }
 
-// Tick settles what is due.
+// Tick follows the peers, the census and the account.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if d.kind == undecided && now-d.peersAskedAt >= peerAnswerTimeout {
 		d.setKind(now, coldStart)
@@ -177,26 +207,37 @@
 	if d.kind == failoverStart {
 		return
 	}
-	away := 0
-	for _, p := range d.Cfg.Peers {
-		if at, ok := d.peerHeardAt[p.Node]; !ok || now-at > peerLostAfter {
-			away++
-		}
-	}
-	d.census.PeersUnreached(now, away)
+	d.census.PeersUnreached(now, d.lostPeers(now))
 	if before := d.census.settled; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
-		d.LogMessage(effects.Info, "cold start: the picture is settled", "epoch", d.Epoch, "heard", heard, "of", registered, "after", (now - d.TermBegan).Round(10*time.Millisecond).String())
+		after := (now - d.TermBegan).Round(10 * time.Millisecond)
+		d.LogMessage(effects.Info, "cold start: fleet settled",
+			"epoch", d.Epoch, "heard", heard, "of", registered, "after", after.String())
 	}
 	d.account.tick(d, now, leaseValid)
 }
 
-// Permits says whether orders of a kind may be given now. Starts always may: what proves
-// that a task may be started proves it here as well. Machines are rented and returned,
-// and tasks stopped for others or moved, only once the picture is settled.
-func (d *Component) Permits(now time.Duration, o cluster.Action) bool {
-	if d.kind == failoverStart || o == cluster.StartNew || o == cluster.StartAgain || o == cluster.Delete {
+// lostPeers counts the peers that have not answered lately.
+func (d *Component) lostPeers(now time.Duration) int {
+	lost := 0
+	for _, p := range d.Cfg.Peers {
+		if at, heard := d.peerHeardAt[p.Node]; !heard || now-at > peerLostAfter {
+			lost++
+		}
+	}
+	return lost
+}
+
+// Permits says whether actions of a kind may be taken now. Starts always may: what proves
+// that a task may be started proves it here as well. Machines are rented and returned, and
+// tasks preempted or moved, only once the fleet's state is settled.
+func (d *Component) Permits(now time.Duration, action cluster.Action) bool {
+	if d.kind == failoverStart {
+		return true
+	}
+	switch action {
+	case cluster.StartNew, cluster.StartAgain, cluster.Delete:
 		return true
 	}
 	return d.census.Settled(now)
@@ -211,8 +252,8 @@
 	return d.census.SilenceAllowance()
 }
 
-// Allows says whether a task of a job may be given a machine now. While the leader
-// catches up, starts are bounded by zone and by images under way.
+// Allows says whether a task of a job may be placed on a machine now. While the leader
+// catches up, starts are rate-limited by zone, and bounded by images being fetched.
 func (d *Component) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
 	return !d.pacesStarts(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
 }
@@ -224,7 +265,8 @@
 	}
 }
 
-// pacesStarts says whether starts are paced: after a cold start, until the work is back.
+// pacesStarts says whether starts are rate-limited: after a cold start, until the work that
+// was under way is recovered.
 func (d *Component) pacesStarts(now time.Duration) bool {
 	return d.kind == coldStart && !d.account.allRecovered() && now-d.TermBegan < maxPacingTime
 }
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -17,7 +17,7 @@
 )
 
 // Whatever share of the machines is silent for ever, in whatever zones, and whichever
-// controllers come and go: the picture is settled after Longest at the latest, no sooner
+// controllers come and go: the census is settled after MaxSilenceAllowance at the latest, no sooner
 // than the share is heard or what is missing does not merely come late, and stays so.
 func TestCensusEnds(t *testing.T) {
 	early := 0
@@ -69,9 +69,9 @@
 	}
 }
 
-// A worker that lives is heard within Patience, whatever it was doing when the leader
+// A worker that lives is heard within SilenceAllowance, whatever it was doing when the leader
 // began: between reports, waiting at a dead controller, or at one that came back after.
-func TestPatienceIsEnough(t *testing.T) {
+func TestSilenceAllowanceIsEnough(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 4))
 		const n = 3
@@ -83,15 +83,13 @@
 		}
 		// The worker: at the node it tries, from when on, as the platform has it.
 		at, node := -time.Duration(r.IntN(4000))*time.Millisecond, r.IntN(n)
-		for {
-			if at >= up[node] { // it is answered, by way of that node if it is not ours
-				break
-			}
+		for at < up[node] { // until it is answered, by way of that node if it is not ours
 			at += 5 * time.Second // four without an answer, one more before the next
 			node = (node + 1) % n
 		}
 		if at < 0 {
-			at += time.Duration(lateHeartbeatFactor * float64(interval)) // answered just before we began: it comes with its next report
+			// Answered just before the term began: it comes with its next heartbeat.
+			at += time.Duration(lateHeartbeatFactor * float64(interval))
 		}
 		var now time.Duration
 		for ; now < at; now += 50 * time.Millisecond {
@@ -109,7 +107,7 @@
 	}
 }
 
-// begun is the duty of a term that has read ten registered machines and a job with tasks
+// begun is the component of a term that has read ten registered machines and a job with tasks
 // that may run on all of them.
 func begun(change func(*cluster.TermStart, *settings.Tunables)) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
@@ -132,9 +130,9 @@
 	return d
 }
 
-// What tells a cold start from a takeover: what this process has heard itself, and
-// otherwise what the others say. One that says nothing proves nothing.
-func TestTold(t *testing.T) {
+// What tells a cold start from a failover: what this process has heard itself, and
+// otherwise what the peers say. One that says nothing proves nothing.
+func TestBeginningIsToldApart(t *testing.T) {
 	at := 100 * time.Second
 	led := func(ago, lasted time.Duration, f leadership.FleetKnowledge) leadership.LeaderRecord {
 		return leadership.LeaderRecord{Ever: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
@@ -291,7 +289,7 @@
 	}
 	for _, e := range s.TakeEffects() {
 		if _, asks := e.(effects.AskPreviousLeader); asks {
-			t.Error("the others are asked")
+			t.Error("the peers are asked")
 		}
 	}
 }
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -14,7 +14,7 @@
 	"bitternmoor/internal/settings"
 )
 
-// begun is the duty of a term that has read ten registered machines, and a job
+// begun is the component of a term that has read ten registered machines, and a job
 // that may have tasks on all of them.
 func begun(measures *cluster.Metrics) *Component {
 	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, ClockZeroMS: 1e6, Epoch: 7,
@@ -26,7 +26,7 @@
 		s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
 	d := New(s, 3)
-	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 is there twice, from a cleaning
+	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 is there twice, from a compaction
 		d.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))}})
 	}
 	d.Begin(12 * time.Second)
@@ -46,9 +46,9 @@
 	return list
 }
 
-// A takeover step by step: what each waited for, one entry in the end, and the
+// A failover step by step: what each waited for, one entry in the end, and the
 // histogram of the process.
-func TestStepByStep(t *testing.T) {
+func TestFailoverIsRecordedStepByStep(t *testing.T) {
 	var measures cluster.Metrics
 	d := begun(&measures)
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
@@ -99,7 +99,7 @@
 
 // Nothing waits for a start, or machines are never resolved: the account is
 // closed all the same, without the steps that did not come.
-func TestStepsThatDoNotCome(t *testing.T) {
+func TestAccountClosesWithoutMissingSteps(t *testing.T) {
 	d := begun(&cluster.Metrics{})
 	d.Tick(12*time.Second+maxAccountTime, true)
 	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != 2 {
@@ -126,9 +126,9 @@
 	}
 }
 
-// Cleaning keeps the records that are remembered, and those alone; one that
+// Compaction keeps the records that are remembered, and those alone; one that
 // cannot be read is said and left out.
-func TestCleaningKeepsTheLast(t *testing.T) {
+func TestCompactionKeepsTheLastRecords(t *testing.T) {
 	d := begun(&cluster.Metrics{})
 	for epoch := range 8 {
 		d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
