--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -212,7 +212,7 @@
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
 		after := (now - d.TermBegan).Round(10 * time.Millisecond)
-		d.LogMessage(effects.Info, "cold start: fleet settled",
+		d.LogMessage(effects.Info, "cold start: the picture is settled",
 			"epoch", d.Epoch, "heard", heard, "of", registered, "after", after.String())
 	}
 	d.account.tick(d, now, leaseValid)
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -56,7 +56,7 @@
 			d.Emit(effects.ReplyHeartbeat{To: request, Answer: effects.HeartbeatAnswer{Status: statusOK, Token: d.Token}})
 			return
 		}
-		d.LogMessage(effects.Info, "unknown machine reported", "machine", report.Machine)
+		d.LogMessage(effects.Info, "machine appeared unasked", "machine", report.Machine)
 	}
 	m.Address = report.Address
 	if !m.Durable && !m.Deleting {
@@ -206,7 +206,8 @@
 
 // redirect sends a worker to the controller that holds its shard.
 func (d *Component) redirect(request effects.RequestID, controller string) {
-	d.Emit(effects.ReplyHeartbeat{To: request, Answer: effects.HeartbeatAnswer{Status: statusMisdirected, Node: controller}})
+	answer := effects.HeartbeatAnswer{Status: statusMisdirected, Node: controller}
+	d.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
 }
 
 // replyWhenDurable answers at once, or keeps the answer for AnswerHeartbeats where the next
