--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -38,7 +38,7 @@
 	Elected       Step = iota // the leader's lease and the epoch are this controller's
 	LogRead                   // the whole log is read and replayed
 	FirstReport               // a registered machine has sent a heartbeat at the new token
-	Half                      // half of the registered machines are resolved
+	HalfResolved              // half of the registered machines are resolved
 	Ninety                    // 90 % of them are
 	Resolved                  // all of them are
 	FirstStart                // a task that this leader has started is on its machine
@@ -50,7 +50,7 @@
 	Elected:       "elected",
 	LogRead:       "log_read",
 	FirstReport:   "first_report",
-	Half:          "half_resolved",
+	HalfResolved:  "half_resolved",
 	Ninety:        "ninety_resolved",
 	Resolved:      "all_resolved",
 	FirstStart:    "first_start",
@@ -211,7 +211,7 @@
 func (d *Component) recordResolvedShare(now time.Duration) {
 	resolved := d.unresolvedAtStart - d.unresolvedNow
 	if resolved*2 >= d.unresolvedAtStart {
-		d.recordStep(Half, now)
+		d.recordStep(HalfResolved, now)
 	}
 	if resolved*10 >= d.unresolvedAtStart*9 {
 		d.recordStep(Ninety, now)
