--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -35,26 +35,26 @@
 
 // The steps, in their usual order.
 const (
-	Elected       Step = iota // the leader's lease and the epoch are this controller's
-	LogRead                   // the whole log is read and replayed
-	FirstReport               // a registered machine has sent a heartbeat at the new token
-	HalfResolved              // half of the registered machines are resolved
-	Ninety                    // 90 % of them are
-	Resolved                  // all of them are
-	FirstStart                // a task that this leader has started is on its machine
-	JobsUnblocked             // no job is blocked any more by what an unresolved machine may run
+	Elected        Step = iota // the leader's lease and the epoch are this controller's
+	LogRead                    // the whole log is read and replayed
+	FirstReport                // a registered machine has sent a heartbeat at the new token
+	HalfResolved               // half of the registered machines are resolved
+	NinetyResolved             // 90 % of them are
+	Resolved                   // all of them are
+	FirstStart                 // a task that this leader has started is on its machine
+	JobsUnblocked              // no job is blocked any more by what an unresolved machine may run
 	stepCount
 )
 
 var stepWords = [stepCount]string{
-	Elected:       "elected",
-	LogRead:       "log_read",
-	FirstReport:   "first_report",
-	HalfResolved:  "half_resolved",
-	Ninety:        "ninety_resolved",
-	Resolved:      "all_resolved",
-	FirstStart:    "first_start",
-	JobsUnblocked: "all_jobs_free",
+	Elected:        "elected",
+	LogRead:        "log_read",
+	FirstReport:    "first_report",
+	HalfResolved:   "half_resolved",
+	NinetyResolved: "ninety_resolved",
+	Resolved:       "all_resolved",
+	FirstStart:     "first_start",
+	JobsUnblocked:  "all_jobs_free",
 }
 
 func (s Step) String() string { return stepWords[s] }
@@ -214,7 +214,7 @@
 		d.recordStep(HalfResolved, now)
 	}
 	if resolved*10 >= d.unresolvedAtStart*9 {
-		d.recordStep(Ninety, now)
+		d.recordStep(NinetyResolved, now)
 	}
 	if d.unresolvedNow == 0 {
 		d.recordStep(Resolved, now)
