--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -40,7 +40,7 @@
 	FirstReport                // a registered machine has sent a heartbeat at the new token
 	HalfResolved               // half of the registered machines are resolved
 	NinetyResolved             // 90 % of them are
-	Resolved                   // all of them are
+	AllResolved                // all of them are
 	FirstStart                 // a task that this leader has started is on its machine
 	JobsUnblocked              // no job is blocked any more by what an unresolved machine may run
 	stepCount
@@ -52,7 +52,7 @@
 	FirstReport:    "first_report",
 	HalfResolved:   "half_resolved",
 	NinetyResolved: "ninety_resolved",
-	Resolved:       "all_resolved",
+	AllResolved:    "all_resolved",
 	FirstStart:     "first_start",
 	JobsUnblocked:  "all_jobs_free",
 }
@@ -217,7 +217,7 @@
 		d.recordStep(NinetyResolved, now)
 	}
 	if d.unresolvedNow == 0 {
-		d.recordStep(Resolved, now)
+		d.recordStep(AllResolved, now)
 	}
 }
 
