--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -37,7 +37,7 @@
 const (
 	Elected        Step = iota // the leader's lease and the epoch are this controller's
 	LogRead                    // the whole log is read and replayed
-	FirstReport                // a registered machine has sent a heartbeat at the new token
+	FirstHeartbeat             // a registered machine has sent a heartbeat at the new token
 	HalfResolved               // half of the registered machines are resolved
 	NinetyResolved             // 90 % of them are
 	AllResolved                // all of them are
@@ -49,7 +49,7 @@
 var stepWords = [stepCount]string{
 	Elected:        "elected",
 	LogRead:        "log_read",
-	FirstReport:    "first_report",
+	FirstHeartbeat: "first_report",
 	HalfResolved:   "half_resolved",
 	NinetyResolved: "ninety_resolved",
 	AllResolved:    "all_resolved",
@@ -229,7 +229,7 @@
 	switch e.Kind {
 	case cluster.HeartbeatApplied:
 		if e.Machine.Durable && e.Report.Token == e.Machine.Token {
-			d.recordStep(FirstReport, e.At)
+			d.recordStep(FirstHeartbeat, e.At)
 		}
 	case cluster.MachineResolved:
 		d.unresolvedNow--
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -77,7 +77,7 @@
 	if got.Machines != 10 || got.Jobs != 1 || got.HeldBack != 1 || got.SilentMS != 1000 || got.AtMS != 1e6+10e3 {
 		t.Errorf("written down is %+v", got)
 	}
-	for s, want := range map[Step]int64{Elected: 1, LogRead: 2, FirstReport: 3, HalfResolved: 7, NinetyResolved: 11, AllResolved: 12, FirstStart: 14, JobsUnblocked: 12} {
+	for s, want := range map[Step]int64{Elected: 1, LogRead: 2, FirstHeartbeat: 3, HalfResolved: 7, NinetyResolved: 11, AllResolved: 12, FirstStart: 14, JobsUnblocked: 12} {
 		if ms := got.After[s.String()]; ms != want*1000 {
 			t.Errorf("%v after %d ms, want %d s", s, ms, want)
 		}
