--- a/internal/leader/autoscaler/provisioner.go
+++ b/internal/leader/autoscaler/provisioner.go
@@ -162,8 +162,8 @@
 // Restore takes over a request of an earlier term that has no answer yet.
 func (b *Provisioner) Restore(r eventlog.Rental) { b.unanswered[r.Name] = r }
 
-// RequestedCPUs sums the processors of requests without an answer.
-func (b *Provisioner) RequestedCPUs(cpusOf func(typeName string) float64) float64 {
+// UnansweredCPUs sums the processors of requests without an answer.
+func (b *Provisioner) UnansweredCPUs(cpusOf func(typeName string) float64) float64 {
 	var sum float64
 	for _, r := range b.unanswered {
 		sum += cpusOf(r.Type) * float64(r.Count)
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -87,7 +87,7 @@
 			s.onDemand += m.Cap.CPUs()
 		}
 	}
-	s.total += d.provisioner.RequestedCPUs(func(typeName string) float64 {
+	s.total += d.provisioner.UnansweredCPUs(func(typeName string) float64 {
 		if i, ok := d.TypeNames.Lookup(typeName); ok && s.group.includesType(d.Types[i].GPUs) {
 			return d.Types[i].CPUs
 		}
