--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -156,7 +156,7 @@
 	}
 	resolvedBefore := m.Resolved
 	lookup := func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
-		return d.resolveTask(m, job, task, here)
+		return d.lookUpTask(m, job, task, here)
 	}
 	events, commands := m.ApplyStatus(now, report, m.Token, d.Reconciled, lookup)
 	if m.Resolved != resolvedBefore {
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -27,9 +27,9 @@
 	refusedStartPause = 2 * time.Second
 )
 
-// resolveTask returns what the leader knows of a task that a report shows on a machine. When
+// lookUpTask returns what the leader knows of a task that a report shows on a machine. When
 // the task is really there (here), a mere plan for it is cancelled.
-func (d *Component) resolveTask(m *workers.Machine, jobID uint64, task int, here bool) (workers.TaskRecord, bool) {
+func (d *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, here bool) (workers.TaskRecord, bool) {
 	j := d.Jobs.Find(jobID)
 	if j == nil {
 		// Leaders of the version in production tell users of an end while tasks still run.
