--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -19,11 +19,15 @@
 // Whatever share of the machines is silent for ever, in whatever zones, and whichever
 // controllers come and go: the census is settled after MaxSilenceAllowance at the latest, no sooner
 // than the share is heard or what is missing does not merely come late, and stays so.
-func TestCensusEnds(t *testing.T) {
+func TestCensusSettlesInBoundedTime(t *testing.T) {
 	early := 0
 	for seed := range uint64(500) {
 		r := rand.New(rand.NewPCG(seed, 3))
-		p := Params{Share: []float64{0, .5, .9, 1}[r.IntN(4)], Interval: time.Duration(1+r.IntN(5)) * time.Second, Peers: r.IntN(4)}
+		p := Params{
+			Share:    []float64{0, .5, .9, 1}[r.IntN(4)],
+			Interval: time.Duration(1+r.IntN(5)) * time.Second,
+			Peers:    r.IntN(4),
+		}
 		began := time.Duration(r.IntN(100)) * time.Second
 		var zones []int
 		for range 1 + r.IntN(4) {
@@ -114,7 +118,15 @@
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Deployment.Workers.ReportS = 2
 	cfg.Tunables.ColdListen, cfg.Tunables.ColdKept = 1, 3
-	start := cluster.TermStart{Cfg: cfg, ClockZeroMS: 1e6, Epoch: 7, LeaderMissedAt: 99 * time.Second, TermBegan: 100 * time.Second, Counts: &cluster.Counts{}, Metrics: &cluster.Metrics{}}
+	start := cluster.TermStart{
+		Cfg:            cfg,
+		ClockZeroMS:    1e6,
+		Epoch:          7,
+		LeaderMissedAt: 99 * time.Second,
+		TermBegan:      100 * time.Second,
+		Counts:         &cluster.Counts{},
+		Metrics:        &cluster.Metrics{},
+	}
 	change(&start, &cfg.Tunables)
 	s := cluster.New(start)
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
@@ -138,56 +150,64 @@
 		return leadership.LeaderRecord{Ever: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
 	}
 	none := leadership.LeaderRecord{}
+	noPeer := func(*Component) {}
+	noAnswer := func(d *Component) { d.Tick(at+2*time.Second, true) }
 	for _, c := range []struct {
 		name   string
 		before leadership.LeaderRecord
 		answer func(d *Component)
 		want   startKind
 	}{
-		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), func(*Component) {}, failoverStart},
-		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), func(*Component) {}, failoverStart},
-		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
-		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
-		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
-		{"it never did, and nobody answers", none, func(d *Component) { d.Tick(at+2*time.Second, true) }, coldStart},
-		{"the others have not answered yet", none, func(d *Component) { d.PeerLed(at, "n1", none, true) }, undecided},
-		{"nor did the others", none, func(d *Component) {
+		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), noPeer, failoverStart},
+		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnsaid), noPeer, failoverStart},
+		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnsaid), noAnswer, coldStart},
+		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), noAnswer, coldStart},
+		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), noAnswer, coldStart},
+		{"it never did, and nobody answers", none, noAnswer, coldStart},
+		{"the peers have not answered yet", none, func(d *Component) { d.PeerLed(at, "n1", none, true) }, undecided},
+		{"nor did the peers", none, func(d *Component) {
 			d.PeerLed(at, "n1", none, true)
 			d.PeerLed(at, "n2", none, false)
 		}, coldStart},
-		{"another one did", none, func(d *Component) {
+		{"a peer did", none, func(d *Component) {
 			d.PeerLed(at, "n1", none, true)
 			d.PeerLed(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, failoverStart},
-		{"another one did, long ago", none, func(d *Component) {
+		{"a peer did, long ago", none, func(d *Component) {
 			d.PeerLed(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
 			d.PeerLed(at, "n2", none, true)
 		}, coldStart},
-		{"another one heard one that was listening", none, func(d *Component) {
+		{"a peer heard one that was listening", none, func(d *Component) {
 			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.FleetListening), true)
 			d.PeerLed(at, "n2", none, true)
 		}, coldStart},
-		{"it met a leader for a moment, another one knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Component) {
+		{"it met a leader for a moment, a peer knows it", led(2*time.Second, 0, leadership.FleetUnsaid), func(d *Component) {
 			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, failoverStart},
 	} {
-		d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.PreviousLeader = c.before })
-		if c.answer(d); d.kind != c.want {
-			t.Errorf("%s: %v, want %v", c.name, d.kind, c.want)
-		}
-		if open := d.kind == failoverStart; d.Permits(at, cluster.Rent) != open || d.Permits(at, cluster.Return) != open || d.Permits(at, cluster.Preempt) != open || d.Permits(at, cluster.Move) != open {
-			t.Errorf("%s: it may rent: %v", c.name, !open)
-		}
-		if !d.Permits(at, cluster.StartAgain) || !d.Permits(at, cluster.Delete) {
-			t.Errorf("%s: what is proved must not wait", c.name)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.PreviousLeader = c.before })
+			c.answer(d)
+			if d.kind != c.want {
+				t.Errorf("kind is %v, want %v", d.kind, c.want)
+			}
+			open := d.kind == failoverStart
+			for _, action := range []cluster.Action{cluster.Rent, cluster.Return, cluster.Preempt, cluster.Move} {
+				if got := d.Permits(at, action); got != open {
+					t.Errorf("%v is permitted: %v, want %v", action, got, open)
+				}
+			}
+			if !d.Permits(at, cluster.StartAgain) || !d.Permits(at, cluster.Delete) {
+				t.Error("what is proved must not wait")
+			}
+		})
 	}
 }
 
 // The account: work that comes back by being seen, done, and started again; orders, and
 // which of them turned out to be needless; one entry in the end, which the next leaders
 // remember.
-func TestAccount(t *testing.T) {
+func TestAccountCountsRecoveryAndNeedlessActions(t *testing.T) {
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	j, all := d.Jobs.Find(1), d.Inventory.All()
@@ -235,7 +255,8 @@
 		t.Fatalf("%s: %v", raw, err)
 	}
 	r := list[0]
-	if r.Machines != 10 || r.Jobs != 1 || r.SettledMS != 4000 || r.HalfMS != 1000 || r.NinetyMS != 3000 || r.BackMS != 10000 {
+	if r.Machines != 10 || r.Jobs != 1 || r.SettledMS != 4000 ||
+		r.HalfMS != 1000 || r.NinetyMS != 3000 || r.BackMS != 10000 {
 		t.Errorf("%+v", r)
 	}
 	if fmt.Sprint(r.Orders) != "map[delete:1 preempt:1 rent:2 return:3 start_again:2 start_new:1]" {
@@ -265,10 +286,11 @@
 	}
 }
 
-// Work that is cancelled is back when its job leaves, not at the beginning.
-func TestCancelledWorkIsBack(t *testing.T) {
+// Work that is cancelled is recovered when its job leaves, not at the beginning.
+func TestCancelledWorkIsRecoveredWhenItsJobLeaves(t *testing.T) {
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
-	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
+	heard := d.Inventory.All()[0]
+	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: heard, Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.Find(1)})
 	if d.account.current.BackMS != 7000 || !d.account.allRecovered() {
 		t.Errorf("back after %d ms", d.account.current.BackMS)
@@ -277,7 +299,7 @@
 
 // Where nothing was left behind there is nothing to listen to: the very first start of an
 // installation rents at once.
-func TestFirstStart(t *testing.T) {
+func TestFirstStartOfAnInstallationIsNoColdStart(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}}
 	cfg.Tunables.ColdListen = 1
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -17,8 +17,16 @@
 // begun is the component of a term that has read ten registered machines, and a job
 // that may have tasks on all of them.
 func begun(measures *cluster.Metrics) *Component {
-	s := cluster.New(cluster.TermStart{Cfg: &settings.Settings{Tunables: settings.Defaults()}, ClockZeroMS: 1e6, Epoch: 7,
-		LastLeaderHeard: 9 * time.Second, LeaderMissedAt: 10 * time.Second, TermBegan: 11 * time.Second, Counts: &cluster.Counts{}, Metrics: measures})
+	s := cluster.New(cluster.TermStart{
+		Cfg:             &settings.Settings{Tunables: settings.Defaults()},
+		ClockZeroMS:     1e6,
+		Epoch:           7,
+		LastLeaderHeard: 9 * time.Second,
+		LeaderMissedAt:  10 * time.Second,
+		TermBegan:       11 * time.Second,
+		Counts:          &cluster.Counts{},
+		Metrics:         measures,
+	})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
 	j.Phase, j.Earlier, j.UnresolvedMachines = 2, true, 10
@@ -27,12 +35,19 @@
 	}
 	d := New(s, 3)
 	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 is there twice, from a compaction
-		d.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))}})
+		d.Replay(0, entryWith(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))
 	}
 	d.Begin(12 * time.Second)
 	return d
 }
 
+// entryWith is an entry of the component with a record as JSON.
+func entryWith(format string, args ...any) eventlog.Entry {
+	data := json.RawMessage(fmt.Sprintf(format, args...))
+	return eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: data}}
+}
+
+// shown is what operators see.
 func shown(t *testing.T, d *Component) []Record {
 	t.Helper()
 	raw, err := d.Show(0, "")
@@ -54,7 +69,8 @@
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	all := d.Inventory.All()
 	for i, m := range all {
-		d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: at(13 + i), Machine: m, Report: &workers.Report{Token: m.Token}})
+		report := &workers.Report{Token: m.Token}
+		d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: at(13 + i), Machine: m, Report: report})
 		m.Resolved = true
 		d.Jobs.Find(1).UnresolvedMachines--
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
@@ -77,7 +93,17 @@
 	if got.Machines != 10 || got.Jobs != 1 || got.HeldBack != 1 || got.SilentMS != 1000 || got.AtMS != 1e6+10e3 {
 		t.Errorf("written down is %+v", got)
 	}
-	for s, want := range map[Step]int64{Elected: 1, LogRead: 2, FirstHeartbeat: 3, HalfResolved: 7, NinetyResolved: 11, AllResolved: 12, FirstStart: 14, JobsUnblocked: 12} {
+	wantSeconds := map[Step]int64{
+		Elected:        1,
+		LogRead:        2,
+		FirstHeartbeat: 3,
+		HalfResolved:   7,
+		NinetyResolved: 11,
+		AllResolved:    12,
+		FirstStart:     14,
+		JobsUnblocked:  12,
+	}
+	for s, want := range wantSeconds {
 		if ms := got.After[s.String()]; ms != want*1000 {
 			t.Errorf("%v after %d ms, want %d s", s, ms, want)
 		}
@@ -110,7 +136,8 @@
 		m.Resolved = true
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
 	}
-	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 14 * time.Second, Machine: d.Inventory.All()[0], Report: &workers.Report{}})
+	first := d.Inventory.All()[0]
+	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 14 * time.Second, Machine: first, Report: &workers.Report{}})
 	d.Jobs.Find(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
 	if d.EventLog.Pending() != 0 {
@@ -131,14 +158,18 @@
 func TestCompactionKeepsTheLastRecords(t *testing.T) {
 	d := begun(&cluster.Metrics{})
 	for epoch := range 8 {
-		d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(fmt.Sprintf(`{"e":%d}`, epoch))}})
+		d.Compact(0, entryWith(`{"e":%d}`, epoch))
 	}
 	if n := d.EventLog.Pending(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
 	d.TakeEffects()
-	d.Compact(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`{"e":"x"}`)}})
-	if out := d.TakeEffects(); len(out) != 1 || !strings.Contains(out[0].(effects.LogMessage).Message, "cannot be read") || d.EventLog.Pending() != 3 {
-		t.Errorf("said: %+v", out)
+	d.Compact(0, entryWith(`{"e":"x"}`))
+	out := d.TakeEffects()
+	if len(out) != 1 || !strings.Contains(out[0].(effects.LogMessage).Message, "cannot be read") {
+		t.Errorf("logged: %+v", out)
+	}
+	if n := d.EventLog.Pending(); n != 3 {
+		t.Errorf("%d records were kept after one that cannot be read, want 3", n)
 	}
 }
