--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -70,8 +70,8 @@
 
 // Elector is the state machine of one node.
 type Elector struct {
-	node string
-	life time.Duration
+	node     string
+	leaseTTL time.Duration
 	// Doubt: a follower that has heard nothing of a leader for so long asks the state
 	// service, besides its watch, which says nothing while it is cut off. 0: never.
 	SilenceLimit time.Duration
@@ -108,7 +108,9 @@
 }
 
 // NewElector makes a node's core; life is that of the hold.
-func NewElector(node string, life time.Duration) *Elector { return &Elector{node: node, life: life} }
+func NewElector(node string, life time.Duration) *Elector {
+	return &Elector{node: node, leaseTTL: life}
+}
 
 // Role is the node's role; a leader may be unsure, see Sure.
 func (c *Elector) Role() Role { return c.role }
@@ -205,7 +207,7 @@
 func (c *Elector) Tick(now time.Duration) []Request {
 	var out []Request
 	if c.role == Leader {
-		if c.renewing == nil && now-c.renewed >= c.life/5 && now >= c.nextTry {
+		if c.renewing == nil && now-c.renewed >= c.leaseTTL/5 && now >= c.nextTry {
 			o := c.order(RenewLease)
 			c.renewing = &call{o.Sequence, now}
 			out = append(out, o)
@@ -385,7 +387,7 @@
 }
 
 func (c *Elector) extend(sent time.Duration) {
-	until := sent + time.Duration(float64(c.life)*(1-drift)) - margin
+	until := sent + time.Duration(float64(c.leaseTTL)*(1-drift)) - margin
 	c.sure = max(c.sure, until)
 }
 
