--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -76,14 +76,14 @@
 	// service, besides its watch, which says nothing while it is cut off. 0: never.
 	SilenceLimit time.Duration
 
-	role    Role
-	view    View
-	known   bool // view has been read at least once
-	epoch   uint64
-	mark    uint64 // version of the epoch key in our term
-	hold    uint64
-	sure    time.Duration // until when nobody else can lead
-	renewed time.Duration
+	role      Role
+	view      View
+	viewKnown bool // view has been read at least once
+	epoch     uint64
+	mark      uint64 // version of the epoch key in our term
+	hold      uint64
+	sure      time.Duration // until when nobody else can lead
+	renewed   time.Duration
 
 	seq      uint64
 	reading  *call
@@ -138,7 +138,7 @@
 
 // Watching says whether a change of the keys would be noticed at once: they were
 // read, and a watch is open since.
-func (c *Elector) Watching() bool { return c.known && c.watching != nil }
+func (c *Elector) Watching() bool { return c.viewKnown && c.watching != nil }
 
 // unserved is for how long the state service must not have answered a node that asks it.
 const unserved = 3 * time.Second
@@ -213,14 +213,14 @@
 			out = append(out, o)
 		}
 	}
-	if c.reading == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.known || (c.watching == nil && c.role != Candidate)) {
-		if !c.known || c.role != Leader {
+	if c.reading == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watching == nil && c.role != Candidate)) {
+		if !c.viewKnown || c.role != Leader {
 			o := c.order(ReadKeys)
 			c.reading = &call{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
-	if c.role == Leader && c.watching == nil && c.known && now >= c.nextRead {
+	if c.role == Leader && c.watching == nil && c.viewKnown && now >= c.nextRead {
 		o := c.order(WatchKeys)
 		c.watching = &call{o.Sequence, now}
 		out = append(out, o)
@@ -239,7 +239,7 @@
 		return nil
 	}
 	c.served = now
-	c.known = true
+	c.viewKnown = true
 	c.view = v
 	if v.Holder != nil {
 		c.heard(now, v.Holder.Epoch)
@@ -397,7 +397,7 @@
 	c.hold, c.renewing = 0, nil
 	c.view.Holder = nil
 	c.sure = 0
-	c.known = false
+	c.viewKnown = false
 	c.nextRead, c.nextTry = now, now
 }
 
@@ -406,5 +406,5 @@
 	c.hold = 0
 	c.nextRead = now + retry/3
 	c.nextTry = now
-	c.known = false
+	c.viewKnown = false
 }
