--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -76,14 +76,14 @@
 	// service, besides its watch, which says nothing while it is cut off. 0: never.
 	SilenceLimit time.Duration
 
-	role      Role
-	view      View
-	viewKnown bool // view has been read at least once
-	epoch     uint64
-	mark      uint64 // version of the epoch key in our term
-	hold      uint64
-	sure      time.Duration // until when nobody else can lead
-	renewed   time.Duration
+	role         Role
+	view         View
+	viewKnown    bool // view has been read at least once
+	epoch        uint64
+	epochVersion uint64 // version of the epoch key in our term
+	hold         uint64
+	sure         time.Duration // until when nobody else can lead
+	renewed      time.Duration
 
 	seq      uint64
 	reading  *call
@@ -119,7 +119,7 @@
 func (c *Elector) Epoch() uint64 { return c.epoch }
 
 // EpochVersion is the version of the epoch key that our term's writes demand.
-func (c *Elector) EpochVersion() uint64 { return c.mark }
+func (c *Elector) EpochVersion() uint64 { return c.epochVersion }
 
 // LeaseValid says whether no other node can be leading. The time is counted from
 // when the last renewal that succeeded was sent: a hold never ends early.
@@ -320,7 +320,7 @@
 	}
 	c.role = Leader
 	c.epoch = c.view.Epoch + 1
-	c.mark = mark
+	c.epochVersion = mark
 	c.view.Epoch, c.view.EpochVersion, c.view.Revision = c.epoch, mark, mark
 	c.view.Holder = &LeaseHolder{c.node, c.epoch}
 	c.renewed = sent
