--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -81,7 +81,7 @@
 	viewKnown    bool // view has been read at least once
 	epoch        uint64
 	epochVersion uint64 // version of the epoch key in our term
-	hold         uint64
+	leaseID      uint64
 	sure         time.Duration // until when nobody else can lead
 	renewed      time.Duration
 
@@ -200,7 +200,7 @@
 
 func (c *Elector) order(a Action) Request {
 	c.seq++
-	return Request{Action: a, Sequence: c.seq, LeaseID: c.hold, View: c.view, Revision: c.view.Revision}
+	return Request{Action: a, Sequence: c.seq, LeaseID: c.leaseID, View: c.view, Revision: c.view.Revision}
 }
 
 // Tick returns what is due.
@@ -298,7 +298,7 @@
 		c.fallBack(now)
 		return nil
 	}
-	c.hold = hold
+	c.leaseID = hold
 	o := c.order(ClaimLeadership)
 	c.election = &call{o.Sequence, sent} // sureness counts from the hold's making
 	return []Request{o}
@@ -394,7 +394,7 @@
 func (c *Elector) stepDown(now time.Duration) {
 	c.role = Follower
 	c.heard(now, c.epoch)
-	c.hold, c.renewing = 0, nil
+	c.leaseID, c.renewing = 0, nil
 	c.view.Holder = nil
 	c.sure = 0
 	c.viewKnown = false
@@ -403,7 +403,7 @@
 
 func (c *Elector) fallBack(now time.Duration) {
 	c.role = Follower
-	c.hold = 0
+	c.leaseID = 0
 	c.nextRead = now + retry/3
 	c.nextTry = now
 	c.viewKnown = false
