--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -76,14 +76,14 @@
 	// service, besides its watch, which says nothing while it is cut off. 0: never.
 	SilenceLimit time.Duration
 
-	role         Role
-	view         View
-	viewKnown    bool // view has been read at least once
-	epoch        uint64
-	epochVersion uint64 // version of the epoch key in our term
-	leaseID      uint64
-	sure         time.Duration // until when nobody else can lead
-	renewed      time.Duration
+	role            Role
+	view            View
+	viewKnown       bool // view has been read at least once
+	epoch           uint64
+	epochVersion    uint64 // version of the epoch key in our term
+	leaseID         uint64
+	leaseValidUntil time.Duration // until when nobody else can lead
+	renewed         time.Duration
 
 	seq      uint64
 	reading  *call
@@ -123,7 +123,9 @@
 
 // LeaseValid says whether no other node can be leading. The time is counted from
 // when the last renewal that succeeded was sent: a hold never ends early.
-func (c *Elector) LeaseValid(now time.Duration) bool { return c.role == Leader && now < c.sure }
+func (c *Elector) LeaseValid(now time.Duration) bool {
+	return c.role == Leader && now < c.leaseValidUntil
+}
 
 // LeaderName is the node that holds the key as last seen, or empty.
 func (c *Elector) LeaderName() string {
@@ -388,7 +390,7 @@
 
 func (c *Elector) extend(sent time.Duration) {
 	until := sent + time.Duration(float64(c.leaseTTL)*(1-drift)) - margin
-	c.sure = max(c.sure, until)
+	c.leaseValidUntil = max(c.leaseValidUntil, until)
 }
 
 func (c *Elector) stepDown(now time.Duration) {
@@ -396,7 +398,7 @@
 	c.heard(now, c.epoch)
 	c.leaseID, c.renewing = 0, nil
 	c.view.Holder = nil
-	c.sure = 0
+	c.leaseValidUntil = 0
 	c.viewKnown = false
 	c.nextRead, c.nextTry = now, now
 }
