--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -83,7 +83,7 @@
 	epochVersion    uint64 // version of the epoch key in our term
 	leaseID         uint64
 	leaseValidUntil time.Duration // until when nobody else can lead
-	renewed         time.Duration
+	renewalSentAt   time.Duration
 
 	seq      uint64
 	reading  *call
@@ -209,7 +209,7 @@
 func (c *Elector) Tick(now time.Duration) []Request {
 	var out []Request
 	if c.role == Leader {
-		if c.renewing == nil && now-c.renewed >= c.leaseTTL/5 && now >= c.nextTry {
+		if c.renewing == nil && now-c.renewalSentAt >= c.leaseTTL/5 && now >= c.nextTry {
 			o := c.order(RenewLease)
 			c.renewing = &call{o.Sequence, now}
 			out = append(out, o)
@@ -325,7 +325,7 @@
 	c.epochVersion = mark
 	c.view.Epoch, c.view.EpochVersion, c.view.Revision = c.epoch, mark, mark
 	c.view.Holder = &LeaseHolder{c.node, c.epoch}
-	c.renewed = sent
+	c.renewalSentAt = sent
 	c.extend(sent)
 	return nil
 }
@@ -341,7 +341,7 @@
 	case gone:
 		c.stepDown(now)
 	case ok:
-		c.renewed = sent
+		c.renewalSentAt = sent
 		c.extend(sent)
 	default:
 		c.nextTry = now + retry/2
