--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -85,7 +85,7 @@
 	leaseValidUntil time.Duration // until when nobody else can lead
 	renewalSentAt   time.Duration
 
-	seq      uint64
+	sequence uint64
 	reading  *call
 	watching *call
 	election *call
@@ -201,8 +201,8 @@
 func (c *Elector) HighestEpoch() uint64 { return max(c.epoch, c.view.Epoch) }
 
 func (c *Elector) order(a Action) Request {
-	c.seq++
-	return Request{Action: a, Sequence: c.seq, LeaseID: c.leaseID, View: c.view, Revision: c.view.Revision}
+	c.sequence++
+	return Request{Action: a, Sequence: c.sequence, LeaseID: c.leaseID, View: c.view, Revision: c.view.Revision}
 }
 
 // Tick returns what is due.
