--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -86,7 +86,7 @@
 	renewalSentAt   time.Duration
 
 	sequence uint64
-	reading  *call
+	readCall *call
 	watching *call
 	election *call
 	renewing *call
@@ -215,10 +215,10 @@
 			out = append(out, o)
 		}
 	}
-	if c.reading == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watching == nil && c.role != Candidate)) {
+	if c.readCall == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watching == nil && c.role != Candidate)) {
 		if !c.viewKnown || c.role != Leader {
 			o := c.order(ReadKeys)
-			c.reading = &call{o.Sequence, now}
+			c.readCall = &call{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
@@ -232,10 +232,10 @@
 
 // KeysRead takes the result of Read.
 func (c *Elector) KeysRead(now time.Duration, seq uint64, ok bool, v View) []Request {
-	if c.reading == nil || c.reading.seq != seq {
+	if c.readCall == nil || c.readCall.seq != seq {
 		return nil
 	}
-	c.reading = nil
+	c.readCall = nil
 	if !ok {
 		c.nextRead = now + retry
 		return nil
@@ -281,9 +281,9 @@
 		c.nextRead = now + idle
 		return nil
 	}
-	if c.reading == nil && c.election == nil {
+	if c.readCall == nil && c.election == nil {
 		o := c.order(ReadKeys)
-		c.reading = &call{o.Sequence, now}
+		c.readCall = &call{o.Sequence, now}
 		return []Request{o}
 	}
 	return nil
