--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -85,13 +85,13 @@
 	leaseValidUntil time.Duration // until when nobody else can lead
 	renewalSentAt   time.Duration
 
-	sequence uint64
-	readCall *call
-	watching *call
-	election *call
-	renewing *call
-	nextRead time.Duration
-	nextTry  time.Duration
+	sequence  uint64
+	readCall  *call
+	watchCall *call
+	election  *call
+	renewing  *call
+	nextRead  time.Duration
+	nextTry   time.Duration
 
 	served time.Duration // when the state service last answered
 	led    time.Duration // when a leader was last heard of, 0: never
@@ -140,7 +140,7 @@
 
 // Watching says whether a change of the keys would be noticed at once: they were
 // read, and a watch is open since.
-func (c *Elector) Watching() bool { return c.viewKnown && c.watching != nil }
+func (c *Elector) Watching() bool { return c.viewKnown && c.watchCall != nil }
 
 // unserved is for how long the state service must not have answered a node that asks it.
 const unserved = 3 * time.Second
@@ -215,16 +215,16 @@
 			out = append(out, o)
 		}
 	}
-	if c.readCall == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watching == nil && c.role != Candidate)) {
+	if c.readCall == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
 		if !c.viewKnown || c.role != Leader {
 			o := c.order(ReadKeys)
 			c.readCall = &call{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
-	if c.role == Leader && c.watching == nil && c.viewKnown && now >= c.nextRead {
+	if c.role == Leader && c.watchCall == nil && c.viewKnown && now >= c.nextRead {
 		o := c.order(WatchKeys)
-		c.watching = &call{o.Sequence, now}
+		c.watchCall = &call{o.Sequence, now}
 		out = append(out, o)
 	}
 	return out
@@ -260,9 +260,9 @@
 		c.election = &call{o.Sequence, now}
 		return []Request{o}
 	}
-	if c.watching == nil {
+	if c.watchCall == nil {
 		o := c.order(WatchKeys)
-		c.watching = &call{o.Sequence, now}
+		c.watchCall = &call{o.Sequence, now}
 		return []Request{o}
 	}
 	return nil
@@ -270,10 +270,10 @@
 
 // WatchEnded takes the result of Watch: something changed, or the time ran out.
 func (c *Elector) WatchEnded(now time.Duration, seq uint64, ok bool) []Request {
-	if c.watching == nil || c.watching.seq != seq {
+	if c.watchCall == nil || c.watchCall.seq != seq {
 		return nil
 	}
-	c.watching = nil
+	c.watchCall = nil
 	if ok {
 		c.served = now
 	}
