--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -85,13 +85,13 @@
 	leaseValidUntil time.Duration // until when nobody else can lead
 	renewalSentAt   time.Duration
 
-	sequence  uint64
-	readCall  *call
-	watchCall *call
-	election  *call
-	renewing  *call
-	nextRead  time.Duration
-	nextTry   time.Duration
+	sequence     uint64
+	readCall     *call
+	watchCall    *call
+	electionCall *call
+	renewing     *call
+	nextRead     time.Duration
+	nextTry      time.Duration
 
 	served time.Duration // when the state service last answered
 	led    time.Duration // when a leader was last heard of, 0: never
@@ -215,7 +215,7 @@
 			out = append(out, o)
 		}
 	}
-	if c.readCall == nil && c.election == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
+	if c.readCall == nil && c.electionCall == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
 		if !c.viewKnown || c.role != Leader {
 			o := c.order(ReadKeys)
 			c.readCall = &call{o.Sequence, now}
@@ -257,7 +257,7 @@
 	if v.Holder == nil && now >= c.nextTry {
 		c.role = Candidate
 		o := c.order(CreateLease)
-		c.election = &call{o.Sequence, now}
+		c.electionCall = &call{o.Sequence, now}
 		return []Request{o}
 	}
 	if c.watchCall == nil {
@@ -281,7 +281,7 @@
 		c.nextRead = now + idle
 		return nil
 	}
-	if c.readCall == nil && c.election == nil {
+	if c.readCall == nil && c.electionCall == nil {
 		o := c.order(ReadKeys)
 		c.readCall = &call{o.Sequence, now}
 		return []Request{o}
@@ -291,18 +291,18 @@
 
 // LeaseCreated takes the result of Hold.
 func (c *Elector) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) []Request {
-	if c.election == nil || c.election.seq != seq {
+	if c.electionCall == nil || c.electionCall.seq != seq {
 		return nil
 	}
-	sent := c.election.sent
-	c.election = nil
+	sent := c.electionCall.sent
+	c.electionCall = nil
 	if !ok {
 		c.fallBack(now)
 		return nil
 	}
 	c.leaseID = hold
 	o := c.order(ClaimLeadership)
-	c.election = &call{o.Sequence, sent} // sureness counts from the hold's making
+	c.electionCall = &call{o.Sequence, sent} // sureness counts from the hold's making
 	return []Request{o}
 }
 
@@ -310,11 +310,11 @@
 // unanswered claim counts as failed: should it be applied yet, the hold that
 // is given back takes the key along.
 func (c *Elector) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) []Request {
-	if c.election == nil || c.election.seq != seq {
+	if c.electionCall == nil || c.electionCall.seq != seq {
 		return nil
 	}
-	sent := c.election.sent
-	c.election = nil
+	sent := c.electionCall.sent
+	c.electionCall = nil
 	if !ok {
 		o := c.order(ReleaseLease)
 		c.fallBack(now)
