--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -89,7 +89,7 @@
 	readCall     *call
 	watchCall    *call
 	electionCall *call
-	renewing     *call
+	renewalCall  *call
 	nextRead     time.Duration
 	nextTry      time.Duration
 
@@ -209,9 +209,9 @@
 func (c *Elector) Tick(now time.Duration) []Request {
 	var out []Request
 	if c.role == Leader {
-		if c.renewing == nil && now-c.renewalSentAt >= c.leaseTTL/5 && now >= c.nextTry {
+		if c.renewalCall == nil && now-c.renewalSentAt >= c.leaseTTL/5 && now >= c.nextTry {
 			o := c.order(RenewLease)
-			c.renewing = &call{o.Sequence, now}
+			c.renewalCall = &call{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
@@ -332,11 +332,11 @@
 
 // LeaseRenewed takes the result of Renew; gone means the hold has ended.
 func (c *Elector) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) []Request {
-	if c.renewing == nil || c.renewing.seq != seq || c.role != Leader {
+	if c.renewalCall == nil || c.renewalCall.seq != seq || c.role != Leader {
 		return nil
 	}
-	sent := c.renewing.sent
-	c.renewing = nil
+	sent := c.renewalCall.sent
+	c.renewalCall = nil
 	switch {
 	case gone:
 		c.stepDown(now)
@@ -396,7 +396,7 @@
 func (c *Elector) stepDown(now time.Duration) {
 	c.role = Follower
 	c.heard(now, c.epoch)
-	c.leaseID, c.renewing = 0, nil
+	c.leaseID, c.renewalCall = 0, nil
 	c.view.Holder = nil
 	c.leaseValidUntil = 0
 	c.viewKnown = false
