--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -90,7 +90,7 @@
 	watchCall    *call
 	electionCall *call
 	renewalCall  *call
-	nextRead     time.Duration
+	nextReadAt   time.Duration
 	nextTry      time.Duration
 
 	served time.Duration // when the state service last answered
@@ -215,14 +215,14 @@
 			out = append(out, o)
 		}
 	}
-	if c.readCall == nil && c.electionCall == nil && now >= c.nextRead && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
+	if c.readCall == nil && c.electionCall == nil && now >= c.nextReadAt && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
 		if !c.viewKnown || c.role != Leader {
 			o := c.order(ReadKeys)
 			c.readCall = &call{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
-	if c.role == Leader && c.watchCall == nil && c.viewKnown && now >= c.nextRead {
+	if c.role == Leader && c.watchCall == nil && c.viewKnown && now >= c.nextReadAt {
 		o := c.order(WatchKeys)
 		c.watchCall = &call{o.Sequence, now}
 		out = append(out, o)
@@ -237,7 +237,7 @@
 	}
 	c.readCall = nil
 	if !ok {
-		c.nextRead = now + retry
+		c.nextReadAt = now + retry
 		return nil
 	}
 	c.served = now
@@ -278,7 +278,7 @@
 		c.served = now
 	}
 	if !ok {
-		c.nextRead = now + idle
+		c.nextReadAt = now + idle
 		return nil
 	}
 	if c.readCall == nil && c.electionCall == nil {
@@ -400,13 +400,13 @@
 	c.view.Holder = nil
 	c.leaseValidUntil = 0
 	c.viewKnown = false
-	c.nextRead, c.nextTry = now, now
+	c.nextReadAt, c.nextTry = now, now
 }
 
 func (c *Elector) fallBack(now time.Duration) {
 	c.role = Follower
 	c.leaseID = 0
-	c.nextRead = now + retry/3
+	c.nextReadAt = now + retry/3
 	c.nextTry = now
 	c.viewKnown = false
 }
