--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -85,13 +85,13 @@
 	leaseValidUntil time.Duration // until when nobody else can lead
 	renewalSentAt   time.Duration
 
-	sequence     uint64
-	readCall     *call
-	watchCall    *call
-	electionCall *call
-	renewalCall  *call
-	nextReadAt   time.Duration
-	nextTry      time.Duration
+	sequence      uint64
+	readCall      *call
+	watchCall     *call
+	electionCall  *call
+	renewalCall   *call
+	nextReadAt    time.Duration
+	nextAttemptAt time.Duration
 
 	served time.Duration // when the state service last answered
 	led    time.Duration // when a leader was last heard of, 0: never
@@ -209,7 +209,7 @@
 func (c *Elector) Tick(now time.Duration) []Request {
 	var out []Request
 	if c.role == Leader {
-		if c.renewalCall == nil && now-c.renewalSentAt >= c.leaseTTL/5 && now >= c.nextTry {
+		if c.renewalCall == nil && now-c.renewalSentAt >= c.leaseTTL/5 && now >= c.nextAttemptAt {
 			o := c.order(RenewLease)
 			c.renewalCall = &call{o.Sequence, now}
 			out = append(out, o)
@@ -254,7 +254,7 @@
 		}
 		return nil
 	}
-	if v.Holder == nil && now >= c.nextTry {
+	if v.Holder == nil && now >= c.nextAttemptAt {
 		c.role = Candidate
 		o := c.order(CreateLease)
 		c.electionCall = &call{o.Sequence, now}
@@ -344,7 +344,7 @@
 		c.renewalSentAt = sent
 		c.extend(sent)
 	default:
-		c.nextTry = now + retry/2
+		c.nextAttemptAt = now + retry/2
 	}
 	return nil
 }
@@ -384,7 +384,7 @@
 	}
 	o := c.order(ReleaseLease)
 	c.stepDown(now)
-	c.nextTry = now + pause // it is for the others to lead
+	c.nextAttemptAt = now + pause // it is for the others to lead
 	return []Request{o}
 }
 
@@ -400,13 +400,13 @@
 	c.view.Holder = nil
 	c.leaseValidUntil = 0
 	c.viewKnown = false
-	c.nextReadAt, c.nextTry = now, now
+	c.nextReadAt, c.nextAttemptAt = now, now
 }
 
 func (c *Elector) fallBack(now time.Duration) {
 	c.role = Follower
 	c.leaseID = 0
 	c.nextReadAt = now + retry/3
-	c.nextTry = now
+	c.nextAttemptAt = now
 	c.viewKnown = false
 }
