--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -93,13 +93,13 @@
 	nextReadAt    time.Duration
 	nextAttemptAt time.Duration
 
-	served time.Duration // when the state service last answered
-	led    time.Duration // when a leader was last heard of, 0: never
-	ledIn  uint64        // its epoch
-	last   LeaderRecord  // the leader of that epoch
-	before LeaderRecord  // and of the one before it
-	vacant time.Duration // since when nobody has led, as far as this node saw
-	empty  bool
+	serviceAnsweredAt time.Duration // when the state service last answered
+	led               time.Duration // when a leader was last heard of, 0: never
+	ledIn             uint64        // its epoch
+	last              LeaderRecord  // the leader of that epoch
+	before            LeaderRecord  // and of the one before it
+	vacant            time.Duration // since when nobody has led, as far as this node saw
+	empty             bool
 }
 
 type call struct {
@@ -147,15 +147,17 @@
 
 // StateServiceAnswers says whether the state service has answered lately. It means something only
 // where nothing was heard of a leader for Doubt: until then the node merely watches.
-func (c *Elector) StateServiceAnswers(now time.Duration) bool { return now-c.served < unserved }
+func (c *Elector) StateServiceAnswers(now time.Duration) bool {
+	return now-c.serviceAnsweredAt < unserved
+}
 
 // StateServiceAnsweredAt is when it answered last.
-func (c *Elector) StateServiceAnsweredAt() time.Duration { return c.served }
+func (c *Elector) StateServiceAnsweredAt() time.Duration { return c.serviceAnsweredAt }
 
 // inDoubt says whether a follower should ask instead of waiting for its watch: nothing was
 // heard of the leader for a while, nor of the state service.
 func (c *Elector) inDoubt(now time.Duration) bool {
-	return c.SilenceLimit > 0 && c.role == Follower && c.led > 0 && now-c.led >= c.SilenceLimit && now-c.served >= unserved/2
+	return c.SilenceLimit > 0 && c.role == Follower && c.led > 0 && now-c.led >= c.SilenceLimit && now-c.serviceAnsweredAt >= unserved/2
 }
 
 // WithoutLeader is when this node last heard of another leader, 0 if it never did, and
@@ -240,7 +242,7 @@
 		c.nextReadAt = now + retry
 		return nil
 	}
-	c.served = now
+	c.serviceAnsweredAt = now
 	c.viewKnown = true
 	c.view = v
 	if v.Holder != nil {
@@ -275,7 +277,7 @@
 	}
 	c.watchCall = nil
 	if ok {
-		c.served = now
+		c.serviceAnsweredAt = now
 	}
 	if !ok {
 		c.nextReadAt = now + idle
