--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -94,7 +94,7 @@
 	nextAttemptAt time.Duration
 
 	serviceAnsweredAt time.Duration // when the state service last answered
-	led               time.Duration // when a leader was last heard of, 0: never
+	leaderSeenAt      time.Duration // when a leader was last heard of, 0: never
 	ledIn             uint64        // its epoch
 	last              LeaderRecord  // the leader of that epoch
 	before            LeaderRecord  // and of the one before it
@@ -157,19 +157,19 @@
 // inDoubt says whether a follower should ask instead of waiting for its watch: nothing was
 // heard of the leader for a while, nor of the state service.
 func (c *Elector) inDoubt(now time.Duration) bool {
-	return c.SilenceLimit > 0 && c.role == Follower && c.led > 0 && now-c.led >= c.SilenceLimit && now-c.serviceAnsweredAt >= unserved/2
+	return c.SilenceLimit > 0 && c.role == Follower && c.leaderSeenAt > 0 && now-c.leaderSeenAt >= c.SilenceLimit && now-c.serviceAnsweredAt >= unserved/2
 }
 
 // WithoutLeader is when this node last heard of another leader, 0 if it never did, and
 // since when it has seen that nobody leads. A new leader asks for it.
-func (c *Elector) WithoutLeader() (led, since time.Duration) { return c.led, c.vacant }
+func (c *Elector) WithoutLeader() (led, since time.Duration) { return c.leaderSeenAt, c.vacant }
 
 // heard notes that somebody leads, or led until now.
 func (c *Elector) heard(now time.Duration, epoch uint64) {
 	if epoch != c.ledIn {
 		c.before, c.last, c.ledIn = c.last, LeaderRecord{Ever: true, Since: now}, epoch
 	}
-	c.led, c.empty = now, false
+	c.leaderSeenAt, c.empty = now, false
 	c.last.Until = now
 }
 
