--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -95,7 +95,7 @@
 
 	serviceAnsweredAt time.Duration // when the state service last answered
 	leaderSeenAt      time.Duration // when a leader was last heard of, 0: never
-	ledIn             uint64        // its epoch
+	leaderSeenEpoch   uint64        // its epoch
 	last              LeaderRecord  // the leader of that epoch
 	before            LeaderRecord  // and of the one before it
 	vacant            time.Duration // since when nobody has led, as far as this node saw
@@ -166,8 +166,8 @@
 
 // heard notes that somebody leads, or led until now.
 func (c *Elector) heard(now time.Duration, epoch uint64) {
-	if epoch != c.ledIn {
-		c.before, c.last, c.ledIn = c.last, LeaderRecord{Ever: true, Since: now}, epoch
+	if epoch != c.leaderSeenEpoch {
+		c.before, c.last, c.leaderSeenEpoch = c.last, LeaderRecord{Ever: true, Since: now}, epoch
 	}
 	c.leaderSeenAt, c.empty = now, false
 	c.last.Until = now
@@ -193,7 +193,7 @@
 
 // PreviousLeader is what this node knows of the last leader of an epoch before the given one.
 func (c *Elector) PreviousLeader(epoch uint64) LeaderRecord {
-	if c.ledIn >= epoch {
+	if c.leaderSeenEpoch >= epoch {
 		return c.before
 	}
 	return c.last
