--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -96,7 +96,7 @@
 	serviceAnsweredAt time.Duration // when the state service last answered
 	leaderSeenAt      time.Duration // when a leader was last heard of, 0: never
 	leaderSeenEpoch   uint64        // its epoch
-	last              LeaderRecord  // the leader of that epoch
+	lastLeader        LeaderRecord  // the leader of that epoch
 	before            LeaderRecord  // and of the one before it
 	vacant            time.Duration // since when nobody has led, as far as this node saw
 	empty             bool
@@ -167,10 +167,10 @@
 // heard notes that somebody leads, or led until now.
 func (c *Elector) heard(now time.Duration, epoch uint64) {
 	if epoch != c.leaderSeenEpoch {
-		c.before, c.last, c.leaderSeenEpoch = c.last, LeaderRecord{Ever: true, Since: now}, epoch
+		c.before, c.lastLeader, c.leaderSeenEpoch = c.lastLeader, LeaderRecord{Ever: true, Since: now}, epoch
 	}
 	c.leaderSeenAt, c.empty = now, false
-	c.last.Until = now
+	c.lastLeader.Until = now
 }
 
 // FleetKnowledge is what a leader says of itself: whether it knows what its machines do.
@@ -196,7 +196,7 @@
 	if c.leaderSeenEpoch >= epoch {
 		return c.before
 	}
-	return c.last
+	return c.lastLeader
 }
 
 // HighestEpoch gives the highest epoch known.
@@ -366,7 +366,7 @@
 	}
 	if c.role == Follower {
 		c.heard(now, epoch)
-		c.last.Fleet = fleet
+		c.lastLeader.Fleet = fleet
 		c.view.Epoch = epoch
 		c.view.Holder = &LeaseHolder{node, epoch}
 	}
