--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -97,7 +97,7 @@
 	leaderSeenAt      time.Duration // when a leader was last heard of, 0: never
 	leaderSeenEpoch   uint64        // its epoch
 	lastLeader        LeaderRecord  // the leader of that epoch
-	before            LeaderRecord  // and of the one before it
+	priorLeader       LeaderRecord  // and of the one before it
 	vacant            time.Duration // since when nobody has led, as far as this node saw
 	empty             bool
 }
@@ -167,7 +167,7 @@
 // heard notes that somebody leads, or led until now.
 func (c *Elector) heard(now time.Duration, epoch uint64) {
 	if epoch != c.leaderSeenEpoch {
-		c.before, c.lastLeader, c.leaderSeenEpoch = c.lastLeader, LeaderRecord{Ever: true, Since: now}, epoch
+		c.priorLeader, c.lastLeader, c.leaderSeenEpoch = c.lastLeader, LeaderRecord{Ever: true, Since: now}, epoch
 	}
 	c.leaderSeenAt, c.empty = now, false
 	c.lastLeader.Until = now
@@ -194,7 +194,7 @@
 // PreviousLeader is what this node knows of the last leader of an epoch before the given one.
 func (c *Elector) PreviousLeader(epoch uint64) LeaderRecord {
 	if c.leaderSeenEpoch >= epoch {
-		return c.before
+		return c.priorLeader
 	}
 	return c.lastLeader
 }
