--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -98,7 +98,7 @@
 	leaderSeenEpoch   uint64        // its epoch
 	lastLeader        LeaderRecord  // the leader of that epoch
 	priorLeader       LeaderRecord  // and of the one before it
-	vacant            time.Duration // since when nobody has led, as far as this node saw
+	leaderlessSince   time.Duration // since when nobody has led, as far as this node saw
 	empty             bool
 }
 
@@ -162,7 +162,9 @@
 
 // WithoutLeader is when this node last heard of another leader, 0 if it never did, and
 // since when it has seen that nobody leads. A new leader asks for it.
-func (c *Elector) WithoutLeader() (led, since time.Duration) { return c.leaderSeenAt, c.vacant }
+func (c *Elector) WithoutLeader() (led, since time.Duration) {
+	return c.leaderSeenAt, c.leaderlessSince
+}
 
 // heard notes that somebody leads, or led until now.
 func (c *Elector) heard(now time.Duration, epoch uint64) {
@@ -248,7 +250,7 @@
 	if v.Holder != nil {
 		c.heard(now, v.Holder.Epoch)
 	} else if !c.empty {
-		c.vacant, c.empty = now, true
+		c.leaderlessSince, c.empty = now, true
 	}
 	if c.role == Leader {
 		if v.Epoch != c.epoch {
