--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -99,7 +99,7 @@
 	lastLeader        LeaderRecord  // the leader of that epoch
 	priorLeader       LeaderRecord  // and of the one before it
 	leaderlessSince   time.Duration // since when nobody has led, as far as this node saw
-	empty             bool
+	leaderless        bool
 }
 
 type call struct {
@@ -171,7 +171,7 @@
 	if epoch != c.leaderSeenEpoch {
 		c.priorLeader, c.lastLeader, c.leaderSeenEpoch = c.lastLeader, LeaderRecord{Ever: true, Since: now}, epoch
 	}
-	c.leaderSeenAt, c.empty = now, false
+	c.leaderSeenAt, c.leaderless = now, false
 	c.lastLeader.Until = now
 }
 
@@ -249,8 +249,8 @@
 	c.view = v
 	if v.Holder != nil {
 		c.heard(now, v.Holder.Epoch)
-	} else if !c.empty {
-		c.leaderlessSince, c.empty = now, true
+	} else if !c.leaderless {
+		c.leaderlessSince, c.leaderless = now, true
 	}
 	if c.role == Leader {
 		if v.Epoch != c.epoch {
