--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -86,10 +86,10 @@
 	renewalSentAt   time.Duration
 
 	sequence      uint64
-	readCall      *call
-	watchCall     *call
-	electionCall  *call
-	renewalCall   *call
+	readCall      *pendingCall
+	watchCall     *pendingCall
+	electionCall  *pendingCall
+	renewalCall   *pendingCall
 	nextReadAt    time.Duration
 	nextAttemptAt time.Duration
 
@@ -102,7 +102,7 @@
 	leaderless        bool
 }
 
-type call struct {
+type pendingCall struct {
 	seq  uint64
 	sent time.Duration
 }
@@ -215,20 +215,20 @@
 	if c.role == Leader {
 		if c.renewalCall == nil && now-c.renewalSentAt >= c.leaseTTL/5 && now >= c.nextAttemptAt {
 			o := c.order(RenewLease)
-			c.renewalCall = &call{o.Sequence, now}
+			c.renewalCall = &pendingCall{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
 	if c.readCall == nil && c.electionCall == nil && now >= c.nextReadAt && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
 		if !c.viewKnown || c.role != Leader {
 			o := c.order(ReadKeys)
-			c.readCall = &call{o.Sequence, now}
+			c.readCall = &pendingCall{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
 	if c.role == Leader && c.watchCall == nil && c.viewKnown && now >= c.nextReadAt {
 		o := c.order(WatchKeys)
-		c.watchCall = &call{o.Sequence, now}
+		c.watchCall = &pendingCall{o.Sequence, now}
 		out = append(out, o)
 	}
 	return out
@@ -261,12 +261,12 @@
 	if v.Holder == nil && now >= c.nextAttemptAt {
 		c.role = Candidate
 		o := c.order(CreateLease)
-		c.electionCall = &call{o.Sequence, now}
+		c.electionCall = &pendingCall{o.Sequence, now}
 		return []Request{o}
 	}
 	if c.watchCall == nil {
 		o := c.order(WatchKeys)
-		c.watchCall = &call{o.Sequence, now}
+		c.watchCall = &pendingCall{o.Sequence, now}
 		return []Request{o}
 	}
 	return nil
@@ -287,7 +287,7 @@
 	}
 	if c.readCall == nil && c.electionCall == nil {
 		o := c.order(ReadKeys)
-		c.readCall = &call{o.Sequence, now}
+		c.readCall = &pendingCall{o.Sequence, now}
 		return []Request{o}
 	}
 	return nil
@@ -306,7 +306,7 @@
 	}
 	c.leaseID = hold
 	o := c.order(ClaimLeadership)
-	c.electionCall = &call{o.Sequence, sent} // sureness counts from the hold's making
+	c.electionCall = &pendingCall{o.Sequence, sent} // sureness counts from the hold's making
 	return []Request{o}
 }
 
