--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -204,7 +204,7 @@
 // HighestEpoch gives the highest epoch known.
 func (c *Elector) HighestEpoch() uint64 { return max(c.epoch, c.view.Epoch) }
 
-func (c *Elector) order(a Action) Request {
+func (c *Elector) newRequest(a Action) Request {
 	c.sequence++
 	return Request{Action: a, Sequence: c.sequence, LeaseID: c.leaseID, View: c.view, Revision: c.view.Revision}
 }
@@ -214,20 +214,20 @@
 	var out []Request
 	if c.role == Leader {
 		if c.renewalCall == nil && now-c.renewalSentAt >= c.leaseTTL/5 && now >= c.nextAttemptAt {
-			o := c.order(RenewLease)
+			o := c.newRequest(RenewLease)
 			c.renewalCall = &pendingCall{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
 	if c.readCall == nil && c.electionCall == nil && now >= c.nextReadAt && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
 		if !c.viewKnown || c.role != Leader {
-			o := c.order(ReadKeys)
+			o := c.newRequest(ReadKeys)
 			c.readCall = &pendingCall{o.Sequence, now}
 			out = append(out, o)
 		}
 	}
 	if c.role == Leader && c.watchCall == nil && c.viewKnown && now >= c.nextReadAt {
-		o := c.order(WatchKeys)
+		o := c.newRequest(WatchKeys)
 		c.watchCall = &pendingCall{o.Sequence, now}
 		out = append(out, o)
 	}
@@ -260,12 +260,12 @@
 	}
 	if v.Holder == nil && now >= c.nextAttemptAt {
 		c.role = Candidate
-		o := c.order(CreateLease)
+		o := c.newRequest(CreateLease)
 		c.electionCall = &pendingCall{o.Sequence, now}
 		return []Request{o}
 	}
 	if c.watchCall == nil {
-		o := c.order(WatchKeys)
+		o := c.newRequest(WatchKeys)
 		c.watchCall = &pendingCall{o.Sequence, now}
 		return []Request{o}
 	}
@@ -286,7 +286,7 @@
 		return nil
 	}
 	if c.readCall == nil && c.electionCall == nil {
-		o := c.order(ReadKeys)
+		o := c.newRequest(ReadKeys)
 		c.readCall = &pendingCall{o.Sequence, now}
 		return []Request{o}
 	}
@@ -305,7 +305,7 @@
 		return nil
 	}
 	c.leaseID = hold
-	o := c.order(ClaimLeadership)
+	o := c.newRequest(ClaimLeadership)
 	c.electionCall = &pendingCall{o.Sequence, sent} // sureness counts from the hold's making
 	return []Request{o}
 }
@@ -320,7 +320,7 @@
 	sent := c.electionCall.sent
 	c.electionCall = nil
 	if !ok {
-		o := c.order(ReleaseLease)
+		o := c.newRequest(ReleaseLease)
 		c.fallBack(now)
 		return []Request{o}
 	}
@@ -386,7 +386,7 @@
 	if c.role != Leader {
 		return nil
 	}
-	o := c.order(ReleaseLease)
+	o := c.newRequest(ReleaseLease)
 	c.stepDown(now)
 	c.nextAttemptAt = now + pause // it is for the others to lead
 	return []Request{o}
