--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -154,9 +154,9 @@
 // StateServiceAnsweredAt is when it answered last.
 func (c *Elector) StateServiceAnsweredAt() time.Duration { return c.serviceAnsweredAt }
 
-// inDoubt says whether a follower should ask instead of waiting for its watch: nothing was
+// leaderSilent says whether a follower should ask instead of waiting for its watch: nothing was
 // heard of the leader for a while, nor of the state service.
-func (c *Elector) inDoubt(now time.Duration) bool {
+func (c *Elector) leaderSilent(now time.Duration) bool {
 	return c.SilenceLimit > 0 && c.role == Follower && c.leaderSeenAt > 0 && now-c.leaderSeenAt >= c.SilenceLimit && now-c.serviceAnsweredAt >= unserved/2
 }
 
@@ -219,7 +219,7 @@
 			out = append(out, o)
 		}
 	}
-	if c.readCall == nil && c.electionCall == nil && now >= c.nextReadAt && (c.inDoubt(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
+	if c.readCall == nil && c.electionCall == nil && now >= c.nextReadAt && (c.leaderSilent(now) || !c.viewKnown || (c.watchCall == nil && c.role != Candidate)) {
 		if !c.viewKnown || c.role != Leader {
 			o := c.newRequest(ReadKeys)
 			c.readCall = &pendingCall{o.Sequence, now}
