--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -166,8 +166,8 @@
 	return c.leaderSeenAt, c.leaderlessSince
 }
 
-// heard notes that somebody leads, or led until now.
-func (c *Elector) heard(now time.Duration, epoch uint64) {
+// recordLeader notes that somebody leads, or led until now.
+func (c *Elector) recordLeader(now time.Duration, epoch uint64) {
 	if epoch != c.leaderSeenEpoch {
 		c.priorLeader, c.lastLeader, c.leaderSeenEpoch = c.lastLeader, LeaderRecord{Ever: true, Since: now}, epoch
 	}
@@ -248,7 +248,7 @@
 	c.viewKnown = true
 	c.view = v
 	if v.Holder != nil {
-		c.heard(now, v.Holder.Epoch)
+		c.recordLeader(now, v.Holder.Epoch)
 	} else if !c.leaderless {
 		c.leaderlessSince, c.leaderless = now, true
 	}
@@ -367,7 +367,7 @@
 		c.stepDown(now)
 	}
 	if c.role == Follower {
-		c.heard(now, epoch)
+		c.recordLeader(now, epoch)
 		c.lastLeader.Fleet = fleet
 		c.view.Epoch = epoch
 		c.view.Holder = &LeaseHolder{node, epoch}
@@ -399,7 +399,7 @@
 
 func (c *Elector) stepDown(now time.Duration) {
 	c.role = Follower
-	c.heard(now, c.epoch)
+	c.recordLeader(now, c.epoch)
 	c.leaseID, c.renewalCall = 0, nil
 	c.view.Holder = nil
 	c.leaseValidUntil = 0
