--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -330,7 +330,7 @@
 	c.view.Epoch, c.view.EpochVersion, c.view.Revision = c.epoch, mark, mark
 	c.view.Holder = &LeaseHolder{c.node, c.epoch}
 	c.renewalSentAt = sent
-	c.extend(sent)
+	c.extendLease(sent)
 	return nil
 }
 
@@ -346,7 +346,7 @@
 		c.stepDown(now)
 	case ok:
 		c.renewalSentAt = sent
-		c.extend(sent)
+		c.extendLease(sent)
 	default:
 		c.nextAttemptAt = now + retry/2
 	}
@@ -392,7 +392,7 @@
 	return []Request{o}
 }
 
-func (c *Elector) extend(sent time.Duration) {
+func (c *Elector) extendLease(sent time.Duration) {
 	until := sent + time.Duration(float64(c.leaseTTL)*(1-drift)) - margin
 	c.leaseValidUntil = max(c.leaseValidUntil, until)
 }
