--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -301,7 +301,7 @@
 	sent := c.electionCall.sent
 	c.electionCall = nil
 	if !ok {
-		c.fallBack(now)
+		c.abandonElection(now)
 		return nil
 	}
 	c.leaseID = hold
@@ -321,7 +321,7 @@
 	c.electionCall = nil
 	if !ok {
 		o := c.newRequest(ReleaseLease)
-		c.fallBack(now)
+		c.abandonElection(now)
 		return []Request{o}
 	}
 	c.role = Leader
@@ -407,7 +407,7 @@
 	c.nextReadAt, c.nextAttemptAt = now, now
 }
 
-func (c *Elector) fallBack(now time.Duration) {
+func (c *Elector) abandonElection(now time.Duration) {
 	c.role = Follower
 	c.leaseID = 0
 	c.nextReadAt = now + retry/3
