--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -62,10 +62,10 @@
 )
 
 const (
-	retry  = 300 * time.Millisecond
-	drift  = 0.001 // twice what two steady clocks may drift apart
-	margin = 60 * time.Millisecond
-	idle   = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
+	retryDelay = 300 * time.Millisecond
+	drift      = 0.001 // twice what two steady clocks may drift apart
+	margin     = 60 * time.Millisecond
+	idle       = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
 )
 
 // Elector is the state machine of one node.
@@ -241,7 +241,7 @@
 	}
 	c.readCall = nil
 	if !ok {
-		c.nextReadAt = now + retry
+		c.nextReadAt = now + retryDelay
 		return nil
 	}
 	c.serviceAnsweredAt = now
@@ -348,7 +348,7 @@
 		c.renewalSentAt = sent
 		c.extendLease(sent)
 	default:
-		c.nextAttemptAt = now + retry/2
+		c.nextAttemptAt = now + retryDelay/2
 	}
 	return nil
 }
@@ -410,7 +410,7 @@
 func (c *Elector) abandonElection(now time.Duration) {
 	c.role = Follower
 	c.leaseID = 0
-	c.nextReadAt = now + retry/3
+	c.nextReadAt = now + retryDelay/3
 	c.nextAttemptAt = now
 	c.viewKnown = false
 }
