--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -62,10 +62,10 @@
 )
 
 const (
-	retryDelay = 300 * time.Millisecond
-	drift      = 0.001 // twice what two steady clocks may drift apart
-	margin     = 60 * time.Millisecond
-	idle       = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
+	retryDelay    = 300 * time.Millisecond
+	maxClockDrift = 0.001 // twice what two steady clocks may drift apart
+	margin        = 60 * time.Millisecond
+	idle          = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
 )
 
 // Elector is the state machine of one node.
@@ -393,7 +393,7 @@
 }
 
 func (c *Elector) extendLease(sent time.Duration) {
-	until := sent + time.Duration(float64(c.leaseTTL)*(1-drift)) - margin
+	until := sent + time.Duration(float64(c.leaseTTL)*(1-maxClockDrift)) - margin
 	c.leaseValidUntil = max(c.leaseValidUntil, until)
 }
 
