--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -64,7 +64,7 @@
 const (
 	retryDelay    = 300 * time.Millisecond
 	maxClockDrift = 0.001 // twice what two steady clocks may drift apart
-	margin        = 60 * time.Millisecond
+	leaseMargin   = 60 * time.Millisecond
 	idle          = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
 )
 
@@ -393,7 +393,7 @@
 }
 
 func (c *Elector) extendLease(sent time.Duration) {
-	until := sent + time.Duration(float64(c.leaseTTL)*(1-maxClockDrift)) - margin
+	until := sent + time.Duration(float64(c.leaseTTL)*(1-maxClockDrift)) - leaseMargin
 	c.leaseValidUntil = max(c.leaseValidUntil, until)
 }
 
