--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -62,10 +62,10 @@
 )
 
 const (
-	retryDelay    = 300 * time.Millisecond
-	maxClockDrift = 0.001 // twice what two steady clocks may drift apart
-	leaseMargin   = 60 * time.Millisecond
-	idle          = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
+	retryDelay      = 300 * time.Millisecond
+	maxClockDrift   = 0.001 // twice what two steady clocks may drift apart
+	leaseMargin     = 60 * time.Millisecond
+	watchRetryDelay = 400 * time.Millisecond // a watcher reads anew this long after a change was missed
 )
 
 // Elector is the state machine of one node.
@@ -282,7 +282,7 @@
 		c.serviceAnsweredAt = now
 	}
 	if !ok {
-		c.nextReadAt = now + idle
+		c.nextReadAt = now + watchRetryDelay
 		return nil
 	}
 	if c.readCall == nil && c.electionCall == nil {
