--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -143,12 +143,12 @@
 func (c *Elector) Watching() bool { return c.viewKnown && c.watchCall != nil }
 
 // unserved is for how long the state service must not have answered a node that asks it.
-const unserved = 3 * time.Second
+const serviceSilenceLimit = 3 * time.Second
 
 // StateServiceAnswers says whether the state service has answered lately. It means something only
 // where nothing was heard of a leader for Doubt: until then the node merely watches.
 func (c *Elector) StateServiceAnswers(now time.Duration) bool {
-	return now-c.serviceAnsweredAt < unserved
+	return now-c.serviceAnsweredAt < serviceSilenceLimit
 }
 
 // StateServiceAnsweredAt is when it answered last.
@@ -157,7 +157,7 @@
 // leaderSilent says whether a follower should ask instead of waiting for its watch: nothing was
 // heard of the leader for a while, nor of the state service.
 func (c *Elector) leaderSilent(now time.Duration) bool {
-	return c.SilenceLimit > 0 && c.role == Follower && c.leaderSeenAt > 0 && now-c.leaderSeenAt >= c.SilenceLimit && now-c.serviceAnsweredAt >= unserved/2
+	return c.SilenceLimit > 0 && c.role == Follower && c.leaderSeenAt > 0 && now-c.leaderSeenAt >= c.SilenceLimit && now-c.serviceAnsweredAt >= serviceSilenceLimit/2
 }
 
 // WithoutLeader is when this node last heard of another leader, 0 if it never did, and
