--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -80,7 +80,7 @@
 	segment  int    // number of the open segment
 	mark     uint64 // its version; 0 while it does not exist
 	body     []byte // its entries, comma separated, as committed or in flight
-	pending  []pend
+	pending  []pendingEntry
 	queued   int // bytes of the pending entries
 	inflight *flight
 	readBack bool
@@ -101,13 +101,13 @@
 	appended, settled int // entries so far, and those of them that are durable
 }
 
-type pend struct {
+type pendingEntry struct {
 	raw   []byte
 	fact  *Entry // to be told once it is durable; nil: nobody waits for that
 	value *Write // a value of its own that goes into the same transaction
 }
 
-func (p *pend) bytes() int {
+func (p *pendingEntry) bytes() int {
 	if p.value == nil {
 		return len(p.raw)
 	}
@@ -175,7 +175,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("ledger: an entry that cannot be written: %v", err)) // no entry holds such a value
 	}
-	l.pending = append(l.pending, pend{raw, fact, value})
+	l.pending = append(l.pending, pendingEntry{raw, fact, value})
 	l.queued += len(raw) + 1
 	l.appended++
 }
@@ -447,7 +447,7 @@
 	for i := range l.pending {
 		if p := &l.pending[i]; p.value != nil {
 			l.queued -= len(p.raw)
-			*p = pend{raw: []byte(`{"f":{}}`)}
+			*p = pendingEntry{raw: []byte(`{"f":{}}`)}
 			l.queued += len(p.raw)
 		}
 	}
