--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -82,7 +82,7 @@
 	body     []byte // its entries, comma separated, as committed or in flight
 	pending  []pendingEntry
 	queued   int // bytes of the pending entries
-	inflight *flight
+	inflight *inflightCommit
 	readBack bool
 	seq      uint64
 
@@ -114,7 +114,7 @@
 	return len(p.raw) + len(p.value.Value)
 }
 
-type flight struct {
+type inflightCommit struct {
 	txn      Transaction
 	segments []segment
 	count    int // pending entries in it
@@ -277,7 +277,7 @@
 	if len(l.pending) == 0 && len(l.sizes) == 0 && len(l.drops) == 0 {
 		return nil
 	}
-	f := &flight{list: l.list}
+	f := &inflightCommit{list: l.list}
 	cur := segment{l.segment, bytes.Clone(l.body)}
 	total := len(cur.body)
 	ops := 1
@@ -455,7 +455,7 @@
 
 // giveUp takes back a transaction that was not executed, or may be executed a
 // second time: its entries are still pending.
-func (l *Log) giveUp(f *flight) {
+func (l *Log) giveUp(f *inflightCommit) {
 	l.drops = append(l.drops, f.drops...)
 	if f.list == l.list { // otherwise a newer one has come
 		l.sizes = append(f.sizes, l.sizes...)
@@ -463,7 +463,7 @@
 	l.inflight = nil
 }
 
-func (l *Log) applied(f *flight, mark uint64) []Entry {
+func (l *Log) applied(f *inflightCommit, mark uint64) []Entry {
 	l.fails = 0
 	l.inflight = nil
 	if f.list == l.list && len(f.sizes) > 0 && len(l.sizes) == 0 {
