--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -73,7 +73,7 @@
 
 // Log is the write side, held by the leader during its term.
 type Log struct {
-	lim       Limits
+	limits    Limits
 	epochKey  string
 	epochMark uint64
 
@@ -134,7 +134,7 @@
 // is how many pieces of virtual sizes were found: those that its own lists do
 // not reach are removed with the first of them.
 func NewLog(lim Limits, epochKey string, epochMark uint64, last, sizes int) *Log {
-	return &Log{lim: lim, epochKey: epochKey, epochMark: epochMark, segment: last + 1, tokens: 1, sizeCount: sizes}
+	return &Log{limits: lim, epochKey: epochKey, epochMark: epochMark, segment: last + 1, tokens: 1, sizeCount: sizes}
 }
 
 // SegmentKey is the key of a segment.
@@ -193,7 +193,7 @@
 	return err == nil && len(raw) <= l.room()
 }
 
-func (l *Log) room() int { return l.lim.ValueBytes - 64 }
+func (l *Log) room() int { return l.limits.ValueBytes - 64 }
 
 // LastSegment is the number of the open segment.
 func (l *Log) LastSegment() int { return l.segment }
@@ -258,7 +258,7 @@
 
 // NextTransaction returns the transaction to send now, if any.
 func (l *Log) NextTransaction(now time.Duration) *Transaction {
-	rate := l.lim.WriteRPS * openShare
+	rate := l.limits.WriteRPS * openShare
 	l.tokens = min(max(2, rate/2), l.tokens+(now-l.at).Seconds()*rate)
 	l.at = now
 	if l.readBack || now < l.wait || l.tokens < 1 {
@@ -304,7 +304,7 @@
 				need++
 			}
 		}
-		if need > ops && (need > l.lim.TxnOps || float64(need) > l.tokens) {
+		if need > ops && (need > l.limits.TxnOps || float64(need) > l.tokens) {
 			break
 		}
 		ops = need
@@ -344,7 +344,7 @@
 	// under steady load there is never a change left over, and without one the
 	// log would never get shorter.
 	spare := func() bool {
-		return len(txn.Writes) < l.lim.TxnOps && float64(len(txn.Writes)+1) <= l.tokens+debt
+		return len(txn.Writes) < l.limits.TxnOps && float64(len(txn.Writes)+1) <= l.tokens+debt
 	}
 	for len(l.sizes) > 0 && spare() && total+len(l.sizes[0].Value) <= txnBytes {
 		total += len(l.sizes[0].Value)
@@ -420,11 +420,11 @@
 		// smaller values are tried in further segments. What may have been
 		// executed already, or is as small as can be, ends the term instead: the
 		// next one begins with what is really there.
-		if f.unsure || l.lim.ValueBytes <= leastBytes {
+		if f.unsure || l.limits.ValueBytes <= leastBytes {
 			return nil, Lost
 		}
-		l.lim.ValueBytes = max(leastBytes, l.lim.ValueBytes/2)
-		l.lim.TxnOps = max(2, l.lim.TxnOps/2)
+		l.limits.ValueBytes = max(leastBytes, l.limits.ValueBytes/2)
+		l.limits.TxnOps = max(2, l.limits.TxnOps/2)
 		l.sealed = len(l.body) > 0
 		l.list++ // the next one comes in smaller pieces
 		l.sizes = nil
--- a/internal/core/eventlog/ledger_test.go
+++ b/internal/core/eventlog/ledger_test.go
@@ -160,7 +160,7 @@
 	now, puts := time.Second, 0
 	small := lim
 	small.WriteRPS = 10
-	l.lim = small
+	l.limits = small
 	for n := range uint64(200) {
 		l.AppendTracked(cancel(n))
 	}
@@ -252,7 +252,7 @@
 		t.Error("a value that is too large is taken")
 	}
 	// Refused as too large after all: value and entry are left out, the others go on.
-	l.lim.ValueBytes = 4000
+	l.limits.ValueBytes = 4000
 	if !l.AppendWithValue(cancel(2), key, make(json.RawMessage, 3000)) {
 		t.Fatal("refused")
 	}
