--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -73,9 +73,9 @@
 
 // Log is the write side, held by the leader during its term.
 type Log struct {
-	limits    Limits
-	epochKey  string
-	epochMark uint64
+	limits       Limits
+	epochKey     string
+	epochVersion uint64
 
 	segment  int    // number of the open segment
 	mark     uint64 // its version; 0 while it does not exist
@@ -134,7 +134,7 @@
 // is how many pieces of virtual sizes were found: those that its own lists do
 // not reach are removed with the first of them.
 func NewLog(lim Limits, epochKey string, epochMark uint64, last, sizes int) *Log {
-	return &Log{limits: lim, epochKey: epochKey, epochMark: epochMark, segment: last + 1, tokens: 1, sizeCount: sizes}
+	return &Log{limits: lim, epochKey: epochKey, epochVersion: epochMark, segment: last + 1, tokens: 1, sizeCount: sizes}
 }
 
 // SegmentKey is the key of a segment.
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochMark}, {SegmentKey(l.segment), l.mark}}}
+	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.segment), l.mark}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
