--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -77,14 +77,14 @@
 	epochKey     string
 	epochVersion uint64
 
-	segment  int    // number of the open segment
-	mark     uint64 // its version; 0 while it does not exist
-	body     []byte // its entries, comma separated, as committed or in flight
-	pending  []pendingEntry
-	queued   int // bytes of the pending entries
-	inflight *inflightCommit
-	readBack bool
-	seq      uint64
+	openSegment int    // number of the open segment
+	mark        uint64 // its version; 0 while it does not exist
+	body        []byte // its entries, comma separated, as committed or in flight
+	pending     []pendingEntry
+	queued      int // bytes of the pending entries
+	inflight    *inflightCommit
+	readBack    bool
+	seq         uint64
 
 	tokens float64
 	at     time.Duration
@@ -134,7 +134,7 @@
 // is how many pieces of virtual sizes were found: those that its own lists do
 // not reach are removed with the first of them.
 func NewLog(lim Limits, epochKey string, epochMark uint64, last, sizes int) *Log {
-	return &Log{limits: lim, epochKey: epochKey, epochVersion: epochMark, segment: last + 1, tokens: 1, sizeCount: sizes}
+	return &Log{limits: lim, epochKey: epochKey, epochVersion: epochMark, openSegment: last + 1, tokens: 1, sizeCount: sizes}
 }
 
 // SegmentKey is the key of a segment.
@@ -196,7 +196,7 @@
 func (l *Log) room() int { return l.limits.ValueBytes - 64 }
 
 // LastSegment is the number of the open segment.
-func (l *Log) LastSegment() int { return l.segment }
+func (l *Log) LastSegment() int { return l.openSegment }
 
 // DropSegment removes a segment whose live entries are durable elsewhere.
 func (l *Log) DropSegment(n int) { l.drops = append(l.drops, SegmentKey(n)) }
@@ -278,7 +278,7 @@
 		return nil
 	}
 	f := &inflightCommit{list: l.list}
-	cur := segment{l.segment, bytes.Clone(l.body)}
+	cur := segment{l.openSegment, bytes.Clone(l.body)}
 	total := len(cur.body)
 	ops := 1
 	// Where a single change can be spent and not all goes into the open segment,
@@ -298,9 +298,9 @@
 			need++
 		}
 		full := len(cur.body) > 0 && len(cur.body)+1+len(p.raw) > l.room()
-		if full || (fresh && cur.number == l.segment) {
+		if full || (fresh && cur.number == l.openSegment) {
 			// A segment that stays as it is costs no change.
-			if cur.number != l.segment || len(cur.body) != len(l.body) {
+			if cur.number != l.openSegment || len(cur.body) != len(l.body) {
 				need++
 			}
 		}
@@ -308,7 +308,7 @@
 			break
 		}
 		ops = need
-		if full || (fresh && cur.number == l.segment) {
+		if full || (fresh && cur.number == l.openSegment) {
 			f.segments = append(f.segments, cur)
 			cur = segment{number: cur.number + 1}
 		}
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.segment), l.mark}}}
+	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.openSegment), l.mark}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
@@ -473,8 +473,8 @@
 		return nil
 	}
 	last := f.segments[len(f.segments)-1]
-	l.sealed = l.sealed && last.number == l.segment
-	l.segment, l.body, l.mark = last.number, last.body, mark
+	l.sealed = l.sealed && last.number == l.openSegment
+	l.openSegment, l.body, l.mark = last.number, last.body, mark
 	var facts []Entry
 	for _, p := range l.pending[:f.count] {
 		if p.fact != nil {
@@ -493,7 +493,7 @@
 	if l.inflight != nil {
 		return SegmentKey(l.inflight.segments[len(l.inflight.segments)-1].number)
 	}
-	return SegmentKey(l.segment)
+	return SegmentKey(l.openSegment)
 }
 
 // ReadBack settles an unknown outcome. It is called with the value of
