--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -78,7 +78,7 @@
 	epochVersion uint64
 
 	openSegment int    // number of the open segment
-	mark        uint64 // its version; 0 while it does not exist
+	openVersion uint64 // its version; 0 while it does not exist
 	body        []byte // its entries, comma separated, as committed or in flight
 	pending     []pendingEntry
 	queued      int // bytes of the pending entries
@@ -324,7 +324,7 @@
 	}
 	f.segments = append(f.segments, cur)
 	l.seq++
-	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.openSegment), l.mark}}}
+	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.openSegment), l.openVersion}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.body) {
@@ -474,7 +474,7 @@
 	}
 	last := f.segments[len(f.segments)-1]
 	l.sealed = l.sealed && last.number == l.openSegment
-	l.openSegment, l.body, l.mark = last.number, last.body, mark
+	l.openSegment, l.body, l.openVersion = last.number, last.body, mark
 	var facts []Entry
 	for _, p := range l.pending[:f.count] {
 		if p.fact != nil {
@@ -509,7 +509,7 @@
 	}
 	l.wait = now + 100*time.Millisecond
 	l.readBack = false
-	if read && mark != 0 && mark != l.mark && holds(value, f.segments[len(f.segments)-1].body) {
+	if read && mark != 0 && mark != l.openVersion && holds(value, f.segments[len(f.segments)-1].body) {
 		return l.applied(f, mark)
 	}
 	return nil
