--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -79,7 +79,7 @@
 
 	openSegment int    // number of the open segment
 	openVersion uint64 // its version; 0 while it does not exist
-	body        []byte // its entries, comma separated, as committed or in flight
+	openBody    []byte // its entries, comma separated, as committed or in flight
 	pending     []pendingEntry
 	queued      int // bytes of the pending entries
 	inflight    *inflightCommit
@@ -278,12 +278,12 @@
 		return nil
 	}
 	f := &inflightCommit{list: l.list}
-	cur := segment{l.openSegment, bytes.Clone(l.body)}
+	cur := segment{l.openSegment, bytes.Clone(l.openBody)}
 	total := len(cur.body)
 	ops := 1
 	// Where a single change can be spent and not all goes into the open segment,
 	// a new one takes more than what is left of one that is nearly full.
-	fresh := l.sealed || (l.tokens < 2 && len(l.body) > l.room()/2 && len(l.body)+l.queued > l.room())
+	fresh := l.sealed || (l.tokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.queued > l.room())
 	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
@@ -300,7 +300,7 @@
 		full := len(cur.body) > 0 && len(cur.body)+1+len(p.raw) > l.room()
 		if full || (fresh && cur.number == l.openSegment) {
 			// A segment that stays as it is costs no change.
-			if cur.number != l.openSegment || len(cur.body) != len(l.body) {
+			if cur.number != l.openSegment || len(cur.body) != len(l.openBody) {
 				need++
 			}
 		}
@@ -327,7 +327,7 @@
 	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.openSegment), l.openVersion}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
-			if i == 0 && len(s.body) == len(l.body) {
+			if i == 0 && len(s.body) == len(l.openBody) {
 				continue // the open segment was full: it stays as it is
 			}
 			if i > 0 {
@@ -425,7 +425,7 @@
 		}
 		l.limits.ValueBytes = max(leastBytes, l.limits.ValueBytes/2)
 		l.limits.TxnOps = max(2, l.limits.TxnOps/2)
-		l.sealed = len(l.body) > 0
+		l.sealed = len(l.openBody) > 0
 		l.list++ // the next one comes in smaller pieces
 		l.sizes = nil
 		l.giveUp(f)
@@ -474,7 +474,7 @@
 	}
 	last := f.segments[len(f.segments)-1]
 	l.sealed = l.sealed && last.number == l.openSegment
-	l.openSegment, l.body, l.openVersion = last.number, last.body, mark
+	l.openSegment, l.openBody, l.openVersion = last.number, last.body, mark
 	var facts []Entry
 	for _, p := range l.pending[:f.count] {
 		if p.fact != nil {
