--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -86,11 +86,11 @@
 	readBack    bool
 	seq         uint64
 
-	tokens float64
-	at     time.Duration
-	wait   time.Duration // no commit before this
-	fails  int
-	sealed bool // the open segment is larger than what may be written: it stays as it is
+	tokens     float64
+	at         time.Duration
+	wait       time.Duration // no commit before this
+	fails      int
+	openSealed bool // the open segment is larger than what may be written: it stays as it is
 
 	sizes     []Write  // pieces of the last list of virtual sizes that are not written yet
 	sizeCount int      // pieces that may be there
@@ -283,7 +283,7 @@
 	ops := 1
 	// Where a single change can be spent and not all goes into the open segment,
 	// a new one takes more than what is left of one that is nearly full.
-	fresh := l.sealed || (l.tokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.queued > l.room())
+	fresh := l.openSealed || (l.tokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.queued > l.room())
 	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
@@ -425,7 +425,7 @@
 		}
 		l.limits.ValueBytes = max(leastBytes, l.limits.ValueBytes/2)
 		l.limits.TxnOps = max(2, l.limits.TxnOps/2)
-		l.sealed = len(l.openBody) > 0
+		l.openSealed = len(l.openBody) > 0
 		l.list++ // the next one comes in smaller pieces
 		l.sizes = nil
 		l.giveUp(f)
@@ -473,7 +473,7 @@
 		return nil
 	}
 	last := f.segments[len(f.segments)-1]
-	l.sealed = l.sealed && last.number == l.openSegment
+	l.openSealed = l.openSealed && last.number == l.openSegment
 	l.openSegment, l.openBody, l.openVersion = last.number, last.body, mark
 	var facts []Entry
 	for _, p := range l.pending[:f.count] {
