--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -77,14 +77,14 @@
 	epochKey     string
 	epochVersion uint64
 
-	openSegment int    // number of the open segment
-	openVersion uint64 // its version; 0 while it does not exist
-	openBody    []byte // its entries, comma separated, as committed or in flight
-	pending     []pendingEntry
-	queued      int // bytes of the pending entries
-	inflight    *inflightCommit
-	readBack    bool
-	seq         uint64
+	openSegment  int    // number of the open segment
+	openVersion  uint64 // its version; 0 while it does not exist
+	openBody     []byte // its entries, comma separated, as committed or in flight
+	pending      []pendingEntry
+	pendingBytes int // bytes of the pending entries
+	inflight     *inflightCommit
+	readBack     bool
+	seq          uint64
 
 	tokens     float64
 	at         time.Duration
@@ -176,7 +176,7 @@
 		panic(fmt.Sprintf("ledger: an entry that cannot be written: %v", err)) // no entry holds such a value
 	}
 	l.pending = append(l.pending, pendingEntry{raw, fact, value})
-	l.queued += len(raw) + 1
+	l.pendingBytes += len(raw) + 1
 	l.appended++
 }
 
@@ -283,7 +283,7 @@
 	ops := 1
 	// Where a single change can be spent and not all goes into the open segment,
 	// a new one takes more than what is left of one that is nearly full.
-	fresh := l.openSealed || (l.tokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.queued > l.room())
+	fresh := l.openSealed || (l.tokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.pendingBytes > l.room())
 	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
@@ -446,9 +446,9 @@
 func (l *Log) leaveValues() {
 	for i := range l.pending {
 		if p := &l.pending[i]; p.value != nil {
-			l.queued -= len(p.raw)
+			l.pendingBytes -= len(p.raw)
 			*p = pendingEntry{raw: []byte(`{"f":{}}`)}
-			l.queued += len(p.raw)
+			l.pendingBytes += len(p.raw)
 		}
 	}
 }
@@ -480,7 +480,7 @@
 		if p.fact != nil {
 			facts = append(facts, *p.fact)
 		}
-		l.queued -= len(p.raw) + 1
+		l.pendingBytes -= len(p.raw) + 1
 	}
 	l.settled += f.count
 	l.pending = l.pending[f.count:]
