--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -77,14 +77,14 @@
 	epochKey     string
 	epochVersion uint64
 
-	openSegment  int    // number of the open segment
-	openVersion  uint64 // its version; 0 while it does not exist
-	openBody     []byte // its entries, comma separated, as committed or in flight
-	pending      []pendingEntry
-	pendingBytes int // bytes of the pending entries
-	inflight     *inflightCommit
-	readBack     bool
-	seq          uint64
+	openSegment      int    // number of the open segment
+	openVersion      uint64 // its version; 0 while it does not exist
+	openBody         []byte // its entries, comma separated, as committed or in flight
+	pending          []pendingEntry
+	pendingBytes     int // bytes of the pending entries
+	inflight         *inflightCommit
+	awaitingReadBack bool
+	seq              uint64
 
 	tokens     float64
 	at         time.Duration
@@ -261,7 +261,7 @@
 	rate := l.limits.WriteRPS * openShare
 	l.tokens = min(max(2, rate/2), l.tokens+(now-l.at).Seconds()*rate)
 	l.at = now
-	if l.readBack || now < l.wait || l.tokens < 1 {
+	if l.awaitingReadBack || now < l.wait || l.tokens < 1 {
 		return nil
 	}
 	if f := l.inflight; f != nil {
@@ -404,7 +404,7 @@
 		if !f.unsure {
 			return nil, Lost // somebody else wrote our log
 		}
-		l.readBack = true
+		l.awaitingReadBack = true
 		return nil, Reread
 	case Unknown:
 		if f.count == 0 {
@@ -413,7 +413,7 @@
 			return nil, Carry
 		}
 		f.unsure = true
-		l.readBack = true
+		l.awaitingReadBack = true
 		return nil, Reread
 	case Invalid:
 		// Larger than the service now takes. This must never be met; if it is,
@@ -504,11 +504,11 @@
 // could not be read.
 func (l *Log) ReadBack(now time.Duration, read bool, mark uint64, value json.RawMessage) []Entry {
 	f := l.inflight
-	if f == nil || !l.readBack {
+	if f == nil || !l.awaitingReadBack {
 		return nil
 	}
 	l.wait = now + 100*time.Millisecond
-	l.readBack = false
+	l.awaitingReadBack = false
 	if read && mark != 0 && mark != l.openVersion && holds(value, f.segments[len(f.segments)-1].body) {
 		return l.applied(f, mark)
 	}
