--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -84,7 +84,7 @@
 	pendingBytes     int // bytes of the pending entries
 	inflight         *inflightCommit
 	awaitingReadBack bool
-	seq              uint64
+	sequence         uint64
 
 	tokens     float64
 	at         time.Duration
@@ -268,8 +268,8 @@
 		if f.sent {
 			return nil
 		}
-		l.seq++
-		f.txn.Sequence = l.seq
+		l.sequence++
+		f.txn.Sequence = l.sequence
 		f.sent = true
 		l.tokens -= float64(len(f.txn.Writes))
 		return &f.txn
@@ -323,8 +323,8 @@
 		f.count++
 	}
 	f.segments = append(f.segments, cur)
-	l.seq++
-	txn := Transaction{Sequence: l.seq, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.openSegment), l.openVersion}}}
+	l.sequence++
+	txn := Transaction{Sequence: l.sequence, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.openSegment), l.openVersion}}}
 	if f.count > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.openBody) {
