--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -86,11 +86,11 @@
 	awaitingReadBack bool
 	sequence         uint64
 
-	tokens     float64
-	at         time.Duration
-	wait       time.Duration // no commit before this
-	fails      int
-	openSealed bool // the open segment is larger than what may be written: it stays as it is
+	writeTokens float64
+	at          time.Duration
+	wait        time.Duration // no commit before this
+	fails       int
+	openSealed  bool // the open segment is larger than what may be written: it stays as it is
 
 	sizes     []Write  // pieces of the last list of virtual sizes that are not written yet
 	sizeCount int      // pieces that may be there
@@ -134,7 +134,7 @@
 // is how many pieces of virtual sizes were found: those that its own lists do
 // not reach are removed with the first of them.
 func NewLog(lim Limits, epochKey string, epochMark uint64, last, sizes int) *Log {
-	return &Log{limits: lim, epochKey: epochKey, epochVersion: epochMark, openSegment: last + 1, tokens: 1, sizeCount: sizes}
+	return &Log{limits: lim, epochKey: epochKey, epochVersion: epochMark, openSegment: last + 1, writeTokens: 1, sizeCount: sizes}
 }
 
 // SegmentKey is the key of a segment.
@@ -259,9 +259,9 @@
 // NextTransaction returns the transaction to send now, if any.
 func (l *Log) NextTransaction(now time.Duration) *Transaction {
 	rate := l.limits.WriteRPS * openShare
-	l.tokens = min(max(2, rate/2), l.tokens+(now-l.at).Seconds()*rate)
+	l.writeTokens = min(max(2, rate/2), l.writeTokens+(now-l.at).Seconds()*rate)
 	l.at = now
-	if l.awaitingReadBack || now < l.wait || l.tokens < 1 {
+	if l.awaitingReadBack || now < l.wait || l.writeTokens < 1 {
 		return nil
 	}
 	if f := l.inflight; f != nil {
@@ -271,7 +271,7 @@
 		l.sequence++
 		f.txn.Sequence = l.sequence
 		f.sent = true
-		l.tokens -= float64(len(f.txn.Writes))
+		l.writeTokens -= float64(len(f.txn.Writes))
 		return &f.txn
 	}
 	if len(l.pending) == 0 && len(l.sizes) == 0 && len(l.drops) == 0 {
@@ -283,7 +283,7 @@
 	ops := 1
 	// Where a single change can be spent and not all goes into the open segment,
 	// a new one takes more than what is left of one that is nearly full.
-	fresh := l.openSealed || (l.tokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.pendingBytes > l.room())
+	fresh := l.openSealed || (l.writeTokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.pendingBytes > l.room())
 	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
@@ -304,7 +304,7 @@
 				need++
 			}
 		}
-		if need > ops && (need > l.limits.TxnOps || float64(need) > l.tokens) {
+		if need > ops && (need > l.limits.TxnOps || float64(need) > l.writeTokens) {
 			break
 		}
 		ops = need
@@ -344,7 +344,7 @@
 	// under steady load there is never a change left over, and without one the
 	// log would never get shorter.
 	spare := func() bool {
-		return len(txn.Writes) < l.limits.TxnOps && float64(len(txn.Writes)+1) <= l.tokens+debt
+		return len(txn.Writes) < l.limits.TxnOps && float64(len(txn.Writes)+1) <= l.writeTokens+debt
 	}
 	for len(l.sizes) > 0 && spare() && total+len(l.sizes[0].Value) <= txnBytes {
 		total += len(l.sizes[0].Value)
@@ -360,7 +360,7 @@
 	if len(txn.Writes) == 0 {
 		return nil
 	}
-	l.tokens -= float64(len(txn.Writes))
+	l.writeTokens -= float64(len(txn.Writes))
 	f.txn = txn
 	f.sent = true
 	l.inflight = f
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -148,7 +148,7 @@
 	for n := range uint64(100) {
 		l.AppendTracked(cancel(200 + n))
 	}
-	l.tokens = 1
+	l.writeTokens = 1
 	if got := commit(); got < 30 {
 		t.Errorf("a change took only %d entries along", got)
 	}
