--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -87,7 +87,7 @@
 	sequence         uint64
 
 	writeTokens float64
-	at          time.Duration
+	refilledAt  time.Duration
 	wait        time.Duration // no commit before this
 	fails       int
 	openSealed  bool // the open segment is larger than what may be written: it stays as it is
@@ -259,8 +259,8 @@
 // NextTransaction returns the transaction to send now, if any.
 func (l *Log) NextTransaction(now time.Duration) *Transaction {
 	rate := l.limits.WriteRPS * openShare
-	l.writeTokens = min(max(2, rate/2), l.writeTokens+(now-l.at).Seconds()*rate)
-	l.at = now
+	l.writeTokens = min(max(2, rate/2), l.writeTokens+(now-l.refilledAt).Seconds()*rate)
+	l.refilledAt = now
 	if l.awaitingReadBack || now < l.wait || l.writeTokens < 1 {
 		return nil
 	}
