--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -88,7 +88,7 @@
 
 	writeTokens float64
 	refilledAt  time.Duration
-	wait        time.Duration // no commit before this
+	retryAt     time.Duration // no commit before this
 	fails       int
 	openSealed  bool // the open segment is larger than what may be written: it stays as it is
 
@@ -261,7 +261,7 @@
 	rate := l.limits.WriteRPS * openShare
 	l.writeTokens = min(max(2, rate/2), l.writeTokens+(now-l.refilledAt).Seconds()*rate)
 	l.refilledAt = now
-	if l.awaitingReadBack || now < l.wait || l.writeTokens < 1 {
+	if l.awaitingReadBack || now < l.retryAt || l.writeTokens < 1 {
 		return nil
 	}
 	if f := l.inflight; f != nil {
@@ -433,7 +433,7 @@
 		return nil, Carry
 	default:
 		l.fails++
-		l.wait = now + time.Duration(min(l.fails, 8))*60*time.Millisecond
+		l.retryAt = now + time.Duration(min(l.fails, 8))*60*time.Millisecond
 		if !f.unsure {
 			l.giveUp(f)
 		}
@@ -507,7 +507,7 @@
 	if f == nil || !l.awaitingReadBack {
 		return nil
 	}
-	l.wait = now + 100*time.Millisecond
+	l.retryAt = now + 100*time.Millisecond
 	l.awaitingReadBack = false
 	if read && mark != 0 && mark != l.openVersion && holds(value, f.segments[len(f.segments)-1].body) {
 		return l.applied(f, mark)
