--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -89,7 +89,7 @@
 	writeTokens float64
 	refilledAt  time.Duration
 	retryAt     time.Duration // no commit before this
-	fails       int
+	failures    int
 	openSealed  bool // the open segment is larger than what may be written: it stays as it is
 
 	sizes     []Write  // pieces of the last list of virtual sizes that are not written yet
@@ -432,8 +432,8 @@
 		l.leaveValues()
 		return nil, Carry
 	default:
-		l.fails++
-		l.retryAt = now + time.Duration(min(l.fails, 8))*60*time.Millisecond
+		l.failures++
+		l.retryAt = now + time.Duration(min(l.failures, 8))*60*time.Millisecond
 		if !f.unsure {
 			l.giveUp(f)
 		}
@@ -464,7 +464,7 @@
 }
 
 func (l *Log) applied(f *inflightCommit, mark uint64) []Entry {
-	l.fails = 0
+	l.failures = 0
 	l.inflight = nil
 	if f.list == l.list && len(f.sizes) > 0 && len(l.sizes) == 0 {
 		l.sizeCount = l.sizeWant // all that was there beyond is removed
