--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -92,11 +92,11 @@
 	failures    int
 	openSealed  bool // the open segment is larger than what may be written: it stays as it is
 
-	sizes     []Write  // pieces of the last list of virtual sizes that are not written yet
-	sizeCount int      // pieces that may be there
-	sizeWant  int      // pieces of the last list
-	list      int      // counts the lists
-	drops     []string // segments whose live entries have been written anew
+	pendingSizes []Write  // pieces of the last list of virtual sizes that are not written yet
+	sizeCount    int      // pieces that may be there
+	sizeWant     int      // pieces of the last list
+	list         int      // counts the lists
+	drops        []string // segments whose live entries have been written anew
 
 	appended, settled int // entries so far, and those of them that are durable
 }
@@ -216,7 +216,7 @@
 // one. Jobs should come in a steady order, so that few change their piece:
 // until all pieces are written, some are of the list before.
 func (l *Log) SetVirtualSizes(all []VirtualSize) {
-	l.sizes = nil
+	l.pendingSizes = nil
 	l.list++
 	var list []VirtualSize
 	used := 16
@@ -226,7 +226,7 @@
 		if err != nil {
 			panic(fmt.Sprintf("ledger: sizes that cannot be written: %v", err))
 		}
-		l.sizes = append(l.sizes, Write{Key: sizesKey(n), Value: raw})
+		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesKey(n), Value: raw})
 		n++
 		list, used = nil, 16
 	}
@@ -241,7 +241,7 @@
 	flush()
 	l.sizeWant = n
 	for l.sizeCount = max(l.sizeCount, n); n < l.sizeCount; n++ {
-		l.sizes = append(l.sizes, Write{Key: sizesKey(n), Remove: true})
+		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesKey(n), Remove: true})
 	}
 }
 
@@ -274,7 +274,7 @@
 		l.writeTokens -= float64(len(f.txn.Writes))
 		return &f.txn
 	}
-	if len(l.pending) == 0 && len(l.sizes) == 0 && len(l.drops) == 0 {
+	if len(l.pending) == 0 && len(l.pendingSizes) == 0 && len(l.drops) == 0 {
 		return nil
 	}
 	f := &inflightCommit{list: l.list}
@@ -346,11 +346,11 @@
 	spare := func() bool {
 		return len(txn.Writes) < l.limits.TxnOps && float64(len(txn.Writes)+1) <= l.writeTokens+debt
 	}
-	for len(l.sizes) > 0 && spare() && total+len(l.sizes[0].Value) <= txnBytes {
-		total += len(l.sizes[0].Value)
-		f.sizes = append(f.sizes, l.sizes[0])
-		txn.Writes = append(txn.Writes, l.sizes[0])
-		l.sizes = l.sizes[1:]
+	for len(l.pendingSizes) > 0 && spare() && total+len(l.pendingSizes[0].Value) <= txnBytes {
+		total += len(l.pendingSizes[0].Value)
+		f.sizes = append(f.sizes, l.pendingSizes[0])
+		txn.Writes = append(txn.Writes, l.pendingSizes[0])
+		l.pendingSizes = l.pendingSizes[1:]
 	}
 	for len(l.drops) > 0 && spare() {
 		f.drops = append(f.drops, l.drops[0])
@@ -427,7 +427,7 @@
 		l.limits.TxnOps = max(2, l.limits.TxnOps/2)
 		l.openSealed = len(l.openBody) > 0
 		l.list++ // the next one comes in smaller pieces
-		l.sizes = nil
+		l.pendingSizes = nil
 		l.giveUp(f)
 		l.leaveValues()
 		return nil, Carry
@@ -458,7 +458,7 @@
 func (l *Log) giveUp(f *inflightCommit) {
 	l.drops = append(l.drops, f.drops...)
 	if f.list == l.list { // otherwise a newer one has come
-		l.sizes = append(f.sizes, l.sizes...)
+		l.pendingSizes = append(f.sizes, l.pendingSizes...)
 	}
 	l.inflight = nil
 }
@@ -466,7 +466,7 @@
 func (l *Log) applied(f *inflightCommit, mark uint64) []Entry {
 	l.failures = 0
 	l.inflight = nil
-	if f.list == l.list && len(f.sizes) > 0 && len(l.sizes) == 0 {
+	if f.list == l.list && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
 		l.sizeCount = l.sizeWant // all that was there beyond is removed
 	}
 	if f.count == 0 {
