--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -93,7 +93,7 @@
 	openSealed  bool // the open segment is larger than what may be written: it stays as it is
 
 	pendingSizes []Write  // pieces of the last list of virtual sizes that are not written yet
-	sizeCount    int      // pieces that may be there
+	storedSizes  int      // pieces that may be there
 	sizeWant     int      // pieces of the last list
 	list         int      // counts the lists
 	drops        []string // segments whose live entries have been written anew
@@ -134,7 +134,7 @@
 // is how many pieces of virtual sizes were found: those that its own lists do
 // not reach are removed with the first of them.
 func NewLog(lim Limits, epochKey string, epochMark uint64, last, sizes int) *Log {
-	return &Log{limits: lim, epochKey: epochKey, epochVersion: epochMark, openSegment: last + 1, writeTokens: 1, sizeCount: sizes}
+	return &Log{limits: lim, epochKey: epochKey, epochVersion: epochMark, openSegment: last + 1, writeTokens: 1, storedSizes: sizes}
 }
 
 // SegmentKey is the key of a segment.
@@ -240,7 +240,7 @@
 	}
 	flush()
 	l.sizeWant = n
-	for l.sizeCount = max(l.sizeCount, n); n < l.sizeCount; n++ {
+	for l.storedSizes = max(l.storedSizes, n); n < l.storedSizes; n++ {
 		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesKey(n), Remove: true})
 	}
 }
@@ -467,7 +467,7 @@
 	l.failures = 0
 	l.inflight = nil
 	if f.list == l.list && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
-		l.sizeCount = l.sizeWant // all that was there beyond is removed
+		l.storedSizes = l.sizeWant // all that was there beyond is removed
 	}
 	if f.count == 0 {
 		return nil
