--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -94,7 +94,7 @@
 
 	pendingSizes []Write  // pieces of the last list of virtual sizes that are not written yet
 	storedSizes  int      // pieces that may be there
-	sizeWant     int      // pieces of the last list
+	wantedSizes  int      // pieces of the last list
 	list         int      // counts the lists
 	drops        []string // segments whose live entries have been written anew
 
@@ -239,7 +239,7 @@
 		list = append(list, s)
 	}
 	flush()
-	l.sizeWant = n
+	l.wantedSizes = n
 	for l.storedSizes = max(l.storedSizes, n); n < l.storedSizes; n++ {
 		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesKey(n), Remove: true})
 	}
@@ -467,7 +467,7 @@
 	l.failures = 0
 	l.inflight = nil
 	if f.list == l.list && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
-		l.storedSizes = l.sizeWant // all that was there beyond is removed
+		l.storedSizes = l.wantedSizes // all that was there beyond is removed
 	}
 	if f.count == 0 {
 		return nil
