--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -92,11 +92,11 @@
 	failures    int
 	openSealed  bool // the open segment is larger than what may be written: it stays as it is
 
-	pendingSizes []Write  // pieces of the last list of virtual sizes that are not written yet
-	storedSizes  int      // pieces that may be there
-	wantedSizes  int      // pieces of the last list
-	list         int      // counts the lists
-	drops        []string // segments whose live entries have been written anew
+	pendingSizes    []Write  // pieces of the last list of virtual sizes that are not written yet
+	storedSizes     int      // pieces that may be there
+	wantedSizes     int      // pieces of the last list
+	sizesGeneration int      // counts the lists
+	drops           []string // segments whose live entries have been written anew
 
 	appended, settled int // entries so far, and those of them that are durable
 }
@@ -217,7 +217,7 @@
 // until all pieces are written, some are of the list before.
 func (l *Log) SetVirtualSizes(all []VirtualSize) {
 	l.pendingSizes = nil
-	l.list++
+	l.sizesGeneration++
 	var list []VirtualSize
 	used := 16
 	n := 0
@@ -277,7 +277,7 @@
 	if len(l.pending) == 0 && len(l.pendingSizes) == 0 && len(l.drops) == 0 {
 		return nil
 	}
-	f := &inflightCommit{list: l.list}
+	f := &inflightCommit{list: l.sizesGeneration}
 	cur := segment{l.openSegment, bytes.Clone(l.openBody)}
 	total := len(cur.body)
 	ops := 1
@@ -426,7 +426,7 @@
 		l.limits.ValueBytes = max(leastBytes, l.limits.ValueBytes/2)
 		l.limits.TxnOps = max(2, l.limits.TxnOps/2)
 		l.openSealed = len(l.openBody) > 0
-		l.list++ // the next one comes in smaller pieces
+		l.sizesGeneration++ // the next one comes in smaller pieces
 		l.pendingSizes = nil
 		l.giveUp(f)
 		l.leaveValues()
@@ -457,7 +457,7 @@
 // second time: its entries are still pending.
 func (l *Log) giveUp(f *inflightCommit) {
 	l.drops = append(l.drops, f.drops...)
-	if f.list == l.list { // otherwise a newer one has come
+	if f.list == l.sizesGeneration { // otherwise a newer one has come
 		l.pendingSizes = append(f.sizes, l.pendingSizes...)
 	}
 	l.inflight = nil
@@ -466,7 +466,7 @@
 func (l *Log) applied(f *inflightCommit, mark uint64) []Entry {
 	l.failures = 0
 	l.inflight = nil
-	if f.list == l.list && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
+	if f.list == l.sizesGeneration && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
 		l.storedSizes = l.wantedSizes // all that was there beyond is removed
 	}
 	if f.count == 0 {
