--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -96,7 +96,7 @@
 	storedSizes     int      // pieces that may be there
 	wantedSizes     int      // pieces of the last list
 	sizesGeneration int      // counts the lists
-	drops           []string // segments whose live entries have been written anew
+	pendingRemovals []string // segments whose live entries have been written anew
 
 	appended, settled int // entries so far, and those of them that are durable
 }
@@ -199,7 +199,7 @@
 func (l *Log) LastSegment() int { return l.openSegment }
 
 // DropSegment removes a segment whose live entries are durable elsewhere.
-func (l *Log) DropSegment(n int) { l.drops = append(l.drops, SegmentKey(n)) }
+func (l *Log) DropSegment(n int) { l.pendingRemovals = append(l.pendingRemovals, SegmentKey(n)) }
 
 // MaxEntryBytes is how large an entry may be.
 func (l *Log) MaxEntryBytes() int { return l.room() }
@@ -274,7 +274,7 @@
 		l.writeTokens -= float64(len(f.txn.Writes))
 		return &f.txn
 	}
-	if len(l.pending) == 0 && len(l.pendingSizes) == 0 && len(l.drops) == 0 {
+	if len(l.pending) == 0 && len(l.pendingSizes) == 0 && len(l.pendingRemovals) == 0 {
 		return nil
 	}
 	f := &inflightCommit{list: l.sizesGeneration}
@@ -352,10 +352,10 @@
 		txn.Writes = append(txn.Writes, l.pendingSizes[0])
 		l.pendingSizes = l.pendingSizes[1:]
 	}
-	for len(l.drops) > 0 && spare() {
-		f.drops = append(f.drops, l.drops[0])
-		txn.Writes = append(txn.Writes, Write{Key: l.drops[0], Remove: true})
-		l.drops = l.drops[1:]
+	for len(l.pendingRemovals) > 0 && spare() {
+		f.drops = append(f.drops, l.pendingRemovals[0])
+		txn.Writes = append(txn.Writes, Write{Key: l.pendingRemovals[0], Remove: true})
+		l.pendingRemovals = l.pendingRemovals[1:]
 	}
 	if len(txn.Writes) == 0 {
 		return nil
@@ -456,7 +456,7 @@
 // giveUp takes back a transaction that was not executed, or may be executed a
 // second time: its entries are still pending.
 func (l *Log) giveUp(f *inflightCommit) {
-	l.drops = append(l.drops, f.drops...)
+	l.pendingRemovals = append(l.pendingRemovals, f.drops...)
 	if f.list == l.sizesGeneration { // otherwise a newer one has come
 		l.pendingSizes = append(f.sizes, l.pendingSizes...)
 	}
