--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -98,7 +98,7 @@
 	sizesGeneration int      // counts the lists
 	pendingRemovals []string // segments whose live entries have been written anew
 
-	appended, settled int // entries so far, and those of them that are durable
+	appendedCount, settled int // entries so far, and those of them that are durable
 }
 
 type pendingEntry struct {
@@ -177,12 +177,12 @@
 	}
 	l.pending = append(l.pending, pendingEntry{raw, fact, value})
 	l.pendingBytes += len(raw) + 1
-	l.appended++
+	l.appendedCount++
 }
 
 // AppendedCount counts the entries appended so far, and Settled those of them that
 // are durable: an entry is once Settled has reached what Appended gave after it.
-func (l *Log) AppendedCount() int { return l.appended }
+func (l *Log) AppendedCount() int { return l.appendedCount }
 
 // DurableCount counts the entries that are durable.
 func (l *Log) DurableCount() int { return l.settled }
