--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -98,7 +98,7 @@
 	sizesGeneration int      // counts the lists
 	pendingRemovals []string // segments whose live entries have been written anew
 
-	appendedCount, settled int // entries so far, and those of them that are durable
+	appendedCount, durableCount int // entries so far, and those of them that are durable
 }
 
 type pendingEntry struct {
@@ -185,7 +185,7 @@
 func (l *Log) AppendedCount() int { return l.appendedCount }
 
 // DurableCount counts the entries that are durable.
-func (l *Log) DurableCount() int { return l.settled }
+func (l *Log) DurableCount() int { return l.durableCount }
 
 // Fits says whether an entry can be stored at all.
 func (l *Log) Fits(e Entry) bool {
@@ -482,7 +482,7 @@
 		}
 		l.pendingBytes -= len(p.raw) + 1
 	}
-	l.settled += f.count
+	l.durableCount += f.count
 	l.pending = l.pending[f.count:]
 	return facts
 }
