--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -163,7 +163,7 @@
 // state service refuse it even so, both are left out, and the entry is never told
 // as a fact although Settled passes it.
 func (l *Log) AppendWithValue(e Entry, key string, value json.RawMessage) bool {
-	if len(value) > min(l.room(), txnBytes/2) {
+	if len(value) > min(l.segmentCapacity(), txnBytes/2) {
 		return false
 	}
 	l.append(e, &e, &Write{Key: key, Value: value})
@@ -190,10 +190,10 @@
 // Fits says whether an entry can be stored at all.
 func (l *Log) Fits(e Entry) bool {
 	raw, err := e.encode()
-	return err == nil && len(raw) <= l.room()
+	return err == nil && len(raw) <= l.segmentCapacity()
 }
 
-func (l *Log) room() int { return l.limits.ValueBytes - 64 }
+func (l *Log) segmentCapacity() int { return l.limits.ValueBytes - 64 }
 
 // LastSegment is the number of the open segment.
 func (l *Log) LastSegment() int { return l.openSegment }
@@ -202,7 +202,7 @@
 func (l *Log) DropSegment(n int) { l.pendingRemovals = append(l.pendingRemovals, SegmentKey(n)) }
 
 // MaxEntryBytes is how large an entry may be.
-func (l *Log) MaxEntryBytes() int { return l.room() }
+func (l *Log) MaxEntryBytes() int { return l.segmentCapacity() }
 
 // Idle says whether nothing is on its way: what is appended now goes with the
 // next commit.
@@ -232,7 +232,7 @@
 	}
 	for _, s := range all {
 		raw, _ := json.Marshal(s)
-		if used+len(raw)+1 > l.room() {
+		if used+len(raw)+1 > l.segmentCapacity() {
 			flush()
 		}
 		used += len(raw) + 1
@@ -283,7 +283,7 @@
 	ops := 1
 	// Where a single change can be spent and not all goes into the open segment,
 	// a new one takes more than what is left of one that is nearly full.
-	fresh := l.openSealed || (l.writeTokens < 2 && len(l.openBody) > l.room()/2 && len(l.openBody)+l.pendingBytes > l.room())
+	fresh := l.openSealed || (l.writeTokens < 2 && len(l.openBody) > l.segmentCapacity()/2 && len(l.openBody)+l.pendingBytes > l.segmentCapacity())
 	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
@@ -297,7 +297,7 @@
 			}
 			need++
 		}
-		full := len(cur.body) > 0 && len(cur.body)+1+len(p.raw) > l.room()
+		full := len(cur.body) > 0 && len(cur.body)+1+len(p.raw) > l.segmentCapacity()
 		if full || (fresh && cur.number == l.openSegment) {
 			// A segment that stays as it is costs no change.
 			if cur.number != l.openSegment || len(cur.body) != len(l.openBody) {
