--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -429,7 +429,7 @@
 		l.sizesGeneration++ // the next one comes in smaller pieces
 		l.pendingSizes = nil
 		l.giveUp(f)
-		l.leaveValues()
+		l.dropPendingValues()
 		return nil, Carry
 	default:
 		l.failures++
@@ -441,9 +441,9 @@
 	}
 }
 
-// leaveValues leaves out the values that wait, which may be too large now. Their
+// dropPendingValues leaves out the values that wait, which may be too large now. Their
 // entries become ones that say nothing: entries are counted.
-func (l *Log) leaveValues() {
+func (l *Log) dropPendingValues() {
 	for i := range l.pending {
 		if p := &l.pending[i]; p.value != nil {
 			l.pendingBytes -= len(p.raw)
