--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -409,7 +409,7 @@
 	case Unknown:
 		if f.count == 0 {
 			// Only sizes and segments to remove: both can be done twice.
-			l.giveUp(f)
+			l.requeue(f)
 			return nil, Carry
 		}
 		f.unsure = true
@@ -428,14 +428,14 @@
 		l.openSealed = len(l.openBody) > 0
 		l.sizesGeneration++ // the next one comes in smaller pieces
 		l.pendingSizes = nil
-		l.giveUp(f)
+		l.requeue(f)
 		l.dropPendingValues()
 		return nil, Carry
 	default:
 		l.failures++
 		l.retryAt = now + time.Duration(min(l.failures, 8))*60*time.Millisecond
 		if !f.unsure {
-			l.giveUp(f)
+			l.requeue(f)
 		}
 		return nil, Carry
 	}
@@ -453,9 +453,9 @@
 	}
 }
 
-// giveUp takes back a transaction that was not executed, or may be executed a
+// requeue takes back a transaction that was not executed, or may be executed a
 // second time: its entries are still pending.
-func (l *Log) giveUp(f *inflightCommit) {
+func (l *Log) requeue(f *inflightCommit) {
 	l.pendingRemovals = append(l.pendingRemovals, f.drops...)
 	if f.list == l.sizesGeneration { // otherwise a newer one has come
 		l.pendingSizes = append(f.sizes, l.pendingSizes...)
