--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -394,7 +394,7 @@
 	f.sent = false
 	switch out {
 	case Applied:
-		return l.applied(f, mark), Carry
+		return l.finishCommit(f, mark), Carry
 	case Conflict:
 		for _, k := range failed {
 			if k == l.epochKey {
@@ -463,7 +463,7 @@
 	l.inflight = nil
 }
 
-func (l *Log) applied(f *inflightCommit, mark uint64) []Entry {
+func (l *Log) finishCommit(f *inflightCommit, mark uint64) []Entry {
 	l.failures = 0
 	l.inflight = nil
 	if f.list == l.sizesGeneration && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
@@ -510,7 +510,7 @@
 	l.retryAt = now + 100*time.Millisecond
 	l.awaitingReadBack = false
 	if read && mark != 0 && mark != l.openVersion && holds(value, f.segments[len(f.segments)-1].body) {
-		return l.applied(f, mark)
+		return l.finishCommit(f, mark)
 	}
 	return nil
 }
