--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -336,7 +336,7 @@
 				// meet its conditions and undo what was written since.
 				txn.Conditions = append(txn.Conditions, Condition{SegmentKey(s.number), 0})
 			}
-			txn.Writes = append(txn.Writes, Write{Key: SegmentKey(s.number), Value: wrap(s.body)})
+			txn.Writes = append(txn.Writes, Write{Key: SegmentKey(s.number), Value: encodeSegment(s.body)})
 		}
 		txn.Writes = append(txn.Writes, values...)
 	}
@@ -367,7 +367,7 @@
 	return &f.txn
 }
 
-func wrap(body []byte) json.RawMessage {
+func encodeSegment(body []byte) json.RawMessage {
 	out := make([]byte, 0, len(body)+8)
 	out = append(out, `{"e":[`...)
 	out = append(out, body...)
@@ -517,5 +517,5 @@
 
 func holds(value json.RawMessage, body []byte) bool {
 	var got bytes.Buffer
-	return json.Compact(&got, value) == nil && bytes.Equal(got.Bytes(), wrap(body))
+	return json.Compact(&got, value) == nil && bytes.Equal(got.Bytes(), encodeSegment(body))
 }
