--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -509,13 +509,13 @@
 	}
 	l.retryAt = now + 100*time.Millisecond
 	l.awaitingReadBack = false
-	if read && mark != 0 && mark != l.openVersion && holds(value, f.segments[len(f.segments)-1].body) {
+	if read && mark != 0 && mark != l.openVersion && segmentHolds(value, f.segments[len(f.segments)-1].body) {
 		return l.finishCommit(f, mark)
 	}
 	return nil
 }
 
-func holds(value json.RawMessage, body []byte) bool {
+func segmentHolds(value json.RawMessage, body []byte) bool {
 	var got bytes.Buffer
 	return json.Compact(&got, value) == nil && bytes.Equal(got.Bytes(), encodeSegment(body))
 }
