--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -65,10 +65,10 @@
 }
 
 const (
-	txnBytes   = 56 << 10 // below the service's 64 KiB, which counts keys and conditions too
-	openShare  = 0.9      // share of write_rps that commits may use; elections use the rest
-	leastBytes = 512      // values are not made smaller than this
-	debt       = 2        // changes that sizes and removals may spend ahead
+	maxTransactionBytes = 56 << 10 // below the service's 64 KiB, which counts keys and conditions too
+	openShare           = 0.9      // share of write_rps that commits may use; elections use the rest
+	leastBytes          = 512      // values are not made smaller than this
+	debt                = 2        // changes that sizes and removals may spend ahead
 )
 
 // Log is the write side, held by the leader during its term.
@@ -163,7 +163,7 @@
 // state service refuse it even so, both are left out, and the entry is never told
 // as a fact although Settled passes it.
 func (l *Log) AppendWithValue(e Entry, key string, value json.RawMessage) bool {
-	if len(value) > min(l.segmentCapacity(), txnBytes/2) {
+	if len(value) > min(l.segmentCapacity(), maxTransactionBytes/2) {
 		return false
 	}
 	l.append(e, &e, &Write{Key: key, Value: value})
@@ -287,7 +287,7 @@
 	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
-		if total+p.bytes() > txnBytes {
+		if total+p.bytes() > maxTransactionBytes {
 			break
 		}
 		need := ops
@@ -346,7 +346,7 @@
 	spare := func() bool {
 		return len(txn.Writes) < l.limits.TxnOps && float64(len(txn.Writes)+1) <= l.writeTokens+debt
 	}
-	for len(l.pendingSizes) > 0 && spare() && total+len(l.pendingSizes[0].Value) <= txnBytes {
+	for len(l.pendingSizes) > 0 && spare() && total+len(l.pendingSizes[0].Value) <= maxTransactionBytes {
 		total += len(l.pendingSizes[0].Value)
 		f.sizes = append(f.sizes, l.pendingSizes[0])
 		txn.Writes = append(txn.Writes, l.pendingSizes[0])
