--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -66,7 +66,7 @@
 
 const (
 	maxTransactionBytes = 56 << 10 // below the service's 64 KiB, which counts keys and conditions too
-	openShare           = 0.9      // share of write_rps that commits may use; elections use the rest
+	commitRateShare     = 0.9      // share of write_rps that commits may use; elections use the rest
 	leastBytes          = 512      // values are not made smaller than this
 	debt                = 2        // changes that sizes and removals may spend ahead
 )
@@ -258,7 +258,7 @@
 
 // NextTransaction returns the transaction to send now, if any.
 func (l *Log) NextTransaction(now time.Duration) *Transaction {
-	rate := l.limits.WriteRPS * openShare
+	rate := l.limits.WriteRPS * commitRateShare
 	l.writeTokens = min(max(2, rate/2), l.writeTokens+(now-l.refilledAt).Seconds()*rate)
 	l.refilledAt = now
 	if l.awaitingReadBack || now < l.retryAt || l.writeTokens < 1 {
