--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -67,7 +67,7 @@
 const (
 	maxTransactionBytes = 56 << 10 // below the service's 64 KiB, which counts keys and conditions too
 	commitRateShare     = 0.9      // share of write_rps that commits may use; elections use the rest
-	leastBytes          = 512      // values are not made smaller than this
+	minValueBytes       = 512      // values are not made smaller than this
 	debt                = 2        // changes that sizes and removals may spend ahead
 )
 
@@ -420,10 +420,10 @@
 		// smaller values are tried in further segments. What may have been
 		// executed already, or is as small as can be, ends the term instead: the
 		// next one begins with what is really there.
-		if f.unsure || l.limits.ValueBytes <= leastBytes {
+		if f.unsure || l.limits.ValueBytes <= minValueBytes {
 			return nil, Lost
 		}
-		l.limits.ValueBytes = max(leastBytes, l.limits.ValueBytes/2)
+		l.limits.ValueBytes = max(minValueBytes, l.limits.ValueBytes/2)
 		l.limits.TxnOps = max(2, l.limits.TxnOps/2)
 		l.openSealed = len(l.openBody) > 0
 		l.sizesGeneration++ // the next one comes in smaller pieces
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -57,7 +57,7 @@
 // Nothing smaller is left to try, or an earlier copy of the transaction may
 // still arrive: the term ends instead of trying for ever.
 func TestInvalidEndsTheTerm(t *testing.T) {
-	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: leastBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
+	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: minValueBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
 	txn := l.NextTransaction(time.Second)
 	if _, step := l.CommitResult(time.Second, txn.Sequence, Invalid, 0, nil); step != Lost {
