--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -68,7 +68,7 @@
 	maxTransactionBytes = 56 << 10 // below the service's 64 KiB, which counts keys and conditions too
 	commitRateShare     = 0.9      // share of write_rps that commits may use; elections use the rest
 	minValueBytes       = 512      // values are not made smaller than this
-	debt                = 2        // changes that sizes and removals may spend ahead
+	maxWriteDebt        = 2        // changes that sizes and removals may spend ahead
 )
 
 // Log is the write side, held by the leader during its term.
@@ -344,7 +344,7 @@
 	// under steady load there is never a change left over, and without one the
 	// log would never get shorter.
 	spare := func() bool {
-		return len(txn.Writes) < l.limits.TxnOps && float64(len(txn.Writes)+1) <= l.writeTokens+debt
+		return len(txn.Writes) < l.limits.TxnOps && float64(len(txn.Writes)+1) <= l.writeTokens+maxWriteDebt
 	}
 	for len(l.pendingSizes) > 0 && spare() && total+len(l.pendingSizes[0].Value) <= maxTransactionBytes {
 		total += len(l.pendingSizes[0].Value)
