--- a/internal/core/eventlog/counted.go
+++ b/internal/core/eventlog/counted.go
@@ -21,7 +21,7 @@
 // that needs counted units. A version that knows nothing of such units finds no
 // machine of that type, and so never starts a task of the job; it keeps the name,
 // whatever else it does to the entry.
-const guard = "counted:"
+const guardPrefix = "counted:"
 
 type guarded struct {
 	Types   []string    `json:"t,omitempty"`
@@ -37,7 +37,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("ledger: counted units that cannot be written: %v", err)) // names and numbers
 	}
-	j.Types, j.Counted = []string{guard + string(raw)}, nil
+	j.Types, j.Counted = []string{guardPrefix + string(raw)}, nil
 }
 
 // RevealPoolUnits takes it out again. What cannot be read stays as it is: such a job is
@@ -46,7 +46,7 @@
 	if len(j.Types) != 1 {
 		return
 	}
-	raw, ok := strings.CutPrefix(j.Types[0], guard)
+	raw, ok := strings.CutPrefix(j.Types[0], guardPrefix)
 	var g guarded
 	if ok && json.Unmarshal([]byte(raw), &g) == nil && len(g.Counted) > 0 {
 		j.Types, j.Counted = g.Types, g.Counted
