--- a/internal/core/eventlog/counted.go
+++ b/internal/core/eventlog/counted.go
@@ -23,7 +23,7 @@
 // whatever else it does to the entry.
 const guardPrefix = "counted:"
 
-type guarded struct {
+type guardedNeeds struct {
 	Types   []string    `json:"t,omitempty"`
 	Counted []PoolUnits `json:"c"`
 }
@@ -33,7 +33,7 @@
 	if len(j.Counted) == 0 {
 		return
 	}
-	raw, err := json.Marshal(guarded{j.Types, j.Counted})
+	raw, err := json.Marshal(guardedNeeds{j.Types, j.Counted})
 	if err != nil {
 		panic(fmt.Sprintf("ledger: counted units that cannot be written: %v", err)) // names and numbers
 	}
@@ -47,7 +47,7 @@
 		return
 	}
 	raw, ok := strings.CutPrefix(j.Types[0], guardPrefix)
-	var g guarded
+	var g guardedNeeds
 	if ok && json.Unmarshal([]byte(raw), &g) == nil && len(g.Counted) > 0 {
 		j.Types, j.Counted = g.Types, g.Counted
 	}
