--- a/internal/core/eventlog/decode.go
+++ b/internal/core/eventlog/decode.go
@@ -16,14 +16,14 @@
 	}
 	for i := range v.E {
 		if !v.E[i].known() {
-			return v.E, keepUnknown(value, v.E)
+			return v.E, keepUnknownEntries(value, v.E)
 		}
 	}
 	return v.E, nil
 }
 
-// keepUnknown fills in what an entry was in which this version knows nothing.
-func keepUnknown(value json.RawMessage, list []Entry) error {
+// keepUnknownEntries fills in what an entry was in which this version knows nothing.
+func keepUnknownEntries(value json.RawMessage, list []Entry) error {
 	var v struct {
 		E []json.RawMessage `json:"e"`
 	}
