--- a/internal/core/eventlog/decode.go
+++ b/internal/core/eventlog/decode.go
@@ -15,7 +15,7 @@
 		return nil, fmt.Errorf("ledger: a segment that cannot be read: %w", err)
 	}
 	for i := range v.E {
-		if !v.E[i].known() {
+		if !v.E[i].recognized() {
 			return v.E, keepUnknownEntries(value, v.E)
 		}
 	}
@@ -31,7 +31,7 @@
 		return fmt.Errorf("ledger: a segment that cannot be read: %w", err)
 	}
 	for i := range list {
-		if list[i].known() {
+		if list[i].recognized() {
 			continue
 		}
 		var raw bytes.Buffer // as this program would write it: read back, values are compared
--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -45,8 +45,8 @@
 	return Entry{Component: &ComponentEntry{Duty: duty, Data: raw}}
 }
 
-// known says whether anything is set that this version knows.
-func (e *Entry) known() bool {
+// recognized says whether anything is set that this version knows.
+func (e *Entry) recognized() bool {
 	return e.Job != nil || e.Cancel != nil || e.CompletedTasks != nil || e.FinalSize != nil || e.Machine != nil || e.DeletedMachines != nil || e.Rental != nil ||
 		e.RentalAnswer != nil || e.MachineTypes != nil || e.FinalStates != nil || e.Grant != nil || e.Dependencies != nil || e.Component != nil
 }
