--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -226,7 +226,7 @@
 		if err != nil {
 			panic(fmt.Sprintf("ledger: sizes that cannot be written: %v", err))
 		}
-		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesKey(n), Value: raw})
+		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesPieceKey(n), Value: raw})
 		n++
 		list, used = nil, 16
 	}
@@ -241,11 +241,11 @@
 	flush()
 	l.wantedSizes = n
 	for l.storedSizes = max(l.storedSizes, n); n < l.storedSizes; n++ {
-		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesKey(n), Remove: true})
+		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesPieceKey(n), Remove: true})
 	}
 }
 
-func sizesKey(n int) string { return fmt.Sprintf("%s%04d", SizesPrefix, n) }
+func sizesPieceKey(n int) string { return fmt.Sprintf("%s%04d", SizesPrefix, n) }
 
 // SizesNumber is the number of the piece of virtual sizes with a key.
 func SizesNumber(key string) (int, error) {
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -80,7 +80,7 @@
 func TestSizesInPieces(t *testing.T) {
 	s := newStore()
 	for n := range 40 {
-		s.mark[sizesKey(n)], s.data[sizesKey(n)] = 1, json.RawMessage(`{"v":[{"i":999,"s":1,"v":1}]}`)
+		s.mark[sizesPieceKey(n)], s.data[sizesPieceKey(n)] = 1, json.RawMessage(`{"v":[{"i":999,"s":1,"v":1}]}`)
 	}
 	l := NewLog(Limits{WriteRPS: 100, ValueBytes: 300, TxnOps: 4}, "lead/epoch", 1, 0, 40)
 	var list []VirtualSize
