--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -11,22 +11,22 @@
 
 // Bucket is a budget that refills at a steady rate. The zero value lets nothing pass.
 type Bucket struct {
-	Rate  float64 // a second
-	Burst float64 // most that may have gathered
-	room  float64
-	at    time.Duration
+	Rate   float64 // a second
+	Burst  float64 // most that may have gathered
+	tokens float64
+	at     time.Duration
 }
 
 // NewBucket makes one that is full.
 func NewBucket(now time.Duration, rate, burst float64) Bucket {
-	return Bucket{Rate: rate, Burst: burst, room: burst, at: now}
+	return Bucket{Rate: rate, Burst: burst, tokens: burst, at: now}
 }
 
 // Has says whether there is as much as n.
 func (b *Bucket) Has(now time.Duration, n float64) bool {
-	b.room = min(b.Burst, b.room+max(0, (now-b.at).Seconds())*b.Rate)
+	b.tokens = min(b.Burst, b.tokens+max(0, (now-b.at).Seconds())*b.Rate)
 	b.at = max(b.at, now)
-	return b.room >= n
+	return b.tokens >= n
 }
 
 // Take spends n if there is as much.
@@ -34,7 +34,7 @@
 	if !b.Has(now, n) {
 		return false
 	}
-	b.room -= n
+	b.tokens -= n
 	return true
 }
 
@@ -69,7 +69,7 @@
 	}
 	a.wasBad, a.bad, a.good = true, now, now
 	a.Rate = max(a.top*leastShare, a.Rate/2)
-	a.room = min(a.room, 1)
+	a.tokens = min(a.tokens, 1)
 }
 
 // Success notes an answer.
