--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -11,21 +11,21 @@
 
 // Bucket is a budget that refills at a steady rate. The zero value lets nothing pass.
 type Bucket struct {
-	Rate   float64 // a second
-	Burst  float64 // most that may have gathered
-	tokens float64
-	at     time.Duration
+	Rate       float64 // a second
+	Burst      float64 // most that may have gathered
+	tokens     float64
+	refilledAt time.Duration
 }
 
 // NewBucket makes one that is full.
 func NewBucket(now time.Duration, rate, burst float64) Bucket {
-	return Bucket{Rate: rate, Burst: burst, tokens: burst, at: now}
+	return Bucket{Rate: rate, Burst: burst, tokens: burst, refilledAt: now}
 }
 
 // Has says whether there is as much as n.
 func (b *Bucket) Has(now time.Duration, n float64) bool {
-	b.tokens = min(b.Burst, b.tokens+max(0, (now-b.at).Seconds())*b.Rate)
-	b.at = max(b.at, now)
+	b.tokens = min(b.Burst, b.tokens+max(0, (now-b.refilledAt).Seconds())*b.Rate)
+	b.refilledAt = max(b.refilledAt, now)
 	return b.tokens >= n
 }
 
