--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -44,10 +44,10 @@
 // evenly that way, which a fixed pause after each failure does not do.
 type Adaptive struct {
 	Bucket
-	top    float64 // the rate that is announced or agreed on
-	bad    time.Duration
-	wasBad bool
-	good   time.Duration
+	maxRate float64 // the rate that is announced or agreed on
+	bad     time.Duration
+	wasBad  bool
+	good    time.Duration
 }
 
 const (
@@ -59,7 +59,7 @@
 
 // NewAdaptive makes a full budget at its top rate.
 func NewAdaptive(now time.Duration, top, burst float64) Adaptive {
-	return Adaptive{Bucket: NewBucket(now, top, burst), top: top, good: now}
+	return Adaptive{Bucket: NewBucket(now, top, burst), maxRate: top, good: now}
 }
 
 // Failure notes that the receiver refused, did not answer in time, or was in trouble.
@@ -68,7 +68,7 @@
 		return
 	}
 	a.wasBad, a.bad, a.good = true, now, now
-	a.Rate = max(a.top*leastShare, a.Rate/2)
+	a.Rate = max(a.maxRate*leastShare, a.Rate/2)
 	a.tokens = min(a.tokens, 1)
 }
 
@@ -78,7 +78,7 @@
 		a.good = now
 		return
 	}
-	a.Rate = min(a.top, a.Rate+a.top*(now-a.good).Seconds()/growthIn.Seconds())
+	a.Rate = min(a.maxRate, a.Rate+a.maxRate*(now-a.good).Seconds()/growthIn.Seconds())
 	a.good = now
 }
 
