--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -44,10 +44,10 @@
 // evenly that way, which a fixed pause after each failure does not do.
 type Adaptive struct {
 	Bucket
-	maxRate  float64 // the rate that is announced or agreed on
-	failedAt time.Duration
-	wasBad   bool
-	good     time.Duration
+	maxRate   float64 // the rate that is announced or agreed on
+	failedAt  time.Duration
+	hasFailed bool
+	good      time.Duration
 }
 
 const (
@@ -64,17 +64,17 @@
 
 // Failure notes that the receiver refused, did not answer in time, or was in trouble.
 func (a *Adaptive) Failure(now time.Duration) {
-	if a.wasBad && now-a.failedAt < oneSetback {
+	if a.hasFailed && now-a.failedAt < oneSetback {
 		return
 	}
-	a.wasBad, a.failedAt, a.good = true, now, now
+	a.hasFailed, a.failedAt, a.good = true, now, now
 	a.Rate = max(a.maxRate*leastShare, a.Rate/2)
 	a.tokens = min(a.tokens, 1)
 }
 
 // Success notes an answer.
 func (a *Adaptive) Success(now time.Duration) {
-	if a.wasBad && now-a.failedAt < holdOffDown {
+	if a.hasFailed && now-a.failedAt < holdOffDown {
 		a.good = now
 		return
 	}
