--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -47,7 +47,7 @@
 	maxRate   float64 // the rate that is announced or agreed on
 	failedAt  time.Duration
 	hasFailed bool
-	good      time.Duration
+	grownAt   time.Duration
 }
 
 const (
@@ -59,7 +59,7 @@
 
 // NewAdaptive makes a full budget at its top rate.
 func NewAdaptive(now time.Duration, top, burst float64) Adaptive {
-	return Adaptive{Bucket: NewBucket(now, top, burst), maxRate: top, good: now}
+	return Adaptive{Bucket: NewBucket(now, top, burst), maxRate: top, grownAt: now}
 }
 
 // Failure notes that the receiver refused, did not answer in time, or was in trouble.
@@ -67,7 +67,7 @@
 	if a.hasFailed && now-a.failedAt < oneSetback {
 		return
 	}
-	a.hasFailed, a.failedAt, a.good = true, now, now
+	a.hasFailed, a.failedAt, a.grownAt = true, now, now
 	a.Rate = max(a.maxRate*leastShare, a.Rate/2)
 	a.tokens = min(a.tokens, 1)
 }
@@ -75,11 +75,11 @@
 // Success notes an answer.
 func (a *Adaptive) Success(now time.Duration) {
 	if a.hasFailed && now-a.failedAt < holdOffDown {
-		a.good = now
+		a.grownAt = now
 		return
 	}
-	a.Rate = min(a.maxRate, a.Rate+a.maxRate*(now-a.good).Seconds()/growthIn.Seconds())
-	a.good = now
+	a.Rate = min(a.maxRate, a.Rate+a.maxRate*(now-a.grownAt).Seconds()/growthIn.Seconds())
+	a.grownAt = now
 }
 
 // Limits says how fast tasks may be started while a leader catches up.
