--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -51,10 +51,10 @@
 }
 
 const (
-	leastShare  = 1.0 / 4         // of the top rate
-	growthIn    = 8 * time.Second // from nothing to the top rate
-	oneSetback  = time.Second     // failures this close together are one
-	holdOffDown = 2 * time.Second // after a failure the rate does not grow yet
+	minRateShare = 1.0 / 4         // of the top rate
+	growthIn     = 8 * time.Second // from nothing to the top rate
+	oneSetback   = time.Second     // failures this close together are one
+	holdOffDown  = 2 * time.Second // after a failure the rate does not grow yet
 )
 
 // NewAdaptive makes a full budget at its top rate.
@@ -68,7 +68,7 @@
 		return
 	}
 	a.hasFailed, a.failedAt, a.grownAt = true, now, now
-	a.Rate = max(a.maxRate*leastShare, a.Rate/2)
+	a.Rate = max(a.maxRate*minRateShare, a.Rate/2)
 	a.tokens = min(a.tokens, 1)
 }
 
