--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -51,10 +51,10 @@
 }
 
 const (
-	minRateShare = 1.0 / 4         // of the top rate
-	growthIn     = 8 * time.Second // from nothing to the top rate
-	oneSetback   = time.Second     // failures this close together are one
-	holdOffDown  = 2 * time.Second // after a failure the rate does not grow yet
+	minRateShare   = 1.0 / 4         // of the top rate
+	fullGrowthTime = 8 * time.Second // from nothing to the top rate
+	oneSetback     = time.Second     // failures this close together are one
+	holdOffDown    = 2 * time.Second // after a failure the rate does not grow yet
 )
 
 // NewAdaptive makes a full budget at its top rate.
@@ -78,7 +78,7 @@
 		a.grownAt = now
 		return
 	}
-	a.Rate = min(a.maxRate, a.Rate+a.maxRate*(now-a.grownAt).Seconds()/growthIn.Seconds())
+	a.Rate = min(a.maxRate, a.Rate+a.maxRate*(now-a.grownAt).Seconds()/fullGrowthTime.Seconds())
 	a.grownAt = now
 }
 
