--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -53,7 +53,7 @@
 const (
 	minRateShare   = 1.0 / 4         // of the top rate
 	fullGrowthTime = 8 * time.Second // from nothing to the top rate
-	oneSetback     = time.Second     // failures this close together are one
+	failureWindow  = time.Second     // failures this close together are one
 	holdOffDown    = 2 * time.Second // after a failure the rate does not grow yet
 )
 
@@ -64,7 +64,7 @@
 
 // Failure notes that the receiver refused, did not answer in time, or was in trouble.
 func (a *Adaptive) Failure(now time.Duration) {
-	if a.hasFailed && now-a.failedAt < oneSetback {
+	if a.hasFailed && now-a.failedAt < failureWindow {
 		return
 	}
 	a.hasFailed, a.failedAt, a.grownAt = true, now, now
