--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -54,7 +54,7 @@
 	minRateShare   = 1.0 / 4         // of the top rate
 	fullGrowthTime = 8 * time.Second // from nothing to the top rate
 	failureWindow  = time.Second     // failures this close together are one
-	holdOffDown    = 2 * time.Second // after a failure the rate does not grow yet
+	growthHoldOff  = 2 * time.Second // after a failure the rate does not grow yet
 )
 
 // NewAdaptive makes a full budget at its top rate.
@@ -74,7 +74,7 @@
 
 // Success notes an answer.
 func (a *Adaptive) Success(now time.Duration) {
-	if a.hasFailed && now-a.failedAt < holdOffDown {
+	if a.hasFailed && now-a.failedAt < growthHoldOff {
 		a.grownAt = now
 		return
 	}
