--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -96,7 +96,7 @@
 }
 
 // zoneBurst is for how many seconds' worth a zone's starts may gather.
-const zoneBurst = 1
+const zoneBurstSeconds = 1
 
 // NewStartLimiter makes a full budget.
 func NewStartLimiter(l Limits) *StartLimiter {
@@ -122,7 +122,7 @@
 func (s *StartLimiter) zone(now time.Duration, zone int32) *Bucket {
 	b := s.zones[zone]
 	if b == nil {
-		x := NewBucket(now, s.limits.Zone, math.Max(1, s.limits.Zone*zoneBurst))
+		x := NewBucket(now, s.limits.Zone, math.Max(1, s.limits.Zone*zoneBurstSeconds))
 		b = &x
 		s.zones[zone] = b
 	}
