--- a/internal/core/ratelimit/pacing.go
+++ b/internal/core/ratelimit/pacing.go
@@ -109,17 +109,17 @@
 	if !has && s.limits.Images > 0 && fetching >= s.limits.Images {
 		return false // one fetch is shared by all who wait for it; two share the rate
 	}
-	return s.limits.Zone == 0 || s.zone(now, zone).Has(now, 1)
+	return s.limits.Zone == 0 || s.zoneBucket(now, zone).Has(now, 1)
 }
 
 // Spend counts a start.
 func (s *StartLimiter) Spend(now time.Duration, zone int32) {
 	if s.limits.Zone > 0 {
-		s.zone(now, zone).Take(now, 1)
+		s.zoneBucket(now, zone).Take(now, 1)
 	}
 }
 
-func (s *StartLimiter) zone(now time.Duration, zone int32) *Bucket {
+func (s *StartLimiter) zoneBucket(now time.Duration, zone int32) *Bucket {
 	b := s.zones[zone]
 	if b == nil {
 		x := NewBucket(now, s.limits.Zone, math.Max(1, s.limits.Zone*zoneBurstSeconds))
