--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -18,7 +18,7 @@
 const (
 	Submit Kind = iota // submissions and cancellations
 	Poll
-	kinds
+	kindCount
 )
 
 const (
@@ -30,7 +30,7 @@
 // Controller counts who was turned away lately, and spreads them out.
 type Controller struct {
 	rate    float64 // requests a second that are taken when all goes well
-	count   [kinds][slices]float64
+	count   [kindCount][slices]float64
 	at      int64         // the current slice
 	zero    time.Duration // time of day at time 0
 	crowded time.Duration // until when jobs take turns
@@ -127,7 +127,7 @@
 // Shares of a bounded queue, by kind: a request is turned away where more is in it, so
 // that submissions find room where polls do not, and workers' reports and results of
 // calls find some always.
-var queueShare = [kinds]float64{Submit: 0.75, Poll: 0.5}
+var queueShare = [kindCount]float64{Submit: 0.75, Poll: 0.5}
 
 // outOfTurn is the share of that of polls which those get whose turn it is not.
 const outOfTurn = 0.25
