--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -22,9 +22,9 @@
 )
 
 const (
-	longest = 30 // seconds; users wait no longer, whatever they are told
-	slices  = 8  // of the window over which those turned away are counted
-	slice   = time.Second / 2
+	maxRetrySeconds = 30 // seconds; users wait no longer, whatever they are told
+	slices          = 8  // of the window over which those turned away are counted
+	slice           = time.Second / 2
 )
 
 // Controller counts who was turned away lately, and spreads them out.
@@ -91,17 +91,17 @@
 			if wait == 1 {
 				wait = cycle
 			}
-			if wait <= longest {
+			if wait <= maxRetrySeconds {
 				return max(least, wait)
 			}
-			before, span = float64(wait-longest), float64(2*longest-wait)
+			before, span = float64(wait-maxRetrySeconds), float64(2*maxRetrySeconds-wait)
 		}
 	}
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:], job)
 	binary.LittleEndian.PutUint64(key[8:], uint64(now/time.Millisecond))
 	pick := float64(xxhash.Sum64(key[:])%1024) / 1024
-	return min(longest, max(least, 1)+int(before+pick*span))
+	return min(maxRetrySeconds, max(least, 1)+int(before+pick*span))
 }
 
 // seconds is how long those turned away take to be served.
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -28,7 +28,7 @@
 	for i := range uint64(2000) { // the first ones cannot know how many will follow
 		d.Reject(now, Kind(i%2), i, 1)
 	}
-	var back [kindCount][longest + 1]int
+	var back [kindCount][maxRetrySeconds + 1]int
 	for i := range uint64(2000) {
 		k := Kind(i % 2)
 		s := d.Reject(now+time.Second, k, i, 1)
