--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -23,14 +23,14 @@
 
 const (
 	maxRetrySeconds = 30 // seconds; users wait no longer, whatever they are told
-	slices          = 8  // of the window over which those turned away are counted
+	sliceCount      = 8  // of the window over which those turned away are counted
 	slice           = time.Second / 2
 )
 
 // Controller counts who was turned away lately, and spreads them out.
 type Controller struct {
 	rate    float64 // requests a second that are taken when all goes well
-	count   [kindCount][slices]float64
+	count   [kindCount][sliceCount]float64
 	at      int64         // the current slice
 	zero    time.Duration // time of day at time 0
 	crowded time.Duration // until when jobs take turns
@@ -76,7 +76,7 @@
 // that two who met once do not meet for ever, and needs no randomness.
 func (d *Controller) Reject(now time.Duration, kind Kind, job uint64, least int) int {
 	d.turn(now)
-	d.count[kind][d.at%slices]++
+	d.count[kind][d.at%sliceCount]++
 	before, span := 0.0, d.seconds(Submit)
 	if kind == Poll {
 		before, span = span-1, d.seconds(Poll)
@@ -116,9 +116,9 @@
 // turn forgets what is over.
 func (d *Controller) turn(now time.Duration) {
 	at := int64(now / slice)
-	for n := min(at-d.at, slices); n > 0; n-- {
+	for n := min(at-d.at, sliceCount); n > 0; n-- {
 		for k := range d.count {
-			d.count[k][(at-n+1)%slices] = 0
+			d.count[k][(at-n+1)%sliceCount] = 0
 		}
 	}
 	d.at = max(d.at, at)
