--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -24,7 +24,7 @@
 const (
 	maxRetrySeconds = 30 // seconds; users wait no longer, whatever they are told
 	sliceCount      = 8  // of the window over which those turned away are counted
-	slice           = time.Second / 2
+	sliceLength     = time.Second / 2
 )
 
 // Controller counts who was turned away lately, and spreads them out.
@@ -115,7 +115,7 @@
 
 // turn forgets what is over.
 func (d *Controller) turn(now time.Duration) {
-	at := int64(now / slice)
+	at := int64(now / sliceLength)
 	for n := min(at-d.at, sliceCount); n > 0; n-- {
 		for k := range d.count {
 			d.count[k][(at-n+1)%sliceCount] = 0
