--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -29,11 +29,11 @@
 
 // Controller counts who was turned away lately, and spreads them out.
 type Controller struct {
-	rate    float64 // requests a second that are taken when all goes well
-	count   [kindCount][sliceCount]float64
-	at      int64         // the current slice
-	zero    time.Duration // time of day at time 0
-	crowded time.Duration // until when jobs take turns
+	rate     float64 // requests a second that are taken when all goes well
+	rejected [kindCount][sliceCount]float64
+	at       int64         // the current slice
+	zero     time.Duration // time of day at time 0
+	crowded  time.Duration // until when jobs take turns
 }
 
 // NewController makes a door behind which so many requests a second can be taken. zero is the
@@ -76,7 +76,7 @@
 // that two who met once do not meet for ever, and needs no randomness.
 func (d *Controller) Reject(now time.Duration, kind Kind, job uint64, least int) int {
 	d.turn(now)
-	d.count[kind][d.at%sliceCount]++
+	d.rejected[kind][d.at%sliceCount]++
 	before, span := 0.0, d.seconds(Submit)
 	if kind == Poll {
 		before, span = span-1, d.seconds(Poll)
@@ -107,7 +107,7 @@
 // seconds is how long those turned away take to be served.
 func (d *Controller) seconds(kind Kind) float64 {
 	sum := 0.0
-	for _, n := range d.count[kind] {
+	for _, n := range d.rejected[kind] {
 		sum += n
 	}
 	return math.Max(1, math.Ceil(sum/d.rate))
@@ -117,8 +117,8 @@
 func (d *Controller) turn(now time.Duration) {
 	at := int64(now / sliceLength)
 	for n := min(at-d.at, sliceCount); n > 0; n-- {
-		for k := range d.count {
-			d.count[k][(at-n+1)%sliceCount] = 0
+		for k := range d.rejected {
+			d.rejected[k][(at-n+1)%sliceCount] = 0
 		}
 	}
 	d.at = max(d.at, at)
