--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -32,7 +32,7 @@
 	rate         float64 // requests a second that are taken when all goes well
 	rejected     [kindCount][sliceCount]float64
 	currentSlice int64         // the current slice
-	zero         time.Duration // time of day at time 0
+	epochTime    time.Duration // time of day at time 0
 	crowded      time.Duration // until when jobs take turns
 }
 
@@ -40,7 +40,7 @@
 // time of day at time 0: turns go by that, so that all controllers agree on them within
 // the bound of their clocks.
 func NewController(rate float64, zero time.Duration) *Controller {
-	return &Controller{rate: max(rate, 1), zero: zero}
+	return &Controller{rate: max(rate, 1), epochTime: zero}
 }
 
 // Turns: where far more is asked than can be answered, chance alone would leave some
@@ -59,7 +59,7 @@
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], job)
 	slot := int64(xxhash.Sum64(key[:]) % cycle)
-	past := (int64((d.zero+now)/time.Second) + cycle - slot) % cycle
+	past := (int64((d.epochTime+now)/time.Second) + cycle - slot) % cycle
 	if past < turnLate {
 		return 0
 	}
