--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -33,7 +33,7 @@
 	rejected     [kindCount][sliceCount]float64
 	currentSlice int64         // the current slice
 	epochTime    time.Duration // time of day at time 0
-	crowded      time.Duration // until when jobs take turns
+	turnsUntil   time.Duration // until when jobs take turns
 }
 
 // NewController makes a door behind which so many requests a second can be taken. zero is the
@@ -80,10 +80,10 @@
 	before, span := 0.0, d.seconds(Submit)
 	if kind == Poll {
 		before, span = span-1, d.seconds(Poll)
-		if span > crowd || (span > 1 && now < d.crowded) {
-			d.crowded = now + cycle*time.Second
+		if span > crowd || (span > 1 && now < d.turnsUntil) {
+			d.turnsUntil = now + cycle*time.Second
 		}
-		if now < d.crowded {
+		if now < d.turnsUntil {
 			// A second into it, since clocks differ. In the middle of a turn there are more than
 			// even turns can serve: the next one. What is further off than users wait is reached
 			// by way of another try, which may find the crowd gone.
@@ -137,7 +137,7 @@
 func (d *Controller) Admit(now time.Duration, kind Kind, job uint64, taken, places int) bool {
 	d.turn(now)
 	share := queueShare[kind]
-	if kind == Poll && now < d.crowded && d.untilTurn(now, job) > 0 {
+	if kind == Poll && now < d.turnsUntil && d.untilTurn(now, job) > 0 {
 		share *= outOfTurn
 	}
 	return float64(taken) < share*float64(places)
