--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -49,21 +49,21 @@
 // only so many are in their turn that all of them can be answered: at 600 answers a second
 // that holds for some 30,000 jobs.
 const (
-	cycle    = 60 // seconds; with the time that an answer takes, less than the 75 after which a job is forgotten
-	turnLate = 3  // seconds that a turn lasts
-	crowd    = 10 // seconds' worth of questions turned away, above which jobs take turns, until a cycle after the crowd has gone
+	cycleSeconds = 60 // seconds; with the time that an answer takes, less than the 75 after which a job is forgotten
+	turnLate     = 3  // seconds that a turn lasts
+	crowd        = 10 // seconds' worth of questions turned away, above which jobs take turns, until a cycle after the crowd has gone
 )
 
 // untilTurn is in how many seconds a job's turn begins, 0 while it is under way.
 func (d *Controller) untilTurn(now time.Duration, job uint64) int {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], job)
-	slot := int64(xxhash.Sum64(key[:]) % cycle)
-	past := (int64((d.epochTime+now)/time.Second) + cycle - slot) % cycle
+	slot := int64(xxhash.Sum64(key[:]) % cycleSeconds)
+	past := (int64((d.epochTime+now)/time.Second) + cycleSeconds - slot) % cycleSeconds
 	if past < turnLate {
 		return 0
 	}
-	return int(cycle - past)
+	return int(cycleSeconds - past)
 }
 
 // Reject notes that a request about a job is turned away, and gives after how many
@@ -81,7 +81,7 @@
 	if kind == Poll {
 		before, span = span-1, d.seconds(Poll)
 		if span > crowd || (span > 1 && now < d.turnsUntil) {
-			d.turnsUntil = now + cycle*time.Second
+			d.turnsUntil = now + cycleSeconds*time.Second
 		}
 		if now < d.turnsUntil {
 			// A second into it, since clocks differ. In the middle of a turn there are more than
@@ -89,7 +89,7 @@
 			// by way of another try, which may find the crowd gone.
 			wait := d.untilTurn(now, job) + 1
 			if wait == 1 {
-				wait = cycle
+				wait = cycleSeconds
 			}
 			if wait <= maxRetrySeconds {
 				return max(least, wait)
