--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -50,7 +50,7 @@
 // that holds for some 30,000 jobs.
 const (
 	cycleSeconds = 60 // seconds; with the time that an answer takes, less than the 75 after which a job is forgotten
-	turnLate     = 3  // seconds that a turn lasts
+	turnSeconds  = 3  // seconds that a turn lasts
 	crowd        = 10 // seconds' worth of questions turned away, above which jobs take turns, until a cycle after the crowd has gone
 )
 
@@ -60,7 +60,7 @@
 	binary.LittleEndian.PutUint64(key[:], job)
 	slot := int64(xxhash.Sum64(key[:]) % cycleSeconds)
 	past := (int64((d.epochTime+now)/time.Second) + cycleSeconds - slot) % cycleSeconds
-	if past < turnLate {
+	if past < turnSeconds {
 		return 0
 	}
 	return int(cycleSeconds - past)
