--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -49,9 +49,9 @@
 // only so many are in their turn that all of them can be answered: at 600 answers a second
 // that holds for some 30,000 jobs.
 const (
-	cycleSeconds = 60 // seconds; with the time that an answer takes, less than the 75 after which a job is forgotten
-	turnSeconds  = 3  // seconds that a turn lasts
-	crowd        = 10 // seconds' worth of questions turned away, above which jobs take turns, until a cycle after the crowd has gone
+	cycleSeconds          = 60 // seconds; with the time that an answer takes, less than the 75 after which a job is forgotten
+	turnSeconds           = 3  // seconds that a turn lasts
+	turnsThresholdSeconds = 10 // seconds' worth of questions turned away, above which jobs take turns, until a cycle after the crowd has gone
 )
 
 // untilTurn is in how many seconds a job's turn begins, 0 while it is under way.
@@ -80,7 +80,7 @@
 	before, span := 0.0, d.seconds(Submit)
 	if kind == Poll {
 		before, span = span-1, d.seconds(Poll)
-		if span > crowd || (span > 1 && now < d.turnsUntil) {
+		if span > turnsThresholdSeconds || (span > 1 && now < d.turnsUntil) {
 			d.turnsUntil = now + cycleSeconds*time.Second
 		}
 		if now < d.turnsUntil {
