--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -54,8 +54,8 @@
 	turnsThresholdSeconds = 10 // seconds' worth of questions turned away, above which jobs take turns, until a cycle after the crowd has gone
 )
 
-// untilTurn is in how many seconds a job's turn begins, 0 while it is under way.
-func (d *Controller) untilTurn(now time.Duration, job uint64) int {
+// secondsUntilTurn is in how many seconds a job's turn begins, 0 while it is under way.
+func (d *Controller) secondsUntilTurn(now time.Duration, job uint64) int {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], job)
 	slot := int64(xxhash.Sum64(key[:]) % cycleSeconds)
@@ -87,7 +87,7 @@
 			// A second into it, since clocks differ. In the middle of a turn there are more than
 			// even turns can serve: the next one. What is further off than users wait is reached
 			// by way of another try, which may find the crowd gone.
-			wait := d.untilTurn(now, job) + 1
+			wait := d.secondsUntilTurn(now, job) + 1
 			if wait == 1 {
 				wait = cycleSeconds
 			}
@@ -137,7 +137,7 @@
 func (d *Controller) Admit(now time.Duration, kind Kind, job uint64, taken, places int) bool {
 	d.turn(now)
 	share := queueShare[kind]
-	if kind == Poll && now < d.turnsUntil && d.untilTurn(now, job) > 0 {
+	if kind == Poll && now < d.turnsUntil && d.secondsUntilTurn(now, job) > 0 {
 		share *= outOfTurn
 	}
 	return float64(taken) < share*float64(places)
