--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -77,9 +77,9 @@
 func (d *Controller) Reject(now time.Duration, kind Kind, job uint64, least int) int {
 	d.turn(now)
 	d.rejected[kind][d.currentSlice%sliceCount]++
-	before, span := 0.0, d.seconds(Submit)
+	before, span := 0.0, d.secondsToServe(Submit)
 	if kind == Poll {
-		before, span = span-1, d.seconds(Poll)
+		before, span = span-1, d.secondsToServe(Poll)
 		if span > turnsThresholdSeconds || (span > 1 && now < d.turnsUntil) {
 			d.turnsUntil = now + cycleSeconds*time.Second
 		}
@@ -104,8 +104,8 @@
 	return min(maxRetrySeconds, max(least, 1)+int(before+pick*span))
 }
 
-// seconds is how long those turned away take to be served.
-func (d *Controller) seconds(kind Kind) float64 {
+// secondsToServe is how long those turned away take to be served.
+func (d *Controller) secondsToServe(kind Kind) float64 {
 	sum := 0.0
 	for _, n := range d.rejected[kind] {
 		sum += n
