--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -75,7 +75,7 @@
 // a request falls is the hash of its job and of the time: it differs from try to try, so
 // that two who met once do not meet for ever, and needs no randomness.
 func (d *Controller) Reject(now time.Duration, kind Kind, job uint64, least int) int {
-	d.turn(now)
+	d.expireSlices(now)
 	d.rejected[kind][d.currentSlice%sliceCount]++
 	before, span := 0.0, d.secondsToServe(Submit)
 	if kind == Poll {
@@ -113,8 +113,8 @@
 	return math.Max(1, math.Ceil(sum/d.rate))
 }
 
-// turn forgets what is over.
-func (d *Controller) turn(now time.Duration) {
+// expireSlices forgets what is over.
+func (d *Controller) expireSlices(now time.Duration) {
 	at := int64(now / sliceLength)
 	for n := min(at-d.currentSlice, sliceCount); n > 0; n-- {
 		for k := range d.rejected {
@@ -135,7 +135,7 @@
 // Admit says whether a request about a job may enter a queue of so many places with so many
 // taken.
 func (d *Controller) Admit(now time.Duration, kind Kind, job uint64, taken, places int) bool {
-	d.turn(now)
+	d.expireSlices(now)
 	share := queueShare[kind]
 	if kind == Poll && now < d.turnsUntil && d.secondsUntilTurn(now, job) > 0 {
 		share *= outOfTurn
