--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -130,7 +130,7 @@
 var queueShare = [kindCount]float64{Submit: 0.75, Poll: 0.5}
 
 // outOfTurn is the share of that of polls which those get whose turn it is not.
-const outOfTurn = 0.25
+const outOfTurnShare = 0.25
 
 // Admit says whether a request about a job may enter a queue of so many places with so many
 // taken.
@@ -138,7 +138,7 @@
 	d.expireSlices(now)
 	share := queueShare[kind]
 	if kind == Poll && now < d.turnsUntil && d.secondsUntilTurn(now, job) > 0 {
-		share *= outOfTurn
+		share *= outOfTurnShare
 	}
 	return float64(taken) < share*float64(places)
 }
