--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -59,10 +59,10 @@
 
 // Equal says whether two values are the same.
 func (v Value) Equal(o Value) bool {
-	return v.Removed == o.Removed && samePointed(v.Limits, o.Limits) && samePointed(v.Number, o.Number)
+	return v.Removed == o.Removed && equalPointees(v.Limits, o.Limits) && equalPointees(v.Number, o.Number)
 }
 
-func samePointed[T comparable](a, b *T) bool {
+func equalPointees[T comparable](a, b *T) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
