--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -90,11 +90,11 @@
 
 // Bounds of what may be changed.
 const (
-	MostChanges = 64   // of one revision
-	MostItems   = 2000 // that ever were changed
-	mostName    = 64   // bytes of a team's name
-	mostID      = 64   // bytes of an id
-	mostNote    = 200  // bytes of a note
+	MostChanges      = 64   // of one revision
+	MostItems        = 2000 // that ever were changed
+	maxTeamNameBytes = 64   // bytes of a team's name
+	mostID           = 64   // bytes of an id
+	mostNote         = 200  // bytes of a note
 )
 
 // Check says what is wrong with changes by the settings' own rules, naming the field.
@@ -135,8 +135,8 @@
 		return wrong(i.Tunable, "cannot change while controllers run: it needs a restart")
 	case i.Tunable != "":
 		return nil
-	case len(i.Team) > mostName || strings.ContainsAny(i.Team, "/\"\\ \t\r\n"):
-		return wrong("team", "a name has 1 to %d bytes, without spaces, slashes and quotes", mostName)
+	case len(i.Team) > maxTeamNameBytes || strings.ContainsAny(i.Team, "/\"\\ \t\r\n"):
+		return wrong("team", "a name has 1 to %d bytes, without spaces, slashes and quotes", maxTeamNameBytes)
 	case v.Number != nil || (v.Removed && v.Limits != nil):
 		return wrong(i.String(), "a team has limits, or is removed")
 	case v.Limits != nil:
