--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -93,7 +93,7 @@
 	MostChanges      = 64   // of one revision
 	MostItems        = 2000 // that ever were changed
 	maxTeamNameBytes = 64   // bytes of a team's name
-	mostID           = 64   // bytes of an id
+	maxIDBytes       = 64   // bytes of an id
 	mostNote         = 200  // bytes of a note
 )
 
@@ -162,8 +162,8 @@
 // CheckWords says what is wrong with an id and a note.
 func CheckWords(id, note string) error {
 	switch {
-	case id == "" || len(id) > mostID:
-		return &settings.FieldError{Field: "id", Why: fmt.Sprintf("has 1 to %d bytes", mostID)}
+	case id == "" || len(id) > maxIDBytes:
+		return &settings.FieldError{Field: "id", Why: fmt.Sprintf("has 1 to %d bytes", maxIDBytes)}
 	case len(note) > mostNote:
 		return &settings.FieldError{Field: "note", Why: fmt.Sprintf("has at most %d bytes", mostNote)}
 	}
