--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -94,7 +94,7 @@
 	MostItems        = 2000 // that ever were changed
 	maxTeamNameBytes = 64   // bytes of a team's name
 	maxIDBytes       = 64   // bytes of an id
-	mostNote         = 200  // bytes of a note
+	maxNoteBytes     = 200  // bytes of a note
 )
 
 // Check says what is wrong with changes by the settings' own rules, naming the field.
@@ -164,8 +164,8 @@
 	switch {
 	case id == "" || len(id) > maxIDBytes:
 		return &settings.FieldError{Field: "id", Why: fmt.Sprintf("has 1 to %d bytes", maxIDBytes)}
-	case len(note) > mostNote:
-		return &settings.FieldError{Field: "note", Why: fmt.Sprintf("has at most %d bytes", mostNote)}
+	case len(note) > maxNoteBytes:
+		return &settings.FieldError{Field: "note", Why: fmt.Sprintf("has at most %d bytes", maxNoteBytes)}
 	}
 	return nil
 }
