--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -88,13 +88,13 @@
 
 // Replica is what one controller has of the configuration. It outlives terms.
 type Replica struct {
-	doc   Document
-	since time.Duration // when its revision came
-	heard time.Duration // when a leader last told, 0: never
+	document Document
+	since    time.Duration // when its revision came
+	heard    time.Duration // when a leader last told, 0: never
 }
 
 // Revision is what the controller has in force.
-func (r *Replica) Revision() uint64 { return r.doc.revision }
+func (r *Replica) Revision() uint64 { return r.document.revision }
 
 // Since is when that revision came, Heard when a leader last told of it; 0: never.
 func (r *Replica) Since() time.Duration { return r.since }
@@ -103,26 +103,26 @@
 func (r *Replica) UpdatedAt() time.Duration { return r.heard }
 
 // All lists what was ever set, as far as the controller has heard.
-func (r *Replica) All() []Set { return r.doc.All() }
+func (r *Replica) All() []Set { return r.document.All() }
 
 // Apply takes what a leader tells. It never goes back to an older revision: what comes late, or
 // lacks something in between, changes nothing.
 func (r *Replica) Apply(now time.Duration, u Update) {
 	r.heard = now
-	if u.To <= r.doc.revision || u.From > r.doc.revision {
+	if u.To <= r.document.revision || u.From > r.document.revision {
 		return
 	}
 	for _, s := range u.Sets {
-		r.doc.Put(s)
+		r.document.Put(s)
 	}
-	r.doc.revision = u.To
+	r.document.revision = u.To
 	r.since = now
 }
 
 // Store takes over a leader's own document.
 func (r *Replica) Store(now time.Duration, d *Document) {
 	r.heard = now
-	if d.revision > r.doc.revision {
-		r.doc, r.since = d.clone(), now
+	if d.revision > r.document.revision {
+		r.document, r.since = d.clone(), now
 	}
 }
