--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -88,9 +88,9 @@
 
 // Replica is what one controller has of the configuration. It outlives terms.
 type Replica struct {
-	document Document
-	since    time.Duration // when its revision came
-	heard    time.Duration // when a leader last told, 0: never
+	document  Document
+	since     time.Duration // when its revision came
+	updatedAt time.Duration // when a leader last told, 0: never
 }
 
 // Revision is what the controller has in force.
@@ -100,7 +100,7 @@
 func (r *Replica) Since() time.Duration { return r.since }
 
 // UpdatedAt is when a leader last told of the configuration; 0: never.
-func (r *Replica) UpdatedAt() time.Duration { return r.heard }
+func (r *Replica) UpdatedAt() time.Duration { return r.updatedAt }
 
 // All lists what was ever set, as far as the controller has heard.
 func (r *Replica) All() []Set { return r.document.All() }
@@ -108,7 +108,7 @@
 // Apply takes what a leader tells. It never goes back to an older revision: what comes late, or
 // lacks something in between, changes nothing.
 func (r *Replica) Apply(now time.Duration, u Update) {
-	r.heard = now
+	r.updatedAt = now
 	if u.To <= r.document.revision || u.From > r.document.revision {
 		return
 	}
@@ -121,7 +121,7 @@
 
 // Store takes over a leader's own document.
 func (r *Replica) Store(now time.Duration, d *Document) {
-	r.heard = now
+	r.updatedAt = now
 	if d.revision > r.document.revision {
 		r.document, r.since = d.clone(), now
 	}
