--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -88,16 +88,16 @@
 
 // Replica is what one controller has of the configuration. It outlives terms.
 type Replica struct {
-	document  Document
-	since     time.Duration // when its revision came
-	updatedAt time.Duration // when a leader last told, 0: never
+	document      Document
+	revisionSince time.Duration // when its revision came
+	updatedAt     time.Duration // when a leader last told, 0: never
 }
 
 // Revision is what the controller has in force.
 func (r *Replica) Revision() uint64 { return r.document.revision }
 
 // Since is when that revision came, Heard when a leader last told of it; 0: never.
-func (r *Replica) Since() time.Duration { return r.since }
+func (r *Replica) Since() time.Duration { return r.revisionSince }
 
 // UpdatedAt is when a leader last told of the configuration; 0: never.
 func (r *Replica) UpdatedAt() time.Duration { return r.updatedAt }
@@ -116,13 +116,13 @@
 		r.document.Put(s)
 	}
 	r.document.revision = u.To
-	r.since = now
+	r.revisionSince = now
 }
 
 // Store takes over a leader's own document.
 func (r *Replica) Store(now time.Duration, d *Document) {
 	r.updatedAt = now
 	if d.revision > r.document.revision {
-		r.document, r.since = d.clone(), now
+		r.document, r.revisionSince = d.clone(), now
 	}
 }
