--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -81,14 +81,14 @@
 			at[e.Item] = i
 			out = append(out, Change{Item: e.Item})
 		}
-		if err := e.edit(&out[i].Value, known, limits); err != nil {
+		if err := e.applyTo(&out[i].Value, known, limits); err != nil {
 			return nil, err
 		}
 	}
 	return out, nil
 }
 
-func (e *Edit) edit(v *Value, again bool, limits func(team string) Limits) error {
+func (e *Edit) applyTo(v *Value, again bool, limits func(team string) Limits) error {
 	wrong := func(why string, args ...any) error {
 		return &settings.FieldError{Field: strings.TrimSuffix(e.Item.String()+"."+e.Field, "."), Why: fmt.Sprintf(why, args...)}
 	}
