--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -23,7 +23,7 @@
 	valueSettings = "settings" // as the settings say
 )
 
-const teamWord = "team"
+const teamPrefix = "team"
 
 // ParseEdit reads team/NAME/FIELD=VALUE, team/NAME=removed or SECTION.KEY=VALUE; team/NAME and
 // SECTION.KEY may be set to what the settings say.
@@ -38,7 +38,7 @@
 	switch {
 	case len(parts) == 1:
 		return Edit{Item{Tunable: name}, "", value}, nil
-	case parts[0] != teamWord || parts[1] == "" || len(parts) > 3:
+	case parts[0] != teamPrefix || parts[1] == "" || len(parts) > 3:
 		return wrong("not a team: team/NAME or team/NAME/FIELD")
 	case len(parts) == 3:
 		return Edit{Item{Team: parts[1]}, parts[2], value}, nil
@@ -57,7 +57,7 @@
 	for _, section := range f.Sections() {
 		for _, key := range section.Keys() {
 			e := Edit{Item{Tunable: section.Name() + "." + key.Name()}, "", key.Value()}
-			if team, ok := strings.CutPrefix(section.Name(), teamWord+" "); ok {
+			if team, ok := strings.CutPrefix(section.Name(), teamPrefix+" "); ok {
 				e.Item, e.Field = Item{Team: strings.TrimSpace(team)}, key.Name()
 				if key.Name() == "is" {
 					e.Field = ""
