--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -21,7 +21,7 @@
 // longest is the longest that a night lasts. Where the clocks skip the hour at
 // which one begins, cron leaves that beginning out: it is put where it would have
 // been.
-const longest = 26 * time.Hour
+const maxNight = 26 * time.Hour
 
 // Calendar divides time into nights.
 type Calendar struct {
@@ -93,7 +93,7 @@
 	t = t.In(c.zone)
 	// The last beginning up to t, each local date counting once: where the clocks
 	// go back over the hour, the second one is of the same night.
-	from := c.next(t.Add(-2 * longest))
+	from := c.next(t.Add(-2 * maxNight))
 	for {
 		to := c.next(from)
 		for sameDate(from, to) {
@@ -114,7 +114,7 @@
 // next is the first beginning after a moment.
 func (c *Calendar) next(t time.Time) time.Time {
 	n := c.begins.Next(t)
-	if n.Sub(t) > longest {
+	if n.Sub(t) > maxNight {
 		n = n.AddDate(0, 0, -1) // skipped by the clocks; Go puts it behind the gap
 		if !n.After(t) {
 			n = c.begins.Next(t)
