--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -25,7 +25,7 @@
 
 // Calendar divides time into nights.
 type Calendar struct {
-	zone     *time.Location
+	location *time.Location
 	begins   cron.Schedule
 	holidays []string
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, &FieldError{"night", fmt.Sprintf("not a cron expression: %q", begins)}
 	}
-	c := &Calendar{zone: loc, begins: s}
+	c := &Calendar{location: loc, begins: s}
 	// Once a day, on a day on which no clock is changed and on the one after it.
 	at := time.Date(2026, 1, 14, 0, 0, 0, 0, loc)
 	one := s.Next(at.Add(-time.Second))
@@ -90,7 +90,7 @@
 	if !c.from.IsZero() && !t.Before(c.from) && t.Before(c.to) {
 		return c.last
 	}
-	t = t.In(c.zone)
+	t = t.In(c.location)
 	// The last beginning up to t, each local date counting once: where the clocks
 	// go back over the hour, the second one is of the same night.
 	from := c.next(t.Add(-2 * maxNight))
@@ -127,16 +127,16 @@
 
 // Quarter is the beginning of the quarter of an hour in which a moment lies.
 func (c *Calendar) Quarter(t time.Time) time.Time {
-	t = t.In(c.zone)
+	t = t.In(c.location)
 	return t.Add(-time.Duration(t.Minute()%15)*time.Minute - time.Duration(t.Second())*time.Second - time.Duration(t.Nanosecond()))
 }
 
 // Slot numbers the quarters of an hour of a day by the local clock: 0 to 95. Those of
 // an hour that the clocks repeat have the same numbers twice.
 func (c *Calendar) Slot(t time.Time) int {
-	t = t.In(c.zone)
+	t = t.In(c.location)
 	return t.Hour()*4 + t.Minute()/15
 }
 
 // Clock is the local time of day.
-func (c *Calendar) Clock(t time.Time) string { return t.In(c.zone).Format("15:04") }
+func (c *Calendar) Clock(t time.Time) string { return t.In(c.location).Format("15:04") }
