--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -25,9 +25,9 @@
 
 // Calendar divides time into nights.
 type Calendar struct {
-	location *time.Location
-	begins   cron.Schedule
-	holidays []string
+	location    *time.Location
+	nightStarts cron.Schedule
+	holidays    []string
 
 	from, to time.Time // the night that was asked for last
 	last     Night
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, &FieldError{"night", fmt.Sprintf("not a cron expression: %q", begins)}
 	}
-	c := &Calendar{location: loc, begins: s}
+	c := &Calendar{location: loc, nightStarts: s}
 	// Once a day, on a day on which no clock is changed and on the one after it.
 	at := time.Date(2026, 1, 14, 0, 0, 0, 0, loc)
 	one := s.Next(at.Add(-time.Second))
@@ -113,11 +113,11 @@
 
 // next is the first beginning after a moment.
 func (c *Calendar) next(t time.Time) time.Time {
-	n := c.begins.Next(t)
+	n := c.nightStarts.Next(t)
 	if n.Sub(t) > maxNight {
 		n = n.AddDate(0, 0, -1) // skipped by the clocks; Go puts it behind the gap
 		if !n.After(t) {
-			n = c.begins.Next(t)
+			n = c.nightStarts.Next(t)
 		}
 	}
 	return n
