--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -29,8 +29,8 @@
 	nightStarts cron.Schedule
 	holidays    []string
 
-	from, to time.Time // the night that was asked for last
-	last     Night
+	cachedFrom, to time.Time // the night that was asked for last
+	last           Night
 }
 
 // Night is one night.
@@ -87,7 +87,7 @@
 
 // At is the night to which a moment belongs.
 func (c *Calendar) At(t time.Time) Night {
-	if !c.from.IsZero() && !t.Before(c.from) && t.Before(c.to) {
+	if !c.cachedFrom.IsZero() && !t.Before(c.cachedFrom) && t.Before(c.to) {
 		return c.last
 	}
 	t = t.In(c.location)
@@ -100,13 +100,13 @@
 			to = c.next(to)
 		}
 		if to.After(t) {
-			c.from, c.to = from, to
+			c.cachedFrom, c.to = from, to
 			break
 		}
 		from = to
 	}
-	y, m, d := c.from.Date()
-	date := c.from.Format(DateForm)
+	y, m, d := c.cachedFrom.Date()
+	date := c.cachedFrom.Format(DateForm)
 	c.last = Night{Day: int32(time.Date(y, m, d, 0, 0, 0, 0, time.UTC).Unix() / 86400), Date: date, Holiday: slices.Contains(c.holidays, date)}
 	return c.last
 }
