--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -29,8 +29,8 @@
 	nightStarts cron.Schedule
 	holidays    []string
 
-	cachedFrom, to time.Time // the night that was asked for last
-	last           Night
+	cachedFrom, cachedTo time.Time // the night that was asked for last
+	last                 Night
 }
 
 // Night is one night.
@@ -87,7 +87,7 @@
 
 // At is the night to which a moment belongs.
 func (c *Calendar) At(t time.Time) Night {
-	if !c.cachedFrom.IsZero() && !t.Before(c.cachedFrom) && t.Before(c.to) {
+	if !c.cachedFrom.IsZero() && !t.Before(c.cachedFrom) && t.Before(c.cachedTo) {
 		return c.last
 	}
 	t = t.In(c.location)
@@ -100,7 +100,7 @@
 			to = c.next(to)
 		}
 		if to.After(t) {
-			c.cachedFrom, c.to = from, to
+			c.cachedFrom, c.cachedTo = from, to
 			break
 		}
 		from = to
