--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -30,7 +30,7 @@
 	holidays    []string
 
 	cachedFrom, cachedTo time.Time // the night that was asked for last
-	last                 Night
+	cached               Night
 }
 
 // Night is one night.
@@ -88,7 +88,7 @@
 // At is the night to which a moment belongs.
 func (c *Calendar) At(t time.Time) Night {
 	if !c.cachedFrom.IsZero() && !t.Before(c.cachedFrom) && t.Before(c.cachedTo) {
-		return c.last
+		return c.cached
 	}
 	t = t.In(c.location)
 	// The last beginning up to t, each local date counting once: where the clocks
@@ -107,8 +107,8 @@
 	}
 	y, m, d := c.cachedFrom.Date()
 	date := c.cachedFrom.Format(DateForm)
-	c.last = Night{Day: int32(time.Date(y, m, d, 0, 0, 0, 0, time.UTC).Unix() / 86400), Date: date, Holiday: slices.Contains(c.holidays, date)}
-	return c.last
+	c.cached = Night{Day: int32(time.Date(y, m, d, 0, 0, 0, 0, time.UTC).Unix() / 86400), Date: date, Holiday: slices.Contains(c.holidays, date)}
+	return c.cached
 }
 
 // next is the first beginning after a moment.
