--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -93,11 +93,11 @@
 	t = t.In(c.location)
 	// The last beginning up to t, each local date counting once: where the clocks
 	// go back over the hour, the second one is of the same night.
-	from := c.next(t.Add(-2 * maxNight))
+	from := c.nextStart(t.Add(-2 * maxNight))
 	for {
-		to := c.next(from)
+		to := c.nextStart(from)
 		for sameDate(from, to) {
-			to = c.next(to)
+			to = c.nextStart(to)
 		}
 		if to.After(t) {
 			c.cachedFrom, c.cachedTo = from, to
@@ -111,8 +111,8 @@
 	return c.cached
 }
 
-// next is the first beginning after a moment.
-func (c *Calendar) next(t time.Time) time.Time {
+// nextStart is the first beginning after a moment.
+func (c *Calendar) nextStart(t time.Time) time.Time {
 	n := c.nightStarts.Next(t)
 	if n.Sub(t) > maxNight {
 		n = n.AddDate(0, 0, -1) // skipped by the clocks; Go puts it behind the gap
