--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -103,8 +103,8 @@
 }
 
 type pendingCall struct {
-	seq  uint64
-	sent time.Duration
+	sequence uint64
+	sent     time.Duration
 }
 
 // NewElector makes a node's core; life is that of the hold.
@@ -236,7 +236,7 @@
 
 // KeysRead takes the result of Read.
 func (c *Elector) KeysRead(now time.Duration, seq uint64, ok bool, v View) []Request {
-	if c.readCall == nil || c.readCall.seq != seq {
+	if c.readCall == nil || c.readCall.sequence != seq {
 		return nil
 	}
 	c.readCall = nil
@@ -274,7 +274,7 @@
 
 // WatchEnded takes the result of Watch: something changed, or the time ran out.
 func (c *Elector) WatchEnded(now time.Duration, seq uint64, ok bool) []Request {
-	if c.watchCall == nil || c.watchCall.seq != seq {
+	if c.watchCall == nil || c.watchCall.sequence != seq {
 		return nil
 	}
 	c.watchCall = nil
@@ -295,7 +295,7 @@
 
 // LeaseCreated takes the result of Hold.
 func (c *Elector) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) []Request {
-	if c.electionCall == nil || c.electionCall.seq != seq {
+	if c.electionCall == nil || c.electionCall.sequence != seq {
 		return nil
 	}
 	sent := c.electionCall.sent
@@ -314,7 +314,7 @@
 // unanswered claim counts as failed: should it be applied yet, the hold that
 // is given back takes the key along.
 func (c *Elector) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) []Request {
-	if c.electionCall == nil || c.electionCall.seq != seq {
+	if c.electionCall == nil || c.electionCall.sequence != seq {
 		return nil
 	}
 	sent := c.electionCall.sent
@@ -336,7 +336,7 @@
 
 // LeaseRenewed takes the result of Renew; gone means the hold has ended.
 func (c *Elector) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) []Request {
-	if c.renewalCall == nil || c.renewalCall.seq != seq || c.role != Leader {
+	if c.renewalCall == nil || c.renewalCall.sequence != seq || c.role != Leader {
 		return nil
 	}
 	sent := c.renewalCall.sent
