--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -104,7 +104,7 @@
 
 type pendingCall struct {
 	sequence uint64
-	sent     time.Duration
+	sentAt   time.Duration
 }
 
 // NewElector makes a node's core; life is that of the hold.
@@ -298,7 +298,7 @@
 	if c.electionCall == nil || c.electionCall.sequence != seq {
 		return nil
 	}
-	sent := c.electionCall.sent
+	sent := c.electionCall.sentAt
 	c.electionCall = nil
 	if !ok {
 		c.abandonElection(now)
@@ -317,7 +317,7 @@
 	if c.electionCall == nil || c.electionCall.sequence != seq {
 		return nil
 	}
-	sent := c.electionCall.sent
+	sent := c.electionCall.sentAt
 	c.electionCall = nil
 	if !ok {
 		o := c.newRequest(ReleaseLease)
@@ -339,7 +339,7 @@
 	if c.renewalCall == nil || c.renewalCall.sequence != seq || c.role != Leader {
 		return nil
 	}
-	sent := c.renewalCall.sent
+	sent := c.renewalCall.sentAt
 	c.renewalCall = nil
 	switch {
 	case gone:
