--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -102,9 +102,9 @@
 }
 
 type pendingEntry struct {
-	raw   []byte
-	fact  *Entry // to be told once it is durable; nil: nobody waits for that
-	value *Write // a value of its own that goes into the same transaction
+	raw     []byte
+	tracked *Entry // to be told once it is durable; nil: nobody waits for that
+	value   *Write // a value of its own that goes into the same transaction
 }
 
 func (p *pendingEntry) bytes() int {
@@ -477,8 +477,8 @@
 	l.openSegment, l.openBody, l.openVersion = last.number, last.body, mark
 	var facts []Entry
 	for _, p := range l.pending[:f.count] {
-		if p.fact != nil {
-			facts = append(facts, *p.fact)
+		if p.tracked != nil {
+			facts = append(facts, *p.tracked)
 		}
 		l.pendingBytes -= len(p.raw) + 1
 	}
