--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -107,7 +107,7 @@
 	value   *Write // a value of its own that goes into the same transaction
 }
 
-func (p *pendingEntry) bytes() int {
+func (p *pendingEntry) size() int {
 	if p.value == nil {
 		return len(p.raw)
 	}
@@ -287,7 +287,7 @@
 	var values []Write
 	for i := range l.pending {
 		p := &l.pending[i]
-		if total+p.bytes() > maxTransactionBytes {
+		if total+p.size() > maxTransactionBytes {
 			break
 		}
 		need := ops
@@ -319,7 +319,7 @@
 			cur.body = append(cur.body, ',')
 		}
 		cur.body = append(cur.body, p.raw...)
-		total += p.bytes() + 1
+		total += p.size() + 1
 		f.count++
 	}
 	f.segments = append(f.segments, cur)
