--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -115,14 +115,14 @@
 }
 
 type inflightCommit struct {
-	txn      Transaction
-	segments []segment
-	count    int // pending entries in it
-	sizes    []Write
-	list     int // which list of sizes they are of
-	drops    []string
-	sent     bool
-	unsure   bool // a try of it had no answer
+	transaction Transaction
+	segments    []segment
+	count       int // pending entries in it
+	sizes       []Write
+	list        int // which list of sizes they are of
+	drops       []string
+	sent        bool
+	unsure      bool // a try of it had no answer
 }
 
 type segment struct {
@@ -269,10 +269,10 @@
 			return nil
 		}
 		l.sequence++
-		f.txn.Sequence = l.sequence
+		f.transaction.Sequence = l.sequence
 		f.sent = true
-		l.writeTokens -= float64(len(f.txn.Writes))
-		return &f.txn
+		l.writeTokens -= float64(len(f.transaction.Writes))
+		return &f.transaction
 	}
 	if len(l.pending) == 0 && len(l.pendingSizes) == 0 && len(l.pendingRemovals) == 0 {
 		return nil
@@ -361,10 +361,10 @@
 		return nil
 	}
 	l.writeTokens -= float64(len(txn.Writes))
-	f.txn = txn
+	f.transaction = txn
 	f.sent = true
 	l.inflight = f
-	return &f.txn
+	return &f.transaction
 }
 
 func encodeSegment(body []byte) json.RawMessage {
@@ -388,7 +388,7 @@
 // that are now durable. mark is the revision of the change.
 func (l *Log) CommitResult(now time.Duration, seq uint64, out Outcome, mark uint64, failed []string) ([]Entry, CommitStep) {
 	f := l.inflight
-	if f == nil || f.txn.Sequence != seq {
+	if f == nil || f.transaction.Sequence != seq {
 		return nil, Carry
 	}
 	f.sent = false
