--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -117,7 +117,7 @@
 type inflightCommit struct {
 	transaction Transaction
 	segments    []segment
-	count       int // pending entries in it
+	entryCount  int // pending entries in it
 	sizes       []Write
 	list        int // which list of sizes they are of
 	drops       []string
@@ -320,12 +320,12 @@
 		}
 		cur.body = append(cur.body, p.raw...)
 		total += p.size() + 1
-		f.count++
+		f.entryCount++
 	}
 	f.segments = append(f.segments, cur)
 	l.sequence++
 	txn := Transaction{Sequence: l.sequence, Conditions: []Condition{{l.epochKey, l.epochVersion}, {SegmentKey(l.openSegment), l.openVersion}}}
-	if f.count > 0 {
+	if f.entryCount > 0 {
 		for i, s := range f.segments {
 			if i == 0 && len(s.body) == len(l.openBody) {
 				continue // the open segment was full: it stays as it is
@@ -407,7 +407,7 @@
 		l.awaitingReadBack = true
 		return nil, Reread
 	case Unknown:
-		if f.count == 0 {
+		if f.entryCount == 0 {
 			// Only sizes and segments to remove: both can be done twice.
 			l.requeue(f)
 			return nil, Carry
@@ -469,21 +469,21 @@
 	if f.list == l.sizesGeneration && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
 		l.storedSizes = l.wantedSizes // all that was there beyond is removed
 	}
-	if f.count == 0 {
+	if f.entryCount == 0 {
 		return nil
 	}
 	last := f.segments[len(f.segments)-1]
 	l.openSealed = l.openSealed && last.number == l.openSegment
 	l.openSegment, l.openBody, l.openVersion = last.number, last.body, mark
 	var facts []Entry
-	for _, p := range l.pending[:f.count] {
+	for _, p := range l.pending[:f.entryCount] {
 		if p.tracked != nil {
 			facts = append(facts, *p.tracked)
 		}
 		l.pendingBytes -= len(p.raw) + 1
 	}
-	l.durableCount += f.count
-	l.pending = l.pending[f.count:]
+	l.durableCount += f.entryCount
+	l.pending = l.pending[f.entryCount:]
 	return facts
 }
 
