--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -115,14 +115,14 @@
 }
 
 type inflightCommit struct {
-	transaction Transaction
-	segments    []segment
-	entryCount  int // pending entries in it
-	sizes       []Write
-	list        int // which list of sizes they are of
-	drops       []string
-	sent        bool
-	unsure      bool // a try of it had no answer
+	transaction     Transaction
+	segments        []segment
+	entryCount      int // pending entries in it
+	sizes           []Write
+	sizesGeneration int // which list of sizes they are of
+	drops           []string
+	sent            bool
+	unsure          bool // a try of it had no answer
 }
 
 type segment struct {
@@ -277,7 +277,7 @@
 	if len(l.pending) == 0 && len(l.pendingSizes) == 0 && len(l.pendingRemovals) == 0 {
 		return nil
 	}
-	f := &inflightCommit{list: l.sizesGeneration}
+	f := &inflightCommit{sizesGeneration: l.sizesGeneration}
 	cur := segment{l.openSegment, bytes.Clone(l.openBody)}
 	total := len(cur.body)
 	ops := 1
@@ -457,7 +457,7 @@
 // second time: its entries are still pending.
 func (l *Log) requeue(f *inflightCommit) {
 	l.pendingRemovals = append(l.pendingRemovals, f.drops...)
-	if f.list == l.sizesGeneration { // otherwise a newer one has come
+	if f.sizesGeneration == l.sizesGeneration { // otherwise a newer one has come
 		l.pendingSizes = append(f.sizes, l.pendingSizes...)
 	}
 	l.inflight = nil
@@ -466,7 +466,7 @@
 func (l *Log) finishCommit(f *inflightCommit, mark uint64) []Entry {
 	l.failures = 0
 	l.inflight = nil
-	if f.list == l.sizesGeneration && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
+	if f.sizesGeneration == l.sizesGeneration && len(f.sizes) > 0 && len(l.pendingSizes) == 0 {
 		l.storedSizes = l.wantedSizes // all that was there beyond is removed
 	}
 	if f.entryCount == 0 {
