--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -120,7 +120,7 @@
 	entryCount      int // pending entries in it
 	sizes           []Write
 	sizesGeneration int // which list of sizes they are of
-	drops           []string
+	removals        []string
 	sent            bool
 	unsure          bool // a try of it had no answer
 }
@@ -353,7 +353,7 @@
 		l.pendingSizes = l.pendingSizes[1:]
 	}
 	for len(l.pendingRemovals) > 0 && spare() {
-		f.drops = append(f.drops, l.pendingRemovals[0])
+		f.removals = append(f.removals, l.pendingRemovals[0])
 		txn.Writes = append(txn.Writes, Write{Key: l.pendingRemovals[0], Remove: true})
 		l.pendingRemovals = l.pendingRemovals[1:]
 	}
@@ -456,7 +456,7 @@
 // requeue takes back a transaction that was not executed, or may be executed a
 // second time: its entries are still pending.
 func (l *Log) requeue(f *inflightCommit) {
-	l.pendingRemovals = append(l.pendingRemovals, f.drops...)
+	l.pendingRemovals = append(l.pendingRemovals, f.removals...)
 	if f.sizesGeneration == l.sizesGeneration { // otherwise a newer one has come
 		l.pendingSizes = append(f.sizes, l.pendingSizes...)
 	}
