--- a/internal/core/eventlog/ledger.go
+++ b/internal/core/eventlog/ledger.go
@@ -122,7 +122,7 @@
 	sizesGeneration int // which list of sizes they are of
 	removals        []string
 	sent            bool
-	unsure          bool // a try of it had no answer
+	maybeExecuted   bool // a try of it had no answer
 }
 
 type segment struct {
@@ -401,7 +401,7 @@
 				return nil, Lost
 			}
 		}
-		if !f.unsure {
+		if !f.maybeExecuted {
 			return nil, Lost // somebody else wrote our log
 		}
 		l.awaitingReadBack = true
@@ -412,7 +412,7 @@
 			l.requeue(f)
 			return nil, Carry
 		}
-		f.unsure = true
+		f.maybeExecuted = true
 		l.awaitingReadBack = true
 		return nil, Reread
 	case Invalid:
@@ -420,7 +420,7 @@
 		// smaller values are tried in further segments. What may have been
 		// executed already, or is as small as can be, ends the term instead: the
 		// next one begins with what is really there.
-		if f.unsure || l.limits.ValueBytes <= minValueBytes {
+		if f.maybeExecuted || l.limits.ValueBytes <= minValueBytes {
 			return nil, Lost
 		}
 		l.limits.ValueBytes = max(minValueBytes, l.limits.ValueBytes/2)
@@ -434,7 +434,7 @@
 	default:
 		l.failures++
 		l.retryAt = now + time.Duration(min(l.failures, 8))*60*time.Millisecond
-		if !f.unsure {
+		if !f.maybeExecuted {
 			l.requeue(f)
 		}
 		return nil, Carry
