--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -29,18 +29,18 @@
 
 // Controller counts who was turned away lately, and spreads them out.
 type Controller struct {
-	rate         float64 // requests a second that are taken when all goes well
-	rejected     [kindCount][sliceCount]float64
-	currentSlice int64         // the current slice
-	epochTime    time.Duration // time of day at time 0
-	turnsUntil   time.Duration // until when jobs take turns
+	rate            float64 // requests a second that are taken when all goes well
+	rejected        [kindCount][sliceCount]float64
+	currentSlice    int64         // the current slice
+	wallClockAtZero time.Duration // time of day at time 0
+	turnsUntil      time.Duration // until when jobs take turns
 }
 
 // NewController makes a door behind which so many requests a second can be taken. zero is the
 // time of day at time 0: turns go by that, so that all controllers agree on them within
 // the bound of their clocks.
 func NewController(rate float64, zero time.Duration) *Controller {
-	return &Controller{rate: max(rate, 1), epochTime: zero}
+	return &Controller{rate: max(rate, 1), wallClockAtZero: zero}
 }
 
 // Turns: where far more is asked than can be answered, chance alone would leave some
@@ -59,7 +59,7 @@
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], job)
 	slot := int64(xxhash.Sum64(key[:]) % cycleSeconds)
-	past := (int64((d.epochTime+now)/time.Second) + cycleSeconds - slot) % cycleSeconds
+	past := (int64((d.wallClockAtZero+now)/time.Second) + cycleSeconds - slot) % cycleSeconds
 	if past < turnSeconds {
 		return 0
 	}
