--- /dev/null
+++ b/internal/core/leadership/election.go
@@ -0,0 +1,142 @@
+package leadership
+
+import "time"
+
+const (
+	// retryDelay follows a read of the keys that failed.
+	retryDelay = 300 * time.Millisecond
+	// electionRetryDelay follows an election that failed.
+	electionRetryDelay = retryDelay / 3
+	// watchRetryDelay is how long after a failed watch, which may have missed a change, the keys
+	// are read again.
+	watchRetryDelay = 400 * time.Millisecond
+)
+
+// Tick returns the requests that are due.
+func (e *Elector) Tick(now time.Duration) []Request {
+	var out []Request
+	if e.renewalDue(now) {
+		out = append(out, e.call(now, RenewLease, &e.renewalCall))
+	}
+	if e.readDue(now) {
+		out = append(out, e.call(now, ReadKeys, &e.readCall))
+	}
+	if e.role == Leader && e.watchCall == nil && e.viewKnown && now >= e.nextReadAt {
+		out = append(out, e.call(now, WatchKeys, &e.watchCall))
+	}
+	return out
+}
+
+// readDue says whether the keys must be read: they were not yet, no watch would notice a change,
+// or the watch may be cut off. A leader reads them only if it does not know them.
+func (e *Elector) readDue(now time.Duration) bool {
+	if e.readCall != nil || e.electionCall != nil || now < e.nextReadAt {
+		return false
+	}
+	if e.viewKnown && e.role == Leader {
+		return false
+	}
+	return !e.viewKnown || e.leaderSilent(now) || (e.watchCall == nil && e.role != Candidate)
+}
+
+// KeysRead takes the result of ReadKeys. Where nobody leads it starts an election, otherwise a
+// watch.
+func (e *Elector) KeysRead(now time.Duration, sequence uint64, ok bool, view View) []Request {
+	if !e.readCall.matches(sequence) {
+		return nil
+	}
+	e.readCall = nil
+	if !ok {
+		e.nextReadAt = now + retryDelay
+		return nil
+	}
+	e.serviceAnsweredAt = now
+	e.viewKnown = true
+	e.view = view
+	if view.Holder != nil {
+		e.history.recordLeader(now, view.Holder.Epoch)
+	} else {
+		e.history.recordNoLeader(now)
+	}
+	if e.role == Leader {
+		if view.Epoch != e.epoch {
+			e.stepDown(now)
+		}
+		return nil
+	}
+	if view.Holder == nil && now >= e.nextAttemptAt {
+		e.role = Candidate
+		return []Request{e.call(now, CreateLease, &e.electionCall)}
+	}
+	if e.watchCall == nil {
+		return []Request{e.call(now, WatchKeys, &e.watchCall)}
+	}
+	return nil
+}
+
+// WatchEnded takes the result of WatchKeys: with ok something changed, or the watch's time ran
+// out; otherwise the watch failed.
+func (e *Elector) WatchEnded(now time.Duration, sequence uint64, ok bool) []Request {
+	if !e.watchCall.matches(sequence) {
+		return nil
+	}
+	e.watchCall = nil
+	if !ok {
+		e.nextReadAt = now + watchRetryDelay
+		return nil
+	}
+	e.serviceAnsweredAt = now
+	if e.readCall == nil && e.electionCall == nil {
+		return []Request{e.call(now, ReadKeys, &e.readCall)}
+	}
+	return nil
+}
+
+// LeaseCreated takes the result of CreateLease and claims leadership with the lease.
+func (e *Elector) LeaseCreated(now time.Duration, sequence uint64, ok bool, leaseID uint64) []Request {
+	if !e.electionCall.matches(sequence) {
+		return nil
+	}
+	createdAt := e.electionCall.sentAt
+	e.electionCall = nil
+	if !ok {
+		e.abandonElection(now)
+		return nil
+	}
+	e.leaseID = leaseID
+	// The claim keeps the time of the lease's creation: the lease's validity counts from that.
+	return []Request{e.call(createdAt, ClaimLeadership, &e.electionCall)}
+}
+
+// LeadershipClaimed takes the result of ClaimLeadership; version is the revision of the change,
+// and so the version of both keys. An unanswered claim counts as failed: should it be applied
+// yet, the release of the lease deletes the holder's key again.
+func (e *Elector) LeadershipClaimed(now time.Duration, sequence uint64, ok bool, version uint64) []Request {
+	if !e.electionCall.matches(sequence) {
+		return nil
+	}
+	sentAt := e.electionCall.sentAt
+	e.electionCall = nil
+	if !ok {
+		release := e.newRequest(ReleaseLease) // before abandonElection, which forgets the lease
+		e.abandonElection(now)
+		return []Request{release}
+	}
+	e.role = Leader
+	e.epoch = e.view.Epoch + 1
+	e.epochVersion = version
+	e.view.Epoch, e.view.EpochVersion, e.view.Revision = e.epoch, version, version
+	e.view.Holder = &LeaseHolder{Node: e.node, Epoch: e.epoch}
+	e.renewalSentAt = sentAt
+	e.extendLease(sentAt)
+	return nil
+}
+
+// abandonElection makes a candidate a follower that reads the keys again soon.
+func (e *Elector) abandonElection(now time.Duration) {
+	e.role = Follower
+	e.leaseID = 0
+	e.nextReadAt = now + electionRetryDelay
+	e.nextAttemptAt = now
+	e.viewKnown = false
+}
