--- /dev/null
+++ b/internal/core/eventlog/component_values.go
@@ -0,0 +1,27 @@
+package eventlog
+
+import (
+	"encoding/json"
+	"fmt"
+)
+
+// OwnPrefix is where the keys of values begin that components keep beside the log, written by
+// Log.AppendWithValue. Unlike the log they need not be read before a term begins.
+const OwnPrefix = "own/"
+
+// Value is a component's value as it is read back.
+type Value struct {
+	Key  string
+	Data json.RawMessage
+}
+
+// ValuePrefix is where the keys of a component's values begin.
+func ValuePrefix(component string) string { return OwnPrefix + component + "/" }
+
+// ValueKey is the key of the component's value with a number.
+func ValueKey(component string, number int) string {
+	return fmt.Sprintf("%s%06d", ValuePrefix(component), number)
+}
+
+// ValueNumber is the number of the component's value with a key.
+func ValueNumber(component, key string) (int, error) { return keyNumber(key, ValuePrefix(component)) }
--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -3,8 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"strconv"
-	"strings"
 )
 
 // Entry is one durable fact; exactly one field is set. What duties beyond those
@@ -179,40 +177,3 @@
 	Zones     []string `json:"z"`
 	More      bool     `json:"w,omitempty"` // these zones are further ones of the type
 }
-
-// VirtualSizes is what one sizes value holds.
-type VirtualSizes struct {
-	Sizes []VirtualSize `json:"v"`
-}
-
-// VirtualSize is a job's estimate and what is left of it.
-type VirtualSize struct {
-	ID      uint64  `json:"i"`
-	Size    float64 `json:"s"`
-	Virtual float64 `json:"v"`
-}
-
-// OwnPrefix is where values of their own begin that a duty keeps beside the log.
-// Unlike the log they need not be read before a term begins.
-const OwnPrefix = "own/"
-
-// Value is one of them, as it is read back.
-type Value struct {
-	Key  string
-	Data json.RawMessage
-}
-
-// ValuePrefix is where a duty's values begin.
-func ValuePrefix(duty string) string { return OwnPrefix + duty + "/" }
-
-// ValueKey is the key of a duty's value with a number.
-func ValueKey(duty string, n int) string { return fmt.Sprintf("%s%06d", ValuePrefix(duty), n) }
-
-// ValueNumber is the number of a duty's value with a key.
-func ValueNumber(duty, key string) (int, error) {
-	n, err := strconv.Atoi(strings.TrimPrefix(key, ValuePrefix(duty)))
-	if err != nil {
-		return 0, fmt.Errorf("ledger: key %q: %w", key, err)
-	}
-	return n, nil
-}
