--- a/internal/core/eventlog/decode.go
+++ b/internal/core/eventlog/decode.go
@@ -6,61 +6,42 @@
 	"fmt"
 )
 
-// Decode reads the entries of one segment.
+// Decode reads the entries of one segment from its value.
 func Decode(value json.RawMessage) ([]Entry, error) {
-	var v struct {
-		E []Entry `json:"e"`
+	var decoded struct {
+		Entries []Entry `json:"e"`
 	}
-	if err := json.Unmarshal(value, &v); err != nil {
-		return nil, fmt.Errorf("ledger: a segment that cannot be read: %w", err)
+	if err := json.Unmarshal(value, &decoded); err != nil {
+		return nil, unreadable(err)
 	}
-	for i := range v.E {
-		if !v.E[i].recognized() {
-			return v.E, keepUnknownEntries(value, v.E)
+	for i := range decoded.Entries {
+		if !decoded.Entries[i].recognized() {
+			return decoded.Entries, keepUnknownEntries(value, decoded.Entries)
 		}
 	}
-	return v.E, nil
+	return decoded.Entries, nil
 }
 
-// keepUnknownEntries fills in what an entry was in which this version knows nothing.
-func keepUnknownEntries(value json.RawMessage, list []Entry) error {
-	var v struct {
-		E []json.RawMessage `json:"e"`
+// keepUnknownEntries fills in the raw form of entries in which this version recognizes nothing.
+func keepUnknownEntries(value json.RawMessage, entries []Entry) error {
+	var decoded struct {
+		Entries []json.RawMessage `json:"e"`
 	}
-	if err := json.Unmarshal(value, &v); err != nil {
-		return fmt.Errorf("ledger: a segment that cannot be read: %w", err)
+	if err := json.Unmarshal(value, &decoded); err != nil {
+		return unreadable(err)
 	}
-	for i := range list {
-		if list[i].recognized() {
+	for i := range entries {
+		if entries[i].recognized() {
 			continue
 		}
-		var raw bytes.Buffer // as this program would write it: read back, values are compared
-		if err := json.Compact(&raw, v.E[i]); err != nil {
-			return fmt.Errorf("ledger: a segment that cannot be read: %w", err)
+		// As this program would write it, since values are compared when they are read back.
+		var compact bytes.Buffer
+		if err := json.Compact(&compact, decoded.Entries[i]); err != nil {
+			return unreadable(err)
 		}
-		list[i].Unknown = raw.Bytes()
+		entries[i].Unknown = compact.Bytes()
 	}
 	return nil
 }
 
-// EntryBytes is what an entry takes besides a list that is split.
-const EntryBytes = 64
-
-// SplitNames splits names into lists of at most room bytes as JSON; each has at
-// least one name, unless there are none at all.
-func SplitNames(names []string, room int) [][]string {
-	var out [][]string
-	used, from := 0, 0
-	for i, n := range names {
-		raw, err := json.Marshal(n)
-		if err != nil {
-			continue // a string always can be written
-		}
-		if i > from && used+len(raw)+1 > room {
-			out = append(out, names[from:i])
-			used, from = 0, i
-		}
-		used += len(raw) + 1
-	}
-	return append(out, names[from:])
-}
+func unreadable(err error) error { return fmt.Errorf("event log: unreadable segment: %w", err) }
