--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,6 +1,9 @@
-// Package admission says to users who cannot be served now when to come back, so that
-// those who were all turned away at once do not all come back at once. It is pure; the
-// time comes in. The answer itself is final and goes out at once: nobody is held.
+// Package admission decides which requests of users a controller takes in when more come than it
+// can serve, and tells those that it rejects when to retry, spread out so that those who were
+// rejected together do not all come back together.
+//
+// Like all of internal/core the package is pure: times are passed in. A rejection is final and is
+// sent at once: no request is held back.
 package admission
 
 import (
@@ -11,134 +14,117 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind of a request, in the order in which they are let in.
+// Kind of a request, in the order in which they are admitted.
 type Kind uint8
 
 // Kinds.
 const (
 	Submit Kind = iota // submissions and cancellations
-	Poll
+	Poll               // questions about a job
 	kindCount
 )
 
 const (
-	maxRetrySeconds = 30 // seconds; users wait no longer, whatever they are told
-	sliceCount      = 8  // of the window over which those turned away are counted
-	sliceLength     = time.Second / 2
+	maxRetrySeconds = 30 // users wait no longer, whatever they are told
+
+	// Rejected requests are counted by slices of time, over a window of four seconds.
+	sliceCount  = 8
+	sliceLength = time.Second / 2
+
+	// Hashes are mapped to [0, 1) in so many steps.
+	hashSteps = 1024
 )
 
-// Controller counts who was turned away lately, and spreads them out.
+// queueShare is how full a bounded queue may be, as a share of its places, for a request of a kind
+// to be admitted: submissions find room where polls do not, and workers' reports and results of
+// calls always find some.
+var queueShare = [kindCount]float64{Submit: 0.75, Poll: 0.5}
+
+// outOfTurnShare is the share of that of polls that is left to jobs whose turn it is not.
+const outOfTurnShare = 0.25
+
+// Controller counts the requests that were rejected lately, and spreads their retries.
 type Controller struct {
-	rate            float64 // requests a second that are taken when all goes well
-	rejected        [kindCount][sliceCount]float64
-	currentSlice    int64         // the current slice
-	wallClockAtZero time.Duration // time of day at time 0
-	turnsUntil      time.Duration // until when jobs take turns
-}
+	rate            float64 // requests a second that can be served
+	wallClockAtZero time.Duration
 
-// NewController makes a door behind which so many requests a second can be taken. zero is the
-// time of day at time 0: turns go by that, so that all controllers agree on them within
-// the bound of their clocks.
-func NewController(rate float64, zero time.Duration) *Controller {
-	return &Controller{rate: max(rate, 1), wallClockAtZero: zero}
+	rejected     [kindCount][sliceCount]float64
+	currentSlice int64
+
+	turnsUntil time.Duration // until when jobs take turns
 }
 
-// Turns: where far more is asked than can be answered, chance alone would leave some
-// question unanswered for minutes. So each job has a turn of its own, once a cycle, in which
-// its questions are let in before others, and is told to come back in it. Of a cycle's jobs
-// only so many are in their turn that all of them can be answered: at 600 answers a second
-// that holds for some 30,000 jobs.
-const (
-	cycleSeconds          = 60 // seconds; with the time that an answer takes, less than the 75 after which a job is forgotten
-	turnSeconds           = 3  // seconds that a turn lasts
-	turnsThresholdSeconds = 10 // seconds' worth of questions turned away, above which jobs take turns, until a cycle after the crowd has gone
-)
+// NewController makes a controller that can serve rate requests a second, at least one.
+// wallClockAtZero is the time of day at time 0: turns go by that, so that all controllers agree on
+// them within the bound of their clocks.
+func NewController(rate float64, wallClockAtZero time.Duration) *Controller {
+	return &Controller{rate: max(rate, 1), wallClockAtZero: wallClockAtZero}
+}
 
-// secondsUntilTurn is in how many seconds a job's turn begins, 0 while it is under way.
-func (d *Controller) secondsUntilTurn(now time.Duration, job uint64) int {
-	var key [8]byte
-	binary.LittleEndian.PutUint64(key[:], job)
-	slot := int64(xxhash.Sum64(key[:]) % cycleSeconds)
-	past := (int64((d.wallClockAtZero+now)/time.Second) + cycleSeconds - slot) % cycleSeconds
-	if past < turnSeconds {
-		return 0
+// Admit says whether a request about a job may enter a queue in which so many of the places are
+// taken.
+func (c *Controller) Admit(now time.Duration, kind Kind, job uint64, taken, places int) bool {
+	c.expireSlices(now)
+	share := queueShare[kind]
+	if kind == Poll && now < c.turnsUntil && c.secondsUntilTurn(now, job) > 0 {
+		share *= outOfTurnShare
 	}
-	return int(cycleSeconds - past)
+	return float64(taken) < share*float64(places)
 }
 
-// Reject notes that a request about a job is turned away, and gives after how many
-// seconds, 1 to 30, it should come back. least is what the refusal itself asks for.
+// Reject notes that a request about a job is rejected, and gives after how many seconds, 1 to 30,
+// it should be retried. minSeconds is what the reason of the rejection itself asks for.
 //
-// Those who were turned away in the last four seconds are the ones who will come back.
-// They are spread over as many seconds as it takes to serve them at the door's rate,
-// submissions over the first of them and polls over those that follow. Where in its span
-// a request falls is the hash of its job and of the time: it differs from try to try, so
-// that two who met once do not meet for ever, and needs no randomness.
-func (d *Controller) Reject(now time.Duration, kind Kind, job uint64, least int) int {
-	d.expireSlices(now)
-	d.rejected[kind][d.currentSlice%sliceCount]++
-	before, span := 0.0, d.secondsToServe(Submit)
+// Those who were rejected in the last four seconds are the ones who will come back. They are
+// spread over as many seconds as it takes to serve them at the controller's rate, submissions over
+// the first of them and polls over those that follow.
+func (c *Controller) Reject(now time.Duration, kind Kind, job uint64, minSeconds int) int {
+	c.expireSlices(now)
+	c.rejected[kind][c.currentSlice%sliceCount]++
+	before, span := 0.0, c.secondsToServe(Submit)
 	if kind == Poll {
-		before, span = span-1, d.secondsToServe(Poll)
-		if span > turnsThresholdSeconds || (span > 1 && now < d.turnsUntil) {
-			d.turnsUntil = now + cycleSeconds*time.Second
-		}
-		if now < d.turnsUntil {
-			// A second into it, since clocks differ. In the middle of a turn there are more than
-			// even turns can serve: the next one. What is further off than users wait is reached
-			// by way of another try, which may find the crowd gone.
-			wait := d.secondsUntilTurn(now, job) + 1
-			if wait == 1 {
-				wait = cycleSeconds
-			}
+		before, span = span-1, c.secondsToServe(Poll)
+		c.updateTurns(now, span)
+		if now < c.turnsUntil {
+			wait := c.secondsIntoNextTurn(now, job)
 			if wait <= maxRetrySeconds {
-				return max(least, wait)
+				return max(minSeconds, wait)
 			}
+			// A turn that is further off than users wait is reached by way of another retry, which
+			// may find that turns are over.
 			before, span = float64(wait-maxRetrySeconds), float64(2*maxRetrySeconds-wait)
 		}
 	}
+	return min(maxRetrySeconds, max(minSeconds, 1)+int(before+spreadFraction(now, job)*span))
+}
+
+// spreadFraction is where in its span a retry falls, in [0, 1): the hash of its job and of the
+// time. It differs from try to try, so that two who met once do not meet for ever, and needs no
+// randomness.
+func spreadFraction(now time.Duration, job uint64) float64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:], job)
 	binary.LittleEndian.PutUint64(key[8:], uint64(now/time.Millisecond))
-	pick := float64(xxhash.Sum64(key[:])%1024) / 1024
-	return min(maxRetrySeconds, max(least, 1)+int(before+pick*span))
+	return float64(xxhash.Sum64(key[:])%hashSteps) / hashSteps
 }
 
-// secondsToServe is how long those turned away take to be served.
-func (d *Controller) secondsToServe(kind Kind) float64 {
+// secondsToServe is how long it takes to serve those of a kind that were rejected lately, at least
+// one second.
+func (c *Controller) secondsToServe(kind Kind) float64 {
 	sum := 0.0
-	for _, n := range d.rejected[kind] {
+	for _, n := range c.rejected[kind] {
 		sum += n
 	}
-	return math.Max(1, math.Ceil(sum/d.rate))
+	return math.Max(1, math.Ceil(sum/c.rate))
 }
 
-// expireSlices forgets what is over.
-func (d *Controller) expireSlices(now time.Duration) {
-	at := int64(now / sliceLength)
-	for n := min(at-d.currentSlice, sliceCount); n > 0; n-- {
-		for k := range d.rejected {
-			d.rejected[k][(at-n+1)%sliceCount] = 0
+// expireSlices clears the counts of slices that have left the window.
+func (c *Controller) expireSlices(now time.Duration) {
+	slice := int64(now / sliceLength)
+	for n := min(slice-c.currentSlice, sliceCount); n > 0; n-- {
+		for kind := range c.rejected {
+			c.rejected[kind][(slice-n+1)%sliceCount] = 0
 		}
 	}
-	d.currentSlice = max(d.currentSlice, at)
-}
-
-// Shares of a bounded queue, by kind: a request is turned away where more is in it, so
-// that submissions find room where polls do not, and workers' reports and results of
-// calls find some always.
-var queueShare = [kindCount]float64{Submit: 0.75, Poll: 0.5}
-
-// outOfTurn is the share of that of polls which those get whose turn it is not.
-const outOfTurnShare = 0.25
-
-// Admit says whether a request about a job may enter a queue of so many places with so many
-// taken.
-func (d *Controller) Admit(now time.Duration, kind Kind, job uint64, taken, places int) bool {
-	d.expireSlices(now)
-	share := queueShare[kind]
-	if kind == Poll && now < d.turnsUntil && d.secondsUntilTurn(now, job) > 0 {
-		share *= outOfTurnShare
-	}
-	return float64(taken) < share*float64(places)
+	c.currentSlice = max(c.currentSlice, slice)
 }
