--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -1,7 +1,6 @@
 package config
 
 import (
-	"fmt"
 	"strconv"
 	"strings"
 
@@ -10,7 +9,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// Edit is one thing that an operator wants: a field of a team or, without a field, a whole item.
+// Edit is one thing that an operator wants: to set a field of a team or, without a field, a whole
+// item.
 type Edit struct {
 	Item  Item
 	Field string
@@ -23,102 +23,143 @@
 	valueSettings = "settings" // as the settings say
 )
 
-const teamPrefix = "team"
+const (
+	teamPrefix   = "team" // begins a team's name, in a path or in a section
+	wholeItemKey = "is"   // the key of a team's section that sets the team as a whole
+)
 
 // ParseEdit reads team/NAME/FIELD=VALUE, team/NAME=removed or SECTION.KEY=VALUE; team/NAME and
 // SECTION.KEY may be set to what the settings say.
-func ParseEdit(s string) (Edit, error) {
-	name, value, ok := strings.Cut(s, "=")
+func ParseEdit(text string) (Edit, error) {
+	name, value, ok := strings.Cut(text, "=")
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
-	wrong := func(why string) (Edit, error) { return Edit{}, &settings.FieldError{Field: s, Why: why} }
 	if !ok || value == "" {
-		return wrong("not of the form team/NAME/FIELD=VALUE, team/NAME=removed or SECTION.KEY=VALUE")
+		return Edit{}, fieldError(text, "not of the form team/NAME/FIELD=VALUE, team/NAME=removed or SECTION.KEY=VALUE")
 	}
 	parts := strings.Split(name, "/")
-	switch {
-	case len(parts) == 1:
-		return Edit{Item{Tunable: name}, "", value}, nil
-	case parts[0] != teamPrefix || parts[1] == "" || len(parts) > 3:
-		return wrong("not a team: team/NAME or team/NAME/FIELD")
-	case len(parts) == 3:
-		return Edit{Item{Team: parts[1]}, parts[2], value}, nil
+	if len(parts) == 1 {
+		return Edit{Item: Item{Tunable: name}, Value: value}, nil
+	}
+	if parts[0] != teamPrefix || parts[1] == "" || len(parts) > 3 {
+		return Edit{}, fieldError(text, "not a team: team/NAME or team/NAME/FIELD")
+	}
+	edit := Edit{Item: Item{Team: parts[1]}, Value: value}
+	if len(parts) == 3 {
+		edit.Field = parts[2]
 	}
-	return Edit{Item{Team: parts[1]}, "", value}, nil
+	return edit, nil
 }
 
 // FileEdits reads a file of changes in INI: sections [team NAME] with fields, or with the key
 // "is", and sections of tunables.
 func FileEdits(path string) ([]Edit, error) {
-	f, err := ini.Load(path)
+	file, err := ini.Load(path)
 	if err != nil {
-		return nil, &settings.FieldError{Field: path, Why: "cannot be read: " + strings.ReplaceAll(err.Error(), "\n", " ")}
+		return nil, fieldError(path, "cannot be read: %s", strings.ReplaceAll(err.Error(), "\n", " "))
 	}
 	var edits []Edit
-	for _, section := range f.Sections() {
+	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
-			e := Edit{Item{Tunable: section.Name() + "." + key.Name()}, "", key.Value()}
-			if team, ok := strings.CutPrefix(section.Name(), teamPrefix+" "); ok {
-				e.Item, e.Field = Item{Team: strings.TrimSpace(team)}, key.Name()
-				if key.Name() == "is" {
-					e.Field = ""
-				}
-			}
-			edits = append(edits, e)
+			edits = append(edits, editOfKey(section.Name(), key))
 		}
 	}
 	return edits, nil
 }
 
-// Changes makes one change of each item that edits name. Fields of a team that no edit names stay
-// as limits has them.
+// editOfKey is what a key of a file's section asks for.
+func editOfKey(section string, key *ini.Key) Edit {
+	team, ok := strings.CutPrefix(section, teamPrefix+" ")
+	if !ok {
+		return Edit{Item: Item{Tunable: section + "." + key.Name()}, Value: key.Value()}
+	}
+	edit := Edit{Item: Item{Team: strings.TrimSpace(team)}, Value: key.Value()}
+	if key.Name() != wholeItemKey {
+		edit.Field = key.Name()
+	}
+	return edit
+}
+
+// Changes makes one change of each item that edits name, in the order in which they first name it.
+// Fields of a team that no edit names stay as limits has them.
 func Changes(edits []Edit, limits func(team string) Limits) ([]Change, error) {
-	var out []Change
-	at := map[Item]int{}
-	for _, e := range edits {
-		i, known := at[e.Item]
-		if !known {
-			i = len(out)
-			at[e.Item] = i
-			out = append(out, Change{Item: e.Item})
+	var changes []Change
+	indexOf := map[Item]int{}
+	for _, edit := range edits {
+		index, again := indexOf[edit.Item]
+		if !again {
+			index = len(changes)
+			indexOf[edit.Item] = index
+			changes = append(changes, Change{Item: edit.Item})
 		}
-		if err := e.applyTo(&out[i].Value, known, limits); err != nil {
+		if err := edit.applyTo(&changes[index].Value, again, limits); err != nil {
 			return nil, err
 		}
 	}
-	return out, nil
+	return changes, nil
 }
 
-func (e *Edit) applyTo(v *Value, again bool, limits func(team string) Limits) error {
-	wrong := func(why string, args ...any) error {
-		return &settings.FieldError{Field: strings.TrimSuffix(e.Item.String()+"."+e.Field, "."), Why: fmt.Sprintf(why, args...)}
+// applyTo applies the edit to its item's value; again says that an edit of the item was applied
+// before.
+func (e *Edit) applyTo(value *Value, again bool, limits func(team string) Limits) error {
+	if again && (e.Field == "" || value.Limits == nil) {
+		return e.wrong("is changed twice at once")
 	}
 	switch {
-	case e.Field == "" && again, e.Field != "" && again && v.Limits == nil:
-		return wrong("is changed twice at once")
-	case e.Field == "" && e.Value == valueSettings:
+	case e.Field != "":
+		return e.applyField(value, limits)
+	case e.Value == valueSettings:
 		return nil
-	case e.Field == "" && e.Item.Team != "":
-		if v.Removed = e.Value == valueRemoved; !v.Removed {
-			return wrong("must be %q or %q, is %q", valueRemoved, valueSettings, e.Value)
+	case e.Item.Team != "":
+		value.Removed = e.Value == valueRemoved
+		if !value.Removed {
+			return e.wrong("must be %q or %q, is %q", valueRemoved, valueSettings, e.Value)
 		}
 		return nil
-	case e.Field == "":
-		n, err := settings.ParseLive(e.Item.Tunable, e.Value)
-		v.Number = &n
-		return err
+	default:
+		return e.applyTunable(value)
 	}
-	if v.Limits == nil {
-		l := limits(e.Item.Team)
-		v.Limits = &l
+}
+
+func (e *Edit) applyTunable(value *Value) error {
+	number, err := settings.ParseLive(e.Item.Tunable, e.Value)
+	value.Number = &number
+	return err
+}
+
+// applyField sets one field of a team's limits.
+func (e *Edit) applyField(value *Value, limits func(team string) Limits) error {
+	if value.Limits == nil {
+		current := limits(e.Item.Team)
+		value.Limits = &current
 	}
-	field := map[string]*float64{"cpus": &v.Limits.CPUs, "cpus_max": &v.Limits.CPUsMax, "gpus": &v.Limits.GPUs, "gpus_max": &v.Limits.GPUsMax}[e.Field]
+	field := value.Limits.field(e.Field)
 	if field == nil {
-		return wrong("no such field of a team: there are cpus, cpus_max, gpus and gpus_max")
+		return e.wrong("no such field of a team: there are cpus, cpus_max, gpus and gpus_max")
 	}
-	n, err := strconv.ParseFloat(e.Value, 64)
+	number, err := strconv.ParseFloat(e.Value, 64)
 	if err != nil {
-		return wrong("not a number: %q", e.Value)
+		return e.wrong("not a number: %q", e.Value)
 	}
-	*field = n
+	*field = number
 	return nil
 }
+
+// field is the field with a name, or nil.
+func (l *Limits) field(name string) *float64 {
+	switch name {
+	case "cpus":
+		return &l.CPUs
+	case "cpus_max":
+		return &l.CPUsMax
+	case "gpus":
+		return &l.GPUs
+	case "gpus_max":
+		return &l.GPUsMax
+	}
+	return nil
+}
+
+// wrong is an error about what the edit names.
+func (e *Edit) wrong(why string, args ...any) error {
+	return fieldError(strings.TrimSuffix(e.Item.String()+"."+e.Field, "."), why, args...)
+}
--- /dev/null
+++ b/internal/core/config/item.go
@@ -0,0 +1,83 @@
+package config
+
+import (
+	"cmp"
+	"fmt"
+	"strings"
+
+	"bitternmoor/internal/settings"
+)
+
+// Item is one thing that may change: a team, or a tunable by SECTION.KEY. One field is set.
+type Item struct {
+	Team    string `json:"team,omitempty"`
+	Tunable string `json:"tunable,omitempty"`
+}
+
+// String names the item to operators.
+func (i Item) String() string {
+	if i.Team != "" {
+		return "team " + i.Team
+	}
+	return i.Tunable
+}
+
+func compareItems(a, b Item) int {
+	return cmp.Or(strings.Compare(a.Team, b.Team), strings.Compare(a.Tunable, b.Tunable))
+}
+
+// Limits are a team's guarantees and limits; zero means none.
+type Limits struct {
+	CPUs    float64 `json:"cpus,omitempty"`
+	CPUsMax float64 `json:"cpus_max,omitempty"`
+	GPUs    float64 `json:"gpus,omitempty"`
+	GPUsMax float64 `json:"gpus_max,omitempty"`
+}
+
+// LimitsOf are the limits of a team of the settings.
+func LimitsOf(team settings.Team) Limits {
+	return Limits{CPUs: team.CPUs, CPUsMax: team.CPUsMax, GPUs: team.GPUs, GPUsMax: team.GPUsMax}
+}
+
+// Team is a team of the settings with a name and these limits.
+func (l Limits) Team(name string) settings.Team {
+	return settings.Team{Name: name, CPUs: l.CPUs, CPUsMax: l.CPUsMax, GPUs: l.GPUs, GPUsMax: l.GPUsMax}
+}
+
+// Value is what an item is set to. Where no field is set it is as the settings say.
+type Value struct {
+	Limits  *Limits  `json:"limits,omitempty"`  // of a team
+	Removed bool     `json:"removed,omitempty"` // a team that takes no jobs any more
+	Number  *float64 `json:"number,omitempty"`  // of a tunable
+}
+
+// AsSettings says whether the value is what the settings say.
+func (v Value) AsSettings() bool { return v.Limits == nil && !v.Removed && v.Number == nil }
+
+// Equal says whether two values are the same.
+func (v Value) Equal(other Value) bool {
+	return v.Removed == other.Removed &&
+		equalPointees(v.Limits, other.Limits) &&
+		equalPointees(v.Number, other.Number)
+}
+
+func equalPointees[T comparable](a, b *T) bool {
+	if a == nil || b == nil {
+		return a == b
+	}
+	return *a == *b
+}
+
+// String shows the value to operators.
+func (v Value) String() string {
+	switch {
+	case v.Removed:
+		return "removed"
+	case v.Limits != nil:
+		l := *v.Limits
+		return fmt.Sprintf("cpus %v of at most %v, gpus %v of at most %v", l.CPUs, l.CPUsMax, l.GPUs, l.GPUsMax)
+	case v.Number != nil:
+		return fmt.Sprint(*v.Number)
+	}
+	return "as the settings say"
+}
--- /dev/null
+++ b/internal/core/config/revision.go
@@ -0,0 +1,53 @@
+package config
+
+import "slices"
+
+// Revision is one bundle of changes, which is executed whole or not at all.
+type Revision struct {
+	Number  uint64   `json:"revision"`
+	ID      string   `json:"id"` // makes the request idempotent
+	By      string   `json:"by,omitempty"`
+	AtMS    int64    `json:"at_ms"` // time of day
+	Note    string   `json:"note,omitempty"`
+	Changes []Change `json:"changes"`
+	Before  []Value  `json:"before"` // what each of them replaced
+}
+
+// CheckWords says what is wrong with a revision's id and note.
+func CheckWords(id, note string) error {
+	if id == "" || len(id) > maxIDBytes {
+		return fieldError("id", "has 1 to %d bytes", maxIDBytes)
+	}
+	if len(note) > maxNoteBytes {
+		return fieldError("note", "has at most %d bytes", maxNoteBytes)
+	}
+	return nil
+}
+
+// Undo is the changes that go back to what was in force at a revision, in the order of items. The
+// history has no gaps and ends at the present, oldest first.
+func Undo(history []Revision, to uint64) ([]Change, error) {
+	first := slices.IndexFunc(history, func(r Revision) bool { return r.Number == to+1 })
+	if first < 0 {
+		return nil, fieldError("revision",
+			"%d is not one before the last, or the changes since are not remembered any more", to)
+	}
+	before := map[Item]Value{} // of items that have changed since
+	now := map[Item]Value{}
+	for _, revision := range history[first:] {
+		for i, change := range revision.Changes {
+			if _, known := before[change.Item]; !known {
+				before[change.Item] = revision.Before[i]
+			}
+			now[change.Item] = change.Value
+		}
+	}
+	var changes []Change
+	for item, value := range before {
+		if !value.Equal(now[item]) {
+			changes = append(changes, Change{Item: item, Value: value})
+		}
+	}
+	slices.SortFunc(changes, func(a, b Change) int { return compareItems(a.Item, b.Item) })
+	return changes, nil
+}
