--- /dev/null
+++ b/internal/core/leadership/elector_test.go
@@ -0,0 +1,179 @@
+package leadership
+
+import (
+	"testing"
+	"time"
+)
+
+const testTTL = 3 * time.Second
+
+// only gives the one request of a list, which must have the action.
+func only(t *testing.T, requests []Request, action Action) Request {
+	t.Helper()
+	if len(requests) != 1 || requests[0].Action != action {
+		t.Fatalf("requests %+v, want one of action %d", requests, action)
+	}
+	return requests[0]
+}
+
+// elect makes an elector the leader of epoch 5, with the lease 77 created at the given time.
+func elect(t *testing.T, e *Elector, now time.Duration) {
+	t.Helper()
+	read := only(t, e.Tick(now), ReadKeys)
+	create := only(t, e.KeysRead(now, read.Sequence, true, View{Epoch: 4, EpochVersion: 40}), CreateLease)
+	claim := only(t, e.LeaseCreated(now+time.Second, create.Sequence, true, 77), ClaimLeadership)
+	if claim.LeaseID != 77 || claim.View.EpochVersion != 40 {
+		t.Fatalf("the claim is %+v", claim)
+	}
+	if out := e.LeadershipClaimed(now+time.Second, claim.Sequence, true, 50); out != nil {
+		t.Fatalf("a leader asks for %+v", out)
+	}
+	if e.Role() != Leader || e.Epoch() != 5 || e.EpochVersion() != 50 || e.LeaderName() != "a" {
+		t.Fatalf("role %d, epoch %d, version %d, leader %q", e.Role(), e.Epoch(), e.EpochVersion(), e.LeaderName())
+	}
+}
+
+func TestLeaseValidityCountsFromItsCreation(t *testing.T) {
+	const createdAt = 10 * time.Second
+	e := NewElector("a", testTTL)
+	elect(t, e, createdAt)
+	// The lease's time to live, less a thousandth for the clocks' drift and 60 ms.
+	end := createdAt + testTTL - 3*time.Millisecond - 60*time.Millisecond
+	if !e.LeaseValid(end - 1) {
+		t.Error("the lease is invalid before its end")
+	}
+	if e.LeaseValid(end) {
+		t.Error("the lease is valid when another node may lead")
+	}
+}
+
+func TestRenewal(t *testing.T) {
+	const createdAt, renewedAt = 10 * time.Second, 12 * time.Second
+	for name, c := range map[string]struct {
+		ok, gone bool
+		role     Role
+		valid    bool // two seconds after the renewal was sent
+	}{
+		"succeeded":               {ok: true, role: Leader, valid: true},
+		"failed":                  {role: Leader},
+		"lease is gone":           {gone: true, role: Follower},
+		"gone, and counted as ok": {ok: true, gone: true, role: Follower},
+	} {
+		t.Run(name, func(t *testing.T) {
+			e := NewElector("a", testTTL)
+			elect(t, e, createdAt)
+			var renewal Request
+			for _, request := range e.Tick(renewedAt) {
+				if request.Action == RenewLease {
+					renewal = request
+				}
+			}
+			if renewal.LeaseID != 77 {
+				t.Fatalf("the renewal is %+v", renewal)
+			}
+			e.LeaseRenewed(renewedAt+time.Second, renewal.Sequence, c.ok, c.gone)
+			if e.Role() != c.role || e.LeaseValid(renewedAt+2*time.Second) != c.valid {
+				t.Errorf("role %d, valid %v", e.Role(), e.LeaseValid(renewedAt+2*time.Second))
+			}
+		})
+	}
+}
+
+// A claim without an answer counts as failed: the lease is released, so that the holder's key is
+// deleted should the claim be applied yet.
+func TestFailedClaimReleasesTheLease(t *testing.T) {
+	e := NewElector("a", testTTL)
+	now := 10 * time.Second
+	read := only(t, e.Tick(now), ReadKeys)
+	create := only(t, e.KeysRead(now, read.Sequence, true, View{}), CreateLease)
+	claim := only(t, e.LeaseCreated(now, create.Sequence, true, 77), ClaimLeadership)
+	release := only(t, e.LeadershipClaimed(now, claim.Sequence, false, 0), ReleaseLease)
+	if release.LeaseID != 77 || e.Role() != Follower || e.LeaseValid(now) {
+		t.Errorf("released %d as role %d", release.LeaseID, e.Role())
+	}
+	if out := e.LeadershipClaimed(now, claim.Sequence, true, 50); out != nil || e.Role() != Follower {
+		t.Error("a late answer makes a leader")
+	}
+}
+
+func TestLeaderStepsDown(t *testing.T) {
+	const now = 11 * time.Second
+	for name, c := range map[string]struct {
+		event func(e *Elector)
+		role  Role
+	}{
+		"for a heartbeat of a higher epoch":      {func(e *Elector) { e.HeartbeatReceived(now, "b", 6, FleetKnown) }, Follower},
+		"not for a heartbeat of a lower epoch":   {func(e *Elector) { e.HeartbeatReceived(now, "b", 4, FleetKnown) }, Leader},
+		"not for a heartbeat of its own":         {func(e *Elector) { e.HeartbeatReceived(now, "a", 6, FleetKnown) }, Leader},
+		"when it is superseded":                  {func(e *Elector) { e.Superseded(now, 6) }, Follower},
+		"not when its own epoch is met":          {func(e *Elector) { e.Superseded(now, 5) }, Leader},
+		"when it resigns":                        {func(e *Elector) { e.Resign(now, time.Second) }, Follower},
+		"not for the result of an unknown call":  {func(e *Elector) { e.LeaseRenewed(now, 999, false, true) }, Leader},
+		"not for keys that it has not asked for": {func(e *Elector) { e.KeysRead(now, 999, true, View{Epoch: 6}) }, Leader},
+	} {
+		t.Run(name, func(t *testing.T) {
+			e := NewElector("a", testTTL)
+			elect(t, e, 10*time.Second)
+			c.event(e)
+			if e.Role() != c.role {
+				t.Errorf("role %d, want %d", e.Role(), c.role)
+			}
+			if e.LeaseValid(now) != (c.role == Leader) {
+				t.Errorf("the lease's validity is %v", e.LeaseValid(now))
+			}
+		})
+	}
+}
+
+// After it resigned a node watches, and does not stand for election until the pause is over.
+func TestResignedNodePauses(t *testing.T) {
+	e := NewElector("a", testTTL)
+	elect(t, e, 10*time.Second)
+	release := only(t, e.Resign(11*time.Second, 5*time.Second), ReleaseLease)
+	if release.LeaseID != 77 {
+		t.Errorf("lease %d is released", release.LeaseID)
+	}
+	read := only(t, e.Tick(12*time.Second), ReadKeys)
+	watch := only(t, e.KeysRead(12*time.Second, read.Sequence, true, View{Epoch: 5}), WatchKeys)
+	read = only(t, e.WatchEnded(17*time.Second, watch.Sequence, true), ReadKeys)
+	only(t, e.KeysRead(17*time.Second, read.Sequence, true, View{Epoch: 5}), CreateLease)
+}
+
+// A follower that hears neither of a leader nor of the state service reads the keys besides its
+// watch.
+func TestSilentLeaderIsAskedFor(t *testing.T) {
+	e := NewElector("a", testTTL)
+	e.SilenceLimit = 4 * time.Second
+	now := 10 * time.Second
+	read := only(t, e.Tick(now), ReadKeys)
+	holder := View{Holder: &LeaseHolder{Node: "b", Epoch: 7}, Epoch: 7}
+	only(t, e.KeysRead(now, read.Sequence, true, holder), WatchKeys)
+	if e.LeaderName() != "b" || !e.Watching() {
+		t.Fatalf("leader %q, watching %v", e.LeaderName(), e.Watching())
+	}
+	if out := e.Tick(now + e.SilenceLimit - 1); out != nil {
+		t.Errorf("asked early: %+v", out)
+	}
+	e.HeartbeatReceived(now+3*time.Second, "b", 7, FleetListening)
+	if out := e.Tick(now + e.SilenceLimit); out != nil {
+		t.Errorf("asked although a heartbeat came: %+v", out)
+	}
+	only(t, e.Tick(now+3*time.Second+e.SilenceLimit), ReadKeys)
+}
+
+func TestPreviousLeader(t *testing.T) {
+	e := NewElector("a", testTTL)
+	e.HeartbeatReceived(1*time.Second, "b", 3, FleetKnown)
+	e.HeartbeatReceived(5*time.Second, "b", 3, FleetKnown)
+	e.HeartbeatReceived(8*time.Second, "c", 4, FleetListening)
+	first := LeaderRecord{Ever: true, Since: 1 * time.Second, Until: 5 * time.Second, Fleet: FleetKnown}
+	second := LeaderRecord{Ever: true, Since: 8 * time.Second, Until: 8 * time.Second, Fleet: FleetListening}
+	for epoch, want := range map[uint64]LeaderRecord{4: first, 5: second} {
+		if got := e.PreviousLeader(epoch); got != want {
+			t.Errorf("before epoch %d: %+v, want %+v", epoch, got, want)
+		}
+	}
+	if seen, _ := e.WithoutLeader(); seen != 8*time.Second {
+		t.Errorf("a leader was last heard of at %v", seen)
+	}
+}
