--- a/internal/core/calendar/calendar_test.go
+++ b/internal/core/calendar/calendar_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestNights(t *testing.T) {
+func TestNightOfMoment(t *testing.T) {
 	for _, c := range []struct {
 		name, zone, begins, at, want string
 		holiday                      bool
@@ -16,59 +16,71 @@
 		{"as the operators' clocks say, not ours", "America/Jamaica", "0 20 * * *", "2026-12-02T00:59:00Z", "2026-11-30", false},
 		{"a holiday", "Europe/Sofia", "0 18 * * *", "2026-12-25T03:00:00+02:00", "2026-12-24", true},
 		{"the hour at which it begins does not exist: before it", "Europe/Sofia", "30 3 * * *", "2026-03-29T02:59:00+02:00", "2026-03-28", false},
-		{"and after it", "Europe/Sofia", "30 3 * * *", "2026-03-29T06:00:00+03:00", "2026-03-29", false},
-		{"and the day after", "Europe/Sofia", "30 3 * * *", "2026-03-30T03:29:00+03:00", "2026-03-29", false},
+		{"the hour does not exist: after it", "Europe/Sofia", "30 3 * * *", "2026-03-29T06:00:00+03:00", "2026-03-29", false},
+		{"the hour does not exist: the day after", "Europe/Sofia", "30 3 * * *", "2026-03-30T03:29:00+03:00", "2026-03-29", false},
 		{"the hour is there twice: the first time", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:35:00+03:00", "2026-10-25", false},
-		{"and the second time", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:35:00+02:00", "2026-10-25", false},
-		{"between the two", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:10:00+02:00", "2026-10-25", false},
-		{"and the day after", "Europe/Sofia", "30 3 * * *", "2026-10-26T03:10:00+02:00", "2026-10-25", false},
+		{"the hour is there twice: the second time", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:35:00+02:00", "2026-10-25", false},
+		{"the hour is there twice: between the two", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:10:00+02:00", "2026-10-25", false},
+		{"the hour is there twice: the day after", "Europe/Sofia", "30 3 * * *", "2026-10-26T03:10:00+02:00", "2026-10-25", false},
 	} {
-		cal, err := New(c.zone, c.begins, Dates("2026-12-24, 2027-01-01,"))
-		if err != nil {
-			t.Fatal(err)
-		}
-		at, err := time.Parse(time.RFC3339, c.at)
-		if err != nil {
-			t.Fatal(err)
-		}
-		if n := cal.At(at); n.Date != c.want || n.Holiday != c.holiday {
-			t.Errorf("%s: %+v, want %s", c.name, n, c.want)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			calendar, err := New(c.zone, c.begins, Dates("2026-12-24, 2027-01-01,"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			at, err := time.Parse(time.RFC3339, c.at)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if night := calendar.At(at); night.Date != c.want || night.Holiday != c.holiday {
+				t.Errorf("%+v, want %s, holiday %v", night, c.want, c.holiday)
+			}
+		})
 	}
 }
 
 // Every moment of two years is in one night, nights follow one another day by day,
 // and asking in any order gives the same.
 func TestEveryMomentHasItsNight(t *testing.T) {
-	for _, begins := range []string{"0 12 * * *", "30 3 * * *", "30 2 * * *", "0 0 * * *"} {
-		one, err := New("America/New_York", begins, nil)
+	newCalendar := func(t *testing.T, begins string) *Calendar {
+		t.Helper()
+		calendar, err := New("America/New_York", begins, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		last := int32(-1)
-		for at := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC); at.Year() < 2028; at = at.Add(97 * time.Minute) {
-			n := one.At(at)
-			if last >= 0 && n.Day != last && n.Day != last+1 {
-				t.Fatalf("%s: at %v night %s follows day %d", begins, at, n.Date, last)
-			}
-			last = n.Day
-			fresh, _ := New("America/New_York", begins, nil)
-			if m := fresh.At(at); m != n {
-				t.Fatalf("%s: at %v %+v or %+v", begins, at, n, m)
+		return calendar
+	}
+	for _, begins := range []string{"0 12 * * *", "30 3 * * *", "30 2 * * *", "0 0 * * *"} {
+		t.Run(begins, func(t *testing.T) {
+			calendar := newCalendar(t, begins)
+			lastDay := int32(-1)
+			for at := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC); at.Year() < 2028; at = at.Add(97 * time.Minute) {
+				night := calendar.At(at)
+				if lastDay >= 0 && night.Day != lastDay && night.Day != lastDay+1 {
+					t.Fatalf("at %v night %s follows day %d", at, night.Date, lastDay)
+				}
+				lastDay = night.Day
+				if fresh := newCalendar(t, begins).At(at); fresh != night {
+					t.Fatalf("at %v %+v or %+v", at, night, fresh)
+				}
 			}
-		}
+		})
 	}
 }
 
-func TestWrongCalendars(t *testing.T) {
+func TestWrongFieldIsNamed(t *testing.T) {
 	for _, c := range []struct{ zone, begins, holidays, field string }{
-		{"Europe/Nowhere", "0 12 * * *", "", "time_zone"}, {"", "0 12 * * *", "", "time_zone"}, {"Local", "0 12 * * *", "", "time_zone"},
-		{"UTC", "noon", "", "night"}, {"UTC", "0 */6 * * *", "", "night"}, {"UTC", "0 12 * * 1", "", "night"},
+		{"Europe/Nowhere", "0 12 * * *", "", "time_zone"},
+		{"", "0 12 * * *", "", "time_zone"},
+		{"Local", "0 12 * * *", "", "time_zone"},
+		{"UTC", "noon", "", "night"},
+		{"UTC", "0 */6 * * *", "", "night"},
+		{"UTC", "0 12 * * 1", "", "night"},
 		{"UTC", "0 12 * * *", "2026-13-01", "holidays"},
 	} {
 		_, err := New(c.zone, c.begins, Dates(c.holidays))
-		var fe *FieldError
-		if !errors.As(err, &fe) || fe.Field != c.field {
+		var wrong *FieldError
+		if !errors.As(err, &wrong) || wrong.Field != c.field {
 			t.Errorf("%+v: %v", c, err)
 		}
 	}
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -27,7 +27,12 @@
 
 // What may not be set is refused by its field.
 func TestCheck(t *testing.T) {
-	good := []Change{{idle, number(5)}, {red, limit(9)}, {green, Value{Removed: true}}, {Item{Tunable: "fleet.spot_return"}, Value{}}}
+	good := []Change{
+		{idle, number(5)},
+		{red, limit(9)},
+		{green, Value{Removed: true}},
+		{Item{Tunable: "fleet.spot_return"}, Value{}},
+	}
 	if err := Check(good, platform()); err != nil {
 		t.Error(err)
 	}
@@ -44,11 +49,13 @@
 		"team green":        {{green, limit(1)}, {green, limit(2)}},
 		"fleet.spot_return": {{Item{Tunable: "fleet.spot_return"}, limit(3)}},
 	} {
-		err := Check(changes, platform())
-		var wrong *settings.FieldError
-		if !errors.As(err, &wrong) || wrong.Field != field || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %v, want %s named", changes, err, field)
-		}
+		t.Run(field, func(t *testing.T) {
+			err := Check(changes, platform())
+			var wrong *settings.FieldError
+			if !errors.As(err, &wrong) || wrong.Field != field || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v: %v, want %s named", changes, err, field)
+			}
+		})
 	}
 	if err := Check(make([]Change, MostChanges+1), platform()); err == nil {
 		t.Error("a bundle of any size is taken")
@@ -87,7 +94,7 @@
 	d.Apply(&Revision{Number: 2, Changes: []Change{{red, limit(3)}}})
 	second := d.Update(1)
 	if len(second.Sets) != 1 || len(d.Update(2).Sets) != 0 || len(d.Update(7).Sets) != 0 {
-		t.Errorf("told: %+v", second)
+		t.Errorf("the second update is %+v", second)
 	}
 	var r Replica
 	r.Apply(1, second)
--- a/internal/core/config/edit_test.go
+++ b/internal/core/config/edit_test.go
@@ -8,20 +8,31 @@
 	"testing"
 )
 
-func stands(string) Limits { return Limits{CPUs: 1, CPUsMax: 8} }
+func currentLimits(string) Limits { return Limits{CPUs: 1, CPUsMax: 8} }
 
 // Edits of one team become one change, and leave what they do not name.
 func TestEdits(t *testing.T) {
 	var edits []Edit
-	for _, s := range []string{"team/red/cpus_max=9", "fleet.idle_return=5", "team/red/gpus=2", "team/green=removed", "fleet.spot_return=settings"} {
+	for _, s := range []string{
+		"team/red/cpus_max=9",
+		"fleet.idle_return=5",
+		"team/red/gpus=2",
+		"team/green=removed",
+		"fleet.spot_return=settings",
+	} {
 		e, err := ParseEdit(s)
 		if err != nil {
 			t.Fatal(err)
 		}
 		edits = append(edits, e)
 	}
-	want := []Change{{red, Value{Limits: &Limits{CPUs: 1, CPUsMax: 9, GPUs: 2}}}, {idle, number(5)}, {green, Value{Removed: true}}, {Item{Tunable: "fleet.spot_return"}, Value{}}}
-	if got, err := Changes(edits, stands); err != nil || !reflect.DeepEqual(got, want) {
+	want := []Change{
+		{red, Value{Limits: &Limits{CPUs: 1, CPUsMax: 9, GPUs: 2}}},
+		{idle, number(5)},
+		{green, Value{Removed: true}},
+		{Item{Tunable: "fleet.spot_return"}, Value{}},
+	}
+	if got, err := Changes(edits, currentLimits); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%v %v", got, err)
 	}
 	path := filepath.Join(t.TempDir(), "changes.ini")
@@ -33,11 +44,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Changes(edits, stands); err != nil || len(got) != 4 || !reflect.DeepEqual(got[0], want[0]) {
+	if got, err := Changes(edits, currentLimits); err != nil || len(got) != 4 || !reflect.DeepEqual(got[0], want[0]) {
 		t.Errorf("%v %v", got, err)
 	}
 }
 
+// changesOf is the error of making changes of edits.
+func changesOf(texts []string) error {
+	var edits []Edit
+	for _, text := range texts {
+		edit, err := ParseEdit(text)
+		if err != nil {
+			return err
+		}
+		edits = append(edits, edit)
+	}
+	_, err := Changes(edits, currentLimits)
+	return err
+}
+
 // What is wrong is named in one line.
 func TestWrongEdits(t *testing.T) {
 	for list, field := range map[string]string{
@@ -52,21 +77,12 @@
 		"team/red=removed team/red/cpus=1":        "team red.cpus",
 		"fleet.idle_return=1 fleet.idle_return=2": "fleet.idle_return",
 	} {
-		var edits []Edit
-		var err error
-		for s := range strings.FieldsSeq(list) {
-			e, wrong := ParseEdit(s)
-			if err = wrong; err != nil {
-				break
+		t.Run(list, func(t *testing.T) {
+			err := changesOf(strings.Fields(list))
+			if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want %s named", err, field)
 			}
-			edits = append(edits, e)
-		}
-		if err == nil {
-			_, err = Changes(edits, stands)
-		}
-		if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v, want %s named", list, err, field)
-		}
+		})
 	}
 	if _, err := FileEdits("none.ini"); err == nil {
 		t.Error("a file that there is not was read")
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -31,17 +31,17 @@
 		if txn == nil {
 			continue
 		}
-		out, mark, failed := Invalid, uint64(0), []string(nil)
+		out, version, failed := Invalid, uint64(0), []string(nil)
 		if !slices.ContainsFunc(txn.Writes, func(o Write) bool { return len(o.Value) > most }) {
-			out, mark, failed = s.apply(*txn)
+			out, version, failed = s.apply(*txn)
 		} else {
 			invalid++
 		}
-		tags, next := l.CommitResult(now, txn.Sequence, out, mark, failed)
+		durableNow, next := l.CommitResult(now, txn.Sequence, out, version, failed)
 		if next != Carry {
 			t.Fatalf("step %d: %v", step, next)
 		}
-		durable += len(tags)
+		durable += len(durableNow)
 	}
 	if invalid == 0 {
 		t.Error("the lower limit was never met: the test tests nothing")
@@ -80,7 +80,7 @@
 func TestSizesInPieces(t *testing.T) {
 	s := newStore()
 	for n := range 40 {
-		s.mark[sizesPieceKey(n)], s.data[sizesPieceKey(n)] = 1, json.RawMessage(`{"v":[{"i":999,"s":1,"v":1}]}`)
+		s.versions[sizesPieceKey(n)], s.data[sizesPieceKey(n)] = 1, json.RawMessage(`{"v":[{"i":999,"s":1,"v":1}]}`)
 	}
 	l := NewLog(Limits{WriteRPS: 100, ValueBytes: 300, TxnOps: 4}, "lead/epoch", 1, 0, 40)
 	var list []VirtualSize
@@ -99,17 +99,17 @@
 		if len(txn.Writes) > 4 {
 			t.Fatalf("%d changes in a transaction", len(txn.Writes))
 		}
-		out, mark, failed := Refused, uint64(0), []string(nil)
+		out, version, failed := Refused, uint64(0), []string(nil)
 		if step%5 > 0 {
-			out, mark, failed = s.apply(*txn)
+			out, version, failed = s.apply(*txn)
 			for _, w := range txn.Writes {
 				if w.Remove {
-					delete(s.mark, w.Key)
+					delete(s.versions, w.Key)
 					delete(s.data, w.Key)
 				}
 			}
 		}
-		l.CommitResult(now, txn.Sequence, out, mark, failed)
+		l.CommitResult(now, txn.Sequence, out, version, failed)
 	}
 	found := map[uint64]float64{}
 	for k, raw := range s.data {
@@ -137,9 +137,9 @@
 	now := 10 * time.Second
 	commit := func() int {
 		txn := l.NextTransaction(now)
-		out, mark, failed := s.apply(*txn)
-		tags, _ := l.CommitResult(now, txn.Sequence, out, mark, failed)
-		return len(tags)
+		out, version, failed := s.apply(*txn)
+		durableNow, _ := l.CommitResult(now, txn.Sequence, out, version, failed)
+		return len(durableNow)
 	}
 	for n := range uint64(32) {
 		l.AppendTracked(cancel(100 + n))
@@ -182,8 +182,8 @@
 				sizes++
 			}
 		}
-		out, mark, failed := s.apply(*txn)
-		l.CommitResult(now, txn.Sequence, out, mark, failed)
+		out, version, failed := s.apply(*txn)
+		l.CommitResult(now, txn.Sequence, out, version, failed)
 	}
 	if removed < 30 || sizes < 4 || changes > 20*15 {
 		t.Errorf("%d of 40 segments removed, %d of 4 sizes written, %d changes", removed, sizes, changes)
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -10,36 +10,36 @@
 
 // store is a stand-in for the state service: versions and conditions only.
 type store struct {
-	rev  uint64
-	mark map[string]uint64
-	data map[string]json.RawMessage
+	revision uint64
+	versions map[string]uint64
+	data     map[string]json.RawMessage
 }
 
 func newStore() *store {
-	return &store{rev: 1, mark: map[string]uint64{"lead/epoch": 1}, data: map[string]json.RawMessage{}}
+	return &store{revision: 1, versions: map[string]uint64{"lead/epoch": 1}, data: map[string]json.RawMessage{}}
 }
 
 func (s *store) apply(t Transaction) (Outcome, uint64, []string) {
 	var failed []string
 	for _, c := range t.Conditions {
-		if s.mark[c.Key] != c.Version {
+		if s.versions[c.Key] != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
 		return Conflict, 0, failed
 	}
-	s.rev++
+	s.revision++
 	for _, w := range t.Writes {
-		s.mark[w.Key], s.data[w.Key] = s.rev, w.Value
+		s.versions[w.Key], s.data[w.Key] = s.revision, w.Value
 	}
-	return Applied, s.rev, nil
+	return Applied, s.revision, nil
 }
 
 func (s *store) ids(t *testing.T) []uint64 {
 	t.Helper()
 	var out []uint64
-	for n := 1; s.mark[SegmentKey(n)] != 0; n++ {
+	for n := 1; s.versions[SegmentKey(n)] != 0; n++ {
 		es, err := Decode(s.data[SegmentKey(n)])
 		if err != nil {
 			t.Fatal(err)
@@ -53,9 +53,9 @@
 
 func cancel(n uint64) Entry { return Entry{Cancel: &n} }
 
-var lim = Limits{WriteRPS: 1000, ValueBytes: 200, TxnOps: 4}
+var testLimits = Limits{WriteRPS: 1000, ValueBytes: 200, TxnOps: 4}
 
-func newLog() *Log { return NewLog(lim, "lead/epoch", 1, 0, 0) }
+func newLog() *Log { return NewLog(testLimits, "lead/epoch", 1, 0, 0) }
 
 // An unanswered commit is applied late, after it has been sent again: the
 // second try fails, the value shows that the first did, nothing is doubled.
@@ -69,30 +69,30 @@
 	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != Reread {
 		t.Fatal("an unknown outcome must be read back")
 	}
-	if tags := l.ReadBack(now, true, 0, nil); tags != nil {
-		t.Fatal("told durable though not applied")
+	if durable := l.ReadBack(now, true, 0, nil); durable != nil {
+		t.Fatal("reported as durable though not applied")
 	}
 	l.AppendTracked(cancel(99))
 	now += time.Second
 	again := l.NextTransaction(now)
 	s.apply(first) // the late one
-	out, mark, failed := s.apply(*again)
+	out, version, failed := s.apply(*again)
 	if out != Conflict {
 		t.Fatal("both tries were applied")
 	}
-	if _, step := l.CommitResult(now, again.Sequence, out, mark, failed); step != Reread {
+	if _, step := l.CommitResult(now, again.Sequence, out, version, failed); step != Reread {
 		t.Fatal("the conflict must be settled by reading")
 	}
-	tags := l.ReadBack(now, true, s.mark[l.OpenSegmentKey()], s.data[l.OpenSegmentKey()])
-	for len(tags) < 41 {
+	durable := l.ReadBack(now, true, s.versions[l.OpenSegmentKey()], s.data[l.OpenSegmentKey()])
+	for len(durable) < 41 {
 		now += time.Second
 		txn := l.NextTransaction(now)
 		if txn == nil {
-			t.Fatalf("stuck with %d of 41 durable", len(tags))
+			t.Fatalf("stuck with %d of 41 durable", len(durable))
 		}
-		out, mark, failed := s.apply(*txn)
-		more, _ := l.CommitResult(now, txn.Sequence, out, mark, failed)
-		tags = append(tags, more...)
+		out, version, failed := s.apply(*txn)
+		more, _ := l.CommitResult(now, txn.Sequence, out, version, failed)
+		durable = append(durable, more...)
 	}
 	got := s.ids(t)
 	want := make([]uint64, 0, 41)
@@ -113,11 +113,11 @@
 	step := func() {
 		now += time.Second
 		if txn := l.NextTransaction(now); txn != nil {
-			out, mark, failed := s.apply(*txn)
-			l.CommitResult(now, txn.Sequence, out, mark, failed)
+			out, version, failed := s.apply(*txn)
+			l.CommitResult(now, txn.Sequence, out, version, failed)
 		}
 	}
-	for n := uint64(0); l.LastSegment() == 1 && len(l.openBody) < lim.ValueBytes-64-10; n++ {
+	for n := uint64(0); l.LastSegment() == 1 && len(l.openBody) < testLimits.ValueBytes-64-10; n++ {
 		l.AppendTracked(cancel(100 + n))
 		step()
 	}
@@ -144,13 +144,13 @@
 	s, l := newStore(), newLog()
 	l.AppendTracked(cancel(1))
 	late := *l.NextTransaction(time.Second)
-	s.rev++
-	s.mark["lead/epoch"] = s.rev
-	out, mark, failed := s.apply(late)
+	s.revision++
+	s.versions["lead/epoch"] = s.revision
+	out, version, failed := s.apply(late)
 	if out != Conflict || len(s.ids(t)) != 0 {
 		t.Fatal("a superseded leader wrote")
 	}
-	if _, step := l.CommitResult(time.Second, late.Sequence, out, mark, failed); step != Lost {
+	if _, step := l.CommitResult(time.Second, late.Sequence, out, version, failed); step != Lost {
 		t.Error("the term must end")
 	}
 }
@@ -158,7 +158,7 @@
 func TestLimitsAreKept(t *testing.T) {
 	s, l := newStore(), newLog()
 	now, puts := time.Second, 0
-	small := lim
+	small := testLimits
 	small.WriteRPS = 10
 	l.limits = small
 	for n := range uint64(200) {
@@ -166,17 +166,17 @@
 	}
 	for l.Pending() > 0 && now < time.Minute {
 		if txn := l.NextTransaction(now); txn != nil {
-			if len(txn.Writes) > lim.TxnOps {
+			if len(txn.Writes) > testLimits.TxnOps {
 				t.Fatalf("%d writes in one transaction", len(txn.Writes))
 			}
 			for _, w := range txn.Writes {
 				puts++
-				if len(w.Value) > lim.ValueBytes {
+				if len(w.Value) > testLimits.ValueBytes {
 					t.Fatalf("a value of %d bytes", len(w.Value))
 				}
 			}
-			out, mark, failed := s.apply(*txn)
-			l.CommitResult(now, txn.Sequence, out, mark, failed)
+			out, version, failed := s.apply(*txn)
+			l.CommitResult(now, txn.Sequence, out, version, failed)
 		}
 		now += 10 * time.Millisecond
 	}
@@ -202,7 +202,7 @@
 	txn := l.NextTransaction(time.Second)
 	for _, w := range txn.Writes {
 		var v VirtualSizes
-		if err := json.Unmarshal(w.Value, &v); err != nil || len(w.Value) > lim.ValueBytes {
+		if err := json.Unmarshal(w.Value, &v); err != nil || len(w.Value) > testLimits.ValueBytes {
 			t.Fatal(fmt.Errorf("value of %d bytes: %w", len(w.Value), err))
 		}
 		seen += len(v.Sizes)
@@ -233,13 +233,13 @@
 	l.ReadBack(now, true, 0, nil) // it is not there
 	now += time.Second
 	again := l.NextTransaction(now)
-	out, mark, failed := s.apply(*again)
-	if facts, _ := l.CommitResult(now, again.Sequence, out, mark, failed); len(facts) != 1 || string(s.data[key]) != `"old"` {
+	out, version, failed := s.apply(*again)
+	if facts, _ := l.CommitResult(now, again.Sequence, out, version, failed); len(facts) != 1 || string(s.data[key]) != `"old"` {
 		t.Errorf("%d facts, the value is %s", len(facts), s.data[key])
 	}
 	next := put(`"new"`)
-	out, mark, failed = s.apply(*next)
-	if facts, _ := l.CommitResult(now, next.Sequence, out, mark, failed); len(facts) != 1 {
+	out, version, failed = s.apply(*next)
+	if facts, _ := l.CommitResult(now, next.Sequence, out, version, failed); len(facts) != 1 {
 		t.Errorf("%d facts", len(facts))
 	}
 	if out, _, _ := s.apply(first); out != Conflict || string(s.data[key]) != `"new"` {
@@ -248,7 +248,7 @@
 	if n, err := ValueNumber("d", key); n != 7 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
-	if l.AppendWithValue(cancel(1), key, make(json.RawMessage, lim.ValueBytes)) {
+	if l.AppendWithValue(cancel(1), key, make(json.RawMessage, testLimits.ValueBytes)) {
 		t.Error("a value that is too large is taken")
 	}
 	// Refused as too large after all: value and entry are left out, the others go on.
@@ -262,8 +262,8 @@
 	l.CommitResult(now, txn.Sequence, Invalid, 0, nil)
 	now += time.Second
 	txn = l.NextTransaction(now)
-	out, mark, failed = s.apply(*txn)
-	if facts, _ := l.CommitResult(now, txn.Sequence, out, mark, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.DurableCount() != l.AppendedCount() {
+	out, version, failed = s.apply(*txn)
+	if facts, _ := l.CommitResult(now, txn.Sequence, out, version, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.DurableCount() != l.AppendedCount() {
 		t.Errorf("%d facts in %d changes, %d of %d entries settled", len(facts), len(txn.Writes), l.DurableCount(), l.AppendedCount())
 	}
 }
--- a/internal/core/leadership/elector_test.go
+++ b/internal/core/leadership/elector_test.go
@@ -5,7 +5,11 @@
 	"time"
 )
 
-const testTTL = 3 * time.Second
+const (
+	testTTL = 3 * time.Second
+	// electedAt is when elect creates the lease.
+	electedAt = 10 * time.Second
+)
 
 // only gives the one request of a list, which must have the action.
 func only(t *testing.T, requests []Request, action Action) Request {
@@ -16,9 +20,10 @@
 	return requests[0]
 }
 
-// elect makes an elector the leader of epoch 5, with the lease 77 created at the given time.
-func elect(t *testing.T, e *Elector, now time.Duration) {
+// elect makes an elector the leader of epoch 5, with the lease 77.
+func elect(t *testing.T, e *Elector) {
 	t.Helper()
+	const now = electedAt
 	read := only(t, e.Tick(now), ReadKeys)
 	create := only(t, e.KeysRead(now, read.Sequence, true, View{Epoch: 4, EpochVersion: 40}), CreateLease)
 	claim := only(t, e.LeaseCreated(now+time.Second, create.Sequence, true, 77), ClaimLeadership)
@@ -34,11 +39,10 @@
 }
 
 func TestLeaseValidityCountsFromItsCreation(t *testing.T) {
-	const createdAt = 10 * time.Second
 	e := NewElector("a", testTTL)
-	elect(t, e, createdAt)
+	elect(t, e)
 	// The lease's time to live, less a thousandth for the clocks' drift and 60 ms.
-	end := createdAt + testTTL - 3*time.Millisecond - 60*time.Millisecond
+	end := electedAt + testTTL - 3*time.Millisecond - 60*time.Millisecond
 	if !e.LeaseValid(end - 1) {
 		t.Error("the lease is invalid before its end")
 	}
@@ -48,7 +52,7 @@
 }
 
 func TestRenewal(t *testing.T) {
-	const createdAt, renewedAt = 10 * time.Second, 12 * time.Second
+	const renewedAt = electedAt + 2*time.Second
 	for name, c := range map[string]struct {
 		ok, gone bool
 		role     Role
@@ -61,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := NewElector("a", testTTL)
-			elect(t, e, createdAt)
+			elect(t, e)
 			var renewal Request
 			for _, request := range e.Tick(renewedAt) {
 				if request.Action == RenewLease {
@@ -113,7 +117,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := NewElector("a", testTTL)
-			elect(t, e, 10*time.Second)
+			elect(t, e)
 			c.event(e)
 			if e.Role() != c.role {
 				t.Errorf("role %d, want %d", e.Role(), c.role)
@@ -128,7 +132,7 @@
 // After it resigned a node watches, and does not stand for election until the pause is over.
 func TestResignedNodePauses(t *testing.T) {
 	e := NewElector("a", testTTL)
-	elect(t, e, 10*time.Second)
+	elect(t, e)
 	release := only(t, e.Resign(11*time.Second, 5*time.Second), ReleaseLease)
 	if release.LeaseID != 77 {
 		t.Errorf("lease %d is released", release.LeaseID)
