--- a/internal/core/leadership/election.go
+++ b/internal/core/leadership/election.go
@@ -42,10 +42,9 @@
 // KeysRead takes the result of ReadKeys. Where nobody leads it starts an election, otherwise a
 // watch.
 func (e *Elector) KeysRead(now time.Duration, sequence uint64, ok bool, view View) []Request {
-	if !e.readCall.matches(sequence) {
+	if _, awaited := finish(&e.readCall, sequence); !awaited {
 		return nil
 	}
-	e.readCall = nil
 	if !ok {
 		e.nextReadAt = now + retryDelay
 		return nil
@@ -77,10 +76,9 @@
 // WatchEnded takes the result of WatchKeys: with ok something changed, or the watch's time ran
 // out; otherwise the watch failed.
 func (e *Elector) WatchEnded(now time.Duration, sequence uint64, ok bool) []Request {
-	if !e.watchCall.matches(sequence) {
+	if _, awaited := finish(&e.watchCall, sequence); !awaited {
 		return nil
 	}
-	e.watchCall = nil
 	if !ok {
 		e.nextReadAt = now + watchRetryDelay
 		return nil
@@ -94,11 +92,10 @@
 
 // LeaseCreated takes the result of CreateLease and claims leadership with the lease.
 func (e *Elector) LeaseCreated(now time.Duration, sequence uint64, ok bool, leaseID uint64) []Request {
-	if !e.electionCall.matches(sequence) {
+	createdAt, awaited := finish(&e.electionCall, sequence)
+	if !awaited {
 		return nil
 	}
-	createdAt := e.electionCall.sentAt
-	e.electionCall = nil
 	if !ok {
 		e.abandonElection(now)
 		return nil
@@ -112,11 +109,10 @@
 // and so the version of both keys. An unanswered claim counts as failed: should it be applied
 // yet, the release of the lease deletes the holder's key again.
 func (e *Elector) LeadershipClaimed(now time.Duration, sequence uint64, ok bool, version uint64) []Request {
-	if !e.electionCall.matches(sequence) {
+	sentAt, awaited := finish(&e.electionCall, sequence)
+	if !awaited {
 		return nil
 	}
-	sentAt := e.electionCall.sentAt
-	e.electionCall = nil
 	if !ok {
 		release := e.newRequest(ReleaseLease) // before abandonElection, which forgets the lease
 		e.abandonElection(now)
--- a/internal/core/leadership/elector.go
+++ b/internal/core/leadership/elector.go
@@ -96,3 +96,14 @@
 	*pending = &pendingCall{sequence: request.Sequence, sentAt: sentAt}
 	return request
 }
+
+// finish ends the call to which a result belongs and gives when it was sent; ok is false where the
+// result belongs to another call, or to none.
+func finish(pending **pendingCall, sequence uint64) (sentAt time.Duration, ok bool) {
+	call := *pending
+	if !call.matches(sequence) {
+		return 0, false
+	}
+	*pending = nil
+	return call.sentAt, true
+}
