--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -214,7 +214,7 @@
 
 // A value goes into the transaction of its entry, and neither a late copy nor a lost
 // answer puts an old one back.
-func TestAppendWith(t *testing.T) {
+func TestAppendWithValue(t *testing.T) {
 	s := newStore()
 	l := newLog()
 	now := time.Second
@@ -234,7 +234,8 @@
 	now += time.Second
 	again := l.NextTransaction(now)
 	out, version, failed := s.apply(*again)
-	if facts, _ := l.CommitResult(now, again.Sequence, out, version, failed); len(facts) != 1 || string(s.data[key]) != `"old"` {
+	facts, _ := l.CommitResult(now, again.Sequence, out, version, failed)
+	if len(facts) != 1 || string(s.data[key]) != `"old"` {
 		t.Errorf("%d facts, the value is %s", len(facts), s.data[key])
 	}
 	next := put(`"new"`)
@@ -263,7 +264,11 @@
 	now += time.Second
 	txn = l.NextTransaction(now)
 	out, version, failed = s.apply(*txn)
-	if facts, _ := l.CommitResult(now, txn.Sequence, out, version, failed); len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 || l.DurableCount() != l.AppendedCount() {
-		t.Errorf("%d facts in %d changes, %d of %d entries settled", len(facts), len(txn.Writes), l.DurableCount(), l.AppendedCount())
+	facts, _ = l.CommitResult(now, txn.Sequence, out, version, failed)
+	if len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 {
+		t.Errorf("%d facts in %d writes", len(facts), len(txn.Writes))
+	}
+	if l.DurableCount() != l.AppendedCount() {
+		t.Errorf("%d of %d entries are durable", l.DurableCount(), l.AppendedCount())
 	}
 }
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -31,7 +31,7 @@
 		t.Errorf("only %d in a minute: the rate is not used", len(took))
 	}
 	if b.Take(59*time.Second, 1000) {
-		t.Error("a clock that stands still gives room")
+		t.Error("a clock that goes back refills the bucket")
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestStarts(t *testing.T) {
+func TestStartLimiter(t *testing.T) {
 	s := NewStartLimiter(Limits{Zone: 5, Images: 1})
 	n := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
@@ -105,8 +105,15 @@
 	if n < 50 || n > 55 {
 		t.Errorf("%d starts in ten seconds at five a second", n)
 	}
-	if !s.Allows(10*time.Second, 2, true, 9) || s.Allows(10*time.Second, 2, false, 1) || !s.Allows(10*time.Second, 2, false, 0) {
-		t.Error("a second image is fetched beside the first, or one that is there is refused")
+	const later = 10 * time.Second
+	for _, c := range []struct {
+		hasImage bool
+		fetching int
+		want     bool
+	}{{true, 9, true}, {false, 1, false}, {false, 0, true}} {
+		if got := s.Allows(later, 2, c.hasImage, c.fetching); got != c.want {
+			t.Errorf("image there %v, %d being fetched: allowed %v", c.hasImage, c.fetching, got)
+		}
 	}
 	free := NewStartLimiter(Limits{})
 	for range 1000 {
