--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -213,24 +213,24 @@
 }
 
 type heldItem struct {
-	item
+	storedItem
 	Hold uint64 `json:"tether,omitempty"`
 }
 
 // StateItem is the body that gives one key; hold is what it hangs on, or 0.
-func StateItem(it Item, hold uint64) []byte { return encode(heldItem{item(it), hold}) }
+func StateItem(it Item, hold uint64) []byte { return encode(heldItem{storedItem(it), hold}) }
 
 type page struct {
-	Rows []item `json:"rows"`
-	More bool   `json:"has_next"`
-	Rev  uint64 `json:"ledger_mark"`
+	Rows []storedItem `json:"rows"`
+	More bool         `json:"has_next"`
+	Rev  uint64       `json:"ledger_mark"`
 }
 
 // StatePage is the body that gives a page of keys.
 func StatePage(items []Item, more bool, revision uint64) []byte {
-	rows := make([]item, len(items))
+	rows := make([]storedItem, len(items))
 	for i, it := range items {
-		rows[i] = item(it)
+		rows[i] = storedItem(it)
 	}
 	return encode(page{rows, more, revision})
 }
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -56,7 +56,7 @@
 // NewStateClient makes a client of the state service.
 func NewStateClient(addr string) *StateClient { return &StateClient{NewClient(addr, 6)} }
 
-type item struct {
+type storedItem struct {
 	Key   string          `json:"k"`
 	Value json.RawMessage `json:"data"`
 	Mark  uint64          `json:"entry_mark"`
@@ -71,7 +71,7 @@
 
 // Get reads a key; a missing one has mark 0.
 func (s *StateClient) Get(ctx context.Context, key string) (Item, error) {
-	var it item
+	var it storedItem
 	status, err := s.c.call(ctx, "GET", PathKeys+"/"+key, nil, &it)
 	if err != nil {
 		return Item{}, err
