--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -48,7 +48,7 @@
 	return status, nil
 }
 
-const bigBody = 4 << 20
+const maxResponseBody = 4 << 20
 
 // StateClient is the state service.
 type StateClient struct{ c *Client }
@@ -331,7 +331,7 @@
 		return 0, nil, fmt.Errorf("wire: %w", err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, bigBody))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody))
 	if err != nil {
 		return 0, nil, fmt.Errorf("wire: %w", err)
 	}
