--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -36,7 +36,7 @@
 // call decodes the answer into out and returns the status, or an error when
 // there was no whole response.
 func (c *Client) call(ctx context.Context, method, path string, in, out any) (int, error) {
-	status, data, err := c.raw(ctx, method, path, in)
+	status, data, err := c.exchange(ctx, method, path, in)
 	if err != nil {
 		return 0, err
 	}
@@ -294,7 +294,7 @@
 	in := rental{r.Name, r.Type, r.Zone, r.Spot, r.Count}
 	var out machineNames
 	var refused problem
-	status, body, err := c.c.raw(ctx, "POST", PathRentals, in)
+	status, body, err := c.c.exchange(ctx, "POST", PathRentals, in)
 	if err != nil {
 		return nil, NoAnswer
 	}
@@ -314,7 +314,7 @@
 	return nil, NoAnswer
 }
 
-func (c *Client) raw(ctx context.Context, method, path string, in any) (int, []byte, error) {
+func (c *Client) exchange(ctx context.Context, method, path string, in any) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
 		body = bytes.NewReader(encode(in))
@@ -407,14 +407,14 @@
 
 // Probe says whether the worker at addr answers.
 func (w *WorkerClient) Probe(ctx context.Context, addr string) bool {
-	status, _, err := (&Client{"http://" + addr, w.c}).raw(ctx, "GET", PathShow, nil)
+	status, _, err := (&Client{"http://" + addr, w.c}).exchange(ctx, "GET", PathShow, nil)
 	return err == nil && status == http.StatusOK
 }
 
 // SendCommands sends direct commands to the worker at addr, and returns its report after them.
 // They may be carried out late whatever comes back.
 func (w *WorkerClient) SendCommands(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
-	status, data, err := (&Client{"http://" + addr, w.c}).raw(ctx, "POST", PathCommands, json.RawMessage(body))
+	status, data, err := (&Client{"http://" + addr, w.c}).exchange(ctx, "POST", PathCommands, json.RawMessage(body))
 	if err != nil {
 		return nil, err
 	}
