--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -33,9 +33,9 @@
 	}}}
 }
 
-// call decodes the answer into out and returns the status, or an error when
+// callJSON decodes the answer into out and returns the status, or an error when
 // there was no whole response.
-func (c *Client) call(ctx context.Context, method, path string, in, out any) (int, error) {
+func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) (int, error) {
 	status, data, err := c.exchange(ctx, method, path, in)
 	if err != nil {
 		return 0, err
@@ -72,7 +72,7 @@
 // Get reads a key; a missing one has mark 0.
 func (s *StateClient) Get(ctx context.Context, key string) (Item, error) {
 	var it storedItem
-	status, err := s.c.call(ctx, "GET", PathKeys+"/"+key, nil, &it)
+	status, err := s.c.callJSON(ctx, "GET", PathKeys+"/"+key, nil, &it)
 	if err != nil {
 		return Item{}, err
 	}
@@ -92,7 +92,7 @@
 		q.Set("since", since)
 	}
 	var out page
-	status, err := s.c.call(ctx, "GET", PathKeys+"?"+q.Encode(), nil, &out)
+	status, err := s.c.callJSON(ctx, "GET", PathKeys+"?"+q.Encode(), nil, &out)
 	if err != nil {
 		return nil, false, 0, err
 	}
@@ -129,7 +129,7 @@
 
 func (s *StateClient) multi(ctx context.Context, t txn) (eventlog.Outcome, uint64, []string) {
 	var out txnAnswer
-	status, err := s.c.call(ctx, "POST", PathTransactions, t, &out)
+	status, err := s.c.callJSON(ctx, "POST", PathTransactions, t, &out)
 	switch {
 	case err != nil:
 		return eventlog.Unknown, 0, nil
@@ -197,26 +197,26 @@
 // or saw one rather than failing.
 func (s *StateClient) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) bool {
 	q := url.Values{"starts": {prefix}, "since": {strconv.FormatUint(since, 10)}, "hold_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	status, err := s.c.call(ctx, "GET", PathFollow+"?"+q.Encode(), nil, nil)
+	status, err := s.c.callJSON(ctx, "GET", PathFollow+"?"+q.Encode(), nil, nil)
 	return err == nil && (status == 200 || status == 410)
 }
 
 // CreateLease makes a hold.
 func (s *StateClient) CreateLease(ctx context.Context, life time.Duration) (uint64, bool) {
 	var out holdAnswer
-	status, err := s.c.call(ctx, "POST", PathHolds, hold{life.Milliseconds()}, &out)
+	status, err := s.c.callJSON(ctx, "POST", PathHolds, hold{life.Milliseconds()}, &out)
 	return out.ID, err == nil && status == 200
 }
 
 // RenewLease renews a hold; gone says that it has ended.
 func (s *StateClient) RenewLease(ctx context.Context, id uint64) (ok, gone bool) {
-	status, err := s.c.call(ctx, "POST", PathHolds+"/"+strconv.FormatUint(id, 10)+"/renew", struct{}{}, nil)
+	status, err := s.c.callJSON(ctx, "POST", PathHolds+"/"+strconv.FormatUint(id, 10)+"/renew", struct{}{}, nil)
 	return err == nil && status == 200, err == nil && status == 404
 }
 
 // ReleaseLease ends a hold.
 func (s *StateClient) ReleaseLease(ctx context.Context, id uint64) {
-	_, _ = s.c.call(ctx, "DELETE", PathHolds+"/"+strconv.FormatUint(id, 10), nil, nil) // it ends by itself otherwise
+	_, _ = s.c.callJSON(ctx, "DELETE", PathHolds+"/"+strconv.FormatUint(id, 10), nil, nil) // it ends by itself otherwise
 }
 
 // CloudClient is the cloud that rents machines.
@@ -245,7 +245,7 @@
 // Types reads the machine types.
 func (c *CloudClient) Types(ctx context.Context) ([]eventlog.MachineType, error) {
 	var out machineTypes
-	status, err := c.c.call(ctx, "GET", PathMachineTypes, nil, &out)
+	status, err := c.c.callJSON(ctx, "GET", PathMachineTypes, nil, &out)
 	if err != nil {
 		return nil, err
 	}
@@ -340,7 +340,7 @@
 
 // Delete returns machines; true means that they are gone.
 func (c *CloudClient) Delete(ctx context.Context, names []string) bool {
-	status, err := c.c.call(ctx, "POST", PathDelete, machineNames{names}, nil)
+	status, err := c.c.callJSON(ctx, "POST", PathDelete, machineNames{names}, nil)
 	return err == nil && status == 200
 }
 
@@ -378,7 +378,7 @@
 			q.Set("since", since)
 		}
 		var out machineList
-		status, err := c.c.call(ctx, "GET", PathRentals+"?"+q.Encode(), nil, &out)
+		status, err := c.c.callJSON(ctx, "GET", PathRentals+"?"+q.Encode(), nil, &out)
 		if err != nil {
 			return nil, err
 		}
