--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -105,7 +105,7 @@
 	return items, out.More, out.Rev, nil
 }
 
-type cond struct {
+type condition struct {
 	Key  string `json:"k"`
 	Mark uint64 `json:"entry_mark"`
 }
@@ -118,8 +118,8 @@
 }
 
 type txn struct {
-	If   []cond `json:"when"`
-	Then []put  `json:"writes"`
+	If   []condition `json:"when"`
+	Then []put       `json:"writes"`
 }
 
 type txnAnswer struct {
@@ -149,7 +149,7 @@
 func (s *StateClient) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
 	var x txn
 	for _, c := range t.Conditions {
-		x.If = append(x.If, cond{c.Key, c.Version})
+		x.If = append(x.If, condition{c.Key, c.Version})
 	}
 	for _, w := range t.Writes {
 		if w.Remove {
@@ -187,7 +187,7 @@
 func (s *StateClient) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.multi(ctx, txn{
-		If:   []cond{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
+		If:   []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
 		Then: []put{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
 	return out == eventlog.Applied, rev
