--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -110,7 +110,7 @@
 	Mark uint64 `json:"entry_mark"`
 }
 
-type put struct {
+type transactionWrite struct {
 	Put    string          `json:"write,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
 	Lease  uint64          `json:"tether,omitempty"`
@@ -118,8 +118,8 @@
 }
 
 type txn struct {
-	If   []condition `json:"when"`
-	Then []put       `json:"writes"`
+	If   []condition        `json:"when"`
+	Then []transactionWrite `json:"writes"`
 }
 
 type txnAnswer struct {
@@ -153,9 +153,9 @@
 	}
 	for _, w := range t.Writes {
 		if w.Remove {
-			x.Then = append(x.Then, put{Delete: w.Key})
+			x.Then = append(x.Then, transactionWrite{Delete: w.Key})
 		} else {
-			x.Then = append(x.Then, put{Put: w.Key, Value: w.Value})
+			x.Then = append(x.Then, transactionWrite{Put: w.Key, Value: w.Value})
 		}
 	}
 	return s.multi(ctx, x)
@@ -188,7 +188,7 @@
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.multi(ctx, txn{
 		If:   []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
-		Then: []put{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
+		Then: []transactionWrite{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
 	return out == eventlog.Applied, rev
 }
