--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -156,7 +156,7 @@
 
 // ParseTxn reads a transaction.
 func ParseTxn(body []byte) (StateTxn, error) {
-	var in txn
+	var in transaction
 	if err := json.Unmarshal(body, &in); err != nil {
 		return StateTxn{}, fmt.Errorf("wire: a transaction that cannot be read: %w", err)
 	}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -117,7 +117,7 @@
 	Delete string          `json:"remove,omitempty"`
 }
 
-type txn struct {
+type transaction struct {
 	If   []condition        `json:"when"`
 	Then []transactionWrite `json:"writes"`
 }
@@ -127,7 +127,7 @@
 	Failed []string `json:"failed"`
 }
 
-func (s *StateClient) multi(ctx context.Context, t txn) (eventlog.Outcome, uint64, []string) {
+func (s *StateClient) multi(ctx context.Context, t transaction) (eventlog.Outcome, uint64, []string) {
 	var out txnAnswer
 	status, err := s.c.callJSON(ctx, "POST", PathTransactions, t, &out)
 	switch {
@@ -147,7 +147,7 @@
 
 // Commit runs a transaction of the ledger.
 func (s *StateClient) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
-	var x txn
+	var x transaction
 	for _, c := range t.Conditions {
 		x.If = append(x.If, condition{c.Key, c.Version})
 	}
@@ -186,7 +186,7 @@
 // Claim takes leadership if the view still holds.
 func (s *StateClient) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
-	out, rev, _ := s.multi(ctx, txn{
+	out, rev, _ := s.multi(ctx, transaction{
 		If:   []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
 		Then: []transactionWrite{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
