--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -122,13 +122,13 @@
 	Then []transactionWrite `json:"writes"`
 }
 
-type txnAnswer struct {
+type transactionAnswer struct {
 	Rev    uint64   `json:"ledger_mark"`
 	Failed []string `json:"failed"`
 }
 
 func (s *StateClient) multi(ctx context.Context, t transaction) (eventlog.Outcome, uint64, []string) {
-	var out txnAnswer
+	var out transactionAnswer
 	status, err := s.c.callJSON(ctx, "POST", PathTransactions, t, &out)
 	switch {
 	case err != nil:
