--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -127,7 +127,7 @@
 	Failed []string `json:"failed"`
 }
 
-func (s *StateClient) multi(ctx context.Context, t transaction) (eventlog.Outcome, uint64, []string) {
+func (s *StateClient) transact(ctx context.Context, t transaction) (eventlog.Outcome, uint64, []string) {
 	var out transactionAnswer
 	status, err := s.c.callJSON(ctx, "POST", PathTransactions, t, &out)
 	switch {
@@ -158,7 +158,7 @@
 			x.Then = append(x.Then, transactionWrite{Put: w.Key, Value: w.Value})
 		}
 	}
-	return s.multi(ctx, x)
+	return s.transact(ctx, x)
 }
 
 // ReadLeadership reads the two keys of leadership.
@@ -186,7 +186,7 @@
 // Claim takes leadership if the view still holds.
 func (s *StateClient) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
-	out, rev, _ := s.multi(ctx, transaction{
+	out, rev, _ := s.transact(ctx, transaction{
 		If:   []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
 		Then: []transactionWrite{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
