--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -259,7 +259,7 @@
 	return encode(news{revision, list})
 }
 
-type hold struct {
+type leaseRequest struct {
 	LifeMS int64 `json:"life_ms"`
 }
 
@@ -269,7 +269,7 @@
 
 // ParseLease reads how long a hold is to live.
 func ParseLease(body []byte) (time.Duration, error) {
-	var in hold
+	var in leaseRequest
 	if err := json.Unmarshal(body, &in); err != nil || in.LifeMS <= 0 {
 		return 0, fmt.Errorf("wire: life_ms: missing or not a number above 0")
 	}
