--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -263,7 +263,7 @@
 	LifeMS int64 `json:"life_ms"`
 }
 
-type holdAnswer struct {
+type leaseAnswer struct {
 	ID uint64 `json:"tether"`
 }
 
@@ -277,7 +277,7 @@
 }
 
 // LeaseAnswer is the body that gives a new hold.
-func LeaseAnswer(id uint64) []byte { return encode(holdAnswer{id}) }
+func LeaseAnswer(id uint64) []byte { return encode(leaseAnswer{id}) }
 
 // MachineTypes is the body with which the cloud gives its machine types.
 func MachineTypes(types []eventlog.MachineType) []byte {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -203,7 +203,7 @@
 
 // CreateLease makes a hold.
 func (s *StateClient) CreateLease(ctx context.Context, life time.Duration) (uint64, bool) {
-	var out holdAnswer
+	var out leaseAnswer
 	status, err := s.c.callJSON(ctx, "POST", PathHolds, leaseRequest{life.Milliseconds()}, &out)
 	return out.ID, err == nil && status == 200
 }
