--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -212,13 +212,13 @@
 	return q, nil
 }
 
-type heldItem struct {
+type leasedItem struct {
 	storedItem
 	Hold uint64 `json:"tether,omitempty"`
 }
 
 // StateItem is the body that gives one key; hold is what it hangs on, or 0.
-func StateItem(it Item, hold uint64) []byte { return encode(heldItem{storedItem(it), hold}) }
+func StateItem(it Item, hold uint64) []byte { return encode(leasedItem{storedItem(it), hold}) }
 
 type page struct {
 	Rows []storedItem `json:"rows"`
