--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -220,7 +220,7 @@
 // StateItem is the body that gives one key; hold is what it hangs on, or 0.
 func StateItem(it Item, hold uint64) []byte { return encode(leasedItem{storedItem(it), hold}) }
 
-type page struct {
+type itemPage struct {
 	Rows []storedItem `json:"rows"`
 	More bool         `json:"has_next"`
 	Rev  uint64       `json:"ledger_mark"`
@@ -232,7 +232,7 @@
 	for i, it := range items {
 		rows[i] = storedItem(it)
 	}
-	return encode(page{rows, more, revision})
+	return encode(itemPage{rows, more, revision})
 }
 
 type change struct {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -91,7 +91,7 @@
 	if since != "" {
 		q.Set("since", since)
 	}
-	var out page
+	var out itemPage
 	status, err := s.c.callJSON(ctx, "GET", PathKeys+"?"+q.Encode(), nil, &out)
 	if err != nil {
 		return nil, false, 0, err
