--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -235,7 +235,7 @@
 	return encode(itemPage{rows, more, revision})
 }
 
-type change struct {
+type keyChange struct {
 	Write  string          `json:"write,omitempty"`
 	Remove string          `json:"remove,omitempty"`
 	Value  json.RawMessage `json:"data,omitempty"`
@@ -243,17 +243,17 @@
 }
 
 type news struct {
-	Rev  uint64   `json:"ledger_mark"`
-	News []change `json:"news"`
+	Rev  uint64      `json:"ledger_mark"`
+	News []keyChange `json:"news"`
 }
 
 // StateNews is the body that tells of changes; those without a value are removals.
 func StateNews(revision uint64, changed []Item) []byte {
-	list := make([]change, len(changed))
+	list := make([]keyChange, len(changed))
 	for i, it := range changed {
-		list[i] = change{Write: it.Key, Value: it.Value, Mark: it.Mark}
+		list[i] = keyChange{Write: it.Key, Value: it.Value, Mark: it.Mark}
 		if it.Value == nil {
-			list[i] = change{Remove: it.Key, Mark: it.Mark}
+			list[i] = keyChange{Remove: it.Key, Mark: it.Mark}
 		}
 	}
 	return encode(news{revision, list})
