--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -242,7 +242,7 @@
 	Mark   uint64          `json:"entry_mark"`
 }
 
-type news struct {
+type changesAnswer struct {
 	Rev  uint64      `json:"ledger_mark"`
 	News []keyChange `json:"news"`
 }
@@ -256,7 +256,7 @@
 			list[i] = keyChange{Remove: it.Key, Mark: it.Mark}
 		}
 	}
-	return encode(news{revision, list})
+	return encode(changesAnswer{revision, list})
 }
 
 type leaseRequest struct {
