--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -82,7 +82,7 @@
 
 // ParseRedirect reads where a worker is sent with status 421; empty: to the next controller.
 func ParseRedirect(body []byte) string {
-	var in elsewhere
+	var in redirect
 	if json.Unmarshal(body, &in) != nil {
 		return ""
 	}
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -100,7 +100,7 @@
 	Commands []command `json:"calls"`
 }
 
-type elsewhere struct {
+type redirect struct {
 	Node string `json:"herdsman,omitempty"`
 }
 
@@ -124,7 +124,7 @@
 }
 
 // RedirectAnswer sends a worker to another node; the name may be empty.
-func RedirectAnswer(node string) []byte { return encode(elsewhere{node}) }
+func RedirectAnswer(node string) []byte { return encode(redirect{node}) }
 
 // PathCommands is where a worker takes direct commands.
 const PathCommands = "/do"
