--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -97,7 +97,7 @@
 
 // ParseDirectCommands reads direct commands.
 func ParseDirectCommands(body []byte) (DirectCommands, error) {
-	var in direct
+	var in directCommands
 	if err := json.Unmarshal(body, &in); err != nil {
 		return DirectCommands{}, fmt.Errorf("wire: direct commands that cannot be read: %w", err)
 	}
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -94,7 +94,7 @@
 	GraceS  *float64 `json:"settle_s,omitempty"`
 }
 
-type direct struct {
+type directCommands struct {
 	Token    uint64    `json:"crook"`
 	Session  uint64    `json:"watch"`
 	Commands []command `json:"calls"`
@@ -134,5 +134,5 @@
 
 // EncodeDirectCommands is the body of a direct command.
 func EncodeDirectCommands(token, session uint64, cmds []workers.Command) []byte {
-	return encode(direct{token, session, commands(cmds)})
+	return encode(directCommands{token, session, commands(cmds)})
 }
