--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -72,7 +72,7 @@
 
 // ParseReportAnswer reads what a controller answers to a report with status 200.
 func ParseReportAnswer(body []byte) (token uint64, cmds []workers.Command, err error) {
-	var in answer
+	var in reportAnswer
 	if err := json.Unmarshal(body, &in); err != nil {
 		return 0, nil, fmt.Errorf("wire: an answer that cannot be read: %w", err)
 	}
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -82,7 +82,7 @@
 	return r, nil
 }
 
-type answer struct {
+type reportAnswer struct {
 	Token    uint64    `json:"crook"`
 	Commands []command `json:"calls"`
 }
@@ -120,7 +120,7 @@
 
 // ReportAnswer is the body that answers a report.
 func ReportAnswer(token uint64, cmds []workers.Command) []byte {
-	return encode(answer{token, commands(cmds)})
+	return encode(reportAnswer{token, commands(cmds)})
 }
 
 // RedirectAnswer sends a worker to another node; the name may be empty.
