--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -106,7 +106,7 @@
 
 var ops = []string{"start", "stop", "reap"}
 
-func commands(in []workers.Command) []command {
+func formatCommands(in []workers.Command) []command {
 	out := make([]command, len(in))
 	for i, c := range in {
 		out[i] = command{Op: ops[c.Op], Task: FormatTask(c.Job, c.Task), Attempt: c.Attempt}
@@ -120,7 +120,7 @@
 
 // ReportAnswer is the body that answers a report.
 func ReportAnswer(token uint64, cmds []workers.Command) []byte {
-	return encode(reportAnswer{token, commands(cmds)})
+	return encode(reportAnswer{token, formatCommands(cmds)})
 }
 
 // RedirectAnswer sends a worker to another node; the name may be empty.
@@ -134,5 +134,5 @@
 
 // EncodeDirectCommands is the body of a direct command.
 func EncodeDirectCommands(token, session uint64, cmds []workers.Command) []byte {
-	return encode(directCommands{token, session, commands(cmds)})
+	return encode(directCommands{token, session, formatCommands(cmds)})
 }
