--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -57,7 +57,7 @@
 func parseCommands(in []command) ([]workers.Command, error) {
 	out := make([]workers.Command, len(in))
 	for i, c := range in {
-		op, known := indexOf(ops, c.Op)
+		op, known := indexOf(commandWords, c.Op)
 		job, task, ok := ParseTask(c.Task)
 		if !known || !ok {
 			return nil, fmt.Errorf("wire: a command that cannot be read: %q, %q", c.Op, c.Task)
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -104,12 +104,12 @@
 	Node string `json:"herdsman,omitempty"`
 }
 
-var ops = []string{"start", "stop", "reap"}
+var commandWords = []string{"start", "stop", "reap"}
 
 func formatCommands(in []workers.Command) []command {
 	out := make([]command, len(in))
 	for i, c := range in {
-		out[i] = command{Op: ops[c.Op], Task: FormatTask(c.Job, c.Task), Attempt: c.Attempt}
+		out[i] = command{Op: commandWords[c.Op], Task: FormatTask(c.Job, c.Task), Attempt: c.Attempt}
 		if c.Op == workers.Stop {
 			grace := c.GraceS
 			out[i].GraceS = &grace
