--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -45,7 +45,7 @@
 	for i, t := range r.Tasks {
 		out.Tasks[i] = reportedTask{Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt, State: word(taskStates, t.State), Saved: t.Saved}
 		if t.State == workers.Ended {
-			out.Tasks[i].Why = word(reasons, t.Reason)
+			out.Tasks[i].Why = word(reasonWords, t.Reason)
 		}
 	}
 	return encode(out)
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -35,7 +35,7 @@
 	"saving": workers.Saving, "ended": workers.Ended,
 }
 
-var reasons = map[string]workers.Reason{
+var reasonWords = map[string]workers.Reason{
 	"done": workers.Completed, "stopped": workers.Stopped, "peers": workers.PeersLost, "alone": workers.Alone,
 	"error": workers.Failed, "full": workers.NoRoom, "busy": workers.Busy, "unknown": workers.UnknownTask,
 }
@@ -73,7 +73,7 @@
 		if !ok || !known {
 			return nil, fmt.Errorf("wire: a report with a task that cannot be read: %q, %q", t.Task, t.State)
 		}
-		reason, known := reasons[t.Why]
+		reason, known := reasonWords[t.Why]
 		if state == workers.Ended && !known {
 			reason = workers.Failed
 		}
