--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -43,7 +43,7 @@
 		out.NoticeS = &r.NoticeS
 	}
 	for i, t := range r.Tasks {
-		out.Tasks[i] = reportedTask{Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt, State: word(taskStates, t.State), Saved: t.Saved}
+		out.Tasks[i] = reportedTask{Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt, State: word(taskStateWords, t.State), Saved: t.Saved}
 		if t.State == workers.Ended {
 			out.Tasks[i].Why = word(reasonWords, t.Reason)
 		}
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -30,7 +30,7 @@
 	Saved   bool   `json:"kept,omitempty"`
 }
 
-var taskStates = map[string]workers.TaskState{
+var taskStateWords = map[string]workers.TaskState{
 	"fetching": workers.Fetching, "gathering": workers.Gathering, "running": workers.Running,
 	"saving": workers.Saving, "ended": workers.Ended,
 }
@@ -69,7 +69,7 @@
 	}
 	for _, t := range in.Tasks {
 		job, task, ok := ParseTask(t.Task)
-		state, known := taskStates[t.State]
+		state, known := taskStateWords[t.State]
 		if !ok || !known {
 			return nil, fmt.Errorf("wire: a report with a task that cannot be read: %q, %q", t.Task, t.State)
 		}
