--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -133,7 +133,7 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return 0, fmt.Errorf("wire: a job's state that cannot be read: %w", err)
 	}
-	state, known := indexOf(stateWords, in.State)
+	state, known := indexOf(jobStateWords, in.State)
 	if !known {
 		return 0, fmt.Errorf("wire: %q is no state of a job", in.State)
 	}
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -292,7 +292,7 @@
 	Cancelled
 )
 
-var stateWords = []string{"queued", "running", "done", "aborted"}
+var jobStateWords = []string{"queued", "running", "done", "aborted"}
 
 type jobAnswer struct {
 	ID      string `json:"name_id"`
@@ -307,7 +307,7 @@
 
 // JobAnswer is the body that tells a user a job's state.
 func JobAnswer(id uint64, s JobState, counts bool, done, running int) []byte {
-	a := jobAnswer{ID: FormatID(id), State: stateWords[s]}
+	a := jobAnswer{ID: FormatID(id), State: jobStateWords[s]}
 	if counts {
 		a.Done, a.Running = &done, &running
 	}
