--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -27,12 +27,12 @@
 
 // Kinds and priorities of jobs, in the order of their numbers.
 var (
-	kinds      = []string{"sweep", "gang", "service"}
+	kindWords  = []string{"sweep", "gang", "service"}
 	priorities = []string{"best_effort", "normal", "urgent", "critical"}
 )
 
 // KnownKind and KnownPriority say whether there is a kind, or a priority, of that number.
-func KnownKind(k uint8) bool     { return int(k) < len(kinds) }
+func KnownKind(k uint8) bool     { return int(k) < len(kindWords) }
 func KnownPriority(p uint8) bool { return int(p) < len(priorities) }
 
 // PriorityWord is the word for a priority.
@@ -224,7 +224,7 @@
 			return nil, fmt.Errorf("%s: missing", f.field)
 		}
 	}
-	kind, ok := indexOf(kinds, *s.Kind)
+	kind, ok := indexOf(kindWords, *s.Kind)
 	if !ok {
 		return nil, errors.New("gait: not a known kind")
 	}
