--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -108,7 +108,7 @@
 // EncodeSubmission is the body with which a user submits a job.
 func EncodeSubmission(j *eventlog.Job) []byte {
 	id := FormatID(j.ID)
-	s := submission{ID: &id, Class: &j.Class, Team: &j.Team, Kind: &kindWords[j.Kind], Priority: &priorities[j.Priority], Tasks: &j.Tasks,
+	s := submission{ID: &id, Class: &j.Class, Team: &j.Team, Kind: &kindWords[j.Kind], Priority: &priorityWords[j.Priority], Tasks: &j.Tasks,
 		CPUs: &j.CPUs, GPUs: &j.GPUs, MemoryGB: &j.MemoryGB, Image: &j.Image, ImageGB: &j.ImageGB, Types: j.Types,
 		OneZone: &j.OneZone, Spread: &j.Spread, Spot: &j.Spot, EstimateS: &j.EstimateS, Checkpoint: &j.Checkpoint, SaveS: &j.SaveS}
 	if j.Zone != "" {
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -27,16 +27,16 @@
 
 // Kinds and priorities of jobs, in the order of their numbers.
 var (
-	kindWords  = []string{"sweep", "gang", "service"}
-	priorities = []string{"best_effort", "normal", "urgent", "critical"}
+	kindWords     = []string{"sweep", "gang", "service"}
+	priorityWords = []string{"best_effort", "normal", "urgent", "critical"}
 )
 
 // KnownKind and KnownPriority say whether there is a kind, or a priority, of that number.
 func KnownKind(k uint8) bool     { return int(k) < len(kindWords) }
-func KnownPriority(p uint8) bool { return int(p) < len(priorities) }
+func KnownPriority(p uint8) bool { return int(p) < len(priorityWords) }
 
 // PriorityWord is the word for a priority.
-func PriorityWord(p uint8) string { return priorities[min(int(p), len(priorities)-1)] }
+func PriorityWord(p uint8) string { return priorityWords[min(int(p), len(priorityWords)-1)] }
 
 // Paths of the users' and workers' doors.
 const (
@@ -228,7 +228,7 @@
 	if !ok {
 		return nil, errors.New("gait: not a known kind")
 	}
-	priority, ok := indexOf(priorities, *s.Priority)
+	priority, ok := indexOf(priorityWords, *s.Priority)
 	if !ok {
 		return nil, errors.New("urgency: not a known priority")
 	}
