--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -25,8 +25,8 @@
 	PathDelete       = "/rentals/delete"
 )
 
-// word is the word for a value of a table of words.
-func word[T comparable](table map[string]T, value T) string {
+// wordFor is the word for a value of a table of words.
+func wordFor[T comparable](table map[string]T, value T) string {
 	for w, v := range table {
 		if v == value {
 			return w
@@ -43,9 +43,9 @@
 		out.NoticeS = &r.NoticeS
 	}
 	for i, t := range r.Tasks {
-		out.Tasks[i] = reportedTask{Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt, State: word(taskStateWords, t.State), Saved: t.Saved}
+		out.Tasks[i] = reportedTask{Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt, State: wordFor(taskStateWords, t.State), Saved: t.Saved}
 		if t.State == workers.Ended {
-			out.Tasks[i].Why = word(reasonWords, t.Reason)
+			out.Tasks[i].Why = wordFor(reasonWords, t.Reason)
 		}
 	}
 	return encode(out)
