--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -73,7 +73,7 @@
 	Counted json.RawMessage `json:"counted"` // read only where there are pools
 }
 
-type counted struct {
+type unitRequest struct {
 	Pool  *string `json:"pool"`
 	Units *int    `json:"units"`
 	Per   *string `json:"per"`
@@ -156,7 +156,7 @@
 
 // counted reads the units of pools that a job needs.
 func (s *submission) counted(j *eventlog.Job) error {
-	var list []counted
+	var list []unitRequest
 	if len(s.Counted) > 0 {
 		if err := json.Unmarshal(s.Counted, &list); err != nil {
 			return errors.New("counted: not a list of pools with their units")
