--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -141,7 +141,7 @@
 	}
 	job, err := s.check(out.ID)
 	if err == nil && pools {
-		err = s.counted(job)
+		err = s.parsePoolUnits(job)
 	}
 	out.Overlooked = !pools && len(s.Counted) > 0 && string(s.Counted) != "null"
 	if err != nil {
@@ -154,8 +154,8 @@
 
 const countedMost = 16 // pools of a job
 
-// counted reads the units of pools that a job needs.
-func (s *submission) counted(j *eventlog.Job) error {
+// parsePoolUnits reads the units of pools that a job needs.
+func (s *submission) parsePoolUnits(j *eventlog.Job) error {
 	var list []unitRequest
 	if len(s.Counted) > 0 {
 		if err := json.Unmarshal(s.Counted, &list); err != nil {
