--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -293,7 +293,7 @@
 func (c *CloudClient) Rent(ctx context.Context, r eventlog.Rental) ([]string, RentResult) {
 	in := rental{r.Name, r.Type, r.Zone, r.Spot, r.Count}
 	var out machineNames
-	var refused problem
+	var refused errorBody
 	status, body, err := c.c.exchange(ctx, "POST", PathRentals, in)
 	if err != nil {
 		return nil, NoAnswer
--- a/internal/wire/users.go
+++ b/internal/wire/users.go
@@ -301,7 +301,7 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-type problem struct {
+type errorBody struct {
 	Error string `json:"error"`
 }
 
@@ -315,7 +315,7 @@
 }
 
 // ErrorBody is the body of an answer that is a refusal.
-func ErrorBody(why string) []byte { return encode(problem{why}) }
+func ErrorBody(why string) []byte { return encode(errorBody{why}) }
 
 func encode(v any) []byte {
 	b, err := json.Marshal(v)
