--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -291,7 +291,7 @@
 
 // ParseRental reads a rental request.
 func ParseRental(body []byte) (eventlog.Rental, error) {
-	var in rental
+	var in rentalRequest
 	if err := json.Unmarshal(body, &in); err != nil || in.Request == "" {
 		return eventlog.Rental{}, fmt.Errorf("wire: a rental request that cannot be read")
 	}
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -277,7 +277,7 @@
 // noCapacity is the word of a refusal for want of machines.
 const noCapacity = "no capacity"
 
-type rental struct {
+type rentalRequest struct {
 	Request string `json:"hire"`
 	Type    string `json:"breed"`
 	Zone    string `json:"pasture"`
@@ -291,7 +291,7 @@
 
 // Rent sends a rental request.
 func (c *CloudClient) Rent(ctx context.Context, r eventlog.Rental) ([]string, RentResult) {
-	in := rental{r.Name, r.Type, r.Zone, r.Spot, r.Count}
+	in := rentalRequest{r.Name, r.Type, r.Zone, r.Spot, r.Count}
 	var out machineNames
 	var refused errorBody
 	status, body, err := c.c.exchange(ctx, "POST", PathRentals, in)
