--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -320,7 +320,7 @@
 		m := l.Machine
 		out.Machines[i] = listedMachine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: "running", HeldS: l.HeldS}
 		if l.Failed {
-			out.Machines[i].State = stateFailed
+			out.Machines[i].State = failedWord
 		}
 	}
 	return encode(out)
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -351,7 +351,7 @@
 	HeldS   float64
 }
 
-const stateFailed = "failed"
+const failedWord = "failed"
 
 type listedMachine struct {
 	Name    string  `json:"name_id"`
@@ -386,7 +386,7 @@
 			return nil, fmt.Errorf("wire: cloud: status %d", status)
 		}
 		for _, m := range out.Machines {
-			all = append(all, ListedMachine{eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.State == stateFailed, m.HeldS})
+			all = append(all, ListedMachine{eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.State == failedWord, m.HeldS})
 			since = m.Name
 		}
 		if !out.More || len(out.Machines) == 0 {
