--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -311,7 +311,7 @@
 }
 
 // NoCapacityProblem is the body with which the cloud refuses a rental request for want of machines.
-func NoCapacityProblem() []byte { return ErrorBody(noCapacity) }
+func NoCapacityProblem() []byte { return ErrorBody(noCapacityWord) }
 
 // MachineList is the body with which the cloud lists machines.
 func MachineList(list []ListedMachine, more bool) []byte {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -275,7 +275,7 @@
 )
 
 // noCapacity is the word of a refusal for want of machines.
-const noCapacity = "no capacity"
+const noCapacityWord = "no capacity"
 
 type rentalRequest struct {
 	Request string `json:"hire"`
@@ -307,7 +307,7 @@
 	case 400:
 		return nil, Malformed
 	case 503:
-		if json.Unmarshal(body, &refused) == nil && refused.Error == noCapacity {
+		if json.Unmarshal(body, &refused) == nil && refused.Error == noCapacityWord {
 			return nil, NoCapacity
 		}
 	}
