--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -169,7 +169,7 @@
 			out.Writes = append(out.Writes, StateWrite{Key: p.Delete, Remove: true})
 			continue
 		}
-		out.Writes = append(out.Writes, StateWrite{Key: p.Put, Value: p.Value, Hold: p.Lease})
+		out.Writes = append(out.Writes, StateWrite{Key: p.Put, Value: p.Value, Hold: p.LeaseID})
 	}
 	return out, nil
 }
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -111,10 +111,10 @@
 }
 
 type transactionWrite struct {
-	Put    string          `json:"write,omitempty"`
-	Value  json.RawMessage `json:"data,omitempty"`
-	Lease  uint64          `json:"tether,omitempty"`
-	Delete string          `json:"remove,omitempty"`
+	Put     string          `json:"write,omitempty"`
+	Value   json.RawMessage `json:"data,omitempty"`
+	LeaseID uint64          `json:"tether,omitempty"`
+	Delete  string          `json:"remove,omitempty"`
 }
 
 type transaction struct {
@@ -188,7 +188,7 @@
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.transact(ctx, transaction{
 		If:   []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
-		Then: []transactionWrite{{Put: leadership.HolderKey, Value: value, Lease: hold}, {Put: leadership.EpochKey, Value: value}},
+		Then: []transactionWrite{{Put: leadership.HolderKey, Value: value, LeaseID: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
 	return out == eventlog.Applied, rev
 }
