--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -176,7 +176,7 @@
 
 // TxnAnswer is the body that answers a transaction: with the conditions that failed, if any.
 func TxnAnswer(revision uint64, failed []string) []byte {
-	return encode(transactionAnswer{Rev: revision, Failed: failed})
+	return encode(transactionAnswer{Revision: revision, Failed: failed})
 }
 
 // StateQuery is what is asked of keys, or of their changes.
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -123,8 +123,8 @@
 }
 
 type transactionAnswer struct {
-	Rev    uint64   `json:"ledger_mark"`
-	Failed []string `json:"failed"`
+	Revision uint64   `json:"ledger_mark"`
+	Failed   []string `json:"failed"`
 }
 
 func (s *StateClient) transact(ctx context.Context, t transaction) (eventlog.Outcome, uint64, []string) {
@@ -134,7 +134,7 @@
 	case err != nil:
 		return eventlog.Unknown, 0, nil
 	case status == 200:
-		return eventlog.Applied, out.Rev, nil
+		return eventlog.Applied, out.Revision, nil
 	case status == 409:
 		return eventlog.Conflict, 0, out.Failed
 	case status == 429 || status == 503:
