--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -161,7 +161,7 @@
 		return StateTxn{}, fmt.Errorf("wire: a transaction that cannot be read: %w", err)
 	}
 	var out StateTxn
-	for _, c := range in.If {
+	for _, c := range in.Conditions {
 		out.Conds = append(out.Conds, eventlog.Condition{Key: c.Key, Version: c.Mark})
 	}
 	for _, p := range in.Then {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -118,8 +118,8 @@
 }
 
 type transaction struct {
-	If   []condition        `json:"when"`
-	Then []transactionWrite `json:"writes"`
+	Conditions []condition        `json:"when"`
+	Then       []transactionWrite `json:"writes"`
 }
 
 type transactionAnswer struct {
@@ -149,7 +149,7 @@
 func (s *StateClient) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
 	var x transaction
 	for _, c := range t.Conditions {
-		x.If = append(x.If, condition{c.Key, c.Version})
+		x.Conditions = append(x.Conditions, condition{c.Key, c.Version})
 	}
 	for _, w := range t.Writes {
 		if w.Remove {
@@ -187,8 +187,8 @@
 func (s *StateClient) Claim(ctx context.Context, node string, v leadership.View, hold uint64) (bool, uint64) {
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.transact(ctx, transaction{
-		If:   []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
-		Then: []transactionWrite{{Put: leadership.HolderKey, Value: value, LeaseID: hold}, {Put: leadership.EpochKey, Value: value}},
+		Conditions: []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
+		Then:       []transactionWrite{{Put: leadership.HolderKey, Value: value, LeaseID: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
 	return out == eventlog.Applied, rev
 }
