--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -164,7 +164,7 @@
 	for _, c := range in.Conditions {
 		out.Conds = append(out.Conds, eventlog.Condition{Key: c.Key, Version: c.Mark})
 	}
-	for _, p := range in.Then {
+	for _, p := range in.Writes {
 		if p.Delete != "" {
 			out.Writes = append(out.Writes, StateWrite{Key: p.Delete, Remove: true})
 			continue
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -119,7 +119,7 @@
 
 type transaction struct {
 	Conditions []condition        `json:"when"`
-	Then       []transactionWrite `json:"writes"`
+	Writes     []transactionWrite `json:"writes"`
 }
 
 type transactionAnswer struct {
@@ -153,9 +153,9 @@
 	}
 	for _, w := range t.Writes {
 		if w.Remove {
-			x.Then = append(x.Then, transactionWrite{Delete: w.Key})
+			x.Writes = append(x.Writes, transactionWrite{Delete: w.Key})
 		} else {
-			x.Then = append(x.Then, transactionWrite{Put: w.Key, Value: w.Value})
+			x.Writes = append(x.Writes, transactionWrite{Put: w.Key, Value: w.Value})
 		}
 	}
 	return s.transact(ctx, x)
@@ -188,7 +188,7 @@
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: v.Epoch + 1})
 	out, rev, _ := s.transact(ctx, transaction{
 		Conditions: []condition{{leadership.HolderKey, 0}, {leadership.EpochKey, v.EpochVersion}},
-		Then:       []transactionWrite{{Put: leadership.HolderKey, Value: value, LeaseID: hold}, {Put: leadership.EpochKey, Value: value}},
+		Writes:     []transactionWrite{{Put: leadership.HolderKey, Value: value, LeaseID: hold}, {Put: leadership.EpochKey, Value: value}},
 	})
 	return out == eventlog.Applied, rev
 }
