--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -260,7 +260,7 @@
 }
 
 type leaseRequest struct {
-	LifeMS int64 `json:"life_ms"`
+	TTLMS int64 `json:"life_ms"`
 }
 
 type leaseAnswer struct {
@@ -270,10 +270,10 @@
 // ParseLease reads how long a hold is to live.
 func ParseLease(body []byte) (time.Duration, error) {
 	var in leaseRequest
-	if err := json.Unmarshal(body, &in); err != nil || in.LifeMS <= 0 {
+	if err := json.Unmarshal(body, &in); err != nil || in.TTLMS <= 0 {
 		return 0, fmt.Errorf("wire: life_ms: missing or not a number above 0")
 	}
-	return time.Duration(in.LifeMS) * time.Millisecond, nil
+	return time.Duration(in.TTLMS) * time.Millisecond, nil
 }
 
 // LeaseAnswer is the body that gives a new hold.
