--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -214,7 +214,7 @@
 
 type leasedItem struct {
 	storedItem
-	Hold uint64 `json:"tether,omitempty"`
+	LeaseID uint64 `json:"tether,omitempty"`
 }
 
 // StateItem is the body that gives one key; hold is what it hangs on, or 0.
