--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -221,9 +221,9 @@
 func StateItem(it Item, hold uint64) []byte { return encode(leasedItem{storedItem(it), hold}) }
 
 type itemPage struct {
-	Rows []storedItem `json:"rows"`
-	More bool         `json:"has_next"`
-	Rev  uint64       `json:"ledger_mark"`
+	Rows     []storedItem `json:"rows"`
+	More     bool         `json:"has_next"`
+	Revision uint64       `json:"ledger_mark"`
 }
 
 // StatePage is the body that gives a page of keys.
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -102,7 +102,7 @@
 	for _, r := range out.Rows {
 		items = append(items, Item(r))
 	}
-	return items, out.More, out.Rev, nil
+	return items, out.More, out.Revision, nil
 }
 
 type condition struct {
