--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -221,7 +221,7 @@
 func StateItem(it Item, hold uint64) []byte { return encode(leasedItem{storedItem(it), hold}) }
 
 type itemPage struct {
-	Rows     []storedItem `json:"rows"`
+	Items    []storedItem `json:"rows"`
 	More     bool         `json:"has_next"`
 	Revision uint64       `json:"ledger_mark"`
 }
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -99,7 +99,7 @@
 	if status != 200 {
 		return nil, false, 0, fmt.Errorf("wire: state service: status %d", status)
 	}
-	for _, r := range out.Rows {
+	for _, r := range out.Items {
 		items = append(items, Item(r))
 	}
 	return items, out.More, out.Revision, nil
