--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -162,7 +162,7 @@
 	}
 	var out StateTxn
 	for _, c := range in.Conditions {
-		out.Conds = append(out.Conds, eventlog.Condition{Key: c.Key, Version: c.Mark})
+		out.Conds = append(out.Conds, eventlog.Condition{Key: c.Key, Version: c.Version})
 	}
 	for _, p := range in.Writes {
 		if p.Delete != "" {
--- a/internal/wire/services.go
+++ b/internal/wire/services.go
@@ -106,8 +106,8 @@
 }
 
 type condition struct {
-	Key  string `json:"k"`
-	Mark uint64 `json:"entry_mark"`
+	Key     string `json:"k"`
+	Version uint64 `json:"entry_mark"`
 }
 
 type transactionWrite struct {
