--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -236,10 +236,10 @@
 }
 
 type keyChange struct {
-	Write  string          `json:"write,omitempty"`
-	Remove string          `json:"remove,omitempty"`
-	Value  json.RawMessage `json:"data,omitempty"`
-	Mark   uint64          `json:"entry_mark"`
+	Write   string          `json:"write,omitempty"`
+	Remove  string          `json:"remove,omitempty"`
+	Value   json.RawMessage `json:"data,omitempty"`
+	Version uint64          `json:"entry_mark"`
 }
 
 type changesAnswer struct {
@@ -251,9 +251,9 @@
 func StateNews(revision uint64, changed []Item) []byte {
 	list := make([]keyChange, len(changed))
 	for i, it := range changed {
-		list[i] = keyChange{Write: it.Key, Value: it.Value, Mark: it.Mark}
+		list[i] = keyChange{Write: it.Key, Value: it.Value, Version: it.Mark}
 		if it.Value == nil {
-			list[i] = keyChange{Remove: it.Key, Mark: it.Mark}
+			list[i] = keyChange{Remove: it.Key, Version: it.Mark}
 		}
 	}
 	return encode(changesAnswer{revision, list})
