--- a/internal/wire/platform.go
+++ b/internal/wire/platform.go
@@ -243,8 +243,8 @@
 }
 
 type changesAnswer struct {
-	Rev     uint64      `json:"ledger_mark"`
-	Changes []keyChange `json:"news"`
+	Revision uint64      `json:"ledger_mark"`
+	Changes  []keyChange `json:"news"`
 }
 
 // StateNews is the body that tells of changes; those without a value are removals.
