--- /dev/null
+++ b/internal/wire/cloudserver.go
@@ -0,0 +1,55 @@
+package wire
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"bitternmoor/internal/core/eventlog"
+)
+
+// MachineTypes is the body with which the cloud gives its machine types.
+func MachineTypes(types []eventlog.MachineType) []byte {
+	var out machineTypes
+	for _, t := range types {
+		out.Types = append(out.Types, machineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+			Fetch: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones})
+	}
+	return encode(out)
+}
+
+// ParseRental reads a rental request.
+func ParseRental(body []byte) (eventlog.Rental, error) {
+	var in rentalRequest
+	if err := json.Unmarshal(body, &in); err != nil || in.Request == "" {
+		return eventlog.Rental{}, fmt.Errorf("wire: a rental request that cannot be read")
+	}
+	return eventlog.Rental{Name: in.Request, Type: in.Type, Zone: in.Zone, Spot: in.Spot, Count: in.Count}, nil
+}
+
+// RentalAnswer is the body that names the machines rented.
+func RentalAnswer(names []string) []byte { return encode(machineNames{names}) }
+
+// ParseMachineNames reads which machines are to be deleted.
+func ParseMachineNames(body []byte) ([]string, error) {
+	var in machineNames
+	if err := json.Unmarshal(body, &in); err != nil {
+		return nil, fmt.Errorf("wire: machine names that cannot be read: %w", err)
+	}
+	return in.Machines, nil
+}
+
+// NoCapacityProblem is the body with which the cloud refuses a rental request for want of machines.
+func NoCapacityProblem() []byte { return ErrorBody(noCapacityWord) }
+
+// MachineList is the body with which the cloud lists machines.
+func MachineList(list []ListedMachine, more bool) []byte {
+	out := machineList{Machines: make([]listedMachine, len(list)), More: more}
+	for i, l := range list {
+		m := l.Machine
+		out.Machines[i] = listedMachine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: "running", HeldS: l.HeldS}
+		if l.Failed {
+			out.Machines[i].State = failedWord
+		}
+	}
+	return encode(out)
+}
--- a/internal/wire/users.go
+++ b/internal/wire/submission.go
@@ -1,30 +1,14 @@
-// Package wire speaks the platform's protocols: to users, workers, the cloud
-// and the state service. It is the only place that knows their words; the
-// rest of the program uses the field's own.
 package wire
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"math"
-	"strconv"
-	"strings"
 
 	"bitternmoor/internal/core/eventlog"
 )
 
-// MaxBody is the largest request body.
-const MaxBody = 64 << 10
-
-// MaxName is how many bytes a name of a job may have, and MaxTasks how many tasks a job.
-const (
-	MaxName  = 256
-	MaxTasks = 100_000
-)
-
 // Kinds and priorities of jobs, in the order of their numbers.
 var (
 	kindWords     = []string{"sweep", "gang", "service"}
@@ -38,15 +22,6 @@
 // PriorityWord is the word for a priority.
 func PriorityWord(p uint8) string { return priorityWords[min(int(p), len(priorityWords)-1)] }
 
-// Paths of the users' and workers' doors.
-const (
-	PathJobs    = "/api/jobs"
-	PathJob     = "/api/jobs/{id}"
-	PathAbort   = "/api/jobs/{id}/abort"
-	PathHealth  = "/healthz"
-	PathReports = "/checkin"
-)
-
 type submission struct {
 	ID         *string  `json:"name_id"`
 	Class      *string  `json:"herd"`
@@ -79,24 +54,6 @@
 	Per   *string `json:"per"`
 }
 
-// ParseID reads a job's id, which has exactly one form for each number.
-func ParseID(s string) (uint64, bool) {
-	digits, ok := strings.CutPrefix(s, "j-")
-	if !ok || len(digits) < 6 || len(digits) > 18 {
-		return 0, false
-	}
-	for _, c := range digits {
-		if c < '0' || c > '9' {
-			return 0, false
-		}
-	}
-	n, err := strconv.ParseUint(digits, 10, 64)
-	return n, err == nil && FormatID(n) == s
-}
-
-// FormatID writes a job's id.
-func FormatID(n uint64) string { return fmt.Sprintf("j-%06d", n) }
-
 // Submission is what a body asked for. Bad says why it is malformed; the id
 // may be known all the same, since a known job is answered whatever the body.
 type Submission struct {
@@ -152,40 +109,6 @@
 	return out
 }
 
-const countedMost = 16 // pools of a job
-
-// parsePoolUnits reads the units of pools that a job needs.
-func (s *submission) parsePoolUnits(j *eventlog.Job) error {
-	var list []unitRequest
-	if len(s.Counted) > 0 {
-		if err := json.Unmarshal(s.Counted, &list); err != nil {
-			return errors.New("counted: not a list of pools with their units")
-		}
-	}
-	if len(list) > countedMost {
-		return fmt.Errorf("counted: more than %d pools", countedMost)
-	}
-	for i, c := range list {
-		field := fmt.Sprintf("counted[%d].", i)
-		switch {
-		case c.Pool == nil || *c.Pool == "" || len(*c.Pool) > MaxName:
-			return fmt.Errorf("%spool: missing, empty or over %d bytes", field, MaxName)
-		case c.Units == nil || *c.Units < 1 || *c.Units > eventlog.UnitsMost:
-			return fmt.Errorf("%sunits: missing or not between 1 and %d", field, eventlog.UnitsMost)
-		case c.Per == nil || (*c.Per != "task" && *c.Per != "job"):
-			return fmt.Errorf("%sper: neither \"task\" nor \"job\"", field)
-		}
-		x := eventlog.PoolUnits{Pool: *c.Pool, Units: *c.Units, PerJob: *c.Per == "job"}
-		for _, o := range j.Counted {
-			if o.Pool == x.Pool && o.PerJob == x.PerJob {
-				return fmt.Errorf("%spool: %s is there twice", field, x.Pool)
-			}
-		}
-		j.Counted = append(j.Counted, x)
-	}
-	return nil
-}
-
 func (s *submission) check(id uint64) (*eventlog.Job, error) {
 	names := []struct {
 		field string
@@ -272,71 +195,54 @@
 	return j, nil
 }
 
-func indexOf(list []string, s string) (uint8, bool) {
-	for i, v := range list {
-		if v == s {
-			return uint8(i), true
+const countedMost = 16 // pools of a job
+
+// parsePoolUnits reads the units of pools that a job needs.
+func (s *submission) parsePoolUnits(j *eventlog.Job) error {
+	var list []unitRequest
+	if len(s.Counted) > 0 {
+		if err := json.Unmarshal(s.Counted, &list); err != nil {
+			return errors.New("counted: not a list of pools with their units")
 		}
 	}
-	return 0, false
-}
-
-// JobState is a job's state as users know it.
-type JobState uint8
-
-// States of a job.
-const (
-	Queued JobState = iota
-	Running
-	Done
-	Cancelled
-)
-
-var jobStateWords = []string{"queued", "running", "done", "aborted"}
-
-type jobAnswer struct {
-	ID      string `json:"name_id"`
-	State   string `json:"standing"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
-}
-
-type errorBody struct {
-	Error string `json:"error"`
-}
-
-// JobAnswer is the body that tells a user a job's state.
-func JobAnswer(id uint64, s JobState, counts bool, done, running int) []byte {
-	a := jobAnswer{ID: FormatID(id), State: jobStateWords[s]}
-	if counts {
-		a.Done, a.Running = &done, &running
+	if len(list) > countedMost {
+		return fmt.Errorf("counted: more than %d pools", countedMost)
 	}
-	return encode(a)
-}
-
-// ErrorBody is the body of an answer that is a refusal.
-func ErrorBody(why string) []byte { return encode(errorBody{why}) }
-
-func encode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic(fmt.Sprintf("wire: a message that cannot be written: %v", err)) // all amounts are checked at the door
+	for i, c := range list {
+		field := fmt.Sprintf("counted[%d].", i)
+		switch {
+		case c.Pool == nil || *c.Pool == "" || len(*c.Pool) > MaxName:
+			return fmt.Errorf("%spool: missing, empty or over %d bytes", field, MaxName)
+		case c.Units == nil || *c.Units < 1 || *c.Units > eventlog.UnitsMost:
+			return fmt.Errorf("%sunits: missing or not between 1 and %d", field, eventlog.UnitsMost)
+		case c.Per == nil || (*c.Per != "task" && *c.Per != "job"):
+			return fmt.Errorf("%sper: neither \"task\" nor \"job\"", field)
+		}
+		x := eventlog.PoolUnits{Pool: *c.Pool, Units: *c.Units, PerJob: *c.Per == "job"}
+		for _, o := range j.Counted {
+			if o.Pool == x.Pool && o.PerJob == x.PerJob {
+				return fmt.Errorf("%spool: %s is there twice", field, x.Pool)
+			}
+		}
+		j.Counted = append(j.Counted, x)
 	}
-	return b
+	return nil
 }
 
-// ReadBody reads a request's body up to the limit.
-func ReadBody(r io.Reader) ([]byte, error) {
-	var buf bytes.Buffer
-	n, err := buf.ReadFrom(io.LimitReader(r, MaxBody+1))
-	if err != nil {
-		return nil, fmt.Errorf("wire: reading a body: %w", err)
+// EncodeSubmission is the body with which a user submits a job.
+func EncodeSubmission(j *eventlog.Job) []byte {
+	id := FormatID(j.ID)
+	s := submission{ID: &id, Class: &j.Class, Team: &j.Team, Kind: &kindWords[j.Kind], Priority: &priorityWords[j.Priority], Tasks: &j.Tasks,
+		CPUs: &j.CPUs, GPUs: &j.GPUs, MemoryGB: &j.MemoryGB, Image: &j.Image, ImageGB: &j.ImageGB, Types: j.Types,
+		OneZone: &j.OneZone, Spread: &j.Spread, Spot: &j.Spot, EstimateS: &j.EstimateS, Checkpoint: &j.Checkpoint, SaveS: &j.SaveS}
+	if j.Zone != "" {
+		s.Zone = &j.Zone
 	}
-	if n > MaxBody {
-		return nil, ErrTooLarge
+	if j.DeadlineS > 0 {
+		s.DeadlineS = &j.DeadlineS
 	}
-	return buf.Bytes(), nil
+	for _, f := range j.Follows {
+		s.Follows = append(s.Follows, FormatID(f))
+	}
+	return encode(s)
 }
-
-// ErrTooLarge is returned for a body over MaxBody.
-var ErrTooLarge = errors.New("wire: body over 64 KiB")
