--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -96,7 +96,7 @@
 		}
 		return out
 	}
-	job, err := s.check(out.ID)
+	job, err := s.parseJob(out.ID)
 	if err == nil && pools {
 		err = s.parsePoolUnits(job)
 	}
@@ -109,90 +109,157 @@
 	return out
 }
 
-func (s *submission) check(id uint64) (*eventlog.Job, error) {
+// Largest amounts of a submission.
+const (
+	maxRoom    = 1e6  // processors or accelerators of a task
+	maxGB      = 1e9  // memory of a task, size of its image
+	maxSeconds = 1e12 // any time
+)
+
+// parseJob checks a submission and makes the job that it describes. Its error begins with the
+// protocol's name of the first field that is wrong, for the user. Units of pools are not read: see
+// parsePoolUnits.
+func (s *submission) parseJob(id uint64) (*eventlog.Job, error) {
+	if err := s.checkRequired(); err != nil {
+		return nil, err
+	}
+	kind, known := indexOf(kindWords, *s.Kind)
+	if !known {
+		return nil, errors.New("gait: not a known kind")
+	}
+	priority, known := indexOf(priorityWords, *s.Priority)
+	if !known {
+		return nil, errors.New("urgency: not a known priority")
+	}
+	job := &eventlog.Job{
+		ID: id, Class: *s.Class, Team: *s.Team, Kind: kind, Priority: priority, Tasks: *s.Tasks,
+		CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB, Types: s.Types,
+		OneZone: *s.OneZone, Spread: *s.Spread, Spot: *s.Spot,
+		EstimateS: *s.EstimateS, Checkpoint: *s.Checkpoint, SaveS: *s.SaveS,
+	}
+	for _, parse := range []func(*eventlog.Job) error{s.parseZone, s.checkTypes, s.parseDeadline, s.parseDependencies} {
+		if err := parse(job); err != nil {
+			return nil, err
+		}
+	}
+	return job, nil
+}
+
+// checkRequired says which of the fields that every job must have is missing or out of bounds.
+func (s *submission) checkRequired() error {
+	if err := s.checkNames(); err != nil {
+		return err
+	}
+	if err := s.checkAmounts(); err != nil {
+		return err
+	}
+	if *s.CPUs == 0 && *s.GPUs == 0 {
+		return errors.New("vcpus: a task must take some of its machine")
+	}
+	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > MaxTasks {
+		return fmt.Errorf("head: missing or not between 1 and %d", MaxTasks)
+	}
+	return s.checkFlags()
+}
+
+func (s *submission) checkNames() error {
 	names := []struct {
 		field string
 		value *string
-	}{{"herd", s.Class}, {"keeper", s.Team}, {"gait", s.Kind}, {"urgency", s.Priority}, {"brand", s.Image}}
-	for _, n := range names {
-		if n.value == nil || *n.value == "" || len(*n.value) > MaxName {
-			return nil, fmt.Errorf("%s: missing, empty or over %d bytes", n.field, MaxName)
+	}{
+		{"herd", s.Class}, {"keeper", s.Team}, {"gait", s.Kind}, {"urgency", s.Priority}, {"brand", s.Image},
+	}
+	for _, name := range names {
+		if name.value == nil || *name.value == "" || len(*name.value) > MaxName {
+			return fmt.Errorf("%s: missing, empty or over %d bytes", name.field, MaxName)
 		}
 	}
+	return nil
+}
+
+func (s *submission) checkAmounts() error {
 	amounts := []struct {
 		field    string
 		value    *float64
 		min, max float64
 	}{
-		{"vcpus", s.CPUs, 0, 1e6}, {"gpus", s.GPUs, 0, 1e6}, {"memory_gb", s.MemoryGB, 0, 1e9}, {"size_gb", s.ImageGB, 0, 1e9},
-		{"trek_s", s.EstimateS, 0, 1e12}, {"waypoint_s", s.Checkpoint, 0, 1e12}, {"stow_s", s.SaveS, 0, 1e12},
+		{"vcpus", s.CPUs, 0, maxRoom}, {"gpus", s.GPUs, 0, maxRoom},
+		{"memory_gb", s.MemoryGB, 0, maxGB}, {"size_gb", s.ImageGB, 0, maxGB},
+		{"trek_s", s.EstimateS, 0, maxSeconds}, {"waypoint_s", s.Checkpoint, 0, maxSeconds}, {"stow_s", s.SaveS, 0, maxSeconds},
 	}
 	for _, a := range amounts {
+		// The comparison is negated so that a value that is not a number is refused as well.
 		if a.value == nil || !(*a.value >= a.min) || *a.value > a.max || math.IsInf(*a.value, 0) {
-			return nil, fmt.Errorf("%s: missing or not an amount between %v and %v", a.field, a.min, a.max)
+			return fmt.Errorf("%s: missing or not an amount between %v and %v", a.field, a.min, a.max)
 		}
 	}
-	if *s.CPUs == 0 && *s.GPUs == 0 {
-		return nil, errors.New("vcpus: a task must take some of its machine")
-	}
-	if s.Tasks == nil || *s.Tasks < 1 || *s.Tasks > MaxTasks {
-		return nil, fmt.Errorf("head: missing or not between 1 and %d", MaxTasks)
-	}
+	return nil
+}
+
+func (s *submission) checkFlags() error {
 	flags := []struct {
 		field string
 		value *bool
-	}{{"together", s.OneZone}, {"scatter", s.Spread}, {"loaned_stock", s.Spot}}
-	for _, f := range flags {
-		if f.value == nil {
-			return nil, fmt.Errorf("%s: missing", f.field)
-		}
-	}
-	kind, ok := indexOf(kindWords, *s.Kind)
-	if !ok {
-		return nil, errors.New("gait: not a known kind")
+	}{
+		{"together", s.OneZone}, {"scatter", s.Spread}, {"loaned_stock", s.Spot},
 	}
-	priority, ok := indexOf(priorityWords, *s.Priority)
-	if !ok {
-		return nil, errors.New("urgency: not a known priority")
+	for _, flag := range flags {
+		if flag.value == nil {
+			return fmt.Errorf("%s: missing", flag.field)
+		}
 	}
-	j := &eventlog.Job{
-		ID: id, Class: *s.Class, Team: *s.Team, Kind: kind, Priority: priority, Tasks: *s.Tasks,
-		CPUs: *s.CPUs, GPUs: *s.GPUs, MemoryGB: *s.MemoryGB, Image: *s.Image, ImageGB: *s.ImageGB, Types: s.Types,
-		OneZone: *s.OneZone, Spread: *s.Spread, Spot: *s.Spot,
-		EstimateS: *s.EstimateS, Checkpoint: *s.Checkpoint, SaveS: *s.SaveS,
+	return nil
+}
+
+func (s *submission) parseZone(job *eventlog.Job) error {
+	if s.Zone == nil {
+		return nil
 	}
-	if s.Zone != nil {
-		if *s.Zone == "" || len(*s.Zone) > MaxName {
-			return nil, errors.New("pasture: empty or too long")
-		}
-		j.Zone = *s.Zone
+	if *s.Zone == "" || len(*s.Zone) > MaxName {
+		return errors.New("pasture: empty or too long")
 	}
+	job.Zone = *s.Zone
+	return nil
+}
+
+// checkTypes checks the machine types, which the job has already.
+func (s *submission) checkTypes(*eventlog.Job) error {
 	if s.Types != nil && len(s.Types) == 0 {
-		return nil, errors.New("breeds: an empty list")
+		return errors.New("breeds: an empty list")
 	}
-	for _, t := range s.Types {
-		if t == "" || len(t) > MaxName {
-			return nil, errors.New("breeds: an empty name or one too long")
+	for _, name := range s.Types {
+		if name == "" || len(name) > MaxName {
+			return errors.New("breeds: an empty name or one too long")
 		}
 	}
-	if s.DeadlineS != nil {
-		if !(*s.DeadlineS > 0) || *s.DeadlineS > 1e12 {
-			return nil, errors.New("market_s: not a positive number of seconds")
-		}
-		j.DeadlineS = *s.DeadlineS
+	return nil
+}
+
+func (s *submission) parseDeadline(job *eventlog.Job) error {
+	if s.DeadlineS == nil {
+		return nil
 	}
+	if !(*s.DeadlineS > 0) || *s.DeadlineS > maxSeconds {
+		return errors.New("market_s: not a positive number of seconds")
+	}
+	job.DeadlineS = *s.DeadlineS
+	return nil
+}
+
+// parseDependencies reads which jobs must be done before, each counted once.
+func (s *submission) parseDependencies(job *eventlog.Job) error {
 	named := map[uint64]bool{}
-	for _, f := range s.Follows {
-		n, ok := ParseID(f)
+	for _, text := range s.Follows {
+		id, ok := ParseID(text)
 		if !ok {
-			return nil, errors.New("follows: not a list of job ids")
+			return errors.New("follows: not a list of job ids")
 		}
-		if !named[n] {
-			named[n] = true
-			j.Follows = append(j.Follows, n)
+		if !named[id] {
+			named[id] = true
+			job.Follows = append(job.Follows, id)
 		}
 	}
-	return j, nil
+	return nil
 }
 
 const countedMost = 16 // pools of a job
