--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Paths of the users' and workers' doors.
+// Paths of the controllers' API for users, and of the one to which workers report.
 const (
 	PathJobs    = "/api/jobs"
 	PathJob     = "/api/jobs/{id}"
@@ -14,11 +14,13 @@
 	PathReports = "/checkin"
 )
 
-// JobPath and AbortPath are where a user asks for a job, and cancels it.
-func JobPath(id uint64) string   { return PathJobs + "/" + FormatID(id) }
+// JobPath is where a user asks for a job's state.
+func JobPath(id uint64) string { return PathJobs + "/" + FormatID(id) }
+
+// AbortPath is where a user cancels a job.
 func AbortPath(id uint64) string { return JobPath(id) + "/abort" }
 
-// JobState is a job's state as users know it.
+// JobState is a job's state as users see it.
 type JobState uint8
 
 // States of a job.
@@ -29,6 +31,7 @@
 	Cancelled
 )
 
+// jobStateWords are the words of states, in the order of their numbers.
 var jobStateWords = []string{"queued", "running", "done", "aborted"}
 
 type jobAnswer struct {
@@ -38,16 +41,17 @@
 	Running *int   `json:"running,omitempty"`
 }
 
-// JobAnswer is the body that tells a user a job's state.
-func JobAnswer(id uint64, s JobState, counts bool, done, running int) []byte {
-	a := jobAnswer{ID: FormatID(id), State: jobStateWords[s]}
+// JobAnswer is the body that answers a question for a job's state. With counts it says how many tasks
+// are done and how many run.
+func JobAnswer(id uint64, state JobState, counts bool, done, running int) []byte {
+	a := jobAnswer{ID: FormatID(id), State: jobStateWords[state]}
 	if counts {
 		a.Done, a.Running = &done, &running
 	}
 	return encode(a)
 }
 
-// ParseJobAnswer reads what a user is told of a job.
+// ParseJobAnswer reads the answer to a question for a job's state.
 func ParseJobAnswer(body []byte) (JobState, error) {
 	var in jobAnswer
 	if err := json.Unmarshal(body, &in); err != nil {
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -15,13 +15,19 @@
 	priorityWords = []string{"best_effort", "normal", "urgent", "critical"}
 )
 
-// KnownKind and KnownPriority say whether there is a kind, or a priority, of that number.
-func KnownKind(k uint8) bool     { return int(k) < len(kindWords) }
-func KnownPriority(p uint8) bool { return int(p) < len(priorityWords) }
+// KnownKind says whether there is a kind of jobs of that number.
+func KnownKind(kind uint8) bool { return int(kind) < len(kindWords) }
 
-// PriorityWord is the word for a priority.
-func PriorityWord(p uint8) string { return priorityWords[min(int(p), len(priorityWords)-1)] }
+// KnownPriority says whether there is a priority of that number.
+func KnownPriority(priority uint8) bool { return int(priority) < len(priorityWords) }
 
+// PriorityWord is the word for a priority; a number that is too large has the highest one's.
+func PriorityWord(priority uint8) string {
+	return priorityWords[min(int(priority), len(priorityWords)-1)]
+}
+
+// submission is the body of a submission. Fields are pointers so that a missing one is told apart from
+// one that is zero.
 type submission struct {
 	ID         *string  `json:"name_id"`
 	Class      *string  `json:"herd"`
@@ -48,27 +54,30 @@
 	Counted json.RawMessage `json:"counted"` // read only where there are pools
 }
 
+// unitRequest asks for units of one pool, for each task or for the job as a whole.
 type unitRequest struct {
 	Pool  *string `json:"pool"`
 	Units *int    `json:"units"`
-	Per   *string `json:"per"`
+	Per   *string `json:"per"` // "task" or "job"
 }
 
-// Submission is what a body asked for. Bad says why it is malformed; the id
-// may be known all the same, since a known job is answered whatever the body.
+// Submission is what the body of a submission asks for. Controllers forward it to the leader.
 type Submission struct {
+	// ID is the job's id, where HasID. It may be known of a malformed body too, since a known job
+	// is answered whatever the body says.
 	ID    uint64
 	HasID bool
-	Job   *eventlog.Job
-	Bad   string
-	// Overlooked says that it asks for units of pools which were not read: there are
-	// no pools here.
+
+	Job *eventlog.Job // nil where the body is malformed
+	Bad string        // why the body is malformed, in words for the user; empty: it is well-formed
+
+	// Overlooked says that the job asks for units of pools and they were not read, because this
+	// installation has no pools.
 	Overlooked bool
 }
 
-// ParseSubmission reads and checks the body of a submission. Units of pools are read
-// only where there are pools: otherwise the field means nothing, as any other that is
-// not known.
+// ParseSubmission reads and checks the body of a submission. Units of pools are read only where there
+// are pools: otherwise the field is ignored, as any unknown one.
 func ParseSubmission(body []byte, pools bool) Submission {
 	var out Submission
 	var probe struct {
@@ -88,9 +97,9 @@
 	}
 	var s submission
 	if err := json.Unmarshal(body, &s); err != nil {
-		var te *json.UnmarshalTypeError
-		if errors.As(err, &te) {
-			out.Bad = te.Field + ": of the wrong type"
+		var typeError *json.UnmarshalTypeError
+		if errors.As(err, &typeError) {
+			out.Bad = typeError.Field + ": of the wrong type"
 		} else {
 			out.Bad = "not valid JSON"
 		}
@@ -262,54 +271,69 @@
 	return nil
 }
 
-const countedMost = 16 // pools of a job
+// maxUnitRequests bounds the entries of a job's list of units.
+const maxUnitRequests = 16
 
-// parsePoolUnits reads the units of pools that a job needs.
-func (s *submission) parsePoolUnits(j *eventlog.Job) error {
+// parsePoolUnits adds the units of pools that a submission asks for to its job.
+func (s *submission) parsePoolUnits(job *eventlog.Job) error {
 	var list []unitRequest
 	if len(s.Counted) > 0 {
 		if err := json.Unmarshal(s.Counted, &list); err != nil {
 			return errors.New("counted: not a list of pools with their units")
 		}
 	}
-	if len(list) > countedMost {
-		return fmt.Errorf("counted: more than %d pools", countedMost)
+	if len(list) > maxUnitRequests {
+		return fmt.Errorf("counted: more than %d pools", maxUnitRequests)
 	}
-	for i, c := range list {
+	for i, request := range list {
 		field := fmt.Sprintf("counted[%d].", i)
-		switch {
-		case c.Pool == nil || *c.Pool == "" || len(*c.Pool) > MaxName:
-			return fmt.Errorf("%spool: missing, empty or over %d bytes", field, MaxName)
-		case c.Units == nil || *c.Units < 1 || *c.Units > eventlog.UnitsMost:
-			return fmt.Errorf("%sunits: missing or not between 1 and %d", field, eventlog.UnitsMost)
-		case c.Per == nil || (*c.Per != "task" && *c.Per != "job"):
-			return fmt.Errorf("%sper: neither \"task\" nor \"job\"", field)
+		units, err := request.parse(field)
+		if err != nil {
+			return err
 		}
-		x := eventlog.PoolUnits{Pool: *c.Pool, Units: *c.Units, PerJob: *c.Per == "job"}
-		for _, o := range j.Counted {
-			if o.Pool == x.Pool && o.PerJob == x.PerJob {
-				return fmt.Errorf("%spool: %s is there twice", field, x.Pool)
+		for _, other := range job.Counted {
+			if other.Pool == units.Pool && other.PerJob == units.PerJob {
+				return fmt.Errorf("%spool: %s is there twice", field, units.Pool)
 			}
 		}
-		j.Counted = append(j.Counted, x)
+		job.Counted = append(job.Counted, units)
 	}
 	return nil
 }
 
-// EncodeSubmission is the body with which a user submits a job.
-func EncodeSubmission(j *eventlog.Job) []byte {
-	id := FormatID(j.ID)
-	s := submission{ID: &id, Class: &j.Class, Team: &j.Team, Kind: &kindWords[j.Kind], Priority: &priorityWords[j.Priority], Tasks: &j.Tasks,
-		CPUs: &j.CPUs, GPUs: &j.GPUs, MemoryGB: &j.MemoryGB, Image: &j.Image, ImageGB: &j.ImageGB, Types: j.Types,
-		OneZone: &j.OneZone, Spread: &j.Spread, Spot: &j.Spot, EstimateS: &j.EstimateS, Checkpoint: &j.Checkpoint, SaveS: &j.SaveS}
-	if j.Zone != "" {
-		s.Zone = &j.Zone
-	}
-	if j.DeadlineS > 0 {
-		s.DeadlineS = &j.DeadlineS
-	}
-	for _, f := range j.Follows {
-		s.Follows = append(s.Follows, FormatID(f))
+// parse checks a request for units; field is where it stands, for its error.
+func (r *unitRequest) parse(field string) (eventlog.PoolUnits, error) {
+	var none eventlog.PoolUnits
+	switch {
+	case r.Pool == nil || *r.Pool == "" || len(*r.Pool) > MaxName:
+		return none, fmt.Errorf("%spool: missing, empty or over %d bytes", field, MaxName)
+	case r.Units == nil || *r.Units < 1 || *r.Units > eventlog.UnitsMost:
+		return none, fmt.Errorf("%sunits: missing or not between 1 and %d", field, eventlog.UnitsMost)
+	case r.Per == nil || (*r.Per != "task" && *r.Per != "job"):
+		return none, fmt.Errorf("%sper: neither \"task\" nor \"job\"", field)
+	}
+	return eventlog.PoolUnits{Pool: *r.Pool, Units: *r.Units, PerJob: *r.Per == "job"}, nil
+}
+
+// EncodeSubmission is the body with which a user submits a job. It leaves out units of pools.
+func EncodeSubmission(job *eventlog.Job) []byte {
+	id := FormatID(job.ID)
+	s := submission{
+		ID: &id, Class: &job.Class, Team: &job.Team,
+		Kind: &kindWords[job.Kind], Priority: &priorityWords[job.Priority], Tasks: &job.Tasks,
+		CPUs: &job.CPUs, GPUs: &job.GPUs, MemoryGB: &job.MemoryGB,
+		Image: &job.Image, ImageGB: &job.ImageGB, Types: job.Types,
+		OneZone: &job.OneZone, Spread: &job.Spread, Spot: &job.Spot,
+		EstimateS: &job.EstimateS, Checkpoint: &job.Checkpoint, SaveS: &job.SaveS,
+	}
+	if job.Zone != "" {
+		s.Zone = &job.Zone
+	}
+	if job.DeadlineS > 0 {
+		s.DeadlineS = &job.DeadlineS
+	}
+	for _, dependency := range job.Follows {
+		s.Follows = append(s.Follows, FormatID(dependency))
 	}
 	return encode(s)
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -69,19 +69,25 @@
 	"strings"
 )
 
-// MaxBody is the largest request body.
+// MaxBody is the largest request body, in bytes.
 const MaxBody = 64 << 10
 
-// MaxName is how many bytes a name of a job may have, and MaxTasks how many tasks a job.
+// Bounds of a submission.
 const (
-	MaxName  = 256
-	MaxTasks = 100_000
+	MaxName  = 256     // bytes of any name in it
+	MaxTasks = 100_000 // tasks of a job
+)
+
+// Bounds of the digits of a job's id.
+const (
+	minIDDigits = 6
+	maxIDDigits = 18
 )
 
 // ErrTooLarge is returned for a body over MaxBody.
 var ErrTooLarge = errors.New("wire: body over 64 KiB")
 
-// ReadBody reads a request's body up to the limit.
+// ReadBody reads a request's body; one that is longer than MaxBody gives ErrTooLarge.
 func ReadBody(r io.Reader) ([]byte, error) {
 	var buf bytes.Buffer
 	n, err := buf.ReadFrom(io.LimitReader(r, MaxBody+1))
@@ -94,25 +100,27 @@
 	return buf.Bytes(), nil
 }
 
-func encode(v any) []byte {
-	b, err := json.Marshal(v)
+// encode writes a message as JSON.
+func encode(message any) []byte {
+	body, err := json.Marshal(message)
 	if err != nil {
-		panic(fmt.Sprintf("wire: a message that cannot be written: %v", err)) // all amounts are checked at the door
+		panic(fmt.Sprintf("wire: a message that cannot be written: %v", err)) // cannot happen: amounts are checked when they come in
 	}
-	return b
+	return body
 }
 
+// errorBody is the body of every refusal.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// ErrorBody is the body of an answer that is a refusal.
+// ErrorBody is the body of an answer that refuses a request, and says why.
 func ErrorBody(why string) []byte { return encode(errorBody{why}) }
 
-// ParseID reads a job's id, which has exactly one form for each number.
+// ParseID reads a job's id ("j-000412"), which has exactly one form for each number.
 func ParseID(s string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(s, "j-")
-	if !ok || len(digits) < 6 || len(digits) > 18 {
+	if !ok || len(digits) < minIDDigits || len(digits) > maxIDDigits {
 		return 0, false
 	}
 	for _, c := range digits {
@@ -127,30 +135,31 @@
 // FormatID writes a job's id.
 func FormatID(n uint64) string { return fmt.Sprintf("j-%06d", n) }
 
-// ParseTask reads the name of a task.
+// ParseTask reads the name of a task ("j-000412/3").
 func ParseTask(s string) (job uint64, task int, ok bool) {
-	id, num, found := strings.Cut(s, "/")
+	id, number, found := strings.Cut(s, "/")
 	if !found {
 		return 0, 0, false
 	}
 	job, ok = ParseID(id)
-	n, err := strconv.Atoi(num)
-	return job, n, ok && err == nil && n >= 0 && n < 100000
+	task, err := strconv.Atoi(number)
+	return job, task, ok && err == nil && task >= 0 && task < MaxTasks
 }
 
 // FormatTask writes a task's name.
 func FormatTask(job uint64, task int) string { return FormatID(job) + "/" + strconv.Itoa(task) }
 
-func indexOf(list []string, s string) (uint8, bool) {
-	for i, v := range list {
-		if v == s {
+// indexOf is the number of a word in a list of words.
+func indexOf(words []string, word string) (index uint8, known bool) {
+	for i, w := range words {
+		if w == word {
 			return uint8(i), true
 		}
 	}
 	return 0, false
 }
 
-// wordFor is the word for a value of a table of words.
+// wordFor is the word for a value in a table of words; empty where there is none.
 func wordFor[T comparable](table map[string]T, value T) string {
 	for w, v := range table {
 		if v == value {
