--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -5,16 +5,25 @@
 	"encoding/json"
 	"fmt"
 	"math"
+	"net/http"
 	"net/url"
+	"strconv"
 
 	"bitternmoor/internal/core/eventlog"
 )
 
-// CloudClient is the cloud that rents machines.
-type CloudClient struct{ c *Client }
+const (
+	cloudConnections = 4   // at most, from one controller
+	machinesPerPage  = 500 // of the list of machines
+)
 
-// NewCloudClient makes a client of the cloud.
-func NewCloudClient(addr string) *CloudClient { return &CloudClient{NewClient(addr, 4)} }
+// CloudClient is a client of the cloud that rents machines.
+type CloudClient struct{ client *Client }
+
+// NewCloudClient makes a client of the cloud at an address, host:port.
+func NewCloudClient(addr string) *CloudClient {
+	return &CloudClient{client: NewClient(addr, cloudConnections)}
+}
 
 type machineType struct {
 	Name      string   `json:"label"`
@@ -33,14 +42,14 @@
 	Types []machineType `json:"breeds"`
 }
 
-// Types reads the machine types.
+// Types reads the machine types; those without a name or without processors are left out.
 func (c *CloudClient) Types(ctx context.Context) ([]eventlog.MachineType, error) {
 	var out machineTypes
-	status, err := c.c.callJSON(ctx, "GET", PathMachineTypes, nil, &out)
+	status, err := c.client.callJSON(ctx, http.MethodGet, PathMachineTypes, nil, &out)
 	if err != nil {
 		return nil, err
 	}
-	if status != 200 {
+	if status != http.StatusOK {
 		return nil, fmt.Errorf("wire: cloud: status %d", status)
 	}
 	var types []eventlog.MachineType
@@ -48,8 +57,10 @@
 		if t.Name == "" || !(t.CPUs > 0) || math.IsInf(t.CPUs, 0) {
 			continue
 		}
-		types = append(types, eventlog.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
-			FetchGBPS: t.Fetch, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones})
+		types = append(types, eventlog.MachineType{
+			Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+			FetchGBPS: t.Fetch, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones,
+		})
 	}
 	return types, nil
 }
@@ -59,8 +70,8 @@
 
 // Results of a rental request.
 const (
-	Rented RentResult = iota
-	NoCapacity
+	Rented     RentResult = iota
+	NoCapacity            // the cloud has no such machines now
 	Malformed
 	NoAnswer // outage, rate limit or no response: the same request must be repeated
 )
@@ -68,6 +79,7 @@
 // noCapacity is the word of a refusal for want of machines.
 const noCapacityWord = "no capacity"
 
+// rentalRequest asks for machines. Its name makes it idempotent.
 type rentalRequest struct {
 	Request string `json:"hire"`
 	Type    string `json:"breed"`
@@ -80,24 +92,25 @@
 	Machines []string `json:"stalls"`
 }
 
-// Rent sends a rental request.
+// Rent sends a rental request and returns the names of the machines rented. The request is idempotent: sent
+// again, it gives the same machines.
 func (c *CloudClient) Rent(ctx context.Context, r eventlog.Rental) ([]string, RentResult) {
-	in := rentalRequest{r.Name, r.Type, r.Zone, r.Spot, r.Count}
+	in := rentalRequest{Request: r.Name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 	var out machineNames
 	var refused errorBody
-	status, body, err := c.c.exchange(ctx, "POST", PathRentals, in)
+	status, body, err := c.client.exchange(ctx, http.MethodPost, PathRentals, in)
 	if err != nil {
 		return nil, NoAnswer
 	}
 	switch status {
-	case 200:
+	case http.StatusOK:
 		if json.Unmarshal(body, &out) != nil {
 			return nil, NoAnswer
 		}
 		return out.Machines, Rented
-	case 400:
+	case http.StatusBadRequest:
 		return nil, Malformed
-	case 503:
+	case http.StatusServiceUnavailable:
 		if json.Unmarshal(body, &refused) == nil && refused.Error == noCapacityWord {
 			return nil, NoCapacity
 		}
@@ -105,20 +118,24 @@
 	return nil, NoAnswer
 }
 
-// Delete returns machines; true means that they are gone.
+// Delete returns machines to the cloud; true means that they are gone.
 func (c *CloudClient) Delete(ctx context.Context, names []string) bool {
-	status, err := c.c.callJSON(ctx, "POST", PathDelete, machineNames{names}, nil)
-	return err == nil && status == 200
+	status, err := c.client.callJSON(ctx, http.MethodPost, PathDelete, machineNames{Machines: names}, nil)
+	return err == nil && status == http.StatusOK
 }
 
-// ListedMachine is a machine of the cloud's list, which lags.
+// ListedMachine is a machine in the cloud's list, which lags behind.
 type ListedMachine struct {
 	Machine eventlog.Machine
 	Failed  bool
-	HeldS   float64
+	HeldS   float64 // seconds since it was rented
 }
 
-const failedWord = "failed"
+// Words of a machine's state in the cloud's list.
+const (
+	runningWord = "running"
+	failedWord  = "failed"
+)
 
 type listedMachine struct {
 	Name    string  `json:"name_id"`
@@ -135,25 +152,33 @@
 	More     bool            `json:"has_next"`
 }
 
-// List reads the whole list of machines.
+func (m *listedMachine) machine() ListedMachine {
+	return ListedMachine{
+		Machine: eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Failed:  m.State == failedWord,
+		HeldS:   m.HeldS,
+	}
+}
+
+// List reads the whole list of machines, page by page.
 func (c *CloudClient) List(ctx context.Context) ([]ListedMachine, error) {
 	var all []ListedMachine
 	since := ""
 	for {
-		q := url.Values{"most": {"500"}}
+		q := url.Values{"most": {strconv.Itoa(machinesPerPage)}}
 		if since != "" {
 			q.Set("since", since)
 		}
 		var out machineList
-		status, err := c.c.callJSON(ctx, "GET", PathRentals+"?"+q.Encode(), nil, &out)
+		status, err := c.client.callJSON(ctx, http.MethodGet, PathRentals+"?"+q.Encode(), nil, &out)
 		if err != nil {
 			return nil, err
 		}
-		if status != 200 {
+		if status != http.StatusOK {
 			return nil, fmt.Errorf("wire: cloud: status %d", status)
 		}
 		for _, m := range out.Machines {
-			all = append(all, ListedMachine{eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot}, m.State == failedWord, m.HeldS})
+			all = append(all, m.machine())
 			since = m.Name
 		}
 		if !out.More || len(out.Machines) == 0 {
--- a/internal/wire/cloudserver.go
+++ b/internal/wire/cloudserver.go
@@ -1,3 +1,5 @@
+// The cloud's side of its protocol: what stand-ins of the cloud read and write.
+
 package wire
 
 import (
@@ -7,12 +9,14 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// MachineTypes is the body with which the cloud gives its machine types.
+// MachineTypes is the body with which the cloud lists its machine types.
 func MachineTypes(types []eventlog.MachineType) []byte {
 	var out machineTypes
 	for _, t := range types {
-		out.Types = append(out.Types, machineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
-			Fetch: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones})
+		out.Types = append(out.Types, machineType{
+			Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemoryGB: t.MemoryGB, CacheGB: t.CacheGB,
+			Fetch: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: t.Zones,
+		})
 	}
 	return encode(out)
 }
@@ -27,7 +31,7 @@
 }
 
 // RentalAnswer is the body that names the machines rented.
-func RentalAnswer(names []string) []byte { return encode(machineNames{names}) }
+func RentalAnswer(names []string) []byte { return encode(machineNames{Machines: names}) }
 
 // ParseMachineNames reads which machines are to be deleted.
 func ParseMachineNames(body []byte) ([]string, error) {
@@ -38,15 +42,18 @@
 	return in.Machines, nil
 }
 
-// NoCapacityProblem is the body with which the cloud refuses a rental request for want of machines.
+// NoCapacityProblem is the body with which the cloud refuses a rental request for lack of machines.
 func NoCapacityProblem() []byte { return ErrorBody(noCapacityWord) }
 
-// MachineList is the body with which the cloud lists machines.
+// MachineList is the body with which the cloud lists machines; more says that there are further pages.
 func MachineList(list []ListedMachine, more bool) []byte {
 	out := machineList{Machines: make([]listedMachine, len(list)), More: more}
 	for i, l := range list {
 		m := l.Machine
-		out.Machines[i] = listedMachine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot, State: "running", HeldS: l.HeldS}
+		out.Machines[i] = listedMachine{
+			Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
+			State: runningWord, HeldS: l.HeldS,
+		}
 		if l.Failed {
 			out.Machines[i].State = failedWord
 		}
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -1,3 +1,5 @@
+// The state service's side of its protocol: what stand-ins of the service read and write.
+
 package wire
 
 import (
@@ -10,12 +12,12 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// StateWrite is one change of a transaction, as the state service reads it.
+// StateWrite is one write of a transaction, as the state service reads it.
 type StateWrite struct {
 	Key    string
 	Value  json.RawMessage
-	Hold   uint64
-	Remove bool
+	Hold   uint64 // lease that the key is bound to; 0: none
+	Remove bool   // the key is removed
 }
 
 // StateTxn is a transaction, as the state service reads it.
@@ -34,12 +36,12 @@
 	for _, c := range in.Conditions {
 		out.Conds = append(out.Conds, eventlog.Condition{Key: c.Key, Version: c.Version})
 	}
-	for _, p := range in.Writes {
-		if p.Delete != "" {
-			out.Writes = append(out.Writes, StateWrite{Key: p.Delete, Remove: true})
+	for _, w := range in.Writes {
+		if w.Delete != "" {
+			out.Writes = append(out.Writes, StateWrite{Key: w.Delete, Remove: true})
 			continue
 		}
-		out.Writes = append(out.Writes, StateWrite{Key: p.Put, Value: p.Value, Hold: p.LeaseID})
+		out.Writes = append(out.Writes, StateWrite{Key: w.Put, Value: w.Value, Hold: w.LeaseID})
 	}
 	return out, nil
 }
@@ -49,32 +51,35 @@
 	return encode(transactionAnswer{Revision: revision, Failed: failed})
 }
 
-// StateQuery is what is asked of keys, or of their changes.
+// StateQuery asks for keys, or for their changes.
 type StateQuery struct {
-	Prefix, After string
-	Most          int
-	Since         uint64
-	Wait          time.Duration
+	Prefix string        // of the keys
+	After  string        // of keys: the key after which the page begins
+	Most   int           // of keys: size of the page
+	Since  uint64        // of changes: the revision after which they begin
+	Wait   time.Duration // of changes: how long to wait for one
 }
 
 // ParseStateQuery reads the query of a request for keys or changes.
-func ParseStateQuery(v url.Values) (StateQuery, error) {
-	q := StateQuery{Prefix: v.Get("starts"), After: v.Get("since")}
-	for _, x := range []struct {
+func ParseStateQuery(values url.Values) (StateQuery, error) {
+	q := StateQuery{Prefix: values.Get("starts"), After: values.Get("since")}
+	numbers := []struct {
 		name string
-		to   func(uint64)
+		set  func(uint64)
 	}{
 		{"most", func(n uint64) { q.Most = int(n) }},
 		{"hold_ms", func(n uint64) { q.Wait = time.Duration(n) * time.Millisecond }},
-	} {
-		if v.Get(x.name) == "" {
+	}
+	for _, number := range numbers {
+		text := values.Get(number.name)
+		if text == "" {
 			continue
 		}
-		n, err := strconv.ParseUint(v.Get(x.name), 10, 31)
+		n, err := strconv.ParseUint(text, 10, 31)
 		if err != nil {
-			return q, fmt.Errorf("wire: %s: %q is no number", x.name, v.Get(x.name))
+			return q, fmt.Errorf("wire: %s: %q is no number", number.name, text)
 		}
-		x.to(n)
+		number.set(n)
 	}
 	if n, err := strconv.ParseUint(q.After, 10, 64); err == nil {
 		q.Since = n
@@ -82,23 +87,27 @@
 	return q, nil
 }
 
+// leasedItem is an item with the lease that it is bound to.
 type leasedItem struct {
 	storedItem
 	LeaseID uint64 `json:"tether,omitempty"`
 }
 
-// StateItem is the body that gives one key; hold is what it hangs on, or 0.
-func StateItem(it Item, hold uint64) []byte { return encode(leasedItem{storedItem(it), hold}) }
+// StateItem is the body that gives one key; lease is what it is bound to, or 0.
+func StateItem(item Item, lease uint64) []byte {
+	return encode(leasedItem{storedItem: storedItem(item), LeaseID: lease})
+}
 
-// StatePage is the body that gives a page of keys.
+// StatePage is the body that gives a page of keys; more says that there are further ones.
 func StatePage(items []Item, more bool, revision uint64) []byte {
-	rows := make([]storedItem, len(items))
-	for i, it := range items {
-		rows[i] = storedItem(it)
+	stored := make([]storedItem, len(items))
+	for i, item := range items {
+		stored[i] = storedItem(item)
 	}
-	return encode(itemPage{rows, more, revision})
+	return encode(itemPage{Items: stored, More: more, Revision: revision})
 }
 
+// keyChange is a write of a key, or its removal.
 type keyChange struct {
 	Write   string          `json:"write,omitempty"`
 	Remove  string          `json:"remove,omitempty"`
@@ -106,24 +115,25 @@
 	Version uint64          `json:"entry_mark"`
 }
 
+// changesAnswer lists the changes after a revision.
 type changesAnswer struct {
 	Revision uint64      `json:"ledger_mark"`
 	Changes  []keyChange `json:"news"`
 }
 
-// StateNews is the body that tells of changes; those without a value are removals.
+// StateNews is the body that lists changes of keys; those without a value are removals.
 func StateNews(revision uint64, changed []Item) []byte {
 	list := make([]keyChange, len(changed))
-	for i, it := range changed {
-		list[i] = keyChange{Write: it.Key, Value: it.Value, Version: it.Mark}
-		if it.Value == nil {
-			list[i] = keyChange{Remove: it.Key, Version: it.Mark}
+	for i, item := range changed {
+		list[i] = keyChange{Write: item.Key, Value: item.Value, Version: item.Mark}
+		if item.Value == nil {
+			list[i] = keyChange{Remove: item.Key, Version: item.Mark}
 		}
 	}
-	return encode(changesAnswer{revision, list})
+	return encode(changesAnswer{Revision: revision, Changes: list})
 }
 
-// ParseLease reads how long a hold is to live.
+// ParseLease reads how long a lease is to live.
 func ParseLease(body []byte) (time.Duration, error) {
 	var in leaseRequest
 	if err := json.Unmarshal(body, &in); err != nil || in.TTLMS <= 0 {
@@ -132,5 +142,5 @@
 	return time.Duration(in.TTLMS) * time.Millisecond, nil
 }
 
-// LeaseAnswer is the body that gives a new hold.
-func LeaseAnswer(id uint64) []byte { return encode(leaseAnswer{id}) }
+// LeaseAnswer is the body that gives a new lease.
+func LeaseAnswer(id uint64) []byte { return encode(leaseAnswer{ID: id}) }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -194,7 +194,8 @@
 	}{
 		{"vcpus", s.CPUs, 0, maxRoom}, {"gpus", s.GPUs, 0, maxRoom},
 		{"memory_gb", s.MemoryGB, 0, maxGB}, {"size_gb", s.ImageGB, 0, maxGB},
-		{"trek_s", s.EstimateS, 0, maxSeconds}, {"waypoint_s", s.Checkpoint, 0, maxSeconds}, {"stow_s", s.SaveS, 0, maxSeconds},
+		{"trek_s", s.EstimateS, 0, maxSeconds}, {"waypoint_s", s.Checkpoint, 0, maxSeconds},
+		{"stow_s", s.SaveS, 0, maxSeconds},
 	}
 	for _, a := range amounts {
 		// The comparison is negated so that a value that is not a number is refused as well.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -104,7 +104,8 @@
 func encode(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
-		panic(fmt.Sprintf("wire: a message that cannot be written: %v", err)) // cannot happen: amounts are checked when they come in
+		// Cannot happen: amounts are checked when they come in.
+		panic(fmt.Sprintf("wire: a message that cannot be written: %v", err))
 	}
 	return body
 }
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -4,19 +4,18 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"net"
 	"net/http"
-	"time"
 
 	"bitternmoor/internal/core/workers"
 )
 
-// PathCommands is where a worker takes direct commands.
-const PathCommands = "/do"
-
-// PathShow is where a worker shows its report.
-const PathShow = "/show"
+// Paths of a worker's own address, at which controllers reach it directly.
+const (
+	PathCommands = "/do"   // takes direct commands
+	PathShow     = "/show" // shows the worker's report
+)
 
+// report is a worker's heartbeat with its status.
 type report struct {
 	Machine string         `json:"stall"`
 	Address string         `json:"address"`
@@ -25,8 +24,8 @@
 	Spot    bool           `json:"loaned_stock"`
 	Session uint64         `json:"watch"`
 	Seq     uint64         `json:"tally"`
-	Token   uint64         `json:"crook"`
-	NoticeS *float64       `json:"recall_s"`
+	Token   uint64         `json:"crook"`    // highest fencing token that the worker has seen
+	NoticeS *float64       `json:"recall_s"` // null: the machine is not being taken back
 	Tasks   []reportedTask `json:"head"`
 }
 
@@ -34,7 +33,7 @@
 	Task    string `json:"beast"`
 	Attempt uint64 `json:"try"`
 	State   string `json:"standing"`
-	Why     string `json:"cause,omitempty"`
+	Why     string `json:"cause,omitempty"` // only of a task that ended
 	Saved   bool   `json:"kept,omitempty"`
 }
 
@@ -48,7 +47,8 @@
 	"error": workers.Failed, "full": workers.NoRoom, "busy": workers.Busy, "unknown": workers.UnknownTask,
 }
 
-// ParseReport reads a worker's report.
+// ParseReport reads a worker's report. A task that ended for a reason which is not known counts as
+// failed.
 func ParseReport(body []byte) (*workers.Report, error) {
 	var in report
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -65,29 +65,45 @@
 		r.NoticeS = *in.NoticeS
 	}
 	for _, t := range in.Tasks {
-		job, task, ok := ParseTask(t.Task)
-		state, known := taskStateWords[t.State]
-		if !ok || !known {
-			return nil, fmt.Errorf("wire: a report with a task that cannot be read: %q, %q", t.Task, t.State)
-		}
-		reason, known := reasonWords[t.Why]
-		if state == workers.Ended && !known {
-			reason = workers.Failed
+		task, err := t.parse()
+		if err != nil {
+			return nil, err
 		}
-		r.Tasks = append(r.Tasks, workers.TaskReport{Job: job, Task: task, Attempt: t.Attempt, State: state, Reason: reason, Saved: t.Saved})
+		r.Tasks = append(r.Tasks, task)
 	}
 	return r, nil
 }
 
+func (t *reportedTask) parse() (workers.TaskReport, error) {
+	job, task, ok := ParseTask(t.Task)
+	state, known := taskStateWords[t.State]
+	if !ok || !known {
+		return workers.TaskReport{}, fmt.Errorf("wire: a report with a task that cannot be read: %q, %q", t.Task, t.State)
+	}
+	reason, known := reasonWords[t.Why]
+	if state == workers.Ended && !known {
+		reason = workers.Failed
+	}
+	return workers.TaskReport{
+		Job: job, Task: task, Attempt: t.Attempt,
+		State: state, Reason: reason, Saved: t.Saved,
+	}, nil
+}
+
 // EncodeReport is the body of a worker's report.
 func EncodeReport(r *workers.Report) []byte {
-	out := report{Machine: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
-		Session: r.Session, Seq: r.Seq, Token: r.Token, Tasks: make([]reportedTask, len(r.Tasks))}
+	out := report{
+		Machine: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
+		Session: r.Session, Seq: r.Seq, Token: r.Token, Tasks: make([]reportedTask, len(r.Tasks)),
+	}
 	if r.Notice {
 		out.NoticeS = &r.NoticeS
 	}
 	for i, t := range r.Tasks {
-		out.Tasks[i] = reportedTask{Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt, State: wordFor(taskStateWords, t.State), Saved: t.Saved}
+		out.Tasks[i] = reportedTask{
+			Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt,
+			State: wordFor(taskStateWords, t.State), Saved: t.Saved,
+		}
 		if t.State == workers.Ended {
 			out.Tasks[i].Why = wordFor(reasonWords, t.Reason)
 		}
@@ -95,6 +111,7 @@
 	return encode(out)
 }
 
+// reportAnswer answers a report that the controller took.
 type reportAnswer struct {
 	Token    uint64    `json:"crook"`
 	Commands []command `json:"calls"`
@@ -104,34 +121,37 @@
 	Op      string   `json:"call"`
 	Task    string   `json:"beast"`
 	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"settle_s,omitempty"`
+	GraceS  *float64 `json:"settle_s,omitempty"` // only of a stop
 }
 
+// directCommands are commands sent to a worker between its reports.
 type directCommands struct {
 	Token    uint64    `json:"crook"`
 	Session  uint64    `json:"watch"`
 	Commands []command `json:"calls"`
 }
 
+// redirect sends a worker to another controller.
 type redirect struct {
 	Node string `json:"herdsman,omitempty"`
 }
 
+// commandWords are the words of workers.Op, in the order of their numbers.
 var commandWords = []string{"start", "stop", "reap"}
 
 // ReportAnswer is the body that answers a report.
-func ReportAnswer(token uint64, cmds []workers.Command) []byte {
-	return encode(reportAnswer{token, formatCommands(cmds)})
+func ReportAnswer(token uint64, commands []workers.Command) []byte {
+	return encode(reportAnswer{Token: token, Commands: formatCommands(commands)})
 }
 
 // ParseReportAnswer reads what a controller answers to a report with status 200.
-func ParseReportAnswer(body []byte) (token uint64, cmds []workers.Command, err error) {
+func ParseReportAnswer(body []byte) (token uint64, commands []workers.Command, err error) {
 	var in reportAnswer
 	if err := json.Unmarshal(body, &in); err != nil {
 		return 0, nil, fmt.Errorf("wire: an answer that cannot be read: %w", err)
 	}
-	cmds, err = parseCommands(in.Commands)
-	return in.Token, cmds, err
+	commands, err = parseCommands(in.Commands)
+	return in.Token, commands, err
 }
 
 func formatCommands(in []workers.Command) []command {
@@ -162,8 +182,8 @@
 	return out, nil
 }
 
-// RedirectAnswer sends a worker to another node; the name may be empty.
-func RedirectAnswer(node string) []byte { return encode(redirect{node}) }
+// RedirectAnswer is the body that sends a worker to another controller; the name may be empty.
+func RedirectAnswer(node string) []byte { return encode(redirect{Node: node}) }
 
 // ParseRedirect reads where a worker is sent with status 421; empty: to the next controller.
 func ParseRedirect(body []byte) string {
@@ -174,15 +194,16 @@
 	return in.Node
 }
 
-// EncodeDirectCommands is the body of a direct command.
-func EncodeDirectCommands(token, session uint64, cmds []workers.Command) []byte {
-	return encode(directCommands{token, session, formatCommands(cmds)})
+// EncodeDirectCommands is the body of direct commands for one agent session of a worker.
+func EncodeDirectCommands(token, session uint64, commands []workers.Command) []byte {
+	return encode(directCommands{Token: token, Session: session, Commands: formatCommands(commands)})
 }
 
-// DirectCommands is what a worker is told at its own address.
+// DirectCommands are commands sent to a worker between its reports.
 type DirectCommands struct {
-	Token, Session uint64
-	Commands       []workers.Command
+	Token    uint64 // fencing token of the leader that sends them
+	Session  uint64 // agent session that they are meant for
+	Commands []workers.Command
 }
 
 // ParseDirectCommands reads direct commands.
@@ -191,30 +212,39 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return DirectCommands{}, fmt.Errorf("wire: direct commands that cannot be read: %w", err)
 	}
-	cmds, err := parseCommands(in.Commands)
-	return DirectCommands{in.Token, in.Session, cmds}, err
+	commands, err := parseCommands(in.Commands)
+	return DirectCommands{Token: in.Token, Session: in.Session, Commands: commands}, err
 }
 
 // WorkerClient reaches workers directly.
-type WorkerClient struct{ c *http.Client }
+type WorkerClient struct{ http *http.Client }
 
-// NewWorkerClient makes a client for workers. Connections are not kept: a worker
-// is called this way rarely.
+// NewWorkerClient makes a client of all workers. Connections are not kept, since a worker is rarely
+// called directly.
 func NewWorkerClient() *WorkerClient {
-	dial := &net.Dialer{Timeout: time.Second, KeepAlive: -1}
-	return &WorkerClient{&http.Client{Transport: &http.Transport{DialContext: dial.DialContext, DisableKeepAlives: true, DisableCompression: true}}}
+	return &WorkerClient{http: &http.Client{Transport: &http.Transport{
+		DialContext:        newDialer().DialContext,
+		DisableKeepAlives:  true,
+		DisableCompression: true,
+	}}}
+}
+
+// at is a client of the worker at an address.
+func (w *WorkerClient) at(addr string) *Client {
+	return &Client{base: "http://" + addr, http: w.http}
 }
 
-// Probe says whether the worker at addr answers.
+// Probe says whether the worker at an address answers: a liveness probe.
 func (w *WorkerClient) Probe(ctx context.Context, addr string) bool {
-	status, _, err := (&Client{"http://" + addr, w.c}).exchange(ctx, "GET", PathShow, nil)
+	status, _, err := w.at(addr).exchange(ctx, http.MethodGet, PathShow, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// SendCommands sends direct commands to the worker at addr, and returns its report after them.
-// They may be carried out late whatever comes back.
+// SendCommands sends a body of EncodeDirectCommands to the worker at an address, and returns the report
+// that the worker makes after them. Whatever it returns, also an error, the commands may still be
+// carried out later.
 func (w *WorkerClient) SendCommands(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
-	status, data, err := (&Client{"http://" + addr, w.c}).exchange(ctx, "POST", PathCommands, json.RawMessage(body))
+	status, data, err := w.at(addr).exchange(ctx, http.MethodPost, PathCommands, json.RawMessage(body))
 	if err != nil {
 		return nil, err
 	}
