--- /dev/null
+++ b/cmd/bitternmoor/output_test.go
@@ -0,0 +1,163 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/spf13/cobra"
+
+	"bitternmoor/internal/core/config"
+	"bitternmoor/internal/leader/coldstart"
+	"bitternmoor/internal/leader/failover"
+	"bitternmoor/internal/leader/pools"
+	"bitternmoor/internal/leader/rebalance"
+	"bitternmoor/internal/leader/reconfig"
+	"bitternmoor/internal/leader/runtimes"
+	"bitternmoor/internal/leader/slo"
+	"bitternmoor/internal/node"
+)
+
+var update = flag.Bool("update", false, "write testdata/output.golden anew")
+
+// filler fills values of any type with numbers and words of different lengths, always the same ones.
+type filler struct{ count int }
+
+func (f *filler) fill(v reflect.Value) {
+	f.count++
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				f.fill(v.Field(i))
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 3, 3))
+		for i := range v.Len() {
+			f.fill(v.Index(i))
+		}
+	case reflect.Map:
+		v.Set(reflect.MakeMap(v.Type()))
+		for range 2 {
+			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+			f.fill(key)
+			f.fill(value)
+			v.SetMapIndex(key, value)
+		}
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		f.fill(v.Elem())
+	case reflect.String:
+		v.SetString(strings.Repeat("x", f.count%7) + fmt.Sprint(f.count))
+	case reflect.Bool:
+		v.SetBool(f.count%2 == 0)
+	case reflect.Float64:
+		v.SetFloat(float64(f.count) * 1.2345)
+	case reflect.Int, reflect.Int64:
+		v.SetInt(int64(f.count*f.count - 50))
+	case reflect.Uint8:
+		v.SetUint(uint64(f.count % 3))
+	case reflect.Uint64:
+		v.SetUint(uint64(f.count % 40))
+	}
+}
+
+func filled[T any]() T {
+	var v T
+	(&filler{}).fill(reflect.ValueOf(&v).Elem())
+	return v
+}
+
+// printed prints a page that is filled, and one that is empty.
+func printed[T any](print func(io.Writer, T)) func(io.Writer) error {
+	return func(out io.Writer) error {
+		print(out, filled[T]())
+		var empty T
+		print(out, empty)
+		return nil
+	}
+}
+
+// asked runs a command against a node that answers with a value.
+func asked(cmd *cobra.Command, value any, args ...string) func(io.Writer) error {
+	return func(out io.Writer) error {
+		body, err := json.Marshal(value)
+		if err != nil {
+			return err
+		}
+		srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(body) }))
+		defer srv.Close()
+		cmd.SetOut(out)
+		cmd.SetArgs(append(args, "--address", srv.Listener.Addr().String()))
+		return cmd.Execute()
+	}
+}
+
+// What commands print is pinned, byte for byte: operators' scripts read it.
+func TestOutput(t *testing.T) {
+	record := filled[failover.Record]()
+	record.After = map[string]int64{}
+	for i, s := range failover.Steps() {
+		if i%2 == 0 {
+			record.After[s.String()] = int64(1234 * i)
+		}
+	}
+	holder := filled[pools.View]()
+	holder.Holders[0].Task = -1
+	ahead := filled[[]runtimes.Expected]()
+	ahead[0].Nights = 3
+	var got bytes.Buffer
+	for _, c := range []struct {
+		name  string
+		print func(io.Writer) error
+	}{
+		{"config", printed(func(out io.Writer, v reconfig.View) { printConfig(out, &v) })},
+		{"config of this controller", printed(func(out io.Writer, v reconfig.LocalView) { printHere(out, &v) })},
+		{"config history", printed(func(out io.Writer, v []config.Revision) { printHistory(out, v) })},
+		{"status", printed(printStatus)},
+		{"pools", printed(printPools)},
+		{"forecast", printed(printForecasts)},
+		{"ahead", printed(printAhead)},
+		{"ahead, of some nights", func(out io.Writer) error { printAhead(out, ahead); return nil }},
+		{"late", printed(printLate)},
+		{"run times", printed(printKinds)},
+		{"export", func(out io.Writer) error { exportKinds(out, []json.RawMessage{[]byte("{ \"a\": 1 }")}); return nil }},
+		{"served", printed(func(out io.Writer, v []slo.View) { printServed(out, v) })},
+		{"spread", printed(func(out io.Writer, v []rebalance.View) { printSpread(out, v) })},
+		{"takeovers", printed(printTakeovers)},
+		{"a takeover", func(out io.Writer) error { printTakeovers(out, []failover.Record{record}); return nil }},
+		{"cold starts", printed(func(out io.Writer, v []coldstart.Record) { printColdStarts(out, v) })},
+		{"pools show", asked(poolShow(), holder, "p")},
+		{"pools show, with nothing out", asked(poolShow(), pools.View{}, "p")},
+		{"pools show as JSON", asked(poolShow(), holder, "p", "--json")},
+		{"explain", asked(explainCommand(), node.Explanation{ID: "j-000001", Words: []string{"a", "b c"}}, "j-000001")},
+	} {
+		fmt.Fprintf(&got, "== %s\n", c.name)
+		if err := c.print(&got); err != nil {
+			t.Errorf("%s: %v", c.name, err)
+		}
+	}
+	path := filepath.Join("testdata", "output.golden")
+	if *update {
+		if err := os.WriteFile(path, got.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got.Bytes(), want) {
+		t.Errorf("output differs from %s:\n%s", path, got.Bytes())
+	}
+}
