--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -25,7 +25,7 @@
 
 func configCommand() *cobra.Command {
 	top := &cobra.Command{Use: "config", Short: "Show and change what may change while controllers run: teams, and some tunables"}
-	top.AddCommand(configShow(), shows("history", "Show the last changes, the newest first", node.PathDuties+reconfig.Name+"/"+reconfig.ViewHistory, printHistory),
+	top.AddCommand(configShow(), viewCommand("history", "Show the last changes, the newest first", node.PathDuties+reconfig.Name+"/"+reconfig.ViewHistory, printHistory),
 		configSet(), configApply(), configRollback())
 	return top
 }
--- a/cmd/bitternmoor/operate.go
+++ b/cmd/bitternmoor/operate.go
@@ -107,8 +107,8 @@
 	return answer, nil
 }
 
-// shows is a command that reads one page of the operators' endpoint and prints it.
-func shows[T any](use, short, path string, print func(io.Writer, T)) *cobra.Command {
+// viewCommand is a command that reads one page of the operators' endpoint and prints it.
+func viewCommand[T any](use, short, path string, print func(io.Writer, T)) *cobra.Command {
 	var o operator
 	return o.flags(&cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
@@ -120,7 +120,7 @@
 }
 
 func statusCommand() *cobra.Command {
-	return shows("status", "Show leader, blocks, machines and the queue", node.PathStatus, printStatus)
+	return viewCommand("status", "Show leader, blocks, machines and the queue", node.PathStatus, printStatus)
 }
 
 func printStatus(out io.Writer, s node.Status) {
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -25,7 +25,7 @@
 
 func poolsCommand() *cobra.Command {
 	top := &cobra.Command{Use: "pools", Short: "Show pools of counted resources, change them, check receipts"}
-	top.AddCommand(shows("list", "Show all pools", node.PathDuties+pools.Name, printPools), poolShow(), poolSet(), poolDrain(), verifyCommand())
+	top.AddCommand(viewCommand("list", "Show all pools", node.PathDuties+pools.Name, printPools), poolShow(), poolSet(), poolDrain(), verifyCommand())
 	return top
 }
 
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -21,8 +21,8 @@
 )
 
 func forecastCommand() *cobra.Command {
-	c := shows("forecast", "Show when open jobs should begin and end, and what they will miss", node.PathDuties+runtimes.Name+"/forecast", printForecasts)
-	c.AddCommand(shows("ahead", "Show the work that is expected over the next twelve hours, by nights before", node.PathDuties+runtimes.Name+"/ahead", printAhead))
+	c := viewCommand("forecast", "Show when open jobs should begin and end, and what they will miss", node.PathDuties+runtimes.Name+"/forecast", printForecasts)
+	c.AddCommand(viewCommand("ahead", "Show the work that is expected over the next twelve hours, by nights before", node.PathDuties+runtimes.Name+"/ahead", printAhead))
 	return c
 }
 
@@ -64,7 +64,7 @@
 }
 
 func lateCommand() *cobra.Command {
-	return shows("late", "Show the jobs that run well past what their kind has shown, and why", node.PathDuties+runtimes.Name+"/late", printLate)
+	return viewCommand("late", "Show the jobs that run well past what their kind has shown, and why", node.PathDuties+runtimes.Name+"/late", printLate)
 }
 
 func printLate(out io.Writer, list []runtimes.Late) {
@@ -89,8 +89,8 @@
 
 func runTimesCommand() *cobra.Command {
 	top := &cobra.Command{Use: "run-times", Short: "Show, export, import or forget what was learned of run times"}
-	top.AddCommand(shows("show", "Show each kind of work with its estimate", node.PathDuties+runtimes.Name, printKinds),
-		shows("export", "Print what was learned as JSON lines, one kind a line, in order of their names", node.PathDuties+runtimes.Name, exportKinds),
+	top.AddCommand(viewCommand("show", "Show each kind of work with its estimate", node.PathDuties+runtimes.Name, printKinds),
+		viewCommand("export", "Print what was learned as JSON lines, one kind a line, in order of their names", node.PathDuties+runtimes.Name, exportKinds),
 		importCommand(), forgetCommand())
 	return top
 }
--- a/cmd/bitternmoor/served.go
+++ b/cmd/bitternmoor/served.go
@@ -12,7 +12,7 @@
 )
 
 func servedCommand() *cobra.Command {
-	return shows("served", "Show by class and by team how many jobs were due lately, and how many of them were done", node.PathDuties+slo.Name, printServed)
+	return viewCommand("served", "Show by class and by team how many jobs were due lately, and how many of them were done", node.PathDuties+slo.Name, printServed)
 }
 
 func printServed(out io.Writer, list []slo.View) {
--- a/cmd/bitternmoor/spread.go
+++ b/cmd/bitternmoor/spread.go
@@ -12,7 +12,7 @@
 )
 
 func spreadCommand() *cobra.Command {
-	return shows("spread", "Show how reports are spread over controllers", node.PathDuties+rebalance.Name, printSpread)
+	return viewCommand("spread", "Show how reports are spread over controllers", node.PathDuties+rebalance.Name, printSpread)
 }
 
 func printSpread(out io.Writer, list []rebalance.View) {
--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -18,8 +18,8 @@
 )
 
 func takeoversCommand() *cobra.Command {
-	cmd := shows("takeovers", "Show the last takeovers, and when each of their steps was reached", node.PathDuties+failover.Name, printTakeovers)
-	cmd.AddCommand(shows("cold", "Show the last starts in which nobody led before: what was found, ordered, and needless", node.PathDuties+coldstart.Name, printColdStarts))
+	cmd := viewCommand("takeovers", "Show the last takeovers, and when each of their steps was reached", node.PathDuties+failover.Name, printTakeovers)
+	cmd.AddCommand(viewCommand("cold", "Show the last starts in which nobody led before: what was found, ordered, and needless", node.PathDuties+coldstart.Name, printColdStarts))
 	return cmd
 }
 
