--- a/cmd/bitternmoor/operate.go
+++ b/cmd/bitternmoor/operate.go
@@ -21,13 +21,13 @@
 
 const operatorTimeout = 5 * time.Second
 
-// operator holds the flags of the commands that ask a running node.
-type operator struct {
+// nodeClient holds the flags of the commands that ask a running node.
+type nodeClient struct {
 	config, address string
 	json            bool
 }
 
-func (o *operator) flags(c *cobra.Command) *cobra.Command {
+func (o *nodeClient) flags(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVar(&o.address, "address", "", "a node's internal address, host:port")
 	c.Flags().StringVar(&o.config, "config", "", "take the address from this settings file")
 	c.Flags().BoolVar(&o.json, "json", false, "print JSON")
@@ -36,7 +36,7 @@
 
 // ask reads a path of the operators' endpoint. With --json the body is
 // copied as it is and done is not called.
-func (o *operator) ask(out io.Writer, path string, into any, done func()) error {
+func (o *nodeClient) ask(out io.Writer, path string, into any, done func()) error {
 	body, err := o.call(http.MethodGet, path, nil)
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 }
 
 // call makes one request of the operators' endpoint and returns its answer.
-func (o *operator) call(method, path string, body []byte) ([]byte, error) {
+func (o *nodeClient) call(method, path string, body []byte) ([]byte, error) {
 	addr := o.address
 	if addr == "" && o.config != "" {
 		cfg, err := settings.Load(o.config, "")
@@ -109,7 +109,7 @@
 
 // viewCommand is a command that reads one page of the operators' endpoint and prints it.
 func viewCommand[T any](use, short, path string, print func(io.Writer, T)) *cobra.Command {
-	var o operator
+	var o nodeClient
 	return o.flags(&cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -153,7 +153,7 @@
 }
 
 func explainCommand() *cobra.Command {
-	var o operator
+	var o nodeClient
 	return o.flags(&cobra.Command{
 		Use: "explain JOB", Short: "Say where a job stands and what it waits for", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -96,7 +96,7 @@
 }
 
 // kinds lists what the leader has learned.
-func (o *operator) kinds() (list []shownKind, err error) {
+func (o *nodeClient) kinds() (list []shownKind, err error) {
 	page, err := o.call(http.MethodGet, node.PathDuties+runtimes.Name, nil)
 	if err != nil {
 		return nil, err
@@ -106,7 +106,7 @@
 
 // changeKinds has the leader change what it has learned. With --json its answer is
 // printed as it is, otherwise said.
-func (o *operator) changeKinds(out io.Writer, in runtimes.Import, say func(done runtimes.Imported)) error {
+func (o *nodeClient) changeKinds(out io.Writer, in runtimes.Import, say func(done runtimes.Imported)) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return failure{err}
@@ -128,7 +128,7 @@
 }
 
 func importCommand() *cobra.Command {
-	var o operator
+	var o nodeClient
 	var replace, yes bool
 	c := &cobra.Command{
 		Use: "import FILE", Short: "Take in what another installation has exported; says what it will change, and asks", Args: cobra.ExactArgs(1),
@@ -183,7 +183,7 @@
 }
 
 func forgetCommand() *cobra.Command {
-	var o operator
+	var o nodeClient
 	var yes bool
 	c := &cobra.Command{
 		Use: "forget KEY", Short: "Forget one kind of work, by its name in show; says what it will change, and asks", Args: cobra.ExactArgs(1),
