--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -128,13 +128,13 @@
 
 // configChanger holds the flags of the commands that change the configuration.
 type configChanger struct {
-	controller
+	controlClient
 	note string
 }
 
 func (c *configChanger) flags(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().StringVar(&c.note, "note", "", "why, for the history")
-	return c.controller.flags(cmd)
+	return c.controlClient.flags(cmd)
 }
 
 // change shows what changes would do, asks, and has them made: for the revision that was seen,
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -91,14 +91,14 @@
 	})
 }
 
-// controller is where an operator may change something, and as whom.
-type controller struct {
+// controlClient is where an operator may change something, and as whom.
+type controlClient struct {
 	address   string
 	files     certs.Files
 	yes, json bool
 }
 
-func (c *controller) flags(cmd *cobra.Command) *cobra.Command {
+func (c *controlClient) flags(cmd *cobra.Command) *cobra.Command {
 	f := cmd.Flags()
 	f.StringVar(&c.address, "control", "", "a controller's operators' listener, host:port")
 	f.StringVar(&c.files.Cert, "cert", "", "your certificate")
@@ -109,7 +109,7 @@
 	return cmd
 }
 
-func (c *controller) client() (*control.Client, error) {
+func (c *controlClient) client() (*control.Client, error) {
 	if _, _, err := net.SplitHostPort(c.address); err != nil {
 		return nil, fmt.Errorf("--control: not host:port: %q", c.address)
 	}
@@ -132,7 +132,7 @@
 
 // change shows what a change would do to a pool, asks, and has it made: for the
 // version that was shown, and until it is durable.
-func (c *controller) change(cmd *cobra.Command, pool, question string, plan func(p *pools.View) (string, *pools.Change)) error {
+func (c *controlClient) change(cmd *cobra.Command, pool, question string, plan func(p *pools.View) (string, *pools.Change)) error {
 	client, err := c.client()
 	if err != nil {
 		return err
@@ -205,7 +205,7 @@
 }
 
 func poolSet() *cobra.Command {
-	var c controller
+	var c controlClient
 	var units string
 	cmd := c.flags(&cobra.Command{
 		Use: "set POOL --units N", Short: "Change how many units a pool has; says what that does, and asks", Args: cobra.ExactArgs(1),
@@ -237,7 +237,7 @@
 }
 
 func poolDrain() *cobra.Command {
-	var c controller
+	var c controlClient
 	var undo bool
 	cmd := c.flags(&cobra.Command{
 		Use: "drain POOL", Short: "Let no more units of a pool go out, or with --undo let them again; says what that does, and asks", Args: cobra.ExactArgs(1),
