--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -132,7 +132,7 @@
 	note string
 }
 
-func (c *configChanger) flags(cmd *cobra.Command) *cobra.Command {
+func (c *configChanger) addFlags(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().StringVar(&c.note, "note", "", "why, for the history")
 	return c.controlClient.flags(cmd)
 }
@@ -256,7 +256,7 @@
 
 func configSet() *cobra.Command {
 	var c configChanger
-	return c.flags(&cobra.Command{
+	return c.addFlags(&cobra.Command{
 		Use: "set CHANGE...", Short: "Change things together: team/NAME/FIELD=N, team/NAME=removed, SECTION.KEY=N, or =settings; says what that does, and asks", Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var edits []config.Edit
@@ -274,7 +274,7 @@
 
 func configApply() *cobra.Command {
 	var c configChanger
-	return c.flags(&cobra.Command{
+	return c.addFlags(&cobra.Command{
 		Use: "apply FILE", Short: "Change all that an INI file names, whole or not at all; says what that does, and asks", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			edits, err := config.FileEdits(args[0])
@@ -298,7 +298,7 @@
 
 func configRollback() *cobra.Command {
 	var c configChanger
-	return c.flags(&cobra.Command{
+	return c.addFlags(&cobra.Command{
 		Use: "rollback REVISION", Short: "Go back to what stood at a revision, by a new one; says what that does, and asks", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			to, err := strconv.ParseUint(args[0], 10, 63)
