--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -177,7 +177,7 @@
 		return err
 	}
 	request.DryRun = false
-	return c.make(cmd, client, request)
+	return c.commit(cmd, client, request)
 }
 
 // roomy is a platform whose values hold any name: how long one may be is the leader's to say.
@@ -187,8 +187,8 @@
 	return p
 }
 
-// make asks for a change until it is durable.
-func (c *configChanger) make(cmd *cobra.Command, client *control.Client, request reconfig.Request) error {
+// commit asks for a change until it is durable.
+func (c *configChanger) commit(cmd *cobra.Command, client *control.Client, request reconfig.Request) error {
 	return untilDurable(cmd.Context(), "the change is asked for, and not known to be durable: a takeover may undo it; see config history", func(ctx context.Context) (bool, error) {
 		var answer reconfig.Answer
 		raw, err := ask(ctx, client, request, &answer)
