--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -267,7 +267,7 @@
 				}
 				edits = append(edits, e)
 			}
-			return c.edit(cmd, edits)
+			return c.changeByEdits(cmd, edits)
 		},
 	})
 }
@@ -281,13 +281,13 @@
 			if err != nil {
 				return err
 			}
-			return c.edit(cmd, edits)
+			return c.changeByEdits(cmd, edits)
 		},
 	})
 }
 
-// edit makes changes of edits. What is wrong whatever stands now is refused before anybody is asked.
-func (c *configChanger) edit(cmd *cobra.Command, edits []config.Edit) error {
+// changeByEdits makes changes of edits. What is wrong whatever stands now is refused before anybody is asked.
+func (c *configChanger) changeByEdits(cmd *cobra.Command, edits []config.Edit) error {
 	if _, err := config.Changes(edits, func(string) config.Limits { return config.Limits{} }); err != nil {
 		return err
 	}
