--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -39,7 +39,7 @@
 			path := node.PathDuties + reconfig.Name
 			var v reconfig.View
 			err := o.ask(out, path, &v, func() { printConfig(out, &v) })
-			var unanswered answeredError
+			var unanswered statusError
 			if !errors.As(err, &unanswered) || unanswered.status != http.StatusServiceUnavailable {
 				return err
 			}
--- a/cmd/bitternmoor/operate.go
+++ b/cmd/bitternmoor/operate.go
@@ -52,14 +52,14 @@
 	return nil
 }
 
-// answeredError is an answer that is not what was asked for.
-type answeredError struct {
+// statusError is an answer that is not what was asked for.
+type statusError struct {
 	node   string
 	status int
 	body   string
 }
 
-func (e answeredError) Error() string {
+func (e statusError) Error() string {
 	return fmt.Sprintf("node %s answers %d: %s", e.node, e.status, e.body)
 }
 
@@ -102,7 +102,7 @@
 		return nil, failure{fmt.Errorf("node %s: %w", addr, err)}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, failure{answeredError{addr, resp.StatusCode, string(answer)}}
+		return nil, failure{statusError{addr, resp.StatusCode, string(answer)}}
 	}
 	return answer, nil
 }
