--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -214,7 +214,7 @@
 	if err != nil {
 		return nil, failure{err}
 	}
-	return raw, understand("controller", raw, answer)
+	return raw, decodeAnswer("controller", raw, answer)
 }
 
 // showInto looks into a duty through the operators' listener.
@@ -226,7 +226,7 @@
 	if err != nil {
 		return failure{err}
 	}
-	return understand("controller", raw, into)
+	return decodeAnswer("controller", raw, into)
 }
 
 // limitsIn are a team's limits in a view.
--- a/cmd/bitternmoor/operate.go
+++ b/cmd/bitternmoor/operate.go
@@ -45,7 +45,7 @@
 		_, err := fmt.Fprintf(out, "%s\n", body)
 		return err
 	}
-	if err := understand("node", body, into); err != nil {
+	if err := decodeAnswer("node", body, into); err != nil {
 		return err
 	}
 	done()
@@ -63,8 +63,8 @@
 	return fmt.Sprintf("node %s answers %d: %s", e.node, e.status, e.body)
 }
 
-// understand reads the answer of a node or a controller.
-func understand(who string, raw []byte, into any) error {
+// decodeAnswer reads the answer of a node or a controller.
+func decodeAnswer(who string, raw []byte, into any) error {
 	if err := json.Unmarshal(raw, into); err != nil {
 		return failure{fmt.Errorf("the %s's answer is not understood: %w", who, err)}
 	}
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -145,7 +145,7 @@
 		return failure{err}
 	}
 	var p pools.View
-	if err := understand("controller", raw, &p); err != nil {
+	if err := decodeAnswer("controller", raw, &p); err != nil {
 		return err
 	}
 	words, change := plan(&p)
@@ -167,7 +167,7 @@
 			return false, failure{err}
 		}
 		var done pools.Changed
-		if err := understand("controller", raw, &done); err != nil || !done.Durable {
+		if err := decodeAnswer("controller", raw, &done); err != nil || !done.Durable {
 			return false, err
 		}
 		if c.json {
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return list, understand("node", page, &list)
+	return list, decodeAnswer("node", page, &list)
 }
 
 // changeKinds has the leader change what it has learned. With --json its answer is
@@ -120,7 +120,7 @@
 		return nil
 	}
 	var done runtimes.Imported
-	if err := understand("node", answer, &done); err != nil {
+	if err := decodeAnswer("node", answer, &done); err != nil {
 		return err
 	}
 	say(done)
