--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -38,12 +38,12 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "POOL\tUNITS\tOUT\tUNCERTAIN\tAFTER LOSS\tWAITING\tRESERVE\tVERSION\tFIRST IN ORDER\tREMARK")
 	for _, p := range list {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", p.Pool, p.Units, p.Out, p.Uncertain, p.Lost, p.Waiting, p.Reserve, p.Version, p.First, remark(p))
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\n", p.Pool, p.Units, p.Out, p.Uncertain, p.Lost, p.Waiting, p.Reserve, p.Version, p.First, poolRemark(p))
 	}
 }
 
-// remark says what is out of the ordinary of a pool.
-func remark(p pools.View) string {
+// poolRemark says what is out of the ordinary of a pool.
+func poolRemark(p pools.View) string {
 	var out []string
 	if p.Closed != "" {
 		out = append(out, "no units are given out: "+p.Closed)
