--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -152,7 +152,7 @@
 	change.ID, change.Pool, change.Version = rand.Text(), pool, p.Version
 	out := cmd.OutOrStdout()
 	if !c.json {
-		fmt.Fprintf(out, "%s, version %d: %d units, %d out, %d waited for%s\n%s\n", pool, p.Version, p.Units, p.Out, p.Waiting, drained(p.Drained), words)
+		fmt.Fprintf(out, "%s, version %d: %d units, %d out, %d waited for%s\n%s\n", pool, p.Version, p.Units, p.Out, p.Waiting, drainedSuffix(p.Drained), words)
 	}
 	if err := confirm(cmd, c.yes, question); err != nil {
 		return err
@@ -173,7 +173,7 @@
 		if c.json {
 			fmt.Fprintf(out, "%s\n", raw)
 		} else {
-			fmt.Fprintf(out, "done: version %d, %d units, %d out%s\n", done.Version, done.Pool.Units, done.Pool.Out, drained(done.Pool.Drained))
+			fmt.Fprintf(out, "done: version %d, %d units, %d out%s\n", done.Version, done.Pool.Units, done.Pool.Out, drainedSuffix(done.Pool.Drained))
 		}
 		return true, nil
 	})
@@ -197,7 +197,7 @@
 	}
 }
 
-func drained(d bool) string {
+func drainedSuffix(d bool) string {
 	if d {
 		return ", drained"
 	}
