--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -76,7 +76,7 @@
 		if t.Removed {
 			remark = "removed: its open jobs go on"
 		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%v\t%s\t%s\t%s\n", t.Name, t.CPUs, limitWord(t.CPUsMax), t.GPUs, limitWord(t.GPUsMax), setBy(t.Revision), remark)
+		fmt.Fprintf(w, "%s\t%v\t%s\t%v\t%s\t%s\t%s\n", t.Name, t.CPUs, formatLimit(t.CPUsMax), t.GPUs, formatLimit(t.GPUsMax), setBy(t.Revision), remark)
 	}
 	fmt.Fprintln(w, "\nTUNABLE\tVALUE\tIN SETTINGS\tSET BY\tCOUNTS")
 	for _, t := range v.Tunables {
@@ -85,7 +85,7 @@
 	_ = w.Flush() // the terminal may be gone
 }
 
-func limitWord(v float64) string {
+func formatLimit(v float64) string {
 	if v == 0 {
 		return "any"
 	}
