--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -76,11 +76,11 @@
 		if t.Removed {
 			remark = "removed: its open jobs go on"
 		}
-		fmt.Fprintf(w, "%s\t%v\t%s\t%v\t%s\t%s\t%s\n", t.Name, t.CPUs, formatLimit(t.CPUsMax), t.GPUs, formatLimit(t.GPUsMax), setBy(t.Revision), remark)
+		fmt.Fprintf(w, "%s\t%v\t%s\t%v\t%s\t%s\t%s\n", t.Name, t.CPUs, formatLimit(t.CPUsMax), t.GPUs, formatLimit(t.GPUsMax), formatSource(t.Revision), remark)
 	}
 	fmt.Fprintln(w, "\nTUNABLE\tVALUE\tIN SETTINGS\tSET BY\tCOUNTS")
 	for _, t := range v.Tunables {
-		fmt.Fprintf(w, "%s\t%v\t%v\t%s\t%s\n", t.Key, t.Value, t.Settings, setBy(t.Revision), t.Effect)
+		fmt.Fprintf(w, "%s\t%v\t%v\t%s\t%s\n", t.Key, t.Value, t.Settings, formatSource(t.Revision), t.Effect)
 	}
 	_ = w.Flush() // the terminal may be gone
 }
@@ -92,7 +92,7 @@
 	return fmt.Sprint(v)
 }
 
-func setBy(revision uint64) string {
+func formatSource(revision uint64) string {
 	if revision == 0 {
 		return "settings"
 	}
