--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func utc(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05Z") }
+func formatTime(ms int64) string { return time.UnixMilli(ms).UTC().Format("2006-01-02 15:04:05Z") }
 
 func printTakeovers(out io.Writer, list []failover.Record) {
 	if len(list) == 0 {
@@ -50,7 +50,7 @@
 	}
 	fmt.Fprintln(w)
 	for _, r := range list {
-		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d", r.Epoch, r.Node, utc(r.AtMS), r.Machines, r.Jobs, r.HeldBack)
+		fmt.Fprintf(w, "%d\t%s\t%s\t%d\t%d\t%d", r.Epoch, r.Node, formatTime(r.AtMS), r.Machines, r.Jobs, r.HeldBack)
 		for _, s := range failover.Steps() {
 			ms, ok := r.After[s.String()]
 			if !ok {
@@ -70,7 +70,7 @@
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(w, "EPOCH\tLEADER\tBEGAN\tDOWN AT LEAST\tAT MOST\tMACHINES\tJOBS\tTASKS\tSETTLED\tHALF BACK\t90 % BACK\tALL BACK")
 	for _, r := range list {
-		fmt.Fprintf(w, "%d\t%s\t%s", r.Epoch, r.Node, utc(r.AtMS))
+		fmt.Fprintf(w, "%d\t%s\t%s", r.Epoch, r.Node, formatTime(r.AtMS))
 		printSeconds(w, r.LeastMS, r.MostMS)
 		fmt.Fprintf(w, "\t%d\t%d\t%d", r.Machines, r.Jobs, r.Tasks)
 		printSeconds(w, r.SettledMS, r.HalfMS, r.NinetyMS, r.BackMS)
