--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -78,12 +78,12 @@
 	}
 	_ = w.Flush() // to out, whose errors show at its end
 	for _, r := range list {
-		fmt.Fprintf(out, "\nepoch %d\n  differences  %s\n  orders       %s\n  needless     %s\n", r.Epoch, counts(r.Differences), counts(r.Orders), counts(r.Needless))
+		fmt.Fprintf(out, "\nepoch %d\n  differences  %s\n  orders       %s\n  needless     %s\n", r.Epoch, formatCounts(r.Differences), formatCounts(r.Orders), formatCounts(r.Needless))
 	}
 }
 
-// counts prints counts by name, the most frequent first.
-func counts(m map[string]uint64) string {
+// formatCounts prints counts by name, the most frequent first.
+func formatCounts(m map[string]uint64) string {
 	if len(m) == 0 {
 		return "none"
 	}
