--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -68,7 +68,7 @@
 		case !c.Heard:
 			remark = "not heard in this term"
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", c.Name, c.Revision, seconds(c.SinceS), seconds(c.LagS), remark)
+		fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", c.Name, c.Revision, formatSeconds(c.SinceS), formatSeconds(c.LagS), remark)
 	}
 	fmt.Fprintln(w, "\nTEAM\tCPUS\tAT MOST\tGPUS\tAT MOST\tSET BY\tREMARK")
 	for _, t := range v.Teams {
@@ -102,9 +102,9 @@
 func printHere(out io.Writer, h *reconfig.LocalView) {
 	age := "no leader has told of it"
 	if h.AgeS >= 0 {
-		age = "a leader told of it " + seconds(h.AgeS) + " ago"
+		age = "a leader told of it " + formatSeconds(h.AgeS) + " ago"
 	}
-	fmt.Fprintf(out, "the leader is not reached; %s has revision %d for %s, %s\n", h.Node, h.Revision, seconds(h.SinceS), age)
+	fmt.Fprintf(out, "the leader is not reached; %s has revision %d for %s, %s\n", h.Node, h.Revision, formatSeconds(h.SinceS), age)
 	for _, s := range h.Sets {
 		fmt.Fprintf(out, "  %s: %s (revision %d)\n", s.Item, s.Value, s.Revision)
 	}
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -82,7 +82,7 @@
 						task = strconv.Itoa(h.Task)
 					}
 					if h.SinceS > 0 {
-						since = seconds(h.SinceS)
+						since = formatSeconds(h.SinceS)
 					}
 					fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%s\n", h.Job, task, h.Team, h.Units, strings.Trim(fmt.Sprint(h.Numbers), "[]"), h.Machine, since, h.Back)
 				}
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -36,7 +36,7 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "FROM\tIN\tWORK, CPU S\tCPUS BUSY\tHEAVIEST NIGHT, CPU S\tCPUS BUSY")
 	for _, e := range list {
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.1f\t%.0f\t%.1f\n", e.At, seconds(e.InS), e.Work, e.CPUs, e.Most, e.CPUsMost)
+		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.1f\t%.0f\t%.1f\n", e.At, formatSeconds(e.InS), e.Work, e.CPUs, e.Most, e.CPUsMost)
 	}
 }
 
@@ -49,13 +49,13 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "JOB\tBEGINS IN\tENDS IN\tNINE IN TEN BY\tWAITING\tPLACED\tA TASK\tFROM\tAFTER\tMISSES")
 	for _, f := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s to %s\t%s\t%s\t%s\n", f.Job, seconds(f.BeginS), seconds(f.EndS), seconds(f.EndP90S), f.Waiting, f.Placed,
-			seconds(f.Estimate.P50), seconds(f.Estimate.P90), f.Estimate.From, strings.Join(f.After, ", "), strings.Join(f.Misses, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s to %s\t%s\t%s\t%s\n", f.Job, formatSeconds(f.BeginS), formatSeconds(f.EndS), formatSeconds(f.EndP90S), f.Waiting, f.Placed,
+			formatSeconds(f.Estimate.P50), formatSeconds(f.Estimate.P90), f.Estimate.From, strings.Join(f.After, ", "), strings.Join(f.Misses, ", "))
 	}
 }
 
-// seconds is a time in words.
-func seconds(s float64) string {
+// formatSeconds is a time in words.
+func formatSeconds(s float64) string {
 	d := time.Duration(s * float64(time.Second))
 	if d < 10*time.Second {
 		return d.Round(100 * time.Millisecond).String()
@@ -76,7 +76,7 @@
 	defer w.Flush()
 	fmt.Fprintln(w, "JOB\tCLASS\tTEAM\tAGE\tLEARNED DEADLINE\tEXPECTED END\tWHY\tSINCE")
 	for _, l := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", l.Job, l.Class, l.Team, seconds(l.AgeS), seconds(l.LearnedS), seconds(l.EndS), l.Why, time.UnixMilli(l.RaisedMS).UTC().Format("15:04:05Z"))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", l.Job, l.Class, l.Team, formatSeconds(l.AgeS), formatSeconds(l.LearnedS), formatSeconds(l.EndS), l.Why, time.UnixMilli(l.RaisedMS).UTC().Format("15:04:05Z"))
 	}
 }
 
@@ -198,7 +198,7 @@
 			}
 			out := cmd.OutOrStdout()
 			if e := known[i].Estimate; !o.json {
-				fmt.Fprintf(out, "%s would be forgotten: %d jobs, %d tasks in %d nights, a task %s to %s; coarser kinds stay\n", args[0], e.Jobs, e.Tasks, e.Nights, seconds(e.P50), seconds(e.P90))
+				fmt.Fprintf(out, "%s would be forgotten: %d jobs, %d tasks in %d nights, a task %s to %s; coarser kinds stay\n", args[0], e.Jobs, e.Tasks, e.Nights, formatSeconds(e.P50), formatSeconds(e.P90))
 			}
 			if err := confirm(cmd, yes, "forget it?"); err != nil {
 				return err
@@ -257,7 +257,7 @@
 	fmt.Fprintln(w, "KIND\tTASK P50\tTASK P90\tFETCH\tJOB P50\tJOB P90\tJOBS\tTASKS\tNIGHTS\tLAST\tREMARK")
 	for _, k := range list {
 		e := k.Estimate
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s ago\t%s\n", k.Name, seconds(e.P50), seconds(e.P90), seconds(e.Fetch), seconds(e.JobP50), seconds(e.JobP90),
-			e.Jobs, e.Tasks, e.Nights, seconds(e.AgeS), e.Wide)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s ago\t%s\n", k.Name, formatSeconds(e.P50), formatSeconds(e.P90), formatSeconds(e.Fetch), formatSeconds(e.JobP50), formatSeconds(e.JobP90),
+			e.Jobs, e.Tasks, e.Nights, formatSeconds(e.AgeS), e.Wide)
 	}
 }
