--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -167,7 +167,7 @@
 	if !c.json {
 		fmt.Fprintf(out, "revision %d would become %d:\n", v.Revision, answer.Revision)
 		for _, x := range changes {
-			fmt.Fprintf(out, "  %s: %s, now %s\n", x.Item, x.Value, standing(&v, x.Item))
+			fmt.Fprintf(out, "  %s: %s, now %s\n", x.Item, x.Value, currentValue(&v, x.Item))
 		}
 		for _, r := range answer.Remarks {
 			fmt.Fprintln(out, "  "+r)
@@ -237,8 +237,8 @@
 	return config.Limits{}
 }
 
-// standing says in words what an item is in a view.
-func standing(v *reconfig.View, i config.Item) string {
+// currentValue says in words what an item is in a view.
+func currentValue(v *reconfig.View, i config.Item) string {
 	if i.Team != "" {
 		n := slices.IndexFunc(v.Teams, func(t reconfig.Team) bool { return t.Name == i.Team })
 		if n < 0 {
