--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -155,7 +155,7 @@
 	if len(changes) == 0 {
 		return errors.New("nothing would change")
 	}
-	if err := config.Check(changes, roomy()); err != nil {
+	if err := config.Check(changes, unboundedPlatform()); err != nil {
 		return err
 	}
 	request := reconfig.Request{ID: rand.Text(), Revision: v.Revision, Note: c.note, Changes: changes, DryRun: true}
@@ -180,8 +180,8 @@
 	return c.commit(cmd, client, request)
 }
 
-// roomy is a platform whose values hold any name: how long one may be is the leader's to say.
-func roomy() *settings.Platform {
+// unboundedPlatform is a platform whose values hold any name: how long one may be is the leader's to say.
+func unboundedPlatform() *settings.Platform {
 	p := &settings.Platform{}
 	p.Deployment.State.ValueKB = math.MaxInt32
 	return p
