--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -45,7 +45,7 @@
 			}
 			// The leader is not reached: what this controller has, and how old that is.
 			var h reconfig.LocalView
-			return o.ask(out, path+"/"+reconfig.ViewHere, &h, func() { printHere(out, &h) })
+			return o.ask(out, path+"/"+reconfig.ViewHere, &h, func() { printLocalConfig(out, &h) })
 		},
 	})
 }
@@ -99,7 +99,7 @@
 	return "revision " + strconv.FormatUint(revision, 10)
 }
 
-func printHere(out io.Writer, h *reconfig.LocalView) {
+func printLocalConfig(out io.Writer, h *reconfig.LocalView) {
 	age := "no leader has told of it"
 	if h.AgeS >= 0 {
 		age = "a leader told of it " + formatSeconds(h.AgeS) + " ago"
--- a/cmd/bitternmoor/output_test.go
+++ b/cmd/bitternmoor/output_test.go
@@ -122,7 +122,7 @@
 		print func(io.Writer) error
 	}{
 		{"config", printed(func(out io.Writer, v reconfig.View) { printConfig(out, &v) })},
-		{"config of this controller", printed(func(out io.Writer, v reconfig.LocalView) { printHere(out, &v) })},
+		{"config of this controller", printed(func(out io.Writer, v reconfig.LocalView) { printLocalConfig(out, &v) })},
 		{"config history", printed(func(out io.Writer, v []config.Revision) { printHistory(out, v) })},
 		{"status", printed(printStatus)},
 		{"pools", printed(printPools)},
