--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -145,7 +145,7 @@
 		return err
 	}
 	var v reconfig.View
-	if err := showInto(cmd.Context(), client, reconfig.Name, &v); err != nil {
+	if err := fetchView(cmd.Context(), client, reconfig.Name, &v); err != nil {
 		return err
 	}
 	changes, err := plan(cmd.Context(), client, &v)
@@ -217,8 +217,8 @@
 	return raw, decodeAnswer("controller", raw, answer)
 }
 
-// showInto looks into a duty through the operators' listener.
-func showInto(ctx context.Context, client *control.Client, what string, into any) error {
+// fetchView looks into a duty through the operators' listener.
+func fetchView(ctx context.Context, client *control.Client, what string, into any) error {
 	raw, err := client.Show(ctx, what)
 	if errors.Is(err, control.ErrUnknown) {
 		return failure{errors.New("the configuration cannot be changed while controllers run: config.history is 0")}
@@ -310,7 +310,7 @@
 			}
 			return c.change(cmd, func(ctx context.Context, client *control.Client, v *reconfig.View) ([]config.Change, error) {
 				var history []config.Revision
-				if err := showInto(ctx, client, reconfig.Name+"/"+reconfig.ViewHistory, &history); err != nil {
+				if err := fetchView(ctx, client, reconfig.Name+"/"+reconfig.ViewHistory, &history); err != nil {
 					return nil, err
 				}
 				slices.Reverse(history)
