--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -160,7 +160,7 @@
 	}
 	request := reconfig.Request{ID: rand.Text(), Revision: v.Revision, Note: c.note, Changes: changes, DryRun: true}
 	var answer reconfig.Answer
-	if _, err := ask(cmd.Context(), client, request, &answer); err != nil {
+	if _, err := requestChange(cmd.Context(), client, request, &answer); err != nil {
 		return err
 	}
 	out := cmd.OutOrStdout()
@@ -191,7 +191,7 @@
 func (c *configChanger) commit(cmd *cobra.Command, client *control.Client, request reconfig.Request) error {
 	return untilDurable(cmd.Context(), "the change is asked for, and not known to be durable: a takeover may undo it; see config history", func(ctx context.Context) (bool, error) {
 		var answer reconfig.Answer
-		raw, err := ask(ctx, client, request, &answer)
+		raw, err := requestChange(ctx, client, request, &answer)
 		if err != nil || !answer.Durable {
 			return false, err
 		}
@@ -204,8 +204,8 @@
 	})
 }
 
-// ask makes one request of the duty.
-func ask(ctx context.Context, client *control.Client, request reconfig.Request, answer *reconfig.Answer) (json.RawMessage, error) {
+// requestChange makes one request of the duty.
+func requestChange(ctx context.Context, client *control.Client, request reconfig.Request, answer *reconfig.Answer) (json.RawMessage, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
 		return nil, failure{err}
