--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -189,7 +189,7 @@
 
 // commit asks for a change until it is durable.
 func (c *configChanger) commit(cmd *cobra.Command, client *control.Client, request reconfig.Request) error {
-	return untilDurable(cmd.Context(), "the change is asked for, and not known to be durable: a takeover may undo it; see config history", func(ctx context.Context) (bool, error) {
+	return retryUntilDurable(cmd.Context(), "the change is asked for, and not known to be durable: a takeover may undo it; see config history", func(ctx context.Context) (bool, error) {
 		var answer reconfig.Answer
 		raw, err := requestChange(ctx, client, request, &answer)
 		if err != nil || !answer.Durable {
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -161,7 +161,7 @@
 	if err != nil {
 		return failure{err}
 	}
-	return untilDurable(cmd.Context(), "the change is made, and not known to be durable: a takeover may undo it; see pools show", func(ctx context.Context) (bool, error) {
+	return retryUntilDurable(cmd.Context(), "the change is made, and not known to be durable: a takeover may undo it; see pools show", func(ctx context.Context) (bool, error) {
 		raw, err := client.Change(ctx, pools.Name, body)
 		if err != nil {
 			return false, failure{err}
@@ -179,9 +179,9 @@
 	})
 }
 
-// untilDurable asks for a change until it is durable; unknown is what is said where that is not
+// retryUntilDurable asks for a change until it is durable; unknown is what is said where that is not
 // known in time.
-func untilDurable(ctx context.Context, unknown string, ask func(ctx context.Context) (durable bool, err error)) error {
+func retryUntilDurable(ctx context.Context, unknown string, ask func(ctx context.Context) (durable bool, err error)) error {
 	ctx, cancel := context.WithTimeout(ctx, durableWithin)
 	defer cancel()
 	for {
