--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -126,8 +126,8 @@
 }
 
 const (
-	durableWithin = 15 * time.Second
-	durablePause  = 200 * time.Millisecond
+	durableTimeout = 15 * time.Second
+	durablePause   = 200 * time.Millisecond
 )
 
 // change shows what a change would do to a pool, asks, and has it made: for the
@@ -182,7 +182,7 @@
 // retryUntilDurable asks for a change until it is durable; unknown is what is said where that is not
 // known in time.
 func retryUntilDurable(ctx context.Context, unknown string, ask func(ctx context.Context) (durable bool, err error)) error {
-	ctx, cancel := context.WithTimeout(ctx, durableWithin)
+	ctx, cancel := context.WithTimeout(ctx, durableTimeout)
 	defer cancel()
 	for {
 		durable, err := ask(ctx)
