--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -126,8 +126,8 @@
 }
 
 const (
-	durableTimeout = 15 * time.Second
-	durablePause   = 200 * time.Millisecond
+	durableTimeout       = 15 * time.Second
+	durableRetryInterval = 200 * time.Millisecond
 )
 
 // change shows what a change would do to a pool, asks, and has it made: for the
@@ -192,7 +192,7 @@
 		select {
 		case <-ctx.Done():
 			return failure{errors.New(unknown)}
-		case <-time.After(durablePause):
+		case <-time.After(durableRetryInterval):
 		}
 	}
 }
