--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -229,8 +229,8 @@
 	return decodeAnswer("controller", raw, into)
 }
 
-// limitsIn are a team's limits in a view.
-func limitsIn(v *reconfig.View, team string) config.Limits {
+// teamLimits are a team's limits in a view.
+func teamLimits(v *reconfig.View, team string) config.Limits {
 	if i := slices.IndexFunc(v.Teams, func(t reconfig.Team) bool { return t.Name == team }); i >= 0 {
 		return v.Teams[i].Limits
 	}
@@ -292,7 +292,7 @@
 		return err
 	}
 	return c.change(cmd, func(_ context.Context, _ *control.Client, v *reconfig.View) ([]config.Change, error) {
-		return config.Changes(edits, func(team string) config.Limits { return limitsIn(v, team) })
+		return config.Changes(edits, func(team string) config.Limits { return teamLimits(v, team) })
 	})
 }
 
