--- a/cmd/bitternmoor/operate.go
+++ b/cmd/bitternmoor/operate.go
@@ -19,7 +19,7 @@
 	"bitternmoor/internal/wire"
 )
 
-const operatorTimeout = 5 * time.Second
+const requestTimeout = 5 * time.Second
 
 // nodeClient holds the flags of the commands that ask a running node.
 type nodeClient struct {
@@ -91,7 +91,7 @@
 	if err != nil {
 		return nil, failure{fmt.Errorf("node %s: %w", addr, err)}
 	}
-	client := &http.Client{Timeout: operatorTimeout}
+	client := &http.Client{Timeout: requestTimeout}
 	resp, err := client.Do(req)
 	if err != nil {
 		return nil, failure{fmt.Errorf("node %s cannot be reached: %w", addr, err)}
