--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -134,7 +134,7 @@
 
 func (c *configChanger) addFlags(cmd *cobra.Command) *cobra.Command {
 	cmd.Flags().StringVar(&c.note, "note", "", "why, for the history")
-	return c.controlClient.flags(cmd)
+	return c.controlClient.addFlags(cmd)
 }
 
 // change shows what changes would do, asks, and has them made: for the revision that was seen,
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -98,7 +98,7 @@
 	yes, json bool
 }
 
-func (c *controlClient) flags(cmd *cobra.Command) *cobra.Command {
+func (c *controlClient) addFlags(cmd *cobra.Command) *cobra.Command {
 	f := cmd.Flags()
 	f.StringVar(&c.address, "control", "", "a controller's operators' listener, host:port")
 	f.StringVar(&c.files.Cert, "cert", "", "your certificate")
@@ -207,7 +207,7 @@
 func poolSet() *cobra.Command {
 	var c controlClient
 	var units string
-	cmd := c.flags(&cobra.Command{
+	cmd := c.addFlags(&cobra.Command{
 		Use: "set POOL --units N", Short: "Change how many units a pool has; says what that does, and asks", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			n, err := strconv.ParseInt(units, 10, 64)
@@ -239,7 +239,7 @@
 func poolDrain() *cobra.Command {
 	var c controlClient
 	var undo bool
-	cmd := c.flags(&cobra.Command{
+	cmd := c.addFlags(&cobra.Command{
 		Use: "drain POOL", Short: "Let no more units of a pool go out, or with --undo let them again; says what that does, and asks", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return c.change(cmd, args[0], "go on?", func(p *pools.View) (string, *pools.Change) {
