--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -140,7 +140,7 @@
 // change shows what changes would do, asks, and has them made: for the revision that was seen,
 // whole or not at all, and until that is durable.
 func (c *configChanger) change(cmd *cobra.Command, plan func(ctx context.Context, client *control.Client, v *reconfig.View) ([]config.Change, error)) error {
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -109,7 +109,7 @@
 	return cmd
 }
 
-func (c *controlClient) client() (*control.Client, error) {
+func (c *controlClient) connect() (*control.Client, error) {
 	if _, _, err := net.SplitHostPort(c.address); err != nil {
 		return nil, fmt.Errorf("--control: not host:port: %q", c.address)
 	}
@@ -133,7 +133,7 @@
 // change shows what a change would do to a pool, asks, and has it made: for the
 // version that was shown, and until it is durable.
 func (c *controlClient) change(cmd *cobra.Command, pool, question string, plan func(p *pools.View) (string, *pools.Change)) error {
-	client, err := c.client()
+	client, err := c.connect()
 	if err != nil {
 		return err
 	}
