--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -38,14 +38,14 @@
 			out := cmd.OutOrStdout()
 			path := node.PathDuties + reconfig.Name
 			var v reconfig.View
-			err := o.ask(out, path, &v, func() { printConfig(out, &v) })
+			err := o.printView(out, path, &v, func() { printConfig(out, &v) })
 			var unanswered statusError
 			if !errors.As(err, &unanswered) || unanswered.status != http.StatusServiceUnavailable {
 				return err
 			}
 			// The leader is not reached: what this controller has, and how old that is.
 			var h reconfig.LocalView
-			return o.ask(out, path+"/"+reconfig.ViewHere, &h, func() { printLocalConfig(out, &h) })
+			return o.printView(out, path+"/"+reconfig.ViewHere, &h, func() { printLocalConfig(out, &h) })
 		},
 	})
 }
--- a/cmd/bitternmoor/operate.go
+++ b/cmd/bitternmoor/operate.go
@@ -34,9 +34,9 @@
 	return c
 }
 
-// ask reads a path of the operators' endpoint. With --json the body is
+// printView reads a path of the operators' endpoint. With --json the body is
 // copied as it is and done is not called.
-func (o *nodeClient) ask(out io.Writer, path string, into any, done func()) error {
+func (o *nodeClient) printView(out io.Writer, path string, into any, done func()) error {
 	body, err := o.call(http.MethodGet, path, nil)
 	if err != nil {
 		return err
@@ -114,7 +114,7 @@
 		Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var page T
-			return o.ask(cmd.OutOrStdout(), path, &page, func() { print(cmd.OutOrStdout(), page) })
+			return o.printView(cmd.OutOrStdout(), path, &page, func() { print(cmd.OutOrStdout(), page) })
 		},
 	})
 }
@@ -161,7 +161,7 @@
 				return fmt.Errorf("not a job id: %q", args[0])
 			}
 			var e node.Explanation
-			return o.ask(cmd.OutOrStdout(), node.PathExplain+args[0], &e, func() {
+			return o.printView(cmd.OutOrStdout(), node.PathExplain+args[0], &e, func() {
 				for _, w := range e.Words {
 					fmt.Fprintf(cmd.OutOrStdout(), "%s: %s\n", e.ID, w)
 				}
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -67,7 +67,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var p pools.View
 			out := cmd.OutOrStdout()
-			return o.ask(out, node.PathDuties+pools.Name+"/"+args[0], &p, func() {
+			return o.printView(out, node.PathDuties+pools.Name+"/"+args[0], &p, func() {
 				printPools(out, []pools.View{p})
 				if len(p.Holders) == 0 {
 					return
