--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -95,8 +95,8 @@
 	return top
 }
 
-// kinds lists what the leader has learned.
-func (o *nodeClient) kinds() (list []shownKind, err error) {
+// fetchKinds lists what the leader has learned.
+func (o *nodeClient) fetchKinds() (list []shownKind, err error) {
 	page, err := o.call(http.MethodGet, node.PathDuties+runtimes.Name, nil)
 	if err != nil {
 		return nil, err
@@ -138,7 +138,7 @@
 				return err
 			}
 			in.Replace = replace
-			known, err := o.kinds()
+			known, err := o.fetchKinds()
 			if err != nil {
 				return err
 			}
@@ -188,7 +188,7 @@
 	c := &cobra.Command{
 		Use: "forget KEY", Short: "Forget one kind of work, by its name in show; says what it will change, and asks", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			known, err := o.kinds()
+			known, err := o.fetchKinds()
 			if err != nil {
 				return err
 			}
