--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -32,7 +32,7 @@
 
 func configShow() *cobra.Command {
 	var o nodeClient
-	return o.flags(&cobra.Command{
+	return o.addFlags(&cobra.Command{
 		Use: "show", Short: "Show the configuration, and which revision of it each controller has in force", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			out := cmd.OutOrStdout()
--- a/cmd/bitternmoor/operate.go
+++ b/cmd/bitternmoor/operate.go
@@ -27,7 +27,7 @@
 	json            bool
 }
 
-func (o *nodeClient) flags(c *cobra.Command) *cobra.Command {
+func (o *nodeClient) addFlags(c *cobra.Command) *cobra.Command {
 	c.Flags().StringVar(&o.address, "address", "", "a node's internal address, host:port")
 	c.Flags().StringVar(&o.config, "config", "", "take the address from this settings file")
 	c.Flags().BoolVar(&o.json, "json", false, "print JSON")
@@ -110,7 +110,7 @@
 // viewCommand is a command that reads one page of the operators' endpoint and prints it.
 func viewCommand[T any](use, short, path string, print func(io.Writer, T)) *cobra.Command {
 	var o nodeClient
-	return o.flags(&cobra.Command{
+	return o.addFlags(&cobra.Command{
 		Use: use, Short: short, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var page T
@@ -154,7 +154,7 @@
 
 func explainCommand() *cobra.Command {
 	var o nodeClient
-	return o.flags(&cobra.Command{
+	return o.addFlags(&cobra.Command{
 		Use: "explain JOB", Short: "Say where a job stands and what it waits for", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, ok := wire.ParseID(args[0]); !ok {
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -62,7 +62,7 @@
 
 func poolShow() *cobra.Command {
 	var o nodeClient
-	return o.flags(&cobra.Command{
+	return o.addFlags(&cobra.Command{
 		Use: "show POOL", Short: "Show who holds units of a pool, since when, and what would prove that they are back", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var p pools.View
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -166,7 +166,7 @@
 	}
 	c.Flags().BoolVar(&replace, "replace", false, "replace the history of kinds that are known already")
 	c.Flags().BoolVar(&yes, "yes", false, "do not ask")
-	return o.flags(c)
+	return o.addFlags(c)
 }
 
 // confirm asks before something is changed, unless a script has said yes.
@@ -207,7 +207,7 @@
 		},
 	}
 	c.Flags().BoolVar(&yes, "yes", false, "do not ask")
-	return o.flags(c)
+	return o.addFlags(c)
 }
 
 // readExport reads an export and checks every line before any is used.
