--- /dev/null
+++ b/cmd/bitternmoor/certs.go
@@ -0,0 +1,83 @@
+package main
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/settings"
+)
+
+func certsCommand() *cobra.Command {
+	top := &cobra.Command{Use: "certs", Short: "Make certificates for the operators' listener of a small installation"}
+	top.AddCommand(certsCACommand(), certsIssueCommand())
+	return top
+}
+
+// certFlags are those of the commands that make certificates.
+type certFlags struct {
+	dir  string
+	days int
+}
+
+func (f *certFlags) addTo(cmd *cobra.Command) *cobra.Command {
+	cmd.Flags().StringVar(&f.dir, "dir", ".", "where certificates and keys are kept")
+	cmd.Flags().IntVar(&f.days, "days", 365, "for how long it is good")
+	return cmd
+}
+
+// maxCertDays is some hundred years.
+const maxCertDays = 36500
+
+// lifetime is for how long a certificate is good.
+func (f *certFlags) lifetime() (time.Duration, error) {
+	if f.days < 1 || f.days > maxCertDays {
+		return 0, fmt.Errorf("--days: must be between 1 and %d, is %d", maxCertDays, f.days)
+	}
+	return time.Duration(f.days) * 24 * time.Hour, nil
+}
+
+func certsCACommand() *cobra.Command {
+	var flags certFlags
+	return flags.addTo(&cobra.Command{
+		Use: "ca", Short: "Make a CA; it writes over nothing", Args: cobra.NoArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			lifetime, err := flags.lifetime()
+			if err != nil {
+				return err
+			}
+			if err := certs.MakeCA(flags.dir, "bitternmoor CA", lifetime); err != nil {
+				return failure{err}
+			}
+			printf(cmd.OutOrStdout(), "%s/ca.pem and its key %s/ca.key are made: whoever has the key can make operators\n",
+				flags.dir, flags.dir)
+			return nil
+		},
+	})
+}
+
+func certsIssueCommand() *cobra.Command {
+	var flags certFlags
+	var hosts string
+	cmd := flags.addTo(&cobra.Command{
+		Use:   "issue NAME",
+		Short: "Make a certificate for an operator, or with --hosts for a controller, signed by the CA",
+		Args:  cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			lifetime, err := flags.lifetime()
+			if err != nil {
+				return err
+			}
+			name := args[0]
+			if err := certs.Issue(flags.dir, name, settings.List(hosts), lifetime); err != nil {
+				return failure{err}
+			}
+			printf(cmd.OutOrStdout(), "%s/%s.pem and its key %s/%s.key are made\n", flags.dir, name, flags.dir, name)
+			return nil
+		},
+	})
+	cmd.Flags().StringVar(&hosts, "hosts", "", "names and addresses at which a controller is called, separated by commas")
+	return cmd
+}
--- /dev/null
+++ b/cmd/bitternmoor/controlclient.go
@@ -0,0 +1,95 @@
+package main
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"strings"
+	"time"
+
+	"github.com/spf13/cobra"
+
+	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/operators/control"
+)
+
+// controlClient reaches a controller's operators' listener with the operator's certificate. It holds the
+// flags of the commands that change something.
+type controlClient struct {
+	address   string
+	files     certs.Files
+	yes, json bool
+}
+
+// addFlags adds the flags to a command, and returns it.
+func (c *controlClient) addFlags(cmd *cobra.Command) *cobra.Command {
+	flags := cmd.Flags()
+	flags.StringVar(&c.address, "control", "", "a controller's operators' listener, host:port")
+	flags.StringVar(&c.files.Cert, "cert", "", "your certificate")
+	flags.StringVar(&c.files.Key, "key", "", "its key")
+	flags.StringVar(&c.files.CA, "ca", "", "certificates of those who sign controllers' certificates")
+	flags.BoolVar(&c.yes, "yes", false, "do not ask")
+	flags.BoolVar(&c.json, "json", false, "print JSON")
+	return cmd
+}
+
+// connect checks the flags and makes a client of the listener.
+func (c *controlClient) connect() (*control.Client, error) {
+	if _, _, err := net.SplitHostPort(c.address); err != nil {
+		return nil, fmt.Errorf("--control: not host:port: %q", c.address)
+	}
+	needed := []struct{ flag, value string }{{"cert", c.files.Cert}, {"key", c.files.Key}, {"ca", c.files.CA}}
+	for _, file := range needed {
+		if file.value == "" {
+			return nil, fmt.Errorf("--%s is needed", file.flag)
+		}
+	}
+	pair, err := c.files.Read()
+	if err != nil {
+		return nil, err
+	}
+	return control.NewClient(c.address, pair.Client()), nil
+}
+
+// How long, and how often, it is asked whether a change is durable.
+const (
+	durableTimeout       = 15 * time.Second
+	durableRetryInterval = 200 * time.Millisecond
+)
+
+// retryUntilDurable makes an idempotent request for a change until it is durable. Where that is not known in
+// time, it fails with the words unknown.
+func retryUntilDurable(
+	ctx context.Context, unknown string, request func(ctx context.Context) (durable bool, err error),
+) error {
+	ctx, cancel := context.WithTimeout(ctx, durableTimeout)
+	defer cancel()
+	for {
+		durable, err := request(ctx)
+		if err != nil || durable {
+			return err
+		}
+		select {
+		case <-ctx.Done():
+			return failure{errors.New(unknown)}
+		case <-time.After(durableRetryInterval):
+		}
+	}
+}
+
+// confirm asks before something is changed, unless a script has said yes.
+func confirm(cmd *cobra.Command, yes bool, question string) error {
+	if yes {
+		return nil
+	}
+	printf(cmd.OutOrStdout(), "%s [y/N] ", question)
+	// An error, such as the end of the input, leaves the answer empty, which is a no.
+	line, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
+	answer := strings.ToLower(strings.TrimSpace(line))
+	if answer != "y" && answer != "yes" {
+		return failure{errors.New("nothing was changed")}
+	}
+	return nil
+}
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -1,18 +1,13 @@
 package main
 
 import (
-	"bufio"
 	"bytes"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"net/http"
 	"os"
 	"slices"
-	"strings"
-	"text/tabwriter"
-	"time"
 
 	"github.com/spf13/cobra"
 
@@ -20,66 +15,6 @@
 	"bitternmoor/internal/node"
 )
 
-func forecastCommand() *cobra.Command {
-	c := viewCommand("forecast", "Show when open jobs should begin and end, and what they will miss", node.PathDuties+runtimes.Name+"/forecast", printForecasts)
-	c.AddCommand(viewCommand("ahead", "Show the work that is expected over the next twelve hours, by nights before", node.PathDuties+runtimes.Name+"/ahead", printAhead))
-	return c
-}
-
-func printAhead(out io.Writer, list []runtimes.Expected) {
-	if len(list) == 0 || list[0].Nights == 0 {
-		fmt.Fprintln(out, "no night was learned from yet: a night counts once the one after it is over")
-		return
-	}
-	fmt.Fprintf(out, "learned from %d nights; %v processors are rented\n", list[0].Nights, list[0].Now)
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	fmt.Fprintln(w, "FROM\tIN\tWORK, CPU S\tCPUS BUSY\tHEAVIEST NIGHT, CPU S\tCPUS BUSY")
-	for _, e := range list {
-		fmt.Fprintf(w, "%s\t%s\t%.0f\t%.1f\t%.0f\t%.1f\n", e.At, formatSeconds(e.InS), e.Work, e.CPUs, e.Most, e.CPUsMost)
-	}
-}
-
-func printForecasts(out io.Writer, list []runtimes.Forecast) {
-	if len(list) == 0 {
-		fmt.Fprintln(out, "no job is open")
-		return
-	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	fmt.Fprintln(w, "JOB\tBEGINS IN\tENDS IN\tNINE IN TEN BY\tWAITING\tPLACED\tA TASK\tFROM\tAFTER\tMISSES")
-	for _, f := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%d\t%s to %s\t%s\t%s\t%s\n", f.Job, formatSeconds(f.BeginS), formatSeconds(f.EndS), formatSeconds(f.EndP90S), f.Waiting, f.Placed,
-			formatSeconds(f.Estimate.P50), formatSeconds(f.Estimate.P90), f.Estimate.From, strings.Join(f.After, ", "), strings.Join(f.Misses, ", "))
-	}
-}
-
-// formatSeconds is a time in words.
-func formatSeconds(s float64) string {
-	d := time.Duration(s * float64(time.Second))
-	if d < 10*time.Second {
-		return d.Round(100 * time.Millisecond).String()
-	}
-	return d.Round(time.Second).String()
-}
-
-func lateCommand() *cobra.Command {
-	return viewCommand("late", "Show the jobs that run well past what their kind has shown, and why", node.PathDuties+runtimes.Name+"/late", printLate)
-}
-
-func printLate(out io.Writer, list []runtimes.Late) {
-	if len(list) == 0 {
-		fmt.Fprintln(out, "no job is late")
-		return
-	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	fmt.Fprintln(w, "JOB\tCLASS\tTEAM\tAGE\tLEARNED DEADLINE\tEXPECTED END\tWHY\tSINCE")
-	for _, l := range list {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%s\t%s\n", l.Job, l.Class, l.Team, formatSeconds(l.AgeS), formatSeconds(l.LearnedS), formatSeconds(l.EndS), l.Why, time.UnixMilli(l.RaisedMS).UTC().Format("15:04:05Z"))
-	}
-}
-
 // shownKind is what the leader shows of one kind of work.
 type shownKind struct {
 	Name     string            `json:"name"`
@@ -88,126 +23,143 @@
 }
 
 func runTimesCommand() *cobra.Command {
+	path := node.PathDuties + runtimes.Name
 	top := &cobra.Command{Use: "run-times", Short: "Show, export, import or forget what was learned of run times"}
-	top.AddCommand(viewCommand("show", "Show each kind of work with its estimate", node.PathDuties+runtimes.Name, printKinds),
-		viewCommand("export", "Print what was learned as JSON lines, one kind a line, in order of their names", node.PathDuties+runtimes.Name, exportKinds),
+	top.AddCommand(
+		viewCommand("show", "Show each kind of work with its estimate", path, printKinds),
+		viewCommand("export", "Print what was learned as JSON lines, one kind a line, in order of their names",
+			path, exportKinds),
 		importCommand(), forgetCommand())
 	return top
 }
 
 // fetchKinds lists what the leader has learned.
-func (o *nodeClient) fetchKinds() (list []shownKind, err error) {
-	page, err := o.call(http.MethodGet, node.PathDuties+runtimes.Name, nil)
+func (n *nodeClient) fetchKinds() (list []shownKind, err error) {
+	page, err := n.call(http.MethodGet, node.PathDuties+runtimes.Name, nil)
 	if err != nil {
 		return nil, err
 	}
 	return list, decodeAnswer("node", page, &list)
 }
 
-// changeKinds has the leader change what it has learned. With --json its answer is
-// printed as it is, otherwise said.
-func (o *nodeClient) changeKinds(out io.Writer, in runtimes.Import, say func(done runtimes.Imported)) error {
+// changeKinds has the leader change what it has learned. With --json its answer is printed as it is,
+// otherwise print is called with it.
+func (n *nodeClient) changeKinds(out io.Writer, in runtimes.Import, print func(done runtimes.Imported)) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return failure{err}
 	}
-	answer, err := o.call(http.MethodPost, node.PathDuties+runtimes.Name, body)
+	answer, err := n.call(http.MethodPost, node.PathDuties+runtimes.Name, body)
 	if err != nil {
 		return err
 	}
-	if o.json {
-		fmt.Fprintf(out, "%s\n", answer)
+	if n.json {
+		printf(out, "%s\n", answer)
 		return nil
 	}
 	var done runtimes.Imported
 	if err := decodeAnswer("node", answer, &done); err != nil {
 		return err
 	}
-	say(done)
+	print(done)
 	return nil
 }
 
+// importer holds the flags of the command that imports run times.
+type importer struct {
+	nodeClient
+	replace, yes bool
+}
+
 func importCommand() *cobra.Command {
-	var o nodeClient
-	var replace, yes bool
-	c := &cobra.Command{
-		Use: "import FILE", Short: "Take in what another installation has exported; says what it will change, and asks", Args: cobra.ExactArgs(1),
-		RunE: func(cmd *cobra.Command, args []string) error {
-			in, err := readExport(args[0])
-			if err != nil {
-				return err
-			}
-			in.Replace = replace
-			known, err := o.fetchKinds()
-			if err != nil {
-				return err
-			}
-			there := 0
-			for _, x := range in.Kinds {
-				if slices.ContainsFunc(known, func(k shownKind) bool { return k.Name == x.Name() }) {
-					there++
-				}
-			}
-			what := "left as they are"
-			if replace {
-				what = "replaced"
-			}
-			out := cmd.OutOrStdout()
-			if !o.json {
-				fmt.Fprintf(out, "%d kinds of work are known; %d new ones would be added, %d known ones %s\n", len(known), len(in.Kinds)-there, there, what)
-			}
-			if err := confirm(cmd, yes, "take them in?"); err != nil {
-				return err
-			}
-			return o.changeKinds(out, in, func(done runtimes.Imported) {
-				fmt.Fprintf(out, "%d added, %d replaced, %d left as they are, %d dropped for want of room; they are written down over the next minutes\n", done.Added, done.Replaced, done.Left, done.Dropped)
-			})
-		},
+	var im importer
+	cmd := im.addFlags(&cobra.Command{
+		Use:   "import FILE",
+		Short: "Take in what another installation has exported; says what it will change, and asks",
+		Args:  cobra.ExactArgs(1),
+		RunE:  func(cmd *cobra.Command, args []string) error { return im.run(cmd, args[0]) },
+	})
+	cmd.Flags().BoolVar(&im.replace, "replace", false, "replace the history of kinds that are known already")
+	cmd.Flags().BoolVar(&im.yes, "yes", false, "do not ask")
+	return cmd
+}
+
+// run reads an export, says what it will change, asks, and has the leader import it.
+func (im *importer) run(cmd *cobra.Command, path string) error {
+	in, err := readExport(path)
+	if err != nil {
+		return err
+	}
+	in.Replace = im.replace
+	known, err := im.fetchKinds()
+	if err != nil {
+		return err
+	}
+	out := cmd.OutOrStdout()
+	if !im.json {
+		im.printPlan(out, in, known)
+	}
+	if err := confirm(cmd, im.yes, "take them in?"); err != nil {
+		return err
 	}
-	c.Flags().BoolVar(&replace, "replace", false, "replace the history of kinds that are known already")
-	c.Flags().BoolVar(&yes, "yes", false, "do not ask")
-	return o.addFlags(c)
+	return im.changeKinds(out, in, func(done runtimes.Imported) {
+		printf(out, "%d added, %d replaced, %d left as they are, %d dropped for want of room; "+
+			"they are written down over the next minutes\n", done.Added, done.Replaced, done.Left, done.Dropped)
+	})
 }
 
-// confirm asks before something is changed, unless a script has said yes.
-func confirm(cmd *cobra.Command, yes bool, question string) error {
-	if yes {
-		return nil
+// printPlan says how many kinds would be added, and what becomes of those that are known already.
+func (im *importer) printPlan(out io.Writer, in runtimes.Import, known []shownKind) {
+	both := 0
+	for _, imported := range in.Kinds {
+		if slices.ContainsFunc(known, func(k shownKind) bool { return k.Name == imported.Name() }) {
+			both++
+		}
 	}
-	fmt.Fprint(cmd.OutOrStdout(), question+" [y/N] ")
-	answer, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
-	if a := strings.ToLower(strings.TrimSpace(answer)); a != "y" && a != "yes" {
-		return failure{errors.New("nothing was changed")}
+	action := "left as they are"
+	if im.replace {
+		action = "replaced"
 	}
-	return nil
+	printf(out, "%d kinds of work are known; %d new ones would be added, %d known ones %s\n",
+		len(known), len(in.Kinds)-both, both, action)
 }
 
 func forgetCommand() *cobra.Command {
-	var o nodeClient
+	var client nodeClient
 	var yes bool
-	c := &cobra.Command{
-		Use: "forget KEY", Short: "Forget one kind of work, by its name in show; says what it will change, and asks", Args: cobra.ExactArgs(1),
+	cmd := client.addFlags(&cobra.Command{
+		Use:   "forget KEY",
+		Short: "Forget one kind of work, by its name in show; says what it will change, and asks",
+		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			known, err := o.fetchKinds()
-			if err != nil {
-				return err
-			}
-			i := slices.IndexFunc(known, func(k shownKind) bool { return k.Name == args[0] })
-			if i < 0 {
-				return fmt.Errorf("KEY: no kind of work is called %q", args[0])
-			}
-			out := cmd.OutOrStdout()
-			if e := known[i].Estimate; !o.json {
-				fmt.Fprintf(out, "%s would be forgotten: %d jobs, %d tasks in %d nights, a task %s to %s; coarser kinds stay\n", args[0], e.Jobs, e.Tasks, e.Nights, formatSeconds(e.P50), formatSeconds(e.P90))
-			}
-			if err := confirm(cmd, yes, "forget it?"); err != nil {
-				return err
-			}
-			return o.changeKinds(out, runtimes.Import{Forget: args}, func(runtimes.Imported) { fmt.Fprintln(out, "forgotten") })
+			return client.forgetKind(cmd, args[0], yes)
 		},
+	})
+	cmd.Flags().BoolVar(&yes, "yes", false, "do not ask")
+	return cmd
+}
+
+// forgetKind says what forgetting a kind of work takes away, asks, and has the leader forget it.
+func (n *nodeClient) forgetKind(cmd *cobra.Command, name string, yes bool) error {
+	known, err := n.fetchKinds()
+	if err != nil {
+		return err
+	}
+	i := slices.IndexFunc(known, func(k shownKind) bool { return k.Name == name })
+	if i < 0 {
+		return fmt.Errorf("KEY: no kind of work is called %q", name)
+	}
+	out := cmd.OutOrStdout()
+	if e := known[i].Estimate; !n.json {
+		printf(out, "%s would be forgotten: %d jobs, %d tasks in %d nights, a task %s to %s; coarser kinds stay\n",
+			name, e.Jobs, e.Tasks, e.Nights, formatSeconds(e.P50), formatSeconds(e.P90))
+	}
+	if err := confirm(cmd, yes, "forget it?"); err != nil {
+		return err
 	}
-	c.Flags().BoolVar(&yes, "yes", false, "do not ask")
-	return o.addFlags(c)
+	return n.changeKinds(out, runtimes.Import{Forget: []string{name}}, func(runtimes.Imported) {
+		printLine(out, "forgotten")
+	})
 }
 
 // readExport reads an export and checks every line before any is used.
@@ -216,21 +168,23 @@
 	if err != nil {
 		return in, err
 	}
-	for n, line := range bytes.Split(raw, []byte("\n")) {
-		if line = bytes.TrimSpace(line); len(line) == 0 {
+	for i, line := range bytes.Split(raw, []byte("\n")) {
+		line = bytes.TrimSpace(line)
+		if len(line) == 0 {
 			continue
 		}
-		var x runtimes.Exported
-		if err := json.Unmarshal(line, &x); err != nil {
-			return in, fmt.Errorf("%s: line %d: not a kind of work as JSON: %w", path, n+1, err)
+		number := i + 1
+		var kind runtimes.Exported
+		if err := json.Unmarshal(line, &kind); err != nil {
+			return in, fmt.Errorf("%s: line %d: not a kind of work as JSON: %w", path, number, err)
 		}
-		if err := x.Check(); err != nil {
-			return in, fmt.Errorf("%s: line %d: %w", path, n+1, err)
+		if err := kind.Check(); err != nil {
+			return in, fmt.Errorf("%s: line %d: %w", path, number, err)
 		}
-		if slices.ContainsFunc(in.Kinds, func(o runtimes.Exported) bool { return o.Kind == x.Kind }) {
-			return in, fmt.Errorf("%s: line %d: %s is there twice", path, n+1, x.Name())
+		if slices.ContainsFunc(in.Kinds, func(other runtimes.Exported) bool { return other.Kind == kind.Kind }) {
+			return in, fmt.Errorf("%s: line %d: %s is there twice", path, number, kind.Name())
 		}
-		in.Kinds = append(in.Kinds, x)
+		in.Kinds = append(in.Kinds, kind)
 	}
 	if len(in.Kinds) == 0 {
 		return in, fmt.Errorf("%s: holds no kind of work", path)
@@ -238,26 +192,28 @@
 	return in, nil
 }
 
+// exportKinds prints each kind on a line of its own.
 func exportKinds(out io.Writer, list []json.RawMessage) {
-	for _, k := range list {
+	for _, kind := range list {
 		var line bytes.Buffer
-		if json.Compact(&line, k) == nil { // it was read as JSON just now
-			fmt.Fprintln(out, line.String())
+		if json.Compact(&line, kind) == nil { // never an error: it was read as JSON just now
+			printLine(out, line.String())
 		}
 	}
 }
 
 func printKinds(out io.Writer, list []shownKind) {
 	if len(list) == 0 {
-		fmt.Fprintln(out, "nothing was learned yet")
+		printLine(out, "nothing was learned yet")
 		return
 	}
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	defer w.Flush()
-	fmt.Fprintln(w, "KIND\tTASK P50\tTASK P90\tFETCH\tJOB P50\tJOB P90\tJOBS\tTASKS\tNIGHTS\tLAST\tREMARK")
-	for _, k := range list {
-		e := k.Estimate
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s ago\t%s\n", k.Name, formatSeconds(e.P50), formatSeconds(e.P90), formatSeconds(e.Fetch), formatSeconds(e.JobP50), formatSeconds(e.JobP90),
-			e.Jobs, e.Tasks, e.Nights, formatSeconds(e.AgeS), e.Wide)
+	t := newTable(out, "KIND", "TASK P50", "TASK P90", "FETCH", "JOB P50", "JOB P90", "JOBS", "TASKS", "NIGHTS",
+		"LAST", "REMARK")
+	for _, kind := range list {
+		e := kind.Estimate
+		t.row(kind.Name, formatSeconds(e.P50), formatSeconds(e.P90), formatSeconds(e.Fetch),
+			formatSeconds(e.JobP50), formatSeconds(e.JobP90), e.Jobs, e.Tasks, e.Nights,
+			formatSeconds(e.AgeS)+" ago", e.Wide)
 	}
+	t.flush()
 }
--- /dev/null
+++ b/cmd/bitternmoor/status.go
@@ -0,0 +1,76 @@
+package main
+
+import (
+	"fmt"
+	"io"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"bitternmoor/internal/node"
+	"bitternmoor/internal/wire"
+)
+
+func statusCommand() *cobra.Command {
+	return viewCommand("status", "Show leader, blocks, machines and the queue", node.PathStatus, printStatus)
+}
+
+func printStatus(out io.Writer, s node.Status) {
+	leader := s.Leader
+	if leader == "" {
+		leader = "nobody"
+	}
+	printf(out, "%s leads, epoch %d, sure of it: %v, entries not yet durable: %d\n", leader, s.Epoch, s.Sure, s.Unsaved)
+	printLine(out, "")
+	blocks := newTable(out, "BLOCK", "MACHINES", "CPUS")
+	for _, b := range s.Blocks {
+		blocks.row(b.Holder, b.Machines, formatFixed(b.CPUs, 0))
+	}
+	blocks.flush()
+	printLine(out, "")
+	machines := newTable(out, "MACHINE", "TYPE", "ZONE", "SPOT", "BLOCK", "FREE CPUS", "TASKS", "STATE")
+	for _, m := range s.Machines {
+		machines.row(m.Name, m.Type, m.Zone, m.Spot, m.Holder, formatFixed(m.FreeCPUs, 1), m.Tasks, m.State)
+	}
+	machines.flush()
+	printQueue(out, s)
+}
+
+// printQueue prints the jobs in the order in which they are served, and those that wait for others.
+func printQueue(out io.Writer, s node.Status) {
+	printLine(out, "")
+	queue := newTable(out, "JOB", "CLASS", "TEAM", "VIRTUAL SIZE", "SIZE", "FINAL", "WAITING", "PLACED", "DONE")
+	for _, j := range s.Queue {
+		queue.row(j.ID, j.Class, j.Team, formatFixed(j.Virtual, 0)+" s", formatFixed(j.Size, 0)+" s", j.Final,
+			j.Waiting, j.Placed, j.Finished)
+	}
+	queue.flush()
+	if len(s.Held) == 0 {
+		return
+	}
+	printLine(out, "")
+	held := newTable(out, "HELD JOB", "CLASS", "TEAM", "TASKS", "WAITS FOR")
+	for _, h := range s.Held {
+		held.row(h.ID, h.Class, h.Team, h.Tasks, strings.Join(h.After, ", "))
+	}
+	held.flush()
+}
+
+func explainCommand() *cobra.Command {
+	var client nodeClient
+	return client.addFlags(&cobra.Command{
+		Use: "explain JOB", Short: "Say where a job stands and what it waits for", Args: cobra.ExactArgs(1),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			if _, ok := wire.ParseID(args[0]); !ok {
+				return fmt.Errorf("not a job id: %q", args[0])
+			}
+			out := cmd.OutOrStdout()
+			var e node.Explanation
+			return client.printView(out, node.PathExplain+args[0], &e, func() {
+				for _, words := range e.Words {
+					printf(out, "%s: %s\n", e.ID, words)
+				}
+			})
+		},
+	})
+}
