--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -1,7 +1,6 @@
 package settings
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 	"strconv"
@@ -104,27 +103,3 @@
 		r.set(t, v)
 	}
 }
-
-// Check says what is wrong with a team's amounts; field is where they stand.
-func (t Team) Check(field string) error {
-	for _, v := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
-		if v < 0 || v != v || v > mostAmount {
-			return wrong(field, "%q has an amount that is negative, or over %v", t.Name, mostAmount)
-		}
-	}
-	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
-		return wrong(field+".cpus", "%q is guaranteed more than its cpus_max", t.Name)
-	}
-	if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-		return wrong(field+".gpus", "%q is guaranteed more than its gpus_max", t.Name)
-	}
-	return nil
-}
-
-// mostAmount bounds a team's processors and accelerators.
-const mostAmount = 1e9
-
-// String is a team's amounts in words.
-func (t Team) String() string {
-	return fmt.Sprintf("%s: cpus %v of at most %v, gpus %v of at most %v", t.Name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax)
-}
--- /dev/null
+++ b/internal/settings/platform.go
@@ -0,0 +1,214 @@
+package settings
+
+import (
+	"fmt"
+	"math"
+	"net"
+)
+
+// Peer is another controller.
+type Peer struct {
+	Node     string `toml:"node"`
+	Zone     string `toml:"domain"`
+	Endpoint string `toml:"endpoint"` // host:port
+}
+
+// Team is a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax); zero means none.
+type Team struct {
+	Name    string  `toml:"name"`
+	CPUs    float64 `toml:"cpus"`
+	CPUsMax float64 `toml:"cpus_max"`
+	GPUs    float64 `toml:"gpus"`
+	GPUsMax float64 `toml:"gpus_max"`
+}
+
+// StateLimits bound what is written to the state service.
+type StateLimits struct {
+	WriteRPS float64 `toml:"write_rps"`
+	ValueKB  float64 `toml:"value_kb"`
+	TxnOps   int     `toml:"txn_ops"`
+}
+
+// NextLimits are limits that the state service has announced; nil: no change of that one is announced.
+type NextLimits struct {
+	WriteRPS *float64 `toml:"write_rps"`
+	ValueKB  *float64 `toml:"value_kb"`
+	TxnOps   *int     `toml:"txn_ops"`
+}
+
+// Platform is the file that the platform hands over. Unknown fields are ignored.
+type Platform struct {
+	Node         string `toml:"node"`
+	Zone         string `toml:"domain"`
+	PublicAddr   string `toml:"public_addr"`
+	InternalAddr string `toml:"internal_addr"`
+	Peers        []Peer `toml:"others"`
+	External     struct {
+		Cloud string `toml:"cloud"`
+		State string `toml:"state"`
+	} `toml:"external"`
+	Deployment struct {
+		Count       int         `toml:"count"`
+		Zones       []string    `toml:"zones"`
+		TimeBoundMS float64     `toml:"time_bound_ms"`
+		Teams       []Team      `toml:"teams"`
+		Objectives  []Objective `toml:"objectives"`
+		Workers     struct {
+			ReportS   float64 `toml:"report_s"`
+			LeaseS    float64 `toml:"lease_s"`
+			GangWaitS float64 `toml:"gang_wait_s"`
+			GangPeerS float64 `toml:"gang_peer_s"`
+			CancelS   float64 `toml:"cancel_s"`
+		} `toml:"workers"`
+		State struct {
+			RPS float64 `toml:"rps"`
+			StateLimits
+			// Next holds limits that the state service will have from some moment on, without notice. What
+			// it leaves out stays as it is.
+			Next *NextLimits `toml:"next"`
+		} `toml:"state"`
+		Cloud struct {
+			RPS      float64 `toml:"rps"`
+			ListLagS float64 `toml:"list_lag_s"`
+		} `toml:"cloud"`
+		MachineLimits struct {
+			CPU     float64 `toml:"cpu"`
+			RAMMB   float64 `toml:"ram_mb"`
+			FDLimit int     `toml:"fd_limit"`
+		} `toml:"machine_limits"`
+	} `toml:"deployment"`
+}
+
+// check says what is wrong with the platform's settings: the first field that is, in the file's order.
+func (p *Platform) check() error {
+	if p.Node == "" {
+		return wrong("node", "missing")
+	}
+	steps := []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkStateLimits, p.checkTeams}
+	for _, step := range steps {
+		if err := step(); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+func (p *Platform) checkAddresses() error {
+	addresses := []struct{ field, value string }{
+		{"public_addr", p.PublicAddr}, {"internal_addr", p.InternalAddr},
+		{"external.cloud", p.External.Cloud}, {"external.state", p.External.State},
+	}
+	for _, address := range addresses {
+		if address.value == "" {
+			return wrong(address.field, "missing")
+		}
+		if _, _, err := net.SplitHostPort(address.value); err != nil {
+			return wrong(address.field, "not host:port: %q", address.value)
+		}
+	}
+	if p.PublicAddr == p.InternalAddr {
+		return wrong("internal_addr", "the same as public_addr")
+	}
+	return nil
+}
+
+func (p *Platform) checkPeers() error {
+	seen := map[string]bool{p.Node: true}
+	for i, peer := range p.Peers {
+		field := fmt.Sprintf("others[%d]", i)
+		if peer.Node == "" {
+			return wrong(field+".node", "missing")
+		}
+		if seen[peer.Node] {
+			return wrong(field+".node", "%q is named twice", peer.Node)
+		}
+		seen[peer.Node] = true
+		if _, _, err := net.SplitHostPort(peer.Endpoint); err != nil {
+			return wrong(field+".endpoint", "not host:port: %q", peer.Endpoint)
+		}
+	}
+	return nil
+}
+
+// maxRate bounds numbers that must be positive, so that calculations with them stay finite.
+const maxRate = 1e12
+
+func (p *Platform) checkNumbers() error {
+	d := &p.Deployment
+	positive := []struct {
+		field string
+		value float64
+	}{
+		{"deployment.workers.report_s", d.Workers.ReportS},
+		{"deployment.workers.lease_s", d.Workers.LeaseS},
+		{"deployment.workers.cancel_s", d.Workers.CancelS},
+		{"deployment.state.rps", d.State.RPS},
+		{"deployment.cloud.rps", d.Cloud.RPS},
+		{"deployment.machine_limits.ram_mb", d.MachineLimits.RAMMB},
+		{"deployment.machine_limits.fd_limit", float64(d.MachineLimits.FDLimit)},
+	}
+	for _, number := range positive {
+		if !(number.value > 0) || number.value > maxRate { // negated, so that NaN is refused as well
+			return wrong(number.field, "must be a positive number, is %v", number.value)
+		}
+	}
+	if d.Workers.LeaseS <= d.Workers.ReportS {
+		return wrong("deployment.workers.lease_s", "must be longer than report_s")
+	}
+	return nil
+}
+
+func (p *Platform) checkStateLimits() error {
+	state := &p.Deployment.State
+	if err := state.check("deployment.state"); err != nil {
+		return err
+	}
+	if state.Next == nil {
+		return nil
+	}
+	// Announced limits, where they say nothing, are those in force.
+	return p.WriteLimits().check("deployment.state.next")
+}
+
+func (p *Platform) checkTeams() error {
+	seen := map[string]bool{}
+	for i, team := range p.Deployment.Teams {
+		field := fmt.Sprintf("deployment.teams[%d]", i)
+		if team.Name == "" {
+			return wrong(field+".name", "missing")
+		}
+		if seen[team.Name] {
+			return wrong(field+".name", "%q is named twice", team.Name)
+		}
+		seen[team.Name] = true
+		if err := team.Check(field); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// maxTeamAmount bounds a team's processors and accelerators.
+const maxTeamAmount = 1e9
+
+// Check says what is wrong with a team's amounts; field is where they stand.
+func (t Team) Check(field string) error {
+	for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
+		if amount < 0 || math.IsNaN(amount) || amount > maxTeamAmount {
+			return wrong(field, "%q has an amount that is negative, or over %v", t.Name, maxTeamAmount)
+		}
+	}
+	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
+		return wrong(field+".cpus", "%q is guaranteed more than its cpus_max", t.Name)
+	}
+	if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
+		return wrong(field+".gpus", "%q is guaranteed more than its gpus_max", t.Name)
+	}
+	return nil
+}
+
+// String is a team's amounts in words.
+func (t Team) String() string {
+	return fmt.Sprintf("%s: cpus %v of at most %v, gpus %v of at most %v",
+		t.Name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax)
+}
