--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -16,8 +16,8 @@
 	LaterJobs    Effect = "for jobs that come later"
 )
 
-// live lists the tunables that may change while controllers run: those that the leader reads
-// each time it uses them. All others are read when a term, or a process, begins.
+// live lists the tunables that may change while controllers run: those that the leader reads each time it uses them.
+// All others are read when a term, or a process, begins.
 var live = map[string]Effect{
 	"fleet.drain_backlog":    AtOnce,
 	"fleet.dear_backlog":     AtOnce,
@@ -40,21 +40,12 @@
 	if e, ok := live[key]; ok {
 		return e
 	}
-	if rowOf(key) != nil || slices.ContainsFunc(texts, func(x Text) bool { return x.Section+"."+x.Key == key }) {
+	if findNumber(key) != nil || findText(key) != nil {
 		return NeedsRestart
 	}
 	return ""
 }
 
-func rowOf(key string) *row {
-	for i := range table {
-		if r := &table[i]; r.Section+"."+r.Key == key {
-			return r
-		}
-	}
-	return nil
-}
-
 // CheckLive says why a tunable may not be given a value while controllers run.
 func CheckLive(key string, value float64) error {
 	switch EffectOfChange(key) {
@@ -63,7 +54,7 @@
 	case NeedsRestart:
 		return wrong(key, "cannot change while controllers run: it needs a restart")
 	}
-	return rowOf(key).check(value)
+	return findNumber(key).check(value)
 }
 
 // ParseLive reads a value of a tunable that may change while controllers run.
@@ -75,31 +66,17 @@
 	return v, CheckLive(key, v)
 }
 
-// check holds a value against what the key allows.
-func (r *row) check(v float64) error {
-	name := r.Section + "." + r.Key
-	switch {
-	case v != v:
-		return wrong(name, "not a number: %v", v)
-	case r.Whole && v != float64(int64(v)):
-		return wrong(name, "must be a whole number, is %v", v)
-	case v < r.Min || v > r.Max:
-		return wrong(name, "must be between %v and %v %s, is %v", r.Min, r.Max, r.Unit, v)
-	}
-	return nil
-}
-
 // Number is the value of a tunable that is a number.
 func (t *Tunables) Number(key string) (float64, bool) {
-	if r := rowOf(key); r != nil {
-		return r.get(t), true
+	if number := findNumber(key); number != nil {
+		return number.get(t), true
 	}
 	return 0, false
 }
 
 // SetNumber gives a tunable a value that has been checked.
 func (t *Tunables) SetNumber(key string, v float64) {
-	if r := rowOf(key); r != nil {
-		r.set(t, v)
+	if number := findNumber(key); number != nil {
+		number.set(t, v)
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -111,7 +111,7 @@
 		return err
 	}
 	for _, path := range s.Tunables.ReceiptKeys() {
-		if _, err := readKey("pools.receipt_keys", path); err != nil {
+		if _, err := readSecret("pools.receipt_keys", path); err != nil {
 			return err
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -170,13 +170,13 @@
 	}
 	d := Defaults()
 	n := 0
-	for _, k := range Known() {
+	for _, k := range numberSettings {
 		if got := f.Section(k.Section).Key(k.Key).String(); got != fmt.Sprint(k.get(&d)) {
 			t.Errorf("%s.%s is %q in the example, %v by default", k.Section, k.Key, got, k.get(&d))
 		}
 		n++
 	}
-	for _, k := range Texts() {
+	for _, k := range textSettings {
 		if got := f.Section(k.Section).Key(k.Key).String(); got != k.Default {
 			t.Errorf("%s.%s is %q in the example, %q by default", k.Section, k.Key, got, k.Default)
 		}
@@ -202,14 +202,14 @@
 	var b strings.Builder
 	b.WriteString("# The operators' settings, each at its default. Give the file with --tunables.\n")
 	section := ""
-	for _, k := range Known() {
+	for _, k := range numberSettings {
 		if k.Section != section {
 			section = k.Section
 			fmt.Fprintf(&b, "\n[%s]\n", section)
 		}
 		fmt.Fprintf(&b, "# %s (%s, %v to %v)\n%s = %v\n", k.Help, k.Unit, k.Min, k.Max, k.Key, k.get(&d))
 	}
-	for _, k := range Texts() {
+	for _, k := range textSettings {
 		if k.Section != section {
 			section = k.Section
 			fmt.Fprintf(&b, "\n[%s]\n", section)
