--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	queueLength    = 256
-	attemptTimeout = 5 * time.Second
-	firstWait      = 500 * time.Millisecond
-	longestWait    = 2 * time.Minute
-	giveUpAfter    = 30 * time.Minute
-	complainEach   = 100 // messages that found the queue full
+	queueLength     = 256
+	attemptTimeout  = 5 * time.Second
+	initialInterval = 500 * time.Millisecond
+	longestWait     = 2 * time.Minute
+	giveUpAfter     = 30 * time.Minute
+	complainEach    = 100 // messages that found the queue full
 )
 
 // Message is one thing to be told.
@@ -59,7 +59,7 @@
 // New makes a sender; Run sends.
 func New(url string, key []byte, log *slog.Logger) *Sender {
 	return &Sender{url: url, key: key, log: log, client: &http.Client{Timeout: attemptTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }},
-		queue: make(chan Message, queueLength), first: firstWait, now: time.Now}
+		queue: make(chan Message, queueLength), first: initialInterval, now: time.Now}
 }
 
 // Send queues a message, and never waits. One that finds the queue full is dropped
