--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -33,7 +33,7 @@
 	queueLength     = 256
 	attemptTimeout  = 5 * time.Second
 	initialInterval = 500 * time.Millisecond
-	longestWait     = 2 * time.Minute
+	maxInterval     = 2 * time.Minute
 	giveUpAfter     = 30 * time.Minute
 	complainEach    = 100 // messages that found the queue full
 )
@@ -91,7 +91,7 @@
 
 func (s *Sender) deliver(ctx context.Context, m Message) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = s.first, longestWait
+	wait.InitialInterval, wait.MaxInterval = s.first, maxInterval
 	tries := 0
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		tries++
@@ -131,7 +131,7 @@
 	case resp.StatusCode >= 200 && resp.StatusCode < 300:
 		return nil
 	case resp.StatusCode >= 500, resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusRequestTimeout:
-		if secs, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && secs > 0 && secs <= int(longestWait.Seconds()) {
+		if secs, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && secs > 0 && secs <= int(maxInterval.Seconds()) {
 			return backoff.RetryAfter(secs)
 		}
 		return fmt.Errorf("webhook: %w with %d", errRefused, resp.StatusCode)
