--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -35,7 +35,7 @@
 	initialInterval = 500 * time.Millisecond
 	maxInterval     = 2 * time.Minute
 	giveUpAfter     = 30 * time.Minute
-	complainEach    = 100 // messages that found the queue full
+	logDroppedEvery = 100 // messages that found the queue full
 )
 
 // Message is one thing to be told.
@@ -68,7 +68,7 @@
 	select {
 	case s.queue <- m:
 	default:
-		if s.full%complainEach == 0 {
+		if s.full%logDroppedEvery == 0 {
 			s.log.Warn("the webhook's queue is full: messages are dropped", "id", m.ID, "dropped", s.full+1)
 		}
 		s.full++
