--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -46,14 +46,14 @@
 
 // Sender sends messages one after the other.
 type Sender struct {
-	url    string
-	key    []byte
-	log    *slog.Logger
-	client *http.Client
-	queue  chan Message
-	full   int
-	first  time.Duration
-	now    func() time.Time
+	url     string
+	key     []byte
+	log     *slog.Logger
+	client  *http.Client
+	queue   chan Message
+	dropped int
+	first   time.Duration
+	now     func() time.Time
 }
 
 // New makes a sender; Run sends.
@@ -68,10 +68,10 @@
 	select {
 	case s.queue <- m:
 	default:
-		if s.full%logDroppedEvery == 0 {
-			s.log.Warn("the webhook's queue is full: messages are dropped", "id", m.ID, "dropped", s.full+1)
+		if s.dropped%logDroppedEvery == 0 {
+			s.log.Warn("the webhook's queue is full: messages are dropped", "id", m.ID, "dropped", s.dropped+1)
 		}
-		s.full++
+		s.dropped++
 	}
 }
 
--- a/internal/operators/webhook/webhook_test.go
+++ b/internal/operators/webhook/webhook_test.go
@@ -133,8 +133,8 @@
 	for n := range queueLength + 150 {
 		s.Send(Message{ID: fmt.Sprint(n)})
 	}
-	if s.full != 150 || strings.Count(out.String(), "queue is full") != 2 {
-		t.Errorf("%d dropped, said:\n%s", s.full, out.String())
+	if s.dropped != 150 || strings.Count(out.String(), "queue is full") != 2 {
+		t.Errorf("%d dropped, said:\n%s", s.dropped, out.String())
 	}
 }
 
