--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -46,20 +46,20 @@
 
 // Sender sends messages one after the other.
 type Sender struct {
-	url     string
-	key     []byte
-	log     *slog.Logger
-	client  *http.Client
-	queue   chan Message
-	dropped int
-	first   time.Duration
-	now     func() time.Time
+	url             string
+	key             []byte
+	log             *slog.Logger
+	client          *http.Client
+	queue           chan Message
+	dropped         int
+	initialInterval time.Duration
+	now             func() time.Time
 }
 
 // New makes a sender; Run sends.
 func New(url string, key []byte, log *slog.Logger) *Sender {
 	return &Sender{url: url, key: key, log: log, client: &http.Client{Timeout: attemptTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }},
-		queue: make(chan Message, queueLength), first: initialInterval, now: time.Now}
+		queue: make(chan Message, queueLength), initialInterval: initialInterval, now: time.Now}
 }
 
 // Send queues a message, and never waits. One that finds the queue full is dropped
@@ -91,7 +91,7 @@
 
 func (s *Sender) deliver(ctx context.Context, m Message) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval, wait.MaxInterval = s.first, maxInterval
+	wait.InitialInterval, wait.MaxInterval = s.initialInterval, maxInterval
 	tries := 0
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		tries++
--- a/internal/operators/webhook/webhook_test.go
+++ b/internal/operators/webhook/webhook_test.go
@@ -65,7 +65,7 @@
 	t.Helper()
 	var out bytes.Buffer
 	s := New("http://"+addr+"/hook", key, slog.New(slog.NewTextHandler(&out, nil)))
-	s.first = 5 * time.Millisecond
+	s.initialInterval = 5 * time.Millisecond
 	s.client.Timeout = 100 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
