--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -95,7 +95,7 @@
 	tries := 0
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
 		tries++
-		err := s.try(ctx, m)
+		err := s.attempt(ctx, m)
 		if err != nil && tries == 3 {
 			s.log.Warn("the webhook does not take a message: it is tried again", "id", m.ID, "error", err)
 		}
@@ -110,8 +110,8 @@
 	}
 }
 
-// try sends a message once.
-func (s *Sender) try(ctx context.Context, m Message) error {
+// attempt sends a message once.
+func (s *Sender) attempt(ctx context.Context, m Message) error {
 	at := strconv.FormatInt(s.now().Unix(), 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(m.Body))
 	if err != nil {
