--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -55,7 +55,7 @@
 }
 
 // lookEvery is how often files are looked at for a change.
-const lookEvery = time.Second
+const checkInterval = time.Second
 
 // Store keeps what files hold, and takes it up anew when they change. What cannot be
 // read then leaves what was read before in force.
@@ -95,7 +95,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.looked) < lookEvery {
+	if now.Sub(s.looked) < checkInterval {
 		return s.pair
 	}
 	s.looked = now
