--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -63,10 +63,10 @@
 	files Files
 	log   *slog.Logger
 
-	mu     sync.Mutex
-	pair   *Pair
-	stamp  string
-	looked time.Time
+	mu        sync.Mutex
+	pair      *Pair
+	stamp     string
+	checkedAt time.Time
 }
 
 // NewStore reads files.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.pair, s.stamp, s.looked = pair, files.stamp(), time.Now()
+	s.pair, s.stamp, s.checkedAt = pair, files.stamp(), time.Now()
 	return s, nil
 }
 
@@ -95,10 +95,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if now.Sub(s.looked) < checkInterval {
+	if now.Sub(s.checkedAt) < checkInterval {
 		return s.pair
 	}
-	s.looked = now
+	s.checkedAt = now
 	stamp := s.files.stamp()
 	if stamp == s.stamp {
 		return s.pair
--- a/internal/operators/certs/certs_test.go
+++ b/internal/operators/certs/certs_test.go
@@ -42,14 +42,14 @@
 			t.Fatal(err)
 		}
 	}
-	s.looked = time.Time{}
+	s.checkedAt = time.Time{}
 	if s.Pair() != first || !strings.Contains(said.String(), "stay in force") {
 		t.Errorf("without its files: %s", said.String())
 	}
 	if err := Issue(dir, "n0", []string{"127.0.0.1"}, 10*time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	s.looked = time.Time{}
+	s.checkedAt = time.Time{}
 	if p := s.Pair(); p == first || bytes.Equal(p.Cert.Certificate[0], first.Cert.Certificate[0]) {
 		t.Error("a new certificate is not taken up")
 	}
