--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -63,10 +63,10 @@
 	files Files
 	log   *slog.Logger
 
-	mu        sync.Mutex
-	pair      *Pair
-	stamp     string
-	checkedAt time.Time
+	mu          sync.Mutex
+	pair        *Pair
+	loadedStamp string
+	checkedAt   time.Time
 }
 
 // NewStore reads files.
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.pair, s.stamp, s.checkedAt = pair, files.stamp(), time.Now()
+	s.pair, s.loadedStamp, s.checkedAt = pair, files.stamp(), time.Now()
 	return s, nil
 }
 
@@ -100,7 +100,7 @@
 	}
 	s.checkedAt = now
 	stamp := s.files.stamp()
-	if stamp == s.stamp {
+	if stamp == s.loadedStamp {
 		return s.pair
 	}
 	pair, err := s.files.Read()
@@ -108,7 +108,7 @@
 		s.log.Error("certificates have changed and cannot be read: the ones before stay in force", "error", err)
 		return s.pair
 	}
-	s.pair, s.stamp = pair, stamp
+	s.pair, s.loadedStamp = pair, stamp
 	s.log.Info("certificates taken up anew", "cert", s.files.Cert, "ends", pair.Ends.UTC().Format(time.RFC3339))
 	return s.pair
 }
