--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -129,8 +129,8 @@
 }
 
 const (
-	warnBefore = 30 * 24 * time.Hour
-	warnEvery  = 12 * time.Hour
+	warnBefore   = 30 * 24 * time.Hour
+	warnInterval = 12 * time.Hour
 )
 
 // Expiry says what is to be said of a certificate's end; empty: nothing yet.
@@ -154,7 +154,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(warnEvery):
+		case <-time.After(warnInterval):
 		}
 	}
 }
