--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -166,7 +166,7 @@
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	t, err := template(name, life)
+	t, err := newTemplate(name, life)
 	if err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	t, err := template(name, min(life, time.Until(ca.NotAfter)))
+	t, err := newTemplate(name, min(life, time.Until(ca.NotAfter)))
 	if err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 	return sign(dir, name, t, ca, key, caKey)
 }
 
-func template(name string, life time.Duration) (*x509.Certificate, error) {
+func newTemplate(name string, life time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
