--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	bodyMost  = 16 << 20 // of a message, in bytes
+	maxBody   = 16 << 20 // of a message, in bytes
 	callLimit = 10 * time.Second
 )
 
@@ -78,7 +78,7 @@
 
 // Handler serves the service. It must be behind TLS that verifies callers.
 func Handler(b Backend, roles Roles) http.Handler {
-	opts := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(bodyMost)}
+	opts := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody)}
 	mux := http.NewServeMux()
 	mux.Handle(procedureShow, connect.NewUnaryHandler(procedureShow, func(ctx context.Context, r *connect.Request[ShowRequest]) (*connect.Response[Page], error) {
 		return answer(ctx, &roles, r.Msg.What, false, func(string) (json.RawMessage, error) { return b.ShowDuty(r.Msg.What) })
@@ -122,7 +122,7 @@
 // NewClient makes a client of a controller's listener, host:port.
 func NewClient(addr string, conf *tls.Config) *Client {
 	h := &http.Client{Transport: &http.Transport{TLSClientConfig: conf, ForceAttemptHTTP2: true, TLSHandshakeTimeout: 5 * time.Second}}
-	opts := []connect.ClientOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(bodyMost)}
+	opts := []connect.ClientOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody)}
 	return &Client{h, connect.NewClient[ShowRequest, Page](h, "https://"+addr+procedureShow, opts...), connect.NewClient[ChangeRequest, Page](h, "https://"+addr+procedureChange, opts...)}
 }
 
