--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -23,8 +23,8 @@
 )
 
 const (
-	maxBody   = 16 << 20 // of a message, in bytes
-	callLimit = 10 * time.Second
+	maxBody     = 16 << 20 // of a message, in bytes
+	callTimeout = 10 * time.Second
 )
 
 // ShowRequest names a duty, or NAME/VIEW.
@@ -151,7 +151,7 @@
 }
 
 func again(ctx context.Context, call func(context.Context) (*connect.Response[Page], error)) (json.RawMessage, error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for try := 1; ; try++ {
 		resp, err := call(ctx)
