--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -131,8 +131,8 @@
 
 // retries of a call that was not answered, or by a controller that cannot tell now.
 const (
-	triesMost = 8
-	pause     = 400 * time.Millisecond
+	maxAttempts = 8
+	pause       = 400 * time.Millisecond
 )
 
 // Show looks into a duty.
@@ -161,7 +161,7 @@
 		if connect.CodeOf(err) == connect.CodeNotFound {
 			return nil, fmt.Errorf("control: %w", ErrUnknown)
 		}
-		if try == triesMost || connect.CodeOf(err) != connect.CodeUnavailable {
+		if try == maxAttempts || connect.CodeOf(err) != connect.CodeUnavailable {
 			return nil, fmt.Errorf("control: %w", err)
 		}
 		select {
