--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -131,8 +131,8 @@
 
 // retries of a call that was not answered, or by a controller that cannot tell now.
 const (
-	maxAttempts = 8
-	pause       = 400 * time.Millisecond
+	maxAttempts   = 8
+	retryInterval = 400 * time.Millisecond
 )
 
 // Show looks into a duty.
@@ -167,7 +167,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, fmt.Errorf("control: %w", err)
-		case <-time.After(pause):
+		case <-time.After(retryInterval):
 		}
 	}
 }
