--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -137,7 +137,7 @@
 
 // Show looks into a duty.
 func (c *Client) Show(ctx context.Context, what string) (json.RawMessage, error) {
-	return again(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
+	return callWithRetry(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
 		return c.show.CallUnary(ctx, connect.NewRequest(&ShowRequest{what}))
 	})
 }
@@ -145,12 +145,12 @@
 // Change has a duty change something. The body must carry an id by which the duty
 // knows a repeat: it is sent again where an answer is lost.
 func (c *Client) Change(ctx context.Context, duty string, body json.RawMessage) (json.RawMessage, error) {
-	return again(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
+	return callWithRetry(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
 		return c.change.CallUnary(ctx, connect.NewRequest(&ChangeRequest{duty, body}))
 	})
 }
 
-func again(ctx context.Context, call func(context.Context) (*connect.Response[Page], error)) (json.RawMessage, error) {
+func callWithRetry(ctx context.Context, call func(context.Context) (*connect.Response[Page], error)) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	for try := 1; ; try++ {
