--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -81,10 +81,10 @@
 	opts := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody)}
 	mux := http.NewServeMux()
 	mux.Handle(procedureShow, connect.NewUnaryHandler(procedureShow, func(ctx context.Context, r *connect.Request[ShowRequest]) (*connect.Response[Page], error) {
-		return answer(ctx, &roles, r.Msg.What, false, func(string) (json.RawMessage, error) { return b.ShowDuty(r.Msg.What) })
+		return serve(ctx, &roles, r.Msg.What, false, func(string) (json.RawMessage, error) { return b.ShowDuty(r.Msg.What) })
 	}, opts...))
 	mux.Handle(procedureChange, connect.NewUnaryHandler(procedureChange, func(ctx context.Context, r *connect.Request[ChangeRequest]) (*connect.Response[Page], error) {
-		return answer(ctx, &roles, r.Msg.Duty, true, func(by string) (json.RawMessage, error) { return b.ChangeDuty(by, r.Msg.Duty, r.Msg.Body) })
+		return serve(ctx, &roles, r.Msg.Duty, true, func(by string) (json.RawMessage, error) { return b.ChangeDuty(by, r.Msg.Duty, r.Msg.Body) })
 	}, opts...))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := ""
@@ -95,7 +95,7 @@
 	})
 }
 
-func answer(ctx context.Context, roles *Roles, duty string, change bool, f func(by string) (json.RawMessage, error)) (*connect.Response[Page], error) {
+func serve(ctx context.Context, roles *Roles, duty string, change bool, f func(by string) (json.RawMessage, error)) (*connect.Response[Page], error) {
 	name, _ := ctx.Value(callerKey{}).(string)
 	if !roles.may(name, duty, change) {
 		return nil, connect.NewError(connect.CodePermissionDenied, fmt.Errorf("%q has no role that may do this", name))
