--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -62,7 +62,7 @@
 	Operable             []string
 }
 
-func (r *Roles) may(name, duty string, change bool) bool {
+func (r *Roles) permits(name, duty string, change bool) bool {
 	switch {
 	case name == "":
 		return false
@@ -97,7 +97,7 @@
 
 func serve(ctx context.Context, roles *Roles, duty string, change bool, f func(by string) (json.RawMessage, error)) (*connect.Response[Page], error) {
 	name, _ := ctx.Value(callerKey{}).(string)
-	if !roles.may(name, duty, change) {
+	if !roles.permits(name, duty, change) {
 		return nil, connect.NewError(connect.CodePermissionDenied, fmt.Errorf("%q has no role that may do this", name))
 	}
 	raw, err := f(name)
