--- a/internal/operators/secretfile/keys.go
+++ b/internal/operators/secretfile/keys.go
@@ -8,7 +8,7 @@
 )
 
 // least is how long a key must be, in bytes.
-const least = 16
+const minKeyBytes = 16
 
 // Read reads the key in a file, without the white space around it. An error names the
 // file.
@@ -17,8 +17,8 @@
 	if err != nil {
 		return nil, err // it names the file
 	}
-	if key := bytes.TrimSpace(raw); len(key) >= least {
+	if key := bytes.TrimSpace(raw); len(key) >= minKeyBytes {
 		return key, nil
 	}
-	return nil, fmt.Errorf("%s holds a key of less than %d bytes", file, least)
+	return nil, fmt.Errorf("%s holds a key of less than %d bytes", file, minKeyBytes)
 }
