--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -1,39 +1,33 @@
-// Package certs reads the certificates with which operators and controllers know one
-// another, takes them up anew when their files change, says before they expire, and
-// makes them for a small installation.
+// Package certs reads the certificates with which operators and controllers authenticate each other, reloads them
+// when their files change, warns before they expire, and makes them for a small installation.
 package certs
 
 import (
 	"context"
-	"crypto/ecdsa"
-	"crypto/elliptic"
-	"crypto/rand"
 	"crypto/tls"
 	"crypto/x509"
-	"crypto/x509/pkix"
-	"encoding/pem"
-	"errors"
 	"fmt"
 	"log/slog"
-	"math/big"
-	"net"
 	"os"
-	"path/filepath"
 	"sync"
 	"time"
 )
 
-// Files are where a certificate, its key, and those who sign the other side's are.
-type Files struct{ Cert, Key, CA string }
+// Files are the paths of PEM files.
+type Files struct {
+	Cert string // certificate
+	Key  string // its private key
+	CA   string // certificates of those who sign the other side's
+}
 
-// Pair is what was read of them.
+// Pair is what was read from Files.
 type Pair struct {
 	Cert tls.Certificate
 	Pool *x509.CertPool
-	Ends time.Time // of the certificate's time
+	Ends time.Time // when the certificate expires
 }
 
-// Read reads files once. An error names the file.
+// Read reads the files once. An error names the file.
 func (f Files) Read() (*Pair, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
@@ -51,25 +45,25 @@
 	if !pool.AppendCertsFromPEM(raw) {
 		return nil, fmt.Errorf("certs: %s holds no certificate", f.CA)
 	}
-	return &Pair{cert, pool, leaf.NotAfter}, nil
+	return &Pair{Cert: cert, Pool: pool, Ends: leaf.NotAfter}, nil
 }
 
-// lookEvery is how often files are looked at for a change.
+// checkInterval is how often files are checked for a change.
 const checkInterval = time.Second
 
-// Store keeps what files hold, and takes it up anew when they change. What cannot be
-// read then leaves what was read before in force.
+// Store keeps what files hold, and reloads it when they change. Where they cannot be read then, what was read before
+// stays in force.
 type Store struct {
 	files Files
 	log   *slog.Logger
 
-	mu          sync.Mutex
+	mu          sync.Mutex // over all below
 	pair        *Pair
 	loadedStamp string
 	checkedAt   time.Time
 }
 
-// NewStore reads files.
+// NewStore reads the files for the first time.
 func NewStore(files Files, log *slog.Logger) (*Store, error) {
 	s := &Store{files: files, log: log}
 	pair, err := files.Read()
@@ -80,17 +74,17 @@
 	return s, nil
 }
 
-// stamp changes when a file does.
+// stamp changes when a file does. A file that is missing leaves no trace in it.
 func (f Files) stamp() (out string) {
 	for _, name := range []string{f.Cert, f.Key, f.CA} {
-		if i, err := os.Stat(name); err == nil {
-			out += fmt.Sprint(i.ModTime().UnixNano(), i.Size(), ";")
+		if info, err := os.Stat(name); err == nil {
+			out += fmt.Sprint(info.ModTime().UnixNano(), info.Size(), ";")
 		}
 	}
 	return out
 }
 
-// Pair is what is in force.
+// Pair is what is in force. It looks at the files at most once in checkInterval.
 func (s *Store) Pair() *Pair {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,29 +107,39 @@
 	return s.pair
 }
 
-// Server is the settings of a listener that takes only those whose certificate is
-// signed by one of the CA file.
+// Server is the configuration of a listener that accepts only callers whose certificate is signed by one in the CA
+// file. Each connection gets the certificates that are in force when it begins.
 func (s *Store) Server() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		p := s.Pair()
-		return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.Cert}, ClientCAs: p.Pool, ClientAuth: tls.RequireAndVerifyClientCert,
-			NextProtos: []string{"h2", "http/1.1"}}, nil
-	}}
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
+			pair := s.Pair()
+			return &tls.Config{
+				MinVersion:   tls.VersionTLS13,
+				Certificates: []tls.Certificate{pair.Cert},
+				ClientCAs:    pair.Pool,
+				ClientAuth:   tls.RequireAndVerifyClientCert,
+				NextProtos:   []string{"h2", "http/1.1"},
+			}, nil
+		},
+	}
 }
 
-// Client is the settings of a caller.
+// Client is the configuration of a caller.
 func (p *Pair) Client() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.Cert}, RootCAs: p.Pool}
 }
 
+// When, and how often, it is logged that a certificate expires.
 const (
 	warnBefore   = 30 * 24 * time.Hour
 	warnInterval = 12 * time.Hour
 )
 
-// Expiry says what is to be said of a certificate's end; empty: nothing yet.
+// Expiry is a warning that the certificate expires soon or has expired; empty: neither.
 func (p *Pair) Expiry(now time.Time) string {
-	switch left := p.Ends.Sub(now); {
+	left := p.Ends.Sub(now)
+	switch {
 	case left <= 0:
 		return "the controller's certificate has expired: nobody can change anything"
 	case left < warnBefore:
@@ -144,12 +148,12 @@
 	return ""
 }
 
-// Watch says, until the context ends, when a certificate is about to expire.
+// Watch logs, until the context ends, that the certificate is about to expire.
 func (s *Store) Watch(ctx context.Context) {
 	for {
-		p := s.Pair()
-		if said := p.Expiry(time.Now()); said != "" {
-			s.log.Warn(said, "cert", s.files.Cert, "ends", p.Ends.UTC().Format(time.RFC3339))
+		pair := s.Pair()
+		if warning := pair.Expiry(time.Now()); warning != "" {
+			s.log.Warn(warning, "cert", s.files.Cert, "ends", pair.Ends.UTC().Format(time.RFC3339))
 		}
 		select {
 		case <-ctx.Done():
@@ -158,94 +162,3 @@
 		}
 	}
 }
-
-// MakeCA makes a certificate that signs others, in DIR/ca.pem and DIR/ca.key. It
-// writes over nothing.
-func MakeCA(dir, name string, life time.Duration) error {
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return fmt.Errorf("certs: %w", err)
-	}
-	t, err := newTemplate(name, life)
-	if err != nil {
-		return err
-	}
-	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign|x509.KeyUsageCRLSign
-	return sign(dir, "ca", t, t, key, key)
-}
-
-// Issue makes a certificate for a name, signed by the CA in DIR, in DIR/NAME.pem and
-// DIR/NAME.key. hosts are names and addresses at which it may serve; none: it only
-// calls.
-func Issue(dir, name string, hosts []string, life time.Duration) error {
-	if name == "" || name == "ca" || filepath.Base(name) != name {
-		return fmt.Errorf("certs: not a name for a certificate: %q", name)
-	}
-	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ca.key"))
-	if err != nil {
-		return fmt.Errorf("certs: the CA in %s: %w", dir, err)
-	}
-	ca, err := x509.ParseCertificate(pair.Certificate[0])
-	if err != nil {
-		return fmt.Errorf("certs: %w", err)
-	}
-	caKey, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
-	if !ok {
-		return errors.New("certs: the CA's key is not one that was made here")
-	}
-	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
-	if err != nil {
-		return fmt.Errorf("certs: %w", err)
-	}
-	t, err := newTemplate(name, min(life, time.Until(ca.NotAfter)))
-	if err != nil {
-		return err
-	}
-	t.KeyUsage, t.ExtKeyUsage = x509.KeyUsageDigitalSignature, []x509.ExtKeyUsage{x509.ExtKeyUsageClientAuth}
-	if len(hosts) > 0 {
-		t.ExtKeyUsage = append(t.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
-	}
-	for _, h := range hosts {
-		if ip := net.ParseIP(h); ip != nil {
-			t.IPAddresses = append(t.IPAddresses, ip)
-		} else {
-			t.DNSNames = append(t.DNSNames, h)
-		}
-	}
-	return sign(dir, name, t, ca, key, caKey)
-}
-
-func newTemplate(name string, life time.Duration) (*x509.Certificate, error) {
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
-	if err != nil {
-		return nil, fmt.Errorf("certs: %w", err)
-	}
-	now := time.Now()
-	return &x509.Certificate{SerialNumber: serial, Subject: pkix.Name{CommonName: name}, NotBefore: now.Add(-5 * time.Minute), NotAfter: now.Add(life)}, nil
-}
-
-func sign(dir, name string, t, by *x509.Certificate, key, byKey *ecdsa.PrivateKey) error {
-	der, err := x509.CreateCertificate(rand.Reader, t, by, &key.PublicKey, byKey)
-	if err != nil {
-		return fmt.Errorf("certs: %w", err)
-	}
-	raw, err := x509.MarshalPKCS8PrivateKey(key)
-	if err != nil {
-		return fmt.Errorf("certs: %w", err)
-	}
-	for _, f := range []struct {
-		name, kind string
-		der        []byte
-		mode       os.FileMode
-	}{{name + ".key", "PRIVATE KEY", raw, 0o600}, {name + ".pem", "CERTIFICATE", der, 0o644}} {
-		out, err := os.OpenFile(filepath.Join(dir, f.name), os.O_WRONLY|os.O_CREATE|os.O_EXCL, f.mode)
-		if err != nil {
-			return fmt.Errorf("certs: %w", err)
-		}
-		err = pem.Encode(out, &pem.Block{Type: f.kind, Bytes: f.der})
-		if err := errors.Join(err, out.Close()); err != nil {
-			return fmt.Errorf("certs: %w", err)
-		}
-	}
-	return nil
-}
--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -1,6 +1,6 @@
-// Package control is the operators' service: they look into duties of the leader and
-// change something, over Connect RPC with certificates on both sides. Each change
-// carries an id, so that a call can be made again when its answer was lost.
+// Package control is the operators' service: they read views of the leader's components and change something, over
+// Connect RPC with certificates on both sides. Each change carries an id, so that a call whose answer was lost can be
+// made again: requests are idempotent.
 package control
 
 import (
@@ -23,45 +23,50 @@
 )
 
 const (
-	maxBody     = 16 << 20 // of a message, in bytes
-	callTimeout = 10 * time.Second
+	maxBody          = 16 << 20 // of a message, in bytes
+	callTimeout      = 10 * time.Second
+	handshakeTimeout = 5 * time.Second
 )
 
-// ShowRequest names a duty, or NAME/VIEW.
+// ShowRequest names a component of the leader, or one of its views: NAME or NAME/VIEW.
 type ShowRequest struct {
 	What string `json:"what"`
 }
 
-// ChangeRequest is what a duty is asked to change.
+// ChangeRequest asks a component to change something.
 type ChangeRequest struct {
 	Duty string          `json:"duty"`
 	Body json.RawMessage `json:"body"`
 }
 
-// Page is an answer.
+// Page is an answer, in the component's own JSON.
 type Page struct {
 	Body json.RawMessage `json:"body"`
 }
 
-// Errors that a backend tells apart.
+// Errors of a backend that callers tell apart.
 var (
 	ErrUnknown = errors.New("no such duty, or it is switched off")
-	ErrRefused = errors.New("refused") // wrapped by what a duty says
+	ErrRefused = errors.New("refused") // wrapped in the component's reason
 )
 
 // Backend is what the service asks: this controller, and through it the leader.
 type Backend interface {
+	// ShowDuty reads a view: NAME or NAME/VIEW.
 	ShowDuty(what string) (json.RawMessage, error)
+	// ChangeDuty changes something for the operator called by.
 	ChangeDuty(by, duty string, body json.RawMessage) (json.RawMessage, error)
 }
 
-// Roles say which names of certificates may do what: Read look, Operate change the
-// duties of Operable too, Admin everything.
+// Roles say what the holders of certificates may do, by name.
 type Roles struct {
-	Read, Operate, Admin []string
-	Operable             []string
+	Read     []string // names that may read views
+	Operate  []string // names that may also change the components in Operable
+	Admin    []string // names that may do everything
+	Operable []string // components
 }
 
+// permits says whether the holder of a certificate may read, or change, a component.
 func (r *Roles) permits(name, duty string, change bool) bool {
 	switch {
 	case name == "":
@@ -74,18 +79,17 @@
 	return !change && slices.Contains(r.Read, name)
 }
 
+// callerKey is the key of the caller's name in a request's context.
 type callerKey struct{}
 
-// Handler serves the service. It must be behind TLS that verifies callers.
-func Handler(b Backend, roles Roles) http.Handler {
+// Handler serves the service. It must be behind TLS that verifies callers: it knows them by the name in their
+// certificate.
+func Handler(backend Backend, roles Roles) http.Handler {
 	opts := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody)}
+	s := &service{backend: backend, roles: roles}
 	mux := http.NewServeMux()
-	mux.Handle(procedureShow, connect.NewUnaryHandler(procedureShow, func(ctx context.Context, r *connect.Request[ShowRequest]) (*connect.Response[Page], error) {
-		return serve(ctx, &roles, r.Msg.What, false, func(string) (json.RawMessage, error) { return b.ShowDuty(r.Msg.What) })
-	}, opts...))
-	mux.Handle(procedureChange, connect.NewUnaryHandler(procedureChange, func(ctx context.Context, r *connect.Request[ChangeRequest]) (*connect.Response[Page], error) {
-		return serve(ctx, &roles, r.Msg.Duty, true, func(by string) (json.RawMessage, error) { return b.ChangeDuty(by, r.Msg.Duty, r.Msg.Body) })
-	}, opts...))
+	mux.Handle(procedureShow, connect.NewUnaryHandler(procedureShow, s.show, opts...))
+	mux.Handle(procedureChange, connect.NewUnaryHandler(procedureChange, s.change, opts...))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		name := ""
 		if r.TLS != nil && len(r.TLS.VerifiedChains) > 0 {
@@ -95,12 +99,41 @@
 	})
 }
 
-func serve(ctx context.Context, roles *Roles, duty string, change bool, f func(by string) (json.RawMessage, error)) (*connect.Response[Page], error) {
-	name, _ := ctx.Value(callerKey{}).(string)
-	if !roles.permits(name, duty, change) {
-		return nil, connect.NewError(connect.CodePermissionDenied, fmt.Errorf("%q has no role that may do this", name))
+// service serves the procedures.
+type service struct {
+	backend Backend
+	roles   Roles
+}
+
+func (s *service) show(ctx context.Context, r *connect.Request[ShowRequest]) (*connect.Response[Page], error) {
+	name := callerName(ctx)
+	if !s.roles.permits(name, r.Msg.What, false) {
+		return nil, errNotPermitted(name)
 	}
-	raw, err := f(name)
+	return respond(s.backend.ShowDuty(r.Msg.What))
+}
+
+func (s *service) change(ctx context.Context, r *connect.Request[ChangeRequest]) (*connect.Response[Page], error) {
+	name := callerName(ctx)
+	if !s.roles.permits(name, r.Msg.Duty, true) {
+		return nil, errNotPermitted(name)
+	}
+	return respond(s.backend.ChangeDuty(name, r.Msg.Duty, r.Msg.Body))
+}
+
+// callerName is the name in the caller's certificate; empty: there is no verified one.
+func callerName(ctx context.Context) string {
+	name, _ := ctx.Value(callerKey{}).(string)
+	return name
+}
+
+func errNotPermitted(name string) error {
+	return connect.NewError(connect.CodePermissionDenied, fmt.Errorf("%q has no role that may do this", name))
+}
+
+// respond makes a response of what the backend answers. Errors other than the two that callers tell apart mean that
+// the call may be made again.
+func respond(raw json.RawMessage, err error) (*connect.Response[Page], error) {
 	switch {
 	case errors.Is(err, ErrUnknown):
 		return nil, connect.NewError(connect.CodeNotFound, err)
@@ -119,41 +152,52 @@
 	change *connect.Client[ChangeRequest, Page]
 }
 
-// NewClient makes a client of a controller's listener, host:port.
+// NewClient makes a client of a controller's listener at an address, host:port.
 func NewClient(addr string, conf *tls.Config) *Client {
-	h := &http.Client{Transport: &http.Transport{TLSClientConfig: conf, ForceAttemptHTTP2: true, TLSHandshakeTimeout: 5 * time.Second}}
+	caller := &http.Client{Transport: &http.Transport{
+		TLSClientConfig:     conf,
+		ForceAttemptHTTP2:   true,
+		TLSHandshakeTimeout: handshakeTimeout,
+	}}
 	opts := []connect.ClientOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody)}
-	return &Client{h, connect.NewClient[ShowRequest, Page](h, "https://"+addr+procedureShow, opts...), connect.NewClient[ChangeRequest, Page](h, "https://"+addr+procedureChange, opts...)}
+	return &Client{
+		http:   caller,
+		show:   connect.NewClient[ShowRequest, Page](caller, "https://"+addr+procedureShow, opts...),
+		change: connect.NewClient[ChangeRequest, Page](caller, "https://"+addr+procedureChange, opts...),
+	}
 }
 
 // Close ends the connections that the client has kept.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// retries of a call that was not answered, or by a controller that cannot tell now.
+// Attempts of a call that was not answered, or was answered by a controller that cannot tell at present.
 const (
 	maxAttempts   = 8
 	retryInterval = 400 * time.Millisecond
 )
 
-// Show looks into a duty.
+// Show reads a view: NAME or NAME/VIEW of a component. It fails with ErrUnknown where there is none of that name.
 func (c *Client) Show(ctx context.Context, what string) (json.RawMessage, error) {
 	return callWithRetry(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
-		return c.show.CallUnary(ctx, connect.NewRequest(&ShowRequest{what}))
+		return c.show.CallUnary(ctx, connect.NewRequest(&ShowRequest{What: what}))
 	})
 }
 
-// Change has a duty change something. The body must carry an id by which the duty
-// knows a repeat: it is sent again where an answer is lost.
+// Change has a component change something. The body must carry an id by which the component knows a repeat: it is
+// sent again where an answer is lost.
 func (c *Client) Change(ctx context.Context, duty string, body json.RawMessage) (json.RawMessage, error) {
 	return callWithRetry(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
-		return c.change.CallUnary(ctx, connect.NewRequest(&ChangeRequest{duty, body}))
+		return c.change.CallUnary(ctx, connect.NewRequest(&ChangeRequest{Duty: duty, Body: body}))
 	})
 }
 
-func callWithRetry(ctx context.Context, call func(context.Context) (*connect.Response[Page], error)) (json.RawMessage, error) {
+// callWithRetry makes a call until it is answered, within callTimeout.
+func callWithRetry(
+	ctx context.Context, call func(context.Context) (*connect.Response[Page], error),
+) (json.RawMessage, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		resp, err := call(ctx)
 		if err == nil {
 			return resp.Msg.Body, nil
@@ -161,7 +205,7 @@
 		if connect.CodeOf(err) == connect.CodeNotFound {
 			return nil, fmt.Errorf("control: %w", ErrUnknown)
 		}
-		if try == maxAttempts || connect.CodeOf(err) != connect.CodeUnavailable {
+		if attempt == maxAttempts || connect.CodeOf(err) != connect.CodeUnavailable {
 			return nil, fmt.Errorf("control: %w", err)
 		}
 		select {
--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -1,7 +1,6 @@
-// Package webhook tells an address of the operators' what they should know: a POST
-// of JSON, signed, at least once. A receiver that refuses, hangs or is away costs
-// nobody else anything: messages wait in a bounded queue and are tried again ever
-// more slowly.
+// Package webhook sends warnings to an address of the operators': a signed POST of JSON, at least once. A receiver
+// that refuses, hangs or is away delays nothing else: messages wait in a bounded queue and are sent again with
+// exponential backoff.
 package webhook
 
 import (
@@ -21,15 +20,16 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Headers of a message. The signature is "sha256=" and, in hexadecimal digits, the
-// HMAC-SHA256 (RFC 2104) with the shared key of time, id and body, joined by dots.
+// Headers of a message. The signature is "sha256=" and, in hexadecimal digits, the HMAC-SHA256 (RFC 2104) with the
+// shared key of time, id and body, joined by dots. A receiver should compare signatures in constant time.
 const (
-	HeaderID        = "X-Bitternmoor-Id"   // the same for repeats: drop what you have seen
-	HeaderTime      = "X-Bitternmoor-Time" // when it was sent, seconds since 1970: refuse what is old
+	HeaderID        = "X-Bitternmoor-Id"   // the same for repeats: a receiver drops those it has seen
+	HeaderTime      = "X-Bitternmoor-Time" // when it was sent, seconds since 1970: a receiver refuses old ones
 	HeaderSignature = "X-Bitternmoor-Signature"
 )
 
 const (
+	maxDiscarded    = 4096 // bytes of a response that are read
 	queueLength     = 256
 	attemptTimeout  = 5 * time.Second
 	initialInterval = 500 * time.Millisecond
@@ -38,32 +38,42 @@
 	logDroppedEvery = 100 // messages that found the queue full
 )
 
-// Message is one thing to be told.
+// Message is one warning.
 type Message struct {
-	ID   string
+	ID   string // the same for repeats
 	Body []byte // JSON
 }
 
-// Sender sends messages one after the other.
+// Sender sends messages one after the other, in their order.
 type Sender struct {
-	url             string
-	key             []byte
-	log             *slog.Logger
-	client          *http.Client
-	queue           chan Message
-	dropped         int
-	initialInterval time.Duration
+	url    string
+	key    []byte
+	log    *slog.Logger
+	client *http.Client
+	queue  chan Message
+
+	dropped int // messages that found the queue full; only Send counts them
+
+	// Tests set these.
+	initialInterval time.Duration // before the second attempt
 	now             func() time.Time
 }
 
-// New makes a sender; Run sends.
+// New makes a sender that signs with a key; Run sends.
 func New(url string, key []byte, log *slog.Logger) *Sender {
-	return &Sender{url: url, key: key, log: log, client: &http.Client{Timeout: attemptTimeout, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }},
-		queue: make(chan Message, queueLength), initialInterval: initialInterval, now: time.Now}
+	client := &http.Client{
+		Timeout: attemptTimeout,
+		// A redirect is a refusal: the operators' settings name the address.
+		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
+	}
+	return &Sender{
+		url: url, key: key, log: log, client: client, queue: make(chan Message, queueLength),
+		initialInterval: initialInterval, now: time.Now,
+	}
 }
 
-// Send queues a message, and never waits. One that finds the queue full is dropped
-// and said so: the warning itself stands in the log and on the leader.
+// Send queues a message, and never waits. One that finds the queue full is dropped, which is logged: the warning
+// itself stands in the log and on the leader. Send must be called by one goroutine at a time.
 func (s *Sender) Send(m Message) {
 	select {
 	case s.queue <- m:
@@ -87,68 +97,80 @@
 	}
 }
 
+// warnAfter is the attempt whose failure is logged.
+const warnAfter = 3
+
+// errRefused is an answer other than success.
 var errRefused = errors.New("refused")
 
+// deliver sends a message until it is accepted, refused for good, or given up.
 func (s *Sender) deliver(ctx context.Context, m Message) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = s.initialInterval, maxInterval
-	tries := 0
+	attempts := 0
 	_, err := backoff.Retry(ctx, func() (struct{}, error) {
-		tries++
+		attempts++
 		err := s.attempt(ctx, m)
-		if err != nil && tries == 3 {
+		if err != nil && attempts == warnAfter {
 			s.log.Warn("the webhook does not take a message: it is tried again", "id", m.ID, "error", err)
 		}
 		return struct{}{}, err
 	}, backoff.WithBackOff(wait), backoff.WithMaxElapsedTime(giveUpAfter))
 	switch {
 	case err == nil:
-		s.log.Debug("webhook told", "id", m.ID, "tries", tries)
+		s.log.Debug("webhook told", "id", m.ID, "tries", attempts)
 	case ctx.Err() != nil:
 	default:
-		s.log.Error("a message to the webhook is given up", "id", m.ID, "tries", tries, "error", err)
+		s.log.Error("a message to the webhook is given up", "id", m.ID, "tries", attempts, "error", err)
 	}
 }
 
-// attempt sends a message once.
+// attempt sends a message once. A permanent error means that it will never be accepted.
 func (s *Sender) attempt(ctx context.Context, m Message) error {
-	at := strconv.FormatInt(s.now().Unix(), 10)
+	sentAt := strconv.FormatInt(s.now().Unix(), 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(m.Body))
 	if err != nil {
 		return backoff.Permanent(fmt.Errorf("webhook: %w", err))
 	}
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(HeaderID, m.ID)
-	req.Header.Set(HeaderTime, at)
-	req.Header.Set(HeaderSignature, Sign(s.key, at, m))
+	req.Header.Set(HeaderTime, sentAt)
+	req.Header.Set(HeaderSignature, Sign(s.key, sentAt, m))
 	resp, err := s.client.Do(req)
 	if err != nil {
 		return fmt.Errorf("webhook: %w", err)
 	}
-	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, 4096)) // so that the connection can be used again
-	switch {
-	case resp.StatusCode >= 200 && resp.StatusCode < 300:
+	defer func() { _ = resp.Body.Close() }() // its content means nothing
+	// The body is read so that the connection can be used again; an error costs only that.
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded))
+	return checkResponse(resp)
+}
+
+// checkResponse is nil for an accepted message, and otherwise says whether it should be sent again, and when.
+func checkResponse(resp *http.Response) error {
+	if resp.StatusCode >= 200 && resp.StatusCode < 300 {
 		return nil
-	case resp.StatusCode >= 500, resp.StatusCode == http.StatusTooManyRequests, resp.StatusCode == http.StatusRequestTimeout:
-		if secs, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil && secs > 0 && secs <= int(maxInterval.Seconds()) {
-			return backoff.RetryAfter(secs)
-		}
-		return fmt.Errorf("webhook: %w with %d", errRefused, resp.StatusCode)
 	}
-	return backoff.Permanent(fmt.Errorf("webhook: %w with %d", errRefused, resp.StatusCode))
+	refused := fmt.Errorf("webhook: %w with %d", errRefused, resp.StatusCode)
+	if !isTemporary(resp.StatusCode) {
+		return backoff.Permanent(refused)
+	}
+	seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
+	if err == nil && seconds > 0 && seconds <= int(maxInterval.Seconds()) {
+		return backoff.RetryAfter(seconds)
+	}
+	return refused
 }
 
-// Sign is the signature of a message sent at a time.
-func Sign(key []byte, at string, m Message) string {
-	h := hmac.New(sha256.New, key)
-	h.Write([]byte(at + "." + m.ID + "."))
-	h.Write(m.Body)
-	return "sha256=" + hex.EncodeToString(h.Sum(nil))
+// isTemporary says whether a message that was refused with this status may be accepted later.
+func isTemporary(status int) bool {
+	return status >= 500 || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
 }
 
-// Verify says whether a signature is that of a message, without telling by its
-// time how much of it is right.
-func Verify(key []byte, at, signature string, m Message) bool {
-	return hmac.Equal([]byte(Sign(key, at, m)), []byte(signature))
+// Sign is the signature of a message; sentAt is the value of HeaderTime.
+func Sign(key []byte, sentAt string, m Message) string {
+	mac := hmac.New(sha256.New, key)
+	mac.Write([]byte(sentAt + "." + m.ID + "."))
+	mac.Write(m.Body)
+	return "sha256=" + hex.EncodeToString(mac.Sum(nil))
 }
--- a/internal/operators/webhook/webhook_test.go
+++ b/internal/operators/webhook/webhook_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"context"
+	"crypto/hmac"
 	"fmt"
 	"io"
 	"log/slog"
@@ -26,11 +27,11 @@
 
 func (r *receiver) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	body, _ := io.ReadAll(req.Body)
-	m := Message{req.Header.Get(HeaderID), body}
+	m := Message{ID: req.Header.Get(HeaderID), Body: body}
 	r.mu.Lock()
 	r.calls++
 	call := r.calls
-	if !Verify(r.key, req.Header.Get(HeaderTime), req.Header.Get(HeaderSignature), m) {
+	if !verify(r.key, req.Header.Get(HeaderTime), req.Header.Get(HeaderSignature), m) {
 		r.wrong++
 	}
 	act := r.act
@@ -61,23 +62,22 @@
 	return srv, l.Addr().String()
 }
 
-func sender(t *testing.T, addr string, key []byte) (*Sender, *bytes.Buffer) {
+func sender(t *testing.T, addr string, key []byte) *Sender {
 	t.Helper()
-	var out bytes.Buffer
-	s := New("http://"+addr+"/hook", key, slog.New(slog.NewTextHandler(&out, nil)))
+	s := New("http://"+addr+"/hook", key, slog.New(slog.DiscardHandler))
 	s.initialInterval = 5 * time.Millisecond
 	s.client.Timeout = 100 * time.Millisecond
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { s.Run(ctx); close(done) }()
 	t.Cleanup(func() { cancel(); <-done })
-	return s, &out
+	return s
 }
 
-func eventually(t *testing.T, what string, f func() bool) {
+func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if f() {
+		if holds() {
 			return
 		}
 	}
@@ -107,9 +107,9 @@
 		return true
 	}
 	srv, addr := start(t, "127.0.0.1:0", r)
-	s, _ := sender(t, addr, key)
+	s := sender(t, addr, key)
 	for n := range 20 {
-		s.Send(Message{fmt.Sprint("m", n), []byte(`{"late":true}`)})
+		s.Send(Message{ID: fmt.Sprint("m", n), Body: []byte(`{"late":true}`)})
 	}
 	eventually(t, "the first few arrive", func() bool { return r.has("m5") })
 	_ = srv.Close()
@@ -149,7 +149,7 @@
 		return true
 	}
 	_, addr := start(t, "127.0.0.1:0", r)
-	s, _ := sender(t, addr, nil)
+	s := sender(t, addr, nil)
 	s.Send(Message{ID: "bad"})
 	s.Send(Message{ID: "good"})
 	eventually(t, "the next one arrives", func() bool { return r.has("good") })
@@ -158,10 +158,30 @@
 	}
 }
 
+// verify says whether a signature is that of a message, as a receiver does: without revealing by the time that it
+// takes how much of the signature is right.
+func verify(key []byte, sentAt, signature string, m Message) bool {
+	return hmac.Equal([]byte(Sign(key, sentAt, m)), []byte(signature))
+}
+
+// A signature is right for its key, time and message alone.
 func TestSignature(t *testing.T) {
-	m := Message{"id", []byte("body")}
-	sig := Sign([]byte("key"), "7", m)
-	if !Verify([]byte("key"), "7", sig, m) || Verify([]byte("other"), "7", sig, m) || Verify([]byte("key"), "8", sig, m) || Verify([]byte("key"), "7", sig, Message{"id", []byte("bodi")}) {
-		t.Error("a signature that is wrong is taken, or one that is right is not")
+	m := Message{ID: "id", Body: []byte("body")}
+	signature := Sign([]byte("key"), "7", m)
+	for _, c := range []struct {
+		name, key, sentAt string
+		message           Message
+		right             bool
+	}{
+		{"as it was signed", "key", "7", m, true},
+		{"another key", "other", "7", m, false},
+		{"another time", "key", "8", m, false},
+		{"another body", "key", "7", Message{ID: "id", Body: []byte("bodi")}, false},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if got := verify([]byte(c.key), c.sentAt, signature, c.message); got != c.right {
+				t.Errorf("verified: %v, want %v", got, c.right)
+			}
+		})
 	}
 }
