--- a/cmd/bitternmoor/output_test.go
+++ b/cmd/bitternmoor/output_test.go
@@ -5,6 +5,7 @@
 	"encoding/json"
 	"flag"
 	"fmt"
+	"hash/fnv"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -29,52 +30,54 @@
 
 var update = flag.Bool("update", false, "write testdata/output.golden anew")
 
-// filler fills values of any type with numbers and words of different lengths, always the same ones.
-type filler struct{ count int }
-
-func (f *filler) fill(v reflect.Value) {
-	f.count++
+// fill fills a value with numbers and words of different lengths. They follow from the JSON names on the path to
+// them, which stay, rather than from the order or the names of Go fields.
+func fill(v reflect.Value, path string) {
+	digest := fnv.New32a()
+	_, _ = digest.Write([]byte(path)) // never an error
+	number := int(digest.Sum32() % 100)
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				f.fill(v.Field(i))
+			field := v.Type().Field(i)
+			if name, _, _ := strings.Cut(field.Tag.Get("json"), ","); field.IsExported() {
+				fill(v.Field(i), path+"."+name)
 			}
 		}
 	case reflect.Slice:
 		v.Set(reflect.MakeSlice(v.Type(), 3, 3))
 		for i := range v.Len() {
-			f.fill(v.Index(i))
+			fill(v.Index(i), fmt.Sprint(path, i))
 		}
 	case reflect.Map:
 		v.Set(reflect.MakeMap(v.Type()))
-		for range 2 {
+		for i := range 2 {
 			key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-			f.fill(key)
-			f.fill(value)
+			fill(key, fmt.Sprint(path, "key", i))
+			fill(value, fmt.Sprint(path, "value", i))
 			v.SetMapIndex(key, value)
 		}
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		f.fill(v.Elem())
+		fill(v.Elem(), path)
 	case reflect.String:
-		v.SetString(strings.Repeat("x", f.count%7) + fmt.Sprint(f.count))
+		v.SetString(strings.Repeat("x", number%7) + fmt.Sprint(number))
 	case reflect.Bool:
-		v.SetBool(f.count%2 == 0)
+		v.SetBool(number%2 == 0)
 	case reflect.Float64:
-		v.SetFloat(float64(f.count) * 1.2345)
+		v.SetFloat(float64(number) * 1.2345)
 	case reflect.Int, reflect.Int64:
-		v.SetInt(int64(f.count*f.count - 50))
+		v.SetInt(int64(number*number - 50))
 	case reflect.Uint8:
-		v.SetUint(uint64(f.count % 3))
+		v.SetUint(uint64(number % 3))
 	case reflect.Uint64:
-		v.SetUint(uint64(f.count % 40))
+		v.SetUint(uint64(number % 40))
 	}
 }
 
 func filled[T any]() T {
 	var v T
-	(&filler{}).fill(reflect.ValueOf(&v).Elem())
+	fill(reflect.ValueOf(&v).Elem(), "")
 	return v
 }
 
