--- a/cmd/bitternmoor/certs.go
+++ b/cmd/bitternmoor/certs.go
@@ -7,6 +7,7 @@
 	"github.com/spf13/cobra"
 
 	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/operators/console"
 	"bitternmoor/internal/settings"
 )
 
@@ -51,8 +52,8 @@
 			if err := certs.MakeCA(flags.dir, "bitternmoor CA", lifetime); err != nil {
 				return failure{err}
 			}
-			printf(cmd.OutOrStdout(), "%s/ca.pem and its key %s/ca.key are made: whoever has the key can make operators\n",
-				flags.dir, flags.dir)
+			console.Printf(cmd.OutOrStdout(),
+				"%s/ca.pem and its key %s/ca.key are made: whoever has the key can make operators\n", flags.dir, flags.dir)
 			return nil
 		},
 	})
@@ -74,7 +75,8 @@
 			if err := certs.Issue(flags.dir, name, settings.List(hosts), lifetime); err != nil {
 				return failure{err}
 			}
-			printf(cmd.OutOrStdout(), "%s/%s.pem and its key %s/%s.key are made\n", flags.dir, name, flags.dir, name)
+			console.Printf(cmd.OutOrStdout(), "%s/%s.pem and its key %s/%s.key are made\n",
+				flags.dir, name, flags.dir, name)
 			return nil
 		},
 	})
--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -13,6 +13,7 @@
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/leader/reconfig"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/console"
 )
 
 func configCommand() *cobra.Command {
@@ -51,27 +52,27 @@
 }
 
 func printConfig(out io.Writer, v *reconfig.View) {
-	printf(out, "revision %d", v.Revision)
+	console.Printf(out, "revision %d", v.Revision)
 	if v.Pending > 0 {
-		printf(out, ", %d changes on their way", v.Pending)
+		console.Printf(out, ", %d changes on their way", v.Pending)
 	}
 	if v.Missing > 0 {
-		printf(out, "; revision %d was in force and is lost: nothing can be changed", v.Missing)
+		console.Printf(out, "; revision %d was in force and is lost: nothing can be changed", v.Missing)
 	}
-	printf(out, "\n\n")
+	console.Printf(out, "\n\n")
 	printControllers(out, v)
-	printLine(out, "")
+	console.Line(out, "")
 	printTeams(out, v)
-	printLine(out, "")
-	tunables := newTable(out, "TUNABLE", "VALUE", "IN SETTINGS", "SET BY", "COUNTS")
+	console.Line(out, "")
+	tunables := console.NewTable(out, "TUNABLE", "VALUE", "IN SETTINGS", "SET BY", "COUNTS")
 	for _, t := range v.Tunables {
-		tunables.row(t.Key, t.Value, t.Settings, formatSource(t.Revision), t.Effect)
+		tunables.Row(t.Key, t.Value, t.Settings, formatSource(t.Revision), t.Effect)
 	}
-	tunables.flush()
+	tunables.Flush()
 }
 
 func printControllers(out io.Writer, v *reconfig.View) {
-	controllers := newTable(out, "CONTROLLER", "REVISION", "FOR", "BEHIND FOR", "REMARK")
+	controllers := console.NewTable(out, "CONTROLLER", "REVISION", "FOR", "BEHIND FOR", "REMARK")
 	for _, c := range v.Controllers {
 		remark := ""
 		switch {
@@ -80,21 +81,21 @@
 		case !c.Heard:
 			remark = "not heard in this term"
 		}
-		controllers.row(c.Name, c.Revision, formatSeconds(c.SinceS), formatSeconds(c.LagS), remark)
+		controllers.Row(c.Name, c.Revision, formatSeconds(c.SinceS), formatSeconds(c.LagS), remark)
 	}
-	controllers.flush()
+	controllers.Flush()
 }
 
 func printTeams(out io.Writer, v *reconfig.View) {
-	teams := newTable(out, "TEAM", "CPUS", "AT MOST", "GPUS", "AT MOST", "SET BY", "REMARK")
+	teams := console.NewTable(out, "TEAM", "CPUS", "AT MOST", "GPUS", "AT MOST", "SET BY", "REMARK")
 	for _, t := range v.Teams {
 		remark := ""
 		if t.Removed {
 			remark = "removed: its open jobs go on"
 		}
-		teams.row(t.Name, t.CPUs, formatLimit(t.CPUsMax), t.GPUs, formatLimit(t.GPUsMax), formatSource(t.Revision), remark)
+		teams.Row(t.Name, t.CPUs, formatLimit(t.CPUsMax), t.GPUs, formatLimit(t.GPUsMax), formatSource(t.Revision), remark)
 	}
-	teams.flush()
+	teams.Flush()
 }
 
 // formatLimit is a team's limit; 0 is none.
@@ -118,25 +119,25 @@
 	if h.AgeS >= 0 {
 		age = "a leader told of it " + formatSeconds(h.AgeS) + " ago"
 	}
-	printf(out, "the leader is not reached; %s has revision %d for %s, %s\n",
+	console.Printf(out, "the leader is not reached; %s has revision %d for %s, %s\n",
 		h.Node, h.Revision, formatSeconds(h.SinceS), age)
 	for _, s := range h.Sets {
-		printf(out, "  %s: %s (revision %d)\n", s.Item, s.Value, s.Revision)
+		console.Printf(out, "  %s: %s (revision %d)\n", s.Item, s.Value, s.Revision)
 	}
 }
 
 func printHistory(out io.Writer, list []config.Revision) {
 	if len(list) == 0 {
-		printLine(out, "nothing was changed, or it is not remembered any more")
+		console.Line(out, "nothing was changed, or it is not remembered any more")
 	}
 	for _, r := range list {
-		printf(out, "revision %d, %s, by %s", r.Number, time.UnixMilli(r.AtMS).UTC().Format(time.RFC3339), r.By)
+		console.Printf(out, "revision %d, %s, by %s", r.Number, time.UnixMilli(r.AtMS).UTC().Format(time.RFC3339), r.By)
 		if r.Note != "" {
-			printf(out, ": %s", r.Note)
+			console.Printf(out, ": %s", r.Note)
 		}
-		printLine(out, "")
+		console.Line(out, "")
 		for i, c := range r.Changes {
-			printf(out, "  %s: %s, before %s\n", c.Item, c.Value, r.Before[i])
+			console.Printf(out, "  %s: %s, before %s\n", c.Item, c.Value, r.Before[i])
 		}
 	}
 }
--- a/cmd/bitternmoor/configchange.go
+++ b/cmd/bitternmoor/configchange.go
@@ -15,6 +15,7 @@
 
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/leader/reconfig"
+	"bitternmoor/internal/operators/console"
 	"bitternmoor/internal/operators/control"
 	"bitternmoor/internal/settings"
 )
@@ -71,12 +72,12 @@
 
 // printPlan prints what changes would do, as the leader answers to a dry run.
 func printPlan(out io.Writer, v *reconfig.View, changes []config.Change, answer *reconfig.Answer) {
-	printf(out, "revision %d would become %d:\n", v.Revision, answer.Revision)
+	console.Printf(out, "revision %d would become %d:\n", v.Revision, answer.Revision)
 	for _, change := range changes {
-		printf(out, "  %s: %s, now %s\n", change.Item, change.Value, currentValue(v, change.Item))
+		console.Printf(out, "  %s: %s, now %s\n", change.Item, change.Value, currentValue(v, change.Item))
 	}
 	for _, remark := range answer.Remarks {
-		printLine(out, "  "+remark)
+		console.Line(out, "  "+remark)
 	}
 }
 
@@ -97,9 +98,9 @@
 			return false, err
 		}
 		if c.json {
-			printf(cmd.OutOrStdout(), "%s\n", raw)
+			console.Printf(cmd.OutOrStdout(), "%s\n", raw)
 		} else {
-			printf(cmd.OutOrStdout(), "done: revision %d\n", answer.Revision)
+			console.Printf(cmd.OutOrStdout(), "done: revision %d\n", answer.Revision)
 		}
 		return true, nil
 	})
--- a/cmd/bitternmoor/controlclient.go
+++ b/cmd/bitternmoor/controlclient.go
@@ -12,6 +12,7 @@
 	"github.com/spf13/cobra"
 
 	"bitternmoor/internal/operators/certs"
+	"bitternmoor/internal/operators/console"
 	"bitternmoor/internal/operators/control"
 )
 
@@ -84,7 +85,7 @@
 	if yes {
 		return nil
 	}
-	printf(cmd.OutOrStdout(), "%s [y/N] ", question)
+	console.Printf(cmd.OutOrStdout(), "%s [y/N] ", question)
 	// An error, such as the end of the input, leaves the answer empty, which is a no.
 	line, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
 	answer := strings.ToLower(strings.TrimSpace(line))
--- a/cmd/bitternmoor/forecast.go
+++ b/cmd/bitternmoor/forecast.go
@@ -9,6 +9,7 @@
 
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/console"
 )
 
 func forecastCommand() *cobra.Command {
@@ -21,31 +22,31 @@
 
 func printAhead(out io.Writer, list []runtimes.Expected) {
 	if len(list) == 0 || list[0].Nights == 0 {
-		printLine(out, "no night was learned from yet: a night counts once the one after it is over")
+		console.Line(out, "no night was learned from yet: a night counts once the one after it is over")
 		return
 	}
-	printf(out, "learned from %d nights; %v processors are rented\n", list[0].Nights, list[0].Now)
-	t := newTable(out, "FROM", "IN", "WORK, CPU S", "CPUS BUSY", "HEAVIEST NIGHT, CPU S", "CPUS BUSY")
+	console.Printf(out, "learned from %d nights; %v processors are rented\n", list[0].Nights, list[0].Now)
+	t := console.NewTable(out, "FROM", "IN", "WORK, CPU S", "CPUS BUSY", "HEAVIEST NIGHT, CPU S", "CPUS BUSY")
 	for _, e := range list {
-		t.row(e.At, formatSeconds(e.InS), formatFixed(e.Work, 0), formatFixed(e.CPUs, 1),
+		t.Row(e.At, formatSeconds(e.InS), formatFixed(e.Work, 0), formatFixed(e.CPUs, 1),
 			formatFixed(e.Most, 0), formatFixed(e.CPUsMost, 1))
 	}
-	t.flush()
+	t.Flush()
 }
 
 func printForecasts(out io.Writer, list []runtimes.Forecast) {
 	if len(list) == 0 {
-		printLine(out, "no job is open")
+		console.Line(out, "no job is open")
 		return
 	}
-	t := newTable(out, "JOB", "BEGINS IN", "ENDS IN", "NINE IN TEN BY", "WAITING", "PLACED", "A TASK",
+	t := console.NewTable(out, "JOB", "BEGINS IN", "ENDS IN", "NINE IN TEN BY", "WAITING", "PLACED", "A TASK",
 		"FROM", "AFTER", "MISSES")
 	for _, f := range list {
 		task := formatSeconds(f.Estimate.P50) + " to " + formatSeconds(f.Estimate.P90)
-		t.row(f.Job, formatSeconds(f.BeginS), formatSeconds(f.EndS), formatSeconds(f.EndP90S), f.Waiting, f.Placed, task,
+		t.Row(f.Job, formatSeconds(f.BeginS), formatSeconds(f.EndS), formatSeconds(f.EndP90S), f.Waiting, f.Placed, task,
 			f.Estimate.From, strings.Join(f.After, ", "), strings.Join(f.Misses, ", "))
 	}
-	t.flush()
+	t.Flush()
 }
 
 func lateCommand() *cobra.Command {
@@ -55,13 +56,13 @@
 
 func printLate(out io.Writer, list []runtimes.Late) {
 	if len(list) == 0 {
-		printLine(out, "no job is late")
+		console.Line(out, "no job is late")
 		return
 	}
-	t := newTable(out, "JOB", "CLASS", "TEAM", "AGE", "LEARNED DEADLINE", "EXPECTED END", "WHY", "SINCE")
+	t := console.NewTable(out, "JOB", "CLASS", "TEAM", "AGE", "LEARNED DEADLINE", "EXPECTED END", "WHY", "SINCE")
 	for _, l := range list {
 		since := time.UnixMilli(l.RaisedMS).UTC().Format("15:04:05Z")
-		t.row(l.Job, l.Class, l.Team, formatSeconds(l.AgeS), formatSeconds(l.LearnedS), formatSeconds(l.EndS), l.Why, since)
+		t.Row(l.Job, l.Class, l.Team, formatSeconds(l.AgeS), formatSeconds(l.LearnedS), formatSeconds(l.EndS), l.Why, since)
 	}
-	t.flush()
+	t.Flush()
 }
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -14,6 +14,7 @@
 
 	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/console"
 	"bitternmoor/internal/operators/control"
 )
 
@@ -26,15 +27,15 @@
 
 func printPools(out io.Writer, list []pools.View) {
 	if len(list) == 0 {
-		printLine(out, "there are no pools")
+		console.Line(out, "there are no pools")
 		return
 	}
-	t := newTable(out, "POOL", "UNITS", "OUT", "UNCERTAIN", "AFTER LOSS", "WAITING", "RESERVE", "VERSION",
+	t := console.NewTable(out, "POOL", "UNITS", "OUT", "UNCERTAIN", "AFTER LOSS", "WAITING", "RESERVE", "VERSION",
 		"FIRST IN ORDER", "REMARK")
 	for _, p := range list {
-		t.row(p.Pool, p.Units, p.Out, p.Uncertain, p.Lost, p.Waiting, p.Reserve, p.Version, p.First, poolRemark(p))
+		t.Row(p.Pool, p.Units, p.Out, p.Uncertain, p.Lost, p.Waiting, p.Reserve, p.Version, p.First, poolRemark(p))
 	}
-	t.flush()
+	t.Flush()
 }
 
 // poolRemark says what is out of the ordinary of a pool.
@@ -75,8 +76,8 @@
 	if len(p.Holders) == 0 {
 		return
 	}
-	printLine(out, "")
-	t := newTable(out, "JOB", "TASK", "TEAM", "UNITS", "NUMBERS", "MACHINE", "RUNS FOR", "COMES BACK BY")
+	console.Line(out, "")
+	t := console.NewTable(out, "JOB", "TASK", "TEAM", "UNITS", "NUMBERS", "MACHINE", "RUNS FOR", "COMES BACK BY")
 	for _, h := range p.Holders {
 		task, since := "all", ""
 		if h.Task >= 0 {
@@ -85,9 +86,9 @@
 		if h.SinceS > 0 {
 			since = formatSeconds(h.SinceS)
 		}
-		t.row(h.Job, task, h.Team, h.Units, formatNumbers(h.Numbers), h.Machine, since, h.Back)
+		t.Row(h.Job, task, h.Team, h.Units, formatNumbers(h.Numbers), h.Machine, since, h.Back)
 	}
-	t.flush()
+	t.Flush()
 }
 
 // changePool shows what a change would do to a pool, asks, and has it made: for the version that was shown,
@@ -107,7 +108,7 @@
 	change.ID, change.Pool, change.Version = rand.Text(), pool, p.Version
 	out := cmd.OutOrStdout()
 	if !c.json {
-		printf(out, "%s, version %d: %d units, %d out, %d waited for%s\n%s\n",
+		console.Printf(out, "%s, version %d: %d units, %d out, %d waited for%s\n%s\n",
 			pool, p.Version, p.Units, p.Out, p.Waiting, drainedSuffix(p.Drained), words)
 	}
 	if err := confirm(cmd, c.yes, question); err != nil {
@@ -152,10 +153,10 @@
 		return false, err
 	}
 	if c.json {
-		printf(out, "%s\n", raw)
+		console.Printf(out, "%s\n", raw)
 		return true, nil
 	}
-	printf(out, "done: version %d, %d units, %d out%s\n",
+	console.Printf(out, "done: version %d, %d units, %d out%s\n",
 		done.Version, done.Pool.Units, done.Pool.Out, drainedSuffix(done.Pool.Drained))
 	return true, nil
 }
--- a/cmd/bitternmoor/receipts.go
+++ b/cmd/bitternmoor/receipts.go
@@ -8,6 +8,7 @@
 
 	"github.com/spf13/cobra"
 
+	"bitternmoor/internal/operators/console"
 	"bitternmoor/internal/operators/receipts"
 	"bitternmoor/internal/settings"
 )
@@ -46,17 +47,17 @@
 		if err != nil {
 			return failure{err}
 		}
-		printf(out, "%s\n", raw)
+		console.Printf(out, "%s\n", raw)
 		return nil
 	}
-	printf(out, "good until %s, signed with key %s: task %s, attempt %d, given in epoch %d\n",
+	console.Printf(out, "good until %s, signed with key %s: task %s, attempt %d, given in epoch %d\n",
 		claims.ExpiresAt.UTC().Format(time.RFC3339), key, claims.Subject, claims.Attempt, claims.Epoch)
 	for _, units := range claims.Units {
 		holder := "the task"
 		if units.PerJob {
 			holder = "the job as a whole"
 		}
-		printf(out, "  %s: units %s, for %s\n", units.Pool, formatNumbers(units.Numbers), holder)
+		console.Printf(out, "  %s: units %s, for %s\n", units.Pool, formatNumbers(units.Numbers), holder)
 	}
 	return nil
 }
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -13,6 +13,7 @@
 
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/console"
 )
 
 // shownKind is what the leader shows of one kind of work.
@@ -54,7 +55,7 @@
 		return err
 	}
 	if n.json {
-		printf(out, "%s\n", answer)
+		console.Printf(out, "%s\n", answer)
 		return nil
 	}
 	var done runtimes.Imported
@@ -103,7 +104,7 @@
 		return err
 	}
 	return im.changeKinds(out, in, func(done runtimes.Imported) {
-		printf(out, "%d added, %d replaced, %d left as they are, %d dropped for want of room; "+
+		console.Printf(out, "%d added, %d replaced, %d left as they are, %d dropped for want of room; "+
 			"they are written down over the next minutes\n", done.Added, done.Replaced, done.Left, done.Dropped)
 	})
 }
@@ -120,7 +121,7 @@
 	if im.replace {
 		action = "replaced"
 	}
-	printf(out, "%d kinds of work are known; %d new ones would be added, %d known ones %s\n",
+	console.Printf(out, "%d kinds of work are known; %d new ones would be added, %d known ones %s\n",
 		len(known), len(in.Kinds)-both, both, action)
 }
 
@@ -151,14 +152,14 @@
 	}
 	out := cmd.OutOrStdout()
 	if e := known[i].Estimate; !n.json {
-		printf(out, "%s would be forgotten: %d jobs, %d tasks in %d nights, a task %s to %s; coarser kinds stay\n",
+		console.Printf(out, "%s would be forgotten: %d jobs, %d tasks in %d nights, a task %s to %s; coarser kinds stay\n",
 			name, e.Jobs, e.Tasks, e.Nights, formatSeconds(e.P50), formatSeconds(e.P90))
 	}
 	if err := confirm(cmd, yes, "forget it?"); err != nil {
 		return err
 	}
 	return n.changeKinds(out, runtimes.Import{Forget: []string{name}}, func(runtimes.Imported) {
-		printLine(out, "forgotten")
+		console.Line(out, "forgotten")
 	})
 }
 
@@ -197,23 +198,23 @@
 	for _, kind := range list {
 		var line bytes.Buffer
 		if json.Compact(&line, kind) == nil { // never an error: it was read as JSON just now
-			printLine(out, line.String())
+			console.Line(out, line.String())
 		}
 	}
 }
 
 func printKinds(out io.Writer, list []shownKind) {
 	if len(list) == 0 {
-		printLine(out, "nothing was learned yet")
+		console.Line(out, "nothing was learned yet")
 		return
 	}
-	t := newTable(out, "KIND", "TASK P50", "TASK P90", "FETCH", "JOB P50", "JOB P90", "JOBS", "TASKS", "NIGHTS",
+	t := console.NewTable(out, "KIND", "TASK P50", "TASK P90", "FETCH", "JOB P50", "JOB P90", "JOBS", "TASKS", "NIGHTS",
 		"LAST", "REMARK")
 	for _, kind := range list {
 		e := kind.Estimate
-		t.row(kind.Name, formatSeconds(e.P50), formatSeconds(e.P90), formatSeconds(e.Fetch),
+		t.Row(kind.Name, formatSeconds(e.P50), formatSeconds(e.P90), formatSeconds(e.Fetch),
 			formatSeconds(e.JobP50), formatSeconds(e.JobP90), e.Jobs, e.Tasks, e.Nights,
 			formatSeconds(e.AgeS)+" ago", e.Wide)
 	}
-	t.flush()
+	t.Flush()
 }
--- a/cmd/bitternmoor/served.go
+++ b/cmd/bitternmoor/served.go
@@ -8,6 +8,7 @@
 	"bitternmoor/internal/leader/rebalance"
 	"bitternmoor/internal/leader/slo"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/console"
 )
 
 func servedCommand() *cobra.Command {
@@ -16,17 +17,17 @@
 }
 
 func printServed(out io.Writer, list []slo.View) {
-	t := newTable(out, "KIND", "NAME", "DUE", "DONE BY THEN", "SHARE", "OPEN", "GO AHEAD", "MISSED", "WENT AHEAD",
+	t := console.NewTable(out, "KIND", "NAME", "DUE", "DONE BY THEN", "SHARE", "OPEN", "GO AHEAD", "MISSED", "WENT AHEAD",
 		"LARGEST", "DONE BY THEN", "BEGAN WITHIN")
 	for _, v := range list {
 		kind := "class"
 		if v.Team {
 			kind = "team"
 		}
-		t.row(kind, v.Name, v.Due, v.Met, formatFixed(v.Share, 2), v.Open, v.Kept, v.Missed, v.Helped,
+		t.Row(kind, v.Name, v.Due, v.Met, formatFixed(v.Share, 2), v.Open, v.Kept, v.Missed, v.Helped,
 			v.Largest, v.LargestMet, formatFixed(v.LargestWait, 0)+" s")
 	}
-	t.flush()
+	t.Flush()
 }
 
 func spreadCommand() *cobra.Command {
@@ -35,9 +36,9 @@
 }
 
 func printSpread(out io.Writer, list []rebalance.View) {
-	t := newTable(out, "CONTROLLER", "MACHINES", "WEIGHT", "LOAD", "TAKES MACHINES")
+	t := console.NewTable(out, "CONTROLLER", "MACHINES", "WEIGHT", "LOAD", "TAKES MACHINES")
 	for _, v := range list {
-		t.row(v.Node, v.Machines, formatFixed(v.Weight, 2), formatFixed(v.Load, 2), v.Ready)
+		t.Row(v.Node, v.Machines, formatFixed(v.Weight, 2), formatFixed(v.Load, 2), v.Ready)
 	}
-	t.flush()
+	t.Flush()
 }
--- a/cmd/bitternmoor/status.go
+++ b/cmd/bitternmoor/status.go
@@ -8,6 +8,7 @@
 	"github.com/spf13/cobra"
 
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/console"
 	"bitternmoor/internal/wire"
 )
 
@@ -20,40 +21,41 @@
 	if leader == "" {
 		leader = "nobody"
 	}
-	printf(out, "%s leads, epoch %d, sure of it: %v, entries not yet durable: %d\n", leader, s.Epoch, s.Sure, s.Unsaved)
-	printLine(out, "")
-	blocks := newTable(out, "BLOCK", "MACHINES", "CPUS")
+	console.Printf(out, "%s leads, epoch %d, sure of it: %v, entries not yet durable: %d\n",
+		leader, s.Epoch, s.Sure, s.Unsaved)
+	console.Line(out, "")
+	blocks := console.NewTable(out, "BLOCK", "MACHINES", "CPUS")
 	for _, b := range s.Blocks {
-		blocks.row(b.Holder, b.Machines, formatFixed(b.CPUs, 0))
+		blocks.Row(b.Holder, b.Machines, formatFixed(b.CPUs, 0))
 	}
-	blocks.flush()
-	printLine(out, "")
-	machines := newTable(out, "MACHINE", "TYPE", "ZONE", "SPOT", "BLOCK", "FREE CPUS", "TASKS", "STATE")
+	blocks.Flush()
+	console.Line(out, "")
+	machines := console.NewTable(out, "MACHINE", "TYPE", "ZONE", "SPOT", "BLOCK", "FREE CPUS", "TASKS", "STATE")
 	for _, m := range s.Machines {
-		machines.row(m.Name, m.Type, m.Zone, m.Spot, m.Holder, formatFixed(m.FreeCPUs, 1), m.Tasks, m.State)
+		machines.Row(m.Name, m.Type, m.Zone, m.Spot, m.Holder, formatFixed(m.FreeCPUs, 1), m.Tasks, m.State)
 	}
-	machines.flush()
+	machines.Flush()
 	printQueue(out, s)
 }
 
 // printQueue prints the jobs in the order in which they are served, and those that wait for others.
 func printQueue(out io.Writer, s node.Status) {
-	printLine(out, "")
-	queue := newTable(out, "JOB", "CLASS", "TEAM", "VIRTUAL SIZE", "SIZE", "FINAL", "WAITING", "PLACED", "DONE")
+	console.Line(out, "")
+	queue := console.NewTable(out, "JOB", "CLASS", "TEAM", "VIRTUAL SIZE", "SIZE", "FINAL", "WAITING", "PLACED", "DONE")
 	for _, j := range s.Queue {
-		queue.row(j.ID, j.Class, j.Team, formatFixed(j.Virtual, 0)+" s", formatFixed(j.Size, 0)+" s", j.Final,
+		queue.Row(j.ID, j.Class, j.Team, formatFixed(j.Virtual, 0)+" s", formatFixed(j.Size, 0)+" s", j.Final,
 			j.Waiting, j.Placed, j.Finished)
 	}
-	queue.flush()
+	queue.Flush()
 	if len(s.Held) == 0 {
 		return
 	}
-	printLine(out, "")
-	held := newTable(out, "HELD JOB", "CLASS", "TEAM", "TASKS", "WAITS FOR")
+	console.Line(out, "")
+	held := console.NewTable(out, "HELD JOB", "CLASS", "TEAM", "TASKS", "WAITS FOR")
 	for _, h := range s.Held {
-		held.row(h.ID, h.Class, h.Team, h.Tasks, strings.Join(h.After, ", "))
+		held.Row(h.ID, h.Class, h.Team, h.Tasks, strings.Join(h.After, ", "))
 	}
-	held.flush()
+	held.Flush()
 }
 
 func explainCommand() *cobra.Command {
@@ -68,7 +70,7 @@
 			var e node.Explanation
 			return client.printView(out, node.PathExplain+args[0], &e, func() {
 				for _, words := range e.Words {
-					printf(out, "%s: %s\n", e.ID, words)
+					console.Printf(out, "%s: %s\n", e.ID, words)
 				}
 			})
 		},
--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -13,6 +13,7 @@
 	"bitternmoor/internal/leader/coldstart"
 	"bitternmoor/internal/leader/failover"
 	"bitternmoor/internal/node"
+	"bitternmoor/internal/operators/console"
 )
 
 func takeoversCommand() *cobra.Command {
@@ -26,14 +27,14 @@
 
 func printTakeovers(out io.Writer, list []failover.Record) {
 	if len(list) == 0 {
-		printLine(out, "no takeover is written down")
+		console.Line(out, "no takeover is written down")
 		return
 	}
 	headers := []string{"EPOCH", "LEADER", "FOUND VACANT", "MACHINES", "JOBS", "HELD BACK"}
 	for _, step := range failover.Steps() {
 		headers = append(headers, step.Words())
 	}
-	t := newTable(out, headers...)
+	t := console.NewTable(out, headers...)
 	for _, r := range list {
 		cells := []any{r.Epoch, r.Node, formatTime(r.AtMS), r.Machines, r.Jobs, r.HeldBack}
 		for _, step := range failover.Steps() {
@@ -43,29 +44,29 @@
 			}
 			cells = append(cells, formatMillis(ms))
 		}
-		t.row(cells...)
+		t.Row(cells...)
 	}
-	t.flush()
+	t.Flush()
 }
 
 func printColdStarts(out io.Writer, list []coldstart.Record) {
 	if len(list) == 0 {
-		printLine(out, "no cold start is written down")
+		console.Line(out, "no cold start is written down")
 		return
 	}
-	t := newTable(out, "EPOCH", "LEADER", "BEGAN", "DOWN AT LEAST", "AT MOST", "MACHINES", "JOBS", "TASKS",
+	t := console.NewTable(out, "EPOCH", "LEADER", "BEGAN", "DOWN AT LEAST", "AT MOST", "MACHINES", "JOBS", "TASKS",
 		"SETTLED", "HALF BACK", "90 % BACK", "ALL BACK")
 	for _, r := range list {
-		t.row(r.Epoch, r.Node, formatTime(r.AtMS), formatMillis(r.LeastMS), formatMillis(r.MostMS),
+		t.Row(r.Epoch, r.Node, formatTime(r.AtMS), formatMillis(r.LeastMS), formatMillis(r.MostMS),
 			r.Machines, r.Jobs, r.Tasks,
 			formatMillis(r.SettledMS), formatMillis(r.HalfMS), formatMillis(r.NinetyMS), formatMillis(r.BackMS))
 	}
-	t.flush()
+	t.Flush()
 	for _, r := range list {
-		printf(out, "\nepoch %d\n", r.Epoch)
-		printf(out, "  differences  %s\n", formatCounts(r.Differences))
-		printf(out, "  orders       %s\n", formatCounts(r.Orders))
-		printf(out, "  needless     %s\n", formatCounts(r.Needless))
+		console.Printf(out, "\nepoch %d\n", r.Epoch)
+		console.Printf(out, "  differences  %s\n", formatCounts(r.Differences))
+		console.Printf(out, "  orders       %s\n", formatCounts(r.Orders))
+		console.Printf(out, "  needless     %s\n", formatCounts(r.Needless))
 	}
 }
 
--- /dev/null
+++ b/cmd/scalerun/fit.go
@@ -0,0 +1,116 @@
+package main
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/spf13/cobra"
+
+	"bitternmoor/internal/scaletest/scalefit"
+	"bitternmoor/internal/scaletest/scalerun"
+)
+
+// fitFlags are those of scalerun fit.
+type fitFlags struct {
+	experiment, phases, against, at string
+	json                            bool
+}
+
+func fitCommand() *cobra.Command {
+	var f fitFlags
+	cmd := &cobra.Command{
+		Use:   "fit FILE...",
+		Short: "Fit what roles cost, by least squares over results of several sizes",
+		Args:  cobra.MinimumNArgs(1),
+		RunE:  func(cmd *cobra.Command, args []string) error { return f.run(cmd.OutOrStdout(), args) },
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&f.experiment, "experiment", "", "take the results of this experiment alone")
+	flags.StringVar(&f.phases, "phase", "peak", "the phases that are fitted, taken together, separated by commas")
+	flags.StringVar(&f.against, "against", "workers",
+		"what it is fitted against, separated by commas: "+strings.Join(scalefit.Regressors(), ", "))
+	flags.StringVar(&f.at, "at", "", "print the costs at these values, one for each of --against, separated by commas")
+	flags.BoolVar(&f.json, "json", false, "print JSON")
+	return cmd
+}
+
+// run fits the results in files, and prints the fits.
+func (f *fitFlags) run(out io.Writer, files []string) error {
+	results, err := readResults(files)
+	if err != nil {
+		return err
+	}
+	if f.experiment != "" {
+		results = slices.DeleteFunc(results, func(r scalerun.Result) bool { return r.Experiment != f.experiment })
+	}
+	regressors := strings.Split(f.against, ",")
+	at, err := parseAt(f.at, len(regressors))
+	if err != nil {
+		return err
+	}
+	fits, err := scalefit.Of(results, strings.Split(f.phases, ","), regressors)
+	if err != nil {
+		return fmt.Errorf("--%w", err)
+	}
+	if f.json {
+		return json.NewEncoder(out).Encode(fits)
+	}
+	printFits(out, fits, at)
+	return nil
+}
+
+// parseAt reads where costs are to be given; empty: nowhere.
+func parseAt(at string, count int) (values []float64, err error) {
+	if at == "" {
+		return nil, nil
+	}
+	for part := range strings.SplitSeq(at, ",") {
+		v, err := strconv.ParseFloat(strings.TrimSpace(part), 64)
+		if err != nil {
+			return nil, fmt.Errorf("--at: not a number: %q", part)
+		}
+		values = append(values, v)
+	}
+	if len(values) != count {
+		return nil, errors.New("--at: wants one value for each of --against")
+	}
+	return values, nil
+}
+
+// readResults reads files of results, a line of JSON each.
+func readResults(paths []string) (all []scalerun.Result, err error) {
+	for _, path := range paths {
+		results, err := readResultFile(path)
+		if err != nil {
+			return nil, err
+		}
+		all = append(all, results...)
+	}
+	return all, nil
+}
+
+func readResultFile(path string) (results []scalerun.Result, err error) {
+	file, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = file.Close() }() // it was only read
+	decoder := json.NewDecoder(file)
+	for {
+		var r scalerun.Result
+		err := decoder.Decode(&r)
+		if errors.Is(err, io.EOF) {
+			return results, nil
+		}
+		if err != nil {
+			return nil, fmt.Errorf("%s: not lines of results: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
+		}
+		results = append(results, r)
+	}
+}
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,5 @@
-// Command scalerun plays experiments with controllers as real processes and thousands of hollow
-// workers, and fits what they cost. docs/scale-runs.md is its page.
+// Command scalerun runs experiments with controllers as real processes and thousands of simulated workers, and fits
+// what they cost. docs/scale-runs.md is its page.
 package main
 
 import (
@@ -12,7 +12,6 @@
 	"os"
 	"os/signal"
 	"path/filepath"
-	"strings"
 	"syscall"
 
 	"github.com/prometheus/procfs"
@@ -33,16 +32,21 @@
 
 func (f failure) Error() string { return f.err.Error() }
 
+func (f failure) Unwrap() error { return f.err }
+
 func main() {
-	root := &cobra.Command{Use: "scalerun", Short: "Play experiments at scale, and fit what they cost", SilenceUsage: true, SilenceErrors: true}
+	root := &cobra.Command{
+		Use: "scalerun", Short: "Play experiments at scale, and fit what they cost",
+		SilenceUsage: true, SilenceErrors: true,
+	}
 	root.AddCommand(runCommand(), fitCommand(), stateCommand(), workerCommand())
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	root.SetOut(os.Stdout)
 	if err := root.ExecuteContext(ctx); err != nil {
-		fmt.Fprintln(os.Stderr, "scalerun:", err)
-		var f failure
-		if errors.As(err, &f) {
+		_, _ = fmt.Fprintln(os.Stderr, "scalerun:", err) // where that fails, the exit status still tells
+		var failed failure
+		if errors.As(err, &failed) {
 			os.Exit(exitFailed)
 		}
 		os.Exit(exitUsage)
@@ -57,18 +61,19 @@
 
 func runCommand() *cobra.Command {
 	var f runFlags
-	c := &cobra.Command{
+	cmd := &cobra.Command{
 		Use: "run FILE", Short: "Play an experiment", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return f.run(cmd, args[0]) },
 	}
-	c.Flags().StringVar(&f.binary, "binary", "target/bitternmoor", "the built controller")
-	c.Flags().StringVar(&f.sizes, "sizes", "", "numbers of workers, separated by commas, in place of the file's")
-	c.Flags().StringVar(&f.seeds, "seeds", "", "seeds, separated by commas, in place of the file's")
-	c.Flags().StringVar(&f.results, "results", "", "a file to which the result of each run is added, as a line of JSON")
-	c.Flags().StringVar(&f.samples, "samples", "", "a file to which every sample is added, as a line of JSON")
-	c.Flags().StringVar(&f.keep, "keep", "", "a folder for settings files and logs; otherwise they are removed")
-	c.Flags().BoolVar(&f.json, "json", false, "print JSON")
-	return c
+	flags := cmd.Flags()
+	flags.StringVar(&f.binary, "binary", "target/bitternmoor", "the built controller")
+	flags.StringVar(&f.sizes, "sizes", "", "numbers of workers, separated by commas, in place of the file's")
+	flags.StringVar(&f.seeds, "seeds", "", "seeds, separated by commas, in place of the file's")
+	flags.StringVar(&f.results, "results", "", "a file to which the result of each run is added, as a line of JSON")
+	flags.StringVar(&f.samples, "samples", "", "a file to which every sample is added, as a line of JSON")
+	flags.StringVar(&f.keep, "keep", "", "a folder for settings files and logs; otherwise they are removed")
+	flags.BoolVar(&f.json, "json", false, "print JSON")
+	return cmd
 }
 
 // load reads the experiment as the flags change it.
@@ -90,8 +95,8 @@
 	return e, nil
 }
 
-// permit says beforehand what the sizes will take, and refuses what the machine cannot carry.
-func permit(e *experiment.Experiment, log *slog.Logger) error {
+// checkResources logs what the sizes will take, and refuses what this machine cannot carry.
+func checkResources(e *experiment.Experiment, log *slog.Logger) error {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
 		return failure{err}
@@ -105,59 +110,78 @@
 		return failure{err}
 	}
 	for _, size := range e.Sizes {
-		n := e.Needs(size)
-		if err := n.Refuse(*memory.MemTotal<<10, files.Cur); err != nil {
+		needs := e.Needs(size)
+		if err := needs.Refuse(*memory.MemTotal<<10, files.Cur); err != nil {
 			return fmt.Errorf("sizes: %d: %w", size, err)
 		}
-		log.Info("a run will take", "needs", n.String(), "seeds", len(e.Seeds))
+		log.Info("a run will take", "needs", needs.String(), "seeds", len(e.Seeds))
 	}
 	return nil
 }
 
+// run runs an experiment once for each size and seed.
 func (f *runFlags) run(cmd *cobra.Command, path string) error {
 	e, err := f.load(path)
 	if err != nil {
 		return err
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	if err := permit(e, log); err != nil {
+	if err := checkResources(e, log); err != nil {
 		return err
 	}
-	if f.binary, err = filepath.Abs(f.binary); err != nil {
-		return failure{err}
-	}
-	if _, err := os.Stat(f.binary); err != nil {
-		return fmt.Errorf("--binary: %w; README says how it is built", err)
-	}
-	self, err := os.Executable()
+	options, err := f.findPrograms()
 	if err != nil {
-		return failure{err}
+		return err
 	}
+	options.Log = log
 	samples, err := appendTo(f.samples)
 	if err != nil {
 		return fmt.Errorf("--samples: %w", err)
 	}
-	defer samples.Close()
+	defer func() { _ = samples.Close() }() // each line was written before, and its error returned
+	options.Samples = samples
 	results, err := appendTo(f.results)
 	if err != nil {
 		return fmt.Errorf("--results: %w", err)
 	}
-	defer results.Close()
+	defer func() { _ = results.Close() }() // as above
 	parent := f.keep
 	if parent == "" {
-		if parent, err = os.MkdirTemp("", "scalerun"); err != nil {
+		parent, err = os.MkdirTemp("", "scalerun")
+		if err != nil {
 			return failure{err}
 		}
-		defer os.RemoveAll(parent)
+		defer func() { _ = os.RemoveAll(parent) }() // what remains is in the folder for temporary files
 	}
+	return f.runAll(cmd, e, options, parent, results)
+}
+
+// findPrograms finds the controller, and this program, which is started anew for the other processes of a run.
+func (f *runFlags) findPrograms() (options scalerun.Options, err error) {
+	if options.Controller, err = filepath.Abs(f.binary); err != nil {
+		return options, failure{err}
+	}
+	if _, err := os.Stat(options.Controller); err != nil {
+		return options, fmt.Errorf("--binary: %w; README says how it is built", err)
+	}
+	if options.Self, err = os.Executable(); err != nil {
+		return options, failure{err}
+	}
+	return options, nil
+}
+
+// runAll makes the runs, one after the other, and shows their results. It fails if a rule was broken in any of them.
+func (f *runFlags) runAll(
+	cmd *cobra.Command, e *experiment.Experiment, options scalerun.Options, parent string, results io.Writer,
+) (err error) {
 	broken := 0
 	for _, size := range e.Sizes {
 		for _, seed := range e.Seeds {
-			dir, err := scalerun.MakeDir(parent, fmt.Sprintf("%s-%d-%d", e.Name, size, seed))
+			options.Dir, err = scalerun.MakeDir(parent, fmt.Sprintf("%s-%d-%d", e.Name, size, seed))
 			if err != nil {
 				return fmt.Errorf("--keep: %w", err)
 			}
-			r, err := scalerun.Run(cmd.Context(), e, size, seed, scalerun.Options{Controller: f.binary, Self: self, Log: log, Samples: samples, Dir: dir})
+			r, err := scalerun.Run(cmd.Context(), e, size, seed, options)
 			if err != nil {
 				return failure{fmt.Errorf("%d workers, seed %d: %w", size, seed, err)}
 			}
@@ -185,60 +209,15 @@
 	return nil
 }
 
-// discard is a file that nobody wants.
+// discard stands for a file that was not asked for.
 type discard struct{ io.Writer }
 
 func (discard) Close() error { return nil }
 
+// appendTo opens a file to which lines are added; without a path they are discarded.
 func appendTo(path string) (io.WriteCloser, error) {
 	if path == "" {
 		return discard{io.Discard}, nil
 	}
 	return os.OpenFile(path, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o644)
 }
-
-// readResults reads the lines of files of results.
-func readResults(paths []string) (all []scalerun.Result, err error) {
-	for _, path := range paths {
-		file, err := os.Open(path)
-		if err != nil {
-			return nil, err
-		}
-		dec := json.NewDecoder(file)
-		for {
-			var r scalerun.Result
-			err := dec.Decode(&r)
-			if errors.Is(err, io.EOF) {
-				break
-			}
-			if err != nil {
-				file.Close()
-				return nil, fmt.Errorf("%s: not lines of results: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
-			}
-			all = append(all, r)
-		}
-		file.Close()
-	}
-	return all, nil
-}
-
-// stateCommand and workerCommand are the processes of a run.
-func stateCommand() *cobra.Command {
-	var l scalerun.StateLimits
-	c := &cobra.Command{
-		Use: "state", Hidden: true, Args: cobra.NoArgs,
-		RunE: func(cmd *cobra.Command, _ []string) error { return scalerun.ServeState(l, os.Stdin, os.Stdout) },
-	}
-	c.Flags().Float64Var(&l.RPS, "rps", 250, "requests a second")
-	c.Flags().Float64Var(&l.WriteRPS, "write-rps", 100, "changes a second")
-	c.Flags().Float64Var(&l.ValueKB, "value-kb", 16, "KiB of a value")
-	c.Flags().IntVar(&l.TxnOps, "txn-ops", 16, "changes of a transaction")
-	return c
-}
-
-func workerCommand() *cobra.Command {
-	return &cobra.Command{
-		Use: "worker", Hidden: true, Args: cobra.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return scalerun.ServeWorker(os.Stdin, os.Stdout) },
-	}
-}
