--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -48,9 +48,15 @@
 
 // storedItem is an item as the state service writes it.
 type storedItem struct {
-	Key   string          `json:"k"`
-	Value json.RawMessage `json:"data"`
-	Mark  uint64          `json:"entry_mark"`
+	Key     string          `json:"k"`
+	Value   json.RawMessage `json:"data"`
+	Version uint64          `json:"entry_mark"`
+}
+
+func (s storedItem) item() Item { return Item{Key: s.Key, Value: s.Value, Mark: s.Version} }
+
+func newStoredItem(item Item) storedItem {
+	return storedItem{Key: item.Key, Value: item.Value, Version: item.Mark}
 }
 
 // itemPage is one page of a listing.
@@ -69,7 +75,7 @@
 	}
 	switch status {
 	case http.StatusOK:
-		return Item(stored), nil
+		return stored.item(), nil
 	case http.StatusNotFound:
 		return Item{Key: key}, nil
 	}
@@ -94,7 +100,7 @@
 		return nil, false, 0, fmt.Errorf("wire: state service: status %d", status)
 	}
 	for _, stored := range out.Items {
-		items = append(items, Item(stored))
+		items = append(items, stored.item())
 	}
 	return items, out.More, out.Revision, nil
 }
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -95,14 +95,14 @@
 
 // StateItem is the body that gives one key; lease is what it is bound to, or 0.
 func StateItem(item Item, lease uint64) []byte {
-	return encode(leasedItem{storedItem: storedItem(item), LeaseID: lease})
+	return encode(leasedItem{storedItem: newStoredItem(item), LeaseID: lease})
 }
 
 // StatePage is the body that gives a page of keys; more says that there are further ones.
 func StatePage(items []Item, more bool, revision uint64) []byte {
 	stored := make([]storedItem, len(items))
 	for i, item := range items {
-		stored[i] = storedItem(item)
+		stored[i] = newStoredItem(item)
 	}
 	return encode(itemPage{Items: stored, More: more, Revision: revision})
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -38,7 +38,7 @@
 //	settle_s            GraceS             grace period of a stop, seconds
 //	herdsman            Node               controller that a worker is redirected to
 //	k, data             Key, Value         key and value in the state service
-//	entry_mark          Mark, Version      version of a key, for compare-and-swap; 0: the key is missing
+//	entry_mark          Version, Mark      version of a key, for compare-and-swap; 0: the key is missing
 //	ledger_mark         Revision           revision of the whole state service
 //	when, writes        Conditions, Writes a transaction: what must hold, and what is then written
 //	write, remove       Put, Delete        key that is written, or removed
