--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,6 +63,7 @@
 	return Load(path, iniPath)
 }
 
+// Settings that are right are read; fields of the platform that are not known are ignored.
 func TestGood(t *testing.T) {
 	s, err := load(t, good, "[sizing]\ntraining_tasks = 7\n")
 	if err != nil {
@@ -98,8 +99,17 @@
 	}
 }
 
+// checkField fails the test unless an error names a field, in one line.
+func checkField(t *testing.T, err error, field string) {
+	t.Helper()
+	var fieldError *FieldError
+	if !errors.As(err, &fieldError) || fieldError.Field != field || strings.Contains(err.Error(), "\n") {
+		t.Errorf("%v, want the field %s named in one line", err, field)
+	}
+}
+
 // A wrong setting is named, in one line.
-func TestWrong(t *testing.T) {
+func TestWrongSettings(t *testing.T) {
 	cases := []struct{ from, to, ini, field string }{
 		{`node = "n0"`, "", "", "node"},
 		{`"10.0.0.1:8081"`, `"10.0.0.1"`, "", "internal_addr"},
@@ -127,37 +137,42 @@
 		{"", "", "[webhook]\nurl = http://127.0.0.1:9/hook\nkey_file = ../../.gitignore\n", "webhook.key_file"},
 	}
 	for _, c := range cases {
-		_, err := load(t, strings.Replace(good, c.from, c.to, 1), c.ini)
-		var fe *FieldError
-		if !errors.As(err, &fe) || fe.Field != c.field || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q, %q: %v, want the field %s named", c.to, c.from, c.ini, err, c.field)
-		}
+		t.Run(c.field+" "+c.to+c.ini, func(t *testing.T) {
+			_, err := load(t, strings.Replace(good, c.from, c.to, 1), c.ini)
+			checkField(t, err, c.field)
+		})
 	}
 }
 
 // What a controller cannot serve is named, though it would start.
-func TestServes(t *testing.T) {
+func TestCheckServable(t *testing.T) {
+	longName := strings.Repeat("c", 100)
 	for _, c := range []struct{ from, to, field string }{
 		{"", "", ""},
 		{"lease_s = 10.0", "lease_s = 2.9", "deployment.workers.lease_s"},
 		{"lease_s = 10.0", "lease_s = 3.0", ""},
 		{`name = "team"`, `name = "` + strings.Repeat("t", 400) + `"` + "\n#", ""},
 		{"value_kb = 8.0", "value_kb = 0.5", ""},
-		{`value_kb = 8.0`, "value_kb = 0.5\n[[deployment.objectives]]\nkind = \"wait\"\nclass = \"" + strings.Repeat("c", 100) + "\"\n[deployment.state_]", "deployment.state.value_kb"},
-		{"txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\nvalue_kb = 0.5\n[[deployment.objectives]]\nclass = \"" + strings.Repeat("c", 100) + "\"", "deployment.state.next.value_kb"},
+		{`value_kb = 8.0`, "value_kb = 0.5\n[[deployment.objectives]]\nkind = \"wait\"\nclass = \"" + longName +
+			"\"\n[deployment.state_]", "deployment.state.value_kb"},
+		{"txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\nvalue_kb = 0.5\n[[deployment.objectives]]\nclass = \"" +
+			longName + "\"", "deployment.state.next.value_kb"},
 	} {
 		text := strings.Replace(good, c.from, c.to, 1)
 		if strings.Contains(text, "[deployment.state_]") {
-			text = strings.Replace(strings.Replace(text, "txn_ops = 12\n", "", 1), "value_kb = 0.5\n", "value_kb = 0.5\ntxn_ops = 12\n", 1)
+			text = strings.Replace(text, "txn_ops = 12\n", "", 1)
+			text = strings.Replace(text, "value_kb = 0.5\n", "value_kb = 0.5\ntxn_ops = 12\n", 1)
 		}
 		s, err := load(t, text, "")
 		if err != nil {
 			t.Fatal(err)
 		}
 		err = s.CheckServable()
-		var fe *FieldError
-		if (c.field == "") != (err == nil) || (err != nil && (!errors.As(err, &fe) || fe.Field != c.field || strings.Contains(err.Error(), "\n"))) {
-			t.Errorf("%.60q: %v, want the field %q named", c.to, err, c.field)
+		switch {
+		case c.field != "":
+			checkField(t, err, c.field)
+		case err != nil:
+			t.Errorf("%.60q: %v", c.to, err)
 		}
 	}
 }
@@ -221,9 +236,9 @@
 	}
 }
 
-// Direct starts are held against the sockets there are, and only an aim shorter than a report
-// interval asks for them; an aim of a kind that is not known does no harm.
-func TestDirectStarts(t *testing.T) {
+// Push dispatches are checked against the sockets that there are, and only an objective shorter than a report interval
+// asks for them; an objective of a kind that is not known does no harm.
+func TestPushDispatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	text := good + "\n[[deployment.objectives]]\nkind = \"brightness\"\nclass = \"never-comes\"\nshare = 0.5\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -231,11 +246,12 @@
 	}
 	s, err := Load(path, "", "exceptions.direct_starts=8")
 	if err != nil || s.AnyNeedsDispatch() || !slices.Equal(s.UnknownObjectives(), []string{"brightness"}) {
-		t.Fatalf("%v: prompt %v, unknown %v", err, s != nil && s.AnyNeedsDispatch(), s != nil)
+		t.Fatalf("%v: %+v", err, s)
 	}
-	s.Deployment.Objectives = append(s.Deployment.Objectives, Objective{Kind: AimWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2})
+	tight := Objective{Kind: AimWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2}
+	s.Deployment.Objectives = append(s.Deployment.Objectives, tight)
 	if !s.AnyNeedsDispatch() {
-		t.Error("an aim of half a report interval is none that is prompt")
+		t.Error("an objective of half a report interval needs no push dispatch")
 	}
 	if _, err := Load(path, "", "exceptions.direct_starts=1000"); err == nil || !strings.Contains(err.Error(), "exceptions.direct_starts") {
 		t.Errorf("more calls than sockets: %v", err)
@@ -246,16 +262,32 @@
 func TestSet(t *testing.T) {
 	dir := t.TempDir()
 	path, iniPath := filepath.Join(dir, "s.toml"), filepath.Join(dir, "t.ini")
-	if err := errors.Join(os.WriteFile(path, []byte(good), 0o600), os.WriteFile(iniPath, []byte("[fleet]\nidle_return = 9\nspot_return = 8\n"), 0o600)); err != nil {
+	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(iniPath, []byte("[fleet]\nidle_return = 9\nspot_return = 8\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s, err := Load(path, iniPath, "fleet.idle_return=5", "cold-start.listen=1", "calendar.time_zone=Europe/Sofia")
-	if err != nil || s.Tunables.IdleReturnS != 5 || s.Tunables.SpotReturnS != 8 || s.Tunables.ColdListen != 1 || s.Tunables.TimeZone != "Europe/Sofia" {
-		t.Errorf("%v: %+v", err, s)
+	if err != nil {
+		t.Fatal(err)
 	}
-	for set, want := range map[string]string{"fleet.idle_return": "SECTION.KEY=VALUE", "idle_return=3": "SECTION.KEY=VALUE", "fleet.idle=3": "fleet.idle", "fleet.idle_return=x": "fleet.idle_return", "cold-start.listen=2": "cold-start.listen"} {
-		if _, err := Load(path, "", set); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("--set %s: %v", set, err)
-		}
+	x := &s.Tunables
+	if x.IdleReturnS != 5 || x.SpotReturnS != 8 || x.ColdListen != 1 || x.TimeZone != "Europe/Sofia" {
+		t.Errorf("%+v", x)
+	}
+	wrong := map[string]string{
+		"fleet.idle_return":   "SECTION.KEY=VALUE",
+		"idle_return=3":       "SECTION.KEY=VALUE",
+		"fleet.idle=3":        "fleet.idle",
+		"fleet.idle_return=x": "fleet.idle_return",
+		"cold-start.listen=2": "cold-start.listen",
+	}
+	for set, want := range wrong {
+		t.Run(set, func(t *testing.T) {
+			if _, err := Load(path, "", set); err == nil || !strings.Contains(err.Error(), want) {
+				t.Errorf("%v, want %s named", err, want)
+			}
+		})
 	}
 }
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -10,32 +10,62 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// What one side writes the other reads as it was meant.
-func TestBothSidesAgree(t *testing.T) {
-	r := &workers.Report{Machine: "host-000001", Address: "a:1", Type: "m", Zone: "z", Spot: true, Session: 2, Seq: 3, Token: 4, Notice: true, NoticeS: 9,
-		Tasks: []workers.TaskReport{{Job: 1, Task: 2, Attempt: 3, State: workers.Running}, {Job: 4, Attempt: 5, State: workers.Ended, Reason: workers.Completed, Saved: true}}}
+// What one side writes the other reads as it was meant: a report.
+func TestReportBothWays(t *testing.T) {
+	r := &workers.Report{
+		Machine: "host-000001", Address: "a:1", Type: "m", Zone: "z", Spot: true,
+		Session: 2, Seq: 3, Token: 4, Notice: true, NoticeS: 9,
+		Tasks: []workers.TaskReport{
+			{Job: 1, Task: 2, Attempt: 3, State: workers.Running},
+			{Job: 4, Attempt: 5, State: workers.Ended, Reason: workers.Completed, Saved: true},
+		},
+	}
 	if got, err := ParseReport(EncodeReport(r)); err != nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("a report: %+v %v", got, err)
+		t.Errorf("%+v %v", got, err)
 	}
-	cmds := []workers.Command{{Op: workers.Start, Job: 1, Task: 2, Attempt: 3}, {Op: workers.Stop, Job: 1, Attempt: 4, GraceS: 5}, {Op: workers.Reap, Job: 2, Attempt: 6}}
-	if token, got, err := ParseReportAnswer(ReportAnswer(7, cmds)); err != nil || token != 7 || !reflect.DeepEqual(got, cmds) {
+}
+
+// Commands, in an answer to a report and sent directly, and redirects.
+func TestCommandsBothWays(t *testing.T) {
+	commands := []workers.Command{
+		{Op: workers.Start, Job: 1, Task: 2, Attempt: 3},
+		{Op: workers.Stop, Job: 1, Attempt: 4, GraceS: 5},
+		{Op: workers.Reap, Job: 2, Attempt: 6},
+	}
+	token, got, err := ParseReportAnswer(ReportAnswer(7, commands))
+	if err != nil || token != 7 || !reflect.DeepEqual(got, commands) {
 		t.Errorf("an answer: %d %+v %v", token, got, err)
 	}
-	if d, err := ParseDirectCommands(EncodeDirectCommands(7, 8, cmds)); err != nil || d.Token != 7 || d.Session != 8 || !reflect.DeepEqual(d.Commands, cmds) {
-		t.Errorf("direct commands: %+v %v", d, err)
+	direct, err := ParseDirectCommands(EncodeDirectCommands(7, 8, commands))
+	if err != nil || !reflect.DeepEqual(direct, DirectCommands{Token: 7, Session: 8, Commands: commands}) {
+		t.Errorf("direct commands: %+v %v", direct, err)
 	}
 	if got := ParseRedirect(RedirectAnswer("n1")); got != "n1" {
-		t.Errorf("elsewhere: %q", got)
+		t.Errorf("a redirect: %q", got)
+	}
+}
+
+// A job, as it is submitted and asked for.
+func TestJobBothWays(t *testing.T) {
+	j := &eventlog.Job{
+		ID: 1, Class: "c", Team: "t", Priority: 2, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: .5,
+		Types: []string{"m"}, Zone: "z", Spot: true, EstimateS: 9, DeadlineS: 10, Follows: []uint64{7},
 	}
-	j := &eventlog.Job{ID: 1, Class: "c", Team: "t", Priority: 2, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: .5, Types: []string{"m"}, Zone: "z",
-		Spot: true, EstimateS: 9, DeadlineS: 10, Follows: []uint64{7}}
 	if got := ParseSubmission(EncodeSubmission(j), false); got.Bad != "" || !reflect.DeepEqual(got.Job, j) {
 		t.Errorf("a submission: %+v", got)
 	}
 	if got, err := ParseJobAnswer(JobAnswer(1, Cancelled, true, 2, 3)); err != nil || got != Cancelled {
 		t.Errorf("a job's state: %v %v", got, err)
 	}
-	for _, bad := range []string{"", "[]", `{"calls":[{"call":"dance","beast":"j-000001/0"}]}`, `{"calls":[{"call":"stop","beast":"j-1"}]}`} {
+}
+
+// An answer that is not one, or has a command that is not known, is an error.
+func TestMalformedAnswer(t *testing.T) {
+	for _, bad := range []string{
+		"", "[]",
+		`{"calls":[{"call":"dance","beast":"j-000001/0"}]}`,
+		`{"calls":[{"call":"stop","beast":"j-1"}]}`,
+	} {
 		if _, _, err := ParseReportAnswer([]byte(bad)); err == nil {
 			t.Errorf("%q was read as an answer", bad)
 		}
@@ -45,10 +75,11 @@
 // A query of the state service is read, or refused by its field.
 func TestStateQuery(t *testing.T) {
 	q, err := ParseStateQuery(url.Values{"starts": {"c/"}, "since": {"431"}, "most": {"20"}, "hold_ms": {"1500"}})
-	if want := (StateQuery{Prefix: "c/", After: "431", Most: 20, Since: 431, Wait: 1500 * time.Millisecond}); err != nil || q != want {
+	want := StateQuery{Prefix: "c/", After: "431", Most: 20, Since: 431, Wait: 1500 * time.Millisecond}
+	if err != nil || q != want {
 		t.Errorf("%+v %v", q, err)
 	}
 	if _, err := ParseStateQuery(url.Values{"most": {"many"}}); err == nil {
-		t.Error("a number that is none was taken")
+		t.Error("a number that is none was accepted")
 	}
 }
