--- a/internal/operators/certs/certs_test.go
+++ b/internal/operators/certs/certs_test.go
@@ -12,11 +12,15 @@
 )
 
 func files(dir, name string) Files {
-	return Files{filepath.Join(dir, name+".pem"), filepath.Join(dir, name+".key"), filepath.Join(dir, "ca.pem")}
+	return Files{
+		Cert: filepath.Join(dir, name+".pem"),
+		Key:  filepath.Join(dir, name+".key"),
+		CA:   filepath.Join(dir, "ca.pem"),
+	}
 }
 
-// Certificates are taken up anew when their files change, those that cannot be read
-// leave the ones before in force, and their end is said in time.
+// Certificates are reloaded when their files change, those that cannot be read leave the ones before in force, and
+// a warning comes before they expire.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	if err := MakeCA(dir, "test CA", 24*time.Hour); err != nil {
@@ -28,14 +32,17 @@
 	if err := Issue(dir, "n0", nil, time.Hour); err == nil {
 		t.Error("a certificate is written over")
 	}
-	var said bytes.Buffer
-	s, err := NewStore(files(dir, "n0"), slog.New(slog.NewTextHandler(&said, nil)))
+	var logged bytes.Buffer
+	s, err := NewStore(files(dir, "n0"), slog.New(slog.NewTextHandler(&logged, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := s.Pair()
-	if !strings.Contains(first.Expiry(time.Now()), "expires in 0 days") || !strings.Contains(first.Expiry(time.Now().Add(13*time.Hour)), "has expired") {
-		t.Errorf("said of its end: %q", first.Expiry(time.Now()))
+	if warning := first.Expiry(time.Now()); !strings.Contains(warning, "expires in 0 days") {
+		t.Errorf("on its last day: %q", warning)
+	}
+	if warning := first.Expiry(time.Now().Add(13 * time.Hour)); !strings.Contains(warning, "has expired") {
+		t.Errorf("after its end: %q", warning)
 	}
 	for _, f := range []string{"n0.pem", "n0.key"} {
 		if err := os.Remove(filepath.Join(dir, f)); err != nil {
@@ -43,8 +50,8 @@
 		}
 	}
 	s.checkedAt = time.Time{}
-	if s.Pair() != first || !strings.Contains(said.String(), "stay in force") {
-		t.Errorf("without its files: %s", said.String())
+	if s.Pair() != first || !strings.Contains(logged.String(), "stay in force") {
+		t.Errorf("without its files: %s", logged.String())
 	}
 	if err := Issue(dir, "n0", []string{"127.0.0.1"}, 10*time.Hour); err != nil {
 		t.Fatal(err)
@@ -57,9 +64,16 @@
 	if err != nil || conf.ClientAuth != tls.RequireAndVerifyClientCert {
 		t.Errorf("callers without a certificate: %v %v", conf.ClientAuth, err)
 	}
-	for _, bad := range []Files{{"none", "none", "none"}, {files(dir, "n0").Cert, files(dir, "ca").Key, files(dir, "n0").CA}, {files(dir, "n0").Cert, files(dir, "n0").Key, files(dir, "n0").Key}} {
-		if _, err := bad.Read(); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%v: %v", bad, err)
-		}
+	right := files(dir, "n0")
+	for name, wrong := range map[string]Files{
+		"no files":         {Cert: "none", Key: "none", CA: "none"},
+		"another's key":    {Cert: right.Cert, Key: files(dir, "ca").Key, CA: right.CA},
+		"a key for the CA": {Cert: right.Cert, Key: right.Key, CA: right.Key},
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := wrong.Read(); err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want an error in one line", err)
+			}
+		})
 	}
 }
--- a/internal/operators/control/control_test.go
+++ b/internal/operators/control/control_test.go
@@ -1,7 +1,6 @@
 package control
 
 import (
-	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -42,8 +41,8 @@
 	return body, nil
 }
 
-// Only those with a certificate may call, each within its role; what cannot be told
-// now is tried again, what is refused is not.
+// Only those with a certificate may call, each within its role; a call that cannot be answered now is made again, one
+// that is refused is not.
 func TestRoles(t *testing.T) {
 	dir, elsewhere := t.TempDir(), t.TempDir()
 	for _, d := range []string{dir, elsewhere} {
@@ -59,47 +58,64 @@
 	if err := certs.Issue(dir, "n0", []string{"127.0.0.1"}, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	of := func(d, name string) certs.Files {
-		return certs.Files{Cert: filepath.Join(d, name+".pem"), Key: filepath.Join(d, name+".key"), CA: filepath.Join(dir, "ca.pem")}
+	filesOf := func(d, name string) certs.Files {
+		return certs.Files{
+			Cert: filepath.Join(d, name+".pem"),
+			Key:  filepath.Join(d, name+".key"),
+			CA:   filepath.Join(dir, "ca.pem"),
+		}
 	}
-	store, err := certs.NewStore(of(dir, "n0"), slog.New(slog.DiscardHandler))
+	store, err := certs.NewStore(filesOf(dir, "n0"), slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &backend{fails: 2}
-	srv := httptest.NewUnstartedServer(Handler(b, Roles{Read: []string{"looker"}, Operate: []string{"operator"}, Admin: []string{"boss"}, Operable: []string{"pools"}}))
+	roles := Roles{
+		Read: []string{"looker"}, Operate: []string{"operator"}, Admin: []string{"boss"},
+		Operable: []string{"pools"},
+	}
+	srv := httptest.NewUnstartedServer(Handler(b, roles))
 	srv.TLS = store.Server()
 	srv.StartTLS()
-	defer srv.Close()
+	t.Cleanup(srv.Close)
 	client := func(d, name string) *Client {
-		pair, err := of(d, name).Read()
+		pair, err := filesOf(d, name).Read()
 		if err != nil {
 			t.Fatal(err)
 		}
 		return NewClient(srv.Listener.Addr().String(), pair.Client())
 	}
-	ctx := context.Background()
+	ctx := t.Context()
 	for _, c := range []struct {
-		name, duty   string
-		show, change bool
-	}{{"looker", "pools", true, false}, {"operator", "pools", true, true}, {"operator", "run-times", true, false}, {"boss", "run-times", true, true}, {"stranger", "pools", false, false}} {
-		_, err := client(dir, c.name).Show(ctx, c.duty)
-		if (err == nil) != c.show {
-			t.Errorf("%s shows %s: %v", c.name, c.duty, err)
-		}
-		raw, err := client(dir, c.name).Change(ctx, c.duty, json.RawMessage(`{"id":"x"}`))
-		if (err == nil) != c.change || (c.change && string(raw) != `{"id":"x"}`) {
-			t.Errorf("%s changes %s: %s %v", c.name, c.duty, raw, err)
-		}
+		name, component string
+		show, change    bool
+	}{
+		{"looker", "pools", true, false},
+		{"operator", "pools", true, true},
+		{"operator", "run-times", true, false},
+		{"boss", "run-times", true, true},
+		{"stranger", "pools", false, false},
+	} {
+		t.Run(c.name+" "+c.component, func(t *testing.T) {
+			_, err := client(dir, c.name).Show(ctx, c.component)
+			if (err == nil) != c.show {
+				t.Errorf("shows: %v", err)
+			}
+			raw, err := client(dir, c.name).Change(ctx, c.component, json.RawMessage(`{"id":"x"}`))
+			if (err == nil) != c.change || (c.change && string(raw) != `{"id":"x"}`) {
+				t.Errorf("changes: %s %v", raw, err)
+			}
+		})
 	}
 	if _, err := client(elsewhere, "boss").Show(ctx, "pools"); err == nil {
-		t.Error("a certificate of another CA is taken")
+		t.Error("a certificate of another CA is accepted")
 	}
 	if _, err := http.Get("https://" + srv.Listener.Addr().String() + procedureShow); err == nil {
-		t.Error("a caller without a certificate is taken")
+		t.Error("a caller without a certificate is accepted")
 	}
 	before := b.calls.Load()
-	if _, err := client(dir, "boss").Change(ctx, "pools", json.RawMessage(`"bad"`)); err == nil || !strings.Contains(err.Error(), "units: more") || b.calls.Load() != before+1 {
+	_, err = client(dir, "boss").Change(ctx, "pools", json.RawMessage(`"bad"`))
+	if err == nil || !strings.Contains(err.Error(), "units: more") || b.calls.Load() != before+1 {
 		t.Errorf("refused: %v, after %d calls", err, b.calls.Load()-before)
 	}
 	if _, err := client(dir, "boss").Show(ctx, "none"); err == nil || !strings.Contains(err.Error(), "no such duty") {
--- a/internal/operators/receipts/receipts_test.go
+++ b/internal/operators/receipts/receipts_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A receipt is good until its time is over, with any of the keys that are good; one
-// that was changed, or signed with another key, is not.
+// A receipt is valid until its time is over, with any of the valid keys; one that was changed, or signed with another
+// key, is not.
 func TestReceipts(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, key string) string {
@@ -31,21 +31,37 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := Read([]string{b, a}) // the key was changed, and the old one is good yet
+	two, err := Read([]string{b, a}) // the key was rotated, and the old one is valid yet
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, key, err := two.Verify(token, now.Add(30*time.Second))
-	if err != nil || got.Subject != "j-000001/0" || got.Attempt != 9 || len(got.Units) != 1 || got.Units[0].Numbers[1] != 4 || key != one[0].ID {
-		t.Errorf("%+v %s %v", got, key, err)
-	}
-	late, changed := now.Add(2*time.Minute), strings.Replace(token, ".", ".e", 1)
-	other, _ := Read([]string{b})
-	for name, err := range map[string]error{"late": second(two.Verify(token, late)), "changed": second(two.Verify(changed, now)), "another key": second(other.Verify(token, now)),
-		"no signature": second(two.Verify("eyJhbGciOiJub25lIn0."+strings.Split(token, ".")[1]+".", now))} {
-		if err == nil {
-			t.Errorf("%s: it is taken", name)
-		}
+	if err != nil || key != one[0].ID || len(got.Units) != 1 {
+		t.Fatalf("%+v %s %v", got, key, err)
+	}
+	if got.Subject != "j-000001/0" || got.Attempt != 9 || got.Units[0].Numbers[1] != 4 {
+		t.Errorf("%+v", got)
+	}
+	other, err := Read([]string{b})
+	if err != nil {
+		t.Fatal(err)
+	}
+	unsigned := "eyJhbGciOiJub25lIn0." + strings.Split(token, ".")[1] + "."
+	for _, c := range []struct {
+		name, receipt string
+		keys          Keys
+		at            time.Time
+	}{
+		{"late", token, two, now.Add(2 * time.Minute)},
+		{"changed", strings.Replace(token, ".", ".e", 1), two, now},
+		{"another key", token, other, now},
+		{"no signature", unsigned, two, now},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			if _, _, err := c.keys.Verify(c.receipt, c.at); err == nil {
+				t.Error("the receipt is accepted")
+			}
+		})
 	}
 	if _, err := Read([]string{file("short", "abc")}); err == nil || !strings.Contains(err.Error(), "short") {
 		t.Errorf("a short key: %v", err)
@@ -54,5 +70,3 @@
 		t.Error("signed without a key")
 	}
 }
-
-func second(_ Claims, _ string, err error) error { return err }
--- a/internal/operators/webhook/webhook_test.go
+++ b/internal/operators/webhook/webhook_test.go
@@ -126,7 +126,11 @@
 // A receiver that never answers holds up nobody who sends, and messages that find
 // the queue full are dropped and said so.
 func TestNobodyWaits(t *testing.T) {
-	r := &receiver{got: map[string]int{}, act: func(int, http.ResponseWriter) bool { time.Sleep(20 * time.Second); return false }}
+	hang := func(int, http.ResponseWriter) bool {
+		time.Sleep(20 * time.Second)
+		return false
+	}
+	r := &receiver{got: map[string]int{}, act: hang}
 	_, addr := start(t, "127.0.0.1:0", r)
 	var out bytes.Buffer
 	s := New("http://"+addr, nil, slog.New(slog.NewTextHandler(&out, nil)))
--- a/internal/settings/pools_test.go
+++ b/internal/settings/pools_test.go
@@ -18,13 +18,14 @@
 		x := Defaults()
 		return x, x.read(f)
 	}
-	f, err := ini.Load([]byte("[pool a]\nunits = 5\nreserve = 2\nhold_after_loss = 30\nteams = risk:3, audit:2\n[pool b]\nunits = 0\n"))
-	if err != nil {
-		t.Fatal(err)
+	x, err := read("[pool a]\nunits = 5\nreserve = 2\nhold_after_loss = 30\nteams = risk:3, audit:2\n" +
+		"[pool b]\nunits = 0\n")
+	if err != nil || len(x.Pools) != 2 {
+		t.Fatalf("%+v %v", x.Pools, err)
 	}
-	x := Defaults()
-	if err := x.read(f); err != nil || len(x.Pools) != 2 || x.Pools[0].Shares[1] != (PoolShare{"audit", 2}) || x.Pools[0].HoldAfterLossS != 30 || x.Pools[0].Reserve != 2 {
-		t.Errorf("%+v %v", x.Pools, err)
+	p := x.Pools[0]
+	if p.Shares[1] != (PoolShare{Team: "audit", Units: 2}) || p.HoldAfterLossS != 30 || p.Reserve != 2 {
+		t.Errorf("%+v", p)
 	}
 	for text, field := range map[string]string{
 		"[pool a]\nreserve = 1\n":                                                    "pool a.units",
@@ -45,9 +46,12 @@
 		"[pools]\nsilent_after = -1\n":                                               "pools.silent_after",
 		"[pools]\nreceipt_life = 1\n":                                                "pools.receipt_life",
 	} {
-		if _, err := read(text); err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", text, err)
-		}
+		t.Run(text, func(t *testing.T) {
+			_, err := read(text)
+			if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v, want %s named in one line", err, field)
+			}
+		})
 	}
 	s := &Settings{Tunables: x}
 	s.Deployment.Teams = []Team{{Name: "risk"}}
