--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -170,7 +170,7 @@
 // Close ends the connections that the client has kept.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Attempts of a call that was not answered, or was answered by a controller that cannot tell at present.
+// Attempts of a call that was not answered, or was answered by a controller that knows no leader at present.
 const (
 	maxAttempts   = 8
 	retryInterval = 400 * time.Millisecond
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -6,7 +6,7 @@
 	leastValueKB = 0.5
 	leastTxnOps  = 3
 
-	entryBytes   = 420 // of a value, with an entry of a job, but for the names that settings tell
+	entryBytes   = 420 // of a value with a job's entry, without the names that the settings have
 	leaseReports = 3   // report intervals that a worker's lease must last
 )
 
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -253,7 +253,8 @@
 	if !s.AnyNeedsDispatch() {
 		t.Error("an objective of half a report interval needs no push dispatch")
 	}
-	if _, err := Load(path, "", "exceptions.direct_starts=1000"); err == nil || !strings.Contains(err.Error(), "exceptions.direct_starts") {
+	_, err = Load(path, "", "exceptions.direct_starts=1000")
+	if err == nil || !strings.Contains(err.Error(), "exceptions.direct_starts") {
 		t.Errorf("more calls than sockets: %v", err)
 	}
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -38,6 +38,7 @@
 	Zones     []string `json:"pastures"`
 }
 
+// machineTypes lists the machine types of the cloud.
 type machineTypes struct {
 	Types []machineType `json:"breeds"`
 }
@@ -88,6 +89,7 @@
 	Count   int    `json:"count"`
 }
 
+// machineNames lists machines, rented or to be returned.
 type machineNames struct {
 	Machines []string `json:"stalls"`
 }
@@ -147,6 +149,7 @@
 	HeldS   float64 `json:"held_s"`
 }
 
+// machineList is one page of the list of machines.
 type machineList struct {
 	Machines []listedMachine `json:"stalls"`
 	More     bool            `json:"has_next"`
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -34,6 +34,7 @@
 // jobStateWords are the words of states, in the order of their numbers.
 var jobStateWords = []string{"queued", "running", "done", "aborted"}
 
+// jobAnswer answers a question for a job's state.
 type jobAnswer struct {
 	ID      string `json:"name_id"`
 	State   string `json:"standing"`
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -222,10 +222,12 @@
 	return err == nil && (status == http.StatusOK || status == http.StatusGone)
 }
 
+// leaseRequest asks for a lease.
 type leaseRequest struct {
 	TTLMS int64 `json:"life_ms"`
 }
 
+// leaseAnswer gives a lease.
 type leaseAnswer struct {
 	ID uint64 `json:"tether"`
 }
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -37,11 +37,13 @@
 	Saved   bool   `json:"kept,omitempty"`
 }
 
+// taskStateWords are the words of a task's states.
 var taskStateWords = map[string]workers.TaskState{
 	"fetching": workers.Fetching, "gathering": workers.Gathering, "running": workers.Running,
 	"saving": workers.Saving, "ended": workers.Ended,
 }
 
+// reasonWords are the words of the reasons why a task ended.
 var reasonWords = map[string]workers.Reason{
 	"done": workers.Completed, "stopped": workers.Stopped, "peers": workers.PeersLost, "alone": workers.Alone,
 	"error": workers.Failed, "full": workers.NoRoom, "busy": workers.Busy, "unknown": workers.UnknownTask,
