--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -37,8 +37,8 @@
 	launchTimeout = time.Second
 )
 
-// standing is what the doors need to know between turns of the loop.
-type standing struct {
+// leadershipSnapshot is what the doors need to know between turns of the loop.
+type leadershipSnapshot struct {
 	leading bool
 	leader  string
 	apart   bool          // it leads, but is not reached from here
@@ -63,7 +63,7 @@
 	receiptKeys keyCache
 	refused     atomic.Uint64 // messages of other controllers that were not taken
 	direct      chan struct{} // bounds the direct calls under way
-	now         atomic.Pointer[standing]
+	now         atomic.Pointer[leadershipSnapshot]
 
 	nextAsker effects.RequestID
 	users     map[effects.RequestID]chan effects.Answer
@@ -87,7 +87,7 @@
 	if rate := cfg.Tunables.DoorRate; rate > 0 {
 		n.admit = admission.NewController(rate, time.Duration(start.UnixMilli())*time.Millisecond)
 	}
-	n.now.Store(&standing{})
+	n.now.Store(&leadershipSnapshot{})
 	return n
 }
 
@@ -165,7 +165,7 @@
 		}
 		leading, leader := n.core.Leading()
 		now := time.Since(n.start)
-		n.now.Store(&standing{leading, leader, n.core.Partitioned(now), now})
+		n.now.Store(&leadershipSnapshot{leading, leader, n.core.Partitioned(now), now})
 	}
 }
 
