--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -62,7 +62,7 @@
 func (n *Node) health(w http.ResponseWriter, _ *http.Request) {
 	// Where the leader is not reached no request can be taken: users are better
 	// served by it, or by a node that reaches it.
-	if s := n.now.Load(); s.apart || time.Since(n.start)-s.at > stuckAfter {
+	if s := n.snapshot.Load(); s.apart || time.Since(n.start)-s.at > stuckAfter {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -152,7 +152,7 @@
 	if told {
 		return nil
 	}
-	p := n.peers[n.now.Load().leader]
+	p := n.peers[n.snapshot.Load().leader]
 	if p == nil {
 		return errLeaderUnknown
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,7 +63,7 @@
 	receiptKeys keyCache
 	refused     atomic.Uint64 // messages of other controllers that were not taken
 	direct      chan struct{} // bounds the direct calls under way
-	now         atomic.Pointer[leadershipSnapshot]
+	snapshot    atomic.Pointer[leadershipSnapshot]
 
 	nextAsker effects.RequestID
 	users     map[effects.RequestID]chan effects.Answer
@@ -87,7 +87,7 @@
 	if rate := cfg.Tunables.DoorRate; rate > 0 {
 		n.admit = admission.NewController(rate, time.Duration(start.UnixMilli())*time.Millisecond)
 	}
-	n.now.Store(&leadershipSnapshot{})
+	n.snapshot.Store(&leadershipSnapshot{})
 	return n
 }
 
@@ -165,7 +165,7 @@
 		}
 		leading, leader := n.core.Leading()
 		now := time.Since(n.start)
-		n.now.Store(&leadershipSnapshot{leading, leader, n.core.Partitioned(now), now})
+		n.snapshot.Store(&leadershipSnapshot{leading, leader, n.core.Partitioned(now), now})
 	}
 }
 
@@ -486,7 +486,7 @@
 
 // route serves a request here or hands it to the leader: one hop at most.
 func (n *Node) route(in UserRequest) effects.Answer {
-	s := n.now.Load()
+	s := n.snapshot.Load()
 	if s.leading {
 		return n.serve(in)
 	}
