--- a/internal/node/messages_test.go
+++ b/internal/node/messages_test.go
@@ -76,18 +76,18 @@
 	if got := n.refused.Load(); got != uint64(len(bad)) {
 		t.Errorf("%d counted, want %d", got, len(bad))
 	}
-	if len(n.in) > 0 {
-		t.Errorf("%d inputs reached the loop", len(n.in))
+	if len(n.inputs) > 0 {
+		t.Errorf("%d inputs reached the loop", len(n.inputs))
 	}
 	go func() { // the loop's stand-in
-		for f := range n.in {
+		for f := range n.inputs {
 			f(time.Second)
 			for _, e := range n.core.TakeEffects() {
 				n.do(e)
 			}
 		}
 	}()
-	defer close(n.in)
+	defer close(n.inputs)
 	var a effects.Answer
 	if err := c.Ask(job(func(*eventlog.Job) {}), &a); err != nil || a.Status != 503 { // nobody leads
 		t.Errorf("a submission: %v, %+v", err, a)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,7 +50,7 @@
 	cfg     *settings.Settings
 	log     *slog.Logger
 	core    *Core
-	in      chan func(now time.Duration)
+	inputs  chan func(now time.Duration)
 	start   time.Time
 	state   *wire.StateClient
 	cloud   *wire.CloudClient
@@ -74,7 +74,7 @@
 func New(cfg *settings.Settings, log *slog.Logger) *Node {
 	start := time.Now()
 	n := &Node{
-		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), in: make(chan func(time.Duration), queueLength), start: start,
+		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), queueLength), start: start,
 		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
 		users: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
@@ -155,7 +155,7 @@
 			}
 			n.log.Info("ended", "node", n.cfg.Node)
 			return
-		case f := <-n.in:
+		case f := <-n.inputs:
 			f(time.Since(n.start))
 		case <-tick.C:
 			n.core.Tick(time.Since(n.start))
@@ -169,7 +169,7 @@
 	}
 }
 
-func (n *Node) post(f func(now time.Duration)) { n.in <- f }
+func (n *Node) post(f func(now time.Duration)) { n.inputs <- f }
 
 // do carries out an effect. Calls go to goroutines and come back as inputs.
 func (n *Node) do(e effects.Effect) {
@@ -411,7 +411,7 @@
 	}
 	n.admitMu.Lock()
 	defer n.admitMu.Unlock()
-	return n.admit.Admit(time.Since(n.start), kind, job, len(n.in), cap(n.in))
+	return n.admit.Admit(time.Since(n.start), kind, job, len(n.inputs), cap(n.inputs))
 }
 
 // ask hands a user's request to the loop and waits for its answer.
@@ -449,7 +449,7 @@
 
 func (n *Node) try(f func(time.Duration)) error {
 	select {
-	case n.in <- f:
+	case n.inputs <- f:
 		return nil
 	default:
 		return errBusy
