--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -132,7 +132,7 @@
 // here runs f in the loop and waits for it.
 func (n *Node) here(f func(now time.Duration)) error {
 	done := make(chan struct{})
-	if err := n.try(func(now time.Duration) { f(now); close(done) }); err != nil {
+	if err := n.tryEnqueue(func(now time.Duration) { f(now); close(done) }); err != nil {
 		return err
 	}
 	select {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -420,7 +420,7 @@
 	var id effects.RequestID
 	err := errBusy
 	if n.letIn(kind, job) {
-		err = n.try(func(now time.Duration) {
+		err = n.tryEnqueue(func(now time.Duration) {
 			n.nextAsker++
 			id = n.nextAsker
 			n.users[id] = ch
@@ -442,12 +442,12 @@
 	case <-timer.C:
 		// Given up: the final answer goes out now, and the job's state is
 		// found out by asking again.
-		_ = n.try(func(time.Duration) { delete(n.users, id) })
+		_ = n.tryEnqueue(func(time.Duration) { delete(n.users, id) })
 		return effects.Unavailable("not durable in time")
 	}
 }
 
-func (n *Node) try(f func(time.Duration)) error {
+func (n *Node) tryEnqueue(f func(time.Duration)) error {
 	select {
 	case n.inputs <- f:
 		return nil
@@ -458,7 +458,7 @@
 
 func (n *Node) askReport(f func(now time.Duration, to effects.RequestID)) (effects.HeartbeatAnswer, error) {
 	ch := make(chan effects.HeartbeatAnswer, 1)
-	if err := n.try(func(now time.Duration) {
+	if err := n.tryEnqueue(func(now time.Duration) {
 		n.nextAsker++
 		n.reports[n.nextAsker] = ch
 		f(now, n.nextAsker)
@@ -503,7 +503,7 @@
 		n.log.Debug("leader not reached", "leader", s.leader, "error", err)
 		var remote rpc.ServerError
 		if !errors.As(err, &remote) {
-			_ = n.try(func(now time.Duration) { n.core.PeerReached(now, s.leader, false) })
+			_ = n.tryEnqueue(func(now time.Duration) { n.core.PeerReached(now, s.leader, false) })
 		}
 		return effects.Unavailable("the leader does not answer")
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -142,7 +142,7 @@
 	if err := c.n.refuse(c.n.checkHeartbeat(in)); err != nil {
 		return err
 	}
-	return c.n.try(func(now time.Duration) { c.n.core.HeartbeatReceived(now, in.Node, in.Epoch, in.Fleet) })
+	return c.n.tryEnqueue(func(now time.Duration) { c.n.core.HeartbeatReceived(now, in.Node, in.Epoch, in.Fleet) })
 }
 
 // ConfigHeartbeatMessage is a heartbeat that tells of the configuration besides.
