--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -169,7 +169,7 @@
 	}
 }
 
-func (n *Node) post(f func(now time.Duration)) { n.inputs <- f }
+func (n *Node) enqueue(f func(now time.Duration)) { n.inputs <- f }
 
 // do carries out an effect. Calls go to goroutines and come back as inputs.
 func (n *Node) do(e effects.Effect) {
@@ -196,7 +196,7 @@
 					ok = false
 				}
 			}
-			n.post(func(now time.Duration) { n.core.RelayAnswered(now, e.To, a, ok) })
+			n.enqueue(func(now time.Duration) { n.core.RelayAnswered(now, e.To, a, ok) })
 		}()
 	case effects.Heartbeat:
 		if p := n.peers[e.Peer]; p != nil {
@@ -208,7 +208,7 @@
 		if p := n.peers[e.Peer]; p != nil {
 			go func() {
 				ok := p.reaches()
-				n.post(func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
+				n.enqueue(func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
 			}()
 		}
 	case effects.AskPreviousLeader:
@@ -216,7 +216,7 @@
 			go func() {
 				var a PreviousLeaderAnswer
 				err := p.call("Controller.LedBefore", e.Epoch, &a)
-				n.post(func(now time.Duration) {
+				n.enqueue(func(now time.Duration) {
 					until := now - time.Duration(a.AgoMS)*time.Millisecond
 					n.core.PreviousLeaderReported(now, e.Epoch, e.Peer, leadership.LeaderRecord{Ever: a.Ever, Since: until - time.Duration(a.LastedMS)*time.Millisecond, Until: until, Fleet: a.Fleet}, err == nil)
 				})
@@ -318,7 +318,7 @@
 		var a ConfigAnswer
 		err := p.call("Controller.ConfigHeartbeat", ConfigHeartbeatMessage{Heartbeat: m, Update: *e.Config}, &a)
 		if err == nil {
-			n.post(func(now time.Duration) {
+			n.enqueue(func(now time.Duration) {
 				n.core.HeartbeatAnswered(now, e.Peer)
 				n.core.ConfigAcknowledged(now, e.Epoch, e.Peer, a.Revision)
 			})
@@ -330,7 +330,7 @@
 		}
 	}
 	if err := p.call("Controller.Hail", m, new(bool)); err == nil {
-		n.post(func(now time.Duration) { n.core.HeartbeatAnswered(now, e.Peer) })
+		n.enqueue(func(now time.Duration) { n.core.HeartbeatAnswered(now, e.Peer) })
 	}
 }
 
@@ -340,7 +340,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
-		n.post(call(ctx))
+		n.enqueue(call(ctx))
 	}()
 }
 
@@ -355,21 +355,21 @@
 	case leadership.ReadKeys:
 		v, err := n.state.ReadLeadership(ctx)
 		backOff(err == nil)
-		n.post(func(now time.Duration) { n.core.KeysRead(now, o.Sequence, err == nil, v) })
+		n.enqueue(func(now time.Duration) { n.core.KeysRead(now, o.Sequence, err == nil, v) })
 	case leadership.WatchKeys:
 		ok := n.state.Watch(ctx, leadership.Prefix, o.Revision, watchFor)
-		n.post(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
+		n.enqueue(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
 	case leadership.CreateLease:
 		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
 		backOff(ok)
-		n.post(func(now time.Duration) { n.core.LeaseCreated(now, o.Sequence, ok, id) })
+		n.enqueue(func(now time.Duration) { n.core.LeaseCreated(now, o.Sequence, ok, id) })
 	case leadership.ClaimLeadership:
 		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.LeaseID)
 		backOff(ok)
-		n.post(func(now time.Duration) { n.core.LeadershipClaimed(now, o.Sequence, ok, mark) })
+		n.enqueue(func(now time.Duration) { n.core.LeadershipClaimed(now, o.Sequence, ok, mark) })
 	case leadership.RenewLease:
 		ok, gone := n.state.RenewLease(ctx, o.LeaseID)
-		n.post(func(now time.Duration) { n.core.LeaseRenewed(now, o.Sequence, ok, gone) })
+		n.enqueue(func(now time.Duration) { n.core.LeaseRenewed(now, o.Sequence, ok, gone) })
 	case leadership.ReleaseLease:
 		n.state.ReleaseLease(ctx, o.LeaseID)
 	}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -20,13 +20,13 @@
 	for {
 		durable, err := n.readAll()
 		if err == nil {
-			n.post(func(now time.Duration) { n.core.LogLoaded(now, epoch, durable) })
+			n.enqueue(func(now time.Duration) { n.core.LogLoaded(now, epoch, durable) })
 			return
 		}
 		n.log.Warn("durable state not read", "epoch", epoch, "error", err)
 		time.Sleep(150*time.Millisecond + rand.N(150*time.Millisecond))
 		over := make(chan bool, 1)
-		n.post(func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
+		n.enqueue(func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
 		if <-over {
 			return
 		}
