--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -129,8 +129,8 @@
 
 var errLeaderUnknown = errors.New("no leader is known at present")
 
-// here runs f in the loop and waits for it.
-func (n *Node) here(f func(now time.Duration)) error {
+// runOnLoop runs f in the loop and waits for it.
+func (n *Node) runOnLoop(f func(now time.Duration)) error {
 	done := make(chan struct{})
 	if err := n.tryEnqueue(func(now time.Duration) { f(now); close(done) }); err != nil {
 		return err
@@ -146,7 +146,7 @@
 // whole asks this node and, if it cannot tell, the leader.
 func (n *Node) whole(method string, in, out any, local func(now time.Duration) bool) error {
 	var told bool
-	if err := n.here(func(now time.Duration) { told = local(now) }); err != nil {
+	if err := n.runOnLoop(func(now time.Duration) { told = local(now) }); err != nil {
 		return err
 	}
 	if told {
@@ -161,13 +161,13 @@
 
 // Status tells a peer what its operator asked.
 func (c *Controller) Status(_ struct{}, out *Status) error {
-	return c.n.here(func(now time.Duration) { *out = c.n.core.Status(now) })
+	return c.n.runOnLoop(func(now time.Duration) { *out = c.n.core.Status(now) })
 }
 
 // Explain tells a peer what its operator asked.
 func (c *Controller) Explain(id uint64, out *Explanation) error {
 	ok := false
-	if err := c.n.here(func(now time.Duration) { *out, ok = c.n.core.Explain(now, id) }); err != nil {
+	if err := c.n.runOnLoop(func(now time.Duration) { *out, ok = c.n.core.Explain(now, id) }); err != nil {
 		return err
 	}
 	if !ok {
@@ -194,7 +194,7 @@
 func (c *Controller) duty(out *[]byte, f func(now time.Duration) (json.RawMessage, bool, error)) error {
 	known := false
 	var failed error
-	if err := c.n.here(func(now time.Duration) {
+	if err := c.n.runOnLoop(func(now time.Duration) {
 		var raw json.RawMessage
 		raw, known, failed = f(now)
 		*out = raw
@@ -257,7 +257,7 @@
 	var st Status
 	var measures []cluster.Histogram
 	var gauges []cluster.Gauge
-	if err := s.n.here(func(now time.Duration) {
+	if err := s.n.runOnLoop(func(now time.Duration) {
 		st, measures, gauges = s.n.core.Status(now), s.n.core.Measures(), s.n.core.Gauges(now)
 	}); err != nil {
 		ch <- prometheus.NewInvalidMetric(descLeading, err)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -124,7 +124,7 @@
 
 // LedBefore tells a new leader when this controller last heard one of an earlier epoch.
 func (c *Controller) LedBefore(epoch uint64, out *PreviousLeaderAnswer) error {
-	return c.n.here(func(now time.Duration) {
+	return c.n.runOnLoop(func(now time.Duration) {
 		led := c.n.core.PreviousLeader(epoch)
 		*out = PreviousLeaderAnswer{led.Ever, (now - led.Until).Milliseconds(), (led.Until - led.Since).Milliseconds(), led.Fleet}
 	})
@@ -159,7 +159,7 @@
 	if err := c.n.refuse(errors.Join(c.n.checkHeartbeat(in.Heartbeat), c.n.checkConfig(in.Update))); err != nil {
 		return err
 	}
-	return c.n.here(func(now time.Duration) {
+	return c.n.runOnLoop(func(now time.Duration) {
 		c.n.core.HeartbeatReceived(now, in.Heartbeat.Node, in.Heartbeat.Epoch, in.Heartbeat.Fleet)
 		out.Revision = c.n.core.ApplyConfig(now, in.Heartbeat.Node, in.Update)
 	})
