--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -50,7 +50,7 @@
 	r.Method(http.MethodGet, PathMetrics, promhttp.HandlerFor(reg, promhttp.HandlerOpts{}))
 	r.Get(PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		var s Status
-		if err := n.whole("Controller.Status", struct{}{}, &s, func(now time.Duration) bool { s = n.core.Status(now); return s.Leader == s.Node }); err != nil {
+		if err := n.callLocalOrLeader("Controller.Status", struct{}{}, &s, func(now time.Duration) bool { s = n.core.Status(now); return s.Leader == s.Node }); err != nil {
 			send(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 			return
 		}
@@ -63,7 +63,7 @@
 			return
 		}
 		var e Explanation
-		if err := n.whole("Controller.Explain", id, &e, func(now time.Duration) bool { var ok bool; e, ok = n.core.Explain(now, id); return ok }); err != nil {
+		if err := n.callLocalOrLeader("Controller.Explain", id, &e, func(now time.Duration) bool { var ok bool; e, ok = n.core.Explain(now, id); return ok }); err != nil {
 			send(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 			return
 		}
@@ -143,8 +143,8 @@
 	}
 }
 
-// whole asks this node and, if it cannot tell, the leader.
-func (n *Node) whole(method string, in, out any, local func(now time.Duration) bool) error {
+// callLocalOrLeader asks this node and, if it cannot tell, the leader.
+func (n *Node) callLocalOrLeader(method string, in, out any, local func(now time.Duration) bool) error {
 	var told bool
 	if err := n.runOnLoop(func(now time.Duration) { told = local(now) }); err != nil {
 		return err
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -65,7 +65,7 @@
 func (n *Node) askDuty(method string, in any, local func(now time.Duration) (json.RawMessage, bool, error)) (json.RawMessage, error) {
 	var raw []byte
 	var failed error
-	err := n.whole(method, in, &raw, func(now time.Duration) bool {
+	err := n.callLocalOrLeader(method, in, &raw, func(now time.Duration) bool {
 		var known bool
 		raw, known, failed = local(now)
 		return known
