--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -227,25 +227,25 @@
 	case effects.LoadLog:
 		go n.load(e.Epoch)
 	case effects.Commit:
-		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			out, mark, failed := n.state.Commit(ctx, e.Txn)
 			backOff(out == eventlog.Applied || out == eventlog.Conflict)
 			return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Sequence, out, mark, failed) }
 		})
 	case effects.ReadBack:
-		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			it, err := n.state.Get(ctx, e.Key)
 			return func(now time.Duration) { n.core.ReadBack(now, epoch, err == nil, it.Mark, it.Value) }
 		})
 	case effects.ReadSegments:
-		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			entries, err := n.segments(ctx, e.First, e.First+e.Count)
 			return func(now time.Duration) {
 				n.core.SegmentsRead(now, epoch, e.First, e.First+e.Count, err == nil, entries)
 			}
 		})
 	case effects.ReadValues:
-		n.outside(stateTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			list, more, err := n.values(ctx, e.Duty, e.Since)
 			if err != nil {
 				n.log.Debug("values not read", "duty", e.Duty, "error", err)
@@ -266,12 +266,12 @@
 		default: // enough are under way; the answer to the next report has the stops too
 		}
 	case effects.ProbeWorker:
-		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(launchTimeout, func(ctx context.Context) func(time.Duration) {
 			ok := n.workers.Probe(ctx, e.Address)
 			return func(now time.Duration) { n.core.WorkerProbed(now, epoch, e.Machine, ok) }
 		})
 	case effects.Dispatch: // the leader bounds how many are under way
-		n.outside(launchTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(launchTimeout, func(ctx context.Context) func(time.Duration) {
 			r, err := n.workers.SendCommands(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Starts))
 			if err != nil {
 				n.log.Debug("worker not reached", "address", e.Address, "error", err)
@@ -283,22 +283,22 @@
 			n.hook.Send(webhook.Message{ID: e.ID, Body: e.Body})
 		}
 	case effects.RentMachines:
-		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			names, res := n.cloud.Rent(ctx, e.Rental)
 			return func(now time.Duration) { n.core.RentalAnswered(now, epoch, e.Rental.Name, names, res) }
 		})
 	case effects.DeleteMachines:
-		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			ok := n.cloud.Delete(ctx, e.Machines)
 			return func(now time.Duration) { n.core.MachinesDeleted(now, epoch, e.Machines, ok) }
 		})
 	case effects.ListMachines:
-		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			list, err := n.cloud.List(ctx)
 			return func(now time.Duration) { n.core.MachinesListed(now, epoch, list, err == nil) }
 		})
 	case effects.ListMachineTypes:
-		n.outside(cloudTimeout, func(ctx context.Context) func(time.Duration) {
+		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
 			list, err := n.cloud.Types(ctx)
 			if err != nil {
 				n.log.Debug("machine types not read", "error", err)
@@ -334,9 +334,9 @@
 	}
 }
 
-// outside makes a call with a deadline; what it returns is the input that
+// callExternal makes a call with a deadline; what it returns is the input that
 // brings its result to the core.
-func (n *Node) outside(limit time.Duration, call func(ctx context.Context) func(now time.Duration)) {
+func (n *Node) callExternal(limit time.Duration, call func(ctx context.Context) func(now time.Duration)) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), limit)
 		defer cancel()
