--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -150,7 +150,7 @@
 				if o, ok := e.(effects.LeadershipRequest); ok && o.Request.Action == leadership.ReleaseLease {
 					n.lead(o.Request)
 				} else if r, ok := e.(effects.Reply); ok {
-					n.do(r)
+					n.execute(r)
 				}
 			}
 			n.log.Info("ended", "node", n.cfg.Node)
@@ -161,7 +161,7 @@
 			n.core.Tick(time.Since(n.start))
 		}
 		for _, e := range n.core.TakeEffects() {
-			n.do(e)
+			n.execute(e)
 		}
 		leading, leader := n.core.Leading()
 		now := time.Since(n.start)
@@ -171,8 +171,8 @@
 
 func (n *Node) enqueue(f func(now time.Duration)) { n.inputs <- f }
 
-// do carries out an effect. Calls go to goroutines and come back as inputs.
-func (n *Node) do(e effects.Effect) {
+// execute carries out an effect. Calls go to goroutines and come back as inputs.
+func (n *Node) execute(e effects.Effect) {
 	epoch := n.core.Epoch() // results of an earlier term are dropped
 	switch e := e.(type) {
 	case effects.Reply:
