--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -148,7 +148,7 @@
 			n.core.Stop(time.Since(n.start))
 			for _, e := range n.core.TakeEffects() {
 				if o, ok := e.(effects.LeadershipRequest); ok && o.Request.Action == leadership.ReleaseLease {
-					n.lead(o.Request)
+					n.executeLeadership(o.Request)
 				} else if r, ok := e.(effects.Reply); ok {
 					n.execute(r)
 				}
@@ -223,7 +223,7 @@
 			}()
 		}
 	case effects.LeadershipRequest:
-		go n.lead(e.Request)
+		go n.executeLeadership(e.Request)
 	case effects.LoadLog:
 		go n.load(e.Epoch)
 	case effects.Commit:
@@ -344,7 +344,7 @@
 	}()
 }
 
-func (n *Node) lead(o leadership.Request) {
+func (n *Node) executeLeadership(o leadership.Request) {
 	limit := stateTimeout
 	if o.Action == leadership.WatchKeys {
 		limit = watchFor + 2*time.Second
