--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -225,7 +225,7 @@
 	case effects.LeadershipRequest:
 		go n.executeLeadership(e.Request)
 	case effects.LoadLog:
-		go n.load(e.Epoch)
+		go n.loadLog(e.Epoch)
 	case effects.Commit:
 		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			out, mark, failed := n.state.Commit(ctx, e.Txn)
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -14,9 +14,9 @@
 	"bitternmoor/internal/wire"
 )
 
-// load reads the whole log and the sizes, trying until it succeeds or the
+// loadLog reads the whole log and the sizes, trying until it succeeds or the
 // term is over.
-func (n *Node) load(epoch uint64) {
+func (n *Node) loadLog(epoch uint64) {
 	for {
 		durable, err := n.readAll()
 		if err == nil {
