--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -18,7 +18,7 @@
 // term is over.
 func (n *Node) loadLog(epoch uint64) {
 	for {
-		durable, err := n.readAll()
+		durable, err := n.readDurableLog()
 		if err == nil {
 			n.enqueue(func(now time.Duration) { n.core.LogLoaded(now, epoch, durable) })
 			return
@@ -33,7 +33,7 @@
 	}
 }
 
-func (n *Node) readAll() (term.LoadedLog, error) {
+func (n *Node) readDurableLog() (term.LoadedLog, error) {
 	var d term.LoadedLog
 	err := n.readPrefix(eventlog.Prefix, func(it wire.Item) error {
 		list, err := decode(it)
