--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -239,7 +239,7 @@
 		})
 	case effects.ReadSegments:
 		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
-			entries, err := n.segments(ctx, e.First, e.First+e.Count)
+			entries, err := n.readSegments(ctx, e.First, e.First+e.Count)
 			return func(now time.Duration) {
 				n.core.SegmentsRead(now, epoch, e.First, e.First+e.Count, err == nil, entries)
 			}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -84,8 +84,8 @@
 	return list, nil
 }
 
-// segments reads the segments numbered first to end-1; some may be missing.
-func (n *Node) segments(ctx context.Context, first, end int) ([]eventlog.Entry, error) {
+// readSegments reads the segments numbered first to end-1; some may be missing.
+func (n *Node) readSegments(ctx context.Context, first, end int) ([]eventlog.Entry, error) {
 	items, _, _, err := n.state.List(ctx, eventlog.Prefix, eventlog.SegmentKey(first-1), end-first)
 	if err != nil {
 		return nil, err
