--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -246,7 +246,7 @@
 		})
 	case effects.ReadValues:
 		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
-			list, more, err := n.values(ctx, e.Duty, e.Since)
+			list, more, err := n.readValues(ctx, e.Duty, e.Since)
 			if err != nil {
 				n.log.Debug("values not read", "duty", e.Duty, "error", err)
 			}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -108,8 +108,8 @@
 // them, and the answer should not crowd out others.
 const pageValues = 16
 
-// values reads a page of a duty's own values.
-func (n *Node) values(ctx context.Context, duty, since string) ([]eventlog.Value, bool, error) {
+// readValues reads a page of a duty's own values.
+func (n *Node) readValues(ctx context.Context, duty, since string) ([]eventlog.Value, bool, error) {
 	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(duty), since, pageValues)
 	if err != nil {
 		return nil, false, err
