--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -57,7 +57,9 @@
 	n.answer(w, UserRequest{Op: op, ID: id})
 }
 
-func (n *Node) answer(w http.ResponseWriter, in UserRequest) { write(w, n.turned(in, n.route(in))) }
+func (n *Node) answer(w http.ResponseWriter, in UserRequest) {
+	write(w, n.spreadRetry(in, n.route(in)))
+}
 
 func (n *Node) health(w http.ResponseWriter, _ *http.Request) {
 	// Where the leader is not reached no request can be taken: users are better
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -393,9 +393,9 @@
 	return admission.Submit
 }
 
-// turned has those who are turned away together come back apart. The answer is final
+// spreadRetry has those who are turned away together come back apart. The answer is final
 // and goes out at once all the same.
-func (n *Node) turned(in UserRequest, a effects.Answer) effects.Answer {
+func (n *Node) spreadRetry(in UserRequest, a effects.Answer) effects.Answer {
 	if n.admit != nil && a.RetryAfter > 0 {
 		n.admitMu.Lock()
 		defer n.admitMu.Unlock()
