--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -404,8 +404,8 @@
 	return a
 }
 
-// letIn says whether a request about a job may enter the loop's queue.
-func (n *Node) letIn(kind admission.Kind, job uint64) bool {
+// admitRequest says whether a request about a job may enter the loop's queue.
+func (n *Node) admitRequest(kind admission.Kind, job uint64) bool {
 	if n.admit == nil {
 		return true
 	}
@@ -419,7 +419,7 @@
 	ch := make(chan effects.Answer, 1)
 	var id effects.RequestID
 	err := errBusy
-	if n.letIn(kind, job) {
+	if n.admitRequest(kind, job) {
 		err = n.tryEnqueue(func(now time.Duration) {
 			n.nextAsker++
 			id = n.nextAsker
