--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -414,8 +414,8 @@
 	return n.admit.Admit(time.Since(n.start), kind, job, len(n.inputs), cap(n.inputs))
 }
 
-// ask hands a user's request to the loop and waits for its answer.
-func (n *Node) ask(limit time.Duration, kind admission.Kind, job uint64, f func(now time.Duration, to effects.RequestID)) effects.Answer {
+// awaitAnswer hands a user's request to the loop and waits for its answer.
+func (n *Node) awaitAnswer(limit time.Duration, kind admission.Kind, job uint64, f func(now time.Duration, to effects.RequestID)) effects.Answer {
 	ch := make(chan effects.Answer, 1)
 	var id effects.RequestID
 	err := errBusy
@@ -472,7 +472,7 @@
 
 // serve answers a request here, whoever leads.
 func (n *Node) serve(in UserRequest) effects.Answer {
-	return n.ask(askLimit, kindOf(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
+	return n.awaitAnswer(askLimit, kindOf(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
 		switch in.Op {
 		case opSubmit:
 			n.core.Submit(now, to, in.Submission)
