--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -83,7 +83,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	a, err := n.askReport(func(now time.Duration, to effects.RequestID) { n.core.HandleHeartbeat(now, to, rep) })
+	a, err := n.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) { n.core.HandleHeartbeat(now, to, rep) })
 	switch {
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -456,7 +456,7 @@
 	}
 }
 
-func (n *Node) askReport(f func(now time.Duration, to effects.RequestID)) (effects.HeartbeatAnswer, error) {
+func (n *Node) awaitHeartbeatAnswer(f func(now time.Duration, to effects.RequestID)) (effects.HeartbeatAnswer, error) {
 	ch := make(chan effects.HeartbeatAnswer, 1)
 	if err := n.tryEnqueue(func(now time.Duration) {
 		n.nextAsker++
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -171,7 +171,7 @@
 	if err := c.n.refuse(c.n.checkRelay(in)); err != nil {
 		return err
 	}
-	a, err := c.n.askReport(func(now time.Duration, to effects.RequestID) { c.n.core.HandleRelayedHeartbeat(now, to, in) })
+	a, err := c.n.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) { c.n.core.HandleRelayedHeartbeat(now, to, in) })
 	*out = a
 	return err
 }
