--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -470,8 +470,8 @@
 
 const askLimit = time.Second
 
-// serve answers a request here, whoever leads.
-func (n *Node) serve(in UserRequest) effects.Answer {
+// serveLocally answers a request here, whoever leads.
+func (n *Node) serveLocally(in UserRequest) effects.Answer {
 	return n.awaitAnswer(askLimit, kindOf(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
 		switch in.Op {
 		case opSubmit:
@@ -488,7 +488,7 @@
 func (n *Node) route(in UserRequest) effects.Answer {
 	s := n.snapshot.Load()
 	if s.leading {
-		return n.serve(in)
+		return n.serveLocally(in)
 	}
 	p := n.peers[s.leader]
 	if p == nil {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -106,7 +106,7 @@
 		*out = effects.Unavailable("the controller that took this knows nothing of pools")
 		return nil
 	}
-	*out = c.n.serve(in)
+	*out = c.n.serveLocally(in)
 	return nil
 }
 
