--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -58,7 +58,7 @@
 }
 
 func (n *Node) answer(w http.ResponseWriter, in UserRequest) {
-	write(w, n.spreadRetry(in, n.route(in)))
+	write(w, n.spreadRetry(in, n.serveOrForward(in)))
 }
 
 func (n *Node) health(w http.ResponseWriter, _ *http.Request) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -484,8 +484,8 @@
 	})
 }
 
-// route serves a request here or hands it to the leader: one hop at most.
-func (n *Node) route(in UserRequest) effects.Answer {
+// serveOrForward serves a request here or hands it to the leader: one hop at most.
+func (n *Node) serveOrForward(in UserRequest) effects.Answer {
 	s := n.snapshot.Load()
 	if s.leading {
 		return n.serveLocally(in)
