--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,9 +65,9 @@
 	direct      chan struct{} // bounds the direct calls under way
 	snapshot    atomic.Pointer[leadershipSnapshot]
 
-	nextAsker effects.RequestID
-	users     map[effects.RequestID]chan effects.Answer
-	reports   map[effects.RequestID]chan effects.HeartbeatAnswer
+	lastRequestID effects.RequestID
+	users         map[effects.RequestID]chan effects.Answer
+	reports       map[effects.RequestID]chan effects.HeartbeatAnswer
 }
 
 // New makes a controller.
@@ -421,8 +421,8 @@
 	err := errBusy
 	if n.admitRequest(kind, job) {
 		err = n.tryEnqueue(func(now time.Duration) {
-			n.nextAsker++
-			id = n.nextAsker
+			n.lastRequestID++
+			id = n.lastRequestID
 			n.users[id] = ch
 			f(now, id)
 		})
@@ -459,9 +459,9 @@
 func (n *Node) awaitHeartbeatAnswer(f func(now time.Duration, to effects.RequestID)) (effects.HeartbeatAnswer, error) {
 	ch := make(chan effects.HeartbeatAnswer, 1)
 	if err := n.tryEnqueue(func(now time.Duration) {
-		n.nextAsker++
-		n.reports[n.nextAsker] = ch
-		f(now, n.nextAsker)
+		n.lastRequestID++
+		n.reports[n.lastRequestID] = ch
+		f(now, n.lastRequestID)
 	}); err != nil {
 		return effects.HeartbeatAnswer{}, err
 	}
