--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -66,7 +66,7 @@
 	snapshot    atomic.Pointer[leadershipSnapshot]
 
 	lastRequestID effects.RequestID
-	users         map[effects.RequestID]chan effects.Answer
+	pendingUsers  map[effects.RequestID]chan effects.Answer
 	reports       map[effects.RequestID]chan effects.HeartbeatAnswer
 }
 
@@ -76,7 +76,7 @@
 	n := &Node{
 		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), queueLength), start: start,
 		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
-		users: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.HeartbeatAnswer{},
+		pendingUsers: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
 	for _, p := range cfg.Peers {
 		n.peers[p.Node] = &peer{addr: p.Endpoint}
@@ -176,9 +176,9 @@
 	epoch := n.core.Epoch() // results of an earlier term are dropped
 	switch e := e.(type) {
 	case effects.Reply:
-		if ch := n.users[e.To]; ch != nil {
+		if ch := n.pendingUsers[e.To]; ch != nil {
 			ch <- e.Answer
-			delete(n.users, e.To)
+			delete(n.pendingUsers, e.To)
 		}
 	case effects.ReplyHeartbeat:
 		if ch := n.reports[e.To]; ch != nil {
@@ -423,7 +423,7 @@
 		err = n.tryEnqueue(func(now time.Duration) {
 			n.lastRequestID++
 			id = n.lastRequestID
-			n.users[id] = ch
+			n.pendingUsers[id] = ch
 			f(now, id)
 		})
 	}
@@ -442,7 +442,7 @@
 	case <-timer.C:
 		// Given up: the final answer goes out now, and the job's state is
 		// found out by asking again.
-		_ = n.tryEnqueue(func(time.Duration) { delete(n.users, id) })
+		_ = n.tryEnqueue(func(time.Duration) { delete(n.pendingUsers, id) })
 		return effects.Unavailable("not durable in time")
 	}
 }
