--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -65,9 +65,9 @@
 	direct      chan struct{} // bounds the direct calls under way
 	snapshot    atomic.Pointer[leadershipSnapshot]
 
-	lastRequestID effects.RequestID
-	pendingUsers  map[effects.RequestID]chan effects.Answer
-	reports       map[effects.RequestID]chan effects.HeartbeatAnswer
+	lastRequestID     effects.RequestID
+	pendingUsers      map[effects.RequestID]chan effects.Answer
+	pendingHeartbeats map[effects.RequestID]chan effects.HeartbeatAnswer
 }
 
 // New makes a controller.
@@ -76,7 +76,7 @@
 	n := &Node{
 		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), queueLength), start: start,
 		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
-		pendingUsers: map[effects.RequestID]chan effects.Answer{}, reports: map[effects.RequestID]chan effects.HeartbeatAnswer{},
+		pendingUsers: map[effects.RequestID]chan effects.Answer{}, pendingHeartbeats: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
 	for _, p := range cfg.Peers {
 		n.peers[p.Node] = &peer{addr: p.Endpoint}
@@ -181,9 +181,9 @@
 			delete(n.pendingUsers, e.To)
 		}
 	case effects.ReplyHeartbeat:
-		if ch := n.reports[e.To]; ch != nil {
+		if ch := n.pendingHeartbeats[e.To]; ch != nil {
 			ch <- e.Answer
-			delete(n.reports, e.To)
+			delete(n.pendingHeartbeats, e.To)
 		}
 	case effects.RelayHeartbeat:
 		p := n.peers[e.Leader]
@@ -460,7 +460,7 @@
 	ch := make(chan effects.HeartbeatAnswer, 1)
 	if err := n.tryEnqueue(func(now time.Duration) {
 		n.lastRequestID++
-		n.reports[n.lastRequestID] = ch
+		n.pendingHeartbeats[n.lastRequestID] = ch
 		f(now, n.lastRequestID)
 	}); err != nil {
 		return effects.HeartbeatAnswer{}, err
