--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -62,7 +62,7 @@
 	admitMu     sync.Mutex
 	receiptKeys keyCache
 	refused     atomic.Uint64 // messages of other controllers that were not taken
-	direct      chan struct{} // bounds the direct calls under way
+	directCalls chan struct{} // bounds the direct calls under way
 	snapshot    atomic.Pointer[leadershipSnapshot]
 
 	lastRequestID     effects.RequestID
@@ -75,7 +75,7 @@
 	start := time.Now()
 	n := &Node{
 		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), queueLength), start: start,
-		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), direct: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
+		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), directCalls: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
 		pendingUsers: map[effects.RequestID]chan effects.Answer{}, pendingHeartbeats: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
 	for _, p := range cfg.Peers {
@@ -254,9 +254,9 @@
 		})
 	case effects.SendStops:
 		select {
-		case n.direct <- struct{}{}:
+		case n.directCalls <- struct{}{}:
 			go func() {
-				defer func() { <-n.direct }()
+				defer func() { <-n.directCalls }()
 				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 				defer cancel()
 				if _, err := n.workers.SendCommands(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Stops)); err != nil {
