--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,16 +47,16 @@
 
 // Node runs one controller.
 type Node struct {
-	cfg     *settings.Settings
-	log     *slog.Logger
-	core    *Core
-	inputs  chan func(now time.Duration)
-	start   time.Time
-	state   *wire.StateClient
-	cloud   *wire.CloudClient
-	peers   map[string]*peer
-	workers *wire.WorkerClient
-	hook    *webhook.Sender // nil: operators are told by logs alone
+	cfg      *settings.Settings
+	log      *slog.Logger
+	core     *Core
+	inputs   chan func(now time.Duration)
+	start    time.Time
+	state    *wire.StateClient
+	cloud    *wire.CloudClient
+	peers    map[string]*peer
+	workers  *wire.WorkerClient
+	notifier *webhook.Sender // nil: operators are told by logs alone
 
 	admit       *admission.Controller // nil: users who are turned away are told the least there is
 	admitMu     sync.Mutex
@@ -82,7 +82,7 @@
 		n.peers[p.Node] = &peer{addr: p.Endpoint}
 	}
 	if url := cfg.Tunables.WebhookURL; url != "" {
-		n.hook = webhook.New(url, cfg.WebhookKey, log)
+		n.notifier = webhook.New(url, cfg.WebhookKey, log)
 	}
 	if rate := cfg.Tunables.DoorRate; rate > 0 {
 		n.admit = admission.NewController(rate, time.Duration(start.UnixMilli())*time.Millisecond)
@@ -119,8 +119,8 @@
 		return err
 	}
 	defer closeOperators()
-	if n.hook != nil {
-		go n.hook.Run(ctx)
+	if n.notifier != nil {
+		go n.notifier.Run(ctx)
 	}
 	done := make(chan struct{})
 	go func() { n.loop(ctx); close(done) }()
@@ -279,8 +279,8 @@
 			return func(now time.Duration) { n.core.Dispatched(now, epoch, e.Machine, e.Token, e.Starts, r) }
 		})
 	case effects.Notify:
-		if n.hook != nil {
-			n.hook.Send(webhook.Message{ID: e.ID, Body: e.Body})
+		if n.notifier != nil {
+			n.notifier.Send(webhook.Message{ID: e.ID, Body: e.Body})
 		}
 	case effects.RentMachines:
 		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
