--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,7 +58,7 @@
 	workers  *wire.WorkerClient
 	notifier *webhook.Sender // nil: operators are told by logs alone
 
-	admit       *admission.Controller // nil: users who are turned away are told the least there is
+	admission   *admission.Controller // nil: users who are turned away are told the least there is
 	admitMu     sync.Mutex
 	receiptKeys keyCache
 	refused     atomic.Uint64 // messages of other controllers that were not taken
@@ -85,7 +85,7 @@
 		n.notifier = webhook.New(url, cfg.WebhookKey, log)
 	}
 	if rate := cfg.Tunables.DoorRate; rate > 0 {
-		n.admit = admission.NewController(rate, time.Duration(start.UnixMilli())*time.Millisecond)
+		n.admission = admission.NewController(rate, time.Duration(start.UnixMilli())*time.Millisecond)
 	}
 	n.snapshot.Store(&leadershipSnapshot{})
 	return n
@@ -396,22 +396,22 @@
 // spreadRetry has those who are turned away together come back apart. The answer is final
 // and goes out at once all the same.
 func (n *Node) spreadRetry(in UserRequest, a effects.Answer) effects.Answer {
-	if n.admit != nil && a.RetryAfter > 0 {
+	if n.admission != nil && a.RetryAfter > 0 {
 		n.admitMu.Lock()
 		defer n.admitMu.Unlock()
-		a.RetryAfter = n.admit.Reject(time.Since(n.start), kindOf(in.Op), in.ID, a.RetryAfter)
+		a.RetryAfter = n.admission.Reject(time.Since(n.start), kindOf(in.Op), in.ID, a.RetryAfter)
 	}
 	return a
 }
 
 // admitRequest says whether a request about a job may enter the loop's queue.
 func (n *Node) admitRequest(kind admission.Kind, job uint64) bool {
-	if n.admit == nil {
+	if n.admission == nil {
 		return true
 	}
 	n.admitMu.Lock()
 	defer n.admitMu.Unlock()
-	return n.admit.Admit(time.Since(n.start), kind, job, len(n.inputs), cap(n.inputs))
+	return n.admission.Admit(time.Since(n.start), kind, job, len(n.inputs), cap(n.inputs))
 }
 
 // awaitAnswer hands a user's request to the loop and waits for its answer.
