--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -59,7 +59,7 @@
 	notifier *webhook.Sender // nil: operators are told by logs alone
 
 	admission   *admission.Controller // nil: users who are turned away are told the least there is
-	admitMu     sync.Mutex
+	admissionMu sync.Mutex
 	receiptKeys keyCache
 	refused     atomic.Uint64 // messages of other controllers that were not taken
 	directCalls chan struct{} // bounds the direct calls under way
@@ -397,8 +397,8 @@
 // and goes out at once all the same.
 func (n *Node) spreadRetry(in UserRequest, a effects.Answer) effects.Answer {
 	if n.admission != nil && a.RetryAfter > 0 {
-		n.admitMu.Lock()
-		defer n.admitMu.Unlock()
+		n.admissionMu.Lock()
+		defer n.admissionMu.Unlock()
 		a.RetryAfter = n.admission.Reject(time.Since(n.start), kindOf(in.Op), in.ID, a.RetryAfter)
 	}
 	return a
@@ -409,8 +409,8 @@
 	if n.admission == nil {
 		return true
 	}
-	n.admitMu.Lock()
-	defer n.admitMu.Unlock()
+	n.admissionMu.Lock()
+	defer n.admissionMu.Unlock()
 	return n.admission.Admit(time.Since(n.start), kind, job, len(n.inputs), cap(n.inputs))
 }
 
