--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -292,7 +292,7 @@
 		{"user_request_refused", st.Counts.Refused}, {"machine_lost", st.Counts.MachinesLost}, {"rental_refused", st.Counts.RentalsRefused},
 		{"task_done", st.Counts.TasksDone}, {"task_rerun", st.Counts.TasksRerun},
 		{"job_released", st.Counts.Released}, {"cancellation_spread", st.Counts.CancelSpread}, {"left_waiting", st.Counts.LeftWaiting},
-		{"message_refused", s.n.refused.Load()},
+		{"message_refused", s.n.refusedMessages.Load()},
 	} {
 		ch <- prometheus.MustNewConstMetric(descEvents, prometheus.CounterValue, float64(e.n), e.name)
 	}
--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -21,7 +21,7 @@
 // refuse counts a message that is not taken.
 func (n *Node) refuse(err error) error {
 	if err != nil {
-		n.refused.Add(1)
+		n.refusedMessages.Add(1)
 		n.log.Warn("message of another controller refused", "error", err)
 	}
 	return err
--- a/internal/node/messages_test.go
+++ b/internal/node/messages_test.go
@@ -73,7 +73,7 @@
 			t.Errorf("%s: taken", what)
 		}
 	}
-	if got := n.refused.Load(); got != uint64(len(bad)) {
+	if got := n.refusedMessages.Load(); got != uint64(len(bad)) {
 		t.Errorf("%d counted, want %d", got, len(bad))
 	}
 	if len(n.inputs) > 0 {
@@ -98,7 +98,7 @@
 	if err := c.Relay(relay(same), &effects.HeartbeatAnswer{}); err != nil {
 		t.Errorf("a report: %v", err)
 	}
-	if got := n.refused.Load(); got != uint64(len(bad)) {
+	if got := n.refusedMessages.Load(); got != uint64(len(bad)) {
 		t.Errorf("what is sound was refused: %d", got)
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -58,12 +58,12 @@
 	workers  *wire.WorkerClient
 	notifier *webhook.Sender // nil: operators are told by logs alone
 
-	admission   *admission.Controller // nil: users who are turned away are told the least there is
-	admissionMu sync.Mutex
-	receiptKeys keyCache
-	refused     atomic.Uint64 // messages of other controllers that were not taken
-	directCalls chan struct{} // bounds the direct calls under way
-	snapshot    atomic.Pointer[leadershipSnapshot]
+	admission       *admission.Controller // nil: users who are turned away are told the least there is
+	admissionMu     sync.Mutex
+	receiptKeys     keyCache
+	refusedMessages atomic.Uint64 // messages of other controllers that were not taken
+	directCalls     chan struct{} // bounds the direct calls under way
+	snapshot        atomic.Pointer[leadershipSnapshot]
 
 	lastRequestID     effects.RequestID
 	pendingUsers      map[effects.RequestID]chan effects.Answer
