--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -18,8 +18,8 @@
 // reportMost bounds the tasks of a report: a worker's is at most 64 KiB.
 const reportMost = 4096
 
-// refuse counts a message that is not taken.
-func (n *Node) refuse(err error) error {
+// countRefusal counts a message that is not taken.
+func (n *Node) countRefusal(err error) error {
 	if err != nil {
 		n.refusedMessages.Add(1)
 		n.log.Warn("message of another controller refused", "error", err)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -98,7 +98,7 @@
 // Ask serves a request that another controller's user made. It is never
 // handed on a second time.
 func (c *Controller) Ask(in UserRequest, out *effects.Answer) error {
-	if err := c.n.refuse(c.n.checkAsk(in)); err != nil {
+	if err := c.n.countRefusal(c.n.checkAsk(in)); err != nil {
 		return err
 	}
 	if in.Op == opSubmit && !in.Whole && len(c.n.cfg.Tunables.Pools) > 0 {
@@ -139,7 +139,7 @@
 
 // Hail takes the leader's heartbeat. Its name is the one that older versions call.
 func (c *Controller) Hail(in HeartbeatMessage, _ *bool) error {
-	if err := c.n.refuse(c.n.checkHeartbeat(in)); err != nil {
+	if err := c.n.countRefusal(c.n.checkHeartbeat(in)); err != nil {
 		return err
 	}
 	return c.n.tryEnqueue(func(now time.Duration) { c.n.core.HeartbeatReceived(now, in.Node, in.Epoch, in.Fleet) })
@@ -156,7 +156,7 @@
 
 // ConfigHeartbeat takes the leader's word that it leads, and what it tells of the configuration.
 func (c *Controller) ConfigHeartbeat(in ConfigHeartbeatMessage, out *ConfigAnswer) error {
-	if err := c.n.refuse(errors.Join(c.n.checkHeartbeat(in.Heartbeat), c.n.checkConfig(in.Update))); err != nil {
+	if err := c.n.countRefusal(errors.Join(c.n.checkHeartbeat(in.Heartbeat), c.n.checkConfig(in.Update))); err != nil {
 		return err
 	}
 	return c.n.runOnLoop(func(now time.Duration) {
@@ -168,7 +168,7 @@
 // Relay serves a report that another controller received. It is never handed
 // on a second time.
 func (c *Controller) Relay(in effects.RelayedHeartbeat, out *effects.HeartbeatAnswer) error {
-	if err := c.n.refuse(c.n.checkRelay(in)); err != nil {
+	if err := c.n.countRefusal(c.n.checkRelay(in)); err != nil {
 		return err
 	}
 	a, err := c.n.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) { c.n.core.HandleRelayedHeartbeat(now, to, in) })
