--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -16,8 +16,8 @@
 // unhealthy. A flap costs far more than single refusals, so it is long.
 const stuckAfter = 4 * time.Second
 
-// door is what users, the load balancer and workers reach.
-func (n *Node) door() http.Handler {
+// publicHandler is what users, the load balancer and workers reach.
+func (n *Node) publicHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Post(wire.PathJobs, n.submit)
 	r.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.onJob(w, r, opQuery) })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -103,7 +103,7 @@
 	}
 	// Sockets are few: some are kept for the peers, the state service and the cloud.
 	room := max(16, n.cfg.Deployment.MachineLimits.FDLimit-80)
-	srv := &http.Server{Handler: n.door(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
+	srv := &http.Server{Handler: n.publicHandler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
 		IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 	failed := make(chan error, 3)
 	go func() { failed <- srv.Serve(netutil.LimitListener(public, room)) }()
