--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -37,8 +37,8 @@
 
 const peerGreeting = "200 Connected to Go RPC"
 
-// inside is what the internal address serves.
-func (n *Node) inside() (http.Handler, error) {
+// internalHandler is what the internal address serves.
+func (n *Node) internalHandler() (http.Handler, error) {
 	peers := rpc.NewServer()
 	if err := peers.RegisterName("Controller", &Controller{n}); err != nil {
 		return nil, fmt.Errorf("node: %w", err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -107,7 +107,7 @@
 		IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 	failed := make(chan error, 3)
 	go func() { failed <- srv.Serve(netutil.LimitListener(public, room)) }()
-	inside, err := n.inside()
+	inside, err := n.internalHandler()
 	if err != nil {
 		return err
 	}
