--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -114,7 +114,7 @@
 	internalSrv := &http.Server{Handler: inside, ReadHeaderTimeout: 5 * time.Second, MaxHeaderBytes: 8 << 10, IdleTimeout: 60 * time.Second,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 	go func() { failed <- internalSrv.Serve(netutil.LimitListener(internal, 32)) }()
-	closeOperators, err := n.operators(ctx, failed)
+	closeOperators, err := n.serveOperators(ctx, failed)
 	if err != nil {
 		return err
 	}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -26,8 +26,8 @@
 // operatorsAtOnce bounds the operators' connections.
 const operatorsAtOnce = 16
 
-// operators serves those who may change something, over TLS, until the context ends.
-func (n *Node) operators(ctx context.Context, failed chan<- error) (func(), error) {
+// serveOperators serves those who may change something, over TLS, until the context ends.
+func (n *Node) serveOperators(ctx context.Context, failed chan<- error) (func(), error) {
 	o := n.cfg.Tunables.Operators()
 	if o.Listen == "" {
 		return func() {}, nil
