--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -20,8 +20,8 @@
 func (n *Node) publicHandler() http.Handler {
 	r := chi.NewRouter()
 	r.Post(wire.PathJobs, n.submit)
-	r.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.onJob(w, r, opQuery) })
-	r.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.onJob(w, r, opAbort) })
+	r.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opQuery) })
+	r.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opAbort) })
 	r.Get(wire.PathHealth, n.health)
 	r.Post(wire.PathReports, n.report)
 	if len(n.cfg.Tunables.Pools) > 0 && len(n.cfg.Tunables.ReceiptKeys()) > 0 {
@@ -48,7 +48,7 @@
 	n.answer(w, UserRequest{Op: opSubmit, ID: s.ID, Submission: s, Whole: !s.Overlooked})
 }
 
-func (n *Node) onJob(w http.ResponseWriter, r *http.Request, op string) {
+func (n *Node) handleJob(w http.ResponseWriter, r *http.Request, op string) {
 	id, ok := wire.ParseID(chi.URLParam(r, "id"))
 	if !ok {
 		write(w, effects.Answer{Status: http.StatusNotFound, Why: "no such job"})
