--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -19,7 +19,7 @@
 // publicHandler is what users, the load balancer and workers reach.
 func (n *Node) publicHandler() http.Handler {
 	r := chi.NewRouter()
-	r.Post(wire.PathJobs, n.submit)
+	r.Post(wire.PathJobs, n.handleSubmit)
 	r.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opQuery) })
 	r.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opAbort) })
 	r.Get(wire.PathHealth, n.health)
@@ -30,7 +30,7 @@
 	return r
 }
 
-func (n *Node) submit(w http.ResponseWriter, r *http.Request) {
+func (n *Node) handleSubmit(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	if err != nil {
 		why := "body not readable"
