--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -23,7 +23,7 @@
 	r.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opQuery) })
 	r.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opAbort) })
 	r.Get(wire.PathHealth, n.health)
-	r.Post(wire.PathReports, n.report)
+	r.Post(wire.PathReports, n.handleHeartbeat)
 	if len(n.cfg.Tunables.Pools) > 0 && len(n.cfg.Tunables.ReceiptKeys()) > 0 {
 		r.Post(PathReceipts, n.receipt)
 	}
@@ -71,7 +71,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (n *Node) report(w http.ResponseWriter, r *http.Request) {
+func (n *Node) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
