--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -22,7 +22,7 @@
 	r.Post(wire.PathJobs, n.handleSubmit)
 	r.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opQuery) })
 	r.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opAbort) })
-	r.Get(wire.PathHealth, n.health)
+	r.Get(wire.PathHealth, n.handleHealth)
 	r.Post(wire.PathReports, n.handleHeartbeat)
 	if len(n.cfg.Tunables.Pools) > 0 && len(n.cfg.Tunables.ReceiptKeys()) > 0 {
 		r.Post(PathReceipts, n.receipt)
@@ -61,7 +61,7 @@
 	write(w, n.spreadRetry(in, n.serveOrForward(in)))
 }
 
-func (n *Node) health(w http.ResponseWriter, _ *http.Request) {
+func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	// Where the leader is not reached no request can be taken: users are better
 	// served by it, or by a node that reaches it.
 	if s := n.snapshot.Load(); s.apart || time.Since(n.start)-s.at > stuckAfter {
