--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -45,7 +45,7 @@
 		write(w, effects.Answer{Status: http.StatusBadRequest, Why: s.Bad})
 		return
 	}
-	n.answer(w, UserRequest{Op: opSubmit, ID: s.ID, Submission: s, Whole: !s.Overlooked})
+	n.answerUser(w, UserRequest{Op: opSubmit, ID: s.ID, Submission: s, Whole: !s.Overlooked})
 }
 
 func (n *Node) handleJob(w http.ResponseWriter, r *http.Request, op string) {
@@ -54,10 +54,10 @@
 		write(w, effects.Answer{Status: http.StatusNotFound, Why: "no such job"})
 		return
 	}
-	n.answer(w, UserRequest{Op: op, ID: id})
+	n.answerUser(w, UserRequest{Op: op, ID: id})
 }
 
-func (n *Node) answer(w http.ResponseWriter, in UserRequest) {
+func (n *Node) answerUser(w http.ResponseWriter, in UserRequest) {
 	write(w, n.spreadRetry(in, n.serveOrForward(in)))
 }
 
