--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -25,7 +25,7 @@
 	r.Get(wire.PathHealth, n.handleHealth)
 	r.Post(wire.PathReports, n.handleHeartbeat)
 	if len(n.cfg.Tunables.Pools) > 0 && len(n.cfg.Tunables.ReceiptKeys()) > 0 {
-		r.Post(PathReceipts, n.receipt)
+		r.Post(PathReceipts, n.handleReceipt)
 	}
 	return r
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -99,9 +99,9 @@
 	receiptPause = 100 * time.Millisecond
 )
 
-// receipt answers a task that asks for a receipt: 200 with it, 409 where the task is
+// handleReceipt answers a task that asks for a receipt: 200 with it, 409 where the task is
 // not, or not any more, held by that attempt, 503 where that cannot be told now.
-func (n *Node) receipt(w http.ResponseWriter, r *http.Request) {
+func (n *Node) handleReceipt(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	var in receiptRequest
 	if err != nil || json.Unmarshal(body, &in) != nil {
