--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -27,7 +27,7 @@
 	return err
 }
 
-func (n *Node) checkAsk(in UserRequest) error {
+func (n *Node) checkUserRequest(in UserRequest) error {
 	switch in.Op {
 	case opQuery, opAbort:
 		return nil
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -98,7 +98,7 @@
 // Ask serves a request that another controller's user made. It is never
 // handed on a second time.
 func (c *Controller) Ask(in UserRequest, out *effects.Answer) error {
-	if err := c.n.countRefusal(c.n.checkAsk(in)); err != nil {
+	if err := c.n.countRefusal(c.n.checkUserRequest(in)); err != nil {
 		return err
 	}
 	if in.Op == opSubmit && !in.Whole && len(c.n.cfg.Tunables.Pools) > 0 {
