--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -24,7 +24,7 @@
 	r.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opAbort) })
 	r.Get(wire.PathHealth, n.handleHealth)
 	r.Post(wire.PathReports, n.handleHeartbeat)
-	if len(n.cfg.Tunables.Pools) > 0 && len(n.cfg.Tunables.ReceiptKeys()) > 0 {
+	if len(n.settings.Tunables.Pools) > 0 && len(n.settings.Tunables.ReceiptKeys()) > 0 {
 		r.Post(PathReceipts, n.handleReceipt)
 	}
 	return r
@@ -40,7 +40,7 @@
 		write(w, effects.Answer{Status: http.StatusBadRequest, Why: why})
 		return
 	}
-	s := wire.ParseSubmission(body, len(n.cfg.Tunables.Pools) > 0)
+	s := wire.ParseSubmission(body, len(n.settings.Tunables.Pools) > 0)
 	if !s.HasID {
 		write(w, effects.Answer{Status: http.StatusBadRequest, Why: s.Bad})
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -47,7 +47,7 @@
 
 // Node runs one controller.
 type Node struct {
-	cfg      *settings.Settings
+	settings *settings.Settings
 	log      *slog.Logger
 	core     *Core
 	inputs   chan func(now time.Duration)
@@ -74,7 +74,7 @@
 func New(cfg *settings.Settings, log *slog.Logger) *Node {
 	start := time.Now()
 	n := &Node{
-		cfg: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), queueLength), start: start,
+		settings: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), queueLength), start: start,
 		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), directCalls: make(chan struct{}, directAtOnce), peers: map[string]*peer{},
 		pendingUsers: map[effects.RequestID]chan effects.Answer{}, pendingHeartbeats: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
@@ -93,16 +93,16 @@
 
 // Run serves until the context ends or a listener fails.
 func (n *Node) Run(ctx context.Context) error {
-	public, err := net.Listen("tcp4", n.cfg.PublicAddr)
+	public, err := net.Listen("tcp4", n.settings.PublicAddr)
 	if err != nil {
 		return fmt.Errorf("node: public_addr: %w", err)
 	}
-	internal, err := net.Listen("tcp4", n.cfg.InternalAddr)
+	internal, err := net.Listen("tcp4", n.settings.InternalAddr)
 	if err != nil {
 		return fmt.Errorf("node: internal_addr: %w", err)
 	}
 	// Sockets are few: some are kept for the peers, the state service and the cloud.
-	room := max(16, n.cfg.Deployment.MachineLimits.FDLimit-80)
+	room := max(16, n.settings.Deployment.MachineLimits.FDLimit-80)
 	srv := &http.Server{Handler: n.publicHandler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second,
 		IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 	failed := make(chan error, 3)
@@ -124,7 +124,7 @@
 	}
 	done := make(chan struct{})
 	go func() { n.loop(ctx); close(done) }()
-	n.log.Info("serving", "node", n.cfg.Node, "zone", n.cfg.Zone, "public", n.cfg.PublicAddr, "internal", n.cfg.InternalAddr)
+	n.log.Info("serving", "node", n.settings.Node, "zone", n.settings.Zone, "public", n.settings.PublicAddr, "internal", n.settings.InternalAddr)
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
@@ -153,7 +153,7 @@
 					n.execute(r)
 				}
 			}
-			n.log.Info("ended", "node", n.cfg.Node)
+			n.log.Info("ended", "node", n.settings.Node)
 			return
 		case f := <-n.inputs:
 			f(time.Since(n.start))
@@ -313,7 +313,7 @@
 // heartbeat tells a peer that this node leads, and what it lacks of the configuration. A peer of an
 // older version knows nothing of that, and is told the rest.
 func (n *Node) heartbeat(p *peer, e effects.Heartbeat) {
-	m := HeartbeatMessage{n.cfg.Node, e.Epoch, e.Fleet}
+	m := HeartbeatMessage{n.settings.Node, e.Epoch, e.Fleet}
 	if e.Config != nil {
 		var a ConfigAnswer
 		err := p.call("Controller.ConfigHeartbeat", ConfigHeartbeatMessage{Heartbeat: m, Update: *e.Config}, &a)
@@ -360,11 +360,11 @@
 		ok := n.state.Watch(ctx, leadership.Prefix, o.Revision, watchFor)
 		n.enqueue(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
 	case leadership.CreateLease:
-		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.cfg.Tunables.LeaderHoldS))
+		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.settings.Tunables.LeaderHoldS))
 		backOff(ok)
 		n.enqueue(func(now time.Duration) { n.core.LeaseCreated(now, o.Sequence, ok, id) })
 	case leadership.ClaimLeadership:
-		ok, mark := n.state.Claim(ctx, n.cfg.Node, o.View, o.LeaseID)
+		ok, mark := n.state.Claim(ctx, n.settings.Node, o.View, o.LeaseID)
 		backOff(ok)
 		n.enqueue(func(now time.Duration) { n.core.LeadershipClaimed(now, o.Sequence, ok, mark) })
 	case leadership.RenewLease:
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -28,7 +28,7 @@
 
 // serveOperators serves those who may change something, over TLS, until the context ends.
 func (n *Node) serveOperators(ctx context.Context, failed chan<- error) (func(), error) {
-	o := n.cfg.Tunables.Operators()
+	o := n.settings.Tunables.Operators()
 	if o.Listen == "" {
 		return func() {}, nil
 	}
@@ -138,7 +138,7 @@
 }
 
 func (n *Node) signReceipt(w http.ResponseWriter, job string, given *pools.Receipt) {
-	keys, err := n.receiptKeys.get(n.cfg.Tunables.ReceiptKeys())
+	keys, err := n.receiptKeys.get(n.settings.Tunables.ReceiptKeys())
 	if err != nil {
 		n.log.Error("receipts cannot be signed", "error", err)
 		w.Header().Set("Retry-After", "30")
@@ -150,7 +150,7 @@
 	for _, u := range given.Units {
 		c.Units = append(c.Units, receipts.PoolUnits(u))
 	}
-	token, err := keys.Sign(c, time.Now(), time.Duration(n.cfg.Tunables.ReceiptLifeS*float64(time.Second)))
+	token, err := keys.Sign(c, time.Now(), time.Duration(n.settings.Tunables.ReceiptLifeS*float64(time.Second)))
 	if err != nil {
 		send(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
 		return
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -101,7 +101,7 @@
 	if err := c.n.countRefusal(c.n.checkUserRequest(in)); err != nil {
 		return err
 	}
-	if in.Op == opSubmit && !in.Whole && len(c.n.cfg.Tunables.Pools) > 0 {
+	if in.Op == opSubmit && !in.Whole && len(c.n.settings.Tunables.Pools) > 0 {
 		// What the job needs of pools may have been overlooked at the door.
 		*out = effects.Unavailable("the controller that took this knows nothing of pools")
 		return nil
