--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -37,12 +37,12 @@
 		if errors.Is(err, wire.ErrTooLarge) {
 			why = "body over 64 KiB"
 		}
-		write(w, effects.Answer{Status: http.StatusBadRequest, Why: why})
+		writeAnswer(w, effects.Answer{Status: http.StatusBadRequest, Why: why})
 		return
 	}
 	s := wire.ParseSubmission(body, len(n.settings.Tunables.Pools) > 0)
 	if !s.HasID {
-		write(w, effects.Answer{Status: http.StatusBadRequest, Why: s.Bad})
+		writeAnswer(w, effects.Answer{Status: http.StatusBadRequest, Why: s.Bad})
 		return
 	}
 	n.answerUser(w, UserRequest{Op: opSubmit, ID: s.ID, Submission: s, Whole: !s.Overlooked})
@@ -51,14 +51,14 @@
 func (n *Node) handleJob(w http.ResponseWriter, r *http.Request, op string) {
 	id, ok := wire.ParseID(chi.URLParam(r, "id"))
 	if !ok {
-		write(w, effects.Answer{Status: http.StatusNotFound, Why: "no such job"})
+		writeAnswer(w, effects.Answer{Status: http.StatusNotFound, Why: "no such job"})
 		return
 	}
 	n.answerUser(w, UserRequest{Op: op, ID: id})
 }
 
 func (n *Node) answerUser(w http.ResponseWriter, in UserRequest) {
-	write(w, n.spreadRetry(in, n.serveOrForward(in)))
+	writeAnswer(w, n.spreadRetry(in, n.serveOrForward(in)))
 }
 
 func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
@@ -94,7 +94,7 @@
 	}
 }
 
-func write(w http.ResponseWriter, a effects.Answer) {
+func writeAnswer(w http.ResponseWriter, a effects.Answer) {
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfter))
 	}
