--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -88,9 +88,9 @@
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case a.Status == http.StatusOK:
-		send(w, a.Status, wire.ReportAnswer(a.Token, a.Commands))
+		writeBody(w, a.Status, wire.ReportAnswer(a.Token, a.Commands))
 	default:
-		send(w, a.Status, wire.RedirectAnswer(a.Node))
+		writeBody(w, a.Status, wire.RedirectAnswer(a.Node))
 	}
 }
 
@@ -99,13 +99,13 @@
 		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfter))
 	}
 	if a.Status == http.StatusOK || a.Status == http.StatusCreated {
-		send(w, a.Status, wire.JobAnswer(a.ID, a.State, a.Counts, a.Done, a.Running))
+		writeBody(w, a.Status, wire.JobAnswer(a.ID, a.State, a.Counts, a.Done, a.Running))
 		return
 	}
-	send(w, a.Status, wire.ErrorBody(a.Why))
+	writeBody(w, a.Status, wire.ErrorBody(a.Why))
 }
 
-func send(w http.ResponseWriter, status int, body []byte) {
+func writeBody(w http.ResponseWriter, status int, body []byte) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -51,7 +51,7 @@
 	r.Get(PathStatus, func(w http.ResponseWriter, _ *http.Request) {
 		var s Status
 		if err := n.callLocalOrLeader("Controller.Status", struct{}{}, &s, func(now time.Duration) bool { s = n.core.Status(now); return s.Leader == s.Node }); err != nil {
-			send(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
+			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 			return
 		}
 		sendJSON(w, s)
@@ -59,12 +59,12 @@
 	r.Get(PathExplain+"{id}", func(w http.ResponseWriter, r *http.Request) {
 		id, ok := wire.ParseID(chi.URLParam(r, "id"))
 		if !ok {
-			send(w, http.StatusNotFound, wire.ErrorBody("not a job id"))
+			writeBody(w, http.StatusNotFound, wire.ErrorBody("not a job id"))
 			return
 		}
 		var e Explanation
 		if err := n.callLocalOrLeader("Controller.Explain", id, &e, func(now time.Duration) bool { var ok bool; e, ok = n.core.Explain(now, id); return ok }); err != nil {
-			send(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
+			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 			return
 		}
 		sendJSON(w, e)
@@ -76,12 +76,12 @@
 	r.Post(PathDuties+"*", func(w http.ResponseWriter, r *http.Request) {
 		duty := chi.URLParam(r, "*")
 		if slices.Contains(certified, duty) {
-			send(w, http.StatusForbidden, wire.ErrorBody(duty+": is changed at the operators' listener, with a certificate"))
+			writeBody(w, http.StatusForbidden, wire.ErrorBody(duty+": is changed at the operators' listener, with a certificate"))
 			return
 		}
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, changeMost))
 		if err != nil {
-			send(w, http.StatusBadRequest, wire.ErrorBody("body not readable, or over 16 MiB"))
+			writeBody(w, http.StatusBadRequest, wire.ErrorBody("body not readable, or over 16 MiB"))
 			return
 		}
 		raw, err := n.ChangeDuty("", duty, body)
@@ -108,23 +108,23 @@
 func sendDuty(w http.ResponseWriter, raw json.RawMessage, err error, refused int) {
 	switch {
 	case errors.Is(err, control.ErrUnknown):
-		send(w, http.StatusNotFound, wire.ErrorBody("the leader: "+err.Error()))
+		writeBody(w, http.StatusNotFound, wire.ErrorBody("the leader: "+err.Error()))
 	case errors.Is(err, control.ErrRefused):
-		send(w, refused, wire.ErrorBody(err.Error()))
+		writeBody(w, refused, wire.ErrorBody(err.Error()))
 	case err != nil:
-		send(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
+		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 	default:
-		send(w, http.StatusOK, raw)
+		writeBody(w, http.StatusOK, raw)
 	}
 }
 
 func sendJSON(w http.ResponseWriter, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
-		send(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
+		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
 		return
 	}
-	send(w, http.StatusOK, b)
+	writeBody(w, http.StatusOK, b)
 }
 
 var errLeaderUnknown = errors.New("no leader is known at present")
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -105,17 +105,17 @@
 	body, err := wire.ReadBody(r.Body)
 	var in receiptRequest
 	if err != nil || json.Unmarshal(body, &in) != nil {
-		send(w, http.StatusBadRequest, wire.ErrorBody("not a JSON object with job, task and attempt"))
+		writeBody(w, http.StatusBadRequest, wire.ErrorBody("not a JSON object with job, task and attempt"))
 		return
 	}
 	id, ok := wire.ParseID(in.Job)
 	if !ok {
-		send(w, http.StatusBadRequest, wire.ErrorBody("job: not a job id"))
+		writeBody(w, http.StatusBadRequest, wire.ErrorBody("job: not a job id"))
 		return
 	}
 	ask, err := json.Marshal(pools.Request{Receipt: &pools.Holding{Job: id, Task: in.Task, Attempt: in.Attempt}})
 	if err != nil {
-		send(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
+		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
 		return
 	}
 	for try := 0; ; try++ {
@@ -123,14 +123,14 @@
 		var given pools.Receipt
 		switch {
 		case errors.Is(err, control.ErrRefused):
-			send(w, http.StatusConflict, wire.ErrorBody(err.Error()))
+			writeBody(w, http.StatusConflict, wire.ErrorBody(err.Error()))
 			return
 		case err == nil && json.Unmarshal(raw, &given) == nil && given.Durable:
 			n.signReceipt(w, in.Job, &given)
 			return
 		case err != nil || try == receiptTries:
 			w.Header().Set("Retry-After", "1")
-			send(w, http.StatusServiceUnavailable, wire.ErrorBody("not known for certain yet"))
+			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("not known for certain yet"))
 			return
 		}
 		time.Sleep(receiptPause)
@@ -142,7 +142,7 @@
 	if err != nil {
 		n.log.Error("receipts cannot be signed", "error", err)
 		w.Header().Set("Retry-After", "30")
-		send(w, http.StatusServiceUnavailable, wire.ErrorBody("receipts cannot be signed at present"))
+		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("receipts cannot be signed at present"))
 		return
 	}
 	c := receipts.Claims{Attempt: given.Attempt, Epoch: given.Epoch}
@@ -152,7 +152,7 @@
 	}
 	token, err := keys.Sign(c, time.Now(), time.Duration(n.settings.Tunables.ReceiptLifeS*float64(time.Second)))
 	if err != nil {
-		send(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
+		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
 		return
 	}
 	sendJSON(w, struct {
