--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -54,7 +54,7 @@
 			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 			return
 		}
-		sendJSON(w, s)
+		writeJSON(w, s)
 	})
 	r.Get(PathExplain+"{id}", func(w http.ResponseWriter, r *http.Request) {
 		id, ok := wire.ParseID(chi.URLParam(r, "id"))
@@ -67,7 +67,7 @@
 			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 			return
 		}
-		sendJSON(w, e)
+		writeJSON(w, e)
 	})
 	r.Get(PathDuties+"*", func(w http.ResponseWriter, r *http.Request) {
 		raw, err := n.ShowDuty(chi.URLParam(r, "*"))
@@ -118,7 +118,7 @@
 	}
 }
 
-func sendJSON(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
 		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -155,7 +155,7 @@
 		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
 		return
 	}
-	sendJSON(w, struct {
+	writeJSON(w, struct {
 		Receipt string `json:"receipt"`
 	}{token})
 }
