--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -71,7 +71,7 @@
 	})
 	r.Get(PathDuties+"*", func(w http.ResponseWriter, r *http.Request) {
 		raw, err := n.ShowDuty(chi.URLParam(r, "*"))
-		sendDuty(w, raw, err, http.StatusInternalServerError)
+		writeComponentAnswer(w, raw, err, http.StatusInternalServerError)
 	})
 	r.Post(PathDuties+"*", func(w http.ResponseWriter, r *http.Request) {
 		duty := chi.URLParam(r, "*")
@@ -85,7 +85,7 @@
 			return
 		}
 		raw, err := n.ChangeDuty("", duty, body)
-		sendDuty(w, raw, err, http.StatusUnprocessableEntity)
+		writeComponentAnswer(w, raw, err, http.StatusUnprocessableEntity)
 	})
 	return r, nil
 }
@@ -104,8 +104,8 @@
 	By   string // who asks, by the certificate; older controllers leave it out
 }
 
-// sendDuty answers with what a duty says. refused is the status of an error of its own.
-func sendDuty(w http.ResponseWriter, raw json.RawMessage, err error, refused int) {
+// writeComponentAnswer answers with what a duty says. refused is the status of an error of its own.
+func writeComponentAnswer(w http.ResponseWriter, raw json.RawMessage, err error, refused int) {
 	switch {
 	case errors.Is(err, control.ErrUnknown):
 		writeBody(w, http.StatusNotFound, wire.ErrorBody("the leader: "+err.Error()))
