--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -161,13 +161,13 @@
 
 // Status tells a peer what its operator asked.
 func (c *Controller) Status(_ struct{}, out *Status) error {
-	return c.n.runOnLoop(func(now time.Duration) { *out = c.n.core.Status(now) })
+	return c.node.runOnLoop(func(now time.Duration) { *out = c.node.core.Status(now) })
 }
 
 // Explain tells a peer what its operator asked.
 func (c *Controller) Explain(id uint64, out *Explanation) error {
 	ok := false
-	if err := c.n.runOnLoop(func(now time.Duration) { *out, ok = c.n.core.Explain(now, id) }); err != nil {
+	if err := c.node.runOnLoop(func(now time.Duration) { *out, ok = c.node.core.Explain(now, id) }); err != nil {
 		return err
 	}
 	if !ok {
@@ -181,20 +181,20 @@
 
 // Show tells a peer what its operator asked of a duty.
 func (c *Controller) Show(name string, out *[]byte) error {
-	return c.duty(out, func(now time.Duration) (json.RawMessage, bool, error) { return c.n.core.Show(now, name) })
+	return c.duty(out, func(now time.Duration) (json.RawMessage, bool, error) { return c.node.core.Show(now, name) })
 }
 
 // Change does what a peer's operator asked of a duty.
 func (c *Controller) Change(in ChangeRequest, out *[]byte) error {
 	return c.duty(out, func(now time.Duration) (json.RawMessage, bool, error) {
-		return c.n.core.Change(now, in.Duty, in.By, in.Body)
+		return c.node.core.Change(now, in.Duty, in.By, in.Body)
 	})
 }
 
 func (c *Controller) duty(out *[]byte, f func(now time.Duration) (json.RawMessage, bool, error)) error {
 	known := false
 	var failed error
-	if err := c.n.runOnLoop(func(now time.Duration) {
+	if err := c.node.runOnLoop(func(now time.Duration) {
 		var raw json.RawMessage
 		raw, known, failed = f(now)
 		*out = raw
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -93,20 +93,20 @@
 )
 
 // Controller is what peers may call.
-type Controller struct{ n *Node }
+type Controller struct{ node *Node }
 
 // Ask serves a request that another controller's user made. It is never
 // handed on a second time.
 func (c *Controller) Ask(in UserRequest, out *effects.Answer) error {
-	if err := c.n.countRefusal(c.n.checkUserRequest(in)); err != nil {
+	if err := c.node.countRefusal(c.node.checkUserRequest(in)); err != nil {
 		return err
 	}
-	if in.Op == opSubmit && !in.Whole && len(c.n.settings.Tunables.Pools) > 0 {
+	if in.Op == opSubmit && !in.Whole && len(c.node.settings.Tunables.Pools) > 0 {
 		// What the job needs of pools may have been overlooked at the door.
 		*out = effects.Unavailable("the controller that took this knows nothing of pools")
 		return nil
 	}
-	*out = c.n.serveLocally(in)
+	*out = c.node.serveLocally(in)
 	return nil
 }
 
@@ -124,8 +124,8 @@
 
 // LedBefore tells a new leader when this controller last heard one of an earlier epoch.
 func (c *Controller) LedBefore(epoch uint64, out *PreviousLeaderAnswer) error {
-	return c.n.runOnLoop(func(now time.Duration) {
-		led := c.n.core.PreviousLeader(epoch)
+	return c.node.runOnLoop(func(now time.Duration) {
+		led := c.node.core.PreviousLeader(epoch)
 		*out = PreviousLeaderAnswer{led.Ever, (now - led.Until).Milliseconds(), (led.Until - led.Since).Milliseconds(), led.Fleet}
 	})
 }
@@ -139,10 +139,10 @@
 
 // Hail takes the leader's heartbeat. Its name is the one that older versions call.
 func (c *Controller) Hail(in HeartbeatMessage, _ *bool) error {
-	if err := c.n.countRefusal(c.n.checkHeartbeat(in)); err != nil {
+	if err := c.node.countRefusal(c.node.checkHeartbeat(in)); err != nil {
 		return err
 	}
-	return c.n.tryEnqueue(func(now time.Duration) { c.n.core.HeartbeatReceived(now, in.Node, in.Epoch, in.Fleet) })
+	return c.node.tryEnqueue(func(now time.Duration) { c.node.core.HeartbeatReceived(now, in.Node, in.Epoch, in.Fleet) })
 }
 
 // ConfigHeartbeatMessage is a heartbeat that tells of the configuration besides.
@@ -156,22 +156,22 @@
 
 // ConfigHeartbeat takes the leader's word that it leads, and what it tells of the configuration.
 func (c *Controller) ConfigHeartbeat(in ConfigHeartbeatMessage, out *ConfigAnswer) error {
-	if err := c.n.countRefusal(errors.Join(c.n.checkHeartbeat(in.Heartbeat), c.n.checkConfig(in.Update))); err != nil {
+	if err := c.node.countRefusal(errors.Join(c.node.checkHeartbeat(in.Heartbeat), c.node.checkConfig(in.Update))); err != nil {
 		return err
 	}
-	return c.n.runOnLoop(func(now time.Duration) {
-		c.n.core.HeartbeatReceived(now, in.Heartbeat.Node, in.Heartbeat.Epoch, in.Heartbeat.Fleet)
-		out.Revision = c.n.core.ApplyConfig(now, in.Heartbeat.Node, in.Update)
+	return c.node.runOnLoop(func(now time.Duration) {
+		c.node.core.HeartbeatReceived(now, in.Heartbeat.Node, in.Heartbeat.Epoch, in.Heartbeat.Fleet)
+		out.Revision = c.node.core.ApplyConfig(now, in.Heartbeat.Node, in.Update)
 	})
 }
 
 // Relay serves a report that another controller received. It is never handed
 // on a second time.
 func (c *Controller) Relay(in effects.RelayedHeartbeat, out *effects.HeartbeatAnswer) error {
-	if err := c.n.countRefusal(c.n.checkRelay(in)); err != nil {
+	if err := c.node.countRefusal(c.node.checkRelay(in)); err != nil {
 		return err
 	}
-	a, err := c.n.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) { c.n.core.HandleRelayedHeartbeat(now, to, in) })
+	a, err := c.node.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) { c.node.core.HandleRelayedHeartbeat(now, to, in) })
 	*out = a
 	return err
 }
