--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -181,17 +181,17 @@
 
 // Show tells a peer what its operator asked of a duty.
 func (c *Controller) Show(name string, out *[]byte) error {
-	return c.duty(out, func(now time.Duration) (json.RawMessage, bool, error) { return c.node.core.Show(now, name) })
+	return c.onComponent(out, func(now time.Duration) (json.RawMessage, bool, error) { return c.node.core.Show(now, name) })
 }
 
 // Change does what a peer's operator asked of a duty.
 func (c *Controller) Change(in ChangeRequest, out *[]byte) error {
-	return c.duty(out, func(now time.Duration) (json.RawMessage, bool, error) {
+	return c.onComponent(out, func(now time.Duration) (json.RawMessage, bool, error) {
 		return c.node.core.Change(now, in.Duty, in.By, in.Body)
 	})
 }
 
-func (c *Controller) duty(out *[]byte, f func(now time.Duration) (json.RawMessage, bool, error)) error {
+func (c *Controller) onComponent(out *[]byte, f func(now time.Duration) (json.RawMessage, bool, error)) error {
 	known := false
 	var failed error
 	if err := c.node.runOnLoop(func(now time.Duration) {
