--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -51,18 +51,18 @@
 
 // ShowDuty looks into a duty, here or on the leader.
 func (n *Node) ShowDuty(what string) (json.RawMessage, error) {
-	return n.askDuty("Controller.Show", what, func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Show(now, what) })
+	return n.askComponent("Controller.Show", what, func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Show(now, what) })
 }
 
 // ChangeDuty has a duty change something that somebody asks for, here or on the leader.
 func (n *Node) ChangeDuty(by, duty string, body json.RawMessage) (json.RawMessage, error) {
-	return n.askDuty("Controller.Change", ChangeRequest{Duty: duty, Body: body, By: by}, func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Change(now, duty, by, body) })
+	return n.askComponent("Controller.Change", ChangeRequest{Duty: duty, Body: body, By: by}, func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Change(now, duty, by, body) })
 }
 
-// askDuty asks a duty, here or on the leader. Errors are control.ErrUnknown where
+// askComponent asks a duty, here or on the leader. Errors are control.ErrUnknown where
 // there is no such duty, one that wraps control.ErrRefused for what the duty refuses,
 // and any other where nobody can tell now.
-func (n *Node) askDuty(method string, in any, local func(now time.Duration) (json.RawMessage, bool, error)) (json.RawMessage, error) {
+func (n *Node) askComponent(method string, in any, local func(now time.Duration) (json.RawMessage, bool, error)) (json.RawMessage, error) {
 	var raw []byte
 	var failed error
 	err := n.callLocalOrLeader(method, in, &raw, func(now time.Duration) bool {
