--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -235,7 +235,7 @@
 
 // statusCollector turns the status into metrics; labels are bounded by the
 // number of controllers.
-type statusCollector struct{ n *Node }
+type statusCollector struct{ node *Node }
 
 var (
 	descLeading  = prometheus.NewDesc("bitternmoor_leading", "1 on the node that leads.", nil, nil)
@@ -257,8 +257,8 @@
 	var st Status
 	var measures []cluster.Histogram
 	var gauges []cluster.Gauge
-	if err := s.n.runOnLoop(func(now time.Duration) {
-		st, measures, gauges = s.n.core.Status(now), s.n.core.Measures(), s.n.core.Gauges(now)
+	if err := s.node.runOnLoop(func(now time.Duration) {
+		st, measures, gauges = s.node.core.Status(now), s.node.core.Measures(), s.node.core.Gauges(now)
 	}); err != nil {
 		ch <- prometheus.NewInvalidMetric(descLeading, err)
 		return
@@ -292,7 +292,7 @@
 		{"user_request_refused", st.Counts.Refused}, {"machine_lost", st.Counts.MachinesLost}, {"rental_refused", st.Counts.RentalsRefused},
 		{"task_done", st.Counts.TasksDone}, {"task_rerun", st.Counts.TasksRerun},
 		{"job_released", st.Counts.Released}, {"cancellation_spread", st.Counts.CancelSpread}, {"left_waiting", st.Counts.LeftWaiting},
-		{"message_refused", s.n.refusedMessages.Load()},
+		{"message_refused", s.node.refusedMessages.Load()},
 	} {
 		ch <- prometheus.MustNewConstMetric(descEvents, prometheus.CounterValue, float64(e.n), e.name)
 	}
