--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -19,12 +19,12 @@
 // Take gives what is to be sent, written and answered. It has no clock,
 // socket or goroutine.
 type Core struct {
-	cfg  *settings.Settings
-	zero int64 // time of day at time 0, in milliseconds; off by a known bound
-	lead *leadership.Elector
-	term *term.Term
-	hold *scheduler.ShardHolder
-	out  []effects.Effect
+	settings *settings.Settings
+	zero     int64 // time of day at time 0, in milliseconds; off by a known bound
+	lead     *leadership.Elector
+	term     *term.Term
+	hold     *scheduler.ShardHolder
+	out      []effects.Effect
 
 	counts      cluster.Counts
 	measures    cluster.Metrics
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{cfg: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
+	return &Core{settings: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -90,7 +90,7 @@
 	if c.term == nil && leading {
 		c.counts.Terms++
 		led, vacant := c.lead.WithoutLeader()
-		c.term = term.New(cluster.TermStart{Cfg: c.cfg, ClockZeroMS: c.zero, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
+		c.term = term.New(cluster.TermStart{Cfg: c.settings, ClockZeroMS: c.zero, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
 		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
@@ -161,15 +161,15 @@
 func (c *Core) heartbeat(now time.Duration) {
 	if now-c.heartbeatAt >= heartbeatEvery {
 		c.heartbeatAt = now
-		for _, p := range c.cfg.Peers {
+		for _, p := range c.settings.Peers {
 			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
-	if len(c.cfg.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
+	if len(c.settings.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
 		c.deafAt = now
 		return
 	}
-	if now-c.deafAt < c.tooFar()+settings.Seconds(1.25*c.cfg.Deployment.Workers.ReportS)+peerTimeout {
+	if now-c.deafAt < c.tooFar()+settings.Seconds(1.25*c.settings.Deployment.Workers.ReportS)+peerTimeout {
 		return // machines that its peers cannot answer for are on their way here
 	}
 	c.out = append(c.out, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
@@ -189,7 +189,7 @@
 // tooFar is how long a leader that this node does not reach must not have been
 // reached: for longer than the hold of a dead one lasts.
 func (c *Core) tooFar() time.Duration {
-	return settings.Seconds(c.cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
+	return settings.Seconds(c.settings.Tunables.LeaderHoldS) + heartbeatEvery/2
 }
 
 // HeartbeatAnswered takes a peer's answer to a heartbeat.
@@ -239,7 +239,7 @@
 // LocalConfig is what this node has of the configuration, and since when.
 func (c *Core) LocalConfig(now time.Duration) reconfig.LocalView {
 	leading, leader := c.Leading()
-	h := reconfig.LocalView{Node: c.cfg.Node, Leads: leading, Leader: leader, Revision: c.config.Revision(), SinceS: (now - c.config.Since()).Seconds(), AgeS: -1, Sets: c.config.All()}
+	h := reconfig.LocalView{Node: c.settings.Node, Leads: leading, Leader: leader, Revision: c.config.Revision(), SinceS: (now - c.config.Since()).Seconds(), AgeS: -1, Sets: c.config.All()}
 	switch heard := c.config.UpdatedAt(); {
 	case c.ready(now):
 		h.AgeS = 0
@@ -282,7 +282,7 @@
 // Show gives what operators may see of a duty; known is false on a node that
 // cannot tell, and the answer nil where there is no such duty.
 func (c *Core) Show(now time.Duration, duty string) (raw json.RawMessage, known bool, err error) {
-	if duty == reconfig.Name+"/"+reconfig.ViewHere && c.cfg.Tunables.ConfigHistory > 0 {
+	if duty == reconfig.Name+"/"+reconfig.ViewHere && c.settings.Tunables.ConfigHistory > 0 {
 		raw, err = json.Marshal(c.LocalConfig(now)) // of this node, whoever leads
 		return raw, true, err
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -27,7 +27,7 @@
 
 // take has a report answered by this node's term, or hands it to the leader.
 func (c *Core) take(now time.Duration, to effects.RequestID, o *openReport) {
-	in := effects.RelayedHeartbeat{Via: c.cfg.Node, Life: c.zero, Report: *o.report}
+	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.zero, Report: *o.report}
 	leader := c.lead.LeaderName()
 	switch {
 	case c.term != nil && c.lonely(now) && c.sendAway(now, to, o.report):
@@ -88,7 +88,7 @@
 func (c *Core) cutOff(now time.Duration) bool {
 	heard, _ := c.lead.WithoutLeader()
 	silent := now - heard
-	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.cfg.Tunables.ZonePatienceS) && !c.lead.StateServiceAnswers(now)
+	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) && !c.lead.StateServiceAnswers(now)
 }
 
 // finish makes of the leader's word on a report what its worker is told: with
@@ -122,7 +122,7 @@
 		return
 	}
 	switch {
-	case !ok, a.Status == 421 && (a.Node == c.cfg.Node || a.Node == ""):
+	case !ok, a.Status == 421 && (a.Node == c.settings.Node || a.Node == ""):
 		a = effects.HeartbeatAnswer{Status: 503}
 	case a.Status == 421:
 		c.hold.Release(r.Machine)
@@ -203,7 +203,7 @@
 	for _, at := range c.peerAt {
 		last = max(last, at)
 	}
-	served := c.sureAt - settings.Seconds(c.cfg.Tunables.LeaderHoldS)
+	served := c.sureAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
 	return last > 0 && now-c.sureAt > c.tooFar() && now-last >= cutOffAfter && last > served-together
 }
 
