--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -19,12 +19,12 @@
 // Take gives what is to be sent, written and answered. It has no clock,
 // socket or goroutine.
 type Core struct {
-	settings *settings.Settings
-	zero     int64 // time of day at time 0, in milliseconds; off by a known bound
-	lead     *leadership.Elector
-	term     *term.Term
-	hold     *scheduler.ShardHolder
-	out      []effects.Effect
+	settings    *settings.Settings
+	clockZeroMS int64 // time of day at time 0, in milliseconds; off by a known bound
+	lead        *leadership.Elector
+	term        *term.Term
+	hold        *scheduler.ShardHolder
+	out         []effects.Effect
 
 	counts      cluster.Counts
 	measures    cluster.Metrics
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{settings: cfg, zero: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
+	return &Core{settings: cfg, clockZeroMS: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -90,7 +90,7 @@
 	if c.term == nil && leading {
 		c.counts.Terms++
 		led, vacant := c.lead.WithoutLeader()
-		c.term = term.New(cluster.TermStart{Cfg: c.settings, ClockZeroMS: c.zero, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
+		c.term = term.New(cluster.TermStart{Cfg: c.settings, ClockZeroMS: c.clockZeroMS, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
 		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -27,7 +27,7 @@
 
 // take has a report answered by this node's term, or hands it to the leader.
 func (c *Core) take(now time.Duration, to effects.RequestID, o *openReport) {
-	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.zero, Report: *o.report}
+	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *o.report}
 	leader := c.lead.LeaderName()
 	switch {
 	case c.term != nil && c.lonely(now) && c.sendAway(now, to, o.report):
