--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -21,7 +21,7 @@
 type Core struct {
 	settings    *settings.Settings
 	clockZeroMS int64 // time of day at time 0, in milliseconds; off by a known bound
-	lead        *leadership.Elector
+	elector     *leadership.Elector
 	term        *term.Term
 	hold        *scheduler.ShardHolder
 	out         []effects.Effect
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{settings: cfg, clockZeroMS: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, lead: lead}
+	return &Core{settings: cfg, clockZeroMS: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -80,8 +80,8 @@
 
 // after follows every input: it starts and ends terms and gathers effects.
 func (c *Core) after(now time.Duration) {
-	leading := c.lead.Role() == leadership.Leader
-	if c.term != nil && (!leading || c.term.Epoch != c.lead.Epoch()) {
+	leading := c.elector.Role() == leadership.Leader
+	if c.term != nil && (!leading || c.term.Epoch != c.elector.Epoch()) {
 		c.term.End()
 		c.gather(now)
 		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "term ended", Args: []any{"epoch", c.term.Epoch}})
@@ -89,8 +89,8 @@
 	}
 	if c.term == nil && leading {
 		c.counts.Terms++
-		led, vacant := c.lead.WithoutLeader()
-		c.term = term.New(cluster.TermStart{Cfg: c.settings, ClockZeroMS: c.clockZeroMS, Epoch: c.lead.Epoch(), LastLeaderHeard: led, PreviousLeader: c.lead.PreviousLeader(c.lead.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
+		led, vacant := c.elector.WithoutLeader()
+		c.term = term.New(cluster.TermStart{Cfg: c.settings, ClockZeroMS: c.clockZeroMS, Epoch: c.elector.Epoch(), LastLeaderHeard: led, PreviousLeader: c.elector.PreviousLeader(c.elector.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
 		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
@@ -115,17 +115,17 @@
 
 // Leading says whether this node leads, and otherwise who does, if known.
 func (c *Core) Leading() (bool, string) {
-	return c.term != nil, c.lead.LeaderName()
+	return c.term != nil, c.elector.LeaderName()
 }
 
 // ready says whether jobs can be spoken of.
 func (c *Core) ready(now time.Duration) bool {
-	return c.term != nil && c.term.Loaded() && c.lead.LeaseValid(now)
+	return c.term != nil && c.term.Loaded() && c.elector.LeaseValid(now)
 }
 
 // Tick is called several times a second.
 func (c *Core) Tick(now time.Duration) {
-	c.orders(c.lead.Tick(now))
+	c.orders(c.elector.Tick(now))
 	c.hold.Tick(now)
 	for m, at := range c.sentTo {
 		if now-at > sendAgain {
@@ -133,17 +133,17 @@
 		}
 	}
 	c.probe(now)
-	if c.lead.LeaseValid(now) {
+	if c.elector.LeaseValid(now) {
 		c.sureAt = now
 	}
 	if c.term != nil {
-		c.term.Tick(now, c.lead.LeaseValid(now))
+		c.term.Tick(now, c.elector.LeaseValid(now))
 		c.heartbeat(now)
 		if c.term.TokensExhausted() {
 			// After hundreds of thousands of machines that changed their block, or direct starts
 			// that had to be reaped: the next term has its own.
 			c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "the tokens of this term are used up: leadership given up", Args: []any{"epoch", c.term.Epoch}})
-			c.orders(c.lead.Resign(now, time.Second))
+			c.orders(c.elector.Resign(now, time.Second))
 		}
 	}
 	c.after(now)
@@ -165,7 +165,7 @@
 			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
-	if len(c.settings.Peers) == 0 || !c.lead.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
+	if len(c.settings.Peers) == 0 || !c.elector.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
 		c.deafAt = now
 		return
 	}
@@ -173,7 +173,7 @@
 		return // machines that its peers cannot answer for are on their way here
 	}
 	c.out = append(c.out, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
-	c.orders(c.lead.Resign(now, resignFor))
+	c.orders(c.elector.Resign(now, resignFor))
 }
 
 // heardOf says whether a peer has answered this leader lately.
@@ -202,7 +202,7 @@
 
 // PreviousLeader is what this node knows of the last leader of an epoch before the given one.
 func (c *Core) PreviousLeader(epoch uint64) leadership.LeaderRecord {
-	return c.lead.PreviousLeader(epoch)
+	return c.elector.PreviousLeader(epoch)
 }
 
 // PreviousLeaderReported takes a peer's answer to AskLed, with its times on this node's clock; known is
@@ -216,14 +216,14 @@
 
 // HeartbeatReceived takes a heartbeat of the leader.
 func (c *Core) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet leadership.FleetKnowledge) {
-	c.lead.HeartbeatReceived(now, node, epoch, fleet)
+	c.elector.HeartbeatReceived(now, node, epoch, fleet)
 	c.after(now)
 }
 
 // ApplyConfig takes what the leader that has just sent a heartbeat tells of the configuration, and gives the
 // revision that this node has in force then.
 func (c *Core) ApplyConfig(now time.Duration, node string, u config.Update) uint64 {
-	if c.term == nil && node == c.lead.LeaderName() {
+	if c.term == nil && node == c.elector.LeaderName() {
 		c.config.Apply(now, u)
 	}
 	return c.config.Revision()
@@ -316,11 +316,11 @@
 }
 
 // Epoch is the epoch of this node's last term.
-func (c *Core) Epoch() uint64 { return c.lead.Epoch() }
+func (c *Core) Epoch() uint64 { return c.elector.Epoch() }
 
 // Stop gives up leadership, so that the next leader need not wait for the
 // hold to end. Nothing depends on it.
 func (c *Core) Stop(now time.Duration) {
-	c.orders(c.lead.Resign(now, resignFor))
+	c.orders(c.elector.Resign(now, resignFor))
 	c.after(now)
 }
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -28,12 +28,12 @@
 // take has a report answered by this node's term, or hands it to the leader.
 func (c *Core) take(now time.Duration, to effects.RequestID, o *openReport) {
 	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *o.report}
-	leader := c.lead.LeaderName()
+	leader := c.elector.LeaderName()
 	switch {
 	case c.term != nil && c.lonely(now) && c.sendAway(now, to, o.report):
 	case c.term != nil:
 		c.open[to] = o
-		c.term.HandleHeartbeat(now, c.lead.LeaseValid(now), to, in)
+		c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
 		c.after(now)
 	case leader != "":
 		o.leader = leader
@@ -48,8 +48,8 @@
 // met ends the term when a worker has seen a token of a later one.
 func (c *Core) met(now time.Duration, r *workers.Report) {
 	epoch := r.Token >> cluster.TokenBits
-	if c.term != nil && reconcile.Report(reconcile.Machine{Epoch: c.lead.Epoch(), ReportEpoch: epoch}).Resolution() == reconcile.StepDown {
-		c.lead.Superseded(now, epoch)
+	if c.term != nil && reconcile.Report(reconcile.Machine{Epoch: c.elector.Epoch(), ReportEpoch: epoch}).Resolution() == reconcile.StepDown {
+		c.elector.Superseded(now, epoch)
 		c.after(now)
 	}
 }
@@ -86,9 +86,9 @@
 // highest token that the worker has seen, and with nothing to do. Such a worker has tried
 // the others before, and would be the same at another node that is cut off too.
 func (c *Core) cutOff(now time.Duration) bool {
-	heard, _ := c.lead.WithoutLeader()
+	heard, _ := c.elector.WithoutLeader()
 	silent := now - heard
-	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) && !c.lead.StateServiceAnswers(now)
+	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) && !c.elector.StateServiceAnswers(now)
 }
 
 // finish makes of the leader's word on a report what its worker is told: with
@@ -114,7 +114,7 @@
 	}
 	r := o.report
 	c.PeerReached(now, o.leader, ok)
-	if leader := c.lead.LeaderName(); !ok && o.tries < handOns && leader != "" && leader != o.leader {
+	if leader := c.elector.LeaderName(); !ok && o.tries < handOns && leader != "" && leader != o.leader {
 		c.take(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
@@ -134,7 +134,7 @@
 // PeerReached notes whether a call reached the leader of that name, or a probe of it.
 func (c *Core) PeerReached(now time.Duration, leader string, ok bool) {
 	switch {
-	case leader != c.lead.LeaderName():
+	case leader != c.elector.LeaderName():
 	case ok:
 		c.apartFrom = ""
 	case c.apartFrom != leader:
@@ -146,14 +146,14 @@
 // has not reached for longer than a dead leader's hold lasts: it can take neither
 // users' requests nor reports.
 func (c *Core) Partitioned(now time.Duration) bool {
-	leader := c.lead.LeaderName()
-	return leader != "" && leader == c.apartFrom && now-c.lostAt >= c.tooFar() && c.lead.Watching()
+	leader := c.elector.LeaderName()
+	return leader != "" && leader == c.apartFrom && now-c.lostAt >= c.tooFar() && c.elector.Watching()
 }
 
 // probe asks now and then whether a leader that was not reached can be: there may
 // be no report or request any more by which that would show.
 func (c *Core) probe(now time.Duration) {
-	if c.apartFrom != c.lead.LeaderName() {
+	if c.apartFrom != c.elector.LeaderName() {
 		c.apartFrom = ""
 	}
 	if c.apartFrom != "" && now-c.probeAt >= heartbeatEvery {
@@ -186,7 +186,7 @@
 	if _, ours := c.hold.KeepAlive(now, r); !ours {
 		return false // it goes from node to node by itself, and may have come from there
 	}
-	leader := c.lead.LeaderName()
+	leader := c.elector.LeaderName()
 	c.sentTo[r.Machine] = now
 	c.hold.Release(r.Machine)
 	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: leader}})
@@ -210,7 +210,7 @@
 // leftOut says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
 func (c *Core) leftOut(now time.Duration) bool {
-	return c.apartFrom != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.lead.StateServiceAnswers(now) && c.lostAt < c.lead.StateServiceAnsweredAt()+together
+	return c.apartFrom != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.lostAt < c.elector.StateServiceAnsweredAt()+together
 }
 
 // together: what is lost within this time of one another is lost at once.
@@ -247,6 +247,6 @@
 		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		return
 	}
-	c.term.HandleHeartbeat(now, c.lead.LeaseValid(now), to, in)
+	c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
 	c.after(now)
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -13,38 +13,38 @@
 
 // KeysRead takes the result of leadership's Read.
 func (c *Core) KeysRead(now time.Duration, seq uint64, ok bool, v leadership.View) {
-	c.orders(c.lead.KeysRead(now, seq, ok, v))
+	c.orders(c.elector.KeysRead(now, seq, ok, v))
 	c.after(now)
 }
 
 // WatchEnded takes the result of leadership's Watch.
 func (c *Core) WatchEnded(now time.Duration, seq uint64, ok bool) {
-	c.orders(c.lead.WatchEnded(now, seq, ok))
+	c.orders(c.elector.WatchEnded(now, seq, ok))
 	c.after(now)
 }
 
 // LeaseCreated takes the result of leadership's Hold.
 func (c *Core) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) {
-	c.orders(c.lead.LeaseCreated(now, seq, ok, hold))
+	c.orders(c.elector.LeaseCreated(now, seq, ok, hold))
 	c.after(now)
 }
 
 // LeadershipClaimed takes the result of leadership's Claim.
 func (c *Core) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) {
-	c.orders(c.lead.LeadershipClaimed(now, seq, ok, mark))
+	c.orders(c.elector.LeadershipClaimed(now, seq, ok, mark))
 	c.after(now)
 }
 
 // LeaseRenewed takes the result of leadership's Renew.
 func (c *Core) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) {
-	c.orders(c.lead.LeaseRenewed(now, seq, ok, gone))
+	c.orders(c.elector.LeaseRenewed(now, seq, ok, gone))
 	c.after(now)
 }
 
 // LogLoaded takes the whole log, read after the term began.
 func (c *Core) LogLoaded(now time.Duration, epoch uint64, log term.LoadedLog) {
 	if c.term != nil && c.term.Epoch == epoch && !c.term.Loaded() {
-		c.term.Load(now, c.lead.EpochVersion(), log)
+		c.term.Load(now, c.elector.EpochVersion(), log)
 	}
 	c.after(now)
 }
@@ -52,8 +52,8 @@
 // Committed takes the outcome of a commit of the term.
 func (c *Core) Committed(now time.Duration, epoch, seq uint64, out eventlog.Outcome, mark uint64, failed []string) {
 	if c.term != nil && c.term.Epoch == epoch {
-		if c.term.Committed(now, c.lead.LeaseValid(now), seq, out, mark, failed) == eventlog.Lost {
-			c.lead.Superseded(now, c.lead.Epoch()+1)
+		if c.term.Committed(now, c.elector.LeaseValid(now), seq, out, mark, failed) == eventlog.Lost {
+			c.elector.Superseded(now, c.elector.Epoch()+1)
 		}
 	}
 	c.after(now)
@@ -62,7 +62,7 @@
 // ReadBack takes the value that settles a commit without an answer.
 func (c *Core) ReadBack(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.ReadBack(now, c.lead.LeaseValid(now), read, mark, value)
+		c.term.ReadBack(now, c.elector.LeaseValid(now), read, mark, value)
 	}
 	c.after(now)
 }
@@ -104,7 +104,7 @@
 // not known what became of them.
 func (c *Core) Dispatched(now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, r *workers.Report) {
 	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Dispatched(now, c.lead.LeaseValid(now), machine, token, starts, r)
+		c.term.Dispatched(now, c.elector.LeaseValid(now), machine, token, starts, r)
 	}
 	c.after(now)
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -91,7 +91,7 @@
 
 // Status gives a picture of the node and, on the leader, of everything.
 func (c *Core) Status(now time.Duration) Status {
-	s := Status{Node: c.settings.Node, Leader: c.lead.LeaderName(), Epoch: c.lead.HighestEpoch(), Sure: c.lead.LeaseValid(now), Counts: c.counts}
+	s := Status{Node: c.settings.Node, Leader: c.elector.LeaderName(), Epoch: c.elector.HighestEpoch(), Sure: c.elector.LeaseValid(now), Counts: c.counts}
 	t := c.term
 	if t == nil || !t.Loaded() {
 		return s
