--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -23,7 +23,7 @@
 	clockZeroMS int64 // time of day at time 0, in milliseconds; off by a known bound
 	elector     *leadership.Elector
 	term        *term.Term
-	hold        *scheduler.ShardHolder
+	shards      *scheduler.ShardHolder
 	out         []effects.Effect
 
 	counts      cluster.Counts
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{settings: cfg, clockZeroMS: zero, hold: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
+	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -126,7 +126,7 @@
 // Tick is called several times a second.
 func (c *Core) Tick(now time.Duration) {
 	c.orders(c.elector.Tick(now))
-	c.hold.Tick(now)
+	c.shards.Tick(now)
 	for m, at := range c.sentTo {
 		if now-at > sendAgain {
 			delete(c.sentTo, m)
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -56,8 +56,8 @@
 
 // pick has the node's block take up what it is offered for the machine.
 func (c *Core) pick(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) []workers.Command {
-	c.hold.Renew(r.Machine, a.Token, now+settings.Seconds(a.LeaseS))
-	picked := c.hold.Pick(now, a.Offers, a.Room)
+	c.shards.Renew(r.Machine, a.Token, now+settings.Seconds(a.LeaseS))
+	picked := c.shards.Pick(now, a.Offers, a.Room)
 	if c.term != nil {
 		c.term.OffersStarted(now, r.Machine, picked)
 	}
@@ -71,7 +71,7 @@
 // alone answers a worker while the leader cannot be asked: with the last
 // token, so that tasks outlive the leader and outages, and with no command.
 func (c *Core) alone(now time.Duration, r *workers.Report) effects.HeartbeatAnswer {
-	if token, ok := c.hold.KeepAlive(now, r); ok {
+	if token, ok := c.shards.KeepAlive(now, r); ok {
 		return effects.HeartbeatAnswer{Status: 200, Token: token}
 	}
 	if r.Token > 0 && c.cutOff(now) {
@@ -98,7 +98,7 @@
 	case 200:
 		a.Commands = append(a.Commands, c.pick(now, r, a)...)
 	case 421:
-		c.hold.Release(r.Machine)
+		c.shards.Release(r.Machine)
 	case 503:
 		a = c.alone(now, r)
 	}
@@ -125,7 +125,7 @@
 	case !ok, a.Status == 421 && (a.Node == c.settings.Node || a.Node == ""):
 		a = effects.HeartbeatAnswer{Status: 503}
 	case a.Status == 421:
-		c.hold.Release(r.Machine)
+		c.shards.Release(r.Machine)
 	}
 	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: c.finish(now, r, a)})
 	c.after(now)
@@ -183,12 +183,12 @@
 	if (c.backAt > 0 && now-c.backAt < sendAgain) || !c.Partitioned(now) {
 		return false
 	}
-	if _, ours := c.hold.KeepAlive(now, r); !ours {
+	if _, ours := c.shards.KeepAlive(now, r); !ours {
 		return false // it goes from node to node by itself, and may have come from there
 	}
 	leader := c.elector.LeaderName()
 	c.sentTo[r.Machine] = now
-	c.hold.Release(r.Machine)
+	c.shards.Release(r.Machine)
 	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: leader}})
 	return true
 }
@@ -226,7 +226,7 @@
 	if c.cutOff(now) {
 		return false
 	}
-	if _, ours := c.hold.KeepAlive(now, r); ours {
+	if _, ours := c.shards.KeepAlive(now, r); ours {
 		if _, back := c.sentTo[r.Machine]; back {
 			c.backAt = now
 		}
