--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -24,7 +24,7 @@
 	elector     *leadership.Elector
 	term        *term.Term
 	shards      *scheduler.ShardHolder
-	out         []effects.Effect
+	outbox      []effects.Effect
 
 	counts      cluster.Counts
 	measures    cluster.Metrics
@@ -58,7 +58,7 @@
 
 // TakeEffects returns the effects since the last call.
 func (c *Core) TakeEffects() []effects.Effect {
-	out := c.out
+	out := c.outbox
 	for _, e := range out {
 		if r, ok := e.(effects.Reply); ok {
 			if r.Answer.Status == 429 || r.Answer.Status >= 500 {
@@ -68,13 +68,13 @@
 			}
 		}
 	}
-	c.out = nil
+	c.outbox = nil
 	return out
 }
 
 func (c *Core) orders(list []leadership.Request) {
 	for _, o := range list {
-		c.out = append(c.out, effects.LeadershipRequest{Request: o})
+		c.outbox = append(c.outbox, effects.LeadershipRequest{Request: o})
 	}
 }
 
@@ -84,14 +84,14 @@
 	if c.term != nil && (!leading || c.term.Epoch != c.elector.Epoch()) {
 		c.term.End()
 		c.gather(now)
-		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "term ended", Args: []any{"epoch", c.term.Epoch}})
+		c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Info, Message: "term ended", Args: []any{"epoch", c.term.Epoch}})
 		c.term = nil
 	}
 	if c.term == nil && leading {
 		c.counts.Terms++
 		led, vacant := c.elector.WithoutLeader()
 		c.term = term.New(cluster.TermStart{Cfg: c.settings, ClockZeroMS: c.clockZeroMS, Epoch: c.elector.Epoch(), LastLeaderHeard: led, PreviousLeader: c.elector.PreviousLeader(c.elector.Epoch()), LeaderMissedAt: vacant, TermBegan: now, Counts: &c.counts, Metrics: &c.measures, Config: &c.config})
-		c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
+		c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Info, Message: "leading", Args: []any{"epoch", c.term.Epoch}}, effects.LoadLog{Epoch: c.term.Epoch})
 	}
 	if c.term != nil {
 		c.term.Flush(now)
@@ -109,7 +109,7 @@
 				e = effects.ReplyHeartbeat{To: a.To, Answer: c.finish(now, o.report, a.Answer)}
 			}
 		}
-		c.out = append(c.out, e)
+		c.outbox = append(c.outbox, e)
 	}
 }
 
@@ -142,7 +142,7 @@
 		if c.term.TokensExhausted() {
 			// After hundreds of thousands of machines that changed their block, or direct starts
 			// that had to be reaped: the next term has its own.
-			c.out = append(c.out, effects.LogMessage{Level: effects.Info, Message: "the tokens of this term are used up: leadership given up", Args: []any{"epoch", c.term.Epoch}})
+			c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Info, Message: "the tokens of this term are used up: leadership given up", Args: []any{"epoch", c.term.Epoch}})
 			c.orders(c.elector.Resign(now, time.Second))
 		}
 	}
@@ -162,7 +162,7 @@
 	if now-c.heartbeatAt >= heartbeatEvery {
 		c.heartbeatAt = now
 		for _, p := range c.settings.Peers {
-			c.out = append(c.out, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
+			c.outbox = append(c.outbox, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
 	if len(c.settings.Peers) == 0 || !c.elector.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
@@ -172,7 +172,7 @@
 	if now-c.deafAt < c.tooFar()+settings.Seconds(1.25*c.settings.Deployment.Workers.ReportS)+peerTimeout {
 		return // machines that its peers cannot answer for are on their way here
 	}
-	c.out = append(c.out, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
+	c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
 	c.orders(c.elector.Resign(now, resignFor))
 }
 
@@ -252,7 +252,7 @@
 // Submit takes a submission.
 func (c *Core) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
 	if !c.ready(now) {
-		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
+		c.outbox = append(c.outbox, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
 	}
 	c.term.Users.Submit(now, to, s)
@@ -262,7 +262,7 @@
 // Query answers for a job's state.
 func (c *Core) Query(now time.Duration, to effects.RequestID, id uint64) {
 	if !c.ready(now) {
-		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
+		c.outbox = append(c.outbox, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
 	}
 	c.term.Users.Query(to, id)
@@ -272,7 +272,7 @@
 // Cancel cancels a job.
 func (c *Core) Cancel(now time.Duration, to effects.RequestID, id uint64) {
 	if !c.ready(now) {
-		c.out = append(c.out, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
+		c.outbox = append(c.outbox, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
 	}
 	c.term.Users.Cancel(now, to, id)
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -39,9 +39,9 @@
 		o.leader = leader
 		o.tries++
 		c.open[to] = o
-		c.out = append(c.out, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
+		c.outbox = append(c.outbox, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
 	default:
-		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: c.alone(now, o.report)})
+		c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.alone(now, o.report)})
 	}
 }
 
@@ -127,7 +127,7 @@
 	case a.Status == 421:
 		c.shards.Release(r.Machine)
 	}
-	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: c.finish(now, r, a)})
+	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.finish(now, r, a)})
 	c.after(now)
 }
 
@@ -158,7 +158,7 @@
 	}
 	if c.apartFrom != "" && now-c.probeAt >= heartbeatEvery {
 		c.probeAt = now
-		c.out = append(c.out, effects.ProbePeer{Peer: c.apartFrom})
+		c.outbox = append(c.outbox, effects.ProbePeer{Peer: c.apartFrom})
 	}
 }
 
@@ -189,7 +189,7 @@
 	leader := c.elector.LeaderName()
 	c.sentTo[r.Machine] = now
 	c.shards.Release(r.Machine)
-	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: leader}})
+	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: leader}})
 	return true
 }
 
@@ -235,7 +235,7 @@
 		}
 		c.sentTo[r.Machine] = now
 	}
-	c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
+	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 	return true
 }
 
@@ -244,7 +244,7 @@
 func (c *Core) HandleRelayedHeartbeat(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
 	c.met(now, &in.Report)
 	if c.term == nil {
-		c.out = append(c.out, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
+		c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		return
 	}
 	c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
