--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -26,13 +26,13 @@
 	shards      *scheduler.ShardHolder
 	outbox      []effects.Effect
 
-	counts      cluster.Counts
-	measures    cluster.Metrics
-	config      config.Replica // what this node has of the configuration that may change
-	heartbeatAt time.Duration
-	deafAt      time.Duration                     // when this leader last heard of a peer or most of its machines
-	peerAt      map[string]time.Duration          // when a peer last answered a heartbeat
-	open        map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
+	counts         cluster.Counts
+	measures       cluster.Metrics
+	config         config.Replica // what this node has of the configuration that may change
+	heartbeatAt    time.Duration
+	deafAt         time.Duration                     // when this leader last heard of a peer or most of its machines
+	peerAt         map[string]time.Duration          // when a peer last answered a heartbeat
+	openHeartbeats map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
 
 	// The leader that the last call did not reach, or empty; since when none has,
 	// when it was last probed, and when machines were sent to it themselves.
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), open: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
+	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -104,8 +104,8 @@
 func (c *Core) gather(now time.Duration) {
 	for _, e := range c.term.TakeEffects() {
 		if a, ok := e.(effects.ReplyHeartbeat); ok {
-			if o := c.open[a.To]; o != nil {
-				delete(c.open, a.To)
+			if o := c.openHeartbeats[a.To]; o != nil {
+				delete(c.openHeartbeats, a.To)
 				e = effects.ReplyHeartbeat{To: a.To, Answer: c.finish(now, o.report, a.Answer)}
 			}
 		}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -32,13 +32,13 @@
 	switch {
 	case c.term != nil && c.lonely(now) && c.sendAway(now, to, o.report):
 	case c.term != nil:
-		c.open[to] = o
+		c.openHeartbeats[to] = o
 		c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
 		c.after(now)
 	case leader != "":
 		o.leader = leader
 		o.tries++
-		c.open[to] = o
+		c.openHeartbeats[to] = o
 		c.outbox = append(c.outbox, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
 	default:
 		c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.alone(now, o.report)})
@@ -107,8 +107,8 @@
 
 // RelayAnswered takes the leader's word on a report that was handed to it.
 func (c *Core) RelayAnswered(now time.Duration, to effects.RequestID, a effects.HeartbeatAnswer, ok bool) {
-	o := c.open[to]
-	delete(c.open, to)
+	o := c.openHeartbeats[to]
+	delete(c.openHeartbeats, to)
 	if o == nil {
 		return
 	}
