--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -26,13 +26,13 @@
 	shards      *scheduler.ShardHolder
 	outbox      []effects.Effect
 
-	counts         cluster.Counts
-	measures       cluster.Metrics
-	config         config.Replica // what this node has of the configuration that may change
-	heartbeatAt    time.Duration
-	deafAt         time.Duration                     // when this leader last heard of a peer or most of its machines
-	peerAt         map[string]time.Duration          // when a peer last answered a heartbeat
-	openHeartbeats map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
+	counts          cluster.Counts
+	measures        cluster.Metrics
+	config          config.Replica // what this node has of the configuration that may change
+	lastHeartbeatAt time.Duration
+	deafAt          time.Duration                     // when this leader last heard of a peer or most of its machines
+	peerAt          map[string]time.Duration          // when a peer last answered a heartbeat
+	openHeartbeats  map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
 
 	// The leader that the last call did not reach, or empty; since when none has,
 	// when it was last probed, and when machines were sent to it themselves.
@@ -159,8 +159,8 @@
 // hears few of its machines is cut off itself: it makes room for one that is
 // not, rather than delete machines that it merely cannot hear.
 func (c *Core) heartbeat(now time.Duration) {
-	if now-c.heartbeatAt >= heartbeatEvery {
-		c.heartbeatAt = now
+	if now-c.lastHeartbeatAt >= heartbeatEvery {
+		c.lastHeartbeatAt = now
 		for _, p := range c.settings.Peers {
 			c.outbox = append(c.outbox, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
@@ -196,7 +196,7 @@
 func (c *Core) HeartbeatAnswered(now time.Duration, peer string) {
 	c.peerAt[peer] = now
 	if c.term != nil {
-		c.term.PeerHeard(now, peer, now-c.heartbeatAt)
+		c.term.PeerHeard(now, peer, now-c.lastHeartbeatAt)
 	}
 }
 
