--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -30,7 +30,7 @@
 	measures        cluster.Metrics
 	config          config.Replica // what this node has of the configuration that may change
 	lastHeartbeatAt time.Duration
-	deafAt          time.Duration                     // when this leader last heard of a peer or most of its machines
+	lastContactAt   time.Duration                     // when this leader last heard of a peer or most of its machines
 	peerAt          map[string]time.Duration          // when a peer last answered a heartbeat
 	openHeartbeats  map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
 
@@ -166,10 +166,10 @@
 		}
 	}
 	if len(c.settings.Peers) == 0 || !c.elector.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
-		c.deafAt = now
+		c.lastContactAt = now
 		return
 	}
-	if now-c.deafAt < c.tooFar()+settings.Seconds(1.25*c.settings.Deployment.Workers.ReportS)+peerTimeout {
+	if now-c.lastContactAt < c.tooFar()+settings.Seconds(1.25*c.settings.Deployment.Workers.ReportS)+peerTimeout {
 		return // machines that its peers cannot answer for are on their way here
 	}
 	c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
