--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -31,7 +31,7 @@
 	config          config.Replica // what this node has of the configuration that may change
 	lastHeartbeatAt time.Duration
 	lastContactAt   time.Duration                     // when this leader last heard of a peer or most of its machines
-	peerAt          map[string]time.Duration          // when a peer last answered a heartbeat
+	peerAnsweredAt  map[string]time.Duration          // when a peer last answered a heartbeat
 	openHeartbeats  map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
 
 	// The leader that the last call did not reach, or empty; since when none has,
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openReport{}, peerAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
+	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openReport{}, peerAnsweredAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -178,7 +178,7 @@
 
 // heardOf says whether a peer has answered this leader lately.
 func (c *Core) heardOf(now time.Duration) bool {
-	for _, at := range c.peerAt {
+	for _, at := range c.peerAnsweredAt {
 		if now-at < cutOffAfter {
 			return true
 		}
@@ -194,7 +194,7 @@
 
 // HeartbeatAnswered takes a peer's answer to a heartbeat.
 func (c *Core) HeartbeatAnswered(now time.Duration, peer string) {
-	c.peerAt[peer] = now
+	c.peerAnsweredAt[peer] = now
 	if c.term != nil {
 		c.term.PeerHeard(now, peer, now-c.lastHeartbeatAt)
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -200,7 +200,7 @@
 // its machines to controllers that were not there.
 func (c *Core) lonely(now time.Duration) bool {
 	var last time.Duration
-	for _, at := range c.peerAt {
+	for _, at := range c.peerAnsweredAt {
 		last = max(last, at)
 	}
 	served := c.sureAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
