--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -36,12 +36,12 @@
 
 	// The leader that the last call did not reach, or empty; since when none has,
 	// when it was last probed, and when machines were sent to it themselves.
-	apartFrom string
-	lostAt    time.Duration
-	probeAt   time.Duration
-	backAt    time.Duration // when one of them came back
-	sureAt    time.Duration // when this node was last sure to lead
-	sentTo    map[string]time.Duration
+	unreachedLeader string
+	lostAt          time.Duration
+	probeAt         time.Duration
+	backAt          time.Duration // when one of them came back
+	sureAt          time.Duration // when this node was last sure to lead
+	sentTo          map[string]time.Duration
 }
 
 // NewCore makes the core of a controller whose time 0 is at this time of
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -136,9 +136,9 @@
 	switch {
 	case leader != c.elector.LeaderName():
 	case ok:
-		c.apartFrom = ""
-	case c.apartFrom != leader:
-		c.apartFrom, c.lostAt, c.probeAt = leader, now, now
+		c.unreachedLeader = ""
+	case c.unreachedLeader != leader:
+		c.unreachedLeader, c.lostAt, c.probeAt = leader, now, now
 	}
 }
 
@@ -147,18 +147,18 @@
 // users' requests nor reports.
 func (c *Core) Partitioned(now time.Duration) bool {
 	leader := c.elector.LeaderName()
-	return leader != "" && leader == c.apartFrom && now-c.lostAt >= c.tooFar() && c.elector.Watching()
+	return leader != "" && leader == c.unreachedLeader && now-c.lostAt >= c.tooFar() && c.elector.Watching()
 }
 
 // probe asks now and then whether a leader that was not reached can be: there may
 // be no report or request any more by which that would show.
 func (c *Core) probe(now time.Duration) {
-	if c.apartFrom != c.elector.LeaderName() {
-		c.apartFrom = ""
+	if c.unreachedLeader != c.elector.LeaderName() {
+		c.unreachedLeader = ""
 	}
-	if c.apartFrom != "" && now-c.probeAt >= heartbeatEvery {
+	if c.unreachedLeader != "" && now-c.probeAt >= heartbeatEvery {
 		c.probeAt = now
-		c.outbox = append(c.outbox, effects.ProbePeer{Peer: c.apartFrom})
+		c.outbox = append(c.outbox, effects.ProbePeer{Peer: c.unreachedLeader})
 	}
 }
 
@@ -210,7 +210,7 @@
 // leftOut says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
 func (c *Core) leftOut(now time.Duration) bool {
-	return c.apartFrom != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.lostAt < c.elector.StateServiceAnsweredAt()+together
+	return c.unreachedLeader != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.lostAt < c.elector.StateServiceAnsweredAt()+together
 }
 
 // together: what is lost within this time of one another is lost at once.
