--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -37,7 +37,7 @@
 	// The leader that the last call did not reach, or empty; since when none has,
 	// when it was last probed, and when machines were sent to it themselves.
 	unreachedLeader string
-	lostAt          time.Duration
+	unreachedSince  time.Duration
 	probeAt         time.Duration
 	backAt          time.Duration // when one of them came back
 	sureAt          time.Duration // when this node was last sure to lead
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -138,7 +138,7 @@
 	case ok:
 		c.unreachedLeader = ""
 	case c.unreachedLeader != leader:
-		c.unreachedLeader, c.lostAt, c.probeAt = leader, now, now
+		c.unreachedLeader, c.unreachedSince, c.probeAt = leader, now, now
 	}
 }
 
@@ -147,7 +147,7 @@
 // users' requests nor reports.
 func (c *Core) Partitioned(now time.Duration) bool {
 	leader := c.elector.LeaderName()
-	return leader != "" && leader == c.unreachedLeader && now-c.lostAt >= c.tooFar() && c.elector.Watching()
+	return leader != "" && leader == c.unreachedLeader && now-c.unreachedSince >= c.tooFar() && c.elector.Watching()
 }
 
 // probe asks now and then whether a leader that was not reached can be: there may
@@ -210,7 +210,7 @@
 // leftOut says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
 func (c *Core) leftOut(now time.Duration) bool {
-	return c.unreachedLeader != "" && now-c.lostAt >= c.tooFar()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.lostAt < c.elector.StateServiceAnsweredAt()+together
+	return c.unreachedLeader != "" && now-c.unreachedSince >= c.tooFar()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.unreachedSince < c.elector.StateServiceAnsweredAt()+together
 }
 
 // together: what is lost within this time of one another is lost at once.
