--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -38,7 +38,7 @@
 	// when it was last probed, and when machines were sent to it themselves.
 	unreachedLeader string
 	unreachedSince  time.Duration
-	probeAt         time.Duration
+	lastProbeAt     time.Duration
 	backAt          time.Duration // when one of them came back
 	sureAt          time.Duration // when this node was last sure to lead
 	sentTo          map[string]time.Duration
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -138,7 +138,7 @@
 	case ok:
 		c.unreachedLeader = ""
 	case c.unreachedLeader != leader:
-		c.unreachedLeader, c.unreachedSince, c.probeAt = leader, now, now
+		c.unreachedLeader, c.unreachedSince, c.lastProbeAt = leader, now, now
 	}
 }
 
@@ -156,8 +156,8 @@
 	if c.unreachedLeader != c.elector.LeaderName() {
 		c.unreachedLeader = ""
 	}
-	if c.unreachedLeader != "" && now-c.probeAt >= heartbeatEvery {
-		c.probeAt = now
+	if c.unreachedLeader != "" && now-c.lastProbeAt >= heartbeatEvery {
+		c.lastProbeAt = now
 		c.outbox = append(c.outbox, effects.ProbePeer{Peer: c.unreachedLeader})
 	}
 }
