--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -39,7 +39,7 @@
 	unreachedLeader string
 	unreachedSince  time.Duration
 	lastProbeAt     time.Duration
-	backAt          time.Duration // when one of them came back
+	lastReturnAt    time.Duration // when one of them came back
 	sureAt          time.Duration // when this node was last sure to lead
 	sentTo          map[string]time.Duration
 }
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -178,9 +178,9 @@
 // has not reached the leader either: then all are kept alive as before.
 func (c *Core) send(now time.Duration, to effects.RequestID, r *workers.Report) bool {
 	if _, back := c.sentTo[r.Machine]; back {
-		c.backAt = now
+		c.lastReturnAt = now
 	}
-	if (c.backAt > 0 && now-c.backAt < sendAgain) || !c.Partitioned(now) {
+	if (c.lastReturnAt > 0 && now-c.lastReturnAt < sendAgain) || !c.Partitioned(now) {
 		return false
 	}
 	if _, ours := c.shards.KeepAlive(now, r); !ours {
@@ -228,9 +228,9 @@
 	}
 	if _, ours := c.shards.KeepAlive(now, r); ours {
 		if _, back := c.sentTo[r.Machine]; back {
-			c.backAt = now
+			c.lastReturnAt = now
 		}
-		if c.backAt > 0 && now-c.backAt < sendAgain {
+		if c.lastReturnAt > 0 && now-c.lastReturnAt < sendAgain {
 			return false
 		}
 		c.sentTo[r.Machine] = now
