--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -40,7 +40,7 @@
 	unreachedSince  time.Duration
 	lastProbeAt     time.Duration
 	lastReturnAt    time.Duration // when one of them came back
-	sureAt          time.Duration // when this node was last sure to lead
+	leaseValidAt    time.Duration // when this node was last sure to lead
 	sentTo          map[string]time.Duration
 }
 
@@ -134,7 +134,7 @@
 	}
 	c.probe(now)
 	if c.elector.LeaseValid(now) {
-		c.sureAt = now
+		c.leaseValidAt = now
 	}
 	if c.term != nil {
 		c.term.Tick(now, c.elector.LeaseValid(now))
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -203,8 +203,8 @@
 	for _, at := range c.peerAnsweredAt {
 		last = max(last, at)
 	}
-	served := c.sureAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
-	return last > 0 && now-c.sureAt > c.tooFar() && now-last >= cutOffAfter && last > served-together
+	served := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
+	return last > 0 && now-c.leaseValidAt > c.tooFar() && now-last >= cutOffAfter && last > served-together
 }
 
 // leftOut says the same of a node that does not lead: for longer than a dead leader's hold
