--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -41,7 +41,7 @@
 	lastProbeAt     time.Duration
 	lastReturnAt    time.Duration // when one of them came back
 	leaseValidAt    time.Duration // when this node was last sure to lead
-	sentTo          map[string]time.Duration
+	redirectedAt    map[string]time.Duration
 }
 
 // NewCore makes the core of a controller whose time 0 is at this time of
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
 	}
-	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openReport{}, peerAnsweredAt: map[string]time.Duration{}, sentTo: map[string]time.Duration{}, elector: lead}
+	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openReport{}, peerAnsweredAt: map[string]time.Duration{}, redirectedAt: map[string]time.Duration{}, elector: lead}
 }
 
 // TakeEffects returns the effects since the last call.
@@ -127,9 +127,9 @@
 func (c *Core) Tick(now time.Duration) {
 	c.orders(c.elector.Tick(now))
 	c.shards.Tick(now)
-	for m, at := range c.sentTo {
+	for m, at := range c.redirectedAt {
 		if now-at > sendAgain {
-			delete(c.sentTo, m)
+			delete(c.redirectedAt, m)
 		}
 	}
 	c.probe(now)
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -177,7 +177,7 @@
 // more, gave up leading, and the next one likewise. A machine that comes back
 // has not reached the leader either: then all are kept alive as before.
 func (c *Core) send(now time.Duration, to effects.RequestID, r *workers.Report) bool {
-	if _, back := c.sentTo[r.Machine]; back {
+	if _, back := c.redirectedAt[r.Machine]; back {
 		c.lastReturnAt = now
 	}
 	if (c.lastReturnAt > 0 && now-c.lastReturnAt < sendAgain) || !c.Partitioned(now) {
@@ -187,7 +187,7 @@
 		return false // it goes from node to node by itself, and may have come from there
 	}
 	leader := c.elector.LeaderName()
-	c.sentTo[r.Machine] = now
+	c.redirectedAt[r.Machine] = now
 	c.shards.Release(r.Machine)
 	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 421, Node: leader}})
 	return true
@@ -227,13 +227,13 @@
 		return false
 	}
 	if _, ours := c.shards.KeepAlive(now, r); ours {
-		if _, back := c.sentTo[r.Machine]; back {
+		if _, back := c.redirectedAt[r.Machine]; back {
 			c.lastReturnAt = now
 		}
 		if c.lastReturnAt > 0 && now-c.lastReturnAt < sendAgain {
 			return false
 		}
-		c.sentTo[r.Machine] = now
+		c.redirectedAt[r.Machine] = now
 	}
 	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 	return true
