--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -72,7 +72,7 @@
 	return out
 }
 
-func (c *Core) orders(list []leadership.Request) {
+func (c *Core) emitLeadership(list []leadership.Request) {
 	for _, o := range list {
 		c.outbox = append(c.outbox, effects.LeadershipRequest{Request: o})
 	}
@@ -125,7 +125,7 @@
 
 // Tick is called several times a second.
 func (c *Core) Tick(now time.Duration) {
-	c.orders(c.elector.Tick(now))
+	c.emitLeadership(c.elector.Tick(now))
 	c.shards.Tick(now)
 	for m, at := range c.redirectedAt {
 		if now-at > sendAgain {
@@ -143,7 +143,7 @@
 			// After hundreds of thousands of machines that changed their block, or direct starts
 			// that had to be reaped: the next term has its own.
 			c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Info, Message: "the tokens of this term are used up: leadership given up", Args: []any{"epoch", c.term.Epoch}})
-			c.orders(c.elector.Resign(now, time.Second))
+			c.emitLeadership(c.elector.Resign(now, time.Second))
 		}
 	}
 	c.after(now)
@@ -173,7 +173,7 @@
 		return // machines that its peers cannot answer for are on their way here
 	}
 	c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
-	c.orders(c.elector.Resign(now, resignFor))
+	c.emitLeadership(c.elector.Resign(now, resignFor))
 }
 
 // heardOf says whether a peer has answered this leader lately.
@@ -321,6 +321,6 @@
 // Stop gives up leadership, so that the next leader need not wait for the
 // hold to end. Nothing depends on it.
 func (c *Core) Stop(now time.Duration) {
-	c.orders(c.elector.Resign(now, resignFor))
+	c.emitLeadership(c.elector.Resign(now, resignFor))
 	c.after(now)
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -13,31 +13,31 @@
 
 // KeysRead takes the result of leadership's Read.
 func (c *Core) KeysRead(now time.Duration, seq uint64, ok bool, v leadership.View) {
-	c.orders(c.elector.KeysRead(now, seq, ok, v))
+	c.emitLeadership(c.elector.KeysRead(now, seq, ok, v))
 	c.after(now)
 }
 
 // WatchEnded takes the result of leadership's Watch.
 func (c *Core) WatchEnded(now time.Duration, seq uint64, ok bool) {
-	c.orders(c.elector.WatchEnded(now, seq, ok))
+	c.emitLeadership(c.elector.WatchEnded(now, seq, ok))
 	c.after(now)
 }
 
 // LeaseCreated takes the result of leadership's Hold.
 func (c *Core) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) {
-	c.orders(c.elector.LeaseCreated(now, seq, ok, hold))
+	c.emitLeadership(c.elector.LeaseCreated(now, seq, ok, hold))
 	c.after(now)
 }
 
 // LeadershipClaimed takes the result of leadership's Claim.
 func (c *Core) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) {
-	c.orders(c.elector.LeadershipClaimed(now, seq, ok, mark))
+	c.emitLeadership(c.elector.LeadershipClaimed(now, seq, ok, mark))
 	c.after(now)
 }
 
 // LeaseRenewed takes the result of leadership's Renew.
 func (c *Core) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) {
-	c.orders(c.elector.LeaseRenewed(now, seq, ok, gone))
+	c.emitLeadership(c.elector.LeaseRenewed(now, seq, ok, gone))
 	c.after(now)
 }
 
