--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -78,8 +78,8 @@
 	}
 }
 
-// after follows every input: it starts and ends terms and gathers effects.
-func (c *Core) after(now time.Duration) {
+// advanceTerm follows every input: it starts and ends terms and gathers effects.
+func (c *Core) advanceTerm(now time.Duration) {
 	leading := c.elector.Role() == leadership.Leader
 	if c.term != nil && (!leading || c.term.Epoch != c.elector.Epoch()) {
 		c.term.End()
@@ -146,7 +146,7 @@
 			c.emitLeadership(c.elector.Resign(now, time.Second))
 		}
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 const (
@@ -211,13 +211,13 @@
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.PreviousLeaderReported(now, peer, led, known)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // HeartbeatReceived takes a heartbeat of the leader.
 func (c *Core) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet leadership.FleetKnowledge) {
 	c.elector.HeartbeatReceived(now, node, epoch, fleet)
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // ApplyConfig takes what the leader that has just sent a heartbeat tells of the configuration, and gives the
@@ -256,7 +256,7 @@
 		return
 	}
 	c.term.Users.Submit(now, to, s)
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // Query answers for a job's state.
@@ -266,7 +266,7 @@
 		return
 	}
 	c.term.Users.Query(to, id)
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // Cancel cancels a job.
@@ -276,7 +276,7 @@
 		return
 	}
 	c.term.Users.Cancel(now, to, id)
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // Show gives what operators may see of a duty; known is false on a node that
@@ -300,7 +300,7 @@
 		return nil, false, nil
 	}
 	raw, _, err = c.term.Change(now, duty, by, body)
-	c.after(now)
+	c.advanceTerm(now)
 	return raw, true, err
 }
 
@@ -322,5 +322,5 @@
 // hold to end. Nothing depends on it.
 func (c *Core) Stop(now time.Duration) {
 	c.emitLeadership(c.elector.Resign(now, resignFor))
-	c.after(now)
+	c.advanceTerm(now)
 }
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -34,7 +34,7 @@
 	case c.term != nil:
 		c.openHeartbeats[to] = o
 		c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
-		c.after(now)
+		c.advanceTerm(now)
 	case leader != "":
 		o.leader = leader
 		o.tries++
@@ -50,7 +50,7 @@
 	epoch := r.Token >> cluster.TokenBits
 	if c.term != nil && reconcile.Report(reconcile.Machine{Epoch: c.elector.Epoch(), ReportEpoch: epoch}).Resolution() == reconcile.StepDown {
 		c.elector.Superseded(now, epoch)
-		c.after(now)
+		c.advanceTerm(now)
 	}
 }
 
@@ -128,7 +128,7 @@
 		c.shards.Release(r.Machine)
 	}
 	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.finish(now, r, a)})
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // PeerReached notes whether a call reached the leader of that name, or a probe of it.
@@ -248,5 +248,5 @@
 		return
 	}
 	c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
-	c.after(now)
+	c.advanceTerm(now)
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -14,31 +14,31 @@
 // KeysRead takes the result of leadership's Read.
 func (c *Core) KeysRead(now time.Duration, seq uint64, ok bool, v leadership.View) {
 	c.emitLeadership(c.elector.KeysRead(now, seq, ok, v))
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // WatchEnded takes the result of leadership's Watch.
 func (c *Core) WatchEnded(now time.Duration, seq uint64, ok bool) {
 	c.emitLeadership(c.elector.WatchEnded(now, seq, ok))
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // LeaseCreated takes the result of leadership's Hold.
 func (c *Core) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) {
 	c.emitLeadership(c.elector.LeaseCreated(now, seq, ok, hold))
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // LeadershipClaimed takes the result of leadership's Claim.
 func (c *Core) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) {
 	c.emitLeadership(c.elector.LeadershipClaimed(now, seq, ok, mark))
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // LeaseRenewed takes the result of leadership's Renew.
 func (c *Core) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) {
 	c.emitLeadership(c.elector.LeaseRenewed(now, seq, ok, gone))
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // LogLoaded takes the whole log, read after the term began.
@@ -46,7 +46,7 @@
 	if c.term != nil && c.term.Epoch == epoch && !c.term.Loaded() {
 		c.term.Load(now, c.elector.EpochVersion(), log)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // Committed takes the outcome of a commit of the term.
@@ -56,7 +56,7 @@
 			c.elector.Superseded(now, c.elector.Epoch()+1)
 		}
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // ReadBack takes the value that settles a commit without an answer.
@@ -64,7 +64,7 @@
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.ReadBack(now, c.elector.LeaseValid(now), read, mark, value)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // SegmentsRead takes the log's oldest segments, read back: from the first one on,
@@ -73,7 +73,7 @@
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.SegmentsRead(now, first, end, read, entries)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // ValuesRead takes a page of a duty's own values.
@@ -81,7 +81,7 @@
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.ValuesRead(now, duty, list, more, ok)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // MachinesDeleted takes the result of a deletion.
@@ -89,7 +89,7 @@
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.MachinesDeleted(now, list, ok)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // WorkerProbed takes whether a silent worker that was asked has answered.
@@ -97,7 +97,7 @@
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.WorkerProbed(machine, ok)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // Dispatched takes a worker's report after starts that were sent straight to it; nil: it is
@@ -106,7 +106,7 @@
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.Dispatched(now, c.elector.LeaseValid(now), machine, token, starts, r)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // RentalAnswered takes the result of a rental request.
@@ -114,7 +114,7 @@
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.RentalAnswered(now, name, machines, res)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // MachineTypesListed takes the machine types; an empty list is a failure.
@@ -122,7 +122,7 @@
 	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
 		c.term.MachineTypesListed(now, list)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
 
 // MachinesListed takes the cloud's list of machines.
@@ -130,5 +130,5 @@
 	if c.term != nil && c.term.Epoch == epoch {
 		c.term.MachinesListed(now, list, ok)
 	}
-	c.after(now)
+	c.advanceTerm(now)
 }
