--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -83,7 +83,7 @@
 	leading := c.elector.Role() == leadership.Leader
 	if c.term != nil && (!leading || c.term.Epoch != c.elector.Epoch()) {
 		c.term.End()
-		c.gather(now)
+		c.collectTermEffects(now)
 		c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Info, Message: "term ended", Args: []any{"epoch", c.term.Epoch}})
 		c.term = nil
 	}
@@ -95,13 +95,13 @@
 	}
 	if c.term != nil {
 		c.term.Flush(now)
-		c.gather(now)
+		c.collectTermEffects(now)
 	}
 }
 
-// gather takes the term's effects. Answers to reports of this node's own
+// collectTermEffects takes the term's effects. Answers to reports of this node's own
 // block get what the block takes up.
-func (c *Core) gather(now time.Duration) {
+func (c *Core) collectTermEffects(now time.Duration) {
 	for _, e := range c.term.TakeEffects() {
 		if a, ok := e.(effects.ReplyHeartbeat); ok {
 			if o := c.openHeartbeats[a.To]; o != nil {
