--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -118,8 +118,8 @@
 	return c.term != nil, c.elector.LeaderName()
 }
 
-// ready says whether jobs can be spoken of.
-func (c *Core) ready(now time.Duration) bool {
+// canServe says whether jobs can be spoken of.
+func (c *Core) canServe(now time.Duration) bool {
 	return c.term != nil && c.term.Loaded() && c.elector.LeaseValid(now)
 }
 
@@ -241,7 +241,7 @@
 	leading, leader := c.Leading()
 	h := reconfig.LocalView{Node: c.settings.Node, Leads: leading, Leader: leader, Revision: c.config.Revision(), SinceS: (now - c.config.Since()).Seconds(), AgeS: -1, Sets: c.config.All()}
 	switch heard := c.config.UpdatedAt(); {
-	case c.ready(now):
+	case c.canServe(now):
 		h.AgeS = 0
 	case heard > 0:
 		h.AgeS = (now - heard).Seconds()
@@ -251,7 +251,7 @@
 
 // Submit takes a submission.
 func (c *Core) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
-	if !c.ready(now) {
+	if !c.canServe(now) {
 		c.outbox = append(c.outbox, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
 	}
@@ -261,7 +261,7 @@
 
 // Query answers for a job's state.
 func (c *Core) Query(now time.Duration, to effects.RequestID, id uint64) {
-	if !c.ready(now) {
+	if !c.canServe(now) {
 		c.outbox = append(c.outbox, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
 	}
@@ -271,7 +271,7 @@
 
 // Cancel cancels a job.
 func (c *Core) Cancel(now time.Duration, to effects.RequestID, id uint64) {
-	if !c.ready(now) {
+	if !c.canServe(now) {
 		c.outbox = append(c.outbox, effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 		return
 	}
@@ -296,7 +296,7 @@
 // Change has a duty change something that an operator asked for; known is false on
 // a node that is not sure to lead, and the answer nil where there is no such duty.
 func (c *Core) Change(now time.Duration, duty, by string, body json.RawMessage) (raw json.RawMessage, known bool, err error) {
-	if !c.ready(now) {
+	if !c.canServe(now) {
 		return nil, false, nil
 	}
 	raw, _, err = c.term.Change(now, duty, by, body)
