--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -138,7 +138,7 @@
 	}
 	if c.term != nil {
 		c.term.Tick(now, c.elector.LeaseValid(now))
-		c.heartbeat(now)
+		c.sendHeartbeats(now)
 		if c.term.TokensExhausted() {
 			// After hundreds of thousands of machines that changed their block, or direct starts
 			// that had to be reaped: the next term has its own.
@@ -155,10 +155,10 @@
 	resignFor      = 10 * time.Second // for others to take over
 )
 
-// heartbeat tells the peers who leads. A leader that no peer answers and that
+// sendHeartbeats tells the peers who leads. A leader that no peer answers and that
 // hears few of its machines is cut off itself: it makes room for one that is
 // not, rather than delete machines that it merely cannot hear.
-func (c *Core) heartbeat(now time.Duration) {
+func (c *Core) sendHeartbeats(now time.Duration) {
 	if now-c.lastHeartbeatAt >= heartbeatEvery {
 		c.lastHeartbeatAt = now
 		for _, p := range c.settings.Peers {
