--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -165,7 +165,7 @@
 			c.outbox = append(c.outbox, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
-	if len(c.settings.Peers) == 0 || !c.elector.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.heardOf(now) || !c.term.MostMachinesSilent(now) {
+	if len(c.settings.Peers) == 0 || !c.elector.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.peerAnsweredLately(now) || !c.term.MostMachinesSilent(now) {
 		c.lastContactAt = now
 		return
 	}
@@ -176,8 +176,8 @@
 	c.emitLeadership(c.elector.Resign(now, resignFor))
 }
 
-// heardOf says whether a peer has answered this leader lately.
-func (c *Core) heardOf(now time.Duration) bool {
+// peerAnsweredLately says whether a peer has answered this leader lately.
+func (c *Core) peerAnsweredLately(now time.Duration) bool {
 	for _, at := range c.peerAnsweredAt {
 		if now-at < cutOffAfter {
 			return true
