--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -169,7 +169,7 @@
 		c.lastContactAt = now
 		return
 	}
-	if now-c.lastContactAt < c.tooFar()+settings.Seconds(1.25*c.settings.Deployment.Workers.ReportS)+peerTimeout {
+	if now-c.lastContactAt < c.unreachableLimit()+settings.Seconds(1.25*c.settings.Deployment.Workers.ReportS)+peerTimeout {
 		return // machines that its peers cannot answer for are on their way here
 	}
 	c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
@@ -186,9 +186,9 @@
 	return false
 }
 
-// tooFar is how long a leader that this node does not reach must not have been
+// unreachableLimit is how long a leader that this node does not reach must not have been
 // reached: for longer than the hold of a dead one lasts.
-func (c *Core) tooFar() time.Duration {
+func (c *Core) unreachableLimit() time.Duration {
 	return settings.Seconds(c.settings.Tunables.LeaderHoldS) + heartbeatEvery/2
 }
 
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -88,7 +88,7 @@
 func (c *Core) cutOff(now time.Duration) bool {
 	heard, _ := c.elector.WithoutLeader()
 	silent := now - heard
-	return heard > 0 && silent > c.tooFar()+peerTimeout && silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) && !c.elector.StateServiceAnswers(now)
+	return heard > 0 && silent > c.unreachableLimit()+peerTimeout && silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) && !c.elector.StateServiceAnswers(now)
 }
 
 // finish makes of the leader's word on a report what its worker is told: with
@@ -147,7 +147,7 @@
 // users' requests nor reports.
 func (c *Core) Partitioned(now time.Duration) bool {
 	leader := c.elector.LeaderName()
-	return leader != "" && leader == c.unreachedLeader && now-c.unreachedSince >= c.tooFar() && c.elector.Watching()
+	return leader != "" && leader == c.unreachedLeader && now-c.unreachedSince >= c.unreachableLimit() && c.elector.Watching()
 }
 
 // probe asks now and then whether a leader that was not reached can be: there may
@@ -204,13 +204,13 @@
 		last = max(last, at)
 	}
 	served := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
-	return last > 0 && now-c.leaseValidAt > c.tooFar() && now-last >= cutOffAfter && last > served-together
+	return last > 0 && now-c.leaseValidAt > c.unreachableLimit() && now-last >= cutOffAfter && last > served-together
 }
 
 // leftOut says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
 func (c *Core) leftOut(now time.Duration) bool {
-	return c.unreachedLeader != "" && now-c.unreachedSince >= c.tooFar()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.unreachedSince < c.elector.StateServiceAnsweredAt()+together
+	return c.unreachedLeader != "" && now-c.unreachedSince >= c.unreachableLimit()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.unreachedSince < c.elector.StateServiceAnsweredAt()+together
 }
 
 // together: what is lost within this time of one another is lost at once.
