--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -15,7 +15,7 @@
 func (c *Core) HandleHeartbeat(now time.Duration, to effects.RequestID, r *workers.Report) {
 	c.counts.Reports++
 	c.met(now, r)
-	c.take(now, to, &openReport{report: r})
+	c.answerOrRelay(now, to, &openReport{report: r})
 }
 
 // openReport is a report of this node's worker that has no answer yet.
@@ -25,8 +25,8 @@
 	tries  int
 }
 
-// take has a report answered by this node's term, or hands it to the leader.
-func (c *Core) take(now time.Duration, to effects.RequestID, o *openReport) {
+// answerOrRelay has a report answered by this node's term, or hands it to the leader.
+func (c *Core) answerOrRelay(now time.Duration, to effects.RequestID, o *openReport) {
 	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *o.report}
 	leader := c.elector.LeaderName()
 	switch {
@@ -115,7 +115,7 @@
 	r := o.report
 	c.PeerReached(now, o.leader, ok)
 	if leader := c.elector.LeaderName(); !ok && o.tries < handOns && leader != "" && leader != o.leader {
-		c.take(now, to, o) // somebody else leads by now, this node perhaps
+		c.answerOrRelay(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
 	if !ok && (c.send(now, to, r) || (c.leftOut(now) && c.sendAway(now, to, r))) {
