--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -14,7 +14,7 @@
 // other node hands the report to the leader and answers as that says.
 func (c *Core) HandleHeartbeat(now time.Duration, to effects.RequestID, r *workers.Report) {
 	c.counts.Reports++
-	c.met(now, r)
+	c.checkWorkerEpoch(now, r)
 	c.answerOrRelay(now, to, &openReport{report: r})
 }
 
@@ -45,8 +45,8 @@
 	}
 }
 
-// met ends the term when a worker has seen a token of a later one.
-func (c *Core) met(now time.Duration, r *workers.Report) {
+// checkWorkerEpoch ends the term when a worker has seen a token of a later one.
+func (c *Core) checkWorkerEpoch(now time.Duration, r *workers.Report) {
 	epoch := r.Token >> cluster.TokenBits
 	if c.term != nil && reconcile.Report(reconcile.Machine{Epoch: c.elector.Epoch(), ReportEpoch: epoch}).Resolution() == reconcile.StepDown {
 		c.elector.Superseded(now, epoch)
@@ -242,7 +242,7 @@
 // HandleRelayedHeartbeat serves a report that another controller handed on. It goes no
 // further.
 func (c *Core) HandleRelayedHeartbeat(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
-	c.met(now, &in.Report)
+	c.checkWorkerEpoch(now, &in.Report)
 	if c.term == nil {
 		c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 503}})
 		return
