--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// pick has the node's block take up what it is offered for the machine.
-func (c *Core) pick(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) []workers.Command {
+// startOffers has the node's block take up what it is offered for the machine.
+func (c *Core) startOffers(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) []workers.Command {
 	c.shards.Renew(r.Machine, a.Token, now+settings.Seconds(a.LeaseS))
 	picked := c.shards.Pick(now, a.Offers, a.Room)
 	if c.term != nil {
@@ -96,7 +96,7 @@
 func (c *Core) finish(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
 	switch a.Status {
 	case 200:
-		a.Commands = append(a.Commands, c.pick(now, r, a)...)
+		a.Commands = append(a.Commands, c.startOffers(now, r, a)...)
 	case 421:
 		c.shards.Release(r.Machine)
 	case 503:
