--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -41,7 +41,7 @@
 		c.openHeartbeats[to] = o
 		c.outbox = append(c.outbox, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
 	default:
-		c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.alone(now, o.report)})
+		c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.keepAliveAnswer(now, o.report)})
 	}
 }
 
@@ -68,9 +68,9 @@
 	return starts
 }
 
-// alone answers a worker while the leader cannot be asked: with the last
+// keepAliveAnswer answers a worker while the leader cannot be asked: with the last
 // token, so that tasks outlive the leader and outages, and with no command.
-func (c *Core) alone(now time.Duration, r *workers.Report) effects.HeartbeatAnswer {
+func (c *Core) keepAliveAnswer(now time.Duration, r *workers.Report) effects.HeartbeatAnswer {
 	if token, ok := c.shards.KeepAlive(now, r); ok {
 		return effects.HeartbeatAnswer{Status: 200, Token: token}
 	}
@@ -100,7 +100,7 @@
 	case 421:
 		c.shards.Release(r.Machine)
 	case 503:
-		a = c.alone(now, r)
+		a = c.keepAliveAnswer(now, r)
 	}
 	return a
 }
