--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -74,18 +74,18 @@
 	if token, ok := c.shards.KeepAlive(now, r); ok {
 		return effects.HeartbeatAnswer{Status: 200, Token: token}
 	}
-	if r.Token > 0 && c.cutOff(now) {
+	if r.Token > 0 && c.zoneCutOff(now) {
 		return effects.HeartbeatAnswer{Status: 200, Token: r.Token}
 	}
 	return effects.HeartbeatAnswer{Status: 503}
 }
 
-// cutOff says whether this node seems to be cut off with its zone: no leader has sent it a heartbeat
+// zoneCutOff says whether this node seems to be cut off with its zone: no leader has sent it a heartbeat
 // for longer than a dead one's hold lasts, nor does the state service answer. Then it
 // keeps alive whoever comes to it, for as long as the leader waits for a zone: with the
 // highest token that the worker has seen, and with nothing to do. Such a worker has tried
 // the others before, and would be the same at another node that is cut off too.
-func (c *Core) cutOff(now time.Duration) bool {
+func (c *Core) zoneCutOff(now time.Duration) bool {
 	heard, _ := c.elector.WithoutLeader()
 	silent := now - heard
 	return heard > 0 && silent > c.unreachableLimit()+peerTimeout && silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) && !c.elector.StateServiceAnswers(now)
@@ -223,7 +223,7 @@
 // service and its peers but not its workers: new machines came to it first, were kept alive
 // there, and the next leader never heard them.
 func (c *Core) sendAway(now time.Duration, to effects.RequestID, r *workers.Report) bool {
-	if c.cutOff(now) {
+	if c.zoneCutOff(now) {
 		return false
 	}
 	if _, ours := c.shards.KeepAlive(now, r); ours {
