--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -106,7 +106,7 @@
 		if a, ok := e.(effects.ReplyHeartbeat); ok {
 			if o := c.openHeartbeats[a.To]; o != nil {
 				delete(c.openHeartbeats, a.To)
-				e = effects.ReplyHeartbeat{To: a.To, Answer: c.finish(now, o.report, a.Answer)}
+				e = effects.ReplyHeartbeat{To: a.To, Answer: c.completeAnswer(now, o.report, a.Answer)}
 			}
 		}
 		c.outbox = append(c.outbox, e)
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -91,9 +91,9 @@
 	return heard > 0 && silent > c.unreachableLimit()+peerTimeout && silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) && !c.elector.StateServiceAnswers(now)
 }
 
-// finish makes of the leader's word on a report what its worker is told: with
+// completeAnswer makes of the leader's word on a report what its worker is told: with
 // what the block takes up, or without the leader.
-func (c *Core) finish(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
+func (c *Core) completeAnswer(now time.Duration, r *workers.Report, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
 	switch a.Status {
 	case 200:
 		a.Commands = append(a.Commands, c.startOffers(now, r, a)...)
@@ -127,7 +127,7 @@
 	case a.Status == 421:
 		c.shards.Release(r.Machine)
 	}
-	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.finish(now, r, a)})
+	c.outbox = append(c.outbox, effects.ReplyHeartbeat{To: to, Answer: c.completeAnswer(now, r, a)})
 	c.advanceTerm(now)
 }
 
