--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -132,7 +132,7 @@
 			delete(c.redirectedAt, m)
 		}
 	}
-	c.probe(now)
+	c.probeUnreachedLeader(now)
 	if c.elector.LeaseValid(now) {
 		c.leaseValidAt = now
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -150,9 +150,9 @@
 	return leader != "" && leader == c.unreachedLeader && now-c.unreachedSince >= c.unreachableLimit() && c.elector.Watching()
 }
 
-// probe asks now and then whether a leader that was not reached can be: there may
+// probeUnreachedLeader asks now and then whether a leader that was not reached can be: there may
 // be no report or request any more by which that would show.
-func (c *Core) probe(now time.Duration) {
+func (c *Core) probeUnreachedLeader(now time.Duration) {
 	if c.unreachedLeader != c.elector.LeaderName() {
 		c.unreachedLeader = ""
 	}
