--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -118,7 +118,7 @@
 		c.answerOrRelay(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
-	if !ok && (c.send(now, to, r) || (c.leftOut(now) && c.sendAway(now, to, r))) {
+	if !ok && (c.redirectToLeader(now, to, r) || (c.leftOut(now) && c.sendAway(now, to, r))) {
 		return
 	}
 	switch {
@@ -170,13 +170,13 @@
 // not reach, once one that was sent has come back within that time.
 const sendAgain = 15 * time.Second
 
-// send sends a machine to the leader itself when this node has not reached that
+// redirectToLeader sends a machine to the leader itself when this node has not reached that
 // for longer than the hold of a dead one lasts, while the state service still
 // shows it to lead. Found on days when controllers refused one another: each
 // kept its workers alive for a block's lease, the leader heard most of them no
 // more, gave up leading, and the next one likewise. A machine that comes back
 // has not reached the leader either: then all are kept alive as before.
-func (c *Core) send(now time.Duration, to effects.RequestID, r *workers.Report) bool {
+func (c *Core) redirectToLeader(now time.Duration, to effects.RequestID, r *workers.Report) bool {
 	if _, back := c.redirectedAt[r.Machine]; back {
 		c.lastReturnAt = now
 	}
