--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -30,7 +30,7 @@
 	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *o.report}
 	leader := c.elector.LeaderName()
 	switch {
-	case c.term != nil && c.lonely(now) && c.sendAway(now, to, o.report):
+	case c.term != nil && c.isolatedLeader(now) && c.sendAway(now, to, o.report):
 	case c.term != nil:
 		c.openHeartbeats[to] = o
 		c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
@@ -193,12 +193,12 @@
 	return true
 }
 
-// lonely says whether this leader has lost the state service and all other controllers,
+// isolatedLeader says whether this leader has lost the state service and all other controllers,
 // and both at once: then the fault is most likely on its side, and somebody else leads by
 // now or will. Others that were gone before are not cut off from it: found on a day on which
 // the state service went out while they were not back yet from a crash; their leader sent
 // its machines to controllers that were not there.
-func (c *Core) lonely(now time.Duration) bool {
+func (c *Core) isolatedLeader(now time.Duration) bool {
 	var last time.Duration
 	for _, at := range c.peerAnsweredAt {
 		last = max(last, at)
