--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -118,7 +118,7 @@
 		c.answerOrRelay(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
-	if !ok && (c.redirectToLeader(now, to, r) || (c.leftOut(now) && c.sendAway(now, to, r))) {
+	if !ok && (c.redirectToLeader(now, to, r) || (c.isolatedFollower(now) && c.sendAway(now, to, r))) {
 		return
 	}
 	switch {
@@ -207,9 +207,9 @@
 	return last > 0 && now-c.leaseValidAt > c.unreachableLimit() && now-last >= cutOffAfter && last > served-together
 }
 
-// leftOut says the same of a node that does not lead: for longer than a dead leader's hold
+// isolatedFollower says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
-func (c *Core) leftOut(now time.Duration) bool {
+func (c *Core) isolatedFollower(now time.Duration) bool {
 	return c.unreachedLeader != "" && now-c.unreachedSince >= c.unreachableLimit()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.unreachedSince < c.elector.StateServiceAnsweredAt()+together
 }
 
