--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -30,7 +30,7 @@
 	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *o.report}
 	leader := c.elector.LeaderName()
 	switch {
-	case c.term != nil && c.isolatedLeader(now) && c.sendAway(now, to, o.report):
+	case c.term != nil && c.isolatedLeader(now) && c.turnAway(now, to, o.report):
 	case c.term != nil:
 		c.openHeartbeats[to] = o
 		c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
@@ -118,7 +118,7 @@
 		c.answerOrRelay(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
-	if !ok && (c.redirectToLeader(now, to, r) || (c.isolatedFollower(now) && c.sendAway(now, to, r))) {
+	if !ok && (c.redirectToLeader(now, to, r) || (c.isolatedFollower(now) && c.turnAway(now, to, r))) {
 		return
 	}
 	switch {
@@ -216,13 +216,13 @@
 // together: what is lost within this time of one another is lost at once.
 const together = 4 * time.Second
 
-// sendAway has a machine try the other controllers, once: the leader gives it up when it
+// turnAway has a machine try the other controllers, once: the leader gives it up when it
 // does not come there in time. Those that come back have found nobody else, as in a zone
 // that is cut off as a whole: then all are kept alive as before. One that was never in this
 // node's block is always sent away. Found in a scenario in which the leader lost the state
 // service and its peers but not its workers: new machines came to it first, were kept alive
 // there, and the next leader never heard them.
-func (c *Core) sendAway(now time.Duration, to effects.RequestID, r *workers.Report) bool {
+func (c *Core) turnAway(now time.Duration, to effects.RequestID, r *workers.Report) bool {
 	if c.zoneCutOff(now) {
 		return false
 	}
