--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -204,17 +204,17 @@
 		last = max(last, at)
 	}
 	served := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
-	return last > 0 && now-c.leaseValidAt > c.unreachableLimit() && now-last >= cutOffAfter && last > served-together
+	return last > 0 && now-c.leaseValidAt > c.unreachableLimit() && now-last >= cutOffAfter && last > served-simultaneousWindow
 }
 
 // isolatedFollower says the same of a node that does not lead: for longer than a dead leader's hold
 // lasts and a call takes it has reached neither the leader nor the state service.
 func (c *Core) isolatedFollower(now time.Duration) bool {
-	return c.unreachedLeader != "" && now-c.unreachedSince >= c.unreachableLimit()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.unreachedSince < c.elector.StateServiceAnsweredAt()+together
+	return c.unreachedLeader != "" && now-c.unreachedSince >= c.unreachableLimit()+peerTimeout && !c.elector.StateServiceAnswers(now) && c.unreachedSince < c.elector.StateServiceAnsweredAt()+simultaneousWindow
 }
 
 // together: what is lost within this time of one another is lost at once.
-const together = 4 * time.Second
+const simultaneousWindow = 4 * time.Second
 
 // turnAway has a machine try the other controllers, once: the leader gives it up when it
 // does not come there in time. Those that come back have found nobody else, as in a zone
