--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -114,7 +114,7 @@
 	}
 	r := o.report
 	c.PeerReached(now, o.leader, ok)
-	if leader := c.elector.LeaderName(); !ok && o.tries < handOns && leader != "" && leader != o.leader {
+	if leader := c.elector.LeaderName(); !ok && o.tries < maxRelays && leader != "" && leader != o.leader {
 		c.answerOrRelay(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
@@ -164,7 +164,7 @@
 
 // handOns is how often one report is handed on: within twice a peer's deadline its
 // worker still waits for the answer.
-const handOns = 2
+const maxRelays = 2
 
 // sendAgain is for how long machines are not sent to a leader that this node does
 // not reach, once one that was sent has come back within that time.
