--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -128,7 +128,7 @@
 	c.emitLeadership(c.elector.Tick(now))
 	c.shards.Tick(now)
 	for m, at := range c.redirectedAt {
-		if now-at > sendAgain {
+		if now-at > redirectInterval {
 			delete(c.redirectedAt, m)
 		}
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -168,7 +168,7 @@
 
 // sendAgain is for how long machines are not sent to a leader that this node does
 // not reach, once one that was sent has come back within that time.
-const sendAgain = 15 * time.Second
+const redirectInterval = 15 * time.Second
 
 // redirectToLeader sends a machine to the leader itself when this node has not reached that
 // for longer than the hold of a dead one lasts, while the state service still
@@ -180,7 +180,7 @@
 	if _, back := c.redirectedAt[r.Machine]; back {
 		c.lastReturnAt = now
 	}
-	if (c.lastReturnAt > 0 && now-c.lastReturnAt < sendAgain) || !c.Partitioned(now) {
+	if (c.lastReturnAt > 0 && now-c.lastReturnAt < redirectInterval) || !c.Partitioned(now) {
 		return false
 	}
 	if _, ours := c.shards.KeepAlive(now, r); !ours {
@@ -230,7 +230,7 @@
 		if _, back := c.redirectedAt[r.Machine]; back {
 			c.lastReturnAt = now
 		}
-		if c.lastReturnAt > 0 && now-c.lastReturnAt < sendAgain {
+		if c.lastReturnAt > 0 && now-c.lastReturnAt < redirectInterval {
 			return false
 		}
 		c.redirectedAt[r.Machine] = now
