--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -152,7 +152,7 @@
 const (
 	heartbeatEvery = time.Second
 	cutOffAfter    = 4 * time.Second  // without a peer's answer
-	resignFor      = 10 * time.Second // for others to take over
+	resignDuration = 10 * time.Second // for others to take over
 )
 
 // sendHeartbeats tells the peers who leads. A leader that no peer answers and that
@@ -173,7 +173,7 @@
 		return // machines that its peers cannot answer for are on their way here
 	}
 	c.outbox = append(c.outbox, effects.LogMessage{Level: effects.Warn, Message: "cut off from peers and machines: leadership given up", Args: nil})
-	c.emitLeadership(c.elector.Resign(now, resignFor))
+	c.emitLeadership(c.elector.Resign(now, resignDuration))
 }
 
 // peerAnsweredLately says whether a peer has answered this leader lately.
@@ -321,6 +321,6 @@
 // Stop gives up leadership, so that the next leader need not wait for the
 // hold to end. Nothing depends on it.
 func (c *Core) Stop(now time.Duration) {
-	c.emitLeadership(c.elector.Resign(now, resignFor))
+	c.emitLeadership(c.elector.Resign(now, resignDuration))
 	c.advanceTerm(now)
 }
