--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -150,9 +150,9 @@
 }
 
 const (
-	heartbeatEvery = time.Second
-	cutOffAfter    = 4 * time.Second  // without a peer's answer
-	resignDuration = 10 * time.Second // for others to take over
+	heartbeatEvery   = time.Second
+	peerSilenceLimit = 4 * time.Second  // without a peer's answer
+	resignDuration   = 10 * time.Second // for others to take over
 )
 
 // sendHeartbeats tells the peers who leads. A leader that no peer answers and that
@@ -165,7 +165,7 @@
 			c.outbox = append(c.outbox, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
 		}
 	}
-	if len(c.settings.Peers) == 0 || !c.elector.LeaseValid(now) || now-c.term.TermBegan < cutOffAfter || c.peerAnsweredLately(now) || !c.term.MostMachinesSilent(now) {
+	if len(c.settings.Peers) == 0 || !c.elector.LeaseValid(now) || now-c.term.TermBegan < peerSilenceLimit || c.peerAnsweredLately(now) || !c.term.MostMachinesSilent(now) {
 		c.lastContactAt = now
 		return
 	}
@@ -179,7 +179,7 @@
 // peerAnsweredLately says whether a peer has answered this leader lately.
 func (c *Core) peerAnsweredLately(now time.Duration) bool {
 	for _, at := range c.peerAnsweredAt {
-		if now-at < cutOffAfter {
+		if now-at < peerSilenceLimit {
 			return true
 		}
 	}
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -204,7 +204,7 @@
 		last = max(last, at)
 	}
 	served := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
-	return last > 0 && now-c.leaseValidAt > c.unreachableLimit() && now-last >= cutOffAfter && last > served-simultaneousWindow
+	return last > 0 && now-c.leaseValidAt > c.unreachableLimit() && now-last >= peerSilenceLimit && last > served-simultaneousWindow
 }
 
 // isolatedFollower says the same of a node that does not lead: for longer than a dead leader's hold
