--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -51,7 +51,7 @@
 	lead := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderHoldS))
 	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
 		// To tell a leader that merely does not reach this node from one that is gone.
-		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatEvery/2
+		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatInterval/2
 	}
 	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openReport{}, peerAnsweredAt: map[string]time.Duration{}, redirectedAt: map[string]time.Duration{}, elector: lead}
 }
@@ -150,16 +150,16 @@
 }
 
 const (
-	heartbeatEvery   = time.Second
-	peerSilenceLimit = 4 * time.Second  // without a peer's answer
-	resignDuration   = 10 * time.Second // for others to take over
+	heartbeatInterval = time.Second
+	peerSilenceLimit  = 4 * time.Second  // without a peer's answer
+	resignDuration    = 10 * time.Second // for others to take over
 )
 
 // sendHeartbeats tells the peers who leads. A leader that no peer answers and that
 // hears few of its machines is cut off itself: it makes room for one that is
 // not, rather than delete machines that it merely cannot hear.
 func (c *Core) sendHeartbeats(now time.Duration) {
-	if now-c.lastHeartbeatAt >= heartbeatEvery {
+	if now-c.lastHeartbeatAt >= heartbeatInterval {
 		c.lastHeartbeatAt = now
 		for _, p := range c.settings.Peers {
 			c.outbox = append(c.outbox, effects.Heartbeat{Peer: p.Node, Epoch: c.term.Epoch, Fleet: c.term.FleetKnowledge(), Config: c.term.ConfigFor(p.Node)})
@@ -189,7 +189,7 @@
 // unreachableLimit is how long a leader that this node does not reach must not have been
 // reached: for longer than the hold of a dead one lasts.
 func (c *Core) unreachableLimit() time.Duration {
-	return settings.Seconds(c.settings.Tunables.LeaderHoldS) + heartbeatEvery/2
+	return settings.Seconds(c.settings.Tunables.LeaderHoldS) + heartbeatInterval/2
 }
 
 // HeartbeatAnswered takes a peer's answer to a heartbeat.
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -156,7 +156,7 @@
 	if c.unreachedLeader != c.elector.LeaderName() {
 		c.unreachedLeader = ""
 	}
-	if c.unreachedLeader != "" && now-c.lastProbeAt >= heartbeatEvery {
+	if c.unreachedLeader != "" && now-c.lastProbeAt >= heartbeatInterval {
 		c.lastProbeAt = now
 		c.outbox = append(c.outbox, effects.ProbePeer{Peer: c.unreachedLeader})
 	}
