--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -30,9 +30,9 @@
 	measures        cluster.Metrics
 	config          config.Replica // what this node has of the configuration that may change
 	lastHeartbeatAt time.Duration
-	lastContactAt   time.Duration                     // when this leader last heard of a peer or most of its machines
-	peerAnsweredAt  map[string]time.Duration          // when a peer last answered a heartbeat
-	openHeartbeats  map[effects.RequestID]*openReport // reports of this node's workers without an answer yet
+	lastContactAt   time.Duration                        // when this leader last heard of a peer or most of its machines
+	peerAnsweredAt  map[string]time.Duration             // when a peer last answered a heartbeat
+	openHeartbeats  map[effects.RequestID]*openHeartbeat // reports of this node's workers without an answer yet
 
 	// The leader that the last call did not reach, or empty; since when none has,
 	// when it was last probed, and when machines were sent to it themselves.
@@ -53,7 +53,7 @@
 		// To tell a leader that merely does not reach this node from one that is gone.
 		lead.SilenceLimit = settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatInterval/2
 	}
-	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openReport{}, peerAnsweredAt: map[string]time.Duration{}, redirectedAt: map[string]time.Duration{}, elector: lead}
+	return &Core{settings: cfg, clockZeroMS: zero, shards: scheduler.NewShardHolder(), openHeartbeats: map[effects.RequestID]*openHeartbeat{}, peerAnsweredAt: map[string]time.Duration{}, redirectedAt: map[string]time.Duration{}, elector: lead}
 }
 
 // TakeEffects returns the effects since the last call.
--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -15,18 +15,18 @@
 func (c *Core) HandleHeartbeat(now time.Duration, to effects.RequestID, r *workers.Report) {
 	c.counts.Reports++
 	c.checkWorkerEpoch(now, r)
-	c.answerOrRelay(now, to, &openReport{report: r})
+	c.answerOrRelay(now, to, &openHeartbeat{report: r})
 }
 
-// openReport is a report of this node's worker that has no answer yet.
-type openReport struct {
+// openHeartbeat is a report of this node's worker that has no answer yet.
+type openHeartbeat struct {
 	report *workers.Report
 	leader string // to which it was handed; empty: to none
 	tries  int
 }
 
 // answerOrRelay has a report answered by this node's term, or hands it to the leader.
-func (c *Core) answerOrRelay(now time.Duration, to effects.RequestID, o *openReport) {
+func (c *Core) answerOrRelay(now time.Duration, to effects.RequestID, o *openHeartbeat) {
 	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *o.report}
 	leader := c.elector.LeaderName()
 	switch {
