--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,7 +27,7 @@
 )
 
 const (
-	tickEvery    = 50 * time.Millisecond
+	tickInterval = 50 * time.Millisecond
 	stateTimeout = 1200 * time.Millisecond
 	watchFor     = 10 * time.Second
 	cloudTimeout = 5 * time.Second
@@ -140,7 +140,7 @@
 
 // loop is the only goroutine that touches the core.
 func (n *Node) loop(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
