--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	tickInterval = 50 * time.Millisecond
-	stateTimeout = 1200 * time.Millisecond
-	watchFor     = 10 * time.Second
-	cloudTimeout = 5 * time.Second
-	queueLength  = 512
-	directAtOnce = 8
+	tickInterval  = 50 * time.Millisecond
+	stateTimeout  = 1200 * time.Millisecond
+	watchDuration = 10 * time.Second
+	cloudTimeout  = 5 * time.Second
+	queueLength   = 512
+	directAtOnce  = 8
 
 	launchTimeout = time.Second
 )
@@ -347,7 +347,7 @@
 func (n *Node) executeLeadership(o leadership.Request) {
 	limit := stateTimeout
 	if o.Action == leadership.WatchKeys {
-		limit = watchFor + 2*time.Second
+		limit = watchDuration + 2*time.Second
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -357,7 +357,7 @@
 		backOff(err == nil)
 		n.enqueue(func(now time.Duration) { n.core.KeysRead(now, o.Sequence, err == nil, v) })
 	case leadership.WatchKeys:
-		ok := n.state.Watch(ctx, leadership.Prefix, o.Revision, watchFor)
+		ok := n.state.Watch(ctx, leadership.Prefix, o.Revision, watchDuration)
 		n.enqueue(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
 	case leadership.CreateLease:
 		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.settings.Tunables.LeaderHoldS))
