--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,12 +27,12 @@
 )
 
 const (
-	tickInterval   = 50 * time.Millisecond
-	stateTimeout   = 1200 * time.Millisecond
-	watchDuration  = 10 * time.Second
-	cloudTimeout   = 5 * time.Second
-	queueLength    = 512
-	maxDirectCalls = 8
+	tickInterval     = 50 * time.Millisecond
+	stateTimeout     = 1200 * time.Millisecond
+	watchDuration    = 10 * time.Second
+	cloudTimeout     = 5 * time.Second
+	inputQueueLength = 512
+	maxDirectCalls   = 8
 
 	launchTimeout = time.Second
 )
@@ -74,7 +74,7 @@
 func New(cfg *settings.Settings, log *slog.Logger) *Node {
 	start := time.Now()
 	n := &Node{
-		settings: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), queueLength), start: start,
+		settings: cfg, log: log, core: NewCore(cfg, start.UnixMilli()), inputs: make(chan func(time.Duration), inputQueueLength), start: start,
 		state: wire.NewStateClient(cfg.External.State), cloud: wire.NewCloudClient(cfg.External.Cloud), workers: wire.NewWorkerClient(), directCalls: make(chan struct{}, maxDirectCalls), peers: map[string]*peer{},
 		pendingUsers: map[effects.RequestID]chan effects.Answer{}, pendingHeartbeats: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
