--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -435,7 +435,7 @@
 	defer timer.Stop()
 	select {
 	case a := <-ch:
-		if late(began, limit) {
+		if exceeded(began, limit) {
 			return effects.Unavailable("the answer came too late")
 		}
 		return a
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -21,10 +21,10 @@
 
 const peerTimeout = 1200 * time.Millisecond
 
-// late says whether a call has taken longer than it may. A process that stood still finds
+// exceeded says whether a call has taken longer than it may. A process that stood still finds
 // its answer and its deadline side by side when it goes on: the answer may be as old as that
 // lasted, and its user may have been told something newer elsewhere.
-func late(began time.Time, limit time.Duration) bool { return time.Since(began) > limit }
+func exceeded(began time.Time, limit time.Duration) bool { return time.Since(began) > limit }
 
 // call makes one call with a deadline, which net/rpc itself does not have. A
 // connection that missed one is closed.
@@ -51,7 +51,7 @@
 	var err error
 	select {
 	case <-call.Done:
-		if err = call.Error; err == nil && late(began, peerTimeout) {
+		if err = call.Error; err == nil && exceeded(began, peerTimeout) {
 			err = fmt.Errorf("node: %s: the answer came too late", p.addr)
 		}
 	case <-deadline.C:
