--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -207,7 +207,7 @@
 	case effects.ProbePeer:
 		if p := n.peers[e.Peer]; p != nil {
 			go func() {
-				ok := p.reaches()
+				ok := p.reachable()
 				n.enqueue(func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
 			}()
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -64,9 +64,9 @@
 	return err
 }
 
-// reaches says whether a peer answers. Whether it knows the question does not
+// reachable says whether a peer answers. Whether it knows the question does not
 // matter: an error of its own is an answer too.
-func (p *peer) reaches() bool {
+func (p *peer) reachable() bool {
 	err := p.call("Controller.Here", struct{}{}, new(bool))
 	var remote rpc.ServerError
 	return err == nil || errors.As(err, &remote)
