--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -79,7 +79,7 @@
 		pendingUsers: map[effects.RequestID]chan effects.Answer{}, pendingHeartbeats: map[effects.RequestID]chan effects.HeartbeatAnswer{},
 	}
 	for _, p := range cfg.Peers {
-		n.peers[p.Node] = &peer{addr: p.Endpoint}
+		n.peers[p.Node] = &peer{address: p.Endpoint}
 	}
 	if url := cfg.Tunables.WebhookURL; url != "" {
 		n.notifier = webhook.New(url, cfg.WebhookKey, log)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -15,8 +15,8 @@
 
 // peer is another controller, called over net/rpc.
 type peer struct {
-	addr   string
-	client atomic.Pointer[rpc.Client]
+	address string
+	client  atomic.Pointer[rpc.Client]
 }
 
 const peerTimeout = 1200 * time.Millisecond
@@ -34,7 +34,7 @@
 	defer deadline.Stop()
 	c := p.client.Load()
 	if c == nil {
-		fresh, err := dial(p.addr)
+		fresh, err := dial(p.address)
 		if err != nil {
 			return err
 		}
@@ -52,10 +52,10 @@
 	select {
 	case <-call.Done:
 		if err = call.Error; err == nil && exceeded(began, peerTimeout) {
-			err = fmt.Errorf("node: %s: the answer came too late", p.addr)
+			err = fmt.Errorf("node: %s: the answer came too late", p.address)
 		}
 	case <-deadline.C:
-		err = fmt.Errorf("node: %s: no answer in %v", p.addr, peerTimeout)
+		err = fmt.Errorf("node: %s: no answer in %v", p.address, peerTimeout)
 	}
 	var remote rpc.ServerError
 	if err != nil && !errors.As(err, &remote) && p.client.CompareAndSwap(c, nil) {
