--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -210,8 +210,8 @@
 	return nil
 }
 
-// dial opens a connection to a peer for calls, with a deadline.
-func dial(addr string) (*rpc.Client, error) {
+// dialPeer opens a connection to a peer for calls, with a deadline.
+func dialPeer(addr string) (*rpc.Client, error) {
 	conn, err := net.DialTimeout("tcp4", addr, 500*time.Millisecond)
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -34,7 +34,7 @@
 	defer deadline.Stop()
 	c := p.client.Load()
 	if c == nil {
-		fresh, err := dial(p.address)
+		fresh, err := dialPeer(p.address)
 		if err != nil {
 			return err
 		}
