--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -75,7 +75,7 @@
 	})
 	r.Post(PathDuties+"*", func(w http.ResponseWriter, r *http.Request) {
 		duty := chi.URLParam(r, "*")
-		if slices.Contains(certified, duty) {
+		if slices.Contains(certificateOnly, duty) {
 			writeBody(w, http.StatusForbidden, wire.ErrorBody(duty+": is changed at the operators' listener, with a certificate"))
 			return
 		}
@@ -91,7 +91,7 @@
 }
 
 // certified are the duties that are changed at the operators' listener alone.
-var certified = []string{pools.Name, reconfig.Name}
+var certificateOnly = []string{pools.Name, reconfig.Name}
 
 // changeMost is how much an operator may send at once, in bytes.
 const changeMost = 16 << 20
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -41,7 +41,7 @@
 		return nil, fmt.Errorf("node: operators.listen: %w", err)
 	}
 	go store.Watch(ctx)
-	srv := &http.Server{Handler: control.Handler(n, control.Roles{Read: o.Read, Operate: o.Operate, Admin: o.Admin, Operable: certified}), TLSConfig: store.Server(),
+	srv := &http.Server{Handler: control.Handler(n, control.Roles{Read: o.Read, Operate: o.Operate, Admin: o.Admin, Operable: certificateOnly}), TLSConfig: store.Server(),
 		ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
 	go func() { failed <- srv.ServeTLS(netutil.LimitListener(l, operatorsAtOnce), "", "") }()
