--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -79,7 +79,7 @@
 			writeBody(w, http.StatusForbidden, wire.ErrorBody(duty+": is changed at the operators' listener, with a certificate"))
 			return
 		}
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, changeMost))
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxChangeBytes))
 		if err != nil {
 			writeBody(w, http.StatusBadRequest, wire.ErrorBody("body not readable, or over 16 MiB"))
 			return
@@ -94,7 +94,7 @@
 var certificateOnly = []string{pools.Name, reconfig.Name}
 
 // changeMost is how much an operator may send at once, in bytes.
-const changeMost = 16 << 20
+const maxChangeBytes = 16 << 20
 
 // ChangeRequest is what an operator asks of a duty, as one controller hands it to
 // another.
