--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -177,7 +177,7 @@
 }
 
 // refusal goes before the words of a duty that refuses, on their way to a peer.
-const refusal = "refused: "
+const refusalPrefix = "refused: "
 
 // Show tells a peer what its operator asked of a duty.
 func (c *Controller) Show(name string, out *[]byte) error {
@@ -205,7 +205,7 @@
 	case !known:
 		return errLeaderUnknown
 	case failed != nil:
-		return errors.New(refusal + failed.Error())
+		return errors.New(refusalPrefix + failed.Error())
 	}
 	return nil
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -72,8 +72,8 @@
 	})
 	var remote rpc.ServerError
 	switch {
-	case errors.As(err, &remote) && strings.HasPrefix(remote.Error(), refusal):
-		return nil, fmt.Errorf("%s (%w)", strings.TrimPrefix(remote.Error(), refusal), control.ErrRefused)
+	case errors.As(err, &remote) && strings.HasPrefix(remote.Error(), refusalPrefix):
+		return nil, fmt.Errorf("%s (%w)", strings.TrimPrefix(remote.Error(), refusalPrefix), control.ErrRefused)
 	case err != nil:
 		return nil, err
 	case failed != nil:
