--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -24,7 +24,7 @@
 )
 
 // operatorsAtOnce bounds the operators' connections.
-const operatorsAtOnce = 16
+const maxOperatorConnections = 16
 
 // serveOperators serves those who may change something, over TLS, until the context ends.
 func (n *Node) serveOperators(ctx context.Context, failed chan<- error) (func(), error) {
@@ -44,7 +44,7 @@
 	srv := &http.Server{Handler: control.Handler(n, control.Roles{Read: o.Read, Operate: o.Operate, Admin: o.Admin, Operable: certificateOnly}), TLSConfig: store.Server(),
 		ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 10 * time.Second, WriteTimeout: 10 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 8 << 10,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)}
-	go func() { failed <- srv.ServeTLS(netutil.LimitListener(l, operatorsAtOnce), "", "") }()
+	go func() { failed <- srv.ServeTLS(netutil.LimitListener(l, maxOperatorConnections), "", "") }()
 	n.log.Info("operators may change things", "listen", l.Addr().String())
 	return func() { _ = srv.Close() }, nil
 }
