--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -95,8 +95,8 @@
 }
 
 const (
-	receiptTries = 8
-	receiptPause = 100 * time.Millisecond
+	maxReceiptRetries = 8
+	receiptPause      = 100 * time.Millisecond
 )
 
 // handleReceipt answers a task that asks for a receipt: 200 with it, 409 where the task is
@@ -128,7 +128,7 @@
 		case err == nil && json.Unmarshal(raw, &given) == nil && given.Durable:
 			n.signReceipt(w, in.Job, &given)
 			return
-		case err != nil || try == receiptTries:
+		case err != nil || try == maxReceiptRetries:
 			w.Header().Set("Retry-After", "1")
 			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("not known for certain yet"))
 			return
