--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -96,7 +96,7 @@
 
 const (
 	maxReceiptRetries = 8
-	receiptPause      = 100 * time.Millisecond
+	receiptRetryDelay = 100 * time.Millisecond
 )
 
 // handleReceipt answers a task that asks for a receipt: 200 with it, 409 where the task is
@@ -133,7 +133,7 @@
 			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("not known for certain yet"))
 			return
 		}
-		time.Sleep(receiptPause)
+		time.Sleep(receiptRetryDelay)
 	}
 }
 
