--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -168,12 +168,12 @@
 	read time.Time
 }
 
-const keysFor = 5 * time.Second
+const receiptKeysMaxAge = 5 * time.Second
 
 func (k *keyCache) get(files []string) (receipts.Keys, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.keys != nil && time.Since(k.read) < keysFor {
+	if k.keys != nil && time.Since(k.read) < receiptKeysMaxAge {
 		return k.keys, nil
 	}
 	keys, err := receipts.Read(files)
