--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -106,11 +106,11 @@
 
 // pageValues is how many of a duty's own values are read at once: nothing waits for
 // them, and the answer should not crowd out others.
-const pageValues = 16
+const valuesPageSize = 16
 
 // readValues reads a page of a duty's own values.
 func (n *Node) readValues(ctx context.Context, duty, since string) ([]eventlog.Value, bool, error) {
-	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(duty), since, pageValues)
+	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(duty), since, valuesPageSize)
 	if err != nil {
 		return nil, false, err
 	}
