--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -73,7 +73,7 @@
 
 // pageItems is how many keys are asked for at once; the state service gives
 // fewer where they are large.
-const pageItems = 256
+const keysPageSize = 256
 
 // decode reads one segment.
 func decode(it wire.Item) ([]eventlog.Entry, error) {
@@ -125,7 +125,7 @@
 	since := ""
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		items, more, _, err := n.state.List(ctx, prefix, since, pageItems)
+		items, more, _, err := n.state.List(ctx, prefix, since, keysPageSize)
 		cancel()
 		if err != nil {
 			return err
