--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -14,7 +14,7 @@
 
 // stuckAfter is how long the loop may be silent before the node calls itself
 // unhealthy. A flap costs far more than single refusals, so it is long.
-const stuckAfter = 4 * time.Second
+const loopStallLimit = 4 * time.Second
 
 // publicHandler is what users, the load balancer and workers reach.
 func (n *Node) publicHandler() http.Handler {
@@ -64,7 +64,7 @@
 func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	// Where the leader is not reached no request can be taken: users are better
 	// served by it, or by a node that reaches it.
-	if s := n.snapshot.Load(); s.apart || time.Since(n.start)-s.at > stuckAfter {
+	if s := n.snapshot.Load(); s.apart || time.Since(n.start)-s.at > loopStallLimit {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
