--- a/internal/node/messages.go
+++ b/internal/node/messages.go
@@ -16,7 +16,7 @@
 // cancellation, and a heartbeat of anybody sent users and workers there.
 
 // reportMost bounds the tasks of a report: a worker's is at most 64 KiB.
-const reportMost = 4096
+const maxReportTasks = 4096
 
 // countRefusal counts a message that is not taken.
 func (n *Node) countRefusal(err error) error {
@@ -75,7 +75,7 @@
 		return fmt.Errorf("node: relay: machine: its name is missing, or more than a report may hold")
 	case r.Session == 0:
 		return fmt.Errorf("node: relay: session: of %.40q: 0", r.Machine)
-	case len(r.Tasks) > reportMost:
+	case len(r.Tasks) > maxReportTasks:
 		return fmt.Errorf("node: relay: tasks: %d of %.40q", len(r.Tasks), r.Machine)
 	}
 	for _, t := range r.Tasks {
