--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -138,7 +138,7 @@
 	select {
 	case <-done:
 		return nil
-	case <-time.After(askLimit):
+	case <-time.After(answerTimeout):
 		return errBusy
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -468,11 +468,11 @@
 	return <-ch, nil
 }
 
-const askLimit = time.Second
+const answerTimeout = time.Second
 
 // serveLocally answers a request here, whoever leads.
 func (n *Node) serveLocally(in UserRequest) effects.Answer {
-	return n.awaitAnswer(askLimit, kindOf(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
+	return n.awaitAnswer(answerTimeout, kindOf(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
 		switch in.Op {
 		case opSubmit:
 			n.core.Submit(now, to, in.Submission)
