--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -123,15 +123,15 @@
 	}
 	for _, j := range t.Jobs.All() {
 		if j != nil && j.Phase == jobs.Held {
-			s.Held = append(s.Held, HeldStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Tasks: len(j.Tasks), After: ids(t, j.Dependencies)})
+			s.Held = append(s.Held, HeldStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Tasks: len(j.Tasks), After: jobIDs(t, j.Dependencies)})
 		}
 	}
 	slices.SortFunc(s.Held, func(a, b HeldStatus) int { return compare(a.ID, b.ID) })
 	return s
 }
 
-// ids are the ids of jobs by index, in order.
-func ids(t *term.Term, list []int32) []string {
+// jobIDs are the ids of jobs by index, in order.
+func jobIDs(t *term.Term, list []int32) []string {
 	var out []string
 	for _, i := range list {
 		out = append(out, wire.FormatID(t.Jobs.At(i).Record.ID))
@@ -190,7 +190,7 @@
 		}
 	}
 	if len(j.Dependents) > 0 {
-		say("jobs that wait for it: %s", strings.Join(ids(t, j.Dependents), ", "))
+		say("jobs that wait for it: %s", strings.Join(jobIDs(t, j.Dependents), ", "))
 	}
 	if j.Priority > j.Record.Priority {
 		say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)", wire.PriorityWord(j.Priority), wire.PriorityWord(j.Record.Priority))
@@ -200,7 +200,7 @@
 			say("what it follows is not in the log any more: it is not started, and waits to be cancelled")
 			return e, true
 		}
-		say("it waits for %d of the %d jobs that it follows: %s", len(j.Dependencies), len(j.Record.Follows), strings.Join(ids(t, j.Dependencies), ", "))
+		say("it waits for %d of the %d jobs that it follows: %s", len(j.Dependencies), len(j.Record.Follows), strings.Join(jobIDs(t, j.Dependencies), ", "))
 		say("until they are done it is outside the order and holds nothing of its team's share")
 		return e, true
 	}
