--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -385,8 +385,8 @@
 
 var errBusy = errors.New("node: the loop is behind")
 
-// kindOf is a request's kind at the door.
-func kindOf(op string) admission.Kind {
+// admissionKind is a request's kind at the door.
+func admissionKind(op string) admission.Kind {
 	if op == opQuery {
 		return admission.Poll
 	}
@@ -399,7 +399,7 @@
 	if n.admission != nil && a.RetryAfter > 0 {
 		n.admissionMu.Lock()
 		defer n.admissionMu.Unlock()
-		a.RetryAfter = n.admission.Reject(time.Since(n.start), kindOf(in.Op), in.ID, a.RetryAfter)
+		a.RetryAfter = n.admission.Reject(time.Since(n.start), admissionKind(in.Op), in.ID, a.RetryAfter)
 	}
 	return a
 }
@@ -472,7 +472,7 @@
 
 // serveLocally answers a request here, whoever leads.
 func (n *Node) serveLocally(in UserRequest) effects.Answer {
-	return n.awaitAnswer(answerTimeout, kindOf(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
+	return n.awaitAnswer(answerTimeout, admissionKind(in.Op), in.ID, func(now time.Duration, to effects.RequestID) {
 		switch in.Op {
 		case opSubmit:
 			n.core.Submit(now, to, in.Submission)
