--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -229,7 +229,7 @@
 	case effects.Commit:
 		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
 			out, mark, failed := n.state.Commit(ctx, e.Txn)
-			backOff(out == eventlog.Applied || out == eventlog.Conflict)
+			sleepAfterFailure(out == eventlog.Applied || out == eventlog.Conflict)
 			return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Sequence, out, mark, failed) }
 		})
 	case effects.ReadBack:
@@ -354,18 +354,18 @@
 	switch o.Action {
 	case leadership.ReadKeys:
 		v, err := n.state.ReadLeadership(ctx)
-		backOff(err == nil)
+		sleepAfterFailure(err == nil)
 		n.enqueue(func(now time.Duration) { n.core.KeysRead(now, o.Sequence, err == nil, v) })
 	case leadership.WatchKeys:
 		ok := n.state.Watch(ctx, leadership.Prefix, o.Revision, watchDuration)
 		n.enqueue(func(now time.Duration) { n.core.WatchEnded(now, o.Sequence, ok) })
 	case leadership.CreateLease:
 		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.settings.Tunables.LeaderHoldS))
-		backOff(ok)
+		sleepAfterFailure(ok)
 		n.enqueue(func(now time.Duration) { n.core.LeaseCreated(now, o.Sequence, ok, id) })
 	case leadership.ClaimLeadership:
 		ok, mark := n.state.Claim(ctx, n.settings.Node, o.View, o.LeaseID)
-		backOff(ok)
+		sleepAfterFailure(ok)
 		n.enqueue(func(now time.Duration) { n.core.LeadershipClaimed(now, o.Sequence, ok, mark) })
 	case leadership.RenewLease:
 		ok, gone := n.state.RenewLease(ctx, o.LeaseID)
@@ -375,9 +375,9 @@
 	}
 }
 
-// backOff spreads what is tried again after a failure: the core has no
+// sleepAfterFailure spreads what is tried again after a failure: the core has no
 // randomness of its own, so nodes would otherwise try in step.
-func backOff(ok bool) {
+func sleepAfterFailure(ok bool) {
 	if !ok {
 		time.Sleep(rand.N(60 * time.Millisecond))
 	}
