--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -139,7 +139,7 @@
 	case <-done:
 		return nil
 	case <-time.After(answerTimeout):
-		return errBusy
+		return errLoopBusy
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -383,7 +383,7 @@
 	}
 }
 
-var errBusy = errors.New("node: the loop is behind")
+var errLoopBusy = errors.New("node: the loop is behind")
 
 // admissionKind is a request's kind at the door.
 func admissionKind(op string) admission.Kind {
@@ -418,7 +418,7 @@
 func (n *Node) awaitAnswer(limit time.Duration, kind admission.Kind, job uint64, f func(now time.Duration, to effects.RequestID)) effects.Answer {
 	ch := make(chan effects.Answer, 1)
 	var id effects.RequestID
-	err := errBusy
+	err := errLoopBusy
 	if n.admitRequest(kind, job) {
 		err = n.tryEnqueue(func(now time.Duration) {
 			n.lastRequestID++
@@ -452,7 +452,7 @@
 	case n.inputs <- f:
 		return nil
 	default:
-		return errBusy
+		return errLoopBusy
 	}
 }
 
