--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -36,7 +36,7 @@
 func (n *Node) readDurableLog() (term.LoadedLog, error) {
 	var d term.LoadedLog
 	err := n.readPrefix(eventlog.Prefix, func(it wire.Item) error {
-		list, err := decode(it)
+		list, err := decodeSegment(it)
 		if err != nil {
 			return err
 		}
@@ -75,8 +75,8 @@
 // fewer where they are large.
 const keysPageSize = 256
 
-// decode reads one segment.
-func decode(it wire.Item) ([]eventlog.Entry, error) {
+// decodeSegment reads one segment.
+func decodeSegment(it wire.Item) ([]eventlog.Entry, error) {
 	list, err := eventlog.Decode(it.Value)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", it.Key, err)
@@ -95,7 +95,7 @@
 		if it.Key >= eventlog.SegmentKey(end) {
 			break
 		}
-		list, err := decode(it)
+		list, err := decodeSegment(it)
 		if err != nil {
 			return nil, err
 		}
