--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,10 +39,10 @@
 
 // leadershipSnapshot is what the doors need to know between turns of the loop.
 type leadershipSnapshot struct {
-	leading bool
-	leader  string
-	apart   bool          // it leads, but is not reached from here
-	at      time.Duration // of the loop's last turn
+	leading     bool
+	leader      string
+	partitioned bool          // it leads, but is not reached from here
+	at          time.Duration // of the loop's last turn
 }
 
 // Node runs one controller.
