--- a/internal/node/door.go
+++ b/internal/node/door.go
@@ -64,7 +64,7 @@
 func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	// Where the leader is not reached no request can be taken: users are better
 	// served by it, or by a node that reaches it.
-	if s := n.snapshot.Load(); s.partitioned || time.Since(n.start)-s.at > loopStallLimit {
+	if s := n.snapshot.Load(); s.partitioned || time.Since(n.start)-s.takenAt > loopStallLimit {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 	leading     bool
 	leader      string
 	partitioned bool          // it leads, but is not reached from here
-	at          time.Duration // of the loop's last turn
+	takenAt     time.Duration // of the loop's last turn
 }
 
 // Node runs one controller.
