--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -22,7 +22,7 @@
 type openHeartbeat struct {
 	report *workers.Report
 	leader string // to which it was handed; empty: to none
-	tries  int
+	relays int
 }
 
 // answerOrRelay has a report answered by this node's term, or hands it to the leader.
@@ -37,7 +37,7 @@
 		c.advanceTerm(now)
 	case leader != "":
 		o.leader = leader
-		o.tries++
+		o.relays++
 		c.openHeartbeats[to] = o
 		c.outbox = append(c.outbox, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
 	default:
@@ -114,7 +114,7 @@
 	}
 	r := o.report
 	c.PeerReached(now, o.leader, ok)
-	if leader := c.elector.LeaderName(); !ok && o.tries < maxRelays && leader != "" && leader != o.leader {
+	if leader := c.elector.LeaderName(); !ok && o.relays < maxRelays && leader != "" && leader != o.leader {
 		c.answerOrRelay(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
