--- a/internal/node/reports.go
+++ b/internal/node/reports.go
@@ -20,9 +20,9 @@
 
 // openHeartbeat is a report of this node's worker that has no answer yet.
 type openHeartbeat struct {
-	report *workers.Report
-	leader string // to which it was handed; empty: to none
-	relays int
+	report    *workers.Report
+	relayedTo string // to which it was handed; empty: to none
+	relays    int
 }
 
 // answerOrRelay has a report answered by this node's term, or hands it to the leader.
@@ -36,7 +36,7 @@
 		c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
 		c.advanceTerm(now)
 	case leader != "":
-		o.leader = leader
+		o.relayedTo = leader
 		o.relays++
 		c.openHeartbeats[to] = o
 		c.outbox = append(c.outbox, effects.RelayHeartbeat{To: to, Leader: leader, Report: in})
@@ -113,8 +113,8 @@
 		return
 	}
 	r := o.report
-	c.PeerReached(now, o.leader, ok)
-	if leader := c.elector.LeaderName(); !ok && o.relays < maxRelays && leader != "" && leader != o.leader {
+	c.PeerReached(now, o.relayedTo, ok)
+	if leader := c.elector.LeaderName(); !ok && o.relays < maxRelays && leader != "" && leader != o.relayedTo {
 		c.answerOrRelay(now, to, o) // somebody else leads by now, this node perhaps
 		return
 	}
