--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -304,8 +304,8 @@
 	return raw, true, err
 }
 
-// Measures gives what the duties have measured since the process began.
-func (c *Core) Measures() []cluster.Histogram { return c.measures.All() }
+// Histograms gives what the duties have measured since the process began.
+func (c *Core) Histograms() []cluster.Histogram { return c.measures.All() }
 
 // Gauges gives the numbers of the duties, on the leader.
 func (c *Core) Gauges(now time.Duration) []cluster.Gauge {
--- a/internal/node/inside.go
+++ b/internal/node/inside.go
@@ -258,7 +258,7 @@
 	var measures []cluster.Histogram
 	var gauges []cluster.Gauge
 	if err := s.node.runOnLoop(func(now time.Duration) {
-		st, measures, gauges = s.node.core.Status(now), s.node.core.Measures(), s.node.core.Gauges(now)
+		st, measures, gauges = s.node.core.Status(now), s.node.core.Histograms(), s.node.core.Gauges(now)
 	}); err != nil {
 		ch <- prometheus.NewInvalidMetric(descLeading, err)
 		return
