--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -60,7 +60,7 @@
 
 	admission       *admission.Controller // nil: users who are turned away are told the least there is
 	admissionMu     sync.Mutex
-	receiptKeys     keyCache
+	receiptKeys     receiptKeyCache
 	refusedMessages atomic.Uint64 // messages of other controllers that were not taken
 	directCalls     chan struct{} // bounds the direct calls under way
 	snapshot        atomic.Pointer[leadershipSnapshot]
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -160,9 +160,9 @@
 	}{token})
 }
 
-// keyCache reads the keys of receipts anew from time to time: they are changed while
+// receiptKeyCache reads the keys of receipts anew from time to time: they are changed while
 // controllers run.
-type keyCache struct {
+type receiptKeyCache struct {
 	mu   sync.Mutex
 	keys receipts.Keys
 	read time.Time
@@ -170,7 +170,7 @@
 
 const receiptKeysMaxAge = 5 * time.Second
 
-func (k *keyCache) get(files []string) (receipts.Keys, error) {
+func (k *receiptKeyCache) get(files []string) (receipts.Keys, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.keys != nil && time.Since(k.read) < receiptKeysMaxAge {
