--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -7,7 +7,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"math/rand/v2"
 	"net"
 	"net/http"
 	"net/rpc"
@@ -18,7 +17,6 @@
 	"golang.org/x/net/netutil"
 
 	"bitternmoor/internal/core/admission"
-	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/operators/webhook"
@@ -28,13 +26,9 @@
 
 const (
 	tickInterval     = 50 * time.Millisecond
-	stateTimeout     = 1200 * time.Millisecond
 	watchDuration    = 10 * time.Second
-	cloudTimeout     = 5 * time.Second
 	inputQueueLength = 512
 	maxDirectCalls   = 8
-
-	launchTimeout = time.Second
 )
 
 // leadershipSnapshot is what the doors need to know between turns of the loop.
@@ -171,179 +165,6 @@
 
 func (n *Node) enqueue(f func(now time.Duration)) { n.inputs <- f }
 
-// execute carries out an effect. Calls go to goroutines and come back as inputs.
-func (n *Node) execute(e effects.Effect) {
-	epoch := n.core.Epoch() // results of an earlier term are dropped
-	switch e := e.(type) {
-	case effects.Reply:
-		if ch := n.pendingUsers[e.To]; ch != nil {
-			ch <- e.Answer
-			delete(n.pendingUsers, e.To)
-		}
-	case effects.ReplyHeartbeat:
-		if ch := n.pendingHeartbeats[e.To]; ch != nil {
-			ch <- e.Answer
-			delete(n.pendingHeartbeats, e.To)
-		}
-	case effects.RelayHeartbeat:
-		p := n.peers[e.Leader]
-		go func() {
-			var a effects.HeartbeatAnswer
-			ok := p != nil
-			if ok {
-				if err := p.call("Controller.Relay", e.Report, &a); err != nil {
-					n.log.Debug("leader not reached", "leader", e.Leader, "error", err)
-					ok = false
-				}
-			}
-			n.enqueue(func(now time.Duration) { n.core.RelayAnswered(now, e.To, a, ok) })
-		}()
-	case effects.Heartbeat:
-		if p := n.peers[e.Peer]; p != nil {
-			go func() {
-				n.heartbeat(p, e)
-			}()
-		}
-	case effects.ProbePeer:
-		if p := n.peers[e.Peer]; p != nil {
-			go func() {
-				ok := p.reachable()
-				n.enqueue(func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
-			}()
-		}
-	case effects.AskPreviousLeader:
-		if p := n.peers[e.Peer]; p != nil {
-			go func() {
-				var a PreviousLeaderAnswer
-				err := p.call("Controller.LedBefore", e.Epoch, &a)
-				n.enqueue(func(now time.Duration) {
-					until := now - time.Duration(a.AgoMS)*time.Millisecond
-					n.core.PreviousLeaderReported(now, e.Epoch, e.Peer, leadership.LeaderRecord{Ever: a.Ever, Since: until - time.Duration(a.LastedMS)*time.Millisecond, Until: until, Fleet: a.Fleet}, err == nil)
-				})
-			}()
-		}
-	case effects.LeadershipRequest:
-		go n.executeLeadership(e.Request)
-	case effects.LoadLog:
-		go n.loadLog(e.Epoch)
-	case effects.Commit:
-		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
-			out, mark, failed := n.state.Commit(ctx, e.Txn)
-			sleepAfterFailure(out == eventlog.Applied || out == eventlog.Conflict)
-			return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Sequence, out, mark, failed) }
-		})
-	case effects.ReadBack:
-		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
-			it, err := n.state.Get(ctx, e.Key)
-			return func(now time.Duration) { n.core.ReadBack(now, epoch, err == nil, it.Mark, it.Value) }
-		})
-	case effects.ReadSegments:
-		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
-			entries, err := n.readSegments(ctx, e.First, e.First+e.Count)
-			return func(now time.Duration) {
-				n.core.SegmentsRead(now, epoch, e.First, e.First+e.Count, err == nil, entries)
-			}
-		})
-	case effects.ReadValues:
-		n.callExternal(stateTimeout, func(ctx context.Context) func(time.Duration) {
-			list, more, err := n.readValues(ctx, e.Duty, e.Since)
-			if err != nil {
-				n.log.Debug("values not read", "duty", e.Duty, "error", err)
-			}
-			return func(now time.Duration) { n.core.ValuesRead(now, epoch, e.Duty, list, more, err == nil) }
-		})
-	case effects.SendStops:
-		select {
-		case n.directCalls <- struct{}{}:
-			go func() {
-				defer func() { <-n.directCalls }()
-				ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-				defer cancel()
-				if _, err := n.workers.SendCommands(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Stops)); err != nil {
-					n.log.Debug("worker not reached", "address", e.Address, "error", err)
-				}
-			}()
-		default: // enough are under way; the answer to the next report has the stops too
-		}
-	case effects.ProbeWorker:
-		n.callExternal(launchTimeout, func(ctx context.Context) func(time.Duration) {
-			ok := n.workers.Probe(ctx, e.Address)
-			return func(now time.Duration) { n.core.WorkerProbed(now, epoch, e.Machine, ok) }
-		})
-	case effects.Dispatch: // the leader bounds how many are under way
-		n.callExternal(launchTimeout, func(ctx context.Context) func(time.Duration) {
-			r, err := n.workers.SendCommands(ctx, e.Address, wire.EncodeDirectCommands(e.Token, e.Session, e.Starts))
-			if err != nil {
-				n.log.Debug("worker not reached", "address", e.Address, "error", err)
-			}
-			return func(now time.Duration) { n.core.Dispatched(now, epoch, e.Machine, e.Token, e.Starts, r) }
-		})
-	case effects.Notify:
-		if n.notifier != nil {
-			n.notifier.Send(webhook.Message{ID: e.ID, Body: e.Body})
-		}
-	case effects.RentMachines:
-		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
-			names, res := n.cloud.Rent(ctx, e.Rental)
-			return func(now time.Duration) { n.core.RentalAnswered(now, epoch, e.Rental.Name, names, res) }
-		})
-	case effects.DeleteMachines:
-		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
-			ok := n.cloud.Delete(ctx, e.Machines)
-			return func(now time.Duration) { n.core.MachinesDeleted(now, epoch, e.Machines, ok) }
-		})
-	case effects.ListMachines:
-		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
-			list, err := n.cloud.List(ctx)
-			return func(now time.Duration) { n.core.MachinesListed(now, epoch, list, err == nil) }
-		})
-	case effects.ListMachineTypes:
-		n.callExternal(cloudTimeout, func(ctx context.Context) func(time.Duration) {
-			list, err := n.cloud.Types(ctx)
-			if err != nil {
-				n.log.Debug("machine types not read", "error", err)
-			}
-			return func(now time.Duration) { n.core.MachineTypesListed(now, epoch, list) }
-		})
-	case effects.LogMessage:
-		n.log.Log(context.Background(), []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError}[e.Level], e.Message, e.Args...)
-	}
-}
-
-// heartbeat tells a peer that this node leads, and what it lacks of the configuration. A peer of an
-// older version knows nothing of that, and is told the rest.
-func (n *Node) heartbeat(p *peer, e effects.Heartbeat) {
-	m := HeartbeatMessage{n.settings.Node, e.Epoch, e.Fleet}
-	if e.Config != nil {
-		var a ConfigAnswer
-		err := p.call("Controller.ConfigHeartbeat", ConfigHeartbeatMessage{Heartbeat: m, Update: *e.Config}, &a)
-		if err == nil {
-			n.enqueue(func(now time.Duration) {
-				n.core.HeartbeatAnswered(now, e.Peer)
-				n.core.ConfigAcknowledged(now, e.Epoch, e.Peer, a.Revision)
-			})
-			return
-		}
-		var remote rpc.ServerError
-		if !errors.As(err, &remote) {
-			return
-		}
-	}
-	if err := p.call("Controller.Hail", m, new(bool)); err == nil {
-		n.enqueue(func(now time.Duration) { n.core.HeartbeatAnswered(now, e.Peer) })
-	}
-}
-
-// callExternal makes a call with a deadline; what it returns is the input that
-// brings its result to the core.
-func (n *Node) callExternal(limit time.Duration, call func(ctx context.Context) func(now time.Duration)) {
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
-		defer cancel()
-		n.enqueue(call(ctx))
-	}()
-}
-
 func (n *Node) executeLeadership(o leadership.Request) {
 	limit := stateTimeout
 	if o.Action == leadership.WatchKeys {
@@ -375,14 +196,6 @@
 	}
 }
 
-// sleepAfterFailure spreads what is tried again after a failure: the core has no
-// randomness of its own, so nodes would otherwise try in step.
-func sleepAfterFailure(ok bool) {
-	if !ok {
-		time.Sleep(rand.N(60 * time.Millisecond))
-	}
-}
-
 var errLoopBusy = errors.New("node: the loop is behind")
 
 // admissionKind is a request's kind at the door.
