--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -26,9 +26,6 @@
 // maxFailureDelay bounds the random delay after a failed call to the state service.
 const maxFailureDelay = 60 * time.Millisecond
 
-// input is the result of a call, as it is fed to the core on the loop.
-type input = func(now time.Duration)
-
 // execute carries out an effect. It runs on the loop and never waits: calls are made by
 // goroutines, and their results come back as inputs.
 func (n *Node) execute(effect effects.Effect) {
--- a/internal/node/internal_api.go
+++ b/internal/node/internal_api.go
@@ -129,20 +129,6 @@
 
 var errLeaderUnknown = errors.New("no leader is known at present")
 
-// runOnLoop runs f in the loop and waits for it.
-func (n *Node) runOnLoop(f func(now time.Duration)) error {
-	done := make(chan struct{})
-	if err := n.tryEnqueue(func(now time.Duration) { f(now); close(done) }); err != nil {
-		return err
-	}
-	select {
-	case <-done:
-		return nil
-	case <-time.After(answerTimeout):
-		return errLoopBusy
-	}
-}
-
 // callLocalOrLeader asks this node and, if it cannot tell, the leader.
 func (n *Node) callLocalOrLeader(method string, in, out any, local func(now time.Duration) bool) error {
 	var told bool
