--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -117,7 +117,7 @@
 		return fmt.Errorf("node: internal_addr: %w", err)
 	}
 	failed := make(chan error, 3)
-	publicServer := n.publicServer()
+	publicServer := n.newServer(n.publicHandler())
 	go func() { failed <- publicServer.Serve(netutil.LimitListener(public, n.maxPublicConnections())) }()
 	internalServer, err := n.internalServer()
 	if err != nil {
@@ -154,9 +154,10 @@
 	return max(minPublicConnections, n.settings.Deployment.MachineLimits.FDLimit-reservedSockets)
 }
 
-func (n *Node) publicServer() *http.Server {
+// newServer has the timeouts and bounds of a server whose requests are short.
+func (n *Node) newServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler:           n.publicHandler(),
+		Handler:           handler,
 		ReadHeaderTimeout: readHeaderTimeout,
 		ReadTimeout:       readTimeout,
 		WriteTimeout:      writeTimeout,
