--- a/internal/node/receipts.go
+++ b/internal/node/receipts.go
@@ -1,22 +1,23 @@
 package node
 
 import (
-	"bitternmoor/internal/leader/pools"
-	"bitternmoor/internal/operators/control"
-	"bitternmoor/internal/operators/receipts"
-	"bitternmoor/internal/wire"
 	"encoding/json"
 	"errors"
 	"net/http"
 	"strconv"
 	"sync"
 	"time"
+
+	"bitternmoor/internal/leader/pools"
+	"bitternmoor/internal/operators/control"
+	"bitternmoor/internal/operators/receipts"
+	"bitternmoor/internal/wire"
 )
 
-// PathReceipts is where a task asks for a receipt for its units.
+// PathReceipts is where a task asks for a receipt for its units of pools.
 const PathReceipts = "/receipts"
 
-// receiptRequest is what it asks.
+// receiptRequest is the body of that request.
 type receiptRequest struct {
 	Job     string `json:"job"`
 	Task    int    `json:"task"`
@@ -26,6 +27,11 @@
 const (
 	maxReceiptRetries = 8
 	receiptRetryDelay = 100 * time.Millisecond
+	// receiptKeysMaxAge is how long the keys are used before their files are read again.
+	receiptKeysMaxAge = 5 * time.Second
+
+	retryUncertainS = "1"  // Retry-After where the holding is not durable yet
+	retryUnsignedS  = "30" // Retry-After where the keys cannot be read
 )
 
 // handleReceipt answers a task that asks for a receipt: 200 with it, 409 where the task is
@@ -42,73 +48,87 @@
 		writeBody(w, http.StatusBadRequest, wire.ErrorBody("job: not a job id"))
 		return
 	}
-	ask, err := json.Marshal(pools.Request{Receipt: &pools.Holding{Job: id, Task: in.Task, Attempt: in.Attempt}})
+	holding := pools.Holding{Job: id, Task: in.Task, Attempt: in.Attempt}
+	request, err := json.Marshal(pools.Request{Receipt: &holding})
 	if err != nil {
 		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
 		return
 	}
-	for try := 0; ; try++ {
-		raw, err := n.ChangeDuty("", pools.Name, ask)
-		var given pools.Receipt
-		switch {
-		case errors.Is(err, control.ErrRefused):
-			writeBody(w, http.StatusConflict, wire.ErrorBody(err.Error()))
-			return
-		case err == nil && json.Unmarshal(raw, &given) == nil && given.Durable:
-			n.signReceipt(w, in.Job, &given)
-			return
-		case err != nil || try == maxReceiptRetries:
-			w.Header().Set("Retry-After", "1")
-			writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("not known for certain yet"))
-			return
+	receipt, err := n.durableReceipt(request)
+	switch {
+	case errors.Is(err, control.ErrRefused):
+		writeBody(w, http.StatusConflict, wire.ErrorBody(err.Error()))
+	case err != nil:
+		w.Header().Set("Retry-After", retryUncertainS)
+		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("not known for certain yet"))
+	default:
+		n.signReceipt(w, in.Job, receipt)
+	}
+}
+
+var errReceiptNotDurable = errors.New("node: the receipt's holding is not durable yet")
+
+// durableReceipt asks the pools for a receipt, and again until what it says is durable.
+func (n *Node) durableReceipt(request json.RawMessage) (*pools.Receipt, error) {
+	for retry := 0; ; retry++ {
+		raw, err := n.ChangeDuty("", pools.Name, request)
+		if err != nil {
+			return nil, err
+		}
+		var receipt pools.Receipt
+		if json.Unmarshal(raw, &receipt) == nil && receipt.Durable {
+			return &receipt, nil
+		}
+		if retry == maxReceiptRetries {
+			return nil, errReceiptNotDurable
 		}
 		time.Sleep(receiptRetryDelay)
 	}
 }
 
-func (n *Node) signReceipt(w http.ResponseWriter, job string, given *pools.Receipt) {
+// signReceipt answers with a signed token that says which units the task's attempt holds.
+func (n *Node) signReceipt(w http.ResponseWriter, job string, receipt *pools.Receipt) {
 	keys, err := n.receiptKeys.get(n.settings.Tunables.ReceiptKeys())
 	if err != nil {
 		n.log.Error("receipts cannot be signed", "error", err)
-		w.Header().Set("Retry-After", "30")
+		w.Header().Set("Retry-After", retryUnsignedS)
 		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("receipts cannot be signed at present"))
 		return
 	}
-	c := receipts.Claims{Attempt: given.Attempt, Epoch: given.Epoch}
-	c.Subject = job + "/" + strconv.Itoa(given.Task)
-	for _, u := range given.Units {
-		c.Units = append(c.Units, receipts.PoolUnits(u))
+	claims := receipts.Claims{Attempt: receipt.Attempt, Epoch: receipt.Epoch}
+	claims.Subject = job + "/" + strconv.Itoa(receipt.Task)
+	for _, units := range receipt.Units {
+		claims.Units = append(claims.Units, receipts.PoolUnits(units))
 	}
-	token, err := keys.Sign(c, time.Now(), time.Duration(n.settings.Tunables.ReceiptLifeS*float64(time.Second)))
+	lifetime := time.Duration(n.settings.Tunables.ReceiptLifeS * float64(time.Second))
+	token, err := keys.Sign(claims, time.Now(), lifetime)
 	if err != nil {
 		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
 		return
 	}
 	writeJSON(w, struct {
 		Receipt string `json:"receipt"`
-	}{token})
+	}{Receipt: token})
 }
 
-// receiptKeyCache reads the keys of receipts anew from time to time: they are changed while
+// receiptKeyCache reads the keys of receipts again from time to time: they are changed while
 // controllers run.
 type receiptKeyCache struct {
-	mu   sync.Mutex
-	keys receipts.Keys
-	read time.Time
+	mu     sync.Mutex // guards what follows
+	keys   receipts.Keys
+	readAt time.Time
 }
 
-const receiptKeysMaxAge = 5 * time.Second
-
-func (k *receiptKeyCache) get(files []string) (receipts.Keys, error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if k.keys != nil && time.Since(k.read) < receiptKeysMaxAge {
-		return k.keys, nil
+func (c *receiptKeyCache) get(files []string) (receipts.Keys, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.keys != nil && time.Since(c.readAt) < receiptKeysMaxAge {
+		return c.keys, nil
 	}
 	keys, err := receipts.Read(files)
 	if err != nil {
 		return nil, err
 	}
-	k.keys, k.read = keys, time.Now()
+	c.keys, c.readAt = keys, time.Now()
 	return keys, nil
 }
