--- a/internal/node/api.go
+++ b/internal/node/api.go
@@ -12,22 +12,22 @@
 	"bitternmoor/internal/wire"
 )
 
-// stuckAfter is how long the loop may be silent before the node calls itself
-// unhealthy. A flap costs far more than single refusals, so it is long.
+// loopStallLimit is how long the loop may be silent before the node calls itself unhealthy.
+// Flapping costs far more than single refusals, so it is long.
 const loopStallLimit = 4 * time.Second
 
-// publicHandler is what users, the load balancer and workers reach.
+// publicHandler serves the public address: users, the load balancer and workers.
 func (n *Node) publicHandler() http.Handler {
-	r := chi.NewRouter()
-	r.Post(wire.PathJobs, n.handleSubmit)
-	r.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opQuery) })
-	r.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opAbort) })
-	r.Get(wire.PathHealth, n.handleHealth)
-	r.Post(wire.PathReports, n.handleHeartbeat)
+	router := chi.NewRouter()
+	router.Post(wire.PathJobs, n.handleSubmit)
+	router.Get(wire.PathJob, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opQuery) })
+	router.Post(wire.PathAbort, func(w http.ResponseWriter, r *http.Request) { n.handleJob(w, r, opAbort) })
+	router.Get(wire.PathHealth, n.handleHealth)
+	router.Post(wire.PathReports, n.handleHeartbeat)
 	if len(n.settings.Tunables.Pools) > 0 && len(n.settings.Tunables.ReceiptKeys()) > 0 {
-		r.Post(PathReceipts, n.handleReceipt)
+		router.Post(PathReceipts, n.handleReceipt)
 	}
-	return r
+	return router
 }
 
 func (n *Node) handleSubmit(w http.ResponseWriter, r *http.Request) {
@@ -40,14 +40,20 @@
 		writeAnswer(w, effects.Answer{Status: http.StatusBadRequest, Why: why})
 		return
 	}
-	s := wire.ParseSubmission(body, len(n.settings.Tunables.Pools) > 0)
-	if !s.HasID {
-		writeAnswer(w, effects.Answer{Status: http.StatusBadRequest, Why: s.Bad})
+	submission := wire.ParseSubmission(body, len(n.settings.Tunables.Pools) > 0)
+	if !submission.HasID {
+		writeAnswer(w, effects.Answer{Status: http.StatusBadRequest, Why: submission.Bad})
 		return
 	}
-	n.answerUser(w, UserRequest{Op: opSubmit, ID: s.ID, Submission: s, Whole: !s.Overlooked})
+	n.answerUser(w, UserRequest{
+		Op:         opSubmit,
+		ID:         submission.ID,
+		Submission: submission,
+		Whole:      !submission.Overlooked,
+	})
 }
 
+// handleJob serves a request about one job: opQuery or opAbort.
 func (n *Node) handleJob(w http.ResponseWriter, r *http.Request, op string) {
 	id, ok := wire.ParseID(chi.URLParam(r, "id"))
 	if !ok {
@@ -61,39 +67,46 @@
 	writeAnswer(w, n.spreadRetry(in, n.serveOrForward(in)))
 }
 
+// handleHealth is the load balancer's liveness probe.
 func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
-	// Where the leader is not reached no request can be taken: users are better
-	// served by it, or by a node that reaches it.
-	if s := n.snapshot.Load(); s.partitioned || time.Since(n.start)-s.takenAt > loopStallLimit {
+	snapshot := n.snapshot.Load()
+	stalled := time.Since(n.start)-snapshot.takenAt > loopStallLimit
+	// Where the leader is not reached no request can be served: users are better off with the
+	// leader, or with a controller that reaches it.
+	if snapshot.partitioned || stalled {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
+// handleHeartbeat serves a worker's heartbeat with its status (a report).
 func (n *Node) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	rep, err := wire.ParseReport(body)
+	report, err := wire.ParseReport(body)
 	if err != nil {
 		n.log.Warn("report not understood", "error", err)
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	a, err := n.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) { n.core.HandleHeartbeat(now, to, rep) })
+	answer, err := n.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) {
+		n.core.HandleHeartbeat(now, to, report)
+	})
 	switch {
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case a.Status == http.StatusOK:
-		writeBody(w, a.Status, wire.ReportAnswer(a.Token, a.Commands))
+	case answer.Status == http.StatusOK:
+		writeBody(w, answer.Status, wire.ReportAnswer(answer.Token, answer.Commands))
 	default:
-		writeBody(w, a.Status, wire.RedirectAnswer(a.Node))
+		writeBody(w, answer.Status, wire.RedirectAnswer(answer.Node))
 	}
 }
 
+// writeAnswer writes the answer to a user's request.
 func writeAnswer(w http.ResponseWriter, a effects.Answer) {
 	if a.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfter))
@@ -106,9 +119,9 @@
 }
 
 func writeBody(w http.ResponseWriter, status int, body []byte) {
-	h := w.Header()
-	h.Set("Content-Type", "application/json")
-	h.Set("Content-Length", strconv.Itoa(len(body)))
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // a client that has gone is no fault of ours
+	_, _ = w.Write(body) // it fails only for a client that has gone
 }
