--- /dev/null
+++ b/internal/node/core_requests.go
@@ -0,0 +1,108 @@
+package node
+
+import (
+	"encoding/json"
+	"time"
+
+	"bitternmoor/internal/effects"
+	"bitternmoor/internal/leader/cluster"
+	"bitternmoor/internal/leader/reconfig"
+	"bitternmoor/internal/wire"
+)
+
+// Submit takes a submission.
+func (c *Core) Submit(now time.Duration, to effects.RequestID, submission wire.Submission) {
+	if !c.canServe(now) {
+		c.replyNoLeader(to)
+		return
+	}
+	c.term.Users.Submit(now, to, submission)
+	c.advanceTerm(now)
+}
+
+// Query answers for a job's state.
+func (c *Core) Query(now time.Duration, to effects.RequestID, id uint64) {
+	if !c.canServe(now) {
+		c.replyNoLeader(to)
+		return
+	}
+	c.term.Users.Query(to, id)
+	c.advanceTerm(now)
+}
+
+// Cancel cancels a job.
+func (c *Core) Cancel(now time.Duration, to effects.RequestID, id uint64) {
+	if !c.canServe(now) {
+		c.replyNoLeader(to)
+		return
+	}
+	c.term.Users.Cancel(now, to, id)
+	c.advanceTerm(now)
+}
+
+func (c *Core) replyNoLeader(to effects.RequestID) {
+	c.emit(effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
+}
+
+// Show returns what operators may see of a component, as JSON; known is false on a node that
+// cannot tell, and raw nil where there is no such component.
+func (c *Core) Show(now time.Duration, component string) (raw json.RawMessage, known bool, err error) {
+	if component == reconfig.Name+"/"+reconfig.ViewHere && c.settings.Tunables.ConfigHistory > 0 {
+		raw, err = json.Marshal(c.LocalConfig(now)) // of this node, whoever leads
+		return raw, true, err
+	}
+	if c.term == nil || !c.term.Loaded() {
+		return nil, false, nil
+	}
+	raw, _, err = c.term.Show(now, component)
+	return raw, true, err
+}
+
+// Change has a component make a change that an operator asked for; known is false on a node
+// without a valid lease as leader, and raw nil where there is no such component.
+func (c *Core) Change(
+	now time.Duration, component, by string, body json.RawMessage,
+) (raw json.RawMessage, known bool, err error) {
+	if !c.canServe(now) {
+		return nil, false, nil
+	}
+	raw, _, err = c.term.Change(now, component, by, body)
+	c.advanceTerm(now)
+	return raw, true, err
+}
+
+// LocalConfig is what this node has of the configuration, and since when.
+func (c *Core) LocalConfig(now time.Duration) reconfig.LocalView {
+	leading, leader := c.Leading()
+	return reconfig.LocalView{
+		Node:     c.settings.Node,
+		Leads:    leading,
+		Leader:   leader,
+		Revision: c.config.Revision(),
+		SinceS:   (now - c.config.Since()).Seconds(),
+		AgeS:     c.configAgeS(now),
+		Sets:     c.config.All(),
+	}
+}
+
+// configAgeS is how long ago, in seconds, this node last heard what is in force; -1: never.
+func (c *Core) configAgeS(now time.Duration) float64 {
+	if c.canServe(now) {
+		return 0
+	}
+	if heardAt := c.config.UpdatedAt(); heardAt > 0 {
+		return (now - heardAt).Seconds()
+	}
+	return -1
+}
+
+// Histograms returns what the components have measured since the process began.
+func (c *Core) Histograms() []cluster.Histogram { return c.measures.All() }
+
+// Gauges returns the components' gauges, on the leader.
+func (c *Core) Gauges(now time.Duration) []cluster.Gauge {
+	if c.term == nil || !c.term.Loaded() {
+		return nil
+	}
+	return c.term.Gauges(now)
+}
