--- /dev/null
+++ b/internal/node/explain.go
@@ -0,0 +1,119 @@
+package node
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+
+	"bitternmoor/internal/core/jobs"
+	"bitternmoor/internal/leader/term"
+	"bitternmoor/internal/wire"
+)
+
+// Explanation says in plain words where a job stands and what it waits for. Peers send it over
+// net/rpc, and views show it as JSON.
+type Explanation struct {
+	ID    string     `json:"id"`
+	Job   *JobStatus `json:"job,omitempty"`   // nil: not an unfinished job
+	Place int        `json:"place,omitempty"` // in the order, from 1; 0: not in it
+	Words []string   `json:"words"`
+}
+
+func (e *Explanation) say(format string, args ...any) {
+	e.Words = append(e.Words, fmt.Sprintf(format, args...))
+}
+
+// Explain explains a job; ok is false on a node that cannot tell.
+func (c *Core) Explain(now time.Duration, id uint64) (explanation Explanation, ok bool) {
+	t := c.term
+	if t == nil || !t.Loaded() {
+		return Explanation{}, false
+	}
+	e := Explanation{ID: wire.FormatID(id)}
+	if phase, over := t.Jobs.Final(id); over {
+		e.say("it is %s", map[jobs.Phase]string{jobs.Done: "done", jobs.Cancelled: "cancelled"}[phase])
+		return e, true
+	}
+	job := t.Jobs.Find(id)
+	if job == nil {
+		e.say("no such job was accepted")
+		return e, true
+	}
+	e.explainOpen(t, now, job)
+	return e, true
+}
+
+// explainOpen explains an unfinished job.
+func (e *Explanation) explainOpen(t *term.Term, now time.Duration, job *jobs.Job) {
+	status := jobStatus(t, job)
+	e.Job = &status
+	snapshot := t.Snapshot(now)
+	// A job that is not in the order has index -1, so place 0.
+	e.Place = slices.Index(t.Scheduler.JobOrder(&snapshot), job.Index) + 1
+	e.explainDependents(t, job)
+	if job.Phase == jobs.Held {
+		e.explainHeld(t, job)
+		return
+	}
+	if count := len(job.Record.Follows); count > 0 {
+		e.say("the %d jobs that it follows are done; its times count from then", count)
+	}
+	if job.Phase == jobs.Cancelling {
+		e.explainCancelling(now, job)
+		return
+	}
+	e.say("%d of its %d tasks are done, %d have a place, %d wait",
+		job.Finished, len(job.Tasks), job.Placed, job.Waiting)
+	e.explainSize(job, &status)
+	if e.Place > 0 {
+		e.say("it is number %d in the order", e.Place)
+	}
+	for _, why := range t.Scheduler.Explain(snapshot, job) {
+		e.say("%s", why)
+	}
+}
+
+// explainDependents says who waits for the job, and what priority it has from them.
+func (e *Explanation) explainDependents(t *term.Term, job *jobs.Job) {
+	if len(job.Dependents) > 0 {
+		e.say("jobs that wait for it: %s", strings.Join(jobIDs(t, job.Dependents), ", "))
+	}
+	if job.Priority > job.Record.Priority {
+		e.say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)",
+			wire.PriorityWord(job.Priority), wire.PriorityWord(job.Record.Priority))
+	}
+}
+
+func (e *Explanation) explainHeld(t *term.Term, job *jobs.Job) {
+	if len(job.Dependencies) == 0 {
+		e.say("what it follows is not in the log any more: it is not started, and waits to be cancelled")
+		return
+	}
+	e.say("it waits for %d of the %d jobs that it follows: %s",
+		len(job.Dependencies), len(job.Record.Follows), strings.Join(jobIDs(t, job.Dependencies), ", "))
+	e.say("until they are done it is outside the order and holds nothing of its team's share")
+}
+
+func (e *Explanation) explainCancelling(now time.Duration, job *jobs.Job) {
+	e.say("its user has asked to cancel it %.0f s ago, and is told so once nothing of it is left anywhere: "+
+		"%d tasks are not proved gone, %d machines that may have some were not heard",
+		(now - job.CancelAskedAt).Seconds(), job.Placed, job.UnresolvedMachines)
+}
+
+// explainSize says what the job's size is and where it comes from.
+func (e *Explanation) explainSize(job *jobs.Job, status *JobStatus) {
+	switch {
+	case job.Record.Kind == jobs.Service:
+		e.say("it is a service: it gets room first, outside the order")
+	case job.Record.Kind == jobs.Gang:
+		e.say("it is a gang: it starts when all of its tasks fit; its size is an estimate of %.0f s of work", status.Size)
+	case status.Final && status.Size == 0 && job.Finished == 0:
+		e.say("it has fewer tasks than train a size: it counts as tiny, with size 0")
+	case status.Final:
+		e.say("its size was set by its training tasks: %.0f s of work, of which %.0f s are left in the virtual cluster",
+			status.Size, status.Virtual)
+	default:
+		e.say("its training tasks have not told its size yet: it starts at %.0f s of work", status.Size)
+	}
+}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -1,9 +1,8 @@
 package node
 
 import (
-	"fmt"
+	"cmp"
 	"slices"
-	"strings"
 	"time"
 
 	"bitternmoor/internal/core/jobs"
@@ -13,22 +12,24 @@
 	"bitternmoor/internal/wire"
 )
 
-// Status is what operators may see of the service.
+// Status is the snapshot of the service that operators may see: of one node and, on the
+// leader, of everything. Peers send it over net/rpc, and views show it as JSON: the names of
+// its fields and keys stay.
 type Status struct {
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
 	Epoch    uint64          `json:"epoch"`
-	Sure     bool            `json:"sure"`
+	Sure     bool            `json:"sure"` // the node leads with a valid lease
 	Loaded   bool            `json:"loaded"`
 	Unsaved  int             `json:"entries_not_yet_durable"`
 	Blocks   []BlockStatus   `json:"blocks,omitempty"`
 	Machines []MachineStatus `json:"machines,omitempty"`
-	Queue    []JobStatus     `json:"queue,omitempty"`
+	Queue    []JobStatus     `json:"queue,omitempty"` // in the order in which they are scheduled
 	Held     []HeldStatus    `json:"held,omitempty"`
 	Counts   cluster.Counts  `json:"counts"`
 }
 
-// BlockStatus is one controller's block.
+// BlockStatus is one controller's shard of the machines.
 type BlockStatus struct {
 	Holder   string  `json:"holder"`
 	Machines int     `json:"machines"`
@@ -47,7 +48,7 @@
 	Tasks    int     `json:"tasks"`
 }
 
-// JobStatus is one unfinished job, in the order in which room is given.
+// JobStatus is one unfinished job. Sizes are in seconds of work.
 type JobStatus struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"class"`
@@ -60,7 +61,7 @@
 	Finished int     `json:"finished"`
 }
 
-// HeldStatus is a job that waits for others to be done.
+// HeldStatus is a job that waits for its dependencies.
 type HeldStatus struct {
 	ID    string   `json:"id"`
 	Class string   `json:"class"`
@@ -69,6 +70,47 @@
 	After []string `json:"after"`
 }
 
+// Status takes a snapshot of the node and, on the leader, of everything.
+func (c *Core) Status(now time.Duration) Status {
+	status := Status{
+		Node:   c.settings.Node,
+		Leader: c.elector.LeaderName(),
+		Epoch:  c.elector.HighestEpoch(),
+		Sure:   c.elector.LeaseValid(now),
+		Counts: c.counts,
+	}
+	if c.term == nil || !c.term.Loaded() {
+		return status
+	}
+	status.Loaded = true
+	status.Unsaved = c.term.EventLog.Pending()
+	status.Machines = machineStatuses(c.term)
+	status.Blocks = shardStatuses(c.term)
+	status.Queue = queueStatuses(c.term, now)
+	status.Held = heldStatuses(c.term)
+	return status
+}
+
+// machineStatuses lists the machines by name.
+func machineStatuses(t *term.Term) []MachineStatus {
+	var list []MachineStatus
+	for _, m := range t.Inventory.All() {
+		list = append(list, MachineStatus{
+			Name:     m.Name,
+			Type:     t.TypeNames.Name(m.Type),
+			Zone:     t.Zones.Name(m.Zone),
+			Spot:     m.Spot,
+			State:    machineState(m),
+			Holder:   m.Shard,
+			FreeCPUs: m.Free.CPUs(),
+			Tasks:    len(m.Tasks),
+		})
+	}
+	slices.SortFunc(list, func(a, b MachineStatus) int { return cmp.Compare(a.Name, b.Name) })
+	return list
+}
+
+// machineState is the word for a machine's state in views.
 func machineState(m *workers.Machine) string {
 	switch {
 	case m.Deleting:
@@ -89,146 +131,79 @@
 	return "up"
 }
 
-// Status gives a picture of the node and, on the leader, of everything.
-func (c *Core) Status(now time.Duration) Status {
-	s := Status{Node: c.settings.Node, Leader: c.elector.LeaderName(), Epoch: c.elector.HighestEpoch(), Sure: c.elector.LeaseValid(now), Counts: c.counts}
-	t := c.term
-	if t == nil || !t.Loaded() {
-		return s
-	}
-	s.Loaded, s.Unsaved = true, t.EventLog.Pending()
+// shardStatuses adds up the machines of each controller's shard, by the controller's name.
+func shardStatuses(t *term.Term) []BlockStatus {
 	byHolder := map[string]*BlockStatus{}
 	for _, m := range t.Inventory.All() {
-		s.Machines = append(s.Machines, MachineStatus{Name: m.Name, Type: t.TypeNames.Name(m.Type), Zone: t.Zones.Name(m.Zone), Spot: m.Spot,
-			State: machineState(m), Holder: m.Shard, FreeCPUs: m.Free.CPUs(), Tasks: len(m.Tasks)})
 		if m.Shard == "" {
 			continue
 		}
-		b := byHolder[m.Shard]
-		if b == nil {
-			b = &BlockStatus{Holder: m.Shard}
-			byHolder[m.Shard] = b
-		}
-		b.Machines++
-		b.CPUs += m.Cap.CPUs()
-	}
-	for _, b := range byHolder {
-		s.Blocks = append(s.Blocks, *b)
-	}
-	slices.SortFunc(s.Blocks, func(a, b BlockStatus) int { return compare(a.Holder, b.Holder) })
-	slices.SortFunc(s.Machines, func(a, b MachineStatus) int { return compare(a.Name, b.Name) })
-	w := t.Snapshot(now)
-	for _, i := range t.Scheduler.JobOrder(&w) {
-		s.Queue = append(s.Queue, jobStatus(t, t.Jobs.At(i)))
-	}
-	for _, j := range t.Jobs.All() {
-		if j != nil && j.Phase == jobs.Held {
-			s.Held = append(s.Held, HeldStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Tasks: len(j.Tasks), After: jobIDs(t, j.Dependencies)})
+		shard := byHolder[m.Shard]
+		if shard == nil {
+			shard = &BlockStatus{Holder: m.Shard}
+			byHolder[m.Shard] = shard
 		}
+		shard.Machines++
+		shard.CPUs += m.Cap.CPUs()
 	}
-	slices.SortFunc(s.Held, func(a, b HeldStatus) int { return compare(a.ID, b.ID) })
-	return s
-}
-
-// jobIDs are the ids of jobs by index, in order.
-func jobIDs(t *term.Term, list []int32) []string {
-	var out []string
-	for _, i := range list {
-		out = append(out, wire.FormatID(t.Jobs.At(i).Record.ID))
+	var list []BlockStatus
+	for _, shard := range byHolder {
+		list = append(list, *shard)
 	}
-	slices.Sort(out)
-	return out
+	slices.SortFunc(list, func(a, b BlockStatus) int { return cmp.Compare(a.Holder, b.Holder) })
+	return list
 }
 
-func compare(a, b string) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
+// queueStatuses lists the unfinished jobs in the order in which they are scheduled.
+func queueStatuses(t *term.Term, now time.Duration) []JobStatus {
+	var list []JobStatus
+	snapshot := t.Snapshot(now)
+	for _, index := range t.Scheduler.JobOrder(&snapshot) {
+		list = append(list, jobStatus(t, t.Jobs.At(index)))
+	}
+	return list
 }
 
 func jobStatus(t *term.Term, j *jobs.Job) JobStatus {
 	size, final := t.Estimator.Size(j.Index)
-	return JobStatus{ID: wire.FormatID(j.Record.ID), Class: j.Record.Class, Team: j.Record.Team, Virtual: t.Estimator.Virtual(j.Index), Size: size, Final: final,
-		Waiting: j.Waiting, Placed: j.Placed, Finished: j.Finished}
+	return JobStatus{
+		ID:       wire.FormatID(j.Record.ID),
+		Class:    j.Record.Class,
+		Team:     j.Record.Team,
+		Virtual:  t.Estimator.Virtual(j.Index),
+		Size:     size,
+		Final:    final,
+		Waiting:  j.Waiting,
+		Placed:   j.Placed,
+		Finished: j.Finished,
+	}
 }
 
-// Explanation says in plain words where a job stands and what it waits for.
-type Explanation struct {
-	ID    string     `json:"id"`
-	Job   *JobStatus `json:"job,omitempty"`
-	Place int        `json:"place,omitempty"`
-	Words []string   `json:"words"`
+// heldStatuses lists the jobs that wait for their dependencies, by id.
+func heldStatuses(t *term.Term) []HeldStatus {
+	var list []HeldStatus
+	for _, j := range t.Jobs.All() {
+		if j == nil || j.Phase != jobs.Held {
+			continue
+		}
+		list = append(list, HeldStatus{
+			ID:    wire.FormatID(j.Record.ID),
+			Class: j.Record.Class,
+			Team:  j.Record.Team,
+			Tasks: len(j.Tasks),
+			After: jobIDs(t, j.Dependencies),
+		})
+	}
+	slices.SortFunc(list, func(a, b HeldStatus) int { return cmp.Compare(a.ID, b.ID) })
+	return list
 }
 
-// Explain explains a job; ok is false on a node that cannot tell.
-func (c *Core) Explain(now time.Duration, id uint64) (e Explanation, ok bool) {
-	t := c.term
-	if t == nil || !t.Loaded() {
-		return Explanation{}, false
-	}
-	e.ID = wire.FormatID(id)
-	say := func(f string, a ...any) { e.Words = append(e.Words, fmt.Sprintf(f, a...)) }
-	if p, over := t.Jobs.Final(id); over {
-		say("it is %s", map[jobs.Phase]string{jobs.Done: "done", jobs.Cancelled: "cancelled"}[p])
-		return e, true
-	}
-	j := t.Jobs.Find(id)
-	if j == nil {
-		say("no such job was accepted")
-		return e, true
-	}
-	js := jobStatus(t, j)
-	e.Job = &js
-	w := t.Snapshot(now)
-	for n, i := range t.Scheduler.JobOrder(&w) {
-		if i == j.Index {
-			e.Place = n + 1
-		}
-	}
-	if len(j.Dependents) > 0 {
-		say("jobs that wait for it: %s", strings.Join(jobIDs(t, j.Dependents), ", "))
-	}
-	if j.Priority > j.Record.Priority {
-		say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)", wire.PriorityWord(j.Priority), wire.PriorityWord(j.Record.Priority))
-	}
-	if j.Phase == jobs.Held {
-		if len(j.Dependencies) == 0 {
-			say("what it follows is not in the log any more: it is not started, and waits to be cancelled")
-			return e, true
-		}
-		say("it waits for %d of the %d jobs that it follows: %s", len(j.Dependencies), len(j.Record.Follows), strings.Join(jobIDs(t, j.Dependencies), ", "))
-		say("until they are done it is outside the order and holds nothing of its team's share")
-		return e, true
-	}
-	if n := len(j.Record.Follows); n > 0 {
-		say("the %d jobs that it follows are done; its times count from then", n)
-	}
-	if j.Phase == jobs.Cancelling {
-		say("its user has asked to cancel it %.0f s ago, and is told so once nothing of it is left anywhere: %d tasks are not proved gone, %d machines that may have some were not heard", (now - j.CancelAskedAt).Seconds(), j.Placed, j.UnresolvedMachines)
-		return e, true
-	}
-	say("%d of its %d tasks are done, %d have a place, %d wait", j.Finished, len(j.Tasks), j.Placed, j.Waiting)
-	switch {
-	case j.Record.Kind == jobs.Service:
-		say("it is a service: it gets room first, outside the order")
-	case j.Record.Kind == jobs.Gang:
-		say("it is a gang: it starts when all of its tasks fit; its size is an estimate of %.0f s of work", js.Size)
-	case js.Final && js.Size == 0 && j.Finished == 0:
-		say("it has fewer tasks than train a size: it counts as tiny, with size 0")
-	case js.Final:
-		say("its size was set by its training tasks: %.0f s of work, of which %.0f s are left in the virtual cluster", js.Size, js.Virtual)
-	default:
-		say("its training tasks have not told its size yet: it starts at %.0f s of work", js.Size)
-	}
-	if e.Place > 0 {
-		say("it is number %d in the order", e.Place)
-	}
-	for _, why := range t.Scheduler.Explain(w, j) {
-		say("%s", why)
-	}
-	return e, true
+// jobIDs are the ids of jobs given by index, sorted.
+func jobIDs(t *term.Term, indices []int32) []string {
+	var list []string
+	for _, index := range indices {
+		list = append(list, wire.FormatID(t.Jobs.At(index).Record.ID))
+	}
+	slices.Sort(list)
+	return list
 }
