--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -1,9 +1,12 @@
-// Package effects has what the core of a controller wants done, and what users and
-// workers are told. The core puts them out; adapters carry them out and bring
-// results back as inputs.
+// Package effects defines what the core of a controller wants done (effects), and the answers
+// to users and workers. It stands between the state machines and the adapters: the core emits
+// effects, the node executes them, and their results come back to the core as inputs. Nothing
+// here acts by itself.
 package effects
 
 import (
+	"net/http"
+
 	"bitternmoor/internal/core/config"
 	"bitternmoor/internal/core/eventlog"
 	"bitternmoor/internal/core/leadership"
@@ -12,117 +15,172 @@
 	"bitternmoor/internal/wire"
 )
 
-// RequestID is whoever waits for an answer; adapters map it to a connection.
+// RequestID names a request that waits for an answer; adapters map it to a connection.
 type RequestID uint64
 
-// Answer is what a user is told.
+// Answer is the answer to a user's request. It goes between controllers over net/rpc: the names
+// of its fields stay.
 type Answer struct {
-	Status     int
+	Status     int // of HTTP
 	ID         uint64
 	State      wire.JobState
-	Counts     bool
+	Counts     bool // the answer says how many tasks are done and running
 	Done       int
 	Running    int
-	Why        string
-	RetryAfter int
+	Why        string // what is wrong, where the status is an error
+	RetryAfter int    // in seconds; 0: not said
 }
 
-// HeartbeatAnswer is what a worker is told.
+// HeartbeatAnswer is the answer to a worker's heartbeat. It goes between controllers over
+// net/rpc: the names of its fields stay.
 type HeartbeatAnswer struct {
-	Status   int
-	Token    uint64
+	Status   int    // of HTTP; 421: report to Node instead
+	Token    uint64 // the fencing token
 	Commands []workers.Command
-	Node     string
-	// For the controller that holds the machine's block:
-	Offers []workers.Offer
-	Room   resources.Amounts
-	LeaseS float64
+	Node     string // the controller that the worker has to report to
+
+	// For the controller whose shard the machine is in:
+	Offers []workers.Offer   // tasks that it may start on the machine
+	Room   resources.Amounts // what the machine has free for them
+	LeaseS float64           // for how long it may, in seconds
 }
 
-// RelayedHeartbeat is a report that a controller hands to the leader. Life tells the
-// controller's processes apart: one that began anew has forgotten which
-// offers it took up.
+// RelayedHeartbeat is a worker's heartbeat that a controller relays to the leader, over net/rpc.
 type RelayedHeartbeat struct {
-	Via    string
+	Via string // the controller that relays
+	// Life is the incarnation of that controller's process: one that has restarted has
+	// forgotten which offers it started.
 	Life   int64
 	Report workers.Report
 }
 
-// Effect is something the core wants done.
+// Effect is something the core wants done. The types of this package alone are effects.
 type Effect interface{ effect() }
 
-// The effects. Each result comes back as an input of the same name.
-type (
-	Reply struct {
-		To     RequestID
-		Answer Answer
-	}
-	ReplyHeartbeat struct {
-		To     RequestID
-		Answer HeartbeatAnswer
-	}
-	RelayHeartbeat struct {
-		To     RequestID
-		Leader string
-		Report RelayedHeartbeat
-	}
-	Heartbeat struct {
-		Peer   string
-		Epoch  uint64
-		Fleet  leadership.FleetKnowledge
-		Config *config.Update // what it lacks of the configuration; nil: nothing is said of it
-	}
-	// ProbePeer asks whether a peer can be reached at all.
-	ProbePeer struct{ Peer string }
-	// AskPreviousLeader asks a peer when it last heard a leader of an epoch before this one.
-	AskPreviousLeader struct {
-		Peer  string
-		Epoch uint64
-	}
-	LeadershipRequest struct{ Request leadership.Request }
-	LoadLog           struct{ Epoch uint64 }
-	Commit            struct{ Txn eventlog.Transaction }
-	ReadBack          struct{ Key string }
-	ReadSegments      struct{ First, Count int }
-	// ReadValues reads a page of a duty's own values, those behind a key.
-	ReadValues struct{ Duty, Since string }
-	// SendStops sends stops straight to a worker, besides the answer to its next
-	// report. It has no result: nothing is concluded from it.
-	SendStops struct {
-		Address        string
-		Token, Session uint64
-		Stops          []workers.Command
-	}
-	// Dispatch sends starts straight to a worker. Its result comes back as Launched.
-	Dispatch struct {
-		Machine, Address string
-		Token, Session   uint64
-		Starts           []workers.Command
-	}
-	// ProbeWorker asks a worker for a report, which is not looked at: whether it answers comes
-	// back as Asked.
-	ProbeWorker struct{ Machine, Address string }
-	// Notify tells the operators' webhook something; the id is the same for
-	// repeats. It has no result.
-	Notify struct {
-		ID   string
-		Body []byte // JSON
-	}
-	RentMachines     struct{ Rental eventlog.Rental }
-	DeleteMachines   struct{ Machines []string }
-	ListMachines     struct{}
-	ListMachineTypes struct{}
-	LogMessage       struct {
-		Level   Level
-		Message string
-		Args    []any
-	}
-)
+// Answers.
+
+// Reply answers a user's request. It has no result.
+type Reply struct {
+	To     RequestID
+	Answer Answer
+}
+
+// ReplyHeartbeat answers a worker's heartbeat. It has no result.
+type ReplyHeartbeat struct {
+	To     RequestID
+	Answer HeartbeatAnswer
+}
+
+// Calls of other controllers.
+
+// RelayHeartbeat relays a worker's heartbeat to the leader. Its result is RelayAnswered.
+type RelayHeartbeat struct {
+	To     RequestID
+	Leader string
+	Report RelayedHeartbeat
+}
+
+// Heartbeat sends the leader's heartbeat to a peer. Its result is HeartbeatAnswered, and with
+// changes of the configuration ConfigAcknowledged besides; where there is no answer, none.
+type Heartbeat struct {
+	Peer   string
+	Epoch  uint64
+	Fleet  leadership.FleetKnowledge
+	Config *config.Update // the changes that the peer lacks; nil: nothing is said of them
+}
+
+// ProbePeer asks whether a peer can be reached at all. Its result is PeerReached.
+type ProbePeer struct{ Peer string }
+
+// AskPreviousLeader asks a peer when it last heard a leader of an epoch before this one. Its
+// result is PreviousLeaderReported.
+type AskPreviousLeader struct {
+	Peer  string
+	Epoch uint64
+}
+
+// Calls of the state service.
+
+// LeadershipRequest makes a call of the leader election. Its result depends on the action:
+// KeysRead, WatchEnded, LeaseCreated, LeadershipClaimed, LeaseRenewed, or none for a release.
+type LeadershipRequest struct{ Request leadership.Request }
+
+// LoadLog reads the whole event log for the term of that epoch, and tries again until it
+// succeeds or the term is over. Its result is LogLoaded.
+type LoadLog struct{ Epoch uint64 }
+
+// Commit commits a transaction of the event log. Its result is Committed.
+type Commit struct{ Txn eventlog.Transaction }
+
+// ReadBack reads a key again, to settle a commit without an answer. Its result is ReadBack.
+type ReadBack struct{ Key string }
 
-// Level of a note.
+// ReadSegments reads Count segments of the event log, from the one numbered First on. Its
+// result is SegmentsRead.
+type ReadSegments struct{ First, Count int }
+
+// ReadValues reads a page of a component's own values, those after the key Since. Its result
+// is ValuesRead.
+type ReadValues struct{ Duty, Since string }
+
+// Calls of workers.
+
+// SendStops sends stops straight to a worker, besides the answer to its next heartbeat. It has
+// no result: nothing is concluded from it.
+type SendStops struct {
+	Address        string
+	Token, Session uint64
+	Stops          []workers.Command
+}
+
+// Dispatch sends starts straight to a worker. Its result is Dispatched.
+type Dispatch struct {
+	Machine, Address string
+	Token, Session   uint64
+	Starts           []workers.Command
+}
+
+// ProbeWorker asks a worker for a report, which is not looked at: whether it answers is the
+// result, WorkerProbed.
+type ProbeWorker struct{ Machine, Address string }
+
+// Calls of the cloud.
+
+// RentMachines requests a rental. Its result is RentalAnswered.
+type RentMachines struct{ Rental eventlog.Rental }
+
+// DeleteMachines deletes machines by name. Its result is MachinesDeleted.
+type DeleteMachines struct{ Machines []string }
+
+// ListMachines lists the machines that the cloud has for this installation. Its result is
+// MachinesListed.
+type ListMachines struct{}
+
+// ListMachineTypes lists the machine types that can be rented. Its result is
+// MachineTypesListed.
+type ListMachineTypes struct{}
+
+// Messages for operators.
+
+// Notify sends a notification to the operators' webhook; the id is the same for repeats. It
+// has no result.
+type Notify struct {
+	ID   string
+	Body []byte // JSON
+}
+
+// LogMessage writes a structured log message. Args are keys and values, as of log/slog. It has
+// no result.
+type LogMessage struct {
+	Level   Level
+	Message string
+	Args    []any
+}
+
+// Level is the level of a LogMessage.
 type Level uint8
 
-// Levels.
+// Levels, from the least severe up.
 const (
 	Debug Level = iota
 	Info
@@ -152,5 +210,10 @@
 func (ListMachineTypes) effect()  {}
 func (LogMessage) effect()        {}
 
-// Unavailable is the answer of a node that cannot tell at present.
-func Unavailable(why string) Answer { return Answer{Status: 503, Why: why, RetryAfter: 1} }
+// unavailableRetryS is the Retry-After of Unavailable, in seconds.
+const unavailableRetryS = 1
+
+// Unavailable is the answer of a controller that cannot tell at present: 503, to be retried.
+func Unavailable(why string) Answer {
+	return Answer{Status: http.StatusServiceUnavailable, Why: why, RetryAfter: unavailableRetryS}
+}
