--- a/internal/node/leader_heartbeats.go
+++ b/internal/node/leader_heartbeats.go
@@ -103,7 +103,7 @@
 func (c *Core) PreviousLeaderReported(
 	now time.Duration, epoch uint64, peer string, previous leadership.LeaderRecord, known bool,
 ) {
-	if c.term != nil && c.term.Epoch == epoch {
+	if c.inTerm(epoch) {
 		c.term.PreviousLeaderReported(now, peer, previous, known)
 	}
 	c.advanceTerm(now)
@@ -120,7 +120,7 @@
 
 // ConfigAcknowledged takes a peer's word on the revision that it has in force.
 func (c *Core) ConfigAcknowledged(now time.Duration, epoch uint64, peer string, revision uint64) {
-	if c.term != nil && c.term.Epoch == epoch {
+	if c.inTerm(epoch) {
 		c.term.ConfigAcknowledged(now, peer, revision)
 	}
 }
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -11,48 +11,59 @@
 	"bitternmoor/internal/wire"
 )
 
-// KeysRead takes the result of leadership's Read.
-func (c *Core) KeysRead(now time.Duration, seq uint64, ok bool, v leadership.View) {
-	c.emitLeadership(c.elector.KeysRead(now, seq, ok, v))
+// Results of calls come back as inputs. Those of calls that a term asked for have its epoch:
+// they are dropped where the term is over.
+
+// inTerm says whether this node leads in the term of that epoch.
+func (c *Core) inTerm(epoch uint64) bool { return c.term != nil && c.term.Epoch == epoch }
+
+// inLoadedTerm says whether that term has read the log, besides.
+func (c *Core) inLoadedTerm(epoch uint64) bool { return c.inTerm(epoch) && c.term.Loaded() }
+
+// KeysRead takes the result of ReadKeys.
+func (c *Core) KeysRead(now time.Duration, sequence uint64, ok bool, view leadership.View) {
+	c.emitLeadership(c.elector.KeysRead(now, sequence, ok, view))
 	c.advanceTerm(now)
 }
 
-// WatchEnded takes the result of leadership's Watch.
-func (c *Core) WatchEnded(now time.Duration, seq uint64, ok bool) {
-	c.emitLeadership(c.elector.WatchEnded(now, seq, ok))
+// WatchEnded takes the result of WatchKeys.
+func (c *Core) WatchEnded(now time.Duration, sequence uint64, ok bool) {
+	c.emitLeadership(c.elector.WatchEnded(now, sequence, ok))
 	c.advanceTerm(now)
 }
 
-// LeaseCreated takes the result of leadership's Hold.
-func (c *Core) LeaseCreated(now time.Duration, seq uint64, ok bool, hold uint64) {
-	c.emitLeadership(c.elector.LeaseCreated(now, seq, ok, hold))
+// LeaseCreated takes the result of CreateLease.
+func (c *Core) LeaseCreated(now time.Duration, sequence uint64, ok bool, leaseID uint64) {
+	c.emitLeadership(c.elector.LeaseCreated(now, sequence, ok, leaseID))
 	c.advanceTerm(now)
 }
 
-// LeadershipClaimed takes the result of leadership's Claim.
-func (c *Core) LeadershipClaimed(now time.Duration, seq uint64, ok bool, mark uint64) {
-	c.emitLeadership(c.elector.LeadershipClaimed(now, seq, ok, mark))
+// LeadershipClaimed takes the result of ClaimLeadership.
+func (c *Core) LeadershipClaimed(now time.Duration, sequence uint64, ok bool, mark uint64) {
+	c.emitLeadership(c.elector.LeadershipClaimed(now, sequence, ok, mark))
 	c.advanceTerm(now)
 }
 
-// LeaseRenewed takes the result of leadership's Renew.
-func (c *Core) LeaseRenewed(now time.Duration, seq uint64, ok, gone bool) {
-	c.emitLeadership(c.elector.LeaseRenewed(now, seq, ok, gone))
+// LeaseRenewed takes the result of RenewLease; gone says that the lease has expired.
+func (c *Core) LeaseRenewed(now time.Duration, sequence uint64, ok, gone bool) {
+	c.emitLeadership(c.elector.LeaseRenewed(now, sequence, ok, gone))
 	c.advanceTerm(now)
 }
 
 // LogLoaded takes the whole log, read after the term began.
 func (c *Core) LogLoaded(now time.Duration, epoch uint64, log term.LoadedLog) {
-	if c.term != nil && c.term.Epoch == epoch && !c.term.Loaded() {
+	if c.inTerm(epoch) && !c.term.Loaded() {
 		c.term.Load(now, c.elector.EpochVersion(), log)
 	}
 	c.advanceTerm(now)
 }
 
 // Committed takes the outcome of a commit of the term.
-func (c *Core) Committed(now time.Duration, epoch, seq uint64, out eventlog.Outcome, mark uint64, failed []string) {
-	if c.term != nil && c.term.Epoch == epoch {
-		if c.term.Committed(now, c.elector.LeaseValid(now), seq, out, mark, failed) == eventlog.Lost {
+func (c *Core) Committed(
+	now time.Duration, epoch, sequence uint64, outcome eventlog.Outcome, mark uint64, failed []string,
+) {
+	if c.inTerm(epoch) {
+		if c.term.Committed(now, c.elector.LeaseValid(now), sequence, outcome, mark, failed) == eventlog.Lost {
 			c.elector.Superseded(now, c.elector.Epoch()+1)
 		}
 	}
@@ -61,7 +72,7 @@
 
 // ReadBack takes the value that settles a commit without an answer.
 func (c *Core) ReadBack(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
-	if c.term != nil && c.term.Epoch == epoch {
+	if c.inTerm(epoch) {
 		c.term.ReadBack(now, c.elector.LeaseValid(now), read, mark, value)
 	}
 	c.advanceTerm(now)
@@ -70,56 +81,58 @@
 // SegmentsRead takes the log's oldest segments, read back: from the first one on,
 // those numbered below end.
 func (c *Core) SegmentsRead(now time.Duration, epoch uint64, first, end int, read bool, entries []eventlog.Entry) {
-	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
+	if c.inLoadedTerm(epoch) {
 		c.term.SegmentsRead(now, first, end, read, entries)
 	}
 	c.advanceTerm(now)
 }
 
-// ValuesRead takes a page of a duty's own values.
-func (c *Core) ValuesRead(now time.Duration, epoch uint64, duty string, list []eventlog.Value, more, ok bool) {
-	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
-		c.term.ValuesRead(now, duty, list, more, ok)
+// ValuesRead takes a page of a component's own values.
+func (c *Core) ValuesRead(now time.Duration, epoch uint64, component string, list []eventlog.Value, more, ok bool) {
+	if c.inLoadedTerm(epoch) {
+		c.term.ValuesRead(now, component, list, more, ok)
 	}
 	c.advanceTerm(now)
 }
 
 // MachinesDeleted takes the result of a deletion.
 func (c *Core) MachinesDeleted(now time.Duration, epoch uint64, list []string, ok bool) {
-	if c.term != nil && c.term.Epoch == epoch {
+	if c.inTerm(epoch) {
 		c.term.MachinesDeleted(now, list, ok)
 	}
 	c.advanceTerm(now)
 }
 
 // WorkerProbed takes whether a silent worker that was asked has answered.
-func (c *Core) WorkerProbed(now time.Duration, epoch uint64, machine string, ok bool) {
-	if c.term != nil && c.term.Epoch == epoch {
-		c.term.WorkerProbed(machine, ok)
+func (c *Core) WorkerProbed(now time.Duration, epoch uint64, machine string, answered bool) {
+	if c.inTerm(epoch) {
+		c.term.WorkerProbed(machine, answered)
 	}
 	c.advanceTerm(now)
 }
 
 // Dispatched takes a worker's report after starts that were sent straight to it; nil: it is
 // not known what became of them.
-func (c *Core) Dispatched(now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, r *workers.Report) {
-	if c.term != nil && c.term.Epoch == epoch {
-		c.term.Dispatched(now, c.elector.LeaseValid(now), machine, token, starts, r)
+func (c *Core) Dispatched(
+	now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, report *workers.Report,
+) {
+	if c.inTerm(epoch) {
+		c.term.Dispatched(now, c.elector.LeaseValid(now), machine, token, starts, report)
 	}
 	c.advanceTerm(now)
 }
 
 // RentalAnswered takes the result of a rental request.
-func (c *Core) RentalAnswered(now time.Duration, epoch uint64, name string, machines []string, res wire.RentResult) {
-	if c.term != nil && c.term.Epoch == epoch {
-		c.term.RentalAnswered(now, name, machines, res)
+func (c *Core) RentalAnswered(now time.Duration, epoch uint64, name string, machines []string, result wire.RentResult) {
+	if c.inTerm(epoch) {
+		c.term.RentalAnswered(now, name, machines, result)
 	}
 	c.advanceTerm(now)
 }
 
 // MachineTypesListed takes the machine types; an empty list is a failure.
 func (c *Core) MachineTypesListed(now time.Duration, epoch uint64, list []eventlog.MachineType) {
-	if c.term != nil && c.term.Epoch == epoch && c.term.Loaded() {
+	if c.inLoadedTerm(epoch) {
 		c.term.MachineTypesListed(now, list)
 	}
 	c.advanceTerm(now)
@@ -127,7 +140,7 @@
 
 // MachinesListed takes the cloud's list of machines.
 func (c *Core) MachinesListed(now time.Duration, epoch uint64, list []wire.ListedMachine, ok bool) {
-	if c.term != nil && c.term.Epoch == epoch {
+	if c.inTerm(epoch) {
 		c.term.MachinesListed(now, list, ok)
 	}
 	c.advanceTerm(now)
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -14,74 +14,102 @@
 	"bitternmoor/internal/wire"
 )
 
-// loadLog reads the whole log and the sizes, trying until it succeeds or the
-// term is over.
+const (
+	// keysPageSize is how many keys are asked for at once while the log is loaded; the state
+	// service gives fewer where they are large.
+	keysPageSize = 256
+	// valuesPageSize is how many of a component's own values are read at once: nothing waits for
+	// them, and the answer should not crowd out others.
+	valuesPageSize = 16
+
+	pageTimeout = 3 * time.Second
+	// Between two attempts to load the log there are minLoadRetryDelay and a random part more.
+	minLoadRetryDelay    = 150 * time.Millisecond
+	randomLoadRetryDelay = 150 * time.Millisecond
+)
+
+// loadLog reads the whole log and the virtual sizes, trying until it succeeds or the term of
+// that epoch is over.
 func (n *Node) loadLog(epoch uint64) {
 	for {
-		durable, err := n.readDurableLog()
+		log, err := n.readDurableLog()
 		if err == nil {
-			n.enqueue(func(now time.Duration) { n.core.LogLoaded(now, epoch, durable) })
+			n.enqueue(func(now time.Duration) { n.core.LogLoaded(now, epoch, log) })
 			return
 		}
 		n.log.Warn("durable state not read", "epoch", epoch, "error", err)
-		time.Sleep(150*time.Millisecond + rand.N(150*time.Millisecond))
-		over := make(chan bool, 1)
-		n.enqueue(func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
-		if <-over {
+		time.Sleep(minLoadRetryDelay + rand.N(randomLoadRetryDelay))
+		if n.termOver(epoch) {
 			return
 		}
 	}
 }
 
+// termOver asks the loop whether the term of that epoch is over.
+func (n *Node) termOver(epoch uint64) bool {
+	over := make(chan bool, 1)
+	n.enqueue(func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
+	return <-over
+}
+
+// readDurableLog reads the segments of the log, and then the virtual sizes.
 func (n *Node) readDurableLog() (term.LoadedLog, error) {
-	var d term.LoadedLog
-	err := n.readPrefix(eventlog.Prefix, func(it wire.Item) error {
-		list, err := decodeSegment(it)
-		if err != nil {
-			return err
-		}
-		d.Entries = append(d.Entries, list...)
-		d.Last, err = eventlog.SegmentNumber(it.Key)
-		if d.First == 0 {
-			d.First = d.Last
-		}
-		return err
-	})
+	var log term.LoadedLog
+	err := n.readPrefix(eventlog.Prefix, func(item wire.Item) error { return addSegment(&log, item) })
 	if err != nil {
 		return term.LoadedLog{}, err
 	}
 	var pieces []wire.Item
-	if err := n.readPrefix(eventlog.SizesPrefix, func(it wire.Item) error { pieces = append(pieces, it); return nil }); err != nil {
+	err = n.readPrefix(eventlog.SizesPrefix, func(item wire.Item) error {
+		pieces = append(pieces, item)
+		return nil
+	})
+	if err != nil {
 		return term.LoadedLog{}, err
 	}
 	// A piece of an earlier list, by whatever version, must not overrule a newer one.
 	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Mark, b.Mark) })
-	for _, it := range pieces {
-		var v eventlog.VirtualSizes
-		if err := json.Unmarshal(it.Value, &v); err != nil {
-			return term.LoadedLog{}, fmt.Errorf("%s: %w", it.Key, err)
-		}
-		n, err := eventlog.SizesNumber(it.Key)
-		if err != nil {
+	for _, piece := range pieces {
+		if err := addSizes(&log, piece); err != nil {
 			return term.LoadedLog{}, err
 		}
-		d.Sizes = append(d.Sizes, v.Sizes...)
-		d.Pieces = max(d.Pieces, n+1)
 	}
-	return d, nil
+	return log, nil
 }
 
-// pageItems is how many keys are asked for at once; the state service gives
-// fewer where they are large.
-const keysPageSize = 256
+func addSegment(log *term.LoadedLog, item wire.Item) error {
+	entries, err := decodeSegment(item)
+	if err != nil {
+		return err
+	}
+	log.Entries = append(log.Entries, entries...)
+	log.Last, err = eventlog.SegmentNumber(item.Key)
+	if log.First == 0 {
+		log.First = log.Last
+	}
+	return err
+}
 
-// decodeSegment reads one segment.
-func decodeSegment(it wire.Item) ([]eventlog.Entry, error) {
-	list, err := eventlog.Decode(it.Value)
+func addSizes(log *term.LoadedLog, piece wire.Item) error {
+	var virtual eventlog.VirtualSizes
+	if err := json.Unmarshal(piece.Value, &virtual); err != nil {
+		return fmt.Errorf("%s: %w", piece.Key, err)
+	}
+	number, err := eventlog.SizesNumber(piece.Key)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", it.Key, err)
+		return err
 	}
-	return list, nil
+	log.Sizes = append(log.Sizes, virtual.Sizes...)
+	log.Pieces = max(log.Pieces, number+1)
+	return nil
+}
+
+func decodeSegment(item wire.Item) ([]eventlog.Entry, error) {
+	entries, err := eventlog.Decode(item.Value)
+	if err != nil {
+		return nil, fmt.Errorf("%s: %w", item.Key, err)
+	}
+	return entries, nil
 }
 
 // readSegments reads the segments numbered first to end-1; some may be missing.
@@ -91,53 +119,58 @@
 		return nil, err
 	}
 	var entries []eventlog.Entry
-	for _, it := range items {
-		if it.Key >= eventlog.SegmentKey(end) {
+	for _, item := range items {
+		if item.Key >= eventlog.SegmentKey(end) {
 			break
 		}
-		list, err := decodeSegment(it)
+		segment, err := decodeSegment(item)
 		if err != nil {
 			return nil, err
 		}
-		entries = append(entries, list...)
+		entries = append(entries, segment...)
 	}
 	return entries, nil
 }
 
-// pageValues is how many of a duty's own values are read at once: nothing waits for
-// them, and the answer should not crowd out others.
-const valuesPageSize = 16
-
-// readValues reads a page of a duty's own values.
-func (n *Node) readValues(ctx context.Context, duty, since string) ([]eventlog.Value, bool, error) {
-	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(duty), since, valuesPageSize)
+// readValues reads the page of a component's own values after the key since; more says whether
+// there are further ones.
+func (n *Node) readValues(
+	ctx context.Context, component, since string,
+) (values []eventlog.Value, more bool, err error) {
+	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(component), since, valuesPageSize)
 	if err != nil {
 		return nil, false, err
 	}
-	list := make([]eventlog.Value, len(items))
-	for i, it := range items {
-		list[i] = eventlog.Value{Key: it.Key, Data: it.Value}
+	values = make([]eventlog.Value, len(items))
+	for i, item := range items {
+		values[i] = eventlog.Value{Key: item.Key, Data: item.Value}
 	}
-	return list, more && len(items) > 0, nil
+	return values, more && len(items) > 0, nil
 }
 
+// readPrefix reads all keys with a prefix in order, page after page.
 func (n *Node) readPrefix(prefix string, each func(wire.Item) error) error {
 	since := ""
 	for {
-		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		items, more, _, err := n.state.List(ctx, prefix, since, keysPageSize)
-		cancel()
+		items, more, err := n.readPage(prefix, since)
 		if err != nil {
 			return err
 		}
-		for _, it := range items {
-			if err := each(it); err != nil {
+		for _, item := range items {
+			if err := each(item); err != nil {
 				return err
 			}
-			since = it.Key
+			since = item.Key
 		}
 		if !more || len(items) == 0 {
 			return nil
 		}
 	}
 }
+
+func (n *Node) readPage(prefix, since string) (items []wire.Item, more bool, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), pageTimeout)
+	defer cancel()
+	items, more, _, err = n.state.List(ctx, prefix, since, keysPageSize)
+	return items, more, err
+}
