--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -78,7 +79,7 @@
 }
 
 // callLocalOrLeader answers on this node's loop if local says that it can, and otherwise calls
-// the leader: in and out are the RPC's.
+// the leader, within peerTimeout: in and out are the RPC's.
 func (n *Node) callLocalOrLeader(method string, in, out any, local func(now time.Duration) (answered bool)) error {
 	var answered bool
 	if err := n.runOnLoop(func(now time.Duration) { answered = local(now) }); err != nil {
@@ -91,7 +92,7 @@
 	if leader == nil {
 		return errLeaderUnknown
 	}
-	return leader.call(method, in, out)
+	return leader.call(context.Background(), method, in, out)
 }
 
 // Show serves a peer's operator who looks at a component.
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -27,78 +27,88 @@
 const maxFailureDelay = 60 * time.Millisecond
 
 // execute carries out an effect. It runs on the loop and never waits: calls are made by
-// goroutines, and their results come back as inputs.
-func (n *Node) execute(effect effects.Effect) {
+// goroutines that end with the context, and their results come back as inputs.
+func (n *Node) execute(ctx context.Context, effect effects.Effect) {
 	switch e := effect.(type) {
 	case effects.Reply:
 		n.replyToUser(e)
 	case effects.ReplyHeartbeat:
 		n.replyToHeartbeat(e)
 	case effects.RelayHeartbeat:
-		n.relayHeartbeat(e)
+		n.relayHeartbeat(ctx, e)
 	case effects.Heartbeat:
-		n.sendHeartbeat(e)
+		n.sendHeartbeat(ctx, e)
 	case effects.ProbePeer:
-		n.probePeer(e)
+		n.probePeer(ctx, e)
 	case effects.AskPreviousLeader:
-		n.askPreviousLeader(e)
+		n.askPreviousLeader(ctx, e)
 	case effects.LeadershipRequest:
-		go n.executeLeadership(e.Request)
+		n.calls.Go(func() { n.executeLeadership(ctx, e.Request) })
 	case effects.LoadLog:
-		go n.loadLog(e.Epoch)
+		n.calls.Go(func() { n.loadLog(ctx, e.Epoch) })
 	case effects.SendStops:
-		n.sendStops(e)
+		n.sendStops(ctx, e)
 	case effects.Notify:
 		n.notify(e)
 	case effects.LogMessage:
-		n.logMessage(e)
+		n.logMessage(ctx, e)
 	default:
-		n.executeForTerm(n.core.Epoch(), effect)
+		n.executeForTerm(ctx, n.core.Epoch(), effect)
 	}
 }
 
 // executeForTerm carries out an effect of the term of that epoch. The result comes back with
 // the epoch, so that the core can drop results of an earlier term.
-func (n *Node) executeForTerm(epoch uint64, effect effects.Effect) {
+func (n *Node) executeForTerm(ctx context.Context, epoch uint64, effect effects.Effect) {
 	switch e := effect.(type) {
 	case effects.Commit:
-		n.commit(epoch, e)
+		n.commit(ctx, epoch, e)
 	case effects.ReadBack:
-		n.readBack(epoch, e)
+		n.readBack(ctx, epoch, e)
 	case effects.ReadSegments:
-		n.readSegmentsAgain(epoch, e)
+		n.readSegmentsAgain(ctx, epoch, e)
 	case effects.ReadValues:
-		n.readComponentValues(epoch, e)
+		n.readComponentValues(ctx, epoch, e)
 	case effects.ProbeWorker:
-		n.probeWorker(epoch, e)
+		n.probeWorker(ctx, epoch, e)
 	case effects.Dispatch:
-		n.dispatch(epoch, e)
+		n.dispatch(ctx, epoch, e)
 	case effects.RentMachines:
-		n.rentMachines(epoch, e)
+		n.rentMachines(ctx, epoch, e)
 	case effects.DeleteMachines:
-		n.deleteMachines(epoch, e)
+		n.deleteMachines(ctx, epoch, e)
 	case effects.ListMachines:
-		n.listMachines(epoch)
+		n.listMachines(ctx, epoch)
 	case effects.ListMachineTypes:
-		n.listMachineTypes(epoch)
+		n.listMachineTypes(ctx, epoch)
 	}
 }
 
 // callExternal makes a call with a deadline on a goroutine; what the call returns is the
 // input that brings its result to the core.
-func (n *Node) callExternal(timeout time.Duration, call func(ctx context.Context) input) {
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), timeout)
+func (n *Node) callExternal(ctx context.Context, timeout time.Duration, call func(ctx context.Context) input) {
+	n.calls.Go(func() {
+		callCtx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
-		n.enqueue(call(ctx))
-	}()
+		n.enqueue(ctx, call(callCtx))
+	})
 }
 
 // sleepAfterFailure spreads what is retried after a failure: the core has no randomness of
 // its own, so controllers would otherwise retry in step.
-func sleepAfterFailure(ok bool) {
+func sleepAfterFailure(ctx context.Context, ok bool) {
 	if !ok {
-		time.Sleep(rand.N(maxFailureDelay))
+		sleep(ctx, rand.N(maxFailureDelay))
+	}
+}
+
+// sleep waits for the duration, or until the context ends.
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+	case <-ctx.Done():
 	}
 }
 
@@ -122,91 +132,93 @@
 	}
 }
 
-func (n *Node) logMessage(e effects.LogMessage) {
+func (n *Node) logMessage(ctx context.Context, e effects.LogMessage) {
 	levels := [...]slog.Level{
 		effects.Debug: slog.LevelDebug,
 		effects.Info:  slog.LevelInfo,
 		effects.Warn:  slog.LevelWarn,
 		effects.Error: slog.LevelError,
 	}
-	n.log.Log(context.Background(), levels[e.Level], e.Message, e.Args...)
+	n.log.Log(ctx, levels[e.Level], e.Message, e.Args...)
 }
 
 // relayHeartbeat hands a worker's heartbeat to the leader.
-func (n *Node) relayHeartbeat(e effects.RelayHeartbeat) {
+func (n *Node) relayHeartbeat(ctx context.Context, e effects.RelayHeartbeat) {
 	leader := n.peers[e.Leader]
-	go func() {
+	n.calls.Go(func() {
 		var answer effects.HeartbeatAnswer
 		ok := leader != nil
 		if ok {
-			if err := leader.call("Controller.Relay", e.Report, &answer); err != nil {
+			if err := leader.call(ctx, "Controller.Relay", e.Report, &answer); err != nil {
 				n.log.Debug("leader not reached", "leader", e.Leader, "error", err)
 				ok = false
 			}
 		}
-		n.enqueue(func(now time.Duration) { n.core.RelayAnswered(now, e.To, answer, ok) })
-	}()
+		n.enqueue(ctx, func(now time.Duration) { n.core.RelayAnswered(now, e.To, answer, ok) })
+	})
 }
 
 // sendHeartbeat sends a leader's heartbeat to a peer, with the changes of the configuration
 // that the peer lacks, if there are any.
-func (n *Node) sendHeartbeat(e effects.Heartbeat) {
+func (n *Node) sendHeartbeat(ctx context.Context, e effects.Heartbeat) {
 	p := n.peers[e.Peer]
 	if p == nil {
 		return
 	}
 	message := HeartbeatMessage{Node: n.settings.Node, Epoch: e.Epoch, Fleet: e.Fleet}
-	go func() {
-		if e.Config == nil || n.sendConfigHeartbeat(p, e, message) {
-			n.sendPlainHeartbeat(p, e.Peer, message)
+	n.calls.Go(func() {
+		if e.Config == nil || n.sendConfigHeartbeat(ctx, p, e, message) {
+			n.sendPlainHeartbeat(ctx, p, e.Peer, message)
 		}
-	}()
+	})
 }
 
 // sendConfigHeartbeat sends a heartbeat with changes of the configuration. It says whether a
 // plain heartbeat has to follow: a peer of an older version does not know this call.
-func (n *Node) sendConfigHeartbeat(p *peer, e effects.Heartbeat, message HeartbeatMessage) (plainToo bool) {
+func (n *Node) sendConfigHeartbeat(
+	ctx context.Context, p *peer, e effects.Heartbeat, message HeartbeatMessage,
+) (plainToo bool) {
 	var answer ConfigAnswer
 	in := ConfigHeartbeatMessage{Heartbeat: message, Update: *e.Config}
-	if err := p.call("Controller.ConfigHeartbeat", in, &answer); err != nil {
+	if err := p.call(ctx, "Controller.ConfigHeartbeat", in, &answer); err != nil {
 		var remote rpc.ServerError
 		return errors.As(err, &remote)
 	}
-	n.enqueue(func(now time.Duration) {
+	n.enqueue(ctx, func(now time.Duration) {
 		n.core.HeartbeatAnswered(now, e.Peer)
 		n.core.ConfigAcknowledged(now, e.Epoch, e.Peer, answer.Revision)
 	})
 	return false
 }
 
-func (n *Node) sendPlainHeartbeat(p *peer, name string, message HeartbeatMessage) {
-	if err := p.call("Controller.Hail", message, new(bool)); err == nil {
-		n.enqueue(func(now time.Duration) { n.core.HeartbeatAnswered(now, name) })
+func (n *Node) sendPlainHeartbeat(ctx context.Context, p *peer, name string, message HeartbeatMessage) {
+	if err := p.call(ctx, "Controller.Hail", message, new(bool)); err == nil {
+		n.enqueue(ctx, func(now time.Duration) { n.core.HeartbeatAnswered(now, name) })
 	}
 }
 
-func (n *Node) probePeer(e effects.ProbePeer) {
+func (n *Node) probePeer(ctx context.Context, e effects.ProbePeer) {
 	p := n.peers[e.Peer]
 	if p == nil {
 		return
 	}
-	go func() {
-		ok := p.reachable()
-		n.enqueue(func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
-	}()
+	n.calls.Go(func() {
+		ok := p.reachable(ctx)
+		n.enqueue(ctx, func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
+	})
 }
 
 // askPreviousLeader asks a peer for the leader before this epoch. The answer's times are
 // durations before now, so that they can be placed on this node's clock.
-func (n *Node) askPreviousLeader(e effects.AskPreviousLeader) {
+func (n *Node) askPreviousLeader(ctx context.Context, e effects.AskPreviousLeader) {
 	p := n.peers[e.Peer]
 	if p == nil {
 		return
 	}
-	go func() {
+	n.calls.Go(func() {
 		var answer PreviousLeaderAnswer
-		err := p.call("Controller.LedBefore", e.Epoch, &answer)
-		n.enqueue(func(now time.Duration) {
+		err := p.call(ctx, "Controller.LedBefore", e.Epoch, &answer)
+		n.enqueue(ctx, func(now time.Duration) {
 			until := now - time.Duration(answer.AgoMS)*time.Millisecond
 			n.core.PreviousLeaderReported(now, e.Epoch, e.Peer, leadership.LeaderRecord{
 				Ever:  answer.Ever,
@@ -215,53 +227,53 @@
 				Fleet: answer.Fleet,
 			}, err == nil)
 		})
-	}()
+	})
 }
 
 // sendStops sends stops straight to a worker, unless enough direct calls are under way: the
 // answer to the worker's next heartbeat has the stops too.
-func (n *Node) sendStops(e effects.SendStops) {
+func (n *Node) sendStops(ctx context.Context, e effects.SendStops) {
 	select {
 	case n.directCalls <- struct{}{}:
 	default:
 		return
 	}
-	go func() {
+	n.calls.Go(func() {
 		defer func() { <-n.directCalls }()
-		ctx, cancel := context.WithTimeout(context.Background(), stopsTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, stopsTimeout)
 		defer cancel()
 		body := wire.EncodeDirectCommands(e.Token, e.Session, e.Stops)
-		if _, err := n.workers.SendCommands(ctx, e.Address, body); err != nil {
+		if _, err := n.workers.SendCommands(callCtx, e.Address, body); err != nil {
 			n.log.Debug("worker not reached", "address", e.Address, "error", err)
 		}
-	}()
+	})
 }
 
-func (n *Node) commit(epoch uint64, e effects.Commit) {
-	n.callExternal(stateTimeout, func(ctx context.Context) input {
+func (n *Node) commit(ctx context.Context, epoch uint64, e effects.Commit) {
+	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		outcome, mark, failed := n.state.Commit(ctx, e.Txn)
-		sleepAfterFailure(outcome == eventlog.Applied || outcome == eventlog.Conflict)
+		sleepAfterFailure(ctx, outcome == eventlog.Applied || outcome == eventlog.Conflict)
 		return func(now time.Duration) { n.core.Committed(now, epoch, e.Txn.Sequence, outcome, mark, failed) }
 	})
 }
 
-func (n *Node) readBack(epoch uint64, e effects.ReadBack) {
-	n.callExternal(stateTimeout, func(ctx context.Context) input {
+func (n *Node) readBack(ctx context.Context, epoch uint64, e effects.ReadBack) {
+	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		item, err := n.state.Get(ctx, e.Key)
 		return func(now time.Duration) { n.core.ReadBack(now, epoch, err == nil, item.Mark, item.Value) }
 	})
 }
 
-func (n *Node) readSegmentsAgain(epoch uint64, e effects.ReadSegments) {
+func (n *Node) readSegmentsAgain(ctx context.Context, epoch uint64, e effects.ReadSegments) {
 	end := e.First + e.Count
-	n.callExternal(stateTimeout, func(ctx context.Context) input {
+	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		entries, err := n.readSegments(ctx, e.First, end)
 		return func(now time.Duration) { n.core.SegmentsRead(now, epoch, e.First, end, err == nil, entries) }
 	})
 }
 
-func (n *Node) readComponentValues(epoch uint64, e effects.ReadValues) {
-	n.callExternal(stateTimeout, func(ctx context.Context) input {
+func (n *Node) readComponentValues(ctx context.Context, epoch uint64, e effects.ReadValues) {
+	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		values, more, err := n.readValues(ctx, e.Duty, e.Since)
 		if err != nil {
 			n.log.Debug("values not read", "component", e.Duty, "error", err)
@@ -270,16 +282,16 @@
 	})
 }
 
-func (n *Node) probeWorker(epoch uint64, e effects.ProbeWorker) {
-	n.callExternal(dispatchTimeout, func(ctx context.Context) input {
+func (n *Node) probeWorker(ctx context.Context, epoch uint64, e effects.ProbeWorker) {
+	n.callExternal(ctx, dispatchTimeout, func(ctx context.Context) input {
 		ok := n.workers.Probe(ctx, e.Address)
 		return func(now time.Duration) { n.core.WorkerProbed(now, epoch, e.Machine, ok) }
 	})
 }
 
 // dispatch sends starts straight to a worker. The leader bounds how many are under way.
-func (n *Node) dispatch(epoch uint64, e effects.Dispatch) {
-	n.callExternal(dispatchTimeout, func(ctx context.Context) input {
+func (n *Node) dispatch(ctx context.Context, epoch uint64, e effects.Dispatch) {
+	n.callExternal(ctx, dispatchTimeout, func(ctx context.Context) input {
 		body := wire.EncodeDirectCommands(e.Token, e.Session, e.Starts)
 		report, err := n.workers.SendCommands(ctx, e.Address, body)
 		if err != nil {
@@ -289,29 +301,29 @@
 	})
 }
 
-func (n *Node) rentMachines(epoch uint64, e effects.RentMachines) {
-	n.callExternal(cloudTimeout, func(ctx context.Context) input {
+func (n *Node) rentMachines(ctx context.Context, epoch uint64, e effects.RentMachines) {
+	n.callExternal(ctx, cloudTimeout, func(ctx context.Context) input {
 		machines, result := n.cloud.Rent(ctx, e.Rental)
 		return func(now time.Duration) { n.core.RentalAnswered(now, epoch, e.Rental.Name, machines, result) }
 	})
 }
 
-func (n *Node) deleteMachines(epoch uint64, e effects.DeleteMachines) {
-	n.callExternal(cloudTimeout, func(ctx context.Context) input {
+func (n *Node) deleteMachines(ctx context.Context, epoch uint64, e effects.DeleteMachines) {
+	n.callExternal(ctx, cloudTimeout, func(ctx context.Context) input {
 		ok := n.cloud.Delete(ctx, e.Machines)
 		return func(now time.Duration) { n.core.MachinesDeleted(now, epoch, e.Machines, ok) }
 	})
 }
 
-func (n *Node) listMachines(epoch uint64) {
-	n.callExternal(cloudTimeout, func(ctx context.Context) input {
+func (n *Node) listMachines(ctx context.Context, epoch uint64) {
+	n.callExternal(ctx, cloudTimeout, func(ctx context.Context) input {
 		machines, err := n.cloud.List(ctx)
 		return func(now time.Duration) { n.core.MachinesListed(now, epoch, machines, err == nil) }
 	})
 }
 
-func (n *Node) listMachineTypes(epoch uint64) {
-	n.callExternal(cloudTimeout, func(ctx context.Context) input {
+func (n *Node) listMachineTypes(ctx context.Context, epoch uint64) {
+	n.callExternal(ctx, cloudTimeout, func(ctx context.Context) input {
 		types, err := n.cloud.Types(ctx)
 		if err != nil {
 			n.log.Debug("machine types not read", "error", err)
--- a/internal/node/execute_leadership.go
+++ b/internal/node/execute_leadership.go
@@ -17,33 +17,33 @@
 
 // executeLeadership makes one call of the leader election to the state service, and feeds its
 // result to the core.
-func (n *Node) executeLeadership(request leadership.Request) {
+func (n *Node) executeLeadership(ctx context.Context, request leadership.Request) {
 	timeout := stateTimeout
 	if request.Action == leadership.WatchKeys {
 		timeout = watchDuration + watchGrace
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), timeout)
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	switch request.Action {
 	case leadership.ReadKeys:
-		view, err := n.state.ReadLeadership(ctx)
-		sleepAfterFailure(err == nil)
-		n.enqueue(func(now time.Duration) { n.core.KeysRead(now, request.Sequence, err == nil, view) })
+		view, err := n.state.ReadLeadership(callCtx)
+		sleepAfterFailure(ctx, err == nil)
+		n.enqueue(ctx, func(now time.Duration) { n.core.KeysRead(now, request.Sequence, err == nil, view) })
 	case leadership.WatchKeys:
-		ok := n.state.Watch(ctx, leadership.Prefix, request.Revision, watchDuration)
-		n.enqueue(func(now time.Duration) { n.core.WatchEnded(now, request.Sequence, ok) })
+		ok := n.state.Watch(callCtx, leadership.Prefix, request.Revision, watchDuration)
+		n.enqueue(ctx, func(now time.Duration) { n.core.WatchEnded(now, request.Sequence, ok) })
 	case leadership.CreateLease:
-		id, ok := n.state.CreateLease(ctx, settings.Seconds(n.settings.Tunables.LeaderHoldS))
-		sleepAfterFailure(ok)
-		n.enqueue(func(now time.Duration) { n.core.LeaseCreated(now, request.Sequence, ok, id) })
+		id, ok := n.state.CreateLease(callCtx, settings.Seconds(n.settings.Tunables.LeaderHoldS))
+		sleepAfterFailure(ctx, ok)
+		n.enqueue(ctx, func(now time.Duration) { n.core.LeaseCreated(now, request.Sequence, ok, id) })
 	case leadership.ClaimLeadership:
-		ok, mark := n.state.Claim(ctx, n.settings.Node, request.View, request.LeaseID)
-		sleepAfterFailure(ok)
-		n.enqueue(func(now time.Duration) { n.core.LeadershipClaimed(now, request.Sequence, ok, mark) })
+		ok, mark := n.state.Claim(callCtx, n.settings.Node, request.View, request.LeaseID)
+		sleepAfterFailure(ctx, ok)
+		n.enqueue(ctx, func(now time.Duration) { n.core.LeadershipClaimed(now, request.Sequence, ok, mark) })
 	case leadership.RenewLease:
-		ok, gone := n.state.RenewLease(ctx, request.LeaseID)
-		n.enqueue(func(now time.Duration) { n.core.LeaseRenewed(now, request.Sequence, ok, gone) })
+		ok, gone := n.state.RenewLease(callCtx, request.LeaseID)
+		n.enqueue(ctx, func(now time.Duration) { n.core.LeaseRenewed(now, request.Sequence, ok, gone) })
 	case leadership.ReleaseLease:
-		n.state.ReleaseLease(ctx, request.LeaseID)
+		n.state.ReleaseLease(callCtx, request.LeaseID)
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -32,14 +32,27 @@
 	takenAt     time.Duration // when the loop's last turn ended
 }
 
-// loop is the only goroutine that touches the core. It runs until the context ends.
-func (n *Node) loop(ctx context.Context) {
+// runLoop runs the loop until the context ends, and then ends the calls that it has begun. They
+// outlive the context for as long as the loop takes to give up leadership.
+func (n *Node) runLoop(ctx context.Context) {
+	callsCtx, cancelCalls := context.WithCancel(context.WithoutCancel(ctx))
+	n.loop(ctx, callsCtx)
+	cancelCalls()
+	n.calls.Wait()
+	for _, p := range n.peers {
+		p.close()
+	}
+}
+
+// loop is the only goroutine that touches the core. It runs until ctx ends; the calls it begins
+// run in callsCtx.
+func (n *Node) loop(ctx, callsCtx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
-			n.stopCore()
+			n.stopCore(callsCtx)
 			return
 		case in := <-n.inputs:
 			in(time.Since(n.start))
@@ -47,7 +60,7 @@
 			n.core.Tick(time.Since(n.start))
 		}
 		for _, e := range n.core.TakeEffects() {
-			n.execute(e)
+			n.execute(callsCtx, e)
 		}
 		n.takeSnapshot()
 	}
@@ -66,23 +79,29 @@
 
 // stopCore gives up leadership and answers the users who wait. Other effects are dropped: as
 // after a crash, the next leader's term starts from the log.
-func (n *Node) stopCore() {
+func (n *Node) stopCore(ctx context.Context) {
 	n.core.Stop(time.Since(n.start))
 	for _, effect := range n.core.TakeEffects() {
 		switch e := effect.(type) {
 		case effects.LeadershipRequest:
 			if e.Request.Action == leadership.ReleaseLease {
-				n.executeLeadership(e.Request)
+				n.executeLeadership(ctx, e.Request)
 			}
 		case effects.Reply:
-			n.execute(e)
+			n.execute(ctx, e)
 		}
 	}
 	n.log.Info("ended", "node", n.settings.Node)
 }
 
-// enqueue feeds an input to the loop, and waits while its queue is full.
-func (n *Node) enqueue(in input) { n.inputs <- in }
+// enqueue feeds an input to the loop, and waits while its queue is full. The input is dropped
+// when the context ends: nobody reads the queue then.
+func (n *Node) enqueue(ctx context.Context, in input) {
+	select {
+	case n.inputs <- in:
+	case <-ctx.Done():
+	}
+}
 
 // tryEnqueue feeds an input to the loop, or returns errLoopBusy when its queue is full.
 func (n *Node) tryEnqueue(in input) error {
--- a/internal/node/message_checks_test.go
+++ b/internal/node/message_checks_test.go
@@ -83,7 +83,7 @@
 		for f := range n.inputs {
 			f(time.Second)
 			for _, e := range n.core.TakeEffects() {
-				n.execute(e)
+				n.execute(t.Context(), e)
 			}
 		}
 	}()
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -7,16 +7,11 @@
 import (
 	"context"
 	"fmt"
-	"log"
 	"log/slog"
-	"net"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
 
-	"golang.org/x/net/netutil"
-
 	"bitternmoor/internal/core/admission"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/operators/webhook"
@@ -24,21 +19,6 @@
 	"bitternmoor/internal/wire"
 )
 
-// Limits of the HTTP servers.
-const (
-	readHeaderTimeout = 5 * time.Second
-	readTimeout       = 10 * time.Second
-	writeTimeout      = 10 * time.Second
-	idleTimeout       = 60 * time.Second
-	maxHeaderBytes    = 8 << 10
-
-	maxInternalConnections = 32
-	minPublicConnections   = 16
-	// reservedSockets are kept of the process's file descriptors for peers, the state service,
-	// the cloud and workers.
-	reservedSockets = 80
-)
-
 // Bounds of queues.
 const (
 	inputQueueLength = 512
@@ -68,6 +48,7 @@
 	peers       map[string]*peer
 	notifier    *webhook.Sender // nil: operators are notified by logs alone
 	directCalls chan struct{}   // a semaphore: SendStops calls under way
+	calls       sync.WaitGroup  // goroutines of calls; the loop begins them, runLoop ends them
 
 	receiptKeys     receiptKeyCache
 	refusedMessages atomic.Uint64 // messages of other controllers that failed validation
@@ -106,83 +87,44 @@
 	return n
 }
 
-// Run serves until the context ends or a listener fails.
+// Run serves until the context ends or a listener fails. It ends the goroutines that it has
+// begun, and waits for them; those of net/http and net/rpc for connections end by themselves.
 func (n *Node) Run(ctx context.Context) error {
-	public, err := net.Listen("tcp4", n.settings.PublicAddr)
-	if err != nil {
-		return fmt.Errorf("node: public_addr: %w", err)
+	ctx, stop := context.WithCancel(ctx)
+	var owned sync.WaitGroup
+	defer owned.Wait()
+	defer stop()
+	var servers []*server
+	for _, open := range []func() (*server, error){n.openPublic, n.openInternal, n.openOperators} {
+		s, err := open()
+		if err != nil {
+			return err
+		}
+		if s != nil {
+			servers = append(servers, s)
+			defer s.close()
+		}
 	}
-	internal, err := net.Listen("tcp4", n.settings.InternalAddr)
-	if err != nil {
-		return fmt.Errorf("node: internal_addr: %w", err)
+	failed := make(chan error, len(servers))
+	for _, s := range servers {
+		owned.Go(func() { failed <- s.serve() })
+		if s.background != nil {
+			owned.Go(func() { s.background(ctx) })
+		}
 	}
-	failed := make(chan error, 3)
-	publicServer := n.newServer(n.publicHandler())
-	go func() { failed <- publicServer.Serve(netutil.LimitListener(public, n.maxPublicConnections())) }()
-	internalServer, err := n.internalServer()
-	if err != nil {
-		return err
-	}
-	go func() { failed <- internalServer.Serve(netutil.LimitListener(internal, maxInternalConnections)) }()
-	closeOperators, err := n.serveOperators(ctx, failed)
-	if err != nil {
-		return err
-	}
-	defer closeOperators()
 	if n.notifier != nil {
-		go n.notifier.Run(ctx)
+		owned.Go(func() { n.notifier.Run(ctx) })
 	}
-	done := make(chan struct{})
-	go func() { n.loop(ctx); close(done) }()
+	owned.Go(func() { n.runLoop(ctx) })
 	n.log.Info("serving", "node", n.settings.Node, "zone", n.settings.Zone,
 		"public", n.settings.PublicAddr, "internal", n.settings.InternalAddr)
+	var err error
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
 	}
-	_ = publicServer.Close()
-	_ = internalServer.Close()
 	if ctx.Err() != nil {
-		<-done
 		return nil
 	}
 	return fmt.Errorf("node: serving: %w", err)
 }
-
-// maxPublicConnections leaves file descriptors for the calls this controller makes itself.
-func (n *Node) maxPublicConnections() int {
-	return max(minPublicConnections, n.settings.Deployment.MachineLimits.FDLimit-reservedSockets)
-}
-
-// newServer has the timeouts and bounds of a server whose requests are short.
-func (n *Node) newServer(handler http.Handler) *http.Server {
-	return &http.Server{
-		Handler:           handler,
-		ReadHeaderTimeout: readHeaderTimeout,
-		ReadTimeout:       readTimeout,
-		WriteTimeout:      writeTimeout,
-		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          n.serverLog(),
-	}
-}
-
-// internalServer has no read and write timeouts: peers' RPC connections stay open.
-func (n *Node) internalServer() (*http.Server, error) {
-	handler, err := n.internalHandler()
-	if err != nil {
-		return nil, err
-	}
-	return &http.Server{
-		Handler:           handler,
-		ReadHeaderTimeout: readHeaderTimeout,
-		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeaderBytes,
-		ErrorLog:          n.serverLog(),
-	}, nil
-}
-
-// serverLog logs what net/http complains of at debug level: most of it is clients that went.
-func (n *Node) serverLog() *log.Logger {
-	return slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)
-}
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"context"
 	"fmt"
 	"net"
 
@@ -14,12 +13,12 @@
 // maxOperatorConnections bounds the connections of the operators' listener.
 const maxOperatorConnections = 16
 
-// serveOperators serves those who may change something, over TLS with client certificates,
-// until the returned function is called. It does nothing where no listener is configured.
-func (n *Node) serveOperators(ctx context.Context, failed chan<- error) (closeServer func(), err error) {
+// openOperators opens the server of those who may change something, over TLS with client
+// certificates; nil where none is configured.
+func (n *Node) openOperators() (*server, error) {
 	access := n.settings.Tunables.Operators()
 	if access.Listen == "" {
-		return func() {}, nil
+		return nil, nil
 	}
 	files := certs.Files{Cert: access.CertFile, Key: access.KeyFile, CA: access.CAFile}
 	store, err := certs.NewStore(files, n.log)
@@ -30,16 +29,18 @@
 	if err != nil {
 		return nil, fmt.Errorf("node: operators.listen: %w", err)
 	}
-	go store.Watch(ctx)
 	roles := control.Roles{
 		Read:     access.Read,
 		Operate:  access.Operate,
 		Admin:    access.Admin,
 		Operable: certificateOnly,
 	}
-	server := n.newServer(control.Handler(n, roles))
-	server.TLSConfig = store.Server()
-	go func() { failed <- server.ServeTLS(netutil.LimitListener(listener, maxOperatorConnections), "", "") }()
+	httpServer := n.newServer(control.Handler(n, roles))
+	httpServer.TLSConfig = store.Server()
 	n.log.Info("operators may change things", "listen", listener.Addr().String())
-	return func() { _ = server.Close() }, nil // the process is ending
+	return &server{
+		http:       httpServer,
+		listener:   netutil.LimitListener(listener, maxOperatorConnections),
+		background: store.Watch,
+	}, nil
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -33,11 +34,11 @@
 // call makes one call with a deadline, which net/rpc itself does not have. Errors of the
 // remote method are rpc.ServerError; after any other the connection is closed, since it may
 // have missed the deadline.
-func (p *peer) call(method string, in, out any) error {
+func (p *peer) call(ctx context.Context, method string, in, out any) error {
 	began := time.Now()
 	deadline := time.NewTimer(peerTimeout)
 	defer deadline.Stop()
-	client, err := p.connect()
+	client, err := p.connect(ctx)
 	if err != nil {
 		return err
 	}
@@ -49,6 +50,8 @@
 		}
 	case <-deadline.C:
 		err = fmt.Errorf("node: %s: no answer in %v", p.address, peerTimeout)
+	case <-ctx.Done():
+		err = fmt.Errorf("node: %s: %w", p.address, ctx.Err())
 	}
 	var remote rpc.ServerError
 	if err != nil && !errors.As(err, &remote) && p.client.CompareAndSwap(client, nil) {
@@ -59,11 +62,11 @@
 
 // connect returns the connection to the peer, opening it if there is none. Of two that are
 // opened at once, one is kept.
-func (p *peer) connect() (*rpc.Client, error) {
+func (p *peer) connect(ctx context.Context) (*rpc.Client, error) {
 	if client := p.client.Load(); client != nil {
 		return client, nil
 	}
-	fresh, err := dialPeer(p.address)
+	fresh, err := dialPeer(ctx, p.address)
 	if err != nil {
 		return nil, err
 	}
@@ -77,20 +80,31 @@
 	return nil, errors.New("node: the peer's connection was just lost")
 }
 
+// close closes the connection, if there is one.
+func (p *peer) close() {
+	if client := p.client.Swap(nil); client != nil {
+		_ = client.Close() // it fails only where the connection is closed already
+	}
+}
+
 // reachable says whether a peer answers. Whether it knows the method does not matter: an
 // error of its own is an answer too.
-func (p *peer) reachable() bool {
-	err := p.call("Controller.Here", struct{}{}, new(bool))
+func (p *peer) reachable(ctx context.Context) bool {
+	err := p.call(ctx, "Controller.Here", struct{}{}, new(bool))
 	var remote rpc.ServerError
 	return err == nil || errors.As(err, &remote)
 }
 
 // dialPeer opens a connection for calls, as rpc.DialHTTPPath does, but with deadlines.
-func dialPeer(address string) (*rpc.Client, error) {
-	conn, err := net.DialTimeout("tcp4", address, peerDialTimeout)
+func dialPeer(ctx context.Context, address string) (*rpc.Client, error) {
+	dialer := net.Dialer{Timeout: peerDialTimeout}
+	conn, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
+	interrupt := func() { _ = conn.SetDeadline(time.Now()) } // it fails only on a closed connection
+	stop := context.AfterFunc(ctx, interrupt)
+	defer stop()
 	if err := greetPeer(conn); err != nil {
 		_ = conn.Close() // the error that counts is the greeting's
 		return nil, fmt.Errorf("node: %s: %w", address, err)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"context"
 	"errors"
 	"net/http"
 	"net/rpc"
@@ -51,7 +52,8 @@
 		return effects.Unavailable("no leader at present")
 	}
 	var answer effects.Answer
-	if err := leader.call(forwardMethod(in), in, &answer); err != nil {
+	// Not the request's context: a user that goes does not mean that the leader is not reached.
+	if err := leader.call(context.Background(), forwardMethod(in), in, &answer); err != nil {
 		n.log.Debug("leader not reached", "leader", snapshot.leader, "error", err)
 		var remote rpc.ServerError
 		if !errors.As(err, &remote) {
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -30,37 +30,42 @@
 
 // loadLog reads the whole log and the virtual sizes, trying until it succeeds or the term of
 // that epoch is over.
-func (n *Node) loadLog(epoch uint64) {
+func (n *Node) loadLog(ctx context.Context, epoch uint64) {
 	for {
-		log, err := n.readDurableLog()
+		log, err := n.readDurableLog(ctx)
 		if err == nil {
-			n.enqueue(func(now time.Duration) { n.core.LogLoaded(now, epoch, log) })
+			n.enqueue(ctx, func(now time.Duration) { n.core.LogLoaded(now, epoch, log) })
 			return
 		}
 		n.log.Warn("durable state not read", "epoch", epoch, "error", err)
-		time.Sleep(minLoadRetryDelay + rand.N(randomLoadRetryDelay))
-		if n.termOver(epoch) {
+		sleep(ctx, minLoadRetryDelay+rand.N(randomLoadRetryDelay))
+		if n.termOver(ctx, epoch) {
 			return
 		}
 	}
 }
 
-// termOver asks the loop whether the term of that epoch is over.
-func (n *Node) termOver(epoch uint64) bool {
+// termOver asks the loop whether the term of that epoch is over; it is when the context ends.
+func (n *Node) termOver(ctx context.Context, epoch uint64) bool {
 	over := make(chan bool, 1)
-	n.enqueue(func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
-	return <-over
+	n.enqueue(ctx, func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
+	select {
+	case isOver := <-over:
+		return isOver
+	case <-ctx.Done():
+		return true
+	}
 }
 
 // readDurableLog reads the segments of the log, and then the virtual sizes.
-func (n *Node) readDurableLog() (term.LoadedLog, error) {
+func (n *Node) readDurableLog(ctx context.Context) (term.LoadedLog, error) {
 	var log term.LoadedLog
-	err := n.readPrefix(eventlog.Prefix, func(item wire.Item) error { return addSegment(&log, item) })
+	err := n.readPrefix(ctx, eventlog.Prefix, func(item wire.Item) error { return addSegment(&log, item) })
 	if err != nil {
 		return term.LoadedLog{}, err
 	}
 	var pieces []wire.Item
-	err = n.readPrefix(eventlog.SizesPrefix, func(item wire.Item) error {
+	err = n.readPrefix(ctx, eventlog.SizesPrefix, func(item wire.Item) error {
 		pieces = append(pieces, item)
 		return nil
 	})
@@ -149,10 +154,10 @@
 }
 
 // readPrefix reads all keys with a prefix in order, page after page.
-func (n *Node) readPrefix(prefix string, each func(wire.Item) error) error {
+func (n *Node) readPrefix(ctx context.Context, prefix string, each func(wire.Item) error) error {
 	since := ""
 	for {
-		items, more, err := n.readPage(prefix, since)
+		items, more, err := n.readPage(ctx, prefix, since)
 		if err != nil {
 			return err
 		}
@@ -168,8 +173,8 @@
 	}
 }
 
-func (n *Node) readPage(prefix, since string) (items []wire.Item, more bool, err error) {
-	ctx, cancel := context.WithTimeout(context.Background(), pageTimeout)
+func (n *Node) readPage(ctx context.Context, prefix, since string) (items []wire.Item, more bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	items, more, _, err = n.state.List(ctx, prefix, since, keysPageSize)
 	return items, more, err
