--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer func() { _ = l.Close() }() // only its address is needed
 	return l.Addr().String()
 }
 
@@ -40,7 +40,7 @@
 	if err != nil {
 		return 0, nil, nil
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it has been read
 	raw, _ := io.ReadAll(resp.Body)
 	var out map[string]any
 	_ = json.Unmarshal(raw, &out)
@@ -183,7 +183,7 @@
 			t.Fatal(err)
 		}
 		raw, _ := io.ReadAll(resp.Body)
-		resp.Body.Close()
+		_ = resp.Body.Close() // it has been read
 		if !bytes.Contains(raw, []byte("bitternmoor_leading")) {
 			t.Errorf("n%d: metrics without bitternmoor_leading", i)
 		}
--- a/internal/node/message_checks_test.go
+++ b/internal/node/message_checks_test.go
@@ -13,92 +13,120 @@
 	"bitternmoor/internal/wire"
 )
 
-// What is malformed, too large or of somebody else is refused and counted, and nothing of it
-// reaches the loop; what controllers do send is taken.
-func TestMessagesRefused(t *testing.T) {
+// checkedNode is controller n0, whose only peer is n1; its loop does not run.
+func checkedNode() *Node {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}}
-	n := New(cfg, slog.New(slog.DiscardHandler))
-	c := &Controller{n}
-	job := func(change func(j *eventlog.Job)) UserRequest {
-		j := &eventlog.Job{ID: 7, Class: "c", Team: "t", Tasks: 3, CPUs: 1}
-		change(j)
-		return UserRequest{Op: opSubmit, ID: 7, Submission: wire.Submission{ID: 7, HasID: true, Job: j}, Whole: true}
+	return New(cfg, slog.New(slog.DiscardHandler))
+}
+
+// submissionOf is a sound submission with one change.
+func submissionOf(change func(job *eventlog.Job)) UserRequest {
+	job := &eventlog.Job{ID: 7, Class: "c", Team: "t", Tasks: 3, CPUs: 1}
+	change(job)
+	return UserRequest{
+		Op:         opSubmit,
+		ID:         7,
+		Submission: wire.Submission{ID: 7, HasID: true, Job: job},
+		Whole:      true,
+	}
+}
+
+// relayOf is a sound relayed heartbeat with one change.
+func relayOf(change func(in *effects.RelayedHeartbeat)) effects.RelayedHeartbeat {
+	in := effects.RelayedHeartbeat{Via: "n1", Life: 1, Report: workers.Report{Machine: "m", Session: 1, Seq: 1}}
+	change(&in)
+	return in
+}
+
+// What is malformed, too large or of somebody else is refused and counted, and nothing of it
+// reaches the loop.
+func TestMalformedMessagesAreRefused(t *testing.T) {
+	n := checkedNode()
+	controller := &Controller{n}
+	ask := func(in UserRequest) func() error {
+		return func() error { return controller.Ask(in, &effects.Answer{}) }
 	}
-	relay := func(change func(r *workers.Report)) effects.RelayedHeartbeat {
-		r := workers.Report{Machine: "m", Session: 1, Seq: 1}
-		change(&r)
-		return effects.RelayedHeartbeat{Via: "n1", Life: 1, Report: r}
+	submit := func(change func(job *eventlog.Job)) func() error { return ask(submissionOf(change)) }
+	relay := func(change func(in *effects.RelayedHeartbeat)) func() error {
+		return func() error { return controller.Relay(relayOf(change), &effects.HeartbeatAnswer{}) }
 	}
-	same := func(*workers.Report) {}
-	bad := map[string]func() error{
-		"no kind":             func() error { return c.Ask(UserRequest{ID: 7}, &effects.Answer{}) },
-		"an unknown kind":     func() error { return c.Ask(UserRequest{Op: "delete", ID: 7}, &effects.Answer{}) },
-		"another job's id":    func() error { return c.Ask(job(func(j *eventlog.Job) { j.ID = 8 }), &effects.Answer{}) },
-		"no tasks":            func() error { return c.Ask(job(func(j *eventlog.Job) { j.Tasks = 0 }), &effects.Answer{}) },
-		"far too many tasks":  func() error { return c.Ask(job(func(j *eventlog.Job) { j.Tasks = 1 << 40 }), &effects.Answer{}) },
-		"an unknown priority": func() error { return c.Ask(job(func(j *eventlog.Job) { j.Priority = 9 }), &effects.Answer{}) },
-		"no number":           func() error { return c.Ask(job(func(j *eventlog.Job) { j.CPUs = math.NaN() }), &effects.Answer{}) },
-		"a name that is long": func() error {
-			return c.Ask(job(func(j *eventlog.Job) { j.Team = string(make([]byte, 300)) }), &effects.Answer{})
-		},
-		"no id": func() error { return c.AskCounted(UserRequest{Op: opSubmit, ID: 7}, &effects.Answer{}) },
-		"via nobody": func() error {
-			return c.Relay(effects.RelayedHeartbeat{Via: "n9", Report: relay(same).Report}, &effects.HeartbeatAnswer{})
-		},
-		"via itself": func() error {
-			return c.Relay(effects.RelayedHeartbeat{Via: "n0", Report: relay(same).Report}, &effects.HeartbeatAnswer{})
-		},
-		"no machine": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Machine = "" }), &effects.HeartbeatAnswer{})
-		},
-		"a name that no report holds": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Zone = string(make([]byte, 70<<10)) }), &effects.HeartbeatAnswer{})
-		},
-		"no session": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Session = 0 }), &effects.HeartbeatAnswer{})
-		},
-		"a task below 0": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Tasks = []workers.TaskReport{{Task: -1}} }), &effects.HeartbeatAnswer{})
-		},
-		"more tasks than fit": func() error {
-			return c.Relay(relay(func(r *workers.Report) { r.Tasks = make([]workers.TaskReport, 5000) }), &effects.HeartbeatAnswer{})
-		},
-		"a heartbeat of nobody":     func() error { return c.Hail(HeartbeatMessage{Node: "n9", Epoch: 9}, new(bool)) },
-		"a heartbeat of no epoch":   func() error { return c.Hail(HeartbeatMessage{Node: "n1"}, new(bool)) },
-		"a heartbeat in one's name": func() error { return c.Hail(HeartbeatMessage{Node: "n0", Epoch: 9}, new(bool)) },
+	heartbeat := func(in HeartbeatMessage) func() error {
+		return func() error { return controller.Hail(in, new(bool)) }
 	}
-	for what, f := range bad {
-		if f() == nil {
-			t.Errorf("%s: taken", what)
-		}
+	cases := []struct {
+		name string
+		call func() error
+	}{
+		{"request of no kind", ask(UserRequest{ID: 7})},
+		{"request of an unknown kind", ask(UserRequest{Op: "delete", ID: 7})},
+		{"submission with another job's id", submit(func(job *eventlog.Job) { job.ID = 8 })},
+		{"submission without tasks", submit(func(job *eventlog.Job) { job.Tasks = 0 })},
+		{"submission with far too many tasks", submit(func(job *eventlog.Job) { job.Tasks = 1 << 40 })},
+		{"submission with an unknown priority", submit(func(job *eventlog.Job) { job.Priority = 9 })},
+		{"submission with an amount that is no number", submit(func(job *eventlog.Job) { job.CPUs = math.NaN() })},
+		{"submission with a long name", submit(func(job *eventlog.Job) { job.Team = string(make([]byte, 300)) })},
+		{"submission with units of pools and without an id", func() error {
+			return controller.AskCounted(UserRequest{Op: opSubmit, ID: 7}, &effects.Answer{})
+		}},
+		{"relay via nobody", relay(func(in *effects.RelayedHeartbeat) { in.Via = "n9" })},
+		{"relay via the controller itself", relay(func(in *effects.RelayedHeartbeat) { in.Via = "n0" })},
+		{"relay without a machine", relay(func(in *effects.RelayedHeartbeat) { in.Report.Machine = "" })},
+		{"relay with a name that no report holds", relay(func(in *effects.RelayedHeartbeat) {
+			in.Report.Zone = string(make([]byte, 70<<10))
+		})},
+		{"relay without a session", relay(func(in *effects.RelayedHeartbeat) { in.Report.Session = 0 })},
+		{"relay with a task below 0", relay(func(in *effects.RelayedHeartbeat) {
+			in.Report.Tasks = []workers.TaskReport{{Task: -1}}
+		})},
+		{"relay with more tasks than fit", relay(func(in *effects.RelayedHeartbeat) {
+			in.Report.Tasks = make([]workers.TaskReport, 5000)
+		})},
+		{"heartbeat of nobody", heartbeat(HeartbeatMessage{Node: "n9", Epoch: 9})},
+		{"heartbeat of no epoch", heartbeat(HeartbeatMessage{Node: "n1"})},
+		{"heartbeat in the controller's own name", heartbeat(HeartbeatMessage{Node: "n0", Epoch: 9})},
 	}
-	if got := n.refusedMessages.Load(); got != uint64(len(bad)) {
-		t.Errorf("%d counted, want %d", got, len(bad))
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			if c.call() == nil {
+				t.Error("it is accepted")
+			}
+		})
+	}
+	if got := n.refusedMessages.Load(); got != uint64(len(cases)) {
+		t.Errorf("%d refusals are counted, want %d", got, len(cases))
 	}
 	if len(n.inputs) > 0 {
 		t.Errorf("%d inputs reached the loop", len(n.inputs))
 	}
-	go func() { // the loop's stand-in
-		for f := range n.inputs {
-			f(time.Second)
+}
+
+// What controllers do send is accepted.
+func TestSoundMessagesAreAccepted(t *testing.T) {
+	n := checkedNode()
+	controller := &Controller{n}
+	go func() { // in place of the loop
+		for in := range n.inputs {
+			in(time.Second)
 			for _, e := range n.core.TakeEffects() {
 				n.execute(t.Context(), e)
 			}
 		}
 	}()
 	defer close(n.inputs)
-	var a effects.Answer
-	if err := c.Ask(job(func(*eventlog.Job) {}), &a); err != nil || a.Status != 503 { // nobody leads
-		t.Errorf("a submission: %v, %+v", err, a)
+	var answer effects.Answer
+	err := controller.Ask(submissionOf(func(*eventlog.Job) {}), &answer)
+	if err != nil || answer.Status != 503 { // nobody leads
+		t.Errorf("a submission: %v, %+v", err, answer)
 	}
-	if err := c.Hail(HeartbeatMessage{Node: "n1", Epoch: 3}, new(bool)); err != nil {
+	if err := controller.Hail(HeartbeatMessage{Node: "n1", Epoch: 3}, new(bool)); err != nil {
 		t.Errorf("a heartbeat: %v", err)
 	}
-	if err := c.Relay(relay(same), &effects.HeartbeatAnswer{}); err != nil {
+	relayed := relayOf(func(*effects.RelayedHeartbeat) {})
+	if err := controller.Relay(relayed, &effects.HeartbeatAnswer{}); err != nil {
 		t.Errorf("a report: %v", err)
 	}
-	if got := n.refusedMessages.Load(); got != uint64(len(bad)) {
-		t.Errorf("what is sound was refused: %d", got)
+	if got := n.refusedMessages.Load(); got != 0 {
+		t.Errorf("%d sound messages are refused", got)
 	}
 }
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	defer func() { _ = f.Close() }() // it is only read
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "#") {
 			continue
@@ -144,14 +144,14 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		for open := 1; open > 0; time.Sleep(150 * time.Millisecond) {
-			open = watch(t, c.InternalAddr, &mu, jobs)
+			open = watch(c.InternalAddr, &mu, jobs)
 		}
 	}
 	reportReplay(t, jobs, told)
 }
 
 // watch notes what the leader expects of open jobs, and which are over.
-func watch(t *testing.T, addr string, mu *sync.Mutex, jobs map[string]*replayed) int {
+func watch(addr string, mu *sync.Mutex, jobs map[string]*replayed) int {
 	var list []runtimes.Forecast
 	var late []runtimes.Late
 	if !getJSON(addr, "run-times/forecast", &list) || !getJSON(addr, "run-times/late", &late) {
@@ -195,7 +195,7 @@
 	if err != nil {
 		return false
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it has been read
 	return resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(into) == nil
 }
 
