--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -2,17 +2,11 @@
 
 import (
 	"bytes"
-	"context"
-	"encoding/json"
 	"fmt"
 	"io"
-	"log/slog"
-	"net"
 	"net/http"
-	"net/http/httptest"
 	"strconv"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -20,193 +14,217 @@
 	"bitternmoor/internal/settings"
 )
 
-func freeAddr(t *testing.T) string {
-	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer func() { _ = l.Close() }() // only its address is needed
-	return l.Addr().String()
-}
+const (
+	loopbackLimit = 15 * time.Second
+	loopbackJob   = `{"name_id":"j-000001","herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":1,
+	  "vcpus":1,"gpus":0,"memory_gb":1,"brand":"i","size_gb":0.1,"breeds":null,"together":false,"scatter":false,
+	  "loaned_stock":true,"trek_s":5,"waypoint_s":0,"stow_s":0}`
+)
 
-func ask(t *testing.T, method, url, body string) (int, map[string]any, http.Header) {
-	t.Helper()
-	req, err := http.NewRequest(method, url, bytes.NewBufferString(body))
-	if err != nil {
-		t.Fatal(err)
+// TestLoopback takes a job through two controllers over real sockets: user API, relay to the
+// leader, worker, state service and cloud as they are spoken.
+func TestLoopback(t *testing.T) {
+	store := &standin.State{}
+	cluster := newCluster(t, store, &standin.Cloud{}, func(c *settings.Settings) {
+		c.Tunables.TakeoversKept, c.Tunables.RunTimesKinds = 9, 100
+	})
+	for i := range cluster.settings {
+		cluster.start(i)
 	}
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return 0, nil, nil
+	cluster.submitFirst(t)
+	for i := range cluster.settings {
+		cluster.checkUserAPI(t, i)
+	}
+	worker := &loopbackWorker{cluster: cluster}
+	worker.startTask(t)
+	if _, out, _ := ask(t, "GET", cluster.public(1), ""); out != nil {
+		t.Errorf("the root path answers %v", out)
+	}
+	eventually(t, "it is shown to run", func() bool {
+		_, out, _ := ask(t, "GET", cluster.public(1)+"/api/jobs/j-000001", "")
+		return out["standing"] == "running"
+	})
+	for i := range cluster.settings {
+		cluster.checkViews(t, i)
 	}
-	defer func() { _ = resp.Body.Close() }() // it has been read
-	raw, _ := io.ReadAll(resp.Body)
-	var out map[string]any
-	_ = json.Unmarshal(raw, &out)
-	return resp.StatusCode, out, resp.Header
+	worker.endTask(t)
+	status, out, _ := ask(t, "POST", cluster.public(1)+"/api/jobs/j-000001/abort", "")
+	if status != 200 || out["standing"] != "done" {
+		t.Errorf("cancelling a job that is done gives %d %v", status, out)
+	}
+	cluster.checkOutage(t, store)
 }
 
-// TestLoopback takes a job through two controllers over real sockets: door,
-// relay to the leader, worker, state service and cloud as they are spoken.
-func TestLoopback(t *testing.T) {
-	store := &standin.StateService{}
-	state, cloud := httptest.NewServer(store), httptest.NewServer(&standin.Cloud{})
-	defer state.Close()
-	defer cloud.Close()
-	var cfgs []*settings.Settings
-	for i := range 2 {
-		c := &settings.Settings{Tunables: settings.Defaults()}
-		c.Node, c.PublicAddr, c.InternalAddr = fmt.Sprintf("n%d", i), freeAddr(t), freeAddr(t)
-		c.External.Cloud, c.External.State = cloud.Listener.Addr().String(), state.Listener.Addr().String()
-		d := &c.Deployment
-		d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = 1, 10, 30
-		d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 500, 200, 8, 12
-		d.Cloud.RPS, d.MachineLimits.FDLimit = 50, 300
-		d.Teams = []settings.Team{{Name: "team"}}
-		c.Tunables.TakeoversKept, c.Tunables.RunTimesKinds = 9, 100
-		cfgs = append(cfgs, c)
-	}
-	cfgs[0].Peers = []settings.Peer{{Node: "n1", Endpoint: cfgs[1].InternalAddr}}
-	cfgs[1].Peers = []settings.Peer{{Node: "n0", Endpoint: cfgs[0].InternalAddr}}
-	ctx, cancel := context.WithCancel(context.Background())
-	var running sync.WaitGroup
-	for _, c := range cfgs {
-		running.Go(func() {
-			if err := New(c, slog.New(slog.DiscardHandler)).Run(ctx); err != nil {
-				t.Error(err)
-			}
-		})
-	}
-	defer running.Wait()
-	defer cancel()
-	door := func(i int) string { return "http://" + cfgs[i].PublicAddr }
-	eventually := func(what string, f func() bool) {
-		t.Helper()
-		for end := time.Now().Add(15 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-			if f() {
-				return
-			}
-		}
-		t.Fatalf("never: %s", what)
-	}
-	job := `{"name_id":"j-000001","herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":1,"vcpus":1,"gpus":0,"memory_gb":1,
-	  "brand":"i","size_gb":0.1,"breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":5,"waypoint_s":0,"stow_s":0}`
-	eventually("a submission is accepted", func() bool {
-		status, out, head := ask(t, "POST", door(0)+"/api/jobs", job)
-		if status == 503 && head.Get("Retry-After") == "" {
+// submitFirst submits the job as soon as there is a leader, and waits until both controllers
+// answer.
+func (c *testCluster) submitFirst(t *testing.T) {
+	t.Helper()
+	eventually(t, "a submission is accepted", func() bool {
+		status, out, header := ask(t, "POST", c.public(0)+"/api/jobs", loopbackJob)
+		if status == 503 && header.Get("Retry-After") == "" {
 			t.Fatal("503 without Retry-After")
 		}
 		return status == 201 && out["standing"] == "queued"
 	})
-	eventually("both nodes know the leader", func() bool {
-		one, _, _ := ask(t, "GET", door(0)+"/api/jobs/j-000777", "")
-		other, _, _ := ask(t, "GET", door(1)+"/api/jobs/j-000777", "")
+	eventually(t, "both nodes know the leader", func() bool {
+		one, _, _ := ask(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
+		other, _, _ := ask(t, "GET", c.public(1)+"/api/jobs/j-000777", "")
 		return one == 404 && other == 404
 	})
-	for i := range 2 {
-		if status, _, _ := ask(t, "GET", door(i)+"/healthz", ""); status != 200 {
-			t.Errorf("n%d: healthz gives %d", i, status)
-		}
-		if status, out, _ := ask(t, "POST", door(i)+"/api/jobs", job); status != 200 || out["name_id"] != "j-000001" {
-			t.Errorf("n%d: a repeated submission gives %d %v", i, status, out)
-		}
-		if status, _, _ := ask(t, "POST", door(i)+"/api/jobs", `{"name_id":"j-000001","head":"x"}`); status != 200 {
-			t.Errorf("n%d: a known id with a malformed body gives %d", i, status)
-		}
-		if status, _, _ := ask(t, "GET", door(i)+"/api/jobs/j-000777", ""); status != 404 {
-			t.Errorf("n%d: an unknown job gives %d", i, status)
-		}
-		for _, bad := range []string{"", "[]", `{"name_id":"7"}`, `{"name_id":"j-000002"}`, strings.Replace(job, `"head":1`, `"head":0`, 1) + " ", strings.Repeat("x", 70000)} {
-			bad = strings.Replace(bad, "j-000001", "j-000003", 1)
-			if status, _, _ := ask(t, "POST", door(i)+"/api/jobs", bad); status != 400 {
-				t.Errorf("n%d: malformed %.40q gives %d", i, bad, status)
-			}
-		}
-		lost := strings.Replace(strings.Replace(job, "j-000001", "j-000004", 1), `"keeper":"team"`, `"keeper":"none"`, 1)
-		if status, _, _ := ask(t, "POST", door(i)+"/api/jobs", lost); status != 422 {
-			t.Errorf("n%d: an unknown team gives %d", i, status)
-		}
+}
+
+// checkUserAPI asks one controller for what it has to answer at once.
+func (c *testCluster) checkUserAPI(t *testing.T, i int) {
+	t.Helper()
+	url := c.public(i) + "/api/jobs"
+	if status, _, _ := ask(t, "GET", c.public(i)+"/healthz", ""); status != 200 {
+		t.Errorf("n%d: healthz gives %d", i, status)
 	}
-	// The worker of a rented machine, reporting to the node that does not lead
-	// as well as to the one that does.
-	seq, token := 0, 0.0
-	report := func(i int, tasks string) []any {
-		seq++
-		_, out, _ := ask(t, "POST", door(i)+"/checkin", fmt.Sprintf(`{"stall":"host-000001","address":"127.0.0.1:1","breed":"m4","pasture":"a","loaned_stock":true,
-		  "watch":1,"tally":%d,"crook":%.0f,"recall_s":null,"head":[%s]}`, seq, token, tasks))
-		if v, ok := out["crook"].(float64); ok {
-			token = v
-		}
-		calls, _ := out["calls"].([]any)
-		return calls
+	if status, out, _ := ask(t, "POST", url, loopbackJob); status != 200 || out["name_id"] != "j-000001" {
+		t.Errorf("n%d: a repeated submission gives %d %v", i, status, out)
 	}
-	via, attempt := 0, ""
-	eventually("the task is started", func() bool {
-		for _, c := range report(via, "") {
-			if c := c.(map[string]any); c["call"] == "start" && c["beast"] == "j-000001/0" {
-				attempt = strconv.FormatFloat(c["try"].(float64), 'f', 0, 64)
-			}
+	if status, _, _ := ask(t, "POST", url, `{"name_id":"j-000001","head":"x"}`); status != 200 {
+		t.Errorf("n%d: a known id with a malformed body gives %d", i, status)
+	}
+	if status, _, _ := ask(t, "GET", url+"/j-000777", ""); status != 404 {
+		t.Errorf("n%d: an unknown job gives %d", i, status)
+	}
+	noTasks := strings.Replace(loopbackJob, `"head":1`, `"head":0`, 1) + " "
+	for _, malformed := range []string{
+		"", "[]", `{"name_id":"7"}`, `{"name_id":"j-000002"}`, noTasks, strings.Repeat("x", 70000),
+	} {
+		malformed = strings.Replace(malformed, "j-000001", "j-000003", 1)
+		if status, _, _ := ask(t, "POST", url, malformed); status != 400 {
+			t.Errorf("n%d: malformed %.40q gives %d", i, malformed, status)
 		}
-		if attempt == "" {
-			time.Sleep(100 * time.Millisecond)
-			if token == 0 {
-				via = 1 - via
-			}
+	}
+	unknownTeam := strings.Replace(loopbackJob, "j-000001", "j-000004", 1)
+	unknownTeam = strings.Replace(unknownTeam, `"keeper":"team"`, `"keeper":"none"`, 1)
+	if status, _, _ := ask(t, "POST", url, unknownTeam); status != 422 {
+		t.Errorf("n%d: an unknown team gives %d", i, status)
+	}
+}
+
+// checkViews asks one controller for the operators' views and the metrics.
+func (c *testCluster) checkViews(t *testing.T, i int) {
+	t.Helper()
+	status, out, _ := ask(t, "GET", c.internal(i)+PathStatus, "")
+	if status != 200 || out["leader"] == "" || len(out["machines"].([]any)) == 0 {
+		t.Errorf("n%d: status gives %d %v", i, status, out)
+	}
+	status, out, _ = ask(t, "GET", c.internal(i)+PathExplain+"j-000001", "")
+	if status != 200 || len(out["words"].([]any)) < 2 {
+		t.Errorf("n%d: explain gives %d %v", i, status, out)
+	}
+	for path, want := range map[string]int{
+		"takeovers":          200,
+		"run-times":          200,
+		"run-times/late":     200,
+		"run-times/forecast": 200,
+		"run-times/none":     404,
+		"none":               404,
+		"takeovers/none":     404,
+	} {
+		if status, out, _ := ask(t, "GET", c.internal(i)+PathDuties+path, ""); status != want {
+			t.Errorf("n%d: %s gives %d %v", i, path, status, out)
 		}
-		return attempt != ""
-	})
-	report(via, `{"beast":"j-000001/0","try":`+attempt+`,"standing":"running"}`)
-	if _, out, _ := ask(t, "GET", door(1), ""); out != nil {
-		t.Errorf("the root path answers %v", out)
 	}
-	eventually("it is shown to run", func() bool {
-		_, out, _ := ask(t, "GET", door(1)+"/api/jobs/j-000001", "")
-		return out["standing"] == "running"
+	resp, err := http.Get(c.internal(i) + PathMetrics)
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, _ := io.ReadAll(resp.Body) // what is cut lacks the metric
+	_ = resp.Body.Close()           // it has been read
+	if !bytes.Contains(raw, []byte("bitternmoor_leading")) {
+		t.Errorf("n%d: metrics without bitternmoor_leading", i)
+	}
+}
+
+// checkOutage takes the state service away: nothing is said of jobs then, and the health check
+// stands.
+func (c *testCluster) checkOutage(t *testing.T, store *standin.State) {
+	t.Helper()
+	store.SetDown(true)
+	eventually(t, "without the state service, 503 and not 404", func() bool {
+		status, _, header := ask(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
+		return status == 503 && header.Get("Retry-After") != ""
 	})
-	for i := range 2 {
-		status, out, _ := ask(t, "GET", "http://"+cfgs[i].InternalAddr+PathStatus, "")
-		if status != 200 || out["leader"] == "" || len(out["machines"].([]any)) == 0 {
-			t.Errorf("n%d: status gives %d %v", i, status, out)
-		}
-		status, out, _ = ask(t, "GET", "http://"+cfgs[i].InternalAddr+PathExplain+"j-000001", "")
-		if status != 200 || len(out["words"].([]any)) < 2 {
-			t.Errorf("n%d: explain gives %d %v", i, status, out)
-		}
-		for path, want := range map[string]int{"takeovers": 200, "run-times": 200, "run-times/late": 200, "run-times/forecast": 200, "run-times/none": 404, "none": 404, "takeovers/none": 404} {
-			if status, out, _ := ask(t, "GET", "http://"+cfgs[i].InternalAddr+PathDuties+path, ""); status != want {
-				t.Errorf("n%d: %s gives %d %v", i, path, status, out)
+	if status, _, _ := ask(t, "GET", c.public(0)+"/healthz", ""); status != 200 {
+		t.Errorf("an outage of the state service makes healthz give %d", status)
+	}
+}
+
+// loopbackWorker is the worker of a rented machine. It reports to the node that does not lead as
+// well as to the one that does.
+type loopbackWorker struct {
+	cluster  *testCluster
+	via      int // the controller that it reports to
+	sequence int
+	token    float64
+	attempt  string // of the job's task, once it has been started
+}
+
+// report sends a report with these tasks, and returns the commands of the answer.
+func (w *loopbackWorker) report(t *testing.T, tasks string) []any {
+	t.Helper()
+	w.sequence++
+	body := fmt.Sprintf(`{"stall":"host-000001","address":"127.0.0.1:1","breed":"m4","pasture":"a",
+	  "loaned_stock":true,"watch":1,"tally":%d,"crook":%.0f,"recall_s":null,"head":[%s]}`, w.sequence, w.token, tasks)
+	_, out, _ := ask(t, "POST", w.cluster.public(w.via)+"/checkin", body)
+	if token, ok := out["crook"].(float64); ok {
+		w.token = token
+	}
+	commands, _ := out["calls"].([]any) // none where it is refused
+	return commands
+}
+
+// startTask reports until the task is to be started, and then that it runs.
+func (w *loopbackWorker) startTask(t *testing.T) {
+	t.Helper()
+	eventually(t, "the task is started", func() bool {
+		for _, c := range w.report(t, "") {
+			if c := c.(map[string]any); c["call"] == "start" && c["beast"] == "j-000001/0" {
+				w.attempt = strconv.FormatFloat(c["try"].(float64), 'f', 0, 64)
 			}
 		}
-		resp, err := http.Get("http://" + cfgs[i].InternalAddr + PathMetrics)
-		if err != nil {
-			t.Fatal(err)
+		if w.attempt != "" {
+			return true
 		}
-		raw, _ := io.ReadAll(resp.Body)
-		_ = resp.Body.Close() // it has been read
-		if !bytes.Contains(raw, []byte("bitternmoor_leading")) {
-			t.Errorf("n%d: metrics without bitternmoor_leading", i)
+		time.Sleep(100 * time.Millisecond)
+		if w.token == 0 {
+			w.via = 1 - w.via
 		}
-	}
-	eventually("it is done, and only then reaped", func() bool {
-		calls := report(via, `{"beast":"j-000001/0","try":`+attempt+`,"standing":"ended","cause":"done"}`)
-		_, out, _ := ask(t, "GET", door(0)+"/api/jobs/j-000001", "")
-		for _, c := range calls {
+		return false
+	})
+	w.report(t, w.task(`"standing":"running"`))
+}
+
+// endTask reports that the task is done until it is reaped: only once the job is shown as done.
+func (w *loopbackWorker) endTask(t *testing.T) {
+	t.Helper()
+	eventually(t, "it is done, and only then reaped", func() bool {
+		commands := w.report(t, w.task(`"standing":"ended","cause":"done"`))
+		_, out, _ := ask(t, "GET", w.cluster.public(0)+"/api/jobs/j-000001", "")
+		for _, c := range commands {
 			if c.(map[string]any)["call"] == "reap" {
 				return out["standing"] == "done"
 			}
 		}
 		return false
 	})
-	if status, out, _ := ask(t, "POST", door(1)+"/api/jobs/j-000001/abort", ""); status != 200 || out["standing"] != "done" {
-		t.Errorf("cancelling a job that is done gives %d %v", status, out)
-	}
-	store.SetDown(true)
-	eventually("without the state service, 503 and not 404", func() bool {
-		status, _, head := ask(t, "GET", door(0)+"/api/jobs/j-000777", "")
-		return status == 503 && head.Get("Retry-After") != ""
-	})
-	if status, _, _ := ask(t, "GET", door(0)+"/healthz", ""); status != 200 {
-		t.Errorf("an outage of the state service makes healthz give %d", status)
+}
+
+func (w *loopbackWorker) task(state string) string {
+	return `{"beast":"j-000001/0","try":` + w.attempt + `,` + state + `}`
+}
+
+// eventually waits for a condition, for loopbackLimit at most.
+func eventually(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(loopbackLimit); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+		if condition() {
+			return
+		}
 	}
+	t.Fatalf("never: %s", what)
 }
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -1,16 +1,12 @@
 package node
 
 import (
-	"context"
 	"encoding/json"
 	"fmt"
-	"log/slog"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"strconv"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -41,75 +37,52 @@
 		t.Fatal(err)
 	}
 	cloud := &standin.Cloud{}
-	store := &standin.StateService{}
-	state, clouds := httptest.NewServer(store), httptest.NewServer(cloud)
-	defer state.Close()
-	defer clouds.Close()
-	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 6 * time.Second,
-		JobDuration: func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
-		TaskCount:   func(string) int { return 3 }, PoolUnits: func(string) map[string]int { return map[string]int{"licence": 1} }}
-	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
-	fleet.SetPoolLimit("licence", 3)
-	var cfgs []*settings.Settings
-	for i := range 2 {
-		c := &settings.Settings{Tunables: settings.Defaults()}
-		c.Node, c.PublicAddr, c.InternalAddr = fmt.Sprintf("n%d", i), freeAddr(t), freeAddr(t)
-		c.External.Cloud, c.External.State = clouds.Listener.Addr().String(), state.Listener.Addr().String()
-		d := &c.Deployment
-		d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = .5, 6, 30
-		d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 500, 200, 8, 12
-		d.Cloud.RPS, d.MachineLimits.FDLimit = 50, 300
-		d.Teams = []settings.Team{{Name: "team"}}
+	store := &standin.State{}
+	fleet := &standin.Fleet{
+		Every: 200 * time.Millisecond,
+		Lease: 6 * time.Second,
+		Runs:  func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
+		Tasks: func(string) int { return 3 },
+		Units: func(string) map[string]int { return map[string]int{"licence": 1} },
+	}
+	cloud.Up, cloud.Down = fleet.Up, fleet.Down
+	fleet.Limit("licence", 3)
+	cluster := newCluster(t, store, cloud, func(c *settings.Settings) {
+		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = .5, 6
 		x := &c.Tunables
 		x.Pools = []settings.Pool{{Name: "licence", Units: 3}}
 		x.ConfigHistory = 8
 		x.ReceiptKeyFiles, x.OperatorsListen, x.OperatorsOperate = key, freeAddr(t), "ann"
-		x.OperatorsCert, x.OperatorsKey, x.OperatorsCA = filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key"), filepath.Join(dir, "ca.pem")
-		cfgs = append(cfgs, c)
-		fleet.Controllers = append(fleet.Controllers, "http://"+c.PublicAddr)
-	}
-	cfgs[0].Peers = []settings.Peer{{Node: "n1", Endpoint: cfgs[1].InternalAddr}}
-	cfgs[1].Peers = []settings.Peer{{Node: "n0", Endpoint: cfgs[0].InternalAddr}}
-	var running sync.WaitGroup
-	run := func(c *settings.Settings) context.CancelFunc {
-		ctx, cancel := context.WithCancel(context.Background())
-		running.Go(func() {
-			if err := New(c, slog.New(slog.DiscardHandler)).Run(ctx); err != nil {
-				t.Error(err)
-			}
-		})
-		return cancel
-	}
-	ends := []context.CancelFunc{run(cfgs[0]), run(cfgs[1])}
-	defer running.Wait()
-	defer func() {
-		for _, end := range ends {
-			end()
-		}
-	}()
-	eventually := func(what string, f func() bool) {
+		x.OperatorsCert, x.OperatorsKey = filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key")
+		x.OperatorsCA = filepath.Join(dir, "ca.pem")
+		fleet.Doors = append(fleet.Doors, "http://"+c.PublicAddr)
+	})
+	cfgs := cluster.settings
+	stopFirst := cluster.start(0)
+	cluster.start(1)
+	await := func(what string, condition func() bool) {
 		t.Helper()
 		for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-			if f() {
+			if condition() {
 				return
 			}
 		}
 		for id := 1; id <= 5; id++ {
-			_, out, _ := ask(t, "GET", fmt.Sprintf("http://%s%sj-%06d", cfgs[1].InternalAddr, PathExplain, id), "")
+			_, out, _ := ask(t, "GET", fmt.Sprintf("%s%sj-%06d", cluster.internal(1), PathExplain, id), "")
 			t.Log(out["words"])
 		}
-		_, out, _ := ask(t, "GET", "http://"+cfgs[1].InternalAddr+PathDuties+"pools/licence", "")
-		_, st, _ := ask(t, "GET", "http://"+cfgs[1].InternalAddr+PathStatus, "")
-		t.Fatalf("never: %s; %v; %v", what, out, st["machines"])
+		_, out, _ := ask(t, "GET", cluster.internal(1)+PathDuties+"pools/licence", "")
+		_, status, _ := ask(t, "GET", cluster.internal(1)+PathStatus, "")
+		t.Fatalf("never: %s; %v; %v", what, out, status["machines"])
 	}
-	door := func(i int) string { return "http://" + cfgs[i%2].PublicAddr }
+	public := func(i int) string { return cluster.public(i % 2) }
 	submit := func(id int, counted string) int {
-		status, _, _ := ask(t, "POST", door(id)+"/api/jobs", fmt.Sprintf(`{"name_id":"j-%06d","herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":3,"vcpus":1,"gpus":0,"memory_gb":1,
+		status, _, _ := ask(t, "POST", public(id)+"/api/jobs", fmt.Sprintf(`{"name_id":"j-%06d","herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":3,"vcpus":1,"gpus":0,"memory_gb":1,
 		  "brand":"i","size_gb":0.1,"breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":1,"waypoint_s":0,"stow_s":0,"counted":[%s]}`, id, counted))
 		return status
 	}
 	for id := 1; id <= 5; id++ {
-		eventually("a submission is accepted", func() bool { return submit(id, `{"pool":"licence","units":1,"per":"task"}`) == 201 })
+		await("a submission is accepted", func() bool { return submit(id, `{"pool":"licence","units":1,"per":"task"}`) == 201 })
 	}
 	for counted, want := range map[string]int{`{"pool":"none","units":1,"per":"task"}`: 422, `{"pool":"licence","units":4,"per":"job"}`: 422,
 		`{"pool":"licence","units":0,"per":"task"}`: 400, `{"pool":"licence","units":1,"per":"day"}`: 400} {
@@ -122,7 +95,7 @@
 		t.Fatal(err)
 	}
 	change := func(body string) (out pools.Changed, err error) {
-		raw, err := control.NewClient(cfgs[1].Tunables.OperatorsListen, pair.Client()).Change(context.Background(), pools.Name, json.RawMessage(`{"change":`+body+`}`))
+		raw, err := control.NewClient(cfgs[1].Tunables.OperatorsListen, pair.Client()).Change(t.Context(), pools.Name, json.RawMessage(`{"change":`+body+`}`))
 		if err == nil {
 			err = json.Unmarshal(raw, &out)
 		}
@@ -133,13 +106,13 @@
 			t.Errorf("a change of %s without a certificate gives %d", duty, status)
 		}
 	}
-	eventually("a team comes to be", func() bool {
+	await("a team comes to be", func() bool {
 		body := `{"id":"guests","revision":0,"changes":[{"item":{"team":"guests"},"value":{"limits":{"cpus_max":2}}}]}`
-		raw, err := control.NewClient(cfgs[1].Tunables.OperatorsListen, pair.Client()).Change(context.Background(), "config", json.RawMessage(body))
+		raw, err := control.NewClient(cfgs[1].Tunables.OperatorsListen, pair.Client()).Change(t.Context(), "config", json.RawMessage(body))
 		return err == nil && strings.Contains(string(raw), `"durable":true`)
 	})
 	for i := range cfgs {
-		eventually("it is in force everywhere", func() bool {
+		await("it is in force everywhere", func() bool {
 			var here struct{ Revision uint64 }
 			return getJSON(cfgs[i].InternalAddr, "config/here", &here) && here.Revision == 1
 		})
@@ -147,11 +120,11 @@
 	if _, out, _ := ask(t, "GET", "http://"+cfgs[0].InternalAddr+PathDuties+"config", ""); !strings.Contains(fmt.Sprint(out["teams"]), "guests") {
 		t.Errorf("the team is not shown: %v", out)
 	}
-	if raw, err := control.NewClient(cfgs[0].Tunables.OperatorsListen, pair.Client()).Show(context.Background(), "config/history"); err != nil || !strings.Contains(string(raw), `"by":"ann"`) {
+	if raw, err := control.NewClient(cfgs[0].Tunables.OperatorsListen, pair.Client()).Show(t.Context(), "config/history"); err != nil || !strings.Contains(string(raw), `"by":"ann"`) {
 		t.Errorf("who made a change is not remembered: %s %v", raw, err)
 	}
 	for k := range 12 { // workers killed, and cut off past their lease
-		eventually("something runs", func() bool { return len(fleet.Busy()) > 0 })
+		await("something runs", func() bool { return len(fleet.Busy()) > 0 })
 		if m := fleet.Busy(); len(m) > 0 && k%2 == 0 {
 			fleet.StopWorker(standin.Machine{Name: m[0]})
 		} else if len(m) > 0 {
@@ -159,16 +132,15 @@
 		}
 		switch k {
 		case 3:
-			eventually("the pool is made smaller", func() bool {
+			await("the pool is made smaller", func() bool {
 				done, err := change(`{"id":"smaller","pool":"licence","version":0,"units":2}`)
 				return err == nil && done.Durable && done.Pool.Units == 2
 			})
 		case 6:
-			ends[0]()
-			ends[0] = func() {}
+			stopFirst()
 			time.Sleep(300 * time.Millisecond)
 			cfgs[0].Tunables.OperatorsListen = freeAddr(t)
-			ends = append(ends, run(cfgs[0]))
+			cluster.start(0)
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
@@ -177,7 +149,7 @@
 	}
 	var view pools.View
 	certified := false
-	eventually("a holder is certified", func() bool {
+	await("a holder is certified", func() bool {
 		if !getJSON(cfgs[0].InternalAddr, "pools/licence", &view) || len(view.Holders) == 0 {
 			return false
 		}
@@ -187,7 +159,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			status, out, _ := ask(t, "POST", door(0)+PathReceipts, fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt))
+			status, out, _ := ask(t, "POST", public(0)+PathReceipts, fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt))
 			if status != 200 {
 				continue
 			}
@@ -199,7 +171,7 @@
 			if err != nil || claims.Subject != fmt.Sprintf("%s/%d", job, task) || len(claims.Units) != 1 || len(claims.Units[0].Numbers) != 1 {
 				t.Errorf("%+v %v", claims, err)
 			}
-			if status, _, _ := ask(t, "POST", door(0)+PathReceipts, fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt+1)); status != 409 {
+			if status, _, _ := ask(t, "POST", public(0)+PathReceipts, fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt+1)); status != 409 {
 				t.Errorf("another attempt gets %d", status)
 			}
 			certified = true
@@ -208,8 +180,8 @@
 		return false
 	})
 	for id := 1; id <= 5; id++ {
-		eventually("the job is done", func() bool {
-			_, out, _ := ask(t, "GET", fmt.Sprintf("%s/api/jobs/j-%06d", door(1), id), "")
+		await("the job is done", func() bool {
+			_, out, _ := ask(t, "GET", fmt.Sprintf("%s/api/jobs/j-%06d", public(1), id), "")
 			return out["standing"] == "done"
 		})
 	}
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -20,7 +20,6 @@
 
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/scaletest/standin"
-	"bitternmoor/internal/settings"
 )
 
 // recorded is one run of a kind of work, as it was recorded.
@@ -94,14 +93,9 @@
 	state, clouds := httptest.NewServer(&standin.StateService{}), httptest.NewServer(cloud)
 	defer state.Close()
 	defer clouds.Close()
-	c := &settings.Settings{Tunables: settings.Defaults()}
-	c.Node, c.PublicAddr, c.InternalAddr = "n0", freeAddr(t), freeAddr(t)
+	c := controllerSettings(t, "n0")
 	c.External.Cloud, c.External.State = clouds.Listener.Addr().String(), state.Listener.Addr().String()
-	d := &c.Deployment
-	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = 1, 10, 30
-	d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 500, 60, 8, 12
-	d.Cloud.RPS, d.MachineLimits.FDLimit = 50, 2000
-	d.Teams = []settings.Team{{Name: "team"}}
+	c.Deployment.State.WriteRPS, c.Deployment.MachineLimits.FDLimit = 60, 2000
 	c.Tunables.RunTimesKinds, c.Tunables.WebhookURL, c.WebhookKey = 2000, hook.URL, []byte("0123456789abcdef")
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Controllers: []string{"http://" + c.PublicAddr},
 		JobDuration: func(string) (time.Duration, []string) { return 0, nil },
@@ -190,15 +184,6 @@
 	return left
 }
 
-func getJSON(addr, path string, into any) bool {
-	resp, err := http.Get("http://" + addr + PathDuties + path)
-	if err != nil {
-		return false
-	}
-	defer func() { _ = resp.Body.Close() }() // it has been read
-	return resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(into) == nil
-}
-
 func reportReplay(t *testing.T, jobs map[string]*replayed, told map[string]bool) {
 	means := map[string][]float64{}
 	type score struct {
