--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -66,7 +66,7 @@
 	case effects.ReadBack:
 		n.readBack(ctx, epoch, e)
 	case effects.ReadSegments:
-		n.readSegmentsAgain(ctx, epoch, e)
+		n.readBackSegments(ctx, epoch, e)
 	case effects.ReadValues:
 		n.readComponentValues(ctx, epoch, e)
 	case effects.ProbeWorker:
@@ -264,7 +264,7 @@
 	})
 }
 
-func (n *Node) readSegmentsAgain(ctx context.Context, epoch uint64, e effects.ReadSegments) {
+func (n *Node) readBackSegments(ctx context.Context, epoch uint64, e effects.ReadSegments) {
 	end := e.First + e.Count
 	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		entries, err := n.readSegments(ctx, e.First, end)
