--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"crypto/tls"
 	"encoding/json"
 	"fmt"
 	"os"
@@ -18,177 +19,268 @@
 	"bitternmoor/internal/settings"
 )
 
-// TestPoolsLoopback takes counted units through real sockets: the door, workers that are
+const (
+	poolsJobs  = 5
+	poolsLimit = 90 * time.Second
+)
+
+// poolsTest is two controllers with a pool of three licences, and workers whose every start is
+// counted.
+type poolsTest struct {
+	*testCluster
+	dir      string // certificates and the key of receipts
+	fleet    *standin.Fleet
+	store    *standin.State
+	operator *tls.Config // ann's, who may operate
+}
+
+// TestPoolsLoopback takes counted units through real sockets: the user API, workers that are
 // killed and cut off, a leader that ends, the operators' listener with certificates, and
 // receipts. What workers really run is counted at every start. A long run with processes
 // that are killed is in internal/upgrade.
 func TestPoolsLoopback(t *testing.T) {
-	dir := t.TempDir()
-	if err := certs.MakeCA(dir, "test CA", time.Hour); err != nil {
-		t.Fatal(err)
+	p := newPoolsTest(t)
+	stopFirst := p.start(0)
+	p.start(1)
+	p.submitJobs(t)
+	p.checkCertificatesNeeded(t)
+	p.addTeam(t)
+	p.disturb(t, stopFirst)
+	_, err := p.change(t, `{"id":"late","pool":"licence","version":0,"units":3}`)
+	if err == nil || !strings.Contains(err.Error(), "version") {
+		t.Errorf("planned for a version that has passed: %v", err)
 	}
-	for name, hosts := range map[string][]string{"node": {"127.0.0.1"}, "ann": nil} {
-		if err := certs.Issue(dir, name, hosts, time.Hour); err != nil {
-			t.Fatal(err)
-		}
+	p.await(t, "a holder is certified", func() bool { return p.certifyHolder(t) })
+	for id := 1; id <= poolsJobs; id++ {
+		p.await(t, "the job is done", func() bool {
+			_, out, _ := ask(t, "GET", fmt.Sprintf("%s/api/jobs/j-%06d", p.public(1), id), "")
+			return out["standing"] == "done"
+		})
 	}
-	key := filepath.Join(dir, "receipt.key")
-	if err := os.WriteFile(key, []byte("0123456789abcdef"), 0o600); err != nil {
-		t.Fatal(err)
+	for _, broken := range append(p.fleet.Broken(), p.store.Refused()...) {
+		t.Error(broken)
 	}
-	cloud := &standin.Cloud{}
-	store := &standin.State{}
-	fleet := &standin.Fleet{
-		Every: 200 * time.Millisecond,
-		Lease: 6 * time.Second,
-		Runs:  func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
-		Tasks: func(string) int { return 3 },
-		Units: func(string) map[string]int { return map[string]int{"licence": 1} },
-	}
-	cloud.Up, cloud.Down = fleet.Up, fleet.Down
-	fleet.Limit("licence", 3)
-	cluster := newCluster(t, store, cloud, func(c *settings.Settings) {
+	if peak := p.fleet.Peak("licence"); peak != 3 {
+		t.Errorf("at most %d licences were held", peak)
+	}
+}
+
+func newPoolsTest(t *testing.T) *poolsTest {
+	t.Helper()
+	p := &poolsTest{
+		dir:   t.TempDir(),
+		store: &standin.State{},
+		fleet: &standin.Fleet{
+			Every: 200 * time.Millisecond,
+			Lease: 6 * time.Second,
+			Runs:  func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
+			Tasks: func(string) int { return 3 },
+			Units: func(string) map[string]int { return map[string]int{"licence": 1} },
+		},
+	}
+	p.makeCertificates(t)
+	p.fleet.Limit("licence", 3)
+	cloud := &standin.Cloud{Up: p.fleet.Up, Down: p.fleet.Down}
+	p.testCluster = newCluster(t, p.store, cloud, func(c *settings.Settings) {
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = .5, 6
 		x := &c.Tunables
 		x.Pools = []settings.Pool{{Name: "licence", Units: 3}}
 		x.ConfigHistory = 8
-		x.ReceiptKeyFiles, x.OperatorsListen, x.OperatorsOperate = key, freeAddr(t), "ann"
-		x.OperatorsCert, x.OperatorsKey = filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key")
-		x.OperatorsCA = filepath.Join(dir, "ca.pem")
-		fleet.Doors = append(fleet.Doors, "http://"+c.PublicAddr)
+		x.ReceiptKeyFiles, x.OperatorsListen, x.OperatorsOperate = p.file("receipt.key"), freeAddr(t), "ann"
+		x.OperatorsCert, x.OperatorsKey, x.OperatorsCA = p.file("node.pem"), p.file("node.key"), p.file("ca.pem")
+		p.fleet.Doors = append(p.fleet.Doors, "http://"+c.PublicAddr)
 	})
-	cfgs := cluster.settings
-	stopFirst := cluster.start(0)
-	cluster.start(1)
-	await := func(what string, condition func() bool) {
-		t.Helper()
-		for end := time.Now().Add(90 * time.Second); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
-			if condition() {
-				return
-			}
-		}
-		for id := 1; id <= 5; id++ {
-			_, out, _ := ask(t, "GET", fmt.Sprintf("%s%sj-%06d", cluster.internal(1), PathExplain, id), "")
-			t.Log(out["words"])
-		}
-		_, out, _ := ask(t, "GET", cluster.internal(1)+PathDuties+"pools/licence", "")
-		_, status, _ := ask(t, "GET", cluster.internal(1)+PathStatus, "")
-		t.Fatalf("never: %s; %v; %v", what, out, status["machines"])
-	}
-	public := func(i int) string { return cluster.public(i % 2) }
-	submit := func(id int, counted string) int {
-		status, _, _ := ask(t, "POST", public(id)+"/api/jobs", fmt.Sprintf(`{"name_id":"j-%06d","herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":3,"vcpus":1,"gpus":0,"memory_gb":1,
-		  "brand":"i","size_gb":0.1,"breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":1,"waypoint_s":0,"stow_s":0,"counted":[%s]}`, id, counted))
-		return status
-	}
-	for id := 1; id <= 5; id++ {
-		await("a submission is accepted", func() bool { return submit(id, `{"pool":"licence","units":1,"per":"task"}`) == 201 })
-	}
-	for counted, want := range map[string]int{`{"pool":"none","units":1,"per":"task"}`: 422, `{"pool":"licence","units":4,"per":"job"}`: 422,
-		`{"pool":"licence","units":0,"per":"task"}`: 400, `{"pool":"licence","units":1,"per":"day"}`: 400} {
-		if status := submit(99, counted); status != want {
-			t.Errorf("%s gives %d", counted, status)
+	return p
+}
+
+func (p *poolsTest) file(name string) string { return filepath.Join(p.dir, name) }
+
+// makeCertificates writes the controllers' and ann's certificates and the key of receipts.
+func (p *poolsTest) makeCertificates(t *testing.T) {
+	t.Helper()
+	if err := certs.MakeCA(p.dir, "test CA", time.Hour); err != nil {
+		t.Fatal(err)
+	}
+	for name, hosts := range map[string][]string{"node": {"127.0.0.1"}, "ann": nil} {
+		if err := certs.Issue(p.dir, name, hosts, time.Hour); err != nil {
+			t.Fatal(err)
 		}
 	}
-	pair, err := certs.Files{Cert: filepath.Join(dir, "ann.pem"), Key: filepath.Join(dir, "ann.key"), CA: filepath.Join(dir, "ca.pem")}.Read()
+	if err := os.WriteFile(p.file("receipt.key"), []byte("0123456789abcdef"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	pair, err := certs.Files{Cert: p.file("ann.pem"), Key: p.file("ann.key"), CA: p.file("ca.pem")}.Read()
 	if err != nil {
 		t.Fatal(err)
 	}
-	change := func(body string) (out pools.Changed, err error) {
-		raw, err := control.NewClient(cfgs[1].Tunables.OperatorsListen, pair.Client()).Change(t.Context(), pools.Name, json.RawMessage(`{"change":`+body+`}`))
-		if err == nil {
-			err = json.Unmarshal(raw, &out)
+	p.operator = pair.Client()
+}
+
+// await waits for a condition, and shows where jobs and licences stand if it does not come.
+func (p *poolsTest) await(t *testing.T, what string, condition func() bool) {
+	t.Helper()
+	for end := time.Now().Add(poolsLimit); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+		if condition() {
+			return
 		}
-		return out, err
 	}
-	for _, duty := range []string{"pools", "config"} {
-		if status, _, _ := ask(t, "POST", "http://"+cfgs[0].InternalAddr+PathDuties+duty, `{}`); status != 403 {
-			t.Errorf("a change of %s without a certificate gives %d", duty, status)
+	for id := 1; id <= poolsJobs; id++ {
+		_, out, _ := ask(t, "GET", fmt.Sprintf("%s%sj-%06d", p.internal(1), PathExplain, id), "")
+		t.Log(out["words"])
+	}
+	_, out, _ := ask(t, "GET", p.internal(1)+PathDuties+"pools/licence", "")
+	_, status, _ := ask(t, "GET", p.internal(1)+PathStatus, "")
+	t.Fatalf("never: %s; %v; %v", what, out, status["machines"])
+}
+
+// submit submits a job of three tasks to one controller or the other.
+func (p *poolsTest) submit(t *testing.T, id int, counted string) int {
+	t.Helper()
+	status, _, _ := ask(t, "POST", p.public(id%2)+"/api/jobs", fmt.Sprintf(`{"name_id":"j-%06d","herd":"c",
+	  "keeper":"team","gait":"sweep","urgency":"normal","head":3,"vcpus":1,"gpus":0,"memory_gb":1,
+	  "brand":"i","size_gb":0.1,"breeds":null,"together":false,"scatter":false,"loaned_stock":true,
+	  "trek_s":1,"waypoint_s":0,"stow_s":0,"counted":[%s]}`, id, counted))
+	return status
+}
+
+// submitJobs submits the jobs, and some that ask for units as they cannot be had.
+func (p *poolsTest) submitJobs(t *testing.T) {
+	t.Helper()
+	for id := 1; id <= poolsJobs; id++ {
+		p.await(t, "a submission is accepted", func() bool {
+			return p.submit(t, id, `{"pool":"licence","units":1,"per":"task"}`) == 201
+		})
+	}
+	for counted, want := range map[string]int{
+		`{"pool":"none","units":1,"per":"task"}`:    422,
+		`{"pool":"licence","units":4,"per":"job"}`:  422,
+		`{"pool":"licence","units":0,"per":"task"}`: 400,
+		`{"pool":"licence","units":1,"per":"day"}`:  400,
+	} {
+		if status := p.submit(t, 99, counted); status != want {
+			t.Errorf("%s gives %d", counted, status)
 		}
 	}
-	await("a team comes to be", func() bool {
+}
+
+// client is ann's, to a controller's operators' listener.
+func (p *poolsTest) client(i int) *control.Client {
+	return control.NewClient(p.settings[i].Tunables.OperatorsListen, p.operator)
+}
+
+// change changes the pool.
+func (p *poolsTest) change(t *testing.T, body string) (changed pools.Changed, err error) {
+	t.Helper()
+	raw, err := p.client(1).Change(t.Context(), pools.Name, json.RawMessage(`{"change":`+body+`}`))
+	if err == nil {
+		err = json.Unmarshal(raw, &changed)
+	}
+	return changed, err
+}
+
+func (p *poolsTest) checkCertificatesNeeded(t *testing.T) {
+	t.Helper()
+	for _, component := range []string{"pools", "config"} {
+		if status, _, _ := ask(t, "POST", p.internal(0)+PathDuties+component, `{}`); status != 403 {
+			t.Errorf("a change of %s without a certificate gives %d", component, status)
+		}
+	}
+}
+
+// addTeam changes the configuration, and sees it in force on both controllers.
+func (p *poolsTest) addTeam(t *testing.T) {
+	t.Helper()
+	p.await(t, "a team comes to be", func() bool {
 		body := `{"id":"guests","revision":0,"changes":[{"item":{"team":"guests"},"value":{"limits":{"cpus_max":2}}}]}`
-		raw, err := control.NewClient(cfgs[1].Tunables.OperatorsListen, pair.Client()).Change(t.Context(), "config", json.RawMessage(body))
+		raw, err := p.client(1).Change(t.Context(), "config", json.RawMessage(body))
 		return err == nil && strings.Contains(string(raw), `"durable":true`)
 	})
-	for i := range cfgs {
-		await("it is in force everywhere", func() bool {
+	for _, c := range p.settings {
+		p.await(t, "it is in force everywhere", func() bool {
 			var here struct{ Revision uint64 }
-			return getJSON(cfgs[i].InternalAddr, "config/here", &here) && here.Revision == 1
+			return getJSON(c.InternalAddr, "config/here", &here) && here.Revision == 1
 		})
 	}
-	if _, out, _ := ask(t, "GET", "http://"+cfgs[0].InternalAddr+PathDuties+"config", ""); !strings.Contains(fmt.Sprint(out["teams"]), "guests") {
+	_, out, _ := ask(t, "GET", p.internal(0)+PathDuties+"config", "")
+	if !strings.Contains(fmt.Sprint(out["teams"]), "guests") {
 		t.Errorf("the team is not shown: %v", out)
 	}
-	if raw, err := control.NewClient(cfgs[0].Tunables.OperatorsListen, pair.Client()).Show(t.Context(), "config/history"); err != nil || !strings.Contains(string(raw), `"by":"ann"`) {
+	raw, err := p.client(0).Show(t.Context(), "config/history")
+	if err != nil || !strings.Contains(string(raw), `"by":"ann"`) {
 		t.Errorf("who made a change is not remembered: %s %v", raw, err)
 	}
-	for k := range 12 { // workers killed, and cut off past their lease
-		await("something runs", func() bool { return len(fleet.Busy()) > 0 })
-		if m := fleet.Busy(); len(m) > 0 && k%2 == 0 {
-			fleet.StopWorker(standin.Machine{Name: m[0]})
-		} else if len(m) > 0 {
-			fleet.PauseWorker(m[0], 7*time.Second)
+}
+
+// disturb kills workers and cuts them off past their lease; meanwhile the pool is made smaller,
+// and the first controller ends and starts again.
+func (p *poolsTest) disturb(t *testing.T, stopFirst func()) {
+	t.Helper()
+	for round := range 12 {
+		p.await(t, "something runs", func() bool { return len(p.fleet.Busy()) > 0 })
+		if busy := p.fleet.Busy(); len(busy) > 0 && round%2 == 0 {
+			p.fleet.Down(standin.Machine{Name: busy[0]})
+		} else if len(busy) > 0 {
+			p.fleet.Pause(busy[0], 7*time.Second)
 		}
-		switch k {
+		switch round {
 		case 3:
-			await("the pool is made smaller", func() bool {
-				done, err := change(`{"id":"smaller","pool":"licence","version":0,"units":2}`)
+			p.await(t, "the pool is made smaller", func() bool {
+				done, err := p.change(t, `{"id":"smaller","pool":"licence","version":0,"units":2}`)
 				return err == nil && done.Durable && done.Pool.Units == 2
 			})
 		case 6:
 			stopFirst()
 			time.Sleep(300 * time.Millisecond)
-			cfgs[0].Tunables.OperatorsListen = freeAddr(t)
-			cluster.start(0)
+			p.settings[0].Tunables.OperatorsListen = freeAddr(t)
+			p.start(0)
 		}
 		time.Sleep(400 * time.Millisecond)
 	}
-	if _, err := change(`{"id":"late","pool":"licence","version":0,"units":3}`); err == nil || !strings.Contains(err.Error(), "version") {
-		t.Errorf("planned for a version that has passed: %v", err)
-	}
+}
+
+// certifyHolder asks for the receipt of one attempt that runs, and for one of another attempt of
+// that task, which must be refused. It says whether it found one that is certified.
+func (p *poolsTest) certifyHolder(t *testing.T) bool {
+	t.Helper()
 	var view pools.View
-	certified := false
-	await("a holder is certified", func() bool {
-		if !getJSON(cfgs[0].InternalAddr, "pools/licence", &view) || len(view.Holders) == 0 {
-			return false
+	if !getJSON(p.settings[0].InternalAddr, "pools/licence", &view) || len(view.Holders) == 0 {
+		return false
+	}
+	for ref, attempt := range p.fleet.Attempts() {
+		job, number, _ := strings.Cut(ref, "/")
+		task, err := strconv.Atoi(number)
+		if err != nil {
+			t.Fatal(err)
 		}
-		for ref, attempt := range fleet.Attempts() {
-			job, number, _ := strings.Cut(ref, "/")
-			task, err := strconv.Atoi(number)
-			if err != nil {
-				t.Fatal(err)
-			}
-			status, out, _ := ask(t, "POST", public(0)+PathReceipts, fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt))
-			if status != 200 {
-				continue
-			}
-			keys, err := receipts.Read([]string{key})
-			if err != nil {
-				t.Fatal(err)
-			}
-			claims, _, err := keys.Verify(out["receipt"].(string), time.Now())
-			if err != nil || claims.Subject != fmt.Sprintf("%s/%d", job, task) || len(claims.Units) != 1 || len(claims.Units[0].Numbers) != 1 {
-				t.Errorf("%+v %v", claims, err)
-			}
-			if status, _, _ := ask(t, "POST", public(0)+PathReceipts, fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt+1)); status != 409 {
-				t.Errorf("another attempt gets %d", status)
-			}
-			certified = true
-			return true
+		status, out := p.receipt(t, job, task, attempt)
+		if status != 200 {
+			continue
 		}
-		return false
-	})
-	for id := 1; id <= 5; id++ {
-		await("the job is done", func() bool {
-			_, out, _ := ask(t, "GET", fmt.Sprintf("%s/api/jobs/j-%06d", public(1), id), "")
-			return out["standing"] == "done"
-		})
+		p.verifyReceipt(t, out["receipt"].(string), fmt.Sprintf("%s/%d", job, task))
+		if status, _ := p.receipt(t, job, task, attempt+1); status != 409 {
+			t.Errorf("another attempt gets %d", status)
+		}
+		return true
 	}
-	for _, b := range append(fleet.BrokenRules(), store.RefusedTransactions()...) {
-		t.Error(b)
+	return false
+}
+
+func (p *poolsTest) receipt(t *testing.T, job string, task int, attempt uint64) (int, map[string]any) {
+	t.Helper()
+	body := fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt)
+	status, out, _ := ask(t, "POST", p.public(0)+PathReceipts, body)
+	return status, out
+}
+
+// verifyReceipt checks that a receipt is signed, and for one numbered unit of that task.
+func (p *poolsTest) verifyReceipt(t *testing.T, receipt, subject string) {
+	t.Helper()
+	keys, err := receipts.Read([]string{p.file("receipt.key")})
+	if err != nil {
+		t.Fatal(err)
 	}
-	if fleet.PoolPeak("licence") != 3 || !certified {
-		t.Errorf("at most %d licences were held", fleet.PoolPeak("licence"))
+	claims, _, err := keys.Verify(receipt, time.Now())
+	if err != nil || claims.Subject != subject || len(claims.Units) != 1 || len(claims.Units[0].Numbers) != 1 {
+		t.Errorf("%+v %v", claims, err)
 	}
 }
