--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -67,7 +67,7 @@
 // newCluster makes the settings of two controllers, changed by configure. They run after start,
 // and end with the test.
 func newCluster(
-	t *testing.T, store *standin.State, cloud *standin.Cloud, configure func(c *settings.Settings),
+	t *testing.T, store *standin.StateService, cloud *standin.Cloud, configure func(c *settings.Settings),
 ) *testCluster {
 	t.Helper()
 	state, clouds := httptest.NewServer(store), httptest.NewServer(cloud)
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -24,7 +24,7 @@
 // TestLoopback takes a job through two controllers over real sockets: user API, relay to the
 // leader, worker, state service and cloud as they are spoken.
 func TestLoopback(t *testing.T) {
-	store := &standin.State{}
+	store := &standin.StateService{}
 	cluster := newCluster(t, store, &standin.Cloud{}, func(c *settings.Settings) {
 		c.Tunables.TakeoversKept, c.Tunables.RunTimesKinds = 9, 100
 	})
@@ -142,7 +142,7 @@
 
 // checkOutage takes the state service away: nothing is said of jobs then, and the health check
 // stands.
-func (c *testCluster) checkOutage(t *testing.T, store *standin.State) {
+func (c *testCluster) checkOutage(t *testing.T, store *standin.StateService) {
 	t.Helper()
 	store.SetDown(true)
 	eventually(t, "without the state service, 503 and not 404", func() bool {
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -30,7 +30,7 @@
 	*testCluster
 	dir      string // certificates and the key of receipts
 	fleet    *standin.Fleet
-	store    *standin.State
+	store    *standin.StateService
 	operator *tls.Config // ann's, who may operate
 }
 
@@ -57,10 +57,10 @@
 			return out["standing"] == "done"
 		})
 	}
-	for _, broken := range append(p.fleet.Broken(), p.store.Refused()...) {
+	for _, broken := range append(p.fleet.BrokenRules(), p.store.RefusedTransactions()...) {
 		t.Error(broken)
 	}
-	if peak := p.fleet.Peak("licence"); peak != 3 {
+	if peak := p.fleet.PoolPeak("licence"); peak != 3 {
 		t.Errorf("at most %d licences were held", peak)
 	}
 }
@@ -69,18 +69,18 @@
 	t.Helper()
 	p := &poolsTest{
 		dir:   t.TempDir(),
-		store: &standin.State{},
+		store: &standin.StateService{},
 		fleet: &standin.Fleet{
-			Every: 200 * time.Millisecond,
-			Lease: 6 * time.Second,
-			Runs:  func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
-			Tasks: func(string) int { return 3 },
-			Units: func(string) map[string]int { return map[string]int{"licence": 1} },
+			HeartbeatInterval: 200 * time.Millisecond,
+			Lease:             6 * time.Second,
+			JobDuration:       func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
+			TaskCount:         func(string) int { return 3 },
+			PoolUnits:         func(string) map[string]int { return map[string]int{"licence": 1} },
 		},
 	}
 	p.makeCertificates(t)
-	p.fleet.Limit("licence", 3)
-	cloud := &standin.Cloud{Up: p.fleet.Up, Down: p.fleet.Down}
+	p.fleet.SetPoolLimit("licence", 3)
+	cloud := &standin.Cloud{Up: p.fleet.StartWorker, Down: p.fleet.StopWorker}
 	p.testCluster = newCluster(t, p.store, cloud, func(c *settings.Settings) {
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = .5, 6
 		x := &c.Tunables
@@ -88,7 +88,7 @@
 		x.ConfigHistory = 8
 		x.ReceiptKeyFiles, x.OperatorsListen, x.OperatorsOperate = p.file("receipt.key"), freeAddr(t), "ann"
 		x.OperatorsCert, x.OperatorsKey, x.OperatorsCA = p.file("node.pem"), p.file("node.key"), p.file("ca.pem")
-		p.fleet.Doors = append(p.fleet.Doors, "http://"+c.PublicAddr)
+		p.fleet.Controllers = append(p.fleet.Controllers, "http://"+c.PublicAddr)
 	})
 	return p
 }
@@ -218,9 +218,9 @@
 	for round := range 12 {
 		p.await(t, "something runs", func() bool { return len(p.fleet.Busy()) > 0 })
 		if busy := p.fleet.Busy(); len(busy) > 0 && round%2 == 0 {
-			p.fleet.Down(standin.Machine{Name: busy[0]})
+			p.fleet.StopWorker(standin.Machine{Name: busy[0]})
 		} else if len(busy) > 0 {
-			p.fleet.Pause(busy[0], 7*time.Second)
+			p.fleet.PauseWorker(busy[0], 7*time.Second)
 		}
 		switch round {
 		case 3:
