--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -39,7 +39,7 @@
 	c := newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
 	var listen []string
 	for i := range 3 {
-		listen = append(listen, free(t))
+		listen = append(listen, c.reserve(i))
 		ini := fmt.Sprintf("[pool licence]\nunits = 24\n[pool token]\nunits = 40\n[pools]\nreceipt_keys = %s\n[operators]\nlisten = %s\ncert_file = %s\nkey_file = %s\nca_file = %s\noperate = ann\n",
 			key, listen[i], filepath.Join(dir, "node.pem"), filepath.Join(dir, "node.key"), filepath.Join(dir, "ca.pem"))
 		if err := os.WriteFile(filepath.Join(dir, fmt.Sprintf("n%d.ini", i)), []byte(ini), 0o600); err != nil {
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -61,6 +61,8 @@
 	inside []string
 	procs  []*exec.Cmd
 
+	reserved map[int][]net.Listener // by controller that has not begun yet
+
 	mu   sync.Mutex
 	jobs map[string]job
 }
@@ -77,21 +79,32 @@
 	return c.jobs[id]
 }
 
-func free(t *testing.T) string {
-	t.Helper()
+// reserve takes a free port for a controller, and holds it until the controller begins: until then
+// nothing else on this machine is given it. Found in a run in which a controller's port had gone to
+// another test's server before the controller began, and that one answered a submission.
+func (c *cluster) reserve(i int) string {
+	c.t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // the address is all that was wanted
+	c.reserved[i] = append(c.reserved[i], l)
 	return l.Addr().String()
 }
 
+// release frees the ports that are held for a controller.
+func (c *cluster) release(i int) {
+	for _, l := range c.reserved[i] {
+		_ = l.Close() // nobody has connected
+	}
+	delete(c.reserved, i)
+}
+
 func newCluster(t *testing.T, state, cloud string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, jobs: map[string]job{}, procs: make([]*exec.Cmd, 3)}
-	for range 3 {
-		c.doors, c.inside = append(c.doors, free(t)), append(c.inside, free(t))
+	c := &cluster{t: t, jobs: map[string]job{}, procs: make([]*exec.Cmd, 3), reserved: map[int][]net.Listener{}}
+	for i := range 3 {
+		c.doors, c.inside = append(c.doors, c.reserve(i)), append(c.inside, c.reserve(i))
 	}
 	for i := range 3 {
 		var b strings.Builder
@@ -140,6 +153,7 @@
 	t.Cleanup(func() {
 		for i := range c.procs {
 			c.kill(i)
+			c.release(i)
 		}
 	})
 	return c
@@ -153,6 +167,7 @@
 	cmd := exec.Command(binary, args...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
 	cmd.Stderr = os.Stderr
+	c.release(i)
 	if err := cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
