--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -274,11 +274,11 @@
 
 func (n *Node) readComponentValues(ctx context.Context, epoch uint64, e effects.ReadValues) {
 	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
-		values, more, err := n.readValues(ctx, e.Duty, e.Since)
+		values, more, err := n.readValues(ctx, e.Component, e.Since)
 		if err != nil {
-			n.log.Debug("values not read", "component", e.Duty, "error", err)
+			n.log.Debug("values not read", "component", e.Component, "error", err)
 		}
-		return func(now time.Duration) { n.core.ValuesRead(now, epoch, e.Duty, values, more, err == nil) }
+		return func(now time.Duration) { n.core.ValuesRead(now, epoch, e.Component, values, more, err == nil) }
 	})
 }
 
