--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -121,7 +121,7 @@
 
 // ReadValues reads a page of a component's own values, those after the key Since. Its result
 // is ValuesRead.
-type ReadValues struct{ Component, Since string }
+type ReadValues struct{ Component, AfterKey string }
 
 // Calls of workers.
 
--- a/internal/leader/cluster/value_reader.go
+++ b/internal/leader/cluster/value_reader.go
@@ -25,7 +25,7 @@
 func (r *ValueReader) RequestNext(to Emitter, now time.Duration, component string) {
 	if !r.Done && !r.requested && now >= r.retryAt {
 		r.requested = true
-		to.Emit(effects.ReadValues{Component: component, Since: r.lastKey})
+		to.Emit(effects.ReadValues{Component: component, AfterKey: r.lastKey})
 	}
 }
 
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -73,7 +73,7 @@
 		since := ""
 		for _, e := range d.TakeEffects() {
 			if v, ok := e.(effects.ReadValues); ok {
-				since = v.Since
+				since = v.AfterKey
 			}
 			w.effects = append(w.effects, e)
 		}
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -274,7 +274,7 @@
 
 func (n *Node) readComponentValues(ctx context.Context, epoch uint64, e effects.ReadValues) {
 	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
-		values, more, err := n.readValues(ctx, e.Component, e.Since)
+		values, more, err := n.readValues(ctx, e.Component, e.AfterKey)
 		if err != nil {
 			n.log.Debug("values not read", "component", e.Component, "error", err)
 		}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -492,7 +492,7 @@
 	case effects.ReadBack:
 		s.state.recheck(c, e.Key)
 	case effects.ReadValues:
-		s.state.values(c, e.Component, e.Since)
+		s.state.values(c, e.Component, e.AfterKey)
 	case effects.SendStops:
 		for _, cmd := range e.Stops {
 			if cmd.Op != workers.Stop {
