--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -22,7 +22,7 @@
 		Short: "Show and change what may change while controllers run: teams, and some tunables",
 	}
 	history := viewCommand("history", "Show the last changes, the newest first",
-		node.PathDuties+reconfig.Name+"/"+reconfig.ViewHistory, printHistory)
+		node.PathComponents+reconfig.Name+"/"+reconfig.ViewHistory, printHistory)
 	top.AddCommand(configShow(), history, configSet(), configApply(), configRollback())
 	return top
 }
@@ -40,7 +40,7 @@
 // printConfig prints the leader's view of the configuration. Where the leader is not reached, it prints what
 // this controller has, and how old that is.
 func (n *nodeClient) printConfig(out io.Writer) error {
-	path := node.PathDuties + reconfig.Name
+	path := node.PathComponents + reconfig.Name
 	var view reconfig.View
 	err := n.printView(out, path, &view, func() { printConfig(out, &view) })
 	var unanswered statusError
--- a/cmd/bitternmoor/forecast.go
+++ b/cmd/bitternmoor/forecast.go
@@ -14,9 +14,9 @@
 
 func forecastCommand() *cobra.Command {
 	cmd := viewCommand("forecast", "Show when open jobs should begin and end, and what they will miss",
-		node.PathDuties+runtimes.Name+"/forecast", printForecasts)
+		node.PathComponents+runtimes.Name+"/forecast", printForecasts)
 	cmd.AddCommand(viewCommand("ahead", "Show the work that is expected over the next twelve hours, by nights before",
-		node.PathDuties+runtimes.Name+"/ahead", printAhead))
+		node.PathComponents+runtimes.Name+"/ahead", printAhead))
 	return cmd
 }
 
@@ -51,7 +51,7 @@
 
 func lateCommand() *cobra.Command {
 	return viewCommand("late", "Show the jobs that run well past what their kind has shown, and why",
-		node.PathDuties+runtimes.Name+"/late", printLate)
+		node.PathComponents+runtimes.Name+"/late", printLate)
 }
 
 func printLate(out io.Writer, list []runtimes.Late) {
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -20,7 +20,7 @@
 
 func poolsCommand() *cobra.Command {
 	top := &cobra.Command{Use: "pools", Short: "Show pools of counted resources, change them, check receipts"}
-	list := viewCommand("list", "Show all pools", node.PathDuties+pools.Name, printPools)
+	list := viewCommand("list", "Show all pools", node.PathComponents+pools.Name, printPools)
 	top.AddCommand(list, poolShow(), poolSet(), poolDrain(), verifyCommand())
 	return top
 }
@@ -65,7 +65,7 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
 			var p pools.View
-			return client.printView(out, node.PathDuties+pools.Name+"/"+args[0], &p, func() { printPool(out, p) })
+			return client.printView(out, node.PathComponents+pools.Name+"/"+args[0], &p, func() { printPool(out, p) })
 		},
 	})
 }
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -24,7 +24,7 @@
 }
 
 func runTimesCommand() *cobra.Command {
-	path := node.PathDuties + runtimes.Name
+	path := node.PathComponents + runtimes.Name
 	top := &cobra.Command{Use: "run-times", Short: "Show, export, import or forget what was learned of run times"}
 	top.AddCommand(
 		viewCommand("show", "Show each kind of work with its estimate", path, printKinds),
@@ -36,7 +36,7 @@
 
 // fetchKinds lists what the leader has learned.
 func (n *nodeClient) fetchKinds() (list []shownKind, err error) {
-	page, err := n.call(http.MethodGet, node.PathDuties+runtimes.Name, nil)
+	page, err := n.call(http.MethodGet, node.PathComponents+runtimes.Name, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -50,7 +50,7 @@
 	if err != nil {
 		return failure{err}
 	}
-	answer, err := n.call(http.MethodPost, node.PathDuties+runtimes.Name, body)
+	answer, err := n.call(http.MethodPost, node.PathComponents+runtimes.Name, body)
 	if err != nil {
 		return err
 	}
--- a/cmd/bitternmoor/served.go
+++ b/cmd/bitternmoor/served.go
@@ -13,7 +13,7 @@
 
 func servedCommand() *cobra.Command {
 	return viewCommand("served", "Show by class and by team how many jobs were due lately, and how many of them were done",
-		node.PathDuties+slo.Name, printServed)
+		node.PathComponents+slo.Name, printServed)
 }
 
 func printServed(out io.Writer, list []slo.View) {
@@ -32,7 +32,7 @@
 
 func spreadCommand() *cobra.Command {
 	return viewCommand("spread", "Show how reports are spread over controllers",
-		node.PathDuties+rebalance.Name, printSpread)
+		node.PathComponents+rebalance.Name, printSpread)
 }
 
 func printSpread(out io.Writer, list []rebalance.View) {
--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -18,10 +18,10 @@
 
 func takeoversCommand() *cobra.Command {
 	cmd := viewCommand("takeovers", "Show the last takeovers, and when each of their steps was reached",
-		node.PathDuties+failover.Name, printTakeovers)
+		node.PathComponents+failover.Name, printTakeovers)
 	cmd.AddCommand(viewCommand("cold",
 		"Show the last starts in which nobody led before: what was found, ordered, and needless",
-		node.PathDuties+coldstart.Name, printColdStarts))
+		node.PathComponents+coldstart.Name, printColdStarts))
 	return cmd
 }
 
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -48,7 +48,7 @@
 
 // getJSON reads a component's view from a controller's internal address.
 func getJSON(addr, path string, into any) bool {
-	resp, err := http.Get("http://" + addr + PathDuties + path)
+	resp, err := http.Get("http://" + addr + PathComponents + path)
 	if err != nil {
 		return false
 	}
--- a/internal/node/internal_api.go
+++ b/internal/node/internal_api.go
@@ -23,11 +23,11 @@
 
 // Paths on the internal address: peers' calls, and the operators' endpoint.
 const (
-	PathPeers   = "/peers"
-	PathStatus  = "/status"
-	PathExplain = "/explain/"
-	PathMetrics = "/metrics"
-	PathDuties  = "/duties/" // the components' views and changes
+	PathPeers      = "/peers"
+	PathStatus     = "/status"
+	PathExplain    = "/explain/"
+	PathMetrics    = "/metrics"
+	PathComponents = "/duties/" // the components' views and changes
 )
 
 // certificateOnly are the components that are changed at the operators' TLS listener alone.
@@ -49,8 +49,8 @@
 	router.Method(http.MethodGet, PathMetrics, promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	router.Get(PathStatus, n.handleStatus)
 	router.Get(PathExplain+"{id}", n.handleExplain)
-	router.Get(PathDuties+"*", n.handleShowComponent)
-	router.Post(PathDuties+"*", n.handleChangeComponent)
+	router.Get(PathComponents+"*", n.handleShowComponent)
+	router.Post(PathComponents+"*", n.handleChangeComponent)
 	return router, nil
 }
 
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -125,7 +125,7 @@
 		"none":               404,
 		"takeovers/none":     404,
 	} {
-		if status, out, _ := ask(t, "GET", c.internal(i)+PathDuties+path, ""); status != want {
+		if status, out, _ := ask(t, "GET", c.internal(i)+PathComponents+path, ""); status != want {
 			t.Errorf("n%d: %s gives %d %v", i, path, status, out)
 		}
 	}
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -128,7 +128,7 @@
 		_, out, _ := ask(t, "GET", fmt.Sprintf("%s%sj-%06d", p.internal(1), PathExplain, id), "")
 		t.Log(out["words"])
 	}
-	_, out, _ := ask(t, "GET", p.internal(1)+PathDuties+"pools/licence", "")
+	_, out, _ := ask(t, "GET", p.internal(1)+PathComponents+"pools/licence", "")
 	_, status, _ := ask(t, "GET", p.internal(1)+PathStatus, "")
 	t.Fatalf("never: %s; %v; %v", what, out, status["machines"])
 }
@@ -181,7 +181,7 @@
 func (p *poolsTest) checkCertificatesNeeded(t *testing.T) {
 	t.Helper()
 	for _, component := range []string{"pools", "config"} {
-		if status, _, _ := ask(t, "POST", p.internal(0)+PathDuties+component, `{}`); status != 403 {
+		if status, _, _ := ask(t, "POST", p.internal(0)+PathComponents+component, `{}`); status != 403 {
 			t.Errorf("a change of %s without a certificate gives %d", component, status)
 		}
 	}
@@ -201,7 +201,7 @@
 			return getJSON(c.InternalAddr, "config/here", &here) && here.Revision == 1
 		})
 	}
-	_, out, _ := ask(t, "GET", p.internal(0)+PathDuties+"config", "")
+	_, out, _ := ask(t, "GET", p.internal(0)+PathComponents+"config", "")
 	if !strings.Contains(fmt.Sprint(out["teams"]), "guests") {
 		t.Errorf("the team is not shown: %v", out)
 	}
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -174,7 +174,7 @@
 // lowestRevision is the lowest revision that a controller has; false: one does not answer.
 func (o *operators) lowestRevision(client *http.Client) (least uint64, ok bool) {
 	for i, c := range o.world.controllers {
-		resp, err := client.Get("http://" + c.internal + node.PathDuties + reconfig.Name + "/" + reconfig.ViewHere)
+		resp, err := client.Get("http://" + c.internal + node.PathComponents + reconfig.Name + "/" + reconfig.ViewHere)
 		if err != nil {
 			return 0, false
 		}
