--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -25,13 +25,13 @@
 	plain := map[*workers.Machine]int{}
 	snap.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		j.Place(k)
-		m.Plan(&workers.Placement{Ref: workers.Ref{Job: j.Index, Task: int32(k)}, Need: j.Need})
+		m.Plan(&workers.Placement{Ref: workers.TaskRef{Job: j.Index, Task: int32(k)}, Need: j.Need})
 		if j.Need.GPU == 0 && m.Cap.GPU > 0 {
 			plain[m]++
 		}
 	}
 	snap.Unplace = func(j *jobs.Job, k int) {
-		ref := workers.Ref{Job: j.Index, Task: int32(k)}
+		ref := workers.TaskRef{Job: j.Index, Task: int32(k)}
 		for _, m := range snap.Inventory.All() {
 			m.RemovePlacement(ref)
 		}
@@ -134,7 +134,7 @@
 		room := types[i%len(types)]
 		m := addIdleMachine(&snap, fmt.Sprint("m", i), room)
 		if i%10 > 0 {
-			m.Plan(&workers.Placement{Ref: workers.Ref{Job: 1 << 20, Task: int32(i)}, Need: room})
+			m.Plan(&workers.Placement{Ref: workers.TaskRef{Job: 1 << 20, Task: int32(i)}, Need: room})
 		}
 	}
 	for id := range uint64(60) {
@@ -147,7 +147,7 @@
 	snap.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		place(j, k, m)
 		placed = append(placed, func() {
-			m.RemovePlacement(workers.Ref{Job: j.Index, Task: int32(k)})
+			m.RemovePlacement(workers.TaskRef{Job: j.Index, Task: int32(k)})
 			j.Release(k)
 			scheduler.Refund(0, j.Need)
 		})
--- a/internal/core/scheduler/cluster_test.go
+++ b/internal/core/scheduler/cluster_test.go
@@ -46,12 +46,12 @@
 		*decisions = append(*decisions, fmt.Sprintf("%d/%d on %s", job.Record.ID, k, machine.Name))
 		job.Place(k)
 		job.CountInZone(machine.Zone, 1)
-		ref := workers.Ref{Job: job.Index, Task: int32(k)}
+		ref := workers.TaskRef{Job: job.Index, Task: int32(k)}
 		machine.Plan(&workers.Placement{Ref: ref, JobID: job.Record.ID, Image: job.Image, Need: job.Need})
 		machine.UseImage(job.Image, 1, snap.Now)
 	}
 	snap.Unplace = func(job *jobs.Job, k int) {
-		ref := workers.Ref{Job: job.Index, Task: int32(k)}
+		ref := workers.TaskRef{Job: job.Index, Task: int32(k)}
 		for _, machine := range snap.Inventory.All() {
 			if machine.Tasks[ref] != nil {
 				machine.RemovePlacement(ref)
--- a/internal/core/scheduler/migration_test.go
+++ b/internal/core/scheduler/migration_test.go
@@ -44,7 +44,7 @@
 			job.Phase = jobs.Open
 			snap.Estimator.Add(job.Index, 0, 1, 4, false)
 			job.Place(0)
-			task := &workers.Placement{Ref: workers.Ref{Job: job.Index}, JobID: 1, Need: job.Need}
+			task := &workers.Placement{Ref: workers.TaskRef{Job: job.Index}, JobID: 1, Need: job.Need}
 			from.Plan(task)
 			setRunning(task, 40*time.Second)
 			c.change(job, task, other)
--- a/internal/core/scheduler/preemption_test.go
+++ b/internal/core/scheduler/preemption_test.go
@@ -21,7 +21,7 @@
 	task.State, task.RanAt = workers.Running, ranAt
 }
 
-func compareRefs(a, b workers.Ref) int {
+func compareRefs(a, b workers.TaskRef) int {
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 }
 
@@ -95,7 +95,7 @@
 	long := add(1, 4, 2, 0)
 	for k := range 4 {
 		long.Place(k)
-		task := &workers.Placement{Ref: workers.Ref{Job: long.Index, Task: int32(k)}, JobID: 1, Need: long.Need}
+		task := &workers.Placement{Ref: workers.TaskRef{Job: long.Index, Task: int32(k)}, JobID: 1, Need: long.Need}
 		machine.Plan(task)
 		setRunning(task, 40*time.Second)
 	}
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -10,7 +10,7 @@
 
 // TaskRecord is what the leader has of a reported task.
 type TaskRecord struct {
-	Ref       Ref
+	Ref       TaskRef
 	Need      resources.Amounts
 	Image     int32 // index of its image
 	ImageGB   float64
@@ -37,7 +37,7 @@
 // Event is what a report has shown of one task.
 type Event struct {
 	Kind    EventKind
-	Ref     Ref
+	Ref     TaskRef
 	JobID   uint64
 	Attempt uint64
 
@@ -348,7 +348,7 @@
 }
 
 // IsCurrentAttempt says whether an attempt of a task is the one that is placed on the machine.
-func (m *Machine) IsCurrentAttempt(ref Ref, attempt uint64) bool {
+func (m *Machine) IsCurrentAttempt(ref TaskRef, attempt uint64) bool {
 	p := m.Tasks[ref]
 	if p == nil || p.Planned {
 		return false
--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -4,7 +4,7 @@
 
 // attemptKey names an attempt of a task.
 type attemptKey struct {
-	ref     Ref
+	ref     TaskRef
 	attempt uint64
 }
 
@@ -29,7 +29,7 @@
 // the worker's report after them; it is nil if there was no answer, or none that says that they were carried
 // out, and the machine becomes suspect then. Of the report only the tasks that were sent are looked at: it may
 // overtake the answer to a regular report, and what is absent or newer in it proves nothing here.
-func (m *Machine) DispatchResult(_ time.Duration, token uint64, refs []Ref, r *Report) {
+func (m *Machine) DispatchResult(_ time.Duration, token uint64, refs []TaskRef, r *Report) {
 	m.Dispatching = false
 	for _, ref := range refs {
 		p := m.Tasks[ref]
@@ -63,13 +63,13 @@
 
 // mayStartLate says whether an attempt was started directly and may still begin, or begin once more, on a
 // worker that has seen no higher token than the given one.
-func (m *Machine) mayStartLate(ref Ref, number, token uint64) bool {
+func (m *Machine) mayStartLate(ref TaskRef, number, token uint64) bool {
 	start := m.directStarts[attemptKey{ref, number}]
 	return start != nil && token <= start.token
 }
 
 // WasDispatched says whether a task is placed here by a direct start.
-func (m *Machine) WasDispatched(ref Ref) bool {
+func (m *Machine) WasDispatched(ref TaskRef) bool {
 	p := m.Tasks[ref]
 	return p != nil && m.directStartOf(p) != nil
 }
--- a/internal/core/workers/inventory.go
+++ b/internal/core/workers/inventory.go
@@ -22,7 +22,7 @@
 func (inv *Inventory) Add(m *Machine) *Machine {
 	m.Index = int32(len(inv.all))
 	m.Free, m.firstTokenOfTerm = m.Cap, m.Token
-	m.Tasks = map[Ref]*Placement{}
+	m.Tasks = map[TaskRef]*Placement{}
 	m.Grants = map[uint64]bool{}
 	inv.all = append(inv.all, m)
 	inv.byName[m.Name] = m
--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -106,7 +106,7 @@
 	}
 	p.Offered[m], p.offeredUnderSerial[m] = true, true
 	if m.OpenOffers == nil {
-		m.OpenOffers = map[Ref]*Placement{}
+		m.OpenOffers = map[TaskRef]*Placement{}
 	}
 	m.OpenOffers[p.Ref] = p
 	b.offers = append(b.offers, Offer{
@@ -132,7 +132,7 @@
 
 // TaskStarted notes that a controller sent an offered task with its answer to the machine's last report. It
 // returns false if the task is not on offer to the machine, or is no longer planned.
-func (m *Machine) TaskStarted(ref Ref) bool {
+func (m *Machine) TaskStarted(ref TaskRef) bool {
 	p := m.OpenOffers[ref]
 	if p == nil || !p.Planned {
 		return false
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -8,16 +8,16 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// Ref names a task by its job's dense index and its number within the job.
-type Ref struct{ Job, Task int32 }
+// TaskRef names a task by its job's dense index and its number within the job.
+type TaskRef struct{ Job, Task int32 }
 
 // NoRef stands for a task whose job has left the job table.
-var NoRef = Ref{-1, -1}
+var NoRef = TaskRef{-1, -1}
 
 // Placement is a task that is planned on a machine, or that counts as being placed there.
 type Placement struct {
 	// The task and what it takes.
-	Ref     Ref
+	Ref     TaskRef
 	JobID   uint64
 	Image   int32 // index of its image
 	Need    resources.Amounts
@@ -76,7 +76,7 @@
 }
 
 // RemovePlacement removes a placement, if the machine has it, and frees its resources.
-func (m *Machine) RemovePlacement(ref Ref) {
+func (m *Machine) RemovePlacement(ref TaskRef) {
 	if p := m.Tasks[ref]; p != nil {
 		m.Free = m.Free.Plus(p.Need)
 		if p.Need.GPU == 0 {
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -17,7 +17,7 @@
 }
 
 func placeTask(m *Machine, job uint64, task int32) *Placement {
-	p := &Placement{Ref: Ref{Job: int32(job), Task: task}, JobID: job, Need: resources.Need(1, 0, 1), Attempt: 1}
+	p := &Placement{Ref: TaskRef{Job: int32(job), Task: task}, JobID: job, Need: resources.Need(1, 0, 1), Attempt: 1}
 	m.Plan(p)
 	m.placePlanned(p)
 	p.lastReportSeq = m.Seq
@@ -26,7 +26,7 @@
 
 func applyReport(m *Machine, r Report) []Event {
 	lookup := func(job uint64, task int, _ bool) (TaskRecord, bool) {
-		return TaskRecord{Ref: Ref{Job: int32(job), Task: int32(task)}, Need: resources.Need(1, 0, 1), Open: true}, true
+		return TaskRecord{Ref: TaskRef{Job: int32(job), Task: int32(task)}, Need: resources.Need(1, 0, 1), Open: true}, true
 	}
 	events, _ := m.ApplyStatus(time.Second, &r, token, nil, lookup)
 	return events
@@ -84,7 +84,7 @@
 // Nothing is offered to a machine before the job's grant on it and the intent to start the task are durable.
 func TestOffersWaitForDurableGrantAndIntent(t *testing.T) {
 	_, m := newMachine()
-	p := &Placement{Ref: Ref{Job: 3}, JobID: 3, Need: resources.Need(1, 0, 1)}
+	p := &Placement{Ref: TaskRef{Job: 3}, JobID: 3, Need: resources.Need(1, 0, 1)}
 	m.Plan(p)
 	next := counter()
 	m.Grants[3] = false
@@ -107,7 +107,7 @@
 	_, m := newMachine()
 	m.Grants = map[uint64]bool{1: true, 2: true, 3: true, 4: true, 5: false}
 	placeTask(m, 1, 0)
-	m.Plan(&Placement{Ref: Ref{Job: 2}, JobID: 2, Need: resources.Need(1, 0, 1)})
+	m.Plan(&Placement{Ref: TaskRef{Job: 2}, JobID: 2, Need: resources.Need(1, 0, 1)})
 	orphan := Report{Tasks: []TaskReport{{Job: 3, State: Running}}}
 	if got := m.UnusedGrants(0, 8*time.Second, &orphan); len(got) != 0 {
 		t.Errorf("%v at once", got)
@@ -132,7 +132,7 @@
 	if !m.Settled() {
 		t.Error("an empty machine is not settled")
 	}
-	p := &Placement{Ref: Ref{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), IntentDurable: true}
+	p := &Placement{Ref: TaskRef{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), IntentDurable: true}
 	m.Plan(p)
 	if !m.Settled() {
 		t.Error("a plan that is on offer to nobody keeps it from being settled")
--- a/internal/leader/cluster/cluster_test.go
+++ b/internal/leader/cluster/cluster_test.go
@@ -104,7 +104,7 @@
 		Free: resources.Room(9, 0, 9),
 	})
 	for k := range 6 {
-		ref := workers.Ref{Job: j.Index, Task: int32(k)}
+		ref := workers.TaskRef{Job: j.Index, Task: int32(k)}
 		p := &workers.Placement{Ref: ref, JobID: 1, Need: j.Need, Machine: m}
 		m.Plan(p)
 		p.Planned = k >= begun
--- a/internal/leader/cluster/gangs.go
+++ b/internal/leader/cluster/gangs.go
@@ -14,7 +14,7 @@
 	}
 	j.GangFailed = true
 	for k, task := range j.Tasks {
-		p := s.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		p := s.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 		if task != jobs.Placed || p == nil {
 			continue
 		}
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -35,7 +35,7 @@
 
 // Unplace takes a task off its machine in the accounts of jobs, teams and sizes. The
 // machine's own list is the caller's.
-func (s *State) Unplace(ref workers.Ref) {
+func (s *State) Unplace(ref workers.TaskRef) {
 	p := s.Placements[ref]
 	if p == nil {
 		return
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -64,7 +64,7 @@
 	// Machines and the tasks on them. registry enters machines, takes in their heartbeats
 	// and adopts tasks; placement plans tasks.
 	Inventory         *workers.Inventory
-	Placements        map[workers.Ref]*workers.Placement
+	Placements        map[workers.TaskRef]*workers.Placement
 	MachinesWithPlans []*workers.Machine // all on which tasks may be planned: ListMachineWithPlans, placement
 	LastMachineNumber int                // last one given to a machine: registry, placement
 	Reconciled        *reconcile.Tally   // differences between what was stored and heartbeats, in this term: registry
@@ -124,7 +124,7 @@
 			Delta: tunables.TrainingLimitS,
 			First: tunables.FirstSizeS,
 		}),
-		Placements: map[workers.Ref]*workers.Placement{},
+		Placements: map[workers.TaskRef]*workers.Placement{},
 		Reconciled: &reconcile.Tally{},
 	}
 	s.Scheduler = scheduler.New(nil, tunables.TrainingAtOnce)
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -54,7 +54,7 @@
 // stopGang stops all tasks of a gang that are on machines or on their way.
 func (s *State) stopGang(j *jobs.Job, graceSeconds float64) {
 	for k := range j.Tasks {
-		p := s.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		p := s.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 		if p != nil && !p.Planned && !p.Stopping {
 			p.Stopping, p.GraceSeconds = true, graceSeconds
 		}
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -69,13 +69,13 @@
 	earlier     []Record           // by epoch
 	stepSeconds *cluster.Histogram // nil where no records are kept
 
-	missingTasks map[workers.Ref]struct{} // tasks that may have been under way, not recovered yet
+	missingTasks map[workers.TaskRef]struct{} // tasks that may have been under way, not recovered yet
 
 	// What tells which actions were needless.
-	unusedRentals map[*workers.Machine]bool     // on which no task was started yet
-	startedAt     map[workers.Ref]time.Duration // tasks of this term
-	returnedAt    map[string]time.Duration      // when a machine of a type and kind was last returned
-	deletedSilent map[*workers.Machine]bool     // given up and not heard since
+	unusedRentals map[*workers.Machine]bool         // on which no task was started yet
+	startedAt     map[workers.TaskRef]time.Duration // tasks of this term
+	returnedAt    map[string]time.Duration          // when a machine of a type and kind was last returned
+	deletedSilent map[*workers.Machine]bool         // given up and not heard since
 }
 
 // notReached stands in a record for a step that was not reached.
@@ -92,9 +92,9 @@
 		Orders:    map[string]uint64{},
 		Needless:  map[string]uint64{},
 	}
-	a.missingTasks = map[workers.Ref]struct{}{}
+	a.missingTasks = map[workers.TaskRef]struct{}{}
 	a.unusedRentals = map[*workers.Machine]bool{}
-	a.startedAt = map[workers.Ref]time.Duration{}
+	a.startedAt = map[workers.TaskRef]time.Duration{}
 	a.returnedAt = map[string]time.Duration{}
 	a.deletedSilent = map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
@@ -151,7 +151,7 @@
 	a.current.Jobs++
 	for task, state := range j.Tasks {
 		if state == jobs.Waiting && (task < j.FreshFrom || j.Record.Kind == jobs.Gang) {
-			a.missingTasks[workers.Ref{Job: j.Index, Task: int32(task)}] = struct{}{}
+			a.missingTasks[workers.TaskRef{Job: j.Index, Task: int32(task)}] = struct{}{}
 		}
 		if state != jobs.DoneDurably && task < j.FreshFrom {
 			a.current.Tasks++
@@ -164,7 +164,7 @@
 
 // taskRecovered notes that a task was found, has ended or was started again.
 func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, task int) {
-	ref := workers.Ref{Job: j.Index, Task: int32(task)}
+	ref := workers.TaskRef{Job: j.Index, Task: int32(task)}
 	if _, open := a.missingTasks[ref]; open {
 		delete(a.missingTasks, ref)
 		a.recordRecoveredShare(d, now)
@@ -236,8 +236,8 @@
 }
 
 // taskOf is the task that an event is about.
-func taskOf(e cluster.Event) workers.Ref {
-	return workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}
+func taskOf(e cluster.Event) workers.TaskRef {
+	return workers.TaskRef{Job: e.Job.Index, Task: int32(e.Task)}
 }
 
 // mayHaveRun says whether an earlier term may have started the task that an event is about.
@@ -297,7 +297,7 @@
 	now := max(a.lastEventAt, d.TermBegan)
 	for task := range j.Tasks {
 		a.taskRecovered(d, now, j, task)
-		delete(a.startedAt, workers.Ref{Job: j.Index, Task: int32(task)})
+		delete(a.startedAt, workers.TaskRef{Job: j.Index, Task: int32(task)})
 	}
 }
 
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -58,7 +58,7 @@
 		return
 	}
 	way := " by report"
-	if e.Machine.WasDispatched(workers.Ref{Job: e.Job.Index, Task: int32(e.Task)}) {
+	if e.Machine.WasDispatched(workers.TaskRef{Job: e.Job.Index, Task: int32(e.Task)}) {
 		way = " directly"
 	}
 	d.startSeconds.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
@@ -164,10 +164,10 @@
 	if m == nil {
 		return // deleted meanwhile, and all that was on it
 	}
-	var refs []workers.Ref
+	var refs []workers.TaskRef
 	for _, c := range starts {
 		if j := d.Jobs.Find(c.Job); j != nil {
-			refs = append(refs, workers.Ref{Job: j.Index, Task: int32(c.Task)})
+			refs = append(refs, workers.TaskRef{Job: j.Index, Task: int32(c.Task)})
 		}
 	}
 	m.DispatchResult(now, token, refs, report)
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -57,7 +57,7 @@
 func (c *Component) stopTasks(j *jobs.Job) {
 	machines := map[*workers.Machine]bool{}
 	for k, state := range j.Tasks {
-		p := c.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		p := c.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 		if state != jobs.Placed || p == nil {
 			continue
 		}
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -68,7 +68,7 @@
 
 // planJob3 plans a task of the job that logOfTwoTerms adds in its second term.
 func planJob3(component *Component, task int32) *workers.Placement {
-	ref := workers.Ref{Job: component.Jobs.Find(3).Index, Task: task}
+	ref := workers.TaskRef{Job: component.Jobs.Find(3).Index, Task: task}
 	plan := &workers.Placement{Ref: ref, JobID: 3}
 	component.markPlan(plan)
 	return plan
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -170,7 +170,7 @@
 
 // planTask plans task k of a job on a machine.
 func (c *Component) planTask(now time.Duration, job *jobs.Job, k int, machine *workers.Machine) {
-	ref := workers.Ref{Job: job.Index, Task: int32(k)}
+	ref := workers.TaskRef{Job: job.Index, Task: int32(k)}
 	job.Place(k)
 	job.CountInZone(machine.Zone, 1)
 	plan := &workers.Placement{
@@ -201,7 +201,7 @@
 
 // cancelTask takes back the plan for task k of a job in the cycle that made it.
 func (c *Component) cancelTask(job *jobs.Job, k int) {
-	c.CancelPlan(c.Placements[workers.Ref{Job: job.Index, Task: int32(k)}])
+	c.CancelPlan(c.Placements[workers.TaskRef{Job: job.Index, Task: int32(k)}])
 	if c.Pools != nil {
 		c.Pools.TaskRemoved(job)
 	}
--- a/internal/leader/pools/orphans.go
+++ b/internal/leader/pools/orphans.go
@@ -47,7 +47,7 @@
 		if h == nil {
 			continue
 		}
-		if !m.IsCurrentAttempt(workers.Ref{Job: j.Index, Task: int32(t.Task)}, t.Attempt) {
+		if !m.IsCurrentAttempt(workers.TaskRef{Job: j.Index, Task: int32(t.Task)}, t.Attempt) {
 			found.requirements = append(found.requirements, h.requirements...)
 		}
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -122,7 +122,7 @@
 			for range j.GangSize() {
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
-				ref := workers.Ref{Job: j.Index, Task: int32(k)}
+				ref := workers.TaskRef{Job: j.Index, Task: int32(k)}
 				p := &workers.Placement{Ref: ref, JobID: j.Record.ID, Machine: w.machine, Attempt: w.component.NextAttempt()}
 				w.component.Placements[ref], w.machine.Tasks[ref] = p, p
 				w.component.TaskPlaced(j)
@@ -136,7 +136,7 @@
 
 // completeTask has a placed task complete.
 func (w *fixture) completeTask(j *jobs.Job, k int) {
-	ref := workers.Ref{Job: j.Index, Task: int32(k)}
+	ref := workers.TaskRef{Job: j.Index, Task: int32(k)}
 	delete(w.component.Placements, ref)
 	delete(w.machine.Tasks, ref)
 	j.Complete(k)
@@ -515,7 +515,7 @@
 		return r, err
 	}
 	at := func(j *jobs.Job, k int) *workers.Placement {
-		return w.component.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		return w.component.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 	}
 	if _, err := ask(a, 0, 1); err == nil {
 		t.Error("another attempt gets a receipt")
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -134,7 +134,7 @@
 	if h == nil {
 		return nil, errNoUnits
 	}
-	t := d.Placements[workers.Ref{Job: j.Index, Task: int32(in.Task)}]
+	t := d.Placements[workers.TaskRef{Job: j.Index, Task: int32(in.Task)}]
 	if t == nil || t.Attempt != in.Attempt || in.Attempt == 0 || (t.Planned && len(t.Offered) == 0) {
 		return nil, errNotTheHolder
 	}
@@ -195,7 +195,7 @@
 		h := d.byJob[j.Index]
 		return h != nil && h.holdsJobUnits
 	}
-	t := d.Placements[workers.Ref{Job: j.Index, Task: key.task}]
+	t := d.Placements[workers.TaskRef{Job: j.Index, Task: key.task}]
 	return t != nil && t.Attempt == issued.attempt
 }
 
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -162,7 +162,7 @@
 func (d *Component) taskHolders(now time.Duration, h *holder, r requirement) (out []Holder) {
 	j := h.job
 	for k, state := range j.Tasks {
-		t := d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		t := d.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 		if state != jobs.Placed || t == nil {
 			continue
 		}
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -106,7 +106,7 @@
 		if j == nil {
 			continue
 		}
-		if m.TaskStarted(workers.Ref{Job: j.Index, Task: int32(o.Start.Task)}) {
+		if m.TaskStarted(workers.TaskRef{Job: j.Index, Task: int32(o.Start.Task)}) {
 			d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
 		}
 	}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -39,7 +39,7 @@
 	if task >= len(j.Tasks) || j.Phase == jobs.Accepting {
 		return workers.TaskRecord{}, false
 	}
-	ref := workers.Ref{Job: j.Index, Task: int32(task)}
+	ref := workers.TaskRef{Job: j.Index, Task: int32(task)}
 	if p := d.Placements[ref]; here && p != nil && p.Planned && len(p.Offered) == 0 {
 		d.CancelPlan(p)
 	}
--- a/internal/leader/runtimes/component.go
+++ b/internal/leader/runtimes/component.go
@@ -38,7 +38,7 @@
 
 	// What is being learned.
 	runs            map[uint64]*jobRun // of open jobs of which something was seen, by job id
-	taskPlacedAt    map[workers.Ref]time.Duration
+	taskPlacedAt    map[workers.TaskRef]time.Duration
 	machineSpeeds   map[string]*machineSpeed // by machine
 	countedRuns     map[uint64]int32         // night of the jobs whose record is counted, by job id
 	today           calendar.Night
@@ -75,7 +75,7 @@
 		demand:        demand{durableDay: math.MinInt32},
 		lateMargin:    tunables.LateMargin,
 		runs:          map[uint64]*jobRun{},
-		taskPlacedAt:  map[workers.Ref]time.Duration{},
+		taskPlacedAt:  map[workers.TaskRef]time.Duration{},
 		machineSpeeds: map[string]*machineSpeed{},
 		countedRuns:   map[uint64]int32{},
 		store:         newValueStore(0),
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -151,7 +151,7 @@
 		if s != jobs.Placed {
 			continue
 		}
-		p := d.Placements[workers.Ref{Job: j.Index, Task: int32(k)}]
+		p := d.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 		switch {
 		case p == nil || p.Planned:
 		case p.Runs():
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -101,7 +101,9 @@
 	}
 }
 
-func taskOf(e cluster.Event) workers.Ref { return workers.Ref{Job: e.Job.Index, Task: int32(e.Task)} }
+func taskOf(e cluster.Event) workers.TaskRef {
+	return workers.TaskRef{Job: e.Job.Index, Task: int32(e.Task)}
+}
 
 func (d *Component) taskBegan(e cluster.Event) {
 	if at, ok := d.taskPlacedAt[taskOf(e)]; ok {
