--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -214,7 +214,7 @@
 		if p := m.Tasks[record.Ref]; p != nil && !p.Planned {
 			t.placed = p
 		}
-		if shown.State != Fetching && !ended && record.Ref != NoRef {
+		if shown.State != Fetching && !ended && record.Ref != NoTaskRef {
 			m.UseImage(record.Image, record.ImageGB, u.now)
 		}
 	}
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -12,7 +12,7 @@
 type TaskRef struct{ Job, Task int32 }
 
 // NoRef stands for a task whose job has left the job table.
-var NoRef = TaskRef{-1, -1}
+var NoTaskRef = TaskRef{-1, -1}
 
 // Placement is a task that is planned on a machine, or that counts as being placed there.
 type Placement struct {
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -34,7 +34,7 @@
 	if j == nil {
 		// Leaders of the version in production tell users of an end while tasks still run.
 		phase, _ := d.Jobs.Final(jobID)
-		return workers.TaskRecord{Ref: workers.NoRef, Noted: true, Cancelled: true}, phase == jobs.Cancelled
+		return workers.TaskRecord{Ref: workers.NoTaskRef, Noted: true, Cancelled: true}, phase == jobs.Cancelled
 	}
 	if task >= len(j.Tasks) || j.Phase == jobs.Accepting {
 		return workers.TaskRecord{}, false
