--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -206,7 +206,7 @@
 // even if the gang had not begun.
 func failsGang(why workers.Reason) bool {
 	switch why {
-	case workers.Alone, workers.PeersLost, workers.Failed, workers.Stopped:
+	case workers.GangIncomplete, workers.PeersLost, workers.Failed, workers.Stopped:
 		return true
 	}
 	return false
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -394,7 +394,7 @@
 	}
 	w.s.after(settingsSeconds(w.s.cfg.Deployment.Workers.GangWaitS), func() {
 		if w.tasks[t] == x && x.state == workers.Gathering {
-			w.finish(t, workers.Alone)
+			w.finish(t, workers.GangIncomplete)
 		}
 	})
 }
