--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -426,7 +426,7 @@
 		"command start": int(workers.Start), "command stop": int(workers.Stop), "command reap": int(workers.Reap),
 		"reason vanished": int(workers.Vanished), "reason completed": int(workers.Completed), "reason stopped": int(workers.Stopped),
 		"reason peers lost": int(workers.PeersLost), "reason alone": int(workers.GangIncomplete), "reason failed": int(workers.Failed),
-		"reason no room": int(workers.NoRoom), "reason busy": int(workers.Busy), "reason unknown task": int(workers.UnknownTask),
+		"reason no room": int(workers.InsufficientResources), "reason busy": int(workers.Busy), "reason unknown task": int(workers.UnknownTask),
 		"state queued": int(wire.Queued), "state running": int(wire.Running), "state done": int(wire.Done), "state cancelled": int(wire.Cancelled),
 	} {
 		c.add("number", "%s %d", name, n)
--- a/internal/core/workers/report.go
+++ b/internal/core/workers/report.go
@@ -19,28 +19,28 @@
 
 // Reasons of an end.
 const (
-	Vanished       Reason = iota // a report does not show it any more
-	Completed                    // with its result
-	Stopped                      // by a command
-	PeersLost                    // another task of its gang was lost
-	GangIncomplete               // its gang did not become complete in time
-	Failed                       // the task itself
-	NoRoom                       // the worker had no room for it
-	Busy                         // the worker could not take it on
-	UnknownTask                  // the worker does not know it
+	Vanished              Reason = iota // a report does not show it any more
+	Completed                           // with its result
+	Stopped                             // by a command
+	PeersLost                           // another task of its gang was lost
+	GangIncomplete                      // its gang did not become complete in time
+	Failed                              // the task itself
+	InsufficientResources               // the worker had no room for it
+	Busy                                // the worker could not take it on
+	UnknownTask                         // the worker does not know it
 )
 
 // reasonLabels are the labels of the reasons in views, metrics and log entries.
 var reasonLabels = [...]string{
-	Vanished:       "vanished",
-	Completed:      "done",
-	Stopped:        "stopped",
-	PeersLost:      "a peer was lost",
-	GangIncomplete: "gang not complete",
-	Failed:         "failed",
-	NoRoom:         "no room",
-	Busy:           "busy",
-	UnknownTask:    "unknown task",
+	Vanished:              "vanished",
+	Completed:             "done",
+	Stopped:               "stopped",
+	PeersLost:             "a peer was lost",
+	GangIncomplete:        "gang not complete",
+	Failed:                "failed",
+	InsufficientResources: "no room",
+	Busy:                  "busy",
+	UnknownTask:           "unknown task",
 }
 
 func (r Reason) String() string { return reasonLabels[r] }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -195,7 +195,7 @@
 	switch e.Reason {
 	case workers.Failed:
 		d.taskFailed(now, m, j, task)
-	case workers.NoRoom, workers.Busy:
+	case workers.InsufficientResources, workers.Busy:
 		m.AvoidUntil = now + refusedStartPause
 	case workers.UnknownTask:
 		j.NotBefore = now + refusedStartPause
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -308,7 +308,7 @@
 		used += w.s.jobs[o.job].spec.Job.CPUs
 	}
 	if used > machineCPUs {
-		w.ended = append(w.ended, endedRun{t, run{attempt: attempt, reason: workers.NoRoom}})
+		w.ended = append(w.ended, endedRun{t, run{attempt: attempt, reason: workers.InsufficientResources}})
 		return true
 	}
 	w.s.comes("before the start carried out")
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -46,7 +46,7 @@
 // reasonWords are the words of the reasons why a task ended.
 var reasonWords = map[string]workers.Reason{
 	"done": workers.Completed, "stopped": workers.Stopped, "peers": workers.PeersLost, "alone": workers.GangIncomplete,
-	"error": workers.Failed, "full": workers.NoRoom, "busy": workers.Busy, "unknown": workers.UnknownTask,
+	"error": workers.Failed, "full": workers.InsufficientResources, "busy": workers.Busy, "unknown": workers.UnknownTask,
 }
 
 // ParseReport reads a worker's report. A task that ended for a reason which is not known counts as
