--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -26,7 +26,7 @@
 
 // Events of a report.
 const (
-	EventBegan       EventKind = iota // it began to run
+	EventStarted     EventKind = iota // it began to run
 	EventAdopted                      // it runs, was placed nowhere, and is placed here now
 	EventPlaced                       // it was on offer, and turned out to be on the machine
 	EventOfferClosed                  // it is planned, and no offer of it is open any more
@@ -285,7 +285,7 @@
 	p := t.placed
 	if t.State == Running && !p.Runs() {
 		p.RanAt = u.now
-		u.events = append(u.events, t.event(EventBegan))
+		u.events = append(u.events, t.event(EventStarted))
 	}
 	p.State, p.Seen, p.lastReportSeq = t.State, true, u.report.Seq
 	if s := u.machine.directStartOf(p); s != nil {
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -70,7 +70,7 @@
 		d.taskPlaced(now, m, j, e)
 	case workers.EventOfferClosed:
 		d.offerClosed(e)
-	case workers.EventBegan:
+	case workers.EventStarted:
 		d.taskBegan(now, m, j, e)
 	case workers.EventCompleted:
 		d.taskCompleted(now, m, j, e)
