--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -43,7 +43,7 @@
 
 	// Of EventCompleted and EventGone.
 	Reason  Reason        // of EventGone: why the task ended
-	Ran     time.Duration // how long it ran; negative: not known
+	RunTime time.Duration // how long it ran; negative: not known
 	Running bool          // it was running when it was last reported
 	Died    bool          // of EventGone: its worker was lost with it
 
@@ -244,9 +244,9 @@
 // recordCompletion reports a task's completion. It is reaped once the completion is durable.
 func (u *statusUpdate) recordCompletion(t *reportedTask, diff reconcile.Diff) {
 	event := t.event(EventCompleted)
-	event.Ran = -1
+	event.RunTime = -1
 	if diff == reconcile.Completed && t.placed.Runs() {
-		event.Ran, event.Running = u.now-t.placed.RanAt, true
+		event.RunTime, event.Running = u.now-t.placed.RanAt, true
 	}
 	u.machine.RemovePlacement(t.record.Ref)
 	u.events = append(u.events, event)
@@ -335,7 +335,7 @@
 		JobID:   p.JobID,
 		Attempt: p.Attempt,
 		Reason:  why,
-		Ran:     ran,
+		RunTime: ran,
 		Running: p.Runs(),
 		Died:    workerLost,
 	})
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -151,7 +151,7 @@
 			JobID:   p.JobID,
 			Attempt: p.Attempt,
 			Reason:  workers.Vanished,
-			Ran:     -1,
+			RunTime: -1,
 			Running: p.Runs(),
 			Died:    true,
 		}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -148,8 +148,8 @@
 		j.Running--
 	}
 	runSeconds := -1.0
-	if e.Ran >= 0 {
-		runSeconds = e.Ran.Seconds()
+	if e.RunTime >= 0 {
+		runSeconds = e.RunTime.Seconds()
 		j.RunSeconds += runSeconds
 		j.RunCount++
 	}
