--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -42,10 +42,10 @@
 	Attempt uint64
 
 	// Of EventCompleted and EventGone.
-	Reason  Reason        // of EventGone: why the task ended
-	RunTime time.Duration // how long it ran; negative: not known
-	Running bool          // it was running when it was last reported
-	Died    bool          // of EventGone: its worker was lost with it
+	Reason     Reason        // of EventGone: why the task ended
+	RunTime    time.Duration // how long it ran; negative: not known
+	WasRunning bool          // it was running when it was last reported
+	Died       bool          // of EventGone: its worker was lost with it
 
 	Placement *Placement // of EventAdopted, EventPlaced and EventOfferClosed
 }
@@ -246,7 +246,7 @@
 	event := t.event(EventCompleted)
 	event.RunTime = -1
 	if diff == reconcile.Completed && t.placed.Runs() {
-		event.RunTime, event.Running = u.now-t.placed.RanAt, true
+		event.RunTime, event.WasRunning = u.now-t.placed.RanAt, true
 	}
 	u.machine.RemovePlacement(t.record.Ref)
 	u.events = append(u.events, event)
@@ -330,14 +330,14 @@
 		ran = u.now - p.RanAt
 	}
 	u.events = append(u.events, Event{
-		Kind:    EventGone,
-		Ref:     p.Ref,
-		JobID:   p.JobID,
-		Attempt: p.Attempt,
-		Reason:  why,
-		RunTime: ran,
-		Running: p.Runs(),
-		Died:    workerLost,
+		Kind:       EventGone,
+		Ref:        p.Ref,
+		JobID:      p.JobID,
+		Attempt:    p.Attempt,
+		Reason:     why,
+		RunTime:    ran,
+		WasRunning: p.Runs(),
+		Died:       workerLost,
 	})
 	u.machine.RemovePlacement(p.Ref)
 }
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -146,14 +146,14 @@
 			continue
 		}
 		gone := workers.Event{
-			Kind:    workers.EventGone,
-			Ref:     ref,
-			JobID:   p.JobID,
-			Attempt: p.Attempt,
-			Reason:  workers.Vanished,
-			RunTime: -1,
-			Running: p.Runs(),
-			Died:    true,
+			Kind:       workers.EventGone,
+			Ref:        ref,
+			JobID:      p.JobID,
+			Attempt:    p.Attempt,
+			Reason:     workers.Vanished,
+			RunTime:    -1,
+			WasRunning: p.Runs(),
+			Died:       true,
 		}
 		m.RemovePlacement(ref)
 		d.applyTaskEvent(now, m, gone)
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -144,7 +144,7 @@
 // taskCompleted notes a task's result, and how long it ran where that is known.
 func (d *Component) taskCompleted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
-	if e.Running {
+	if e.WasRunning {
 		j.Running--
 	}
 	runSeconds := -1.0
@@ -178,7 +178,7 @@
 // taskGone takes a task off a machine on which it has ended without a result, or never was.
 func (d *Component) taskGone(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
-	if e.Running {
+	if e.WasRunning {
 		j.Running--
 	}
 	if j.Phase == jobs.Open && e.Reason != workers.Stopped {
