--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -45,7 +45,7 @@
 	Reason     Reason        // of EventGone: why the task ended
 	RunTime    time.Duration // how long it ran; negative: not known
 	WasRunning bool          // it was running when it was last reported
-	Died       bool          // of EventGone: its worker was lost with it
+	WorkerLost bool          // of EventGone: its worker was lost with it
 
 	Placement *Placement // of EventAdopted, EventPlaced and EventOfferClosed
 }
@@ -337,7 +337,7 @@
 		Reason:     why,
 		RunTime:    ran,
 		WasRunning: p.Runs(),
-		Died:       workerLost,
+		WorkerLost: workerLost,
 	})
 	u.machine.RemovePlacement(p.Ref)
 }
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -153,7 +153,7 @@
 			Reason:     workers.Vanished,
 			RunTime:    -1,
 			WasRunning: p.Runs(),
-			Died:       true,
+			WorkerLost: true,
 		}
 		m.RemovePlacement(ref)
 		d.applyTaskEvent(now, m, gone)
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -186,7 +186,7 @@
 		d.LogMessage(effects.Debug, "task to run again", "job", e.JobID, "task", task,
 			"machine", m.Name, "why", e.Reason.String())
 	}
-	d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.Died})
+	d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
 	d.Unplace(e.Ref)
 	if j.Record.Kind == jobs.Gang && (j.GangBegan || failsGang(e.Reason)) {
 		d.FailGang(j)
