--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -34,7 +34,7 @@
 	if j == nil {
 		// Leaders of the version in production tell users of an end while tasks still run.
 		phase, _ := d.Jobs.Final(jobID)
-		return workers.TaskRecord{Ref: workers.NoTaskRef, Noted: true, Cancelled: true}, phase == jobs.Cancelled
+		return workers.TaskRecord{Ref: workers.NoTaskRef, EndDurable: true, Cancelled: true}, phase == jobs.Cancelled
 	}
 	if task >= len(j.Tasks) || j.Phase == jobs.Accepting {
 		return workers.TaskRecord{}, false
@@ -48,14 +48,14 @@
 	state := j.Tasks[task]
 	jobOpen := j.Phase == jobs.Open || j.Phase == jobs.Cancelling
 	return workers.TaskRecord{
-		Ref:       ref,
-		Need:      j.Need,
-		Image:     j.Image,
-		ImageGB:   j.Record.ImageGB,
-		Open:      jobOpen && state != jobs.Finished && state != jobs.DoneDurably && !elsewhere,
-		Noted:     state == jobs.DoneDurably,
-		Held:      j.Phase == jobs.Held,
-		Elsewhere: elsewhere,
+		Ref:        ref,
+		Need:       j.Need,
+		Image:      j.Image,
+		ImageGB:    j.Record.ImageGB,
+		Open:       jobOpen && state != jobs.Finished && state != jobs.DoneDurably && !elsewhere,
+		EndDurable: state == jobs.DoneDurably,
+		Held:       j.Phase == jobs.Held,
+		Elsewhere:  elsewhere,
 	}, true
 }
 
