--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -10,15 +10,15 @@
 
 // TaskRecord is what the leader has of a reported task.
 type TaskRecord struct {
-	Ref        TaskRef
-	Need       resources.Amounts
-	Image      int32 // index of its image
-	ImageGB    float64
-	Open       bool // the job is open and the task not finished
-	EndDurable bool // the task's end is durable, or the job is over
-	Cancelled  bool // the job is cancelled and has left the job table: Ref is NoRef
-	Held       bool // the job waits for others
-	Elsewhere  bool // the task is placed on another machine, or may be
+	Ref             TaskRef
+	Need            resources.Amounts
+	Image           int32 // index of its image
+	ImageGB         float64
+	Open            bool // the job is open and the task not finished
+	EndDurable      bool // the task's end is durable, or the job is over
+	Cancelled       bool // the job is cancelled and has left the job table: Ref is NoRef
+	Held            bool // the job waits for others
+	PlacedElsewhere bool // the task is placed on another machine, or may be
 }
 
 // EventKind is what a report has shown of a task.
@@ -224,7 +224,7 @@
 		Durable:         record.EndDurable,
 		Cancelled:       record.Cancelled,
 		Held:            record.Held,
-		PlacedElsewhere: record.Elsewhere,
+		PlacedElsewhere: record.PlacedElsewhere,
 		PlacedHere:      t.placed != nil,
 		DirectMayArrive: known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
 	}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -48,14 +48,14 @@
 	state := j.Tasks[task]
 	jobOpen := j.Phase == jobs.Open || j.Phase == jobs.Cancelling
 	return workers.TaskRecord{
-		Ref:        ref,
-		Need:       j.Need,
-		Image:      j.Image,
-		ImageGB:    j.Record.ImageGB,
-		Open:       jobOpen && state != jobs.Finished && state != jobs.DoneDurably && !elsewhere,
-		EndDurable: state == jobs.DoneDurably,
-		Held:       j.Phase == jobs.Held,
-		Elsewhere:  elsewhere,
+		Ref:             ref,
+		Need:            j.Need,
+		Image:           j.Image,
+		ImageGB:         j.Record.ImageGB,
+		Open:            jobOpen && state != jobs.Finished && state != jobs.DoneDurably && !elsewhere,
+		EndDurable:      state == jobs.DoneDurably,
+		Held:            j.Phase == jobs.Held,
+		PlacedElsewhere: elsewhere,
 	}, true
 }
 
