--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -43,7 +43,7 @@
 // accelerators, before a job that needs none and fits elsewhere: no more of its tasks get
 // there than leave the machine as many places for accelerated tasks as it has in all.
 func (snap *Snapshot) keptForAccelerators(job *jobs.Job, machine *workers.Machine) bool {
-	return machine.Cap.GPU > 0 &&
+	return machine.Capacity.GPU > 0 &&
 		job.Need.GPU == 0 &&
 		job.FitsWithoutGPU &&
 		snap.AcceleratedNeed.GPU > 0
@@ -61,9 +61,9 @@
 // twelve processors: replicas of one processor ran on most of them for minutes, and a third
 // of the accelerators was idle while gangs waited.
 func (snap *Snapshot) mayLend(job *jobs.Job, machine *workers.Machine) bool {
-	unused := machine.Cap.Minus(machine.UsedWithoutGPU)
+	unused := machine.Capacity.Minus(machine.UsedWithoutGPU)
 	placesAfter := snap.acceleratedPlaces(unused.Minus(job.Need))
-	if placesAfter >= snap.acceleratedPlaces(machine.Cap) {
+	if placesAfter >= snap.acceleratedPlaces(machine.Capacity) {
 		return true
 	}
 	return job.Record.Kind == jobs.Array &&
@@ -74,7 +74,7 @@
 // recordLent takes the places that a task takes from accelerated ones off those that may
 // be lent.
 func (snap *Snapshot) recordLent(job *jobs.Job, machine *workers.Machine) {
-	unused := machine.Cap.Minus(machine.UsedWithoutGPU)
+	unused := machine.Capacity.Minus(machine.UsedWithoutGPU)
 	snap.lendablePlaces -= max(0, snap.acceleratedPlaces(unused)-snap.acceleratedPlaces(unused.Minus(job.Need)))
 }
 
@@ -83,9 +83,9 @@
 func (snap *Snapshot) countLendable() int {
 	free, all, waiting := 0, 0, 0
 	for _, machine := range snap.Inventory.All() {
-		if machine.Cap.GPU > 0 && machine.Usable(snap.Now, snap.SuspectAfter) {
+		if machine.Capacity.GPU > 0 && machine.Usable(snap.Now, snap.SuspectAfter) {
 			free += snap.acceleratedPlaces(machine.Free)
-			all += snap.acceleratedPlaces(machine.Cap)
+			all += snap.acceleratedPlaces(machine.Capacity)
 		}
 	}
 	for _, job := range snap.Jobs.All() {
--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -26,7 +26,7 @@
 	snap.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		j.Place(k)
 		m.Plan(&workers.Placement{Ref: workers.TaskRef{Job: j.Index, Task: int32(k)}, Need: j.Need})
-		if j.Need.GPU == 0 && m.Cap.GPU > 0 {
+		if j.Need.GPU == 0 && m.Capacity.GPU > 0 {
 			plain[m]++
 		}
 	}
@@ -43,7 +43,7 @@
 func addIdleMachine(snap *Snapshot, name string, room resources.Amounts) *workers.Machine {
 	return snap.Inventory.Add(&workers.Machine{
 		Name:      name,
-		Cap:       room,
+		Capacity:  room,
 		Durable:   true,
 		Up:        true,
 		Resolved:  true,
--- a/internal/core/scheduler/cluster_test.go
+++ b/internal/core/scheduler/cluster_test.go
@@ -72,7 +72,7 @@
 		Type:          int32(r.IntN(2)),
 		Zone:          int32(r.IntN(3)),
 		Spot:          r.IntN(2) == 0,
-		Cap:           resources.Room(size, 0, 2*size),
+		Capacity:      resources.Room(size, 0, 2*size),
 		CacheGB:       40,
 		FetchGBPS:     0.5,
 		Durable:       true,
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -28,7 +28,7 @@
 // were empty.
 func (snap *Snapshot) couldHost(job *jobs.Job, machine *workers.Machine) bool {
 	return !snap.keptForAccelerators(job, machine) &&
-		job.Need.Fits(machine.Cap) &&
+		job.Need.Fits(machine.Capacity) &&
 		Allowed(job, machine, snap.Zone) &&
 		job.ZoneAllows(machine.Zone)
 }
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -151,7 +151,7 @@
 // worthEmptying reports whether the unused room of a machine costs more until the last of
 // its tasks ends than moving them loses.
 func worthEmptying(machine *workers.Machine, longest time.Duration) bool {
-	used := machine.Cap.CPU - machine.Free.CPU
+	used := machine.Capacity.CPU - machine.Free.CPU
 	saved := float64(machine.Free.CPU) * (longest - migrationTime).Seconds()
 	lost := float64(used) * 2 * migrationTime.Seconds()
 	return saved >= lost
--- a/internal/core/scheduler/migration_test.go
+++ b/internal/core/scheduler/migration_test.go
@@ -58,7 +58,7 @@
 func addLargeMachine(snap *Snapshot, name string) *workers.Machine {
 	return snap.Inventory.Add(&workers.Machine{
 		Name:          name,
-		Cap:           resources.Room(32, 0, 64),
+		Capacity:      resources.Room(32, 0, 64),
 		Durable:       true,
 		Up:            true,
 		Resolved:      true,
--- a/internal/core/scheduler/preemption_test.go
+++ b/internal/core/scheduler/preemption_test.go
@@ -69,7 +69,7 @@
 	snap := emptySnapshot(100*time.Second, time.Hour, 0)
 	machine := snap.Inventory.Add(&workers.Machine{
 		Name:          "m",
-		Cap:           resources.Room(8, 0, 64),
+		Capacity:      resources.Room(8, 0, 64),
 		Durable:       true,
 		Up:            true,
 		Resolved:      true,
--- a/internal/core/scheduler/reservation.go
+++ b/internal/core/scheduler/reservation.go
@@ -25,7 +25,7 @@
 			break
 		}
 		machine.Reserved, reserved = true, true
-		tasks -= TasksThatFit(job.Need, machine.Cap)
+		tasks -= TasksThatFit(job.Need, machine.Capacity)
 	}
 	return reserved
 }
@@ -38,7 +38,7 @@
 	for _, machine := range snap.Inventory.All() {
 		if machine.Usable(snap.Now, snap.SuspectAfter) && snap.couldHost(job, machine) {
 			hosts = append(hosts, machine)
-			count := TasksThatFit(job.Need, machine.Cap)
+			count := TasksThatFit(job.Need, machine.Capacity)
 			placesByZone[machine.Zone] += count
 			places += count
 		}
--- a/internal/core/workers/inventory.go
+++ b/internal/core/workers/inventory.go
@@ -21,7 +21,7 @@
 // Add enters a machine, with all its capacity free and its token as the first of the term.
 func (inv *Inventory) Add(m *Machine) *Machine {
 	m.Index = int32(len(inv.all))
-	m.Free, m.firstTokenOfTerm = m.Cap, m.Token
+	m.Free, m.firstTokenOfTerm = m.Capacity, m.Token
 	m.Tasks = map[TaskRef]*Placement{}
 	m.Grants = map[uint64]bool{}
 	inv.all = append(inv.all, m)
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -47,7 +47,7 @@
 	Shard   string // controller whose part of the machines it is in; empty: none yet
 
 	// Capacity.
-	Cap            resources.Amounts // all that it has
+	Capacity       resources.Amounts // all that it has
 	Free           resources.Amounts // what neither placed nor planned tasks take; may be negative
 	UsedWithoutGPU resources.Amounts // what tasks take that need no accelerator
 	CacheGB        float64           // size of its image cache
--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -84,7 +84,7 @@
 // hand. How many tasks without need of accelerators a machine with accelerators may have was decided for the
 // machine where they are planned, so they stay there.
 func (m *Machine) acceptsForeign(p *Placement) bool {
-	if m.Cap.GPU > 0 && p.Need.GPU == 0 {
+	if m.Capacity.GPU > 0 && p.Need.GPU == 0 {
 		return false
 	}
 	return p.Planned && !p.BoundToHome && p.Need.Fits(m.Free) && m.HasImage(p.Image)
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -12,7 +12,7 @@
 
 func newMachine() (*Inventory, *Machine) {
 	inventory := NewInventory()
-	m := inventory.Add(&Machine{Name: "m", Cap: resources.Room(4, 0, 8), CacheGB: 10, FetchGBPS: 1, Durable: true})
+	m := inventory.Add(&Machine{Name: "m", Capacity: resources.Room(4, 0, 8), CacheGB: 10, FetchGBPS: 1, Durable: true})
 	return inventory, m
 }
 
@@ -61,7 +61,7 @@
 			placeTask(m, 3, 0)
 			events := applyReport(m, c.report)
 			gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EventGone })
-			if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Cap) != c.gone {
+			if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Capacity) != c.gone {
 				t.Errorf("gone %v, %d tasks, %v free", gone, len(m.Tasks), m.Free)
 			}
 		})
@@ -128,7 +128,7 @@
 // too.
 func TestSettledNeedsNoOpenOfferOrStart(t *testing.T) {
 	inventory, m := newMachine()
-	other := inventory.Add(&Machine{Name: "other", Cap: m.Cap, Durable: true, Shard: m.Shard})
+	other := inventory.Add(&Machine{Name: "other", Capacity: m.Capacity, Durable: true, Shard: m.Shard})
 	if !m.Settled() {
 		t.Error("an empty machine is not settled")
 	}
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -53,7 +53,7 @@
 
 // canHost says whether a machine could take a task of a job if it were free.
 func (d *Component) canHost(j *jobs.Job, m *workers.Machine) bool {
-	return d.mayHost(j, m) && j.Need.Fits(m.Cap)
+	return d.mayHost(j, m) && j.Need.Fits(m.Capacity)
 }
 
 // hasPlaceFor says whether a machine that stays may take one more task of a job. Found in a
@@ -81,7 +81,7 @@
 	zones := map[int32]int{}
 	for _, m := range d.Inventory.All() {
 		if d.mayHost(j, m) {
-			zones[m.Zone] += scheduler.TasksThatFit(j.Need, m.Cap)
+			zones[m.Zone] += scheduler.TasksThatFit(j.Need, m.Capacity)
 		}
 	}
 	return zones
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -104,9 +104,9 @@
 		if !s.exceedsDemand(m) || isOnlyHost(m) {
 			continue
 		}
-		s.up -= m.Cap.CPUs()
+		s.up -= m.Capacity.CPUs()
 		if !m.Spot {
-			s.onDemand -= m.Cap.CPUs()
+			s.onDemand -= m.Capacity.CPUs()
 		}
 		m.Draining = true
 		for i, j := range restricted {
@@ -124,10 +124,10 @@
 	if m.Spot {
 		needed = s.group.spotPeak.value()
 	}
-	if s.up-m.Cap.CPUs() < needed {
+	if s.up-m.Capacity.CPUs() < needed {
 		return false
 	}
-	return m.Spot || s.onDemand-m.Cap.CPUs() >= s.group.onDemandOnlyPeak.value()
+	return m.Spot || s.onDemand-m.Capacity.CPUs() >= s.group.onDemandOnlyPeak.value()
 }
 
 // returnEmpty returns the draining machines on which nothing is any more.
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -79,12 +79,12 @@
 		if !m.Up && d.provisioner.ZoneAvoided(s.now, d.Zones.Name(m.Zone)) {
 			continue
 		}
-		s.total += m.Cap.CPUs()
+		s.total += m.Capacity.CPUs()
 		if m.Up {
-			s.up += m.Cap.CPUs()
+			s.up += m.Capacity.CPUs()
 		}
 		if !m.Spot {
-			s.onDemand += m.Cap.CPUs()
+			s.onDemand += m.Capacity.CPUs()
 		}
 	}
 	s.total += d.provisioner.UnansweredCPUs(func(typeName string) float64 {
@@ -100,8 +100,8 @@
 	for _, m := range s.machines {
 		if s.fullDemand > s.total && m.Draining && !m.Deleting {
 			m.Draining = false
-			s.total += m.Cap.CPUs()
-			s.up += m.Cap.CPUs()
+			s.total += m.Capacity.CPUs()
+			s.up += m.Capacity.CPUs()
 			d.NeedsCycle = true
 		}
 	}
@@ -120,7 +120,7 @@
 	for _, m := range s.machines {
 		if needed > s.onDemand && m.Draining && !m.Deleting && !m.Spot {
 			m.Draining = false
-			s.onDemand += m.Cap.CPUs()
+			s.onDemand += m.Capacity.CPUs()
 			d.NeedsCycle = true
 		}
 	}
@@ -161,7 +161,7 @@
 func (d *Component) demandFor(group *machineGroup, cpus float64, spot bool, forJobs []*jobs.Job) Demand {
 	cpusByZone := map[string]float64{}
 	for _, m := range d.Inventory.All() {
-		cpusByZone[d.Zones.Name(m.Zone)] += m.Cap.CPUs()
+		cpusByZone[d.Zones.Name(m.Zone)] += m.Capacity.CPUs()
 	}
 	return Demand{
 		CPUs:       cpus,
@@ -183,13 +183,13 @@
 		return false
 	}
 	m := &workers.Machine{
-		Type: i,
-		Zone: d.Zones.Index(zone),
-		Spot: spot,
-		Cap:  resources.Room(t.CPUs, t.GPUs, t.MemoryGB),
+		Type:     i,
+		Zone:     d.Zones.Index(zone),
+		Spot:     spot,
+		Capacity: resources.Room(t.CPUs, t.GPUs, t.MemoryGB),
 	}
 	return slices.ContainsFunc(forJobs, func(j *jobs.Job) bool {
-		return j.Need.Fits(m.Cap) && scheduler.Allowed(j, m, d.Zones.Index) && d.zoneHelps(j, m.Zone)
+		return j.Need.Fits(m.Capacity) && scheduler.Allowed(j, m, d.Zones.Index) && d.zoneHelps(j, m.Zone)
 	})
 }
 
--- a/internal/leader/cluster/cluster_test.go
+++ b/internal/leader/cluster/cluster_test.go
@@ -98,10 +98,10 @@
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Team: "team", Kind: kind, Tasks: 6, CPUs: 1})
 	j.Phase, j.Need = jobs.Open, resources.Need(1, 0, 0)
 	m := s.Inventory.Add(&workers.Machine{
-		Name: "m",
-		Up:   true,
-		Cap:  resources.Room(9, 0, 9),
-		Free: resources.Room(9, 0, 9),
+		Name:     "m",
+		Up:       true,
+		Capacity: resources.Room(9, 0, 9),
+		Free:     resources.Room(9, 0, 9),
 	})
 	for k := range 6 {
 		ref := workers.TaskRef{Job: j.Index, Task: int32(k)}
--- a/internal/leader/cluster/machines.go
+++ b/internal/leader/cluster/machines.go
@@ -30,7 +30,7 @@
 		Type:          index,
 		Zone:          s.Zones.Index(m.Zone),
 		Spot:          m.Spot,
-		Cap:           resources.Room(machineType.CPUs, machineType.GPUs, machineType.MemoryGB),
+		Capacity:      resources.Room(machineType.CPUs, machineType.GPUs, machineType.MemoryGB),
 		CacheGB:       machineType.CacheGB,
 		FetchGBPS:     max(machineType.FetchGBPS, minFetchGBPS),
 		Token:         s.Token,
@@ -60,7 +60,7 @@
 	var sum float64
 	for _, m := range s.Inventory.All() {
 		if m.Up && !m.Deleting {
-			sum += m.Cap.CPUs()
+			sum += m.Capacity.CPUs()
 		}
 	}
 	return sum
--- a/internal/leader/cluster/unresolved.go
+++ b/internal/leader/cluster/unresolved.go
@@ -34,7 +34,7 @@
 	}
 	for team := range s.unresolvedUse {
 		if m.ClaimedByAnyTeam || m.Number == 0 || slices.Contains(m.ClaimedByTeams, int32(team)) {
-			s.unresolvedUse[team] = s.unresolvedUse[team].Plus(m.Cap.Times(by))
+			s.unresolvedUse[team] = s.unresolvedUse[team].Plus(m.Capacity.Times(by))
 		}
 	}
 }
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -192,7 +192,7 @@
 	state.Jobs.Finish(9, jobs.Cancelled)
 	for n := range 5 {
 		m := state.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Number: n + 1, Durable: true})
-		m.Cap.CPU = 1 << n
+		m.Capacity.CPU = 1 << n
 		if n == 4 {
 			m.Number = 0 // of a version that notes no grants
 		}
--- a/internal/leader/pools/losses.go
+++ b/internal/leader/pools/losses.go
@@ -82,7 +82,7 @@
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
 			continue
 		}
-		if n := min(mayBeRunning(h.job), scheduler.TasksThatFit(h.job.Need, m.Cap)); n > 0 {
+		if n := min(mayBeRunning(h.job), scheduler.TasksThatFit(h.job.Need, m.Capacity)); n > 0 {
 			d.holdAfterLoss(now, h.job, h.requirements, int64(n))
 		}
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -357,7 +357,7 @@
 func TestUnheardMachinesCountAsInUseAfterTakeover(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
 	w.startTerm(true)
-	m := w.component.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Cap: resources.Room(4, 0, 16)})
+	m := w.component.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Capacity: resources.Room(4, 0, 16)})
 	w.component.AddUnresolved(m)
 	j := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
 	j.Earlier, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
--- a/internal/leader/pools/usage.go
+++ b/internal/leader/pools/usage.go
@@ -128,9 +128,9 @@
 			if r.perJob {
 				continue
 			}
-			units := float64(r.units * int64(scheduler.TasksThatFit(h.job.Need, m.Cap)))
+			units := float64(r.units * int64(scheduler.TasksThatFit(h.job.Need, m.Capacity)))
 			if h.job.Need.CPU > 0 {
-				units = float64(r.units) * float64(m.Cap.CPU) / float64(h.job.Need.CPU)
+				units = float64(r.units) * float64(m.Capacity.CPU) / float64(h.job.Need.CPU)
 			}
 			most[r.pool] = max(most[r.pool], units)
 		}
@@ -181,7 +181,7 @@
 			break
 		}
 		if m.MayHaveTasksOf(j.Record.ID) {
-			room += scheduler.TasksThatFit(j.Need, m.Cap)
+			room += scheduler.TasksThatFit(j.Need, m.Capacity)
 		}
 	}
 	return min(tasks, room)
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -22,7 +22,7 @@
 	}
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	m := s.Inventory.Add(&workers.Machine{Name: "m", Up: true})
-	m.Cap.CPU = 1_000_000
+	m.Capacity.CPU = 1_000_000
 	return New(s)
 }
 
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -134,7 +134,7 @@
 			if m.Durable && !m.Resolved {
 				left++
 				for _, team := range m.ClaimedByTeams {
-					plain[team] += m.Cap.CPU
+					plain[team] += m.Capacity.CPU
 				}
 			}
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -144,7 +144,7 @@
 			byHolder[m.Shard] = shard
 		}
 		shard.Machines++
-		shard.CPUs += m.Cap.CPUs()
+		shard.CPUs += m.Capacity.CPUs()
 	}
 	var list []BlockStatus
 	for _, shard := range byHolder {
