--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -97,7 +97,7 @@
 	KeptUntil        time.Duration // it is not drained before
 	Deleting         bool          // its deletion is decided; that is final
 	ReturnUnrecorded bool          // the deletion waits until it is durably noted that nothing is on the machine
-	Why              string        // reason of its deletion, for operators
+	DeletionReason   string        // reason of its deletion, for operators
 
 	// Direct starts. Until the worker has seen a higher token than that of a start, the start may be carried
 	// out, or carried out once more.
--- a/internal/leader/cluster/machines.go
+++ b/internal/leader/cluster/machines.go
@@ -45,7 +45,7 @@
 	if m.Deleting {
 		return
 	}
-	m.Deleting, m.Why = true, why
+	m.Deleting, m.DeletionReason = true, why
 	s.CancelPlans(m)
 	s.NeedsCycle = true
 	if len(m.Tasks) > 0 {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -114,7 +114,7 @@
 func machineState(m *workers.Machine) string {
 	switch {
 	case m.Deleting:
-		return "leaving: " + m.Why
+		return "leaving: " + m.DeletionReason
 	case m.PreemptionNotice:
 		return "to be taken by the cloud"
 	case !m.Up && m.Durable:
