--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -95,7 +95,7 @@
 		if machine.Draining && machine.HasPlans() {
 			// The plan would be taken back otherwise.
 			machine.Draining = false
-			machine.KeptUntil = snap.Now + starvationLimit
+			machine.NotDrainedBefore = snap.Now + starvationLimit
 		}
 	}
 	return true
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -94,7 +94,7 @@
 	PreemptionNotice bool          // the cloud has announced that it takes the spot instance back
 	PreemptedAt      time.Duration // when it will
 	Draining         bool          // it gets no new tasks, and is returned once it is empty
-	KeptUntil        time.Duration // it is not drained before
+	NotDrainedBefore time.Duration // it is not drained before
 	Deleting         bool          // its deletion is decided; that is final
 	ReturnUnrecorded bool          // the deletion waits until it is durably noted that nothing is on the machine
 	DeletionReason   string        // reason of its deletion, for operators
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -52,7 +52,7 @@
 		if m.Deleting || !m.Up || m.PreemptionNotice || m.Draining {
 			return true
 		}
-		if s.now < m.KeptUntil || s.now-m.UpSince < minStay {
+		if s.now < m.NotDrainedBefore || s.now-m.UpSince < minStay {
 			return true
 		}
 		return slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return d.mayHost(j, m) })
