--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -69,13 +69,13 @@
 	ClaimedByAnyTeam bool    // until then: tasks of any team may be on it
 
 	// Session and heartbeat.
-	Up            bool          // it has reported in this term
-	UpSince       time.Duration // when it first did
-	Session       uint64        // session of the newest report
-	Seq           uint64        // number of the newest report within its session
-	LastHeartbeat time.Duration // when it was last heard by a report that shows that it hears the leader
-	Unanswered    int           // liveness probes without answer since it was last heard; below 0 after one with an answer
-	UnansweredAt  time.Duration // the heartbeat since which these probes count
+	Up               bool          // it has reported in this term
+	UpSince          time.Duration // when it first did
+	Session          uint64        // session of the newest report
+	Seq              uint64        // number of the newest report within its session
+	LastHeartbeat    time.Duration // when it was last heard by a report that shows that it hears the leader
+	UnansweredProbes int           // liveness probes without answer since it was last heard; below 0 after one with an answer
+	UnansweredAt     time.Duration // the heartbeat since which these probes count
 
 	// Tasks.
 	Tasks          map[TaskRef]*Placement // placed and planned on it
--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -73,9 +73,9 @@
 func (d *Component) probe(m *workers.Machine) {
 	heard := d.lastHeard(m)
 	if m.UnansweredAt < heard {
-		m.Unanswered, m.UnansweredAt = 0, heard
+		m.UnansweredProbes, m.UnansweredAt = 0, heard
 	}
-	if m.Unanswered < d.Cfg.Tunables.AskSilent {
+	if m.UnansweredProbes < d.Cfg.Tunables.AskSilent {
 		d.inFlight[m.Name] = heard
 		d.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
 	}
@@ -89,8 +89,8 @@
 	if m == nil || !inFlight || d.lastHeard(m) != heard {
 		return // deleted, or heard meanwhile
 	}
-	m.Unanswered++
+	m.UnansweredProbes++
 	if answered {
-		m.Unanswered = -extraProbesAfterAnswer
+		m.UnansweredProbes = -extraProbesAfterAnswer
 	}
 }
