--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -75,7 +75,7 @@
 	Seq              uint64        // number of the newest report within its session
 	LastHeartbeat    time.Duration // when it was last heard by a report that shows that it hears the leader
 	UnansweredProbes int           // liveness probes without answer since it was last heard; below 0 after one with an answer
-	UnansweredAt     time.Duration // the heartbeat since which these probes count
+	UnansweredSince  time.Duration // the heartbeat since which these probes count
 
 	// Tasks.
 	Tasks          map[TaskRef]*Placement // placed and planned on it
--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -72,8 +72,8 @@
 // probe sends a probe unless enough went unanswered since the machine was last heard.
 func (d *Component) probe(m *workers.Machine) {
 	heard := d.lastHeard(m)
-	if m.UnansweredAt < heard {
-		m.UnansweredProbes, m.UnansweredAt = 0, heard
+	if m.UnansweredSince < heard {
+		m.UnansweredProbes, m.UnansweredSince = 0, heard
 	}
 	if m.UnansweredProbes < d.Cfg.Tunables.AskSilent {
 		d.inFlight[m.Name] = heard
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -222,7 +222,7 @@
 // while its zone is reachable: it is then given up before others.
 func (d *Component) probesUnanswered(m *workers.Machine, heard time.Duration) bool {
 	limit := d.Cfg.Tunables.AskSilent
-	if limit <= 0 || m.UnansweredProbes < limit || m.UnansweredAt < heard {
+	if limit <= 0 || m.UnansweredProbes < limit || m.UnansweredSince < heard {
 		return false
 	}
 	return int(m.Zone) < len(d.zoneReachable) && d.zoneReachable[m.Zone]
