--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -86,8 +86,8 @@
 	images         []cachedImage          // most recently used first
 
 	// Errors of tasks that were started on it.
-	Errors     int           // failed tasks since one completed
-	AvoidUntil time.Duration // it gets no new tasks before
+	FailuresInARow int           // failed tasks since one completed
+	AvoidUntil     time.Duration // it gets no new tasks before
 
 	// Renting and return.
 	RentedAt         time.Duration // when it was asked for, or entered
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -161,7 +161,7 @@
 	d.Counts.TasksDone++
 	j.Complete(task)
 	d.ResetGangIfEmpty(j)
-	j.Errors, m.Errors = 0, 0
+	j.Errors, m.FailuresInARow = 0, 0
 	d.Estimator.Completed(e.Ref.Job, task, runSeconds)
 	d.Publish(cluster.Event{
 		Kind:         cluster.TaskDone,
@@ -214,9 +214,9 @@
 
 // taskFailed counts a failure against the machine and the job, and backs off from either.
 func (d *Component) taskFailed(now time.Duration, m *workers.Machine, j *jobs.Job, task int) {
-	m.Errors++
+	m.FailuresInARow++
 	j.Errors++
-	if m.Errors >= faultyMachineErrors {
+	if m.FailuresInARow >= faultyMachineErrors {
 		m.AvoidUntil = now + faultyMachineAvoid
 	}
 	if j.Errors >= failingJobErrors {
