--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -78,12 +78,12 @@
 	UnansweredSince  time.Duration // the heartbeat since which these probes count
 
 	// Tasks.
-	Tasks          map[TaskRef]*Placement // placed and planned on it
-	OpenOffers     map[TaskRef]*Placement // offered to it and not resolved: what a newer report lacks was not started
-	HasPlansListed bool                   // it is in the list of machines whose plans are offered
-	Orphans        []uint64               // jobs of the tasks in its newest report that should not be there
-	OrphansSince   time.Duration          // since when there are such tasks
-	images         []cachedImage          // most recently used first
+	Tasks           map[TaskRef]*Placement // placed and planned on it
+	OpenOffers      map[TaskRef]*Placement // offered to it and not resolved: what a newer report lacks was not started
+	ListedWithPlans bool                   // it is in the list of machines whose plans are offered
+	Orphans         []uint64               // jobs of the tasks in its newest report that should not be there
+	OrphansSince    time.Duration          // since when there are such tasks
+	images          []cachedImage          // most recently used first
 
 	// Errors of tasks that were started on it.
 	FailuresInARow int           // failed tasks since one completed
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -7,8 +7,8 @@
 
 // ListMachineWithPlans keeps a machine among those whose plans are offered.
 func (s *State) ListMachineWithPlans(m *workers.Machine) {
-	if !m.HasPlansListed {
-		m.HasPlansListed = true
+	if !m.ListedWithPlans {
+		m.ListedWithPlans = true
 		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
 	}
 }
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -158,8 +158,8 @@
 	snap.Unplace = c.cancelTask
 	c.Counts.LeftWaiting += uint64(c.Scheduler.RunCycle(snap))
 	c.MachinesWithPlans = slices.DeleteFunc(c.MachinesWithPlans, func(machine *workers.Machine) bool {
-		machine.HasPlansListed = machine.HasPlans()
-		return !machine.HasPlansListed
+		machine.ListedWithPlans = machine.HasPlans()
+		return !machine.ListedWithPlans
 	})
 	for _, plan := range c.planned {
 		if c.Placements[plan.Ref] == plan { // not taken back in the same cycle
