--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -155,9 +155,9 @@
 	return true
 }
 
-// Stops returns the stop commands that are due on the machine, ordered by job and task. A task that is saving
+// DueStops returns the stop commands that are due on the machine, ordered by job and task. A task that is saving
 // already is stopped again only without grace.
-func (m *Machine) Stops() []Command {
+func (m *Machine) DueStops() []Command {
 	var commands []Command
 	for _, p := range m.Tasks {
 		if p.Stopping && !p.Planned && (p.State != Saving || p.GraceSeconds == 0) {
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -73,6 +73,6 @@
 // SendStops sends a machine's stops without waiting for its next heartbeat.
 func (s *State) SendStops(m *workers.Machine) {
 	if m.Address != "" && m.Up && !m.Deleting {
-		s.Emit(effects.SendStops{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.Stops()})
+		s.Emit(effects.SendStops{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.DueStops()})
 	}
 }
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -231,7 +231,7 @@
 		Status:   statusOK,
 		Token:    m.Token,
 		LeaseS:   d.Cfg.Tunables.BlockLeaseS,
-		Commands: append(reply.commands, m.Stops()...),
+		Commands: append(reply.commands, m.DueStops()...),
 	}
 	if leaseValid && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
 		answer.Offers = m.Offer(d.MachinesWithPlans, d.nextOfferSerial, d.NextAttempt)
