--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -66,7 +66,7 @@
 	for _, machine := range snap.Inventory.All() {
 		if machine.Free.CPU >= smallestCPU &&
 			(machine.Free.CPU > 0 || machine.Free.GPU > 0) &&
-			machine.Serves(snap.Now, snap.SuspectAfter) {
+			machine.CanRunTasks(snap.Now, snap.SuspectAfter) {
 			machines = append(machines, machine)
 		}
 	}
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -124,11 +124,13 @@
 }
 
 // Usable says whether tasks may be planned on the machine. quiet is how long it may be silent for that.
-func (m *Machine) Usable(now, quiet time.Duration) bool { return !m.Draining && m.Serves(now, quiet) }
+func (m *Machine) Usable(now, quiet time.Duration) bool {
+	return !m.Draining && m.CanRunTasks(now, quiet)
+}
 
-// Serves says whether the machine could run more tasks, even if it is being drained. quiet is how long it may
+// CanRunTasks says whether the machine could run more tasks, even if it is being drained. quiet is how long it may
 // be silent for that.
-func (m *Machine) Serves(now, quiet time.Duration) bool {
+func (m *Machine) CanRunTasks(now, quiet time.Duration) bool {
 	known := m.Durable && m.Up && m.Resolved
 	trusted := m.SuspectBelow == 0 && !m.Quarantined && len(m.Orphans) == 0
 	stays := !m.Deleting && !m.PreemptionNotice
