--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -83,7 +83,7 @@
 func (snap *Snapshot) countLendable() int {
 	free, all, waiting := 0, 0, 0
 	for _, machine := range snap.Inventory.All() {
-		if machine.Capacity.GPU > 0 && machine.Usable(snap.Now, snap.SuspectAfter) {
+		if machine.Capacity.GPU > 0 && machine.AcceptsPlans(snap.Now, snap.SuspectAfter) {
 			free += snap.acceleratedPlaces(machine.Free)
 			all += snap.acceleratedPlaces(machine.Capacity)
 		}
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -83,7 +83,7 @@
 		if smallestCPU >= 0 &&
 			(s.exhaustive || machine.Free.CPU >= smallestCPU) &&
 			(machine.Free.CPU > 0 || machine.Free.GPU > 0) &&
-			machine.Usable(snap.Now, snap.SuspectAfter) {
+			machine.AcceptsPlans(snap.Now, snap.SuspectAfter) {
 			machines = append(machines, machine)
 		}
 	}
--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -48,7 +48,7 @@
 	var reasons []string
 	anyHost, anyFree := false, false
 	for _, machine := range snap.Inventory.All() {
-		if snap.couldHost(job, machine) && machine.Usable(snap.Now, snap.SuspectAfter) {
+		if snap.couldHost(job, machine) && machine.AcceptsPlans(snap.Now, snap.SuspectAfter) {
 			anyHost = true
 			anyFree = anyFree || job.Need.Fits(machine.Free)
 		}
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -88,7 +88,7 @@
 		switch {
 		case machine.Draining && !machine.Deleting && machine.Up && !machine.PreemptionNotice && len(machine.Tasks) > 0:
 			draining = append(draining, machine)
-		case !machine.Reserved && machine.Free.CPU > 0 && machine.Usable(plan.snap.Now, plan.snap.SuspectAfter):
+		case !machine.Reserved && machine.Free.CPU > 0 && machine.AcceptsPlans(plan.snap.Now, plan.snap.SuspectAfter):
 			plan.rooms = append(plan.rooms, hostRoom{machine: machine, free: machine.Free})
 		}
 	}
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -92,7 +92,7 @@
 func (s *Scheduler) preemptible(snap *Snapshot) (candidates []*workers.Placement, lowest int8) {
 	lowest = math.MaxInt8
 	for _, machine := range snap.Inventory.All() {
-		if !machine.Usable(snap.Now, snap.SuspectAfter) {
+		if !machine.AcceptsPlans(snap.Now, snap.SuspectAfter) {
 			continue
 		}
 		for _, task := range machine.Tasks {
@@ -146,7 +146,7 @@
 // hasFreeHost reports whether a machine has room for one more task of a job now.
 func (snap *Snapshot) hasFreeHost(job *jobs.Job) bool {
 	for _, machine := range snap.Inventory.All() {
-		if job.Need.Fits(machine.Free) && machine.Usable(snap.Now, snap.SuspectAfter) && snap.couldHost(job, machine) {
+		if job.Need.Fits(machine.Free) && machine.AcceptsPlans(snap.Now, snap.SuspectAfter) && snap.couldHost(job, machine) {
 			return true
 		}
 	}
--- a/internal/core/scheduler/reservation.go
+++ b/internal/core/scheduler/reservation.go
@@ -36,7 +36,7 @@
 func (snap *Snapshot) possibleHosts(job *jobs.Job) (hosts []*workers.Machine, places int) {
 	placesByZone := map[int32]int{}
 	for _, machine := range snap.Inventory.All() {
-		if machine.Usable(snap.Now, snap.SuspectAfter) && snap.couldHost(job, machine) {
+		if machine.AcceptsPlans(snap.Now, snap.SuspectAfter) && snap.couldHost(job, machine) {
 			hosts = append(hosts, machine)
 			count := TasksThatFit(job.Need, machine.Capacity)
 			placesByZone[machine.Zone] += count
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -123,8 +123,8 @@
 	tokenRequestedAt time.Duration // when one was last asked for; 0: never
 }
 
-// Usable says whether tasks may be planned on the machine. quiet is how long it may be silent for that.
-func (m *Machine) Usable(now, quiet time.Duration) bool {
+// AcceptsPlans says whether tasks may be planned on the machine. quiet is how long it may be silent for that.
+func (m *Machine) AcceptsPlans(now, quiet time.Duration) bool {
 	return !m.Draining && m.CanRunTasks(now, quiet)
 }
 
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -106,7 +106,7 @@
 // live and may have more tasks, and there is neither an open answer with offers for it, which another controller may
 // have filled with other tasks, nor a call without an answer.
 func (d *Component) isDispatchable(now time.Duration, m *workers.Machine) bool {
-	return m.Address != "" && m.Usable(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
+	return m.Address != "" && m.AcceptsPlans(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
 // dispatchTo sends all starts for a machine that may be sent in one command.
