--- a/internal/core/workers/images.go
+++ b/internal/core/workers/images.go
@@ -17,8 +17,8 @@
 	return slices.ContainsFunc(m.images, func(image cachedImage) bool { return image.id == id })
 }
 
-// Fetching counts the images that the machine is fetching, or will fetch once the tasks planned on it start.
-func (m *Machine) Fetching() int {
+// ImagesToFetch counts the images that the machine is fetching, or will fetch once the tasks planned on it start.
+func (m *Machine) ImagesToFetch() int {
 	var needed, present []int32
 	for _, p := range m.Tasks {
 		if p.Planned || p.State == Fetching {
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -255,7 +255,7 @@
 // Allows says whether a task of a job may be placed on a machine now. While the leader
 // catches up, starts are rate-limited by zone, and bounded by images being fetched.
 func (d *Component) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
-	return !d.pacesStarts(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.Fetching())
+	return !d.pacesStarts(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.ImagesToFetch())
 }
 
 // TaskStarted counts a start.
