--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -87,7 +87,7 @@
 	if m.Capacity.GPU > 0 && p.Need.GPU == 0 {
 		return false
 	}
-	return p.Planned && !p.BoundToHome && p.Need.Fits(m.Free) && m.HasImage(p.Image)
+	return p.Planned && !p.BoundToMachine && p.Need.Fits(m.Free) && m.HasImage(p.Image)
 }
 
 // add offers a planned task, unless it may not be offered now. here says that it is planned on the machine.
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -33,7 +33,7 @@
 	Offered            map[*Machine]bool // machines to which an offer is open
 	offeredUnderSerial map[*Machine]bool // machines to which it was offered under the current serial
 	Serial             uint64            // of the offer; a controller starts a serial at most once
-	BoundToHome        bool              // only offered to its own machine: tasks of gangs and of jobs with zone rules
+	BoundToMachine     bool              // only offered to its own machine: tasks of gangs and of jobs with zone rules
 	IntentDurable      bool              // it is durable that tasks of the job up to its number may be handed out
 	NotOfferedAgain    bool              // it is not offered again before no offer is open
 	Withdrawn          bool              // the plan is withdrawn once no offer is open
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -174,12 +174,12 @@
 	job.Place(k)
 	job.CountInZone(machine.Zone, 1)
 	plan := &workers.Placement{
-		Ref:         ref,
-		JobID:       job.Record.ID,
-		Image:       job.Image,
-		Need:        job.Need,
-		BoundToHome: job.Record.Kind == jobs.Gang || job.ZoneRule(),
-		StartNow:    job.Prompt,
+		Ref:            ref,
+		JobID:          job.Record.ID,
+		Image:          job.Image,
+		Need:           job.Need,
+		BoundToMachine: job.Record.Kind == jobs.Gang || job.ZoneRule(),
+		StartNow:       job.Prompt,
 	}
 	c.Placements[ref] = plan
 	if job.Record.Kind == jobs.Gang {
