--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -124,7 +124,7 @@
 	if !m.Grants[p.JobID] || !p.IntentDurable {
 		return false
 	}
-	if p.NotOfferedAgain || p.Withdrawn {
+	if p.NoNewOffers || p.Withdrawn {
 		return false
 	}
 	return len(p.Offered) == 0 || !p.offeredUnderSerial[m]
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -35,7 +35,7 @@
 	Serial             uint64            // of the offer; a controller starts a serial at most once
 	BoundToMachine     bool              // only offered to its own machine: tasks of gangs and of jobs with zone rules
 	IntentDurable      bool              // it is durable that tasks of the job up to its number may be handed out
-	NotOfferedAgain    bool              // it is not offered again before no offer is open
+	NoNewOffers        bool              // it is not offered again before no offer is open
 	Withdrawn          bool              // the plan is withdrawn once no offer is open
 	StartNow           bool              // to be started directly: sooner than an idle worker reports
 
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -143,7 +143,7 @@
 // mayDispatch says whether a planned task may be sent straight to its machine: it asks for
 // that, is not on offer, and its grant and intent are durable.
 func mayDispatch(m *workers.Machine, p *workers.Placement) bool {
-	if p.NotOfferedAgain || p.Withdrawn || len(p.Offered) > 0 {
+	if p.NoNewOffers || p.Withdrawn || len(p.Offered) > 0 {
 		return false
 	}
 	return p.StartNow && m.Grants[p.JobID] && p.IntentDurable
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -74,7 +74,7 @@
 func (d *Component) suspendOffers(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned && len(p.Offered) > 0 {
-			p.NotOfferedAgain = true
+			p.NoNewOffers = true
 		}
 	}
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -121,7 +121,7 @@
 // asked for while the offer was open.
 func (d *Component) offerClosed(e workers.Event) {
 	p := e.Placement
-	p.NotOfferedAgain = false
+	p.NoNewOffers = false
 	if p.Withdrawn {
 		p.Withdrawn = false
 		d.CancelPlan(p)
