--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -37,7 +37,7 @@
 	IntentDurable      bool              // it is durable that tasks of the job up to its number may be handed out
 	NoNewOffers        bool              // it is not offered again before no offer is open
 	Withdrawn          bool              // the plan is withdrawn once no offer is open
-	StartNow           bool              // to be started directly: sooner than an idle worker reports
+	StartDirectly      bool              // to be started directly: sooner than an idle worker reports
 
 	// What reports have shown.
 	State         TaskState
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -146,7 +146,7 @@
 	if p.NoNewOffers || p.Withdrawn || len(p.Offered) > 0 {
 		return false
 	}
-	return p.StartNow && m.Grants[p.JobID] && p.IntentDurable
+	return p.StartDirectly && m.Grants[p.JobID] && p.IntentDurable
 }
 
 // Dispatched applies a worker's report after starts that were sent to it; report is nil if it did
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -179,7 +179,7 @@
 		Image:          job.Image,
 		Need:           job.Need,
 		BoundToMachine: job.Record.Kind == jobs.Gang || job.ZoneRule(),
-		StartNow:       job.Prompt,
+		StartDirectly:  job.Prompt,
 	}
 	c.Placements[ref] = plan
 	if job.Record.Kind == jobs.Gang {
@@ -211,7 +211,7 @@
 // that it needs before it may be offered.
 func (c *Component) announcePlan(plan *workers.Placement) {
 	c.ListMachineWithPlans(plan.Machine)
-	if plan.StartNow {
+	if plan.StartDirectly {
 		c.DispatchQueue = append(c.DispatchQueue, plan)
 	}
 	c.markPlan(plan)
