--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -20,7 +20,7 @@
 func RemainingTime(now time.Duration, job *jobs.Job, task *workers.Placement) time.Duration {
 	left := time.Duration(job.Mean()*float64(time.Second)) - job.Saved[task.Ref.Task]
 	if task.Runs() {
-		left -= now - task.RanAt
+		left -= now - task.RunningSince
 	}
 	return max(left, 0)
 }
@@ -143,7 +143,7 @@
 		!job.ZoneRule() &&
 		job.Record.Checkpoint > 0 &&
 		job.Saved[task.Ref.Task] <= 0 &&
-		plan.snap.Now-task.RanAt >= minRuntimeToMigrate &&
+		plan.snap.Now-task.RunningSince >= minRuntimeToMigrate &&
 		left >= migrationTime &&
 		!plan.teamWaits[job.Team]
 }
--- a/internal/core/scheduler/migration_test.go
+++ b/internal/core/scheduler/migration_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"all is well", func(*jobs.Job, *workers.Placement, *workers.Machine) {}, 1},
 		{"it does not save", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Record.Checkpoint = 0 }, 0},
-		{"it has just begun", func(_ *jobs.Job, p *workers.Placement, _ *workers.Machine) { p.RanAt = 90 * time.Second }, 0},
+		{"it has just begun", func(_ *jobs.Job, p *workers.Placement, _ *workers.Machine) { p.RunningSince = 90 * time.Second }, 0},
 		{"it was moved before", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) {
 			j.Saved = map[int32]time.Duration{0: time.Second}
 		}, 0},
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -109,7 +109,7 @@
 
 // losesMuch reports whether a task saves nothing and has run for longer than may be lost.
 func (snap *Snapshot) losesMuch(owner *jobs.Job, task *workers.Placement) bool {
-	return owner.Record.Checkpoint == 0 && snap.Now-task.RanAt > maxLostRuntime
+	return owner.Record.Checkpoint == 0 && snap.Now-task.RunningSince > maxLostRuntime
 }
 
 // restartable reports whether a task runs that may be stopped and run again
@@ -158,7 +158,7 @@
 	if snap.Jobs.At(task.Ref.Job).Record.Checkpoint > 0 {
 		return 0
 	}
-	return snap.Now - task.RanAt
+	return snap.Now - task.RunningSince
 }
 
 // victimsThatMakeRoom takes tasks in their order until their room, with what is free on
--- a/internal/core/scheduler/preemption_test.go
+++ b/internal/core/scheduler/preemption_test.go
@@ -18,7 +18,7 @@
 // setRunning makes a planned task one that has run since ranAt.
 func setRunning(task *workers.Placement, ranAt time.Duration) {
 	task.Planned, task.Seen = false, true
-	task.State, task.RanAt = workers.Running, ranAt
+	task.State, task.RunningSince = workers.Running, ranAt
 }
 
 func compareRefs(a, b workers.TaskRef) int {
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -246,7 +246,7 @@
 	event := t.event(EventCompleted)
 	event.RunTime = -1
 	if diff == reconcile.Completed && t.placed.Runs() {
-		event.RunTime, event.WasRunning = u.now-t.placed.RanAt, true
+		event.RunTime, event.WasRunning = u.now-t.placed.RunningSince, true
 	}
 	u.machine.RemovePlacement(t.record.Ref)
 	u.events = append(u.events, event)
@@ -284,7 +284,7 @@
 func (u *statusUpdate) updatePlaced(t *reportedTask) {
 	p := t.placed
 	if t.State == Running && !p.Runs() {
-		p.RanAt = u.now
+		p.RunningSince = u.now
 		u.events = append(u.events, t.event(EventStarted))
 	}
 	p.State, p.Seen, p.lastReportSeq = t.State, true, u.report.Seq
@@ -327,7 +327,7 @@
 func (u *statusUpdate) release(p *Placement, why Reason, workerLost bool) {
 	ran := time.Duration(-1)
 	if p.Runs() {
-		ran = u.now - p.RanAt
+		ran = u.now - p.RunningSince
 	}
 	u.events = append(u.events, Event{
 		Kind:       EventGone,
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -42,7 +42,7 @@
 	// What reports have shown.
 	State         TaskState
 	Seen          bool          // a report has shown it on its machine
-	RanAt         time.Duration // when a report first showed it running
+	RunningSince  time.Duration // when a report first showed it running
 	lastReportSeq uint64        // newest report that shows it, or to which the start was the answer
 
 	// Preemption and cancellation.
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -47,7 +47,7 @@
 		if j.Saved == nil {
 			j.Saved = map[int32]time.Duration{}
 		}
-		j.Saved[p.Ref.Task] += now - p.RanAt
+		j.Saved[p.Ref.Task] += now - p.RunningSince
 	}
 }
 
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -172,7 +172,7 @@
 			v.Back = "the pass that takes its plan back, or its start"
 		}
 		if t.Runs() {
-			v.SinceS = (now - t.RanAt).Round(time.Millisecond).Seconds()
+			v.SinceS = (now - t.RunningSince).Round(time.Millisecond).Seconds()
 		}
 		v.Numbers = d.issuedNumbers(j.Record.ID, k, r.pool)
 		out = append(out, v)
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -156,7 +156,7 @@
 		case p == nil || p.Planned:
 		case p.Runs():
 			n.running++
-			if d.isSlow(p.Machine.Name) || (now-p.RanAt).Seconds() > slowTaskFactor*p90 {
+			if d.isSlow(p.Machine.Name) || (now-p.RunningSince).Seconds() > slowTaskFactor*p90 {
 				n.slow++
 			}
 		case p.State == workers.Fetching:
