--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -19,7 +19,7 @@
 // RemainingTime is how long a placed task will probably still run; never negative.
 func RemainingTime(now time.Duration, job *jobs.Job, task *workers.Placement) time.Duration {
 	left := time.Duration(job.Mean()*float64(time.Second)) - job.Saved[task.Ref.Task]
-	if task.Runs() {
+	if task.IsRunning() {
 		left -= now - task.RunningSince
 	}
 	return max(left, 0)
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -117,7 +117,7 @@
 func restartable(job *jobs.Job, task *workers.Placement) bool {
 	return !task.Planned &&
 		!task.Stopping &&
-		task.Runs() &&
+		task.IsRunning() &&
 		job.Record.Kind == jobs.Array &&
 		job.Phase == jobs.Open
 }
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -245,7 +245,7 @@
 func (u *statusUpdate) recordCompletion(t *reportedTask, diff reconcile.Diff) {
 	event := t.event(EventCompleted)
 	event.RunTime = -1
-	if diff == reconcile.Completed && t.placed.Runs() {
+	if diff == reconcile.Completed && t.placed.IsRunning() {
 		event.RunTime, event.WasRunning = u.now-t.placed.RunningSince, true
 	}
 	u.machine.RemovePlacement(t.record.Ref)
@@ -283,7 +283,7 @@
 // updatePlaced takes over the state of a task that is placed on the machine.
 func (u *statusUpdate) updatePlaced(t *reportedTask) {
 	p := t.placed
-	if t.State == Running && !p.Runs() {
+	if t.State == Running && !p.IsRunning() {
 		p.RunningSince = u.now
 		u.events = append(u.events, t.event(EventStarted))
 	}
@@ -326,7 +326,7 @@
 // was lost with the task.
 func (u *statusUpdate) release(p *Placement, why Reason, workerLost bool) {
 	ran := time.Duration(-1)
-	if p.Runs() {
+	if p.IsRunning() {
 		ran = u.now - p.RunningSince
 	}
 	u.events = append(u.events, Event{
@@ -336,7 +336,7 @@
 		Attempt:    p.Attempt,
 		Reason:     why,
 		RunTime:    ran,
-		WasRunning: p.Runs(),
+		WasRunning: p.IsRunning(),
 		WorkerLost: workerLost,
 	})
 	u.machine.RemovePlacement(p.Ref)
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -50,8 +50,8 @@
 	GraceSeconds float64 // time that it gets to save its progress before
 }
 
-// Runs says whether the task was running when it was last reported.
-func (p *Placement) Runs() bool { return p.Seen && p.State == Running }
+// IsRunning says whether the task was running when it was last reported.
+func (p *Placement) IsRunning() bool { return p.Seen && p.State == Running }
 
 // Plan plans a task on the machine: room is kept for it until it is started.
 func (m *Machine) Plan(p *Placement) {
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -43,7 +43,7 @@
 		return
 	}
 	p.Stopping, p.GraceSeconds = true, grace
-	if j.Record.Checkpoint > 0 && p.Runs() {
+	if j.Record.Checkpoint > 0 && p.IsRunning() {
 		if j.Saved == nil {
 			j.Saved = map[int32]time.Duration{}
 		}
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -171,7 +171,7 @@
 		if t.Planned {
 			v.Back = "the pass that takes its plan back, or its start"
 		}
-		if t.Runs() {
+		if t.IsRunning() {
 			v.SinceS = (now - t.RunningSince).Round(time.Millisecond).Seconds()
 		}
 		v.Numbers = d.issuedNumbers(j.Record.ID, k, r.pool)
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -152,7 +152,7 @@
 			Attempt:    p.Attempt,
 			Reason:     workers.Vanished,
 			RunTime:    -1,
-			WasRunning: p.Runs(),
+			WasRunning: p.IsRunning(),
 			WorkerLost: true,
 		}
 		m.RemovePlacement(ref)
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -154,7 +154,7 @@
 		p := d.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 		switch {
 		case p == nil || p.Planned:
-		case p.Runs():
+		case p.IsRunning():
 			n.running++
 			if d.isSlow(p.Machine.Name) || (now-p.RunningSince).Seconds() > slowTaskFactor*p90 {
 				n.slow++
