--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -6,7 +6,7 @@
 	Epoch uint64
 
 	// What is stored.
-	Gone    bool   // it is deleted
+	Deleted bool   // it is deleted
 	Known   bool   // it is entered
 	Typed   bool   // its type is known
 	Leaving bool   // its deletion is decided
@@ -29,7 +29,7 @@
 	switch {
 	case m.ReportEpoch > m.Epoch:
 		return MachineNewerTerm
-	case m.Gone:
+	case m.Deleted:
 		return MachineDeleted
 	case !m.Known && !m.Typed:
 		return MachineUnknownType
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -51,7 +51,7 @@
 	if m.ReportEpoch > m.Epoch {
 		return StepDown
 	}
-	if m.Gone || (!m.Known && !m.Typed) {
+	if m.Deleted || (!m.Known && !m.Typed) {
 		return Ignore
 	}
 	if !m.Known {
@@ -114,7 +114,7 @@
 
 func (r randomStates) machine() Machine {
 	return Machine{
-		Gone:          r.oneIn(6),
+		Deleted:       r.oneIn(6),
 		Known:         r.oneIn(2),
 		Typed:         r.oneIn(2),
 		Leaving:       r.oneIn(4),
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -87,7 +87,7 @@
 func (d *Component) reconcileReport(m *workers.Machine, report *workers.Report) reconcile.Diff {
 	_, typed := d.TypeNames.Lookup(report.Type)
 	x := reconcile.Machine{
-		Gone:          d.Inventory.WasDeleted(report.Machine),
+		Deleted:       d.Inventory.WasDeleted(report.Machine),
 		Typed:         typed,
 		Epoch:         d.Epoch,
 		ReportSession: report.Session,
