--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -6,15 +6,15 @@
 	Epoch uint64
 
 	// What is stored.
-	Deleted bool   // it is deleted
-	Known   bool   // it is entered
-	Typed   bool   // its type is known
-	Leaving bool   // its deletion is decided
-	Session uint64 // of the newest report that was applied
-	Number  uint64 // of that report within the session
-	Token   uint64 // the machine's current fencing token
-	Seen    uint64 // highest token in a report that was applied
-	Doubt   uint64 // it is suspect until it reports a token above this one; 0: it is not
+	Deleted   bool   // it is deleted
+	Known     bool   // it is entered
+	TypeKnown bool   // its type is known
+	Leaving   bool   // its deletion is decided
+	Session   uint64 // of the newest report that was applied
+	Number    uint64 // of that report within the session
+	Token     uint64 // the machine's current fencing token
+	Seen      uint64 // highest token in a report that was applied
+	Doubt     uint64 // it is suspect until it reports a token above this one; 0: it is not
 
 	// What is reported.
 	ReportSession uint64
@@ -31,7 +31,7 @@
 		return MachineNewerTerm
 	case m.Deleted:
 		return MachineDeleted
-	case !m.Known && !m.Typed:
+	case !m.Known && !m.TypeKnown:
 		return MachineUnknownType
 	case !m.Known:
 		return MachineUnregistered
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -51,7 +51,7 @@
 	if m.ReportEpoch > m.Epoch {
 		return StepDown
 	}
-	if m.Deleted || (!m.Known && !m.Typed) {
+	if m.Deleted || (!m.Known && !m.TypeKnown) {
 		return Ignore
 	}
 	if !m.Known {
@@ -116,7 +116,7 @@
 	return Machine{
 		Deleted:       r.oneIn(6),
 		Known:         r.oneIn(2),
-		Typed:         r.oneIn(2),
+		TypeKnown:     r.oneIn(2),
 		Leaving:       r.oneIn(4),
 		Epoch:         2,
 		ReportEpoch:   r.below(4),
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -88,7 +88,7 @@
 	_, typed := d.TypeNames.Lookup(report.Type)
 	x := reconcile.Machine{
 		Deleted:       d.Inventory.WasDeleted(report.Machine),
-		Typed:         typed,
+		TypeKnown:     typed,
 		Epoch:         d.Epoch,
 		ReportSession: report.Session,
 		ReportNumber:  report.Seq,
