--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -9,7 +9,7 @@
 	Deleted   bool   // it is deleted
 	Known     bool   // it is entered
 	TypeKnown bool   // its type is known
-	Leaving   bool   // its deletion is decided
+	Deleting  bool   // its deletion is decided
 	Session   uint64 // of the newest report that was applied
 	Number    uint64 // of that report within the session
 	Token     uint64 // the machine's current fencing token
@@ -41,7 +41,7 @@
 		return MachineOutdatedReport
 	case m.Session != 0 && m.ReportSession > m.Session:
 		return MachineNewSession
-	case m.Leaving:
+	case m.Deleting:
 		return MachineDeleting
 	case m.ReportToken != m.Token:
 		return MachineStaleToken
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -67,7 +67,7 @@
 	if m.Session > 0 && m.ReportSession != m.Session {
 		return Forget
 	}
-	if m.Leaving {
+	if m.Deleting {
 		return ContinueDeletion
 	}
 	if m.ReportToken == m.Token {
@@ -117,7 +117,7 @@
 		Deleted:       r.oneIn(6),
 		Known:         r.oneIn(2),
 		TypeKnown:     r.oneIn(2),
-		Leaving:       r.oneIn(4),
+		Deleting:      r.oneIn(4),
 		Epoch:         2,
 		ReportEpoch:   r.below(4),
 		Session:       r.below(3),
