--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -11,7 +11,7 @@
 	TypeKnown bool   // its type is known
 	Deleting  bool   // its deletion is decided
 	Session   uint64 // of the newest report that was applied
-	Number    uint64 // of that report within the session
+	Seq       uint64 // of that report within the session
 	Token     uint64 // the machine's current fencing token
 	Seen      uint64 // highest token in a report that was applied
 	Doubt     uint64 // it is suspect until it reports a token above this one; 0: it is not
@@ -25,7 +25,7 @@
 
 // Report names the difference between what is stored of a machine and its report.
 func Report(m Machine) Diff {
-	outdated := m.ReportSession < m.Session || (m.ReportSession == m.Session && m.ReportNumber <= m.Number)
+	outdated := m.ReportSession < m.Session || (m.ReportSession == m.Session && m.ReportNumber <= m.Seq)
 	switch {
 	case m.ReportEpoch > m.Epoch:
 		return MachineNewerTerm
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -57,7 +57,7 @@
 	if !m.Known {
 		return Register
 	}
-	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportNumber > m.Number)
+	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportNumber > m.Seq)
 	if !newer && m.Doubt > 0 && m.ReportToken > m.Doubt {
 		return Forget // only the current incarnation can have that token, and the one before has used up the numbers
 	}
@@ -121,7 +121,7 @@
 		Epoch:         2,
 		ReportEpoch:   r.below(4),
 		Session:       r.below(3),
-		Number:        r.below(3),
+		Seq:           r.below(3),
 		Token:         r.below(2),
 		ReportSession: r.below(3),
 		ReportNumber:  r.below(3),
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -98,7 +98,7 @@
 	if m != nil {
 		x.Known = true
 		x.Deleting = m.Deleting
-		x.Session, x.Number, x.Token = m.Session, m.Seq, m.Token
+		x.Session, x.Seq, x.Token = m.Session, m.Seq, m.Token
 		x.Seen = m.HighestTokenSeen()
 		x.Doubt = m.SuspectBelow
 	}
