--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -18,14 +18,14 @@
 
 	// What is reported.
 	ReportSession uint64
-	ReportNumber  uint64
+	ReportSeq     uint64
 	ReportToken   uint64
 	ReportEpoch   uint64 // epoch of that token
 }
 
 // Report names the difference between what is stored of a machine and its report.
 func Report(m Machine) Diff {
-	outdated := m.ReportSession < m.Session || (m.ReportSession == m.Session && m.ReportNumber <= m.Seq)
+	outdated := m.ReportSession < m.Session || (m.ReportSession == m.Session && m.ReportSeq <= m.Seq)
 	switch {
 	case m.ReportEpoch > m.Epoch:
 		return MachineNewerTerm
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -57,7 +57,7 @@
 	if !m.Known {
 		return Register
 	}
-	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportNumber > m.Seq)
+	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportSeq > m.Seq)
 	if !newer && m.Doubt > 0 && m.ReportToken > m.Doubt {
 		return Forget // only the current incarnation can have that token, and the one before has used up the numbers
 	}
@@ -124,7 +124,7 @@
 		Seq:           r.below(3),
 		Token:         r.below(2),
 		ReportSession: r.below(3),
-		ReportNumber:  r.below(3),
+		ReportSeq:     r.below(3),
 		ReportToken:   r.below(3),
 		Seen:          r.below(2),
 		Doubt:         r.below(3) / 2,
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -91,7 +91,7 @@
 		TypeKnown:     typed,
 		Epoch:         d.Epoch,
 		ReportSession: report.Session,
-		ReportNumber:  report.Seq,
+		ReportSeq:     report.Seq,
 		ReportToken:   report.Token,
 		ReportEpoch:   report.Token >> cluster.TokenBits,
 	}
