--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -6,15 +6,15 @@
 	Epoch uint64
 
 	// What is stored.
-	Deleted   bool   // it is deleted
-	Known     bool   // it is entered
-	TypeKnown bool   // its type is known
-	Deleting  bool   // its deletion is decided
-	Session   uint64 // of the newest report that was applied
-	Seq       uint64 // of that report within the session
-	Token     uint64 // the machine's current fencing token
-	Seen      uint64 // highest token in a report that was applied
-	Doubt     uint64 // it is suspect until it reports a token above this one; 0: it is not
+	Deleted          bool   // it is deleted
+	Known            bool   // it is entered
+	TypeKnown        bool   // its type is known
+	Deleting         bool   // its deletion is decided
+	Session          uint64 // of the newest report that was applied
+	Seq              uint64 // of that report within the session
+	Token            uint64 // the machine's current fencing token
+	HighestTokenSeen uint64 // highest token in a report that was applied
+	Doubt            uint64 // it is suspect until it reports a token above this one; 0: it is not
 
 	// What is reported.
 	ReportSession uint64
@@ -37,7 +37,7 @@
 		return MachineUnregistered
 	case outdated && m.Doubt > 0 && m.ReportToken > m.Doubt:
 		return MachineRestarted
-	case outdated || m.ReportToken < m.Seen:
+	case outdated || m.ReportToken < m.HighestTokenSeen:
 		return MachineOutdatedReport
 	case m.Session != 0 && m.ReportSession > m.Session:
 		return MachineNewSession
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -61,7 +61,7 @@
 	if !newer && m.Doubt > 0 && m.ReportToken > m.Doubt {
 		return Forget // only the current incarnation can have that token, and the one before has used up the numbers
 	}
-	if !newer || m.ReportToken < m.Seen {
+	if !newer || m.ReportToken < m.HighestTokenSeen {
 		return Ignore
 	}
 	if m.Session > 0 && m.ReportSession != m.Session {
@@ -114,20 +114,20 @@
 
 func (r randomStates) machine() Machine {
 	return Machine{
-		Deleted:       r.oneIn(6),
-		Known:         r.oneIn(2),
-		TypeKnown:     r.oneIn(2),
-		Deleting:      r.oneIn(4),
-		Epoch:         2,
-		ReportEpoch:   r.below(4),
-		Session:       r.below(3),
-		Seq:           r.below(3),
-		Token:         r.below(2),
-		ReportSession: r.below(3),
-		ReportSeq:     r.below(3),
-		ReportToken:   r.below(3),
-		Seen:          r.below(2),
-		Doubt:         r.below(3) / 2,
+		Deleted:          r.oneIn(6),
+		Known:            r.oneIn(2),
+		TypeKnown:        r.oneIn(2),
+		Deleting:         r.oneIn(4),
+		Epoch:            2,
+		ReportEpoch:      r.below(4),
+		Session:          r.below(3),
+		Seq:              r.below(3),
+		Token:            r.below(2),
+		ReportSession:    r.below(3),
+		ReportSeq:        r.below(3),
+		ReportToken:      r.below(3),
+		HighestTokenSeen: r.below(2),
+		Doubt:            r.below(3) / 2,
 	}
 }
 
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -99,7 +99,7 @@
 		x.Known = true
 		x.Deleting = m.Deleting
 		x.Session, x.Seq, x.Token = m.Session, m.Seq, m.Token
-		x.Seen = m.HighestTokenSeen()
+		x.HighestTokenSeen = m.HighestTokenSeen()
 		x.Doubt = m.SuspectBelow
 	}
 	return reconcile.Report(x)
