--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -14,7 +14,7 @@
 	Seq              uint64 // of that report within the session
 	Token            uint64 // the machine's current fencing token
 	HighestTokenSeen uint64 // highest token in a report that was applied
-	Doubt            uint64 // it is suspect until it reports a token above this one; 0: it is not
+	SuspectBelow     uint64 // it is suspect until it reports a token above this one; 0: it is not
 
 	// What is reported.
 	ReportSession uint64
@@ -35,7 +35,7 @@
 		return MachineUnknownType
 	case !m.Known:
 		return MachineUnregistered
-	case outdated && m.Doubt > 0 && m.ReportToken > m.Doubt:
+	case outdated && m.SuspectBelow > 0 && m.ReportToken > m.SuspectBelow:
 		return MachineRestarted
 	case outdated || m.ReportToken < m.HighestTokenSeen:
 		return MachineOutdatedReport
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -58,7 +58,7 @@
 		return Register
 	}
 	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportSeq > m.Seq)
-	if !newer && m.Doubt > 0 && m.ReportToken > m.Doubt {
+	if !newer && m.SuspectBelow > 0 && m.ReportToken > m.SuspectBelow {
 		return Forget // only the current incarnation can have that token, and the one before has used up the numbers
 	}
 	if !newer || m.ReportToken < m.HighestTokenSeen {
@@ -127,7 +127,7 @@
 		ReportSeq:        r.below(3),
 		ReportToken:      r.below(3),
 		HighestTokenSeen: r.below(2),
-		Doubt:            r.below(3) / 2,
+		SuspectBelow:     r.below(3) / 2,
 	}
 }
 
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -100,7 +100,7 @@
 		x.Deleting = m.Deleting
 		x.Session, x.Seq, x.Token = m.Session, m.Seq, m.Token
 		x.HighestTokenSeen = m.HighestTokenSeen()
-		x.Doubt = m.SuspectBelow
+		x.SuspectBelow = m.SuspectBelow
 	}
 	return reconcile.Report(x)
 }
