--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -91,7 +91,7 @@
 	Register                           // enter the machine, and register it before its first start
 	Ignore                             // answer the report, and apply nothing of it
 	ApplyPresent                       // apply the report; it does not prove what is absent
-	Forget                             // all that is placed on the machine is proved gone
+	ReleaseAll                         // all that is placed on the machine is proved gone
 	ContinueDeletion                   // apply the report; the deletion goes on, and nothing is started
 	StepDown                           // another node leads: the term is over
 )
@@ -110,7 +110,7 @@
 	Register:         "register",
 	Ignore:           "ignore",
 	ApplyPresent:     "listen",
-	Forget:           "release all",
+	ReleaseAll:       "release all",
 	ContinueDeletion: "delete",
 	StepDown:         "step down",
 }
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -59,13 +59,13 @@
 	}
 	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportSeq > m.Seq)
 	if !newer && m.SuspectBelow > 0 && m.ReportToken > m.SuspectBelow {
-		return Forget // only the current incarnation can have that token, and the one before has used up the numbers
+		return ReleaseAll // only the current incarnation can have that token, and the one before has used up the numbers
 	}
 	if !newer || m.ReportToken < m.HighestTokenSeen {
 		return Ignore
 	}
 	if m.Session > 0 && m.ReportSession != m.Session {
-		return Forget
+		return ReleaseAll
 	}
 	if m.Deleting {
 		return ContinueDeletion
--- a/internal/core/reconcile/table.go
+++ b/internal/core/reconcile/table.go
@@ -242,7 +242,7 @@
 		label:      "machine_again",
 		stored:     "registered",
 		reported:   "a later session",
-		resolution: Forget,
+		resolution: ReleaseAll,
 		proof:      "with its lease a worker kills and forgets all tasks",
 	},
 	MachineNewerTerm: {
@@ -256,7 +256,7 @@
 		label:      "machine_reborn",
 		stored:     "in doubt",
 		reported:   "an older session or number, at a token given out since",
-		resolution: Forget,
+		resolution: ReleaseAll,
 		proof:      "who got that token and counts from the beginning lives, and the one before it does not",
 	},
 
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -151,7 +151,7 @@
 	if difference == reconcile.MachineRestarted {
 		d.LogMessage(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
-	if difference.Resolution() == reconcile.Forget {
+	if difference.Resolution() == reconcile.ReleaseAll {
 		d.publishLostOffers(now, m)
 	}
 	resolvedBefore := m.Resolved
