--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -86,7 +86,7 @@
 	ReleaseAndReap                     // it is proved gone from here, and may run again elsewhere; reap the attempt
 	Release                            // it is proved gone from here, and may run again elsewhere
 	Adopt                              // it is placed here from now on
-	Break                              // adopt it, and give up the gang's attempt as a whole
+	AdoptAndFailGang                   // adopt it, and give up the gang's attempt as a whole
 	Stop                               // stop it, and start nothing on the machine until it is gone
 	Register                           // enter the machine, and register it before its first start
 	Ignore                             // answer the report, and apply nothing of it
@@ -105,7 +105,7 @@
 	ReleaseAndReap:   "release and reap",
 	Release:          "release",
 	Adopt:            "adopt",
-	Break:            "adopt and give up the gang's attempt",
+	AdoptAndFailGang: "adopt and give up the gang's attempt",
 	Stop:             "stop",
 	Register:         "register",
 	Ignore:           "ignore",
--- a/internal/core/reconcile/table.go
+++ b/internal/core/reconcile/table.go
@@ -279,7 +279,7 @@
 		label:      "gang_other",
 		stored:     "another attempt",
 		reported:   "a part, not ended",
-		resolution: Break,
+		resolution: AdoptAndFailGang,
 		proof:      "two attempts never complete together: all parts go before the next",
 	},
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -101,7 +101,7 @@
 		j.GangAttempt = attempt
 	}
 	j.GangBegan = true // has to be assumed: it is not known whether it ran
-	if difference.Resolution() == reconcile.Break {
+	if difference.Resolution() == reconcile.AdoptAndFailGang {
 		d.FailGang(j)
 	}
 }
