--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -61,9 +61,9 @@
 	MachineRestarted      // it is a new incarnation under its name, and remembers nothing
 
 	// Differences of a gang, where one of its tasks turns out to be on a machine.
-	GangFound        // no attempt of the gang was known
-	GangSameAttempt  // the task is of the attempt that is known
-	GangOtherAttempt // the task is of another attempt than the one that is known
+	GangAttemptUnknown // no attempt of the gang was known
+	GangSameAttempt    // the task is of the attempt that is known
+	GangOtherAttempt   // the task is of another attempt than the one that is known
 
 	Kinds // the number of differences
 )
--- a/internal/core/reconcile/table.go
+++ b/internal/core/reconcile/table.go
@@ -261,7 +261,7 @@
 	},
 
 	// Gangs.
-	GangFound: {
+	GangAttemptUnknown: {
 		label:      "gang_found",
 		stored:     "no attempt under way",
 		reported:   "a part, not ended",
--- a/internal/core/reconcile/task.go
+++ b/internal/core/reconcile/task.go
@@ -125,7 +125,7 @@
 func Gang(known, reported uint64) Diff {
 	switch known {
 	case 0:
-		return GangFound
+		return GangAttemptUnknown
 	case reported:
 		return GangSameAttempt
 	}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -97,7 +97,7 @@
 // task belongs to another attempt.
 func (d *Component) gangPartAdopted(j *jobs.Job, attempt uint64) {
 	difference := d.Reconciled.Count(reconcile.Gang(j.GangAttempt, attempt))
-	if difference == reconcile.GangFound {
+	if difference == reconcile.GangAttemptUnknown {
 		j.GangAttempt = attempt
 	}
 	j.GangBegan = true // has to be assumed: it is not known whether it ran
