--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -62,7 +62,7 @@
 	Team           int32             // index of its team
 	Image          int32             // index of its image
 	Need           resources.Amounts // what each of its tasks takes
-	Types          []bool            // by machine type: whether it may use it; nil: it may use all
+	AllowedTypes   []bool            // by machine type: whether it may use it; nil: it may use all
 	Spot           bool              // it may and should use spot instances
 	FitsWithoutGPU bool              // its tasks fit machines without accelerators
 
--- a/internal/core/scheduler/cluster_test.go
+++ b/internal/core/scheduler/cluster_test.go
@@ -109,7 +109,7 @@
 	job.Phase, job.Spot = jobs.Open, record.Spot
 	job.Image, job.Team = int32(r.IntN(6)), int32(r.IntN(2))
 	if r.IntN(6) == 0 {
-		job.Types = []bool{true, false}
+		job.AllowedTypes = []bool{true, false}
 	}
 	if r.IntN(2) == 0 {
 		job.DelayedSince = snap.Now - 3*time.Second
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -15,7 +15,7 @@
 // permittedByUser reports whether a job's tasks may be on a machine by what its user
 // has asked for: type of machine, spot instance or not, zone.
 func permittedByUser(job *jobs.Job, machine *workers.Machine, zones func(string) int32) bool {
-	if job.Types != nil && (int(machine.Type) >= len(job.Types) || !job.Types[machine.Type]) {
+	if job.AllowedTypes != nil && (int(machine.Type) >= len(job.AllowedTypes) || !job.AllowedTypes[machine.Type]) {
 		return false
 	}
 	if machine.Spot && !job.Record.Spot {
--- a/internal/core/scheduler/refusals.go
+++ b/internal/core/scheduler/refusals.go
@@ -22,7 +22,7 @@
 func (r *refusal) covers(job *jobs.Job, spot bool) bool {
 	return r.need.Fits(job.Need) &&
 		(r.spot || !spot) &&
-		(r.types == nil || slices.Equal(r.types, job.Types)) &&
+		(r.types == nil || slices.Equal(r.types, job.AllowedTypes)) &&
 		(r.zone == "" || r.zone == job.Record.Zone)
 }
 
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -45,7 +45,7 @@
 		case !snap.hasRoom(job, machines):
 			job.StarvedSince = 0
 			if job.Record.Kind != jobs.Gang && !job.ZoneRule() {
-				refusals = append(refusals, refusal{need: job.Need, spot: job.Record.Spot, types: job.Types, zone: job.Record.Zone})
+				refusals = append(refusals, refusal{need: job.Need, spot: job.Record.Spot, types: job.AllowedTypes, zone: job.Record.Zone})
 			}
 		case job.StarvedSince == 0:
 			job.StarvedSince = snap.Now
--- a/internal/leader/lifecycle/types.go
+++ b/internal/leader/lifecycle/types.go
@@ -14,10 +14,10 @@
 // job.
 func (c *Component) resolveTypes(j *jobs.Job) {
 	if j.Record.Types != nil {
-		j.Types = make([]bool, max(c.TypeNames.Len(), 1))
+		j.AllowedTypes = make([]bool, max(c.TypeNames.Len(), 1))
 		for _, name := range j.Record.Types {
 			if index, known := c.TypeNames.Lookup(name); known {
-				j.Types[index] = true
+				j.AllowedTypes[index] = true
 			}
 		}
 	}
@@ -33,7 +33,7 @@
 
 // typeAllowed says whether a job may use the machine type with an index.
 func typeAllowed(j *jobs.Job, index int) bool {
-	return j.Types == nil || (index < len(j.Types) && j.Types[index])
+	return j.AllowedTypes == nil || (index < len(j.AllowedTypes) && j.AllowedTypes[index])
 }
 
 // fitsWithoutGPU says whether a task of a job fits a machine type without accelerators that
--- a/internal/leader/term/types_test.go
+++ b/internal/leader/term/types_test.go
@@ -22,8 +22,8 @@
 		{MachineTypes: []eventlog.MachineType{{Name: "large", CPUs: 16, MemoryGB: 64}}},
 	}})
 	j := term.Jobs.Find(1)
-	if len(j.Types) != 2 || j.Types[0] || !j.Types[1] {
-		t.Errorf("the job may use %v, want only the second type", j.Types)
+	if len(j.AllowedTypes) != 2 || j.AllowedTypes[0] || !j.AllowedTypes[1] {
+		t.Errorf("the job may use %v, want only the second type", j.AllowedTypes)
 	}
 	if j.Share != 2 { // 8 of the 64 GB leave 8 tasks for 16 processors
 		t.Errorf("a task takes up %v processors, want 2", j.Share)
