--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -63,7 +63,7 @@
 	Image          int32             // index of its image
 	Need           resources.Amounts // what each of its tasks takes
 	AllowedTypes   []bool            // by machine type: whether it may use it; nil: it may use all
-	Spot           bool              // it may and should use spot instances
+	UseSpot        bool              // it may and should use spot instances
 	FitsWithoutGPU bool              // its tasks fit machines without accelerators
 
 	// Share is the number of processors of a machine that a task takes up, counting those that it makes
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -97,7 +97,7 @@
 	if snap.starvedOnly || job.ZoneRule() || s.exhaustive || s.placementDelayed {
 		return
 	}
-	s.refusals = append(s.refusals, refusal{need: job.Need, spot: job.Spot, types: job.AllowedTypes, zone: job.Record.Zone})
+	s.refusals = append(s.refusals, refusal{need: job.Need, spot: job.UseSpot, types: job.AllowedTypes, zone: job.Record.Zone})
 }
 
 // promptWaits reports whether a replica that should start at once leaves room on a
--- a/internal/core/scheduler/cluster_test.go
+++ b/internal/core/scheduler/cluster_test.go
@@ -106,7 +106,7 @@
 		record.Zone = "only"
 	}
 	job := snap.Jobs.Add(record)
-	job.Phase, job.Spot = jobs.Open, record.Spot
+	job.Phase, job.UseSpot = jobs.Open, record.Spot
 	job.Image, job.Team = int32(r.IntN(6)), int32(r.IntN(2))
 	if r.IntN(6) == 0 {
 		job.AllowedTypes = []bool{true, false}
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -9,7 +9,7 @@
 // permits the machine, and the leader prefers it for the job. zones gives the index
 // of a zone by its name.
 func Allowed(job *jobs.Job, machine *workers.Machine, zones func(string) int32) bool {
-	return (!machine.Spot || job.Spot) && permittedByUser(job, machine, zones)
+	return (!machine.Spot || job.UseSpot) && permittedByUser(job, machine, zones)
 }
 
 // permittedByUser reports whether a job's tasks may be on a machine by what its user
--- a/internal/core/scheduler/refusals.go
+++ b/internal/core/scheduler/refusals.go
@@ -29,7 +29,7 @@
 // refused reports whether a job's need has found no machine in this cycle already.
 func (s *Scheduler) refused(job *jobs.Job) bool {
 	for i := range s.refusals {
-		if s.refusals[i].covers(job, job.Spot) {
+		if s.refusals[i].covers(job, job.UseSpot) {
 			return true
 		}
 	}
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -18,7 +18,7 @@
 		if j == nil || j.Waiting <= 0 {
 			continue
 		}
-		restricted := !j.Spot || j.AllowedTypes != nil || j.Record.Zone != ""
+		restricted := !j.UseSpot || j.AllowedTypes != nil || j.Record.Zone != ""
 		if restricted && (j.Phase == jobs.Open || d.releasedSoon(j)) {
 			out = append(out, j)
 		}
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -111,7 +111,7 @@
 // jobs may use them, on-demand ones for what those cannot bring, and for jobs that may not
 // use spot machines at all, however much room there is on those.
 func (d *Component) rentForDemand(s *scaling) []eventlog.Rental {
-	onDemandOnly := slices.DeleteFunc(slices.Clone(s.open), func(j *jobs.Job) bool { return j.Spot })
+	onDemandOnly := slices.DeleteFunc(slices.Clone(s.open), func(j *jobs.Job) bool { return j.UseSpot })
 	var requests []eventlog.Rental
 	if len(onDemandOnly) < len(s.open) && s.fullDemand > s.total {
 		requests = d.rent(s, s.fullDemand-s.total, true, s.open)
@@ -144,7 +144,7 @@
 	for _, j := range stuck {
 		cpus += float64(j.Waiting) * j.Share
 	}
-	needsOnDemand := slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return !j.Spot })
+	needsOnDemand := slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return !j.UseSpot })
 	requests := d.rent(s, cpus, !needsOnDemand, stuck)
 	if len(requests) == 0 {
 		requests = d.rent(s, cpus, false, stuck)
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -146,7 +146,7 @@
 	j := c.Jobs.Add(rec)
 	j.Team = c.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
 	j.Image = c.Images.Index(rec.Image)
-	j.Spot = rec.Spot && (rec.Checkpoint > 0 || rec.EstimateS <= c.Cfg.Tunables.SpotTaskS)
+	j.UseSpot = rec.Spot && (rec.Checkpoint > 0 || rec.EstimateS <= c.Cfg.Tunables.SpotTaskS)
 	c.setDeadlines(j, c.toClock(rec.AtMS, now))
 	return j
 }
