--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -68,7 +68,7 @@
 
 	// Share is the number of processors of a machine that a task takes up, counting those that it makes
 	// unusable for others.
-	Share float64
+	CPUShare float64
 
 	// Life.
 	Phase         Phase
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -91,7 +91,7 @@
 func (d *Component) cpuDemand(open []*jobs.Job, horizon float64, keepRunning bool) float64 {
 	perTeam := make([]float64, len(d.Scheduler.Limits))
 	for _, j := range open {
-		perTeam[j.Team] += d.tasksInParallel(j, horizon, keepRunning) * j.Share
+		perTeam[j.Team] += d.tasksInParallel(j, horizon, keepRunning) * j.CPUShare
 	}
 	var sum float64
 	for team, cpus := range perTeam {
@@ -198,7 +198,7 @@
 		}
 		for _, p := range m.Tasks {
 			if j := d.Jobs.At(p.Ref.Job); j.UseSpot {
-				sum += j.Share
+				sum += j.CPUShare
 			}
 		}
 	}
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -142,7 +142,7 @@
 func (d *Component) rentForStuckJobs(s *scaling, stuck []*jobs.Job) []eventlog.Rental {
 	var cpus float64
 	for _, j := range stuck {
-		cpus += float64(j.Waiting) * j.Share
+		cpus += float64(j.Waiting) * j.CPUShare
 	}
 	needsOnDemand := slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return !j.UseSpot })
 	requests := d.rent(s, cpus, !needsOnDemand, stuck)
--- a/internal/leader/lifecycle/types.go
+++ b/internal/leader/lifecycle/types.go
@@ -21,7 +21,7 @@
 			}
 		}
 	}
-	j.Share = c.cpuShare(j)
+	j.CPUShare = c.cpuShare(j)
 	j.FitsWithoutGPU = false
 	for index, machineType := range c.Types {
 		if fitsWithoutGPU(j, index, machineType) {
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -302,7 +302,7 @@
 	}
 	late := d.Jobs.Add(eventlog.Job{ID: 50, Class: "c", Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 18})
 	d.Scheduler.AddTeam()
-	late.Phase, late.AcceptedAt, late.Share = jobs.Open, w.now, 1
+	late.Phase, late.AcceptedAt, late.CPUShare = jobs.Open, w.now, 1
 	d.Estimator.Add(late.Index, 0, 8, 1, false)
 	learned := d.learnedDeadline(d.estimateJob(w.now, late))
 	if learned < 20*time.Second || learned > 60*time.Second {
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -121,7 +121,7 @@
 	if j.Placed > 0 {
 		f.BeginS = 0
 	}
-	perTask := max(j.Share, j.Need.CPUs(), minTaskCPUs)
+	perTask := max(j.CPUShare, j.Need.CPUs(), minTaskCPUs)
 	if limit := d.Scheduler.Limits[j.Team].CPU; limit > 0 {
 		cpus = min(cpus, float64(limit)/milli)
 	}
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -215,7 +215,7 @@
 		at:     now,
 		met:    met,
 		tasks:  len(j.Tasks),
-		work:   float64(len(j.Tasks)) * j.Mean() * j.Share,
+		work:   float64(len(j.Tasks)) * j.Mean() * j.CPUShare,
 		waited: began - j.AcceptedAt,
 	}
 	for _, s := range t.groups {
@@ -366,4 +366,4 @@
 }
 
 // remainingWork is what a job's waiting tasks take, in processor seconds.
-func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.Mean() * j.Share }
+func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.Mean() * j.CPUShare }
--- a/internal/leader/term/types_test.go
+++ b/internal/leader/term/types_test.go
@@ -25,7 +25,7 @@
 	if len(j.AllowedTypes) != 2 || j.AllowedTypes[0] || !j.AllowedTypes[1] {
 		t.Errorf("the job may use %v, want only the second type", j.AllowedTypes)
 	}
-	if j.Share != 2 { // 8 of the 64 GB leave 8 tasks for 16 processors
-		t.Errorf("a task takes up %v processors, want 2", j.Share)
+	if j.CPUShare != 2 { // 8 of the 64 GB leave 8 tasks for 16 processors
+		t.Errorf("a task takes up %v processors, want 2", j.CPUShare)
 	}
 }
