--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -77,7 +77,7 @@
 	CancelPending bool          // its cancellation is on its way to the event log
 
 	// What earlier terms of a leader may have started. Tasks that are not seen may be running then.
-	Earlier bool // it was accepted in an earlier term
+	FromEarlierTerm bool // it was accepted in an earlier term
 	// UnresolvedMachines counts the machines that may have tasks of it from an earlier term and are not
 	// resolved yet. Until there are none, what is not seen may run there.
 	UnresolvedMachines int
@@ -139,7 +139,9 @@
 
 // MayRunUnseen says whether tasks of the job that are not seen may run on machines of which it is not known
 // what an earlier term left on them. blind says that one of those may have tasks of any job.
-func (j *Job) MayRunUnseen(blind bool) bool { return j.Earlier && (j.UnresolvedMachines > 0 || blind) }
+func (j *Job) MayRunUnseen(blind bool) bool {
+	return j.FromEarlierTerm && (j.UnresolvedMachines > 0 || blind)
+}
 
 // GangSize is the number of the job's waiting tasks that start together: all of a gang, at least 1.
 func (j *Job) GangSize() int {
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -138,7 +138,7 @@
 	}
 	a.current.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
-		if j != nil && j.Phase == jobs.Open && j.Earlier {
+		if j != nil && j.Phase == jobs.Open && j.FromEarlierTerm {
 			a.addJob(j)
 		}
 	}
@@ -241,7 +241,7 @@
 }
 
 // mayHaveRun says whether an earlier term may have started the task that an event is about.
-func mayHaveRun(e cluster.Event) bool { return e.Job.Earlier && e.Task < e.Job.FreshFrom }
+func mayHaveRun(e cluster.Event) bool { return e.Job.FromEarlierTerm && e.Task < e.Job.FreshFrom }
 
 func (a *account) taskPlaced(d *Component, e cluster.Event) {
 	action := cluster.StartNew
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -29,7 +29,7 @@
 	})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
-	j.Phase, j.Earlier, j.UnresolvedMachines = 2, true, 10
+	j.Phase, j.FromEarlierTerm, j.UnresolvedMachines = 2, true, 10
 	for n := range 10 {
 		s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -122,7 +122,7 @@
 // restoreJob settles what one job waits for. It is false for a job that is cancelled, since
 // one that it depends on is.
 func (c *Component) restoreJob(now time.Duration, j *jobs.Job) bool {
-	j.Phase, j.Earlier = jobs.Open, true
+	j.Phase, j.FromEarlierTerm = jobs.Open, true
 	if j.Record.Rest > 0 && j.Record.ReleasedMS == 0 {
 		j.Record.Follows = joinDependencies(j.Record, c.replayedDependencies[j.Record.ID])
 	}
@@ -137,7 +137,7 @@
 		return false
 	}
 	if len(j.Dependencies) > 0 {
-		j.Phase, j.Earlier = jobs.Held, false // never started
+		j.Phase, j.FromEarlierTerm = jobs.Held, false // never started
 		return true
 	}
 	if len(j.Record.Follows) > 0 && j.Record.ReleasedMS == 0 {
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -188,7 +188,7 @@
 	if j == nil {
 		return unresolved > 0 || len(d.orphans) > 0
 	}
-	if j.Earlier && unresolved > 0 {
+	if j.FromEarlierTerm && unresolved > 0 {
 		return true
 	}
 	if key.task == wholeJobTask {
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -177,7 +177,7 @@
 		v.Numbers = d.issuedNumbers(j.Record.ID, k, r.pool)
 		out = append(out, v)
 	}
-	if n, _ := d.Unresolved(); n > 0 && j.Earlier && j.UnresolvedMachines > 0 {
+	if n, _ := d.Unresolved(); n > 0 && j.FromEarlierTerm && j.UnresolvedMachines > 0 {
 		v := h.newView(r)
 		v.Units = 0
 		v.Machine = fmt.Sprintf("%d machines not heard", j.UnresolvedMachines)
