--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -82,7 +82,7 @@
 	// resolved yet. Until there are none, what is not seen may run there.
 	UnresolvedMachines int
 	// No earlier term has handed out the tasks from this number on, so none of them can run unseen.
-	FreshFrom int
+	UnassignedFrom int
 
 	// Dependencies, between open jobs only.
 	Dependencies []int32 // indexes of the jobs that it waits for
--- a/internal/core/jobs/tasks.go
+++ b/internal/core/jobs/tasks.go
@@ -13,7 +13,7 @@
 
 // NextFresh returns the lowest number of a waiting task that no earlier term can have started, or -1.
 func (j *Job) NextFresh() int {
-	j.unassignedCursor = max(j.unassignedCursor, j.FreshFrom)
+	j.unassignedCursor = max(j.unassignedCursor, j.UnassignedFrom)
 	for j.unassignedCursor < len(j.Tasks) && j.Tasks[j.unassignedCursor] != Waiting {
 		j.unassignedCursor++
 	}
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -150,10 +150,10 @@
 func (a *account) addJob(j *jobs.Job) {
 	a.current.Jobs++
 	for task, state := range j.Tasks {
-		if state == jobs.Waiting && (task < j.FreshFrom || j.Record.Kind == jobs.Gang) {
+		if state == jobs.Waiting && (task < j.UnassignedFrom || j.Record.Kind == jobs.Gang) {
 			a.missingTasks[workers.TaskRef{Job: j.Index, Task: int32(task)}] = struct{}{}
 		}
-		if state != jobs.DoneDurably && task < j.FreshFrom {
+		if state != jobs.DoneDurably && task < j.UnassignedFrom {
 			a.current.Tasks++
 		}
 	}
@@ -241,7 +241,7 @@
 }
 
 // mayHaveRun says whether an earlier term may have started the task that an event is about.
-func mayHaveRun(e cluster.Event) bool { return e.Job.FromEarlierTerm && e.Task < e.Job.FreshFrom }
+func mayHaveRun(e cluster.Event) bool { return e.Job.FromEarlierTerm && e.Task < e.Job.UnassignedFrom }
 
 func (a *account) taskPlaced(d *Component, e cluster.Event) {
 	action := cluster.StartNew
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -132,7 +132,7 @@
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	s.Zones.Index("a")
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20, EstimateS: 60})
-	j.Phase, j.FromEarlierTerm, j.UnresolvedMachines, j.FreshFrom = jobs.Open, true, 10, 10
+	j.Phase, j.FromEarlierTerm, j.UnresolvedMachines, j.UnassignedFrom = jobs.Open, true, 10, 10
 	for n := range 10 {
 		s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -123,7 +123,7 @@
 			marks.unwritten[id] = len(job.Tasks)
 		}
 		marks.requested[id] = marks.durable[id]
-		job.FreshFrom = marks.durable[id]
+		job.UnassignedFrom = marks.durable[id]
 	}
 	if !marks.enabled {
 		clear(marks.unwritten)
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -74,7 +74,7 @@
 	return plan
 }
 
-func freshFrom(component *Component, id uint64) int { return component.Jobs.Find(id).FreshFrom }
+func freshFrom(component *Component, id uint64) int { return component.Jobs.Find(id).UnassignedFrom }
 
 // logOfTwoTerms is the log of a first term, which leaves marks for two jobs, and of a second
 // one, in which tasks 0 and 8 of job 3 may be offered; the mark for its task 9 is never
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -360,7 +360,7 @@
 	m := w.component.Inventory.Add(&workers.Machine{Name: "old", Durable: true, Number: 7, Session: 1, Capacity: resources.Room(4, 0, 16)})
 	w.component.AddUnresolved(m)
 	j := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
-	j.FromEarlierTerm, j.UnresolvedMachines, j.FreshFrom = true, 1, 3
+	j.FromEarlierTerm, j.UnresolvedMachines, j.UnassignedFrom = true, 1, 3
 	m.Grants[j.Record.ID] = true
 	other := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
 	expect(t, "three may be there", w.inUse("p"), 3)
--- a/internal/leader/pools/usage.go
+++ b/internal/leader/pools/usage.go
@@ -192,7 +192,7 @@
 func mayBeRunning(j *jobs.Job) int {
 	list := j.Tasks
 	if j.Record.Kind != jobs.Gang && !j.ZoneRule() {
-		list = list[:min(j.FreshFrom, len(list))]
+		list = list[:min(j.UnassignedFrom, len(list))]
 	}
 	n := 0
 	for _, s := range list {
