--- a/internal/core/jobs/tasks.go
+++ b/internal/core/jobs/tasks.go
@@ -11,8 +11,8 @@
 	return -1
 }
 
-// NextFresh returns the lowest number of a waiting task that no earlier term can have started, or -1.
-func (j *Job) NextFresh() int {
+// NextUnassigned returns the lowest number of a waiting task that no earlier term can have started, or -1.
+func (j *Job) NextUnassigned() int {
 	j.unassignedCursor = max(j.unassignedCursor, j.UnassignedFrom)
 	for j.unassignedCursor < len(j.Tasks) && j.Tasks[j.unassignedCursor] != Waiting {
 		j.unassignedCursor++
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -72,5 +72,5 @@
 	case job.Record.Kind == jobs.Gang || job.ZoneRule():
 		return -1 // the placement of the tasks not seen matters too
 	}
-	return job.NextFresh()
+	return job.NextUnassigned()
 }
