--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -18,7 +18,7 @@
 
 // RemainingTime is how long a placed task will probably still run; never negative.
 func RemainingTime(now time.Duration, job *jobs.Job, task *workers.Placement) time.Duration {
-	left := time.Duration(job.Mean()*float64(time.Second)) - job.Saved[task.Ref.Task]
+	left := time.Duration(job.Mean()*float64(time.Second)) - job.SavedRunTime[task.Ref.Task]
 	if task.IsRunning() {
 		left -= now - task.RunningSince
 	}
@@ -142,7 +142,7 @@
 	return restartable(job, task) &&
 		!job.ZoneRule() &&
 		job.Record.Checkpoint > 0 &&
-		job.Saved[task.Ref.Task] <= 0 &&
+		job.SavedRunTime[task.Ref.Task] <= 0 &&
 		plan.snap.Now-task.RunningSince >= minRuntimeToMigrate &&
 		left >= migrationTime &&
 		!plan.teamWaits[job.Team]
--- a/internal/core/scheduler/migration_test.go
+++ b/internal/core/scheduler/migration_test.go
@@ -22,7 +22,7 @@
 		{"it does not save", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Record.Checkpoint = 0 }, 0},
 		{"it has just begun", func(_ *jobs.Job, p *workers.Placement, _ *workers.Machine) { p.RunningSince = 90 * time.Second }, 0},
 		{"it was moved before", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) {
-			j.Saved = map[int32]time.Duration{0: time.Second}
+			j.SavedRunTime = map[int32]time.Duration{0: time.Second}
 		}, 0},
 		{"no room elsewhere", func(_ *jobs.Job, _ *workers.Placement, m *workers.Machine) { m.Free.CPU = 1000 }, 0},
 		{"its team waits", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Waiting = 1 }, 0},
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -97,7 +97,7 @@
 		}
 		for _, task := range machine.Tasks {
 			owner := snap.Jobs.At(task.Ref.Job)
-			if !restartable(owner, task) || owner.Saved[task.Ref.Task] > 0 || snap.losesMuch(owner, task) {
+			if !restartable(owner, task) || owner.SavedRunTime[task.Ref.Task] > 0 || snap.losesMuch(owner, task) {
 				continue
 			}
 			candidates = append(candidates, task)
--- a/internal/core/scheduler/preemption_test.go
+++ b/internal/core/scheduler/preemption_test.go
@@ -99,13 +99,13 @@
 		machine.Plan(task)
 		setRunning(task, 40*time.Second)
 	}
-	long.Saved = map[int32]time.Duration{0: time.Second, 2: time.Second}
+	long.SavedRunTime = map[int32]time.Duration{0: time.Second, 2: time.Second}
 	add(2, 1, 1, 2)
 	add(3, 1, 1, 2)
 	scheduler := New([]Limit{{}}, 10)
 	scheduler.UrgentFirst = true
 	got := scheduler.Preempt(snap)
-	if len(got) != 1 || long.Saved[got[0].Ref.Task] > 0 {
+	if len(got) != 1 || long.SavedRunTime[got[0].Ref.Task] > 0 {
 		t.Errorf("%d tasks are stopped: %+v", len(got), got)
 	}
 }
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -44,10 +44,10 @@
 	}
 	p.Stopping, p.GraceSeconds = true, grace
 	if j.Record.Checkpoint > 0 && p.IsRunning() {
-		if j.Saved == nil {
-			j.Saved = map[int32]time.Duration{}
+		if j.SavedRunTime == nil {
+			j.SavedRunTime = map[int32]time.Duration{}
 		}
-		j.Saved[p.Ref.Task] += now - p.RunningSince
+		j.SavedRunTime[p.Ref.Task] += now - p.RunningSince
 	}
 }
 
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -262,7 +262,7 @@
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.TaskGone, Job: j, Task: 0, Machine: m})
 	done(0, 50, true, m)
-	j.Saved = map[int32]time.Duration{1: time.Second}
+	j.SavedRunTime = map[int32]time.Duration{1: time.Second}
 	done(1, 50, true, m)
 	done(2, 50, false, m)
 	done(3, -1, true, m)
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -125,7 +125,7 @@
 		return
 	}
 	r := d.runOf(e.At, e.Job)
-	if r.disturbed[e.Task] || e.Job.Saved[int32(e.Task)] > 0 {
+	if r.disturbed[e.Task] || e.Job.SavedRunTime[int32(e.Task)] > 0 {
 		return
 	}
 	if d.observeSpeed(r, e) {
