--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -105,13 +105,13 @@
 	GangBegan   bool // all its tasks have run in this attempt
 
 	// Run times and failures.
-	RunSeconds   float64                 // sum of the run times of the completed tasks that were measured
-	RunCount     int                     // number of these tasks
-	SavedRunTime map[int32]time.Duration // by task: how long it ran before it was stopped with time to save its progress
-	Errors       int                     // failed tasks since one completed
-	NotBefore    time.Duration           // none of its tasks is started before
-	FirstAt      time.Duration           // when its first task was seen running in this term; 0: none was yet
-	LastAt       time.Duration           // when the last of its tasks so far was
+	RunSeconds     float64                 // sum of the run times of the completed tasks that were measured
+	RunCount       int                     // number of these tasks
+	SavedRunTime   map[int32]time.Duration // by task: how long it ran before it was stopped with time to save its progress
+	FailuresInARow int                     // failed tasks since one completed
+	NotBefore      time.Duration           // none of its tasks is started before
+	FirstAt        time.Duration           // when its first task was seen running in this term; 0: none was yet
+	LastAt         time.Duration           // when the last of its tasks so far was
 
 	// Service-level objectives of its class, and its place in the scheduling order.
 	BehindUntil     time.Duration      // best-effort work goes behind the order until then
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -161,7 +161,7 @@
 	d.Counts.TasksDone++
 	j.Complete(task)
 	d.ResetGangIfEmpty(j)
-	j.Errors, m.FailuresInARow = 0, 0
+	j.FailuresInARow, m.FailuresInARow = 0, 0
 	d.Estimator.Completed(e.Ref.Job, task, runSeconds)
 	d.Publish(cluster.Event{
 		Kind:         cluster.TaskDone,
@@ -215,12 +215,12 @@
 // taskFailed counts a failure against the machine and the job, and backs off from either.
 func (d *Component) taskFailed(now time.Duration, m *workers.Machine, j *jobs.Job, task int) {
 	m.FailuresInARow++
-	j.Errors++
+	j.FailuresInARow++
 	if m.FailuresInARow >= faultyMachineErrors {
 		m.AvoidUntil = now + faultyMachineAvoid
 	}
-	if j.Errors >= failingJobErrors {
-		j.NotBefore = now + time.Second<<min(j.Errors-failingJobErrors, maxBackoffDoubles)
+	if j.FailuresInARow >= failingJobErrors {
+		j.NotBefore = now + time.Second<<min(j.FailuresInARow-failingJobErrors, maxBackoffDoubles)
 	}
 	d.LogMessage(effects.Debug, "task failed", "job", j.Record.ID, "task", task, "machine", m.Name)
 }
