--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -110,7 +110,7 @@
 	SavedRunTime   map[int32]time.Duration // by task: how long it ran before it was stopped with time to save its progress
 	FailuresInARow int                     // failed tasks since one completed
 	NotBefore      time.Duration           // none of its tasks is started before
-	FirstAt        time.Duration           // when its first task was seen running in this term; 0: none was yet
+	FirstRunAt     time.Duration           // when its first task was seen running in this term; 0: none was yet
 	LastAt         time.Duration           // when the last of its tasks so far was
 
 	// Service-level objectives of its class, and its place in the scheduling order.
@@ -134,7 +134,7 @@
 // its tasks have run.
 func (j *Job) HasBegun() bool {
 	placed := j.Record.Kind != Gang && j.Placed > 0
-	return placed || j.Finished > 0 || j.FirstAt > 0 || j.GangBegan
+	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangBegan
 }
 
 // MayRunUnseen says whether tasks of the job that are not seen may run on machines of which it is not known
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -98,7 +98,7 @@
 		"tasks", len(j.Tasks),
 		"mean", j.Mean(),
 		"estimate", j.Record.EstimateS,
-		"first_start", sinceAccepted(j.FirstAt),
+		"first_start", sinceAccepted(j.FirstRunAt),
 		"last_start", sinceAccepted(j.LastAt),
 		"after", sinceAccepted(now))
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -132,8 +132,8 @@
 func (d *Component) taskBegan(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	j.Running++
-	if j.FirstAt == 0 {
-		j.FirstAt = now
+	if j.FirstRunAt == 0 {
+		j.FirstRunAt = now
 	}
 	j.LastAt = now
 	j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -207,7 +207,7 @@
 
 func (d *Component) recordOutcome(now time.Duration, t *trackedJob, met bool) {
 	j := t.job
-	began := j.FirstAt
+	began := j.FirstRunAt
 	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
 		began = now
 	}
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -174,10 +174,10 @@
 	d := begun(0)
 	for i := range uint64(20) {
 		j := d.arrive(0, i+1, "a")
-		j.FirstAt = time.Second
+		j.FirstRunAt = time.Second
 		switch i {
 		case 3:
-			j.Record.EstimateS, j.FirstAt = 500, 90*time.Second // most work, and begins late
+			j.Record.EstimateS, j.FirstRunAt = 500, 90*time.Second // most work, and begins late
 		case 7:
 			j.Record.EstimateS = 400
 		case 9:
