--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -111,7 +111,7 @@
 	FailuresInARow int                     // failed tasks since one completed
 	NotBefore      time.Duration           // none of its tasks is started before
 	FirstRunAt     time.Duration           // when its first task was seen running in this term; 0: none was yet
-	LastAt         time.Duration           // when the last of its tasks so far was
+	LastRunAt      time.Duration           // when the last of its tasks so far was
 
 	// Service-level objectives of its class, and its place in the scheduling order.
 	BehindUntil     time.Duration      // best-effort work goes behind the order until then
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -99,6 +99,6 @@
 		"mean", j.Mean(),
 		"estimate", j.Record.EstimateS,
 		"first_start", sinceAccepted(j.FirstRunAt),
-		"last_start", sinceAccepted(j.LastAt),
+		"last_start", sinceAccepted(j.LastRunAt),
 		"after", sinceAccepted(now))
 }
