--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -116,7 +116,7 @@
 	// Service-level objectives of its class, and its place in the scheduling order.
 	BehindUntil     time.Duration      // best-effort work goes behind the order until then
 	PriorityWindows [][2]time.Duration // spans, from and to, in which waiting tasks go ahead of the order
-	LastAim         time.Duration      // by when it should have ended at the latest; 0: no objective says so
+	Deadline        time.Duration      // by when it should have ended at the latest; 0: no objective says so
 	LostUntil       time.Duration      // if it cannot end in time any more, it goes behind the order until then
 	Prompt          bool               // its tasks should start sooner than an idle worker reports: directly
 	Boost           Boost
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -101,9 +101,9 @@
 // missesLastObjective reports whether a job has objectives, and a task of it that began
 // now would end after the last of them.
 func (snap *Snapshot) missesLastObjective(job *jobs.Job) bool {
-	return job.LastAim > 0 &&
+	return job.Deadline > 0 &&
 		snap.Now < job.LostUntil &&
-		snap.Now+time.Duration(job.Mean()*float64(time.Second)) > job.LastAim
+		snap.Now+time.Duration(job.Mean()*float64(time.Second)) > job.Deadline
 }
 
 // overdue reports whether none of a job's tasks has begun for longer than it should wait. The
