--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -114,13 +114,13 @@
 	LastRunAt      time.Duration           // when the last of its tasks so far was
 
 	// Service-level objectives of its class, and its place in the scheduling order.
-	BehindUntil     time.Duration      // best-effort work goes behind the order until then
-	PriorityWindows [][2]time.Duration // spans, from and to, in which waiting tasks go ahead of the order
-	Deadline        time.Duration      // by when it should have ended at the latest; 0: no objective says so
-	LostUntil       time.Duration      // if it cannot end in time any more, it goes behind the order until then
-	Prompt          bool               // its tasks should start sooner than an idle worker reports: directly
-	Boost           Boost
-	Guaranteed      bool // it fits into its team's guaranteed quota, together with the team's earlier jobs
+	BehindUntil           time.Duration      // best-effort work goes behind the order until then
+	PriorityWindows       [][2]time.Duration // spans, from and to, in which waiting tasks go ahead of the order
+	Deadline              time.Duration      // by when it should have ended at the latest; 0: no objective says so
+	LowRankAfterMissUntil time.Duration      // if it cannot end in time any more, it goes behind the order until then
+	Prompt                bool               // its tasks should start sooner than an idle worker reports: directly
+	Boost                 Boost
+	Guaranteed            bool // it fits into its team's guaranteed quota, together with the team's earlier jobs
 
 	// Where it is placed.
 	Zones        map[int32]int // number of placed tasks by zone, where the job has a rule on zones
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -102,7 +102,7 @@
 // now would end after the last of them.
 func (snap *Snapshot) missesLastObjective(job *jobs.Job) bool {
 	return job.Deadline > 0 &&
-		snap.Now < job.LostUntil &&
+		snap.Now < job.LowRankAfterMissUntil &&
 		snap.Now+time.Duration(job.Mean()*float64(time.Second)) > job.Deadline
 }
 
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -21,7 +21,7 @@
 // setDeadlines settles the times that count from a job's arrival, or from its release.
 func (c *Component) setDeadlines(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
-	j.PriorityWindows, j.Deadline, j.LostUntil = nil, 0, 0
+	j.PriorityWindows, j.Deadline, j.LowRankAfterMissUntil = nil, 0, 0
 	j.BehindUntil = at + c.deferral(j)
 	for _, objective := range c.Cfg.Deployment.Objectives {
 		if objective.Class != j.Record.Class {
@@ -40,7 +40,7 @@
 func (c *Component) applyFinishObjective(j *jobs.Job, at time.Duration, objective settings.Objective) {
 	c.addStartDeadline(j, at, objective.WithinS)
 	j.Deadline = max(j.Deadline, at+settings.Seconds(objective.WithinS))
-	j.LostUntil = max(j.LostUntil, at+settings.Seconds(objective.WithinS*c.Cfg.Tunables.LostBehind))
+	j.LowRankAfterMissUntil = max(j.LowRankAfterMissUntil, at+settings.Seconds(objective.WithinS*c.Cfg.Tunables.LostBehind))
 }
 
 // applyWaitObjective settles the times that follow from an objective for a job's wait, and
