--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -114,7 +114,7 @@
 	LastRunAt      time.Duration           // when the last of its tasks so far was
 
 	// Service-level objectives of its class, and its place in the scheduling order.
-	BehindUntil           time.Duration      // best-effort work goes behind the order until then
+	LowRankUntil          time.Duration      // best-effort work goes behind the order until then
 	PriorityWindows       [][2]time.Duration // spans, from and to, in which waiting tasks go ahead of the order
 	Deadline              time.Duration      // by when it should have ended at the latest; 0: no objective says so
 	LowRankAfterMissUntil time.Duration      // if it cannot end in time any more, it goes behind the order until then
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -84,7 +84,7 @@
 		return servedFloorRank
 	case snap.inPriorityWindow(job), job.Guaranteed:
 		return leadRank
-	case snap.Now < job.BehindUntil, snap.missesLastObjective(job):
+	case snap.Now < job.LowRankUntil, snap.missesLastObjective(job):
 		return behindRank
 	}
 	return 0
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -22,7 +22,7 @@
 func (c *Component) setDeadlines(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
 	j.PriorityWindows, j.Deadline, j.LowRankAfterMissUntil = nil, 0, 0
-	j.BehindUntil = at + c.deferral(j)
+	j.LowRankUntil = at + c.deferral(j)
 	for _, objective := range c.Cfg.Deployment.Objectives {
 		if objective.Class != j.Record.Class {
 			continue
@@ -65,10 +65,10 @@
 	if latest <= 0 {
 		window := [2]time.Duration{at, at + settings.Seconds(withinSeconds)}
 		j.PriorityWindows = append(j.PriorityWindows, window)
-		j.BehindUntil = 0
+		j.LowRankUntil = 0
 		return
 	}
-	j.BehindUntil = min(j.BehindUntil, c.addPriorityWindow(j, at, latest))
+	j.LowRankUntil = min(j.LowRankUntil, c.addPriorityWindow(j, at, latest))
 }
 
 // addPriorityWindow has a job's waiting tasks go ahead of the order for a while before the
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -89,7 +89,7 @@
 	for _, dependency := range c.Jobs.TransitiveDependencies(j) {
 		if dependency.Priority < j.Priority {
 			dependency.Priority = j.Priority
-			dependency.BehindUntil = 0
+			dependency.LowRankUntil = 0
 			c.NeedsCycle = true
 		}
 	}
