--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -118,7 +118,7 @@
 	PriorityWindows       [][2]time.Duration // spans, from and to, in which waiting tasks go ahead of the order
 	Deadline              time.Duration      // by when it should have ended at the latest; 0: no objective says so
 	LowRankAfterMissUntil time.Duration      // if it cannot end in time any more, it goes behind the order until then
-	Prompt                bool               // its tasks should start sooner than an idle worker reports: directly
+	StartDirectly         bool               // its tasks should start sooner than an idle worker reports: directly
 	Boost                 Boost
 	Guaranteed            bool // it fits into its team's guaranteed quota, together with the team's earlier jobs
 
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -104,7 +104,7 @@
 // machine that would have to fetch its image first: for a fraction of the fetch, and not
 // for long. On a full cluster the next room comes free sooner, and often where the image is.
 func (s *Scheduler) promptWaits(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
-	if snap.starvedOnly || !job.Prompt || job.Record.Kind != jobs.Service || machine.HasImage(job.Image) {
+	if snap.starvedOnly || !job.StartDirectly || job.Record.Kind != jobs.Service || machine.HasImage(job.Image) {
 		return false
 	}
 	if job.DelayedSince == 0 {
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -50,7 +50,7 @@
 		c.addPriorityWindow(j, at, objective.WithinS)
 	}
 	if c.Cfg.Tunables.DirectStarts > 0 && j.Record.Kind != jobs.Gang && c.Cfg.NeedsDispatch(objective) {
-		j.Prompt = true
+		j.StartDirectly = true
 	}
 }
 
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -179,7 +179,7 @@
 		Image:          job.Image,
 		Need:           job.Need,
 		BoundToMachine: job.Record.Kind == jobs.Gang || job.ZoneRule(),
-		StartDirectly:  job.Prompt,
+		StartDirectly:  job.StartDirectly,
 	}
 	c.Placements[ref] = plan
 	if job.Record.Kind == jobs.Gang {
