--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -123,7 +123,7 @@
 	Guaranteed            bool // it fits into its team's guaranteed quota, together with the team's earlier jobs
 
 	// Where it is placed.
-	Zones        map[int32]int // number of placed tasks by zone, where the job has a rule on zones
+	PlacedByZone map[int32]int // number of placed tasks by zone, where the job has a rule on zones
 	HomeZone     int32         // index of the zone in which its first task of this term was placed, plus 1; 0: none yet
 	StarvedSince time.Duration // since when a task waits beside room that it may have; 0: none does
 	DelayedSince time.Duration // since when it has left room to jobs whose image is there; 0: it has not
--- a/internal/core/jobs/zones.go
+++ b/internal/core/jobs/zones.go
@@ -9,13 +9,13 @@
 // ZoneAllows says whether the job's rules allow one more task in a zone, given where the placed ones are.
 func (j *Job) ZoneAllows(zone int32) bool {
 	if j.Record.OneZone {
-		for other, placed := range j.Zones {
+		for other, placed := range j.PlacedByZone {
 			if placed > 0 && other != zone {
 				return false
 			}
 		}
 	}
-	return !j.Record.Spread || j.Zones[zone] < j.MostInZone()
+	return !j.Record.Spread || j.PlacedByZone[zone] < j.MostInZone()
 }
 
 // CountInZone counts a placed task in (1) or out (-1) of a zone, if the job has a rule on zones.
@@ -23,8 +23,8 @@
 	if !j.ZoneRule() {
 		return
 	}
-	if j.Zones == nil {
-		j.Zones = map[int32]int{}
+	if j.PlacedByZone == nil {
+		j.PlacedByZone = map[int32]int{}
 	}
-	j.Zones[zone] += change
+	j.PlacedByZone[zone] += change
 }
