--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -151,9 +151,9 @@
 	return 1
 }
 
-// Mean is the mean run time, in seconds, of the job's completed tasks. While there are none, it is the owner's
+// MeanRunSeconds is the mean run time, in seconds, of the job's completed tasks. While there are none, it is the owner's
 // estimate, and at least 1.
-func (j *Job) Mean() float64 {
+func (j *Job) MeanRunSeconds() float64 {
 	if j.RunCount > 0 {
 		return j.RunSeconds / float64(j.RunCount)
 	}
--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -67,7 +67,7 @@
 		return true
 	}
 	return job.Record.Kind == jobs.Array &&
-		job.Mean() <= maxLentSeconds &&
+		job.MeanRunSeconds() <= maxLentSeconds &&
 		(snap.lendablePlaces > 0 || placesAfter >= snap.acceleratedPlaces(unused))
 }
 
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -18,7 +18,7 @@
 
 // RemainingTime is how long a placed task will probably still run; never negative.
 func RemainingTime(now time.Duration, job *jobs.Job, task *workers.Placement) time.Duration {
-	left := time.Duration(job.Mean()*float64(time.Second)) - job.SavedRunTime[task.Ref.Task]
+	left := time.Duration(job.MeanRunSeconds()*float64(time.Second)) - job.SavedRunTime[task.Ref.Task]
 	if task.IsRunning() {
 		left -= now - task.RunningSince
 	}
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -103,7 +103,7 @@
 func (snap *Snapshot) missesLastObjective(job *jobs.Job) bool {
 	return job.Deadline > 0 &&
 		snap.Now < job.LowRankAfterMissUntil &&
-		snap.Now+time.Duration(job.Mean()*float64(time.Second)) > job.Deadline
+		snap.Now+time.Duration(job.MeanRunSeconds()*float64(time.Second)) > job.Deadline
 }
 
 // overdue reports whether none of a job's tasks has begun for longer than it should wait. The
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -111,9 +111,9 @@
 	switch {
 	case j.Record.Kind != jobs.Array:
 	case keepRunning:
-		tasks = max(float64(j.Placed), min(left, math.Ceil(left*j.Mean()/horizon)))
+		tasks = max(float64(j.Placed), min(left, math.Ceil(left*j.MeanRunSeconds()/horizon)))
 	default:
-		tasks = min(left, (left-float64(j.Placed)/2)*j.Mean()/d.backlogHorizon(j))
+		tasks = min(left, (left-float64(j.Placed)/2)*j.MeanRunSeconds()/d.backlogHorizon(j))
 	}
 	if len(j.Record.Counted) > 0 { // machines for tasks without units would stand idle
 		tasks = min(tasks, float64(j.Placed+d.availableUnits(j)))
@@ -142,9 +142,9 @@
 		case settings.AimWait:
 			seconds = o.WithinS
 		case settings.AimFinished:
-			seconds = o.WithinS - j.Mean()
+			seconds = o.WithinS - j.MeanRunSeconds()
 		case settings.AimDeadline:
-			seconds = j.Record.DeadlineS - j.Mean()
+			seconds = j.Record.DeadlineS - j.MeanRunSeconds()
 		}
 		if seconds > 0 && (best == 0 || seconds < best) {
 			best = seconds
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -36,7 +36,7 @@
 	for _, index := range j.Dependencies {
 		dependency := d.Jobs.At(index)
 		placed := dependency.Phase == jobs.Open && dependency.Waiting <= 0
-		if !placed || dependency.Mean() > d.Cfg.Tunables.UsualStayS {
+		if !placed || dependency.MeanRunSeconds() > d.Cfg.Tunables.UsualStayS {
 			return false
 		}
 	}
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -96,7 +96,7 @@
 		"job", j.Record.ID,
 		"class", j.Record.Class,
 		"tasks", len(j.Tasks),
-		"mean", j.Mean(),
+		"mean", j.MeanRunSeconds(),
 		"estimate", j.Record.EstimateS,
 		"first_start", sinceAccepted(j.FirstRunAt),
 		"last_start", sinceAccepted(j.LastRunAt),
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -215,7 +215,7 @@
 		at:     now,
 		met:    met,
 		tasks:  len(j.Tasks),
-		work:   float64(len(j.Tasks)) * j.Mean() * j.CPUShare,
+		work:   float64(len(j.Tasks)) * j.MeanRunSeconds() * j.CPUShare,
 		waited: began - j.AcceptedAt,
 	}
 	for _, s := range t.groups {
@@ -315,7 +315,7 @@
 		if t.boosted || j.Waiting == 0 || j.Phase != jobs.Open {
 			continue
 		}
-		needs := settings.Seconds(runTimeSlack*j.Mean()+(ahead+remainingWork(j))/cpus) + placementTime
+		needs := settings.Seconds(runTimeSlack*j.MeanRunSeconds()+(ahead+remainingWork(j))/cpus) + placementTime
 		if now+needs > t.due {
 			continue // it can no longer make it: room given to it would be lost
 		}
@@ -366,4 +366,4 @@
 }
 
 // remainingWork is what a job's waiting tasks take, in processor seconds.
-func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.Mean() * j.CPUShare }
+func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.MeanRunSeconds() * j.CPUShare }
