--- a/internal/core/jobs/zones.go
+++ b/internal/core/jobs/zones.go
@@ -3,8 +3,8 @@
 // ZoneRule says whether the job has a rule on the zones of its tasks: all in one, or spread.
 func (j *Job) ZoneRule() bool { return j.Record.OneZone || j.Record.Spread }
 
-// MostInZone is how many tasks of a spread job may be in one zone: half of them, rounded up.
-func (j *Job) MostInZone() int { return (len(j.Tasks) + 1) / 2 }
+// MaxTasksPerZone is how many tasks of a spread job may be in one zone: half of them, rounded up.
+func (j *Job) MaxTasksPerZone() int { return (len(j.Tasks) + 1) / 2 }
 
 // ZoneAllows says whether the job's rules allow one more task in a zone, given where the placed ones are.
 func (j *Job) ZoneAllows(zone int32) bool {
@@ -15,7 +15,7 @@
 			}
 		}
 	}
-	return !j.Record.Spread || j.PlacedByZone[zone] < j.MostInZone()
+	return !j.Record.Spread || j.PlacedByZone[zone] < j.MaxTasksPerZone()
 }
 
 // CountInZone counts a placed task in (1) or out (-1) of a zone, if the job has a rule on zones.
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -126,7 +126,7 @@
 	total, mostInOneZone := 0, 0
 	for zone, places := range placesByZone {
 		if job.Record.Spread {
-			places = min(places, job.MostInZone()-job.PlacedByZone[zone])
+			places = min(places, job.MaxTasksPerZone()-job.PlacedByZone[zone])
 		}
 		total += places
 		mostInOneZone = max(mostInOneZone, places)
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -100,7 +100,7 @@
 	for _, slots := range d.slotsByZone(j) {
 		total += slots
 		largest = max(largest, slots)
-		spread += min(slots, j.MostInZone())
+		spread += min(slots, j.MaxTasksPerZone())
 	}
 	available := total
 	if j.Record.OneZone {
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -199,7 +199,7 @@
 	if !j.ZoneRule() {
 		return true
 	}
-	return j.ZoneAllows(zone) && (!j.Record.Spread || d.slotsByZone(j)[zone] < j.MostInZone())
+	return j.ZoneAllows(zone) && (!j.Record.Spread || d.slotsByZone(j)[zone] < j.MaxTasksPerZone())
 }
 
 // recordRentals appends rental requests to the log; they are sent once that is durable, so
