--- a/internal/core/jobs/zones.go
+++ b/internal/core/jobs/zones.go
@@ -1,7 +1,7 @@
 package jobs
 
-// ZoneRule says whether the job has a rule on the zones of its tasks: all in one, or spread.
-func (j *Job) ZoneRule() bool { return j.Record.OneZone || j.Record.Spread }
+// HasZoneRule says whether the job has a rule on the zones of its tasks: all in one, or spread.
+func (j *Job) HasZoneRule() bool { return j.Record.OneZone || j.Record.Spread }
 
 // MaxTasksPerZone is how many tasks of a spread job may be in one zone: half of them, rounded up.
 func (j *Job) MaxTasksPerZone() int { return (len(j.Tasks) + 1) / 2 }
@@ -20,7 +20,7 @@
 
 // CountInZone counts a placed task in (1) or out (-1) of a zone, if the job has a rule on zones.
 func (j *Job) CountInZone(zone int32, change int) {
-	if !j.ZoneRule() {
+	if !j.HasZoneRule() {
 		return
 	}
 	if j.PlacedByZone == nil {
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -94,7 +94,7 @@
 // rememberRefusal notes that a job's need found no machine, unless there may be one that
 // is only not open to it yet, or its zone rule kept it away.
 func (s *Scheduler) rememberRefusal(snap *Snapshot, job *jobs.Job) {
-	if snap.starvedOnly || job.ZoneRule() || s.exhaustive || s.placementDelayed {
+	if snap.starvedOnly || job.HasZoneRule() || s.exhaustive || s.placementDelayed {
 		return
 	}
 	s.refusals = append(s.refusals, refusal{need: job.Need, spot: job.UseSpot, types: job.AllowedTypes, zone: job.Record.Zone})
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -140,7 +140,7 @@
 // mayMove reports whether a task that will run for left may be moved at all.
 func (plan *migrationPlan) mayMove(job *jobs.Job, task *workers.Placement, left time.Duration) bool {
 	return restartable(job, task) &&
-		!job.ZoneRule() &&
+		!job.HasZoneRule() &&
 		job.Record.Checkpoint > 0 &&
 		job.SavedRunTime[task.Ref.Task] <= 0 &&
 		plan.snap.Now-task.RunningSince >= minRuntimeToMigrate &&
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -69,7 +69,7 @@
 	switch {
 	case !snap.mayRunUnseen(job):
 		return job.NextWaiting(len(job.Tasks))
-	case job.Record.Kind == jobs.Gang || job.ZoneRule():
+	case job.Record.Kind == jobs.Gang || job.HasZoneRule():
 		return -1 // the placement of the tasks not seen matters too
 	}
 	return job.NextUnassigned()
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -44,7 +44,7 @@
 		switch {
 		case !snap.hasRoom(job, machines):
 			job.StarvedSince = 0
-			if job.Record.Kind != jobs.Gang && !job.ZoneRule() {
+			if job.Record.Kind != jobs.Gang && !job.HasZoneRule() {
 				refusals = append(refusals, refusal{need: job.Need, spot: job.Record.Spot, types: job.AllowedTypes, zone: job.Record.Zone})
 			}
 		case job.StarvedSince == 0:
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -196,7 +196,7 @@
 // zoneHelps says whether a further machine in a zone would help a job: a zone that has its
 // share of a spread job's tasks brings it no further.
 func (d *Component) zoneHelps(j *jobs.Job, zone int32) bool {
-	if !j.ZoneRule() {
+	if !j.HasZoneRule() {
 		return true
 	}
 	return j.ZoneAllows(zone) && (!j.Record.Spread || d.slotsByZone(j)[zone] < j.MaxTasksPerZone())
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -178,7 +178,7 @@
 		JobID:          job.Record.ID,
 		Image:          job.Image,
 		Need:           job.Need,
-		BoundToMachine: job.Record.Kind == jobs.Gang || job.ZoneRule(),
+		BoundToMachine: job.Record.Kind == jobs.Gang || job.HasZoneRule(),
 		StartDirectly:  job.StartDirectly,
 	}
 	c.Placements[ref] = plan
--- a/internal/leader/pools/usage.go
+++ b/internal/leader/pools/usage.go
@@ -191,7 +191,7 @@
 // an earlier term.
 func mayBeRunning(j *jobs.Job) int {
 	list := j.Tasks
-	if j.Record.Kind != jobs.Gang && !j.ZoneRule() {
+	if j.Record.Kind != jobs.Gang && !j.HasZoneRule() {
 		list = list[:min(j.UnassignedFrom, len(list))]
 	}
 	n := 0
