--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -24,10 +24,10 @@
 // States of a task. It goes from Waiting to Placed, back where it is proved gone from its machine without a
 // result, and to Finished from either.
 const (
-	Waiting     TaskState = iota // not placed anywhere, as far as is known
-	Placed                       // planned on a machine, or placed there
-	Finished                     // done, and its completion is not durable yet
-	DoneDurably                  // done, and its completion is durable
+	Waiting         TaskState = iota // not placed anywhere, as far as is known
+	Placed                           // planned on a machine, or placed there
+	Finished                         // done, and its completion is not durable yet
+	FinishedDurably                  // done, and its completion is durable
 )
 
 // Phase is a job's place in its life.
--- a/internal/core/jobs/tasks.go
+++ b/internal/core/jobs/tasks.go
@@ -48,7 +48,7 @@
 // Complete notes that a task is done. It returns false if the task was done already.
 func (j *Job) Complete(task int) bool {
 	switch j.Tasks[task] {
-	case Finished, DoneDurably:
+	case Finished, FinishedDurably:
 		return false
 	case Placed:
 		j.Placed--
@@ -63,8 +63,8 @@
 // MarkDurable notes that a task's completion is durable, and with that that the task is done.
 func (j *Job) MarkDurable(task int) {
 	j.Complete(task)
-	if j.Tasks[task] != DoneDurably {
-		j.Tasks[task] = DoneDurably
+	if j.Tasks[task] != FinishedDurably {
+		j.Tasks[task] = FinishedDurably
 		j.DurableCount++
 	}
 }
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -153,7 +153,7 @@
 		if state == jobs.Waiting && (task < j.UnassignedFrom || j.Record.Kind == jobs.Gang) {
 			a.missingTasks[workers.TaskRef{Job: j.Index, Task: int32(task)}] = struct{}{}
 		}
-		if state != jobs.DoneDurably && task < j.UnassignedFrom {
+		if state != jobs.FinishedDurably && task < j.UnassignedFrom {
 			a.current.Tasks++
 		}
 	}
--- a/internal/leader/lifecycle/compaction.go
+++ b/internal/leader/lifecycle/compaction.go
@@ -85,7 +85,7 @@
 	c.EventLog.Append(c.acceptanceEntry(j))
 	completed := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
 	for k, state := range j.Tasks {
-		if state == jobs.DoneDurably || state == jobs.Finished {
+		if state == jobs.FinishedDurably || state == jobs.Finished {
 			completed.Add(k)
 		}
 	}
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -95,7 +95,7 @@
 		meanSeconds = j.RunSeconds / float64(j.RunCount)
 	}
 	for k, state := range j.Tasks {
-		if state == jobs.DoneDurably {
+		if state == jobs.FinishedDurably {
 			c.Estimator.Completed(j.Index, k, meanSeconds)
 		}
 	}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -52,8 +52,8 @@
 		Need:            j.Need,
 		Image:           j.Image,
 		ImageGB:         j.Record.ImageGB,
-		Open:            jobOpen && state != jobs.Finished && state != jobs.DoneDurably && !elsewhere,
-		EndDurable:      state == jobs.DoneDurably,
+		Open:            jobOpen && state != jobs.Finished && state != jobs.FinishedDurably && !elsewhere,
+		EndDurable:      state == jobs.FinishedDurably,
 		Held:            j.Phase == jobs.Held,
 		PlacedElsewhere: elsewhere,
 	}, true
