--- a/internal/core/jobs/table.go
+++ b/internal/core/jobs/table.go
@@ -47,8 +47,8 @@
 	return nil
 }
 
-// At returns the job with an index; nil if it has left the table.
-func (t *Table) At(i int32) *Job { return t.jobs[i] }
+// ByIndex returns the job with an index; nil if it has left the table.
+func (t *Table) ByIndex(i int32) *Job { return t.jobs[i] }
 
 // All returns the jobs by index, nil where a job has left. The list is the table's own: it must not be changed.
 func (t *Table) All() []*Job { return t.jobs }
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -50,7 +50,7 @@
 		}
 	}
 	for _, i := range order {
-		consider(snap.Jobs.At(i))
+		consider(snap.Jobs.ByIndex(i))
 	}
 	return smallest
 }
@@ -62,7 +62,7 @@
 		if !snap.Estimator.InTraining(i) {
 			continue
 		}
-		for k, state := range snap.Jobs.At(i).Tasks {
+		for k, state := range snap.Jobs.ByIndex(i).Tasks {
 			if !snap.Estimator.Training(i, k) {
 				break
 			}
@@ -129,7 +129,7 @@
 		if !snap.Estimator.InTraining(i) {
 			continue
 		}
-		job := snap.Jobs.At(i)
+		job := snap.Jobs.ByIndex(i)
 		for running < s.MaxTraining {
 			k := snap.nextTask(job)
 			if k < 0 || !snap.Estimator.Training(i, k) || !s.placeTask(snap, job, k, machines) {
@@ -145,7 +145,7 @@
 // any is reserved now.
 func (s *Scheduler) placeInOrder(snap *Snapshot, order []int32, machines []*workers.Machine, reserved bool) bool {
 	for _, i := range order {
-		job := snap.Jobs.At(i)
+		job := snap.Jobs.ByIndex(i)
 		if s.placeJob(snap, job, machines) {
 			continue
 		}
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -61,7 +61,7 @@
 func (s *Scheduler) teamsWithWaitingTasks(snap *Snapshot) []bool {
 	waits := make([]bool, len(s.Limits))
 	for _, i := range snap.Estimator.Order() {
-		if job := snap.Jobs.At(i); job.Waiting > 0 {
+		if job := snap.Jobs.ByIndex(i); job.Waiting > 0 {
 			waits[job.Team] = true
 		}
 	}
@@ -101,7 +101,7 @@
 	for _, machine := range draining {
 		for _, task := range machine.Tasks {
 			if task.Stopping {
-				plan.place(plan.snap.Jobs.At(task.Ref.Job))
+				plan.place(plan.snap.Jobs.ByIndex(task.Ref.Job))
 			}
 		}
 	}
@@ -126,7 +126,7 @@
 	machine *workers.Machine,
 ) (tasks []*workers.Placement, longest time.Duration, all bool) {
 	for _, task := range machine.Tasks {
-		job := plan.snap.Jobs.At(task.Ref.Job)
+		job := plan.snap.Jobs.ByIndex(task.Ref.Job)
 		left := RemainingTime(plan.snap.Now, job, task)
 		if !plan.mayMove(job, task, left) || !plan.place(job) {
 			return tasks, longest, false
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -55,11 +55,11 @@
 	s.orderBuffer = append(s.orderBuffer[:0], order...)
 	byArrival := s.orderBuffer
 	slices.SortFunc(byArrival, func(a, b int32) int {
-		return cmp.Compare(snap.Jobs.At(a).AcceptedAt, snap.Jobs.At(b).AcceptedAt)
+		return cmp.Compare(snap.Jobs.ByIndex(a).AcceptedAt, snap.Jobs.ByIndex(b).AcceptedAt)
 	})
 	needByTeam := make([]resources.Amounts, len(s.Guarantees))
 	for _, i := range byArrival {
-		job := snap.Jobs.At(i)
+		job := snap.Jobs.ByIndex(i)
 		job.Guaranteed = false
 		if int(job.Team) >= len(needByTeam) {
 			continue
@@ -74,7 +74,7 @@
 // rank is 0 for jobs on the ordinary path, above it for those that an
 // exception puts ahead of the order and below for those it puts behind.
 func (s *Scheduler) rank(snap *Snapshot, i int32) int {
-	job := snap.Jobs.At(i)
+	job := snap.Jobs.ByIndex(i)
 	switch {
 	case job.Boost == jobs.BoostFirst:
 		return servedFloorFirstRank
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -37,7 +37,7 @@
 		}
 	}
 	for _, i := range order {
-		if job := snap.Jobs.At(i); s.couldUseUnits(snap, job) {
+		if job := snap.Jobs.ByIndex(i); s.couldUseUnits(snap, job) {
 			startable = append(startable, job)
 		}
 	}
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -38,7 +38,7 @@
 		if s.ranks[i] <= lowest {
 			break // no job ranks below this one or those after it
 		}
-		job := snap.Jobs.At(i)
+		job := snap.Jobs.ByIndex(i)
 		if !s.mayHavePreempted(&snap, job) {
 			continue
 		}
@@ -67,7 +67,7 @@
 func (s *Scheduler) lowestPlacedRank(snap *Snapshot, order []int32) int8 {
 	lowest := int8(math.MaxInt8)
 	for _, i := range order {
-		if snap.Jobs.At(i).Placed > 0 {
+		if snap.Jobs.ByIndex(i).Placed > 0 {
 			lowest = min(lowest, s.ranks[i])
 		}
 	}
@@ -96,7 +96,7 @@
 			continue
 		}
 		for _, task := range machine.Tasks {
-			owner := snap.Jobs.At(task.Ref.Job)
+			owner := snap.Jobs.ByIndex(task.Ref.Job)
 			if !restartable(owner, task) || owner.SavedRunTime[task.Ref.Task] > 0 || snap.losesMuch(owner, task) {
 				continue
 			}
@@ -155,7 +155,7 @@
 
 // lossOf is the run time that is lost when a task is stopped.
 func (snap *Snapshot) lossOf(task *workers.Placement) time.Duration {
-	if snap.Jobs.At(task.Ref.Job).Record.Checkpoint > 0 {
+	if snap.Jobs.ByIndex(task.Ref.Job).Record.Checkpoint > 0 {
 		return 0
 	}
 	return snap.Now - task.RunningSince
@@ -189,7 +189,7 @@
 
 // mayPreempt reports whether a candidate may be stopped to make room for a job.
 func (s *Scheduler) mayPreempt(snap *Snapshot, job *jobs.Job, task *workers.Placement) bool {
-	owner := snap.Jobs.At(task.Ref.Job)
+	owner := snap.Jobs.ByIndex(task.Ref.Job)
 	if s.ranks[job.Index] <= s.ranks[owner.Index] {
 		return false // the room would go back to the task that was stopped
 	}
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -197,7 +197,7 @@
 			continue
 		}
 		for _, p := range m.Tasks {
-			if j := d.Jobs.At(p.Ref.Job); j.UseSpot {
+			if j := d.Jobs.ByIndex(p.Ref.Job); j.UseSpot {
 				sum += j.CPUShare
 			}
 		}
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -34,7 +34,7 @@
 		return false
 	}
 	for _, index := range j.Dependencies {
-		dependency := d.Jobs.At(index)
+		dependency := d.Jobs.ByIndex(index)
 		placed := dependency.Phase == jobs.Open && dependency.Waiting <= 0
 		if !placed || dependency.MeanRunSeconds() > d.Cfg.Tunables.UsualStayS {
 			return false
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -151,7 +151,7 @@
 		if p.Planned {
 			continue // it can still go elsewhere
 		}
-		j := d.Jobs.At(p.Ref.Job)
+		j := d.Jobs.ByIndex(p.Ref.Job)
 		if j.Record.Kind == jobs.Service {
 			return unbounded // a service has to be stopped
 		}
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -41,7 +41,7 @@
 		return
 	}
 	delete(s.Placements, ref)
-	j := s.Jobs.At(ref.Job)
+	j := s.Jobs.ByIndex(ref.Job)
 	j.CountInZone(p.Machine.Zone, -1)
 	s.Scheduler.Refund(j.Team, j.Need)
 	j.Release(int(ref.Task))
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -23,7 +23,7 @@
 	machines := map[*workers.Machine]bool{}
 	message := stopMessages[a]
 	for _, p := range placements {
-		j := s.Jobs.At(p.Ref.Job)
+		j := s.Jobs.ByIndex(p.Ref.Job)
 		s.SaveAndStop(now, j, p)
 		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Action: a})
 		machines[p.Machine] = true
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -78,10 +78,10 @@
 		if begunGangs[job] || (job != gang && limit.Covers(use)) {
 			continue
 		}
-		if s.Jobs.At(job).Record.Kind == jobs.Gang {
+		if s.Jobs.ByIndex(job).Record.Kind == jobs.Gang {
 			gang = job
 		}
-		use = use.Minus(s.Jobs.At(job).Need)
+		use = use.Minus(s.Jobs.ByIndex(job).Need)
 		s.CancelPlan(p)
 	}
 }
@@ -91,7 +91,7 @@
 func (s *State) cancellablePlans(team int32) (planned []*workers.Placement, begunGangs map[int32]bool) {
 	begunGangs = map[int32]bool{}
 	for ref, p := range s.Placements {
-		j := s.Jobs.At(ref.Job)
+		j := s.Jobs.ByIndex(ref.Job)
 		gang := j.Record.Kind == jobs.Gang
 		switch {
 		case j.Team != team:
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -122,7 +122,7 @@
 		m.Dispatch(p)
 		task := int(p.Ref.Task)
 		starts = append(starts, workers.Command{Op: workers.Start, Job: p.JobID, Task: task, Attempt: p.Attempt})
-		d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: d.Jobs.At(p.Ref.Job), Task: task, Machine: m})
+		d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: d.Jobs.ByIndex(p.Ref.Job), Task: task, Machine: m})
 	}
 	if len(starts) == 0 {
 		return
--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -86,7 +86,7 @@
 		}
 		size, _ := c.Estimator.Size(index)
 		sizes = append(sizes, eventlog.VirtualSize{
-			ID:      c.Jobs.At(index).Record.ID,
+			ID:      c.Jobs.ByIndex(index).Record.ID,
 			Size:    truncateToTenth(size),
 			Virtual: truncateToTenth(virtual),
 		})
@@ -101,7 +101,7 @@
 func (c *Component) Settle(now time.Duration) {
 	for _, index := range c.Estimator.Order() {
 		if size, ok := c.Estimator.Settle(index, now.Seconds()); ok {
-			finalSize := &eventlog.FinalSize{ID: c.Jobs.At(index).Record.ID, Size: size}
+			finalSize := &eventlog.FinalSize{ID: c.Jobs.ByIndex(index).Record.ID, Size: size}
 			c.EventLog.Append(eventlog.Entry{FinalSize: finalSize})
 			c.NeedsCycle = true
 		}
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -166,7 +166,7 @@
 	if task < marks.requested[id] {
 		return
 	}
-	job := c.Jobs.At(plan.Ref.Job)
+	job := c.Jobs.ByIndex(plan.Ref.Job)
 	mark := len(job.Tasks)
 	if job.Record.Kind == jobs.Array {
 		mark = min(mark, task+1+max(minMarkMargin, (task+1)/markMarginShare))
--- a/internal/leader/pools/silent.go
+++ b/internal/leader/pools/silent.go
@@ -59,7 +59,7 @@
 		return h != nil && slices.ContainsFunc(h.requirements, func(r requirement) bool { return pools[r.pool] })
 	}
 	for _, p := range m.Tasks {
-		if !p.Planned && holds(d.Jobs.At(p.Ref.Job)) {
+		if !p.Planned && holds(d.Jobs.ByIndex(p.Ref.Job)) {
 			return true
 		}
 	}
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -178,7 +178,7 @@
 		if p.Planned || p.Stopping {
 			continue
 		}
-		j := d.Jobs.At(p.Ref.Job)
+		j := d.Jobs.ByIndex(p.Ref.Job)
 		switch {
 		case j.Record.Kind == jobs.Service:
 			p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once it is gone
@@ -211,7 +211,7 @@
 		return false
 	}
 	for _, p := range m.Tasks {
-		if d.Jobs.At(p.Ref.Job).Phase != jobs.Cancelling {
+		if d.Jobs.ByIndex(p.Ref.Job).Phase != jobs.Cancelling {
 			return false
 		}
 	}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -62,7 +62,7 @@
 // applyTaskEvent applies one event that follows from a report, or from a machine's end, to
 // the job, the machine and the totals of teams.
 func (d *Component) applyTaskEvent(now time.Duration, m *workers.Machine, e workers.Event) {
-	j := d.Jobs.At(e.Ref.Job)
+	j := d.Jobs.ByIndex(e.Ref.Job)
 	switch e.Kind {
 	case workers.EventAdopted:
 		d.taskAdopted(now, m, j, e)
@@ -237,7 +237,7 @@
 // died: another controller may have started them there, and no report will ever show it.
 func (d *Component) publishLostOffers(now time.Duration, m *workers.Machine) {
 	for ref, p := range m.OpenOffers {
-		if j := d.Jobs.At(ref.Job); p.Planned && j != nil {
+		if j := d.Jobs.ByIndex(ref.Job); p.Planned && j != nil {
 			d.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
 		}
 	}
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -36,7 +36,7 @@
 	snapshot := d.Snapshot(now)
 	ahead := 0.0 // processor seconds
 	for _, i := range d.Scheduler.JobOrder(&snapshot) {
-		f, work := d.forecastJob(now, d.Jobs.At(i), ahead/cpus, cpus)
+		f, work := d.forecastJob(now, d.Jobs.ByIndex(i), ahead/cpus, cpus)
 		ahead += work
 		list.add(f)
 	}
@@ -87,7 +87,7 @@
 			f, _ := d.forecastJob(now, j, begin, cpus)
 			f.EndP90S += p90 - begin
 			for _, dependency := range j.Dependencies {
-				f.After = append(f.After, wire.FormatID(d.Jobs.At(dependency).Record.ID))
+				f.After = append(f.After, wire.FormatID(d.Jobs.ByIndex(dependency).Record.ID))
 			}
 			slices.Sort(f.After)
 			list.add(f)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -159,7 +159,7 @@
 	var list []JobStatus
 	snapshot := t.Snapshot(now)
 	for _, index := range t.Scheduler.JobOrder(&snapshot) {
-		list = append(list, jobStatus(t, t.Jobs.At(index)))
+		list = append(list, jobStatus(t, t.Jobs.ByIndex(index)))
 	}
 	return list
 }
@@ -202,7 +202,7 @@
 func jobIDs(t *term.Term, indices []int32) []string {
 	var list []string
 	for _, index := range indices {
-		list = append(list, wire.FormatID(t.Jobs.At(index).Record.ID))
+		list = append(list, wire.FormatID(t.Jobs.ByIndex(index).Record.ID))
 	}
 	slices.Sort(list)
 	return list
