--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -19,7 +19,7 @@
 		t.Fatalf("jobs 2 and 3 share index %d", second.Index)
 	}
 	table.Remove(j)
-	if table.Find(2) != second || table.ByIndex(second.Index) != second {
+	if table.ByID(2) != second || table.ByIndex(second.Index) != second {
 		t.Error("removing a job that has left removed another one")
 	}
 }
--- a/internal/core/jobs/table.go
+++ b/internal/core/jobs/table.go
@@ -39,8 +39,8 @@
 	return j
 }
 
-// Find returns the job with an id; nil if it is not in the table.
-func (t *Table) Find(id uint64) *Job {
+// ByID returns the job with an id; nil if it is not in the table.
+func (t *Table) ByID(id uint64) *Job {
 	if i, ok := t.byID[id]; ok {
 		return t.jobs[i]
 	}
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -210,7 +210,7 @@
 func TestAccountCountsRecoveryAndNeedlessActions(t *testing.T) {
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
-	j, all := d.Jobs.Find(1), d.Inventory.All()
+	j, all := d.Jobs.ByID(1), d.Inventory.All()
 	if d.kind != coldStart || d.account.current.Tasks != 10 || d.account.current.MostMS != 40_000 {
 		t.Fatalf("kind %v, account %+v", d.kind, d.account.current)
 	}
@@ -291,7 +291,7 @@
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	heard := d.Inventory.All()[0]
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: heard, Report: &workers.Report{}})
-	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.Find(1)})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.ByID(1)})
 	if d.account.current.BackMS != 7000 || !d.account.allRecovered() {
 		t.Errorf("back after %d ms", d.account.current.BackMS)
 	}
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -166,7 +166,7 @@
 	}
 	var refs []workers.TaskRef
 	for _, c := range starts {
-		if j := d.Jobs.Find(c.Job); j != nil {
+		if j := d.Jobs.ByID(c.Job); j != nil {
 			refs = append(refs, workers.TaskRef{Job: j.Index, Task: int32(c.Task)})
 		}
 	}
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -72,7 +72,7 @@
 		report := &workers.Report{Token: m.Token}
 		d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: at(13 + i), Machine: m, Report: report})
 		m.Resolved = true
-		d.Jobs.Find(1).UnresolvedMachines--
+		d.Jobs.ByID(1).UnresolvedMachines--
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
 		d.Tick(at(13+i), true)
 		if n := d.EventLog.Pending(); n != 0 {
@@ -138,7 +138,7 @@
 	}
 	first := d.Inventory.All()[0]
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 14 * time.Second, Machine: first, Report: &workers.Report{}})
-	d.Jobs.Find(1).UnresolvedMachines = 0
+	d.Jobs.ByID(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
 	if d.EventLog.Pending() != 0 {
 		t.Error("closed before a start could come")
--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -41,7 +41,7 @@
 // Begin restores the final sizes once the log is replayed.
 func (c *Component) Begin(time.Duration) {
 	for id, size := range c.replayedFinalSizes {
-		if job := c.Jobs.Find(id); job != nil {
+		if job := c.Jobs.ByID(id); job != nil {
 			c.Estimator.Restore(job.Index, true, size, size)
 		}
 	}
@@ -52,7 +52,7 @@
 // first.
 func (c *Component) Restore(now time.Duration, sizes []eventlog.VirtualSize) {
 	for _, size := range sizes {
-		if job := c.Jobs.Find(size.ID); job != nil {
+		if job := c.Jobs.ByID(size.ID); job != nil {
 			_, final := c.Estimator.Size(job.Index)
 			c.Estimator.Restore(job.Index, final, size.Size, size.Virtual)
 		}
--- a/internal/leader/lifecycle/answers.go
+++ b/internal/leader/lifecycle/answers.go
@@ -12,7 +12,7 @@
 		c.reply(to, state)
 		return
 	}
-	if c.Jobs.Find(id) != nil {
+	if c.Jobs.ByID(id) != nil {
 		c.reply(to, effects.Unavailable("being accepted"))
 		return
 	}
@@ -29,7 +29,7 @@
 		}
 		return effects.Answer{Status: statusOK, ID: id, State: state}, true
 	}
-	j := c.Jobs.Find(id)
+	j := c.Jobs.ByID(id)
 	if j == nil || j.Phase == jobs.Accepting {
 		return effects.Answer{}, false
 	}
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -23,7 +23,7 @@
 		c.reply(to, state)
 		return
 	}
-	j := c.Jobs.Find(id)
+	j := c.Jobs.ByID(id)
 	if j == nil {
 		c.reply(to, effects.Answer{Status: statusNotFound, Why: "no such job"})
 		return
@@ -107,7 +107,7 @@
 
 // cancellationDurable acts on a cancellation that is durable, unless the job is over.
 func (c *Component) cancellationDurable(leaseValid bool, id uint64) {
-	if j := c.Jobs.Find(id); j != nil && j.Phase != jobs.Done && j.Phase != jobs.Cancelled {
+	if j := c.Jobs.ByID(id); j != nil && j.Phase != jobs.Done && j.Phase != jobs.Cancelled {
 		c.applyCancellation(leaseValid, j)
 	}
 	c.answerCancellations(leaseValid, id)
--- a/internal/leader/lifecycle/compaction.go
+++ b/internal/leader/lifecycle/compaction.go
@@ -38,7 +38,7 @@
 		if e.Job == nil {
 			continue
 		}
-		j := c.Jobs.Find(e.Job.ID)
+		j := c.Jobs.ByID(e.Job.ID)
 		if j == nil {
 			continue
 		}
@@ -56,13 +56,13 @@
 	case e.Dependencies != nil:
 		// One for one, beside the job's own entry: the two may be in different segments, and
 		// what a waiting job depends on must never be lost.
-		if j := c.Jobs.Find(e.Dependencies.ID); j != nil && j.Record.AtMS == e.Dependencies.AtMS {
+		if j := c.Jobs.ByID(e.Dependencies.ID); j != nil && j.Record.AtMS == e.Dependencies.AtMS {
 			c.EventLog.Append(e)
 		}
 	case e.Job != nil:
 		if _, over := c.Jobs.Final(e.Job.ID); over {
 			c.compactFinalState(e.Job.ID)
-		} else if j := c.Jobs.Find(e.Job.ID); j != nil {
+		} else if j := c.Jobs.ByID(e.Job.ID); j != nil {
 			c.compactOpenJob(now, j)
 		}
 	case e.FinalStates != nil:
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -41,7 +41,7 @@
 // appendTasks appends completed tasks of a job, in as many entries as they need, with the
 // time of day for a job that others wait for.
 func (c *Component) appendTasks(now time.Duration, batch eventlog.CompletedTasks) {
-	if j := c.Jobs.Find(batch.ID); j != nil && len(j.Dependents) > 0 {
+	if j := c.Jobs.ByID(batch.ID); j != nil && len(j.Dependents) > 0 {
 		batch.AtMS = c.ClockZeroMS + now.Milliseconds()
 	}
 	maxRanges := max(1, c.EventLog.MaxEntryBytes()/maxRangeBytes-completedOverhead)
@@ -56,7 +56,7 @@
 // completionsDurable acts on completed tasks that are durable: once all tasks of a job are,
 // it is done.
 func (c *Component) completionsDurable(now time.Duration, leaseValid bool, done *eventlog.CompletedTasks) {
-	j := c.Jobs.Find(done.ID)
+	j := c.Jobs.ByID(done.ID)
 	if j == nil {
 		return
 	}
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -46,7 +46,7 @@
 		if _, over := c.Jobs.Final(id); over {
 			continue
 		}
-		switch j := c.Jobs.Find(id); {
+		switch j := c.Jobs.ByID(id); {
 		case j == nil:
 			return "follows: " + wire.FormatID(id) + " was never accepted", true
 		case j.Phase == jobs.Accepting:
@@ -71,7 +71,7 @@
 			return false
 		case jobs.Done:
 		default:
-			if dependency := c.Jobs.Find(id); dependency != nil {
+			if dependency := c.Jobs.ByID(id); dependency != nil {
 				c.Jobs.AddDependency(j, dependency)
 			}
 		}
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -22,7 +22,7 @@
 	case e.Job != nil:
 		c.replayJob(now, e.Job)
 	case e.Cancel != nil:
-		if j := c.Jobs.Find(*e.Cancel); j != nil {
+		if j := c.Jobs.ByID(*e.Cancel); j != nil {
 			c.replayFinalState(j.Record.ID, jobs.Cancelled)
 		}
 	case e.CompletedTasks != nil:
@@ -36,7 +36,7 @@
 // replayJob adds a job to the table unless an earlier entry has: a compaction may leave
 // entries twice.
 func (c *Component) replayJob(now time.Duration, rec *eventlog.Job) {
-	if _, over := c.Jobs.Final(rec.ID); !over && c.Jobs.Find(rec.ID) == nil {
+	if _, over := c.Jobs.Final(rec.ID); !over && c.Jobs.ByID(rec.ID) == nil {
 		c.addJob(*rec, now)
 	}
 }
@@ -46,7 +46,7 @@
 	if done.AtMS != 0 {
 		c.replayedDoneAt[done.ID] = max(c.replayedDoneAt[done.ID], done.AtMS)
 	}
-	j := c.Jobs.Find(done.ID)
+	j := c.Jobs.ByID(done.ID)
 	if j == nil {
 		return
 	}
@@ -66,7 +66,7 @@
 // replayFinalState notes a final state, whatever stood before it.
 func (c *Component) replayFinalState(id uint64, phase jobs.Phase) {
 	c.Jobs.Finish(id, phase)
-	if j := c.Jobs.Find(id); j != nil {
+	if j := c.Jobs.ByID(id); j != nil {
 		c.Jobs.Remove(j)
 	}
 }
@@ -163,7 +163,7 @@
 func (c *Component) dependenciesKnown(ids []uint64) bool {
 	return !slices.ContainsFunc(ids, func(id uint64) bool {
 		_, over := c.Jobs.Final(id)
-		return !over && c.Jobs.Find(id) == nil
+		return !over && c.Jobs.ByID(id) == nil
 	})
 }
 
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -32,7 +32,7 @@
 // Submit takes a submission. It is idempotent: a job that is known already is answered with
 // its state, and one that is being accepted once that is durable.
 func (c *Component) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
-	if j := c.Jobs.Find(s.ID); j != nil && j.Phase == jobs.Accepting {
+	if j := c.Jobs.ByID(s.ID); j != nil && j.Phase == jobs.Accepting {
 		c.submitRequests[s.ID] = append(c.submitRequests[s.ID], to)
 		return
 	}
@@ -167,7 +167,7 @@
 // acceptanceDurable acts on an acceptance that is durable: its user is told, and the job
 // enters the order unless it depends on others.
 func (c *Component) acceptanceDurable(now time.Duration, leaseValid bool, id uint64) {
-	j := c.Jobs.Find(id)
+	j := c.Jobs.ByID(id)
 	j.Phase = jobs.Open
 	if len(c.cancelRequests[id]) > 0 {
 		j.Phase = jobs.Cancelling
--- a/internal/leader/placement/grants.go
+++ b/internal/leader/placement/grants.go
@@ -46,7 +46,7 @@
 
 // recoverGrant counts a job's tasks that may be on a machine against its team.
 func (c *Component) recoverGrant(id uint64, machine *workers.Machine) {
-	job := c.Jobs.Find(id)
+	job := c.Jobs.ByID(id)
 	if job == nil {
 		// A cancelled job, whose team is not known any more: its tasks may still be
 		// there. One that is done has none anywhere.
@@ -110,7 +110,7 @@
 func (c *Component) grantDurable(grant *eventlog.Grant) {
 	machines := c.grantsInFlight[0]
 	c.grantsInFlight = c.grantsInFlight[1:]
-	if c.Jobs.Find(grant.Job) == nil {
+	if c.Jobs.ByID(grant.Job) == nil {
 		return
 	}
 	for _, machine := range machines {
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		for _, m := range entry.Marks {
-			if job := c.Jobs.Find(m.jobID()); job != nil {
+			if job := c.Jobs.ByID(m.jobID()); job != nil {
 				mark := int(min(m.mark(), uint64(len(job.Tasks))))
 				c.marks.durable[m.jobID()] = max(c.marks.durable[m.jobID()], mark)
 			}
@@ -216,7 +216,7 @@
 	marks.inFlight = marks.inFlight[1:]
 	for _, m := range list {
 		id := m.jobID()
-		if c.Jobs.Find(id) == nil {
+		if c.Jobs.ByID(id) == nil {
 			continue
 		}
 		marks.durable[id] = max(marks.durable[id], int(m.mark()))
@@ -240,7 +240,7 @@
 	}
 	var live []jobMark
 	for _, m := range entry.Marks {
-		if id := m.jobID(); c.Jobs.Find(id) != nil {
+		if id := m.jobID(); c.Jobs.ByID(id) != nil {
 			live = append(live, jobMark{id, uint64(marks.requested[id])})
 		}
 	}
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -68,13 +68,13 @@
 
 // planJob3 plans a task of the job that logOfTwoTerms adds in its second term.
 func planJob3(component *Component, task int32) *workers.Placement {
-	ref := workers.TaskRef{Job: component.Jobs.Find(3).Index, Task: task}
+	ref := workers.TaskRef{Job: component.Jobs.ByID(3).Index, Task: task}
 	plan := &workers.Placement{Ref: ref, JobID: 3}
 	component.markPlan(plan)
 	return plan
 }
 
-func freshFrom(component *Component, id uint64) int { return component.Jobs.Find(id).UnassignedFrom }
+func freshFrom(component *Component, id uint64) int { return component.Jobs.ByID(id).UnassignedFrom }
 
 // logOfTwoTerms is the log of a first term, which leaves marks for two jobs, and of a second
 // one, in which tasks 0 and 8 of job 3 may be offered; the mark for its task 9 is never
--- a/internal/leader/pools/orphans.go
+++ b/internal/leader/pools/orphans.go
@@ -36,7 +36,7 @@
 		if t.State == workers.Ended {
 			continue
 		}
-		j := d.Jobs.Find(t.Job)
+		j := d.Jobs.ByID(t.Job)
 		if j == nil {
 			requirements, known := d.cancelledNeeds[t.Job]
 			found.requirements = append(found.requirements, requirements...)
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -126,7 +126,7 @@
 
 // holderOf returns the job of a task that holds its units now.
 func (d *Component) holderOf(in *Holding) (*holder, error) {
-	j := d.Jobs.Find(in.Job)
+	j := d.Jobs.ByID(in.Job)
 	if j == nil || in.Task < 0 || in.Task >= len(j.Tasks) {
 		return nil, errNoSuchTask
 	}
@@ -184,7 +184,7 @@
 		return true
 	}
 	unresolved, _ := d.Unresolved()
-	j := d.Jobs.Find(key.job)
+	j := d.Jobs.ByID(key.job)
 	if j == nil {
 		return unresolved > 0 || len(d.orphans) > 0
 	}
--- a/internal/leader/pools/silent.go
+++ b/internal/leader/pools/silent.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	for id := range m.Grants {
-		if j := d.Jobs.Find(id); j != nil && holds(j) {
+		if j := d.Jobs.ByID(id); j != nil && holds(j) {
 			return true
 		}
 	}
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -84,7 +84,7 @@
 	d.NeedsCycle = true
 	d.RemoveUnresolved(m)
 	for id := range m.Grants {
-		if j := d.Jobs.Find(id); j != nil && j.UnresolvedMachines > 0 {
+		if j := d.Jobs.ByID(id); j != nil && j.UnresolvedMachines > 0 {
 			j.UnresolvedMachines--
 		}
 	}
@@ -102,7 +102,7 @@
 		return
 	}
 	for _, o := range offers {
-		j := d.Jobs.Find(o.Start.Job)
+		j := d.Jobs.ByID(o.Start.Job)
 		if j == nil {
 			continue
 		}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -30,7 +30,7 @@
 // lookUpTask returns what the leader knows of a task that a report shows on a machine. When
 // the task is really there (here), a mere plan for it is cancelled.
 func (d *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, here bool) (workers.TaskRecord, bool) {
-	j := d.Jobs.Find(jobID)
+	j := d.Jobs.ByID(jobID)
 	if j == nil {
 		// Leaders of the version in production tell users of an end while tasks still run.
 		phase, _ := d.Jobs.Final(jobID)
--- a/internal/leader/term/decommission_test.go
+++ b/internal/leader/term/decommission_test.go
@@ -39,7 +39,7 @@
 	}
 	term := newSmallTerm(log)
 	m := term.Inventory.Find("host")
-	if n, _ := term.Unresolved(); n != 1 || term.Jobs.Find(1).UnresolvedMachines != 1 {
+	if n, _ := term.Unresolved(); n != 1 || term.Jobs.ByID(1).UnresolvedMachines != 1 {
 		t.Fatal("the machine is not waited for: the test tests nothing")
 	}
 	term.Decommission(0, m, cluster.Return, "not needed")
@@ -60,7 +60,7 @@
 			unresolved, _ := next.Unresolved()
 			next.Tick(time.Second, true)
 			deleted := len(deletedMachines(next)) == 1
-			heldBack := next.Jobs.Find(1).UnresolvedMachines != 0
+			heldBack := next.Jobs.ByID(1).UnresolvedMachines != 0
 			if deleted != free || (unresolved == 0) != free || heldBack == free {
 				t.Errorf("deleted at once %v, %d machines are waited for, the job is held back %v",
 					deleted, unresolved, heldBack)
--- a/internal/leader/term/dependencies_test.go
+++ b/internal/leader/term/dependencies_test.go
@@ -29,7 +29,7 @@
 		t.Helper()
 		term := newSmallTermAt(90*time.Second, entries)
 		for id, want := range map[uint64]time.Duration{2: 50 * time.Second, 3: 70 * time.Second} {
-			if j := term.Jobs.Find(id); j == nil || j.Phase != jobs.Open || j.AcceptedAt != want {
+			if j := term.Jobs.ByID(id); j == nil || j.Phase != jobs.Open || j.AcceptedAt != want {
 				t.Errorf("%s: job %d is read as %+v, want it released at %v", name, id, j, want)
 			}
 		}
@@ -59,7 +59,7 @@
 	ofAnotherAcceptance := eventlog.Dependencies{ID: 3, AtMS: 999, Jobs: []uint64{7}}
 	term := newSmallTerm([]eventlog.Entry{{Job: &unknown}, {Job: &short}, {Dependencies: &ofAnotherAcceptance}})
 	for _, id := range []uint64{2, 3} {
-		if j := term.Jobs.Find(id); j == nil || j.Phase != jobs.Held {
+		if j := term.Jobs.ByID(id); j == nil || j.Phase != jobs.Held {
 			t.Errorf("job %d is read as %+v", id, j)
 		}
 	}
--- a/internal/leader/term/limits_test.go
+++ b/internal/leader/term/limits_test.go
@@ -135,7 +135,7 @@
 		report := workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}
 		term.HandleHeartbeat(time.Second, true, 1, effects.RelayedHeartbeat{Via: "n", Life: 1, Report: report})
 	}
-	j := term.Jobs.Find(1)
+	j := term.Jobs.ByID(1)
 	for k := 0; k < 4000; k += 2 {
 		j.Complete(k)
 		term.Publish(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, RunSeconds: 3})
@@ -155,7 +155,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			next := newSmallTerm(list)
-			dependent := next.Jobs.Find(2)
+			dependent := next.Jobs.ByID(2)
 			if dependent == nil {
 				t.Fatal("the dependent job is not there")
 			}
@@ -164,7 +164,7 @@
 				t.Fatalf("the dependent job is in phase %v, follows %d jobs and waits for %d, want held, 601 and 1",
 					dependent.Phase, follows, waitsFor)
 			}
-			if j := next.Jobs.Find(1); j == nil || j.DurableCount != 2000 {
+			if j := next.Jobs.ByID(1); j == nil || j.DurableCount != 2000 {
 				t.Errorf("the open job is read as %+v", j)
 			}
 			if machines := len(next.Inventory.All()); machines != 10 {
@@ -249,7 +249,7 @@
 	term.Users.Submit(0, 7, wire.Submission{ID: 1, HasID: true, Job: &job})
 	out := term.TakeEffects()
 	r, ok := out[len(out)-1].(effects.Reply)
-	if !ok || r.Answer.Status != 400 || term.Jobs.Find(1) != nil {
+	if !ok || r.Answer.Status != 400 || term.Jobs.ByID(1) != nil {
 		raw, _ := json.Marshal(r)
 		t.Errorf("answered %s", raw)
 	}
--- a/internal/leader/term/types_test.go
+++ b/internal/leader/term/types_test.go
@@ -21,7 +21,7 @@
 		{MachineTypes: []eventlog.MachineType{{Name: "small", CPUs: 4, MemoryGB: 8}}},
 		{MachineTypes: []eventlog.MachineType{{Name: "large", CPUs: 16, MemoryGB: 64}}},
 	}})
-	j := term.Jobs.Find(1)
+	j := term.Jobs.ByID(1)
 	if len(j.AllowedTypes) != 2 || j.AllowedTypes[0] || !j.AllowedTypes[1] {
 		t.Errorf("the job may use %v, want only the second type", j.AllowedTypes)
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -35,7 +35,7 @@
 		e.say("it is %s", map[jobs.Phase]string{jobs.Done: "done", jobs.Cancelled: "cancelled"}[phase])
 		return e, true
 	}
-	job := t.Jobs.Find(id)
+	job := t.Jobs.ByID(id)
 	if job == nil {
 		e.say("no such job was accepted")
 		return e, true
