--- a/internal/core/jobs/table.go
+++ b/internal/core/jobs/table.go
@@ -53,8 +53,8 @@
 // All returns the jobs by index, nil where a job has left. The list is the table's own: it must not be changed.
 func (t *Table) All() []*Job { return t.jobs }
 
-// Final returns the final phase of a job that is over, by its id.
-func (t *Table) Final(id uint64) (Phase, bool) {
+// FinalPhase returns the final phase of a job that is over, by its id.
+func (t *Table) FinalPhase(id uint64) (Phase, bool) {
 	p, ok := t.finalPhases[id]
 	return p, ok
 }
--- a/internal/leader/lifecycle/answers.go
+++ b/internal/leader/lifecycle/answers.go
@@ -22,7 +22,7 @@
 // jobState is what users may be told of a job; it is false for one that is not known or not
 // durably accepted.
 func (c *Component) jobState(id uint64) (effects.Answer, bool) {
-	if phase, over := c.Jobs.Final(id); over {
+	if phase, over := c.Jobs.FinalPhase(id); over {
 		state := wire.Done
 		if phase == jobs.Cancelled {
 			state = wire.Cancelled
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -18,7 +18,7 @@
 // Cancel cancels a job: its tasks are stopped at once, and its user is told once nothing of
 // it is left anywhere. A user who cannot be told in time asks again.
 func (c *Component) Cancel(now time.Duration, to effects.RequestID, id uint64) {
-	if _, over := c.Jobs.Final(id); over {
+	if _, over := c.Jobs.FinalPhase(id); over {
 		state, _ := c.jobState(id)
 		c.reply(to, state)
 		return
--- a/internal/leader/lifecycle/compaction.go
+++ b/internal/leader/lifecycle/compaction.go
@@ -60,7 +60,7 @@
 			c.EventLog.Append(e)
 		}
 	case e.Job != nil:
-		if _, over := c.Jobs.Final(e.Job.ID); over {
+		if _, over := c.Jobs.FinalPhase(e.Job.ID); over {
 			c.compactFinalState(e.Job.ID)
 		} else if j := c.Jobs.ByID(e.Job.ID); j != nil {
 			c.compactOpenJob(now, j)
@@ -100,7 +100,7 @@
 // compactFinalState gathers a final state to be written anew, in entries that are as large
 // as they may be.
 func (c *Component) compactFinalState(id uint64) {
-	switch phase, _ := c.Jobs.Final(id); phase {
+	switch phase, _ := c.Jobs.FinalPhase(id); phase {
 	case jobs.Done:
 		c.compactedFinals.Done = append(c.compactedFinals.Done, id)
 	case jobs.Cancelled:
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -43,7 +43,7 @@
 // that cannot be decided.
 func (c *Component) dependencyProblem(rec *eventlog.Job) (why string, known bool) {
 	for _, id := range rec.Follows {
-		if _, over := c.Jobs.Final(id); over {
+		if _, over := c.Jobs.FinalPhase(id); over {
 			continue
 		}
 		switch j := c.Jobs.ByID(id); {
@@ -65,7 +65,7 @@
 		return true
 	}
 	for _, id := range j.Record.Follows {
-		phase, _ := c.Jobs.Final(id)
+		phase, _ := c.Jobs.FinalPhase(id)
 		switch phase {
 		case jobs.Cancelled:
 			return false
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -36,7 +36,7 @@
 // replayJob adds a job to the table unless an earlier entry has: a compaction may leave
 // entries twice.
 func (c *Component) replayJob(now time.Duration, rec *eventlog.Job) {
-	if _, over := c.Jobs.Final(rec.ID); !over && c.Jobs.ByID(rec.ID) == nil {
+	if _, over := c.Jobs.FinalPhase(rec.ID); !over && c.Jobs.ByID(rec.ID) == nil {
 		c.addJob(*rec, now)
 	}
 }
@@ -162,7 +162,7 @@
 // dependenciesKnown says whether the log knows jobs that an accepted one depends on.
 func (c *Component) dependenciesKnown(ids []uint64) bool {
 	return !slices.ContainsFunc(ids, func(id uint64) bool {
-		_, over := c.Jobs.Final(id)
+		_, over := c.Jobs.FinalPhase(id)
 		return !over && c.Jobs.ByID(id) == nil
 	})
 }
--- a/internal/leader/placement/grants.go
+++ b/internal/leader/placement/grants.go
@@ -50,7 +50,7 @@
 	if job == nil {
 		// A cancelled job, whose team is not known any more: its tasks may still be
 		// there. One that is done has none anywhere.
-		if phase, _ := c.Jobs.Final(id); phase != jobs.Done {
+		if phase, _ := c.Jobs.FinalPhase(id); phase != jobs.Done {
 			machine.ClaimedByAnyTeam = true
 		}
 		return
--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -112,7 +112,7 @@
 // Begin adds the open jobs.
 func (d *Component) Begin(time.Duration) {
 	for id := range d.cancelledNeeds {
-		if p, _ := d.Jobs.Final(id); p != jobs.Cancelled {
+		if p, _ := d.Jobs.FinalPhase(id); p != jobs.Cancelled {
 			delete(d.cancelledNeeds, id)
 		}
 	}
--- a/internal/leader/pools/orphans.go
+++ b/internal/leader/pools/orphans.go
@@ -57,6 +57,6 @@
 // mayHaveNeeded reports whether a job that is in no table may have needed units: its
 // entry may have been compacted away.
 func (d *Component) mayHaveNeeded(id uint64) bool {
-	phase, over := d.Jobs.Final(id)
+	phase, over := d.Jobs.FinalPhase(id)
 	return !over || phase == jobs.Cancelled
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -33,7 +33,7 @@
 	j := d.Jobs.ByID(jobID)
 	if j == nil {
 		// Leaders of the version in production tell users of an end while tasks still run.
-		phase, _ := d.Jobs.Final(jobID)
+		phase, _ := d.Jobs.FinalPhase(jobID)
 		return workers.TaskRecord{Ref: workers.NoTaskRef, EndDurable: true, Cancelled: true}, phase == jobs.Cancelled
 	}
 	if task >= len(j.Tasks) || j.Phase == jobs.Accepting {
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -31,7 +31,7 @@
 		return Explanation{}, false
 	}
 	e := Explanation{ID: wire.FormatID(id)}
-	if phase, over := t.Jobs.Final(id); over {
+	if phase, over := t.Jobs.FinalPhase(id); over {
 		e.say("it is %s", map[jobs.Phase]string{jobs.Done: "done", jobs.Cancelled: "cancelled"}[phase])
 		return e, true
 	}
