--- a/internal/core/jobs/table.go
+++ b/internal/core/jobs/table.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Finals is the number of jobs that are over.
-func (t *Table) Finals() int { return len(t.finalPhases) }
+// FinalCount is the number of jobs that are over.
+func (t *Table) FinalCount() int { return len(t.finalPhases) }
 
 // Len is the number of jobs in the table.
 func (t *Table) Len() int { return len(t.byID) }
--- a/internal/leader/lifecycle/compaction.go
+++ b/internal/leader/lifecycle/compaction.go
@@ -26,7 +26,7 @@
 
 // LiveBytes is roughly how many bytes Compact would write for the whole log.
 func (c *Component) LiveBytes() int {
-	return c.Jobs.Len()*openJobBytes + c.Jobs.Finals()*finalStateBytes
+	return c.Jobs.Len()*openJobBytes + c.Jobs.FinalCount()*finalStateBytes
 }
 
 // CanCompact says whether all that is live of these entries can be written anew. What was
