--- a/internal/core/jobs/table.go
+++ b/internal/core/jobs/table.go
@@ -59,8 +59,8 @@
 	return p, ok
 }
 
-// Finish notes a job's final phase, by its id. The first one stays.
-func (t *Table) Finish(id uint64, p Phase) {
+// RecordFinalPhase notes a job's final phase, by its id. The first one stays.
+func (t *Table) RecordFinalPhase(id uint64, p Phase) {
 	if _, ok := t.finalPhases[id]; !ok {
 		t.finalPhases[id] = p
 	}
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -131,7 +131,7 @@
 func (c *Component) purge(j *jobs.Job) {
 	j.Phase = jobs.Cancelled
 	delete(c.cancelling, j.Record.ID)
-	c.Jobs.Finish(j.Record.ID, jobs.Cancelled)
+	c.Jobs.RecordFinalPhase(j.Record.ID, jobs.Cancelled)
 	c.Jobs.RemoveDependency(j)
 	c.Estimator.Remove(j.Index, false, 0, 0)
 	c.RemoveIfFinished(j)
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -75,7 +75,7 @@
 func (c *Component) finish(now time.Duration, leaseValid bool, j *jobs.Job) {
 	id := j.Record.ID
 	j.Phase = jobs.Done
-	c.Jobs.Finish(id, jobs.Done)
+	c.Jobs.RecordFinalPhase(id, jobs.Done)
 	c.Estimator.Remove(j.Index, true, j.RunSeconds, j.RunCount)
 	c.Publish(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 	c.logJobDone(now, j)
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -65,7 +65,7 @@
 
 // replayFinalState notes a final state, whatever stood before it.
 func (c *Component) replayFinalState(id uint64, phase jobs.Phase) {
-	c.Jobs.Finish(id, phase)
+	c.Jobs.RecordFinalPhase(id, phase)
 	if j := c.Jobs.ByID(id); j != nil {
 		c.Jobs.Remove(j)
 	}
@@ -112,7 +112,7 @@
 	}
 	for _, j := range cancelled {
 		for _, x := range append(c.Jobs.TransitiveDependents(j), j) {
-			c.Jobs.Finish(x.Record.ID, jobs.Cancelled)
+			c.Jobs.RecordFinalPhase(x.Record.ID, jobs.Cancelled)
 			c.Jobs.RemoveDependency(x)
 			c.Jobs.Remove(x)
 		}
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -188,8 +188,8 @@
 	for id := range 3 {
 		state.Jobs.Add(eventlog.Job{ID: uint64(id + 1), Tasks: 1}).Team = int32(id)
 	}
-	state.Jobs.Finish(8, jobs.Done)
-	state.Jobs.Finish(9, jobs.Cancelled)
+	state.Jobs.RecordFinalPhase(8, jobs.Done)
+	state.Jobs.RecordFinalPhase(9, jobs.Cancelled)
 	for n := range 5 {
 		m := state.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Number: n + 1, Durable: true})
 		m.Capacity.CPU = 1 << n
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -143,7 +143,7 @@
 	w.component.HandleEvent(cluster.Event{Kind: cluster.TaskDone, At: w.now, Job: j, Task: k, Machine: w.machine})
 	if j.Finished == len(j.Tasks) {
 		j.Phase = jobs.Done
-		w.component.Jobs.Finish(j.Record.ID, jobs.Done)
+		w.component.Jobs.RecordFinalPhase(j.Record.ID, jobs.Done)
 		w.component.RemoveIfFinished(j)
 	}
 }
@@ -404,7 +404,7 @@
 	rec.HideFromOlderVersions()
 	w.startTerm(false)
 	w.component.Replay(w.now, eventlog.Entry{Job: &rec})
-	w.component.Jobs.Finish(77, jobs.Cancelled)
+	w.component.Jobs.RecordFinalPhase(77, jobs.Cancelled)
 	w.component.Begin(w.now)
 	w.read()
 	r := &workers.Report{Machine: "m", Tasks: []workers.TaskReport{{Job: 77, Task: 1, Attempt: 5, State: workers.Running}}}
