--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -38,7 +38,7 @@
 			invalid++
 		}
 		durableNow, next := l.CommitResult(now, txn.Sequence, out, version, failed)
-		if next != Carry {
+		if next != Continue {
 			t.Fatalf("step %d: %v", step, next)
 		}
 		durable += len(durableNow)
--- a/internal/core/eventlog/result.go
+++ b/internal/core/eventlog/result.go
@@ -19,9 +19,9 @@
 
 // Steps after a result.
 const (
-	Carry  CommitStep = iota // go on
-	Reread                   // read the key of Log.OpenSegmentKey and hand its value to Log.ReadBack
-	Lost                     // the term is over
+	Continue CommitStep = iota // go on
+	Reread                     // read the key of Log.OpenSegmentKey and hand its value to Log.ReadBack
+	Lost                       // the term is over
 )
 
 // CommitResult takes the outcome of the transaction in flight: the version is the revision of the
@@ -32,12 +32,12 @@
 ) ([]Entry, CommitStep) {
 	commit := l.inflight
 	if commit == nil || commit.transaction.Sequence != sequence {
-		return nil, Carry
+		return nil, Continue
 	}
 	commit.sent = false
 	switch outcome {
 	case Applied:
-		return l.finishCommit(commit, version), Carry
+		return l.finishCommit(commit, version), Continue
 	case Conflict:
 		return nil, l.conflicted(commit, failedKeys)
 	case Unknown:
@@ -67,7 +67,7 @@
 	if commit.entryCount == 0 {
 		// Only sizes and segments to remove: both can be done twice.
 		l.requeue(commit)
-		return Carry
+		return Continue
 	}
 	commit.maybeExecuted = true
 	l.awaitingReadBack = true
@@ -87,7 +87,7 @@
 	l.dropPendingSizes()
 	l.requeue(commit)
 	l.dropPendingValues()
-	return Carry
+	return Continue
 }
 
 // refused: the transaction was not executed and is tried again after a pause that grows.
@@ -97,7 +97,7 @@
 	if !commit.maybeExecuted {
 		l.requeue(commit)
 	}
-	return Carry
+	return Continue
 }
 
 // dropPendingValues leaves out the values that wait, which may be too large now. Their entries
