--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -66,7 +66,7 @@
 		l.AppendTracked(cancel(n))
 	}
 	first := *l.NextTransaction(now)
-	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != Reread {
+	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != ReadBackNeeded {
 		t.Fatal("an unknown outcome must be read back")
 	}
 	if durable := l.ReadBack(now, true, 0, nil); durable != nil {
@@ -80,7 +80,7 @@
 	if out != Conflict {
 		t.Fatal("both tries were applied")
 	}
-	if _, step := l.CommitResult(now, again.Sequence, out, version, failed); step != Reread {
+	if _, step := l.CommitResult(now, again.Sequence, out, version, failed); step != ReadBackNeeded {
 		t.Fatal("the conflict must be settled by reading")
 	}
 	durable := l.ReadBack(now, true, s.versions[l.OpenSegmentKey()], s.data[l.OpenSegmentKey()])
@@ -227,7 +227,7 @@
 		return l.NextTransaction(now)
 	}
 	first := *put(`"old"`)
-	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != Reread {
+	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != ReadBackNeeded {
 		t.Fatal("an unknown outcome is not read back")
 	}
 	l.ReadBack(now, true, 0, nil) // it is not there
--- a/internal/core/eventlog/result.go
+++ b/internal/core/eventlog/result.go
@@ -19,9 +19,9 @@
 
 // Steps after a result.
 const (
-	Continue CommitStep = iota // go on
-	Reread                     // read the key of Log.OpenSegmentKey and hand its value to Log.ReadBack
-	Lost                       // the term is over
+	Continue       CommitStep = iota // go on
+	ReadBackNeeded                   // read the key of Log.OpenSegmentKey and hand its value to Log.ReadBack
+	Lost                             // the term is over
 )
 
 // CommitResult takes the outcome of the transaction in flight: the version is the revision of the
@@ -59,7 +59,7 @@
 		return Lost // somebody else wrote our log
 	}
 	l.awaitingReadBack = true
-	return Reread
+	return ReadBackNeeded
 }
 
 // unanswered: the transaction may be executed, now or later.
@@ -71,7 +71,7 @@
 	}
 	commit.maybeExecuted = true
 	l.awaitingReadBack = true
-	return Reread
+	return ReadBackNeeded
 }
 
 // rejected: the transaction is larger than the service now takes. This must never be met; if it
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -38,7 +38,7 @@
 		t.logInvalidCommit(step)
 	}
 	t.entriesDurable(now, leaseValid, durable)
-	if step == eventlog.Reread {
+	if step == eventlog.ReadBackNeeded {
 		t.Emit(effects.ReadBack{Key: t.EventLog.OpenSegmentKey()})
 	}
 	if leaseValid {
