--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -60,7 +60,7 @@
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: minValueBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
 	txn := l.NextTransaction(time.Second)
-	if _, step := l.CommitResult(time.Second, txn.Sequence, Invalid, 0, nil); step != Lost {
+	if _, step := l.CommitResult(time.Second, txn.Sequence, Invalid, 0, nil); step != TermLost {
 		t.Error("the smallest values were refused, and the term goes on")
 	}
 	l = NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 4}, "lead/epoch", 1, 0, 0)
@@ -69,7 +69,7 @@
 	l.CommitResult(time.Second, txn.Sequence, Unknown, 0, nil)
 	l.ReadBack(time.Second, true, 0, nil)
 	again := l.NextTransaction(3 * time.Second)
-	if _, step := l.CommitResult(3*time.Second, again.Sequence, Invalid, 0, nil); step != Lost {
+	if _, step := l.CommitResult(3*time.Second, again.Sequence, Invalid, 0, nil); step != TermLost {
 		t.Error("an earlier copy may still be executed, and the term goes on")
 	}
 }
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -150,7 +150,7 @@
 	if out != Conflict || len(s.ids(t)) != 0 {
 		t.Fatal("a superseded leader wrote")
 	}
-	if _, step := l.CommitResult(time.Second, late.Sequence, out, version, failed); step != Lost {
+	if _, step := l.CommitResult(time.Second, late.Sequence, out, version, failed); step != TermLost {
 		t.Error("the term must end")
 	}
 }
--- a/internal/core/eventlog/result.go
+++ b/internal/core/eventlog/result.go
@@ -21,7 +21,7 @@
 const (
 	Continue       CommitStep = iota // go on
 	ReadBackNeeded                   // read the key of Log.OpenSegmentKey and hand its value to Log.ReadBack
-	Lost                             // the term is over
+	TermLost                         // the term is over
 )
 
 // CommitResult takes the outcome of the transaction in flight: the version is the revision of the
@@ -53,10 +53,10 @@
 // have been executed.
 func (l *Log) conflicted(commit *inflightCommit, failedKeys []string) CommitStep {
 	if slices.Contains(failedKeys, l.epochKey) {
-		return Lost
+		return TermLost
 	}
 	if !commit.maybeExecuted {
-		return Lost // somebody else wrote our log
+		return TermLost // somebody else wrote our log
 	}
 	l.awaitingReadBack = true
 	return ReadBackNeeded
@@ -79,7 +79,7 @@
 // small as can be, ends the term instead: the next one begins with what is really there.
 func (l *Log) rejected(commit *inflightCommit) CommitStep {
 	if commit.maybeExecuted || l.limits.ValueBytes <= minValueBytes {
-		return Lost
+		return TermLost
 	}
 	l.limits.ValueBytes = max(minValueBytes, l.limits.ValueBytes/2)
 	l.limits.TxnOps = max(minTransactionOps, l.limits.TxnOps/2)
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -54,7 +54,7 @@
 // logInvalidCommit logs that the state service has refused a transaction as malformed.
 func (t *Term) logInvalidCommit(step eventlog.CommitStep) {
 	message := "the state service refuses a transaction as malformed: smaller values are tried"
-	if step == eventlog.Lost {
+	if step == eventlog.TermLost {
 		message = "the state service refuses a transaction as malformed: the term ends"
 	}
 	t.LogMessage(effects.Error, message, "epoch", t.Epoch, "pending", t.EventLog.Pending())
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -63,7 +63,7 @@
 	now time.Duration, epoch, sequence uint64, outcome eventlog.Outcome, mark uint64, failed []string,
 ) {
 	if c.inTerm(epoch) {
-		if c.term.Committed(now, c.elector.LeaseValid(now), sequence, outcome, mark, failed) == eventlog.Lost {
+		if c.term.Committed(now, c.elector.LeaseValid(now), sequence, outcome, mark, failed) == eventlog.TermLost {
 			c.elector.Superseded(now, c.elector.Epoch()+1)
 		}
 	}
