--- a/internal/core/eventlog/component_values.go
+++ b/internal/core/eventlog/component_values.go
@@ -7,7 +7,7 @@
 
 // OwnPrefix is where the keys of values begin that components keep beside the log, written by
 // Log.AppendWithValue. Unlike the log they need not be read before a term begins.
-const OwnPrefix = "own/"
+const ComponentValuesPrefix = "own/"
 
 // Value is a component's value as it is read back.
 type Value struct {
@@ -16,7 +16,7 @@
 }
 
 // ValuePrefix is where the keys of a component's values begin.
-func ValuePrefix(component string) string { return OwnPrefix + component + "/" }
+func ValuePrefix(component string) string { return ComponentValuesPrefix + component + "/" }
 
 // ValueKey is the key of the component's value with a number.
 func ValueKey(component string, number int) string {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -65,7 +65,7 @@
 	var list []eventlog.Value
 	for _, k := range slices.Sorted(func(yield func(string) bool) {
 		for k := range w.values {
-			if strings.HasPrefix(k, eventlog.OwnPrefix) && !yield(k) {
+			if strings.HasPrefix(k, eventlog.ComponentValuesPrefix) && !yield(k) {
 				return
 			}
 		}
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -43,7 +43,7 @@
 	last := 0
 	d := New(s)
 	keys := slices.Sorted(maps.Keys(w.values))
-	logged := slices.IndexFunc(keys, func(k string) bool { return strings.HasPrefix(k, eventlog.OwnPrefix) })
+	logged := slices.IndexFunc(keys, func(k string) bool { return strings.HasPrefix(k, eventlog.ComponentValuesPrefix) })
 	own := []string{}
 	if logged >= 0 {
 		keys, own = keys[:logged], keys[logged:]
@@ -151,7 +151,7 @@
 // durable lists the jobs whose records were ever written, with their work.
 func (w *fixture) durable(t *testing.T, into map[uint64]float64) {
 	for k, v := range w.values {
-		if strings.HasPrefix(k, eventlog.OwnPrefix) {
+		if strings.HasPrefix(k, eventlog.ComponentValuesPrefix) {
 			continue
 		}
 		list, err := eventlog.Decode(v)
@@ -220,7 +220,7 @@
 // clean writes anew what is live of the oldest segments, and removes them once that
 // is durable, unless the leader is killed before.
 func (w *fixture) clean(t *testing.T, d *Component, r *rand.Rand) {
-	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, eventlog.OwnPrefix) })
+	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, eventlog.ComponentValuesPrefix) })
 	if len(keys) < 2 {
 		return
 	}
