--- a/internal/core/eventlog/component_values.go
+++ b/internal/core/eventlog/component_values.go
@@ -9,8 +9,8 @@
 // Log.AppendWithValue. Unlike the log they need not be read before a term begins.
 const ComponentValuesPrefix = "own/"
 
-// Value is a component's value as it is read back.
-type Value struct {
+// ComponentValue is a component's value as it is read back.
+type ComponentValue struct {
 	Key  string
 	Data json.RawMessage
 }
--- a/internal/leader/cluster/value_reader.go
+++ b/internal/leader/cluster/value_reader.go
@@ -31,7 +31,7 @@
 
 // TakePage takes a page, and says whether it was the one that was requested and could be
 // read. After the last one Done is set.
-func (r *ValueReader) TakePage(now time.Duration, list []eventlog.Value, more, ok bool) bool {
+func (r *ValueReader) TakePage(now time.Duration, list []eventlog.ComponentValue, more, ok bool) bool {
 	if r.Done || !r.requested {
 		return false
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -62,7 +62,7 @@
 	w.component.ValuesRead(w.now, nil, true, false) // once in vain
 	w.now += 2 * time.Second
 	w.component.Tick(w.now, true)
-	var list []eventlog.Value
+	var list []eventlog.ComponentValue
 	for _, k := range slices.Sorted(func(yield func(string) bool) {
 		for k := range w.values {
 			if strings.HasPrefix(k, eventlog.ComponentValuesPrefix) && !yield(k) {
@@ -70,7 +70,7 @@
 			}
 		}
 	}) {
-		list = append(list, eventlog.Value{Key: k, Data: w.values[k]})
+		list = append(list, eventlog.ComponentValue{Key: k, Data: w.values[k]})
 	}
 	w.component.ValuesRead(w.now, list, false, true)
 }
--- a/internal/leader/pools/store.go
+++ b/internal/leader/pools/store.go
@@ -72,7 +72,7 @@
 }
 
 // ValuesRead takes a page of the values of earlier terms.
-func (d *Component) ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool) {
+func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
 	s := &d.store
 	if !s.TakePage(now, list, more, ok) {
 		return
@@ -90,7 +90,7 @@
 	}
 }
 
-func (d *Component) restoreValue(v eventlog.Value) error {
+func (d *Component) restoreValue(v eventlog.ComponentValue) error {
 	var stored storedValue
 	number, err := valuestore.Decode(Name, v, valueVersion, &stored)
 	d.store.nextNumber = max(d.store.nextNumber, number+1)
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -77,10 +77,10 @@
 			}
 			w.effects = append(w.effects, e)
 		}
-		var page []eventlog.Value
+		var page []eventlog.ComponentValue
 		for _, k := range keys {
 			if k > since && len(page) < 3 {
-				page = append(page, eventlog.Value{Key: k, Data: w.values[k]})
+				page = append(page, eventlog.ComponentValue{Key: k, Data: w.values[k]})
 			}
 		}
 		more := len(page) > 0 && page[len(page)-1].Key != keys[len(keys)-1]
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -15,7 +15,7 @@
 
 // full gives the values of so many kinds of nine nights, in values of so many bytes,
 // and how large they are in all.
-func full(kinds, bytes int) (values []eventlog.Value, total int) {
+func full(kinds, bytes int) (values []eventlog.ComponentValue, total int) {
 	s := newValueStore(bytes)
 	var v storedValue
 	flush := func(n int) {
@@ -24,7 +24,7 @@
 			panic(err)
 		}
 		total += len(raw)
-		values = append(values, eventlog.Value{Key: eventlog.ValueKey(Name, n), Data: raw})
+		values = append(values, eventlog.ComponentValue{Key: eventlog.ValueKey(Name, n), Data: raw})
 		v.Kinds = nil
 	}
 	v.Version = valueVersion
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -43,7 +43,7 @@
 }
 
 // ValuesRead takes a page of the history.
-func (d *Component) ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool) {
+func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
 	if !d.historyReader.TakePage(now, list, more, ok) {
 		return
 	}
@@ -58,7 +58,7 @@
 // restoreValue takes a value. One that cannot be decoded is left as it is: another version
 // may know it, or somebody may want to see what has become of it. Its number is not used
 // again.
-func (d *Component) restoreValue(v eventlog.Value) {
+func (d *Component) restoreValue(v eventlog.ComponentValue) {
 	var stored storedValue
 	number, err := valuestore.Decode(Name, v, valueVersion, &stored)
 	d.store.next = max(d.store.next, number+1)
--- a/internal/leader/term/optional.go
+++ b/internal/leader/term/optional.go
@@ -115,11 +115,11 @@
 type valueReceiver interface {
 	// ValuesRead takes a page of them, in the order of their keys; ok is false for a page
 	// that could not be read.
-	ValuesRead(now time.Duration, list []eventlog.Value, more, ok bool)
+	ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool)
 }
 
 // ValuesRead takes a page of a component's own values.
-func (t *Term) ValuesRead(now time.Duration, component string, list []eventlog.Value, more, ok bool) {
+func (t *Term) ValuesRead(now time.Duration, component string, list []eventlog.ComponentValue, more, ok bool) {
 	if c, known := t.componentsByName[component].(valueReceiver); known {
 		c.ValuesRead(now, list, more, ok)
 	}
--- a/internal/leader/valuestore/valuestore_test.go
+++ b/internal/leader/valuestore/valuestore_test.go
@@ -31,7 +31,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got contents
-			number, err := Decode("own", eventlog.Value{Key: test.key, Data: json.RawMessage(test.data)}, 1, &got)
+			number, err := Decode("own", eventlog.ComponentValue{Key: test.key, Data: json.RawMessage(test.data)}, 1, &got)
 			if number != test.number || (err != nil) != test.fails {
 				t.Errorf("number %d, error %v", number, err)
 			}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -88,7 +88,7 @@
 }
 
 // ValuesRead takes a page of a component's own values.
-func (c *Core) ValuesRead(now time.Duration, epoch uint64, component string, list []eventlog.Value, more, ok bool) {
+func (c *Core) ValuesRead(now time.Duration, epoch uint64, component string, list []eventlog.ComponentValue, more, ok bool) {
 	if c.inLoadedTerm(epoch) {
 		c.term.ValuesRead(now, component, list, more, ok)
 	}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -141,14 +141,14 @@
 // there are further ones.
 func (n *Node) readValues(
 	ctx context.Context, component, since string,
-) (values []eventlog.Value, more bool, err error) {
+) (values []eventlog.ComponentValue, more bool, err error) {
 	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(component), since, valuesPageSize)
 	if err != nil {
 		return nil, false, err
 	}
-	values = make([]eventlog.Value, len(items))
+	values = make([]eventlog.ComponentValue, len(items))
 	for i, item := range items {
-		values[i] = eventlog.Value{Key: item.Key, Data: item.Value}
+		values[i] = eventlog.ComponentValue{Key: item.Key, Data: item.Value}
 	}
 	return values, more && len(items) > 0, nil
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -356,7 +356,7 @@
 // values reads a page of a duty's own values, a few at a time.
 func (st *stateService) values(c *controller, duty, since string) {
 	type page struct {
-		list []eventlog.Value
+		list []eventlog.ComponentValue
 		more bool
 	}
 	epoch, life := epochOf(c), c.life
@@ -373,7 +373,7 @@
 		slices.Sort(keys)
 		p := page{more: len(keys) > 3}
 		for _, k := range keys[:min(len(keys), 3)] {
-			p.list = append(p.list, eventlog.Value{Key: k, Data: st.items[k].value})
+			p.list = append(p.list, eventlog.ComponentValue{Key: k, Data: st.items[k].value})
 		}
 		reply(p)
 	}, func(p page, ok bool) {
