--- a/internal/core/eventlog/component_values.go
+++ b/internal/core/eventlog/component_values.go
@@ -15,13 +15,15 @@
 	Data json.RawMessage
 }
 
-// ValuePrefix is where the keys of a component's values begin.
-func ValuePrefix(component string) string { return ComponentValuesPrefix + component + "/" }
+// ComponentValuePrefix is where the keys of a component's values begin.
+func ComponentValuePrefix(component string) string { return ComponentValuesPrefix + component + "/" }
 
 // ValueKey is the key of the component's value with a number.
 func ValueKey(component string, number int) string {
-	return fmt.Sprintf("%s%06d", ValuePrefix(component), number)
+	return fmt.Sprintf("%s%06d", ComponentValuePrefix(component), number)
 }
 
 // ValueNumber is the number of the component's value with a key.
-func ValueNumber(component, key string) (int, error) { return keyNumber(key, ValuePrefix(component)) }
+func ValueNumber(component, key string) (int, error) {
+	return keyNumber(key, ComponentValuePrefix(component))
+}
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -142,7 +142,7 @@
 func (n *Node) readValues(
 	ctx context.Context, component, since string,
 ) (values []eventlog.ComponentValue, more bool, err error) {
-	items, more, _, err := n.state.List(ctx, eventlog.ValuePrefix(component), since, valuesPageSize)
+	items, more, _, err := n.state.List(ctx, eventlog.ComponentValuePrefix(component), since, valuesPageSize)
 	if err != nil {
 		return nil, false, err
 	}
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -225,7 +225,7 @@
 			s.resize("r", "licence", 2)
 			s.run(10 * time.Second)
 			for k := range s.state.items {
-				if strings.HasPrefix(k, eventlog.ValuePrefix(pools.Name)) {
+				if strings.HasPrefix(k, eventlog.ComponentValuePrefix(pools.Name)) {
 					delete(s.state.items, k)
 				}
 			}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -366,7 +366,7 @@
 		}
 		var keys []string
 		for k := range st.items {
-			if strings.HasPrefix(k, eventlog.ValuePrefix(duty)) && k > since {
+			if strings.HasPrefix(k, eventlog.ComponentValuePrefix(duty)) && k > since {
 				keys = append(keys, k)
 			}
 		}
