--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -451,7 +451,7 @@
 
 // stateKeys pins keys of the state service.
 func (c *collector) stateKeys() {
-	for _, key := range []string{leadership.HolderKey, leadership.EpochKey, eventlog.SegmentKey(7), eventlog.ValueKey("x", 3), eventlog.Prefix, eventlog.SizesPrefix, eventlog.ComponentValuesPrefix} {
+	for _, key := range []string{leadership.HolderKey, leadership.EpochKey, eventlog.SegmentKey(7), eventlog.ComponentValueKey("x", 3), eventlog.Prefix, eventlog.SizesPrefix, eventlog.ComponentValuesPrefix} {
 		c.add("key", "%s", key)
 	}
 }
--- a/internal/core/eventlog/component_values.go
+++ b/internal/core/eventlog/component_values.go
@@ -18,8 +18,8 @@
 // ComponentValuePrefix is where the keys of a component's values begin.
 func ComponentValuePrefix(component string) string { return ComponentValuesPrefix + component + "/" }
 
-// ValueKey is the key of the component's value with a number.
-func ValueKey(component string, number int) string {
+// ComponentValueKey is the key of the component's value with a number.
+func ComponentValueKey(component string, number int) string {
 	return fmt.Sprintf("%s%06d", ComponentValuePrefix(component), number)
 }
 
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -218,7 +218,7 @@
 	s := newStore()
 	l := newLog()
 	now := time.Second
-	key := ValueKey("d", 7)
+	key := ComponentValueKey("d", 7)
 	put := func(v string) *Transaction {
 		now += time.Second
 		if !l.AppendWithValue(cancel(1), key, json.RawMessage(v)) {
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -486,7 +486,7 @@
 		})
 	}
 	// A value of a later version: nobody can say what it means.
-	w.values[eventlog.ValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
+	w.values[eventlog.ComponentValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
 	w.startTerm(true)
 	expect(t, "closed", w.schedule(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
 	said := false
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -24,7 +24,7 @@
 			panic(err)
 		}
 		total += len(raw)
-		values = append(values, eventlog.ComponentValue{Key: eventlog.ValueKey(Name, n), Data: raw})
+		values = append(values, eventlog.ComponentValue{Key: eventlog.ComponentValueKey(Name, n), Data: raw})
 		v.Kinds = nil
 	}
 	v.Version = valueVersion
--- a/internal/leader/valuestore/valuestore.go
+++ b/internal/leader/valuestore/valuestore.go
@@ -60,7 +60,7 @@
 // false if the value is larger than may be written; nothing is written then.
 func (w *Writer[T]) Append(log *eventlog.Log, announcement any, number int, data json.RawMessage, details T) bool {
 	entry := eventlog.NewComponentEntry(w.Component, announcement)
-	if !log.AppendWithValue(entry, eventlog.ValueKey(w.Component, number), data) {
+	if !log.AppendWithValue(entry, eventlog.ComponentValueKey(w.Component, number), data) {
 		return false
 	}
 	w.pending = append(w.pending, pendingWrite[T]{number: number, position: log.AppendedCount(), details: details})
--- a/internal/leader/valuestore/valuestore_test.go
+++ b/internal/leader/valuestore/valuestore_test.go
@@ -24,10 +24,10 @@
 		fails     bool
 		version   int // of a *VersionError; 0: another error or none
 	}{
-		"readable":     {key: eventlog.ValueKey("own", 7), data: `{"v":1,"n":5}`, number: 7},
+		"readable":     {key: eventlog.ComponentValueKey("own", 7), data: `{"v":1,"n":5}`, number: 7},
 		"key":          {key: "other", data: `{"v":1}`, number: NoNumber, fails: true},
-		"not JSON":     {key: eventlog.ValueKey("own", 8), data: `{`, number: 8, fails: true},
-		"later format": {key: eventlog.ValueKey("own", 9), data: `{"v":2}`, number: 9, fails: true, version: 2},
+		"not JSON":     {key: eventlog.ComponentValueKey("own", 8), data: `{`, number: 8, fails: true},
+		"later format": {key: eventlog.ComponentValueKey("own", 9), data: `{"v":2}`, number: 9, fails: true, version: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var got contents
