--- a/internal/core/eventlog/component_values.go
+++ b/internal/core/eventlog/component_values.go
@@ -23,7 +23,7 @@
 	return fmt.Sprintf("%s%06d", ComponentValuePrefix(component), number)
 }
 
-// ValueNumber is the number of the component's value with a key.
-func ValueNumber(component, key string) (int, error) {
+// ComponentValueNumber is the number of the component's value with a key.
+func ComponentValueNumber(component, key string) (int, error) {
 	return keyNumber(key, ComponentValuePrefix(component))
 }
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -246,7 +246,7 @@
 	if out, _, _ := s.apply(first); out != Conflict || string(s.data[key]) != `"new"` {
 		t.Errorf("a late copy gives %v, the value is %s", out, s.data[key])
 	}
-	if n, err := ValueNumber("d", key); n != 7 || err != nil {
+	if n, err := ComponentValueNumber("d", key); n != 7 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
 	if l.AppendWithValue(cancel(1), key, make(json.RawMessage, testLimits.ValueBytes)) {
--- a/internal/leader/valuestore/valuestore.go
+++ b/internal/leader/valuestore/valuestore.go
@@ -30,7 +30,7 @@
 // use even if the contents cannot be decoded; it is NoNumber if the key has none. A
 // format version other than the one given is a *VersionError.
 func Decode(component string, value eventlog.ComponentValue, version int, contents Versioned) (int, error) {
-	number, err := eventlog.ValueNumber(component, value.Key)
+	number, err := eventlog.ComponentValueNumber(component, value.Key)
 	if err != nil {
 		return NoNumber, err
 	}
