--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -35,7 +35,7 @@
 
 // ComponentEntry is an entry that only the component of that name reads and writes.
 type ComponentEntry struct {
-	Duty string          `json:"d"` // the component's name
+	Name string          `json:"d"` // the component's name
 	Data json.RawMessage `json:"v"`
 }
 
@@ -46,7 +46,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("event log: entry of %s not encodable: %v", component, err))
 	}
-	return Entry{Component: &ComponentEntry{Duty: component, Data: raw}}
+	return Entry{Component: &ComponentEntry{Name: component, Data: raw}}
 }
 
 // recognized says whether anything is set that this version knows.
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -278,9 +278,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: data}})
+		next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: data}})
 	}
-	next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`"?"`)}})
+	next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: json.RawMessage(`"?"`)}})
 	if len(next.account.earlier) != 3 || next.account.earlier[2].Epoch != 7 {
 		t.Errorf("%d are remembered", len(next.account.earlier))
 	}
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -44,7 +44,7 @@
 // entryWith is an entry of the component with a record as JSON.
 func entryWith(format string, args ...any) eventlog.Entry {
 	data := json.RawMessage(fmt.Sprintf(format, args...))
-	return eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: data}}
+	return eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: data}}
 }
 
 // shown is what operators see.
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -115,7 +115,7 @@
 // Where the span of terms that noted marks is broken, all tasks count as handed out.
 func TestBrokenSpanCountsAllTasksAsHandedOut(t *testing.T) {
 	log := logOfTwoTerms(t)
-	unreadable := eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: Name, Data: json.RawMessage(`7`)}}
+	unreadable := eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: json.RawMessage(`7`)}}
 	for name, component := range map[string]*Component{
 		"a term between that left nothing": beginTerm(4, 1, 3, log),
 		"an entry that cannot be read":     beginTerm(3, 1, 3, append(log[:len(log):len(log)], unreadable)),
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -79,7 +79,7 @@
 
 // decode decodes an entry of the component's own; false: it is of another kind.
 func decode(e eventlog.Entry) (x storedEntry, ok bool) {
-	return x, e.Component != nil && e.Component.Duty == Name && json.Unmarshal(e.Component.Data, &x) == nil
+	return x, e.Component != nil && e.Component.Name == Name && json.Unmarshal(e.Component.Data, &x) == nil
 }
 
 // Replay applies an entry. While the log is compacted an entry may be there twice.
--- a/internal/leader/term/decommission_test.go
+++ b/internal/leader/term/decommission_test.go
@@ -74,9 +74,9 @@
 func notedInEpoch(entries []eventlog.Entry, epoch int) []eventlog.Entry {
 	out := slices.Clone(entries)
 	for i, e := range out {
-		if e.Component != nil && e.Component.Duty == registry.Name {
+		if e.Component != nil && e.Component.Name == registry.Name {
 			note := json.RawMessage(fmt.Sprintf(`{"e":%d,"m":["host"]}`, epoch))
-			out[i] = eventlog.Entry{Component: &eventlog.ComponentEntry{Duty: registry.Name, Data: note}}
+			out[i] = eventlog.Entry{Component: &eventlog.ComponentEntry{Name: registry.Name, Data: note}}
 		}
 	}
 	return out
--- a/internal/leader/term/replay.go
+++ b/internal/leader/term/replay.go
@@ -69,7 +69,7 @@
 // component to that component alone. It is false for an entry that none of them knows.
 func (t *Term) routeEntry(e eventlog.Entry, f func(Component)) bool {
 	if e.Component != nil {
-		c := t.componentsByName[e.Component.Duty]
+		c := t.componentsByName[e.Component.Name]
 		if c == nil {
 			return false
 		}
@@ -95,7 +95,7 @@
 	if e.Component != nil {
 		t.LogMessage(effects.Warn,
 			"the log has entries of a duty that is not known or is switched off: they are kept as they are",
-			"duty", e.Component.Duty)
+			"duty", e.Component.Name)
 		return
 	}
 	t.LogMessage(effects.Warn,
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -711,7 +711,7 @@
 		panic(err)
 	}
 	for _, e := range list {
-		if e.Component == nil || e.Component.Duty != runtimes.Name {
+		if e.Component == nil || e.Component.Name != runtimes.Name {
 			continue
 		}
 		var x struct {
@@ -740,7 +740,7 @@
 			panic(err)
 		}
 		for _, e := range list {
-			if e.Component != nil && e.Component.Duty == duty {
+			if e.Component != nil && e.Component.Name == duty {
 				n++
 			}
 		}
