--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -15,7 +15,7 @@
 }
 
 // UnitsMost is how many units a pool may have, and a job may need of one.
-const UnitsMost = 1_000_000_000
+const MaxPoolUnits = 1_000_000_000
 
 // guardPrefix begins the name of a machine type that stands in for the machine types of a job that
 // needs units of pools. A version that knows nothing of pools finds no machine of that type, and
--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -20,7 +20,7 @@
 	errNoOperation   = errors.New("pools: neither a change nor a receipt is asked for")
 	errNothingToDo   = errors.New("pools: neither units nor drain is to be changed")
 	errInvalidID     = fmt.Errorf("pools: id: has 1 to %d bytes", maxIDBytes)
-	errTooManyUnits  = fmt.Errorf("pools: units: more than %d", eventlog.UnitsMost)
+	errTooManyUnits  = fmt.Errorf("pools: units: more than %d", eventlog.MaxPoolUnits)
 	errValuesLoading = errors.New("pools: what was changed before is still being read: try again in a second")
 )
 
@@ -114,7 +114,7 @@
 		return errValuesLoading
 	case c.ID == "" || len(c.ID) > maxIDBytes:
 		return errInvalidID
-	case c.Units != nil && *c.Units > eventlog.UnitsMost:
+	case c.Units != nil && *c.Units > eventlog.MaxPoolUnits:
 		return errTooManyUnits
 	case c.Units == nil && c.Drain == nil:
 		return errNothingToDo
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -85,9 +85,9 @@
 func (p *Pool) readKey(key, value string) (err error) {
 	switch key {
 	case "units":
-		p.Units, err = parseWhole(value, 0, eventlog.UnitsMost)
+		p.Units, err = parseWhole(value, 0, eventlog.MaxPoolUnits)
 	case "reserve":
-		p.Reserve, err = parseWhole(value, 0, eventlog.UnitsMost)
+		p.Reserve, err = parseWhole(value, 0, eventlog.MaxPoolUnits)
 	case "hold_after_loss":
 		p.HoldAfterLossS, err = strconv.ParseFloat(value, 64)
 		if err != nil || !(p.HoldAfterLossS >= 0) || p.HoldAfterLossS > maxHoldAfterLossS {
@@ -112,7 +112,7 @@
 		if !ok || share.Team == "" {
 			return nil, fmt.Errorf("not a team and its units, like risk:3: %q", part)
 		}
-		share.Units, err = parseWhole(strings.TrimSpace(units), 0, eventlog.UnitsMost)
+		share.Units, err = parseWhole(strings.TrimSpace(units), 0, eventlog.MaxPoolUnits)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", share.Team, err)
 		}
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -308,8 +308,8 @@
 	switch {
 	case r.Pool == nil || *r.Pool == "" || len(*r.Pool) > MaxName:
 		return none, fmt.Errorf("%spool: missing, empty or over %d bytes", field, MaxName)
-	case r.Units == nil || *r.Units < 1 || *r.Units > eventlog.UnitsMost:
-		return none, fmt.Errorf("%sunits: missing or not between 1 and %d", field, eventlog.UnitsMost)
+	case r.Units == nil || *r.Units < 1 || *r.Units > eventlog.MaxPoolUnits:
+		return none, fmt.Errorf("%sunits: missing or not between 1 and %d", field, eventlog.MaxPoolUnits)
 	case r.Per == nil || (*r.Per != "task" && *r.Per != "job"):
 		return none, fmt.Errorf("%sper: neither \"task\" nor \"job\"", field)
 	}
