--- a/internal/core/eventlog/split.go
+++ b/internal/core/eventlog/split.go
@@ -3,7 +3,7 @@
 import "encoding/json"
 
 // EntryBytes is what an entry takes besides a list that is split.
-const EntryBytes = 64
+const EntryOverheadBytes = 64
 
 // SplitNames splits names into lists of at most room bytes as JSON; each has at least one name,
 // unless there are none at all.
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -235,7 +235,7 @@
 		if err != nil {
 			continue // cannot happen: all amounts were checked when they came
 		}
-		room := d.EventLog.MaxEntryBytes() - len(withoutZones) - eventlog.EntryBytes
+		room := d.EventLog.MaxEntryBytes() - len(withoutZones) - eventlog.EntryOverheadBytes
 		for i, zones := range eventlog.SplitNames(allZones, room) {
 			part := t
 			part.Zones, part.More = zones, i > 0
@@ -248,7 +248,7 @@
 // need several entries, the request is recorded anew before each further one: a
 // leader that finds only the first ones sends it again and learns the rest.
 func (d *Component) appendRentalAnswer(r eventlog.Rental, machines []string) {
-	room := d.EventLog.MaxEntryBytes() - len(r.Name) - eventlog.EntryBytes
+	room := d.EventLog.MaxEntryBytes() - len(r.Name) - eventlog.EntryOverheadBytes
 	for i, names := range eventlog.SplitNames(machines, room) {
 		if i > 0 {
 			d.EventLog.Append(eventlog.Entry{Rental: &r})
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -183,7 +183,7 @@
 		raised = append(raised, jobMark{id, uint64(marks.unwritten[id])})
 	}
 	clear(marks.unwritten)
-	marksPerEntry := max(1, (c.EventLog.MaxEntryBytes()-eventlog.EntryBytes)/maxMarkBytes)
+	marksPerEntry := max(1, (c.EventLog.MaxEntryBytes()-eventlog.EntryOverheadBytes)/maxMarkBytes)
 	for part := range slices.Chunk(raised, marksPerEntry) {
 		c.appendMarks(part)
 	}
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -119,7 +119,7 @@
 			d.removeMachine(now, m)
 		}
 	}
-	for _, part := range eventlog.SplitNames(names, d.EventLog.MaxEntryBytes()-eventlog.EntryBytes) {
+	for _, part := range eventlog.SplitNames(names, d.EventLog.MaxEntryBytes()-eventlog.EntryOverheadBytes) {
 		d.EventLog.Append(eventlog.Entry{DeletedMachines: part})
 	}
 	d.NeedsCycle = true
--- a/internal/leader/registry/registry.go
+++ b/internal/leader/registry/registry.go
@@ -132,7 +132,7 @@
 	if len(d.returnsToRecord) == 0 {
 		return
 	}
-	for _, names := range eventlog.SplitNames(d.returnsToRecord, d.EventLog.MaxEntryBytes()-2*eventlog.EntryBytes) {
+	for _, names := range eventlog.SplitNames(d.returnsToRecord, d.EventLog.MaxEntryBytes()-2*eventlog.EntryOverheadBytes) {
 		d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, returnRecord{Epoch: d.Epoch, Machines: names}))
 	}
 	d.returnsToRecord = nil
