--- a/internal/core/eventlog/log.go
+++ b/internal/core/eventlog/log.go
@@ -158,8 +158,8 @@
 // DurableCount counts the entries that are durable.
 func (l *Log) DurableCount() int { return l.durableCount }
 
-// Pending counts the entries that are not known to be durable.
-func (l *Log) Pending() int { return len(l.pending) }
+// PendingCount counts the entries that are not known to be durable.
+func (l *Log) PendingCount() int { return len(l.pending) }
 
 // Idle says whether no commit is in flight: what is appended now goes with the next one.
 func (l *Log) Idle() bool { return l.inflight == nil }
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -164,7 +164,7 @@
 	for n := range uint64(200) {
 		l.AppendTracked(cancel(n))
 	}
-	for l.Pending() > 0 && now < time.Minute {
+	for l.PendingCount() > 0 && now < time.Minute {
 		if txn := l.NextTransaction(now); txn != nil {
 			if len(txn.Writes) > testLimits.TxnOps {
 				t.Fatalf("%d writes in one transaction", len(txn.Writes))
@@ -180,7 +180,7 @@
 		}
 		now += 10 * time.Millisecond
 	}
-	if l.Pending() > 0 {
+	if l.PendingCount() > 0 {
 		t.Fatal("not all was written in a minute")
 	}
 	if allowed := 10 + 10*(now-time.Second).Seconds(); float64(puts) > allowed {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -265,8 +265,8 @@
 	if fmt.Sprint(r.Needless) != "map[deleted_alive:1 rented_unused:1 returned_and_rent:2 started_done:1 stopped_soon:1]" {
 		t.Errorf("needless: %v", r.Needless)
 	}
-	if d.EventLog.Pending() != 1 {
-		t.Errorf("%d entries are written", d.EventLog.Pending())
+	if d.EventLog.PendingCount() != 1 {
+		t.Errorf("%d entries are written", d.EventLog.PendingCount())
 	}
 	// A successor remembers it, once, and no more than it is to keep.
 	next := begun(func(s *cluster.TermStart, _ *settings.Tunables) {
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -75,14 +75,14 @@
 		d.Jobs.ByID(1).UnresolvedMachines--
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
 		d.Tick(at(13+i), true)
-		if n := d.EventLog.Pending(); n != 0 {
+		if n := d.EventLog.PendingCount(); n != 0 {
 			t.Fatalf("%d entries after %d machines", n, i+1)
 		}
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.TaskPlaced, At: at(24), Machine: all[0]})
 	d.Tick(at(25), true)
 	d.Tick(at(26), true)
-	if n := d.EventLog.Pending(); n != 1 {
+	if n := d.EventLog.PendingCount(); n != 1 {
 		t.Fatalf("%d entries were written, want one", n)
 	}
 	list := shown(t, d)
@@ -128,8 +128,8 @@
 func TestAccountClosesWithoutMissingSteps(t *testing.T) {
 	d := begun(&cluster.Metrics{})
 	d.Tick(12*time.Second+maxAccountTime, true)
-	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != 2 {
-		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
+	if list := shown(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != 2 {
+		t.Errorf("%d entries, %+v", d.EventLog.PendingCount(), list[0])
 	}
 	d = begun(&cluster.Metrics{})
 	for _, m := range d.Inventory.All() {
@@ -140,16 +140,16 @@
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 14 * time.Second, Machine: first, Report: &workers.Report{}})
 	d.Jobs.ByID(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
-	if d.EventLog.Pending() != 0 {
+	if d.EventLog.PendingCount() != 0 {
 		t.Error("closed before a start could come")
 	}
 	d.Tick(14*time.Second+firstStartTimeout, false)
-	if d.EventLog.Pending() != 0 {
+	if d.EventLog.PendingCount() != 0 {
 		t.Error("closed by a leader that is not sure of its term")
 	}
 	d.Tick(14*time.Second+firstStartTimeout, true)
-	if list := shown(t, d); d.EventLog.Pending() != 1 || len(list[0].After) != int(stepCount)-1 {
-		t.Errorf("%d entries, %+v", d.EventLog.Pending(), list[0])
+	if list := shown(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != int(stepCount)-1 {
+		t.Errorf("%d entries, %+v", d.EventLog.PendingCount(), list[0])
 	}
 }
 
@@ -160,7 +160,7 @@
 	for epoch := range 8 {
 		d.Compact(0, entryWith(`{"e":%d}`, epoch))
 	}
-	if n := d.EventLog.Pending(); n != 3 {
+	if n := d.EventLog.PendingCount(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
 	d.TakeEffects()
@@ -169,7 +169,7 @@
 	if len(out) != 1 || !strings.Contains(out[0].(effects.LogMessage).Message, "cannot be read") {
 		t.Errorf("logged: %+v", out)
 	}
-	if n := d.EventLog.Pending(); n != 3 {
+	if n := d.EventLog.PendingCount(); n != 3 {
 		t.Errorf("%d records were kept after one that cannot be read, want 3", n)
 	}
 }
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -99,7 +99,7 @@
 	if stored, _ := c.storedForm(*rec); !c.EventLog.Fits(eventlog.Entry{Job: &stored}) {
 		return &effects.Answer{Status: statusBadRequest, Why: "breeds and other names: too long to be stored"}
 	}
-	if c.EventLog.Pending() > maxPendingEntries {
+	if c.EventLog.PendingCount() > maxPendingEntries {
 		return &effects.Answer{
 			Status:     statusTooMany,
 			Why:        "too much is waiting to be written",
--- a/internal/leader/placement/grants_test.go
+++ b/internal/leader/placement/grants_test.go
@@ -30,7 +30,7 @@
 	}
 	component.AppendEntries(0)
 	durable := 0
-	for revision := uint64(1); state.EventLog.Pending() > 0; revision++ {
+	for revision := uint64(1); state.EventLog.PendingCount() > 0; revision++ {
 		now := time.Duration(revision) * time.Second
 		txn := state.EventLog.NextTransaction(now)
 		if len(txn.Writes[0].Value) > valueSize {
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -49,7 +49,7 @@
 func commitAll(t *testing.T, component *Component) (out []eventlog.Entry) {
 	t.Helper()
 	component.AppendEntries(0)
-	for revision := uint64(1); component.EventLog.Pending() > 0; revision++ {
+	for revision := uint64(1); component.EventLog.PendingCount() > 0; revision++ {
 		now := time.Duration(revision) * time.Second
 		txn := component.EventLog.NextTransaction(now)
 		for _, w := range txn.Writes {
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -111,7 +111,7 @@
 	if err := config.Check(in.Changes, &d.Cfg.Platform); err != nil {
 		return err
 	}
-	if len(d.pending) >= maxPending || d.EventLog.Pending() > maxQueuedEntries {
+	if len(d.pending) >= maxPending || d.EventLog.PendingCount() > maxQueuedEntries {
 		return fieldError("changes", "too many wait to be written: try again")
 	}
 	return nil
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -50,14 +50,14 @@
 // commit has everything that waits become durable.
 func (b *fixture) commit() {
 	b.t.Helper()
-	for b.EventLog.Pending() > 0 {
+	for b.EventLog.PendingCount() > 0 {
 		b.now += 100 * time.Millisecond
 		txn := b.EventLog.NextTransaction(b.now)
 		if txn == nil {
 			continue
 		}
 		b.mark++
-		pending := b.EventLog.Pending()
+		pending := b.EventLog.PendingCount()
 		for _, w := range txn.Writes {
 			if list, err := eventlog.Decode(w.Value); err == nil && strings.HasPrefix(w.Key, eventlog.Prefix) {
 				b.entries = append(b.entries, list...) // some twice, which replay bears
@@ -67,7 +67,7 @@
 		for _, e := range durable {
 			b.EntryDurable(b.now, true, e)
 		}
-		if b.EventLog.Pending() == pending {
+		if b.EventLog.PendingCount() == pending {
 			b.t.Fatal("nothing becomes durable")
 		}
 	}
@@ -101,7 +101,7 @@
 	first := Request{ID: "a", Changes: []config.Change{limitTo("red", 20), limitTo("blue", 5)}}
 	dry := first
 	dry.DryRun = true
-	if a, err := b.ask(dry); err != nil || a.Revision != 1 || b.EventLog.Pending() != 0 {
+	if a, err := b.ask(dry); err != nil || a.Revision != 1 || b.EventLog.PendingCount() != 0 {
 		t.Fatalf("only asked: %+v %v", a, err)
 	}
 	bad := Request{ID: "bad", Changes: []config.Change{limitTo("red", 1), limitTo("blue", -1)}}
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -596,9 +596,9 @@
 		w.now += 24 * time.Hour
 		for range 200 {
 			w.now += d.writeInterval / 5
-			before := d.EventLog.Pending()
+			before := d.EventLog.PendingCount()
 			d.Tick(w.now, true)
-			if after := d.EventLog.Pending(); after > before+1 || (before > 0 && after > before) {
+			if after := d.EventLog.PendingCount(); after > before+1 || (before > 0 && after > before) {
 				t.Fatalf("%d entries at once, with %d waiting", after-before, before)
 			}
 			w.write(d, 1)
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -114,7 +114,7 @@
 	if d.writes.Len() > 0 {
 		return // one at a time
 	}
-	if len(d.store.dirty) == 0 || now-d.lastWriteAt < d.writeInterval || d.EventLog.Pending() > 0 {
+	if len(d.store.dirty) == 0 || now-d.lastWriteAt < d.writeInterval || d.EventLog.PendingCount() > 0 {
 		return
 	}
 	d.store.maxBytes = d.EventLog.MaxEntryBytes()
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -57,7 +57,7 @@
 	if step == eventlog.TermLost {
 		message = "the state service refuses a transaction as malformed: the term ends"
 	}
-	t.LogMessage(effects.Error, message, "epoch", t.Epoch, "pending", t.EventLog.Pending())
+	t.LogMessage(effects.Error, message, "epoch", t.Epoch, "pending", t.EventLog.PendingCount())
 }
 
 // ReadBack takes the value that settles a commit without an answer.
--- a/internal/leader/term/compaction.go
+++ b/internal/leader/term/compaction.go
@@ -66,7 +66,7 @@
 	switch {
 	case excess < 0:
 		return false
-	case excess < allowed/2 && t.EventLog.Pending() > 0:
+	case excess < allowed/2 && t.EventLog.PendingCount() > 0:
 		return false
 	case excess < 2*allowed && now-t.compactionBegan < compactionInterval:
 		return false
--- a/internal/leader/term/limits_test.go
+++ b/internal/leader/term/limits_test.go
@@ -74,8 +74,8 @@
 		}
 		term.Committed(*now, true, txn.Sequence, eventlog.Applied, mark, nil)
 	}
-	if term.EventLog.Pending() > 0 {
-		t.Fatalf("%d entries are never written", term.EventLog.Pending())
+	if term.EventLog.PendingCount() > 0 {
+		t.Fatalf("%d entries are never written", term.EventLog.PendingCount())
 	}
 	var out []eventlog.Entry
 	keys := make([]string, 0, len(segments))
@@ -182,7 +182,7 @@
 	t.Helper()
 	term.firstSegment, term.compacting = 1, true
 	term.SegmentsRead(time.Minute, 1, 2, true, entries)
-	if term.EventLog.Pending() == 0 {
+	if term.EventLog.PendingCount() == 0 {
 		t.Fatal("nothing was kept")
 	}
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -83,7 +83,7 @@
 		return status
 	}
 	status.Loaded = true
-	status.Unsaved = c.term.EventLog.Pending()
+	status.Unsaved = c.term.EventLog.PendingCount()
 	status.Machines = machineStatuses(c.term)
 	status.Blocks = shardStatuses(c.term)
 	status.Queue = queueStatuses(c.term, now)
