--- a/internal/core/eventlog/log.go
+++ b/internal/core/eventlog/log.go
@@ -176,8 +176,8 @@
 // segmentCapacity is how many bytes of entries a segment may have.
 func (l *Log) segmentCapacity() int { return l.limits.ValueBytes - segmentOverhead }
 
-// LastSegment is the number of the open segment.
-func (l *Log) LastSegment() int { return l.openSegment }
+// OpenSegment is the number of the open segment.
+func (l *Log) OpenSegment() int { return l.openSegment }
 
 // DropSegment queues the removal of a segment whose live entries are durable elsewhere.
 func (l *Log) DropSegment(number int) {
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -117,7 +117,7 @@
 			l.CommitResult(now, txn.Sequence, out, version, failed)
 		}
 	}
-	for n := uint64(0); l.LastSegment() == 1 && len(l.openBody) < testLimits.ValueBytes-64-10; n++ {
+	for n := uint64(0); l.OpenSegment() == 1 && len(l.openBody) < testLimits.ValueBytes-64-10; n++ {
 		l.AppendTracked(cancel(100 + n))
 		step()
 	}
--- a/internal/leader/term/compaction.go
+++ b/internal/leader/term/compaction.go
@@ -47,7 +47,7 @@
 	}
 	valueBytes := int(t.Cfg.WriteLimits().ValueKB * 1024)
 	allowed := max(compactionMinSegments, liveFactor*live/valueBytes)
-	excess := t.EventLog.LastSegment() - t.firstSegment - allowed
+	excess := t.EventLog.OpenSegment() - t.firstSegment - allowed
 	if !t.compactionDue(now, allowed, excess) {
 		return
 	}
@@ -55,7 +55,7 @@
 	count := max(1, min(compactionBytes/valueBytes, compactionMaxSegments))
 	t.Emit(effects.ReadSegments{
 		First: t.firstSegment,
-		Count: min(excess+1, count, t.EventLog.LastSegment()-t.firstSegment),
+		Count: min(excess+1, count, t.EventLog.OpenSegment()-t.firstSegment),
 	})
 }
 
