--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -113,7 +113,7 @@
 	}
 	found := map[uint64]float64{}
 	for k, raw := range s.data {
-		if _, err := SizesNumber(k); err != nil {
+		if _, err := SizesPieceNumber(k); err != nil {
 			continue
 		}
 		var v VirtualSizes
@@ -178,7 +178,7 @@
 		for _, w := range txn.Writes {
 			if w.Remove {
 				removed++
-			} else if _, err := SizesNumber(w.Key); err == nil {
+			} else if _, err := SizesPieceNumber(w.Key); err == nil {
 				sizes++
 			}
 		}
--- a/internal/core/eventlog/sizes.go
+++ b/internal/core/eventlog/sizes.go
@@ -24,8 +24,8 @@
 	Virtual float64 `json:"v"`
 }
 
-// SizesNumber is the number of the piece of virtual sizes with a key.
-func SizesNumber(key string) (int, error) { return keyNumber(key, SizesPrefix) }
+// SizesPieceNumber is the number of the piece of virtual sizes with a key.
+func SizesPieceNumber(key string) (int, error) { return keyNumber(key, SizesPrefix) }
 
 func sizesPieceKey(number int) string { return fmt.Sprintf("%s%04d", SizesPrefix, number) }
 
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -100,7 +100,7 @@
 	if err := json.Unmarshal(piece.Value, &virtual); err != nil {
 		return fmt.Errorf("%s: %w", piece.Key, err)
 	}
-	number, err := eventlog.SizesNumber(piece.Key)
+	number, err := eventlog.SizesPieceNumber(piece.Key)
 	if err != nil {
 		return err
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -416,7 +416,7 @@
 			if json.Unmarshal(st.items[k].value, &v) == nil {
 				r.Sizes = append(r.Sizes, v.Sizes...)
 			}
-			n, _ := eventlog.SizesNumber(k)
+			n, _ := eventlog.SizesPieceNumber(k)
 			r.Pieces = max(r.Pieces, n+1)
 		}
 		reply(r)
