--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -117,9 +117,9 @@
 // Dependencies lists jobs on which a job depends, where they are too many for its own entry. It
 // belongs to the job's entry with the same time of acceptance. Lifecycle writes it before that.
 type Dependencies struct {
-	ID   uint64   `json:"i"` // the job that depends on them
-	AtMS int64    `json:"a"` // the time of day of its acceptance, in ms
-	Jobs []uint64 `json:"f"`
+	ID         uint64   `json:"i"` // the job that depends on them
+	AcceptedMS int64    `json:"a"` // the time of day of its acceptance, in ms
+	Jobs       []uint64 `json:"f"`
 }
 
 // CompletedTasks notes completed tasks of a job, and the run time of those whose time is known.
--- a/internal/leader/lifecycle/compaction.go
+++ b/internal/leader/lifecycle/compaction.go
@@ -56,7 +56,7 @@
 	case e.Dependencies != nil:
 		// One for one, beside the job's own entry: the two may be in different segments, and
 		// what a waiting job depends on must never be lost.
-		if j := c.Jobs.ByID(e.Dependencies.ID); j != nil && j.Record.AtMS == e.Dependencies.AtMS {
+		if j := c.Jobs.ByID(e.Dependencies.ID); j != nil && j.Record.AtMS == e.Dependencies.AcceptedMS {
 			c.EventLog.Append(e)
 		}
 	case e.Job != nil:
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -32,7 +32,7 @@
 	}
 	var parts []eventlog.Entry
 	for ids := range slices.Chunk(rec.Follows, max(1, c.EventLog.MaxEntryBytes()/maxIDBytes-dependenciesOverhead)) {
-		part := eventlog.Dependencies{ID: rec.ID, AtMS: rec.AtMS, Jobs: ids}
+		part := eventlog.Dependencies{ID: rec.ID, AcceptedMS: rec.AtMS, Jobs: ids}
 		parts = append(parts, eventlog.Entry{Dependencies: &part})
 	}
 	rec.Rest, rec.Follows = len(rec.Follows), nil
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -172,7 +172,7 @@
 func joinDependencies(rec eventlog.Job, parts []eventlog.Dependencies) []uint64 {
 	var ids []uint64
 	for _, part := range parts {
-		if part.AtMS == rec.AtMS {
+		if part.AcceptedMS == rec.AtMS {
 			ids = append(ids, part.Jobs...)
 		}
 	}
--- a/internal/leader/term/dependencies_test.go
+++ b/internal/leader/term/dependencies_test.go
@@ -56,7 +56,7 @@
 	unknown, short := job, job
 	unknown.Follows = []uint64{1}
 	short.ID, short.Rest = 3, 4
-	ofAnotherAcceptance := eventlog.Dependencies{ID: 3, AtMS: 999, Jobs: []uint64{7}}
+	ofAnotherAcceptance := eventlog.Dependencies{ID: 3, AcceptedMS: 999, Jobs: []uint64{7}}
 	term := newSmallTerm([]eventlog.Entry{{Job: &unknown}, {Job: &short}, {Dependencies: &ofAnotherAcceptance}})
 	for _, id := range []uint64{2, 3} {
 		if j := term.Jobs.ByID(id); j == nil || j.Phase != jobs.Held {
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -72,7 +72,7 @@
 	job := eventlog.Job{ID: 9, Class: "c", Team: "t", Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", EstimateS: 5, AtMS: 7}
 	next := job
 	next.Follows, next.Rest, next.ReleasedMS = []uint64{1, 2}, 3, 99
-	with := []eventlog.Entry{{Job: &next}, {Dependencies: &eventlog.Dependencies{ID: 9, AtMS: 7, Jobs: []uint64{5}}},
+	with := []eventlog.Entry{{Job: &next}, {Dependencies: &eventlog.Dependencies{ID: 9, AcceptedMS: 7, Jobs: []uint64{5}}},
 		{CompletedTasks: &eventlog.CompletedTasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3, AtMS: 88}},
 		{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}, More: true}}}}
 	without := []eventlog.Entry{{Job: &job}, {},
