--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -193,15 +193,15 @@
 
 // MachineType is a machine type as the cloud described it. Autoscaler writes it.
 type MachineType struct {
-	Name      string   `json:"n"`
-	CPUs      float64  `json:"c"`
-	GPUs      float64  `json:"g,omitempty"`
-	MemoryGB  float64  `json:"m"`
-	CacheGB   float64  `json:"l"` // room for images
-	FetchGBPS float64  `json:"f"` // rate at which images are fetched, GB a second
-	Price     float64  `json:"p"` // on demand
-	SpotPrice float64  `json:"q"`
-	BootS     float64  `json:"b"` // seconds from the rental until it is ready
-	Zones     []string `json:"z"`
-	More      bool     `json:"w,omitempty"` // these zones are further ones of a type that another entry describes
+	Name         string   `json:"n"`
+	CPUs         float64  `json:"c"`
+	GPUs         float64  `json:"g,omitempty"`
+	MemoryGB     float64  `json:"m"`
+	CacheGB      float64  `json:"l"` // room for images
+	FetchGBPS    float64  `json:"f"` // rate at which images are fetched, GB a second
+	Price        float64  `json:"p"` // on demand
+	SpotPrice    float64  `json:"q"`
+	BootS        float64  `json:"b"` // seconds from the rental until it is ready
+	Zones        []string `json:"z"`
+	FurtherZones bool     `json:"w,omitempty"` // these zones are further ones of a type that another entry describes
 }
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -217,7 +217,7 @@
 		switch {
 		case int(i) == len(d.Types):
 			d.Types = append(d.Types, t)
-		case t.More:
+		case t.FurtherZones:
 			d.Types[i].Zones = append(slices.Clone(d.Types[i].Zones), t.Zones...)
 		default:
 			d.Types[i] = t
@@ -238,7 +238,7 @@
 		room := d.EventLog.MaxEntryBytes() - len(withoutZones) - eventlog.EntryOverheadBytes
 		for i, zones := range eventlog.SplitNames(allZones, room) {
 			part := t
-			part.Zones, part.More = zones, i > 0
+			part.Zones, part.FurtherZones = zones, i > 0
 			d.EventLog.Append(eventlog.Entry{MachineTypes: []eventlog.MachineType{part}})
 		}
 	}
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -74,7 +74,7 @@
 	next.Follows, next.Rest, next.ReleasedMS = []uint64{1, 2}, 3, 99
 	with := []eventlog.Entry{{Job: &next}, {Dependencies: &eventlog.Dependencies{ID: 9, AcceptedMS: 7, Jobs: []uint64{5}}},
 		{CompletedTasks: &eventlog.CompletedTasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3, AtMS: 88}},
-		{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}, More: true}}}}
+		{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}, FurtherZones: true}}}}
 	without := []eventlog.Entry{{Job: &job}, {},
 		{CompletedTasks: &eventlog.CompletedTasks{ID: 9, Ranges: [][2]int{{0, 3}}, Seconds: 6, Known: 3}},
 		{MachineTypes: []eventlog.MachineType{{Name: "m", CPUs: 4, MemoryGB: 8, Zones: []string{"b"}}}}}
