--- a/internal/core/leadership/elector_test.go
+++ b/internal/core/leadership/elector_test.go
@@ -170,8 +170,8 @@
 	e.HeartbeatReceived(1*time.Second, "b", 3, FleetKnown)
 	e.HeartbeatReceived(5*time.Second, "b", 3, FleetKnown)
 	e.HeartbeatReceived(8*time.Second, "c", 4, FleetListening)
-	first := LeaderRecord{Ever: true, Since: 1 * time.Second, Until: 5 * time.Second, Fleet: FleetKnown}
-	second := LeaderRecord{Ever: true, Since: 8 * time.Second, Until: 8 * time.Second, Fleet: FleetListening}
+	first := LeaderRecord{Known: true, Since: 1 * time.Second, Until: 5 * time.Second, Fleet: FleetKnown}
+	second := LeaderRecord{Known: true, Since: 8 * time.Second, Until: 8 * time.Second, Fleet: FleetListening}
 	for epoch, want := range map[uint64]LeaderRecord{4: first, 5: second} {
 		if got := e.PreviousLeader(epoch); got != want {
 			t.Errorf("before epoch %d: %+v, want %+v", epoch, got, want)
--- a/internal/core/leadership/leaderless.go
+++ b/internal/core/leadership/leaderless.go
@@ -4,7 +4,7 @@
 
 // LeaderRecord is what a node knows of one leader.
 type LeaderRecord struct {
-	Ever         bool           // there was such a leader at all
+	Known        bool           // there was such a leader at all
 	Since, Until time.Duration  // when it was first and last heard of
 	Fleet        FleetKnowledge // what it last said of its fleet
 }
@@ -23,7 +23,7 @@
 func (h *leaderHistory) recordLeader(now time.Duration, epoch uint64) {
 	if epoch != h.seenEpoch {
 		h.prior = h.last
-		h.last = LeaderRecord{Ever: true, Since: now}
+		h.last = LeaderRecord{Known: true, Since: now}
 		h.seenEpoch = epoch
 	}
 	h.seenAt, h.leaderless = now, false
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -137,7 +137,7 @@
 // in the middle of its census: the next one took over as from any other, and deleted
 // machines that were on their way.
 func (d *Component) isFailoverFrom(now time.Duration, led leadership.LeaderRecord) bool {
-	if !led.Ever || now-led.Until >= settings.Seconds(d.Cfg.Tunables.ColdAfterS) {
+	if !led.Known || now-led.Until >= settings.Seconds(d.Cfg.Tunables.ColdAfterS) {
 		return false
 	}
 	switch led.Fleet {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -147,7 +147,7 @@
 func TestBeginningIsToldApart(t *testing.T) {
 	at := 100 * time.Second
 	led := func(ago, lasted time.Duration, f leadership.FleetKnowledge) leadership.LeaderRecord {
-		return leadership.LeaderRecord{Ever: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
+		return leadership.LeaderRecord{Known: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
 	}
 	none := leadership.LeaderRecord{}
 	noPeer := func(*Component) {}
@@ -270,7 +270,7 @@
 	}
 	// A successor remembers it, once, and no more than it is to keep.
 	next := begun(func(s *cluster.TermStart, _ *settings.Tunables) {
-		s.PreviousLeader = leadership.LeaderRecord{Ever: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
+		s.PreviousLeader = leadership.LeaderRecord{Known: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
 	})
 	for _, epoch := range []uint64{1, 2, 7, 7} {
 		r.Epoch = epoch
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -221,7 +221,7 @@
 		n.enqueue(ctx, func(now time.Duration) {
 			until := now - time.Duration(answer.AgoMS)*time.Millisecond
 			n.core.PreviousLeaderReported(now, e.Epoch, e.Peer, leadership.LeaderRecord{
-				Ever:  answer.Ever,
+				Known: answer.Ever,
 				Since: until - time.Duration(answer.LastedMS)*time.Millisecond,
 				Until: until,
 				Fleet: answer.Fleet,
--- a/internal/node/peer_rpc.go
+++ b/internal/node/peer_rpc.go
@@ -83,7 +83,7 @@
 	return c.node.runOnLoop(func(now time.Duration) {
 		previous := c.node.core.PreviousLeader(epoch)
 		*out = PreviousLeaderAnswer{
-			Ever:     previous.Ever,
+			Ever:     previous.Known,
 			AgoMS:    (now - previous.Until).Milliseconds(),
 			LastedMS: (previous.Until - previous.Since).Milliseconds(),
 			Fleet:    previous.Fleet,
