--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -69,7 +69,7 @@
 
 // What a leader may say.
 const (
-	FleetUnsaid    FleetKnowledge = iota // nothing: its version or its settings do not say it
-	FleetListening                       // it does not know yet
-	FleetKnown                           // it knows
+	FleetUnspecified FleetKnowledge = iota // nothing: its version or its settings do not say it
+	FleetListening                         // it does not know yet
+	FleetKnown                             // it knows
 )
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -143,7 +143,7 @@
 	switch led.Fleet {
 	case leadership.FleetKnown:
 		return true
-	case leadership.FleetUnsaid:
+	case leadership.FleetUnspecified:
 		return led.Until-led.Since >= announceWithin
 	}
 	return false
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -99,7 +99,7 @@
 func (t *Term) FleetKnowledge() leadership.FleetKnowledge {
 	switch {
 	case t.coldStart == nil:
-		return leadership.FleetUnsaid
+		return leadership.FleetUnspecified
 	case !t.loaded:
 		return leadership.FleetListening
 	}
