--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -422,7 +422,7 @@
 func (c *collector) storedNumbers() {
 	for name, n := range map[string]int{
 		"kind array": int(jobs.Array), "kind gang": int(jobs.Gang), "kind service": int(jobs.Service),
-		"fleet unsaid": int(leadership.FleetUnspecified), "fleet listening": int(leadership.FleetListening), "fleet known": int(leadership.FleetKnown),
+		"fleet unsaid": int(leadership.FleetUnspecified), "fleet listening": int(leadership.FleetReconciling), "fleet known": int(leadership.FleetKnown),
 		"command start": int(workers.Start), "command stop": int(workers.Stop), "command reap": int(workers.Reap),
 		"reason vanished": int(workers.Vanished), "reason completed": int(workers.Completed), "reason stopped": int(workers.Stopped),
 		"reason peers lost": int(workers.PeersLost), "reason alone": int(workers.GangIncomplete), "reason failed": int(workers.Failed),
--- a/internal/core/leadership/elector_test.go
+++ b/internal/core/leadership/elector_test.go
@@ -158,7 +158,7 @@
 	if out := e.Tick(now + e.SilenceLimit - 1); out != nil {
 		t.Errorf("asked early: %+v", out)
 	}
-	e.HeartbeatReceived(now+3*time.Second, "b", 7, FleetListening)
+	e.HeartbeatReceived(now+3*time.Second, "b", 7, FleetReconciling)
 	if out := e.Tick(now + e.SilenceLimit); out != nil {
 		t.Errorf("asked although a heartbeat came: %+v", out)
 	}
@@ -169,9 +169,9 @@
 	e := NewElector("a", testTTL)
 	e.HeartbeatReceived(1*time.Second, "b", 3, FleetKnown)
 	e.HeartbeatReceived(5*time.Second, "b", 3, FleetKnown)
-	e.HeartbeatReceived(8*time.Second, "c", 4, FleetListening)
+	e.HeartbeatReceived(8*time.Second, "c", 4, FleetReconciling)
 	first := LeaderRecord{Known: true, Since: 1 * time.Second, Until: 5 * time.Second, Fleet: FleetKnown}
-	second := LeaderRecord{Known: true, Since: 8 * time.Second, Until: 8 * time.Second, Fleet: FleetListening}
+	second := LeaderRecord{Known: true, Since: 8 * time.Second, Until: 8 * time.Second, Fleet: FleetReconciling}
 	for epoch, want := range map[uint64]LeaderRecord{4: first, 5: second} {
 		if got := e.PreviousLeader(epoch); got != want {
 			t.Errorf("before epoch %d: %+v, want %+v", epoch, got, want)
--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -70,6 +70,6 @@
 // What a leader may say.
 const (
 	FleetUnspecified FleetKnowledge = iota // nothing: its version or its settings do not say it
-	FleetListening                         // it does not know yet
+	FleetReconciling                       // it does not know yet
 	FleetKnown                             // it knows
 )
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -154,7 +154,7 @@
 	if d.kind == failoverStart || (d.census != nil && d.census.settled) {
 		return leadership.FleetKnown
 	}
-	return leadership.FleetListening
+	return leadership.FleetReconciling
 }
 
 // PeerLed applies a peer's answer on the last leader before this one. known is false where
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -161,7 +161,7 @@
 		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), noPeer, failoverStart},
 		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnspecified), noPeer, failoverStart},
 		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnspecified), noAnswer, coldStart},
-		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetListening), noAnswer, coldStart},
+		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetReconciling), noAnswer, coldStart},
 		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), noAnswer, coldStart},
 		{"it never did, and nobody answers", none, noAnswer, coldStart},
 		{"the peers have not answered yet", none, func(d *Component) { d.PeerLed(at, "n1", none, true) }, undecided},
@@ -178,7 +178,7 @@
 			d.PeerLed(at, "n2", none, true)
 		}, coldStart},
 		{"a peer heard one that was listening", none, func(d *Component) {
-			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.FleetListening), true)
+			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.FleetReconciling), true)
 			d.PeerLed(at, "n2", none, true)
 		}, coldStart},
 		{"it met a leader for a moment, a peer knows it", led(2*time.Second, 0, leadership.FleetUnspecified), func(d *Component) {
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -101,7 +101,7 @@
 	case t.coldStart == nil:
 		return leadership.FleetUnspecified
 	case !t.loaded:
-		return leadership.FleetListening
+		return leadership.FleetReconciling
 	}
 	return t.coldStart.Fleet()
 }
