--- a/internal/core/leadership/elector_test.go
+++ b/internal/core/leadership/elector_test.go
@@ -177,7 +177,7 @@
 			t.Errorf("before epoch %d: %+v, want %+v", epoch, got, want)
 		}
 	}
-	if seen, _ := e.WithoutLeader(); seen != 8*time.Second {
+	if seen, _ := e.LeaderlessTimes(); seen != 8*time.Second {
 		t.Errorf("a leader was last heard of at %v", seen)
 	}
 }
--- a/internal/core/leadership/leaderless.go
+++ b/internal/core/leadership/leaderless.go
@@ -37,9 +37,9 @@
 	}
 }
 
-// WithoutLeader gives when this node last heard of a leader, 0 if it never did, and since when it
+// LeaderlessTimes gives when this node last heard of a leader, 0 if it never did, and since when it
 // has seen that nobody leads. A new leader asks for it.
-func (e *Elector) WithoutLeader() (lastSeen, leaderlessSince time.Duration) {
+func (e *Elector) LeaderlessTimes() (lastSeen, leaderlessSince time.Duration) {
 	return e.history.seenAt, e.history.leaderlessSince
 }
 
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -125,7 +125,7 @@
 
 func (c *Core) beginTerm(now time.Duration) {
 	c.counts.Terms++
-	lastHeard, missedAt := c.elector.WithoutLeader()
+	lastHeard, missedAt := c.elector.LeaderlessTimes()
 	c.term = term.New(cluster.TermStart{
 		Cfg:             c.settings,
 		ClockZeroMS:     c.clockZeroMS,
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -56,7 +56,7 @@
 // token that the worker has seen, and with nothing to do. Such a worker has tried the others
 // before, and would be the same at another node that is cut off too.
 func (c *Core) zoneCutOff(now time.Duration) bool {
-	heardAt, _ := c.elector.WithoutLeader()
+	heardAt, _ := c.elector.LeaderlessTimes()
 	silent := now - heardAt
 	return heardAt > 0 &&
 		silent > c.unreachableLimit()+peerTimeout &&
