--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestStartLimiter(t *testing.T) {
-	s := NewStartLimiter(Limits{Zone: 5, Images: 1})
+	s := NewStartLimiter(StartLimits{Zone: 5, Images: 1})
 	n := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
 		for range 3 {
@@ -115,7 +115,7 @@
 			t.Errorf("image there %v, %d being fetched: allowed %v", c.hasImage, c.fetching, got)
 		}
 	}
-	free := NewStartLimiter(Limits{})
+	free := NewStartLimiter(StartLimits{})
 	for range 1000 {
 		if !free.Allows(0, 1, false, 99) {
 			t.Fatal("no limit, and yet refused")
--- a/internal/core/ratelimit/start_limiter.go
+++ b/internal/core/ratelimit/start_limiter.go
@@ -8,8 +8,8 @@
 // zoneBurstSeconds is for how many seconds' worth a zone's starts may be saved up.
 const zoneBurstSeconds = 1
 
-// Limits says how fast tasks may be started while a leader catches up.
-type Limits struct {
+// StartLimits says how fast tasks may be started while a leader catches up.
+type StartLimits struct {
 	Zone   float64 // starts a second in one zone; 0: any number
 	Images int     // images that a machine may be fetching at once; 0: any number
 }
@@ -17,12 +17,12 @@
 // StartLimiter is the budget of starts. A scheduling cycle asks it for each task that it would
 // place; a machine that may not take a task now is left out for this cycle.
 type StartLimiter struct {
-	limits Limits
+	limits StartLimits
 	zones  map[int32]*Bucket // by the zone's number
 }
 
 // NewStartLimiter makes a full budget.
-func NewStartLimiter(limits Limits) *StartLimiter {
+func NewStartLimiter(limits StartLimits) *StartLimiter {
 	return &StartLimiter{limits: limits, zones: map[int32]*Bucket{}}
 }
 
