--- a/internal/core/ratelimit/start_limiter.go
+++ b/internal/core/ratelimit/start_limiter.go
@@ -10,8 +10,8 @@
 
 // StartLimits says how fast tasks may be started while a leader catches up.
 type StartLimits struct {
-	Zone   float64 // starts a second in one zone; 0: any number
-	Images int     // images that a machine may be fetching at once; 0: any number
+	ZoneStartsPerSecond float64 // starts a second in one zone; 0: any number
+	Images              int     // images that a machine may be fetching at once; 0: any number
 }
 
 // StartLimiter is the budget of starts. A scheduling cycle asks it for each task that it would
@@ -32,12 +32,12 @@
 	if !hasImage && s.limits.Images > 0 && fetching >= s.limits.Images {
 		return false // one fetch is shared by all who wait for it; two share the rate
 	}
-	return s.limits.Zone == 0 || s.zoneBucket(now, zone).Has(now, 1)
+	return s.limits.ZoneStartsPerSecond == 0 || s.zoneBucket(now, zone).Has(now, 1)
 }
 
 // Spend counts a start in a zone.
 func (s *StartLimiter) Spend(now time.Duration, zone int32) {
-	if s.limits.Zone > 0 {
+	if s.limits.ZoneStartsPerSecond > 0 {
 		s.zoneBucket(now, zone).Take(now, 1)
 	}
 }
@@ -46,7 +46,7 @@
 func (s *StartLimiter) zoneBucket(now time.Duration, zone int32) *Bucket {
 	bucket := s.zones[zone]
 	if bucket == nil {
-		full := NewBucket(now, s.limits.Zone, math.Max(1, s.limits.Zone*zoneBurstSeconds))
+		full := NewBucket(now, s.limits.ZoneStartsPerSecond, math.Max(1, s.limits.ZoneStartsPerSecond*zoneBurstSeconds))
 		bucket = &full
 		s.zones[zone] = bucket
 	}
