--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -92,7 +92,7 @@
 }
 
 func TestStartLimiter(t *testing.T) {
-	s := NewStartLimiter(StartLimits{ZoneStartsPerSecond: 5, Images: 1})
+	s := NewStartLimiter(StartLimits{ZoneStartsPerSecond: 5, MaxImageFetches: 1})
 	n := 0
 	for now := time.Duration(0); now < 10*time.Second; now += 20 * time.Millisecond {
 		for range 3 {
--- a/internal/core/ratelimit/start_limiter.go
+++ b/internal/core/ratelimit/start_limiter.go
@@ -11,7 +11,7 @@
 // StartLimits says how fast tasks may be started while a leader catches up.
 type StartLimits struct {
 	ZoneStartsPerSecond float64 // starts a second in one zone; 0: any number
-	Images              int     // images that a machine may be fetching at once; 0: any number
+	MaxImageFetches     int     // images that a machine may be fetching at once; 0: any number
 }
 
 // StartLimiter is the budget of starts. A scheduling cycle asks it for each task that it would
@@ -29,7 +29,7 @@
 // Allows says whether a task may be started in a zone, on a machine that has the task's image or
 // not and is fetching so many. It spends nothing.
 func (s *StartLimiter) Allows(now time.Duration, zone int32, hasImage bool, fetching int) bool {
-	if !hasImage && s.limits.Images > 0 && fetching >= s.limits.Images {
+	if !hasImage && s.limits.MaxImageFetches > 0 && fetching >= s.limits.MaxImageFetches {
 		return false // one fetch is shared by all who wait for it; two share the rate
 	}
 	return s.limits.ZoneStartsPerSecond == 0 || s.zoneBucket(now, zone).Has(now, 1)
