--- a/internal/core/config/change.go
+++ b/internal/core/config/change.go
@@ -17,8 +17,8 @@
 	if len(changes) == 0 {
 		return fieldError("changes", "there are none")
 	}
-	if len(changes) > MostChanges {
-		return fieldError("changes", "%d are more than %d at once", len(changes), MostChanges)
+	if len(changes) > MaxChanges {
+		return fieldError("changes", "%d are more than %d at once", len(changes), MaxChanges)
 	}
 	seen := map[Item]bool{}
 	for _, change := range changes {
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -16,8 +16,8 @@
 
 // Bounds of what may be changed.
 const (
-	MostChanges = 64   // of one revision
-	MostItems   = 2000 // that ever were changed
+	MaxChanges = 64   // of one revision
+	MostItems  = 2000 // that ever were changed
 
 	maxTeamNameBytes = 64
 	maxIDBytes       = 64
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -57,7 +57,7 @@
 			}
 		})
 	}
-	if err := Check(make([]Change, MostChanges+1), platform()); err == nil {
+	if err := Check(make([]Change, MaxChanges+1), platform()); err == nil {
 		t.Error("a bundle of any size is taken")
 	}
 	small := platform()
