--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -17,7 +17,7 @@
 // Bounds of what may be changed.
 const (
 	MaxChanges = 64   // of one revision
-	MostItems  = 2000 // that ever were changed
+	MaxItems   = 2000 // that ever were changed
 
 	maxTeamNameBytes = 64
 	maxIDBytes       = 64
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -138,8 +138,8 @@
 			added++
 		}
 	}
-	if d.document.Len()+added > config.MostItems {
-		return nil, fieldError("changes", "more than %d things would have been changed", config.MostItems)
+	if d.document.Len()+added > config.MaxItems {
+		return nil, fieldError("changes", "more than %d things would have been changed", config.MaxItems)
 	}
 	return r, nil
 }
--- a/internal/node/message_checks.go
+++ b/internal/node/message_checks.go
@@ -92,7 +92,7 @@
 }
 
 func (n *Node) checkConfig(update config.Update) error {
-	if len(update.Sets) > config.MostItems {
+	if len(update.Sets) > config.MaxItems {
 		return fmt.Errorf("node: heartbeat: %d changes of the configuration", len(update.Sets))
 	}
 	for _, change := range update.Sets {
