--- a/internal/core/config/revision.go
+++ b/internal/core/config/revision.go
@@ -13,8 +13,8 @@
 	Before  []Value  `json:"before"` // what each of them replaced
 }
 
-// CheckWords says what is wrong with a revision's id and note.
-func CheckWords(id, note string) error {
+// CheckIDAndNote says what is wrong with a revision's id and note.
+func CheckIDAndNote(id, note string) error {
 	if id == "" || len(id) > maxIDBytes {
 		return fieldError("id", "has 1 to %d bytes", maxIDBytes)
 	}
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -63,7 +63,7 @@
 
 // change checks a request as a whole before anything is changed.
 func (d *Component) change(now time.Duration, by string, in *Request) (*Answer, error) {
-	if err := config.CheckWords(in.ID, in.Note); err != nil {
+	if err := config.CheckIDAndNote(in.ID, in.Note); err != nil {
 		return nil, err
 	}
 	if a := d.repeatedAnswer(in.ID); a != nil {
