--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -112,7 +112,7 @@
 	}
 	var old Document
 	old.Apply(&Revision{Number: 1, Changes: []Change{{idle, number(5)}}})
-	r.Store(3, &old)
+	r.CopyFrom(3, &old)
 	if r.Revision() != 2 {
 		t.Error("it went back")
 	}
--- a/internal/core/config/replica.go
+++ b/internal/core/config/replica.go
@@ -42,8 +42,8 @@
 	r.revisionSince = now
 }
 
-// Store copies a leader's own document, unless the replica has as late a revision.
-func (r *Replica) Store(now time.Duration, document *Document) {
+// CopyFrom copies a leader's own document, unless the replica has as late a revision.
+func (r *Replica) CopyFrom(now time.Duration, document *Document) {
 	r.updatedAt = now
 	if document.revision > r.document.revision {
 		r.document, r.revisionSince = document.clone(), now
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -118,7 +118,7 @@
 		if had := d.Config.Revision(); had > d.document.Revision() {
 			d.noteMissing(had)
 		}
-		d.Config.Store(now, &d.document)
+		d.Config.CopyFrom(now, &d.document)
 	}
 	for _, c := range d.controllers {
 		c.behindSince = now
@@ -149,7 +149,7 @@
 	}
 	d.updateLiveBytes()
 	if d.Config != nil {
-		d.Config.Store(now, &d.document)
+		d.Config.CopyFrom(now, &d.document)
 	}
 	d.revisionDurable(now, r.Number)
 	d.LogMessage(effects.Info, "the configuration has changed",
