--- a/internal/core/config/replica.go
+++ b/internal/core/config/replica.go
@@ -19,8 +19,8 @@
 // Revision is what the controller has in force.
 func (r *Replica) Revision() uint64 { return r.document.revision }
 
-// Since is when that revision came; 0: it is the one that the controller started with.
-func (r *Replica) Since() time.Duration { return r.revisionSince }
+// RevisionSince is when that revision came; 0: it is the one that the controller started with.
+func (r *Replica) RevisionSince() time.Duration { return r.revisionSince }
 
 // UpdatedAt is when a leader last sent an update, also an empty one; 0: never.
 func (r *Replica) UpdatedAt() time.Duration { return r.updatedAt }
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -139,7 +139,7 @@
 	if d.Config == nil {
 		return 0
 	}
-	return (now - d.Config.Since()).Seconds()
+	return (now - d.Config.RevisionSince()).Seconds()
 }
 
 // LocalView is what one controller has, by its own word. It decides nothing by it.
--- a/internal/node/core_requests.go
+++ b/internal/node/core_requests.go
@@ -79,7 +79,7 @@
 		Leads:    leading,
 		Leader:   leader,
 		Revision: c.config.Revision(),
-		SinceS:   (now - c.config.Since()).Seconds(),
+		SinceS:   (now - c.config.RevisionSince()).Seconds(),
 		AgeS:     c.configAgeS(now),
 		Sets:     c.config.All(),
 	}
