--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -17,7 +17,7 @@
 )
 
 // DateForm is the layout in which dates are written, see time.Layout.
-const DateForm = "2006-01-02"
+const DateLayout = "2006-01-02"
 
 // clockLayout is that of times of day.
 const clockLayout = "15:04"
@@ -74,8 +74,8 @@
 		return nil, wrongField("night", "%q does not come true once a day", begins)
 	}
 	for _, date := range holidays {
-		if _, err := time.Parse(DateForm, date); err != nil {
-			return nil, wrongField("holidays", "not a date like %s: %q", DateForm, date)
+		if _, err := time.Parse(DateLayout, date); err != nil {
+			return nil, wrongField("holidays", "not a date like %s: %q", DateLayout, date)
 		}
 	}
 	return &Calendar{
@@ -117,7 +117,7 @@
 	from, to := c.bounds(moment.In(c.location))
 	c.cachedFrom, c.cachedTo = from, to
 	year, month, day := from.Date()
-	date := from.Format(DateForm)
+	date := from.Format(DateLayout)
 	c.cached = Night{
 		Day:     int32(time.Date(year, month, day, 0, 0, 0, 0, time.UTC).Unix() / secondsPerDay),
 		Date:    date,
@@ -155,7 +155,7 @@
 	return start
 }
 
-func sameDate(a, b time.Time) bool { return a.Format(DateForm) == b.Format(DateForm) }
+func sameDate(a, b time.Time) bool { return a.Format(DateLayout) == b.Format(DateLayout) }
 
 // Quarter is the beginning of the quarter of an hour in which a moment lies, in local time.
 func (c *Calendar) Quarter(moment time.Time) time.Time {
