--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -172,7 +172,7 @@
 	return local.Hour()*quartersPerHour + local.Minute()/minutesPerQuarter
 }
 
-// Clock is the local time of day, as hours and minutes.
-func (c *Calendar) Clock(moment time.Time) string {
+// LocalTime is the local time of day, as hours and minutes.
+func (c *Calendar) LocalTime(moment time.Time) string {
 	return moment.In(c.location).Format(clockLayout)
 }
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -166,7 +166,7 @@
 	for range expectedSlots {
 		f := d.demand.expected(d.calendar.At(at).Holiday, d.calendar.Slot(at))
 		out = append(out, Expected{
-			At:       d.calendar.Clock(at),
+			At:       d.calendar.LocalTime(at),
 			InS:      max(0, at.Sub(d.wallClock(now)).Seconds()),
 			Nights:   f.nights,
 			Work:     roundDigits(f.median),
