--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -85,8 +85,8 @@
 	if !machine.HasImage(job.Image) {
 		cost += int64(costPerFetchSecond * job.Record.ImageGB / machine.FetchGBPS)
 	}
-	if s.Affinity > 0 && job.HomeZone != 0 && job.HomeZone != machine.Zone+1 {
-		cost += int64(costPerFetchSecond * s.Affinity)
+	if s.ZoneAffinity > 0 && job.HomeZone != 0 && job.HomeZone != machine.Zone+1 {
+		cost += int64(costPerFetchSecond * s.ZoneAffinity)
 	}
 	return cost
 }
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -44,7 +44,7 @@
 	// Affinity is the cost, in seconds of fetching an image, of a machine outside the zone
 	// in which a job's first task was placed: jobs stay together by zone where that costs
 	// little.
-	Affinity float64
+	ZoneAffinity float64
 	// Locality is for how long a job waits for machines that have its image.
 	Locality time.Duration
 
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -132,7 +132,7 @@
 		s.SetTeam(team)
 	}
 	s.Scheduler.Locality = settings.Seconds(tunables.LocalityS)
-	s.Scheduler.Affinity = tunables.ZoneAffinityS
+	s.Scheduler.ZoneAffinity = tunables.ZoneAffinityS
 	s.Scheduler.BeginWithin = settings.Seconds(tunables.BeginWithinS)
 	s.Scheduler.UrgentFirst = tunables.UrgentFirst == 1
 	return s
