--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -19,9 +19,9 @@
 	unlentShare     = 8   // or one in so many of all, if that is more
 )
 
-// Accelerated is the largest need of a task with accelerators: of the jobs there are, or of
+// LargestAcceleratedNeed is the largest need of a task with accelerators: of the jobs there are, or of
 // the last ones for acceleratedNeedRetention after they have left.
-func (s *Scheduler) Accelerated(now time.Duration, table *jobs.Table) resources.Amounts {
+func (s *Scheduler) LargestAcceleratedNeed(now time.Duration, table *jobs.Table) resources.Amounts {
 	var largest resources.Amounts
 	for _, job := range table.All() {
 		if job != nil && job.Need.GPU > 0 {
--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -88,7 +88,7 @@
 			scheduler, snap, plain := acceleratedCluster(c.plain)
 			snap.add(1, jobs.Gang, c.gang, 10, 2, 60)
 			j := snap.add(2, c.kind, c.tasks, 1, 0, c.mean)
-			snap.AcceleratedNeed = scheduler.Accelerated(snap.Now, snap.Jobs)
+			snap.AcceleratedNeed = scheduler.LargestAcceleratedNeed(snap.Now, snap.Jobs)
 			scheduler.RunCycle(snap)
 			broken := 0
 			for _, n := range plain {
@@ -113,7 +113,7 @@
 func TestIdleAcceleratorsAreOpenToAll(t *testing.T) {
 	scheduler, snap, _ := acceleratedCluster(3)
 	j := snap.add(2, jobs.Array, 60, 1, 0, 500)
-	snap.AcceleratedNeed = scheduler.Accelerated(snap.Now, snap.Jobs)
+	snap.AcceleratedNeed = scheduler.LargestAcceleratedNeed(snap.Now, snap.Jobs)
 	scheduler.RunCycle(snap)
 	if j.Waiting > 0 {
 		t.Errorf("%d tasks wait beside idle machines", j.Waiting)
@@ -153,7 +153,7 @@
 		})
 	}
 	for b.Loop() {
-		snap.AcceleratedNeed = scheduler.Accelerated(snap.Now, snap.Jobs)
+		snap.AcceleratedNeed = scheduler.LargestAcceleratedNeed(snap.Now, snap.Jobs)
 		scheduler.RunCycle(snap)
 		for _, f := range placed {
 			f()
--- a/internal/leader/cluster/snapshot.go
+++ b/internal/leader/cluster/snapshot.go
@@ -20,7 +20,7 @@
 		UnknownGrants:   s.unresolvedUnnumbered > 0,
 		Zone:            s.Zones.Index,
 		Pools:           s.Pools,
-		AcceleratedNeed: s.Scheduler.Accelerated(now, s.Jobs),
+		AcceleratedNeed: s.Scheduler.LargestAcceleratedNeed(now, s.Jobs),
 	}
 	if s.StartPacer != nil {
 		snapshot.MayStart = func(j *jobs.Job, m *workers.Machine) bool {
