--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -54,5 +54,5 @@
 // withinLimit reports whether a job's team may use what that many more of the job's
 // tasks need.
 func (s *Scheduler) withinLimit(snap *Snapshot, job *jobs.Job, tasks int) bool {
-	return s.Within(job.Team, job.Need.Times(tasks), snap.unresolvedUseOf(job.Team))
+	return s.TeamMayUse(job.Team, job.Need.Times(tasks), snap.unresolvedUseOf(job.Team))
 }
--- a/internal/core/scheduler/limits.go
+++ b/internal/core/scheduler/limits.go
@@ -30,9 +30,9 @@
 // Use returns what a team's placed tasks need together.
 func (s *Scheduler) Use(team int32) resources.Amounts { return s.teamUse[team] }
 
-// Within reports whether a team may use need more while unresolved counts besides:
+// TeamMayUse reports whether a team may use need more while unresolved counts besides:
 // a machine that is not resolved counts in full against every team that may have
 // tasks there.
-func (s *Scheduler) Within(team int32, need, unresolved resources.Amounts) bool {
+func (s *Scheduler) TeamMayUse(team int32, need, unresolved resources.Amounts) bool {
 	return s.Limits[team].Covers(s.teamUse[team].Plus(need).Plus(unresolved))
 }
