--- a/internal/core/scheduler/limits.go
+++ b/internal/core/scheduler/limits.go
@@ -27,8 +27,8 @@
 	s.teamUse[team] = s.teamUse[team].Minus(need)
 }
 
-// Use returns what a team's placed tasks need together.
-func (s *Scheduler) Use(team int32) resources.Amounts { return s.teamUse[team] }
+// TeamUse returns what a team's placed tasks need together.
+func (s *Scheduler) TeamUse(team int32) resources.Amounts { return s.teamUse[team] }
 
 // TeamMayUse reports whether a team may use need more while unresolved counts besides:
 // a machine that is not resolved counts in full against every team that may have
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -66,7 +66,7 @@
 // cancelPlansOverLimit cancels plans of a team, the last tasks first, until what is left is
 // within its limit. Of a gang all or none are cancelled: none where one may have begun.
 func (s *State) cancelPlansOverLimit(team int32) {
-	use := s.Scheduler.Use(team)
+	use := s.Scheduler.TeamUse(team)
 	limit := s.Scheduler.Limits[team]
 	if limit.Covers(use) {
 		return
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -214,7 +214,7 @@
 	}
 	t, known := d.teamWith(c.Item.Team, c.Value)
 	open, tooLarge := d.countOpenJobs(index, t)
-	use := d.Scheduler.Use(index)
+	use := d.Scheduler.TeamUse(index)
 	switch {
 	case !known:
 		return fmt.Sprintf("%s: %d open jobs go on, and no new one is taken", c.Item, open)
