--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -28,10 +28,10 @@
 
 // Params are the parameters of the design document.
 type Params struct {
-	Train int     // t
-	Xi    float64 // ξ
-	Delta float64 // Δ in seconds
-	First float64 // s_0 in seconds
+	TrainingTasks int     // t
+	Xi            float64 // ξ
+	Delta         float64 // Δ in seconds
+	First         float64 // s_0 in seconds
 }
 
 // minCPUs stands in for the processors of a task that needs none, as the virtual cluster
@@ -106,12 +106,12 @@
 func (e *Estimator) Add(index, team int32, tasks int, cpus float64, gang bool) {
 	e.lastArrival++
 	job := &jobEstimate{team: team, tasks: tasks, tasksLeft: tasks, cpus: max(cpus, minCPUs), arrival: e.lastArrival}
-	if tasks < e.params.Train && !gang {
+	if tasks < e.params.TrainingTasks && !gang {
 		job.final = true
 	} else {
 		job.size = e.initialSize(tasks)
 		job.untrained = gang
-		job.samples = newSamples(min(tasks, e.params.Train))
+		job.samples = newSamples(min(tasks, e.params.TrainingTasks))
 	}
 	for int(index) >= len(e.jobs) {
 		e.jobs = append(e.jobs, nil)
