--- a/internal/core/scheduler/cluster_test.go
+++ b/internal/core/scheduler/cluster_test.go
@@ -13,7 +13,7 @@
 )
 
 // testParams are the estimator's parameters of the paper.
-var testParams = sizing.Params{TrainingTasks: 5, Xi: 1, Delta: 60, First: 30}
+var testParams = sizing.Params{TrainingTasks: 5, Xi: 1, Delta: 60, InitialSize: 30}
 
 // emptySnapshot is a snapshot at some time without jobs or machines, whose zones all have
 // the index zone.
--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -31,7 +31,7 @@
 	TrainingTasks int     // t
 	Xi            float64 // ξ
 	Delta         float64 // Δ in seconds
-	First         float64 // s_0 in seconds
+	InitialSize   float64 // s_0 in seconds
 }
 
 // minCPUs stands in for the processors of a task that needs none, as the virtual cluster
@@ -126,7 +126,7 @@
 	if mean, ok := e.Mean(); ok {
 		return float64(tasks) * e.params.Xi * mean
 	}
-	return e.params.First
+	return e.params.InitialSize
 }
 
 // Expect has a job that is not trained yet start from the mean run time in seconds that its
--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-var paperParams = Params{TrainingTasks: 5, Xi: 1, Delta: 60, First: 30}
+var paperParams = Params{TrainingTasks: 5, Xi: 1, Delta: 60, InitialSize: 30}
 
 func expectNear(t *testing.T, what string, got, want float64) {
 	t.Helper()
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -65,7 +65,7 @@
 	if mean, ok := e.Mean(); ok {
 		return mean
 	}
-	return e.params.First
+	return e.params.InitialSize
 }
 
 // Settle sets the final size S_f of a job when its training is over: each training task
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -122,7 +122,7 @@
 			TrainingTasks: tunables.TrainingTasks,
 			Xi:            tunables.Eagerness,
 			Delta:         tunables.TrainingLimitS,
-			First:         tunables.FirstSizeS,
+			InitialSize:   tunables.FirstSizeS,
 		}),
 		Placements: map[workers.TaskRef]*workers.Placement{},
 		Reconciled: &reconcile.Tally{},
