--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -129,9 +129,9 @@
 	return e.params.InitialSize
 }
 
-// Expect has a job that is not trained yet start from the mean run time in seconds that its
+// SetExpectedMean has a job that is not trained yet start from the mean run time in seconds that its
 // kind of work has shown: n·ξ·mean in place of n·ξ·s̄.
-func (e *Estimator) Expect(index int32, mean float64) {
+func (e *Estimator) SetExpectedMean(index int32, mean float64) {
 	if job := e.job(index); job != nil && !job.final {
 		job.size = float64(job.tasks) * e.params.Xi * mean
 		e.sorted = false
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -97,7 +97,7 @@
 		return
 	}
 	if e := d.estimateJob(now, j); e.Tasks > 0 {
-		d.Estimator.Expect(j.Index, e.Mean())
+		d.Estimator.SetExpectedMean(j.Index, e.Mean())
 	}
 }
 
