--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -45,10 +45,10 @@
 	estimator.Add(2, 0, 8, 1, false)
 	expectNear(t, "n·ξ·s̄", estimator.Virtual(2), 80)
 	for k := range 4 {
-		estimator.Began(2, k, 0)
+		estimator.TaskStarted(2, k, 0)
 		estimator.Completed(2, k, 20)
 	}
-	estimator.Began(2, 4, 10)
+	estimator.TaskStarted(2, 4, 10)
 	if _, ok := estimator.Settle(2, 69); ok {
 		t.Fatal("settled before Δ")
 	}
@@ -92,7 +92,7 @@
 	if !estimator.Training(1, 4) || estimator.Training(1, 5) {
 		t.Error("the first t tasks train, no others")
 	}
-	estimator.Began(1, 0, 1)
+	estimator.TaskStarted(1, 0, 1)
 	estimator.Lost(1, 0)
 	for k := 1; k < 5; k++ {
 		estimator.Completed(1, k, 10)
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -29,8 +29,8 @@
 // InTraining reports whether a job's S_f is still to be set from its training tasks.
 func (e *Estimator) InTraining(index int32) bool { return e.Training(index, 0) }
 
-// Began notes that task k of a job started to run at now, in seconds.
-func (e *Estimator) Began(index int32, k int, now float64) {
+// TaskStarted notes that task k of a job started to run at now, in seconds.
+func (e *Estimator) TaskStarted(index int32, k int, now float64) {
 	if e.Training(index, k) && e.jobs[index].samples[k].startedAt < 0 {
 		e.jobs[index].samples[k].startedAt = now
 	}
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -137,7 +137,7 @@
 	}
 	j.LastRunAt = now
 	j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
-	d.Estimator.Began(e.Ref.Job, task, now.Seconds())
+	d.Estimator.TaskStarted(e.Ref.Job, task, now.Seconds())
 	d.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: task, Machine: m})
 }
 
