--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -93,7 +93,7 @@
 		t.Error("the first t tasks train, no others")
 	}
 	estimator.TaskStarted(1, 0, 1)
-	estimator.Lost(1, 0)
+	estimator.TaskLost(1, 0)
 	for k := 1; k < 5; k++ {
 		estimator.Completed(1, k, 10)
 	}
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// Lost notes that task k of a job no longer runs and did not complete.
-func (e *Estimator) Lost(index int32, k int) {
+// TaskLost notes that task k of a job no longer runs and did not complete.
+func (e *Estimator) TaskLost(index int32, k int) {
 	if e.Training(index, k) {
 		e.jobs[index].samples[k].startedAt = -1
 	}
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -46,7 +46,7 @@
 	s.Scheduler.Refund(j.Team, j.Need)
 	j.Release(int(ref.Task))
 	s.ResetGangIfEmpty(j)
-	s.Estimator.Lost(ref.Job, int(ref.Task))
+	s.Estimator.TaskLost(ref.Job, int(ref.Task))
 	s.RemoveIfFinished(j)
 	s.NeedsCycle = true
 }
