--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -46,7 +46,7 @@
 	expectNear(t, "n·ξ·s̄", estimator.Virtual(2), 80)
 	for k := range 4 {
 		estimator.TaskStarted(2, k, 0)
-		estimator.Completed(2, k, 20)
+		estimator.TaskCompleted(2, k, 20)
 	}
 	estimator.TaskStarted(2, 4, 10)
 	if _, ok := estimator.Settle(2, 69); ok {
@@ -58,7 +58,7 @@
 	}
 	// s̄ = (4·20 + 120)/5 = 40; (8−5) + 0.5 tasks are left.
 	expectNear(t, "S_f", size, 140)
-	estimator.Completed(2, 4, 500)
+	estimator.TaskCompleted(2, 4, 500)
 	if _, ok := estimator.Settle(2, 600); ok {
 		t.Error("size set twice")
 	}
@@ -95,7 +95,7 @@
 	estimator.TaskStarted(1, 0, 1)
 	estimator.TaskLost(1, 0)
 	for k := 1; k < 5; k++ {
-		estimator.Completed(1, k, 10)
+		estimator.TaskCompleted(1, k, 10)
 	}
 	if _, ok := estimator.Settle(1, 1000); ok {
 		t.Error("a lost training task counted as running")
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Completed notes that task k of a job completed after runTime seconds. A
+// TaskCompleted notes that task k of a job completed after runTime seconds. A
 // negative time is unknown, and s̄ stands in for it.
-func (e *Estimator) Completed(index int32, k int, runTime float64) {
+func (e *Estimator) TaskCompleted(index int32, k int, runTime float64) {
 	job := e.job(index)
 	if job == nil {
 		return
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -96,7 +96,7 @@
 	}
 	for k, state := range j.Tasks {
 		if state == jobs.FinishedDurably {
-			c.Estimator.Completed(j.Index, k, meanSeconds)
+			c.Estimator.TaskCompleted(j.Index, k, meanSeconds)
 		}
 	}
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -162,7 +162,7 @@
 	j.Complete(task)
 	d.ResetGangIfEmpty(j)
 	j.FailuresInARow, m.FailuresInARow = 0, 0
-	d.Estimator.Completed(e.Ref.Job, task, runSeconds)
+	d.Estimator.TaskCompleted(e.Ref.Job, task, runSeconds)
 	d.Publish(cluster.Event{
 		Kind:         cluster.TaskDone,
 		At:           now,
