--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -49,17 +49,17 @@
 		estimator.TaskCompleted(2, k, 20)
 	}
 	estimator.TaskStarted(2, 4, 10)
-	if _, ok := estimator.Settle(2, 69); ok {
+	if _, ok := estimator.FinalizeSize(2, 69); ok {
 		t.Fatal("settled before Δ")
 	}
-	size, ok := estimator.Settle(2, 70)
+	size, ok := estimator.FinalizeSize(2, 70)
 	if !ok {
 		t.Fatal("not settled at Δ")
 	}
 	// s̄ = (4·20 + 120)/5 = 40; (8−5) + 0.5 tasks are left.
 	expectNear(t, "S_f", size, 140)
 	estimator.TaskCompleted(2, 4, 500)
-	if _, ok := estimator.Settle(2, 600); ok {
+	if _, ok := estimator.FinalizeSize(2, 600); ok {
 		t.Error("size set twice")
 	}
 }
@@ -97,7 +97,7 @@
 	for k := 1; k < 5; k++ {
 		estimator.TaskCompleted(1, k, 10)
 	}
-	if _, ok := estimator.Settle(1, 1000); ok {
+	if _, ok := estimator.FinalizeSize(1, 1000); ok {
 		t.Error("a lost training task counted as running")
 	}
 }
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -68,10 +68,10 @@
 	return e.params.InitialSize
 }
 
-// Settle sets the final size S_f of a job when its training is over: each training task
+// FinalizeSize sets the final size S_f of a job when its training is over: each training task
 // has completed, or has run for Δ and counts Δ/p_k, which is 2Δ. It returns S_f in seconds
 // and true when it was set by this call; it is set only once.
-func (e *Estimator) Settle(index int32, now float64) (float64, bool) {
+func (e *Estimator) FinalizeSize(index int32, now float64) (float64, bool) {
 	job := e.job(index)
 	if job == nil || job.final || job.untrained {
 		return 0, false
