--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -168,8 +168,8 @@
 	e.order = slices.DeleteFunc(e.order, func(other int32) bool { return other == index })
 }
 
-// Virtual is the virtual size in seconds: what is left of a job in the virtual cluster.
-func (e *Estimator) Virtual(index int32) float64 {
+// VirtualSize is the virtual size in seconds: what is left of a job in the virtual cluster.
+func (e *Estimator) VirtualSize(index int32) float64 {
 	job := e.job(index)
 	if job == nil {
 		return 0
--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -25,8 +25,8 @@
 		estimator.Restore(int32(j+1), true, size, size)
 	}
 	estimator.Age(3, 1)
-	expectNear(t, "job 1 at 3", estimator.Virtual(1), 1.5)
-	expectNear(t, "job 2 at 3", estimator.Virtual(2), 2.5)
+	expectNear(t, "job 1 at 3", estimator.VirtualSize(1), 1.5)
+	expectNear(t, "job 2 at 3", estimator.VirtualSize(2), 2.5)
 	estimator.Remove(1, true, 3, 1)
 	estimator.Add(3, 0, 100, 1, false)
 	estimator.Restore(3, true, 3, 3)
@@ -38,12 +38,12 @@
 func TestInitialAndFinalSizes(t *testing.T) {
 	estimator := New(paperParams)
 	estimator.Add(0, 0, 4, 1, false)
-	expectNear(t, "tiny job", estimator.Virtual(0), 0)
+	expectNear(t, "tiny job", estimator.VirtualSize(0), 0)
 	estimator.Add(1, 0, 8, 1, false)
-	expectNear(t, "no history", estimator.Virtual(1), 30)
+	expectNear(t, "no history", estimator.VirtualSize(1), 30)
 	estimator.Remove(0, true, 40, 4)
 	estimator.Add(2, 0, 8, 1, false)
-	expectNear(t, "n·ξ·s̄", estimator.Virtual(2), 80)
+	expectNear(t, "n·ξ·s̄", estimator.VirtualSize(2), 80)
 	for k := range 4 {
 		estimator.TaskStarted(2, k, 0)
 		estimator.TaskCompleted(2, k, 20)
@@ -74,12 +74,12 @@
 	}
 	// 30 processors, fair share 10 each: jobs 0 and 2 can use just 10.
 	estimator.Age(1, 30)
-	expectNear(t, "job 0", estimator.Virtual(0), 990)
-	expectNear(t, "job 1", estimator.Virtual(1), 997.5)
+	expectNear(t, "job 0", estimator.VirtualSize(0), 990)
+	expectNear(t, "job 1", estimator.VirtualSize(1), 997.5)
 	// With 60, what 0 and 2 leave goes to job 1: all 10 of its tasks run.
 	estimator.Age(2, 60)
-	expectNear(t, "job 0", estimator.Virtual(0), 980)
-	expectNear(t, "job 1", estimator.Virtual(1), 987.5)
+	expectNear(t, "job 0", estimator.VirtualSize(0), 980)
+	expectNear(t, "job 1", estimator.VirtualSize(1), 987.5)
 }
 
 func TestFirstTasksTrainButNotOfGangs(t *testing.T) {
@@ -112,8 +112,8 @@
 		estimator.Restore(int32(j), true, 100, 100)
 	}
 	estimator.Age(1, 20)
-	expectNear(t, "first of the limited team", estimator.Virtual(0), 98.5)
-	expectNear(t, "second of the limited team", estimator.Virtual(1), 98.5)
-	expectNear(t, "its one-task job", estimator.Virtual(2), 99)
-	expectNear(t, "job of the other team", estimator.Virtual(3), 84)
+	expectNear(t, "first of the limited team", estimator.VirtualSize(0), 98.5)
+	expectNear(t, "second of the limited team", estimator.VirtualSize(1), 98.5)
+	expectNear(t, "its one-task job", estimator.VirtualSize(2), 99)
+	expectNear(t, "job of the other team", estimator.VirtualSize(3), 84)
 }
--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -80,7 +80,7 @@
 func (c *Component) writeSizes() {
 	var sizes []eventlog.VirtualSize
 	for _, index := range c.Estimator.Order() {
-		virtual := c.Estimator.Virtual(index)
+		virtual := c.Estimator.VirtualSize(index)
 		if virtual <= 0 {
 			continue
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -170,7 +170,7 @@
 		ID:       wire.FormatID(j.Record.ID),
 		Class:    j.Record.Class,
 		Team:     j.Record.Team,
-		Virtual:  t.Estimator.Virtual(j.Index),
+		Virtual:  t.Estimator.VirtualSize(j.Index),
 		Size:     size,
 		Final:    final,
 		Waiting:  j.Waiting,
