--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -91,9 +91,9 @@
 // Len is the number of unfinished jobs.
 func (e *Estimator) Len() int { return len(e.order) }
 
-// Mean is s̄, the mean run time in seconds of the tasks of finished jobs, and whether
+// MeanTaskTime is s̄, the mean run time in seconds of the tasks of finished jobs, and whether
 // there is one.
-func (e *Estimator) Mean() (float64, bool) {
+func (e *Estimator) MeanTaskTime() (float64, bool) {
 	if e.finishedTasks == 0 {
 		return 0, false
 	}
@@ -123,7 +123,7 @@
 
 // initialSize is S_i = n·ξ·s̄, or Params.First while there is no s̄.
 func (e *Estimator) initialSize(tasks int) float64 {
-	if mean, ok := e.Mean(); ok {
+	if mean, ok := e.MeanTaskTime(); ok {
 		return float64(tasks) * e.params.Xi * mean
 	}
 	return e.params.InitialSize
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -62,7 +62,7 @@
 
 // meanOrFirst is s̄, or Params.First while there is none.
 func (e *Estimator) meanOrFirst() float64 {
-	if mean, ok := e.Mean(); ok {
+	if mean, ok := e.MeanTaskTime(); ok {
 		return mean
 	}
 	return e.params.InitialSize
