--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -88,8 +88,8 @@
 	return e.jobs[index]
 }
 
-// Len is the number of unfinished jobs.
-func (e *Estimator) Len() int { return len(e.order) }
+// JobCount is the number of unfinished jobs.
+func (e *Estimator) JobCount() int { return len(e.order) }
 
 // MeanTaskTime is s̄, the mean run time in seconds of the tasks of finished jobs, and whether
 // there is one.
--- a/internal/leader/runtimes/component.go
+++ b/internal/leader/runtimes/component.go
@@ -137,7 +137,7 @@
 		d.historyReader.RequestNext(d.State, now, Name)
 		return
 	}
-	if now-d.lastCheckAt >= max(lateCheckInterval, time.Duration(d.Estimator.Len())*lateCheckPerJob) {
+	if now-d.lastCheckAt >= max(lateCheckInterval, time.Duration(d.Estimator.JobCount())*lateCheckPerJob) {
 		d.lastCheckAt = now
 		d.startNight(now)
 		d.checkLateJobs(now)
--- a/internal/leader/term/replay.go
+++ b/internal/leader/term/replay.go
@@ -59,7 +59,7 @@
 	}
 	t.LogMessage(effects.Info, "term begun",
 		"epoch", t.Epoch,
-		"jobs", t.Estimator.Len(),
+		"jobs", t.Estimator.JobCount(),
 		"machines", registered,
 		"booting", booting,
 		"segments", log.Last-log.First+1)
