--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -97,8 +97,8 @@
 
 func truncateToTenth(seconds float64) float64 { return float64(int64(seconds*10)) / 10 }
 
-// Settle sets final sizes that are due; each is written once.
-func (c *Component) Settle(now time.Duration) {
+// FinalizeSizes sets final sizes that are due; each is written once.
+func (c *Component) FinalizeSizes(now time.Duration) {
 	for _, index := range c.Estimator.Order() {
 		if size, ok := c.Estimator.FinalizeSize(index, now.Seconds()); ok {
 			finalSize := &eventlog.FinalSize{ID: c.Jobs.ByIndex(index).Record.ID, Size: size}
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -190,7 +190,7 @@
 	for _, c := range t.components {
 		c.Tick(now, leaseValid)
 	}
-	t.fairShare.Settle(now)
+	t.fairShare.FinalizeSizes(now)
 	if leaseValid {
 		t.placement.RunCycle(now)
 		t.requestCompaction(now)
