--- a/internal/leader/cluster/value_reader.go
+++ b/internal/leader/cluster/value_reader.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// TakePage takes a page, and says whether it was the one that was requested and could be
+// PageRead takes a page, and says whether it was the one that was requested and could be
 // read. After the last one Done is set.
-func (r *ValueReader) TakePage(now time.Duration, list []eventlog.ComponentValue, more, ok bool) bool {
+func (r *ValueReader) PageRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) bool {
 	if r.Done || !r.requested {
 		return false
 	}
--- a/internal/leader/pools/store.go
+++ b/internal/leader/pools/store.go
@@ -74,7 +74,7 @@
 // ValuesRead takes a page of the values of earlier terms.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
 	s := &d.store
-	if !s.TakePage(now, list, more, ok) {
+	if !s.PageRead(now, list, more, ok) {
 		return
 	}
 	for _, v := range list {
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -44,7 +44,7 @@
 
 // ValuesRead takes a page of the history.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
-	if !d.historyReader.TakePage(now, list, more, ok) {
+	if !d.historyReader.PageRead(now, list, more, ok) {
 		return
 	}
 	for _, v := range list {
