--- a/internal/leader/cluster/effects.go
+++ b/internal/leader/cluster/effects.go
@@ -8,9 +8,9 @@
 // Emit adds an effect to those that the node carries out next.
 func (s *State) Emit(e effects.Effect) { s.pendingEffects = append(s.pendingEffects, e) }
 
-// TakeEffects returns the effects since the last call, in the order in which they were
+// DrainEffects returns the effects since the last call, in the order in which they were
 // emitted.
-func (s *State) TakeEffects() []effects.Effect {
+func (s *State) DrainEffects() []effects.Effect {
 	out := s.pendingEffects
 	s.pendingEffects = nil
 	return out
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -309,7 +309,7 @@
 	if d.kind != failoverStart || !s.Permits(0, cluster.Rent) || s.SilenceAllowance() != 0 {
 		t.Errorf("kind %v", d.kind)
 	}
-	for _, e := range s.TakeEffects() {
+	for _, e := range s.DrainEffects() {
 		if _, asks := e.(effects.AskPreviousLeader); asks {
 			t.Error("the peers are asked")
 		}
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -113,7 +113,7 @@
 		t.Errorf("the histogram is %+v", h)
 	}
 	told := 0
-	for _, e := range d.TakeEffects() {
+	for _, e := range d.DrainEffects() {
 		if n, ok := e.(effects.LogMessage); ok && n.Message == "takeover" {
 			told++
 		}
@@ -163,9 +163,9 @@
 	if n := d.EventLog.PendingCount(); n != 3 {
 		t.Errorf("%d records were kept, want 3", n)
 	}
-	d.TakeEffects()
+	d.DrainEffects()
 	d.Compact(0, entryWith(`{"e":"x"}`))
-	out := d.TakeEffects()
+	out := d.DrainEffects()
 	if len(out) != 1 || !strings.Contains(out[0].(effects.LogMessage).Message, "cannot be read") {
 		t.Errorf("logged: %+v", out)
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -490,7 +490,7 @@
 	w.startTerm(true)
 	expect(t, "closed", w.schedule(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
 	said := false
-	for _, e := range w.component.TakeEffects() {
+	for _, e := range w.component.DrainEffects() {
 		if n, ok := e.(effects.LogMessage); ok && n.Level == effects.Error {
 			said = true
 		}
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -71,7 +71,7 @@
 		w.now += time.Second
 		d.Tick(w.now, true)
 		since := ""
-		for _, e := range d.TakeEffects() {
+		for _, e := range d.DrainEffects() {
 			if v, ok := e.(effects.ReadValues); ok {
 				since = v.AfterKey
 			}
@@ -86,7 +86,7 @@
 		more := len(page) > 0 && page[len(page)-1].Key != keys[len(keys)-1]
 		d.ValuesRead(w.now, page, more, w.epoch%3 > 0 || asked > 1)
 	}
-	w.effects = append(w.effects, d.TakeEffects()...)
+	w.effects = append(w.effects, d.DrainEffects()...)
 }
 
 // write makes at most so many commits durable.
@@ -310,7 +310,7 @@
 	}
 	var told []string
 	notes := func() (out []string) {
-		for _, e := range d.TakeEffects() {
+		for _, e := range d.DrainEffects() {
 			switch e := e.(type) {
 			case effects.LogMessage:
 				out = append(out, e.Message)
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -124,7 +124,7 @@
 			d.Tick(now, true)
 			longest = max(longest, time.Since(from))
 			ticks++
-			d.TakeEffects()
+			d.DrainEffects()
 		}
 		b.ReportMetric(float64(longest.Microseconds()), "µs/longest-tick")
 		b.ReportMetric(float64(ticks), "ticks")
--- a/internal/leader/term/decommission_test.go
+++ b/internal/leader/term/decommission_test.go
@@ -18,7 +18,7 @@
 // deletedMachines lists the machines that a term has deleted since.
 func deletedMachines(term *Term) []string {
 	var out []string
-	for _, e := range term.TakeEffects() {
+	for _, e := range term.DrainEffects() {
 		if d, ok := e.(effects.DeleteMachines); ok {
 			out = append(out, d.Machines...)
 		}
@@ -115,7 +115,7 @@
 		term.Inventory.All()[0].LastHeartbeat = now
 		term.Tick(now, true)
 		term.Flush(now)
-		for _, e := range term.TakeEffects() {
+		for _, e := range term.DrainEffects() {
 			switch e := e.(type) {
 			case effects.DeleteMachines:
 				deleted = true
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -89,7 +89,7 @@
 	in.Report.Seq++
 	t.HandleHeartbeat(now, true, 1, *in)
 	t.Flush(now)
-	t.TakeEffects()
+	t.DrainEffects()
 }
 
 // What a heartbeat that brings nothing new costs must not grow with the number of machines,
@@ -205,7 +205,7 @@
 			if i%20 == 0 {
 				now += 70 * time.Millisecond
 				term.Tick(now, true)
-				term.TakeEffects()
+				term.DrainEffects()
 			}
 		}
 	}
--- a/internal/leader/term/limits_test.go
+++ b/internal/leader/term/limits_test.go
@@ -46,9 +46,9 @@
 	segments := map[string][]eventlog.Entry{}
 	for mark := uint64(2); ; mark++ {
 		*now += time.Second
-		term.TakeEffects()
+		term.DrainEffects()
 		term.Flush(*now)
-		out := term.TakeEffects()
+		out := term.DrainEffects()
 		i := slices.IndexFunc(out, func(e effects.Effect) bool {
 			_, ok := e.(effects.Commit)
 			return ok
@@ -198,7 +198,7 @@
 func rentalRequests(term *Term) int {
 	term.Tick(time.Second, true)
 	n := 0
-	for _, e := range term.TakeEffects() {
+	for _, e := range term.DrainEffects() {
 		if _, ok := e.(effects.RentMachines); ok {
 			n++
 		}
@@ -247,7 +247,7 @@
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
 	}
 	term.Users.Submit(0, 7, wire.Submission{ID: 1, HasID: true, Job: &job})
-	out := term.TakeEffects()
+	out := term.DrainEffects()
 	r, ok := out[len(out)-1].(effects.Reply)
 	if !ok || r.Answer.Status != 400 || term.Jobs.ByID(1) != nil {
 		raw, _ := json.Marshal(r)
--- a/internal/leader/term/pools_bench_test.go
+++ b/internal/leader/term/pools_bench_test.go
@@ -74,7 +74,7 @@
 				}
 				b.StartTimer()
 				t.Tick(now, true)
-				t.TakeEffects()
+				t.DrainEffects()
 			}
 		})
 	}
@@ -93,7 +93,7 @@
 					t.heartbeat(now, &reports[i])
 				}
 				t.Tick(now, true)
-				t.TakeEffects()
+				t.DrainEffects()
 				t.ValuesRead(now, "pools", nil, false, true)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
--- a/internal/leader/term/scale_bench_test.go
+++ b/internal/leader/term/scale_bench_test.go
@@ -25,7 +25,7 @@
 		t.heartbeat(now, &reports[i])
 	}
 	t.Tick(now, true)
-	t.TakeEffects()
+	t.DrainEffects()
 	return t, reports, now
 }
 
@@ -56,7 +56,7 @@
 				}
 				b.StartTimer()
 				t.Tick(now, true)
-				t.TakeEffects()
+				t.DrainEffects()
 			}
 		})
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -145,7 +145,7 @@
 // collectTermEffects takes the term's effects. Answers to heartbeats of this node's own workers
 // are completed with the offers that its shard starts.
 func (c *Core) collectTermEffects(now time.Duration) {
-	for _, e := range c.term.TakeEffects() {
+	for _, e := range c.term.DrainEffects() {
 		if reply, ok := e.(effects.ReplyHeartbeat); ok {
 			if open := c.openHeartbeats[reply.To]; open != nil {
 				delete(c.openHeartbeats, reply.To)
