--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -37,7 +37,7 @@
 // SaveAndStop stops a task with time to save a checkpoint; a gang is stopped as a whole,
 // for its progress is safe only when all of its tasks are told in time.
 func (s *State) SaveAndStop(now time.Duration, j *jobs.Job, p *workers.Placement) {
-	grace := j.Record.SaveS + saveMarginSeconds + s.PeerTime(j)
+	grace := j.Record.SaveS + saveMarginSeconds + s.GangNotifySeconds(j)
 	if j.Record.Kind == jobs.Gang {
 		s.stopGang(j, grace)
 		return
@@ -61,9 +61,9 @@
 	}
 }
 
-// PeerTime is how long it may take until all tasks of a gang are told, in seconds; 0 for
+// GangNotifySeconds is how long it may take until all tasks of a gang are told, in seconds; 0 for
 // other jobs.
-func (s *State) PeerTime(j *jobs.Job) float64 {
+func (s *State) GangNotifySeconds(j *jobs.Job) float64 {
 	if j.Record.Kind != jobs.Gang {
 		return 0
 	}
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -183,7 +183,7 @@
 		case j.Record.Kind == jobs.Service:
 			p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once it is gone
 		case m.PreemptionNotice && j.Record.Checkpoint > 0 && p.State == workers.Running:
-			saveTime := settings.Seconds(j.Record.SaveS + saveReserveSeconds + saveReserveIntervals*w.ReportS + d.PeerTime(j))
+			saveTime := settings.Seconds(j.Record.SaveS + saveReserveSeconds + saveReserveIntervals*w.ReportS + d.GangNotifySeconds(j))
 			if m.PreemptedAt-now < saveTime {
 				d.SaveAndStop(now, j, p)
 			}
