--- a/internal/leader/term/replay.go
+++ b/internal/leader/term/replay.go
@@ -13,10 +13,10 @@
 
 // LoadedLog is what a new leader reads back from the state service.
 type LoadedLog struct {
-	First, Last int                    // numbers of the log's first and last segment
-	Entries     []eventlog.Entry       // of all segments, in order
-	Sizes       []eventlog.VirtualSize // oldest first
-	Pieces      int                    // how many pieces of virtual sizes there may be
+	First, Last       int                    // numbers of the log's first and last segment
+	Entries           []eventlog.Entry       // of all segments, in order
+	Sizes             []eventlog.VirtualSize // oldest first
+	VirtualSizePieces int                    // how many pieces of virtual sizes there may be
 }
 
 // Loaded says whether the log has been read: before, nothing is known of jobs.
@@ -31,7 +31,7 @@
 		ValueBytes: int(writes.ValueKB * 1024),
 		TxnOps:     writes.TxnOps,
 	}
-	t.EventLog = eventlog.NewLog(limits, leadership.EpochKey, mark, log.Last, log.Pieces)
+	t.EventLog = eventlog.NewLog(limits, leadership.EpochKey, mark, log.Last, log.VirtualSizePieces)
 	t.firstSegment = max(log.First, 1)
 	for _, e := range log.Entries {
 		if !t.routeEntry(e, func(c Component) { c.Replay(now, e) }) {
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -105,7 +105,7 @@
 		return err
 	}
 	log.Sizes = append(log.Sizes, virtual.Sizes...)
-	log.Pieces = max(log.Pieces, number+1)
+	log.VirtualSizePieces = max(log.VirtualSizePieces, number+1)
 	return nil
 }
 
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -417,7 +417,7 @@
 				r.Sizes = append(r.Sizes, v.Sizes...)
 			}
 			n, _ := eventlog.SizesPieceNumber(k)
-			r.Pieces = max(r.Pieces, n+1)
+			r.VirtualSizePieces = max(r.VirtualSizePieces, n+1)
 		}
 		reply(r)
 	}, func(r term.LoadedLog, ok bool) {
