--- a/internal/leader/term/compaction.go
+++ b/internal/leader/term/compaction.go
@@ -107,7 +107,7 @@
 			return false
 		}
 	}
-	return t.Users.CanCompact(entries)
+	return t.Lifecycle.CanCompact(entries)
 }
 
 // dropCompactedSegments removes the segments whose live entries are durable elsewhere.
--- a/internal/leader/term/limits_test.go
+++ b/internal/leader/term/limits_test.go
@@ -122,7 +122,7 @@
 
 	follower := open
 	follower.ID, follower.Tasks, follower.Follows = 2, 3, append([]uint64{1}, all...)
-	term.Users.Submit(time.Second, 1, wire.Submission{ID: 2, HasID: true, Job: &follower})
+	term.Lifecycle.Submit(time.Second, 1, wire.Submission{ID: 2, HasID: true, Job: &follower})
 
 	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: zones[0], Count: 50}})
 	var names []string
@@ -246,7 +246,7 @@
 	for n := range 200 {
 		job.Types = append(job.Types, fmt.Sprintf("type-%010d", n))
 	}
-	term.Users.Submit(0, 7, wire.Submission{ID: 1, HasID: true, Job: &job})
+	term.Lifecycle.Submit(0, 7, wire.Submission{ID: 1, HasID: true, Job: &job})
 	out := term.DrainEffects()
 	r, ok := out[len(out)-1].(effects.Reply)
 	if !ok || r.Answer.Status != 400 || term.Jobs.ByID(1) != nil {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -77,7 +77,7 @@
 
 	// The components that every term has. The first is exported because what users ask goes
 	// to it directly.
-	Users      *lifecycle.Component
+	Lifecycle  *lifecycle.Component
 	fairShare  *fairshare.Component
 	registry   *registry.Component
 	placement  *placement.Component
@@ -104,14 +104,14 @@
 	s := cluster.New(start)
 	t := &Term{
 		State:            s,
-		Users:            lifecycle.New(s),
+		Lifecycle:        lifecycle.New(s),
 		fairShare:        fairshare.New(s),
 		registry:         registry.New(s),
 		placement:        placement.New(s),
 		autoscaler:       autoscaler.New(s),
 		componentsByName: map[string]Component{},
 	}
-	t.add("", t.Users)
+	t.add("", t.Lifecycle)
 	t.add("", t.fairShare)
 	t.add(registry.Name, t.registry)
 	t.add(placement.Name, t.placement)
@@ -203,6 +203,6 @@
 
 // End answers everybody who still waits.
 func (t *Term) End() {
-	t.Users.End()
+	t.Lifecycle.End()
 	t.registry.End()
 }
--- a/internal/node/core_requests.go
+++ b/internal/node/core_requests.go
@@ -16,7 +16,7 @@
 		c.replyNoLeader(to)
 		return
 	}
-	c.term.Users.Submit(now, to, submission)
+	c.term.Lifecycle.Submit(now, to, submission)
 	c.advanceTerm(now)
 }
 
@@ -26,7 +26,7 @@
 		c.replyNoLeader(to)
 		return
 	}
-	c.term.Users.Query(to, id)
+	c.term.Lifecycle.Query(to, id)
 	c.advanceTerm(now)
 }
 
@@ -36,7 +36,7 @@
 		c.replyNoLeader(to)
 		return
 	}
-	c.term.Users.Cancel(now, to, id)
+	c.term.Lifecycle.Cancel(now, to, id)
 	c.advanceTerm(now)
 }
 
