--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -32,7 +32,7 @@
 	}
 	headers := []string{"EPOCH", "LEADER", "FOUND VACANT", "MACHINES", "JOBS", "HELD BACK"}
 	for _, step := range failover.Steps() {
-		headers = append(headers, step.Words())
+		headers = append(headers, step.Heading())
 	}
 	t := console.NewTable(out, headers...)
 	for _, r := range list {
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -59,8 +59,8 @@
 
 func (s Step) String() string { return stepWords[s] }
 
-// Words is a step's heading in a table.
-func (s Step) Words() string { return strings.ToUpper(strings.ReplaceAll(s.String(), "_", " ")) }
+// Heading is a step's heading in a table.
+func (s Step) Heading() string { return strings.ToUpper(strings.ReplaceAll(s.String(), "_", " ")) }
 
 // Steps lists all steps in order.
 func Steps() []Step {
