--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -17,11 +17,11 @@
 
 // Record is the account of one cold start.
 type Record struct {
-	Epoch   uint64 `json:"epoch"`
-	Node    string `json:"node"`
-	AtMS    int64  `json:"at_ms"`            // time of day when the log was read
-	LeastMS int64  `json:"down_at_least_ms"` // for how long nobody led, as this node knows
-	MostMS  int64  `json:"down_at_most_ms"`  // since the last durable sign of a leader; -1: there is none
+	Epoch         uint64 `json:"epoch"`
+	Node          string `json:"node"`
+	AtMS          int64  `json:"at_ms"`            // time of day when the log was read
+	DownAtLeastMS int64  `json:"down_at_least_ms"` // for how long nobody led, as this node knows
+	MostMS        int64  `json:"down_at_most_ms"`  // since the last durable sign of a leader; -1: there is none
 	// Machines that were registered, jobs that were open, and their tasks that may have
 	// been handed out and had not ended.
 	Machines int `json:"machines"`
@@ -38,7 +38,9 @@
 	Needless    map[string]uint64 `json:"needless"`
 }
 
-func (r *Record) minDowntime() time.Duration { return time.Duration(r.LeastMS) * time.Millisecond }
+func (r *Record) minDowntime() time.Duration {
+	return time.Duration(r.DownAtLeastMS) * time.Millisecond
+}
 
 func (r *Record) maxDowntime() time.Duration { return time.Duration(r.MostMS) * time.Millisecond }
 
@@ -130,7 +132,7 @@
 func (a *account) begin(d *Component, now time.Duration) {
 	a.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
-		a.current.LeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
+		a.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
 	a.current.MostMS = -1
 	if d.newestEntryMS > 0 {
