--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -57,7 +57,7 @@
 	t := console.NewTable(out, "EPOCH", "LEADER", "BEGAN", "DOWN AT LEAST", "AT MOST", "MACHINES", "JOBS", "TASKS",
 		"SETTLED", "HALF BACK", "90 % BACK", "ALL BACK")
 	for _, r := range list {
-		t.Row(r.Epoch, r.Node, formatTime(r.AtMS), formatMillis(r.DownAtLeastMS), formatMillis(r.MostMS),
+		t.Row(r.Epoch, r.Node, formatTime(r.AtMS), formatMillis(r.DownAtLeastMS), formatMillis(r.DownAtMostMS),
 			r.Machines, r.Jobs, r.Tasks,
 			formatMillis(r.SettledMS), formatMillis(r.HalfMS), formatMillis(r.NinetyMS), formatMillis(r.BackMS))
 	}
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -21,7 +21,7 @@
 	Node          string `json:"node"`
 	AtMS          int64  `json:"at_ms"`            // time of day when the log was read
 	DownAtLeastMS int64  `json:"down_at_least_ms"` // for how long nobody led, as this node knows
-	MostMS        int64  `json:"down_at_most_ms"`  // since the last durable sign of a leader; -1: there is none
+	DownAtMostMS  int64  `json:"down_at_most_ms"`  // since the last durable sign of a leader; -1: there is none
 	// Machines that were registered, jobs that were open, and their tasks that may have
 	// been handed out and had not ended.
 	Machines int `json:"machines"`
@@ -42,7 +42,7 @@
 	return time.Duration(r.DownAtLeastMS) * time.Millisecond
 }
 
-func (r *Record) maxDowntime() time.Duration { return time.Duration(r.MostMS) * time.Millisecond }
+func (r *Record) maxDowntime() time.Duration { return time.Duration(r.DownAtMostMS) * time.Millisecond }
 
 // Needless kinds of actions, as they are counted in Record.Needless.
 const (
@@ -134,9 +134,9 @@
 	if d.LastLeaderHeard > 0 {
 		a.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
-	a.current.MostMS = -1
+	a.current.DownAtMostMS = -1
 	if d.newestEntryMS > 0 {
-		a.current.MostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
+		a.current.DownAtMostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
 	}
 	a.current.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -211,7 +211,7 @@
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	j, all := d.Jobs.ByID(1), d.Inventory.All()
-	if d.kind != coldStart || d.account.current.Tasks != 10 || d.account.current.MostMS != 40_000 {
+	if d.kind != coldStart || d.account.current.Tasks != 10 || d.account.current.DownAtMostMS != 40_000 {
 		t.Fatalf("kind %v, account %+v", d.kind, d.account.current)
 	}
 	for i, m := range all[:9] {
