--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -28,10 +28,10 @@
 	Jobs     int `json:"jobs"`
 	Tasks    int `json:"tasks"`
 	// After the beginning of the term, in milliseconds; -1: not reached.
-	SettledMS  int64 `json:"settled_ms"`
-	WorkHalfMS int64 `json:"work_half_ms"` // half of those tasks are seen, done, or given a machine again
-	NinetyMS   int64 `json:"work_ninety_ms"`
-	BackMS     int64 `json:"work_all_ms"`
+	SettledMS    int64 `json:"settled_ms"`
+	WorkHalfMS   int64 `json:"work_half_ms"` // half of those tasks are seen, done, or given a machine again
+	WorkNinetyMS int64 `json:"work_ninety_ms"`
+	BackMS       int64 `json:"work_all_ms"`
 	// Differences, orders, and orders found needless afterwards, by name.
 	Differences map[string]uint64 `json:"differences"`
 	Orders      map[string]uint64 `json:"orders"`
@@ -85,14 +85,14 @@
 
 func (a *account) initialize(s *cluster.State) {
 	a.current = Record{
-		Epoch:      s.Epoch,
-		Node:       s.Cfg.Node,
-		SettledMS:  notReached,
-		WorkHalfMS: notReached,
-		NinetyMS:   notReached,
-		BackMS:     notReached,
-		Orders:     map[string]uint64{},
-		Needless:   map[string]uint64{},
+		Epoch:        s.Epoch,
+		Node:         s.Cfg.Node,
+		SettledMS:    notReached,
+		WorkHalfMS:   notReached,
+		WorkNinetyMS: notReached,
+		BackMS:       notReached,
+		Orders:       map[string]uint64{},
+		Needless:     map[string]uint64{},
 	}
 	a.missingTasks = map[workers.TaskRef]struct{}{}
 	a.unusedRentals = map[*workers.Machine]bool{}
@@ -182,7 +182,7 @@
 		percent int
 	}{
 		{"work_half", &a.current.WorkHalfMS, 50},
-		{"work_ninety", &a.current.NinetyMS, 90},
+		{"work_ninety", &a.current.WorkNinetyMS, 90},
 		{"work_all", &a.current.BackMS, 100},
 	}
 	for _, s := range steps {
@@ -330,7 +330,7 @@
 	r := &a.current
 	d.LogMessage(effects.Info, "cold start",
 		"epoch", r.Epoch, "machines", r.Machines, "jobs", r.Jobs, "tasks", r.Tasks,
-		"settled_ms", r.SettledMS, "work_half_ms", r.WorkHalfMS, "work_ninety_ms", r.NinetyMS, "work_all_ms", r.BackMS,
+		"settled_ms", r.SettledMS, "work_half_ms", r.WorkHalfMS, "work_ninety_ms", r.WorkNinetyMS, "work_all_ms", r.BackMS,
 		"differences", jsonText(r.Differences), "orders", jsonText(r.Orders), "needless", jsonText(r.Needless))
 }
 
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -256,7 +256,7 @@
 	}
 	r := list[0]
 	if r.Machines != 10 || r.Jobs != 1 || r.SettledMS != 4000 ||
-		r.WorkHalfMS != 1000 || r.NinetyMS != 3000 || r.BackMS != 10000 {
+		r.WorkHalfMS != 1000 || r.WorkNinetyMS != 3000 || r.BackMS != 10000 {
 		t.Errorf("%+v", r)
 	}
 	if fmt.Sprint(r.Orders) != "map[delete:1 preempt:1 rent:2 return:3 start_again:2 start_new:1]" {
