--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -59,7 +59,7 @@
 	for _, r := range list {
 		t.Row(r.Epoch, r.Node, formatTime(r.AtMS), formatMillis(r.DownAtLeastMS), formatMillis(r.DownAtMostMS),
 			r.Machines, r.Jobs, r.Tasks,
-			formatMillis(r.SettledMS), formatMillis(r.WorkHalfMS), formatMillis(r.WorkNinetyMS), formatMillis(r.BackMS))
+			formatMillis(r.SettledMS), formatMillis(r.WorkHalfMS), formatMillis(r.WorkNinetyMS), formatMillis(r.WorkAllMS))
 	}
 	t.Flush()
 	for _, r := range list {
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -31,7 +31,7 @@
 	SettledMS    int64 `json:"settled_ms"`
 	WorkHalfMS   int64 `json:"work_half_ms"` // half of those tasks are seen, done, or given a machine again
 	WorkNinetyMS int64 `json:"work_ninety_ms"`
-	BackMS       int64 `json:"work_all_ms"`
+	WorkAllMS    int64 `json:"work_all_ms"`
 	// Differences, orders, and orders found needless afterwards, by name.
 	Differences map[string]uint64 `json:"differences"`
 	Orders      map[string]uint64 `json:"orders"`
@@ -90,7 +90,7 @@
 		SettledMS:    notReached,
 		WorkHalfMS:   notReached,
 		WorkNinetyMS: notReached,
-		BackMS:       notReached,
+		WorkAllMS:    notReached,
 		Orders:       map[string]uint64{},
 		Needless:     map[string]uint64{},
 	}
@@ -183,7 +183,7 @@
 	}{
 		{"work_half", &a.current.WorkHalfMS, 50},
 		{"work_ninety", &a.current.WorkNinetyMS, 90},
-		{"work_all", &a.current.BackMS, 100},
+		{"work_all", &a.current.WorkAllMS, 100},
 	}
 	for _, s := range steps {
 		if *s.afterMS < 0 && recovered*100 >= a.current.Tasks*s.percent {
@@ -330,7 +330,7 @@
 	r := &a.current
 	d.LogMessage(effects.Info, "cold start",
 		"epoch", r.Epoch, "machines", r.Machines, "jobs", r.Jobs, "tasks", r.Tasks,
-		"settled_ms", r.SettledMS, "work_half_ms", r.WorkHalfMS, "work_ninety_ms", r.WorkNinetyMS, "work_all_ms", r.BackMS,
+		"settled_ms", r.SettledMS, "work_half_ms", r.WorkHalfMS, "work_ninety_ms", r.WorkNinetyMS, "work_all_ms", r.WorkAllMS,
 		"differences", jsonText(r.Differences), "orders", jsonText(r.Orders), "needless", jsonText(r.Needless))
 }
 
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -256,7 +256,7 @@
 	}
 	r := list[0]
 	if r.Machines != 10 || r.Jobs != 1 || r.SettledMS != 4000 ||
-		r.WorkHalfMS != 1000 || r.WorkNinetyMS != 3000 || r.BackMS != 10000 {
+		r.WorkHalfMS != 1000 || r.WorkNinetyMS != 3000 || r.WorkAllMS != 10000 {
 		t.Errorf("%+v", r)
 	}
 	if fmt.Sprint(r.Orders) != "map[delete:1 preempt:1 rent:2 return:3 start_again:2 start_new:1]" {
@@ -292,8 +292,8 @@
 	heard := d.Inventory.All()[0]
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: heard, Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.ByID(1)})
-	if d.account.current.BackMS != 7000 || !d.account.allRecovered() {
-		t.Errorf("back after %d ms", d.account.current.BackMS)
+	if d.account.current.WorkAllMS != 7000 || !d.account.allRecovered() {
+		t.Errorf("back after %d ms", d.account.current.WorkAllMS)
 	}
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -458,7 +458,7 @@
 		if len(list) == 0 || list[0].Epoch != l.core.Epoch() {
 			return "an ordinary takeover"
 		}
-		out := []string{fmt.Sprintf("settled %v, all work back %v", list[0].SettledMS >= 0, list[0].BackMS >= 0)}
+		out := []string{fmt.Sprintf("settled %v, all work back %v", list[0].SettledMS >= 0, list[0].WorkAllMS >= 0)}
 		for name := range strings.SplitSeq(arg(t, d, "difference", ""), ",") {
 			if name != "" {
 				out = append(out, fmt.Sprintf("%s: %v", name, list[0].Differences[name] > 0))
