--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -157,9 +157,9 @@
 	return leadership.FleetReconciling
 }
 
-// PeerLed applies a peer's answer on the last leader before this one. known is false where
+// PreviousLeaderReported applies a peer's answer on the last leader before this one. known is false where
 // there was no answer.
-func (d *Component) PeerLed(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
+func (d *Component) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if known {
 		d.peerHeardAt[peer] = now
 	}
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -164,25 +164,25 @@
 		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetReconciling), noAnswer, coldStart},
 		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), noAnswer, coldStart},
 		{"it never did, and nobody answers", none, noAnswer, coldStart},
-		{"the peers have not answered yet", none, func(d *Component) { d.PeerLed(at, "n1", none, true) }, undecided},
+		{"the peers have not answered yet", none, func(d *Component) { d.PreviousLeaderReported(at, "n1", none, true) }, undecided},
 		{"nor did the peers", none, func(d *Component) {
-			d.PeerLed(at, "n1", none, true)
-			d.PeerLed(at, "n2", none, false)
+			d.PreviousLeaderReported(at, "n1", none, true)
+			d.PreviousLeaderReported(at, "n2", none, false)
 		}, coldStart},
 		{"a peer did", none, func(d *Component) {
-			d.PeerLed(at, "n1", none, true)
-			d.PeerLed(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
+			d.PreviousLeaderReported(at, "n1", none, true)
+			d.PreviousLeaderReported(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, failoverStart},
 		{"a peer did, long ago", none, func(d *Component) {
-			d.PeerLed(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
-			d.PeerLed(at, "n2", none, true)
+			d.PreviousLeaderReported(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
+			d.PreviousLeaderReported(at, "n2", none, true)
 		}, coldStart},
 		{"a peer heard one that was listening", none, func(d *Component) {
-			d.PeerLed(at, "n1", led(time.Second, 3*time.Second, leadership.FleetReconciling), true)
-			d.PeerLed(at, "n2", none, true)
+			d.PreviousLeaderReported(at, "n1", led(time.Second, 3*time.Second, leadership.FleetReconciling), true)
+			d.PreviousLeaderReported(at, "n2", none, true)
 		}, coldStart},
 		{"it met a leader for a moment, a peer knows it", led(2*time.Second, 0, leadership.FleetUnspecified), func(d *Component) {
-			d.PeerLed(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
+			d.PreviousLeaderReported(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, failoverStart},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -90,7 +90,7 @@
 // when it last heard from it, if it knows.
 func (t *Term) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if t.coldStart != nil && t.loaded {
-		t.coldStart.PeerLed(now, peer, led, known)
+		t.coldStart.PreviousLeaderReported(now, peer, led, known)
 	}
 }
 
