--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -88,7 +88,7 @@
 			t.Errorf("floor %v: room goes to a job that is lost", floor)
 		}
 		d.Tick(101*time.Second, true)
-		if kept() != 0 || len(d.open) != 0 || d.at("a").Missed != 21 || d.at("t").Kept != 0 {
+		if kept() != 0 || len(d.open) != 0 || d.at("a").Missed != 21 || d.at("t").Boosted != 0 {
 			t.Errorf("floor %v: after their time %d go ahead, %+v", floor, kept(), d.at("a"))
 		}
 	}
