--- a/cmd/bitternmoor/served.go
+++ b/cmd/bitternmoor/served.go
@@ -24,7 +24,7 @@
 		if v.Team {
 			kind = "team"
 		}
-		t.Row(kind, v.Name, v.Due, v.Met, formatFixed(v.Share, 2), v.Open, v.Boosted, v.Missed, v.Helped,
+		t.Row(kind, v.Name, v.Due, v.Met, formatFixed(v.Share, 2), v.Open, v.Boosted, v.Missed, v.BoostedTotal,
 			v.Largest, v.LargestMet, formatFixed(v.LargestWait, 0)+" s")
 	}
 	t.Flush()
--- a/internal/leader/slo/view.go
+++ b/internal/leader/slo/view.go
@@ -12,15 +12,15 @@
 
 // View is what operators see of a class or a team.
 type View struct {
-	Name    string  `json:"name"`
-	Team    bool    `json:"team"`
-	Due     int     `json:"due"`    // jobs due in the window
-	Met     int     `json:"met"`    // of them, done by then
-	Share   float64 `json:"share"`  // 1 where none was due
-	Open    int     `json:"open"`   // jobs not due yet
-	Boosted int     `json:"kept"`   // of them, those that go ahead of everything
-	Missed  uint64  `json:"missed"` // since the leader began
-	Helped  uint64  `json:"kept_ever"`
+	Name         string  `json:"name"`
+	Team         bool    `json:"team"`
+	Due          int     `json:"due"`    // jobs due in the window
+	Met          int     `json:"met"`    // of them, done by then
+	Share        float64 `json:"share"`  // 1 where none was due
+	Open         int     `json:"open"`   // jobs not due yet
+	Boosted      int     `json:"kept"`   // of them, those that go ahead of everything
+	Missed       uint64  `json:"missed"` // since the leader began
+	BoostedTotal uint64  `json:"kept_ever"`
 	// Of those due, the largest: the tenth with most work, and the widest.
 	Largest     int     `json:"largest"`
 	LargestMet  int     `json:"largest_met"`
@@ -60,15 +60,15 @@
 
 func (s *groupStats) view() View {
 	v := View{
-		Name:    s.name,
-		Team:    s.team,
-		Due:     len(s.outcomes),
-		Met:     s.metCount(),
-		Share:   1,
-		Open:    s.openJobs,
-		Boosted: s.boosted,
-		Missed:  s.missed,
-		Helped:  s.boostedTotal,
+		Name:         s.name,
+		Team:         s.team,
+		Due:          len(s.outcomes),
+		Met:          s.metCount(),
+		Share:        1,
+		Open:         s.openJobs,
+		Boosted:      s.boosted,
+		Missed:       s.missed,
+		BoostedTotal: s.boostedTotal,
 	}
 	if v.Due > 0 {
 		v.Share = float64(v.Met) / float64(v.Due)
