--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -73,7 +73,7 @@
 		return term.LoadedLog{}, err
 	}
 	// A piece of an earlier list, by whatever version, must not overrule a newer one.
-	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Mark, b.Mark) })
+	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Version, b.Version) })
 	for _, piece := range pieces {
 		if err := addSizes(&log, piece); err != nil {
 			return term.LoadedLog{}, err
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -144,7 +144,7 @@
 		if it.hold == id {
 			s.revision++
 			delete(s.items, k)
-			s.notifyWatchers(wire.Item{Key: k, Mark: s.revision})
+			s.notifyWatchers(wire.Item{Key: k, Version: s.revision})
 		}
 	}
 }
@@ -190,7 +190,7 @@
 	s.counts.Writes += uint64(len(t.Writes))
 	var failed []string
 	for _, c := range t.Conds {
-		if s.items[c.Key].Mark != c.Version {
+		if s.items[c.Key].Version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
@@ -200,7 +200,7 @@
 	s.counts.Transactions++
 	s.revision++
 	for _, w := range t.Writes {
-		it := wire.Item{Key: w.Key, Mark: s.revision}
+		it := wire.Item{Key: w.Key, Version: s.revision}
 		if w.Remove {
 			delete(s.items, w.Key)
 		} else {
@@ -327,10 +327,10 @@
 	end := time.NewTimer(min(q.Wait, followAtMost))
 	defer end.Stop()
 	for over := false; ; {
-		if len(s.changes) == changesKept && s.changes[0].Mark > q.Since+1 {
+		if len(s.changes) == changesKept && s.changes[0].Version > q.Since+1 {
 			return reply{http.StatusGone, wire.TxnAnswer(s.revision, nil)}
 		}
-		from, _ := slices.BinarySearchFunc(s.changes, q.Since+1, func(it wire.Item, mark uint64) int { return int(it.Mark) - int(mark) })
+		from, _ := slices.BinarySearchFunc(s.changes, q.Since+1, func(it wire.Item, mark uint64) int { return int(it.Version) - int(mark) })
 		var news []wire.Item
 		for _, it := range s.changes[from:] {
 			if strings.HasPrefix(it.Key, q.Prefix) {
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -41,9 +41,9 @@
 
 // Item is one key of the state service.
 type Item struct {
-	Key   string
-	Value json.RawMessage
-	Mark  uint64 // version of the key: the revision that wrote it; 0: the key is missing
+	Key     string
+	Value   json.RawMessage
+	Version uint64 // version of the key: the revision that wrote it; 0: the key is missing
 }
 
 // storedItem is an item as the state service writes it.
@@ -53,10 +53,10 @@
 	Version uint64          `json:"entry_mark"`
 }
 
-func (s storedItem) item() Item { return Item{Key: s.Key, Value: s.Value, Mark: s.Version} }
+func (s storedItem) item() Item { return Item{Key: s.Key, Value: s.Value, Version: s.Version} }
 
 func newStoredItem(item Item) storedItem {
-	return storedItem{Key: item.Key, Value: item.Value, Version: item.Mark}
+	return storedItem{Key: item.Key, Value: item.Value, Version: item.Version}
 }
 
 // itemPage is one page of a listing.
@@ -184,9 +184,9 @@
 		}
 		switch item.Key {
 		case leadership.HolderKey:
-			view.Holder, view.HolderVersion = &holder, item.Mark
+			view.Holder, view.HolderVersion = &holder, item.Version
 		case leadership.EpochKey:
-			view.Epoch, view.EpochNode, view.EpochVersion = holder.Epoch, holder.Node, item.Mark
+			view.Epoch, view.EpochNode, view.EpochVersion = holder.Epoch, holder.Node, item.Version
 		}
 	}
 	return view, nil
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -125,9 +125,9 @@
 func StateNews(revision uint64, changed []Item) []byte {
 	list := make([]keyChange, len(changed))
 	for i, item := range changed {
-		list[i] = keyChange{Write: item.Key, Value: item.Value, Version: item.Mark}
+		list[i] = keyChange{Write: item.Key, Value: item.Value, Version: item.Version}
 		if item.Value == nil {
-			list[i] = keyChange{Remove: item.Key, Version: item.Mark}
+			list[i] = keyChange{Remove: item.Key, Version: item.Version}
 		}
 	}
 	return encode(changesAnswer{Revision: revision, Changes: list})
