--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -175,7 +175,7 @@
 			s.bad = append(s.bad, fmt.Sprintf("%s: %d bytes", w.Key, len(w.Value)))
 			return refusal(http.StatusBadRequest, "value too large")
 		}
-		if w.Hold != 0 && s.holds[w.Hold] == nil {
+		if w.LeaseID != 0 && s.holds[w.LeaseID] == nil {
 			return refusal(http.StatusBadRequest, "no such lease")
 		}
 	}
@@ -205,7 +205,7 @@
 			delete(s.items, w.Key)
 		} else {
 			it.Value = w.Value
-			s.items[w.Key] = stored{it, w.Hold}
+			s.items[w.Key] = stored{it, w.LeaseID}
 			s.counts.BytesWritten += uint64(len(w.Value))
 			s.counts.Largest = max(s.counts.Largest, len(w.Value))
 		}
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -14,10 +14,10 @@
 
 // StateWrite is one write of a transaction, as the state service reads it.
 type StateWrite struct {
-	Key    string
-	Value  json.RawMessage
-	Hold   uint64 // lease that the key is bound to; 0: none
-	Remove bool   // the key is removed
+	Key     string
+	Value   json.RawMessage
+	LeaseID uint64 // lease that the key is bound to; 0: none
+	Remove  bool   // the key is removed
 }
 
 // StateTxn is a transaction, as the state service reads it.
@@ -41,7 +41,7 @@
 			out.Writes = append(out.Writes, StateWrite{Key: w.Delete, Remove: true})
 			continue
 		}
-		out.Writes = append(out.Writes, StateWrite{Key: w.Put, Value: w.Value, Hold: w.LeaseID})
+		out.Writes = append(out.Writes, StateWrite{Key: w.Put, Value: w.Value, LeaseID: w.LeaseID})
 	}
 	return out, nil
 }
