--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -271,8 +271,8 @@
 
 func (s *StateService) page(q wire.StateQuery) reply {
 	most := pageMost
-	if q.Most > 0 {
-		most = min(most, q.Most)
+	if q.Limit > 0 {
+		most = min(most, q.Limit)
 	}
 	var rows []wire.Item
 	bytes := 0
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -75,7 +75,7 @@
 // A query of the state service is read, or refused by its field.
 func TestStateQuery(t *testing.T) {
 	q, err := ParseStateQuery(url.Values{"starts": {"c/"}, "since": {"431"}, "most": {"20"}, "hold_ms": {"1500"}})
-	want := StateQuery{Prefix: "c/", After: "431", Most: 20, Since: 431, Wait: 1500 * time.Millisecond}
+	want := StateQuery{Prefix: "c/", After: "431", Limit: 20, Since: 431, Wait: 1500 * time.Millisecond}
 	if err != nil || q != want {
 		t.Errorf("%+v %v", q, err)
 	}
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -55,7 +55,7 @@
 type StateQuery struct {
 	Prefix string        // of the keys
 	After  string        // of keys: the key after which the page begins
-	Most   int           // of keys: size of the page
+	Limit  int           // of keys: size of the page
 	Since  uint64        // of changes: the revision after which they begin
 	Wait   time.Duration // of changes: how long to wait for one
 }
@@ -67,7 +67,7 @@
 		name string
 		set  func(uint64)
 	}{
-		{"most", func(n uint64) { q.Most = int(n) }},
+		{"most", func(n uint64) { q.Limit = int(n) }},
 		{"hold_ms", func(n uint64) { q.Wait = time.Duration(n) * time.Millisecond }},
 	}
 	for _, number := range numbers {
