--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -169,7 +169,7 @@
 
 func refusal(status int, why string) reply { return reply{status, wire.ErrorBody(why)} }
 
-func (s *StateService) transact(t wire.StateTxn) reply {
+func (s *StateService) transact(t wire.StateTransaction) reply {
 	for _, w := range t.Writes {
 		if s.value > 0 && len(w.Value) > s.value {
 			s.bad = append(s.bad, fmt.Sprintf("%s: %d bytes", w.Key, len(w.Value)))
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -20,19 +20,19 @@
 	Remove  bool   // the key is removed
 }
 
-// StateTxn is a transaction, as the state service reads it.
-type StateTxn struct {
+// StateTransaction is a transaction, as the state service reads it.
+type StateTransaction struct {
 	Conds  []eventlog.Condition
 	Writes []StateWrite
 }
 
 // ParseTxn reads a transaction.
-func ParseTxn(body []byte) (StateTxn, error) {
+func ParseTxn(body []byte) (StateTransaction, error) {
 	var in transaction
 	if err := json.Unmarshal(body, &in); err != nil {
-		return StateTxn{}, fmt.Errorf("wire: a transaction that cannot be read: %w", err)
+		return StateTransaction{}, fmt.Errorf("wire: a transaction that cannot be read: %w", err)
 	}
-	var out StateTxn
+	var out StateTransaction
 	for _, c := range in.Conditions {
 		out.Conds = append(out.Conds, eventlog.Condition{Key: c.Key, Version: c.Version})
 	}
