--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -248,7 +248,7 @@
 	case path == wire.PathKeys:
 		return s.page(query)
 	case path == wire.PathTransactions:
-		t, err := wire.ParseTxn(body)
+		t, err := wire.ParseTransaction(body)
 		if err != nil {
 			return refusal(http.StatusBadRequest, err.Error())
 		}
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -26,8 +26,8 @@
 	Writes []StateWrite
 }
 
-// ParseTxn reads a transaction.
-func ParseTxn(body []byte) (StateTransaction, error) {
+// ParseTransaction reads a transaction.
+func ParseTransaction(body []byte) (StateTransaction, error) {
 	var in transaction
 	if err := json.Unmarshal(body, &in); err != nil {
 		return StateTransaction{}, fmt.Errorf("wire: a transaction that cannot be read: %w", err)
