--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -195,7 +195,7 @@
 		}
 	}
 	if failed != nil {
-		return reply{http.StatusConflict, wire.TxnAnswer(s.revision, failed)}
+		return reply{http.StatusConflict, wire.TransactionAnswer(s.revision, failed)}
 	}
 	s.counts.Transactions++
 	s.revision++
@@ -211,7 +211,7 @@
 		}
 		s.notifyWatchers(it)
 	}
-	return reply{http.StatusOK, wire.TxnAnswer(s.revision, nil)}
+	return reply{http.StatusOK, wire.TransactionAnswer(s.revision, nil)}
 }
 
 // ServeHTTP serves one request.
@@ -262,7 +262,7 @@
 	case strings.HasPrefix(path, wire.PathKeys+"/"):
 		it, ok := s.items[strings.TrimPrefix(path, wire.PathKeys+"/")]
 		if !ok {
-			return reply{http.StatusNotFound, wire.TxnAnswer(s.revision, nil)}
+			return reply{http.StatusNotFound, wire.TransactionAnswer(s.revision, nil)}
 		}
 		return reply{http.StatusOK, wire.StateItem(it.Item, it.hold)}
 	}
@@ -328,7 +328,7 @@
 	defer end.Stop()
 	for over := false; ; {
 		if len(s.changes) == changesKept && s.changes[0].Version > q.Since+1 {
-			return reply{http.StatusGone, wire.TxnAnswer(s.revision, nil)}
+			return reply{http.StatusGone, wire.TransactionAnswer(s.revision, nil)}
 		}
 		from, _ := slices.BinarySearchFunc(s.changes, q.Since+1, func(it wire.Item, mark uint64) int { return int(it.Version) - int(mark) })
 		var news []wire.Item
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -46,8 +46,8 @@
 	return out, nil
 }
 
-// TxnAnswer is the body that answers a transaction: with the conditions that failed, if any.
-func TxnAnswer(revision uint64, failed []string) []byte {
+// TransactionAnswer is the body that answers a transaction: with the conditions that failed, if any.
+func TransactionAnswer(revision uint64, failed []string) []byte {
 	return encode(transactionAnswer{Revision: revision, Failed: failed})
 }
 
