--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -338,7 +338,7 @@
 			}
 		}
 		if len(news) > 0 || over {
-			return reply{http.StatusOK, wire.StateNews(s.revision, news)}
+			return reply{http.StatusOK, wire.StateChanges(s.revision, news)}
 		}
 		if s.changed == nil {
 			s.changed = make(chan struct{})
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -121,8 +121,8 @@
 	Changes  []keyChange `json:"news"`
 }
 
-// StateNews is the body that lists changes of keys; those without a value are removals.
-func StateNews(revision uint64, changed []Item) []byte {
+// StateChanges is the body that lists changes of keys; those without a value are removals.
+func StateChanges(revision uint64, changed []Item) []byte {
 	list := make([]keyChange, len(changed))
 	for i, item := range changed {
 		list[i] = keyChange{Write: item.Key, Value: item.Value, Version: item.Version}
