--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -253,12 +253,12 @@
 			return refusal(http.StatusBadRequest, err.Error())
 		}
 		return s.transact(t)
-	case path == wire.PathHolds:
+	case path == wire.PathLeases:
 		return s.createLease(body)
 	case path == wire.PathFollow:
 		return s.watch(r, query)
-	case strings.HasPrefix(path, wire.PathHolds+"/"):
-		return s.changeLease(r.Method, strings.TrimPrefix(path, wire.PathHolds+"/"))
+	case strings.HasPrefix(path, wire.PathLeases+"/"):
+		return s.changeLease(r.Method, strings.TrimPrefix(path, wire.PathLeases+"/"))
 	case strings.HasPrefix(path, wire.PathKeys+"/"):
 		it, ok := s.items[strings.TrimPrefix(path, wire.PathKeys+"/")]
 		if !ok {
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -18,7 +18,7 @@
 	// The state service.
 	PathKeys         = "/keys"
 	PathTransactions = "/multi"
-	PathHolds        = "/holds"
+	PathLeases       = "/holds"
 	PathFollow       = "/follow"
 
 	// The cloud.
@@ -235,11 +235,11 @@
 // CreateLease makes a lease with this life, and returns its id.
 func (s *StateClient) CreateLease(ctx context.Context, life time.Duration) (uint64, bool) {
 	var out leaseAnswer
-	status, err := s.client.callJSON(ctx, http.MethodPost, PathHolds, leaseRequest{TTLMS: life.Milliseconds()}, &out)
+	status, err := s.client.callJSON(ctx, http.MethodPost, PathLeases, leaseRequest{TTLMS: life.Milliseconds()}, &out)
 	return out.ID, err == nil && status == http.StatusOK
 }
 
-func leasePath(id uint64) string { return PathHolds + "/" + strconv.FormatUint(id, 10) }
+func leasePath(id uint64) string { return PathLeases + "/" + strconv.FormatUint(id, 10) }
 
 // RenewLease renews a lease; gone says that it has expired.
 func (s *StateClient) RenewLease(ctx context.Context, id uint64) (ok, gone bool) {
