--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -255,7 +255,7 @@
 		return s.transact(t)
 	case path == wire.PathLeases:
 		return s.createLease(body)
-	case path == wire.PathFollow:
+	case path == wire.PathWatch:
 		return s.watch(r, query)
 	case strings.HasPrefix(path, wire.PathLeases+"/"):
 		return s.changeLease(r.Method, strings.TrimPrefix(path, wire.PathLeases+"/"))
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -19,7 +19,7 @@
 	PathKeys         = "/keys"
 	PathTransactions = "/multi"
 	PathLeases       = "/holds"
-	PathFollow       = "/follow"
+	PathWatch        = "/follow"
 
 	// The cloud.
 	PathMachineTypes = "/machine_types"
@@ -218,7 +218,7 @@
 		"since":   {strconv.FormatUint(since, 10)},
 		"hold_ms": {strconv.FormatInt(wait.Milliseconds(), 10)},
 	}
-	status, err := s.client.callJSON(ctx, http.MethodGet, PathFollow+"?"+q.Encode(), nil, nil)
+	status, err := s.client.callJSON(ctx, http.MethodGet, PathWatch+"?"+q.Encode(), nil, nil)
 	return err == nil && (status == http.StatusOK || status == http.StatusGone)
 }
 
