--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -122,7 +122,7 @@
 		count = min(count, c.freeCapacity(req.Zone))
 	}
 	if count <= 0 {
-		return reply{http.StatusServiceUnavailable, wire.NoCapacityProblem()}
+		return reply{http.StatusServiceUnavailable, wire.NoCapacityBody()}
 	}
 	for range count {
 		names = append(names, c.add(req.Type, req.Zone, req.Spot, c.Boot).Name)
--- a/internal/wire/cloudserver.go
+++ b/internal/wire/cloudserver.go
@@ -42,8 +42,8 @@
 	return in.Machines, nil
 }
 
-// NoCapacityProblem is the body with which the cloud refuses a rental request for lack of machines.
-func NoCapacityProblem() []byte { return ErrorBody(noCapacityWord) }
+// NoCapacityBody is the body with which the cloud refuses a rental request for lack of machines.
+func NoCapacityBody() []byte { return ErrorBody(noCapacityWord) }
 
 // MachineList is the body with which the cloud lists machines; more says that there are further pages.
 func MachineList(list []ListedMachine, more bool) []byte {
