--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -168,7 +168,7 @@
 			// Rented by a request whose answer was lost for good, or there from the start.
 			if m = d.AddMachine(now, l.Machine); m != nil {
 				m.Resolved = true
-				m.RentedAt = now - settings.Seconds(l.HeldS)
+				m.RentedAt = now - settings.Seconds(l.RentedForS)
 			}
 		}
 		if m != nil && l.Failed {
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -107,7 +107,7 @@
 			return reply{http.StatusOK, wire.MachineList(list, true)}
 		}
 		m := c.machines[n]
-		list = append(list, wire.ListedMachine{Machine: m.Machine, Failed: m.failed, HeldS: time.Since(m.at).Seconds()})
+		list = append(list, wire.ListedMachine{Machine: m.Machine, Failed: m.failed, RentedForS: time.Since(m.at).Seconds()})
 	}
 	return reply{http.StatusOK, wire.MachineList(list, false)}
 }
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -128,9 +128,9 @@
 
 // ListedMachine is a machine in the cloud's list, which lags behind.
 type ListedMachine struct {
-	Machine eventlog.Machine
-	Failed  bool
-	HeldS   float64 // seconds since it was rented
+	Machine    eventlog.Machine
+	Failed     bool
+	RentedForS float64 // seconds since it was rented
 }
 
 // Words of a machine's state in the cloud's list.
@@ -157,9 +157,9 @@
 
 func (m *listedMachine) machine() ListedMachine {
 	return ListedMachine{
-		Machine: eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
-		Failed:  m.State == failedWord,
-		HeldS:   m.HeldS,
+		Machine:    eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
+		Failed:     m.State == failedWord,
+		RentedForS: m.HeldS,
 	}
 }
 
--- a/internal/wire/cloudserver.go
+++ b/internal/wire/cloudserver.go
@@ -52,7 +52,7 @@
 		m := l.Machine
 		out.Machines[i] = listedMachine{
 			Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			State: runningWord, HeldS: l.HeldS,
+			State: runningWord, HeldS: l.RentedForS,
 		}
 		if l.Failed {
 			out.Machines[i].State = failedWord
