--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -139,7 +139,7 @@
 		}
 		var seconds float64
 		switch o.Kind {
-		case settings.AimWait:
+		case settings.ObjectiveWait:
 			seconds = o.WithinS
 		case settings.AimFinished:
 			seconds = o.WithinS - j.MeanRunSeconds()
@@ -174,7 +174,7 @@
 		quickestBoot = min(quickestBoot, t.BootS)
 	}
 	return slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
-		return o.Kind == settings.AimWait && o.WithinS < quickestBoot
+		return o.Kind == settings.ObjectiveWait && o.WithinS < quickestBoot
 	})
 }
 
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -67,7 +67,7 @@
 // hasWaitObjective says whether a class has an objective for how long its jobs wait.
 func (d *Component) hasWaitObjective(class string) bool {
 	return slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
-		return o.Kind == settings.AimWait && o.Class == class
+		return o.Kind == settings.ObjectiveWait && o.Class == class
 	})
 }
 
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -30,7 +30,7 @@
 		switch objective.Kind {
 		case settings.AimFinished:
 			c.applyFinishObjective(j, at, objective)
-		case settings.AimWait:
+		case settings.ObjectiveWait:
 			c.applyWaitObjective(j, at, objective)
 		}
 	}
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -404,7 +404,7 @@
 		}
 		d.Teams = append(d.Teams, t)
 	}
-	d.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: classUrgent, WithinS: e.Load.UrgentWithinS, Share: 0.99}}
+	d.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: classUrgent, WithinS: e.Load.UrgentWithinS, Share: 0.99}}
 	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = e.Workers.ReportS, e.Workers.LeaseS, e.Workers.CancelS
 	d.Workers.GangWaitS, d.Workers.GangPeerS = 35, 5
 	d.State.RPS, d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = e.State.RPS, e.State.WriteRPS, e.State.ValueKB, e.State.TxnOps
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_test.go
@@ -74,7 +74,7 @@
 	c.Tunables.ZonePatienceS = float64(seed % 2 * 60)
 	if m.trial == "taking starts" {
 		c.Tunables.DirectStarts = 8
-		c.Deployment.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: "class", WithinS: 0.5}}
+		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
 	s := newSim(c, seed, 3, false)
 	submit := func(id uint64, kind uint8, tasks int, follows ...uint64) *userJob {
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -81,7 +81,7 @@
 			}
 			if variant%3 == 1 {
 				c.Tunables.DirectStarts = 8
-				c.Deployment.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: "class", WithinS: 0.5}}
+				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
 		next := func() *userJob {
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -95,7 +95,7 @@
 	}
 	if seed%2 == 0 {
 		c.Tunables.DirectStarts, c.Tunables.AskSilent = 4, int(seed%4/2)
-		c.Deployment.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: "class", WithinS: 0.5}}
+		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
 	if seed%5 == 0 {
 		c.Tunables.ZonePatienceS, c.Tunables.ColdListen, c.Tunables.ListFirst = 20, 1, 1
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -26,7 +26,7 @@
 			c.Deployment.Teams[0].CPUsMax = 24
 			if variant%2 == 1 {
 				c.Tunables.DirectStarts = 8
-				c.Deployment.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: "class", WithinS: 0.5}}
+				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
 		d.cloud.boot, d.cloud.answer = 0, 1500*time.Millisecond
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -65,7 +65,7 @@
 	}
 	if seed%3 == 2 || seed%6 == 1 { // tasks are sent straight to their workers
 		c.Tunables.DirectStarts, c.Tunables.AskSilent = 4, int(seed%2)
-		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.AimWait, Class: "class", WithinS: 0.5})
+		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5})
 	}
 	counted := seed%4 == 1 || seed%4 == 2 // of these one in two begins with the version in production
 	if counted {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -103,7 +103,7 @@
 	if d.HasArg("direct") { // every job should start sooner than an idle worker reports
 		c.Tunables.DirectStarts, c.Tunables.ReadyWindowS, c.Tunables.AskSilent = arg(t, d, "direct", 8), 600, arg(t, d, "ask", 0)
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
-		c.Deployment.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: "class", WithinS: 1}}
+		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 	}
 	units := map[string]int{}
 	if list := arg(t, d, "pools", ""); list != "" { // NAME:UNITS, …
--- a/internal/scenario/stage_test.go
+++ b/internal/scenario/stage_test.go
@@ -90,7 +90,7 @@
 func startsDirectly(c *settings.Settings) {
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
 	c.Tunables.DirectStarts, c.Tunables.ReadyWindowS = 8, 600
-	c.Deployment.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: "class", WithinS: 1}}
+	c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 }
 
 // warmUp has a first job be done, so that machines are there which are kept ready.
--- a/internal/scenario/unheard_test.go
+++ b/internal/scenario/unheard_test.go
@@ -68,7 +68,7 @@
 			c.Deployment.Teams[0].CPUsMax = 20
 			c.Tunables.AskSilent, c.Tunables.DirectStarts, c.Tunables.ReadyWindowS = int(seed%2)*2, 8, 600
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
-			c.Deployment.Objectives = []settings.Objective{{Kind: settings.AimWait, Class: "class", WithinS: 0.5}}
+			c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 		})
 		var list []*userJob
 		for i := range 5 {
--- a/internal/settings/objectives.go
+++ b/internal/settings/objectives.go
@@ -13,13 +13,13 @@
 
 // Kinds of objectives that code acts upon.
 const (
-	AimWait     = "wait"
-	AimFinished = "finished"
-	AimDeadline = "deadline"
+	ObjectiveWait = "wait"
+	AimFinished   = "finished"
+	AimDeadline   = "deadline"
 )
 
 // objectiveKinds are all kinds that there are; nothing follows from the others of them here.
-var objectiveKinds = []string{AimWait, AimFinished, AimDeadline, "guarantee"}
+var objectiveKinds = []string{ObjectiveWait, AimFinished, AimDeadline, "guarantee"}
 
 // UnknownObjectives lists the kinds of objectives that this version does not know, once each.
 func (p *Platform) UnknownObjectives() (out []string) {
@@ -34,7 +34,7 @@
 // NeedsDispatch says whether an objective is so tight that a start which waits for an idle worker's next report
 // would miss it, so that tasks must be pushed to workers.
 func (s *Settings) NeedsDispatch(o Objective) bool {
-	return o.Kind == AimWait && o.WithinS < s.Deployment.Workers.ReportS
+	return o.Kind == ObjectiveWait && o.WithinS < s.Deployment.Workers.ReportS
 }
 
 // AnyNeedsDispatch says whether any objective needs push dispatch.
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -248,7 +248,7 @@
 	if err != nil || s.AnyNeedsDispatch() || !slices.Equal(s.UnknownObjectives(), []string{"brightness"}) {
 		t.Fatalf("%v: %+v", err, s)
 	}
-	tight := Objective{Kind: AimWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2}
+	tight := Objective{Kind: ObjectiveWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2}
 	s.Deployment.Objectives = append(s.Deployment.Objectives, tight)
 	if !s.AnyNeedsDispatch() {
 		t.Error("an objective of half a report interval needs no push dispatch")
