--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -141,7 +141,7 @@
 		switch o.Kind {
 		case settings.ObjectiveWait:
 			seconds = o.WithinS
-		case settings.AimFinished:
+		case settings.ObjectiveFinished:
 			seconds = o.WithinS - j.MeanRunSeconds()
 		case settings.AimDeadline:
 			seconds = j.Record.DeadlineS - j.MeanRunSeconds()
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -28,7 +28,7 @@
 			continue
 		}
 		switch objective.Kind {
-		case settings.AimFinished:
+		case settings.ObjectiveFinished:
 			c.applyFinishObjective(j, at, objective)
 		case settings.ObjectiveWait:
 			c.applyWaitObjective(j, at, objective)
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -167,7 +167,7 @@
 		misses = append(misses, "its deadline")
 	}
 	for _, o := range d.Cfg.Deployment.Objectives {
-		if o.Class == j.Record.Class && o.Kind == settings.AimFinished && age+f.EndS > o.WithinS {
+		if o.Class == j.Record.Class && o.Kind == settings.ObjectiveFinished && age+f.EndS > o.WithinS {
 			misses = append(misses, fmt.Sprintf("its class's aim of %v s", o.WithinS))
 		}
 	}
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -133,7 +133,7 @@
 			continue
 		}
 		switch o.Kind {
-		case settings.AimFinished:
+		case settings.ObjectiveFinished:
 			latest = max(latest, o.WithinS)
 		case settings.AimDeadline:
 			latest = max(latest, j.Record.DeadlineS*max(1, o.Times))
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -17,7 +17,7 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.ServedFloor, cfg.Tunables.ServedWindowS, cfg.Tunables.ServedWithinS = floor, 300, 200
 	cfg.Deployment.Objectives = []settings.Objective{
-		{Kind: settings.AimFinished, Class: "a", WithinS: 60}, {Kind: settings.AimFinished, Class: "a", WithinS: 100},
+		{Kind: settings.ObjectiveFinished, Class: "a", WithinS: 60}, {Kind: settings.ObjectiveFinished, Class: "a", WithinS: 100},
 		{Kind: settings.AimDeadline, Class: "b", Times: 1.5},
 	}
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
--- a/internal/scenario/hot_test.go
+++ b/internal/scenario/hot_test.go
@@ -20,7 +20,7 @@
 	c.Deployment.State.WriteRPS = 60
 	within := map[string]float64{"hot": 90, "slow": 150, "small": 60}
 	for class, s := range within {
-		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.AimFinished, Class: class, WithinS: s, Share: .9})
+		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.ObjectiveFinished, Class: class, WithinS: s, Share: .9})
 	}
 	c.Tunables.ServedFloor, c.Tunables.ServedWindowS = floor, 300
 	s := newSim(c, seed, 3, false)
--- a/internal/settings/objectives.go
+++ b/internal/settings/objectives.go
@@ -13,13 +13,13 @@
 
 // Kinds of objectives that code acts upon.
 const (
-	ObjectiveWait = "wait"
-	AimFinished   = "finished"
-	AimDeadline   = "deadline"
+	ObjectiveWait     = "wait"
+	ObjectiveFinished = "finished"
+	AimDeadline       = "deadline"
 )
 
 // objectiveKinds are all kinds that there are; nothing follows from the others of them here.
-var objectiveKinds = []string{ObjectiveWait, AimFinished, AimDeadline, "guarantee"}
+var objectiveKinds = []string{ObjectiveWait, ObjectiveFinished, AimDeadline, "guarantee"}
 
 // UnknownObjectives lists the kinds of objectives that this version does not know, once each.
 func (p *Platform) UnknownObjectives() (out []string) {
