--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -143,7 +143,7 @@
 			seconds = o.WithinS
 		case settings.ObjectiveFinished:
 			seconds = o.WithinS - j.MeanRunSeconds()
-		case settings.AimDeadline:
+		case settings.ObjectiveDeadline:
 			seconds = j.Record.DeadlineS - j.MeanRunSeconds()
 		}
 		if seconds > 0 && (best == 0 || seconds < best) {
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -135,7 +135,7 @@
 		switch o.Kind {
 		case settings.ObjectiveFinished:
 			latest = max(latest, o.WithinS)
-		case settings.AimDeadline:
+		case settings.ObjectiveDeadline:
 			latest = max(latest, j.Record.DeadlineS*max(1, o.Times))
 		}
 	}
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -18,7 +18,7 @@
 	cfg.Tunables.ServedFloor, cfg.Tunables.ServedWindowS, cfg.Tunables.ServedWithinS = floor, 300, 200
 	cfg.Deployment.Objectives = []settings.Objective{
 		{Kind: settings.ObjectiveFinished, Class: "a", WithinS: 60}, {Kind: settings.ObjectiveFinished, Class: "a", WithinS: 100},
-		{Kind: settings.AimDeadline, Class: "b", Times: 1.5},
+		{Kind: settings.ObjectiveDeadline, Class: "b", Times: 1.5},
 	}
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	m := s.Inventory.Add(&workers.Machine{Name: "m", Up: true})
--- a/internal/settings/objectives.go
+++ b/internal/settings/objectives.go
@@ -15,11 +15,11 @@
 const (
 	ObjectiveWait     = "wait"
 	ObjectiveFinished = "finished"
-	AimDeadline       = "deadline"
+	ObjectiveDeadline = "deadline"
 )
 
 // objectiveKinds are all kinds that there are; nothing follows from the others of them here.
-var objectiveKinds = []string{ObjectiveWait, ObjectiveFinished, AimDeadline, "guarantee"}
+var objectiveKinds = []string{ObjectiveWait, ObjectiveFinished, ObjectiveDeadline, "guarantee"}
 
 // UnknownObjectives lists the kinds of objectives that this version does not know, once each.
 func (p *Platform) UnknownObjectives() (out []string) {
