--- a/internal/core/config/change.go
+++ b/internal/core/config/change.go
@@ -75,5 +75,5 @@
 	if err := value.Limits.Team(team).Check(c.Item.String()); err != nil {
 		return err
 	}
-	return platform.CarriesTeam(team)
+	return platform.CheckTeamName(team)
 }
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -57,8 +57,8 @@
 	return entryBytes + team + class + zone
 }
 
-// CarriesTeam says why a job of a team with this name could not be stored.
-func (p *Platform) CarriesTeam(name string) error {
+// CheckTeamName says why a job of a team with this name could not be stored.
+func (p *Platform) CheckTeamName(name string) error {
 	least := min(p.Deployment.State.ValueKB, p.WriteLimits().ValueKB)
 	if entry := p.largestEntry() + len(name); least*1024 < float64(entry) {
 		return wrong("team", "a name of %d bytes is too long: an entry would take %d bytes, and a value has %v KiB",
