--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -52,7 +52,7 @@
 // since 1970. The time of day orders nothing: it only tells a successor how long a job has been
 // waiting.
 func NewCore(cfg *settings.Settings, clockZeroMS int64) *Core {
-	elector := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderHoldS))
+	elector := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderLeaseS))
 	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
 		// To tell a leader that merely does not reach this node from one that is gone.
 		elector.SilenceLimit = leaseOutlasted(cfg)
--- a/internal/node/execute_leadership.go
+++ b/internal/node/execute_leadership.go
@@ -33,7 +33,7 @@
 		ok := n.state.Watch(callCtx, leadership.Prefix, request.Revision, watchDuration)
 		n.enqueue(ctx, func(now time.Duration) { n.core.WatchEnded(now, request.Sequence, ok) })
 	case leadership.CreateLease:
-		id, ok := n.state.CreateLease(callCtx, settings.Seconds(n.settings.Tunables.LeaderHoldS))
+		id, ok := n.state.CreateLease(callCtx, settings.Seconds(n.settings.Tunables.LeaderLeaseS))
 		sleepAfterFailure(ctx, ok)
 		n.enqueue(ctx, func(now time.Duration) { n.core.LeaseCreated(now, request.Sequence, ok, id) })
 	case leadership.ClaimLeadership:
--- a/internal/node/leader_heartbeats.go
+++ b/internal/node/leader_heartbeats.go
@@ -76,7 +76,7 @@
 
 // leaseOutlasted is longer than a dead leader's lease lasts.
 func leaseOutlasted(cfg *settings.Settings) time.Duration {
-	return settings.Seconds(cfg.Tunables.LeaderHoldS) + heartbeatInterval/2
+	return settings.Seconds(cfg.Tunables.LeaderLeaseS) + heartbeatInterval/2
 }
 
 // HeartbeatAnswered takes a peer's answer to a heartbeat.
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -76,7 +76,7 @@
 	}
 	// A lease that is valid was renewed within its length: the state service answered until then
 	// at least.
-	stateServiceAnsweredAt := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderHoldS)
+	stateServiceAnsweredAt := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderLeaseS)
 	return lastAnswerAt > 0 &&
 		now-c.leaseValidAt > c.unreachableLimit() &&
 		now-lastAnswerAt >= peerSilenceLimit &&
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -487,7 +487,7 @@
 			st.s.after(10*time.Second, func() { reply(leadResult{ok: true}) })
 		case leadership.CreateLease:
 			st.nextID++
-			life := settingsSeconds(c.cfg.Tunables.LeaderHoldS)
+			life := settingsSeconds(c.cfg.Tunables.LeaderLeaseS)
 			st.holds[st.nextID] = &hold{life, st.s.now + life}
 			st.s.after(life, st.expire)
 			if st.answerLost("hold") {
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -183,7 +183,7 @@
 		func(t *Tunables) *int { return &t.NoteTasks }),
 	amount("leadership", "hold", "s", limits{Default: 2, Min: 1, Max: 60},
 		"life of the leader's hold",
-		func(t *Tunables) *float64 { return &t.LeaderHoldS }),
+		func(t *Tunables) *float64 { return &t.LeaderLeaseS }),
 	whole("exceptions", "urgent_first", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
 		"urgent and critical jobs go ahead of the order",
 		func(t *Tunables) *int { return &t.UrgentFirst }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -54,7 +54,7 @@
 	NoteTasks     int     // 0 or 1: it is noted up to which number tasks may be handed out
 
 	// Leadership, and records of takeovers and cold starts.
-	LeaderHoldS   float64 // life of the leader's lease
+	LeaderLeaseS  float64 // life of the leader's lease
 	TakeoversKept int     // so many takeovers are recorded; 0: none
 	// ColdListen: 0 or 1: after a start in which nobody led the leader listens before it orders
 	ColdListen  int
