--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -153,7 +153,7 @@
 	if best == 0 {
 		return d.Cfg.Tunables.DearBacklogS
 	}
-	return max(d.Cfg.Tunables.AimShare*best, d.Cfg.Tunables.DrainBacklogS)
+	return max(d.Cfg.Tunables.ObjectiveShare*best, d.Cfg.Tunables.DrainBacklogS)
 }
 
 // retentionWindow is for how long capacity must not have been needed before it is returned.
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -239,7 +239,7 @@
 		func(t *Tunables) *float64 { return &t.DearBacklogS }),
 	amount("fleet", "aim_share", "share", limits{Default: 1.1, Min: 0.1, Max: 10},
 		"dear_backlog of a class with aims: this share of the tightest one",
-		func(t *Tunables) *float64 { return &t.AimShare }),
+		func(t *Tunables) *float64 { return &t.ObjectiveShare }),
 	amount("fleet", "idle_return", "s", limits{Default: 3, Min: 0, Max: 86400},
 		"room of ordinary machines that was not wanted for this time is returned",
 		func(t *Tunables) *float64 { return &t.IdleReturnS }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -69,9 +69,9 @@
 	// DearBacklogS: the same by dear ones, rented only where cheap ones do not get there; for classes without objectives
 	DearBacklogS float64
 	// AimShare: for classes with objectives: the share of the tightest one that takes its place
-	AimShare    float64
-	IdleReturnS float64 // room of ordinary machines that was not wanted for this time is returned
-	SpotReturnS float64 // the same of spot machines
+	ObjectiveShare float64
+	IdleReturnS    float64 // room of ordinary machines that was not wanted for this time is returned
+	SpotReturnS    float64 // the same of spot machines
 	// ReadyWindowS: the same where work should start sooner than a machine boots; 0: as elsewhere
 	ReadyWindowS float64
 	NoteReturns  int // 0 or 1: a machine that is returned empty is noted before
