--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -151,7 +151,7 @@
 		}
 	}
 	if best == 0 {
-		return d.Cfg.Tunables.DearBacklogS
+		return d.Cfg.Tunables.OrdinaryBacklogS
 	}
 	return max(d.Cfg.Tunables.ObjectiveShare*best, d.Cfg.Tunables.DrainBacklogS)
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -236,7 +236,7 @@
 		func(t *Tunables) *float64 { return &t.DrainBacklogS }),
 	amount("fleet", "dear_backlog", "s", limits{Default: 100, Min: 1, Max: 86400},
 		"ordinary machines are rented where spot ones leave work waiting longer than this",
-		func(t *Tunables) *float64 { return &t.DearBacklogS }),
+		func(t *Tunables) *float64 { return &t.OrdinaryBacklogS }),
 	amount("fleet", "aim_share", "share", limits{Default: 1.1, Min: 0.1, Max: 10},
 		"dear_backlog of a class with aims: this share of the tightest one",
 		func(t *Tunables) *float64 { return &t.ObjectiveShare }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -67,7 +67,7 @@
 	// Scaling out and in.
 	DrainBacklogS float64 // waiting work should be gone within this time, by cheap machines
 	// DearBacklogS: the same by dear ones, rented only where cheap ones do not get there; for classes without objectives
-	DearBacklogS float64
+	OrdinaryBacklogS float64
 	// AimShare: for classes with objectives: the share of the tightest one that takes its place
 	ObjectiveShare float64
 	IdleReturnS    float64 // room of ordinary machines that was not wanted for this time is returned
