--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -75,7 +75,7 @@
 	if m.UnansweredSince < heard {
 		m.UnansweredProbes, m.UnansweredSince = 0, heard
 	}
-	if m.UnansweredProbes < d.Cfg.Tunables.AskSilent {
+	if m.UnansweredProbes < d.Cfg.Tunables.ProbeSilent {
 		d.inFlight[m.Name] = heard
 		d.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
 	}
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -221,7 +221,7 @@
 // probesUnanswered says whether enough liveness probes of a silent machine went unanswered
 // while its zone is reachable: it is then given up before others.
 func (d *Component) probesUnanswered(m *workers.Machine, heard time.Duration) bool {
-	limit := d.Cfg.Tunables.AskSilent
+	limit := d.Cfg.Tunables.ProbeSilent
 	if limit <= 0 || m.UnansweredProbes < limit || m.UnansweredSince < heard {
 		return false
 	}
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -27,7 +27,7 @@
 // reachableZones says which zones are reachable, by zone: in one that is not, machines are
 // no more likely dead than cut off. It is nil where silent machines are not probed.
 func (d *Component) reachableZones(now time.Duration) []bool {
-	if d.Cfg.Tunables.AskSilent == 0 || !d.Cfg.AnyNeedsDispatch() {
+	if d.Cfg.Tunables.ProbeSilent == 0 || !d.Cfg.AnyNeedsDispatch() {
 		return nil
 	}
 	lateAfter := settings.Seconds(lateHeartbeatFactor * d.Cfg.Deployment.Workers.ReportS)
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -250,7 +250,7 @@
 		"where a class should start within a report interval, a machine that is silent while its "+
 			"zone is heard is asked directly, and given up when it has not answered so many times; 0: "+
 			"it is not asked",
-		func(t *Tunables) *int { return &t.AskSilent }),
+		func(t *Tunables) *int { return &t.ProbeSilent }),
 	amount("fleet", "ready_window", "s", limits{Default: 0, Min: 0, Max: 86400},
 		"where a class should start sooner than the quickest machine boots, room is returned only "+
 			"when it was not wanted for this time; 0: as elsewhere",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -87,8 +87,8 @@
 
 	// AskSilent: liveness probes after which a silent machine is given up, where a class should start within a report
 	// interval; 0: none
-	AskSilent int
-	ListFirst int // 0 or 1: silent machines that the cloud's list lacks are given up at once
+	ProbeSilent int
+	ListFirst   int // 0 or 1: silent machines that the cloud's list lacks are given up at once
 	// ZonePatienceS: how long machines of a zone that is cut off as a whole are waited for; 0: as any
 	ZonePatienceS float64
 
