--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -99,7 +99,7 @@
 
 // hasCallBudget says whether a further command may be sent now.
 func (d *Component) hasCallBudget() bool {
-	return d.callsInFlight < d.Cfg.Tunables.DirectStarts && !d.TokensRunLow()
+	return d.callsInFlight < d.Cfg.Tunables.PushDispatches && !d.TokensRunLow()
 }
 
 // isDispatchable says whether starts may be sent straight to a machine: its worker is known to
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -143,7 +143,7 @@
 // one that spreads heartbeats over controllers, where they are switched on.
 func (t *Term) addDispatching(start cluster.TermStart) {
 	tunables := &start.Cfg.Tunables
-	if tunables.DirectStarts > 0 && start.Cfg.AnyNeedsDispatch() {
+	if tunables.PushDispatches > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.dispatch = dispatch.New(t.State)
 		t.add(dispatch.Name, t.dispatch)
 	}
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_test.go
@@ -73,7 +73,7 @@
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 3, 22, 47
 	c.Tunables.ZonePatienceS = float64(seed % 2 * 60)
 	if m.trial == "taking starts" {
-		c.Tunables.DirectStarts = 8
+		c.Tunables.PushDispatches = 8
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
 	s := newSim(c, seed, 3, false)
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -80,7 +80,7 @@
 				c.Tunables.SpreadMoves = 8
 			}
 			if variant%3 == 1 {
-				c.Tunables.DirectStarts = 8
+				c.Tunables.PushDispatches = 8
 				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -94,7 +94,7 @@
 		c.Deployment.State.ValueKB = 0.8 // so that the log is cleaned all the time
 	}
 	if seed%2 == 0 {
-		c.Tunables.DirectStarts, c.Tunables.ProbeSilent = 4, int(seed%4/2)
+		c.Tunables.PushDispatches, c.Tunables.ProbeSilent = 4, int(seed%4/2)
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
 	if seed%5 == 0 {
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -25,7 +25,7 @@
 		d := newStage(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 24
 			if variant%2 == 1 {
-				c.Tunables.DirectStarts = 8
+				c.Tunables.PushDispatches = 8
 				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -64,7 +64,7 @@
 		c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
 	}
 	if seed%3 == 2 || seed%6 == 1 { // tasks are sent straight to their workers
-		c.Tunables.DirectStarts, c.Tunables.ProbeSilent = 4, int(seed%2)
+		c.Tunables.PushDispatches, c.Tunables.ProbeSilent = 4, int(seed%2)
 		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5})
 	}
 	counted := seed%4 == 1 || seed%4 == 2 // of these one in two begins with the version in production
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -101,7 +101,7 @@
 		c.Tunables.ColdStarts, c.Tunables.ColdImages = float64(arg(t, d, "starts", 0)), arg(t, d, "images", 0)
 	}
 	if d.HasArg("direct") { // every job should start sooner than an idle worker reports
-		c.Tunables.DirectStarts, c.Tunables.ReadyWindowS, c.Tunables.ProbeSilent = arg(t, d, "direct", 8), 600, arg(t, d, "ask", 0)
+		c.Tunables.PushDispatches, c.Tunables.ReadyWindowS, c.Tunables.ProbeSilent = arg(t, d, "direct", 8), 600, arg(t, d, "ask", 0)
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 	}
--- a/internal/scenario/stage_test.go
+++ b/internal/scenario/stage_test.go
@@ -89,7 +89,7 @@
 // startsDirectly are the settings of days on which tasks are sent straight to their workers.
 func startsDirectly(c *settings.Settings) {
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
-	c.Tunables.DirectStarts, c.Tunables.ReadyWindowS = 8, 600
+	c.Tunables.PushDispatches, c.Tunables.ReadyWindowS = 8, 600
 	c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 }
 
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -204,7 +204,7 @@
 	whole("exceptions", "direct_starts", "calls", limits{Default: 0, Min: 0, Max: 1000},
 		"most calls under way that start tasks straight at their workers, for classes whose wait "+
 			"aim is shorter than a report interval; 0: none, and starts wait for reports",
-		func(t *Tunables) *int { return &t.DirectStarts }),
+		func(t *Tunables) *int { return &t.PushDispatches }),
 	amount("exceptions", "begin_within", "s", limits{Default: 0, Min: 0, Max: 86400},
 		"jobs none of whose tasks has begun this long after they came, or were released, go ahead "+
 			"of all but urgent ones; 0: never",
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -38,9 +38,9 @@
 // checkDirect checks the calls to workers against the sockets that there are.
 func (s *Settings) checkDirect() error {
 	most := s.Deployment.MachineLimits.FDLimit / 4
-	if s.Tunables.DirectStarts > most {
+	if s.Tunables.PushDispatches > most {
 		return wrong("exceptions.direct_starts",
-			"must be at most a quarter of deployment.machine_limits.fd_limit, %d, is %d", most, s.Tunables.DirectStarts)
+			"must be at most a quarter of deployment.machine_limits.fd_limit, %d, is %d", most, s.Tunables.PushDispatches)
 	}
 	return nil
 }
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -41,7 +41,7 @@
 	ServedFloor float64
 	// DirectStarts: most push dispatches under way, for classes whose wait objective is shorter than a report
 	// interval; 0: none
-	DirectStarts int
+	PushDispatches int
 
 	// Shares of classes and teams that are served in time.
 	ServedWindowS float64 // over which shares served are measured; 0: they are not
