--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	if url := cfg.Tunables.WebhookURL; url != "" {
 		n.notifier = webhook.New(url, cfg.WebhookKey, log)
 	}
-	if rate := cfg.Tunables.DoorRate; rate > 0 {
+	if rate := cfg.Tunables.AdmissionRate; rate > 0 {
 		n.admission = admission.NewController(rate, time.Duration(start.UnixMilli())*time.Millisecond)
 	}
 	n.snapshot.Store(&leadershipSnapshot{})
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -333,7 +333,7 @@
 	amount("door", "spread", "requests a second", limits{Default: 0, Min: 0, Max: 1e6},
 		"users who are turned away are told to come back spread over this rate; 0: they are told "+
 			"the least there is",
-		func(t *Tunables) *float64 { return &t.DoorRate }),
+		func(t *Tunables) *float64 { return &t.AdmissionRate }),
 	whole("takeovers", "keep", "takeovers", limits{Default: 0, Min: 0, Max: 1000},
 		"so many takeovers are written down, with how long each of their steps took; 0: none, and "+
 			"nothing is written",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -97,7 +97,7 @@
 	SpreadMost   float64 // load over the mean that a controller is left with
 	SpreadLeader float64 // the leader's weight, next to 1 of the others
 	// DoorRate: requests a second that users who were turned away are spread over; 0: they are not
-	DoorRate float64
+	AdmissionRate float64
 
 	// What is learned of run times, and the operators' calendar.
 	RunTimesKinds int // so many kinds of work have their run times learned
