--- a/internal/leader/rebalance/balancer_test.go
+++ b/internal/leader/rebalance/balancer_test.go
@@ -154,7 +154,7 @@
 func TestNodesFollowWeightAndReadiness(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "a", []settings.Peer{{Node: "b"}, {Node: "c"}}
-	cfg.Tunables.SpreadMoves = 4
+	cfg.Tunables.RebalanceMoves = 4
 	cfg.Deployment.Workers.ReportS = 1
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -151,7 +151,7 @@
 		t.probe = probe.New(t.State)
 		t.add("", t.probe)
 	}
-	if tunables.SpreadMoves > 0 {
+	if tunables.RebalanceMoves > 0 {
 		t.add(rebalance.Name, rebalance.New(t.State))
 	}
 }
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -77,7 +77,7 @@
 		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
 		d := newStage(t, seed, func(c *settings.Settings) {
 			if trial == "balance" || variant%2 == 0 {
-				c.Tunables.SpreadMoves = 8
+				c.Tunables.RebalanceMoves = 8
 			}
 			if variant%3 == 1 {
 				c.Tunables.PushDispatches = 8
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -60,7 +60,7 @@
 	}
 	spreads := seed%3 == 1 // reports are spread, zones waited for and cut, shares kept
 	if spreads {
-		c.Tunables.SpreadMoves, c.Tunables.ZonePatienceS, c.Tunables.ServedFloor, c.Tunables.ServedWindowS = 4, 20, 0.6, 120
+		c.Tunables.RebalanceMoves, c.Tunables.ZonePatienceS, c.Tunables.ServedFloor, c.Tunables.ServedWindowS = 4, 20, 0.6, 120
 		c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
 	}
 	if seed%3 == 2 || seed%6 == 1 { // tasks are sent straight to their workers
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -94,7 +94,7 @@
 	c.Tunables.TakeoversKept = arg(t, d, "takeovers", 0)
 	c.Tunables.ConfigHistory = arg(t, d, "config", 0)
 	c.Tunables.ZonePatienceS = float64(arg(t, d, "zone-patience", 0))
-	c.Tunables.SpreadMoves = float64(arg(t, d, "spread-moves", 0))
+	c.Tunables.RebalanceMoves = float64(arg(t, d, "spread-moves", 0))
 	c.Tunables.BeginWithinS = float64(arg(t, d, "begin", 0))
 	if d.HasArg("cold") {
 		c.Tunables.ColdListen, c.Tunables.ColdKept, c.Tunables.ListFirst, c.Tunables.AdaptCalls = 1, 5, 1, 1
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -321,7 +321,7 @@
 	if old {
 		cfg.Deployment.State.Next = nil // it does not know of them
 		cfg.Tunables.NoteReturns, cfg.Tunables.NoteTasks, cfg.Tunables.TakeoversKept, cfg.Tunables.RunTimesKinds = 0, 0, 0, 0
-		cfg.Tunables.ColdListen, cfg.Tunables.ColdKept, cfg.Tunables.ListFirst, cfg.Tunables.AdaptCalls, cfg.Tunables.ZonePatienceS, cfg.Tunables.SpreadMoves = 0, 0, 0, 0, 0, 0
+		cfg.Tunables.ColdListen, cfg.Tunables.ColdKept, cfg.Tunables.ListFirst, cfg.Tunables.AdaptCalls, cfg.Tunables.ZonePatienceS, cfg.Tunables.RebalanceMoves = 0, 0, 0, 0, 0, 0
 		cfg.Tunables.Pools, cfg.Tunables.PushDispatches, cfg.Tunables.ProbeSilent, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
 	}
 	c.core = node.NewCore(&cfg, (c.s.began + c.s.now).Milliseconds())
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -319,7 +319,7 @@
 		func(t *Tunables) *float64 { return &t.ZonePatienceS }),
 	amount("spread", "moves", "a second", limits{Default: 0, Min: 0, Max: 1000},
 		"machines that are sent to another controller, so that reports are spread evenly; 0: none",
-		func(t *Tunables) *float64 { return &t.SpreadMoves }),
+		func(t *Tunables) *float64 { return &t.RebalanceMoves }),
 	amount("spread", "most", "times", limits{Default: 1.25, Min: 1.05, Max: 100},
 		"a controller gives machines away that has more than this many times its even share",
 		func(t *Tunables) *float64 { return &t.SpreadMost }),
