--- a/internal/leader/rebalance/component.go
+++ b/internal/leader/rebalance/component.go
@@ -50,7 +50,7 @@
 	t := &s.Cfg.Tunables
 	d := &Component{
 		State:    s,
-		balancer: NewBalancer(s.TermBegan, Params{MaxLoad: t.SpreadMost, MovesPerSecond: t.RebalanceMoves}),
+		balancer: NewBalancer(s.TermBegan, Params{MaxLoad: t.RebalanceMaxLoad, MovesPerSecond: t.RebalanceMoves}),
 		peers:    map[string]*peer{},
 	}
 	s.Rebalancer = d
--- a/internal/scenario/spread_test.go
+++ b/internal/scenario/spread_test.go
@@ -43,7 +43,7 @@
 	r := rand.New(rand.NewPCG(seed, 41))
 	c := baseSettings()
 	c.Deployment.State.WriteRPS = 60
-	c.Tunables.RebalanceMoves, c.Tunables.SpreadMost = 30, 1.06
+	c.Tunables.RebalanceMoves, c.Tunables.RebalanceMaxLoad = 30, 1.06
 	s := newSim(c, seed, 3, false)
 	s.cloud.capacity = 40
 	s.scale = &scaleCounts{sent: map[string]int{}, spent: map[string]time.Duration{}}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -322,7 +322,7 @@
 		func(t *Tunables) *float64 { return &t.RebalanceMoves }),
 	amount("spread", "most", "times", limits{Default: 1.25, Min: 1.05, Max: 100},
 		"a controller gives machines away that has more than this many times its even share",
-		func(t *Tunables) *float64 { return &t.SpreadMost }),
+		func(t *Tunables) *float64 { return &t.RebalanceMaxLoad }),
 	amount("spread", "zone_affinity", "s", limits{Default: 0, Min: 0, Max: 3600},
 		"a place outside the zone of a job's first task counts as so many seconds of fetching, so "+
 			"that a zone that is cut off takes fewer jobs with it; 0: nothing",
