--- a/internal/leader/rebalance/component.go
+++ b/internal/leader/rebalance/component.go
@@ -102,7 +102,7 @@
 func (d *Component) nodes(now time.Duration) []Node {
 	machines := d.machinesByController(now)
 	self := d.Cfg.Node
-	nodes := []Node{{Name: self, Machines: machines[self], Weight: d.Cfg.Tunables.SpreadLeader, Ready: true}}
+	nodes := []Node{{Name: self, Machines: machines[self], Weight: d.Cfg.Tunables.RebalanceLeaderWeight, Ready: true}}
 	for _, c := range d.Cfg.Peers {
 		n := Node{Name: c.Node, Machines: machines[c.Node], Weight: 1}
 		if p := d.peers[c.Node]; p != nil {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -480,7 +480,7 @@
 				weight++
 			}
 		}
-		weight -= 1 - l.cfg.Tunables.SpreadLeader
+		weight -= 1 - l.cfg.Tunables.RebalanceLeaderWeight
 		blocks := l.core.Status(l.clock()).Blocks
 		for _, b := range blocks {
 			machines += b.Machines
@@ -488,7 +488,7 @@
 		for _, b := range blocks {
 			w := 1.0
 			if b.Holder == l.name {
-				w = l.cfg.Tunables.SpreadLeader
+				w = l.cfg.Tunables.RebalanceLeaderWeight
 			}
 			if float64(b.Machines) > 1.25*float64(machines)/weight*w+1 {
 				return fmt.Sprintf("uneven: %s has %d of %d, %d controllers are up", b.Holder, b.Machines, machines, up)
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -329,7 +329,7 @@
 		func(t *Tunables) *float64 { return &t.ZoneAffinityS }),
 	amount("spread", "leader", "share", limits{Default: 0.7, Min: 0.05, Max: 1},
 		"the leader's even share, next to 1 of each other controller",
-		func(t *Tunables) *float64 { return &t.SpreadLeader }),
+		func(t *Tunables) *float64 { return &t.RebalanceLeaderWeight }),
 	amount("door", "spread", "requests a second", limits{Default: 0, Min: 0, Max: 1e6},
 		"users who are turned away are told to come back spread over this rate; 0: they are told "+
 			"the least there is",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -93,9 +93,9 @@
 	ZonePatienceS float64
 
 	// Rebalancing of reports over controllers, and admission of users' requests.
-	RebalanceMoves   float64 // machines a second that are sent to another controller; 0: none
-	RebalanceMaxLoad float64 // load over the mean that a controller is left with
-	SpreadLeader     float64 // the leader's weight, next to 1 of the others
+	RebalanceMoves        float64 // machines a second that are sent to another controller; 0: none
+	RebalanceMaxLoad      float64 // load over the mean that a controller is left with
+	RebalanceLeaderWeight float64 // the leader's weight, next to 1 of the others
 	// DoorRate: requests a second that users who were turned away are spread over; 0: they are not
 	AdmissionRate float64
 
