--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -22,9 +22,9 @@
 
 // Pair is what was read from Files.
 type Pair struct {
-	Cert tls.Certificate
-	Pool *x509.CertPool
-	Ends time.Time // when the certificate expires
+	Cert     tls.Certificate
+	Pool     *x509.CertPool
+	NotAfter time.Time // when the certificate expires
 }
 
 // Read reads the files once. An error names the file.
@@ -45,7 +45,7 @@
 	if !pool.AppendCertsFromPEM(raw) {
 		return nil, fmt.Errorf("certs: %s holds no certificate", f.CA)
 	}
-	return &Pair{Cert: cert, Pool: pool, Ends: leaf.NotAfter}, nil
+	return &Pair{Cert: cert, Pool: pool, NotAfter: leaf.NotAfter}, nil
 }
 
 // checkInterval is how often files are checked for a change.
@@ -103,7 +103,7 @@
 		return s.pair
 	}
 	s.pair, s.loadedStamp = pair, stamp
-	s.log.Info("certificates taken up anew", "cert", s.files.Cert, "ends", pair.Ends.UTC().Format(time.RFC3339))
+	s.log.Info("certificates taken up anew", "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
 	return s.pair
 }
 
@@ -138,7 +138,7 @@
 
 // Expiry is a warning that the certificate expires soon or has expired; empty: neither.
 func (p *Pair) Expiry(now time.Time) string {
-	left := p.Ends.Sub(now)
+	left := p.NotAfter.Sub(now)
 	switch {
 	case left <= 0:
 		return "the controller's certificate has expired: nobody can change anything"
@@ -153,7 +153,7 @@
 	for {
 		pair := s.Pair()
 		if warning := pair.Expiry(time.Now()); warning != "" {
-			s.log.Warn(warning, "cert", s.files.Cert, "ends", pair.Ends.UTC().Format(time.RFC3339))
+			s.log.Warn(warning, "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
 		}
 		select {
 		case <-ctx.Done():
