--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -12,7 +12,7 @@
 type Pools interface {
 	// Pass begins a scheduling cycle: list has the jobs that could start a task now but for
 	// units and room, in the order in which they get room.
-	Pass(now time.Duration, list []*jobs.Job)
+	BeginCycle(now time.Duration, list []*jobs.Job)
 	// Allows reports whether so many more tasks of a job may start.
 	Allows(j *jobs.Job, tasks int) bool
 	// TaskPlaced counts a task that was placed.
@@ -41,7 +41,7 @@
 			startable = append(startable, job)
 		}
 	}
-	snap.Pools.Pass(snap.Now, startable)
+	snap.Pools.BeginCycle(snap.Now, startable)
 }
 
 // couldUseUnits reports whether a job needs counted units, and could start a task now
