--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -115,7 +115,7 @@
 // them. Gangs get all or nothing.
 func (w *fixture) schedule(list ...*jobs.Job) (out []int) {
 	waiting := slices.DeleteFunc(slices.Clone(list), func(j *jobs.Job) bool { return j.Waiting == 0 })
-	w.component.Pass(w.now, waiting)
+	w.component.BeginCycle(w.now, waiting)
 	for _, j := range list {
 		n := 0
 		for j.Waiting > 0 && w.component.Allows(j, j.GangSize()) {
--- a/internal/leader/pools/reservations.go
+++ b/internal/leader/pools/reservations.go
@@ -7,11 +7,11 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Pass begins a scheduling cycle. list has the jobs that could start a task if they had
+// BeginCycle begins a scheduling cycle. list has the jobs that could start a task if they had
 // units and room, in their order. The next units of a pool are reserved for the first of
 // them that needs some: others may get ahead of it only where they leave so many. Jobs
 // that hold something as a whole come first, so that they get on and give it back.
-func (d *Component) Pass(now time.Duration, list []*jobs.Job) {
+func (d *Component) BeginCycle(now time.Duration, list []*jobs.Job) {
 	d.recount(now)
 	for _, p := range d.pools {
 		p.reservedFor = nil
