--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -20,7 +20,7 @@
 	// TaskRemoved takes back TaskPlaced for a task whose plan was dropped in the same cycle.
 	TaskRemoved(j *jobs.Job)
 	// Most is how many more tasks the units that are left let start.
-	Most(j *jobs.Job) int
+	StartableTasks(j *jobs.Job) int
 	// Why says in words what a job waits for; empty: nothing.
 	Why(j *jobs.Job) string
 	// Never says in words why a job could never have the units it asks for; empty: it could.
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -126,7 +126,7 @@
 	if d.Pools == nil {
 		return 0
 	}
-	return d.Pools.Most(j)
+	return d.Pools.StartableTasks(j)
 }
 
 // backlogHorizon is the time, in seconds, within which a job's work should be done even if
