--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -143,9 +143,9 @@
 	h.holdsJobUnits = (h.holdsJobUnits || begins) && !ends
 }
 
-// Most is how many more tasks of a job the units that are left would let start: machines
+// StartableTasks is how many more tasks of a job the units that are left would let start: machines
 // for more would stand idle.
-func (d *Component) Most(j *jobs.Job) int {
+func (d *Component) StartableTasks(j *jobs.Job) int {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknownPool != "" || !d.store.loaded {
 		return 0
