--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -36,7 +36,7 @@
 	if len(job.Record.Counted) > 0 {
 		if snap.Pools == nil {
 			reasons = append(reasons, "it needs counted units, and the leader has no pools in its settings")
-		} else if why := snap.Pools.Why(job); why != "" {
+		} else if why := snap.Pools.WaitReason(job); why != "" {
 			reasons = append(reasons, why)
 		}
 	}
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -22,7 +22,7 @@
 	// Most is how many more tasks the units that are left let start.
 	StartableTasks(j *jobs.Job) int
 	// Why says in words what a job waits for; empty: nothing.
-	Why(j *jobs.Job) string
+	WaitReason(j *jobs.Job) string
 	// Never says in words why a job could never have the units it asks for; empty: it could.
 	Never(rec *eventlog.Job) string
 }
