--- a/internal/leader/pools/explain.go
+++ b/internal/leader/pools/explain.go
@@ -7,8 +7,8 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Why says what a job waits for, in plain words; empty: it does not wait for units.
-func (d *Component) Why(j *jobs.Job) string {
+// WaitReason says what a job waits for, in plain words; empty: it does not wait for units.
+func (d *Component) WaitReason(j *jobs.Job) string {
 	h := d.byJob[j.Index]
 	switch {
 	case h == nil:
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -172,7 +172,7 @@
 	b := w.job("b", 5, 1, jobs.Array, perTask("q", 1))
 	a := w.job("a", 5, 1, jobs.Array, perTask("q", 1))
 	expect(t, "a team's share, the rest to others", w.schedule(b, a), "[1 2]")
-	if why := w.component.Why(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
+	if why := w.component.WaitReason(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
 		t.Errorf("explained: %s", why)
 	}
 	for name, impossible := range map[string]struct {
@@ -224,7 +224,7 @@
 	}
 	for step := 0; a.Finished+b.Finished+c.Finished < 9; step++ {
 		if step > 60 {
-			t.Fatalf("stuck: %d %d %d done, %s; %s", a.Finished, b.Finished, c.Finished, w.component.Why(a), w.component.Why(b))
+			t.Fatalf("stuck: %d %d %d done, %s; %s", a.Finished, b.Finished, c.Finished, w.component.WaitReason(a), w.component.WaitReason(b))
 		}
 		for _, j := range []*jobs.Job{a, b, c} {
 			for k, s := range j.Tasks {
@@ -278,7 +278,7 @@
 		for step := 0; slices.ContainsFunc(list, open); step++ {
 			if step > 500 {
 				for _, j := range list {
-					t.Logf("%+v: %d of %d done, %d placed; %s", j.Record.Counted, j.Finished, len(j.Tasks), j.Placed, w.component.Why(j))
+					t.Logf("%+v: %d of %d done, %d placed; %s", j.Record.Counted, j.Finished, len(j.Tasks), j.Placed, w.component.WaitReason(j))
 				}
 				t.Fatalf("seed %d: stuck", seed)
 			}
@@ -293,7 +293,7 @@
 			w.verify(seed, list)
 			w.nobodyWaitsInVain(seed, left)
 			if running := slices.IndexFunc(left, func(j *jobs.Job) bool { return j.Placed > 0 }); running < 0 {
-				t.Fatalf("seed %d: nothing runs, and %d jobs wait: %s", seed, len(left), w.component.Why(left[0]))
+				t.Fatalf("seed %d: nothing runs, and %d jobs wait: %s", seed, len(left), w.component.WaitReason(left[0]))
 			}
 			for _, j := range left {
 				for k, s := range j.Tasks {
