--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -24,7 +24,7 @@
 	// Why says in words what a job waits for; empty: nothing.
 	WaitReason(j *jobs.Job) string
 	// Never says in words why a job could never have the units it asks for; empty: it could.
-	Never(rec *eventlog.Job) string
+	Unsatisfiable(rec *eventlog.Job) string
 }
 
 // beginUnitCycle gives the pools the jobs that could start a task in this cycle:
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -88,7 +88,7 @@
 	if c.Pools == nil {
 		return unavailable("counted: the leader has no pools in its settings")
 	}
-	if why := c.Pools.Never(rec); why != "" {
+	if why := c.Pools.Unsatisfiable(rec); why != "" {
 		return &effects.Answer{Status: statusUnprocessable, Why: why}
 	}
 	return nil
