--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -170,8 +170,8 @@
 	return most
 }
 
-// Never says why a job could never have the units that it asks for, or nothing.
-func (d *Component) Never(record *eventlog.Job) string {
+// Unsatisfiable says why a job could never have the units that it asks for, or nothing.
+func (d *Component) Unsatisfiable(record *eventlog.Job) string {
 	needed, unknownPool := d.neededAtOnce(record)
 	if unknownPool != "" {
 		return fmt.Sprintf("counted: no such pool: %s", unknownPool)
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -185,12 +185,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			job := &eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{impossible.counted}}
-			if why := w.component.Never(job); !strings.Contains(why, impossible.why) {
+			if why := w.component.Unsatisfiable(job); !strings.Contains(why, impossible.why) {
 				t.Errorf("%+v: %s", impossible.counted, why)
 			}
 		})
 	}
-	if why := w.component.Never(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
+	if why := w.component.Unsatisfiable(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
 	}
 }
@@ -269,7 +269,7 @@
 				kind = jobs.Gang
 			}
 			rec := &eventlog.Job{Team: "a", Tasks: tasks, Kind: kind, Counted: counted}
-			if len(counted) == 0 || w.component.Never(rec) != "" {
+			if len(counted) == 0 || w.component.Unsatisfiable(rec) != "" {
 				continue
 			}
 			list = append(list, w.job("a", tasks, 1, kind, counted...))
