--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -53,7 +53,7 @@
 // Backend is what the service asks: this controller, and through it the leader.
 type Backend interface {
 	// ShowDuty reads a view: NAME or NAME/VIEW.
-	ShowDuty(what string) (json.RawMessage, error)
+	ShowComponent(what string) (json.RawMessage, error)
 	// ChangeDuty changes something for the operator called by.
 	ChangeDuty(by, duty string, body json.RawMessage) (json.RawMessage, error)
 }
@@ -110,7 +110,7 @@
 	if !s.roles.permits(name, r.Msg.What, false) {
 		return nil, errNotPermitted(name)
 	}
-	return respond(s.backend.ShowDuty(r.Msg.What))
+	return respond(s.backend.ShowComponent(r.Msg.What))
 }
 
 func (s *service) change(ctx context.Context, r *connect.Request[ChangeRequest]) (*connect.Response[Page], error) {
