--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -31,16 +31,16 @@
 	By   string // who asks, by the certificate; older controllers leave it out
 }
 
-// ShowDuty returns a view of a component, from here or from the leader. Its errors are those
-// of ChangeDuty.
-func (n *Node) ShowDuty(what string) (json.RawMessage, error) {
+// ShowComponent returns a view of a component, from here or from the leader. Its errors are those
+// of ChangeComponent.
+func (n *Node) ShowComponent(what string) (json.RawMessage, error) {
 	return n.askComponent("Controller.Show", what, n.showCall(what))
 }
 
-// ChangeDuty has a component make a change that somebody asks for, here or on the leader.
+// ChangeComponent has a component make a change that somebody asks for, here or on the leader.
 // Errors are control.ErrUnknown where there is no such component, one that wraps
 // control.ErrRefused where the component refuses, and any other where nobody can tell now.
-func (n *Node) ChangeDuty(by, duty string, body json.RawMessage) (json.RawMessage, error) {
+func (n *Node) ChangeComponent(by, duty string, body json.RawMessage) (json.RawMessage, error) {
 	in := ChangeRequest{Duty: duty, Body: body, By: by}
 	return n.askComponent("Controller.Change", in, n.changeCall(in))
 }
--- a/internal/node/internal_api.go
+++ b/internal/node/internal_api.go
@@ -87,7 +87,7 @@
 }
 
 func (n *Node) handleShowComponent(w http.ResponseWriter, r *http.Request) {
-	raw, err := n.ShowDuty(chi.URLParam(r, "*"))
+	raw, err := n.ShowComponent(chi.URLParam(r, "*"))
 	writeComponentAnswer(w, raw, err, http.StatusInternalServerError)
 }
 
@@ -103,7 +103,7 @@
 		writeBody(w, http.StatusBadRequest, wire.ErrorBody("body not readable, or over 16 MiB"))
 		return
 	}
-	raw, err := n.ChangeDuty("", component, body)
+	raw, err := n.ChangeComponent("", component, body)
 	writeComponentAnswer(w, raw, err, http.StatusUnprocessableEntity)
 }
 
--- a/internal/node/receipts.go
+++ b/internal/node/receipts.go
@@ -71,7 +71,7 @@
 // durableReceipt asks the pools for a receipt, and again until what it says is durable.
 func (n *Node) durableReceipt(request json.RawMessage) (*pools.Receipt, error) {
 	for retry := 0; ; retry++ {
-		raw, err := n.ChangeDuty("", pools.Name, request)
+		raw, err := n.ChangeComponent("", pools.Name, request)
 		if err != nil {
 			return nil, err
 		}
--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -52,10 +52,10 @@
 
 // Backend is what the service asks: this controller, and through it the leader.
 type Backend interface {
-	// ShowDuty reads a view: NAME or NAME/VIEW.
+	// ShowComponent reads a view: NAME or NAME/VIEW.
 	ShowComponent(what string) (json.RawMessage, error)
-	// ChangeDuty changes something for the operator called by.
-	ChangeDuty(by, duty string, body json.RawMessage) (json.RawMessage, error)
+	// ChangeComponent changes something for the operator called by.
+	ChangeComponent(by, duty string, body json.RawMessage) (json.RawMessage, error)
 }
 
 // Roles say what the holders of certificates may do, by name.
@@ -118,7 +118,7 @@
 	if !s.roles.permits(name, r.Msg.Duty, true) {
 		return nil, errNotPermitted(name)
 	}
-	return respond(s.backend.ChangeDuty(name, r.Msg.Duty, r.Msg.Body))
+	return respond(s.backend.ChangeComponent(name, r.Msg.Duty, r.Msg.Body))
 }
 
 // callerName is the name in the caller's certificate; empty: there is no verified one.
--- a/internal/operators/control/control_test.go
+++ b/internal/operators/control/control_test.go
@@ -21,14 +21,14 @@
 	fails int32 // so many calls at first
 }
 
-func (b *backend) ShowDuty(what string) (json.RawMessage, error) {
+func (b *backend) ShowComponent(what string) (json.RawMessage, error) {
 	if what == "none" {
 		return nil, ErrUnknown
 	}
 	return json.RawMessage(fmt.Sprintf("%q", what)), nil
 }
 
-func (b *backend) ChangeDuty(by, duty string, body json.RawMessage) (json.RawMessage, error) {
+func (b *backend) ChangeComponent(by, duty string, body json.RawMessage) (json.RawMessage, error) {
 	if b.calls.Add(1) <= b.fails {
 		return nil, errors.New("no leader is known at present")
 	}
