--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -16,7 +16,7 @@
 	"github.com/robfig/cron/v3"
 )
 
-// DateForm is the layout in which dates are written, see time.Layout.
+// DateLayout is the layout in which dates are written, see time.Layout.
 const DateLayout = "2006-01-02"
 
 // clockLayout is that of times of day.
@@ -49,7 +49,7 @@
 // Night is one night.
 type Night struct {
 	Day     int32  // days since 1970-01-01 of the local date on which it starts
-	Date    string // that date, as DateForm
+	Date    string // that date, as DateLayout
 	Holiday bool
 }
 
--- a/internal/core/eventlog/component_values.go
+++ b/internal/core/eventlog/component_values.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// OwnPrefix is where the keys of values begin that components keep beside the log, written by
+// ComponentValuesPrefix is where the keys of values begin that components keep beside the log, written by
 // Log.AppendWithValue. Unlike the log they need not be read before a term begins.
 const ComponentValuesPrefix = "own/"
 
--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -14,7 +14,7 @@
 	PerJob bool   `json:"j,omitempty"`
 }
 
-// UnitsMost is how many units a pool may have, and a job may need of one.
+// MaxPoolUnits is how many units a pool may have, and a job may need of one.
 const MaxPoolUnits = 1_000_000_000
 
 // guardPrefix begins the name of a machine type that stands in for the machine types of a job that
--- a/internal/core/eventlog/split.go
+++ b/internal/core/eventlog/split.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// EntryBytes is what an entry takes besides a list that is split.
+// EntryOverheadBytes is what an entry takes besides a list that is split.
 const EntryOverheadBytes = 64
 
 // SplitNames splits names into lists of at most room bytes as JSON; each has at least one name,
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -66,7 +66,7 @@
 	UseSpot        bool              // it may and should use spot instances
 	FitsWithoutGPU bool              // its tasks fit machines without accelerators
 
-	// Share is the number of processors of a machine that a task takes up, counting those that it makes
+	// CPUShare is the number of processors of a machine that a task takes up, counting those that it makes
 	// unusable for others.
 	CPUShare float64
 
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -10,7 +10,7 @@
 // Pools counts the units (licences and the like) that some tasks need besides room on
 // a machine. It decides which tasks may start; the scheduler reports what it places.
 type Pools interface {
-	// Pass begins a scheduling cycle: list has the jobs that could start a task now but for
+	// BeginCycle begins a scheduling cycle: list has the jobs that could start a task now but for
 	// units and room, in the order in which they get room.
 	BeginCycle(now time.Duration, list []*jobs.Job)
 	// Allows reports whether so many more tasks of a job may start.
@@ -19,11 +19,11 @@
 	TaskPlaced(j *jobs.Job)
 	// TaskRemoved takes back TaskPlaced for a task whose plan was dropped in the same cycle.
 	TaskRemoved(j *jobs.Job)
-	// Most is how many more tasks the units that are left let start.
+	// StartableTasks is how many more tasks the units that are left let start.
 	StartableTasks(j *jobs.Job) int
-	// Why says in words what a job waits for; empty: nothing.
+	// WaitReason says in words what a job waits for; empty: nothing.
 	WaitReason(j *jobs.Job) string
-	// Never says in words why a job could never have the units it asks for; empty: it could.
+	// Unsatisfiable says in words why a job could never have the units it asks for; empty: it could.
 	Unsatisfiable(rec *eventlog.Job) string
 }
 
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -41,7 +41,7 @@
 
 	// Choice of machines.
 
-	// Affinity is the cost, in seconds of fetching an image, of a machine outside the zone
+	// ZoneAffinity is the cost, in seconds of fetching an image, of a machine outside the zone
 	// in which a job's first task was placed: jobs stay together by zone where that costs
 	// little.
 	ZoneAffinity float64
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -16,7 +16,7 @@
 	ImageGB         float64
 	Open            bool // the job is open and the task not finished
 	EndDurable      bool // the task's end is durable, or the job is over
-	Cancelled       bool // the job is cancelled and has left the job table: Ref is NoRef
+	Cancelled       bool // the job is cancelled and has left the job table: Ref is NoTaskRef
 	Held            bool // the job waits for others
 	PlacedElsewhere bool // the task is placed on another machine, or may be
 }
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -85,7 +85,7 @@
 	OrphansSince    time.Duration          // since when there are such tasks
 	images          []cachedImage          // most recently used first
 
-	// Errors of tasks that were started on it.
+	// FailuresInARow of tasks that were started on it.
 	FailuresInARow int           // failed tasks since one completed
 	AvoidUntil     time.Duration // it gets no new tasks before
 
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -11,7 +11,7 @@
 // TaskRef names a task by its job's dense index and its number within the job.
 type TaskRef struct{ Job, Task int32 }
 
-// NoRef stands for a task whose job has left the job table.
+// NoTaskRef stands for a task whose job has left the job table.
 var NoTaskRef = TaskRef{-1, -1}
 
 // Placement is a task that is planned on a machine, or that counts as being placed there.
--- a/internal/scaletest/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -9,7 +9,7 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-// outside is where the state service, the cloud and users are: in the first region, in no zone.
+// noZone is where the state service, the cloud and users are: in the first region, in no zone.
 const noZone = ""
 
 // network knows which parts of the world reach one another, and how long that takes.
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -17,7 +17,7 @@
 // Machine is a machine as the cloud lists it.
 type Machine = eventlog.Machine
 
-// pageOfMachines is the most that one list gives.
+// machinesPerPage is the most that one list gives.
 const machinesPerPage = 500
 
 // Cloud rents machines. The zero value has as many as are asked for, of one type in zone a.
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -39,7 +39,7 @@
 	LowLeadS float64
 	// ServedFloor: share of each class and team to be served in time; 0: whatever the order brings
 	ServedFloor float64
-	// DirectStarts: most push dispatches under way, for classes whose wait objective is shorter than a report
+	// PushDispatches: most push dispatches under way, for classes whose wait objective is shorter than a report
 	// interval; 0: none
 	PushDispatches int
 
@@ -66,9 +66,9 @@
 
 	// Scaling out and in.
 	DrainBacklogS float64 // waiting work should be gone within this time, by cheap machines
-	// DearBacklogS: the same by dear ones, rented only where cheap ones do not get there; for classes without objectives
+	// OrdinaryBacklogS: the same by dear ones, rented only where cheap ones do not get there; for classes without objectives
 	OrdinaryBacklogS float64
-	// AimShare: for classes with objectives: the share of the tightest one that takes its place
+	// ObjectiveShare: for classes with objectives: the share of the tightest one that takes its place
 	ObjectiveShare float64
 	IdleReturnS    float64 // room of ordinary machines that was not wanted for this time is returned
 	SpotReturnS    float64 // the same of spot machines
@@ -85,7 +85,7 @@
 
 	// Machines that fall silent.
 
-	// AskSilent: liveness probes after which a silent machine is given up, where a class should start within a report
+	// ProbeSilent: liveness probes after which a silent machine is given up, where a class should start within a report
 	// interval; 0: none
 	ProbeSilent int
 	ListFirst   int // 0 or 1: silent machines that the cloud's list lacks are given up at once
@@ -96,7 +96,7 @@
 	RebalanceMoves        float64 // machines a second that are sent to another controller; 0: none
 	RebalanceMaxLoad      float64 // load over the mean that a controller is left with
 	RebalanceLeaderWeight float64 // the leader's weight, next to 1 of the others
-	// DoorRate: requests a second that users who were turned away are spread over; 0: they are not
+	// AdmissionRate: requests a second that users who were turned away are spread over; 0: they are not
 	AdmissionRate float64
 
 	// What is learned of run times, and the operators' calendar.
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -77,7 +77,7 @@
 	NoAnswer // outage, rate limit or no response: the same request must be repeated
 )
 
-// noCapacity is the word of a refusal for want of machines.
+// noCapacityWord is the word of a refusal for want of machines.
 const noCapacityWord = "no capacity"
 
 // rentalRequest asks for machines. Its name makes it idempotent.
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -53,10 +53,10 @@
 	Version uint64          `json:"entry_mark"`
 }
 
-func (s storedItem) item() Item { return Item{Key: s.Key, Value: s.Value, Version: s.Version} }
+func (s storedItem) item() Item { return Item(s) }
 
 func newStoredItem(item Item) storedItem {
-	return storedItem{Key: item.Key, Value: item.Value, Version: item.Version}
+	return storedItem(item)
 }
 
 // itemPage is one page of a listing.
