--- a/cmd/bitternmoor/serve.go
+++ b/cmd/bitternmoor/serve.go
@@ -21,10 +21,10 @@
 func serve(ctx context.Context, cfg *settings.Settings) error {
 	log := newLogger(os.Getenv("LOG_LEVEL"))
 	if err := cfg.CheckServable(); err != nil {
-		log.Warn("the settings describe a fleet that cannot be served well", "error", err)
+		log.Warn("settings describe a fleet that cannot be served well", "error", err)
 	}
 	if kinds := cfg.UnknownObjectives(); len(kinds) > 0 {
-		log.Warn("objectives of kinds that are not known are left out of account", "kinds", kinds)
+		log.Warn("objectives of unknown kinds ignored", "kinds", kinds)
 	}
 	runtime.GOMAXPROCS(1) // a controller has a share of one core
 	debug.SetMemoryLimit(int64(cfg.Deployment.MachineLimits.RAMMB * memoryShare * bytesPerMB))
--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -171,7 +171,7 @@
 		}
 		name := d.Zones.Name(int32(zone))
 		if !d.provisioner.ZoneAvoided(now, name) {
-			d.LogMessage(effects.Warn, "most machines of a zone are silent: nothing is rented there for now",
+			d.LogMessage(effects.Warn, "most machines of zone silent, scale out paused there",
 				"zone", name, "silent", n, "of", up[zone])
 		}
 		d.provisioner.AvoidZone(name, now+zoneAvoidance)
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -205,7 +205,7 @@
 		}
 	}
 	if missing > 0 {
-		d.LogMessage(effects.Info, "silent machines are not in the cloud's list any more: they are not waited for",
+		d.LogMessage(effects.Info, "silent machines missing from the cloud's list",
 			"machines", missing)
 	}
 }
--- a/internal/leader/cluster/machines.go
+++ b/internal/leader/cluster/machines.go
@@ -51,7 +51,7 @@
 	if len(m.Tasks) > 0 {
 		s.Counts.MachinesLost++
 	}
-	s.LogMessage(effects.Info, "machine returned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
+	s.LogMessage(effects.Info, "machine decommissioned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
 	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: a})
 }
 
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -192,7 +192,7 @@
 	}
 	d.account.begin(d, now)
 	registered, _ := d.census.Counts()
-	d.LogMessage(effects.Info, "cold start: nobody led before this term; the fleet is listened to first",
+	d.LogMessage(effects.Info, "cold start detected, taking census of workers",
 		"epoch", d.Epoch, "machines", registered, "jobs", d.Jobs.Len(),
 		"down_at_least", d.account.current.minDowntime().String(),
 		"down_at_most", d.account.current.maxDowntime().String(),
@@ -212,7 +212,7 @@
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
 		after := (now - d.TermBegan).Round(10 * time.Millisecond)
-		d.LogMessage(effects.Info, "cold start: the picture is settled",
+		d.LogMessage(effects.Info, "cold start census settled",
 			"epoch", d.Epoch, "heard", heard, "of", registered, "after", after.String())
 	}
 	d.account.tick(d, now, leaseValid)
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -98,7 +98,7 @@
 	j.CancelPending = true
 	took := now - j.CancelAskedAt
 	c.cancelSeconds.Observe(j.Record.Class, took.Seconds())
-	c.LogMessage(effects.Debug, "nothing of a job that is to be cancelled is left",
+	c.LogMessage(effects.Debug, "cancelled job left no tasks",
 		"job", j.Record.ID,
 		"class", j.Record.Class,
 		"after", took.Round(time.Millisecond))
@@ -121,7 +121,7 @@
 	for _, dependent := range dependents {
 		c.purge(dependent)
 		c.Counts.CancelSpread++
-		c.LogMessage(effects.Info, "job cancelled with one that it needs", "job", dependent.Record.ID, "needs", j.Record.ID)
+		c.LogMessage(effects.Info, "job cancelled with a dependency", "job", dependent.Record.ID, "needs", j.Record.ID)
 		c.answerCancellations(leaseValid, dependent.Record.ID)
 	}
 	c.restorePriorities(dependencies)
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -115,7 +115,7 @@
 	c.setDeadlines(j, now)
 	c.enqueue(now, j)
 	c.Counts.Released++
-	c.LogMessage(effects.Debug, "job released: all that it follows are done",
+	c.LogMessage(effects.Debug, "job released, dependencies done",
 		"job", j.Record.ID,
 		"class", j.Record.Class,
 		"follows", len(j.Record.Follows))
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -129,7 +129,7 @@
 	if len(j.Record.Follows) < j.Record.Rest || !c.dependenciesKnown(j.Record.Follows) {
 		// No leader that knows of dependencies writes such a log. Whether the job may start
 		// is not known any more: it waits for its user to cancel it.
-		c.LogMessage(effects.Error, "what a job follows is not in the log: it is not started", "job", j.Record.ID)
+		c.LogMessage(effects.Error, "dependencies missing from event log, job not started", "job", j.Record.ID)
 		j.Phase = jobs.Held
 		return true
 	}
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -176,7 +176,7 @@
 	case !resolved:
 		c.applyCancellation(leaseValid, j)
 		c.Counts.CancelSpread++
-		c.LogMessage(effects.Info, "job cancelled on arrival: it follows a cancelled one", "job", id)
+		c.LogMessage(effects.Info, "job cancelled on arrival, dependency cancelled", "job", id)
 	case len(j.Dependencies) == 0:
 		c.enqueue(now, j)
 	case j.Phase == jobs.Open:
--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -100,7 +100,7 @@
 	p.apply(c)
 	d.store.dirty = append(d.store.dirty, p)
 	d.NeedsCycle = true
-	d.LogMessage(effects.Info, "a pool is changed", "pool", p.name, "version", p.changeVersion,
+	d.LogMessage(effects.Info, "pool changed", "pool", p.name, "version", p.changeVersion,
 		"units", max(p.size, p.pendingSize), "drained", p.drained)
 	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
 }
--- a/internal/leader/pools/silent.go
+++ b/internal/leader/pools/silent.go
@@ -26,7 +26,7 @@
 		if silentFor <= max(after, d.SuspectAfter()) || !d.mayHoldUnits(m, scarce) {
 			continue
 		}
-		d.LogMessage(effects.Info, "a silent machine is given up early: others wait for counted units there", "machine", m.Name)
+		d.LogMessage(effects.Info, "silent machine decommissioned early for its pool units", "machine", m.Name)
 		d.Decommission(now, m, cluster.Delete, "silent, and others wait for counted units there")
 	}
 }
--- a/internal/leader/pools/store.go
+++ b/internal/leader/pools/store.go
@@ -80,7 +80,7 @@
 	for _, v := range list {
 		if err := d.restoreValue(v); err != nil {
 			s.unreadableKey = v.Key
-			d.LogMessage(effects.Error, "what was changed of pools cannot be read: no units are given out",
+			d.LogMessage(effects.Error, "pool changes cannot be read, no units granted",
 				"key", v.Key, "error", err)
 		}
 	}
--- a/internal/leader/rebalance/component.go
+++ b/internal/leader/rebalance/component.go
@@ -93,7 +93,7 @@
 		d.unevenSince = now
 	case even && d.unevenSince > 0:
 		d.lastDuration, d.unevenSince = now-d.unevenSince, 0
-		d.LogMessage(effects.Info, "reports are spread evenly again",
+		d.LogMessage(effects.Info, "heartbeats balanced again",
 			"after", d.lastDuration.Round(100*time.Millisecond).String(), "moves", d.moves)
 	}
 }
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -131,7 +131,7 @@
 		return
 	}
 	d.missingRevision = revision
-	d.LogMessage(effects.Error, "the log lacks changes of the configuration that were in force: nothing more is changed",
+	d.LogMessage(effects.Error, "configuration changes missing from event log, further changes refused",
 		"revision", d.document.Revision(), "was", revision)
 }
 
@@ -152,7 +152,7 @@
 		d.Config.CopyFrom(now, &d.document)
 	}
 	d.revisionDurable(now, r.Number)
-	d.LogMessage(effects.Info, "the configuration has changed",
+	d.LogMessage(effects.Info, "configuration changed",
 		"revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
 }
 
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -56,7 +56,7 @@
 			d.Emit(effects.ReplyHeartbeat{To: request, Answer: effects.HeartbeatAnswer{Status: statusOK, Token: d.Token}})
 			return
 		}
-		d.LogMessage(effects.Info, "machine appeared unasked", "machine", report.Machine)
+		d.LogMessage(effects.Info, "machine of unknown rental registered", "machine", report.Machine)
 	}
 	m.Address = report.Address
 	if !m.Durable && !m.Deleting {
@@ -149,7 +149,7 @@
 		d.NeedsCycle = true
 	}
 	if difference == reconcile.MachineRestarted {
-		d.LogMessage(effects.Info, "machine has begun anew under its name", "machine", m.Name, "tasks", len(m.Tasks))
+		d.LogMessage(effects.Info, "worker restarted under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
 	if difference.Resolution() == reconcile.ReleaseAll {
 		d.publishLostOffers(now, m)
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -183,7 +183,7 @@
 	}
 	if j.Phase == jobs.Open && e.Reason != workers.Stopped {
 		d.Counts.TasksRerun++
-		d.LogMessage(effects.Debug, "task to run again", "job", e.JobID, "task", task,
+		d.LogMessage(effects.Debug, "task requeued", "job", e.JobID, "task", task,
 			"machine", m.Name, "why", e.Reason.String())
 	}
 	d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -65,7 +65,7 @@
 		outage := &d.zoneOutages[zone]
 		if outage.lastSeenAt == 0 || now-outage.lastSeenAt > d.GiveUpAfter() {
 			outage.beganAt = now - d.SuspectAfter()
-			d.LogMessage(effects.Warn, "a zone is silent as a whole: its machines are waited for",
+			d.LogMessage(effects.Warn, "zone silent, waiting for its machines",
 				"zone", d.Zones.Name(int32(zone)), "silent", silent[zone], "of", up[zone], "for", d.Cfg.Tunables.ZonePatienceS)
 		}
 		outage.lastSeenAt = now
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -325,7 +325,7 @@
 	for ; w.now < begin+2*learned; w.now += time.Second {
 		d.Tick(w.now, true)
 		for _, n := range notes() {
-			if n == "a job runs late" {
+			if n == "job runs late" {
 				if raised >= 0 {
 					t.Fatal("warned of twice")
 				}
@@ -344,7 +344,7 @@
 		t.Errorf("the forecast is %s %v", raw, err)
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: w.now, Job: late})
-	if raw, _ := d.Show(w.now, "late"); string(raw) != "[]" || !slices.Contains(notes(), "a late job is over") {
+	if raw, _ := d.Show(w.now, "late"); string(raw) != "[]" || !slices.Contains(notes(), "late job ended") {
 		t.Errorf("after its end: %s", raw)
 	}
 	if !slices.Equal(told, []string{"late/j-000050/raised", "late/j-000050/done"}) {
--- a/internal/leader/runtimes/entries.go
+++ b/internal/leader/runtimes/entries.go
@@ -117,7 +117,7 @@
 		return out, false
 	}
 	if err := json.Unmarshal(e.Component.Data, &out); err != nil {
-		d.LogMessage(effects.Warn, "an entry of learned run times cannot be read", "error", err)
+		d.LogMessage(effects.Warn, "learned run times entry cannot be read, skipped", "error", err)
 		return out, false
 	}
 	return out, true
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -71,7 +71,7 @@
 	if isNew {
 		warning = d.raiseWarning(now, f, left)
 		d.leadTimes.Observe(why, max(0, left.Seconds()))
-		d.LogMessage(effects.Warn, "a job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team,
+		d.LogMessage(effects.Warn, "job runs late", "job", f.Job, "class", j.Record.Class, "team", j.Record.Team,
 			"why", why, "age", roundDigits(age), "learned_deadline", roundDigits(learned.Seconds()),
 			"expected_end", roundDigits(age+f.EndS), "from", f.Estimate.From)
 	}
@@ -119,7 +119,7 @@
 	if l := d.lateJobs[id]; l != nil {
 		delete(d.lateJobs, id)
 		d.notifyWebhook(*l, how)
-		d.LogMessage(effects.Info, "a late job is over", "job", l.Job, "class", l.Class, "how", how)
+		d.LogMessage(effects.Info, "late job ended", "job", l.Job, "class", l.Class, "how", how)
 	}
 }
 
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -63,7 +63,7 @@
 	number, err := valuestore.Decode(Name, v, valueVersion, &stored)
 	d.store.next = max(d.store.next, number+1)
 	if err != nil {
-		d.LogMessage(effects.Warn, "a value of learned run times cannot be read", "key", v.Key, "error", err)
+		d.LogMessage(effects.Warn, "learned run times value cannot be read, set aside", "key", v.Key, "error", err)
 		return
 	}
 	for _, k := range stored.Kinds {
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -354,7 +354,7 @@
 		s.boostedTotal++
 	}
 	record := t.job.Record
-	d.LogMessage(effects.Debug, "job goes ahead of everything: less than the floor of its class or team would be served",
+	d.LogMessage(effects.Debug, "job boosted, service floor at risk",
 		"job", record.ID, "class", record.Class, "team", record.Team, "due_in", (t.due - now).Round(time.Second).String())
 }
 
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -53,9 +53,9 @@
 
 // logInvalidCommit logs that the state service has refused a transaction as malformed.
 func (t *Term) logInvalidCommit(step eventlog.CommitStep) {
-	message := "the state service refuses a transaction as malformed: smaller values are tried"
+	message := "state service rejects transaction as malformed, trying smaller values"
 	if step == eventlog.TermLost {
-		message = "the state service refuses a transaction as malformed: the term ends"
+		message = "state service rejects transaction as malformed, ending term"
 	}
 	t.LogMessage(effects.Error, message, "epoch", t.Epoch, "pending", t.EventLog.PendingCount())
 }
--- a/internal/leader/term/replay.go
+++ b/internal/leader/term/replay.go
@@ -57,7 +57,7 @@
 			booting++
 		}
 	}
-	t.LogMessage(effects.Info, "term begun",
+	t.LogMessage(effects.Info, "term started",
 		"epoch", t.Epoch,
 		"jobs", t.Estimator.JobCount(),
 		"machines", registered,
@@ -94,11 +94,11 @@
 	t.unknownEntryLogged = true
 	if e.Component != nil {
 		t.LogMessage(effects.Warn,
-			"the log has entries of a duty that is not known or is switched off: they are kept as they are",
+			"event log entries of unknown or disabled component kept unchanged",
 			"duty", e.Component.Name)
 		return
 	}
 	t.LogMessage(effects.Warn,
-		"the log has entries that this version does not know: they are kept as they are",
+		"event log entries of unknown kind kept unchanged",
 		"first", string(e.Unknown[:min(len(e.Unknown), unknownEntryShown)]))
 }
--- a/internal/node/api.go
+++ b/internal/node/api.go
@@ -89,7 +89,7 @@
 	}
 	report, err := wire.ParseReport(body)
 	if err != nil {
-		n.log.Warn("report not understood", "error", err)
+		n.log.Warn("malformed heartbeat rejected", "error", err)
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -138,7 +138,7 @@
 		Metrics:         &c.measures,
 		Config:          &c.config,
 	})
-	c.emitLog(effects.Info, "leading", "epoch", c.term.Epoch)
+	c.emitLog(effects.Info, "elected leader", "epoch", c.term.Epoch)
 	c.emit(effects.LoadLog{Epoch: c.term.Epoch})
 }
 
@@ -195,7 +195,7 @@
 	}
 	// After hundreds of thousands of machines that changed their shard, or direct starts that
 	// had to be reaped: the next term has tokens of its own.
-	c.emitLog(effects.Info, "the tokens of this term are used up: leadership given up", "epoch", c.term.Epoch)
+	c.emitLog(effects.Info, "fencing tokens exhausted, resigning leadership", "epoch", c.term.Epoch)
 	c.emitLeadership(c.elector.Resign(now, tokensResignDuration))
 }
 
--- a/internal/node/leader_heartbeats.go
+++ b/internal/node/leader_heartbeats.go
@@ -46,7 +46,7 @@
 	if now-c.lastContactAt < c.unreachableLimit()+reportInterval+peerTimeout {
 		return // machines that its peers cannot answer for are on their way here
 	}
-	c.emitLog(effects.Warn, "cut off from peers and machines: leadership given up")
+	c.emitLog(effects.Warn, "isolated from peers and workers, resigning leadership")
 	c.emitLeadership(c.elector.Resign(now, resignDuration))
 }
 
--- a/internal/node/message_checks.go
+++ b/internal/node/message_checks.go
@@ -22,7 +22,7 @@
 func (n *Node) countRefusal(err error) error {
 	if err != nil {
 		n.refusedMessages.Add(1)
-		n.log.Warn("message of another controller refused", "error", err)
+		n.log.Warn("peer message rejected", "error", err)
 	}
 	return err
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -37,7 +37,7 @@
 	}
 	httpServer := n.newServer(control.Handler(n, roles))
 	httpServer.TLSConfig = store.Server()
-	n.log.Info("operators may change things", "listen", listener.Addr().String())
+	n.log.Info("operators' listener serving", "listen", listener.Addr().String())
 	return &server{
 		http:       httpServer,
 		listener:   netutil.LimitListener(listener, maxOperatorConnections),
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -37,7 +37,7 @@
 			n.enqueue(ctx, func(now time.Duration) { n.core.LogLoaded(now, epoch, log) })
 			return
 		}
-		n.log.Warn("durable state not read", "epoch", epoch, "error", err)
+		n.log.Warn("event log not read, retrying", "epoch", epoch, "error", err)
 		sleep(ctx, minLoadRetryDelay+rand.N(randomLoadRetryDelay))
 		if n.termOver(ctx, epoch) {
 			return
--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -99,11 +99,11 @@
 	}
 	pair, err := s.files.Read()
 	if err != nil {
-		s.log.Error("certificates have changed and cannot be read: the ones before stay in force", "error", err)
+		s.log.Error("changed certificates cannot be read, former ones stay in force", "error", err)
 		return s.pair
 	}
 	s.pair, s.loadedStamp = pair, stamp
-	s.log.Info("certificates taken up anew", "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
+	s.log.Info("certificates reloaded", "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
 	return s.pair
 }
 
--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -79,7 +79,7 @@
 	case s.queue <- m:
 	default:
 		if s.dropped%logDroppedEvery == 0 {
-			s.log.Warn("the webhook's queue is full: messages are dropped", "id", m.ID, "dropped", s.dropped+1)
+			s.log.Warn("webhook queue full, message dropped", "id", m.ID, "dropped", s.dropped+1)
 		}
 		s.dropped++
 	}
@@ -112,16 +112,16 @@
 		attempts++
 		err := s.attempt(ctx, m)
 		if err != nil && attempts == warnAfter {
-			s.log.Warn("the webhook does not take a message: it is tried again", "id", m.ID, "error", err)
+			s.log.Warn("webhook delivery failed, retrying", "id", m.ID, "error", err)
 		}
 		return struct{}{}, err
 	}, backoff.WithBackOff(wait), backoff.WithMaxElapsedTime(giveUpAfter))
 	switch {
 	case err == nil:
-		s.log.Debug("webhook told", "id", m.ID, "tries", attempts)
+		s.log.Debug("webhook delivered", "id", m.ID, "tries", attempts)
 	case ctx.Err() != nil:
 	default:
-		s.log.Error("a message to the webhook is given up", "id", m.ID, "tries", attempts, "error", err)
+		s.log.Error("webhook delivery abandoned", "id", m.ID, "tries", attempts, "error", err)
 	}
 }
 
--- a/internal/operators/webhook/webhook_test.go
+++ b/internal/operators/webhook/webhook_test.go
@@ -137,7 +137,7 @@
 	for n := range queueLength + 150 {
 		s.Send(Message{ID: fmt.Sprint(n)})
 	}
-	if s.dropped != 150 || strings.Count(out.String(), "queue is full") != 2 {
+	if s.dropped != 150 || strings.Count(out.String(), "queue full") != 2 {
 		t.Errorf("%d dropped, said:\n%s", s.dropped, out.String())
 	}
 }
