--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -41,18 +41,18 @@
 
 // users submits jobs, asks for them until they are over, and cancels some.
 type users struct {
-	net      *network
-	doors    []*controllerClient
-	next     atomic.Uint64
-	fleet    *standin.Fleet
-	work     *workload
-	latency  *latencies
-	poll     time.Duration
-	begin    time.Time
-	stop     context.Context // jobs that are not over by then are left alone
-	accepted atomic.Uint64
-	over     atomic.Uint64
-	told     sync.Map // job -> final wire.JobState
+	net         *network
+	controllers []*controllerClient
+	next        atomic.Uint64
+	fleet       *standin.Fleet
+	work        *workload
+	latency     *latencies
+	poll        time.Duration
+	begin       time.Time
+	stop        context.Context // jobs that are not over by then are left alone
+	accepted    atomic.Uint64
+	over        atomic.Uint64
+	told        sync.Map // job -> final wire.JobState
 }
 
 func newControllerClient(addr, zone string) *controllerClient {
@@ -100,8 +100,8 @@
 // pickController takes the next controller that is not skipped, as the load balancer does.
 func (u *users) pickController() *controllerClient {
 	var d *controllerClient
-	for range u.doors {
-		d = u.doors[u.next.Add(1)%uint64(len(u.doors))]
+	for range u.controllers {
+		d = u.controllers[u.next.Add(1)%uint64(len(u.controllers))]
 		d.mu.Lock()
 		skipped := time.Now().Before(d.skip)
 		d.mu.Unlock()
