--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -68,7 +68,7 @@
 		s.Leader, s.Counts = o.Leader, o.Counts
 	}
 	for i, c := range w.controllers {
-		n := NodeSample{Name: c.name, Leads: c.name == s.Leader, Workers: swapDirections(c.reports.Read()), Users: swapDirections(c.door.traffic.Read()), State: c.state.traffic.Read(), Cloud: c.cloud.traffic.Read()}
+		n := NodeSample{Name: c.name, Leads: c.name == s.Leader, Workers: swapDirections(c.reports.Read()), Users: swapDirections(c.client.traffic.Read()), State: c.state.traffic.Read(), Cloud: c.cloud.traffic.Read()}
 		n.Usage, n.PID, _ = c.usage()
 		for k, l := range c.peers {
 			if l != nil {
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -70,7 +70,7 @@
 	defer end()
 	w.users = &users{net: w.network, fleet: w.fleet, work: &w.work, latency: w.latency, poll: seconds(w.exp.Load.PollS), begin: time.Now(), stop: stop}
 	for _, c := range w.controllers {
-		w.users.controllers = append(w.users.controllers, c.door)
+		w.users.controllers = append(w.users.controllers, c.client)
 	}
 	var open sync.WaitGroup
 	for _, j := range w.jobs {
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -39,7 +39,7 @@
 	public, internal string
 	control          string // where operators change the configuration
 	config           string
-	door             *controllerClient
+	client           *controllerClient
 	reports          traffic.Meter // of workers, as they see it
 	state, cloud     *link
 	peers            []*link // to the others
@@ -345,7 +345,7 @@
 		c := &controller{name: "n" + strconv.Itoa(i), zone: zones[i%len(zones)]}
 		own := addrs[i*addrsOfController:]
 		c.public, c.internal, c.control = own[0], own[1], own[2]
-		c.door = newControllerClient(c.public, c.zone)
+		c.client = newControllerClient(c.public, c.zone)
 		w.controllers = append(w.controllers, c)
 		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+c.public)
 		w.fleet.Traffic = append(w.fleet.Traffic, &c.reports)
