--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -40,8 +40,8 @@
 // ChangeComponent has a component make a change that somebody asks for, here or on the leader.
 // Errors are control.ErrUnknown where there is no such component, one that wraps
 // control.ErrRefused where the component refuses, and any other where nobody can tell now.
-func (n *Node) ChangeComponent(by, duty string, body json.RawMessage) (json.RawMessage, error) {
-	in := ChangeRequest{Duty: duty, Body: body, By: by}
+func (n *Node) ChangeComponent(by, component string, body json.RawMessage) (json.RawMessage, error) {
+	in := ChangeRequest{Duty: component, Body: body, By: by}
 	return n.askComponent("Controller.Change", in, n.changeCall(in))
 }
 
--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -55,7 +55,7 @@
 	// ShowComponent reads a view: NAME or NAME/VIEW.
 	ShowComponent(what string) (json.RawMessage, error)
 	// ChangeComponent changes something for the operator called by.
-	ChangeComponent(by, duty string, body json.RawMessage) (json.RawMessage, error)
+	ChangeComponent(by, component string, body json.RawMessage) (json.RawMessage, error)
 }
 
 // Roles say what the holders of certificates may do, by name.
@@ -67,14 +67,14 @@
 }
 
 // permits says whether the holder of a certificate may read, or change, a component.
-func (r *Roles) permits(name, duty string, change bool) bool {
+func (r *Roles) permits(name, component string, change bool) bool {
 	switch {
 	case name == "":
 		return false
 	case slices.Contains(r.Admin, name):
 		return true
 	case slices.Contains(r.Operate, name):
-		return !change || slices.Contains(r.Operable, duty)
+		return !change || slices.Contains(r.Operable, component)
 	}
 	return !change && slices.Contains(r.Read, name)
 }
@@ -185,9 +185,9 @@
 
 // Change has a component change something. The body must carry an id by which the component knows a repeat: it is
 // sent again where an answer is lost.
-func (c *Client) Change(ctx context.Context, duty string, body json.RawMessage) (json.RawMessage, error) {
+func (c *Client) Change(ctx context.Context, component string, body json.RawMessage) (json.RawMessage, error) {
 	return callWithRetry(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
-		return c.change.CallUnary(ctx, connect.NewRequest(&ChangeRequest{Duty: duty, Body: body}))
+		return c.change.CallUnary(ctx, connect.NewRequest(&ChangeRequest{Duty: component, Body: body}))
 	})
 }
 
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -160,6 +160,6 @@
 }
 
 // fleet plays workers that run this load.
-func (w *workload) fleet(doors []string, reportS, leaseS, fetchS float64) *standin.Fleet {
-	return &standin.Fleet{Controllers: doors, HeartbeatInterval: seconds(reportS), Lease: seconds(leaseS), Fetch: seconds(fetchS), ReportsChangesAtOnce: true, Image: w.image, TaskDuration: w.took}
+func (w *workload) fleet(controllers []string, reportS, leaseS, fetchS float64) *standin.Fleet {
+	return &standin.Fleet{Controllers: controllers, HeartbeatInterval: seconds(reportS), Lease: seconds(leaseS), Fetch: seconds(fetchS), ReportsChangesAtOnce: true, Image: w.image, TaskDuration: w.took}
 }
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -160,8 +160,8 @@
 	w.fleet.TaskCount = func(id string) int { return byID[id].tasks }
 	limit := w.teamLimit()
 	w.fleet.Team = func(id string) (string, float64, float64) { return teamName(byID[id].team), taskCPUs, limit }
-	w.fleet.Reaches = func(zone string, door int) (bool, time.Duration) {
-		to := w.controllers[door].zone
+	w.fleet.Reaches = func(zone string, controller int) (bool, time.Duration) {
+		to := w.controllers[controller].zone
 		return w.network.reaches(zone, to), w.network.latency(zone, to)
 	}
 	capacity := map[string]int{}
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -43,7 +43,7 @@
 	Observe func(Event)
 	// Reaches, where it is set, says whether a zone's workers reach a controller, and how
 	// long a message takes one way.
-	Reaches func(zone string, door int) (ok bool, latency time.Duration)
+	Reaches func(zone string, controller int) (ok bool, latency time.Duration)
 	// Traffic counts what is sent to each controller; nil: it is not counted.
 	Traffic []*traffic.Meter
 	// Direct counts what controllers send to workers.
@@ -187,9 +187,9 @@
 }
 
 // traffic counts what is sent to a controller.
-func (f *Fleet) traffic(door int) *traffic.Meter {
-	if door < len(f.Traffic) {
-		return f.Traffic[door]
+func (f *Fleet) traffic(controller int) *traffic.Meter {
+	if controller < len(f.Traffic) {
+		return f.Traffic[controller]
 	}
 	return &traffic.Meter{}
 }
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -175,17 +175,17 @@
 	w.changed = false
 	w.mu.Unlock()
 	w.sendLateCopy(body, x.copyDelay)
-	sent, door := time.Now(), w.currentController()
-	status, answer := w.post(door, body)
+	sent, controller := time.Now(), w.currentController()
+	status, answer := w.post(controller, body)
 	if status == http.StatusMisdirectedRequest {
-		if to, ok := w.fleet.controllerNumber(wire.ParseRedirect(answer)); ok && to != door {
+		if to, ok := w.fleet.controllerNumber(wire.ParseRedirect(answer)); ok && to != controller {
 			w.client.CloseIdleConnections()
 			w.switchController(to)
 			return true
 		}
 	}
 	if status != http.StatusOK || x.answersDropped {
-		w.switchController(door + 1)
+		w.switchController(controller + 1)
 		return false
 	}
 	if token, commands, err := wire.ParseReportAnswer(answer); err == nil {
@@ -194,24 +194,24 @@
 	return true
 }
 
-func (w *worker) switchController(door int) {
+func (w *worker) switchController(controller int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.controller = door
+	w.controller = controller
 }
 
 // post sends a report to a controller; status 0: there was no answer.
-func (w *worker) post(door int, body []byte) (int, []byte) {
+func (w *worker) post(controller int, body []byte) (int, []byte) {
 	var latency time.Duration
 	if w.fleet.Reaches != nil {
 		ok := false
-		if ok, latency = w.fleet.Reaches(w.machine.Zone, door); !ok {
+		if ok, latency = w.fleet.Reaches(w.machine.Zone, controller); !ok {
 			w.sleepFor(heartbeatTimeout)
 			return 0, nil
 		}
 	}
 	w.sleepFor(latency)
-	resp, err := w.client.Post(w.fleet.Controllers[door]+wire.PathReports, "application/json", bytes.NewReader(body))
+	resp, err := w.client.Post(w.fleet.Controllers[controller]+wire.PathReports, "application/json", bytes.NewReader(body))
 	if err != nil {
 		return 0, nil
 	}
@@ -220,7 +220,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	w.fleet.traffic(door).Message()
+	w.fleet.traffic(controller).Message()
 	w.sleepFor(latency)
 	return resp.StatusCode, answer
 }
@@ -240,9 +240,9 @@
 	if within == 0 || rand.IntN(4) > 0 {
 		return
 	}
-	door := w.fleet.Controllers[rand.IntN(len(w.fleet.Controllers))]
+	controller := w.fleet.Controllers[rand.IntN(len(w.fleet.Controllers))]
 	time.AfterFunc(rand.N(within), func() {
-		resp, err := http.Post(door+wire.PathReports, "application/json", bytes.NewReader(body))
+		resp, err := http.Post(controller+wire.PathReports, "application/json", bytes.NewReader(body))
 		if err == nil {
 			_ = resp.Body.Close() // a repeat has no use for its answer
 			w.fleet.mu.Lock()
