--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -97,8 +97,9 @@
 	c.labelWords()
 	c.stateKeys()
 	c.settingsKeys()
+	c.deploymentKeys()
 	out := slices.Sorted(maps.Keys(c.found))
-	for _, kind := range []string{"rpc", "json", "toml", "command", "flag", "route", "path", "metric", "label", "key", "ini", "number", "owner", "env", "word"} {
+	for _, kind := range []string{"rpc", "json", "toml", "command", "flag", "route", "path", "metric", "label", "key", "ini", "number", "owner", "env", "word", "attr", "header", "file", "deploy", "value", "answer"} {
 		if !slices.ContainsFunc(out, func(line string) bool { return strings.HasPrefix(line, kind+" ") }) {
 			t.Errorf("no names of the kind %q were found: the collector is blind to them", kind)
 		}
@@ -127,6 +128,11 @@
 				c.tags(p, n)
 			case *ast.BasicLit:
 				c.metricName(n)
+				c.fileName(n)
+			case *ast.AssignStmt:
+				c.assignedValues(p, n)
+			case *ast.FuncDecl:
+				c.enumerationWords(p, n)
 			}
 			return true
 		})
@@ -324,6 +330,8 @@
 	for _, arg := range n.Args {
 		c.metricLabels(p, n.Args, arg)
 	}
+	c.logAttributes(p, n, name)
+	c.answerTexts(p, n, receiver, name)
 	if t := p.TypesInfo.TypeOf(n); t != nil && strings.HasSuffix(t.String(), "cobra.Command") && len(n.Args) > 0 {
 		if v, ok := text(p, n.Args[0]); ok {
 			c.add("command", "%s: %s", filepath.Base(p.PkgPath), v)
@@ -386,6 +394,7 @@
 			continue
 		}
 		values = append(values, kv.Value)
+		c.jsonValue(p, kind, kv.Key, kv.Value)
 		if id, ok := kv.Key.(*ast.Ident); ok && id.Name == "Use" && strings.HasSuffix(kind.String(), "cobra.Command") {
 			v, _ := text(p, kv.Value)
 			c.add("command", "%s: %s", filepath.Base(p.PkgPath), v)
@@ -405,6 +414,98 @@
 	}
 }
 
+// logAttributes pins the attribute keys of log lines: the arguments at even positions after the
+// message.
+func (c *collector) logAttributes(p *packages.Package, n *ast.CallExpr, name string) {
+	if !slices.Contains([]string{"LogMessage", "emitLog", "Debug", "Info", "Warn", "Error"}, name) {
+		return
+	}
+	sig, ok := p.TypesInfo.TypeOf(n.Fun).(*types.Signature)
+	if !ok || !sig.Variadic() || sig.Params().Len() < 2 {
+		return
+	}
+	first := sig.Params().Len() - 1
+	for i := first; i < len(n.Args); i += 2 {
+		if v, ok := text(p, n.Args[i]); ok {
+			c.add("attr", "%s", v)
+		}
+	}
+}
+
+// answerTexts pins the names of HTTP headers, the reasons for which machines are deleted, and
+// constant texts of answers to users, operators and peers.
+func (c *collector) answerTexts(p *packages.Package, n *ast.CallExpr, receiver, name string) {
+	header := receiver == "net/http.Header" && slices.Contains([]string{"Set", "Get", "Add", "Del", "Values"}, name)
+	answer := slices.Contains([]string{"Decommission", "Unavailable", "ErrorBody"}, name)
+	for i, arg := range n.Args {
+		v, ok := text(p, arg)
+		switch {
+		case !ok || v == "":
+		case header && i == 0:
+			c.add("header", "%s", v)
+		case answer:
+			c.add("answer", "%q", v)
+		}
+	}
+}
+
+var fileName = regexp.MustCompile(`^"[a-z-]*\.(toml|ini|pem|key|log|json|jsonl|csv)"$`)
+
+// fileName pins names and suffixes of files.
+func (c *collector) fileName(n *ast.BasicLit) {
+	if n.Kind == token.STRING && fileName.MatchString(n.Value) {
+		c.add("file", "%s", strings.Trim(n.Value, `"`))
+	}
+}
+
+// assignedValues pins constant strings that are assigned to a field with a JSON tag.
+func (c *collector) assignedValues(p *packages.Package, n *ast.AssignStmt) {
+	if len(n.Lhs) != len(n.Rhs) {
+		return
+	}
+	for i, left := range n.Lhs {
+		if field, ok := left.(*ast.SelectorExpr); ok {
+			if owner := p.TypesInfo.TypeOf(field.X); owner != nil {
+				c.jsonValue(p, owner, field.Sel, n.Rhs[i])
+			}
+		}
+	}
+}
+
+// jsonValue pins a constant string that a field with a JSON tag gets.
+func (c *collector) jsonValue(p *packages.Package, owner types.Type, field, value ast.Expr) {
+	if pointer, ok := owner.Underlying().(*types.Pointer); ok {
+		owner = pointer.Elem()
+	}
+	u, ok := owner.Underlying().(*types.Struct)
+	id, named := field.(*ast.Ident)
+	v, isText := text(p, value)
+	if !ok || !named || !isText || v == "" {
+		return
+	}
+	for i := range u.NumFields() {
+		key, _, _ := strings.Cut(reflect.StructTag(u.Tag(i)).Get("json"), ",")
+		if u.Field(i).Name() == id.Name && key != "" && key != "-" {
+			c.add("value", "%s=%q", key, v)
+		}
+	}
+}
+
+// enumerationWords pins the words that a String method returns.
+func (c *collector) enumerationWords(p *packages.Package, n *ast.FuncDecl) {
+	if n.Name.Name != "String" || n.Recv == nil || n.Body == nil {
+		return
+	}
+	ast.Inspect(n.Body, func(n ast.Node) bool {
+		if literal, ok := n.(*ast.BasicLit); ok {
+			if v, ok := text(p, literal); ok && label.MatchString(v) {
+				c.add("value", "%q", v)
+			}
+		}
+		return true
+	})
+}
+
 // wireWords pins a list of words of the platform's protocol, in the order of their numbers.
 func (c *collector) wireWords(p *packages.Package, values []ast.Expr) {
 	var words []string
@@ -456,6 +557,18 @@
 	}
 }
 
+// deploymentKeys pins the keys of the file by which the deployment builds and runs the service.
+func (c *collector) deploymentKeys() {
+	raw, err := os.ReadFile("../../deploy/service.toml")
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	key := regexp.MustCompile(`(?m)^([a-z_]+) *=`)
+	for _, m := range key.FindAllStringSubmatch(string(raw), -1) {
+		c.add("deploy", "%s", m[1])
+	}
+}
+
 // settingsKeys pins the keys of the operators' file, as the files under deploy say them.
 func (c *collector) settingsKeys() {
 	files, err := filepath.Glob("../../deploy/*.ini*")
