--- a/internal/core/intern/intern.go
+++ b/internal/core/intern/intern.go
@@ -1,15 +1,15 @@
 // Package intern maps names, such as those of teams, images, zones and machine types, to dense indexes. The
-// leader maps a name when it enters the state, and handles the index alone from then on.
+// leader maps each name once, when the name is added to its state, and uses only the index after that.
 package intern
 
-// Names gives each distinct name the next index, counted from 0. Its zero value is empty and ready for use; it
-// is not safe for concurrent use.
+// Names assigns consecutive indexes to distinct names, starting at 0. The zero value is empty and ready to
+// use. Names is not safe for concurrent use.
 type Names struct {
 	index map[string]int32
 	names []string // by index
 }
 
-// Index returns the index of a name, which is added if it is new.
+// Index returns the index of a name, and adds the name if it is new.
 func (n *Names) Index(name string) int32 {
 	if i, ok := n.index[name]; ok {
 		return i
@@ -29,7 +29,7 @@
 	return i, ok
 }
 
-// Name returns the name with an index. It panics if there is none.
+// Name returns the name with an index. It panics if the index is not in use.
 func (n *Names) Name(i int32) string { return n.names[i] }
 
 // Len returns the number of names.
--- a/internal/core/intern/intern_test.go
+++ b/internal/core/intern/intern_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Indexes are dense, counted from 0 in the order of the names' first use, and stay.
+// Indexes are dense, start at 0 in the order of the names' first use, and never change.
 func TestIndexesAreDenseAndStay(t *testing.T) {
 	var names Names
 	for want, name := range []string{"a", "b", ""} {
@@ -18,7 +18,7 @@
 	}
 }
 
-// A look-up adds nothing, also in the zero value.
+// A lookup adds no name, not even to the zero value.
 func TestLookupAddsNothing(t *testing.T) {
 	var names Names
 	if _, known := names.Lookup("a"); known || names.Len() != 0 {
--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// Dependencies form a directed acyclic graph of jobs. They are kept between open jobs only, and a job that is
-// over has none: whatever happens to a job costs work for its own neighbours alone.
+// Dependencies form a directed acyclic graph of jobs. They are stored between open jobs only, and a job
+// that is over has none. A change of one job therefore costs work for its direct neighbours only.
 
-// AddDependency notes that a job waits for another, open one.
+// AddDependency records that a job waits for another job, which is open.
 func (t *Table) AddDependency(j, dependency *Job) {
 	j.Dependencies = append(j.Dependencies, dependency.Index)
 	dependency.Dependents = append(dependency.Dependents, j.Index)
 }
 
-// RemoveDependency removes a job that is over from all dependencies. It returns the jobs that waited for it.
+// RemoveDependency removes a job that is over from the dependency graph. It returns the jobs that waited
+// for it.
 func (t *Table) RemoveDependency(j *Job) []*Job {
 	var waited []*Job
 	for _, i := range j.Dependents {
@@ -32,18 +33,18 @@
 	return slices.DeleteFunc(list, func(other int32) bool { return other == index })
 }
 
-// TransitiveDependents lists the open jobs that need a job, directly or through others, each once.
+// TransitiveDependents returns the open jobs that depend on a job, directly or transitively, each once.
 func (t *Table) TransitiveDependents(j *Job) []*Job {
 	return t.transitiveClosure(j, func(job *Job) []int32 { return job.Dependents })
 }
 
-// TransitiveDependencies lists the open jobs that a job needs, directly or through others, each once.
+// TransitiveDependencies returns the open jobs on which a job depends, directly or transitively, each once.
 func (t *Table) TransitiveDependencies(j *Job) []*Job {
 	return t.transitiveClosure(j, func(job *Job) []int32 { return job.Dependencies })
 }
 
-// transitiveClosure lists the jobs that are reached from a job by any number of steps, each once and without
-// the job itself. neighbours gives the indexes of the jobs one step away.
+// transitiveClosure returns the jobs that can be reached from a job in any number of steps, each once and
+// without the job itself. neighbours returns the indexes of the jobs that are one step away.
 func (t *Table) transitiveClosure(from *Job, neighbours func(*Job) []int32) []*Job {
 	var reached []*Job
 	seen := map[int32]bool{from.Index: true}
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -7,8 +7,8 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// The index of a job that is removed twice is used again once. Found on a day of gangs: a job that left twice
-// had its index given to two others, whose tasks were then taken for one another's.
+// The index of a job that is removed twice must be reused only once. In a simulation of gangs, a job that
+// was removed twice had its index given to two other jobs, and the tasks of these two were mixed up.
 func TestIndexIsFreedOnce(t *testing.T) {
 	table := NewTable()
 	j := table.Add(eventlog.Job{ID: 1, Tasks: 1})
@@ -20,7 +20,7 @@
 	}
 	table.Remove(j)
 	if table.ByID(2) != second || table.ByIndex(second.Index) != second {
-		t.Error("removing a job that has left removed another one")
+		t.Error("removing a job again removed another job")
 	}
 }
 
@@ -28,18 +28,18 @@
 	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 4})
 	for _, task := range []int{0, 1, 2} {
 		if got := j.NextWaiting(4); got != task {
-			t.Fatalf("next waiting is %d, want %d", got, task)
+			t.Fatalf("the next waiting task is %d, want %d", got, task)
 		}
 		j.Place(task)
 	}
 	j.Release(1)
 	if got := j.NextWaiting(4); got != 1 {
-		t.Errorf("a released task is not next: %d", got)
+		t.Errorf("the next waiting task is %d, want the released task 1", got)
 	}
 	if !j.Complete(0) || j.Complete(0) {
-		t.Error("a task completes once")
+		t.Error("Complete must return true the first time and false after that")
 	}
-	j.Release(0) // a late release of a finished task changes nothing
+	j.Release(0) // a late release of a finished task must change nothing
 	j.MarkDurable(0)
 	j.MarkDurable(0)
 	if j.Waiting != 2 || j.Placed != 1 || j.Finished != 1 || j.DurableCount != 1 {
@@ -51,35 +51,35 @@
 	one := NewTable().Add(eventlog.Job{Tasks: 3, OneZone: true})
 	one.CountInZone(0, 1)
 	if one.ZoneAllows(1) || !one.ZoneAllows(0) {
-		t.Error("one zone: the first task decides")
+		t.Error("one zone: the first task must decide the zone")
 	}
 	one.CountInZone(0, -1)
 	if !one.ZoneAllows(1) {
-		t.Error("one zone: free again once the first is gone")
+		t.Error("one zone: any zone must be allowed again once the first task is gone")
 	}
 	half := NewTable().Add(eventlog.Job{Tasks: 9, Spread: true})
 	half.CountInZone(0, 4)
 	if !half.ZoneAllows(0) {
-		t.Error("the fifth of nine may be in the zone")
+		t.Error("spread: the fifth of nine tasks must be allowed in the zone")
 	}
 	half.CountInZone(0, 1)
 	if half.ZoneAllows(0) {
-		t.Error("five of nine are the most")
+		t.Error("spread: at most five of nine tasks may be in one zone")
 	}
 }
 
-// A job none of whose tasks waits any more is not starved; should a task wait again later, its time counts from
-// then. Found by reading the code: the scheduler, which looks for such jobs, does not look at all while nothing
+// A job without waiting tasks is not starved. If a task waits again later, its time must count from then.
+// Found in a code review: the scheduler, which updates StarvedSince, does not run its check while no task
 // waits.
 func TestStarvedSinceClearedWhenNothingWaits(t *testing.T) {
 	j := NewTable().Add(eventlog.Job{ID: 1, Tasks: 2})
 	j.StarvedSince = time.Second
 	j.Place(0)
 	if j.StarvedSince == 0 {
-		t.Error("not starved, though one of its tasks still waits")
+		t.Error("StarvedSince is 0 although one of the tasks still waits")
 	}
 	j.Place(1)
 	if j.StarvedSince != 0 {
-		t.Error("starved, though none of its tasks waits")
+		t.Error("StarvedSince is set although none of the tasks waits")
 	}
 }
--- a/internal/core/jobs/table.go
+++ b/internal/core/jobs/table.go
@@ -9,16 +9,16 @@
 type Table struct {
 	byID        map[uint64]int32
 	jobs        []*Job           // by index; nil where the index is free
-	freeIndexes []int32          // used again, the last one first
-	finalPhases map[uint64]Phase // of jobs that are over, by id
+	freeIndexes []int32          // free indexes, reused from the end
+	finalPhases map[uint64]Phase // final phases of jobs that are over, by id
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{byID: map[uint64]int32{}, finalPhases: map[uint64]Phase{}}
 }
 
-// Add enters a job, with all its tasks waiting, and returns it.
+// Add adds a job, with all its tasks waiting, and returns it.
 func (t *Table) Add(record eventlog.Job) *Job {
 	j := &Job{
 		Record:   record,
@@ -39,7 +39,7 @@
 	return j
 }
 
-// ByID returns the job with an id; nil if it is not in the table.
+// ByID returns the job with an id, or nil if it is not in the table.
 func (t *Table) ByID(id uint64) *Job {
 	if i, ok := t.byID[id]; ok {
 		return t.jobs[i]
@@ -47,33 +47,34 @@
 	return nil
 }
 
-// ByIndex returns the job with an index; nil if it has left the table.
+// ByIndex returns the job with an index, or nil if it was removed.
 func (t *Table) ByIndex(i int32) *Job { return t.jobs[i] }
 
-// All returns the jobs by index, nil where a job has left. The list is the table's own: it must not be changed.
+// All returns the jobs by index, with nil for free indexes. The slice belongs to the table and must not be
+// modified.
 func (t *Table) All() []*Job { return t.jobs }
 
-// FinalPhase returns the final phase of a job that is over, by its id.
+// FinalPhase returns the final phase of a job, given by its id, and whether the job is over.
 func (t *Table) FinalPhase(id uint64) (Phase, bool) {
 	p, ok := t.finalPhases[id]
 	return p, ok
 }
 
-// RecordFinalPhase notes a job's final phase, by its id. The first one stays.
+// RecordFinalPhase stores the final phase of a job, given by its id. A phase that was stored before is kept.
 func (t *Table) RecordFinalPhase(id uint64, p Phase) {
 	if _, ok := t.finalPhases[id]; !ok {
 		t.finalPhases[id] = p
 	}
 }
 
-// FinalCount is the number of jobs that are over.
+// FinalCount returns the number of jobs that are over.
 func (t *Table) FinalCount() int { return len(t.finalPhases) }
 
-// Len is the number of jobs in the table.
+// Len returns the number of jobs in the table.
 func (t *Table) Len() int { return len(t.byID) }
 
-// Remove takes a job out of the table; its index will be used again. For a job that has left already it does
-// nothing: freeing its index twice would give the index to two jobs at once.
+// Remove removes a job from the table and frees its index for reuse. It does nothing if the job was already
+// removed, since freeing an index twice would give it to two jobs at once.
 func (t *Table) Remove(j *Job) {
 	if t.jobs[j.Index] != j {
 		return
--- a/internal/core/jobs/tasks.go
+++ b/internal/core/jobs/tasks.go
@@ -23,7 +23,7 @@
 	return -1
 }
 
-// Place notes that a waiting task is planned on a machine, or turned out to be on one.
+// Place records that a waiting task is planned on a machine, or was found on one.
 func (j *Job) Place(task int) {
 	j.Tasks[task] = Placed
 	j.Waiting--
@@ -33,7 +33,8 @@
 	}
 }
 
-// Release notes that a placed task is proved gone from its machine without a result: it waits again.
+// Release records that a placed task is proved to be gone from its machine without a result. The task then
+// waits again.
 func (j *Job) Release(task int) {
 	if j.Tasks[task] != Placed {
 		return
@@ -45,7 +46,7 @@
 	j.unassignedCursor = min(j.unassignedCursor, task)
 }
 
-// Complete notes that a task is done. It returns false if the task was done already.
+// Complete records that a task is done. It returns false if the task was already done.
 func (j *Job) Complete(task int) bool {
 	switch j.Tasks[task] {
 	case Finished, FinishedDurably:
@@ -60,7 +61,7 @@
 	return true
 }
 
-// MarkDurable notes that a task's completion is durable, and with that that the task is done.
+// MarkDurable records that a task's completion is durable, which implies that the task is done.
 func (j *Job) MarkDurable(task int) {
 	j.Complete(task)
 	if j.Tasks[task] != FinishedDurably {
--- a/internal/core/jobs/zones.go
+++ b/internal/core/jobs/zones.go
@@ -1,12 +1,13 @@
 package jobs
 
-// HasZoneRule says whether the job has a rule on the zones of its tasks: all in one, or spread.
+// HasZoneRule reports whether the job has a rule on the zones of its tasks: all in one zone, or spread.
 func (j *Job) HasZoneRule() bool { return j.Record.OneZone || j.Record.Spread }
 
-// MaxTasksPerZone is how many tasks of a spread job may be in one zone: half of them, rounded up.
+// MaxTasksPerZone returns how many tasks of a spread job may be in one zone: half of them, rounded up.
 func (j *Job) MaxTasksPerZone() int { return (len(j.Tasks) + 1) / 2 }
 
-// ZoneAllows says whether the job's rules allow one more task in a zone, given where the placed ones are.
+// ZoneAllows reports whether the job's zone rules allow one more task in a zone, given the zones of its
+// placed tasks.
 func (j *Job) ZoneAllows(zone int32) bool {
 	if j.Record.OneZone {
 		for other, placed := range j.PlacedByZone {
@@ -18,7 +19,7 @@
 	return !j.Record.Spread || j.PlacedByZone[zone] < j.MaxTasksPerZone()
 }
 
-// CountInZone counts a placed task in (1) or out (-1) of a zone, if the job has a rule on zones.
+// CountInZone adds change (1 or -1) to the number of placed tasks in a zone, if the job has a zone rule.
 func (j *Job) CountInZone(zone int32, change int) {
 	if !j.HasZoneRule() {
 		return
--- a/internal/core/reconcile/machine.go
+++ b/internal/core/reconcile/machine.go
@@ -1,29 +1,29 @@
 package reconcile
 
-// Machine is what the leader has of a machine, and what a report says of it.
+// Machine holds the leader's record of a machine together with the header of one of its reports.
 type Machine struct {
 	// The leader's term.
 	Epoch uint64
 
-	// What is stored.
-	Deleted          bool   // it is deleted
-	Known            bool   // it is entered
+	// Stored state.
+	Deleted          bool   // it was deleted
+	Known            bool   // it is in the inventory
 	TypeKnown        bool   // its type is known
 	Deleting         bool   // its deletion is decided
-	Session          uint64 // of the newest report that was applied
-	Seq              uint64 // of that report within the session
+	Session          uint64 // session of the newest report that was applied
+	Seq              uint64 // number of that report within the session
 	Token            uint64 // the machine's current fencing token
-	HighestTokenSeen uint64 // highest token in a report that was applied
-	SuspectBelow     uint64 // it is suspect until it reports a token above this one; 0: it is not
+	HighestTokenSeen uint64 // highest token in any report that was applied
+	SuspectBelow     uint64 // the machine is suspect until it reports a token above this one; 0: not suspect
 
-	// What is reported.
+	// Reported state.
 	ReportSession uint64
 	ReportSeq     uint64
 	ReportToken   uint64
-	ReportEpoch   uint64 // epoch of that token
+	ReportEpoch   uint64 // epoch of ReportToken
 }
 
-// Report names the difference between what is stored of a machine and its report.
+// Report returns the difference between the stored state of a machine and its report.
 func Report(m Machine) Diff {
 	outdated := m.ReportSession < m.Session || (m.ReportSession == m.Session && m.ReportSeq <= m.Seq)
 	switch {
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -1,102 +1,101 @@
-// Package reconcile compares what workers report with what the leader has stored. It has a table of every
-// difference that there can be, each with the one resolution that follows from it and with the proof that the
-// resolution is right.
+// Package reconcile compares what workers report with what the leader has stored. Its table lists every
+// possible difference, each with its only resolution and the proof that the resolution is correct.
 //
-// It is part of the core and pure: its functions look at two descriptions and name their difference. Those who
-// act on a difference (package workers, and the leader's registry and pools) decide nothing of this kind by
-// themselves. The table is that of docs/cold-start.md, word for word; a test compares the two.
+// The package is part of the core. Its functions are pure: they compare two descriptions and return their
+// difference. The packages that act on a difference (workers, and the leader's registry and pools) make no
+// such decisions themselves. docs/cold-start.md has the same table word for word; a test compares the two.
 package reconcile
 
-// Diff is a difference between what is stored and what is reported.
+// Diff is a difference between the stored and the reported state.
 type Diff uint8
 
-// Differences of a task. A task is placed where it counts as being. Those of machines and gangs follow.
+// Differences of tasks, machines and gangs. A task is placed on the machine on which the leader counts it.
 const (
-	AsStored Diff = iota // none: it is placed here and reported as it is stored
+	AsStored Diff = iota // none: the task is placed here and reported as it is stored
 
-	// Attempts that have ended, with a result unless it says otherwise.
+	// Attempts that have ended, with a result unless noted otherwise.
 	Completed          // it was placed here
 	EndedNotPlaced     // it was not placed here
-	EndedNotDurable    // its result is known already, and not durable yet
+	EndedNotDurable    // its result is already known but not durable yet
 	EndedElsewhere     // it is placed on another machine, or on offer to one
 	EndedDurable       // its end is durable, or its job is over
 	CancelledEnd       // it was placed here, and its job is cancelled
-	EndedSaved         // without a result: it was placed here, and was stopped with its progress saved
+	EndedSaved         // without a result: it was placed here, and it was stopped with its progress saved
 	EndedWithoutResult // without a result: it was placed here
-	EndedOldAttempt    // without a result: an attempt that was not placed here
+	EndedOldAttempt    // without a result: this attempt was not placed here
 
-	// Tasks that are placed here and not in the report.
+	// Tasks that are placed here and missing from the report.
 	AbsentAtCurrentToken // a newer report at the current token lacks it
 	AbsentInLaterSession // the worker has begun a later session
 	AbsentAtOlderToken   // a report at an older token lacks it
 
-	// Tasks that were started directly: the start was pushed to the worker.
-	AbsentDirectInLaterSession // the start had no answer, and the worker has a later session or incarnation
-	AbsentDirectMayArrive      // a report lacks it, at a token with which the start may yet arrive
-	EndedDirectMayArrive       // it has ended, and a copy of the start may yet arrive
+	// Tasks that were started directly, by a start pushed to the worker.
+	AbsentDirectInLaterSession // the start had no answer, and a later session or incarnation has begun
+	AbsentDirectMayArrive      // a report lacks it, at a token at which the start may still arrive
+	EndedDirectMayArrive       // it has ended, and a copy of the start may still arrive
 
 	// Attempts that have not ended.
-	RunsUnplaced     // it was placed nowhere, and runs here
-	SavesUnplaced    // it was placed nowhere, and saves its progress here
-	RunsDone         // its end is known
+	RunsUnplaced     // it was not placed anywhere, and runs here
+	SavesUnplaced    // it was not placed anywhere, and is saving its progress here
+	RunsDone         // its end is already known
 	RunsCancelled    // its job is cancelled
-	RunsHeld         // its job waits for others
+	RunsHeld         // its job waits for jobs that it depends on
 	RunsElsewhere    // it is placed on another machine, or may be on one
 	RunsOtherAttempt // another attempt of it is placed here
 
-	// Tasks that are not known: nobody accepted the job, or it has no such task.
+	// Unknown tasks: the job was never accepted, or it has no such task.
 	RunsUnknown
 	EndedUnknown
 
 	// Differences of a machine.
 	MachineAsStored       // none
-	MachineUnregistered   // nothing is stored of it: rented late, or its rental was never durable
-	MachineDeleted        // it is stored as deleted
-	MachineUnknownType    // its type is not known
+	MachineUnregistered   // it is not stored: it was rented late, or its rental never became durable
+	MachineDeleted        // it is recorded as deleted
+	MachineUnknownType    // its machine type is not known
 	MachineOutdatedReport // the report is older than one that was applied
 	MachineDeleting       // its deletion is decided
-	MachineStaleToken     // it has not seen the current token
+	MachineStaleToken     // it has not received the current token
 	MachineNewSession     // it has begun a later session
-	MachineNewerTerm      // it has seen a token of a later term
-	MachineRestarted      // it is a new incarnation under its name, and remembers nothing
+	MachineNewerTerm      // it has received a token of a later term
+	MachineRestarted      // it is a new incarnation under the same name, without the state of the former one
 
-	// Differences of a gang, where one of its tasks turns out to be on a machine.
-	GangAttemptUnknown // no attempt of the gang was known
-	GangSameAttempt    // the task is of the attempt that is known
-	GangOtherAttempt   // the task is of another attempt than the one that is known
+	// Differences of a gang, when one of its tasks is found on a machine.
+	GangAttemptUnknown // no attempt of the gang is known
+	GangSameAttempt    // the task belongs to the known attempt
+	GangOtherAttempt   // the task belongs to another attempt than the known one
 
 	Kinds // the number of differences
 )
 
-// Resolution is the one thing that follows from the difference.
+// Resolution returns the only resolution of the difference.
 func (d Diff) Resolution() Resolution { return table[d].resolution }
 
-// String is the difference's label in metrics and accounts.
+// String returns the difference's label in metrics and summaries.
 func (d Diff) String() string { return table[d].label }
 
-// Resolution is what follows from a difference.
+// Resolution is the action that resolves a difference.
 type Resolution uint8
 
 // Resolutions.
 const (
 	Keep             Resolution = iota // nothing changes
 	RecordCompletion                   // record the completion, and reap the attempt once that is durable
-	Wait                               // send the worker nothing until more is durable or known
+	Wait                               // send the worker no command until more is durable or known
 	Reap                               // have the worker forget the ended attempt
-	ReleaseAndReap                     // it is proved gone from here, and may run again elsewhere; reap the attempt
-	Release                            // it is proved gone from here, and may run again elsewhere
-	Adopt                              // it is placed here from now on
-	AdoptAndFailGang                   // adopt it, and give up the gang's attempt as a whole
+	ReleaseAndReap                     // release it, and have the worker forget the ended attempt
+	Release                            // it is proved to be gone from here, and may run again elsewhere
+	Adopt                              // it counts as placed here from now on
+	AdoptAndFailGang                   // adopt it, and abandon the gang's whole attempt
 	Stop                               // stop it, and start nothing on the machine until it is gone
-	Register                           // enter the machine, and register it before its first start
-	Ignore                             // answer the report, and apply nothing of it
-	ApplyPresent                       // apply the report; it does not prove what is absent
-	ReleaseAll                         // all that is placed on the machine is proved gone
-	ContinueDeletion                   // apply the report; the deletion goes on, and nothing is started
-	StepDown                           // another node leads: the term is over
+	Register                           // add the machine, and register it durably before its first start
+	Ignore                             // answer the report, but apply nothing of it
+	ApplyPresent                       // apply the report, except that it does not prove the absence of tasks
+	ReleaseAll                         // everything placed on the machine is proved to be gone
+	ContinueDeletion                   // apply the report; the deletion continues, and nothing is started
+	StepDown                           // another node is the leader, so this term is over
 )
 
-// resolutionLabels are the words of the resolutions in the table and in accounts.
+// resolutionLabels holds the text of each resolution in the table and in summaries.
 var resolutionLabels = [...]string{
 	Keep:             "keep",
 	RecordCompletion: "complete, reap once durable",
@@ -115,5 +114,5 @@
 	StepDown:         "step down",
 }
 
-// String gives the resolution's words in the table.
+// String returns the resolution's text in the table.
 func (r Resolution) String() string { return resolutionLabels[r] }
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// referenceTask is a second implementation of Task: it derives what is to be done from the guarantees alone,
-// without naming any difference.
+// referenceTask is a second implementation of Task. It derives the resolution directly from the guarantees,
+// without classifying the difference.
 func referenceTask(stored StoredTask, reported ReportedTask) Resolution {
 	r := referenceTaskWithoutDirect(stored, reported)
 	if stored.DirectMayArrive && (r == Reap || r == ReleaseAndReap) {
-		return Wait // what is forgotten could be started by a copy of the command
+		return Wait // a late copy of the start could run the forgotten attempt again
 	}
 	return r
 }
@@ -24,7 +24,7 @@
 		if placed {
 			return Keep
 		}
-		// It may stay only if nothing else stands for it and its job wants it.
+		// It may continue only if it is not placed anywhere else and its job still needs it.
 		wanted := stored.Known && stored.Open && !stored.Cancelled && !stored.Held
 		if wanted && !stored.PlacedHere && !stored.PlacedElsewhere {
 			return Adopt
@@ -38,7 +38,7 @@
 		return RecordCompletion
 	}
 	if reported.Completed && !stored.Durable {
-		return Wait // a result that is nowhere durable must not be reaped
+		return Wait // a result must not be reaped before it is durable
 	}
 	if placed {
 		return ReleaseAndReap
@@ -59,7 +59,7 @@
 	}
 	newer := m.ReportSession > m.Session || (m.ReportSession == m.Session && m.ReportSeq > m.Seq)
 	if !newer && m.SuspectBelow > 0 && m.ReportToken > m.SuspectBelow {
-		return ReleaseAll // only the current incarnation can have that token, and the one before has used up the numbers
+		return ReleaseAll // only a new incarnation has this token together with numbers already used
 	}
 	if !newer || m.ReportToken < m.HighestTokenSeen {
 		return Ignore
@@ -76,13 +76,13 @@
 	return ApplyPresent
 }
 
-// randomStates makes random inputs of the functions that name differences.
+// randomStates generates random inputs for the functions that classify differences.
 type randomStates struct{ *rand.Rand }
 
-// oneIn is true once in n times, on average.
+// oneIn returns true with probability 1/n.
 func (r randomStates) oneIn(n int) bool { return r.IntN(n) == 0 }
 
-// below is a random number below n.
+// below returns a random number in [0, n).
 func (r randomStates) below(n int) uint64 { return uint64(r.IntN(n)) }
 
 func (r randomStates) storedTask() StoredTask {
@@ -131,7 +131,7 @@
 	}
 }
 
-// On random states the table decides what the reference decides, and every one of its rows is met.
+// On random states the table gives the same resolution as the reference, and every row of it occurs.
 func TestTableAgreesWithReference(t *testing.T) {
 	random := randomStates{rand.New(rand.NewPCG(1, 1))}
 	var met Tally
@@ -139,25 +139,25 @@
 		stored, reported := random.storedTask(), random.reportedTask()
 		diff := met.Count(Task(stored, reported))
 		if got, want := diff.Resolution(), referenceTask(stored, reported); got != want {
-			t.Fatalf("%+v reported as %+v: %v, so %v; the reference says %v", stored, reported, diff, got, want)
+			t.Fatalf("%+v reported as %+v: %v with resolution %v, want %v", stored, reported, diff, got, want)
 		}
 		m := random.machine()
 		diff = met.Count(Report(m))
 		if got, want := diff.Resolution(), referenceReport(m); got != want {
-			t.Fatalf("%+v: %v, so %v; the reference says %v", m, diff, got, want)
+			t.Fatalf("%+v: %v with resolution %v, want %v", m, diff, got, want)
 		}
 		met.Count(Absent(random.oneIn(2), random.oneIn(2), random.oneIn(2)))
 		met.Count(Gang(random.below(3), 1+random.below(2)))
 	}
 	for d := range Kinds {
 		if met[d] == 0 {
-			t.Errorf("%v was never met", d)
+			t.Errorf("difference %v never occurred", d)
 		}
 	}
 }
 
-// Two resolutions are wrong whatever is stored: to have a worker forget a result that is nowhere durable, and
-// to let a task go on that is placed elsewhere.
+// Two resolutions are wrong in every state: to have a worker forget a result that is not durable yet, and
+// to let a task continue that is placed elsewhere.
 func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
 		on := func(i int) bool { return bits>>i&1 == 1 }
@@ -174,7 +174,7 @@
 		openAndOver := stored.Open && (stored.Durable || stored.PlacedElsewhere)
 		placedTwice := stored.PlacedHere && stored.PlacedElsewhere
 		if openAndOver || placedTwice || (stored.Cancelled && !stored.Durable) {
-			continue // no such state
+			continue // impossible state
 		}
 		reported := ReportedTask{
 			Attempt:   1 + uint64(bits>>7&1),
@@ -184,15 +184,15 @@
 		}
 		r := Task(stored, reported).Resolution()
 		if reported.Completed && stored.Known && !stored.Durable && (r == Reap || r == ReleaseAndReap) {
-			t.Errorf("%+v, %+v: a result is lost", stored, reported)
+			t.Errorf("%+v reported as %+v: a result would be lost", stored, reported)
 		}
 		if !reported.Ended && stored.PlacedElsewhere && r != Stop {
-			t.Errorf("%+v, %+v: it would run twice", stored, reported)
+			t.Errorf("%+v reported as %+v: the task would run twice", stored, reported)
 		}
 	}
 }
 
-// docs/cold-start.md has the table as the code has it, word for word.
+// docs/cold-start.md must contain the table of the code word for word.
 func TestTableMatchesColdStartDocument(t *testing.T) {
 	document, err := os.ReadFile("../../../docs/cold-start.md")
 	if err != nil {
@@ -201,12 +201,12 @@
 	seen := map[string]bool{}
 	for _, r := range table {
 		if r.label == "" || r.proof == "" || seen[r.label] {
-			t.Errorf("%q: a label of its own and a proof are needed", r.label)
+			t.Errorf("label %q: every row needs a unique label and a proof", r.label)
 		}
 		seen[r.label] = true
 		line := fmt.Sprintf("| `%s` | %s | %s | %v | %s |", r.label, r.stored, r.reported, r.resolution, r.proof)
 		if !strings.Contains(string(document), line) {
-			t.Errorf("docs/cold-start.md lacks\n%s", line)
+			t.Errorf("docs/cold-start.md lacks this row of the table:\n%s", line)
 		}
 	}
 }
--- a/internal/core/reconcile/tally.go
+++ b/internal/core/reconcile/tally.go
@@ -11,7 +11,7 @@
 	return d
 }
 
-// Each calls f for every difference that was counted, in order, with its count.
+// Each calls f in order for every difference that was counted at least once, with its count.
 func (t *Tally) Each(f func(d Diff, count uint64)) {
 	for d, count := range t {
 		if count > 0 {
--- a/internal/core/reconcile/task.go
+++ b/internal/core/reconcile/task.go
@@ -1,32 +1,32 @@
 package reconcile
 
-// StoredTask is what the leader has of a task, seen from the machine that reports it.
+// StoredTask is the leader's record of a task, relative to the machine that reports it.
 type StoredTask struct {
-	Known     bool // its job is accepted and not forgotten, and has such a task
-	Open      bool // its completion would count: the job is open, and the task has not ended
+	Known     bool // its job was accepted, is still stored, and has such a task
+	Open      bool // its completion would be recorded: the job is open, and the task has not ended
 	Durable   bool // its end is durable, or its job is cancelled
 	Cancelled bool // its job is cancelled
-	Held      bool // its job waits for others
+	Held      bool // its job waits for jobs that it depends on
 
 	PlacedElsewhere bool   // it is placed on another machine, or on offer to one
 	PlacedHere      bool   // it is placed on this machine
 	Attempt         uint64 // the attempt that is placed here
 
-	// DirectMayArrive: the reported attempt was started directly, and a copy of the start may still arrive:
-	// the worker has seen no higher token than that of the start.
+	// DirectMayArrive is set if the reported attempt was started directly and a copy of the start may still
+	// be accepted, because the worker has not seen a higher token than that of the start.
 	DirectMayArrive bool
 }
 
-// ReportedTask is what a report says of a task.
+// ReportedTask is the state of a task in a report.
 type ReportedTask struct {
 	Attempt   uint64
 	Ended     bool
-	Completed bool // of an ended attempt: with its result
+	Completed bool // of an ended attempt: it ended with its result
 	Saved     bool // of a stopped attempt: its progress is saved
-	Saving    bool // of an attempt that has not ended: it saves its progress
+	Saving    bool // of an attempt that has not ended: it is saving its progress
 }
 
-// Task names the difference between what is stored of a task and what is reported of it.
+// Task returns the difference between the stored and the reported state of a task.
 func Task(stored StoredTask, reported ReportedTask) Diff {
 	diff := classifyTask(stored, reported)
 	resolution := diff.Resolution()
@@ -36,7 +36,7 @@
 	return diff
 }
 
-// classifyTask names the difference without regard to direct starts.
+// classifyTask returns the difference, not considering direct starts.
 func classifyTask(stored StoredTask, reported ReportedTask) Diff {
 	placed := stored.PlacedHere && stored.Attempt == reported.Attempt
 	switch {
@@ -52,8 +52,8 @@
 	return classifyNotEnded(stored, reported, placed)
 }
 
-// classifyCompleted names the difference of an attempt that has ended with its result. placed says that it is
-// the attempt that is placed on the machine.
+// classifyCompleted returns the difference of an attempt that has ended with its result. placed is true if
+// this attempt is the one that is placed on the machine.
 func classifyCompleted(stored StoredTask, placed bool) Diff {
 	switch {
 	case stored.Open && placed:
@@ -70,7 +70,7 @@
 	return EndedNotDurable
 }
 
-// classifyEndedWithoutResult names the difference of an attempt that has ended without a result.
+// classifyEndedWithoutResult returns the difference of an attempt that has ended without a result.
 func classifyEndedWithoutResult(reported ReportedTask, placed bool) Diff {
 	switch {
 	case placed && reported.Saved:
@@ -81,7 +81,7 @@
 	return EndedOldAttempt
 }
 
-// classifyNotEnded names the difference of an attempt that has not ended.
+// classifyNotEnded returns the difference of an attempt that has not ended.
 func classifyNotEnded(stored StoredTask, reported ReportedTask, placed bool) Diff {
 	switch {
 	case placed:
@@ -102,10 +102,10 @@
 	return RunsUnplaced
 }
 
-// Absent names the difference where a report lacks a task that is placed on the machine. laterSession says
-// that the report is of a later session. directMayArrive says that the task was started directly and not
-// seen, and that its start is still good at the report's token, or, in a later session, that it had no answer.
-// current says that the report is at the current token.
+// Absent returns the difference if a report lacks a task that is placed on the machine. laterSession is
+// true if the report is of a later session, and current if it is at the current token. directMayArrive is
+// true if the task was started directly and not reported since, and its start is still valid at the
+// report's token or, in a later session, had no answer.
 func Absent(laterSession, directMayArrive, current bool) Diff {
 	switch {
 	case laterSession && directMayArrive:
@@ -120,8 +120,8 @@
 	return AbsentAtOlderToken
 }
 
-// Gang names the difference where a task of a gang turns out to be on a machine. known is the attempt of the
-// gang that is known, 0 for none; reported is the attempt of the task.
+// Gang returns the difference when a task of a gang is found on a machine. known is the known attempt of the
+// gang, 0 for none; reported is the attempt of the task.
 func Gang(known, reported uint64) Diff {
 	switch known {
 	case 0:
--- a/internal/core/resources/resources.go
+++ b/internal/core/resources/resources.go
@@ -1,7 +1,7 @@
-// Package resources counts what tasks take and what machines have.
+// Package resources represents the amounts of resources that tasks need and machines have.
 //
-// It is part of the core: amounts are values without any state. They are whole thousandths, so that sums and
-// differences are exact, however often they are made.
+// It is part of the core: amounts are plain values. They are whole thousandths, so that repeated additions
+// and subtractions stay exact.
 package resources
 
 import "math"
@@ -9,20 +9,20 @@
 const (
 	// milli is the number of units in a processor, an accelerator or a gigabyte.
 	milli = 1000
-	// roundingSlack is the part of a unit that is put down to the inexactness of a float: 0.1 processors are
-	// 100 units, and not 101.
+	// roundingSlack is the part of a unit that is treated as floating-point error: 0.1 processors are 100
+	// units, not 101.
 	roundingSlack = 1e-6
 )
 
 // Amounts are processors, accelerators and gigabytes of memory, in thousandths.
 type Amounts struct{ CPU, GPU, Mem int64 }
 
-// Need is what a task takes, rounded up to whole thousandths.
+// Need returns the amounts that a task needs, rounded up to whole thousandths.
 func Need(cpus, gpus, memGB float64) Amounts {
 	return Amounts{CPU: milliRoundedUp(cpus), GPU: milliRoundedUp(gpus), Mem: milliRoundedUp(memGB)}
 }
 
-// Room is what a machine has, rounded down to whole thousandths.
+// Room returns the amounts that a machine has, rounded down to whole thousandths.
 func Room(cpus, gpus, memGB float64) Amounts {
 	return Amounts{CPU: milliRoundedDown(cpus), GPU: milliRoundedDown(gpus), Mem: milliRoundedDown(memGB)}
 }
@@ -46,10 +46,10 @@
 	return Amounts{CPU: a.CPU * factor, GPU: a.GPU * factor, Mem: a.Mem * factor}
 }
 
-// Fits says whether the amounts fit into room, in each of its parts.
+// Fits reports whether each of the amounts fits into room.
 func (a Amounts) Fits(room Amounts) bool {
 	return a.CPU <= room.CPU && a.GPU <= room.GPU && a.Mem <= room.Mem
 }
 
-// CPUs is the number of processors.
+// CPUs returns the number of processors.
 func (a Amounts) CPUs() float64 { return float64(a.CPU) / milli }
--- a/internal/core/resources/resources_test.go
+++ b/internal/core/resources/resources_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Needs are rounded up and room is rounded down, but not by the inexactness of a float.
+// Needs are rounded up and room is rounded down, but floating-point error alone must not change the result.
 func TestRounding(t *testing.T) {
-	tenth := 0.1 // a variable: products of constants are exact
+	tenth := 0.1 // a variable, since products of constants are exact
 	cases := []struct {
 		name       string
 		value      float64
@@ -12,7 +12,7 @@
 	}{
 		{"zero", 0, 0, 0},
 		{"whole", 4, 4000, 4000},
-		{"a tenth, which no float has exactly", 0.1, 100, 100},
+		{"a tenth, which no float represents exactly", 0.1, 100, 100},
 		{"three times a tenth, which is above 0.3", 3 * tenth, 300, 300},
 		{"a part of a thousandth", 0.0004, 1, 0},
 		{"between two thousandths", 1.0005, 1001, 1000},
@@ -20,10 +20,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got, want := Need(c.value, c.value, c.value), (Amounts{CPU: c.need, GPU: c.need, Mem: c.need}); got != want {
-				t.Errorf("a need of %v is %v, want %v", c.value, got, want)
+				t.Errorf("Need of %v is %v, want %v", c.value, got, want)
 			}
 			if got, want := Room(c.value, c.value, c.value), (Amounts{CPU: c.room, GPU: c.room, Mem: c.room}); got != want {
-				t.Errorf("room of %v is %v, want %v", c.value, got, want)
+				t.Errorf("Room of %v is %v, want %v", c.value, got, want)
 			}
 		})
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-// A need fits only if each of its parts does.
+// A need fits only if each of its amounts fits.
 func TestFits(t *testing.T) {
 	room := Room(2, 1, 8)
 	cases := []struct {
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -8,63 +8,63 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// TaskRecord is what the leader has of a reported task.
+// TaskRecord is the leader's record of a reported task.
 type TaskRecord struct {
 	Ref             TaskRef
 	Need            resources.Amounts
 	Image           int32 // index of its image
 	ImageGB         float64
-	Open            bool // the job is open and the task not finished
+	Open            bool // the job is open or being cancelled; the task is neither finished nor elsewhere
 	EndDurable      bool // the task's end is durable, or the job is over
 	Cancelled       bool // the job is cancelled and has left the job table: Ref is NoTaskRef
-	Held            bool // the job waits for others
-	PlacedElsewhere bool // the task is placed on another machine, or may be
+	Held            bool // the job waits for jobs that it depends on
+	PlacedElsewhere bool // the task is placed on another machine, or may be on one
 }
 
-// EventKind is what a report has shown of a task.
+// EventKind is the kind of change that a report shows for a task.
 type EventKind uint8
 
 // Events of a report.
 const (
 	EventStarted     EventKind = iota // it began to run
-	EventAdopted                      // it runs, was placed nowhere, and is placed here now
-	EventPlaced                       // it was on offer, and turned out to be on the machine
-	EventOfferClosed                  // it is planned, and no offer of it is open any more
+	EventAdopted                      // it runs, was not placed anywhere, and is now placed here
+	EventPlaced                       // it was on offer, and the report shows it on the machine
+	EventOfferClosed                  // it is planned, and no offer of it is open any longer
 	EventCompleted                    // it has ended with its result
-	EventGone                         // it was placed here, and is proved gone without a result
+	EventGone                         // it was placed here, and is proved to be gone without a result
 )
 
-// Event is what a report has shown of one task.
+// Event is a change that a report shows for one task.
 type Event struct {
 	Kind    EventKind
 	Ref     TaskRef
 	JobID   uint64
 	Attempt uint64
 
-	// Of EventCompleted and EventGone.
-	Reason     Reason        // of EventGone: why the task ended
-	RunTime    time.Duration // how long it ran; negative: not known
+	// Set for EventCompleted and EventGone.
+	Reason     Reason        // EventGone only: why the task ended
+	RunTime    time.Duration // how long it ran; negative if not known
 	WasRunning bool          // it was running when it was last reported
-	WorkerLost bool          // of EventGone: its worker was lost with it
+	WorkerLost bool          // EventGone only: its worker was lost with it
 
-	Placement *Placement // of EventAdopted, EventPlaced and EventOfferClosed
+	Placement *Placement // set for EventAdopted, EventPlaced and EventOfferClosed
 }
 
-// IsNewer says whether a report is newer than all that were applied.
+// IsNewer reports whether a report is newer than all that were applied.
 func (m *Machine) IsNewer(r *Report) bool {
 	return r.Session > m.Session || (r.Session == m.Session && r.Seq > m.Seq)
 }
 
-// ApplyStatus applies a worker's status report to the machine. The report is newer than all before it
-// (see IsNewer), or it proves that the machine was restarted under its name: package reconcile says which.
+// ApplyStatus applies a worker's status report to the machine. The report must be newer than all before it
+// (see IsNewer) or prove that the machine was restarted under its name; package reconcile decides which.
 //
-// now is the leader's clock, token the current fencing token of the machine, and lookup gives the leader's
-// record of a task: whether it is known at all, and what is stored of it. Its parameter here says that the
-// task is on the machine, or that its result is. tally counts the differences by kind and may be nil.
+// now is the time on the leader's clock, and token is the machine's current fencing token. lookup returns
+// the leader's record of a task, and whether the task is known at all; its parameter here means that the
+// task or its result is on the machine. tally counts the differences by kind and may be nil.
 //
-// The result is what the report showed, in events, and the commands that follow from the report alone: reaps
-// of ended attempts, and stops of tasks that should not be on the machine. Which resolution follows from
-// which difference is decided by the table of package reconcile.
+// ApplyStatus returns the changes that the report shows, as events, and the commands that follow from the
+// report alone: reaps of ended attempts, and stops of tasks that should not be on the machine. The table of
+// package reconcile determines the resolution of each difference.
 func (m *Machine) ApplyStatus(now time.Duration, r *Report, token uint64, tally *reconcile.Tally,
 	lookup func(job uint64, task int, here bool) (TaskRecord, bool)) ([]Event, []Command) {
 	u := statusUpdate{
@@ -100,12 +100,12 @@
 
 	events   []Event
 	commands []Command
-	orphans  []uint64 // jobs of the tasks that are stopped
+	orphans  []uint64 // jobs of the tasks that are to be stopped
 }
 
-// applySession releases what was on the machine where the report is of a later session, or of a machine that
-// was restarted and counts sessions anew. A start that was sent straight to the worker and had no answer is
-// not proved gone by that: it quarantines the machine.
+// applySession releases the tasks placed on the machine if the report is of a later session, or of a
+// restarted machine that counts sessions from the beginning. Neither proves that a direct start without an
+// answer will not be carried out: such a start quarantines the machine.
 func (u *statusUpdate) applySession() {
 	m, r := u.machine, u.report
 	restarted := !m.IsNewer(r)
@@ -125,28 +125,30 @@
 		}
 	}
 	m.images = nil
-	// The starts that are not confirmed name the session too, and a new incarnation may be in that session.
+	// Unconfirmed starts are kept: they also name a session, and a new incarnation may be in a session of
+	// that number.
 	maps.DeleteFunc(m.directStarts, func(_ attemptKey, s *directStart) bool { return s.confirmed })
 	if m.Up && !restarted {
-		// The leader has heard it, and its lease ran out all the same: it may not hear the leader.
+		// The leader received its reports, yet its lease expired: the leader's answers may not reach it.
 		m.suspect(m.Token)
 	}
 }
 
-// applyToken ends a suspicion by a token that was given out since, and notes the heartbeat.
+// applyToken clears the machine's suspicion if the report has a token that was issued since, and records the
+// heartbeat.
 func (u *statusUpdate) applyToken() {
 	m, r := u.machine, u.report
 	if r.Token > m.SuspectBelow {
 		m.SuspectBelow = 0
 	}
 	m.highestTokenSeen = r.Token
-	// A machine that goes on reporting without a token of this term does not hear the leader.
+	// A machine that keeps reporting without a token of this term does not receive the leader's answers.
 	if !m.Up || r.Token >= m.firstTokenOfTerm {
 		m.LastHeartbeat = u.now
 	}
 }
 
-// applyHeader takes over what the report says of the machine itself.
+// applyHeader stores what the report contains about the machine itself.
 func (u *statusUpdate) applyHeader() {
 	m, r := u.machine, u.report
 	m.Session, m.Seq = r.Session, r.Seq
@@ -158,22 +160,22 @@
 	m.Resolved = m.Resolved || u.current
 }
 
-// reportedTask is a task of a report together with what the leader has of it.
+// reportedTask is a task of a report together with the leader's record of it.
 type reportedTask struct {
 	TaskReport
 	record TaskRecord
-	placed *Placement // its placement on the reporting machine; nil: it is not placed there
+	placed *Placement // its placement on the reporting machine; nil if it is not placed there
 }
 
-// key names the reported attempt among the direct starts.
+// key returns the reported attempt's key in Machine.directStarts.
 func (t *reportedTask) key() attemptKey { return attemptKey{t.record.Ref, t.Attempt} }
 
-// event is an event about the reported attempt.
+// event returns an event of the given kind about the reported attempt.
 func (t *reportedTask) event(kind EventKind) Event {
 	return Event{Kind: kind, Ref: t.record.Ref, JobID: t.Job, Attempt: t.Attempt}
 }
 
-// applyTask does what follows from one task of the report.
+// applyTask compares one task of the report with its record and applies the resolution of the difference.
 func (u *statusUpdate) applyTask(shown *TaskReport) {
 	task, diff := u.compare(shown)
 	t := &task
@@ -202,8 +204,8 @@
 	}
 }
 
-// compare looks up what the leader has of a reported task and names the difference. An image that the task
-// uses is noted as being on the machine.
+// compare looks up the leader's record of a reported task and returns the difference. If the task has
+// fetched its image and has not ended, compare also records that the image is on the machine.
 func (u *statusUpdate) compare(shown *TaskReport) (reportedTask, reconcile.Diff) {
 	m := u.machine
 	ended := shown.State == Ended
@@ -241,7 +243,8 @@
 	return t, u.tally.Count(diff)
 }
 
-// recordCompletion reports a task's completion. It is reaped once the completion is durable.
+// recordCompletion adds the event of a task's completion. The attempt is reaped once the completion is
+// durable.
 func (u *statusUpdate) recordCompletion(t *reportedTask, diff reconcile.Diff) {
 	event := t.event(EventCompleted)
 	event.RunTime = -1
@@ -252,8 +255,8 @@
 	u.events = append(u.events, event)
 }
 
-// awaitHigherToken asks for a higher token on the machine, so that an ended attempt can be reaped: at once
-// if the attempt is the one placed there, since its task waits for that, and eventually else.
+// awaitHigherToken requests a higher token for the machine, so that an ended attempt can be reaped. The
+// request is urgent if the attempt is the one placed there, because its task waits for that.
 func (u *statusUpdate) awaitHigherToken(t *reportedTask) {
 	m := u.machine
 	m.tokenUrgency = max(m.tokenUrgency, TokenEventually)
@@ -263,7 +266,7 @@
 	}
 }
 
-// adopt places a running task of which nothing was known on the machine.
+// adopt places a reported task that was not placed anywhere on the reporting machine.
 func (u *statusUpdate) adopt(t *reportedTask) {
 	t.placed = &Placement{
 		Ref:     t.record.Ref,
@@ -280,7 +283,7 @@
 	u.events = append(u.events, event)
 }
 
-// updatePlaced takes over the state of a task that is placed on the machine.
+// updatePlaced stores the reported state of a task that is placed on the machine.
 func (u *statusUpdate) updatePlaced(t *reportedTask) {
 	p := t.placed
 	if t.State == Running && !p.IsRunning() {
@@ -293,27 +296,27 @@
 	}
 }
 
-// releaseAbsent releases the tasks placed on the machine that the report proves to be gone by lacking them.
+// releaseAbsent releases the tasks placed on the machine whose absence from the report proves them gone.
 func (u *statusUpdate) releaseAbsent() {
 	m, r := u.machine, u.report
 	for _, p := range m.Tasks {
 		if p.Planned || p.lastReportSeq >= r.Seq {
 			continue
 		}
-		// It was sent with an earlier answer, and this report does not show it.
+		// The task was sent with an earlier answer, and this report does not list it.
 		mayArrive := !p.Seen && m.mayStartLate(p.Ref, p.Attempt, r.Token)
 		quarantined := m.Quarantined && m.unconfirmedDirectStart(p)
 		diff := u.tally.Count(reconcile.Absent(quarantined, mayArrive || quarantined, u.current))
 		if diff.Resolution() == reconcile.Release {
 			delete(m.directStarts, attemptKey{p.Ref, p.Attempt})
-			// A suspect machine may have been restarted, and have counted on past what was known.
+			// A suspect machine may have been restarted, with its numbers already past the last known ones.
 			u.release(p, Vanished, u.wasSuspect)
 		}
 	}
 }
 
-// recordOrphans takes over the jobs of the tasks that should not be on the machine, and since when there
-// are any.
+// recordOrphans stores the jobs of the tasks that should not be on the machine, and since when there have
+// been any.
 func (u *statusUpdate) recordOrphans() {
 	m := u.machine
 	if len(u.orphans) > 0 && len(m.Orphans) == 0 {
@@ -322,8 +325,8 @@
 	m.Orphans = u.orphans
 }
 
-// release removes a placement whose task is proved gone, and reports that. workerLost says that the worker
-// was lost with the task.
+// release removes a placement whose task is proved to be gone, and adds the event. workerLost is true if the
+// worker was lost with the task.
 func (u *statusUpdate) release(p *Placement, why Reason, workerLost bool) {
 	ran := time.Duration(-1)
 	if p.IsRunning() {
@@ -347,7 +350,7 @@
 	u.commands = append(u.commands, Command{Op: op, Job: t.Job, Task: t.Task, Attempt: t.Attempt})
 }
 
-// IsCurrentAttempt says whether an attempt of a task is the one that is placed on the machine.
+// IsCurrentAttempt reports whether an attempt of a task is the one that is placed on the machine.
 func (m *Machine) IsCurrentAttempt(ref TaskRef, attempt uint64) bool {
 	p := m.Tasks[ref]
 	if p == nil || p.Planned {
--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -2,20 +2,21 @@
 
 import "time"
 
-// attemptKey names an attempt of a task.
+// attemptKey identifies an attempt of a task.
 type attemptKey struct {
 	ref     TaskRef
 	attempt uint64
 }
 
-// directStart is a start that was pushed straight to the worker.
+// directStart is a start command that was pushed to the worker, not sent with the answer to a report.
 type directStart struct {
-	token     uint64 // under which it was sent: a worker that has seen a higher one refuses it
-	confirmed bool   // the worker has answered it, or a report has shown its task
+	token     uint64 // token that it was sent with; a worker that has seen a higher one refuses it
+	confirmed bool   // the worker has acknowledged it, or a report has listed its task
 }
 
-// Dispatch notes that a task planned here is sent straight to the worker. From now on it counts as being
-// placed here, until a report at a higher token shows that it is not: the command may be carried out late.
+// Dispatch records that the start of a task planned here is pushed to the worker. From then on the task
+// counts as placed here until a report at a higher token shows that it is not, since the worker may carry
+// out the command late.
 func (m *Machine) Dispatch(p *Placement) {
 	m.placePlanned(p)
 	p.lastReportSeq = m.Seq
@@ -25,20 +26,20 @@
 	m.directStarts[attemptKey{p.Ref, p.Attempt}] = &directStart{token: m.Token}
 }
 
-// DispatchResult applies the worker's answer to the direct starts of tasks that were sent under a token. r is
-// the worker's report after them; it is nil if there was no answer, or none that says that they were carried
-// out, and the machine becomes suspect then. Of the report only the tasks that were sent are looked at: it may
-// overtake the answer to a regular report, and what is absent or newer in it proves nothing here.
+// DispatchResult applies the worker's answer to direct starts that were sent with the given token. r is the
+// worker's report after the starts. It is nil if there was no answer, or none that confirms the starts; the
+// machine then becomes suspect. Only the started tasks are read from the report: it may overtake the answer
+// to a regular report, so tasks that it lacks, and newer data in it, prove nothing here.
 func (m *Machine) DispatchResult(_ time.Duration, token uint64, refs []TaskRef, r *Report) {
 	m.Dispatching = false
 	for _, ref := range refs {
 		p := m.Tasks[ref]
 		if p == nil || p.Planned || p.Seen {
-			continue // a report has shown more meanwhile
+			continue // superseded by a report that was applied meanwhile
 		}
 		start := m.directStartOf(p)
 		if start == nil || start.token != token {
-			continue // likewise
+			continue // superseded as well
 		}
 		if r == nil || r.Machine != m.Name || r.Session != m.Session || !r.shows(p) {
 			m.suspect(token)
@@ -49,26 +50,26 @@
 	}
 }
 
-// directStartOf returns the direct start of a placed task; nil if it was not started directly.
+// directStartOf returns the direct start of a placed task, or nil if it was not started directly.
 func (m *Machine) directStartOf(p *Placement) *directStart {
 	return m.directStarts[attemptKey{p.Ref, p.Attempt}]
 }
 
-// unconfirmedDirectStart says whether a placed task was started directly, and nothing has shown that the start
-// arrived.
+// unconfirmedDirectStart reports whether a placed task was started directly and nothing has shown yet that
+// the start arrived.
 func (m *Machine) unconfirmedDirectStart(p *Placement) bool {
 	s := m.directStartOf(p)
 	return s != nil && !s.confirmed
 }
 
-// mayStartLate says whether an attempt was started directly and may still begin, or begin once more, on a
+// mayStartLate reports whether an attempt was started directly and may still begin, or begin once more, on a
 // worker that has seen no higher token than the given one.
 func (m *Machine) mayStartLate(ref TaskRef, number, token uint64) bool {
 	start := m.directStarts[attemptKey{ref, number}]
 	return start != nil && token <= start.token
 }
 
-// WasDispatched says whether a task is placed here by a direct start.
+// WasDispatched reports whether a task was placed here by a direct start.
 func (m *Machine) WasDispatched(ref TaskRef) bool {
 	p := m.Tasks[ref]
 	return p != nil && m.directStartOf(p) != nil
--- a/internal/core/workers/grants.go
+++ b/internal/core/workers/grants.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// QueueRegistry returns true, once, if the machine has to be registered durably: the caller then writes its
-// registration.
+// QueueRegistry returns true the first time that it is called for a machine whose registration is not
+// durable. The caller must then write the registration to the event log.
 func (m *Machine) QueueRegistry() bool {
 	if m.Durable || m.registryQueued {
 		return false
@@ -15,12 +15,12 @@
 	return true
 }
 
-// MayHaveTasksOf says whether tasks of a job, by its id, may be on the machine while it is unresolved: the job
-// has a grant on it, or no grants are noted for it at all.
+// MayHaveTasksOf reports whether tasks of a job, given by its id, may be on the machine while it is
+// unresolved: the job has a grant on it, or no grants are recorded for the machine at all.
 func (m *Machine) MayHaveTasksOf(job uint64) bool { return m.Grants[job] || m.Number == 0 }
 
-// AwaitsDurability says whether something must become durable before the worker can be told to start what is
-// planned on the machine: its registration, a grant, or the intent to start a task.
+// AwaitsDurability reports whether something must become durable before the tasks planned on the machine can
+// be started: its registration, a grant, or the intent to start a task.
 func (m *Machine) AwaitsDurability() bool {
 	if !m.Durable {
 		return m.registryQueued
@@ -33,9 +33,9 @@
 	return false
 }
 
-// UnusedGrants returns the jobs, by ascending id, whose grants may be revoked. For as long as after there was
-// no task of the job placed, planned or on offer here, nor did a report show any, orphans included. r is the
-// report that was just applied; it is at the current token.
+// UnusedGrants returns the ids of the jobs whose grants may be revoked, in ascending order: for at least the
+// duration after, no task of the job was placed, planned or on offer here, and no report listed one, orphans
+// included. r is the report that was just applied; it must be at the current token.
 func (m *Machine) UnusedGrants(now, after time.Duration, r *Report) []uint64 {
 	used := m.jobsInUse(r)
 	var unused []uint64
@@ -59,8 +59,8 @@
 	return unused
 }
 
-// jobsInUse lists the ids of the jobs that have a task placed, planned or on offer on the machine, or in its
-// report, in ascending order and with repetitions.
+// jobsInUse returns the ids of the jobs that have a task placed, planned or on offer on the machine, or
+// listed in its report, in ascending order and with duplicates.
 func (m *Machine) jobsInUse(r *Report) []uint64 {
 	var used []uint64
 	for _, p := range m.Tasks {
@@ -76,7 +76,7 @@
 	return used
 }
 
-// RevokeGrant removes the grant of a job, by its id.
+// RevokeGrant removes the grant of a job, given by its id.
 func (m *Machine) RevokeGrant(job uint64) {
 	delete(m.Grants, job)
 	delete(m.grantUnusedSince, job)
--- a/internal/core/workers/images.go
+++ b/internal/core/workers/images.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// cachedImage is an image that the leader takes to be in a machine's cache.
+// cachedImage is an image that the leader assumes to be in a machine's cache.
 type cachedImage struct {
 	id       int32
 	sizeGB   float64
 	lastUsed time.Duration
 }
 
-// HasImage says whether the machine has an image in its cache, or is fetching it, as far as the leader knows.
+// HasImage reports whether the leader assumes that the machine has an image in its cache or is fetching it.
 func (m *Machine) HasImage(id int32) bool {
 	return slices.ContainsFunc(m.images, func(image cachedImage) bool { return image.id == id })
 }
 
-// ImagesToFetch counts the images that the machine is fetching, or will fetch once the tasks planned on it start.
+// ImagesToFetch returns the number of images that the machine is fetching, or will fetch once the tasks
+// planned on it start.
 func (m *Machine) ImagesToFetch() int {
 	var needed, present []int32
 	for _, p := range m.Tasks {
@@ -37,8 +38,8 @@
 	return count
 }
 
-// UseImage notes that an image is on the machine, or on its way to it. The least recently used images are
-// taken to be evicted when the cache is full.
+// UseImage records that an image is on the machine or being fetched. When the cache is full, the least
+// recently used images are assumed to be evicted.
 func (m *Machine) UseImage(id int32, sizeGB float64, now time.Duration) {
 	for i := range m.images {
 		if m.images[i].id == id {
--- a/internal/core/workers/inventory.go
+++ b/internal/core/workers/inventory.go
@@ -1,24 +1,25 @@
 package workers
 
-// Inventory holds all machines that the leader knows.
+// Inventory holds all machines that are known to the leader.
 type Inventory struct {
 	byName  map[string]*Machine
 	all     []*Machine
-	deleted map[string]bool // names of deleted machines: their late reports are ignored
+	deleted map[string]bool // names of deleted machines, whose late reports are ignored
 }
 
-// NewInventory makes an empty inventory.
+// NewInventory returns an empty inventory.
 func NewInventory() *Inventory {
 	return &Inventory{byName: map[string]*Machine{}, deleted: map[string]bool{}}
 }
 
-// Find returns a machine by name; nil if there is none.
+// Find returns the machine with a name, or nil if there is none.
 func (inv *Inventory) Find(name string) *Machine { return inv.byName[name] }
 
-// WasDeleted says whether a machine is known to be deleted.
+// WasDeleted reports whether a machine is known to be deleted.
 func (inv *Inventory) WasDeleted(name string) bool { return inv.deleted[name] }
 
-// Add enters a machine, with all its capacity free and its token as the first of the term.
+// Add adds a machine with all its capacity free, records its token as its lowest one of this term, and
+// returns the machine.
 func (inv *Inventory) Add(m *Machine) *Machine {
 	m.Index = int32(len(inv.all))
 	m.Free, m.firstTokenOfTerm = m.Capacity, m.Token
@@ -29,7 +30,7 @@
 	return m
 }
 
-// Remove takes a deleted machine out. The last machine of All moves to its place.
+// Remove removes a deleted machine. The last machine of All takes its index.
 func (inv *Inventory) Remove(name string) {
 	inv.deleted[name] = true
 	if m := inv.byName[name]; m != nil {
@@ -41,5 +42,5 @@
 	}
 }
 
-// All returns the machines. The list is the inventory's own: it must not be changed.
+// All returns the machines. The slice belongs to the inventory and must not be modified.
 func (inv *Inventory) All() []*Machine { return inv.all }
--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -10,18 +10,18 @@
 // Offer is a planned task that a controller may start on the machine whose report it answers.
 type Offer struct {
 	Start  Command
-	Serial uint64 // number of the offer: a controller starts a serial at most once
+	Serial uint64 // number of the offer; a controller starts each serial at most once
 	Need   resources.Amounts
-	Here   bool // room is kept for the task on that very machine
+	Here   bool // the task is planned on that same machine, which keeps room for it
 }
 
-// maxForeignOffers bounds the offers in one answer of tasks that are planned on other machines.
+// maxForeignOffers is the most offers in one answer of tasks that are planned on other machines.
 const maxForeignOffers = 8
 
-// Offer makes the offers for the answer to the machine's last report, in the order of their serials: the
+// Offer returns the offers for the answer to the machine's last report, in the order of their serials: the
 // tasks planned on it, and those planned on interchangeable machines (of the same shard, type, zone and
-// kind) that fit into its free room and whose image it has. planned lists the machines whose plans are
-// offered, serial gives numbers to new offers, and attempt gives numbers to tasks that have none.
+// purchase kind) that fit into its free resources and whose image it has. planned lists the machines whose
+// plans are offered. serial returns numbers for new offers, attempt for tasks without an attempt number.
 func (m *Machine) Offer(planned []*Machine, serial, attempt func() uint64) []Offer {
 	b := offerBuilder{machine: m, nextSerial: serial, nextAttempt: attempt}
 	b.addOwn()
@@ -48,7 +48,7 @@
 }
 
 // addForeign offers tasks planned on other machines, up to maxForeignOffers of them. A machine that is being
-// drained gets none, since it is to become empty, nor does one whose room is reserved.
+// drained gets none, since it is to become empty, and neither does a reserved one.
 func (b *offerBuilder) addForeign(planned []*Machine) {
 	m := b.machine
 	if m.Draining || m.Reserved {
@@ -70,8 +70,8 @@
 	}
 }
 
-// interchangeable says whether a task planned on another machine may be started on this one as well: both
-// are of one shard, type, zone and kind.
+// interchangeable reports whether a task planned on another machine may be started on this one instead: both
+// have the same shard, type and zone, and both or neither are spot instances.
 func (m *Machine) interchangeable(other *Machine) bool {
 	return other != m &&
 		other.Shard == m.Shard &&
@@ -80,9 +80,9 @@
 		other.Spot == m.Spot
 }
 
-// acceptsForeign says whether a task planned on an interchangeable machine would fit here, with its image at
-// hand. How many tasks without need of accelerators a machine with accelerators may have was decided for the
-// machine where they are planned, so they stay there.
+// acceptsForeign reports whether a task planned on an interchangeable machine fits here and its image is
+// here. The number of tasks without accelerators on a machine with accelerators is limited when they are
+// planned, so such tasks stay on the machine on which they are planned.
 func (m *Machine) acceptsForeign(p *Placement) bool {
 	if m.Capacity.GPU > 0 && p.Need.GPU == 0 {
 		return false
@@ -90,7 +90,7 @@
 	return p.Planned && !p.BoundToMachine && p.Need.Fits(m.Free) && m.HasImage(p.Image)
 }
 
-// add offers a planned task, unless it may not be offered now. here says that it is planned on the machine.
+// add offers a planned task if it may be offered now. here is true if it is planned on this machine.
 func (b *offerBuilder) add(p *Placement, here bool) {
 	m := b.machine
 	if !p.offerable(m) {
@@ -117,9 +117,9 @@
 	})
 }
 
-// offerable says whether a planned task may be offered to a machine now. The job's grant on the machine and
-// the intent to start the task must be durable first: the next leader has to know of them. Under one serial
-// a task is offered to a machine once.
+// offerable reports whether a planned task may be offered to a machine now. The job's grant on the machine
+// and the intent to start the task must be durable first, so that the next leader can read them. Under one
+// serial a task is offered to a machine only once.
 func (p *Placement) offerable(m *Machine) bool {
 	if !m.Grants[p.JobID] || !p.IntentDurable {
 		return false
@@ -130,8 +130,8 @@
 	return len(p.Offered) == 0 || !p.offeredUnderSerial[m]
 }
 
-// TaskStarted notes that a controller sent an offered task with its answer to the machine's last report. It
-// returns false if the task is not on offer to the machine, or is no longer planned.
+// TaskStarted records that a controller started an offered task with its answer to the machine's last
+// report. It returns false if the task is not on offer to the machine, or is no longer planned.
 func (m *Machine) TaskStarted(ref TaskRef) bool {
 	p := m.OpenOffers[ref]
 	if p == nil || !p.Planned {
@@ -144,8 +144,8 @@
 	return true
 }
 
-// resolveOffers closes the machine's open offers by a newer report: a task that it shows was started here,
-// and one that it lacks was not.
+// resolveOffers closes the machine's open offers on a newer report: a task that the report lists was started
+// here, and one that it lacks was not.
 func (m *Machine) resolveOffers(r *Report) []Event {
 	var events []Event
 	for ref, p := range m.OpenOffers {
@@ -168,8 +168,8 @@
 	return events
 }
 
-// CloseOffers closes the open offers of a machine that is deleted, and returns the planned tasks that are not
-// on offer to any other machine.
+// CloseOffers closes the open offers of a machine that is deleted, and returns the planned tasks that are
+// not on offer to any other machine.
 func (m *Machine) CloseOffers() []*Placement {
 	var withoutOffer []*Placement
 	for ref, p := range m.OpenOffers {
@@ -182,8 +182,8 @@
 	return withoutOffer
 }
 
-// Rehome moves a planned task from a machine that is deleted to one that it is on offer to. It returns false
-// if there is none.
+// Rehome moves a planned task from a machine that is deleted to one to which it is on offer. It returns
+// false if there is no such machine.
 func (p *Placement) Rehome() bool {
 	for m := range p.Offered {
 		p.Machine.RemovePlacement(p.Ref)
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -8,65 +8,65 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// TaskRef names a task by its job's dense index and its number within the job.
+// TaskRef identifies a task by its job's dense index and its number within the job.
 type TaskRef struct{ Job, Task int32 }
 
 // NoTaskRef stands for a task whose job has left the job table.
 var NoTaskRef = TaskRef{-1, -1}
 
-// Placement is a task that is planned on a machine, or that counts as being placed there.
+// Placement is a task that is planned on a machine, or that counts as placed there.
 type Placement struct {
-	// The task and what it takes.
+	// The task and the resources that it takes.
 	Ref     TaskRef
 	JobID   uint64
 	Image   int32 // index of its image
 	Need    resources.Amounts
-	Attempt uint64 // number of the attempt; 0: none was given yet
+	Attempt uint64 // number of the attempt; 0: none was assigned yet
 
-	// Where it is.
-	Machine *Machine // on which it is placed, or whose room is kept for it while it is planned
-	Planned bool     // it is not known to be anywhere yet
+	// Location.
+	Machine *Machine // where it is placed or, while it is planned, which keeps room for it
+	Planned bool     // it was not handed to a machine yet, except possibly by an open offer
 
-	// Offers. A planned task is offered to the controller of its machine's shard, with the answers to reports
-	// of machines of that shard, and the controller starts it on one of them. Until a newer report has come
-	// from each machine that it was offered to, it may be there.
-	Offered            map[*Machine]bool // machines to which an offer is open
+	// Offers. A planned task is offered to the controller of its machine's shard with the answers to reports
+	// of machines of that shard, and the controller starts it on one of them. The task may be on a machine
+	// to which it was offered until a newer report of that machine has been applied.
+	Offered            map[*Machine]bool // machines to which it is offered at present
 	offeredUnderSerial map[*Machine]bool // machines to which it was offered under the current serial
-	Serial             uint64            // of the offer; a controller starts a serial at most once
-	BoundToMachine     bool              // only offered to its own machine: tasks of gangs and of jobs with zone rules
-	IntentDurable      bool              // it is durable that tasks of the job up to its number may be handed out
-	NoNewOffers        bool              // it is not offered again before no offer is open
-	Withdrawn          bool              // the plan is withdrawn once no offer is open
-	StartDirectly      bool              // to be started directly: sooner than an idle worker reports
-
-	// What reports have shown.
+	Serial             uint64            // number of the offer; a controller starts each serial at most once
+	BoundToMachine     bool              // offered only to its own machine: gangs and jobs with zone rules
+	IntentDurable      bool              // a durable record allows the job's tasks up to this one to be started
+	NoNewOffers        bool              // it is not offered again until all its offers are closed
+	Withdrawn          bool              // the plan is withdrawn once all its offers are closed
+	StartDirectly      bool              // to be started directly, without waiting for an idle worker's report
+
+	// State as reported.
 	State         TaskState
-	Seen          bool          // a report has shown it on its machine
+	Seen          bool          // a report of its machine has listed it
 	RunningSince  time.Duration // when a report first showed it running
-	lastReportSeq uint64        // newest report that shows it, or to which the start was the answer
+	lastReportSeq uint64        // newest report that listed it, or whose answer carried the start
 
 	// Preemption and cancellation.
 	Stopping     bool    // it is to be stopped
-	GraceSeconds float64 // time that it gets to save its progress before
+	GraceSeconds float64 // time that it gets to save its progress before it is killed
 }
 
-// IsRunning says whether the task was running when it was last reported.
+// IsRunning reports whether the task was running when it was last reported.
 func (p *Placement) IsRunning() bool { return p.Seen && p.State == Running }
 
-// Plan plans a task on the machine: room is kept for it until it is started.
+// Plan plans a task on the machine, which reserves resources for it until it is started.
 func (m *Machine) Plan(p *Placement) {
 	p.Planned, p.Machine = true, m
 	m.addPlacement(p)
 }
 
-// placePlanned places a planned task on this machine, which may be another one than it was planned on.
+// placePlanned places a planned task on this machine, which may differ from the one on which it was planned.
 func (m *Machine) placePlanned(p *Placement) {
 	p.Machine.RemovePlacement(p.Ref)
 	p.Planned, p.Machine = false, m
 	m.addPlacement(p)
 }
 
-// addPlacement enters a placement and takes its resources.
+// addPlacement adds a placement and subtracts its resources from the free ones.
 func (m *Machine) addPlacement(p *Placement) {
 	m.Tasks[p.Ref] = p
 	m.Free = m.Free.Minus(p.Need)
@@ -75,7 +75,7 @@
 	}
 }
 
-// RemovePlacement removes a placement, if the machine has it, and frees its resources.
+// RemovePlacement removes a task's placement, if the machine has one, and frees its resources.
 func (m *Machine) RemovePlacement(ref TaskRef) {
 	if p := m.Tasks[ref]; p != nil {
 		m.Free = m.Free.Plus(p.Need)
@@ -86,7 +86,7 @@
 	}
 }
 
-// HasPlans says whether tasks are planned on the machine.
+// HasPlans reports whether tasks are planned on the machine.
 func (m *Machine) HasPlans() bool {
 	for _, p := range m.Tasks {
 		if p.Planned {
@@ -96,7 +96,7 @@
 	return false
 }
 
-// PlannedHere lists the tasks planned on the machine, with the highest job index and task number first.
+// PlannedHere returns the tasks planned on the machine, with the highest job index and task number first.
 func (m *Machine) PlannedHere() []*Placement {
 	var planned []*Placement
 	for _, p := range m.Tasks {
--- a/internal/core/workers/report.go
+++ b/internal/core/workers/report.go
@@ -2,35 +2,35 @@
 
 import "slices"
 
-// TaskState is a task's state as its worker reports it.
+// TaskState is the state of a task as reported by its worker.
 type TaskState uint8
 
-// States of a task on a machine, in the order in which it goes through them.
+// States of a task on a machine, in the order in which it passes through them.
 const (
-	Fetching  TaskState = iota // its image is fetched
+	Fetching  TaskState = iota // its image is being fetched
 	Gathering                  // it waits for the other tasks of its gang
 	Running
-	Saving // it was stopped, and saves its progress
+	Saving // it was stopped, and is saving its progress
 	Ended
 )
 
 // Reason is why a task ended.
 type Reason uint8
 
-// Reasons of an end.
+// Reasons why a task ended.
 const (
-	Vanished              Reason = iota // a report does not show it any more
-	Completed                           // with its result
-	Stopped                             // by a command
+	Vanished              Reason = iota // a report does not list it any longer
+	Completed                           // it ended with its result
+	Stopped                             // it was stopped by a command
 	PeersLost                           // another task of its gang was lost
 	GangIncomplete                      // its gang did not become complete in time
-	Failed                              // the task itself
-	InsufficientResources               // the worker had no room for it
-	Busy                                // the worker could not take it on
-	UnknownTask                         // the worker does not know it
+	Failed                              // the task itself failed
+	InsufficientResources               // the worker did not have enough free resources
+	Busy                                // the worker could not accept it
+	UnknownTask                         // the worker has no such task
 )
 
-// reasonLabels are the labels of the reasons in views, metrics and log entries.
+// reasonLabels holds the reasons' labels in views, metrics and log entries.
 var reasonLabels = [...]string{
 	Vanished:              "vanished",
 	Completed:             "done",
@@ -45,24 +45,24 @@
 
 func (r Reason) String() string { return reasonLabels[r] }
 
-// Report is a worker's status report, which is its heartbeat too.
+// Report is a worker's status report, which also serves as its heartbeat.
 type Report struct {
 	// The machine.
 	Machine, Address string
 	Type, Zone       string
 	Spot             bool
-	Notice           bool    // the cloud has announced that it takes the spot instance back
-	NoticeS          float64 // in how many seconds
+	Notice           bool    // the cloud has announced that it will take the spot instance back
+	NoticeS          float64 // number of seconds until then
 
-	// Order of reports.
-	Session uint64 // of the worker
+	// Ordering of reports.
+	Session uint64 // session of the worker
 	Seq     uint64 // number within the session
 	Token   uint64 // highest fencing token that the worker has seen
 
 	Tasks []TaskReport
 }
 
-// shows says whether the report lists a placement's attempt.
+// shows reports whether the report lists a placement's attempt.
 func (r *Report) shows(p *Placement) bool {
 	return slices.ContainsFunc(r.Tasks, func(t TaskReport) bool {
 		return t.Job == p.JobID && t.Task == int(p.Ref.Task) && t.Attempt == p.Attempt
@@ -76,10 +76,10 @@
 	Attempt uint64
 	State   TaskState
 	Reason  Reason // of an ended task
-	Saved   bool   // of a stopped task: its progress is saved
+	Saved   bool   // of a stopped task: whether its progress is saved
 }
 
-// Op is what a command asks for.
+// Op is the operation of a command.
 type Op uint8
 
 // Operations.
--- a/internal/core/workers/tokens.go
+++ b/internal/core/workers/tokens.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// TokenUrgency is how urgently a higher fencing token is wanted on a machine.
+// TokenUrgency is how urgently a machine needs a higher fencing token.
 type TokenUrgency uint8
 
 // Urgencies, in ascending order.
 const (
 	TokenNotNeeded  TokenUrgency = iota
-	TokenEventually              // ended attempts cannot be reaped before
+	TokenEventually              // ended attempts cannot be reaped until it has one
 	TokenNow                     // a task, or the machine itself, waits for it
 )
 
-// Shortest intervals between two tokens given to one machine, by urgency: a worker reports a higher one at
-// once only now and then, and the tokens of a term are bounded.
+// Shortest intervals between two tokens issued to one machine, by urgency. They exist because a worker
+// reports a higher token at once only now and then, and because the number of tokens of a term is limited.
 const (
 	urgentTokenInterval   = 2 * time.Second
 	eventualTokenInterval = 60 * time.Second
 )
 
-// HighestTokenSeen is the highest token that the machine has reported.
+// HighestTokenSeen returns the highest token that the machine has reported.
 func (m *Machine) HighestTokenSeen() uint64 { return m.highestTokenSeen }
 
-// NeedsToken says whether the machine should be given a higher token now. It assumes that the caller then
-// gives it one: it answers false until one is wanted again.
+// NeedsToken reports whether a higher token should be issued to the machine now. If it returns true, it
+// assumes that the caller issues one, and returns false until a higher token is needed again.
 func (m *Machine) NeedsToken(now time.Duration) bool {
 	if m.tokenUrgency == TokenNotNeeded {
 		return false
@@ -42,8 +42,8 @@
 	return true
 }
 
-// suspect makes the machine suspect: it gets nothing new until it has reported a token above this one, which
-// is given to it with the answer to its next report.
+// suspect makes the machine suspect: it gets no new work until it has reported a token above the given one.
+// It gets such a token with the answer to its next report.
 func (m *Machine) suspect(token uint64) {
 	if m.SuspectBelow == 0 {
 		m.tokenGivenAt = 0
@@ -51,18 +51,18 @@
 	m.SuspectBelow, m.tokenUrgency = max(m.SuspectBelow, token), TokenNow
 }
 
-// CheckStale is called for a report that is older than one that was applied. If no newer one has come for
-// longer than silent, which is how long a worker that is alive may be silent, the machine may have been
-// restarted, and becomes suspect.
+// CheckStale is called for a report that is older than one that was applied. The machine becomes suspect,
+// as it may have been restarted, if no newer report has arrived for longer than silent, the longest time
+// that a running worker may go without one.
 func (m *Machine) CheckStale(now, silent time.Duration) {
 	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > silent {
 		m.suspect(m.Token)
 	}
 }
 
-// Unreachable says whether a suspect machine was heard after a higher token was given out for it, and has not
-// reported that token for longer than limit. Time in which nobody could give it one, as in an outage, does
-// not count.
+// Unreachable reports whether a suspect machine has sent a report since a higher token was issued to it,
+// and has not reported that token for longer than limit. Time in which no token could be issued, as in an
+// outage, does not count.
 func (m *Machine) Unreachable(now, limit time.Duration) bool {
 	given := m.SuspectBelow > 0 && m.tokenGivenAt > 0
 	return given && m.LastHeartbeat > m.tokenGivenAt && now-m.tokenGivenAt > limit
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -32,14 +32,14 @@
 	return events
 }
 
-// counter returns a function that counts up from 1.
+// counter returns a function that returns 1, 2, 3 and so on.
 func counter() func() uint64 {
 	n := uint64(0)
 	return func() uint64 { n++; return n }
 }
 
-// A task counts as being placed on its machine until a newer report at the current token lacks it, or a later
-// session begins.
+// A task counts as placed on its machine until a newer report at the current token lacks it or shows it
+// ended, or a later session begins.
 func TestProofsThatATaskIsGone(t *testing.T) {
 	running := TaskReport{Job: 3, Task: 0, Attempt: 1, State: Running}
 	failed := TaskReport{Job: 3, Task: 0, Attempt: 1, State: Ended, Reason: Failed}
@@ -76,7 +76,7 @@
 		fresh        bool
 	}{{1, 99, false}, {2, 10, false}, {2, 11, true}, {3, 1, true}} {
 		if got := m.IsNewer(&Report{Session: c.session, Seq: c.seq}); got != c.fresh {
-			t.Errorf("session %d, number %d: fresh is %v", c.session, c.seq, got)
+			t.Errorf("session %d, number %d: IsNewer returned %v", c.session, c.seq, got)
 		}
 	}
 }
@@ -101,8 +101,8 @@
 	}
 }
 
-// A grant is unused only after a while in which no task of the job was placed, planned or on offer on the
-// machine, or was reported, orphans included.
+// A grant counts as unused only after a period in which no task of the job was placed, planned or on offer
+// on the machine, and no report listed one, orphans included.
 func TestUnusedGrants(t *testing.T) {
 	_, m := newMachine()
 	m.Grants = map[uint64]bool{1: true, 2: true, 3: true, 4: true, 5: false}
@@ -110,22 +110,22 @@
 	m.Plan(&Placement{Ref: TaskRef{Job: 2}, JobID: 2, Need: resources.Need(1, 0, 1)})
 	orphan := Report{Tasks: []TaskReport{{Job: 3, State: Running}}}
 	if got := m.UnusedGrants(0, 8*time.Second, &orphan); len(got) != 0 {
-		t.Errorf("%v at once", got)
+		t.Errorf("grants %v are unused at once, want none", got)
 	}
 	if got := m.UnusedGrants(9*time.Second, 8*time.Second, &orphan); !slices.Equal(got, []uint64{4}) {
-		t.Errorf("%v after a while, want only job 4", got)
+		t.Errorf("grants %v are unused after 9 s, want only job 4", got)
 	}
 	if got := m.UnusedGrants(9*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{4}) {
-		t.Errorf("%v when the orphan has just gone, want only job 4", got)
+		t.Errorf("grants %v are unused when the orphan has just gone, want only job 4", got)
 	}
 	if got := m.UnusedGrants(18*time.Second, 8*time.Second, &Report{}); !slices.Equal(got, []uint64{3, 4}) {
-		t.Errorf("%v later, want jobs 3 and 4", got)
+		t.Errorf("grants %v are unused 9 s after the orphan went, want jobs 3 and 4", got)
 	}
 }
 
-// A machine is settled only when nothing is on its way to it or for it. A plan of it that is on offer to
-// another machine of the shard is on its way: moved to another shard, the machine would be offered it there
-// too.
+// A machine is settled only when nothing is in flight to it or on its behalf. A plan of the machine that is
+// on offer to another machine of the shard is in flight: if the machine were moved to another shard, the
+// task would be offered there too and could be started twice.
 func TestSettledNeedsNoOpenOfferOrStart(t *testing.T) {
 	inventory, m := newMachine()
 	other := inventory.Add(&Machine{Name: "other", Capacity: m.Capacity, Durable: true, Shard: m.Shard})
@@ -135,7 +135,7 @@
 	p := &Placement{Ref: TaskRef{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), IntentDurable: true}
 	m.Plan(p)
 	if !m.Settled() {
-		t.Error("a plan that is on offer to nobody keeps it from being settled")
+		t.Error("the machine is not settled although its plan is not on offer")
 	}
 	other.Grants[1] = true
 	other.UseImage(0, 1, 0)
@@ -144,37 +144,38 @@
 		t.Fatal("the plan is not on offer to the other machine")
 	}
 	if m.Settled() || other.Settled() {
-		t.Error("its plan is on offer, and a machine is settled")
+		t.Error("a machine is settled although its plan is on offer")
 	}
 	other.Session, other.Seq = 1, 1
 	applyReport(other, Report{Session: 1, Seq: 2, Token: token})
 	if !m.Settled() || !other.Settled() {
-		t.Error("the offer is resolved, and a machine is not settled")
+		t.Error("a machine is not settled although the offer is resolved")
 	}
 	placed := placeTask(other, 2, 0)
 	if other.Settled() {
-		t.Error("a start that was not seen yet is on its way, and the machine is settled")
+		t.Error("the machine is settled although no report has shown the started task yet")
 	}
 	placed.Seen = true
 	if !other.Settled() {
-		t.Error("a task that was seen keeps the machine from being settled")
+		t.Error("the machine is not settled although a report has shown its task")
 	}
 }
 
-// A suspect machine is unreachable only once a higher token was given out for it, it was heard since, and
-// enough time has passed from then: an outage in which none could be given is no fault of its own.
+// A suspect machine is unreachable only if a higher token was issued to it, it has sent a report since, and
+// enough time has passed since the token was issued. Time in an outage, in which no token can be issued,
+// must not count against it.
 func TestUnreachableCountsFromTokenGiven(t *testing.T) {
 	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, LastHeartbeat: time.Second})
 	m.CheckStale(10*time.Second, 5*time.Second)
 	m.LastHeartbeat = 60 * time.Second
 	if m.SuspectBelow != 5 || m.Unreachable(60*time.Second, 20*time.Second) {
-		t.Fatal("unreachable, though no token was given to it yet")
+		t.Fatal("unreachable although no token was issued to it yet")
 	}
 	if !m.NeedsToken(61*time.Second) || m.Unreachable(90*time.Second, 20*time.Second) {
-		t.Fatal("unreachable, though it was not heard since")
+		t.Fatal("unreachable although it has not reported since")
 	}
 	m.LastHeartbeat = 62 * time.Second
 	if m.Unreachable(70*time.Second, 20*time.Second) || !m.Unreachable(82*time.Second, 20*time.Second) {
-		t.Error("not unreachable from twenty seconds after the token on")
+		t.Error("unreachable must begin 20 s after the token was issued")
 	}
 }
