--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -14,18 +14,18 @@
 // RemoveDependency removes a job that is over from the dependency graph. It returns the jobs that waited
 // for it.
 func (t *Table) RemoveDependency(j *Job) []*Job {
-	var waited []*Job
+	var dependents []*Job
 	for _, i := range j.Dependents {
 		dependent := t.jobs[i]
 		dependent.Dependencies = removeIndex(dependent.Dependencies, j.Index)
-		waited = append(waited, dependent)
+		dependents = append(dependents, dependent)
 	}
 	for _, i := range j.Dependencies {
 		dependency := t.jobs[i]
 		dependency.Dependents = removeIndex(dependency.Dependents, j.Index)
 	}
 	j.Dependencies, j.Dependents = nil, nil
-	return waited
+	return dependents
 }
 
 // removeIndex removes a job's index from a list, in place.
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -140,10 +140,10 @@
 }
 
 // MayRunUnseen reports whether tasks of the job that were not reported may run on unresolved machines,
-// where an earlier term may have left them. blind is true if one of these machines may have tasks of any
-// job.
-func (j *Job) MayRunUnseen(blind bool) bool {
-	return j.FromEarlierTerm && (j.UnresolvedMachines > 0 || blind)
+// where an earlier term may have left them. anyJobPossible is true if one of these machines may have tasks
+// of any job.
+func (j *Job) MayRunUnseen(anyJobPossible bool) bool {
+	return j.FromEarlierTerm && (j.UnresolvedMachines > 0 || anyJobPossible)
 }
 
 // GangSize returns the number of the job's waiting tasks that start together: all of a gang's, otherwise 1;
--- a/internal/core/jobs/jobs_test.go
+++ b/internal/core/jobs/jobs_test.go
@@ -48,22 +48,22 @@
 }
 
 func TestZoneRules(t *testing.T) {
-	one := NewTable().Add(eventlog.Job{Tasks: 3, OneZone: true})
-	one.CountInZone(0, 1)
-	if one.ZoneAllows(1) || !one.ZoneAllows(0) {
+	oneZoneJob := NewTable().Add(eventlog.Job{Tasks: 3, OneZone: true})
+	oneZoneJob.CountInZone(0, 1)
+	if oneZoneJob.ZoneAllows(1) || !oneZoneJob.ZoneAllows(0) {
 		t.Error("one zone: the first task must decide the zone")
 	}
-	one.CountInZone(0, -1)
-	if !one.ZoneAllows(1) {
+	oneZoneJob.CountInZone(0, -1)
+	if !oneZoneJob.ZoneAllows(1) {
 		t.Error("one zone: any zone must be allowed again once the first task is gone")
 	}
-	half := NewTable().Add(eventlog.Job{Tasks: 9, Spread: true})
-	half.CountInZone(0, 4)
-	if !half.ZoneAllows(0) {
+	spreadJob := NewTable().Add(eventlog.Job{Tasks: 9, Spread: true})
+	spreadJob.CountInZone(0, 4)
+	if !spreadJob.ZoneAllows(0) {
 		t.Error("spread: the fifth of nine tasks must be allowed in the zone")
 	}
-	half.CountInZone(0, 1)
-	if half.ZoneAllows(0) {
+	spreadJob.CountInZone(0, 1)
+	if spreadJob.ZoneAllows(0) {
 		t.Error("spread: at most five of nine tasks may be in one zone")
 	}
 }
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -134,23 +134,23 @@
 // On random states the table gives the same resolution as the reference, and every row of it occurs.
 func TestTableAgreesWithReference(t *testing.T) {
 	random := randomStates{rand.New(rand.NewPCG(1, 1))}
-	var met Tally
+	var counts Tally
 	for range 200_000 {
 		stored, reported := random.storedTask(), random.reportedTask()
-		diff := met.Count(Task(stored, reported))
+		diff := counts.Count(Task(stored, reported))
 		if got, want := diff.Resolution(), referenceTask(stored, reported); got != want {
 			t.Fatalf("%+v reported as %+v: %v with resolution %v, want %v", stored, reported, diff, got, want)
 		}
 		m := random.machine()
-		diff = met.Count(Report(m))
+		diff = counts.Count(Report(m))
 		if got, want := diff.Resolution(), referenceReport(m); got != want {
 			t.Fatalf("%+v: %v with resolution %v, want %v", m, diff, got, want)
 		}
-		met.Count(Absent(random.oneIn(2), random.oneIn(2), random.oneIn(2)))
-		met.Count(Gang(random.below(3), 1+random.below(2)))
+		counts.Count(Absent(random.oneIn(2), random.oneIn(2), random.oneIn(2)))
+		counts.Count(Gang(random.below(3), 1+random.below(2)))
 	}
 	for d := range Kinds {
-		if met[d] == 0 {
+		if counts[d] == 0 {
 			t.Errorf("difference %v never occurred", d)
 		}
 	}
@@ -160,15 +160,15 @@
 // to let a task continue that is placed elsewhere.
 func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
-		on := func(i int) bool { return bits>>i&1 == 1 }
+		bit := func(i int) bool { return bits>>i&1 == 1 }
 		stored := StoredTask{
-			Known:           on(0),
-			Open:            on(1),
-			Durable:         on(2),
-			Cancelled:       on(3),
-			Held:            on(4),
-			PlacedElsewhere: on(5),
-			PlacedHere:      on(6),
+			Known:           bit(0),
+			Open:            bit(1),
+			Durable:         bit(2),
+			Cancelled:       bit(3),
+			Held:            bit(4),
+			PlacedElsewhere: bit(5),
+			PlacedHere:      bit(6),
 			Attempt:         1,
 		}
 		openAndOver := stored.Open && (stored.Durable || stored.PlacedElsewhere)
@@ -178,9 +178,9 @@
 		}
 		reported := ReportedTask{
 			Attempt:   1 + uint64(bits>>7&1),
-			Ended:     on(8),
-			Completed: on(8) && on(9),
-			Saving:    !on(8) && on(10),
+			Ended:     bit(8),
+			Completed: bit(8) && bit(9),
+			Saving:    !bit(8) && bit(10),
 		}
 		r := Task(stored, reported).Resolution()
 		if reported.Completed && stored.Known && !stored.Durable && (r == Reap || r == ReleaseAndReap) {
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -176,8 +176,8 @@
 }
 
 // applyTask compares one task of the report with its record and applies the resolution of the difference.
-func (u *statusUpdate) applyTask(shown *TaskReport) {
-	task, diff := u.compare(shown)
+func (u *statusUpdate) applyTask(reported *TaskReport) {
+	task, diff := u.compare(reported)
 	t := &task
 	switch diff.Resolution() {
 	case reconcile.RecordCompletion:
@@ -206,17 +206,17 @@
 
 // compare looks up the leader's record of a reported task and returns the difference. If the task has
 // fetched its image and has not ended, compare also records that the image is on the machine.
-func (u *statusUpdate) compare(shown *TaskReport) (reportedTask, reconcile.Diff) {
+func (u *statusUpdate) compare(reported *TaskReport) (reportedTask, reconcile.Diff) {
 	m := u.machine
-	ended := shown.State == Ended
-	completed := ended && shown.Reason == Completed
-	record, known := u.lookup(shown.Job, shown.Task, !ended || completed)
-	t := reportedTask{TaskReport: *shown, record: record}
+	ended := reported.State == Ended
+	completed := ended && reported.Reason == Completed
+	record, known := u.lookup(reported.Job, reported.Task, !ended || completed)
+	t := reportedTask{TaskReport: *reported, record: record}
 	if known {
 		if p := m.Tasks[record.Ref]; p != nil && !p.Planned {
 			t.placed = p
 		}
-		if shown.State != Fetching && !ended && record.Ref != NoTaskRef {
+		if reported.State != Fetching && !ended && record.Ref != NoTaskRef {
 			m.UseImage(record.Image, record.ImageGB, u.now)
 		}
 	}
@@ -228,17 +228,17 @@
 		Held:            record.Held,
 		PlacedElsewhere: record.PlacedElsewhere,
 		PlacedHere:      t.placed != nil,
-		DirectMayArrive: known && m.mayStartLate(record.Ref, shown.Attempt, u.report.Token),
+		DirectMayArrive: known && m.mayStartLate(record.Ref, reported.Attempt, u.report.Token),
 	}
 	if t.placed != nil {
 		stored.Attempt = t.placed.Attempt
 	}
 	diff := reconcile.Task(stored, reconcile.ReportedTask{
-		Attempt:   shown.Attempt,
+		Attempt:   reported.Attempt,
 		Ended:     ended,
 		Completed: completed,
-		Saved:     shown.Saved,
-		Saving:    shown.State == Saving,
+		Saved:     reported.Saved,
+		Saving:    reported.State == Saving,
 	})
 	return t, u.tally.Count(diff)
 }
@@ -327,18 +327,18 @@
 
 // release removes a placement whose task is proved to be gone, and adds the event. workerLost is true if the
 // worker was lost with the task.
-func (u *statusUpdate) release(p *Placement, why Reason, workerLost bool) {
-	ran := time.Duration(-1)
+func (u *statusUpdate) release(p *Placement, reason Reason, workerLost bool) {
+	runTime := time.Duration(-1)
 	if p.IsRunning() {
-		ran = u.now - p.RunningSince
+		runTime = u.now - p.RunningSince
 	}
 	u.events = append(u.events, Event{
 		Kind:       EventGone,
 		Ref:        p.Ref,
 		JobID:      p.JobID,
 		Attempt:    p.Attempt,
-		Reason:     why,
-		RunTime:    ran,
+		Reason:     reason,
+		RunTime:    runTime,
 		WasRunning: p.IsRunning(),
 		WorkerLost: workerLost,
 	})
--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -41,7 +41,7 @@
 		if start == nil || start.token != token {
 			continue // superseded as well
 		}
-		if r == nil || r.Machine != m.Name || r.Session != m.Session || !r.shows(p) {
+		if r == nil || r.Machine != m.Name || r.Session != m.Session || !r.lists(p) {
 			m.suspect(token)
 			continue
 		}
@@ -64,8 +64,8 @@
 
 // mayStartLate reports whether an attempt was started directly and may still begin, or begin once more, on a
 // worker that has seen no higher token than the given one.
-func (m *Machine) mayStartLate(ref TaskRef, number, token uint64) bool {
-	start := m.directStarts[attemptKey{ref, number}]
+func (m *Machine) mayStartLate(ref TaskRef, attempt, token uint64) bool {
+	start := m.directStarts[attemptKey{ref, attempt}]
 	return start != nil && token <= start.token
 }
 
--- a/internal/core/workers/grants.go
+++ b/internal/core/workers/grants.go
@@ -8,10 +8,10 @@
 // QueueRegistry returns true the first time that it is called for a machine whose registration is not
 // durable. The caller must then write the registration to the event log.
 func (m *Machine) QueueRegistry() bool {
-	if m.Durable || m.registryQueued {
+	if m.Durable || m.registrationQueued {
 		return false
 	}
-	m.registryQueued = true
+	m.registrationQueued = true
 	return true
 }
 
@@ -23,7 +23,7 @@
 // be started: its registration, a grant, or the intent to start a task.
 func (m *Machine) AwaitsDurability() bool {
 	if !m.Durable {
-		return m.registryQueued
+		return m.registrationQueued
 	}
 	for _, p := range m.Tasks {
 		if p.Planned && (!m.Grants[p.JobID] || !p.IntentDurable) {
@@ -33,10 +33,10 @@
 	return false
 }
 
-// UnusedGrants returns the ids of the jobs whose grants may be revoked, in ascending order: for at least the
-// duration after, no task of the job was placed, planned or on offer here, and no report listed one, orphans
-// included. r is the report that was just applied; it must be at the current token.
-func (m *Machine) UnusedGrants(now, after time.Duration, r *Report) []uint64 {
+// UnusedGrants returns the ids of the jobs whose grants may be revoked, in ascending order: for at least
+// the duration minIdle, no task of the job was placed, planned or on offer here, and no report listed one,
+// orphans included. r is the report that was just applied; it must be at the current token.
+func (m *Machine) UnusedGrants(now, minIdle time.Duration, r *Report) []uint64 {
 	used := m.jobsInUse(r)
 	var unused []uint64
 	for id, durable := range m.Grants {
@@ -51,7 +51,7 @@
 				m.grantUnusedSince = map[uint64]time.Duration{}
 			}
 			m.grantUnusedSince[id] = now
-		case now-since >= after:
+		case now-since >= minIdle:
 			unused = append(unused, id)
 		}
 	}
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -55,10 +55,10 @@
 	Reserved       bool              // its free resources are reserved for the first job in scheduling order
 
 	// Durable registration and grants.
-	Durable        bool            // its registration is durable: tasks may be started on it
-	Number         int             // number in the registry; 0: none, so that no grants are recorded for it
-	Grants         map[uint64]bool // ids of the jobs that may have tasks on it; true once the grant is durable
-	registryQueued bool            // its registration is being written to the event log
+	Durable            bool            // its registration is durable: tasks may be started on it
+	Number             int             // number in the registry; 0: none, so that no grants are recorded for it
+	Grants             map[uint64]bool // ids of the jobs that may have tasks on it; true once the grant is durable
+	registrationQueued bool            // its registration is being written to the event log
 
 	// grantUnusedSince holds, by job id, since when a job with a grant has had nothing on the machine.
 	grantUnusedSince map[uint64]time.Duration
@@ -119,24 +119,24 @@
 	// restart raise it. A machine that reports a token issued since is running and receives the leader's
 	// answers.
 	SuspectBelow     uint64
-	tokenGivenAt     time.Duration // when a higher token was first issued to clear the suspicion; 0: not yet
+	tokenIssuedAt    time.Duration // when a higher token was first issued to clear the suspicion; 0: not yet
 	tokenUrgency     TokenUrgency  // how urgently a higher token is needed
 	tokenRequestedAt time.Duration // when NeedsToken last returned true; 0: never
 }
 
-// AcceptsPlans reports whether tasks may be planned on the machine. quiet is the longest permitted time
+// AcceptsPlans reports whether tasks may be planned on the machine. maxSilence is the longest permitted time
 // since its last heartbeat.
-func (m *Machine) AcceptsPlans(now, quiet time.Duration) bool {
-	return !m.Draining && m.CanRunTasks(now, quiet)
+func (m *Machine) AcceptsPlans(now, maxSilence time.Duration) bool {
+	return !m.Draining && m.CanRunTasks(now, maxSilence)
 }
 
-// CanRunTasks reports whether the machine could run more tasks, even if it is being drained. quiet is the
-// longest permitted time since its last heartbeat.
-func (m *Machine) CanRunTasks(now, quiet time.Duration) bool {
+// CanRunTasks reports whether the machine could run more tasks, even if it is being drained. maxSilence is
+// the longest permitted time since its last heartbeat.
+func (m *Machine) CanRunTasks(now, maxSilence time.Duration) bool {
 	known := m.Durable && m.Up && m.Resolved
 	trusted := m.SuspectBelow == 0 && !m.Quarantined && len(m.Orphans) == 0
 	stays := !m.Deleting && !m.PreemptionNotice
-	return known && trusted && stays && now >= m.AvoidUntil && now-m.LastHeartbeat <= quiet
+	return known && trusted && stays && now >= m.AvoidUntil && now-m.LastHeartbeat <= maxSilence
 }
 
 // Unresolved reports whether an earlier term may have left unknown tasks on the machine.
--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -156,7 +156,7 @@
 		}
 		event := Event{Ref: ref, JobID: p.JobID, Attempt: p.Attempt, Placement: p}
 		switch {
-		case r.shows(p):
+		case r.lists(p):
 			m.placePlanned(p)
 			event.Kind = EventPlaced
 			events = append(events, event)
--- a/internal/core/workers/report.go
+++ b/internal/core/workers/report.go
@@ -62,8 +62,8 @@
 	Tasks []TaskReport
 }
 
-// shows reports whether the report lists a placement's attempt.
-func (r *Report) shows(p *Placement) bool {
+// lists reports whether the report lists a placement's attempt.
+func (r *Report) lists(p *Placement) bool {
 	return slices.ContainsFunc(r.Tasks, func(t TaskReport) bool {
 		return t.Job == p.JobID && t.Task == int(p.Ref.Task) && t.Attempt == p.Attempt
 	})
--- a/internal/core/workers/tokens.go
+++ b/internal/core/workers/tokens.go
@@ -36,8 +36,8 @@
 		return false
 	}
 	m.tokenUrgency, m.tokenRequestedAt = TokenNotNeeded, now
-	if m.SuspectBelow > 0 && m.tokenGivenAt == 0 {
-		m.tokenGivenAt = now
+	if m.SuspectBelow > 0 && m.tokenIssuedAt == 0 {
+		m.tokenIssuedAt = now
 	}
 	return true
 }
@@ -46,16 +46,16 @@
 // It gets such a token with the answer to its next report.
 func (m *Machine) suspect(token uint64) {
 	if m.SuspectBelow == 0 {
-		m.tokenGivenAt = 0
+		m.tokenIssuedAt = 0
 	}
 	m.SuspectBelow, m.tokenUrgency = max(m.SuspectBelow, token), TokenNow
 }
 
 // CheckStale is called for a report that is older than one that was applied. The machine becomes suspect,
-// as it may have been restarted, if no newer report has arrived for longer than silent, the longest time
+// as it may have been restarted, if no newer report has arrived for longer than maxSilence, the longest time
 // that a running worker may go without one.
-func (m *Machine) CheckStale(now, silent time.Duration) {
-	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > silent {
+func (m *Machine) CheckStale(now, maxSilence time.Duration) {
+	if m.Up && m.SuspectBelow == 0 && now-m.LastHeartbeat > maxSilence {
 		m.suspect(m.Token)
 	}
 }
@@ -64,6 +64,6 @@
 // and has not reported that token for longer than limit. Time in which no token could be issued, as in an
 // outage, does not count.
 func (m *Machine) Unreachable(now, limit time.Duration) bool {
-	given := m.SuspectBelow > 0 && m.tokenGivenAt > 0
-	return given && m.LastHeartbeat > m.tokenGivenAt && now-m.tokenGivenAt > limit
+	tokenIssued := m.SuspectBelow > 0 && m.tokenIssuedAt > 0
+	return tokenIssued && m.LastHeartbeat > m.tokenIssuedAt && now-m.tokenIssuedAt > limit
 }
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -73,9 +73,9 @@
 	m.Session, m.Seq = 2, 10
 	for _, c := range []struct {
 		session, seq uint64
-		fresh        bool
+		newer        bool
 	}{{1, 99, false}, {2, 10, false}, {2, 11, true}, {3, 1, true}} {
-		if got := m.IsNewer(&Report{Session: c.session, Seq: c.seq}); got != c.fresh {
+		if got := m.IsNewer(&Report{Session: c.session, Seq: c.seq}); got != c.newer {
 			t.Errorf("session %d, number %d: IsNewer returned %v", c.session, c.seq, got)
 		}
 	}
