--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Dependencies form a directed acyclic graph of jobs. They are stored between open jobs only, and a job
-// that is over has none. A change of one job therefore costs work for its direct neighbours only.
+// that is over has none. A change of one job therefore updates only its direct neighbours in the graph.
 
 // AddDependency records that a job waits for another job, which is open.
 func (t *Table) AddDependency(j, dependency *Job) {
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -39,20 +39,20 @@
 	Accepting  Phase = iota // its acceptance is not durable yet
 	Held                    // not all jobs that it depends on are durably done
 	Open                    // its tasks may be started
-	Cancelling              // cancellation was requested; it is written once none of its tasks is left anywhere
+	Cancelling              // cancel requested; written to the event log once no machine can have its tasks
 	Cancelled               // its cancellation is durable
 	Done                    // all its tasks are done
 )
 
-// Boost is how far a job goes ahead of the scheduling order, so that its class or its team gets enough
+// Boost is how far a job is moved ahead in the scheduling order, so that its class or its team gets enough
 // service.
 type Boost uint8
 
 // Boosts.
 const (
 	NoBoost           Boost = iota
-	BoostBehindUrgent       // ahead of all but urgent jobs
-	BoostFirst              // ahead of everything
+	BoostBehindUrgent       // before all jobs except urgent ones
+	BoostFirst              // before all other jobs, urgent ones included
 )
 
 // Job is an unfinished job, or a finished one whose tasks are not all gone from their machines yet.
@@ -116,10 +116,10 @@
 	LastRunAt      time.Duration           // when its latest task was reported running in this term
 
 	// Service-level objectives of its class, and its place in the scheduling order.
-	LowRankUntil          time.Duration      // a best-effort job goes behind the order until then
-	PriorityWindows       [][2]time.Duration // periods (start, end) in which it goes ahead of the order
+	LowRankUntil          time.Duration      // until then it is sorted after jobs of normal rank
+	PriorityWindows       [][2]time.Duration // periods (start, end) in which it is sorted before them
 	Deadline              time.Duration      // latest time at which it should end; 0: no objective sets one
-	LowRankAfterMissUntil time.Duration      // until then it goes behind the order if it would miss Deadline
+	LowRankAfterMissUntil time.Duration      // until then it is sorted after them if it would miss Deadline
 	StartDirectly         bool               // start its tasks directly, without waiting for a report
 	Boost                 Boost
 	Guaranteed            bool // it fits its team's guaranteed quota together with earlier jobs
@@ -132,8 +132,8 @@
 	PreemptedAt  time.Duration // when tasks of other jobs were last preempted for it
 }
 
-// HasBegun reports whether a task of the job is or was placed, as far as the leader knows. A gang has begun
-// once its tasks have run.
+// HasBegun reports whether a task of the job is placed, has run or is done, as far as the leader knows. For a
+// gang, tasks that are placed and have not run do not count.
 func (j *Job) HasBegun() bool {
 	placed := j.Record.Kind != Gang && j.Placed > 0
 	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangBegan
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -1,5 +1,5 @@
 // Package reconcile compares what workers report with what the leader has stored. Its table lists every
-// possible difference, each with its only resolution and the proof that the resolution is correct.
+// possible difference with its resolution, and the proof that the resolution is correct, if there is one.
 //
 // The package is part of the core. Its functions are pure: they compare two descriptions and return their
 // difference. The packages that act on a difference (workers, and the leader's registry and pools) make no
@@ -17,7 +17,7 @@
 	Completed          // it was placed here
 	EndedNotPlaced     // it was not placed here
 	EndedNotDurable    // its result is already known but not durable yet
-	EndedElsewhere     // it is placed on another machine, or on offer to one
+	EndedElsewhere     // it is placed on another machine, or offered to one
 	EndedDurable       // its end is durable, or its job is over
 	CancelledEnd       // it was placed here, and its job is cancelled
 	EndedSaved         // without a result: it was placed here, and it was stopped with its progress saved
@@ -49,7 +49,7 @@
 
 	// Differences of a machine.
 	MachineAsStored       // none
-	MachineUnregistered   // it is not stored: it was rented late, or its rental never became durable
+	MachineUnregistered   // it is not stored: its rental was carried out late, or never became durable
 	MachineDeleted        // it is recorded as deleted
 	MachineUnknownType    // its machine type is not known
 	MachineOutdatedReport // the report is older than one that was applied
@@ -64,7 +64,7 @@
 	GangSameAttempt    // the task belongs to the known attempt
 	GangOtherAttempt   // the task belongs to another attempt than the known one
 
-	Kinds // the number of differences
+	Kinds // the number of Diff values
 )
 
 // Resolution returns the only resolution of the difference.
@@ -85,7 +85,7 @@
 	ReleaseAndReap                     // release it, and have the worker forget the ended attempt
 	Release                            // it is proved to be gone from here, and may run again elsewhere
 	Adopt                              // it counts as placed here from now on
-	AdoptAndFailGang                   // adopt it, and abandon the gang's whole attempt
+	AdoptAndFailGang                   // adopt it, and abandon the attempt of the whole gang
 	Stop                               // stop it, and start nothing on the machine until it is gone
 	Register                           // add the machine, and register it durably before its first start
 	Ignore                             // answer the report, but apply nothing of it
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// Two resolutions are wrong in every state: to have a worker forget a result that is not durable yet, and
-// to let a task continue that is placed elsewhere.
+// No state of a known task may lead to one of two wrong resolutions: to have a worker forget a result that
+// is not durable yet, or to let an attempt continue although the task is placed elsewhere.
 func TestNoResultLostAndNoTaskRunTwice(t *testing.T) {
 	for bits := range 1 << 11 {
 		bit := func(i int) bool { return bits>>i&1 == 1 }
--- a/internal/core/reconcile/table.go
+++ b/internal/core/reconcile/table.go
@@ -42,10 +42,10 @@
 	},
 	EndedElsewhere: {
 		label:      "ended_elsewhere",
-		stored:     "on another machine, or on offer to one",
+		stored:     "on another machine, or offered to one",
 		reported:   "done",
 		resolution: Wait,
-		proof:      "the attempt on the other machine, which counts, ends at once with the same result",
+		proof:      "the attempt on the other machine counts, and ends at once with the same result",
 	},
 	EndedDurable: {
 		label:      "ended_durable",
@@ -161,7 +161,7 @@
 	},
 	RunsElsewhere: {
 		label:      "runs_elsewhere",
-		stored:     "on another machine, or on offer to one",
+		stored:     "on another machine, or offered to one",
 		reported:   "not ended",
 		resolution: Stop,
 		proof:      "one of the two attempts must be stopped, and the other is the one that counts",
--- a/internal/core/reconcile/task.go
+++ b/internal/core/reconcile/task.go
@@ -8,7 +8,7 @@
 	Cancelled bool // its job is cancelled
 	Held      bool // its job waits for jobs that it depends on
 
-	PlacedElsewhere bool   // it is placed on another machine, or on offer to one
+	PlacedElsewhere bool   // it is placed on another machine, or offered to one
 	PlacedHere      bool   // it is placed on this machine
 	Attempt         uint64 // the attempt that is placed here
 
@@ -36,7 +36,7 @@
 	return diff
 }
 
-// classifyTask returns the difference, not considering direct starts.
+// classifyTask returns the difference without regard to direct starts.
 func classifyTask(stored StoredTask, reported ReportedTask) Diff {
 	placed := stored.PlacedHere && stored.Attempt == reported.Attempt
 	switch {
@@ -102,10 +102,10 @@
 	return RunsUnplaced
 }
 
-// Absent returns the difference if a report lacks a task that is placed on the machine. laterSession is
-// true if the report is of a later session, and current if it is at the current token. directMayArrive is
-// true if the task was started directly and not reported since, and its start is still valid at the
-// report's token or, in a later session, had no answer.
+// Absent returns the difference for a task that is placed on the machine and missing from its report.
+// laterSession is true if the worker has begun a later session or incarnation since the task was placed, and
+// current if the report is at the current token. directMayArrive is true if the task was started directly,
+// nothing has confirmed the start yet, and the worker may still carry it out.
 func Absent(laterSession, directMayArrive, current bool) Diff {
 	switch {
 	case laterSession && directMayArrive:
--- a/internal/core/resources/resources.go
+++ b/internal/core/resources/resources.go
@@ -14,7 +14,7 @@
 	roundingSlack = 1e-6
 )
 
-// Amounts are processors, accelerators and gigabytes of memory, in thousandths.
+// Amounts holds numbers of processors, accelerators and gigabytes of memory, each in thousandths.
 type Amounts struct{ CPU, GPU, Mem int64 }
 
 // Need returns the amounts that a task needs, rounded up to whole thousandths.
@@ -46,7 +46,7 @@
 	return Amounts{CPU: a.CPU * factor, GPU: a.GPU * factor, Mem: a.Mem * factor}
 }
 
-// Fits reports whether each of the amounts fits into room.
+// Fits reports whether none of the amounts is larger than the same amount of room.
 func (a Amounts) Fits(room Amounts) bool {
 	return a.CPU <= room.CPU && a.GPU <= room.GPU && a.Mem <= room.Mem
 }
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -14,7 +14,7 @@
 	Need            resources.Amounts
 	Image           int32 // index of its image
 	ImageGB         float64
-	Open            bool // the job is open or being cancelled; the task is neither finished nor elsewhere
+	Open            bool // the job is open or being cancelled; the task is neither done nor placed elsewhere
 	EndDurable      bool // the task's end is durable, or the job is over
 	Cancelled       bool // the job is cancelled and has left the job table: Ref is NoTaskRef
 	Held            bool // the job waits for jobs that it depends on
@@ -28,8 +28,8 @@
 const (
 	EventStarted     EventKind = iota // it began to run
 	EventAdopted                      // it runs, was not placed anywhere, and is now placed here
-	EventPlaced                       // it was on offer, and the report shows it on the machine
-	EventOfferClosed                  // it is planned, and no offer of it is open any longer
+	EventPlaced                       // it was offered to the machine, and the report lists it there
+	EventOfferClosed                  // it is still planned, and its last open offer was closed
 	EventCompleted                    // it has ended with its result
 	EventGone                         // it was placed here, and is proved to be gone without a result
 )
@@ -45,7 +45,7 @@
 	Reason     Reason        // EventGone only: why the task ended
 	RunTime    time.Duration // how long it ran; negative if not known
 	WasRunning bool          // it was running when it was last reported
-	WorkerLost bool          // EventGone only: its worker was lost with it
+	WorkerLost bool          // EventGone only: its worker's session or machine ended, or may have ended
 
 	Placement *Placement // set for EventAdopted, EventPlaced and EventOfferClosed
 }
@@ -104,8 +104,8 @@
 }
 
 // applySession releases the tasks placed on the machine if the report is of a later session, or of a
-// restarted machine that counts sessions from the beginning. Neither proves that a direct start without an
-// answer will not be carried out: such a start quarantines the machine.
+// restarted machine that counts sessions from the beginning. Neither rules out that a direct start without an
+// answer is still carried out. If there is such a start, the machine is quarantined.
 func (u *statusUpdate) applySession() {
 	m, r := u.machine, u.report
 	restarted := !m.IsNewer(r)
@@ -125,17 +125,17 @@
 		}
 	}
 	m.images = nil
-	// Unconfirmed starts are kept: they also name a session, and a new incarnation may be in a session of
-	// that number.
+	// Unconfirmed starts are kept: they were sent for a session of a certain number, and a new incarnation
+	// may reach a session with the same number.
 	maps.DeleteFunc(m.directStarts, func(_ attemptKey, s *directStart) bool { return s.confirmed })
 	if m.Up && !restarted {
-		// The leader received its reports, yet its lease expired: the leader's answers may not reach it.
+		// Its lease expired although the leader received its reports: the leader's answers may not reach it.
 		m.suspect(m.Token)
 	}
 }
 
-// applyToken clears the machine's suspicion if the report has a token that was issued since, and records the
-// heartbeat.
+// applyToken ends the suspicion of the machine if the report's token was issued after it began, and records
+// the heartbeat.
 func (u *statusUpdate) applyToken() {
 	m, r := u.machine, u.report
 	if r.Token > m.SuspectBelow {
@@ -256,7 +256,7 @@
 }
 
 // awaitHigherToken requests a higher token for the machine, so that an ended attempt can be reaped. The
-// request is urgent if the attempt is the one placed there, because its task waits for that.
+// request is urgent if the attempt is the one placed there, because its task is not released before that.
 func (u *statusUpdate) awaitHigherToken(t *reportedTask) {
 	m := u.machine
 	m.tokenUrgency = max(m.tokenUrgency, TokenEventually)
@@ -266,7 +266,7 @@
 	}
 }
 
-// adopt places a reported task that was not placed anywhere on the reporting machine.
+// adopt records that a reported task, which was not placed anywhere, is placed on the reporting machine.
 func (u *statusUpdate) adopt(t *reportedTask) {
 	t.placed = &Placement{
 		Ref:     t.record.Ref,
@@ -309,7 +309,8 @@
 		diff := u.tally.Count(reconcile.Absent(quarantined, mayArrive || quarantined, u.current))
 		if diff.Resolution() == reconcile.Release {
 			delete(m.directStarts, attemptKey{p.Ref, p.Attempt})
-			// A suspect machine may have been restarted, with its numbers already past the last known ones.
+			// A suspect machine may have been restarted, and its session and report numbers may already be
+			// above the last ones that the leader received.
 			u.release(p, Vanished, u.wasSuspect)
 		}
 	}
--- a/internal/core/workers/grants.go
+++ b/internal/core/workers/grants.go
@@ -19,8 +19,8 @@
 // unresolved: the job has a grant on it, or no grants are recorded for the machine at all.
 func (m *Machine) MayHaveTasksOf(job uint64) bool { return m.Grants[job] || m.Number == 0 }
 
-// AwaitsDurability reports whether something must become durable before the tasks planned on the machine can
-// be started: its registration, a grant, or the intent to start a task.
+// AwaitsDurability reports whether a record must become durable before the tasks planned on the machine can
+// be started: its registration, if that is being written, or else a grant or the intent to start a task.
 func (m *Machine) AwaitsDurability() bool {
 	if !m.Durable {
 		return m.registrationQueued
@@ -33,9 +33,10 @@
 	return false
 }
 
-// UnusedGrants returns the ids of the jobs whose grants may be revoked, in ascending order: for at least
-// the duration minIdle, no task of the job was placed, planned or on offer here, and no report listed one,
-// orphans included. r is the report that was just applied; it must be at the current token.
+// UnusedGrants returns the ids of the jobs whose durable grants may be revoked, in ascending order: for at
+// least the duration minIdle, no task of the job was placed here, planned here or offered to the machine, and
+// no report listed one, orphans included. r is the report that was just applied; it must be at the current
+// token.
 func (m *Machine) UnusedGrants(now, minIdle time.Duration, r *Report) []uint64 {
 	used := m.jobsInUse(r)
 	var unused []uint64
@@ -59,8 +60,8 @@
 	return unused
 }
 
-// jobsInUse returns the ids of the jobs that have a task placed, planned or on offer on the machine, or
-// listed in its report, in ascending order and with duplicates.
+// jobsInUse returns the ids of the jobs that have a task placed on the machine, planned on it, offered to
+// it or listed in its report, in ascending order and with duplicates.
 func (m *Machine) jobsInUse(r *Report) []uint64 {
 	var used []uint64
 	for _, p := range m.Tasks {
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -6,18 +6,21 @@
 //
 // A task that was handed to a machine counts as placed there until it is proved to be gone: by a newer
 // report at the current fencing token that lacks it or shows it ended, by a later session of the worker, or
-// by the machine's deletion. Silence proves nothing. The table of package reconcile lists all differences
-// between the stored and the reported state; this package applies their resolutions.
+// by the machine's deletion. The lack of reports proves nothing. The table of package reconcile lists all
+// differences between the stored and the reported state; this package applies their resolutions.
 //
 // Terms:
 //
-//   - A session begins when a worker starts, or when its lease has expired: it has then killed and forgotten
-//     all tasks. Within a session reports are numbered.
+//   - A session of a worker begins when it starts, and again when its lease has expired and it has killed and
+//     forgotten all its tasks. Reports are numbered within a session.
 //   - An incarnation is one run of a machine, from boot to shutdown. A machine that is restarted under its
 //     name is a new incarnation: it has lost all state, and counts sessions from the beginning.
+//   - A fencing token is a number that the leader issues to a machine. The tokens of a machine only increase,
+//     and its worker refuses commands with a token below the highest that it has seen.
+//   - A machine is unresolved while the leader does not know which tasks an earlier term has left on it.
 //   - A machine is suspect when there are signs that it does not receive the leader's answers, or that it
 //     was restarted. It gets no new work until it has reported a token that was issued since.
-//   - Token urgency is how urgently a machine needs such a higher token.
+//   - Token urgency is how urgently a machine needs a higher token.
 //   - A machine is quarantined when a session or incarnation that cannot be distinguished from the current
 //     one may still carry out a start on it. It gets no more work, and is deleted.
 //   - Orphans are tasks that a machine reports and that should not be on it. They are stopped, and the
@@ -75,11 +78,11 @@
 	Seq              uint64        // number of the newest report within its session
 	LastHeartbeat    time.Duration // when a report last showed that it receives the leader's answers
 	UnansweredProbes int           // liveness probes without an answer in a row; negative after an answered one
-	UnansweredSince  time.Duration // time of the heartbeat from which on these probes are counted
+	UnansweredSince  time.Duration // last heartbeat, or start of the term, since which they are counted
 
 	// Tasks.
 	Tasks           map[TaskRef]*Placement // tasks placed or planned on it
-	OpenOffers      map[TaskRef]*Placement // offered to it; a newer report resolves them (see resolveOffers)
+	OpenOffers      map[TaskRef]*Placement // tasks offered to it; its next report closes the offers
 	ListedWithPlans bool                   // it is in the list of machines whose plans are offered
 	Orphans         []uint64               // jobs of the tasks in its newest report that should not be there
 	OrphansSince    time.Duration          // since when there are such tasks
@@ -143,7 +146,7 @@
 func (m *Machine) Unresolved() bool { return m.Durable && !m.Resolved }
 
 // Settled reports whether nothing is in flight to the machine, or on its behalf through the controller of
-// its shard: no offer to it is open, it has no orphans, none of its plans is on offer to another machine of
+// its shard: no offer to it is open, it has no orphans, none of its plans is offered to another machine of
 // the shard, and all tasks placed on it have been reported. Only then may it be moved to another shard,
 // because two controllers could each start the same offer. Found in the benchmark of user requests: both
 // shards started a task that was planned on a moved machine.
@@ -160,7 +163,7 @@
 }
 
 // DueStops returns the stop commands that are due on the machine, ordered by job and task. A task that is
-// already saving its progress is stopped again only without a grace period.
+// already saving its progress gets another stop command only if it is to be killed without a grace period.
 func (m *Machine) DueStops() []Command {
 	var commands []Command
 	for _, p := range m.Tasks {
--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -15,7 +15,7 @@
 	Here   bool // the task is planned on that same machine, which keeps room for it
 }
 
-// maxForeignOffers is the most offers in one answer of tasks that are planned on other machines.
+// maxForeignOffers is the highest number of offers in one answer for tasks planned on other machines.
 const maxForeignOffers = 8
 
 // Offer returns the offers for the answer to the machine's last report, in the order of their serials: the
@@ -131,7 +131,7 @@
 }
 
 // TaskStarted records that a controller started an offered task with its answer to the machine's last
-// report. It returns false if the task is not on offer to the machine, or is no longer planned.
+// report. It returns false if the task is not offered to the machine, or is no longer planned.
 func (m *Machine) TaskStarted(ref TaskRef) bool {
 	p := m.OpenOffers[ref]
 	if p == nil || !p.Planned {
@@ -168,8 +168,8 @@
 	return events
 }
 
-// CloseOffers closes the open offers of a machine that is deleted, and returns the planned tasks that are
-// not on offer to any other machine.
+// CloseOffers closes the open offers to a machine that is deleted, and returns those of their tasks that are
+// still planned and not offered to any other machine.
 func (m *Machine) CloseOffers() []*Placement {
 	var withoutOffer []*Placement
 	for ref, p := range m.OpenOffers {
@@ -182,7 +182,7 @@
 	return withoutOffer
 }
 
-// Rehome moves a planned task from a machine that is deleted to one to which it is on offer. It returns
+// Rehome moves a planned task from a machine that is deleted to one to which it is offered. It returns
 // false if there is no such machine.
 func (p *Placement) Rehome() bool {
 	for m := range p.Offered {
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -41,9 +41,9 @@
 
 	// State as reported.
 	State         TaskState
-	Seen          bool          // a report of its machine has listed it
+	Seen          bool          // a report, or the answer to a direct start, has listed it
 	RunningSince  time.Duration // when a report first showed it running
-	lastReportSeq uint64        // newest report that listed it, or whose answer carried the start
+	lastReportSeq uint64        // newest report that listed it, or the last one before its start
 
 	// Preemption and cancellation.
 	Stopping     bool    // it is to be stopped
--- a/internal/core/workers/report.go
+++ b/internal/core/workers/report.go
@@ -19,7 +19,7 @@
 
 // Reasons why a task ended.
 const (
-	Vanished              Reason = iota // a report does not list it any longer
+	Vanished              Reason = iota // gone without a reported end, perhaps with its machine or session
 	Completed                           // it ended with its result
 	Stopped                             // it was stopped by a command
 	PeersLost                           // another task of its gang was lost
@@ -43,6 +43,7 @@
 	UnknownTask:           "unknown task",
 }
 
+// String returns the reason's label.
 func (r Reason) String() string { return reasonLabels[r] }
 
 // Report is a worker's status report, which also serves as its heartbeat.
--- a/internal/core/workers/tokens.go
+++ b/internal/core/workers/tokens.go
@@ -13,7 +13,7 @@
 )
 
 // Shortest intervals between two tokens issued to one machine, by urgency. They exist because a worker
-// reports a higher token at once only now and then, and because the number of tokens of a term is limited.
+// does not report every higher token at once, and because the number of tokens of a term is limited.
 const (
 	urgentTokenInterval   = 2 * time.Second
 	eventualTokenInterval = 60 * time.Second
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -48,11 +48,11 @@
 		report Report
 		gone   bool
 	}{
-		{"an older token proves nothing", Report{Session: 1, Seq: 5, Token: token - 1}, false},
-		{"the current token without it", Report{Session: 1, Seq: 5, Token: token}, true},
-		{"the current token with it", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{running}}, false},
-		{"ended", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{failed}}, true},
-		{"a later session, whatever the token", Report{Session: 2, Seq: 1, Token: token - 1}, true},
+		{"a report at an older token lacks it", Report{Session: 1, Seq: 5, Token: token - 1}, false},
+		{"a report at the current token lacks it", Report{Session: 1, Seq: 5, Token: token}, true},
+		{"a report at the current token lists it", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{running}}, false},
+		{"a report shows it ended", Report{Session: 1, Seq: 5, Token: token, Tasks: []TaskReport{failed}}, true},
+		{"a later session, at an older token", Report{Session: 2, Seq: 1, Token: token - 1}, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			events := applyReport(m, c.report)
 			gone := slices.ContainsFunc(events, func(e Event) bool { return e.Kind == EventGone })
 			if gone != c.gone || (len(m.Tasks) == 0) != c.gone || (m.Free == m.Capacity) != c.gone {
-				t.Errorf("gone %v, %d tasks, %v free", gone, len(m.Tasks), m.Free)
+				t.Errorf("task reported gone: %v; the machine has %d tasks and %v free", gone, len(m.Tasks), m.Free)
 			}
 		})
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// A grant counts as unused only after a period in which no task of the job was placed, planned or on offer
-// on the machine, and no report listed one, orphans included.
+// A grant counts as unused only after a period in which no task of the job was placed on the machine,
+// planned on it or offered to it, and no report listed one, orphans included.
 func TestUnusedGrants(t *testing.T) {
 	_, m := newMachine()
 	m.Grants = map[uint64]bool{1: true, 2: true, 3: true, 4: true, 5: false}
@@ -124,7 +124,7 @@
 }
 
 // A machine is settled only when nothing is in flight to it or on its behalf. A plan of the machine that is
-// on offer to another machine of the shard is in flight: if the machine were moved to another shard, the
+// offered to another machine of the shard is in flight: if the machine were moved to another shard, the
 // task would be offered there too and could be started twice.
 func TestSettledNeedsNoOpenOfferOrStart(t *testing.T) {
 	inventory, m := newMachine()
@@ -135,16 +135,16 @@
 	p := &Placement{Ref: TaskRef{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), IntentDurable: true}
 	m.Plan(p)
 	if !m.Settled() {
-		t.Error("the machine is not settled although its plan is not on offer")
+		t.Error("the machine is not settled although its plan is not offered")
 	}
 	other.Grants[1] = true
 	other.UseImage(0, 1, 0)
 	next := counter()
 	if len(other.Offer([]*Machine{m}, next, next)) != 1 {
-		t.Fatal("the plan is not on offer to the other machine")
+		t.Fatal("the plan is not offered to the other machine")
 	}
 	if m.Settled() || other.Settled() {
-		t.Error("a machine is settled although its plan is on offer")
+		t.Error("a machine is settled although the offer is open")
 	}
 	other.Session, other.Seq = 1, 1
 	applyReport(other, Report{Session: 1, Seq: 2, Token: token})
@@ -164,7 +164,7 @@
 // A suspect machine is unreachable only if a higher token was issued to it, it has sent a report since, and
 // enough time has passed since the token was issued. Time in an outage, in which no token can be issued,
 // must not count against it.
-func TestUnreachableCountsFromTokenGiven(t *testing.T) {
+func TestUnreachableCountsFromTokenIssued(t *testing.T) {
 	m := NewInventory().Add(&Machine{Name: "m", Token: 5, Up: true, LastHeartbeat: time.Second})
 	m.CheckStale(10*time.Second, 5*time.Second)
 	m.LastHeartbeat = 60 * time.Second
