--- a/internal/core/config/change.go
+++ b/internal/core/config/change.go
@@ -12,7 +12,7 @@
 	Value Value `json:"value"`
 }
 
-// Check says what is wrong with changes by the settings' own rules, naming the field.
+// Check validates changes by the rules of the settings file; an error names the field.
 func Check(changes []Change, platform *settings.Platform) error {
 	if len(changes) == 0 {
 		return fieldError("changes", "there are none")
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -1,11 +1,12 @@
-// Package config is the part of the configuration that may change while controllers run: the teams
-// with their guarantees and limits, and some tunables. It has revisions whose numbers only rise.
+// Package config holds the part of the configuration that may change while controllers run: the teams
+// with their guarantees and limits, and some tunables. Its revisions have ascending numbers.
 //
-// The package is data alone: what may be changed, what a revision changes, what is in force at
-// one, and the replica of a controller that follows the leader's. The leader's component is
-// package reconfig. Like all of internal/core it is pure: times are passed in.
+// The package contains only data types and their rules: which changes are valid, what a revision
+// changes, the document in force at a revision, and the replica with which a controller follows the
+// leader's document. The leader's component is package reconfig. Like all of internal/core, the
+// package has no clock and does no network I/O: times are passed in.
 //
-// Errors about what operators ask for are *settings.FieldError, which name the field.
+// Errors about operators' requests are of type *settings.FieldError, which names the field.
 package config
 
 import (
@@ -14,17 +15,17 @@
 	"bitternmoor/internal/settings"
 )
 
-// Bounds of what may be changed.
+// Limits of changes.
 const (
-	MaxChanges = 64   // of one revision
-	MaxItems   = 2000 // that ever were changed
+	MaxChanges = 64   // changes of one revision
+	MaxItems   = 2000 // items that have ever been changed
 
 	maxTeamNameBytes = 64
 	maxIDBytes       = 64
 	maxNoteBytes     = 200
 )
 
-// fieldError is an error about a field, with a formatted reason.
+// fieldError returns an error about a field, with a formatted reason.
 func fieldError(field, why string, args ...any) error {
 	return &settings.FieldError{Field: field, Why: fmt.Sprintf(why, args...)}
 }
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -25,7 +25,7 @@
 	return p
 }
 
-// What may not be set is refused by its field.
+// Invalid changes are rejected with an error that names the field.
 func TestCheck(t *testing.T) {
 	good := []Change{
 		{idle, number(5)},
@@ -53,21 +53,21 @@
 			err := Check(changes, platform())
 			var wrong *settings.FieldError
 			if !errors.As(err, &wrong) || wrong.Field != field || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v: %v, want %s named", changes, err, field)
+				t.Errorf("%v: %v, want an error that names %s", changes, err, field)
 			}
 		})
 	}
 	if err := Check(make([]Change, MaxChanges+1), platform()); err == nil {
-		t.Error("a bundle of any size is taken")
+		t.Error("more than MaxChanges changes were accepted")
 	}
 	small := platform()
 	small.Deployment.State.ValueKB = 0.45
 	if err := Check([]Change{{Item{Team: strings.Repeat("t", 60)}, limit(1)}}, small); err == nil {
-		t.Error("a team is taken whose jobs could not be stored")
+		t.Error("a team was accepted whose jobs are too large to be stored")
 	}
 }
 
-// Undo gives back what stood, and says so where it is not known any more.
+// Undo restores the earlier values and returns an error for a revision that the history does not cover.
 func TestUndo(t *testing.T) {
 	history := []Revision{
 		{Number: 4, Changes: []Change{{idle, number(5)}}, Before: []Value{{}}},
@@ -76,17 +76,17 @@
 	}
 	for to, want := range map[uint64][]Change{3: {{idle, Value{}}}, 4: {{idle, number(5)}}, 5: {{red, limit(9)}}} {
 		if got, err := Undo(history, to); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("back to %d: %v %v, want %v", to, got, err, want)
+			t.Errorf("undo to %d: %v %v, want %v", to, got, err, want)
 		}
 	}
 	for _, to := range []uint64{1, 6, 7} {
 		if _, err := Undo(history, to); err == nil {
-			t.Errorf("back to %d was taken", to)
+			t.Errorf("undo to %d was accepted", to)
 		}
 	}
 }
 
-// A replica takes what is new, nothing twice, nothing with a gap, and never goes back.
+// A replica applies new updates once, ignores updates with a gap, and never returns to an older revision.
 func TestReplica(t *testing.T) {
 	var d Document
 	d.Apply(&Revision{Number: 1, Changes: []Change{{idle, number(5)}, {red, limit(9)}}})
@@ -94,26 +94,26 @@
 	d.Apply(&Revision{Number: 2, Changes: []Change{{red, limit(3)}}})
 	second := d.Update(1)
 	if len(second.Sets) != 1 || len(d.Update(2).Sets) != 0 || len(d.Update(7).Sets) != 0 {
-		t.Errorf("the second update is %+v", second)
+		t.Errorf("update from revision 1: %+v", second)
 	}
 	var r Replica
 	r.Apply(1, second)
 	if r.Revision() != 0 || r.UpdatedAt() != 1 {
-		t.Error("an update that lacks something was taken")
+		t.Error("an update with a gap was applied")
 	}
 	for now, u := range []Update{first, second, first, second} {
 		r.Apply(2, u)
 		if want := min(uint64(now)+1, 2); r.Revision() != want {
-			t.Errorf("after %d updates it has revision %d", now+1, r.Revision())
+			t.Errorf("after %d updates the replica has revision %d", now+1, r.Revision())
 		}
 	}
 	if !reflect.DeepEqual(r.All(), d.All()) {
-		t.Errorf("it has %v of %v", r.All(), d.All())
+		t.Errorf("the replica has %v, want %v", r.All(), d.All())
 	}
 	var old Document
 	old.Apply(&Revision{Number: 1, Changes: []Change{{idle, number(5)}}})
 	r.CopyFrom(3, &old)
 	if r.Revision() != 2 {
-		t.Error("it went back")
+		t.Error("the replica returned to an older revision")
 	}
 }
--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// Set is an item with what it is set to, and by which revision.
+// Set is an item with its value and the revision that set it.
 type Set struct {
 	Change
 	Revision uint64 `json:"revision"`
 }
 
-// Document is what is in force at a revision. The zero value is that of revision 0: all is as the
-// settings say.
+// Document is the configuration in force at a revision. The zero value is revision 0: every item has
+// its value from the settings file.
 type Document struct {
 	revision uint64
 	items    map[Item]Set
 }
 
-// Revision is the last one that the document has.
+// Revision returns the number of the last revision applied to the document.
 func (d *Document) Revision() uint64 { return d.revision }
 
-// Len counts the items that ever were changed.
+// Len returns the number of items that have ever been changed.
 func (d *Document) Len() int { return len(d.items) }
 
-// Get is what an item is set to.
+// Get returns the value of an item; an item that was never changed has an empty value and revision 0.
 func (d *Document) Get(item Item) Set {
 	if set, ok := d.items[item]; ok {
 		return set
@@ -32,7 +32,7 @@
 	return Set{Change: Change{Item: item}}
 }
 
-// Put sets one item, unless the same or a later revision has set it. It says whether it did.
+// Put sets one item unless the same or a later revision has set it, and reports whether it did.
 func (d *Document) Put(set Set) bool {
 	if d.items == nil {
 		d.items = map[Item]Set{}
@@ -45,7 +45,7 @@
 	return true
 }
 
-// Apply executes a revision's changes.
+// Apply applies a revision's changes.
 func (d *Document) Apply(revision *Revision) {
 	for _, change := range revision.Changes {
 		d.Put(Set{Change: change, Revision: revision.Number})
@@ -53,7 +53,7 @@
 	d.revision = max(d.revision, revision.Number)
 }
 
-// Since lists what revisions later than the given one have set, in the order of items.
+// Since returns the items that were last set after the given revision, sorted by item.
 func (d *Document) Since(revision uint64) []Set {
 	var sets []Set
 	for _, set := range d.items {
@@ -65,15 +65,15 @@
 	return sets
 }
 
-// All lists everything that was ever set, in the order of items.
+// All returns all items that have ever been set, sorted by item.
 func (d *Document) All() []Set { return d.Since(0) }
 
 func (d *Document) clone() Document {
 	return Document{revision: d.revision, items: maps.Clone(d.items)}
 }
 
-// Update is what a controller lacks that has the document up to a revision. One that has more than
-// there is gets nothing.
+// Update returns the update for a controller whose document is at revision has. It is empty for a
+// controller whose revision is not below that of the document.
 func (d *Document) Update(has uint64) Update {
 	update := Update{From: has, To: d.revision}
 	if has < d.revision {
--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -9,27 +9,27 @@
 	"bitternmoor/internal/settings"
 )
 
-// Edit is one thing that an operator wants: to set a field of a team or, without a field, a whole
-// item.
+// Edit is one assignment that an operator requests: of a field of a team or, if Field is empty, of a
+// whole item.
 type Edit struct {
 	Item  Item
 	Field string
 	Value string
 }
 
-// Values that are words.
+// Keywords that may be given as values.
 const (
-	valueRemoved  = "removed"  // of a team
-	valueSettings = "settings" // as the settings say
+	valueRemoved  = "removed"  // removes a team
+	valueSettings = "settings" // resets an item to its value from the settings file
 )
 
 const (
-	teamPrefix   = "team" // begins a team's name, in a path or in a section
-	wholeItemKey = "is"   // the key of a team's section that sets the team as a whole
+	teamPrefix   = "team" // precedes a team's name in a path or in a section
+	wholeItemKey = "is"   // key of a team's section that sets the whole team
 )
 
-// ParseEdit reads team/NAME/FIELD=VALUE, team/NAME=removed or SECTION.KEY=VALUE; team/NAME and
-// SECTION.KEY may be set to what the settings say.
+// ParseEdit parses team/NAME/FIELD=VALUE, team/NAME=removed or SECTION.KEY=VALUE. The value
+// "settings" resets team/NAME or SECTION.KEY to its value from the settings file.
 func ParseEdit(text string) (Edit, error) {
 	name, value, ok := strings.Cut(text, "=")
 	name, value = strings.TrimSpace(name), strings.TrimSpace(value)
@@ -50,7 +50,7 @@
 	return edit, nil
 }
 
-// FileEdits reads a file of changes in INI: sections [team NAME] with fields, or with the key
+// FileEdits reads edits from an INI file that has sections [team NAME], with fields or with the key
 // "is", and sections of tunables.
 func FileEdits(path string) ([]Edit, error) {
 	file, err := ini.Load(path)
@@ -66,7 +66,7 @@
 	return edits, nil
 }
 
-// editOfKey is what a key of a file's section asks for.
+// editOfKey returns the edit for one key of a file's section.
 func editOfKey(section string, key *ini.Key) Edit {
 	team, ok := strings.CutPrefix(section, teamPrefix+" ")
 	if !ok {
@@ -79,8 +79,8 @@
 	return edit
 }
 
-// Changes makes one change of each item that edits name, in the order in which they first name it.
-// Fields of a team that no edit names stay as limits has them.
+// Changes combines edits into one change per item, in the order in which the edits first name the
+// items. Fields of a team that no edit names keep the values that limits returns.
 func Changes(edits []Edit, limits func(team string) Limits) ([]Change, error) {
 	var changes []Change
 	indexOf := map[Item]int{}
@@ -98,8 +98,8 @@
 	return changes, nil
 }
 
-// applyTo applies the edit to its item's value; again says that an edit of the item was applied
-// before.
+// applyTo applies the edit to its item's value; again means that another edit of the item has been
+// applied before.
 func (e *Edit) applyTo(value *Value, again bool, limits func(team string) Limits) error {
 	if again && (e.Field == "" || value.Limits == nil) {
 		return e.wrong("is changed twice at once")
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// field is the field with a name, or nil.
+// field returns a pointer to the field with a name, or nil if there is none.
 func (l *Limits) field(name string) *float64 {
 	switch name {
 	case "cpus":
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// wrong is an error about what the edit names.
+// wrong returns an error about the item or field that the edit names.
 func (e *Edit) wrong(why string, args ...any) error {
 	return fieldError(strings.TrimSuffix(e.Item.String()+"."+e.Field, "."), why, args...)
 }
--- a/internal/core/config/edit_test.go
+++ b/internal/core/config/edit_test.go
@@ -10,7 +10,7 @@
 
 func currentLimits(string) Limits { return Limits{CPUs: 1, CPUsMax: 8} }
 
-// Edits of one team become one change, and leave what they do not name.
+// Edits of one team become one change, which keeps the fields that no edit names.
 func TestEdits(t *testing.T) {
 	var edits []Edit
 	for _, s := range []string{
@@ -49,7 +49,7 @@
 	}
 }
 
-// changesOf is the error of making changes of edits.
+// changesOf parses edits, combines them into changes and returns the error.
 func changesOf(texts []string) error {
 	var edits []Edit
 	for _, text := range texts {
@@ -63,7 +63,7 @@
 	return err
 }
 
-// What is wrong is named in one line.
+// An invalid edit is reported in a single line that starts with the field.
 func TestWrongEdits(t *testing.T) {
 	for list, field := range map[string]string{
 		"team/red":                                "team/red",
@@ -80,11 +80,11 @@
 		t.Run(list, func(t *testing.T) {
 			err := changesOf(strings.Fields(list))
 			if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %s named", err, field)
+				t.Errorf("%v, want an error that starts with %s", err, field)
 			}
 		})
 	}
 	if _, err := FileEdits("none.ini"); err == nil {
-		t.Error("a file that there is not was read")
+		t.Error("a missing file was read without an error")
 	}
 }
--- a/internal/core/config/item.go
+++ b/internal/core/config/item.go
@@ -8,13 +8,13 @@
 	"bitternmoor/internal/settings"
 )
 
-// Item is one thing that may change: a team, or a tunable by SECTION.KEY. One field is set.
+// Item identifies what may be changed: a team, or a tunable by SECTION.KEY. Exactly one field is set.
 type Item struct {
 	Team    string `json:"team,omitempty"`
 	Tunable string `json:"tunable,omitempty"`
 }
 
-// String names the item to operators.
+// String returns the item's name as it is shown to operators.
 func (i Item) String() string {
 	if i.Team != "" {
 		return "team " + i.Team
@@ -34,27 +34,27 @@
 	GPUsMax float64 `json:"gpus_max,omitempty"`
 }
 
-// LimitsOf are the limits of a team of the settings.
+// LimitsOf returns the limits of a team of the settings.
 func LimitsOf(team settings.Team) Limits {
 	return Limits{CPUs: team.CPUs, CPUsMax: team.CPUsMax, GPUs: team.GPUs, GPUsMax: team.GPUsMax}
 }
 
-// Team is a team of the settings with a name and these limits.
+// Team returns a team of the settings with a name and these limits.
 func (l Limits) Team(name string) settings.Team {
 	return settings.Team{Name: name, CPUs: l.CPUs, CPUsMax: l.CPUsMax, GPUs: l.GPUs, GPUsMax: l.GPUsMax}
 }
 
-// Value is what an item is set to. Where no field is set it is as the settings say.
+// Value is the value of an item. If no field is set, the value from the settings file applies.
 type Value struct {
 	Limits  *Limits  `json:"limits,omitempty"`  // of a team
-	Removed bool     `json:"removed,omitempty"` // a team that takes no jobs any more
+	Removed bool     `json:"removed,omitempty"` // the team accepts no jobs any more
 	Number  *float64 `json:"number,omitempty"`  // of a tunable
 }
 
-// AsSettings says whether the value is what the settings say.
+// AsSettings reports whether the value from the settings file applies.
 func (v Value) AsSettings() bool { return v.Limits == nil && !v.Removed && v.Number == nil }
 
-// Equal says whether two values are the same.
+// Equal reports whether two values are the same.
 func (v Value) Equal(other Value) bool {
 	return v.Removed == other.Removed &&
 		equalPointees(v.Limits, other.Limits) &&
@@ -68,7 +68,7 @@
 	return *a == *b
 }
 
-// String shows the value to operators.
+// String returns the value as it is shown to operators.
 func (v Value) String() string {
 	switch {
 	case v.Removed:
--- a/internal/core/config/replica.go
+++ b/internal/core/config/replica.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Update is what the leader sends a controller: all that revisions after From, up to To, have set.
+// Update is sent by the leader to a controller: all items set by the revisions after From, up to To.
 type Update struct {
 	From, To uint64
 	Sets     []Set
 }
 
-// Replica is what one controller has of the configuration. It outlives terms. Its times are
+// Replica is a controller's copy of the configuration. It is kept across terms. Its times are
 // durations on the controller's monotonic clock.
 type Replica struct {
 	document      Document
-	revisionSince time.Duration // when its revision came
-	updatedAt     time.Duration // when a leader last sent an update; 0: never
+	revisionSince time.Duration // when its current revision was received
+	updatedAt     time.Duration // when an update last came from a leader; 0: never
 }
 
-// Revision is what the controller has in force.
+// Revision returns the revision in force at the controller.
 func (r *Replica) Revision() uint64 { return r.document.revision }
 
-// RevisionSince is when that revision came; 0: it is the one that the controller started with.
+// RevisionSince returns when that revision was received; 0: the controller started with it.
 func (r *Replica) RevisionSince() time.Duration { return r.revisionSince }
 
-// UpdatedAt is when a leader last sent an update, also an empty one; 0: never.
+// UpdatedAt returns when an update, possibly an empty one, last came from a leader; 0: never.
 func (r *Replica) UpdatedAt() time.Duration { return r.updatedAt }
 
-// All lists what was ever set, as far as the controller knows.
+// All returns all items that have ever been set up to the controller's revision, sorted by item.
 func (r *Replica) All() []Set { return r.document.All() }
 
-// Apply executes a leader's update. It never goes back to an older revision: an update that comes
-// late, or lacks something in between, changes nothing.
+// Apply applies a leader's update. It never returns to an older revision: an update that arrives late,
+// or that does not reach back to the replica's revision, changes only UpdatedAt.
 func (r *Replica) Apply(now time.Duration, update Update) {
 	r.updatedAt = now
 	if update.To <= r.document.revision || update.From > r.document.revision {
@@ -42,7 +42,7 @@
 	r.revisionSince = now
 }
 
-// CopyFrom copies a leader's own document, unless the replica has as late a revision.
+// CopyFrom copies the document of the leader on this node if its revision is later than the replica's.
 func (r *Replica) CopyFrom(now time.Duration, document *Document) {
 	r.updatedAt = now
 	if document.revision > r.document.revision {
--- a/internal/core/config/revision.go
+++ b/internal/core/config/revision.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// Revision is one bundle of changes, which is executed whole or not at all.
+// Revision is a set of changes that is applied as a whole or not at all.
 type Revision struct {
 	Number  uint64   `json:"revision"`
 	ID      string   `json:"id"` // makes the request idempotent
@@ -10,10 +10,10 @@
 	AtMS    int64    `json:"at_ms"` // time of day
 	Note    string   `json:"note,omitempty"`
 	Changes []Change `json:"changes"`
-	Before  []Value  `json:"before"` // what each of them replaced
+	Before  []Value  `json:"before"` // the value that each change replaced
 }
 
-// CheckIDAndNote says what is wrong with a revision's id and note.
+// CheckIDAndNote validates the id and the note of a revision.
 func CheckIDAndNote(id, note string) error {
 	if id == "" || len(id) > maxIDBytes {
 		return fieldError("id", "has 1 to %d bytes", maxIDBytes)
@@ -24,15 +24,15 @@
 	return nil
 }
 
-// Undo is the changes that go back to what was in force at a revision, in the order of items. The
-// history has no gaps and ends at the present, oldest first.
+// Undo returns the changes that restore the configuration in force at a revision, sorted by item. The
+// history must be in ascending order, have no gaps and end with the current revision.
 func Undo(history []Revision, to uint64) ([]Change, error) {
 	first := slices.IndexFunc(history, func(r Revision) bool { return r.Number == to+1 })
 	if first < 0 {
 		return nil, fieldError("revision",
 			"%d is not one before the last, or the changes since are not remembered any more", to)
 	}
-	before := map[Item]Value{} // of items that have changed since
+	before := map[Item]Value{} // values at revision to of the items that have changed since
 	now := map[Item]Value{}
 	for _, revision := range history[first:] {
 		for i, change := range revision.Changes {
--- a/internal/core/eventlog/commit.go
+++ b/internal/core/eventlog/commit.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// inflightCommit is a transaction whose outcome is awaited, or that is to be sent again.
+// inflightCommit is a commit whose outcome is awaited or whose transaction must be sent again.
 type inflightCommit struct {
 	transaction     Transaction
-	segments        []segment // the open segment and those that follow it, as the commit leaves them
-	entryCount      int       // pending entries in it
+	segments        []segment // the open segment and the ones after it, as the commit leaves them
+	entryCount      int       // number of pending entries in it
 	sizes           []Write   // pieces of virtual sizes in it
-	sizesGeneration int       // which list of sizes they are of
-	removals        []string  // keys of segments that it removes
+	sizesGeneration int       // the list of sizes to which they belong
+	removals        []string  // keys of the segments that it removes
 	sent            bool      // the outcome of the last attempt is awaited
-	maybeExecuted   bool      // an attempt had no answer
+	maybeExecuted   bool      // an attempt was not answered
 }
 
-// lastSegment is the last segment that the commit writes.
+// lastSegment returns the last segment that the commit writes.
 func (c *inflightCommit) lastSegment() segment { return c.segments[len(c.segments)-1] }
 
 // NextTransaction returns the transaction to send now, if any.
@@ -41,15 +41,15 @@
 	return l.send(builder.commit)
 }
 
-// refillWriteTokens adds what the rate has given since the last refill. At most half a second's
-// worth is saved up.
+// refillWriteTokens adds the write tokens of the time since the last refill. The bucket holds at most
+// the tokens of half a second, or minBurst if that is more.
 func (l *Log) refillWriteTokens(now time.Duration) {
 	rate := l.limits.WriteRPS * commitRateShare
 	l.writeTokens = min(max(minBurst, rate/2), l.writeTokens+(now-l.refilledAt).Seconds()*rate)
 	l.refilledAt = now
 }
 
-// resendInflight gives the commit in flight again, unless an outcome is awaited.
+// resendInflight returns the transaction in flight once more, unless its outcome is awaited.
 func (l *Log) resendInflight() *Transaction {
 	commit := l.inflight
 	if commit.sent {
@@ -62,7 +62,7 @@
 	return &commit.transaction
 }
 
-// send puts a new commit in flight; one that would write nothing is dropped.
+// send marks a new commit as in flight and returns its transaction. A commit without writes is dropped.
 func (l *Log) send(commit *inflightCommit) *Transaction {
 	writes := len(commit.transaction.Writes)
 	if writes == 0 {
@@ -74,21 +74,21 @@
 	return &commit.transaction
 }
 
-// commitBuilder gathers what the next transaction takes along.
+// commitBuilder collects the contents of the next transaction.
 type commitBuilder struct {
 	log     *Log
 	commit  *inflightCommit
-	current segment // the segment to which the next entry goes
+	current segment // the segment to which the next entry is appended
 	values  []Write // components' values
 	bytes   int     // of entries and values so far
-	writes  int     // that the entries so far need
-	// leaveOpen says that the open segment stays as it is: entries go into a new one.
+	writes  int     // needed by the entries so far
+	// leaveOpen means that the open segment is not changed: entries go into a new one.
 	leaveOpen bool
 }
 
 func (l *Log) newCommitBuilder() *commitBuilder {
-	// Where a single write can be spent and not all goes into the open segment, a new one takes
-	// more than what is left of one that is nearly full.
+	// If only one write is available and the pending entries do not fit into the rest of an open
+	// segment that is more than half full, a new segment takes more of them.
 	nearlyFull := len(l.openBody) > l.segmentCapacity()/2 &&
 		len(l.openBody)+l.pendingBytes > l.segmentCapacity()
 	return &commitBuilder{
@@ -101,7 +101,7 @@
 	}
 }
 
-// addEntries takes as many pending entries, from the first, as one transaction can have.
+// addEntries adds pending entries in order, as many as fit into one transaction.
 func (b *commitBuilder) addEntries() {
 	for i := range b.log.pending {
 		if !b.addEntry(&b.log.pending[i]) {
@@ -111,7 +111,7 @@
 	b.commit.segments = append(b.commit.segments, b.current)
 }
 
-// addEntry takes an entry along, or returns false if this transaction has no room for it.
+// addEntry adds an entry, or returns false if this transaction has no room for it.
 func (b *commitBuilder) addEntry(entry *pendingEntry) bool {
 	if b.bytes+entry.size() > maxTransactionBytes || b.writesSameValue(entry) {
 		return false
@@ -135,27 +135,27 @@
 	return true
 }
 
-// writesSameValue says whether the transaction writes the entry's value already: it can have one
-// write of a key.
+// writesSameValue reports whether the transaction already writes the key of the entry's value: a
+// transaction can contain only one write of a key.
 func (b *commitBuilder) writesSameValue(entry *pendingEntry) bool {
 	return entry.value != nil &&
 		slices.ContainsFunc(b.values, func(w Write) bool { return w.Key == entry.value.Key })
 }
 
-// needsNewSegment says whether an entry does not go into the current segment.
+// needsNewSegment reports whether an entry must go into a new segment instead of the current one.
 func (b *commitBuilder) needsNewSegment(entry *pendingEntry) bool {
 	full := len(b.current.body) > 0 &&
 		len(b.current.body)+1+len(entry.raw) > b.log.segmentCapacity()
 	return full || (b.leaveOpen && b.current.number == b.log.openSegment)
 }
 
-// writesWith counts the writes that the transaction needs with an entry.
+// writesWith returns the number of writes that the transaction needs including an entry.
 func (b *commitBuilder) writesWith(entry *pendingEntry, newSegment bool) int {
 	writes := b.writes
 	if entry.value != nil {
 		writes++
 	}
-	// The open segment costs no write if it stays as it is.
+	// The open segment needs no write if it stays unchanged.
 	unchanged := b.current.number == b.log.openSegment && len(b.current.body) == len(b.log.openBody)
 	if newSegment && !unchanged {
 		writes++
@@ -163,7 +163,7 @@
 	return writes
 }
 
-// buildTransaction begins the transaction with its conditions and with the entries' writes.
+// buildTransaction fills in the transaction's conditions and the writes of the entries.
 func (b *commitBuilder) buildTransaction() {
 	l := b.log
 	l.sequence++
@@ -178,12 +178,12 @@
 	}
 	for i, s := range b.commit.segments {
 		if i == 0 && len(s.body) == len(l.openBody) {
-			continue // the open segment was full: it stays as it is
+			continue // no entry was added to the open segment
 		}
 		if i > 0 {
-			// A new segment must not exist yet. Without this a late copy of a transaction that left
-			// the open segment as it was would still meet its conditions and undo what was written
-			// since.
+			// A new segment must not exist yet. Without this condition, a late copy of a transaction
+			// that left the open segment unchanged would still meet its conditions and overwrite
+			// later writes.
 			transaction.Conditions = append(transaction.Conditions, Condition{Key: SegmentKey(s.number)})
 		}
 		transaction.Writes = append(transaction.Writes,
@@ -192,15 +192,15 @@
 	transaction.Writes = append(transaction.Writes, b.values...)
 }
 
-// hasSpareWrite says whether one more write may be spent on sizes or removals, which get what
-// entries leave. They may run up a small debt: under steady load there is never a write left over,
-// and without one the log would never get shorter.
+// hasSpareWrite reports whether one more write may be spent on sizes or removals, which get the writes
+// that entries do not use. They may overdraw the budget by maxWriteDebt: under steady load no write is
+// ever left over, and without the overdraft the log would never get shorter.
 func (b *commitBuilder) hasSpareWrite() bool {
 	writes := len(b.commit.transaction.Writes)
 	return writes < b.log.limits.TxnOps && float64(writes+1) <= b.log.writeTokens+maxWriteDebt
 }
 
-// addSizes takes along the pieces of virtual sizes for which there is room.
+// addSizes adds the pending pieces of virtual sizes for which there is room.
 func (b *commitBuilder) addSizes() {
 	l := b.log
 	for len(l.pendingSizes) > 0 && b.hasSpareWrite() {
@@ -215,7 +215,7 @@
 	}
 }
 
-// addRemovals takes along the removals of segments for which there is room.
+// addRemovals adds the pending removals of segments for which there is room.
 func (b *commitBuilder) addRemovals() {
 	l := b.log
 	for len(l.pendingRemovals) > 0 && b.hasSpareWrite() {
--- a/internal/core/eventlog/decode.go
+++ b/internal/core/eventlog/decode.go
@@ -6,7 +6,7 @@
 	"fmt"
 )
 
-// Decode reads the entries of one segment from its value.
+// Decode decodes the entries of one segment from its value.
 func Decode(value json.RawMessage) ([]Entry, error) {
 	var decoded struct {
 		Entries []Entry `json:"e"`
@@ -22,7 +22,7 @@
 	return decoded.Entries, nil
 }
 
-// keepUnknownEntries fills in the raw form of entries in which this version recognizes nothing.
+// keepUnknownEntries sets Unknown of the entries in which this version recognizes nothing.
 func keepUnknownEntries(value json.RawMessage, entries []Entry) error {
 	var decoded struct {
 		Entries []json.RawMessage `json:"e"`
@@ -34,7 +34,7 @@
 		if entries[i].recognized() {
 			continue
 		}
-		// As this program would write it, since values are compared when they are read back.
+		// Compact JSON, as this program writes it: values are compared when they are read back.
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, decoded.Entries[i]); err != nil {
 			return unreadable(err)
--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Entry is one durable fact; exactly one field is set. With each field stands the component that
-// writes it (a package of internal/leader). What components store beyond these goes into
-// Component, so that a new one needs no field here.
+// Entry is one durable fact; exactly one field is set. The comment of each field names the component
+// (a package of internal/leader) that writes it. All other data of components is stored in Component,
+// so that a new component needs no field here.
 //
-// Every entry is written by the component when the fact comes up, and again by the same component
-// when the segment that has it is compacted while the fact still matters.
+// A component writes an entry when the fact arises, and again when the segment that contains it is
+// compacted while the fact is still needed.
 type Entry struct {
-	// The order of the fields is that of the stored form, which internal/contract pins.
+	// The order of the fields is that of the stored form, which the tests of internal/contract check.
 
 	Job             *Job            `json:"j,omitempty"` // lifecycle
-	Cancel          *uint64         `json:"c,omitempty"` // lifecycle: the id of a job that is cancelled
+	Cancel          *uint64         `json:"c,omitempty"` // lifecycle: the id of a cancelled job
 	CompletedTasks  *CompletedTasks `json:"t,omitempty"` // lifecycle
 	FinalSize       *FinalSize      `json:"s,omitempty"` // fairshare; lifecycle when compacted
 	Machine         *Machine        `json:"m,omitempty"` // registry
@@ -23,24 +23,24 @@
 	Rental          *Rental         `json:"r,omitempty"` // autoscaler
 	RentalAnswer    *RentalAnswer   `json:"a,omitempty"` // autoscaler
 	MachineTypes    []MachineType   `json:"y,omitempty"` // autoscaler
-	FinalStates     *FinalStates    `json:"f,omitempty"` // lifecycle; an empty one, by term, ends a compaction
+	FinalStates     *FinalStates    `json:"f,omitempty"` // lifecycle; term ends a compaction with an empty one
 	Grant           *Grant          `json:"g,omitempty"` // placement
 	Dependencies    *Dependencies   `json:"v,omitempty"` // lifecycle
-	Component       *ComponentEntry `json:"o,omitempty"` // the component that it names
+	Component       *ComponentEntry `json:"o,omitempty"` // the component named in it
 
-	// Unknown is an entry in which nothing that this version knows is set: it is kept as it was
-	// read.
+	// Unknown is the raw form of an entry in which this version recognizes no field: it is written
+	// again as it was read.
 	Unknown json.RawMessage `json:"-"`
 }
 
-// ComponentEntry is an entry that only the component of that name reads and writes.
+// ComponentEntry is an entry that only the component with this name reads and writes.
 type ComponentEntry struct {
 	Name string          `json:"d"` // the component's name
 	Data json.RawMessage `json:"v"`
 }
 
-// NewComponentEntry is a component's own entry that holds a value as JSON. A value that cannot be
-// encoded is a fault of the program: it panics.
+// NewComponentEntry returns an entry of a component that holds a value as JSON. It panics if the value
+// cannot be encoded, which is a programming error.
 func NewComponentEntry[T any](component string, value T) Entry {
 	raw, err := json.Marshal(value)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return Entry{Component: &ComponentEntry{Name: component, Data: raw}}
 }
 
-// recognized says whether anything is set that this version knows.
+// recognized reports whether any field that this version defines is set.
 func (e *Entry) recognized() bool {
 	return e.Job != nil ||
 		e.Dependencies != nil ||
@@ -66,7 +66,7 @@
 		e.Component != nil
 }
 
-// encode is an entry as it is written.
+// encode returns the stored form of an entry.
 func (e *Entry) encode() ([]byte, error) {
 	if e.Unknown != nil {
 		return e.Unknown, nil
@@ -74,17 +74,17 @@
 	return json.Marshal(e)
 }
 
-// Job is an accepted job: its submission, with names instead of numbers. Lifecycle writes it when
-// the job is accepted, and again when its dependencies are done.
+// Job records an accepted job: its submission, with names instead of numbers. Lifecycle writes it
+// when the job is accepted, and again when its dependencies are done.
 type Job struct {
 	ID       uint64 `json:"i"`
-	Class    string `json:"h"` // of jobs with similar run times
+	Class    string `json:"h"` // class of jobs with similar run times
 	Team     string `json:"k"`
 	Kind     uint8  `json:"g"` // a job array, a gang, …: jobs.Array and the like
 	Priority uint8  `json:"u"`
 	Tasks    int    `json:"n"`
 
-	// What each task needs.
+	// Resources of each task.
 	CPUs     float64 `json:"c"`
 	GPUs     float64 `json:"p,omitempty"`
 	MemoryGB float64 `json:"m"`
@@ -92,47 +92,49 @@
 	ImageGB  float64 `json:"z"`
 
 	// Where tasks may run.
-	Types   []string `json:"t,omitempty"` // machine types; none: any
+	Types   []string `json:"t,omitempty"` // allowed machine types; none: any
 	Zone    string   `json:"o,omitempty"` // empty: any
 	OneZone bool     `json:"1,omitempty"` // all tasks in one zone
 	Spread  bool     `json:"2,omitempty"` // tasks spread over the zones
-	Spot    bool     `json:"l,omitempty"` // on spot instances too
+	Spot    bool     `json:"l,omitempty"` // spot instances are allowed too
 
 	// Times in seconds.
 	EstimateS  float64 `json:"e"`           // run time of a task
-	Checkpoint float64 `json:"w,omitempty"` // between checkpoints; 0: none are made
-	SaveS      float64 `json:"s,omitempty"` // to save a task's state
+	Checkpoint float64 `json:"w,omitempty"` // interval between checkpoints; 0: none are made
+	SaveS      float64 `json:"s,omitempty"` // time to save a task's state
 	DeadlineS  float64 `json:"d,omitempty"` // 0: none
 	AtMS       int64   `json:"a"`           // time of day of the acceptance, in ms
 
 	// Dependencies.
-	Follows    []uint64 `json:"f,omitempty"` // jobs to be done before any task of this one starts
-	Rest       int      `json:"q,omitempty"` // how many of them stand in Dependencies entries
-	ReleasedMS int64    `json:"r,omitempty"` // time of day, in ms, when the last of them was done; they are then left out
+	Follows []uint64 `json:"f,omitempty"` // jobs that must be done before any task of this job starts
+	Rest    int      `json:"q,omitempty"` // number of them that Dependencies entries list
+	// ReleasedMS is the time of day, in ms, when the last of them was done. Follows is then left out.
+	ReleasedMS int64 `json:"r,omitempty"`
 
-	// Counted is what the job needs of pools; it is stored by way of HideFromOlderVersions.
+	// Counted lists the units of pools that the job needs. HideFromOlderVersions encodes them for storage.
 	Counted []PoolUnits `json:"-"`
 }
 
-// Dependencies lists jobs on which a job depends, where they are too many for its own entry. It
-// belongs to the job's entry with the same time of acceptance. Lifecycle writes it before that.
+// Dependencies lists jobs on which a job depends if they are too many for the job's own entry. It
+// belongs to the job entry with the same acceptance time and is written before it by lifecycle.
 type Dependencies struct {
 	ID         uint64   `json:"i"` // the job that depends on them
-	AcceptedMS int64    `json:"a"` // the time of day of its acceptance, in ms
+	AcceptedMS int64    `json:"a"` // time of day of that job's acceptance, in ms
 	Jobs       []uint64 `json:"f"`
 }
 
-// CompletedTasks notes completed tasks of a job, and the run time of those whose time is known.
+// CompletedTasks records completed tasks of a job, and the run time of those whose run time is known.
 // Lifecycle writes it.
 type CompletedTasks struct {
 	ID      uint64   `json:"i"`
 	Ranges  [][2]int `json:"r"`           // of tasks, [from, to)
-	Seconds float64  `json:"s,omitempty"` // the sum of the run times that are known
-	Known   int      `json:"n,omitempty"` // how many are known
-	AtMS    int64    `json:"a,omitempty"` // time of day, in ms, for a job on which others depend: theirs counts from it
+	Seconds float64  `json:"s,omitempty"` // sum of the known run times
+	Known   int      `json:"n,omitempty"` // number of known run times
+	// AtMS is the time of day, in ms. It is set if other jobs depend on this one: their times count from it.
+	AtMS int64 `json:"a,omitempty"`
 }
 
-// Add adds a task to the ranges; tasks in ascending order make few of them.
+// Add adds a task to the ranges; adding tasks in ascending order yields the fewest ranges.
 func (t *CompletedTasks) Add(task int) {
 	if n := len(t.Ranges); n > 0 && t.Ranges[n-1][1] == task {
 		t.Ranges[n-1][1] = task + 1
@@ -141,42 +143,42 @@
 	}
 }
 
-// FinalSize notes a job's final size, which the scheduler no longer estimates. Fairshare writes it
-// when the size is settled.
+// FinalSize records a job's final size, which the scheduler no longer re-estimates. Fairshare writes it
+// when the size becomes final.
 type FinalSize struct {
 	ID   uint64  `json:"i"`
 	Size float64 `json:"s"`
 }
 
-// FinalStates keeps the final states of jobs once their own entries are gone. Lifecycle writes it
-// when segments are compacted.
+// FinalStates records the final states of jobs whose own entries are removed. Lifecycle writes it when
+// segments are compacted.
 type FinalStates struct {
 	Done      []uint64 `json:"d,omitempty"`
 	Cancelled []uint64 `json:"c,omitempty"`
 }
 
-// Machine notes a machine, before any task is started on it. Registry writes it.
+// Machine records a machine before any task is started on it. Registry writes it.
 type Machine struct {
 	Name    string `json:"n"`
 	Address string `json:"a"`
 	Type    string `json:"t"`
 	Zone    string `json:"z"`
 	Spot    bool   `json:"s,omitempty"`
-	Number  int    `json:"i,omitempty"` // stands for it in grants; no number is used twice
+	Number  int    `json:"i,omitempty"` // identifies the machine in grants; no number is used twice
 }
 
-// Grant notes, before the first start, that machines may have tasks of a job. A successor knows
-// from it whose tasks a machine that it cannot reach may have. With Revoked it takes such a grant
-// back, once no task of the job is on the machine any more and none is on offer to it; the next
-// start there needs a new grant. Placement writes it.
+// Grant records, before the first start, that machines may have tasks of a job. It shows the next
+// leader whose tasks an unreachable machine may have. With Revoked set it revokes such a grant, once no
+// task of the job is on the machine or on offer to it any more; the next start there needs a new grant.
+// Placement writes it.
 type Grant struct {
 	Job      uint64 `json:"i"`
 	Machines []int  `json:"m"` // their numbers
 	Revoked  bool   `json:"x,omitempty"`
 }
 
-// Rental notes a request to the cloud for machines, before it is sent: it is idempotent by its
-// name, and a successor sends it again. Autoscaler writes it.
+// Rental records a request to the cloud for machines before it is sent. The request is idempotent by
+// its name, and a new leader sends it again. Autoscaler writes it.
 type Rental struct {
 	Name  string `json:"n"`
 	Type  string `json:"t"`
@@ -185,23 +187,23 @@
 	Count int    `json:"c"`
 }
 
-// RentalAnswer notes that a rental was answered, and with which machines. Autoscaler writes it.
+// RentalAnswer records that a rental was answered, and with which machines. Autoscaler writes it.
 type RentalAnswer struct {
-	Name     string   `json:"n"` // of the rental
+	Name     string   `json:"n"` // name of the rental
 	Machines []string `json:"m,omitempty"`
 }
 
-// MachineType is a machine type as the cloud described it. Autoscaler writes it.
+// MachineType records a machine type as described by the cloud. Autoscaler writes it.
 type MachineType struct {
 	Name         string   `json:"n"`
 	CPUs         float64  `json:"c"`
 	GPUs         float64  `json:"g,omitempty"`
 	MemoryGB     float64  `json:"m"`
-	CacheGB      float64  `json:"l"` // room for images
-	FetchGBPS    float64  `json:"f"` // rate at which images are fetched, GB a second
-	Price        float64  `json:"p"` // on demand
+	CacheGB      float64  `json:"l"` // disk space for images
+	FetchGBPS    float64  `json:"f"` // rate at which images are fetched, in GB/s
+	Price        float64  `json:"p"` // of an on-demand instance
 	SpotPrice    float64  `json:"q"`
-	BootS        float64  `json:"b"` // seconds from the rental until it is ready
+	BootS        float64  `json:"b"` // seconds from the rental until the machine is ready
 	Zones        []string `json:"z"`
-	FurtherZones bool     `json:"w,omitempty"` // these zones are further ones of a type that another entry describes
+	FurtherZones bool     `json:"w,omitempty"` // Zones are further zones of a type in another entry
 }
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The service takes less than the settings said. The log tries smaller values
-// in further segments, never rewrites the large one, and loses nothing.
+// The state service accepts smaller values than the settings specify. The log then tries smaller values
+// in new segments, never rewrites the large segment, and loses no entry.
 func TestInvalidLeadsToSmallerValues(t *testing.T) {
 	s := newStore()
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 8}, "lead/epoch", 1, 0, 0)
@@ -16,7 +16,7 @@
 	durable := 0
 	for step := 0; durable < 400; step++ {
 		if step > 200 {
-			t.Fatalf("stuck with %d of 400 durable", durable)
+			t.Fatalf("no progress: %d of 400 entries durable", durable)
 		}
 		if step < 20 {
 			for n := range uint64(20) {
@@ -44,24 +44,24 @@
 		durable += len(durableNow)
 	}
 	if invalid == 0 {
-		t.Error("the lower limit was never met: the test tests nothing")
+		t.Error("no transaction exceeded the lower limit: the case does not occur")
 	}
 	got := s.ids(t)
 	for n := range uint64(400) {
 		if got[n] != n {
-			t.Fatalf("entry %d is %d", n, got[n])
+			t.Fatalf("entry %d has id %d", n, got[n])
 		}
 	}
 }
 
-// Nothing smaller is left to try, or an earlier copy of the transaction may
-// still arrive: the term ends instead of trying for ever.
+// If the values cannot get any smaller, or an earlier copy of the transaction may still arrive, a
+// rejected transaction ends the term instead of being retried forever.
 func TestInvalidEndsTheTerm(t *testing.T) {
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: minValueBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
 	txn := l.NextTransaction(time.Second)
 	if _, step := l.CommitResult(time.Second, txn.Sequence, Invalid, 0, nil); step != TermLost {
-		t.Error("the smallest values were refused, and the term goes on")
+		t.Error("the smallest values were rejected, but the term continues")
 	}
 	l = NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	l.AppendTracked(cancel(1))
@@ -70,13 +70,12 @@
 	l.ReadBack(time.Second, true, 0, nil)
 	again := l.NextTransaction(3 * time.Second)
 	if _, step := l.CommitResult(3*time.Second, again.Sequence, Invalid, 0, nil); step != TermLost {
-		t.Error("an earlier copy may still be executed, and the term goes on")
+		t.Error("an earlier copy may still be executed, but the term continues")
 	}
 }
 
-// Virtual sizes that need more values than one transaction takes are written
-// in pieces, beside entries; pieces that an earlier term left beyond them are
-// removed, and an unanswered or refused one is written again.
+// Virtual sizes that need more values than one transaction can write are written in pieces along with
+// entries. Surplus pieces of an earlier term are removed, and refused pieces are written again.
 func TestSizesInPieces(t *testing.T) {
 	s := newStore()
 	for n := range 40 {
@@ -97,7 +96,7 @@
 			continue
 		}
 		if len(txn.Writes) > 4 {
-			t.Fatalf("%d changes in a transaction", len(txn.Writes))
+			t.Fatalf("%d writes in a transaction, want at most 4", len(txn.Writes))
 		}
 		out, version, failed := Refused, uint64(0), []string(nil)
 		if step%5 > 0 {
@@ -125,12 +124,12 @@
 		}
 	}
 	if _, stale := found[999]; stale || len(found) != 60 || found[59] != 59 {
-		t.Errorf("%d sizes, stale ones: %v", len(found), stale)
+		t.Errorf("%d sizes, want 60; stale ones: %v", len(found), stale)
 	}
 }
 
-// One change is left to spend, the open segment is nearly full and much waits:
-// the change goes into a new segment, which takes more.
+// If only one write is available, the open segment is nearly full and many entries are pending, the
+// write goes to a new segment, which takes more entries.
 func TestNearlyFullSegmentIsLeft(t *testing.T) {
 	s := newStore()
 	l := NewLog(Limits{WriteRPS: 100, ValueBytes: 400, TxnOps: 4}, "lead/epoch", 1, 0, 0)
@@ -150,12 +149,12 @@
 	}
 	l.writeTokens = 1
 	if got := commit(); got < 30 {
-		t.Errorf("a change took only %d entries along", got)
+		t.Errorf("one write contained only %d entries, want at least 30", got)
 	}
 }
 
-// Entries come as fast as they can be written, a segment to be removed and
-// sizes wait all the time: both get their turn, within the rate.
+// While entries arrive as fast as they can be written, pending removals of segments and pending sizes
+// are written too, within the write rate.
 func TestRemovalsUnderLoad(t *testing.T) {
 	s := newStore()
 	l := NewLog(Limits{WriteRPS: 15, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
@@ -186,6 +185,6 @@
 		l.CommitResult(now, txn.Sequence, out, version, failed)
 	}
 	if removed < 30 || sizes < 4 || changes > 20*15 {
-		t.Errorf("%d of 40 segments removed, %d of 4 sizes written, %d changes", removed, sizes, changes)
+		t.Errorf("%d of 40 segments removed, %d of 4 sizes written, %d writes", removed, sizes, changes)
 	}
 }
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// store is a stand-in for the state service: versions and conditions only.
+// store is a fake of the state service that implements only versions and conditions.
 type store struct {
 	revision uint64
 	versions map[string]uint64
@@ -57,8 +57,8 @@
 
 func newLog() *Log { return NewLog(testLimits, "lead/epoch", 1, 0, 0) }
 
-// An unanswered commit is applied late, after it has been sent again: the
-// second try fails, the value shows that the first did, nothing is doubled.
+// An unanswered commit is applied late, after it has been sent again: the second attempt fails, reading
+// the value back shows that the first one was applied, and no entry is stored twice.
 func TestUnansweredCommitAppliedLate(t *testing.T) {
 	s, l := newStore(), newLog()
 	now := time.Second
@@ -67,28 +67,28 @@
 	}
 	first := *l.NextTransaction(now)
 	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != ReadBackNeeded {
-		t.Fatal("an unknown outcome must be read back")
+		t.Fatal("an unknown outcome does not request a read-back")
 	}
 	if durable := l.ReadBack(now, true, 0, nil); durable != nil {
-		t.Fatal("reported as durable though not applied")
+		t.Fatal("entries reported as durable although the transaction was not applied")
 	}
 	l.AppendTracked(cancel(99))
 	now += time.Second
 	again := l.NextTransaction(now)
-	s.apply(first) // the late one
+	s.apply(first) // the late copy
 	out, version, failed := s.apply(*again)
 	if out != Conflict {
-		t.Fatal("both tries were applied")
+		t.Fatal("both attempts were applied")
 	}
 	if _, step := l.CommitResult(now, again.Sequence, out, version, failed); step != ReadBackNeeded {
-		t.Fatal("the conflict must be settled by reading")
+		t.Fatal("the conflict does not request a read-back")
 	}
 	durable := l.ReadBack(now, true, s.versions[l.OpenSegmentKey()], s.data[l.OpenSegmentKey()])
 	for len(durable) < 41 {
 		now += time.Second
 		txn := l.NextTransaction(now)
 		if txn == nil {
-			t.Fatalf("stuck with %d of 41 durable", len(durable))
+			t.Fatalf("no progress: %d of 41 entries durable", len(durable))
 		}
 		out, version, failed := s.apply(*txn)
 		more, _ := l.CommitResult(now, txn.Sequence, out, version, failed)
@@ -100,13 +100,13 @@
 		want = append(want, n)
 	}
 	if want = append(want, 99); !slices.Equal(got, want) {
-		t.Errorf("the log holds %v", got)
+		t.Errorf("the log contains %v", got)
 	}
 }
 
-// Found by a random day: the open segment is full, so a commit writes only the
-// next one. Its first copy, given up on, comes after further commits: it must
-// not take the segment back.
+// The open segment is full, so a commit writes only the next one. The first copy of its transaction,
+// whose outcome stayed unknown, arrives after later commits: it must not overwrite the segment with its
+// earlier content. A randomized simulation found this failure.
 func TestLateCopyDoesNotTakeBack(t *testing.T) {
 	s, l := newStore(), newLog()
 	now := time.Second
@@ -121,11 +121,11 @@
 		l.AppendTracked(cancel(100 + n))
 		step()
 	}
-	l.AppendTracked(cancel(7_000_000_000_000)) // does not fit into the open segment any more
+	l.AppendTracked(cancel(7_000_000_000_000)) // no longer fits into the open segment
 	now += time.Second
 	late := *l.NextTransaction(now)
 	if len(late.Writes) != 1 || late.Writes[0].Key != SegmentKey(2) {
-		t.Fatalf("the case is not met: %d writes, the first to %s", len(late.Writes), late.Writes[0].Key)
+		t.Fatalf("the case does not occur: %d writes, the first to %s", len(late.Writes), late.Writes[0].Key)
 	}
 	l.CommitResult(now, late.Sequence, Unknown, 0, nil)
 	l.ReadBack(now, true, 0, nil)
@@ -135,11 +135,11 @@
 	before := len(s.ids(t))
 	s.apply(late)
 	if after := len(s.ids(t)); after != before {
-		t.Errorf("%d entries, %d after the late copy", before, after)
+		t.Errorf("%d entries before the late copy, %d after it", before, after)
 	}
 }
 
-// A transaction of an earlier term that comes late fails its condition.
+// A late transaction of an earlier term fails its condition on the epoch key.
 func TestLateCommitOfEarlierTerm(t *testing.T) {
 	s, l := newStore(), newLog()
 	l.AppendTracked(cancel(1))
@@ -148,10 +148,10 @@
 	s.versions["lead/epoch"] = s.revision
 	out, version, failed := s.apply(late)
 	if out != Conflict || len(s.ids(t)) != 0 {
-		t.Fatal("a superseded leader wrote")
+		t.Fatal("a write of a superseded leader was applied")
 	}
 	if _, step := l.CommitResult(time.Second, late.Sequence, out, version, failed); step != TermLost {
-		t.Error("the term must end")
+		t.Error("the term does not end")
 	}
 }
 
@@ -172,7 +172,7 @@
 			for _, w := range txn.Writes {
 				puts++
 				if len(w.Value) > testLimits.ValueBytes {
-					t.Fatalf("a value of %d bytes", len(w.Value))
+					t.Fatalf("a value of %d bytes exceeds the limit", len(w.Value))
 				}
 			}
 			out, version, failed := s.apply(*txn)
@@ -181,10 +181,10 @@
 		now += 10 * time.Millisecond
 	}
 	if l.PendingCount() > 0 {
-		t.Fatal("not all was written in a minute")
+		t.Fatal("some entries were not written within a minute")
 	}
 	if allowed := 10 + 10*(now-time.Second).Seconds(); float64(puts) > allowed {
-		t.Errorf("%d puts in %v", puts, now-time.Second)
+		t.Errorf("%d puts in %v exceed the rate", puts, now-time.Second)
 	}
 	if got := s.ids(t); len(got) != 200 {
 		t.Errorf("%d of 200 entries", len(got))
@@ -212,8 +212,8 @@
 	}
 }
 
-// A value goes into the transaction of its entry, and neither a late copy nor a lost
-// answer puts an old one back.
+// A value is written by the transaction of its entry, and neither a late copy of a transaction nor a
+// lost answer restores an old value.
 func TestAppendWithValue(t *testing.T) {
 	s := newStore()
 	l := newLog()
@@ -228,31 +228,31 @@
 	}
 	first := *put(`"old"`)
 	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != ReadBackNeeded {
-		t.Fatal("an unknown outcome is not read back")
+		t.Fatal("the unknown outcome does not request a read-back")
 	}
-	l.ReadBack(now, true, 0, nil) // it is not there
+	l.ReadBack(now, true, 0, nil) // the transaction was not applied
 	now += time.Second
 	again := l.NextTransaction(now)
 	out, version, failed := s.apply(*again)
 	facts, _ := l.CommitResult(now, again.Sequence, out, version, failed)
 	if len(facts) != 1 || string(s.data[key]) != `"old"` {
-		t.Errorf("%d facts, the value is %s", len(facts), s.data[key])
+		t.Errorf("%d durable entries, value %s", len(facts), s.data[key])
 	}
 	next := put(`"new"`)
 	out, version, failed = s.apply(*next)
 	if facts, _ := l.CommitResult(now, next.Sequence, out, version, failed); len(facts) != 1 {
-		t.Errorf("%d facts", len(facts))
+		t.Errorf("%d durable entries, want 1", len(facts))
 	}
 	if out, _, _ := s.apply(first); out != Conflict || string(s.data[key]) != `"new"` {
-		t.Errorf("a late copy gives %v, the value is %s", out, s.data[key])
+		t.Errorf("outcome %v of a late copy, value %s", out, s.data[key])
 	}
 	if n, err := ComponentValueNumber("d", key); n != 7 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
 	if l.AppendWithValue(cancel(1), key, make(json.RawMessage, testLimits.ValueBytes)) {
-		t.Error("a value that is too large is taken")
+		t.Error("a value that is too large was accepted")
 	}
-	// Refused as too large after all: value and entry are left out, the others go on.
+	// The service rejects a value as too large: value and entry are dropped, other entries are written.
 	l.limits.ValueBytes = 4000
 	if !l.AppendWithValue(cancel(2), key, make(json.RawMessage, 3000)) {
 		t.Fatal("refused")
@@ -266,9 +266,9 @@
 	out, version, failed = s.apply(*txn)
 	facts, _ = l.CommitResult(now, txn.Sequence, out, version, failed)
 	if len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 {
-		t.Errorf("%d facts in %d writes", len(facts), len(txn.Writes))
+		t.Errorf("%d durable entries in %d writes", len(facts), len(txn.Writes))
 	}
 	if l.DurableCount() != l.AppendedCount() {
-		t.Errorf("%d of %d entries are durable", l.DurableCount(), l.AppendedCount())
+		t.Errorf("%d of %d entries durable", l.DurableCount(), l.AppendedCount())
 	}
 }
--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -6,29 +6,29 @@
 	"strings"
 )
 
-// PoolUnits is how many units of a pool a job needs: for each of its tasks while that is on a
-// machine, or for the job as a whole from its first start to its end.
+// PoolUnits is the number of units of a pool that a job needs: for each of its tasks while the task is
+// on a machine or, with PerJob, for the job as a whole from its first start to its end.
 type PoolUnits struct {
 	Pool   string `json:"p"`
 	Units  int    `json:"u"`
 	PerJob bool   `json:"j,omitempty"`
 }
 
-// MaxPoolUnits is how many units a pool may have, and a job may need of one.
+// MaxPoolUnits is the maximum number of units that a pool may have and that a job may need of a pool.
 const MaxPoolUnits = 1_000_000_000
 
-// guardPrefix begins the name of a machine type that stands in for the machine types of a job that
-// needs units of pools. A version that knows nothing of pools finds no machine of that type, and
-// so never starts a task of the job; it keeps the name, whatever else it does to the entry.
+// guardPrefix is the prefix of a machine type name that replaces the machine types of a job that needs
+// units of pools. A version without support for pools finds no machine of that type and so never
+// starts a task of the job; it preserves the name whenever it rewrites the entry.
 const guardPrefix = "counted:"
 
-// guardedNeeds is what follows the prefix, as JSON.
+// guardedNeeds is encoded as JSON after the prefix.
 type guardedNeeds struct {
 	Types   []string    `json:"t,omitempty"`
 	Counted []PoolUnits `json:"c"`
 }
 
-// HideFromOlderVersions puts what a job needs of pools into the form in which it is stored: the
+// HideFromOlderVersions converts the job's machine types and units of pools into their stored form: the
 // name of a machine type that no machine has.
 func (j *Job) HideFromOlderVersions() {
 	if len(j.Counted) == 0 {
@@ -41,8 +41,8 @@
 	j.Types, j.Counted = []string{guardPrefix + string(raw)}, nil
 }
 
-// RevealPoolUnits undoes HideFromOlderVersions. What cannot be read stays as it is: such a job is
-// never started either.
+// RevealPoolUnits reverses HideFromOlderVersions. A name that cannot be decoded is left unchanged, so
+// that this version never starts such a job either.
 func (j *Job) RevealPoolUnits() {
 	if len(j.Types) != 1 {
 		return
--- a/internal/core/eventlog/result.go
+++ b/internal/core/eventlog/result.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	minValueBytes     = 512                    // values are not made smaller than this
-	minTransactionOps = 2                      // nor transactions
-	refusalDelay      = 60 * time.Millisecond  // before the next attempt, for each refusal in a row
-	maxRefusalDelays  = 8                      // and at most so many times as long
-	readBackDelay     = 100 * time.Millisecond // before the next attempt after a read-back
+	minValueBytes     = 512                    // lower bound when ValueBytes is reduced
+	minTransactionOps = 2                      // lower bound when TxnOps is reduced
+	refusalDelay      = 60 * time.Millisecond  // delay before the next attempt, per refusal in a row
+	maxRefusalDelays  = 8                      // maximum number of refusals that count for the delay
+	readBackDelay     = 100 * time.Millisecond // delay before the next attempt after a read-back
 )
 
-// CommitStep says what the holder of the log must do after a result.
+// CommitStep is what the caller must do after a result.
 type CommitStep uint8
 
 // Steps after a result.
 const (
-	Continue       CommitStep = iota // go on
-	ReadBackNeeded                   // read the key of Log.OpenSegmentKey and hand its value to Log.ReadBack
-	TermLost                         // the term is over
+	Continue       CommitStep = iota // no action is needed
+	ReadBackNeeded                   // read the key of Log.OpenSegmentKey and pass its value to Log.ReadBack
+	TermLost                         // the term must end
 )
 
-// CommitResult takes the outcome of the transaction in flight: the version is the revision of the
-// change, and failedKeys are those whose conditions were not met. It returns the tracked entries
-// that are now durable.
+// CommitResult handles the outcome of the transaction in flight: version is the revision of the change,
+// and failedKeys are the keys whose conditions were not met. It returns the tracked entries that are
+// now durable.
 func (l *Log) CommitResult(
 	now time.Duration, sequence uint64, outcome Outcome, version uint64, failedKeys []string,
 ) ([]Entry, CommitStep) {
@@ -49,23 +49,23 @@
 	}
 }
 
-// conflicted: a condition was not met. That is to be expected only where an earlier attempt may
-// have been executed.
+// conflicted handles an outcome in which a condition was not met. This is expected only if an earlier
+// attempt may have been executed; otherwise, or if the epoch key has changed, the term is lost.
 func (l *Log) conflicted(commit *inflightCommit, failedKeys []string) CommitStep {
 	if slices.Contains(failedKeys, l.epochKey) {
 		return TermLost
 	}
 	if !commit.maybeExecuted {
-		return TermLost // somebody else wrote our log
+		return TermLost // another writer changed the log
 	}
 	l.awaitingReadBack = true
 	return ReadBackNeeded
 }
 
-// unanswered: the transaction may be executed, now or later.
+// unanswered handles an unknown outcome: the transaction may have been executed or may still be.
 func (l *Log) unanswered(commit *inflightCommit) CommitStep {
 	if commit.entryCount == 0 {
-		// Only sizes and segments to remove: both can be done twice.
+		// It contains only sizes and removals of segments: both can be executed twice.
 		l.requeue(commit)
 		return Continue
 	}
@@ -74,9 +74,9 @@
 	return ReadBackNeeded
 }
 
-// rejected: the transaction is larger than the service now takes. This must never be met; if it
-// is, smaller values are tried in further segments. What may have been executed already, or is as
-// small as can be, ends the term instead: the next one begins with what is really there.
+// rejected handles a transaction that the service rejects as too large. This should never happen; if it
+// does, smaller values are tried in new segments. If an earlier attempt may have been executed, or the
+// values cannot get any smaller, the term ends instead: the next one starts from the stored state.
 func (l *Log) rejected(commit *inflightCommit) CommitStep {
 	if commit.maybeExecuted || l.limits.ValueBytes <= minValueBytes {
 		return TermLost
@@ -90,7 +90,7 @@
 	return Continue
 }
 
-// refused: the transaction was not executed and is tried again after a pause that grows.
+// refused handles a transaction that was not executed: it is tried again after an increasing delay.
 func (l *Log) refused(now time.Duration, commit *inflightCommit) CommitStep {
 	l.failures++
 	l.retryAt = now + time.Duration(min(l.failures, maxRefusalDelays))*refusalDelay
@@ -100,8 +100,8 @@
 	return Continue
 }
 
-// dropPendingValues leaves out the values that wait, which may be too large now. Their entries
-// become ones that say nothing, since entries are counted.
+// dropPendingValues drops the pending values, which may now be too large. Their entries are replaced by
+// empty ones, because entries are counted.
 func (l *Log) dropPendingValues() {
 	for i := range l.pending {
 		p := &l.pending[i]
@@ -114,22 +114,22 @@
 	}
 }
 
-// requeue takes back a commit that was not executed, or may be executed a second time: its entries
-// are still pending, and its sizes and removals are again.
+// requeue undoes the sending of a commit that was not executed or that may be executed twice: its
+// entries are still pending, and its sizes and removals become pending again.
 func (l *Log) requeue(commit *inflightCommit) {
 	l.pendingRemovals = append(l.pendingRemovals, commit.removals...)
-	if commit.sizesGeneration == l.sizesGeneration { // otherwise a newer list has come
+	if commit.sizesGeneration == l.sizesGeneration { // otherwise a newer list has replaced them
 		l.pendingSizes = append(commit.sizes, l.pendingSizes...)
 	}
 	l.inflight = nil
 }
 
-// finishCommit takes note that a commit was applied and returns its tracked entries.
+// finishCommit records that a commit was applied and returns its tracked entries.
 func (l *Log) finishCommit(commit *inflightCommit, version uint64) []Entry {
 	l.failures = 0
 	l.inflight = nil
 	if commit.sizesGeneration == l.sizesGeneration && len(commit.sizes) > 0 && len(l.pendingSizes) == 0 {
-		l.storedSizes = l.wantedSizes // all that was there beyond is removed
+		l.storedSizes = l.wantedSizes // all pieces beyond these have been removed
 	}
 	if commit.entryCount == 0 {
 		return nil
@@ -149,7 +149,7 @@
 	return durable
 }
 
-// OpenSegmentKey is the key whose value settles an unknown outcome: that of the last segment that
+// OpenSegmentKey returns the key whose value resolves an unknown outcome: that of the last segment that
 // the transaction in flight writes.
 func (l *Log) OpenSegmentKey() string {
 	if l.inflight != nil {
@@ -158,12 +158,12 @@
 	return SegmentKey(l.openSegment)
 }
 
-// ReadBack settles an unknown outcome. It is called with the version and the value of
-// OpenSegmentKey (version 0: the key does not exist), read after the outcome became unknown; ok is
-// false when the key could not be read. It returns the tracked entries that are now durable.
+// ReadBack resolves an unknown outcome. It is called with the version and the value of OpenSegmentKey
+// (version 0: the key does not exist), read after the outcome became unknown; ok is false if the key
+// could not be read. It returns the tracked entries that are now durable.
 //
-// When the transaction is not there, the very same one is sent again: should the first still
-// arrive, one of the two fails its conditions, and whichever was applied left the same value.
+// If the transaction was not applied, the same one is sent again: if the first copy arrives after all,
+// one of the two fails its conditions, and the one that was applied has written the same value.
 func (l *Log) ReadBack(now time.Duration, ok bool, version uint64, value json.RawMessage) []Entry {
 	commit := l.inflight
 	if commit == nil || !l.awaitingReadBack {
--- a/internal/core/eventlog/segment.go
+++ b/internal/core/eventlog/segment.go
@@ -5,13 +5,13 @@
 	"encoding/json"
 )
 
-// A segment's value is its entries, comma separated, between these.
+// Start and end of a segment's value, with the comma-separated entries between them.
 const (
 	segmentStart = `{"e":[`
 	segmentEnd   = "]}"
 )
 
-// segment is a segment as a commit would leave it.
+// segment is a segment as a commit leaves it.
 type segment struct {
 	number int
 	body   []byte // its entries, comma separated
@@ -24,7 +24,7 @@
 	s.body = append(s.body, raw...)
 }
 
-// encodeSegment makes the value of a segment from its body.
+// encodeSegment returns the value of a segment with the given body.
 func encodeSegment(body []byte) json.RawMessage {
 	out := make([]byte, 0, len(segmentStart)+len(body)+len(segmentEnd))
 	out = append(out, segmentStart...)
@@ -32,7 +32,7 @@
 	return append(out, segmentEnd...)
 }
 
-// segmentHolds says whether a value that was read is that of a segment with the body.
+// segmentHolds reports whether a value that was read is that of a segment with the given body.
 func segmentHolds(value json.RawMessage, body []byte) bool {
 	var compact bytes.Buffer
 	return json.Compact(&compact, value) == nil && bytes.Equal(compact.Bytes(), encodeSegment(body))
--- a/internal/core/eventlog/sizes.go
+++ b/internal/core/eventlog/sizes.go
@@ -5,10 +5,10 @@
 	"fmt"
 )
 
-// SizesPrefix is where the keys of the virtual sizes' pieces begin.
+// SizesPrefix is the prefix of the keys of the pieces of the virtual sizes.
 const SizesPrefix = "sizes/"
 
-// sizesOverhead is how many bytes of a piece are not sizes.
+// sizesOverhead is the number of bytes of a piece besides the sizes.
 const sizesOverhead = 16
 
 // VirtualSizes is the value of one piece of the virtual sizes.
@@ -16,7 +16,7 @@
 	Sizes []VirtualSize `json:"v"`
 }
 
-// VirtualSize is a job's estimated size and what is left of it in the scheduler's virtual
+// VirtualSize is a job's estimated size and the part of it that remains in the scheduler's virtual
 // cluster.
 type VirtualSize struct {
 	ID      uint64  `json:"i"`
@@ -24,15 +24,15 @@
 	Virtual float64 `json:"v"`
 }
 
-// SizesPieceNumber is the number of the piece of virtual sizes with a key.
+// SizesPieceNumber returns the number of the piece of virtual sizes with a key.
 func SizesPieceNumber(key string) (int, error) { return keyNumber(key, SizesPrefix) }
 
 func sizesPieceKey(number int) string { return fmt.Sprintf("%s%04d", SizesPrefix, number) }
 
-// SetVirtualSizes queues the virtual sizes of all jobs, in pieces: each commit takes along as many
-// as it has room for, and a newer list replaces what is left of an older one. Jobs should come in
-// a steady order, so that few change their piece: until all pieces are written, some are of the
-// list before.
+// SetVirtualSizes queues the virtual sizes of all jobs in pieces: each commit includes as many pieces as
+// it has room for, and a newer list replaces the pending pieces of an older one. Jobs should be passed
+// in a stable order, so that few of them move to another piece: until all pieces are written, some
+// pieces are those of the previous list.
 func (l *Log) SetVirtualSizes(all []VirtualSize) {
 	l.dropPendingSizes()
 	pieces := splitSizes(all, l.segmentCapacity())
@@ -46,20 +46,20 @@
 	}
 }
 
-// dropPendingSizes leaves out what is left of a list of sizes: the next one replaces it, in pieces
-// of the size that then holds.
+// dropPendingSizes drops the pending pieces of a list of sizes. The next list replaces them, with the
+// piece size that is in force by then.
 func (l *Log) dropPendingSizes() {
 	l.sizesGeneration++
 	l.pendingSizes = nil
 }
 
-// splitSizes splits sizes into pieces of at most room bytes as JSON. The last may be empty.
+// splitSizes splits sizes into pieces of at most room bytes of JSON each. The last may be empty.
 func splitSizes(all []VirtualSize, room int) [][]VirtualSize {
 	var pieces [][]VirtualSize
 	var piece []VirtualSize
 	used := sizesOverhead
 	for _, size := range all {
-		raw, _ := json.Marshal(size) // what cannot be encoded fails in encodeSizes
+		raw, _ := json.Marshal(size) // an encoding error is handled in encodeSizes
 		if used+len(raw)+1 > room {
 			pieces = append(pieces, piece)
 			piece, used = nil, sizesOverhead
--- a/internal/core/eventlog/split.go
+++ b/internal/core/eventlog/split.go
@@ -2,11 +2,11 @@
 
 import "encoding/json"
 
-// EntryOverheadBytes is what an entry takes besides a list that is split.
+// EntryOverheadBytes is the number of bytes allowed for the rest of an entry that holds a split list.
 const EntryOverheadBytes = 64
 
-// SplitNames splits names into lists of at most room bytes as JSON; each has at least one name,
-// unless there are none at all.
+// SplitNames splits names into lists of at most room bytes of JSON each. Each list has at least one name,
+// even if that is longer than room; without any names there is one empty list.
 func SplitNames(names []string, room int) [][]string {
 	var lists [][]string
 	used, from := 0, 0
--- a/internal/core/leadership/election.go
+++ b/internal/core/leadership/election.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// retryDelay follows a read of the keys that failed.
+	// retryDelay is the delay before the keys are read again after a failed read.
 	retryDelay = 300 * time.Millisecond
-	// electionRetryDelay follows an election that failed.
+	// electionRetryDelay is the delay before the keys are read again after a failed election.
 	electionRetryDelay = retryDelay / 3
-	// watchRetryDelay is how long after a failed watch, which may have missed a change, the keys
-	// are read again.
+	// watchRetryDelay is the delay before the keys are read again after a failed watch, which may
+	// have missed a change.
 	watchRetryDelay = 400 * time.Millisecond
 )
 
@@ -27,8 +27,9 @@
 	return out
 }
 
-// readDue says whether the keys must be read: they were not yet, no watch would notice a change,
-// or the watch may be cut off. A leader reads them only if it does not know them.
+// readDue reports whether the keys must be read: they have not been read yet, no watch is open that
+// would notice a change, or the watch may be cut off from the state service. A leader whose view of
+// the keys is known does not read them.
 func (e *Elector) readDue(now time.Duration) bool {
 	if e.readCall != nil || e.electionCall != nil || now < e.nextReadAt {
 		return false
@@ -39,8 +40,8 @@
 	return !e.viewKnown || e.leaderSilent(now) || (e.watchCall == nil && e.role != Candidate)
 }
 
-// KeysRead takes the result of ReadKeys. Where nobody leads it starts an election, otherwise a
-// watch.
+// KeysRead handles the result of ReadKeys. If no node leads and this node may stand for election, it
+// starts one; otherwise it opens a watch unless one is open.
 func (e *Elector) KeysRead(now time.Duration, sequence uint64, ok bool, view View) []Request {
 	if _, awaited := finish(&e.readCall, sequence); !awaited {
 		return nil
@@ -73,7 +74,7 @@
 	return nil
 }
 
-// WatchEnded takes the result of WatchKeys: with ok something changed, or the watch's time ran
+// WatchEnded handles the result of WatchKeys: ok means that something changed or that the watch timed
 // out; otherwise the watch failed.
 func (e *Elector) WatchEnded(now time.Duration, sequence uint64, ok bool) []Request {
 	if _, awaited := finish(&e.watchCall, sequence); !awaited {
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// LeaseCreated takes the result of CreateLease and claims leadership with the lease.
+// LeaseCreated handles the result of CreateLease and claims leadership with the lease.
 func (e *Elector) LeaseCreated(now time.Duration, sequence uint64, ok bool, leaseID uint64) []Request {
 	createdAt, awaited := finish(&e.electionCall, sequence)
 	if !awaited {
@@ -101,20 +102,20 @@
 		return nil
 	}
 	e.leaseID = leaseID
-	// The claim keeps the time of the lease's creation: the lease's validity counts from that.
+	// The claim is recorded with the send time of CreateLease: the lease's validity counts from then.
 	return []Request{e.call(createdAt, ClaimLeadership, &e.electionCall)}
 }
 
-// LeadershipClaimed takes the result of ClaimLeadership; version is the revision of the change,
-// and so the version of both keys. An unanswered claim counts as failed: should it be applied
-// yet, the release of the lease deletes the holder's key again.
+// LeadershipClaimed handles the result of ClaimLeadership; version is the revision of the change and
+// therefore the version of both keys. An unanswered claim counts as failed: if it is applied after
+// all, the release of the lease deletes the holder key again.
 func (e *Elector) LeadershipClaimed(now time.Duration, sequence uint64, ok bool, version uint64) []Request {
 	sentAt, awaited := finish(&e.electionCall, sequence)
 	if !awaited {
 		return nil
 	}
 	if !ok {
-		release := e.newRequest(ReleaseLease) // before abandonElection, which forgets the lease
+		release := e.newRequest(ReleaseLease) // before abandonElection, which clears leaseID
 		e.abandonElection(now)
 		return []Request{release}
 	}
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// abandonElection makes a candidate a follower that reads the keys again soon.
+// abandonElection turns a candidate into a follower that reads the keys after electionRetryDelay.
 func (e *Elector) abandonElection(now time.Duration) {
 	e.role = Follower
 	e.leaseID = 0
--- a/internal/core/leadership/elector.go
+++ b/internal/core/leadership/elector.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Elector is the state machine of one node.
+// Elector is the leader election state machine of one node.
 type Elector struct {
-	// SilenceLimit is how long a follower may hear nothing of a leader before it asks the state
-	// service besides its watch, which says nothing while it is cut off. 0: it never asks.
+	// SilenceLimit is how long a follower may go without observing a leader before it reads the keys
+	// in addition to its watch, since a watch that is cut off reports nothing. 0 disables such reads.
 	SilenceLimit time.Duration
 
 	node     string
 	leaseTTL time.Duration
 
 	role      Role
-	view      View // the keys as last read
-	viewKnown bool // the view was read since the role last changed to follower
+	view      View // the keys as last seen
+	viewKnown bool // the keys were read since the role last changed to follower
 
-	// The own term, or the last one.
+	// The current term of this node, or its last one.
 	epoch           uint64
 	epochVersion    uint64 // version of the epoch key
 	leaseID         uint64
-	leaseValidUntil time.Duration // until when no other node can lead
-	renewalSentAt   time.Duration // of the last renewal that succeeded
+	leaseValidUntil time.Duration // no other node can lead before this time
+	renewalSentAt   time.Duration // when the last successful renewal, or CreateLease, was sent
 
-	// Calls whose results are awaited, at most one of a kind.
+	// Pending calls, at most one of each kind.
 	sequence     uint64 // of the last request
 	readCall     *pendingCall
 	watchCall    *pendingCall
 	electionCall *pendingCall // CreateLease, then ClaimLeadership
 	renewalCall  *pendingCall
 
-	// Times before which nothing is tried.
+	// Earliest times of the next attempts.
 	nextReadAt    time.Duration
-	nextAttemptAt time.Duration // to be elected, or to renew the lease
+	nextAttemptAt time.Duration // to stand for election, or to renew the lease
 
 	serviceAnsweredAt time.Duration // when the state service last answered
 	history           leaderHistory
@@ -43,27 +43,27 @@
 	sentAt   time.Duration
 }
 
-// matches says whether a result belongs to the call; nil awaits none.
+// matches reports whether a result belongs to the call; a nil call matches no result.
 func (p *pendingCall) matches(sequence uint64) bool { return p != nil && p.sequence == sequence }
 
-// NewElector makes a node's elector; leaseTTL is the time to live of the leases that it creates.
+// NewElector returns the elector of a node; leaseTTL is the time to live of the leases that it creates.
 func NewElector(node string, leaseTTL time.Duration) *Elector {
 	return &Elector{node: node, leaseTTL: leaseTTL}
 }
 
-// Role is the node's role; a leader's lease need not be valid, see LeaseValid.
+// Role returns the node's role. The lease of a leader may have expired, see LeaseValid.
 func (e *Elector) Role() Role { return e.role }
 
-// Epoch is the epoch of the node's term, or of its last one; 0: it never led.
+// Epoch returns the epoch of the node's current or last term; 0 means that it has never led.
 func (e *Elector) Epoch() uint64 { return e.epoch }
 
-// EpochVersion is the version of the epoch key on which the term's writes are conditional.
+// EpochVersion returns the version of the epoch key on which the term's writes are conditional.
 func (e *Elector) EpochVersion() uint64 { return e.epochVersion }
 
-// HighestEpoch is the highest epoch that the node knows of.
+// HighestEpoch returns the highest epoch that the node has seen.
 func (e *Elector) HighestEpoch() uint64 { return max(e.epoch, e.view.Epoch) }
 
-// LeaderName is the node that holds the key as last seen, or empty.
+// LeaderName returns the node that held the holder key when last seen, or an empty string.
 func (e *Elector) LeaderName() string {
 	if e.role == Leader {
 		return e.node
@@ -74,11 +74,11 @@
 	return ""
 }
 
-// Watching says whether a change of the keys would be noticed at once: they were read, and a watch
-// has been open since.
+// Watching reports whether a change of the keys would be noticed at once: they were read and a watch
+// is open.
 func (e *Elector) Watching() bool { return e.viewKnown && e.watchCall != nil }
 
-// newRequest makes a request with the next sequence number.
+// newRequest returns a request with the next sequence number.
 func (e *Elector) newRequest(action Action) Request {
 	e.sequence++
 	return Request{
@@ -90,15 +90,15 @@
 	}
 }
 
-// call makes a request whose result is awaited as the given call.
+// call returns a request and records it in pending, where its result is awaited.
 func (e *Elector) call(sentAt time.Duration, action Action, pending **pendingCall) Request {
 	request := e.newRequest(action)
 	*pending = &pendingCall{sequence: request.Sequence, sentAt: sentAt}
 	return request
 }
 
-// finish ends the call to which a result belongs and gives when it was sent; ok is false where the
-// result belongs to another call, or to none.
+// finish clears the pending call to which a result belongs and returns when it was sent; ok is false
+// if the result belongs to another call or to none.
 func finish(pending **pendingCall, sequence uint64) (sentAt time.Duration, ok bool) {
 	call := *pending
 	if !call.matches(sequence) {
--- a/internal/core/leadership/elector_test.go
+++ b/internal/core/leadership/elector_test.go
@@ -11,7 +11,7 @@
 	electedAt = 10 * time.Second
 )
 
-// only gives the one request of a list, which must have the action.
+// only returns the single request of a list and fails the test unless there is one with the action.
 func only(t *testing.T, requests []Request, action Action) Request {
 	t.Helper()
 	if len(requests) != 1 || requests[0].Action != action {
@@ -20,7 +20,7 @@
 	return requests[0]
 }
 
-// elect makes an elector the leader of epoch 5, with the lease 77.
+// elect makes an elector the leader of epoch 5 with lease 77.
 func elect(t *testing.T, e *Elector) {
 	t.Helper()
 	const now = electedAt
@@ -28,10 +28,10 @@
 	create := only(t, e.KeysRead(now, read.Sequence, true, View{Epoch: 4, EpochVersion: 40}), CreateLease)
 	claim := only(t, e.LeaseCreated(now+time.Second, create.Sequence, true, 77), ClaimLeadership)
 	if claim.LeaseID != 77 || claim.View.EpochVersion != 40 {
-		t.Fatalf("the claim is %+v", claim)
+		t.Fatalf("claim %+v, want lease 77 and epoch version 40", claim)
 	}
 	if out := e.LeadershipClaimed(now+time.Second, claim.Sequence, true, 50); out != nil {
-		t.Fatalf("a leader asks for %+v", out)
+		t.Fatalf("a new leader returned requests: %+v", out)
 	}
 	if e.Role() != Leader || e.Epoch() != 5 || e.EpochVersion() != 50 || e.LeaderName() != "a" {
 		t.Fatalf("role %d, epoch %d, version %d, leader %q", e.Role(), e.Epoch(), e.EpochVersion(), e.LeaderName())
@@ -41,13 +41,13 @@
 func TestLeaseValidityCountsFromItsCreation(t *testing.T) {
 	e := NewElector("a", testTTL)
 	elect(t, e)
-	// The lease's time to live, less a thousandth for the clocks' drift and 60 ms.
+	// The lease's time to live, less a thousandth for clock drift and a margin of 60 ms.
 	end := electedAt + testTTL - 3*time.Millisecond - 60*time.Millisecond
 	if !e.LeaseValid(end - 1) {
-		t.Error("the lease is invalid before its end")
+		t.Error("the lease is invalid before its validity ends")
 	}
 	if e.LeaseValid(end) {
-		t.Error("the lease is valid when another node may lead")
+		t.Error("the lease is still valid when another node may lead")
 	}
 }
 
@@ -73,18 +73,18 @@
 				}
 			}
 			if renewal.LeaseID != 77 {
-				t.Fatalf("the renewal is %+v", renewal)
+				t.Fatalf("renewal %+v, want lease 77", renewal)
 			}
 			e.LeaseRenewed(renewedAt+time.Second, renewal.Sequence, c.ok, c.gone)
 			if e.Role() != c.role || e.LeaseValid(renewedAt+2*time.Second) != c.valid {
-				t.Errorf("role %d, valid %v", e.Role(), e.LeaseValid(renewedAt+2*time.Second))
+				t.Errorf("role %d, lease valid %v", e.Role(), e.LeaseValid(renewedAt+2*time.Second))
 			}
 		})
 	}
 }
 
-// A claim without an answer counts as failed: the lease is released, so that the holder's key is
-// deleted should the claim be applied yet.
+// A claim without an answer counts as failed: the lease is released, so that the holder key is
+// deleted if the claim is applied after all.
 func TestFailedClaimReleasesTheLease(t *testing.T) {
 	e := NewElector("a", testTTL)
 	now := 10 * time.Second
@@ -93,10 +93,10 @@
 	claim := only(t, e.LeaseCreated(now, create.Sequence, true, 77), ClaimLeadership)
 	release := only(t, e.LeadershipClaimed(now, claim.Sequence, false, 0), ReleaseLease)
 	if release.LeaseID != 77 || e.Role() != Follower || e.LeaseValid(now) {
-		t.Errorf("released %d as role %d", release.LeaseID, e.Role())
+		t.Errorf("lease %d released, role %d", release.LeaseID, e.Role())
 	}
 	if out := e.LeadershipClaimed(now, claim.Sequence, true, 50); out != nil || e.Role() != Follower {
-		t.Error("a late answer makes a leader")
+		t.Error("a late answer to the claim made the node a leader")
 	}
 }
 
@@ -106,14 +106,14 @@
 		event func(e *Elector)
 		role  Role
 	}{
-		"for a heartbeat of a higher epoch":      {func(e *Elector) { e.HeartbeatReceived(now, "b", 6, FleetKnown) }, Follower},
-		"not for a heartbeat of a lower epoch":   {func(e *Elector) { e.HeartbeatReceived(now, "b", 4, FleetKnown) }, Leader},
-		"not for a heartbeat of its own":         {func(e *Elector) { e.HeartbeatReceived(now, "a", 6, FleetKnown) }, Leader},
-		"when it is superseded":                  {func(e *Elector) { e.Superseded(now, 6) }, Follower},
-		"not when its own epoch is met":          {func(e *Elector) { e.Superseded(now, 5) }, Leader},
-		"when it resigns":                        {func(e *Elector) { e.Resign(now, time.Second) }, Follower},
-		"not for the result of an unknown call":  {func(e *Elector) { e.LeaseRenewed(now, 999, false, true) }, Leader},
-		"not for keys that it has not asked for": {func(e *Elector) { e.KeysRead(now, 999, true, View{Epoch: 6}) }, Leader},
+		"for a heartbeat of a higher epoch":     {func(e *Elector) { e.HeartbeatReceived(now, "b", 6, FleetKnown) }, Follower},
+		"not for a heartbeat of a lower epoch":  {func(e *Elector) { e.HeartbeatReceived(now, "b", 4, FleetKnown) }, Leader},
+		"not for a heartbeat of its own":        {func(e *Elector) { e.HeartbeatReceived(now, "a", 6, FleetKnown) }, Leader},
+		"when it is superseded":                 {func(e *Elector) { e.Superseded(now, 6) }, Follower},
+		"not when its own epoch is observed":    {func(e *Elector) { e.Superseded(now, 5) }, Leader},
+		"when it resigns":                       {func(e *Elector) { e.Resign(now, time.Second) }, Follower},
+		"not for the result of an unknown call": {func(e *Elector) { e.LeaseRenewed(now, 999, false, true) }, Leader},
+		"not for keys that it did not request":  {func(e *Elector) { e.KeysRead(now, 999, true, View{Epoch: 6}) }, Leader},
 	} {
 		t.Run(name, func(t *testing.T) {
 			e := NewElector("a", testTTL)
@@ -123,19 +123,19 @@
 				t.Errorf("role %d, want %d", e.Role(), c.role)
 			}
 			if e.LeaseValid(now) != (c.role == Leader) {
-				t.Errorf("the lease's validity is %v", e.LeaseValid(now))
+				t.Errorf("lease valid: %v", e.LeaseValid(now))
 			}
 		})
 	}
 }
 
-// After it resigned a node watches, and does not stand for election until the pause is over.
+// After resigning, a node watches the keys and does not stand for election until the pause is over.
 func TestResignedNodePauses(t *testing.T) {
 	e := NewElector("a", testTTL)
 	elect(t, e)
 	release := only(t, e.Resign(11*time.Second, 5*time.Second), ReleaseLease)
 	if release.LeaseID != 77 {
-		t.Errorf("lease %d is released", release.LeaseID)
+		t.Errorf("lease %d released, want 77", release.LeaseID)
 	}
 	read := only(t, e.Tick(12*time.Second), ReadKeys)
 	watch := only(t, e.KeysRead(12*time.Second, read.Sequence, true, View{Epoch: 5}), WatchKeys)
@@ -143,8 +143,8 @@
 	only(t, e.KeysRead(17*time.Second, read.Sequence, true, View{Epoch: 5}), CreateLease)
 }
 
-// A follower that hears neither of a leader nor of the state service reads the keys besides its
-// watch.
+// A follower that has observed no leader for SilenceLimit, and no recent answer of the state service,
+// reads the keys in addition to its watch.
 func TestSilentLeaderIsAskedFor(t *testing.T) {
 	e := NewElector("a", testTTL)
 	e.SilenceLimit = 4 * time.Second
@@ -156,11 +156,11 @@
 		t.Fatalf("leader %q, watching %v", e.LeaderName(), e.Watching())
 	}
 	if out := e.Tick(now + e.SilenceLimit - 1); out != nil {
-		t.Errorf("asked early: %+v", out)
+		t.Errorf("requests before SilenceLimit has passed: %+v", out)
 	}
 	e.HeartbeatReceived(now+3*time.Second, "b", 7, FleetReconciling)
 	if out := e.Tick(now + e.SilenceLimit); out != nil {
-		t.Errorf("asked although a heartbeat came: %+v", out)
+		t.Errorf("requests although a heartbeat was received: %+v", out)
 	}
 	only(t, e.Tick(now+3*time.Second+e.SilenceLimit), ReadKeys)
 }
@@ -178,6 +178,6 @@
 		}
 	}
 	if seen, _ := e.LeaderlessTimes(); seen != 8*time.Second {
-		t.Errorf("a leader was last heard of at %v", seen)
+		t.Errorf("a leader was last observed at %v, want 8s", seen)
 	}
 }
--- a/internal/core/leadership/leaderless.go
+++ b/internal/core/leadership/leaderless.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// LeaderRecord is what a node knows of one leader.
+// LeaderRecord is what a node has observed of one leader.
 type LeaderRecord struct {
-	Known        bool           // there was such a leader at all
-	Since, Until time.Duration  // when it was first and last heard of
-	Fleet        FleetKnowledge // what it last said of its fleet
+	Known        bool           // a leader was observed; otherwise the record is empty
+	Since, Until time.Duration  // when it was first and last observed
+	Fleet        FleetKnowledge // what its last heartbeat reported
 }
 
-// leaderHistory is what a node knows of the leaders so far, and of the time without one.
+// leaderHistory records the last two leaders that a node has observed, and since when there is none.
 type leaderHistory struct {
-	seenAt          time.Duration // when a leader was last heard of; 0: never
+	seenAt          time.Duration // when a leader was last observed; 0: never
 	seenEpoch       uint64        // the epoch of that leader
 	last            LeaderRecord  // the leader of that epoch
 	prior           LeaderRecord  // the leader before that one
-	leaderlessSince time.Duration // since when nobody has led, as far as this node saw
+	leaderlessSince time.Duration // when a read of the keys first showed no leader
 	leaderless      bool          // the last read of the keys showed no leader
 }
 
-// recordLeader notes that a node leads with an epoch, or led with it until now.
+// recordLeader records that a node leads with an epoch, or led with it until now.
 func (h *leaderHistory) recordLeader(now time.Duration, epoch uint64) {
 	if epoch != h.seenEpoch {
 		h.prior = h.last
@@ -30,20 +30,20 @@
 	h.last.Until = now
 }
 
-// recordNoLeader notes that a read of the keys showed no leader.
+// recordNoLeader records that a read of the keys showed no leader.
 func (h *leaderHistory) recordNoLeader(now time.Duration) {
 	if !h.leaderless {
 		h.leaderlessSince, h.leaderless = now, true
 	}
 }
 
-// LeaderlessTimes gives when this node last heard of a leader, 0 if it never did, and since when it
-// has seen that nobody leads. A new leader asks for it.
+// LeaderlessTimes returns when this node last observed a leader (0: never), and when a read of the
+// keys first showed that there was none any more. A new leader uses both.
 func (e *Elector) LeaderlessTimes() (lastSeen, leaderlessSince time.Duration) {
 	return e.history.seenAt, e.history.leaderlessSince
 }
 
-// PreviousLeader is what this node knows of the last leader of an epoch before the given one.
+// PreviousLeader returns the record of the last leader whose epoch is below the given one.
 func (e *Elector) PreviousLeader(epoch uint64) LeaderRecord {
 	if e.history.seenEpoch >= epoch {
 		return e.history.prior
@@ -51,30 +51,31 @@
 	return e.history.last
 }
 
-// serviceSilenceLimit is how long the state service must not have answered a node that asks it to
-// count as not answering.
+// serviceSilenceLimit is the time without an answer after which the state service counts as not
+// answering a node that sends it requests.
 const serviceSilenceLimit = 3 * time.Second
 
-// StateServiceAnswers says whether the state service has answered lately. It means something only
-// where nothing was heard of a leader for SilenceLimit: until then the node merely watches.
+// StateServiceAnswers reports whether the state service has answered within serviceSilenceLimit. The
+// result is meaningful only once no leader was observed for SilenceLimit: until then the node only
+// watches the keys and sends no other requests.
 func (e *Elector) StateServiceAnswers(now time.Duration) bool {
 	return now-e.serviceAnsweredAt < serviceSilenceLimit
 }
 
-// StateServiceAnsweredAt is when the state service last answered.
+// StateServiceAnsweredAt returns when the state service last answered.
 func (e *Elector) StateServiceAnsweredAt() time.Duration { return e.serviceAnsweredAt }
 
-// leaderSilent says whether a follower should read the keys instead of waiting for its watch:
-// neither the leader nor the state service was heard of for a while.
+// leaderSilent reports whether a follower should read the keys instead of waiting for its watch: no
+// leader was observed for SilenceLimit, and the state service has not answered for a while either.
 func (e *Elector) leaderSilent(now time.Duration) bool {
 	return e.SilenceLimit > 0 && e.role == Follower && e.history.seenAt > 0 &&
 		now-e.history.seenAt >= e.SilenceLimit &&
 		now-e.serviceAnsweredAt >= serviceSilenceLimit/2
 }
 
-// HeartbeatReceived takes a leader's own word that it leads: a node that the state service does
-// not serve learns from it where to send users and workers. It is a hint for routing; nothing
-// else depends on it.
+// HeartbeatReceived handles the heartbeat of another node that claims to lead. A node that cannot
+// reach the state service learns from it which controller to redirect users and workers to. A leader
+// that receives one of a higher epoch steps down.
 func (e *Elector) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet FleetKnowledge) {
 	if epoch < e.HighestEpoch() || node == e.node {
 		return
--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -1,18 +1,18 @@
-// Package leadership elects the controller that leads, by a key that is bound to a lease of the
-// state service (a consensus-backed key-value store). Each term has a higher epoch, the fencing
-// token. It is kept in a second key, and every write of a leader is conditional on that key's
-// version, so that a late write of a superseded leader fails.
+// Package leadership elects the leading controller by means of a key that is bound to a lease of the
+// state service (a consensus-backed key-value store). Each term has a higher epoch than the
+// term before; the epoch is the fencing token. It is stored in a second key, and every write of a
+// leader is conditional on that key's version, so that a late write of a superseded leader fails.
 //
-// Like all of internal/core the package is a pure state machine without clock, socket or
+// Like all of internal/core, the package is a pure state machine without clock, socket or
 // goroutine: times are passed in as durations on the node's monotonic clock, requests to the
-// state service are returned to the caller, and their results come back as method calls.
+// state service are returned to the caller, and their results are passed back as method calls.
 package leadership
 
 // Keys in the state service.
 const (
 	Prefix    = "lead/"       // of both keys
-	HolderKey = "lead/holder" // exists while somebody leads; it goes with the leader's lease
-	EpochKey  = "lead/epoch"  // the highest epoch so far; it is never deleted
+	HolderKey = "lead/holder" // exists while a node leads; deleted with the leader's lease
+	EpochKey  = "lead/epoch"  // the highest epoch so far; never deleted
 )
 
 // LeaseHolder is the value of both keys.
@@ -21,9 +21,9 @@
 	Epoch uint64 `json:"e"`
 }
 
-// View is what a read of both keys showed. A version is 0 where its key is missing.
+// View is the content of both keys as last seen. The version of a missing key is 0.
 type View struct {
-	Holder        *LeaseHolder // nil: nobody leads
+	Holder        *LeaseHolder // nil: no node leads
 	Epoch         uint64
 	EpochNode     string // the leader of that epoch
 	EpochVersion  uint64
@@ -31,8 +31,8 @@
 	Revision      uint64 // the state service's revision at the time of the read
 }
 
-// Action is what the caller must do for the elector; its result comes back as the input that is
-// named with it.
+// Action is what the caller must do for the elector. The result is passed to the method that the
+// action's comment names.
 type Action uint8
 
 // Actions.
@@ -48,13 +48,13 @@
 // Request is an action with its arguments.
 type Request struct {
 	Action   Action
-	Sequence uint64 // handed back with the result
+	Sequence uint64 // passed back with the result
 	LeaseID  uint64
-	View     View   // what the keys must still be like for ClaimLeadership
-	Revision uint64 // from which WatchKeys waits
+	View     View   // ClaimLeadership succeeds only if the keys are still as in this view
+	Revision uint64 // WatchKeys waits for changes after this revision
 }
 
-// Role is what a node is at present.
+// Role is the current role of a node.
 type Role uint8
 
 // Roles.
@@ -64,12 +64,12 @@
 	Leader
 )
 
-// FleetKnowledge is what a leader says of itself: whether it knows what its machines run.
+// FleetKnowledge is what a leader reports in its heartbeats about whether it knows what its machines run.
 type FleetKnowledge uint8
 
-// What a leader may say.
+// Values of FleetKnowledge.
 const (
-	FleetUnspecified FleetKnowledge = iota // nothing: its version or its settings do not say it
-	FleetReconciling                       // it does not know yet
-	FleetKnown                             // it knows
+	FleetUnspecified FleetKnowledge = iota // not reported: the leader's version or settings do not support it
+	FleetReconciling                       // the leader is still reconciling its state with the machines
+	FleetKnown                             // the leader knows what its machines run
 )
--- a/internal/core/leadership/lease.go
+++ b/internal/core/leadership/lease.go
@@ -3,30 +3,31 @@
 import "time"
 
 const (
-	// renewalsPerTTL is how often a leader renews its lease in the lease's time to live.
+	// renewalsPerTTL is how many times a leader renews its lease within the lease's time to live.
 	renewalsPerTTL = 5
-	// renewRetryDelay follows a renewal that failed without the lease being gone.
+	// renewRetryDelay is the delay after a failed renewal whose lease still exists or may exist.
 	renewRetryDelay = retryDelay / 2
-	// maxClockDrift bounds how far, as a share of the time, the leader's clock and that of the
-	// state service may drift apart: twice what two steady clocks do.
+	// maxClockDrift is the assumed upper bound of the drift between the leader's clock and that of
+	// the state service, as a share of the elapsed time: twice what two steady clocks show.
 	maxClockDrift = 0.001
-	// leaseMargin is taken off the lease's validity besides the drift.
+	// leaseMargin is subtracted from the lease's validity in addition to the drift.
 	leaseMargin = 60 * time.Millisecond
 )
 
-// LeaseValid says whether no other node can be leading. The time is counted from when the last
-// renewal that succeeded was sent: the state service never ends a lease early.
+// LeaseValid reports whether this node leads and no other node can be leading. The validity counts
+// from when the lease's creation or its last successful renewal was sent, since the state service
+// never ends a lease early.
 func (e *Elector) LeaseValid(now time.Duration) bool {
 	return e.role == Leader && now < e.leaseValidUntil
 }
 
-// renewalDue says whether a leader must send the next renewal.
+// renewalDue reports whether this node leads and must send the next renewal.
 func (e *Elector) renewalDue(now time.Duration) bool {
 	return e.role == Leader && e.renewalCall == nil &&
 		now-e.renewalSentAt >= e.leaseTTL/renewalsPerTTL && now >= e.nextAttemptAt
 }
 
-// LeaseRenewed takes the result of RenewLease; gone means that the lease has ended.
+// LeaseRenewed handles the result of RenewLease; gone means that the lease has ended.
 func (e *Elector) LeaseRenewed(now time.Duration, sequence uint64, ok, gone bool) []Request {
 	if !e.renewalCall.matches(sequence) || e.role != Leader {
 		return nil
@@ -45,33 +46,33 @@
 	return nil
 }
 
-// extendLease counts the lease as valid for its time to live after the request that created or
-// renewed it was sent, less what the clocks may differ by.
+// extendLease sets the end of the lease's validity: its time to live after the request that created
+// or renewed it was sent, less the clock drift and leaseMargin.
 func (e *Elector) extendLease(sentAt time.Duration) {
 	until := sentAt + time.Duration(float64(e.leaseTTL)*(1-maxClockDrift)) - leaseMargin
 	e.leaseValidUntil = max(e.leaseValidUntil, until)
 }
 
-// Superseded takes note that a higher epoch was met: a leader of a lower one steps down.
+// Superseded handles the observation of an epoch: a leader of a lower epoch steps down.
 func (e *Elector) Superseded(now time.Duration, epoch uint64) {
 	if epoch > e.epoch && e.role == Leader {
 		e.stepDown(now)
 	}
 }
 
-// Resign gives leadership up and leaves it to the others: this node does not stand for election
-// for at least the pause.
+// Resign gives up leadership so that another node can take over: this node does not stand for
+// election for at least the pause.
 func (e *Elector) Resign(now, pause time.Duration) []Request {
 	if e.role != Leader {
 		return nil
 	}
-	release := e.newRequest(ReleaseLease) // before stepDown, which forgets the lease
+	release := e.newRequest(ReleaseLease) // before stepDown, which clears leaseID
 	e.stepDown(now)
 	e.nextAttemptAt = now + pause
 	return []Request{release}
 }
 
-// stepDown makes a leader a follower that reads the keys next.
+// stepDown turns a leader into a follower that reads the keys next.
 func (e *Elector) stepDown(now time.Duration) {
 	e.role = Follower
 	e.history.recordLeader(now, e.epoch)
