--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -11,12 +11,12 @@
 
 func number(v float64) Value { return Value{Number: &v} }
 
-func limit(most float64) Value { return Value{Limits: &Limits{CPUsMax: most}} }
+func limit(cpusMax float64) Value { return Value{Limits: &Limits{CPUsMax: cpusMax}} }
 
 var (
-	idle  = Item{Tunable: "fleet.idle_return"}
-	red   = Item{Team: "red"}
-	green = Item{Team: "green"}
+	idleReturn = Item{Tunable: "fleet.idle_return"}
+	red        = Item{Team: "red"}
+	green      = Item{Team: "green"}
 )
 
 func platform() *settings.Platform {
@@ -27,19 +27,19 @@
 
 // Invalid changes are rejected with an error that names the field.
 func TestCheck(t *testing.T) {
-	good := []Change{
-		{idle, number(5)},
+	valid := []Change{
+		{idleReturn, number(5)},
 		{red, limit(9)},
 		{green, Value{Removed: true}},
 		{Item{Tunable: "fleet.spot_return"}, Value{}},
 	}
-	if err := Check(good, platform()); err != nil {
+	if err := Check(valid, platform()); err != nil {
 		t.Error(err)
 	}
 	for field, changes := range map[string][]Change{
 		"changes":           nil,
 		"item":              {{Item{}, number(1)}},
-		"fleet.idle_return": {{idle, number(-1)}},
+		"fleet.idle_return": {{idleReturn, number(-1)}},
 		"fleet.no_such":     {{Item{Tunable: "fleet.no_such"}, number(1)}},
 		"leadership.hold":   {{Item{Tunable: "leadership.hold"}, number(3)}},
 		"calendar.night":    {{Item{Tunable: "calendar.night"}, Value{}}},
@@ -51,8 +51,8 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			err := Check(changes, platform())
-			var wrong *settings.FieldError
-			if !errors.As(err, &wrong) || wrong.Field != field || strings.Contains(err.Error(), "\n") {
+			var fieldErr *settings.FieldError
+			if !errors.As(err, &fieldErr) || fieldErr.Field != field || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%v: %v, want an error that names %s", changes, err, field)
 			}
 		})
@@ -70,11 +70,15 @@
 // Undo restores the earlier values and returns an error for a revision that the history does not cover.
 func TestUndo(t *testing.T) {
 	history := []Revision{
-		{Number: 4, Changes: []Change{{idle, number(5)}}, Before: []Value{{}}},
-		{Number: 5, Changes: []Change{{red, limit(9)}, {idle, number(6)}}, Before: []Value{limit(3), number(5)}},
+		{Number: 4, Changes: []Change{{idleReturn, number(5)}}, Before: []Value{{}}},
+		{Number: 5, Changes: []Change{{red, limit(9)}, {idleReturn, number(6)}}, Before: []Value{limit(3), number(5)}},
 		{Number: 6, Changes: []Change{{red, limit(3)}}, Before: []Value{limit(9)}},
 	}
-	for to, want := range map[uint64][]Change{3: {{idle, Value{}}}, 4: {{idle, number(5)}}, 5: {{red, limit(9)}}} {
+	for to, want := range map[uint64][]Change{
+		3: {{idleReturn, Value{}}},
+		4: {{idleReturn, number(5)}},
+		5: {{red, limit(9)}},
+	} {
 		if got, err := Undo(history, to); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("undo to %d: %v %v, want %v", to, got, err, want)
 		}
@@ -89,7 +93,7 @@
 // A replica applies new updates once, ignores updates with a gap, and never returns to an older revision.
 func TestReplica(t *testing.T) {
 	var d Document
-	d.Apply(&Revision{Number: 1, Changes: []Change{{idle, number(5)}, {red, limit(9)}}})
+	d.Apply(&Revision{Number: 1, Changes: []Change{{idleReturn, number(5)}, {red, limit(9)}}})
 	first := d.Update(0)
 	d.Apply(&Revision{Number: 2, Changes: []Change{{red, limit(3)}}})
 	second := d.Update(1)
@@ -111,7 +115,7 @@
 		t.Errorf("the replica has %v, want %v", r.All(), d.All())
 	}
 	var old Document
-	old.Apply(&Revision{Number: 1, Changes: []Change{{idle, number(5)}}})
+	old.Apply(&Revision{Number: 1, Changes: []Change{{idleReturn, number(5)}}})
 	r.CopyFrom(3, &old)
 	if r.Revision() != 2 {
 		t.Error("the replica returned to an older revision")
--- a/internal/core/config/document.go
+++ b/internal/core/config/document.go
@@ -72,12 +72,12 @@
 	return Document{revision: d.revision, items: maps.Clone(d.items)}
 }
 
-// Update returns the update for a controller whose document is at revision has. It is empty for a
-// controller whose revision is not below that of the document.
-func (d *Document) Update(has uint64) Update {
-	update := Update{From: has, To: d.revision}
-	if has < d.revision {
-		update.Sets = d.Since(has)
+// Update returns what was set after revision from, for a controller that has that revision. It contains
+// no items if from is not below the document's revision.
+func (d *Document) Update(from uint64) Update {
+	update := Update{From: from, To: d.revision}
+	if from < d.revision {
+		update.Sets = d.Since(from)
 	}
 	return update
 }
--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -85,24 +85,24 @@
 	var changes []Change
 	indexOf := map[Item]int{}
 	for _, edit := range edits {
-		index, again := indexOf[edit.Item]
-		if !again {
+		index, alreadyEdited := indexOf[edit.Item]
+		if !alreadyEdited {
 			index = len(changes)
 			indexOf[edit.Item] = index
 			changes = append(changes, Change{Item: edit.Item})
 		}
-		if err := edit.applyTo(&changes[index].Value, again, limits); err != nil {
+		if err := edit.applyTo(&changes[index].Value, alreadyEdited, limits); err != nil {
 			return nil, err
 		}
 	}
 	return changes, nil
 }
 
-// applyTo applies the edit to its item's value; again means that another edit of the item has been
-// applied before.
-func (e *Edit) applyTo(value *Value, again bool, limits func(team string) Limits) error {
-	if again && (e.Field == "" || value.Limits == nil) {
-		return e.wrong("is changed twice at once")
+// applyTo applies the edit to its item's value; alreadyEdited means that another edit of the item has
+// been applied before.
+func (e *Edit) applyTo(value *Value, alreadyEdited bool, limits func(team string) Limits) error {
+	if alreadyEdited && (e.Field == "" || value.Limits == nil) {
+		return e.errorf("is changed twice at once")
 	}
 	switch {
 	case e.Field != "":
@@ -112,7 +112,7 @@
 	case e.Item.Team != "":
 		value.Removed = e.Value == valueRemoved
 		if !value.Removed {
-			return e.wrong("must be %q or %q, is %q", valueRemoved, valueSettings, e.Value)
+			return e.errorf("must be %q or %q, is %q", valueRemoved, valueSettings, e.Value)
 		}
 		return nil
 	default:
@@ -134,11 +134,11 @@
 	}
 	field := value.Limits.field(e.Field)
 	if field == nil {
-		return e.wrong("no such field of a team: there are cpus, cpus_max, gpus and gpus_max")
+		return e.errorf("no such field of a team: there are cpus, cpus_max, gpus and gpus_max")
 	}
 	number, err := strconv.ParseFloat(e.Value, 64)
 	if err != nil {
-		return e.wrong("not a number: %q", e.Value)
+		return e.errorf("not a number: %q", e.Value)
 	}
 	*field = number
 	return nil
@@ -159,7 +159,7 @@
 	return nil
 }
 
-// wrong returns an error about the item or field that the edit names.
-func (e *Edit) wrong(why string, args ...any) error {
+// errorf returns an error about the item or field that the edit names.
+func (e *Edit) errorf(why string, args ...any) error {
 	return fieldError(strings.TrimSuffix(e.Item.String()+"."+e.Field, "."), why, args...)
 }
--- a/internal/core/config/edit_test.go
+++ b/internal/core/config/edit_test.go
@@ -28,7 +28,7 @@
 	}
 	want := []Change{
 		{red, Value{Limits: &Limits{CPUs: 1, CPUsMax: 9, GPUs: 2}}},
-		{idle, number(5)},
+		{idleReturn, number(5)},
 		{green, Value{Removed: true}},
 		{Item{Tunable: "fleet.spot_return"}, Value{}},
 	}
@@ -49,8 +49,8 @@
 	}
 }
 
-// changesOf parses edits, combines them into changes and returns the error.
-func changesOf(texts []string) error {
+// changesError parses edits, combines them into changes and returns the error.
+func changesError(texts []string) error {
 	var edits []Edit
 	for _, text := range texts {
 		edit, err := ParseEdit(text)
@@ -64,7 +64,7 @@
 }
 
 // An invalid edit is reported in a single line that starts with the field.
-func TestWrongEdits(t *testing.T) {
+func TestInvalidEdits(t *testing.T) {
 	for list, field := range map[string]string{
 		"team/red":                                "team/red",
 		"teams/red/cpus=1":                        "teams/red/cpus=1",
@@ -78,7 +78,7 @@
 		"fleet.idle_return=1 fleet.idle_return=2": "fleet.idle_return",
 	} {
 		t.Run(list, func(t *testing.T) {
-			err := changesOf(strings.Fields(list))
+			err := changesError(strings.Fields(list))
 			if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
 				t.Errorf("%v, want an error that starts with %s", err, field)
 			}
--- a/internal/core/config/revision.go
+++ b/internal/core/config/revision.go
@@ -33,18 +33,18 @@
 			"%d is not one before the last, or the changes since are not remembered any more", to)
 	}
 	before := map[Item]Value{} // values at revision to of the items that have changed since
-	now := map[Item]Value{}
+	current := map[Item]Value{}
 	for _, revision := range history[first:] {
 		for i, change := range revision.Changes {
 			if _, known := before[change.Item]; !known {
 				before[change.Item] = revision.Before[i]
 			}
-			now[change.Item] = change.Value
+			current[change.Item] = change.Value
 		}
 	}
 	var changes []Change
 	for item, value := range before {
-		if !value.Equal(now[item]) {
+		if !value.Equal(current[item]) {
 			changes = append(changes, Change{Item: item, Value: value})
 		}
 	}
--- a/internal/core/eventlog/decode.go
+++ b/internal/core/eventlog/decode.go
@@ -12,7 +12,7 @@
 		Entries []Entry `json:"e"`
 	}
 	if err := json.Unmarshal(value, &decoded); err != nil {
-		return nil, unreadable(err)
+		return nil, segmentError(err)
 	}
 	for i := range decoded.Entries {
 		if !decoded.Entries[i].recognized() {
@@ -28,7 +28,7 @@
 		Entries []json.RawMessage `json:"e"`
 	}
 	if err := json.Unmarshal(value, &decoded); err != nil {
-		return unreadable(err)
+		return segmentError(err)
 	}
 	for i := range entries {
 		if entries[i].recognized() {
@@ -37,11 +37,11 @@
 		// Compact JSON, as this program writes it: values are compared when they are read back.
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, decoded.Entries[i]); err != nil {
-			return unreadable(err)
+			return segmentError(err)
 		}
 		entries[i].Unknown = compact.Bytes()
 	}
 	return nil
 }
 
-func unreadable(err error) error { return fmt.Errorf("event log: unreadable segment: %w", err) }
+func segmentError(err error) error { return fmt.Errorf("event log: unreadable segment: %w", err) }
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -12,7 +12,7 @@
 func TestInvalidLeadsToSmallerValues(t *testing.T) {
 	s := newStore()
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 8}, "lead/epoch", 1, 0, 0)
-	most, now, invalid := 4000, time.Second, 0
+	maxValueBytes, now, rejections := 4000, time.Second, 0
 	durable := 0
 	for step := 0; durable < 400; step++ {
 		if step > 200 {
@@ -20,30 +20,30 @@
 		}
 		if step < 20 {
 			for n := range uint64(20) {
-				l.AppendTracked(cancel(uint64(step)*20 + n))
+				l.AppendTracked(cancelEntry(uint64(step)*20 + n))
 			}
 		}
 		if step == 5 {
-			most = 600
+			maxValueBytes = 600
 		}
 		now += time.Second
 		txn := l.NextTransaction(now)
 		if txn == nil {
 			continue
 		}
-		out, version, failed := Invalid, uint64(0), []string(nil)
-		if !slices.ContainsFunc(txn.Writes, func(o Write) bool { return len(o.Value) > most }) {
-			out, version, failed = s.apply(*txn)
+		outcome, version, failed := Invalid, uint64(0), []string(nil)
+		if !slices.ContainsFunc(txn.Writes, func(o Write) bool { return len(o.Value) > maxValueBytes }) {
+			outcome, version, failed = s.apply(*txn)
 		} else {
-			invalid++
+			rejections++
 		}
-		durableNow, next := l.CommitResult(now, txn.Sequence, out, version, failed)
+		durableNow, next := l.CommitResult(now, txn.Sequence, outcome, version, failed)
 		if next != Continue {
 			t.Fatalf("step %d: %v", step, next)
 		}
 		durable += len(durableNow)
 	}
-	if invalid == 0 {
+	if rejections == 0 {
 		t.Error("no transaction exceeded the lower limit: the case does not occur")
 	}
 	got := s.ids(t)
@@ -58,13 +58,13 @@
 // rejected transaction ends the term instead of being retried forever.
 func TestInvalidEndsTheTerm(t *testing.T) {
 	l := NewLog(Limits{WriteRPS: 1000, ValueBytes: minValueBytes, TxnOps: 4}, "lead/epoch", 1, 0, 0)
-	l.AppendTracked(cancel(1))
+	l.AppendTracked(cancelEntry(1))
 	txn := l.NextTransaction(time.Second)
 	if _, step := l.CommitResult(time.Second, txn.Sequence, Invalid, 0, nil); step != TermLost {
 		t.Error("the smallest values were rejected, but the term continues")
 	}
 	l = NewLog(Limits{WriteRPS: 1000, ValueBytes: 4000, TxnOps: 4}, "lead/epoch", 1, 0, 0)
-	l.AppendTracked(cancel(1))
+	l.AppendTracked(cancelEntry(1))
 	txn = l.NextTransaction(time.Second)
 	l.CommitResult(time.Second, txn.Sequence, Unknown, 0, nil)
 	l.ReadBack(time.Second, true, 0, nil)
@@ -89,7 +89,7 @@
 	l.SetVirtualSizes(list)
 	now := time.Duration(0)
 	for step := range 60 {
-		l.AppendTracked(cancel(uint64(step)))
+		l.AppendTracked(cancelEntry(uint64(step)))
 		now += 200 * time.Millisecond
 		txn := l.NextTransaction(now)
 		if txn == nil {
@@ -98,9 +98,9 @@
 		if len(txn.Writes) > 4 {
 			t.Fatalf("%d writes in a transaction, want at most 4", len(txn.Writes))
 		}
-		out, version, failed := Refused, uint64(0), []string(nil)
+		outcome, version, failed := Refused, uint64(0), []string(nil)
 		if step%5 > 0 {
-			out, version, failed = s.apply(*txn)
+			outcome, version, failed = s.apply(*txn)
 			for _, w := range txn.Writes {
 				if w.Remove {
 					delete(s.versions, w.Key)
@@ -108,7 +108,7 @@
 				}
 			}
 		}
-		l.CommitResult(now, txn.Sequence, out, version, failed)
+		l.CommitResult(now, txn.Sequence, outcome, version, failed)
 	}
 	found := map[uint64]float64{}
 	for k, raw := range s.data {
@@ -130,22 +130,22 @@
 
 // If only one write is available, the open segment is nearly full and many entries are pending, the
 // write goes to a new segment, which takes more entries.
-func TestNearlyFullSegmentIsLeft(t *testing.T) {
+func TestNearlyFullSegmentIsNotRewritten(t *testing.T) {
 	s := newStore()
 	l := NewLog(Limits{WriteRPS: 100, ValueBytes: 400, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	now := 10 * time.Second
 	commit := func() int {
 		txn := l.NextTransaction(now)
-		out, version, failed := s.apply(*txn)
-		durableNow, _ := l.CommitResult(now, txn.Sequence, out, version, failed)
+		outcome, version, failed := s.apply(*txn)
+		durableNow, _ := l.CommitResult(now, txn.Sequence, outcome, version, failed)
 		return len(durableNow)
 	}
 	for n := range uint64(32) {
-		l.AppendTracked(cancel(100 + n))
+		l.AppendTracked(cancelEntry(100 + n))
 	}
 	commit()
 	for n := range uint64(100) {
-		l.AppendTracked(cancel(200 + n))
+		l.AppendTracked(cancelEntry(200 + n))
 	}
 	l.writeTokens = 1
 	if got := commit(); got < 30 {
@@ -158,10 +158,10 @@
 func TestRemovalsUnderLoad(t *testing.T) {
 	s := newStore()
 	l := NewLog(Limits{WriteRPS: 15, ValueBytes: 2048, TxnOps: 4}, "lead/epoch", 1, 0, 0)
-	removed, sizes, changes := 0, 0, 0
+	removed, sizes, writes := 0, 0, 0
 	for step := range 400 { // 20 s
 		now := time.Duration(step) * 50 * time.Millisecond
-		l.AppendTracked(cancel(uint64(step)))
+		l.AppendTracked(cancelEntry(uint64(step)))
 		if step%20 == 0 {
 			l.DropSegment(1000 + step)
 			l.DropSegment(2000 + step)
@@ -173,7 +173,7 @@
 		if txn == nil {
 			continue
 		}
-		changes += len(txn.Writes)
+		writes += len(txn.Writes)
 		for _, w := range txn.Writes {
 			if w.Remove {
 				removed++
@@ -181,10 +181,10 @@
 				sizes++
 			}
 		}
-		out, version, failed := s.apply(*txn)
-		l.CommitResult(now, txn.Sequence, out, version, failed)
+		outcome, version, failed := s.apply(*txn)
+		l.CommitResult(now, txn.Sequence, outcome, version, failed)
 	}
-	if removed < 30 || sizes < 4 || changes > 20*15 {
-		t.Errorf("%d of 40 segments removed, %d of 4 sizes written, %d writes", removed, sizes, changes)
+	if removed < 30 || sizes < 4 || writes > 20*15 {
+		t.Errorf("%d of 40 segments removed, %d of 4 sizes written, %d writes", removed, sizes, writes)
 	}
 }
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -38,20 +38,20 @@
 
 func (s *store) ids(t *testing.T) []uint64 {
 	t.Helper()
-	var out []uint64
+	var ids []uint64
 	for n := 1; s.versions[SegmentKey(n)] != 0; n++ {
-		es, err := Decode(s.data[SegmentKey(n)])
+		entries, err := Decode(s.data[SegmentKey(n)])
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, e := range es {
-			out = append(out, *e.Cancel)
+		for _, e := range entries {
+			ids = append(ids, *e.Cancel)
 		}
 	}
-	return out
+	return ids
 }
 
-func cancel(n uint64) Entry { return Entry{Cancel: &n} }
+func cancelEntry(n uint64) Entry { return Entry{Cancel: &n} }
 
 var testLimits = Limits{WriteRPS: 1000, ValueBytes: 200, TxnOps: 4}
 
@@ -63,7 +63,7 @@
 	s, l := newStore(), newLog()
 	now := time.Second
 	for n := range uint64(40) {
-		l.AppendTracked(cancel(n))
+		l.AppendTracked(cancelEntry(n))
 	}
 	first := *l.NextTransaction(now)
 	if _, step := l.CommitResult(now, first.Sequence, Unknown, 0, nil); step != ReadBackNeeded {
@@ -72,15 +72,15 @@
 	if durable := l.ReadBack(now, true, 0, nil); durable != nil {
 		t.Fatal("entries reported as durable although the transaction was not applied")
 	}
-	l.AppendTracked(cancel(99))
+	l.AppendTracked(cancelEntry(99))
 	now += time.Second
 	again := l.NextTransaction(now)
 	s.apply(first) // the late copy
-	out, version, failed := s.apply(*again)
-	if out != Conflict {
+	outcome, version, failed := s.apply(*again)
+	if outcome != Conflict {
 		t.Fatal("both attempts were applied")
 	}
-	if _, step := l.CommitResult(now, again.Sequence, out, version, failed); step != ReadBackNeeded {
+	if _, step := l.CommitResult(now, again.Sequence, outcome, version, failed); step != ReadBackNeeded {
 		t.Fatal("the conflict does not request a read-back")
 	}
 	durable := l.ReadBack(now, true, s.versions[l.OpenSegmentKey()], s.data[l.OpenSegmentKey()])
@@ -90,8 +90,8 @@
 		if txn == nil {
 			t.Fatalf("no progress: %d of 41 entries durable", len(durable))
 		}
-		out, version, failed := s.apply(*txn)
-		more, _ := l.CommitResult(now, txn.Sequence, out, version, failed)
+		outcome, version, failed := s.apply(*txn)
+		more, _ := l.CommitResult(now, txn.Sequence, outcome, version, failed)
 		durable = append(durable, more...)
 	}
 	got := s.ids(t)
@@ -107,21 +107,21 @@
 // The open segment is full, so a commit writes only the next one. The first copy of its transaction,
 // whose outcome stayed unknown, arrives after later commits: it must not overwrite the segment with its
 // earlier content. A randomized simulation found this failure.
-func TestLateCopyDoesNotTakeBack(t *testing.T) {
+func TestLateCopyDoesNotOverwriteSegment(t *testing.T) {
 	s, l := newStore(), newLog()
 	now := time.Second
 	step := func() {
 		now += time.Second
 		if txn := l.NextTransaction(now); txn != nil {
-			out, version, failed := s.apply(*txn)
-			l.CommitResult(now, txn.Sequence, out, version, failed)
+			outcome, version, failed := s.apply(*txn)
+			l.CommitResult(now, txn.Sequence, outcome, version, failed)
 		}
 	}
 	for n := uint64(0); l.OpenSegment() == 1 && len(l.openBody) < testLimits.ValueBytes-64-10; n++ {
-		l.AppendTracked(cancel(100 + n))
+		l.AppendTracked(cancelEntry(100 + n))
 		step()
 	}
-	l.AppendTracked(cancel(7_000_000_000_000)) // no longer fits into the open segment
+	l.AppendTracked(cancelEntry(7_000_000_000_000)) // no longer fits into the open segment
 	now += time.Second
 	late := *l.NextTransaction(now)
 	if len(late.Writes) != 1 || late.Writes[0].Key != SegmentKey(2) {
@@ -130,7 +130,7 @@
 	l.CommitResult(now, late.Sequence, Unknown, 0, nil)
 	l.ReadBack(now, true, 0, nil)
 	step()
-	l.AppendTracked(cancel(8))
+	l.AppendTracked(cancelEntry(8))
 	step()
 	before := len(s.ids(t))
 	s.apply(late)
@@ -142,27 +142,27 @@
 // A late transaction of an earlier term fails its condition on the epoch key.
 func TestLateCommitOfEarlierTerm(t *testing.T) {
 	s, l := newStore(), newLog()
-	l.AppendTracked(cancel(1))
+	l.AppendTracked(cancelEntry(1))
 	late := *l.NextTransaction(time.Second)
 	s.revision++
 	s.versions["lead/epoch"] = s.revision
-	out, version, failed := s.apply(late)
-	if out != Conflict || len(s.ids(t)) != 0 {
+	outcome, version, failed := s.apply(late)
+	if outcome != Conflict || len(s.ids(t)) != 0 {
 		t.Fatal("a write of a superseded leader was applied")
 	}
-	if _, step := l.CommitResult(time.Second, late.Sequence, out, version, failed); step != TermLost {
+	if _, step := l.CommitResult(time.Second, late.Sequence, outcome, version, failed); step != TermLost {
 		t.Error("the term does not end")
 	}
 }
 
-func TestLimitsAreKept(t *testing.T) {
+func TestLimitsAreRespected(t *testing.T) {
 	s, l := newStore(), newLog()
 	now, puts := time.Second, 0
 	small := testLimits
 	small.WriteRPS = 10
 	l.limits = small
 	for n := range uint64(200) {
-		l.AppendTracked(cancel(n))
+		l.AppendTracked(cancelEntry(n))
 	}
 	for l.PendingCount() > 0 && now < time.Minute {
 		if txn := l.NextTransaction(now); txn != nil {
@@ -175,8 +175,8 @@
 					t.Fatalf("a value of %d bytes exceeds the limit", len(w.Value))
 				}
 			}
-			out, version, failed := s.apply(*txn)
-			l.CommitResult(now, txn.Sequence, out, version, failed)
+			outcome, version, failed := s.apply(*txn)
+			l.CommitResult(now, txn.Sequence, outcome, version, failed)
 		}
 		now += 10 * time.Millisecond
 	}
@@ -221,7 +221,7 @@
 	key := ComponentValueKey("d", 7)
 	put := func(v string) *Transaction {
 		now += time.Second
-		if !l.AppendWithValue(cancel(1), key, json.RawMessage(v)) {
+		if !l.AppendWithValue(cancelEntry(1), key, json.RawMessage(v)) {
 			t.Fatal("refused")
 		}
 		return l.NextTransaction(now)
@@ -233,40 +233,40 @@
 	l.ReadBack(now, true, 0, nil) // the transaction was not applied
 	now += time.Second
 	again := l.NextTransaction(now)
-	out, version, failed := s.apply(*again)
-	facts, _ := l.CommitResult(now, again.Sequence, out, version, failed)
-	if len(facts) != 1 || string(s.data[key]) != `"old"` {
-		t.Errorf("%d durable entries, value %s", len(facts), s.data[key])
+	outcome, version, failed := s.apply(*again)
+	durable, _ := l.CommitResult(now, again.Sequence, outcome, version, failed)
+	if len(durable) != 1 || string(s.data[key]) != `"old"` {
+		t.Errorf("%d durable entries, value %s", len(durable), s.data[key])
 	}
 	next := put(`"new"`)
-	out, version, failed = s.apply(*next)
-	if facts, _ := l.CommitResult(now, next.Sequence, out, version, failed); len(facts) != 1 {
-		t.Errorf("%d durable entries, want 1", len(facts))
+	outcome, version, failed = s.apply(*next)
+	if durable, _ := l.CommitResult(now, next.Sequence, outcome, version, failed); len(durable) != 1 {
+		t.Errorf("%d durable entries, want 1", len(durable))
 	}
-	if out, _, _ := s.apply(first); out != Conflict || string(s.data[key]) != `"new"` {
-		t.Errorf("outcome %v of a late copy, value %s", out, s.data[key])
+	if outcome, _, _ := s.apply(first); outcome != Conflict || string(s.data[key]) != `"new"` {
+		t.Errorf("outcome %v of a late copy, value %s", outcome, s.data[key])
 	}
 	if n, err := ComponentValueNumber("d", key); n != 7 || err != nil {
 		t.Errorf("%d %v", n, err)
 	}
-	if l.AppendWithValue(cancel(1), key, make(json.RawMessage, testLimits.ValueBytes)) {
+	if l.AppendWithValue(cancelEntry(1), key, make(json.RawMessage, testLimits.ValueBytes)) {
 		t.Error("a value that is too large was accepted")
 	}
 	// The service rejects a value as too large: value and entry are dropped, other entries are written.
 	l.limits.ValueBytes = 4000
-	if !l.AppendWithValue(cancel(2), key, make(json.RawMessage, 3000)) {
+	if !l.AppendWithValue(cancelEntry(2), key, make(json.RawMessage, 3000)) {
 		t.Fatal("refused")
 	}
-	l.AppendTracked(cancel(3))
+	l.AppendTracked(cancelEntry(3))
 	now += time.Second
 	txn := l.NextTransaction(now)
 	l.CommitResult(now, txn.Sequence, Invalid, 0, nil)
 	now += time.Second
 	txn = l.NextTransaction(now)
-	out, version, failed = s.apply(*txn)
-	facts, _ = l.CommitResult(now, txn.Sequence, out, version, failed)
-	if len(facts) != 1 || *facts[0].Cancel != 3 || len(txn.Writes) != 1 {
-		t.Errorf("%d durable entries in %d writes", len(facts), len(txn.Writes))
+	outcome, version, failed = s.apply(*txn)
+	durable, _ = l.CommitResult(now, txn.Sequence, outcome, version, failed)
+	if len(durable) != 1 || *durable[0].Cancel != 3 || len(txn.Writes) != 1 {
+		t.Errorf("%d durable entries in %d writes", len(durable), len(txn.Writes))
 	}
 	if l.DurableCount() != l.AppendedCount() {
 		t.Errorf("%d of %d entries durable", l.DurableCount(), l.AppendedCount())
--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -17,13 +17,13 @@
 // MaxPoolUnits is the maximum number of units that a pool may have and that a job may need of a pool.
 const MaxPoolUnits = 1_000_000_000
 
-// guardPrefix is the prefix of a machine type name that replaces the machine types of a job that needs
-// units of pools. A version without support for pools finds no machine of that type and so never
-// starts a task of the job; it preserves the name whenever it rewrites the entry.
-const guardPrefix = "counted:"
+// poolUnitsTypePrefix is the prefix of a machine type name that replaces the machine types of a job
+// that needs units of pools. A version without support for pools finds no machine of that type and so
+// never starts a task of the job; it preserves the name whenever it rewrites the entry.
+const poolUnitsTypePrefix = "counted:"
 
-// guardedNeeds is encoded as JSON after the prefix.
-type guardedNeeds struct {
+// hiddenPoolUnits is encoded as JSON after the prefix.
+type hiddenPoolUnits struct {
 	Types   []string    `json:"t,omitempty"`
 	Counted []PoolUnits `json:"c"`
 }
@@ -34,11 +34,11 @@
 	if len(j.Counted) == 0 {
 		return
 	}
-	raw, err := json.Marshal(guardedNeeds{Types: j.Types, Counted: j.Counted})
+	raw, err := json.Marshal(hiddenPoolUnits{Types: j.Types, Counted: j.Counted})
 	if err != nil {
 		panic(fmt.Sprintf("event log: units of pools not encodable: %v", err)) // they are names and numbers
 	}
-	j.Types, j.Counted = []string{guardPrefix + string(raw)}, nil
+	j.Types, j.Counted = []string{poolUnitsTypePrefix + string(raw)}, nil
 }
 
 // RevealPoolUnits reverses HideFromOlderVersions. A name that cannot be decoded is left unchanged, so
@@ -47,11 +47,11 @@
 	if len(j.Types) != 1 {
 		return
 	}
-	raw, hidden := strings.CutPrefix(j.Types[0], guardPrefix)
+	raw, hidden := strings.CutPrefix(j.Types[0], poolUnitsTypePrefix)
 	if !hidden {
 		return
 	}
-	var needs guardedNeeds
+	var needs hiddenPoolUnits
 	if err := json.Unmarshal([]byte(raw), &needs); err != nil || len(needs.Counted) == 0 {
 		return
 	}
--- a/internal/core/eventlog/result.go
+++ b/internal/core/eventlog/result.go
@@ -39,19 +39,19 @@
 	case Applied:
 		return l.finishCommit(commit, version), Continue
 	case Conflict:
-		return nil, l.conflicted(commit, failedKeys)
+		return nil, l.handleConflict(commit, failedKeys)
 	case Unknown:
-		return nil, l.unanswered(commit)
+		return nil, l.handleUnknown(commit)
 	case Invalid:
-		return nil, l.rejected(commit)
+		return nil, l.handleInvalid(commit)
 	default:
-		return nil, l.refused(now, commit)
+		return nil, l.handleRefused(now, commit)
 	}
 }
 
-// conflicted handles an outcome in which a condition was not met. This is expected only if an earlier
-// attempt may have been executed; otherwise, or if the epoch key has changed, the term is lost.
-func (l *Log) conflicted(commit *inflightCommit, failedKeys []string) CommitStep {
+// handleConflict handles an outcome in which a condition was not met. This is expected only if an
+// earlier attempt may have been executed; otherwise, or if the epoch key has changed, the term is lost.
+func (l *Log) handleConflict(commit *inflightCommit, failedKeys []string) CommitStep {
 	if slices.Contains(failedKeys, l.epochKey) {
 		return TermLost
 	}
@@ -62,8 +62,8 @@
 	return ReadBackNeeded
 }
 
-// unanswered handles an unknown outcome: the transaction may have been executed or may still be.
-func (l *Log) unanswered(commit *inflightCommit) CommitStep {
+// handleUnknown handles an unknown outcome: the transaction may have been executed or may still be.
+func (l *Log) handleUnknown(commit *inflightCommit) CommitStep {
 	if commit.entryCount == 0 {
 		// It contains only sizes and removals of segments: both can be executed twice.
 		l.requeue(commit)
@@ -74,10 +74,10 @@
 	return ReadBackNeeded
 }
 
-// rejected handles a transaction that the service rejects as too large. This should never happen; if it
-// does, smaller values are tried in new segments. If an earlier attempt may have been executed, or the
-// values cannot get any smaller, the term ends instead: the next one starts from the stored state.
-func (l *Log) rejected(commit *inflightCommit) CommitStep {
+// handleInvalid handles a transaction that the service rejects as too large. This should never happen;
+// if it does, smaller values are tried in new segments. If an earlier attempt may have been executed, or
+// the values cannot get any smaller, the term ends instead: the next one starts from the stored state.
+func (l *Log) handleInvalid(commit *inflightCommit) CommitStep {
 	if commit.maybeExecuted || l.limits.ValueBytes <= minValueBytes {
 		return TermLost
 	}
@@ -90,8 +90,8 @@
 	return Continue
 }
 
-// refused handles a transaction that was not executed: it is tried again after an increasing delay.
-func (l *Log) refused(now time.Duration, commit *inflightCommit) CommitStep {
+// handleRefused handles a transaction that was not executed: it is retried after an increasing delay.
+func (l *Log) handleRefused(now time.Duration, commit *inflightCommit) CommitStep {
 	l.failures++
 	l.retryAt = now + time.Duration(min(l.failures, maxRefusalDelays))*refusalDelay
 	if !commit.maybeExecuted {
--- a/internal/core/leadership/elector_test.go
+++ b/internal/core/leadership/elector_test.go
@@ -11,8 +11,8 @@
 	electedAt = 10 * time.Second
 )
 
-// only returns the single request of a list and fails the test unless there is one with the action.
-func only(t *testing.T, requests []Request, action Action) Request {
+// oneRequest returns the only request of a list and fails the test unless it has the action.
+func oneRequest(t *testing.T, requests []Request, action Action) Request {
 	t.Helper()
 	if len(requests) != 1 || requests[0].Action != action {
 		t.Fatalf("requests %+v, want one of action %d", requests, action)
@@ -24,9 +24,9 @@
 func elect(t *testing.T, e *Elector) {
 	t.Helper()
 	const now = electedAt
-	read := only(t, e.Tick(now), ReadKeys)
-	create := only(t, e.KeysRead(now, read.Sequence, true, View{Epoch: 4, EpochVersion: 40}), CreateLease)
-	claim := only(t, e.LeaseCreated(now+time.Second, create.Sequence, true, 77), ClaimLeadership)
+	read := oneRequest(t, e.Tick(now), ReadKeys)
+	create := oneRequest(t, e.KeysRead(now, read.Sequence, true, View{Epoch: 4, EpochVersion: 40}), CreateLease)
+	claim := oneRequest(t, e.LeaseCreated(now+time.Second, create.Sequence, true, 77), ClaimLeadership)
 	if claim.LeaseID != 77 || claim.View.EpochVersion != 40 {
 		t.Fatalf("claim %+v, want lease 77 and epoch version 40", claim)
 	}
@@ -88,10 +88,10 @@
 func TestFailedClaimReleasesTheLease(t *testing.T) {
 	e := NewElector("a", testTTL)
 	now := 10 * time.Second
-	read := only(t, e.Tick(now), ReadKeys)
-	create := only(t, e.KeysRead(now, read.Sequence, true, View{}), CreateLease)
-	claim := only(t, e.LeaseCreated(now, create.Sequence, true, 77), ClaimLeadership)
-	release := only(t, e.LeadershipClaimed(now, claim.Sequence, false, 0), ReleaseLease)
+	read := oneRequest(t, e.Tick(now), ReadKeys)
+	create := oneRequest(t, e.KeysRead(now, read.Sequence, true, View{}), CreateLease)
+	claim := oneRequest(t, e.LeaseCreated(now, create.Sequence, true, 77), ClaimLeadership)
+	release := oneRequest(t, e.LeadershipClaimed(now, claim.Sequence, false, 0), ReleaseLease)
 	if release.LeaseID != 77 || e.Role() != Follower || e.LeaseValid(now) {
 		t.Errorf("lease %d released, role %d", release.LeaseID, e.Role())
 	}
@@ -133,25 +133,25 @@
 func TestResignedNodePauses(t *testing.T) {
 	e := NewElector("a", testTTL)
 	elect(t, e)
-	release := only(t, e.Resign(11*time.Second, 5*time.Second), ReleaseLease)
+	release := oneRequest(t, e.Resign(11*time.Second, 5*time.Second), ReleaseLease)
 	if release.LeaseID != 77 {
 		t.Errorf("lease %d released, want 77", release.LeaseID)
 	}
-	read := only(t, e.Tick(12*time.Second), ReadKeys)
-	watch := only(t, e.KeysRead(12*time.Second, read.Sequence, true, View{Epoch: 5}), WatchKeys)
-	read = only(t, e.WatchEnded(17*time.Second, watch.Sequence, true), ReadKeys)
-	only(t, e.KeysRead(17*time.Second, read.Sequence, true, View{Epoch: 5}), CreateLease)
+	read := oneRequest(t, e.Tick(12*time.Second), ReadKeys)
+	watch := oneRequest(t, e.KeysRead(12*time.Second, read.Sequence, true, View{Epoch: 5}), WatchKeys)
+	read = oneRequest(t, e.WatchEnded(17*time.Second, watch.Sequence, true), ReadKeys)
+	oneRequest(t, e.KeysRead(17*time.Second, read.Sequence, true, View{Epoch: 5}), CreateLease)
 }
 
 // A follower that has observed no leader for SilenceLimit, and no recent answer of the state service,
 // reads the keys in addition to its watch.
-func TestSilentLeaderIsAskedFor(t *testing.T) {
+func TestSilentLeaderCausesRead(t *testing.T) {
 	e := NewElector("a", testTTL)
 	e.SilenceLimit = 4 * time.Second
 	now := 10 * time.Second
-	read := only(t, e.Tick(now), ReadKeys)
+	read := oneRequest(t, e.Tick(now), ReadKeys)
 	holder := View{Holder: &LeaseHolder{Node: "b", Epoch: 7}, Epoch: 7}
-	only(t, e.KeysRead(now, read.Sequence, true, holder), WatchKeys)
+	oneRequest(t, e.KeysRead(now, read.Sequence, true, holder), WatchKeys)
 	if e.LeaderName() != "b" || !e.Watching() {
 		t.Fatalf("leader %q, watching %v", e.LeaderName(), e.Watching())
 	}
@@ -162,7 +162,7 @@
 	if out := e.Tick(now + e.SilenceLimit); out != nil {
 		t.Errorf("requests although a heartbeat was received: %+v", out)
 	}
-	only(t, e.Tick(now+3*time.Second+e.SilenceLimit), ReadKeys)
+	oneRequest(t, e.Tick(now+3*time.Second+e.SilenceLimit), ReadKeys)
 }
 
 func TestPreviousLeader(t *testing.T) {
--- a/internal/core/leadership/leaderless.go
+++ b/internal/core/leadership/leaderless.go
@@ -14,7 +14,7 @@
 	seenAt          time.Duration // when a leader was last observed; 0: never
 	seenEpoch       uint64        // the epoch of that leader
 	last            LeaderRecord  // the leader of that epoch
-	prior           LeaderRecord  // the leader before that one
+	previous        LeaderRecord  // the leader before that one
 	leaderlessSince time.Duration // when a read of the keys first showed no leader
 	leaderless      bool          // the last read of the keys showed no leader
 }
@@ -22,7 +22,7 @@
 // recordLeader records that a node leads with an epoch, or led with it until now.
 func (h *leaderHistory) recordLeader(now time.Duration, epoch uint64) {
 	if epoch != h.seenEpoch {
-		h.prior = h.last
+		h.previous = h.last
 		h.last = LeaderRecord{Known: true, Since: now}
 		h.seenEpoch = epoch
 	}
@@ -46,7 +46,7 @@
 // PreviousLeader returns the record of the last leader whose epoch is below the given one.
 func (e *Elector) PreviousLeader(epoch uint64) LeaderRecord {
 	if e.history.seenEpoch >= epoch {
-		return e.history.prior
+		return e.history.previous
 	}
 	return e.history.last
 }
