--- a/internal/core/config/change.go
+++ b/internal/core/config/change.go
@@ -12,7 +12,8 @@
 	Value Value `json:"value"`
 }
 
-// Check validates changes by the rules of the settings file; an error names the field.
+// Check returns an error that names the field if a change breaks the rules of the settings file, if an
+// item is changed twice, or if there are no changes or more than MaxChanges.
 func Check(changes []Change, platform *settings.Platform) error {
 	if len(changes) == 0 {
 		return fieldError("changes", "there are none")
--- a/internal/core/config/config.go
+++ b/internal/core/config/config.go
@@ -3,8 +3,8 @@
 //
 // The package contains only data types and their rules: which changes are valid, what a revision
 // changes, the document in force at a revision, and the replica with which a controller follows the
-// leader's document. The leader's component is package reconfig. Like all of internal/core, the
-// package has no clock and does no network I/O: times are passed in.
+// leader's document. Package reconfig, a component of the leader, makes the changes. Like all of
+// internal/core, the package has no clock and does no network I/O: times are passed in.
 //
 // Errors about operators' requests are of type *settings.FieldError, which names the field.
 package config
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -80,7 +80,7 @@
 		5: {{red, limit(9)}},
 	} {
 		if got, err := Undo(history, to); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("undo to %d: %v %v, want %v", to, got, err, want)
+			t.Errorf("undo to %d: changes %v, error %v, want %v", to, got, err, want)
 		}
 	}
 	for _, to := range []uint64{1, 6, 7} {
--- a/internal/core/config/edit_test.go
+++ b/internal/core/config/edit_test.go
@@ -33,7 +33,7 @@
 		{Item{Tunable: "fleet.spot_return"}, Value{}},
 	}
 	if got, err := Changes(edits, currentLimits); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("changes %v, error %v", got, err)
 	}
 	path := filepath.Join(t.TempDir(), "changes.ini")
 	text := "[team red]\ncpus_max = 9\ngpus = 2\n[fleet]\nidle_return = 5\nspot_return = settings\n[team green]\nis = removed\n"
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	if got, err := Changes(edits, currentLimits); err != nil || len(got) != 4 || !reflect.DeepEqual(got[0], want[0]) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("changes %v, error %v", got, err)
 	}
 }
 
--- a/internal/core/config/item.go
+++ b/internal/core/config/item.go
@@ -26,20 +26,20 @@
 	return cmp.Or(strings.Compare(a.Team, b.Team), strings.Compare(a.Tunable, b.Tunable))
 }
 
-// Limits are a team's guarantees and limits; zero means none.
+// Limits are the guaranteed and the maximum numbers of CPUs and GPUs of a team; zero means none.
 type Limits struct {
-	CPUs    float64 `json:"cpus,omitempty"`
-	CPUsMax float64 `json:"cpus_max,omitempty"`
-	GPUs    float64 `json:"gpus,omitempty"`
-	GPUsMax float64 `json:"gpus_max,omitempty"`
+	CPUs    float64 `json:"cpus,omitempty"`     // guaranteed
+	CPUsMax float64 `json:"cpus_max,omitempty"` // maximum
+	GPUs    float64 `json:"gpus,omitempty"`     // guaranteed
+	GPUsMax float64 `json:"gpus_max,omitempty"` // maximum
 }
 
-// LimitsOf returns the limits of a team of the settings.
+// LimitsOf returns the limits that the settings give a team.
 func LimitsOf(team settings.Team) Limits {
 	return Limits{CPUs: team.CPUs, CPUsMax: team.CPUsMax, GPUs: team.GPUs, GPUsMax: team.GPUsMax}
 }
 
-// Team returns a team of the settings with a name and these limits.
+// Team returns a team with a name and these limits in the form that the settings use.
 func (l Limits) Team(name string) settings.Team {
 	return settings.Team{Name: name, CPUs: l.CPUs, CPUsMax: l.CPUsMax, GPUs: l.GPUs, GPUsMax: l.GPUsMax}
 }
--- a/internal/core/config/revision.go
+++ b/internal/core/config/revision.go
@@ -5,9 +5,9 @@
 // Revision is a set of changes that is applied as a whole or not at all.
 type Revision struct {
 	Number  uint64   `json:"revision"`
-	ID      string   `json:"id"` // makes the request idempotent
-	By      string   `json:"by,omitempty"`
-	AtMS    int64    `json:"at_ms"` // time of day
+	ID      string   `json:"id"`           // makes the request idempotent
+	By      string   `json:"by,omitempty"` // the operator who requested it
+	AtMS    int64    `json:"at_ms"`        // time of day, in ms
 	Note    string   `json:"note,omitempty"`
 	Changes []Change `json:"changes"`
 	Before  []Value  `json:"before"` // the value that each change replaced
--- a/internal/core/eventlog/commit.go
+++ b/internal/core/eventlog/commit.go
@@ -82,7 +82,7 @@
 	values  []Write // components' values
 	bytes   int     // of entries and values so far
 	writes  int     // needed by the entries so far
-	// leaveOpen means that the open segment is not changed: entries go into a new one.
+	// leaveOpen means that the open segment is left unchanged: entries go into a new one.
 	leaveOpen bool
 }
 
--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -80,7 +80,7 @@
 	ID       uint64 `json:"i"`
 	Class    string `json:"h"` // class of jobs with similar run times
 	Team     string `json:"k"`
-	Kind     uint8  `json:"g"` // a job array, a gang, …: jobs.Array and the like
+	Kind     uint8  `json:"g"` // jobs.Array, jobs.Gang, …
 	Priority uint8  `json:"u"`
 	Tasks    int    `json:"n"`
 
@@ -205,5 +205,5 @@
 	SpotPrice    float64  `json:"q"`
 	BootS        float64  `json:"b"` // seconds from the rental until the machine is ready
 	Zones        []string `json:"z"`
-	FurtherZones bool     `json:"w,omitempty"` // Zones are further zones of a type in another entry
+	FurtherZones bool     `json:"w,omitempty"` // the entry only adds Zones to the type of an earlier one
 }
--- a/internal/core/eventlog/limits_test.go
+++ b/internal/core/eventlog/limits_test.go
@@ -39,12 +39,12 @@
 		}
 		durableNow, next := l.CommitResult(now, txn.Sequence, outcome, version, failed)
 		if next != Continue {
-			t.Fatalf("step %d: %v", step, next)
+			t.Fatalf("step %d: CommitResult returned step %v, want Continue", step, next)
 		}
 		durable += len(durableNow)
 	}
 	if rejections == 0 {
-		t.Error("no transaction exceeded the lower limit: the case does not occur")
+		t.Error("no transaction exceeded the lower limit: the case is not reached")
 	}
 	got := s.ids(t)
 	for n := range uint64(400) {
--- a/internal/core/eventlog/log.go
+++ b/internal/core/eventlog/log.go
@@ -35,12 +35,12 @@
 const (
 	maxTransactionBytes = 56 << 10 // below the service's limit of 64 KiB, which includes keys and conditions
 	commitRateShare     = 0.9      // share of WriteRPS for commits; the rest is left for elections
-	minBurst            = 2        // writes that may always be saved up, however low the rate
+	minBurst            = 2        // minimum capacity of the write budget in writes, however low the rate
 	maxWriteDebt        = 2        // writes by which sizes and removals may overdraw the budget
 	segmentOverhead     = 64       // bytes of a value that are not available to entries
 )
 
-// Log is the write side of the log; the leader has one for each term.
+// Log writes the event log; the leader creates one for each term.
 type Log struct {
 	limits       Limits
 	epochKey     string
@@ -50,7 +50,7 @@
 	// The open segment, to which the next commit appends.
 	openSegment int    // its number
 	openVersion uint64 // its version; 0 while it does not exist
-	openBody    []byte // its entries, comma separated, as committed or in flight
+	openBody    []byte // its entries as last committed, comma separated
 	openSealed  bool   // it may be too large to be rewritten, so nothing is appended to it
 
 	// Entries that are not known to be durable, and the commit in flight, which contains the first ones.
@@ -64,13 +64,13 @@
 	// The write budget, a token bucket.
 	writeTokens float64
 	refilledAt  time.Duration
-	retryAt     time.Duration // no commit before this
+	retryAt     time.Duration // no transaction is sent before this
 	failures    int           // consecutive refusals
 
 	// Virtual sizes.
 	pendingSizes    []Write // pieces of the latest list that are not written yet
-	storedSizes     int     // number of pieces that may be stored
-	wantedSizes     int     // number of pieces of the latest list
+	storedPieces    int     // number of pieces that may be stored
+	wantedPieces    int     // number of pieces of the latest list
 	sizesGeneration int     // incremented with each list
 
 	pendingRemovals []string // keys of segments whose live entries have been rewritten
@@ -90,17 +90,17 @@
 	return len(p.raw) + len(p.value.Value)
 }
 
-// NewLog returns the log of a term, which continues after the last segment that was read. sizes is the
-// number of pieces of virtual sizes that were read: those that the first list of this term does not
+// NewLog returns the log of a term, which continues after the last segment that was read. sizePieces is
+// the number of pieces of virtual sizes that were read: those that the first list of this term does not
 // overwrite are removed when that list is written.
-func NewLog(limits Limits, epochKey string, epochVersion uint64, lastSegment, sizes int) *Log {
+func NewLog(limits Limits, epochKey string, epochVersion uint64, lastSegment, sizePieces int) *Log {
 	return &Log{
 		limits:       limits,
 		epochKey:     epochKey,
 		epochVersion: epochVersion,
 		openSegment:  lastSegment + 1,
 		writeTokens:  1,
-		storedSizes:  sizes,
+		storedPieces: sizePieces,
 	}
 }
 
@@ -143,7 +143,7 @@
 func (l *Log) append(e Entry, tracked *Entry, value *Write) {
 	raw, err := e.encode()
 	if err != nil {
-		panic(fmt.Sprintf("event log: entry not encodable: %v", err)) // no entry holds such a value
+		panic(fmt.Sprintf("event log: entry not encodable: %v", err)) // all fields are encodable
 	}
 	l.pending = append(l.pending, pendingEntry{raw, tracked, value})
 	l.pendingBytes += len(raw) + 1
@@ -175,7 +175,8 @@
 // segmentCapacity returns the maximum number of bytes of entries in a segment.
 func (l *Log) segmentCapacity() int { return l.limits.ValueBytes - segmentOverhead }
 
-// OpenSegment returns the number of the open segment.
+// OpenSegment returns the number of the open segment: the last one committed or, before the term's first
+// commit, the one after the last segment that was read.
 func (l *Log) OpenSegment() int { return l.openSegment }
 
 // DropSegment queues the removal of a segment whose live entries are durable elsewhere.
--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -125,7 +125,7 @@
 	now += time.Second
 	late := *l.NextTransaction(now)
 	if len(late.Writes) != 1 || late.Writes[0].Key != SegmentKey(2) {
-		t.Fatalf("the case does not occur: %d writes, the first to %s", len(late.Writes), late.Writes[0].Key)
+		t.Fatalf("the case is not reached: %d writes, the first to %s", len(late.Writes), late.Writes[0].Key)
 	}
 	l.CommitResult(now, late.Sequence, Unknown, 0, nil)
 	l.ReadBack(now, true, 0, nil)
@@ -187,7 +187,7 @@
 		t.Errorf("%d puts in %v exceed the rate", puts, now-time.Second)
 	}
 	if got := s.ids(t); len(got) != 200 {
-		t.Errorf("%d of 200 entries", len(got))
+		t.Errorf("%d of 200 entries are in the log", len(got))
 	}
 }
 
@@ -208,7 +208,7 @@
 		seen += len(v.Sizes)
 	}
 	if seen != 10 {
-		t.Errorf("%d of 10 sizes", seen)
+		t.Errorf("%d of 10 sizes were written", seen)
 	}
 }
 
@@ -247,7 +247,7 @@
 		t.Errorf("outcome %v of a late copy, value %s", outcome, s.data[key])
 	}
 	if n, err := ComponentValueNumber("d", key); n != 7 || err != nil {
-		t.Errorf("%d %v", n, err)
+		t.Errorf("value number %d, error %v, want 7 and no error", n, err)
 	}
 	if l.AppendWithValue(cancelEntry(1), key, make(json.RawMessage, testLimits.ValueBytes)) {
 		t.Error("a value that is too large was accepted")
@@ -266,7 +266,7 @@
 	outcome, version, failed = s.apply(*txn)
 	durable, _ = l.CommitResult(now, txn.Sequence, outcome, version, failed)
 	if len(durable) != 1 || *durable[0].Cancel != 3 || len(txn.Writes) != 1 {
-		t.Errorf("%d durable entries in %d writes", len(durable), len(txn.Writes))
+		t.Errorf("%d durable entries, %d writes, want only entry 3 and 1 write", len(durable), len(txn.Writes))
 	}
 	if l.DurableCount() != l.AppendedCount() {
 		t.Errorf("%d of %d entries durable", l.DurableCount(), l.AppendedCount())
--- a/internal/core/eventlog/result.go
+++ b/internal/core/eventlog/result.go
@@ -101,7 +101,7 @@
 }
 
 // dropPendingValues drops the pending values, which may now be too large. Their entries are replaced by
-// empty ones, because entries are counted.
+// empty ones, because AppendedCount includes them.
 func (l *Log) dropPendingValues() {
 	for i := range l.pending {
 		p := &l.pending[i]
@@ -129,7 +129,7 @@
 	l.failures = 0
 	l.inflight = nil
 	if commit.sizesGeneration == l.sizesGeneration && len(commit.sizes) > 0 && len(l.pendingSizes) == 0 {
-		l.storedSizes = l.wantedSizes // all pieces beyond these have been removed
+		l.storedPieces = l.wantedPieces // all pieces beyond these have been removed
 	}
 	if commit.entryCount == 0 {
 		return nil
--- a/internal/core/eventlog/sizes.go
+++ b/internal/core/eventlog/sizes.go
@@ -39,9 +39,9 @@
 	for number, piece := range pieces {
 		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesPieceKey(number), Value: encodeSizes(piece)})
 	}
-	l.wantedSizes = len(pieces)
-	l.storedSizes = max(l.storedSizes, l.wantedSizes)
-	for number := l.wantedSizes; number < l.storedSizes; number++ {
+	l.wantedPieces = len(pieces)
+	l.storedPieces = max(l.storedPieces, l.wantedPieces)
+	for number := l.wantedPieces; number < l.storedPieces; number++ {
 		l.pendingSizes = append(l.pendingSizes, Write{Key: sizesPieceKey(number), Remove: true})
 	}
 }
--- a/internal/core/eventlog/split.go
+++ b/internal/core/eventlog/split.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// EntryOverheadBytes is the number of bytes allowed for the rest of an entry that holds a split list.
+// EntryOverheadBytes is the number of bytes reserved for the rest of an entry that holds a split list.
 const EntryOverheadBytes = 64
 
 // SplitNames splits names into lists of at most room bytes of JSON each. Each list has at least one name,
--- a/internal/core/leadership/election.go
+++ b/internal/core/leadership/election.go
@@ -40,8 +40,9 @@
 	return !e.viewKnown || e.leaderSilent(now) || (e.watchCall == nil && e.role != Candidate)
 }
 
-// KeysRead handles the result of ReadKeys. If no node leads and this node may stand for election, it
-// starts one; otherwise it opens a watch unless one is open.
+// KeysRead handles the result of ReadKeys. A leader steps down if the epoch has changed. On any other
+// node, if no node leads and this one may stand for election, it starts an election; otherwise it opens
+// a watch unless one is open.
 func (e *Elector) KeysRead(now time.Duration, sequence uint64, ok bool, view View) []Request {
 	if _, awaited := finish(&e.readCall, sequence); !awaited {
 		return nil
--- a/internal/core/leadership/elector.go
+++ b/internal/core/leadership/elector.go
@@ -12,7 +12,7 @@
 	leaseTTL time.Duration
 
 	role      Role
-	view      View // the keys as last seen
+	view      View // the keys as last read; heartbeats update Holder and Epoch
 	viewKnown bool // the keys were read since the role last changed to follower
 
 	// The current term of this node, or its last one.
@@ -60,10 +60,11 @@
 // EpochVersion returns the version of the epoch key on which the term's writes are conditional.
 func (e *Elector) EpochVersion() uint64 { return e.epochVersion }
 
-// HighestEpoch returns the highest epoch that the node has seen.
+// HighestEpoch returns the highest epoch that the node has led with or observed.
 func (e *Elector) HighestEpoch() uint64 { return max(e.epoch, e.view.Epoch) }
 
-// LeaderName returns the node that held the holder key when last seen, or an empty string.
+// LeaderName returns the name of the current leader as far as this node has observed one in the keys or
+// in heartbeats, or an empty string.
 func (e *Elector) LeaderName() string {
 	if e.role == Leader {
 		return e.node
--- a/internal/core/leadership/leaderless.go
+++ b/internal/core/leadership/leaderless.go
@@ -38,7 +38,7 @@
 }
 
 // LeaderlessTimes returns when this node last observed a leader (0: never), and when a read of the
-// keys first showed that there was none any more. A new leader uses both.
+// keys first showed that there was none any more. A term that begins on this node receives both.
 func (e *Elector) LeaderlessTimes() (lastSeen, leaderlessSince time.Duration) {
 	return e.history.seenAt, e.history.leaderlessSince
 }
@@ -51,8 +51,8 @@
 	return e.history.last
 }
 
-// serviceSilenceLimit is the time without an answer after which the state service counts as not
-// answering a node that sends it requests.
+// serviceSilenceLimit is the time without an answer after which a node that sends requests to the state
+// service treats it as not answering.
 const serviceSilenceLimit = 3 * time.Second
 
 // StateServiceAnswers reports whether the state service has answered within serviceSilenceLimit. The
--- a/internal/core/leadership/leadership.go
+++ b/internal/core/leadership/leadership.go
@@ -10,7 +10,7 @@
 
 // Keys in the state service.
 const (
-	Prefix    = "lead/"       // of both keys
+	Prefix    = "lead/"       // prefix of both keys
 	HolderKey = "lead/holder" // exists while a node leads; deleted with the leader's lease
 	EpochKey  = "lead/epoch"  // the highest epoch so far; never deleted
 )
@@ -21,7 +21,7 @@
 	Epoch uint64 `json:"e"`
 }
 
-// View is the content of both keys as last seen. The version of a missing key is 0.
+// View is the content of both keys as a node last observed it. The version of a missing key is 0.
 type View struct {
 	Holder        *LeaseHolder // nil: no node leads
 	Epoch         uint64
@@ -49,7 +49,7 @@
 type Request struct {
 	Action   Action
 	Sequence uint64 // passed back with the result
-	LeaseID  uint64
+	LeaseID  uint64 // the lease of ClaimLeadership, RenewLease or ReleaseLease
 	View     View   // ClaimLeadership succeeds only if the keys are still as in this view
 	Revision uint64 // WatchKeys waits for changes after this revision
 }
@@ -59,9 +59,9 @@
 
 // Roles.
 const (
-	Follower Role = iota
-	Candidate
-	Leader
+	Follower  Role = iota // does not lead
+	Candidate             // awaits the result of CreateLease or ClaimLeadership
+	Leader                // has claimed leadership; its lease may have expired
 )
 
 // FleetKnowledge is what a leader reports in its heartbeats about whether it knows what its machines run.
--- a/internal/core/leadership/lease.go
+++ b/internal/core/leadership/lease.go
@@ -5,18 +5,19 @@
 const (
 	// renewalsPerTTL is how many times a leader renews its lease within the lease's time to live.
 	renewalsPerTTL = 5
-	// renewRetryDelay is the delay after a failed renewal whose lease still exists or may exist.
+	// renewRetryDelay is the delay before the next renewal after one that failed, unless the lease has
+	// ended.
 	renewRetryDelay = retryDelay / 2
 	// maxClockDrift is the assumed upper bound of the drift between the leader's clock and that of
-	// the state service, as a share of the elapsed time: twice what two steady clocks show.
+	// the state service, as a share of the elapsed time: twice the drift of two stable clocks.
 	maxClockDrift = 0.001
 	// leaseMargin is subtracted from the lease's validity in addition to the drift.
 	leaseMargin = 60 * time.Millisecond
 )
 
-// LeaseValid reports whether this node leads and no other node can be leading. The validity counts
-// from when the lease's creation or its last successful renewal was sent, since the state service
-// never ends a lease early.
+// LeaseValid reports whether this node leads and no other node can be leading. The time to live is
+// counted from the sending of CreateLease or of the last successful renewal: the state service counts
+// it from a later time and never ends a lease early.
 func (e *Elector) LeaseValid(now time.Duration) bool {
 	return e.role == Leader && now < e.leaseValidUntil
 }
