--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -11,12 +11,12 @@
 
 func number(v float64) Value { return Value{Number: &v} }
 
-func limit(most float64) Value { return Value{Limits: &Limits{CPUsMax: most}} }
+func limit(cpusMax float64) Value { return Value{Limits: &Limits{CPUsMax: cpusMax}} }
 
 var (
-	idle  = Item{Tunable: "fleet.idle_return"}
-	red   = Item{Team: "red"}
-	green = Item{Team: "green"}
+	idleReturn = Item{Tunable: "fleet.idle_return"}
+	red        = Item{Team: "red"}
+	green      = Item{Team: "green"}
 )
 
 func platform() *settings.Platform {
@@ -25,21 +25,21 @@
 	return p
 }
 
-// What may not be set is refused by its field.
+// Invalid changes are rejected with an error that names the field.
 func TestCheck(t *testing.T) {
-	good := []Change{
-		{idle, number(5)},
+	valid := []Change{
+		{idleReturn, number(5)},
 		{red, limit(9)},
 		{green, Value{Removed: true}},
 		{Item{Tunable: "fleet.spot_return"}, Value{}},
 	}
-	if err := Check(good, platform()); err != nil {
+	if err := Check(valid, platform()); err != nil {
 		t.Error(err)
 	}
 	for field, changes := range map[string][]Change{
 		"changes":           nil,
 		"item":              {{Item{}, number(1)}},
-		"fleet.idle_return": {{idle, number(-1)}},
+		"fleet.idle_return": {{idleReturn, number(-1)}},
 		"fleet.no_such":     {{Item{Tunable: "fleet.no_such"}, number(1)}},
 		"leadership.hold":   {{Item{Tunable: "leadership.hold"}, number(3)}},
 		"calendar.night":    {{Item{Tunable: "calendar.night"}, Value{}}},
@@ -51,69 +51,73 @@
 	} {
 		t.Run(field, func(t *testing.T) {
 			err := Check(changes, platform())
-			var wrong *settings.FieldError
-			if !errors.As(err, &wrong) || wrong.Field != field || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v: %v, want %s named", changes, err, field)
+			var fieldErr *settings.FieldError
+			if !errors.As(err, &fieldErr) || fieldErr.Field != field || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%v: %v, want an error that names %s", changes, err, field)
 			}
 		})
 	}
 	if err := Check(make([]Change, MaxChanges+1), platform()); err == nil {
-		t.Error("a bundle of any size is taken")
+		t.Error("more than MaxChanges changes were accepted")
 	}
 	small := platform()
 	small.Deployment.State.ValueKB = 0.45
 	if err := Check([]Change{{Item{Team: strings.Repeat("t", 60)}, limit(1)}}, small); err == nil {
-		t.Error("a team is taken whose jobs could not be stored")
+		t.Error("a team was accepted whose jobs are too large to be stored")
 	}
 }
 
-// Undo gives back what stood, and says so where it is not known any more.
+// Undo restores the earlier values and returns an error for a revision that the history does not cover.
 func TestUndo(t *testing.T) {
 	history := []Revision{
-		{Number: 4, Changes: []Change{{idle, number(5)}}, Before: []Value{{}}},
-		{Number: 5, Changes: []Change{{red, limit(9)}, {idle, number(6)}}, Before: []Value{limit(3), number(5)}},
+		{Number: 4, Changes: []Change{{idleReturn, number(5)}}, Before: []Value{{}}},
+		{Number: 5, Changes: []Change{{red, limit(9)}, {idleReturn, number(6)}}, Before: []Value{limit(3), number(5)}},
 		{Number: 6, Changes: []Change{{red, limit(3)}}, Before: []Value{limit(9)}},
 	}
-	for to, want := range map[uint64][]Change{3: {{idle, Value{}}}, 4: {{idle, number(5)}}, 5: {{red, limit(9)}}} {
+	for to, want := range map[uint64][]Change{
+		3: {{idleReturn, Value{}}},
+		4: {{idleReturn, number(5)}},
+		5: {{red, limit(9)}},
+	} {
 		if got, err := Undo(history, to); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("back to %d: %v %v, want %v", to, got, err, want)
+			t.Errorf("undo to %d: changes %v, error %v, want %v", to, got, err, want)
 		}
 	}
 	for _, to := range []uint64{1, 6, 7} {
 		if _, err := Undo(history, to); err == nil {
-			t.Errorf("back to %d was taken", to)
+			t.Errorf("undo to %d was accepted", to)
 		}
 	}
 }
 
-// A replica takes what is new, nothing twice, nothing with a gap, and never goes back.
+// A replica applies new updates once, ignores updates with a gap, and never returns to an older revision.
 func TestReplica(t *testing.T) {
 	var d Document
-	d.Apply(&Revision{Number: 1, Changes: []Change{{idle, number(5)}, {red, limit(9)}}})
+	d.Apply(&Revision{Number: 1, Changes: []Change{{idleReturn, number(5)}, {red, limit(9)}}})
 	first := d.Update(0)
 	d.Apply(&Revision{Number: 2, Changes: []Change{{red, limit(3)}}})
 	second := d.Update(1)
 	if len(second.Sets) != 1 || len(d.Update(2).Sets) != 0 || len(d.Update(7).Sets) != 0 {
-		t.Errorf("the second update is %+v", second)
+		t.Errorf("update from revision 1: %+v", second)
 	}
 	var r Replica
 	r.Apply(1, second)
 	if r.Revision() != 0 || r.UpdatedAt() != 1 {
-		t.Error("an update that lacks something was taken")
+		t.Error("an update with a gap was applied")
 	}
 	for now, u := range []Update{first, second, first, second} {
 		r.Apply(2, u)
 		if want := min(uint64(now)+1, 2); r.Revision() != want {
-			t.Errorf("after %d updates it has revision %d", now+1, r.Revision())
+			t.Errorf("after %d updates the replica has revision %d", now+1, r.Revision())
 		}
 	}
 	if !reflect.DeepEqual(r.All(), d.All()) {
-		t.Errorf("it has %v of %v", r.All(), d.All())
+		t.Errorf("the replica has %v, want %v", r.All(), d.All())
 	}
 	var old Document
-	old.Apply(&Revision{Number: 1, Changes: []Change{{idle, number(5)}}})
+	old.Apply(&Revision{Number: 1, Changes: []Change{{idleReturn, number(5)}}})
 	r.CopyFrom(3, &old)
 	if r.Revision() != 2 {
-		t.Error("it went back")
+		t.Error("the replica returned to an older revision")
 	}
 }
--- a/internal/core/config/edit_test.go
+++ b/internal/core/config/edit_test.go
@@ -10,7 +10,7 @@
 
 func currentLimits(string) Limits { return Limits{CPUs: 1, CPUsMax: 8} }
 
-// Edits of one team become one change, and leave what they do not name.
+// Edits of one team become one change, which keeps the fields that no edit names.
 func TestEdits(t *testing.T) {
 	var edits []Edit
 	for _, s := range []string{
@@ -28,12 +28,12 @@
 	}
 	want := []Change{
 		{red, Value{Limits: &Limits{CPUs: 1, CPUsMax: 9, GPUs: 2}}},
-		{idle, number(5)},
+		{idleReturn, number(5)},
 		{green, Value{Removed: true}},
 		{Item{Tunable: "fleet.spot_return"}, Value{}},
 	}
 	if got, err := Changes(edits, currentLimits); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("changes %v, error %v", got, err)
 	}
 	path := filepath.Join(t.TempDir(), "changes.ini")
 	text := "[team red]\ncpus_max = 9\ngpus = 2\n[fleet]\nidle_return = 5\nspot_return = settings\n[team green]\nis = removed\n"
@@ -45,12 +45,12 @@
 		t.Fatal(err)
 	}
 	if got, err := Changes(edits, currentLimits); err != nil || len(got) != 4 || !reflect.DeepEqual(got[0], want[0]) {
-		t.Errorf("%v %v", got, err)
+		t.Errorf("changes %v, error %v", got, err)
 	}
 }
 
-// changesOf is the error of making changes of edits.
-func changesOf(texts []string) error {
+// changesError parses edits, combines them into changes and returns the error.
+func changesError(texts []string) error {
 	var edits []Edit
 	for _, text := range texts {
 		edit, err := ParseEdit(text)
@@ -63,8 +63,8 @@
 	return err
 }
 
-// What is wrong is named in one line.
-func TestWrongEdits(t *testing.T) {
+// An invalid edit is reported in a single line that starts with the field.
+func TestInvalidEdits(t *testing.T) {
 	for list, field := range map[string]string{
 		"team/red":                                "team/red",
 		"teams/red/cpus=1":                        "teams/red/cpus=1",
@@ -78,13 +78,13 @@
 		"fleet.idle_return=1 fleet.idle_return=2": "fleet.idle_return",
 	} {
 		t.Run(list, func(t *testing.T) {
-			err := changesOf(strings.Fields(list))
+			err := changesError(strings.Fields(list))
 			if err == nil || !strings.HasPrefix(err.Error(), field+":") || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %s named", err, field)
+				t.Errorf("%v, want an error that starts with %s", err, field)
 			}
 		})
 	}
 	if _, err := FileEdits("none.ini"); err == nil {
-		t.Error("a file that there is not was read")
+		t.Error("a missing file was read without an error")
 	}
 }
--- a/internal/core/eventlog/decode.go
+++ b/internal/core/eventlog/decode.go
@@ -6,13 +6,13 @@
 	"fmt"
 )
 
-// Decode reads the entries of one segment from its value.
+// Decode decodes the entries of one segment from its value.
 func Decode(value json.RawMessage) ([]Entry, error) {
 	var decoded struct {
 		Entries []Entry `json:"e"`
 	}
 	if err := json.Unmarshal(value, &decoded); err != nil {
-		return nil, unreadable(err)
+		return nil, segmentError(err)
 	}
 	for i := range decoded.Entries {
 		if !decoded.Entries[i].recognized() {
@@ -22,26 +22,26 @@
 	return decoded.Entries, nil
 }
 
-// keepUnknownEntries fills in the raw form of entries in which this version recognizes nothing.
+// keepUnknownEntries sets Unknown of the entries in which this version recognizes nothing.
 func keepUnknownEntries(value json.RawMessage, entries []Entry) error {
 	var decoded struct {
 		Entries []json.RawMessage `json:"e"`
 	}
 	if err := json.Unmarshal(value, &decoded); err != nil {
-		return unreadable(err)
+		return segmentError(err)
 	}
 	for i := range entries {
 		if entries[i].recognized() {
 			continue
 		}
-		// As this program would write it, since values are compared when they are read back.
+		// Compact JSON, as this program writes it: values are compared when they are read back.
 		var compact bytes.Buffer
 		if err := json.Compact(&compact, decoded.Entries[i]); err != nil {
-			return unreadable(err)
+			return segmentError(err)
 		}
 		entries[i].Unknown = compact.Bytes()
 	}
 	return nil
 }
 
-func unreadable(err error) error { return fmt.Errorf("event log: unreadable segment: %w", err) }
+func segmentError(err error) error { return fmt.Errorf("event log: unreadable segment: %w", err) }
