--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -1,9 +1,9 @@
-// Package admission decides which requests of users a controller takes in when more come than it
-// can serve, and tells those that it rejects when to retry, spread out so that those who were
-// rejected together do not all come back together.
+// Package admission decides which user requests a controller accepts when it receives more than it
+// can serve. For a rejected request it computes when to retry, spread out so that requests rejected
+// at the same time are not all repeated at the same time.
 //
 // Like all of internal/core the package is pure: times are passed in. A rejection is final and is
-// sent at once: no request is held back.
+// sent at once; rejected requests are not queued.
 package admission
 
 import (
@@ -14,36 +14,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind of a request, in the order in which they are admitted.
+// Kind is the kind of a request. Lower kinds are admitted first.
 type Kind uint8
 
-// Kinds.
+// Kinds of requests.
 const (
 	Submit Kind = iota // submissions and cancellations
-	Poll               // questions about a job
+	Poll               // status requests for a job
 	kindCount
 )
 
 const (
-	maxRetrySeconds = 30 // users wait no longer, whatever they are told
+	maxRetrySeconds = 30 // users retry after this time even if they were given a longer one
 
-	// Rejected requests are counted by slices of time, over a window of four seconds.
+	// Rejected requests are counted per time slice, over a window of four seconds.
 	sliceCount  = 8
 	sliceLength = time.Second / 2
 
-	// Hashes are mapped to [0, 1) in so many steps.
+	// Hashes are mapped to this many steps in [0, 1).
 	hashSteps = 1024
 )
 
-// queueShare is how full a bounded queue may be, as a share of its places, for a request of a kind
-// to be admitted: submissions find room where polls do not, and workers' reports and results of
-// calls always find some.
+// queueShare is the share of a bounded queue's places that may be taken for a request of each kind
+// to be admitted. Submissions are still admitted when polls are not, and some places are always left
+// for workers' reports and results of calls.
 var queueShare = [kindCount]float64{Submit: 0.75, Poll: 0.5}
 
-// outOfTurnShare is the share of that of polls that is left to jobs whose turn it is not.
+// outOfTurnShare is the part of the queue share of polls that is left to jobs out of their turn.
 const outOfTurnShare = 0.25
 
-// Controller counts the requests that were rejected lately, and spreads their retries.
+// Controller counts the requests that were rejected recently, and spreads their retries.
 type Controller struct {
 	rate            float64 // requests a second that can be served
 	wallClockAtZero time.Duration
@@ -54,14 +54,14 @@
 	turnsUntil time.Duration // until when jobs take turns
 }
 
-// NewController makes a controller that can serve rate requests a second, at least one.
-// wallClockAtZero is the time of day at time 0: turns go by that, so that all controllers agree on
-// them within the bound of their clocks.
+// NewController returns a controller that can serve rate requests a second, but at least one.
+// wallClockAtZero is the wall clock time at time 0. Turns are computed from the wall clock, so that
+// all controllers agree on them as closely as their clocks do.
 func NewController(rate float64, wallClockAtZero time.Duration) *Controller {
 	return &Controller{rate: max(rate, 1), wallClockAtZero: wallClockAtZero}
 }
 
-// Admit says whether a request about a job may enter a queue in which so many of the places are
+// Admit reports whether a request about a job may enter a queue in which taken of the places are
 // taken.
 func (c *Controller) Admit(now time.Duration, kind Kind, job uint64, taken, places int) bool {
 	c.expireSlices(now)
@@ -72,12 +72,12 @@
 	return float64(taken) < share*float64(places)
 }
 
-// Reject notes that a request about a job is rejected, and gives after how many seconds, 1 to 30,
-// it should be retried. minSeconds is what the reason of the rejection itself asks for.
+// Reject records that a request about a job is rejected, and returns after how many seconds, usually
+// 1 to 30, it should be retried. minSeconds is the least that the reason of the rejection asks for.
 //
-// Those who were rejected in the last four seconds are the ones who will come back. They are
-// spread over as many seconds as it takes to serve them at the controller's rate, submissions over
-// the first of them and polls over those that follow.
+// The requests rejected in the last four seconds are expected to be retried. The retries are spread
+// over as many seconds as it takes to serve them at the controller's rate: submissions over the
+// first of these seconds, polls over those that follow.
 func (c *Controller) Reject(now time.Duration, kind Kind, job uint64, minSeconds int) int {
 	c.expireSlices(now)
 	c.rejected[kind][c.currentSlice%sliceCount]++
@@ -90,17 +90,17 @@
 			if wait <= maxRetrySeconds {
 				return max(minSeconds, wait)
 			}
-			// A turn that is further off than users wait is reached by way of another retry, which
-			// may find that turns are over.
+			// If the turn begins later than users wait, the job reaches it with another retry, by
+			// which time jobs may have stopped taking turns.
 			before, span = float64(wait-maxRetrySeconds), float64(2*maxRetrySeconds-wait)
 		}
 	}
 	return min(maxRetrySeconds, max(minSeconds, 1)+int(before+spreadFraction(now, job)*span))
 }
 
-// spreadFraction is where in its span a retry falls, in [0, 1): the hash of its job and of the
-// time. It differs from try to try, so that two who met once do not meet for ever, and needs no
-// randomness.
+// spreadFraction returns the position of a retry within its span, in [0, 1), from a hash of the job
+// and the time. It needs no randomness, and differs from one attempt to the next, so that two jobs
+// whose retries coincide once do not coincide forever.
 func spreadFraction(now time.Duration, job uint64) float64 {
 	var key [16]byte
 	binary.LittleEndian.PutUint64(key[:], job)
@@ -108,8 +108,8 @@
 	return float64(xxhash.Sum64(key[:])%hashSteps) / hashSteps
 }
 
-// secondsToServe is how long it takes to serve those of a kind that were rejected lately, at least
-// one second.
+// secondsToServe returns how many seconds it takes to serve the requests of a kind that were
+// rejected recently, at least one.
 func (c *Controller) secondsToServe(kind Kind) float64 {
 	sum := 0.0
 	for _, n := range c.rejected[kind] {
@@ -118,7 +118,7 @@
 	return math.Max(1, math.Ceil(sum/c.rate))
 }
 
-// expireSlices clears the counts of slices that have left the window.
+// expireSlices clears the counts of slices that are no longer in the window.
 func (c *Controller) expireSlices(now time.Duration) {
 	slice := int64(now / sliceLength)
 	for n := min(slice-c.currentSlice, sliceCount); n > 0; n-- {
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// A few who are turned away come back after the least there is: nobody waits longer
-// than needed.
+// If few requests are rejected, each gets the shortest retry time, so that no user waits longer
+// than necessary.
 func TestFewComeBackAtOnce(t *testing.T) {
 	d := NewController(400, 0)
 	for i := range uint64(100) {
 		if s := d.Reject(time.Duration(i)*30*time.Millisecond, Kind(i%2), i, 1); s != 1 {
-			t.Fatalf("after %d s", s)
+			t.Fatalf("retry after %d s, want 1", s)
 		}
 	}
 	if s := d.Reject(time.Second, Submit, 7, 3); s < 3 {
-		t.Errorf("%d s, though the refusal asks for 3", s)
+		t.Errorf("retry after %d s, although the rejection asks for 3", s)
 	}
 }
 
-// Four thousand who all come at once, and polls among them, are spread so that no
-// second brings back more than half as many again as can be taken; submissions first.
+// Four thousand submissions and polls that are rejected within a second are spread so that no
+// second brings more retries than one and a half times the rate; submissions are retried first.
 func TestManyAreSpread(t *testing.T) {
 	const rate = 200
 	d := NewController(rate, 0)
 	now := 10 * time.Second
-	for i := range uint64(2000) { // the first ones cannot know how many will follow
+	for i := range uint64(2000) { // not checked: at this time it is unknown how many requests follow
 		d.Reject(now, Kind(i%2), i, 1)
 	}
 	var back [kindCount][maxRetrySeconds + 1]int
@@ -37,7 +37,7 @@
 	first, last := 0, 0
 	for s := range back[Poll] {
 		if n := back[Submit][s] + back[Poll][s]; n > rate*3/2 {
-			t.Errorf("%d come back after %d s", n, s)
+			t.Errorf("%d requests are retried after %d s", n, s)
 		}
 		if back[Submit][s] > 0 {
 			last = s
@@ -47,16 +47,15 @@
 		}
 	}
 	if last < 5 || first < 5 {
-		t.Errorf("submissions come back until %d s, polls from %d s on", last, first)
+		t.Errorf("submissions are retried until %d s, polls from %d s on", last, first)
 	}
-	// Four seconds later nobody is left to be spread.
+	// Rejections count for four seconds only, so later ones are not spread.
 	if s := d.Reject(now+10*time.Second, Poll, 1, 1); s != 1 {
-		t.Errorf("long after, %d s", s)
+		t.Errorf("nine seconds later: retry after %d s, want 1", s)
 	}
 }
 
-// The same two jobs, turned away together again and again, do not always come back
-// together.
+// Two jobs whose requests are rejected together repeatedly are not always retried together.
 func TestNotInStep(t *testing.T) {
 	d := NewController(1, 0)
 	apart := 0
@@ -67,13 +66,13 @@
 		}
 	}
 	if apart < 25 {
-		t.Errorf("only %d times of 50 apart", apart)
+		t.Errorf("the retries differ only %d times of 50", apart)
 	}
 }
 
 func TestQueue(t *testing.T) {
 	in := func(k Kind, taken int) bool { return NewController(400, 0).Admit(time.Second, k, 1, taken, 512) }
 	if !in(Poll, 255) || in(Poll, 256) || !in(Submit, 383) || in(Submit, 384) {
-		t.Error("polls may fill half of the queue, submissions three quarters")
+		t.Error("polls should fill up to half of the queue, submissions up to three quarters")
 	}
 }
--- a/internal/core/admission/fair_test.go
+++ b/internal/core/admission/fair_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// play plays so many users, each with a question about one job, at a controller that has
-// just come back and answers so many requests a second out of a queue of 512 places. Users
-// ask every five seconds, and come back when they are told after they were turned away. It
-// returns the longest time that any of them was without an answer.
+// play simulates users who each poll one job at a controller that has just restarted and answers
+// perSecond requests a second from a queue of 512 places. Users poll every five seconds, and retry a
+// rejected poll after the time that the rejection gives. It returns the longest time that any user
+// was without an answer.
 func play(t *testing.T, users, perSecond int) time.Duration {
 	t.Helper()
 	const places, step = 512, 10 * time.Millisecond
@@ -23,7 +23,7 @@
 		}
 	}
 	for u := range users {
-		at(time.Duration(r.IntN(1000))*time.Millisecond, int32(u)) // all are there within the first second
+		at(time.Duration(r.IntN(1000))*time.Millisecond, int32(u)) // all poll within the first second
 	}
 	answered := make([]time.Duration, users)
 	var queue []int32
@@ -52,15 +52,15 @@
 	return worst
 }
 
-// No job's question is turned away without end, however many others are asked: on the
-// smallest controller, with far more questions than it can answer, each is answered within
+// Polls of a job must not be rejected forever, however many other jobs are polled. Even on the
+// smallest controller, with far more polls than it can answer, each user must get an answer within
 // the 75 seconds after which a job counts as forgotten.
 func TestNobodyIsForgotten(t *testing.T) {
 	for _, c := range []struct{ users, perSecond int }{{500, 600}, {5000, 600}, {20000, 600}, {20000, 2000}} {
 		if worst := play(t, c.users, c.perSecond); worst > 75*time.Second {
-			t.Errorf("%d users, %d answers a second: one had none for %v", c.users, c.perSecond, worst)
+			t.Errorf("%d users, %d answers a second: a user had no answer for %v", c.users, c.perSecond, worst)
 		} else {
-			t.Logf("%d users, %d answers a second: none waited longer than %v", c.users, c.perSecond, worst)
+			t.Logf("%d users, %d answers a second: no user waited longer than %v", c.users, c.perSecond, worst)
 		}
 	}
 }
--- a/internal/core/admission/turns.go
+++ b/internal/core/admission/turns.go
@@ -7,31 +7,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Turns: where far more is asked than can be answered, chance alone would leave some question
-// unanswered for minutes. So each job has a turn of its own, once a cycle, in which its polls are
-// admitted before others, and is told to come back in it. Of a cycle's jobs only so many are in
-// their turn that all of them can be answered: at 600 answers a second that holds for some 30,000
-// jobs.
+// Turns limit how long a job's polls stay unanswered under overload. With random retries alone, some
+// polls would stay unanswered for minutes. Therefore each job has a turn once a cycle, in which its
+// polls are admitted before others and in which rejected polls should be retried. At any time so few
+// jobs are in their turn that all of them can be answered; at 600 answers a second this holds for
+// about 30,000 jobs.
 const (
-	// cycleSeconds is how often a job has its turn: with the time that an answer takes, less than
-	// the 75 s after which a job is forgotten.
+	// cycleSeconds is the time from one turn of a job to the next. Together with the time that an
+	// answer takes, it is less than the 75 s after which a job is forgotten.
 	cycleSeconds = 60
 	// turnSeconds is how long a turn lasts.
 	turnSeconds = 3
-	// turnsThresholdSeconds is how many seconds' worth of rejected polls make jobs take turns,
-	// until a cycle after all of them could be served at once.
+	// turnsThresholdSeconds is the time needed to serve the rejected polls above which jobs begin
+	// to take turns. They stop one cycle after the rejected polls could be served within a second.
 	turnsThresholdSeconds = 10
 )
 
-// updateTurns begins or extends the time in which jobs take turns; span is how many seconds it
-// takes to serve the polls that were rejected lately.
+// updateTurns begins or extends the period in which jobs take turns. span is how many seconds it
+// takes to serve the polls that were rejected recently.
 func (c *Controller) updateTurns(now time.Duration, span float64) {
 	if span > turnsThresholdSeconds || (span > 1 && now < c.turnsUntil) {
 		c.turnsUntil = now + cycleSeconds*time.Second
 	}
 }
 
-// secondsUntilTurn is in how many seconds a job's turn begins, 0 while it is under way.
+// secondsUntilTurn returns in how many seconds a job's next turn begins, or 0 during its turn.
 func (c *Controller) secondsUntilTurn(now time.Duration, job uint64) int {
 	var key [8]byte
 	binary.LittleEndian.PutUint64(key[:], job)
@@ -44,9 +44,9 @@
 	return int(cycleSeconds - sinceBegin)
 }
 
-// secondsIntoNextTurn is after how many seconds a job that was rejected comes back in its turn: a
-// second into it, since clocks differ. One that was rejected in the middle of its turn, when there
-// are more than even turns can serve, comes back in the next.
+// secondsIntoNextTurn returns after how many seconds a rejected poll of a job should be retried: one
+// second after its next turn begins, since clocks differ. A poll rejected during the job's turn,
+// which happens when even those in their turn are too many to serve, is retried in the next turn.
 func (c *Controller) secondsIntoNextTurn(now time.Duration, job uint64) int {
 	wait := c.secondsUntilTurn(now, job) + 1
 	if wait == 1 {
--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -1,9 +1,9 @@
-// Package calendar tells to which night a moment belongs, as operators count nights: in their time
-// zone, from one start to the next as a cron expression says, whatever the clocks do in between.
-// Some nights are holidays.
+// Package calendar determines the night to which a time belongs. A night lasts from one time that a
+// cron expression matches in the operators' time zone to the next, even if the clocks change in
+// between. Some nights are holidays.
 //
-// Like all of internal/core the package is pure: moments are passed in. Time zones come with the
-// program (time/tzdata), since a machine may have none.
+// Like all of internal/core the package is pure: times are passed in. The time zone database is
+// linked into the program (time/tzdata), since a machine may have none.
 package calendar
 
 import (
@@ -11,19 +11,20 @@
 	"slices"
 	"strings"
 	"time"
-	_ "time/tzdata" // controllers run on machines without zone files
+	_ "time/tzdata" // controllers also run on machines without a time zone database
 
 	"github.com/robfig/cron/v3"
 )
 
-// DateLayout is the layout in which dates are written, see time.Layout.
+// DateLayout is the layout of dates, see time.Layout.
 const DateLayout = "2006-01-02"
 
-// clockLayout is that of times of day.
+// clockLayout is the layout of times of day.
 const clockLayout = "15:04"
 
-// maxNight is the longest that a night lasts. Where the clocks skip the hour at which one starts,
-// cron leaves that start out: it is put where it would have been.
+// maxNight is the longest time that a night may last. If the clocks skip the hour at which a night
+// starts, the cron schedule omits that start; a longer gap between starts shows this, and nextStart
+// inserts the start.
 const maxNight = 26 * time.Hour
 
 const (
@@ -32,35 +33,35 @@
 	minutesPerQuarter = 15
 	quartersPerHour   = 60 / minutesPerQuarter
 	oneDay            = hoursPerDay * time.Hour
-	nightLookback     = 2 * maxNight // there is a start of a night between this and a moment, before its own
+	nightLookback     = 2 * maxNight // from any time back to the start of the previous night, at most
 )
 
-// Calendar divides time into nights. It is not safe for concurrent use: it remembers the night
-// that was asked for last.
+// Calendar divides time into nights. It is not safe for concurrent use, because it caches the last
+// result of At.
 type Calendar struct {
 	location    *time.Location
 	nightStarts cron.Schedule
-	holidays    []string // dates on which such nights start
+	holidays    []string // dates on which holiday nights start
 
-	cachedFrom, cachedTo time.Time // the start of the cached night and of the one after it
+	cachedFrom, cachedTo time.Time // the start of the cached night and of the next one
 	cached               Night
 }
 
-// Night is one night.
+// Night identifies a night by the local date on which it starts.
 type Night struct {
-	Day     int32  // days since 1970-01-01 of the local date on which it starts
-	Date    string // that date, as DateLayout
+	Day     int32  // the date in days since 1970-01-01
+	Date    string // the date in DateLayout
 	Holiday bool
 }
 
-// FieldError names the setting of a calendar that is wrong, and why.
+// FieldError reports that a setting of a calendar is invalid.
 type FieldError struct{ Field, Why string }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-// New makes a calendar: zone is a name of the IANA database, begins a cron expression of five
-// fields that comes true once a day, and holidays are dates on which such nights start. An error
-// is a *FieldError.
+// New returns a calendar. zone is the name of a time zone in the IANA database, begins a cron
+// expression of five fields that matches once a day, and holidays the dates on which holiday nights
+// start. Its errors are of type *FieldError.
 func New(zone, begins string, holidays []string) (*Calendar, error) {
 	location, err := time.LoadLocation(zone)
 	if err != nil || zone == "" || zone == "Local" {
@@ -89,8 +90,8 @@
 	return &FieldError{Field: field, Why: fmt.Sprintf(why, args...)}
 }
 
-// onceADay says whether a schedule comes true once a day, by a day on which no clock is changed
-// and the one after it.
+// onceADay reports whether a schedule matches once a day. It tests a day without a clock change and
+// the day after it.
 func onceADay(schedule cron.Schedule, location *time.Location) bool {
 	midnight := time.Date(2026, 1, 14, 0, 0, 0, 0, location)
 	first := schedule.Next(midnight.Add(-time.Second))
@@ -98,7 +99,7 @@
 	return first.Sub(midnight) < oneDay && second.Sub(first) == oneDay
 }
 
-// Dates splits a list of dates at its commas.
+// Dates splits a comma-separated list of dates. It does not check the dates.
 func Dates(list string) []string {
 	var dates []string
 	for date := range strings.SplitSeq(list, ",") {
@@ -109,7 +110,7 @@
 	return dates
 }
 
-// At is the night to which a moment belongs.
+// At returns the night to which a time belongs.
 func (c *Calendar) At(moment time.Time) Night {
 	if !c.cachedFrom.IsZero() && !moment.Before(c.cachedFrom) && moment.Before(c.cachedTo) {
 		return c.cached
@@ -126,8 +127,9 @@
 	return c.cached
 }
 
-// bounds are the last start of a night up to a local moment, and the next one. Each local date
-// counts once: where the clocks go back over the hour, the second start is of the same night.
+// bounds returns the last start of a night at or before a local time, and the next start after it.
+// Each local date has one night: if the start hour is repeated because the clocks go back, the
+// second start belongs to the same night.
 func (c *Calendar) bounds(moment time.Time) (from, to time.Time) {
 	from = c.nextStart(moment.Add(-nightLookback))
 	for {
@@ -142,13 +144,13 @@
 	}
 }
 
-// nextStart is the first start of a night after a local moment.
+// nextStart returns the first start of a night after a local time.
 func (c *Calendar) nextStart(moment time.Time) time.Time {
 	start := c.nightStarts.Next(moment)
 	if start.Sub(moment) <= maxNight {
 		return start
 	}
-	skipped := start.AddDate(0, 0, -1) // skipped by the clocks; Go puts it behind the gap
+	skipped := start.AddDate(0, 0, -1) // the clocks skip this start; AddDate returns a time after the gap
 	if skipped.After(moment) {
 		return skipped
 	}
@@ -157,7 +159,7 @@
 
 func sameDate(a, b time.Time) bool { return a.Format(DateLayout) == b.Format(DateLayout) }
 
-// Quarter is the beginning of the quarter of an hour in which a moment lies, in local time.
+// Quarter returns the start of the quarter of an hour that contains a time, in local time.
 func (c *Calendar) Quarter(moment time.Time) time.Time {
 	local := moment.In(c.location)
 	return local.Add(-time.Duration(local.Minute()%minutesPerQuarter)*time.Minute -
@@ -165,14 +167,14 @@
 		time.Duration(local.Nanosecond()))
 }
 
-// Slot numbers the quarters of an hour of a day by the local clock: 0 to 95. Those of an hour that
-// the clocks repeat have the same numbers twice.
+// Slot returns the number of the quarter of an hour that contains a time within its local day, from
+// 0 to 95. If the clocks repeat an hour, its numbers occur twice.
 func (c *Calendar) Slot(moment time.Time) int {
 	local := moment.In(c.location)
 	return local.Hour()*quartersPerHour + local.Minute()/minutesPerQuarter
 }
 
-// LocalTime is the local time of day, as hours and minutes.
+// LocalTime returns the local time of day as hours and minutes.
 func (c *Calendar) LocalTime(moment time.Time) string {
 	return moment.In(c.location).Format(clockLayout)
 }
--- a/internal/core/calendar/calendar_test.go
+++ b/internal/core/calendar/calendar_test.go
@@ -11,17 +11,17 @@
 		name, zone, begins, at, want string
 		holiday                      bool
 	}{
-		{"before noon it is still the night before", "Europe/Sofia", "0 12 * * *", "2026-12-01T11:59:59+02:00", "2026-11-30", false},
-		{"from noon on it is the next", "Europe/Sofia", "0 12 * * *", "2026-12-01T12:00:00+02:00", "2026-12-01", false},
-		{"as the operators' clocks say, not ours", "America/Jamaica", "0 20 * * *", "2026-12-02T00:59:00Z", "2026-11-30", false},
+		{"just before the start at noon", "Europe/Sofia", "0 12 * * *", "2026-12-01T11:59:59+02:00", "2026-11-30", false},
+		{"at the start at noon", "Europe/Sofia", "0 12 * * *", "2026-12-01T12:00:00+02:00", "2026-12-01", false},
+		{"by the operators' time zone, not UTC", "America/Jamaica", "0 20 * * *", "2026-12-02T00:59:00Z", "2026-11-30", false},
 		{"a holiday", "Europe/Sofia", "0 18 * * *", "2026-12-25T03:00:00+02:00", "2026-12-24", true},
-		{"the hour at which it begins does not exist: before it", "Europe/Sofia", "30 3 * * *", "2026-03-29T02:59:00+02:00", "2026-03-28", false},
-		{"the hour does not exist: after it", "Europe/Sofia", "30 3 * * *", "2026-03-29T06:00:00+03:00", "2026-03-29", false},
-		{"the hour does not exist: the day after", "Europe/Sofia", "30 3 * * *", "2026-03-30T03:29:00+03:00", "2026-03-29", false},
-		{"the hour is there twice: the first time", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:35:00+03:00", "2026-10-25", false},
-		{"the hour is there twice: the second time", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:35:00+02:00", "2026-10-25", false},
-		{"the hour is there twice: between the two", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:10:00+02:00", "2026-10-25", false},
-		{"the hour is there twice: the day after", "Europe/Sofia", "30 3 * * *", "2026-10-26T03:10:00+02:00", "2026-10-25", false},
+		{"the start is skipped: before it", "Europe/Sofia", "30 3 * * *", "2026-03-29T02:59:00+02:00", "2026-03-28", false},
+		{"the start is skipped: after it", "Europe/Sofia", "30 3 * * *", "2026-03-29T06:00:00+03:00", "2026-03-29", false},
+		{"the start is skipped: the day after", "Europe/Sofia", "30 3 * * *", "2026-03-30T03:29:00+03:00", "2026-03-29", false},
+		{"the start hour is repeated: the first time", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:35:00+03:00", "2026-10-25", false},
+		{"the start hour is repeated: the second time", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:35:00+02:00", "2026-10-25", false},
+		{"the start hour is repeated: between the two starts", "Europe/Sofia", "30 3 * * *", "2026-10-25T03:10:00+02:00", "2026-10-25", false},
+		{"the start hour is repeated: the day after", "Europe/Sofia", "30 3 * * *", "2026-10-26T03:10:00+02:00", "2026-10-25", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			calendar, err := New(c.zone, c.begins, Dates("2026-12-24, 2027-01-01,"))
@@ -33,14 +33,14 @@
 				t.Fatal(err)
 			}
 			if night := calendar.At(at); night.Date != c.want || night.Holiday != c.holiday {
-				t.Errorf("%+v, want %s, holiday %v", night, c.want, c.holiday)
+				t.Errorf("night is %+v, want %s, holiday %v", night, c.want, c.holiday)
 			}
 		})
 	}
 }
 
-// Every moment of two years is in one night, nights follow one another day by day,
-// and asking in any order gives the same.
+// Over two years, each night follows the previous one by a day, and a calendar with a cached night
+// returns the same as a new one.
 func TestEveryMomentHasItsNight(t *testing.T) {
 	newCalendar := func(t *testing.T, begins string) *Calendar {
 		t.Helper()
@@ -57,11 +57,11 @@
 			for at := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC); at.Year() < 2028; at = at.Add(97 * time.Minute) {
 				night := calendar.At(at)
 				if lastDay >= 0 && night.Day != lastDay && night.Day != lastDay+1 {
-					t.Fatalf("at %v night %s follows day %d", at, night.Date, lastDay)
+					t.Fatalf("at %v night %s follows the night of day %d", at, night.Date, lastDay)
 				}
 				lastDay = night.Day
 				if fresh := newCalendar(t, begins).At(at); fresh != night {
-					t.Fatalf("at %v %+v or %+v", at, night, fresh)
+					t.Fatalf("at %v the calendar returns %+v, a new one %+v", at, night, fresh)
 				}
 			}
 		})
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// No second lets more pass than the rate and what had gathered.
+// In any second the bucket gives out no more tokens than its rate plus its burst; the test allows
+// one more.
 func TestBucket(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	b := NewBucket(0, 7, 14)
@@ -24,50 +25,50 @@
 			}
 		}
 		if n > 22 {
-			t.Fatalf("%d within a second from %v", n, from)
+			t.Fatalf("%d tokens within a second from %v", n, from)
 		}
 	}
 	if len(took) < 7*59 {
-		t.Errorf("only %d in a minute: the rate is not used", len(took))
+		t.Errorf("only %d tokens in a minute: the rate is not reached", len(took))
 	}
 	if b.Take(59*time.Second, 1000) {
 		t.Error("a clock that goes back refills the bucket")
 	}
 }
 
-// Failures halve the rate, a burst of them once; answers bring it back, and never over
-// the top.
+// A failure halves the rate, down to its lower bound, and a burst of failures counts once.
+// Successes raise the rate again, up to the highest rate.
 func TestAdaptive(t *testing.T) {
 	a := NewAdaptive(0, 8, 8)
 	for i := range 10 {
 		a.Failure(time.Duration(i) * 50 * time.Millisecond)
 	}
 	if a.Rate != 4 {
-		t.Errorf("a burst of failures leaves %v of 8", a.Rate)
+		t.Errorf("rate is %v of 8 after a burst of failures, want 4", a.Rate)
 	}
 	for s := 2; s < 20; s++ {
 		a.Failure(time.Duration(s) * time.Second)
 	}
 	if a.Rate != 2 {
-		t.Errorf("trouble for long leaves %v of 8: it would stop, or go on as before", a.Rate)
+		t.Errorf("rate is %v of 8 after many failures, want the lower bound 2", a.Rate)
 	}
 	steps := 0
 	for now := 20 * time.Second; now < 60*time.Second; now += 500 * time.Millisecond {
 		before := a.Rate
 		if a.Success(now); a.Rate > 8 || a.Rate < before {
-			t.Fatalf("%v after %v", a.Rate, before)
+			t.Fatalf("rate is %v after a success at %v, want no less and at most 8", a.Rate, before)
 		}
 		if a.Rate < 8 {
 			steps++
 		}
 	}
 	if a.Rate != 8 || steps < 10 {
-		t.Errorf("it is back at %v, after %d steps", a.Rate, steps)
+		t.Errorf("rate is %v after %d steps, want 8 after at least 10", a.Rate, steps)
 	}
 }
 
-// Two callers at a receiver that serves ten a second and refuses the rest come to
-// share it, whatever they began with.
+// Two callers of a receiver that serves ten calls a second and refuses the others come to share it
+// evenly, although they start with different rates.
 func TestAdaptiveShares(t *testing.T) {
 	one, two := NewAdaptive(0, 10, 1), NewAdaptive(0, 10, 1)
 	two.Rate = 1
@@ -87,7 +88,7 @@
 		}
 	}
 	if got[0]*3 < got[1]*2 || got[1]*3 < got[0]*2 || got[0]+got[1] < 1200 {
-		t.Errorf("served %d and %d of 3000", got[0], got[1])
+		t.Errorf("%d and %d calls of 3000 served", got[0], got[1])
 	}
 }
 
@@ -103,7 +104,7 @@
 		}
 	}
 	if n < 50 || n > 55 {
-		t.Errorf("%d starts in ten seconds at five a second", n)
+		t.Errorf("%d starts in ten seconds at a limit of five a second", n)
 	}
 	const later = 10 * time.Second
 	for _, c := range []struct {
@@ -112,13 +113,13 @@
 		want     bool
 	}{{true, 9, true}, {false, 1, false}, {false, 0, true}} {
 		if got := s.Allows(later, 2, c.hasImage, c.fetching); got != c.want {
-			t.Errorf("image there %v, %d being fetched: allowed %v", c.hasImage, c.fetching, got)
+			t.Errorf("machine has the image: %v, %d images being fetched: allowed %v", c.hasImage, c.fetching, got)
 		}
 	}
 	free := NewStartLimiter(StartLimits{})
 	for range 1000 {
 		if !free.Allows(0, 1, false, 99) {
-			t.Fatal("no limit, and yet refused")
+			t.Fatal("a start is refused although there is no limit")
 		}
 		free.Spend(0, 1)
 	}
--- a/internal/core/ratelimit/start_limiter.go
+++ b/internal/core/ratelimit/start_limiter.go
@@ -5,44 +5,45 @@
 	"time"
 )
 
-// zoneBurstSeconds is for how many seconds' worth a zone's starts may be saved up.
+// zoneBurstSeconds is the burst of a zone's bucket, in seconds at its rate.
 const zoneBurstSeconds = 1
 
-// StartLimits says how fast tasks may be started while a leader catches up.
+// StartLimits holds the limits on starting tasks during a cold start.
 type StartLimits struct {
-	ZoneStartsPerSecond float64 // starts a second in one zone; 0: any number
-	MaxImageFetches     int     // images that a machine may be fetching at once; 0: any number
+	ZoneStartsPerSecond float64 // starts a second in one zone; 0: no limit
+	MaxImageFetches     int     // images that a machine may fetch at once; 0: no limit
 }
 
-// StartLimiter is the budget of starts. A scheduling cycle asks it for each task that it would
-// place; a machine that may not take a task now is left out for this cycle.
+// StartLimiter limits the rate of task starts. A scheduling cycle calls Allows for each task and
+// machine; a machine that may not be given a task now is skipped in this cycle.
 type StartLimiter struct {
 	limits StartLimits
-	zones  map[int32]*Bucket // by the zone's number
+	zones  map[int32]*Bucket // by zone index
 }
 
-// NewStartLimiter makes a full budget.
+// NewStartLimiter returns a limiter with full buckets.
 func NewStartLimiter(limits StartLimits) *StartLimiter {
 	return &StartLimiter{limits: limits, zones: map[int32]*Bucket{}}
 }
 
-// Allows says whether a task may be started in a zone, on a machine that has the task's image or
-// not and is fetching so many. It spends nothing.
+// Allows reports whether a task may be started now on a machine in a zone. hasImage reports whether
+// the machine has the task's image, and fetching is the number of images that it is fetching. Allows
+// takes no tokens.
 func (s *StartLimiter) Allows(now time.Duration, zone int32, hasImage bool, fetching int) bool {
 	if !hasImage && s.limits.MaxImageFetches > 0 && fetching >= s.limits.MaxImageFetches {
-		return false // one fetch is shared by all who wait for it; two share the rate
+		return false // tasks that need the same image share a fetch, but two fetches share the bandwidth
 	}
 	return s.limits.ZoneStartsPerSecond == 0 || s.zoneBucket(now, zone).Has(now, 1)
 }
 
-// Spend counts a start in a zone.
+// Spend takes the token for a start in a zone.
 func (s *StartLimiter) Spend(now time.Duration, zone int32) {
 	if s.limits.ZoneStartsPerSecond > 0 {
 		s.zoneBucket(now, zone).Take(now, 1)
 	}
 }
 
-// zoneBucket is the bucket of a zone, which is made, full, when it is first asked for.
+// zoneBucket returns the bucket of a zone, and creates it, full, on the first call.
 func (s *StartLimiter) zoneBucket(now time.Duration, zone int32) *Bucket {
 	bucket := s.zones[zone]
 	if bucket == nil {
--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -8,19 +8,21 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// acceleratedNeedRetention is for how long machines are kept for work that needs their
-// accelerators while none is there.
+// acceleratedNeedRetention is how long machines stay reserved for tasks that need their
+// accelerators after the last such job has left.
 const acceleratedNeedRetention = 10 * time.Minute
 
-// Bounds for lending places of tasks with accelerators to tasks without.
+// Limits on lending places for accelerated tasks to tasks that need no accelerator. A place is
+// room for one task of the largest need with accelerators.
 const (
-	maxLentSeconds  = 120 // mean run time, in seconds, up to which a task may be lent a place
-	minUnlentPlaces = 8   // places that are never lent,
-	unlentShare     = 8   // or one in so many of all, if that is more
+	maxLentSeconds  = 120 // longest mean run time, in seconds, of a task that may be lent a place
+	minUnlentPlaces = 8   // free places that are never lent, at least
+	unlentShare     = 8   // one in this many of all places is not lent, if that is more than minUnlentPlaces
 )
 
-// LargestAcceleratedNeed is the largest need of a task with accelerators: of the jobs there are, or of
-// the last ones for acceleratedNeedRetention after they have left.
+// LargestAcceleratedNeed returns the largest need of a task with accelerators, for each resource
+// by itself, among the present jobs. After the last such job has left, it returns the last value
+// for acceleratedNeedRetention, then zero.
 func (s *Scheduler) LargestAcceleratedNeed(now time.Duration, table *jobs.Table) resources.Amounts {
 	var largest resources.Amounts
 	for _, job := range table.All() {
@@ -39,9 +41,9 @@
 	return s.acceleratedNeed
 }
 
-// keptForAccelerators reports whether a machine is kept for tasks that need its
-// accelerators, before a job that needs none and fits elsewhere: no more of its tasks get
-// there than leave the machine as many places for accelerated tasks as it has in all.
+// keptForAccelerators reports whether a machine is reserved for tasks that need its
+// accelerators, and the job needs none and fits on machines without. mayLend decides whether a
+// task of such a job may be placed there nevertheless.
 func (snap *Snapshot) keptForAccelerators(job *jobs.Job, machine *workers.Machine) bool {
 	return machine.Capacity.GPU > 0 &&
 		job.Need.GPU == 0 &&
@@ -49,17 +51,19 @@
 		snap.AcceleratedNeed.GPU > 0
 }
 
-// acceleratedPlaces is how many tasks of the largest need with accelerators fit into room.
+// acceleratedPlaces returns how many tasks of the largest need with accelerators fit into room.
 func (snap *Snapshot) acceleratedPlaces(room resources.Amounts) int {
 	return TasksThatFit(snap.AcceleratedNeed, room)
 }
 
 // mayLend reports whether one more task that needs no accelerator may be placed on a machine
-// that is kept for those that do: where it leaves as many places for them as the machine has
-// in all, or, for a short task, where it takes none of those left or more are free than
-// accelerated tasks wait for. Found on a day with gangs on machines of two accelerators and
-// twelve processors: replicas of one processor ran on most of them for minutes, and a third
-// of the accelerators was idle while gangs waited.
+// that is reserved for accelerated tasks. It may if the machine then still has as many places for
+// accelerated tasks as when it is empty. A short task may also if it takes none of the places
+// left, or if more places are free than accelerated tasks wait for.
+//
+// Without this rule, on machines with two accelerators and twelve processors, one-processor
+// replicas ran on most machines for minutes, and a third of the accelerators was idle while gangs
+// waited.
 func (snap *Snapshot) mayLend(job *jobs.Job, machine *workers.Machine) bool {
 	unused := machine.Capacity.Minus(machine.UsedWithoutGPU)
 	placesAfter := snap.acceleratedPlaces(unused.Minus(job.Need))
@@ -71,15 +75,15 @@
 		(snap.lendablePlaces > 0 || placesAfter >= snap.acceleratedPlaces(unused))
 }
 
-// recordLent takes the places that a task takes from accelerated ones off those that may
-// be lent.
+// recordLent subtracts the places that a task takes from accelerated tasks from those that may
+// still be lent.
 func (snap *Snapshot) recordLent(job *jobs.Job, machine *workers.Machine) {
 	unused := machine.Capacity.Minus(machine.UsedWithoutGPU)
 	snap.lendablePlaces -= max(0, snap.acceleratedPlaces(unused)-snap.acceleratedPlaces(unused.Minus(job.Need)))
 }
 
-// countLendable is how many places for tasks with accelerators are free beyond those for
-// which tasks wait and a reserve for tasks that may come.
+// countLendable returns how many places for accelerated tasks are free beyond those that waiting
+// tasks need and a reserve for tasks that may arrive.
 func (snap *Snapshot) countLendable() int {
 	free, all, waiting := 0, 0, 0
 	for _, machine := range snap.Inventory.All() {
--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -11,9 +11,9 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// acceleratedCluster has so many machines with two accelerators and twelve processors, and as many
-// with eight processors and none. The map counts the tasks without accelerators by machine that
-// has some.
+// acceleratedCluster returns a cluster of n machines with two accelerators and twelve processors
+// and n machines with eight processors and no accelerator. The map counts, for each machine with
+// accelerators, the placed tasks that need none.
 func acceleratedCluster(n int) (*Scheduler, Snapshot, map[*workers.Machine]int) {
 	scheduler := New([]Limit{{}}, 10)
 	snap := emptySnapshot(time.Second, time.Minute, 0)
@@ -69,8 +69,8 @@
 	return j
 }
 
-// Work without need of accelerators takes no place from work that needs them, but for
-// short tasks where more are free than are waited for; a service never does.
+// Tasks that need no accelerator take no place from tasks that need one. Short tasks may if more
+// places are free than accelerated tasks wait for; replicas of services never may.
 func TestAcceleratorsAreKept(t *testing.T) {
 	for _, c := range []struct {
 		name           string
@@ -79,10 +79,10 @@
 		mean           float64
 		plain, allowed int
 	}{
-		{"replicas only where a gang's task fits beside them", jobs.Service, 1000, 1, 0, 20, 2},
-		{"long tasks likewise", jobs.Array, 1000, 1, 500, 20, 2},
-		{"short ones have what is free beyond a reserve", jobs.Array, 1000, 1, 30, 20, 12},
-		{"and nothing while gangs wait for all of it", jobs.Array, 1000, 25, 30, 20, 2},
+		{"replicas are placed only where a gang's task still fits", jobs.Service, 1000, 1, 0, 20, 2},
+		{"long tasks are placed only where a gang's task still fits", jobs.Array, 1000, 1, 500, 20, 2},
+		{"short tasks are lent free places beyond the reserve", jobs.Array, 1000, 1, 30, 20, 12},
+		{"short tasks are lent nothing while gangs wait for all places", jobs.Array, 1000, 25, 30, 20, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			scheduler, snap, plain := acceleratedCluster(c.plain)
@@ -93,35 +93,35 @@
 			broken := 0
 			for _, n := range plain {
 				if n > c.allowed {
-					t.Errorf("%d tasks on a machine with accelerators", n)
+					t.Errorf("%d tasks without accelerators on a machine with accelerators", n)
 				}
 				if n > 2 {
 					broken++
 				}
 			}
 			if c.allowed > 2 && (broken == 0 || broken > c.plain-minUnlentPlaces) {
-				t.Errorf("%d of %d places lent", broken, c.plain)
+				t.Errorf("places are lent on %d of %d machines", broken, c.plain)
 			}
 			if got := len(j.Tasks) - j.Waiting; got < 8*c.plain+2*(c.plain-c.gang) {
-				t.Errorf("only %d tasks have room", got)
+				t.Errorf("only %d tasks are placed", got)
 			}
 		})
 	}
 }
 
-// Without work that needs accelerators, machines that have some are as any.
+// While no job needs accelerators, machines with accelerators are used like any others.
 func TestIdleAcceleratorsAreOpenToAll(t *testing.T) {
 	scheduler, snap, _ := acceleratedCluster(3)
 	j := snap.add(2, jobs.Array, 60, 1, 0, 500)
 	snap.AcceleratedNeed = scheduler.LargestAcceleratedNeed(snap.Now, snap.Jobs)
 	scheduler.RunCycle(snap)
 	if j.Waiting > 0 {
-		t.Errorf("%d tasks wait beside idle machines", j.Waiting)
+		t.Errorf("%d tasks wait although machines are idle", j.Waiting)
 	}
 }
 
-// BenchmarkCycleAtScale is a cycle over 850 machines of four types with 10,000 waiting tasks,
-// replicas and gangs among them, on a cluster with room on one machine in ten.
+// BenchmarkCycleAtScale measures a cycle over 850 machines of four types, one in ten of them with
+// room, and 10,000 waiting tasks of arrays, gangs and services.
 func BenchmarkCycleAtScale(b *testing.B) {
 	scheduler, snap, _ := acceleratedCluster(1)
 	types := []resources.Amounts{
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -8,19 +8,19 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Costs that placementCost adds up: a thousandth of a processor left over counts 1, so a
-// second of fetching weighs as much as ten processors left over.
+// Costs that placementCost adds up. A thousandth of a processor left unused costs 1, so a second
+// of fetching an image costs as much as ten unused processors.
 const (
 	costPerFetchSecond = 1e4
-	costOfKeptMachine  = 1e5 // high enough that it is chosen only where nothing else is
+	costOfKeptMachine  = 1e5 // high enough that such a machine is chosen only if there is no other
 )
 
-// promptImageWait is how long a replica that should start at once waits at most for a
+// promptImageWait is the longest time that a replica that should start at once waits for a
 // machine that has its image.
 const promptImageWait = 400 * time.Millisecond
 
-// placeTask places task k of a job on the best machine, and reports whether there was
-// one. It sets placementDelayed where there was room that may be used a little later.
+// placeTask places task k of a job on the best machine, and reports whether it placed the task.
+// It sets placementDelayed if there is room that the task may use a little later.
 func (s *Scheduler) placeTask(snap *Snapshot, job *jobs.Job, k int, machines []*workers.Machine) bool {
 	s.placementDelayed = false
 	if !s.ready(snap, job) ||
@@ -52,12 +52,12 @@
 	return true
 }
 
-// bestMachine is the machine of the lowest cost that may be given a task of a job now,
-// the first of several; nil if there is none.
+// bestMachine returns the machine with the lowest cost among those that may be given a task of
+// a job now, the first one on a tie, or nil if there is none.
 func (s *Scheduler) bestMachine(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) *workers.Machine {
 	var best *workers.Machine
 	var bestCost int64
-	// Only arrays are paced: gangs start as a whole, and services first of all.
+	// Only starts of arrays are rate limited: a gang starts as a whole, and services come first.
 	paced := snap.MayStart != nil && job.Record.Kind == jobs.Array
 	for _, machine := range machines {
 		if !job.Need.Fits(machine.Free) || !job.ZoneAllows(machine.Zone) || !snap.mayUse(job, machine) {
@@ -75,8 +75,8 @@
 	return best
 }
 
-// placementCost orders the machines for a task: the earliest start first, then the
-// tightest fit.
+// placementCost returns the cost of placing a task on a machine. It prefers the earliest start,
+// then the tightest fit.
 func (s *Scheduler) placementCost(snap *Snapshot, job *jobs.Job, machine *workers.Machine) int64 {
 	cost := machine.Free.CPU - job.Need.CPU
 	if snap.keptForAccelerators(job, machine) {
@@ -91,8 +91,8 @@
 	return cost
 }
 
-// rememberRefusal notes that a job's need found no machine, unless there may be one that
-// is only not open to it yet, or its zone rule kept it away.
+// rememberRefusal records that no machine was found for a job's need, unless a machine with room
+// was only skipped for now or the job's zone rule may have excluded machines.
 func (s *Scheduler) rememberRefusal(snap *Snapshot, job *jobs.Job) {
 	if snap.starvedOnly || job.HasZoneRule() || s.exhaustive || s.placementDelayed {
 		return
@@ -100,9 +100,10 @@
 	s.refusals = append(s.refusals, refusal{need: job.Need, spot: job.UseSpot, types: job.AllowedTypes, zone: job.Record.Zone})
 }
 
-// promptWaits reports whether a replica that should start at once leaves room on a
-// machine that would have to fetch its image first: for a fraction of the fetch, and not
-// for long. On a full cluster the next room comes free sooner, and often where the image is.
+// promptWaits reports whether a replica that should start at once leaves room on a machine unused
+// because the machine would have to fetch its image first. It waits for a quarter of the time that
+// the fetch takes, and at most promptImageWait: on a full cluster other room becomes free sooner
+// than that, often on a machine that has the image.
 func (s *Scheduler) promptWaits(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
 	if snap.starvedOnly || !job.StartDirectly || job.Record.Kind != jobs.Service || machine.HasImage(job.Image) {
 		return false
@@ -114,8 +115,8 @@
 	return s.Locality > 0 && snap.Now-job.DelayedSince < min(promptImageWait, quarterOfFetch)
 }
 
-// localityWaits reports whether a job leaves room on a machine without its image, since it
-// has not waited for long yet, and keeps the time since when it has.
+// localityWaits reports whether a job leaves room on a machine without its image unused because
+// it has waited for less than Locality. It records since when the job has waited.
 func (s *Scheduler) localityWaits(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
 	if snap.localityOnly && job.Record.Kind == jobs.Array && !machine.HasImage(job.Image) {
 		if job.DelayedSince == 0 {
@@ -129,7 +130,7 @@
 	return false
 }
 
-// TasksThatFit is how many tasks of a need fit into room.
+// TasksThatFit returns how many tasks with a need fit into room.
 func TasksThatFit(need, room resources.Amounts) int {
 	count := int64(1 << 30)
 	limit := func(need, room int64) {
--- a/internal/core/scheduler/cluster_test.go
+++ b/internal/core/scheduler/cluster_test.go
@@ -12,11 +12,11 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// testParams are the estimator's parameters of the paper.
+// testParams are the parameters of the HFSP paper for the estimator.
 var testParams = sizing.Params{TrainingTasks: 5, Xi: 1, Delta: 60, InitialSize: 30}
 
-// emptySnapshot is a snapshot at some time without jobs or machines, whose zones all have
-// the index zone.
+// emptySnapshot returns a snapshot without jobs or machines, taken at the time now. All zone
+// names map to the index zone.
 func emptySnapshot(now, suspectAfter time.Duration, zone int32) Snapshot {
 	return Snapshot{
 		Now:          now,
@@ -28,8 +28,9 @@
 	}
 }
 
-// randomCluster makes jobs of all kinds and machines of which many are full. The returned
-// list grows by a line for each task that is placed or taken back.
+// randomCluster returns a cluster with count random jobs and the given number of random machines,
+// many of them full. A line is appended to the returned list for each task that is placed or whose
+// plan is withdrawn.
 func randomCluster(r *rand.Rand, machines, count int) (Snapshot, *[]string, *Scheduler) {
 	decisions := new([]string)
 	scheduler := New([]Limit{{CPU: int64(1+r.IntN(machines)) * 4000}, {}}, 1+r.IntN(20))
@@ -60,7 +61,7 @@
 		}
 		scheduler.Refund(job.Team, job.Need)
 		job.Release(k)
-		*decisions = append(*decisions, fmt.Sprintf("%d/%d taken back", job.Record.ID, k))
+		*decisions = append(*decisions, fmt.Sprintf("%d/%d withdrawn", job.Record.ID, k))
 	}
 	return snap, decisions, scheduler
 }
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -5,8 +5,8 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// RunCycle is one scheduling cycle: it places all tasks that the order and the limits
-// let have room, through snap.Place, and returns how many starved jobs got room.
+// RunCycle runs one scheduling cycle. It places, through snap.Place, all tasks that the scheduling
+// order and the limits allow and that find room, and returns how many starved jobs got room.
 func (s *Scheduler) RunCycle(snap Snapshot) (starvedServed int) {
 	s.refusals = s.refusals[:0]
 	if snap.AcceleratedNeed.GPU > 0 {
@@ -35,8 +35,8 @@
 	return s.placeStarved(&snap, smallestCPU)
 }
 
-// smallestWaitingCPU is the least that a waiting task needs of processors, in
-// thousandths; -1 if no task of a service or of a job in the order waits.
+// smallestWaitingCPU returns the smallest number of processors that a waiting task needs, in
+// thousandths, or -1 if no task of a service or of a job in the order waits.
 func (snap *Snapshot) smallestWaitingCPU(order []int32) int64 {
 	smallest := int64(-1)
 	consider := func(job *jobs.Job) {
@@ -55,7 +55,7 @@
 	return smallest
 }
 
-// runningTraining is how many training tasks are placed already.
+// runningTraining returns the number of training tasks that are already placed.
 func (snap *Snapshot) runningTraining(order []int32) int {
 	running := 0
 	for _, i := range order {
@@ -74,8 +74,8 @@
 	return running
 }
 
-// machinesWithRoom lists the machines that may be given tasks and have room for the
-// smallest one that waits, and clears the reservations of the last cycle on all machines.
+// machinesWithRoom returns the machines that may be given tasks and have enough free processors
+// for the smallest waiting task. It also clears the last cycle's reservations on all machines.
 func (s *Scheduler) machinesWithRoom(snap *Snapshot, smallestCPU int64) []*workers.Machine {
 	machines := make([]*workers.Machine, 0, 64)
 	for _, machine := range snap.Inventory.All() {
@@ -90,9 +90,9 @@
 	return machines
 }
 
-// splitByRank splits the order into the jobs that an exception puts ahead of the size
-// order, those on the ordinary path, and all that are not ahead: the ordinary ones and
-// those behind them.
+// splitByRank returns three parts of the order: the jobs that an exception puts ahead of the size
+// order, the ordinary jobs, and all jobs that are not ahead, which are the ordinary jobs and those
+// that an exception puts behind them.
 func (s *Scheduler) splitByRank(order []int32) (ahead, ordinary, rest []int32) {
 	first, end := 0, len(order)
 	for first < len(order) && s.ranks[order[first]] > 0 {
@@ -104,7 +104,7 @@
 	return order[:first], order[first:end], order[first:]
 }
 
-// placeServices places replicas of services: they come first, outside the order.
+// placeServices places replicas of services, which are placed first and are not in the order.
 func (s *Scheduler) placeServices(snap *Snapshot, machines []*workers.Machine) {
 	for _, job := range snap.Jobs.All() {
 		if job == nil || job.Record.Kind != jobs.Service {
@@ -119,8 +119,8 @@
 	}
 }
 
-// placeTraining places training tasks of the jobs on the ordinary path, in their order,
-// until T run at once; running is how many did before this cycle.
+// placeTraining places training tasks of the ordinary jobs, in their order, until MaxTraining of
+// them run at once. running is the number that ran before this cycle.
 func (s *Scheduler) placeTraining(snap *Snapshot, ordinary []int32, machines []*workers.Machine, running int) {
 	for _, i := range ordinary {
 		if running >= s.MaxTraining {
@@ -140,9 +140,9 @@
 	}
 }
 
-// placeInOrder places tasks of the jobs in their order. Room is reserved for the first
-// job that does not fit, unless it is reserved for another already; it returns whether
-// any is reserved now.
+// placeInOrder places tasks of the jobs in their order. It reserves room for the first job that
+// does not fit, unless reserved reports that room is already reserved for another one, and returns
+// whether room is reserved now.
 func (s *Scheduler) placeInOrder(snap *Snapshot, order []int32, machines []*workers.Machine, reserved bool) bool {
 	for _, i := range order {
 		job := snap.Jobs.ByIndex(i)
@@ -156,8 +156,8 @@
 	return reserved
 }
 
-// placeJob places all of a job's tasks that can be, a gang's all or none, and reports
-// whether no task is left that could be placed now.
+// placeJob places as many of a job's waiting tasks as possible, those of a gang all or none. It
+// reports whether all tasks that may be placed now were placed.
 func (s *Scheduler) placeJob(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
 	for {
 		k := snap.nextTask(job)
@@ -173,8 +173,8 @@
 	}
 }
 
-// mayReserve reports whether room may be reserved for a job that did not fit. It must
-// have its units: what it waits for then is the end of other tasks, and none of them
+// mayReserve reports whether room may be reserved for a job that did not fit. The job must have
+// the counted units that it needs: it then waits only for other tasks to end, and none of them
 // waits for it.
 func (s *Scheduler) mayReserve(snap *Snapshot, job *jobs.Job) bool {
 	return !snap.localityOnly &&
--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A cycle remembers refusals and leaves out machines without room for any waiting task. It
-// must place what a cycle without both shortcuts places.
+// A cycle caches refusals and skips machines without room for any waiting task. It must make the
+// same decisions as an exhaustive cycle, which does neither.
 func TestShortcutsDecideLikeExhaustiveCycle(t *testing.T) {
 	total := 0
 	for seed := range uint64(300) {
@@ -22,16 +22,16 @@
 			got[i] = *decisions
 		}
 		if !slices.Equal(got[0], got[1]) {
-			t.Fatalf("seed %d: the exhaustive cycle places %d: %v\nthe other %d: %v", seed, len(got[0]), got[0], len(got[1]), got[1])
+			t.Fatalf("seed %d: the exhaustive cycle makes %d decisions: %v\nthe ordinary cycle makes %d: %v", seed, len(got[0]), got[0], len(got[1]), got[1])
 		}
 		total += len(got[0])
 	}
 	if total < 3000 {
-		t.Errorf("only %d tasks were placed: the clusters are too full to tell the two apart", total)
+		t.Errorf("only %d decisions: the clusters are too full to show a difference between the cycles", total)
 	}
 }
 
-// BenchmarkCycle is a cycle at full size: a thousand machines, of which most are full, and a
+// BenchmarkCycle measures a cycle at full size: a thousand machines, most of them full, and a
 // hundred jobs with thousands of waiting tasks.
 func BenchmarkCycle(b *testing.B) {
 	snap, _, scheduler := randomCluster(rand.New(rand.NewPCG(1, 1)), 1000, 100)
@@ -42,14 +42,14 @@
 	}
 }
 
-// On a full cluster refusals are found once a need, not once a job, and machines without
-// room are not tried for each.
+// On a full cluster a refusal is recorded once for each need, not once for each job, and machines
+// without room are not tried again for each job.
 func TestFullClusterRefusesOnceANeed(t *testing.T) {
 	snap, _, scheduler := randomCluster(rand.New(rand.NewPCG(2, 1)), 200, 100)
 	scheduler.Locality = 0
 	scheduler.RunCycle(snap)
 	scheduler.RunCycle(snap)
 	if n := len(scheduler.refusals); n == 0 || n > 40 {
-		t.Errorf("%d refusals were found for 100 jobs", n)
+		t.Errorf("%d refusals were recorded for 100 jobs", n)
 	}
 }
--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -6,8 +6,8 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Explain says in plain words what a job's waiting tasks wait for; nil if none waits.
-// Users read these texts.
+// Explain returns the reasons for which a job's waiting tasks wait, as texts for users, or nil if
+// no task waits.
 func (s *Scheduler) Explain(snap Snapshot, job *jobs.Job) []string {
 	if job.Waiting == 0 {
 		return nil
@@ -20,7 +20,7 @@
 	return reasons
 }
 
-// explainLimits says what keeps a job's tasks from starting on any machine.
+// explainLimits returns the reasons that keep a job's tasks from starting on any machine.
 func (s *Scheduler) explainLimits(snap *Snapshot, job *jobs.Job) []string {
 	var reasons []string
 	if snap.Now < job.NotBefore {
@@ -43,7 +43,8 @@
 	return reasons
 }
 
-// explainRoom says whether machines that a job may use are there, have room, and give it.
+// explainRoom returns the reasons that concern machines: none that the job may use is up, none has
+// room, or the room is reserved for others.
 func explainRoom(snap *Snapshot, job *jobs.Job) []string {
 	var reasons []string
 	anyHost, anyFree := false, false
@@ -66,7 +67,8 @@
 	return reasons
 }
 
-// explainRank says which exception moves a job in the order; empty: none.
+// explainRank returns which exception to the size order moves a job, or an empty string if none
+// does.
 func (s *Scheduler) explainRank(snap *Snapshot, job *jobs.Job) string {
 	rank := s.rank(snap, job.Index)
 	switch {
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -7,8 +7,8 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// placeGang places all waiting tasks of a gang or none, and reports which. While the
-// gang still gathers, lost tasks are replaced under the attempt it has.
+// placeGang places all waiting tasks of a gang or none, and reports whether it placed them. Until
+// all tasks of the gang have run, lost ones are replaced within the same attempt.
 func (s *Scheduler) placeGang(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
 	if job.GangFailed ||
 		(job.GangBegan && job.Placed > 0) ||
@@ -22,8 +22,8 @@
 	return s.placeAllOrNone(snap, job, machines)
 }
 
-// placeGangInOneZone tries one zone after the other for a gang whose zone is open yet: the
-// zone of the machine that suits best need not be one where all tasks fit.
+// placeGangInOneZone tries one zone after another for a gang that must run in one zone and has no
+// task placed yet: the zone of the best machine may not have room for all tasks.
 func (s *Scheduler) placeGangInOneZone(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
 	var tried []int32
 	for _, machine := range machines {
@@ -35,18 +35,18 @@
 		if s.placeAllOrNone(snap, job, machinesInZone(machines, zone)) {
 			return true
 		}
-		s.refusals = s.refusals[:0] // they were about one zone
+		s.refusals = s.refusals[:0] // they hold for one zone only
 	}
 	return false
 }
 
-// machinesInZone lists the machines of one zone, in their order, in a new slice.
+// machinesInZone returns the machines of one zone, in their order, in a new slice.
 func machinesInZone(machines []*workers.Machine, zone int32) []*workers.Machine {
 	elsewhere := func(machine *workers.Machine) bool { return machine.Zone != zone }
 	return slices.DeleteFunc(slices.Clone(machines), elsewhere)
 }
 
-// placeAllOrNone places all waiting tasks of a job or none, and reports which.
+// placeAllOrNone places all waiting tasks of a job or none, and reports whether it placed them.
 func (s *Scheduler) placeAllOrNone(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
 	var placed []int
 	for {
@@ -61,7 +61,7 @@
 	}
 	for _, k := range placed {
 		snap.Unplace(job, k)
-		s.refusals = s.refusals[:0] // there is more room again
+		s.refusals = s.refusals[:0] // the withdrawn plans leave room again
 	}
 	return false
 }
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	minRuntimeToMigrate = 35 * time.Second // a task that has run for less stays: its start would have been for nothing
-	migrationTime       = 12 * time.Second // saving, the next report, fetching the image
-	maxMachinesEmptied  = 16               // machines emptied in one round
+	minRuntimeToMigrate = 35 * time.Second // a task that ran for less is not moved: its start would be wasted
+	migrationTime       = 12 * time.Second // covers saving, waiting for the next report and fetching the image
+	maxMachinesEmptied  = 16               // machines emptied by one call of PlanMigrations, at most
 )
 
-// RemainingTime is how long a placed task will probably still run; never negative.
+// RemainingTime returns the expected remaining run time of a placed task, which is never negative.
 func RemainingTime(now time.Duration, job *jobs.Job, task *workers.Placement) time.Duration {
 	left := time.Duration(job.MeanRunSeconds()*float64(time.Second)) - job.SavedRunTime[task.Ref.Task]
 	if task.IsRunning() {
@@ -25,12 +25,12 @@
 	return max(left, 0)
 }
 
-// PlanMigrations returns the tasks to be stopped, with time to save, so that draining
-// machines can be returned: a large machine on which one long task is left
-// costs as much as a full one. A machine is emptied only as a whole, only when all its tasks
-// save their progress, were not moved before (they could go back and forth for ever), and
-// have a place elsewhere that no other task of their team waits for, and when what its unused
-// room would cost until the end is more than what moving loses.
+// PlanMigrations returns the tasks to be stopped, with time to save their progress, so that
+// draining machines can be returned: a large machine with one long task left costs as much as a
+// full one. A machine is emptied only as a whole, and only if moving its tasks costs less than its
+// unused room would until the last of them ends. Each task must save its progress, must not have
+// been moved before (it could move back and forth forever) and must fit elsewhere, and its team
+// must have no waiting tasks.
 func (s *Scheduler) PlanMigrations(snap Snapshot) []*workers.Placement {
 	plan := migrationPlan{snap: &snap, teamWaits: s.teamsWithWaitingTasks(&snap)}
 	draining := plan.listMachines()
@@ -57,7 +57,7 @@
 	return moved
 }
 
-// teamsWithWaitingTasks has, by team, whether jobs of it have waiting tasks.
+// teamsWithWaitingTasks returns, by team index, whether a job of the team has waiting tasks.
 func (s *Scheduler) teamsWithWaitingTasks(snap *Snapshot) []bool {
 	waits := make([]bool, len(s.Limits))
 	for _, i := range snap.Estimator.Order() {
@@ -72,16 +72,16 @@
 type migrationPlan struct {
 	snap      *Snapshot
 	teamWaits []bool     // by team, whether it has waiting tasks
-	rooms     []hostRoom // what is left beside the moves planned so far
+	rooms     []hostRoom // what is still free after the moves planned so far
 }
 
-// hostRoom is what is left free on a machine to which tasks may move.
+// hostRoom is the room that is still free on a machine to which tasks may move.
 type hostRoom struct {
 	machine *workers.Machine
 	free    resources.Amounts
 }
 
-// listMachines returns the draining machines with tasks, and lists the rooms of those to
+// listMachines returns the draining machines with tasks, and fills rooms with the machines to
 // which tasks may move.
 func (plan *migrationPlan) listMachines() (draining []*workers.Machine) {
 	for _, machine := range plan.snap.Inventory.All() {
@@ -95,8 +95,8 @@
 	return draining
 }
 
-// placeStopping takes off the rooms what tasks need that are being moved already: they
-// come first.
+// placeStopping reserves room for the tasks that are already being moved, since they are placed
+// first.
 func (plan *migrationPlan) placeStopping(draining []*workers.Machine) {
 	for _, machine := range draining {
 		for _, task := range machine.Tasks {
@@ -107,8 +107,8 @@
 	}
 }
 
-// place takes one task of a job off the first room that it fits into, and reports whether
-// there was one.
+// place subtracts the need of one task of a job from the first room that it fits into, and reports
+// whether there was one.
 func (plan *migrationPlan) place(job *jobs.Job) bool {
 	for i := range plan.rooms {
 		room := &plan.rooms[i]
@@ -120,8 +120,8 @@
 	return false
 }
 
-// placeTasksOf finds other places for the tasks of a machine. It returns them, the longest
-// time that one of them will probably still run, and whether all of them can move.
+// placeTasksOf finds room elsewhere for the tasks of a machine. It returns the tasks, the longest
+// expected remaining run time among them, and whether all of them can move.
 func (plan *migrationPlan) placeTasksOf(
 	machine *workers.Machine,
 ) (tasks []*workers.Placement, longest time.Duration, all bool) {
@@ -137,7 +137,7 @@
 	return tasks, longest, true
 }
 
-// mayMove reports whether a task that will run for left may be moved at all.
+// mayMove reports whether a task with the expected remaining run time left may be moved at all.
 func (plan *migrationPlan) mayMove(job *jobs.Job, task *workers.Placement, left time.Duration) bool {
 	return restartable(job, task) &&
 		!job.HasZoneRule() &&
@@ -148,8 +148,8 @@
 		!plan.teamWaits[job.Team]
 }
 
-// worthEmptying reports whether the unused room of a machine costs more until the last of
-// its tasks ends than moving them loses.
+// worthEmptying reports whether the unused room of a machine would cost at least as much until the
+// last of its tasks ends as moving the tasks does.
 func worthEmptying(machine *workers.Machine, longest time.Duration) bool {
 	used := machine.Capacity.CPU - machine.Free.CPU
 	saved := float64(machine.Free.CPU) * (longest - migrationTime).Seconds()
--- a/internal/core/scheduler/migration_test.go
+++ b/internal/core/scheduler/migration_test.go
@@ -10,22 +10,22 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// A draining machine is emptied when all its tasks save, have run for a while,
-// were not moved before, and fit elsewhere; not while their team waits.
+// A draining machine is emptied if its task saves its progress, has run long enough and will run
+// long enough, was not moved before, fits elsewhere, and its team has no waiting tasks.
 func TestPlanMigrationsConditions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(job *jobs.Job, task *workers.Placement, other *workers.Machine)
 		moves  int
 	}{
-		{"all is well", func(*jobs.Job, *workers.Placement, *workers.Machine) {}, 1},
-		{"it does not save", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Record.Checkpoint = 0 }, 0},
+		{"all conditions hold", func(*jobs.Job, *workers.Placement, *workers.Machine) {}, 1},
+		{"it does not save its progress", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Record.Checkpoint = 0 }, 0},
 		{"it has just begun", func(_ *jobs.Job, p *workers.Placement, _ *workers.Machine) { p.RunningSince = 90 * time.Second }, 0},
 		{"it was moved before", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) {
 			j.SavedRunTime = map[int32]time.Duration{0: time.Second}
 		}, 0},
 		{"no room elsewhere", func(_ *jobs.Job, _ *workers.Placement, m *workers.Machine) { m.Free.CPU = 1000 }, 0},
-		{"its team waits", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Waiting = 1 }, 0},
+		{"its team has waiting tasks", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Waiting = 1 }, 0},
 		{"it is nearly done", func(j *jobs.Job, _ *workers.Placement, _ *workers.Machine) { j.Record.EstimateS = 65 }, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -9,20 +9,20 @@
 	"bitternmoor/internal/core/resources"
 )
 
-// Ranks of jobs. 0 is the ordinary path; an urgent or critical job has its priority plus
-// one, which is above servedFloorRank.
+// Ranks of jobs; a job of a higher rank gets room first. Ordinary jobs have rank 0. The rank of an
+// urgent or critical job is its priority plus one, which is above servedFloorRank.
 const (
-	behindRank           = -1 // best-effort work for now, and jobs whose objectives are missed already
-	leadRank             = 1  // much of the class's objective has gone, or the team's guarantee covers it
-	servedFloorRank      = 2  // exceptions served_floor and begin_within: behind urgent jobs, ahead of all others
+	behindRank           = -1 // best-effort jobs for a time, and jobs that would miss their last objective
+	leadRank             = 1  // jobs that have waited for much of their class's objective, or are guaranteed
+	servedFloorRank      = 2  // exceptions served_floor and begin_within: behind urgent jobs, ahead of others
 	servedFloorFirstRank = 9  // exception served_floor, ahead of urgent jobs too
 )
 
 // urgentPriority is the lowest priority that counts as urgent.
 const urgentPriority = 2
 
-// JobOrder lists the jobs in the order in which they get room: HFSP's, with the
-// exceptions before and behind it. Services are not in it. The slice is valid
+// JobOrder returns the jobs in the order in which they get room: HFSP's size order, with the jobs
+// that an exception puts ahead of it or behind it. Services are not included. The slice is valid
 // until the next call.
 func (s *Scheduler) JobOrder(snap *Snapshot) []int32 {
 	order := snap.Estimator.Order()
@@ -49,8 +49,8 @@
 	return s.orderBuffer
 }
 
-// markGuaranteed marks the jobs that fit into their team's guarantee together with the
-// team's earlier unfinished jobs.
+// markGuaranteed sets Guaranteed on the jobs that fit into their team's guarantee together with
+// the team's earlier unfinished jobs.
 func (s *Scheduler) markGuaranteed(snap *Snapshot, order []int32) {
 	s.orderBuffer = append(s.orderBuffer[:0], order...)
 	byArrival := s.orderBuffer
@@ -71,8 +71,8 @@
 	}
 }
 
-// rank is 0 for jobs on the ordinary path, above it for those that an
-// exception puts ahead of the order and below for those it puts behind.
+// rank returns 0 for ordinary jobs, a positive rank for those that an exception puts ahead of the
+// size order and a negative one for those that an exception puts behind it.
 func (s *Scheduler) rank(snap *Snapshot, i int32) int {
 	job := snap.Jobs.ByIndex(i)
 	switch {
@@ -90,24 +90,24 @@
 	return 0
 }
 
-// inPriorityWindow reports whether a job goes ahead now since it has waited for much of
-// its class's objective.
+// inPriorityWindow reports whether a job goes ahead of the size order now because it has waited
+// for much of its class's objective.
 func (snap *Snapshot) inPriorityWindow(job *jobs.Job) bool {
 	return slices.ContainsFunc(job.PriorityWindows, func(window [2]time.Duration) bool {
 		return window[0] <= snap.Now && snap.Now < window[1]
 	})
 }
 
-// missesLastObjective reports whether a job has objectives, and a task of it that began
-// now would end after the last of them.
+// missesLastObjective reports whether a job has objectives and a task that started now would end
+// after the last of them.
 func (snap *Snapshot) missesLastObjective(job *jobs.Job) bool {
 	return job.Deadline > 0 &&
 		snap.Now < job.LowRankAfterMissUntil &&
 		snap.Now+time.Duration(job.MeanRunSeconds()*float64(time.Second)) > job.Deadline
 }
 
-// overdue reports whether none of a job's tasks has begun for longer than it should wait. The
-// largest come last by size, and where smaller ones keep coming they would never begin.
+// overdue reports whether a job has waited for BeginWithin or longer without beginning. The
+// largest jobs come last in the size order, and would never begin while smaller ones keep arriving.
 func (s *Scheduler) overdue(snap *Snapshot, job *jobs.Job) bool {
 	return s.BeginWithin > 0 && !job.HasBegun() && snap.Now-job.AcceptedAt >= s.BeginWithin
 }
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -7,28 +7,30 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Pools counts the units (licences and the like) that some tasks need besides room on
-// a machine. It decides which tasks may start; the scheduler reports what it places.
+// Pools counts the units, such as licences, that some tasks need besides room on a machine. It
+// decides which tasks may start; the scheduler reports each placement to it.
 type Pools interface {
-	// BeginCycle begins a scheduling cycle: list has the jobs that could start a task now but for
-	// units and room, in the order in which they get room.
+	// BeginCycle starts a scheduling cycle. list holds the jobs that could start a task now if they
+	// got units and room, in the order in which they get room.
 	BeginCycle(now time.Duration, list []*jobs.Job)
-	// Allows reports whether so many more tasks of a job may start.
+	// Allows reports whether the units suffice for so many more tasks of a job.
 	Allows(j *jobs.Job, tasks int) bool
 	// TaskPlaced counts a task that was placed.
 	TaskPlaced(j *jobs.Job)
-	// TaskRemoved takes back TaskPlaced for a task whose plan was dropped in the same cycle.
+	// TaskRemoved reverses TaskPlaced for a task whose plan was withdrawn in the same cycle.
 	TaskRemoved(j *jobs.Job)
-	// StartableTasks is how many more tasks the units that are left let start.
+	// StartableTasks returns how many more tasks of a job the remaining units suffice for.
 	StartableTasks(j *jobs.Job) int
-	// WaitReason says in words what a job waits for; empty: nothing.
+	// WaitReason returns a text for users on the units that a job waits for, or an empty string if
+	// it waits for none.
 	WaitReason(j *jobs.Job) string
-	// Unsatisfiable says in words why a job could never have the units it asks for; empty: it could.
+	// Unsatisfiable returns a text for users on why a job can never get the units that it asks for,
+	// or an empty string if it can.
 	Unsatisfiable(rec *eventlog.Job) string
 }
 
-// beginUnitCycle gives the pools the jobs that could start a task in this cycle:
-// services first, then the others in their order.
+// beginUnitCycle passes to the pools the jobs that could start a task in this cycle: services
+// first, then the others in their order.
 func (s *Scheduler) beginUnitCycle(snap *Snapshot, order []int32) {
 	var startable []*jobs.Job
 	for _, job := range snap.Jobs.All() {
@@ -44,8 +46,8 @@
 	snap.Pools.BeginCycle(snap.Now, startable)
 }
 
-// couldUseUnits reports whether a job needs counted units, and could start a task now
-// but for units and room.
+// couldUseUnits reports whether a job needs counted units and could start a task now if it got
+// units and room.
 func (s *Scheduler) couldUseUnits(snap *Snapshot, job *jobs.Job) bool {
 	return len(job.Record.Counted) > 0 &&
 		job.Waiting > 0 &&
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -13,22 +13,21 @@
 
 const (
 	minWaitToPreempt = time.Second     // a job waits at least this long before others are preempted for it
-	preemptPause     = 5 * time.Second // between two rounds for one job: stopping takes time
+	preemptPause     = 5 * time.Second // between two rounds for one job, since stopping takes time
 	maxLostRuntime   = 5 * time.Second // a task without checkpoints that has run for longer is not preempted
-	maxVictims       = 8               // tasks preempted in one round for one job
+	maxVictims       = 8               // once this many tasks are chosen in one round for one job, no more are
 )
 
-// Preempt returns the tasks to be stopped so that jobs get room which the
-// rules let them have at others' cost: a job of higher priority, and one
-// within its team's guarantee at the cost of teams beyond theirs. Only tasks
-// that save their progress, or have hardly begun, are stopped; gangs and
-// services never are.
+// Preempt returns the tasks to be stopped to make room for other jobs: for jobs of higher priority,
+// and for jobs within their team's guarantee if the task's team uses more than its own guarantee.
+// Only tasks that save their progress or have just begun are stopped. Gangs and services are never
+// preempted.
 func (s *Scheduler) Preempt(snap Snapshot) []*workers.Placement {
 	var stopped, candidates []*workers.Placement
 	order := s.JobOrder(&snap)
-	// The tasks are looked through only once a job is found that may have room at
-	// others' cost. Until then the lowest rank of any job with tasks stands in for
-	// that of those which may be stopped: it is no higher.
+	// The tasks are listed only once a job is found for which others may be preempted. Until then
+	// the lowest rank of all jobs with placed tasks is used as a lower bound on the lowest rank of
+	// the preemptible ones.
 	lowest, listed := s.lowestPlacedRank(&snap, order), false
 	for _, i := range order {
 		if s.exhaustive && !listed {
@@ -36,7 +35,7 @@
 			listed = true
 		}
 		if s.ranks[i] <= lowest {
-			break // no job ranks below this one or those after it
+			break // neither this job nor a later one ranks above a preemptible task
 		}
 		job := snap.Jobs.ByIndex(i)
 		if !s.mayHavePreempted(&snap, job) {
@@ -63,7 +62,7 @@
 	return stopped
 }
 
-// lowestPlacedRank is the lowest rank of a job with placed tasks.
+// lowestPlacedRank returns the lowest rank of a job with placed tasks.
 func (s *Scheduler) lowestPlacedRank(snap *Snapshot, order []int32) int8 {
 	lowest := int8(math.MaxInt8)
 	for _, i := range order {
@@ -74,8 +73,8 @@
 	return lowest
 }
 
-// mayHavePreempted reports whether tasks of others may be preempted for a job now, as far
-// as that hangs on the job alone.
+// mayHavePreempted reports whether a job itself meets the conditions for preempting tasks of other
+// jobs now.
 func (s *Scheduler) mayHavePreempted(snap *Snapshot, job *jobs.Job) bool {
 	return job.Waiting > 0 &&
 		job.Record.Kind != jobs.Gang &&
@@ -87,8 +86,8 @@
 		(job.PreemptedAt <= 0 || snap.Now-job.PreemptedAt >= preemptPause)
 }
 
-// preemptible lists the tasks that may be preempted for some job, and the lowest rank
-// of their jobs. A task that was stopped before is left alone.
+// preemptible returns the tasks that may be preempted, and the lowest rank of their jobs. It leaves
+// out tasks that were stopped before.
 func (s *Scheduler) preemptible(snap *Snapshot) (candidates []*workers.Placement, lowest int8) {
 	lowest = math.MaxInt8
 	for _, machine := range snap.Inventory.All() {
@@ -107,13 +106,13 @@
 	return candidates, lowest
 }
 
-// losesMuch reports whether a task saves nothing and has run for longer than may be lost.
+// losesMuch reports whether a task saves no progress and has run for longer than maxLostRuntime.
 func (snap *Snapshot) losesMuch(owner *jobs.Job, task *workers.Placement) bool {
 	return owner.Record.Checkpoint == 0 && snap.Now-task.RunningSince > maxLostRuntime
 }
 
-// restartable reports whether a task runs that may be stopped and run again
-// elsewhere: gangs and services never are.
+// restartable reports whether a task is running and may be stopped and run again elsewhere. Tasks
+// of gangs and services may not.
 func restartable(job *jobs.Job, task *workers.Placement) bool {
 	return !task.Planned &&
 		!task.Stopping &&
@@ -122,8 +121,8 @@
 		job.Phase == jobs.Open
 }
 
-// chooseVictims picks those of the candidates whose room a job's waiting tasks fill, the
-// ones that lose least first; none if there is room for the job already.
+// chooseVictims returns the candidates to be stopped to make room for a job's waiting tasks,
+// starting with those that lose the least run time. It returns none if the job already has room.
 func (s *Scheduler) chooseVictims(snap *Snapshot, job *jobs.Job, candidates []*workers.Placement) []*workers.Placement {
 	if snap.hasFreeHost(job) {
 		return nil // it only has to be placed
@@ -153,7 +152,7 @@
 	return false
 }
 
-// lossOf is the run time that is lost when a task is stopped.
+// lossOf returns the run time that is lost if a task is stopped.
 func (snap *Snapshot) lossOf(task *workers.Placement) time.Duration {
 	if snap.Jobs.ByIndex(task.Ref.Job).Record.Checkpoint > 0 {
 		return 0
@@ -161,9 +160,9 @@
 	return snap.Now - task.RunningSince
 }
 
-// victimsThatMakeRoom takes tasks in their order until their room, with what is free on
-// their machines, holds all waiting tasks of a job, or they are enough for one round. Tasks
-// of a machine count only once they make room for at least one.
+// victimsThatMakeRoom takes tasks in their order until their room, together with the free room of
+// their machines, suffices for all waiting tasks of a job or maxVictims is reached. The tasks of a
+// machine are taken only once they make room for at least one task of the job.
 func victimsThatMakeRoom(job *jobs.Job, eligible []*workers.Placement) []*workers.Placement {
 	var victims []*workers.Placement
 	freed := map[*workers.Machine]resources.Amounts{}
@@ -176,7 +175,7 @@
 		if count := TasksThatFit(job.Need, machine.Free.Plus(freed[machine])); count > 0 {
 			places += count
 			victims = append(victims, chosen[machine]...)
-			// All this room is counted: the machine's other tasks add from nothing.
+			// All of this room has been counted, so the sum for the machine starts again at zero.
 			chosen[machine] = nil
 			freed[machine] = resources.Amounts{}.Minus(machine.Free)
 		}
@@ -191,7 +190,7 @@
 func (s *Scheduler) mayPreempt(snap *Snapshot, job *jobs.Job, task *workers.Placement) bool {
 	owner := snap.Jobs.ByIndex(task.Ref.Job)
 	if s.ranks[job.Index] <= s.ranks[owner.Index] {
-		return false // the room would go back to the task that was stopped
+		return false // the stopped task would get the room back
 	}
 	if owner.Priority < job.Priority && !owner.Guaranteed {
 		return true
--- a/internal/core/scheduler/preemption_test.go
+++ b/internal/core/scheduler/preemption_test.go
@@ -15,7 +15,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// setRunning makes a planned task one that has run since ranAt.
+// setRunning turns a planned task into one that has been running since ranAt.
 func setRunning(task *workers.Placement, ranAt time.Duration) {
 	task.Planned, task.Seen = false, true
 	task.State, task.RunningSince = workers.Running, ranAt
@@ -25,8 +25,8 @@
 	return cmp.Or(cmp.Compare(a.Job, b.Job), cmp.Compare(a.Task, b.Task))
 }
 
-// Preemption looks through the tasks only when it must. On random clusters it stops
-// the same tasks as one that always does.
+// Preempt lists the tasks only if it needs them. On random clusters it must stop the same tasks as
+// an exhaustive one, which always lists them.
 func TestPreemptDecidesLikeExhaustiveOne(t *testing.T) {
 	total := 0
 	for seed := range uint64(200) {
@@ -44,7 +44,8 @@
 					task.Attempt = uint64(len(got[i])) + uint64(ref.Job)<<16 + uint64(ref.Task)
 				}
 			}
-			// The jobs that came last are urgent now, and find the machines taken.
+			// The jobs added last get random priorities, some of them urgent, on machines that
+			// are taken.
 			for _, j := range snap.Jobs.All()[20:] {
 				j.Priority = uint8(r.IntN(4))
 			}
@@ -53,18 +54,18 @@
 			}
 		}
 		if !slices.Equal(got[0], got[1]) {
-			t.Fatalf("seed %d: the exhaustive one stops %v, the other %v", seed, got[0], got[1])
+			t.Fatalf("seed %d: the exhaustive Preempt stops %v, the ordinary one %v", seed, got[0], got[1])
 		}
 		total += len(got[0])
 	}
 	if total < 200 {
-		t.Errorf("only %d tasks were stopped: the clusters do not tell the two apart", total)
+		t.Errorf("only %d tasks were stopped: too few to show a difference between the two", total)
 	}
 }
 
-// Two urgent jobs find the cluster full of tasks that save. Each victim is
-// named once, and a task that was stopped before is left alone: found on a day
-// where one long job was stopped five times over and set the end of the day.
+// Two urgent jobs arrive at a machine full of tasks that save their progress. Preempt must return
+// each victim once and spare tasks that were stopped before. Without that, one long job was stopped
+// five times and was the last job of its day to end.
 func TestPreemptSparesTasksStoppedBefore(t *testing.T) {
 	snap := emptySnapshot(100*time.Second, time.Hour, 0)
 	machine := snap.Inventory.Add(&workers.Machine{
@@ -106,6 +107,6 @@
 	scheduler.UrgentFirst = true
 	got := scheduler.Preempt(snap)
 	if len(got) != 1 || long.SavedRunTime[got[0].Ref.Task] > 0 {
-		t.Errorf("%d tasks are stopped: %+v", len(got), got)
+		t.Errorf("%d tasks are stopped, want one that was not stopped before: %+v", len(got), got)
 	}
 }
--- a/internal/core/scheduler/reservation.go
+++ b/internal/core/scheduler/reservation.go
@@ -8,11 +8,11 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// reserveFor reserves the room of machines for a job that fits nowhere now: of those
-// that would fit it the ones with most room already, as many as its waiting
-// tasks fill and its team may use. For a job bound to one zone they are of
-// one zone; for a gang nothing is reserved unless all of it would fit, for then
-// waiting would bring nothing. It reports whether any machine is reserved.
+// reserveFor reserves machines for a job that fits nowhere now, and reports whether it reserved
+// any. Of the machines that could host the job it takes those with the most free processors, as
+// many as are needed for the waiting tasks that the team's limit allows. For a job bound to one zone
+// they are in one zone. For a gang it reserves nothing unless the whole gang would fit, since the
+// gang could not start otherwise.
 func (s *Scheduler) reserveFor(snap *Snapshot, job *jobs.Job) bool {
 	hosts, places := snap.possibleHosts(job)
 	tasks := s.waitingWithinLimit(snap, job)
@@ -30,9 +30,9 @@
 	return reserved
 }
 
-// possibleHosts lists the machines that could host a job if they were empty, most free
-// processors first, and how many of its tasks fit there together; for a job bound to one
-// zone those of the zone with the most places.
+// possibleHosts returns the machines that could host a job if they were empty, those with the most
+// free processors first, and how many of its tasks fit on them in all. For a job bound to one zone
+// they are those of the zone where the most tasks fit.
 func (snap *Snapshot) possibleHosts(job *jobs.Job) (hosts []*workers.Machine, places int) {
 	placesByZone := map[int32]int{}
 	for _, machine := range snap.Inventory.All() {
@@ -56,7 +56,7 @@
 	return machinesInZone(hosts, zone), placesByZone[zone]
 }
 
-// waitingWithinLimit is how many of a job's waiting tasks its team may use at once.
+// waitingWithinLimit returns how many of a job's waiting tasks its team's limit allows at once.
 func (s *Scheduler) waitingWithinLimit(snap *Snapshot, job *jobs.Job) int {
 	tasks := 0
 	for tasks < job.Waiting && s.withinLimit(snap, job, tasks+1) {
--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -7,58 +7,57 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// ShardHolder is a controller's side of its shard: the machines whose workers it
-// answers, under a lease from the leader, and the offers it has accepted.
+// ShardHolder is a controller's state for its shard: the machines whose workers it answers under a
+// lease from the leader, and the offers that it has accepted.
 //
-// The leader hands over the shard's work (task, attempt) as offers with its answer to
-// each report; the holder chooses among them by machine: it starts them on the machine
-// whose report it answers, or leaves them for another. A start travels only
-// in the answer to the very report for which the leader made the offer, and
-// one offer is started once.
+// With its answer to each worker report, the leader passes the shard's tasks to the holder as
+// offers. The holder starts an offered task on the machine whose report it answers, or leaves it
+// for another machine. It sends a start only in the answer to the report for which the leader made
+// the offer, and starts each offer at most once.
 type ShardHolder struct {
-	leases   map[string]machineLease  // by name of the machine
-	accepted map[uint64]time.Duration // by serial of the offer, when it was accepted
+	leases   map[string]machineLease  // by machine name
+	accepted map[uint64]time.Duration // by serial number of the offer, when it was accepted
 }
 
-// machineLease is the leader's leave to answer a machine's worker.
+// machineLease is the leader's permission to answer the worker of a machine.
 type machineLease struct {
-	token uint64        // fencing token with which the worker is answered
+	token uint64        // the fencing token with which the worker is answered
 	until time.Duration // when the lease expires
 }
 
-// acceptedRetention is how long an accepted offer is remembered: far longer than the
-// leader keeps offering it.
+// acceptedRetention is how long an accepted offer is remembered, which is far longer than the
+// leader repeats it.
 const acceptedRetention = 30 * time.Minute
 
-// NewShardHolder makes a holder of an empty shard.
+// NewShardHolder returns a holder of an empty shard.
 func NewShardHolder() *ShardHolder {
 	return &ShardHolder{leases: map[string]machineLease{}, accepted: map[uint64]time.Duration{}}
 }
 
-// Renew notes that the leader answered a report of a machine: the machine is in this
-// shard until the lease expires, under this fencing token.
+// Renew records that the leader answered a report of a machine: the machine belongs to this shard
+// under this fencing token until the lease expires.
 func (h *ShardHolder) Renew(machine string, token uint64, until time.Duration) {
 	h.leases[machine] = machineLease{token: token, until: until}
 }
 
-// Release notes that a machine is in another shard.
+// Release records that a machine belongs to another shard.
 func (h *ShardHolder) Release(machine string) { delete(h.leases, machine) }
 
-// KeepAlive returns the fencing token with which a worker may be answered while the
-// leader cannot be asked, so that its tasks outlive the leader, and whether it may be. A
-// worker that has seen a higher token belongs to another holder. One that has seen none has
-// no tasks: it is new, or a new incarnation, which the next leader must be able to tell.
+// KeepAlive returns the fencing token with which a worker may be answered while the leader cannot
+// be reached, and whether it may be answered. The answer keeps the worker's tasks running without a
+// leader. A worker that has seen a higher token belongs to another holder. A worker that has seen
+// none has no tasks: it is new or restarted, and the next leader must be able to see that.
 //
-// Found in a random day on which the leader stood still: a machine restarted under its name
-// and was given its old token here, and the next leader took the units of the tasks that it
-// had lost to be free.
+// Without the last rule, on a random test day on which the leader hung, a machine restarted under its
+// name and was given its old token here, and the next leader regarded the units of the tasks that
+// the machine had lost as free.
 func (h *ShardHolder) KeepAlive(now time.Duration, report *workers.Report) (token uint64, ok bool) {
 	lease, held := h.leases[report.Machine]
 	return lease.token, held && now < lease.until && report.Token > 0 && report.Token <= lease.token
 }
 
-// Pick accepts offers for the machine whose report is answered: first those with
-// room kept there, then such that fit into the room left.
+// Pick accepts offers for the machine whose report is being answered, and returns them: first those
+// for which room is kept on this machine, then others that fit into the given room.
 func (h *ShardHolder) Pick(now time.Duration, offers []workers.Offer, room resources.Amounts) []workers.Offer {
 	var picked []workers.Offer
 	for _, here := range []bool{true, false} {
@@ -82,7 +81,7 @@
 	return picked
 }
 
-// Tick forgets old offers and expired leases.
+// Tick removes accepted offers after acceptedRetention, and expired leases.
 func (h *ShardHolder) Tick(now time.Duration) {
 	for serial, at := range h.accepted {
 		if now-at > acceptedRetention {
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -9,21 +9,20 @@
 )
 
 const (
-	starvationLimit         = 60 * time.Second // how long a job waits beside room that it may have before it gets it
+	starvationLimit         = 60 * time.Second // how long a job waits before it gets room that its user permits
 	starvationCheckInterval = time.Second      // how often starved jobs are looked for
 )
 
-// placeStarved is the exception left_waiting: a job of which a task has waited for
-// starvationLimit while machines on which its user lets it be had room for it all the time,
-// or for all of a gang, and its team was under its limit, gets that room. It gets it whatever
-// the room was reserved or kept for, also where the leader would rather have the tasks
-// elsewhere, and also on machines that were to be returned. Room reserved for a first job
-// that does not fit has no limit in time otherwise. Found in a test with services on all
-// machines, an urgent gang that fits none of them, and gangs that waited beside them for as
-// long as the day was.
+// placeStarved implements the exception left_waiting. A job is starved if for starvationLimit it has
+// waited for nothing but room while machines that its user permits had room for one of its tasks, or
+// for all of a gang. It then gets that room, even if the room is reserved for another job or kept
+// for accelerated tasks, if the leader prefers other machines for the job, or if the machine is
+// being drained. smallestCPU is what the smallest waiting task needs, in thousandths of a processor.
+// placeStarved returns how many jobs got room.
 //
-// smallestCPU is what the smallest task that waits needs, in thousandths of a processor. It
-// returns how many jobs got room.
+// Without this exception nothing limits how long room stays reserved for a job that does not fit. In
+// a test with services on all machines and an urgent gang that fitted on none of them, other gangs
+// waited for the whole day although they had room.
 func (s *Scheduler) placeStarved(snap *Snapshot, smallestCPU int64) (served int) {
 	if snap.Now-s.starvationCheckedAt < starvationCheckInterval {
 		return 0
@@ -59,8 +58,8 @@
 	return served
 }
 
-// servingMachinesWithRoom lists the machines, also such that are to be returned, that have
-// room for the smallest task that waits.
+// servingMachinesWithRoom returns the machines, including draining ones, that have enough free
+// processors for the smallest waiting task.
 func (snap *Snapshot) servingMachinesWithRoom(smallestCPU int64) []*workers.Machine {
 	var machines []*workers.Machine
 	for _, machine := range snap.Inventory.All() {
@@ -73,7 +72,8 @@
 	return machines
 }
 
-// mayStarve reports whether a job waits for nothing but room.
+// mayStarve reports whether a job waits for nothing but room: it may start, and neither its team's
+// limit nor counted units prevent that.
 func (s *Scheduler) mayStarve(snap *Snapshot, job *jobs.Job) bool {
 	return job.Waiting > 0 &&
 		s.ready(snap, job) &&
@@ -82,8 +82,8 @@
 		snap.unitsAllow(job, job.GangSize())
 }
 
-// placeStarvedJob gives a starved job what room there is for it, and reports whether that
-// was any.
+// placeStarvedJob places as many tasks of a starved job as there is room for, and reports whether
+// it placed any.
 func (s *Scheduler) placeStarvedJob(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
 	placedBefore := job.Placed
 	s.placeJob(snap, job, machines)
@@ -93,7 +93,7 @@
 	job.StarvedSince = 0
 	for _, machine := range machines {
 		if machine.Draining && machine.HasPlans() {
-			// The plan would be taken back otherwise.
+			// The plan would be withdrawn if the machine were still draining.
 			machine.Draining = false
 			machine.NotDrainedBefore = snap.Now + starvationLimit
 		}
@@ -101,8 +101,8 @@
 	return true
 }
 
-// hasRoom reports whether the machines that a job may use have room for one more of its
-// tasks, or for all of a gang.
+// hasRoom reports whether those of the machines that a job's user permits have room for one more of
+// its tasks, or for all waiting tasks of a gang.
 func (snap *Snapshot) hasRoom(job *jobs.Job, machines []*workers.Machine) bool {
 	need := job.GangSize()
 	placesByZone := map[int32]int{}
@@ -120,8 +120,7 @@
 		(!job.GangBegan || job.Placed == 0)
 }
 
-// usablePlaces is how many of the places in each zone a job may use together by its rule
-// on zones.
+// usablePlaces returns how many of the places in all zones a job may use at once by its zone rule.
 func usablePlaces(job *jobs.Job, placesByZone map[int32]int) int {
 	total, mostInOneZone := 0, 0
 	for zone, places := range placesByZone {
--- a/internal/core/sizing/aging.go
+++ b/internal/core/sizing/aging.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// claim is how many processors a job could use in the virtual cluster.
+// claim is the number of processors that a job could use in the virtual cluster.
 type claim struct {
 	job    *jobEstimate
 	demand float64
@@ -14,12 +14,11 @@
 
 func byDemand(a, b claim) int { return cmp.Compare(a.demand, b.demand) }
 
-// Age lets the virtual cluster of cpus processors work until now, in seconds. Its
-// processors are shared max-min fairly: no job gets more than its tasks can
-// use, and what small jobs leave goes to the others. A team gets no more than
-// its limit in all, as in the real cluster: otherwise all jobs of a team at its
-// limit would be worked off in the virtual cluster long before the real one,
-// and would stand in the order of their arrival instead of their size.
+// Age advances the virtual cluster of cpus processors to the time now, in seconds. Its processors
+// are shared max-min fairly: no job gets more than its tasks can use, and what small jobs leave
+// unused goes to the others. A team gets no more than its limit in all, as in the real cluster.
+// Otherwise the jobs of a team at its limit would be finished in the virtual cluster long before the
+// real one, and would be ordered by arrival instead of by size.
 func (e *Estimator) Age(now, cpus float64) {
 	elapsed := now - e.agedAt
 	e.agedAt = now
@@ -37,9 +36,9 @@
 	}
 }
 
-// claims lists the jobs of which something is left, each with the processors that its tasks
-// could use for so many seconds: no more tasks than would work it off in that time, but one
-// at least.
+// claims returns the jobs with remaining virtual size, each with the number of processors that its
+// tasks could use during elapsed seconds: at least one task, and no more tasks than would finish
+// the rest in that time.
 func (e *Estimator) claims(elapsed float64) []claim {
 	claims := make([]claim, 0, len(e.order))
 	for _, index := range e.order {
@@ -52,8 +51,8 @@
 	return claims
 }
 
-// capByTeam lowers the claims of each team with a limit to its max-min share of that. The
-// claims come sorted by demand.
+// capByTeam lowers each claim of a team with a limit to the job's max-min fair share of that limit.
+// The claims must be sorted by demand.
 func (e *Estimator) capByTeam(claims []claim) {
 	for team, limit := range e.Limits {
 		if limit <= 0 {
@@ -68,8 +67,8 @@
 	}
 }
 
-// maxMinLevel is the most that one of the jobs for which shares holds may get where cpus
-// processors are shared max-min fairly among them. The claims come sorted by demand.
+// maxMinLevel returns the most that one job may get if cpus processors are shared max-min fairly
+// among the jobs for which shares returns true. The claims must be sorted by demand.
 func maxMinLevel(claims []claim, cpus float64, shares func(*jobEstimate) bool) float64 {
 	jobsLeft := 0
 	for _, c := range claims {
--- a/internal/core/sizing/sizing_test.go
+++ b/internal/core/sizing/sizing_test.go
@@ -15,9 +15,9 @@
 	}
 }
 
-// The paper's Figure 3: sizes are normalised to the service rate. Job 1 of 3
-// and job 2 of 4 share the virtual cluster until time 3, when job 3 of 3
-// arrives; job 2 is then 2.5 and goes before job 3 although really larger.
+// Figure 3 of the HFSP paper, with sizes normalised to the service rate. Job 1 of size 3 and job 2
+// of size 4 share the virtual cluster until time 3, when job 3 of size 3 arrives. The virtual size
+// of job 2 is then 2.5, so it goes before job 3 although its size is larger.
 func TestFigure3(t *testing.T) {
 	estimator := New(paperParams)
 	for j, size := range []float64{3, 4} {
@@ -50,17 +50,17 @@
 	}
 	estimator.TaskStarted(2, 4, 10)
 	if _, ok := estimator.FinalizeSize(2, 69); ok {
-		t.Fatal("settled before Δ")
+		t.Fatal("the size is final before Δ")
 	}
 	size, ok := estimator.FinalizeSize(2, 70)
 	if !ok {
-		t.Fatal("not settled at Δ")
+		t.Fatal("the size is not final at Δ")
 	}
 	// s̄ = (4·20 + 120)/5 = 40; (8−5) + 0.5 tasks are left.
 	expectNear(t, "S_f", size, 140)
 	estimator.TaskCompleted(2, 4, 500)
 	if _, ok := estimator.FinalizeSize(2, 600); ok {
-		t.Error("size set twice")
+		t.Error("the final size is set twice")
 	}
 }
 
@@ -72,11 +72,11 @@
 	for j := range int32(3) {
 		estimator.Restore(j, true, 1000, 1000)
 	}
-	// 30 processors, fair share 10 each: jobs 0 and 2 can use just 10.
+	// 30 processors give a fair share of 10 each. Jobs 0 and 2 can use exactly 10.
 	estimator.Age(1, 30)
 	expectNear(t, "job 0", estimator.VirtualSize(0), 990)
 	expectNear(t, "job 1", estimator.VirtualSize(1), 997.5)
-	// With 60, what 0 and 2 leave goes to job 1: all 10 of its tasks run.
+	// Of 60 processors, those that jobs 0 and 2 leave go to job 1, so that all 10 of its tasks run.
 	estimator.Age(2, 60)
 	expectNear(t, "job 0", estimator.VirtualSize(0), 980)
 	expectNear(t, "job 1", estimator.VirtualSize(1), 987.5)
@@ -86,11 +86,11 @@
 	estimator := New(paperParams)
 	estimator.Add(0, 0, 20, 1, true)
 	if estimator.Training(0, 0) {
-		t.Error("a gang trains")
+		t.Error("a task of a gang is a training task")
 	}
 	estimator.Add(1, 0, 20, 1, false)
 	if !estimator.Training(1, 4) || estimator.Training(1, 5) {
-		t.Error("the first t tasks train, no others")
+		t.Error("the first t tasks, and no others, should be training tasks")
 	}
 	estimator.TaskStarted(1, 0, 1)
 	estimator.TaskLost(1, 0)
@@ -102,8 +102,8 @@
 	}
 }
 
-// A team at its limit gets no more than that in the virtual cluster either,
-// and its jobs share it max-min; the rest goes to the others.
+// A team gets no more than its limit in the virtual cluster either. Its jobs share the limit
+// max-min fairly, and the other processors go to the other teams.
 func TestAgingWithinTeamLimits(t *testing.T) {
 	estimator := New(paperParams)
 	estimator.Limits = []float64{4, 0}
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -1,16 +1,16 @@
 package sizing
 
-// assumedProgress is p_k of a training task that has not ended after Δ: workers report no
-// progress, so it is taken as half done.
+// assumedProgress is p_k of a training task that has not ended after Δ. Workers report no progress,
+// so the task is assumed to be half done.
 const assumedProgress = 0.5
 
-// sample is what is known of one training task.
+// sample is the measurement of one training task.
 type sample struct {
 	startedAt float64 // when it began to run, in seconds; negative: not running
 	runTime   float64 // seconds; negative: not completed
 }
 
-// newSamples makes samples of training tasks that have not begun.
+// newSamples returns samples of training tasks that have not started.
 func newSamples(count int) []sample {
 	samples := make([]sample, count)
 	for k := range samples {
@@ -19,32 +19,32 @@
 	return samples
 }
 
-// Training reports whether task k of a job is one that trains its size: one of the first t,
-// while the size is not final.
+// Training reports whether task k of a job is a training task: one of the first t while the size
+// is not final.
 func (e *Estimator) Training(index int32, k int) bool {
 	job := e.job(index)
 	return job != nil && !job.final && !job.untrained && k < len(job.samples)
 }
 
-// InTraining reports whether a job's S_f is still to be set from its training tasks.
+// InTraining reports whether S_f of a job is still to be computed from its training tasks.
 func (e *Estimator) InTraining(index int32) bool { return e.Training(index, 0) }
 
-// TaskStarted notes that task k of a job started to run at now, in seconds.
+// TaskStarted records that task k of a job started to run at the time now, in seconds.
 func (e *Estimator) TaskStarted(index int32, k int, now float64) {
 	if e.Training(index, k) && e.jobs[index].samples[k].startedAt < 0 {
 		e.jobs[index].samples[k].startedAt = now
 	}
 }
 
-// TaskLost notes that task k of a job no longer runs and did not complete.
+// TaskLost records that task k of a job stopped running without completing.
 func (e *Estimator) TaskLost(index int32, k int) {
 	if e.Training(index, k) {
 		e.jobs[index].samples[k].startedAt = -1
 	}
 }
 
-// TaskCompleted notes that task k of a job completed after runTime seconds. A
-// negative time is unknown, and s̄ stands in for it.
+// TaskCompleted records that task k of a job completed after runTime seconds. A negative run time
+// means that it is unknown, and is replaced by s̄.
 func (e *Estimator) TaskCompleted(index int32, k int, runTime float64) {
 	job := e.job(index)
 	if job == nil {
@@ -60,7 +60,7 @@
 	job.samples[k].runTime = runTime
 }
 
-// meanOrFirst is s̄, or Params.First while there is none.
+// meanOrFirst returns s̄, or Params.InitialSize while there is none.
 func (e *Estimator) meanOrFirst() float64 {
 	if mean, ok := e.MeanTaskTime(); ok {
 		return mean
@@ -68,15 +68,15 @@
 	return e.params.InitialSize
 }
 
-// FinalizeSize sets the final size S_f of a job when its training is over: each training task
-// has completed, or has run for Δ and counts Δ/p_k, which is 2Δ. It returns S_f in seconds
-// and true when it was set by this call; it is set only once.
+// FinalizeSize sets the final size S_f of a job once its training is over: each training task has
+// completed, or has run for Δ and counts as Δ/p_k, which is 2Δ. It returns S_f in seconds and true
+// if this call set it. It is set only once.
 func (e *Estimator) FinalizeSize(index int32, now float64) (float64, bool) {
 	job := e.job(index)
 	if job == nil || job.final || job.untrained {
 		return 0, false
 	}
-	var sum, open float64 // of run times; Σ(1−p_k)
+	var sum, open float64 // the sum of run times, and Σ(1−p_k)
 	for _, s := range job.samples {
 		switch {
 		case s.runTime >= 0:
