--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -86,7 +86,7 @@
 		before, span = span-1, c.secondsToServe(Poll)
 		c.updateTurns(now, span)
 		if now < c.turnsUntil {
-			wait := c.secondsIntoNextTurn(now, job)
+			wait := c.secondsUntilTurnRetry(now, job)
 			if wait <= maxRetrySeconds {
 				return max(minSeconds, wait)
 			}
--- a/internal/core/admission/admission_test.go
+++ b/internal/core/admission/admission_test.go
@@ -7,31 +7,31 @@
 
 // If few requests are rejected, each gets the shortest retry time, so that no user waits longer
 // than necessary.
-func TestFewComeBackAtOnce(t *testing.T) {
-	d := NewController(400, 0)
+func TestFewRejectionsAreRetriedAtOnce(t *testing.T) {
+	controller := NewController(400, 0)
 	for i := range uint64(100) {
-		if s := d.Reject(time.Duration(i)*30*time.Millisecond, Kind(i%2), i, 1); s != 1 {
+		if s := controller.Reject(time.Duration(i)*30*time.Millisecond, Kind(i%2), i, 1); s != 1 {
 			t.Fatalf("retry after %d s, want 1", s)
 		}
 	}
-	if s := d.Reject(time.Second, Submit, 7, 3); s < 3 {
+	if s := controller.Reject(time.Second, Submit, 7, 3); s < 3 {
 		t.Errorf("retry after %d s, although the rejection asks for 3", s)
 	}
 }
 
 // Four thousand submissions and polls that are rejected within a second are spread so that no
 // second brings more retries than one and a half times the rate; submissions are retried first.
-func TestManyAreSpread(t *testing.T) {
+func TestManyRetriesAreSpread(t *testing.T) {
 	const rate = 200
-	d := NewController(rate, 0)
+	controller := NewController(rate, 0)
 	now := 10 * time.Second
 	for i := range uint64(2000) { // not checked: at this time it is unknown how many requests follow
-		d.Reject(now, Kind(i%2), i, 1)
+		controller.Reject(now, Kind(i%2), i, 1)
 	}
 	var back [kindCount][maxRetrySeconds + 1]int
 	for i := range uint64(2000) {
 		k := Kind(i % 2)
-		s := d.Reject(now+time.Second, k, i, 1)
+		s := controller.Reject(now+time.Second, k, i, 1)
 		back[k][s]++
 	}
 	first, last := 0, 0
@@ -50,18 +50,18 @@
 		t.Errorf("submissions are retried until %d s, polls from %d s on", last, first)
 	}
 	// Rejections count for four seconds only, so later ones are not spread.
-	if s := d.Reject(now+10*time.Second, Poll, 1, 1); s != 1 {
+	if s := controller.Reject(now+10*time.Second, Poll, 1, 1); s != 1 {
 		t.Errorf("nine seconds later: retry after %d s, want 1", s)
 	}
 }
 
 // Two jobs whose requests are rejected together repeatedly are not always retried together.
-func TestNotInStep(t *testing.T) {
-	d := NewController(1, 0)
+func TestRetriesOfTwoJobsDiverge(t *testing.T) {
+	controller := NewController(1, 0)
 	apart := 0
 	for i := range 50 {
 		now := time.Duration(i) * 700 * time.Millisecond
-		if d.Reject(now, Submit, 1, 1) != d.Reject(now, Submit, 2, 1) {
+		if controller.Reject(now, Submit, 1, 1) != controller.Reject(now, Submit, 2, 1) {
 			apart++
 		}
 	}
@@ -70,9 +70,9 @@
 	}
 }
 
-func TestQueue(t *testing.T) {
-	in := func(k Kind, taken int) bool { return NewController(400, 0).Admit(time.Second, k, 1, taken, 512) }
-	if !in(Poll, 255) || in(Poll, 256) || !in(Submit, 383) || in(Submit, 384) {
+func TestQueueShares(t *testing.T) {
+	admitted := func(k Kind, taken int) bool { return NewController(400, 0).Admit(time.Second, k, 1, taken, 512) }
+	if !admitted(Poll, 255) || admitted(Poll, 256) || !admitted(Submit, 383) || admitted(Submit, 384) {
 		t.Error("polls should fill up to half of the queue, submissions up to three quarters")
 	}
 }
--- a/internal/core/admission/fair_test.go
+++ b/internal/core/admission/fair_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// play simulates users who each poll one job at a controller that has just restarted and answers
-// perSecond requests a second from a queue of 512 places. Users poll every five seconds, and retry a
-// rejected poll after the time that the rejection gives. It returns the longest time that any user
-// was without an answer.
-func play(t *testing.T, users, perSecond int) time.Duration {
+// simulatePolling simulates users who each poll one job at a controller that has just restarted and
+// answers perSecond requests a second from a queue of 512 places. Users poll every five seconds, and
+// retry a rejected poll after the time that the rejection gives. It returns the longest time that
+// any user was without an answer.
+func simulatePolling(t *testing.T, users, perSecond int) time.Duration {
 	t.Helper()
 	const places, step = 512, 10 * time.Millisecond
 	r := rand.New(rand.NewPCG(1, 29))
-	d := NewController(float64(perSecond)*2/3, 0)
+	controller := NewController(float64(perSecond)*2/3, 0)
 	due := make([][]int32, 40000) // by step
 	at := func(when time.Duration, u int32) {
 		i := int(when / step)
@@ -31,8 +31,8 @@
 	for i := range due {
 		now := time.Duration(i) * step
 		for _, u := range due[i] {
-			if !d.Admit(now, Poll, uint64(u), len(queue), places) {
-				at(now+time.Duration(d.Reject(now, Poll, uint64(u), 1))*time.Second+time.Duration(r.IntN(100))*time.Millisecond, u)
+			if !controller.Admit(now, Poll, uint64(u), len(queue), places) {
+				at(now+time.Duration(controller.Reject(now, Poll, uint64(u), 1))*time.Second+time.Duration(r.IntN(100))*time.Millisecond, u)
 				continue
 			}
 			queue = append(queue, u)
@@ -57,7 +57,7 @@
 // the 75 seconds after which a job counts as forgotten.
 func TestNobodyIsForgotten(t *testing.T) {
 	for _, c := range []struct{ users, perSecond int }{{500, 600}, {5000, 600}, {20000, 600}, {20000, 2000}} {
-		if worst := play(t, c.users, c.perSecond); worst > 75*time.Second {
+		if worst := simulatePolling(t, c.users, c.perSecond); worst > 75*time.Second {
 			t.Errorf("%d users, %d answers a second: a user had no answer for %v", c.users, c.perSecond, worst)
 		} else {
 			t.Logf("%d users, %d answers a second: no user waited longer than %v", c.users, c.perSecond, worst)
--- a/internal/core/admission/turns.go
+++ b/internal/core/admission/turns.go
@@ -44,10 +44,10 @@
 	return int(cycleSeconds - sinceBegin)
 }
 
-// secondsIntoNextTurn returns after how many seconds a rejected poll of a job should be retried: one
+// secondsUntilTurnRetry returns after how many seconds a rejected poll of a job should be retried: one
 // second after its next turn begins, since clocks differ. A poll rejected during the job's turn,
 // which happens when even those in their turn are too many to serve, is retried in the next turn.
-func (c *Controller) secondsIntoNextTurn(now time.Duration, job uint64) int {
+func (c *Controller) secondsUntilTurnRetry(now time.Duration, job uint64) int {
 	wait := c.secondsUntilTurn(now, job) + 1
 	if wait == 1 {
 		return cycleSeconds
--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -23,8 +23,8 @@
 const clockLayout = "15:04"
 
 // maxNight is the longest time that a night may last. If the clocks skip the hour at which a night
-// starts, the cron schedule omits that start; a longer gap between starts shows this, and nextStart
-// inserts the start.
+// starts, the cron schedule omits that start; a longer gap between starts shows this, and
+// nextNightStart inserts the start.
 const maxNight = 26 * time.Hour
 
 const (
@@ -59,24 +59,24 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-// New returns a calendar. zone is the name of a time zone in the IANA database, begins a cron
-// expression of five fields that matches once a day, and holidays the dates on which holiday nights
-// start. Its errors are of type *FieldError.
-func New(zone, begins string, holidays []string) (*Calendar, error) {
+// New returns a calendar. zone is the name of a time zone in the IANA database, nightCron a cron
+// expression of five fields that matches at the start of each night, once a day, and holidays the
+// dates on which holiday nights start. Its errors are of type *FieldError.
+func New(zone, nightCron string, holidays []string) (*Calendar, error) {
 	location, err := time.LoadLocation(zone)
 	if err != nil || zone == "" || zone == "Local" {
-		return nil, wrongField("time_zone", "not a time zone of the IANA database: %q", zone)
+		return nil, newFieldError("time_zone", "not a time zone of the IANA database: %q", zone)
 	}
-	schedule, err := cron.ParseStandard(begins)
+	schedule, err := cron.ParseStandard(nightCron)
 	if err != nil {
-		return nil, wrongField("night", "not a cron expression: %q", begins)
+		return nil, newFieldError("night", "not a cron expression: %q", nightCron)
 	}
-	if !onceADay(schedule, location) {
-		return nil, wrongField("night", "%q does not come true once a day", begins)
+	if !matchesOnceADay(schedule, location) {
+		return nil, newFieldError("night", "%q does not come true once a day", nightCron)
 	}
 	for _, date := range holidays {
 		if _, err := time.Parse(DateLayout, date); err != nil {
-			return nil, wrongField("holidays", "not a date like %s: %q", DateLayout, date)
+			return nil, newFieldError("holidays", "not a date like %s: %q", DateLayout, date)
 		}
 	}
 	return &Calendar{
@@ -86,13 +86,13 @@
 	}, nil
 }
 
-func wrongField(field, why string, args ...any) error {
+func newFieldError(field, why string, args ...any) error {
 	return &FieldError{Field: field, Why: fmt.Sprintf(why, args...)}
 }
 
-// onceADay reports whether a schedule matches once a day. It tests a day without a clock change and
-// the day after it.
-func onceADay(schedule cron.Schedule, location *time.Location) bool {
+// matchesOnceADay reports whether a schedule matches once a day. It tests a day without a clock
+// change and the day after it.
+func matchesOnceADay(schedule cron.Schedule, location *time.Location) bool {
 	midnight := time.Date(2026, 1, 14, 0, 0, 0, 0, location)
 	first := schedule.Next(midnight.Add(-time.Second))
 	second := schedule.Next(first)
@@ -131,11 +131,11 @@
 // Each local date has one night: if the start hour is repeated because the clocks go back, the
 // second start belongs to the same night.
 func (c *Calendar) bounds(moment time.Time) (from, to time.Time) {
-	from = c.nextStart(moment.Add(-nightLookback))
+	from = c.nextNightStart(moment.Add(-nightLookback))
 	for {
-		to = c.nextStart(from)
+		to = c.nextNightStart(from)
 		for sameDate(from, to) {
-			to = c.nextStart(to)
+			to = c.nextNightStart(to)
 		}
 		if to.After(moment) {
 			return from, to
@@ -144,8 +144,8 @@
 	}
 }
 
-// nextStart returns the first start of a night after a local time.
-func (c *Calendar) nextStart(moment time.Time) time.Time {
+// nextNightStart returns the first start of a night after a local time.
+func (c *Calendar) nextNightStart(moment time.Time) time.Time {
 	start := c.nightStarts.Next(moment)
 	if start.Sub(moment) <= maxNight {
 		return start
--- a/internal/core/calendar/calendar_test.go
+++ b/internal/core/calendar/calendar_test.go
@@ -8,8 +8,8 @@
 
 func TestNightOfMoment(t *testing.T) {
 	for _, c := range []struct {
-		name, zone, begins, at, want string
-		holiday                      bool
+		name, zone, nightCron, at, want string
+		holiday                         bool
 	}{
 		{"just before the start at noon", "Europe/Sofia", "0 12 * * *", "2026-12-01T11:59:59+02:00", "2026-11-30", false},
 		{"at the start at noon", "Europe/Sofia", "0 12 * * *", "2026-12-01T12:00:00+02:00", "2026-12-01", false},
@@ -24,7 +24,7 @@
 		{"the start hour is repeated: the day after", "Europe/Sofia", "30 3 * * *", "2026-10-26T03:10:00+02:00", "2026-10-25", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			calendar, err := New(c.zone, c.begins, Dates("2026-12-24, 2027-01-01,"))
+			calendar, err := New(c.zone, c.nightCron, Dates("2026-12-24, 2027-01-01,"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -41,18 +41,18 @@
 
 // Over two years, each night follows the previous one by a day, and a calendar with a cached night
 // returns the same as a new one.
-func TestEveryMomentHasItsNight(t *testing.T) {
-	newCalendar := func(t *testing.T, begins string) *Calendar {
+func TestNightsAreConsecutive(t *testing.T) {
+	newCalendar := func(t *testing.T, nightCron string) *Calendar {
 		t.Helper()
-		calendar, err := New("America/New_York", begins, nil)
+		calendar, err := New("America/New_York", nightCron, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return calendar
 	}
-	for _, begins := range []string{"0 12 * * *", "30 3 * * *", "30 2 * * *", "0 0 * * *"} {
-		t.Run(begins, func(t *testing.T) {
-			calendar := newCalendar(t, begins)
+	for _, nightCron := range []string{"0 12 * * *", "30 3 * * *", "30 2 * * *", "0 0 * * *"} {
+		t.Run(nightCron, func(t *testing.T) {
+			calendar := newCalendar(t, nightCron)
 			lastDay := int32(-1)
 			for at := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC); at.Year() < 2028; at = at.Add(97 * time.Minute) {
 				night := calendar.At(at)
@@ -60,7 +60,7 @@
 					t.Fatalf("at %v night %s follows the night of day %d", at, night.Date, lastDay)
 				}
 				lastDay = night.Day
-				if fresh := newCalendar(t, begins).At(at); fresh != night {
+				if fresh := newCalendar(t, nightCron).At(at); fresh != night {
 					t.Fatalf("at %v the calendar returns %+v, a new one %+v", at, night, fresh)
 				}
 			}
@@ -68,8 +68,8 @@
 	}
 }
 
-func TestWrongFieldIsNamed(t *testing.T) {
-	for _, c := range []struct{ zone, begins, holidays, field string }{
+func TestErrorsNameTheField(t *testing.T) {
+	for _, c := range []struct{ zone, nightCron, holidays, field string }{
 		{"Europe/Nowhere", "0 12 * * *", "", "time_zone"},
 		{"", "0 12 * * *", "", "time_zone"},
 		{"Local", "0 12 * * *", "", "time_zone"},
@@ -78,7 +78,7 @@
 		{"UTC", "0 12 * * 1", "", "night"},
 		{"UTC", "0 12 * * *", "2026-13-01", "holidays"},
 	} {
-		_, err := New(c.zone, c.begins, Dates(c.holidays))
+		_, err := New(c.zone, c.nightCron, Dates(c.holidays))
 		var wrong *FieldError
 		if !errors.As(err, &wrong) || wrong.Field != c.field {
 			t.Errorf("%+v: %v", c, err)
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -11,15 +11,15 @@
 func TestBucket(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
 	b := NewBucket(0, 7, 14)
-	var took []time.Duration
+	var takenAt []time.Duration
 	for now := time.Duration(0); now < time.Minute; now += time.Duration(r.IntN(40)) * time.Millisecond {
 		if b.Take(now, 1) {
-			took = append(took, now)
+			takenAt = append(takenAt, now)
 		}
 	}
-	for i, from := range took {
+	for i, from := range takenAt {
 		n := 0
-		for _, at := range took[i:] {
+		for _, at := range takenAt[i:] {
 			if at < from+time.Second {
 				n++
 			}
@@ -28,8 +28,8 @@
 			t.Fatalf("%d tokens within a second from %v", n, from)
 		}
 	}
-	if len(took) < 7*59 {
-		t.Errorf("only %d tokens in a minute: the rate is not reached", len(took))
+	if len(takenAt) < 7*59 {
+		t.Errorf("only %d tokens in a minute: the rate is not reached", len(takenAt))
 	}
 	if b.Take(59*time.Second, 1000) {
 		t.Error("a clock that goes back refills the bucket")
@@ -116,11 +116,11 @@
 			t.Errorf("machine has the image: %v, %d images being fetched: allowed %v", c.hasImage, c.fetching, got)
 		}
 	}
-	free := NewStartLimiter(StartLimits{})
+	unlimited := NewStartLimiter(StartLimits{})
 	for range 1000 {
-		if !free.Allows(0, 1, false, 99) {
+		if !unlimited.Allows(0, 1, false, 99) {
 			t.Fatal("a start is refused although there is no limit")
 		}
-		free.Spend(0, 1)
+		unlimited.Spend(0, 1)
 	}
 }
--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -42,8 +42,8 @@
 }
 
 // keptForAccelerators reports whether a machine is reserved for tasks that need its
-// accelerators, and the job needs none and fits on machines without. mayLend decides whether a
-// task of such a job may be placed there nevertheless.
+// accelerators, and the job needs none and fits on machines without. mayLendPlace decides whether
+// a task of such a job may be placed there nevertheless.
 func (snap *Snapshot) keptForAccelerators(job *jobs.Job, machine *workers.Machine) bool {
 	return machine.Capacity.GPU > 0 &&
 		job.Need.GPU == 0 &&
@@ -56,7 +56,7 @@
 	return TasksThatFit(snap.AcceleratedNeed, room)
 }
 
-// mayLend reports whether one more task that needs no accelerator may be placed on a machine
+// mayLendPlace reports whether one more task that needs no accelerator may be placed on a machine
 // that is reserved for accelerated tasks. It may if the machine then still has as many places for
 // accelerated tasks as when it is empty. A short task may also if it takes none of the places
 // left, or if more places are free than accelerated tasks wait for.
@@ -64,7 +64,7 @@
 // Without this rule, on machines with two accelerators and twelve processors, one-processor
 // replicas ran on most machines for minutes, and a third of the accelerators was idle while gangs
 // waited.
-func (snap *Snapshot) mayLend(job *jobs.Job, machine *workers.Machine) bool {
+func (snap *Snapshot) mayLendPlace(job *jobs.Job, machine *workers.Machine) bool {
 	unused := machine.Capacity.Minus(machine.UsedWithoutGPU)
 	placesAfter := snap.acceleratedPlaces(unused.Minus(job.Need))
 	if placesAfter >= snap.acceleratedPlaces(machine.Capacity) {
@@ -75,16 +75,16 @@
 		(snap.lendablePlaces > 0 || placesAfter >= snap.acceleratedPlaces(unused))
 }
 
-// recordLent subtracts the places that a task takes from accelerated tasks from those that may
+// recordLentPlaces subtracts the places that a task takes from accelerated tasks from those that may
 // still be lent.
-func (snap *Snapshot) recordLent(job *jobs.Job, machine *workers.Machine) {
+func (snap *Snapshot) recordLentPlaces(job *jobs.Job, machine *workers.Machine) {
 	unused := machine.Capacity.Minus(machine.UsedWithoutGPU)
 	snap.lendablePlaces -= max(0, snap.acceleratedPlaces(unused)-snap.acceleratedPlaces(unused.Minus(job.Need)))
 }
 
-// countLendable returns how many places for accelerated tasks are free beyond those that waiting
+// countLendablePlaces returns how many places for accelerated tasks are free beyond those that waiting
 // tasks need and a reserve for tasks that may arrive.
-func (snap *Snapshot) countLendable() int {
+func (snap *Snapshot) countLendablePlaces() int {
 	free, all, waiting := 0, 0, 0
 	for _, machine := range snap.Inventory.All() {
 		if machine.Capacity.GPU > 0 && machine.AcceptsPlans(snap.Now, snap.SuspectAfter) {
--- a/internal/core/scheduler/accelerators_test.go
+++ b/internal/core/scheduler/accelerators_test.go
@@ -22,12 +22,12 @@
 			addIdleMachine(&snap, fmt.Sprint(i, room.GPU), room)
 		}
 	}
-	plain := map[*workers.Machine]int{}
+	plainTasks := map[*workers.Machine]int{}
 	snap.Place = func(j *jobs.Job, k int, m *workers.Machine) {
 		j.Place(k)
 		m.Plan(&workers.Placement{Ref: workers.TaskRef{Job: j.Index, Task: int32(k)}, Need: j.Need})
 		if j.Need.GPU == 0 && m.Capacity.GPU > 0 {
-			plain[m]++
+			plainTasks[m]++
 		}
 	}
 	snap.Unplace = func(j *jobs.Job, k int) {
@@ -37,7 +37,7 @@
 		}
 		j.Release(k)
 	}
-	return scheduler, snap, plain
+	return scheduler, snap, plainTasks
 }
 
 func addIdleMachine(snap *Snapshot, name string, room resources.Amounts) *workers.Machine {
@@ -51,7 +51,7 @@
 	})
 }
 
-func (snap *Snapshot) add(id uint64, kind uint8, tasks int, cpus, gpus float64, mean float64) *jobs.Job {
+func (snap *Snapshot) addOpenJob(id uint64, kind uint8, tasks int, cpus, gpus float64, mean float64) *jobs.Job {
 	j := snap.Jobs.Add(eventlog.Job{
 		ID:        id,
 		Kind:      kind,
@@ -73,11 +73,11 @@
 // places are free than accelerated tasks wait for; replicas of services never may.
 func TestAcceleratorsAreKept(t *testing.T) {
 	for _, c := range []struct {
-		name           string
-		kind           uint8
-		tasks, gang    int
-		mean           float64
-		plain, allowed int
+		name                    string
+		kind                    uint8
+		tasks, gang             int
+		mean                    float64
+		machines, maxPlainTasks int
 	}{
 		{"replicas are placed only where a gang's task still fits", jobs.Service, 1000, 1, 0, 20, 2},
 		{"long tasks are placed only where a gang's task still fits", jobs.Array, 1000, 1, 500, 20, 2},
@@ -85,24 +85,24 @@
 		{"short tasks are lent nothing while gangs wait for all places", jobs.Array, 1000, 25, 30, 20, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			scheduler, snap, plain := acceleratedCluster(c.plain)
-			snap.add(1, jobs.Gang, c.gang, 10, 2, 60)
-			j := snap.add(2, c.kind, c.tasks, 1, 0, c.mean)
+			scheduler, snap, plainTasks := acceleratedCluster(c.machines)
+			snap.addOpenJob(1, jobs.Gang, c.gang, 10, 2, 60)
+			j := snap.addOpenJob(2, c.kind, c.tasks, 1, 0, c.mean)
 			snap.AcceleratedNeed = scheduler.LargestAcceleratedNeed(snap.Now, snap.Jobs)
 			scheduler.RunCycle(snap)
-			broken := 0
-			for _, n := range plain {
-				if n > c.allowed {
+			lentMachines := 0
+			for _, n := range plainTasks {
+				if n > c.maxPlainTasks {
 					t.Errorf("%d tasks without accelerators on a machine with accelerators", n)
 				}
 				if n > 2 {
-					broken++
+					lentMachines++
 				}
 			}
-			if c.allowed > 2 && (broken == 0 || broken > c.plain-minUnlentPlaces) {
-				t.Errorf("places are lent on %d of %d machines", broken, c.plain)
+			if c.maxPlainTasks > 2 && (lentMachines == 0 || lentMachines > c.machines-minUnlentPlaces) {
+				t.Errorf("places are lent on %d of %d machines", lentMachines, c.machines)
 			}
-			if got := len(j.Tasks) - j.Waiting; got < 8*c.plain+2*(c.plain-c.gang) {
+			if got := len(j.Tasks) - j.Waiting; got < 8*c.machines+2*(c.machines-c.gang) {
 				t.Errorf("only %d tasks are placed", got)
 			}
 		})
@@ -112,7 +112,7 @@
 // While no job needs accelerators, machines with accelerators are used like any others.
 func TestIdleAcceleratorsAreOpenToAll(t *testing.T) {
 	scheduler, snap, _ := acceleratedCluster(3)
-	j := snap.add(2, jobs.Array, 60, 1, 0, 500)
+	j := snap.addOpenJob(2, jobs.Array, 60, 1, 0, 500)
 	snap.AcceleratedNeed = scheduler.LargestAcceleratedNeed(snap.Now, snap.Jobs)
 	scheduler.RunCycle(snap)
 	if j.Waiting > 0 {
@@ -138,9 +138,9 @@
 		}
 	}
 	for id := range uint64(60) {
-		snap.add(id+1, jobs.Array, 150, 1, 0, 40)
-		snap.add(id+1000, jobs.Gang, 4, 10, 2, 100)
-		snap.add(id+2000, jobs.Service, 9, 1, 0, 0)
+		snap.addOpenJob(id+1, jobs.Array, 150, 1, 0, 40)
+		snap.addOpenJob(id+1000, jobs.Gang, 4, 10, 2, 100)
+		snap.addOpenJob(id+2000, jobs.Service, 9, 1, 0, 0)
 	}
 	var placed []func()
 	place := snap.Place
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -15,9 +15,9 @@
 	costOfKeptMachine  = 1e5 // high enough that such a machine is chosen only if there is no other
 )
 
-// promptImageWait is the longest time that a replica that should start at once waits for a
+// maxReplicaImageWait is the longest time that a replica that should start at once waits for a
 // machine that has its image.
-const promptImageWait = 400 * time.Millisecond
+const maxReplicaImageWait = 400 * time.Millisecond
 
 // placeTask places task k of a job on the best machine, and reports whether it placed the task.
 // It sets placementDelayed if there is room that the task may use a little later.
@@ -26,19 +26,19 @@
 	if !s.ready(snap, job) ||
 		!s.withinLimit(snap, job, 1) ||
 		(!snap.starvedOnly && s.refused(job)) ||
-		!snap.unitsAllow(job, 1) {
+		!snap.unitsSuffice(job, 1) {
 		return false
 	}
 	best := s.bestMachine(snap, job, machines)
 	if best == nil {
-		s.rememberRefusal(snap, job)
+		s.recordRefusal(snap, job)
 		return false
 	}
-	if s.promptWaits(snap, job, best) {
+	if s.replicaWaitsForImage(snap, job, best) {
 		s.placementDelayed = true
 		return false
 	}
-	if s.localityWaits(snap, job, best) {
+	if s.waitsForLocality(snap, job, best) {
 		return false
 	}
 	s.Charge(job.Team, job.Need)
@@ -46,7 +46,7 @@
 		job.HomeZone = best.Zone + 1
 	}
 	if snap.keptForAccelerators(job, best) {
-		snap.recordLent(job, best)
+		snap.recordLentPlaces(job, best)
 	}
 	snap.Place(job, k, best)
 	return true
@@ -91,20 +91,20 @@
 	return cost
 }
 
-// rememberRefusal records that no machine was found for a job's need, unless a machine with room
+// recordRefusal records that no machine was found for a job's need, unless a machine with room
 // was only skipped for now or the job's zone rule may have excluded machines.
-func (s *Scheduler) rememberRefusal(snap *Snapshot, job *jobs.Job) {
+func (s *Scheduler) recordRefusal(snap *Snapshot, job *jobs.Job) {
 	if snap.starvedOnly || job.HasZoneRule() || s.exhaustive || s.placementDelayed {
 		return
 	}
 	s.refusals = append(s.refusals, refusal{need: job.Need, spot: job.UseSpot, types: job.AllowedTypes, zone: job.Record.Zone})
 }
 
-// promptWaits reports whether a replica that should start at once leaves room on a machine unused
-// because the machine would have to fetch its image first. It waits for a quarter of the time that
-// the fetch takes, and at most promptImageWait: on a full cluster other room becomes free sooner
-// than that, often on a machine that has the image.
-func (s *Scheduler) promptWaits(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
+// replicaWaitsForImage reports whether a replica that should start at once leaves room on a machine
+// unused because the machine would have to fetch its image first. It waits for a quarter of the time
+// that the fetch takes, and at most maxReplicaImageWait: on a full cluster other room becomes free
+// sooner than that, often on a machine that has the image.
+func (s *Scheduler) replicaWaitsForImage(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
 	if snap.starvedOnly || !job.StartDirectly || job.Record.Kind != jobs.Service || machine.HasImage(job.Image) {
 		return false
 	}
@@ -112,12 +112,12 @@
 		job.DelayedSince = snap.Now
 	}
 	quarterOfFetch := time.Duration(job.Record.ImageGB / machine.FetchGBPS / 4 * float64(time.Second))
-	return s.Locality > 0 && snap.Now-job.DelayedSince < min(promptImageWait, quarterOfFetch)
+	return s.Locality > 0 && snap.Now-job.DelayedSince < min(maxReplicaImageWait, quarterOfFetch)
 }
 
-// localityWaits reports whether a job leaves room on a machine without its image unused because
+// waitsForLocality reports whether a job leaves room on a machine without its image unused because
 // it has waited for less than Locality. It records since when the job has waited.
-func (s *Scheduler) localityWaits(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
+func (s *Scheduler) waitsForLocality(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
 	if snap.localityOnly && job.Record.Kind == jobs.Array && !machine.HasImage(job.Image) {
 		if job.DelayedSince == 0 {
 			job.DelayedSince = snap.Now
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -10,7 +10,7 @@
 func (s *Scheduler) RunCycle(snap Snapshot) (starvedServed int) {
 	s.refusals = s.refusals[:0]
 	if snap.AcceleratedNeed.GPU > 0 {
-		snap.lendablePlaces = snap.countLendable()
+		snap.lendablePlaces = snap.countLendablePlaces()
 	}
 	order := s.JobOrder(&snap)
 	smallestCPU := snap.smallestWaitingCPU(order)
@@ -181,6 +181,6 @@
 		!s.placementDelayed &&
 		s.ready(snap, job) &&
 		!snap.mayRunUnseen(job) &&
-		snap.unitsAllow(job, job.GangSize()) &&
+		snap.unitsSuffice(job, job.GangSize()) &&
 		s.withinLimit(snap, job, 1)
 }
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -42,7 +42,7 @@
 	}
 	return !machine.Reserved &&
 		Allowed(job, machine, snap.Zone) &&
-		(!snap.keptForAccelerators(job, machine) || snap.mayLend(job, machine))
+		(!snap.keptForAccelerators(job, machine) || snap.mayLendPlace(job, machine))
 }
 
 // ready reports whether a job's tasks may start now: the job is open, and the backoff after failed
@@ -54,5 +54,5 @@
 // withinLimit reports whether a job's team stays within its limit with so many more of the job's
 // tasks.
 func (s *Scheduler) withinLimit(snap *Snapshot, job *jobs.Job, tasks int) bool {
-	return s.TeamMayUse(job.Team, job.Need.Times(tasks), snap.unresolvedUseOf(job.Team))
+	return s.TeamMayUse(job.Team, job.Need.Times(tasks), snap.unresolvedUse(job.Team))
 }
--- a/internal/core/scheduler/explain.go
+++ b/internal/core/scheduler/explain.go
@@ -82,7 +82,7 @@
 		return "it is urgent and goes ahead of the size order (exception urgent_first)"
 	case job.Guaranteed:
 		return "it fits into its team's guarantee and goes ahead of the size order (exception guarantee_first)"
-	case rank == leadRank:
+	case rank == aheadRank:
 		return "it has waited for much of its class's aim and goes ahead of the size order (exception wait_lead)"
 	case rank < 0:
 		return "it goes behind the size order for now: best-effort work, or all its aims are missed already (exceptions low_lead, lost_behind)"
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -13,7 +13,7 @@
 	if job.GangFailed ||
 		(job.GangBegan && job.Placed > 0) ||
 		!s.withinLimit(snap, job, job.Waiting) ||
-		!snap.unitsAllow(job, job.Waiting) {
+		!snap.unitsSuffice(job, job.Waiting) {
 		return false
 	}
 	if job.Record.OneZone && job.Placed == 0 {
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -34,10 +34,10 @@
 func (s *Scheduler) PlanMigrations(snap Snapshot) []*workers.Placement {
 	plan := migrationPlan{snap: &snap, teamWaits: s.teamsWithWaitingTasks(&snap)}
 	draining := plan.listMachines()
-	if len(draining) == 0 || len(plan.rooms) == 0 {
+	if len(draining) == 0 || len(plan.hosts) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(plan.rooms, func(a, b hostRoom) int { return cmp.Compare(a.free.CPU, b.free.CPU) })
+	slices.SortStableFunc(plan.hosts, func(a, b hostRoom) int { return cmp.Compare(a.free.CPU, b.free.CPU) })
 	plan.placeStopping(draining)
 	var moved []*workers.Placement
 	emptied := 0
@@ -45,10 +45,10 @@
 		if emptied == maxMachinesEmptied {
 			break
 		}
-		roomsBefore := slices.Clone(plan.rooms)
+		hostsBefore := slices.Clone(plan.hosts)
 		tasks, longest, all := plan.placeTasksOf(machine)
 		if !all || !worthEmptying(machine, longest) {
-			copy(plan.rooms, roomsBefore)
+			copy(plan.hosts, hostsBefore)
 			continue
 		}
 		emptied++
@@ -72,7 +72,7 @@
 type migrationPlan struct {
 	snap      *Snapshot
 	teamWaits []bool     // by team, whether it has waiting tasks
-	rooms     []hostRoom // what is still free after the moves planned so far
+	hosts     []hostRoom // what is still free after the moves planned so far
 }
 
 // hostRoom is the room that is still free on a machine to which tasks may move.
@@ -81,7 +81,7 @@
 	free    resources.Amounts
 }
 
-// listMachines returns the draining machines with tasks, and fills rooms with the machines to
+// listMachines returns the draining machines with tasks, and fills hosts with the machines to
 // which tasks may move.
 func (plan *migrationPlan) listMachines() (draining []*workers.Machine) {
 	for _, machine := range plan.snap.Inventory.All() {
@@ -89,7 +89,7 @@
 		case machine.Draining && !machine.Deleting && machine.Up && !machine.PreemptionNotice && len(machine.Tasks) > 0:
 			draining = append(draining, machine)
 		case !machine.Reserved && machine.Free.CPU > 0 && machine.AcceptsPlans(plan.snap.Now, plan.snap.SuspectAfter):
-			plan.rooms = append(plan.rooms, hostRoom{machine: machine, free: machine.Free})
+			plan.hosts = append(plan.hosts, hostRoom{machine: machine, free: machine.Free})
 		}
 	}
 	return draining
@@ -110,8 +110,8 @@
 // place subtracts the need of one task of a job from the first room that it fits into, and reports
 // whether there was one.
 func (plan *migrationPlan) place(job *jobs.Job) bool {
-	for i := range plan.rooms {
-		room := &plan.rooms[i]
+	for i := range plan.hosts {
+		room := &plan.hosts[i]
 		if job.Need.Fits(room.free) && Allowed(job, room.machine, plan.snap.Zone) && job.ZoneAllows(room.machine.Zone) {
 			room.free = room.free.Minus(job.Need)
 			return true
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -13,7 +13,7 @@
 // urgent or critical job is its priority plus one, which is above servedFloorRank.
 const (
 	behindRank           = -1 // best-effort jobs for a time, and jobs that would miss their last objective
-	leadRank             = 1  // jobs that have waited for much of their class's objective, or are guaranteed
+	aheadRank            = 1  // jobs that have waited for much of their class's objective, or are guaranteed
 	servedFloorRank      = 2  // exceptions served_floor and begin_within: behind urgent jobs, ahead of others
 	servedFloorFirstRank = 9  // exception served_floor, ahead of urgent jobs too
 )
@@ -83,7 +83,7 @@
 	case job.Boost == jobs.BoostBehindUrgent, s.overdue(snap, job):
 		return servedFloorRank
 	case snap.inPriorityWindow(job), job.Guaranteed:
-		return leadRank
+		return aheadRank
 	case snap.Now < job.LowRankUntil, snap.missesLastObjective(job):
 		return behindRank
 	}
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -80,7 +80,7 @@
 		job.Record.Kind != jobs.Gang &&
 		s.ready(snap, job) &&
 		!snap.mayRunUnseen(job) &&
-		snap.unitsAllow(job, 1) &&
+		snap.unitsSuffice(job, 1) &&
 		s.withinLimit(snap, job, 1) &&
 		snap.Now-job.AcceptedAt >= minWaitToPreempt &&
 		(job.PreemptedAt <= 0 || snap.Now-job.PreemptedAt >= preemptPause)
@@ -96,7 +96,7 @@
 		}
 		for _, task := range machine.Tasks {
 			owner := snap.Jobs.ByIndex(task.Ref.Job)
-			if !restartable(owner, task) || owner.SavedRunTime[task.Ref.Task] > 0 || snap.losesMuch(owner, task) {
+			if !restartable(owner, task) || owner.SavedRunTime[task.Ref.Task] > 0 || snap.losesTooMuch(owner, task) {
 				continue
 			}
 			candidates = append(candidates, task)
@@ -106,8 +106,8 @@
 	return candidates, lowest
 }
 
-// losesMuch reports whether a task saves no progress and has run for longer than maxLostRuntime.
-func (snap *Snapshot) losesMuch(owner *jobs.Job, task *workers.Placement) bool {
+// losesTooMuch reports whether a task saves no progress and has run for longer than maxLostRuntime.
+func (snap *Snapshot) losesTooMuch(owner *jobs.Job, task *workers.Placement) bool {
 	return owner.Record.Checkpoint == 0 && snap.Now-task.RunningSince > maxLostRuntime
 }
 
@@ -134,7 +134,7 @@
 		}
 	}
 	slices.SortFunc(eligible, func(a, b *workers.Placement) int {
-		if c := cmp.Compare(snap.lossOf(a), snap.lossOf(b)); c != 0 {
+		if c := cmp.Compare(snap.lostRuntime(a), snap.lostRuntime(b)); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.Attempt, b.Attempt)
@@ -152,8 +152,8 @@
 	return false
 }
 
-// lossOf returns the run time that is lost if a task is stopped.
-func (snap *Snapshot) lossOf(task *workers.Placement) time.Duration {
+// lostRuntime returns the run time that is lost if a task is stopped.
+func (snap *Snapshot) lostRuntime(task *workers.Placement) time.Duration {
 	if snap.Jobs.ByIndex(task.Ref.Job).Record.Checkpoint > 0 {
 		return 0
 	}
--- a/internal/core/scheduler/preemption_test.go
+++ b/internal/core/scheduler/preemption_test.go
@@ -15,10 +15,10 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// setRunning turns a planned task into one that has been running since ranAt.
-func setRunning(task *workers.Placement, ranAt time.Duration) {
+// setRunning turns a planned task into one that has been running since the given time.
+func setRunning(task *workers.Placement, since time.Duration) {
 	task.Planned, task.Seen = false, true
-	task.State, task.RunningSince = workers.Running, ranAt
+	task.State, task.RunningSince = workers.Running, since
 }
 
 func compareRefs(a, b workers.TaskRef) int {
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -45,8 +45,8 @@
 	starvedOnly    bool // a starved job is being placed, on any machine that its user permits
 }
 
-// unresolvedUseOf returns what a team's tasks on unresolved machines may be using.
-func (snap *Snapshot) unresolvedUseOf(team int32) resources.Amounts {
+// unresolvedUse returns what a team's tasks on unresolved machines may be using.
+func (snap *Snapshot) unresolvedUse(team int32) resources.Amounts {
 	if int(team) < len(snap.UnresolvedUse) {
 		return snap.UnresolvedUse[team]
 	}
@@ -57,9 +57,9 @@
 // machines that have not reported yet.
 func (snap *Snapshot) mayRunUnseen(job *jobs.Job) bool { return job.MayRunUnseen(snap.UnknownGrants) }
 
-// unitsAllow reports whether so many more tasks of a job can get the counted units that they need.
+// unitsSuffice reports whether so many more tasks of a job can get the counted units that they need.
 // Without pools no task that needs counted units may start.
-func (snap *Snapshot) unitsAllow(job *jobs.Job, tasks int) bool {
+func (snap *Snapshot) unitsSuffice(job *jobs.Job, tasks int) bool {
 	return len(job.Record.Counted) == 0 || (snap.Pools != nil && snap.Pools.Allows(job, tasks))
 }
 
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -79,7 +79,7 @@
 		s.ready(snap, job) &&
 		snap.nextTask(job) >= 0 &&
 		s.withinLimit(snap, job, job.GangSize()) &&
-		snap.unitsAllow(job, job.GangSize())
+		snap.unitsSuffice(job, job.GangSize())
 }
 
 // placeStarvedJob places as many tasks of a starved job as there is room for, and reports whether
--- a/internal/core/sizing/sizing.go
+++ b/internal/core/sizing/sizing.go
@@ -50,8 +50,8 @@
 	final       bool    // size is S_f
 	virtualWork float64 // seconds of the size that the virtual cluster has completed
 
-	untrained bool     // the job is a gang and keeps S_i
-	samples   []sample // one for each training task
+	keepsInitialSize bool     // the job is a gang and keeps S_i
+	samples          []sample // one for each training task
 }
 
 // remaining returns the virtual size: what is left of a job in the virtual cluster.
@@ -110,7 +110,7 @@
 		job.final = true
 	} else {
 		job.size = e.initialSize(tasks)
-		job.untrained = gang
+		job.keepsInitialSize = gang
 		job.samples = newSamples(min(tasks, e.params.TrainingTasks))
 	}
 	for int(index) >= len(e.jobs) {
--- a/internal/core/sizing/training.go
+++ b/internal/core/sizing/training.go
@@ -23,7 +23,7 @@
 // is not final.
 func (e *Estimator) Training(index int32, k int) bool {
 	job := e.job(index)
-	return job != nil && !job.final && !job.untrained && k < len(job.samples)
+	return job != nil && !job.final && !job.keepsInitialSize && k < len(job.samples)
 }
 
 // InTraining reports whether S_f of a job is still to be computed from its training tasks.
@@ -55,13 +55,13 @@
 		return
 	}
 	if runTime < 0 {
-		runTime = e.meanOrFirst()
+		runTime = e.meanOrInitial()
 	}
 	job.samples[k].runTime = runTime
 }
 
-// meanOrFirst returns s̄, or Params.InitialSize while there is none.
-func (e *Estimator) meanOrFirst() float64 {
+// meanOrInitial returns s̄, or Params.InitialSize while there is none.
+func (e *Estimator) meanOrInitial() float64 {
 	if mean, ok := e.MeanTaskTime(); ok {
 		return mean
 	}
@@ -73,23 +73,23 @@
 // if this call set it. It is set only once.
 func (e *Estimator) FinalizeSize(index int32, now float64) (float64, bool) {
 	job := e.job(index)
-	if job == nil || job.final || job.untrained {
+	if job == nil || job.final || job.keepsInitialSize {
 		return 0, false
 	}
-	var sum, open float64 // the sum of run times, and Σ(1−p_k)
+	var sum, unfinished float64 // the sum of run times, and Σ(1−p_k)
 	for _, s := range job.samples {
 		switch {
 		case s.runTime >= 0:
 			sum += s.runTime
 		case s.startedAt >= 0 && now-s.startedAt >= e.params.Delta:
 			sum += e.params.Delta / assumedProgress
-			open += 1 - assumedProgress
+			unfinished += 1 - assumedProgress
 		default:
 			return 0, false
 		}
 	}
 	mean := sum / float64(len(job.samples))
-	job.size = mean * (float64(job.tasks-len(job.samples)) + open)
+	job.size = mean * (float64(job.tasks-len(job.samples)) + unfinished)
 	job.final = true
 	e.sorted = false
 	return job.size, true
