--- a/internal/core/admission/admission.go
+++ b/internal/core/admission/admission.go
@@ -14,7 +14,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind is the kind of a request. Lower kinds are admitted first.
+// Kind is the kind of a request. Requests of a lower kind are admitted to a fuller queue.
 type Kind uint8
 
 // Kinds of requests.
@@ -43,7 +43,8 @@
 // outOfTurnShare is the part of the queue share of polls that is left to jobs out of their turn.
 const outOfTurnShare = 0.25
 
-// Controller counts the requests that were rejected recently, and spreads their retries.
+// Controller decides which requests are admitted, counts those that it rejected recently, and spreads
+// their retries.
 type Controller struct {
 	rate            float64 // requests a second that can be served
 	wallClockAtZero time.Duration
--- a/internal/core/calendar/calendar_test.go
+++ b/internal/core/calendar/calendar_test.go
@@ -81,7 +81,7 @@
 		_, err := New(c.zone, c.nightCron, Dates(c.holidays))
 		var wrong *FieldError
 		if !errors.As(err, &wrong) || wrong.Field != c.field {
-			t.Errorf("%+v: %v", c, err)
+			t.Errorf("New with %+v returns error %v, want a *FieldError that names the field", c, err)
 		}
 	}
 }
--- a/internal/core/ratelimit/adaptive.go
+++ b/internal/core/ratelimit/adaptive.go
@@ -26,7 +26,8 @@
 	return Adaptive{Bucket: NewBucket(now, maxRate, burst), maxRate: maxRate, grownAt: now}
 }
 
-// Failure records that the receiver refused a call, did not answer in time, or failed.
+// Failure records that the receiver refused a call, did not answer in time, or failed. It halves the
+// rate, down to its lower bound, unless an earlier failure counted less than failureWindow ago.
 func (a *Adaptive) Failure(now time.Duration) {
 	if a.hasFailed && now-a.failedAt < failureWindow {
 		return
@@ -36,7 +37,8 @@
 	a.tokens = min(a.tokens, 1)
 }
 
-// Success records that the receiver answered.
+// Success records that the receiver answered. It raises the rate, up to the highest rate, by the growth
+// since the last success or failure, unless a failure counted less than growthHoldOff ago.
 func (a *Adaptive) Success(now time.Duration) {
 	if !a.hasFailed || now-a.failedAt >= growthHoldOff {
 		growth := a.maxRate * (now - a.grownAt).Seconds() / fullGrowthTime.Seconds()
--- a/internal/core/scheduler/accelerators.go
+++ b/internal/core/scheduler/accelerators.go
@@ -8,7 +8,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// acceleratedNeedRetention is how long machines stay reserved for tasks that need their
+// acceleratedNeedRetention is how long machines are still kept for tasks that need their
 // accelerators after the last such job has left.
 const acceleratedNeedRetention = 10 * time.Minute
 
@@ -41,9 +41,9 @@
 	return s.acceleratedNeed
 }
 
-// keptForAccelerators reports whether a machine is reserved for tasks that need its
-// accelerators, and the job needs none and fits on machines without. mayLendPlace decides whether
-// a task of such a job may be placed there nevertheless.
+// keptForAccelerators reports whether a machine is kept free of a job's tasks for the sake of tasks
+// that need its accelerators: the job needs none and fits on machines without. mayLendPlace decides
+// whether a task of such a job may be placed there nevertheless.
 func (snap *Snapshot) keptForAccelerators(job *jobs.Job, machine *workers.Machine) bool {
 	return machine.Capacity.GPU > 0 &&
 		job.Need.GPU == 0 &&
@@ -57,9 +57,9 @@
 }
 
 // mayLendPlace reports whether one more task that needs no accelerator may be placed on a machine
-// that is reserved for accelerated tasks. It may if the machine then still has as many places for
+// that is kept for accelerated tasks. It may if the machine then still has as many places for
 // accelerated tasks as when it is empty. A short task may also if it takes none of the places
-// left, or if more places are free than accelerated tasks wait for.
+// left, or while countLendablePlaces leaves places to lend.
 //
 // Without this rule, on machines with two accelerators and twelve processors, one-processor
 // replicas ran on most machines for minutes, and a third of the accelerators was idle while gangs
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -58,12 +58,12 @@
 	var best *workers.Machine
 	var bestCost int64
 	// Only starts of arrays are rate limited: a gang starts as a whole, and services come first.
-	paced := snap.MayStart != nil && job.Record.Kind == jobs.Array
+	rateLimited := snap.MayStart != nil && job.Record.Kind == jobs.Array
 	for _, machine := range machines {
 		if !job.Need.Fits(machine.Free) || !job.ZoneAllows(machine.Zone) || !snap.mayUse(job, machine) {
 			continue
 		}
-		if paced && !snap.MayStart(job, machine) {
+		if rateLimited && !snap.MayStart(job, machine) {
 			s.placementDelayed = true
 			continue
 		}
@@ -130,7 +130,7 @@
 	return false
 }
 
-// TasksThatFit returns how many tasks with a need fit into room.
+// TasksThatFit returns how many tasks with a need fit into room, and 1<<30 if the need is zero.
 func TasksThatFit(need, room resources.Amounts) int {
 	count := int64(1 << 30)
 	limit := func(need, room int64) {
--- a/internal/core/scheduler/cycle.go
+++ b/internal/core/scheduler/cycle.go
@@ -6,7 +6,8 @@
 )
 
 // RunCycle runs one scheduling cycle. It places, through snap.Place, all tasks that the scheduling
-// order and the limits allow and that find room, and returns how many starved jobs got room.
+// order and the limits allow and that find room. It returns how many starved jobs (see
+// placeStarved) got room.
 func (s *Scheduler) RunCycle(snap Snapshot) (starvedServed int) {
 	s.refusals = s.refusals[:0]
 	if snap.AcceleratedNeed.GPU > 0 {
--- a/internal/core/scheduler/cycle_test.go
+++ b/internal/core/scheduler/cycle_test.go
@@ -44,7 +44,7 @@
 
 // On a full cluster a refusal is recorded once for each need, not once for each job, and machines
 // without room are not tried again for each job.
-func TestFullClusterRefusesOnceANeed(t *testing.T) {
+func TestFullClusterRecordsOneRefusalPerNeed(t *testing.T) {
 	snap, _, scheduler := randomCluster(rand.New(rand.NewPCG(2, 1)), 200, 100)
 	scheduler.Locality = 0
 	scheduler.RunCycle(snap)
--- a/internal/core/scheduler/eligibility.go
+++ b/internal/core/scheduler/eligibility.go
@@ -5,9 +5,9 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Allowed reports whether a job's tasks may run on a machine by its user's request, and whether
-// they should run there: spot instances are left out while the leader does not want the job on
-// them. zones returns the index of a zone by its name.
+// Allowed reports whether a machine may be given tasks of a job: its user's request must permit the
+// machine, and the machine must not be a spot instance while the leader keeps the job off spot
+// instances (UseSpot). zones returns the index of a zone by its name.
 func Allowed(job *jobs.Job, machine *workers.Machine, zones func(string) int32) bool {
 	return (!machine.Spot || job.UseSpot) && permittedByUser(job, machine, zones)
 }
--- a/internal/core/scheduler/migration.go
+++ b/internal/core/scheduler/migration.go
@@ -27,8 +27,8 @@
 
 // PlanMigrations returns the tasks to be stopped, with time to save their progress, so that
 // draining machines can be returned: a large machine with one long task left costs as much as a
-// full one. A machine is emptied only as a whole, and only if moving its tasks costs less than its
-// unused room would until the last of them ends. Each task must save its progress, must not have
+// full one. A machine is emptied only as a whole, and only if moving its tasks costs no more than
+// its unused room would until the last of them ends. Each task must save its progress, must not have
 // been moved before (it could move back and forth forever) and must fit elsewhere, and its team
 // must have no waiting tasks.
 func (s *Scheduler) PlanMigrations(snap Snapshot) []*workers.Placement {
--- a/internal/core/scheduler/preemption.go
+++ b/internal/core/scheduler/preemption.go
@@ -38,7 +38,7 @@
 			break // neither this job nor a later one ranks above a preemptible task
 		}
 		job := snap.Jobs.ByIndex(i)
-		if !s.mayHavePreempted(&snap, job) {
+		if !s.mayTriggerPreemption(&snap, job) {
 			continue
 		}
 		if !listed {
@@ -73,9 +73,9 @@
 	return lowest
 }
 
-// mayHavePreempted reports whether a job itself meets the conditions for preempting tasks of other
+// mayTriggerPreemption reports whether a job itself meets the conditions for preempting tasks of other
 // jobs now.
-func (s *Scheduler) mayHavePreempted(snap *Snapshot, job *jobs.Job) bool {
+func (s *Scheduler) mayTriggerPreemption(snap *Snapshot, job *jobs.Job) bool {
 	return job.Waiting > 0 &&
 		job.Record.Kind != jobs.Gang &&
 		s.ready(snap, job) &&
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -7,7 +7,7 @@
 // smallest aged virtual size whose team is under its limit goes first. JobOrder applies the
 // exceptions. Room is reserved for the first job that does not fit.
 //
-// ShardHolder is the part of the other controllers: each answers the workers of a shard of the
+// The controllers that do not lead use a ShardHolder: each answers the workers of a shard of the
 // machines under a lease from the leader.
 package scheduler
 
--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -48,9 +48,9 @@
 // leader. A worker that has seen a higher token belongs to another holder. A worker that has seen
 // none has no tasks: it is new or restarted, and the next leader must be able to see that.
 //
-// Without the last rule, on a random test day on which the leader hung, a machine restarted under its
-// name and was given its old token here, and the next leader regarded the units of the tasks that
-// the machine had lost as free.
+// Without the last rule, in a randomized test in which the leader hung, a machine restarted under its
+// name and was given its old token here. The next leader then regarded the counted units of the tasks
+// that the machine had lost as free.
 func (h *ShardHolder) KeepAlive(now time.Duration, report *workers.Report) (token uint64, ok bool) {
 	lease, held := h.leases[report.Machine]
 	return lease.token, held && now < lease.until && report.Token > 0 && report.Token <= lease.token
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -22,8 +22,8 @@
 	Estimator *sizing.Estimator
 	Pools     Pools // nil: there are none
 
-	// What unresolved machines may be running, which are those of an earlier term that have not
-	// reported yet.
+	// What may be running on unresolved machines. A machine of an earlier term is unresolved until
+	// it has reported.
 
 	UnresolvedUse []resources.Amounts // by team: what its tasks on these machines may use
 	UnknownGrants bool                // one of these machines may have tasks of any job
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -22,7 +22,7 @@
 //
 // Without this exception nothing limits how long room stays reserved for a job that does not fit. In
 // a test with services on all machines and an urgent gang that fitted on none of them, other gangs
-// waited for the whole day although they had room.
+// waited for the whole day of the test although there was room for them.
 func (s *Scheduler) placeStarved(snap *Snapshot, smallestCPU int64) (served int) {
 	if snap.Now-s.starvationCheckedAt < starvationCheckInterval {
 		return 0
