--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -1,7 +1,7 @@
-// Package effects defines what the core of a controller wants done (effects), and the answers
-// to users and workers. It stands between the state machines and the adapters: the core emits
-// effects, the node executes them, and their results come back to the core as inputs. Nothing
-// here acts by itself.
+// Package effects defines the actions that the core of a controller requests (effects), and the
+// answers to users and workers. It is the boundary between the state machines and the adapters:
+// the core emits effects, the node executes them, and their results return to the core as
+// inputs. Nothing in this package performs an action.
 package effects
 
 import (
@@ -15,46 +15,46 @@
 	"bitternmoor/internal/wire"
 )
 
-// RequestID names a request that waits for an answer; adapters map it to a connection.
+// RequestID identifies a request that waits for an answer; adapters map it to a connection.
 type RequestID uint64
 
-// Answer is the answer to a user's request. It goes between controllers over net/rpc: the names
-// of its fields stay.
+// Answer is the answer to a user's request. Controllers send it to each other over net/rpc, so
+// the names of its fields must not change.
 type Answer struct {
-	Status     int // of HTTP
+	Status     int // HTTP status
 	ID         uint64
 	State      wire.JobState
-	Counts     bool // the answer says how many tasks are done and running
+	Counts     bool // whether Done and Running, the numbers of tasks, are part of the answer
 	Done       int
 	Running    int
-	Why        string // what is wrong, where the status is an error
-	RetryAfter int    // in seconds; 0: not said
+	Why        string // the reason if the status is an error
+	RetryAfter int    // in seconds; 0: not given
 }
 
-// HeartbeatAnswer is the answer to a worker's heartbeat. It goes between controllers over
-// net/rpc: the names of its fields stay.
+// HeartbeatAnswer is the answer to a worker's heartbeat. Controllers send it to each other over
+// net/rpc, so the names of its fields must not change.
 type HeartbeatAnswer struct {
-	Status   int    // of HTTP; 421: report to Node instead
+	Status   int    // HTTP status; 421: report to Node instead
 	Token    uint64 // the fencing token
 	Commands []workers.Command
-	Node     string // the controller that the worker has to report to
+	Node     string // the controller to which the worker must report
 
 	// For the controller whose shard the machine is in:
 	Offers []workers.Offer   // tasks that it may start on the machine
 	Room   resources.Amounts // what the machine has free for them
-	LeaseS float64           // for how long it may, in seconds
+	LeaseS float64           // for how long it may start them, in seconds
 }
 
-// RelayedHeartbeat is a worker's heartbeat that a controller relays to the leader, over net/rpc.
+// RelayedHeartbeat is a worker's heartbeat that a controller relays to the leader over net/rpc.
 type RelayedHeartbeat struct {
-	Via string // the controller that relays
-	// Life is the incarnation of that controller's process: one that has restarted has
-	// forgotten which offers it started.
+	Via string // the relaying controller
+	// Life is the incarnation of that controller's process. After a restart, the process has no
+	// record of which offers it started.
 	Life   int64
 	Report workers.Report
 }
 
-// Effect is something the core wants done. The types of this package alone are effects.
+// Effect is an action that the core requests. Only types of this package implement it.
 type Effect interface{ effect() }
 
 // Answers.
@@ -71,7 +71,7 @@
 	Answer HeartbeatAnswer
 }
 
-// Calls of other controllers.
+// Calls to other controllers.
 
 // RelayHeartbeat relays a worker's heartbeat to the leader. Its result is RelayAnswered.
 type RelayHeartbeat struct {
@@ -80,53 +80,54 @@
 	Report RelayedHeartbeat
 }
 
-// Heartbeat sends the leader's heartbeat to a peer. Its result is HeartbeatAnswered, and with
-// changes of the configuration ConfigAcknowledged besides; where there is no answer, none.
+// Heartbeat sends the leader's heartbeat to a peer. Its result is HeartbeatAnswered, and also
+// ConfigAcknowledged if it carries configuration changes. Without an answer there is no result.
 type Heartbeat struct {
 	Peer   string
 	Epoch  uint64
 	Fleet  leadership.FleetKnowledge
-	Config *config.Update // the changes that the peer lacks; nil: nothing is said of them
+	Config *config.Update // the changes that the peer lacks; nil: not sent
 }
 
-// ProbePeer asks whether a peer can be reached at all. Its result is PeerReached.
+// ProbePeer checks whether a peer can be reached at all. Its result is PeerReached.
 type ProbePeer struct{ Peer string }
 
-// AskPreviousLeader asks a peer when it last heard a leader of an epoch before this one. Its
-// result is PreviousLeaderReported.
+// AskPreviousLeader asks a peer when it last heard from a leader of an epoch before this one.
+// Its result is PreviousLeaderReported.
 type AskPreviousLeader struct {
 	Peer  string
 	Epoch uint64
 }
 
-// Calls of the state service.
+// Calls to the state service.
 
 // LeadershipRequest makes a call of the leader election. Its result depends on the action:
 // KeysRead, WatchEnded, LeaseCreated, LeadershipClaimed, LeaseRenewed, or none for a release.
 type LeadershipRequest struct{ Request leadership.Request }
 
-// LoadLog reads the whole event log for the term of that epoch, and tries again until it
-// succeeds or the term is over. Its result is LogLoaded.
+// LoadLog reads the whole event log for the term of that epoch, and retries until it succeeds or
+// the term is over. Its result is LogLoaded.
 type LoadLog struct{ Epoch uint64 }
 
 // Commit commits a transaction of the event log. Its result is Committed.
 type Commit struct{ Txn eventlog.Transaction }
 
-// ReadBack reads a key again, to settle a commit without an answer. Its result is ReadBack.
+// ReadBack reads a key to determine the outcome of a commit without an answer. Its result is
+// ReadBack.
 type ReadBack struct{ Key string }
 
-// ReadSegments reads Count segments of the event log, from the one numbered First on. Its
-// result is SegmentsRead.
+// ReadSegments reads Count segments of the event log, starting with number First. Its result is
+// SegmentsRead.
 type ReadSegments struct{ First, Count int }
 
-// ReadValues reads a page of a component's own values, those after the key Since. Its result
+// ReadValues reads a page of a component's own values, those after the key AfterKey. Its result
 // is ValuesRead.
 type ReadValues struct{ Component, AfterKey string }
 
-// Calls of workers.
+// Calls to workers.
 
-// SendStops sends stops straight to a worker, besides the answer to its next heartbeat. It has
-// no result: nothing is concluded from it.
+// SendStops sends stops straight to a worker, in addition to the answer to its next heartbeat.
+// It has no result, since nothing is concluded from it.
 type SendStops struct {
 	Address        string
 	Token, Session uint64
@@ -140,11 +141,11 @@
 	Starts           []workers.Command
 }
 
-// ProbeWorker asks a worker for a report, which is not looked at: whether it answers is the
-// result, WorkerProbed.
+// ProbeWorker requests a report from a worker and discards it. Its result, WorkerProbed, is
+// whether the worker answered.
 type ProbeWorker struct{ Machine, Address string }
 
-// Calls of the cloud.
+// Calls to the cloud.
 
 // RentMachines requests a rental. Its result is RentalAnswered.
 type RentMachines struct{ Rental eventlog.Rental }
@@ -162,15 +163,15 @@
 
 // Messages for operators.
 
-// Notify sends a notification to the operators' webhook; the id is the same for repeats. It
-// has no result.
+// Notify sends a notification to the operators' webhook; repeats of it have the same ID. It has
+// no result.
 type Notify struct {
 	ID   string
 	Body []byte // JSON
 }
 
-// LogMessage writes a structured log message. Args are keys and values, as of log/slog. It has
-// no result.
+// LogMessage writes a structured log message. Args are alternating keys and values, as in
+// log/slog. It has no result.
 type LogMessage struct {
 	Level   Level
 	Message string
@@ -213,7 +214,8 @@
 // unavailableRetryS is the Retry-After of Unavailable, in seconds.
 const unavailableRetryS = 1
 
-// Unavailable is the answer of a controller that cannot tell at present: 503, to be retried.
+// Unavailable returns the answer of a controller that cannot serve a request at present: status
+// 503, to be retried.
 func Unavailable(why string) Answer {
 	return Answer{Status: http.StatusServiceUnavailable, Why: why, RetryAfter: unavailableRetryS}
 }
--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -1,12 +1,11 @@
-// Package autoscaler is the component of a leader's term that scales the fleet out and in:
-// it rents machines for the work there is, and returns those that are not needed. Its
-// Provisioner decides which to rent: the offers of machine type, zone and kind (spot or
-// on-demand) that cover what is missing at the least price, leaving out for a while those
-// that were refused. It alone writes the log's entries of machine types, of rental requests
-// and of their answers.
+// Package autoscaler is the component of a leader's term that scales the fleet out and in: it
+// rents machines for the open work, and returns machines that are not needed. Its Provisioner
+// decides which to rent: the offers of machine type, zone and kind (spot or on-demand) that
+// cover the missing capacity at the lowest price, except those that were refused recently. Only
+// this component writes log entries of machine types, of rental requests and of their answers.
 //
-// What is needed is worked out in demand.go and hosting.go, acted on in scale_out.go and
-// scale_in.go; cloud.go has the calls to the cloud and their answers.
+// demand.go and hosting.go determine what is needed, scale_out.go and scale_in.go act on it, and
+// cloud.go makes the calls to the cloud and applies their answers.
 package autoscaler
 
 import (
@@ -22,7 +21,7 @@
 
 const (
 	scaleInterval = 500 * time.Millisecond
-	zoneAvoidance = 45 * time.Second // after the machines of a zone were silent together
+	zoneAvoidance = 45 * time.Second // pause of rentals in a zone whose machines were silent together
 )
 
 // Component scales the fleet in a term.
@@ -43,14 +42,14 @@
 	listInFlight   bool
 	listedAt       time.Duration
 
-	// While the log is replayed.
+	// Used only while the log is replayed.
 	booting    map[string]eventlog.Machine // rented machines that are not registered
 	registered map[string]bool
 
-	typesCompacted bool // by the compaction under way
+	typesCompacted bool // the compaction under way has written the machine types
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(s *cluster.State) *Component {
 	return &Component{
 		State:          s,
@@ -84,7 +83,7 @@
 	}
 }
 
-// replayRentalAnswer enters the machines of a rental that have not registered.
+// replayRentalAnswer records the machines of an answered rental that have not registered.
 func (d *Component) replayRentalAnswer(answer *eventlog.RentalAnswer) {
 	rental := d.pendingRentals[answer.Name]
 	delete(d.pendingRentals, answer.Name)
@@ -95,13 +94,13 @@
 	}
 }
 
-// rentedMachine describes a machine as it was requested.
+// rentedMachine returns the entry of a machine as it was requested.
 func rentedMachine(name string, rental eventlog.Rental) eventlog.Machine {
 	return eventlog.Machine{Name: name, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot}
 }
 
-// Begin enters the machines that have not reported yet: nothing was ever started on them.
-// Requests without an answer will be sent again.
+// Begin adds the rented machines that have not reported yet; nothing was ever started on them.
+// Rental requests without an answer are sent again.
 func (d *Component) Begin(now time.Duration) {
 	for _, entry := range d.booting {
 		if m := d.AddMachine(now, entry); m != nil {
@@ -112,12 +111,13 @@
 		d.provisioner.Restore(rental)
 	}
 	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
-		d.listedAt = d.TermBegan - listInterval // what the cloud has taken meanwhile need not be waited for
+		// List at once: machines preempted in the meantime need not be waited for.
+		d.listedAt = d.TermBegan - listInterval
 	}
 	d.booting, d.registered = nil, nil
 }
 
-// EntryDurable has a rental sent whose request is durable.
+// EntryDurable schedules a rental request to be sent once it is durable.
 func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
 		d.pendingRentals[e.Rental.Name] = *e.Rental
@@ -140,10 +140,10 @@
 	d.NeedsCycle = true
 }
 
-// AfterCycle calls the cloud.
+// AfterCycle makes the calls to the cloud that are due.
 func (d *Component) AfterCycle(now time.Duration, leaseValid bool) { d.callCloud(now, leaseValid) }
 
-// Compact writes anew what is live of an entry.
+// Compact rewrites the part of an entry that is still needed.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
@@ -158,11 +158,11 @@
 	}
 }
 
-// CompactionDone ends a compaction.
+// CompactionDone drops the state of the compaction.
 func (d *Component) CompactionDone() { d.typesCompacted = false }
 
-// avoidSilentZones keeps anything from being rented for a while in zones where most machines
-// are silent while others are heard.
+// avoidSilentZones pauses rentals for a while in zones where most machines are silent while
+// machines of other zones report.
 func (d *Component) avoidSilentZones(now time.Duration) {
 	up, silent := d.SilentByZone(now)
 	for zone, n := range silent {
@@ -178,8 +178,8 @@
 	}
 }
 
-// scale covers the work that there is with machines, and returns what was not needed for a
-// while. Machines with accelerators are a group of their own where there are others too.
+// scale rents machines for the open work, and returns capacity that was not needed for a while.
+// Machines with accelerators form a group of their own if there are other machine types too.
 func (d *Component) scale(now time.Duration) {
 	if len(d.Types) == 0 {
 		return
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -13,19 +13,19 @@
 	"bitternmoor/internal/wire"
 )
 
-// What is asked of the cloud, and what it answers.
+// This file makes the calls to the cloud and applies their answers.
 
 const (
 	listInterval     = 12 * time.Second
 	typesInterval    = 60 * time.Second
-	rentalRetryAfter = 20 * time.Second // if no result has come back by then
+	rentalRetryAfter = 20 * time.Second // a request without a result is sent again after this time
 	noAnswerRetry    = time.Second
-	maxDeletions     = 100 // machines in one call
+	maxDeletions     = 100 // machines per call
 	callRateShare    = 0.8 // of the cloud's rate limit
 )
 
-// newCallBudget is the rate limit of calls: less than the cloud's, and nothing at first,
-// since the leader before may have used up what had accumulated.
+// newCallBudget returns the rate limiter of calls to the cloud. Its rate is below the cloud's
+// limit, and it starts empty because the previous leader may have used up what had accumulated.
 func newCallBudget(s *cluster.State) ratelimit.Adaptive {
 	rate := s.Cfg.Deployment.Cloud.RPS * callRateShare
 	budget := ratelimit.NewAdaptive(s.TermBegan, rate, max(1, rate))
@@ -33,7 +33,7 @@
 	return budget
 }
 
-// recordCallResult has the rate of calls follow what the cloud makes of them.
+// recordCallResult adapts the rate of calls to their success or failure.
 func (d *Component) recordCallResult(now time.Duration, ok bool) {
 	switch {
 	case d.Cfg.Tunables.AdaptCalls == 0:
@@ -44,11 +44,11 @@
 	}
 }
 
-// mayCall spends one call of the budget, if there is one.
+// mayCall takes one call from the budget and reports whether one was available.
 func (d *Component) mayCall(now time.Duration) bool { return d.callBudget.Take(now, 1) }
 
-// callCloud makes the calls that are due, within the rate limit. Without a valid lease it
-// still deletes: that can lose work but break nothing.
+// callCloud makes the calls that are due, within the rate limit. Deletions are sent even without
+// a valid lease: they can lose work but not violate correctness.
 func (d *Component) callCloud(now time.Duration, leaseValid bool) {
 	d.callDelete(now)
 	if !leaseValid {
@@ -67,7 +67,7 @@
 	}
 }
 
-// callDelete asks for the deletion of decommissioned machines, one call at a time.
+// callDelete requests the deletion of decommissioned machines, one call at a time.
 func (d *Component) callDelete(now time.Duration) {
 	if d.deleteInFlight {
 		return
@@ -84,7 +84,7 @@
 	}
 }
 
-// callListTypes asks for the machine types where they are not known or not known lately.
+// callListTypes requests the machine types if they are unknown or were not listed recently.
 func (d *Component) callListTypes(now time.Duration) {
 	due := len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesInterval
 	if !d.typesRequested && due && d.mayCall(now) {
@@ -93,8 +93,8 @@
 	}
 }
 
-// MachinesDeleted notes that a deletion has had its answer, or none; the machines that are
-// still there are asked for again at the next tick.
+// MachinesDeleted records that a deletion was answered or has failed. Machines that are still in
+// the inventory are included in the next deletion.
 func (d *Component) MachinesDeleted(now time.Duration, ok bool) {
 	d.deleteInFlight = false
 	d.recordCallResult(now, ok)
@@ -108,7 +108,7 @@
 		return
 	}
 	if result == wire.NoAnswer {
-		d.rentalDueAt[name] = now + noAnswerRetry // under the same name: it may have been executed
+		d.rentalDueAt[name] = now + noAnswerRetry // with the same name, since it may have been executed
 		return
 	}
 	delete(d.pendingRentals, name)
@@ -127,7 +127,7 @@
 	d.LogMessage(effects.Info, "rental answered", "request", name, "asked", rental.Count, "got", len(machines))
 }
 
-// MachineTypesListed applies the machine types; an empty list is a failure.
+// MachineTypesListed applies the list of machine types; an empty list counts as a failure.
 func (d *Component) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
 	d.typesRequested = false
 	d.recordCallResult(now, len(list) > 0)
@@ -146,8 +146,8 @@
 	}
 }
 
-// typeChanged says whether a machine type differs in its amounts or zones. Other changes,
-// such as of prices, are not written to the log.
+// typeChanged reports whether a machine type differs in its amounts or zones. Other changes,
+// such as prices, are not written to the log.
 func typeChanged(before, after eventlog.MachineType) bool {
 	return before.CPUs != after.CPUs ||
 		before.GPUs != after.GPUs ||
@@ -165,7 +165,8 @@
 	for _, l := range list {
 		m := d.Inventory.Find(l.Machine.Name)
 		if m == nil && len(d.pendingRentals) == 0 {
-			// Rented by a request whose answer was lost for good, or there from the start.
+			// The machine was rented by a request whose answer was lost for good, or existed
+			// from the start.
 			if m = d.AddMachine(now, l.Machine); m != nil {
 				m.Resolved = true
 				m.RentedAt = now - settings.Seconds(l.RentedForS)
@@ -180,12 +181,12 @@
 	}
 }
 
-// decommissionMissing gives up silent machines that the cloud's list lacks. The list describes
-// one moment, in the order in which machines were created, and one that was listed stays
-// until it is gone. So where a later machine is listed, an earlier one that is not has
-// been taken or deleted, however old the list is. What proves that nothing runs there is
-// still the answer to its deletion. Found on days with crashes of all controllers: what
-// the cloud took meanwhile held back most jobs until it had been silent for long enough.
+// decommissionMissing decommissions silent machines that are missing from the cloud's list. The
+// list describes one moment, ordered by creation of the machines, and a listed machine stays
+// listed until it is gone. So if a machine that was created later is listed, a missing earlier
+// one has been preempted or deleted, however old the list is. Still, only the answer to its
+// deletion proves that nothing runs there. On days with crashes of all controllers, machines
+// preempted in the meantime held back most jobs until they had been silent for long enough.
 func (d *Component) decommissionMissing(now time.Duration, list []wire.ListedMachine) {
 	if len(list) == 0 {
 		return
@@ -210,7 +211,7 @@
 	}
 }
 
-// setTypes takes over machine types; an entry with More adds zones to a type.
+// setTypes adds or replaces machine types; an entry with FurtherZones adds zones to a type.
 func (d *Component) setTypes(list []eventlog.MachineType) {
 	for _, t := range list {
 		i := d.TypeNames.Index(t.Name)
@@ -225,15 +226,15 @@
 	}
 }
 
-// appendTypes appends machine types; further entries have the zones that do
-// not fit into the first of a type.
+// appendTypes appends machine types to the log. Zones that do not fit into the first entry of a
+// type go into further entries.
 func (d *Component) appendTypes(list []eventlog.MachineType) {
 	for _, t := range list {
 		allZones := t.Zones
 		t.Zones = nil
 		withoutZones, err := json.Marshal(t)
 		if err != nil {
-			continue // cannot happen: all amounts were checked when they came
+			continue // cannot happen: all amounts were checked when they were received
 		}
 		room := d.EventLog.MaxEntryBytes() - len(withoutZones) - eventlog.EntryOverheadBytes
 		for i, zones := range eventlog.SplitNames(allZones, room) {
@@ -244,9 +245,9 @@
 	}
 }
 
-// appendRentalAnswer appends the answer to a rental request. Where its machines
-// need several entries, the request is recorded anew before each further one: a
-// leader that finds only the first ones sends it again and learns the rest.
+// appendRentalAnswer appends the answer to a rental request to the log. If its machines need
+// several entries, the request is recorded again before each further one: a leader that finds
+// only the first entries sends the request again and receives the remaining machines.
 func (d *Component) appendRentalAnswer(r eventlog.Rental, machines []string) {
 	room := d.EventLog.MaxEntryBytes() - len(r.Name) - eventlog.EntryOverheadBytes
 	for i, names := range eventlog.SplitNames(machines, room) {
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -12,42 +12,43 @@
 )
 
 const (
-	// urgentPriority is the priority from which on a job is urgent.
+	// urgentPriority is the lowest priority at which a job is urgent.
 	urgentPriority = 2
 
-	milliCPUs = 1000 // in a processor; team limits count those
+	milliCPUs = 1000 // per processor; the unit of team limits
 )
 
-// machineGroup is a group of machines that is scaled by a demand of its own: those with
-// accelerators, where there are others too, and the rest.
+// machineGroup is a group of machines that is scaled by its own demand. If there are machine
+// types both with and without accelerators, each kind forms a group.
 type machineGroup struct {
 	accelerated bool // machines with accelerators
-	single      bool // there is but one group
+	single      bool // there is only one group
 
-	// The highest demands of the last while, in processors.
+	// The peak demands over the retention window, in processors.
 	onDemandPeak     peak
 	spotPeak         peak
 	onDemandOnlyPeak peak // of jobs that may not use spot machines
 }
 
-// includesType says whether machines of a type with so many accelerators are of this group.
+// includesType reports whether machines of a type with this many accelerators belong to the
+// group.
 func (g *machineGroup) includesType(gpus float64) bool {
 	return g.single || (gpus > 0) == g.accelerated
 }
 
-// serves says whether a job's work is for machines of this group.
+// serves reports whether a job's work is meant for machines of this group.
 func (g *machineGroup) serves(j *jobs.Job) bool {
 	return g.single || (j.Need.GPU > 0 || !j.FitsWithoutGPU) == g.accelerated
 }
 
-// peak is the highest demand of the last while: a sample is kept as long as no later one is
-// as high.
+// peak tracks the maximum demand over a sliding window. A sample is dropped once a later one is
+// at least as high.
 type peak struct {
 	times   []time.Duration
 	samples []float64
 }
 
-// add records a sample and forgets those older than the window.
+// add records a sample and drops those older than the window.
 func (p *peak) add(now, window time.Duration, demand float64) {
 	n := len(p.samples)
 	for n > 0 && p.samples[n-1] <= demand {
@@ -59,7 +60,7 @@
 	}
 }
 
-// value returns the highest sample of the window, 0 if there is none.
+// value returns the highest sample of the window, or 0 if there is none.
 func (p *peak) value() float64 {
 	if len(p.samples) == 0 {
 		return 0
@@ -67,9 +68,10 @@
 	return p.samples[0]
 }
 
-// openJobs lists the unfinished jobs whose work is for a group. Until it is known what runs
-// after a cold start, machines are rented only for urgent work that not even the whole fleet
-// could hold: those not heard yet count as there.
+// openJobs returns the unfinished jobs whose work is for a group. Until it is known what runs
+// after a cold start, it returns only urgent jobs. Machines that have not reported count as
+// present then, so machines are rented only for urgent work that even the whole fleet could not
+// hold.
 func (d *Component) openJobs(now time.Duration, group *machineGroup) []*jobs.Job {
 	settled := d.Permits(now, cluster.Rent)
 	var open []*jobs.Job
@@ -84,10 +86,10 @@
 	return open
 }
 
-// cpuDemand is how many processors would have the open jobs' work done within the horizon,
-// in seconds, team limits considered. With keepRunning, what runs now counts in full, so that
-// machines stay as long as they are in use; without, it counts the half that is left of it
-// on average, and each job has the horizon of its class.
+// cpuDemand returns how many processors are needed to finish the open jobs' work within the
+// horizon, in seconds, subject to team limits. With keepRunning, running tasks count in full, so
+// that machines stay as long as they are in use. Without it, running tasks count half, which is
+// what is left of them on average, and each job has the horizon of its class.
 func (d *Component) cpuDemand(open []*jobs.Job, horizon float64, keepRunning bool) float64 {
 	perTeam := make([]float64, len(d.Scheduler.Limits))
 	for _, j := range open {
@@ -103,8 +105,8 @@
 	return sum
 }
 
-// tasksInParallel is how many tasks of a job have to run side by side for its work to be
-// done within the horizon. All tasks of a gang or service run at once.
+// tasksInParallel returns how many tasks of a job must run in parallel to finish its work within
+// the horizon. All tasks of a gang or service run at once.
 func (d *Component) tasksInParallel(j *jobs.Job, horizon float64, keepRunning bool) float64 {
 	left := float64(len(j.Tasks) - j.Finished)
 	tasks := left
@@ -115,13 +117,13 @@
 	default:
 		tasks = min(left, (left-float64(j.Placed)/2)*j.MeanRunSeconds()/d.backlogHorizon(j))
 	}
-	if len(j.Record.Counted) > 0 { // machines for tasks without units would stand idle
+	if len(j.Record.Counted) > 0 { // machines for tasks without units would be idle
 		tasks = min(tasks, float64(j.Placed+d.availableUnits(j)))
 	}
 	return tasks
 }
 
-// availableUnits is how many more tasks of a job that needs counted units could have them.
+// availableUnits returns how many more tasks of a job that needs counted units could get them.
 func (d *Component) availableUnits(j *jobs.Job) int {
 	if d.Pools == nil {
 		return 0
@@ -129,8 +131,9 @@
 	return d.Pools.StartableTasks(j)
 }
 
-// backlogHorizon is the time, in seconds, within which a job's work should be done even if
-// that takes on-demand machines: a share of what its class's objectives leave it.
+// backlogHorizon returns the time, in seconds, within which a job's work should be done even if
+// that takes on-demand machines. It is a share of the shortest time that the objectives of its
+// class leave.
 func (d *Component) backlogHorizon(j *jobs.Job) float64 {
 	best := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
@@ -156,10 +159,10 @@
 	return max(d.Cfg.Tunables.ObjectiveShare*best, d.Cfg.Tunables.DrainBacklogS)
 }
 
-// retentionWindow is for how long capacity must not have been needed before it is returned.
-// Where a class should start sooner than any machine boots, what is returned now cannot be
-// rented in time later. Found on days with services that should start within a second:
-// machines were returned between two bursts, and the replicas on them were stopped for it.
+// retentionWindow returns for how long capacity must not have been needed before it is returned.
+// If a class should start faster than any machine boots, machines returned now cannot be
+// replaced in time later. On days with services that should start within a second, machines were
+// returned between two bursts, and the replicas on them were stopped for that.
 func (d *Component) retentionWindow(seconds float64) time.Duration {
 	if d.needsStandbyRoom() {
 		seconds = max(seconds, d.Cfg.Tunables.ReadyWindowS)
@@ -167,7 +170,8 @@
 	return settings.Seconds(seconds)
 }
 
-// needsStandbyRoom says whether some class is to start sooner than the quickest machine boots.
+// needsStandbyRoom reports whether some class should start faster than the fastest machine type
+// boots.
 func (d *Component) needsStandbyRoom() bool {
 	quickestBoot := math.Inf(1)
 	for _, t := range d.Types {
@@ -178,11 +182,11 @@
 	})
 }
 
-// cpusUsedBySpotJobs is how many processors of on-demand machines are in use by jobs that
-// could use spot ones, where a job that may not has waited to begin for half as long as the
-// setting begin_within allows: such capacity counts as not there for it then. Found in a test
-// in which a service waited for five minutes: the on-demand machine was full of tasks of
-// arrays, and there was room enough for those on spot machines.
+// cpusUsedBySpotJobs returns how many processors of on-demand machines are used by jobs that
+// could use spot machines. It returns 0 unless a job that may not use spot machines has waited
+// to begin for half of the setting begin_within; the caller then treats that capacity as missing
+// for such jobs. In a test, a service waited for five minutes because the on-demand machine was
+// full of array tasks for which the spot machines had room.
 func (d *Component) cpusUsedBySpotJobs(
 	now time.Duration, machines []*workers.Machine, onDemandOnly []*jobs.Job,
 ) float64 {
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -8,10 +8,11 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Which machines could run which jobs, whatever else runs there now.
+// This file determines which machines could run which jobs, regardless of what else runs there
+// now.
 
-// restrictedJobs lists the unfinished jobs that may not use every machine, those about to be
-// released among them: capacity that is enough on the whole may be none for them.
+// restrictedJobs returns the unfinished jobs that may not use every machine, including those
+// about to be released. Capacity that is sufficient in total may be unusable for them.
 func (d *Component) restrictedJobs() []*jobs.Job {
 	var out []*jobs.Job
 	for _, j := range d.Jobs.All() {
@@ -26,9 +27,9 @@
 	return out
 }
 
-// releasedSoon says whether a held job will be released before long: all tasks that it
-// depends on are placed and run for no longer than a machine is usually kept. Nothing is
-// kept for one that waits for hours.
+// releasedSoon reports whether a held job will be released soon: all tasks that it depends on
+// are placed, and run for no longer than a machine is usually kept. No capacity is kept for a
+// job that waits for hours.
 func (d *Component) releasedSoon(j *jobs.Job) bool {
 	if j.Phase != jobs.Held || len(j.Dependencies) == 0 {
 		return false
@@ -43,7 +44,7 @@
 	return true
 }
 
-// mayHost says whether a machine may have tasks of a job.
+// mayHost reports whether a machine is allowed to have tasks of a job.
 func (d *Component) mayHost(j *jobs.Job, m *workers.Machine) bool {
 	if m.Deleting || m.PreemptionNotice || !scheduler.Allowed(j, m, d.Zones.Index) {
 		return false
@@ -51,21 +52,21 @@
 	return !j.Record.OneZone || j.ZoneAllows(m.Zone)
 }
 
-// canHost says whether a machine could take a task of a job if it were free.
+// canHost reports whether a machine could take a task of a job if it were empty.
 func (d *Component) canHost(j *jobs.Job, m *workers.Machine) bool {
 	return d.mayHost(j, m) && j.Need.Fits(m.Capacity)
 }
 
-// hasPlaceFor says whether a machine that stays may take one more task of a job. Found in a
-// test with a spread array of which one zone had its half: nothing was rented in the other,
-// and the rest waited until the first half was done.
+// hasPlaceFor reports whether a machine that stays may take another task of a job. In a test
+// with a spread array, one zone had its half of the tasks and nothing was rented in the other
+// zone, so the rest waited until the first half was done.
 func (d *Component) hasPlaceFor(j *jobs.Job) bool {
 	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool {
 		return !m.Draining && d.canHost(j, m) && j.ZoneAllows(m.Zone)
 	})
 }
 
-// countHosts is how many machines that stay may take tasks of a job.
+// countHosts returns how many machines that stay may take tasks of a job.
 func (d *Component) countHosts(j *jobs.Job) int {
 	n := 0
 	for _, m := range d.Inventory.All() {
@@ -76,7 +77,8 @@
 	return n
 }
 
-// slotsByZone is how many tasks of a job each zone's machines could take if they were free.
+// slotsByZone returns how many tasks of a job the machines of each zone could take if they were
+// empty.
 func (d *Component) slotsByZone(j *jobs.Job) map[int32]int {
 	zones := map[int32]int{}
 	for _, m := range d.Inventory.All() {
@@ -87,11 +89,11 @@
 	return zones
 }
 
-// fitsFleet says whether the machines that are there or are coming have a place for a job:
-// for one task of an array, or for all tasks of a gang or service.
+// fitsFleet reports whether the machines that exist or are requested have room for a job: for
+// one task of an array, or for all tasks of a gang or service.
 func (d *Component) fitsFleet(j *jobs.Job) bool {
 	if len(d.pendingRentals) > 0 {
-		return true // more may be on the way
+		return true // further machines may be added
 	}
 	if j.Record.Kind == jobs.Array {
 		return d.hasPlaceFor(j)
@@ -112,8 +114,8 @@
 	return available >= len(j.Tasks)-j.Finished
 }
 
-// stuckJobs lists the open jobs with tasks waiting that would not fit if all machines were
-// free, those left out that lack counted units.
+// stuckJobs returns the open jobs with waiting tasks that would not fit even if all machines
+// were empty, except those that lack counted units.
 func (d *Component) stuckJobs(open []*jobs.Job) []*jobs.Job {
 	return slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
 		lacksUnits := len(j.Record.Counted) > 0 && d.availableUnits(j) == 0
--- a/internal/leader/autoscaler/provisioner.go
+++ b/internal/leader/autoscaler/provisioner.go
@@ -12,39 +12,40 @@
 
 const (
 	maxMachinesPerRental = 50
-	maxUnanswered        = 4 // rental requests at a time
+	maxUnanswered        = 4 // rental requests without an answer at a time
 
-	// enoughCPUs is what may be missing without anything being rented for it.
+	// enoughCPUs is the shortage up to which nothing is rented.
 	enoughCPUs = 0.5
-	// roundingTolerance is the part of a machine for which no further one is requested.
+	// roundingTolerance is the fraction of a machine for which no further machine is requested.
 	roundingTolerance = 0.01
 
 	initialBackoff = 10 * time.Second
 	maxBackoff     = 80 * time.Second
 )
 
-// offerKey is what the cloud offers or refuses as one.
+// offerKey identifies what the cloud offers or refuses as a unit.
 type offerKey struct {
 	typ, zone string
 	spot      bool
 }
 
-// refusal is that of an offer; each further one in a row doubles the backoff.
+// refusal records that an offer was refused; each further refusal in a row doubles the backoff.
 type refusal struct {
 	retryAt time.Duration
 	backoff time.Duration
 }
 
-// Provisioner keeps what is known of the cloud's offers, and decides which to rent.
+// Provisioner tracks the state of the cloud's offers, and decides which to rent.
 type Provisioner struct {
 	namePrefix   string // of request names
 	lastNumber   int    // of request names
 	refusals     map[offerKey]*refusal
 	unanswered   map[string]eventlog.Rental // requests without an answer yet, by name
-	avoidedUntil map[string]time.Duration   // zones that seem cut off
+	avoidedUntil map[string]time.Duration   // by zone that seems cut off
 }
 
-// NewProvisioner makes one whose request names begin with a prefix used by no other term.
+// NewProvisioner returns a Provisioner whose request names begin with a prefix used by no other
+// term.
 func NewProvisioner(prefix string) *Provisioner {
 	return &Provisioner{
 		namePrefix:   prefix,
@@ -54,34 +55,35 @@
 	}
 }
 
-// AvoidZone leaves out a zone whose machines have fallen silent together: what is rented
-// there would boot, cost money and not be heard either.
+// AvoidZone excludes a zone whose machines have become silent together: machines rented there
+// would boot and cost money, but could not report either.
 func (b *Provisioner) AvoidZone(zone string, until time.Duration) { b.avoidedUntil[zone] = until }
 
-// ZoneAvoided says whether a zone is left out now.
+// ZoneAvoided reports whether a zone is excluded now.
 func (b *Provisioner) ZoneAvoided(now time.Duration, zone string) bool {
 	return now < b.avoidedUntil[zone]
 }
 
-// Demand is what is missing.
+// Demand describes the missing capacity and which machines may cover it.
 type Demand struct {
 	CPUs       float64            // processors
 	Spot       bool               // spot machines, else on-demand ones
-	CPUsByZone map[string]float64 // processors there are in each zone
-	UsualStayS float64            // seconds that a machine is usually kept; its boot is paid too
+	CPUsByZone map[string]float64 // existing processors in each zone
+	UsualStayS float64            // seconds that a machine is usually kept; its boot time is paid for too
 	Fits       func(t eventlog.MachineType, zone string, spot bool) bool
 }
 
-// offer is a number of machines of one type, zone and kind that would cover a demand or a part of it.
+// offer is a number of machines of one type, zone and kind that would cover a demand or a part
+// of it.
 type offer struct {
 	offerKey
 	count int     // of machines
-	cost  float64 // for each processor that is missing
+	cost  float64 // per missing processor
 	cpus  float64 // of one machine
 }
 
-// Rent chooses requests that cover a demand as far as offers go, each time the cheapest offer
-// for what is still missing.
+// Rent chooses requests that cover a demand as far as there are offers, each time the cheapest
+// offer for the capacity that is still missing.
 func (b *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, demand Demand) []eventlog.Rental {
 	var requests []eventlog.Rental
 	missing := demand.CPUs
@@ -91,7 +93,7 @@
 			return requests
 		}
 		best := slices.MinFunc(offers, func(x, y offer) int {
-			// Of offers that cost the same the zone with least: a zone may be lost.
+			// At equal cost, prefer the zone with the least capacity, since a zone may be lost.
 			return cmp.Or(
 				cmp.Compare(x.cost, y.cost),
 				cmp.Compare(demand.CPUsByZone[x.zone], demand.CPUsByZone[y.zone]),
@@ -103,7 +105,7 @@
 	return requests
 }
 
-// offers lists the offers that may be requested now for so many missing processors.
+// offers returns the offers that may be requested now for this many missing processors.
 func (b *Provisioner) offers(now time.Duration, types []eventlog.MachineType, demand Demand, missing float64) []offer {
 	var offers []offer
 	for _, t := range types {
@@ -126,8 +128,8 @@
 	return offers
 }
 
-// isAvailable says whether an offer may be requested now: it was not refused lately, its zone
-// is not avoided, and no request for it is without an answer.
+// isAvailable reports whether an offer may be requested now: it was not refused recently, its
+// zone is not avoided, and no request for it is without an answer.
 func (b *Provisioner) isAvailable(now time.Duration, k offerKey) bool {
 	if r := b.refusals[k]; r != nil && now < r.retryAt {
 		return false
@@ -135,7 +137,7 @@
 	return !b.ZoneAvoided(now, k.zone) && !b.isOutstanding(k)
 }
 
-// newRequest makes a request for an offer under a name of its own.
+// newRequest returns a request for an offer under a name of its own.
 func (b *Provisioner) newRequest(o offer) eventlog.Rental {
 	b.lastNumber++
 	r := eventlog.Rental{
@@ -149,7 +151,7 @@
 	return r
 }
 
-// isOutstanding says whether a request for an offer is without an answer.
+// isOutstanding reports whether a request for an offer is without an answer.
 func (b *Provisioner) isOutstanding(k offerKey) bool {
 	for _, r := range b.unanswered {
 		if k == keyOf(r) {
@@ -159,10 +161,10 @@
 	return false
 }
 
-// Restore takes over a request of an earlier term that has no answer yet.
+// Restore adds a request of an earlier term that has no answer yet.
 func (b *Provisioner) Restore(r eventlog.Rental) { b.unanswered[r.Name] = r }
 
-// UnansweredCPUs sums the processors of requests without an answer.
+// UnansweredCPUs returns the total number of processors of requests without an answer.
 func (b *Provisioner) UnansweredCPUs(cpusOf func(typeName string) float64) float64 {
 	var sum float64
 	for _, r := range b.unanswered {
@@ -171,11 +173,11 @@
 	return sum
 }
 
-// keyOf is the offer that a request is for.
+// keyOf returns the key of the offer that a request is for.
 func keyOf(r eventlog.Rental) offerKey { return offerKey{typ: r.Type, zone: r.Zone, spot: r.Spot} }
 
-// RequestAnswered notes how many machines a request brought. An offer that brought fewer than
-// were requested is left out for a backoff. known is false for a request that is not open.
+// RequestAnswered records how many machines a request brought. An offer that brought fewer than
+// requested is excluded for a backoff. known is false if there is no such request.
 func (b *Provisioner) RequestAnswered(now time.Duration, name string, got int) (request eventlog.Rental, known bool) {
 	r, ok := b.unanswered[name]
 	if !ok {
--- a/internal/leader/autoscaler/provisioner_test.go
+++ b/internal/leader/autoscaler/provisioner_test.go
@@ -14,13 +14,15 @@
 
 func fitsAnywhere(eventlog.MachineType, string, bool) bool { return true }
 
-// demandOf is a demand of so many processors that any machine may cover; zone a has more.
+// demandOf returns a demand of this many processors that any machine may cover; zone a has more
+// capacity.
 func demandOf(cpus float64, spot bool) Demand {
 	return Demand{CPUs: cpus, Spot: spot, UsualStayS: 120, CPUsByZone: map[string]float64{"a": 8}, Fits: fitsAnywhere}
 }
 
-// The boot is paid as well: the type that boots faster wins for much work, the smaller one
-// where the large one would stay mostly empty; of two zones the one with less capacity.
+// The boot time is paid for as well. For much work the type that boots faster is the cheapest,
+// and for little work the small type, since the large one would stay mostly empty. Of two zones,
+// the one with less capacity is chosen.
 func TestRentChoosesTheCheapestOffer(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -39,26 +41,26 @@
 	}
 }
 
-// An offer that was refused is left out for a while, then tried again; a name is never used
+// A refused offer is excluded for a while, then requested again; a request name is never used
 // twice.
 func TestRentBacksOffAfterARefusal(t *testing.T) {
 	provisioner := NewProvisioner("r-1")
 	types := []eventlog.MachineType{large}
 	first := provisioner.Rent(0, types, demandOf(16, true))
 	if again := provisioner.Rent(0, types, demandOf(16, true)); len(again) != 0 {
-		t.Errorf("asked twice at once: %+v", again)
+		t.Errorf("requested again before the answer: %+v", again)
 	}
 	provisioner.RequestAnswered(0, first[0].Name, 0)
 	if got := provisioner.Rent(time.Second, types, demandOf(16, true)); len(got) != 0 {
-		t.Errorf("asked again at once after a refusal: %+v", got)
+		t.Errorf("requested again right after a refusal: %+v", got)
 	}
 	got := provisioner.Rent(20*time.Second, types, demandOf(16, true))
 	if len(got) != 1 || got[0].Name == first[0].Name {
-		t.Errorf("later: %+v", got)
+		t.Errorf("requests after the backoff are %+v", got)
 	}
 }
 
-// A zone that seems cut off is left out until the time has passed.
+// A zone that seems cut off is excluded until the given time has passed.
 func TestRentLeavesOutAvoidedZones(t *testing.T) {
 	types := []eventlog.MachineType{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
 	provisioner := NewProvisioner("r")
@@ -68,6 +70,6 @@
 		t.Errorf("rented %v while zone a is avoided", got)
 	}
 	if got := provisioner.Rent(11*time.Second, types, demand); len(got) != 1 || got[0].Zone != "a" {
-		t.Errorf("rented %v after that", got)
+		t.Errorf("rented %v after the avoidance of zone a has ended", got)
 	}
 }
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -13,12 +13,12 @@
 	"bitternmoor/internal/settings"
 )
 
-// unbounded is later than anything ends.
+// unbounded is later than the end of any task.
 const unbounded = time.Duration(math.MaxInt64)
 
-// undrainOnlyHosts keeps draining machines that are the only ones for a waiting job. Found
-// on a day with pipelines: the last on-demand machine was being returned for minutes, since
-// spot ones had room enough, and jobs that may not use those waited until it was gone.
+// undrainOnlyHosts stops draining a machine if only draining machines could take a waiting job.
+// On a day with pipelines, the last on-demand machine was draining for minutes because the spot
+// machines had enough room, and jobs that may not use those waited until it was gone.
 func (d *Component) undrainOnlyHosts(restricted []*jobs.Job) {
 	for _, j := range restricted {
 		if j.Phase != jobs.Open || d.hasPlaceFor(j) {
@@ -35,8 +35,8 @@
 }
 
 // scaleIn drains machines whose capacity was not needed for a while, returns those that are
-// empty, and moves checkpointed tasks off draining ones. It counts on machines that are up
-// alone: what is only requested or boots may never come, while the cloud is out for instance.
+// empty, and moves checkpointed tasks off draining ones. It counts only machines that are up:
+// requested or booting ones may never come up, for example during an outage of the cloud.
 func (d *Component) scaleIn(s *scaling, restricted, stuck []*jobs.Job) {
 	d.drainExcess(s, d.drainCandidates(s, stuck), restricted)
 	d.returnEmpty(s)
@@ -45,7 +45,8 @@
 	}
 }
 
-// drainCandidates lists the machines that may be drained, in the order in which they are.
+// drainCandidates returns the machines that may be drained, in the order in which they are
+// drained.
 func (d *Component) drainCandidates(s *scaling, stuck []*jobs.Job) []*workers.Machine {
 	minStay := settings.Seconds(d.Cfg.Tunables.IdleReturnS)
 	candidates := slices.DeleteFunc(slices.Clone(s.machines), func(m *workers.Machine) bool {
@@ -64,8 +65,8 @@
 	slices.SortFunc(candidates, func(a, b *workers.Machine) int {
 		return cmp.Or(
 			compareOnDemandFirst(a, b),
-			// The one that is empty first: until then the room it has left is paid for and of
-			// no use.
+			// Prefer the machine that becomes empty first: until then its remaining room costs
+			// money and is unused.
 			cmp.Compare(busyUntil[a], busyUntil[b]),
 			cmp.Compare(d.pricePerCPU(b), d.pricePerCPU(a)),
 			cmp.Compare(a.Name, b.Name),
@@ -85,10 +86,10 @@
 	return 1
 }
 
-// drainExcess drains the candidates that the highest demand of the last while does not need,
-// but none that is the only host of a restricted job.
+// drainExcess drains the candidates that the peak demand does not need, except the only host of
+// a restricted job.
 func (d *Component) drainExcess(s *scaling, candidates []*workers.Machine, restricted []*jobs.Job) {
-	hosts := make([]int, len(restricted)) // machines that could run each of the jobs
+	hosts := make([]int, len(restricted)) // number of machines that could run each job
 	for i, j := range restricted {
 		hosts[i] = d.countHosts(j)
 	}
@@ -118,7 +119,7 @@
 	}
 }
 
-// exceedsDemand says whether the highest demand of the last while is covered without a machine.
+// exceedsDemand reports whether the peak demand is covered without a machine.
 func (s *scaling) exceedsDemand(m *workers.Machine) bool {
 	needed := s.group.onDemandPeak.value()
 	if m.Spot {
@@ -130,7 +131,7 @@
 	return m.Spot || s.onDemand-m.Capacity.CPUs() >= s.group.onDemandOnlyPeak.value()
 }
 
-// returnEmpty returns the draining machines on which nothing is any more.
+// returnEmpty returns the draining machines that are empty.
 func (d *Component) returnEmpty(s *scaling) {
 	for _, m := range s.machines {
 		empty := len(m.Tasks) == 0 && len(m.OpenOffers) == 0 && len(m.Orphans) == 0
@@ -138,29 +139,30 @@
 			continue
 		}
 		d.Decommission(s.now, m, cluster.Return, "not needed")
-		if m.Resolved { // else only its deletion proves that nothing of an earlier term is there
+		if m.Resolved { // otherwise only its deletion proves that no task of an earlier term is there
 			d.Publish(cluster.Event{Kind: cluster.MachineReturnable, At: s.now, Machine: m})
 		}
 	}
 }
 
-// busyUntil is when the last of a machine's tasks will probably have ended, to the second.
+// busyUntil returns when the last of a machine's tasks will probably have ended, to the second.
 func (d *Component) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
 	end := now
 	for _, p := range m.Tasks {
 		if p.Planned {
-			continue // it can still go elsewhere
+			continue // it can still be placed elsewhere
 		}
 		j := d.Jobs.ByIndex(p.Ref.Job)
 		if j.Record.Kind == jobs.Service {
-			return unbounded // a service has to be stopped
+			return unbounded // a service runs until it is stopped
 		}
 		end = max(end, now+scheduler.RemainingTime(now, j, p))
 	}
 	return end.Round(time.Second)
 }
 
-// pricePerCPU is the price of one processor of a machine, in the unit of the cloud's prices.
+// pricePerCPU returns the price of one processor of a machine, in the unit of the cloud's
+// prices.
 func (d *Component) pricePerCPU(m *workers.Machine) float64 {
 	t := d.Types[m.Type]
 	if m.Spot {
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -13,7 +13,7 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// scaling is one group's state in one run of the autoscaler; amounts are in processors.
+// scaling is the state of one group in one run of the autoscaler; amounts are in processors.
 type scaling struct {
 	now      time.Duration
 	group    *machineGroup
@@ -21,17 +21,17 @@
 	open     []*jobs.Job        // whose work is for the group
 
 	// Demand.
-	fullDemand     float64 // for the work to be done soon; spot machines are rented for it
-	onDemandDemand float64 // for the work to meet its objectives; on-demand machines are rented for it
+	fullDemand     float64 // to finish the work soon; spot machines are rented for it
+	onDemandDemand float64 // to meet the objectives; on-demand machines are rented for it
 
 	// Capacity.
-	total    float64 // of machines that are there, boot or are requested
+	total    float64 // of machines that exist, boot or are requested
 	up       float64 // of machines that are up
-	onDemand float64 // of on-demand machines that are there or boot
+	onDemand float64 // of on-demand machines that exist or boot
 }
 
-// scaleGroup covers a group's work with machines, and returns what was not needed for a
-// while: machines are drained first, and deleted once empty.
+// scaleGroup rents machines for a group's work, and returns capacity that was not needed for a
+// while. Machines are drained first, and deleted once empty.
 func (d *Component) scaleGroup(now time.Duration, group *machineGroup) {
 	s := d.newScaling(now, group)
 	d.undrainForDemand(s)
@@ -44,9 +44,9 @@
 		requests = d.rentForStuckJobs(s, stuck)
 		d.recordRentals("renting for jobs that fit nowhere", requests)
 	}
-	// Jobs that fit nowhere keep the machines that they could use, and no others: found on
-	// a day on which on-demand machines were refused as long as idle spot ones were there,
-	// and those stayed for a gang that may not use them.
+	// Jobs that fit nowhere retain only the machines that they could use. On one day, on-demand
+	// machines were refused as long as idle spot machines existed, and those were retained for a
+	// gang that may not use them.
 	if s.fullDemand <= s.total && (len(stuck) == 0 || len(requests) == 0) && d.Permits(now, cluster.Return) {
 		d.scaleIn(s, restricted, stuck)
 	}
@@ -69,8 +69,8 @@
 	return s
 }
 
-// measureCapacity sums the processors of the machines that stay, and of requests without an
-// answer. Machines of a zone that is avoided count only if they are up.
+// measureCapacity sums the processors of the machines that stay and of requests without an
+// answer. Machines of an avoided zone count only if they are up.
 func (d *Component) measureCapacity(s *scaling) {
 	for _, m := range s.machines {
 		if m.Deleting || m.PreemptionNotice || m.Draining {
@@ -95,7 +95,7 @@
 	})
 }
 
-// undrainForDemand keeps draining machines for as long as capacity is missing.
+// undrainForDemand stops draining machines as long as capacity is missing.
 func (d *Component) undrainForDemand(s *scaling) {
 	for _, m := range s.machines {
 		if s.fullDemand > s.total && m.Draining && !m.Deleting {
@@ -107,9 +107,9 @@
 	}
 }
 
-// rentForDemand requests machines for the demand that is not covered: spot machines where
-// jobs may use them, on-demand ones for what those cannot bring, and for jobs that may not
-// use spot machines at all, however much room there is on those.
+// rentForDemand requests machines for the demand that is not covered: spot machines if jobs may
+// use them, on-demand machines if none of those can be requested, and on-demand machines for
+// jobs that may not use spot machines, however much room there is on those.
 func (d *Component) rentForDemand(s *scaling) []eventlog.Rental {
 	onDemandOnly := slices.DeleteFunc(slices.Clone(s.open), func(j *jobs.Job) bool { return j.UseSpot })
 	var requests []eventlog.Rental
@@ -137,8 +137,9 @@
 	return requests
 }
 
-// rentForStuckJobs requests machines for jobs that would not fit if all machines were free:
-// spot machines where all of them may use those, else or if there are none on-demand ones.
+// rentForStuckJobs requests machines for jobs that would not fit even if all machines were
+// empty: spot machines if all of the jobs may use them, and on-demand machines otherwise or if
+// there is no spot offer.
 func (d *Component) rentForStuckJobs(s *scaling, stuck []*jobs.Job) []eventlog.Rental {
 	var cpus float64
 	for _, j := range stuck {
@@ -152,12 +153,12 @@
 	return requests
 }
 
-// rent has the provisioner choose requests for so many processors that suit the jobs.
+// rent lets the provisioner choose requests for this many processors that suit the jobs.
 func (d *Component) rent(s *scaling, cpus float64, spot bool, forJobs []*jobs.Job) []eventlog.Rental {
 	return d.provisioner.Rent(s.now, d.Types, d.demandFor(s.group, cpus, spot, forJobs))
 }
 
-// demandFor describes a demand of so many processors for a group's jobs.
+// demandFor returns the demand of this many processors for a group's jobs.
 func (d *Component) demandFor(group *machineGroup, cpus float64, spot bool, forJobs []*jobs.Job) Demand {
 	cpusByZone := map[string]float64{}
 	for _, m := range d.Inventory.All() {
@@ -174,7 +175,7 @@
 	}
 }
 
-// suitsAnyJob says whether a machine of a type, zone and kind would help one of the jobs.
+// suitsAnyJob reports whether a machine of a type, zone and kind would help one of the jobs.
 func (d *Component) suitsAnyJob(
 	group *machineGroup, t eventlog.MachineType, zone string, spot bool, forJobs []*jobs.Job,
 ) bool {
@@ -193,8 +194,8 @@
 	})
 }
 
-// zoneHelps says whether a further machine in a zone would help a job: a zone that has its
-// share of a spread job's tasks brings it no further.
+// zoneHelps reports whether another machine in a zone would help a job. It does not help a
+// spread job if the zone already has room for its share of the tasks.
 func (d *Component) zoneHelps(j *jobs.Job, zone int32) bool {
 	if !j.HasZoneRule() {
 		return true
@@ -202,8 +203,8 @@
 	return j.ZoneAllows(zone) && (!j.Record.Spread || d.slotsByZone(j)[zone] < j.MaxTasksPerZone())
 }
 
-// recordRentals appends rental requests to the log; they are sent once that is durable, so
-// that a request is idempotent under its name for any later leader too.
+// recordRentals appends rental requests to the log. They are sent once that is durable, so that
+// a request is idempotent under its name for any later leader too.
 func (d *Component) recordRentals(message string, requests []eventlog.Rental) {
 	for _, r := range requests {
 		d.EventLog.AppendTracked(eventlog.Entry{Rental: &r})
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -1,15 +1,15 @@
-// Package dispatch is the component of a leader's term for push dispatch: it starts tasks by
-// a command sent straight to their workers, without waiting for a heartbeat (the setting
+// Package dispatch is the component of a leader's term for push dispatch: it starts tasks by a
+// command sent straight to their workers, without waiting for a heartbeat (the setting
 // direct_starts). Only tasks of classes whose wait objective is shorter than a heartbeat
-// interval go this way.
+// interval are dispatched this way.
 //
-// Such a command may be carried out late, minutes after it was given up, as long as its
-// token and session match. So a task that was sent counts as being on its machine from
-// before the command leaves, and one that is not seen there is proved gone only by a
-// report at a higher token, a later session, or the answered deletion of the machine
-// (package reconcile). What has ended is reaped only after that too, for a copy of the
-// command would begin it anew. A machine that did not answer gets nothing more this way
-// until it has seen a higher token, which it is given with its next heartbeat.
+// Such a command may be carried out minutes after the leader has given it up, as long as its
+// token and session match. A dispatched task therefore counts as being on its machine from
+// before the command is sent. If the task is not seen there, only a report at a higher token, a
+// later session or the answered deletion of the machine proves that it is gone (see package
+// reconcile). A task that has ended is reaped only after such a proof too, since a late copy of
+// the command would start it again. A machine that did not answer gets no further dispatch until
+// it has seen a higher token, which it is given with the answer to its next heartbeat.
 package dispatch
 
 import (
@@ -43,16 +43,16 @@
 	startSeconds    *cluster.Histogram
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, startSeconds: s.Metrics.Histogram("bitternmoor_start_seconds",
-		"Time from a job's acceptance, or release, until one of its tasks was seen to run, by its class and the way of the start.",
+		"Time from a job's acceptance or release until one of its tasks was seen running, by class and way of starting.",
 		"start", startSecondsBuckets)}
 }
 
-// HandleEvent measures how long tasks of classes with a wait objective took to begin, by each
-// way of starting: a bounded number of labels. The time of one that runs again counts from
-// its job's acceptance too.
+// HandleEvent measures how long tasks of classes with a wait objective took to begin, by class
+// and way of starting; this bounds the number of labels. If a task runs again, its time still
+// counts from its job's acceptance.
 func (d *Component) HandleEvent(e cluster.Event) {
 	if e.Kind != cluster.TaskBegan || !d.hasWaitObjective(e.Job.Record.Class) {
 		return
@@ -64,15 +64,15 @@
 	d.startSeconds.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
 }
 
-// hasWaitObjective says whether a class has an objective for how long its jobs wait.
+// hasWaitObjective reports whether a class has an objective for how long its jobs wait.
 func (d *Component) hasWaitObjective(class string) bool {
 	return slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
 		return o.Kind == settings.ObjectiveWait && o.Class == class
 	})
 }
 
-// AfterCycle dispatches tasks whose grant and intent are durable to machines to which nothing
-// else is in flight, at most one command to each.
+// AfterCycle dispatches tasks whose grant and intent are durable to machines with nothing else
+// in flight, with at most one command to each.
 func (d *Component) AfterCycle(now time.Duration, leaseValid bool) {
 	if !leaseValid || len(d.DispatchQueue) == 0 {
 		return
@@ -97,19 +97,20 @@
 	d.DispatchQueue = kept
 }
 
-// hasCallBudget says whether a further command may be sent now.
+// hasCallBudget reports whether another command may be sent now.
 func (d *Component) hasCallBudget() bool {
 	return d.callsInFlight < d.Cfg.Tunables.PushDispatches && !d.TokensRunLow()
 }
 
-// isDispatchable says whether starts may be sent straight to a machine: its worker is known to
-// live and may have more tasks, and there is neither an open answer with offers for it, which another controller may
-// have filled with other tasks, nor a call without an answer.
+// isDispatchable reports whether starts may be sent straight to a machine. Its worker must be
+// known to be alive and able to take more tasks. There must be neither an open answer with
+// offers for it, which another controller may have filled with other tasks, nor an unanswered
+// call.
 func (d *Component) isDispatchable(now time.Duration, m *workers.Machine) bool {
 	return m.Address != "" && m.AcceptsPlans(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
-// dispatchTo sends all starts for a machine that may be sent in one command.
+// dispatchTo sends all starts that may be dispatched to a machine in one command.
 func (d *Component) dispatchTo(now time.Duration, m *workers.Machine) {
 	var starts []workers.Command
 	for _, p := range m.PlannedHere() {
@@ -140,8 +141,8 @@
 	})
 }
 
-// mayDispatch says whether a planned task may be sent straight to its machine: it asks for
-// that, is not on offer, and its grant and intent are durable.
+// mayDispatch reports whether a planned task may be sent straight to its machine: it is marked
+// for a direct start, it is not on offer, and its grant and intent are durable.
 func mayDispatch(m *workers.Machine, p *workers.Placement) bool {
 	if p.NoNewOffers || p.Withdrawn || len(p.Offered) > 0 {
 		return false
@@ -149,8 +150,8 @@
 	return p.StartDirectly && m.Grants[p.JobID] && p.IntentDurable
 }
 
-// Dispatched applies a worker's report after starts that were sent to it; report is nil if it did
-// not answer.
+// Dispatched applies the report with which a worker answered dispatched starts; report is nil if
+// it did not answer.
 func (d *Component) Dispatched(
 	now time.Duration, machine string, token uint64, starts []workers.Command, report *workers.Report,
 ) {
@@ -162,7 +163,7 @@
 	}
 	m := d.Inventory.Find(machine)
 	if m == nil {
-		return // deleted meanwhile, and all that was on it
+		return // deleted in the meantime, with everything on it
 	}
 	var refs []workers.TaskRef
 	for _, c := range starts {
@@ -173,7 +174,8 @@
 	m.DispatchResult(now, token, refs, report)
 }
 
-// View is what operators may see: totals of the term, and calls in flight.
+// View is the component's view for operators: totals of the term and the number of calls in
+// flight.
 type View struct {
 	Calls      uint64 `json:"calls"`
 	Tasks      uint64 `json:"tasks"`
@@ -182,7 +184,7 @@
 	UnderWay   int    `json:"under_way"`
 }
 
-// Show returns the component's view as JSON; it has but one, without a name.
+// Show returns the component's only view, which has no name, as JSON.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -1,7 +1,7 @@
-// Package fairshare is the component of a leader's term that keeps the order of the jobs: it
-// ages their sizes in the virtual cluster of HFSP (package sizing), sets final ones, and
-// writes both to the event log. It alone writes entries of sizes, but for those of a job that
-// is written anew.
+// Package fairshare is the component of a leader's term that maintains the order of the jobs: it
+// ages their sizes in the virtual cluster of HFSP (package sizing), sets final sizes, and writes
+// both to the event log. Only this component writes entries of sizes, except that the compaction
+// of a job's entries rewrites the job's final size.
 package fairshare
 
 import (
@@ -14,24 +14,24 @@
 	"bitternmoor/internal/settings"
 )
 
-// agingInterval is how often the virtual cluster works on.
+// agingInterval is how often the virtual cluster is advanced.
 const agingInterval = 500 * time.Millisecond
 
-// Component keeps the order of the jobs in a term.
+// Component maintains the order of the jobs in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	replayedFinalSizes map[uint64]float64 // by job id, while the log is replayed
-	agedAt             time.Duration      // when the virtual cluster worked last
-	sizesWrittenAt     time.Duration      // when the virtual sizes were written last
+	agedAt             time.Duration      // when the virtual cluster was last advanced
+	sizesWrittenAt     time.Duration      // when the virtual sizes were last written
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(state *cluster.State) *Component {
 	return &Component{State: state, replayedFinalSizes: map[uint64]float64{}, sizesWrittenAt: state.TermBegan}
 }
 
-// Replay takes an entry of the log.
+// Replay applies an entry of the log.
 func (c *Component) Replay(_ time.Duration, entry eventlog.Entry) {
 	if entry.FinalSize != nil {
 		c.replayedFinalSizes[entry.FinalSize.ID] = entry.FinalSize.Size
@@ -48,8 +48,7 @@
 	c.replayedFinalSizes = nil
 }
 
-// Restore puts back the virtual sizes that an earlier term wrote down, oldest
-// first.
+// Restore restores the virtual sizes that an earlier term wrote, oldest first.
 func (c *Component) Restore(now time.Duration, sizes []eventlog.VirtualSize) {
 	for _, size := range sizes {
 		if job := c.Jobs.ByID(size.ID); job != nil {
@@ -60,7 +59,7 @@
 	c.Estimator.Age(now.Seconds(), 0)
 }
 
-// Tick ages the sizes.
+// Tick ages the sizes at their interval.
 func (c *Component) Tick(now time.Duration, _ bool) {
 	if now-c.agedAt >= agingInterval {
 		c.agedAt = now
@@ -68,7 +67,8 @@
 	}
 }
 
-// AfterCycle writes the virtual sizes from time to time, while the leader's lease is valid.
+// AfterCycle writes the virtual sizes at the configured interval, while the leader's lease is
+// valid.
 func (c *Component) AfterCycle(now time.Duration, leaseValid bool) {
 	if leaseValid && now-c.sizesWrittenAt >= settings.Seconds(c.Cfg.Tunables.SizesEveryS) {
 		c.sizesWrittenAt = now
@@ -76,7 +76,8 @@
 	}
 }
 
-// writeSizes writes the virtual sizes that are left, to a tenth of a second, by job id.
+// writeSizes writes the virtual sizes above 0, truncated to a tenth of a second, ordered by job
+// id.
 func (c *Component) writeSizes() {
 	var sizes []eventlog.VirtualSize
 	for _, index := range c.Estimator.Order() {
@@ -97,7 +98,7 @@
 
 func truncateToTenth(seconds float64) float64 { return float64(int64(seconds*10)) / 10 }
 
-// FinalizeSizes sets final sizes that are due; each is written once.
+// FinalizeSizes sets the final sizes that are due; each is written once.
 func (c *Component) FinalizeSizes(now time.Duration) {
 	for _, index := range c.Estimator.Order() {
 		if size, ok := c.Estimator.FinalizeSize(index, now.Seconds()); ok {
--- a/internal/leader/placement/grants.go
+++ b/internal/leader/placement/grants.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	grantIdleTimeout  = 8 * time.Second // a job with nothing on a machine for so long has its grant taken back
-	maxMachineBytes   = 10              // upper bound for what a machine takes in an entry
-	usualMachineBytes = 5               // what one takes usually
-	entryOverhead     = 6               // in machines of maxMachineBytes: the rest of an entry
+	grantIdleTimeout  = 8 * time.Second // after this time with nothing on a machine, a job's grant is revoked
+	maxMachineBytes   = 10              // upper bound for the bytes of a machine in an entry
+	usualMachineBytes = 5               // usual number of bytes of a machine in an entry
+	entryOverhead     = 6               // the rest of an entry, as a number of machines of maxMachineBytes
 )
 
-// replayGrant keeps which machines a grant names, or no longer does.
+// replayGrant records which machines a grant names or revokes.
 func (c *Component) replayGrant(grant *eventlog.Grant) {
 	machines := c.replayedGrants[grant.Job]
 	if machines == nil {
@@ -29,7 +29,7 @@
 	}
 }
 
-// recoverGrants puts the replayed grants on the machines that are not resolved.
+// recoverGrants restores the replayed grants on the machines that are not resolved.
 func (c *Component) recoverGrants() {
 	byNumber := c.machinesByNumber()
 	for id, machines := range c.replayedGrants {
@@ -44,12 +44,13 @@
 	c.replayedGrants = nil
 }
 
-// recoverGrant counts a job's tasks that may be on a machine against its team.
+// recoverGrant restores a job's grant on a machine and counts the machine against the job's
+// team, since tasks of the job may be there.
 func (c *Component) recoverGrant(id uint64, machine *workers.Machine) {
 	job := c.Jobs.ByID(id)
 	if job == nil {
-		// A cancelled job, whose team is not known any more: its tasks may still be
-		// there. One that is done has none anywhere.
+		// The team of a cancelled job is no longer known, and its tasks may still be on the
+		// machine. A job that is done has no tasks anywhere.
 		if phase, _ := c.Jobs.FinalPhase(id); phase != jobs.Done {
 			machine.ClaimedByAnyTeam = true
 		}
@@ -71,7 +72,7 @@
 	return machines
 }
 
-// requestGrant has a grant written for the first plan of a job on a machine.
+// requestGrant queues a grant for the first plan of a job on a machine.
 func (c *Component) requestGrant(plan *workers.Placement) {
 	machine, id := plan.Machine, plan.JobID
 	if _, known := machine.Grants[id]; known {
@@ -82,10 +83,10 @@
 	c.grants[id] = append(c.grants[id], machine)
 }
 
-// writeGrants hands grants and those taken back to the log, in parts that fit into an entry.
+// writeGrants appends new and revoked grants to the log, in parts that fit into an entry.
 func (c *Component) writeGrants() {
 	machinesPerEntry := max(1, c.EventLog.MaxEntryBytes()/maxMachineBytes-entryOverhead)
-	// First what is taken back: the same machine may have been granted anew.
+	// Revocations come first, since the same machine may have been granted again.
 	for _, id := range slices.Sorted(maps.Keys(c.revoked)) {
 		for numbers := range slices.Chunk(c.revoked[id], machinesPerEntry) {
 			c.EventLog.Append(eventlog.Entry{Grant: &eventlog.Grant{Job: id, Machines: numbers, Revoked: true}})
@@ -105,8 +106,8 @@
 	clear(c.newGrants)
 }
 
-// grantDurable lets the job's tasks start on the machines of the first grant in flight, which
-// is durable now.
+// grantDurable allows the job's tasks to start on the machines of the first grant in flight,
+// which is now durable.
 func (c *Component) grantDurable(grant *eventlog.Grant) {
 	machines := c.grantsInFlight[0]
 	c.grantsInFlight = c.grantsInFlight[1:]
@@ -118,7 +119,7 @@
 	}
 }
 
-// forgetGrants drops all grants of a job that has left.
+// forgetGrants drops all grants of a job that was removed.
 func (c *Component) forgetGrants(id uint64) {
 	for _, machine := range c.grants[id] {
 		machine.RevokeGrant(id)
@@ -128,9 +129,9 @@
 	delete(c.newGrants, id)
 }
 
-// revokeIdleGrants takes back the grants of jobs that have had nothing on a machine for
-// grantIdleTimeout, so that a successor that cannot hear it holds back only those that
-// have.
+// revokeIdleGrants revokes the grants of jobs that have had nothing on a machine for
+// grantIdleTimeout. A later leader that gets no reports from the machine then holds back only
+// the jobs that still have a grant.
 func (c *Component) revokeIdleGrants(now time.Duration, machine *workers.Machine, report *workers.Report) {
 	for _, id := range machine.UnusedGrants(now, grantIdleTimeout, report) {
 		machine.RevokeGrant(id)
@@ -139,7 +140,7 @@
 	}
 }
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes estimates how many bytes Compact would write for the whole log.
 func (c *Component) LiveBytes() int {
 	live := 0
 	for _, machines := range c.grants {
@@ -148,7 +149,7 @@
 	return live
 }
 
-// compactGrant writes anew the machines of a grant that may still have tasks of its job.
+// compactGrant rewrites a grant with those of its machines that may still have tasks of the job.
 func (c *Component) compactGrant(grant *eventlog.Grant) {
 	if c.compactedMachines == nil {
 		c.compactedMachines = c.machinesByNumber()
--- a/internal/leader/placement/grants_test.go
+++ b/internal/leader/placement/grants_test.go
@@ -10,9 +10,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// Grants of more machines than an entry of 2 KiB has room for are written in
-// parts, those taken back first; a part that is durable lets exactly its own
-// machines start.
+// Grants of more machines than fit into an entry of 2 KiB are written in parts, revocations
+// first. A part that becomes durable allows starts on exactly its own machines.
 func TestGrantsAreWrittenInParts(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	state := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}})
@@ -34,7 +33,7 @@
 		now := time.Duration(revision) * time.Second
 		txn := state.EventLog.NextTransaction(now)
 		if len(txn.Writes[0].Value) > valueSize {
-			t.Fatalf("a value of %d bytes", len(txn.Writes[0].Value))
+			t.Fatalf("value of %d bytes is larger than the limit", len(txn.Writes[0].Value))
 		}
 		facts, _ := state.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
 		for _, entry := range facts {
@@ -48,6 +47,6 @@
 		}
 	}
 	if durable != 900 {
-		t.Errorf("%d of 900 grants", durable)
+		t.Errorf("%d of 900 grants became durable", durable)
 	}
 }
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -11,29 +11,28 @@
 	"bitternmoor/internal/effects"
 )
 
-// Name is that of the component's own entries in the event log.
+// Name is the key of the component's own entries in the event log.
 const Name = "placing"
 
-// Marks bound what a new leader may start while machines are silent. Grants tell it which
-// jobs a machine that it cannot hear may have; marks tell it which of their
-// tasks. Tasks are placed in the order of their numbers, so one number a job is
-// enough: before a task is offered, it is noted that tasks below some number
-// beyond its own may have been handed out. What lies above that no earlier term
-// can have started, and it need not wait for any machine.
+// Marks bound the tasks that a new leader must assume to be on silent machines. Grants record
+// which jobs a silent machine may have; marks record which of their tasks. Tasks are placed in
+// the order of their numbers, so one number per job is enough: before a task is offered, a mark
+// beyond its number is made durable, which means that tasks below the mark may have been handed
+// out. No earlier term can have started a task at or above the mark, so the new leader can start
+// it without waiting for any machine.
 //
-// A mark holds for as long as every term since was one that notes marks. A term
-// of another version, or with marks switched off, leaves none behind: so each
-// term that does notes an unbroken span of terms up to itself. Where the span
-// does not reach up to the term before, all tasks of all jobs count as handed
-// out, as they do without marks.
+// A mark is valid only if every term since has written marks. A term of another version, or one
+// with marks switched off, writes none. So each term that writes marks also records the unbroken
+// span of such terms up to itself. If no span reaches up to the previous term, all tasks of all
+// jobs count as handed out, as they do without marks.
 const (
-	minMarkMargin   = 8  // a mark is beyond the task that needs it by so many tasks at least,
-	markMarginShare = 8  // or by one in so many of those before it: few starts wait for a mark
-	maxMarkBytes    = 32 // upper bound for what a job's mark takes in an entry
+	minMarkMargin   = 8  // a mark is at least this many tasks beyond the task that needs it,
+	markMarginShare = 8  // or this share of the tasks up to it if that is more: few starts wait for a mark
+	maxMarkBytes    = 32 // upper bound for a job's mark in an entry
 )
 
-// markEntry is one of the component's own entries: marks of some jobs, or the span of terms
-// that noted theirs.
+// markEntry is one of the component's own entries. It has the marks of some jobs, or the span of
+// terms that wrote marks.
 type markEntry struct {
 	Epoch uint64    `json:"e,omitempty"`
 	Marks []jobMark `json:"m,omitempty"`
@@ -41,32 +40,32 @@
 	To    uint64    `json:"b,omitempty"` // last epoch of the span; 0: the entry has marks
 }
 
-// jobMark is the id of a job and its mark: tasks below may have been handed out.
+// jobMark is the id of a job and its mark: tasks with lower numbers may have been handed out.
 type jobMark [2]uint64
 
 func (m jobMark) jobID() uint64 { return m[0] }
 func (m jobMark) mark() uint64  { return m[1] }
 
-// intentMarks are the marks of a term.
+// intentMarks holds the marks of a term.
 type intentMarks struct {
 	enabled bool
 
 	// Marks, by job id.
 
 	durable      map[uint64]int                  // tasks below may be handed out
-	requested    map[uint64]int                  // the same, written or being written
+	requested    map[uint64]int                  // the same, including marks that are not durable yet
 	unwritten    map[uint64]int                  // to be written
 	waitingPlans map[uint64][]*workers.Placement // plans that need a higher mark
 
-	inFlight [][]jobMark // marks of each entry on its way to the log, in their order; none for the span
+	inFlight [][]jobMark // marks of each entry in flight to the log, in order; none for a span
 
-	// The span of terms that noted marks.
+	// The span of terms that wrote marks.
 
-	spanStart     uint64 // the first term of the unbroken span up to this one
+	spanStart     uint64 // first epoch of the unbroken span up to this term
 	spanPending   bool   // the span is to be written
-	spanCompacted bool   // it has been, by the compaction under way
+	spanCompacted bool   // the compaction under way has written the span
 
-	// While the log is replayed.
+	// Used only while the log is replayed.
 
 	replayed   []markEntry
 	unreadable bool // an entry could not be read
@@ -81,7 +80,7 @@
 	}
 }
 
-// forgetJob drops all that is kept of a job that has left.
+// forgetJob drops everything kept for a job that was removed.
 func (m *intentMarks) forgetJob(id uint64) {
 	delete(m.durable, id)
 	delete(m.requested, id)
@@ -89,19 +88,19 @@
 	delete(m.waitingPlans, id)
 }
 
-// replayMarks keeps an entry until the log is replayed.
+// replayMarks keeps an entry until the whole log is replayed.
 func (c *Component) replayMarks(own *eventlog.ComponentEntry) {
 	var entry markEntry
 	if err := json.Unmarshal(own.Data, &entry); err != nil {
-		// Without its mark a job would count as never handed out.
-		c.LogMessage(effects.Error, "entry of marks unreadable, all tasks of all jobs count as handed out", "error", err)
+		// Without its mark, a job's tasks would count as never handed out.
+		c.LogMessage(effects.Error, "unreadable entry of marks, treating all tasks of all jobs as handed out", "error", err)
 		c.marks.unreadable = true
 		return
 	}
 	c.marks.replayed = append(c.marks.replayed, entry)
 }
 
-// recoverMarks settles what earlier terms can have handed out.
+// recoverMarks determines which tasks earlier terms may have handed out.
 func (c *Component) recoverMarks() {
 	marks := &c.marks
 	marks.enabled = c.Cfg.Tunables.NoteTasks == 1
@@ -131,7 +130,7 @@
 	marks.spanPending = marks.enabled
 }
 
-// recoverSpan takes over the span of terms that reaches up to the one before this epoch.
+// recoverSpan restores the span of terms that reaches up to the one before this epoch.
 func (m *intentMarks) recoverSpan(epoch uint64) {
 	for _, entry := range m.replayed {
 		if entry.To == epoch-1 && entry.From > 0 {
@@ -140,7 +139,7 @@
 	}
 }
 
-// recoverReplayedMarks takes over the highest mark of each job within the span.
+// recoverReplayedMarks restores the highest mark of each job within the span.
 func (c *Component) recoverReplayedMarks() {
 	for _, entry := range c.marks.replayed {
 		if entry.Epoch < c.marks.spanStart {
@@ -155,7 +154,7 @@
 	}
 }
 
-// markPlan settles whether a plan may be offered, and raises its job's mark if not.
+// markPlan determines whether a plan may be offered, and raises its job's mark if it may not.
 func (c *Component) markPlan(plan *workers.Placement) {
 	marks, id, task := &c.marks, plan.JobID, int(plan.Ref.Task)
 	plan.IntentDurable = !marks.enabled || task < marks.durable[id]
@@ -174,8 +173,8 @@
 	marks.requested[id], marks.unwritten[id] = mark, mark
 }
 
-// writeMarks hands raised marks to the log, and first of all those of jobs that
-// earlier terms may have handed out, with the span of terms behind them.
+// writeMarks appends raised marks to the log. The first call of a term writes its span as well,
+// after the marks of jobs whose tasks all count as handed out by earlier terms.
 func (c *Component) writeMarks() {
 	marks := &c.marks
 	var raised []jobMark
@@ -193,12 +192,12 @@
 	}
 }
 
-// appendMarks hands an entry of marks to the log.
+// appendMarks appends an entry of marks to the log.
 func (c *Component) appendMarks(list []jobMark) {
 	c.appendMarkEntry(markEntry{Epoch: c.Epoch, Marks: list})
 }
 
-// appendSpan hands the entry of the span up to this term to the log.
+// appendSpan appends the entry of the span up to this term to the log.
 func (c *Component) appendSpan() {
 	c.appendMarkEntry(markEntry{From: c.marks.spanStart, To: c.Epoch})
 }
@@ -208,8 +207,8 @@
 	c.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry))
 }
 
-// marksDurable lets the plans be offered that are covered by the marks of the first entry in
-// flight, which is durable now.
+// marksDurable allows the plans to be offered that are covered by the marks of the first entry
+// in flight, which is now durable.
 func (c *Component) marksDurable() {
 	marks := &c.marks
 	list := marks.inFlight[0]
@@ -227,12 +226,12 @@
 	}
 }
 
-// compactMarks writes anew what is live of an entry.
+// compactMarks rewrites the part of an entry that is still needed.
 func (c *Component) compactMarks(own *eventlog.ComponentEntry) {
 	marks := &c.marks
 	var entry markEntry
 	if !marks.enabled || json.Unmarshal(own.Data, &entry) != nil {
-		return // nothing of an entry that cannot be read is live: recoverMarks has replaced it
+		return // nothing of an unreadable entry is needed: recoverMarks has replaced it
 	}
 	if entry.To > 0 && !marks.spanCompacted {
 		marks.spanCompacted = true
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -15,10 +15,11 @@
 
 const (
 	jobTasks  = 100  // tasks of each job
-	valueSize = 2048 // bytes of an entry's value at most
+	valueSize = 2048 // maximum bytes of an entry's value
 )
 
-// newTermComponent is the component of a term of this epoch, with jobs of jobTasks tasks each.
+// newTermComponent returns the component of a term of this epoch, with jobs of jobTasks tasks
+// each.
 func newTermComponent(epoch uint64, noteTasks int, jobCount int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.NoteTasks = noteTasks
@@ -35,7 +36,7 @@
 	state.Jobs.Add(eventlog.Job{ID: id, Tasks: jobTasks}).Phase = jobs.Open
 }
 
-// beginTerm is the component of a term that has replayed a log and begun.
+// beginTerm returns the component of a term that has replayed a log and begun.
 func beginTerm(epoch uint64, noteTasks, jobCount int, log []eventlog.Entry) *Component {
 	component := newTermComponent(epoch, noteTasks, jobCount)
 	for _, entry := range log {
@@ -45,7 +46,7 @@
 	return component
 }
 
-// commitAll has everything written that a component wants to write, and returns it.
+// commitAll commits everything that a component wants to write, and returns the entries.
 func commitAll(t *testing.T, component *Component) (out []eventlog.Entry) {
 	t.Helper()
 	component.AppendEntries(0)
@@ -54,7 +55,7 @@
 		txn := component.EventLog.NextTransaction(now)
 		for _, w := range txn.Writes {
 			if len(w.Value) > valueSize {
-				t.Fatalf("a value of %d bytes", len(w.Value))
+				t.Fatalf("value of %d bytes is larger than the limit", len(w.Value))
 			}
 		}
 		facts, _ := component.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
@@ -76,14 +77,13 @@
 
 func freshFrom(component *Component, id uint64) int { return component.Jobs.ByID(id).UnassignedFrom }
 
-// logOfTwoTerms is the log of a first term, which leaves marks for two jobs, and of a second
-// one, in which tasks 0 and 8 of job 3 may be offered; the mark for its task 9 is never
-// written.
+// logOfTwoTerms returns the log of two terms. The first term leaves marks for two jobs. In the
+// second term, tasks 0 and 8 of job 3 may be offered; the mark for its task 9 is never written.
 func logOfTwoTerms(t *testing.T) []eventlog.Entry {
 	t.Helper()
 	first := beginTerm(1, 1, 2, nil)
 	if got := freshFrom(first, 1); got != jobTasks {
-		t.Errorf("what ran before the first marks is fresh from %d on", got)
+		t.Errorf("without marks of earlier terms, job 1 counts as unassigned from task %d on", got)
 	}
 	log := commitAll(t, first)
 
@@ -91,54 +91,54 @@
 	addOpenJob(second.State, 3)
 	plan0, plan8 := planJob3(second, 0), planJob3(second, 8)
 	if plan0.IntentDurable || plan8.IntentDurable {
-		t.Error("offered before the mark is durable")
+		t.Error("a plan may be offered before its mark is durable")
 	}
 	log = append(log, commitAll(t, second)...)
 	if !plan0.IntentDurable || !plan8.IntentDurable {
-		t.Error("not offered once it is")
+		t.Error("a plan may not be offered although its mark is durable")
 	}
 	if planJob3(second, 9).IntentDurable {
-		t.Error("a task beyond the mark is offered")
+		t.Error("a task beyond the mark may be offered")
 	}
 	return log
 }
 
-// A task may be offered once its job's mark is durable beyond it. The next term
-// knows from the marks what was never handed out.
+// A task may be offered once a mark beyond it is durable. From the marks the next term
+// determines which tasks were never handed out.
 func TestNextTermKnowsFreshTasksFromMarks(t *testing.T) {
 	next := beginTerm(3, 1, 3, logOfTwoTerms(t))
 	if a, b := freshFrom(next, 1), freshFrom(next, 3); a != jobTasks || b != 9 {
-		t.Errorf("read as fresh from %d and %d on, want %d and 9", a, b, jobTasks)
+		t.Errorf("jobs 1 and 3 count as unassigned from tasks %d and %d on, want %d and 9", a, b, jobTasks)
 	}
 }
 
-// Where the span of terms that noted marks is broken, all tasks count as handed out.
+// If the span of terms that wrote marks is broken, all tasks count as handed out.
 func TestBrokenSpanCountsAllTasksAsHandedOut(t *testing.T) {
 	log := logOfTwoTerms(t)
 	unreadable := eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: json.RawMessage(`7`)}}
 	for name, component := range map[string]*Component{
-		"a term between that left nothing": beginTerm(4, 1, 3, log),
-		"an entry that cannot be read":     beginTerm(3, 1, 3, append(log[:len(log):len(log)], unreadable)),
+		"a term in between without marks": beginTerm(4, 1, 3, log),
+		"an unreadable entry":             beginTerm(3, 1, 3, append(log[:len(log):len(log)], unreadable)),
 	} {
 		t.Run(name, func(t *testing.T) {
 			for id := uint64(1); id <= 3; id++ {
 				if got := freshFrom(component, id); got != jobTasks {
-					t.Errorf("job %d is fresh from %d on", id, got)
+					t.Errorf("job %d counts as unassigned from task %d on", id, got)
 				}
 			}
 		})
 	}
 }
 
-// With marks switched off nothing is written and no plan waits.
+// With marks switched off, nothing is written and no plan waits.
 func TestMarksSwitchedOff(t *testing.T) {
 	off := beginTerm(3, 0, 3, logOfTwoTerms(t))
 	if plan := planJob3(off, 50); !plan.IntentDurable || len(commitAll(t, off)) != 0 {
-		t.Error("switched off, it writes or waits all the same")
+		t.Error("marks are switched off, but an entry is written or a plan waits")
 	}
 }
 
-// After a compaction the marks and the one span are those of the term that compacts.
+// After a compaction the log has the marks and the one span of the term that compacted it.
 func TestCompactionKeepsMarksAndOneSpan(t *testing.T) {
 	log := logOfTwoTerms(t)
 	next := beginTerm(3, 1, 3, log)
@@ -159,16 +159,16 @@
 		}
 	}
 	if after := beginTerm(4, 1, 3, kept); spans != 1 || freshFrom(after, 3) != 9 {
-		t.Errorf("compacted: %d spans, fresh from %d on", spans, freshFrom(after, 3))
+		t.Errorf("after the compaction: %d spans, job 3 counts as unassigned from task %d on", spans, freshFrom(after, 3))
 	}
 }
 
-// Marks of many jobs are written in parts that fit.
+// Marks of many jobs are written in parts that fit into an entry.
 func TestMarksOfManyJobsAreWrittenInParts(t *testing.T) {
 	component := newTermComponent(2, 1, 500)
 	component.Begin(0)
 	if got := commitAll(t, component); len(got) < 3 {
-		t.Errorf("%d entries", len(got))
+		t.Errorf("%d entries, want at least 3", len(got))
 	}
 	for id, mark := range component.marks.durable {
 		if mark != jobTasks {
@@ -177,8 +177,8 @@
 	}
 }
 
-// A machine that is not resolved counts against the teams whose tasks it may
-// have, and against all of them where that is not known.
+// An unresolved machine counts against the teams whose tasks it may have, and against all teams
+// if those are not known.
 func TestUnresolvedMachinesCountAgainstTeams(t *testing.T) {
 	state := newTermComponent(2, 1, 0).State
 	for _, team := range []string{"a", "b", "c"} {
@@ -194,7 +194,7 @@
 		m := state.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Number: n + 1, Durable: true})
 		m.Capacity.CPU = 1 << n
 		if n == 4 {
-			m.Number = 0 // of a version that notes no grants
+			m.Number = 0 // registered by a version that writes no grants
 		}
 	}
 	component := New(state)
@@ -206,7 +206,7 @@
 	component.Begin(0)
 	for team, want := range []int64{2 + 4 + 8 + 16, 4 + 8 + 16, 8 + 16} {
 		if got := state.Snapshot(0).UnresolvedUse[team].CPU; got != want {
-			t.Errorf("against team %d count %d, want %d", team, got, want)
+			t.Errorf("unresolved use of team %d is %d, want %d", team, got, want)
 		}
 	}
 	for _, m := range state.Inventory.All() {
@@ -214,7 +214,7 @@
 	}
 	for team, use := range state.Snapshot(0).UnresolvedUse {
 		if use.CPU != 0 {
-			t.Errorf("against team %d count %d once all are found", team, use.CPU)
+			t.Errorf("unresolved use of team %d is %d after all machines were resolved", team, use.CPU)
 		}
 	}
 }
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -1,12 +1,12 @@
-// Package placement is the component of a leader's term that places tasks on machines: it
-// runs the scheduling cycle (package scheduler) over the state of the term and plans what
-// that decides.
+// Package placement is the component of a leader's term that places tasks on machines: it runs
+// the scheduling cycle (package scheduler) over the state of the term and plans the tasks that
+// the cycle places.
 //
-// Before a task may be offered to a machine, the intent to start it is made durable in the
-// event log, so that a later leader knows what a machine which it cannot hear may be running.
-// Grants name the machines that may have tasks of a job, and are taken back once they have
-// none; marks bound the tasks of a job that may have been handed out. The component alone
-// writes entries of both.
+// Before a task may be offered to a machine, the intent to start it is made durable in the event
+// log, so that a later leader knows what a silent machine may be running. Grants name the
+// machines that may have tasks of a job, and are revoked once they have none. Marks bound the
+// tasks of a job that may have been handed out. Only this component writes entries of either
+// kind.
 package placement
 
 import (
@@ -20,7 +20,7 @@
 )
 
 const (
-	minCyclePause   = 20 * time.Millisecond // between a cycle and one that a commit asks for
+	minCyclePause   = 20 * time.Millisecond // between a cycle and one requested after a commit
 	preemptInterval = 500 * time.Millisecond
 )
 
@@ -31,24 +31,24 @@
 
 	// Scheduling cycle.
 
-	planned     []*workers.Placement // by the cycle under way
+	planned     []*workers.Placement // plans of the cycle under way
 	cycledAt    time.Duration        // when the last cycle ran
-	preemptedAt time.Duration        // when tasks to preempt were last looked for
+	preemptedAt time.Duration        // when preemption last ran
 
 	// Grants, by job id.
 
 	newGrants      map[uint64][]*workers.Machine // to be written
 	grants         map[uint64][]*workers.Machine // written, in flight or to be written
-	revoked        map[uint64][]int              // to be taken back: numbers of machines
-	grantsInFlight [][]*workers.Machine          // machines of each entry on its way to the log, in their order
+	revoked        map[uint64][]int              // numbers of machines whose grants are to be revoked
+	grantsInFlight [][]*workers.Machine          // machines of each entry in flight to the log, in order
 
-	replayedGrants    map[uint64]map[int]bool  // by job id and number of the machine, while the log is replayed
+	replayedGrants    map[uint64]map[int]bool  // by job id and machine number, while the log is replayed
 	compactedMachines map[int]*workers.Machine // by number, while the log is compacted
 
 	marks intentMarks
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(state *cluster.State) *Component {
 	return &Component{
 		State:          state,
@@ -60,7 +60,7 @@
 	}
 }
 
-// Replay takes an entry of the log.
+// Replay applies an entry of the log.
 func (c *Component) Replay(_ time.Duration, entry eventlog.Entry) {
 	if entry.Component != nil {
 		c.replayMarks(entry.Component)
@@ -70,8 +70,8 @@
 	}
 }
 
-// Begin settles, once the log is replayed, which machines may have tasks of which jobs.
-// Until such a machine is resolved, tasks of the job that are not seen may be there.
+// Begin determines, once the log is replayed, which machines may have tasks of which jobs. Until
+// such a machine is resolved, it may have tasks of these jobs that no report shows.
 func (c *Component) Begin(time.Duration) {
 	c.recoverGrants()
 	for _, machine := range c.Inventory.All() {
@@ -82,7 +82,7 @@
 	c.recoverMarks()
 }
 
-// EntryDurable lets the tasks start whose intent an entry of this component made durable.
+// EntryDurable allows the tasks to start whose intent an entry of this component made durable.
 func (c *Component) EntryDurable(_ time.Duration, _ bool, entry eventlog.Entry) {
 	if entry.Component != nil {
 		c.marksDurable()
@@ -92,13 +92,13 @@
 	}
 }
 
-// AppendEntries hands new grants, those taken back, and marks to the log.
+// AppendEntries appends new grants, revoked grants and marks to the log.
 func (c *Component) AppendEntries(time.Duration) {
 	c.writeGrants()
 	c.writeMarks()
 }
 
-// Compact writes anew what is live of an entry.
+// Compact rewrites the part of an entry that is still needed.
 func (c *Component) Compact(_ time.Duration, entry eventlog.Entry) {
 	if entry.Component != nil {
 		c.compactMarks(entry.Component)
@@ -108,14 +108,14 @@
 	}
 }
 
-// CompactionDone forgets what the compaction needed.
+// CompactionDone drops the state of the compaction.
 func (c *Component) CompactionDone() {
 	c.compactedMachines = nil
 	c.marks.spanCompacted = false
 }
 
-// HandleEvent forgets what is kept of a job that has left, and takes back the grants that a
-// report shows to be of no use any more.
+// HandleEvent drops everything kept for a removed job, and revokes the grants that a report
+// shows to be unused.
 func (c *Component) HandleEvent(event cluster.Event) {
 	switch event.Kind {
 	case cluster.JobRemoved:
@@ -128,8 +128,8 @@
 	}
 }
 
-// RunCycle runs a scheduling cycle if anything has changed, and preempts tasks for jobs that
-// go ahead of theirs.
+// RunCycle runs a scheduling cycle if anything has changed, and preempts tasks in favor of jobs
+// that are ahead of theirs.
 func (c *Component) RunCycle(now time.Duration) {
 	if !c.NeedsCycle {
 		return
@@ -141,14 +141,15 @@
 	}
 }
 
-// RequestCycle runs a scheduling cycle after a commit, unless one ran just now.
+// RequestCycle runs a scheduling cycle after a commit, unless one ran within minCyclePause.
 func (c *Component) RequestCycle(now time.Duration) {
 	if c.NeedsCycle && now-c.cycledAt >= minCyclePause {
 		c.runCycle(now)
 	}
 }
 
-// runCycle plans waiting tasks on machines, and has the intent to start them made durable.
+// runCycle plans waiting tasks on machines, and requests that the intent to start them be made
+// durable.
 func (c *Component) runCycle(now time.Duration) {
 	c.NeedsCycle = false
 	c.cycledAt = now
@@ -162,7 +163,7 @@
 		return !machine.ListedWithPlans
 	})
 	for _, plan := range c.planned {
-		if c.Placements[plan.Ref] == plan { // not taken back in the same cycle
+		if c.Placements[plan.Ref] == plan { // not cancelled in the same cycle
 			c.announcePlan(plan)
 		}
 	}
@@ -199,7 +200,7 @@
 	machine.UseImage(job.Image, job.Record.ImageGB, now)
 }
 
-// cancelTask takes back the plan for task k of a job in the cycle that made it.
+// cancelTask cancels the plan for task k of a job in the cycle that made it.
 func (c *Component) cancelTask(job *jobs.Job, k int) {
 	c.CancelPlan(c.Placements[workers.TaskRef{Job: job.Index, Task: int32(k)}])
 	if c.Pools != nil {
@@ -207,8 +208,8 @@
 	}
 }
 
-// announcePlan lists a plan of the cycle for dispatch, and asks for the mark and the grant
-// that it needs before it may be offered.
+// announcePlan lists a plan of the cycle for dispatch, and requests the mark and the grant that
+// must be durable before the plan may be offered.
 func (c *Component) announcePlan(plan *workers.Placement) {
 	c.ListMachineWithPlans(plan.Machine)
 	if plan.StartDirectly {
--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -1,8 +1,8 @@
 // Package probe is the component of a leader's term that sends liveness probes to silent
-// machines. An answer shows that a machine lives; none proves nothing. But a machine that is
-// silent by itself and to probes, while its zone is reachable, is more likely dead than not,
-// and is given up earlier where work waits that should start within a heartbeat interval:
-// what proves that nothing runs there is still the answer to its deletion.
+// machines. An answer shows that a machine is alive; a missing answer proves nothing. But a
+// machine that sends no heartbeats and answers no probes, while its zone is reachable, is more
+// likely dead than not. It is decommissioned earlier than others where some tasks should start
+// within a heartbeat interval. Only the answer to its deletion proves that nothing runs there.
 package probe
 
 import (
@@ -18,29 +18,30 @@
 	probeInterval = 250 * time.Millisecond
 	maxInFlight   = 16
 
-	// A machine is probed once its heartbeat is late by a quarter of the interval and this
-	// much more.
+	// A machine is probed once its heartbeat is overdue by a quarter of the interval and
+	// heartbeatGrace.
 	lateHeartbeatFactor = 1.25
 	heartbeatGrace      = 500 * time.Millisecond
 
-	// extraProbesAfterAnswer is how many more times a machine is probed that has answered.
+	// extraProbesAfterAnswer is the number of additional probes for a machine that has answered
+	// one.
 	extraProbesAfterAnswer = 4
 )
 
-// Component probes silent machines in a term.
+// Component probes the silent machines of a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	inFlight  map[string]time.Duration // probes in flight, by machine: when it was last heard before
+	inFlight  map[string]time.Duration // by machine with a probe in flight: when it last reported before that
 	lastRunAt time.Duration
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, inFlight: map[string]time.Duration{}}
 }
 
-// Tick probes machines that have been silent for longer than between two heartbeats.
+// Tick probes machines whose heartbeat is overdue.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if !leaseValid || now-d.lastRunAt < probeInterval {
 		return
@@ -57,19 +58,19 @@
 	}
 }
 
-// lastHeard is when the machine was last heard in this term, or the term's beginning.
+// lastHeard returns when the machine last reported in this term, or else when the term began.
 func (d *Component) lastHeard(m *workers.Machine) time.Duration {
 	return max(m.LastHeartbeat, d.TermBegan)
 }
 
-// mayProbe says whether a machine can be probed: it is registered and not given up, and no
-// probe of it is in flight.
+// mayProbe reports whether a machine can be probed: it is registered and not being deleted, its
+// address is known, and no probe of it is in flight.
 func (d *Component) mayProbe(m *workers.Machine) bool {
 	_, inFlight := d.inFlight[m.Name]
 	return !inFlight && m.Durable && !m.Deleting && m.Address != ""
 }
 
-// probe sends a probe unless enough went unanswered since the machine was last heard.
+// probe sends a probe unless enough probes went unanswered since the machine last reported.
 func (d *Component) probe(m *workers.Machine) {
 	heard := d.lastHeard(m)
 	if m.UnansweredSince < heard {
@@ -81,13 +82,13 @@
 	}
 }
 
-// WorkerProbed applies whether a machine answered a probe.
+// WorkerProbed records whether a machine answered a probe.
 func (d *Component) WorkerProbed(machine string, answered bool) {
 	m := d.Inventory.Find(machine)
 	heard, inFlight := d.inFlight[machine]
 	delete(d.inFlight, machine)
 	if m == nil || !inFlight || d.lastHeard(m) != heard {
-		return // deleted, or heard meanwhile
+		return // deleted, or has reported in the meantime
 	}
 	m.UnansweredProbes++
 	if answered {
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -13,41 +13,44 @@
 const (
 	checkInterval = 500 * time.Millisecond
 
-	// bootGracePeriod is added to the usual time of a machine's boot before it is given up.
+	// bootGracePeriod is added to the allowed boot time of a machine before it is
+	// decommissioned.
 	bootGracePeriod = 20 * time.Second
 
-	// lostLeaseFactor is the share of the workers' lease after which a worker that hears
-	// nothing has certainly lost it.
+	// lostLeaseFactor times the workers' lease is the time after which a worker that has
+	// received no answer has certainly lost its lease.
 	lostLeaseFactor = 1.2
 
-	// overdueStopShare is the share of the time within which a cancellation must be
-	// done, after which tasks that were told to stop and are still there are overdue.
+	// overdueStopShare is the share of the allowed cancellation time after which tasks that were
+	// ordered to stop and are still present are overdue.
 	overdueStopShare = 0.5
 
-	// A checkpointed task on a spot machine that will be taken is saved and stopped this long
-	// before, beside the time it takes to save: a fixed reserve, and heartbeat intervals.
+	// A checkpointed task on a spot machine with a preemption notice is saved and stopped before
+	// the preemption. Besides the time it takes to save, the reserve for this is a fixed number
+	// of seconds and a number of heartbeat intervals.
 	saveReserveSeconds   = 2
 	saveReserveIntervals = 1.5
 )
 
-// failureCheck holds what is the same for all machines in one run of the failure detector.
+// failureCheck holds the values that all machines share in one run of the failure detector.
 type failureCheck struct {
 	now               time.Duration
 	leaseValid        bool
 	mostSilent        bool          // most machines of the fleet are silent
-	silenceLimit      time.Duration // a machine silent for longer is given up
+	silenceLimit      time.Duration // a machine silent for longer is decommissioned
 	overdueStop       time.Duration // a stop that takes longer is overdue
 	lateCancellations []*jobs.Job   // cancelled jobs whose tasks should have stopped by now
 }
 
-// verdict is what the failure detector decides on a machine; without a reason it stays.
+// verdict is the failure detector's decision on a machine; without a reason the machine stays.
 type verdict struct {
 	action cluster.Action
 	reason string
 }
 
-// detectFailures checks every machine: silent ones, boots that take too long, notices of
-// spot machines to be taken, tasks that were to be stopped and are still there.
+// detectFailures checks every machine for silence, for a boot that takes too long, for a
+// preemption notice and for tasks that have not stopped as ordered. It decommissions failed
+// machines and evacuates those that will be preempted or returned.
 func (d *Component) detectFailures(now time.Duration, leaseValid bool) {
 	check := d.newFailureCheck(now, leaseValid)
 	for _, m := range slices.Clone(d.Inventory.All()) {
@@ -66,7 +69,8 @@
 	}
 }
 
-// newFailureCheck takes stock of the fleet and of the cancellations under way.
+// newFailureCheck computes the values that all machines share, and updates the records of zone
+// outages and of reachable zones.
 func (d *Component) newFailureCheck(now time.Duration, leaseValid bool) failureCheck {
 	w := d.Cfg.Deployment.Workers
 	check := failureCheck{
@@ -77,7 +81,7 @@
 		overdueStop:  settings.Seconds(overdueStopShare * w.CancelS),
 	}
 	if check.mostSilent {
-		// Most of them at once: the fault is more likely on the leader's side.
+		// When most machines are silent at once, the fault is more likely on the leader's side.
 		check.silenceLimit = max(check.silenceLimit, settings.Seconds(lostLeaseFactor*w.LeaseS))
 	}
 	d.trackZoneOutages(now, check.mostSilent)
@@ -90,7 +94,7 @@
 	return check
 }
 
-// lastHeard is when the machine was last heard in this term, or the term's beginning.
+// lastHeard returns when the machine last reported in this term, or else when the term began.
 func (d *Component) lastHeard(m *workers.Machine) time.Duration {
 	return max(m.LastHeartbeat, d.TermBegan)
 }
@@ -120,8 +124,9 @@
 	return verdict{}
 }
 
-// judgeCancellation gives up a machine that keeps a cancellation from its end. The deletion
-// proves that the tasks are gone. Without a valid lease the user could not be told so.
+// judgeCancellation decommissions a machine that delays the end of a cancellation: its deletion
+// proves that the tasks are gone. This requires a valid lease, without which the leader could
+// not report the end to the user.
 func (d *Component) judgeCancellation(check failureCheck, m *workers.Machine) verdict {
 	mayHaveTask := func(j *jobs.Job) bool { return d.mayHaveTaskOn(j, m) }
 	silent := check.now-d.lastHeard(m) > d.SuspectAfter()
@@ -134,16 +139,16 @@
 	return verdict{}
 }
 
-// judgeSilence gives up a machine that was silent for too long or never booted. decided with
-// an empty verdict means that the machine is waited for whatever else is found.
+// judgeSilence decommissions a machine that was silent for too long or never booted. If decided
+// is true with an empty verdict, the machine is waited for and no later rule applies.
 func (d *Component) judgeSilence(check failureCheck, m *workers.Machine) (v verdict, decided bool) {
 	now, heard := check.now, d.lastHeard(m)
 	overLimit := (m.Up || m.Durable) && now-heard > check.silenceLimit
 	switch {
 	case !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance():
-		return verdict{}, true // its worker may live, and be on its way to this leader
+		return verdict{}, true // its worker may be alive and may still report to this leader
 	case overLimit && d.toleratesSilence(now, m):
-		return verdict{}, true // it is waited for with its whole zone
+		return verdict{}, true // its whole zone is silent and is waited for
 	case m.Durable && d.probesUnanswered(m, heard):
 		return verdict{cluster.Delete, "does not answer"}, true
 	case overLimit:
@@ -154,12 +159,13 @@
 	return verdict{}, false
 }
 
-// bootLimit is how long after its rental a machine may report for the first time.
+// bootLimit returns how long after its rental a machine may take to send its first report.
 func (d *Component) bootLimit(m *workers.Machine) time.Duration {
 	return settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS) + bootGracePeriod
 }
 
-// judgeDelivery gives up a machine that commands may reach too late or not at all.
+// judgeDelivery decommissions a machine to which commands may be delivered too late or not at
+// all.
 func (d *Component) judgeDelivery(now time.Duration, m *workers.Machine) verdict {
 	switch {
 	case m.Quarantined:
@@ -170,8 +176,9 @@
 	return verdict{}
 }
 
-// evacuate stops the tasks of a machine that is to be taken or returned where they gain by
-// it: services, which are replaced elsewhere, and checkpointed tasks just before the end.
+// evacuate stops tasks of a machine that will be preempted or returned where an early stop
+// helps: services, which are replaced elsewhere, and checkpointed tasks shortly before the
+// preemption.
 func (d *Component) evacuate(now time.Duration, m *workers.Machine) {
 	w := d.Cfg.Deployment.Workers
 	for _, p := range m.Tasks {
@@ -181,7 +188,7 @@
 		j := d.Jobs.ByIndex(p.Ref.Job)
 		switch {
 		case j.Record.Kind == jobs.Service:
-			p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once it is gone
+			p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once this one is gone
 		case m.PreemptionNotice && j.Record.Checkpoint > 0 && p.State == workers.Running:
 			saveTime := settings.Seconds(j.Record.SaveS + saveReserveSeconds + saveReserveIntervals*w.ReportS + d.GangNotifySeconds(j))
 			if m.PreemptedAt-now < saveTime {
@@ -191,7 +198,8 @@
 	}
 }
 
-// mayHaveTaskOn says whether a job may have a task on a machine, as far as is proved.
+// mayHaveTaskOn reports whether a job may have a task on a machine, that is, whether the
+// opposite is not proved.
 func (d *Component) mayHaveTaskOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
 		return d.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
@@ -204,8 +212,9 @@
 	return false
 }
 
-// hasOnlyCancelledTasks says whether all that counts as being on a machine belongs to jobs
-// that are being cancelled: then nothing is lost with it, and their users wait.
+// hasOnlyCancelledTasks reports whether all tasks that count as being on a machine belong to
+// jobs that are being cancelled. Deleting such a machine loses no work, and users wait for the
+// end of the cancellations.
 func (d *Component) hasOnlyCancelledTasks(m *workers.Machine) bool {
 	if len(m.Tasks) == 0 || m.Unresolved() {
 		return false
@@ -218,8 +227,8 @@
 	return true
 }
 
-// probesUnanswered says whether enough liveness probes of a silent machine went unanswered
-// while its zone is reachable: it is then given up before others.
+// probesUnanswered reports whether enough liveness probes of a silent machine went unanswered
+// while its zone is reachable. Such a machine is decommissioned earlier than other silent ones.
 func (d *Component) probesUnanswered(m *workers.Machine, heard time.Duration) bool {
 	limit := d.Cfg.Tunables.ProbeSilent
 	if limit <= 0 || m.UnansweredProbes < limit || m.UnansweredSince < heard {
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -11,7 +11,7 @@
 	"bitternmoor/internal/settings"
 )
 
-// HTTP statuses that a controller gives its worker as the answer to a heartbeat.
+// HTTP statuses with which a controller answers its worker's heartbeat.
 const (
 	statusOK          = 200
 	statusMisdirected = 421 // the worker belongs to another controller's shard
@@ -19,28 +19,28 @@
 )
 
 const (
-	// maxReplyDelay bounds how long an answer waits for entries to become durable: what it
-	// does not carry goes with the answer to the machine's next heartbeat.
+	// maxReplyDelay bounds how long an answer waits for entries to become durable. What is not
+	// ready by then is sent with the answer to the machine's next heartbeat.
 	maxReplyDelay = 500 * time.Millisecond
 
-	// staleIntervals is how many heartbeat intervals pass before heartbeats that are ignored
-	// raise the suspicion that the worker has lost its state.
+	// staleIntervals is the number of heartbeat intervals after which ignored heartbeats raise
+	// the suspicion that the worker has lost its state.
 	staleIntervals = 1.5
 )
 
-// pendingReply is the answer to a heartbeat that was applied. It waits for a scheduling
-// cycle, or for what must be durable before the machine may start its tasks.
+// pendingReply is the answer to a heartbeat that was applied. It waits for a scheduling cycle,
+// or for entries that must be durable before the machine may start its tasks.
 type pendingReply struct {
 	request    effects.RequestID
 	machine    *workers.Machine
 	commands   []workers.Command
 	since      time.Duration
-	superseded bool // answered already, since the machine has sent a newer heartbeat
+	superseded bool // already answered because the machine has sent a newer heartbeat
 }
 
-// HandleHeartbeat applies a worker's status report, relayed by the controller that received
-// it. The answer, which says how that controller may answer the worker, is emitted at once
-// or after the scheduling cycle that follows.
+// HandleHeartbeat applies a worker's status report, relayed by the controller that received it.
+// The answer determines how that controller may answer the worker; it is emitted at once or
+// after the next scheduling cycle.
 func (d *Component) HandleHeartbeat(
 	now time.Duration, leaseValid bool, request effects.RequestID, relayed effects.RelayedHeartbeat,
 ) {
@@ -70,19 +70,20 @@
 		return
 	}
 	if target := d.rebalanceTarget(now, leaseValid, m, report, commands); target != "" {
-		// Nothing is in flight to the machine. What it is due comes with its next heartbeat,
-		// by way of the other controller; the higher token makes it refuse the former one.
+		// Nothing is in flight to the machine. Commands for it are sent with the answer to its
+		// next heartbeat, through the other controller. The higher token makes the worker reject
+		// the former controller.
 		m.Token, m.Shard = d.NextToken(), target
 		d.redirect(request, target)
 		return
 	}
 	if leaseValid && m.NeedsToken(now) {
-		m.Token = d.NextToken() // once seen, no earlier push dispatch can begin any more
+		m.Token = d.NextToken() // once the worker has seen it, no earlier push dispatch can start
 	}
 	d.replyWhenDurable(leaseValid, &pendingReply{request: request, machine: m, commands: commands, since: now})
 }
 
-// reconcileReport names the difference between a machine's stored state and its report; m is
+// reconcileReport returns the difference between a machine's stored state and its report; m is
 // nil if the machine is not in the inventory.
 func (d *Component) reconcileReport(m *workers.Machine, report *workers.Report) reconcile.Diff {
 	_, typed := d.TypeNames.Lookup(report.Type)
@@ -105,8 +106,8 @@
 	return reconcile.Report(x)
 }
 
-// replyWithoutApplying answers a heartbeat from which nothing is taken: a late one, or one
-// of a machine that is gone or of an unknown type (m is nil).
+// replyWithoutApplying answers a heartbeat whose report is ignored: the report is late, or its
+// machine is deleted or of an unknown type (m is nil).
 func (d *Component) replyWithoutApplying(
 	now time.Duration, leaseValid bool, request effects.RequestID, m *workers.Machine,
 ) {
@@ -116,8 +117,8 @@
 		if leaseValid && m.NeedsToken(now) {
 			m.Token = d.NextToken()
 		}
-		// The answer goes nowhere, or to a worker that has restarted with its state lost: that
-		// one must get no token that any process was given before it.
+		// The answer reaches nobody, or a worker that has restarted and lost its state. Such a
+		// worker must not get a token that an earlier process was given.
 		answer.Token = m.Token
 		if m.SuspectBelow != 0 && m.Token <= m.SuspectBelow {
 			answer.Token = 0
@@ -126,8 +127,8 @@
 	d.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
 }
 
-// supersedeReply answers a machine's earlier heartbeat whose answer still waits. The worker
-// has given that request up, so the answer must not start anything.
+// supersedeReply answers a machine's earlier heartbeat if its answer is still pending. The
+// worker has abandoned that request, so the answer must not start anything.
 func (d *Component) supersedeReply(m *workers.Machine) {
 	pending := d.pendingByMachine[m]
 	if pending == nil {
@@ -139,8 +140,8 @@
 	delete(d.pendingByMachine, m)
 }
 
-// applyReport updates the machine and its tasks from a report and returns the commands that
-// follow from it for the worker.
+// applyReport updates the machine and its tasks from a report and returns the resulting commands
+// for the worker.
 func (d *Component) applyReport(
 	now time.Duration, m *workers.Machine, report *workers.Report, difference reconcile.Diff,
 ) []workers.Command {
@@ -170,11 +171,10 @@
 	return commands
 }
 
-// cancelExcessPlans cancels plans for which a machine has no room any more: its controller
-// has started tasks there, out of the shard's offers, that were planned on other machines,
-// and meanwhile the room was allocated once more. Found on a day with seven controllers,
-// where one start in thirty was refused for want of room, and each refusal kept its machine
-// from work for two seconds.
+// cancelExcessPlans cancels plans that no longer fit on a machine. Its controller may have
+// started tasks there, from the offers of its shard, that were planned on other machines, while
+// the leader allocated the same room again. On a day with seven controllers, one start in thirty
+// was refused for lack of room, and each refusal kept its machine from work for two seconds.
 func (d *Component) cancelExcessPlans(m *workers.Machine) {
 	var none resources.Amounts
 	if none.Fits(m.Free) {
@@ -189,7 +189,8 @@
 }
 
 // rebalanceTarget returns the controller to which a machine's heartbeats move for load
-// balancing, empty for none. A machine moves only when nothing is in flight to it.
+// balancing, or an empty string if they stay. A machine moves only when nothing is in flight to
+// it.
 func (d *Component) rebalanceTarget(
 	now time.Duration, leaseValid bool, m *workers.Machine, report *workers.Report, commands []workers.Command,
 ) string {
@@ -204,14 +205,14 @@
 	return d.Rebalancer.RedirectTo(now, m)
 }
 
-// redirect sends a worker to the controller that holds its shard.
+// redirect answers that the worker must report to the controller that holds its shard.
 func (d *Component) redirect(request effects.RequestID, controller string) {
 	answer := effects.HeartbeatAnswer{Status: statusMisdirected, Node: controller}
 	d.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
 }
 
-// replyWhenDurable answers at once, or keeps the answer for AnswerHeartbeats where the next
-// scheduling cycle or an entry that becomes durable may add starts to it.
+// replyWhenDurable answers at once, unless the next scheduling cycle or an entry that becomes
+// durable may add starts. In that case it keeps the answer for AnswerHeartbeats.
 func (d *Component) replyWhenDurable(leaseValid bool, reply *pendingReply) {
 	m := reply.machine
 	mayStart := leaseValid && !m.Deleting && !m.PreemptionNotice
@@ -223,8 +224,8 @@
 	d.sendReply(leaseValid, reply)
 }
 
-// sendReply answers a heartbeat with the commands that follow from it, the stops that are
-// due and the offers of tasks to start.
+// sendReply answers a heartbeat with the resulting commands, the stops that are due and the
+// offers of tasks to start.
 func (d *Component) sendReply(leaseValid bool, reply *pendingReply) {
 	m := reply.machine
 	answer := effects.HeartbeatAnswer{
@@ -240,13 +241,13 @@
 	d.Emit(effects.ReplyHeartbeat{To: reply.request, Answer: answer})
 }
 
-// nextOfferSerial returns a serial that no other offer of any term has.
+// nextOfferSerial returns a serial number that no other offer of any term has.
 func (d *Component) nextOfferSerial() uint64 {
 	d.lastOfferSerial++
 	return d.Token + d.lastOfferSerial
 }
 
-// AnswerHeartbeats answers the heartbeats whose answers wait for nothing any more.
+// AnswerHeartbeats sends the pending answers that no longer have to wait for durable entries.
 func (d *Component) AnswerHeartbeats(now time.Duration, leaseValid bool) {
 	kept := d.pendingReplies[:0]
 	for _, reply := range d.pendingReplies {
@@ -265,7 +266,8 @@
 	d.pendingReplies = kept
 }
 
-// End answers all heartbeats that still wait: the term is over, and the workers retry.
+// End answers all pending heartbeats with an error status because the term is over; the workers
+// retry.
 func (d *Component) End() {
 	for _, reply := range d.pendingReplies {
 		if !reply.superseded {
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -9,11 +9,12 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// reassignAfter is how long a machine's own controller must not have heard from it before
-// the machine is reassigned to another controller's shard.
+// reassignAfter is how long a machine's controller must have relayed no heartbeat, either from
+// this machine or from any, before the machine is reassigned to another controller's shard.
 const reassignAfter = 2 * time.Second
 
-// machineEntry describes a machine as it reports itself; it has no number yet.
+// machineEntry returns the log entry of a machine as described in its report; it has no number
+// yet.
 func machineEntry(report *workers.Report) eventlog.Machine {
 	return eventlog.Machine{
 		Name:    report.Machine,
@@ -24,8 +25,8 @@
 	}
 }
 
-// register has a machine's entry written, once. No task is ever started on a machine before
-// its entry is durable, so nothing of an earlier term can be there.
+// register appends a machine's entry to the log, once. No task is ever started on a machine
+// before its entry is durable, so no task of an earlier term can be there.
 func (d *Component) register(now time.Duration, m *workers.Machine, report *workers.Report) {
 	m.Resolved = true
 	entry := machineEntry(report)
@@ -41,13 +42,13 @@
 	}
 }
 
-// assignShard settles to which controller's shard the machine belongs whose heartbeat a
-// controller has relayed. It returns the controller to which the worker must go instead, or
-// an empty string where the relaying one is right.
+// assignShard determines to which controller's shard a machine belongs after a heartbeat from it
+// was relayed. It returns the controller to which the worker must report instead, or an empty
+// string if the relaying controller is the right one.
 func (d *Component) assignShard(now time.Duration, m *workers.Machine, relayed effects.RelayedHeartbeat) string {
 	if incarnation, known := d.controllerIncarnations[relayed.Via]; known && incarnation != relayed.Life {
-		// The controller has restarted and lost the offers it had accepted: what is on offer
-		// by way of it must be settled before it is offered again.
+		// The controller has restarted and lost the offers that it had accepted. Tasks on offer
+		// through it are not offered again until those offers are closed.
 		for _, other := range d.Inventory.All() {
 			if other.Shard == relayed.Via {
 				d.suspendOffers(other)
@@ -63,14 +64,14 @@
 		return m.Shard
 	case m.Shard != "":
 		d.suspendOffers(m)
-		m.Token = d.NextToken() // makes the worker refuse the former controller
+		m.Token = d.NextToken() // makes the worker reject the former controller
 	}
 	m.Shard = relayed.Via
 	return ""
 }
 
-// suspendOffers keeps the tasks planned on a machine from being offered again while an
-// offer of them is open.
+// suspendOffers prevents tasks planned on a machine from being offered again while an offer of
+// them is open.
 func (d *Component) suspendOffers(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned && len(p.Offered) > 0 {
@@ -79,7 +80,8 @@
 	}
 }
 
-// machineResolved notes that what an earlier term left on a machine is known.
+// machineResolved records that the leader has learned which tasks earlier terms left on a
+// machine.
 func (d *Component) machineResolved(now time.Duration, m *workers.Machine) {
 	d.NeedsCycle = true
 	d.RemoveUnresolved(m)
@@ -95,7 +97,7 @@
 	}
 }
 
-// OffersStarted notes offers that the leader's own shard has accepted.
+// OffersStarted records offers that the leader's own shard has accepted.
 func (d *Component) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
 	m := d.Inventory.Find(machine)
 	if m == nil {
@@ -112,7 +114,8 @@
 	}
 }
 
-// MachinesDeleted removes machines that the cloud has proved gone, and all that was on them.
+// MachinesDeleted removes machines whose deletion the cloud has confirmed, and everything on
+// them.
 func (d *Component) MachinesDeleted(now time.Duration, names []string) {
 	for _, name := range names {
 		if m := d.Inventory.Find(name); m != nil {
@@ -125,8 +128,8 @@
 	d.NeedsCycle = true
 }
 
-// removeMachine removes one machine that is proved gone: its offers are closed, its tasks
-// are gone with it, and what an earlier term left there is known.
+// removeMachine removes one machine that is proved gone. It closes the machine's offers, applies
+// the loss of its tasks, and marks it as resolved if it was not.
 func (d *Component) removeMachine(now time.Duration, m *workers.Machine) {
 	d.publishLostOffers(now, m)
 	for _, p := range m.CloseOffers() {
@@ -142,7 +145,7 @@
 	for ref, p := range m.Tasks {
 		if p.Planned && p.Rehome() {
 			d.ListMachineWithPlans(p.Machine)
-			p.Withdrawn = true // it may yet turn out to be on a machine it was offered to
+			p.Withdrawn = true // a machine that it was offered to may have started it
 			continue
 		}
 		gone := workers.Event{
--- a/internal/leader/registry/registry.go
+++ b/internal/leader/registry/registry.go
@@ -1,10 +1,10 @@
-// Package registry is the component of a leader's term that looks after machines: it
-// applies the heartbeats of their workers, assigns each machine to a controller's shard,
-// registers it durably before its first start, and decommissions machines that fail. It
-// alone writes the log's entries of machines.
+// Package registry is the component of a leader's term that manages machines: it applies the
+// heartbeats of their workers, assigns each machine to a controller's shard, registers it
+// durably before its first start, and decommissions machines that fail. Only this component
+// writes log entries of machines.
 //
-// Heartbeats are applied in heartbeat.go, their effects on tasks in task_events.go;
-// registration.go has what makes and removes a machine, failure_detector.go what gives one up.
+// heartbeat.go applies heartbeats, and task_events.go applies their effects on tasks.
+// registration.go adds and removes machines, and failure_detector.go decommissions failed ones.
 package registry
 
 import (
@@ -19,13 +19,13 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// machineEntryBytes is the rough size of a machine's entry in the log.
+// machineEntryBytes is the approximate size of a machine's entry in the log.
 const machineEntryBytes = 100
 
 // Name is the key of the component's own entries.
 const Name = "roster"
 
-// Component looks after the machines of a term.
+// Component manages the machines of a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
@@ -34,32 +34,32 @@
 	controllerIncarnations map[string]int64
 	controllerLastHeard    map[string]time.Duration
 
-	// Heartbeats that are applied and not answered yet, in the order in which they came.
+	// Heartbeats that are applied but not answered yet, in order of arrival.
 	pendingReplies   []*pendingReply
 	pendingByMachine map[*workers.Machine]*pendingReply
 	lastOfferSerial  uint64
 
-	// The failure detector.
+	// State of the failure detector.
 	lastCheckAt   time.Duration
 	zoneOutages   []zoneOutage // by zone
 	zoneReachable []bool       // by zone; nil where silent machines are not probed
 
-	// While the log is replayed.
+	// Used only while the log is replayed.
 	replayedMachines map[string]eventlog.Machine
 	replayedReturns  []returnRecord
 
-	returnsToRecord []string // empty machines on their way out, to be recorded as such
+	returnsToRecord []string // empty machines whose return is to be recorded before they are deleted
 }
 
-// returnRecord records in which term machines were to be returned on which nothing ran any
-// more, before they are deleted. The next term need not wait for their heartbeats. It holds
-// for that term alone: one in between may not have known of it and have started tasks there.
+// returnRecord lists empty machines that a term is about to return; it is durable before they
+// are deleted. The next term need not wait for their heartbeats. Later terms ignore the record,
+// since a term in between may not have read it and may have started tasks on the machines.
 type returnRecord struct {
 	Epoch    uint64   `json:"e"`
 	Machines []string `json:"m"`
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(s *cluster.State) *Component {
 	return &Component{
 		State:                  s,
@@ -97,8 +97,8 @@
 	}
 }
 
-// Begin enters the registered machines. What earlier terms left on them is not known before
-// they report, except on those that the term before had recorded as empty.
+// Begin adds the registered machines to the inventory. What earlier terms left on them is
+// unknown until they report, except on those that the previous term recorded as empty.
 func (d *Component) Begin(now time.Duration) {
 	for _, name := range slices.Sorted(maps.Keys(d.replayedMachines)) {
 		entry := d.replayedMachines[name]
@@ -119,7 +119,8 @@
 	d.replayedMachines, d.replayedReturns = nil, nil
 }
 
-// HandleEvent has an empty machine recorded as returned before it is deleted.
+// HandleEvent queues the record of an empty machine's return, which must be durable before the
+// machine is deleted.
 func (d *Component) HandleEvent(e cluster.Event) {
 	if e.Kind == cluster.MachineReturnable && d.Cfg.Tunables.NoteReturns == 1 {
 		e.Machine.ReturnUnrecorded = true
@@ -127,7 +128,7 @@
 	}
 }
 
-// AppendEntries appends the records of machines that are to be returned.
+// AppendEntries appends the records of machines that will be returned.
 func (d *Component) AppendEntries(time.Duration) {
 	if len(d.returnsToRecord) == 0 {
 		return
@@ -138,8 +139,8 @@
 	d.returnsToRecord = nil
 }
 
-// EntryDurable lets tasks start on a machine that is now registered durably, and lets
-// machines be deleted that are now recorded as empty.
+// EntryDurable allows tasks to start on a machine whose registration is now durable, and allows
+// machines to be deleted whose return record is now durable.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	switch {
 	case e.Component != nil:
@@ -152,7 +153,7 @@
 	}
 }
 
-// returnsDurable lets the machines of a durable record be deleted.
+// returnsDurable allows the machines of a durable record to be deleted.
 func (d *Component) returnsDurable(data json.RawMessage) {
 	var record returnRecord
 	if json.Unmarshal(data, &record) != nil {
@@ -173,10 +174,10 @@
 	}
 }
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes estimates how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return len(d.Inventory.All()) * machineEntryBytes }
 
-// Compact writes an entry anew if its machine is still in the inventory.
+// Compact rewrites an entry if its machine is still in the inventory.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Machine != nil && d.Inventory.Find(e.Machine.Name) != nil {
 		d.EventLog.Append(eventlog.Entry{Machine: e.Machine})
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// A machine on which this many tasks have failed in a row, without a success between
-	// them, is probably faulty: it is avoided for a while.
+	// A machine on which this many tasks have failed in a row, without a success between them,
+	// is probably faulty. It gets no new tasks for faultyMachineAvoid.
 	faultyMachineErrors = 3
 	faultyMachineAvoid  = time.Minute
 
-	// A job this many of whose tasks have failed in a row fails wherever it goes: each
-	// further attempt waits twice as long, up to a second times two to this power, so that
-	// others get on.
+	// A job with this many failed tasks in a row probably fails on any machine. Each further
+	// attempt waits twice as long as the one before, from one second up to 2^maxBackoffDoubles
+	// seconds, so that other jobs can proceed.
 	failingJobErrors  = 3
 	maxBackoffDoubles = 6
 
-	// refusedStartPause follows a start that was refused: what the leader counts of the
-	// machine's room, or what the worker knows of the job, is wrong for the moment.
+	// refusedStartPause is the pause after a refused start: either the leader's accounting of
+	// the machine's room or the worker's record of the job is wrong for the moment.
 	refusedStartPause = 2 * time.Second
 )
 
-// lookUpTask returns what the leader knows of a task that a report shows on a machine. When
-// the task is really there (here), a mere plan for it is cancelled.
+// lookUpTask returns the leader's record of a task that a report shows on a machine. If the task
+// is really there (here is true), a plan of it that is not on offer is cancelled.
 func (d *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, here bool) (workers.TaskRecord, bool) {
 	j := d.Jobs.ByID(jobID)
 	if j == nil {
-		// Leaders of the version in production tell users of an end while tasks still run.
+		// Leaders of the version in production report the end of a job to users while its tasks
+		// still run.
 		phase, _ := d.Jobs.FinalPhase(jobID)
 		return workers.TaskRecord{Ref: workers.NoTaskRef, EndDurable: true, Cancelled: true}, phase == jobs.Cancelled
 	}
@@ -59,8 +60,8 @@
 	}, true
 }
 
-// applyTaskEvent applies one event that follows from a report, or from a machine's end, to
-// the job, the machine and the totals of teams.
+// applyTaskEvent applies one event, caused by a report or by the removal of a machine, to the
+// job, the machine and the usage of teams.
 func (d *Component) applyTaskEvent(now time.Duration, m *workers.Machine, e workers.Event) {
 	j := d.Jobs.ByIndex(e.Ref.Job)
 	switch e.Kind {
@@ -79,7 +80,7 @@
 	}
 }
 
-// taskAdopted takes over a task that an earlier leader has started.
+// taskAdopted takes over a task that an earlier leader started.
 func (d *Component) taskAdopted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	j.Place(task)
@@ -93,20 +94,20 @@
 	}
 }
 
-// gangPartAdopted joins an adopted task to its gang's attempt, or fails the gang where the
-// task belongs to another attempt.
+// gangPartAdopted adds an adopted task to its gang's attempt, or fails the gang if the task
+// belongs to another attempt.
 func (d *Component) gangPartAdopted(j *jobs.Job, attempt uint64) {
 	difference := d.Reconciled.Count(reconcile.Gang(j.GangAttempt, attempt))
 	if difference == reconcile.GangAttemptUnknown {
 		j.GangAttempt = attempt
 	}
-	j.GangBegan = true // has to be assumed: it is not known whether it ran
+	j.GangBegan = true // must be assumed, since it is unknown whether the gang ran
 	if difference.Resolution() == reconcile.AdoptAndFailGang {
 		d.FailGang(j)
 	}
 }
 
-// taskPlaced notes that an offered task is on the machine.
+// taskPlaced records that an offered task is on the machine.
 func (d *Component) taskPlaced(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	p := e.Placement
 	p.Withdrawn = false
@@ -117,8 +118,8 @@
 	}
 }
 
-// offerClosed makes a planned task free to be offered again, or cancels its plan if that was
-// asked for while the offer was open.
+// offerClosed allows a planned task to be offered again, or cancels its plan if the plan was
+// withdrawn while the offer was open.
 func (d *Component) offerClosed(e workers.Event) {
 	p := e.Placement
 	p.NoNewOffers = false
@@ -128,7 +129,7 @@
 	}
 }
 
-// taskBegan notes that a task was seen to run.
+// taskBegan records that a task was seen running.
 func (d *Component) taskBegan(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	j.Running++
@@ -141,7 +142,7 @@
 	d.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: task, Machine: m})
 }
 
-// taskCompleted notes a task's result, and how long it ran where that is known.
+// taskCompleted records a task's result, and its run time if that is known.
 func (d *Component) taskCompleted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	if e.WasRunning {
@@ -175,7 +176,8 @@
 	d.NeedsCycle = true
 }
 
-// taskGone takes a task off a machine on which it has ended without a result, or never was.
+// taskGone removes a task from a machine on which it has ended without a result or was never
+// present.
 func (d *Component) taskGone(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	if e.WasRunning {
@@ -202,8 +204,8 @@
 	}
 }
 
-// failsGang says whether a gang's attempt fails with a task that is gone for this reason,
-// even if the gang had not begun.
+// failsGang reports whether the loss of a task for this reason fails its gang's attempt even if
+// the gang had not begun.
 func failsGang(why workers.Reason) bool {
 	switch why {
 	case workers.GangIncomplete, workers.PeersLost, workers.Failed, workers.Stopped:
@@ -212,7 +214,7 @@
 	return false
 }
 
-// taskFailed counts a failure against the machine and the job, and backs off from either.
+// taskFailed counts a failure against the machine and the job, and applies the backoff of each.
 func (d *Component) taskFailed(now time.Duration, m *workers.Machine, j *jobs.Job, task int) {
 	m.FailuresInARow++
 	j.FailuresInARow++
@@ -225,16 +227,15 @@
 	d.LogMessage(effects.Debug, "task failed", "job", j.Record.ID, "task", task, "machine", m.Name)
 }
 
-// stopIfCancelling has a task stopped that turns out to be on a machine while its job is
-// being cancelled.
+// stopIfCancelling stops a task that is found on a machine while its job is being cancelled.
 func (d *Component) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
 	if j.Phase == jobs.Cancelling {
 		p.Stopping, p.GraceSeconds = true, 0
 	}
 }
 
-// publishLostOffers publishes the tasks that were on offer to a machine whose worker has
-// died: another controller may have started them there, and no report will ever show it.
+// publishLostOffers publishes the tasks that were on offer to a machine whose worker has died.
+// Another controller may have started them there, and no report will ever show them.
 func (d *Component) publishLostOffers(now time.Duration, m *workers.Machine) {
 	for ref, p := range m.OpenOffers {
 		if j := d.Jobs.ByIndex(ref.Job); p.Planned && j != nil {
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// A zone is reachable if at most one in so many of its machines is late.
+	// A zone is reachable if at most one in minReachableRatio of its machines is late.
 	minReachableRatio = 5
 
 	// A machine is late once its heartbeat is overdue by a quarter of the interval.
 	lateHeartbeatFactor = 1.25
 )
 
-// zoneOutage is what is known of a zone that is silent as a whole, or was until lately.
+// zoneOutage records a period in which a zone was silent as a whole.
 type zoneOutage struct {
 	beganAt    time.Duration
 	lastSeenAt time.Duration // when the outage was last observed; 0: never
 }
 
-// reachableZones says which zones are reachable, by zone: in one that is not, machines are
-// no more likely dead than cut off. It is nil where silent machines are not probed.
+// reachableZones reports for each zone whether it is reachable. In an unreachable zone, a silent
+// machine is no more likely to be dead than to be cut off. The result is nil if silent machines
+// are not probed.
 func (d *Component) reachableZones(now time.Duration) []bool {
 	if d.Cfg.Tunables.ProbeSilent == 0 || !d.Cfg.AnyNeedsDispatch() {
 		return nil
@@ -48,8 +49,8 @@
 	return reachable
 }
 
-// trackZoneOutages notes which zones are silent as a whole: most of their machines are,
-// while others are heard.
+// trackZoneOutages records which zones are silent as a whole: most of their machines are silent,
+// while machines of other zones report.
 func (d *Component) trackZoneOutages(now time.Duration, mostSilent bool) {
 	if d.Cfg.Tunables.ZonePatienceS == 0 {
 		return
@@ -72,32 +73,33 @@
 	}
 }
 
-// zoneHasPeer says whether another controller is in a zone, which may keep its workers alive
-// during an outage. Found on a day on which there was none: all leases ran out there, and
-// their machines were waited for in vain.
+// zoneHasPeer reports whether another controller is in a zone and may keep its workers alive
+// during an outage. On a day without one, all leases in the zone expired, and waiting for its
+// machines was useless.
 func (d *Component) zoneHasPeer(zone int) bool {
 	name := d.Zones.Name(int32(zone))
 	return slices.ContainsFunc(d.Cfg.Peers, func(p settings.Peer) bool { return p.Zone == name })
 }
 
-// toleratesSilence says whether a silent machine is waited for with its whole zone: for a
-// bounded time, and for as long as any machine has to come back after that time or the
-// outage's end. One whose tasks are not known is not waited for where it takes much of a
-// team's limit: until it is resolved, nothing of that team may start. Found on days with a
-// zone cut off for longer than a machine is usually waited for: all that ran there was
-// started again, on machines that had to be rented first, while there it went on to its end.
+// toleratesSilence reports whether a silent machine is waited for because its whole zone is
+// silent. The wait ends once the outage has lasted for the setting zone_patience, or GiveUpAfter
+// after the outage has ended, and in any case GiveUpAfter beyond zone_patience. An unresolved
+// machine is not waited for if unresolved machines take much of a team's limit, since no task of
+// that team may start until they are resolved. On days with a zone cut off for longer than
+// machines are usually waited for, all its tasks were started again on machines that had to be
+// rented first, while the original tasks ran to their end.
 func (d *Component) toleratesSilence(now time.Duration, m *workers.Machine) bool {
 	if int(m.Zone) >= len(d.zoneOutages) {
 		return false
 	}
 	outage := d.zoneOutages[m.Zone]
 	if outage.lastSeenAt == 0 || now-outage.lastSeenAt > d.GiveUpAfter() {
-		return false // there is none, or it ended long enough ago
+		return false // no outage, or it ended long enough ago
 	}
 	patience := settings.Seconds(d.Cfg.Tunables.ZonePatienceS)
 	if outage.lastSeenAt == now {
 		if now-outage.beganAt > patience {
-			return false // it goes on for too long
+			return false // the outage has lasted too long
 		}
 	}
 	if now-outage.beganAt > patience+d.GiveUpAfter() {
