--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -64,32 +64,32 @@
 }
 
 // Replay applies an entry of the log.
-func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
+func (c *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
-		d.setTypes(e.MachineTypes)
+		c.setTypes(e.MachineTypes)
 	case e.Machine != nil:
-		d.registered[e.Machine.Name] = true
-		delete(d.booting, e.Machine.Name)
+		c.registered[e.Machine.Name] = true
+		delete(c.booting, e.Machine.Name)
 	case e.DeletedMachines != nil:
 		for _, name := range e.DeletedMachines {
-			delete(d.registered, name)
-			delete(d.booting, name)
+			delete(c.registered, name)
+			delete(c.booting, name)
 		}
 	case e.Rental != nil:
-		d.pendingRentals[e.Rental.Name] = *e.Rental
+		c.pendingRentals[e.Rental.Name] = *e.Rental
 	case e.RentalAnswer != nil:
-		d.replayRentalAnswer(e.RentalAnswer)
+		c.replayRentalAnswer(e.RentalAnswer)
 	}
 }
 
 // replayRentalAnswer records the machines of an answered rental that have not registered.
-func (d *Component) replayRentalAnswer(answer *eventlog.RentalAnswer) {
-	rental := d.pendingRentals[answer.Name]
-	delete(d.pendingRentals, answer.Name)
+func (c *Component) replayRentalAnswer(answer *eventlog.RentalAnswer) {
+	rental := c.pendingRentals[answer.Name]
+	delete(c.pendingRentals, answer.Name)
 	for _, name := range answer.Machines {
-		if !d.registered[name] && !d.Inventory.WasDeleted(name) {
-			d.booting[name] = rentedMachine(name, rental)
+		if !c.registered[name] && !c.Inventory.WasDeleted(name) {
+			c.booting[name] = rentedMachine(name, rental)
 		}
 	}
 }
@@ -101,98 +101,98 @@
 
 // Begin adds the rented machines that have not reported yet; nothing was ever started on them.
 // Rental requests without an answer are sent again.
-func (d *Component) Begin(now time.Duration) {
-	for _, entry := range d.booting {
-		if m := d.AddMachine(now, entry); m != nil {
+func (c *Component) Begin(now time.Duration) {
+	for _, entry := range c.booting {
+		if m := c.AddMachine(now, entry); m != nil {
 			m.Resolved = true
 		}
 	}
-	for _, rental := range d.pendingRentals {
-		d.provisioner.Restore(rental)
+	for _, rental := range c.pendingRentals {
+		c.provisioner.Restore(rental)
 	}
-	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
+	if c.Cfg.Tunables.ListFirst == 1 && len(c.registered) > 0 {
 		// List at once: machines preempted in the meantime need not be waited for.
-		d.listedAt = d.TermBegan - listInterval
+		c.listedAt = c.TermBegan - listInterval
 	}
-	d.booting, d.registered = nil, nil
+	c.booting, c.registered = nil, nil
 }
 
 // EntryDurable schedules a rental request to be sent once it is durable.
-func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
+func (c *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
-		d.pendingRentals[e.Rental.Name] = *e.Rental
-		d.rentalDueAt[e.Rental.Name] = now
+		c.pendingRentals[e.Rental.Name] = *e.Rental
+		c.rentalDueAt[e.Rental.Name] = now
 	}
 }
 
 // Tick scales the fleet at its interval.
-func (d *Component) Tick(now time.Duration, leaseValid bool) {
-	if now-d.lastScaledAt < scaleInterval {
+func (c *Component) Tick(now time.Duration, leaseValid bool) {
+	if now-c.lastScaledAt < scaleInterval {
 		return
 	}
-	d.lastScaledAt = now
-	if !d.MostMachinesSilent(now) {
-		d.avoidSilentZones(now)
+	c.lastScaledAt = now
+	if !c.MostMachinesSilent(now) {
+		c.avoidSilentZones(now)
 	}
 	if leaseValid {
-		d.scale(now)
+		c.scale(now)
 	}
-	d.NeedsCycle = true
+	c.NeedsCycle = true
 }
 
 // AfterCycle makes the calls to the cloud that are due.
-func (d *Component) AfterCycle(now time.Duration, leaseValid bool) { d.callCloud(now, leaseValid) }
+func (c *Component) AfterCycle(now time.Duration, leaseValid bool) { c.makeDueCalls(now, leaseValid) }
 
 // Compact rewrites the part of an entry that is still needed.
-func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
+func (c *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
-		if !d.typesCompacted {
-			d.typesCompacted = true
-			d.appendTypes(d.Types)
+		if !c.typesCompacted {
+			c.typesCompacted = true
+			c.appendTypes(c.Types)
 		}
 	case e.Rental != nil:
-		if rental, open := d.pendingRentals[e.Rental.Name]; open {
-			d.EventLog.Append(eventlog.Entry{Rental: &rental})
+		if rental, open := c.pendingRentals[e.Rental.Name]; open {
+			c.EventLog.Append(eventlog.Entry{Rental: &rental})
 		}
 	}
 }
 
 // CompactionDone drops the state of the compaction.
-func (d *Component) CompactionDone() { d.typesCompacted = false }
+func (c *Component) CompactionDone() { c.typesCompacted = false }
 
 // avoidSilentZones pauses rentals for a while in zones where most machines are silent while
 // machines of other zones report.
-func (d *Component) avoidSilentZones(now time.Duration) {
-	up, silent := d.SilentByZone(now)
+func (c *Component) avoidSilentZones(now time.Duration) {
+	up, silent := c.SilentByZone(now)
 	for zone, n := range silent {
 		if !cluster.MostSilent(n, up[zone]) {
 			continue
 		}
-		name := d.Zones.Name(int32(zone))
-		if !d.provisioner.ZoneAvoided(now, name) {
-			d.LogMessage(effects.Warn, "most machines of zone silent, scale out paused there",
+		name := c.Zones.Name(int32(zone))
+		if !c.provisioner.ZoneAvoided(now, name) {
+			c.LogMessage(effects.Warn, "most machines of zone silent, scale out paused there",
 				"zone", name, "silent", n, "of", up[zone])
 		}
-		d.provisioner.AvoidZone(name, now+zoneAvoidance)
+		c.provisioner.AvoidZone(name, now+zoneAvoidance)
 	}
 }
 
 // scale rents machines for the open work, and returns capacity that was not needed for a while.
 // Machines with accelerators form a group of their own if there are other machine types too.
-func (d *Component) scale(now time.Duration) {
-	if len(d.Types) == 0 {
+func (c *Component) scale(now time.Duration) {
+	if len(c.Types) == 0 {
 		return
 	}
-	accelerated := slices.ContainsFunc(d.Types, func(t eventlog.MachineType) bool { return t.GPUs > 0 })
-	plain := slices.ContainsFunc(d.Types, func(t eventlog.MachineType) bool { return t.GPUs == 0 })
+	accelerated := slices.ContainsFunc(c.Types, func(t eventlog.MachineType) bool { return t.GPUs > 0 })
+	plain := slices.ContainsFunc(c.Types, func(t eventlog.MachineType) bool { return t.GPUs == 0 })
 	if !accelerated || !plain {
-		d.groups[0].single = true
-		d.scaleGroup(now, &d.groups[0])
+		c.groups[0].onlyGroup = true
+		c.scaleGroup(now, &c.groups[0])
 		return
 	}
-	d.groups[0].single, d.groups[1].accelerated = false, true
-	for i := range d.groups {
-		d.scaleGroup(now, &d.groups[i])
+	c.groups[0].onlyGroup, c.groups[1].accelerated = false, true
+	for i := range c.groups {
+		c.scaleGroup(now, &c.groups[i])
 	}
 }
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -34,115 +34,115 @@
 }
 
 // recordCallResult adapts the rate of calls to their success or failure.
-func (d *Component) recordCallResult(now time.Duration, ok bool) {
+func (c *Component) recordCallResult(now time.Duration, ok bool) {
 	switch {
-	case d.Cfg.Tunables.AdaptCalls == 0:
+	case c.Cfg.Tunables.AdaptCalls == 0:
 	case ok:
-		d.callBudget.Success(now)
+		c.callBudget.Success(now)
 	default:
-		d.callBudget.Failure(now)
+		c.callBudget.Failure(now)
 	}
 }
 
-// mayCall takes one call from the budget and reports whether one was available.
-func (d *Component) mayCall(now time.Duration) bool { return d.callBudget.Take(now, 1) }
+// takeCall takes one call from the budget and reports whether one was available.
+func (c *Component) takeCall(now time.Duration) bool { return c.callBudget.Take(now, 1) }
 
-// callCloud makes the calls that are due, within the rate limit. Deletions are sent even without
+// makeDueCalls makes the calls that are due, within the rate limit. Deletions are sent even without
 // a valid lease: they can lose work but not violate correctness.
-func (d *Component) callCloud(now time.Duration, leaseValid bool) {
-	d.callDelete(now)
+func (c *Component) makeDueCalls(now time.Duration, leaseValid bool) {
+	c.requestDeletions(now)
 	if !leaseValid {
 		return
 	}
-	d.callListTypes(now)
-	for name, rental := range d.pendingRentals {
-		if now >= d.rentalDueAt[name] && d.mayCall(now) {
-			d.rentalDueAt[name] = now + rentalRetryAfter
-			d.Emit(effects.RentMachines{Rental: rental})
+	c.requestMachineTypes(now)
+	for name, rental := range c.pendingRentals {
+		if now >= c.rentalDueAt[name] && c.takeCall(now) {
+			c.rentalDueAt[name] = now + rentalRetryAfter
+			c.Emit(effects.RentMachines{Rental: rental})
 		}
 	}
-	if !d.listInFlight && now-d.listedAt > listInterval && d.mayCall(now) {
-		d.listInFlight, d.listedAt = true, now
-		d.Emit(effects.ListMachines{})
+	if !c.listInFlight && now-c.listedAt > listInterval && c.takeCall(now) {
+		c.listInFlight, c.listedAt = true, now
+		c.Emit(effects.ListMachines{})
 	}
 }
 
-// callDelete requests the deletion of decommissioned machines, one call at a time.
-func (d *Component) callDelete(now time.Duration) {
-	if d.deleteInFlight {
+// requestDeletions requests the deletion of decommissioned machines, one call at a time.
+func (c *Component) requestDeletions(now time.Duration) {
+	if c.deleteInFlight {
 		return
 	}
 	var names []string
-	for _, m := range d.Inventory.All() {
+	for _, m := range c.Inventory.All() {
 		if m.Deleting && !m.ReturnUnrecorded && len(names) < maxDeletions {
 			names = append(names, m.Name)
 		}
 	}
-	if len(names) > 0 && d.mayCall(now) {
-		d.deleteInFlight = true
-		d.Emit(effects.DeleteMachines{Machines: names})
+	if len(names) > 0 && c.takeCall(now) {
+		c.deleteInFlight = true
+		c.Emit(effects.DeleteMachines{Machines: names})
 	}
 }
 
-// callListTypes requests the machine types if they are unknown or were not listed recently.
-func (d *Component) callListTypes(now time.Duration) {
-	due := len(d.Types) == 0 || d.typesListedAt == 0 || now-d.typesListedAt > typesInterval
-	if !d.typesRequested && due && d.mayCall(now) {
-		d.typesRequested = true
-		d.Emit(effects.ListMachineTypes{})
+// requestMachineTypes requests the machine types if they are unknown or were not listed recently.
+func (c *Component) requestMachineTypes(now time.Duration) {
+	due := len(c.Types) == 0 || c.typesListedAt == 0 || now-c.typesListedAt > typesInterval
+	if !c.typesRequested && due && c.takeCall(now) {
+		c.typesRequested = true
+		c.Emit(effects.ListMachineTypes{})
 	}
 }
 
 // MachinesDeleted records that a deletion was answered or has failed. Machines that are still in
 // the inventory are included in the next deletion.
-func (d *Component) MachinesDeleted(now time.Duration, ok bool) {
-	d.deleteInFlight = false
-	d.recordCallResult(now, ok)
+func (c *Component) MachinesDeleted(now time.Duration, ok bool) {
+	c.deleteInFlight = false
+	c.recordCallResult(now, ok)
 }
 
 // RentalAnswered applies the answer to a rental request.
-func (d *Component) RentalAnswered(now time.Duration, name string, machines []string, result wire.RentResult) {
-	d.recordCallResult(now, result != wire.NoAnswer)
-	rental, ok := d.pendingRentals[name]
+func (c *Component) RentalAnswered(now time.Duration, name string, machines []string, result wire.RentResult) {
+	c.recordCallResult(now, result != wire.NoAnswer)
+	rental, ok := c.pendingRentals[name]
 	if !ok {
 		return
 	}
 	if result == wire.NoAnswer {
-		d.rentalDueAt[name] = now + noAnswerRetry // with the same name, since it may have been executed
+		c.rentalDueAt[name] = now + noAnswerRetry // with the same name, since it may have been executed
 		return
 	}
-	delete(d.pendingRentals, name)
-	delete(d.rentalDueAt, name)
-	d.provisioner.RequestAnswered(now, name, len(machines))
+	delete(c.pendingRentals, name)
+	delete(c.rentalDueAt, name)
+	c.provisioner.RequestAnswered(now, name, len(machines))
 	for _, machine := range machines {
-		if m := d.AddMachine(now, rentedMachine(machine, rental)); m != nil {
+		if m := c.AddMachine(now, rentedMachine(machine, rental)); m != nil {
 			m.Resolved = true
-			d.Publish(cluster.Event{Kind: cluster.MachineRented, At: now, Machine: m})
+			c.Publish(cluster.Event{Kind: cluster.MachineRented, At: now, Machine: m})
 		}
 	}
-	d.appendRentalAnswer(rental, machines)
+	c.appendRentalAnswer(rental, machines)
 	if len(machines) == 0 {
-		d.Counts.RentalsRefused++
+		c.Counts.RentalsRefused++
 	}
-	d.LogMessage(effects.Info, "rental answered", "request", name, "asked", rental.Count, "got", len(machines))
+	c.LogMessage(effects.Info, "rental answered", "request", name, "asked", rental.Count, "got", len(machines))
 }
 
 // MachineTypesListed applies the list of machine types; an empty list counts as a failure.
-func (d *Component) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
-	d.typesRequested = false
-	d.recordCallResult(now, len(list) > 0)
+func (c *Component) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
+	c.typesRequested = false
+	c.recordCallResult(now, len(list) > 0)
 	if len(list) == 0 {
 		return
 	}
-	d.typesListedAt = now
+	c.typesListedAt = now
 	changed := false
 	for _, t := range list {
-		i, known := d.TypeNames.Lookup(t.Name)
-		changed = changed || !known || typeChanged(d.Types[i], t)
+		i, known := c.TypeNames.Lookup(t.Name)
+		changed = changed || !known || typeChanged(c.Types[i], t)
 	}
-	d.setTypes(list)
+	c.setTypes(list)
 	if changed {
-		d.appendTypes(list)
+		c.appendTypes(list)
 	}
 }
 
@@ -156,28 +156,28 @@
 }
 
 // MachinesListed applies the cloud's list of machines.
-func (d *Component) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
-	d.listInFlight = false
-	d.recordCallResult(now, ok)
+func (c *Component) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
+	c.listInFlight = false
+	c.recordCallResult(now, ok)
 	if !ok {
 		return
 	}
 	for _, l := range list {
-		m := d.Inventory.Find(l.Machine.Name)
-		if m == nil && len(d.pendingRentals) == 0 {
+		m := c.Inventory.Find(l.Machine.Name)
+		if m == nil && len(c.pendingRentals) == 0 {
 			// The machine was rented by a request whose answer was lost for good, or existed
 			// from the start.
-			if m = d.AddMachine(now, l.Machine); m != nil {
+			if m = c.AddMachine(now, l.Machine); m != nil {
 				m.Resolved = true
 				m.RentedAt = now - settings.Seconds(l.RentedForS)
 			}
 		}
 		if m != nil && l.Failed {
-			d.Decommission(now, m, cluster.Delete, "failed")
+			c.Decommission(now, m, cluster.Delete, "failed")
 		}
 	}
-	if d.Cfg.Tunables.ListFirst == 1 {
-		d.decommissionMissing(now, list)
+	if c.Cfg.Tunables.ListFirst == 1 {
+		c.decommissionMissing(now, list)
 	}
 }
 
@@ -187,7 +187,7 @@
 // one has been preempted or deleted, however old the list is. Still, only the answer to its
 // deletion proves that nothing runs there. On days with crashes of all controllers, machines
 // preempted in the meantime held back most jobs until they had been silent for long enough.
-func (d *Component) decommissionMissing(now time.Duration, list []wire.ListedMachine) {
+func (c *Component) decommissionMissing(now time.Duration, list []wire.ListedMachine) {
 	if len(list) == 0 {
 		return
 	}
@@ -198,37 +198,37 @@
 		lastCreated = max(lastCreated, l.Machine.Name)
 	}
 	missing := 0
-	for _, m := range d.Inventory.All() {
-		silent := !m.Up || now-m.LastHeartbeat > d.SuspectAfter()
+	for _, m := range c.Inventory.All() {
+		silent := !m.Up || now-m.LastHeartbeat > c.SuspectAfter()
 		if m.Durable && !m.Deleting && silent && m.Name < lastCreated && !listed[m.Name] {
-			d.Decommission(now, m, cluster.Delete, "not in the cloud's list any more")
+			c.Decommission(now, m, cluster.Delete, "not in the cloud's list any more")
 			missing++
 		}
 	}
 	if missing > 0 {
-		d.LogMessage(effects.Info, "silent machines missing from the cloud's list",
+		c.LogMessage(effects.Info, "silent machines missing from the cloud's list",
 			"machines", missing)
 	}
 }
 
 // setTypes adds or replaces machine types; an entry with FurtherZones adds zones to a type.
-func (d *Component) setTypes(list []eventlog.MachineType) {
+func (c *Component) setTypes(list []eventlog.MachineType) {
 	for _, t := range list {
-		i := d.TypeNames.Index(t.Name)
+		i := c.TypeNames.Index(t.Name)
 		switch {
-		case int(i) == len(d.Types):
-			d.Types = append(d.Types, t)
+		case int(i) == len(c.Types):
+			c.Types = append(c.Types, t)
 		case t.FurtherZones:
-			d.Types[i].Zones = append(slices.Clone(d.Types[i].Zones), t.Zones...)
+			c.Types[i].Zones = append(slices.Clone(c.Types[i].Zones), t.Zones...)
 		default:
-			d.Types[i] = t
+			c.Types[i] = t
 		}
 	}
 }
 
 // appendTypes appends machine types to the log. Zones that do not fit into the first entry of a
 // type go into further entries.
-func (d *Component) appendTypes(list []eventlog.MachineType) {
+func (c *Component) appendTypes(list []eventlog.MachineType) {
 	for _, t := range list {
 		allZones := t.Zones
 		t.Zones = nil
@@ -236,11 +236,11 @@
 		if err != nil {
 			continue // cannot happen: all amounts were checked when they were received
 		}
-		room := d.EventLog.MaxEntryBytes() - len(withoutZones) - eventlog.EntryOverheadBytes
+		room := c.EventLog.MaxEntryBytes() - len(withoutZones) - eventlog.EntryOverheadBytes
 		for i, zones := range eventlog.SplitNames(allZones, room) {
 			part := t
 			part.Zones, part.FurtherZones = zones, i > 0
-			d.EventLog.Append(eventlog.Entry{MachineTypes: []eventlog.MachineType{part}})
+			c.EventLog.Append(eventlog.Entry{MachineTypes: []eventlog.MachineType{part}})
 		}
 	}
 }
@@ -248,12 +248,12 @@
 // appendRentalAnswer appends the answer to a rental request to the log. If its machines need
 // several entries, the request is recorded again before each further one: a leader that finds
 // only the first entries sends the request again and receives the remaining machines.
-func (d *Component) appendRentalAnswer(r eventlog.Rental, machines []string) {
-	room := d.EventLog.MaxEntryBytes() - len(r.Name) - eventlog.EntryOverheadBytes
+func (c *Component) appendRentalAnswer(r eventlog.Rental, machines []string) {
+	room := c.EventLog.MaxEntryBytes() - len(r.Name) - eventlog.EntryOverheadBytes
 	for i, names := range eventlog.SplitNames(machines, room) {
 		if i > 0 {
-			d.EventLog.Append(eventlog.Entry{Rental: &r})
+			c.EventLog.Append(eventlog.Entry{Rental: &r})
 		}
-		d.EventLog.Append(eventlog.Entry{RentalAnswer: &eventlog.RentalAnswer{Name: r.Name, Machines: names}})
+		c.EventLog.Append(eventlog.Entry{RentalAnswer: &eventlog.RentalAnswer{Name: r.Name, Machines: names}})
 	}
 }
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -22,7 +22,7 @@
 // types both with and without accelerators, each kind forms a group.
 type machineGroup struct {
 	accelerated bool // machines with accelerators
-	single      bool // there is only one group
+	onlyGroup   bool // there is only one group
 
 	// The peak demands over the retention window, in processors.
 	onDemandPeak     peak
@@ -33,12 +33,12 @@
 // includesType reports whether machines of a type with this many accelerators belong to the
 // group.
 func (g *machineGroup) includesType(gpus float64) bool {
-	return g.single || (gpus > 0) == g.accelerated
+	return g.onlyGroup || (gpus > 0) == g.accelerated
 }
 
 // serves reports whether a job's work is meant for machines of this group.
 func (g *machineGroup) serves(j *jobs.Job) bool {
-	return g.single || (j.Need.GPU > 0 || !j.FitsWithoutGPU) == g.accelerated
+	return g.onlyGroup || (j.Need.GPU > 0 || !j.FitsWithoutGPU) == g.accelerated
 }
 
 // peak tracks the maximum demand over a sliding window. A sample is dropped once a later one is
@@ -72,10 +72,10 @@
 // after a cold start, it returns only urgent jobs. Machines that have not reported count as
 // present then, so machines are rented only for urgent work that even the whole fleet could not
 // hold.
-func (d *Component) openJobs(now time.Duration, group *machineGroup) []*jobs.Job {
-	settled := d.Permits(now, cluster.Rent)
+func (c *Component) openJobs(now time.Duration, group *machineGroup) []*jobs.Job {
+	settled := c.Permits(now, cluster.Rent)
 	var open []*jobs.Job
-	for _, j := range d.Jobs.All() {
+	for _, j := range c.Jobs.All() {
 		if j == nil || j.Phase != jobs.Open || j.Finished >= len(j.Tasks) || !group.serves(j) {
 			continue
 		}
@@ -90,14 +90,14 @@
 // horizon, in seconds, subject to team limits. With keepRunning, running tasks count in full, so
 // that machines stay as long as they are in use. Without it, running tasks count half, which is
 // what is left of them on average, and each job has the horizon of its class.
-func (d *Component) cpuDemand(open []*jobs.Job, horizon float64, keepRunning bool) float64 {
-	perTeam := make([]float64, len(d.Scheduler.Limits))
+func (c *Component) cpuDemand(open []*jobs.Job, horizon float64, keepRunning bool) float64 {
+	perTeam := make([]float64, len(c.Scheduler.Limits))
 	for _, j := range open {
-		perTeam[j.Team] += d.tasksInParallel(j, horizon, keepRunning) * j.CPUShare
+		perTeam[j.Team] += c.tasksInParallel(j, horizon, keepRunning) * j.CPUShare
 	}
 	var sum float64
 	for team, cpus := range perTeam {
-		if limit := d.Scheduler.Limits[team].CPU; limit > 0 {
+		if limit := c.Scheduler.Limits[team].CPU; limit > 0 {
 			cpus = min(cpus, float64(limit)/milliCPUs)
 		}
 		sum += cpus
@@ -107,7 +107,7 @@
 
 // tasksInParallel returns how many tasks of a job must run in parallel to finish its work within
 // the horizon. All tasks of a gang or service run at once.
-func (d *Component) tasksInParallel(j *jobs.Job, horizon float64, keepRunning bool) float64 {
+func (c *Component) tasksInParallel(j *jobs.Job, horizon float64, keepRunning bool) float64 {
 	left := float64(len(j.Tasks) - j.Finished)
 	tasks := left
 	switch {
@@ -115,28 +115,28 @@
 	case keepRunning:
 		tasks = max(float64(j.Placed), min(left, math.Ceil(left*j.MeanRunSeconds()/horizon)))
 	default:
-		tasks = min(left, (left-float64(j.Placed)/2)*j.MeanRunSeconds()/d.backlogHorizon(j))
+		tasks = min(left, (left-float64(j.Placed)/2)*j.MeanRunSeconds()/c.backlogHorizon(j))
 	}
 	if len(j.Record.Counted) > 0 { // machines for tasks without units would be idle
-		tasks = min(tasks, float64(j.Placed+d.availableUnits(j)))
+		tasks = min(tasks, float64(j.Placed+c.availableUnits(j)))
 	}
 	return tasks
 }
 
 // availableUnits returns how many more tasks of a job that needs counted units could get them.
-func (d *Component) availableUnits(j *jobs.Job) int {
-	if d.Pools == nil {
+func (c *Component) availableUnits(j *jobs.Job) int {
+	if c.Pools == nil {
 		return 0
 	}
-	return d.Pools.StartableTasks(j)
+	return c.Pools.StartableTasks(j)
 }
 
 // backlogHorizon returns the time, in seconds, within which a job's work should be done even if
 // that takes on-demand machines. It is a share of the shortest time that the objectives of its
 // class leave.
-func (d *Component) backlogHorizon(j *jobs.Job) float64 {
+func (c *Component) backlogHorizon(j *jobs.Job) float64 {
 	best := 0.0
-	for _, o := range d.Cfg.Deployment.Objectives {
+	for _, o := range c.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
 			continue
 		}
@@ -154,30 +154,30 @@
 		}
 	}
 	if best == 0 {
-		return d.Cfg.Tunables.OrdinaryBacklogS
+		return c.Cfg.Tunables.OrdinaryBacklogS
 	}
-	return max(d.Cfg.Tunables.ObjectiveShare*best, d.Cfg.Tunables.DrainBacklogS)
+	return max(c.Cfg.Tunables.ObjectiveShare*best, c.Cfg.Tunables.DrainBacklogS)
 }
 
 // retentionWindow returns for how long capacity must not have been needed before it is returned.
 // If a class should start faster than any machine boots, machines returned now cannot be
 // replaced in time later. On days with services that should start within a second, machines were
 // returned between two bursts, and the replicas on them were stopped for that.
-func (d *Component) retentionWindow(seconds float64) time.Duration {
-	if d.needsStandbyRoom() {
-		seconds = max(seconds, d.Cfg.Tunables.ReadyWindowS)
+func (c *Component) retentionWindow(seconds float64) time.Duration {
+	if c.needsStandbyRoom() {
+		seconds = max(seconds, c.Cfg.Tunables.ReadyWindowS)
 	}
 	return settings.Seconds(seconds)
 }
 
 // needsStandbyRoom reports whether some class should start faster than the fastest machine type
 // boots.
-func (d *Component) needsStandbyRoom() bool {
+func (c *Component) needsStandbyRoom() bool {
 	quickestBoot := math.Inf(1)
-	for _, t := range d.Types {
+	for _, t := range c.Types {
 		quickestBoot = min(quickestBoot, t.BootS)
 	}
-	return slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
+	return slices.ContainsFunc(c.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
 		return o.Kind == settings.ObjectiveWait && o.WithinS < quickestBoot
 	})
 }
@@ -187,10 +187,10 @@
 // to begin for half of the setting begin_within; the caller then treats that capacity as missing
 // for such jobs. In a test, a service waited for five minutes because the on-demand machine was
 // full of array tasks for which the spot machines had room.
-func (d *Component) cpusUsedBySpotJobs(
+func (c *Component) cpusUsedBySpotJobs(
 	now time.Duration, machines []*workers.Machine, onDemandOnly []*jobs.Job,
 ) float64 {
-	wait := settings.Seconds(d.Cfg.Tunables.BeginWithinS / 2)
+	wait := settings.Seconds(c.Cfg.Tunables.BeginWithinS / 2)
 	waitsTooLong := func(j *jobs.Job) bool { return j.Waiting > 0 && !j.HasBegun() && now-j.AcceptedAt > wait }
 	if wait == 0 || !slices.ContainsFunc(onDemandOnly, waitsTooLong) {
 		return 0
@@ -201,7 +201,7 @@
 			continue
 		}
 		for _, p := range m.Tasks {
-			if j := d.Jobs.ByIndex(p.Ref.Job); j.UseSpot {
+			if j := c.Jobs.ByIndex(p.Ref.Job); j.UseSpot {
 				sum += j.CPUShare
 			}
 		}
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -13,14 +13,14 @@
 
 // restrictedJobs returns the unfinished jobs that may not use every machine, including those
 // about to be released. Capacity that is sufficient in total may be unusable for them.
-func (d *Component) restrictedJobs() []*jobs.Job {
+func (c *Component) restrictedJobs() []*jobs.Job {
 	var out []*jobs.Job
-	for _, j := range d.Jobs.All() {
+	for _, j := range c.Jobs.All() {
 		if j == nil || j.Waiting <= 0 {
 			continue
 		}
 		restricted := !j.UseSpot || j.AllowedTypes != nil || j.Record.Zone != ""
-		if restricted && (j.Phase == jobs.Open || d.releasedSoon(j)) {
+		if restricted && (j.Phase == jobs.Open || c.releasedSoon(j)) {
 			out = append(out, j)
 		}
 	}
@@ -30,14 +30,14 @@
 // releasedSoon reports whether a held job will be released soon: all tasks that it depends on
 // are placed, and run for no longer than a machine is usually kept. No capacity is kept for a
 // job that waits for hours.
-func (d *Component) releasedSoon(j *jobs.Job) bool {
+func (c *Component) releasedSoon(j *jobs.Job) bool {
 	if j.Phase != jobs.Held || len(j.Dependencies) == 0 {
 		return false
 	}
 	for _, index := range j.Dependencies {
-		dependency := d.Jobs.ByIndex(index)
+		dependency := c.Jobs.ByIndex(index)
 		placed := dependency.Phase == jobs.Open && dependency.Waiting <= 0
-		if !placed || dependency.MeanRunSeconds() > d.Cfg.Tunables.UsualStayS {
+		if !placed || dependency.MeanRunSeconds() > c.Cfg.Tunables.UsualStayS {
 			return false
 		}
 	}
@@ -45,32 +45,32 @@
 }
 
 // mayHost reports whether a machine is allowed to have tasks of a job.
-func (d *Component) mayHost(j *jobs.Job, m *workers.Machine) bool {
-	if m.Deleting || m.PreemptionNotice || !scheduler.Allowed(j, m, d.Zones.Index) {
+func (c *Component) mayHost(j *jobs.Job, m *workers.Machine) bool {
+	if m.Deleting || m.PreemptionNotice || !scheduler.Allowed(j, m, c.Zones.Index) {
 		return false
 	}
 	return !j.Record.OneZone || j.ZoneAllows(m.Zone)
 }
 
 // canHost reports whether a machine could take a task of a job if it were empty.
-func (d *Component) canHost(j *jobs.Job, m *workers.Machine) bool {
-	return d.mayHost(j, m) && j.Need.Fits(m.Capacity)
+func (c *Component) canHost(j *jobs.Job, m *workers.Machine) bool {
+	return c.mayHost(j, m) && j.Need.Fits(m.Capacity)
 }
 
 // hasPlaceFor reports whether a machine that stays may take another task of a job. In a test
 // with a spread array, one zone had its half of the tasks and nothing was rented in the other
 // zone, so the rest waited until the first half was done.
-func (d *Component) hasPlaceFor(j *jobs.Job) bool {
-	return slices.ContainsFunc(d.Inventory.All(), func(m *workers.Machine) bool {
-		return !m.Draining && d.canHost(j, m) && j.ZoneAllows(m.Zone)
+func (c *Component) hasPlaceFor(j *jobs.Job) bool {
+	return slices.ContainsFunc(c.Inventory.All(), func(m *workers.Machine) bool {
+		return !m.Draining && c.canHost(j, m) && j.ZoneAllows(m.Zone)
 	})
 }
 
 // countHosts returns how many machines that stay may take tasks of a job.
-func (d *Component) countHosts(j *jobs.Job) int {
+func (c *Component) countHosts(j *jobs.Job) int {
 	n := 0
-	for _, m := range d.Inventory.All() {
-		if !m.Draining && d.canHost(j, m) {
+	for _, m := range c.Inventory.All() {
+		if !m.Draining && c.canHost(j, m) {
 			n++
 		}
 	}
@@ -79,10 +79,10 @@
 
 // slotsByZone returns how many tasks of a job the machines of each zone could take if they were
 // empty.
-func (d *Component) slotsByZone(j *jobs.Job) map[int32]int {
+func (c *Component) slotsByZone(j *jobs.Job) map[int32]int {
 	zones := map[int32]int{}
-	for _, m := range d.Inventory.All() {
-		if d.mayHost(j, m) {
+	for _, m := range c.Inventory.All() {
+		if c.mayHost(j, m) {
 			zones[m.Zone] += scheduler.TasksThatFit(j.Need, m.Capacity)
 		}
 	}
@@ -91,15 +91,15 @@
 
 // fitsFleet reports whether the machines that exist or are requested have room for a job: for
 // one task of an array, or for all tasks of a gang or service.
-func (d *Component) fitsFleet(j *jobs.Job) bool {
-	if len(d.pendingRentals) > 0 {
+func (c *Component) fitsFleet(j *jobs.Job) bool {
+	if len(c.pendingRentals) > 0 {
 		return true // further machines may be added
 	}
 	if j.Record.Kind == jobs.Array {
-		return d.hasPlaceFor(j)
+		return c.hasPlaceFor(j)
 	}
 	total, largest, spread := 0, 0, 0
-	for _, slots := range d.slotsByZone(j) {
+	for _, slots := range c.slotsByZone(j) {
 		total += slots
 		largest = max(largest, slots)
 		spread += min(slots, j.MaxTasksPerZone())
@@ -114,11 +114,11 @@
 	return available >= len(j.Tasks)-j.Finished
 }
 
-// stuckJobs returns the open jobs with waiting tasks that would not fit even if all machines
+// unplaceableJobs returns the open jobs with waiting tasks that would not fit even if all machines
 // were empty, except those that lack counted units.
-func (d *Component) stuckJobs(open []*jobs.Job) []*jobs.Job {
+func (c *Component) unplaceableJobs(open []*jobs.Job) []*jobs.Job {
 	return slices.DeleteFunc(slices.Clone(open), func(j *jobs.Job) bool {
-		lacksUnits := len(j.Record.Counted) > 0 && d.availableUnits(j) == 0
-		return j.Waiting == 0 || lacksUnits || d.fitsFleet(j)
+		lacksUnits := len(j.Record.Counted) > 0 && c.availableUnits(j) == 0
+		return j.Waiting == 0 || lacksUnits || c.fitsFleet(j)
 	})
 }
--- a/internal/leader/autoscaler/provisioner.go
+++ b/internal/leader/autoscaler/provisioner.go
@@ -14,8 +14,8 @@
 	maxMachinesPerRental = 50
 	maxUnanswered        = 4 // rental requests without an answer at a time
 
-	// enoughCPUs is the shortage up to which nothing is rented.
-	enoughCPUs = 0.5
+	// toleratedShortageCPUs is the shortage up to which nothing is rented.
+	toleratedShortageCPUs = 0.5
 	// roundingTolerance is the fraction of a machine for which no further machine is requested.
 	roundingTolerance = 0.01
 
@@ -57,11 +57,11 @@
 
 // AvoidZone excludes a zone whose machines have become silent together: machines rented there
 // would boot and cost money, but could not report either.
-func (b *Provisioner) AvoidZone(zone string, until time.Duration) { b.avoidedUntil[zone] = until }
+func (p *Provisioner) AvoidZone(zone string, until time.Duration) { p.avoidedUntil[zone] = until }
 
 // ZoneAvoided reports whether a zone is excluded now.
-func (b *Provisioner) ZoneAvoided(now time.Duration, zone string) bool {
-	return now < b.avoidedUntil[zone]
+func (p *Provisioner) ZoneAvoided(now time.Duration, zone string) bool {
+	return now < p.avoidedUntil[zone]
 }
 
 // Demand describes the missing capacity and which machines may cover it.
@@ -84,11 +84,11 @@
 
 // Rent chooses requests that cover a demand as far as there are offers, each time the cheapest
 // offer for the capacity that is still missing.
-func (b *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, demand Demand) []eventlog.Rental {
+func (p *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, demand Demand) []eventlog.Rental {
 	var requests []eventlog.Rental
 	missing := demand.CPUs
-	for missing > enoughCPUs && len(b.unanswered) < maxUnanswered {
-		offers := b.offers(now, types, demand, missing)
+	for missing > toleratedShortageCPUs && len(p.unanswered) < maxUnanswered {
+		offers := p.offers(now, types, demand, missing)
 		if len(offers) == 0 {
 			return requests
 		}
@@ -99,19 +99,19 @@
 				cmp.Compare(demand.CPUsByZone[x.zone], demand.CPUsByZone[y.zone]),
 			)
 		})
-		requests = append(requests, b.newRequest(best))
+		requests = append(requests, p.newRequest(best))
 		missing -= float64(best.count) * best.cpus
 	}
 	return requests
 }
 
 // offers returns the offers that may be requested now for this many missing processors.
-func (b *Provisioner) offers(now time.Duration, types []eventlog.MachineType, demand Demand, missing float64) []offer {
+func (p *Provisioner) offers(now time.Duration, types []eventlog.MachineType, demand Demand, missing float64) []offer {
 	var offers []offer
 	for _, t := range types {
 		for _, zone := range t.Zones {
 			k := offerKey{typ: t.Name, zone: zone, spot: demand.Spot}
-			if !b.isAvailable(now, k) || !demand.Fits(t, zone, demand.Spot) {
+			if !p.isAvailable(now, k) || !demand.Fits(t, zone, demand.Spot) {
 				continue
 			}
 			price := t.Price
@@ -130,30 +130,30 @@
 
 // isAvailable reports whether an offer may be requested now: it was not refused recently, its
 // zone is not avoided, and no request for it is without an answer.
-func (b *Provisioner) isAvailable(now time.Duration, k offerKey) bool {
-	if r := b.refusals[k]; r != nil && now < r.retryAt {
+func (p *Provisioner) isAvailable(now time.Duration, k offerKey) bool {
+	if r := p.refusals[k]; r != nil && now < r.retryAt {
 		return false
 	}
-	return !b.ZoneAvoided(now, k.zone) && !b.isOutstanding(k)
+	return !p.ZoneAvoided(now, k.zone) && !p.isOutstanding(k)
 }
 
 // newRequest returns a request for an offer under a name of its own.
-func (b *Provisioner) newRequest(o offer) eventlog.Rental {
-	b.lastNumber++
+func (p *Provisioner) newRequest(o offer) eventlog.Rental {
+	p.lastNumber++
 	r := eventlog.Rental{
-		Name:  fmt.Sprintf("%s-%d", b.namePrefix, b.lastNumber),
+		Name:  fmt.Sprintf("%s-%d", p.namePrefix, p.lastNumber),
 		Type:  o.typ,
 		Zone:  o.zone,
 		Spot:  o.spot,
 		Count: o.count,
 	}
-	b.unanswered[r.Name] = r
+	p.unanswered[r.Name] = r
 	return r
 }
 
 // isOutstanding reports whether a request for an offer is without an answer.
-func (b *Provisioner) isOutstanding(k offerKey) bool {
-	for _, r := range b.unanswered {
+func (p *Provisioner) isOutstanding(k offerKey) bool {
+	for _, r := range p.unanswered {
 		if k == keyOf(r) {
 			return true
 		}
@@ -162,12 +162,12 @@
 }
 
 // Restore adds a request of an earlier term that has no answer yet.
-func (b *Provisioner) Restore(r eventlog.Rental) { b.unanswered[r.Name] = r }
+func (p *Provisioner) Restore(r eventlog.Rental) { p.unanswered[r.Name] = r }
 
 // UnansweredCPUs returns the total number of processors of requests without an answer.
-func (b *Provisioner) UnansweredCPUs(cpusOf func(typeName string) float64) float64 {
+func (p *Provisioner) UnansweredCPUs(cpusOf func(typeName string) float64) float64 {
 	var sum float64
-	for _, r := range b.unanswered {
+	for _, r := range p.unanswered {
 		sum += cpusOf(r.Type) * float64(r.Count)
 	}
 	return sum
@@ -178,21 +178,21 @@
 
 // RequestAnswered records how many machines a request brought. An offer that brought fewer than
 // requested is excluded for a backoff. known is false if there is no such request.
-func (b *Provisioner) RequestAnswered(now time.Duration, name string, got int) (request eventlog.Rental, known bool) {
-	r, ok := b.unanswered[name]
+func (p *Provisioner) RequestAnswered(now time.Duration, name string, got int) (request eventlog.Rental, known bool) {
+	r, ok := p.unanswered[name]
 	if !ok {
 		return r, false
 	}
-	delete(b.unanswered, name)
+	delete(p.unanswered, name)
 	k := keyOf(r)
 	if got >= r.Count {
-		delete(b.refusals, k)
+		delete(p.refusals, k)
 		return r, true
 	}
-	refused := b.refusals[k]
+	refused := p.refusals[k]
 	if refused == nil {
 		refused = &refusal{backoff: initialBackoff / 2}
-		b.refusals[k] = refused
+		p.refusals[k] = refused
 	}
 	refused.backoff = min(2*refused.backoff, maxBackoff)
 	if got > 0 {
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -19,15 +19,15 @@
 // undrainOnlyHosts stops draining a machine if only draining machines could take a waiting job.
 // On a day with pipelines, the last on-demand machine was draining for minutes because the spot
 // machines had enough room, and jobs that may not use those waited until it was gone.
-func (d *Component) undrainOnlyHosts(restricted []*jobs.Job) {
+func (c *Component) undrainOnlyHosts(restricted []*jobs.Job) {
 	for _, j := range restricted {
-		if j.Phase != jobs.Open || d.hasPlaceFor(j) {
+		if j.Phase != jobs.Open || c.hasPlaceFor(j) {
 			continue
 		}
-		for _, m := range d.Inventory.All() {
-			if m.Draining && d.canHost(j, m) {
+		for _, m := range c.Inventory.All() {
+			if m.Draining && c.canHost(j, m) {
 				m.Draining = false
-				d.NeedsCycle = true
+				c.NeedsCycle = true
 				break
 			}
 		}
@@ -37,18 +37,18 @@
 // scaleIn drains machines whose capacity was not needed for a while, returns those that are
 // empty, and moves checkpointed tasks off draining ones. It counts only machines that are up:
 // requested or booting ones may never come up, for example during an outage of the cloud.
-func (d *Component) scaleIn(s *scaling, restricted, stuck []*jobs.Job) {
-	d.drainExcess(s, d.drainCandidates(s, stuck), restricted)
-	d.returnEmpty(s)
-	if d.Cfg.Tunables.MoveSaved == 1 && d.Permits(s.now, cluster.Move) {
-		d.StopAll(s.now, d.Scheduler.PlanMigrations(d.Snapshot(s.now)), cluster.Move)
+func (c *Component) scaleIn(s *scalingRun, restricted, unplaceable []*jobs.Job) {
+	c.drainExcess(s, c.drainCandidates(s, unplaceable), restricted)
+	c.returnEmpty(s)
+	if c.Cfg.Tunables.MoveSaved == 1 && c.Permits(s.now, cluster.Move) {
+		c.StopAll(s.now, c.Scheduler.PlanMigrations(c.Snapshot(s.now)), cluster.Move)
 	}
 }
 
 // drainCandidates returns the machines that may be drained, in the order in which they are
 // drained.
-func (d *Component) drainCandidates(s *scaling, stuck []*jobs.Job) []*workers.Machine {
-	minStay := settings.Seconds(d.Cfg.Tunables.IdleReturnS)
+func (c *Component) drainCandidates(s *scalingRun, unplaceable []*jobs.Job) []*workers.Machine {
+	minStay := settings.Seconds(c.Cfg.Tunables.IdleReturnS)
 	candidates := slices.DeleteFunc(slices.Clone(s.machines), func(m *workers.Machine) bool {
 		if m.Deleting || !m.Up || m.PreemptionNotice || m.Draining {
 			return true
@@ -56,11 +56,11 @@
 		if s.now < m.NotDrainedBefore || s.now-m.UpSince < minStay {
 			return true
 		}
-		return slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return d.mayHost(j, m) })
+		return slices.ContainsFunc(unplaceable, func(j *jobs.Job) bool { return c.mayHost(j, m) })
 	})
 	busyUntil := map[*workers.Machine]time.Duration{}
 	for _, m := range candidates {
-		busyUntil[m] = d.busyUntil(s.now, m)
+		busyUntil[m] = c.busyUntil(s.now, m)
 	}
 	slices.SortFunc(candidates, func(a, b *workers.Machine) int {
 		return cmp.Or(
@@ -68,7 +68,7 @@
 			// Prefer the machine that becomes empty first: until then its remaining room costs
 			// money and is unused.
 			cmp.Compare(busyUntil[a], busyUntil[b]),
-			cmp.Compare(d.pricePerCPU(b), d.pricePerCPU(a)),
+			cmp.Compare(c.pricePerCPU(b), c.pricePerCPU(a)),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
@@ -88,14 +88,14 @@
 
 // drainExcess drains the candidates that the peak demand does not need, except the only host of
 // a restricted job.
-func (d *Component) drainExcess(s *scaling, candidates []*workers.Machine, restricted []*jobs.Job) {
+func (c *Component) drainExcess(s *scalingRun, candidates []*workers.Machine, restricted []*jobs.Job) {
 	hosts := make([]int, len(restricted)) // number of machines that could run each job
 	for i, j := range restricted {
-		hosts[i] = d.countHosts(j)
+		hosts[i] = c.countHosts(j)
 	}
 	isOnlyHost := func(m *workers.Machine) bool {
 		for i, j := range restricted {
-			if hosts[i] == 1 && d.canHost(j, m) {
+			if hosts[i] == 1 && c.canHost(j, m) {
 				return true
 			}
 		}
@@ -111,16 +111,16 @@
 		}
 		m.Draining = true
 		for i, j := range restricted {
-			if d.canHost(j, m) {
+			if c.canHost(j, m) {
 				hosts[i]--
 			}
 		}
-		d.CancelPlans(m)
+		c.CancelPlans(m)
 	}
 }
 
 // exceedsDemand reports whether the peak demand is covered without a machine.
-func (s *scaling) exceedsDemand(m *workers.Machine) bool {
+func (s *scalingRun) exceedsDemand(m *workers.Machine) bool {
 	needed := s.group.onDemandPeak.value()
 	if m.Spot {
 		needed = s.group.spotPeak.value()
@@ -132,27 +132,27 @@
 }
 
 // returnEmpty returns the draining machines that are empty.
-func (d *Component) returnEmpty(s *scaling) {
+func (c *Component) returnEmpty(s *scalingRun) {
 	for _, m := range s.machines {
 		empty := len(m.Tasks) == 0 && len(m.OpenOffers) == 0 && len(m.Orphans) == 0
 		if !m.Draining || m.Deleting || !empty {
 			continue
 		}
-		d.Decommission(s.now, m, cluster.Return, "not needed")
+		c.Decommission(s.now, m, cluster.Return, "not needed")
 		if m.Resolved { // otherwise only its deletion proves that no task of an earlier term is there
-			d.Publish(cluster.Event{Kind: cluster.MachineReturnable, At: s.now, Machine: m})
+			c.Publish(cluster.Event{Kind: cluster.MachineReturnable, At: s.now, Machine: m})
 		}
 	}
 }
 
 // busyUntil returns when the last of a machine's tasks will probably have ended, to the second.
-func (d *Component) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
+func (c *Component) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
 	end := now
 	for _, p := range m.Tasks {
 		if p.Planned {
 			continue // it can still be placed elsewhere
 		}
-		j := d.Jobs.ByIndex(p.Ref.Job)
+		j := c.Jobs.ByIndex(p.Ref.Job)
 		if j.Record.Kind == jobs.Service {
 			return unbounded // a service runs until it is stopped
 		}
@@ -163,8 +163,8 @@
 
 // pricePerCPU returns the price of one processor of a machine, in the unit of the cloud's
 // prices.
-func (d *Component) pricePerCPU(m *workers.Machine) float64 {
-	t := d.Types[m.Type]
+func (c *Component) pricePerCPU(m *workers.Machine) float64 {
+	t := c.Types[m.Type]
 	if m.Spot {
 		return t.SpotPrice / t.CPUs
 	}
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -53,86 +53,86 @@
 // HandleEvent measures how long tasks of classes with a wait objective took to begin, by class
 // and way of starting; this bounds the number of labels. If a task runs again, its time still
 // counts from its job's acceptance.
-func (d *Component) HandleEvent(e cluster.Event) {
-	if e.Kind != cluster.TaskBegan || !d.hasWaitObjective(e.Job.Record.Class) {
+func (c *Component) HandleEvent(e cluster.Event) {
+	if e.Kind != cluster.TaskBegan || !c.hasWaitObjective(e.Job.Record.Class) {
 		return
 	}
 	way := " by report"
 	if e.Machine.WasDispatched(workers.TaskRef{Job: e.Job.Index, Task: int32(e.Task)}) {
 		way = " directly"
 	}
-	d.startSeconds.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
+	c.startSeconds.Observe(e.Job.Record.Class+way, (e.At - e.Job.AcceptedAt).Seconds())
 }
 
 // hasWaitObjective reports whether a class has an objective for how long its jobs wait.
-func (d *Component) hasWaitObjective(class string) bool {
-	return slices.ContainsFunc(d.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
+func (c *Component) hasWaitObjective(class string) bool {
+	return slices.ContainsFunc(c.Cfg.Deployment.Objectives, func(o settings.Objective) bool {
 		return o.Kind == settings.ObjectiveWait && o.Class == class
 	})
 }
 
 // AfterCycle dispatches tasks whose grant and intent are durable to machines with nothing else
 // in flight, with at most one command to each.
-func (d *Component) AfterCycle(now time.Duration, leaseValid bool) {
-	if !leaseValid || len(d.DispatchQueue) == 0 {
+func (c *Component) AfterCycle(now time.Duration, leaseValid bool) {
+	if !leaseValid || len(c.DispatchQueue) == 0 {
 		return
 	}
-	kept := d.DispatchQueue[:0]
+	kept := c.DispatchQueue[:0]
 	dispatched := map[*workers.Machine]bool{}
-	for _, p := range d.DispatchQueue {
+	for _, p := range c.DispatchQueue {
 		m := p.Machine
 		switch {
-		case !p.Planned || d.Placements[p.Ref] != p: // it was started by an offer, or its plan was cancelled
-		case dispatched[m] || !d.hasCallBudget() || !d.isDispatchable(now, m):
+		case !p.Planned || c.Placements[p.Ref] != p: // it was started by an offer, or its plan was cancelled
+		case dispatched[m] || !c.hasCallBudget() || !c.isDispatchable(now, m):
 			kept = append(kept, p)
 		default:
 			dispatched[m] = true
-			d.dispatchTo(now, m)
+			c.dispatchTo(now, m)
 			if p.Planned {
 				kept = append(kept, p)
 			}
 		}
 	}
-	clear(d.DispatchQueue[len(kept):])
-	d.DispatchQueue = kept
+	clear(c.DispatchQueue[len(kept):])
+	c.DispatchQueue = kept
 }
 
 // hasCallBudget reports whether another command may be sent now.
-func (d *Component) hasCallBudget() bool {
-	return d.callsInFlight < d.Cfg.Tunables.PushDispatches && !d.TokensRunLow()
+func (c *Component) hasCallBudget() bool {
+	return c.callsInFlight < c.Cfg.Tunables.PushDispatches && !c.TokensRunLow()
 }
 
 // isDispatchable reports whether starts may be sent straight to a machine. Its worker must be
 // known to be alive and able to take more tasks. There must be neither an open answer with
 // offers for it, which another controller may have filled with other tasks, nor an unanswered
 // call.
-func (d *Component) isDispatchable(now time.Duration, m *workers.Machine) bool {
-	return m.Address != "" && m.AcceptsPlans(now, d.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
+func (c *Component) isDispatchable(now time.Duration, m *workers.Machine) bool {
+	return m.Address != "" && m.AcceptsPlans(now, c.SuspectAfter()) && len(m.OpenOffers) == 0 && !m.Dispatching
 }
 
 // dispatchTo sends all starts that may be dispatched to a machine in one command.
-func (d *Component) dispatchTo(now time.Duration, m *workers.Machine) {
+func (c *Component) dispatchTo(now time.Duration, m *workers.Machine) {
 	var starts []workers.Command
 	for _, p := range m.PlannedHere() {
 		if !mayDispatch(m, p) {
 			continue
 		}
 		if p.Attempt == 0 {
-			p.Attempt = d.NextAttempt()
+			p.Attempt = c.NextAttempt()
 		}
 		m.Dispatch(p)
 		task := int(p.Ref.Task)
 		starts = append(starts, workers.Command{Op: workers.Start, Job: p.JobID, Task: task, Attempt: p.Attempt})
-		d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: d.Jobs.ByIndex(p.Ref.Job), Task: task, Machine: m})
+		c.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: c.Jobs.ByIndex(p.Ref.Job), Task: task, Machine: m})
 	}
 	if len(starts) == 0 {
 		return
 	}
 	m.Dispatching = true
-	d.callsInFlight++
-	d.callsSent++
-	d.tasksSent += uint64(len(starts))
-	d.Emit(effects.Dispatch{
+	c.callsInFlight++
+	c.callsSent++
+	c.tasksSent += uint64(len(starts))
+	c.Emit(effects.Dispatch{
 		Machine: m.Name,
 		Address: m.Address,
 		Token:   m.Token,
@@ -152,23 +152,23 @@
 
 // Dispatched applies the report with which a worker answered dispatched starts; report is nil if
 // it did not answer.
-func (d *Component) Dispatched(
+func (c *Component) Dispatched(
 	now time.Duration, machine string, token uint64, starts []workers.Command, report *workers.Report,
 ) {
-	d.callsInFlight--
+	c.callsInFlight--
 	if report != nil {
-		d.callsAnswered++
+		c.callsAnswered++
 	} else {
-		d.callsUnanswered++
+		c.callsUnanswered++
 	}
-	m := d.Inventory.Find(machine)
+	m := c.Inventory.Find(machine)
 	if m == nil {
 		return // deleted in the meantime, with everything on it
 	}
 	var refs []workers.TaskRef
-	for _, c := range starts {
-		if j := d.Jobs.ByID(c.Job); j != nil {
-			refs = append(refs, workers.TaskRef{Job: j.Index, Task: int32(c.Task)})
+	for _, command := range starts {
+		if j := c.Jobs.ByID(command.Job); j != nil {
+			refs = append(refs, workers.TaskRef{Job: j.Index, Task: int32(command.Task)})
 		}
 	}
 	m.DispatchResult(now, token, refs, report)
@@ -185,15 +185,15 @@
 }
 
 // Show returns the component's only view, which has no name, as JSON.
-func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
+func (c *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
 	return json.Marshal(View{
-		Calls:      d.callsSent,
-		Tasks:      d.tasksSent,
-		Answered:   d.callsAnswered,
-		Unanswered: d.callsUnanswered,
-		UnderWay:   d.callsInFlight,
+		Calls:      c.callsSent,
+		Tasks:      c.tasksSent,
+		Answered:   c.callsAnswered,
+		Unanswered: c.callsUnanswered,
+		UnderWay:   c.callsInFlight,
 	})
 }
--- a/internal/leader/placement/grants_test.go
+++ b/internal/leader/placement/grants_test.go
@@ -15,7 +15,7 @@
 func TestGrantsAreWrittenInParts(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	state := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}})
-	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: valueSize, TxnOps: 1}
+	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: maxValueBytes, TxnOps: 1}
 	state.EventLog = eventlog.NewLog(limits, "lead/epoch", 1, 0, 0)
 	component := New(state)
 	state.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1})
@@ -32,11 +32,11 @@
 	for revision := uint64(1); state.EventLog.PendingCount() > 0; revision++ {
 		now := time.Duration(revision) * time.Second
 		txn := state.EventLog.NextTransaction(now)
-		if len(txn.Writes[0].Value) > valueSize {
+		if len(txn.Writes[0].Value) > maxValueBytes {
 			t.Fatalf("value of %d bytes is larger than the limit", len(txn.Writes[0].Value))
 		}
-		facts, _ := state.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
-		for _, entry := range facts {
+		entries, _ := state.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
+		for _, entry := range entries {
 			component.EntryDurable(now, true, entry)
 			durable += len(entry.Grant.Machines)
 		}
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	jobTasks  = 100  // tasks of each job
-	valueSize = 2048 // maximum bytes of an entry's value
+	jobTasks      = 100  // tasks of each job
+	maxValueBytes = 2048 // maximum bytes of an entry's value
 )
 
 // newTermComponent returns the component of a term of this epoch, with jobs of jobTasks tasks
@@ -24,7 +24,7 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.NoteTasks = noteTasks
 	state := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
-	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: valueSize, TxnOps: 4}
+	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: maxValueBytes, TxnOps: 4}
 	state.EventLog = eventlog.NewLog(limits, "lead/epoch", 1, 0, 0)
 	for id := range jobCount {
 		addOpenJob(state, uint64(id+1))
@@ -54,15 +54,15 @@
 		now := time.Duration(revision) * time.Second
 		txn := component.EventLog.NextTransaction(now)
 		for _, w := range txn.Writes {
-			if len(w.Value) > valueSize {
+			if len(w.Value) > maxValueBytes {
 				t.Fatalf("value of %d bytes is larger than the limit", len(w.Value))
 			}
 		}
-		facts, _ := component.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
-		for _, entry := range facts {
+		entries, _ := component.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
+		for _, entry := range entries {
 			component.EntryDurable(now, true, entry)
 		}
-		out = append(out, facts...)
+		out = append(out, entries...)
 	}
 	return out
 }
@@ -75,14 +75,16 @@
 	return plan
 }
 
-func freshFrom(component *Component, id uint64) int { return component.Jobs.ByID(id).UnassignedFrom }
+func unassignedFrom(component *Component, id uint64) int {
+	return component.Jobs.ByID(id).UnassignedFrom
+}
 
 // logOfTwoTerms returns the log of two terms. The first term leaves marks for two jobs. In the
 // second term, tasks 0 and 8 of job 3 may be offered; the mark for its task 9 is never written.
 func logOfTwoTerms(t *testing.T) []eventlog.Entry {
 	t.Helper()
 	first := beginTerm(1, 1, 2, nil)
-	if got := freshFrom(first, 1); got != jobTasks {
+	if got := unassignedFrom(first, 1); got != jobTasks {
 		t.Errorf("without marks of earlier terms, job 1 counts as unassigned from task %d on", got)
 	}
 	log := commitAll(t, first)
@@ -105,9 +107,9 @@
 
 // A task may be offered once a mark beyond it is durable. From the marks the next term
 // determines which tasks were never handed out.
-func TestNextTermKnowsFreshTasksFromMarks(t *testing.T) {
+func TestNextTermRestoresUnassignedTasksFromMarks(t *testing.T) {
 	next := beginTerm(3, 1, 3, logOfTwoTerms(t))
-	if a, b := freshFrom(next, 1), freshFrom(next, 3); a != jobTasks || b != 9 {
+	if a, b := unassignedFrom(next, 1), unassignedFrom(next, 3); a != jobTasks || b != 9 {
 		t.Errorf("jobs 1 and 3 count as unassigned from tasks %d and %d on, want %d and 9", a, b, jobTasks)
 	}
 }
@@ -122,7 +124,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for id := uint64(1); id <= 3; id++ {
-				if got := freshFrom(component, id); got != jobTasks {
+				if got := unassignedFrom(component, id); got != jobTasks {
 					t.Errorf("job %d counts as unassigned from task %d on", id, got)
 				}
 			}
@@ -158,8 +160,8 @@
 			spans++
 		}
 	}
-	if after := beginTerm(4, 1, 3, kept); spans != 1 || freshFrom(after, 3) != 9 {
-		t.Errorf("after the compaction: %d spans, job 3 counts as unassigned from task %d on", spans, freshFrom(after, 3))
+	if after := beginTerm(4, 1, 3, kept); spans != 1 || unassignedFrom(after, 3) != 9 {
+		t.Errorf("after the compaction: %d spans, job 3 counts as unassigned from task %d on", spans, unassignedFrom(after, 3))
 	}
 }
 
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -155,7 +155,7 @@
 	c.cycledAt = now
 	c.planned = c.planned[:0]
 	snap := c.Snapshot(now)
-	snap.Place = func(job *jobs.Job, k int, machine *workers.Machine) { c.planTask(now, job, k, machine) }
+	snap.Place = func(job *jobs.Job, task int, machine *workers.Machine) { c.planTask(now, job, task, machine) }
 	snap.Unplace = c.cancelTask
 	c.Counts.LeftWaiting += uint64(c.Scheduler.RunCycle(snap))
 	c.MachinesWithPlans = slices.DeleteFunc(c.MachinesWithPlans, func(machine *workers.Machine) bool {
@@ -169,10 +169,10 @@
 	}
 }
 
-// planTask plans task k of a job on a machine.
-func (c *Component) planTask(now time.Duration, job *jobs.Job, k int, machine *workers.Machine) {
-	ref := workers.TaskRef{Job: job.Index, Task: int32(k)}
-	job.Place(k)
+// planTask plans a task of a job on a machine.
+func (c *Component) planTask(now time.Duration, job *jobs.Job, task int, machine *workers.Machine) {
+	ref := workers.TaskRef{Job: job.Index, Task: int32(task)}
+	job.Place(task)
 	job.CountInZone(machine.Zone, 1)
 	plan := &workers.Placement{
 		Ref:            ref,
@@ -200,9 +200,9 @@
 	machine.UseImage(job.Image, job.Record.ImageGB, now)
 }
 
-// cancelTask cancels the plan for task k of a job in the cycle that made it.
-func (c *Component) cancelTask(job *jobs.Job, k int) {
-	c.CancelPlan(c.Placements[workers.TaskRef{Job: job.Index, Task: int32(k)}])
+// cancelTask cancels the plan for a task of a job in the cycle that made it.
+func (c *Component) cancelTask(job *jobs.Job, task int) {
+	c.CancelPlan(c.Placements[workers.TaskRef{Job: job.Index, Task: int32(task)}])
 	if c.Pools != nil {
 		c.Pools.TaskRemoved(job)
 	}
--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -42,52 +42,52 @@
 }
 
 // Tick probes machines whose heartbeat is overdue.
-func (d *Component) Tick(now time.Duration, leaseValid bool) {
-	if !leaseValid || now-d.lastRunAt < probeInterval {
+func (c *Component) Tick(now time.Duration, leaseValid bool) {
+	if !leaseValid || now-c.lastRunAt < probeInterval {
 		return
 	}
-	d.lastRunAt = now
-	lateAfter := settings.Seconds(lateHeartbeatFactor*d.Cfg.Deployment.Workers.ReportS) + heartbeatGrace
-	for _, m := range d.Inventory.All() {
-		if len(d.inFlight) >= maxInFlight {
+	c.lastRunAt = now
+	lateAfter := settings.Seconds(lateHeartbeatFactor*c.Cfg.Deployment.Workers.ReportS) + heartbeatGrace
+	for _, m := range c.Inventory.All() {
+		if len(c.inFlight) >= maxInFlight {
 			return
 		}
-		if d.mayProbe(m) && now-d.lastHeard(m) > lateAfter {
-			d.probe(m)
+		if c.mayProbe(m) && now-c.lastHeard(m) > lateAfter {
+			c.probe(m)
 		}
 	}
 }
 
 // lastHeard returns when the machine last reported in this term, or else when the term began.
-func (d *Component) lastHeard(m *workers.Machine) time.Duration {
-	return max(m.LastHeartbeat, d.TermBegan)
+func (c *Component) lastHeard(m *workers.Machine) time.Duration {
+	return max(m.LastHeartbeat, c.TermBegan)
 }
 
 // mayProbe reports whether a machine can be probed: it is registered and not being deleted, its
 // address is known, and no probe of it is in flight.
-func (d *Component) mayProbe(m *workers.Machine) bool {
-	_, inFlight := d.inFlight[m.Name]
+func (c *Component) mayProbe(m *workers.Machine) bool {
+	_, inFlight := c.inFlight[m.Name]
 	return !inFlight && m.Durable && !m.Deleting && m.Address != ""
 }
 
 // probe sends a probe unless enough probes went unanswered since the machine last reported.
-func (d *Component) probe(m *workers.Machine) {
-	heard := d.lastHeard(m)
+func (c *Component) probe(m *workers.Machine) {
+	heard := c.lastHeard(m)
 	if m.UnansweredSince < heard {
 		m.UnansweredProbes, m.UnansweredSince = 0, heard
 	}
-	if m.UnansweredProbes < d.Cfg.Tunables.ProbeSilent {
-		d.inFlight[m.Name] = heard
-		d.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
+	if m.UnansweredProbes < c.Cfg.Tunables.ProbeSilent {
+		c.inFlight[m.Name] = heard
+		c.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
 	}
 }
 
 // WorkerProbed records whether a machine answered a probe.
-func (d *Component) WorkerProbed(machine string, answered bool) {
-	m := d.Inventory.Find(machine)
-	heard, inFlight := d.inFlight[machine]
-	delete(d.inFlight, machine)
-	if m == nil || !inFlight || d.lastHeard(m) != heard {
+func (c *Component) WorkerProbed(machine string, answered bool) {
+	m := c.Inventory.Find(machine)
+	heard, inFlight := c.inFlight[machine]
+	delete(c.inFlight, machine)
+	if m == nil || !inFlight || c.lastHeard(m) != heard {
 		return // deleted, or has reported in the meantime
 	}
 	m.UnansweredProbes++
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -51,42 +51,42 @@
 // detectFailures checks every machine for silence, for a boot that takes too long, for a
 // preemption notice and for tasks that have not stopped as ordered. It decommissions failed
 // machines and evacuates those that will be preempted or returned.
-func (d *Component) detectFailures(now time.Duration, leaseValid bool) {
-	check := d.newFailureCheck(now, leaseValid)
-	for _, m := range slices.Clone(d.Inventory.All()) {
+func (c *Component) detectFailures(now time.Duration, leaseValid bool) {
+	check := c.newFailureCheck(now, leaseValid)
+	for _, m := range slices.Clone(c.Inventory.All()) {
 		if m.Deleting {
 			continue
 		}
-		if now-d.lastHeard(m) > d.SuspectAfter() {
-			d.CancelPlans(m)
+		if now-c.lastHeard(m) > c.SuspectAfter() {
+			c.CancelPlans(m)
 		}
-		if v := d.judge(check, m); v.reason != "" {
-			d.Decommission(now, m, v.action, v.reason)
+		if v := c.evaluate(check, m); v.reason != "" {
+			c.Decommission(now, m, v.action, v.reason)
 		}
 		if m.PreemptionNotice || m.Draining {
-			d.evacuate(now, m)
+			c.evacuate(now, m)
 		}
 	}
 }
 
 // newFailureCheck computes the values that all machines share, and updates the records of zone
 // outages and of reachable zones.
-func (d *Component) newFailureCheck(now time.Duration, leaseValid bool) failureCheck {
-	w := d.Cfg.Deployment.Workers
+func (c *Component) newFailureCheck(now time.Duration, leaseValid bool) failureCheck {
+	w := c.Cfg.Deployment.Workers
 	check := failureCheck{
 		now:          now,
 		leaseValid:   leaseValid,
-		silenceLimit: d.GiveUpAfter(),
-		mostSilent:   d.MostMachinesSilent(now),
+		silenceLimit: c.GiveUpAfter(),
+		mostSilent:   c.MostMachinesSilent(now),
 		overdueStop:  settings.Seconds(overdueStopShare * w.CancelS),
 	}
 	if check.mostSilent {
 		// When most machines are silent at once, the fault is more likely on the leader's side.
 		check.silenceLimit = max(check.silenceLimit, settings.Seconds(lostLeaseFactor*w.LeaseS))
 	}
-	d.trackZoneOutages(now, check.mostSilent)
-	d.zoneReachable = d.reachableZones(now)
-	for _, j := range d.Jobs.All() {
+	c.trackZoneOutages(now, check.mostSilent)
+	c.zoneReachable = c.reachableZones(now)
+	for _, j := range c.Jobs.All() {
 		if j != nil && j.Phase == jobs.Cancelling && now-j.CancelAskedAt > check.overdueStop {
 			check.lateCancellations = append(check.lateCancellations, j)
 		}
@@ -95,21 +95,21 @@
 }
 
 // lastHeard returns when the machine last reported in this term, or else when the term began.
-func (d *Component) lastHeard(m *workers.Machine) time.Duration {
-	return max(m.LastHeartbeat, d.TermBegan)
+func (c *Component) lastHeard(m *workers.Machine) time.Duration {
+	return max(m.LastHeartbeat, c.TermBegan)
 }
 
-// judge decides whether a machine is decommissioned. The rules apply in this order; the
+// evaluate decides whether a machine is decommissioned. The rules apply in this order; the
 // first that matches decides.
-func (d *Component) judge(check failureCheck, m *workers.Machine) verdict {
+func (c *Component) evaluate(check failureCheck, m *workers.Machine) verdict {
 	if check.leaseValid {
-		if v := d.judgeCancellation(check, m); v.reason != "" {
+		if v := c.evaluateCancellation(check, m); v.reason != "" {
 			return v
 		}
-		if v, decided := d.judgeSilence(check, m); decided {
+		if v, decided := c.evaluateSilence(check, m); decided {
 			return v
 		}
-		if v := d.judgeDelivery(check.now, m); v.reason != "" {
+		if v := c.evaluateDelivery(check.now, m); v.reason != "" {
 			return v
 		}
 	}
@@ -124,53 +124,53 @@
 	return verdict{}
 }
 
-// judgeCancellation decommissions a machine that delays the end of a cancellation: its deletion
+// evaluateCancellation decommissions a machine that delays the end of a cancellation: its deletion
 // proves that the tasks are gone. This requires a valid lease, without which the leader could
 // not report the end to the user.
-func (d *Component) judgeCancellation(check failureCheck, m *workers.Machine) verdict {
-	mayHaveTask := func(j *jobs.Job) bool { return d.mayHaveTaskOn(j, m) }
-	silent := check.now-d.lastHeard(m) > d.SuspectAfter()
+func (c *Component) evaluateCancellation(check failureCheck, m *workers.Machine) verdict {
+	mayHaveTask := func(j *jobs.Job) bool { return c.mayHaveTaskOn(j, m) }
+	silent := check.now-c.lastHeard(m) > c.SuspectAfter()
 	switch {
 	case slices.ContainsFunc(check.lateCancellations, mayHaveTask):
 		return verdict{cluster.Delete, "a cancelled job's task not proved gone"}
-	case !check.mostSilent && silent && d.hasOnlyCancelledTasks(m):
+	case !check.mostSilent && silent && c.hasOnlyCancelledTasks(m):
 		return verdict{cluster.Delete, "silent, with nothing but cancelled jobs' tasks"}
 	}
 	return verdict{}
 }
 
-// judgeSilence decommissions a machine that was silent for too long or never booted. If decided
+// evaluateSilence decommissions a machine that was silent for too long or never booted. If decided
 // is true with an empty verdict, the machine is waited for and no later rule applies.
-func (d *Component) judgeSilence(check failureCheck, m *workers.Machine) (v verdict, decided bool) {
-	now, heard := check.now, d.lastHeard(m)
+func (c *Component) evaluateSilence(check failureCheck, m *workers.Machine) (v verdict, decided bool) {
+	now, heard := check.now, c.lastHeard(m)
 	overLimit := (m.Up || m.Durable) && now-heard > check.silenceLimit
 	switch {
-	case !m.Up && m.Durable && now-d.TermBegan <= d.SilenceAllowance():
+	case !m.Up && m.Durable && now-c.TermBegan <= c.SilenceAllowance():
 		return verdict{}, true // its worker may be alive and may still report to this leader
-	case overLimit && d.toleratesSilence(now, m):
+	case overLimit && c.toleratesSilence(now, m):
 		return verdict{}, true // its whole zone is silent and is waited for
-	case m.Durable && d.probesUnanswered(m, heard):
+	case m.Durable && c.probesUnanswered(m, heard):
 		return verdict{cluster.Delete, "does not answer"}, true
 	case overLimit:
 		return verdict{cluster.Delete, "silent"}, true
-	case !m.Up && !m.Durable && now-m.RentedAt > d.bootLimit(m):
+	case !m.Up && !m.Durable && now-m.RentedAt > c.bootLimit(m):
 		return verdict{cluster.Delete, "never came up"}, true
 	}
 	return verdict{}, false
 }
 
 // bootLimit returns how long after its rental a machine may take to send its first report.
-func (d *Component) bootLimit(m *workers.Machine) time.Duration {
-	return settings.Seconds(d.Cfg.Tunables.BootGiveUpTimes*d.Types[m.Type].BootS) + bootGracePeriod
+func (c *Component) bootLimit(m *workers.Machine) time.Duration {
+	return settings.Seconds(c.Cfg.Tunables.BootGiveUpTimes*c.Types[m.Type].BootS) + bootGracePeriod
 }
 
-// judgeDelivery decommissions a machine to which commands may be delivered too late or not at
+// evaluateDelivery decommissions a machine to which commands may be delivered too late or not at
 // all.
-func (d *Component) judgeDelivery(now time.Duration, m *workers.Machine) verdict {
+func (c *Component) evaluateDelivery(now time.Duration, m *workers.Machine) verdict {
 	switch {
 	case m.Quarantined:
 		return verdict{cluster.Delete, "a start sent to it may be carried out by its next life"}
-	case m.Unreachable(now, settings.Seconds(lostLeaseFactor*d.Cfg.Deployment.Workers.LeaseS)):
+	case m.Unreachable(now, settings.Seconds(lostLeaseFactor*c.Cfg.Deployment.Workers.LeaseS)):
 		return verdict{cluster.Delete, "does not hear"}
 	}
 	return verdict{}
@@ -179,20 +179,20 @@
 // evacuate stops tasks of a machine that will be preempted or returned where an early stop
 // helps: services, which are replaced elsewhere, and checkpointed tasks shortly before the
 // preemption.
-func (d *Component) evacuate(now time.Duration, m *workers.Machine) {
-	w := d.Cfg.Deployment.Workers
+func (c *Component) evacuate(now time.Duration, m *workers.Machine) {
+	w := c.Cfg.Deployment.Workers
 	for _, p := range m.Tasks {
 		if p.Planned || p.Stopping {
 			continue
 		}
-		j := d.Jobs.ByIndex(p.Ref.Job)
+		j := c.Jobs.ByIndex(p.Ref.Job)
 		switch {
 		case j.Record.Kind == jobs.Service:
 			p.Stopping, p.GraceSeconds = true, j.Record.SaveS // replaced elsewhere once this one is gone
 		case m.PreemptionNotice && j.Record.Checkpoint > 0 && p.State == workers.Running:
-			saveTime := settings.Seconds(j.Record.SaveS + saveReserveSeconds + saveReserveIntervals*w.ReportS + d.GangNotifySeconds(j))
+			saveTime := settings.Seconds(j.Record.SaveS + saveReserveSeconds + saveReserveIntervals*w.ReportS + c.GangNotifySeconds(j))
 			if m.PreemptedAt-now < saveTime {
-				d.SaveAndStop(now, j, p)
+				c.SaveAndStop(now, j, p)
 			}
 		}
 	}
@@ -200,9 +200,9 @@
 
 // mayHaveTaskOn reports whether a job may have a task on a machine, that is, whether the
 // opposite is not proved.
-func (d *Component) mayHaveTaskOn(j *jobs.Job, m *workers.Machine) bool {
+func (c *Component) mayHaveTaskOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
-		return d.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
+		return c.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
 	}
 	for _, p := range m.Tasks {
 		if p.Ref.Job == j.Index && !p.Planned {
@@ -215,12 +215,12 @@
 // hasOnlyCancelledTasks reports whether all tasks that count as being on a machine belong to
 // jobs that are being cancelled. Deleting such a machine loses no work, and users wait for the
 // end of the cancellations.
-func (d *Component) hasOnlyCancelledTasks(m *workers.Machine) bool {
+func (c *Component) hasOnlyCancelledTasks(m *workers.Machine) bool {
 	if len(m.Tasks) == 0 || m.Unresolved() {
 		return false
 	}
 	for _, p := range m.Tasks {
-		if d.Jobs.ByIndex(p.Ref.Job).Phase != jobs.Cancelling {
+		if c.Jobs.ByIndex(p.Ref.Job).Phase != jobs.Cancelling {
 			return false
 		}
 	}
@@ -229,10 +229,10 @@
 
 // probesUnanswered reports whether enough liveness probes of a silent machine went unanswered
 // while its zone is reachable. Such a machine is decommissioned earlier than other silent ones.
-func (d *Component) probesUnanswered(m *workers.Machine, heard time.Duration) bool {
-	limit := d.Cfg.Tunables.ProbeSilent
+func (c *Component) probesUnanswered(m *workers.Machine, heard time.Duration) bool {
+	limit := c.Cfg.Tunables.ProbeSilent
 	if limit <= 0 || m.UnansweredProbes < limit || m.UnansweredSince < heard {
 		return false
 	}
-	return int(m.Zone) < len(d.zoneReachable) && d.zoneReachable[m.Zone]
+	return int(m.Zone) < len(c.zoneReachable) && c.zoneReachable[m.Zone]
 }
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -41,81 +41,81 @@
 // HandleHeartbeat applies a worker's status report, relayed by the controller that received it.
 // The answer determines how that controller may answer the worker; it is emitted at once or
 // after the next scheduling cycle.
-func (d *Component) HandleHeartbeat(
+func (c *Component) HandleHeartbeat(
 	now time.Duration, leaseValid bool, request effects.RequestID, relayed effects.RelayedHeartbeat,
 ) {
 	report := &relayed.Report
-	m := d.Inventory.Find(report.Machine)
-	difference := d.Reconciled.Count(d.reconcileReport(m, report))
+	m := c.Inventory.Find(report.Machine)
+	difference := c.Reconciled.Count(c.reconcileReport(m, report))
 	switch difference.Resolution() {
 	case reconcile.Ignore:
-		d.replyWithoutApplying(now, leaseValid, request, m)
+		c.replyWithoutApplying(now, leaseValid, request, m)
 		return
 	case reconcile.Register:
-		if m = d.AddMachine(now, machineEntry(report)); m == nil {
-			d.Emit(effects.ReplyHeartbeat{To: request, Answer: effects.HeartbeatAnswer{Status: statusOK, Token: d.Token}})
+		if m = c.AddMachine(now, machineEntry(report)); m == nil {
+			c.Emit(effects.ReplyHeartbeat{To: request, Answer: effects.HeartbeatAnswer{Status: statusOK, Token: c.Token}})
 			return
 		}
-		d.LogMessage(effects.Info, "machine of unknown rental registered", "machine", report.Machine)
+		c.LogMessage(effects.Info, "machine of unknown rental registered", "machine", report.Machine)
 	}
 	m.Address = report.Address
 	if !m.Durable && !m.Deleting {
-		d.register(now, m, report)
+		c.register(now, m, report)
 	}
-	d.supersedeReply(m)
-	owner := d.assignShard(now, m, relayed)
-	commands := d.applyReport(now, m, report, difference)
+	c.supersedeReply(m)
+	owner := c.assignShard(now, m, relayed)
+	commands := c.applyReport(now, m, report, difference)
 	if owner != "" {
-		d.redirect(request, owner)
+		c.redirect(request, owner)
 		return
 	}
-	if target := d.rebalanceTarget(now, leaseValid, m, report, commands); target != "" {
+	if target := c.rebalanceTarget(now, leaseValid, m, report, commands); target != "" {
 		// Nothing is in flight to the machine. Commands for it are sent with the answer to its
 		// next heartbeat, through the other controller. The higher token makes the worker reject
 		// the former controller.
-		m.Token, m.Shard = d.NextToken(), target
-		d.redirect(request, target)
+		m.Token, m.Shard = c.NextToken(), target
+		c.redirect(request, target)
 		return
 	}
 	if leaseValid && m.NeedsToken(now) {
-		m.Token = d.NextToken() // once the worker has seen it, no earlier push dispatch can start
+		m.Token = c.NextToken() // once the worker has seen it, no earlier push dispatch can start
 	}
-	d.replyWhenDurable(leaseValid, &pendingReply{request: request, machine: m, commands: commands, since: now})
+	c.replyWhenDurable(leaseValid, &pendingReply{request: request, machine: m, commands: commands, since: now})
 }
 
 // reconcileReport returns the difference between a machine's stored state and its report; m is
 // nil if the machine is not in the inventory.
-func (d *Component) reconcileReport(m *workers.Machine, report *workers.Report) reconcile.Diff {
-	_, typed := d.TypeNames.Lookup(report.Type)
-	x := reconcile.Machine{
-		Deleted:       d.Inventory.WasDeleted(report.Machine),
-		TypeKnown:     typed,
-		Epoch:         d.Epoch,
+func (c *Component) reconcileReport(m *workers.Machine, report *workers.Report) reconcile.Diff {
+	_, typeKnown := c.TypeNames.Lookup(report.Type)
+	input := reconcile.Machine{
+		Deleted:       c.Inventory.WasDeleted(report.Machine),
+		TypeKnown:     typeKnown,
+		Epoch:         c.Epoch,
 		ReportSession: report.Session,
 		ReportSeq:     report.Seq,
 		ReportToken:   report.Token,
 		ReportEpoch:   report.Token >> cluster.TokenBits,
 	}
 	if m != nil {
-		x.Known = true
-		x.Deleting = m.Deleting
-		x.Session, x.Seq, x.Token = m.Session, m.Seq, m.Token
-		x.HighestTokenSeen = m.HighestTokenSeen()
-		x.SuspectBelow = m.SuspectBelow
+		input.Known = true
+		input.Deleting = m.Deleting
+		input.Session, input.Seq, input.Token = m.Session, m.Seq, m.Token
+		input.HighestTokenSeen = m.HighestTokenSeen()
+		input.SuspectBelow = m.SuspectBelow
 	}
-	return reconcile.Report(x)
+	return reconcile.Report(input)
 }
 
 // replyWithoutApplying answers a heartbeat whose report is ignored: the report is late, or its
 // machine is deleted or of an unknown type (m is nil).
-func (d *Component) replyWithoutApplying(
+func (c *Component) replyWithoutApplying(
 	now time.Duration, leaseValid bool, request effects.RequestID, m *workers.Machine,
 ) {
-	answer := effects.HeartbeatAnswer{Status: statusOK, Token: d.Token}
+	answer := effects.HeartbeatAnswer{Status: statusOK, Token: c.Token}
 	if m != nil {
-		m.CheckStale(now, settings.Seconds(staleIntervals*d.Cfg.Deployment.Workers.ReportS))
+		m.CheckStale(now, settings.Seconds(staleIntervals*c.Cfg.Deployment.Workers.ReportS))
 		if leaseValid && m.NeedsToken(now) {
-			m.Token = d.NextToken()
+			m.Token = c.NextToken()
 		}
 		// The answer reaches nobody, or a worker that has restarted and lost its state. Such a
 		// worker must not get a token that an earlier process was given.
@@ -124,50 +124,50 @@
 			answer.Token = 0
 		}
 	}
-	d.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
+	c.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
 }
 
 // supersedeReply answers a machine's earlier heartbeat if its answer is still pending. The
 // worker has abandoned that request, so the answer must not start anything.
-func (d *Component) supersedeReply(m *workers.Machine) {
-	pending := d.pendingByMachine[m]
+func (c *Component) supersedeReply(m *workers.Machine) {
+	pending := c.pendingByMachine[m]
 	if pending == nil {
 		return
 	}
 	answer := effects.HeartbeatAnswer{Status: statusOK, Token: m.Token}
-	d.Emit(effects.ReplyHeartbeat{To: pending.request, Answer: answer})
+	c.Emit(effects.ReplyHeartbeat{To: pending.request, Answer: answer})
 	pending.superseded = true
-	delete(d.pendingByMachine, m)
+	delete(c.pendingByMachine, m)
 }
 
 // applyReport updates the machine and its tasks from a report and returns the resulting commands
 // for the worker.
-func (d *Component) applyReport(
+func (c *Component) applyReport(
 	now time.Duration, m *workers.Machine, report *workers.Report, difference reconcile.Diff,
 ) []workers.Command {
 	if !m.Up {
 		m.UpSince = now
-		d.NeedsCycle = true
+		c.NeedsCycle = true
 	}
 	if difference == reconcile.MachineRestarted {
-		d.LogMessage(effects.Info, "worker restarted under its name", "machine", m.Name, "tasks", len(m.Tasks))
+		c.LogMessage(effects.Info, "worker restarted under its name", "machine", m.Name, "tasks", len(m.Tasks))
 	}
 	if difference.Resolution() == reconcile.ReleaseAll {
-		d.publishLostOffers(now, m)
+		c.publishLostOffers(now, m)
 	}
 	resolvedBefore := m.Resolved
-	lookup := func(job uint64, task int, here bool) (workers.TaskRecord, bool) {
-		return d.lookUpTask(m, job, task, here)
+	lookup := func(job uint64, task int, present bool) (workers.TaskRecord, bool) {
+		return c.lookUpTask(m, job, task, present)
 	}
-	events, commands := m.ApplyStatus(now, report, m.Token, d.Reconciled, lookup)
+	events, commands := m.ApplyStatus(now, report, m.Token, c.Reconciled, lookup)
 	if m.Resolved != resolvedBefore {
-		d.machineResolved(now, m)
+		c.machineResolved(now, m)
 	}
 	for _, e := range events {
-		d.applyTaskEvent(now, m, e)
+		c.applyTaskEvent(now, m, e)
 	}
-	d.cancelExcessPlans(m)
-	d.Publish(cluster.Event{Kind: cluster.HeartbeatApplied, At: now, Machine: m, Report: report})
+	c.cancelExcessPlans(m)
+	c.Publish(cluster.Event{Kind: cluster.HeartbeatApplied, At: now, Machine: m, Report: report})
 	return commands
 }
 
@@ -175,13 +175,13 @@
 // started tasks there, from the offers of its shard, that were planned on other machines, while
 // the leader allocated the same room again. On a day with seven controllers, one start in thirty
 // was refused for lack of room, and each refusal kept its machine from work for two seconds.
-func (d *Component) cancelExcessPlans(m *workers.Machine) {
+func (c *Component) cancelExcessPlans(m *workers.Machine) {
 	var none resources.Amounts
 	if none.Fits(m.Free) {
 		return
 	}
 	for _, p := range m.PlannedHere() {
-		d.CancelPlan(p)
+		c.CancelPlan(p)
 		if none.Fits(m.Free) {
 			return
 		}
@@ -191,10 +191,10 @@
 // rebalanceTarget returns the controller to which a machine's heartbeats move for load
 // balancing, or an empty string if they stay. A machine moves only when nothing is in flight to
 // it.
-func (d *Component) rebalanceTarget(
+func (c *Component) rebalanceTarget(
 	now time.Duration, leaseValid bool, m *workers.Machine, report *workers.Report, commands []workers.Command,
 ) string {
-	if d.Rebalancer == nil || !leaseValid {
+	if c.Rebalancer == nil || !leaseValid {
 		return ""
 	}
 	registered := m.Durable && m.Resolved && !m.Deleting
@@ -202,55 +202,55 @@
 	if !registered || !idle || !m.Settled() {
 		return ""
 	}
-	return d.Rebalancer.RedirectTo(now, m)
+	return c.Rebalancer.RedirectTo(now, m)
 }
 
 // redirect answers that the worker must report to the controller that holds its shard.
-func (d *Component) redirect(request effects.RequestID, controller string) {
+func (c *Component) redirect(request effects.RequestID, controller string) {
 	answer := effects.HeartbeatAnswer{Status: statusMisdirected, Node: controller}
-	d.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
+	c.Emit(effects.ReplyHeartbeat{To: request, Answer: answer})
 }
 
 // replyWhenDurable answers at once, unless the next scheduling cycle or an entry that becomes
 // durable may add starts. In that case it keeps the answer for AnswerHeartbeats.
-func (d *Component) replyWhenDurable(leaseValid bool, reply *pendingReply) {
+func (c *Component) replyWhenDurable(leaseValid bool, reply *pendingReply) {
 	m := reply.machine
 	mayStart := leaseValid && !m.Deleting && !m.PreemptionNotice
-	if mayStart && (d.NeedsCycle || m.AwaitsDurability()) {
-		d.pendingReplies = append(d.pendingReplies, reply)
-		d.pendingByMachine[m] = reply
+	if mayStart && (c.NeedsCycle || m.AwaitsDurability()) {
+		c.pendingReplies = append(c.pendingReplies, reply)
+		c.pendingByMachine[m] = reply
 		return
 	}
-	d.sendReply(leaseValid, reply)
+	c.sendReply(leaseValid, reply)
 }
 
 // sendReply answers a heartbeat with the resulting commands, the stops that are due and the
 // offers of tasks to start.
-func (d *Component) sendReply(leaseValid bool, reply *pendingReply) {
+func (c *Component) sendReply(leaseValid bool, reply *pendingReply) {
 	m := reply.machine
 	answer := effects.HeartbeatAnswer{
 		Status:   statusOK,
 		Token:    m.Token,
-		LeaseS:   d.Cfg.Tunables.BlockLeaseS,
+		LeaseS:   c.Cfg.Tunables.BlockLeaseS,
 		Commands: append(reply.commands, m.DueStops()...),
 	}
 	if leaseValid && m.Durable && m.Resolved && !m.Deleting && !m.PreemptionNotice {
-		answer.Offers = m.Offer(d.MachinesWithPlans, d.nextOfferSerial, d.NextAttempt)
+		answer.Offers = m.Offer(c.MachinesWithPlans, c.nextOfferSerial, c.NextAttempt)
 		answer.Room = m.Free
 	}
-	d.Emit(effects.ReplyHeartbeat{To: reply.request, Answer: answer})
+	c.Emit(effects.ReplyHeartbeat{To: reply.request, Answer: answer})
 }
 
 // nextOfferSerial returns a serial number that no other offer of any term has.
-func (d *Component) nextOfferSerial() uint64 {
-	d.lastOfferSerial++
-	return d.Token + d.lastOfferSerial
+func (c *Component) nextOfferSerial() uint64 {
+	c.lastOfferSerial++
+	return c.Token + c.lastOfferSerial
 }
 
 // AnswerHeartbeats sends the pending answers that no longer have to wait for durable entries.
-func (d *Component) AnswerHeartbeats(now time.Duration, leaseValid bool) {
-	kept := d.pendingReplies[:0]
-	for _, reply := range d.pendingReplies {
+func (c *Component) AnswerHeartbeats(now time.Duration, leaseValid bool) {
+	kept := c.pendingReplies[:0]
+	for _, reply := range c.pendingReplies {
 		if reply.superseded {
 			continue
 		}
@@ -259,20 +259,20 @@
 			kept = append(kept, reply)
 			continue
 		}
-		delete(d.pendingByMachine, m)
-		d.sendReply(leaseValid, reply)
+		delete(c.pendingByMachine, m)
+		c.sendReply(leaseValid, reply)
 	}
-	clear(d.pendingReplies[len(kept):])
-	d.pendingReplies = kept
+	clear(c.pendingReplies[len(kept):])
+	c.pendingReplies = kept
 }
 
 // End answers all pending heartbeats with an error status because the term is over; the workers
 // retry.
-func (d *Component) End() {
-	for _, reply := range d.pendingReplies {
+func (c *Component) End() {
+	for _, reply := range c.pendingReplies {
 		if !reply.superseded {
-			d.Emit(effects.ReplyHeartbeat{To: reply.request, Answer: effects.HeartbeatAnswer{Status: statusUnavailable}})
+			c.Emit(effects.ReplyHeartbeat{To: reply.request, Answer: effects.HeartbeatAnswer{Status: statusUnavailable}})
 		}
 	}
-	d.pendingReplies = nil
+	c.pendingReplies = nil
 }
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -27,44 +27,44 @@
 
 // register appends a machine's entry to the log, once. No task is ever started on a machine
 // before its entry is durable, so no task of an earlier term can be there.
-func (d *Component) register(now time.Duration, m *workers.Machine, report *workers.Report) {
+func (c *Component) register(now time.Duration, m *workers.Machine, report *workers.Report) {
 	m.Resolved = true
 	entry := machineEntry(report)
-	entry.Number = d.LastMachineNumber + 1
-	if !d.EventLog.Fits(eventlog.Entry{Machine: &entry}) {
-		d.Decommission(now, m, cluster.Delete, "its names are too long to be stored")
+	entry.Number = c.LastMachineNumber + 1
+	if !c.EventLog.Fits(eventlog.Entry{Machine: &entry}) {
+		c.Decommission(now, m, cluster.Delete, "its names are too long to be stored")
 		return
 	}
 	if m.QueueRegistry() {
-		d.LastMachineNumber++
-		m.Number = d.LastMachineNumber
-		d.EventLog.AppendTracked(eventlog.Entry{Machine: &entry})
+		c.LastMachineNumber++
+		m.Number = c.LastMachineNumber
+		c.EventLog.AppendTracked(eventlog.Entry{Machine: &entry})
 	}
 }
 
 // assignShard determines to which controller's shard a machine belongs after a heartbeat from it
 // was relayed. It returns the controller to which the worker must report instead, or an empty
 // string if the relaying controller is the right one.
-func (d *Component) assignShard(now time.Duration, m *workers.Machine, relayed effects.RelayedHeartbeat) string {
-	if incarnation, known := d.controllerIncarnations[relayed.Via]; known && incarnation != relayed.Life {
+func (c *Component) assignShard(now time.Duration, m *workers.Machine, relayed effects.RelayedHeartbeat) string {
+	if incarnation, known := c.controllerIncarnations[relayed.Via]; known && incarnation != relayed.Life {
 		// The controller has restarted and lost the offers that it had accepted. Tasks on offer
 		// through it are not offered again until those offers are closed.
-		for _, other := range d.Inventory.All() {
+		for _, other := range c.Inventory.All() {
 			if other.Shard == relayed.Via {
-				d.suspendOffers(other)
+				c.suspendOffers(other)
 			}
 		}
 	}
-	d.controllerIncarnations[relayed.Via] = relayed.Life
-	d.controllerLastHeard[relayed.Via] = now
+	c.controllerIncarnations[relayed.Via] = relayed.Life
+	c.controllerLastHeard[relayed.Via] = now
 	switch {
 	case m.Shard == relayed.Via:
 		return ""
-	case m.Shard != "" && now-m.LastHeartbeat < reassignAfter && now-d.controllerLastHeard[m.Shard] < reassignAfter:
+	case m.Shard != "" && now-m.LastHeartbeat < reassignAfter && now-c.controllerLastHeard[m.Shard] < reassignAfter:
 		return m.Shard
 	case m.Shard != "":
-		d.suspendOffers(m)
-		m.Token = d.NextToken() // makes the worker reject the former controller
+		c.suspendOffers(m)
+		m.Token = c.NextToken() // makes the worker reject the former controller
 	}
 	m.Shard = relayed.Via
 	return ""
@@ -72,7 +72,7 @@
 
 // suspendOffers prevents tasks planned on a machine from being offered again while an offer of
 // them is open.
-func (d *Component) suspendOffers(m *workers.Machine) {
+func (c *Component) suspendOffers(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned && len(p.Offered) > 0 {
 			p.NoNewOffers = true
@@ -82,56 +82,56 @@
 
 // machineResolved records that the leader has learned which tasks earlier terms left on a
 // machine.
-func (d *Component) machineResolved(now time.Duration, m *workers.Machine) {
-	d.NeedsCycle = true
-	d.RemoveUnresolved(m)
+func (c *Component) machineResolved(now time.Duration, m *workers.Machine) {
+	c.NeedsCycle = true
+	c.RemoveUnresolved(m)
 	for id := range m.Grants {
-		if j := d.Jobs.ByID(id); j != nil && j.UnresolvedMachines > 0 {
+		if j := c.Jobs.ByID(id); j != nil && j.UnresolvedMachines > 0 {
 			j.UnresolvedMachines--
 		}
 	}
-	d.Publish(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
-	if n, _ := d.Unresolved(); n == 0 {
-		after := (now - d.TermBegan).Round(10 * time.Millisecond)
-		d.LogMessage(effects.Info, "all machines resolved", "epoch", d.Epoch, "after", after)
+	c.Publish(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
+	if n, _ := c.Unresolved(); n == 0 {
+		after := (now - c.TermBegan).Round(10 * time.Millisecond)
+		c.LogMessage(effects.Info, "all machines resolved", "epoch", c.Epoch, "after", after)
 	}
 }
 
 // OffersStarted records offers that the leader's own shard has accepted.
-func (d *Component) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
-	m := d.Inventory.Find(machine)
+func (c *Component) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
+	m := c.Inventory.Find(machine)
 	if m == nil {
 		return
 	}
 	for _, o := range offers {
-		j := d.Jobs.ByID(o.Start.Job)
+		j := c.Jobs.ByID(o.Start.Job)
 		if j == nil {
 			continue
 		}
 		if m.TaskStarted(workers.TaskRef{Job: j.Index, Task: int32(o.Start.Task)}) {
-			d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
+			c.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
 		}
 	}
 }
 
 // MachinesDeleted removes machines whose deletion the cloud has confirmed, and everything on
 // them.
-func (d *Component) MachinesDeleted(now time.Duration, names []string) {
+func (c *Component) MachinesDeleted(now time.Duration, names []string) {
 	for _, name := range names {
-		if m := d.Inventory.Find(name); m != nil {
-			d.removeMachine(now, m)
+		if m := c.Inventory.Find(name); m != nil {
+			c.removeMachine(now, m)
 		}
 	}
-	for _, part := range eventlog.SplitNames(names, d.EventLog.MaxEntryBytes()-eventlog.EntryOverheadBytes) {
-		d.EventLog.Append(eventlog.Entry{DeletedMachines: part})
+	for _, part := range eventlog.SplitNames(names, c.EventLog.MaxEntryBytes()-eventlog.EntryOverheadBytes) {
+		c.EventLog.Append(eventlog.Entry{DeletedMachines: part})
 	}
-	d.NeedsCycle = true
+	c.NeedsCycle = true
 }
 
 // removeMachine removes one machine that is proved gone. It closes the machine's offers, applies
 // the loss of its tasks, and marks it as resolved if it was not.
-func (d *Component) removeMachine(now time.Duration, m *workers.Machine) {
-	d.publishLostOffers(now, m)
+func (c *Component) removeMachine(now time.Duration, m *workers.Machine) {
+	c.publishLostOffers(now, m)
 	for _, p := range m.CloseOffers() {
 		closed := workers.Event{
 			Kind:      workers.EventOfferClosed,
@@ -140,11 +140,11 @@
 			Attempt:   p.Attempt,
 			Placement: p,
 		}
-		d.applyTaskEvent(now, m, closed)
+		c.applyTaskEvent(now, m, closed)
 	}
 	for ref, p := range m.Tasks {
 		if p.Planned && p.Rehome() {
-			d.ListMachineWithPlans(p.Machine)
+			c.ListMachineWithPlans(p.Machine)
 			p.Withdrawn = true // a machine that it was offered to may have started it
 			continue
 		}
@@ -159,11 +159,11 @@
 			WorkerLost: true,
 		}
 		m.RemovePlacement(ref)
-		d.applyTaskEvent(now, m, gone)
+		c.applyTaskEvent(now, m, gone)
 	}
-	d.Inventory.Remove(m.Name)
+	c.Inventory.Remove(m.Name)
 	if m.Unresolved() {
-		d.machineResolved(now, m)
+		c.machineResolved(now, m)
 	}
-	d.Publish(cluster.Event{Kind: cluster.MachineProvedGone, At: now, Machine: m})
+	c.Publish(cluster.Event{Kind: cluster.MachineProvedGone, At: now, Machine: m})
 }
--- a/internal/leader/registry/registry.go
+++ b/internal/leader/registry/registry.go
@@ -71,115 +71,115 @@
 }
 
 // Replay applies an entry of the log.
-func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
+func (c *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Machine != nil:
-		d.replayedMachines[e.Machine.Name] = *e.Machine
+		c.replayedMachines[e.Machine.Name] = *e.Machine
 	case e.DeletedMachines != nil:
 		for _, name := range e.DeletedMachines {
-			d.Inventory.Remove(name)
-			delete(d.replayedMachines, name)
+			c.Inventory.Remove(name)
+			delete(c.replayedMachines, name)
 		}
 	case e.Component != nil:
-		d.replayReturns(e.Component.Data)
+		c.replayReturns(e.Component.Data)
 	}
 }
 
 // replayReturns keeps a record of returns if the term directly before this one wrote it.
-func (d *Component) replayReturns(data json.RawMessage) {
+func (c *Component) replayReturns(data json.RawMessage) {
 	var record returnRecord
 	if err := json.Unmarshal(data, &record); err != nil {
-		d.LogMessage(effects.Warn, "unreadable record of returned machines skipped", "error", err)
+		c.LogMessage(effects.Warn, "unreadable record of returned machines skipped", "error", err)
 		return
 	}
-	if record.Epoch == d.Epoch-1 {
-		d.replayedReturns = append(d.replayedReturns, record)
+	if record.Epoch == c.Epoch-1 {
+		c.replayedReturns = append(c.replayedReturns, record)
 	}
 }
 
 // Begin adds the registered machines to the inventory. What earlier terms left on them is
 // unknown until they report, except on those that the previous term recorded as empty.
-func (d *Component) Begin(now time.Duration) {
-	for _, name := range slices.Sorted(maps.Keys(d.replayedMachines)) {
-		entry := d.replayedMachines[name]
-		if m := d.AddMachine(now, entry); m != nil {
+func (c *Component) Begin(now time.Duration) {
+	for _, name := range slices.Sorted(maps.Keys(c.replayedMachines)) {
+		entry := c.replayedMachines[name]
+		if m := c.AddMachine(now, entry); m != nil {
 			m.Durable, m.Number = true, entry.Number
-			d.LastMachineNumber = max(d.LastMachineNumber, entry.Number)
+			c.LastMachineNumber = max(c.LastMachineNumber, entry.Number)
 		}
 	}
-	for _, record := range d.replayedReturns {
+	for _, record := range c.replayedReturns {
 		for _, name := range record.Machines {
-			if m := d.Inventory.Find(name); m != nil {
+			if m := c.Inventory.Find(name); m != nil {
 				m.Resolved = true
-				d.Decommission(now, m, cluster.Return, "not needed, as the term before has noted")
-				d.returnsToRecord = append(d.returnsToRecord, name) // for the term after this one
+				c.Decommission(now, m, cluster.Return, "not needed, as the term before has noted")
+				c.returnsToRecord = append(c.returnsToRecord, name) // for the term after this one
 			}
 		}
 	}
-	d.replayedMachines, d.replayedReturns = nil, nil
+	c.replayedMachines, c.replayedReturns = nil, nil
 }
 
 // HandleEvent queues the record of an empty machine's return, which must be durable before the
 // machine is deleted.
-func (d *Component) HandleEvent(e cluster.Event) {
-	if e.Kind == cluster.MachineReturnable && d.Cfg.Tunables.NoteReturns == 1 {
+func (c *Component) HandleEvent(e cluster.Event) {
+	if e.Kind == cluster.MachineReturnable && c.Cfg.Tunables.NoteReturns == 1 {
 		e.Machine.ReturnUnrecorded = true
-		d.returnsToRecord = append(d.returnsToRecord, e.Machine.Name)
+		c.returnsToRecord = append(c.returnsToRecord, e.Machine.Name)
 	}
 }
 
 // AppendEntries appends the records of machines that will be returned.
-func (d *Component) AppendEntries(time.Duration) {
-	if len(d.returnsToRecord) == 0 {
+func (c *Component) AppendEntries(time.Duration) {
+	if len(c.returnsToRecord) == 0 {
 		return
 	}
-	for _, names := range eventlog.SplitNames(d.returnsToRecord, d.EventLog.MaxEntryBytes()-2*eventlog.EntryOverheadBytes) {
-		d.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, returnRecord{Epoch: d.Epoch, Machines: names}))
+	for _, names := range eventlog.SplitNames(c.returnsToRecord, c.EventLog.MaxEntryBytes()-2*eventlog.EntryOverheadBytes) {
+		c.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, returnRecord{Epoch: c.Epoch, Machines: names}))
 	}
-	d.returnsToRecord = nil
+	c.returnsToRecord = nil
 }
 
 // EntryDurable allows tasks to start on a machine whose registration is now durable, and allows
 // machines to be deleted whose return record is now durable.
-func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
+func (c *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	switch {
 	case e.Component != nil:
-		d.returnsDurable(e.Component.Data)
+		c.returnsDurable(e.Component.Data)
 	case e.Machine != nil:
-		if m := d.Inventory.Find(e.Machine.Name); m != nil {
+		if m := c.Inventory.Find(e.Machine.Name); m != nil {
 			m.Durable = true
-			d.NeedsCycle = true
+			c.NeedsCycle = true
 		}
 	}
 }
 
 // returnsDurable allows the machines of a durable record to be deleted.
-func (d *Component) returnsDurable(data json.RawMessage) {
+func (c *Component) returnsDurable(data json.RawMessage) {
 	var record returnRecord
 	if json.Unmarshal(data, &record) != nil {
 		return // cannot happen: this term wrote it
 	}
 	for _, name := range record.Machines {
-		if m := d.Inventory.Find(name); m != nil {
+		if m := c.Inventory.Find(name); m != nil {
 			m.ReturnUnrecorded = false
 		}
 	}
 }
 
 // Tick runs the failure detector at its interval.
-func (d *Component) Tick(now time.Duration, leaseValid bool) {
-	if now-d.lastCheckAt >= checkInterval {
-		d.lastCheckAt = now
-		d.detectFailures(now, leaseValid)
+func (c *Component) Tick(now time.Duration, leaseValid bool) {
+	if now-c.lastCheckAt >= checkInterval {
+		c.lastCheckAt = now
+		c.detectFailures(now, leaseValid)
 	}
 }
 
 // LiveBytes estimates how many bytes Compact would write for the whole log.
-func (d *Component) LiveBytes() int { return len(d.Inventory.All()) * machineEntryBytes }
+func (c *Component) LiveBytes() int { return len(c.Inventory.All()) * machineEntryBytes }
 
 // Compact rewrites an entry if its machine is still in the inventory.
-func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
-	if e.Machine != nil && d.Inventory.Find(e.Machine.Name) != nil {
-		d.EventLog.Append(eventlog.Entry{Machine: e.Machine})
+func (c *Component) Compact(_ time.Duration, e eventlog.Entry) {
+	if e.Machine != nil && c.Inventory.Find(e.Machine.Name) != nil {
+		c.EventLog.Append(eventlog.Entry{Machine: e.Machine})
 	}
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -28,23 +28,23 @@
 )
 
 // lookUpTask returns the leader's record of a task that a report shows on a machine. If the task
-// is really there (here is true), a plan of it that is not on offer is cancelled.
-func (d *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, here bool) (workers.TaskRecord, bool) {
-	j := d.Jobs.ByID(jobID)
+// is really there (present is true), a plan of it that is not on offer is cancelled.
+func (c *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, present bool) (workers.TaskRecord, bool) {
+	j := c.Jobs.ByID(jobID)
 	if j == nil {
 		// Leaders of the version in production report the end of a job to users while its tasks
 		// still run.
-		phase, _ := d.Jobs.FinalPhase(jobID)
+		phase, _ := c.Jobs.FinalPhase(jobID)
 		return workers.TaskRecord{Ref: workers.NoTaskRef, EndDurable: true, Cancelled: true}, phase == jobs.Cancelled
 	}
 	if task >= len(j.Tasks) || j.Phase == jobs.Accepting {
 		return workers.TaskRecord{}, false
 	}
 	ref := workers.TaskRef{Job: j.Index, Task: int32(task)}
-	if p := d.Placements[ref]; here && p != nil && p.Planned && len(p.Offered) == 0 {
-		d.CancelPlan(p)
+	if p := c.Placements[ref]; present && p != nil && p.Planned && len(p.Offered) == 0 {
+		c.CancelPlan(p)
 	}
-	p := d.Placements[ref]
+	p := c.Placements[ref]
 	elsewhere := p != nil && (p.Machine != m || p.Planned)
 	state := j.Tasks[task]
 	jobOpen := j.Phase == jobs.Open || j.Phase == jobs.Cancelling
@@ -62,57 +62,57 @@
 
 // applyTaskEvent applies one event, caused by a report or by the removal of a machine, to the
 // job, the machine and the usage of teams.
-func (d *Component) applyTaskEvent(now time.Duration, m *workers.Machine, e workers.Event) {
-	j := d.Jobs.ByIndex(e.Ref.Job)
+func (c *Component) applyTaskEvent(now time.Duration, m *workers.Machine, e workers.Event) {
+	j := c.Jobs.ByIndex(e.Ref.Job)
 	switch e.Kind {
 	case workers.EventAdopted:
-		d.taskAdopted(now, m, j, e)
+		c.taskAdopted(now, m, j, e)
 	case workers.EventPlaced:
-		d.taskPlaced(now, m, j, e)
+		c.taskPlaced(now, m, j, e)
 	case workers.EventOfferClosed:
-		d.offerClosed(e)
+		c.offerClosed(e)
 	case workers.EventStarted:
-		d.taskBegan(now, m, j, e)
+		c.taskBegan(now, m, j, e)
 	case workers.EventCompleted:
-		d.taskCompleted(now, m, j, e)
+		c.taskCompleted(now, m, j, e)
 	case workers.EventGone:
-		d.taskGone(now, m, j, e)
+		c.taskGone(now, m, j, e)
 	}
 }
 
 // taskAdopted takes over a task that an earlier leader started.
-func (d *Component) taskAdopted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+func (c *Component) taskAdopted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	j.Place(task)
-	d.Scheduler.Charge(j.Team, j.Need)
+	c.Scheduler.Charge(j.Team, j.Need)
 	j.CountInZone(m.Zone, 1)
-	d.Placements[e.Ref] = e.Placement
-	d.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: task, Machine: m})
-	d.stopIfCancelling(j, e.Placement)
+	c.Placements[e.Ref] = e.Placement
+	c.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: task, Machine: m})
+	c.stopIfCancelling(j, e.Placement)
 	if j.Record.Kind == jobs.Gang {
-		d.gangPartAdopted(j, e.Attempt)
+		c.gangTaskAdopted(j, e.Attempt)
 	}
 }
 
-// gangPartAdopted adds an adopted task to its gang's attempt, or fails the gang if the task
+// gangTaskAdopted adds an adopted task to its gang's attempt, or fails the gang if the task
 // belongs to another attempt.
-func (d *Component) gangPartAdopted(j *jobs.Job, attempt uint64) {
-	difference := d.Reconciled.Count(reconcile.Gang(j.GangAttempt, attempt))
+func (c *Component) gangTaskAdopted(j *jobs.Job, attempt uint64) {
+	difference := c.Reconciled.Count(reconcile.Gang(j.GangAttempt, attempt))
 	if difference == reconcile.GangAttemptUnknown {
 		j.GangAttempt = attempt
 	}
 	j.GangBegan = true // must be assumed, since it is unknown whether the gang ran
 	if difference.Resolution() == reconcile.AdoptAndFailGang {
-		d.FailGang(j)
+		c.FailGang(j)
 	}
 }
 
 // taskPlaced records that an offered task is on the machine.
-func (d *Component) taskPlaced(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+func (c *Component) taskPlaced(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	p := e.Placement
 	p.Withdrawn = false
-	d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: int(e.Ref.Task), Machine: m})
-	d.stopIfCancelling(j, p)
+	c.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: int(e.Ref.Task), Machine: m})
+	c.stopIfCancelling(j, p)
 	if j.Record.Kind == jobs.Gang && (j.GangFailed || j.GangAttempt != p.Attempt) {
 		p.Stopping, p.GraceSeconds = true, 0
 	}
@@ -120,17 +120,17 @@
 
 // offerClosed allows a planned task to be offered again, or cancels its plan if the plan was
 // withdrawn while the offer was open.
-func (d *Component) offerClosed(e workers.Event) {
+func (c *Component) offerClosed(e workers.Event) {
 	p := e.Placement
 	p.NoNewOffers = false
 	if p.Withdrawn {
 		p.Withdrawn = false
-		d.CancelPlan(p)
+		c.CancelPlan(p)
 	}
 }
 
 // taskBegan records that a task was seen running.
-func (d *Component) taskBegan(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+func (c *Component) taskBegan(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	j.Running++
 	if j.FirstRunAt == 0 {
@@ -138,12 +138,12 @@
 	}
 	j.LastRunAt = now
 	j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
-	d.Estimator.TaskStarted(e.Ref.Job, task, now.Seconds())
-	d.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: task, Machine: m})
+	c.Estimator.TaskStarted(e.Ref.Job, task, now.Seconds())
+	c.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: task, Machine: m})
 }
 
 // taskCompleted records a task's result, and its run time if that is known.
-func (d *Component) taskCompleted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+func (c *Component) taskCompleted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	if e.WasRunning {
 		j.Running--
@@ -154,49 +154,49 @@
 		j.RunSeconds += runSeconds
 		j.RunCount++
 	}
-	if d.Placements[e.Ref] != nil {
-		delete(d.Placements, e.Ref)
-		d.Scheduler.Refund(j.Team, j.Need)
+	if c.Placements[e.Ref] != nil {
+		delete(c.Placements, e.Ref)
+		c.Scheduler.Refund(j.Team, j.Need)
 		j.CountInZone(m.Zone, -1)
 	}
-	d.Counts.TasksDone++
+	c.Counts.TasksDone++
 	j.Complete(task)
-	d.ResetGangIfEmpty(j)
+	c.ResetGangIfEmpty(j)
 	j.FailuresInARow, m.FailuresInARow = 0, 0
-	d.Estimator.TaskCompleted(e.Ref.Job, task, runSeconds)
-	d.Publish(cluster.Event{
+	c.Estimator.TaskCompleted(e.Ref.Job, task, runSeconds)
+	c.Publish(cluster.Event{
 		Kind:         cluster.TaskDone,
 		At:           now,
 		Job:          j,
 		Task:         task,
 		RunSeconds:   runSeconds,
-		FromThisTerm: d.FromThisTerm(e.Attempt),
+		FromThisTerm: c.FromThisTerm(e.Attempt),
 		Machine:      m,
 	})
-	d.NeedsCycle = true
+	c.NeedsCycle = true
 }
 
 // taskGone removes a task from a machine on which it has ended without a result or was never
 // present.
-func (d *Component) taskGone(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+func (c *Component) taskGone(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	if e.WasRunning {
 		j.Running--
 	}
 	if j.Phase == jobs.Open && e.Reason != workers.Stopped {
-		d.Counts.TasksRerun++
-		d.LogMessage(effects.Debug, "task requeued", "job", e.JobID, "task", task,
+		c.Counts.TasksRerun++
+		c.LogMessage(effects.Debug, "task requeued", "job", e.JobID, "task", task,
 			"machine", m.Name, "why", e.Reason.String())
 	}
-	d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
-	d.Unplace(e.Ref)
+	c.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
+	c.Unplace(e.Ref)
 	if j.Record.Kind == jobs.Gang && (j.GangBegan || failsGang(e.Reason)) {
-		d.FailGang(j)
+		c.FailGang(j)
 	}
-	d.ResetGangIfEmpty(j)
+	c.ResetGangIfEmpty(j)
 	switch e.Reason {
 	case workers.Failed:
-		d.taskFailed(now, m, j, task)
+		c.taskFailed(now, m, j, task)
 	case workers.InsufficientResources, workers.Busy:
 		m.AvoidUntil = now + refusedStartPause
 	case workers.UnknownTask:
@@ -215,7 +215,7 @@
 }
 
 // taskFailed counts a failure against the machine and the job, and applies the backoff of each.
-func (d *Component) taskFailed(now time.Duration, m *workers.Machine, j *jobs.Job, task int) {
+func (c *Component) taskFailed(now time.Duration, m *workers.Machine, j *jobs.Job, task int) {
 	m.FailuresInARow++
 	j.FailuresInARow++
 	if m.FailuresInARow >= faultyMachineErrors {
@@ -224,11 +224,11 @@
 	if j.FailuresInARow >= failingJobErrors {
 		j.NotBefore = now + time.Second<<min(j.FailuresInARow-failingJobErrors, maxBackoffDoubles)
 	}
-	d.LogMessage(effects.Debug, "task failed", "job", j.Record.ID, "task", task, "machine", m.Name)
+	c.LogMessage(effects.Debug, "task failed", "job", j.Record.ID, "task", task, "machine", m.Name)
 }
 
 // stopIfCancelling stops a task that is found on a machine while its job is being cancelled.
-func (d *Component) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
+func (c *Component) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
 	if j.Phase == jobs.Cancelling {
 		p.Stopping, p.GraceSeconds = true, 0
 	}
@@ -236,10 +236,10 @@
 
 // publishLostOffers publishes the tasks that were on offer to a machine whose worker has died.
 // Another controller may have started them there, and no report will ever show them.
-func (d *Component) publishLostOffers(now time.Duration, m *workers.Machine) {
+func (c *Component) publishLostOffers(now time.Duration, m *workers.Machine) {
 	for ref, p := range m.OpenOffers {
-		if j := d.Jobs.ByIndex(ref.Job); p.Planned && j != nil {
-			d.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
+		if j := c.Jobs.ByIndex(ref.Job); p.Planned && j != nil {
+			c.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
 		}
 	}
 }
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -27,18 +27,18 @@
 // reachableZones reports for each zone whether it is reachable. In an unreachable zone, a silent
 // machine is no more likely to be dead than to be cut off. The result is nil if silent machines
 // are not probed.
-func (d *Component) reachableZones(now time.Duration) []bool {
-	if d.Cfg.Tunables.ProbeSilent == 0 || !d.Cfg.AnyNeedsDispatch() {
+func (c *Component) reachableZones(now time.Duration) []bool {
+	if c.Cfg.Tunables.ProbeSilent == 0 || !c.Cfg.AnyNeedsDispatch() {
 		return nil
 	}
-	lateAfter := settings.Seconds(lateHeartbeatFactor * d.Cfg.Deployment.Workers.ReportS)
-	registered, late := make([]int, d.Zones.Len()), make([]int, d.Zones.Len())
-	for _, m := range d.Inventory.All() {
+	lateAfter := settings.Seconds(lateHeartbeatFactor * c.Cfg.Deployment.Workers.ReportS)
+	registered, late := make([]int, c.Zones.Len()), make([]int, c.Zones.Len())
+	for _, m := range c.Inventory.All() {
 		if !m.Durable || m.Deleting {
 			continue
 		}
 		registered[m.Zone]++
-		if now-d.lastHeard(m) > lateAfter {
+		if now-c.lastHeard(m) > lateAfter {
 			late[m.Zone]++
 		}
 	}
@@ -51,23 +51,23 @@
 
 // trackZoneOutages records which zones are silent as a whole: most of their machines are silent,
 // while machines of other zones report.
-func (d *Component) trackZoneOutages(now time.Duration, mostSilent bool) {
-	if d.Cfg.Tunables.ZonePatienceS == 0 {
+func (c *Component) trackZoneOutages(now time.Duration, mostSilent bool) {
+	if c.Cfg.Tunables.ZonePatienceS == 0 {
 		return
 	}
-	up, silent := d.SilentByZone(now)
-	for len(d.zoneOutages) < len(up) {
-		d.zoneOutages = append(d.zoneOutages, zoneOutage{})
+	up, silent := c.SilentByZone(now)
+	for len(c.zoneOutages) < len(up) {
+		c.zoneOutages = append(c.zoneOutages, zoneOutage{})
 	}
 	for zone := range up {
-		if mostSilent || !cluster.MostSilent(silent[zone], up[zone]) || !d.zoneHasPeer(zone) {
+		if mostSilent || !cluster.MostSilent(silent[zone], up[zone]) || !c.zoneHasPeer(zone) {
 			continue
 		}
-		outage := &d.zoneOutages[zone]
-		if outage.lastSeenAt == 0 || now-outage.lastSeenAt > d.GiveUpAfter() {
-			outage.beganAt = now - d.SuspectAfter()
-			d.LogMessage(effects.Warn, "zone silent, waiting for its machines",
-				"zone", d.Zones.Name(int32(zone)), "silent", silent[zone], "of", up[zone], "for", d.Cfg.Tunables.ZonePatienceS)
+		outage := &c.zoneOutages[zone]
+		if outage.lastSeenAt == 0 || now-outage.lastSeenAt > c.GiveUpAfter() {
+			outage.beganAt = now - c.SuspectAfter()
+			c.LogMessage(effects.Warn, "zone silent, waiting for its machines",
+				"zone", c.Zones.Name(int32(zone)), "silent", silent[zone], "of", up[zone], "for", c.Cfg.Tunables.ZonePatienceS)
 		}
 		outage.lastSeenAt = now
 	}
@@ -76,9 +76,9 @@
 // zoneHasPeer reports whether another controller is in a zone and may keep its workers alive
 // during an outage. On a day without one, all leases in the zone expired, and waiting for its
 // machines was useless.
-func (d *Component) zoneHasPeer(zone int) bool {
-	name := d.Zones.Name(int32(zone))
-	return slices.ContainsFunc(d.Cfg.Peers, func(p settings.Peer) bool { return p.Zone == name })
+func (c *Component) zoneHasPeer(zone int) bool {
+	name := c.Zones.Name(int32(zone))
+	return slices.ContainsFunc(c.Cfg.Peers, func(p settings.Peer) bool { return p.Zone == name })
 }
 
 // toleratesSilence reports whether a silent machine is waited for because its whole zone is
@@ -88,22 +88,22 @@
 // that team may start until they are resolved. On days with a zone cut off for longer than
 // machines are usually waited for, all its tasks were started again on machines that had to be
 // rented first, while the original tasks ran to their end.
-func (d *Component) toleratesSilence(now time.Duration, m *workers.Machine) bool {
-	if int(m.Zone) >= len(d.zoneOutages) {
+func (c *Component) toleratesSilence(now time.Duration, m *workers.Machine) bool {
+	if int(m.Zone) >= len(c.zoneOutages) {
 		return false
 	}
-	outage := d.zoneOutages[m.Zone]
-	if outage.lastSeenAt == 0 || now-outage.lastSeenAt > d.GiveUpAfter() {
+	outage := c.zoneOutages[m.Zone]
+	if outage.lastSeenAt == 0 || now-outage.lastSeenAt > c.GiveUpAfter() {
 		return false // no outage, or it ended long enough ago
 	}
-	patience := settings.Seconds(d.Cfg.Tunables.ZonePatienceS)
+	patience := settings.Seconds(c.Cfg.Tunables.ZonePatienceS)
 	if outage.lastSeenAt == now {
 		if now-outage.beganAt > patience {
 			return false // the outage has lasted too long
 		}
 	}
-	if now-outage.beganAt > patience+d.GiveUpAfter() {
+	if now-outage.beganAt > patience+c.GiveUpAfter() {
 		return false
 	}
-	return !m.Unresolved() || !d.HeldBackByUnresolved()
+	return !m.Unresolved() || !c.HeldBackByUnresolved()
 }
