--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -2,6 +2,9 @@
 // answers to users and workers. It is the boundary between the state machines and the adapters:
 // the core emits effects, the node executes them, and their results return to the core as
 // inputs. Nothing in this package performs an action.
+//
+// A result that the comments here name, such as RelayAnswered, is the method of node.Core that
+// receives it.
 package effects
 
 import (
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -135,7 +135,7 @@
 // that takes on-demand machines. It is a share of the shortest time that the objectives of its
 // class leave.
 func (c *Component) backlogHorizon(j *jobs.Job) float64 {
-	best := 0.0
+	shortest := 0.0
 	for _, o := range c.Cfg.Deployment.Objectives {
 		if o.Class != j.Record.Class {
 			continue
@@ -149,14 +149,14 @@
 		case settings.ObjectiveDeadline:
 			seconds = j.Record.DeadlineS - j.MeanRunSeconds()
 		}
-		if seconds > 0 && (best == 0 || seconds < best) {
-			best = seconds
+		if seconds > 0 && (shortest == 0 || seconds < shortest) {
+			shortest = seconds
 		}
 	}
-	if best == 0 {
+	if shortest == 0 {
 		return c.Cfg.Tunables.OrdinaryBacklogS
 	}
-	return max(c.Cfg.Tunables.ObjectiveShare*best, c.Cfg.Tunables.DrainBacklogS)
+	return max(c.Cfg.Tunables.ObjectiveShare*shortest, c.Cfg.Tunables.DrainBacklogS)
 }
 
 // retentionWindow returns for how long capacity must not have been needed before it is returned.
--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -27,9 +27,9 @@
 	return out
 }
 
-// releasedSoon reports whether a held job will be released soon: all tasks that it depends on
-// are placed, and run for no longer than a machine is usually kept. No capacity is kept for a
-// job that waits for hours.
+// releasedSoon reports whether a held job will be released soon: all tasks of the jobs that it
+// depends on are placed, and run on average for no longer than a machine is usually kept. No
+// capacity is kept for a job that waits for hours.
 func (c *Component) releasedSoon(j *jobs.Job) bool {
 	if j.Phase != jobs.Held || len(j.Dependencies) == 0 {
 		return false
--- a/internal/leader/autoscaler/provisioner.go
+++ b/internal/leader/autoscaler/provisioner.go
@@ -70,7 +70,9 @@
 	Spot       bool               // spot machines, else on-demand ones
 	CPUsByZone map[string]float64 // existing processors in each zone
 	UsualStayS float64            // seconds that a machine is usually kept; its boot time is paid for too
-	Fits       func(t eventlog.MachineType, zone string, spot bool) bool
+
+	// Fits reports whether machines of a type, zone and kind may cover the demand.
+	Fits func(t eventlog.MachineType, zone string, spot bool) bool
 }
 
 // offer is a number of machines of one type, zone and kind that would cover a demand or a part
@@ -83,7 +85,8 @@
 }
 
 // Rent chooses requests that cover a demand as far as there are offers, each time the cheapest
-// offer for the capacity that is still missing.
+// offer for the capacity that is still missing. Each request counts as unanswered until
+// RequestAnswered is called for it.
 func (p *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, demand Demand) []eventlog.Rental {
 	var requests []eventlog.Rental
 	missing := demand.CPUs
@@ -137,7 +140,7 @@
 	return !p.ZoneAvoided(now, k.zone) && !p.isOutstanding(k)
 }
 
-// newRequest returns a request for an offer under a name of its own.
+// newRequest returns a request for an offer under a new name, and records it as unanswered.
 func (p *Provisioner) newRequest(o offer) eventlog.Rental {
 	p.lastNumber++
 	r := eventlog.Rental{
@@ -177,7 +180,7 @@
 func keyOf(r eventlog.Rental) offerKey { return offerKey{typ: r.Type, zone: r.Zone, spot: r.Spot} }
 
 // RequestAnswered records how many machines a request brought. An offer that brought fewer than
-// requested is excluded for a backoff. known is false if there is no such request.
+// requested is excluded for a backoff. known is false if no such request is unanswered.
 func (p *Provisioner) RequestAnswered(now time.Duration, name string, got int) (request eventlog.Rental, known bool) {
 	r, ok := p.unanswered[name]
 	if !ok {
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -109,7 +109,7 @@
 
 // rentForDemand requests machines for the demand that is not covered: spot machines if jobs may
 // use them, on-demand machines if none of those can be requested, and on-demand machines for
-// jobs that may not use spot machines, however much room there is on those.
+// jobs that may not use spot machines, however much room the spot machines have.
 func (c *Component) rentForDemand(s *scalingRun) []eventlog.Rental {
 	onDemandOnly := slices.DeleteFunc(slices.Clone(s.open), func(j *jobs.Job) bool { return j.UseSpot })
 	var requests []eventlog.Rental
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// AfterCycle dispatches tasks whose grant and intent are durable to machines with nothing else
-// in flight, with at most one command to each.
+// AfterCycle dispatches tasks whose grant and intent are durable (see package placement) to
+// machines with nothing else in flight, with at most one command to each.
 func (c *Component) AfterCycle(now time.Duration, leaseValid bool) {
 	if !leaseValid || len(c.DispatchQueue) == 0 {
 		return
@@ -142,7 +142,7 @@
 }
 
 // mayDispatch reports whether a planned task may be sent straight to its machine: it is marked
-// for a direct start, it is not on offer, and its grant and intent are durable.
+// for a direct start, it is neither withdrawn nor on offer, and its grant and intent are durable.
 func mayDispatch(m *workers.Machine, p *workers.Placement) bool {
 	if p.NoNewOffers || p.Withdrawn || len(p.Offered) > 0 {
 		return false
@@ -184,7 +184,7 @@
 	UnderWay   int    `json:"under_way"`
 }
 
-// Show returns the component's only view, which has no name, as JSON.
+// Show returns the component's only view as JSON. The name of the view is the empty string.
 func (c *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -1,7 +1,7 @@
 // Package fairshare is the component of a leader's term that maintains the order of the jobs: it
-// ages their sizes in the virtual cluster of HFSP (package sizing), sets final sizes, and writes
-// both to the event log. Only this component writes entries of sizes, except that the compaction
-// of a job's entries rewrites the job's final size.
+// ages their sizes in the virtual cluster of HFSP, the Hadoop Fair Sojourn Protocol (package
+// sizing), sets final sizes, and writes both to the event log. Only this component writes entries
+// of sizes, except that the compaction of a job's entries rewrites the job's final size.
 package fairshare
 
 import (
--- a/internal/leader/placement/grants.go
+++ b/internal/leader/placement/grants.go
@@ -14,7 +14,7 @@
 	grantIdleTimeout  = 8 * time.Second // after this time with nothing on a machine, a job's grant is revoked
 	maxMachineBytes   = 10              // upper bound for the bytes of a machine in an entry
 	usualMachineBytes = 5               // usual number of bytes of a machine in an entry
-	entryOverhead     = 6               // the rest of an entry, as a number of machines of maxMachineBytes
+	entryOverhead     = 6               // size of the rest of an entry, in units of maxMachineBytes
 )
 
 // replayGrant records which machines a grant names or revokes.
--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -26,9 +26,13 @@
 // span of such terms up to itself. If no span reaches up to the previous term, all tasks of all
 // jobs count as handed out, as they do without marks.
 const (
-	minMarkMargin   = 8  // a mark is at least this many tasks beyond the task that needs it,
-	markMarginShare = 8  // or this share of the tasks up to it if that is more: few starts wait for a mark
-	maxMarkBytes    = 32 // upper bound for a job's mark in an entry
+	// A mark is set beyond the task that needs it, so that few starts wait for a mark. The margin
+	// is minMarkMargin tasks, or the number of tasks up to that task divided by
+	// markMarginDivisor if that is more.
+	minMarkMargin     = 8
+	markMarginDivisor = 8
+
+	maxMarkBytes = 32 // upper bound for the bytes of a job's mark in an entry
 )
 
 // markEntry is one of the component's own entries. It has the marks of some jobs, or the span of
@@ -168,7 +172,7 @@
 	job := c.Jobs.ByIndex(plan.Ref.Job)
 	mark := len(job.Tasks)
 	if job.Record.Kind == jobs.Array {
-		mark = min(mark, task+1+max(minMarkMargin, (task+1)/markMarginShare))
+		mark = min(mark, task+1+max(minMarkMargin, (task+1)/markMarginDivisor))
 	}
 	marks.requested[id], marks.unwritten[id] = mark, mark
 }
@@ -207,8 +211,8 @@
 	c.EventLog.AppendTracked(eventlog.NewComponentEntry(Name, entry))
 }
 
-// marksDurable allows the plans to be offered that are covered by the marks of the first entry
-// in flight, which is now durable.
+// marksDurable handles that the first entry in flight has become durable: the plans that its
+// marks cover may now be offered.
 func (c *Component) marksDurable() {
 	marks := &c.marks
 	list := marks.inFlight[0]
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -82,7 +82,8 @@
 	c.recoverMarks()
 }
 
-// EntryDurable allows the tasks to start whose intent an entry of this component made durable.
+// EntryDurable handles that an entry of this component has become durable: the tasks whose
+// intent it recorded may now start.
 func (c *Component) EntryDurable(_ time.Duration, _ bool, entry eventlog.Entry) {
 	if entry.Component != nil {
 		c.marksDurable()
@@ -129,7 +130,7 @@
 }
 
 // RunCycle runs a scheduling cycle if anything has changed, and preempts tasks in favor of jobs
-// that are ahead of theirs.
+// that come before theirs in the order.
 func (c *Component) RunCycle(now time.Duration) {
 	if !c.NeedsCycle {
 		return
@@ -141,7 +142,8 @@
 	}
 }
 
-// RequestCycle runs a scheduling cycle after a commit, unless one ran within minCyclePause.
+// RequestCycle runs a scheduling cycle after a commit if anything has changed, unless one ran
+// within minCyclePause.
 func (c *Component) RequestCycle(now time.Duration) {
 	if c.NeedsCycle && now-c.cycledAt >= minCyclePause {
 		c.runCycle(now)
--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -1,8 +1,9 @@
 // Package probe is the component of a leader's term that sends liveness probes to silent
 // machines. An answer shows that a machine is alive; a missing answer proves nothing. But a
 // machine that sends no heartbeats and answers no probes, while its zone is reachable, is more
-// likely dead than not. It is decommissioned earlier than others where some tasks should start
-// within a heartbeat interval. Only the answer to its deletion proves that nothing runs there.
+// likely dead than not. If some class of jobs should start within a heartbeat interval, such a
+// machine is decommissioned earlier than other silent ones. Only the answer to its deletion
+// proves that nothing runs there.
 package probe
 
 import (
@@ -32,7 +33,7 @@
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	inFlight  map[string]time.Duration // by machine with a probe in flight: when it last reported before that
+	inFlight  map[string]time.Duration // probes in flight, by machine: value of lastHeard when each was sent
 	lastRunAt time.Duration
 }
 
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -124,9 +124,9 @@
 	return verdict{}
 }
 
-// evaluateCancellation decommissions a machine that delays the end of a cancellation: its deletion
-// proves that the tasks are gone. This requires a valid lease, without which the leader could
-// not report the end to the user.
+// evaluateCancellation decides to delete a machine that delays the end of a cancellation: its
+// deletion proves that the tasks are gone. This requires a valid lease, without which the leader
+// could not report the end to the user.
 func (c *Component) evaluateCancellation(check failureCheck, m *workers.Machine) verdict {
 	mayHaveTask := func(j *jobs.Job) bool { return c.mayHaveTaskOn(j, m) }
 	silent := check.now-c.lastHeard(m) > c.SuspectAfter()
@@ -139,8 +139,8 @@
 	return verdict{}
 }
 
-// evaluateSilence decommissions a machine that was silent for too long or never booted. If decided
-// is true with an empty verdict, the machine is waited for and no later rule applies.
+// evaluateSilence decides to delete a machine that was silent for too long or never booted. If
+// decided is true with an empty verdict, the machine is waited for and no later rule applies.
 func (c *Component) evaluateSilence(check failureCheck, m *workers.Machine) (v verdict, decided bool) {
 	now, heard := check.now, c.lastHeard(m)
 	overLimit := (m.Up || m.Durable) && now-heard > check.silenceLimit
@@ -164,8 +164,8 @@
 	return settings.Seconds(c.Cfg.Tunables.BootGiveUpTimes*c.Types[m.Type].BootS) + bootGracePeriod
 }
 
-// evaluateDelivery decommissions a machine to which commands may be delivered too late or not at
-// all.
+// evaluateDelivery decides to delete a machine to which commands may be delivered too late or not
+// at all.
 func (c *Component) evaluateDelivery(now time.Duration, m *workers.Machine) verdict {
 	switch {
 	case m.Quarantined:
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -107,7 +107,7 @@
 }
 
 // replyWithoutApplying answers a heartbeat whose report is ignored: the report is late, or its
-// machine is deleted or of an unknown type (m is nil).
+// machine is deleted or of an unknown type. m is nil if the machine is not in the inventory.
 func (c *Component) replyWithoutApplying(
 	now time.Duration, leaseValid bool, request effects.RequestID, m *workers.Machine,
 ) {
--- a/internal/leader/registry/registry.go
+++ b/internal/leader/registry/registry.go
@@ -22,7 +22,7 @@
 // machineEntryBytes is the approximate size of a machine's entry in the log.
 const machineEntryBytes = 100
 
-// Name is the key of the component's own entries.
+// Name is the key of the component's own entries in the event log.
 const Name = "roster"
 
 // Component manages the machines of a term.
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -28,7 +28,8 @@
 )
 
 // lookUpTask returns the leader's record of a task that a report shows on a machine. If the task
-// is really there (present is true), a plan of it that is not on offer is cancelled.
+// is really there (present is true), a plan of it that is not on offer is cancelled. The second
+// result is false if the job has no such task or is still being accepted.
 func (c *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, present bool) (workers.TaskRecord, bool) {
 	j := c.Jobs.ByID(jobID)
 	if j == nil {
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// A zone is reachable if at most one in minReachableRatio of its machines is late.
-	minReachableRatio = 5
+	// A zone is reachable if at most one in reachableLateDivisor of its machines is late.
+	reachableLateDivisor = 5
 
 	// A machine is late once its heartbeat is overdue by a quarter of the interval.
 	lateHeartbeatFactor = 1.25
@@ -44,7 +44,7 @@
 	}
 	reachable := make([]bool, len(registered))
 	for zone := range registered {
-		reachable[zone] = late[zone]*minReachableRatio <= registered[zone]
+		reachable[zone] = late[zone]*reachableLateDivisor <= registered[zone]
 	}
 	return reachable
 }
@@ -85,7 +85,7 @@
 // silent. The wait ends once the outage has lasted for the setting zone_patience, or GiveUpAfter
 // after the outage has ended, and in any case GiveUpAfter beyond zone_patience. An unresolved
 // machine is not waited for if unresolved machines take much of a team's limit, since no task of
-// that team may start until they are resolved. On days with a zone cut off for longer than
+// that team may start until they are resolved. On days when a zone was cut off for longer than
 // machines are usually waited for, all its tasks were started again on machines that had to be
 // rented first, while the original tasks ran to their end.
 func (c *Component) toleratesSilence(now time.Duration, m *workers.Machine) bool {
