--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -1,12 +1,11 @@
-// Package autoscaler is the component of a leader's term that scales the fleet out and in:
-// it rents machines for the work there is, and returns those that are not needed. Its
-// Provisioner decides which to rent: the offers of machine type, zone and kind (spot or
-// on-demand) that cover what is missing at the least price, leaving out for a while those
-// that were refused. It alone writes the log's entries of machine types, of rental requests
-// and of their answers.
+// Package autoscaler is the component of a leader's term that scales the fleet out and in: it
+// rents machines for the open work, and returns machines that are not needed. Its Provisioner
+// decides which to rent: the offers of machine type, zone and kind (spot or on-demand) that
+// cover the missing capacity at the lowest price, except those that were refused recently. Only
+// this component writes log entries of machine types, of rental requests and of their answers.
 //
-// What is needed is worked out in demand.go and hosting.go, acted on in scale_out.go and
-// scale_in.go; cloud.go has the calls to the cloud and their answers.
+// demand.go and hosting.go determine what is needed, scale_out.go and scale_in.go act on it, and
+// cloud.go makes the calls to the cloud and applies their answers.
 package autoscaler
 
 import (
@@ -22,7 +21,7 @@
 
 const (
 	scaleInterval = 500 * time.Millisecond
-	zoneAvoidance = 45 * time.Second // after the machines of a zone were silent together
+	zoneAvoidance = 45 * time.Second // pause of rentals in a zone whose machines were silent together
 )
 
 // Component scales the fleet in a term.
@@ -43,14 +42,14 @@
 	listInFlight   bool
 	listedAt       time.Duration
 
-	// While the log is replayed.
+	// Used only while the log is replayed.
 	booting    map[string]eventlog.Machine // rented machines that are not registered
 	registered map[string]bool
 
-	typesCompacted bool // by the compaction under way
+	typesCompacted bool // the compaction under way has written the machine types
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(s *cluster.State) *Component {
 	return &Component{
 		State:          s,
@@ -65,134 +64,135 @@
 }
 
 // Replay applies an entry of the log.
-func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
+func (c *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
-		d.setTypes(e.MachineTypes)
+		c.setTypes(e.MachineTypes)
 	case e.Machine != nil:
-		d.registered[e.Machine.Name] = true
-		delete(d.booting, e.Machine.Name)
+		c.registered[e.Machine.Name] = true
+		delete(c.booting, e.Machine.Name)
 	case e.DeletedMachines != nil:
 		for _, name := range e.DeletedMachines {
-			delete(d.registered, name)
-			delete(d.booting, name)
+			delete(c.registered, name)
+			delete(c.booting, name)
 		}
 	case e.Rental != nil:
-		d.pendingRentals[e.Rental.Name] = *e.Rental
+		c.pendingRentals[e.Rental.Name] = *e.Rental
 	case e.RentalAnswer != nil:
-		d.replayRentalAnswer(e.RentalAnswer)
+		c.replayRentalAnswer(e.RentalAnswer)
 	}
 }
 
-// replayRentalAnswer enters the machines of a rental that have not registered.
-func (d *Component) replayRentalAnswer(answer *eventlog.RentalAnswer) {
-	rental := d.pendingRentals[answer.Name]
-	delete(d.pendingRentals, answer.Name)
+// replayRentalAnswer records the machines of an answered rental that have not registered.
+func (c *Component) replayRentalAnswer(answer *eventlog.RentalAnswer) {
+	rental := c.pendingRentals[answer.Name]
+	delete(c.pendingRentals, answer.Name)
 	for _, name := range answer.Machines {
-		if !d.registered[name] && !d.Inventory.WasDeleted(name) {
-			d.booting[name] = rentedMachine(name, rental)
+		if !c.registered[name] && !c.Inventory.WasDeleted(name) {
+			c.booting[name] = rentedMachine(name, rental)
 		}
 	}
 }
 
-// rentedMachine describes a machine as it was requested.
+// rentedMachine returns the entry of a machine as it was requested.
 func rentedMachine(name string, rental eventlog.Rental) eventlog.Machine {
 	return eventlog.Machine{Name: name, Type: rental.Type, Zone: rental.Zone, Spot: rental.Spot}
 }
 
-// Begin enters the machines that have not reported yet: nothing was ever started on them.
-// Requests without an answer will be sent again.
-func (d *Component) Begin(now time.Duration) {
-	for _, entry := range d.booting {
-		if m := d.AddMachine(now, entry); m != nil {
+// Begin adds the rented machines that have not reported yet; nothing was ever started on them.
+// Rental requests without an answer are sent again.
+func (c *Component) Begin(now time.Duration) {
+	for _, entry := range c.booting {
+		if m := c.AddMachine(now, entry); m != nil {
 			m.Resolved = true
 		}
 	}
-	for _, rental := range d.pendingRentals {
-		d.provisioner.Restore(rental)
+	for _, rental := range c.pendingRentals {
+		c.provisioner.Restore(rental)
 	}
-	if d.Cfg.Tunables.ListFirst == 1 && len(d.registered) > 0 {
-		d.listedAt = d.TermBegan - listInterval // what the cloud has taken meanwhile need not be waited for
+	if c.Cfg.Tunables.ListFirst == 1 && len(c.registered) > 0 {
+		// List at once: machines preempted in the meantime need not be waited for.
+		c.listedAt = c.TermBegan - listInterval
 	}
-	d.booting, d.registered = nil, nil
+	c.booting, c.registered = nil, nil
 }
 
-// EntryDurable has a rental sent whose request is durable.
-func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
+// EntryDurable schedules a rental request to be sent once it is durable.
+func (c *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	if e.Rental != nil {
-		d.pendingRentals[e.Rental.Name] = *e.Rental
-		d.rentalDueAt[e.Rental.Name] = now
+		c.pendingRentals[e.Rental.Name] = *e.Rental
+		c.rentalDueAt[e.Rental.Name] = now
 	}
 }
 
 // Tick scales the fleet at its interval.
-func (d *Component) Tick(now time.Duration, leaseValid bool) {
-	if now-d.lastScaledAt < scaleInterval {
+func (c *Component) Tick(now time.Duration, leaseValid bool) {
+	if now-c.lastScaledAt < scaleInterval {
 		return
 	}
-	d.lastScaledAt = now
-	if !d.MostMachinesSilent(now) {
-		d.avoidSilentZones(now)
+	c.lastScaledAt = now
+	if !c.MostMachinesSilent(now) {
+		c.avoidSilentZones(now)
 	}
 	if leaseValid {
-		d.scale(now)
+		c.scale(now)
 	}
-	d.NeedsCycle = true
+	c.NeedsCycle = true
 }
 
-// AfterCycle calls the cloud.
-func (d *Component) AfterCycle(now time.Duration, leaseValid bool) { d.callCloud(now, leaseValid) }
+// AfterCycle makes the calls to the cloud that are due.
+func (c *Component) AfterCycle(now time.Duration, leaseValid bool) { c.makeDueCalls(now, leaseValid) }
 
-// Compact writes anew what is live of an entry.
-func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
+// Compact rewrites the part of an entry that is still needed.
+func (c *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.MachineTypes != nil:
-		if !d.typesCompacted {
-			d.typesCompacted = true
-			d.appendTypes(d.Types)
+		if !c.typesCompacted {
+			c.typesCompacted = true
+			c.appendTypes(c.Types)
 		}
 	case e.Rental != nil:
-		if rental, open := d.pendingRentals[e.Rental.Name]; open {
-			d.EventLog.Append(eventlog.Entry{Rental: &rental})
+		if rental, open := c.pendingRentals[e.Rental.Name]; open {
+			c.EventLog.Append(eventlog.Entry{Rental: &rental})
 		}
 	}
 }
 
-// CompactionDone ends a compaction.
-func (d *Component) CompactionDone() { d.typesCompacted = false }
+// CompactionDone drops the state of the compaction.
+func (c *Component) CompactionDone() { c.typesCompacted = false }
 
-// avoidSilentZones keeps anything from being rented for a while in zones where most machines
-// are silent while others are heard.
-func (d *Component) avoidSilentZones(now time.Duration) {
-	up, silent := d.SilentByZone(now)
+// avoidSilentZones pauses rentals for a while in zones where most machines are silent while
+// machines of other zones report.
+func (c *Component) avoidSilentZones(now time.Duration) {
+	up, silent := c.SilentByZone(now)
 	for zone, n := range silent {
 		if !cluster.MostSilent(n, up[zone]) {
 			continue
 		}
-		name := d.Zones.Name(int32(zone))
-		if !d.provisioner.ZoneAvoided(now, name) {
-			d.LogMessage(effects.Warn, "most machines of zone silent, scale out paused there",
+		name := c.Zones.Name(int32(zone))
+		if !c.provisioner.ZoneAvoided(now, name) {
+			c.LogMessage(effects.Warn, "most machines of zone silent, scale out paused there",
 				"zone", name, "silent", n, "of", up[zone])
 		}
-		d.provisioner.AvoidZone(name, now+zoneAvoidance)
+		c.provisioner.AvoidZone(name, now+zoneAvoidance)
 	}
 }
 
-// scale covers the work that there is with machines, and returns what was not needed for a
-// while. Machines with accelerators are a group of their own where there are others too.
-func (d *Component) scale(now time.Duration) {
-	if len(d.Types) == 0 {
+// scale rents machines for the open work, and returns capacity that was not needed for a while.
+// Machines with accelerators form a group of their own if there are other machine types too.
+func (c *Component) scale(now time.Duration) {
+	if len(c.Types) == 0 {
 		return
 	}
-	accelerated := slices.ContainsFunc(d.Types, func(t eventlog.MachineType) bool { return t.GPUs > 0 })
-	plain := slices.ContainsFunc(d.Types, func(t eventlog.MachineType) bool { return t.GPUs == 0 })
+	accelerated := slices.ContainsFunc(c.Types, func(t eventlog.MachineType) bool { return t.GPUs > 0 })
+	plain := slices.ContainsFunc(c.Types, func(t eventlog.MachineType) bool { return t.GPUs == 0 })
 	if !accelerated || !plain {
-		d.groups[0].single = true
-		d.scaleGroup(now, &d.groups[0])
+		c.groups[0].onlyGroup = true
+		c.scaleGroup(now, &c.groups[0])
 		return
 	}
-	d.groups[0].single, d.groups[1].accelerated = false, true
-	for i := range d.groups {
-		d.scaleGroup(now, &d.groups[i])
+	c.groups[0].onlyGroup, c.groups[1].accelerated = false, true
+	for i := range c.groups {
+		c.scaleGroup(now, &c.groups[i])
 	}
 }
--- a/internal/leader/autoscaler/provisioner.go
+++ b/internal/leader/autoscaler/provisioner.go
@@ -12,39 +12,40 @@
 
 const (
 	maxMachinesPerRental = 50
-	maxUnanswered        = 4 // rental requests at a time
+	maxUnanswered        = 4 // rental requests without an answer at a time
 
-	// enoughCPUs is what may be missing without anything being rented for it.
-	enoughCPUs = 0.5
-	// roundingTolerance is the part of a machine for which no further one is requested.
+	// toleratedShortageCPUs is the shortage up to which nothing is rented.
+	toleratedShortageCPUs = 0.5
+	// roundingTolerance is the fraction of a machine for which no further machine is requested.
 	roundingTolerance = 0.01
 
 	initialBackoff = 10 * time.Second
 	maxBackoff     = 80 * time.Second
 )
 
-// offerKey is what the cloud offers or refuses as one.
+// offerKey identifies what the cloud offers or refuses as a unit.
 type offerKey struct {
 	typ, zone string
 	spot      bool
 }
 
-// refusal is that of an offer; each further one in a row doubles the backoff.
+// refusal records that an offer was refused; each further refusal in a row doubles the backoff.
 type refusal struct {
 	retryAt time.Duration
 	backoff time.Duration
 }
 
-// Provisioner keeps what is known of the cloud's offers, and decides which to rent.
+// Provisioner tracks the state of the cloud's offers, and decides which to rent.
 type Provisioner struct {
 	namePrefix   string // of request names
 	lastNumber   int    // of request names
 	refusals     map[offerKey]*refusal
 	unanswered   map[string]eventlog.Rental // requests without an answer yet, by name
-	avoidedUntil map[string]time.Duration   // zones that seem cut off
+	avoidedUntil map[string]time.Duration   // by zone that seems cut off
 }
 
-// NewProvisioner makes one whose request names begin with a prefix used by no other term.
+// NewProvisioner returns a Provisioner whose request names begin with a prefix used by no other
+// term.
 func NewProvisioner(prefix string) *Provisioner {
 	return &Provisioner{
 		namePrefix:   prefix,
@@ -54,62 +55,66 @@
 	}
 }
 
-// AvoidZone leaves out a zone whose machines have fallen silent together: what is rented
-// there would boot, cost money and not be heard either.
-func (b *Provisioner) AvoidZone(zone string, until time.Duration) { b.avoidedUntil[zone] = until }
+// AvoidZone excludes a zone whose machines have become silent together: machines rented there
+// would boot and cost money, but could not report either.
+func (p *Provisioner) AvoidZone(zone string, until time.Duration) { p.avoidedUntil[zone] = until }
 
-// ZoneAvoided says whether a zone is left out now.
-func (b *Provisioner) ZoneAvoided(now time.Duration, zone string) bool {
-	return now < b.avoidedUntil[zone]
+// ZoneAvoided reports whether a zone is excluded now.
+func (p *Provisioner) ZoneAvoided(now time.Duration, zone string) bool {
+	return now < p.avoidedUntil[zone]
 }
 
-// Demand is what is missing.
+// Demand describes the missing capacity and which machines may cover it.
 type Demand struct {
 	CPUs       float64            // processors
 	Spot       bool               // spot machines, else on-demand ones
-	CPUsByZone map[string]float64 // processors there are in each zone
-	UsualStayS float64            // seconds that a machine is usually kept; its boot is paid too
-	Fits       func(t eventlog.MachineType, zone string, spot bool) bool
+	CPUsByZone map[string]float64 // existing processors in each zone
+	UsualStayS float64            // seconds that a machine is usually kept; its boot time is paid for too
+
+	// Fits reports whether machines of a type, zone and kind may cover the demand.
+	Fits func(t eventlog.MachineType, zone string, spot bool) bool
 }
 
-// offer is a number of machines of one type, zone and kind that would cover a demand or a part of it.
+// offer is a number of machines of one type, zone and kind that would cover a demand or a part
+// of it.
 type offer struct {
 	offerKey
 	count int     // of machines
-	cost  float64 // for each processor that is missing
+	cost  float64 // per missing processor
 	cpus  float64 // of one machine
 }
 
-// Rent chooses requests that cover a demand as far as offers go, each time the cheapest offer
-// for what is still missing.
-func (b *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, demand Demand) []eventlog.Rental {
+// Rent chooses requests that cover a demand as far as there are offers, each time the cheapest
+// offer for the capacity that is still missing. Each request counts as unanswered until
+// RequestAnswered is called for it.
+func (p *Provisioner) Rent(now time.Duration, types []eventlog.MachineType, demand Demand) []eventlog.Rental {
 	var requests []eventlog.Rental
 	missing := demand.CPUs
-	for missing > enoughCPUs && len(b.unanswered) < maxUnanswered {
-		offers := b.offers(now, types, demand, missing)
+	for missing > toleratedShortageCPUs && len(p.unanswered) < maxUnanswered {
+		offers := p.offers(now, types, demand, missing)
 		if len(offers) == 0 {
 			return requests
 		}
 		best := slices.MinFunc(offers, func(x, y offer) int {
-			// Of offers that cost the same the zone with least: a zone may be lost.
+			// At equal cost, prefer the zone with the least capacity, since a zone may be lost.
 			return cmp.Or(
 				cmp.Compare(x.cost, y.cost),
 				cmp.Compare(demand.CPUsByZone[x.zone], demand.CPUsByZone[y.zone]),
 			)
 		})
-		requests = append(requests, b.newRequest(best))
+		requests = append(requests, p.newRequest(best))
 		missing -= float64(best.count) * best.cpus
 	}
 	return requests
 }
 
-// offers lists the offers that may be requested now for so many missing processors.
-func (b *Provisioner) offers(now time.Duration, types []eventlog.MachineType, demand Demand, missing float64) []offer {
+// offers returns the offers that may be requested now for this many missing processors.
+func (p *Provisioner) offers(now time.Duration, types []eventlog.MachineType, demand Demand, missing float64) []offer {
 	var offers []offer
 	for _, t := range types {
 		for _, zone := range t.Zones {
 			k := offerKey{typ: t.Name, zone: zone, spot: demand.Spot}
-			if !b.isAvailable(now, k) || !demand.Fits(t, zone, demand.Spot) {
+			if !p.isAvailable(now, k) || !demand.Fits(t, zone, demand.Spot) {
 				continue
 			}
 			price := t.Price
@@ -126,32 +131,32 @@
 	return offers
 }
 
-// isAvailable says whether an offer may be requested now: it was not refused lately, its zone
-// is not avoided, and no request for it is without an answer.
-func (b *Provisioner) isAvailable(now time.Duration, k offerKey) bool {
-	if r := b.refusals[k]; r != nil && now < r.retryAt {
+// isAvailable reports whether an offer may be requested now: it was not refused recently, its
+// zone is not avoided, and no request for it is without an answer.
+func (p *Provisioner) isAvailable(now time.Duration, k offerKey) bool {
+	if r := p.refusals[k]; r != nil && now < r.retryAt {
 		return false
 	}
-	return !b.ZoneAvoided(now, k.zone) && !b.isOutstanding(k)
+	return !p.ZoneAvoided(now, k.zone) && !p.isOutstanding(k)
 }
 
-// newRequest makes a request for an offer under a name of its own.
-func (b *Provisioner) newRequest(o offer) eventlog.Rental {
-	b.lastNumber++
+// newRequest returns a request for an offer under a new name, and records it as unanswered.
+func (p *Provisioner) newRequest(o offer) eventlog.Rental {
+	p.lastNumber++
 	r := eventlog.Rental{
-		Name:  fmt.Sprintf("%s-%d", b.namePrefix, b.lastNumber),
+		Name:  fmt.Sprintf("%s-%d", p.namePrefix, p.lastNumber),
 		Type:  o.typ,
 		Zone:  o.zone,
 		Spot:  o.spot,
 		Count: o.count,
 	}
-	b.unanswered[r.Name] = r
+	p.unanswered[r.Name] = r
 	return r
 }
 
-// isOutstanding says whether a request for an offer is without an answer.
-func (b *Provisioner) isOutstanding(k offerKey) bool {
-	for _, r := range b.unanswered {
+// isOutstanding reports whether a request for an offer is without an answer.
+func (p *Provisioner) isOutstanding(k offerKey) bool {
+	for _, r := range p.unanswered {
 		if k == keyOf(r) {
 			return true
 		}
@@ -159,38 +164,38 @@
 	return false
 }
 
-// Restore takes over a request of an earlier term that has no answer yet.
-func (b *Provisioner) Restore(r eventlog.Rental) { b.unanswered[r.Name] = r }
+// Restore adds a request of an earlier term that has no answer yet.
+func (p *Provisioner) Restore(r eventlog.Rental) { p.unanswered[r.Name] = r }
 
-// UnansweredCPUs sums the processors of requests without an answer.
-func (b *Provisioner) UnansweredCPUs(cpusOf func(typeName string) float64) float64 {
+// UnansweredCPUs returns the total number of processors of requests without an answer.
+func (p *Provisioner) UnansweredCPUs(cpusOf func(typeName string) float64) float64 {
 	var sum float64
-	for _, r := range b.unanswered {
+	for _, r := range p.unanswered {
 		sum += cpusOf(r.Type) * float64(r.Count)
 	}
 	return sum
 }
 
-// keyOf is the offer that a request is for.
+// keyOf returns the key of the offer that a request is for.
 func keyOf(r eventlog.Rental) offerKey { return offerKey{typ: r.Type, zone: r.Zone, spot: r.Spot} }
 
-// RequestAnswered notes how many machines a request brought. An offer that brought fewer than
-// were requested is left out for a backoff. known is false for a request that is not open.
-func (b *Provisioner) RequestAnswered(now time.Duration, name string, got int) (request eventlog.Rental, known bool) {
-	r, ok := b.unanswered[name]
+// RequestAnswered records how many machines a request brought. An offer that brought fewer than
+// requested is excluded for a backoff. known is false if no such request is unanswered.
+func (p *Provisioner) RequestAnswered(now time.Duration, name string, got int) (request eventlog.Rental, known bool) {
+	r, ok := p.unanswered[name]
 	if !ok {
 		return r, false
 	}
-	delete(b.unanswered, name)
+	delete(p.unanswered, name)
 	k := keyOf(r)
 	if got >= r.Count {
-		delete(b.refusals, k)
+		delete(p.refusals, k)
 		return r, true
 	}
-	refused := b.refusals[k]
+	refused := p.refusals[k]
 	if refused == nil {
 		refused = &refusal{backoff: initialBackoff / 2}
-		b.refusals[k] = refused
+		p.refusals[k] = refused
 	}
 	refused.backoff = min(2*refused.backoff, maxBackoff)
 	if got > 0 {
--- a/internal/leader/autoscaler/scale_in.go
+++ b/internal/leader/autoscaler/scale_in.go
@@ -13,21 +13,21 @@
 	"bitternmoor/internal/settings"
 )
 
-// unbounded is later than anything ends.
+// unbounded is later than the end of any task.
 const unbounded = time.Duration(math.MaxInt64)
 
-// undrainOnlyHosts keeps draining machines that are the only ones for a waiting job. Found
-// on a day with pipelines: the last on-demand machine was being returned for minutes, since
-// spot ones had room enough, and jobs that may not use those waited until it was gone.
-func (d *Component) undrainOnlyHosts(restricted []*jobs.Job) {
+// undrainOnlyHosts stops draining a machine if only draining machines could take a waiting job.
+// On a day with pipelines, the last on-demand machine was draining for minutes because the spot
+// machines had enough room, and jobs that may not use those waited until it was gone.
+func (c *Component) undrainOnlyHosts(restricted []*jobs.Job) {
 	for _, j := range restricted {
-		if j.Phase != jobs.Open || d.hasPlaceFor(j) {
+		if j.Phase != jobs.Open || c.hasPlaceFor(j) {
 			continue
 		}
-		for _, m := range d.Inventory.All() {
-			if m.Draining && d.canHost(j, m) {
+		for _, m := range c.Inventory.All() {
+			if m.Draining && c.canHost(j, m) {
 				m.Draining = false
-				d.NeedsCycle = true
+				c.NeedsCycle = true
 				break
 			}
 		}
@@ -35,19 +35,20 @@
 }
 
 // scaleIn drains machines whose capacity was not needed for a while, returns those that are
-// empty, and moves checkpointed tasks off draining ones. It counts on machines that are up
-// alone: what is only requested or boots may never come, while the cloud is out for instance.
-func (d *Component) scaleIn(s *scaling, restricted, stuck []*jobs.Job) {
-	d.drainExcess(s, d.drainCandidates(s, stuck), restricted)
-	d.returnEmpty(s)
-	if d.Cfg.Tunables.MoveSaved == 1 && d.Permits(s.now, cluster.Move) {
-		d.StopAll(s.now, d.Scheduler.PlanMigrations(d.Snapshot(s.now)), cluster.Move)
+// empty, and moves checkpointed tasks off draining ones. It counts only machines that are up:
+// requested or booting ones may never come up, for example during an outage of the cloud.
+func (c *Component) scaleIn(s *scalingRun, restricted, unplaceable []*jobs.Job) {
+	c.drainExcess(s, c.drainCandidates(s, unplaceable), restricted)
+	c.returnEmpty(s)
+	if c.Cfg.Tunables.MoveSaved == 1 && c.Permits(s.now, cluster.Move) {
+		c.StopAll(s.now, c.Scheduler.PlanMigrations(c.Snapshot(s.now)), cluster.Move)
 	}
 }
 
-// drainCandidates lists the machines that may be drained, in the order in which they are.
-func (d *Component) drainCandidates(s *scaling, stuck []*jobs.Job) []*workers.Machine {
-	minStay := settings.Seconds(d.Cfg.Tunables.IdleReturnS)
+// drainCandidates returns the machines that may be drained, in the order in which they are
+// drained.
+func (c *Component) drainCandidates(s *scalingRun, unplaceable []*jobs.Job) []*workers.Machine {
+	minStay := settings.Seconds(c.Cfg.Tunables.IdleReturnS)
 	candidates := slices.DeleteFunc(slices.Clone(s.machines), func(m *workers.Machine) bool {
 		if m.Deleting || !m.Up || m.PreemptionNotice || m.Draining {
 			return true
@@ -55,19 +56,19 @@
 		if s.now < m.NotDrainedBefore || s.now-m.UpSince < minStay {
 			return true
 		}
-		return slices.ContainsFunc(stuck, func(j *jobs.Job) bool { return d.mayHost(j, m) })
+		return slices.ContainsFunc(unplaceable, func(j *jobs.Job) bool { return c.mayHost(j, m) })
 	})
 	busyUntil := map[*workers.Machine]time.Duration{}
 	for _, m := range candidates {
-		busyUntil[m] = d.busyUntil(s.now, m)
+		busyUntil[m] = c.busyUntil(s.now, m)
 	}
 	slices.SortFunc(candidates, func(a, b *workers.Machine) int {
 		return cmp.Or(
 			compareOnDemandFirst(a, b),
-			// The one that is empty first: until then the room it has left is paid for and of
-			// no use.
+			// Prefer the machine that becomes empty first: until then its remaining room costs
+			// money and is unused.
 			cmp.Compare(busyUntil[a], busyUntil[b]),
-			cmp.Compare(d.pricePerCPU(b), d.pricePerCPU(a)),
+			cmp.Compare(c.pricePerCPU(b), c.pricePerCPU(a)),
 			cmp.Compare(a.Name, b.Name),
 		)
 	})
@@ -85,16 +86,16 @@
 	return 1
 }
 
-// drainExcess drains the candidates that the highest demand of the last while does not need,
-// but none that is the only host of a restricted job.
-func (d *Component) drainExcess(s *scaling, candidates []*workers.Machine, restricted []*jobs.Job) {
-	hosts := make([]int, len(restricted)) // machines that could run each of the jobs
+// drainExcess drains the candidates that the peak demand does not need, except the only host of
+// a restricted job.
+func (c *Component) drainExcess(s *scalingRun, candidates []*workers.Machine, restricted []*jobs.Job) {
+	hosts := make([]int, len(restricted)) // number of machines that could run each job
 	for i, j := range restricted {
-		hosts[i] = d.countHosts(j)
+		hosts[i] = c.countHosts(j)
 	}
 	isOnlyHost := func(m *workers.Machine) bool {
 		for i, j := range restricted {
-			if hosts[i] == 1 && d.canHost(j, m) {
+			if hosts[i] == 1 && c.canHost(j, m) {
 				return true
 			}
 		}
@@ -110,16 +111,16 @@
 		}
 		m.Draining = true
 		for i, j := range restricted {
-			if d.canHost(j, m) {
+			if c.canHost(j, m) {
 				hosts[i]--
 			}
 		}
-		d.CancelPlans(m)
+		c.CancelPlans(m)
 	}
 }
 
-// exceedsDemand says whether the highest demand of the last while is covered without a machine.
-func (s *scaling) exceedsDemand(m *workers.Machine) bool {
+// exceedsDemand reports whether the peak demand is covered without a machine.
+func (s *scalingRun) exceedsDemand(m *workers.Machine) bool {
 	needed := s.group.onDemandPeak.value()
 	if m.Spot {
 		needed = s.group.spotPeak.value()
@@ -130,39 +131,40 @@
 	return m.Spot || s.onDemand-m.Capacity.CPUs() >= s.group.onDemandOnlyPeak.value()
 }
 
-// returnEmpty returns the draining machines on which nothing is any more.
-func (d *Component) returnEmpty(s *scaling) {
+// returnEmpty returns the draining machines that are empty.
+func (c *Component) returnEmpty(s *scalingRun) {
 	for _, m := range s.machines {
 		empty := len(m.Tasks) == 0 && len(m.OpenOffers) == 0 && len(m.Orphans) == 0
 		if !m.Draining || m.Deleting || !empty {
 			continue
 		}
-		d.Decommission(s.now, m, cluster.Return, "not needed")
-		if m.Resolved { // else only its deletion proves that nothing of an earlier term is there
-			d.Publish(cluster.Event{Kind: cluster.MachineReturnable, At: s.now, Machine: m})
+		c.Decommission(s.now, m, cluster.Return, "not needed")
+		if m.Resolved { // otherwise only its deletion proves that no task of an earlier term is there
+			c.Publish(cluster.Event{Kind: cluster.MachineReturnable, At: s.now, Machine: m})
 		}
 	}
 }
 
-// busyUntil is when the last of a machine's tasks will probably have ended, to the second.
-func (d *Component) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
+// busyUntil returns when the last of a machine's tasks will probably have ended, to the second.
+func (c *Component) busyUntil(now time.Duration, m *workers.Machine) time.Duration {
 	end := now
 	for _, p := range m.Tasks {
 		if p.Planned {
-			continue // it can still go elsewhere
+			continue // it can still be placed elsewhere
 		}
-		j := d.Jobs.ByIndex(p.Ref.Job)
+		j := c.Jobs.ByIndex(p.Ref.Job)
 		if j.Record.Kind == jobs.Service {
-			return unbounded // a service has to be stopped
+			return unbounded // a service runs until it is stopped
 		}
 		end = max(end, now+scheduler.RemainingTime(now, j, p))
 	}
 	return end.Round(time.Second)
 }
 
-// pricePerCPU is the price of one processor of a machine, in the unit of the cloud's prices.
-func (d *Component) pricePerCPU(m *workers.Machine) float64 {
-	t := d.Types[m.Type]
+// pricePerCPU returns the price of one processor of a machine, in the unit of the cloud's
+// prices.
+func (c *Component) pricePerCPU(m *workers.Machine) float64 {
+	t := c.Types[m.Type]
 	if m.Spot {
 		return t.SpotPrice / t.CPUs
 	}
--- a/internal/leader/placement/grants_test.go
+++ b/internal/leader/placement/grants_test.go
@@ -10,13 +10,12 @@
 	"bitternmoor/internal/settings"
 )
 
-// Grants of more machines than an entry of 2 KiB has room for are written in
-// parts, those taken back first; a part that is durable lets exactly its own
-// machines start.
+// Grants of more machines than fit into an entry of 2 KiB are written in parts, revocations
+// first. A part that becomes durable allows starts on exactly its own machines.
 func TestGrantsAreWrittenInParts(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	state := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}})
-	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: valueSize, TxnOps: 1}
+	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: maxValueBytes, TxnOps: 1}
 	state.EventLog = eventlog.NewLog(limits, "lead/epoch", 1, 0, 0)
 	component := New(state)
 	state.Jobs.Add(eventlog.Job{ID: 1, Tasks: 1})
@@ -33,11 +32,11 @@
 	for revision := uint64(1); state.EventLog.PendingCount() > 0; revision++ {
 		now := time.Duration(revision) * time.Second
 		txn := state.EventLog.NextTransaction(now)
-		if len(txn.Writes[0].Value) > valueSize {
-			t.Fatalf("a value of %d bytes", len(txn.Writes[0].Value))
+		if len(txn.Writes[0].Value) > maxValueBytes {
+			t.Fatalf("value of %d bytes is larger than the limit", len(txn.Writes[0].Value))
 		}
-		facts, _ := state.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
-		for _, entry := range facts {
+		entries, _ := state.EventLog.CommitResult(now, txn.Sequence, eventlog.Applied, revision, nil)
+		for _, entry := range entries {
 			component.EntryDurable(now, true, entry)
 			durable += len(entry.Grant.Machines)
 		}
@@ -48,6 +47,6 @@
 		}
 	}
 	if durable != 900 {
-		t.Errorf("%d of 900 grants", durable)
+		t.Errorf("%d of 900 grants became durable", durable)
 	}
 }
--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -1,8 +1,9 @@
 // Package probe is the component of a leader's term that sends liveness probes to silent
-// machines. An answer shows that a machine lives; none proves nothing. But a machine that is
-// silent by itself and to probes, while its zone is reachable, is more likely dead than not,
-// and is given up earlier where work waits that should start within a heartbeat interval:
-// what proves that nothing runs there is still the answer to its deletion.
+// machines. An answer shows that a machine is alive; a missing answer proves nothing. But a
+// machine that sends no heartbeats and answers no probes, while its zone is reachable, is more
+// likely dead than not. If some class of jobs should start within a heartbeat interval, such a
+// machine is decommissioned earlier than other silent ones. Only the answer to its deletion
+// proves that nothing runs there.
 package probe
 
 import (
@@ -18,76 +19,77 @@
 	probeInterval = 250 * time.Millisecond
 	maxInFlight   = 16
 
-	// A machine is probed once its heartbeat is late by a quarter of the interval and this
-	// much more.
+	// A machine is probed once its heartbeat is overdue by a quarter of the interval and
+	// heartbeatGrace.
 	lateHeartbeatFactor = 1.25
 	heartbeatGrace      = 500 * time.Millisecond
 
-	// extraProbesAfterAnswer is how many more times a machine is probed that has answered.
+	// extraProbesAfterAnswer is the number of additional probes for a machine that has answered
+	// one.
 	extraProbesAfterAnswer = 4
 )
 
-// Component probes silent machines in a term.
+// Component probes the silent machines of a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	inFlight  map[string]time.Duration // probes in flight, by machine: when it was last heard before
+	inFlight  map[string]time.Duration // probes in flight, by machine: value of lastHeard when each was sent
 	lastRunAt time.Duration
 }
 
-// New makes the component of a term.
+// New returns the component of a term.
 func New(s *cluster.State) *Component {
 	return &Component{State: s, inFlight: map[string]time.Duration{}}
 }
 
-// Tick probes machines that have been silent for longer than between two heartbeats.
-func (d *Component) Tick(now time.Duration, leaseValid bool) {
-	if !leaseValid || now-d.lastRunAt < probeInterval {
+// Tick probes machines whose heartbeat is overdue.
+func (c *Component) Tick(now time.Duration, leaseValid bool) {
+	if !leaseValid || now-c.lastRunAt < probeInterval {
 		return
 	}
-	d.lastRunAt = now
-	lateAfter := settings.Seconds(lateHeartbeatFactor*d.Cfg.Deployment.Workers.ReportS) + heartbeatGrace
-	for _, m := range d.Inventory.All() {
-		if len(d.inFlight) >= maxInFlight {
+	c.lastRunAt = now
+	lateAfter := settings.Seconds(lateHeartbeatFactor*c.Cfg.Deployment.Workers.ReportS) + heartbeatGrace
+	for _, m := range c.Inventory.All() {
+		if len(c.inFlight) >= maxInFlight {
 			return
 		}
-		if d.mayProbe(m) && now-d.lastHeard(m) > lateAfter {
-			d.probe(m)
+		if c.mayProbe(m) && now-c.lastHeard(m) > lateAfter {
+			c.probe(m)
 		}
 	}
 }
 
-// lastHeard is when the machine was last heard in this term, or the term's beginning.
-func (d *Component) lastHeard(m *workers.Machine) time.Duration {
-	return max(m.LastHeartbeat, d.TermBegan)
+// lastHeard returns when the machine last reported in this term, or else when the term began.
+func (c *Component) lastHeard(m *workers.Machine) time.Duration {
+	return max(m.LastHeartbeat, c.TermBegan)
 }
 
-// mayProbe says whether a machine can be probed: it is registered and not given up, and no
-// probe of it is in flight.
-func (d *Component) mayProbe(m *workers.Machine) bool {
-	_, inFlight := d.inFlight[m.Name]
+// mayProbe reports whether a machine can be probed: it is registered and not being deleted, its
+// address is known, and no probe of it is in flight.
+func (c *Component) mayProbe(m *workers.Machine) bool {
+	_, inFlight := c.inFlight[m.Name]
 	return !inFlight && m.Durable && !m.Deleting && m.Address != ""
 }
 
-// probe sends a probe unless enough went unanswered since the machine was last heard.
-func (d *Component) probe(m *workers.Machine) {
-	heard := d.lastHeard(m)
+// probe sends a probe unless enough probes went unanswered since the machine last reported.
+func (c *Component) probe(m *workers.Machine) {
+	heard := c.lastHeard(m)
 	if m.UnansweredSince < heard {
 		m.UnansweredProbes, m.UnansweredSince = 0, heard
 	}
-	if m.UnansweredProbes < d.Cfg.Tunables.ProbeSilent {
-		d.inFlight[m.Name] = heard
-		d.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
+	if m.UnansweredProbes < c.Cfg.Tunables.ProbeSilent {
+		c.inFlight[m.Name] = heard
+		c.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
 	}
 }
 
-// WorkerProbed applies whether a machine answered a probe.
-func (d *Component) WorkerProbed(machine string, answered bool) {
-	m := d.Inventory.Find(machine)
-	heard, inFlight := d.inFlight[machine]
-	delete(d.inFlight, machine)
-	if m == nil || !inFlight || d.lastHeard(m) != heard {
-		return // deleted, or heard meanwhile
+// WorkerProbed records whether a machine answered a probe.
+func (c *Component) WorkerProbed(machine string, answered bool) {
+	m := c.Inventory.Find(machine)
+	heard, inFlight := c.inFlight[machine]
+	delete(c.inFlight, machine)
+	if m == nil || !inFlight || c.lastHeard(m) != heard {
+		return // deleted, or has reported in the meantime
 	}
 	m.UnansweredProbes++
 	if answered {
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -9,11 +9,12 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// reassignAfter is how long a machine's own controller must not have heard from it before
-// the machine is reassigned to another controller's shard.
+// reassignAfter is how long a machine's controller must have relayed no heartbeat, either from
+// this machine or from any, before the machine is reassigned to another controller's shard.
 const reassignAfter = 2 * time.Second
 
-// machineEntry describes a machine as it reports itself; it has no number yet.
+// machineEntry returns the log entry of a machine as described in its report; it has no number
+// yet.
 func machineEntry(report *workers.Report) eventlog.Machine {
 	return eventlog.Machine{
 		Name:    report.Machine,
@@ -24,54 +25,54 @@
 	}
 }
 
-// register has a machine's entry written, once. No task is ever started on a machine before
-// its entry is durable, so nothing of an earlier term can be there.
-func (d *Component) register(now time.Duration, m *workers.Machine, report *workers.Report) {
+// register appends a machine's entry to the log, once. No task is ever started on a machine
+// before its entry is durable, so no task of an earlier term can be there.
+func (c *Component) register(now time.Duration, m *workers.Machine, report *workers.Report) {
 	m.Resolved = true
 	entry := machineEntry(report)
-	entry.Number = d.LastMachineNumber + 1
-	if !d.EventLog.Fits(eventlog.Entry{Machine: &entry}) {
-		d.Decommission(now, m, cluster.Delete, "its names are too long to be stored")
+	entry.Number = c.LastMachineNumber + 1
+	if !c.EventLog.Fits(eventlog.Entry{Machine: &entry}) {
+		c.Decommission(now, m, cluster.Delete, "its names are too long to be stored")
 		return
 	}
 	if m.QueueRegistry() {
-		d.LastMachineNumber++
-		m.Number = d.LastMachineNumber
-		d.EventLog.AppendTracked(eventlog.Entry{Machine: &entry})
+		c.LastMachineNumber++
+		m.Number = c.LastMachineNumber
+		c.EventLog.AppendTracked(eventlog.Entry{Machine: &entry})
 	}
 }
 
-// assignShard settles to which controller's shard the machine belongs whose heartbeat a
-// controller has relayed. It returns the controller to which the worker must go instead, or
-// an empty string where the relaying one is right.
-func (d *Component) assignShard(now time.Duration, m *workers.Machine, relayed effects.RelayedHeartbeat) string {
-	if incarnation, known := d.controllerIncarnations[relayed.Via]; known && incarnation != relayed.Life {
-		// The controller has restarted and lost the offers it had accepted: what is on offer
-		// by way of it must be settled before it is offered again.
-		for _, other := range d.Inventory.All() {
+// assignShard determines to which controller's shard a machine belongs after a heartbeat from it
+// was relayed. It returns the controller to which the worker must report instead, or an empty
+// string if the relaying controller is the right one.
+func (c *Component) assignShard(now time.Duration, m *workers.Machine, relayed effects.RelayedHeartbeat) string {
+	if incarnation, known := c.controllerIncarnations[relayed.Via]; known && incarnation != relayed.Life {
+		// The controller has restarted and lost the offers that it had accepted. Tasks on offer
+		// through it are not offered again until those offers are closed.
+		for _, other := range c.Inventory.All() {
 			if other.Shard == relayed.Via {
-				d.suspendOffers(other)
+				c.suspendOffers(other)
 			}
 		}
 	}
-	d.controllerIncarnations[relayed.Via] = relayed.Life
-	d.controllerLastHeard[relayed.Via] = now
+	c.controllerIncarnations[relayed.Via] = relayed.Life
+	c.controllerLastHeard[relayed.Via] = now
 	switch {
 	case m.Shard == relayed.Via:
 		return ""
-	case m.Shard != "" && now-m.LastHeartbeat < reassignAfter && now-d.controllerLastHeard[m.Shard] < reassignAfter:
+	case m.Shard != "" && now-m.LastHeartbeat < reassignAfter && now-c.controllerLastHeard[m.Shard] < reassignAfter:
 		return m.Shard
 	case m.Shard != "":
-		d.suspendOffers(m)
-		m.Token = d.NextToken() // makes the worker refuse the former controller
+		c.suspendOffers(m)
+		m.Token = c.NextToken() // makes the worker reject the former controller
 	}
 	m.Shard = relayed.Via
 	return ""
 }
 
-// suspendOffers keeps the tasks planned on a machine from being offered again while an
-// offer of them is open.
-func (d *Component) suspendOffers(m *workers.Machine) {
+// suspendOffers prevents tasks planned on a machine from being offered again while an offer of
+// them is open.
+func (c *Component) suspendOffers(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned && len(p.Offered) > 0 {
 			p.NoNewOffers = true
@@ -79,56 +80,58 @@
 	}
 }
 
-// machineResolved notes that what an earlier term left on a machine is known.
-func (d *Component) machineResolved(now time.Duration, m *workers.Machine) {
-	d.NeedsCycle = true
-	d.RemoveUnresolved(m)
+// machineResolved records that the leader has learned which tasks earlier terms left on a
+// machine.
+func (c *Component) machineResolved(now time.Duration, m *workers.Machine) {
+	c.NeedsCycle = true
+	c.RemoveUnresolved(m)
 	for id := range m.Grants {
-		if j := d.Jobs.ByID(id); j != nil && j.UnresolvedMachines > 0 {
+		if j := c.Jobs.ByID(id); j != nil && j.UnresolvedMachines > 0 {
 			j.UnresolvedMachines--
 		}
 	}
-	d.Publish(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
-	if n, _ := d.Unresolved(); n == 0 {
-		after := (now - d.TermBegan).Round(10 * time.Millisecond)
-		d.LogMessage(effects.Info, "all machines resolved", "epoch", d.Epoch, "after", after)
+	c.Publish(cluster.Event{Kind: cluster.MachineResolved, At: now, Machine: m})
+	if n, _ := c.Unresolved(); n == 0 {
+		after := (now - c.TermBegan).Round(10 * time.Millisecond)
+		c.LogMessage(effects.Info, "all machines resolved", "epoch", c.Epoch, "after", after)
 	}
 }
 
-// OffersStarted notes offers that the leader's own shard has accepted.
-func (d *Component) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
-	m := d.Inventory.Find(machine)
+// OffersStarted records offers that the leader's own shard has accepted.
+func (c *Component) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
+	m := c.Inventory.Find(machine)
 	if m == nil {
 		return
 	}
 	for _, o := range offers {
-		j := d.Jobs.ByID(o.Start.Job)
+		j := c.Jobs.ByID(o.Start.Job)
 		if j == nil {
 			continue
 		}
 		if m.TaskStarted(workers.TaskRef{Job: j.Index, Task: int32(o.Start.Task)}) {
-			d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
+			c.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: o.Start.Task, Machine: m})
 		}
 	}
 }
 
-// MachinesDeleted removes machines that the cloud has proved gone, and all that was on them.
-func (d *Component) MachinesDeleted(now time.Duration, names []string) {
+// MachinesDeleted removes machines whose deletion the cloud has confirmed, and everything on
+// them.
+func (c *Component) MachinesDeleted(now time.Duration, names []string) {
 	for _, name := range names {
-		if m := d.Inventory.Find(name); m != nil {
-			d.removeMachine(now, m)
+		if m := c.Inventory.Find(name); m != nil {
+			c.removeMachine(now, m)
 		}
 	}
-	for _, part := range eventlog.SplitNames(names, d.EventLog.MaxEntryBytes()-eventlog.EntryOverheadBytes) {
-		d.EventLog.Append(eventlog.Entry{DeletedMachines: part})
+	for _, part := range eventlog.SplitNames(names, c.EventLog.MaxEntryBytes()-eventlog.EntryOverheadBytes) {
+		c.EventLog.Append(eventlog.Entry{DeletedMachines: part})
 	}
-	d.NeedsCycle = true
+	c.NeedsCycle = true
 }
 
-// removeMachine removes one machine that is proved gone: its offers are closed, its tasks
-// are gone with it, and what an earlier term left there is known.
-func (d *Component) removeMachine(now time.Duration, m *workers.Machine) {
-	d.publishLostOffers(now, m)
+// removeMachine removes one machine that is proved gone. It closes the machine's offers, applies
+// the loss of its tasks, and marks it as resolved if it was not.
+func (c *Component) removeMachine(now time.Duration, m *workers.Machine) {
+	c.publishLostOffers(now, m)
 	for _, p := range m.CloseOffers() {
 		closed := workers.Event{
 			Kind:      workers.EventOfferClosed,
@@ -137,12 +140,12 @@
 			Attempt:   p.Attempt,
 			Placement: p,
 		}
-		d.applyTaskEvent(now, m, closed)
+		c.applyTaskEvent(now, m, closed)
 	}
 	for ref, p := range m.Tasks {
 		if p.Planned && p.Rehome() {
-			d.ListMachineWithPlans(p.Machine)
-			p.Withdrawn = true // it may yet turn out to be on a machine it was offered to
+			c.ListMachineWithPlans(p.Machine)
+			p.Withdrawn = true // a machine that it was offered to may have started it
 			continue
 		}
 		gone := workers.Event{
@@ -156,11 +159,11 @@
 			WorkerLost: true,
 		}
 		m.RemovePlacement(ref)
-		d.applyTaskEvent(now, m, gone)
+		c.applyTaskEvent(now, m, gone)
 	}
-	d.Inventory.Remove(m.Name)
+	c.Inventory.Remove(m.Name)
 	if m.Unresolved() {
-		d.machineResolved(now, m)
+		c.machineResolved(now, m)
 	}
-	d.Publish(cluster.Event{Kind: cluster.MachineProvedGone, At: now, Machine: m})
+	c.Publish(cluster.Event{Kind: cluster.MachineProvedGone, At: now, Machine: m})
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -11,39 +11,41 @@
 )
 
 const (
-	// A machine on which this many tasks have failed in a row, without a success between
-	// them, is probably faulty: it is avoided for a while.
+	// A machine on which this many tasks have failed in a row, without a success between them,
+	// is probably faulty. It gets no new tasks for faultyMachineAvoid.
 	faultyMachineErrors = 3
 	faultyMachineAvoid  = time.Minute
 
-	// A job this many of whose tasks have failed in a row fails wherever it goes: each
-	// further attempt waits twice as long, up to a second times two to this power, so that
-	// others get on.
+	// A job with this many failed tasks in a row probably fails on any machine. Each further
+	// attempt waits twice as long as the one before, from one second up to 2^maxBackoffDoubles
+	// seconds, so that other jobs can proceed.
 	failingJobErrors  = 3
 	maxBackoffDoubles = 6
 
-	// refusedStartPause follows a start that was refused: what the leader counts of the
-	// machine's room, or what the worker knows of the job, is wrong for the moment.
+	// refusedStartPause is the pause after a refused start: either the leader's accounting of
+	// the machine's room or the worker's record of the job is wrong for the moment.
 	refusedStartPause = 2 * time.Second
 )
 
-// lookUpTask returns what the leader knows of a task that a report shows on a machine. When
-// the task is really there (here), a mere plan for it is cancelled.
-func (d *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, here bool) (workers.TaskRecord, bool) {
-	j := d.Jobs.ByID(jobID)
+// lookUpTask returns the leader's record of a task that a report shows on a machine. If the task
+// is really there (present is true), a plan of it that is not on offer is cancelled. The second
+// result is false if the job has no such task or is still being accepted.
+func (c *Component) lookUpTask(m *workers.Machine, jobID uint64, task int, present bool) (workers.TaskRecord, bool) {
+	j := c.Jobs.ByID(jobID)
 	if j == nil {
-		// Leaders of the version in production tell users of an end while tasks still run.
-		phase, _ := d.Jobs.FinalPhase(jobID)
+		// Leaders of the version in production report the end of a job to users while its tasks
+		// still run.
+		phase, _ := c.Jobs.FinalPhase(jobID)
 		return workers.TaskRecord{Ref: workers.NoTaskRef, EndDurable: true, Cancelled: true}, phase == jobs.Cancelled
 	}
 	if task >= len(j.Tasks) || j.Phase == jobs.Accepting {
 		return workers.TaskRecord{}, false
 	}
 	ref := workers.TaskRef{Job: j.Index, Task: int32(task)}
-	if p := d.Placements[ref]; here && p != nil && p.Planned && len(p.Offered) == 0 {
-		d.CancelPlan(p)
+	if p := c.Placements[ref]; present && p != nil && p.Planned && len(p.Offered) == 0 {
+		c.CancelPlan(p)
 	}
-	p := d.Placements[ref]
+	p := c.Placements[ref]
 	elsewhere := p != nil && (p.Machine != m || p.Planned)
 	state := j.Tasks[task]
 	jobOpen := j.Phase == jobs.Open || j.Phase == jobs.Cancelling
@@ -59,77 +61,77 @@
 	}, true
 }
 
-// applyTaskEvent applies one event that follows from a report, or from a machine's end, to
-// the job, the machine and the totals of teams.
-func (d *Component) applyTaskEvent(now time.Duration, m *workers.Machine, e workers.Event) {
-	j := d.Jobs.ByIndex(e.Ref.Job)
+// applyTaskEvent applies one event, caused by a report or by the removal of a machine, to the
+// job, the machine and the usage of teams.
+func (c *Component) applyTaskEvent(now time.Duration, m *workers.Machine, e workers.Event) {
+	j := c.Jobs.ByIndex(e.Ref.Job)
 	switch e.Kind {
 	case workers.EventAdopted:
-		d.taskAdopted(now, m, j, e)
+		c.taskAdopted(now, m, j, e)
 	case workers.EventPlaced:
-		d.taskPlaced(now, m, j, e)
+		c.taskPlaced(now, m, j, e)
 	case workers.EventOfferClosed:
-		d.offerClosed(e)
+		c.offerClosed(e)
 	case workers.EventStarted:
-		d.taskBegan(now, m, j, e)
+		c.taskBegan(now, m, j, e)
 	case workers.EventCompleted:
-		d.taskCompleted(now, m, j, e)
+		c.taskCompleted(now, m, j, e)
 	case workers.EventGone:
-		d.taskGone(now, m, j, e)
+		c.taskGone(now, m, j, e)
 	}
 }
 
-// taskAdopted takes over a task that an earlier leader has started.
-func (d *Component) taskAdopted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+// taskAdopted takes over a task that an earlier leader started.
+func (c *Component) taskAdopted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	j.Place(task)
-	d.Scheduler.Charge(j.Team, j.Need)
+	c.Scheduler.Charge(j.Team, j.Need)
 	j.CountInZone(m.Zone, 1)
-	d.Placements[e.Ref] = e.Placement
-	d.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: task, Machine: m})
-	d.stopIfCancelling(j, e.Placement)
+	c.Placements[e.Ref] = e.Placement
+	c.Publish(cluster.Event{Kind: cluster.TaskAdopted, At: now, Job: j, Task: task, Machine: m})
+	c.stopIfCancelling(j, e.Placement)
 	if j.Record.Kind == jobs.Gang {
-		d.gangPartAdopted(j, e.Attempt)
+		c.gangTaskAdopted(j, e.Attempt)
 	}
 }
 
-// gangPartAdopted joins an adopted task to its gang's attempt, or fails the gang where the
-// task belongs to another attempt.
-func (d *Component) gangPartAdopted(j *jobs.Job, attempt uint64) {
-	difference := d.Reconciled.Count(reconcile.Gang(j.GangAttempt, attempt))
+// gangTaskAdopted adds an adopted task to its gang's attempt, or fails the gang if the task
+// belongs to another attempt.
+func (c *Component) gangTaskAdopted(j *jobs.Job, attempt uint64) {
+	difference := c.Reconciled.Count(reconcile.Gang(j.GangAttempt, attempt))
 	if difference == reconcile.GangAttemptUnknown {
 		j.GangAttempt = attempt
 	}
-	j.GangBegan = true // has to be assumed: it is not known whether it ran
+	j.GangBegan = true // must be assumed, since it is unknown whether the gang ran
 	if difference.Resolution() == reconcile.AdoptAndFailGang {
-		d.FailGang(j)
+		c.FailGang(j)
 	}
 }
 
-// taskPlaced notes that an offered task is on the machine.
-func (d *Component) taskPlaced(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+// taskPlaced records that an offered task is on the machine.
+func (c *Component) taskPlaced(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	p := e.Placement
 	p.Withdrawn = false
-	d.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: int(e.Ref.Task), Machine: m})
-	d.stopIfCancelling(j, p)
+	c.Publish(cluster.Event{Kind: cluster.TaskPlaced, At: now, Job: j, Task: int(e.Ref.Task), Machine: m})
+	c.stopIfCancelling(j, p)
 	if j.Record.Kind == jobs.Gang && (j.GangFailed || j.GangAttempt != p.Attempt) {
 		p.Stopping, p.GraceSeconds = true, 0
 	}
 }
 
-// offerClosed makes a planned task free to be offered again, or cancels its plan if that was
-// asked for while the offer was open.
-func (d *Component) offerClosed(e workers.Event) {
+// offerClosed allows a planned task to be offered again, or cancels its plan if the plan was
+// withdrawn while the offer was open.
+func (c *Component) offerClosed(e workers.Event) {
 	p := e.Placement
 	p.NoNewOffers = false
 	if p.Withdrawn {
 		p.Withdrawn = false
-		d.CancelPlan(p)
+		c.CancelPlan(p)
 	}
 }
 
-// taskBegan notes that a task was seen to run.
-func (d *Component) taskBegan(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+// taskBegan records that a task was seen running.
+func (c *Component) taskBegan(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	j.Running++
 	if j.FirstRunAt == 0 {
@@ -137,12 +139,12 @@
 	}
 	j.LastRunAt = now
 	j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
-	d.Estimator.TaskStarted(e.Ref.Job, task, now.Seconds())
-	d.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: task, Machine: m})
+	c.Estimator.TaskStarted(e.Ref.Job, task, now.Seconds())
+	c.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: task, Machine: m})
 }
 
-// taskCompleted notes a task's result, and how long it ran where that is known.
-func (d *Component) taskCompleted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+// taskCompleted records a task's result, and its run time if that is known.
+func (c *Component) taskCompleted(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	if e.WasRunning {
 		j.Running--
@@ -153,48 +155,49 @@
 		j.RunSeconds += runSeconds
 		j.RunCount++
 	}
-	if d.Placements[e.Ref] != nil {
-		delete(d.Placements, e.Ref)
-		d.Scheduler.Refund(j.Team, j.Need)
+	if c.Placements[e.Ref] != nil {
+		delete(c.Placements, e.Ref)
+		c.Scheduler.Refund(j.Team, j.Need)
 		j.CountInZone(m.Zone, -1)
 	}
-	d.Counts.TasksDone++
+	c.Counts.TasksDone++
 	j.Complete(task)
-	d.ResetGangIfEmpty(j)
+	c.ResetGangIfEmpty(j)
 	j.FailuresInARow, m.FailuresInARow = 0, 0
-	d.Estimator.TaskCompleted(e.Ref.Job, task, runSeconds)
-	d.Publish(cluster.Event{
+	c.Estimator.TaskCompleted(e.Ref.Job, task, runSeconds)
+	c.Publish(cluster.Event{
 		Kind:         cluster.TaskDone,
 		At:           now,
 		Job:          j,
 		Task:         task,
 		RunSeconds:   runSeconds,
-		FromThisTerm: d.FromThisTerm(e.Attempt),
+		FromThisTerm: c.FromThisTerm(e.Attempt),
 		Machine:      m,
 	})
-	d.NeedsCycle = true
+	c.NeedsCycle = true
 }
 
-// taskGone takes a task off a machine on which it has ended without a result, or never was.
-func (d *Component) taskGone(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
+// taskGone removes a task from a machine on which it has ended without a result or was never
+// present.
+func (c *Component) taskGone(now time.Duration, m *workers.Machine, j *jobs.Job, e workers.Event) {
 	task := int(e.Ref.Task)
 	if e.WasRunning {
 		j.Running--
 	}
 	if j.Phase == jobs.Open && e.Reason != workers.Stopped {
-		d.Counts.TasksRerun++
-		d.LogMessage(effects.Debug, "task requeued", "job", e.JobID, "task", task,
+		c.Counts.TasksRerun++
+		c.LogMessage(effects.Debug, "task requeued", "job", e.JobID, "task", task,
 			"machine", m.Name, "why", e.Reason.String())
 	}
-	d.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
-	d.Unplace(e.Ref)
+	c.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
+	c.Unplace(e.Ref)
 	if j.Record.Kind == jobs.Gang && (j.GangBegan || failsGang(e.Reason)) {
-		d.FailGang(j)
+		c.FailGang(j)
 	}
-	d.ResetGangIfEmpty(j)
+	c.ResetGangIfEmpty(j)
 	switch e.Reason {
 	case workers.Failed:
-		d.taskFailed(now, m, j, task)
+		c.taskFailed(now, m, j, task)
 	case workers.InsufficientResources, workers.Busy:
 		m.AvoidUntil = now + refusedStartPause
 	case workers.UnknownTask:
@@ -202,8 +205,8 @@
 	}
 }
 
-// failsGang says whether a gang's attempt fails with a task that is gone for this reason,
-// even if the gang had not begun.
+// failsGang reports whether the loss of a task for this reason fails its gang's attempt even if
+// the gang had not begun.
 func failsGang(why workers.Reason) bool {
 	switch why {
 	case workers.GangIncomplete, workers.PeersLost, workers.Failed, workers.Stopped:
@@ -212,8 +215,8 @@
 	return false
 }
 
-// taskFailed counts a failure against the machine and the job, and backs off from either.
-func (d *Component) taskFailed(now time.Duration, m *workers.Machine, j *jobs.Job, task int) {
+// taskFailed counts a failure against the machine and the job, and applies the backoff of each.
+func (c *Component) taskFailed(now time.Duration, m *workers.Machine, j *jobs.Job, task int) {
 	m.FailuresInARow++
 	j.FailuresInARow++
 	if m.FailuresInARow >= faultyMachineErrors {
@@ -222,23 +225,22 @@
 	if j.FailuresInARow >= failingJobErrors {
 		j.NotBefore = now + time.Second<<min(j.FailuresInARow-failingJobErrors, maxBackoffDoubles)
 	}
-	d.LogMessage(effects.Debug, "task failed", "job", j.Record.ID, "task", task, "machine", m.Name)
+	c.LogMessage(effects.Debug, "task failed", "job", j.Record.ID, "task", task, "machine", m.Name)
 }
 
-// stopIfCancelling has a task stopped that turns out to be on a machine while its job is
-// being cancelled.
-func (d *Component) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
+// stopIfCancelling stops a task that is found on a machine while its job is being cancelled.
+func (c *Component) stopIfCancelling(j *jobs.Job, p *workers.Placement) {
 	if j.Phase == jobs.Cancelling {
 		p.Stopping, p.GraceSeconds = true, 0
 	}
 }
 
-// publishLostOffers publishes the tasks that were on offer to a machine whose worker has
-// died: another controller may have started them there, and no report will ever show it.
-func (d *Component) publishLostOffers(now time.Duration, m *workers.Machine) {
+// publishLostOffers publishes the tasks that were on offer to a machine whose worker has died.
+// Another controller may have started them there, and no report will ever show them.
+func (c *Component) publishLostOffers(now time.Duration, m *workers.Machine) {
 	for ref, p := range m.OpenOffers {
-		if j := d.Jobs.ByIndex(ref.Job); p.Planned && j != nil {
-			d.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
+		if j := c.Jobs.ByIndex(ref.Job); p.Planned && j != nil {
+			c.Publish(cluster.Event{Kind: cluster.OfferLost, At: now, Job: j, Task: int(ref.Task), Machine: m})
 		}
 	}
 }
