--- a/internal/leader/cluster/actions.go
+++ b/internal/leader/cluster/actions.go
@@ -1,20 +1,20 @@
 package cluster
 
-// Action is a kind of thing that a leader has done by workers or the cloud.
+// Action is a kind of operation that a leader requests from workers or the cloud.
 type Action uint8
 
 // Kinds of actions.
 const (
-	StartNew   Action = iota // a task that no earlier term can have handed out
-	StartAgain               // a task that may have been handed out before
-	Rent                     // machines
-	Return                   // a machine that is not wanted, or that the cloud takes back
-	Delete                   // a machine that is given up
-	Preempt                  // tasks, for others that go ahead of them
-	Move                     // tasks, off a machine that is returned
+	StartNew   Action = iota // start a task that no earlier term can have dispatched
+	StartAgain               // start a task that an earlier term may have dispatched
+	Rent                     // rent machines
+	Return                   // return a machine that is not needed, or that the cloud reclaims
+	Delete                   // delete a machine that is lost or cannot be used
+	Preempt                  // stop tasks to make room for others that are ordered before them
+	Move                     // move tasks off a machine that is being returned
 )
 
 var actionNames = [...]string{"start_new", "start_again", "rent", "return", "delete", "preempt", "move"}
 
-// String is the action's name in views, metrics and stored entries.
+// String returns the action's name in views, metrics and stored entries.
 func (a Action) String() string { return actionNames[a] }
--- a/internal/leader/cluster/cluster_test.go
+++ b/internal/leader/cluster/cluster_test.go
@@ -12,21 +12,21 @@
 	"bitternmoor/internal/settings"
 )
 
-// Most machines are silent. That is a fault of the zones they are in where another one is
-// heard well, and perhaps the leader's own otherwise.
+// When most machines are silent, the fault is attributed to their zones if the machines of
+// another zone do report. Otherwise it may be on the leader's side.
 func TestMostMachinesSilent(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		up, silent []int // by zone
 		want       bool
 	}{
-		{"all are heard", []int{30, 40}, []int{0, 0}, false},
+		{"all machines report", []int{30, 40}, []int{0, 0}, false},
 		{"the larger zone is cut off", []int{30, 40}, []int{1, 40}, false},
 		{"two of three zones are cut off", []int{20, 40, 40}, []int{0, 40, 39}, false},
-		{"two of three controllers do not reach us", []int{30, 40}, []int{20, 27}, true},
-		{"a zone with next to nobody in it is heard", []int{3, 40}, []int{0, 40}, true},
-		{"nobody is heard", []int{30, 40}, []int{30, 40}, true},
-		{"less than half are silent", []int{30, 40}, []int{14, 19}, false},
+		{"two of three controllers do not reach the leader", []int{30, 40}, []int{20, 27}, true},
+		{"a zone with very few machines reports", []int{3, 40}, []int{0, 40}, true},
+		{"no machine reports", []int{30, 40}, []int{30, 40}, true},
+		{"fewer than half are silent", []int{30, 40}, []int{14, 19}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cfg := &settings.Settings{Tunables: settings.Defaults()}
@@ -54,18 +54,18 @@
 	}
 }
 
-// A lower limit cancels plans above it, the last tasks first, and of a gang all or none; what
-// is not planned any more stays.
+// Lowering a team's limit cancels plans that exceed it, the last tasks first. The plans of a
+// gang are cancelled together or not at all. Tasks that have left the planned state stay.
 func TestLowerLimitCancelsPlans(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		kind    uint8
-		begun   int // tasks that are planned no more
+		begun   int // tasks that have left the planned state
 		limit   float64
-		planned int // that are left of six tasks
+		planned int // plans that remain, of six tasks
 	}{
 		{"an array", jobs.Array, 2, 4, 2},
-		{"an array that uses more than that", jobs.Array, 4, 3, 0},
+		{"an array whose begun tasks exceed the limit", jobs.Array, 4, 3, 0},
 		{"within the limit", jobs.Array, 2, 6, 4},
 		{"no limit", jobs.Array, 2, 0, 4},
 		{"a gang that has not begun", jobs.Gang, 0, 4, 0},
@@ -83,14 +83,14 @@
 				}
 			}
 			if planned != c.planned || begun != c.begun {
-				t.Errorf("%d planned and %d others are left, want %d and %d", planned, begun, c.planned, c.begun)
+				t.Errorf("%d planned and %d begun tasks remain, want %d and %d", planned, begun, c.planned, c.begun)
 			}
 		})
 	}
 }
 
-// newPlannedState is a state with one job of six tasks of one processor on a machine, of
-// which the first ones have begun and the others are planned.
+// newPlannedState returns a state with one job of six single-processor tasks on one machine.
+// begun is the number of tasks, counted from the first, that have begun; the others are planned.
 func newPlannedState(kind uint8, begun int) *State {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 20}}
@@ -115,14 +115,14 @@
 	return s
 }
 
-// Tokens of a term never reach those of the next: push dispatch stops asking for them first,
-// and the term ends before they are out.
+// The tokens of a term never run into those of the next term: push dispatch stops taking
+// tokens first, and the term ends before all of its tokens are issued.
 func TestTokensStayWithinTheirTerm(t *testing.T) {
 	s := New(TermStart{Cfg: &settings.Settings{}, Epoch: 3, Counts: &Counts{}})
 	low, issued := 0, 0
 	for ; !s.TokensExhausted(); issued++ {
 		if s.NextToken()>>TokenBits != 3 {
-			t.Fatalf("token %d is one of another term", issued)
+			t.Fatalf("token %d belongs to another term", issued)
 		}
 		if low == 0 && s.TokensRunLow() {
 			low = issued
--- a/internal/leader/cluster/counts.go
+++ b/internal/leader/cluster/counts.go
@@ -1,6 +1,6 @@
 package cluster
 
-// Counts add up since the process began; they outlive terms.
+// Counts are event counters of the process. They are not reset when a term ends.
 type Counts struct {
 	Terms          uint64 `json:"terms"`
 	Reports        uint64 `json:"reports"` // heartbeats
@@ -11,6 +11,6 @@
 	TasksDone      uint64 `json:"tasks_done"`
 	TasksRerun     uint64 `json:"tasks_rerun"`
 	Released       uint64 `json:"jobs_released"`
-	CancelSpread   uint64 `json:"cancellations_spread"` // to jobs that depend on a cancelled one
+	CancelSpread   uint64 `json:"cancellations_spread"` // jobs cancelled along with a dependency
 	LeftWaiting    uint64 `json:"left_waiting"`
 }
--- a/internal/leader/cluster/events.go
+++ b/internal/leader/cluster/events.go
@@ -7,51 +7,51 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Subscriber hears what happens in a term, while it happens.
+// Subscriber receives the events of a term as they occur.
 type Subscriber interface{ HandleEvent(Event) }
 
-// EventKind says what has happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// What subscribers hear. Job, Task, Machine, Report, RunSeconds and Action are fields of Event.
+// Kinds of events. Job, Task, Machine, Report, RunSeconds and Action are fields of Event.
 const (
-	JobRemoved            EventKind = iota // Job is over, and nothing of it is left anywhere
-	TaskPlaced                             // Task of Job is on Machine, or on its way there: this leader started it
-	TaskBegan                              // Task of Job was seen to run on Machine
-	TaskDone                               // Task of Job has completed, after RunSeconds, or below 0: after an unknown time
-	HeartbeatApplied                       // Report of Machine, newer than all before, was taken in
-	TaskGone                               // Task of Job is not on Machine any more, and has not completed
-	JobDone                                // all tasks of Job are durably done
-	MachineReturnable                      // Machine, which is empty, is to be returned: nothing will be started on it
-	MachineResolved                        // what earlier terms left on Machine is known
-	JobOrdered                             // Job has entered the order, with a first size, or is a service
-	OfferLost                              // Task of Job was on offer to Machine, whose worker died: it may have run there
-	MachineProvedGone                      // Machine is proved gone; TaskGone of all that was on it came before
-	TaskAdopted                            // Task of Job, which an earlier leader had started, was found on Machine
-	TaskStopped                            // Task of Job on Machine is told to stop, by Action
+	JobRemoved            EventKind = iota // Job is over, and none of its tasks is left on any machine
+	TaskPlaced                             // this leader started Task of Job on Machine; it may not run yet
+	TaskBegan                              // a heartbeat showed Task of Job running on Machine
+	TaskDone                               // Task of Job completed after RunSeconds; negative: unknown
+	HeartbeatApplied                       // Report of Machine, newer than all before it, was applied
+	TaskGone                               // Task of Job is no longer on Machine and has not completed
+	JobDone                                // the completion of every task of Job is durable
+	MachineReturnable                      // Machine is empty and will be returned; it gets no more tasks
+	MachineResolved                        // it is known which tasks earlier terms left on Machine
+	JobOrdered                             // Job has entered the order with its first size, or is a service
+	OfferLost                              // Task of Job, offered to Machine whose worker died, may have run
+	MachineProvedGone                      // Machine is proved gone, after TaskGone for every task on it
+	TaskAdopted                            // Task of Job, which an earlier leader started, was found on Machine
+	TaskStopped                            // Task of Job on Machine is being stopped because of Action
 	MachineRented                          // Machine was rented by a request of this term
-	MachineDecommissioned                  // the deletion of Machine is decided, by Action
+	MachineDecommissioned                  // the deletion of Machine has been decided because of Action
 )
 
-// Event is something that has happened. Fields that the comment on its kind does not name
-// are not set.
+// Event describes something that happened in the term. Fields other than Kind and At are set
+// only for the kinds whose comments name them.
 type Event struct {
 	Kind         EventKind
 	At           time.Duration
 	Job          *jobs.Job
 	Task         int
 	RunSeconds   float64
-	FromThisTerm bool // of TaskDone: this leader has started the attempt, and seen it begin
-	WorkerDied   bool // of TaskGone: its worker has died under it
+	FromThisTerm bool // for TaskDone: this leader started the attempt and saw it running
+	WorkerDied   bool // for TaskGone: the worker died while it had the task
 	Action       Action
 	Machine      *workers.Machine
 	Report       *workers.Report
 }
 
-// Subscribe has a subscriber hear everything from now on, after those before it.
+// Subscribe adds a subscriber. It receives each event after the subscribers added before it.
 func (s *State) Subscribe(l Subscriber) { s.subscribers = append(s.subscribers, l) }
 
-// Publish tells all subscribers what has happened, in the order in which they subscribed.
+// Publish delivers an event to all subscribers, in the order in which they subscribed.
 func (s *State) Publish(e Event) {
 	for _, l := range s.subscribers {
 		l.HandleEvent(e)
--- a/internal/leader/cluster/gangs.go
+++ b/internal/leader/cluster/gangs.go
@@ -5,9 +5,9 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// FailGang gives up a gang's launch: tasks that were not sent are cancelled, the others
-// are stopped, and the next launch waits until all are proved gone. A gang of which a task
-// is done has all of them done, and is left alone.
+// FailGang aborts the current attempt of a gang: plans are cancelled, tasks that were sent
+// are stopped, and the next attempt waits until all of them are proved gone. If one task of a
+// gang is done, all of them are, so such a gang is left unchanged.
 func (s *State) FailGang(j *jobs.Job) {
 	if j.GangFailed || j.Finished > 0 {
 		return
@@ -28,8 +28,8 @@
 	s.ResetGangIfEmpty(j)
 }
 
-// ResetGangIfEmpty makes a gang ready for its next launch once nothing of the last one is
-// left anywhere. It does nothing for other jobs.
+// ResetGangIfEmpty prepares a gang for its next attempt once no task of the last one is left
+// on any machine. It does nothing for other kinds of jobs.
 func (s *State) ResetGangIfEmpty(j *jobs.Job) {
 	if j.Record.Kind == jobs.Gang && j.Placed == 0 {
 		j.GangAttempt, j.GangFailed, j.GangBegan = 0, false, false
--- a/internal/leader/cluster/machines.go
+++ b/internal/leader/cluster/machines.go
@@ -9,12 +9,12 @@
 	"bitternmoor/internal/effects"
 )
 
-// minFetchGBPS is the least rate at which a machine counts as fetching images, so that the
-// time that takes is finite.
+// minFetchGBPS is the lower bound of the rate at which a machine is assumed to fetch images.
+// It keeps the computed fetch time finite.
 const minFetchGBPS = 0.001
 
-// AddMachine enters a machine; nil if it is there already, is gone for good, or is of a
-// type that is not known.
+// AddMachine adds a machine to the inventory. It returns nil if the machine is already
+// there, was deleted, or is of an unknown type.
 func (s *State) AddMachine(now time.Duration, m eventlog.Machine) *workers.Machine {
 	if s.Inventory.WasDeleted(m.Name) || s.Inventory.Find(m.Name) != nil {
 		return nil
@@ -39,8 +39,8 @@
 	})
 }
 
-// Decommission decides, for good, that a machine is to be deleted: it is returned, or given
-// up.
+// Decommission marks a machine for deletion, which is final. The action is Return for a
+// machine that is returned, and Delete for one that is lost or cannot be used.
 func (s *State) Decommission(now time.Duration, m *workers.Machine, a Action, why string) {
 	if m.Deleting {
 		return
@@ -55,7 +55,7 @@
 	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: a})
 }
 
-// CPUs is the processors of the machines that report.
+// CPUs returns the number of processors of the machines that report.
 func (s *State) CPUs() float64 {
 	var sum float64
 	for _, m := range s.Inventory.All() {
--- a/internal/leader/cluster/metrics.go
+++ b/internal/leader/cluster/metrics.go
@@ -2,29 +2,29 @@
 
 import "slices"
 
-// Metrics are the histograms that components keep. They outlive terms: they belong
-// to the process, and count from its beginning.
+// Metrics holds the histograms of the components. It belongs to the process and is not
+// reset when a term ends.
 type Metrics struct {
-	histograms []*Histogram // in the order of their first use
+	histograms []*Histogram // in the order of first use
 }
 
-// Histogram counts values in buckets, apart for each value of one label. It has
+// Histogram counts values in buckets, separately for each value of one label. It has
 // no clock and no lock; the node's collector reads it in the node's event loop.
 type Histogram struct {
 	Name, Help, Label string
-	Bounds            []float64 // upper bounds of the buckets, rising
-	Series            []Series  // in the order in which labels came up
+	Bounds            []float64 // upper bounds of the buckets, ascending
+	Series            []Series  // in the order in which the label values first occurred
 }
 
-// Series is what one value of the label has counted.
+// Series holds the counts for one value of the label.
 type Series struct {
 	Value  string
 	Count  uint64
 	Sum    float64
-	Counts []uint64 // by bucket, not added up
+	Counts []uint64 // by bucket, not cumulative
 }
 
-// Histogram returns the histogram with a name, made at its first use.
+// Histogram returns the histogram with the given name, creating it on first use.
 func (m *Metrics) Histogram(name, help, label string, bounds []float64) *Histogram {
 	for _, h := range m.histograms {
 		if h.Name == name {
@@ -50,8 +50,8 @@
 	return copies
 }
 
-// Observe counts a value under a value of the label. One above all bounds counts in no
-// bucket, but in the count and the sum.
+// Observe records a value under a label value. A value above all bounds is not counted in
+// any bucket, only in the count and the sum.
 func (h *Histogram) Observe(label string, value float64) {
 	index := slices.IndexFunc(h.Series, func(s Series) bool { return s.Value == label })
 	if index < 0 {
@@ -66,7 +66,7 @@
 	}
 }
 
-// Gauge is a number of a component at present, by the values of one label.
+// Gauge holds current values of a component, by the values of one label.
 type Gauge struct {
 	Name, Help, Label string
 	Values            map[string]float64
--- a/internal/leader/cluster/nop.go
+++ b/internal/leader/cluster/nop.go
@@ -6,36 +6,36 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// NopComponent has a method that does nothing for each method of term.Component. A
-// component embeds it and has methods of its own for those that concern it.
+// NopComponent implements every method of term.Component as a no-op. Components embed it
+// and override the methods that they need.
 type NopComponent struct{}
 
-// Replay takes nothing from the log.
+// Replay ignores the entry.
 func (NopComponent) Replay(time.Duration, eventlog.Entry) {}
 
-// Begin has nothing to restore.
+// Begin does nothing.
 func (NopComponent) Begin(time.Duration) {}
 
-// EntryDurable waits for no entry.
+// EntryDurable ignores the entry.
 func (NopComponent) EntryDurable(time.Duration, bool, eventlog.Entry) {}
 
-// HandleEvent ignores what happens.
+// HandleEvent ignores the event.
 func (NopComponent) HandleEvent(Event) {}
 
-// Tick has nothing due before a scheduling cycle.
+// Tick does nothing.
 func (NopComponent) Tick(time.Duration, bool) {}
 
-// AfterCycle has nothing due after a scheduling cycle.
+// AfterCycle does nothing.
 func (NopComponent) AfterCycle(time.Duration, bool) {}
 
-// AppendEntries has gathered nothing for the log.
+// AppendEntries appends no entries.
 func (NopComponent) AppendEntries(time.Duration) {}
 
-// LiveBytes is nothing.
+// LiveBytes returns 0.
 func (NopComponent) LiveBytes() int { return 0 }
 
-// Compact keeps nothing.
+// Compact appends no entries.
 func (NopComponent) Compact(time.Duration, eventlog.Entry) {}
 
-// CompactionDone has nothing left to write.
+// CompactionDone does nothing.
 func (NopComponent) CompactionDone() {}
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -5,7 +5,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// ListMachineWithPlans keeps a machine among those whose plans are offered.
+// ListMachineWithPlans adds a machine to the list of those whose plans are offered, once.
 func (s *State) ListMachineWithPlans(m *workers.Machine) {
 	if !m.ListedWithPlans {
 		m.ListedWithPlans = true
@@ -13,8 +13,8 @@
 	}
 }
 
-// CancelPlan cancels a planned task. One that is on offer may have been started already:
-// it counts until no offer is open.
+// CancelPlan cancels a planned task. A task with open offers may have been started already,
+// so it stays counted until no offer is open.
 func (s *State) CancelPlan(p *workers.Placement) {
 	if len(p.Offered) > 0 {
 		p.Withdrawn = true
@@ -24,7 +24,7 @@
 	s.Unplace(p.Ref)
 }
 
-// CancelPlans cancels all that is planned on a machine.
+// CancelPlans cancels all planned tasks of a machine.
 func (s *State) CancelPlans(m *workers.Machine) {
 	for _, p := range m.Tasks {
 		if p.Planned {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Unplace takes a task off its machine in the accounts of jobs, teams and sizes. The
-// machine's own list is the caller's.
+// Unplace releases a task's placement in the state of its job, its team and the size
+// estimator. The caller updates the machine's own list of tasks.
 func (s *State) Unplace(ref workers.TaskRef) {
 	p := s.Placements[ref]
 	if p == nil {
@@ -51,8 +51,8 @@
 	s.NeedsCycle = true
 }
 
-// RemoveIfFinished removes a job that is over from the table once none of its tasks counts
-// as being anywhere.
+// RemoveIfFinished removes a done or cancelled job from the table once none of its tasks is
+// counted as placed.
 func (s *State) RemoveIfFinished(j *jobs.Job) {
 	if j.Placed == 0 && (j.Phase == jobs.Cancelled || j.Phase == jobs.Done) {
 		s.Jobs.Remove(j)
--- a/internal/leader/cluster/silence.go
+++ b/internal/leader/cluster/silence.go
@@ -7,32 +7,32 @@
 )
 
 const (
-	// minSilentMachines: fewer silent machines are no sign of anything but themselves, nor
-	// fewer machines that are heard.
+	// minSilentMachines is the least number of silent machines from which a common fault is
+	// inferred, and the least size of a zone whose heartbeats count as evidence against one.
 	minSilentMachines = 4
-	// zoneSilenceDivisor: a zone is heard well if at most one in so many of its machines
-	// is silent.
+	// zoneSilenceDivisor defines a reachable zone: at most one in zoneSilenceDivisor of its
+	// machines is silent.
 	zoneSilenceDivisor = 5
 
-	suspectIntervals = 2.5 // heartbeats missed until a worker gets no new tasks
-	giveUpIntervals  = 3   // heartbeats missed, at least, until a machine is given up
-	giveUpSeconds    = 2   // beyond those heartbeats
-	giveUpLeaseShare = 0.6 // share of a worker's lease, at least, until a machine is given up
+	suspectIntervals = 2.5 // missed heartbeats after which a worker gets no new tasks
+	giveUpIntervals  = 3   // least number of missed heartbeats before a machine is considered lost
+	giveUpSeconds    = 2   // added to the time of those heartbeats
+	giveUpLeaseShare = 0.6 // least share of a worker's lease before a machine is considered lost
 )
 
-// SuspectAfter is how long a worker may be silent before it gets no new tasks.
+// SuspectAfter returns how long a worker may be silent before it gets no new tasks.
 func (s *State) SuspectAfter() time.Duration {
 	return settings.Seconds(suspectIntervals * s.Cfg.Deployment.Workers.ReportS)
 }
 
-// GiveUpAfter is how long a worker may be silent before its machine is given up.
+// GiveUpAfter returns how long a worker may be silent before its machine is considered lost.
 func (s *State) GiveUpAfter() time.Duration {
 	w := s.Cfg.Deployment.Workers
 	return settings.Seconds(max(giveUpIntervals*w.ReportS+giveUpSeconds, giveUpLeaseShare*w.LeaseS))
 }
 
-// SilentByZone counts the machines that should be heard, and those of them that are
-// silent, by index of the zone.
+// SilentByZone counts, by zone index, the machines that should report and those of them that
+// are silent.
 func (s *State) SilentByZone(now time.Duration) (up, silent []int) {
 	up, silent = make([]int, s.Zones.Len()), make([]int, s.Zones.Len())
 	for _, m := range s.Inventory.All() {
@@ -46,10 +46,10 @@
 	return up, silent
 }
 
-// MostMachinesSilent says whether most machines are silent at once, and the fault may be on
-// the leader's side. Where a zone is heard well it is not: the others are cut off. Found at
-// twice the size of a fleet with two zones, of which the larger one was cut off: its
-// machines were waited for twice as long, and more were rented there.
+// MostMachinesSilent reports whether most machines are silent at once, so that the fault may
+// be on the leader's side. It is not if some zone is reachable: then the others are cut off.
+// In a run at twice the usual size with two zones, of which the larger was cut off, the leader
+// without this rule waited twice as long for that zone's machines and rented more there.
 func (s *State) MostMachinesSilent(now time.Duration) bool {
 	up, silent := 0, 0
 	upIn, silentIn := s.SilentByZone(now)
@@ -63,6 +63,6 @@
 	return MostSilent(silent, up)
 }
 
-// MostSilent says whether so many of the machines that should be heard are silent that the
-// fault is not theirs.
+// MostSilent reports whether so many of the machines that should report are silent that a
+// common fault is likelier than faults of the single machines.
 func MostSilent(silent, up int) bool { return silent >= minSilentMachines && silent*2 > up }
--- a/internal/leader/cluster/snapshot.go
+++ b/internal/leader/cluster/snapshot.go
@@ -8,7 +8,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Snapshot is what the scheduler looks at. It shares the state's tables.
+// Snapshot returns the scheduler's view of the state. It shares the state's tables.
 func (s *State) Snapshot(now time.Duration) scheduler.Snapshot {
 	snapshot := scheduler.Snapshot{
 		Now:             now,
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -1,10 +1,10 @@
-// Package cluster is the shared state of a leader's term: jobs, machines, the tasks that
-// count as being on them, and the order in which jobs get resources, with the operations
-// that several components need. All components of a leader read it; each keeps what only
-// it needs to itself.
+// Package cluster holds the shared state of a leader's term: jobs, machines, the tasks
+// placed on them, and the order in which jobs get resources, with the operations that
+// several components need. All components of a leader read it; each keeps its private
+// state to itself.
 //
-// It has no clock, socket or goroutine. Times are durations since an origin that the node
-// chooses; what is to be done outside is emitted as effects.
+// The package has no clock, socket or goroutine. Times are durations since an origin that
+// the node chooses; side effects are emitted as values of package effects.
 package cluster
 
 import (
@@ -25,87 +25,87 @@
 	"bitternmoor/internal/settings"
 )
 
-// ErrUnknownView is what a component answers that is asked for a view it does not have.
+// ErrUnknownView is returned by a component that does not have the requested view.
 var ErrUnknownView = errors.New("no such view")
 
-// TermStart is what a term begins with.
+// TermStart holds the parameters of a new term.
 type TermStart struct {
 	Cfg         *settings.Settings
-	ClockZeroMS int64 // time of day at time 0, in milliseconds
+	ClockZeroMS int64 // time of day at the origin of the clock, in Unix milliseconds
 	Epoch       uint64
 
-	LastLeaderHeard time.Duration           // when this node last heard from a leader; 0: it never did
-	LeaderMissedAt  time.Duration           // when it found that nobody led
-	TermBegan       time.Duration           // when it was elected
-	PreviousLeader  leadership.LeaderRecord // the leader before, as this node heard from it
+	LastLeaderHeard time.Duration           // when this node last heard from a leader; 0 if never
+	LeaderMissedAt  time.Duration           // when this node detected that there was no leader
+	TermBegan       time.Duration           // when this node was elected
+	PreviousLeader  leadership.LeaderRecord // the preceding leader, as observed by this node
 
-	// These outlive the term.
+	// The following are kept beyond the end of the term.
 	Counts  *Counts
 	Metrics *Metrics
-	Config  *config.Replica // nil: nothing may be changed while controllers run
+	Config  *config.Replica // nil if the configuration cannot change at run time
 }
 
-// State is what all components of a term share. Its fields are grouped by who writes them;
-// everybody may read them.
+// State is the state that all components of a term share. Its fields are grouped by the
+// component that writes them; every component may read them.
 type State struct {
 	TermStart
 
-	// Set when the term begins, and not after.
-	Token    uint64        // fencing token of machines that have not changed their shard
-	EventLog *eventlog.Log // set by the term when it replays the log; all components append to it
+	// Set when the term begins and constant afterwards.
+	Token    uint64        // fencing token of machines that have not moved between shards
+	EventLog *eventlog.Log // set when the term replays the log; all components append to it
 
-	// Jobs and their order. lifecycle adds, finishes and removes jobs, registry and
-	// placement place and release their tasks. lifecycle, registry and fairshare keep the
-	// sizes up, and runtimes its expectations; placement charges the scheduler's teams.
+	// Jobs and their order. lifecycle adds, finishes and removes jobs; registry and
+	// placement place and release their tasks. lifecycle, registry and fairshare update the
+	// sizes, and runtimes the expected run times; placement charges the scheduler's teams.
 	Jobs      *jobs.Table
 	Estimator *sizing.Estimator
 	Scheduler *scheduler.Scheduler
 
-	// Machines and the tasks on them. registry enters machines, takes in their heartbeats
-	// and adopts tasks; placement plans tasks.
+	// Machines and the tasks on them. registry adds machines, applies their heartbeats and
+	// adopts tasks; placement plans tasks.
 	Inventory         *workers.Inventory
 	Placements        map[workers.TaskRef]*workers.Placement
-	MachinesWithPlans []*workers.Machine // all on which tasks may be planned: ListMachineWithPlans, placement
-	LastMachineNumber int                // last one given to a machine: registry, placement
-	Reconciled        *reconcile.Tally   // differences between what was stored and heartbeats, in this term: registry
+	MachinesWithPlans []*workers.Machine // those that may have plans: ListMachineWithPlans, placement
+	LastMachineNumber int                // highest number assigned to a machine: registry, placement
+	Reconciled        *reconcile.Tally   // stored state against heartbeats, in this term: registry
 
-	// NeedsCycle says that something has changed that a scheduling cycle should look at.
-	// Every component may set it; placement resets it.
+	// NeedsCycle is set when a change requires a scheduling cycle. Every component may set
+	// it; placement resets it.
 	NeedsCycle bool
 
-	// DispatchQueue is the planned tasks that may be pushed to their workers: placement
-	// appends them, dispatch takes them out.
+	// DispatchQueue holds the planned tasks that may be pushed to their workers: placement
+	// appends to it, dispatch removes from it.
 	DispatchQueue []*workers.Placement
 
-	// Names and their indices, which only grow.
-	Teams     intern.Names // SetTeam and others here, with the scheduler's limits
+	// Names and their indices. Entries are only added. The comment names the writer.
+	Teams     intern.Names // methods of State, together with the scheduler's limits
 	Zones     intern.Names
 	Images    intern.Names           // lifecycle
 	TypeNames intern.Names           // autoscaler
 	Types     []eventlog.MachineType // by index of TypeNames: autoscaler
 
-	// What a component decides for the others, each set by that component if it is
-	// switched on.
-	Pools      scheduler.Pools // pools; nil: there are no pools
-	Gate       Gate            // coldstart; nil: nothing is held back
-	StartPacer StartPacer      // coldstart; nil: starts are not paced
-	Rebalancer Rebalancer      // rebalance; nil: machines stay where they report
+	// Hooks that one component provides to the others. Each is set by that component if it
+	// is enabled.
+	Pools      scheduler.Pools // pools; nil if there are no pools
+	Gate       Gate            // coldstart; nil if no action is delayed
+	StartPacer StartPacer      // coldstart; nil if starts are not rate-limited
+	Rebalancer Rebalancer      // rebalance; nil if machines are not moved between shards
 
-	// Kept by the methods here.
+	// Maintained by the methods of State.
 	lastAttempt          uint64
-	issuedTokens         uint64              // beside Token
-	configuredTeams      []bool              // teams of the configuration, by index: they may submit
-	unresolvedMachines   int                 // machines of which it is not known what an earlier term left on them
-	unresolvedUnnumbered int                 // those without a number among them
-	unresolvedUse        []resources.Amounts // what they may be using, by team
+	issuedTokens         uint64              // number of tokens issued in addition to Token
+	configuredTeams      []bool              // by team index: whether the team is configured and may submit
+	unresolvedMachines   int                 // number of unresolved machines, see unresolved.go
+	unresolvedUnnumbered int                 // number of unresolved machines without a registry number
+	unresolvedUse        []resources.Amounts // by team index: what unresolved machines may be using
 	subscribers          []Subscriber
 	pendingEffects       []effects.Effect
 }
 
-// New makes the state of a term that knows nothing yet.
+// New returns the state of a term before its log has been replayed.
 func New(start TermStart) *State {
 	if start.Cfg.Tunables.ConfigHistory > 0 {
-		own := *start.Cfg // tunables may change during the term
+		own := *start.Cfg // private copy: tunables may change during the term
 		start.Cfg = &own
 	}
 	if start.Metrics == nil {
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -8,17 +8,17 @@
 	"bitternmoor/internal/effects"
 )
 
-// saveMarginSeconds is what a task that is stopped gets beyond the time that it needs to
-// save a checkpoint.
+// saveMarginSeconds is the time that a stopped task gets in addition to the time that it
+// needs to save a checkpoint.
 const saveMarginSeconds = 5
 
-// stopMessages are the log messages for tasks that are stopped, by the reason.
+// stopMessages maps the reason for stopping a task to the log message.
 var stopMessages = map[Action]string{
 	Preempt: "task stopped for another job",
 	Move:    "task moved off a machine that is returned",
 }
 
-// StopAll stops tasks with time to save a checkpoint, and logs why.
+// StopAll stops tasks, giving them time to save a checkpoint, and logs the reason.
 func (s *State) StopAll(now time.Duration, placements []*workers.Placement, a Action) {
 	machines := map[*workers.Machine]bool{}
 	message := stopMessages[a]
@@ -34,8 +34,8 @@
 	}
 }
 
-// SaveAndStop stops a task with time to save a checkpoint; a gang is stopped as a whole,
-// for its progress is safe only when all of its tasks are told in time.
+// SaveAndStop stops a task, giving it time to save a checkpoint. A gang is stopped as a
+// whole, because its progress is saved only if all of its tasks are notified in time.
 func (s *State) SaveAndStop(now time.Duration, j *jobs.Job, p *workers.Placement) {
 	grace := j.Record.SaveS + saveMarginSeconds + s.GangNotifySeconds(j)
 	if j.Record.Kind == jobs.Gang {
@@ -51,7 +51,7 @@
 	}
 }
 
-// stopGang stops all tasks of a gang that are on machines or on their way.
+// stopGang stops all tasks of a gang that are on machines or whose start is in flight.
 func (s *State) stopGang(j *jobs.Job, graceSeconds float64) {
 	for k := range j.Tasks {
 		p := s.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
@@ -61,8 +61,8 @@
 	}
 }
 
-// GangNotifySeconds is how long it may take until all tasks of a gang are told, in seconds; 0 for
-// other jobs.
+// GangNotifySeconds returns how long it may take to notify all tasks of a gang, in seconds.
+// It is 0 for other kinds of jobs.
 func (s *State) GangNotifySeconds(j *jobs.Job) float64 {
 	if j.Record.Kind != jobs.Gang {
 		return 0
@@ -70,7 +70,7 @@
 	return s.Cfg.Deployment.Workers.GangPeerS
 }
 
-// SendStops sends a machine's stops without waiting for its next heartbeat.
+// SendStops sends a machine its stop commands without waiting for its next heartbeat.
 func (s *State) SendStops(m *workers.Machine) {
 	if m.Address != "" && m.Up && !m.Deleting {
 		s.Emit(effects.SendStops{Address: m.Address, Token: m.Token, Session: m.Session, Stops: m.DueStops()})
--- a/internal/leader/cluster/teams.go
+++ b/internal/leader/cluster/teams.go
@@ -11,8 +11,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// TeamIndex is the index of a team, of the configuration or not; it is given one if it has
-// none. A team that is not of the configuration has no limit.
+// TeamIndex returns the index of a team, assigning one if necessary. The team need not be
+// configured; a team that never was has no limit.
 func (s *State) TeamIndex(name string) int32 {
 	team := s.Teams.Index(name)
 	for int(team) >= len(s.Scheduler.Limits) {
@@ -22,13 +22,13 @@
 	return team
 }
 
-// HasTeam says whether a team is of the configuration, so that it may submit.
+// HasTeam reports whether a team is configured, so that it may submit jobs.
 func (s *State) HasTeam(team int32) bool {
 	return int(team) < len(s.configuredTeams) && s.configuredTeams[team]
 }
 
-// SetTeam has a team's guarantee and limit hold from now on. What runs above a lower limit
-// runs on; what is only planned there is cancelled.
+// SetTeam puts a team's guarantee and limit into force. Running tasks above a lowered limit
+// continue; planned tasks above it are cancelled.
 func (s *State) SetTeam(t settings.Team) {
 	team := s.TeamIndex(t.Name)
 	s.configuredTeams[team] = true
@@ -45,8 +45,8 @@
 	s.NeedsCycle = true
 }
 
-// RemoveTeam has a team submit nothing more. Its open jobs go on under its limit, without a
-// guarantee.
+// RemoveTeam stops a team from submitting jobs. Its open jobs continue under its limit,
+// without a guarantee.
 func (s *State) RemoveTeam(name string) {
 	team := s.TeamIndex(name)
 	s.configuredTeams[team] = false
@@ -63,8 +63,9 @@
 	s.Scheduler.Guarantees[team] = scheduler.Limit{CPU: guarantee.CPU, GPU: guarantee.GPU}
 }
 
-// cancelPlansOverLimit cancels plans of a team, the last tasks first, until what is left is
-// within its limit. Of a gang all or none are cancelled: none where one may have begun.
+// cancelPlansOverLimit cancels plans of a team, the last tasks first, until its use is within
+// its limit. The plans of a gang are cancelled together, or not at all if a task of the gang
+// may have begun.
 func (s *State) cancelPlansOverLimit(team int32) {
 	use := s.Scheduler.TeamUse(team)
 	limit := s.Scheduler.Limits[team]
@@ -72,7 +73,7 @@
 		return
 	}
 	planned, begunGangs := s.cancellablePlans(team)
-	gang := int32(-1) // the one of which all plans are being cancelled
+	gang := int32(-1) // job index of the gang whose plans are all being cancelled
 	for _, p := range planned {
 		job := p.Ref.Job
 		if begunGangs[job] || (job != gang && limit.Covers(use)) {
@@ -86,8 +87,8 @@
 	}
 }
 
-// cancellablePlans is the plans of a team, the last tasks of the last jobs first, and those
-// of its gangs of which a task may have begun.
+// cancellablePlans returns the plans of a team, the last tasks of the last jobs first, and
+// the set of its gangs, by job index, of which a task may have begun.
 func (s *State) cancellablePlans(team int32) (planned []*workers.Placement, begunGangs map[int32]bool) {
 	begunGangs = map[int32]bool{}
 	for ref, p := range s.Placements {
--- a/internal/leader/cluster/unresolved.go
+++ b/internal/leader/cluster/unresolved.go
@@ -9,19 +9,18 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// A machine is unresolved while it is not known what an earlier term left on it: since the
-// takeover it has neither reported at the new token nor been proved gone.
+// A machine is unresolved while it is not known which tasks an earlier term left on it: since
+// the takeover it has neither reported with the new token nor been proved gone.
 
-// maxUnresolvedShare is the share of a team's limit that unresolved machines may take
-// before the team is held back by them.
+// maxUnresolvedShare is the share of a team's limit above which the possible use of
+// unresolved machines counts as holding the team back.
 const maxUnresolvedShare = 0.25
 
-// AddUnresolved counts an unresolved machine: in full against every team whose tasks it may
-// have.
+// AddUnresolved counts an unresolved machine. Its whole capacity is charged to every team
+// whose tasks may be on it.
 func (s *State) AddUnresolved(m *workers.Machine) { s.countUnresolved(m, 1) }
 
-// RemoveUnresolved takes back what AddUnresolved counted: the machine has reported, or is
-// gone.
+// RemoveUnresolved reverses AddUnresolved once the machine has reported or is gone.
 func (s *State) RemoveUnresolved(m *workers.Machine) { s.countUnresolved(m, -1) }
 
 func (s *State) countUnresolved(m *workers.Machine, by int) {
@@ -39,18 +38,19 @@
 	}
 }
 
-// Unresolved counts the unresolved machines, and says whether one of them may have tasks
-// of any job, since no grants were noted for it.
+// Unresolved returns the number of unresolved machines, and whether one of them may have
+// tasks of any job because no grants were recorded for it.
 func (s *State) Unresolved() (machines int, blind bool) {
 	return s.unresolvedMachines, s.unresolvedUnnumbered > 0
 }
 
-// MayRunUnseen says whether tasks of a job that are not seen may run on unresolved machines.
+// MayRunUnseen reports whether tasks of a job that no heartbeat has shown may run on
+// unresolved machines.
 func (s *State) MayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(s.unresolvedUnnumbered > 0) }
 
-// Quiescent says whether nothing of a job is anywhere, nor can be: no task counts as being
-// on a machine, on offer or on its way, none may run unseen, and none is an orphan on a
-// machine where it does not count.
+// Quiescent reports whether no task of a job is on any machine, or can be: none is placed,
+// offered or being started, none may run unseen on an unresolved machine, and none is an
+// orphan, which is a task on a machine where it is not counted.
 func (s *State) Quiescent(j *jobs.Job) bool {
 	if j.Placed != 0 || s.MayRunUnseen(j) {
 		return false
@@ -60,7 +60,8 @@
 	})
 }
 
-// HeldBackByUnresolved says whether unresolved machines hold a team back at its limit.
+// HeldBackByUnresolved reports whether the possible use of unresolved machines takes up much
+// of the limit of any team.
 func (s *State) HeldBackByUnresolved() bool {
 	for team, use := range s.unresolvedUse {
 		if takesMuchOf(use, s.Scheduler.Limits[team]) {
@@ -70,7 +71,8 @@
 	return false
 }
 
-// takesMuchOf says whether use is more than maxUnresolvedShare of a limit; 0: no limit.
+// takesMuchOf reports whether use exceeds maxUnresolvedShare of a limit. A limit of 0 means
+// that there is none.
 func takesMuchOf(use resources.Amounts, limit scheduler.Limit) bool {
 	cpu := limit.CPU > 0 && float64(use.CPU) > maxUnresolvedShare*float64(limit.CPU)
 	gpu := limit.GPU > 0 && float64(use.GPU) > maxUnresolvedShare*float64(limit.GPU)
--- a/internal/leader/cluster/value_reader.go
+++ b/internal/leader/cluster/value_reader.go
@@ -7,21 +7,20 @@
 	"bitternmoor/internal/effects"
 )
 
-// retryAfter is how long to wait before a page of values that could not be read is requested
-// again.
+// retryAfter is the delay before a page of values that could not be read is requested again.
 const retryAfter = time.Second
 
 // ValueReader reads a component's own values, page by page, after its term has begun. The
-// component gives it the name under which its values are stored.
+// component passes the name under which its values are stored.
 type ValueReader struct {
-	Done bool // all of them are read
+	Done bool // all values have been read
 
-	requested bool          // a page, which has not come yet
-	lastKey   string        // of the last value read
-	retryAt   time.Duration // no page is requested before
+	requested bool          // a page has been requested and not yet received
+	lastKey   string        // key of the last value read
+	retryAt   time.Duration // no page is requested before this time
 }
 
-// RequestNext requests the next page when it is due.
+// RequestNext requests the next page of values if one is due.
 func (r *ValueReader) RequestNext(to Emitter, now time.Duration, component string) {
 	if !r.Done && !r.requested && now >= r.retryAt {
 		r.requested = true
@@ -29,8 +28,8 @@
 	}
 }
 
-// PageRead takes a page, and says whether it was the one that was requested and could be
-// read. After the last one Done is set.
+// PageRead accepts a page and reports whether it was requested and could be read. It sets
+// Done after the last page.
 func (r *ValueReader) PageRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) bool {
 	if r.Done || !r.requested {
 		return false
--- a/internal/leader/lifecycle/answers.go
+++ b/internal/leader/lifecycle/answers.go
@@ -6,7 +6,7 @@
 	"bitternmoor/internal/wire"
 )
 
-// Query answers for a job's state.
+// Query answers a request for a job's state.
 func (c *Component) Query(to effects.RequestID, id uint64) {
 	if state, known := c.jobState(id); known {
 		c.reply(to, state)
@@ -19,8 +19,8 @@
 	c.reply(to, effects.Answer{Status: statusNotFound, Why: "no such job"})
 }
 
-// jobState is what users may be told of a job; it is false for one that is not known or not
-// durably accepted.
+// jobState returns the state of a job as reported to users. It returns false for a job that is
+// unknown or whose acceptance is not durable.
 func (c *Component) jobState(id uint64) (effects.Answer, bool) {
 	if phase, over := c.Jobs.FinalPhase(id); over {
 		state := wire.Done
@@ -47,8 +47,8 @@
 	}, true
 }
 
-// answerSubmissions answers those who wait for a job's acceptance: the first one has made
-// it, the others have repeated it.
+// answerSubmissions answers the requests that wait for a job's acceptance: the first created
+// the job, the others are repeated submissions.
 func (c *Component) answerSubmissions(leaseValid bool, id uint64) {
 	state, _ := c.jobState(id)
 	state.Status, state.Counts = statusCreated, false
@@ -59,7 +59,7 @@
 	delete(c.submitRequests, id)
 }
 
-// answerCancellations answers those who wait for a job's cancellation.
+// answerCancellations answers the requests that wait for a job's cancellation.
 func (c *Component) answerCancellations(leaseValid bool, id uint64) {
 	state, _ := c.jobState(id)
 	for _, to := range c.cancelRequests[id] {
@@ -68,8 +68,8 @@
 	delete(c.cancelRequests, id)
 }
 
-// answer replies with what became durable, unless the lease may be over: another leader may
-// know better then.
+// answer replies with a state that has become durable. If the lease may have expired, it
+// replies that the service is unavailable, because another leader may have a newer state.
 func (c *Component) answer(leaseValid bool, to effects.RequestID, state effects.Answer) {
 	if !leaseValid {
 		state = effects.Unavailable("leadership is in doubt")
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -11,12 +11,12 @@
 	"bitternmoor/internal/effects"
 )
 
-// maxCancelRequests bounds those who wait to be told of one cancellation: each is told to
-// come back after a second.
+// maxCancelRequests bounds the requests that wait for one cancellation. A client whose request
+// is not answered in time is asked to retry after a second.
 const maxCancelRequests = 64
 
-// Cancel cancels a job: its tasks are stopped at once, and its user is told once nothing of
-// it is left anywhere. A user who cannot be told in time asks again.
+// Cancel cancels a job: its tasks are stopped at once, and the request is answered once none
+// of its tasks is left on any machine. A client whose request times out repeats it.
 func (c *Component) Cancel(now time.Duration, to effects.RequestID, id uint64) {
 	if _, over := c.Jobs.FinalPhase(id); over {
 		state, _ := c.jobState(id)
@@ -30,7 +30,7 @@
 	}
 	c.addCancelRequest(to, id)
 	if j.Phase == jobs.Cancelling || j.Finished == len(j.Tasks) {
-		return // answered with what becomes durable first
+		return // answered by whichever becomes durable first, the cancellation or the completion
 	}
 	j.CancelAskedAt = now
 	if j.Phase == jobs.Accepting {
@@ -44,8 +44,8 @@
 	c.stopTasks(j)
 }
 
-// addCancelRequest keeps a request until the cancellation is durable, and drops the oldest
-// one where there are too many: it was told to come back long ago.
+// addCancelRequest keeps a request until the cancellation is durable. If there are too many,
+// it drops the oldest, whose client was asked to retry long before.
 func (c *Component) addCancelRequest(to effects.RequestID, id uint64) {
 	if list := c.cancelRequests[id]; len(list) >= maxCancelRequests {
 		c.cancelRequests[id] = slices.Delete(list, 0, 1)
@@ -53,7 +53,7 @@
 	c.cancelRequests[id] = append(c.cancelRequests[id], to)
 }
 
-// stopTasks stops all tasks of a job that is to be cancelled.
+// stopTasks stops all tasks of a job that is being cancelled.
 func (c *Component) stopTasks(j *jobs.Job) {
 	machines := map[*workers.Machine]bool{}
 	for k, state := range j.Tasks {
@@ -73,18 +73,17 @@
 	}
 }
 
-// appendCancellations hands cancellations to the log, in the order of their jobs' ids.
+// appendCancellations appends cancellations to the log, in the order of their jobs' ids.
 //
-// A cancellation becomes durable, and its user is told, only once nothing of the job is on
-// any machine, nor can be. Found on days on which the state service refused the leader
-// alone and then everybody: another leader had confirmed cancellations, the old one kept
-// its workers alive, and nobody who knew of the one could reach the other. Whatever fails
-// after the user was told, and whoever then leads, answers workers or knows of nothing:
-// there is nothing left that could run.
+// A cancellation is written and confirmed only once no task of the job is on any machine, or
+// can be. Then no later failure or change of leader can leave a task of it running. Confirming
+// earlier failed when the state service refused first the leader alone and then all controllers:
+// a new leader confirmed cancellations while the old one, which could not learn of them, kept
+// the leases of its workers alive.
 func (c *Component) appendCancellations(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.cancelling)) {
 		switch j := c.cancelling[id]; {
-		case j.Finished == len(j.Tasks): // done before it could be stopped
+		case j.Finished == len(j.Tasks): // its tasks completed before they could be stopped
 			delete(c.cancelling, id)
 		case c.Quiescent(j):
 			delete(c.cancelling, id)
@@ -93,7 +92,7 @@
 	}
 }
 
-// appendCancellation hands the cancellation of a job to the log.
+// appendCancellation appends the cancellation of a job to the log.
 func (c *Component) appendCancellation(now time.Duration, j *jobs.Job) {
 	j.CancelPending = true
 	took := now - j.CancelAskedAt
@@ -105,7 +104,7 @@
 	c.EventLog.AppendTracked(eventlog.Entry{Cancel: &j.Record.ID})
 }
 
-// cancellationDurable acts on a cancellation that is durable, unless the job is over.
+// cancellationDurable applies a cancellation that is durable, unless the job is over.
 func (c *Component) cancellationDurable(leaseValid bool, id uint64) {
 	if j := c.Jobs.ByID(id); j != nil && j.Phase != jobs.Done && j.Phase != jobs.Cancelled {
 		c.applyCancellation(leaseValid, j)
@@ -113,8 +112,8 @@
 	c.answerCancellations(leaseValid, id)
 }
 
-// applyCancellation acts on a durable cancellation, of a job or of one that it depends on,
-// and on all that depend on it.
+// applyCancellation cancels a job, because its own cancellation or that of a job it depends on
+// is durable, and all jobs that depend on it.
 func (c *Component) applyCancellation(leaseValid bool, j *jobs.Job) {
 	dependencies, dependents := c.Jobs.TransitiveDependencies(j), c.Jobs.TransitiveDependents(j)
 	c.purge(j)
@@ -127,7 +126,7 @@
 	c.restorePriorities(dependencies)
 }
 
-// purge ends one job that is cancelled, none of whose tasks is anywhere.
+// purge ends a cancelled job that has no tasks on any machine.
 func (c *Component) purge(j *jobs.Job) {
 	j.Phase = jobs.Cancelled
 	delete(c.cancelling, j.Record.ID)
--- a/internal/leader/lifecycle/compaction.go
+++ b/internal/leader/lifecycle/compaction.go
@@ -7,32 +7,32 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Upper bounds for what one item takes in an entry of the log, in bytes, and what is left
-// in an entry for its other fields, in items.
+// Upper bounds of the size of one item in a log entry, in bytes, and the space that is
+// reserved for the other fields of the entry, in items.
 const (
-	maxRangeBytes = 16 // of a range of tasks
-	maxIDBytes    = 21 // of a job's id
+	maxRangeBytes = 16 // one range of tasks
+	maxIDBytes    = 21 // one job id
 
 	completedOverhead    = 4
 	dependenciesOverhead = 4
 	finalStatesOverhead  = 2
 )
 
-// Rough sizes that tell how much of the log is live, in bytes.
+// Approximate sizes from which the live part of the log is estimated, in bytes.
 const (
 	openJobBytes    = 400
 	finalStateBytes = 9
 )
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes estimates how many bytes Compact would write for the whole log.
 func (c *Component) LiveBytes() int {
 	return c.Jobs.Len()*openJobBytes + c.Jobs.FinalCount()*finalStateBytes
 }
 
-// CanCompact says whether all that is live of these entries can be written anew. What was
-// stored under larger limits may be too large now: then it stays where it is until the job
-// is over. A cancellation on its way to the log would stand before the job that is written
-// anew, and be replayed without it.
+// CanCompact reports whether all live entries among these can be appended again. A job that
+// was stored under larger limits may be too large now; it then stays in its segment until it
+// is over. A job whose cancellation is pending cannot be compacted either: the cancellation
+// would precede the new entry of the job in the log, and replay would ignore it.
 func (c *Component) CanCompact(entries []eventlog.Entry) bool {
 	for _, e := range entries {
 		if e.Job == nil {
@@ -50,12 +50,12 @@
 	return true
 }
 
-// Compact writes anew what is live of an entry.
+// Compact appends again what is live of an entry.
 func (c *Component) Compact(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Dependencies != nil:
-		// One for one, beside the job's own entry: the two may be in different segments, and
-		// what a waiting job depends on must never be lost.
+		// Copied one by one, independently of the job's own entry: the two may be in different
+		// segments, and the dependencies of a waiting job must never be lost.
 		if j := c.Jobs.ByID(e.Dependencies.ID); j != nil && j.Record.AtMS == e.Dependencies.AcceptedMS {
 			c.EventLog.Append(e)
 		}
@@ -75,12 +75,12 @@
 	}
 }
 
-// CompactionDone writes the final states that are left.
+// CompactionDone appends the remaining final states.
 func (c *Component) CompactionDone() { c.appendFinalStates(1) }
 
-// compactOpenJob appends what is known of an open job. Completed tasks that are on their
-// way to the log are in it too: their own entry will stand before the job that is written
-// here, and be replayed without it.
+// compactOpenJob appends the present state of an open job. It includes completed tasks whose
+// own entry is pending: that entry will precede the job's new entry, and replay ignores
+// completions of a job that it has not read yet.
 func (c *Component) compactOpenJob(now time.Duration, j *jobs.Job) {
 	c.EventLog.Append(c.acceptanceEntry(j))
 	completed := eventlog.CompletedTasks{ID: j.Record.ID, Seconds: j.RunSeconds, Known: j.RunCount}
@@ -97,8 +97,8 @@
 	}
 }
 
-// compactFinalState gathers a final state to be written anew, in entries that are as large
-// as they may be.
+// compactFinalState collects a final state and appends the collected ones once they fill an
+// entry of the maximum size.
 func (c *Component) compactFinalState(id uint64) {
 	switch phase, _ := c.Jobs.FinalPhase(id); phase {
 	case jobs.Done:
@@ -109,8 +109,7 @@
 	c.appendFinalStates(max(1, c.EventLog.MaxEntryBytes()/maxIDBytes-finalStatesOverhead))
 }
 
-// appendFinalStates appends the final states that were gathered, if there are at least so
-// many.
+// appendFinalStates appends the collected final states if their number is not below least.
 func (c *Component) appendFinalStates(least int) {
 	if len(c.compactedFinals.Done)+len(c.compactedFinals.Cancelled) < least {
 		return
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -11,8 +11,8 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// HandleEvent collects completed tasks, so that those of a job that complete between two
-// commits take one entry of the log.
+// HandleEvent collects completed tasks, so that the tasks of a job that complete between two
+// commits share one log entry.
 func (c *Component) HandleEvent(e cluster.Event) {
 	if e.Kind != cluster.TaskDone {
 		return
@@ -25,12 +25,13 @@
 	}
 	batch.Add(e.Task)
 	if e.RunSeconds >= 0 {
-		batch.Seconds = float64(int64((batch.Seconds+e.RunSeconds)*100)) / 100 // to hundredths, to take less of the log
+		// Rounded down to hundredths to save space in the log.
+		batch.Seconds = float64(int64((batch.Seconds+e.RunSeconds)*100)) / 100
 		batch.Known++
 	}
 }
 
-// appendCompleted hands completed tasks to the log, in the order of their jobs' ids.
+// appendCompleted appends completed tasks to the log, in the order of their jobs' ids.
 func (c *Component) appendCompleted(now time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(c.completed)) {
 		c.appendTasks(now, *c.completed[id])
@@ -38,8 +39,8 @@
 	clear(c.completed)
 }
 
-// appendTasks appends completed tasks of a job, in as many entries as they need, with the
-// time of day for a job that others wait for.
+// appendTasks appends completed tasks of a job, in as many entries as they need. If other jobs
+// depend on the job, the entries carry the time of day.
 func (c *Component) appendTasks(now time.Duration, batch eventlog.CompletedTasks) {
 	if j := c.Jobs.ByID(batch.ID); j != nil && len(j.Dependents) > 0 {
 		batch.AtMS = c.ClockZeroMS + now.Milliseconds()
@@ -53,8 +54,8 @@
 	c.EventLog.AppendTracked(eventlog.Entry{CompletedTasks: &batch})
 }
 
-// completionsDurable acts on completed tasks that are durable: once all tasks of a job are,
-// it is done.
+// completionsDurable marks tasks as durably completed and finishes the job once all of its
+// tasks are.
 func (c *Component) completionsDurable(now time.Duration, leaseValid bool, done *eventlog.CompletedTasks) {
 	j := c.Jobs.ByID(done.ID)
 	if j == nil {
@@ -70,8 +71,8 @@
 	}
 }
 
-// finish ends a job all of whose tasks are durably done, and releases those that waited
-// only for it.
+// finish ends a job all of whose tasks are durably completed, and releases the jobs that
+// waited only for it.
 func (c *Component) finish(now time.Duration, leaseValid bool, j *jobs.Job) {
 	id := j.Record.ID
 	j.Phase = jobs.Done
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -8,17 +8,18 @@
 )
 
 const (
-	// What addStartDeadline leaves for tasks that run longer than estimated, and for
-	// placing all of a job.
+	// Margins of addStartDeadline: a factor for tasks that run longer than estimated, and the
+	// time for placing all tasks of a job.
 	overrunFactor  = 1.2
 	placingSeconds = 10
 
-	// maxLeadShare is the largest share of a short objective in which a class's tasks go
-	// ahead of the order: not all of the class goes ahead from the start.
+	// maxLeadShare is the largest share of the time before the latest start in which tasks go
+	// ahead of the order. With short objectives it keeps a class's jobs from going ahead from
+	// their arrival on.
 	maxLeadShare = 0.7
 )
 
-// setDeadlines settles the times that count from a job's arrival, or from its release.
+// setDeadlines computes the times that are relative to a job's arrival or release.
 func (c *Component) setDeadlines(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
 	j.PriorityWindows, j.Deadline, j.LowRankAfterMissUntil = nil, 0, 0
@@ -36,15 +37,15 @@
 	}
 }
 
-// applyFinishObjective settles the times that follow from an objective for a job's end.
+// applyFinishObjective computes the times that follow from an objective for a job's end.
 func (c *Component) applyFinishObjective(j *jobs.Job, at time.Duration, objective settings.Objective) {
 	c.addStartDeadline(j, at, objective.WithinS)
 	j.Deadline = max(j.Deadline, at+settings.Seconds(objective.WithinS))
 	j.LowRankAfterMissUntil = max(j.LowRankAfterMissUntil, at+settings.Seconds(objective.WithinS*c.Cfg.Tunables.LostBehind))
 }
 
-// applyWaitObjective settles the times that follow from an objective for a job's wait, and
-// whether its starts are pushed to workers.
+// applyWaitObjective computes the times that follow from an objective for a job's waiting
+// time, and decides whether its starts are pushed to workers.
 func (c *Component) applyWaitObjective(j *jobs.Job, at time.Duration, objective settings.Objective) {
 	if c.Cfg.Tunables.WaitLeadS > 0 {
 		c.addPriorityWindow(j, at, objective.WithinS)
@@ -54,9 +55,10 @@
 	}
 }
 
-// addStartDeadline has a best-effort job, which goes behind the order at first, go ahead of
-// it in time for an objective for its end, withinSeconds after at, and at once where that
-// cannot be met: such jobs set the end of the day.
+// addStartDeadline adds a window in which a best-effort job, which at first ranks behind the
+// order, goes ahead of it in time to end withinSeconds after at. If the estimate leaves no
+// time for that, the window begins at once, because such jobs determine when the day's work
+// ends.
 func (c *Component) addStartDeadline(j *jobs.Job, at time.Duration, withinSeconds float64) {
 	if j.Priority > 0 || c.Cfg.Tunables.WaitLeadS == 0 {
 		return
@@ -71,8 +73,9 @@
 	j.LowRankUntil = min(j.LowRankUntil, c.addPriorityWindow(j, at, latest))
 }
 
-// addPriorityWindow has a job's waiting tasks go ahead of the order for a while before the
-// latest time at which they should start, latestSeconds after at, and says from when on.
+// addPriorityWindow adds a window in which a job's waiting tasks go ahead of the order. It ends
+// at the latest time at which they should start, latestSeconds after at. It returns the
+// beginning of the window.
 func (c *Component) addPriorityWindow(j *jobs.Job, at time.Duration, latestSeconds float64) time.Duration {
 	from := at + settings.Seconds(latestSeconds-min(c.Cfg.Tunables.WaitLeadS, maxLeadShare*latestSeconds))
 	window := [2]time.Duration{from, at + settings.Seconds(latestSeconds)}
@@ -80,9 +83,9 @@
 	return from
 }
 
-// deferral is how long a job goes behind the order: best-effort work until some time before
-// its class's tightest objective, so that small jobs of it do not jump the queue of those
-// that are more urgent.
+// deferral returns for how long a job ranks behind the order: for best-effort work, until
+// LowLeadS before its class's tightest objective. Otherwise small best-effort jobs would be
+// ordered before more urgent ones.
 func (c *Component) deferral(j *jobs.Job) time.Duration {
 	if j.Priority > 0 || c.Cfg.Tunables.LowLeadS == 0 {
 		return 0
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -10,17 +10,16 @@
 	"bitternmoor/internal/wire"
 )
 
-// Jobs that depend on ("follow") others. What a job depends on is stored with it;
-// everything else is derived from that and from the final states, by the leader as entries
-// become durable and by its successor from the log, with the same result:
+// Dependencies between jobs, which the API calls "follows". A job's dependencies are stored
+// with it. Everything else is derived from them and from the final states of jobs, by the
+// leader as entries become durable and by its successor from the log, with the same result:
 //
-//   - a job is released once all that it depends on are durably done;
-//   - a job is cancelled once one that it depends on is durably cancelled. Such a job has
-//     no task anywhere: it was never released, for what it depends on was not durably done,
-//     and what is durably cancelled never will be.
+//   - A job is released once all of its dependencies are durably done.
+//   - A job is cancelled once one of its dependencies is durably cancelled. It has no task on
+//     any machine, because it was never released: a durably cancelled job is never done.
 
-// storedForm is the form in which a job is written, and the entries that go before it where
-// it depends on more jobs than fit.
+// storedForm returns the form in which a job is written. If its dependencies do not fit into
+// its entry, it also returns the entries that hold them and precede the job's entry.
 func (c *Component) storedForm(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
 	rec.Rest = 0
 	rec.HideFromOlderVersions()
@@ -39,8 +38,8 @@
 	return rec, parts
 }
 
-// dependencyProblem says why a job cannot depend on what it names; known is false while
-// that cannot be decided.
+// dependencyProblem returns why a job's dependencies are invalid, or "" if they are valid.
+// known is false while that cannot be decided.
 func (c *Component) dependencyProblem(rec *eventlog.Job) (why string, known bool) {
 	for _, id := range rec.Follows {
 		if _, over := c.Jobs.FinalPhase(id); over {
@@ -58,8 +57,8 @@
 	return "", true
 }
 
-// resolveDependencies settles what an accepted job waits for. It is false when the job is
-// cancelled from the start, since one that it depends on is.
+// resolveDependencies registers the unfinished dependencies of an accepted job. It returns
+// false if one of its dependencies is cancelled, so that the job must be cancelled too.
 func (c *Component) resolveDependencies(j *jobs.Job) bool {
 	if j.Record.ReleasedMS != 0 {
 		return true
@@ -80,8 +79,8 @@
 	return true
 }
 
-// promoteDependencies has the jobs that a job depends on take its priority: the tunable
-// follow_urgency. Their place in the order changes, their size does not.
+// promoteDependencies raises the priority of a job's dependencies to its own, if the tunable
+// follow_urgency is on. This changes their place in the order, but not their size.
 func (c *Component) promoteDependencies(j *jobs.Job) {
 	if c.Cfg.Tunables.FollowUrgency == 0 {
 		return
@@ -95,7 +94,7 @@
 	}
 }
 
-// restorePriorities recomputes the priority of jobs that a cancelled one depended on.
+// restorePriorities recomputes the priorities of the former dependencies of a cancelled job.
 func (c *Component) restorePriorities(dependencies []*jobs.Job) {
 	for _, dependency := range dependencies {
 		dependency.Priority = dependency.Record.Priority
@@ -107,8 +106,8 @@
 	}
 }
 
-// release releases a job: all that it depends on are durably done. It enters the order as
-// if it had just arrived.
+// release releases a job whose dependencies are all durably done. It enters the order as if
+// it had just arrived.
 func (c *Component) release(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
 	j.Record.ReleasedMS = c.ClockZeroMS + now.Milliseconds()
--- a/internal/leader/lifecycle/lifecycle.go
+++ b/internal/leader/lifecycle/lifecycle.go
@@ -1,10 +1,10 @@
-// Package lifecycle is the component of a leader that takes jobs from their submission to
-// their end: it accepts them, resolves their dependencies, releases, cancels and completes
-// them, and answers their users. It alone writes entries of jobs, dependencies, completed
+// Package lifecycle implements the component of a leader that manages jobs from submission
+// to end: it accepts them, resolves their dependencies, releases, cancels and completes
+// them, and answers user requests. It alone writes entries of jobs, dependencies, completed
 // tasks, cancellations and final states to the event log.
 //
-// Like all components it has no clock, socket or goroutine. leaseValid says whether the
-// leader's lease still holds; without it users are told nothing of jobs.
+// Like all components it has no clock, socket or goroutine. leaseValid reports whether the
+// leader's lease still holds; without it no answer contains the state of a job.
 package lifecycle
 
 import (
@@ -16,14 +16,14 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// Component is the life of all jobs in a term.
+// Component manages the life cycle of all jobs in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
 
-	// What has not been handed to the log yet, by job id.
+	// Changes that are not appended to the log yet, by job id.
 	completed  map[uint64]*eventlog.CompletedTasks // tasks that have completed
-	cancelling map[uint64]*jobs.Job                // jobs whose cancellation waits until nothing of them is anywhere
+	cancelling map[uint64]*jobs.Job                // jobs whose cancellation waits for their tasks to stop
 
 	// Requests that are answered once an entry is durable, by job id.
 	submitRequests map[uint64][]effects.RequestID
@@ -31,19 +31,19 @@
 
 	cancelSeconds *cluster.Histogram
 
-	// While the log is replayed, by job id; nil after.
+	// Set only while the log is replayed, by job id.
 	replayedDependencies map[uint64][]eventlog.Dependencies
-	replayedDoneAt       map[uint64]int64 // time of day of the last completion, in milliseconds
+	replayedDoneAt       map[uint64]int64 // time of day of the last completion, in Unix milliseconds
 
-	compactedFinals eventlog.FinalStates // to be written anew by the compaction under way
+	compactedFinals eventlog.FinalStates // collected by the current compaction, to be appended again
 }
 
-// New makes the component of a term.
+// New creates the component for a term.
 func New(s *cluster.State) *Component {
 	return &Component{
 		State: s,
 		cancelSeconds: s.Metrics.Histogram("bitternmoor_cancel_seconds",
-			"Time from a user's wish to cancel a job until nothing of it was left anywhere, by its class.",
+			"Time from a request to cancel a job until no task of it was left on any machine, by job class.",
 			"class", []float64{0.05, 0.2, 0.5, 1, 2, 4, 8, 15, 30, 60}),
 		completed:            map[uint64]*eventlog.CompletedTasks{},
 		cancelling:           map[uint64]*jobs.Job{},
@@ -54,7 +54,7 @@
 	}
 }
 
-// EntryDurable acts on an entry that has become durable.
+// EntryDurable applies an entry that has become durable.
 func (c *Component) EntryDurable(now time.Duration, leaseValid bool, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
@@ -66,14 +66,14 @@
 	}
 }
 
-// AppendEntries hands completed tasks to the log, and cancellations of jobs of which
-// nothing is left.
+// AppendEntries appends completed tasks to the log, and the cancellations of jobs that have no
+// tasks left on any machine.
 func (c *Component) AppendEntries(now time.Duration) {
 	c.appendCompleted(now)
 	c.appendCancellations(now)
 }
 
-// End answers everybody who still waits; the next leader knows more.
+// End answers all waiting requests as unavailable; clients retry them with the next leader.
 func (c *Component) End() {
 	for _, requests := range []map[uint64][]effects.RequestID{c.submitRequests, c.cancelRequests} {
 		for _, list := range requests {
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -9,7 +9,7 @@
 	"bitternmoor/internal/effects"
 )
 
-// Replay takes an entry of the log.
+// Replay applies an entry of the log.
 func (c *Component) Replay(now time.Duration, e eventlog.Entry) {
 	switch {
 	case e.FinalStates != nil:
@@ -33,15 +33,15 @@
 	}
 }
 
-// replayJob adds a job to the table unless an earlier entry has: a compaction may leave
-// entries twice.
+// replayJob adds a job to the table unless an earlier entry did, since a compaction may leave
+// an entry in the log twice.
 func (c *Component) replayJob(now time.Duration, rec *eventlog.Job) {
 	if _, over := c.Jobs.FinalPhase(rec.ID); !over && c.Jobs.ByID(rec.ID) == nil {
 		c.addJob(*rec, now)
 	}
 }
 
-// replayCompleted marks tasks as durably done, and their job once all are.
+// replayCompleted marks tasks as durably done, and their job as done once all of them are.
 func (c *Component) replayCompleted(done *eventlog.CompletedTasks) {
 	if done.AtMS != 0 {
 		c.replayedDoneAt[done.ID] = max(c.replayedDoneAt[done.ID], done.AtMS)
@@ -63,7 +63,7 @@
 	}
 }
 
-// replayFinalState notes a final state, whatever stood before it.
+// replayFinalState records a final state, overriding any earlier entries of the job.
 func (c *Component) replayFinalState(id uint64, phase jobs.Phase) {
 	c.Jobs.RecordFinalPhase(id, phase)
 	if j := c.Jobs.ByID(id); j != nil {
@@ -71,7 +71,7 @@
 	}
 }
 
-// Begin settles what every job waits for and enters the open ones into the order.
+// Begin resolves the dependencies of all jobs and adds the open ones to the order.
 func (c *Component) Begin(now time.Duration) {
 	c.restoreDependencies(now)
 	c.replayedDependencies, c.replayedDoneAt = nil, nil
@@ -87,10 +87,10 @@
 	}
 }
 
-// restoreSize gives the estimator an open job and its completed tasks.
+// restoreSize adds an open job and its completed tasks to the size estimator.
 func (c *Component) restoreSize(j *jobs.Job) {
 	c.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
-	meanSeconds := -1.0 // not known
+	meanSeconds := -1.0 // unknown
 	if j.RunCount > 0 {
 		meanSeconds = j.RunSeconds / float64(j.RunCount)
 	}
@@ -101,8 +101,8 @@
 	}
 }
 
-// restoreDependencies settles after a replay what every job waits for. The log is read as a
-// whole before: its compaction changes the order of its entries.
+// restoreDependencies resolves the dependencies of all jobs. It runs after the whole log has
+// been replayed, because compaction changes the order of entries.
 func (c *Component) restoreDependencies(now time.Duration) {
 	var cancelled []*jobs.Job
 	for _, j := range c.Jobs.All() {
@@ -119,16 +119,16 @@
 	}
 }
 
-// restoreJob settles what one job waits for. It is false for a job that is cancelled, since
-// one that it depends on is.
+// restoreJob resolves the dependencies of one job. It returns false if the job is cancelled
+// because one of its dependencies is.
 func (c *Component) restoreJob(now time.Duration, j *jobs.Job) bool {
 	j.Phase, j.FromEarlierTerm = jobs.Open, true
 	if j.Record.Rest > 0 && j.Record.ReleasedMS == 0 {
 		j.Record.Follows = joinDependencies(j.Record, c.replayedDependencies[j.Record.ID])
 	}
 	if len(j.Record.Follows) < j.Record.Rest || !c.dependenciesKnown(j.Record.Follows) {
-		// No leader that knows of dependencies writes such a log. Whether the job may start
-		// is not known any more: it waits for its user to cancel it.
+		// No version with support for dependencies writes such a log. It is unknown whether
+		// the job may start, so it is held until its user cancels it.
 		c.LogMessage(effects.Error, "dependencies missing from event log, job not started", "job", j.Record.ID)
 		j.Phase = jobs.Held
 		return true
@@ -137,7 +137,7 @@
 		return false
 	}
 	if len(j.Dependencies) > 0 {
-		j.Phase, j.FromEarlierTerm = jobs.Held, false // never started
+		j.Phase, j.FromEarlierTerm = jobs.Held, false // it was never started
 		return true
 	}
 	if len(j.Record.Follows) > 0 && j.Record.ReleasedMS == 0 {
@@ -149,8 +149,8 @@
 	return true
 }
 
-// restoredRelease is the time of day at which a job was released, in milliseconds: when the
-// last of those that it depends on was done, and not before it was accepted.
+// restoredRelease returns the time of day at which a job was released, in Unix milliseconds:
+// when the last of its dependencies was done, but not before it was accepted.
 func (c *Component) restoredRelease(rec eventlog.Job) int64 {
 	released := rec.AtMS
 	for _, id := range rec.Follows {
@@ -159,7 +159,7 @@
 	return released
 }
 
-// dependenciesKnown says whether the log knows jobs that an accepted one depends on.
+// dependenciesKnown reports whether the log has entries of all jobs with the given ids.
 func (c *Component) dependenciesKnown(ids []uint64) bool {
 	return !slices.ContainsFunc(ids, func(id uint64) bool {
 		_, over := c.Jobs.FinalPhase(id)
@@ -167,8 +167,8 @@
 	})
 }
 
-// joinDependencies gathers what a job depends on from the entries beside its own: each id
-// once, of the same acceptance only.
+// joinDependencies collects a job's dependencies from their separate entries, each id once. It
+// ignores entries of another acceptance of the same job id.
 func joinDependencies(rec eventlog.Job, parts []eventlog.Dependencies) []uint64 {
 	var ids []uint64
 	for _, part := range parts {
@@ -180,7 +180,8 @@
 	return slices.Compact(ids)
 }
 
-// toClock is a time of day, in milliseconds, on this node's clock; none is later than now.
+// toClock converts a time of day, in Unix milliseconds, to the node's clock. The result is at
+// most now.
 func (c *Component) toClock(ms int64, now time.Duration) time.Duration {
 	return min(now, time.Duration(ms-c.ClockZeroMS)*time.Millisecond)
 }
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -12,8 +12,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// Admission control: while so many entries wait to be written, submissions are refused and
-// told when to come back.
+// Admission control: while more than maxPendingEntries entries wait to be written, submissions
+// are refused with a time after which to retry.
 const (
 	maxPendingEntries  = 2000
 	busyRetryAfterSecs = 2
@@ -29,8 +29,8 @@
 	statusTooMany       = 429
 )
 
-// Submit takes a submission. It is idempotent: a job that is known already is answered with
-// its state, and one that is being accepted once that is durable.
+// Submit handles a submission. It is idempotent: a repeated submission of a known job is
+// answered with the job's state, or once the job's acceptance is durable if it is pending.
 func (c *Component) Submit(now time.Duration, to effects.RequestID, s wire.Submission) {
 	if j := c.Jobs.ByID(s.ID); j != nil && j.Phase == jobs.Accepting {
 		c.submitRequests[s.ID] = append(c.submitRequests[s.ID], to)
@@ -55,8 +55,8 @@
 	c.EventLog.AppendTracked(c.acceptanceEntry(j))
 }
 
-// refusal is the answer to a submission that is not accepted for what it says; nil: it may
-// be accepted.
+// refusal returns the answer to a submission that cannot be accepted because of its contents,
+// or because its contents cannot be checked yet. It returns nil if it may be accepted.
 func (c *Component) refusal(s wire.Submission) *effects.Answer {
 	if s.Job == nil {
 		return &effects.Answer{Status: statusBadRequest, Why: s.Bad}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// poolRefusal is the answer to a job that needs units of pools and can never have them.
+// poolRefusal returns the answer to a job that needs units of pools which it cannot get, or nil.
 func (c *Component) poolRefusal(rec *eventlog.Job) *effects.Answer {
 	if len(rec.Counted) == 0 {
 		return nil
@@ -94,7 +94,8 @@
 	return nil
 }
 
-// storageRefusal is the answer to a job that cannot be stored, or not now.
+// storageRefusal returns the answer to a job that is too large to be stored, or that cannot be
+// stored now because too many entries are pending. It returns nil otherwise.
 func (c *Component) storageRefusal(rec *eventlog.Job) *effects.Answer {
 	if stored, _ := c.storedForm(*rec); !c.EventLog.Fits(eventlog.Entry{Job: &stored}) {
 		return &effects.Answer{Status: statusBadRequest, Why: "breeds and other names: too long to be stored"}
@@ -114,7 +115,7 @@
 	return &answer
 }
 
-// rejectionReason says why a job can never run; empty: it can.
+// rejectionReason returns why a job can never run, or "" if it can.
 func (c *Component) rejectionReason(rec *eventlog.Job) string {
 	team, ok := c.Teams.Lookup(rec.Team)
 	if !ok || !c.HasTeam(team) {
@@ -140,19 +141,19 @@
 	return ""
 }
 
-// addJob adds a job that is submitted or replayed to the table.
+// addJob adds a submitted or replayed job to the table.
 func (c *Component) addJob(rec eventlog.Job, now time.Duration) *jobs.Job {
 	rec.RevealPoolUnits()
 	j := c.Jobs.Add(rec)
-	j.Team = c.TeamIndex(rec.Team) // of an earlier configuration, perhaps: its jobs stay accepted
+	j.Team = c.TeamIndex(rec.Team) // possibly no longer configured; its jobs stay accepted
 	j.Image = c.Images.Index(rec.Image)
 	j.UseSpot = rec.Spot && (rec.Checkpoint > 0 || rec.EstimateS <= c.Cfg.Tunables.SpotTaskS)
 	c.setDeadlines(j, c.toClock(rec.AtMS, now))
 	return j
 }
 
-// acceptanceEntry is what is durable of a job's acceptance. What it depends on may take
-// entries of its own, which are appended and kept beside it from then on.
+// acceptanceEntry returns the log entry of a job's acceptance. If its dependencies do not fit
+// into that entry, it first appends separate entries for them, once for each job.
 func (c *Component) acceptanceEntry(j *jobs.Job) eventlog.Entry {
 	stored, parts := c.storedForm(j.Record)
 	if j.Record.Rest == 0 {
@@ -164,8 +165,8 @@
 	return eventlog.Entry{Job: &stored}
 }
 
-// acceptanceDurable acts on an acceptance that is durable: its user is told, and the job
-// enters the order unless it depends on others.
+// acceptanceDurable handles a durable acceptance: it answers the submissions, and the job
+// enters the order unless it waits for others.
 func (c *Component) acceptanceDurable(now time.Duration, leaseValid bool, id uint64) {
 	j := c.Jobs.ByID(id)
 	j.Phase = jobs.Open
@@ -188,7 +189,7 @@
 	}
 }
 
-// enqueue enters a job into the scheduling order.
+// enqueue adds a job to the scheduling order.
 func (c *Component) enqueue(now time.Duration, j *jobs.Job) {
 	c.Estimator.Age(now.Seconds(), c.CPUs())
 	if j.Record.Kind != jobs.Service {
--- a/internal/leader/lifecycle/types.go
+++ b/internal/leader/lifecycle/types.go
@@ -9,9 +9,8 @@
 	"bitternmoor/internal/core/scheduler"
 )
 
-// resolveTypes settles which machine types a job may use and what a task takes up on them.
-// It is called once the types are known: while the log is replayed they may come after the
-// job.
+// resolveTypes determines which machine types a job may use and how much of a machine a task
+// takes up. It is called once the types are known: in the log they may come after the job.
 func (c *Component) resolveTypes(j *jobs.Job) {
 	if j.Record.Types != nil {
 		j.AllowedTypes = make([]bool, max(c.TypeNames.Len(), 1))
@@ -31,13 +30,13 @@
 	}
 }
 
-// typeAllowed says whether a job may use the machine type with an index.
+// typeAllowed reports whether a job may use the machine type with the given index.
 func typeAllowed(j *jobs.Job, index int) bool {
 	return j.AllowedTypes == nil || (index < len(j.AllowedTypes) && j.AllowedTypes[index])
 }
 
-// fitsWithoutGPU says whether a task of a job fits a machine type without accelerators that
-// it may use.
+// fitsWithoutGPU reports whether a machine type has no accelerators, may be used by a job and
+// has room for one of its tasks.
 func fitsWithoutGPU(j *jobs.Job, index int, machineType eventlog.MachineType) bool {
 	if machineType.GPUs != 0 || !typeAllowed(j, index) {
 		return false
@@ -48,8 +47,9 @@
 	return j.Need.Fits(resources.Room(machineType.CPUs, 0, machineType.MemoryGB))
 }
 
-// cpuShare is how many processors of a machine a task takes up, counting those that its
-// memory or accelerators leave unusable, on the type that suits it best.
+// cpuShare returns how many processors of a machine a task takes up, including those that its
+// use of memory or accelerators makes unusable for others. It is the minimum over the allowed
+// machine types.
 func (c *Component) cpuShare(j *jobs.Job) float64 {
 	best := j.Record.CPUs
 	found := false
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -8,16 +8,17 @@
 	"bitternmoor/internal/effects"
 )
 
-// Flush hands what has gathered to the log and emits the next commit that the log's rate
-// limit allows, if there is one.
+// Flush appends the components' collected entries to the log and emits the next commit, if
+// there is one and the log's rate limit allows it.
 func (t *Term) Flush(now time.Duration) {
 	if !t.loaded {
 		return
 	}
-	// Entries are appended only when the next commit may begin, so that those of a job
-	// between two commits become one.
+	// Entries are appended only when the next commit may begin, so that several completions
+	// of a job between two commits are merged into one entry.
 	if t.EventLog.Idle() {
-		// The last components go first: grants, for which starts wait, before completions.
+		// In reverse order of the components, so that grants, on which task starts wait, come
+		// before completions.
 		for i := len(t.components) - 1; i >= 0; i-- {
 			t.components[i].AppendEntries(now)
 		}
@@ -27,9 +28,9 @@
 	}
 }
 
-// Committed takes the outcome of the commit with a sequence number: the revision it was
-// given, or the keys whose comparison failed. The step that it returns is what the node
-// must do next.
+// Committed handles the outcome of the commit with sequence number seq. mark is the revision
+// of the commit, and failed lists the keys whose comparison failed. The returned step is what
+// the node must do next.
 func (t *Term) Committed(
 	now time.Duration, leaseValid bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string,
 ) eventlog.CommitStep {
@@ -51,7 +52,7 @@
 	return step
 }
 
-// logInvalidCommit logs that the state service has refused a transaction as malformed.
+// logInvalidCommit logs that the state service rejected a transaction as malformed.
 func (t *Term) logInvalidCommit(step eventlog.CommitStep) {
 	message := "state service rejects transaction as malformed, trying smaller values"
 	if step == eventlog.TermLost {
@@ -60,13 +61,13 @@
 	t.LogMessage(effects.Error, message, "epoch", t.Epoch, "pending", t.EventLog.PendingCount())
 }
 
-// ReadBack takes the value that settles a commit without an answer.
+// ReadBack handles the value that was read to settle a commit whose outcome is unknown.
 func (t *Term) ReadBack(now time.Duration, leaseValid, read bool, mark uint64, value json.RawMessage) {
 	t.entriesDurable(now, leaseValid, t.EventLog.ReadBack(now, read, mark, value))
 }
 
-// entriesDurable tells the components of entries that have become durable, and removes
-// segments whose compaction that completes.
+// entriesDurable passes entries that have become durable to the components, and removes the
+// segments whose compaction is complete with them.
 func (t *Term) entriesDurable(now time.Duration, leaseValid bool, durable []eventlog.Entry) {
 	for _, e := range durable {
 		t.routeEntry(e, func(c Component) { c.EntryDurable(now, leaseValid, e) })
--- a/internal/leader/term/compaction.go
+++ b/internal/leader/term/compaction.go
@@ -7,36 +7,36 @@
 	"bitternmoor/internal/effects"
 )
 
-// The log is compacted from its old end, a few segments at a time: what is still live of
-// them is appended anew, and once that is durable they are removed. Entries may then be
-// in the log twice for a while, which their replay allows for. Compacting the oldest
-// segments first keeps the order of the entries that concern one job.
+// The log is compacted from its oldest segment, a few segments at a time: their live entries
+// are appended again, and once those are durable the segments are removed. Until then an
+// entry may be in the log twice, which replay tolerates. Compacting the oldest segments first
+// preserves the order of the entries that concern one job.
 
 const (
-	compactionInterval    = 2 * time.Second        // between two compactions
-	compactionMinInterval = 700 * time.Millisecond // while the log is three times as long as it should be
-	compactionBytes       = 8 << 10                // read at once, in whole segments
-	compactionMaxSegments = 8                      // at once: each costs a change to remove
-	compactionMinSegments = 24                     // a log of no more segments is not compacted
+	compactionInterval    = 2 * time.Second        // minimum time between compactions
+	compactionMinInterval = 700 * time.Millisecond // the same, for a log of three times its allowed length
+	compactionBytes       = 8 << 10                // read per compaction, in whole segments
+	compactionMaxSegments = 8                      // per compaction: each removal takes one write
+	compactionMinSegments = 24                     // a log with at most this many segments is not compacted
 
-	liveFactor = 3 // how many times the live bytes the log may take
+	liveFactor = 3 // allowed size of the log, as a multiple of its live bytes
 )
 
 // compaction is the state of the log compaction.
 type compaction struct {
 	firstSegment    int           // number of the log's oldest segment
-	compacting      bool          // segments have been asked for and are not removed yet
+	compacting      bool          // segments have been requested and are not removed yet
 	compactionBegan time.Duration // when the last compaction began
 
-	// compactionEnd is the first segment that stays after the compaction under way; 0:
-	// nothing is written yet. compactionPosition is how many entries must be durable
-	// before the segments before it are removed.
+	// compactionEnd is the first segment that the current compaction keeps, or 0 while
+	// nothing has been appended. The segments before it are removed once
+	// compactionPosition entries of the log are durable.
 	compactionEnd      int
 	compactionPosition int
 }
 
-// requestCompaction asks for the oldest segments when the log has grown to a few times
-// what is live of it.
+// requestCompaction requests the oldest segments once the log has grown beyond a multiple of
+// its live entries.
 func (t *Term) requestCompaction(now time.Duration) {
 	if t.compacting || now-t.compactionBegan < compactionMinInterval {
 		return
@@ -59,9 +59,9 @@
 	})
 }
 
-// compactionDue says whether to compact a log that may have a number of segments and
-// exceeds it by some. What users wait for goes first, but not for ever: under steady load
-// there is always something to write, and the log must not grow without end.
+// compactionDue reports whether to compact a log that exceeds the allowed number of segments
+// by excess. Pending entries, for which users wait, take precedence up to a limit: under
+// steady load entries are always pending, and the log must not grow without bound.
 func (t *Term) compactionDue(now time.Duration, allowed, excess int) bool {
 	switch {
 	case excess < 0:
@@ -74,8 +74,8 @@
 	return true
 }
 
-// SegmentsRead takes the segments numbered first to end-1, read back for a compaction. A
-// key that is missing has been removed already.
+// SegmentsRead handles the segments numbered first to end-1, read back for a compaction. A
+// key that is missing was removed before.
 func (t *Term) SegmentsRead(now time.Duration, first, end int, read bool, entries []eventlog.Entry) {
 	if !t.loaded {
 		return
@@ -93,13 +93,13 @@
 	for _, c := range t.components {
 		c.CompactionDone()
 	}
-	// This entry says nothing by itself; when it is durable all before it is.
+	// This entry is empty. Once it is durable, so are all entries before it.
 	t.EventLog.Append(eventlog.Entry{FinalStates: &eventlog.FinalStates{}})
 	t.compactionEnd, t.compactionPosition = end, t.EventLog.AppendedCount()
 }
 
-// canCompact says whether all that is live of these entries can be written anew. What was
-// stored under larger limits may be too large now: it stays where it is.
+// canCompact reports whether all live entries among these can be appended again. Entries that
+// were stored under larger limits may be too large now; they stay in their segments.
 func (t *Term) canCompact(entries []eventlog.Entry) bool {
 	for _, e := range entries {
 		keptWhole := e.Component != nil || e.Unknown != nil
@@ -110,7 +110,8 @@
 	return t.Lifecycle.CanCompact(entries)
 }
 
-// dropCompactedSegments removes the segments whose live entries are durable elsewhere.
+// dropCompactedSegments removes the compacted segments once the copies of their live entries
+// are durable.
 func (t *Term) dropCompactedSegments() {
 	if t.compactionEnd == 0 || t.EventLog.DurableCount() < t.compactionPosition {
 		return
--- a/internal/leader/term/decommission_test.go
+++ b/internal/leader/term/decommission_test.go
@@ -15,7 +15,8 @@
 	"bitternmoor/internal/leader/registry"
 )
 
-// deletedMachines lists the machines that a term has deleted since.
+// deletedMachines returns the machines that a term has deleted since its effects were last
+// drained.
 func deletedMachines(term *Term) []string {
 	var out []string
 	for _, e := range term.DrainEffects() {
@@ -26,9 +27,9 @@
 	return out
 }
 
-// A machine that is returned empty is deleted only once that is noted, and the next leader
-// neither waits for it nor holds jobs back for what it may have. A later one does: a term in
-// between may have started tasks there.
+// A machine that is returned empty is deleted only once a note of its return is durable. The
+// next leader then neither waits for the machine nor holds jobs back because of it. A leader
+// after that one does, because a term in between may have started tasks there.
 func TestReturnedMachineIsDeletedOnceNoted(t *testing.T) {
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 9, CPUs: 1, MemoryGB: 1}
 	log := []eventlog.Entry{
@@ -40,19 +41,19 @@
 	term := newSmallTerm(log)
 	m := term.Inventory.Find("host")
 	if n, _ := term.Unresolved(); n != 1 || term.Jobs.ByID(1).UnresolvedMachines != 1 {
-		t.Fatal("the machine is not waited for: the test tests nothing")
+		t.Fatal("the machine is resolved from the start: the test would check nothing")
 	}
 	term.Decommission(0, m, cluster.Return, "not needed")
 	term.Publish(cluster.Event{Kind: cluster.MachineReturnable, Machine: m})
 	term.Tick(time.Second, true)
 	if got := deletedMachines(term); len(got) != 0 {
-		t.Errorf("deleted before it is noted: %v", got)
+		t.Errorf("deleted before the note is durable: %v", got)
 	}
 	now := time.Second
 	noted := drainLog(t, term, &now)
 	term.Tick(now+time.Second, true)
 	if got := deletedMachines(term); len(got) != 1 {
-		t.Errorf("once it is noted, %v is deleted", got)
+		t.Errorf("machines deleted once the note is durable: %v, want one", got)
 	}
 	for termsBefore, free := range []bool{true, false} {
 		t.Run(fmt.Sprintf("noted %d terms before", 1+termsBefore), func(t *testing.T) {
@@ -62,15 +63,15 @@
 			deleted := len(deletedMachines(next)) == 1
 			heldBack := next.Jobs.ByID(1).UnresolvedMachines != 0
 			if deleted != free || (unresolved == 0) != free || heldBack == free {
-				t.Errorf("deleted at once %v, %d machines are waited for, the job is held back %v",
+				t.Errorf("deleted at once: %v, unresolved machines: %d, job held back: %v",
 					deleted, unresolved, heldBack)
 			}
 		})
 	}
 }
 
-// notedInEpoch is entries in which the registry's note of the returned machine is of an
-// epoch.
+// notedInEpoch returns a copy of the entries in which the registry's note of the returned
+// machine carries the given epoch.
 func notedInEpoch(entries []eventlog.Entry, epoch int) []eventlog.Entry {
 	out := slices.Clone(entries)
 	for i, e := range out {
@@ -82,8 +83,8 @@
 	return out
 }
 
-// A machine that has reported, but not at the new token, is drained and deleted without a
-// note: only the deletion proves what an earlier term left on it.
+// A machine that has reported, but not with the new token, is drained and deleted without a
+// note. Only its deletion proves that nothing of an earlier term is left on it.
 func TestUnresolvedIsNotNotedAsEmpty(t *testing.T) {
 	for _, resolved := range []bool{true, false} {
 		t.Run(fmt.Sprintf("resolved %v", resolved), func(t *testing.T) {
@@ -106,8 +107,8 @@
 	}
 }
 
-// runUntilDeleted runs a term with one machine, which is not silent, for at most 15 seconds,
-// until it deletes the machine, and says whether the registry has written a note before.
+// runUntilDeleted runs a term with one machine, which is not silent, until the term deletes
+// the machine, for at most 15 seconds. noted reports whether the registry wrote a note first.
 func runUntilDeleted(term *Term) (noted, deleted bool) {
 	now := time.Duration(0)
 	for range 60 {
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -22,15 +22,15 @@
 	return c
 }
 
-// jobCount is how many jobs run in a full term, and tasksPerMachine how many tasks each of
-// its machines runs.
+// jobCount is the number of jobs in a full term, and tasksPerMachine the number of tasks that
+// run on each of its machines.
 const (
 	jobCount        = 100
 	tasksPerMachine = 8
 )
 
-// fullLog is the log of machines that run eight tasks each, of a hundred jobs, each of which
-// has 200 more, and the machines' heartbeats.
+// fullLog returns a log and the heartbeats of its machines. Each machine runs eight tasks of a
+// hundred jobs, each of which has 200 further tasks.
 func fullLog(machines int) ([]eventlog.Entry, []effects.RelayedHeartbeat) {
 	entries := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{
 		{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}},
@@ -75,7 +75,7 @@
 	return entries, heartbeats
 }
 
-// newFullTerm is a term that has read such a log, and its machines' heartbeats.
+// newFullTerm returns a term that has replayed a fullLog, and the machines' heartbeats.
 func newFullTerm(machines int) (*Term, []effects.RelayedHeartbeat) {
 	entries, heartbeats := fullLog(machines)
 	t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
@@ -83,8 +83,8 @@
 	return t, heartbeats
 }
 
-// heartbeat sends one heartbeat to a term, with the next sequence number, and drops what it
-// has done.
+// heartbeat passes one heartbeat to a term, with the next sequence number, and discards the
+// effects.
 func (t *Term) heartbeat(now time.Duration, in *effects.RelayedHeartbeat) {
 	in.Report.Seq++
 	t.HandleHeartbeat(now, true, 1, *in)
@@ -92,8 +92,8 @@
 	t.DrainEffects()
 }
 
-// What a heartbeat that brings nothing new costs must not grow with the number of machines,
-// jobs and tasks elsewhere.
+// The cost of a heartbeat without changes must not grow with the number of machines, jobs and
+// tasks in the cluster.
 func TestHeartbeatCostIsIndependentOfScale(t *testing.T) {
 	cost := func(machines int) float64 {
 		term, reports := newFullTerm(machines)
@@ -111,8 +111,8 @@
 	}
 }
 
-// The sums of what unresolved machines may have, kept up as they report or are gone, are those
-// of a plain count at every step.
+// The incrementally updated sums of what unresolved machines may use equal a full recount at
+// every step, as machines report or are deleted.
 func TestUnresolvedSumsMatchPlainCount(t *testing.T) {
 	entries := scaleLog(60)
 	for i := range entries { // of three teams
@@ -141,7 +141,7 @@
 		n, _ := term.Unresolved()
 		for team, sum := range term.Snapshot(0).UnresolvedUse {
 			if sum.CPU != plain[int32(team)] || n != left {
-				t.Fatalf("after %d machines: %d of team %d, plain count %d; %d machines, plain count %d",
+				t.Fatalf("after %d machines: sum %d of team %d, recount %d; %d unresolved machines, recount %d",
 					i, sum.CPU, team, plain[int32(team)], n, left)
 			}
 		}
@@ -159,8 +159,8 @@
 	}
 }
 
-// What a completion and the first heartbeat after a takeover cost must not grow with the
-// number of machines either: allocations at 100 and at 1,000 machines.
+// The cost of a completion, and of a machine's first heartbeat after a takeover, must not grow
+// with the number of machines. The test compares allocations at 100 and at 1,000 machines.
 func TestCompletionAndTakeoverCostIsIndependentOfScale(t *testing.T) {
 	completion := func(machines int) float64 {
 		term, reports := newFullTerm(machines)
@@ -195,7 +195,8 @@
 	}
 }
 
-// A round of heartbeats of all machines, with a tick after each twentieth.
+// BenchmarkReports measures a round of heartbeats of all machines, with a tick after every
+// twentieth.
 func BenchmarkReports(b *testing.B) {
 	term, reports := newFullTerm(1000)
 	now := time.Second
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -11,10 +11,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// Inputs that concern one component are routed to it; those for a component that is
-// switched off, and most that come before the log is replayed, are ignored.
+// Inputs that concern one component are routed to it. Inputs for a disabled component are
+// ignored, and so are most that arrive before the log is replayed.
 
-// HandleHeartbeat takes in a worker's heartbeat that a controller has received.
+// HandleHeartbeat handles a worker's heartbeat that a controller has received.
 func (t *Term) HandleHeartbeat(now time.Duration, leaseValid bool, to effects.RequestID, in effects.RelayedHeartbeat) {
 	if !t.loaded {
 		t.Emit(effects.ReplyHeartbeat{To: to, Answer: effects.HeartbeatAnswer{Status: 200, Token: t.Token}})
@@ -23,20 +23,20 @@
 	t.registry.HandleHeartbeat(now, leaseValid, to, in)
 }
 
-// OffersStarted notes offers that a worker of the leader's own shard has taken up.
+// OffersStarted records offers that were started on a machine of the leader's own shard.
 func (t *Term) OffersStarted(now time.Duration, machine string, offers []workers.Offer) {
 	t.registry.OffersStarted(now, machine, offers)
 }
 
-// WorkerProbed takes whether a silent worker has answered a liveness probe.
+// WorkerProbed handles the result of a liveness probe of a silent worker.
 func (t *Term) WorkerProbed(machine string, ok bool) {
 	if t.probe != nil && t.loaded {
 		t.probe.WorkerProbed(machine, ok)
 	}
 }
 
-// Dispatched takes a worker's heartbeat in answer to starts that were pushed to it; nil:
-// there was no answer.
+// Dispatched handles the heartbeat with which a worker answers starts that were pushed to it.
+// r is nil if there was no answer.
 func (t *Term) Dispatched(
 	now time.Duration, leaseValid bool, machine string, token uint64, starts []workers.Command, r *workers.Report,
 ) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// MachinesDeleted takes the result of a deletion.
+// MachinesDeleted handles the result of a deletion request to the cloud.
 func (t *Term) MachinesDeleted(now time.Duration, machines []string, ok bool) {
 	t.autoscaler.MachinesDeleted(now, ok)
 	if ok {
@@ -54,24 +54,25 @@
 	}
 }
 
-// RentalAnswered takes the result of a rental request, by the name of the request.
+// RentalAnswered handles the result of the rental request with the given name.
 func (t *Term) RentalAnswered(now time.Duration, name string, machines []string, res wire.RentResult) {
 	t.autoscaler.RentalAnswered(now, name, machines, res)
 }
 
-// MachineTypesListed takes the cloud's machine types; an empty list is a failure.
+// MachineTypesListed handles the cloud's list of machine types. An empty list means failure.
 func (t *Term) MachineTypesListed(now time.Duration, list []eventlog.MachineType) {
 	if t.loaded {
 		t.autoscaler.MachineTypesListed(now, list)
 	}
 }
 
-// MachinesListed takes the cloud's list of machines.
+// MachinesListed handles the cloud's list of machines.
 func (t *Term) MachinesListed(now time.Duration, list []wire.ListedMachine, ok bool) {
 	t.autoscaler.MachinesListed(now, list, ok)
 }
 
-// ConfigFor is what another controller is to be told of the configuration; nil: nothing.
+// ConfigFor returns the configuration update to send to another controller, or nil if there is
+// none.
 func (t *Term) ConfigFor(peer string) *config.Update {
 	if t.reconfig == nil || !t.loaded {
 		return nil
@@ -79,23 +80,24 @@
 	return t.reconfig.UpdateFor(peer)
 }
 
-// ConfigAcknowledged takes the revision that another controller says it has in force.
+// ConfigAcknowledged handles the configuration revision that another controller reports as in
+// force.
 func (t *Term) ConfigAcknowledged(now time.Duration, peer string, revision uint64) {
 	if t.reconfig != nil && t.loaded {
 		t.reconfig.Acknowledged(now, peer, revision)
 	}
 }
 
-// PreviousLeaderReported takes what another controller says of the leader before this one:
-// when it last heard from it, if it knows.
+// PreviousLeaderReported handles another controller's record of the preceding leader, with the
+// times at which it heard from it. known is false if it has no such record.
 func (t *Term) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if t.coldStart != nil && t.loaded {
 		t.coldStart.PreviousLeaderReported(now, peer, led, known)
 	}
 }
 
-// FleetKnowledge is what this leader tells the other controllers of whether it knows what
-// its machines do.
+// FleetKnowledge returns what this leader sends to the other controllers about whether it
+// knows the state of its machines.
 func (t *Term) FleetKnowledge() leadership.FleetKnowledge {
 	switch {
 	case t.coldStart == nil:
--- a/internal/leader/term/limits_test.go
+++ b/internal/leader/term/limits_test.go
@@ -16,16 +16,16 @@
 	"bitternmoor/internal/wire"
 )
 
-// Limits of the state service that a small term has to keep.
+// Limits of the state service in a small term.
 const (
 	smallValueBytes = 2048
 	smallTxnOps     = 4
 )
 
-// newSmallTerm is a term whose values may have 2 KiB.
+// newSmallTerm returns a term whose values are limited to 2 KiB.
 func newSmallTerm(entries []eventlog.Entry) *Term { return newSmallTermAt(0, entries) }
 
-// newSmallTermAt is one that reads its log at a time of its clock.
+// newSmallTermAt returns a small term that replays its log at the given time of its clock.
 func newSmallTermAt(now time.Duration, entries []eventlog.Entry) *Term {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
@@ -39,8 +39,8 @@
 	return t
 }
 
-// drainLog takes everything that a term has to write, checks every value and
-// transaction against the limits, and returns the entries.
+// drainLog commits everything that a term has to write, checks every value and transaction
+// against the limits, and returns the entries.
 func drainLog(t *testing.T, term *Term, now *time.Duration) []eventlog.Entry {
 	t.Helper()
 	segments := map[string][]eventlog.Entry{}
@@ -58,11 +58,11 @@
 		}
 		txn := out[i].(effects.Commit).Txn
 		if len(txn.Writes) > smallTxnOps {
-			t.Errorf("%d changes in a transaction", len(txn.Writes))
+			t.Errorf("%d changes in a transaction exceed the limit", len(txn.Writes))
 		}
 		for _, w := range txn.Writes {
 			if len(w.Value) > smallValueBytes {
-				t.Errorf("a value of %d bytes: %.80s…", len(w.Value), w.Value)
+				t.Errorf("a value of %d bytes exceeds the limit: %.80s…", len(w.Value), w.Value)
 			}
 			if _, err := eventlog.SegmentNumber(w.Key); err == nil && !w.Remove {
 				list, err := eventlog.Decode(w.Value)
@@ -89,8 +89,8 @@
 	return out
 }
 
-// Every kind of entry at its largest fits into 2 KiB values, and a successor
-// reads from them what was meant.
+// Every kind of entry at its largest size is stored in values of at most 2 KiB, and a
+// successor restores the original contents from them.
 func TestLargestEntriesFit(t *testing.T) {
 	long := func(prefix string, n int) string { return fmt.Sprintf("%s-%0*d", prefix, 60, n) }
 	var zones []string
@@ -144,7 +144,7 @@
 	term.MachinesDeleted(time.Second, names[:40], true)
 	gone := drainLog(t, term, &now)
 
-	// The whole is compacted: what is live is written once more.
+	// The whole log is compacted: its live entries are appended again.
 	compactAll(t, term, append([]eventlog.Entry{{Job: &open}}, first...))
 	again := drainLog(t, term, &now)
 
@@ -157,7 +157,7 @@
 			next := newSmallTerm(list)
 			dependent := next.Jobs.ByID(2)
 			if dependent == nil {
-				t.Fatal("the dependent job is not there")
+				t.Fatal("the dependent job is missing")
 			}
 			follows, waitsFor := len(dependent.Record.Follows), len(dependent.Dependencies)
 			if dependent.Phase != jobs.Held || follows != 601 || waitsFor != 1 {
@@ -165,7 +165,7 @@
 					dependent.Phase, follows, waitsFor)
 			}
 			if j := next.Jobs.ByID(1); j == nil || j.DurableCount != 2000 {
-				t.Errorf("the open job is read as %+v", j)
+				t.Errorf("the open job is restored as %+v, want 2000 durable completions", j)
 			}
 			if machines := len(next.Inventory.All()); machines != 10 {
 				t.Errorf("%d machines, want 10", machines)
@@ -177,24 +177,24 @@
 	}
 }
 
-// compactAll has a term compact entries that its first segment held.
+// compactAll makes a term compact the given entries as the contents of its first segment.
 func compactAll(t *testing.T, term *Term, entries []eventlog.Entry) {
 	t.Helper()
 	term.firstSegment, term.compacting = 1, true
 	term.SegmentsRead(time.Minute, 1, 2, true, entries)
 	if term.EventLog.PendingCount() == 0 {
-		t.Fatal("nothing was kept")
+		t.Fatal("the compaction kept no entries")
 	}
 }
 
-// smallMachineType is an entry with one machine type, in one zone.
+// smallMachineType returns an entry with one machine type, in one zone.
 func smallMachineType() eventlog.Entry {
 	return eventlog.Entry{MachineTypes: []eventlog.MachineType{
 		{Name: "m", CPUs: 8, MemoryGB: 64, Zones: []string{"a"}},
 	}}
 }
 
-// rentalRequests counts the rental requests that a term sends at first.
+// rentalRequests returns the number of rental requests that a term sends in its first tick.
 func rentalRequests(term *Term) int {
 	term.Tick(time.Second, true)
 	n := 0
@@ -206,8 +206,8 @@
 	return n
 }
 
-// A rental whose answer needs several entries: with only the first of them in
-// the log, the successor sends the request again and learns all machines.
+// A rental answer may need several entries. If only some of them are in the log, the successor
+// sends the request again, so that no machine is missed.
 func TestPartialRentalAnswerIsRequestedAgain(t *testing.T) {
 	term := newSmallTerm([]eventlog.Entry{smallMachineType()})
 	var now time.Duration
@@ -227,11 +227,11 @@
 		}
 		answers++
 		if n+1 < len(list) && rentalRequests(newSmallTerm(list[:n+2])) != 1 {
-			t.Errorf("after %d of the entries the request is not sent again", n+2)
+			t.Errorf("with only the first %d entries in the log the request is not sent again", n+2)
 		}
 	}
 	if answers < 2 {
-		t.Fatal("the answer fitted into one entry: the test tests nothing")
+		t.Fatal("the answer fitted into one entry: the test would check nothing")
 	}
 	next := newSmallTerm(list)
 	if open, machines := rentalRequests(next), len(next.Inventory.All()); open != 0 || machines != 50 {
@@ -239,7 +239,7 @@
 	}
 }
 
-// What cannot be stored at all is refused at once.
+// A job that is too large to be stored is refused at submission.
 func TestUnstorableJobIsRefused(t *testing.T) {
 	term := newSmallTerm([]eventlog.Entry{smallMachineType()})
 	job := eventlog.Job{ID: 1, Team: "team", Tasks: 1, CPUs: 1, MemoryGB: 1, Types: []string{"m"}}
@@ -251,6 +251,6 @@
 	r, ok := out[len(out)-1].(effects.Reply)
 	if !ok || r.Answer.Status != 400 || term.Jobs.ByID(1) != nil {
 		raw, _ := json.Marshal(r)
-		t.Errorf("answered %s", raw)
+		t.Errorf("got %s, want status 400", raw)
 	}
 }
--- a/internal/leader/term/optional.go
+++ b/internal/leader/term/optional.go
@@ -18,8 +18,8 @@
 	"bitternmoor/internal/leader/slo"
 )
 
-// What components implement besides Component is found by type assertions, which a renamed
-// method would leave unmatched without an error; these lines are checked by the compiler.
+// The optional interfaces of components are found by type assertions, which would silently
+// stop matching if a method were renamed. These declarations let the compiler check them.
 var (
 	_ viewer = (*failover.Component)(nil)
 	_ viewer = (*coldstart.Component)(nil)
@@ -47,14 +47,15 @@
 	_ peerListener = (*rebalance.Component)(nil)
 )
 
-// viewer is a component that operators may look into.
+// viewer is a component that provides views for operators.
 type viewer interface {
-	// Show gives a view as a JSON value; cluster.ErrUnknownView: there is no such view.
+	// Show returns a view as a JSON value, or cluster.ErrUnknownView if there is none by
+	// that name.
 	Show(now time.Duration, view string) (json.RawMessage, error)
 }
 
-// Show gives operators a view: NAME of a component, or NAME/VIEW where it has several. ok
-// is false where there is no such view, or the component is switched off.
+// Show returns a view for operators. what is the NAME of a component, or NAME/VIEW if it has
+// several views. ok is false if there is no such view or the component is disabled.
 func (t *Term) Show(now time.Duration, what string) (raw json.RawMessage, ok bool, err error) {
 	name, view, _ := strings.Cut(what, "/")
 	c, ok := t.componentsByName[name].(viewer)
@@ -68,12 +69,12 @@
 	return raw, true, err
 }
 
-// gauger is a component that has gauges of its own for metrics.
+// gauger is a component that exports gauges as metrics.
 type gauger interface {
 	Gauges(now time.Duration) []cluster.Gauge
 }
 
-// Gauges gives the gauges of all components, in their order.
+// Gauges returns the gauges of all components, in the order of the components.
 func (t *Term) Gauges(now time.Duration) []cluster.Gauge {
 	var gauges []cluster.Gauge
 	for _, c := range t.components {
@@ -84,19 +85,18 @@
 	return gauges
 }
 
-// configurable is a component that operators may ask to change something.
+// configurable is a component with settings that operators may change.
 type configurable interface {
 	Change(now time.Duration, body json.RawMessage) (json.RawMessage, error)
 }
 
-// auditedConfigurable is one that records who has asked.
+// auditedConfigurable is a configurable component that records who requested the change.
 type auditedConfigurable interface {
 	ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error)
 }
 
-// Change has the component with a name change something that an operator asks for. ok is
-// false where there is no such component, it is switched off, or it has nothing that could
-// be changed.
+// Change passes an operator's change request to the component with the given name. ok is
+// false if there is no such component, it is disabled, or it accepts no changes.
 func (t *Term) Change(
 	now time.Duration, name, by string, body json.RawMessage,
 ) (raw json.RawMessage, ok bool, err error) {
@@ -111,27 +111,28 @@
 	return raw, true, err
 }
 
-// valueReceiver is a component that reads values of its own, after its term has begun.
+// valueReceiver is a component that reads its own stored values after its term has begun.
 type valueReceiver interface {
-	// ValuesRead takes a page of them, in the order of their keys; ok is false for a page
+	// ValuesRead handles a page of values, in the order of their keys. ok is false for a page
 	// that could not be read.
 	ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool)
 }
 
-// ValuesRead takes a page of a component's own values.
+// ValuesRead passes a page of a component's own values to it.
 func (t *Term) ValuesRead(now time.Duration, component string, list []eventlog.ComponentValue, more, ok bool) {
 	if c, known := t.componentsByName[component].(valueReceiver); known {
 		c.ValuesRead(now, list, more, ok)
 	}
 }
 
-// peerListener is a component that is told when other controllers answer the leader's
+// peerListener is a component that is notified when other controllers answer the leader's
 // heartbeats.
 type peerListener interface {
 	PeerHeard(now time.Duration, peer string, took time.Duration)
 }
 
-// PeerHeard notes that another controller has answered a heartbeat, and how long that took.
+// PeerHeard notifies the components that another controller has answered a heartbeat, and how
+// long that took.
 func (t *Term) PeerHeard(now time.Duration, peer string, took time.Duration) {
 	for _, c := range t.components {
 		if l, ok := c.(peerListener); ok {
--- a/internal/leader/term/pools_bench_test.go
+++ b/internal/leader/term/pools_bench_test.go
@@ -12,15 +12,15 @@
 	"bitternmoor/internal/settings"
 )
 
-// What pools cost at the size of the larger fleet: 1,300 machines, a thousand pools,
-// and a thousand jobs of ten tasks that wait for units: go test -bench Pools. Each is
-// measured without pools, with pools that nobody needs, and with those demands.
+// poolCases are the cases of the benchmarks of pools (go test -bench Pools) on 1,300 machines,
+// the size of the larger fleet: without pools, with a thousand pools that no job needs, and
+// with a thousand jobs of ten tasks that wait for units of these pools.
 var poolCases = []struct {
 	name           string
 	pools, waiting int
 }{{"none", 0, 0}, {"idle", 1000, 0}, {"demands", 1000, 1000}}
 
-// newPoolTerm is a full term with pools and jobs that wait for units of them, and its log.
+// newPoolTerm returns a full term with pools and jobs that wait for their units, and its log.
 func newPoolTerm(pools, waiting int) (*Term, []eventlog.Entry) {
 	entries, _ := fullLog(1300)
 	for i := range waiting {
@@ -53,7 +53,7 @@
 	return t, entries
 }
 
-// A tick with a scheduling cycle.
+// BenchmarkPoolsTick measures a tick with a scheduling cycle.
 func BenchmarkPoolsTick(b *testing.B) {
 	for _, c := range poolCases {
 		b.Run(c.name, func(b *testing.B) {
@@ -80,8 +80,8 @@
 	}
 }
 
-// A heartbeat that brings nothing new, and one in which a task has ended, with the scheduling
-// cycle that follows.
+// BenchmarkPoolsReport measures a heartbeat without changes, and one in which a task has ended
+// together with the scheduling cycle that follows.
 func BenchmarkPoolsReport(b *testing.B) {
 	for _, c := range poolCases {
 		for _, what := range []string{"nothing new", "an end"} {
@@ -111,7 +111,8 @@
 	}
 }
 
-// What a job's demands take in the log, and replaying them.
+// BenchmarkPoolsReplay measures the replay of a log with demands for units, and the size of a
+// job's entry in it.
 func BenchmarkPoolsReplay(b *testing.B) {
 	for _, c := range poolCases {
 		b.Run(c.name, func(b *testing.B) {
--- a/internal/leader/term/replay.go
+++ b/internal/leader/term/replay.go
@@ -8,18 +8,18 @@
 	"bitternmoor/internal/effects"
 )
 
-// unknownEntryShown is how many bytes of an entry that is not understood are logged.
+// unknownEntryShown is the number of bytes of an unknown entry that are logged.
 const unknownEntryShown = 80
 
-// LoadedLog is what a new leader reads back from the state service.
+// LoadedLog holds what a new leader has read from the state service.
 type LoadedLog struct {
 	First, Last       int                    // numbers of the log's first and last segment
 	Entries           []eventlog.Entry       // of all segments, in order
 	Sizes             []eventlog.VirtualSize // oldest first
-	VirtualSizePieces int                    // how many pieces of virtual sizes there may be
+	VirtualSizePieces int                    // upper bound of the number of stored pieces of virtual sizes
 }
 
-// Loaded says whether the log has been read: before, nothing is known of jobs.
+// Loaded reports whether the log has been replayed. Before that, no jobs are known.
 func (t *Term) Loaded() bool { return t.loaded }
 
 // Load replays the whole log. mark is the revision of the leader's epoch key, on which all
@@ -47,7 +47,7 @@
 	t.logTermBegun(log)
 }
 
-// logTermBegun logs what the replay has found.
+// logTermBegun logs the start of the term, with counts of what the replay restored.
 func (t *Term) logTermBegun(log LoadedLog) {
 	registered, booting := 0, 0
 	for _, m := range t.Inventory.All() {
@@ -65,8 +65,8 @@
 		"segments", log.Last-log.First+1)
 }
 
-// routeEntry hands an entry to the components that may know it: one that names its
-// component to that component alone. It is false for an entry that none of them knows.
+// routeEntry calls f for the components that may own an entry: only the named one if the entry
+// names its component, else all. It returns false for an entry of unknown kind or component.
 func (t *Term) routeEntry(e eventlog.Entry, f func(Component)) bool {
 	if e.Component != nil {
 		c := t.componentsByName[e.Component.Name]
@@ -85,8 +85,8 @@
 	return true
 }
 
-// logUnknownEntry says once in a term that the log has entries of a component that this
-// version does not know, or that is switched off.
+// logUnknownEntry logs, once in a term, that the log has entries of an unknown kind, or of a
+// component that this version does not have or that is disabled.
 func (t *Term) logUnknownEntry(e eventlog.Entry) {
 	if t.unknownEntryLogged {
 		return
--- a/internal/leader/term/scale_bench_test.go
+++ b/internal/leader/term/scale_bench_test.go
@@ -12,12 +12,11 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// What an event costs at the size of the larger fleets and at twice that, with
-// 100 jobs of 200 tasks of which 8 a machine run: go test -bench Scale.
-
+// machineCounts are the fleet sizes of the scale benchmarks (go test -bench Scale): 650, 1,300
+// and twice that. There are 100 jobs with 200 waiting tasks each; every machine runs 8 tasks.
 var machineCounts = []int{650, 1300, 2600}
 
-// newSettledTerm is a term all of whose machines have reported, after a scheduling cycle.
+// newSettledTerm returns a term after a scheduling cycle, all of whose machines have reported.
 func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
 	t, reports := newFullTerm(machines)
 	now := time.Second
@@ -29,7 +28,7 @@
 	return t, reports, now
 }
 
-// A heartbeat that brings nothing new.
+// BenchmarkScaleReport measures a heartbeat without changes.
 func BenchmarkScaleReport(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -42,7 +41,8 @@
 	}
 }
 
-// A tick with a scheduling cycle and all that is due twice a second.
+// BenchmarkScaleTick measures a tick with a scheduling cycle and all work that is due twice a
+// second.
 func BenchmarkScaleTick(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -51,7 +51,7 @@
 			for b.Loop() {
 				now += 500 * time.Millisecond
 				b.StopTimer()
-				for i := range reports { // nobody is silent
+				for i := range reports { // no machine is silent
 					t.Inventory.Find(reports[i].Report.Machine).LastHeartbeat = now
 				}
 				b.StartTimer()
@@ -62,7 +62,8 @@
 	}
 }
 
-// A heartbeat in which one task has ended, with the scheduling cycle and the start that follow.
+// BenchmarkScaleCompletion measures a heartbeat in which one task has ended, with the
+// scheduling cycle and the task start that follow.
 func BenchmarkScaleCompletion(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -81,8 +82,8 @@
 	}
 }
 
-// The replay of a log with all machines, jobs, and a grant of each job on every
-// fifth machine.
+// BenchmarkScaleReplay measures the replay of a log with all machines, all jobs, and a grant
+// of each job on every fifth machine.
 func BenchmarkScaleReplay(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -105,7 +106,7 @@
 	}
 }
 
-// scaleLog is a full log with a grant of each job on every fifth machine.
+// scaleLog returns a full log with a grant of each job on every fifth machine.
 func scaleLog(machines int) []eventlog.Entry {
 	entries, _ := fullLog(machines)
 	for j := range 100 {
@@ -120,7 +121,8 @@
 	return entries
 }
 
-// The first heartbeats of all machines after a takeover, each with its eight tasks.
+// BenchmarkScaleResolve measures the first heartbeats of all machines after a takeover, each
+// with its eight tasks.
 func BenchmarkScaleResolve(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -1,10 +1,10 @@
-// Package term composes what a leader does from its election to the end of its
+// Package term implements a leader's term, from its election to the end of its
 // leadership. A term is a list of components, each with its own state and its own
-// entries in the event log; the term routes inputs to them, replays the log through
+// entries in the event log. The term routes inputs to them, replays the log through
 // them, commits what they append, and runs the scheduling cycle.
 //
-// Like the components it has no clock, socket or goroutine: every method is given the
-// time, as a duration since an origin that the node chooses, and answers by effects,
+// Like the components it has no clock, socket or goroutine: every method takes the
+// current time, as a duration since an origin that the node chooses, and emits effects,
 // which the node carries out. It must be called from one goroutine.
 package term
 
@@ -29,45 +29,45 @@
 	"bitternmoor/internal/leader/slo"
 )
 
-// Component is one job of a leader. It keeps its state to itself and is the only one to
-// encode, replay and compact the entries that it writes; every component is offered every
-// entry of the log and takes its own. cluster.NopComponent has a method that does nothing
-// for each of these.
+// Component is one function of a leader. It has private state and is the only one to encode,
+// replay and compact the entries that it writes. An entry that names its component is passed
+// to that component; every other entry is passed to all, and each handles its own kinds.
+// cluster.NopComponent implements all methods as no-ops.
 //
-// leaseValid says whether the leader's lease still holds. Without it nothing may be
-// started, and nobody may be told anything of jobs.
+// leaseValid reports whether the leader's lease still holds. Without a valid lease no task
+// may be started and no request about jobs may be answered with their state.
 type Component interface {
-	// Replay takes one entry of the log, in the order of the log, before the term begins.
+	// Replay applies one entry of the log, in the order of the log, before the term begins.
 	Replay(now time.Duration, e eventlog.Entry)
 
-	// Begin follows the last entry that is replayed, and is called once in a term.
+	// Begin is called once in a term, after the last entry has been replayed.
 	Begin(now time.Duration)
 
 	// EntryDurable is called for each entry of this term that was appended with
 	// AppendTracked, once it is durable in the state service.
 	EntryDurable(now time.Duration, leaseValid bool, e eventlog.Entry)
 
-	// HandleEvent is told what happens in the term, while it happens.
+	// HandleEvent handles an event of the term as it occurs.
 	HandleEvent(e cluster.Event)
 
-	// Tick does what is due by time, before a scheduling cycle.
+	// Tick performs time-driven work, before a scheduling cycle.
 	Tick(now time.Duration, leaseValid bool)
 
-	// AfterCycle does what is due after a scheduling cycle.
+	// AfterCycle performs the work that follows a scheduling cycle.
 	AfterCycle(now time.Duration, leaseValid bool)
 
-	// AppendEntries hands to the log what has gathered since the last commit. It is called
-	// when the next commit may begin.
+	// AppendEntries appends the entries collected since the last commit to the log. It is
+	// called when the next commit may begin.
 	AppendEntries(now time.Duration)
 
-	// LiveBytes is roughly how many bytes of the log are live entries of this component.
+	// LiveBytes estimates how many bytes of the log are live entries of this component.
 	LiveBytes() int
 
-	// Compact appends anew what is still live of an entry whose segment is about to be
+	// Compact appends again what is still live of an entry whose segment is about to be
 	// removed.
 	Compact(now time.Duration, e eventlog.Entry)
 
-	// CompactionDone follows the last entry of a compaction.
+	// CompactionDone is called after the last entry of a compaction.
 	CompactionDone()
 }
 
@@ -75,23 +75,23 @@
 type Term struct {
 	*cluster.State
 
-	// The components that every term has. The first is exported because what users ask goes
-	// to it directly.
+	// The components that every term has. Lifecycle is exported because user requests are
+	// passed to it directly.
 	Lifecycle  *lifecycle.Component
 	fairShare  *fairshare.Component
 	registry   *registry.Component
 	placement  *placement.Component
 	autoscaler *autoscaler.Component
 
-	// The components that may be switched off, and that are called directly: nil while
-	// they are. probe and dispatch are also nil where no objective asks for them.
+	// Optional components that are called directly; nil if disabled. probe and dispatch are
+	// also nil if no objective requires them.
 	coldStart *coldstart.Component
 	probe     *probe.Component
 	reconfig  *reconfig.Component
 	dispatch  *dispatch.Component
 
 	components       []Component          // in the order in which they begin and tick
-	componentsByName map[string]Component // those with entries of their own, by the name in these
+	componentsByName map[string]Component // those with entries of their own, by the name in the entries
 
 	loaded             bool // the log has been replayed
 	unknownEntryLogged bool
@@ -99,7 +99,7 @@
 	compaction
 }
 
-// New begins a term. Most inputs are ignored until Load has replayed the log.
+// New creates a term. Most inputs are ignored until Load has replayed the log.
 func New(start cluster.TermStart) *Term {
 	s := cluster.New(start)
 	t := &Term{
@@ -122,8 +122,8 @@
 	return t
 }
 
-// addOperations adds the components for failover, configuration and cold starts that are
-// switched on.
+// addOperations adds those of the components for failover, configuration and cold starts that
+// are enabled.
 func (t *Term) addOperations(start cluster.TermStart) {
 	tunables := &start.Cfg.Tunables
 	if keep := tunables.TakeoversKept; keep > 0 {
@@ -139,8 +139,8 @@
 	}
 }
 
-// addDispatching adds the components that reach workers beside their heartbeats, and the
-// one that spreads heartbeats over controllers, where they are switched on.
+// addDispatching adds, if enabled, the components that contact workers outside of their
+// heartbeats, and the one that distributes heartbeats over controllers.
 func (t *Term) addDispatching(start cluster.TermStart) {
 	tunables := &start.Cfg.Tunables
 	if tunables.PushDispatches > 0 && start.Cfg.AnyNeedsDispatch() {
@@ -156,8 +156,8 @@
 	}
 }
 
-// addModels adds the components for objectives, pools and models of run times that are
-// switched on.
+// addModels adds those of the components for objectives, pools and models of run times that
+// are enabled.
 func (t *Term) addModels(start cluster.TermStart) {
 	tunables := &start.Cfg.Tunables
 	if tunables.ServedWindowS > 0 {
@@ -171,8 +171,8 @@
 	}
 }
 
-// add composes a component into the term. name is the one in its own entries; components
-// of the first version have fields of their own in an entry and need none.
+// add adds a component to the term. name identifies it in its log entries. It is empty for a
+// component without such entries, or whose entries are separate fields of eventlog.Entry.
 func (t *Term) add(name string, c Component) {
 	t.components = append(t.components, c)
 	t.Subscribe(c)
@@ -181,8 +181,8 @@
 	}
 }
 
-// Tick does what is due by time, and runs a scheduling cycle and requests a log compaction
-// where they are due.
+// Tick performs time-driven work, and runs a scheduling cycle and requests a log compaction
+// when they are due.
 func (t *Term) Tick(now time.Duration, leaseValid bool) {
 	if !t.loaded {
 		return
@@ -201,7 +201,7 @@
 	t.registry.AnswerHeartbeats(now, leaseValid)
 }
 
-// End answers everybody who still waits.
+// End answers all requests that are still waiting.
 func (t *Term) End() {
 	t.Lifecycle.End()
 	t.registry.End()
--- a/internal/leader/term/types_test.go
+++ b/internal/leader/term/types_test.go
@@ -8,8 +8,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// A compaction moves the machine types to the log's end, behind jobs that are bound to some
-// of them: what a job may use is settled once all is read.
+// A compaction can move machine types behind the jobs that name them in the log. The types
+// that a job may use are therefore resolved only after the whole log has been replayed.
 func TestTypesAfterJobsInTheLog(t *testing.T) {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
--- a/internal/leader/valuestore/valuestore.go
+++ b/internal/leader/valuestore/valuestore.go
@@ -1,8 +1,8 @@
-// Package valuestore keeps a component's own values, which the leader's log stores
-// beside its entries: it decodes those of earlier terms and follows the writes of this
-// one until they are durable or refused. It is shared by the components of a leader's
-// term that have such values (pools, runtimes); reading them page by page is
-// cluster.ValueReader's part. It has no clock, socket or goroutine.
+// Package valuestore handles a component's own values, which are stored next to the
+// leader's log. It decodes values of earlier terms and tracks the writes of the current
+// term until they are durable or refused. The components with such values (pools,
+// runtimes) share it; cluster.ValueReader reads the values page by page. The package has
+// no clock, socket or goroutine.
 package valuestore
 
 import (
@@ -13,22 +13,23 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// VersionError says that a value has a format version that this program does not know.
+// VersionError reports that a value has a format version that this program does not support.
 type VersionError struct{ Version int }
 
 func (e *VersionError) Error() string {
 	return fmt.Sprintf("format version %d is not known to this controller", e.Version)
 }
 
-// NoNumber is what Decode returns for a value whose key has no number.
+// NoNumber is the number that Decode returns for a value whose key has none.
 const NoNumber = -1
 
-// Versioned is the contents of a value, which carries its format version.
+// Versioned is implemented by the contents of a value, which include its format version.
 type Versioned interface{ FormatVersion() int }
 
-// Decode decodes a component's value into contents and returns its number, which is in
-// use even if the contents cannot be decoded; it is NoNumber if the key has none. A
-// format version other than the one given is a *VersionError.
+// Decode decodes a component's value into contents and returns the value's number. The
+// number is returned, and counts as used, even if the contents cannot be decoded; it is
+// NoNumber if the key has none. If the format version differs from the given one, the error
+// is a *VersionError.
 func Decode(component string, value eventlog.ComponentValue, version int, contents Versioned) (int, error) {
 	number, err := eventlog.ComponentValueNumber(component, value.Key)
 	if err != nil {
@@ -43,21 +44,21 @@
 	return number, nil
 }
 
-// Writer follows a component's writes of values on their way through the log. T is what
-// the component wants to know of a write once its outcome is known.
+// Writer tracks a component's writes of values through the log. T holds the details of a
+// write that the component gets back once the outcome is known.
 type Writer[T any] struct {
-	Component string // the name of the component, which its keys begin with
+	Component string // name of the component, which is part of its keys
 	pending   []pendingWrite[T]
 }
 
 type pendingWrite[T any] struct {
 	number   int
-	position int // the outcome is known once so many entries of the log are durable
+	position int // the outcome is known once this many entries of the log are durable
 	details  T
 }
 
-// Append hands a value to the log, together with the entry that announces it. It returns
-// false if the value is larger than may be written; nothing is written then.
+// Append appends a value to the log, together with the entry that announces it. If the value
+// is too large, it writes nothing and returns false.
 func (w *Writer[T]) Append(log *eventlog.Log, announcement any, number int, data json.RawMessage, details T) bool {
 	entry := eventlog.NewComponentEntry(w.Component, announcement)
 	if !log.AppendWithValue(entry, eventlog.ComponentValueKey(w.Component, number), data) {
@@ -68,7 +69,8 @@
 }
 
 // TakeRefused removes the writes that the state service has refused and returns their
-// details, oldest first: the log has passed them, and TakeDurable was never called.
+// details, oldest first. A write is refused if the log is durable up to its position and
+// TakeDurable has not returned it.
 func (w *Writer[T]) TakeRefused(log *eventlog.Log) (refused []T) {
 	w.pending = slices.DeleteFunc(w.pending, func(p pendingWrite[T]) bool {
 		if log.DurableCount() < p.position {
@@ -80,8 +82,8 @@
 	return refused
 }
 
-// TakeDurable removes the oldest pending write of a value, whose announcement is
-// durable, and returns its details; false if there is none.
+// TakeDurable removes the oldest pending write of a value whose announcement is durable, and
+// returns its details. found is false if there is no such write.
 func (w *Writer[T]) TakeDurable(number int) (details T, found bool) {
 	i := slices.IndexFunc(w.pending, func(p pendingWrite[T]) bool { return p.number == number })
 	if i < 0 {
@@ -92,10 +94,10 @@
 	return details, true
 }
 
-// HasPending reports whether a write is pending whose details match.
+// HasPending reports whether the details of some pending write match.
 func (w *Writer[T]) HasPending(match func(T) bool) bool {
 	return slices.ContainsFunc(w.pending, func(p pendingWrite[T]) bool { return match(p.details) })
 }
 
-// Len is the number of pending writes.
+// Len returns the number of pending writes.
 func (w *Writer[T]) Len() int { return len(w.pending) }
--- a/internal/leader/valuestore/valuestore_test.go
+++ b/internal/leader/valuestore/valuestore_test.go
@@ -51,20 +51,20 @@
 	w := Writer[string]{Component: "own"}
 	for number, details := range []string{"first", "second"} {
 		if !w.Append(log, struct{}{}, number, json.RawMessage(`{}`), details) {
-			t.Fatalf("%s does not fit", details)
+			t.Fatalf("%s value does not fit", details)
 		}
 	}
 	if refused := w.TakeRefused(log); len(refused) > 0 || w.Len() != 2 {
-		t.Fatalf("before the log has passed them: refused %v, %d pending", refused, w.Len())
+		t.Fatalf("before any commit: refused %v, %d pending", refused, w.Len())
 	}
 	if details, found := w.TakeDurable(0); !found || details != "first" {
 		t.Errorf("durable: %q %v", details, found)
 	}
 	if _, found := w.TakeDurable(0); found {
-		t.Error("a write is durable twice")
+		t.Error("the same write was returned as durable twice")
 	}
 	if w.HasPending(func(s string) bool { return s == "first" }) || !w.HasPending(func(s string) bool { return s == "second" }) {
-		t.Error("not just the second is pending")
+		t.Error("want only the second write pending")
 	}
 	for i := range 20 {
 		now := time.Duration(i) * time.Second
@@ -73,7 +73,7 @@
 		}
 	}
 	if refused := w.TakeRefused(log); fmt.Sprint(refused) != "[second]" || w.Len() != 0 {
-		t.Errorf("passed by the log without being durable: %v, %d pending", refused, w.Len())
+		t.Errorf("refused writes after all commits: %v, %d pending; want [second] and none", refused, w.Len())
 	}
 	large := json.RawMessage(`"` + string(make([]byte, 1<<20)) + `"`)
 	if w.Append(log, struct{}{}, 2, large, "large") || w.Len() != 0 {
