--- a/internal/leader/cluster/cluster_test.go
+++ b/internal/leader/cluster/cluster_test.go
@@ -119,16 +119,16 @@
 // tokens first, and the term ends before all of its tokens are issued.
 func TestTokensStayWithinTheirTerm(t *testing.T) {
 	s := New(TermStart{Cfg: &settings.Settings{}, Epoch: 3, Counts: &Counts{}})
-	low, issued := 0, 0
+	lowAt, issued := 0, 0
 	for ; !s.TokensExhausted(); issued++ {
 		if s.NextToken()>>TokenBits != 3 {
 			t.Fatalf("token %d belongs to another term", issued)
 		}
-		if low == 0 && s.TokensRunLow() {
-			low = issued
+		if lowAt == 0 && s.TokensRunLow() {
+			lowAt = issued
 		}
 	}
-	if left := 1<<TokenBits - issued; left < 50_000 || low == 0 || low > issued/10*9 {
-		t.Errorf("tokens run low from %d on, exhausted with %d left", low, left)
+	if remaining := 1<<TokenBits - issued; remaining < 50_000 || lowAt == 0 || lowAt > issued/10*9 {
+		t.Errorf("tokens run low from %d on, exhausted with %d left", lowAt, remaining)
 	}
 }
--- a/internal/leader/cluster/effects.go
+++ b/internal/leader/cluster/effects.go
@@ -17,6 +17,6 @@
 }
 
 // LogMessage emits a log message. args are its attributes, as alternating keys and values.
-func (s *State) LogMessage(l effects.Level, text string, args ...any) {
-	s.Emit(effects.LogMessage{Level: l, Message: text, Args: args})
+func (s *State) LogMessage(level effects.Level, message string, args ...any) {
+	s.Emit(effects.LogMessage{Level: level, Message: message, Args: args})
 }
--- a/internal/leader/cluster/events.go
+++ b/internal/leader/cluster/events.go
@@ -49,11 +49,11 @@
 }
 
 // Subscribe adds a subscriber. It receives each event after the subscribers added before it.
-func (s *State) Subscribe(l Subscriber) { s.subscribers = append(s.subscribers, l) }
+func (s *State) Subscribe(subscriber Subscriber) { s.subscribers = append(s.subscribers, subscriber) }
 
 // Publish delivers an event to all subscribers, in the order in which they subscribed.
 func (s *State) Publish(e Event) {
-	for _, l := range s.subscribers {
-		l.HandleEvent(e)
+	for _, subscriber := range s.subscribers {
+		subscriber.HandleEvent(e)
 	}
 }
--- a/internal/leader/cluster/hooks.go
+++ b/internal/leader/cluster/hooks.go
@@ -10,7 +10,7 @@
 // Gate delays actions after a cold start, which is a start without a preceding leader.
 type Gate interface {
 	// Permits reports whether actions of a kind may be taken now.
-	Permits(now time.Duration, a Action) bool
+	Permits(now time.Duration, action Action) bool
 	// SilenceAllowance returns for how long after the beginning of the term a machine that has
 	// not reported in it may still be alive.
 	SilenceAllowance() time.Duration
@@ -32,8 +32,8 @@
 }
 
 // Permits reports whether actions of a kind may be taken now.
-func (s *State) Permits(now time.Duration, a Action) bool {
-	return s.Gate == nil || s.Gate.Permits(now, a)
+func (s *State) Permits(now time.Duration, action Action) bool {
+	return s.Gate == nil || s.Gate.Permits(now, action)
 }
 
 // SilenceAllowance returns for how long after the beginning of the term a machine that has
--- a/internal/leader/cluster/machines.go
+++ b/internal/leader/cluster/machines.go
@@ -41,18 +41,18 @@
 
 // Decommission marks a machine for deletion, which is final. The action is Return for a
 // machine that is returned, and Delete for one that is lost or cannot be used.
-func (s *State) Decommission(now time.Duration, m *workers.Machine, a Action, why string) {
+func (s *State) Decommission(now time.Duration, m *workers.Machine, action Action, reason string) {
 	if m.Deleting {
 		return
 	}
-	m.Deleting, m.DeletionReason = true, why
+	m.Deleting, m.DeletionReason = true, reason
 	s.CancelPlans(m)
 	s.NeedsCycle = true
 	if len(m.Tasks) > 0 {
 		s.Counts.MachinesLost++
 	}
-	s.LogMessage(effects.Info, "machine decommissioned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
-	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: a})
+	s.LogMessage(effects.Info, "machine decommissioned", "machine", m.Name, "why", reason, "tasks", len(m.Tasks))
+	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: action})
 }
 
 // CPUs returns the number of processors of the machines that report.
--- a/internal/leader/cluster/snapshot.go
+++ b/internal/leader/cluster/snapshot.go
@@ -17,7 +17,7 @@
 		Inventory:       s.Inventory,
 		Estimator:       s.Estimator,
 		UnresolvedUse:   s.unresolvedUse,
-		UnknownGrants:   s.unresolvedUnnumbered > 0,
+		UnknownGrants:   s.unresolvedWithoutNumber > 0,
 		Zone:            s.Zones.Index,
 		Pools:           s.Pools,
 		AcceleratedNeed: s.Scheduler.LargestAcceleratedNeed(now, s.Jobs),
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -92,21 +92,21 @@
 	Rebalancer Rebalancer      // rebalance; nil if machines are not moved between shards
 
 	// Maintained by the methods of State.
-	lastAttempt          uint64
-	issuedTokens         uint64              // number of tokens issued in addition to Token
-	configuredTeams      []bool              // by team index: whether the team is configured and may submit
-	unresolvedMachines   int                 // number of unresolved machines, see unresolved.go
-	unresolvedUnnumbered int                 // number of unresolved machines without a registry number
-	unresolvedUse        []resources.Amounts // by team index: what unresolved machines may be using
-	subscribers          []Subscriber
-	pendingEffects       []effects.Effect
+	lastAttempt             uint64
+	issuedTokens            uint64              // number of tokens issued in addition to Token
+	configuredTeams         []bool              // by team index: whether the team is configured and may submit
+	unresolvedMachines      int                 // number of unresolved machines, see unresolved.go
+	unresolvedWithoutNumber int                 // number of unresolved machines without a registry number
+	unresolvedUse           []resources.Amounts // by team index: what unresolved machines may be using
+	subscribers             []Subscriber
+	pendingEffects          []effects.Effect
 }
 
 // New returns the state of a term before its log has been replayed.
 func New(start TermStart) *State {
 	if start.Cfg.Tunables.ConfigHistory > 0 {
-		own := *start.Cfg // private copy: tunables may change during the term
-		start.Cfg = &own
+		copied := *start.Cfg // private copy: tunables may change during the term
+		start.Cfg = &copied
 	}
 	if start.Metrics == nil {
 		start.Metrics = &Metrics{}
--- a/internal/leader/cluster/stops.go
+++ b/internal/leader/cluster/stops.go
@@ -19,13 +19,13 @@
 }
 
 // StopAll stops tasks, giving them time to save a checkpoint, and logs the reason.
-func (s *State) StopAll(now time.Duration, placements []*workers.Placement, a Action) {
+func (s *State) StopAll(now time.Duration, placements []*workers.Placement, action Action) {
 	machines := map[*workers.Machine]bool{}
-	message := stopMessages[a]
+	message := stopMessages[action]
 	for _, p := range placements {
 		j := s.Jobs.ByIndex(p.Ref.Job)
 		s.SaveAndStop(now, j, p)
-		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Action: a})
+		s.Publish(Event{Kind: TaskStopped, At: now, Job: j, Task: int(p.Ref.Task), Machine: p.Machine, Action: action})
 		machines[p.Machine] = true
 		s.LogMessage(effects.Debug, message, "job", p.JobID, "task", p.Ref.Task, "machine", p.Machine.Name)
 	}
--- a/internal/leader/cluster/unresolved.go
+++ b/internal/leader/cluster/unresolved.go
@@ -23,30 +23,30 @@
 // RemoveUnresolved reverses AddUnresolved once the machine has reported or is gone.
 func (s *State) RemoveUnresolved(m *workers.Machine) { s.countUnresolved(m, -1) }
 
-func (s *State) countUnresolved(m *workers.Machine, by int) {
-	s.unresolvedMachines += by
+func (s *State) countUnresolved(m *workers.Machine, delta int) {
+	s.unresolvedMachines += delta
 	if m.Number == 0 {
-		s.unresolvedUnnumbered += by
+		s.unresolvedWithoutNumber += delta
 	}
 	for len(s.unresolvedUse) < len(s.Scheduler.Limits) {
 		s.unresolvedUse = append(s.unresolvedUse, resources.Amounts{})
 	}
 	for team := range s.unresolvedUse {
 		if m.ClaimedByAnyTeam || m.Number == 0 || slices.Contains(m.ClaimedByTeams, int32(team)) {
-			s.unresolvedUse[team] = s.unresolvedUse[team].Plus(m.Capacity.Times(by))
+			s.unresolvedUse[team] = s.unresolvedUse[team].Plus(m.Capacity.Times(delta))
 		}
 	}
 }
 
 // Unresolved returns the number of unresolved machines, and whether one of them may have
 // tasks of any job because no grants were recorded for it.
-func (s *State) Unresolved() (machines int, blind bool) {
-	return s.unresolvedMachines, s.unresolvedUnnumbered > 0
+func (s *State) Unresolved() (machines int, unknownGrants bool) {
+	return s.unresolvedMachines, s.unresolvedWithoutNumber > 0
 }
 
 // MayRunUnseen reports whether tasks of a job that no heartbeat has shown may run on
 // unresolved machines.
-func (s *State) MayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(s.unresolvedUnnumbered > 0) }
+func (s *State) MayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(s.unresolvedWithoutNumber > 0) }
 
 // Quiescent reports whether no task of a job is on any machine, or can be: none is placed,
 // offered or being started, none may run unseen on an unresolved machine, and none is an
@@ -64,16 +64,16 @@
 // of the limit of any team.
 func (s *State) HeldBackByUnresolved() bool {
 	for team, use := range s.unresolvedUse {
-		if takesMuchOf(use, s.Scheduler.Limits[team]) {
+		if exceedsUnresolvedShare(use, s.Scheduler.Limits[team]) {
 			return true
 		}
 	}
 	return false
 }
 
-// takesMuchOf reports whether use exceeds maxUnresolvedShare of a limit. A limit of 0 means
-// that there is none.
-func takesMuchOf(use resources.Amounts, limit scheduler.Limit) bool {
+// exceedsUnresolvedShare reports whether use exceeds maxUnresolvedShare of a limit. A limit
+// of 0 means that there is none.
+func exceedsUnresolvedShare(use resources.Amounts, limit scheduler.Limit) bool {
 	cpu := limit.CPU > 0 && float64(use.CPU) > maxUnresolvedShare*float64(limit.CPU)
 	gpu := limit.GPU > 0 && float64(use.GPU) > maxUnresolvedShare*float64(limit.GPU)
 	return cpu || gpu
--- a/internal/leader/cluster/value_reader.go
+++ b/internal/leader/cluster/value_reader.go
@@ -21,10 +21,10 @@
 }
 
 // RequestNext requests the next page of values if one is due.
-func (r *ValueReader) RequestNext(to Emitter, now time.Duration, component string) {
+func (r *ValueReader) RequestNext(emitter Emitter, now time.Duration, component string) {
 	if !r.Done && !r.requested && now >= r.retryAt {
 		r.requested = true
-		to.Emit(effects.ReadValues{Component: component, AfterKey: r.lastKey})
+		emitter.Emit(effects.ReadValues{Component: component, AfterKey: r.lastKey})
 	}
 }
 
--- a/internal/leader/lifecycle/answers.go
+++ b/internal/leader/lifecycle/answers.go
@@ -22,7 +22,7 @@
 // jobState returns the state of a job as reported to users. It returns false for a job that is
 // unknown or whose acceptance is not durable.
 func (c *Component) jobState(id uint64) (effects.Answer, bool) {
-	if phase, over := c.Jobs.FinalPhase(id); over {
+	if phase, final := c.Jobs.FinalPhase(id); final {
 		state := wire.Done
 		if phase == jobs.Cancelled {
 			state = wire.Cancelled
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -18,7 +18,7 @@
 // Cancel cancels a job: its tasks are stopped at once, and the request is answered once none
 // of its tasks is left on any machine. A client whose request times out repeats it.
 func (c *Component) Cancel(now time.Duration, to effects.RequestID, id uint64) {
-	if _, over := c.Jobs.FinalPhase(id); over {
+	if _, final := c.Jobs.FinalPhase(id); final {
 		state, _ := c.jobState(id)
 		c.reply(to, state)
 		return
@@ -47,8 +47,8 @@
 // addCancelRequest keeps a request until the cancellation is durable. If there are too many,
 // it drops the oldest, whose client was asked to retry long before.
 func (c *Component) addCancelRequest(to effects.RequestID, id uint64) {
-	if list := c.cancelRequests[id]; len(list) >= maxCancelRequests {
-		c.cancelRequests[id] = slices.Delete(list, 0, 1)
+	if requests := c.cancelRequests[id]; len(requests) >= maxCancelRequests {
+		c.cancelRequests[id] = slices.Delete(requests, 0, 1)
 	}
 	c.cancelRequests[id] = append(c.cancelRequests[id], to)
 }
@@ -116,9 +116,9 @@
 // is durable, and all jobs that depend on it.
 func (c *Component) applyCancellation(leaseValid bool, j *jobs.Job) {
 	dependencies, dependents := c.Jobs.TransitiveDependencies(j), c.Jobs.TransitiveDependents(j)
-	c.purge(j)
+	c.finishCancelled(j)
 	for _, dependent := range dependents {
-		c.purge(dependent)
+		c.finishCancelled(dependent)
 		c.Counts.CancelSpread++
 		c.LogMessage(effects.Info, "job cancelled with a dependency", "job", dependent.Record.ID, "needs", j.Record.ID)
 		c.answerCancellations(leaseValid, dependent.Record.ID)
@@ -126,8 +126,8 @@
 	c.restorePriorities(dependencies)
 }
 
-// purge ends a cancelled job that has no tasks on any machine.
-func (c *Component) purge(j *jobs.Job) {
+// finishCancelled ends a cancelled job that has no tasks on any machine.
+func (c *Component) finishCancelled(j *jobs.Job) {
 	j.Phase = jobs.Cancelled
 	delete(c.cancelling, j.Record.ID)
 	c.Jobs.RecordFinalPhase(j.Record.ID, jobs.Cancelled)
--- a/internal/leader/lifecycle/compaction.go
+++ b/internal/leader/lifecycle/compaction.go
@@ -60,7 +60,7 @@
 			c.EventLog.Append(e)
 		}
 	case e.Job != nil:
-		if _, over := c.Jobs.FinalPhase(e.Job.ID); over {
+		if _, final := c.Jobs.FinalPhase(e.Job.ID); final {
 			c.compactFinalState(e.Job.ID)
 		} else if j := c.Jobs.ByID(e.Job.ID); j != nil {
 			c.compactOpenJob(now, j)
@@ -109,9 +109,9 @@
 	c.appendFinalStates(max(1, c.EventLog.MaxEntryBytes()/maxIDBytes-finalStatesOverhead))
 }
 
-// appendFinalStates appends the collected final states if their number is not below least.
-func (c *Component) appendFinalStates(least int) {
-	if len(c.compactedFinals.Done)+len(c.compactedFinals.Cancelled) < least {
+// appendFinalStates appends the collected final states if there are at least minCount of them.
+func (c *Component) appendFinalStates(minCount int) {
+	if len(c.compactedFinals.Done)+len(c.compactedFinals.Cancelled) < minCount {
 		return
 	}
 	finals := c.compactedFinals
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -40,9 +40,9 @@
 
 // dependencyProblem returns why a job's dependencies are invalid, or "" if they are valid.
 // known is false while that cannot be decided.
-func (c *Component) dependencyProblem(rec *eventlog.Job) (why string, known bool) {
+func (c *Component) dependencyProblem(rec *eventlog.Job) (reason string, known bool) {
 	for _, id := range rec.Follows {
-		if _, over := c.Jobs.FinalPhase(id); over {
+		if _, final := c.Jobs.FinalPhase(id); final {
 			continue
 		}
 		switch j := c.Jobs.ByID(id); {
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -36,7 +36,7 @@
 // replayJob adds a job to the table unless an earlier entry did, since a compaction may leave
 // an entry in the log twice.
 func (c *Component) replayJob(now time.Duration, rec *eventlog.Job) {
-	if _, over := c.Jobs.FinalPhase(rec.ID); !over && c.Jobs.ByID(rec.ID) == nil {
+	if _, final := c.Jobs.FinalPhase(rec.ID); !final && c.Jobs.ByID(rec.ID) == nil {
 		c.addJob(*rec, now)
 	}
 }
@@ -111,10 +111,10 @@
 		}
 	}
 	for _, j := range cancelled {
-		for _, x := range append(c.Jobs.TransitiveDependents(j), j) {
-			c.Jobs.RecordFinalPhase(x.Record.ID, jobs.Cancelled)
-			c.Jobs.RemoveDependency(x)
-			c.Jobs.Remove(x)
+		for _, affected := range append(c.Jobs.TransitiveDependents(j), j) {
+			c.Jobs.RecordFinalPhase(affected.Record.ID, jobs.Cancelled)
+			c.Jobs.RemoveDependency(affected)
+			c.Jobs.Remove(affected)
 		}
 	}
 }
@@ -162,8 +162,8 @@
 // dependenciesKnown reports whether the log has entries of all jobs with the given ids.
 func (c *Component) dependenciesKnown(ids []uint64) bool {
 	return !slices.ContainsFunc(ids, func(id uint64) bool {
-		_, over := c.Jobs.FinalPhase(id)
-		return !over && c.Jobs.ByID(id) == nil
+		_, final := c.Jobs.FinalPhase(id)
+		return !final && c.Jobs.ByID(id) == nil
 	})
 }
 
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -64,18 +64,18 @@
 	if len(c.Types) == 0 {
 		return unavailable("the machine types are not known yet")
 	}
-	if why := c.rejectionReason(s.Job); why != "" {
-		return &effects.Answer{Status: statusUnprocessable, Why: why}
+	if reason := c.rejectionReason(s.Job); reason != "" {
+		return &effects.Answer{Status: statusUnprocessable, Why: reason}
 	}
 	if refusal := c.poolRefusal(s.Job); refusal != nil {
 		return refusal
 	}
-	why, known := c.dependencyProblem(s.Job)
+	reason, known := c.dependencyProblem(s.Job)
 	if !known {
-		return unavailable(why)
+		return unavailable(reason)
 	}
-	if why != "" {
-		return &effects.Answer{Status: statusUnprocessable, Why: why}
+	if reason != "" {
+		return &effects.Answer{Status: statusUnprocessable, Why: reason}
 	}
 	return nil
 }
@@ -88,8 +88,8 @@
 	if c.Pools == nil {
 		return unavailable("counted: the leader has no pools in its settings")
 	}
-	if why := c.Pools.Unsatisfiable(rec); why != "" {
-		return &effects.Answer{Status: statusUnprocessable, Why: why}
+	if reason := c.Pools.Unsatisfiable(rec); reason != "" {
+		return &effects.Answer{Status: statusUnprocessable, Why: reason}
 	}
 	return nil
 }
@@ -110,8 +110,8 @@
 	return nil
 }
 
-func unavailable(why string) *effects.Answer {
-	answer := effects.Unavailable(why)
+func unavailable(reason string) *effects.Answer {
+	answer := effects.Unavailable(reason)
 	return &answer
 }
 
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -28,14 +28,14 @@
 	}
 }
 
-// Committed handles the outcome of the commit with sequence number seq. mark is the revision
-// of the commit, and failed lists the keys whose comparison failed. The returned step is what
+// Committed handles the outcome of the commit with sequence number seq. revision is that of
+// the commit, and failedKeys are the keys whose comparison failed. The returned step is what
 // the node must do next.
 func (t *Term) Committed(
-	now time.Duration, leaseValid bool, seq uint64, out eventlog.Outcome, mark uint64, failed []string,
+	now time.Duration, leaseValid bool, seq uint64, outcome eventlog.Outcome, revision uint64, failedKeys []string,
 ) eventlog.CommitStep {
-	durable, step := t.EventLog.CommitResult(now, seq, out, mark, failed)
-	if out == eventlog.Invalid {
+	durable, step := t.EventLog.CommitResult(now, seq, outcome, revision, failedKeys)
+	if outcome == eventlog.Invalid {
 		t.logInvalidCommit(step)
 	}
 	t.entriesDurable(now, leaseValid, durable)
@@ -62,8 +62,8 @@
 }
 
 // ReadBack handles the value that was read to settle a commit whose outcome is unknown.
-func (t *Term) ReadBack(now time.Duration, leaseValid, read bool, mark uint64, value json.RawMessage) {
-	t.entriesDurable(now, leaseValid, t.EventLog.ReadBack(now, read, mark, value))
+func (t *Term) ReadBack(now time.Duration, leaseValid, read bool, revision uint64, value json.RawMessage) {
+	t.entriesDurable(now, leaseValid, t.EventLog.ReadBack(now, read, revision, value))
 }
 
 // entriesDurable passes entries that have become durable to the components, and removes the
--- a/internal/leader/term/decommission_test.go
+++ b/internal/leader/term/decommission_test.go
@@ -55,14 +55,14 @@
 	if got := deletedMachines(term); len(got) != 1 {
 		t.Errorf("machines deleted once the note is durable: %v, want one", got)
 	}
-	for termsBefore, free := range []bool{true, false} {
+	for termsBefore, resolved := range []bool{true, false} {
 		t.Run(fmt.Sprintf("noted %d terms before", 1+termsBefore), func(t *testing.T) {
 			next := newSmallTerm(slices.Concat(log, notedInEpoch(noted, 1-termsBefore))) // of epoch 2
 			unresolved, _ := next.Unresolved()
 			next.Tick(time.Second, true)
 			deleted := len(deletedMachines(next)) == 1
 			heldBack := next.Jobs.ByID(1).UnresolvedMachines != 0
-			if deleted != free || (unresolved == 0) != free || heldBack == free {
+			if deleted != resolved || (unresolved == 0) != resolved || heldBack == resolved {
 				t.Errorf("deleted at once: %v, unresolved machines: %d, job held back: %v",
 					deleted, unresolved, heldBack)
 			}
@@ -85,7 +85,7 @@
 
 // A machine that has reported, but not with the new token, is drained and deleted without a
 // note. Only its deletion proves that nothing of an earlier term is left on it.
-func TestUnresolvedIsNotNotedAsEmpty(t *testing.T) {
+func TestUnresolvedMachineIsDeletedWithoutNote(t *testing.T) {
 	for _, resolved := range []bool{true, false} {
 		t.Run(fmt.Sprintf("resolved %v", resolved), func(t *testing.T) {
 			term := newSmallTerm([]eventlog.Entry{
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -96,14 +96,14 @@
 // tasks in the cluster.
 func TestHeartbeatCostIsIndependentOfScale(t *testing.T) {
 	cost := func(machines int) float64 {
-		term, reports := newFullTerm(machines)
+		term, heartbeats := newFullTerm(machines)
 		now := time.Second
-		for i := range reports {
-			term.heartbeat(now, &reports[i])
+		for i := range heartbeats {
+			term.heartbeat(now, &heartbeats[i])
 		}
 		term.Tick(now, true)
-		term.heartbeat(now, &reports[0])
-		return testing.AllocsPerRun(50, func() { term.heartbeat(now, &reports[0]) })
+		term.heartbeat(now, &heartbeats[0])
+		return testing.AllocsPerRun(50, func() { term.heartbeat(now, &heartbeats[0]) })
 	}
 	small, large := cost(50), cost(1000)
 	if large > small+5 || large > 60 {
@@ -113,8 +113,8 @@
 
 // The incrementally updated sums of what unresolved machines may use equal a full recount at
 // every step, as machines report or are deleted.
-func TestUnresolvedSumsMatchPlainCount(t *testing.T) {
-	entries := scaleLog(60)
+func TestUnresolvedSumsMatchRecount(t *testing.T) {
+	entries := fullLogWithGrants(60)
 	for i := range entries { // of three teams
 		if j := entries[i].Job; j != nil {
 			copied := *j
@@ -122,39 +122,39 @@
 			entries[i].Job = &copied
 		}
 	}
-	_, reports := fullLog(60)
+	_, heartbeats := fullLog(60)
 	term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	r := rand.New(rand.NewPCG(3, 3))
-	r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
+	r.Shuffle(len(heartbeats), func(i, j int) { heartbeats[i], heartbeats[j] = heartbeats[j], heartbeats[i] })
 	for i := 0; ; i++ {
-		plain := map[int32]int64{}
+		recount := map[int32]int64{}
 		left := 0
 		for _, m := range term.Inventory.All() {
 			if m.Durable && !m.Resolved {
 				left++
 				for _, team := range m.ClaimedByTeams {
-					plain[team] += m.Capacity.CPU
+					recount[team] += m.Capacity.CPU
 				}
 			}
 		}
 		n, _ := term.Unresolved()
 		for team, sum := range term.Snapshot(0).UnresolvedUse {
-			if sum.CPU != plain[int32(team)] || n != left {
+			if sum.CPU != recount[int32(team)] || n != left {
 				t.Fatalf("after %d machines: sum %d of team %d, recount %d; %d unresolved machines, recount %d",
-					i, sum.CPU, team, plain[int32(team)], n, left)
+					i, sum.CPU, team, recount[int32(team)], n, left)
 			}
 		}
-		if i == len(reports) {
+		if i == len(heartbeats) {
 			if left != 0 {
 				t.Errorf("%d machines are never resolved", left)
 			}
 			return
 		}
 		if i%3 == 0 {
-			term.MachinesDeleted(time.Second, []string{reports[i].Report.Machine}, true)
+			term.MachinesDeleted(time.Second, []string{heartbeats[i].Report.Machine}, true)
 		} else {
-			term.heartbeat(time.Second, &reports[i])
+			term.heartbeat(time.Second, &heartbeats[i])
 		}
 	}
 }
@@ -163,26 +163,26 @@
 // with the number of machines. The test compares allocations at 100 and at 1,000 machines.
 func TestCompletionAndTakeoverCostIsIndependentOfScale(t *testing.T) {
 	completion := func(machines int) float64 {
-		term, reports := newFullTerm(machines)
-		for i := range reports {
-			term.heartbeat(time.Second, &reports[i])
+		term, heartbeats := newFullTerm(machines)
+		for i := range heartbeats {
+			term.heartbeat(time.Second, &heartbeats[i])
 		}
 		term.Tick(time.Second, true)
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
-			r := &reports[n%machines]
+			r := &heartbeats[n%machines]
 			r.Report.Tasks[n/machines].State, r.Report.Tasks[n/machines].Reason = workers.Ended, workers.Completed
 			term.heartbeat(time.Second, r)
 			n++
 		})
 	}
 	resolve := func(machines int) float64 {
-		_, reports := fullLog(machines)
+		_, heartbeats := fullLog(machines)
 		term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
-		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: scaleLog(machines)})
+		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: fullLogWithGrants(machines)})
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
-			term.heartbeat(time.Second, &reports[n%machines])
+			term.heartbeat(time.Second, &heartbeats[n%machines])
 			n++
 		})
 	}
@@ -198,11 +198,11 @@
 // BenchmarkReports measures a round of heartbeats of all machines, with a tick after every
 // twentieth.
 func BenchmarkReports(b *testing.B) {
-	term, reports := newFullTerm(1000)
+	term, heartbeats := newFullTerm(1000)
 	now := time.Second
 	for b.Loop() {
-		for i := range reports {
-			term.heartbeat(now, &reports[i])
+		for i := range heartbeats {
+			term.heartbeat(now, &heartbeats[i])
 			if i%20 == 0 {
 				now += 70 * time.Millisecond
 				term.Tick(now, true)
@@ -210,5 +210,5 @@
 			}
 		}
 	}
-	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*len(reports)), "µs/report")
+	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*len(heartbeats)), "µs/report")
 }
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -36,12 +36,12 @@
 }
 
 // Dispatched handles the heartbeat with which a worker answers starts that were pushed to it.
-// r is nil if there was no answer.
+// report is nil if there was no answer.
 func (t *Term) Dispatched(
-	now time.Duration, leaseValid bool, machine string, token uint64, starts []workers.Command, r *workers.Report,
+	now time.Duration, leaseValid bool, machine string, token uint64, starts []workers.Command, report *workers.Report,
 ) {
 	if t.dispatch != nil && t.loaded {
-		t.dispatch.Dispatched(now, machine, token, starts, r)
+		t.dispatch.Dispatched(now, machine, token, starts, report)
 		t.dispatch.AfterCycle(now, leaseValid)
 	}
 }
@@ -90,9 +90,9 @@
 
 // PreviousLeaderReported handles another controller's record of the preceding leader, with the
 // times at which it heard from it. known is false if it has no such record.
-func (t *Term) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
+func (t *Term) PreviousLeaderReported(now time.Duration, peer string, record leadership.LeaderRecord, known bool) {
 	if t.coldStart != nil && t.loaded {
-		t.coldStart.PreviousLeaderReported(now, peer, led, known)
+		t.coldStart.PreviousLeaderReported(now, peer, record, known)
 	}
 }
 
--- a/internal/leader/term/limits_test.go
+++ b/internal/leader/term/limits_test.go
@@ -44,7 +44,7 @@
 func drainLog(t *testing.T, term *Term, now *time.Duration) []eventlog.Entry {
 	t.Helper()
 	segments := map[string][]eventlog.Entry{}
-	for mark := uint64(2); ; mark++ {
+	for revision := uint64(2); ; revision++ {
 		*now += time.Second
 		term.DrainEffects()
 		term.Flush(*now)
@@ -72,7 +72,7 @@
 				segments[w.Key] = list
 			}
 		}
-		term.Committed(*now, true, txn.Sequence, eventlog.Applied, mark, nil)
+		term.Committed(*now, true, txn.Sequence, eventlog.Applied, revision, nil)
 	}
 	if term.EventLog.PendingCount() > 0 {
 		t.Fatalf("%d entries are never written", term.EventLog.PendingCount())
@@ -129,7 +129,7 @@
 	for n := range 50 {
 		names = append(names, long("host", n))
 	}
-	first := drainLog(t, term, &now)
+	written := drainLog(t, term, &now)
 	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
 	for _, n := range names {
 		report := workers.Report{Machine: n, Address: n, Type: "m", Zone: zones[1], Session: 1, Seq: 1}
@@ -140,21 +140,21 @@
 		j.Complete(k)
 		term.Publish(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, RunSeconds: 3})
 	}
-	first = append(first, drainLog(t, term, &now)...)
+	written = append(written, drainLog(t, term, &now)...)
 	term.MachinesDeleted(time.Second, names[:40], true)
-	gone := drainLog(t, term, &now)
+	deletions := drainLog(t, term, &now)
 
 	// The whole log is compacted: its live entries are appended again.
-	compactAll(t, term, append([]eventlog.Entry{{Job: &open}}, first...))
-	again := drainLog(t, term, &now)
+	compactAll(t, term, append([]eventlog.Entry{{Job: &open}}, written...))
+	compacted := drainLog(t, term, &now)
 
 	types := eventlog.Entry{MachineTypes: []eventlog.MachineType{machineType}}
-	for name, list := range map[string][]eventlog.Entry{
-		"as written": slices.Concat(done, []eventlog.Entry{types, {Job: &open}}, first, gone),
-		"compacted":  slices.Concat(done, again),
+	for name, entries := range map[string][]eventlog.Entry{
+		"as written": slices.Concat(done, []eventlog.Entry{types, {Job: &open}}, written, deletions),
+		"compacted":  slices.Concat(done, compacted),
 	} {
 		t.Run(name, func(t *testing.T) {
-			next := newSmallTerm(list)
+			next := newSmallTerm(entries)
 			dependent := next.Jobs.ByID(2)
 			if dependent == nil {
 				t.Fatal("the dependent job is missing")
@@ -212,28 +212,28 @@
 	term := newSmallTerm([]eventlog.Entry{smallMachineType()})
 	var now time.Duration
 	term.EventLog.AppendTracked(eventlog.Entry{Rental: &eventlog.Rental{Name: "r-2-1", Type: "m", Zone: "a", Count: 50}})
-	list := drainLog(t, term, &now)
+	entries := drainLog(t, term, &now)
 	var names []string
 	for n := range 50 {
 		names = append(names, fmt.Sprintf("host-%0100d", n))
 	}
 	term.RentalAnswered(time.Second, "r-2-1", names, wire.Rented)
 	answered := drainLog(t, term, &now)
-	list = slices.Concat([]eventlog.Entry{{MachineTypes: term.Types}}, list, answered)
+	entries = slices.Concat([]eventlog.Entry{{MachineTypes: term.Types}}, entries, answered)
 	answers := 0
-	for n, e := range list {
+	for n, e := range entries {
 		if e.RentalAnswer == nil {
 			continue
 		}
 		answers++
-		if n+1 < len(list) && rentalRequests(newSmallTerm(list[:n+2])) != 1 {
+		if n+1 < len(entries) && rentalRequests(newSmallTerm(entries[:n+2])) != 1 {
 			t.Errorf("with only the first %d entries in the log the request is not sent again", n+2)
 		}
 	}
 	if answers < 2 {
 		t.Fatal("the answer fitted into one entry: the test would check nothing")
 	}
-	next := newSmallTerm(list)
+	next := newSmallTerm(entries)
 	if open, machines := rentalRequests(next), len(next.Inventory.All()); open != 0 || machines != 50 {
 		t.Errorf("%d requests open, %d machines, want none and 50", open, machines)
 	}
--- a/internal/leader/term/optional.go
+++ b/internal/leader/term/optional.go
@@ -54,10 +54,10 @@
 	Show(now time.Duration, view string) (json.RawMessage, error)
 }
 
-// Show returns a view for operators. what is the NAME of a component, or NAME/VIEW if it has
+// Show returns a view for operators. path is the NAME of a component, or NAME/VIEW if it has
 // several views. ok is false if there is no such view or the component is disabled.
-func (t *Term) Show(now time.Duration, what string) (raw json.RawMessage, ok bool, err error) {
-	name, view, _ := strings.Cut(what, "/")
+func (t *Term) Show(now time.Duration, path string) (raw json.RawMessage, ok bool, err error) {
+	name, view, _ := strings.Cut(path, "/")
 	c, ok := t.componentsByName[name].(viewer)
 	if !ok {
 		return nil, false, nil
@@ -128,15 +128,15 @@
 // peerListener is a component that is notified when other controllers answer the leader's
 // heartbeats.
 type peerListener interface {
-	PeerHeard(now time.Duration, peer string, took time.Duration)
+	PeerHeard(now time.Duration, peer string, elapsed time.Duration)
 }
 
 // PeerHeard notifies the components that another controller has answered a heartbeat, and how
 // long that took.
-func (t *Term) PeerHeard(now time.Duration, peer string, took time.Duration) {
+func (t *Term) PeerHeard(now time.Duration, peer string, elapsed time.Duration) {
 	for _, c := range t.components {
 		if l, ok := c.(peerListener); ok {
-			l.PeerHeard(now, peer, took)
+			l.PeerHeard(now, peer, elapsed)
 		}
 	}
 }
--- a/internal/leader/term/pools_bench_test.go
+++ b/internal/leader/term/pools_bench_test.go
@@ -58,10 +58,10 @@
 	for _, c := range poolCases {
 		b.Run(c.name, func(b *testing.B) {
 			t, _ := newPoolTerm(c.pools, c.waiting)
-			_, reports := fullLog(1300)
+			_, heartbeats := fullLog(1300)
 			now := time.Second
-			for i := range reports {
-				t.heartbeat(now, &reports[i])
+			for i := range heartbeats {
+				t.heartbeat(now, &heartbeats[i])
 			}
 			t.Tick(now, true)
 			t.ValuesRead(now, "pools", nil, false, true)
@@ -69,8 +69,8 @@
 			for b.Loop() {
 				now += 500 * time.Millisecond
 				b.StopTimer()
-				for i := range reports {
-					t.Inventory.Find(reports[i].Report.Machine).LastHeartbeat = now
+				for i := range heartbeats {
+					t.Inventory.Find(heartbeats[i].Report.Machine).LastHeartbeat = now
 				}
 				b.StartTimer()
 				t.Tick(now, true)
@@ -84,21 +84,21 @@
 // together with the scheduling cycle that follows.
 func BenchmarkPoolsReport(b *testing.B) {
 	for _, c := range poolCases {
-		for _, what := range []string{"nothing new", "an end"} {
-			b.Run(c.name+"/"+what, func(b *testing.B) {
+		for _, change := range []string{"nothing new", "an end"} {
+			b.Run(c.name+"/"+change, func(b *testing.B) {
 				t, _ := newPoolTerm(c.pools, c.waiting)
-				_, reports := fullLog(1300)
+				_, heartbeats := fullLog(1300)
 				now := time.Second
-				for i := range reports {
-					t.heartbeat(now, &reports[i])
+				for i := range heartbeats {
+					t.heartbeat(now, &heartbeats[i])
 				}
 				t.Tick(now, true)
 				t.DrainEffects()
 				t.ValuesRead(now, "pools", nil, false, true)
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
-					r := &reports[i%1300]
-					if what == "an end" {
+					r := &heartbeats[i%1300]
+					if change == "an end" {
 						if k := &r.Report.Tasks[i/1300%8]; k.State == workers.Running {
 							k.State, k.Reason = workers.Ended, workers.Completed
 						}
--- a/internal/leader/term/replay.go
+++ b/internal/leader/term/replay.go
@@ -22,16 +22,16 @@
 // Loaded reports whether the log has been replayed. Before that, no jobs are known.
 func (t *Term) Loaded() bool { return t.loaded }
 
-// Load replays the whole log. mark is the revision of the leader's epoch key, on which all
-// commits of the term are conditional.
-func (t *Term) Load(now time.Duration, mark uint64, log LoadedLog) {
+// Load replays the whole log. epochRevision is the revision of the leader's epoch key, on
+// which all commits of the term are conditional.
+func (t *Term) Load(now time.Duration, epochRevision uint64, log LoadedLog) {
 	writes := t.Cfg.WriteLimits()
 	limits := eventlog.Limits{
 		WriteRPS:   writes.WriteRPS,
 		ValueBytes: int(writes.ValueKB * 1024),
 		TxnOps:     writes.TxnOps,
 	}
-	t.EventLog = eventlog.NewLog(limits, leadership.EpochKey, mark, log.Last, log.VirtualSizePieces)
+	t.EventLog = eventlog.NewLog(limits, leadership.EpochKey, epochRevision, log.Last, log.VirtualSizePieces)
 	t.firstSegment = max(log.First, 1)
 	for _, e := range log.Entries {
 		if !t.routeEntry(e, func(c Component) { c.Replay(now, e) }) {
--- a/internal/leader/term/scale_bench_test.go
+++ b/internal/leader/term/scale_bench_test.go
@@ -18,24 +18,24 @@
 
 // newSettledTerm returns a term after a scheduling cycle, all of whose machines have reported.
 func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
-	t, reports := newFullTerm(machines)
+	t, heartbeats := newFullTerm(machines)
 	now := time.Second
-	for i := range reports {
-		t.heartbeat(now, &reports[i])
+	for i := range heartbeats {
+		t.heartbeat(now, &heartbeats[i])
 	}
 	t.Tick(now, true)
 	t.DrainEffects()
-	return t, reports, now
+	return t, heartbeats, now
 }
 
 // BenchmarkScaleReport measures a heartbeat without changes.
 func BenchmarkScaleReport(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := newSettledTerm(n)
+			t, heartbeats, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				t.heartbeat(now, &reports[i%n])
+				t.heartbeat(now, &heartbeats[i%n])
 			}
 		})
 	}
@@ -46,13 +46,13 @@
 func BenchmarkScaleTick(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := newSettledTerm(n)
+			t, heartbeats, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 500 * time.Millisecond
 				b.StopTimer()
-				for i := range reports { // no machine is silent
-					t.Inventory.Find(reports[i].Report.Machine).LastHeartbeat = now
+				for i := range heartbeats { // no machine is silent
+					t.Inventory.Find(heartbeats[i].Report.Machine).LastHeartbeat = now
 				}
 				b.StartTimer()
 				t.Tick(now, true)
@@ -67,10 +67,10 @@
 func BenchmarkScaleCompletion(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := newSettledTerm(n)
+			t, heartbeats, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r := &reports[i%n]
+				r := &heartbeats[i%n]
 				k := &r.Report.Tasks[i/n%8]
 				if k.State == workers.Running {
 					k.State, k.Reason = workers.Ended, workers.Completed
@@ -87,7 +87,7 @@
 func BenchmarkScaleReplay(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			entries := scaleLog(n)
+			entries := fullLogWithGrants(n)
 			size := 0
 			for _, e := range entries {
 				raw, err := json.Marshal(e)
@@ -106,8 +106,8 @@
 	}
 }
 
-// scaleLog returns a full log with a grant of each job on every fifth machine.
-func scaleLog(machines int) []eventlog.Entry {
+// fullLogWithGrants returns a full log with a grant of each job on every fifth machine.
+func fullLogWithGrants(machines int) []eventlog.Entry {
 	entries, _ := fullLog(machines)
 	for j := range 100 {
 		for from := j % 5; from < machines; from += 500 {
@@ -126,16 +126,16 @@
 func BenchmarkScaleResolve(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			entries := scaleLog(n)
+			entries := fullLogWithGrants(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				_, reports := fullLog(n)
+				_, heartbeats := fullLog(n)
 				t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 				b.StartTimer()
-				for i := range reports {
-					t.heartbeat(time.Second, &reports[i])
+				for i := range heartbeats {
+					t.heartbeat(time.Second, &heartbeats[i])
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*n), "µs/machine")
--- a/internal/leader/term/types_test.go
+++ b/internal/leader/term/types_test.go
@@ -10,7 +10,7 @@
 
 // A compaction can move machine types behind the jobs that name them in the log. The types
 // that a job may use are therefore resolved only after the whole log has been replayed.
-func TestTypesAfterJobsInTheLog(t *testing.T) {
+func TestReplayResolvesTypesAfterJobs(t *testing.T) {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
 	c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps = 10, 8, 12
