--- a/internal/leader/cluster/actions.go
+++ b/internal/leader/cluster/actions.go
@@ -10,7 +10,7 @@
 	Rent                     // rent machines
 	Return                   // return a machine that is not needed, or that the cloud reclaims
 	Delete                   // delete a machine that is lost or cannot be used
-	Preempt                  // stop tasks to make room for others that are ordered before them
+	Preempt                  // stop tasks to make room for others that precede them in the scheduling order
 	Move                     // move tasks off a machine that is being returned
 )
 
--- a/internal/leader/cluster/cluster_test.go
+++ b/internal/leader/cluster/cluster_test.go
@@ -129,6 +129,6 @@
 		}
 	}
 	if remaining := 1<<TokenBits - issued; remaining < 50_000 || lowAt == 0 || lowAt > issued/10*9 {
-		t.Errorf("tokens run low from %d on, exhausted with %d left", lowAt, remaining)
+		t.Errorf("tokens run low from number %d on and are exhausted with %d left", lowAt, remaining)
 	}
 }
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -5,7 +5,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// ListMachineWithPlans adds a machine to the list of those whose plans are offered, once.
+// ListMachineWithPlans adds a machine to MachinesWithPlans unless it is already in it.
 func (s *State) ListMachineWithPlans(m *workers.Machine) {
 	if !m.ListedWithPlans {
 		m.ListedWithPlans = true
@@ -13,8 +13,8 @@
 	}
 }
 
-// CancelPlan cancels a planned task. A task with open offers may have been started already,
-// so it stays counted until no offer is open.
+// CancelPlan cancels a planned task. A task that is offered to machines may have been started
+// already, so it stays counted until no offer is open.
 func (s *State) CancelPlan(p *workers.Placement) {
 	if len(p.Offered) > 0 {
 		p.Withdrawn = true
--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -62,12 +62,13 @@
 	Scheduler *scheduler.Scheduler
 
 	// Machines and the tasks on them. registry adds machines, applies their heartbeats and
-	// adopts tasks; placement plans tasks.
+	// adopts tasks; placement plans tasks. A planned task is assigned to a machine, but
+	// is not known to have been started.
 	Inventory         *workers.Inventory
 	Placements        map[workers.TaskRef]*workers.Placement
-	MachinesWithPlans []*workers.Machine // those that may have plans: ListMachineWithPlans, placement
-	LastMachineNumber int                // highest number assigned to a machine: registry, placement
-	Reconciled        *reconcile.Tally   // stored state against heartbeats, in this term: registry
+	MachinesWithPlans []*workers.Machine // machines that may have plans; placement removes the others
+	LastMachineNumber int                // highest number assigned to a machine by registry or placement
+	Reconciled        *reconcile.Tally   // stored state compared with this term's heartbeats, by registry
 
 	// NeedsCycle is set when a change requires a scheduling cycle. Every component may set
 	// it; placement resets it.
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -13,13 +13,15 @@
 	overrunFactor  = 1.2
 	placingSeconds = 10
 
-	// maxLeadShare is the largest share of the time before the latest start in which tasks go
-	// ahead of the order. With short objectives it keeps a class's jobs from going ahead from
-	// their arrival on.
+	// maxLeadShare is the largest share of the time before a job's latest start for which its
+	// rank is raised. It prevents a short objective from raising the rank of all jobs of its
+	// class from their arrival on.
 	maxLeadShare = 0.7
 )
 
-// setDeadlines computes the times that are relative to a job's arrival or release.
+// setDeadlines computes the times that are relative to a job's arrival or release: its deadline,
+// and the times at which its rank is raised or lowered. In the scheduling order, jobs of raised
+// rank precede, and jobs of lowered rank follow, all ordinary jobs.
 func (c *Component) setDeadlines(j *jobs.Job, at time.Duration) {
 	j.AcceptedAt = at
 	j.PriorityWindows, j.Deadline, j.LowRankAfterMissUntil = nil, 0, 0
@@ -55,8 +57,8 @@
 	}
 }
 
-// addStartDeadline adds a window in which a best-effort job, which at first ranks behind the
-// order, goes ahead of it in time to end withinSeconds after at. If the estimate leaves no
+// addStartDeadline adds a window in which the rank of a best-effort job, which is lowered at
+// first, is raised so that the job ends within withinSeconds after at. If the estimate leaves no
 // time for that, the window begins at once, because such jobs determine when the day's work
 // ends.
 func (c *Component) addStartDeadline(j *jobs.Job, at time.Duration, withinSeconds float64) {
@@ -73,9 +75,9 @@
 	j.LowRankUntil = min(j.LowRankUntil, c.addPriorityWindow(j, at, latest))
 }
 
-// addPriorityWindow adds a window in which a job's waiting tasks go ahead of the order. It ends
-// at the latest time at which they should start, latestSeconds after at. It returns the
-// beginning of the window.
+// addPriorityWindow adds a window in which the rank of a job is raised. The window ends at the
+// latest time at which the job's tasks should start, latestSeconds after at. The function
+// returns the beginning of the window.
 func (c *Component) addPriorityWindow(j *jobs.Job, at time.Duration, latestSeconds float64) time.Duration {
 	from := at + settings.Seconds(latestSeconds-min(c.Cfg.Tunables.WaitLeadS, maxLeadShare*latestSeconds))
 	window := [2]time.Duration{from, at + settings.Seconds(latestSeconds)}
@@ -83,8 +85,8 @@
 	return from
 }
 
-// deferral returns for how long a job ranks behind the order: for best-effort work, until
-// LowLeadS before its class's tightest objective. Otherwise small best-effort jobs would be
+// deferral returns for how long a job's rank is lowered: for best-effort work, until LowLeadS
+// seconds before its class's tightest objective. Otherwise small best-effort jobs would be
 // ordered before more urgent ones.
 func (c *Component) deferral(j *jobs.Job) time.Duration {
 	if j.Priority > 0 || c.Cfg.Tunables.LowLeadS == 0 {
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -16,7 +16,7 @@
 //
 //   - A job is released once all of its dependencies are durably done.
 //   - A job is cancelled once one of its dependencies is durably cancelled. It has no task on
-//     any machine, because it was never released: a durably cancelled job is never done.
+//     any machine: it was never released, because a durably cancelled dependency is never done.
 
 // storedForm returns the form in which a job is written. If its dependencies do not fit into
 // its entry, it also returns the entries that hold them and precede the job's entry.
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -17,8 +17,8 @@
 	// Entries are appended only when the next commit may begin, so that several completions
 	// of a job between two commits are merged into one entry.
 	if t.EventLog.Idle() {
-		// In reverse order of the components, so that grants, on which task starts wait, come
-		// before completions.
+		// In reverse order of the components, so that grants, for which task starts wait,
+		// come before completions.
 		for i := len(t.components) - 1; i >= 0; i-- {
 			t.components[i].AppendEntries(now)
 		}
--- a/internal/leader/term/decommission_test.go
+++ b/internal/leader/term/decommission_test.go
@@ -63,7 +63,7 @@
 			deleted := len(deletedMachines(next)) == 1
 			heldBack := next.Jobs.ByID(1).UnresolvedMachines != 0
 			if deleted != resolved || (unresolved == 0) != resolved || heldBack == resolved {
-				t.Errorf("deleted at once: %v, unresolved machines: %d, job held back: %v",
+				t.Errorf("deleted at once: %v, unresolved machines: %d, job held back: %v; want true, 0, false one term later only",
 					deleted, unresolved, heldBack)
 			}
 		})
@@ -101,7 +101,7 @@
 			heartbeat := effects.RelayedHeartbeat{Via: "n", Life: 1, Report: report}
 			term.HandleHeartbeat(0, true, 1, heartbeat)
 			if noted, deleted := runUntilDeleted(term); !deleted || noted != resolved {
-				t.Errorf("noted %v, deleted %v", noted, deleted)
+				t.Errorf("noted %v, deleted %v; want the machine deleted, and noted only if it is resolved", noted, deleted)
 			}
 		})
 	}
--- a/internal/leader/term/dependencies_test.go
+++ b/internal/leader/term/dependencies_test.go
@@ -43,7 +43,7 @@
 		timeKept := e.CompletedTasks != nil && e.CompletedTasks.AtMS != 0
 		dependenciesKept := e.Job != nil && e.Job.Follows != nil
 		if timeKept || dependenciesKept {
-			t.Errorf("compacted, the log still has %+v", e)
+			t.Errorf("the compacted log still has %+v", e)
 		}
 	}
 	check("compacted", compacted)
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -29,8 +29,8 @@
 	tasksPerMachine = 8
 )
 
-// fullLog returns a log and the heartbeats of its machines. Each machine runs eight tasks of a
-// hundred jobs, each of which has 200 further tasks.
+// fullLog returns a log and the heartbeats of its machines. Each machine runs eight tasks, which
+// are spread over a hundred jobs. Each job has 200 further tasks that do not run.
 func fullLog(machines int) ([]eventlog.Entry, []effects.RelayedHeartbeat) {
 	entries := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{
 		{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}},
@@ -75,7 +75,7 @@
 	return entries, heartbeats
 }
 
-// newFullTerm returns a term that has replayed a fullLog, and the machines' heartbeats.
+// newFullTerm returns a term that has replayed the log of fullLog, and the machines' heartbeats.
 func newFullTerm(machines int) (*Term, []effects.RelayedHeartbeat) {
 	entries, heartbeats := fullLog(machines)
 	t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
@@ -115,7 +115,7 @@
 // every step, as machines report or are deleted.
 func TestUnresolvedSumsMatchRecount(t *testing.T) {
 	entries := fullLogWithGrants(60)
-	for i := range entries { // of three teams
+	for i := range entries { // assign the jobs to three teams
 		if j := entries[i].Job; j != nil {
 			copied := *j
 			copied.Team = fmt.Sprint("team", j.ID%3)
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// FleetKnowledge returns what this leader sends to the other controllers about whether it
-// knows the state of its machines.
+// FleetKnowledge returns whether this leader has established the state of its machines. The
+// value is sent to the other controllers.
 func (t *Term) FleetKnowledge() leadership.FleetKnowledge {
 	switch {
 	case t.coldStart == nil:
--- a/internal/leader/valuestore/valuestore_test.go
+++ b/internal/leader/valuestore/valuestore_test.go
@@ -33,14 +33,14 @@
 			var got contents
 			number, err := Decode("own", eventlog.ComponentValue{Key: test.key, Data: json.RawMessage(test.data)}, 1, &got)
 			if number != test.number || (err != nil) != test.fails {
-				t.Errorf("number %d, error %v", number, err)
+				t.Errorf("Decode returned number %d and error %v", number, err)
 			}
 			var wrongVersion *VersionError
 			if is := errors.As(err, &wrongVersion); is != (test.version > 0) || (is && wrongVersion.Version != test.version) {
-				t.Errorf("version error: %v", err)
+				t.Errorf("got %v, want a *VersionError only if the format version differs", err)
 			}
 			if !test.fails && got.Number != 5 {
-				t.Errorf("contents: %+v", got)
+				t.Errorf("decoded contents are %+v, want number 5", got)
 			}
 		})
 	}
@@ -55,10 +55,10 @@
 		}
 	}
 	if refused := w.TakeRefused(log); len(refused) > 0 || w.Len() != 2 {
-		t.Fatalf("before any commit: refused %v, %d pending", refused, w.Len())
+		t.Fatalf("before any commit: refused %v, %d pending; want none refused and two pending", refused, w.Len())
 	}
 	if details, found := w.TakeDurable(0); !found || details != "first" {
-		t.Errorf("durable: %q %v", details, found)
+		t.Errorf("the durable write is returned as %q, %v; want first, true", details, found)
 	}
 	if _, found := w.TakeDurable(0); found {
 		t.Error("the same write was returned as durable twice")
