--- a/internal/leader/cluster/machines.go
+++ b/internal/leader/cluster/machines.go
@@ -9,12 +9,12 @@
 	"bitternmoor/internal/effects"
 )
 
-// minFetchGBPS is the least rate at which a machine counts as fetching images, so that the
-// time that takes is finite.
+// minFetchGBPS is the lower bound of the rate at which a machine is assumed to fetch images.
+// It keeps the computed fetch time finite.
 const minFetchGBPS = 0.001
 
-// AddMachine enters a machine; nil if it is there already, is gone for good, or is of a
-// type that is not known.
+// AddMachine adds a machine to the inventory. It returns nil if the machine is already
+// there, was deleted, or is of an unknown type.
 func (s *State) AddMachine(now time.Duration, m eventlog.Machine) *workers.Machine {
 	if s.Inventory.WasDeleted(m.Name) || s.Inventory.Find(m.Name) != nil {
 		return nil
@@ -39,23 +39,23 @@
 	})
 }
 
-// Decommission decides, for good, that a machine is to be deleted: it is returned, or given
-// up.
-func (s *State) Decommission(now time.Duration, m *workers.Machine, a Action, why string) {
+// Decommission marks a machine for deletion, which is final. The action is Return for a
+// machine that is returned, and Delete for one that is lost or cannot be used.
+func (s *State) Decommission(now time.Duration, m *workers.Machine, action Action, reason string) {
 	if m.Deleting {
 		return
 	}
-	m.Deleting, m.DeletionReason = true, why
+	m.Deleting, m.DeletionReason = true, reason
 	s.CancelPlans(m)
 	s.NeedsCycle = true
 	if len(m.Tasks) > 0 {
 		s.Counts.MachinesLost++
 	}
-	s.LogMessage(effects.Info, "machine decommissioned", "machine", m.Name, "why", why, "tasks", len(m.Tasks))
-	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: a})
+	s.LogMessage(effects.Info, "machine decommissioned", "machine", m.Name, "why", reason, "tasks", len(m.Tasks))
+	s.Publish(Event{Kind: MachineDecommissioned, At: now, Machine: m, Action: action})
 }
 
-// CPUs is the processors of the machines that report.
+// CPUs returns the number of processors of the machines that report.
 func (s *State) CPUs() float64 {
 	var sum float64
 	for _, m := range s.Inventory.All() {
--- a/internal/leader/cluster/snapshot.go
+++ b/internal/leader/cluster/snapshot.go
@@ -8,7 +8,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Snapshot is what the scheduler looks at. It shares the state's tables.
+// Snapshot returns the scheduler's view of the state. It shares the state's tables.
 func (s *State) Snapshot(now time.Duration) scheduler.Snapshot {
 	snapshot := scheduler.Snapshot{
 		Now:             now,
@@ -17,7 +17,7 @@
 		Inventory:       s.Inventory,
 		Estimator:       s.Estimator,
 		UnresolvedUse:   s.unresolvedUse,
-		UnknownGrants:   s.unresolvedUnnumbered > 0,
+		UnknownGrants:   s.unresolvedWithoutNumber > 0,
 		Zone:            s.Zones.Index,
 		Pools:           s.Pools,
 		AcceleratedNeed: s.Scheduler.LargestAcceleratedNeed(now, s.Jobs),
--- a/internal/leader/term/heartbeat_test.go
+++ b/internal/leader/term/heartbeat_test.go
@@ -22,15 +22,15 @@
 	return c
 }
 
-// jobCount is how many jobs run in a full term, and tasksPerMachine how many tasks each of
-// its machines runs.
+// jobCount is the number of jobs in a full term, and tasksPerMachine the number of tasks that
+// run on each of its machines.
 const (
 	jobCount        = 100
 	tasksPerMachine = 8
 )
 
-// fullLog is the log of machines that run eight tasks each, of a hundred jobs, each of which
-// has 200 more, and the machines' heartbeats.
+// fullLog returns a log and the heartbeats of its machines. Each machine runs eight tasks, which
+// are spread over a hundred jobs. Each job has 200 further tasks that do not run.
 func fullLog(machines int) ([]eventlog.Entry, []effects.RelayedHeartbeat) {
 	entries := []eventlog.Entry{{MachineTypes: []eventlog.MachineType{
 		{Name: "t", CPUs: 8, MemoryGB: 64, CacheGB: 40, FetchGBPS: 1, Price: 1, SpotPrice: 1, Zones: []string{"a"}},
@@ -75,7 +75,7 @@
 	return entries, heartbeats
 }
 
-// newFullTerm is a term that has read such a log, and its machines' heartbeats.
+// newFullTerm returns a term that has replayed the log of fullLog, and the machines' heartbeats.
 func newFullTerm(machines int) (*Term, []effects.RelayedHeartbeat) {
 	entries, heartbeats := fullLog(machines)
 	t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
@@ -83,8 +83,8 @@
 	return t, heartbeats
 }
 
-// heartbeat sends one heartbeat to a term, with the next sequence number, and drops what it
-// has done.
+// heartbeat passes one heartbeat to a term, with the next sequence number, and discards the
+// effects.
 func (t *Term) heartbeat(now time.Duration, in *effects.RelayedHeartbeat) {
 	in.Report.Seq++
 	t.HandleHeartbeat(now, true, 1, *in)
@@ -92,18 +92,18 @@
 	t.DrainEffects()
 }
 
-// What a heartbeat that brings nothing new costs must not grow with the number of machines,
-// jobs and tasks elsewhere.
+// The cost of a heartbeat without changes must not grow with the number of machines, jobs and
+// tasks in the cluster.
 func TestHeartbeatCostIsIndependentOfScale(t *testing.T) {
 	cost := func(machines int) float64 {
-		term, reports := newFullTerm(machines)
+		term, heartbeats := newFullTerm(machines)
 		now := time.Second
-		for i := range reports {
-			term.heartbeat(now, &reports[i])
+		for i := range heartbeats {
+			term.heartbeat(now, &heartbeats[i])
 		}
 		term.Tick(now, true)
-		term.heartbeat(now, &reports[0])
-		return testing.AllocsPerRun(50, func() { term.heartbeat(now, &reports[0]) })
+		term.heartbeat(now, &heartbeats[0])
+		return testing.AllocsPerRun(50, func() { term.heartbeat(now, &heartbeats[0]) })
 	}
 	small, large := cost(50), cost(1000)
 	if large > small+5 || large > 60 {
@@ -111,78 +111,78 @@
 	}
 }
 
-// The sums of what unresolved machines may have, kept up as they report or are gone, are those
-// of a plain count at every step.
-func TestUnresolvedSumsMatchPlainCount(t *testing.T) {
-	entries := scaleLog(60)
-	for i := range entries { // of three teams
+// The incrementally updated sums of what unresolved machines may use equal a full recount at
+// every step, as machines report or are deleted.
+func TestUnresolvedSumsMatchRecount(t *testing.T) {
+	entries := fullLogWithGrants(60)
+	for i := range entries { // assign the jobs to three teams
 		if j := entries[i].Job; j != nil {
 			copied := *j
 			copied.Team = fmt.Sprint("team", j.ID%3)
 			entries[i].Job = &copied
 		}
 	}
-	_, reports := fullLog(60)
+	_, heartbeats := fullLog(60)
 	term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 	term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 	r := rand.New(rand.NewPCG(3, 3))
-	r.Shuffle(len(reports), func(i, j int) { reports[i], reports[j] = reports[j], reports[i] })
+	r.Shuffle(len(heartbeats), func(i, j int) { heartbeats[i], heartbeats[j] = heartbeats[j], heartbeats[i] })
 	for i := 0; ; i++ {
-		plain := map[int32]int64{}
+		recount := map[int32]int64{}
 		left := 0
 		for _, m := range term.Inventory.All() {
 			if m.Durable && !m.Resolved {
 				left++
 				for _, team := range m.ClaimedByTeams {
-					plain[team] += m.Capacity.CPU
+					recount[team] += m.Capacity.CPU
 				}
 			}
 		}
 		n, _ := term.Unresolved()
 		for team, sum := range term.Snapshot(0).UnresolvedUse {
-			if sum.CPU != plain[int32(team)] || n != left {
-				t.Fatalf("after %d machines: %d of team %d, plain count %d; %d machines, plain count %d",
-					i, sum.CPU, team, plain[int32(team)], n, left)
+			if sum.CPU != recount[int32(team)] || n != left {
+				t.Fatalf("after %d machines: sum %d of team %d, recount %d; %d unresolved machines, recount %d",
+					i, sum.CPU, team, recount[int32(team)], n, left)
 			}
 		}
-		if i == len(reports) {
+		if i == len(heartbeats) {
 			if left != 0 {
 				t.Errorf("%d machines are never resolved", left)
 			}
 			return
 		}
 		if i%3 == 0 {
-			term.MachinesDeleted(time.Second, []string{reports[i].Report.Machine}, true)
+			term.MachinesDeleted(time.Second, []string{heartbeats[i].Report.Machine}, true)
 		} else {
-			term.heartbeat(time.Second, &reports[i])
+			term.heartbeat(time.Second, &heartbeats[i])
 		}
 	}
 }
 
-// What a completion and the first heartbeat after a takeover cost must not grow with the
-// number of machines either: allocations at 100 and at 1,000 machines.
+// The cost of a completion, and of a machine's first heartbeat after a takeover, must not grow
+// with the number of machines. The test compares allocations at 100 and at 1,000 machines.
 func TestCompletionAndTakeoverCostIsIndependentOfScale(t *testing.T) {
 	completion := func(machines int) float64 {
-		term, reports := newFullTerm(machines)
-		for i := range reports {
-			term.heartbeat(time.Second, &reports[i])
+		term, heartbeats := newFullTerm(machines)
+		for i := range heartbeats {
+			term.heartbeat(time.Second, &heartbeats[i])
 		}
 		term.Tick(time.Second, true)
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
-			r := &reports[n%machines]
+			r := &heartbeats[n%machines]
 			r.Report.Tasks[n/machines].State, r.Report.Tasks[n/machines].Reason = workers.Ended, workers.Completed
 			term.heartbeat(time.Second, r)
 			n++
 		})
 	}
 	resolve := func(machines int) float64 {
-		_, reports := fullLog(machines)
+		_, heartbeats := fullLog(machines)
 		term := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
-		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: scaleLog(machines)})
+		term.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: fullLogWithGrants(machines)})
 		n := 0
 		return testing.AllocsPerRun(machines/2, func() {
-			term.heartbeat(time.Second, &reports[n%machines])
+			term.heartbeat(time.Second, &heartbeats[n%machines])
 			n++
 		})
 	}
@@ -195,13 +195,14 @@
 	}
 }
 
-// A round of heartbeats of all machines, with a tick after each twentieth.
+// BenchmarkReports measures a round of heartbeats of all machines, with a tick after every
+// twentieth.
 func BenchmarkReports(b *testing.B) {
-	term, reports := newFullTerm(1000)
+	term, heartbeats := newFullTerm(1000)
 	now := time.Second
 	for b.Loop() {
-		for i := range reports {
-			term.heartbeat(now, &reports[i])
+		for i := range heartbeats {
+			term.heartbeat(now, &heartbeats[i])
 			if i%20 == 0 {
 				now += 70 * time.Millisecond
 				term.Tick(now, true)
@@ -209,5 +210,5 @@
 			}
 		}
 	}
-	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*len(reports)), "µs/report")
+	b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*len(heartbeats)), "µs/report")
 }
--- a/internal/leader/term/scale_bench_test.go
+++ b/internal/leader/term/scale_bench_test.go
@@ -12,47 +12,47 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// What an event costs at the size of the larger fleets and at twice that, with
-// 100 jobs of 200 tasks of which 8 a machine run: go test -bench Scale.
-
+// machineCounts are the fleet sizes of the scale benchmarks (go test -bench Scale): 650, 1,300
+// and twice that. There are 100 jobs with 200 waiting tasks each; every machine runs 8 tasks.
 var machineCounts = []int{650, 1300, 2600}
 
-// newSettledTerm is a term all of whose machines have reported, after a scheduling cycle.
+// newSettledTerm returns a term after a scheduling cycle, all of whose machines have reported.
 func newSettledTerm(machines int) (*Term, []effects.RelayedHeartbeat, time.Duration) {
-	t, reports := newFullTerm(machines)
+	t, heartbeats := newFullTerm(machines)
 	now := time.Second
-	for i := range reports {
-		t.heartbeat(now, &reports[i])
+	for i := range heartbeats {
+		t.heartbeat(now, &heartbeats[i])
 	}
 	t.Tick(now, true)
 	t.DrainEffects()
-	return t, reports, now
+	return t, heartbeats, now
 }
 
-// A heartbeat that brings nothing new.
+// BenchmarkScaleReport measures a heartbeat without changes.
 func BenchmarkScaleReport(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := newSettledTerm(n)
+			t, heartbeats, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				t.heartbeat(now, &reports[i%n])
+				t.heartbeat(now, &heartbeats[i%n])
 			}
 		})
 	}
 }
 
-// A tick with a scheduling cycle and all that is due twice a second.
+// BenchmarkScaleTick measures a tick with a scheduling cycle and all work that is due twice a
+// second.
 func BenchmarkScaleTick(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := newSettledTerm(n)
+			t, heartbeats, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				now += 500 * time.Millisecond
 				b.StopTimer()
-				for i := range reports { // nobody is silent
-					t.Inventory.Find(reports[i].Report.Machine).LastHeartbeat = now
+				for i := range heartbeats { // no machine is silent
+					t.Inventory.Find(heartbeats[i].Report.Machine).LastHeartbeat = now
 				}
 				b.StartTimer()
 				t.Tick(now, true)
@@ -62,14 +62,15 @@
 	}
 }
 
-// A heartbeat in which one task has ended, with the scheduling cycle and the start that follow.
+// BenchmarkScaleCompletion measures a heartbeat in which one task has ended, with the
+// scheduling cycle and the task start that follow.
 func BenchmarkScaleCompletion(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			t, reports, now := newSettledTerm(n)
+			t, heartbeats, now := newSettledTerm(n)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				r := &reports[i%n]
+				r := &heartbeats[i%n]
 				k := &r.Report.Tasks[i/n%8]
 				if k.State == workers.Running {
 					k.State, k.Reason = workers.Ended, workers.Completed
@@ -81,12 +82,12 @@
 	}
 }
 
-// The replay of a log with all machines, jobs, and a grant of each job on every
-// fifth machine.
+// BenchmarkScaleReplay measures the replay of a log with all machines, all jobs, and a grant
+// of each job on every fifth machine.
 func BenchmarkScaleReplay(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			entries := scaleLog(n)
+			entries := fullLogWithGrants(n)
 			size := 0
 			for _, e := range entries {
 				raw, err := json.Marshal(e)
@@ -105,8 +106,8 @@
 	}
 }
 
-// scaleLog is a full log with a grant of each job on every fifth machine.
-func scaleLog(machines int) []eventlog.Entry {
+// fullLogWithGrants returns a full log with a grant of each job on every fifth machine.
+func fullLogWithGrants(machines int) []eventlog.Entry {
 	entries, _ := fullLog(machines)
 	for j := range 100 {
 		for from := j % 5; from < machines; from += 500 {
@@ -120,20 +121,21 @@
 	return entries
 }
 
-// The first heartbeats of all machines after a takeover, each with its eight tasks.
+// BenchmarkScaleResolve measures the first heartbeats of all machines after a takeover, each
+// with its eight tasks.
 func BenchmarkScaleResolve(b *testing.B) {
 	for _, n := range machineCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			entries := scaleLog(n)
+			entries := fullLogWithGrants(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				_, reports := fullLog(n)
+				_, heartbeats := fullLog(n)
 				t := New(cluster.TermStart{Cfg: scaleSettings(), Epoch: 2, Counts: &cluster.Counts{}})
 				t.Load(0, 1, LoadedLog{First: 1, Last: 2, Entries: entries})
 				b.StartTimer()
-				for i := range reports {
-					t.heartbeat(time.Second, &reports[i])
+				for i := range heartbeats {
+					t.heartbeat(time.Second, &heartbeats[i])
 				}
 			}
 			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*n), "µs/machine")
--- a/internal/leader/term/types_test.go
+++ b/internal/leader/term/types_test.go
@@ -8,9 +8,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// A compaction moves the machine types to the log's end, behind jobs that are bound to some
-// of them: what a job may use is settled once all is read.
-func TestTypesAfterJobsInTheLog(t *testing.T) {
+// A compaction can move machine types behind the jobs that name them in the log. The types
+// that a job may use are therefore resolved only after the whole log has been replayed.
+func TestReplayResolvesTypesAfterJobs(t *testing.T) {
 	c := &settings.Settings{Tunables: settings.Defaults()}
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
 	c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps = 10, 8, 12
