--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -15,24 +15,25 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// Record is the account of one cold start.
+// Record describes one cold start and how the fleet recovered from it.
 type Record struct {
 	Epoch         uint64 `json:"epoch"`
 	Node          string `json:"node"`
-	AtMS          int64  `json:"at_ms"`            // time of day when the log was read
-	DownAtLeastMS int64  `json:"down_at_least_ms"` // for how long nobody led, as this node knows
-	DownAtMostMS  int64  `json:"down_at_most_ms"`  // since the last durable sign of a leader; -1: there is none
-	// Machines that were registered, jobs that were open, and their tasks that may have
-	// been handed out and had not ended.
+	AtMS          int64  `json:"at_ms"`            // wall-clock time when the leader was elected
+	DownAtLeastMS int64  `json:"down_at_least_ms"` // time without a leader that this node observed
+	DownAtMostMS  int64  `json:"down_at_most_ms"`  // time since the newest log entry with a time; -1: none
+	// Registered machines, open jobs of earlier terms, and those of their tasks that may have
+	// been assigned to a machine and were not durably finished.
 	Machines int `json:"machines"`
 	Jobs     int `json:"jobs"`
 	Tasks    int `json:"tasks"`
-	// After the beginning of the term, in milliseconds; -1: not reached.
+	// Milliseconds from the start of the term until each step; -1: not reached.
 	SettledMS    int64 `json:"settled_ms"`
-	WorkHalfMS   int64 `json:"work_half_ms"` // half of those tasks are seen, done, or given a machine again
+	WorkHalfMS   int64 `json:"work_half_ms"` // half of those tasks were found, have ended or are placed again
 	WorkNinetyMS int64 `json:"work_ninety_ms"`
 	WorkAllMS    int64 `json:"work_all_ms"`
-	// Differences, orders, and orders found needless afterwards, by name.
+	// Numbers of differences between stored and reported state, of actions taken, and of
+	// actions that turned out to be needless, each by name.
 	Differences map[string]uint64 `json:"differences"`
 	Orders      map[string]uint64 `json:"orders"`
 	Needless    map[string]uint64 `json:"needless"`
@@ -44,43 +45,43 @@
 
 func (r *Record) maxDowntime() time.Duration { return time.Duration(r.DownAtMostMS) * time.Millisecond }
 
-// Needless kinds of actions, as they are counted in Record.Needless.
+// Kinds of needless actions: the keys of Record.Needless.
 const (
-	RentedUnused = "rented_unused"     // rented, and returned without having had a task
-	DeletedAlive = "deleted_alive"     // given up as silent, and heard again before it was gone
-	StartedDone  = "started_done"      // started, and at once over with a result that was there already
-	StoppedSoon  = "stopped_soon"      // started, and stopped for another job or moved within seconds
-	ReturnedSoon = "returned_and_rent" // returned, and a machine of its type and kind rented within seconds
+	RentedUnused = "rented_unused"     // a machine was rented and returned without having been given a task
+	DeletedAlive = "deleted_alive"     // a machine was deleted as silent and sent a heartbeat afterwards
+	StartedDone  = "started_done"      // a task was started although its result existed, and ended at once
+	StoppedSoon  = "stopped_soon"      // a task was preempted or moved within soonAfter of its start
+	ReturnedSoon = "returned_and_rent" // a machine of the same machineKind was rented within soonAfter of a return
 )
 
 const (
 	soonAfter          = 10 * time.Second
-	instantRunSeconds  = 1.5 // a task that ran for less had its result already
-	minEstimateSeconds = 5   // shorter tasks end between two heartbeats by themselves
-	recordBytes        = 512 // rough size of a record in the log
+	instantRunSeconds  = 1.5 // a task that ran for less already had its result
+	minEstimateSeconds = 5   // shorter tasks may complete between two heartbeats anyway
+	recordBytes        = 512 // approximate size of a record in the log
 )
 
-// stepSecondsBuckets are the upper bounds of the histogram of steps, in seconds.
+// stepSecondsBuckets are the upper bounds, in seconds, of the buckets of the step histogram.
 var stepSecondsBuckets = []float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120}
 
-// account follows a cold start, and keeps the records of earlier ones.
+// account records the current cold start and keeps the records of earlier ones.
 type account struct {
-	closed      bool          // or there is nothing to follow
-	lastEventAt time.Duration // of the last event that has a time
+	closed      bool          // the record is complete, or this term needs none
+	lastEventAt time.Duration // time of the newest event that has one
 	current     Record
-	earlier     []Record           // by epoch
-	stepSeconds *cluster.Histogram // nil where no records are kept
+	earlier     []Record           // sorted by epoch
+	stepSeconds *cluster.Histogram // nil if no records are kept
 
-	missingTasks map[workers.TaskRef]struct{} // tasks that may have been under way, not recovered yet
+	missingTasks map[workers.TaskRef]struct{} // tasks that may have been running and are not recovered yet
 
-	// What tells which actions were needless.
-	unusedRentals map[*workers.Machine]bool         // on which no task was started yet
-	startedAt     map[workers.TaskRef]time.Duration // tasks of this term
-	returnedAt    map[string]time.Duration          // when a machine of a type and kind was last returned
-	deletedSilent map[*workers.Machine]bool         // given up and not heard since
+	// State for detecting needless actions.
+	unusedRentals map[*workers.Machine]bool         // rented in this term and not given a task yet
+	startedAt     map[workers.TaskRef]time.Duration // tasks that this leader placed, by the time of placement
+	returnedAt    map[string]time.Duration          // time of the last return, by machineKind
+	deletedSilent map[*workers.Machine]bool         // deleted as silent and not heard since
 }
 
-// notReached stands in a record for a step that was not reached.
+// notReached is the value in a Record of a step that was not reached.
 const notReached = -1
 
 func (a *account) initialize(s *cluster.State) {
@@ -101,11 +102,11 @@
 	a.deletedSilent = map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
 		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds",
-			"Time from the beginning of a term in which nobody led before to each step.", "step", stepSecondsBuckets)
+			"Time from the start of a term after a cold start to each recovery step.", "step", stepSecondsBuckets)
 	}
 }
 
-// replay keeps the record of an earlier term's entry.
+// replay keeps the record that an earlier term stored in an entry.
 func (a *account) replay(s *cluster.State, e eventlog.Entry) {
 	var r Record
 	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
@@ -115,7 +116,7 @@
 	a.remember(r, s.Cfg.Tunables.ColdKept)
 }
 
-// remember adds a record in the order of epochs, and drops the oldest beyond the limit.
+// remember inserts a record by its epoch and drops the oldest records beyond maxRecords.
 func (a *account) remember(r Record, maxRecords int) {
 	i, found := slices.BinarySearchFunc(a.earlier, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
 	if !found {
@@ -126,9 +127,9 @@
 	}
 }
 
-// begin notes the work that may have been under way: what earlier terms may have
-// started and is not known to have ended. What was reported while the peers were asked is
-// recovered already.
+// begin starts the record with the work that may have been running: tasks that earlier
+// terms may have started and that are not known to have ended. Tasks that were reported
+// while the peers were being asked are already recovered and are not missing.
 func (a *account) begin(d *Component, now time.Duration) {
 	a.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
@@ -148,7 +149,7 @@
 	a.recordRecoveredShare(d, now)
 }
 
-// addJob counts an earlier term's job, and those of its tasks that may have been under way.
+// addJob counts a job of an earlier term and those of its tasks that may have been running.
 func (a *account) addJob(j *jobs.Job) {
 	a.current.Jobs++
 	for task, state := range j.Tasks {
@@ -161,10 +162,10 @@
 	}
 }
 
-// allRecovered says whether all the work that may have been under way is recovered.
+// allRecovered reports whether all the work that may have been running is recovered.
 func (a *account) allRecovered() bool { return a.closed || len(a.missingTasks) == 0 }
 
-// taskRecovered notes that a task was found, has ended or was started again.
+// taskRecovered records that a task was found on a machine, has ended or was started again.
 func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, task int) {
 	ref := workers.TaskRef{Job: j.Index, Task: int32(task)}
 	if _, open := a.missingTasks[ref]; open {
@@ -173,7 +174,7 @@
 	}
 }
 
-// recordRecoveredShare notes the steps that are reached.
+// recordRecoveredShare records the steps that the share of recovered tasks has reached.
 func (a *account) recordRecoveredShare(d *Component, now time.Duration) {
 	recovered := a.current.Tasks - len(a.missingTasks)
 	steps := []struct {
@@ -192,7 +193,7 @@
 	}
 }
 
-// recordStep notes when a step was reached, in milliseconds since the term's beginning.
+// recordStep records when a step was reached, in milliseconds since the start of the term.
 func (a *account) recordStep(d *Component, now time.Duration, step string, afterMS *int64) {
 	*afterMS = max(0, (now - d.TermBegan).Milliseconds())
 	a.observeStep(step, *afterMS)
@@ -205,10 +206,10 @@
 	}
 }
 
-// machineKind is a machine's type, and whether it is a spot one, in one word.
+// machineKind returns a map key made of a machine's type and whether it is a spot machine.
 func machineKind(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
 
-// handleEvent counts actions, and finds out which were needless.
+// handleEvent counts actions and detects those that were needless.
 func (a *account) handleEvent(d *Component, e cluster.Event) {
 	if a.closed {
 		return
@@ -237,12 +238,12 @@
 	}
 }
 
-// taskOf is the task that an event is about.
+// taskOf returns the task that an event refers to.
 func taskOf(e cluster.Event) workers.TaskRef {
 	return workers.TaskRef{Job: e.Job.Index, Task: int32(e.Task)}
 }
 
-// mayHaveRun says whether an earlier term may have started the task that an event is about.
+// mayHaveRun reports whether an earlier term may have started the task that an event refers to.
 func mayHaveRun(e cluster.Event) bool { return e.Job.FromEarlierTerm && e.Task < e.Job.UnassignedFrom }
 
 func (a *account) taskPlaced(d *Component, e cluster.Event) {
@@ -294,7 +295,8 @@
 	}
 }
 
-// jobRemoved counts a removed job's tasks as recovered. The event has no time of its own.
+// jobRemoved counts a removed job's tasks as recovered. The event carries no time, so the time
+// of the newest event is used.
 func (a *account) jobRemoved(d *Component, j *jobs.Job) {
 	now := max(a.lastEventAt, d.TermBegan)
 	for task := range j.Tasks {
@@ -303,7 +305,7 @@
 	}
 }
 
-// tick records when the census settled, and closes the account when its time is over.
+// tick records when the census settled, and completes the record after accountTime.
 func (a *account) tick(d *Component, now time.Duration, leaseValid bool) {
 	if d.kind != coldStart || a.closed || !leaseValid {
 		return
@@ -325,7 +327,7 @@
 	}
 }
 
-// log logs the finished record.
+// log writes the completed record to the log output.
 func (a *account) log(d *Component) {
 	r := &a.current
 	d.LogMessage(effects.Info, "cold start",
@@ -334,10 +336,10 @@
 		"differences", jsonText(r.Differences), "orders", jsonText(r.Orders), "needless", jsonText(r.Needless))
 }
 
-// store appends the finished record to the log.
+// store appends the completed record to the event log.
 func (a *account) store(d *Component) {
 	e := eventlog.NewComponentEntry(Name, a.current)
-	if !d.EventLog.Fits(e) { // its differences are the longest part, and the least needed
+	if !d.EventLog.Fits(e) { // the differences are its longest and least important part
 		short := a.current
 		short.Differences = nil
 		e = eventlog.NewComponentEntry(Name, short)
@@ -349,7 +351,8 @@
 	d.EventLog.Append(e)
 }
 
-// copyDifferences copies what reconciliation has found different so far.
+// copyDifferences copies the counts of the differences that reconciliation has found so far and
+// did not resolve as Keep.
 func (a *account) copyDifferences(d *Component) {
 	a.current.Differences = map[string]uint64{}
 	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
@@ -359,7 +362,7 @@
 	})
 }
 
-// jsonText is a map of counts as JSON, for the log.
+// jsonText returns a map of counts as JSON, for a log message.
 func jsonText(m map[string]uint64) string {
 	raw, err := json.Marshal(m)
 	if err != nil {
@@ -368,10 +371,10 @@
 	return string(raw)
 }
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes returns approximately how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return len(d.account.earlier) * recordBytes }
 
-// Compact writes a record anew that is still kept.
+// Compact appends an entry again if its record is still kept.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	var r Record
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
@@ -382,8 +385,8 @@
 	}
 }
 
-// Show returns the cold starts that are kept, the newest first, as a JSON list of Record. The
-// one under way is the first as long as it is.
+// Show returns the records of cold starts, the newest first, as a JSON list of Record. A cold
+// start that is still being recorded comes first.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
@@ -415,26 +418,26 @@
 	return []cluster.Gauge{
 		{
 			Name:   "bitternmoor_cold_start_differences",
-			Help:   "Differences between what was stored and what workers reported, since the last cold start.",
+			Help:   "Differences between stored state and worker reports since the last cold start.",
 			Label:  "difference",
 			Values: gaugeValues(r.Differences),
 		},
 		{
 			Name:   "bitternmoor_cold_start_orders",
-			Help:   "Orders given since the last cold start.",
+			Help:   "Actions taken since the last cold start.",
 			Label:  "order",
 			Values: gaugeValues(r.Orders),
 		},
 		{
 			Name:   "bitternmoor_cold_start_needless",
-			Help:   "Orders since the last cold start that turned out to be needless.",
+			Help:   "Actions since the last cold start that turned out to be needless.",
 			Label:  "why",
 			Values: gaugeValues(r.Needless),
 		},
 	}
 }
 
-// gaugeValues converts counts by label for a gauge.
+// gaugeValues converts counts by label to the values of a gauge.
 func gaugeValues(counts map[string]uint64) map[string]float64 {
 	values := map[string]float64{}
 	for label, n := range counts {
--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -2,48 +2,48 @@
 
 import "time"
 
-// Census follows which of the registered machines have been heard since a term began, and
-// says when the fleet's state is settled, that is known well enough to act on. It is a pure
-// state machine; the time is passed in.
+// Census counts which of the registered machines have been heard since a term began, and
+// determines when the fleet's state is settled, that is known well enough to act on. It is a
+// pure state machine; the caller passes the time in.
 //
-// A machine counts as heard once what it has is known: it has reported at this term's
-// token, or is proved gone. A zone is settled once so large a share of its machines is
-// heard, or, where half of the fleet is, once nobody new has come from it for so long
-// that those who are missing do not merely come late: they are dead, hung or cut off. The
-// fleet is settled once all zones are, and in any case after SilenceAllowance.
+// A machine counts as heard once its state is known: it has reported at this term's token,
+// or is proved gone. A zone is settled once Params.Share of its machines are heard. If half
+// of the fleet is heard, a zone is also settled once no further machine of it has been heard
+// for longer than a late heartbeat takes: the missing ones are then dead, hung or cut off.
+// The fleet is settled once all zones are, and in any case after SilenceAllowance.
 type Census struct {
 	params          Params
 	began           time.Duration
 	zones           []zone
-	allPeersSince   time.Duration // since when all other controllers are reached
-	allPeersReached bool          // they are
+	allPeersSince   time.Duration // when allPeersReached last changed
+	allPeersReached bool          // whether all other controllers can be reached
 	settled         bool
-	settledAt       time.Duration // when it was settled
+	settledAt       time.Duration // when the fleet became settled
 }
 
 // Params are the parameters of a census.
 type Params struct {
-	Share    float64       // of a zone's machines, 0 to 1, that must be heard
-	Interval time.Duration // between a worker's reports
-	Peers    int           // other controllers
+	Share    float64       // share of a zone's machines that must be heard, 0 to 1
+	Interval time.Duration // time between a worker's heartbeats
+	Peers    int           // number of other controllers
 }
 
-// zone counts a zone's machines.
+// zone counts the machines of one zone.
 type zone struct {
 	registered, heard int
-	lastHeardAt       time.Duration // when the last one was heard
+	lastHeardAt       time.Duration // when a machine was last heard for the first time
 }
 
-// How the platform's workers behave: a heartbeat comes up to a quarter later than its
-// interval; one without an answer is given up after four seconds, and the next controller is
-// tried a second later.
+// Timing of the platform's workers: a heartbeat is sent up to a quarter of its interval late;
+// a worker gives up a heartbeat without an answer after four seconds, and tries the next
+// controller one second later.
 const (
 	lateHeartbeatFactor = 1.25
 	delayPerLostPeer    = 5 * time.Second
-	heartbeatGrace      = time.Second // beside either
+	heartbeatGrace      = time.Second // added to either delay
 )
 
-// NewCensus begins a census. registered counts the machines that are to be heard, by zone.
+// NewCensus starts a census. registered is the number of machines to be heard, by zone index.
 func NewCensus(now time.Duration, p Params, registered []int) *Census {
 	c := &Census{params: p, began: now, allPeersReached: p.Peers == 0, allPeersSince: now}
 	for _, n := range registered {
@@ -53,7 +53,7 @@
 	return c
 }
 
-// MachineHeard notes that a machine of a zone, by index, is known.
+// MachineHeard records that a machine in the zone with the given index has been heard.
 func (c *Census) MachineHeard(now time.Duration, zone int32) {
 	if int(zone) < len(c.zones) {
 		c.zones[zone].heard++
@@ -61,16 +61,16 @@
 	}
 }
 
-// PeersUnreached notes how many of the other controllers are not reached. A worker that tries
-// one of those takes so much longer to find its way here; and one that tried it just before
-// it was back does so still.
+// PeersUnreached records how many of the other controllers cannot be reached. A worker that
+// tries one of them takes longer to reach this controller, even if it tried just before the
+// other one came back.
 func (c *Census) PeersUnreached(now time.Duration, count int) {
 	if all := count == 0; all != c.allPeersReached {
 		c.allPeersReached, c.allPeersSince = all, now
 	}
 }
 
-// Counts returns how many machines are to be heard, and how many are.
+// Counts returns how many machines are to be heard, and how many of them have been.
 func (c *Census) Counts() (registered, heard int) {
 	for _, z := range c.zones {
 		registered += z.registered
@@ -79,8 +79,8 @@
 	return registered, heard
 }
 
-// SilenceAllowance is how long after the beginning a worker that lives and reaches any
-// controller may come for the first time.
+// SilenceAllowance returns how long after the start of the term the first heartbeat of a live
+// worker that can reach any controller may arrive.
 func (c *Census) SilenceAllowance() time.Duration {
 	longest := c.MaxSilenceAllowance()
 	if !c.allPeersReached {
@@ -89,24 +89,24 @@
 	return min(longest, c.allPeersSince-c.began+c.nextAttemptDelay()+heartbeatGrace)
 }
 
-// nextAttemptDelay is how long a worker takes to its next attempt: it is between two
-// heartbeats, or waits for a controller that was lost when it came.
+// nextAttemptDelay returns the longest time until a worker's next attempt: the worker is either
+// between two heartbeats, or waiting for an answer from a controller that was lost.
 func (c *Census) nextAttemptDelay() time.Duration {
 	return max(c.lateHeartbeat(), delayPerLostPeer)
 }
 
-// lateHeartbeat is the longest time between two heartbeats of a worker that is answered.
+// lateHeartbeat returns the longest time between two heartbeats of a worker that gets answers.
 func (c *Census) lateHeartbeat() time.Duration {
 	return time.Duration(lateHeartbeatFactor * float64(c.params.Interval))
 }
 
-// MaxSilenceAllowance is what SilenceAllowance is at most, whichever peers are lost: after it
-// every kind of order is allowed.
+// MaxSilenceAllowance returns the upper bound of SilenceAllowance, whichever peers are lost.
+// After that time every kind of action is permitted.
 func (c *Census) MaxSilenceAllowance() time.Duration {
 	return c.nextAttemptDelay() + time.Duration(c.params.Peers)*delayPerLostPeer + heartbeatGrace
 }
 
-// Settled says whether the fleet's state is settled. Once it is, it stays so.
+// Settled reports whether the fleet's state is settled. Once settled, it stays settled.
 func (c *Census) Settled(now time.Duration) bool {
 	if c.settled {
 		return true
@@ -117,8 +117,8 @@
 	return c.settled
 }
 
-// allZonesSettled says whether every zone is: enough of its machines are heard, or nobody new
-// has come from it for a while and half of the fleet is heard.
+// allZonesSettled reports whether every zone is settled: enough of its machines are heard, or
+// half of the fleet is heard and no further machine of the zone for a while.
 func (c *Census) allZonesSettled(now time.Duration) bool {
 	quiet := c.lateHeartbeat() + heartbeatGrace
 	registered, heard := c.Counts()
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -1,11 +1,12 @@
-// Package coldstart is the component that begins a leader's term after a time in which nobody
-// led. The leader then listens before it acts: a census of the registered machines says when
-// enough of the fleet's state is known for which kind of action; starts are rate-limited
-// while it catches up; and one account is kept of the whole, with the actions that turned
-// out to be needless. docs/cold-start.md is its design note and the operators' page.
+// Package coldstart is the component that starts a leader's term after a period without a
+// leader. The leader then waits for heartbeats before it acts: a census of the registered
+// machines determines when enough of the fleet's state is known for each kind of action, task
+// starts are rate-limited while the leader catches up, and the recovery is recorded together
+// with the actions that turned out to be needless. docs/cold-start.md is its design note and
+// the operators' page.
 //
-// What proves anything stays as it is (package reconcile, grants and intents): the census
-// only ever holds back actions that are allowed, and none for longer than a bounded time.
+// The rules of proof do not change (package reconcile, grants and intents): the census only
+// delays actions that are otherwise allowed, and each for a bounded time only.
 package coldstart
 
 import (
@@ -21,36 +22,36 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is the key of the component, and of its entries.
+// Name is the key of the component and of its log entries.
 const Name = "cold-start"
 
-// startKind says what sort of a beginning this is.
+// startKind is the way in which a term started.
 type startKind uint8
 
 const (
-	undecided     startKind = iota // the peers have not said yet whether they heard a leader
-	coldStart                      // nobody led before it
-	failoverStart                  // a failover from a leader, or the very first start
+	undecided     startKind = iota // the peers have not answered yet whether they heard from a leader
+	coldStart                      // no recent leader with a known fleet state preceded the term
+	failoverStart                  // a failover from a recent leader, or the first start of an installation
 )
 
 const (
-	// peerAnswerTimeout is how long the peers have to answer. One that does not proves
-	// nothing: it is down, cut off, or of a version that does not know the question.
+	// peerAnswerTimeout is how long the peers have to answer. A peer that does not answer
+	// proves nothing: it is down, cut off, or of a version without this request.
 	peerAnswerTimeout = 1500 * time.Millisecond
 
-	// maxPacingTime ends the rate limit of starts; needless actions are looked for until
-	// accountTime, both from the term's beginning.
+	// maxPacingTime is when the rate limit of task starts ends at the latest, and accountTime
+	// is how long needless actions are recorded. Both count from the start of the term.
 	maxPacingTime = time.Minute
 	accountTime   = 2 * time.Minute
 
-	// peerLostAfter is how long after its last answer to a heartbeat a peer counts as lost.
+	// peerLostAfter is how long after its last answer a peer counts as lost.
 	peerLostAfter = 3 * time.Second
 
-	// announceWithin is how long after its election a leader has announced itself to peers.
+	// announceWithin is the time after its election in which a leader announces itself to peers.
 	announceWithin = 2 * time.Second
 )
 
-// Component begins a term. It is the term's cluster.Gate and cluster.StartPacer.
+// Component handles the start of a term. It is the term's cluster.Gate and cluster.StartPacer.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
@@ -60,14 +61,14 @@
 	account      account
 
 	// Peers, by node name.
-	peersAsked   map[string]bool // those whose answer is waited for
+	peersAsked   map[string]bool // peers whose answer is still awaited
 	peersAskedAt time.Duration
 	peerHeardAt  map[string]time.Duration // when they last answered
 
-	newestEntryMS int64 // time of day of the newest entry that has one, in milliseconds
+	newestEntryMS int64 // wall-clock time of the newest entry that has one, in milliseconds
 }
 
-// New makes the component of a term.
+// New creates the component for a term.
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, peersAsked: map[string]bool{}, peerHeardAt: map[string]time.Duration{}}
 	d.account.initialize(s)
@@ -77,7 +78,7 @@
 	return d
 }
 
-// Replay looks for the last durable sign of the leaders before, and keeps their accounts.
+// Replay finds the newest wall-clock time in the log, and keeps the records of earlier cold starts.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Job != nil:
@@ -89,9 +90,9 @@
 	}
 }
 
-// Begin decides what sort of a beginning this is, as far as it can be told from here: what is
-// stored says whether there is anything to find out, and this process whether it has heard a
-// leader lately. Otherwise the peers are asked.
+// Begin starts the census and determines the kind of start, if this node can do so alone: from
+// the stored state, which shows whether there is anything to recover, and from whether this
+// process has heard from a leader recently. Otherwise it asks the peers.
 func (d *Component) Begin(now time.Duration) {
 	tunables := &d.Cfg.Tunables
 	unresolvedByZone := make([]int, d.Zones.Len())
@@ -111,7 +112,7 @@
 	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.StartLimits{ZoneStartsPerSecond: tunables.ColdStarts, MaxImageFetches: tunables.ColdImages})
 	switch {
 	case unresolved == 0 && d.Jobs.Len() == 0:
-		d.setKind(now, failoverStart) // there is nothing to find out
+		d.setKind(now, failoverStart) // there is nothing to recover
 	case d.isFailoverFrom(d.LeaderMissedAt, d.PreviousLeader):
 		d.setKind(now, failoverStart)
 	case len(d.Cfg.Peers) == 0:
@@ -121,7 +122,7 @@
 	}
 }
 
-// askPeers asks all peers when they last heard a leader.
+// askPeers asks all peers when they last heard from a leader.
 func (d *Component) askPeers(now time.Duration) {
 	d.peersAskedAt = now
 	for _, p := range d.Cfg.Peers {
@@ -130,12 +131,13 @@
 	}
 }
 
-// isFailoverFrom says whether a leader that was heard before knew what the fleet does: it led
-// until lately, and said so. One that says nothing of its fleet, being of an older version
-// or set otherwise, is taken for one that did, unless it was gone before it could have
-// said anything. Found by a random day on which the first leader after a cold start fell
-// in the middle of its census: the next one took over as from any other, and deleted
-// machines that were on their way.
+// isFailoverFrom reports whether the given leader led until recently and had announced that the
+// fleet's state was known to it. A leader that announced nothing, because of an older version or
+// its settings, counts as such unless it was gone before it could have announced anything.
+//
+// The announcement matters when the first leader after a cold start fails during its census: in
+// a randomized test the next leader then treated this as a failover, and deleted machines that
+// were about to report.
 func (d *Component) isFailoverFrom(now time.Duration, led leadership.LeaderRecord) bool {
 	if !led.Known || now-led.Until >= settings.Seconds(d.Cfg.Tunables.ColdAfterS) {
 		return false
@@ -149,7 +151,7 @@
 	return false
 }
 
-// Fleet is what this leader announces: whether it knows the fleet's state.
+// Fleet returns what this leader announces to its peers: whether the fleet's state is known.
 func (d *Component) Fleet() leadership.FleetKnowledge {
 	if d.kind == failoverStart || (d.census != nil && d.census.settled) {
 		return leadership.FleetKnown
@@ -157,8 +159,8 @@
 	return leadership.FleetReconciling
 }
 
-// PreviousLeaderReported applies a peer's answer on the last leader before this one. known is false where
-// there was no answer.
+// PreviousLeaderReported applies a peer's answer about the leader before this one. known is
+// false if the peer did not answer.
 func (d *Component) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
 	if known {
 		d.peerHeardAt[peer] = now
@@ -177,12 +179,12 @@
 	}
 }
 
-// PeerHeard notes that a peer has answered a heartbeat.
+// PeerHeard records that a peer has answered a heartbeat.
 func (d *Component) PeerHeard(now time.Duration, peer string, _ time.Duration) {
 	d.peerHeardAt[peer] = now
 }
 
-// setKind decides what sort of a beginning this is; a cold start begins its account.
+// setKind sets the kind of start, and begins the record of a cold start.
 func (d *Component) setKind(now time.Duration, k startKind) {
 	d.kind = k
 	d.NeedsCycle = true
@@ -199,7 +201,7 @@
 		"at_longest", d.census.MaxSilenceAllowance().String())
 }
 
-// Tick follows the peers, the census and the account.
+// Tick updates the census and the record, and stops waiting for peers after peerAnswerTimeout.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if d.kind == undecided && now-d.peersAskedAt >= peerAnswerTimeout {
 		d.setKind(now, coldStart)
@@ -218,7 +220,7 @@
 	d.account.tick(d, now, leaseValid)
 }
 
-// lostPeers counts the peers that have not answered lately.
+// lostPeers counts the peers that have not answered within peerLostAfter.
 func (d *Component) lostPeers(now time.Duration) int {
 	lost := 0
 	for _, p := range d.Cfg.Peers {
@@ -229,9 +231,10 @@
 	return lost
 }
 
-// Permits says whether actions of a kind may be taken now. Starts always may: what proves
-// that a task may be started proves it here as well. Machines are rented and returned, and
-// tasks preempted or moved, only once the fleet's state is settled.
+// Permits reports whether actions of a kind may be taken now. Starts are always permitted: the
+// proof that they require is just as valid after a cold start. So are deletions of silent
+// machines, which wait for SilenceAllowance. Machines are rented and returned, and tasks
+// preempted or moved, only once the fleet's state is settled.
 func (d *Component) Permits(now time.Duration, action cluster.Action) bool {
 	if d.kind == failoverStart {
 		return true
@@ -243,8 +246,8 @@
 	return d.census.Settled(now)
 }
 
-// SilenceAllowance is how long after the beginning a machine that has not been heard in this
-// term may yet be one that lives.
+// SilenceAllowance returns how long after the start of the term a machine that has not been
+// heard in it may still be alive.
 func (d *Component) SilenceAllowance() time.Duration {
 	if d.kind == failoverStart {
 		return 0
@@ -252,26 +255,27 @@
 	return d.census.SilenceAllowance()
 }
 
-// Allows says whether a task of a job may be placed on a machine now. While the leader
-// catches up, starts are rate-limited by zone, and bounded by images being fetched.
+// Allows reports whether a task of a job may be placed on a machine now. While the leader
+// catches up, starts are rate-limited per zone, and on a machine without the job's image also
+// limited by the number of images that it is already fetching.
 func (d *Component) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
 	return !d.pacesStarts(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.ImagesToFetch())
 }
 
-// TaskStarted counts a start.
+// TaskStarted charges a task start to the rate limit of the machine's zone.
 func (d *Component) TaskStarted(now time.Duration, m *workers.Machine) {
 	if d.pacesStarts(now) {
 		d.startLimiter.Spend(now, m.Zone)
 	}
 }
 
-// pacesStarts says whether starts are rate-limited: after a cold start, until the work that
-// was under way is recovered.
+// pacesStarts reports whether starts are rate-limited: after a cold start, until the work that
+// may have been running is recovered, and for maxPacingTime at most.
 func (d *Component) pacesStarts(now time.Duration) bool {
 	return d.kind == coldStart && !d.account.allRecovered() && now-d.TermBegan < maxPacingTime
 }
 
-// HandleEvent follows the census and keeps account.
+// HandleEvent updates the census and the record.
 func (d *Component) HandleEvent(e cluster.Event) {
 	if d.kind == failoverStart {
 		return
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -16,9 +16,10 @@
 	"bitternmoor/internal/settings"
 )
 
-// Whatever share of the machines is silent for ever, in whatever zones, and whichever
-// controllers come and go: the census is settled after MaxSilenceAllowance at the latest, no sooner
-// than the share is heard or what is missing does not merely come late, and stays so.
+// The census settles after MaxSilenceAllowance at the latest and stays settled, whatever share
+// of the machines never reports, in whatever zones, and however often peers are lost and come
+// back. It does not settle before enough machines are heard, unless the missing ones cannot
+// merely be late.
 func TestCensusSettlesInBoundedTime(t *testing.T) {
 	early := 0
 	for seed := range uint64(500) {
@@ -35,7 +36,7 @@
 		}
 		c := NewCensus(began, p, zones)
 		left := append([]int(nil), zones...)
-		lost := r.Float64() // so many never come
+		lost := r.Float64() // share of the machines that never report
 		registered, heard, was := 0, 0, false
 		for _, n := range zones {
 			registered += n
@@ -50,49 +51,49 @@
 				c.MachineHeard(now, int32(z))
 			}
 			if c.SilenceAllowance() > c.MaxSilenceAllowance() {
-				t.Fatalf("seed %d: patience of %v, at most %v", seed, c.SilenceAllowance(), c.MaxSilenceAllowance())
+				t.Fatalf("seed %d: allowance is %v, want at most %v", seed, c.SilenceAllowance(), c.MaxSilenceAllowance())
 			}
 			is := c.Settled(now)
 			if was && !is {
-				t.Fatalf("seed %d: settled no more", seed)
+				t.Fatalf("seed %d: census is no longer settled", seed)
 			}
 			if is && !was && now-began < c.SilenceAllowance() {
 				early++
 				if p.Share == 1 && heard*2 < registered {
-					t.Fatalf("seed %d: settled with %d of %d heard", seed, heard, registered)
+					t.Fatalf("seed %d: census settled with %d of %d machines heard", seed, heard, registered)
 				}
 			}
 			was = is
 		}
 		if !was {
-			t.Fatalf("seed %d: %+v never ends", seed, p)
+			t.Fatalf("seed %d: census with %+v never settles", seed, p)
 		}
 	}
 	if early < 100 {
-		t.Errorf("settled before its time in only %d of 500", early)
+		t.Errorf("census settled before SilenceAllowance in only %d of 500 runs, want at least 100", early)
 	}
 }
 
-// A worker that lives is heard within SilenceAllowance, whatever it was doing when the leader
-// began: between reports, waiting at a dead controller, or at one that came back after.
+// A live worker is heard within SilenceAllowance, whatever its state at the start of the term:
+// between heartbeats, or waiting for a controller that is down or comes back later.
 func TestSilenceAllowanceIsEnough(t *testing.T) {
 	for seed := range uint64(3000) {
 		r := rand.New(rand.NewPCG(seed, 4))
 		const n = 3
 		interval := time.Duration(1+r.IntN(5)) * time.Second
 		c := NewCensus(0, Params{Share: 1, Interval: interval, Peers: n - 1}, []int{1})
-		var up [n]time.Duration // when each is back; the first one leads
+		var up [n]time.Duration // when each controller comes back; the first one is the leader
 		for i := 1; i < n; i++ {
 			up[i] = time.Duration(r.IntN(20000)) * time.Millisecond
 		}
-		// The worker: at the node it tries, from when on, as the platform has it.
+		// The worker tries a node at a time, with the timing of the platform's workers.
 		at, node := -time.Duration(r.IntN(4000))*time.Millisecond, r.IntN(n)
-		for at < up[node] { // until it is answered, by way of that node if it is not ours
-			at += 5 * time.Second // four without an answer, one more before the next
+		for at < up[node] { // until it is answered; a node that does not lead relays the heartbeat
+			at += 5 * time.Second // four seconds without an answer, one more before the next attempt
 			node = (node + 1) % n
 		}
 		if at < 0 {
-			// Answered just before the term began: it comes with its next heartbeat.
+			// It was answered just before the term began, so its next heartbeat is the first one.
 			at += time.Duration(lateHeartbeatFactor * float64(interval))
 		}
 		var now time.Duration
@@ -105,14 +106,14 @@
 			}
 			c.PeersUnreached(now, away)
 			if now > c.SilenceAllowance() {
-				t.Fatalf("seed %d: given up after %v, it comes at %v: %v", seed, now, at, up)
+				t.Fatalf("seed %d: worker given up at %v, it reports at %v: controllers up at %v", seed, now, at, up)
 			}
 		}
 	}
 }
 
-// begun is the component of a term that has read ten registered machines and a job with tasks
-// that may run on all of them.
+// begun returns the component of a term that has replayed ten registered machines and a job
+// whose tasks may be running on all of them.
 func begun(change func(*cluster.TermStart, *settings.Tunables)) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
@@ -142,8 +143,8 @@
 	return d
 }
 
-// What tells a cold start from a failover: what this process has heard itself, and
-// otherwise what the peers say. One that says nothing proves nothing.
+// A cold start is distinguished from a failover by what this process has heard itself, and
+// otherwise by the peers' answers. A peer that does not answer proves nothing.
 func TestBeginningIsToldApart(t *testing.T) {
 	at := 100 * time.Second
 	led := func(ago, lasted time.Duration, f leadership.FleetKnowledge) leadership.LeaderRecord {
@@ -158,30 +159,30 @@
 		answer func(d *Component)
 		want   startKind
 	}{
-		{"it heard a leader until now that knew its fleet", led(2*time.Second, time.Second, leadership.FleetKnown), noPeer, failoverStart},
-		{"it heard one that says nothing of its fleet", led(2*time.Second, 9*time.Second, leadership.FleetUnspecified), noPeer, failoverStart},
-		{"that one was gone before it could", led(2*time.Second, time.Second, leadership.FleetUnspecified), noAnswer, coldStart},
-		{"it heard one that was listening still", led(2*time.Second, 9*time.Second, leadership.FleetReconciling), noAnswer, coldStart},
-		{"it heard one long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), noAnswer, coldStart},
-		{"it never did, and nobody answers", none, noAnswer, coldStart},
+		{"it recently heard a leader with a known fleet", led(2*time.Second, time.Second, leadership.FleetKnown), noPeer, failoverStart},
+		{"it recently heard a leader that announced nothing", led(2*time.Second, 9*time.Second, leadership.FleetUnspecified), noPeer, failoverStart},
+		{"that leader was gone too soon to announce anything", led(2*time.Second, time.Second, leadership.FleetUnspecified), noAnswer, coldStart},
+		{"it recently heard a leader that was still reconciling", led(2*time.Second, 9*time.Second, leadership.FleetReconciling), noAnswer, coldStart},
+		{"it heard a leader long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), noAnswer, coldStart},
+		{"it never heard a leader and no peer answers", none, noAnswer, coldStart},
 		{"the peers have not answered yet", none, func(d *Component) { d.PreviousLeaderReported(at, "n1", none, true) }, undecided},
-		{"nor did the peers", none, func(d *Component) {
+		{"no peer heard a leader", none, func(d *Component) {
 			d.PreviousLeaderReported(at, "n1", none, true)
 			d.PreviousLeaderReported(at, "n2", none, false)
 		}, coldStart},
-		{"a peer did", none, func(d *Component) {
+		{"a peer recently heard a leader", none, func(d *Component) {
 			d.PreviousLeaderReported(at, "n1", none, true)
 			d.PreviousLeaderReported(at, "n2", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, failoverStart},
-		{"a peer did, long ago", none, func(d *Component) {
+		{"a peer heard a leader long ago", none, func(d *Component) {
 			d.PreviousLeaderReported(at, "n1", led(9*time.Second, time.Minute, leadership.FleetKnown), true)
 			d.PreviousLeaderReported(at, "n2", none, true)
 		}, coldStart},
-		{"a peer heard one that was listening", none, func(d *Component) {
+		{"a peer recently heard a leader that was reconciling", none, func(d *Component) {
 			d.PreviousLeaderReported(at, "n1", led(time.Second, 3*time.Second, leadership.FleetReconciling), true)
 			d.PreviousLeaderReported(at, "n2", none, true)
 		}, coldStart},
-		{"it met a leader for a moment, a peer knows it", led(2*time.Second, 0, leadership.FleetUnspecified), func(d *Component) {
+		{"it heard a leader briefly, a peer for longer", led(2*time.Second, 0, leadership.FleetUnspecified), func(d *Component) {
 			d.PreviousLeaderReported(at, "n1", led(time.Second, time.Minute, leadership.FleetKnown), true)
 		}, failoverStart},
 	} {
@@ -194,25 +195,25 @@
 			open := d.kind == failoverStart
 			for _, action := range []cluster.Action{cluster.Rent, cluster.Return, cluster.Preempt, cluster.Move} {
 				if got := d.Permits(at, action); got != open {
-					t.Errorf("%v is permitted: %v, want %v", action, got, open)
+					t.Errorf("Permits(%v) = %v, want %v", action, got, open)
 				}
 			}
 			if !d.Permits(at, cluster.StartAgain) || !d.Permits(at, cluster.Delete) {
-				t.Error("what is proved must not wait")
+				t.Error("starts and deletions are not permitted, want always permitted")
 			}
 		})
 	}
 }
 
-// The account: work that comes back by being seen, done, and started again; orders, and
-// which of them turned out to be needless; one entry in the end, which the next leaders
-// remember.
+// Work counts as recovered when it is found, done or started again. Actions are counted, and
+// those that turn out to be needless as well. One entry is written in the end, from which
+// later leaders restore the record.
 func TestAccountCountsRecoveryAndNeedlessActions(t *testing.T) {
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	j, all := d.Jobs.ByID(1), d.Inventory.All()
 	if d.kind != coldStart || d.account.current.Tasks != 10 || d.account.current.DownAtMostMS != 40_000 {
-		t.Fatalf("kind %v, account %+v", d.kind, d.account.current)
+		t.Fatalf("kind is %v, record is %+v", d.kind, d.account.current)
 	}
 	for i, m := range all[:9] {
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(101), Machine: m})
@@ -266,9 +267,9 @@
 		t.Errorf("needless: %v", r.Needless)
 	}
 	if d.EventLog.PendingCount() != 1 {
-		t.Errorf("%d entries are written", d.EventLog.PendingCount())
+		t.Errorf("%d entries were written, want 1", d.EventLog.PendingCount())
 	}
-	// A successor remembers it, once, and no more than it is to keep.
+	// A later leader keeps each record once, and no more records than its limit.
 	next := begun(func(s *cluster.TermStart, _ *settings.Tunables) {
 		s.PreviousLeader = leadership.LeaderRecord{Known: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
 	})
@@ -282,23 +283,23 @@
 	}
 	next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: json.RawMessage(`"?"`)}})
 	if len(next.account.earlier) != 3 || next.account.earlier[2].Epoch != 7 {
-		t.Errorf("%d are remembered", len(next.account.earlier))
+		t.Errorf("%d records are kept, want 3 with epoch 7 last", len(next.account.earlier))
 	}
 }
 
-// Work that is cancelled is recovered when its job leaves, not at the beginning.
+// The tasks of a cancelled job count as recovered when the job is removed, not before.
 func TestCancelledWorkIsRecoveredWhenItsJobLeaves(t *testing.T) {
 	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	heard := d.Inventory.All()[0]
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: heard, Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.ByID(1)})
 	if d.account.current.WorkAllMS != 7000 || !d.account.allRecovered() {
-		t.Errorf("back after %d ms", d.account.current.WorkAllMS)
+		t.Errorf("work was recovered after %d ms, want 7000", d.account.current.WorkAllMS)
 	}
 }
 
-// Where nothing was left behind there is nothing to listen to: the very first start of an
-// installation rents at once.
+// The first start of an installation has nothing to recover, so it is not a cold start and may
+// rent machines at once.
 func TestFirstStartOfAnInstallationIsNoColdStart(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}}
@@ -307,11 +308,11 @@
 	d := New(s)
 	d.Begin(0)
 	if d.kind != failoverStart || !s.Permits(0, cluster.Rent) || s.SilenceAllowance() != 0 {
-		t.Errorf("kind %v", d.kind)
+		t.Errorf("kind is %v, want a failover start that permits renting", d.kind)
 	}
 	for _, e := range s.DrainEffects() {
 		if _, asks := e.(effects.AskPreviousLeader); asks {
-			t.Error("the peers are asked")
+			t.Error("peers were asked although there is nothing to recover")
 		}
 	}
 }
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -1,7 +1,7 @@
 // Package failover is the component of a leader's term that measures failovers: how long each
-// step took from the moment when a controller found that nobody led, until the last job that
-// was blocked could start again. It stores one small entry for each failover, so that later
-// leaders know of the earlier ones.
+// step took, from the moment when a controller found that there was no leader until the last
+// blocked job could start tasks again. It stores one small log entry per failover, so that
+// later leaders can show earlier failovers.
 package failover
 
 import (
@@ -18,31 +18,33 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// Name is the key of the component, and of its entries.
+// Name is the key of the component and of its log entries.
 const Name = "takeovers"
 
 const (
-	// maxAccountTime ends the account of a failover some of whose steps do not come;
-	// firstStartTimeout that of one where all is resolved and nothing waits for a start.
+	// maxAccountTime is when the record of a failover is completed at the latest, even if
+	// some steps were not reached.
+	// firstStartTimeout is how long to wait for the first task start once all other steps are
+	// reached: there may be no task to start.
 	maxAccountTime    = 3 * time.Minute
 	firstStartTimeout = 10 * time.Second
 
-	recordBytes = 220 // rough size of an entry
+	recordBytes = 220 // approximate size of an entry
 )
 
-// Step is one of a failover's steps.
+// Step is a step of a failover.
 type Step uint8
 
 // The steps, in their usual order.
 const (
-	Elected        Step = iota // the leader's lease and the epoch are this controller's
-	LogRead                    // the whole log is read and replayed
+	Elected        Step = iota // this controller holds the leader's lease and the epoch
+	LogRead                    // the whole event log is read and replayed
 	FirstHeartbeat             // a registered machine has sent a heartbeat at the new token
 	HalfResolved               // half of the registered machines are resolved
 	NinetyResolved             // 90 % of them are
 	AllResolved                // all of them are
-	FirstStart                 // a task that this leader has started is on its machine
-	JobsUnblocked              // no job is blocked any more by what an unresolved machine may run
+	FirstStart                 // this leader has placed a task on a machine
+	JobsUnblocked              // no job is blocked any longer because unresolved machines may run its tasks
 	stepCount
 )
 
@@ -59,10 +61,10 @@
 
 func (s Step) String() string { return stepWords[s] }
 
-// Heading is a step's heading in a table.
+// Heading returns the step's column heading in a table.
 func (s Step) Heading() string { return strings.ToUpper(strings.ReplaceAll(s.String(), "_", " ")) }
 
-// Steps lists all steps in order.
+// Steps returns all steps in order.
 func Steps() []Step {
 	out := make([]Step, stepCount)
 	for i := range out {
@@ -71,21 +73,21 @@
 	return out
 }
 
-// Record is the account of one failover.
+// Record describes one failover.
 type Record struct {
 	Epoch    uint64 `json:"epoch"`
 	Node     string `json:"node"`
-	SilentMS int64  `json:"leader_silent_ms"` // how long before the former leader was last heard of; -1: not known
-	AtMS     int64  `json:"at_ms"`            // time of day when it was found that nobody led, as this node's clock had it
+	SilentMS int64  `json:"leader_silent_ms"` // time from last hearing the former leader to AtMS; -1: unknown
+	AtMS     int64  `json:"at_ms"`            // wall-clock time, by this node's clock, when it found that there was no leader
 	Machines int    `json:"machines"`
 	Jobs     int    `json:"jobs"`
-	HeldBack int    `json:"jobs_held_back"` // by what an unresolved machine may run, once the log was read
-	// After is how long after that moment each step was reached, in
-	// milliseconds, by the step's name; one that was not reached is missing.
+	HeldBack int    `json:"jobs_held_back"` // jobs blocked by unresolved machines when the log was read
+	// After is the time in milliseconds from AtMS to each step, by the step's name. A step
+	// that was not reached is missing.
 	After map[string]int64 `json:"after_ms"`
 }
 
-// storedRecord is a record as it stands in the log: steps by number, -1 for none.
+// storedRecord is a record as stored in the log: steps are indexed by number, -1: not reached.
 type storedRecord struct {
 	Epoch    uint64           `json:"e"`
 	Node     string           `json:"n"`
@@ -97,29 +99,29 @@
 	After    [stepCount]int64 `json:"s"`
 }
 
-// stepSecondsBuckets are the upper bounds of the histogram of steps, in seconds.
+// stepSecondsBuckets are the upper bounds, in seconds, of the buckets of the step histogram.
 var stepSecondsBuckets = []float64{.1, .25, .5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120}
 
-// Component measures this term's failover and keeps the records of the last ones.
+// Component measures this term's failover and keeps the records of the most recent ones.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
-	maxRecords  int            // that are kept
-	earlier     []storedRecord // by epoch
+	maxRecords  int            // number of records kept
+	earlier     []storedRecord // sorted by epoch
 	stepSeconds *cluster.Histogram
 
 	// This term's failover.
 	current           storedRecord
-	closed            bool // its account is
-	unresolvedAtStart int  // registered machines that were not resolved when the log was read
-	unresolvedNow     int  // those of them that are not yet
+	closed            bool // the record is complete
+	unresolvedAtStart int  // registered machines that were unresolved when the log was read
+	unresolvedNow     int  // those of them that still are
 }
 
-// New makes the component of a term; it keeps so many records.
+// New creates the component for a term. It keeps up to maxRecords records.
 func New(s *cluster.State, maxRecords int) *Component {
 	d := &Component{State: s, maxRecords: maxRecords}
 	d.stepSeconds = s.Metrics.Histogram("bitternmoor_takeover_seconds",
-		"Time from finding that nobody leads to each step of a takeover.", "step", stepSecondsBuckets)
+		"Time from finding that there is no leader to each step of the failover.", "step", stepSecondsBuckets)
 	d.current = storedRecord{
 		Epoch:    s.Epoch,
 		Node:     s.Cfg.Node,
@@ -135,15 +137,15 @@
 	return d
 }
 
-// Replay applies an entry of its own. A record may be there twice, from a compaction that
-// was under way.
+// Replay applies an entry of the component. A record may occur twice, because of an unfinished
+// compaction.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok {
 		d.remember(r)
 	}
 }
 
-// decode reads the record of an entry, if it has one that can be read.
+// decode returns the record in an entry; false: the entry has none or it cannot be decoded.
 func (d *Component) decode(e eventlog.Entry) (storedRecord, bool) {
 	var r storedRecord
 	if e.Component == nil {
@@ -156,7 +158,7 @@
 	return r, true
 }
 
-// remember adds a record in the order of epochs, and drops the oldest beyond the limit.
+// remember inserts a record by its epoch and drops the oldest records beyond maxRecords.
 func (d *Component) remember(r storedRecord) {
 	i, found := slices.BinarySearchFunc(d.earlier, r, func(a, b storedRecord) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	if found {
@@ -168,8 +170,8 @@
 	}
 }
 
-// Begin notes that the log is read. A term that finds neither machines nor jobs has taken
-// nothing over and is not accounted for.
+// Begin records that the log is read. A term that finds neither unresolved machines nor jobs
+// has nothing to take over and is not recorded.
 func (d *Component) Begin(now time.Duration) {
 	for _, m := range d.Inventory.All() {
 		if m.Unresolved() {
@@ -187,8 +189,8 @@
 	d.recordResolvedShare(now)
 }
 
-// blockedJobs counts the jobs that may not start anything, since a machine that is not
-// resolved may run their tasks.
+// blockedJobs counts the jobs that may not start tasks, because an unresolved machine may be
+// running them.
 func (d *Component) blockedJobs() int {
 	n := 0
 	for _, j := range d.Jobs.All() {
@@ -199,7 +201,7 @@
 	return n
 }
 
-// recordStep notes a step, the first time that it is reached.
+// recordStep records the time of a step when it is first reached.
 func (d *Component) recordStep(s Step, now time.Duration) {
 	if d.current.After[s] < 0 {
 		d.current.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
@@ -207,7 +209,7 @@
 	}
 }
 
-// recordResolvedShare notes what share of the machines is resolved.
+// recordResolvedShare records the steps that the share of resolved machines has reached.
 func (d *Component) recordResolvedShare(now time.Duration) {
 	resolved := d.unresolvedAtStart - d.unresolvedNow
 	if resolved*2 >= d.unresolvedAtStart {
@@ -221,7 +223,7 @@
 	}
 }
 
-// HandleEvent records the steps that show in events.
+// HandleEvent records the steps that events indicate.
 func (d *Component) HandleEvent(e cluster.Event) {
 	if d.closed {
 		return
@@ -239,7 +241,7 @@
 	}
 }
 
-// Tick closes the account once every step was reached, or some will not be.
+// Tick completes the record once every step is reached or the remaining ones have timed out.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if d.closed || !leaseValid {
 		return
@@ -256,7 +258,7 @@
 	d.storeRecord()
 }
 
-// logSteps logs the finished account.
+// logSteps writes the completed record to the log output.
 func (d *Component) logSteps() {
 	r := &d.current
 	args := []any{"epoch", r.Epoch, "machines", r.Machines, "jobs", r.Jobs, "held_back", r.HeldBack}
@@ -268,7 +270,7 @@
 	d.LogMessage(effects.Info, "takeover", args...)
 }
 
-// storeRecord appends the finished account to the log.
+// storeRecord appends the completed record to the event log.
 func (d *Component) storeRecord() {
 	e := eventlog.NewComponentEntry(Name, d.current)
 	if !d.EventLog.Fits(e) {
@@ -278,8 +280,8 @@
 	d.EventLog.Append(e)
 }
 
-// allStepsReached says whether every step was reached that will be. The first start may never
-// come, where nothing waits for one.
+// allStepsReached reports whether every step was reached. The first start counts as reached
+// after firstStartTimeout, since there may be no task to start.
 func (d *Component) allStepsReached(now time.Duration) bool {
 	last := int64(0)
 	for _, s := range Steps() {
@@ -294,10 +296,10 @@
 	return now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
 }
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes returns approximately how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return len(d.earlier) * recordBytes }
 
-// Compact writes a record anew that is still kept.
+// Compact appends an entry again if its record is still kept.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	r, ok := d.decode(e)
 	if !ok {
@@ -308,8 +310,8 @@
 	}
 }
 
-// Show returns the failovers that are kept, the newest first, as a JSON list of Record. The
-// one under way is the first as long as it is.
+// Show returns the records of failovers, the newest first, as a JSON list of Record. A failover
+// that is still being recorded comes first.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
@@ -328,7 +330,7 @@
 	return raw, nil
 }
 
-// record is the record as operators see it.
+// record converts r to the form that is shown to operators.
 func (r storedRecord) record() Record {
 	out := Record{
 		Epoch:    r.Epoch,
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -14,7 +14,7 @@
 	"bitternmoor/internal/settings"
 )
 
-// begun is the component of a term that has read ten registered machines, and a job
+// begun returns the component of a term that has replayed ten registered machines and a job
 // that may have tasks on all of them.
 func begun(measures *cluster.Metrics) *Component {
 	s := cluster.New(cluster.TermStart{
@@ -34,20 +34,20 @@
 		s.Inventory.Add(&workers.Machine{Name: fmt.Sprint(n), Durable: true, Number: n + 1})
 	}
 	d := New(s, 3)
-	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 is there twice, from a compaction
+	for _, epoch := range []uint64{3, 4, 5, 5, 6} { // 5 occurs twice, as after an unfinished compaction
 		d.Replay(0, entryWith(`{"e":%d,"n":"n1","s":[1,2,3,4,5,6,-1,7]}`, epoch))
 	}
 	d.Begin(12 * time.Second)
 	return d
 }
 
-// entryWith is an entry of the component with a record as JSON.
+// entryWith returns an entry of the component with a record given as JSON.
 func entryWith(format string, args ...any) eventlog.Entry {
 	data := json.RawMessage(fmt.Sprintf(format, args...))
 	return eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: data}}
 }
 
-// shown is what operators see.
+// shown returns the records that operators see.
 func shown(t *testing.T, d *Component) []Record {
 	t.Helper()
 	raw, err := d.Show(0, "")
@@ -61,8 +61,8 @@
 	return list
 }
 
-// A failover step by step: what each waited for, one entry in the end, and the
-// histogram of the process.
+// Each step of a failover is recorded with its time. In the end one entry is written, one line
+// is logged, and each step is observed once in the histogram.
 func TestFailoverIsRecordedStepByStep(t *testing.T) {
 	var measures cluster.Metrics
 	d := begun(&measures)
@@ -76,7 +76,7 @@
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(13 + i), Machine: m})
 		d.Tick(at(13+i), true)
 		if n := d.EventLog.PendingCount(); n != 0 {
-			t.Fatalf("%d entries after %d machines", n, i+1)
+			t.Fatalf("%d entries were written after %d machines, want none yet", n, i+1)
 		}
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.TaskPlaced, At: at(24), Machine: all[0]})
@@ -87,11 +87,11 @@
 	}
 	list := shown(t, d)
 	if len(list) != 3 || list[0].Epoch != 7 || list[1].Epoch != 6 || list[2].Epoch != 5 {
-		t.Fatalf("remembered are %+v, want epochs 7, 6, 5", list)
+		t.Fatalf("records are %+v, want epochs 7, 6, 5", list)
 	}
 	got := list[0]
 	if got.Machines != 10 || got.Jobs != 1 || got.HeldBack != 1 || got.SilentMS != 1000 || got.AtMS != 1e6+10e3 {
-		t.Errorf("written down is %+v", got)
+		t.Errorf("unexpected record: %+v", got)
 	}
 	wantSeconds := map[Step]int64{
 		Elected:        1,
@@ -105,12 +105,12 @@
 	}
 	for s, want := range wantSeconds {
 		if ms := got.After[s.String()]; ms != want*1000 {
-			t.Errorf("%v after %d ms, want %d s", s, ms, want)
+			t.Errorf("%v was reached after %d ms, want %d s", s, ms, want)
 		}
 	}
 	h := measures.All()
 	if len(h) != 1 || len(h[0].Series) != int(stepCount) || h[0].Series[0].Count != 1 {
-		t.Errorf("the histogram is %+v", h)
+		t.Errorf("unexpected histogram: %+v", h)
 	}
 	told := 0
 	for _, e := range d.DrainEffects() {
@@ -123,13 +123,13 @@
 	}
 }
 
-// Nothing waits for a start, or machines are never resolved: the account is
-// closed all the same, without the steps that did not come.
+// The record is completed, without the missing steps, even if machines are never resolved or
+// no task is waiting to be started.
 func TestAccountClosesWithoutMissingSteps(t *testing.T) {
 	d := begun(&cluster.Metrics{})
 	d.Tick(12*time.Second+maxAccountTime, true)
 	if list := shown(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != 2 {
-		t.Errorf("%d entries, %+v", d.EventLog.PendingCount(), list[0])
+		t.Errorf("%d entries were written, want one; record is %+v", d.EventLog.PendingCount(), list[0])
 	}
 	d = begun(&cluster.Metrics{})
 	for _, m := range d.Inventory.All() {
@@ -141,20 +141,20 @@
 	d.Jobs.ByID(1).UnresolvedMachines = 0
 	d.Tick(14*time.Second, true)
 	if d.EventLog.PendingCount() != 0 {
-		t.Error("closed before a start could come")
+		t.Error("record was completed before the first start could happen")
 	}
 	d.Tick(14*time.Second+firstStartTimeout, false)
 	if d.EventLog.PendingCount() != 0 {
-		t.Error("closed by a leader that is not sure of its term")
+		t.Error("record was completed by a leader without a valid lease")
 	}
 	d.Tick(14*time.Second+firstStartTimeout, true)
 	if list := shown(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != int(stepCount)-1 {
-		t.Errorf("%d entries, %+v", d.EventLog.PendingCount(), list[0])
+		t.Errorf("%d entries were written, want one; record is %+v", d.EventLog.PendingCount(), list[0])
 	}
 }
 
-// Compaction keeps the records that are remembered, and those alone; one that
-// cannot be read is said and left out.
+// Compaction keeps only the records that the component keeps. An entry that cannot be read is
+// logged and dropped.
 func TestCompactionKeepsTheLastRecords(t *testing.T) {
 	d := begun(&cluster.Metrics{})
 	for epoch := range 8 {
@@ -167,9 +167,9 @@
 	d.Compact(0, entryWith(`{"e":"x"}`))
 	out := d.DrainEffects()
 	if len(out) != 1 || !strings.Contains(out[0].(effects.LogMessage).Message, "cannot be read") {
-		t.Errorf("logged: %+v", out)
+		t.Errorf("unexpected effects: %+v", out)
 	}
 	if n := d.EventLog.PendingCount(); n != 3 {
-		t.Errorf("%d records were kept after one that cannot be read, want 3", n)
+		t.Errorf("%d records were kept after an unreadable one, want 3", n)
 	}
 }
--- a/internal/leader/rebalance/balancer.go
+++ b/internal/leader/rebalance/balancer.go
@@ -6,15 +6,15 @@
 	"bitternmoor/internal/core/ratelimit"
 )
 
-// Balancer decides which machines report to another controller from now on. It is pure;
-// the time comes in.
+// Balancer decides which machines should report to another controller from now on. It has no
+// side effects; the caller passes the time in.
 //
-// A controller's load is its machines divided by its weight. Once one has MaxLoad times the
-// mean load it gives machines away, a few a second, until it has hardly more than the mean;
-// each goes to the controller with the least load, and only if that has no more after it
-// than the giver had before. So the largest load never rises by a move, and moves end. A
-// machine that was moved stays for a while, and one that did not arrive where it was sent
-// is left alone for longer: it may not reach that controller.
+// A controller's load is its number of machines divided by its weight. A controller with more
+// than MaxLoad times the mean load gives machines away, a few per second, until its load is at
+// most balancedLoad times the mean. Each machine goes to the ready controller with the least
+// load, if that load after the move does not exceed the source's load before it. So no move
+// raises the largest load, and moves end. A machine that was moved stays for moveCooldown, and
+// one that did not arrive for failedCooldown, because it may be unable to reach the target.
 type Balancer struct {
 	params     Params
 	budget     ratelimit.Bucket
@@ -24,36 +24,36 @@
 	meanLoad   float64         // 0: no controller is ready
 }
 
-// Params of a balance.
+// Params are the parameters of a Balancer.
 type Params struct {
-	MaxLoad        float64 // load over the mean that is tolerated
+	MaxLoad        float64 // largest tolerated load, as a multiple of the mean load
 	MovesPerSecond float64
 }
 
-// Node is a controller.
+// Node is a controller as the balancer sees it.
 type Node struct {
 	Name     string
 	Machines int
-	Weight   float64 // of its share, over 0
-	Ready    bool    // reached for a while now: machines may be sent to it
+	Weight   float64 // relative capacity, above 0
+	Ready    bool    // it has been reachable for a while, so machines may be sent to it
 }
 
 // move is the last move of a machine.
 type move struct {
 	at     time.Duration
 	to     string
-	failed bool // it did not arrive
+	failed bool // the machine did not arrive at the target
 }
 
 const (
-	balancedLoad   = 1.05             // over the mean: a controller stops giving machines away
-	moveCooldown   = time.Minute      // of a machine that was moved
-	failedCooldown = 10 * time.Minute // of a machine that did not arrive
-	moveRetention  = failedCooldown   // of what is known of a move
-	minMachines    = 8                // in all: fewer are not worth a move
+	balancedLoad   = 1.05             // multiple of the mean load down to which machines are moved
+	moveCooldown   = time.Minute      // before a machine is moved again
+	failedCooldown = 10 * time.Minute // the same for a machine that did not arrive
+	moveRetention  = failedCooldown   // how long the last move of a machine is remembered
+	minMachines    = 8                // in total: with fewer machines nothing is moved
 )
 
-// NewBalancer makes a balancer.
+// NewBalancer creates a Balancer.
 func NewBalancer(now time.Duration, p Params) *Balancer {
 	return &Balancer{
 		params:     p,
@@ -63,10 +63,10 @@
 	}
 }
 
-// loadWith is a controller's load with so many machines more.
+// loadWith returns the controller's load if it had the given number of additional machines.
 func (n *Node) loadWith(more int) float64 { return float64(n.Machines+more) / n.Weight }
 
-// Observe takes in how the machines are spread now.
+// Observe updates the current distribution of machines and determines which nodes are overloaded.
 func (b *Balancer) Observe(now time.Duration, nodes []Node) {
 	b.nodes = nodes
 	machines, weight := 0, 0.0
@@ -99,8 +99,8 @@
 // IsEven reports whether no controller is overloaded.
 func (b *Balancer) IsEven() bool { return len(b.overloaded) == 0 }
 
-// Move says to which controller a machine that has just reported by way of another one
-// should go instead; empty: it stays.
+// Move returns the controller to which a machine that has just reported to the controller
+// current should report instead; empty: it stays.
 func (b *Balancer) Move(now time.Duration, machine, current string) string {
 	if b.coolingDown(now, machine, current) || !b.overloaded[current] {
 		return ""
@@ -118,8 +118,8 @@
 	return to.Name
 }
 
-// coolingDown reports whether a machine was moved not long ago, and notes whether it has
-// arrived.
+// coolingDown reports whether a machine was moved too recently to be moved again. It also
+// records the move as failed if the machine reports to another controller than its target.
 func (b *Balancer) coolingDown(now time.Duration, machine, current string) bool {
 	last, moved := b.moves[machine]
 	if !moved {
@@ -133,8 +133,8 @@
 	return since < moveCooldown || (last.failed && since < failedCooldown)
 }
 
-// giverAndTaker is the controller of that name, and of the others the one with the least
-// load that is ready; nil: there is none.
+// giverAndTaker returns the controller with the given name and, of the other ready ones, the one
+// with the least load after a move; nil: there is none.
 func (b *Balancer) giverAndTaker(giver string) (from, to *Node) {
 	for i := range b.nodes {
 		n := &b.nodes[i]
--- a/internal/leader/rebalance/balancer_test.go
+++ b/internal/leader/rebalance/balancer_test.go
@@ -12,7 +12,7 @@
 	"bitternmoor/internal/settings"
 )
 
-// picture is controllers and where machines report.
+// picture is a set of controllers and, for each machine, the index of the one it reports to.
 type picture struct {
 	nodes  []Node
 	holder []int
@@ -42,10 +42,10 @@
 	return load
 }
 
-// On random pictures of up to 5,000 machines: the largest load never rises by a move, no
-// machine is moved twice, none goes to a controller that is not ready, no second has more
-// moves than are allowed; and once the picture stands still, moves stop with every ready
-// controller within what is borne, in the time that so many moves take.
+// On random distributions of up to 5,000 machines, no move raises the largest load, no machine
+// is moved twice or to a controller that is not ready, and the moves per second stay within the
+// limit. With constant weights the moves end, in the time that their number needs, and leave no
+// controller overloaded.
 func TestMovesEndEvenly(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 6))
@@ -61,7 +61,7 @@
 			second := 0
 			for m := range p.holder {
 				if (now+time.Duration(m)*time.Millisecond)%interval >= 500*time.Millisecond {
-					continue // it reports at another moment
+					continue // it does not report in this step
 				}
 				h := p.holder[m]
 				to := b.Move(now, fmt.Sprint(m), p.nodes[h].Name)
@@ -71,37 +71,38 @@
 				before := p.most()
 				var n int
 				if _, err := fmt.Sscanf(to, "n%d", &n); err != nil {
-					t.Fatalf("seed %d: %d goes to %q: %v", seed, m, to, err)
+					t.Fatalf("seed %d: machine %d is sent to %q: %v", seed, m, to, err)
 				}
 				if !p.nodes[n].Ready || n == h || twice[m] {
-					t.Fatalf("seed %d: %d goes from %d to %s", seed, m, h, to)
+					t.Fatalf("seed %d: machine %d must not move from %d to %s", seed, m, h, to)
 				}
 				twice[m] = true
 				p.holder[m] = n
 				p.nodes[h].Machines--
 				p.nodes[n].Machines++
 				if p.most() > before {
-					t.Fatalf("seed %d: the largest load rises from %v to %v", seed, before, p.most())
+					t.Fatalf("seed %d: the largest load rose from %v to %v", seed, before, p.most())
 				}
 				moves++
 				second++
 				last = now
 			}
 			if second > rate {
-				t.Fatalf("seed %d: %d moves at once", seed, second)
+				t.Fatalf("seed %d: %d moves in one step", seed, second)
 			}
 		}
 		if !b.IsEven() {
-			t.Errorf("seed %d: uneven after %v: %+v", seed, end, p.nodes)
+			t.Errorf("seed %d: still uneven after %v: %+v", seed, end, p.nodes)
 		}
-		if last > time.Duration(5*moves/rate+20)*time.Second { // at worst they all report at once, and the budget gathers for a second
-			t.Errorf("seed %d: %d moves, the last after %v", seed, moves, last)
+		// In the worst case all machines report at the same time, and the budget holds one second's moves.
+		if last > time.Duration(5*moves/rate+20)*time.Second {
+			t.Errorf("seed %d: %d moves took too long, the last was after %v", seed, moves, last)
 		}
 	}
 }
 
-// A controller that is quick and slow in turn every half minute costs at most as many
-// moves as machines stay a minute where they were sent to.
+// With a controller that alternates between fast and slow every half minute, each machine is
+// moved at most once per minute, because of moveCooldown.
 func TestMachinesDoNotOscillate(t *testing.T) {
 	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 10})
 	p := &picture{nodes: []Node{{Name: "n0", Weight: 1, Ready: true}, {Name: "n1", Weight: 1, Ready: true}}}
@@ -123,11 +124,11 @@
 		}
 	}
 	if moves > 400*20 || moves == 0 {
-		t.Errorf("%d moves of 400 machines in 20 minutes", moves)
+		t.Errorf("%d moves of 400 machines in 20 minutes, want between 1 and one per machine and minute", moves)
 	}
 }
 
-// A machine that does not arrive where it was sent is left alone.
+// A machine that does not arrive at its target is not moved again during failedCooldown.
 func TestMachineThatDidNotArriveIsLeftAlone(t *testing.T) {
 	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 100})
 	sent := map[string]int{}
@@ -141,16 +142,16 @@
 	}
 	for m, n := range sent {
 		if n > 1 {
-			t.Errorf("%s was sent %d times to a controller that it does not reach", m, n)
+			t.Errorf("machine %s was sent %d times to a controller that it does not reach, want once", m, n)
 		}
 	}
 	if len(sent) == 0 {
-		t.Error("none was sent")
+		t.Error("no machine was sent")
 	}
 }
 
-// The leader and a slow controller get less; one that has only just come back gets none
-// yet; silent machines are not counted.
+// The leader and a slow controller have a lower weight, a controller that has just come back is
+// not ready, and silent machines are not counted.
 func TestNodesFollowWeightAndReadiness(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "a", []settings.Peer{{Node: "b"}, {Node: "c"}}
@@ -180,6 +181,6 @@
 		t.Errorf("%+v", list)
 	}
 	if to := d.RedirectTo(31*time.Second, s.Inventory.Find("7")); to != "a" {
-		t.Errorf("it goes to %q", to)
+		t.Errorf("machine is redirected to %q, want a", to)
 	}
 }
--- a/internal/leader/rebalance/component.go
+++ b/internal/leader/rebalance/component.go
@@ -1,7 +1,7 @@
-// Package rebalance is the component of a leader's term that spreads reports over
-// controllers: after one of them returns, slows down, is cut off or healed, machines go
-// from those that have many to those that have few. docs/spread.md has the design and the
-// operators' page.
+// Package rebalance is the component of a leader's term that balances the machines' heartbeats
+// across controllers: after a controller returns, slows down, is partitioned or rejoins,
+// machines move from controllers with a high load to those with a low one. docs/spread.md has
+// the design and the operators' page.
 package rebalance
 
 import (
@@ -14,38 +14,38 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// Name is that of the component. It writes nothing.
+// Name is the key of the component. It writes no log entries.
 const Name = "spread"
 
 const (
 	checkInterval = 500 * time.Millisecond
-	readyAfter    = 10 * time.Second // of answers without a gap machines are sent to a controller
-	lostAfter     = 3 * time.Second  // without an answer to a heartbeat
-	minWeight     = 0.25             // of a slow controller
-	smoothing     = 0.2              // of the newest answer's time in the mean
-	slowResponse  = 20 * time.Millisecond
+	readyAfter    = 10 * time.Second      // time of uninterrupted answers before machines are sent to a controller
+	lostAfter     = 3 * time.Second       // time without an answer before a controller counts as lost
+	minWeight     = 0.25                  // lowest weight, however slow a controller is
+	smoothing     = 0.2                   // weight of the newest latency in the moving average
+	slowResponse  = 20 * time.Millisecond // latencies below it count as equal
 )
 
-// peer is what is known of another controller.
+// peer holds what this leader has observed of another controller.
 type peer struct {
-	answeringSince time.Duration // without a gap
+	answeringSince time.Duration // start of the uninterrupted answers
 	lastAnswerAt   time.Duration
-	latency        time.Duration // of its answers, smoothed
+	latency        time.Duration // moving average of its answer times
 }
 
-// Component spreads reports in a term. It is the term's cluster.Rebalancer.
+// Component balances heartbeats in a term. It is the term's cluster.Rebalancer.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	balancer     *Balancer
-	peers        map[string]*peer // by controller
+	peers        map[string]*peer // by node name
 	lastCheckAt  time.Duration
 	moves        uint64
-	unevenSince  time.Duration // since when some controller is overloaded; 0: none is
-	lastDuration time.Duration // that it took to even out last
+	unevenSince  time.Duration // since when a controller has been overloaded; 0: none is
+	lastDuration time.Duration // how long the last imbalance lasted
 }
 
-// New makes the component of a term.
+// New creates the component for a term and sets it as the Rebalancer.
 func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
 	d := &Component{
@@ -57,7 +57,7 @@
 	return d
 }
 
-// PeerHeard notes that a controller has answered a heartbeat, after so long.
+// PeerHeard records that a controller has answered a heartbeat, and with what latency.
 func (d *Component) PeerHeard(now time.Duration, name string, latency time.Duration) {
 	p := d.peers[name]
 	if p == nil {
@@ -71,7 +71,7 @@
 	p.latency += time.Duration(smoothing * float64(latency-p.latency))
 }
 
-// weight of a controller: one that answers slowly, next to the quickest, gets less.
+// weight returns the weight of a controller: the slower it is than the fastest one, the lower.
 func (d *Component) weight(p *peer) float64 {
 	quickest := p.latency
 	for _, other := range d.peers {
@@ -81,7 +81,7 @@
 	return max(minWeight, min(1, ratio))
 }
 
-// Tick observes how machines are spread.
+// Tick passes the current distribution of machines to the balancer, and logs when it is even again.
 func (d *Component) Tick(now time.Duration, _ bool) {
 	if now-d.lastCheckAt < checkInterval {
 		return
@@ -98,7 +98,7 @@
 	}
 }
 
-// nodes are the controllers by name, with the machines that report to each.
+// nodes returns the controllers sorted by name, with the number of machines that report to each.
 func (d *Component) nodes(now time.Duration) []Node {
 	machines := d.machinesByController(now)
 	self := d.Cfg.Node
@@ -115,7 +115,7 @@
 	return nodes
 }
 
-// machinesByController counts the machines that report.
+// machinesByController counts the machines that currently report to each controller.
 func (d *Component) machinesByController(now time.Duration) map[string]int {
 	count := map[string]int{}
 	for _, m := range d.Inventory.All() {
@@ -126,8 +126,8 @@
 	return count
 }
 
-// RedirectTo says to which controller a machine that has just reported should go; empty:
-// it stays. Nothing may be on its way to it.
+// RedirectTo returns the controller to which a machine that has just reported should move; empty:
+// it stays. The caller ensures that no command is in transit to the machine.
 func (d *Component) RedirectTo(now time.Duration, m *workers.Machine) string {
 	to := d.balancer.Move(now, m.Name, m.Shard)
 	if to != "" {
--- a/internal/leader/rebalance/view.go
+++ b/internal/leader/rebalance/view.go
@@ -8,16 +8,16 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// View is what operators see of a controller.
+// View is the state of a controller as shown to operators.
 type View struct {
 	Node     string  `json:"node"`
 	Machines int     `json:"machines"`
 	Weight   float64 `json:"weight"`
-	Load     float64 `json:"load"` // next to the mean
+	Load     float64 `json:"load"` // as a multiple of the mean load
 	Ready    bool    `json:"ready"`
 }
 
-// Show returns how reports are spread, as a JSON list of View.
+// Show returns the distribution of heartbeats over controllers, as a JSON list of View.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
@@ -37,7 +37,7 @@
 	return raw, nil
 }
 
-// Gauges returns each controller's load.
+// Gauges returns each controller's load as a multiple of the mean.
 func (d *Component) Gauges(time.Duration) []cluster.Gauge {
 	g := cluster.Gauge{
 		Name:   "bitternmoor_report_load",
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -12,31 +12,30 @@
 	"bitternmoor/internal/settings"
 )
 
-// Request is a change that an operator asks for. It is idempotent by its id: a repeat is
-// answered alike.
+// Request is a change that an operator requests. It is idempotent by its ID: a repeated request
+// gets the answer for the revision that was already made.
 type Request struct {
 	ID       string          `json:"id"`
-	Revision uint64          `json:"revision"` // that the operator saw; another one since is refused
+	Revision uint64          `json:"revision"` // newest that the operator saw; refused if there is a newer one
 	Note     string          `json:"note,omitempty"`
 	Changes  []config.Change `json:"changes"`
-	DryRun   bool            `json:"dry_run,omitempty"` // it is checked, and nothing is changed
+	DryRun   bool            `json:"dry_run,omitempty"` // the request is only checked, nothing is changed
 }
 
-// Answer is what became of a change. Until it is durable the same one is to be asked for
-// again.
+// Answer is the result of a Request. Until Durable is true, the client repeats the same request.
 type Answer struct {
 	Durable  bool     `json:"durable"`
 	Revision uint64   `json:"revision"`
-	Remarks  []string `json:"remarks,omitempty"` // what it means for what is there
+	Remarks  []string `json:"remarks,omitempty"` // consequences of the change for existing jobs and settings
 }
 
 const (
-	maxQueuedEntries = 2000 // that wait to be written when a change is accepted
-	maxPending       = 64   // changes that are not durable yet
+	maxQueuedEntries = 2000 // entries in the write queue above which changes are refused
+	maxPending       = 64   // largest number of changes that are not durable yet
 )
 
-// ChangeBy applies a Request of an operator and returns an Answer, as JSON. What is wrong
-// with a request is a *settings.FieldError, as far as it is of one of its fields.
+// ChangeBy applies a Request of the operator by and returns an Answer, both as JSON. An invalid
+// field of the request is reported as a *settings.FieldError.
 func (d *Component) ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error) {
 	var in Request
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -53,7 +52,7 @@
 	return raw, nil
 }
 
-// newestRevision is the last revision that was made, durable or not.
+// newestRevision returns the number of the newest revision, durable or not.
 func (d *Component) newestRevision() uint64 {
 	if n := len(d.pending); n > 0 {
 		return d.pending[n-1].Number
@@ -61,7 +60,7 @@
 	return d.document.Revision()
 }
 
-// change checks a request as a whole before anything is changed.
+// change checks the whole request, then queues its revision as one log entry.
 func (d *Component) change(now time.Duration, by string, in *Request) (*Answer, error) {
 	if err := config.CheckIDAndNote(in.ID, in.Note); err != nil {
 		return nil, err
@@ -88,7 +87,7 @@
 	d.pending = append(d.pending, *r)
 	for _, c := range r.Changes {
 		if c.Item.Team != "" {
-			d.applyTeam(c.Item.Team) // a lower limit counts from now on
+			d.applyTeam(c.Item.Team) // a lower limit takes effect immediately
 		}
 	}
 	return a, nil
@@ -98,7 +97,7 @@
 	return &settings.FieldError{Field: field, Why: fmt.Sprintf(format, args...)}
 }
 
-// checkRequest says what is wrong with a request: with its revision, or a change by itself.
+// checkRequest validates a request's revision and each of its changes on its own.
 func (d *Component) checkRequest(in *Request) error {
 	if d.missingRevision > 0 {
 		return fieldError("revision", "%d was in force and is not in the log any more: see docs/configuration.md",
@@ -117,7 +116,7 @@
 	return nil
 }
 
-// prepareRevision makes the revision of a request, with what stood before its changes.
+// prepareRevision builds the revision for a request, with the values before its changes.
 func (d *Component) prepareRevision(now time.Duration, by string, in *Request) (*config.Revision, error) {
 	r := &config.Revision{
 		Number:  in.Revision + 1,
@@ -144,7 +143,7 @@
 	return r, nil
 }
 
-// repeatedAnswer answers a change that was made already; nil: it was not.
+// repeatedAnswer returns the answer for a change that was already made; nil: it was not made.
 func (d *Component) repeatedAnswer(id string) *Answer {
 	same := func(r config.Revision) bool { return r.ID == id }
 	if i := slices.IndexFunc(d.pending, same); i >= 0 {
@@ -156,7 +155,7 @@
 	return nil
 }
 
-// currentSet is what an item is set to, by revisions that are not durable yet too.
+// currentSet returns the current setting of an item, including revisions that are not durable yet.
 func (d *Component) currentSet(i config.Item) config.Set {
 	s := d.document.Get(i)
 	for _, r := range d.pending {
@@ -169,7 +168,8 @@
 	return s
 }
 
-// prepare completes a change by what stood before, and returns that.
+// prepare completes a change that removes a team or reverts it to the settings, and returns the
+// setting before the change.
 func (d *Component) prepare(c *config.Change) (config.Set, error) {
 	before := d.currentSet(c.Item)
 	if c.Item.Team == "" {
@@ -177,7 +177,7 @@
 	}
 	t, known := d.teamWith(c.Item.Team, before.Value)
 	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.AsSettings() && !inSettings {
-		c.Value.Removed = true // the settings say that there is no such team
+		c.Value.Removed = true // the settings do not define this team
 	}
 	if !c.Value.Removed {
 		return before, nil
@@ -185,12 +185,12 @@
 	if !known {
 		return before, fieldError(c.Item.String(), "there is no such team")
 	}
-	l := config.LimitsOf(t) // its open jobs go on under the limit that it had
+	l := config.LimitsOf(t) // its open jobs continue under the previous limit
 	c.Value.Limits = &l
 	return before, nil
 }
 
-// remarksOn says what changes mean for jobs that are there.
+// remarksOn describes the consequences of changes for open jobs, and when tunables take effect.
 func (d *Component) remarksOn(changes []config.Change) (out []string) {
 	for _, c := range changes {
 		if c.Item.Team == "" {
@@ -206,7 +206,7 @@
 	return out
 }
 
-// remarkOnTeam says what a change of a team means for its open jobs; empty: nothing.
+// remarkOnTeam describes the consequence of a team's change for its open jobs; empty: there is none.
 func (d *Component) remarkOnTeam(c config.Change) string {
 	index, ok := d.Teams.Lookup(c.Item.Team)
 	if !ok {
@@ -227,11 +227,11 @@
 	return ""
 }
 
-// partsPerUnit is how many parts amounts count of one processor or accelerator.
+// partsPerUnit is the number of parts of one CPU or GPU in a resource amount.
 const partsPerUnit = 1000
 
-// countOpenJobs counts a team's open jobs, and those of them of which one start needs more
-// than the team's limit.
+// countOpenJobs counts a team's open jobs, and those of them that need more than the team's limit
+// for a single start: of one task of an array, of all tasks of another job.
 func (d *Component) countOpenJobs(team int32, limits settings.Team) (open, tooLarge int) {
 	for _, j := range d.Jobs.All() {
 		if j == nil || j.Team != team || j.Phase == jobs.Done || j.Phase == jobs.Cancelled {
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -2,10 +2,10 @@
 // controllers run: teams, and tunables that are read each time they are used.
 // docs/configuration.md has the design and the operators' page.
 //
-// One entry of the log is one revision, with all its changes, so that it is durable whole or
-// not at all, before anybody is told. A lower limit counts from when it is handed to the
-// log, a higher one once it is durable: whoever leads next never allows less than what was
-// started.
+// Each log entry is one revision with all its changes, so a revision becomes durable as a whole
+// or not at all, and before it is confirmed to anyone. A lower limit takes effect when its entry
+// is appended to the log, a higher one once it is durable, so that the limits of the next leader
+// always cover what was started.
 package reconfig
 
 import (
@@ -20,11 +20,11 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is that of the component and of its entries.
+// Name is the key of the component and of its log entries.
 const Name = "config"
 
-// storedEntry is an entry: a revision, or what is still set by revisions that are not in the
-// history any more.
+// storedEntry is the content of a log entry: either a revision, or the items that are still set
+// by revisions that are no longer in the history.
 type storedEntry struct {
 	Revision *config.Revision `json:"r,omitempty"`
 	Sets     []config.Set     `json:"s,omitempty"`
@@ -36,27 +36,27 @@
 	*cluster.State
 
 	// From the settings.
-	historyLimit     int // revisions
+	historyLimit     int // number of revisions kept in the history
 	settingsTunables settings.Tunables
 	settingsTeams    map[string]settings.Team
 
 	// Revisions.
-	document        config.Document   // what is durable
-	history         []config.Revision // the last ones that are durable, oldest first, without gaps
+	document        config.Document   // durable settings
+	history         []config.Revision // most recent durable revisions, oldest first, without gaps
 	pending         []config.Revision // not durable yet, oldest first
-	missingRevision uint64            // one that was in force and is not in the log; 0: none
+	missingRevision uint64            // a revision that was in force but is missing from the log; 0: none
 
 	// Compaction of the log.
-	compactedSets []config.Set // to be written anew by the compaction that is going on
-	liveBytes     int          // roughly what Compact would write for the whole log
+	compactedSets []config.Set // to be written again by the running compaction
+	liveBytes     int          // approximate size of what Compact would write for the whole log
 
 	// Other controllers.
 	controllers map[string]*controller
-	spreading   []durableRevision // not in force everywhere yet, oldest first
+	spreading   []durableRevision // not yet in force on all controllers, oldest first
 	propagation *cluster.Histogram
 }
 
-// New makes the component of a term.
+// New creates the component for a term.
 func New(s *cluster.State) *Component {
 	d := &Component{
 		State:            s,
@@ -65,7 +65,7 @@
 		settingsTeams:    map[string]settings.Team{},
 		controllers:      map[string]*controller{},
 		propagation: s.Metrics.Histogram("bitternmoor_config_in_force_seconds",
-			"From when a change of the configuration was durable until a controller had it in force.",
+			"Time from when a configuration change was durable until a controller had it in force.",
 			"controller", propagationBounds),
 	}
 	for _, t := range s.Cfg.Deployment.Teams {
@@ -77,12 +77,13 @@
 	return d
 }
 
-// decode decodes an entry of the component's own; false: it is of another kind.
+// decode returns the content of an entry; false: the entry is not one of this component or cannot
+// be decoded.
 func decode(e eventlog.Entry) (x storedEntry, ok bool) {
 	return x, e.Component != nil && e.Component.Name == Name && json.Unmarshal(e.Component.Data, &x) == nil
 }
 
-// Replay applies an entry. While the log is compacted an entry may be there twice.
+// Replay applies an entry. An entry may occur twice if the log was being compacted.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok {
@@ -96,7 +97,7 @@
 	}
 }
 
-// addRevision applies a durable revision.
+// addRevision applies a durable revision to the document and adds it to the history.
 func (d *Component) addRevision(r config.Revision) {
 	d.document.Apply(&r)
 	byNumber := func(o config.Revision, n uint64) int { return int(o.Number) - int(n) }
@@ -108,7 +109,7 @@
 	d.history = slices.Delete(d.history, 0, max(0, len(d.history)-d.historyLimit))
 }
 
-// Begin puts in force what is set.
+// Begin puts the replayed settings in force.
 func (d *Component) Begin(now time.Duration) {
 	for _, s := range d.document.All() {
 		d.apply(s.Item)
@@ -125,7 +126,7 @@
 	}
 }
 
-// noteMissing notes that the log has lost revisions that were in force.
+// noteMissing records that revisions which were in force are missing from the log.
 func (d *Component) noteMissing(revision uint64) {
 	if revision <= d.missingRevision {
 		return
@@ -135,7 +136,7 @@
 		"revision", d.document.Revision(), "was", revision)
 }
 
-// EntryDurable puts a revision in force.
+// EntryDurable puts a revision in force once its entry is durable.
 func (d *Component) EntryDurable(now time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok || x.Revision == nil {
@@ -156,7 +157,7 @@
 		"revision", r.Number, "by", r.By, "changes", len(r.Changes), "note", r.Note)
 }
 
-// apply puts an item in force as it is set.
+// apply puts the durable setting of an item in force.
 func (d *Component) apply(i config.Item) {
 	if i.Team != "" {
 		d.applyTeam(i.Team)
@@ -170,8 +171,8 @@
 	d.NeedsCycle = true
 }
 
-// applyTeam puts a team's limits in force: the lower ones of what is durable and what is not
-// yet.
+// applyTeam puts a team's limits in force: the lowest of its durable limits and those of
+// revisions that are not durable yet.
 func (d *Component) applyTeam(name string) {
 	t, known := d.teamWith(name, d.document.Get(config.Item{Team: name}).Value)
 	for _, r := range d.pending {
@@ -189,7 +190,7 @@
 	}
 }
 
-// teamWith is a team with a value, and whether it may submit jobs.
+// teamWith returns a team as set by a value, or else by the settings, and whether it may submit jobs.
 func (d *Component) teamWith(name string, v config.Value) (settings.Team, bool) {
 	if v.Limits != nil {
 		return v.Limits.Team(name), !v.Removed
@@ -199,7 +200,7 @@
 	return t, known && !v.Removed
 }
 
-// lowerLimit is the lower of two limits; 0 is no limit.
+// lowerLimit returns the lower of two limits; 0 means no limit.
 func lowerLimit(a, b float64) float64 {
 	if a == 0 || b == 0 {
 		return a + b
@@ -207,7 +208,7 @@
 	return min(a, b)
 }
 
-// capGuarantee is a guarantee that does not go beyond a limit; 0 is no limit.
+// capGuarantee returns a guarantee reduced to a limit; 0 means no limit.
 func capGuarantee(v, limit float64) float64 {
 	if limit == 0 {
 		return v
@@ -215,7 +216,7 @@
 	return min(v, limit)
 }
 
-// updateLiveBytes estimates what Compact would write.
+// updateLiveBytes estimates the size of what Compact would write.
 func (d *Component) updateLiveBytes() {
 	d.liveBytes = d.document.Len() * setBytes
 	for i := range d.history {
@@ -223,13 +224,13 @@
 	}
 }
 
-// Roughly what a set item, and a revision beside its changes, take in the log.
+// Approximate sizes in the log of a set item, and of a revision without its changes.
 const (
 	setBytes      = 120
 	revisionBytes = 120
 )
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes returns approximately how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return d.liveBytes }
 
 // remembers reports whether a revision is in the history.
@@ -237,7 +238,7 @@
 	return len(d.history) > 0 && revision >= d.history[0].Number
 }
 
-// Compact writes revisions anew that are in the history, and gathers what others have set.
+// Compact appends the revisions in the history again, and collects what older ones have set.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	switch {
@@ -255,15 +256,15 @@
 	}
 }
 
-// gatherSet notes an item that is still set as it was, by a revision that is not in the
-// history.
+// gatherSet collects an item whose current setting still comes from the given revision, if that
+// revision is not in the history.
 func (d *Component) gatherSet(s config.Set) {
 	if d.document.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
 		d.compactedSets = append(d.compactedSets, s)
 	}
 }
 
-// CompactionDone writes anew what was gathered.
+// CompactionDone appends the collected items, split into entries that fit the log.
 func (d *Component) CompactionDone() {
 	for len(d.compactedSets) > 0 {
 		n := len(d.compactedSets)
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -13,12 +13,12 @@
 	"bitternmoor/internal/settings"
 )
 
-// fixture is the component with a log of its own.
+// fixture is the component with its own event log.
 type fixture struct {
 	*Component
 	t       *testing.T
 	now     time.Duration
-	entries []eventlog.Entry // durable
+	entries []eventlog.Entry // all entries that were made durable
 	mark    uint64
 	replica config.Replica
 }
@@ -42,12 +42,12 @@
 	return b
 }
 
-// newLog is a log whose last segment has a number.
+// newLog returns an event log whose last segment has the given number.
 func newLog(last int) *eventlog.Log {
 	return eventlog.NewLog(eventlog.Limits{WriteRPS: 100, ValueBytes: 8 << 10, TxnOps: 12}, "lead/epoch", 1, last, 0)
 }
 
-// commit has everything that waits become durable.
+// commit makes all pending entries durable.
 func (b *fixture) commit() {
 	b.t.Helper()
 	for b.EventLog.PendingCount() > 0 {
@@ -60,7 +60,7 @@
 		pending := b.EventLog.PendingCount()
 		for _, w := range txn.Writes {
 			if list, err := eventlog.Decode(w.Value); err == nil && strings.HasPrefix(w.Key, eventlog.Prefix) {
-				b.entries = append(b.entries, list...) // some twice, which replay bears
+				b.entries = append(b.entries, list...) // some occur twice, which Replay tolerates
 			}
 		}
 		durable, _ := b.EventLog.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
@@ -68,7 +68,7 @@
 			b.EntryDurable(b.now, true, e)
 		}
 		if b.EventLog.PendingCount() == pending {
-			b.t.Fatal("nothing becomes durable")
+			b.t.Fatal("transaction was applied, but no entry became durable")
 		}
 	}
 }
@@ -95,45 +95,45 @@
 	return float64(b.Scheduler.Limits[i].CPU) / partsPerUnit
 }
 
-// A change is made once, for the revision that was seen, whole or not at all.
+// A change is applied once, only on the revision that the operator saw, and as a whole or not at all.
 func TestChangeIsMadeOnceAndWhole(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	first := Request{ID: "a", Changes: []config.Change{limitTo("red", 20), limitTo("blue", 5)}}
 	dry := first
 	dry.DryRun = true
 	if a, err := b.ask(dry); err != nil || a.Revision != 1 || b.EventLog.PendingCount() != 0 {
-		t.Fatalf("only asked: %+v %v", a, err)
+		t.Fatalf("dry run: %+v %v", a, err)
 	}
 	bad := Request{ID: "bad", Changes: []config.Change{limitTo("red", 1), limitTo("blue", -1)}}
 	if _, err := b.ask(bad); err == nil || !strings.Contains(err.Error(), "team blue") || b.limit("red") != 10 {
-		t.Errorf("half of a bundle: %v, red has %v", err, b.limit("red"))
+		t.Errorf("request with one invalid change: error %v, red has limit %v", err, b.limit("red"))
 	}
 	if a, err := b.ask(first); err != nil || a.Durable {
-		t.Fatalf("%+v %v", a, err)
+		t.Fatalf("first request: %+v %v", a, err)
 	}
 	if a, err := b.ask(first); err != nil || a.Durable || a.Revision != 1 {
-		t.Errorf("a repeat before it is durable: %+v %v", a, err)
+		t.Errorf("repeated request before it is durable: %+v %v", a, err)
 	}
 	if _, err := b.ask(Request{ID: "b", Revision: 0, Changes: first.Changes}); err == nil || !strings.Contains(err.Error(), "revision") {
-		t.Errorf("planned for a revision that has passed: %v", err)
+		t.Errorf("request for an outdated revision: %v", err)
 	}
 	b.commit()
 	if a, err := b.ask(first); err != nil || !a.Durable || a.Revision != 1 {
-		t.Errorf("a repeat: %+v %v", a, err)
+		t.Errorf("repeated request once it is durable: %+v %v", a, err)
 	}
 	blue, ok := b.Teams.Lookup("blue")
 	if !ok || !b.HasTeam(blue) || b.limit("red") != 20 || b.replica.Revision() != 1 {
-		t.Errorf("red has %v, the replica %d", b.limit("red"), b.replica.Revision())
+		t.Errorf("red has limit %v, the replica has revision %d", b.limit("red"), b.replica.Revision())
 	}
 	for _, wrong := range []config.Change{{Item: config.Item{Team: "none"}, Value: config.Value{Removed: true}}, {Item: config.Item{Team: "none"}}} {
 		if _, err := b.ask(Request{ID: "x", Revision: 1, Changes: []config.Change{wrong}}); err == nil {
-			t.Errorf("%v was taken", wrong)
+			t.Errorf("invalid change %v was accepted", wrong)
 		}
 	}
 }
 
-// Going back to before a team came to be removes it: the settings say nothing of it. Before, a
-// rollback over such a revision was refused.
+// Undoing the revision that added a team removes the team, since the settings do not define it.
+// Such a rollback was once refused.
 func TestRevertRemovesATeam(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("blue", 5)}}); err != nil {
@@ -149,11 +149,11 @@
 	}
 	b.commit()
 	if blue, ok := b.Teams.Lookup("blue"); !ok || b.HasTeam(blue) || b.limit("blue") != 5 {
-		t.Errorf("the team is there, or its jobs have another limit: %v", b.limit("blue"))
+		t.Errorf("team was not removed, or its limit changed: %v", b.limit("blue"))
 	}
 }
 
-// A lower limit counts from when it is written, a higher one once it is durable.
+// A lower limit takes effect when it is requested, a higher one once it is durable.
 func TestLimitsOnTheirWay(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	ask := func(id string, seen uint64, most float64) {
@@ -164,24 +164,24 @@
 	}
 	ask("lower", 0, 4)
 	if b.limit("red") != 4 {
-		t.Errorf("%v may be used while a limit of 4 is on its way", b.limit("red"))
+		t.Errorf("limit is %v while a lower limit of 4 is pending, want 4", b.limit("red"))
 	}
 	ask("higher", 1, 50)
 	if b.limit("red") != 4 {
-		t.Errorf("%v may be used before 50 are durable", b.limit("red"))
+		t.Errorf("limit is %v before the higher limit of 50 is durable, want 4", b.limit("red"))
 	}
 	b.commit()
 	if b.limit("red") != 50 {
-		t.Errorf("%v may be used of 50", b.limit("red"))
+		t.Errorf("limit is %v, want 50", b.limit("red"))
 	}
 	ask("none", 2, 0)
 	b.commit()
 	if b.limit("red") != 0 {
-		t.Errorf("a limit of %v is left", b.limit("red"))
+		t.Errorf("limit is %v after it was removed, want 0", b.limit("red"))
 	}
 }
 
-// What was set long ago outlives the cleaning of the log, and its revision is not remembered.
+// Compaction keeps items that are still set by revisions which are no longer in the history.
 func TestCleaningKeepsWhatIsSet(t *testing.T) {
 	b := newFixture(t, 2, nil)
 	v := 77.0
@@ -198,7 +198,7 @@
 	}
 	old := b.entries
 	b.entries = nil
-	b.EventLog = newLog(1) // all that was written is in older segments
+	b.EventLog = newLog(1) // all earlier entries are in older segments
 	for _, e := range old {
 		b.Compact(b.now, e)
 	}
@@ -206,19 +206,19 @@
 	b.commit()
 	next := newFixture(t, 2, b.entries)
 	if next.document.Revision() != 9 || len(next.history) != 2 || next.Cfg.Tunables.IdleReturnS != v {
-		t.Errorf("revision %d, %d remembered, idle_return %v", next.document.Revision(), len(next.history), next.Cfg.Tunables.IdleReturnS)
+		t.Errorf("revision %d, %d revisions in the history, idle_return %v", next.document.Revision(), len(next.history), next.Cfg.Tunables.IdleReturnS)
 	}
 	for team, want := range map[string]float64{"team-0": 18, "team-1": 15, "team-2": 16, "team-3": 17, "red": 10} {
 		if next.limit(team) != want {
-			t.Errorf("%s may use %v, wanted %v", team, next.limit(team), want)
+			t.Errorf("limit of %s is %v, want %v", team, next.limit(team), want)
 		}
 	}
 	if n := len(b.entries); n > 5 {
-		t.Errorf("%d entries are left of the log", n)
+		t.Errorf("%d entries are left in the log, want at most 5", n)
 	}
 }
 
-// A leader whose log lacks what was in force changes nothing more.
+// A leader whose log lacks a revision that was in force refuses further changes.
 func TestLostRevisionBlocksChanges(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("red", 4)}}); err != nil {
@@ -231,7 +231,7 @@
 	}
 }
 
-// A controller is told what it lacks, and is behind until it has it.
+// A controller is sent the revisions that it lacks, and has a lag until it reports them.
 func TestControllers(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	b.Acknowledged(b.now, "n1", 0)
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -8,28 +8,28 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// controller is what the leader knows of the configuration that another one has.
+// controller is the last known configuration state of another controller.
 type controller struct {
-	heardAt     time.Duration // when it last reported its revision; 0: never in this term
+	heardAt     time.Duration // when it last reported its revision; 0: not in this term
 	revision    uint64
 	hasSince    time.Duration // when it first reported that revision
-	behindSince time.Duration // since when it lacks a durable revision; 0: it has them all
+	behindSince time.Duration // since when it has lacked a durable revision; 0: it has them all
 }
 
-// durableRevision is a revision that is durable, by its number.
+// durableRevision is the number of a durable revision, and when it became durable.
 type durableRevision struct {
 	revision uint64
 	at       time.Duration
 }
 
-// maxSpreading bounds the revisions that are not in force everywhere: a controller may be
-// down for long.
+// maxSpreading limits the number of tracked revisions that are not in force on all controllers,
+// since a controller may be down for a long time.
 const maxSpreading = 1000
 
-// propagationBounds are the buckets, in seconds, of how long a change takes to be in force.
+// propagationBounds are the upper bounds, in seconds, of the buckets of the propagation histogram.
 var propagationBounds = []float64{0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 11, 20, 60}
 
-// revisionDurable notes that a revision is durable, and who lacks it now.
+// revisionDurable records that a revision is durable and that the other controllers now lack it.
 func (d *Component) revisionDurable(now time.Duration, revision uint64) {
 	d.spreading = append(d.spreading, durableRevision{revision: revision, at: now})
 	d.spreading = slices.Delete(d.spreading, 0, max(0, len(d.spreading)-maxSpreading))
@@ -40,7 +40,7 @@
 	}
 }
 
-// UpdateFor is what another controller is sent with the next heartbeat.
+// UpdateFor returns the update that another controller is sent with the next heartbeat.
 func (d *Component) UpdateFor(name string) *config.Update {
 	has := uint64(0)
 	if c := d.controllers[name]; c != nil {
@@ -50,7 +50,7 @@
 	return &u
 }
 
-// Acknowledged notes the revision that another controller reports to have in force.
+// Acknowledged records the revision that another controller reports as in force.
 func (d *Component) Acknowledged(now time.Duration, name string, revision uint64) {
 	c := d.controllers[name]
 	if c == nil {
@@ -74,7 +74,7 @@
 	d.spreading = slices.DeleteFunc(d.spreading, func(w durableRevision) bool { return d.inForceEverywhere(w.revision) })
 }
 
-// inForceEverywhere reports whether all controllers have a revision.
+// inForceEverywhere reports whether all other controllers have a revision in force.
 func (d *Component) inForceEverywhere(revision uint64) bool {
 	for _, c := range d.controllers {
 		if c.revision < revision {
@@ -84,7 +84,7 @@
 	return true
 }
 
-// lag is for how many seconds a controller has lacked a durable revision.
+// lag returns for how many seconds a controller has lacked a durable revision.
 func (c *controller) lag(now time.Duration) float64 {
 	if c.behindSince == 0 {
 		return 0
@@ -92,7 +92,7 @@
 	return (now - c.behindSince).Seconds()
 }
 
-// Gauges returns the revision and the lag of each controller.
+// Gauges returns the revision and the lag of each controller as metrics.
 func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
 	revisions := map[string]float64{d.Cfg.Node: float64(d.document.Revision())}
 	lags := map[string]float64{d.Cfg.Node: 0}
@@ -102,13 +102,13 @@
 	return []cluster.Gauge{
 		{
 			Name:   "bitternmoor_config_revision",
-			Help:   "Revision of the configuration that a controller has in force.",
+			Help:   "Revision of the configuration in force on a controller.",
 			Label:  "controller",
 			Values: revisions,
 		},
 		{
 			Name:   "bitternmoor_config_lag_seconds",
-			Help:   "For how long a controller has lacked a durable change of the configuration.",
+			Help:   "Time for which a controller has lacked a durable configuration change.",
 			Label:  "controller",
 			Values: lags,
 		},
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -12,35 +12,35 @@
 	"bitternmoor/internal/settings"
 )
 
-// View is the configuration as operators see it.
+// View is the configuration as shown to operators.
 type View struct {
 	Revision    uint64       `json:"revision"`          // durable
-	Pending     int          `json:"pending,omitempty"` // changes that are not
-	Missing     uint64       `json:"missing,omitempty"` // a revision that was in force and is lost
+	Pending     int          `json:"pending,omitempty"` // changes that are not durable yet
+	Missing     uint64       `json:"missing,omitempty"` // a revision that was in force and is missing from the log
 	Controllers []Controller `json:"controllers"`
 	Teams       []Team       `json:"teams"`
 	Tunables    []Tunable    `json:"tunables"`
 }
 
-// Controller is what one controller has in force.
+// Controller is the configuration in force on one controller.
 type Controller struct {
 	Name     string  `json:"name"`
 	Leads    bool    `json:"leads,omitempty"`
-	Heard    bool    `json:"heard"` // in this term
+	Heard    bool    `json:"heard"` // it has reported in this term
 	Revision uint64  `json:"revision"`
-	SinceS   float64 `json:"since_s"` // seconds ago it was first heard to have it
-	LagS     float64 `json:"lag_s"`   // for so many seconds it has lacked something
+	SinceS   float64 `json:"since_s"` // seconds since it first reported this revision
+	LagS     float64 `json:"lag_s"`   // seconds for which it has lacked a durable revision
 }
 
-// Team is a team's guarantee and limit in force.
+// Team is a team's durable guarantee and limit.
 type Team struct {
 	Name     string `json:"name"`
-	Revision uint64 `json:"revision,omitempty"` // that set it; 0: the settings did
+	Revision uint64 `json:"revision,omitempty"` // revision that set it; 0: it comes from the settings
 	Removed  bool   `json:"removed,omitempty"`
 	config.Limits
 }
 
-// Tunable is one that may change while controllers run.
+// Tunable is a tunable that may be changed while controllers run.
 type Tunable struct {
 	Key      string          `json:"key"`
 	Value    float64         `json:"value"`
@@ -49,14 +49,14 @@
 	Effect   settings.Effect `json:"effect"`
 }
 
-// Views of the component, beside the empty one.
+// Names of the views of the component, besides the default one, whose name is empty.
 const (
 	ViewHistory = "history"
-	ViewHere    = "here" // what one controller has; answered by it alone
+	ViewHere    = "here" // what one controller has in force; answered by that controller itself
 )
 
-// Show returns, as JSON, the configuration as a View, or with ViewHistory its history, the
-// newest revision first.
+// Show returns, as JSON, the configuration as a View or, for ViewHistory, the list of revisions,
+// the newest first.
 func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	var out any
 	switch view {
@@ -87,7 +87,7 @@
 	}
 }
 
-// controllerViews are this controller, then the others by name.
+// controllerViews returns the views of this controller, then of the others by name.
 func (d *Component) controllerViews(now time.Duration) []Controller {
 	self := Controller{Name: d.Cfg.Node, Leads: true, Heard: true, Revision: d.document.Revision(), SinceS: d.sinceS(now)}
 	views := []Controller{self}
@@ -102,7 +102,7 @@
 	return views
 }
 
-// teamViews are the teams of the settings, and those that were ever changed, by name.
+// teamViews returns the teams in the settings and those that were ever changed, by name.
 func (d *Component) teamViews() []Team {
 	names := maps.Clone(d.settingsTeams)
 	for _, s := range d.document.All() {
@@ -134,7 +134,7 @@
 	return views
 }
 
-// sinceS is for how many seconds this controller has had its revision.
+// sinceS returns for how many seconds this controller has had its revision.
 func (d *Component) sinceS(now time.Duration) float64 {
 	if d.Config == nil {
 		return 0
@@ -142,13 +142,14 @@
 	return (now - d.Config.RevisionSince()).Seconds()
 }
 
-// LocalView is what one controller has, by its own word. It decides nothing by it.
+// LocalView is the configuration in force on a controller, as reported by itself. It is only for
+// display.
 type LocalView struct {
 	Node     string       `json:"node"`
 	Leads    bool         `json:"leads,omitempty"`
 	Leader   string       `json:"leader,omitempty"`
 	Revision uint64       `json:"revision"`
-	SinceS   float64      `json:"since_s"` // it has had this revision for so long
-	AgeS     float64      `json:"age_s"`   // a leader last told so long ago; below 0: never
+	SinceS   float64      `json:"since_s"` // seconds for which it has had this revision
+	AgeS     float64      `json:"age_s"`   // seconds since a leader last sent an update; negative: never
 	Sets     []config.Set `json:"sets"`
 }
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -1,10 +1,10 @@
-// Package slo is the component of a leader's term that guards service-level objectives:
-// every class and every team gets some of its work done in time, however much of another's
-// comes. It measures, by class and by team in a sliding window, how many jobs were due and
-// how many of them were done by then; and where a share is about to fall below a floor, it
-// boosts jobs at their last chance ahead of all others: the exception `served_floor`.
-// docs/spread.md has the design, with the bound on what it costs others, and the operators'
-// page.
+// Package slo is the component of a leader's term that protects service-level objectives:
+// every class and every team gets some of its work done in time, however much work others
+// submit. It measures, per class and per team in a sliding window, how many jobs were due and
+// how many of them were done in time. Where this share is about to fall below a floor, it
+// boosts jobs at the last moment at which they can still be in time: the exception
+// `served_floor`. docs/spread.md has the design, with the bound on its cost to other jobs, and
+// the operators' page.
 package slo
 
 import (
@@ -18,25 +18,25 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is that of the component. It writes nothing.
+// Name is the key of the component. It writes no log entries.
 const Name = "served"
 
 const (
 	checkInterval = 500 * time.Millisecond
-	// runTimeSlack and placementTime are what a job needs beyond its mean run time: some
-	// tasks run longer, and it takes a time until all are placed.
+	// runTimeSlack and placementTime allow for what a job needs beyond its mean run time: some
+	// tasks run longer, and it takes some time until all are placed.
 	runTimeSlack  = 1.25
 	placementTime = 8 * time.Second
-	// leadTime is how long before its last moment a job is considered: room comes free by
-	// the end of others' tasks.
+	// leadTime is how long before the last possible moment a job is considered, since capacity
+	// becomes free only as other tasks end.
 	leadTime = 10 * time.Second
-	// minOutcomes: a class or a team of which so many jobs were due, and less than the
-	// floor was met, goes ahead of urgent jobs too.
+	// minOutcomes is the number of due jobs from which on the boosted jobs of a class or team
+	// that is below the floor also go ahead of urgent jobs.
 	minOutcomes = 4
-	// minEstimates: a job of a class without an objective, and without a deadline, is due
-	// no sooner than after so many of its owner's estimates of one task.
+	// minEstimates is the least time until a job is due, in its owner's estimates of one task,
+	// if its class has no objective that sets a due time.
 	minEstimates = 2
-	// largestShare: one in so many of the outcomes counts as largest.
+	// largestShare is the divisor for the largest outcomes: one in largestShare counts as such.
 	largestShare = 10
 )
 
@@ -46,15 +46,15 @@
 	team bool
 }
 
-// groupStats is what is known of a class or a team.
+// groupStats holds the statistics of a class or a team.
 type groupStats struct {
 	group
-	outcomes []outcome // in the window, by when they were known
+	outcomes []outcome // in the window, oldest first
 
 	// Open jobs.
 	openJobs int
-	boosted  int // of them
-	atRisk   int // of them: at their last chance and not boosted, as of this check
+	boosted  int // those that are boosted
+	atRisk   int // those at their last chance and not boosted, as of the current check
 
 	// Since the term began.
 	met          uint64
@@ -62,16 +62,16 @@
 	boostedTotal uint64
 }
 
-// outcome is what has become of a job that was due.
+// outcome is the result of a job that was due: met or missed.
 type outcome struct {
 	at     time.Duration
 	met    bool
 	tasks  int
-	work   float64       // of all of its tasks, in processor seconds
-	waited time.Duration // until it began; where it has not, until it was due
+	work   float64       // work of all its tasks, in CPU seconds
+	waited time.Duration // until it began, or was recorded as missed if it had not begun
 }
 
-// trackedJob is an open job that has a time by which it is due.
+// trackedJob is an open job with a due time.
 type trackedJob struct {
 	job     *jobs.Job
 	due     time.Duration
@@ -79,19 +79,19 @@
 	boosted bool
 }
 
-// Component measures and guards objectives in a term.
+// Component measures and protects objectives in a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
 	window      time.Duration
-	floor       float64 // 0: it measures only
+	floor       float64 // 0: it only measures
 	groups      []*groupStats
-	open        []*trackedJob // by when they are due
+	open        []*trackedJob // sorted by due time
 	byJob       map[*jobs.Job]*trackedJob
 	lastCheckAt time.Duration
 }
 
-// New makes the component of a term.
+// New creates the component for a term.
 func New(s *cluster.State) *Component {
 	t := &s.Cfg.Tunables
 	return &Component{
@@ -102,8 +102,8 @@
 	}
 }
 
-// Begin tracks the open jobs of earlier terms. What of them was done in time is not known;
-// a new window begins.
+// Begin tracks the open jobs of earlier terms. Which earlier jobs were done in time is not
+// stored, so a new window begins.
 func (d *Component) Begin(now time.Duration) {
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open {
@@ -112,7 +112,7 @@
 	}
 }
 
-// HandleEvent follows jobs.
+// HandleEvent tracks jobs from when they are ordered until they end.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
@@ -120,12 +120,13 @@
 	case cluster.JobDone:
 		d.jobEnded(e.At, e.Job, true)
 	case cluster.JobRemoved:
-		d.jobEnded(0, e.Job, false) // cancelled: it is nobody's loss
+		d.jobEnded(0, e.Job, false) // cancelled: this counts as neither met nor missed
 	}
 }
 
-// dueTime is by when a job should have ended: the last of its class's objectives for
-// that, or its deadline, or as the operators say where its class has neither.
+// dueTime returns when a job should have ended: at the latest time that its class's objectives
+// for the end or the deadline allow or, if there are none, after the configured default and at
+// least minEstimates of its estimates.
 func (d *Component) dueTime(j *jobs.Job) time.Duration {
 	latest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
@@ -145,7 +146,7 @@
 	return j.AcceptedAt + settings.Seconds(latest)
 }
 
-// statsOf returns the statistics of a class or a team, empty ones if there were none.
+// statsOf returns the statistics of a class or a team, and creates them if there are none.
 func (d *Component) statsOf(g group) *groupStats {
 	for _, s := range d.groups {
 		if s.group == g {
@@ -159,7 +160,7 @@
 
 func byDue(a *trackedJob, due time.Duration) int { return cmp.Compare(a.due, due) }
 
-// trackJob follows a job until it is done or due.
+// trackJob starts tracking a job, unless it is a service or already past its due time.
 func (d *Component) trackJob(now time.Duration, j *jobs.Job) {
 	if j.Record.Kind == jobs.Service || d.byJob[j] != nil {
 		return
@@ -177,7 +178,7 @@
 	}
 }
 
-// jobEnded stops following a job that is done in time, or was cancelled.
+// jobEnded stops tracking a job that is done in time or was cancelled.
 func (d *Component) jobEnded(now time.Duration, j *jobs.Job, done bool) {
 	t := d.byJob[j]
 	if t == nil {
@@ -228,8 +229,8 @@
 	}
 }
 
-// attainmentIf is the share of what was due in the window that was done by then, if the jobs
-// that are boosted make it and so many more do not.
+// attainmentIf returns the share of the jobs due in the window that were done in time, on the
+// assumption that all boosted jobs will be in time and that the given number of others will not.
 func (s *groupStats) attainmentIf(lost int) float64 {
 	all := len(s.outcomes) + s.boosted + lost
 	if all == 0 {
@@ -238,7 +239,7 @@
 	return float64(s.metCount()+s.boosted) / float64(all)
 }
 
-// metCount is how many of those due in the window were done by then.
+// metCount returns how many of the jobs due in the window were done in time.
 func (s *groupStats) metCount() (n int) {
 	for _, o := range s.outcomes {
 		if o.met {
@@ -248,8 +249,8 @@
 	return n
 }
 
-// Tick counts what was missed, and boosts jobs at their last chance where their class or
-// team would fall below the floor without them.
+// Tick records missed jobs, and boosts jobs at their last chance if their class or team would
+// fall below the floor without them.
 func (d *Component) Tick(now time.Duration, _ bool) {
 	if now-d.lastCheckAt < checkInterval {
 		return
@@ -264,7 +265,7 @@
 	d.boostAtRisk(now, ahead)
 }
 
-// expireOutcomes drops the outcomes that have left the window.
+// expireOutcomes drops the outcomes that have left the window, and resets the counts of jobs at risk.
 func (d *Component) expireOutcomes(now time.Duration) {
 	for _, s := range d.groups {
 		s.atRisk = 0
@@ -276,7 +277,7 @@
 	}
 }
 
-// recordMissed records the jobs that were due before now and are still open.
+// recordMissed records as missed the jobs that were due before now and are still open.
 func (d *Component) recordMissed(now time.Duration) {
 	for len(d.open) > 0 && d.open[0].due < now {
 		missed := d.open[0]
@@ -285,8 +286,8 @@
 	}
 }
 
-// updateBoosted puts boosted jobs ahead of urgent ones or behind them, and returns the work
-// of all boosted jobs, in processor seconds: those that are boosted next wait for it.
+// updateBoosted moves boosted jobs ahead of urgent ones or behind them, and returns the remaining
+// work of all boosted jobs, in CPU seconds. Jobs that are boosted later have to wait for it.
 func (d *Component) updateBoosted() (ahead float64) {
 	for _, t := range d.open {
 		if !t.boosted {
@@ -306,8 +307,8 @@
 	return ahead
 }
 
-// boostAtRisk boosts the jobs at their last chance whose class or team would be below the
-// floor without them, in the order in which they are due.
+// boostAtRisk boosts the jobs at their last chance whose class or team would fall below the floor
+// without them, in order of their due times.
 func (d *Component) boostAtRisk(now time.Duration, ahead float64) {
 	cpus := max(d.CPUs(), 1)
 	for _, t := range d.open {
@@ -317,10 +318,10 @@
 		}
 		needs := settings.Seconds(runTimeSlack*j.MeanRunSeconds()+(ahead+remainingWork(j))/cpus) + placementTime
 		if now+needs > t.due {
-			continue // it can no longer make it: room given to it would be lost
+			continue // it can no longer be in time, so boosting it would waste capacity
 		}
 		if now+needs+leadTime < t.due {
-			continue // there is time yet
+			continue // there is still time
 		}
 		for _, s := range t.groups {
 			s.atRisk++
@@ -333,8 +334,8 @@
 	}
 }
 
-// keepsFloorWithout reports whether a job's class and team would keep the floor if it, and
-// all that are at risk as it is, were lost.
+// keepsFloorWithout reports whether a job's class and team would both stay at or above the floor
+// if this job and all others found at risk so far were missed.
 func (d *Component) keepsFloorWithout(t *trackedJob) bool {
 	for _, s := range t.groups {
 		if s.attainmentIf(s.atRisk) < d.floor {
@@ -344,7 +345,7 @@
 	return true
 }
 
-// boost has a job at risk go ahead of others, behind urgent ones at first.
+// boost puts a job at risk ahead of others, at first behind urgent ones.
 func (d *Component) boost(now time.Duration, t *trackedJob) {
 	t.boosted, t.job.Boost = true, jobs.BoostBehindUrgent
 	d.NeedsCycle = true
@@ -358,12 +359,13 @@
 		"job", record.ID, "class", record.Class, "team", record.Team, "due_in", (t.due - now).Round(time.Second).String())
 }
 
-// belowFloor reports whether less than the floor of a job's class or team was met already.
+// belowFloor reports whether a job's class or team is below the floor already, with at least
+// minOutcomes jobs due.
 func (d *Component) belowFloor(t *trackedJob) bool {
 	return slices.ContainsFunc(t.groups[:], func(s *groupStats) bool {
 		return len(s.outcomes) >= minOutcomes && float64(s.metCount()) < d.floor*float64(len(s.outcomes))
 	})
 }
 
-// remainingWork is what a job's waiting tasks take, in processor seconds.
+// remainingWork returns the expected work of a job's waiting tasks, in CPU seconds.
 func remainingWork(j *jobs.Job) float64 { return float64(j.Waiting) * j.MeanRunSeconds() * j.CPUShare }
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -42,21 +42,21 @@
 	return View{}
 }
 
-// By when a job is due: the last of its class's aims, its deadline times what its class
-// bears, or what the operators say.
+// A job is due at the latest of its class's objectives, at its deadline times the factor of the
+// class's objective, or after the configured default.
 func TestDueTime(t *testing.T) {
 	d := begun(0)
 	for class, want := range map[string]time.Duration{"a": 100 * time.Second, "b": 120 * time.Second, "c": 200 * time.Second} {
 		j := d.arrive(10*time.Second, uint64(len(class))+uint64(class[0]), class)
 		if got := d.dueTime(j); got != 10*time.Second+want {
-			t.Errorf("%s: %v", class, got)
+			t.Errorf("job of class %s is due at %v", class, got)
 		}
 	}
 }
 
-// Of jobs that all stand where they would be lost, as many go ahead as the floor asks for
-// and no more, at their last chance and not before; one that cannot make it any more never
-// does, and after its time none goes ahead still.
+// Of jobs that would all be missed, only as many are boosted as the floor requires, and not
+// before their last chance. A job that can no longer be in time is never boosted, and no job
+// stays boosted after its due time.
 func TestFloorBoostsNoMoreThanNeeded(t *testing.T) {
 	for _, floor := range []float64{0, 0.5, 0.6, 1} {
 		d := begun(floor)
@@ -65,7 +65,7 @@
 			list = append(list, d.arrive(0, i+1, "a"))
 		}
 		late := d.arrive(0, 99, "a")
-		late.Record.EstimateS = 90 // it needs 112 s of 100
+		late.Record.EstimateS = 90 // it needs 112 s and is due after 100 s
 		kept := func() (n int) {
 			for _, j := range list {
 				if j.Boost != jobs.NoBoost {
@@ -76,26 +76,26 @@
 		}
 		d.Tick(30*time.Second, true)
 		if kept() != 0 {
-			t.Errorf("floor %v: %d go ahead with time enough", floor, kept())
+			t.Errorf("floor %v: %d jobs are boosted although there is enough time", floor, kept())
 		}
 		d.Tick(58*time.Second, true)
 		d.Tick(59*time.Second, true)
 		want := int(floor*20 + 0.999)
 		if n := kept(); n < want-1 || n > want+1 {
-			t.Errorf("floor %v: %d of 20 go ahead", floor, n)
+			t.Errorf("floor %v: %d of 20 jobs are boosted", floor, n)
 		}
 		if late.Boost != jobs.NoBoost {
-			t.Errorf("floor %v: room goes to a job that is lost", floor)
+			t.Errorf("floor %v: a job that cannot be in time is boosted", floor)
 		}
 		d.Tick(101*time.Second, true)
 		if kept() != 0 || len(d.open) != 0 || d.at("a").Missed != 21 || d.at("t").Boosted != 0 {
-			t.Errorf("floor %v: after their time %d go ahead, %+v", floor, kept(), d.at("a"))
+			t.Errorf("floor %v: after the due time %d jobs are boosted, view is %+v", floor, kept(), d.at("a"))
 		}
 	}
 }
 
-// What is shown is what a plain count of all that was due in the window gives, at every
-// step of random days; and the window forgets.
+// The view always equals a plain count of the jobs due in the window, at every step of random
+// workloads; outcomes older than the window are not counted.
 func TestAttainmentMatchesPlainCount(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 5))
@@ -145,7 +145,7 @@
 					}
 				}
 				if v := d.at(class); due+left > 0 && (v.Due != due || v.Met != met || v.Open != left) {
-					t.Fatalf("seed %d at %v: %s is shown as %+v, counted %d due, %d met, %d open", seed, now, class, v, due, met, left)
+					t.Fatalf("seed %d at %v: view of class %s is %+v, want %d due, %d met, %d open", seed, now, class, v, due, met, left)
 				}
 			}
 		}
@@ -158,18 +158,18 @@
 	raw, err := d.Show(0, "")
 	var list []View
 	if err != nil || json.Unmarshal(raw, &list) != nil || len(list) != 2 || list[0].Team || !list[1].Team || list[0].Share != 1 {
-		t.Errorf("%s %v", raw, err)
+		t.Errorf("unexpected views: %s %v", raw, err)
 	}
 	if _, err := d.Show(0, "x"); err == nil {
-		t.Error("a view that there is not")
+		t.Error("Show accepted an unknown view")
 	}
 	if g := d.Gauges(0); g[0].Values["a"] != 1 || g[1].Values["t"] != 1 {
 		t.Errorf("%+v", g)
 	}
 }
 
-// Of those due, the tenth with most work and the widest are the largest; how long the last
-// of them waited to begin is shown.
+// The largest of the jobs due are the tenth with the most work and the one with the most tasks.
+// The view has the longest time that one of them waited to begin.
 func TestLargestOutcomes(t *testing.T) {
 	d := begun(0)
 	for i := range uint64(20) {
@@ -177,11 +177,11 @@
 		j.FirstRunAt = time.Second
 		switch i {
 		case 3:
-			j.Record.EstimateS, j.FirstRunAt = 500, 90*time.Second // most work, and begins late
+			j.Record.EstimateS, j.FirstRunAt = 500, 90*time.Second // the most work, and begins late
 		case 7:
 			j.Record.EstimateS = 400
 		case 9:
-			j.Tasks = make([]jobs.TaskState, 40) // the widest, of little work
+			j.Tasks = make([]jobs.TaskState, 40) // the most tasks, but little work
 			j.Record.EstimateS = 1
 		}
 		if i != 3 {
--- a/internal/leader/slo/view.go
+++ b/internal/leader/slo/view.go
@@ -10,24 +10,24 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// View is what operators see of a class or a team.
+// View is the state of a class or a team as shown to operators.
 type View struct {
 	Name         string  `json:"name"`
 	Team         bool    `json:"team"`
 	Due          int     `json:"due"`    // jobs due in the window
-	Met          int     `json:"met"`    // of them, done by then
-	Share        float64 `json:"share"`  // 1 where none was due
-	Open         int     `json:"open"`   // jobs not due yet
-	Boosted      int     `json:"kept"`   // of them, those that go ahead of everything
-	Missed       uint64  `json:"missed"` // since the leader began
+	Met          int     `json:"met"`    // of those, done in time
+	Share        float64 `json:"share"`  // Met of Due; 1 if none was due
+	Open         int     `json:"open"`   // open jobs that are not due yet
+	Boosted      int     `json:"kept"`   // of those, the boosted ones
+	Missed       uint64  `json:"missed"` // since the start of the term
 	BoostedTotal uint64  `json:"kept_ever"`
-	// Of those due, the largest: the tenth with most work, and the widest.
+	// The largest of the jobs due: the tenth with the most work, and the one with the most tasks.
 	Largest     int     `json:"largest"`
 	LargestMet  int     `json:"largest_met"`
-	LargestWait float64 `json:"largest_began_after_s"` // the longest of them
+	LargestWait float64 `json:"largest_began_after_s"` // longest time in seconds that one of them waited to begin
 }
 
-// Show returns classes and teams, as a JSON list of View.
+// Show returns the state of all classes and teams, as a JSON list of View.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
@@ -39,7 +39,7 @@
 	return raw, nil
 }
 
-// views are the classes, then the teams, by name.
+// views returns the views of the classes, then of the teams, each sorted by name.
 func (d *Component) views() []View {
 	out := []View{}
 	for _, s := range d.groups {
@@ -83,8 +83,8 @@
 	return v
 }
 
-// largest are the largest of the outcomes in the window: the tenth with most work, and the
-// widest.
+// largest returns the largest outcomes in the window: the tenth with the most work, and the one
+// with the most tasks.
 func (s *groupStats) largest() []outcome {
 	if len(s.outcomes) == 0 {
 		return nil
@@ -99,11 +99,11 @@
 	return append(list[:n:n], widest)
 }
 
-// maxLabels bounds the labels of metrics; the rest is left out.
+// maxLabels limits the label values of a metric; further ones are left out.
 const maxLabels = 100
 
-// Gauges returns the share of each class and team, and what became of each class's largest
-// jobs.
+// Gauges returns the share of jobs done in time per class and team, and the share and longest wait
+// of each class's largest jobs.
 func (d *Component) Gauges(time.Duration) []cluster.Gauge {
 	newGauge := func(name, help, label string) cluster.Gauge {
 		return cluster.Gauge{Name: name, Help: help, Label: label, Values: map[string]float64{}}
@@ -111,9 +111,9 @@
 	const shareHelp = "Share of the jobs due in the window that were done by then."
 	ofClass := newGauge("bitternmoor_served_share_of_class", shareHelp, "class")
 	ofTeam := newGauge("bitternmoor_served_share_of_team", shareHelp, "team")
-	ofLargest := newGauge("bitternmoor_served_share_of_largest", "The same of the class's largest jobs.", "class")
+	ofLargest := newGauge("bitternmoor_served_share_of_largest", "Share of the largest jobs of the class due in the window that were done by then.", "class")
 	largestBegan := newGauge("bitternmoor_largest_began_seconds",
-		"Longest time that one of a class's largest jobs waited to begin.", "class")
+		"Longest time that one of the largest jobs of a class waited to begin.", "class")
 	for _, v := range d.views() {
 		share := ofClass
 		if v.Team {
