--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -50,12 +50,12 @@
 	RentedUnused = "rented_unused"     // a machine was rented and returned without having been given a task
 	DeletedAlive = "deleted_alive"     // a machine was deleted as silent and sent a heartbeat afterwards
 	StartedDone  = "started_done"      // a task was started although its result existed, and ended at once
-	StoppedSoon  = "stopped_soon"      // a task was preempted or moved within soonAfter of its start
-	ReturnedSoon = "returned_and_rent" // a machine of the same machineKind was rented within soonAfter of a return
+	StoppedSoon  = "stopped_soon"      // a task was preempted or moved within needlessWindow of its start
+	ReturnedSoon = "returned_and_rent" // a machine of the same kind was rented within needlessWindow of a return
 )
 
 const (
-	soonAfter          = 10 * time.Second
+	needlessWindow     = 10 * time.Second
 	instantRunSeconds  = 1.5 // a task that ran for less already had its result
 	minEstimateSeconds = 5   // shorter tasks may complete between two heartbeats anyway
 	recordBytes        = 512 // approximate size of a record in the log
@@ -64,15 +64,15 @@
 // stepSecondsBuckets are the upper bounds, in seconds, of the buckets of the step histogram.
 var stepSecondsBuckets = []float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120}
 
-// account records the current cold start and keeps the records of earlier ones.
-type account struct {
-	closed      bool          // the record is complete, or this term needs none
+// recorder records the current cold start and keeps the records of earlier ones.
+type recorder struct {
+	finished    bool          // the record is complete, or this term needs none
 	lastEventAt time.Duration // time of the newest event that has one
 	current     Record
 	earlier     []Record           // sorted by epoch
 	stepSeconds *cluster.Histogram // nil if no records are kept
 
-	missingTasks map[workers.TaskRef]struct{} // tasks that may have been running and are not recovered yet
+	unrecoveredTasks map[workers.TaskRef]struct{} // tasks that may have been running and are not recovered yet
 
 	// State for detecting needless actions.
 	unusedRentals map[*workers.Machine]bool         // rented in this term and not given a task yet
@@ -84,8 +84,8 @@
 // notReached is the value in a Record of a step that was not reached.
 const notReached = -1
 
-func (a *account) initialize(s *cluster.State) {
-	a.current = Record{
+func (rec *recorder) initialize(s *cluster.State) {
+	rec.current = Record{
 		Epoch:        s.Epoch,
 		Node:         s.Cfg.Node,
 		SettledMS:    notReached,
@@ -95,114 +95,114 @@
 		Orders:       map[string]uint64{},
 		Needless:     map[string]uint64{},
 	}
-	a.missingTasks = map[workers.TaskRef]struct{}{}
-	a.unusedRentals = map[*workers.Machine]bool{}
-	a.startedAt = map[workers.TaskRef]time.Duration{}
-	a.returnedAt = map[string]time.Duration{}
-	a.deletedSilent = map[*workers.Machine]bool{}
+	rec.unrecoveredTasks = map[workers.TaskRef]struct{}{}
+	rec.unusedRentals = map[*workers.Machine]bool{}
+	rec.startedAt = map[workers.TaskRef]time.Duration{}
+	rec.returnedAt = map[string]time.Duration{}
+	rec.deletedSilent = map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
-		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds",
-			"Time from the start of a term after a cold start to each recovery step.", "step", stepSecondsBuckets)
+		rec.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds",
+			"Time from the start of a term with a cold start to each recovery step.", "step", stepSecondsBuckets)
 	}
 }
 
 // replay keeps the record that an earlier term stored in an entry.
-func (a *account) replay(s *cluster.State, e eventlog.Entry) {
+func (rec *recorder) replay(s *cluster.State, e eventlog.Entry) {
 	var r Record
 	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
 		s.LogMessage(effects.Warn, "cold start record cannot be read: skipped", "error", err)
 		return
 	}
-	a.remember(r, s.Cfg.Tunables.ColdKept)
+	rec.addRecord(r, s.Cfg.Tunables.ColdKept)
 }
 
-// remember inserts a record by its epoch and drops the oldest records beyond maxRecords.
-func (a *account) remember(r Record, maxRecords int) {
-	i, found := slices.BinarySearchFunc(a.earlier, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
+// addRecord inserts a record by its epoch and drops the oldest records beyond maxRecords.
+func (rec *recorder) addRecord(r Record, maxRecords int) {
+	i, found := slices.BinarySearchFunc(rec.earlier, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
 	if !found {
-		a.earlier = slices.Insert(a.earlier, i, r)
+		rec.earlier = slices.Insert(rec.earlier, i, r)
 	}
-	if excess := len(a.earlier) - maxRecords; excess > 0 {
-		a.earlier = slices.Delete(a.earlier, 0, excess)
+	if excess := len(rec.earlier) - maxRecords; excess > 0 {
+		rec.earlier = slices.Delete(rec.earlier, 0, excess)
 	}
 }
 
 // begin starts the record with the work that may have been running: tasks that earlier
 // terms may have started and that are not known to have ended. Tasks that were reported
 // while the peers were being asked are already recovered and are not missing.
-func (a *account) begin(d *Component, now time.Duration) {
-	a.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
+func (rec *recorder) begin(d *Component, now time.Duration) {
+	rec.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
-		a.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
+		rec.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
-	a.current.DownAtMostMS = -1
+	rec.current.DownAtMostMS = -1
 	if d.newestEntryMS > 0 {
-		a.current.DownAtMostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
+		rec.current.DownAtMostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
 	}
-	a.current.Machines, _ = d.census.Counts()
+	rec.current.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open && j.FromEarlierTerm {
-			a.addJob(j)
+			rec.addJob(j)
 		}
 	}
-	a.current.Tasks = max(a.current.Tasks, len(a.missingTasks))
-	a.recordRecoveredShare(d, now)
+	rec.current.Tasks = max(rec.current.Tasks, len(rec.unrecoveredTasks))
+	rec.recordRecoveredShare(d, now)
 }
 
 // addJob counts a job of an earlier term and those of its tasks that may have been running.
-func (a *account) addJob(j *jobs.Job) {
-	a.current.Jobs++
+func (rec *recorder) addJob(j *jobs.Job) {
+	rec.current.Jobs++
 	for task, state := range j.Tasks {
 		if state == jobs.Waiting && (task < j.UnassignedFrom || j.Record.Kind == jobs.Gang) {
-			a.missingTasks[workers.TaskRef{Job: j.Index, Task: int32(task)}] = struct{}{}
+			rec.unrecoveredTasks[workers.TaskRef{Job: j.Index, Task: int32(task)}] = struct{}{}
 		}
 		if state != jobs.FinishedDurably && task < j.UnassignedFrom {
-			a.current.Tasks++
+			rec.current.Tasks++
 		}
 	}
 }
 
 // allRecovered reports whether all the work that may have been running is recovered.
-func (a *account) allRecovered() bool { return a.closed || len(a.missingTasks) == 0 }
+func (rec *recorder) allRecovered() bool { return rec.finished || len(rec.unrecoveredTasks) == 0 }
 
 // taskRecovered records that a task was found on a machine, has ended or was started again.
-func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, task int) {
+func (rec *recorder) taskRecovered(d *Component, now time.Duration, j *jobs.Job, task int) {
 	ref := workers.TaskRef{Job: j.Index, Task: int32(task)}
-	if _, open := a.missingTasks[ref]; open {
-		delete(a.missingTasks, ref)
-		a.recordRecoveredShare(d, now)
+	if _, open := rec.unrecoveredTasks[ref]; open {
+		delete(rec.unrecoveredTasks, ref)
+		rec.recordRecoveredShare(d, now)
 	}
 }
 
 // recordRecoveredShare records the steps that the share of recovered tasks has reached.
-func (a *account) recordRecoveredShare(d *Component, now time.Duration) {
-	recovered := a.current.Tasks - len(a.missingTasks)
+func (rec *recorder) recordRecoveredShare(d *Component, now time.Duration) {
+	recovered := rec.current.Tasks - len(rec.unrecoveredTasks)
 	steps := []struct {
 		name    string
 		afterMS *int64
 		percent int
 	}{
-		{"work_half", &a.current.WorkHalfMS, 50},
-		{"work_ninety", &a.current.WorkNinetyMS, 90},
-		{"work_all", &a.current.WorkAllMS, 100},
+		{"work_half", &rec.current.WorkHalfMS, 50},
+		{"work_ninety", &rec.current.WorkNinetyMS, 90},
+		{"work_all", &rec.current.WorkAllMS, 100},
 	}
 	for _, s := range steps {
-		if *s.afterMS < 0 && recovered*100 >= a.current.Tasks*s.percent {
-			a.recordStep(d, now, s.name, s.afterMS)
+		if *s.afterMS < 0 && recovered*100 >= rec.current.Tasks*s.percent {
+			rec.recordStep(d, now, s.name, s.afterMS)
 		}
 	}
 }
 
 // recordStep records when a step was reached, in milliseconds since the start of the term.
-func (a *account) recordStep(d *Component, now time.Duration, step string, afterMS *int64) {
+func (rec *recorder) recordStep(d *Component, now time.Duration, step string, afterMS *int64) {
 	*afterMS = max(0, (now - d.TermBegan).Milliseconds())
-	a.observeStep(step, *afterMS)
+	rec.observeStep(step, *afterMS)
 }
 
 // observeStep adds a step to the histogram.
-func (a *account) observeStep(step string, afterMS int64) {
-	if a.stepSeconds != nil {
-		a.stepSeconds.Observe(step, float64(afterMS)/1000)
+func (rec *recorder) observeStep(step string, afterMS int64) {
+	if rec.stepSeconds != nil {
+		rec.stepSeconds.Observe(step, float64(afterMS)/1000)
 	}
 }
 
@@ -210,31 +210,31 @@
 func machineKind(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
 
 // handleEvent counts actions and detects those that were needless.
-func (a *account) handleEvent(d *Component, e cluster.Event) {
-	if a.closed {
+func (rec *recorder) handleEvent(d *Component, e cluster.Event) {
+	if rec.finished {
 		return
 	}
-	a.lastEventAt = max(a.lastEventAt, e.At)
+	rec.lastEventAt = max(rec.lastEventAt, e.At)
 	switch e.Kind {
 	case cluster.TaskAdopted:
-		a.taskRecovered(d, e.At, e.Job, e.Task)
+		rec.taskRecovered(d, e.At, e.Job, e.Task)
 	case cluster.TaskPlaced:
-		a.taskPlaced(d, e)
+		rec.taskPlaced(d, e)
 	case cluster.TaskDone:
-		a.taskDone(d, e)
+		rec.taskDone(d, e)
 	case cluster.TaskStopped:
-		a.taskStopped(e)
+		rec.taskStopped(e)
 	case cluster.MachineRented:
-		a.machineRented(e)
+		rec.machineRented(e)
 	case cluster.MachineDecommissioned:
-		a.machineDecommissioned(e)
+		rec.machineDecommissioned(e)
 	case cluster.HeartbeatApplied:
-		if a.deletedSilent[e.Machine] {
-			delete(a.deletedSilent, e.Machine)
-			a.current.Needless[DeletedAlive]++
+		if rec.deletedSilent[e.Machine] {
+			delete(rec.deletedSilent, e.Machine)
+			rec.current.Needless[DeletedAlive]++
 		}
 	case cluster.JobRemoved:
-		a.jobRemoved(d, e.Job)
+		rec.jobRemoved(d, e.Job)
 	}
 }
 
@@ -246,90 +246,90 @@
 // mayHaveRun reports whether an earlier term may have started the task that an event refers to.
 func mayHaveRun(e cluster.Event) bool { return e.Job.FromEarlierTerm && e.Task < e.Job.UnassignedFrom }
 
-func (a *account) taskPlaced(d *Component, e cluster.Event) {
+func (rec *recorder) taskPlaced(d *Component, e cluster.Event) {
 	action := cluster.StartNew
 	if mayHaveRun(e) {
 		action = cluster.StartAgain
 	}
-	a.current.Orders[action.String()]++
-	a.startedAt[taskOf(e)] = e.At
-	delete(a.unusedRentals, e.Machine)
-	a.taskRecovered(d, e.At, e.Job, e.Task)
+	rec.current.Orders[action.String()]++
+	rec.startedAt[taskOf(e)] = e.At
+	delete(rec.unusedRentals, e.Machine)
+	rec.taskRecovered(d, e.At, e.Job, e.Task)
 }
 
-func (a *account) taskDone(d *Component, e cluster.Event) {
-	a.taskRecovered(d, e.At, e.Job, e.Task)
-	_, startedHere := a.startedAt[taskOf(e)]
+func (rec *recorder) taskDone(d *Component, e cluster.Event) {
+	rec.taskRecovered(d, e.At, e.Job, e.Task)
+	_, startedHere := rec.startedAt[taskOf(e)]
 	tooQuick := e.RunSeconds < instantRunSeconds && e.Job.Record.EstimateS > minEstimateSeconds
 	if startedHere && tooQuick && mayHaveRun(e) {
-		a.current.Needless[StartedDone]++
+		rec.current.Needless[StartedDone]++
 	}
-	delete(a.startedAt, taskOf(e))
+	delete(rec.startedAt, taskOf(e))
 }
 
-func (a *account) taskStopped(e cluster.Event) {
-	a.current.Orders[e.Action.String()]++
-	if at, startedHere := a.startedAt[taskOf(e)]; startedHere && e.At-at < soonAfter {
-		a.current.Needless[StoppedSoon]++
+func (rec *recorder) taskStopped(e cluster.Event) {
+	rec.current.Orders[e.Action.String()]++
+	if at, startedHere := rec.startedAt[taskOf(e)]; startedHere && e.At-at < needlessWindow {
+		rec.current.Needless[StoppedSoon]++
 	}
 }
 
-func (a *account) machineRented(e cluster.Event) {
-	a.current.Orders[cluster.Rent.String()]++
-	a.unusedRentals[e.Machine] = true
-	if at, returned := a.returnedAt[machineKind(e.Machine)]; returned && e.At-at < soonAfter {
-		a.current.Needless[ReturnedSoon]++
+func (rec *recorder) machineRented(e cluster.Event) {
+	rec.current.Orders[cluster.Rent.String()]++
+	rec.unusedRentals[e.Machine] = true
+	if at, returned := rec.returnedAt[machineKind(e.Machine)]; returned && e.At-at < needlessWindow {
+		rec.current.Needless[ReturnedSoon]++
 	}
 }
 
-func (a *account) machineDecommissioned(e cluster.Event) {
-	a.current.Orders[e.Action.String()]++
+func (rec *recorder) machineDecommissioned(e cluster.Event) {
+	rec.current.Orders[e.Action.String()]++
 	switch e.Action {
 	case cluster.Return:
-		a.returnedAt[machineKind(e.Machine)] = e.At
-		if a.unusedRentals[e.Machine] {
-			a.current.Needless[RentedUnused]++
+		rec.returnedAt[machineKind(e.Machine)] = e.At
+		if rec.unusedRentals[e.Machine] {
+			rec.current.Needless[RentedUnused]++
 		}
 	case cluster.Delete:
-		a.deletedSilent[e.Machine] = true
+		rec.deletedSilent[e.Machine] = true
 	}
 }
 
 // jobRemoved counts a removed job's tasks as recovered. The event carries no time, so the time
 // of the newest event is used.
-func (a *account) jobRemoved(d *Component, j *jobs.Job) {
-	now := max(a.lastEventAt, d.TermBegan)
+func (rec *recorder) jobRemoved(d *Component, j *jobs.Job) {
+	now := max(rec.lastEventAt, d.TermBegan)
 	for task := range j.Tasks {
-		a.taskRecovered(d, now, j, task)
-		delete(a.startedAt, workers.TaskRef{Job: j.Index, Task: int32(task)})
+		rec.taskRecovered(d, now, j, task)
+		delete(rec.startedAt, workers.TaskRef{Job: j.Index, Task: int32(task)})
 	}
 }
 
-// tick records when the census settled, and completes the record after accountTime.
-func (a *account) tick(d *Component, now time.Duration, leaseValid bool) {
-	if d.kind != coldStart || a.closed || !leaseValid {
+// tick records when the census settled, and completes the record after recordingTime.
+func (rec *recorder) tick(d *Component, now time.Duration, leaseValid bool) {
+	if d.kind != coldStart || rec.finished || !leaseValid {
 		return
 	}
-	if d.census.settled && a.current.SettledMS < 0 {
-		a.current.SettledMS = (d.census.settledAt - d.TermBegan).Milliseconds()
-		a.observeStep("settled", a.current.SettledMS)
+	if d.census.settled && rec.current.SettledMS < 0 {
+		rec.current.SettledMS = (d.census.settledAt - d.TermBegan).Milliseconds()
+		rec.observeStep("settled", rec.current.SettledMS)
 	}
-	if now-d.TermBegan < accountTime {
+	if now-d.TermBegan < recordingTime {
 		return
 	}
-	a.closed = true
-	a.copyDifferences(d)
-	a.log(d)
-	a.missingTasks, a.unusedRentals, a.startedAt, a.returnedAt, a.deletedSilent = nil, nil, nil, nil, nil
+	rec.finished = true
+	rec.copyDifferences(d)
+	rec.log(d)
+	rec.unrecoveredTasks, rec.unusedRentals, rec.startedAt, rec.returnedAt, rec.deletedSilent = nil, nil, nil, nil, nil
 	if d.Cfg.Tunables.ColdKept > 0 {
-		a.remember(a.current, d.Cfg.Tunables.ColdKept)
-		a.store(d)
+		rec.addRecord(rec.current, d.Cfg.Tunables.ColdKept)
+		rec.store(d)
 	}
 }
 
 // log writes the completed record to the log output.
-func (a *account) log(d *Component) {
-	r := &a.current
+func (rec *recorder) log(d *Component) {
+	r := &rec.current
 	d.LogMessage(effects.Info, "cold start",
 		"epoch", r.Epoch, "machines", r.Machines, "jobs", r.Jobs, "tasks", r.Tasks,
 		"settled_ms", r.SettledMS, "work_half_ms", r.WorkHalfMS, "work_ninety_ms", r.WorkNinetyMS, "work_all_ms", r.WorkAllMS,
@@ -337,10 +337,10 @@
 }
 
 // store appends the completed record to the event log.
-func (a *account) store(d *Component) {
-	e := eventlog.NewComponentEntry(Name, a.current)
+func (rec *recorder) store(d *Component) {
+	e := eventlog.NewComponentEntry(Name, rec.current)
 	if !d.EventLog.Fits(e) { // the differences are its longest and least important part
-		short := a.current
+		short := rec.current
 		short.Differences = nil
 		e = eventlog.NewComponentEntry(Name, short)
 	}
@@ -353,11 +353,11 @@
 
 // copyDifferences copies the counts of the differences that reconciliation has found so far and
 // did not resolve as Keep.
-func (a *account) copyDifferences(d *Component) {
-	a.current.Differences = map[string]uint64{}
+func (rec *recorder) copyDifferences(d *Component) {
+	rec.current.Differences = map[string]uint64{}
 	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
 		if s := x.Resolution(); s != reconcile.Keep {
-			a.current.Differences[x.String()] = n
+			rec.current.Differences[x.String()] = n
 		}
 	})
 }
@@ -372,7 +372,7 @@
 }
 
 // LiveBytes returns approximately how many bytes Compact would write for the whole log.
-func (d *Component) LiveBytes() int { return len(d.account.earlier) * recordBytes }
+func (d *Component) LiveBytes() int { return len(d.recorder.earlier) * recordBytes }
 
 // Compact appends an entry again if its record is still kept.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
@@ -380,7 +380,7 @@
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
 		return
 	}
-	if slices.ContainsFunc(d.account.earlier, func(x Record) bool { return x.Epoch == r.Epoch }) {
+	if slices.ContainsFunc(d.recorder.earlier, func(x Record) bool { return x.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
 }
@@ -392,11 +392,11 @@
 		return nil, cluster.ErrUnknownView
 	}
 	records := []Record{}
-	if d.kind == coldStart && !d.account.closed {
-		d.account.copyDifferences(d)
-		records = append(records, d.account.current)
+	if d.kind == coldStart && !d.recorder.finished {
+		d.recorder.copyDifferences(d)
+		records = append(records, d.recorder.current)
 	}
-	for _, r := range slices.Backward(d.account.earlier) {
+	for _, r := range slices.Backward(d.recorder.earlier) {
 		records = append(records, r)
 	}
 	raw, err := json.Marshal(records)
@@ -411,10 +411,10 @@
 	if d.kind != coldStart {
 		return nil
 	}
-	if !d.account.closed {
-		d.account.copyDifferences(d)
+	if !d.recorder.finished {
+		d.recorder.copyDifferences(d)
 	}
-	r := &d.account.current
+	r := &d.recorder.current
 	return []cluster.Gauge{
 		{
 			Name:   "bitternmoor_cold_start_differences",
--- a/internal/leader/coldstart/census.go
+++ b/internal/leader/coldstart/census.go
@@ -15,7 +15,7 @@
 	params          Params
 	began           time.Duration
 	zones           []zone
-	allPeersSince   time.Duration // when allPeersReached last changed
+	peersChangedAt  time.Duration // when allPeersReached last changed
 	allPeersReached bool          // whether all other controllers can be reached
 	settled         bool
 	settledAt       time.Duration // when the fleet became settled
@@ -45,7 +45,7 @@
 
 // NewCensus starts a census. registered is the number of machines to be heard, by zone index.
 func NewCensus(now time.Duration, p Params, registered []int) *Census {
-	c := &Census{params: p, began: now, allPeersReached: p.Peers == 0, allPeersSince: now}
+	c := &Census{params: p, began: now, allPeersReached: p.Peers == 0, peersChangedAt: now}
 	for _, n := range registered {
 		c.zones = append(c.zones, zone{registered: n, lastHeardAt: now})
 	}
@@ -61,12 +61,12 @@
 	}
 }
 
-// PeersUnreached records how many of the other controllers cannot be reached. A worker that
+// SetUnreachablePeers records how many of the other controllers cannot be reached. A worker that
 // tries one of them takes longer to reach this controller, even if it tried just before the
 // other one came back.
-func (c *Census) PeersUnreached(now time.Duration, count int) {
+func (c *Census) SetUnreachablePeers(now time.Duration, count int) {
 	if all := count == 0; all != c.allPeersReached {
-		c.allPeersReached, c.allPeersSince = all, now
+		c.allPeersReached, c.peersChangedAt = all, now
 	}
 }
 
@@ -86,7 +86,7 @@
 	if !c.allPeersReached {
 		return longest
 	}
-	return min(longest, c.allPeersSince-c.began+c.nextAttemptDelay()+heartbeatGrace)
+	return min(longest, c.peersChangedAt-c.began+c.nextAttemptDelay()+heartbeatGrace)
 }
 
 // nextAttemptDelay returns the longest time until a worker's next attempt: the worker is either
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -39,16 +39,17 @@
 	// proves nothing: it is down, cut off, or of a version without this request.
 	peerAnswerTimeout = 1500 * time.Millisecond
 
-	// maxPacingTime is when the rate limit of task starts ends at the latest, and accountTime
-	// is how long needless actions are recorded. Both count from the start of the term.
+	// maxPacingTime is when the rate limit of task starts ends at the latest, and
+	// recordingTime is how long needless actions are recorded. Both count from the start of the
+	// term.
 	maxPacingTime = time.Minute
-	accountTime   = 2 * time.Minute
+	recordingTime = 2 * time.Minute
 
 	// peerLostAfter is how long after its last answer a peer counts as lost.
 	peerLostAfter = 3 * time.Second
 
-	// announceWithin is the time after its election in which a leader announces itself to peers.
-	announceWithin = 2 * time.Second
+	// maxAnnounceDelay is the time after its election in which a leader announces itself to peers.
+	maxAnnounceDelay = 2 * time.Second
 )
 
 // Component handles the start of a term. It is the term's cluster.Gate and cluster.StartPacer.
@@ -58,7 +59,7 @@
 	kind         startKind
 	census       *Census
 	startLimiter *ratelimit.StartLimiter
-	account      account
+	recorder     recorder
 
 	// Peers, by node name.
 	peersAsked   map[string]bool // peers whose answer is still awaited
@@ -71,7 +72,7 @@
 // New creates the component for a term.
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, peersAsked: map[string]bool{}, peerHeardAt: map[string]time.Duration{}}
-	d.account.initialize(s)
+	d.recorder.initialize(s)
 	if s.Cfg.Tunables.ColdListen == 1 {
 		s.Gate, s.StartPacer = d, d
 	}
@@ -86,7 +87,7 @@
 	case e.CompletedTasks != nil:
 		d.newestEntryMS = max(d.newestEntryMS, e.CompletedTasks.AtMS)
 	case e.Component != nil:
-		d.account.replay(d.State, e)
+		d.recorder.replay(d.State, e)
 	}
 }
 
@@ -146,7 +147,7 @@
 	case leadership.FleetKnown:
 		return true
 	case leadership.FleetUnspecified:
-		return led.Until-led.Since >= announceWithin
+		return led.Until-led.Since >= maxAnnounceDelay
 	}
 	return false
 }
@@ -189,15 +190,15 @@
 	d.kind = k
 	d.NeedsCycle = true
 	if k != coldStart {
-		d.account.closed = true
+		d.recorder.finished = true
 		return
 	}
-	d.account.begin(d, now)
+	d.recorder.begin(d, now)
 	registered, _ := d.census.Counts()
 	d.LogMessage(effects.Info, "cold start detected, taking census of workers",
 		"epoch", d.Epoch, "machines", registered, "jobs", d.Jobs.Len(),
-		"down_at_least", d.account.current.minDowntime().String(),
-		"down_at_most", d.account.current.maxDowntime().String(),
+		"down_at_least", d.recorder.current.minDowntime().String(),
+		"down_at_most", d.recorder.current.maxDowntime().String(),
 		"at_longest", d.census.MaxSilenceAllowance().String())
 }
 
@@ -209,7 +210,7 @@
 	if d.kind == failoverStart {
 		return
 	}
-	d.census.PeersUnreached(now, d.lostPeers(now))
+	d.census.SetUnreachablePeers(now, d.lostPeers(now))
 	if before := d.census.settled; d.census.Settled(now) && !before {
 		registered, heard := d.census.Counts()
 		d.NeedsCycle = true
@@ -217,7 +218,7 @@
 		d.LogMessage(effects.Info, "cold start census settled",
 			"epoch", d.Epoch, "heard", heard, "of", registered, "after", after.String())
 	}
-	d.account.tick(d, now, leaseValid)
+	d.recorder.tick(d, now, leaseValid)
 }
 
 // lostPeers counts the peers that have not answered within peerLostAfter.
@@ -272,7 +273,7 @@
 // pacesStarts reports whether starts are rate-limited: after a cold start, until the work that
 // may have been running is recovered, and for maxPacingTime at most.
 func (d *Component) pacesStarts(now time.Duration) bool {
-	return d.kind == coldStart && !d.account.allRecovered() && now-d.TermBegan < maxPacingTime
+	return d.kind == coldStart && !d.recorder.allRecovered() && now-d.TermBegan < maxPacingTime
 }
 
 // HandleEvent updates the census and the record.
@@ -283,5 +284,5 @@
 	if e.Kind == cluster.MachineResolved && d.census != nil {
 		d.census.MachineHeard(e.At, e.Machine.Zone)
 	}
-	d.account.handleEvent(d, e)
+	d.recorder.handleEvent(d, e)
 }
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -35,37 +35,37 @@
 			zones = append(zones, r.IntN(60))
 		}
 		c := NewCensus(began, p, zones)
-		left := append([]int(nil), zones...)
-		lost := r.Float64() // share of the machines that never report
-		registered, heard, was := 0, 0, false
+		unheard := append([]int(nil), zones...)
+		silentShare := r.Float64() // share of the machines that never report
+		registered, heard, wasSettled := 0, 0, false
 		for _, n := range zones {
 			registered += n
 		}
 		for now := began; now <= began+c.MaxSilenceAllowance()+time.Second; now += 50 * time.Millisecond {
 			if r.IntN(10) == 0 {
-				c.PeersUnreached(now, r.IntN(p.Peers+1))
+				c.SetUnreachablePeers(now, r.IntN(p.Peers+1))
 			}
-			if z := r.IntN(len(zones)); left[z] > int(lost*float64(zones[z])) {
-				left[z]--
+			if z := r.IntN(len(zones)); unheard[z] > int(silentShare*float64(zones[z])) {
+				unheard[z]--
 				heard++
 				c.MachineHeard(now, int32(z))
 			}
 			if c.SilenceAllowance() > c.MaxSilenceAllowance() {
 				t.Fatalf("seed %d: allowance is %v, want at most %v", seed, c.SilenceAllowance(), c.MaxSilenceAllowance())
 			}
-			is := c.Settled(now)
-			if was && !is {
+			isSettled := c.Settled(now)
+			if wasSettled && !isSettled {
 				t.Fatalf("seed %d: census is no longer settled", seed)
 			}
-			if is && !was && now-began < c.SilenceAllowance() {
+			if isSettled && !wasSettled && now-began < c.SilenceAllowance() {
 				early++
 				if p.Share == 1 && heard*2 < registered {
 					t.Fatalf("seed %d: census settled with %d of %d machines heard", seed, heard, registered)
 				}
 			}
-			was = is
+			wasSettled = isSettled
 		}
-		if !was {
+		if !wasSettled {
 			t.Fatalf("seed %d: census with %+v never settles", seed, p)
 		}
 	}
@@ -82,13 +82,13 @@
 		const n = 3
 		interval := time.Duration(1+r.IntN(5)) * time.Second
 		c := NewCensus(0, Params{Share: 1, Interval: interval, Peers: n - 1}, []int{1})
-		var up [n]time.Duration // when each controller comes back; the first one is the leader
+		var upAt [n]time.Duration // when each controller comes back; the first one is the leader
 		for i := 1; i < n; i++ {
-			up[i] = time.Duration(r.IntN(20000)) * time.Millisecond
+			upAt[i] = time.Duration(r.IntN(20000)) * time.Millisecond
 		}
 		// The worker tries a node at a time, with the timing of the platform's workers.
 		at, node := -time.Duration(r.IntN(4000))*time.Millisecond, r.IntN(n)
-		for at < up[node] { // until it is answered; a node that does not lead relays the heartbeat
+		for at < upAt[node] { // until it is answered; a node that does not lead relays the heartbeat
 			at += 5 * time.Second // four seconds without an answer, one more before the next attempt
 			node = (node + 1) % n
 		}
@@ -98,23 +98,23 @@
 		}
 		var now time.Duration
 		for ; now < at; now += 50 * time.Millisecond {
-			away := 0
-			for _, u := range up {
+			unreachable := 0
+			for _, u := range upAt {
 				if now < u {
-					away++
+					unreachable++
 				}
 			}
-			c.PeersUnreached(now, away)
+			c.SetUnreachablePeers(now, unreachable)
 			if now > c.SilenceAllowance() {
-				t.Fatalf("seed %d: worker given up at %v, it reports at %v: controllers up at %v", seed, now, at, up)
+				t.Fatalf("seed %d: worker given up at %v, it reports at %v: controllers up at %v", seed, now, at, upAt)
 			}
 		}
 	}
 }
 
-// begun returns the component of a term that has replayed ten registered machines and a job
+// newComponent returns the component of a term that has replayed ten registered machines and a job
 // whose tasks may be running on all of them.
-func begun(change func(*cluster.TermStart, *settings.Tunables)) *Component {
+func newComponent(change func(*cluster.TermStart, *settings.Tunables)) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Deployment.Workers.ReportS = 2
@@ -145,13 +145,13 @@
 
 // A cold start is distinguished from a failover by what this process has heard itself, and
 // otherwise by the peers' answers. A peer that does not answer proves nothing.
-func TestBeginningIsToldApart(t *testing.T) {
+func TestStartKindIsDetected(t *testing.T) {
 	at := 100 * time.Second
 	led := func(ago, lasted time.Duration, f leadership.FleetKnowledge) leadership.LeaderRecord {
 		return leadership.LeaderRecord{Known: true, Since: at - ago - lasted, Until: at - ago, Fleet: f}
 	}
 	none := leadership.LeaderRecord{}
-	noPeer := func(*Component) {}
+	noAction := func(*Component) {}
 	noAnswer := func(d *Component) { d.Tick(at+2*time.Second, true) }
 	for _, c := range []struct {
 		name   string
@@ -159,8 +159,8 @@
 		answer func(d *Component)
 		want   startKind
 	}{
-		{"it recently heard a leader with a known fleet", led(2*time.Second, time.Second, leadership.FleetKnown), noPeer, failoverStart},
-		{"it recently heard a leader that announced nothing", led(2*time.Second, 9*time.Second, leadership.FleetUnspecified), noPeer, failoverStart},
+		{"it recently heard a leader with a known fleet", led(2*time.Second, time.Second, leadership.FleetKnown), noAction, failoverStart},
+		{"it recently heard a leader that announced nothing", led(2*time.Second, 9*time.Second, leadership.FleetUnspecified), noAction, failoverStart},
 		{"that leader was gone too soon to announce anything", led(2*time.Second, time.Second, leadership.FleetUnspecified), noAnswer, coldStart},
 		{"it recently heard a leader that was still reconciling", led(2*time.Second, 9*time.Second, leadership.FleetReconciling), noAnswer, coldStart},
 		{"it heard a leader long ago", led(50*time.Second, time.Minute, leadership.FleetKnown), noAnswer, coldStart},
@@ -187,15 +187,15 @@
 		}, failoverStart},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.PreviousLeader = c.before })
+			d := newComponent(func(s *cluster.TermStart, _ *settings.Tunables) { s.PreviousLeader = c.before })
 			c.answer(d)
 			if d.kind != c.want {
 				t.Errorf("kind is %v, want %v", d.kind, c.want)
 			}
-			open := d.kind == failoverStart
+			wantPermitted := d.kind == failoverStart
 			for _, action := range []cluster.Action{cluster.Rent, cluster.Return, cluster.Preempt, cluster.Move} {
-				if got := d.Permits(at, action); got != open {
-					t.Errorf("Permits(%v) = %v, want %v", action, got, open)
+				if got := d.Permits(at, action); got != wantPermitted {
+					t.Errorf("Permits(%v) = %v, want %v", action, got, wantPermitted)
 				}
 			}
 			if !d.Permits(at, cluster.StartAgain) || !d.Permits(at, cluster.Delete) {
@@ -208,12 +208,12 @@
 // Work counts as recovered when it is found, done or started again. Actions are counted, and
 // those that turn out to be needless as well. One entry is written in the end, from which
 // later leaders restore the record.
-func TestAccountCountsRecoveryAndNeedlessActions(t *testing.T) {
-	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
+func TestRecordCountsRecoveryAndNeedlessActions(t *testing.T) {
+	d := newComponent(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	j, all := d.Jobs.ByID(1), d.Inventory.All()
-	if d.kind != coldStart || d.account.current.Tasks != 10 || d.account.current.DownAtMostMS != 40_000 {
-		t.Fatalf("kind is %v, record is %+v", d.kind, d.account.current)
+	if d.kind != coldStart || d.recorder.current.Tasks != 10 || d.recorder.current.DownAtMostMS != 40_000 {
+		t.Fatalf("kind is %v, record is %+v", d.kind, d.recorder.current)
 	}
 	for i, m := range all[:9] {
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: at(101), Machine: m})
@@ -245,8 +245,8 @@
 		e.At = at(110)
 		d.HandleEvent(e)
 	}
-	d.Tick(at(100)+accountTime, true)
-	d.Tick(at(200)+accountTime, true)
+	d.Tick(at(100)+recordingTime, true)
+	d.Tick(at(200)+recordingTime, true)
 	raw, err := d.Show(0, "")
 	if err != nil {
 		t.Fatal(err)
@@ -270,7 +270,7 @@
 		t.Errorf("%d entries were written, want 1", d.EventLog.PendingCount())
 	}
 	// A later leader keeps each record once, and no more records than its limit.
-	next := begun(func(s *cluster.TermStart, _ *settings.Tunables) {
+	next := newComponent(func(s *cluster.TermStart, _ *settings.Tunables) {
 		s.PreviousLeader = leadership.LeaderRecord{Known: true, Until: 99 * time.Second, Fleet: leadership.FleetKnown}
 	})
 	for _, epoch := range []uint64{1, 2, 7, 7} {
@@ -282,19 +282,19 @@
 		next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: data}})
 	}
 	next.Replay(0, eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: json.RawMessage(`"?"`)}})
-	if len(next.account.earlier) != 3 || next.account.earlier[2].Epoch != 7 {
-		t.Errorf("%d records are kept, want 3 with epoch 7 last", len(next.account.earlier))
+	if len(next.recorder.earlier) != 3 || next.recorder.earlier[2].Epoch != 7 {
+		t.Errorf("%d records are kept, want 3 with epoch 7 last", len(next.recorder.earlier))
 	}
 }
 
 // The tasks of a cancelled job count as recovered when the job is removed, not before.
-func TestCancelledWorkIsRecoveredWhenItsJobLeaves(t *testing.T) {
-	d := begun(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
+func TestCancelledJobIsRecoveredWhenRemoved(t *testing.T) {
+	d := newComponent(func(s *cluster.TermStart, _ *settings.Tunables) { s.Cfg.Peers = nil })
 	heard := d.Inventory.All()[0]
 	d.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: 107 * time.Second, Machine: heard, Report: &workers.Report{}})
 	d.HandleEvent(cluster.Event{Kind: cluster.JobRemoved, Job: d.Jobs.ByID(1)})
-	if d.account.current.WorkAllMS != 7000 || !d.account.allRecovered() {
-		t.Errorf("work was recovered after %d ms, want 7000", d.account.current.WorkAllMS)
+	if d.recorder.current.WorkAllMS != 7000 || !d.recorder.allRecovered() {
+		t.Errorf("work was recovered after %d ms, want 7000", d.recorder.current.WorkAllMS)
 	}
 }
 
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -22,11 +22,11 @@
 const Name = "takeovers"
 
 const (
-	// maxAccountTime is when the record of a failover is completed at the latest, even if
+	// maxRecordingTime is when the record of a failover is completed at the latest, even if
 	// some steps were not reached.
 	// firstStartTimeout is how long to wait for the first task start once all other steps are
 	// reached: there may be no task to start.
-	maxAccountTime    = 3 * time.Minute
+	maxRecordingTime  = 3 * time.Minute
 	firstStartTimeout = 10 * time.Second
 
 	recordBytes = 220 // approximate size of an entry
@@ -48,7 +48,7 @@
 	stepCount
 )
 
-var stepWords = [stepCount]string{
+var stepNames = [stepCount]string{
 	Elected:        "elected",
 	LogRead:        "log_read",
 	FirstHeartbeat: "first_report",
@@ -59,7 +59,7 @@
 	JobsUnblocked:  "all_jobs_free",
 }
 
-func (s Step) String() string { return stepWords[s] }
+func (s Step) String() string { return stepNames[s] }
 
 // Heading returns the step's column heading in a table.
 func (s Step) Heading() string { return strings.ToUpper(strings.ReplaceAll(s.String(), "_", " ")) }
@@ -112,7 +112,7 @@
 
 	// This term's failover.
 	current           storedRecord
-	closed            bool // the record is complete
+	finished          bool // the record is complete
 	unresolvedAtStart int  // registered machines that were unresolved when the log was read
 	unresolvedNow     int  // those of them that still are
 }
@@ -141,7 +141,7 @@
 // compaction.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	if r, ok := d.decode(e); ok {
-		d.remember(r)
+		d.addRecord(r)
 	}
 }
 
@@ -158,8 +158,8 @@
 	return r, true
 }
 
-// remember inserts a record by its epoch and drops the oldest records beyond maxRecords.
-func (d *Component) remember(r storedRecord) {
+// addRecord inserts a record by its epoch and drops the oldest records beyond maxRecords.
+func (d *Component) addRecord(r storedRecord) {
 	i, found := slices.BinarySearchFunc(d.earlier, r, func(a, b storedRecord) int { return cmp.Compare(a.Epoch, b.Epoch) })
 	if found {
 		return
@@ -181,7 +181,7 @@
 	d.unresolvedNow = d.unresolvedAtStart
 	d.current.Machines, d.current.Jobs, d.current.HeldBack = d.unresolvedAtStart, d.Jobs.Len(), d.blockedJobs()
 	if d.unresolvedAtStart == 0 && d.current.Jobs == 0 {
-		d.closed = true
+		d.finished = true
 		return
 	}
 	d.recordStep(Elected, d.TermBegan)
@@ -225,7 +225,7 @@
 
 // HandleEvent records the steps that events indicate.
 func (d *Component) HandleEvent(e cluster.Event) {
-	if d.closed {
+	if d.finished {
 		return
 	}
 	switch e.Kind {
@@ -243,17 +243,17 @@
 
 // Tick completes the record once every step is reached or the remaining ones have timed out.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
-	if d.closed || !leaseValid {
+	if d.finished || !leaseValid {
 		return
 	}
 	if d.current.After[JobsUnblocked] < 0 && d.blockedJobs() == 0 {
 		d.recordStep(JobsUnblocked, now)
 	}
-	if !d.allStepsReached(now) && now-d.TermBegan < maxAccountTime {
+	if !d.allStepsReached(now) && now-d.TermBegan < maxRecordingTime {
 		return
 	}
-	d.closed = true
-	d.remember(d.current)
+	d.finished = true
+	d.addRecord(d.current)
 	d.logSteps()
 	d.storeRecord()
 }
@@ -317,11 +317,11 @@
 		return nil, cluster.ErrUnknownView
 	}
 	records := []Record{}
-	if !d.closed {
-		records = append(records, d.current.record())
+	if !d.finished {
+		records = append(records, d.current.toRecord())
 	}
 	for _, r := range slices.Backward(d.earlier) {
-		records = append(records, r.record())
+		records = append(records, r.toRecord())
 	}
 	raw, err := json.Marshal(records)
 	if err != nil {
@@ -330,8 +330,8 @@
 	return raw, nil
 }
 
-// record converts r to the form that is shown to operators.
-func (r storedRecord) record() Record {
+// toRecord converts r to the form that is shown to operators.
+func (r storedRecord) toRecord() Record {
 	out := Record{
 		Epoch:    r.Epoch,
 		Node:     r.Node,
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -14,9 +14,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// begun returns the component of a term that has replayed ten registered machines and a job
+// newComponent returns the component of a term that has replayed ten registered machines and a job
 // that may have tasks on all of them.
-func begun(measures *cluster.Metrics) *Component {
+func newComponent(metrics *cluster.Metrics) *Component {
 	s := cluster.New(cluster.TermStart{
 		Cfg:             &settings.Settings{Tunables: settings.Defaults()},
 		ClockZeroMS:     1e6,
@@ -25,7 +25,7 @@
 		LeaderMissedAt:  10 * time.Second,
 		TermBegan:       11 * time.Second,
 		Counts:          &cluster.Counts{},
-		Metrics:         measures,
+		Metrics:         metrics,
 	})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
@@ -47,8 +47,8 @@
 	return eventlog.Entry{Component: &eventlog.ComponentEntry{Name: Name, Data: data}}
 }
 
-// shown returns the records that operators see.
-func shown(t *testing.T, d *Component) []Record {
+// showRecords returns the records that operators see.
+func showRecords(t *testing.T, d *Component) []Record {
 	t.Helper()
 	raw, err := d.Show(0, "")
 	if err != nil {
@@ -64,8 +64,8 @@
 // Each step of a failover is recorded with its time. In the end one entry is written, one line
 // is logged, and each step is observed once in the histogram.
 func TestFailoverIsRecordedStepByStep(t *testing.T) {
-	var measures cluster.Metrics
-	d := begun(&measures)
+	var metrics cluster.Metrics
+	d := newComponent(&metrics)
 	at := func(s int) time.Duration { return time.Duration(s) * time.Second }
 	all := d.Inventory.All()
 	for i, m := range all {
@@ -85,7 +85,7 @@
 	if n := d.EventLog.PendingCount(); n != 1 {
 		t.Fatalf("%d entries were written, want one", n)
 	}
-	list := shown(t, d)
+	list := showRecords(t, d)
 	if len(list) != 3 || list[0].Epoch != 7 || list[1].Epoch != 6 || list[2].Epoch != 5 {
 		t.Fatalf("records are %+v, want epochs 7, 6, 5", list)
 	}
@@ -108,30 +108,30 @@
 			t.Errorf("%v was reached after %d ms, want %d s", s, ms, want)
 		}
 	}
-	h := measures.All()
+	h := metrics.All()
 	if len(h) != 1 || len(h[0].Series) != int(stepCount) || h[0].Series[0].Count != 1 {
 		t.Errorf("unexpected histogram: %+v", h)
 	}
-	told := 0
+	logged := 0
 	for _, e := range d.DrainEffects() {
 		if n, ok := e.(effects.LogMessage); ok && n.Message == "takeover" {
-			told++
+			logged++
 		}
 	}
-	if told != 1 {
-		t.Errorf("%d lines were logged, want one", told)
+	if logged != 1 {
+		t.Errorf("%d lines were logged, want one", logged)
 	}
 }
 
 // The record is completed, without the missing steps, even if machines are never resolved or
 // no task is waiting to be started.
-func TestAccountClosesWithoutMissingSteps(t *testing.T) {
-	d := begun(&cluster.Metrics{})
-	d.Tick(12*time.Second+maxAccountTime, true)
-	if list := shown(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != 2 {
+func TestRecordIsCompletedWithoutMissingSteps(t *testing.T) {
+	d := newComponent(&cluster.Metrics{})
+	d.Tick(12*time.Second+maxRecordingTime, true)
+	if list := showRecords(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != 2 {
 		t.Errorf("%d entries were written, want one; record is %+v", d.EventLog.PendingCount(), list[0])
 	}
-	d = begun(&cluster.Metrics{})
+	d = newComponent(&cluster.Metrics{})
 	for _, m := range d.Inventory.All() {
 		m.Resolved = true
 		d.HandleEvent(cluster.Event{Kind: cluster.MachineResolved, At: 14 * time.Second, Machine: m})
@@ -148,7 +148,7 @@
 		t.Error("record was completed by a leader without a valid lease")
 	}
 	d.Tick(14*time.Second+firstStartTimeout, true)
-	if list := shown(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != int(stepCount)-1 {
+	if list := showRecords(t, d); d.EventLog.PendingCount() != 1 || len(list[0].After) != int(stepCount)-1 {
 		t.Errorf("%d entries were written, want one; record is %+v", d.EventLog.PendingCount(), list[0])
 	}
 }
@@ -156,7 +156,7 @@
 // Compaction keeps only the records that the component keeps. An entry that cannot be read is
 // logged and dropped.
 func TestCompactionKeepsTheLastRecords(t *testing.T) {
-	d := begun(&cluster.Metrics{})
+	d := newComponent(&cluster.Metrics{})
 	for epoch := range 8 {
 		d.Compact(0, entryWith(`{"e":%d}`, epoch))
 	}
--- a/internal/leader/rebalance/balancer.go
+++ b/internal/leader/rebalance/balancer.go
@@ -105,7 +105,7 @@
 	if b.coolingDown(now, machine, current) || !b.overloaded[current] {
 		return ""
 	}
-	from, to := b.giverAndTaker(current)
+	from, to := b.sourceAndTarget(current)
 	if from == nil || to == nil || to.loadWith(1) > from.loadWith(0) {
 		return ""
 	}
@@ -133,12 +133,12 @@
 	return since < moveCooldown || (last.failed && since < failedCooldown)
 }
 
-// giverAndTaker returns the controller with the given name and, of the other ready ones, the one
+// sourceAndTarget returns the controller with the given name and, of the other ready ones, the one
 // with the least load after a move; nil: there is none.
-func (b *Balancer) giverAndTaker(giver string) (from, to *Node) {
+func (b *Balancer) sourceAndTarget(source string) (from, to *Node) {
 	for i := range b.nodes {
 		n := &b.nodes[i]
-		if n.Name == giver {
+		if n.Name == source {
 			from = n
 		} else if n.Ready && (to == nil || n.loadWith(1) < to.loadWith(1)) {
 			to = n
--- a/internal/leader/rebalance/balancer_test.go
+++ b/internal/leader/rebalance/balancer_test.go
@@ -12,30 +12,30 @@
 	"bitternmoor/internal/settings"
 )
 
-// picture is a set of controllers and, for each machine, the index of the one it reports to.
-type picture struct {
-	nodes  []Node
-	holder []int
+// layout is a set of controllers and, for each machine, the index of the one it reports to.
+type layout struct {
+	nodes        []Node
+	controllerOf []int
 }
 
-func random(r *rand.Rand) *picture {
-	p := &picture{}
+func randomLayout(r *rand.Rand) *layout {
+	p := &layout{}
 	for i := range 1 + r.IntN(5) {
 		p.nodes = append(p.nodes, Node{Name: fmt.Sprint("n", i), Weight: 0.25 + 0.75*r.Float64(), Ready: i == 0 || r.IntN(5) > 0})
 	}
-	lean := r.IntN(len(p.nodes))
+	preferred := r.IntN(len(p.nodes))
 	for range r.IntN(5000) {
-		h := lean
+		h := preferred
 		if r.IntN(3) == 0 {
 			h = r.IntN(len(p.nodes))
 		}
-		p.holder = append(p.holder, h)
+		p.controllerOf = append(p.controllerOf, h)
 		p.nodes[h].Machines++
 	}
 	return p
 }
 
-func (p *picture) most() (load float64) {
+func (p *layout) maxLoad() (load float64) {
 	for i := range p.nodes {
 		load = max(load, p.nodes[i].loadWith(0))
 	}
@@ -46,57 +46,57 @@
 // is moved twice or to a controller that is not ready, and the moves per second stay within the
 // limit. With constant weights the moves end, in the time that their number needs, and leave no
 // controller overloaded.
-func TestMovesEndEvenly(t *testing.T) {
+func TestMovesEndWithBalancedLoad(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 6))
-		p := random(r)
+		p := randomLayout(r)
 		const rate = 20
 		b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: rate})
-		twice := map[int]bool{}
-		moves, last := 0, time.Duration(0)
+		moved := map[int]bool{}
+		moves, lastMoveAt := 0, time.Duration(0)
 		interval := 5 * time.Second
-		end := time.Duration(len(p.holder)/rate+60) * time.Second
+		end := time.Duration(len(p.controllerOf)/rate+60) * time.Second
 		for now := time.Duration(0); now < end; now += 500 * time.Millisecond {
 			b.Observe(now, append([]Node(nil), p.nodes...))
-			second := 0
-			for m := range p.holder {
+			stepMoves := 0
+			for m := range p.controllerOf {
 				if (now+time.Duration(m)*time.Millisecond)%interval >= 500*time.Millisecond {
 					continue // it does not report in this step
 				}
-				h := p.holder[m]
+				h := p.controllerOf[m]
 				to := b.Move(now, fmt.Sprint(m), p.nodes[h].Name)
 				if to == "" {
 					continue
 				}
-				before := p.most()
+				before := p.maxLoad()
 				var n int
 				if _, err := fmt.Sscanf(to, "n%d", &n); err != nil {
 					t.Fatalf("seed %d: machine %d is sent to %q: %v", seed, m, to, err)
 				}
-				if !p.nodes[n].Ready || n == h || twice[m] {
+				if !p.nodes[n].Ready || n == h || moved[m] {
 					t.Fatalf("seed %d: machine %d must not move from %d to %s", seed, m, h, to)
 				}
-				twice[m] = true
-				p.holder[m] = n
+				moved[m] = true
+				p.controllerOf[m] = n
 				p.nodes[h].Machines--
 				p.nodes[n].Machines++
-				if p.most() > before {
-					t.Fatalf("seed %d: the largest load rose from %v to %v", seed, before, p.most())
+				if p.maxLoad() > before {
+					t.Fatalf("seed %d: the largest load rose from %v to %v", seed, before, p.maxLoad())
 				}
 				moves++
-				second++
-				last = now
+				stepMoves++
+				lastMoveAt = now
 			}
-			if second > rate {
-				t.Fatalf("seed %d: %d moves in one step", seed, second)
+			if stepMoves > rate {
+				t.Fatalf("seed %d: %d moves in one step", seed, stepMoves)
 			}
 		}
 		if !b.IsEven() {
 			t.Errorf("seed %d: still uneven after %v: %+v", seed, end, p.nodes)
 		}
 		// In the worst case all machines report at the same time, and the budget holds one second's moves.
-		if last > time.Duration(5*moves/rate+20)*time.Second {
-			t.Errorf("seed %d: %d moves took too long, the last was after %v", seed, moves, last)
+		if lastMoveAt > time.Duration(5*moves/rate+20)*time.Second {
+			t.Errorf("seed %d: %d moves took too long, the last was after %v", seed, moves, lastMoveAt)
 		}
 	}
 }
@@ -105,20 +105,20 @@
 // moved at most once per minute, because of moveCooldown.
 func TestMachinesDoNotOscillate(t *testing.T) {
 	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 10})
-	p := &picture{nodes: []Node{{Name: "n0", Weight: 1, Ready: true}, {Name: "n1", Weight: 1, Ready: true}}}
+	p := &layout{nodes: []Node{{Name: "n0", Weight: 1, Ready: true}, {Name: "n1", Weight: 1, Ready: true}}}
 	for m := range 400 {
-		p.holder = append(p.holder, m%2)
+		p.controllerOf = append(p.controllerOf, m%2)
 		p.nodes[m%2].Machines++
 	}
 	moves := 0
 	for now := time.Duration(0); now < 20*time.Minute; now += 500 * time.Millisecond {
 		p.nodes[1].Weight = []float64{1, 0.25}[int(now/(30*time.Second))%2]
 		b.Observe(now, append([]Node(nil), p.nodes...))
-		for m := range p.holder {
-			if to := b.Move(now, fmt.Sprint(m), p.nodes[p.holder[m]].Name); to != "" {
-				p.nodes[p.holder[m]].Machines--
-				p.holder[m] = 1 - p.holder[m]
-				p.nodes[p.holder[m]].Machines++
+		for m := range p.controllerOf {
+			if to := b.Move(now, fmt.Sprint(m), p.nodes[p.controllerOf[m]].Name); to != "" {
+				p.nodes[p.controllerOf[m]].Machines--
+				p.controllerOf[m] = 1 - p.controllerOf[m]
+				p.nodes[p.controllerOf[m]].Machines++
 				moves++
 			}
 		}
--- a/internal/leader/rebalance/component.go
+++ b/internal/leader/rebalance/component.go
@@ -23,7 +23,7 @@
 	lostAfter     = 3 * time.Second       // time without an answer before a controller counts as lost
 	minWeight     = 0.25                  // lowest weight, however slow a controller is
 	smoothing     = 0.2                   // weight of the newest latency in the moving average
-	slowResponse  = 20 * time.Millisecond // latencies below it count as equal
+	latencyFloor  = 20 * time.Millisecond // latencies below it count as equal
 )
 
 // peer holds what this leader has observed of another controller.
@@ -77,7 +77,7 @@
 	for _, other := range d.peers {
 		quickest = min(quickest, other.latency)
 	}
-	ratio := float64(max(quickest, slowResponse)) / float64(max(p.latency, slowResponse))
+	ratio := float64(max(quickest, latencyFloor)) / float64(max(p.latency, latencyFloor))
 	return max(minWeight, min(1, ratio))
 }
 
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -128,7 +128,7 @@
 	}
 	added := 0
 	for i := range r.Changes {
-		before, err := d.prepare(&r.Changes[i])
+		before, err := d.completeChange(&r.Changes[i])
 		if err != nil {
 			return nil, err
 		}
@@ -145,11 +145,11 @@
 
 // repeatedAnswer returns the answer for a change that was already made; nil: it was not made.
 func (d *Component) repeatedAnswer(id string) *Answer {
-	same := func(r config.Revision) bool { return r.ID == id }
-	if i := slices.IndexFunc(d.pending, same); i >= 0 {
+	hasID := func(r config.Revision) bool { return r.ID == id }
+	if i := slices.IndexFunc(d.pending, hasID); i >= 0 {
 		return &Answer{Revision: d.pending[i].Number}
 	}
-	if i := slices.IndexFunc(d.history, same); i >= 0 {
+	if i := slices.IndexFunc(d.history, hasID); i >= 0 {
 		return &Answer{Durable: true, Revision: d.history[i].Number}
 	}
 	return nil
@@ -168,14 +168,14 @@
 	return s
 }
 
-// prepare completes a change that removes a team or reverts it to the settings, and returns the
+// completeChange completes a change that removes a team or reverts it to the settings, and returns the
 // setting before the change.
-func (d *Component) prepare(c *config.Change) (config.Set, error) {
+func (d *Component) completeChange(c *config.Change) (config.Set, error) {
 	before := d.currentSet(c.Item)
 	if c.Item.Team == "" {
 		return before, nil
 	}
-	t, known := d.teamWith(c.Item.Team, before.Value)
+	t, known := d.resolveTeam(c.Item.Team, before.Value)
 	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.AsSettings() && !inSettings {
 		c.Value.Removed = true // the settings do not define this team
 	}
@@ -212,7 +212,7 @@
 	if !ok {
 		return ""
 	}
-	t, known := d.teamWith(c.Item.Team, c.Value)
+	t, known := d.resolveTeam(c.Item.Team, c.Value)
 	open, tooLarge := d.countOpenJobs(index, t)
 	use := d.Scheduler.TeamUse(index)
 	switch {
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -52,7 +52,7 @@
 
 	// Other controllers.
 	controllers map[string]*controller
-	spreading   []durableRevision // not yet in force on all controllers, oldest first
+	propagating []durableRevision // not yet in force on all controllers, oldest first
 	propagation *cluster.Histogram
 }
 
@@ -117,7 +117,7 @@
 	d.updateLiveBytes()
 	if d.Config != nil {
 		if had := d.Config.Revision(); had > d.document.Revision() {
-			d.noteMissing(had)
+			d.recordMissing(had)
 		}
 		d.Config.CopyFrom(now, &d.document)
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// noteMissing records that revisions which were in force are missing from the log.
-func (d *Component) noteMissing(revision uint64) {
+// recordMissing records that revisions which were in force are missing from the log.
+func (d *Component) recordMissing(revision uint64) {
 	if revision <= d.missingRevision {
 		return
 	}
@@ -174,7 +174,7 @@
 // applyTeam puts a team's limits in force: the lowest of its durable limits and those of
 // revisions that are not durable yet.
 func (d *Component) applyTeam(name string) {
-	t, known := d.teamWith(name, d.document.Get(config.Item{Team: name}).Value)
+	t, known := d.resolveTeam(name, d.document.Get(config.Item{Team: name}).Value)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
 			if c.Item.Team == name && c.Value.Limits != nil {
@@ -190,8 +190,8 @@
 	}
 }
 
-// teamWith returns a team as set by a value, or else by the settings, and whether it may submit jobs.
-func (d *Component) teamWith(name string, v config.Value) (settings.Team, bool) {
+// resolveTeam returns a team as set by a value, or else by the settings, and whether it may submit jobs.
+func (d *Component) resolveTeam(name string, v config.Value) (settings.Team, bool) {
 	if v.Limits != nil {
 		return v.Limits.Team(name), !v.Removed
 	}
@@ -233,8 +233,8 @@
 // LiveBytes returns approximately how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return d.liveBytes }
 
-// remembers reports whether a revision is in the history.
-func (d *Component) remembers(revision uint64) bool {
+// inHistory reports whether a revision is in the history.
+func (d *Component) inHistory(revision uint64) bool {
 	return len(d.history) > 0 && revision >= d.history[0].Number
 }
 
@@ -243,23 +243,23 @@
 	x, ok := decode(e)
 	switch {
 	case !ok:
-	case x.Revision != nil && d.remembers(x.Revision.Number):
+	case x.Revision != nil && d.inHistory(x.Revision.Number):
 		d.EventLog.Append(e)
 	case x.Revision != nil:
 		for _, c := range x.Revision.Changes {
-			d.gatherSet(config.Set{Change: c, Revision: x.Revision.Number})
+			d.collectSet(config.Set{Change: c, Revision: x.Revision.Number})
 		}
 	default:
 		for _, s := range x.Sets {
-			d.gatherSet(s)
+			d.collectSet(s)
 		}
 	}
 }
 
-// gatherSet collects an item whose current setting still comes from the given revision, if that
+// collectSet collects an item whose current setting still comes from the given revision, if that
 // revision is not in the history.
-func (d *Component) gatherSet(s config.Set) {
-	if d.document.Get(s.Item).Revision == s.Revision && !d.remembers(s.Revision) {
+func (d *Component) collectSet(s config.Set) {
+	if d.document.Get(s.Item).Revision == s.Revision && !d.inHistory(s.Revision) {
 		d.compactedSets = append(d.compactedSets, s)
 	}
 }
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -23,11 +23,11 @@
 	replica config.Replica
 }
 
-func newFixture(t *testing.T, remember int, entries []eventlog.Entry) *fixture {
+func newFixture(t *testing.T, historyLimit int, entries []eventlog.Entry) *fixture {
 	t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}, {Node: "n2"}}
-	cfg.Tunables.ConfigHistory = remember
+	cfg.Tunables.ConfigHistory = historyLimit
 	cfg.Deployment.Teams = []settings.Team{{Name: "red", CPUs: 2, CPUsMax: 10}}
 	cfg.Deployment.State.WriteRPS, cfg.Deployment.State.ValueKB, cfg.Deployment.State.TxnOps = 100, 8, 12
 	b := &fixture{t: t, now: time.Second}
@@ -73,7 +73,7 @@
 	}
 }
 
-func (b *fixture) ask(r Request) (Answer, error) {
+func (b *fixture) request(r Request) (Answer, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
 		b.t.Fatal(err)
@@ -86,11 +86,11 @@
 	return a, err
 }
 
-func limitTo(team string, most float64) config.Change {
-	return config.Change{Item: config.Item{Team: team}, Value: config.Value{Limits: &config.Limits{CPUsMax: most}}}
+func limitChange(team string, cpus float64) config.Change {
+	return config.Change{Item: config.Item{Team: team}, Value: config.Value{Limits: &config.Limits{CPUsMax: cpus}}}
 }
 
-func (b *fixture) limit(team string) float64 {
+func (b *fixture) cpuLimit(team string) float64 {
 	i, _ := b.Teams.Lookup(team)
 	return float64(b.Scheduler.Limits[i].CPU) / partsPerUnit
 }
@@ -98,35 +98,35 @@
 // A change is applied once, only on the revision that the operator saw, and as a whole or not at all.
 func TestChangeIsMadeOnceAndWhole(t *testing.T) {
 	b := newFixture(t, 8, nil)
-	first := Request{ID: "a", Changes: []config.Change{limitTo("red", 20), limitTo("blue", 5)}}
+	first := Request{ID: "a", Changes: []config.Change{limitChange("red", 20), limitChange("blue", 5)}}
 	dry := first
 	dry.DryRun = true
-	if a, err := b.ask(dry); err != nil || a.Revision != 1 || b.EventLog.PendingCount() != 0 {
+	if a, err := b.request(dry); err != nil || a.Revision != 1 || b.EventLog.PendingCount() != 0 {
 		t.Fatalf("dry run: %+v %v", a, err)
 	}
-	bad := Request{ID: "bad", Changes: []config.Change{limitTo("red", 1), limitTo("blue", -1)}}
-	if _, err := b.ask(bad); err == nil || !strings.Contains(err.Error(), "team blue") || b.limit("red") != 10 {
-		t.Errorf("request with one invalid change: error %v, red has limit %v", err, b.limit("red"))
+	bad := Request{ID: "bad", Changes: []config.Change{limitChange("red", 1), limitChange("blue", -1)}}
+	if _, err := b.request(bad); err == nil || !strings.Contains(err.Error(), "team blue") || b.cpuLimit("red") != 10 {
+		t.Errorf("request with one invalid change: error %v, red has limit %v", err, b.cpuLimit("red"))
 	}
-	if a, err := b.ask(first); err != nil || a.Durable {
+	if a, err := b.request(first); err != nil || a.Durable {
 		t.Fatalf("first request: %+v %v", a, err)
 	}
-	if a, err := b.ask(first); err != nil || a.Durable || a.Revision != 1 {
+	if a, err := b.request(first); err != nil || a.Durable || a.Revision != 1 {
 		t.Errorf("repeated request before it is durable: %+v %v", a, err)
 	}
-	if _, err := b.ask(Request{ID: "b", Revision: 0, Changes: first.Changes}); err == nil || !strings.Contains(err.Error(), "revision") {
+	if _, err := b.request(Request{ID: "b", Revision: 0, Changes: first.Changes}); err == nil || !strings.Contains(err.Error(), "revision") {
 		t.Errorf("request for an outdated revision: %v", err)
 	}
 	b.commit()
-	if a, err := b.ask(first); err != nil || !a.Durable || a.Revision != 1 {
+	if a, err := b.request(first); err != nil || !a.Durable || a.Revision != 1 {
 		t.Errorf("repeated request once it is durable: %+v %v", a, err)
 	}
 	blue, ok := b.Teams.Lookup("blue")
-	if !ok || !b.HasTeam(blue) || b.limit("red") != 20 || b.replica.Revision() != 1 {
-		t.Errorf("red has limit %v, the replica has revision %d", b.limit("red"), b.replica.Revision())
+	if !ok || !b.HasTeam(blue) || b.cpuLimit("red") != 20 || b.replica.Revision() != 1 {
+		t.Errorf("red has limit %v, the replica has revision %d", b.cpuLimit("red"), b.replica.Revision())
 	}
 	for _, wrong := range []config.Change{{Item: config.Item{Team: "none"}, Value: config.Value{Removed: true}}, {Item: config.Item{Team: "none"}}} {
-		if _, err := b.ask(Request{ID: "x", Revision: 1, Changes: []config.Change{wrong}}); err == nil {
+		if _, err := b.request(Request{ID: "x", Revision: 1, Changes: []config.Change{wrong}}); err == nil {
 			t.Errorf("invalid change %v was accepted", wrong)
 		}
 	}
@@ -136,7 +136,7 @@
 // Such a rollback was once refused.
 func TestRevertRemovesATeam(t *testing.T) {
 	b := newFixture(t, 8, nil)
-	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("blue", 5)}}); err != nil {
+	if _, err := b.request(Request{ID: "a", Changes: []config.Change{limitChange("blue", 5)}}); err != nil {
 		t.Fatal(err)
 	}
 	b.commit()
@@ -144,54 +144,54 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := b.ask(Request{ID: "b", Revision: 1, Changes: changes}); err != nil {
+	if _, err := b.request(Request{ID: "b", Revision: 1, Changes: changes}); err != nil {
 		t.Fatal(err)
 	}
 	b.commit()
-	if blue, ok := b.Teams.Lookup("blue"); !ok || b.HasTeam(blue) || b.limit("blue") != 5 {
-		t.Errorf("team was not removed, or its limit changed: %v", b.limit("blue"))
+	if blue, ok := b.Teams.Lookup("blue"); !ok || b.HasTeam(blue) || b.cpuLimit("blue") != 5 {
+		t.Errorf("team was not removed, or its limit changed: %v", b.cpuLimit("blue"))
 	}
 }
 
 // A lower limit takes effect when it is requested, a higher one once it is durable.
-func TestLimitsOnTheirWay(t *testing.T) {
+func TestPendingLimits(t *testing.T) {
 	b := newFixture(t, 8, nil)
-	ask := func(id string, seen uint64, most float64) {
+	setLimit := func(id string, revision uint64, cpus float64) {
 		t.Helper()
-		if _, err := b.ask(Request{ID: id, Revision: seen, Changes: []config.Change{limitTo("red", most)}}); err != nil {
+		if _, err := b.request(Request{ID: id, Revision: revision, Changes: []config.Change{limitChange("red", cpus)}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	ask("lower", 0, 4)
-	if b.limit("red") != 4 {
-		t.Errorf("limit is %v while a lower limit of 4 is pending, want 4", b.limit("red"))
+	setLimit("lower", 0, 4)
+	if b.cpuLimit("red") != 4 {
+		t.Errorf("limit is %v while a lower limit of 4 is pending, want 4", b.cpuLimit("red"))
 	}
-	ask("higher", 1, 50)
-	if b.limit("red") != 4 {
-		t.Errorf("limit is %v before the higher limit of 50 is durable, want 4", b.limit("red"))
+	setLimit("higher", 1, 50)
+	if b.cpuLimit("red") != 4 {
+		t.Errorf("limit is %v before the higher limit of 50 is durable, want 4", b.cpuLimit("red"))
 	}
 	b.commit()
-	if b.limit("red") != 50 {
-		t.Errorf("limit is %v, want 50", b.limit("red"))
+	if b.cpuLimit("red") != 50 {
+		t.Errorf("limit is %v, want 50", b.cpuLimit("red"))
 	}
-	ask("none", 2, 0)
+	setLimit("none", 2, 0)
 	b.commit()
-	if b.limit("red") != 0 {
-		t.Errorf("limit is %v after it was removed, want 0", b.limit("red"))
+	if b.cpuLimit("red") != 0 {
+		t.Errorf("limit is %v after it was removed, want 0", b.cpuLimit("red"))
 	}
 }
 
 // Compaction keeps items that are still set by revisions which are no longer in the history.
-func TestCleaningKeepsWhatIsSet(t *testing.T) {
+func TestCompactionKeepsSetItems(t *testing.T) {
 	b := newFixture(t, 2, nil)
 	v := 77.0
 	for i := range uint64(9) {
-		c := limitTo(fmt.Sprint("team-", i%4), float64(10+i))
+		c := limitChange(fmt.Sprint("team-", i%4), float64(10+i))
 		changes := []config.Change{c}
 		if i == 0 {
 			changes = append(changes, config.Change{Item: config.Item{Tunable: "fleet.idle_return"}, Value: config.Value{Number: &v}})
 		}
-		if _, err := b.ask(Request{ID: fmt.Sprint(i), Revision: i, Changes: changes}); err != nil {
+		if _, err := b.request(Request{ID: fmt.Sprint(i), Revision: i, Changes: changes}); err != nil {
 			t.Fatal(err)
 		}
 		b.commit()
@@ -209,8 +209,8 @@
 		t.Errorf("revision %d, %d revisions in the history, idle_return %v", next.document.Revision(), len(next.history), next.Cfg.Tunables.IdleReturnS)
 	}
 	for team, want := range map[string]float64{"team-0": 18, "team-1": 15, "team-2": 16, "team-3": 17, "red": 10} {
-		if next.limit(team) != want {
-			t.Errorf("limit of %s is %v, want %v", team, next.limit(team), want)
+		if next.cpuLimit(team) != want {
+			t.Errorf("limit of %s is %v, want %v", team, next.cpuLimit(team), want)
 		}
 	}
 	if n := len(b.entries); n > 5 {
@@ -221,22 +221,22 @@
 // A leader whose log lacks a revision that was in force refuses further changes.
 func TestLostRevisionBlocksChanges(t *testing.T) {
 	b := newFixture(t, 8, nil)
-	if _, err := b.ask(Request{ID: "a", Changes: []config.Change{limitTo("red", 4)}}); err != nil {
+	if _, err := b.request(Request{ID: "a", Changes: []config.Change{limitChange("red", 4)}}); err != nil {
 		t.Fatal(err)
 	}
 	b.commit()
 	b.Acknowledged(b.now, "n1", 3)
-	if _, err := b.ask(Request{ID: "b", Revision: 1, Changes: []config.Change{limitTo("red", 5)}}); err == nil || !strings.Contains(err.Error(), "3 was in force") {
+	if _, err := b.request(Request{ID: "b", Revision: 1, Changes: []config.Change{limitChange("red", 5)}}); err == nil || !strings.Contains(err.Error(), "3 was in force") {
 		t.Errorf("%v", err)
 	}
 }
 
 // A controller is sent the revisions that it lacks, and has a lag until it reports them.
-func TestControllers(t *testing.T) {
+func TestControllerUpdatesAndLag(t *testing.T) {
 	b := newFixture(t, 8, nil)
 	b.Acknowledged(b.now, "n1", 0)
 	for i := range uint64(3) {
-		if _, err := b.ask(Request{ID: fmt.Sprint(i), Revision: i, Changes: []config.Change{limitTo(fmt.Sprint("t", i), 4)}}); err != nil {
+		if _, err := b.request(Request{ID: fmt.Sprint(i), Revision: i, Changes: []config.Change{limitChange(fmt.Sprint("t", i), 4)}}); err != nil {
 			t.Fatal(err)
 		}
 		b.commit()
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -22,17 +22,17 @@
 	at       time.Duration
 }
 
-// maxSpreading limits the number of tracked revisions that are not in force on all controllers,
+// maxPropagating limits the number of tracked revisions that are not in force on all controllers,
 // since a controller may be down for a long time.
-const maxSpreading = 1000
+const maxPropagating = 1000
 
 // propagationBounds are the upper bounds, in seconds, of the buckets of the propagation histogram.
 var propagationBounds = []float64{0.1, 0.25, 0.5, 1, 1.5, 2, 3, 5, 8, 11, 20, 60}
 
 // revisionDurable records that a revision is durable and that the other controllers now lack it.
 func (d *Component) revisionDurable(now time.Duration, revision uint64) {
-	d.spreading = append(d.spreading, durableRevision{revision: revision, at: now})
-	d.spreading = slices.Delete(d.spreading, 0, max(0, len(d.spreading)-maxSpreading))
+	d.propagating = append(d.propagating, durableRevision{revision: revision, at: now})
+	d.propagating = slices.Delete(d.propagating, 0, max(0, len(d.propagating)-maxPropagating))
 	for _, c := range d.controllers {
 		if c.behindSince == 0 {
 			c.behindSince = now
@@ -57,21 +57,21 @@
 		return
 	}
 	if revision > d.document.Revision() {
-		d.noteMissing(revision)
+		d.recordMissing(revision)
 	}
 	if revision != c.revision || c.heardAt == 0 {
 		c.hasSince = now
 	}
-	for _, w := range d.spreading {
-		if w.revision > c.revision && w.revision <= revision && c.heardAt > 0 {
-			d.propagation.Observe(name, (now - w.at).Seconds())
+	for _, r := range d.propagating {
+		if r.revision > c.revision && r.revision <= revision && c.heardAt > 0 {
+			d.propagation.Observe(name, (now - r.at).Seconds())
 		}
 	}
 	c.heardAt, c.revision = now, revision
 	if revision >= d.document.Revision() {
 		c.behindSince = 0
 	}
-	d.spreading = slices.DeleteFunc(d.spreading, func(w durableRevision) bool { return d.inForceEverywhere(w.revision) })
+	d.propagating = slices.DeleteFunc(d.propagating, func(r durableRevision) bool { return d.inForceEverywhere(r.revision) })
 }
 
 // inForceEverywhere reports whether all other controllers have a revision in force.
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -113,7 +113,7 @@
 	views := []Team{}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		s := d.document.Get(config.Item{Team: name})
-		t, known := d.teamWith(name, s.Value)
+		t, known := d.resolveTeam(name, s.Value)
 		views = append(views, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsOf(t)})
 	}
 	return views
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -33,11 +33,11 @@
 	// minOutcomes is the number of due jobs from which on the boosted jobs of a class or team
 	// that is below the floor also go ahead of urgent jobs.
 	minOutcomes = 4
-	// minEstimates is the least time until a job is due, in its owner's estimates of one task,
+	// minDueEstimates is the least time until a job is due, in its owner's estimates of one task,
 	// if its class has no objective that sets a due time.
-	minEstimates = 2
-	// largestShare is the divisor for the largest outcomes: one in largestShare counts as such.
-	largestShare = 10
+	minDueEstimates = 2
+	// largestDivisor is the divisor for the largest outcomes: one in largestDivisor counts as such.
+	largestDivisor = 10
 )
 
 // group is a class or a team.
@@ -126,7 +126,7 @@
 
 // dueTime returns when a job should have ended: at the latest time that its class's objectives
 // for the end or the deadline allow or, if there are none, after the configured default and at
-// least minEstimates of its estimates.
+// least minDueEstimates of its estimates.
 func (d *Component) dueTime(j *jobs.Job) time.Duration {
 	latest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
@@ -141,7 +141,7 @@
 		}
 	}
 	if latest == 0 {
-		latest = max(d.Cfg.Tunables.ServedWithinS, minEstimates*j.Record.EstimateS)
+		latest = max(d.Cfg.Tunables.ServedWithinS, minDueEstimates*j.Record.EstimateS)
 	}
 	return j.AcceptedAt + settings.Seconds(latest)
 }
@@ -158,7 +158,7 @@
 	return s
 }
 
-func byDue(a *trackedJob, due time.Duration) int { return cmp.Compare(a.due, due) }
+func compareDue(a *trackedJob, due time.Duration) int { return cmp.Compare(a.due, due) }
 
 // trackJob starts tracking a job, unless it is a service or already past its due time.
 func (d *Component) trackJob(now time.Duration, j *jobs.Job) {
@@ -171,7 +171,7 @@
 		return // it was missed before this term began
 	}
 	d.byJob[j] = t
-	i, _ := slices.BinarySearchFunc(d.open, t.due, byDue)
+	i, _ := slices.BinarySearchFunc(d.open, t.due, compareDue)
 	d.open = slices.Insert(d.open, i, t)
 	for _, s := range t.groups {
 		s.openJobs++
@@ -192,7 +192,7 @@
 
 func (d *Component) untrack(t *trackedJob) {
 	delete(d.byJob, t.job)
-	i, _ := slices.BinarySearchFunc(d.open, t.due, byDue)
+	i, _ := slices.BinarySearchFunc(d.open, t.due, compareDue)
 	for d.open[i] != t {
 		i++
 	}
@@ -261,8 +261,8 @@
 	if d.floor == 0 {
 		return
 	}
-	ahead := d.updateBoosted()
-	d.boostAtRisk(now, ahead)
+	workAhead := d.updateBoosted()
+	d.boostAtRisk(now, workAhead)
 }
 
 // expireOutcomes drops the outcomes that have left the window, and resets the counts of jobs at risk.
@@ -288,12 +288,12 @@
 
 // updateBoosted moves boosted jobs ahead of urgent ones or behind them, and returns the remaining
 // work of all boosted jobs, in CPU seconds. Jobs that are boosted later have to wait for it.
-func (d *Component) updateBoosted() (ahead float64) {
+func (d *Component) updateBoosted() (workAhead float64) {
 	for _, t := range d.open {
 		if !t.boosted {
 			continue
 		}
-		ahead += remainingWork(t.job)
+		workAhead += remainingWork(t.job)
 		wasFirst := t.job.Boost == jobs.BoostFirst
 		if d.belowFloor(t) == wasFirst {
 			continue
@@ -304,19 +304,19 @@
 		}
 		d.NeedsCycle = true
 	}
-	return ahead
+	return workAhead
 }
 
 // boostAtRisk boosts the jobs at their last chance whose class or team would fall below the floor
 // without them, in order of their due times.
-func (d *Component) boostAtRisk(now time.Duration, ahead float64) {
+func (d *Component) boostAtRisk(now time.Duration, workAhead float64) {
 	cpus := max(d.CPUs(), 1)
 	for _, t := range d.open {
 		j := t.job
 		if t.boosted || j.Waiting == 0 || j.Phase != jobs.Open {
 			continue
 		}
-		needs := settings.Seconds(runTimeSlack*j.MeanRunSeconds()+(ahead+remainingWork(j))/cpus) + placementTime
+		needs := settings.Seconds(runTimeSlack*j.MeanRunSeconds()+(workAhead+remainingWork(j))/cpus) + placementTime
 		if now+needs > t.due {
 			continue // it can no longer be in time, so boosting it would waste capacity
 		}
@@ -330,7 +330,7 @@
 			continue
 		}
 		d.boost(now, t)
-		ahead += remainingWork(j)
+		workAhead += remainingWork(j)
 	}
 }
 
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -13,7 +13,7 @@
 	"bitternmoor/internal/settings"
 )
 
-func begun(floor float64) *Component {
+func newComponent(floor float64) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.ServedFloor, cfg.Tunables.ServedWindowS, cfg.Tunables.ServedWithinS = floor, 300, 200
 	cfg.Deployment.Objectives = []settings.Objective{
@@ -26,16 +26,16 @@
 	return New(s)
 }
 
-func (d *Component) arrive(now time.Duration, id uint64, class string) *jobs.Job {
+func (d *Component) submit(now time.Duration, id uint64, class string) *jobs.Job {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
 	j.Phase, j.AcceptedAt, j.CPUShare = jobs.Open, now, 1
 	d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
 	return j
 }
 
-func (d *Component) at(who string) View {
+func (d *Component) viewOf(name string) View {
 	for _, v := range d.views() {
-		if v.Name == who {
+		if v.Name == name {
 			return v
 		}
 	}
@@ -45,9 +45,9 @@
 // A job is due at the latest of its class's objectives, at its deadline times the factor of the
 // class's objective, or after the configured default.
 func TestDueTime(t *testing.T) {
-	d := begun(0)
+	d := newComponent(0)
 	for class, want := range map[string]time.Duration{"a": 100 * time.Second, "b": 120 * time.Second, "c": 200 * time.Second} {
-		j := d.arrive(10*time.Second, uint64(len(class))+uint64(class[0]), class)
+		j := d.submit(10*time.Second, uint64(len(class))+uint64(class[0]), class)
 		if got := d.dueTime(j); got != 10*time.Second+want {
 			t.Errorf("job of class %s is due at %v", class, got)
 		}
@@ -59,14 +59,14 @@
 // stays boosted after its due time.
 func TestFloorBoostsNoMoreThanNeeded(t *testing.T) {
 	for _, floor := range []float64{0, 0.5, 0.6, 1} {
-		d := begun(floor)
+		d := newComponent(floor)
 		var list []*jobs.Job
 		for i := range uint64(20) {
-			list = append(list, d.arrive(0, i+1, "a"))
+			list = append(list, d.submit(0, i+1, "a"))
 		}
-		late := d.arrive(0, 99, "a")
+		late := d.submit(0, 99, "a")
 		late.Record.EstimateS = 90 // it needs 112 s and is due after 100 s
-		kept := func() (n int) {
+		countBoosted := func() (n int) {
 			for _, j := range list {
 				if j.Boost != jobs.NoBoost {
 					n++
@@ -75,21 +75,21 @@
 			return n
 		}
 		d.Tick(30*time.Second, true)
-		if kept() != 0 {
-			t.Errorf("floor %v: %d jobs are boosted although there is enough time", floor, kept())
+		if countBoosted() != 0 {
+			t.Errorf("floor %v: %d jobs are boosted although there is enough time", floor, countBoosted())
 		}
 		d.Tick(58*time.Second, true)
 		d.Tick(59*time.Second, true)
 		want := int(floor*20 + 0.999)
-		if n := kept(); n < want-1 || n > want+1 {
+		if n := countBoosted(); n < want-1 || n > want+1 {
 			t.Errorf("floor %v: %d of 20 jobs are boosted", floor, n)
 		}
 		if late.Boost != jobs.NoBoost {
 			t.Errorf("floor %v: a job that cannot be in time is boosted", floor)
 		}
 		d.Tick(101*time.Second, true)
-		if kept() != 0 || len(d.open) != 0 || d.at("a").Missed != 21 || d.at("t").Boosted != 0 {
-			t.Errorf("floor %v: after the due time %d jobs are boosted, view is %+v", floor, kept(), d.at("a"))
+		if countBoosted() != 0 || len(d.open) != 0 || d.viewOf("a").Missed != 21 || d.viewOf("t").Boosted != 0 {
+			t.Errorf("floor %v: after the due time %d jobs are boosted, view is %+v", floor, countBoosted(), d.viewOf("a"))
 		}
 	}
 }
@@ -99,7 +99,7 @@
 func TestAttainmentMatchesPlainCount(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 5))
-		d := begun(0.6)
+		d := newComponent(0.6)
 		type past struct {
 			class string
 			at    time.Duration
@@ -111,7 +111,7 @@
 		for now := time.Duration(0); now < 900*time.Second; now += 500 * time.Millisecond {
 			if r.IntN(6) == 0 {
 				id++
-				j := d.arrive(now, id, []string{"a", "b"}[r.IntN(2)])
+				j := d.submit(now, id, []string{"a", "b"}[r.IntN(2)])
 				open[j] = d.dueTime(j)
 			}
 			for j, due := range open {
@@ -130,7 +130,7 @@
 			}
 			d.Tick(now, true)
 			for _, class := range []string{"a", "b"} {
-				due, met, left := 0, 0, 0
+				due, met, openJobs := 0, 0, 0
 				for _, p := range all {
 					if p.class == class && now-p.at <= 300*time.Second {
 						due++
@@ -141,11 +141,11 @@
 				}
 				for j := range open {
 					if j.Record.Class == class {
-						left++
+						openJobs++
 					}
 				}
-				if v := d.at(class); due+left > 0 && (v.Due != due || v.Met != met || v.Open != left) {
-					t.Fatalf("seed %d at %v: view of class %s is %+v, want %d due, %d met, %d open", seed, now, class, v, due, met, left)
+				if v := d.viewOf(class); due+openJobs > 0 && (v.Due != due || v.Met != met || v.Open != openJobs) {
+					t.Fatalf("seed %d at %v: view of class %s is %+v, want %d due, %d met, %d open", seed, now, class, v, due, met, openJobs)
 				}
 			}
 		}
@@ -153,8 +153,8 @@
 }
 
 func TestShow(t *testing.T) {
-	d := begun(0.5)
-	d.arrive(0, 1, "a")
+	d := newComponent(0.5)
+	d.submit(0, 1, "a")
 	raw, err := d.Show(0, "")
 	var list []View
 	if err != nil || json.Unmarshal(raw, &list) != nil || len(list) != 2 || list[0].Team || !list[1].Team || list[0].Share != 1 {
@@ -171,9 +171,9 @@
 // The largest of the jobs due are the tenth with the most work and the one with the most tasks.
 // The view has the longest time that one of them waited to begin.
 func TestLargestOutcomes(t *testing.T) {
-	d := begun(0)
+	d := newComponent(0)
 	for i := range uint64(20) {
-		j := d.arrive(0, i+1, "a")
+		j := d.submit(0, i+1, "a")
 		j.FirstRunAt = time.Second
 		switch i {
 		case 3:
@@ -189,7 +189,7 @@
 		}
 	}
 	d.Tick(101*time.Second, true)
-	if v := d.at("a"); v.Due != 20 || v.Largest != 3 || v.LargestMet != 2 || v.LargestWait != 90 {
+	if v := d.viewOf("a"); v.Due != 20 || v.Largest != 3 || v.LargestMet != 2 || v.LargestWait != 90 {
 		t.Errorf("%+v", v)
 	}
 }
--- a/internal/leader/slo/view.go
+++ b/internal/leader/slo/view.go
@@ -91,7 +91,7 @@
 	}
 	list := slices.Clone(s.outcomes)
 	slices.SortStableFunc(list, func(a, b outcome) int { return cmp.Compare(b.work, a.work) })
-	n := (len(list) + largestShare - 1) / largestShare
+	n := (len(list) + largestDivisor - 1) / largestDivisor
 	widest := slices.MaxFunc(list, func(a, b outcome) int { return cmp.Compare(a.tasks, b.tasks) })
 	if slices.ContainsFunc(list[:n], func(o outcome) bool { return o.tasks == widest.tasks }) {
 		return list[:n]
