--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -21,7 +21,7 @@
 	Node          string `json:"node"`
 	AtMS          int64  `json:"at_ms"`            // wall-clock time when the leader was elected
 	DownAtLeastMS int64  `json:"down_at_least_ms"` // time without a leader that this node observed
-	DownAtMostMS  int64  `json:"down_at_most_ms"`  // time since the newest log entry with a time; -1: none
+	DownAtMostMS  int64  `json:"down_at_most_ms"`  // time since the newest log entry with a time; -1: there is none
 	// Registered machines, open jobs of earlier terms, and those of their tasks that may have
 	// been assigned to a machine and were not durably finished.
 	Machines int `json:"machines"`
@@ -49,7 +49,7 @@
 const (
 	RentedUnused = "rented_unused"     // a machine was rented and returned without having been given a task
 	DeletedAlive = "deleted_alive"     // a machine was deleted as silent and sent a heartbeat afterwards
-	StartedDone  = "started_done"      // a task was started although its result existed, and ended at once
+	StartedDone  = "started_done"      // a task whose result existed already was started again and ended at once
 	StoppedSoon  = "stopped_soon"      // a task was preempted or moved within needlessWindow of its start
 	ReturnedSoon = "returned_and_rent" // a machine of the same kind was rented within needlessWindow of a return
 )
@@ -129,7 +129,7 @@
 
 // begin starts the record with the work that may have been running: tasks that earlier
 // terms may have started and that are not known to have ended. Tasks that were reported
-// while the peers were being asked are already recovered and are not missing.
+// while the peers were being asked count as recovered already.
 func (rec *recorder) begin(d *Component, now time.Duration) {
 	rec.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -5,8 +5,9 @@
 // with the actions that turned out to be needless. docs/cold-start.md is its design note and
 // the operators' page.
 //
-// The rules of proof do not change (package reconcile, grants and intents): the census only
-// delays actions that are otherwise allowed, and each for a bounded time only.
+// The rules by which the leader proves what may be running do not change (see package reconcile,
+// grants and intents): the census only delays actions that are otherwise allowed, each for a
+// bounded time.
 package coldstart
 
 import (
@@ -134,20 +135,21 @@
 
 // isFailoverFrom reports whether the given leader led until recently and had announced that the
 // fleet's state was known to it. A leader that announced nothing, because of an older version or
-// its settings, counts as such unless it was gone before it could have announced anything.
+// its settings, is treated as if it had announced that, unless it was gone before it could
+// announce anything.
 //
 // The announcement matters when the first leader after a cold start fails during its census: in
 // a randomized test the next leader then treated this as a failover, and deleted machines that
 // were about to report.
-func (d *Component) isFailoverFrom(now time.Duration, led leadership.LeaderRecord) bool {
-	if !led.Known || now-led.Until >= settings.Seconds(d.Cfg.Tunables.ColdAfterS) {
+func (d *Component) isFailoverFrom(now time.Duration, previous leadership.LeaderRecord) bool {
+	if !previous.Known || now-previous.Until >= settings.Seconds(d.Cfg.Tunables.ColdAfterS) {
 		return false
 	}
-	switch led.Fleet {
+	switch previous.Fleet {
 	case leadership.FleetKnown:
 		return true
 	case leadership.FleetUnspecified:
-		return led.Until-led.Since >= maxAnnounceDelay
+		return previous.Until-previous.Since >= maxAnnounceDelay
 	}
 	return false
 }
@@ -162,7 +164,7 @@
 
 // PreviousLeaderReported applies a peer's answer about the leader before this one. known is
 // false if the peer did not answer.
-func (d *Component) PreviousLeaderReported(now time.Duration, peer string, led leadership.LeaderRecord, known bool) {
+func (d *Component) PreviousLeaderReported(now time.Duration, peer string, previous leadership.LeaderRecord, known bool) {
 	if known {
 		d.peerHeardAt[peer] = now
 	}
@@ -173,7 +175,7 @@
 	if d.kind != undecided {
 		return
 	}
-	if known && d.isFailoverFrom(now, led) {
+	if known && d.isFailoverFrom(now, previous) {
 		d.setKind(now, failoverStart)
 	} else if len(d.peersAsked) == 0 {
 		d.setKind(now, coldStart)
@@ -234,8 +236,8 @@
 
 // Permits reports whether actions of a kind may be taken now. Starts are always permitted: the
 // proof that they require is just as valid after a cold start. So are deletions of silent
-// machines, which wait for SilenceAllowance. Machines are rented and returned, and tasks
-// preempted or moved, only once the fleet's state is settled.
+// machines, because they wait for SilenceAllowance in any case. Renting and returning machines,
+// and preempting and moving tasks, are permitted once the fleet's state is settled.
 func (d *Component) Permits(now time.Duration, action cluster.Action) bool {
 	if d.kind == failoverStart {
 		return true
@@ -248,7 +250,7 @@
 }
 
 // SilenceAllowance returns how long after the start of the term a machine that has not been
-// heard in it may still be alive.
+// heard since then may still be alive.
 func (d *Component) SilenceAllowance() time.Duration {
 	if d.kind == failoverStart {
 		return 0
@@ -257,8 +259,8 @@
 }
 
 // Allows reports whether a task of a job may be placed on a machine now. While the leader
-// catches up, starts are rate-limited per zone, and on a machine without the job's image also
-// limited by the number of images that it is already fetching.
+// catches up, starts are rate-limited per zone. A machine without the job's image is also refused
+// while it is fetching too many images.
 func (d *Component) Allows(now time.Duration, j *jobs.Job, m *workers.Machine) bool {
 	return !d.pacesStarts(now) || d.startLimiter.Allows(now, m.Zone, m.HasImage(j.Image), m.ImagesToFetch())
 }
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -106,7 +106,7 @@
 			}
 			c.SetUnreachablePeers(now, unreachable)
 			if now > c.SilenceAllowance() {
-				t.Fatalf("seed %d: worker given up at %v, it reports at %v: controllers up at %v", seed, now, at, upAt)
+				t.Fatalf("seed %d: allowance ended at %v, but the worker reports at %v; controllers are up at %v", seed, now, at, upAt)
 			}
 		}
 	}
@@ -253,7 +253,7 @@
 	}
 	var list []Record
 	if err := json.Unmarshal(raw, &list); err != nil || len(list) != 1 {
-		t.Fatalf("%s: %v", raw, err)
+		t.Fatalf("records are %s, want a list of one: %v", raw, err)
 	}
 	r := list[0]
 	if r.Machines != 10 || r.Jobs != 1 || r.SettledMS != 4000 ||
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -22,8 +22,8 @@
 const Name = "takeovers"
 
 const (
-	// maxRecordingTime is when the record of a failover is completed at the latest, even if
-	// some steps were not reached.
+	// maxRecordingTime is how long after the start of the term the record is completed at the
+	// latest, even if some steps were not reached.
 	// firstStartTimeout is how long to wait for the first task start once all other steps are
 	// reached: there may be no task to start.
 	maxRecordingTime  = 3 * time.Minute
@@ -39,8 +39,8 @@
 const (
 	Elected        Step = iota // this controller holds the leader's lease and the epoch
 	LogRead                    // the whole event log is read and replayed
-	FirstHeartbeat             // a registered machine has sent a heartbeat at the new token
-	HalfResolved               // half of the registered machines are resolved
+	FirstHeartbeat             // a registered machine has sent a heartbeat with its current token
+	HalfResolved               // half of the registered machines are resolved: it is known what runs on them
 	NinetyResolved             // 90 % of them are
 	AllResolved                // all of them are
 	FirstStart                 // this leader has placed a task on a machine
@@ -78,7 +78,7 @@
 	Epoch    uint64 `json:"epoch"`
 	Node     string `json:"node"`
 	SilentMS int64  `json:"leader_silent_ms"` // time from last hearing the former leader to AtMS; -1: unknown
-	AtMS     int64  `json:"at_ms"`            // wall-clock time, by this node's clock, when it found that there was no leader
+	AtMS     int64  `json:"at_ms"`            // wall-clock time when this node found no leader, by its clock
 	Machines int    `json:"machines"`
 	Jobs     int    `json:"jobs"`
 	HeldBack int    `json:"jobs_held_back"` // jobs blocked by unresolved machines when the log was read
--- a/internal/leader/rebalance/balancer.go
+++ b/internal/leader/rebalance/balancer.go
@@ -11,10 +11,10 @@
 //
 // A controller's load is its number of machines divided by its weight. A controller with more
 // than MaxLoad times the mean load gives machines away, a few per second, until its load is at
-// most balancedLoad times the mean. Each machine goes to the ready controller with the least
-// load, if that load after the move does not exceed the source's load before it. So no move
-// raises the largest load, and moves end. A machine that was moved stays for moveCooldown, and
-// one that did not arrive for failedCooldown, because it may be unable to reach the target.
+// most balancedLoad times the mean. Each machine goes to the ready controller whose load would be
+// the least after the move, if that does not exceed the source's load before the move. So no move
+// raises the largest load, and moves end. A machine that was moved is not moved again during
+// moveCooldown, or during failedCooldown if it did not arrive: it may be unable to reach the target.
 type Balancer struct {
 	params     Params
 	budget     ratelimit.Bucket
@@ -47,7 +47,7 @@
 
 const (
 	balancedLoad   = 1.05             // multiple of the mean load down to which machines are moved
-	moveCooldown   = time.Minute      // before a machine is moved again
+	moveCooldown   = time.Minute      // time before a machine is moved again
 	failedCooldown = 10 * time.Minute // the same for a machine that did not arrive
 	moveRetention  = failedCooldown   // how long the last move of a machine is remembered
 	minMachines    = 8                // in total: with fewer machines nothing is moved
@@ -119,7 +119,7 @@
 }
 
 // coolingDown reports whether a machine was moved too recently to be moved again. It also
-// records the move as failed if the machine reports to another controller than its target.
+// records the move as failed if the machine reports to a controller other than its target.
 func (b *Balancer) coolingDown(now time.Duration, machine, current string) bool {
 	last, moved := b.moves[machine]
 	if !moved {
--- a/internal/leader/rebalance/balancer_test.go
+++ b/internal/leader/rebalance/balancer_test.go
@@ -44,8 +44,8 @@
 
 // On random distributions of up to 5,000 machines, no move raises the largest load, no machine
 // is moved twice or to a controller that is not ready, and the moves per second stay within the
-// limit. With constant weights the moves end, in the time that their number needs, and leave no
-// controller overloaded.
+// limit. With constant weights the moves end, within a time proportional to their number, and leave
+// no controller overloaded.
 func TestMovesEndWithBalancedLoad(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 6))
@@ -175,7 +175,7 @@
 	raw, err := d.Show(0, "")
 	var list []View
 	if err != nil || json.Unmarshal(raw, &list) != nil {
-		t.Fatalf("%s %v", raw, err)
+		t.Fatalf("unexpected views %s: %v", raw, err)
 	}
 	if list[0].Weight != 0.7 || !list[0].Ready || list[1].Weight != 1 || !list[1].Ready || list[1].Machines != 25 || list[2].Weight != 0.25 || list[2].Ready {
 		t.Errorf("%+v", list)
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -16,7 +16,7 @@
 // gets the answer for the revision that was already made.
 type Request struct {
 	ID       string          `json:"id"`
-	Revision uint64          `json:"revision"` // newest that the operator saw; refused if there is a newer one
+	Revision uint64          `json:"revision"` // newest that the operator saw; refused if it is not the newest
 	Note     string          `json:"note,omitempty"`
 	Changes  []config.Change `json:"changes"`
 	DryRun   bool            `json:"dry_run,omitempty"` // the request is only checked, nothing is changed
@@ -34,8 +34,8 @@
 	maxPending       = 64   // largest number of changes that are not durable yet
 )
 
-// ChangeBy applies a Request of the operator by and returns an Answer, both as JSON. An invalid
-// field of the request is reported as a *settings.FieldError.
+// ChangeBy applies a Request, made by the operator of the given name, and returns an Answer, both
+// as JSON. An invalid field of the request is reported as a *settings.FieldError.
 func (d *Component) ChangeBy(now time.Duration, by string, body json.RawMessage) (json.RawMessage, error) {
 	var in Request
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -168,8 +168,9 @@
 	return s
 }
 
-// completeChange completes a change that removes a team or reverts it to the settings, and returns the
-// setting before the change.
+// completeChange returns an item's setting before a change, and completes a change of a team: a
+// revert to the settings removes a team that they do not define, and a removed team keeps its
+// limits for its open jobs.
 func (d *Component) completeChange(c *config.Change) (config.Set, error) {
 	before := d.currentSet(c.Item)
 	if c.Item.Team == "" {
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -41,7 +41,7 @@
 	settingsTeams    map[string]settings.Team
 
 	// Revisions.
-	document        config.Document   // durable settings
+	document        config.Document   // what all durable revisions together set
 	history         []config.Revision // most recent durable revisions, oldest first, without gaps
 	pending         []config.Revision // not durable yet, oldest first
 	missingRevision uint64            // a revision that was in force but is missing from the log; 0: none
@@ -83,7 +83,7 @@
 	return x, e.Component != nil && e.Component.Name == Name && json.Unmarshal(e.Component.Data, &x) == nil
 }
 
-// Replay applies an entry. An entry may occur twice if the log was being compacted.
+// Replay applies an entry. An entry may occur twice, because of an unfinished compaction.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	if !ok {
@@ -109,7 +109,7 @@
 	d.history = slices.Delete(d.history, 0, max(0, len(d.history)-d.historyLimit))
 }
 
-// Begin puts the replayed settings in force.
+// Begin puts the replayed configuration in force.
 func (d *Component) Begin(now time.Duration) {
 	for _, s := range d.document.All() {
 		d.apply(s.Item)
@@ -238,7 +238,8 @@
 	return len(d.history) > 0 && revision >= d.history[0].Number
 }
 
-// Compact appends the revisions in the history again, and collects what older ones have set.
+// Compact appends an entry again if it is a revision in the history. Of any other entry it
+// collects the items that are still set by it, for CompactionDone.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := decode(e)
 	switch {
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -19,7 +19,7 @@
 	t       *testing.T
 	now     time.Duration
 	entries []eventlog.Entry // all entries that were made durable
-	mark    uint64
+	version uint64           // version of the last committed transaction
 	replica config.Replica
 }
 
@@ -56,14 +56,14 @@
 		if txn == nil {
 			continue
 		}
-		b.mark++
+		b.version++
 		pending := b.EventLog.PendingCount()
 		for _, w := range txn.Writes {
 			if list, err := eventlog.Decode(w.Value); err == nil && strings.HasPrefix(w.Key, eventlog.Prefix) {
 				b.entries = append(b.entries, list...) // some occur twice, which Replay tolerates
 			}
 		}
-		durable, _ := b.EventLog.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.mark, nil)
+		durable, _ := b.EventLog.CommitResult(b.now, txn.Sequence, eventlog.Applied, b.version, nil)
 		for _, e := range durable {
 			b.EntryDurable(b.now, true, e)
 		}
@@ -102,24 +102,24 @@
 	dry := first
 	dry.DryRun = true
 	if a, err := b.request(dry); err != nil || a.Revision != 1 || b.EventLog.PendingCount() != 0 {
-		t.Fatalf("dry run: %+v %v", a, err)
+		t.Fatalf("dry run: answer %+v, error %v", a, err)
 	}
 	bad := Request{ID: "bad", Changes: []config.Change{limitChange("red", 1), limitChange("blue", -1)}}
 	if _, err := b.request(bad); err == nil || !strings.Contains(err.Error(), "team blue") || b.cpuLimit("red") != 10 {
 		t.Errorf("request with one invalid change: error %v, red has limit %v", err, b.cpuLimit("red"))
 	}
 	if a, err := b.request(first); err != nil || a.Durable {
-		t.Fatalf("first request: %+v %v", a, err)
+		t.Fatalf("first request: answer %+v, error %v", a, err)
 	}
 	if a, err := b.request(first); err != nil || a.Durable || a.Revision != 1 {
-		t.Errorf("repeated request before it is durable: %+v %v", a, err)
+		t.Errorf("repeated request before the change is durable: answer %+v, error %v", a, err)
 	}
 	if _, err := b.request(Request{ID: "b", Revision: 0, Changes: first.Changes}); err == nil || !strings.Contains(err.Error(), "revision") {
 		t.Errorf("request for an outdated revision: %v", err)
 	}
 	b.commit()
 	if a, err := b.request(first); err != nil || !a.Durable || a.Revision != 1 {
-		t.Errorf("repeated request once it is durable: %+v %v", a, err)
+		t.Errorf("repeated request once the change is durable: answer %+v, error %v", a, err)
 	}
 	blue, ok := b.Teams.Lookup("blue")
 	if !ok || !b.HasTeam(blue) || b.cpuLimit("red") != 20 || b.replica.Revision() != 1 {
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -44,9 +44,9 @@
 type Tunable struct {
 	Key      string          `json:"key"`
 	Value    float64         `json:"value"`
-	Settings float64         `json:"in_settings"`
-	Revision uint64          `json:"revision,omitempty"`
-	Effect   settings.Effect `json:"effect"`
+	Settings float64         `json:"in_settings"`        // value in the settings
+	Revision uint64          `json:"revision,omitempty"` // revision that set it; 0: it comes from the settings
+	Effect   settings.Effect `json:"effect"`             // when a change of it takes effect
 }
 
 // Names of the views of the component, besides the default one, whose name is empty.
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -2,9 +2,9 @@
 // every class and every team gets some of its work done in time, however much work others
 // submit. It measures, per class and per team in a sliding window, how many jobs were due and
 // how many of them were done in time. Where this share is about to fall below a floor, it
-// boosts jobs at the last moment at which they can still be in time: the exception
-// `served_floor`. docs/spread.md has the design, with the bound on its cost to other jobs, and
-// the operators' page.
+// boosts jobs at their last chance, that is shortly before they can no longer be in time. They
+// then go ahead of the scheduling order (its exception `served_floor`). docs/spread.md has the
+// design, with the bound on its cost to other jobs, and the operators' page.
 package slo
 
 import (
@@ -30,20 +30,20 @@
 	// leadTime is how long before the last possible moment a job is considered, since capacity
 	// becomes free only as other tasks end.
 	leadTime = 10 * time.Second
-	// minOutcomes is the number of due jobs from which on the boosted jobs of a class or team
-	// that is below the floor also go ahead of urgent jobs.
+	// minOutcomes is how many jobs of a class or team must have been due in the window before
+	// its boosted jobs go ahead of urgent jobs too, which they do while it is below the floor.
 	minOutcomes = 4
 	// minDueEstimates is the least time until a job is due, in its owner's estimates of one task,
 	// if its class has no objective that sets a due time.
 	minDueEstimates = 2
-	// largestDivisor is the divisor for the largest outcomes: one in largestDivisor counts as such.
+	// largestDivisor sets how many outcomes count as the largest: one in largestDivisor.
 	largestDivisor = 10
 )
 
 // group is a class or a team.
 type group struct {
 	name string
-	team bool
+	team bool // it is a team, not a class
 }
 
 // groupStats holds the statistics of a class or a team.
@@ -112,7 +112,7 @@
 	}
 }
 
-// HandleEvent tracks jobs from when they are ordered until they end.
+// HandleEvent tracks jobs from when they enter the scheduling order until they end.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
@@ -124,9 +124,9 @@
 	}
 }
 
-// dueTime returns when a job should have ended: at the latest time that its class's objectives
-// for the end or the deadline allow or, if there are none, after the configured default and at
-// least minDueEstimates of its estimates.
+// dueTime returns when a job should have ended: the latest time that its class's objectives for
+// the end or the deadline allow. If there are none, it is due after the configured default time,
+// but not before minDueEstimates times its owner's estimate of one task.
 func (d *Component) dueTime(j *jobs.Job) time.Duration {
 	latest := 0.0
 	for _, o := range d.Cfg.Deployment.Objectives {
@@ -190,6 +190,7 @@
 	}
 }
 
+// untrack stops tracking a job and ends its boost.
 func (d *Component) untrack(t *trackedJob) {
 	delete(d.byJob, t.job)
 	i, _ := slices.BinarySearchFunc(d.open, t.due, compareDue)
@@ -206,6 +207,7 @@
 	}
 }
 
+// recordOutcome adds a job's outcome to the statistics of its class and its team.
 func (d *Component) recordOutcome(now time.Duration, t *trackedJob, met bool) {
 	j := t.job
 	began := j.FirstRunAt
@@ -286,8 +288,9 @@
 	}
 }
 
-// updateBoosted moves boosted jobs ahead of urgent ones or behind them, and returns the remaining
-// work of all boosted jobs, in CPU seconds. Jobs that are boosted later have to wait for it.
+// updateBoosted moves boosted jobs ahead of urgent ones if their class or team is below the floor,
+// and behind them otherwise. It returns the remaining work of all boosted jobs, in CPU seconds:
+// jobs that are boosted later have to wait for it.
 func (d *Component) updateBoosted() (workAhead float64) {
 	for _, t := range d.open {
 		if !t.boosted {
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -42,8 +42,8 @@
 	return View{}
 }
 
-// A job is due at the latest of its class's objectives, at its deadline times the factor of the
-// class's objective, or after the configured default.
+// A job is due after the longest time of its class's objectives for the end, after its deadline
+// times the factor of the class's deadline objective or, without either, after the default time.
 func TestDueTime(t *testing.T) {
 	d := newComponent(0)
 	for class, want := range map[string]time.Duration{"a": 100 * time.Second, "b": 120 * time.Second, "c": 200 * time.Second} {
@@ -168,7 +168,7 @@
 	}
 }
 
-// The largest of the jobs due are the tenth with the most work and the one with the most tasks.
+// The largest of the jobs due are the 10 % with the most work and the one with the most tasks.
 // The view has the longest time that one of them waited to begin.
 func TestLargestOutcomes(t *testing.T) {
 	d := newComponent(0)
--- a/internal/leader/slo/view.go
+++ b/internal/leader/slo/view.go
@@ -13,7 +13,7 @@
 // View is the state of a class or a team as shown to operators.
 type View struct {
 	Name         string  `json:"name"`
-	Team         bool    `json:"team"`
+	Team         bool    `json:"team"`   // it is a team, not a class
 	Due          int     `json:"due"`    // jobs due in the window
 	Met          int     `json:"met"`    // of those, done in time
 	Share        float64 `json:"share"`  // Met of Due; 1 if none was due
@@ -21,7 +21,7 @@
 	Boosted      int     `json:"kept"`   // of those, the boosted ones
 	Missed       uint64  `json:"missed"` // since the start of the term
 	BoostedTotal uint64  `json:"kept_ever"`
-	// The largest of the jobs due: the tenth with the most work, and the one with the most tasks.
+	// The largest of the jobs due: the 10 % with the most work, and the one with the most tasks.
 	Largest     int     `json:"largest"`
 	LargestMet  int     `json:"largest_met"`
 	LargestWait float64 `json:"largest_began_after_s"` // longest time in seconds that one of them waited to begin
@@ -83,8 +83,8 @@
 	return v
 }
 
-// largest returns the largest outcomes in the window: the tenth with the most work, and the one
-// with the most tasks.
+// largest returns the largest outcomes in the window: the 10 % with the most work, rounded up, and
+// the one with the most tasks.
 func (s *groupStats) largest() []outcome {
 	if len(s.outcomes) == 0 {
 		return nil
@@ -99,7 +99,7 @@
 	return append(list[:n:n], widest)
 }
 
-// maxLabels limits the label values of a metric; further ones are left out.
+// maxLabels is the largest number of label values of a metric; further ones are left out.
 const maxLabels = 100
 
 // Gauges returns the share of jobs done in time per class and team, and the share and longest wait
@@ -111,7 +111,7 @@
 	const shareHelp = "Share of the jobs due in the window that were done by then."
 	ofClass := newGauge("bitternmoor_served_share_of_class", shareHelp, "class")
 	ofTeam := newGauge("bitternmoor_served_share_of_team", shareHelp, "team")
-	ofLargest := newGauge("bitternmoor_served_share_of_largest", "Share of the largest jobs of the class due in the window that were done by then.", "class")
+	ofLargest := newGauge("bitternmoor_served_share_of_largest", "Share of a class's largest jobs due in the window that were done in time.", "class")
 	largestBegan := newGauge("bitternmoor_largest_began_seconds",
 		"Longest time that one of the largest jobs of a class waited to begin.", "class")
 	for _, v := range d.views() {
