--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -15,24 +15,25 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// Record is the account of one cold start.
+// Record describes one cold start and how the fleet recovered from it.
 type Record struct {
 	Epoch         uint64 `json:"epoch"`
 	Node          string `json:"node"`
-	AtMS          int64  `json:"at_ms"`            // time of day when the log was read
-	DownAtLeastMS int64  `json:"down_at_least_ms"` // for how long nobody led, as this node knows
-	DownAtMostMS  int64  `json:"down_at_most_ms"`  // since the last durable sign of a leader; -1: there is none
-	// Machines that were registered, jobs that were open, and their tasks that may have
-	// been handed out and had not ended.
+	AtMS          int64  `json:"at_ms"`            // wall-clock time when the leader was elected
+	DownAtLeastMS int64  `json:"down_at_least_ms"` // time without a leader that this node observed
+	DownAtMostMS  int64  `json:"down_at_most_ms"`  // time since the newest log entry with a time; -1: there is none
+	// Registered machines, open jobs of earlier terms, and those of their tasks that may have
+	// been assigned to a machine and were not durably finished.
 	Machines int `json:"machines"`
 	Jobs     int `json:"jobs"`
 	Tasks    int `json:"tasks"`
-	// After the beginning of the term, in milliseconds; -1: not reached.
+	// Milliseconds from the start of the term until each step; -1: not reached.
 	SettledMS    int64 `json:"settled_ms"`
-	WorkHalfMS   int64 `json:"work_half_ms"` // half of those tasks are seen, done, or given a machine again
+	WorkHalfMS   int64 `json:"work_half_ms"` // half of those tasks were found, have ended or are placed again
 	WorkNinetyMS int64 `json:"work_ninety_ms"`
 	WorkAllMS    int64 `json:"work_all_ms"`
-	// Differences, orders, and orders found needless afterwards, by name.
+	// Numbers of differences between stored and reported state, of actions taken, and of
+	// actions that turned out to be needless, each by name.
 	Differences map[string]uint64 `json:"differences"`
 	Orders      map[string]uint64 `json:"orders"`
 	Needless    map[string]uint64 `json:"needless"`
@@ -44,47 +45,47 @@
 
 func (r *Record) maxDowntime() time.Duration { return time.Duration(r.DownAtMostMS) * time.Millisecond }
 
-// Needless kinds of actions, as they are counted in Record.Needless.
+// Kinds of needless actions: the keys of Record.Needless.
 const (
-	RentedUnused = "rented_unused"     // rented, and returned without having had a task
-	DeletedAlive = "deleted_alive"     // given up as silent, and heard again before it was gone
-	StartedDone  = "started_done"      // started, and at once over with a result that was there already
-	StoppedSoon  = "stopped_soon"      // started, and stopped for another job or moved within seconds
-	ReturnedSoon = "returned_and_rent" // returned, and a machine of its type and kind rented within seconds
+	RentedUnused = "rented_unused"     // a machine was rented and returned without having been given a task
+	DeletedAlive = "deleted_alive"     // a machine was deleted as silent and sent a heartbeat afterwards
+	StartedDone  = "started_done"      // a task whose result existed already was started again and ended at once
+	StoppedSoon  = "stopped_soon"      // a task was preempted or moved within needlessWindow of its start
+	ReturnedSoon = "returned_and_rent" // a machine of the same kind was rented within needlessWindow of a return
 )
 
 const (
-	soonAfter          = 10 * time.Second
-	instantRunSeconds  = 1.5 // a task that ran for less had its result already
-	minEstimateSeconds = 5   // shorter tasks end between two heartbeats by themselves
-	recordBytes        = 512 // rough size of a record in the log
+	needlessWindow     = 10 * time.Second
+	instantRunSeconds  = 1.5 // a task that ran for less already had its result
+	minEstimateSeconds = 5   // shorter tasks may complete between two heartbeats anyway
+	recordBytes        = 512 // approximate size of a record in the log
 )
 
-// stepSecondsBuckets are the upper bounds of the histogram of steps, in seconds.
+// stepSecondsBuckets are the upper bounds, in seconds, of the buckets of the step histogram.
 var stepSecondsBuckets = []float64{.5, 1, 2, 3, 5, 7.5, 10, 15, 20, 30, 60, 120}
 
-// account follows a cold start, and keeps the records of earlier ones.
-type account struct {
-	closed      bool          // or there is nothing to follow
-	lastEventAt time.Duration // of the last event that has a time
+// recorder records the current cold start and keeps the records of earlier ones.
+type recorder struct {
+	finished    bool          // the record is complete, or this term needs none
+	lastEventAt time.Duration // time of the newest event that has one
 	current     Record
-	earlier     []Record           // by epoch
-	stepSeconds *cluster.Histogram // nil where no records are kept
+	earlier     []Record           // sorted by epoch
+	stepSeconds *cluster.Histogram // nil if no records are kept
 
-	missingTasks map[workers.TaskRef]struct{} // tasks that may have been under way, not recovered yet
+	unrecoveredTasks map[workers.TaskRef]struct{} // tasks that may have been running and are not recovered yet
 
-	// What tells which actions were needless.
-	unusedRentals map[*workers.Machine]bool         // on which no task was started yet
-	startedAt     map[workers.TaskRef]time.Duration // tasks of this term
-	returnedAt    map[string]time.Duration          // when a machine of a type and kind was last returned
-	deletedSilent map[*workers.Machine]bool         // given up and not heard since
+	// State for detecting needless actions.
+	unusedRentals map[*workers.Machine]bool         // rented in this term and not given a task yet
+	startedAt     map[workers.TaskRef]time.Duration // tasks that this leader placed, by the time of placement
+	returnedAt    map[string]time.Duration          // time of the last return, by machineKind
+	deletedSilent map[*workers.Machine]bool         // deleted as silent and not heard since
 }
 
-// notReached stands in a record for a step that was not reached.
+// notReached is the value in a Record of a step that was not reached.
 const notReached = -1
 
-func (a *account) initialize(s *cluster.State) {
-	a.current = Record{
+func (rec *recorder) initialize(s *cluster.State) {
+	rec.current = Record{
 		Epoch:        s.Epoch,
 		Node:         s.Cfg.Node,
 		SettledMS:    notReached,
@@ -94,251 +95,252 @@
 		Orders:       map[string]uint64{},
 		Needless:     map[string]uint64{},
 	}
-	a.missingTasks = map[workers.TaskRef]struct{}{}
-	a.unusedRentals = map[*workers.Machine]bool{}
-	a.startedAt = map[workers.TaskRef]time.Duration{}
-	a.returnedAt = map[string]time.Duration{}
-	a.deletedSilent = map[*workers.Machine]bool{}
+	rec.unrecoveredTasks = map[workers.TaskRef]struct{}{}
+	rec.unusedRentals = map[*workers.Machine]bool{}
+	rec.startedAt = map[workers.TaskRef]time.Duration{}
+	rec.returnedAt = map[string]time.Duration{}
+	rec.deletedSilent = map[*workers.Machine]bool{}
 	if s.Cfg.Tunables.ColdKept > 0 {
-		a.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds",
-			"Time from the beginning of a term in which nobody led before to each step.", "step", stepSecondsBuckets)
+		rec.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds",
+			"Time from the start of a term with a cold start to each recovery step.", "step", stepSecondsBuckets)
 	}
 }
 
-// replay keeps the record of an earlier term's entry.
-func (a *account) replay(s *cluster.State, e eventlog.Entry) {
+// replay keeps the record that an earlier term stored in an entry.
+func (rec *recorder) replay(s *cluster.State, e eventlog.Entry) {
 	var r Record
 	if err := json.Unmarshal(e.Component.Data, &r); err != nil {
 		s.LogMessage(effects.Warn, "cold start record cannot be read: skipped", "error", err)
 		return
 	}
-	a.remember(r, s.Cfg.Tunables.ColdKept)
+	rec.addRecord(r, s.Cfg.Tunables.ColdKept)
 }
 
-// remember adds a record in the order of epochs, and drops the oldest beyond the limit.
-func (a *account) remember(r Record, maxRecords int) {
-	i, found := slices.BinarySearchFunc(a.earlier, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
+// addRecord inserts a record by its epoch and drops the oldest records beyond maxRecords.
+func (rec *recorder) addRecord(r Record, maxRecords int) {
+	i, found := slices.BinarySearchFunc(rec.earlier, r, func(x, y Record) int { return cmp.Compare(x.Epoch, y.Epoch) })
 	if !found {
-		a.earlier = slices.Insert(a.earlier, i, r)
+		rec.earlier = slices.Insert(rec.earlier, i, r)
 	}
-	if excess := len(a.earlier) - maxRecords; excess > 0 {
-		a.earlier = slices.Delete(a.earlier, 0, excess)
+	if excess := len(rec.earlier) - maxRecords; excess > 0 {
+		rec.earlier = slices.Delete(rec.earlier, 0, excess)
 	}
 }
 
-// begin notes the work that may have been under way: what earlier terms may have
-// started and is not known to have ended. What was reported while the peers were asked is
-// recovered already.
-func (a *account) begin(d *Component, now time.Duration) {
-	a.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
+// begin starts the record with the work that may have been running: tasks that earlier
+// terms may have started and that are not known to have ended. Tasks that were reported
+// while the peers were being asked count as recovered already.
+func (rec *recorder) begin(d *Component, now time.Duration) {
+	rec.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
-		a.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
+		rec.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
-	a.current.DownAtMostMS = -1
+	rec.current.DownAtMostMS = -1
 	if d.newestEntryMS > 0 {
-		a.current.DownAtMostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
+		rec.current.DownAtMostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
 	}
-	a.current.Machines, _ = d.census.Counts()
+	rec.current.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
 		if j != nil && j.Phase == jobs.Open && j.FromEarlierTerm {
-			a.addJob(j)
+			rec.addJob(j)
 		}
 	}
-	a.current.Tasks = max(a.current.Tasks, len(a.missingTasks))
-	a.recordRecoveredShare(d, now)
+	rec.current.Tasks = max(rec.current.Tasks, len(rec.unrecoveredTasks))
+	rec.recordRecoveredShare(d, now)
 }
 
-// addJob counts an earlier term's job, and those of its tasks that may have been under way.
-func (a *account) addJob(j *jobs.Job) {
-	a.current.Jobs++
+// addJob counts a job of an earlier term and those of its tasks that may have been running.
+func (rec *recorder) addJob(j *jobs.Job) {
+	rec.current.Jobs++
 	for task, state := range j.Tasks {
 		if state == jobs.Waiting && (task < j.UnassignedFrom || j.Record.Kind == jobs.Gang) {
-			a.missingTasks[workers.TaskRef{Job: j.Index, Task: int32(task)}] = struct{}{}
+			rec.unrecoveredTasks[workers.TaskRef{Job: j.Index, Task: int32(task)}] = struct{}{}
 		}
 		if state != jobs.FinishedDurably && task < j.UnassignedFrom {
-			a.current.Tasks++
+			rec.current.Tasks++
 		}
 	}
 }
 
-// allRecovered says whether all the work that may have been under way is recovered.
-func (a *account) allRecovered() bool { return a.closed || len(a.missingTasks) == 0 }
+// allRecovered reports whether all the work that may have been running is recovered.
+func (rec *recorder) allRecovered() bool { return rec.finished || len(rec.unrecoveredTasks) == 0 }
 
-// taskRecovered notes that a task was found, has ended or was started again.
-func (a *account) taskRecovered(d *Component, now time.Duration, j *jobs.Job, task int) {
+// taskRecovered records that a task was found on a machine, has ended or was started again.
+func (rec *recorder) taskRecovered(d *Component, now time.Duration, j *jobs.Job, task int) {
 	ref := workers.TaskRef{Job: j.Index, Task: int32(task)}
-	if _, open := a.missingTasks[ref]; open {
-		delete(a.missingTasks, ref)
-		a.recordRecoveredShare(d, now)
+	if _, open := rec.unrecoveredTasks[ref]; open {
+		delete(rec.unrecoveredTasks, ref)
+		rec.recordRecoveredShare(d, now)
 	}
 }
 
-// recordRecoveredShare notes the steps that are reached.
-func (a *account) recordRecoveredShare(d *Component, now time.Duration) {
-	recovered := a.current.Tasks - len(a.missingTasks)
+// recordRecoveredShare records the steps that the share of recovered tasks has reached.
+func (rec *recorder) recordRecoveredShare(d *Component, now time.Duration) {
+	recovered := rec.current.Tasks - len(rec.unrecoveredTasks)
 	steps := []struct {
 		name    string
 		afterMS *int64
 		percent int
 	}{
-		{"work_half", &a.current.WorkHalfMS, 50},
-		{"work_ninety", &a.current.WorkNinetyMS, 90},
-		{"work_all", &a.current.WorkAllMS, 100},
+		{"work_half", &rec.current.WorkHalfMS, 50},
+		{"work_ninety", &rec.current.WorkNinetyMS, 90},
+		{"work_all", &rec.current.WorkAllMS, 100},
 	}
 	for _, s := range steps {
-		if *s.afterMS < 0 && recovered*100 >= a.current.Tasks*s.percent {
-			a.recordStep(d, now, s.name, s.afterMS)
+		if *s.afterMS < 0 && recovered*100 >= rec.current.Tasks*s.percent {
+			rec.recordStep(d, now, s.name, s.afterMS)
 		}
 	}
 }
 
-// recordStep notes when a step was reached, in milliseconds since the term's beginning.
-func (a *account) recordStep(d *Component, now time.Duration, step string, afterMS *int64) {
+// recordStep records when a step was reached, in milliseconds since the start of the term.
+func (rec *recorder) recordStep(d *Component, now time.Duration, step string, afterMS *int64) {
 	*afterMS = max(0, (now - d.TermBegan).Milliseconds())
-	a.observeStep(step, *afterMS)
+	rec.observeStep(step, *afterMS)
 }
 
 // observeStep adds a step to the histogram.
-func (a *account) observeStep(step string, afterMS int64) {
-	if a.stepSeconds != nil {
-		a.stepSeconds.Observe(step, float64(afterMS)/1000)
+func (rec *recorder) observeStep(step string, afterMS int64) {
+	if rec.stepSeconds != nil {
+		rec.stepSeconds.Observe(step, float64(afterMS)/1000)
 	}
 }
 
-// machineKind is a machine's type, and whether it is a spot one, in one word.
+// machineKind returns a map key made of a machine's type and whether it is a spot machine.
 func machineKind(m *workers.Machine) string { return fmt.Sprint(m.Type, m.Spot) }
 
-// handleEvent counts actions, and finds out which were needless.
-func (a *account) handleEvent(d *Component, e cluster.Event) {
-	if a.closed {
+// handleEvent counts actions and detects those that were needless.
+func (rec *recorder) handleEvent(d *Component, e cluster.Event) {
+	if rec.finished {
 		return
 	}
-	a.lastEventAt = max(a.lastEventAt, e.At)
+	rec.lastEventAt = max(rec.lastEventAt, e.At)
 	switch e.Kind {
 	case cluster.TaskAdopted:
-		a.taskRecovered(d, e.At, e.Job, e.Task)
+		rec.taskRecovered(d, e.At, e.Job, e.Task)
 	case cluster.TaskPlaced:
-		a.taskPlaced(d, e)
+		rec.taskPlaced(d, e)
 	case cluster.TaskDone:
-		a.taskDone(d, e)
+		rec.taskDone(d, e)
 	case cluster.TaskStopped:
-		a.taskStopped(e)
+		rec.taskStopped(e)
 	case cluster.MachineRented:
-		a.machineRented(e)
+		rec.machineRented(e)
 	case cluster.MachineDecommissioned:
-		a.machineDecommissioned(e)
+		rec.machineDecommissioned(e)
 	case cluster.HeartbeatApplied:
-		if a.deletedSilent[e.Machine] {
-			delete(a.deletedSilent, e.Machine)
-			a.current.Needless[DeletedAlive]++
+		if rec.deletedSilent[e.Machine] {
+			delete(rec.deletedSilent, e.Machine)
+			rec.current.Needless[DeletedAlive]++
 		}
 	case cluster.JobRemoved:
-		a.jobRemoved(d, e.Job)
+		rec.jobRemoved(d, e.Job)
 	}
 }
 
-// taskOf is the task that an event is about.
+// taskOf returns the task that an event refers to.
 func taskOf(e cluster.Event) workers.TaskRef {
 	return workers.TaskRef{Job: e.Job.Index, Task: int32(e.Task)}
 }
 
-// mayHaveRun says whether an earlier term may have started the task that an event is about.
+// mayHaveRun reports whether an earlier term may have started the task that an event refers to.
 func mayHaveRun(e cluster.Event) bool { return e.Job.FromEarlierTerm && e.Task < e.Job.UnassignedFrom }
 
-func (a *account) taskPlaced(d *Component, e cluster.Event) {
+func (rec *recorder) taskPlaced(d *Component, e cluster.Event) {
 	action := cluster.StartNew
 	if mayHaveRun(e) {
 		action = cluster.StartAgain
 	}
-	a.current.Orders[action.String()]++
-	a.startedAt[taskOf(e)] = e.At
-	delete(a.unusedRentals, e.Machine)
-	a.taskRecovered(d, e.At, e.Job, e.Task)
+	rec.current.Orders[action.String()]++
+	rec.startedAt[taskOf(e)] = e.At
+	delete(rec.unusedRentals, e.Machine)
+	rec.taskRecovered(d, e.At, e.Job, e.Task)
 }
 
-func (a *account) taskDone(d *Component, e cluster.Event) {
-	a.taskRecovered(d, e.At, e.Job, e.Task)
-	_, startedHere := a.startedAt[taskOf(e)]
+func (rec *recorder) taskDone(d *Component, e cluster.Event) {
+	rec.taskRecovered(d, e.At, e.Job, e.Task)
+	_, startedHere := rec.startedAt[taskOf(e)]
 	tooQuick := e.RunSeconds < instantRunSeconds && e.Job.Record.EstimateS > minEstimateSeconds
 	if startedHere && tooQuick && mayHaveRun(e) {
-		a.current.Needless[StartedDone]++
+		rec.current.Needless[StartedDone]++
 	}
-	delete(a.startedAt, taskOf(e))
+	delete(rec.startedAt, taskOf(e))
 }
 
-func (a *account) taskStopped(e cluster.Event) {
-	a.current.Orders[e.Action.String()]++
-	if at, startedHere := a.startedAt[taskOf(e)]; startedHere && e.At-at < soonAfter {
-		a.current.Needless[StoppedSoon]++
+func (rec *recorder) taskStopped(e cluster.Event) {
+	rec.current.Orders[e.Action.String()]++
+	if at, startedHere := rec.startedAt[taskOf(e)]; startedHere && e.At-at < needlessWindow {
+		rec.current.Needless[StoppedSoon]++
 	}
 }
 
-func (a *account) machineRented(e cluster.Event) {
-	a.current.Orders[cluster.Rent.String()]++
-	a.unusedRentals[e.Machine] = true
-	if at, returned := a.returnedAt[machineKind(e.Machine)]; returned && e.At-at < soonAfter {
-		a.current.Needless[ReturnedSoon]++
+func (rec *recorder) machineRented(e cluster.Event) {
+	rec.current.Orders[cluster.Rent.String()]++
+	rec.unusedRentals[e.Machine] = true
+	if at, returned := rec.returnedAt[machineKind(e.Machine)]; returned && e.At-at < needlessWindow {
+		rec.current.Needless[ReturnedSoon]++
 	}
 }
 
-func (a *account) machineDecommissioned(e cluster.Event) {
-	a.current.Orders[e.Action.String()]++
+func (rec *recorder) machineDecommissioned(e cluster.Event) {
+	rec.current.Orders[e.Action.String()]++
 	switch e.Action {
 	case cluster.Return:
-		a.returnedAt[machineKind(e.Machine)] = e.At
-		if a.unusedRentals[e.Machine] {
-			a.current.Needless[RentedUnused]++
+		rec.returnedAt[machineKind(e.Machine)] = e.At
+		if rec.unusedRentals[e.Machine] {
+			rec.current.Needless[RentedUnused]++
 		}
 	case cluster.Delete:
-		a.deletedSilent[e.Machine] = true
+		rec.deletedSilent[e.Machine] = true
 	}
 }
 
-// jobRemoved counts a removed job's tasks as recovered. The event has no time of its own.
-func (a *account) jobRemoved(d *Component, j *jobs.Job) {
-	now := max(a.lastEventAt, d.TermBegan)
+// jobRemoved counts a removed job's tasks as recovered. The event carries no time, so the time
+// of the newest event is used.
+func (rec *recorder) jobRemoved(d *Component, j *jobs.Job) {
+	now := max(rec.lastEventAt, d.TermBegan)
 	for task := range j.Tasks {
-		a.taskRecovered(d, now, j, task)
-		delete(a.startedAt, workers.TaskRef{Job: j.Index, Task: int32(task)})
+		rec.taskRecovered(d, now, j, task)
+		delete(rec.startedAt, workers.TaskRef{Job: j.Index, Task: int32(task)})
 	}
 }
 
-// tick records when the census settled, and closes the account when its time is over.
-func (a *account) tick(d *Component, now time.Duration, leaseValid bool) {
-	if d.kind != coldStart || a.closed || !leaseValid {
+// tick records when the census settled, and completes the record after recordingTime.
+func (rec *recorder) tick(d *Component, now time.Duration, leaseValid bool) {
+	if d.kind != coldStart || rec.finished || !leaseValid {
 		return
 	}
-	if d.census.settled && a.current.SettledMS < 0 {
-		a.current.SettledMS = (d.census.settledAt - d.TermBegan).Milliseconds()
-		a.observeStep("settled", a.current.SettledMS)
+	if d.census.settled && rec.current.SettledMS < 0 {
+		rec.current.SettledMS = (d.census.settledAt - d.TermBegan).Milliseconds()
+		rec.observeStep("settled", rec.current.SettledMS)
 	}
-	if now-d.TermBegan < accountTime {
+	if now-d.TermBegan < recordingTime {
 		return
 	}
-	a.closed = true
-	a.copyDifferences(d)
-	a.log(d)
-	a.missingTasks, a.unusedRentals, a.startedAt, a.returnedAt, a.deletedSilent = nil, nil, nil, nil, nil
+	rec.finished = true
+	rec.copyDifferences(d)
+	rec.log(d)
+	rec.unrecoveredTasks, rec.unusedRentals, rec.startedAt, rec.returnedAt, rec.deletedSilent = nil, nil, nil, nil, nil
 	if d.Cfg.Tunables.ColdKept > 0 {
-		a.remember(a.current, d.Cfg.Tunables.ColdKept)
-		a.store(d)
+		rec.addRecord(rec.current, d.Cfg.Tunables.ColdKept)
+		rec.store(d)
 	}
 }
 
-// log logs the finished record.
-func (a *account) log(d *Component) {
-	r := &a.current
+// log writes the completed record to the log output.
+func (rec *recorder) log(d *Component) {
+	r := &rec.current
 	d.LogMessage(effects.Info, "cold start",
 		"epoch", r.Epoch, "machines", r.Machines, "jobs", r.Jobs, "tasks", r.Tasks,
 		"settled_ms", r.SettledMS, "work_half_ms", r.WorkHalfMS, "work_ninety_ms", r.WorkNinetyMS, "work_all_ms", r.WorkAllMS,
 		"differences", jsonText(r.Differences), "orders", jsonText(r.Orders), "needless", jsonText(r.Needless))
 }
 
-// store appends the finished record to the log.
-func (a *account) store(d *Component) {
-	e := eventlog.NewComponentEntry(Name, a.current)
-	if !d.EventLog.Fits(e) { // its differences are the longest part, and the least needed
-		short := a.current
+// store appends the completed record to the event log.
+func (rec *recorder) store(d *Component) {
+	e := eventlog.NewComponentEntry(Name, rec.current)
+	if !d.EventLog.Fits(e) { // the differences are its longest and least important part
+		short := rec.current
 		short.Differences = nil
 		e = eventlog.NewComponentEntry(Name, short)
 	}
@@ -349,17 +351,18 @@
 	d.EventLog.Append(e)
 }
 
-// copyDifferences copies what reconciliation has found different so far.
-func (a *account) copyDifferences(d *Component) {
-	a.current.Differences = map[string]uint64{}
+// copyDifferences copies the counts of the differences that reconciliation has found so far and
+// did not resolve as Keep.
+func (rec *recorder) copyDifferences(d *Component) {
+	rec.current.Differences = map[string]uint64{}
 	d.Reconciled.Each(func(x reconcile.Diff, n uint64) {
 		if s := x.Resolution(); s != reconcile.Keep {
-			a.current.Differences[x.String()] = n
+			rec.current.Differences[x.String()] = n
 		}
 	})
 }
 
-// jsonText is a map of counts as JSON, for the log.
+// jsonText returns a map of counts as JSON, for a log message.
 func jsonText(m map[string]uint64) string {
 	raw, err := json.Marshal(m)
 	if err != nil {
@@ -368,32 +371,32 @@
 	return string(raw)
 }
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
-func (d *Component) LiveBytes() int { return len(d.account.earlier) * recordBytes }
+// LiveBytes returns approximately how many bytes Compact would write for the whole log.
+func (d *Component) LiveBytes() int { return len(d.recorder.earlier) * recordBytes }
 
-// Compact writes a record anew that is still kept.
+// Compact appends an entry again if its record is still kept.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	var r Record
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &r) != nil {
 		return
 	}
-	if slices.ContainsFunc(d.account.earlier, func(x Record) bool { return x.Epoch == r.Epoch }) {
+	if slices.ContainsFunc(d.recorder.earlier, func(x Record) bool { return x.Epoch == r.Epoch }) {
 		d.EventLog.Append(e)
 	}
 }
 
-// Show returns the cold starts that are kept, the newest first, as a JSON list of Record. The
-// one under way is the first as long as it is.
+// Show returns the records of cold starts, the newest first, as a JSON list of Record. A cold
+// start that is still being recorded comes first.
 func (d *Component) Show(_ time.Duration, view string) (json.RawMessage, error) {
 	if view != "" {
 		return nil, cluster.ErrUnknownView
 	}
 	records := []Record{}
-	if d.kind == coldStart && !d.account.closed {
-		d.account.copyDifferences(d)
-		records = append(records, d.account.current)
+	if d.kind == coldStart && !d.recorder.finished {
+		d.recorder.copyDifferences(d)
+		records = append(records, d.recorder.current)
 	}
-	for _, r := range slices.Backward(d.account.earlier) {
+	for _, r := range slices.Backward(d.recorder.earlier) {
 		records = append(records, r)
 	}
 	raw, err := json.Marshal(records)
@@ -408,33 +411,33 @@
 	if d.kind != coldStart {
 		return nil
 	}
-	if !d.account.closed {
-		d.account.copyDifferences(d)
+	if !d.recorder.finished {
+		d.recorder.copyDifferences(d)
 	}
-	r := &d.account.current
+	r := &d.recorder.current
 	return []cluster.Gauge{
 		{
 			Name:   "bitternmoor_cold_start_differences",
-			Help:   "Differences between what was stored and what workers reported, since the last cold start.",
+			Help:   "Differences between stored state and worker reports since the last cold start.",
 			Label:  "difference",
 			Values: gaugeValues(r.Differences),
 		},
 		{
 			Name:   "bitternmoor_cold_start_orders",
-			Help:   "Orders given since the last cold start.",
+			Help:   "Actions taken since the last cold start.",
 			Label:  "order",
 			Values: gaugeValues(r.Orders),
 		},
 		{
 			Name:   "bitternmoor_cold_start_needless",
-			Help:   "Orders since the last cold start that turned out to be needless.",
+			Help:   "Actions since the last cold start that turned out to be needless.",
 			Label:  "why",
 			Values: gaugeValues(r.Needless),
 		},
 	}
 }
 
-// gaugeValues converts counts by label for a gauge.
+// gaugeValues converts counts by label to the values of a gauge.
 func gaugeValues(counts map[string]uint64) map[string]float64 {
 	values := map[string]float64{}
 	for label, n := range counts {
--- a/internal/leader/rebalance/balancer_test.go
+++ b/internal/leader/rebalance/balancer_test.go
@@ -12,122 +12,123 @@
 	"bitternmoor/internal/settings"
 )
 
-// picture is controllers and where machines report.
-type picture struct {
-	nodes  []Node
-	holder []int
+// layout is a set of controllers and, for each machine, the index of the one it reports to.
+type layout struct {
+	nodes        []Node
+	controllerOf []int
 }
 
-func random(r *rand.Rand) *picture {
-	p := &picture{}
+func randomLayout(r *rand.Rand) *layout {
+	p := &layout{}
 	for i := range 1 + r.IntN(5) {
 		p.nodes = append(p.nodes, Node{Name: fmt.Sprint("n", i), Weight: 0.25 + 0.75*r.Float64(), Ready: i == 0 || r.IntN(5) > 0})
 	}
-	lean := r.IntN(len(p.nodes))
+	preferred := r.IntN(len(p.nodes))
 	for range r.IntN(5000) {
-		h := lean
+		h := preferred
 		if r.IntN(3) == 0 {
 			h = r.IntN(len(p.nodes))
 		}
-		p.holder = append(p.holder, h)
+		p.controllerOf = append(p.controllerOf, h)
 		p.nodes[h].Machines++
 	}
 	return p
 }
 
-func (p *picture) most() (load float64) {
+func (p *layout) maxLoad() (load float64) {
 	for i := range p.nodes {
 		load = max(load, p.nodes[i].loadWith(0))
 	}
 	return load
 }
 
-// On random pictures of up to 5,000 machines: the largest load never rises by a move, no
-// machine is moved twice, none goes to a controller that is not ready, no second has more
-// moves than are allowed; and once the picture stands still, moves stop with every ready
-// controller within what is borne, in the time that so many moves take.
-func TestMovesEndEvenly(t *testing.T) {
+// On random distributions of up to 5,000 machines, no move raises the largest load, no machine
+// is moved twice or to a controller that is not ready, and the moves per second stay within the
+// limit. With constant weights the moves end, within a time proportional to their number, and leave
+// no controller overloaded.
+func TestMovesEndWithBalancedLoad(t *testing.T) {
 	for seed := range uint64(60) {
 		r := rand.New(rand.NewPCG(seed, 6))
-		p := random(r)
+		p := randomLayout(r)
 		const rate = 20
 		b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: rate})
-		twice := map[int]bool{}
-		moves, last := 0, time.Duration(0)
+		moved := map[int]bool{}
+		moves, lastMoveAt := 0, time.Duration(0)
 		interval := 5 * time.Second
-		end := time.Duration(len(p.holder)/rate+60) * time.Second
+		end := time.Duration(len(p.controllerOf)/rate+60) * time.Second
 		for now := time.Duration(0); now < end; now += 500 * time.Millisecond {
 			b.Observe(now, append([]Node(nil), p.nodes...))
-			second := 0
-			for m := range p.holder {
+			stepMoves := 0
+			for m := range p.controllerOf {
 				if (now+time.Duration(m)*time.Millisecond)%interval >= 500*time.Millisecond {
-					continue // it reports at another moment
+					continue // it does not report in this step
 				}
-				h := p.holder[m]
+				h := p.controllerOf[m]
 				to := b.Move(now, fmt.Sprint(m), p.nodes[h].Name)
 				if to == "" {
 					continue
 				}
-				before := p.most()
+				before := p.maxLoad()
 				var n int
 				if _, err := fmt.Sscanf(to, "n%d", &n); err != nil {
-					t.Fatalf("seed %d: %d goes to %q: %v", seed, m, to, err)
+					t.Fatalf("seed %d: machine %d is sent to %q: %v", seed, m, to, err)
 				}
-				if !p.nodes[n].Ready || n == h || twice[m] {
-					t.Fatalf("seed %d: %d goes from %d to %s", seed, m, h, to)
+				if !p.nodes[n].Ready || n == h || moved[m] {
+					t.Fatalf("seed %d: machine %d must not move from %d to %s", seed, m, h, to)
 				}
-				twice[m] = true
-				p.holder[m] = n
+				moved[m] = true
+				p.controllerOf[m] = n
 				p.nodes[h].Machines--
 				p.nodes[n].Machines++
-				if p.most() > before {
-					t.Fatalf("seed %d: the largest load rises from %v to %v", seed, before, p.most())
+				if p.maxLoad() > before {
+					t.Fatalf("seed %d: the largest load rose from %v to %v", seed, before, p.maxLoad())
 				}
 				moves++
-				second++
-				last = now
+				stepMoves++
+				lastMoveAt = now
 			}
-			if second > rate {
-				t.Fatalf("seed %d: %d moves at once", seed, second)
+			if stepMoves > rate {
+				t.Fatalf("seed %d: %d moves in one step", seed, stepMoves)
 			}
 		}
 		if !b.IsEven() {
-			t.Errorf("seed %d: uneven after %v: %+v", seed, end, p.nodes)
+			t.Errorf("seed %d: still uneven after %v: %+v", seed, end, p.nodes)
 		}
-		if last > time.Duration(5*moves/rate+20)*time.Second { // at worst they all report at once, and the budget gathers for a second
-			t.Errorf("seed %d: %d moves, the last after %v", seed, moves, last)
+		// In the worst case all machines report at the same time, and the budget holds one second's moves.
+		if lastMoveAt > time.Duration(5*moves/rate+20)*time.Second {
+			t.Errorf("seed %d: %d moves took too long, the last was after %v", seed, moves, lastMoveAt)
 		}
 	}
 }
 
-// A controller that is quick and slow in turn every half minute costs at most as many
-// moves as machines stay a minute where they were sent to.
+// With a controller that alternates between fast and slow every half minute, each machine is
+// moved at most once per minute, because of moveCooldown.
 func TestMachinesDoNotOscillate(t *testing.T) {
 	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 10})
-	p := &picture{nodes: []Node{{Name: "n0", Weight: 1, Ready: true}, {Name: "n1", Weight: 1, Ready: true}}}
+	p := &layout{nodes: []Node{{Name: "n0", Weight: 1, Ready: true}, {Name: "n1", Weight: 1, Ready: true}}}
 	for m := range 400 {
-		p.holder = append(p.holder, m%2)
+		p.controllerOf = append(p.controllerOf, m%2)
 		p.nodes[m%2].Machines++
 	}
 	moves := 0
 	for now := time.Duration(0); now < 20*time.Minute; now += 500 * time.Millisecond {
 		p.nodes[1].Weight = []float64{1, 0.25}[int(now/(30*time.Second))%2]
 		b.Observe(now, append([]Node(nil), p.nodes...))
-		for m := range p.holder {
-			if to := b.Move(now, fmt.Sprint(m), p.nodes[p.holder[m]].Name); to != "" {
-				p.nodes[p.holder[m]].Machines--
-				p.holder[m] = 1 - p.holder[m]
-				p.nodes[p.holder[m]].Machines++
+		for m := range p.controllerOf {
+			if to := b.Move(now, fmt.Sprint(m), p.nodes[p.controllerOf[m]].Name); to != "" {
+				p.nodes[p.controllerOf[m]].Machines--
+				p.controllerOf[m] = 1 - p.controllerOf[m]
+				p.nodes[p.controllerOf[m]].Machines++
 				moves++
 			}
 		}
 	}
 	if moves > 400*20 || moves == 0 {
-		t.Errorf("%d moves of 400 machines in 20 minutes", moves)
+		t.Errorf("%d moves of 400 machines in 20 minutes, want between 1 and one per machine and minute", moves)
 	}
 }
 
-// A machine that does not arrive where it was sent is left alone.
+// A machine that does not arrive at its target is not moved again during failedCooldown.
 func TestMachineThatDidNotArriveIsLeftAlone(t *testing.T) {
 	b := NewBalancer(0, Params{MaxLoad: 1.25, MovesPerSecond: 100})
 	sent := map[string]int{}
@@ -141,16 +142,16 @@
 	}
 	for m, n := range sent {
 		if n > 1 {
-			t.Errorf("%s was sent %d times to a controller that it does not reach", m, n)
+			t.Errorf("machine %s was sent %d times to a controller that it does not reach, want once", m, n)
 		}
 	}
 	if len(sent) == 0 {
-		t.Error("none was sent")
+		t.Error("no machine was sent")
 	}
 }
 
-// The leader and a slow controller get less; one that has only just come back gets none
-// yet; silent machines are not counted.
+// The leader and a slow controller have a lower weight, a controller that has just come back is
+// not ready, and silent machines are not counted.
 func TestNodesFollowWeightAndReadiness(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "a", []settings.Peer{{Node: "b"}, {Node: "c"}}
@@ -174,12 +175,12 @@
 	raw, err := d.Show(0, "")
 	var list []View
 	if err != nil || json.Unmarshal(raw, &list) != nil {
-		t.Fatalf("%s %v", raw, err)
+		t.Fatalf("unexpected views %s: %v", raw, err)
 	}
 	if list[0].Weight != 0.7 || !list[0].Ready || list[1].Weight != 1 || !list[1].Ready || list[1].Machines != 25 || list[2].Weight != 0.25 || list[2].Ready {
 		t.Errorf("%+v", list)
 	}
 	if to := d.RedirectTo(31*time.Second, s.Inventory.Find("7")); to != "a" {
-		t.Errorf("it goes to %q", to)
+		t.Errorf("machine is redirected to %q, want a", to)
 	}
 }
