--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -29,13 +29,12 @@
 	"bitternmoor/internal/wire"
 )
 
-var update = flag.Bool("update", false, "write the golden file anew")
+var update = flag.Bool("update", false, "rewrite the golden file")
 
 const golden = "testdata/contract.txt"
 
-// TestContract compares all names that leave a process or outlive it with the golden file.
-// A line that is missing or new there is a change that other versions, users, operators or
-// stored data notice.
+// TestContract compares all names that leave a process or outlive it with the golden file. A difference is
+// a change that affects other versions, users, operators or stored data.
 func TestContract(t *testing.T) {
 	got := strings.Join(names(t), "\n") + "\n"
 	if *update {
@@ -51,16 +50,17 @@
 	have := lines(got)
 	for line, n := range want {
 		if have[line] < n {
-			t.Errorf("gone: %s", line)
+			t.Errorf("missing from the sources: %s", line)
 		}
 	}
 	for line, n := range have {
 		if want[line] < n {
-			t.Errorf("new: %s", line)
+			t.Errorf("missing from the golden file: %s", line)
 		}
 	}
 }
 
+// lines counts how often each line occurs in a text.
 func lines(text string) map[string]int {
 	out := map[string]int{}
 	for line := range strings.Lines(text) {
@@ -69,7 +69,8 @@
 	return out
 }
 
-// collector gathers the names found in the sources.
+// collector collects the names in the sources. Each is stored as a line of the golden file: its kind and
+// its text.
 type collector struct {
 	t     *testing.T
 	found map[string]bool
@@ -79,7 +80,7 @@
 	c.found[kind+" "+fmt.Sprintf(format, args...)] = true
 }
 
-// names lists everything that is pinned, sorted, a line each.
+// names returns all collected names as sorted lines of the golden file.
 func names(t *testing.T) []string {
 	c := &collector{t: t, found: map[string]bool{}}
 	mode := packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports | packages.NeedDeps
@@ -101,12 +102,13 @@
 	out := slices.Sorted(maps.Keys(c.found))
 	for _, kind := range []string{"rpc", "json", "toml", "command", "flag", "route", "path", "metric", "label", "key", "ini", "number", "owner", "env", "word", "attr", "header", "file", "deploy", "value", "answer"} {
 		if !slices.ContainsFunc(out, func(line string) bool { return strings.HasPrefix(line, kind+" ") }) {
-			t.Errorf("no names of the kind %q were found: the collector is blind to them", kind)
+			t.Errorf("no names of the kind %q were found: the collector no longer recognizes them", kind)
 		}
 	}
 	return out
 }
 
+// pkg collects the names in the sources of one package.
 func (c *collector) pkg(p *packages.Package) {
 	scope := p.Types.Scope()
 	for _, name := range scope.Names() {
@@ -139,7 +141,7 @@
 	}
 }
 
-// constant pins paths, headers and prefixes of messages.
+// constant collects constants that look like paths, HTTP headers or prefixes of messages.
 func (c *collector) constant(o *types.Const) {
 	if o.Val().Kind() != constant.String {
 		return
@@ -151,8 +153,8 @@
 	}
 }
 
-// rpcService pins the methods that net/rpc serves, and what they take and give, field by
-// field: gob goes by the names of fields, not by those of types.
+// rpcService collects the methods that net/rpc serves, with the fields of their parameters and results,
+// because gob encodes the names of fields but not those of types.
 func (c *collector) rpcService(p *packages.Package, o *types.TypeName) {
 	named, ok := o.Type().(*types.Named)
 	if !ok || o.Name() != "Controller" || !strings.HasSuffix(p.PkgPath, "node") {
@@ -173,7 +175,7 @@
 	}
 }
 
-// gobFields lists the fields of a type as gob sees them, by path.
+// gobFields returns the fields that gob encodes for a type, each with its path and basic type.
 func gobFields(path string, t types.Type, seen []types.Type) []string {
 	if slices.Contains(seen, t) {
 		return []string{path + " recursive"}
@@ -200,7 +202,8 @@
 	return []string{path + " " + t.Underlying().String()}
 }
 
-// jsonShape is a type as encoding/json sees it: keys in their order, with the kinds of values.
+// jsonShape describes the encoding of a type by encoding/json: its keys in order, with the types of their
+// values. tag is the key of the struct tags that are read.
 func jsonShape(t types.Type, tag string, seen []types.Type) string {
 	if slices.Contains(seen, t) {
 		return "recursive"
@@ -226,6 +229,7 @@
 	return t.Underlying().String()
 }
 
+// structKeys returns the encoded keys of a struct's fields, with the shapes of their values.
 func structKeys(u *types.Struct, tag string, seen []types.Type) []string {
 	var out []string
 	for i := range u.NumFields() {
@@ -250,7 +254,7 @@
 	return out
 }
 
-// tags pins every struct that has tags.
+// tags collects the encoding of a struct type that has JSON, TOML or INI tags.
 func (c *collector) tags(p *packages.Package, n *ast.StructType) {
 	u, ok := p.TypesInfo.TypeOf(n).(*types.Struct)
 	if !ok {
@@ -266,7 +270,8 @@
 	}
 }
 
-// called is the name of a function or method, and of the type that a method belongs to.
+// called returns the name of the called function or method, and the package of the function or the type of
+// the method's receiver.
 func called(p *packages.Package, n *ast.CallExpr) (receiver, name string) {
 	switch f := ast.Unparen(n.Fun).(type) {
 	case *ast.SelectorExpr:
@@ -285,7 +290,7 @@
 	return "", ""
 }
 
-// text is the value of an expression that is a constant string.
+// text returns the value of an expression. It returns false if the expression is not a constant string.
 func text(p *packages.Package, e ast.Expr) (string, bool) {
 	v := p.TypesInfo.Types[e].Value
 	if v == nil || v.Kind() != constant.String {
@@ -294,8 +299,8 @@
 	return constant.StringVal(v), true
 }
 
-// call pins what is said in calls: what is encoded as JSON, routes, flags, the environment,
-// and under which names components of the leader store entries.
+// call collects the names in a call: types that are encoded as JSON, routes, flags, environment variables,
+// and the names under which components of the leader store entries.
 func (c *collector) call(p *packages.Package, n *ast.CallExpr) {
 	receiver, name := called(p, n)
 	switch {
@@ -339,6 +344,7 @@
 	}
 }
 
+// encoded collects the keys of a struct, or of a pointer to one, that is encoded as JSON.
 func (c *collector) encoded(t types.Type) {
 	for {
 		pointer, ok := t.(*types.Pointer)
@@ -362,7 +368,7 @@
 
 var label = regexp.MustCompile(`^[a-z][a-z_]*$`)
 
-// metricLabels pins the words that stand beside the name of a metric.
+// metricLabels collects the strings next to the name of a metric: the names and values of its labels.
 func (c *collector) metricLabels(p *packages.Package, all []ast.Expr, name ast.Expr) {
 	metricName, ok := text(p, name)
 	if !ok || !strings.HasPrefix(metricName, "bitternmoor_") {
@@ -380,7 +386,8 @@
 	}
 }
 
-// literal pins commands, labels of metrics, and the words that count events.
+// literal collects the names in a composite literal: commands, labels of metrics, names of counted events,
+// values of JSON fields, and word lists of the wire protocol.
 func (c *collector) literal(p *packages.Package, n *ast.CompositeLit) {
 	kind := p.TypesInfo.TypeOf(n)
 	if kind == nil {
@@ -414,8 +421,7 @@
 	}
 }
 
-// logAttributes pins the attribute keys of log lines: the arguments at even positions after the
-// message.
+// logAttributes collects the attribute keys of log lines: every other argument after the message.
 func (c *collector) logAttributes(p *packages.Package, n *ast.CallExpr, name string) {
 	if !slices.Contains([]string{"LogMessage", "emitLog", "Debug", "Info", "Warn", "Error"}, name) {
 		return
@@ -432,8 +438,8 @@
 	}
 }
 
-// answerTexts pins the names of HTTP headers, the reasons for which machines are deleted, and
-// constant texts of answers to users, operators and peers.
+// answerTexts collects the names of HTTP headers, the reasons for deleting machines, and constant texts in
+// responses to users, operators and peers.
 func (c *collector) answerTexts(p *packages.Package, n *ast.CallExpr, receiver, name string) {
 	header := receiver == "net/http.Header" && slices.Contains([]string{"Set", "Get", "Add", "Del", "Values"}, name)
 	answer := slices.Contains([]string{"Decommission", "Unavailable", "ErrorBody"}, name)
@@ -451,14 +457,14 @@
 
 var fileName = regexp.MustCompile(`^"[a-z-]*\.(toml|ini|pem|key|log|json|jsonl|csv)"$`)
 
-// fileName pins names and suffixes of files.
+// fileName collects names and suffixes of files.
 func (c *collector) fileName(n *ast.BasicLit) {
 	if n.Kind == token.STRING && fileName.MatchString(n.Value) {
 		c.add("file", "%s", strings.Trim(n.Value, `"`))
 	}
 }
 
-// assignedValues pins constant strings that are assigned to a field with a JSON tag.
+// assignedValues collects constant strings that are assigned to fields with JSON tags.
 func (c *collector) assignedValues(p *packages.Package, n *ast.AssignStmt) {
 	if len(n.Lhs) != len(n.Rhs) {
 		return
@@ -472,7 +478,7 @@
 	}
 }
 
-// jsonValue pins a constant string that a field with a JSON tag gets.
+// jsonValue collects a constant string that is the value of a field with a JSON tag.
 func (c *collector) jsonValue(p *packages.Package, owner types.Type, field, value ast.Expr) {
 	if pointer, ok := owner.Underlying().(*types.Pointer); ok {
 		owner = pointer.Elem()
@@ -491,7 +497,7 @@
 	}
 }
 
-// enumerationWords pins the words that a String method returns.
+// enumerationWords collects the single words in a String method.
 func (c *collector) enumerationWords(p *packages.Package, n *ast.FuncDecl) {
 	if n.Name.Name != "String" || n.Recv == nil || n.Body == nil {
 		return
@@ -506,7 +512,8 @@
 	})
 }
 
-// wireWords pins a list of words of the platform's protocol, in the order of their numbers.
+// wireWords collects a word list of the platform's protocol. The position of a word is the number that it
+// stands for.
 func (c *collector) wireWords(p *packages.Package, values []ast.Expr) {
 	var words []string
 	for _, e := range values {
@@ -519,7 +526,7 @@
 	}
 }
 
-// storedNumbers pins enumerations whose numbers are stored or sent.
+// storedNumbers collects the numbers of enumerations that are stored or sent.
 func (c *collector) storedNumbers() {
 	for name, n := range map[string]int{
 		"kind array": int(jobs.Array), "kind gang": int(jobs.Gang), "kind service": int(jobs.Service),
@@ -537,7 +544,7 @@
 	}
 }
 
-// labelWords pins words that are labels of metrics, stand in views, or both.
+// labelWords collects words that are used as metric labels, in views for operators, or both.
 func (c *collector) labelWords() {
 	for diff := range reconcile.Kinds {
 		c.add("word", "difference %s: %s", diff, diff.Resolution())
@@ -550,14 +557,14 @@
 	}
 }
 
-// stateKeys pins keys of the state service.
+// stateKeys collects keys of the state service.
 func (c *collector) stateKeys() {
 	for _, key := range []string{leadership.HolderKey, leadership.EpochKey, eventlog.SegmentKey(7), eventlog.ComponentValueKey("x", 3), eventlog.Prefix, eventlog.SizesPrefix, eventlog.ComponentValuesPrefix} {
 		c.add("key", "%s", key)
 	}
 }
 
-// deploymentKeys pins the keys of the file by which the deployment builds and runs the service.
+// deploymentKeys collects the keys of the file with which the deployment builds and runs the service.
 func (c *collector) deploymentKeys() {
 	raw, err := os.ReadFile("../../deploy/service.toml")
 	if err != nil {
@@ -569,11 +576,11 @@
 	}
 }
 
-// settingsKeys pins the keys of the operators' file, as the files under deploy say them.
+// settingsKeys collects the keys of the operators' settings from the INI files under deploy.
 func (c *collector) settingsKeys() {
 	files, err := filepath.Glob("../../deploy/*.ini*")
 	if err != nil || len(files) < 5 {
-		c.t.Fatalf("files of the operators' settings: %v, %v", files, err)
+		c.t.Fatalf("too few INI files under deploy: %v, error %v", files, err)
 	}
 	key := regexp.MustCompile(`^[;# ]*([a-z_]+) *=`)
 	for _, file := range files {
--- a/internal/contract/doc.go
+++ b/internal/contract/doc.go
@@ -1,3 +1,3 @@
-// Package contract pins every name that leaves the processes of this program or outlives
-// them: its test compares them with a golden file. It holds no code of its own.
+// Package contract contains no code but a test, which compares all names that leave the processes of this
+// program or outlive them with a golden file.
 package contract
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -2,27 +2,27 @@
 
 import "math"
 
-// This file lists the keys of the operators' file.
+// This file defines the keys of the operators' file.
 
 // numberSetting is one key of the operators' file whose value is a number.
 type numberSetting struct {
 	Section, Key, Unit, Help string
 	limits
-	Whole bool // the value is a whole number
+	Whole bool // the value must be a whole number
 
 	get func(*Tunables) float64
 	set func(*Tunables, float64)
 }
 
-// limits are the values that a number may have.
+// limits are the default and the range of a number.
 type limits struct {
 	Default, Min, Max float64
 }
 
-// name is the key as errors and the command line have it: SECTION.KEY.
+// name returns the key in the form of error messages and the command line: SECTION.KEY.
 func (n *numberSetting) name() string { return n.Section + "." + n.Key }
 
-// whole makes a setting that is a whole number and stands in a field of Tunables.
+// whole returns a setting that takes whole numbers and is stored in a field of Tunables.
 func whole(section, key, unit string, allowed limits, help string, field func(*Tunables) *int) numberSetting {
 	return numberSetting{
 		Section: section, Key: key, Unit: unit, Help: help, limits: allowed, Whole: true,
@@ -31,7 +31,7 @@
 	}
 }
 
-// amount makes a setting that is any number and stands in a field of Tunables.
+// amount returns a setting that takes any number and is stored in a field of Tunables.
 func amount(section, key, unit string, allowed limits, help string, field func(*Tunables) *float64) numberSetting {
 	return numberSetting{
 		Section: section, Key: key, Unit: unit, Help: help, limits: allowed,
@@ -40,7 +40,7 @@
 	}
 }
 
-// check says why a value may not be given to a setting.
+// check returns an error if the setting does not allow a value.
 func (n *numberSetting) check(v float64) error {
 	switch {
 	case math.IsNaN(v):
@@ -53,17 +53,17 @@
 	return nil
 }
 
-// textSetting is one key of the operators' file whose value is no number.
+// textSetting is one key of the operators' file whose value is a text.
 type textSetting struct {
 	Section, Key, Help, Default string
 
 	field func(*Tunables) *string
 }
 
-// name is the key as errors and the command line have it: SECTION.KEY.
+// name returns the key in the form of error messages and the command line: SECTION.KEY.
 func (t *textSetting) name() string { return t.Section + "." + t.Key }
 
-// findNumber is the setting of a name, SECTION.KEY; nil if there is none.
+// findNumber returns the number setting with a name, SECTION.KEY, or nil if there is none.
 func findNumber(name string) *numberSetting {
 	for i := range numberSettings {
 		if numberSettings[i].name() == name {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// findText is the setting of a name, SECTION.KEY; nil if there is none.
+// findText returns the text setting with a name, SECTION.KEY, or nil if there is none.
 func findText(name string) *textSetting {
 	for i := range textSettings {
 		if textSettings[i].name() == name {
@@ -86,33 +86,33 @@
 var textSettings = []textSetting{
 	{
 		Section: "calendar", Key: "time_zone", Default: "UTC",
-		Help:  "the operators' time zone, as in the IANA database",
+		Help:  "the operators' time zone, a name from the IANA database",
 		field: func(t *Tunables) *string { return &t.TimeZone },
 	},
 	{
 		Section: "calendar", Key: "night", Default: "0 12 * * *",
-		Help:  "when a night begins: a cron expression that comes true once a day",
+		Help:  "when a night begins: a cron expression that matches once a day",
 		field: func(t *Tunables) *string { return &t.NightBegins },
 	},
 	{
 		Section: "calendar", Key: "holidays", Default: "",
-		Help:  "dates like 2026-12-24, separated by commas, on which nights of another kind begin",
+		Help:  "dates like 2026-12-24, separated by commas: a night that begins on one of them is a holiday",
 		field: func(t *Tunables) *string { return &t.Holidays },
 	},
 	{
 		Section: "webhook", Key: "url", Default: "",
-		Help:  "where warnings are told, by a signed POST of JSON; empty: nowhere",
+		Help:  "URL to which warnings are sent, as a signed POST of JSON; empty: they are not sent",
 		field: func(t *Tunables) *string { return &t.WebhookURL },
 	},
 	{
 		Section: "pools", Key: "receipt_keys", Default: "",
-		Help: "files with keys of 16 bytes at least that receipts for units are signed with, separated " +
-			"by commas: the first one signs, all are good; empty: no receipts",
+		Help: "files with the keys that sign receipts for units, at least 16 bytes each, separated by " +
+			"commas: the first key signs, receipts of all keys are valid; empty: no receipts",
 		field: func(t *Tunables) *string { return &t.ReceiptKeyFiles },
 	},
 	{
 		Section: "operators", Key: "listen", Default: "",
-		Help:  "host:port on which operators change things, with certificates on both sides; empty: nowhere",
+		Help:  "host:port on which operators make changes, with certificates on both sides; empty: nowhere",
 		field: func(t *Tunables) *string { return &t.OperatorsListen },
 	},
 	{
@@ -122,224 +122,228 @@
 	},
 	{
 		Section: "operators", Key: "key_file", Default: "",
-		Help:  "and its key",
+		Help:  "the key of that certificate",
 		field: func(t *Tunables) *string { return &t.OperatorsKey },
 	},
 	{
 		Section: "operators", Key: "ca_file", Default: "",
-		Help:  "certificates of those who sign operators' certificates",
+		Help:  "certificates of the authorities that sign operators' certificates",
 		field: func(t *Tunables) *string { return &t.OperatorsCA },
 	},
 	{
 		Section: "operators", Key: "read", Default: "",
-		Help:  "names of certificates that may look, separated by commas",
+		Help:  "names of certificates that may read, separated by commas",
 		field: func(t *Tunables) *string { return &t.OperatorsRead },
 	},
 	{
 		Section: "operators", Key: "operate", Default: "",
-		Help:  "and that may change pools and the configuration",
+		Help:  "names of certificates that may also change pools and the configuration, separated by commas",
 		field: func(t *Tunables) *string { return &t.OperatorsOperate },
 	},
 	{
 		Section: "operators", Key: "admin", Default: "",
-		Help:  "and that may do everything",
+		Help:  "names of certificates that may do everything, separated by commas",
 		field: func(t *Tunables) *string { return &t.OperatorsAdmin },
 	},
 	{
 		Section: "webhook", Key: "key_file", Default: "",
-		Help:  "file with the key that they are signed with, of 16 bytes at least",
+		Help:  "file with the key that warnings are signed with, at least 16 bytes",
 		field: func(t *Tunables) *string { return &t.WebhookKeyFile },
 	},
 }
 
 var numberSettings = []numberSetting{
 	whole("sizing", "training_tasks", "tasks", limits{Default: 5, Min: 1, Max: 1000},
-		"tasks that train a job's size (t)",
+		"number of training tasks, whose run times determine a job's size (t)",
 		func(t *Tunables) *int { return &t.TrainingTasks }),
 	whole("sizing", "training_at_once", "tasks", limits{Default: 10, Min: 1, Max: 100000},
-		"training tasks running at once (T)",
+		"most training tasks that run at the same time (T)",
 		func(t *Tunables) *int { return &t.TrainingAtOnce }),
 	amount("sizing", "eagerness", "factor", limits{Default: 1, Min: 1, Max: 1000},
-		"weight of a size not yet trained (ξ)",
+		"factor on a job's size until its training tasks have determined it (ξ)",
 		func(t *Tunables) *float64 { return &t.Eagerness }),
 	amount("sizing", "training_limit", "s", limits{Default: 60, Min: 1, Max: 86400},
-		"longest wait for a training task (Δ)",
+		"longest run time for which the end of a training task is awaited (Δ)",
 		func(t *Tunables) *float64 { return &t.TrainingLimitS }),
 	amount("sizing", "first_size", "s", limits{Default: 30, Min: 0.1, Max: 1e6},
-		"size of a job while no job has finished",
+		"size that is assumed for a job while no job has finished",
 		func(t *Tunables) *float64 { return &t.FirstSizeS }),
 	amount("sizing", "write_every", "s", limits{Default: 5, Min: 0.5, Max: 3600},
-		"how often virtual sizes are written down",
+		"interval at which virtual sizes are written to the state service",
 		func(t *Tunables) *float64 { return &t.SizesEveryS }),
 	amount("blocks", "locality_delay", "s", limits{Default: 2, Min: 0, Max: 60},
-		"how long a job leaves room on machines without its image to jobs that have theirs there",
+		"how long a job leaves room on machines that lack its image to jobs whose image is there",
 		func(t *Tunables) *float64 { return &t.LocalityS }),
 	amount("blocks", "lease", "s", limits{Default: 20, Min: 1, Max: 3600},
-		"how long a block of machines is leased",
+		"duration of the lease of a block of machines",
 		func(t *Tunables) *float64 { return &t.BlockLeaseS }),
 	whole("blocks", "note_tasks", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"it is noted up to which number tasks of a job may have been handed out, so that a new "+
-			"leader may start those above at once",
+		"record up to which number tasks of a job may have been handed out, so that a new leader may "+
+			"start the tasks above it at once",
 		func(t *Tunables) *int { return &t.NoteTasks }),
 	amount("leadership", "hold", "s", limits{Default: 2, Min: 1, Max: 60},
-		"life of the leader's hold",
+		"duration of the leader's lease",
 		func(t *Tunables) *float64 { return &t.LeaderLeaseS }),
 	whole("exceptions", "urgent_first", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"urgent and critical jobs go ahead of the order",
+		"urgent and critical jobs go ahead of the size order",
 		func(t *Tunables) *int { return &t.UrgentFirst }),
 	whole("exceptions", "follow_urgency", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"a job takes the priority of the jobs that need it",
+		"a job takes the priority of the jobs that depend on it",
 		func(t *Tunables) *int { return &t.FollowUrgency }),
 	whole("exceptions", "guarantee_first", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"jobs within their team's guarantee go ahead of the order",
+		"jobs within their team's guarantee go ahead of the size order",
 		func(t *Tunables) *int { return &t.GuaranteeFirst }),
 	whole("exceptions", "preempt", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"tasks that save, or have hardly begun, are stopped for jobs of higher priority and within "+
-			"their team's guarantee",
+		"tasks that save checkpoints or have hardly begun are stopped for jobs of higher priority and "+
+			"for jobs within their team's guarantee",
 		func(t *Tunables) *int { return &t.Preempt }),
 	amount("exceptions", "wait_lead", "s", limits{Default: 85, Min: 0, Max: 86400},
-		"tasks still waiting this long before their class's wait aim go ahead of the order until "+
-			"it is missed, and long best-effort ones before their aim for the end; 0: never",
+		"tasks that still wait this long before their class's wait objective expires go ahead of the size "+
+			"order until it has expired; so do long best-effort tasks before their objective for the end; "+
+			"0: never",
 		func(t *Tunables) *float64 { return &t.WaitLeadS }),
 	whole("exceptions", "direct_starts", "calls", limits{Default: 0, Min: 0, Max: 1000},
-		"most calls under way that start tasks straight at their workers, for classes whose wait "+
-			"aim is shorter than a report interval; 0: none, and starts wait for reports",
+		"most concurrent calls that start tasks directly at their workers, for classes whose wait "+
+			"objective is shorter than a report interval; 0: none, and starts wait for reports",
 		func(t *Tunables) *int { return &t.PushDispatches }),
 	amount("exceptions", "begin_within", "s", limits{Default: 0, Min: 0, Max: 86400},
-		"jobs none of whose tasks has begun this long after they came, or were released, go ahead "+
-			"of all but urgent ones; 0: never",
+		"jobs of which no task has begun this long after their arrival or release go ahead of all but "+
+			"urgent jobs; 0: never",
 		func(t *Tunables) *float64 { return &t.BeginWithinS }),
 	amount("exceptions", "lost_behind", "times", limits{Default: 3, Min: 0, Max: 100},
-		"jobs that can no longer make any aim for their end go behind those that can, until this "+
-			"many times the last aim has passed; 0: never",
+		"jobs that can no longer meet any objective for their end go behind those that can, until this "+
+			"many times the last objective has passed; 0: never",
 		func(t *Tunables) *float64 { return &t.LostBehind }),
 	amount("exceptions", "low_lead", "s", limits{Default: 110, Min: 0, Max: 86400},
-		"best-effort jobs go behind the order until this long before their class's tightest aim; 0: never",
+		"best-effort jobs go behind the size order until this long before their class's tightest "+
+			"objective expires; 0: never",
 		func(t *Tunables) *float64 { return &t.LowLeadS }),
 	amount("exceptions", "served_floor", "share", limits{Default: 0, Min: 0, Max: 1},
-		"jobs at their last chance go ahead of everything where less than this share of their "+
-			"class or team would be done in time otherwise; 0: never",
+		"jobs that can only just still end in time go ahead of all others if otherwise less than this "+
+			"share of the jobs of their class or team would be done in time; 0: never",
 		func(t *Tunables) *float64 { return &t.ServedFloor }),
 	amount("served", "window", "s", limits{Default: 0, Min: 0, Max: 86400},
-		"over which it is measured how much of each class and team was served; 0: it is not",
+		"time window over which the share of jobs done in time is measured for each class and team; "+
+			"0: it is not measured",
 		func(t *Tunables) *float64 { return &t.ServedWindowS }),
 	amount("served", "within", "s", limits{Default: 600, Min: 1, Max: 1e6},
-		"a job is due after this time whose class has no aim for its end, and after twice its "+
-			"owner's estimate at least",
+		"time after which a job is due if its class has no objective for its end; at least twice its "+
+			"owner's estimate",
 		func(t *Tunables) *float64 { return &t.ServedWithinS }),
 	whole("exceptions", "learned_sizes", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
-		"a job's size starts from the run times learned of its kind, where there are any, instead "+
-			"of those of all jobs",
+		"a job's size estimate starts from the run times learned for its kind of work, if there are any, "+
+			"instead of those of all jobs",
 		func(t *Tunables) *int { return &t.LearnedSizes }),
 	amount("fleet", "drain_backlog", "s", limits{Default: 45, Min: 1, Max: 86400},
-		"waiting work should be gone within this time",
+		"time within which the waiting work should be worked off",
 		func(t *Tunables) *float64 { return &t.DrainBacklogS }),
 	amount("fleet", "dear_backlog", "s", limits{Default: 100, Min: 1, Max: 86400},
-		"ordinary machines are rented where spot ones leave work waiting longer than this",
+		"on-demand machines are rented if spot machines leave work waiting longer than this",
 		func(t *Tunables) *float64 { return &t.OrdinaryBacklogS }),
 	amount("fleet", "aim_share", "share", limits{Default: 1.1, Min: 0.1, Max: 10},
-		"dear_backlog of a class with aims: this share of the tightest one",
+		"for a class with objectives, this share of the tightest one replaces dear_backlog",
 		func(t *Tunables) *float64 { return &t.ObjectiveShare }),
 	amount("fleet", "idle_return", "s", limits{Default: 3, Min: 0, Max: 86400},
-		"room of ordinary machines that was not wanted for this time is returned",
+		"capacity of on-demand machines that was not needed for this time is returned",
 		func(t *Tunables) *float64 { return &t.IdleReturnS }),
 	amount("fleet", "spot_return", "s", limits{Default: 7, Min: 0, Max: 86400},
-		"room of spot machines that was not wanted for this time is returned",
+		"capacity of spot machines that was not needed for this time is returned",
 		func(t *Tunables) *float64 { return &t.SpotReturnS }),
 	whole("fleet", "ask_silent", "times", limits{Default: 0, Min: 0, Max: 20},
-		"where a class should start within a report interval, a machine that is silent while its "+
-			"zone is heard is asked directly, and given up when it has not answered so many times; 0: "+
-			"it is not asked",
+		"if a class should start within a report interval, a machine that is silent while its zone is "+
+			"reachable is probed directly, and given up after this many unanswered probes; 0: it is not "+
+			"probed",
 		func(t *Tunables) *int { return &t.ProbeSilent }),
 	amount("fleet", "ready_window", "s", limits{Default: 0, Min: 0, Max: 86400},
-		"where a class should start sooner than the quickest machine boots, room is returned only "+
-			"when it was not wanted for this time; 0: as elsewhere",
+		"if a class should start sooner than the quickest machine boots, capacity is returned only when it "+
+			"was not needed for this time; 0: the usual times apply",
 		func(t *Tunables) *float64 { return &t.ReadyWindowS }),
 	whole("fleet", "move_saved", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"tasks that save their progress are moved off machines that are to be returned, where that "+
-			"costs less than waiting for their end",
+		"tasks that save their progress are moved off machines that are to be returned, if that costs "+
+			"less than waiting for their end",
 		func(t *Tunables) *int { return &t.MoveSaved }),
 	amount("fleet", "spot_task", "s", limits{Default: 600, Min: 0, Max: 1e9},
-		"tasks that run longer than this and save nothing stay off spot machines: a sudden loss "+
+		"tasks that run longer than this and save no progress are kept off spot machines: a sudden loss "+
 			"would cost too much",
 		func(t *Tunables) *float64 { return &t.SpotTaskS }),
 	amount("fleet", "usual_stay", "s", limits{Default: 120, Min: 1, Max: 86400},
-		"how long a rented machine is usually kept; its boot is weighed against it",
+		"how long a rented machine is usually kept; its boot time is weighed against it",
 		func(t *Tunables) *float64 { return &t.UsualStayS }),
 	amount("fleet", "boot_give_up", "factor", limits{Default: 4, Min: 1.5, Max: 100},
-		"a machine that takes this many usual boots is given up",
+		"a machine that has not booted after this many times its type's usual boot time is given up",
 		func(t *Tunables) *float64 { return &t.BootGiveUpTimes }),
 	whole("fleet", "note_returns", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"a machine that is returned with nothing on it is noted first, so that a new leader need "+
-			"not wait for it",
+		"the return of an empty machine is recorded first, so that a new leader need not wait for it",
 		func(t *Tunables) *int { return &t.NoteReturns }),
 	amount("pools", "silent_after", "s", limits{Default: 0, Min: 0, Max: 3600},
-		"a machine that keeps units which others wait for is given up when it is silent for so "+
-			"long; 0: as all machines",
+		"a machine that holds units for which others wait is given up after it has been silent for this "+
+			"time; 0: the same rules apply as for all machines",
 		func(t *Tunables) *float64 { return &t.UnitsSilentS }),
 	amount("pools", "receipt_life", "s", limits{Default: 60, Min: 5, Max: 86400},
-		"for how long a receipt for units is good",
+		"how long a receipt for units is valid",
 		func(t *Tunables) *float64 { return &t.ReceiptLifeS }),
 	whole("run-times", "kinds", "kinds", limits{Default: 0, Min: 0, Max: 20000},
-		"so many kinds of work have their usual run times learned, at most; 0: none, and nothing "+
-			"is written",
+		"most kinds of work whose usual run times are learned; 0: none, and nothing is written",
 		func(t *Tunables) *int { return &t.RunTimesKinds }),
 	amount("run-times", "late_margin", "factor", limits{Default: 1.3, Min: 1, Max: 100},
-		"a job is warned of that will take this many times as long as nine in ten jobs of its kind",
+		"a warning is issued for a job that will take this many times as long as nine in ten jobs of "+
+			"its kind",
 		func(t *Tunables) *float64 { return &t.LateMargin }),
 	whole("cold-start", "listen", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
-		"after a start in which nobody led before, machines are rented and returned, and tasks "+
-			"stopped or moved, only once the fleet is heard",
+		"after a cold start, before which there was no leader, machines are rented and returned, and "+
+			"tasks stopped or moved, only once the fleet has reported",
 		func(t *Tunables) *int { return &t.ColdListen }),
 	amount("cold-start", "settled", "share", limits{Default: 0.9, Min: 0, Max: 1},
-		"of each zone's registered machines that must be heard for that, unless nobody new comes any more",
+		"share of each zone's registered machines that must have reported for that, unless no further "+
+			"machines report",
 		func(t *Tunables) *float64 { return &t.ColdSettled }),
 	amount("cold-start", "after", "s", limits{Default: 5, Min: 0, Max: 3600},
-		"a start counts as one when nobody led for so long",
+		"a start counts as a cold start if there was no leader for this time",
 		func(t *Tunables) *float64 { return &t.ColdAfterS }),
 	amount("cold-start", "starts", "a second", limits{Default: 0, Min: 0, Max: 1e6},
-		"most starts in one zone until the work is back, for a minute at most; 0: any number",
+		"most task starts in one zone until the work is running again, for a minute at most; 0: any number",
 		func(t *Tunables) *float64 { return &t.ColdStarts }),
 	whole("cold-start", "images", "images", limits{Default: 0, Min: 0, Max: 100},
-		"most that one machine fetches at once meanwhile; 0: any number",
+		"most images that one machine fetches at once during that time; 0: any number",
 		func(t *Tunables) *int { return &t.ColdImages }),
 	whole("cold-start", "keep", "accounts", limits{Default: 0, Min: 0, Max: 100},
-		"so many accounts of cold starts are written down; 0: none, and nothing is written",
+		"number of cold starts whose accounts are kept; 0: none, and nothing is written",
 		func(t *Tunables) *int { return &t.ColdKept }),
 	whole("fleet", "list_first", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
-		"a new leader asks the cloud for its list at once, and silent machines that it lacks are given up",
+		"a new leader requests the cloud's machine list at once, and silent machines that are missing "+
+			"from the list are given up",
 		func(t *Tunables) *int { return &t.ListFirst }),
 	whole("fleet", "adapt_calls", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
-		"the rate of calls to the cloud is halved when it refuses or does not answer, and grows "+
-			"again while it does",
+		"the rate of calls to the cloud is halved when it refuses a call or does not answer, and grows "+
+			"again while it answers",
 		func(t *Tunables) *int { return &t.AdaptCalls }),
 	amount("fleet", "zone_patience", "s", limits{Default: 0, Min: 0, Max: 3600},
-		"machines of a zone that fell silent as a whole are waited for so long, and kept alive "+
-			"there meanwhile; 0: they are given up like any",
+		"how long machines of a zone that is silent as a whole are waited for and kept alive there; "+
+			"0: they are given up like all others",
 		func(t *Tunables) *float64 { return &t.ZonePatienceS }),
 	amount("spread", "moves", "a second", limits{Default: 0, Min: 0, Max: 1000},
-		"machines that are sent to another controller, so that reports are spread evenly; 0: none",
+		"machines that are redirected to another controller to spread reports evenly; 0: none",
 		func(t *Tunables) *float64 { return &t.RebalanceMoves }),
 	amount("spread", "most", "times", limits{Default: 1.25, Min: 1.05, Max: 100},
-		"a controller gives machines away that has more than this many times its even share",
+		"a controller with more than this many times its even share of machines gives some away",
 		func(t *Tunables) *float64 { return &t.RebalanceMaxLoad }),
 	amount("spread", "zone_affinity", "s", limits{Default: 0, Min: 0, Max: 3600},
-		"a place outside the zone of a job's first task counts as so many seconds of fetching, so "+
-			"that a zone that is cut off takes fewer jobs with it; 0: nothing",
+		"cost of a machine outside the zone of a job's first task, in seconds of image fetching, so that "+
+			"fewer jobs are affected when a zone is cut off; 0: none",
 		func(t *Tunables) *float64 { return &t.ZoneAffinityS }),
 	amount("spread", "leader", "share", limits{Default: 0.7, Min: 0.05, Max: 1},
-		"the leader's even share, next to 1 of each other controller",
+		"the leader's even share of machines, relative to 1 for each other controller",
 		func(t *Tunables) *float64 { return &t.RebalanceLeaderWeight }),
 	amount("door", "spread", "requests a second", limits{Default: 0, Min: 0, Max: 1e6},
-		"users who are turned away are told to come back spread over this rate; 0: they are told "+
-			"the least there is",
+		"users whose requests are refused are asked to retry at times spread over this rate; 0: they are "+
+			"given the shortest possible time",
 		func(t *Tunables) *float64 { return &t.AdmissionRate }),
 	whole("takeovers", "keep", "takeovers", limits{Default: 0, Min: 0, Max: 1000},
-		"so many takeovers are written down, with how long each of their steps took; 0: none, and "+
-			"nothing is written",
+		"number of takeovers that are recorded, with the duration of each step; 0: none, and nothing is "+
+			"written",
 		func(t *Tunables) *int { return &t.TakeoversKept }),
 	whole("config", "history", "changes", limits{Default: 0, Min: 0, Max: 1000},
-		"teams and some tunables may be changed while controllers run, and so many changes are "+
-			"remembered; 0: nothing may be changed, and nothing is written",
+		"teams and some tunables may be changed while controllers run, and this many changes are kept; "+
+			"0: nothing may be changed, and nothing is written",
 		func(t *Tunables) *int { return &t.ConfigHistory }),
 }
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -1,17 +1,17 @@
 package settings
 
-// What one write needs at least: an entry of usual names, and a transaction that closes one segment of the event
-// log, opens the next and removes a third.
+// Smallest limits that suffice for a write: the value must hold an entry with names of usual length, and
+// the transaction must be able to close one segment of the event log, open the next and remove a third.
 const (
 	leastValueKB = 0.5
 	leastTxnOps  = 3
 
-	entryBytes   = 420 // of a value with a job's entry, without the names that the settings have
-	leaseReports = 3   // report intervals that a worker's lease must last
+	entryBytes   = 420 // size of a value with a job's entry, without the names that come from the settings
+	leaseReports = 3   // fewest report intervals that a worker's lease must last
 )
 
-// WriteLimits is what every write must keep to: the smaller of the limits in force and of those announced, limit by
-// limit, since nobody says when they change.
+// WriteLimits returns the limits that every write must respect: of each limit the smaller of the value in
+// force and the announced one, because the time of the change is not announced.
 func (p *Platform) WriteLimits() StateLimits {
 	limits := p.Deployment.State.StateLimits
 	if next := p.Deployment.State.Next; next != nil {
@@ -28,7 +28,7 @@
 	return limits
 }
 
-// check says what is wrong with limits; field is where they stand.
+// check returns an error for the first invalid limit; field is the prefix of field names in its errors.
 func (l StateLimits) check(field string) error {
 	switch {
 	case !(l.WriteRPS > 0) || l.WriteRPS > 1e12:
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// largestEntry is how many bytes an entry of the event log may need in a deployment with these names: a job's
-// entry, with the longest names that the settings know.
+// largestEntry returns the most bytes that an entry of the event log may take in this deployment: those of
+// a job's entry with the longest names that occur in the settings.
 func (p *Platform) largestEntry() int {
 	team, class, zone := 0, 0, 0
 	for _, t := range p.Deployment.Teams {
@@ -57,7 +57,7 @@
 	return entryBytes + team + class + zone
 }
 
-// CheckTeamName says why a job of a team with this name could not be stored.
+// CheckTeamName returns an error if the name is too long for a job of a team with this name to be stored.
 func (p *Platform) CheckTeamName(name string) error {
 	least := min(p.Deployment.State.ValueKB, p.WriteLimits().ValueKB)
 	if entry := p.largestEntry() + len(name); least*1024 < float64(entry) {
@@ -67,21 +67,21 @@
 	return nil
 }
 
-// CheckServable says which setting describes a fleet that a controller can start with but cannot serve well; nil if
-// none does. check-config refuses such settings. A controller that is started with them logs it and does what it
-// can.
+// CheckServable returns an error for a setting with which a controller can start but cannot serve the fleet
+// well. check-config refuses such settings. A controller that is started with them logs the error and
+// serves as well as it can.
 func (p *Platform) CheckServable() error {
 	workers := p.Deployment.Workers
 	if least := leaseReports * workers.ReportS; workers.LeaseS < least {
 		return wrong("deployment.workers.lease_s",
-			"must be at least %d reports, %v s, is %v s: a worker would lose its tasks over two lost reports",
+			"must be at least %d report intervals, %v s, is %v s: a worker would lose its tasks after two lost reports",
 			leaseReports, least, workers.LeaseS)
 	}
 	field := "deployment.state"
 	for _, kb := range []float64{p.Deployment.State.ValueKB, p.WriteLimits().ValueKB} {
 		if entry := p.largestEntry(); kb*1024 < float64(entry) {
 			return wrong(field+".value_kb",
-				"%v KiB are too little for one entry, which takes up to %d bytes with the names of this deployment", kb, entry)
+				"%v KiB is too small for one entry, which takes up to %d bytes with the names of this deployment", kb, entry)
 		}
 		field = "deployment.state.next"
 	}
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Effect says when a change of a tunable, made while controllers run, begins to count.
+// Effect is when a change of a tunable takes effect if it is made while controllers run.
 type Effect string
 
 // Effects of a change.
@@ -16,8 +16,8 @@
 	LaterJobs    Effect = "for jobs that come later"
 )
 
-// live lists the tunables that may change while controllers run: those that the leader reads each time it uses them.
-// All others are read when a term, or a process, begins.
+// live holds the tunables that may change while controllers run: those that the leader reads each time it
+// uses them. All others are read once, at the start of a term or of the process.
 var live = map[string]Effect{
 	"fleet.drain_backlog":    AtOnce,
 	"fleet.dear_backlog":     AtOnce,
@@ -32,10 +32,10 @@
 	"exceptions.lost_behind": LaterJobs,
 }
 
-// LiveTunables lists the keys that may change while controllers run, SECTION.KEY, in order.
+// LiveTunables returns the sorted keys, SECTION.KEY, of the tunables that may change while controllers run.
 func LiveTunables() []string { return slices.Sorted(maps.Keys(live)) }
 
-// EffectOfChange says when a change of a key counts. It is empty where there is no such key.
+// EffectOfChange returns when a change of a key takes effect. It is empty if there is no such key.
 func EffectOfChange(key string) Effect {
 	if e, ok := live[key]; ok {
 		return e
@@ -46,7 +46,7 @@
 	return ""
 }
 
-// CheckLive says why a tunable may not be given a value while controllers run.
+// CheckLive returns an error if a tunable may not be set to a value while controllers run.
 func CheckLive(key string, value float64) error {
 	switch EffectOfChange(key) {
 	case "":
@@ -57,7 +57,7 @@
 	return findNumber(key).check(value)
 }
 
-// ParseLive reads a value of a tunable that may change while controllers run.
+// ParseLive parses and checks a new value of a tunable that may change while controllers run.
 func ParseLive(key, value string) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return v, CheckLive(key, v)
 }
 
-// Number is the value of a tunable that is a number.
+// Number returns the value of a tunable. It returns false if there is no numeric tunable with this key.
 func (t *Tunables) Number(key string) (float64, bool) {
 	if number := findNumber(key); number != nil {
 		return number.get(t), true
@@ -74,7 +74,7 @@
 	return 0, false
 }
 
-// SetNumber gives a tunable a value that has been checked.
+// SetNumber sets a numeric tunable to a value that has already been checked.
 func (t *Tunables) SetNumber(key string, v float64) {
 	if number := findNumber(key); number != nil {
 		number.set(t, v)
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -6,18 +6,18 @@
 	"bitternmoor/internal/operators/certs"
 )
 
-// Operators is the listener on which operators change things, and who may do what there.
+// Operators configures the listener on which operators make changes, and the rights of its users.
 type Operators struct {
-	Listen   string // host:port; empty: nowhere
+	Listen   string // host:port; empty: no listener
 	CertFile string
 	KeyFile  string
 	CAFile   string
-	Read     []string // names of certificates
-	Operate  []string
-	Admin    []string
+	Read     []string // names of certificates that may read
+	Operate  []string // names of certificates that may also change pools and the configuration
+	Admin    []string // names of certificates that may do everything
 }
 
-// Operators is the operators' listener, as the settings describe it.
+// Operators returns the configuration of the operators' listener.
 func (t *Tunables) Operators() Operators {
 	return Operators{
 		Listen: t.OperatorsListen, CertFile: t.OperatorsCert, KeyFile: t.OperatorsKey, CAFile: t.OperatorsCA,
@@ -25,7 +25,8 @@
 	}
 }
 
-// checkOperators says what is missing or wrong where there is a listener for operators.
+// checkOperators returns an error for the first missing or invalid setting of the operators' listener, if
+// there is one.
 func (t *Tunables) checkOperators() error {
 	o := t.Operators()
 	if o.Listen == "" {
@@ -37,7 +38,7 @@
 	files := []struct{ key, value string }{{"cert_file", o.CertFile}, {"key_file", o.KeyFile}, {"ca_file", o.CAFile}}
 	for _, file := range files {
 		if file.value == "" {
-			return wrong("operators."+file.key, "missing: the operators' listener takes nobody without a certificate")
+			return wrong("operators."+file.key, "missing: the operators' listener requires certificates")
 		}
 	}
 	pair := certs.Files{Cert: o.CertFile, Key: o.KeyFile, CA: o.CAFile}
@@ -45,7 +46,7 @@
 		return wrong("operators.cert_file", "%v", err)
 	}
 	if len(o.Operate)+len(o.Admin) == 0 {
-		return wrong("operators.operate", "names nobody, and neither does operators.admin: nothing could be changed")
+		return wrong("operators.operate", "empty, like operators.admin: no certificate would be allowed to change anything")
 	}
 	return nil
 }
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -13,7 +13,7 @@
 	Endpoint string `toml:"endpoint"` // host:port
 }
 
-// Team is a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax); zero means none.
+// Team holds a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax). Zero means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -22,21 +22,21 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// StateLimits bound what is written to the state service.
+// StateLimits are the state service's limits on writes.
 type StateLimits struct {
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	WriteRPS float64 `toml:"write_rps"` // write requests per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value, KiB
+	TxnOps   int     `toml:"txn_ops"`   // operations of a transaction
 }
 
-// NextLimits are limits that the state service has announced; nil: no change of that one is announced.
+// NextLimits are limits that the state service has announced. A limit that is nil is not going to change.
 type NextLimits struct {
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Platform is the file that the platform hands over. Unknown fields are ignored.
+// Platform is the content of the settings file that the platform provides. Unknown fields are ignored.
 type Platform struct {
 	Node         string `toml:"node"`
 	Zone         string `toml:"domain"`
@@ -63,8 +63,8 @@
 		State struct {
 			RPS float64 `toml:"rps"`
 			StateLimits
-			// Next holds limits that the state service will have from some moment on, without notice. What
-			// it leaves out stays as it is.
+			// Next holds limits that the state service will apply from some later time on, without further
+			// notice. Limits that it leaves out do not change.
 			Next *NextLimits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
@@ -79,7 +79,7 @@
 	} `toml:"deployment"`
 }
 
-// check says what is wrong with the platform's settings: the first field that is, in the file's order.
+// check returns an error for the first invalid field of the platform's settings.
 func (p *Platform) check() error {
 	if p.Node == "" {
 		return wrong("node", "missing")
@@ -130,7 +130,7 @@
 	return nil
 }
 
-// maxRate bounds numbers that must be positive, so that calculations with them stay finite.
+// maxRate is the upper bound of numbers that must be positive. It keeps calculations with them finite.
 const maxRate = 1e12
 
 func (p *Platform) checkNumbers() error {
@@ -166,7 +166,7 @@
 	if state.Next == nil {
 		return nil
 	}
-	// Announced limits, where they say nothing, are those in force.
+	// A limit that is not announced keeps the value in force.
 	return p.WriteLimits().check("deployment.state.next")
 }
 
@@ -188,10 +188,11 @@
 	return nil
 }
 
-// maxTeamAmount bounds a team's processors and accelerators.
+// maxTeamAmount is the upper bound of a team's CPUs and GPUs.
 const maxTeamAmount = 1e9
 
-// Check says what is wrong with a team's amounts; field is where they stand.
+// Check returns an error if the team's amounts are invalid; field is the prefix of field names in its
+// errors.
 func (t Team) Check(field string) error {
 	for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
 		if amount < 0 || math.IsNaN(amount) || amount > maxTeamAmount {
@@ -207,7 +208,7 @@
 	return nil
 }
 
-// String is a team's amounts in words.
+// String returns the team's name and amounts as a text.
 func (t Team) String() string {
 	return fmt.Sprintf("%s: cpus %v of at most %v, gpus %v of at most %v",
 		t.Name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax)
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -16,23 +16,23 @@
 type Pool struct {
 	Name           string
 	Units          int
-	Reserve        int // of them, for urgent and critical jobs
+	Reserve        int // number of these units that are reserved for urgent and critical jobs
 	Shares         []PoolShare
-	HoldAfterLossS float64 // for how long units of a holder that was lost stay out
+	HoldAfterLossS float64 // seconds for which units of a lost holder stay in use
 }
 
-// PoolShare is the most that a team's jobs may have out of a pool at once.
+// PoolShare is the most units of a pool that the jobs of a team may hold at once.
 type PoolShare struct {
 	Team  string
 	Units int
 }
 
 const (
-	poolPrefix  = "pool " // of the name of a pool's section
-	maxPoolName = 64      // bytes
+	poolPrefix  = "pool " // prefix of the name of a pool's section
+	maxPoolName = 64      // length of a pool's name, bytes
 	maxPools    = 2000
 
-	// maxHoldAfterLossS is a day.
+	// maxHoldAfterLossS is one day in seconds.
 	maxHoldAfterLossS = 86400
 )
 
@@ -53,7 +53,7 @@
 		t.Pools = append(t.Pools, p)
 	}
 	if len(t.Pools) > maxPools {
-		return wrong("pools", "%d are more than the %d that there may be", len(t.Pools), maxPools)
+		return wrong("pools", "%d pools are more than the allowed %d", len(t.Pools), maxPools)
 	}
 	return nil
 }
@@ -73,15 +73,15 @@
 		return p, wrong(section.Name()+".units", "missing")
 	}
 	if p.Reserve > p.Units {
-		return p, wrong(section.Name()+".reserve", "%d are more than its %d units", p.Reserve, p.Units)
+		return p, wrong(section.Name()+".reserve", "%d is more than the pool's %d units", p.Reserve, p.Units)
 	}
 	return p, nil
 }
 
-// unitsMissing is a number of units that no section can give.
+// unitsMissing marks a pool whose section has no number of units; no section can set this value.
 const unitsMissing = -1
 
-// readKey reads the value of one key of a pool.
+// readKey parses the value of one key of a pool.
 func (p *Pool) readKey(key, value string) (err error) {
 	switch key {
 	case "units":
@@ -101,7 +101,7 @@
 	return err
 }
 
-// parseShares reads the teams of a pool and their units, like "risk:3, audit:2".
+// parseShares parses the teams of a pool and their units, like "risk:3, audit:2".
 func parseShares(list string) (out []PoolShare, err error) {
 	for part := range strings.SplitSeq(list, ",") {
 		if part = strings.TrimSpace(part); part == "" {
@@ -124,7 +124,7 @@
 	return out, nil
 }
 
-// parseWhole reads a whole number between bounds.
+// parseWhole parses a whole number between two bounds.
 func parseWhole(text string, least, most float64) (int, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || v != float64(int64(v)) || v < least || v > most {
@@ -133,7 +133,7 @@
 	return int(v), nil
 }
 
-// checkPools checks that the teams of pools exist.
+// checkPools checks that the teams named by pools exist.
 func (s *Settings) checkPools() error {
 	for _, p := range s.Tunables.Pools {
 		for _, share := range p.Shares {
@@ -145,10 +145,10 @@
 	return nil
 }
 
-// ReceiptKeys lists the files with keys of receipts, the one that signs first.
+// ReceiptKeys returns the files with the keys for receipts. New receipts are signed with the first one.
 func (t *Tunables) ReceiptKeys() []string { return List(t.ReceiptKeyFiles) }
 
-// List splits a list of names that are separated by commas, and leaves out empty ones.
+// List splits a comma-separated list of names and leaves out empty ones.
 func List(s string) []string {
 	var out []string
 	for part := range strings.SplitSeq(s, ",") {
--- a/internal/settings/pools_test.go
+++ b/internal/settings/pools_test.go
@@ -8,7 +8,8 @@
 	"gopkg.in/ini.v1"
 )
 
-// Wrong pools and listeners are named by section and field, in one line.
+// Settings of pools and of the operators' listener are read, and an invalid one gives an error of one line
+// with its section and key.
 func TestPoolsSettings(t *testing.T) {
 	read := func(text string) (Tunables, error) {
 		f, err := ini.Load([]byte(text))
@@ -21,7 +22,7 @@
 	x, err := read("[pool a]\nunits = 5\nreserve = 2\nhold_after_loss = 30\nteams = risk:3, audit:2\n" +
 		"[pool b]\nunits = 0\n")
 	if err != nil || len(x.Pools) != 2 {
-		t.Fatalf("%+v %v", x.Pools, err)
+		t.Fatalf("pools %+v, error %v", x.Pools, err)
 	}
 	p := x.Pools[0]
 	if p.Shares[1] != (PoolShare{Team: "audit", Units: 2}) || p.HoldAfterLossS != 30 || p.Reserve != 2 {
@@ -49,22 +50,22 @@
 		t.Run(text, func(t *testing.T) {
 			_, err := read(text)
 			if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%v, want %s named in one line", err, field)
+				t.Errorf("error %v, want one line that names %s", err, field)
 			}
 		})
 	}
 	s := &Settings{Tunables: x}
 	s.Deployment.Teams = []Team{{Name: "risk"}}
 	if err := s.checkPools(); err == nil || !strings.Contains(err.Error(), `pool a.teams: no such team: "audit"`) {
-		t.Errorf("a team that there is not: %v", err)
+		t.Errorf("unknown team: %v", err)
 	}
 }
 
-// The files that switch something on are in order.
+// The INI files under deploy, which enable optional features, are valid.
 func TestDeployedFiles(t *testing.T) {
 	files, err := filepath.Glob("../../deploy/*.ini")
 	if err != nil || len(files) < 3 {
-		t.Fatalf("%v %v", files, err)
+		t.Fatalf("INI files %v, error %v", files, err)
 	}
 	for _, name := range files {
 		f, err := ini.Load(name)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks what a controller is started with: the platform's TOML file (Platform) and the
-// operators' optional INI file (Tunables). Everything else gets them read-only; only some tunables may change while
-// controllers run (see EffectOfChange).
+// Package settings reads and validates the settings with which a controller is started: the platform's TOML
+// file (Platform) and the operators' optional INI file (Tunables). The rest of the program treats them as
+// read-only, except that some tunables may change while controllers run (see EffectOfChange).
 package settings
 
 import (
@@ -15,14 +15,14 @@
 	"gopkg.in/ini.v1"
 )
 
-// Settings is everything a controller runs by.
+// Settings holds all settings of a controller.
 type Settings struct {
 	Platform
 	Tunables   Tunables
-	WebhookKey []byte // key that warnings are signed with; nil: there is no webhook
+	WebhookKey []byte // key that signs warnings; nil: there is no webhook
 }
 
-// FieldError names the setting that is wrong, and says in one line why.
+// FieldError names an invalid setting and gives the reason in one line.
 type FieldError struct {
 	Field string
 	Why   string
@@ -30,12 +30,13 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-// wrong makes a FieldError; why is a format.
+// wrong returns a FieldError. why is the format of its reason.
 func wrong(field, why string, args ...any) error {
 	return &FieldError{Field: field, Why: fmt.Sprintf(why, args...)}
 }
 
-// checkDirect checks the calls to workers against the sockets that there are.
+// checkDirect checks that the calls that start tasks directly use at most a quarter of the file
+// descriptors.
 func (s *Settings) checkDirect() error {
 	most := s.Deployment.MachineLimits.FDLimit / 4
 	if s.Tunables.PushDispatches > most {
@@ -45,9 +46,9 @@
 	return nil
 }
 
-// Load reads the platform's file and, where iniPath is not empty, the operators' file, and checks both. set has
-// operators' settings of the form SECTION.KEY=VALUE that go over those of the file. A setting that is wrong gives a
-// *FieldError.
+// Load reads and validates the platform's file and, unless iniPath is empty, the operators' file. set holds
+// operators' settings of the form SECTION.KEY=VALUE, which override those of the file. An invalid setting
+// gives a *FieldError.
 func Load(path, iniPath string, set ...string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -74,7 +75,8 @@
 	return s, nil
 }
 
-// readINI reads the operators' file, where there is one, with the settings of the command line over it.
+// readINI reads the operators' file, if there is one, and overrides it with the settings of the command
+// line.
 func readINI(path string, set []string) (*ini.File, error) {
 	file := ini.Empty()
 	if path != "" {
@@ -98,8 +100,8 @@
 	return file, nil
 }
 
-// readTunables reads the operators' settings, checks them against the platform's, and reads the keys that they
-// name.
+// readTunables reads the operators' settings, checks them against the platform's settings, and reads the
+// secret key files that they name.
 func (s *Settings) readTunables(file *ini.File) error {
 	if err := s.Tunables.read(file); err != nil {
 		return err
@@ -128,5 +130,5 @@
 	return line
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -63,7 +63,7 @@
 	return Load(path, iniPath)
 }
 
-// Settings that are right are read; fields of the platform that are not known are ignored.
+// Valid settings are read, and unknown fields of the platform's file are ignored.
 func TestGood(t *testing.T) {
 	s, err := load(t, good, "[sizing]\ntraining_tasks = 7\n")
 	if err != nil {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Announced limits are kept to from the start, limit by limit: whichever is
-// smaller counts, and what is not announced stays.
+// Announced limits are respected from the start: of each limit the smaller value applies, and a limit that
+// is not announced keeps its value.
 func TestNextLimits(t *testing.T) {
 	for _, c := range []struct {
 		next string
@@ -99,16 +99,16 @@
 	}
 }
 
-// checkField fails the test unless an error names a field, in one line.
+// checkField fails the test unless err is a FieldError of one line for a field.
 func checkField(t *testing.T, err error, field string) {
 	t.Helper()
 	var fieldError *FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != field || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v, want the field %s named in one line", err, field)
+		t.Errorf("error %v, want one line for the field %s", err, field)
 	}
 }
 
-// A wrong setting is named, in one line.
+// An invalid setting gives an error of one line that names it.
 func TestWrongSettings(t *testing.T) {
 	cases := []struct{ from, to, ini, field string }{
 		{`node = "n0"`, "", "", "node"},
@@ -144,7 +144,7 @@
 	}
 }
 
-// What a controller cannot serve is named, though it would start.
+// CheckServable names settings with which a controller starts but cannot serve the fleet well.
 func TestCheckServable(t *testing.T) {
 	longName := strings.Repeat("c", 100)
 	for _, c := range []struct{ from, to, field string }{
@@ -177,7 +177,7 @@
 	}
 }
 
-// The example file lists every tunable at its default.
+// The example file contains every tunable with its default, and no other keys.
 func TestExample(t *testing.T) {
 	f, err := ini.Load("../../deploy/bitternmoor.ini.example")
 	if err != nil {
@@ -201,17 +201,17 @@
 		n -= len(s.Keys())
 	}
 	if n != 0 {
-		t.Errorf("the example has %d keys too many", -n)
+		t.Errorf("the example has %d keys that do not exist", -n)
 	}
 	if err := d.read(f); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestWriteExample prints the example file; set WRITE_EXAMPLE to renew it.
+// TestWriteExample generates the example file if WRITE_EXAMPLE is set.
 func TestWriteExample(t *testing.T) {
 	if os.Getenv("WRITE_EXAMPLE") == "" {
-		t.Skip("only to renew the example file")
+		t.Skip("WRITE_EXAMPLE is not set")
 	}
 	d := Defaults()
 	var b strings.Builder
@@ -236,8 +236,8 @@
 	}
 }
 
-// Push dispatches are checked against the sockets that there are, and only an objective shorter than a report interval
-// asks for them; an objective of a kind that is not known does no harm.
+// The number of push dispatches is checked against the file descriptor limit, and only an objective shorter
+// than a report interval needs them. An objective of an unknown kind is accepted and listed.
 func TestPushDispatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
 	text := good + "\n[[deployment.objectives]]\nkind = \"brightness\"\nclass = \"never-comes\"\nshare = 0.5\n"
@@ -251,15 +251,15 @@
 	tight := Objective{Kind: ObjectiveWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2}
 	s.Deployment.Objectives = append(s.Deployment.Objectives, tight)
 	if !s.AnyNeedsDispatch() {
-		t.Error("an objective of half a report interval needs no push dispatch")
+		t.Error("an objective of half a report interval does not need push dispatch")
 	}
 	_, err = Load(path, "", "exceptions.direct_starts=1000")
 	if err == nil || !strings.Contains(err.Error(), "exceptions.direct_starts") {
-		t.Errorf("more calls than sockets: %v", err)
+		t.Errorf("more push dispatches than a quarter of the file descriptors: %v", err)
 	}
 }
 
-// A setting on the command line goes over that of the file, and is checked like it.
+// A setting on the command line overrides that of the file and is checked in the same way.
 func TestSet(t *testing.T) {
 	dir := t.TempDir()
 	path, iniPath := filepath.Join(dir, "s.toml"), filepath.Join(dir, "t.ini")
@@ -287,7 +287,7 @@
 	for set, want := range wrong {
 		t.Run(set, func(t *testing.T) {
 			if _, err := Load(path, "", set); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, want %s named", err, want)
+				t.Errorf("error %v, want one that contains %s", err, want)
 			}
 		})
 	}
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -12,126 +12,140 @@
 	"bitternmoor/internal/operators/secretfile"
 )
 
-// Tunables are the operators' own settings. Fields whose names end in S are seconds. Names of fields that the design
-// document gives a letter carry that letter in their comment.
+// Tunables are the operators' settings. Fields whose names end in S are in seconds. Where the design
+// document uses a letter for a value, the comment of the field begins with that letter.
 type Tunables struct {
-	// Sizes of jobs, by HFSP.
-	TrainingTasks  int     // t: tasks that train a job's size
-	TrainingAtOnce int     // T: training tasks running at once
-	Eagerness      float64 // ξ: weight of a size not yet trained
-	TrainingLimitS float64 // Δ: longest wait for a training task
-	FirstSizeS     float64 // size of a job while there is no history
-	SizesEveryS    float64 // how often virtual sizes are written to the state service
-	LearnedSizes   int     // 0 or 1: sizes start from what a job's kind has shown
-
-	// Order of jobs: exceptions from that of their sizes.
+	// Sizes of jobs, estimated as in HFSP (Hadoop Fair Sojourn Protocol).
+	TrainingTasks  int     // t: number of tasks whose run times determine a job's size
+	TrainingAtOnce int     // T: most training tasks that run at the same time
+	Eagerness      float64 // ξ: factor on a job's size until its training tasks have determined it
+	TrainingLimitS float64 // Δ: longest run time for which the end of a training task is awaited
+	FirstSizeS     float64 // size that is assumed for a job while no job has finished
+	SizesEveryS    float64 // interval at which virtual sizes are written to the state service
+	LearnedSizes   int     // 0 or 1: size estimates start from the run times learned for a job's kind of work
+
+	// Exceptions to the order of jobs by size.
 	UrgentFirst    int // 0 or 1: urgent jobs go ahead
 	FollowUrgency  int // 0 or 1: jobs take the priority of those that depend on them
 	GuaranteeFirst int // 0 or 1: jobs within their team's guarantee go ahead
-	Preempt        int // 0 or 1: tasks are preempted for jobs that may have their room
-	// WaitLeadS: how long before their class's wait objective waiting tasks go ahead; 0: never
+	Preempt        int // 0 or 1: tasks are preempted for jobs that are entitled to their room
+	// WaitLeadS is how long before their class's wait objective expires waiting tasks go ahead; 0: never.
 	WaitLeadS float64
-	// BeginWithinS: jobs that have not begun for so long go ahead of all but urgent ones; 0: never
+	// BeginWithinS is the time after which jobs that have not begun go ahead of all but urgent ones; 0:
+	// never.
 	BeginWithinS float64
-	// LostBehind: jobs that have missed all objectives go behind until this many times the last of them; 0: never
+	// LostBehind is the multiple of its last objective until which a job that can meet none of them goes
+	// behind others; 0: never.
 	LostBehind float64
-	// LowLeadS: how long before its tightest objective best-effort work no longer goes behind; 0: never
+	// LowLeadS is how long before its tightest objective best-effort work stops going behind the size
+	// order; 0: it never goes behind.
 	LowLeadS float64
-	// ServedFloor: share of each class and team to be served in time; 0: whatever the order brings
+	// ServedFloor is the share of the jobs of each class and team that is to be done in time; 0: no such
+	// share is enforced.
 	ServedFloor float64
-	// PushDispatches: most push dispatches under way, for classes whose wait objective is shorter than a report
-	// interval; 0: none
+	// PushDispatches is the most concurrent push dispatches, for classes whose wait objective is shorter
+	// than a report interval; 0: none.
 	PushDispatches int
 
-	// Shares of classes and teams that are served in time.
-	ServedWindowS float64 // over which shares served are measured; 0: they are not
-	ServedWithinS float64 // by when a job is due whose class has no objective for its end
+	// Measurement of the share of jobs of each class and team that are done in time.
+	ServedWindowS float64 // time window of the measurement; 0: nothing is measured
+	ServedWithinS float64 // time after which a job is due if its class has no objective for its end
 
 	// Placement, and the blocks of machines that controllers lease.
-	LocalityS     float64 // how long a job leaves room on machines without its image to others
-	ZoneAffinityS float64 // in seconds of fetching: what a place outside its zone costs a job
-	BlockLeaseS   float64 // how long a block of machines is leased
-	NoteTasks     int     // 0 or 1: it is noted up to which number tasks may be handed out
+	LocalityS     float64 // how long a job leaves room on machines that lack its image to other jobs
+	ZoneAffinityS float64 // cost of a machine outside the zone of a job's first task, in seconds of fetching
+	BlockLeaseS   float64 // duration of the lease of a block of machines
+	NoteTasks     int     // 0 or 1: it is recorded up to which number tasks may have been handed out
 
 	// Leadership, and records of takeovers and cold starts.
-	LeaderLeaseS  float64 // life of the leader's lease
-	TakeoversKept int     // so many takeovers are recorded; 0: none
-	// ColdListen: 0 or 1: after a start in which nobody led the leader listens before it orders
+	LeaderLeaseS  float64 // duration of the leader's lease
+	TakeoversKept int     // number of takeovers that are recorded; 0: none
+	// ColdListen, 0 or 1: after a cold start, before which there was no leader, the leader waits for
+	// reports before it rents, returns, stops or moves anything.
 	ColdListen  int
-	ColdSettled float64 // share of each zone's machines that must be heard for that
-	ColdAfterS  float64 // for how long nobody must have led
-	ColdStarts  float64 // starts a second by zone while it catches up; 0: any number
-	ColdImages  int     // images that one machine fetches at once meanwhile; 0: any number
-	ColdKept    int     // so many cold starts are recorded; 0: none
+	ColdSettled float64 // share of each zone's machines that must have reported for that
+	ColdAfterS  float64 // time without a leader after which a start counts as a cold start
+	ColdStarts  float64 // task starts per second in one zone while the leader catches up; 0: any number
+	ColdImages  int     // images that one machine fetches at once during that time; 0: any number
+	ColdKept    int     // number of cold starts that are recorded; 0: none
 
 	// Scaling out and in.
-	DrainBacklogS float64 // waiting work should be gone within this time, by cheap machines
-	// OrdinaryBacklogS: the same by dear ones, rented only where cheap ones do not get there; for classes without objectives
+	DrainBacklogS float64 // time within which the waiting work should be worked off
+	// OrdinaryBacklogS: on-demand machines are rented if spot machines leave work waiting longer than this.
+	// It holds for classes without objectives.
 	OrdinaryBacklogS float64
-	// ObjectiveShare: for classes with objectives: the share of the tightest one that takes its place
+	// ObjectiveShare: for classes with objectives, this share of the tightest one replaces
+	// OrdinaryBacklogS.
 	ObjectiveShare float64
-	IdleReturnS    float64 // room of ordinary machines that was not wanted for this time is returned
-	SpotReturnS    float64 // the same of spot machines
-	// ReadyWindowS: the same where work should start sooner than a machine boots; 0: as elsewhere
+	IdleReturnS    float64 // capacity of on-demand machines that was not needed for this time is returned
+	SpotReturnS    float64 // capacity of spot machines that was not needed for this time is returned
+	// ReadyWindowS is the least value of these two if work should start sooner than a machine boots; 0: the
+	// two apply unchanged.
 	ReadyWindowS float64
-	NoteReturns  int // 0 or 1: a machine that is returned empty is noted before
-	// MoveSaved: 0 or 1: tasks that save checkpoints are moved off machines that are to be returned
+	NoteReturns  int // 0 or 1: the return of an empty machine is recorded before the machine is returned
+	// MoveSaved, 0 or 1: tasks that save checkpoints are moved off machines that are to be returned.
 	MoveSaved int
-	SpotTaskS float64 // tasks that run longer and cannot save stay off spot machines
-	// UsualStayS: how long a rented machine is usually kept, against which its boot is weighed
+	SpotTaskS float64 // tasks that run longer and save no checkpoints are kept off spot machines
+	// UsualStayS is how long a rented machine is usually kept. Its boot time is weighed against it.
 	UsualStayS      float64
-	BootGiveUpTimes float64 // a machine that takes this many usual boots is given up
-	AdaptCalls      int     // 0 or 1: the rate of cloud calls follows the cloud's answers
+	BootGiveUpTimes float64 // a machine that has not booted after this many usual boot times is given up
+	AdaptCalls      int     // 0 or 1: the rate of cloud calls adapts to the cloud's responses
 
 	// Machines that fall silent.
 
-	// ProbeSilent: liveness probes after which a silent machine is given up, where a class should start within a report
-	// interval; 0: none
+	// ProbeSilent is the number of unanswered liveness probes after which a silent machine is given up, if
+	// a class should start within a report interval; 0: no probes.
 	ProbeSilent int
-	ListFirst   int // 0 or 1: silent machines that the cloud's list lacks are given up at once
-	// ZonePatienceS: how long machines of a zone that is cut off as a whole are waited for; 0: as any
+	// ListFirst, 0 or 1: a new leader requests the cloud's machine list at once, and silent machines that
+	// are missing from the list are given up.
+	ListFirst int
+	// ZonePatienceS is how long machines of a zone that is cut off as a whole are waited for; 0: no longer
+	// than others.
 	ZonePatienceS float64
 
 	// Rebalancing of reports over controllers, and admission of users' requests.
-	RebalanceMoves        float64 // machines a second that are sent to another controller; 0: none
-	RebalanceMaxLoad      float64 // load over the mean that a controller is left with
-	RebalanceLeaderWeight float64 // the leader's weight, next to 1 of the others
-	// AdmissionRate: requests a second that users who were turned away are spread over; 0: they are not
+	RebalanceMoves        float64 // machines per second that are redirected to another controller; 0: none
+	RebalanceMaxLoad      float64 // multiple of the mean load above which a controller gives machines away
+	RebalanceLeaderWeight float64 // the leader's weight, relative to 1 for each other controller
+	// AdmissionRate is the rate, in requests per second, over which the retries of refused users are
+	// spread; 0: they are not spread.
 	AdmissionRate float64
 
-	// What is learned of run times, and the operators' calendar.
-	RunTimesKinds int // so many kinds of work have their run times learned
-	// LateMargin: a job is late that takes this many times as long as nine in ten of its kind
+	// Learned run times, and the operators' calendar.
+	RunTimesKinds int // most kinds of work whose run times are learned; 0: none
+	// LateMargin: a job is late if it takes this many times as long as nine in ten jobs of its kind.
 	LateMargin  float64
-	TimeZone    string // of the operators
-	NightBegins string // a cron expression
-	Holidays    string // dates, separated by commas
+	TimeZone    string // the operators' time zone, from the IANA database
+	NightBegins string // cron expression for the beginning of a night
+	Holidays    string // comma-separated dates of holidays
 
 	// Webhook for warnings.
-	WebhookURL     string // where warnings are sent; empty: nowhere
-	WebhookKeyFile string // with the key that they are signed with
+	WebhookURL     string // URL to which warnings are sent; empty: they are not sent
+	WebhookKeyFile string // file with the key that signs them
 
 	// Pools of counted resources.
 	Pools []Pool
-	// UnitsSilentS: machines that keep units others wait for are given up when silent for so long; 0: as all machines
+	// UnitsSilentS: a machine that holds units for which others wait is given up after it has been silent
+	// for this time; 0: the same rules apply as for all machines.
 	UnitsSilentS    float64
-	ReceiptLifeS    float64 // for how long a receipt for units is good
-	ReceiptKeyFiles string  // that receipts are signed with, separated by commas: the first signs
+	ReceiptLifeS    float64 // how long a receipt for units is valid
+	ReceiptKeyFiles string  // comma-separated files with keys for receipts: the first one signs
 
-	// Changes while controllers run, and the operators' listener; lists are separated by commas.
+	// Changes while controllers run, and the operators' listener. Lists are separated by commas.
 
-	// ConfigHistory: so many changes of the configuration are remembered; 0: none may be made while controllers run
+	// ConfigHistory is the number of changes of the configuration that are kept; 0: no changes can be made
+	// while controllers run.
 	ConfigHistory    int
-	OperatorsListen  string // host:port; empty: nowhere
-	OperatorsCert    string // file
-	OperatorsKey     string // file
-	OperatorsCA      string // file with those who sign operators' certificates
-	OperatorsRead    string // names of certificates
-	OperatorsOperate string // names of certificates
-	OperatorsAdmin   string // names of certificates
+	OperatorsListen  string // host:port; empty: no listener
+	OperatorsCert    string // file with the controller's certificate
+	OperatorsKey     string // file with the key of that certificate
+	OperatorsCA      string // file with the certificates of the authorities that sign operators' certificates
+	OperatorsRead    string // names of certificates that may read
+	OperatorsOperate string // names of certificates that may also change pools and the configuration
+	OperatorsAdmin   string // names of certificates that may do everything
 }
 
-// Defaults are the values that hold where the operators say nothing.
+// Defaults returns the values of all settings that the operators do not set.
 func Defaults() Tunables {
 	var t Tunables
 	for i := range numberSettings {
@@ -143,12 +157,12 @@
 	return t
 }
 
-// NewCalendar makes the operators' calendar.
+// NewCalendar returns the operators' calendar.
 func (t *Tunables) NewCalendar() (*calendar.Calendar, error) {
 	return calendar.New(t.TimeZone, t.NightBegins, calendar.Dates(t.Holidays))
 }
 
-// read sets what an operators' file says, and checks it.
+// read sets the values of an operators' file and checks them.
 func (t *Tunables) read(file *ini.File) error {
 	if err := t.readPools(file); err != nil {
 		return err
@@ -187,7 +201,8 @@
 	return nil
 }
 
-// check says what is wrong with settings that are more than a number within its limits.
+// check returns an error for the first invalid setting among those that take more than a check of a
+// number's limits.
 func (t *Tunables) check() error {
 	if err := t.checkCalendar(); err != nil {
 		return err
@@ -196,7 +211,7 @@
 		return err
 	}
 	if t.ServedFloor > 0 && t.ServedWindowS == 0 {
-		return wrong("exceptions.served_floor", "needs served.window: nothing is measured without it")
+		return wrong("exceptions.served_floor", "requires served.window: without it nothing is measured")
 	}
 	return t.checkWebhook()
 }
@@ -224,7 +239,7 @@
 	return nil
 }
 
-// webhookKey reads the key that warnings are signed with; nil where there is no webhook.
+// webhookKey reads the key that signs warnings. It returns nil if there is no webhook.
 func (t *Tunables) webhookKey() ([]byte, error) {
 	if t.WebhookURL == "" {
 		return nil, nil
@@ -232,7 +247,7 @@
 	return readSecret("webhook.key_file", t.WebhookKeyFile)
 }
 
-// readSecret reads a secret key from a file that a field names.
+// readSecret reads a secret key from a file; field is the setting that names the file.
 func readSecret(field, file string) ([]byte, error) {
 	key, err := secretfile.Read(file)
 	if err != nil {
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -19,13 +19,13 @@
 
 const (
 	dialTimeout = time.Second
-	idleTimeout = 30 * time.Second // after which an idle connection is closed
+	idleTimeout = 30 * time.Second // an idle connection is closed after this time
 )
 
-// maxResponseBody is how many bytes of a response are read.
+// maxResponseBody is the largest number of bytes that is read of a response body.
 const maxResponseBody = 4 << 20
 
-// NewClient makes a client of the service at an address, host:port, with at most conns connections.
+// NewClient returns a client for the service at addr, host:port, that opens at most conns connections.
 func NewClient(addr string, conns int) *Client {
 	return &Client{base: "http://" + addr, http: &http.Client{Transport: &http.Transport{
 		DialContext:         newDialer().DialContext,
@@ -38,8 +38,9 @@
 
 func newDialer() *net.Dialer { return &net.Dialer{Timeout: dialTimeout, KeepAlive: -1} }
 
-// callJSON makes a request and returns the status, or an error when there was no whole response. The
-// body is decoded into out, where out is not nil, for the statuses whose bodies have a meaning.
+// callJSON sends a request and returns the status, or an error if no complete response was received or
+// its body cannot be decoded. Unless out is nil, the body is decoded into it for the statuses that
+// hasMeaning selects.
 func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) (int, error) {
 	status, data, err := c.exchange(ctx, method, path, in)
 	if err != nil {
@@ -53,14 +54,14 @@
 	return status, nil
 }
 
-// hasMeaning says whether the body of a response with this status is read: those of answers, of
-// conflicts and of keys that are missing.
+// hasMeaning reports whether the body of a response with this status is decoded: the bodies of successful
+// responses, of conflicts and of missing keys are.
 func hasMeaning(status int) bool {
 	return status == http.StatusOK || status == http.StatusConflict || status == http.StatusNotFound
 }
 
-// exchange makes a request and returns status and body of the response, or an error when there was no
-// whole response.
+// exchange sends a request and returns the status and the body of the response, or an error if no complete
+// response was received.
 func (c *Client) exchange(ctx context.Context, method, path string, in any) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
@@ -77,7 +78,7 @@
 	if err != nil {
 		return 0, nil, fmt.Errorf("wire: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // the body is read by then, or the error is returned
+	defer func() { _ = resp.Body.Close() }() // by then the body has been read, or its read error is returned
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBody))
 	if err != nil {
 		return 0, nil, fmt.Errorf("wire: %w", err)
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -13,18 +13,19 @@
 )
 
 const (
-	cloudConnections = 4   // at most, from one controller
-	machinesPerPage  = 500 // of the list of machines
+	cloudConnections = 4   // most connections of one controller
+	machinesPerPage  = 500 // page size of the machine list
 )
 
-// CloudClient is a client of the cloud that rents machines.
+// CloudClient is a client of the cloud API, which rents machines.
 type CloudClient struct{ client *Client }
 
-// NewCloudClient makes a client of the cloud at an address, host:port.
+// NewCloudClient returns a client for the cloud API at addr, host:port.
 func NewCloudClient(addr string) *CloudClient {
 	return &CloudClient{client: NewClient(addr, cloudConnections)}
 }
 
+// machineType is a machine type as the cloud lists it.
 type machineType struct {
 	Name      string   `json:"label"`
 	CPUs      float64  `json:"vcpus"`
@@ -38,12 +39,13 @@
 	Zones     []string `json:"pastures"`
 }
 
-// machineTypes lists the machine types of the cloud.
+// machineTypes is the body in which the cloud lists its machine types.
 type machineTypes struct {
 	Types []machineType `json:"breeds"`
 }
 
-// Types reads the machine types; those without a name or without processors are left out.
+// Types fetches the machine types. Types without a name or without a finite, positive number of CPUs are
+// left out.
 func (c *CloudClient) Types(ctx context.Context) ([]eventlog.MachineType, error) {
 	var out machineTypes
 	status, err := c.client.callJSON(ctx, http.MethodGet, PathMachineTypes, nil, &out)
@@ -66,21 +68,21 @@
 	return types, nil
 }
 
-// RentResult is what became of a rental request.
+// RentResult is the result of a rental request.
 type RentResult uint8
 
 // Results of a rental request.
 const (
 	Rented     RentResult = iota
-	NoCapacity            // the cloud has no such machines now
-	Malformed
-	NoAnswer // outage, rate limit or no response: the same request must be repeated
+	NoCapacity            // the cloud has no such machines at present
+	Malformed             // the cloud rejects the request as invalid
+	NoAnswer              // outage, rate limit or no response: the same request must be repeated
 )
 
-// noCapacityWord is the word of a refusal for want of machines.
+// noCapacityWord is the error text with which the cloud refuses a rental for lack of machines.
 const noCapacityWord = "no capacity"
 
-// rentalRequest asks for machines. Its name makes it idempotent.
+// rentalRequest is a request for machines. Its name makes it idempotent.
 type rentalRequest struct {
 	Request string `json:"hire"`
 	Type    string `json:"breed"`
@@ -89,13 +91,13 @@
 	Count   int    `json:"count"`
 }
 
-// machineNames lists machines, rented or to be returned.
+// machineNames is a list of machines that were rented or are to be returned.
 type machineNames struct {
 	Machines []string `json:"stalls"`
 }
 
-// Rent sends a rental request and returns the names of the machines rented. The request is idempotent: sent
-// again, it gives the same machines.
+// Rent sends a rental request and returns the names of the rented machines. The request is idempotent: if
+// it is repeated, the cloud returns the same machines.
 func (c *CloudClient) Rent(ctx context.Context, r eventlog.Rental) ([]string, RentResult) {
 	in := rentalRequest{Request: r.Name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 	var out machineNames
@@ -120,25 +122,26 @@
 	return nil, NoAnswer
 }
 
-// Delete returns machines to the cloud; true means that they are gone.
+// Delete returns machines to the cloud. It reports whether the cloud confirmed that they are deleted.
 func (c *CloudClient) Delete(ctx context.Context, names []string) bool {
 	status, err := c.client.callJSON(ctx, http.MethodPost, PathDelete, machineNames{Machines: names}, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// ListedMachine is a machine in the cloud's list, which lags behind.
+// ListedMachine is a machine in the cloud's list, which lags behind the actual state.
 type ListedMachine struct {
 	Machine    eventlog.Machine
 	Failed     bool
 	RentedForS float64 // seconds since it was rented
 }
 
-// Words of a machine's state in the cloud's list.
+// States of a machine in the cloud's list.
 const (
 	runningWord = "running"
 	failedWord  = "failed"
 )
 
+// listedMachine is a machine as the cloud lists it.
 type listedMachine struct {
 	Name    string  `json:"name_id"`
 	Address string  `json:"address"`
@@ -146,10 +149,10 @@
 	Zone    string  `json:"pasture"`
 	Spot    bool    `json:"loaned_stock"`
 	State   string  `json:"standing"`
-	HeldS   float64 `json:"held_s"`
+	HeldS   float64 `json:"held_s"` // seconds since it was rented
 }
 
-// machineList is one page of the list of machines.
+// machineList is one page of the machine list.
 type machineList struct {
 	Machines []listedMachine `json:"stalls"`
 	More     bool            `json:"has_next"`
@@ -163,7 +166,7 @@
 	}
 }
 
-// List reads the whole list of machines, page by page.
+// List fetches the whole machine list, page by page.
 func (c *CloudClient) List(ctx context.Context) ([]ListedMachine, error) {
 	var all []ListedMachine
 	since := ""
--- a/internal/wire/cloudserver.go
+++ b/internal/wire/cloudserver.go
@@ -1,4 +1,4 @@
-// The cloud's side of its protocol: what stand-ins of the cloud read and write.
+// Server side of the cloud's protocol, used by the stand-ins for the cloud.
 
 package wire
 
@@ -9,7 +9,7 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// MachineTypes is the body with which the cloud lists its machine types.
+// MachineTypes encodes the response that lists the cloud's machine types.
 func MachineTypes(types []eventlog.MachineType) []byte {
 	var out machineTypes
 	for _, t := range types {
@@ -21,7 +21,7 @@
 	return encode(out)
 }
 
-// ParseRental reads a rental request.
+// ParseRental decodes a rental request.
 func ParseRental(body []byte) (eventlog.Rental, error) {
 	var in rentalRequest
 	if err := json.Unmarshal(body, &in); err != nil || in.Request == "" {
@@ -30,10 +30,10 @@
 	return eventlog.Rental{Name: in.Request, Type: in.Type, Zone: in.Zone, Spot: in.Spot, Count: in.Count}, nil
 }
 
-// RentalAnswer is the body that names the machines rented.
+// RentalAnswer encodes the response with the names of the rented machines.
 func RentalAnswer(names []string) []byte { return encode(machineNames{Machines: names}) }
 
-// ParseMachineNames reads which machines are to be deleted.
+// ParseMachineNames decodes the names of the machines that are to be deleted.
 func ParseMachineNames(body []byte) ([]string, error) {
 	var in machineNames
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -42,10 +42,10 @@
 	return in.Machines, nil
 }
 
-// NoCapacityBody is the body with which the cloud refuses a rental request for lack of machines.
+// NoCapacityBody encodes the response with which the cloud refuses a rental for lack of machines.
 func NoCapacityBody() []byte { return ErrorBody(noCapacityWord) }
 
-// MachineList is the body with which the cloud lists machines; more says that there are further pages.
+// MachineList encodes one page of the cloud's machine list; more is set if further pages follow.
 func MachineList(list []ListedMachine, more bool) []byte {
 	out := machineList{Machines: make([]listedMachine, len(list)), More: more}
 	for i, l := range list {
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Paths of the controllers' API for users, and of the one to which workers report.
+// Paths of the controllers' user API, and the path to which workers send their reports.
 const (
 	PathJobs    = "/api/jobs"
 	PathJob     = "/api/jobs/{id}"
@@ -14,13 +14,13 @@
 	PathReports = "/checkin"
 )
 
-// JobPath is where a user asks for a job's state.
+// JobPath returns the path at which users query the state of a job.
 func JobPath(id uint64) string { return PathJobs + "/" + FormatID(id) }
 
-// AbortPath is where a user cancels a job.
+// AbortPath returns the path at which users cancel a job.
 func AbortPath(id uint64) string { return JobPath(id) + "/abort" }
 
-// JobState is a job's state as users see it.
+// JobState is the state of a job as the user API shows it.
 type JobState uint8
 
 // States of a job.
@@ -31,19 +31,19 @@
 	Cancelled
 )
 
-// jobStateWords are the words of states, in the order of their numbers.
+// jobStateWords are the protocol's names of job states, indexed by JobState.
 var jobStateWords = []string{"queued", "running", "done", "aborted"}
 
-// jobAnswer answers a question for a job's state.
+// jobAnswer is the response to a query for a job's state.
 type jobAnswer struct {
 	ID      string `json:"name_id"`
 	State   string `json:"standing"`
-	Done    *int   `json:"done,omitempty"`
-	Running *int   `json:"running,omitempty"`
+	Done    *int   `json:"done,omitempty"`    // number of tasks that are done
+	Running *int   `json:"running,omitempty"` // number of tasks that run
 }
 
-// JobAnswer is the body that answers a question for a job's state. With counts it says how many tasks
-// are done and how many run.
+// JobAnswer encodes the response to a query for a job's state. If counts is set, it includes how many
+// tasks are done and how many run.
 func JobAnswer(id uint64, state JobState, counts bool, done, running int) []byte {
 	a := jobAnswer{ID: FormatID(id), State: jobStateWords[state]}
 	if counts {
@@ -52,7 +52,7 @@
 	return encode(a)
 }
 
-// ParseJobAnswer reads the answer to a question for a job's state.
+// ParseJobAnswer decodes the response to a query for a job's state.
 func ParseJobAnswer(body []byte) (JobState, error) {
 	var in jobAnswer
 	if err := json.Unmarshal(body, &in); err != nil {
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -10,7 +10,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// What one side writes the other reads as it was meant: a report.
+// A report is unchanged after encoding and decoding.
 func TestReportBothWays(t *testing.T) {
 	r := &workers.Report{
 		Machine: "host-000001", Address: "a:1", Type: "m", Zone: "z", Spot: true,
@@ -21,11 +21,12 @@
 		},
 	}
 	if got, err := ParseReport(EncodeReport(r)); err != nil || !reflect.DeepEqual(got, r) {
-		t.Errorf("%+v %v", got, err)
+		t.Errorf("report decoded as %+v, error %v", got, err)
 	}
 }
 
-// Commands, in an answer to a report and sent directly, and redirects.
+// Commands, in the response to a report and sent directly, and redirects are unchanged after encoding and
+// decoding.
 func TestCommandsBothWays(t *testing.T) {
 	commands := []workers.Command{
 		{Op: workers.Start, Job: 1, Task: 2, Attempt: 3},
@@ -34,32 +35,32 @@
 	}
 	token, got, err := ParseReportAnswer(ReportAnswer(7, commands))
 	if err != nil || token != 7 || !reflect.DeepEqual(got, commands) {
-		t.Errorf("an answer: %d %+v %v", token, got, err)
+		t.Errorf("response to a report: %d %+v %v", token, got, err)
 	}
 	direct, err := ParseDirectCommands(EncodeDirectCommands(7, 8, commands))
 	if err != nil || !reflect.DeepEqual(direct, DirectCommands{Token: 7, Session: 8, Commands: commands}) {
 		t.Errorf("direct commands: %+v %v", direct, err)
 	}
 	if got := ParseRedirect(RedirectAnswer("n1")); got != "n1" {
-		t.Errorf("a redirect: %q", got)
+		t.Errorf("redirect: %q", got)
 	}
 }
 
-// A job, as it is submitted and asked for.
+// A submission and a job's state are unchanged after encoding and decoding.
 func TestJobBothWays(t *testing.T) {
 	j := &eventlog.Job{
 		ID: 1, Class: "c", Team: "t", Priority: 2, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: .5,
 		Types: []string{"m"}, Zone: "z", Spot: true, EstimateS: 9, DeadlineS: 10, Follows: []uint64{7},
 	}
 	if got := ParseSubmission(EncodeSubmission(j), false); got.Bad != "" || !reflect.DeepEqual(got.Job, j) {
-		t.Errorf("a submission: %+v", got)
+		t.Errorf("submission: %+v", got)
 	}
 	if got, err := ParseJobAnswer(JobAnswer(1, Cancelled, true, 2, 3)); err != nil || got != Cancelled {
-		t.Errorf("a job's state: %v %v", got, err)
+		t.Errorf("job state: %v %v", got, err)
 	}
 }
 
-// An answer that is not one, or has a command that is not known, is an error.
+// A malformed response to a report, or one with an unknown command, gives an error.
 func TestMalformedAnswer(t *testing.T) {
 	for _, bad := range []string{
 		"", "[]",
@@ -67,19 +68,19 @@
 		`{"calls":[{"call":"stop","beast":"j-1"}]}`,
 	} {
 		if _, _, err := ParseReportAnswer([]byte(bad)); err == nil {
-			t.Errorf("%q was read as an answer", bad)
+			t.Errorf("%q was accepted as a response to a report", bad)
 		}
 	}
 }
 
-// A query of the state service is read, or refused by its field.
+// A query of the state service is decoded, and a number that cannot be parsed is refused.
 func TestStateQuery(t *testing.T) {
 	q, err := ParseStateQuery(url.Values{"starts": {"c/"}, "since": {"431"}, "most": {"20"}, "hold_ms": {"1500"}})
 	want := StateQuery{Prefix: "c/", After: "431", Limit: 20, Since: 431, Wait: 1500 * time.Millisecond}
 	if err != nil || q != want {
-		t.Errorf("%+v %v", q, err)
+		t.Errorf("query decoded as %+v, error %v", q, err)
 	}
 	if _, err := ParseStateQuery(url.Values{"most": {"many"}}); err == nil {
-		t.Error("a number that is none was accepted")
+		t.Error("a limit that is not a number was accepted")
 	}
 }
--- a/internal/wire/state.go
+++ b/internal/wire/state.go
@@ -13,13 +13,13 @@
 	"bitternmoor/internal/core/leadership"
 )
 
-// Paths of the state service, and of the cloud.
+// Paths of the state service and of the cloud.
 const (
 	// The state service.
 	PathKeys         = "/keys"
-	PathTransactions = "/multi"
-	PathLeases       = "/holds"
-	PathWatch        = "/follow"
+	PathTransactions = "/multi"  // commits a transaction
+	PathLeases       = "/holds"  // creates leases; paths below it renew and release them
+	PathWatch        = "/follow" // waits for changes of keys
 
 	// The cloud.
 	PathMachineTypes = "/machine_types"
@@ -27,26 +27,26 @@
 	PathDelete       = "/rentals/delete"
 )
 
-// stateConnections bounds a controller's connections to the state service.
+// stateConnections is the most connections that a controller opens to the state service.
 const stateConnections = 6
 
 // StateClient is a client of the state service, a consensus-backed key-value store with transactions and
 // leases.
 type StateClient struct{ client *Client }
 
-// NewStateClient makes a client of the state service at an address, host:port.
+// NewStateClient returns a client for the state service at addr, host:port.
 func NewStateClient(addr string) *StateClient {
 	return &StateClient{client: NewClient(addr, stateConnections)}
 }
 
-// Item is one key of the state service.
+// Item is one key of the state service with its value.
 type Item struct {
 	Key     string
 	Value   json.RawMessage
-	Version uint64 // version of the key: the revision that wrote it; 0: the key is missing
+	Version uint64 // revision that last wrote the key; 0: the key is missing
 }
 
-// storedItem is an item as the state service writes it.
+// storedItem is an Item as the state service encodes it.
 type storedItem struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"data"`
@@ -59,14 +59,14 @@
 	return storedItem(item)
 }
 
-// itemPage is one page of a listing.
+// itemPage is one page of a list of keys.
 type itemPage struct {
 	Items    []storedItem `json:"rows"`
 	More     bool         `json:"has_next"`
 	Revision uint64       `json:"ledger_mark"`
 }
 
-// Get reads a key; a missing one has version 0.
+// Get reads a key. A missing key has version 0.
 func (s *StateClient) Get(ctx context.Context, key string) (Item, error) {
 	var stored storedItem
 	status, err := s.client.callJSON(ctx, http.MethodGet, PathKeys+"/"+key, nil, &stored)
@@ -82,12 +82,13 @@
 	return Item{}, fmt.Errorf("wire: state service: status %d", status)
 }
 
-// List reads one page of the keys with a prefix, in order: at most so many, after the key since where that
-// is not empty. revision is that of the state service when it was read.
+// List reads one page of the keys with a prefix, in order. The page has at most limit keys, and begins
+// after the key since unless that is empty. more is set if further pages follow; revision is the revision
+// of the state service at the time of the read.
 func (s *StateClient) List(
-	ctx context.Context, prefix, since string, most int,
+	ctx context.Context, prefix, since string, limit int,
 ) (items []Item, more bool, revision uint64, err error) {
-	q := url.Values{"starts": {prefix}, "most": {strconv.Itoa(most)}}
+	q := url.Values{"starts": {prefix}, "most": {strconv.Itoa(limit)}}
 	if since != "" {
 		q.Set("since", since)
 	}
@@ -105,13 +106,13 @@
 	return items, out.More, out.Revision, nil
 }
 
-// condition holds when a key has a version.
+// condition holds if the key has this version.
 type condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"entry_mark"`
 }
 
-// transactionWrite writes a key, bound to a lease where there is one, or removes it.
+// transactionWrite writes a key, bound to a lease unless LeaseID is 0, or removes a key.
 type transactionWrite struct {
 	Put     string          `json:"write,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
@@ -119,20 +120,21 @@
 	Delete  string          `json:"remove,omitempty"`
 }
 
-// transaction makes all its writes if all its conditions hold: a compare-and-swap over several keys.
+// transaction is a compare-and-swap over several keys: if all conditions hold, all writes are made.
 type transaction struct {
 	Conditions []condition        `json:"when"`
 	Writes     []transactionWrite `json:"writes"`
 }
 
-// transactionAnswer says at which revision a transaction was applied, or which conditions failed.
+// transactionAnswer holds the revision at which a transaction was applied, or the keys whose conditions
+// failed.
 type transactionAnswer struct {
 	Revision uint64   `json:"ledger_mark"`
 	Failed   []string `json:"failed"`
 }
 
-// Commit makes a transaction of the event log. It returns the revision where the transaction was applied,
-// and the keys whose conditions failed where it was not.
+// Commit sends a transaction of the event log. If it was applied, Commit returns its revision; after a
+// conflict it returns the keys whose conditions failed.
 func (s *StateClient) Commit(ctx context.Context, t eventlog.Transaction) (eventlog.Outcome, uint64, []string) {
 	var out transaction
 	for _, c := range t.Conditions {
@@ -148,7 +150,7 @@
 	return s.transact(ctx, out)
 }
 
-// transact sends a transaction. Whether it was applied is unknown when there was no answer.
+// transact sends a transaction. Without a response it is unknown whether the transaction was applied.
 func (s *StateClient) transact(ctx context.Context, t transaction) (eventlog.Outcome, uint64, []string) {
 	var out transactionAnswer
 	status, err := s.client.callJSON(ctx, http.MethodPost, PathTransactions, t, &out)
@@ -167,10 +169,10 @@
 	return eventlog.Unknown, 0, nil
 }
 
-// leadershipKeys is more than there are: a page with all keys of leadership.
+// leadershipKeys is a page size above the number of leadership keys, so that one page holds them all.
 const leadershipKeys = 10
 
-// ReadLeadership reads the two keys of leadership: who holds the lease, and the last epoch.
+// ReadLeadership reads the two keys of leadership: the holder of the lease and the last epoch.
 func (s *StateClient) ReadLeadership(ctx context.Context) (leadership.View, error) {
 	items, _, revision, err := s.List(ctx, leadership.Prefix, "", leadershipKeys)
 	if err != nil {
@@ -192,8 +194,8 @@
 	return view, nil
 }
 
-// Claim takes leadership of the next epoch, bound to a lease, if nobody holds it and the epoch is still
-// that of the view. It returns the revision at which leadership was taken.
+// Claim takes leadership for the next epoch, bound to a lease, if no node holds it and the epoch is still
+// that of view. It reports whether it succeeded, and the revision at which leadership was taken.
 func (s *StateClient) Claim(ctx context.Context, node string, view leadership.View, lease uint64) (bool, uint64) {
 	value := encode(leadership.LeaseHolder{Node: node, Epoch: view.Epoch + 1})
 	outcome, revision, _ := s.transact(ctx, transaction{
@@ -209,9 +211,9 @@
 	return outcome == eventlog.Applied, revision
 }
 
-// Watch waits for a change of keys with a prefix after a revision, for so long at most. It returns false
-// where it failed, rather than saw a change or waited to the end. The service answers "gone" where the
-// revision is too old for it to know its changes: then there were some.
+// Watch waits until a key with the prefix changes after the revision since, but no longer than wait. It
+// returns true after a change and after the full wait, and false if the request failed. The service answers
+// 410 Gone if it no longer holds the changes since that revision, which means that there were some.
 func (s *StateClient) Watch(ctx context.Context, prefix string, since uint64, wait time.Duration) bool {
 	q := url.Values{
 		"starts":  {prefix},
@@ -222,17 +224,17 @@
 	return err == nil && (status == http.StatusOK || status == http.StatusGone)
 }
 
-// leaseRequest asks for a lease.
+// leaseRequest is a request for a new lease.
 type leaseRequest struct {
 	TTLMS int64 `json:"life_ms"`
 }
 
-// leaseAnswer gives a lease.
+// leaseAnswer is the response with the id of a new lease.
 type leaseAnswer struct {
 	ID uint64 `json:"tether"`
 }
 
-// CreateLease makes a lease with this life, and returns its id.
+// CreateLease creates a lease that expires after life unless it is renewed, and returns its id.
 func (s *StateClient) CreateLease(ctx context.Context, life time.Duration) (uint64, bool) {
 	var out leaseAnswer
 	status, err := s.client.callJSON(ctx, http.MethodPost, PathLeases, leaseRequest{TTLMS: life.Milliseconds()}, &out)
@@ -241,14 +243,14 @@
 
 func leasePath(id uint64) string { return PathLeases + "/" + strconv.FormatUint(id, 10) }
 
-// RenewLease renews a lease; gone says that it has expired.
+// RenewLease renews a lease. gone is set if the lease has expired.
 func (s *StateClient) RenewLease(ctx context.Context, id uint64) (ok, gone bool) {
 	status, err := s.client.callJSON(ctx, http.MethodPost, leasePath(id)+"/renew", struct{}{}, nil)
 	return err == nil && status == http.StatusOK, err == nil && status == http.StatusNotFound
 }
 
-// ReleaseLease ends a lease, and with it the keys bound to it.
+// ReleaseLease ends a lease, which removes the keys that are bound to it.
 func (s *StateClient) ReleaseLease(ctx context.Context, id uint64) {
-	// Where this fails, the lease expires by itself.
+	// If this fails, the lease expires by itself.
 	_, _ = s.client.callJSON(ctx, http.MethodDelete, leasePath(id), nil, nil)
 }
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -1,4 +1,4 @@
-// The state service's side of its protocol: what stand-ins of the service read and write.
+// Server side of the state service's protocol, used by the stand-ins for the service.
 
 package wire
 
@@ -12,21 +12,21 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// StateWrite is one write of a transaction, as the state service reads it.
+// StateWrite is one write of a StateTransaction.
 type StateWrite struct {
 	Key     string
 	Value   json.RawMessage
 	LeaseID uint64 // lease that the key is bound to; 0: none
-	Remove  bool   // the key is removed
+	Remove  bool   // the key is removed instead of written
 }
 
-// StateTransaction is a transaction, as the state service reads it.
+// StateTransaction is a decoded transaction: if all conditions hold, all writes are made.
 type StateTransaction struct {
 	Conds  []eventlog.Condition
 	Writes []StateWrite
 }
 
-// ParseTransaction reads a transaction.
+// ParseTransaction decodes a transaction.
 func ParseTransaction(body []byte) (StateTransaction, error) {
 	var in transaction
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -46,21 +46,21 @@
 	return out, nil
 }
 
-// TransactionAnswer is the body that answers a transaction: with the conditions that failed, if any.
+// TransactionAnswer encodes the response to a transaction; failed lists the keys whose conditions failed.
 func TransactionAnswer(revision uint64, failed []string) []byte {
 	return encode(transactionAnswer{Revision: revision, Failed: failed})
 }
 
-// StateQuery asks for keys, or for their changes.
+// StateQuery is a query for keys or for changes of keys.
 type StateQuery struct {
-	Prefix string        // of the keys
-	After  string        // of keys: the key after which the page begins
-	Limit  int           // of keys: size of the page
-	Since  uint64        // of changes: the revision after which they begin
-	Wait   time.Duration // of changes: how long to wait for one
+	Prefix string        // prefix of the keys
+	After  string        // query for keys: the page begins after this key
+	Limit  int           // query for keys: page size
+	Since  uint64        // query for changes: only changes after this revision
+	Wait   time.Duration // query for changes: longest wait for a change
 }
 
-// ParseStateQuery reads the query of a request for keys or changes.
+// ParseStateQuery decodes the URL query of a request for keys or changes.
 func ParseStateQuery(values url.Values) (StateQuery, error) {
 	q := StateQuery{Prefix: values.Get("starts"), After: values.Get("since")}
 	numbers := []struct {
@@ -87,18 +87,18 @@
 	return q, nil
 }
 
-// leasedItem is an item with the lease that it is bound to.
+// leasedItem is an item and the lease that its key is bound to.
 type leasedItem struct {
 	storedItem
 	LeaseID uint64 `json:"tether,omitempty"`
 }
 
-// StateItem is the body that gives one key; lease is what it is bound to, or 0.
+// StateItem encodes the response with one key; lease is the id of the lease that it is bound to, or 0.
 func StateItem(item Item, lease uint64) []byte {
 	return encode(leasedItem{storedItem: newStoredItem(item), LeaseID: lease})
 }
 
-// StatePage is the body that gives a page of keys; more says that there are further ones.
+// StatePage encodes one page of a list of keys; more is set if further pages follow.
 func StatePage(items []Item, more bool, revision uint64) []byte {
 	stored := make([]storedItem, len(items))
 	for i, item := range items {
@@ -107,7 +107,7 @@
 	return encode(itemPage{Items: stored, More: more, Revision: revision})
 }
 
-// keyChange is a write of a key, or its removal.
+// keyChange is a write or the removal of a key.
 type keyChange struct {
 	Write   string          `json:"write,omitempty"`
 	Remove  string          `json:"remove,omitempty"`
@@ -115,13 +115,13 @@
 	Version uint64          `json:"entry_mark"`
 }
 
-// changesAnswer lists the changes after a revision.
+// changesAnswer is the response that lists the changes after a revision.
 type changesAnswer struct {
 	Revision uint64      `json:"ledger_mark"`
 	Changes  []keyChange `json:"news"`
 }
 
-// StateChanges is the body that lists changes of keys; those without a value are removals.
+// StateChanges encodes the response that lists changes of keys; an item without a value is a removal.
 func StateChanges(revision uint64, changed []Item) []byte {
 	list := make([]keyChange, len(changed))
 	for i, item := range changed {
@@ -133,7 +133,7 @@
 	return encode(changesAnswer{Revision: revision, Changes: list})
 }
 
-// ParseLease reads how long a lease is to live.
+// ParseLease decodes a request for a lease and returns the lease's time to live.
 func ParseLease(body []byte) (time.Duration, error) {
 	var in leaseRequest
 	if err := json.Unmarshal(body, &in); err != nil || in.TTLMS <= 0 {
@@ -142,5 +142,5 @@
 	return time.Duration(in.TTLMS) * time.Millisecond, nil
 }
 
-// LeaseAnswer is the body that gives a new lease.
+// LeaseAnswer encodes the response with the id of a new lease.
 func LeaseAnswer(id uint64) []byte { return encode(leaseAnswer{ID: id}) }
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -9,25 +9,26 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// Kinds and priorities of jobs, in the order of their numbers.
+// The protocol's names of kinds and priorities of jobs, indexed by their numbers.
 var (
 	kindWords     = []string{"sweep", "gang", "service"}
 	priorityWords = []string{"best_effort", "normal", "urgent", "critical"}
 )
 
-// KnownKind says whether there is a kind of jobs of that number.
+// KnownKind reports whether kind is the number of a kind of jobs.
 func KnownKind(kind uint8) bool { return int(kind) < len(kindWords) }
 
-// KnownPriority says whether there is a priority of that number.
+// KnownPriority reports whether priority is the number of a priority.
 func KnownPriority(priority uint8) bool { return int(priority) < len(priorityWords) }
 
-// PriorityWord is the word for a priority; a number that is too large has the highest one's.
+// PriorityWord returns the protocol's name of a priority. A number that is too large gives the name of the
+// highest priority.
 func PriorityWord(priority uint8) string {
 	return priorityWords[min(int(priority), len(priorityWords)-1)]
 }
 
-// submission is the body of a submission. Fields are pointers so that a missing one is told apart from
-// one that is zero.
+// submission is the body of a submission. Its fields are pointers to distinguish a missing field from a
+// zero value. The package comment lists the meaning of the JSON names.
 type submission struct {
 	ID         *string  `json:"name_id"`
 	Class      *string  `json:"herd"`
@@ -51,33 +52,33 @@
 	DeadlineS  *float64 `json:"market_s"`
 	Follows    []string `json:"follows"`
 
-	Counted json.RawMessage `json:"counted"` // read only where there are pools
+	Counted json.RawMessage `json:"counted"` // list of unitRequest; read only if the installation has pools
 }
 
-// unitRequest asks for units of one pool, for each task or for the job as a whole.
+// unitRequest is a request for units of one pool, for each task or once for the whole job.
 type unitRequest struct {
 	Pool  *string `json:"pool"`
 	Units *int    `json:"units"`
 	Per   *string `json:"per"` // "task" or "job"
 }
 
-// Submission is what the body of a submission asks for. Controllers forward it to the leader.
+// Submission is a decoded submission. Controllers forward it to the leader.
 type Submission struct {
-	// ID is the job's id, where HasID. It may be known of a malformed body too, since a known job
-	// is answered whatever the body says.
+	// ID is the job's id, valid if HasID is set. It may be set for a malformed body too, because a job
+	// that is already known gets its answer whatever else the body contains.
 	ID    uint64
 	HasID bool
 
-	Job *eventlog.Job // nil where the body is malformed
-	Bad string        // why the body is malformed, in words for the user; empty: it is well-formed
+	Job *eventlog.Job // nil if the body is malformed
+	Bad string        // why the body is malformed, as a message for the user; empty if it is well-formed
 
-	// Overlooked says that the job asks for units of pools and they were not read, because this
-	// installation has no pools.
+	// Overlooked is set if the job requests units of pools that were not read, because this installation
+	// has no pools.
 	Overlooked bool
 }
 
-// ParseSubmission reads and checks the body of a submission. Units of pools are read only where there
-// are pools: otherwise the field is ignored, as any unknown one.
+// ParseSubmission decodes and validates the body of a submission. If pools is not set, units of pools are
+// ignored like any unknown field.
 func ParseSubmission(body []byte, pools bool) Submission {
 	var out Submission
 	var probe struct {
@@ -118,15 +119,15 @@
 	return out
 }
 
-// Largest amounts of a submission.
+// Largest amounts in a submission.
 const (
-	maxRoom    = 1e6  // processors or accelerators of a task
-	maxGB      = 1e9  // memory of a task, size of its image
-	maxSeconds = 1e12 // any time
+	maxRoom    = 1e6  // CPUs or GPUs of a task
+	maxGB      = 1e9  // memory of a task, or size of its image
+	maxSeconds = 1e12 // any duration
 )
 
-// parseJob checks a submission and makes the job that it describes. Its error begins with the
-// protocol's name of the first field that is wrong, for the user. Units of pools are not read: see
+// parseJob validates a submission and returns the job that it describes. The error is meant for the user
+// and begins with the protocol's name of the first invalid field. Units of pools are left to
 // parsePoolUnits.
 func (s *submission) parseJob(id uint64) (*eventlog.Job, error) {
 	if err := s.checkRequired(); err != nil {
@@ -154,7 +155,8 @@
 	return job, nil
 }
 
-// checkRequired says which of the fields that every job must have is missing or out of bounds.
+// checkRequired returns an error for the first field that every job must have and that is missing or out
+// of bounds.
 func (s *submission) checkRequired() error {
 	if err := s.checkNames(); err != nil {
 		return err
@@ -198,7 +200,7 @@
 		{"stow_s", s.SaveS, 0, maxSeconds},
 	}
 	for _, a := range amounts {
-		// The comparison is negated so that a value that is not a number is refused as well.
+		// The comparison is negated so that NaN is refused as well.
 		if a.value == nil || !(*a.value >= a.min) || *a.value > a.max || math.IsInf(*a.value, 0) {
 			return fmt.Errorf("%s: missing or not an amount between %v and %v", a.field, a.min, a.max)
 		}
@@ -232,7 +234,7 @@
 	return nil
 }
 
-// checkTypes checks the machine types, which the job has already.
+// checkTypes validates the machine types, which parseJob has already copied to the job.
 func (s *submission) checkTypes(*eventlog.Job) error {
 	if s.Types != nil && len(s.Types) == 0 {
 		return errors.New("breeds: an empty list")
@@ -256,7 +258,7 @@
 	return nil
 }
 
-// parseDependencies reads which jobs must be done before, each counted once.
+// parseDependencies adds the jobs that must be done before this one, without duplicates.
 func (s *submission) parseDependencies(job *eventlog.Job) error {
 	named := map[uint64]bool{}
 	for _, text := range s.Follows {
@@ -272,10 +274,10 @@
 	return nil
 }
 
-// maxUnitRequests bounds the entries of a job's list of units.
+// maxUnitRequests is the most entries of a job's list of unit requests.
 const maxUnitRequests = 16
 
-// parsePoolUnits adds the units of pools that a submission asks for to its job.
+// parsePoolUnits adds the units of pools that a submission requests to its job.
 func (s *submission) parsePoolUnits(job *eventlog.Job) error {
 	var list []unitRequest
 	if len(s.Counted) > 0 {
@@ -302,7 +304,7 @@
 	return nil
 }
 
-// parse checks a request for units; field is where it stands, for its error.
+// parse validates a request for units; field is the prefix of field names in its errors.
 func (r *unitRequest) parse(field string) (eventlog.PoolUnits, error) {
 	var none eventlog.PoolUnits
 	switch {
@@ -316,7 +318,7 @@
 	return eventlog.PoolUnits{Pool: *r.Pool, Units: *r.Units, PerJob: *r.Per == "job"}, nil
 }
 
-// EncodeSubmission is the body with which a user submits a job. It leaves out units of pools.
+// EncodeSubmission encodes the body with which a user submits a job. It leaves out units of pools.
 func EncodeSubmission(job *eventlog.Job) []byte {
 	id := FormatID(job.ID)
 	s := submission{
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,13 +1,13 @@
-// Package wire speaks the platform's protocols: to users, workers (the agents on machines), the
-// cloud that rents machines, and the state service (a consensus-backed key-value store).
+// Package wire encodes and decodes the messages of the platform's protocols: those with users, with
+// workers (the agents on machines), with the cloud that rents machines, and with the state service (a
+// consensus-backed key-value store).
 //
-// It is the only place that knows the words of these protocols: each is mapped here, once, to the
-// term of the field that the rest of the program uses. The JSON tags of this package are that
-// mapping:
+// The platform uses field names of its own. This package maps each of them to the usual term, which the
+// rest of the program uses. Its JSON tags are that mapping:
 //
-//	platform's field    term here          meaning
+//	platform's name     name here          meaning
 //	name_id             ID, Name           a job's id ("j-000412"); a machine's name in the cloud's list
-//	herd                Class              class of jobs, to which objectives are stated
+//	herd                Class              class of a job; objectives are stated for classes
 //	keeper              Team               team that a job is charged to
 //	gait                Kind               kind of job: "sweep" (job array), "gang", "service"
 //	urgency             Priority           priority of a job
@@ -26,37 +26,37 @@
 //	counted             Counted            units of pools that a job needs
 //	stall, stalls       Machine, Machines  machine, or machines
 //	watch               Session            agent session (incarnation) of a worker
-//	tally               Seq                number of a report within its session
+//	tally               Seq                sequence number of a report within its session
 //	crook               Token              fencing token of the leader
 //	recall_s            NoticeS            time until a spot machine is taken back, seconds
-//	beast               Task               task, "JOB/NUMBER"
-//	try                 Attempt            attempt of a task
+//	beast               Task               name of a task, "JOB/NUMBER"
+//	try                 Attempt            number of an attempt to run a task
 //	standing            State              state of a task, a job or a machine
 //	cause               Why                reason why a task ended
 //	kept                Saved              a checkpoint was saved
-//	calls, call         Commands, Op       commands for a worker, and what each is to do
+//	calls, call         Commands, Op       commands for a worker, and the operation of a command
 //	settle_s            GraceS             grace period of a stop, seconds
 //	herdsman            Node               controller that a worker is redirected to
 //	k, data             Key, Value         key and value in the state service
-//	entry_mark          Version, Mark      version of a key, for compare-and-swap; 0: the key is missing
+//	entry_mark          Version            version of a key, for compare-and-swap; 0: the key is missing
 //	ledger_mark         Revision           revision of the whole state service
-//	when, writes        Conditions, Writes a transaction: what must hold, and what is then written
-//	write, remove       Put, Delete        key that is written, or removed
+//	when, writes        Conditions, Writes conditions of a transaction, and its writes if they hold
+//	write, remove       Put, Delete        key that is written, or key that is removed
 //	tether              LeaseID            lease that a key is bound to
-//	life_ms             TTLMS              life of a lease, milliseconds
-//	starts, since       Prefix, After      query: prefix of keys; key or revision after which to begin
-//	most, hold_ms       Most, Wait         query: size of a page; how long to wait for changes
+//	life_ms             TTLMS              time to live of a lease, milliseconds
+//	starts              Prefix             query: prefix of keys
+//	since               After, Since       query: key or revision after which the answer begins
+//	most, hold_ms       Limit, Wait        query: page size; longest wait for changes, milliseconds
 //	rows, news          Items, Changes     a page of keys; changes of keys
-//	has_next            More               there are further pages
+//	has_next            More               further pages follow
 //	label               Name               name of a machine type
 //	local_gb            CacheGB            local storage of a machine type for images
 //	fetch_gb_per_s      Fetch              rate at which a machine type fetches images
-//	ready_s             BootS              time until a rented machine is ready, seconds
+//	ready_s             BootS              boot time of a rented machine, seconds
 //	hire                Request            name of a rental request, which makes it idempotent
-//	held_s              HeldS              for how long a machine has been rented, seconds
+//	held_s              HeldS              time since a machine was rented, seconds
 //
-// Names that the platform and the field share (vcpus, gpus, memory_gb, address, price, count) stand
-// as they are.
+// Names that are usual terms themselves (vcpus, gpus, memory_gb, address, price, count) are not listed.
 package wire
 
 import (
@@ -78,7 +78,7 @@
 	MaxTasks = 100_000 // tasks of a job
 )
 
-// Bounds of the digits of a job's id.
+// Bounds of the number of digits in a job's id.
 const (
 	minIDDigits = 6
 	maxIDDigits = 18
@@ -87,12 +87,12 @@
 // ErrTooLarge is returned for a body over MaxBody.
 var ErrTooLarge = errors.New("wire: body over 64 KiB")
 
-// ReadBody reads a request's body; one that is longer than MaxBody gives ErrTooLarge.
+// ReadBody reads the body of a request. It returns ErrTooLarge if the body is longer than MaxBody.
 func ReadBody(r io.Reader) ([]byte, error) {
 	var buf bytes.Buffer
 	n, err := buf.ReadFrom(io.LimitReader(r, MaxBody+1))
 	if err != nil {
-		return nil, fmt.Errorf("wire: reading a body: %w", err)
+		return nil, fmt.Errorf("wire: reading body: %w", err)
 	}
 	if n > MaxBody {
 		return nil, ErrTooLarge
@@ -100,25 +100,25 @@
 	return buf.Bytes(), nil
 }
 
-// encode writes a message as JSON.
+// encode encodes a message as JSON.
 func encode(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
-		// Cannot happen: amounts are checked when they come in.
-		panic(fmt.Sprintf("wire: a message that cannot be written: %v", err))
+		// This cannot happen: amounts are validated when they are received, so none is NaN or infinite.
+		panic(fmt.Sprintf("wire: message cannot be encoded: %v", err))
 	}
 	return body
 }
 
-// errorBody is the body of every refusal.
+// errorBody is the body of every response that refuses a request.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// ErrorBody is the body of an answer that refuses a request, and says why.
+// ErrorBody encodes the body of a response that refuses a request, with the reason.
 func ErrorBody(why string) []byte { return encode(errorBody{why}) }
 
-// ParseID reads a job's id ("j-000412"), which has exactly one form for each number.
+// ParseID parses a job's id ("j-000412"). Each number has exactly one valid form.
 func ParseID(s string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(s, "j-")
 	if !ok || len(digits) < minIDDigits || len(digits) > maxIDDigits {
@@ -133,10 +133,10 @@
 	return n, err == nil && FormatID(n) == s
 }
 
-// FormatID writes a job's id.
+// FormatID returns the id of the job with number n.
 func FormatID(n uint64) string { return fmt.Sprintf("j-%06d", n) }
 
-// ParseTask reads the name of a task ("j-000412/3").
+// ParseTask parses the name of a task ("j-000412/3").
 func ParseTask(s string) (job uint64, task int, ok bool) {
 	id, number, found := strings.Cut(s, "/")
 	if !found {
@@ -147,10 +147,10 @@
 	return job, task, ok && err == nil && task >= 0 && task < MaxTasks
 }
 
-// FormatTask writes a task's name.
+// FormatTask returns the name of a task.
 func FormatTask(job uint64, task int) string { return FormatID(job) + "/" + strconv.Itoa(task) }
 
-// indexOf is the number of a word in a list of words.
+// indexOf returns the index of a name in a list of names.
 func indexOf(words []string, word string) (index uint8, known bool) {
 	for i, w := range words {
 		if w == word {
@@ -160,7 +160,7 @@
 	return 0, false
 }
 
-// wordFor is the word for a value in a table of words; empty where there is none.
+// wordFor returns the name of a value in a table by name, or an empty string if there is none.
 func wordFor[T comparable](table map[string]T, value T) string {
 	for w, v := range table {
 		if v == value {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,12 +8,12 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// body is a submission with every field, and one that is not known.
+// body is a submission with an unknown field and with every field but follows and counted.
 const body = `{"name_id":"j-000412","herd":"train","keeper":"vision","gait":"gang","urgency":"urgent","head":16,
  "vcpus":8.0,"gpus":1.0,"memory_gb":64.0,"brand":"img-07","size_gb":6.2,"breeds":["g8"],"pasture":null,"together":true,
  "scatter":false,"loaned_stock":true,"trek_s":240.0,"waypoint_s":30.0,"stow_s":4.0,"market_s":900.0,"new_field":1}`
 
-// with is the body of a submission in which a part is replaced.
+// with returns the body of the submission with one part replaced.
 func with(t *testing.T, part, by string) []byte {
 	t.Helper()
 	if !strings.Contains(body, part) {
@@ -22,7 +22,7 @@
 	return []byte(strings.Replace(body, part, by, 1))
 }
 
-// A submission is read with all its fields; a field that is not known is ignored.
+// A submission is decoded with all its fields, and an unknown field is ignored.
 func TestSubmission(t *testing.T) {
 	s := ParseSubmission([]byte(body), true)
 	if s.Bad != "" || s.Job == nil || s.ID != 412 {
@@ -34,7 +34,7 @@
 	}
 }
 
-// A submission with a field that is wrong is refused, and its id is known all the same.
+// A submission with an invalid field is refused, but its id is still returned.
 func TestMalformedSubmission(t *testing.T) {
 	for _, c := range [][2]string{
 		{`"head":16`, `"head":0`}, {`"head":16`, `"head":100001`}, {`"head":16`, `"head":1.5`}, {`"head":16`, `"head":"16"`},
@@ -45,13 +45,13 @@
 	} {
 		t.Run(c[1], func(t *testing.T) {
 			if s := ParseSubmission(with(t, c[0], c[1]), true); s.Bad == "" || !s.HasID {
-				t.Errorf("accepted, or its id is lost: %+v", s)
+				t.Errorf("accepted, or the id is missing: %+v", s)
 			}
 		})
 	}
 }
 
-// Fields that may be missing may be missing.
+// Optional fields may be left out.
 func TestOptionalFields(t *testing.T) {
 	for _, optional := range []string{`"breeds":["g8"],`, `"pasture":null,`, `,"market_s":900.0`} {
 		t.Run(optional, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// What a job follows: nothing, or well-formed ids, each counted once.
+// The list of jobs that a job follows may be empty, holds well-formed ids only, and loses its duplicates.
 func TestFollows(t *testing.T) {
 	following := func(v string) Submission {
 		return ParseSubmission(with(t, `"new_field":1`, `"follows":`+v), true)
@@ -73,7 +73,7 @@
 	}
 	for v, want := range good {
 		if s := following(v); s.Bad != "" || !slices.Equal(s.Job.Follows, want) {
-			t.Errorf("%s is read as %v, %q", v, s.Job, s.Bad)
+			t.Errorf("%s is decoded as %v, %q", v, s.Job, s.Bad)
 		}
 	}
 	bad := []string{
@@ -81,16 +81,16 @@
 	}
 	for _, v := range bad {
 		if s := following(v); s.Bad == "" || !s.HasID {
-			t.Errorf("%s is accepted, or the id is lost", v)
+			t.Errorf("%s is accepted, or the id is missing", v)
 		}
 	}
 }
 
-// An id has one form for each number.
+// Each number has exactly one valid id.
 func TestIDs(t *testing.T) {
 	for _, good := range []string{"j-000412", "j-1234567"} {
 		if n, ok := ParseID(good); !ok || FormatID(n) != good {
-			t.Errorf("%q is not an id", good)
+			t.Errorf("%q is refused as an id", good)
 		}
 	}
 	wrong := []string{
@@ -98,12 +98,12 @@
 	}
 	for _, bad := range wrong {
 		if _, ok := ParseID(bad); ok {
-			t.Errorf("%q is an id", bad)
+			t.Errorf("%q is accepted as an id", bad)
 		}
 	}
 }
 
-// A report and the answer to it are in the platform's words.
+// A report and the response to it use the platform's field names.
 func TestReport(t *testing.T) {
 	r, err := ParseReport([]byte(`{"stall":"host-000231","address":"10.1.0.232:9000","breed":"g8","pasture":"a","loaned_stock":true,
 	 "watch":1,"tally":88,"crook":41,"recall_s":7.5,
@@ -128,28 +128,29 @@
 		`{"call":"stop","beast":"j-000377/1","try":1,"settle_s":10},` +
 		`{"call":"reap","beast":"j-000398/0","try":1}]}`
 	if got != want {
-		t.Errorf("answer is %s", got)
+		t.Errorf("response is %s", got)
 	}
 	if got := string(RedirectAnswer("")); got != "{}" {
-		t.Errorf("without a node: %s", got)
+		t.Errorf("redirect without a node: %s", got)
 	}
 }
 
-// What the decoders accept must be usable: no panic, and a job that was accepted can be stored and named.
+// No submission makes the decoder panic, and an accepted one has a valid job.
 func FuzzSubmission(f *testing.F) {
 	f.Add([]byte(body))
 	f.Add([]byte(`{"name_id":"j-000001"}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s := ParseSubmission(body, true)
 		if (s.Job == nil) == (s.Bad == "") {
-			t.Errorf("neither good nor bad: %+v", s)
+			t.Errorf("both or neither of job and error: %+v", s)
 		}
 		if s.Job != nil && (s.Job.Tasks < 1 || s.Job.ID != s.ID || !(s.Job.CPUs >= 0)) {
-			t.Errorf("accepted: %+v", s.Job)
+			t.Errorf("accepted an invalid job: %+v", s.Job)
 		}
 	})
 }
 
+// No report makes the decoder panic, and an accepted one has valid tasks.
 func FuzzReport(f *testing.F) {
 	f.Add([]byte(`{"stall":"h","watch":1,"tally":1,"head":[{"beast":"j-000412/3","try":2,"standing":"fetching"}]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -159,13 +160,13 @@
 		}
 		for _, x := range r.Tasks {
 			if x.Task < 0 || x.State > workers.Ended {
-				t.Errorf("accepted: %+v", x)
+				t.Errorf("accepted an invalid task: %+v", x)
 			}
 		}
 	})
 }
 
-// Units of pools are read, and checked, only where there are pools.
+// Units of pools are decoded and validated only if the installation has pools.
 func TestCounted(t *testing.T) {
 	asking := func(v string, pools bool) Submission {
 		return ParseSubmission(with(t, `"new_field":1`, `"counted":`+v), pools)
@@ -192,7 +193,7 @@
 			t.Errorf("%s: %q", v, s.Bad)
 		}
 		if s := asking(v, false); s.Bad != "" || !s.Overlooked || len(s.Job.Counted) != 0 {
-			t.Errorf("%s without pools: %+v", v, s)
+			t.Errorf("%s in an installation without pools: %+v", v, s)
 		}
 	}
 	if s := asking(`null`, false); s.Overlooked || s.Bad != "" {
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -9,13 +9,13 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Paths of a worker's own address, at which controllers reach it directly.
+// Paths at a worker's own address, through which controllers call it directly.
 const (
-	PathCommands = "/do"   // takes direct commands
-	PathShow     = "/show" // shows the worker's report
+	PathCommands = "/do"   // accepts direct commands
+	PathShow     = "/show" // returns the worker's report
 )
 
-// report is a worker's heartbeat with its status.
+// report is a worker's heartbeat with the state of its tasks.
 type report struct {
 	Machine string         `json:"stall"`
 	Address string         `json:"address"`
@@ -25,32 +25,32 @@
 	Session uint64         `json:"watch"`
 	Seq     uint64         `json:"tally"`
 	Token   uint64         `json:"crook"`    // highest fencing token that the worker has seen
-	NoticeS *float64       `json:"recall_s"` // null: the machine is not being taken back
+	NoticeS *float64       `json:"recall_s"` // seconds until the cloud takes the machine; null: no notice
 	Tasks   []reportedTask `json:"head"`
 }
 
+// reportedTask is the state of one task in a report.
 type reportedTask struct {
 	Task    string `json:"beast"`
 	Attempt uint64 `json:"try"`
 	State   string `json:"standing"`
-	Why     string `json:"cause,omitempty"` // only of a task that ended
-	Saved   bool   `json:"kept,omitempty"`
+	Why     string `json:"cause,omitempty"` // only set for a task that ended
+	Saved   bool   `json:"kept,omitempty"`  // a checkpoint was saved
 }
 
-// taskStateWords are the words of a task's states.
+// taskStateWords holds the task states by their names in the protocol.
 var taskStateWords = map[string]workers.TaskState{
 	"fetching": workers.Fetching, "gathering": workers.Gathering, "running": workers.Running,
 	"saving": workers.Saving, "ended": workers.Ended,
 }
 
-// reasonWords are the words of the reasons why a task ended.
+// reasonWords holds the reasons why a task ended by their names in the protocol.
 var reasonWords = map[string]workers.Reason{
 	"done": workers.Completed, "stopped": workers.Stopped, "peers": workers.PeersLost, "alone": workers.GangIncomplete,
 	"error": workers.Failed, "full": workers.InsufficientResources, "busy": workers.Busy, "unknown": workers.UnknownTask,
 }
 
-// ParseReport reads a worker's report. A task that ended for a reason which is not known counts as
-// failed.
+// ParseReport decodes a worker's report. A task that ended for an unknown reason counts as failed.
 func ParseReport(body []byte) (*workers.Report, error) {
 	var in report
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -92,7 +92,7 @@
 	}, nil
 }
 
-// EncodeReport is the body of a worker's report.
+// EncodeReport encodes a worker's report.
 func EncodeReport(r *workers.Report) []byte {
 	out := report{
 		Machine: r.Machine, Address: r.Address, Type: r.Type, Zone: r.Zone, Spot: r.Spot,
@@ -113,40 +113,41 @@
 	return encode(out)
 }
 
-// reportAnswer answers a report that the controller took.
+// reportAnswer is the response to a report that the controller accepted.
 type reportAnswer struct {
 	Token    uint64    `json:"crook"`
 	Commands []command `json:"calls"`
 }
 
+// command is a command for a worker that concerns one attempt of a task.
 type command struct {
 	Op      string   `json:"call"`
 	Task    string   `json:"beast"`
 	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"settle_s,omitempty"` // only of a stop
+	GraceS  *float64 `json:"settle_s,omitempty"` // only set for a stop
 }
 
-// directCommands are commands sent to a worker between its reports.
+// directCommands is the body of commands that are sent to a worker between its reports.
 type directCommands struct {
 	Token    uint64    `json:"crook"`
 	Session  uint64    `json:"watch"`
 	Commands []command `json:"calls"`
 }
 
-// redirect sends a worker to another controller.
+// redirect is the response that redirects a worker to another controller.
 type redirect struct {
 	Node string `json:"herdsman,omitempty"`
 }
 
-// commandWords are the words of workers.Op, in the order of their numbers.
+// commandWords are the protocol's names of operations, indexed by workers.Op.
 var commandWords = []string{"start", "stop", "reap"}
 
-// ReportAnswer is the body that answers a report.
+// ReportAnswer encodes the response to a report.
 func ReportAnswer(token uint64, commands []workers.Command) []byte {
 	return encode(reportAnswer{Token: token, Commands: formatCommands(commands)})
 }
 
-// ParseReportAnswer reads what a controller answers to a report with status 200.
+// ParseReportAnswer decodes the response with status 200 to a report.
 func ParseReportAnswer(body []byte) (token uint64, commands []workers.Command, err error) {
 	var in reportAnswer
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -184,10 +185,11 @@
 	return out, nil
 }
 
-// RedirectAnswer is the body that sends a worker to another controller; the name may be empty.
+// RedirectAnswer encodes the response that redirects a worker to another controller. The name may be empty.
 func RedirectAnswer(node string) []byte { return encode(redirect{Node: node}) }
 
-// ParseRedirect reads where a worker is sent with status 421; empty: to the next controller.
+// ParseRedirect decodes a response with status 421 and returns the controller to which the worker is
+// redirected. An empty name stands for the next controller.
 func ParseRedirect(body []byte) string {
 	var in redirect
 	if json.Unmarshal(body, &in) != nil {
@@ -196,19 +198,19 @@
 	return in.Node
 }
 
-// EncodeDirectCommands is the body of direct commands for one agent session of a worker.
+// EncodeDirectCommands encodes direct commands for one agent session of a worker.
 func EncodeDirectCommands(token, session uint64, commands []workers.Command) []byte {
 	return encode(directCommands{Token: token, Session: session, Commands: formatCommands(commands)})
 }
 
-// DirectCommands are commands sent to a worker between its reports.
+// DirectCommands are commands that are sent to a worker between its reports.
 type DirectCommands struct {
 	Token    uint64 // fencing token of the leader that sends them
-	Session  uint64 // agent session that they are meant for
+	Session  uint64 // agent session for which they are meant
 	Commands []workers.Command
 }
 
-// ParseDirectCommands reads direct commands.
+// ParseDirectCommands decodes direct commands.
 func ParseDirectCommands(body []byte) (DirectCommands, error) {
 	var in directCommands
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -218,11 +220,11 @@
 	return DirectCommands{Token: in.Token, Session: in.Session, Commands: commands}, err
 }
 
-// WorkerClient reaches workers directly.
+// WorkerClient calls workers directly.
 type WorkerClient struct{ http *http.Client }
 
-// NewWorkerClient makes a client of all workers. Connections are not kept, since a worker is rarely
-// called directly.
+// NewWorkerClient returns a client for all workers. It does not keep connections open, because a worker is
+// rarely called directly.
 func NewWorkerClient() *WorkerClient {
 	return &WorkerClient{http: &http.Client{Transport: &http.Transport{
 		DialContext:        newDialer().DialContext,
@@ -231,27 +233,27 @@
 	}}}
 }
 
-// at is a client of the worker at an address.
+// at returns a client for the worker at an address.
 func (w *WorkerClient) at(addr string) *Client {
 	return &Client{base: "http://" + addr, http: w.http}
 }
 
-// Probe says whether the worker at an address answers: a liveness probe.
+// Probe is a liveness probe: it reports whether the worker at an address answers.
 func (w *WorkerClient) Probe(ctx context.Context, addr string) bool {
 	status, _, err := w.at(addr).exchange(ctx, http.MethodGet, PathShow, nil)
 	return err == nil && status == http.StatusOK
 }
 
-// SendCommands sends a body of EncodeDirectCommands to the worker at an address, and returns the report
-// that the worker makes after them. Whatever it returns, also an error, the commands may still be
-// carried out later.
+// SendCommands sends a body made by EncodeDirectCommands to the worker at an address and returns the report
+// that the worker sends after executing the commands. Whatever it returns, even an error, the worker may
+// still execute the commands later.
 func (w *WorkerClient) SendCommands(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
 	status, data, err := w.at(addr).exchange(ctx, http.MethodPost, PathCommands, json.RawMessage(body))
 	if err != nil {
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, fmt.Errorf("wire: the worker at %s carried nothing out: status %d", addr, status)
+		return nil, fmt.Errorf("wire: worker at %s did not execute the commands: status %d", addr, status)
 	}
 	return ParseReport(data)
 }
