--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -31,23 +31,23 @@
 
 var update = flag.Bool("update", false, "rewrite the golden file")
 
-const golden = "testdata/contract.txt"
+const goldenFile = "testdata/contract.txt"
 
 // TestContract compares all names that leave a process or outlive it with the golden file. A difference is
 // a change that affects other versions, users, operators or stored data.
 func TestContract(t *testing.T) {
-	got := strings.Join(names(t), "\n") + "\n"
+	got := strings.Join(collectNames(t), "\n") + "\n"
 	if *update {
-		if err := os.WriteFile(golden, []byte(got), 0o644); err != nil {
+		if err := os.WriteFile(goldenFile, []byte(got), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	raw, err := os.ReadFile(golden)
+	raw, err := os.ReadFile(goldenFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := lines(string(raw))
-	have := lines(got)
+	want := countLines(string(raw))
+	have := countLines(got)
 	for line, n := range want {
 		if have[line] < n {
 			t.Errorf("missing from the sources: %s", line)
@@ -60,8 +60,8 @@
 	}
 }
 
-// lines counts how often each line occurs in a text.
-func lines(text string) map[string]int {
+// countLines counts how often each line occurs in a text.
+func countLines(text string) map[string]int {
 	out := map[string]int{}
 	for line := range strings.Lines(text) {
 		out[strings.TrimSpace(line)]++
@@ -80,8 +80,8 @@
 	c.found[kind+" "+fmt.Sprintf(format, args...)] = true
 }
 
-// names returns all collected names as sorted lines of the golden file.
-func names(t *testing.T) []string {
+// collectNames returns all collected names as sorted lines of the golden file.
+func collectNames(t *testing.T) []string {
 	c := &collector{t: t, found: map[string]bool{}}
 	mode := packages.NeedName | packages.NeedFiles | packages.NeedSyntax | packages.NeedTypes | packages.NeedTypesInfo | packages.NeedImports | packages.NeedDeps
 	list, err := packages.Load(&packages.Config{Mode: mode, Dir: "../.."}, "./internal/...", "./cmd/...")
@@ -92,7 +92,7 @@
 		for _, e := range p.Errors {
 			t.Fatalf("%s: %v", p.PkgPath, e)
 		}
-		c.pkg(p)
+		c.collectPackage(p)
 	}
 	c.storedNumbers()
 	c.labelWords()
@@ -108,8 +108,8 @@
 	return out
 }
 
-// pkg collects the names in the sources of one package.
-func (c *collector) pkg(p *packages.Package) {
+// collectPackage collects the names in the sources of one package.
+func (c *collector) collectPackage(p *packages.Package) {
 	scope := p.Types.Scope()
 	for _, name := range scope.Names() {
 		switch o := scope.Lookup(name).(type) {
@@ -125,9 +125,9 @@
 			case *ast.CallExpr:
 				c.call(p, n)
 			case *ast.CompositeLit:
-				c.literal(p, n)
+				c.compositeLiteral(p, n)
 			case *ast.StructType:
-				c.tags(p, n)
+				c.taggedStruct(p, n)
 			case *ast.BasicLit:
 				c.metricName(n)
 				c.fileName(n)
@@ -254,8 +254,8 @@
 	return out
 }
 
-// tags collects the encoding of a struct type that has JSON, TOML or INI tags.
-func (c *collector) tags(p *packages.Package, n *ast.StructType) {
+// taggedStruct collects the encoding of a struct type that has JSON, TOML or INI tags.
+func (c *collector) taggedStruct(p *packages.Package, n *ast.StructType) {
 	u, ok := p.TypesInfo.TypeOf(n).(*types.Struct)
 	if !ok {
 		return
@@ -270,9 +270,9 @@
 	}
 }
 
-// called returns the name of the called function or method, and the package of the function or the type of
-// the method's receiver.
-func called(p *packages.Package, n *ast.CallExpr) (receiver, name string) {
+// calledFunction returns the name of the called function or method, and the package of the function or the
+// type of the method's receiver.
+func calledFunction(p *packages.Package, n *ast.CallExpr) (receiver, name string) {
 	switch f := ast.Unparen(n.Fun).(type) {
 	case *ast.SelectorExpr:
 		if t := p.TypesInfo.TypeOf(f.X); t != nil {
@@ -290,8 +290,9 @@
 	return "", ""
 }
 
-// text returns the value of an expression. It returns false if the expression is not a constant string.
-func text(p *packages.Package, e ast.Expr) (string, bool) {
+// constantString returns the value of an expression. It returns false if the expression is not a constant
+// string.
+func constantString(p *packages.Package, e ast.Expr) (string, bool) {
 	v := p.TypesInfo.Types[e].Value
 	if v == nil || v.Kind() != constant.String {
 		return "", false
@@ -302,33 +303,33 @@
 // call collects the names in a call: types that are encoded as JSON, routes, flags, environment variables,
 // and the names under which components of the leader store entries.
 func (c *collector) call(p *packages.Package, n *ast.CallExpr) {
-	receiver, name := called(p, n)
+	receiver, name := calledFunction(p, n)
 	switch {
 	case receiver == "encoding/json" && (name == "Marshal" || name == "Unmarshal"), strings.HasPrefix(receiver, "*encoding/json."):
 		for _, arg := range n.Args {
-			c.encoded(p.TypesInfo.TypeOf(arg))
+			c.encodedStruct(p.TypesInfo.TypeOf(arg))
 		}
 	case strings.Contains(receiver, "chi/v5") && slices.Contains([]string{"Get", "Post", "Method", "Put", "Delete"}, name):
 		var words []string
 		for _, arg := range n.Args {
-			if v, ok := text(p, arg); ok {
+			if v, ok := constantString(p, arg); ok {
 				words = append(words, v)
 			}
 		}
 		c.add("route", "%s %s", name, strings.Join(words, " "))
 	case strings.HasSuffix(receiver, "pflag.FlagSet"):
 		for _, arg := range n.Args {
-			if v, ok := text(p, arg); ok {
+			if v, ok := constantString(p, arg); ok {
 				c.add("flag", "%s", v)
 				return
 			}
 		}
 	case receiver == "os" && name == "Getenv":
-		if v, ok := text(p, n.Args[0]); ok {
+		if v, ok := constantString(p, n.Args[0]); ok {
 			c.add("env", "%s", v)
 		}
 	case name == "add" && strings.HasSuffix(p.PkgPath, "term"), strings.HasSuffix(receiver, "/eventlog") && (name == "NewOwn" || name == "ValueKey"):
-		if v, ok := text(p, n.Args[0]); ok && v != "" {
+		if v, ok := constantString(p, n.Args[0]); ok && v != "" {
 			c.add("owner", "%s", v)
 		}
 	}
@@ -338,14 +339,14 @@
 	c.logAttributes(p, n, name)
 	c.answerTexts(p, n, receiver, name)
 	if t := p.TypesInfo.TypeOf(n); t != nil && strings.HasSuffix(t.String(), "cobra.Command") && len(n.Args) > 0 {
-		if v, ok := text(p, n.Args[0]); ok {
+		if v, ok := constantString(p, n.Args[0]); ok {
 			c.add("command", "%s: %s", filepath.Base(p.PkgPath), v)
 		}
 	}
 }
 
-// encoded collects the keys of a struct, or of a pointer to one, that is encoded as JSON.
-func (c *collector) encoded(t types.Type) {
+// encodedStruct collects the keys of a struct, or of a pointer to one, that is encoded as JSON.
+func (c *collector) encodedStruct(t types.Type) {
 	for {
 		pointer, ok := t.(*types.Pointer)
 		if !ok {
@@ -358,26 +359,26 @@
 	}
 }
 
-var metric = regexp.MustCompile(`^"bitternmoor_[a-z_]+"$`)
+var metricPattern = regexp.MustCompile(`^"bitternmoor_[a-z_]+"$`)
 
 func (c *collector) metricName(n *ast.BasicLit) {
-	if n.Kind == token.STRING && metric.MatchString(n.Value) {
+	if n.Kind == token.STRING && metricPattern.MatchString(n.Value) {
 		c.add("metric", "%s", strings.Trim(n.Value, `"`))
 	}
 }
 
-var label = regexp.MustCompile(`^[a-z][a-z_]*$`)
+var wordPattern = regexp.MustCompile(`^[a-z][a-z_]*$`)
 
 // metricLabels collects the strings next to the name of a metric: the names and values of its labels.
 func (c *collector) metricLabels(p *packages.Package, all []ast.Expr, name ast.Expr) {
-	metricName, ok := text(p, name)
+	metricName, ok := constantString(p, name)
 	if !ok || !strings.HasPrefix(metricName, "bitternmoor_") {
 		return
 	}
 	for _, e := range all {
 		ast.Inspect(e, func(n ast.Node) bool {
 			if x, ok := n.(ast.Expr); ok {
-				if v, ok := text(p, x); ok && label.MatchString(v) && v != metricName {
+				if v, ok := constantString(p, x); ok && wordPattern.MatchString(v) && v != metricName {
 					c.add("label", "%s %s", metricName, v)
 				}
 			}
@@ -386,9 +387,9 @@
 	}
 }
 
-// literal collects the names in a composite literal: commands, labels of metrics, names of counted events,
-// values of JSON fields, and word lists of the wire protocol.
-func (c *collector) literal(p *packages.Package, n *ast.CompositeLit) {
+// compositeLiteral collects the names in a composite literal: commands, labels of metrics, names of counted
+// events, values of JSON fields, and word lists of the wire protocol.
+func (c *collector) compositeLiteral(p *packages.Package, n *ast.CompositeLit) {
 	kind := p.TypesInfo.TypeOf(n)
 	if kind == nil {
 		return
@@ -403,7 +404,7 @@
 		values = append(values, kv.Value)
 		c.jsonValue(p, kind, kv.Key, kv.Value)
 		if id, ok := kv.Key.(*ast.Ident); ok && id.Name == "Use" && strings.HasSuffix(kind.String(), "cobra.Command") {
-			v, _ := text(p, kv.Value)
+			v, _ := constantString(p, kv.Value)
 			c.add("command", "%s: %s", filepath.Base(p.PkgPath), v)
 		}
 	}
@@ -415,7 +416,7 @@
 	}
 	_, row := kind.Underlying().(*types.Struct)
 	if row && strings.HasSuffix(p.PkgPath, "/node") && len(values) == 2 {
-		if v, ok := text(p, values[0]); ok && label.MatchString(v) {
+		if v, ok := constantString(p, values[0]); ok && wordPattern.MatchString(v) {
 			c.add("label", "bitternmoor_events_total %s", v)
 		}
 	}
@@ -432,7 +433,7 @@
 	}
 	first := sig.Params().Len() - 1
 	for i := first; i < len(n.Args); i += 2 {
-		if v, ok := text(p, n.Args[i]); ok {
+		if v, ok := constantString(p, n.Args[i]); ok {
 			c.add("attr", "%s", v)
 		}
 	}
@@ -444,7 +445,7 @@
 	header := receiver == "net/http.Header" && slices.Contains([]string{"Set", "Get", "Add", "Del", "Values"}, name)
 	answer := slices.Contains([]string{"Decommission", "Unavailable", "ErrorBody"}, name)
 	for i, arg := range n.Args {
-		v, ok := text(p, arg)
+		v, ok := constantString(p, arg)
 		switch {
 		case !ok || v == "":
 		case header && i == 0:
@@ -455,11 +456,11 @@
 	}
 }
 
-var fileName = regexp.MustCompile(`^"[a-z-]*\.(toml|ini|pem|key|log|json|jsonl|csv)"$`)
+var fileNamePattern = regexp.MustCompile(`^"[a-z-]*\.(toml|ini|pem|key|log|json|jsonl|csv)"$`)
 
 // fileName collects names and suffixes of files.
 func (c *collector) fileName(n *ast.BasicLit) {
-	if n.Kind == token.STRING && fileName.MatchString(n.Value) {
+	if n.Kind == token.STRING && fileNamePattern.MatchString(n.Value) {
 		c.add("file", "%s", strings.Trim(n.Value, `"`))
 	}
 }
@@ -485,7 +486,7 @@
 	}
 	u, ok := owner.Underlying().(*types.Struct)
 	id, named := field.(*ast.Ident)
-	v, isText := text(p, value)
+	v, isText := constantString(p, value)
 	if !ok || !named || !isText || v == "" {
 		return
 	}
@@ -504,7 +505,7 @@
 	}
 	ast.Inspect(n.Body, func(n ast.Node) bool {
 		if literal, ok := n.(*ast.BasicLit); ok {
-			if v, ok := text(p, literal); ok && label.MatchString(v) {
+			if v, ok := constantString(p, literal); ok && wordPattern.MatchString(v) {
 				c.add("value", "%q", v)
 			}
 		}
@@ -517,7 +518,7 @@
 func (c *collector) wireWords(p *packages.Package, values []ast.Expr) {
 	var words []string
 	for _, e := range values {
-		if v, ok := text(p, e); ok && label.MatchString(v) {
+		if v, ok := constantString(p, e); ok && wordPattern.MatchString(v) {
 			words = append(words, v)
 		}
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -7,34 +7,34 @@
 // numberSetting is one key of the operators' file whose value is a number.
 type numberSetting struct {
 	Section, Key, Unit, Help string
-	limits
+	numberRange
 	Whole bool // the value must be a whole number
 
 	get func(*Tunables) float64
 	set func(*Tunables, float64)
 }
 
-// limits are the default and the range of a number.
-type limits struct {
+// numberRange is the range of a number, with its default.
+type numberRange struct {
 	Default, Min, Max float64
 }
 
 // name returns the key in the form of error messages and the command line: SECTION.KEY.
 func (n *numberSetting) name() string { return n.Section + "." + n.Key }
 
-// whole returns a setting that takes whole numbers and is stored in a field of Tunables.
-func whole(section, key, unit string, allowed limits, help string, field func(*Tunables) *int) numberSetting {
+// integerSetting returns a setting that takes whole numbers and is stored in a field of Tunables.
+func integerSetting(section, key, unit string, allowed numberRange, help string, field func(*Tunables) *int) numberSetting {
 	return numberSetting{
-		Section: section, Key: key, Unit: unit, Help: help, limits: allowed, Whole: true,
+		Section: section, Key: key, Unit: unit, Help: help, numberRange: allowed, Whole: true,
 		get: func(t *Tunables) float64 { return float64(*field(t)) },
 		set: func(t *Tunables, v float64) { *field(t) = int(v) },
 	}
 }
 
-// amount returns a setting that takes any number and is stored in a field of Tunables.
-func amount(section, key, unit string, allowed limits, help string, field func(*Tunables) *float64) numberSetting {
+// floatSetting returns a setting that takes any number and is stored in a field of Tunables.
+func floatSetting(section, key, unit string, allowed numberRange, help string, field func(*Tunables) *float64) numberSetting {
 	return numberSetting{
-		Section: section, Key: key, Unit: unit, Help: help, limits: allowed,
+		Section: section, Key: key, Unit: unit, Help: help, numberRange: allowed,
 		get: func(t *Tunables) float64 { return *field(t) },
 		set: func(t *Tunables, v float64) { *field(t) = v },
 	}
@@ -44,11 +44,11 @@
 func (n *numberSetting) check(v float64) error {
 	switch {
 	case math.IsNaN(v):
-		return wrong(n.name(), "not a number: %v", v)
+		return newFieldError(n.name(), "not a number: %v", v)
 	case n.Whole && v != float64(int64(v)):
-		return wrong(n.name(), "must be a whole number, is %v", v)
+		return newFieldError(n.name(), "must be a whole number, is %v", v)
 	case v < n.Min || v > n.Max:
-		return wrong(n.name(), "must be between %v and %v %s, is %v", n.Min, n.Max, n.Unit, v)
+		return newFieldError(n.name(), "must be between %v and %v %s, is %v", n.Min, n.Max, n.Unit, v)
 	}
 	return nil
 }
@@ -153,196 +153,192 @@
 }
 
 var numberSettings = []numberSetting{
-	whole("sizing", "training_tasks", "tasks", limits{Default: 5, Min: 1, Max: 1000},
+	integerSetting("sizing", "training_tasks", "tasks", numberRange{Default: 5, Min: 1, Max: 1000},
 		"number of training tasks, whose run times determine a job's size (t)",
 		func(t *Tunables) *int { return &t.TrainingTasks }),
-	whole("sizing", "training_at_once", "tasks", limits{Default: 10, Min: 1, Max: 100000},
+	integerSetting("sizing", "training_at_once", "tasks", numberRange{Default: 10, Min: 1, Max: 100000},
 		"most training tasks that run at the same time (T)",
 		func(t *Tunables) *int { return &t.TrainingAtOnce }),
-	amount("sizing", "eagerness", "factor", limits{Default: 1, Min: 1, Max: 1000},
+	floatSetting("sizing", "eagerness", "factor", numberRange{Default: 1, Min: 1, Max: 1000},
 		"factor on a job's size until its training tasks have determined it (ξ)",
 		func(t *Tunables) *float64 { return &t.Eagerness }),
-	amount("sizing", "training_limit", "s", limits{Default: 60, Min: 1, Max: 86400},
+	floatSetting("sizing", "training_limit", "s", numberRange{Default: 60, Min: 1, Max: 86400},
 		"longest run time for which the end of a training task is awaited (Δ)",
 		func(t *Tunables) *float64 { return &t.TrainingLimitS }),
-	amount("sizing", "first_size", "s", limits{Default: 30, Min: 0.1, Max: 1e6},
+	floatSetting("sizing", "first_size", "s", numberRange{Default: 30, Min: 0.1, Max: 1e6},
 		"size that is assumed for a job while no job has finished",
 		func(t *Tunables) *float64 { return &t.FirstSizeS }),
-	amount("sizing", "write_every", "s", limits{Default: 5, Min: 0.5, Max: 3600},
+	floatSetting("sizing", "write_every", "s", numberRange{Default: 5, Min: 0.5, Max: 3600},
 		"interval at which virtual sizes are written to the state service",
 		func(t *Tunables) *float64 { return &t.SizesEveryS }),
-	amount("blocks", "locality_delay", "s", limits{Default: 2, Min: 0, Max: 60},
+	floatSetting("blocks", "locality_delay", "s", numberRange{Default: 2, Min: 0, Max: 60},
 		"how long a job leaves room on machines that lack its image to jobs whose image is there",
 		func(t *Tunables) *float64 { return &t.LocalityS }),
-	amount("blocks", "lease", "s", limits{Default: 20, Min: 1, Max: 3600},
+	floatSetting("blocks", "lease", "s", numberRange{Default: 20, Min: 1, Max: 3600},
 		"duration of the lease of a block of machines",
 		func(t *Tunables) *float64 { return &t.BlockLeaseS }),
-	whole("blocks", "note_tasks", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
+	integerSetting("blocks", "note_tasks", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"record up to which number tasks of a job may have been handed out, so that a new leader may "+
 			"start the tasks above it at once",
 		func(t *Tunables) *int { return &t.NoteTasks }),
-	amount("leadership", "hold", "s", limits{Default: 2, Min: 1, Max: 60},
+	floatSetting("leadership", "hold", "s", numberRange{Default: 2, Min: 1, Max: 60},
 		"duration of the leader's lease",
 		func(t *Tunables) *float64 { return &t.LeaderLeaseS }),
-	whole("exceptions", "urgent_first", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
+	integerSetting("exceptions", "urgent_first", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"urgent and critical jobs go ahead of the size order",
 		func(t *Tunables) *int { return &t.UrgentFirst }),
-	whole("exceptions", "follow_urgency", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
+	integerSetting("exceptions", "follow_urgency", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"a job takes the priority of the jobs that depend on it",
 		func(t *Tunables) *int { return &t.FollowUrgency }),
-	whole("exceptions", "guarantee_first", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
+	integerSetting("exceptions", "guarantee_first", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"jobs within their team's guarantee go ahead of the size order",
 		func(t *Tunables) *int { return &t.GuaranteeFirst }),
-	whole("exceptions", "preempt", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
+	integerSetting("exceptions", "preempt", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"tasks that save checkpoints or have hardly begun are stopped for jobs of higher priority and "+
 			"for jobs within their team's guarantee",
 		func(t *Tunables) *int { return &t.Preempt }),
-	amount("exceptions", "wait_lead", "s", limits{Default: 85, Min: 0, Max: 86400},
+	floatSetting("exceptions", "wait_lead", "s", numberRange{Default: 85, Min: 0, Max: 86400},
 		"tasks that still wait this long before their class's wait objective expires go ahead of the size "+
-			"order until it has expired; so do long best-effort tasks before their objective for the end; "+
-			"0: never",
+			"order until then; so do long best-effort tasks before their objective for the end; 0: never",
 		func(t *Tunables) *float64 { return &t.WaitLeadS }),
-	whole("exceptions", "direct_starts", "calls", limits{Default: 0, Min: 0, Max: 1000},
+	integerSetting("exceptions", "direct_starts", "calls", numberRange{Default: 0, Min: 0, Max: 1000},
 		"most concurrent calls that start tasks directly at their workers, for classes whose wait "+
 			"objective is shorter than a report interval; 0: none, and starts wait for reports",
 		func(t *Tunables) *int { return &t.PushDispatches }),
-	amount("exceptions", "begin_within", "s", limits{Default: 0, Min: 0, Max: 86400},
+	floatSetting("exceptions", "begin_within", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"jobs of which no task has begun this long after their arrival or release go ahead of all but "+
 			"urgent jobs; 0: never",
 		func(t *Tunables) *float64 { return &t.BeginWithinS }),
-	amount("exceptions", "lost_behind", "times", limits{Default: 3, Min: 0, Max: 100},
+	floatSetting("exceptions", "lost_behind", "times", numberRange{Default: 3, Min: 0, Max: 100},
 		"jobs that can no longer meet any objective for their end go behind those that can, until this "+
 			"many times the last objective has passed; 0: never",
 		func(t *Tunables) *float64 { return &t.LostBehind }),
-	amount("exceptions", "low_lead", "s", limits{Default: 110, Min: 0, Max: 86400},
-		"best-effort jobs go behind the size order until this long before their class's tightest "+
-			"objective expires; 0: never",
+	floatSetting("exceptions", "low_lead", "s", numberRange{Default: 110, Min: 0, Max: 86400},
+		"best-effort jobs go behind the size order until this long before their class's tightest objective; 0: never",
 		func(t *Tunables) *float64 { return &t.LowLeadS }),
-	amount("exceptions", "served_floor", "share", limits{Default: 0, Min: 0, Max: 1},
+	floatSetting("exceptions", "served_floor", "share", numberRange{Default: 0, Min: 0, Max: 1},
 		"jobs that can only just still end in time go ahead of all others if otherwise less than this "+
 			"share of the jobs of their class or team would be done in time; 0: never",
 		func(t *Tunables) *float64 { return &t.ServedFloor }),
-	amount("served", "window", "s", limits{Default: 0, Min: 0, Max: 86400},
-		"time window over which the share of jobs done in time is measured for each class and team; "+
-			"0: it is not measured",
+	floatSetting("served", "window", "s", numberRange{Default: 0, Min: 0, Max: 86400},
+		"time window for measuring the share of jobs of each class and team done in time; 0: not measured",
 		func(t *Tunables) *float64 { return &t.ServedWindowS }),
-	amount("served", "within", "s", limits{Default: 600, Min: 1, Max: 1e6},
+	floatSetting("served", "within", "s", numberRange{Default: 600, Min: 1, Max: 1e6},
 		"time after which a job is due if its class has no objective for its end; at least twice its "+
 			"owner's estimate",
 		func(t *Tunables) *float64 { return &t.ServedWithinS }),
-	whole("exceptions", "learned_sizes", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
+	integerSetting("exceptions", "learned_sizes", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"a job's size estimate starts from the run times learned for its kind of work, if there are any, "+
 			"instead of those of all jobs",
 		func(t *Tunables) *int { return &t.LearnedSizes }),
-	amount("fleet", "drain_backlog", "s", limits{Default: 45, Min: 1, Max: 86400},
+	floatSetting("fleet", "drain_backlog", "s", numberRange{Default: 45, Min: 1, Max: 86400},
 		"time within which the waiting work should be worked off",
 		func(t *Tunables) *float64 { return &t.DrainBacklogS }),
-	amount("fleet", "dear_backlog", "s", limits{Default: 100, Min: 1, Max: 86400},
+	floatSetting("fleet", "dear_backlog", "s", numberRange{Default: 100, Min: 1, Max: 86400},
 		"on-demand machines are rented if spot machines leave work waiting longer than this",
 		func(t *Tunables) *float64 { return &t.OrdinaryBacklogS }),
-	amount("fleet", "aim_share", "share", limits{Default: 1.1, Min: 0.1, Max: 10},
+	floatSetting("fleet", "aim_share", "share", numberRange{Default: 1.1, Min: 0.1, Max: 10},
 		"for a class with objectives, this share of the tightest one replaces dear_backlog",
 		func(t *Tunables) *float64 { return &t.ObjectiveShare }),
-	amount("fleet", "idle_return", "s", limits{Default: 3, Min: 0, Max: 86400},
+	floatSetting("fleet", "idle_return", "s", numberRange{Default: 3, Min: 0, Max: 86400},
 		"capacity of on-demand machines that was not needed for this time is returned",
 		func(t *Tunables) *float64 { return &t.IdleReturnS }),
-	amount("fleet", "spot_return", "s", limits{Default: 7, Min: 0, Max: 86400},
+	floatSetting("fleet", "spot_return", "s", numberRange{Default: 7, Min: 0, Max: 86400},
 		"capacity of spot machines that was not needed for this time is returned",
 		func(t *Tunables) *float64 { return &t.SpotReturnS }),
-	whole("fleet", "ask_silent", "times", limits{Default: 0, Min: 0, Max: 20},
+	integerSetting("fleet", "ask_silent", "times", numberRange{Default: 0, Min: 0, Max: 20},
 		"if a class should start within a report interval, a machine that is silent while its zone is "+
-			"reachable is probed directly, and given up after this many unanswered probes; 0: it is not "+
-			"probed",
+			"reachable is probed directly, and given up after this many unanswered probes; 0: it "+
+			"is not probed",
 		func(t *Tunables) *int { return &t.ProbeSilent }),
-	amount("fleet", "ready_window", "s", limits{Default: 0, Min: 0, Max: 86400},
+	floatSetting("fleet", "ready_window", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"if a class should start sooner than the quickest machine boots, capacity is returned only when it "+
 			"was not needed for this time; 0: the usual times apply",
 		func(t *Tunables) *float64 { return &t.ReadyWindowS }),
-	whole("fleet", "move_saved", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
+	integerSetting("fleet", "move_saved", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"tasks that save their progress are moved off machines that are to be returned, if that costs "+
 			"less than waiting for their end",
 		func(t *Tunables) *int { return &t.MoveSaved }),
-	amount("fleet", "spot_task", "s", limits{Default: 600, Min: 0, Max: 1e9},
+	floatSetting("fleet", "spot_task", "s", numberRange{Default: 600, Min: 0, Max: 1e9},
 		"tasks that run longer than this and save no progress are kept off spot machines: a sudden loss "+
 			"would cost too much",
 		func(t *Tunables) *float64 { return &t.SpotTaskS }),
-	amount("fleet", "usual_stay", "s", limits{Default: 120, Min: 1, Max: 86400},
+	floatSetting("fleet", "usual_stay", "s", numberRange{Default: 120, Min: 1, Max: 86400},
 		"how long a rented machine is usually kept; its boot time is weighed against it",
 		func(t *Tunables) *float64 { return &t.UsualStayS }),
-	amount("fleet", "boot_give_up", "factor", limits{Default: 4, Min: 1.5, Max: 100},
+	floatSetting("fleet", "boot_give_up", "factor", numberRange{Default: 4, Min: 1.5, Max: 100},
 		"a machine that has not booted after this many times its type's usual boot time is given up",
 		func(t *Tunables) *float64 { return &t.BootGiveUpTimes }),
-	whole("fleet", "note_returns", "0 or 1", limits{Default: 1, Min: 0, Max: 1},
-		"the return of an empty machine is recorded first, so that a new leader need not wait for it",
+	integerSetting("fleet", "note_returns", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
+		"the return of an empty machine is recorded before the machine is returned, so that a new "+
+			"leader need not wait for it",
 		func(t *Tunables) *int { return &t.NoteReturns }),
-	amount("pools", "silent_after", "s", limits{Default: 0, Min: 0, Max: 3600},
+	floatSetting("pools", "silent_after", "s", numberRange{Default: 0, Min: 0, Max: 3600},
 		"a machine that holds units for which others wait is given up after it has been silent for this "+
 			"time; 0: the same rules apply as for all machines",
 		func(t *Tunables) *float64 { return &t.UnitsSilentS }),
-	amount("pools", "receipt_life", "s", limits{Default: 60, Min: 5, Max: 86400},
+	floatSetting("pools", "receipt_life", "s", numberRange{Default: 60, Min: 5, Max: 86400},
 		"how long a receipt for units is valid",
 		func(t *Tunables) *float64 { return &t.ReceiptLifeS }),
-	whole("run-times", "kinds", "kinds", limits{Default: 0, Min: 0, Max: 20000},
-		"most kinds of work whose usual run times are learned; 0: none, and nothing is written",
+	integerSetting("run-times", "kinds", "kinds", numberRange{Default: 0, Min: 0, Max: 20000},
+		"most kinds of work whose usual run times are learned; 0: none are learned, and nothing "+
+			"is written",
 		func(t *Tunables) *int { return &t.RunTimesKinds }),
-	amount("run-times", "late_margin", "factor", limits{Default: 1.3, Min: 1, Max: 100},
-		"a warning is issued for a job that will take this many times as long as nine in ten jobs of "+
-			"its kind",
+	floatSetting("run-times", "late_margin", "factor", numberRange{Default: 1.3, Min: 1, Max: 100},
+		"a warning is issued for a job that will take this many times as long as nine in ten of its kind",
 		func(t *Tunables) *float64 { return &t.LateMargin }),
-	whole("cold-start", "listen", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
+	integerSetting("cold-start", "listen", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"after a cold start, before which there was no leader, machines are rented and returned, and "+
 			"tasks stopped or moved, only once the fleet has reported",
 		func(t *Tunables) *int { return &t.ColdListen }),
-	amount("cold-start", "settled", "share", limits{Default: 0.9, Min: 0, Max: 1},
-		"share of each zone's registered machines that must have reported for that, unless no further "+
-			"machines report",
+	floatSetting("cold-start", "settled", "share", numberRange{Default: 0.9, Min: 0, Max: 1},
+		"share of each zone's registered machines that must have reported first, unless no more report",
 		func(t *Tunables) *float64 { return &t.ColdSettled }),
-	amount("cold-start", "after", "s", limits{Default: 5, Min: 0, Max: 3600},
+	floatSetting("cold-start", "after", "s", numberRange{Default: 5, Min: 0, Max: 3600},
 		"a start counts as a cold start if there was no leader for this time",
 		func(t *Tunables) *float64 { return &t.ColdAfterS }),
-	amount("cold-start", "starts", "a second", limits{Default: 0, Min: 0, Max: 1e6},
+	floatSetting("cold-start", "starts", "a second", numberRange{Default: 0, Min: 0, Max: 1e6},
 		"most task starts in one zone until the work is running again, for a minute at most; 0: any number",
 		func(t *Tunables) *float64 { return &t.ColdStarts }),
-	whole("cold-start", "images", "images", limits{Default: 0, Min: 0, Max: 100},
+	integerSetting("cold-start", "images", "images", numberRange{Default: 0, Min: 0, Max: 100},
 		"most images that one machine fetches at once during that time; 0: any number",
 		func(t *Tunables) *int { return &t.ColdImages }),
-	whole("cold-start", "keep", "accounts", limits{Default: 0, Min: 0, Max: 100},
+	integerSetting("cold-start", "keep", "accounts", numberRange{Default: 0, Min: 0, Max: 100},
 		"number of cold starts whose accounts are kept; 0: none, and nothing is written",
 		func(t *Tunables) *int { return &t.ColdKept }),
-	whole("fleet", "list_first", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
-		"a new leader requests the cloud's machine list at once, and silent machines that are missing "+
-			"from the list are given up",
+	integerSetting("fleet", "list_first", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
+		"a new leader requests the cloud's list at once, and silent machines missing from it are given up",
 		func(t *Tunables) *int { return &t.ListFirst }),
-	whole("fleet", "adapt_calls", "0 or 1", limits{Default: 0, Min: 0, Max: 1},
+	integerSetting("fleet", "adapt_calls", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"the rate of calls to the cloud is halved when it refuses a call or does not answer, and grows "+
 			"again while it answers",
 		func(t *Tunables) *int { return &t.AdaptCalls }),
-	amount("fleet", "zone_patience", "s", limits{Default: 0, Min: 0, Max: 3600},
+	floatSetting("fleet", "zone_patience", "s", numberRange{Default: 0, Min: 0, Max: 3600},
 		"how long machines of a zone that is silent as a whole are waited for and kept alive there; "+
 			"0: they are given up like all others",
 		func(t *Tunables) *float64 { return &t.ZonePatienceS }),
-	amount("spread", "moves", "a second", limits{Default: 0, Min: 0, Max: 1000},
+	floatSetting("spread", "moves", "a second", numberRange{Default: 0, Min: 0, Max: 1000},
 		"machines that are redirected to another controller to spread reports evenly; 0: none",
 		func(t *Tunables) *float64 { return &t.RebalanceMoves }),
-	amount("spread", "most", "times", limits{Default: 1.25, Min: 1.05, Max: 100},
+	floatSetting("spread", "most", "times", numberRange{Default: 1.25, Min: 1.05, Max: 100},
 		"a controller with more than this many times its even share of machines gives some away",
 		func(t *Tunables) *float64 { return &t.RebalanceMaxLoad }),
-	amount("spread", "zone_affinity", "s", limits{Default: 0, Min: 0, Max: 3600},
+	floatSetting("spread", "zone_affinity", "s", numberRange{Default: 0, Min: 0, Max: 3600},
 		"cost of a machine outside the zone of a job's first task, in seconds of image fetching, so that "+
 			"fewer jobs are affected when a zone is cut off; 0: none",
 		func(t *Tunables) *float64 { return &t.ZoneAffinityS }),
-	amount("spread", "leader", "share", limits{Default: 0.7, Min: 0.05, Max: 1},
+	floatSetting("spread", "leader", "share", numberRange{Default: 0.7, Min: 0.05, Max: 1},
 		"the leader's even share of machines, relative to 1 for each other controller",
 		func(t *Tunables) *float64 { return &t.RebalanceLeaderWeight }),
-	amount("door", "spread", "requests a second", limits{Default: 0, Min: 0, Max: 1e6},
+	floatSetting("door", "spread", "requests a second", numberRange{Default: 0, Min: 0, Max: 1e6},
 		"users whose requests are refused are asked to retry at times spread over this rate; 0: they are "+
 			"given the shortest possible time",
 		func(t *Tunables) *float64 { return &t.AdmissionRate }),
-	whole("takeovers", "keep", "takeovers", limits{Default: 0, Min: 0, Max: 1000},
-		"number of takeovers that are recorded, with the duration of each step; 0: none, and nothing is "+
-			"written",
+	integerSetting("takeovers", "keep", "takeovers", numberRange{Default: 0, Min: 0, Max: 1000},
+		"number of takeovers that are recorded, with the duration of each step; 0: none, and "+
+			"nothing is written",
 		func(t *Tunables) *int { return &t.TakeoversKept }),
-	whole("config", "history", "changes", limits{Default: 0, Min: 0, Max: 1000},
+	integerSetting("config", "history", "changes", numberRange{Default: 0, Min: 0, Max: 1000},
 		"teams and some tunables may be changed while controllers run, and this many changes are kept; "+
 			"0: nothing may be changed, and nothing is written",
 		func(t *Tunables) *int { return &t.ConfigHistory }),
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -3,11 +3,11 @@
 // Smallest limits that suffice for a write: the value must hold an entry with names of usual length, and
 // the transaction must be able to close one segment of the event log, open the next and remove a third.
 const (
-	leastValueKB = 0.5
-	leastTxnOps  = 3
+	minValueKB = 0.5
+	minTxnOps  = 3
 
-	entryBytes   = 420 // size of a value with a job's entry, without the names that come from the settings
-	leaseReports = 3   // fewest report intervals that a worker's lease must last
+	baseEntryBytes  = 420 // size of a value with a job's entry, without the names that come from the settings
+	minLeaseReports = 3   // fewest report intervals that a worker's lease must last
 )
 
 // WriteLimits returns the limits that every write must respect: of each limit the smaller of the value in
@@ -32,18 +32,18 @@
 func (l StateLimits) check(field string) error {
 	switch {
 	case !(l.WriteRPS > 0) || l.WriteRPS > 1e12:
-		return wrong(field+".write_rps", "must be a positive number, is %v", l.WriteRPS)
-	case !(l.ValueKB >= leastValueKB) || l.ValueKB > 1e6:
-		return wrong(field+".value_kb", "must be at least %v, is %v", leastValueKB, l.ValueKB)
-	case l.TxnOps < leastTxnOps:
-		return wrong(field+".txn_ops", "must be at least %d, is %d", leastTxnOps, l.TxnOps)
+		return newFieldError(field+".write_rps", "must be a positive number, is %v", l.WriteRPS)
+	case !(l.ValueKB >= minValueKB) || l.ValueKB > 1e6:
+		return newFieldError(field+".value_kb", "must be at least %v, is %v", minValueKB, l.ValueKB)
+	case l.TxnOps < minTxnOps:
+		return newFieldError(field+".txn_ops", "must be at least %d, is %d", minTxnOps, l.TxnOps)
 	}
 	return nil
 }
 
-// largestEntry returns the most bytes that an entry of the event log may take in this deployment: those of
+// maxEntryBytes returns the most bytes that an entry of the event log may take in this deployment: those of
 // a job's entry with the longest names that occur in the settings.
-func (p *Platform) largestEntry() int {
+func (p *Platform) maxEntryBytes() int {
 	team, class, zone := 0, 0, 0
 	for _, t := range p.Deployment.Teams {
 		team = max(team, len(t.Name))
@@ -54,14 +54,14 @@
 	for _, z := range p.Deployment.Zones {
 		zone = max(zone, len(z))
 	}
-	return entryBytes + team + class + zone
+	return baseEntryBytes + team + class + zone
 }
 
 // CheckTeamName returns an error if the name is too long for a job of a team with this name to be stored.
 func (p *Platform) CheckTeamName(name string) error {
 	least := min(p.Deployment.State.ValueKB, p.WriteLimits().ValueKB)
-	if entry := p.largestEntry() + len(name); least*1024 < float64(entry) {
-		return wrong("team", "a name of %d bytes is too long: an entry would take %d bytes, and a value has %v KiB",
+	if entry := p.maxEntryBytes() + len(name); least*1024 < float64(entry) {
+		return newFieldError("team", "a name of %d bytes is too long: an entry would take %d bytes, and a value has %v KiB",
 			len(name), entry, least)
 	}
 	return nil
@@ -72,15 +72,15 @@
 // serves as well as it can.
 func (p *Platform) CheckServable() error {
 	workers := p.Deployment.Workers
-	if least := leaseReports * workers.ReportS; workers.LeaseS < least {
-		return wrong("deployment.workers.lease_s",
+	if least := minLeaseReports * workers.ReportS; workers.LeaseS < least {
+		return newFieldError("deployment.workers.lease_s",
 			"must be at least %d report intervals, %v s, is %v s: a worker would lose its tasks after two lost reports",
-			leaseReports, least, workers.LeaseS)
+			minLeaseReports, least, workers.LeaseS)
 	}
 	field := "deployment.state"
 	for _, kb := range []float64{p.Deployment.State.ValueKB, p.WriteLimits().ValueKB} {
-		if entry := p.largestEntry(); kb*1024 < float64(entry) {
-			return wrong(field+".value_kb",
+		if entry := p.maxEntryBytes(); kb*1024 < float64(entry) {
+			return newFieldError(field+".value_kb",
 				"%v KiB is too small for one entry, which takes up to %d bytes with the names of this deployment", kb, entry)
 		}
 		field = "deployment.state.next"
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -16,9 +16,9 @@
 	LaterJobs    Effect = "for jobs that come later"
 )
 
-// live holds the tunables that may change while controllers run: those that the leader reads each time it
-// uses them. All others are read once, at the start of a term or of the process.
-var live = map[string]Effect{
+// liveTunables holds the tunables that may change while controllers run: those that the leader reads each
+// time it uses them. All others are read once, at the start of a term or of the process.
+var liveTunables = map[string]Effect{
 	"fleet.drain_backlog":    AtOnce,
 	"fleet.dear_backlog":     AtOnce,
 	"fleet.idle_return":      AtOnce,
@@ -33,11 +33,11 @@
 }
 
 // LiveTunables returns the sorted keys, SECTION.KEY, of the tunables that may change while controllers run.
-func LiveTunables() []string { return slices.Sorted(maps.Keys(live)) }
+func LiveTunables() []string { return slices.Sorted(maps.Keys(liveTunables)) }
 
 // EffectOfChange returns when a change of a key takes effect. It is empty if there is no such key.
 func EffectOfChange(key string) Effect {
-	if e, ok := live[key]; ok {
+	if e, ok := liveTunables[key]; ok {
 		return e
 	}
 	if findNumber(key) != nil || findText(key) != nil {
@@ -50,9 +50,9 @@
 func CheckLive(key string, value float64) error {
 	switch EffectOfChange(key) {
 	case "":
-		return wrong(key, "no such tunable")
+		return newFieldError(key, "no such tunable")
 	case NeedsRestart:
-		return wrong(key, "cannot change while controllers run: it needs a restart")
+		return newFieldError(key, "cannot change while controllers run: it needs a restart")
 	}
 	return findNumber(key).check(value)
 }
@@ -61,7 +61,7 @@
 func ParseLive(key, value string) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil {
-		return 0, wrong(key, "not a number: %q", value)
+		return 0, newFieldError(key, "not a number: %q", value)
 	}
 	return v, CheckLive(key, v)
 }
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -33,20 +33,20 @@
 		return nil
 	}
 	if _, _, err := net.SplitHostPort(o.Listen); err != nil {
-		return wrong("operators.listen", "not host:port: %q", o.Listen)
+		return newFieldError("operators.listen", "not host:port: %q", o.Listen)
 	}
 	files := []struct{ key, value string }{{"cert_file", o.CertFile}, {"key_file", o.KeyFile}, {"ca_file", o.CAFile}}
 	for _, file := range files {
 		if file.value == "" {
-			return wrong("operators."+file.key, "missing: the operators' listener requires certificates")
+			return newFieldError("operators."+file.key, "missing: the operators' listener requires certificates")
 		}
 	}
 	pair := certs.Files{Cert: o.CertFile, Key: o.KeyFile, CA: o.CAFile}
 	if _, err := pair.Read(); err != nil {
-		return wrong("operators.cert_file", "%v", err)
+		return newFieldError("operators.cert_file", "%v", err)
 	}
 	if len(o.Operate)+len(o.Admin) == 0 {
-		return wrong("operators.operate", "empty, like operators.admin: no certificate would be allowed to change anything")
+		return newFieldError("operators.operate", "empty, like operators.admin: no certificate would be allowed to change anything")
 	}
 	return nil
 }
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -82,7 +82,7 @@
 // check returns an error for the first invalid field of the platform's settings.
 func (p *Platform) check() error {
 	if p.Node == "" {
-		return wrong("node", "missing")
+		return newFieldError("node", "missing")
 	}
 	steps := []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkStateLimits, p.checkTeams}
 	for _, step := range steps {
@@ -100,14 +100,14 @@
 	}
 	for _, address := range addresses {
 		if address.value == "" {
-			return wrong(address.field, "missing")
+			return newFieldError(address.field, "missing")
 		}
 		if _, _, err := net.SplitHostPort(address.value); err != nil {
-			return wrong(address.field, "not host:port: %q", address.value)
+			return newFieldError(address.field, "not host:port: %q", address.value)
 		}
 	}
 	if p.PublicAddr == p.InternalAddr {
-		return wrong("internal_addr", "the same as public_addr")
+		return newFieldError("internal_addr", "the same as public_addr")
 	}
 	return nil
 }
@@ -117,14 +117,14 @@
 	for i, peer := range p.Peers {
 		field := fmt.Sprintf("others[%d]", i)
 		if peer.Node == "" {
-			return wrong(field+".node", "missing")
+			return newFieldError(field+".node", "missing")
 		}
 		if seen[peer.Node] {
-			return wrong(field+".node", "%q is named twice", peer.Node)
+			return newFieldError(field+".node", "%q is named twice", peer.Node)
 		}
 		seen[peer.Node] = true
 		if _, _, err := net.SplitHostPort(peer.Endpoint); err != nil {
-			return wrong(field+".endpoint", "not host:port: %q", peer.Endpoint)
+			return newFieldError(field+".endpoint", "not host:port: %q", peer.Endpoint)
 		}
 	}
 	return nil
@@ -149,11 +149,11 @@
 	}
 	for _, number := range positive {
 		if !(number.value > 0) || number.value > maxRate { // negated, so that NaN is refused as well
-			return wrong(number.field, "must be a positive number, is %v", number.value)
+			return newFieldError(number.field, "must be a positive number, is %v", number.value)
 		}
 	}
 	if d.Workers.LeaseS <= d.Workers.ReportS {
-		return wrong("deployment.workers.lease_s", "must be longer than report_s")
+		return newFieldError("deployment.workers.lease_s", "must be longer than report_s")
 	}
 	return nil
 }
@@ -175,10 +175,10 @@
 	for i, team := range p.Deployment.Teams {
 		field := fmt.Sprintf("deployment.teams[%d]", i)
 		if team.Name == "" {
-			return wrong(field+".name", "missing")
+			return newFieldError(field+".name", "missing")
 		}
 		if seen[team.Name] {
-			return wrong(field+".name", "%q is named twice", team.Name)
+			return newFieldError(field+".name", "%q is named twice", team.Name)
 		}
 		seen[team.Name] = true
 		if err := team.Check(field); err != nil {
@@ -196,14 +196,14 @@
 func (t Team) Check(field string) error {
 	for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
 		if amount < 0 || math.IsNaN(amount) || amount > maxTeamAmount {
-			return wrong(field, "%q has an amount that is negative, or over %v", t.Name, maxTeamAmount)
+			return newFieldError(field, "%q has an amount that is negative, or over %v", t.Name, maxTeamAmount)
 		}
 	}
 	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
-		return wrong(field+".cpus", "%q is guaranteed more than its cpus_max", t.Name)
+		return newFieldError(field+".cpus", "%q is guaranteed more than its cpus_max", t.Name)
 	}
 	if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-		return wrong(field+".gpus", "%q is guaranteed more than its gpus_max", t.Name)
+		return newFieldError(field+".gpus", "%q is guaranteed more than its gpus_max", t.Name)
 	}
 	return nil
 }
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -48,12 +48,12 @@
 			return err
 		}
 		if slices.ContainsFunc(t.Pools, func(o Pool) bool { return o.Name == p.Name }) {
-			return wrong(section.Name(), "is there twice")
+			return newFieldError(section.Name(), "is there twice")
 		}
 		t.Pools = append(t.Pools, p)
 	}
 	if len(t.Pools) > maxPools {
-		return wrong("pools", "%d pools are more than the allowed %d", len(t.Pools), maxPools)
+		return newFieldError("pools", "%d pools are more than the allowed %d", len(t.Pools), maxPools)
 	}
 	return nil
 }
@@ -62,18 +62,18 @@
 func readPool(name string, section *ini.Section) (Pool, error) {
 	p := Pool{Name: name, Units: unitsMissing}
 	if name == "" || len(name) > maxPoolName || strings.ContainsAny(name, "/\"\\ \t") {
-		return p, wrong(section.Name(), "a pool's name has 1 to %d bytes, without spaces, slashes and quotes", maxPoolName)
+		return p, newFieldError(section.Name(), "a pool's name has 1 to %d bytes, without spaces, slashes and quotes", maxPoolName)
 	}
 	for _, key := range section.Keys() {
 		if err := p.readKey(key.Name(), key.Value()); err != nil {
-			return p, wrong(section.Name()+"."+key.Name(), "%v", err)
+			return p, newFieldError(section.Name()+"."+key.Name(), "%v", err)
 		}
 	}
 	if p.Units == unitsMissing {
-		return p, wrong(section.Name()+".units", "missing")
+		return p, newFieldError(section.Name()+".units", "missing")
 	}
 	if p.Reserve > p.Units {
-		return p, wrong(section.Name()+".reserve", "%d is more than the pool's %d units", p.Reserve, p.Units)
+		return p, newFieldError(section.Name()+".reserve", "%d is more than the pool's %d units", p.Reserve, p.Units)
 	}
 	return p, nil
 }
@@ -138,7 +138,7 @@
 	for _, p := range s.Tunables.Pools {
 		for _, share := range p.Shares {
 			if !slices.ContainsFunc(s.Deployment.Teams, func(t Team) bool { return t.Name == share.Team }) {
-				return wrong(poolPrefix+p.Name+".teams", "no such team: %q", share.Team)
+				return newFieldError(poolPrefix+p.Name+".teams", "no such team: %q", share.Team)
 			}
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -30,17 +30,17 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-// wrong returns a FieldError. why is the format of its reason.
-func wrong(field, why string, args ...any) error {
+// newFieldError returns a FieldError. why is the format of its reason.
+func newFieldError(field, why string, args ...any) error {
 	return &FieldError{Field: field, Why: fmt.Sprintf(why, args...)}
 }
 
-// checkDirect checks that the calls that start tasks directly use at most a quarter of the file
+// checkPushDispatches checks that the calls that start tasks directly use at most a quarter of the file
 // descriptors.
-func (s *Settings) checkDirect() error {
+func (s *Settings) checkPushDispatches() error {
 	most := s.Deployment.MachineLimits.FDLimit / 4
 	if s.Tunables.PushDispatches > most {
-		return wrong("exceptions.direct_starts",
+		return newFieldError("exceptions.direct_starts",
 			"must be at most a quarter of deployment.machine_limits.fd_limit, %d, is %d", most, s.Tunables.PushDispatches)
 	}
 	return nil
@@ -56,7 +56,7 @@
 	}
 	s := &Settings{}
 	if err := toml.Unmarshal(raw, &s.Platform); err != nil {
-		return nil, wrong(path, "not valid TOML: %s", firstLine(err.Error()))
+		return nil, newFieldError(path, "not valid TOML: %s", firstLine(err.Error()))
 	}
 	if err := s.check(); err != nil {
 		return nil, err
@@ -86,14 +86,14 @@
 			return nil, fmt.Errorf("settings: %w", err)
 		}
 		if err != nil {
-			return nil, wrong(path, "not valid INI: %s", firstLine(err.Error()))
+			return nil, newFieldError(path, "not valid INI: %s", firstLine(err.Error()))
 		}
 	}
 	for _, assignment := range set {
 		name, value, hasValue := strings.Cut(assignment, "=")
 		section, key, dotted := strings.Cut(name, ".")
 		if !hasValue || !dotted || section == "" || key == "" {
-			return nil, wrong(assignment, "not of the form SECTION.KEY=VALUE")
+			return nil, newFieldError(assignment, "not of the form SECTION.KEY=VALUE")
 		}
 		file.Section(section).Key(key).SetValue(value)
 	}
@@ -109,7 +109,7 @@
 	if err := s.checkPools(); err != nil {
 		return err
 	}
-	if err := s.checkDirect(); err != nil {
+	if err := s.checkPushDispatches(); err != nil {
 		return err
 	}
 	for _, path := range s.Tunables.ReceiptKeys() {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"gopkg.in/ini.v1"
 )
 
-const good = `
+const validTOML = `
 node = "n0"
 domain = "a"
 public_addr = "10.0.0.1:8080"
@@ -64,8 +64,8 @@
 }
 
 // Valid settings are read, and unknown fields of the platform's file are ignored.
-func TestGood(t *testing.T) {
-	s, err := load(t, good, "[sizing]\ntraining_tasks = 7\n")
+func TestLoad(t *testing.T) {
+	s, err := load(t, validTOML, "[sizing]\ntraining_tasks = 7\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,9 +85,9 @@
 		{"value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0", StateLimits{15, 2, 4}},
 		{"value_kb = 64.0\nwrite_rps = 5.0", StateLimits{5, 8, 12}},
 	} {
-		text := good
+		text := validTOML
 		if c.next != "" {
-			text = strings.Replace(good, "txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\n"+c.next, 1)
+			text = strings.Replace(validTOML, "txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\n"+c.next, 1)
 		}
 		s, err := load(t, text, "")
 		if err != nil {
@@ -109,7 +109,7 @@
 }
 
 // An invalid setting gives an error of one line that names it.
-func TestWrongSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	cases := []struct{ from, to, ini, field string }{
 		{`node = "n0"`, "", "", "node"},
 		{`"10.0.0.1:8081"`, `"10.0.0.1"`, "", "internal_addr"},
@@ -138,7 +138,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.field+" "+c.to+c.ini, func(t *testing.T) {
-			_, err := load(t, strings.Replace(good, c.from, c.to, 1), c.ini)
+			_, err := load(t, strings.Replace(validTOML, c.from, c.to, 1), c.ini)
 			checkField(t, err, c.field)
 		})
 	}
@@ -158,7 +158,7 @@
 		{"txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\nvalue_kb = 0.5\n[[deployment.objectives]]\nclass = \"" +
 			longName + "\"", "deployment.state.next.value_kb"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
+		text := strings.Replace(validTOML, c.from, c.to, 1)
 		if strings.Contains(text, "[deployment.state_]") {
 			text = strings.Replace(text, "txn_ops = 12\n", "", 1)
 			text = strings.Replace(text, "value_kb = 0.5\n", "value_kb = 0.5\ntxn_ops = 12\n", 1)
@@ -240,7 +240,7 @@
 // than a report interval needs them. An objective of an unknown kind is accepted and listed.
 func TestPushDispatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
-	text := good + "\n[[deployment.objectives]]\nkind = \"brightness\"\nclass = \"never-comes\"\nshare = 0.5\n"
+	text := validTOML + "\n[[deployment.objectives]]\nkind = \"brightness\"\nclass = \"never-comes\"\nshare = 0.5\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -260,10 +260,10 @@
 }
 
 // A setting on the command line overrides that of the file and is checked in the same way.
-func TestSet(t *testing.T) {
+func TestCommandLineSettings(t *testing.T) {
 	dir := t.TempDir()
 	path, iniPath := filepath.Join(dir, "s.toml"), filepath.Join(dir, "t.ini")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validTOML), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(iniPath, []byte("[fleet]\nidle_return = 9\nspot_return = 8\n"), 0o600); err != nil {
@@ -273,9 +273,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &s.Tunables
-	if x.IdleReturnS != 5 || x.SpotReturnS != 8 || x.ColdListen != 1 || x.TimeZone != "Europe/Sofia" {
-		t.Errorf("%+v", x)
+	tunables := &s.Tunables
+	if tunables.IdleReturnS != 5 || tunables.SpotReturnS != 8 || tunables.ColdListen != 1 || tunables.TimeZone != "Europe/Sofia" {
+		t.Errorf("%+v", tunables)
 	}
 	wrong := map[string]string{
 		"fleet.idle_return":   "SECTION.KEY=VALUE",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -188,11 +188,11 @@
 	}
 	number := findNumber(name)
 	if number == nil {
-		return wrong(name, "no such tunable")
+		return newFieldError(name, "no such tunable")
 	}
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil {
-		return wrong(name, "not a number: %q", value)
+		return newFieldError(name, "not a number: %q", value)
 	}
 	if err := number.check(v); err != nil {
 		return err
@@ -211,7 +211,7 @@
 		return err
 	}
 	if t.ServedFloor > 0 && t.ServedWindowS == 0 {
-		return wrong("exceptions.served_floor", "requires served.window: without it nothing is measured")
+		return newFieldError("exceptions.served_floor", "requires served.window: without it nothing is measured")
 	}
 	return t.checkWebhook()
 }
@@ -223,9 +223,9 @@
 	}
 	var fieldError *calendar.FieldError
 	if errors.As(err, &fieldError) {
-		return wrong("calendar."+fieldError.Field, "%s", fieldError.Why)
+		return newFieldError("calendar."+fieldError.Field, "%s", fieldError.Why)
 	}
-	return wrong("calendar", "%v", err)
+	return newFieldError("calendar", "%v", err)
 }
 
 func (t *Tunables) checkWebhook() error {
@@ -234,7 +234,7 @@
 	}
 	u, err := url.Parse(t.WebhookURL)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
-		return wrong("webhook.url", "not an http or https URL: %q", t.WebhookURL)
+		return newFieldError("webhook.url", "not an http or https URL: %q", t.WebhookURL)
 	}
 	return nil
 }
@@ -251,7 +251,7 @@
 func readSecret(field, file string) ([]byte, error) {
 	key, err := secretfile.Read(file)
 	if err != nil {
-		return nil, wrong(field, "%v", err)
+		return nil, newFieldError(field, "%v", err)
 	}
 	return key, nil
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -40,13 +40,13 @@
 
 // callJSON sends a request and returns the status, or an error if no complete response was received or
 // its body cannot be decoded. Unless out is nil, the body is decoded into it for the statuses that
-// hasMeaning selects.
+// hasDecodedBody selects.
 func (c *Client) callJSON(ctx context.Context, method, path string, in, out any) (int, error) {
-	status, data, err := c.exchange(ctx, method, path, in)
+	status, data, err := c.do(ctx, method, path, in)
 	if err != nil {
 		return 0, err
 	}
-	if out != nil && len(data) > 0 && hasMeaning(status) {
+	if out != nil && len(data) > 0 && hasDecodedBody(status) {
 		if err := json.Unmarshal(data, out); err != nil {
 			return 0, fmt.Errorf("wire: %s %s: %w", method, path, err)
 		}
@@ -54,15 +54,15 @@
 	return status, nil
 }
 
-// hasMeaning reports whether the body of a response with this status is decoded: the bodies of successful
-// responses, of conflicts and of missing keys are.
-func hasMeaning(status int) bool {
+// hasDecodedBody reports whether the body of a response with this status is decoded: the bodies of
+// successful responses, of conflicts and of missing keys are.
+func hasDecodedBody(status int) bool {
 	return status == http.StatusOK || status == http.StatusConflict || status == http.StatusNotFound
 }
 
-// exchange sends a request and returns the status and the body of the response, or an error if no complete
+// do sends a request and returns the status and the body of the response, or an error if no complete
 // response was received.
-func (c *Client) exchange(ctx context.Context, method, path string, in any) (int, []byte, error) {
+func (c *Client) do(ctx context.Context, method, path string, in any) (int, []byte, error) {
 	var body io.Reader
 	if in != nil {
 		body = bytes.NewReader(encode(in))
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -79,8 +79,8 @@
 	NoAnswer              // outage, rate limit or no response: the same request must be repeated
 )
 
-// noCapacityWord is the error text with which the cloud refuses a rental for lack of machines.
-const noCapacityWord = "no capacity"
+// noCapacityError is the error text with which the cloud refuses a rental for lack of machines.
+const noCapacityError = "no capacity"
 
 // rentalRequest is a request for machines. Its name makes it idempotent.
 type rentalRequest struct {
@@ -102,7 +102,7 @@
 	in := rentalRequest{Request: r.Name, Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: r.Count}
 	var out machineNames
 	var refused errorBody
-	status, body, err := c.client.exchange(ctx, http.MethodPost, PathRentals, in)
+	status, body, err := c.client.do(ctx, http.MethodPost, PathRentals, in)
 	if err != nil {
 		return nil, NoAnswer
 	}
@@ -115,7 +115,7 @@
 	case http.StatusBadRequest:
 		return nil, Malformed
 	case http.StatusServiceUnavailable:
-		if json.Unmarshal(body, &refused) == nil && refused.Error == noCapacityWord {
+		if json.Unmarshal(body, &refused) == nil && refused.Error == noCapacityError {
 			return nil, NoCapacity
 		}
 	}
@@ -137,8 +137,8 @@
 
 // States of a machine in the cloud's list.
 const (
-	runningWord = "running"
-	failedWord  = "failed"
+	machineRunning = "running"
+	machineFailed  = "failed"
 )
 
 // listedMachine is a machine as the cloud lists it.
@@ -161,7 +161,7 @@
 func (m *listedMachine) machine() ListedMachine {
 	return ListedMachine{
 		Machine:    eventlog.Machine{Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot},
-		Failed:     m.State == failedWord,
+		Failed:     m.State == machineFailed,
 		RentedForS: m.HeldS,
 	}
 }
--- a/internal/wire/cloudserver.go
+++ b/internal/wire/cloudserver.go
@@ -43,7 +43,7 @@
 }
 
 // NoCapacityBody encodes the response with which the cloud refuses a rental for lack of machines.
-func NoCapacityBody() []byte { return ErrorBody(noCapacityWord) }
+func NoCapacityBody() []byte { return ErrorBody(noCapacityError) }
 
 // MachineList encodes one page of the cloud's machine list; more is set if further pages follow.
 func MachineList(list []ListedMachine, more bool) []byte {
@@ -52,10 +52,10 @@
 		m := l.Machine
 		out.Machines[i] = listedMachine{
 			Name: m.Name, Address: m.Address, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			State: runningWord, HeldS: l.RentedForS,
+			State: machineRunning, HeldS: l.RentedForS,
 		}
 		if l.Failed {
-			out.Machines[i].State = failedWord
+			out.Machines[i].State = machineFailed
 		}
 	}
 	return encode(out)
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -31,8 +31,8 @@
 	Cancelled
 )
 
-// jobStateWords are the protocol's names of job states, indexed by JobState.
-var jobStateWords = []string{"queued", "running", "done", "aborted"}
+// jobStateNames are the protocol's names of job states, indexed by JobState.
+var jobStateNames = []string{"queued", "running", "done", "aborted"}
 
 // jobAnswer is the response to a query for a job's state.
 type jobAnswer struct {
@@ -45,7 +45,7 @@
 // JobAnswer encodes the response to a query for a job's state. If counts is set, it includes how many
 // tasks are done and how many run.
 func JobAnswer(id uint64, state JobState, counts bool, done, running int) []byte {
-	a := jobAnswer{ID: FormatID(id), State: jobStateWords[state]}
+	a := jobAnswer{ID: FormatID(id), State: jobStateNames[state]}
 	if counts {
 		a.Done, a.Running = &done, &running
 	}
@@ -58,7 +58,7 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return 0, fmt.Errorf("wire: a job's state that cannot be read: %w", err)
 	}
-	state, known := indexOf(jobStateWords, in.State)
+	state, known := indexOf(jobStateNames, in.State)
 	if !known {
 		return 0, fmt.Errorf("wire: %q is no state of a job", in.State)
 	}
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -11,7 +11,7 @@
 )
 
 // A report is unchanged after encoding and decoding.
-func TestReportBothWays(t *testing.T) {
+func TestReportRoundTrip(t *testing.T) {
 	r := &workers.Report{
 		Machine: "host-000001", Address: "a:1", Type: "m", Zone: "z", Spot: true,
 		Session: 2, Seq: 3, Token: 4, Notice: true, NoticeS: 9,
@@ -27,7 +27,7 @@
 
 // Commands, in the response to a report and sent directly, and redirects are unchanged after encoding and
 // decoding.
-func TestCommandsBothWays(t *testing.T) {
+func TestCommandsRoundTrip(t *testing.T) {
 	commands := []workers.Command{
 		{Op: workers.Start, Job: 1, Task: 2, Attempt: 3},
 		{Op: workers.Stop, Job: 1, Attempt: 4, GraceS: 5},
@@ -47,7 +47,7 @@
 }
 
 // A submission and a job's state are unchanged after encoding and decoding.
-func TestJobBothWays(t *testing.T) {
+func TestJobRoundTrip(t *testing.T) {
 	j := &eventlog.Job{
 		ID: 1, Class: "c", Team: "t", Priority: 2, Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", ImageGB: .5,
 		Types: []string{"m"}, Zone: "z", Spot: true, EstimateS: 9, DeadlineS: 10, Follows: []uint64{7},
@@ -61,7 +61,7 @@
 }
 
 // A malformed response to a report, or one with an unknown command, gives an error.
-func TestMalformedAnswer(t *testing.T) {
+func TestMalformedReportAnswer(t *testing.T) {
 	for _, bad := range []string{
 		"", "[]",
 		`{"calls":[{"call":"dance","beast":"j-000001/0"}]}`,
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -11,20 +11,20 @@
 
 // The protocol's names of kinds and priorities of jobs, indexed by their numbers.
 var (
-	kindWords     = []string{"sweep", "gang", "service"}
-	priorityWords = []string{"best_effort", "normal", "urgent", "critical"}
+	kindNames     = []string{"sweep", "gang", "service"}
+	priorityNames = []string{"best_effort", "normal", "urgent", "critical"}
 )
 
 // KnownKind reports whether kind is the number of a kind of jobs.
-func KnownKind(kind uint8) bool { return int(kind) < len(kindWords) }
+func KnownKind(kind uint8) bool { return int(kind) < len(kindNames) }
 
 // KnownPriority reports whether priority is the number of a priority.
-func KnownPriority(priority uint8) bool { return int(priority) < len(priorityWords) }
+func KnownPriority(priority uint8) bool { return int(priority) < len(priorityNames) }
 
 // PriorityWord returns the protocol's name of a priority. A number that is too large gives the name of the
 // highest priority.
 func PriorityWord(priority uint8) string {
-	return priorityWords[min(int(priority), len(priorityWords)-1)]
+	return priorityNames[min(int(priority), len(priorityNames)-1)]
 }
 
 // submission is the body of a submission. Its fields are pointers to distinguish a missing field from a
@@ -121,9 +121,9 @@
 
 // Largest amounts in a submission.
 const (
-	maxRoom    = 1e6  // CPUs or GPUs of a task
-	maxGB      = 1e9  // memory of a task, or size of its image
-	maxSeconds = 1e12 // any duration
+	maxProcessors = 1e6  // CPUs or GPUs of a task
+	maxGB         = 1e9  // memory of a task, or size of its image
+	maxSeconds    = 1e12 // any duration
 )
 
 // parseJob validates a submission and returns the job that it describes. The error is meant for the user
@@ -133,11 +133,11 @@
 	if err := s.checkRequired(); err != nil {
 		return nil, err
 	}
-	kind, known := indexOf(kindWords, *s.Kind)
+	kind, known := indexOf(kindNames, *s.Kind)
 	if !known {
 		return nil, errors.New("gait: not a known kind")
 	}
-	priority, known := indexOf(priorityWords, *s.Priority)
+	priority, known := indexOf(priorityNames, *s.Priority)
 	if !known {
 		return nil, errors.New("urgency: not a known priority")
 	}
@@ -194,7 +194,7 @@
 		value    *float64
 		min, max float64
 	}{
-		{"vcpus", s.CPUs, 0, maxRoom}, {"gpus", s.GPUs, 0, maxRoom},
+		{"vcpus", s.CPUs, 0, maxProcessors}, {"gpus", s.GPUs, 0, maxProcessors},
 		{"memory_gb", s.MemoryGB, 0, maxGB}, {"size_gb", s.ImageGB, 0, maxGB},
 		{"trek_s", s.EstimateS, 0, maxSeconds}, {"waypoint_s", s.Checkpoint, 0, maxSeconds},
 		{"stow_s", s.SaveS, 0, maxSeconds},
@@ -260,14 +260,14 @@
 
 // parseDependencies adds the jobs that must be done before this one, without duplicates.
 func (s *submission) parseDependencies(job *eventlog.Job) error {
-	named := map[uint64]bool{}
+	seen := map[uint64]bool{}
 	for _, text := range s.Follows {
 		id, ok := ParseID(text)
 		if !ok {
 			return errors.New("follows: not a list of job ids")
 		}
-		if !named[id] {
-			named[id] = true
+		if !seen[id] {
+			seen[id] = true
 			job.Follows = append(job.Follows, id)
 		}
 	}
@@ -323,7 +323,7 @@
 	id := FormatID(job.ID)
 	s := submission{
 		ID: &id, Class: &job.Class, Team: &job.Team,
-		Kind: &kindWords[job.Kind], Priority: &priorityWords[job.Priority], Tasks: &job.Tasks,
+		Kind: &kindNames[job.Kind], Priority: &priorityNames[job.Priority], Tasks: &job.Tasks,
 		CPUs: &job.CPUs, GPUs: &job.GPUs, MemoryGB: &job.MemoryGB,
 		Image: &job.Image, ImageGB: &job.ImageGB, Types: job.Types,
 		OneZone: &job.OneZone, Spread: &job.Spread, Spot: &job.Spot,
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -151,17 +151,17 @@
 func FormatTask(job uint64, task int) string { return FormatID(job) + "/" + strconv.Itoa(task) }
 
 // indexOf returns the index of a name in a list of names.
-func indexOf(words []string, word string) (index uint8, known bool) {
-	for i, w := range words {
-		if w == word {
+func indexOf(names []string, name string) (index uint8, known bool) {
+	for i, w := range names {
+		if w == name {
 			return uint8(i), true
 		}
 	}
 	return 0, false
 }
 
-// wordFor returns the name of a value in a table by name, or an empty string if there is none.
-func wordFor[T comparable](table map[string]T, value T) string {
+// nameOf returns the name of a value in a table by name, or an empty string if there is none.
+func nameOf[T comparable](table map[string]T, value T) string {
 	for w, v := range table {
 		if v == value {
 			return w
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -8,23 +8,23 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// body is a submission with an unknown field and with every field but follows and counted.
-const body = `{"name_id":"j-000412","herd":"train","keeper":"vision","gait":"gang","urgency":"urgent","head":16,
+// validSubmission is a submission with an unknown field and with every field but follows and counted.
+const validSubmission = `{"name_id":"j-000412","herd":"train","keeper":"vision","gait":"gang","urgency":"urgent","head":16,
  "vcpus":8.0,"gpus":1.0,"memory_gb":64.0,"brand":"img-07","size_gb":6.2,"breeds":["g8"],"pasture":null,"together":true,
  "scatter":false,"loaned_stock":true,"trek_s":240.0,"waypoint_s":30.0,"stow_s":4.0,"market_s":900.0,"new_field":1}`
 
-// with returns the body of the submission with one part replaced.
-func with(t *testing.T, part, by string) []byte {
+// replaced returns the body of the submission with one part replaced.
+func replaced(t *testing.T, part, by string) []byte {
 	t.Helper()
-	if !strings.Contains(body, part) {
+	if !strings.Contains(validSubmission, part) {
 		t.Fatalf("the submission has no %s", part)
 	}
-	return []byte(strings.Replace(body, part, by, 1))
+	return []byte(strings.Replace(validSubmission, part, by, 1))
 }
 
 // A submission is decoded with all its fields, and an unknown field is ignored.
 func TestSubmission(t *testing.T) {
-	s := ParseSubmission([]byte(body), true)
+	s := ParseSubmission([]byte(validSubmission), true)
 	if s.Bad != "" || s.Job == nil || s.ID != 412 {
 		t.Fatalf("read as %+v, %+v", s, s.Job)
 	}
@@ -44,7 +44,7 @@
 		{`"vcpus":8.0,"gpus":1.0`, `"vcpus":0,"gpus":0`},
 	} {
 		t.Run(c[1], func(t *testing.T) {
-			if s := ParseSubmission(with(t, c[0], c[1]), true); s.Bad == "" || !s.HasID {
+			if s := ParseSubmission(replaced(t, c[0], c[1]), true); s.Bad == "" || !s.HasID {
 				t.Errorf("accepted, or the id is missing: %+v", s)
 			}
 		})
@@ -55,7 +55,7 @@
 func TestOptionalFields(t *testing.T) {
 	for _, optional := range []string{`"breeds":["g8"],`, `"pasture":null,`, `,"market_s":900.0`} {
 		t.Run(optional, func(t *testing.T) {
-			if s := ParseSubmission(with(t, optional, ""), true); s.Bad != "" {
+			if s := ParseSubmission(replaced(t, optional, ""), true); s.Bad != "" {
 				t.Errorf("refused without it: %s", s.Bad)
 			}
 		})
@@ -63,9 +63,9 @@
 }
 
 // The list of jobs that a job follows may be empty, holds well-formed ids only, and loses its duplicates.
-func TestFollows(t *testing.T) {
+func TestDependencies(t *testing.T) {
 	following := func(v string) Submission {
-		return ParseSubmission(with(t, `"new_field":1`, `"follows":`+v), true)
+		return ParseSubmission(replaced(t, `"new_field":1`, `"follows":`+v), true)
 	}
 	good := map[string][]uint64{
 		"null": nil, "[]": nil, `["j-000398"]`: {398},
@@ -137,7 +137,7 @@
 
 // No submission makes the decoder panic, and an accepted one has a valid job.
 func FuzzSubmission(f *testing.F) {
-	f.Add([]byte(body))
+	f.Add([]byte(validSubmission))
 	f.Add([]byte(`{"name_id":"j-000001"}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		s := ParseSubmission(body, true)
@@ -167,9 +167,9 @@
 }
 
 // Units of pools are decoded and validated only if the installation has pools.
-func TestCounted(t *testing.T) {
+func TestPoolUnits(t *testing.T) {
 	asking := func(v string, pools bool) Submission {
-		return ParseSubmission(with(t, `"new_field":1`, `"counted":`+v), pools)
+		return ParseSubmission(replaced(t, `"new_field":1`, `"counted":`+v), pools)
 	}
 	s := asking(`[{"pool":"p","units":2,"per":"task"},{"pool":"p","units":1,"per":"job"}]`, true)
 	if s.Bad != "" || len(s.Job.Counted) != 2 {
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -38,14 +38,14 @@
 	Saved   bool   `json:"kept,omitempty"`  // a checkpoint was saved
 }
 
-// taskStateWords holds the task states by their names in the protocol.
-var taskStateWords = map[string]workers.TaskState{
+// taskStates holds the task states by their names in the protocol.
+var taskStates = map[string]workers.TaskState{
 	"fetching": workers.Fetching, "gathering": workers.Gathering, "running": workers.Running,
 	"saving": workers.Saving, "ended": workers.Ended,
 }
 
-// reasonWords holds the reasons why a task ended by their names in the protocol.
-var reasonWords = map[string]workers.Reason{
+// endReasons holds the reasons why a task ended by their names in the protocol.
+var endReasons = map[string]workers.Reason{
 	"done": workers.Completed, "stopped": workers.Stopped, "peers": workers.PeersLost, "alone": workers.GangIncomplete,
 	"error": workers.Failed, "full": workers.InsufficientResources, "busy": workers.Busy, "unknown": workers.UnknownTask,
 }
@@ -78,11 +78,11 @@
 
 func (t *reportedTask) parse() (workers.TaskReport, error) {
 	job, task, ok := ParseTask(t.Task)
-	state, known := taskStateWords[t.State]
+	state, known := taskStates[t.State]
 	if !ok || !known {
 		return workers.TaskReport{}, fmt.Errorf("wire: a report with a task that cannot be read: %q, %q", t.Task, t.State)
 	}
-	reason, known := reasonWords[t.Why]
+	reason, known := endReasons[t.Why]
 	if state == workers.Ended && !known {
 		reason = workers.Failed
 	}
@@ -104,10 +104,10 @@
 	for i, t := range r.Tasks {
 		out.Tasks[i] = reportedTask{
 			Task: FormatTask(t.Job, t.Task), Attempt: t.Attempt,
-			State: wordFor(taskStateWords, t.State), Saved: t.Saved,
+			State: nameOf(taskStates, t.State), Saved: t.Saved,
 		}
 		if t.State == workers.Ended {
-			out.Tasks[i].Why = wordFor(reasonWords, t.Reason)
+			out.Tasks[i].Why = nameOf(endReasons, t.Reason)
 		}
 	}
 	return encode(out)
@@ -139,8 +139,8 @@
 	Node string `json:"herdsman,omitempty"`
 }
 
-// commandWords are the protocol's names of operations, indexed by workers.Op.
-var commandWords = []string{"start", "stop", "reap"}
+// opNames are the protocol's names of operations, indexed by workers.Op.
+var opNames = []string{"start", "stop", "reap"}
 
 // ReportAnswer encodes the response to a report.
 func ReportAnswer(token uint64, commands []workers.Command) []byte {
@@ -160,7 +160,7 @@
 func formatCommands(in []workers.Command) []command {
 	out := make([]command, len(in))
 	for i, c := range in {
-		out[i] = command{Op: commandWords[c.Op], Task: FormatTask(c.Job, c.Task), Attempt: c.Attempt}
+		out[i] = command{Op: opNames[c.Op], Task: FormatTask(c.Job, c.Task), Attempt: c.Attempt}
 		if c.Op == workers.Stop {
 			grace := c.GraceS
 			out[i].GraceS = &grace
@@ -172,7 +172,7 @@
 func parseCommands(in []command) ([]workers.Command, error) {
 	out := make([]workers.Command, len(in))
 	for i, c := range in {
-		op, known := indexOf(commandWords, c.Op)
+		op, known := indexOf(opNames, c.Op)
 		job, task, ok := ParseTask(c.Task)
 		if !known || !ok {
 			return nil, fmt.Errorf("wire: a command that cannot be read: %q, %q", c.Op, c.Task)
@@ -233,14 +233,14 @@
 	}}}
 }
 
-// at returns a client for the worker at an address.
-func (w *WorkerClient) at(addr string) *Client {
+// clientFor returns a client for the worker at an address.
+func (w *WorkerClient) clientFor(addr string) *Client {
 	return &Client{base: "http://" + addr, http: w.http}
 }
 
 // Probe is a liveness probe: it reports whether the worker at an address answers.
 func (w *WorkerClient) Probe(ctx context.Context, addr string) bool {
-	status, _, err := w.at(addr).exchange(ctx, http.MethodGet, PathShow, nil)
+	status, _, err := w.clientFor(addr).do(ctx, http.MethodGet, PathShow, nil)
 	return err == nil && status == http.StatusOK
 }
 
@@ -248,7 +248,7 @@
 // that the worker sends after executing the commands. Whatever it returns, even an error, the worker may
 // still execute the commands later.
 func (w *WorkerClient) SendCommands(ctx context.Context, addr string, body []byte) (*workers.Report, error) {
-	status, data, err := w.at(addr).exchange(ctx, http.MethodPost, PathCommands, json.RawMessage(body))
+	status, data, err := w.clientFor(addr).do(ctx, http.MethodPost, PathCommands, json.RawMessage(body))
 	if err != nil {
 		return nil, err
 	}
