--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -163,7 +163,7 @@
 		"factor on a job's size until its training tasks have determined it (ξ)",
 		func(t *Tunables) *float64 { return &t.Eagerness }),
 	floatSetting("sizing", "training_limit", "s", numberRange{Default: 60, Min: 1, Max: 86400},
-		"longest run time for which the end of a training task is awaited (Δ)",
+		"a training task that has run this long is not awaited any longer: its run time is estimated (Δ)",
 		func(t *Tunables) *float64 { return &t.TrainingLimitS }),
 	floatSetting("sizing", "first_size", "s", numberRange{Default: 30, Min: 0.1, Max: 1e6},
 		"size that is assumed for a job while no job has finished",
@@ -178,8 +178,8 @@
 		"duration of the lease of a block of machines",
 		func(t *Tunables) *float64 { return &t.BlockLeaseS }),
 	integerSetting("blocks", "note_tasks", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
-		"record up to which number tasks of a job may have been handed out, so that a new leader may "+
-			"start the tasks above it at once",
+		"record the highest task number of each job that may have been handed out, so that a new leader "+
+			"may start the tasks above it at once",
 		func(t *Tunables) *int { return &t.NoteTasks }),
 	floatSetting("leadership", "hold", "s", numberRange{Default: 2, Min: 1, Max: 60},
 		"duration of the leader's lease",
@@ -198,8 +198,8 @@
 			"for jobs within their team's guarantee",
 		func(t *Tunables) *int { return &t.Preempt }),
 	floatSetting("exceptions", "wait_lead", "s", numberRange{Default: 85, Min: 0, Max: 86400},
-		"tasks that still wait this long before their class's wait objective expires go ahead of the size "+
-			"order until then; so do long best-effort tasks before their objective for the end; 0: never",
+		"for this long before their class's wait objective expires, waiting tasks go ahead of the size order; "+
+			"long best-effort tasks do so before it is too late for their objective for the end; 0: never",
 		func(t *Tunables) *float64 { return &t.WaitLeadS }),
 	integerSetting("exceptions", "direct_starts", "calls", numberRange{Default: 0, Min: 0, Max: 1000},
 		"most concurrent calls that start tasks directly at their workers, for classes whose wait "+
@@ -211,14 +211,14 @@
 		func(t *Tunables) *float64 { return &t.BeginWithinS }),
 	floatSetting("exceptions", "lost_behind", "times", numberRange{Default: 3, Min: 0, Max: 100},
 		"jobs that can no longer meet any objective for their end go behind those that can, until this "+
-			"many times the last objective has passed; 0: never",
+			"many times the time limit of their last objective has passed; 0: never",
 		func(t *Tunables) *float64 { return &t.LostBehind }),
 	floatSetting("exceptions", "low_lead", "s", numberRange{Default: 110, Min: 0, Max: 86400},
 		"best-effort jobs go behind the size order until this long before their class's tightest objective; 0: never",
 		func(t *Tunables) *float64 { return &t.LowLeadS }),
 	floatSetting("exceptions", "served_floor", "share", numberRange{Default: 0, Min: 0, Max: 1},
-		"jobs that can only just still end in time go ahead of all others if otherwise less than this "+
-			"share of the jobs of their class or team would be done in time; 0: never",
+		"jobs that must start now to end in time go ahead of all others if otherwise less than this share "+
+			"of the jobs of their class or team would be done in time; 0: never",
 		func(t *Tunables) *float64 { return &t.ServedFloor }),
 	floatSetting("served", "window", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"time window for measuring the share of jobs of each class and team done in time; 0: not measured",
@@ -232,13 +232,13 @@
 			"instead of those of all jobs",
 		func(t *Tunables) *int { return &t.LearnedSizes }),
 	floatSetting("fleet", "drain_backlog", "s", numberRange{Default: 45, Min: 1, Max: 86400},
-		"time within which the waiting work should be worked off",
+		"time within which the waiting work should be done",
 		func(t *Tunables) *float64 { return &t.DrainBacklogS }),
 	floatSetting("fleet", "dear_backlog", "s", numberRange{Default: 100, Min: 1, Max: 86400},
 		"on-demand machines are rented if spot machines leave work waiting longer than this",
 		func(t *Tunables) *float64 { return &t.OrdinaryBacklogS }),
 	floatSetting("fleet", "aim_share", "share", numberRange{Default: 1.1, Min: 0.1, Max: 10},
-		"for a class with objectives, this share of the tightest one replaces dear_backlog",
+		"for a class with objectives, dear_backlog is this share of the tightest one, at least drain_backlog",
 		func(t *Tunables) *float64 { return &t.ObjectiveShare }),
 	floatSetting("fleet", "idle_return", "s", numberRange{Default: 3, Min: 0, Max: 86400},
 		"capacity of on-demand machines that was not needed for this time is returned",
@@ -253,15 +253,15 @@
 		func(t *Tunables) *int { return &t.ProbeSilent }),
 	floatSetting("fleet", "ready_window", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"if a class should start sooner than the quickest machine boots, capacity is returned only when it "+
-			"was not needed for this time; 0: the usual times apply",
+			"was not needed for at least this time; 0: the usual times apply",
 		func(t *Tunables) *float64 { return &t.ReadyWindowS }),
 	integerSetting("fleet", "move_saved", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"tasks that save their progress are moved off machines that are to be returned, if that costs "+
 			"less than waiting for their end",
 		func(t *Tunables) *int { return &t.MoveSaved }),
 	floatSetting("fleet", "spot_task", "s", numberRange{Default: 600, Min: 0, Max: 1e9},
-		"tasks that run longer than this and save no progress are kept off spot machines: a sudden loss "+
-			"would cost too much",
+		"tasks that save no progress and whose estimated run time is longer than this are kept off spot "+
+			"machines: a sudden loss would cost too much",
 		func(t *Tunables) *float64 { return &t.SpotTaskS }),
 	floatSetting("fleet", "usual_stay", "s", numberRange{Default: 120, Min: 1, Max: 86400},
 		"how long a rented machine is usually kept; its boot time is weighed against it",
@@ -292,7 +292,7 @@
 			"tasks stopped or moved, only once the fleet has reported",
 		func(t *Tunables) *int { return &t.ColdListen }),
 	floatSetting("cold-start", "settled", "share", numberRange{Default: 0.9, Min: 0, Max: 1},
-		"share of each zone's registered machines that must have reported first, unless no more report",
+		"share of each zone's registered machines that must have reported first; less if no more report",
 		func(t *Tunables) *float64 { return &t.ColdSettled }),
 	floatSetting("cold-start", "after", "s", numberRange{Default: 5, Min: 0, Max: 3600},
 		"a start counts as a cold start if there was no leader for this time",
@@ -304,7 +304,7 @@
 		"most images that one machine fetches at once during that time; 0: any number",
 		func(t *Tunables) *int { return &t.ColdImages }),
 	integerSetting("cold-start", "keep", "accounts", numberRange{Default: 0, Min: 0, Max: 100},
-		"number of cold starts whose accounts are kept; 0: none, and nothing is written",
+		"number of cold starts that are recorded; 0: none, and nothing is written",
 		func(t *Tunables) *int { return &t.ColdKept }),
 	integerSetting("fleet", "list_first", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"a new leader requests the cloud's list at once, and silent machines missing from it are given up",
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -57,7 +57,7 @@
 	return baseEntryBytes + team + class + zone
 }
 
-// CheckTeamName returns an error if the name is too long for a job of a team with this name to be stored.
+// CheckTeamName returns an error if a team's name is so long that the team's jobs could not be stored.
 func (p *Platform) CheckTeamName(name string) error {
 	least := min(p.Deployment.State.ValueKB, p.WriteLimits().ValueKB)
 	if entry := p.maxEntryBytes() + len(name); least*1024 < float64(entry) {
--- a/internal/settings/objectives.go
+++ b/internal/settings/objectives.go
@@ -31,8 +31,8 @@
 	return out
 }
 
-// NeedsDispatch reports whether an objective is so tight that a start would miss it by waiting for an idle
-// worker's next report, so that tasks must be pushed to workers.
+// NeedsDispatch reports whether an objective limits the wait to less than a report interval. Tasks must then
+// be pushed to idle workers, because a start that waits for a worker's next report could miss it.
 func (s *Settings) NeedsDispatch(o Objective) bool {
 	return o.Kind == ObjectiveWait && o.WithinS < s.Deployment.Workers.ReportS
 }
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -48,7 +48,7 @@
 			return err
 		}
 		if slices.ContainsFunc(t.Pools, func(o Pool) bool { return o.Name == p.Name }) {
-			return newFieldError(section.Name(), "is there twice")
+			return newFieldError(section.Name(), "is defined twice")
 		}
 		t.Pools = append(t.Pools, p)
 	}
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -19,7 +19,7 @@
 	TrainingTasks  int     // t: number of tasks whose run times determine a job's size
 	TrainingAtOnce int     // T: most training tasks that run at the same time
 	Eagerness      float64 // ξ: factor on a job's size until its training tasks have determined it
-	TrainingLimitS float64 // Δ: longest run time for which the end of a training task is awaited
+	TrainingLimitS float64 // Δ: run time after which a training task is not awaited any longer but estimated
 	FirstSizeS     float64 // size that is assumed for a job while no job has finished
 	SizesEveryS    float64 // interval at which virtual sizes are written to the state service
 	LearnedSizes   int     // 0 or 1: size estimates start from the run times learned for a job's kind of work
@@ -34,8 +34,8 @@
 	// BeginWithinS is the time after which jobs that have not begun go ahead of all but urgent ones; 0:
 	// never.
 	BeginWithinS float64
-	// LostBehind is the multiple of its last objective until which a job that can meet none of them goes
-	// behind others; 0: never.
+	// LostBehind: a job that can meet none of its objectives goes behind others until this multiple of the
+	// last one's time limit has passed; 0: never.
 	LostBehind float64
 	// LowLeadS is how long before its tightest objective best-effort work stops going behind the size
 	// order; 0: it never goes behind.
@@ -55,7 +55,7 @@
 	LocalityS     float64 // how long a job leaves room on machines that lack its image to other jobs
 	ZoneAffinityS float64 // cost of a machine outside the zone of a job's first task, in seconds of fetching
 	BlockLeaseS   float64 // duration of the lease of a block of machines
-	NoteTasks     int     // 0 or 1: it is recorded up to which number tasks may have been handed out
+	NoteTasks     int     // 0 or 1: record the highest task number of each job that may have been handed out
 
 	// Leadership, and records of takeovers and cold starts.
 	LeaderLeaseS  float64 // duration of the leader's lease
@@ -70,12 +70,12 @@
 	ColdKept    int     // number of cold starts that are recorded; 0: none
 
 	// Scaling out and in.
-	DrainBacklogS float64 // time within which the waiting work should be worked off
+	DrainBacklogS float64 // time within which the waiting work should be done
 	// OrdinaryBacklogS: on-demand machines are rented if spot machines leave work waiting longer than this.
 	// It holds for classes without objectives.
 	OrdinaryBacklogS float64
-	// ObjectiveShare: for classes with objectives, this share of the tightest one replaces
-	// OrdinaryBacklogS.
+	// ObjectiveShare: for classes with objectives, this share of the tightest one, but at least
+	// DrainBacklogS, replaces OrdinaryBacklogS.
 	ObjectiveShare float64
 	IdleReturnS    float64 // capacity of on-demand machines that was not needed for this time is returned
 	SpotReturnS    float64 // capacity of spot machines that was not needed for this time is returned
@@ -85,7 +85,7 @@
 	NoteReturns  int // 0 or 1: the return of an empty machine is recorded before the machine is returned
 	// MoveSaved, 0 or 1: tasks that save checkpoints are moved off machines that are to be returned.
 	MoveSaved int
-	SpotTaskS float64 // tasks that run longer and save no checkpoints are kept off spot machines
+	SpotTaskS float64 // tasks with a longer estimate and no checkpoints are kept off spot machines
 	// UsualStayS is how long a rented machine is usually kept. Its boot time is weighed against it.
 	UsualStayS      float64
 	BootGiveUpTimes float64 // a machine that has not booted after this many usual boot times is given up
@@ -201,8 +201,7 @@
 	return nil
 }
 
-// check returns an error for the first invalid setting among those that take more than a check of a
-// number's limits.
+// check returns an error for the first invalid setting that the checks of single numbers do not find.
 func (t *Tunables) check() error {
 	if err := t.checkCalendar(); err != nil {
 		return err
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// The list of jobs that a job follows may be empty, holds well-formed ids only, and loses its duplicates.
+// The list of jobs that a job follows may be empty, must hold well-formed ids, and is stored without
+// duplicates.
 func TestDependencies(t *testing.T) {
 	following := func(v string) Submission {
 		return ParseSubmission(replaced(t, `"new_field":1`, `"follows":`+v), true)
