--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -13,7 +13,7 @@
 	Endpoint string `toml:"endpoint"` // host:port
 }
 
-// Team is a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax); zero means none.
+// Team holds a team's guarantee (CPUs, GPUs) and limit (CPUsMax, GPUsMax). Zero means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -22,21 +22,21 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// StateLimits bound what is written to the state service.
+// StateLimits are the state service's limits on writes.
 type StateLimits struct {
-	WriteRPS float64 `toml:"write_rps"`
-	ValueKB  float64 `toml:"value_kb"`
-	TxnOps   int     `toml:"txn_ops"`
+	WriteRPS float64 `toml:"write_rps"` // write requests per second
+	ValueKB  float64 `toml:"value_kb"`  // size of a value, KiB
+	TxnOps   int     `toml:"txn_ops"`   // operations of a transaction
 }
 
-// NextLimits are limits that the state service has announced; nil: no change of that one is announced.
+// NextLimits are limits that the state service has announced. A limit that is nil is not going to change.
 type NextLimits struct {
 	WriteRPS *float64 `toml:"write_rps"`
 	ValueKB  *float64 `toml:"value_kb"`
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// Platform is the file that the platform hands over. Unknown fields are ignored.
+// Platform is the content of the settings file that the platform provides. Unknown fields are ignored.
 type Platform struct {
 	Node         string `toml:"node"`
 	Zone         string `toml:"domain"`
@@ -63,8 +63,8 @@
 		State struct {
 			RPS float64 `toml:"rps"`
 			StateLimits
-			// Next holds limits that the state service will have from some moment on, without notice. What
-			// it leaves out stays as it is.
+			// Next holds limits that the state service will apply from some later time on, without further
+			// notice. Limits that it leaves out do not change.
 			Next *NextLimits `toml:"next"`
 		} `toml:"state"`
 		Cloud struct {
@@ -79,10 +79,10 @@
 	} `toml:"deployment"`
 }
 
-// check says what is wrong with the platform's settings: the first field that is, in the file's order.
+// check returns an error for the first invalid field of the platform's settings.
 func (p *Platform) check() error {
 	if p.Node == "" {
-		return wrong("node", "missing")
+		return newFieldError("node", "missing")
 	}
 	steps := []func() error{p.checkAddresses, p.checkPeers, p.checkNumbers, p.checkStateLimits, p.checkTeams}
 	for _, step := range steps {
@@ -100,14 +100,14 @@
 	}
 	for _, address := range addresses {
 		if address.value == "" {
-			return wrong(address.field, "missing")
+			return newFieldError(address.field, "missing")
 		}
 		if _, _, err := net.SplitHostPort(address.value); err != nil {
-			return wrong(address.field, "not host:port: %q", address.value)
+			return newFieldError(address.field, "not host:port: %q", address.value)
 		}
 	}
 	if p.PublicAddr == p.InternalAddr {
-		return wrong("internal_addr", "the same as public_addr")
+		return newFieldError("internal_addr", "the same as public_addr")
 	}
 	return nil
 }
@@ -117,20 +117,20 @@
 	for i, peer := range p.Peers {
 		field := fmt.Sprintf("others[%d]", i)
 		if peer.Node == "" {
-			return wrong(field+".node", "missing")
+			return newFieldError(field+".node", "missing")
 		}
 		if seen[peer.Node] {
-			return wrong(field+".node", "%q is named twice", peer.Node)
+			return newFieldError(field+".node", "%q is named twice", peer.Node)
 		}
 		seen[peer.Node] = true
 		if _, _, err := net.SplitHostPort(peer.Endpoint); err != nil {
-			return wrong(field+".endpoint", "not host:port: %q", peer.Endpoint)
+			return newFieldError(field+".endpoint", "not host:port: %q", peer.Endpoint)
 		}
 	}
 	return nil
 }
 
-// maxRate bounds numbers that must be positive, so that calculations with them stay finite.
+// maxRate is the upper bound of numbers that must be positive. It keeps calculations with them finite.
 const maxRate = 1e12
 
 func (p *Platform) checkNumbers() error {
@@ -149,11 +149,11 @@
 	}
 	for _, number := range positive {
 		if !(number.value > 0) || number.value > maxRate { // negated, so that NaN is refused as well
-			return wrong(number.field, "must be a positive number, is %v", number.value)
+			return newFieldError(number.field, "must be a positive number, is %v", number.value)
 		}
 	}
 	if d.Workers.LeaseS <= d.Workers.ReportS {
-		return wrong("deployment.workers.lease_s", "must be longer than report_s")
+		return newFieldError("deployment.workers.lease_s", "must be longer than report_s")
 	}
 	return nil
 }
@@ -166,7 +166,7 @@
 	if state.Next == nil {
 		return nil
 	}
-	// Announced limits, where they say nothing, are those in force.
+	// A limit that is not announced keeps the value in force.
 	return p.WriteLimits().check("deployment.state.next")
 }
 
@@ -175,10 +175,10 @@
 	for i, team := range p.Deployment.Teams {
 		field := fmt.Sprintf("deployment.teams[%d]", i)
 		if team.Name == "" {
-			return wrong(field+".name", "missing")
+			return newFieldError(field+".name", "missing")
 		}
 		if seen[team.Name] {
-			return wrong(field+".name", "%q is named twice", team.Name)
+			return newFieldError(field+".name", "%q is named twice", team.Name)
 		}
 		seen[team.Name] = true
 		if err := team.Check(field); err != nil {
@@ -188,26 +188,27 @@
 	return nil
 }
 
-// maxTeamAmount bounds a team's processors and accelerators.
+// maxTeamAmount is the upper bound of a team's CPUs and GPUs.
 const maxTeamAmount = 1e9
 
-// Check says what is wrong with a team's amounts; field is where they stand.
+// Check returns an error if the team's amounts are invalid; field is the prefix of field names in its
+// errors.
 func (t Team) Check(field string) error {
 	for _, amount := range []float64{t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax} {
 		if amount < 0 || math.IsNaN(amount) || amount > maxTeamAmount {
-			return wrong(field, "%q has an amount that is negative, or over %v", t.Name, maxTeamAmount)
+			return newFieldError(field, "%q has an amount that is negative, or over %v", t.Name, maxTeamAmount)
 		}
 	}
 	if t.CPUsMax > 0 && t.CPUs > t.CPUsMax {
-		return wrong(field+".cpus", "%q is guaranteed more than its cpus_max", t.Name)
+		return newFieldError(field+".cpus", "%q is guaranteed more than its cpus_max", t.Name)
 	}
 	if t.GPUsMax > 0 && t.GPUs > t.GPUsMax {
-		return wrong(field+".gpus", "%q is guaranteed more than its gpus_max", t.Name)
+		return newFieldError(field+".gpus", "%q is guaranteed more than its gpus_max", t.Name)
 	}
 	return nil
 }
 
-// String is a team's amounts in words.
+// String returns the team's name and amounts as a text.
 func (t Team) String() string {
 	return fmt.Sprintf("%s: cpus %v of at most %v, gpus %v of at most %v",
 		t.Name, t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax)
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads and checks what a controller is started with: the platform's TOML file (Platform) and the
-// operators' optional INI file (Tunables). Everything else gets them read-only; only some tunables may change while
-// controllers run (see EffectOfChange).
+// Package settings reads and validates the settings with which a controller is started: the platform's TOML
+// file (Platform) and the operators' optional INI file (Tunables). The rest of the program treats them as
+// read-only, except that some tunables may change while controllers run (see EffectOfChange).
 package settings
 
 import (
@@ -15,14 +15,14 @@
 	"gopkg.in/ini.v1"
 )
 
-// Settings is everything a controller runs by.
+// Settings holds all settings of a controller.
 type Settings struct {
 	Platform
 	Tunables   Tunables
-	WebhookKey []byte // key that warnings are signed with; nil: there is no webhook
+	WebhookKey []byte // key that signs warnings; nil: there is no webhook
 }
 
-// FieldError names the setting that is wrong, and says in one line why.
+// FieldError names an invalid setting and gives the reason in one line.
 type FieldError struct {
 	Field string
 	Why   string
@@ -30,24 +30,25 @@
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Why }
 
-// wrong makes a FieldError; why is a format.
-func wrong(field, why string, args ...any) error {
+// newFieldError returns a FieldError. why is the format of its reason.
+func newFieldError(field, why string, args ...any) error {
 	return &FieldError{Field: field, Why: fmt.Sprintf(why, args...)}
 }
 
-// checkDirect checks the calls to workers against the sockets that there are.
-func (s *Settings) checkDirect() error {
+// checkPushDispatches checks that the calls that start tasks directly use at most a quarter of the file
+// descriptors.
+func (s *Settings) checkPushDispatches() error {
 	most := s.Deployment.MachineLimits.FDLimit / 4
 	if s.Tunables.PushDispatches > most {
-		return wrong("exceptions.direct_starts",
+		return newFieldError("exceptions.direct_starts",
 			"must be at most a quarter of deployment.machine_limits.fd_limit, %d, is %d", most, s.Tunables.PushDispatches)
 	}
 	return nil
 }
 
-// Load reads the platform's file and, where iniPath is not empty, the operators' file, and checks both. set has
-// operators' settings of the form SECTION.KEY=VALUE that go over those of the file. A setting that is wrong gives a
-// *FieldError.
+// Load reads and validates the platform's file and, unless iniPath is empty, the operators' file. set holds
+// operators' settings of the form SECTION.KEY=VALUE, which override those of the file. An invalid setting
+// gives a *FieldError.
 func Load(path, iniPath string, set ...string) (*Settings, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -55,7 +56,7 @@
 	}
 	s := &Settings{}
 	if err := toml.Unmarshal(raw, &s.Platform); err != nil {
-		return nil, wrong(path, "not valid TOML: %s", firstLine(err.Error()))
+		return nil, newFieldError(path, "not valid TOML: %s", firstLine(err.Error()))
 	}
 	if err := s.check(); err != nil {
 		return nil, err
@@ -74,7 +75,8 @@
 	return s, nil
 }
 
-// readINI reads the operators' file, where there is one, with the settings of the command line over it.
+// readINI reads the operators' file, if there is one, and overrides it with the settings of the command
+// line.
 func readINI(path string, set []string) (*ini.File, error) {
 	file := ini.Empty()
 	if path != "" {
@@ -84,22 +86,22 @@
 			return nil, fmt.Errorf("settings: %w", err)
 		}
 		if err != nil {
-			return nil, wrong(path, "not valid INI: %s", firstLine(err.Error()))
+			return nil, newFieldError(path, "not valid INI: %s", firstLine(err.Error()))
 		}
 	}
 	for _, assignment := range set {
 		name, value, hasValue := strings.Cut(assignment, "=")
 		section, key, dotted := strings.Cut(name, ".")
 		if !hasValue || !dotted || section == "" || key == "" {
-			return nil, wrong(assignment, "not of the form SECTION.KEY=VALUE")
+			return nil, newFieldError(assignment, "not of the form SECTION.KEY=VALUE")
 		}
 		file.Section(section).Key(key).SetValue(value)
 	}
 	return file, nil
 }
 
-// readTunables reads the operators' settings, checks them against the platform's, and reads the keys that they
-// name.
+// readTunables reads the operators' settings, checks them against the platform's settings, and reads the
+// secret key files that they name.
 func (s *Settings) readTunables(file *ini.File) error {
 	if err := s.Tunables.read(file); err != nil {
 		return err
@@ -107,7 +109,7 @@
 	if err := s.checkPools(); err != nil {
 		return err
 	}
-	if err := s.checkDirect(); err != nil {
+	if err := s.checkPushDispatches(); err != nil {
 		return err
 	}
 	for _, path := range s.Tunables.ReceiptKeys() {
@@ -128,5 +130,5 @@
 	return line
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"gopkg.in/ini.v1"
 )
 
-const good = `
+const validTOML = `
 node = "n0"
 domain = "a"
 public_addr = "10.0.0.1:8080"
@@ -63,9 +63,9 @@
 	return Load(path, iniPath)
 }
 
-// Settings that are right are read; fields of the platform that are not known are ignored.
-func TestGood(t *testing.T) {
-	s, err := load(t, good, "[sizing]\ntraining_tasks = 7\n")
+// Valid settings are read, and unknown fields of the platform's file are ignored.
+func TestLoad(t *testing.T) {
+	s, err := load(t, validTOML, "[sizing]\ntraining_tasks = 7\n")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,8 +74,8 @@
 	}
 }
 
-// Announced limits are kept to from the start, limit by limit: whichever is
-// smaller counts, and what is not announced stays.
+// Announced limits are respected from the start: of each limit the smaller value applies, and a limit that
+// is not announced keeps its value.
 func TestNextLimits(t *testing.T) {
 	for _, c := range []struct {
 		next string
@@ -85,9 +85,9 @@
 		{"value_kb = 2.0\ntxn_ops = 4\nwrite_rps = 15.0", StateLimits{15, 2, 4}},
 		{"value_kb = 64.0\nwrite_rps = 5.0", StateLimits{5, 8, 12}},
 	} {
-		text := good
+		text := validTOML
 		if c.next != "" {
-			text = strings.Replace(good, "txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\n"+c.next, 1)
+			text = strings.Replace(validTOML, "txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\n"+c.next, 1)
 		}
 		s, err := load(t, text, "")
 		if err != nil {
@@ -99,17 +99,17 @@
 	}
 }
 
-// checkField fails the test unless an error names a field, in one line.
+// checkField fails the test unless err is a FieldError of one line for a field.
 func checkField(t *testing.T, err error, field string) {
 	t.Helper()
 	var fieldError *FieldError
 	if !errors.As(err, &fieldError) || fieldError.Field != field || strings.Contains(err.Error(), "\n") {
-		t.Errorf("%v, want the field %s named in one line", err, field)
+		t.Errorf("error %v, want one line for the field %s", err, field)
 	}
 }
 
-// A wrong setting is named, in one line.
-func TestWrongSettings(t *testing.T) {
+// An invalid setting gives an error of one line that names it.
+func TestInvalidSettings(t *testing.T) {
 	cases := []struct{ from, to, ini, field string }{
 		{`node = "n0"`, "", "", "node"},
 		{`"10.0.0.1:8081"`, `"10.0.0.1"`, "", "internal_addr"},
@@ -138,13 +138,13 @@
 	}
 	for _, c := range cases {
 		t.Run(c.field+" "+c.to+c.ini, func(t *testing.T) {
-			_, err := load(t, strings.Replace(good, c.from, c.to, 1), c.ini)
+			_, err := load(t, strings.Replace(validTOML, c.from, c.to, 1), c.ini)
 			checkField(t, err, c.field)
 		})
 	}
 }
 
-// What a controller cannot serve is named, though it would start.
+// CheckServable names settings with which a controller starts but cannot serve the fleet well.
 func TestCheckServable(t *testing.T) {
 	longName := strings.Repeat("c", 100)
 	for _, c := range []struct{ from, to, field string }{
@@ -158,7 +158,7 @@
 		{"txn_ops = 12", "txn_ops = 12\n[deployment.state.next]\nvalue_kb = 0.5\n[[deployment.objectives]]\nclass = \"" +
 			longName + "\"", "deployment.state.next.value_kb"},
 	} {
-		text := strings.Replace(good, c.from, c.to, 1)
+		text := strings.Replace(validTOML, c.from, c.to, 1)
 		if strings.Contains(text, "[deployment.state_]") {
 			text = strings.Replace(text, "txn_ops = 12\n", "", 1)
 			text = strings.Replace(text, "value_kb = 0.5\n", "value_kb = 0.5\ntxn_ops = 12\n", 1)
@@ -177,7 +177,7 @@
 	}
 }
 
-// The example file lists every tunable at its default.
+// The example file contains every tunable with its default, and no other keys.
 func TestExample(t *testing.T) {
 	f, err := ini.Load("../../deploy/bitternmoor.ini.example")
 	if err != nil {
@@ -201,17 +201,17 @@
 		n -= len(s.Keys())
 	}
 	if n != 0 {
-		t.Errorf("the example has %d keys too many", -n)
+		t.Errorf("the example has %d keys that do not exist", -n)
 	}
 	if err := d.read(f); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestWriteExample prints the example file; set WRITE_EXAMPLE to renew it.
+// TestWriteExample generates the example file if WRITE_EXAMPLE is set.
 func TestWriteExample(t *testing.T) {
 	if os.Getenv("WRITE_EXAMPLE") == "" {
-		t.Skip("only to renew the example file")
+		t.Skip("WRITE_EXAMPLE is not set")
 	}
 	d := Defaults()
 	var b strings.Builder
@@ -236,11 +236,11 @@
 	}
 }
 
-// Push dispatches are checked against the sockets that there are, and only an objective shorter than a report interval
-// asks for them; an objective of a kind that is not known does no harm.
+// The number of push dispatches is checked against the file descriptor limit, and only an objective shorter
+// than a report interval needs them. An objective of an unknown kind is accepted and listed.
 func TestPushDispatch(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "s.toml")
-	text := good + "\n[[deployment.objectives]]\nkind = \"brightness\"\nclass = \"never-comes\"\nshare = 0.5\n"
+	text := validTOML + "\n[[deployment.objectives]]\nkind = \"brightness\"\nclass = \"never-comes\"\nshare = 0.5\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -251,19 +251,19 @@
 	tight := Objective{Kind: ObjectiveWait, Class: "c", WithinS: s.Deployment.Workers.ReportS / 2}
 	s.Deployment.Objectives = append(s.Deployment.Objectives, tight)
 	if !s.AnyNeedsDispatch() {
-		t.Error("an objective of half a report interval needs no push dispatch")
+		t.Error("an objective of half a report interval does not need push dispatch")
 	}
 	_, err = Load(path, "", "exceptions.direct_starts=1000")
 	if err == nil || !strings.Contains(err.Error(), "exceptions.direct_starts") {
-		t.Errorf("more calls than sockets: %v", err)
+		t.Errorf("more push dispatches than a quarter of the file descriptors: %v", err)
 	}
 }
 
-// A setting on the command line goes over that of the file, and is checked like it.
-func TestSet(t *testing.T) {
+// A setting on the command line overrides that of the file and is checked in the same way.
+func TestCommandLineSettings(t *testing.T) {
 	dir := t.TempDir()
 	path, iniPath := filepath.Join(dir, "s.toml"), filepath.Join(dir, "t.ini")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validTOML), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(iniPath, []byte("[fleet]\nidle_return = 9\nspot_return = 8\n"), 0o600); err != nil {
@@ -273,9 +273,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &s.Tunables
-	if x.IdleReturnS != 5 || x.SpotReturnS != 8 || x.ColdListen != 1 || x.TimeZone != "Europe/Sofia" {
-		t.Errorf("%+v", x)
+	tunables := &s.Tunables
+	if tunables.IdleReturnS != 5 || tunables.SpotReturnS != 8 || tunables.ColdListen != 1 || tunables.TimeZone != "Europe/Sofia" {
+		t.Errorf("%+v", tunables)
 	}
 	wrong := map[string]string{
 		"fleet.idle_return":   "SECTION.KEY=VALUE",
@@ -287,7 +287,7 @@
 	for set, want := range wrong {
 		t.Run(set, func(t *testing.T) {
 			if _, err := Load(path, "", set); err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%v, want %s named", err, want)
+				t.Errorf("error %v, want one that contains %s", err, want)
 			}
 		})
 	}
