--- a/internal/node/api.go
+++ b/internal/node/api.go
@@ -12,11 +12,11 @@
 	"bitternmoor/internal/wire"
 )
 
-// loopStallLimit is how long the loop may be silent before the node calls itself unhealthy.
-// Flapping costs far more than single refusals, so it is long.
+// loopStallLimit is how long the loop may make no progress before the health check fails. It is
+// long because a health check that flaps costs far more than single rejected requests.
 const loopStallLimit = 4 * time.Second
 
-// publicHandler serves the public address: users, the load balancer and workers.
+// publicHandler returns the handler of the public address, for users, the load balancer and workers.
 func (n *Node) publicHandler() http.Handler {
 	router := chi.NewRouter()
 	router.Post(wire.PathJobs, n.handleSubmit)
@@ -53,7 +53,7 @@
 	})
 }
 
-// handleJob serves a request about one job: opQuery or opAbort.
+// handleJob serves a request about one existing job; op is opQuery or opAbort.
 func (n *Node) handleJob(w http.ResponseWriter, r *http.Request, op string) {
 	id, ok := wire.ParseID(chi.URLParam(r, "id"))
 	if !ok {
@@ -67,12 +67,12 @@
 	writeAnswer(w, n.spreadRetry(in, n.serveOrForward(in)))
 }
 
-// handleHealth is the load balancer's liveness probe.
+// handleHealth serves the load balancer's health check.
 func (n *Node) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	snapshot := n.snapshot.Load()
 	stalled := time.Since(n.start)-snapshot.takenAt > loopStallLimit
-	// Where the leader is not reached no request can be served: users are better off with the
-	// leader, or with a controller that reaches it.
+	// A node that cannot reach the leader cannot serve any request. The load balancer should send
+	// users to the leader or to a controller that can reach it.
 	if snapshot.partitioned || stalled {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -80,7 +80,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// handleHeartbeat serves a worker's heartbeat with its status (a report).
+// handleHeartbeat serves a worker's heartbeat, which carries the worker's report.
 func (n *Node) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	if err != nil {
@@ -123,5 +123,5 @@
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
-	_, _ = w.Write(body) // it fails only for a client that has gone
+	_, _ = w.Write(body) // fails only if the client has disconnected
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -23,12 +23,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = listener.Close() }() // only its address is needed
+	defer func() { _ = listener.Close() }() // only the address is needed
 	return listener.Addr().String()
 }
 
-// ask makes a request and returns the answer's status, JSON object and header; the status is 0
-// where there is no answer.
+// ask makes a request and returns the response's status, JSON object and header. The status is 0 if
+// there is no response.
 func ask(t *testing.T, method, url, body string) (int, map[string]any, http.Header) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, bytes.NewBufferString(body))
@@ -40,9 +40,9 @@
 		return 0, nil, nil
 	}
 	defer func() { _ = resp.Body.Close() }() // it has been read
-	raw, _ := io.ReadAll(resp.Body)          // a cut answer is no JSON
+	raw, _ := io.ReadAll(resp.Body)          // a truncated body is not valid JSON
 	var out map[string]any
-	_ = json.Unmarshal(raw, &out) // some answers are none
+	_ = json.Unmarshal(raw, &out) // some responses are not JSON
 	return resp.StatusCode, out, resp.Header
 }
 
@@ -56,16 +56,16 @@
 	return resp.StatusCode == 200 && json.NewDecoder(resp.Body).Decode(into) == nil
 }
 
-// testCluster is two controllers with a stand-in state service and a stand-in cloud, over real
-// sockets.
+// testCluster consists of two controllers with a simulated state service and a simulated cloud,
+// connected over real sockets.
 type testCluster struct {
 	t        *testing.T
 	settings []*settings.Settings
 	running  sync.WaitGroup
 }
 
-// newCluster makes the settings of two controllers, changed by configure. They run after start,
-// and end with the test.
+// newCluster makes the settings of two controllers, modified by configure. The controllers run from
+// the call of start until the test ends.
 func newCluster(
 	t *testing.T, store *standin.StateService, cloud *standin.Cloud, configure func(c *settings.Settings),
 ) *testCluster {
@@ -88,7 +88,7 @@
 	return cluster
 }
 
-// controllerSettings are a controller's on free ports, with one team.
+// controllerSettings returns the settings of a controller on free ports, with one team.
 func controllerSettings(t *testing.T, name string) *settings.Settings {
 	t.Helper()
 	c := &settings.Settings{Tunables: settings.Defaults()}
@@ -112,6 +112,6 @@
 	return cancel
 }
 
-// public is the URL of a controller's public address, and internal of its internal one.
+// public and internal return the URLs of a controller's public and internal addresses.
 func (c *testCluster) public(i int) string   { return "http://" + c.settings[i].PublicAddr }
 func (c *testCluster) internal(i int) string { return "http://" + c.settings[i].InternalAddr }
--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -12,34 +12,34 @@
 	"bitternmoor/internal/operators/control"
 )
 
-// errLeaderUnknown says that neither this node can answer, nor a leader it knows of.
+// errLeaderUnknown is returned when this node cannot answer itself and knows no other leader.
 var errLeaderUnknown = errors.New("no leader is known at present")
 
-// refusedPrefix marks the error of a component that refuses a change, on its way to a peer:
-// net/rpc carries no more of an error than its text.
+// refusedPrefix marks the error of a component that refuses a request when it is returned to a
+// peer: net/rpc transmits only the text of an error.
 const refusedPrefix = "refused: "
 
-// componentCall asks a component of this node's term; known is false on a node that cannot
-// answer for it, and raw nil where there is no such component.
+// componentCall calls a component of this node's term. known is false if this node cannot answer
+// for the component, and raw is nil if there is no such component.
 type componentCall = func(now time.Duration) (raw json.RawMessage, known bool, err error)
 
-// ChangeRequest is a change that an operator asks of a component, as one controller forwards
-// it to another.
+// ChangeRequest is an operator's request to change a component, as one controller forwards it to
+// another.
 type ChangeRequest struct {
 	Duty string // name of the component
 	Body []byte // JSON
-	By   string // who asks, by the certificate; older controllers leave it out
+	By   string // the operator's name from the client certificate; older controllers leave it out
 }
 
-// ShowComponent returns a view of a component, from here or from the leader. Its errors are those
-// of ChangeComponent.
+// ShowComponent returns a view of a component, from this node or from the leader. It returns the
+// same errors as ChangeComponent.
 func (n *Node) ShowComponent(what string) (json.RawMessage, error) {
 	return n.askComponent("Controller.Show", what, n.showCall(what))
 }
 
-// ChangeComponent has a component make a change that somebody asks for, here or on the leader.
-// Errors are control.ErrUnknown where there is no such component, one that wraps
-// control.ErrRefused where the component refuses, and any other where nobody can tell now.
+// ChangeComponent makes a component apply a requested change, on this node or on the leader. The
+// error is control.ErrUnknown if there is no such component, wraps control.ErrRefused if the
+// component refuses the change, and is any other error if no node can answer now.
 func (n *Node) ChangeComponent(by, component string, body json.RawMessage) (json.RawMessage, error) {
 	in := ChangeRequest{Duty: component, Body: body, By: by}
 	return n.askComponent("Controller.Change", in, n.changeCall(in))
@@ -55,7 +55,7 @@
 	}
 }
 
-// askComponent asks a component, here or on the leader.
+// askComponent calls a component on this node, or with the RPC method on the leader.
 func (n *Node) askComponent(method string, in any, local componentCall) (json.RawMessage, error) {
 	var raw []byte
 	var refused error
@@ -78,8 +78,8 @@
 	return raw, nil
 }
 
-// callLocalOrLeader answers on this node's loop if local says that it can, and otherwise calls
-// the leader, within peerTimeout: in and out are the RPC's.
+// callLocalOrLeader runs local on this node's loop. If local returns false, it calls the RPC
+// method on the leader with the argument in and the result out, within peerTimeout.
 func (n *Node) callLocalOrLeader(method string, in, out any, local func(now time.Duration) (answered bool)) error {
 	var answered bool
 	if err := n.runOnLoop(func(now time.Duration) { answered = local(now) }); err != nil {
@@ -95,12 +95,12 @@
 	return leader.call(context.Background(), method, in, out)
 }
 
-// Show serves a peer's operator who looks at a component.
+// Show returns a view of a component to a peer, on behalf of an operator.
 func (c *Controller) Show(name string, out *[]byte) error {
 	return c.onComponent(out, c.node.showCall(name))
 }
 
-// Change serves a peer's operator who changes something of a component.
+// Change applies a change of a component for a peer, on behalf of an operator.
 func (c *Controller) Change(in ChangeRequest, out *[]byte) error {
 	return c.onComponent(out, c.node.changeCall(in))
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -13,48 +13,48 @@
 	"bitternmoor/internal/settings"
 )
 
-// Core is a controller as a state machine: inputs go in with the time, and TakeEffects returns
-// what is to be sent, written and answered. It has no clock, socket or goroutine. Times are
-// durations since the controller started.
+// Core is the controller's state machine. Each input comes with the current time, and TakeEffects
+// returns what is to be sent, written and answered. It uses no clock, socket or goroutine. Times
+// are durations since the controller started.
 type Core struct {
 	settings    *settings.Settings
-	clockZeroMS int64 // time of day at time 0, in milliseconds; off by a known bound
+	clockZeroMS int64 // time of day at time 0, in Unix milliseconds; its error is bounded
 	elector     *leadership.Elector
 	term        *term.Term             // nil while this node does not lead
-	shards      *scheduler.ShardHolder // the part of the machines whose offers this node starts
-	config      config.Replica         // what this node has of the configuration that may change
+	shards      *scheduler.ShardHolder // the machines for which this node starts offered tasks
+	config      config.Replica         // this node's copy of the configuration that can change at run time
 
-	// What goes out: effects not yet taken, and what is counted and measured.
+	// Effects not yet taken, and the values for metrics.
 	outbox   []effects.Effect
 	counts   cluster.Counts
 	measures cluster.Metrics
 
-	// A leader's contact with the others.
+	// When a leader last had contact with peers, its machines and the state service.
 	lastHeartbeatAt time.Duration
-	lastContactAt   time.Duration            // when it last heard of a peer or of most of its machines
-	leaseValidAt    time.Duration            // when its lease was last valid
+	lastContactAt   time.Duration            // when it last heard from a peer or enough machines, see inContact
+	leaseValidAt    time.Duration            // when its lease was last seen to be valid
 	peerAnsweredAt  map[string]time.Duration // when a peer last answered a heartbeat
 
-	// Heartbeats of this node's workers without an answer yet.
+	// Heartbeats of this node's workers that have not been answered yet.
 	openHeartbeats map[effects.RequestID]*openHeartbeat
 
-	// A leader that is not reached from here.
-	unreachedLeader string        // the one that the last call did not reach, or empty
-	unreachedSince  time.Duration // since when no call has reached it
+	// A leader that this node cannot reach.
+	unreachedLeader string        // the leader that the last call did not reach, or empty
+	unreachedSince  time.Duration // when calls to it began to fail
 	lastProbeAt     time.Duration
 
 	// Machines that were redirected to other controllers.
 	redirectedAt map[string]time.Duration
-	lastReturnAt time.Duration // when one of them came back
+	lastReturnAt time.Duration // when one of them last came back
 }
 
-// NewCore makes the core of a controller whose time 0 is at this time of day, in milliseconds
-// since 1970. The time of day orders nothing: it only tells a successor how long a job has been
-// waiting.
+// NewCore makes the core of a controller that started at the time of day clockZeroMS, in Unix
+// milliseconds. The time of day is never used to order events; it only lets a later leader
+// compute how long a job has been waiting.
 func NewCore(cfg *settings.Settings, clockZeroMS int64) *Core {
 	elector := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderLeaseS))
 	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
-		// To tell a leader that merely does not reach this node from one that is gone.
+		// Distinguishes a leader that merely cannot reach this node from one that has stopped.
 		elector.SilenceLimit = leaseOutlasted(cfg)
 	}
 	return &Core{
@@ -100,8 +100,8 @@
 	c.emit(effects.LogMessage{Level: level, Message: message, Args: args})
 }
 
-// advanceTerm follows every input: it ends and begins terms as the elector says, and collects
-// the term's effects.
+// advanceTerm is called after every input. It ends and begins terms according to the elector's
+// role, and collects the term's effects.
 func (c *Core) advanceTerm(now time.Duration) {
 	leading := c.elector.Role() == leadership.Leader
 	if c.term != nil && (!leading || c.term.Epoch != c.elector.Epoch()) {
@@ -142,8 +142,8 @@
 	c.emit(effects.LoadLog{Epoch: c.term.Epoch})
 }
 
-// collectTermEffects takes the term's effects. Answers to heartbeats of this node's own workers
-// are completed with the offers that its shard starts.
+// collectTermEffects emits the term's effects. It adds to the answers for this node's own workers
+// the start commands for the offers that its shard accepts.
 func (c *Core) collectTermEffects(now time.Duration) {
 	for _, e := range c.term.DrainEffects() {
 		if reply, ok := e.(effects.ReplyHeartbeat); ok {
@@ -157,18 +157,18 @@
 	}
 }
 
-// Leading says whether this node leads, and otherwise who does, if known.
+// Leading reports whether this node leads, and returns the leader's name, if known.
 func (c *Core) Leading() (leading bool, leader string) {
 	return c.term != nil, c.elector.LeaderName()
 }
 
-// canServe says whether users can be served: this node leads, has read the log, and its lease
-// is valid.
+// canServe reports whether this node can serve users: it leads, has read the log, and its lease is
+// valid.
 func (c *Core) canServe(now time.Duration) bool {
 	return c.term != nil && c.term.Loaded() && c.elector.LeaseValid(now)
 }
 
-// Tick is called several times a second.
+// Tick advances everything that depends on time. It is called several times a second.
 func (c *Core) Tick(now time.Duration) {
 	c.emitLeadership(c.elector.Tick(now))
 	c.shards.Tick(now)
@@ -183,7 +183,7 @@
 	c.advanceTerm(now)
 }
 
-// tokensResignDuration is for how long a leader that is out of tokens does not lead again.
+// tokensResignDuration is how long a leader that ran out of tokens does not stand for election.
 const tokensResignDuration = time.Second
 
 func (c *Core) tickTerm(now time.Duration) {
@@ -193,17 +193,17 @@
 	if !c.term.TokensExhausted() {
 		return
 	}
-	// After hundreds of thousands of machines that changed their shard, or direct starts that
-	// had to be reaped: the next term has tokens of its own.
+	// This takes hundreds of thousands of shard changes of machines, or of direct starts that had
+	// to be reaped. The next term has its own range of tokens.
 	c.emitLog(effects.Info, "fencing tokens exhausted, resigning leadership", "epoch", c.term.Epoch)
 	c.emitLeadership(c.elector.Resign(now, tokensResignDuration))
 }
 
-// Epoch is the epoch of this node's last term.
+// Epoch returns the epoch of this node's last term.
 func (c *Core) Epoch() uint64 { return c.elector.Epoch() }
 
-// Stop gives up leadership, so that the next leader need not wait for the lease to expire.
-// Nothing depends on it.
+// Stop gives up leadership, so that the next leader need not wait for the lease to expire. It is
+// an optimization only: correctness does not depend on it.
 func (c *Core) Stop(now time.Duration) {
 	c.emitLeadership(c.elector.Resign(now, resignDuration))
 	c.advanceTerm(now)
--- a/internal/node/core_requests.go
+++ b/internal/node/core_requests.go
@@ -10,7 +10,7 @@
 	"bitternmoor/internal/wire"
 )
 
-// Submit takes a submission.
+// Submit handles the submission of a job.
 func (c *Core) Submit(now time.Duration, to effects.RequestID, submission wire.Submission) {
 	if !c.canServe(now) {
 		c.replyNoLeader(to)
@@ -20,7 +20,7 @@
 	c.advanceTerm(now)
 }
 
-// Query answers for a job's state.
+// Query replies with a job's state.
 func (c *Core) Query(now time.Duration, to effects.RequestID, id uint64) {
 	if !c.canServe(now) {
 		c.replyNoLeader(to)
@@ -30,7 +30,7 @@
 	c.advanceTerm(now)
 }
 
-// Cancel cancels a job.
+// Cancel handles a user's request to cancel a job.
 func (c *Core) Cancel(now time.Duration, to effects.RequestID, id uint64) {
 	if !c.canServe(now) {
 		c.replyNoLeader(to)
@@ -44,11 +44,11 @@
 	c.emit(effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 }
 
-// Show returns what operators may see of a component, as JSON; known is false on a node that
-// cannot tell, and raw nil where there is no such component.
+// Show returns a component's view for operators, as JSON. known is false on a node that cannot
+// answer, and raw is nil if there is no such component.
 func (c *Core) Show(now time.Duration, component string) (raw json.RawMessage, known bool, err error) {
 	if component == reconfig.Name+"/"+reconfig.ViewHere && c.settings.Tunables.ConfigHistory > 0 {
-		raw, err = json.Marshal(c.LocalConfig(now)) // of this node, whoever leads
+		raw, err = json.Marshal(c.LocalConfig(now)) // this node's own, whether or not it leads
 		return raw, true, err
 	}
 	if c.term == nil || !c.term.Loaded() {
@@ -58,8 +58,8 @@
 	return raw, true, err
 }
 
-// Change has a component make a change that an operator asked for; known is false on a node
-// without a valid lease as leader, and raw nil where there is no such component.
+// Change makes a component apply a change requested by an operator. known is false on a node that
+// does not lead with a valid lease and a loaded log; raw is nil if there is no such component.
 func (c *Core) Change(
 	now time.Duration, component, by string, body json.RawMessage,
 ) (raw json.RawMessage, known bool, err error) {
@@ -71,7 +71,8 @@
 	return raw, true, err
 }
 
-// LocalConfig is what this node has of the configuration, and since when.
+// LocalConfig returns this node's copy of the configuration, with the ages of its revision and of its
+// last update.
 func (c *Core) LocalConfig(now time.Duration) reconfig.LocalView {
 	leading, leader := c.Leading()
 	return reconfig.LocalView{
@@ -85,7 +86,8 @@
 	}
 }
 
-// configAgeS is how long ago, in seconds, this node last heard what is in force; -1: never.
+// configAgeS returns how many seconds ago this node last received the configuration in force: 0 on
+// a serving leader, -1 if it never did.
 func (c *Core) configAgeS(now time.Duration) float64 {
 	if c.canServe(now) {
 		return 0
@@ -96,10 +98,10 @@
 	return -1
 }
 
-// Histograms returns what the components have measured since the process began.
+// Histograms returns the components' measurements since the process started.
 func (c *Core) Histograms() []cluster.Histogram { return c.measures.All() }
 
-// Gauges returns the components' gauges, on the leader.
+// Gauges returns the components' gauges on the leader, and nil on other nodes.
 func (c *Core) Gauges(now time.Duration) []cluster.Gauge {
 	if c.term == nil || !c.term.Loaded() {
 		return nil
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -15,7 +15,7 @@
 	"bitternmoor/internal/wire"
 )
 
-// Deadlines of calls.
+// Timeouts of calls.
 const (
 	stateTimeout    = 1200 * time.Millisecond
 	cloudTimeout    = 5 * time.Second
@@ -26,8 +26,8 @@
 // maxFailureDelay bounds the random delay after a failed call to the state service.
 const maxFailureDelay = 60 * time.Millisecond
 
-// execute carries out an effect. It runs on the loop and never waits: calls are made by
-// goroutines that end with the context, and their results come back as inputs.
+// execute carries out an effect. It runs on the loop and never blocks: calls are made on
+// goroutines that end with the context, and their results are fed to the loop as inputs.
 func (n *Node) execute(ctx context.Context, effect effects.Effect) {
 	switch e := effect.(type) {
 	case effects.Reply:
@@ -57,8 +57,8 @@
 	}
 }
 
-// executeForTerm carries out an effect of the term of that epoch. The result comes back with
-// the epoch, so that the core can drop results of an earlier term.
+// executeForTerm carries out an effect of the term with the given epoch. The result carries the
+// epoch, so that the core can drop results of an earlier term.
 func (n *Node) executeForTerm(ctx context.Context, epoch uint64, effect effects.Effect) {
 	switch e := effect.(type) {
 	case effects.Commit:
@@ -84,8 +84,8 @@
 	}
 }
 
-// callExternal makes a call with a deadline on a goroutine; what the call returns is the
-// input that brings its result to the core.
+// callExternal makes a call with a timeout on a goroutine. The call returns the input that passes
+// its result to the core.
 func (n *Node) callExternal(ctx context.Context, timeout time.Duration, call func(ctx context.Context) input) {
 	n.calls.Go(func() {
 		callCtx, cancel := context.WithTimeout(ctx, timeout)
@@ -94,15 +94,15 @@
 	})
 }
 
-// sleepAfterFailure spreads what is retried after a failure: the core has no randomness of
-// its own, so controllers would otherwise retry in step.
+// sleepAfterFailure adds a random delay after a failed call. The core itself uses no randomness,
+// so controllers would otherwise all retry at the same time.
 func sleepAfterFailure(ctx context.Context, ok bool) {
 	if !ok {
 		sleep(ctx, rand.N(maxFailureDelay))
 	}
 }
 
-// sleep waits for the duration, or until the context ends.
+// sleep waits until the duration has passed or the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -142,7 +142,7 @@
 	n.log.Log(ctx, levels[e.Level], e.Message, e.Args...)
 }
 
-// relayHeartbeat hands a worker's heartbeat to the leader.
+// relayHeartbeat relays a worker's heartbeat to the leader.
 func (n *Node) relayHeartbeat(ctx context.Context, e effects.RelayHeartbeat) {
 	leader := n.peers[e.Leader]
 	n.calls.Go(func() {
@@ -158,8 +158,8 @@
 	})
 }
 
-// sendHeartbeat sends a leader's heartbeat to a peer, with the changes of the configuration
-// that the peer lacks, if there are any.
+// sendHeartbeat sends the leader's heartbeat to a peer, together with any configuration changes
+// that the peer lacks.
 func (n *Node) sendHeartbeat(ctx context.Context, e effects.Heartbeat) {
 	p := n.peers[e.Peer]
 	if p == nil {
@@ -173,8 +173,8 @@
 	})
 }
 
-// sendConfigHeartbeat sends a heartbeat with changes of the configuration. It says whether a
-// plain heartbeat has to follow: a peer of an older version does not know this call.
+// sendConfigHeartbeat sends a heartbeat with configuration changes. It reports whether a plain
+// heartbeat has to follow, because a peer of an older version does not have this RPC method.
 func (n *Node) sendConfigHeartbeat(
 	ctx context.Context, p *peer, e effects.Heartbeat, message HeartbeatMessage,
 ) (plainToo bool) {
@@ -208,8 +208,8 @@
 	})
 }
 
-// askPreviousLeader asks a peer for the leader before this epoch. The answer's times are
-// durations before now, so that they can be placed on this node's clock.
+// askPreviousLeader asks a peer about the last leader before this epoch. The answer's times are
+// relative to now, and are converted to this node's clock.
 func (n *Node) askPreviousLeader(ctx context.Context, e effects.AskPreviousLeader) {
 	p := n.peers[e.Peer]
 	if p == nil {
@@ -230,8 +230,8 @@
 	})
 }
 
-// sendStops sends stops straight to a worker, unless enough direct calls are under way: the
-// answer to the worker's next heartbeat has the stops too.
+// sendStops sends stop commands directly to a worker. It drops them if maxDirectCalls calls are
+// already in progress, because the answer to the worker's next heartbeat contains them too.
 func (n *Node) sendStops(ctx context.Context, e effects.SendStops) {
 	select {
 	case n.directCalls <- struct{}{}:
@@ -244,7 +244,7 @@
 		defer cancel()
 		body := wire.EncodeDirectCommands(e.Token, e.Session, e.Stops)
 		if _, err := n.workers.SendCommands(callCtx, e.Address, body); err != nil {
-			n.log.Debug("worker not reached", "address", e.Address, "error", err)
+			n.log.Debug("stop commands not delivered to worker", "address", e.Address, "error", err)
 		}
 	})
 }
@@ -276,7 +276,7 @@
 	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		values, more, err := n.readValues(ctx, e.Component, e.AfterKey)
 		if err != nil {
-			n.log.Debug("values not read", "component", e.Component, "error", err)
+			n.log.Debug("component values not read", "component", e.Component, "error", err)
 		}
 		return func(now time.Duration) { n.core.ValuesRead(now, epoch, e.Component, values, more, err == nil) }
 	})
@@ -289,13 +289,13 @@
 	})
 }
 
-// dispatch sends starts straight to a worker. The leader bounds how many are under way.
+// dispatch sends start commands directly to a worker. The core limits how many are in progress.
 func (n *Node) dispatch(ctx context.Context, epoch uint64, e effects.Dispatch) {
 	n.callExternal(ctx, dispatchTimeout, func(ctx context.Context) input {
 		body := wire.EncodeDirectCommands(e.Token, e.Session, e.Starts)
 		report, err := n.workers.SendCommands(ctx, e.Address, body)
 		if err != nil {
-			n.log.Debug("worker not reached", "address", e.Address, "error", err)
+			n.log.Debug("start commands not delivered to worker", "address", e.Address, "error", err)
 		}
 		return func(now time.Duration) { n.core.Dispatched(now, epoch, e.Machine, e.Token, e.Starts, report) }
 	})
@@ -326,7 +326,7 @@
 	n.callExternal(ctx, cloudTimeout, func(ctx context.Context) input {
 		types, err := n.cloud.Types(ctx)
 		if err != nil {
-			n.log.Debug("machine types not read", "error", err)
+			n.log.Debug("machine types not read from the cloud", "error", err)
 		}
 		return func(now time.Duration) { n.core.MachineTypesListed(now, epoch, types) }
 	})
--- a/internal/node/execute_leadership.go
+++ b/internal/node/execute_leadership.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// watchDuration is how long the state service holds a watch open without a change.
+	// watchDuration is how long the state service keeps a watch open if nothing changes.
 	watchDuration = 10 * time.Second
-	// watchGrace is how much longer the call may take.
+	// watchGrace is how much longer than watchDuration the call may take.
 	watchGrace = 2 * time.Second
 )
 
-// executeLeadership makes one call of the leader election to the state service, and feeds its
-// result to the core.
+// executeLeadership makes one leader election call to the state service and passes its result to
+// the core.
 func (n *Node) executeLeadership(ctx context.Context, request leadership.Request) {
 	timeout := stateTimeout
 	if request.Action == leadership.WatchKeys {
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -11,12 +11,12 @@
 	"bitternmoor/internal/wire"
 )
 
-// Explanation says in plain words where a job stands and what it waits for. Peers send it over
-// net/rpc, and views show it as JSON.
+// Explanation describes in plain words a job's state and what it waits for. Peers send it over
+// net/rpc, and views encode it as JSON.
 type Explanation struct {
 	ID    string     `json:"id"`
-	Job   *JobStatus `json:"job,omitempty"`   // nil: not an unfinished job
-	Place int        `json:"place,omitempty"` // in the order, from 1; 0: not in it
+	Job   *JobStatus `json:"job,omitempty"`   // nil: there is no such unfinished job
+	Place int        `json:"place,omitempty"` // position in the scheduling order, from 1; 0: not in it
 	Words []string   `json:"words"`
 }
 
@@ -24,7 +24,8 @@
 	e.Words = append(e.Words, fmt.Sprintf(format, args...))
 }
 
-// Explain explains a job; ok is false on a node that cannot tell.
+// Explain returns the explanation of a job. ok is false on a node that cannot answer because it does
+// not lead or has not read the log yet.
 func (c *Core) Explain(now time.Duration, id uint64) (explanation Explanation, ok bool) {
 	t := c.term
 	if t == nil || !t.Loaded() {
@@ -44,12 +45,12 @@
 	return e, true
 }
 
-// explainOpen explains an unfinished job.
+// explainOpen adds the explanation of an unfinished job.
 func (e *Explanation) explainOpen(t *term.Term, now time.Duration, job *jobs.Job) {
 	status := jobStatus(t, job)
 	e.Job = &status
 	snapshot := t.Snapshot(now)
-	// A job that is not in the order has index -1, so place 0.
+	// slices.Index returns -1 for a job that is not in the order, so its place is 0.
 	e.Place = slices.Index(t.Scheduler.JobOrder(&snapshot), job.Index) + 1
 	e.explainDependents(t, job)
 	if job.Phase == jobs.Held {
@@ -74,7 +75,7 @@
 	}
 }
 
-// explainDependents says who waits for the job, and what priority it has from them.
+// explainDependents adds which jobs wait for the job, and the priority that it inherits from them.
 func (e *Explanation) explainDependents(t *term.Term, job *jobs.Job) {
 	if len(job.Dependents) > 0 {
 		e.say("jobs that wait for it: %s", strings.Join(jobIDs(t, job.Dependents), ", "))
@@ -101,7 +102,7 @@
 		(now - job.CancelAskedAt).Seconds(), job.Placed, job.UnresolvedMachines)
 }
 
-// explainSize says what the job's size is and where it comes from.
+// explainSize adds the job's size and how it was determined.
 func (e *Explanation) explainSize(job *jobs.Job, status *JobStatus) {
 	switch {
 	case job.Record.Kind == jobs.Service:
--- a/internal/node/internal_api.go
+++ b/internal/node/internal_api.go
@@ -21,26 +21,26 @@
 	"bitternmoor/internal/wire"
 )
 
-// Paths on the internal address: peers' calls, and the operators' endpoint.
+// Paths on the internal address: peers' RPC, metrics, and operators' requests.
 const (
 	PathPeers      = "/peers"
 	PathStatus     = "/status"
 	PathExplain    = "/explain/"
 	PathMetrics    = "/metrics"
-	PathComponents = "/duties/" // the components' views and changes
+	PathComponents = "/duties/" // prefix of the components' views and changes
 )
 
-// certificateOnly are the components that are changed at the operators' TLS listener alone.
+// certificateOnly lists the components that can be changed only on the operators' TLS listener.
 var certificateOnly = []string{pools.Name, reconfig.Name}
 
-// maxChangeBytes bounds what an operator may send at once.
+// maxChangeBytes limits the body of an operator's change request.
 const maxChangeBytes = 16 << 20
 
-// internalHandler serves the internal address.
+// internalHandler returns the handler of the internal address.
 func (n *Node) internalHandler() (http.Handler, error) {
 	peers := rpc.NewServer()
 	if err := peers.RegisterName("Controller", &Controller{n}); err != nil {
-		return nil, fmt.Errorf("node: %w", err)
+		return nil, fmt.Errorf("node: register the RPC service: %w", err)
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), &statusCollector{n})
@@ -107,8 +107,8 @@
 	writeComponentAnswer(w, raw, err, http.StatusUnprocessableEntity)
 }
 
-// writeComponentAnswer answers with what a component says. refused is the HTTP status of an
-// error of the component's own.
+// writeComponentAnswer writes a component's answer. refused is the HTTP status for an error of the
+// component itself.
 func writeComponentAnswer(w http.ResponseWriter, raw json.RawMessage, err error, refused int) {
 	switch {
 	case errors.Is(err, control.ErrUnknown):
--- a/internal/node/leader_heartbeats.go
+++ b/internal/node/leader_heartbeats.go
@@ -11,14 +11,14 @@
 
 const (
 	heartbeatInterval = time.Second
-	peerSilenceLimit  = 4 * time.Second  // without a peer's answer
-	resignDuration    = 10 * time.Second // for others to take over
-	// reportIntervals is within how many of their intervals machines report to another
-	// controller.
+	peerSilenceLimit  = 4 * time.Second  // a peer that answered longer ago counts as silent
+	resignDuration    = 10 * time.Second // no new candidacy, so that another node takes over
+	// reportIntervals is the number of report intervals within which a machine that lost its
+	// controller reports to another one.
 	reportIntervals = 1.25
 )
 
-// sendHeartbeats tells the peers who leads, at each heartbeatInterval.
+// sendHeartbeats sends a heartbeat to each peer once per heartbeatInterval.
 func (c *Core) sendHeartbeats(now time.Duration) {
 	if now-c.lastHeartbeatAt < heartbeatInterval {
 		return
@@ -34,9 +34,9 @@
 	}
 }
 
-// resignIfIsolated gives up leadership where no peer answers and few machines are heard: such a
-// leader is cut off itself. It makes room for one that is not, rather than delete machines that
-// it merely cannot hear.
+// resignIfIsolated gives up leadership if no peer answers and most machines are silent: then the
+// leader itself is most likely disconnected. A connected node can take over, and this one does not
+// delete machines that it merely cannot reach.
 func (c *Core) resignIfIsolated(now time.Duration) {
 	if c.inContact(now) {
 		c.lastContactAt = now
@@ -44,14 +44,14 @@
 	}
 	reportInterval := settings.Seconds(reportIntervals * c.settings.Deployment.Workers.ReportS)
 	if now-c.lastContactAt < c.unreachableLimit()+reportInterval+peerTimeout {
-		return // machines that its peers cannot answer for are on their way here
+		return // machines whose controllers cannot reach this leader may still switch to it
 	}
 	c.emitLog(effects.Warn, "isolated from peers and workers, resigning leadership")
 	c.emitLeadership(c.elector.Resign(now, resignDuration))
 }
 
-// inContact says whether a leader hears of peers or machines, or has no reason to expect that:
-// no peers, no valid lease, or a term that has just begun.
+// inContact reports whether the leader hears from a peer or from enough of its machines, or cannot
+// expect to because it has no peers, no valid lease, or its term has just begun.
 func (c *Core) inContact(now time.Duration) bool {
 	return len(c.settings.Peers) == 0 ||
 		!c.elector.LeaseValid(now) ||
@@ -60,7 +60,7 @@
 		!c.term.MostMachinesSilent(now)
 }
 
-// peerAnsweredLately says whether a peer has answered this leader's heartbeats lately.
+// peerAnsweredLately reports whether any peer answered a heartbeat within peerSilenceLimit.
 func (c *Core) peerAnsweredLately(now time.Duration) bool {
 	for _, at := range c.peerAnsweredAt {
 		if now-at < peerSilenceLimit {
@@ -70,16 +70,16 @@
 	return false
 }
 
-// unreachableLimit is how long this node must not have reached a leader to conclude anything
-// from it.
+// unreachableLimit returns how long this node must have been without contact to a leader before it
+// acts on that: longer than the lease of a leader that stopped lasts.
 func (c *Core) unreachableLimit() time.Duration { return leaseOutlasted(c.settings) }
 
-// leaseOutlasted is longer than a dead leader's lease lasts.
+// leaseOutlasted returns a duration after which the lease of a leader that stopped has expired.
 func leaseOutlasted(cfg *settings.Settings) time.Duration {
 	return settings.Seconds(cfg.Tunables.LeaderLeaseS) + heartbeatInterval/2
 }
 
-// HeartbeatAnswered takes a peer's answer to a heartbeat.
+// HeartbeatAnswered handles a peer's answer to a heartbeat.
 func (c *Core) HeartbeatAnswered(now time.Duration, peer string) {
 	c.peerAnsweredAt[peer] = now
 	if c.term != nil {
@@ -87,19 +87,19 @@
 	}
 }
 
-// HeartbeatReceived takes a heartbeat of the leader.
+// HeartbeatReceived handles a heartbeat from the leader.
 func (c *Core) HeartbeatReceived(now time.Duration, node string, epoch uint64, fleet leadership.FleetKnowledge) {
 	c.elector.HeartbeatReceived(now, node, epoch, fleet)
 	c.advanceTerm(now)
 }
 
-// PreviousLeader is what this node knows of the last leader of an epoch before the given one.
+// PreviousLeader returns this node's record of the last leader of an epoch before the given one.
 func (c *Core) PreviousLeader(epoch uint64) leadership.LeaderRecord {
 	return c.elector.PreviousLeader(epoch)
 }
 
-// PreviousLeaderReported takes a peer's answer to AskPreviousLeader, with its times on this
-// node's clock; known is false where there was no answer.
+// PreviousLeaderReported handles a peer's answer to AskPreviousLeader, with its times converted to
+// this node's clock. known is false if there was no answer.
 func (c *Core) PreviousLeaderReported(
 	now time.Duration, epoch uint64, peer string, previous leadership.LeaderRecord, known bool,
 ) {
@@ -109,8 +109,8 @@
 	c.advanceTerm(now)
 }
 
-// ApplyConfig takes changes of the configuration from the leader that has just sent a
-// heartbeat, and returns the revision that this node then has in force.
+// ApplyConfig applies configuration changes from the leader that has just sent a heartbeat, and
+// returns the revision that is then in force on this node.
 func (c *Core) ApplyConfig(now time.Duration, node string, update config.Update) uint64 {
 	if c.term == nil && node == c.elector.LeaderName() {
 		c.config.Apply(now, update)
@@ -118,7 +118,7 @@
 	return c.config.Revision()
 }
 
-// ConfigAcknowledged takes a peer's word on the revision that it has in force.
+// ConfigAcknowledged handles a peer's report of the configuration revision in force on it.
 func (c *Core) ConfigAcknowledged(now time.Duration, epoch uint64, peer string, revision uint64) {
 	if c.inTerm(epoch) {
 		c.term.ConfigAcknowledged(now, peer, revision)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,29 +11,29 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// answerTimeout bounds how long a request waits for the loop's answer.
+	// answerTimeout is how long a request waits for the loop's answer.
 	answerTimeout = time.Second
 )
 
-// errLoopBusy says that the loop's input queue is full, or that the loop has not got to an
+// errLoopBusy is returned if the loop's input queue is full, or if the loop has not processed an
 // input in time.
 var errLoopBusy = errors.New("node: the loop is behind")
 
-// input is the result of a call or a request, as it is fed to the core on the loop. The time
-// is the one since the controller started.
+// input passes a request or the result of a call to the core. It runs on the loop; now is the time
+// since the controller started.
 type input = func(now time.Duration)
 
-// leadershipSnapshot is what request handlers read of the core's state between turns of the
-// loop, without waiting for it.
+// leadershipSnapshot is a copy of the core's leadership state, which request handlers read without
+// waiting for the loop.
 type leadershipSnapshot struct {
 	leading     bool
 	leader      string        // name of the leader, if known
-	partitioned bool          // somebody leads, but is not reached from here
-	takenAt     time.Duration // when the loop's last turn ended
+	partitioned bool          // another node leads, but this one cannot reach it
+	takenAt     time.Duration // when the loop's last iteration ended
 }
 
-// runLoop runs the loop until the context ends, and then ends the calls that it has begun. They
-// outlive the context for as long as the loop takes to give up leadership.
+// runLoop runs the loop until the context ends. Calls that the loop has started may go on while it
+// gives up leadership; then they are cancelled, and runLoop waits for them.
 func (n *Node) runLoop(ctx context.Context) {
 	callsCtx, cancelCalls := context.WithCancel(context.WithoutCancel(ctx))
 	n.loop(ctx, callsCtx)
@@ -44,8 +44,8 @@
 	}
 }
 
-// loop is the only goroutine that touches the core. It runs until ctx ends; the calls it begins
-// run in callsCtx.
+// loop processes inputs and ticks until ctx ends. Only its goroutine accesses the core. The calls
+// that it starts use callsCtx.
 func (n *Node) loop(ctx, callsCtx context.Context) {
 	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
@@ -77,8 +77,8 @@
 	})
 }
 
-// stopCore gives up leadership and answers the users who wait. Other effects are dropped: as
-// after a crash, the next leader's term starts from the log.
+// stopCore gives up leadership and answers the waiting users. Other effects are dropped, because
+// the next leader's term starts from the log, as after a crash.
 func (n *Node) stopCore(ctx context.Context) {
 	n.core.Stop(time.Since(n.start))
 	for _, effect := range n.core.TakeEffects() {
@@ -94,8 +94,8 @@
 	n.log.Info("ended", "node", n.settings.Node)
 }
 
-// enqueue feeds an input to the loop, and waits while its queue is full. The input is dropped
-// when the context ends: nobody reads the queue then.
+// enqueue adds an input to the loop's queue, and waits while the queue is full. The input is
+// dropped if the context ends, since nothing reads the queue then.
 func (n *Node) enqueue(ctx context.Context, in input) {
 	select {
 	case n.inputs <- in:
@@ -103,7 +103,7 @@
 	}
 }
 
-// tryEnqueue feeds an input to the loop, or returns errLoopBusy when its queue is full.
+// tryEnqueue adds an input to the loop's queue, or returns errLoopBusy if the queue is full.
 func (n *Node) tryEnqueue(in input) error {
 	select {
 	case n.inputs <- in:
@@ -113,7 +113,7 @@
 	}
 }
 
-// runOnLoop runs a function on the loop and waits for it, for answerTimeout at most.
+// runOnLoop runs a function on the loop and waits until it returns, for at most answerTimeout.
 func (n *Node) runOnLoop(f input) error {
 	done := make(chan struct{})
 	err := n.tryEnqueue(func(now time.Duration) {
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -21,8 +21,8 @@
 	  "loaned_stock":true,"trek_s":5,"waypoint_s":0,"stow_s":0}`
 )
 
-// TestLoopback takes a job through two controllers over real sockets: user API, relay to the
-// leader, worker, state service and cloud as they are spoken.
+// TestLoopback runs a job through two controllers over real sockets. It covers the user API, the
+// relay to the leader, and the protocols of the worker, the state service and the cloud.
 func TestLoopback(t *testing.T) {
 	store := &standin.StateService{}
 	cluster := newCluster(t, store, &standin.Cloud{}, func(c *settings.Settings) {
@@ -38,9 +38,9 @@
 	worker := &loopbackWorker{cluster: cluster}
 	worker.startTask(t)
 	if _, out, _ := ask(t, "GET", cluster.public(1), ""); out != nil {
-		t.Errorf("the root path answers %v", out)
+		t.Errorf("the root path returns a JSON body: %v", out)
 	}
-	eventually(t, "it is shown to run", func() bool {
+	eventually(t, "the job is shown as running", func() bool {
 		_, out, _ := ask(t, "GET", cluster.public(1)+"/api/jobs/j-000001", "")
 		return out["standing"] == "running"
 	})
@@ -50,13 +50,13 @@
 	worker.endTask(t)
 	status, out, _ := ask(t, "POST", cluster.public(1)+"/api/jobs/j-000001/abort", "")
 	if status != 200 || out["standing"] != "done" {
-		t.Errorf("cancelling a job that is done gives %d %v", status, out)
+		t.Errorf("cancelling a finished job returns %d %v", status, out)
 	}
 	cluster.checkOutage(t, store)
 }
 
-// submitFirst submits the job as soon as there is a leader, and waits until both controllers
-// answer.
+// submitFirst submits the job as soon as there is a leader, and waits until both controllers answer
+// users' requests.
 func (c *testCluster) submitFirst(t *testing.T) {
 	t.Helper()
 	eventually(t, "a submission is accepted", func() bool {
@@ -73,21 +73,21 @@
 	})
 }
 
-// checkUserAPI asks one controller for what it has to answer at once.
+// checkUserAPI checks the responses of one controller that need no worker.
 func (c *testCluster) checkUserAPI(t *testing.T, i int) {
 	t.Helper()
 	url := c.public(i) + "/api/jobs"
 	if status, _, _ := ask(t, "GET", c.public(i)+"/healthz", ""); status != 200 {
-		t.Errorf("n%d: healthz gives %d", i, status)
+		t.Errorf("n%d: healthz returns %d", i, status)
 	}
 	if status, out, _ := ask(t, "POST", url, loopbackJob); status != 200 || out["name_id"] != "j-000001" {
-		t.Errorf("n%d: a repeated submission gives %d %v", i, status, out)
+		t.Errorf("n%d: a repeated submission returns %d %v", i, status, out)
 	}
 	if status, _, _ := ask(t, "POST", url, `{"name_id":"j-000001","head":"x"}`); status != 200 {
-		t.Errorf("n%d: a known id with a malformed body gives %d", i, status)
+		t.Errorf("n%d: a known ID with a malformed body returns %d", i, status)
 	}
 	if status, _, _ := ask(t, "GET", url+"/j-000777", ""); status != 404 {
-		t.Errorf("n%d: an unknown job gives %d", i, status)
+		t.Errorf("n%d: an unknown job returns %d", i, status)
 	}
 	noTasks := strings.Replace(loopbackJob, `"head":1`, `"head":0`, 1) + " "
 	for _, malformed := range []string{
@@ -95,26 +95,26 @@
 	} {
 		malformed = strings.Replace(malformed, "j-000001", "j-000003", 1)
 		if status, _, _ := ask(t, "POST", url, malformed); status != 400 {
-			t.Errorf("n%d: malformed %.40q gives %d", i, malformed, status)
+			t.Errorf("n%d: malformed body %.40q returns %d", i, malformed, status)
 		}
 	}
 	unknownTeam := strings.Replace(loopbackJob, "j-000001", "j-000004", 1)
 	unknownTeam = strings.Replace(unknownTeam, `"keeper":"team"`, `"keeper":"none"`, 1)
 	if status, _, _ := ask(t, "POST", url, unknownTeam); status != 422 {
-		t.Errorf("n%d: an unknown team gives %d", i, status)
+		t.Errorf("n%d: an unknown team returns %d", i, status)
 	}
 }
 
-// checkViews asks one controller for the operators' views and the metrics.
+// checkViews checks the operators' views and the metrics of one controller.
 func (c *testCluster) checkViews(t *testing.T, i int) {
 	t.Helper()
 	status, out, _ := ask(t, "GET", c.internal(i)+PathStatus, "")
 	if status != 200 || out["leader"] == "" || len(out["machines"].([]any)) == 0 {
-		t.Errorf("n%d: status gives %d %v", i, status, out)
+		t.Errorf("n%d: status returns %d %v", i, status, out)
 	}
 	status, out, _ = ask(t, "GET", c.internal(i)+PathExplain+"j-000001", "")
 	if status != 200 || len(out["words"].([]any)) < 2 {
-		t.Errorf("n%d: explain gives %d %v", i, status, out)
+		t.Errorf("n%d: explain returns %d %v", i, status, out)
 	}
 	for path, want := range map[string]int{
 		"takeovers":          200,
@@ -126,45 +126,45 @@
 		"takeovers/none":     404,
 	} {
 		if status, out, _ := ask(t, "GET", c.internal(i)+PathComponents+path, ""); status != want {
-			t.Errorf("n%d: %s gives %d %v", i, path, status, out)
+			t.Errorf("n%d: %s returns %d %v", i, path, status, out)
 		}
 	}
 	resp, err := http.Get(c.internal(i) + PathMetrics)
 	if err != nil {
 		t.Fatal(err)
 	}
-	raw, _ := io.ReadAll(resp.Body) // what is cut lacks the metric
+	raw, _ := io.ReadAll(resp.Body) // a truncated body lacks the metric
 	_ = resp.Body.Close()           // it has been read
 	if !bytes.Contains(raw, []byte("bitternmoor_leading")) {
 		t.Errorf("n%d: metrics without bitternmoor_leading", i)
 	}
 }
 
-// checkOutage takes the state service away: nothing is said of jobs then, and the health check
-// stands.
+// checkOutage stops the state service. Requests about jobs then fail with 503, and the health check
+// still succeeds.
 func (c *testCluster) checkOutage(t *testing.T, store *standin.StateService) {
 	t.Helper()
 	store.SetDown(true)
-	eventually(t, "without the state service, 503 and not 404", func() bool {
+	eventually(t, "an unknown job returns 503 and not 404 without the state service", func() bool {
 		status, _, header := ask(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
 		return status == 503 && header.Get("Retry-After") != ""
 	})
 	if status, _, _ := ask(t, "GET", c.public(0)+"/healthz", ""); status != 200 {
-		t.Errorf("an outage of the state service makes healthz give %d", status)
+		t.Errorf("healthz returns %d during an outage of the state service", status)
 	}
 }
 
-// loopbackWorker is the worker of a rented machine. It reports to the node that does not lead as
-// well as to the one that does.
+// loopbackWorker simulates the worker of a rented machine. It may report to the leader or to the
+// follower.
 type loopbackWorker struct {
 	cluster  *testCluster
-	via      int // the controller that it reports to
+	via      int // index of the controller that it reports to
 	sequence int
 	token    float64
-	attempt  string // of the job's task, once it has been started
+	attempt  string // of the job's task, once started; empty before
 }
 
-// report sends a report with these tasks, and returns the commands of the answer.
+// report sends a report with the given tasks, and returns the commands in the answer.
 func (w *loopbackWorker) report(t *testing.T, tasks string) []any {
 	t.Helper()
 	w.sequence++
@@ -174,11 +174,12 @@
 	if token, ok := out["crook"].(float64); ok {
 		w.token = token
 	}
-	commands, _ := out["calls"].([]any) // none where it is refused
+	commands, _ := out["calls"].([]any) // none if the report is rejected
 	return commands
 }
 
-// startTask reports until the task is to be started, and then that it runs.
+// startTask sends reports until it receives the task's start command, and then reports that the task
+// is running.
 func (w *loopbackWorker) startTask(t *testing.T) {
 	t.Helper()
 	eventually(t, "the task is started", func() bool {
@@ -199,10 +200,11 @@
 	w.report(t, w.task(`"standing":"running"`))
 }
 
-// endTask reports that the task is done until it is reaped: only once the job is shown as done.
+// endTask reports the task as done until it receives the reap command, which must come only after
+// the job is shown as done.
 func (w *loopbackWorker) endTask(t *testing.T) {
 	t.Helper()
-	eventually(t, "it is done, and only then reaped", func() bool {
+	eventually(t, "the job is done, and the task is reaped only then", func() bool {
 		commands := w.report(t, w.task(`"standing":"ended","cause":"done"`))
 		_, out, _ := ask(t, "GET", w.cluster.public(0)+"/api/jobs/j-000001", "")
 		for _, c := range commands {
@@ -218,7 +220,7 @@
 	return `{"beast":"j-000001/0","try":` + w.attempt + `,` + state + `}`
 }
 
-// eventually waits for a condition, for loopbackLimit at most.
+// eventually waits for a condition, for at most loopbackLimit.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(loopbackLimit); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
@@ -226,5 +228,5 @@
 			return
 		}
 	}
-	t.Fatalf("never: %s", what)
+	t.Fatalf("timed out waiting until %s", what)
 }
--- a/internal/node/message_checks.go
+++ b/internal/node/message_checks.go
@@ -10,15 +10,15 @@
 	"bitternmoor/internal/wire"
 )
 
-// What other controllers send is validated before anything follows from it: a message that is
-// malformed, too large, or of somebody who is no controller of this installation is refused
-// and counted, and changes nothing. Before, a request of an unknown kind was taken for a
-// cancellation, and a heartbeat of anybody sent users and workers there.
+// Messages from other controllers are validated before use. A message that is malformed, too large
+// or not from a controller of this installation is rejected and counted, and changes no state.
+// Without these checks, a request of an unknown kind was handled as a cancellation, and a heartbeat
+// from any sender redirected users and workers to that sender.
 
-// maxReportTasks bounds the tasks of a report: a worker's is at most 64 KiB.
+// maxReportTasks limits the tasks in a relayed report. A worker's own report is at most 64 KiB.
 const maxReportTasks = 4096
 
-// countRefusal counts and logs a message that failed validation; it returns the error.
+// countRefusal counts and logs a message that failed validation with err, and returns err.
 func (n *Node) countRefusal(err error) error {
 	if err != nil {
 		n.refusedMessages.Add(1)
@@ -62,7 +62,7 @@
 		job.CPUs, job.GPUs, job.MemoryGB, job.ImageGB, job.EstimateS, job.Checkpoint, job.SaveS,
 	}
 	for _, amount := range amounts {
-		// Not "amount < 0": that is false of NaN.
+		// "amount < 0" would be false for NaN.
 		if !(amount >= 0) || math.IsInf(amount, 0) {
 			return fmt.Errorf("node: ask: an amount of %v", amount)
 		}
--- a/internal/node/message_checks_test.go
+++ b/internal/node/message_checks_test.go
@@ -13,14 +13,14 @@
 	"bitternmoor/internal/wire"
 )
 
-// checkedNode is controller n0, whose only peer is n1; its loop does not run.
+// checkedNode returns the controller n0, whose only peer is n1. Its loop does not run.
 func checkedNode() *Node {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}}
 	return New(cfg, slog.New(slog.DiscardHandler))
 }
 
-// submissionOf is a sound submission with one change.
+// submissionOf returns a valid submission modified by change.
 func submissionOf(change func(job *eventlog.Job)) UserRequest {
 	job := &eventlog.Job{ID: 7, Class: "c", Team: "t", Tasks: 3, CPUs: 1}
 	change(job)
@@ -32,15 +32,15 @@
 	}
 }
 
-// relayOf is a sound relayed heartbeat with one change.
+// relayOf returns a valid relayed heartbeat modified by change.
 func relayOf(change func(in *effects.RelayedHeartbeat)) effects.RelayedHeartbeat {
 	in := effects.RelayedHeartbeat{Via: "n1", Life: 1, Report: workers.Report{Machine: "m", Session: 1, Seq: 1}}
 	change(&in)
 	return in
 }
 
-// What is malformed, too large or of somebody else is refused and counted, and nothing of it
-// reaches the loop.
+// TestMalformedMessagesAreRefused checks that messages that are malformed, too large or not from a
+// peer are rejected and counted, and that none of them reaches the loop.
 func TestMalformedMessagesAreRefused(t *testing.T) {
 	n := checkedNode()
 	controller := &Controller{n}
@@ -58,54 +58,54 @@
 		name string
 		call func() error
 	}{
-		{"request of no kind", ask(UserRequest{ID: 7})},
+		{"request without a kind", ask(UserRequest{ID: 7})},
 		{"request of an unknown kind", ask(UserRequest{Op: "delete", ID: 7})},
-		{"submission with another job's id", submit(func(job *eventlog.Job) { job.ID = 8 })},
+		{"submission with another job's ID", submit(func(job *eventlog.Job) { job.ID = 8 })},
 		{"submission without tasks", submit(func(job *eventlog.Job) { job.Tasks = 0 })},
 		{"submission with far too many tasks", submit(func(job *eventlog.Job) { job.Tasks = 1 << 40 })},
 		{"submission with an unknown priority", submit(func(job *eventlog.Job) { job.Priority = 9 })},
-		{"submission with an amount that is no number", submit(func(job *eventlog.Job) { job.CPUs = math.NaN() })},
+		{"submission with an amount that is not a number", submit(func(job *eventlog.Job) { job.CPUs = math.NaN() })},
 		{"submission with a long name", submit(func(job *eventlog.Job) { job.Team = string(make([]byte, 300)) })},
-		{"submission with units of pools and without an id", func() error {
+		{"submission with pool units and without an ID", func() error {
 			return controller.AskCounted(UserRequest{Op: opSubmit, ID: 7}, &effects.Answer{})
 		}},
-		{"relay via nobody", relay(func(in *effects.RelayedHeartbeat) { in.Via = "n9" })},
+		{"relay via an unknown controller", relay(func(in *effects.RelayedHeartbeat) { in.Via = "n9" })},
 		{"relay via the controller itself", relay(func(in *effects.RelayedHeartbeat) { in.Via = "n0" })},
 		{"relay without a machine", relay(func(in *effects.RelayedHeartbeat) { in.Report.Machine = "" })},
-		{"relay with a name that no report holds", relay(func(in *effects.RelayedHeartbeat) {
+		{"relay with a name longer than a report may be", relay(func(in *effects.RelayedHeartbeat) {
 			in.Report.Zone = string(make([]byte, 70<<10))
 		})},
 		{"relay without a session", relay(func(in *effects.RelayedHeartbeat) { in.Report.Session = 0 })},
-		{"relay with a task below 0", relay(func(in *effects.RelayedHeartbeat) {
+		{"relay with a negative task number", relay(func(in *effects.RelayedHeartbeat) {
 			in.Report.Tasks = []workers.TaskReport{{Task: -1}}
 		})},
-		{"relay with more tasks than fit", relay(func(in *effects.RelayedHeartbeat) {
+		{"relay with too many tasks", relay(func(in *effects.RelayedHeartbeat) {
 			in.Report.Tasks = make([]workers.TaskReport, 5000)
 		})},
-		{"heartbeat of nobody", heartbeat(HeartbeatMessage{Node: "n9", Epoch: 9})},
-		{"heartbeat of no epoch", heartbeat(HeartbeatMessage{Node: "n1"})},
+		{"heartbeat from an unknown controller", heartbeat(HeartbeatMessage{Node: "n9", Epoch: 9})},
+		{"heartbeat without an epoch", heartbeat(HeartbeatMessage{Node: "n1"})},
 		{"heartbeat in the controller's own name", heartbeat(HeartbeatMessage{Node: "n0", Epoch: 9})},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if c.call() == nil {
-				t.Error("it is accepted")
+				t.Error("the message is accepted")
 			}
 		})
 	}
 	if got := n.refusedMessages.Load(); got != uint64(len(cases)) {
-		t.Errorf("%d refusals are counted, want %d", got, len(cases))
+		t.Errorf("%d rejected messages are counted, want %d", got, len(cases))
 	}
 	if len(n.inputs) > 0 {
 		t.Errorf("%d inputs reached the loop", len(n.inputs))
 	}
 }
 
-// What controllers do send is accepted.
+// TestSoundMessagesAreAccepted checks that valid messages of a peer are accepted.
 func TestSoundMessagesAreAccepted(t *testing.T) {
 	n := checkedNode()
 	controller := &Controller{n}
-	go func() { // in place of the loop
+	go func() { // replaces the loop
 		for in := range n.inputs {
 			in(time.Second)
 			for _, e := range n.core.TakeEffects() {
@@ -117,16 +117,16 @@
 	var answer effects.Answer
 	err := controller.Ask(submissionOf(func(*eventlog.Job) {}), &answer)
 	if err != nil || answer.Status != 503 { // nobody leads
-		t.Errorf("a submission: %v, %+v", err, answer)
+		t.Errorf("submission: error %v, answer %+v", err, answer)
 	}
 	if err := controller.Hail(HeartbeatMessage{Node: "n1", Epoch: 3}, new(bool)); err != nil {
-		t.Errorf("a heartbeat: %v", err)
+		t.Errorf("heartbeat: %v", err)
 	}
 	relayed := relayOf(func(*effects.RelayedHeartbeat) {})
 	if err := controller.Relay(relayed, &effects.HeartbeatAnswer{}); err != nil {
-		t.Errorf("a report: %v", err)
+		t.Errorf("relayed heartbeat: %v", err)
 	}
 	if got := n.refusedMessages.Load(); got != 0 {
-		t.Errorf("%d sound messages are refused", got)
+		t.Errorf("%d valid messages are rejected", got)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,22 +10,22 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// statusCollector turns the status and the components' measurements into metrics. Labels are
-// bounded: by the number of controllers, by fixed words, or by the components.
+// statusCollector exports the status and the components' measurements as metrics. The number of
+// label values is limited by the number of controllers, by fixed words, or by the components.
 type statusCollector struct{ node *Node }
 
 var (
-	descLeading  = prometheus.NewDesc("bitternmoor_leading", "1 on the node that leads.", nil, nil)
-	descEpoch    = prometheus.NewDesc("bitternmoor_epoch", "Highest epoch known.", nil, nil)
+	descLeading  = prometheus.NewDesc("bitternmoor_leading", "1 on the leader, 0 on other nodes.", nil, nil)
+	descEpoch    = prometheus.NewDesc("bitternmoor_epoch", "Highest leader epoch seen by this node.", nil, nil)
 	descUnsaved  = prometheus.NewDesc("bitternmoor_entries_not_durable", "Entries not yet written to the state service.", nil, nil)
 	descJobs     = prometheus.NewDesc("bitternmoor_jobs_open", "Unfinished jobs in the order.", nil, nil)
 	descTasks    = prometheus.NewDesc("bitternmoor_tasks", "Tasks of unfinished jobs.", []string{"state"}, nil)
 	descMachines = prometheus.NewDesc("bitternmoor_block_machines", "Machines in each controller's block.", []string{"holder"}, nil)
-	descEvents   = prometheus.NewDesc("bitternmoor_events_total", "What has happened since the process began.", []string{"event"}, nil)
+	descEvents   = prometheus.NewDesc("bitternmoor_events_total", "Events since the process started, by type.", []string{"event"}, nil)
 )
 
-// Describe implements prometheus.Collector. The components' own metrics are left out: which
-// there are depends on the settings.
+// Describe implements prometheus.Collector. It leaves out the components' own metrics, because they
+// depend on the settings.
 func (s *statusCollector) Describe(descs chan<- *prometheus.Desc) {
 	for _, desc := range []*prometheus.Desc{
 		descLeading, descEpoch, descUnsaved, descJobs, descTasks, descMachines, descEvents,
@@ -34,7 +34,7 @@
 	}
 }
 
-// Collect implements prometheus.Collector: one picture of the core, taken on the loop.
+// Collect implements prometheus.Collector with one consistent snapshot of the core, taken on the loop.
 func (s *statusCollector) Collect(metrics chan<- prometheus.Metric) {
 	var status Status
 	var histograms []cluster.Histogram
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,7 +1,8 @@
-// Package node assembles one controller: Core, a state machine without clock, socket or
-// goroutine, made of leadership election, the leader's term and the shards this node holds;
-// Node, the one loop that feeds inputs to the core and executes the effects it emits; and the
-// adapters around them (user API, peers' RPC, operators' listeners, state service, cloud).
+// Package node assembles one controller. Core is a state machine that uses no clock, socket or
+// goroutine; it consists of the leader election, the leader's term and this node's shard of the
+// machines. Node runs the single loop that passes inputs to the core and executes the effects that
+// the core emits, with the adapters around it (user API, peers' RPC, operators' listeners, state
+// service, cloud).
 package node
 
 import (
@@ -19,7 +20,7 @@
 	"bitternmoor/internal/wire"
 )
 
-// Bounds of queues.
+// Limits of queues and concurrent calls.
 const (
 	inputQueueLength = 512
 	maxDirectCalls   = 8
@@ -30,34 +31,34 @@
 	settings *settings.Settings
 	log      *slog.Logger
 
-	// The core and what only the loop touches.
+	// Accessed only by the loop.
 	core              *Core
 	lastRequestID     effects.RequestID
 	pendingUsers      map[effects.RequestID]chan effects.Answer
 	pendingHeartbeats map[effects.RequestID]chan effects.HeartbeatAnswer
 
-	// How other goroutines reach the loop, and what they may read of its state.
+	// How other goroutines pass inputs to the loop, and what they may read of its state.
 	inputs   chan input
 	start    time.Time // the core's time 0
 	snapshot atomic.Pointer[leadershipSnapshot]
 
-	// Whom this controller calls.
+	// Clients of the other services and processes.
 	state       *wire.StateClient
 	cloud       *wire.CloudClient
 	workers     *wire.WorkerClient
 	peers       map[string]*peer
-	notifier    *webhook.Sender // nil: operators are notified by logs alone
-	directCalls chan struct{}   // a semaphore: SendStops calls under way
-	calls       sync.WaitGroup  // goroutines of calls; the loop begins them, runLoop ends them
+	notifier    *webhook.Sender // nil: operators are notified only through the log
+	directCalls chan struct{}   // semaphore of the SendStops calls in progress
+	calls       sync.WaitGroup  // goroutines of calls; started by the loop, awaited by runLoop
 
 	receiptKeys     receiptKeyCache
-	refusedMessages atomic.Uint64 // messages of other controllers that failed validation
+	refusedMessages atomic.Uint64 // messages from other controllers that failed validation
 
-	admissionMu sync.Mutex            // guards the state of admission, not the pointer
+	admissionMu sync.Mutex            // guards the state behind admission, not the pointer
 	admission   *admission.Controller // nil: no rate limit
 }
 
-// New makes a controller. It opens no socket: Run does.
+// New makes a controller. Run opens its sockets.
 func New(cfg *settings.Settings, log *slog.Logger) *Node {
 	start := time.Now()
 	n := &Node{
@@ -87,8 +88,8 @@
 	return n
 }
 
-// Run serves until the context ends or a listener fails. It ends the goroutines that it has
-// begun, and waits for them; those of net/http and net/rpc for connections end by themselves.
+// Run serves until the context ends or a listener fails. It stops the goroutines that it started
+// and waits for them. The connection goroutines of net/http and net/rpc end by themselves.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
 	var owned sync.WaitGroup
@@ -126,5 +127,5 @@
 	if ctx.Err() != nil {
 		return nil
 	}
-	return fmt.Errorf("node: serving: %w", err)
+	return fmt.Errorf("node: serve HTTP: %w", err)
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -10,11 +10,11 @@
 	"bitternmoor/internal/operators/control"
 )
 
-// maxOperatorConnections bounds the connections of the operators' listener.
+// maxOperatorConnections limits the open connections of the operators' listener.
 const maxOperatorConnections = 16
 
-// openOperators opens the server of those who may change something, over TLS with client
-// certificates; nil where none is configured.
+// openOperators opens the operators' server, which uses TLS with client certificates. It returns
+// nil if none is configured.
 func (n *Node) openOperators() (*server, error) {
 	access := n.settings.Tunables.Operators()
 	if access.Listen == "" {
@@ -23,11 +23,11 @@
 	files := certs.Files{Cert: access.CertFile, Key: access.KeyFile, CA: access.CAFile}
 	store, err := certs.NewStore(files, n.log)
 	if err != nil {
-		return nil, fmt.Errorf("node: operators: %w", err)
+		return nil, fmt.Errorf("node: read the operators' certificates: %w", err)
 	}
 	listener, err := net.Listen("tcp4", access.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("node: operators.listen: %w", err)
+		return nil, fmt.Errorf("node: listen on operators.listen: %w", err)
 	}
 	roles := control.Roles{
 		Read:     access.Read,
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// redirectInterval is for how long no machine is redirected, once one that was redirected
-	// within that time has come back.
+	// redirectInterval is how long no machine is redirected after one that had been redirected
+	// within that time came back.
 	redirectInterval = 15 * time.Second
-	// simultaneousWindow: what is lost within this time of one another is lost at once.
+	// simultaneousWindow is the time within which two losses count as simultaneous.
 	simultaneousWindow = 4 * time.Second
 )
 
-// PeerReached notes whether a call reached the leader of that name, or a probe of it.
+// PeerReached records whether a call or a probe reached the leader with the given name.
 func (c *Core) PeerReached(now time.Duration, leader string, ok bool) {
 	switch {
 	case leader != c.elector.LeaderName():
@@ -28,8 +28,8 @@
 	}
 }
 
-// Partitioned says whether somebody leads, as the state service shows, whom this node has not
-// reached for longer than a dead leader's lease lasts: it can take neither users' requests nor
+// Partitioned reports whether, according to the state service, another node leads that this one
+// has not reached for unreachableLimit. Such a node can serve neither users' requests nor
 // heartbeats.
 func (c *Core) Partitioned(now time.Duration) bool {
 	leader := c.elector.LeaderName()
@@ -38,8 +38,8 @@
 		c.elector.Watching()
 }
 
-// probeUnreachedLeader asks now and then whether a leader that was not reached can be: there
-// may be no heartbeat or request any more by which that would show.
+// probeUnreachedLeader periodically probes a leader that was not reached, because there may be no
+// heartbeat or request left that would detect that it can be reached again.
 func (c *Core) probeUnreachedLeader(now time.Duration) {
 	if c.unreachedLeader != c.elector.LeaderName() {
 		c.unreachedLeader = ""
@@ -50,11 +50,11 @@
 	}
 }
 
-// zoneCutOff says whether this node seems to be cut off with its zone: no leader has sent it a
-// heartbeat for longer than a dead one's lease lasts, nor does the state service answer. Then it
-// keeps alive whoever comes to it, for as long as the leader waits for a zone: with the highest
-// token that the worker has seen, and with nothing to do. Such a worker has tried the others
-// before, and would be the same at another node that is cut off too.
+// zoneCutOff reports whether this node's zone seems to be disconnected: it has not heard from a
+// leader for longer than the lease of a stopped leader lasts, and the state service does not
+// answer. The node then answers every worker with the highest token that the worker has seen and
+// no commands, for as long as the leader waits for a silent zone. Such a worker has already tried
+// the other controllers, and would get the same answer from another disconnected one.
 func (c *Core) zoneCutOff(now time.Duration) bool {
 	heardAt, _ := c.elector.LeaderlessTimes()
 	silent := now - heardAt
@@ -64,18 +64,18 @@
 		!c.elector.StateServiceAnswers(now)
 }
 
-// isolatedLeader says whether this leader has lost the state service and all other controllers,
-// and both at once: then the fault is most likely on its side, and somebody else leads by now
-// or will. Others that were gone before are not cut off from it: found on a day on which the
-// state service went out while they were not back yet from a crash; their leader sent its
-// machines to controllers that were not there.
+// isolatedLeader reports whether this leader lost the state service and all other controllers at
+// the same time. Then the fault is most likely on its own side, and another node leads or will do
+// so soon. The losses must be simultaneous: when the state service failed while the other
+// controllers had not yet restarted after a crash, the leader redirected its machines to
+// controllers that were not running.
 func (c *Core) isolatedLeader(now time.Duration) bool {
 	var lastAnswerAt time.Duration
 	for _, at := range c.peerAnsweredAt {
 		lastAnswerAt = max(lastAnswerAt, at)
 	}
-	// A lease that is valid was renewed within its length: the state service answered until then
-	// at least.
+	// A valid lease was renewed at most one lease duration ago, so the state service answered at
+	// least until then.
 	stateServiceAnsweredAt := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderLeaseS)
 	return lastAnswerAt > 0 &&
 		now-c.leaseValidAt > c.unreachableLimit() &&
@@ -83,8 +83,9 @@
 		lastAnswerAt > stateServiceAnsweredAt-simultaneousWindow
 }
 
-// isolatedFollower says the same of a node that does not lead: for longer than a dead leader's
-// lease lasts and a call takes it has reached neither the leader nor the state service.
+// isolatedFollower is isolatedLeader for a node that does not lead: it lost the leader and the state
+// service at about the same time, and has not reached the leader for unreachableLimit and the
+// duration of a call.
 func (c *Core) isolatedFollower(now time.Duration) bool {
 	return c.unreachedLeader != "" &&
 		now-c.unreachedSince >= c.unreachableLimit()+peerTimeout &&
@@ -92,19 +93,18 @@
 		c.unreachedSince < c.elector.StateServiceAnsweredAt()+simultaneousWindow
 }
 
-// redirectToLeader has a machine report to the leader itself when this node has not reached the
-// leader for longer than a dead one's lease lasts, while the state service still shows it to
-// lead. Found on days when controllers refused one another: each kept its workers alive for a
-// shard's lease, the leader heard most of them no more, gave up leading, and the next one
-// likewise. A machine that comes back has not reached the leader either: then all are kept alive
-// as before. It says whether the machine was answered.
+// redirectToLeader redirects a machine to the leader itself if this node is partitioned from it.
+// Without this, when controllers rejected one another's connections, each kept its workers alive
+// for a shard lease, the leader no longer heard most of them and resigned, and so did the next one.
+// A machine that comes back could not reach the leader either, so all are kept alive for a while.
+// It reports whether the machine was answered.
 func (c *Core) redirectToLeader(now time.Duration, to effects.RequestID, report *workers.Report) bool {
 	c.noteReturn(now, report.Machine)
 	if c.returnedLately(now) || !c.Partitioned(now) {
 		return false
 	}
 	if _, ours := c.shards.KeepAlive(now, report); !ours {
-		return false // it goes from node to node by itself, and may have come from there
+		return false // such a machine tries the controllers in turn, and may come from the leader
 	}
 	leader := c.elector.LeaderName()
 	c.redirectedAt[report.Machine] = now
@@ -113,12 +113,12 @@
 	return true
 }
 
-// turnAway has a machine try the other controllers, once: the leader gives it up when it does
-// not come there in time. Those that come back have found nobody else, as in a zone that is cut
-// off as a whole: then all are kept alive as before. One that was never in this node's shard is
-// always turned away. Found in a scenario in which the leader lost the state service and its
-// peers but not its workers: new machines came to it first, were kept alive there, and the next
-// leader never heard them. It says whether the machine was answered.
+// turnAway rejects a machine's heartbeat so that the machine tries the other controllers, before the
+// leader treats it as lost. Machines of this node's shard are rejected once: if one comes back, no
+// other controller answered, as in a disconnected zone, so all are kept alive for a while. Other
+// machines are always rejected: when a leader lost the state service and its peers but not its
+// workers, new machines were kept alive there, and the next leader never heard from them. It reports
+// whether the machine was answered.
 func (c *Core) turnAway(now time.Duration, to effects.RequestID, report *workers.Report) bool {
 	if c.zoneCutOff(now) {
 		return false
@@ -134,7 +134,7 @@
 	return true
 }
 
-// noteReturn notes that a machine has come back here, if it was redirected.
+// noteReturn records the return of a machine that was redirected.
 func (c *Core) noteReturn(now time.Duration, machine string) {
 	if _, redirected := c.redirectedAt[machine]; redirected {
 		c.lastReturnAt = now
--- a/internal/node/peer_rpc.go
+++ b/internal/node/peer_rpc.go
@@ -10,8 +10,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// Controller is what peers may call over net/rpc. The names of its methods, and the fields of
-// their arguments and results, are part of the protocol between versions: older controllers
+// Controller is the net/rpc service that peers call. Its method names and the fields of their
+// arguments and results are part of the protocol between versions: controllers of older versions
 // call them, and gob matches fields by name.
 type Controller struct{ node *Node }
 
@@ -20,8 +20,8 @@
 	Op         string // one of the operations below
 	ID         uint64 // of the job
 	Submission wire.Submission
-	// Whole says that the controller which took the request has read all that it asks
-	// for. Older ones, which do not know of pools, leave it out.
+	// Whole is set if the controller that received the request parsed all of its fields. Older
+	// versions, which do not support pools, leave it out.
 	Whole bool
 }
 
@@ -32,41 +32,42 @@
 	opAbort  = "abort"
 )
 
-// PreviousLeaderAnswer says how long ago, in milliseconds, a controller last heard a leader, if
-// it ever did, for how long it heard that one, and what that one said of its fleet.
+// PreviousLeaderAnswer reports whether a controller ever heard from an earlier leader, how long ago
+// it last did, for how long it heard from that leader (both in milliseconds), and the fleet
+// knowledge that the leader last reported.
 type PreviousLeaderAnswer struct {
 	Ever            bool
 	AgoMS, LastedMS int64
 	Fleet           leadership.FleetKnowledge
 }
 
-// HeartbeatMessage says who leads, and in which epoch.
+// HeartbeatMessage names the leader and its epoch.
 type HeartbeatMessage struct {
 	Node  string
 	Epoch uint64
-	Fleet leadership.FleetKnowledge // left out where nothing is said
+	Fleet leadership.FleetKnowledge // gob omits FleetUnspecified, the zero value
 }
 
-// ConfigHeartbeatMessage is a heartbeat with changes of the configuration.
+// ConfigHeartbeatMessage is a heartbeat with configuration changes.
 type ConfigHeartbeatMessage struct {
 	Heartbeat HeartbeatMessage
 	Update    config.Update
 }
 
-// ConfigAnswer is the revision of the configuration that a controller has in force.
+// ConfigAnswer is the configuration revision in force on a controller.
 type ConfigAnswer struct{ Revision uint64 }
 
 // Here answers a probe.
 func (c *Controller) Here(struct{}, *bool) error { return nil }
 
-// Ask serves a request that another controller's user made. It is never forwarded a second
+// Ask serves a user's request that another controller forwarded. It is never forwarded a second
 // time.
 func (c *Controller) Ask(in UserRequest, out *effects.Answer) error {
 	if err := c.node.countRefusal(c.node.checkUserRequest(in)); err != nil {
 		return err
 	}
 	if in.Op == opSubmit && !in.Whole && len(c.node.settings.Tunables.Pools) > 0 {
-		// What the job needs of pools may have been overlooked by the controller that took it.
+		// The controller that received the submission may have ignored the job's pool units.
 		*out = effects.Unavailable("the controller that took this knows nothing of pools")
 		return nil
 	}
@@ -74,11 +75,11 @@
 	return nil
 }
 
-// AskCounted serves a submission that needs units of pools. It has a name of its own so that
-// a leader that knows nothing of pools refuses it.
+// AskCounted serves a submission that needs units of pools. It is a separate method so that a
+// leader of a version without pools rejects the call.
 func (c *Controller) AskCounted(in UserRequest, out *effects.Answer) error { return c.Ask(in, out) }
 
-// LedBefore tells a new leader when this controller last heard one of an earlier epoch.
+// LedBefore returns to a new leader this controller's record of the last leader of an earlier epoch.
 func (c *Controller) LedBefore(epoch uint64, out *PreviousLeaderAnswer) error {
 	return c.node.runOnLoop(func(now time.Duration) {
 		previous := c.node.core.PreviousLeader(epoch)
@@ -91,7 +92,7 @@
 	})
 }
 
-// Hail takes the leader's heartbeat. Its name is the one that older versions call.
+// Hail handles the leader's heartbeat. Older versions call it by this name.
 func (c *Controller) Hail(in HeartbeatMessage, _ *bool) error {
 	if err := c.node.countRefusal(c.node.checkHeartbeat(in)); err != nil {
 		return err
@@ -101,7 +102,7 @@
 	})
 }
 
-// ConfigHeartbeat takes the leader's heartbeat with changes of the configuration.
+// ConfigHeartbeat handles the leader's heartbeat with configuration changes.
 func (c *Controller) ConfigHeartbeat(in ConfigHeartbeatMessage, out *ConfigAnswer) error {
 	err := errors.Join(c.node.checkHeartbeat(in.Heartbeat), c.node.checkConfig(in.Update))
 	if err := c.node.countRefusal(err); err != nil {
@@ -113,8 +114,8 @@
 	})
 }
 
-// Relay serves a worker's heartbeat that another controller received. It is never relayed a
-// second time.
+// Relay serves a worker's heartbeat that another controller relayed. It is never relayed a second
+// time.
 func (c *Controller) Relay(in effects.RelayedHeartbeat, out *effects.HeartbeatAnswer) error {
 	if err := c.node.countRefusal(c.node.checkRelay(in)); err != nil {
 		return err
@@ -126,12 +127,12 @@
 	return err
 }
 
-// Status serves a peer's operator who asks for the leader's status.
+// Status returns this node's status to a peer, on behalf of an operator.
 func (c *Controller) Status(_ struct{}, out *Status) error {
 	return c.node.runOnLoop(func(now time.Duration) { *out = c.node.core.Status(now) })
 }
 
-// Explain serves a peer's operator who asks where a job stands.
+// Explain returns the explanation of a job to a peer, on behalf of an operator.
 func (c *Controller) Explain(id uint64, out *Explanation) error {
 	known := false
 	err := c.node.runOnLoop(func(now time.Duration) { *out, known = c.node.core.Explain(now, id) })
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -16,24 +16,24 @@
 const (
 	peerTimeout     = 1200 * time.Millisecond
 	peerDialTimeout = 500 * time.Millisecond
-	// peerGreeting is the status line by which net/rpc accepts a CONNECT.
+	// peerGreeting is the HTTP status with which net/rpc accepts a CONNECT request.
 	peerGreeting = "200 Connected to Go RPC"
 )
 
-// peer is another controller, called over net/rpc on one connection at a time.
+// peer is a client of another controller, which uses one net/rpc connection at a time.
 type peer struct {
 	address string
 	client  atomic.Pointer[rpc.Client] // nil: not connected
 }
 
-// exceeded says whether a call has taken longer than it may. A process that was stopped and
-// resumed finds its answer and its deadline ready together: the answer may be as old as the
-// stop was long, and its user may have been told something newer elsewhere.
+// exceeded reports whether a call took longer than the limit. In a process that was suspended and
+// resumed, the answer and the timer become ready together. Such an answer may be as old as the
+// suspension was long, and the user may have received a newer one from another controller.
 func exceeded(began time.Time, limit time.Duration) bool { return time.Since(began) > limit }
 
-// call makes one call with a deadline, which net/rpc itself does not have. Errors of the
-// remote method are rpc.ServerError; after any other the connection is closed, since it may
-// have missed the deadline.
+// call makes one call with a timeout, which net/rpc does not support. Errors of the remote method
+// have the type rpc.ServerError. After any other error the connection is closed, since an answer
+// may still be outstanding on it.
 func (p *peer) call(ctx context.Context, method string, in, out any) error {
 	began := time.Now()
 	deadline := time.NewTimer(peerTimeout)
@@ -55,13 +55,13 @@
 	}
 	var remote rpc.ServerError
 	if err != nil && !errors.As(err, &remote) && p.client.CompareAndSwap(client, nil) {
-		_ = client.Close() // it fails only where the connection is closed already
+		_ = client.Close() // fails only if the connection is already closed
 	}
 	return err
 }
 
-// connect returns the connection to the peer, opening it if there is none. Of two that are
-// opened at once, one is kept.
+// connect returns the connection to the peer, and opens it if there is none. If two goroutines open
+// one at the same time, only one is kept.
 func (p *peer) connect(ctx context.Context) (*rpc.Client, error) {
 	if client := p.client.Load(); client != nil {
 		return client, nil
@@ -73,7 +73,7 @@
 	if p.client.CompareAndSwap(nil, fresh) {
 		return fresh, nil
 	}
-	_ = fresh.Close() // nothing was sent on it
+	_ = fresh.Close() // no call was made on it
 	if client := p.client.Load(); client != nil {
 		return client, nil
 	}
@@ -83,37 +83,37 @@
 // close closes the connection, if there is one.
 func (p *peer) close() {
 	if client := p.client.Swap(nil); client != nil {
-		_ = client.Close() // it fails only where the connection is closed already
+		_ = client.Close() // fails only if the connection is already closed
 	}
 }
 
-// reachable says whether a peer answers. Whether it knows the method does not matter: an
-// error of its own is an answer too.
+// reachable reports whether the peer answers a probe. An error of the remote side, such as an
+// unknown method, is an answer too.
 func (p *peer) reachable(ctx context.Context) bool {
 	err := p.call(ctx, "Controller.Here", struct{}{}, new(bool))
 	var remote rpc.ServerError
 	return err == nil || errors.As(err, &remote)
 }
 
-// dialPeer opens a connection for calls, as rpc.DialHTTPPath does, but with deadlines.
+// dialPeer opens an RPC connection as rpc.DialHTTPPath does, but with timeouts.
 func dialPeer(ctx context.Context, address string) (*rpc.Client, error) {
 	dialer := net.Dialer{Timeout: peerDialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, fmt.Errorf("node: %w", err)
 	}
-	interrupt := func() { _ = conn.SetDeadline(time.Now()) } // it fails only on a closed connection
+	interrupt := func() { _ = conn.SetDeadline(time.Now()) } // fails only on a closed connection
 	stop := context.AfterFunc(ctx, interrupt)
 	defer stop()
 	if err := greetPeer(conn); err != nil {
-		_ = conn.Close() // the error that counts is the greeting's
+		_ = conn.Close() // the error of greetPeer is returned instead
 		return nil, fmt.Errorf("node: %s: %w", address, err)
 	}
 	return rpc.NewClient(conn), nil
 }
 
-// greetPeer asks for net/rpc on a fresh connection, within peerTimeout. Errors of setting the
-// deadline are left to the reads and writes, which fail on such a connection too.
+// greetPeer sends net/rpc's CONNECT request on a new connection, and checks the answer, within
+// peerTimeout. Errors of setting the deadline are ignored, because reads and writes then fail too.
 func greetPeer(conn net.Conn) error {
 	_ = conn.SetDeadline(time.Now().Add(peerTimeout))
 	if _, err := io.WriteString(conn, "CONNECT "+PathPeers+" HTTP/1.0\n\n"); err != nil {
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -24,20 +24,20 @@
 	poolsLimit = 90 * time.Second
 )
 
-// poolsTest is two controllers with a pool of three licences, and workers whose every start is
-// counted.
+// poolsTest is a cluster of two controllers with a pool of three licences, and a simulated fleet
+// that counts the units held at every task start.
 type poolsTest struct {
 	*testCluster
-	dir      string // certificates and the key of receipts
+	dir      string // holds the certificates and the key that signs receipts
 	fleet    *standin.Fleet
 	store    *standin.StateService
-	operator *tls.Config // ann's, who may operate
+	operator *tls.Config // TLS configuration of ann, who has the operate role
 }
 
-// TestPoolsLoopback takes counted units through real sockets: the user API, workers that are
-// killed and cut off, a leader that ends, the operators' listener with certificates, and
-// receipts. What workers really run is counted at every start. A long run with processes
-// that are killed is in internal/upgrade.
+// TestPoolsLoopback checks over real sockets that a pool's units are never exceeded. It covers the
+// user API, workers that are killed or disconnected, a leader that stops, the operators' listener
+// with certificates, and receipts. The simulated fleet counts the units that tasks actually hold at
+// every start. A long run that kills processes is in internal/upgrade.
 func TestPoolsLoopback(t *testing.T) {
 	p := newPoolsTest(t)
 	stopFirst := p.start(0)
@@ -48,9 +48,9 @@
 	p.disturb(t, stopFirst)
 	_, err := p.change(t, `{"id":"late","pool":"licence","version":0,"units":3}`)
 	if err == nil || !strings.Contains(err.Error(), "version") {
-		t.Errorf("planned for a version that has passed: %v", err)
+		t.Errorf("a change planned for an outdated version returns %v", err)
 	}
-	p.await(t, "a holder is certified", func() bool { return p.certifyHolder(t) })
+	p.await(t, "a holder has a receipt", func() bool { return p.certifyHolder(t) })
 	for id := 1; id <= poolsJobs; id++ {
 		p.await(t, "the job is done", func() bool {
 			_, out, _ := ask(t, "GET", fmt.Sprintf("%s/api/jobs/j-%06d", p.public(1), id), "")
@@ -61,7 +61,7 @@
 		t.Error(broken)
 	}
 	if peak := p.fleet.PoolPeak("licence"); peak != 3 {
-		t.Errorf("at most %d licences were held", peak)
+		t.Errorf("the peak of licences held is %d, want 3", peak)
 	}
 }
 
@@ -95,7 +95,7 @@
 
 func (p *poolsTest) file(name string) string { return filepath.Join(p.dir, name) }
 
-// makeCertificates writes the controllers' and ann's certificates and the key of receipts.
+// makeCertificates writes the certificates of the controllers and of ann, and the receipt key.
 func (p *poolsTest) makeCertificates(t *testing.T) {
 	t.Helper()
 	if err := certs.MakeCA(p.dir, "test CA", time.Hour); err != nil {
@@ -116,7 +116,7 @@
 	p.operator = pair.Client()
 }
 
-// await waits for a condition, and shows where jobs and licences stand if it does not come.
+// await waits for a condition. On a timeout it prints the state of the jobs and of the pool.
 func (p *poolsTest) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(poolsLimit); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
@@ -130,10 +130,10 @@
 	}
 	_, out, _ := ask(t, "GET", p.internal(1)+PathComponents+"pools/licence", "")
 	_, status, _ := ask(t, "GET", p.internal(1)+PathStatus, "")
-	t.Fatalf("never: %s; %v; %v", what, out, status["machines"])
+	t.Fatalf("timed out waiting until %s; pool: %v; machines: %v", what, out, status["machines"])
 }
 
-// submit submits a job of three tasks to one controller or the other.
+// submit submits a job of three tasks, to one controller or the other depending on the ID.
 func (p *poolsTest) submit(t *testing.T, id int, counted string) int {
 	t.Helper()
 	status, _, _ := ask(t, "POST", p.public(id%2)+"/api/jobs", fmt.Sprintf(`{"name_id":"j-%06d","herd":"c",
@@ -143,7 +143,7 @@
 	return status
 }
 
-// submitJobs submits the jobs, and some that ask for units as they cannot be had.
+// submitJobs submits the jobs, and some with invalid or unsatisfiable pool requirements.
 func (p *poolsTest) submitJobs(t *testing.T) {
 	t.Helper()
 	for id := 1; id <= poolsJobs; id++ {
@@ -158,17 +158,17 @@
 		`{"pool":"licence","units":1,"per":"day"}`:  400,
 	} {
 		if status := p.submit(t, 99, counted); status != want {
-			t.Errorf("%s gives %d", counted, status)
+			t.Errorf("%s returns %d", counted, status)
 		}
 	}
 }
 
-// client is ann's, to a controller's operators' listener.
+// client returns ann's client for a controller's operators' listener.
 func (p *poolsTest) client(i int) *control.Client {
 	return control.NewClient(p.settings[i].Tunables.OperatorsListen, p.operator)
 }
 
-// change changes the pool.
+// change sends a change of the pool to the second controller.
 func (p *poolsTest) change(t *testing.T, body string) (changed pools.Changed, err error) {
 	t.Helper()
 	raw, err := p.client(1).Change(t.Context(), pools.Name, json.RawMessage(`{"change":`+body+`}`))
@@ -182,41 +182,41 @@
 	t.Helper()
 	for _, component := range []string{"pools", "config"} {
 		if status, _, _ := ask(t, "POST", p.internal(0)+PathComponents+component, `{}`); status != 403 {
-			t.Errorf("a change of %s without a certificate gives %d", component, status)
+			t.Errorf("a change of %s without a certificate returns %d", component, status)
 		}
 	}
 }
 
-// addTeam changes the configuration, and sees it in force on both controllers.
+// addTeam adds a team to the configuration, and waits until it is in force on both controllers.
 func (p *poolsTest) addTeam(t *testing.T) {
 	t.Helper()
-	p.await(t, "a team comes to be", func() bool {
+	p.await(t, "the new team is durable", func() bool {
 		body := `{"id":"guests","revision":0,"changes":[{"item":{"team":"guests"},"value":{"limits":{"cpus_max":2}}}]}`
 		raw, err := p.client(1).Change(t.Context(), "config", json.RawMessage(body))
 		return err == nil && strings.Contains(string(raw), `"durable":true`)
 	})
 	for _, c := range p.settings {
-		p.await(t, "it is in force everywhere", func() bool {
+		p.await(t, "the new team is in force on the controller", func() bool {
 			var here struct{ Revision uint64 }
 			return getJSON(c.InternalAddr, "config/here", &here) && here.Revision == 1
 		})
 	}
 	_, out, _ := ask(t, "GET", p.internal(0)+PathComponents+"config", "")
 	if !strings.Contains(fmt.Sprint(out["teams"]), "guests") {
-		t.Errorf("the team is not shown: %v", out)
+		t.Errorf("the view does not show the team: %v", out)
 	}
 	raw, err := p.client(0).Show(t.Context(), "config/history")
 	if err != nil || !strings.Contains(string(raw), `"by":"ann"`) {
-		t.Errorf("who made a change is not remembered: %s %v", raw, err)
+		t.Errorf("the history does not name the author of the change: %s %v", raw, err)
 	}
 }
 
-// disturb kills workers and cuts them off past their lease; meanwhile the pool is made smaller,
-// and the first controller ends and starts again.
+// disturb kills workers and disconnects others for longer than their lease. Meanwhile it shrinks the
+// pool and restarts the first controller.
 func (p *poolsTest) disturb(t *testing.T, stopFirst func()) {
 	t.Helper()
 	for round := range 12 {
-		p.await(t, "something runs", func() bool { return len(p.fleet.Busy()) > 0 })
+		p.await(t, "a task runs", func() bool { return len(p.fleet.Busy()) > 0 })
 		if busy := p.fleet.Busy(); len(busy) > 0 && round%2 == 0 {
 			p.fleet.StopWorker(standin.Machine{Name: busy[0]})
 		} else if len(busy) > 0 {
@@ -224,7 +224,7 @@
 		}
 		switch round {
 		case 3:
-			p.await(t, "the pool is made smaller", func() bool {
+			p.await(t, "the pool is shrunk", func() bool {
 				done, err := p.change(t, `{"id":"smaller","pool":"licence","version":0,"units":2}`)
 				return err == nil && done.Durable && done.Pool.Units == 2
 			})
@@ -238,8 +238,8 @@
 	}
 }
 
-// certifyHolder asks for the receipt of one attempt that runs, and for one of another attempt of
-// that task, which must be refused. It says whether it found one that is certified.
+// certifyHolder requests a receipt for a running attempt, and then one for another attempt of the
+// same task, which must be rejected. It reports whether it found an attempt that gets a receipt.
 func (p *poolsTest) certifyHolder(t *testing.T) bool {
 	t.Helper()
 	var view pools.View
@@ -258,7 +258,7 @@
 		}
 		p.verifyReceipt(t, out["receipt"].(string), fmt.Sprintf("%s/%d", job, task))
 		if status, _ := p.receipt(t, job, task, attempt+1); status != 409 {
-			t.Errorf("another attempt gets %d", status)
+			t.Errorf("a receipt for another attempt returns %d", status)
 		}
 		return true
 	}
@@ -272,7 +272,7 @@
 	return status, out
 }
 
-// verifyReceipt checks that a receipt is signed, and for one numbered unit of that task.
+// verifyReceipt checks that a receipt is validly signed and names one numbered unit for the subject.
 func (p *poolsTest) verifyReceipt(t *testing.T, receipt, subject string) {
 	t.Helper()
 	keys, err := receipts.Read([]string{p.file("receipt.key")})
@@ -281,6 +281,6 @@
 	}
 	claims, _, err := keys.Verify(receipt, time.Now())
 	if err != nil || claims.Subject != subject || len(claims.Units) != 1 || len(claims.Units[0].Numbers) != 1 {
-		t.Errorf("%+v %v", claims, err)
+		t.Errorf("receipt has claims %+v, error %v", claims, err)
 	}
 }
--- a/internal/node/receipts.go
+++ b/internal/node/receipts.go
@@ -14,10 +14,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// PathReceipts is where a task asks for a receipt for its units of pools.
+// PathReceipts is the path of requests for a receipt, which proves the pool units a task holds.
 const PathReceipts = "/receipts"
 
-// receiptRequest is the body of that request.
+// receiptRequest is the JSON body of a request for a receipt.
 type receiptRequest struct {
 	Job     string `json:"job"`
 	Task    int    `json:"task"`
@@ -27,15 +27,15 @@
 const (
 	maxReceiptRetries = 8
 	receiptRetryDelay = 100 * time.Millisecond
-	// receiptKeysMaxAge is how long the keys are used before their files are read again.
+	// receiptKeysMaxAge is how long cached keys are used before their files are read again.
 	receiptKeysMaxAge = 5 * time.Second
 
-	retryUncertainS = "1"  // Retry-After where the holding is not durable yet
-	retryUnsignedS  = "30" // Retry-After where the keys cannot be read
+	retryUncertainS = "1"  // Retry-After in seconds if the holding is not durable yet
+	retryUnsignedS  = "30" // Retry-After in seconds if the keys cannot be read
 )
 
-// handleReceipt answers a task that asks for a receipt: 200 with it, 409 where the task is
-// not, or not any more, held by that attempt, 503 where that cannot be told now.
+// handleReceipt serves a task's request for a receipt. It answers 200 with the receipt, 409 if that
+// attempt does not hold the task's units (any more), or 503 if this is not known at present.
 func (n *Node) handleReceipt(w http.ResponseWriter, r *http.Request) {
 	body, err := wire.ReadBody(r.Body)
 	var in receiptRequest
@@ -68,7 +68,8 @@
 
 var errReceiptNotDurable = errors.New("node: the receipt's holding is not durable yet")
 
-// durableReceipt asks the pools for a receipt, and again until what it says is durable.
+// durableReceipt requests a receipt from the pools component. It retries up to maxReceiptRetries times
+// until the holding is durable.
 func (n *Node) durableReceipt(request json.RawMessage) (*pools.Receipt, error) {
 	for retry := 0; ; retry++ {
 		raw, err := n.ChangeComponent("", pools.Name, request)
@@ -86,7 +87,7 @@
 	}
 }
 
-// signReceipt answers with a signed token that says which units the task's attempt holds.
+// signReceipt answers with a signed token that lists the units which the task's attempt holds.
 func (n *Node) signReceipt(w http.ResponseWriter, job string, receipt *pools.Receipt) {
 	keys, err := n.receiptKeys.get(n.settings.Tunables.ReceiptKeys())
 	if err != nil {
@@ -111,10 +112,10 @@
 	}{Receipt: token})
 }
 
-// receiptKeyCache reads the keys of receipts again from time to time: they are changed while
-// controllers run.
+// receiptKeyCache caches the keys that sign receipts. It reads their files again periodically,
+// because the keys can change while the controller runs.
 type receiptKeyCache struct {
-	mu     sync.Mutex // guards what follows
+	mu     sync.Mutex // guards the fields below
 	keys   receipts.Keys
 	readAt time.Time
 }
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -22,7 +22,7 @@
 	"bitternmoor/internal/scaletest/standin"
 )
 
-// recorded is one run of a kind of work, as it was recorded.
+// recorded is one recorded job of a kind of work, with the durations of its tasks.
 type recorded struct {
 	round        int
 	class, image string
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = f.Close() }() // it is only read
+	defer func() { _ = f.Close() }() // opened only for reading
 	for lines := bufio.NewScanner(f); lines.Scan(); {
 		if strings.HasPrefix(lines.Text(), "#") {
 			continue
@@ -59,7 +59,7 @@
 	return list
 }
 
-// replayed is what became of a run.
+// replayed is the outcome of replaying one recorded job.
 type replayed struct {
 	recorded
 	submitted, ended time.Time
@@ -68,9 +68,9 @@
 	lead             float64
 }
 
-// TestReplay plays recorded runs with stand-in workers over real sockets, round after
-// round, and reports how near estimates land and what warnings are worth. It takes
-// minutes: REPLAY=1 has it run.
+// TestReplay replays recorded jobs with simulated workers over real sockets, round by round. It
+// reports how accurate the run time estimates are, and how many warnings of late jobs are correct.
+// It takes minutes, so it runs only if REPLAY is set.
 func TestReplay(t *testing.T) {
 	if os.Getenv("REPLAY") == "" {
 		t.Skip("REPLAY is not set")
@@ -78,7 +78,7 @@
 	list := readRecorded(t)
 	var mu sync.Mutex
 	jobs := map[string]*replayed{}
-	told := map[string]bool{} // by the webhook
+	told := map[string]bool{} // jobs of which the webhook was notified
 	hook := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		var x struct{ What, Job string }
@@ -144,7 +144,8 @@
 	reportReplay(t, jobs, told)
 }
 
-// watch notes what the leader expects of open jobs, and which are over.
+// watch records the leader's forecasts and warnings, and which jobs have ended. It returns how many
+// jobs are still open.
 func watch(addr string, mu *sync.Mutex, jobs map[string]*replayed) int {
 	var list []runtimes.Forecast
 	var late []runtimes.Late
@@ -254,14 +255,14 @@
 	}) {
 		s := scores[key]
 		n := float64(s.n)
-		t.Logf("%-26s within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f of %d", key, float64(s.within[0])/n, float64(s.within[1])/n, float64(s.within[2])/n, s.n)
+		t.Logf("%-26s share within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f, of %d jobs", key, float64(s.within[0])/n, float64(s.within[1])/n, float64(s.within[2])/n, s.n)
 	}
 	slices.Sort(leads)
 	if len(leads) > 0 {
-		t.Logf("lead: %.1f s at least, %.1f s median", leads[0], leads[len(leads)/2])
+		t.Logf("warning lead time: %.1f s minimum, %.1f s median", leads[0], leads[len(leads)/2])
 	}
-	t.Logf("%d runs: %d warned of, %d rightly, %d falsely, %d missed, %d after the deadline, %d not told by the webhook", len(jobs), alarms, rightly, falsely, missed, behind, untold)
+	t.Logf("%d jobs: %d warnings, %d correct, %d false, %d missed, %d after the deadline, %d not sent to the webhook", len(jobs), alarms, rightly, falsely, missed, behind, untold)
 	if behind > 0 || untold > 0 || rightly == 0 {
-		t.Error("warnings come too late, are not told, or there are none")
+		t.Error("warnings are too late or not sent to the webhook, or none is correct")
 	}
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -11,7 +11,7 @@
 	"bitternmoor/internal/effects"
 )
 
-// admissionKind is the kind that admission control counts an operation of a UserRequest as.
+// admissionKind returns the kind of request that admission control counts an operation as.
 func admissionKind(op string) admission.Kind {
 	if op == opQuery {
 		return admission.Poll
@@ -19,7 +19,7 @@
 	return admission.Submit
 }
 
-// admitRequest says whether admission control lets a request about a job into the loop's queue.
+// admitRequest reports whether admission control admits a request about a job to the loop's queue.
 func (n *Node) admitRequest(kind admission.Kind, job uint64) bool {
 	if n.admission == nil {
 		return true
@@ -29,8 +29,8 @@
 	return n.admission.Admit(time.Since(n.start), kind, job, len(n.inputs), cap(n.inputs))
 }
 
-// spreadRetry sets Retry-After so that clients rejected together do not retry together. The
-// answer is final, and goes out at once all the same.
+// spreadRetry sets Retry-After so that clients rejected at the same time do not all retry at the
+// same time. It does not delay the answer.
 func (n *Node) spreadRetry(in UserRequest, answer effects.Answer) effects.Answer {
 	if n.admission == nil || answer.RetryAfter <= 0 {
 		return answer
@@ -41,7 +41,7 @@
 	return answer
 }
 
-// serveOrForward serves a user's request here, or forwards it to the leader: one hop at most.
+// serveOrForward serves a user's request on this node or forwards it to the leader, at most once.
 func (n *Node) serveOrForward(in UserRequest) effects.Answer {
 	snapshot := n.snapshot.Load()
 	if snapshot.leading {
@@ -52,12 +52,12 @@
 		return effects.Unavailable("no leader at present")
 	}
 	var answer effects.Answer
-	// Not the request's context: a user that goes does not mean that the leader is not reached.
+	// Not the request's context: a user who disconnects does not mean that the leader is unreachable.
 	if err := leader.call(context.Background(), forwardMethod(in), in, &answer); err != nil {
 		n.log.Debug("leader not reached", "leader", snapshot.leader, "error", err)
 		var remote rpc.ServerError
 		if !errors.As(err, &remote) {
-			// Dropped while the loop is behind: the next request or probe shows the same.
+			// It may be dropped if the loop's queue is full: the next request or probe finds the same.
 			_ = n.tryEnqueue(func(now time.Duration) { n.core.PeerReached(now, snapshot.leader, false) })
 		}
 		return effects.Unavailable("the leader does not answer")
@@ -65,8 +65,8 @@
 	return answer
 }
 
-// forwardMethod is the RPC method by which a request is forwarded: one that an older leader,
-// which knows nothing of pools, does not have when the job needs units of them.
+// forwardMethod returns the RPC method for forwarding a request. For a job that needs pool units it
+// is one that a leader of a version without pools does not have.
 func forwardMethod(in UserRequest) string {
 	if in.Submission.Job != nil && len(in.Submission.Job.Counted) > 0 {
 		return "Controller.AskCounted"
@@ -74,7 +74,7 @@
 	return "Controller.Ask"
 }
 
-// serveLocally answers a user's request from this node's core, whoever leads.
+// serveLocally serves a user's request with this node's core, whether or not it leads.
 func (n *Node) serveLocally(in UserRequest) effects.Answer {
 	return n.awaitAnswer(in, func(now time.Duration, to effects.RequestID) {
 		switch in.Op {
@@ -88,13 +88,13 @@
 	})
 }
 
-// awaitAnswer runs a user's request on the loop, if admission control and the loop's queue
-// allow, and waits for its answer.
+// awaitAnswer runs a user's request on the loop, if admission control and the loop's queue allow it,
+// and waits for its answer.
 func (n *Node) awaitAnswer(
 	in UserRequest, request func(now time.Duration, to effects.RequestID),
 ) effects.Answer {
 	pending := make(chan effects.Answer, 1)
-	var id effects.RequestID // touched on the loop alone
+	var id effects.RequestID // accessed only on the loop
 	err := errLoopBusy
 	if n.admitRequest(admissionKind(in.Op), in.ID) {
 		err = n.tryEnqueue(func(now time.Duration) {
@@ -117,15 +117,15 @@
 		}
 		return answer
 	case <-timer.C:
-		// The final answer goes out now; the user learns the job's state by asking again. While
-		// the loop is behind, its entry stays until the answer comes.
+		// The user gets this answer now, and has to ask again for the job's state. If the loop's
+		// queue is full, the pending entry stays until the core answers.
 		_ = n.tryEnqueue(func(time.Duration) { delete(n.pendingUsers, id) })
 		return effects.Unavailable("not durable in time")
 	}
 }
 
-// awaitHeartbeatAnswer runs a worker's heartbeat on the loop and waits for its answer, which
-// the core always gives: relays to the leader have a deadline.
+// awaitHeartbeatAnswer runs a worker's heartbeat on the loop and waits for its answer. The core
+// always answers, because relays to the leader have a timeout.
 func (n *Node) awaitHeartbeatAnswer(
 	heartbeat func(now time.Duration, to effects.RequestID),
 ) (effects.HeartbeatAnswer, error) {
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -11,46 +11,46 @@
 	"bitternmoor/internal/wire"
 )
 
-// Results of calls come back as inputs. Those of calls that a term asked for have its epoch:
-// they are dropped where the term is over.
+// The results of calls are inputs of the core. Results of calls requested by a term carry its epoch,
+// and are dropped if that term has ended.
 
-// inTerm says whether this node leads in the term of that epoch.
+// inTerm reports whether this node currently leads in the term with the given epoch.
 func (c *Core) inTerm(epoch uint64) bool { return c.term != nil && c.term.Epoch == epoch }
 
-// inLoadedTerm says whether that term has read the log, besides.
+// inLoadedTerm reports whether inTerm holds and the term has read the log.
 func (c *Core) inLoadedTerm(epoch uint64) bool { return c.inTerm(epoch) && c.term.Loaded() }
 
-// KeysRead takes the result of ReadKeys.
+// KeysRead handles the result of ReadKeys.
 func (c *Core) KeysRead(now time.Duration, sequence uint64, ok bool, view leadership.View) {
 	c.emitLeadership(c.elector.KeysRead(now, sequence, ok, view))
 	c.advanceTerm(now)
 }
 
-// WatchEnded takes the result of WatchKeys.
+// WatchEnded handles the result of WatchKeys.
 func (c *Core) WatchEnded(now time.Duration, sequence uint64, ok bool) {
 	c.emitLeadership(c.elector.WatchEnded(now, sequence, ok))
 	c.advanceTerm(now)
 }
 
-// LeaseCreated takes the result of CreateLease.
+// LeaseCreated handles the result of CreateLease.
 func (c *Core) LeaseCreated(now time.Duration, sequence uint64, ok bool, leaseID uint64) {
 	c.emitLeadership(c.elector.LeaseCreated(now, sequence, ok, leaseID))
 	c.advanceTerm(now)
 }
 
-// LeadershipClaimed takes the result of ClaimLeadership.
+// LeadershipClaimed handles the result of ClaimLeadership.
 func (c *Core) LeadershipClaimed(now time.Duration, sequence uint64, ok bool, mark uint64) {
 	c.emitLeadership(c.elector.LeadershipClaimed(now, sequence, ok, mark))
 	c.advanceTerm(now)
 }
 
-// LeaseRenewed takes the result of RenewLease; gone says that the lease has expired.
+// LeaseRenewed handles the result of RenewLease; gone means that the lease has expired.
 func (c *Core) LeaseRenewed(now time.Duration, sequence uint64, ok, gone bool) {
 	c.emitLeadership(c.elector.LeaseRenewed(now, sequence, ok, gone))
 	c.advanceTerm(now)
 }
 
-// LogLoaded takes the whole log, read after the term began.
+// LogLoaded handles the whole event log, read after the term began.
 func (c *Core) LogLoaded(now time.Duration, epoch uint64, log term.LoadedLog) {
 	if c.inTerm(epoch) && !c.term.Loaded() {
 		c.term.Load(now, c.elector.EpochVersion(), log)
@@ -58,7 +58,7 @@
 	c.advanceTerm(now)
 }
 
-// Committed takes the outcome of a commit of the term.
+// Committed handles the outcome of a commit of the term.
 func (c *Core) Committed(
 	now time.Duration, epoch, sequence uint64, outcome eventlog.Outcome, mark uint64, failed []string,
 ) {
@@ -70,7 +70,7 @@
 	c.advanceTerm(now)
 }
 
-// ReadBack takes the value that settles a commit without an answer.
+// ReadBack handles the value that was read to determine the outcome of an unanswered commit.
 func (c *Core) ReadBack(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
 	if c.inTerm(epoch) {
 		c.term.ReadBack(now, c.elector.LeaseValid(now), read, mark, value)
@@ -78,8 +78,8 @@
 	c.advanceTerm(now)
 }
 
-// SegmentsRead takes the log's oldest segments, read back: from the first one on,
-// those numbered below end.
+// SegmentsRead handles the log's oldest segments, read for compaction: those numbered from first to
+// end-1.
 func (c *Core) SegmentsRead(now time.Duration, epoch uint64, first, end int, read bool, entries []eventlog.Entry) {
 	if c.inLoadedTerm(epoch) {
 		c.term.SegmentsRead(now, first, end, read, entries)
@@ -87,7 +87,7 @@
 	c.advanceTerm(now)
 }
 
-// ValuesRead takes a page of a component's own values.
+// ValuesRead handles a page of a component's own values.
 func (c *Core) ValuesRead(now time.Duration, epoch uint64, component string, list []eventlog.ComponentValue, more, ok bool) {
 	if c.inLoadedTerm(epoch) {
 		c.term.ValuesRead(now, component, list, more, ok)
@@ -95,7 +95,7 @@
 	c.advanceTerm(now)
 }
 
-// MachinesDeleted takes the result of a deletion.
+// MachinesDeleted handles the result of deleting machines.
 func (c *Core) MachinesDeleted(now time.Duration, epoch uint64, list []string, ok bool) {
 	if c.inTerm(epoch) {
 		c.term.MachinesDeleted(now, list, ok)
@@ -103,7 +103,7 @@
 	c.advanceTerm(now)
 }
 
-// WorkerProbed takes whether a silent worker that was asked has answered.
+// WorkerProbed handles the result of probing a silent worker.
 func (c *Core) WorkerProbed(now time.Duration, epoch uint64, machine string, answered bool) {
 	if c.inTerm(epoch) {
 		c.term.WorkerProbed(machine, answered)
@@ -111,8 +111,8 @@
 	c.advanceTerm(now)
 }
 
-// Dispatched takes a worker's report after starts that were sent straight to it; nil: it is
-// not known what became of them.
+// Dispatched handles a worker's report after start commands were sent directly to it. A nil report
+// means that the outcome of the commands is unknown.
 func (c *Core) Dispatched(
 	now time.Duration, epoch uint64, machine string, token uint64, starts []workers.Command, report *workers.Report,
 ) {
@@ -122,7 +122,7 @@
 	c.advanceTerm(now)
 }
 
-// RentalAnswered takes the result of a rental request.
+// RentalAnswered handles the result of a rental request.
 func (c *Core) RentalAnswered(now time.Duration, epoch uint64, name string, machines []string, result wire.RentResult) {
 	if c.inTerm(epoch) {
 		c.term.RentalAnswered(now, name, machines, result)
@@ -130,7 +130,7 @@
 	c.advanceTerm(now)
 }
 
-// MachineTypesListed takes the machine types; an empty list is a failure.
+// MachineTypesListed handles the cloud's list of machine types; an empty list means that the call failed.
 func (c *Core) MachineTypesListed(now time.Duration, epoch uint64, list []eventlog.MachineType) {
 	if c.inLoadedTerm(epoch) {
 		c.term.MachineTypesListed(now, list)
@@ -138,7 +138,7 @@
 	c.advanceTerm(now)
 }
 
-// MachinesListed takes the cloud's list of machines.
+// MachinesListed handles the cloud's list of machines.
 func (c *Core) MachinesListed(now time.Duration, epoch uint64, list []wire.ListedMachine, ok bool) {
 	if c.inTerm(epoch) {
 		c.term.MachinesListed(now, list, ok)
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -22,19 +22,19 @@
 
 	maxInternalConnections = 32
 	minPublicConnections   = 16
-	// reservedSockets are kept of the process's file descriptors for peers, the state service,
-	// the cloud and workers.
+	// reservedSockets is the number of file descriptors reserved for connections to and from
+	// peers and to the state service, the cloud and workers.
 	reservedSockets = 80
 )
 
-// server is an HTTP server with its open listener.
+// server is an HTTP server and its open listener.
 type server struct {
 	http       *http.Server
 	listener   net.Listener
-	background func(context.Context) // runs beside the server until the context ends; nil: nothing
+	background func(context.Context) // runs alongside the server until the context ends; may be nil
 }
 
-// serve serves until close, over TLS where the server has a configuration of it.
+// serve serves until close is called, over TLS if the server has a TLS configuration.
 func (s *server) serve() error {
 	if s.http.TLSConfig != nil {
 		return s.http.ServeTLS(s.listener, "", "")
@@ -42,19 +42,19 @@
 	return s.http.Serve(s.listener)
 }
 
-// close ends the server and its connections.
+// close closes the server, its listener and its connections.
 func (s *server) close() {
-	_ = s.http.Close()     // what fails to close is closed by its client
-	_ = s.listener.Close() // an error where the server has closed it already
+	_ = s.http.Close()     // clients close connections that could not be closed here
+	_ = s.listener.Close() // fails if the server has already closed it
 }
 
-// openPublic opens the server of users, the load balancer and workers.
+// openPublic opens the server for users, the load balancer and workers.
 func (n *Node) openPublic() (*server, error) {
 	listener, err := net.Listen("tcp4", n.settings.PublicAddr)
 	if err != nil {
-		return nil, fmt.Errorf("node: public_addr: %w", err)
+		return nil, fmt.Errorf("node: listen on public_addr: %w", err)
 	}
-	// File descriptors are few: some are kept for the calls this controller makes itself.
+	// File descriptors are limited, and some are reserved for the controller's other connections.
 	connections := max(minPublicConnections, n.settings.Deployment.MachineLimits.FDLimit-reservedSockets)
 	return &server{
 		http:     n.newServer(n.publicHandler()),
@@ -62,8 +62,8 @@
 	}, nil
 }
 
-// openInternal opens the server of peers and of operators on the machine. It has no read and
-// write timeouts: peers' RPC connections stay open.
+// openInternal opens the server for peers and for operators on the same host. It has no read and
+// write timeouts, because peers' RPC connections stay open.
 func (n *Node) openInternal() (*server, error) {
 	handler, err := n.internalHandler()
 	if err != nil {
@@ -71,7 +71,7 @@
 	}
 	listener, err := net.Listen("tcp4", n.settings.InternalAddr)
 	if err != nil {
-		return nil, fmt.Errorf("node: internal_addr: %w", err)
+		return nil, fmt.Errorf("node: listen on internal_addr: %w", err)
 	}
 	return &server{
 		http: &http.Server{
@@ -85,7 +85,7 @@
 	}, nil
 }
 
-// newServer has the timeouts and bounds of a server whose requests are short.
+// newServer makes an HTTP server with timeouts and limits for short requests.
 func (n *Node) newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
@@ -98,7 +98,7 @@
 	}
 }
 
-// serverLog logs what net/http complains of at debug level: most of it is clients that went.
+// serverLog logs net/http's errors at debug level: most come from clients that disconnected.
 func (n *Node) serverLog() *log.Logger {
 	return slog.NewLogLogger(n.log.Handler(), slog.LevelDebug)
 }
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,9 +12,9 @@
 	"bitternmoor/internal/wire"
 )
 
-// Status is the snapshot of the service that operators may see: of one node and, on the
-// leader, of everything. Peers send it over net/rpc, and views show it as JSON: the names of
-// its fields and keys stay.
+// Status is a snapshot of the service for operators. It describes one node and, on the leader, the
+// whole service. Peers send it over net/rpc, and views encode it as JSON, so its field names and
+// keys must not change.
 type Status struct {
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
@@ -24,19 +24,19 @@
 	Unsaved  int             `json:"entries_not_yet_durable"`
 	Blocks   []BlockStatus   `json:"blocks,omitempty"`
 	Machines []MachineStatus `json:"machines,omitempty"`
-	Queue    []JobStatus     `json:"queue,omitempty"` // in the order in which they are scheduled
+	Queue    []JobStatus     `json:"queue,omitempty"` // in scheduling order
 	Held     []HeldStatus    `json:"held,omitempty"`
 	Counts   cluster.Counts  `json:"counts"`
 }
 
-// BlockStatus is one controller's shard of the machines.
+// BlockStatus describes one controller's shard of the machines.
 type BlockStatus struct {
 	Holder   string  `json:"holder"`
 	Machines int     `json:"machines"`
 	CPUs     float64 `json:"cpus"`
 }
 
-// MachineStatus is one machine.
+// MachineStatus describes one machine.
 type MachineStatus struct {
 	Name     string  `json:"name"`
 	Type     string  `json:"type"`
@@ -48,7 +48,7 @@
 	Tasks    int     `json:"tasks"`
 }
 
-// JobStatus is one unfinished job. Sizes are in seconds of work.
+// JobStatus describes one unfinished job. Sizes are in seconds of work.
 type JobStatus struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"class"`
@@ -61,7 +61,7 @@
 	Finished int     `json:"finished"`
 }
 
-// HeldStatus is a job that waits for its dependencies.
+// HeldStatus describes a job that waits for its dependencies.
 type HeldStatus struct {
 	ID    string   `json:"id"`
 	Class string   `json:"class"`
@@ -70,7 +70,7 @@
 	After []string `json:"after"`
 }
 
-// Status takes a snapshot of the node and, on the leader, of everything.
+// Status takes a snapshot of this node and, on the leader, of the whole service.
 func (c *Core) Status(now time.Duration) Status {
 	status := Status{
 		Node:   c.settings.Node,
@@ -91,7 +91,7 @@
 	return status
 }
 
-// machineStatuses lists the machines by name.
+// machineStatuses lists the machines, sorted by name.
 func machineStatuses(t *term.Term) []MachineStatus {
 	var list []MachineStatus
 	for _, m := range t.Inventory.All() {
@@ -110,7 +110,7 @@
 	return list
 }
 
-// machineState is the word for a machine's state in views.
+// machineState returns the description of a machine's state that views show.
 func machineState(m *workers.Machine) string {
 	switch {
 	case m.Deleting:
@@ -131,7 +131,7 @@
 	return "up"
 }
 
-// shardStatuses adds up the machines of each controller's shard, by the controller's name.
+// shardStatuses sums the machines of each controller's shard, sorted by the controller's name.
 func shardStatuses(t *term.Term) []BlockStatus {
 	byHolder := map[string]*BlockStatus{}
 	for _, m := range t.Inventory.All() {
@@ -154,7 +154,7 @@
 	return list
 }
 
-// queueStatuses lists the unfinished jobs in the order in which they are scheduled.
+// queueStatuses lists the unfinished jobs in scheduling order.
 func queueStatuses(t *term.Term, now time.Duration) []JobStatus {
 	var list []JobStatus
 	snapshot := t.Snapshot(now)
@@ -179,7 +179,7 @@
 	}
 }
 
-// heldStatuses lists the jobs that wait for their dependencies, by id.
+// heldStatuses lists the jobs that wait for their dependencies, sorted by ID.
 func heldStatuses(t *term.Term) []HeldStatus {
 	var list []HeldStatus
 	for _, j := range t.Jobs.All() {
@@ -198,7 +198,7 @@
 	return list
 }
 
-// jobIDs are the ids of jobs given by index, sorted.
+// jobIDs returns the sorted IDs of the jobs with the given indices.
 func jobIDs(t *term.Term, indices []int32) []string {
 	var list []string
 	for _, index := range indices {
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// keysPageSize is how many keys are asked for at once while the log is loaded; the state
-	// service gives fewer where they are large.
+	// keysPageSize is the number of keys requested per page while the log is loaded. The state
+	// service returns fewer if their values are large.
 	keysPageSize = 256
-	// valuesPageSize is how many of a component's own values are read at once: nothing waits for
-	// them, and the answer should not crowd out others.
+	// valuesPageSize is the number of a component's own values requested per page. It is small
+	// because nothing waits for them, and their transfer should not delay other calls.
 	valuesPageSize = 16
 
 	pageTimeout = 3 * time.Second
-	// Between two attempts to load the log there are minLoadRetryDelay and a random part more.
+	// The delay between attempts to load the log is minLoadRetryDelay plus a random part.
 	minLoadRetryDelay    = 150 * time.Millisecond
 	randomLoadRetryDelay = 150 * time.Millisecond
 )
 
-// loadLog reads the whole log and the virtual sizes, trying until it succeeds or the term of
-// that epoch is over.
+// loadLog reads the whole log and the virtual sizes, and retries until it succeeds or the term with
+// the given epoch has ended.
 func (n *Node) loadLog(ctx context.Context, epoch uint64) {
 	for {
 		log, err := n.readDurableLog(ctx)
@@ -45,7 +45,8 @@
 	}
 }
 
-// termOver asks the loop whether the term of that epoch is over; it is when the context ends.
+// termOver reports whether the term with the given epoch has ended. It asks the loop, and returns
+// true if the context ends.
 func (n *Node) termOver(ctx context.Context, epoch uint64) bool {
 	over := make(chan bool, 1)
 	n.enqueue(ctx, func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
@@ -72,7 +73,7 @@
 	if err != nil {
 		return term.LoadedLog{}, err
 	}
-	// A piece of an earlier list, by whatever version, must not overrule a newer one.
+	// Sorted, so that a piece left from an earlier list, by whatever version, never overrides a newer one.
 	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Version, b.Version) })
 	for _, piece := range pieces {
 		if err := addSizes(&log, piece); err != nil {
@@ -98,7 +99,7 @@
 func addSizes(log *term.LoadedLog, piece wire.Item) error {
 	var virtual eventlog.VirtualSizes
 	if err := json.Unmarshal(piece.Value, &virtual); err != nil {
-		return fmt.Errorf("%s: %w", piece.Key, err)
+		return fmt.Errorf("decode virtual sizes %s: %w", piece.Key, err)
 	}
 	number, err := eventlog.SizesPieceNumber(piece.Key)
 	if err != nil {
@@ -112,12 +113,12 @@
 func decodeSegment(item wire.Item) ([]eventlog.Entry, error) {
 	entries, err := eventlog.Decode(item.Value)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", item.Key, err)
+		return nil, fmt.Errorf("decode event log segment %s: %w", item.Key, err)
 	}
 	return entries, nil
 }
 
-// readSegments reads the segments numbered first to end-1; some may be missing.
+// readSegments reads the segments numbered first to end-1. Some of them may not exist.
 func (n *Node) readSegments(ctx context.Context, first, end int) ([]eventlog.Entry, error) {
 	items, _, _, err := n.state.List(ctx, eventlog.Prefix, eventlog.SegmentKey(first-1), end-first)
 	if err != nil {
@@ -137,8 +138,8 @@
 	return entries, nil
 }
 
-// readValues reads the page of a component's own values after the key since; more says whether
-// there are further ones.
+// readValues reads the page of a component's own values after the key since. more reports whether
+// there are further pages.
 func (n *Node) readValues(
 	ctx context.Context, component, since string,
 ) (values []eventlog.ComponentValue, more bool, err error) {
@@ -153,7 +154,7 @@
 	return values, more && len(items) > 0, nil
 }
 
-// readPrefix reads all keys with a prefix in order, page after page.
+// readPrefix reads all keys with a prefix in order, page by page, and calls each for every item.
 func (n *Node) readPrefix(ctx context.Context, prefix string, each func(wire.Item) error) error {
 	since := ""
 	for {
--- a/internal/node/worker_heartbeats.go
+++ b/internal/node/worker_heartbeats.go
@@ -11,26 +11,26 @@
 	"bitternmoor/internal/settings"
 )
 
-// maxRelays is how often one heartbeat is relayed: within twice a peer's deadline its worker
-// still waits for the answer.
+// maxRelays is how often one heartbeat is relayed. Its worker waits for the answer for longer than
+// two peerTimeouts.
 const maxRelays = 2
 
-// openHeartbeat is a heartbeat of this node's worker that has no answer yet.
+// openHeartbeat is a heartbeat of one of this node's workers that has not been answered yet.
 type openHeartbeat struct {
 	report    *workers.Report
 	relayedTo string // the leader; empty: not relayed
 	relays    int
 }
 
-// HandleHeartbeat takes a worker's heartbeat. The leader answers for its own shard; any other
-// node relays the heartbeat to the leader and answers as that says.
+// HandleHeartbeat handles a worker's heartbeat. The leader answers it itself; any other node relays
+// it to the leader and answers with the leader's answer.
 func (c *Core) HandleHeartbeat(now time.Duration, to effects.RequestID, report *workers.Report) {
 	c.counts.Reports++
 	c.checkWorkerEpoch(now, report)
 	c.answerOrRelay(now, to, &openHeartbeat{report: report})
 }
 
-// HandleRelayedHeartbeat serves a heartbeat that another controller relayed. It goes no further.
+// HandleRelayedHeartbeat handles a heartbeat that another controller relayed. It is not relayed again.
 func (c *Core) HandleRelayedHeartbeat(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
 	c.checkWorkerEpoch(now, &in.Report)
 	if c.term == nil {
@@ -41,8 +41,8 @@
 	c.advanceTerm(now)
 }
 
-// RelayAnswered takes the leader's answer to a heartbeat that was relayed to it; ok is false
-// where the leader was not reached.
+// RelayAnswered handles the leader's answer to a relayed heartbeat; ok is false if the leader was
+// not reached.
 func (c *Core) RelayAnswered(now time.Duration, to effects.RequestID, answer effects.HeartbeatAnswer, ok bool) {
 	open := c.openHeartbeats[to]
 	delete(c.openHeartbeats, to)
@@ -51,7 +51,7 @@
 	}
 	c.PeerReached(now, open.relayedTo, ok)
 	if !ok && c.canRelayAgain(open) {
-		c.answerOrRelay(now, to, open) // somebody else leads by now, this node perhaps
+		c.answerOrRelay(now, to, open) // another node, perhaps this one, leads by now
 		return
 	}
 	if !ok && c.redirectFromUnreachedLeader(now, to, open.report) {
@@ -72,8 +72,8 @@
 	return open.relays < maxRelays && leader != "" && leader != open.relayedTo
 }
 
-// redirectFromUnreachedLeader redirects a machine whose heartbeat did not reach the leader, if
-// another controller is more likely to; it has answered the machine then.
+// redirectFromUnreachedLeader answers a machine whose heartbeat did not reach the leader so that it
+// reports elsewhere, if that is more likely to succeed. It reports whether it answered.
 func (c *Core) redirectFromUnreachedLeader(now time.Duration, to effects.RequestID, report *workers.Report) bool {
 	return c.redirectToLeader(now, to, report) ||
 		(c.isolatedFollower(now) && c.turnAway(now, to, report))
@@ -83,7 +83,8 @@
 	c.emit(effects.ReplyHeartbeat{To: to, Answer: answer})
 }
 
-// answerOrRelay has a heartbeat answered by this node's term, or relays it to the leader.
+// answerOrRelay answers a heartbeat on the leader, and relays it to the leader on any other node. If
+// no leader is known, it keeps the worker alive.
 func (c *Core) answerOrRelay(now time.Duration, to effects.RequestID, open *openHeartbeat) {
 	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *open.report}
 	leader := c.elector.LeaderName()
@@ -103,7 +104,7 @@
 	}
 }
 
-// checkWorkerEpoch ends the term when a worker has seen a token of a later one.
+// checkWorkerEpoch ends the term if the worker has seen a token of a later term.
 func (c *Core) checkWorkerEpoch(now time.Duration, report *workers.Report) {
 	if c.term == nil {
 		return
@@ -116,8 +117,9 @@
 	}
 }
 
-// completeAnswer makes of the leader's answer to a heartbeat what its worker is told: with the
-// offers that this node's shard starts, or without the leader.
+// completeAnswer turns the leader's answer into the answer for the worker. It adds the start commands
+// for the offers that this node's shard accepts, or keeps the worker alive if the leader is
+// unavailable.
 func (c *Core) completeAnswer(
 	now time.Duration, report *workers.Report, answer effects.HeartbeatAnswer,
 ) effects.HeartbeatAnswer {
@@ -132,8 +134,8 @@
 	return answer
 }
 
-// startOffers has this node's shard pick among what it is offered for the machine; it returns
-// the start commands.
+// startOffers lets this node's shard pick from the offers for the machine, and returns their start
+// commands.
 func (c *Core) startOffers(
 	now time.Duration, report *workers.Report, answer effects.HeartbeatAnswer,
 ) []workers.Command {
@@ -149,8 +151,8 @@
 	return starts
 }
 
-// keepAliveAnswer answers a worker while the leader cannot be asked: with the last token, so
-// that tasks outlive the leader and outages, and with no command.
+// keepAliveAnswer returns the answer to a worker while no leader can be asked. It has the last token
+// and no commands, so that tasks survive the loss of the leader and outages.
 func (c *Core) keepAliveAnswer(now time.Duration, report *workers.Report) effects.HeartbeatAnswer {
 	if token, ok := c.shards.KeepAlive(now, report); ok {
 		return effects.HeartbeatAnswer{Status: http.StatusOK, Token: token}
