--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -27,9 +27,9 @@
 	return listener.Addr().String()
 }
 
-// ask makes a request and returns the response's status, JSON object and header. The status is 0 if
+// sendRequest makes a request and returns the response's status, JSON object and header. The status is 0 if
 // there is no response.
-func ask(t *testing.T, method, url, body string) (int, map[string]any, http.Header) {
+func sendRequest(t *testing.T, method, url, body string) (int, map[string]any, http.Header) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, bytes.NewBufferString(body))
 	if err != nil {
@@ -46,8 +46,8 @@
 	return resp.StatusCode, out, resp.Header
 }
 
-// getJSON reads a component's view from a controller's internal address.
-func getJSON(addr, path string, into any) bool {
+// getView reads a component's view from a controller's internal address.
+func getView(addr, path string, into any) bool {
 	resp, err := http.Get("http://" + addr + PathComponents + path)
 	if err != nil {
 		return false
--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -97,15 +97,15 @@
 
 // Show returns a view of a component to a peer, on behalf of an operator.
 func (c *Controller) Show(name string, out *[]byte) error {
-	return c.onComponent(out, c.node.showCall(name))
+	return c.serveComponentCall(out, c.node.showCall(name))
 }
 
 // Change applies a change of a component for a peer, on behalf of an operator.
 func (c *Controller) Change(in ChangeRequest, out *[]byte) error {
-	return c.onComponent(out, c.node.changeCall(in))
+	return c.serveComponentCall(out, c.node.changeCall(in))
 }
 
-func (c *Controller) onComponent(out *[]byte, call componentCall) error {
+func (c *Controller) serveComponentCall(out *[]byte, call componentCall) error {
 	known := false
 	var refused error
 	err := c.node.runOnLoop(func(now time.Duration) {
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -17,12 +17,12 @@
 // returns what is to be sent, written and answered. It uses no clock, socket or goroutine. Times
 // are durations since the controller started.
 type Core struct {
-	settings    *settings.Settings
-	clockZeroMS int64 // time of day at time 0, in Unix milliseconds; its error is bounded
-	elector     *leadership.Elector
-	term        *term.Term             // nil while this node does not lead
-	shards      *scheduler.ShardHolder // the machines for which this node starts offered tasks
-	config      config.Replica         // this node's copy of the configuration that can change at run time
+	settings          *settings.Settings
+	clockOriginUnixMS int64 // time of day at time 0, in Unix milliseconds; its error is bounded
+	elector           *leadership.Elector
+	term              *term.Term             // nil while this node does not lead
+	shards            *scheduler.ShardHolder // the machines for which this node starts offered tasks
+	config            config.Replica         // this node's copy of the configuration that can change at run time
 
 	// Effects not yet taken, and the values for metrics.
 	outbox   []effects.Effect
@@ -48,23 +48,23 @@
 	lastReturnAt time.Duration // when one of them last came back
 }
 
-// NewCore makes the core of a controller that started at the time of day clockZeroMS, in Unix
-// milliseconds. The time of day is never used to order events; it only lets a later leader
-// compute how long a job has been waiting.
-func NewCore(cfg *settings.Settings, clockZeroMS int64) *Core {
+// NewCore makes the core of a controller that started at the time of day clockOriginUnixMS, in
+// Unix milliseconds. The time of day is never used to order events; it only lets a later leader compute
+// how long a job has been waiting.
+func NewCore(cfg *settings.Settings, clockOriginUnixMS int64) *Core {
 	elector := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderLeaseS))
 	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
 		// Distinguishes a leader that merely cannot reach this node from one that has stopped.
-		elector.SilenceLimit = leaseOutlasted(cfg)
+		elector.SilenceLimit = leaseExpiryDelay(cfg)
 	}
 	return &Core{
-		settings:       cfg,
-		clockZeroMS:    clockZeroMS,
-		elector:        elector,
-		shards:         scheduler.NewShardHolder(),
-		peerAnsweredAt: map[string]time.Duration{},
-		openHeartbeats: map[effects.RequestID]*openHeartbeat{},
-		redirectedAt:   map[string]time.Duration{},
+		settings:          cfg,
+		clockOriginUnixMS: clockOriginUnixMS,
+		elector:           elector,
+		shards:            scheduler.NewShardHolder(),
+		peerAnsweredAt:    map[string]time.Duration{},
+		openHeartbeats:    map[effects.RequestID]*openHeartbeat{},
+		redirectedAt:      map[string]time.Duration{},
 	}
 }
 
@@ -128,7 +128,7 @@
 	lastHeard, missedAt := c.elector.LeaderlessTimes()
 	c.term = term.New(cluster.TermStart{
 		Cfg:             c.settings,
-		ClockZeroMS:     c.clockZeroMS,
+		ClockZeroMS:     c.clockOriginUnixMS,
 		Epoch:           c.elector.Epoch(),
 		LastLeaderHeard: lastHeard,
 		PreviousLeader:  c.elector.PreviousLeader(c.elector.Epoch()),
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -20,7 +20,7 @@
 	Words []string   `json:"words"`
 }
 
-func (e *Explanation) say(format string, args ...any) {
+func (e *Explanation) addSentence(format string, args ...any) {
 	e.Words = append(e.Words, fmt.Sprintf(format, args...))
 }
 
@@ -33,20 +33,20 @@
 	}
 	e := Explanation{ID: wire.FormatID(id)}
 	if phase, over := t.Jobs.FinalPhase(id); over {
-		e.say("it is %s", map[jobs.Phase]string{jobs.Done: "done", jobs.Cancelled: "cancelled"}[phase])
+		e.addSentence("it is %s", map[jobs.Phase]string{jobs.Done: "done", jobs.Cancelled: "cancelled"}[phase])
 		return e, true
 	}
 	job := t.Jobs.ByID(id)
 	if job == nil {
-		e.say("no such job was accepted")
+		e.addSentence("no such job was accepted")
 		return e, true
 	}
-	e.explainOpen(t, now, job)
+	e.explainUnfinished(t, now, job)
 	return e, true
 }
 
-// explainOpen adds the explanation of an unfinished job.
-func (e *Explanation) explainOpen(t *term.Term, now time.Duration, job *jobs.Job) {
+// explainUnfinished adds the explanation of an unfinished job.
+func (e *Explanation) explainUnfinished(t *term.Term, now time.Duration, job *jobs.Job) {
 	status := jobStatus(t, job)
 	e.Job = &status
 	snapshot := t.Snapshot(now)
@@ -58,46 +58,46 @@
 		return
 	}
 	if count := len(job.Record.Follows); count > 0 {
-		e.say("the %d jobs that it follows are done; its times count from then", count)
+		e.addSentence("the %d jobs that it follows are done; its times count from then", count)
 	}
 	if job.Phase == jobs.Cancelling {
 		e.explainCancelling(now, job)
 		return
 	}
-	e.say("%d of its %d tasks are done, %d have a place, %d wait",
+	e.addSentence("%d of its %d tasks are done, %d have a place, %d wait",
 		job.Finished, len(job.Tasks), job.Placed, job.Waiting)
 	e.explainSize(job, &status)
 	if e.Place > 0 {
-		e.say("it is number %d in the order", e.Place)
+		e.addSentence("it is number %d in the order", e.Place)
 	}
-	for _, why := range t.Scheduler.Explain(snapshot, job) {
-		e.say("%s", why)
+	for _, sentence := range t.Scheduler.Explain(snapshot, job) {
+		e.addSentence("%s", sentence)
 	}
 }
 
 // explainDependents adds which jobs wait for the job, and the priority that it inherits from them.
 func (e *Explanation) explainDependents(t *term.Term, job *jobs.Job) {
 	if len(job.Dependents) > 0 {
-		e.say("jobs that wait for it: %s", strings.Join(jobIDs(t, job.Dependents), ", "))
+		e.addSentence("jobs that wait for it: %s", strings.Join(jobIDs(t, job.Dependents), ", "))
 	}
 	if job.Priority > job.Record.Priority {
-		e.say("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)",
+		e.addSentence("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)",
 			wire.PriorityWord(job.Priority), wire.PriorityWord(job.Record.Priority))
 	}
 }
 
 func (e *Explanation) explainHeld(t *term.Term, job *jobs.Job) {
 	if len(job.Dependencies) == 0 {
-		e.say("what it follows is not in the log any more: it is not started, and waits to be cancelled")
+		e.addSentence("what it follows is not in the log any more: it is not started, and waits to be cancelled")
 		return
 	}
-	e.say("it waits for %d of the %d jobs that it follows: %s",
+	e.addSentence("it waits for %d of the %d jobs that it follows: %s",
 		len(job.Dependencies), len(job.Record.Follows), strings.Join(jobIDs(t, job.Dependencies), ", "))
-	e.say("until they are done it is outside the order and holds nothing of its team's share")
+	e.addSentence("until they are done it is outside the order and holds nothing of its team's share")
 }
 
 func (e *Explanation) explainCancelling(now time.Duration, job *jobs.Job) {
-	e.say("its user has asked to cancel it %.0f s ago, and is told so once nothing of it is left anywhere: "+
+	e.addSentence("its user has asked to cancel it %.0f s ago, and is told so once nothing of it is left anywhere: "+
 		"%d tasks are not proved gone, %d machines that may have some were not heard",
 		(now - job.CancelAskedAt).Seconds(), job.Placed, job.UnresolvedMachines)
 }
@@ -106,15 +106,15 @@
 func (e *Explanation) explainSize(job *jobs.Job, status *JobStatus) {
 	switch {
 	case job.Record.Kind == jobs.Service:
-		e.say("it is a service: it gets room first, outside the order")
+		e.addSentence("it is a service: it gets room first, outside the order")
 	case job.Record.Kind == jobs.Gang:
-		e.say("it is a gang: it starts when all of its tasks fit; its size is an estimate of %.0f s of work", status.Size)
+		e.addSentence("it is a gang: it starts when all of its tasks fit; its size is an estimate of %.0f s of work", status.Size)
 	case status.Final && status.Size == 0 && job.Finished == 0:
-		e.say("it has fewer tasks than train a size: it counts as tiny, with size 0")
+		e.addSentence("it has fewer tasks than train a size: it counts as tiny, with size 0")
 	case status.Final:
-		e.say("its size was set by its training tasks: %.0f s of work, of which %.0f s are left in the virtual cluster",
+		e.addSentence("its size was set by its training tasks: %.0f s of work, of which %.0f s are left in the virtual cluster",
 			status.Size, status.Virtual)
 	default:
-		e.say("its training tasks have not told its size yet: it starts at %.0f s of work", status.Size)
+		e.addSentence("its training tasks have not told its size yet: it starts at %.0f s of work", status.Size)
 	}
 }
--- a/internal/node/internal_api.go
+++ b/internal/node/internal_api.go
@@ -30,8 +30,8 @@
 	PathComponents = "/duties/" // prefix of the components' views and changes
 )
 
-// certificateOnly lists the components that can be changed only on the operators' TLS listener.
-var certificateOnly = []string{pools.Name, reconfig.Name}
+// certificateOnlyComponents lists the components that can be changed only on the operators' TLS listener.
+var certificateOnlyComponents = []string{pools.Name, reconfig.Name}
 
 // maxChangeBytes limits the body of an operator's change request.
 const maxChangeBytes = 16 << 20
@@ -93,7 +93,7 @@
 
 func (n *Node) handleChangeComponent(w http.ResponseWriter, r *http.Request) {
 	component := chi.URLParam(r, "*")
-	if slices.Contains(certificateOnly, component) {
+	if slices.Contains(certificateOnlyComponents, component) {
 		why := component + ": is changed at the operators' listener, with a certificate"
 		writeBody(w, http.StatusForbidden, wire.ErrorBody(why))
 		return
@@ -109,12 +109,12 @@
 
 // writeComponentAnswer writes a component's answer. refused is the HTTP status for an error of the
 // component itself.
-func writeComponentAnswer(w http.ResponseWriter, raw json.RawMessage, err error, refused int) {
+func writeComponentAnswer(w http.ResponseWriter, raw json.RawMessage, err error, refusedStatus int) {
 	switch {
 	case errors.Is(err, control.ErrUnknown):
 		writeBody(w, http.StatusNotFound, wire.ErrorBody("the leader: "+err.Error()))
 	case errors.Is(err, control.ErrRefused):
-		writeBody(w, refused, wire.ErrorBody(err.Error()))
+		writeBody(w, refusedStatus, wire.ErrorBody(err.Error()))
 	case err != nil:
 		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 	default:
--- a/internal/node/leader_heartbeats.go
+++ b/internal/node/leader_heartbeats.go
@@ -13,9 +13,9 @@
 	heartbeatInterval = time.Second
 	peerSilenceLimit  = 4 * time.Second  // a peer that answered longer ago counts as silent
 	resignDuration    = 10 * time.Second // no new candidacy, so that another node takes over
-	// reportIntervals is the number of report intervals within which a machine that lost its
+	// failoverReportIntervals is the number of report intervals within which a machine that lost its
 	// controller reports to another one.
-	reportIntervals = 1.25
+	failoverReportIntervals = 1.25
 )
 
 // sendHeartbeats sends a heartbeat to each peer once per heartbeatInterval.
@@ -42,8 +42,8 @@
 		c.lastContactAt = now
 		return
 	}
-	reportInterval := settings.Seconds(reportIntervals * c.settings.Deployment.Workers.ReportS)
-	if now-c.lastContactAt < c.unreachableLimit()+reportInterval+peerTimeout {
+	reportInterval := settings.Seconds(failoverReportIntervals * c.settings.Deployment.Workers.ReportS)
+	if now-c.lastContactAt < c.leaderSilenceLimit()+reportInterval+peerTimeout {
 		return // machines whose controllers cannot reach this leader may still switch to it
 	}
 	c.emitLog(effects.Warn, "isolated from peers and workers, resigning leadership")
@@ -56,12 +56,12 @@
 	return len(c.settings.Peers) == 0 ||
 		!c.elector.LeaseValid(now) ||
 		now-c.term.TermBegan < peerSilenceLimit ||
-		c.peerAnsweredLately(now) ||
+		c.peerAnsweredRecently(now) ||
 		!c.term.MostMachinesSilent(now)
 }
 
-// peerAnsweredLately reports whether any peer answered a heartbeat within peerSilenceLimit.
-func (c *Core) peerAnsweredLately(now time.Duration) bool {
+// peerAnsweredRecently reports whether any peer answered a heartbeat within peerSilenceLimit.
+func (c *Core) peerAnsweredRecently(now time.Duration) bool {
 	for _, at := range c.peerAnsweredAt {
 		if now-at < peerSilenceLimit {
 			return true
@@ -70,12 +70,12 @@
 	return false
 }
 
-// unreachableLimit returns how long this node must have been without contact to a leader before it
+// leaderSilenceLimit returns how long this node must have been without contact to a leader before it
 // acts on that: longer than the lease of a leader that stopped lasts.
-func (c *Core) unreachableLimit() time.Duration { return leaseOutlasted(c.settings) }
+func (c *Core) leaderSilenceLimit() time.Duration { return leaseExpiryDelay(c.settings) }
 
-// leaseOutlasted returns a duration after which the lease of a leader that stopped has expired.
-func leaseOutlasted(cfg *settings.Settings) time.Duration {
+// leaseExpiryDelay returns a duration after which the lease of a leader that stopped has expired.
+func leaseExpiryDelay(cfg *settings.Settings) time.Duration {
 	return settings.Seconds(cfg.Tunables.LeaderLeaseS) + heartbeatInterval/2
 }
 
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	loopbackLimit = 15 * time.Second
-	loopbackJob   = `{"name_id":"j-000001","herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":1,
+	loopbackTimeout = 15 * time.Second
+	loopbackJob     = `{"name_id":"j-000001","herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":1,
 	  "vcpus":1,"gpus":0,"memory_gb":1,"brand":"i","size_gb":0.1,"breeds":null,"together":false,"scatter":false,
 	  "loaned_stock":true,"trek_s":5,"waypoint_s":0,"stow_s":0}`
 )
@@ -37,18 +37,18 @@
 	}
 	worker := &loopbackWorker{cluster: cluster}
 	worker.startTask(t)
-	if _, out, _ := ask(t, "GET", cluster.public(1), ""); out != nil {
+	if _, out, _ := sendRequest(t, "GET", cluster.public(1), ""); out != nil {
 		t.Errorf("the root path returns a JSON body: %v", out)
 	}
 	eventually(t, "the job is shown as running", func() bool {
-		_, out, _ := ask(t, "GET", cluster.public(1)+"/api/jobs/j-000001", "")
+		_, out, _ := sendRequest(t, "GET", cluster.public(1)+"/api/jobs/j-000001", "")
 		return out["standing"] == "running"
 	})
 	for i := range cluster.settings {
 		cluster.checkViews(t, i)
 	}
 	worker.endTask(t)
-	status, out, _ := ask(t, "POST", cluster.public(1)+"/api/jobs/j-000001/abort", "")
+	status, out, _ := sendRequest(t, "POST", cluster.public(1)+"/api/jobs/j-000001/abort", "")
 	if status != 200 || out["standing"] != "done" {
 		t.Errorf("cancelling a finished job returns %d %v", status, out)
 	}
@@ -60,15 +60,15 @@
 func (c *testCluster) submitFirst(t *testing.T) {
 	t.Helper()
 	eventually(t, "a submission is accepted", func() bool {
-		status, out, header := ask(t, "POST", c.public(0)+"/api/jobs", loopbackJob)
+		status, out, header := sendRequest(t, "POST", c.public(0)+"/api/jobs", loopbackJob)
 		if status == 503 && header.Get("Retry-After") == "" {
 			t.Fatal("503 without Retry-After")
 		}
 		return status == 201 && out["standing"] == "queued"
 	})
 	eventually(t, "both nodes know the leader", func() bool {
-		one, _, _ := ask(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
-		other, _, _ := ask(t, "GET", c.public(1)+"/api/jobs/j-000777", "")
+		one, _, _ := sendRequest(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
+		other, _, _ := sendRequest(t, "GET", c.public(1)+"/api/jobs/j-000777", "")
 		return one == 404 && other == 404
 	})
 }
@@ -77,16 +77,16 @@
 func (c *testCluster) checkUserAPI(t *testing.T, i int) {
 	t.Helper()
 	url := c.public(i) + "/api/jobs"
-	if status, _, _ := ask(t, "GET", c.public(i)+"/healthz", ""); status != 200 {
+	if status, _, _ := sendRequest(t, "GET", c.public(i)+"/healthz", ""); status != 200 {
 		t.Errorf("n%d: healthz returns %d", i, status)
 	}
-	if status, out, _ := ask(t, "POST", url, loopbackJob); status != 200 || out["name_id"] != "j-000001" {
+	if status, out, _ := sendRequest(t, "POST", url, loopbackJob); status != 200 || out["name_id"] != "j-000001" {
 		t.Errorf("n%d: a repeated submission returns %d %v", i, status, out)
 	}
-	if status, _, _ := ask(t, "POST", url, `{"name_id":"j-000001","head":"x"}`); status != 200 {
+	if status, _, _ := sendRequest(t, "POST", url, `{"name_id":"j-000001","head":"x"}`); status != 200 {
 		t.Errorf("n%d: a known ID with a malformed body returns %d", i, status)
 	}
-	if status, _, _ := ask(t, "GET", url+"/j-000777", ""); status != 404 {
+	if status, _, _ := sendRequest(t, "GET", url+"/j-000777", ""); status != 404 {
 		t.Errorf("n%d: an unknown job returns %d", i, status)
 	}
 	noTasks := strings.Replace(loopbackJob, `"head":1`, `"head":0`, 1) + " "
@@ -94,13 +94,13 @@
 		"", "[]", `{"name_id":"7"}`, `{"name_id":"j-000002"}`, noTasks, strings.Repeat("x", 70000),
 	} {
 		malformed = strings.Replace(malformed, "j-000001", "j-000003", 1)
-		if status, _, _ := ask(t, "POST", url, malformed); status != 400 {
+		if status, _, _ := sendRequest(t, "POST", url, malformed); status != 400 {
 			t.Errorf("n%d: malformed body %.40q returns %d", i, malformed, status)
 		}
 	}
 	unknownTeam := strings.Replace(loopbackJob, "j-000001", "j-000004", 1)
 	unknownTeam = strings.Replace(unknownTeam, `"keeper":"team"`, `"keeper":"none"`, 1)
-	if status, _, _ := ask(t, "POST", url, unknownTeam); status != 422 {
+	if status, _, _ := sendRequest(t, "POST", url, unknownTeam); status != 422 {
 		t.Errorf("n%d: an unknown team returns %d", i, status)
 	}
 }
@@ -108,11 +108,11 @@
 // checkViews checks the operators' views and the metrics of one controller.
 func (c *testCluster) checkViews(t *testing.T, i int) {
 	t.Helper()
-	status, out, _ := ask(t, "GET", c.internal(i)+PathStatus, "")
+	status, out, _ := sendRequest(t, "GET", c.internal(i)+PathStatus, "")
 	if status != 200 || out["leader"] == "" || len(out["machines"].([]any)) == 0 {
 		t.Errorf("n%d: status returns %d %v", i, status, out)
 	}
-	status, out, _ = ask(t, "GET", c.internal(i)+PathExplain+"j-000001", "")
+	status, out, _ = sendRequest(t, "GET", c.internal(i)+PathExplain+"j-000001", "")
 	if status != 200 || len(out["words"].([]any)) < 2 {
 		t.Errorf("n%d: explain returns %d %v", i, status, out)
 	}
@@ -125,7 +125,7 @@
 		"none":               404,
 		"takeovers/none":     404,
 	} {
-		if status, out, _ := ask(t, "GET", c.internal(i)+PathComponents+path, ""); status != want {
+		if status, out, _ := sendRequest(t, "GET", c.internal(i)+PathComponents+path, ""); status != want {
 			t.Errorf("n%d: %s returns %d %v", i, path, status, out)
 		}
 	}
@@ -146,10 +146,10 @@
 	t.Helper()
 	store.SetDown(true)
 	eventually(t, "an unknown job returns 503 and not 404 without the state service", func() bool {
-		status, _, header := ask(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
+		status, _, header := sendRequest(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
 		return status == 503 && header.Get("Retry-After") != ""
 	})
-	if status, _, _ := ask(t, "GET", c.public(0)+"/healthz", ""); status != 200 {
+	if status, _, _ := sendRequest(t, "GET", c.public(0)+"/healthz", ""); status != 200 {
 		t.Errorf("healthz returns %d during an outage of the state service", status)
 	}
 }
@@ -157,11 +157,11 @@
 // loopbackWorker simulates the worker of a rented machine. It may report to the leader or to the
 // follower.
 type loopbackWorker struct {
-	cluster  *testCluster
-	via      int // index of the controller that it reports to
-	sequence int
-	token    float64
-	attempt  string // of the job's task, once started; empty before
+	cluster    *testCluster
+	controller int // index of the controller that it reports to
+	sequence   int
+	token      float64
+	attempt    string // of the job's task, once started; empty before
 }
 
 // report sends a report with the given tasks, and returns the commands in the answer.
@@ -170,7 +170,7 @@
 	w.sequence++
 	body := fmt.Sprintf(`{"stall":"host-000001","address":"127.0.0.1:1","breed":"m4","pasture":"a",
 	  "loaned_stock":true,"watch":1,"tally":%d,"crook":%.0f,"recall_s":null,"head":[%s]}`, w.sequence, w.token, tasks)
-	_, out, _ := ask(t, "POST", w.cluster.public(w.via)+"/checkin", body)
+	_, out, _ := sendRequest(t, "POST", w.cluster.public(w.controller)+"/checkin", body)
 	if token, ok := out["crook"].(float64); ok {
 		w.token = token
 	}
@@ -193,7 +193,7 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 		if w.token == 0 {
-			w.via = 1 - w.via
+			w.controller = 1 - w.controller
 		}
 		return false
 	})
@@ -206,7 +206,7 @@
 	t.Helper()
 	eventually(t, "the job is done, and the task is reaped only then", func() bool {
 		commands := w.report(t, w.task(`"standing":"ended","cause":"done"`))
-		_, out, _ := ask(t, "GET", w.cluster.public(0)+"/api/jobs/j-000001", "")
+		_, out, _ := sendRequest(t, "GET", w.cluster.public(0)+"/api/jobs/j-000001", "")
 		for _, c := range commands {
 			if c.(map[string]any)["call"] == "reap" {
 				return out["standing"] == "done"
@@ -220,10 +220,10 @@
 	return `{"beast":"j-000001/0","try":` + w.attempt + `,` + state + `}`
 }
 
-// eventually waits for a condition, for at most loopbackLimit.
+// eventually waits for a condition, for at most loopbackTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(loopbackLimit); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+	for end := time.Now().Add(loopbackTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		if condition() {
 			return
 		}
--- a/internal/node/message_checks.go
+++ b/internal/node/message_checks.go
@@ -18,10 +18,10 @@
 // maxReportTasks limits the tasks in a relayed report. A worker's own report is at most 64 KiB.
 const maxReportTasks = 4096
 
-// countRefusal counts and logs a message that failed validation with err, and returns err.
-func (n *Node) countRefusal(err error) error {
+// countRejection counts and logs a message that failed validation with err, and returns err.
+func (n *Node) countRejection(err error) error {
 	if err != nil {
-		n.refusedMessages.Add(1)
+		n.rejectedMessages.Add(1)
 		n.log.Warn("peer message rejected", "error", err)
 	}
 	return err
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (n *Node) checkRelay(in effects.RelayedHeartbeat) error {
+func (n *Node) checkRelayedHeartbeat(in effects.RelayedHeartbeat) error {
 	report := &in.Report
 	names := len(report.Machine) + len(report.Address) + len(report.Type) + len(report.Zone)
 	switch {
--- a/internal/node/message_checks_test.go
+++ b/internal/node/message_checks_test.go
@@ -13,15 +13,15 @@
 	"bitternmoor/internal/wire"
 )
 
-// checkedNode returns the controller n0, whose only peer is n1. Its loop does not run.
-func checkedNode() *Node {
+// newTestNode returns the controller n0, whose only peer is n1. Its loop does not run.
+func newTestNode() *Node {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Node, cfg.Peers = "n0", []settings.Peer{{Node: "n1"}}
 	return New(cfg, slog.New(slog.DiscardHandler))
 }
 
-// submissionOf returns a valid submission modified by change.
-func submissionOf(change func(job *eventlog.Job)) UserRequest {
+// newSubmission returns a valid submission modified by change.
+func newSubmission(change func(job *eventlog.Job)) UserRequest {
 	job := &eventlog.Job{ID: 7, Class: "c", Team: "t", Tasks: 3, CPUs: 1}
 	change(job)
 	return UserRequest{
@@ -32,24 +32,24 @@
 	}
 }
 
-// relayOf returns a valid relayed heartbeat modified by change.
-func relayOf(change func(in *effects.RelayedHeartbeat)) effects.RelayedHeartbeat {
+// newRelayedHeartbeat returns a valid relayed heartbeat modified by change.
+func newRelayedHeartbeat(change func(in *effects.RelayedHeartbeat)) effects.RelayedHeartbeat {
 	in := effects.RelayedHeartbeat{Via: "n1", Life: 1, Report: workers.Report{Machine: "m", Session: 1, Seq: 1}}
 	change(&in)
 	return in
 }
 
-// TestMalformedMessagesAreRefused checks that messages that are malformed, too large or not from a
+// TestInvalidMessagesAreRejected checks that messages that are malformed, too large or not from a
 // peer are rejected and counted, and that none of them reaches the loop.
-func TestMalformedMessagesAreRefused(t *testing.T) {
-	n := checkedNode()
+func TestInvalidMessagesAreRejected(t *testing.T) {
+	n := newTestNode()
 	controller := &Controller{n}
 	ask := func(in UserRequest) func() error {
 		return func() error { return controller.Ask(in, &effects.Answer{}) }
 	}
-	submit := func(change func(job *eventlog.Job)) func() error { return ask(submissionOf(change)) }
+	submit := func(change func(job *eventlog.Job)) func() error { return ask(newSubmission(change)) }
 	relay := func(change func(in *effects.RelayedHeartbeat)) func() error {
-		return func() error { return controller.Relay(relayOf(change), &effects.HeartbeatAnswer{}) }
+		return func() error { return controller.Relay(newRelayedHeartbeat(change), &effects.HeartbeatAnswer{}) }
 	}
 	heartbeat := func(in HeartbeatMessage) func() error {
 		return func() error { return controller.Hail(in, new(bool)) }
@@ -93,7 +93,7 @@
 			}
 		})
 	}
-	if got := n.refusedMessages.Load(); got != uint64(len(cases)) {
+	if got := n.rejectedMessages.Load(); got != uint64(len(cases)) {
 		t.Errorf("%d rejected messages are counted, want %d", got, len(cases))
 	}
 	if len(n.inputs) > 0 {
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestSoundMessagesAreAccepted checks that valid messages of a peer are accepted.
-func TestSoundMessagesAreAccepted(t *testing.T) {
-	n := checkedNode()
+// TestValidMessagesAreAccepted checks that valid messages of a peer are accepted.
+func TestValidMessagesAreAccepted(t *testing.T) {
+	n := newTestNode()
 	controller := &Controller{n}
 	go func() { // replaces the loop
 		for in := range n.inputs {
@@ -115,18 +115,18 @@
 	}()
 	defer close(n.inputs)
 	var answer effects.Answer
-	err := controller.Ask(submissionOf(func(*eventlog.Job) {}), &answer)
+	err := controller.Ask(newSubmission(func(*eventlog.Job) {}), &answer)
 	if err != nil || answer.Status != 503 { // nobody leads
 		t.Errorf("submission: error %v, answer %+v", err, answer)
 	}
 	if err := controller.Hail(HeartbeatMessage{Node: "n1", Epoch: 3}, new(bool)); err != nil {
 		t.Errorf("heartbeat: %v", err)
 	}
-	relayed := relayOf(func(*effects.RelayedHeartbeat) {})
+	relayed := newRelayedHeartbeat(func(*effects.RelayedHeartbeat) {})
 	if err := controller.Relay(relayed, &effects.HeartbeatAnswer{}); err != nil {
 		t.Errorf("relayed heartbeat: %v", err)
 	}
-	if got := n.refusedMessages.Load(); got != 0 {
+	if got := n.rejectedMessages.Load(); got != 0 {
 		t.Errorf("%d valid messages are rejected", got)
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -15,20 +15,20 @@
 type statusCollector struct{ node *Node }
 
 var (
-	descLeading  = prometheus.NewDesc("bitternmoor_leading", "1 on the leader, 0 on other nodes.", nil, nil)
-	descEpoch    = prometheus.NewDesc("bitternmoor_epoch", "Highest leader epoch seen by this node.", nil, nil)
-	descUnsaved  = prometheus.NewDesc("bitternmoor_entries_not_durable", "Entries not yet written to the state service.", nil, nil)
-	descJobs     = prometheus.NewDesc("bitternmoor_jobs_open", "Unfinished jobs in the order.", nil, nil)
-	descTasks    = prometheus.NewDesc("bitternmoor_tasks", "Tasks of unfinished jobs.", []string{"state"}, nil)
-	descMachines = prometheus.NewDesc("bitternmoor_block_machines", "Machines in each controller's block.", []string{"holder"}, nil)
-	descEvents   = prometheus.NewDesc("bitternmoor_events_total", "Events since the process started, by type.", []string{"event"}, nil)
+	descLeading    = prometheus.NewDesc("bitternmoor_leading", "1 on the leader, 0 on other nodes.", nil, nil)
+	descEpoch      = prometheus.NewDesc("bitternmoor_epoch", "Highest leader epoch seen by this node.", nil, nil)
+	descNotDurable = prometheus.NewDesc("bitternmoor_entries_not_durable", "Entries not yet written to the state service.", nil, nil)
+	descJobs       = prometheus.NewDesc("bitternmoor_jobs_open", "Unfinished jobs in the scheduling order.", nil, nil)
+	descTasks      = prometheus.NewDesc("bitternmoor_tasks", "Tasks of unfinished jobs.", []string{"state"}, nil)
+	descMachines   = prometheus.NewDesc("bitternmoor_block_machines", "Machines in each controller's shard.", []string{"holder"}, nil)
+	descEvents     = prometheus.NewDesc("bitternmoor_events_total", "Events since the process started, by type.", []string{"event"}, nil)
 )
 
 // Describe implements prometheus.Collector. It leaves out the components' own metrics, because they
 // depend on the settings.
 func (s *statusCollector) Describe(descs chan<- *prometheus.Desc) {
 	for _, desc := range []*prometheus.Desc{
-		descLeading, descEpoch, descUnsaved, descJobs, descTasks, descMachines, descEvents,
+		descLeading, descEpoch, descNotDurable, descJobs, descTasks, descMachines, descEvents,
 	} {
 		descs <- desc
 	}
@@ -49,7 +49,7 @@
 		return
 	}
 	collectStatus(metrics, &status)
-	collectEvents(metrics, &status.Counts, s.node.refusedMessages.Load())
+	collectEvents(metrics, &status.Counts, s.node.rejectedMessages.Load())
 	collectGauges(metrics, gauges)
 	collectHistograms(metrics, histograms)
 }
@@ -65,7 +65,7 @@
 	}
 	sendGauge(metrics, descLeading, leading)
 	sendGauge(metrics, descEpoch, float64(status.Epoch))
-	sendGauge(metrics, descUnsaved, float64(status.Unsaved))
+	sendGauge(metrics, descNotDurable, float64(status.Unsaved))
 	sendGauge(metrics, descJobs, float64(len(status.Queue)))
 	waiting, placed := 0, 0
 	for _, job := range status.Queue {
@@ -79,7 +79,7 @@
 	}
 }
 
-func collectEvents(metrics chan<- prometheus.Metric, counts *cluster.Counts, refusedMessages uint64) {
+func collectEvents(metrics chan<- prometheus.Metric, counts *cluster.Counts, rejectedMessages uint64) {
 	for _, event := range []struct {
 		name  string
 		count uint64
@@ -95,7 +95,7 @@
 		{"job_released", counts.Released},
 		{"cancellation_spread", counts.CancelSpread},
 		{"left_waiting", counts.LeftWaiting},
-		{"message_refused", refusedMessages},
+		{"message_refused", rejectedMessages},
 	} {
 		metrics <- prometheus.MustNewConstMetric(descEvents, prometheus.CounterValue, float64(event.count), event.name)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -51,8 +51,8 @@
 	directCalls chan struct{}   // semaphore of the SendStops calls in progress
 	calls       sync.WaitGroup  // goroutines of calls; started by the loop, awaited by runLoop
 
-	receiptKeys     receiptKeyCache
-	refusedMessages atomic.Uint64 // messages from other controllers that failed validation
+	receiptKeys      receiptKeyCache
+	rejectedMessages atomic.Uint64 // messages from other controllers that failed validation
 
 	admissionMu sync.Mutex            // guards the state behind admission, not the pointer
 	admission   *admission.Controller // nil: no rate limit
@@ -92,8 +92,8 @@
 // and waits for them. The connection goroutines of net/http and net/rpc end by themselves.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, stop := context.WithCancel(ctx)
-	var owned sync.WaitGroup
-	defer owned.Wait()
+	var goroutines sync.WaitGroup
+	defer goroutines.Wait()
 	defer stop()
 	var servers []*server
 	for _, open := range []func() (*server, error){n.openPublic, n.openInternal, n.openOperators} {
@@ -108,15 +108,15 @@
 	}
 	failed := make(chan error, len(servers))
 	for _, s := range servers {
-		owned.Go(func() { failed <- s.serve() })
+		goroutines.Go(func() { failed <- s.serve() })
 		if s.background != nil {
-			owned.Go(func() { s.background(ctx) })
+			goroutines.Go(func() { s.background(ctx) })
 		}
 	}
 	if n.notifier != nil {
-		owned.Go(func() { n.notifier.Run(ctx) })
+		goroutines.Go(func() { n.notifier.Run(ctx) })
 	}
-	owned.Go(func() { n.runLoop(ctx) })
+	goroutines.Go(func() { n.runLoop(ctx) })
 	n.log.Info("serving", "node", n.settings.Node, "zone", n.settings.Zone,
 		"public", n.settings.PublicAddr, "internal", n.settings.InternalAddr)
 	var err error
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -33,7 +33,7 @@
 		Read:     access.Read,
 		Operate:  access.Operate,
 		Admin:    access.Admin,
-		Operable: certificateOnly,
+		Operable: certificateOnlyComponents,
 	}
 	httpServer := n.newServer(control.Handler(n, roles))
 	httpServer.TLSConfig = store.Server()
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -29,12 +29,12 @@
 }
 
 // Partitioned reports whether, according to the state service, another node leads that this one
-// has not reached for unreachableLimit. Such a node can serve neither users' requests nor
+// has not reached for leaderSilenceLimit. Such a node can serve neither users' requests nor
 // heartbeats.
 func (c *Core) Partitioned(now time.Duration) bool {
 	leader := c.elector.LeaderName()
 	return leader != "" && leader == c.unreachedLeader &&
-		now-c.unreachedSince >= c.unreachableLimit() &&
+		now-c.unreachedSince >= c.leaderSilenceLimit() &&
 		c.elector.Watching()
 }
 
@@ -50,26 +50,26 @@
 	}
 }
 
-// zoneCutOff reports whether this node's zone seems to be disconnected: it has not heard from a
+// zoneIsolated reports whether this node's zone seems to be disconnected: it has not heard from a
 // leader for longer than the lease of a stopped leader lasts, and the state service does not
 // answer. The node then answers every worker with the highest token that the worker has seen and
 // no commands, for as long as the leader waits for a silent zone. Such a worker has already tried
 // the other controllers, and would get the same answer from another disconnected one.
-func (c *Core) zoneCutOff(now time.Duration) bool {
+func (c *Core) zoneIsolated(now time.Duration) bool {
 	heardAt, _ := c.elector.LeaderlessTimes()
 	silent := now - heardAt
 	return heardAt > 0 &&
-		silent > c.unreachableLimit()+peerTimeout &&
+		silent > c.leaderSilenceLimit()+peerTimeout &&
 		silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) &&
 		!c.elector.StateServiceAnswers(now)
 }
 
-// isolatedLeader reports whether this leader lost the state service and all other controllers at
+// isIsolatedLeader reports whether this leader lost the state service and all other controllers at
 // the same time. Then the fault is most likely on its own side, and another node leads or will do
 // so soon. The losses must be simultaneous: when the state service failed while the other
 // controllers had not yet restarted after a crash, the leader redirected its machines to
 // controllers that were not running.
-func (c *Core) isolatedLeader(now time.Duration) bool {
+func (c *Core) isIsolatedLeader(now time.Duration) bool {
 	var lastAnswerAt time.Duration
 	for _, at := range c.peerAnsweredAt {
 		lastAnswerAt = max(lastAnswerAt, at)
@@ -78,17 +78,17 @@
 	// least until then.
 	stateServiceAnsweredAt := c.leaseValidAt - settings.Seconds(c.settings.Tunables.LeaderLeaseS)
 	return lastAnswerAt > 0 &&
-		now-c.leaseValidAt > c.unreachableLimit() &&
+		now-c.leaseValidAt > c.leaderSilenceLimit() &&
 		now-lastAnswerAt >= peerSilenceLimit &&
 		lastAnswerAt > stateServiceAnsweredAt-simultaneousWindow
 }
 
-// isolatedFollower is isolatedLeader for a node that does not lead: it lost the leader and the state
-// service at about the same time, and has not reached the leader for unreachableLimit and the
+// isIsolatedFollower is isIsolatedLeader for a node that does not lead: it lost the leader and the
+// state service at about the same time, and has not reached the leader for leaderSilenceLimit and the
 // duration of a call.
-func (c *Core) isolatedFollower(now time.Duration) bool {
+func (c *Core) isIsolatedFollower(now time.Duration) bool {
 	return c.unreachedLeader != "" &&
-		now-c.unreachedSince >= c.unreachableLimit()+peerTimeout &&
+		now-c.unreachedSince >= c.leaderSilenceLimit()+peerTimeout &&
 		!c.elector.StateServiceAnswers(now) &&
 		c.unreachedSince < c.elector.StateServiceAnsweredAt()+simultaneousWindow
 }
@@ -99,11 +99,11 @@
 // A machine that comes back could not reach the leader either, so all are kept alive for a while.
 // It reports whether the machine was answered.
 func (c *Core) redirectToLeader(now time.Duration, to effects.RequestID, report *workers.Report) bool {
-	c.noteReturn(now, report.Machine)
-	if c.returnedLately(now) || !c.Partitioned(now) {
+	c.recordReturn(now, report.Machine)
+	if c.returnedRecently(now) || !c.Partitioned(now) {
 		return false
 	}
-	if _, ours := c.shards.KeepAlive(now, report); !ours {
+	if _, inShard := c.shards.KeepAlive(now, report); !inShard {
 		return false // such a machine tries the controllers in turn, and may come from the leader
 	}
 	leader := c.elector.LeaderName()
@@ -113,19 +113,19 @@
 	return true
 }
 
-// turnAway rejects a machine's heartbeat so that the machine tries the other controllers, before the
+// rejectHeartbeat rejects a machine's heartbeat so that the machine tries the other controllers, before the
 // leader treats it as lost. Machines of this node's shard are rejected once: if one comes back, no
 // other controller answered, as in a disconnected zone, so all are kept alive for a while. Other
 // machines are always rejected: when a leader lost the state service and its peers but not its
 // workers, new machines were kept alive there, and the next leader never heard from them. It reports
 // whether the machine was answered.
-func (c *Core) turnAway(now time.Duration, to effects.RequestID, report *workers.Report) bool {
-	if c.zoneCutOff(now) {
+func (c *Core) rejectHeartbeat(now time.Duration, to effects.RequestID, report *workers.Report) bool {
+	if c.zoneIsolated(now) {
 		return false
 	}
-	if _, ours := c.shards.KeepAlive(now, report); ours {
-		c.noteReturn(now, report.Machine)
-		if c.returnedLately(now) {
+	if _, inShard := c.shards.KeepAlive(now, report); inShard {
+		c.recordReturn(now, report.Machine)
+		if c.returnedRecently(now) {
 			return false
 		}
 		c.redirectedAt[report.Machine] = now
@@ -134,14 +134,14 @@
 	return true
 }
 
-// noteReturn records the return of a machine that was redirected.
-func (c *Core) noteReturn(now time.Duration, machine string) {
+// recordReturn records the return of a machine that was redirected.
+func (c *Core) recordReturn(now time.Duration, machine string) {
 	if _, redirected := c.redirectedAt[machine]; redirected {
 		c.lastReturnAt = now
 	}
 }
 
-func (c *Core) returnedLately(now time.Duration) bool {
+func (c *Core) returnedRecently(now time.Duration) bool {
 	return c.lastReturnAt > 0 && now-c.lastReturnAt < redirectInterval
 }
 
--- a/internal/node/peer_rpc.go
+++ b/internal/node/peer_rpc.go
@@ -63,7 +63,7 @@
 // Ask serves a user's request that another controller forwarded. It is never forwarded a second
 // time.
 func (c *Controller) Ask(in UserRequest, out *effects.Answer) error {
-	if err := c.node.countRefusal(c.node.checkUserRequest(in)); err != nil {
+	if err := c.node.countRejection(c.node.checkUserRequest(in)); err != nil {
 		return err
 	}
 	if in.Op == opSubmit && !in.Whole && len(c.node.settings.Tunables.Pools) > 0 {
@@ -94,7 +94,7 @@
 
 // Hail handles the leader's heartbeat. Older versions call it by this name.
 func (c *Controller) Hail(in HeartbeatMessage, _ *bool) error {
-	if err := c.node.countRefusal(c.node.checkHeartbeat(in)); err != nil {
+	if err := c.node.countRejection(c.node.checkHeartbeat(in)); err != nil {
 		return err
 	}
 	return c.node.tryEnqueue(func(now time.Duration) {
@@ -105,7 +105,7 @@
 // ConfigHeartbeat handles the leader's heartbeat with configuration changes.
 func (c *Controller) ConfigHeartbeat(in ConfigHeartbeatMessage, out *ConfigAnswer) error {
 	err := errors.Join(c.node.checkHeartbeat(in.Heartbeat), c.node.checkConfig(in.Update))
-	if err := c.node.countRefusal(err); err != nil {
+	if err := c.node.countRejection(err); err != nil {
 		return err
 	}
 	return c.node.runOnLoop(func(now time.Duration) {
@@ -117,7 +117,7 @@
 // Relay serves a worker's heartbeat that another controller relayed. It is never relayed a second
 // time.
 func (c *Controller) Relay(in effects.RelayedHeartbeat, out *effects.HeartbeatAnswer) error {
-	if err := c.node.countRefusal(c.node.checkRelay(in)); err != nil {
+	if err := c.node.countRejection(c.node.checkRelayedHeartbeat(in)); err != nil {
 		return err
 	}
 	answer, err := c.node.awaitHeartbeatAnswer(func(now time.Duration, to effects.RequestID) {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -16,8 +16,8 @@
 const (
 	peerTimeout     = 1200 * time.Millisecond
 	peerDialTimeout = 500 * time.Millisecond
-	// peerGreeting is the HTTP status with which net/rpc accepts a CONNECT request.
-	peerGreeting = "200 Connected to Go RPC"
+	// rpcConnectedStatus is the HTTP status with which net/rpc accepts a CONNECT request.
+	rpcConnectedStatus = "200 Connected to Go RPC"
 )
 
 // peer is a client of another controller, which uses one net/rpc connection at a time.
@@ -26,10 +26,10 @@
 	client  atomic.Pointer[rpc.Client] // nil: not connected
 }
 
-// exceeded reports whether a call took longer than the limit. In a process that was suspended and
+// limitExceeded reports whether a call took longer than the limit. In a process that was suspended and
 // resumed, the answer and the timer become ready together. Such an answer may be as old as the
 // suspension was long, and the user may have received a newer one from another controller.
-func exceeded(began time.Time, limit time.Duration) bool { return time.Since(began) > limit }
+func limitExceeded(began time.Time, limit time.Duration) bool { return time.Since(began) > limit }
 
 // call makes one call with a timeout, which net/rpc does not support. Errors of the remote method
 // have the type rpc.ServerError. After any other error the connection is closed, since an answer
@@ -45,7 +45,7 @@
 	call := client.Go(method, in, out, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		if err = call.Error; err == nil && exceeded(began, peerTimeout) {
+		if err = call.Error; err == nil && limitExceeded(began, peerTimeout) {
 			err = fmt.Errorf("node: %s: the answer came too late", p.address)
 		}
 	case <-deadline.C:
@@ -66,14 +66,14 @@
 	if client := p.client.Load(); client != nil {
 		return client, nil
 	}
-	fresh, err := dialPeer(ctx, p.address)
+	dialed, err := dialPeer(ctx, p.address)
 	if err != nil {
 		return nil, err
 	}
-	if p.client.CompareAndSwap(nil, fresh) {
-		return fresh, nil
+	if p.client.CompareAndSwap(nil, dialed) {
+		return dialed, nil
 	}
-	_ = fresh.Close() // no call was made on it
+	_ = dialed.Close() // no call was made on it
 	if client := p.client.Load(); client != nil {
 		return client, nil
 	}
@@ -105,16 +105,16 @@
 	interrupt := func() { _ = conn.SetDeadline(time.Now()) } // fails only on a closed connection
 	stop := context.AfterFunc(ctx, interrupt)
 	defer stop()
-	if err := greetPeer(conn); err != nil {
-		_ = conn.Close() // the error of greetPeer is returned instead
+	if err := rpcHandshake(conn); err != nil {
+		_ = conn.Close() // the error of rpcHandshake is returned instead
 		return nil, fmt.Errorf("node: %s: %w", address, err)
 	}
 	return rpc.NewClient(conn), nil
 }
 
-// greetPeer sends net/rpc's CONNECT request on a new connection, and checks the answer, within
+// rpcHandshake sends net/rpc's CONNECT request on a new connection, and checks the answer, within
 // peerTimeout. Errors of setting the deadline are ignored, because reads and writes then fail too.
-func greetPeer(conn net.Conn) error {
+func rpcHandshake(conn net.Conn) error {
 	_ = conn.SetDeadline(time.Now().Add(peerTimeout))
 	if _, err := io.WriteString(conn, "CONNECT "+PathPeers+" HTTP/1.0\n\n"); err != nil {
 		return err
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	if resp.Status != peerGreeting {
+	if resp.Status != rpcConnectedStatus {
 		return errors.New("not a controller: " + resp.Status)
 	}
 	_ = conn.SetDeadline(time.Time{})
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	poolsJobs  = 5
-	poolsLimit = 90 * time.Second
+	poolsJobCount = 5
+	poolsTimeout  = 90 * time.Second
 )
 
 // poolsTest is a cluster of two controllers with a pool of three licences, and a simulated fleet
@@ -45,15 +45,15 @@
 	p.submitJobs(t)
 	p.checkCertificatesNeeded(t)
 	p.addTeam(t)
-	p.disturb(t, stopFirst)
+	p.injectFaults(t, stopFirst)
 	_, err := p.change(t, `{"id":"late","pool":"licence","version":0,"units":3}`)
 	if err == nil || !strings.Contains(err.Error(), "version") {
 		t.Errorf("a change planned for an outdated version returns %v", err)
 	}
-	p.await(t, "a holder has a receipt", func() bool { return p.certifyHolder(t) })
-	for id := 1; id <= poolsJobs; id++ {
+	p.await(t, "a holder has a receipt", func() bool { return p.checkHolderReceipt(t) })
+	for id := 1; id <= poolsJobCount; id++ {
 		p.await(t, "the job is done", func() bool {
-			_, out, _ := ask(t, "GET", fmt.Sprintf("%s/api/jobs/j-%06d", p.public(1), id), "")
+			_, out, _ := sendRequest(t, "GET", fmt.Sprintf("%s/api/jobs/j-%06d", p.public(1), id), "")
 			return out["standing"] == "done"
 		})
 	}
@@ -119,24 +119,24 @@
 // await waits for a condition. On a timeout it prints the state of the jobs and of the pool.
 func (p *poolsTest) await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(poolsLimit); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
+	for end := time.Now().Add(poolsTimeout); time.Now().Before(end); time.Sleep(30 * time.Millisecond) {
 		if condition() {
 			return
 		}
 	}
-	for id := 1; id <= poolsJobs; id++ {
-		_, out, _ := ask(t, "GET", fmt.Sprintf("%s%sj-%06d", p.internal(1), PathExplain, id), "")
+	for id := 1; id <= poolsJobCount; id++ {
+		_, out, _ := sendRequest(t, "GET", fmt.Sprintf("%s%sj-%06d", p.internal(1), PathExplain, id), "")
 		t.Log(out["words"])
 	}
-	_, out, _ := ask(t, "GET", p.internal(1)+PathComponents+"pools/licence", "")
-	_, status, _ := ask(t, "GET", p.internal(1)+PathStatus, "")
+	_, out, _ := sendRequest(t, "GET", p.internal(1)+PathComponents+"pools/licence", "")
+	_, status, _ := sendRequest(t, "GET", p.internal(1)+PathStatus, "")
 	t.Fatalf("timed out waiting until %s; pool: %v; machines: %v", what, out, status["machines"])
 }
 
 // submit submits a job of three tasks, to one controller or the other depending on the ID.
 func (p *poolsTest) submit(t *testing.T, id int, counted string) int {
 	t.Helper()
-	status, _, _ := ask(t, "POST", p.public(id%2)+"/api/jobs", fmt.Sprintf(`{"name_id":"j-%06d","herd":"c",
+	status, _, _ := sendRequest(t, "POST", p.public(id%2)+"/api/jobs", fmt.Sprintf(`{"name_id":"j-%06d","herd":"c",
 	  "keeper":"team","gait":"sweep","urgency":"normal","head":3,"vcpus":1,"gpus":0,"memory_gb":1,
 	  "brand":"i","size_gb":0.1,"breeds":null,"together":false,"scatter":false,"loaned_stock":true,
 	  "trek_s":1,"waypoint_s":0,"stow_s":0,"counted":[%s]}`, id, counted))
@@ -146,7 +146,7 @@
 // submitJobs submits the jobs, and some with invalid or unsatisfiable pool requirements.
 func (p *poolsTest) submitJobs(t *testing.T) {
 	t.Helper()
-	for id := 1; id <= poolsJobs; id++ {
+	for id := 1; id <= poolsJobCount; id++ {
 		p.await(t, "a submission is accepted", func() bool {
 			return p.submit(t, id, `{"pool":"licence","units":1,"per":"task"}`) == 201
 		})
@@ -181,7 +181,7 @@
 func (p *poolsTest) checkCertificatesNeeded(t *testing.T) {
 	t.Helper()
 	for _, component := range []string{"pools", "config"} {
-		if status, _, _ := ask(t, "POST", p.internal(0)+PathComponents+component, `{}`); status != 403 {
+		if status, _, _ := sendRequest(t, "POST", p.internal(0)+PathComponents+component, `{}`); status != 403 {
 			t.Errorf("a change of %s without a certificate returns %d", component, status)
 		}
 	}
@@ -198,10 +198,10 @@
 	for _, c := range p.settings {
 		p.await(t, "the new team is in force on the controller", func() bool {
 			var here struct{ Revision uint64 }
-			return getJSON(c.InternalAddr, "config/here", &here) && here.Revision == 1
+			return getView(c.InternalAddr, "config/here", &here) && here.Revision == 1
 		})
 	}
-	_, out, _ := ask(t, "GET", p.internal(0)+PathComponents+"config", "")
+	_, out, _ := sendRequest(t, "GET", p.internal(0)+PathComponents+"config", "")
 	if !strings.Contains(fmt.Sprint(out["teams"]), "guests") {
 		t.Errorf("the view does not show the team: %v", out)
 	}
@@ -211,9 +211,9 @@
 	}
 }
 
-// disturb kills workers and disconnects others for longer than their lease. Meanwhile it shrinks the
+// injectFaults kills workers and disconnects others for longer than their lease. Meanwhile it shrinks the
 // pool and restarts the first controller.
-func (p *poolsTest) disturb(t *testing.T, stopFirst func()) {
+func (p *poolsTest) injectFaults(t *testing.T, stopFirst func()) {
 	t.Helper()
 	for round := range 12 {
 		p.await(t, "a task runs", func() bool { return len(p.fleet.Busy()) > 0 })
@@ -238,12 +238,12 @@
 	}
 }
 
-// certifyHolder requests a receipt for a running attempt, and then one for another attempt of the
+// checkHolderReceipt requests a receipt for a running attempt, and then one for another attempt of the
 // same task, which must be rejected. It reports whether it found an attempt that gets a receipt.
-func (p *poolsTest) certifyHolder(t *testing.T) bool {
+func (p *poolsTest) checkHolderReceipt(t *testing.T) bool {
 	t.Helper()
 	var view pools.View
-	if !getJSON(p.settings[0].InternalAddr, "pools/licence", &view) || len(view.Holders) == 0 {
+	if !getView(p.settings[0].InternalAddr, "pools/licence", &view) || len(view.Holders) == 0 {
 		return false
 	}
 	for ref, attempt := range p.fleet.Attempts() {
@@ -268,7 +268,7 @@
 func (p *poolsTest) receipt(t *testing.T, job string, task int, attempt uint64) (int, map[string]any) {
 	t.Helper()
 	body := fmt.Sprintf(`{"job":%q,"task":%d,"attempt":%d}`, job, task, attempt)
-	status, out, _ := ask(t, "POST", p.public(0)+PathReceipts, body)
+	status, out, _ := sendRequest(t, "POST", p.public(0)+PathReceipts, body)
 	return status, out
 }
 
--- a/internal/node/receipts.go
+++ b/internal/node/receipts.go
@@ -30,8 +30,8 @@
 	// receiptKeysMaxAge is how long cached keys are used before their files are read again.
 	receiptKeysMaxAge = 5 * time.Second
 
-	retryUncertainS = "1"  // Retry-After in seconds if the holding is not durable yet
-	retryUnsignedS  = "30" // Retry-After in seconds if the keys cannot be read
+	retryNotDurableS = "1"  // Retry-After in seconds if the holding is not durable yet
+	retryNoKeysS     = "30" // Retry-After in seconds if the keys cannot be read
 )
 
 // handleReceipt serves a task's request for a receipt. It answers 200 with the receipt, 409 if that
@@ -59,7 +59,7 @@
 	case errors.Is(err, control.ErrRefused):
 		writeBody(w, http.StatusConflict, wire.ErrorBody(err.Error()))
 	case err != nil:
-		w.Header().Set("Retry-After", retryUncertainS)
+		w.Header().Set("Retry-After", retryNotDurableS)
 		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("not known for certain yet"))
 	default:
 		n.signReceipt(w, in.Job, receipt)
@@ -92,7 +92,7 @@
 	keys, err := n.receiptKeys.get(n.settings.Tunables.ReceiptKeys())
 	if err != nil {
 		n.log.Error("receipts cannot be signed", "error", err)
-		w.Header().Set("Retry-After", retryUnsignedS)
+		w.Header().Set("Retry-After", retryNoKeysS)
 		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody("receipts cannot be signed at present"))
 		return
 	}
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -22,16 +22,16 @@
 	"bitternmoor/internal/scaletest/standin"
 )
 
-// recorded is one recorded job of a kind of work, with the durations of its tasks.
-type recorded struct {
-	round        int
-	class, image string
-	owner        float64
-	wrong        string
-	took         []time.Duration
+// recordedJob is one recorded job of a kind of work, with the durations of its tasks.
+type recordedJob struct {
+	round          int
+	class, image   string
+	ownerEstimateS float64
+	fault          string
+	taskDurations  []time.Duration
 }
 
-func readRecorded(t *testing.T) (list []recorded) {
+func readRecordedJobs(t *testing.T) (list []recordedJob) {
 	t.Helper()
 	f, err := os.Open("testdata/recorded_runs.txt")
 	if err != nil {
@@ -42,9 +42,9 @@
 		if strings.HasPrefix(lines.Text(), "#") {
 			continue
 		}
-		var r recorded
+		var r recordedJob
 		var times string
-		if _, err := fmt.Sscan(lines.Text(), &r.round, &r.class, &r.image, &r.owner, &r.wrong, &times); err != nil {
+		if _, err := fmt.Sscan(lines.Text(), &r.round, &r.class, &r.image, &r.ownerEstimateS, &r.fault, &times); err != nil {
 			t.Fatal(err)
 		}
 		for x := range strings.SplitSeq(times, ",") {
@@ -52,20 +52,20 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			r.took = append(r.took, time.Duration(ms)*time.Millisecond)
+			r.taskDurations = append(r.taskDurations, time.Duration(ms)*time.Millisecond)
 		}
 		list = append(list, r)
 	}
 	return list
 }
 
-// replayed is the outcome of replaying one recorded job.
-type replayed struct {
-	recorded
-	submitted, ended time.Time
-	est              runtimes.Estimate
-	deadline, warned time.Time
-	lead             float64
+// replayedJob is the outcome of replaying one recorded job.
+type replayedJob struct {
+	recordedJob
+	submittedAt, endedAt time.Time
+	estimate             runtimes.Estimate
+	deadline, warnedAt   time.Time
+	warningLeadS         float64
 }
 
 // TestReplay replays recorded jobs with simulated workers over real sockets, round by round. It
@@ -75,16 +75,16 @@
 	if os.Getenv("REPLAY") == "" {
 		t.Skip("REPLAY is not set")
 	}
-	list := readRecorded(t)
+	list := readRecordedJobs(t)
 	var mu sync.Mutex
-	jobs := map[string]*replayed{}
-	told := map[string]bool{} // jobs of which the webhook was notified
+	jobs := map[string]*replayedJob{}
+	notified := map[string]bool{} // jobs of which the webhook was notified
 	hook := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		var x struct{ What, Job string }
 		if json.Unmarshal(body, &x) == nil && x.What == "raised" {
 			mu.Lock()
-			told[x.Job] = true
+			notified[x.Job] = true
 			mu.Unlock()
 		}
 	}))
@@ -104,9 +104,9 @@
 			n, _ := strconv.Atoi(k)
 			mu.Lock()
 			defer mu.Unlock()
-			return jobs[id].took[n]
+			return jobs[id].taskDurations[n]
 		},
-		TaskCount: func(id string) int { mu.Lock(); defer mu.Unlock(); return len(jobs[id].took) }}
+		TaskCount: func(id string) int { mu.Lock(); defer mu.Unlock(); return len(jobs[id].taskDurations) }}
 	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -126,30 +126,30 @@
 			n++
 			id := fmt.Sprintf("j-%06d", n)
 			mu.Lock()
-			jobs[id] = &replayed{recorded: r, submitted: time.Now()}
+			jobs[id] = &replayedJob{recordedJob: r, submittedAt: time.Now()}
 			mu.Unlock()
 			body := fmt.Sprintf(`{"name_id":%q,"herd":%q,"keeper":"team","gait":"sweep","urgency":"normal","head":%d,"vcpus":1,"gpus":0,"memory_gb":1,
-			  "brand":%q,"size_gb":0.1,"breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":%v,"waypoint_s":0,"stow_s":0}`, id, r.class, len(r.took), r.image, r.owner)
+			  "brand":%q,"size_gb":0.1,"breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":%v,"waypoint_s":0,"stow_s":0}`, id, r.class, len(r.taskDurations), r.image, r.ownerEstimateS)
 			for status := 0; status != 201 && status != 200; {
-				if status, _, _ = ask(t, "POST", "http://"+c.PublicAddr+"/api/jobs", body); status != 201 {
+				if status, _, _ = sendRequest(t, "POST", "http://"+c.PublicAddr+"/api/jobs", body); status != 201 {
 					time.Sleep(50 * time.Millisecond)
 				}
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
 		for open := 1; open > 0; time.Sleep(150 * time.Millisecond) {
-			open = watch(c.InternalAddr, &mu, jobs)
+			open = pollForecasts(c.InternalAddr, &mu, jobs)
 		}
 	}
-	reportReplay(t, jobs, told)
+	reportReplay(t, jobs, notified)
 }
 
-// watch records the leader's forecasts and warnings, and which jobs have ended. It returns how many
-// jobs are still open.
-func watch(addr string, mu *sync.Mutex, jobs map[string]*replayed) int {
+// pollForecasts records the leader's forecasts and warnings, and which jobs have ended. It returns how
+// many jobs are still open.
+func pollForecasts(addr string, mu *sync.Mutex, jobs map[string]*replayedJob) int {
 	var list []runtimes.Forecast
 	var late []runtimes.Late
-	if !getJSON(addr, "run-times/forecast", &list) || !getJSON(addr, "run-times/late", &late) {
+	if !getView(addr, "run-times/forecast", &list) || !getView(addr, "run-times/late", &late) {
 		return 1
 	}
 	mu.Lock()
@@ -159,40 +159,40 @@
 	for _, f := range list {
 		open[f.Job] = true
 		j := jobs[f.Job]
-		if j.est.From == "" {
-			j.est = f.Estimate
+		if j.estimate.From == "" {
+			j.estimate = f.Estimate
 		}
 		if f.Estimate.JobP90 > 0 {
 			j.deadline = now.Add(time.Duration(f.LearnedS * float64(time.Second)))
 		}
 	}
 	for _, l := range late {
-		if j := jobs[l.Job]; j.warned.IsZero() {
-			j.warned, j.lead = time.UnixMilli(l.RaisedMS), l.LeadS
+		if j := jobs[l.Job]; j.warnedAt.IsZero() {
+			j.warnedAt, j.warningLeadS = time.UnixMilli(l.RaisedMS), l.LeadS
 		}
 	}
 	for id, j := range jobs {
-		if j.ended.IsZero() && j.est.From != "" && !open[id] {
-			j.ended = now
+		if j.endedAt.IsZero() && j.estimate.From != "" && !open[id] {
+			j.endedAt = now
 		}
 	}
 	left := 0
 	for _, j := range jobs {
-		if j.ended.IsZero() {
+		if j.endedAt.IsZero() {
 			left++
 		}
 	}
 	return left
 }
 
-func reportReplay(t *testing.T, jobs map[string]*replayed, told map[string]bool) {
-	means := map[string][]float64{}
+func reportReplay(t *testing.T, jobs map[string]*replayedJob, notified map[string]bool) {
+	taskSeconds := map[string][]float64{}
 	type score struct {
 		n      int
 		within [3]int
 	}
 	scores := map[string]*score{}
-	add := func(name string, round int, guess, actual float64) {
+	addGuess := func(name string, round int, guess, actual float64) {
 		key := fmt.Sprintf("run %2d %s", round, name)
 		if scores[key] == nil {
 			scores[key] = &score{}
@@ -204,46 +204,46 @@
 			}
 		}
 	}
-	var alarms, rightly, falsely, missed, behind, untold int
-	var leads []float64
+	var warnings, correct, falseAlarms, missed, afterDeadline, notNotified int
+	var leadTimes []float64
 	for n := 1; n <= len(jobs); n++ {
 		id := fmt.Sprintf("j-%06d", n)
 		j := jobs[id]
-		actual := slices.Sorted(slices.Values(j.took))[len(j.took)/2].Seconds()
-		if j.wrong == "-" && slices.Contains([]int{1, 3, 10}, j.round) {
-			add("learned", j.round, j.est.P50, actual)
-			add("owner", j.round, j.owner, actual)
-			if m := means[j.image]; len(m) > 0 {
+		actual := slices.Sorted(slices.Values(j.taskDurations))[len(j.taskDurations)/2].Seconds()
+		if j.fault == "-" && slices.Contains([]int{1, 3, 10}, j.round) {
+			addGuess("learned", j.round, j.estimate.P50, actual)
+			addGuess("owner", j.round, j.ownerEstimateS, actual)
+			if m := taskSeconds[j.image]; len(m) > 0 {
 				sum := 0.0
 				for _, v := range m {
 					sum += v
 				}
-				add("mean of all before", j.round, sum/float64(len(m)), actual)
+				addGuess("mean of all before", j.round, sum/float64(len(m)), actual)
 			}
 		}
-		for _, x := range j.took {
-			means[j.image] = append(means[j.image], x.Seconds())
+		for _, x := range j.taskDurations {
+			taskSeconds[j.image] = append(taskSeconds[j.image], x.Seconds())
 		}
-		late := !j.deadline.IsZero() && j.ended.After(j.deadline)
-		if !j.warned.IsZero() {
-			alarms++
-			leads = append(leads, j.lead)
-			if j.lead < 0 {
-				behind++
+		late := !j.deadline.IsZero() && j.endedAt.After(j.deadline)
+		if !j.warnedAt.IsZero() {
+			warnings++
+			leadTimes = append(leadTimes, j.warningLeadS)
+			if j.warningLeadS < 0 {
+				afterDeadline++
 			}
-			if !told[id] {
-				untold++
+			if !notified[id] {
+				notNotified++
 			}
-			t.Logf("warned: %s round %d %s: %s, lead %.1f s, late %v", id, j.round, j.image, j.wrong, j.lead, late)
+			t.Logf("warned: %s round %d %s: %s, lead %.1f s, late %v", id, j.round, j.image, j.fault, j.warningLeadS, late)
 		}
 		switch {
-		case late && !j.warned.IsZero():
-			rightly++
+		case late && !j.warnedAt.IsZero():
+			correct++
 		case late:
 			missed++
-			t.Logf("missed: %s round %d %s: %s, by %v", id, j.round, j.image, j.wrong, j.ended.Sub(j.deadline))
-		case !j.warned.IsZero():
-			falsely++
+			t.Logf("missed: %s round %d %s: %s, by %v", id, j.round, j.image, j.fault, j.endedAt.Sub(j.deadline))
+		case !j.warnedAt.IsZero():
+			falseAlarms++
 		}
 	}
 	for _, key := range slices.Sorted(func(yield func(string) bool) {
@@ -257,12 +257,12 @@
 		n := float64(s.n)
 		t.Logf("%-26s share within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f, of %d jobs", key, float64(s.within[0])/n, float64(s.within[1])/n, float64(s.within[2])/n, s.n)
 	}
-	slices.Sort(leads)
-	if len(leads) > 0 {
-		t.Logf("warning lead time: %.1f s minimum, %.1f s median", leads[0], leads[len(leads)/2])
+	slices.Sort(leadTimes)
+	if len(leadTimes) > 0 {
+		t.Logf("warning lead time: %.1f s minimum, %.1f s median", leadTimes[0], leadTimes[len(leadTimes)/2])
 	}
-	t.Logf("%d jobs: %d warnings, %d correct, %d false, %d missed, %d after the deadline, %d not sent to the webhook", len(jobs), alarms, rightly, falsely, missed, behind, untold)
-	if behind > 0 || untold > 0 || rightly == 0 {
+	t.Logf("%d jobs: %d warnings, %d correct, %d false, %d missed, %d after the deadline, %d not sent to the webhook", len(jobs), warnings, correct, falseAlarms, missed, afterDeadline, notNotified)
+	if afterDeadline > 0 || notNotified > 0 || correct == 0 {
 		t.Error("warnings are too late or not sent to the webhook, or none is correct")
 	}
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -112,7 +112,7 @@
 	defer timer.Stop()
 	select {
 	case answer := <-pending:
-		if exceeded(began, answerTimeout) {
+		if limitExceeded(began, answerTimeout) {
 			return effects.Unavailable("the answer came too late")
 		}
 		return answer
--- a/internal/node/servers.go
+++ b/internal/node/servers.go
@@ -22,9 +22,9 @@
 
 	maxInternalConnections = 32
 	minPublicConnections   = 16
-	// reservedSockets is the number of file descriptors reserved for connections to and from
+	// reservedFDs is the number of file descriptors reserved for connections to and from
 	// peers and to the state service, the cloud and workers.
-	reservedSockets = 80
+	reservedFDs = 80
 )
 
 // server is an HTTP server and its open listener.
@@ -55,7 +55,7 @@
 		return nil, fmt.Errorf("node: listen on public_addr: %w", err)
 	}
 	// File descriptors are limited, and some are reserved for the controller's other connections.
-	connections := max(minPublicConnections, n.settings.Deployment.MachineLimits.FDLimit-reservedSockets)
+	connections := max(minPublicConnections, n.settings.Deployment.MachineLimits.FDLimit-reservedFDs)
 	return &server{
 		http:     n.newServer(n.publicHandler()),
 		listener: netutil.LimitListener(listener, connections),
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -97,15 +97,15 @@
 }
 
 func addSizes(log *term.LoadedLog, piece wire.Item) error {
-	var virtual eventlog.VirtualSizes
-	if err := json.Unmarshal(piece.Value, &virtual); err != nil {
+	var sizes eventlog.VirtualSizes
+	if err := json.Unmarshal(piece.Value, &sizes); err != nil {
 		return fmt.Errorf("decode virtual sizes %s: %w", piece.Key, err)
 	}
 	number, err := eventlog.SizesPieceNumber(piece.Key)
 	if err != nil {
 		return err
 	}
-	log.Sizes = append(log.Sizes, virtual.Sizes...)
+	log.Sizes = append(log.Sizes, sizes.Sizes...)
 	log.VirtualSizePieces = max(log.VirtualSizePieces, number+1)
 	return nil
 }
@@ -138,12 +138,12 @@
 	return entries, nil
 }
 
-// readValues reads the page of a component's own values after the key since. more reports whether
-// there are further pages.
+// readValues reads the page of a component's own values after afterKey. more reports whether there
+// are further pages.
 func (n *Node) readValues(
-	ctx context.Context, component, since string,
+	ctx context.Context, component, afterKey string,
 ) (values []eventlog.ComponentValue, more bool, err error) {
-	items, more, _, err := n.state.List(ctx, eventlog.ComponentValuePrefix(component), since, valuesPageSize)
+	items, more, _, err := n.state.List(ctx, eventlog.ComponentValuePrefix(component), afterKey, valuesPageSize)
 	if err != nil {
 		return nil, false, err
 	}
@@ -154,19 +154,19 @@
 	return values, more && len(items) > 0, nil
 }
 
-// readPrefix reads all keys with a prefix in order, page by page, and calls each for every item.
-func (n *Node) readPrefix(ctx context.Context, prefix string, each func(wire.Item) error) error {
-	since := ""
+// readPrefix reads all keys with a prefix in order, page by page, and calls handle for every item.
+func (n *Node) readPrefix(ctx context.Context, prefix string, handle func(wire.Item) error) error {
+	afterKey := ""
 	for {
-		items, more, err := n.readPage(ctx, prefix, since)
+		items, more, err := n.readPage(ctx, prefix, afterKey)
 		if err != nil {
 			return err
 		}
 		for _, item := range items {
-			if err := each(item); err != nil {
+			if err := handle(item); err != nil {
 				return err
 			}
-			since = item.Key
+			afterKey = item.Key
 		}
 		if !more || len(items) == 0 {
 			return nil
@@ -174,9 +174,9 @@
 	}
 }
 
-func (n *Node) readPage(ctx context.Context, prefix, since string) (items []wire.Item, more bool, err error) {
+func (n *Node) readPage(ctx context.Context, prefix, afterKey string) (items []wire.Item, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	items, more, _, err = n.state.List(ctx, prefix, since, keysPageSize)
+	items, more, _, err = n.state.List(ctx, prefix, afterKey, keysPageSize)
 	return items, more, err
 }
--- a/internal/node/worker_heartbeats.go
+++ b/internal/node/worker_heartbeats.go
@@ -76,7 +76,7 @@
 // reports elsewhere, if that is more likely to succeed. It reports whether it answered.
 func (c *Core) redirectFromUnreachedLeader(now time.Duration, to effects.RequestID, report *workers.Report) bool {
 	return c.redirectToLeader(now, to, report) ||
-		(c.isolatedFollower(now) && c.turnAway(now, to, report))
+		(c.isIsolatedFollower(now) && c.rejectHeartbeat(now, to, report))
 }
 
 func (c *Core) replyHeartbeat(to effects.RequestID, answer effects.HeartbeatAnswer) {
@@ -86,10 +86,10 @@
 // answerOrRelay answers a heartbeat on the leader, and relays it to the leader on any other node. If
 // no leader is known, it keeps the worker alive.
 func (c *Core) answerOrRelay(now time.Duration, to effects.RequestID, open *openHeartbeat) {
-	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockZeroMS, Report: *open.report}
+	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockOriginUnixMS, Report: *open.report}
 	leader := c.elector.LeaderName()
 	switch {
-	case c.term != nil && c.isolatedLeader(now) && c.turnAway(now, to, open.report):
+	case c.term != nil && c.isIsolatedLeader(now) && c.rejectHeartbeat(now, to, open.report):
 	case c.term != nil:
 		c.openHeartbeats[to] = open
 		c.term.HandleHeartbeat(now, c.elector.LeaseValid(now), to, in)
@@ -157,7 +157,7 @@
 	if token, ok := c.shards.KeepAlive(now, report); ok {
 		return effects.HeartbeatAnswer{Status: http.StatusOK, Token: token}
 	}
-	if report.Token > 0 && c.zoneCutOff(now) {
+	if report.Token > 0 && c.zoneIsolated(now) {
 		return effects.HeartbeatAnswer{Status: http.StatusOK, Token: report.Token}
 	}
 	return effects.HeartbeatAnswer{Status: http.StatusServiceUnavailable}
