--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -27,8 +27,8 @@
 	return listener.Addr().String()
 }
 
-// sendRequest makes a request and returns the response's status, JSON object and header. The status is 0 if
-// there is no response.
+// sendRequest makes a request and returns the response's status, JSON object and header. The status
+// is 0 if there is no response.
 func sendRequest(t *testing.T, method, url, body string) (int, map[string]any, http.Header) {
 	t.Helper()
 	req, err := http.NewRequest(method, url, bytes.NewBufferString(body))
--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -12,15 +12,15 @@
 	"bitternmoor/internal/operators/control"
 )
 
-// errLeaderUnknown is returned when this node cannot answer itself and knows no other leader.
+// errLeaderUnknown is returned if this node cannot answer itself and no peer is known to lead.
 var errLeaderUnknown = errors.New("no leader is known at present")
 
-// refusedPrefix marks the error of a component that refuses a request when it is returned to a
-// peer: net/rpc transmits only the text of an error.
+// refusedPrefix marks, in an RPC answer, an error with which a component refused the request.
+// net/rpc transmits only the text of an error, so the error's type cannot mark it.
 const refusedPrefix = "refused: "
 
 // componentCall calls a component of this node's term. known is false if this node cannot answer
-// for the component, and raw is nil if there is no such component.
+// for the component, raw is nil if there is no such component, and err is the component's own error.
 type componentCall = func(now time.Duration) (raw json.RawMessage, known bool, err error)
 
 // ChangeRequest is an operator's request to change a component, as one controller forwards it to
@@ -28,13 +28,13 @@
 type ChangeRequest struct {
 	Duty string // name of the component
 	Body []byte // JSON
-	By   string // the operator's name from the client certificate; older controllers leave it out
+	By   string // name in the operator's certificate; empty without one or from older controllers
 }
 
-// ShowComponent returns a view of a component, from this node or from the leader. It returns the
-// same errors as ChangeComponent.
-func (n *Node) ShowComponent(what string) (json.RawMessage, error) {
-	return n.askComponent("Controller.Show", what, n.showCall(what))
+// ShowComponent returns a view of a component, named as for Core.Show, from this node or from the
+// leader. It returns the same errors as ChangeComponent.
+func (n *Node) ShowComponent(view string) (json.RawMessage, error) {
+	return n.askComponent("Controller.Show", view, n.showCall(view))
 }
 
 // ChangeComponent makes a component apply a requested change, on this node or on the leader. The
@@ -45,8 +45,8 @@
 	return n.askComponent("Controller.Change", in, n.changeCall(in))
 }
 
-func (n *Node) showCall(what string) componentCall {
-	return func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Show(now, what) }
+func (n *Node) showCall(view string) componentCall {
+	return func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Show(now, view) }
 }
 
 func (n *Node) changeCall(in ChangeRequest) componentCall {
@@ -55,7 +55,7 @@
 	}
 }
 
-// askComponent calls a component on this node, or with the RPC method on the leader.
+// askComponent calls a component on this node with local, or on the leader with the RPC method.
 func (n *Node) askComponent(method string, in any, local componentCall) (json.RawMessage, error) {
 	var raw []byte
 	var refused error
@@ -96,8 +96,8 @@
 }
 
 // Show returns a view of a component to a peer, on behalf of an operator.
-func (c *Controller) Show(name string, out *[]byte) error {
-	return c.serveComponentCall(out, c.node.showCall(name))
+func (c *Controller) Show(view string, out *[]byte) error {
+	return c.serveComponentCall(out, c.node.showCall(view))
 }
 
 // Change applies a change of a component for a peer, on behalf of an operator.
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -22,7 +22,7 @@
 	elector           *leadership.Elector
 	term              *term.Term             // nil while this node does not lead
 	shards            *scheduler.ShardHolder // the machines for which this node starts offered tasks
-	config            config.Replica         // this node's copy of the configuration that can change at run time
+	config            config.Replica         // this node's copy of the run-time configuration
 
 	// Effects not yet taken, and the values for metrics.
 	outbox   []effects.Effect
@@ -31,7 +31,7 @@
 
 	// When a leader last had contact with peers, its machines and the state service.
 	lastHeartbeatAt time.Duration
-	lastContactAt   time.Duration            // when it last heard from a peer or enough machines, see inContact
+	lastContactAt   time.Duration            // when inContact was last true
 	leaseValidAt    time.Duration            // when its lease was last seen to be valid
 	peerAnsweredAt  map[string]time.Duration // when a peer last answered a heartbeat
 
@@ -49,8 +49,8 @@
 }
 
 // NewCore makes the core of a controller that started at the time of day clockOriginUnixMS, in
-// Unix milliseconds. The time of day is never used to order events; it only lets a later leader compute
-// how long a job has been waiting.
+// Unix milliseconds. The time of day is never used to order events; it only lets a later leader
+// compute how long a job has been waiting.
 func NewCore(cfg *settings.Settings, clockOriginUnixMS int64) *Core {
 	elector := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderLeaseS))
 	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
@@ -142,8 +142,8 @@
 	c.emit(effects.LoadLog{Epoch: c.term.Epoch})
 }
 
-// collectTermEffects emits the term's effects. It adds to the answers for this node's own workers
-// the start commands for the offers that its shard accepts.
+// collectTermEffects emits the term's effects. The term's answers to this node's own workers are
+// completed first, see completeAnswer.
 func (c *Core) collectTermEffects(now time.Duration) {
 	for _, e := range c.term.DrainEffects() {
 		if reply, ok := e.(effects.ReplyHeartbeat); ok {
@@ -193,13 +193,13 @@
 	if !c.term.TokensExhausted() {
 		return
 	}
-	// This takes hundreds of thousands of shard changes of machines, or of direct starts that had
-	// to be reaped. The next term has its own range of tokens.
+	// A term runs out of tokens only after hundreds of thousands of machines changed their shard, or
+	// as many direct starts had to be reaped. The next term has its own range of tokens.
 	c.emitLog(effects.Info, "fencing tokens exhausted, resigning leadership", "epoch", c.term.Epoch)
 	c.emitLeadership(c.elector.Resign(now, tokensResignDuration))
 }
 
-// Epoch returns the epoch of this node's last term.
+// Epoch returns the epoch of this node's current or last term, or 0 if it never led.
 func (c *Core) Epoch() uint64 { return c.elector.Epoch() }
 
 // Stop gives up leadership, so that the next leader need not wait for the lease to expire. It is
--- a/internal/node/core_requests.go
+++ b/internal/node/core_requests.go
@@ -44,22 +44,24 @@
 	c.emit(effects.Reply{To: to, Answer: effects.Unavailable("no leader at present")})
 }
 
-// Show returns a component's view for operators, as JSON. known is false on a node that cannot
-// answer, and raw is nil if there is no such component.
-func (c *Core) Show(now time.Duration, component string) (raw json.RawMessage, known bool, err error) {
-	if component == reconfig.Name+"/"+reconfig.ViewHere && c.settings.Tunables.ConfigHistory > 0 {
+// Show returns a view of a component for operators, as JSON. The view is named by the component
+// alone or as COMPONENT/VIEW. known is false on a node that cannot answer, raw is nil if there is
+// no such view, and err is the component's own error.
+func (c *Core) Show(now time.Duration, view string) (raw json.RawMessage, known bool, err error) {
+	if view == reconfig.Name+"/"+reconfig.ViewHere && c.settings.Tunables.ConfigHistory > 0 {
 		raw, err = json.Marshal(c.LocalConfig(now)) // this node's own, whether or not it leads
 		return raw, true, err
 	}
 	if c.term == nil || !c.term.Loaded() {
 		return nil, false, nil
 	}
-	raw, _, err = c.term.Show(now, component)
+	raw, _, err = c.term.Show(now, view)
 	return raw, true, err
 }
 
 // Change makes a component apply a change requested by an operator. known is false on a node that
-// does not lead with a valid lease and a loaded log; raw is nil if there is no such component.
+// does not lead with a valid lease and a loaded log, raw is nil if there is no such component, and
+// err is the component's own error.
 func (c *Core) Change(
 	now time.Duration, component, by string, body json.RawMessage,
 ) (raw json.RawMessage, known bool, err error) {
@@ -71,8 +73,8 @@
 	return raw, true, err
 }
 
-// LocalConfig returns this node's copy of the configuration, with the ages of its revision and of its
-// last update.
+// LocalConfig returns this node's copy of the configuration, with the ages of its revision and of
+// its last update.
 func (c *Core) LocalConfig(now time.Duration) reconfig.LocalView {
 	leading, leader := c.Leading()
 	return reconfig.LocalView{
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -24,8 +24,8 @@
 	e.Words = append(e.Words, fmt.Sprintf(format, args...))
 }
 
-// Explain returns the explanation of a job. ok is false on a node that cannot answer because it does
-// not lead or has not read the log yet.
+// Explain returns the explanation of a job. ok is false on a node that cannot answer because it
+// does not lead or has not read the log yet.
 func (c *Core) Explain(now time.Duration, id uint64) (explanation Explanation, ok bool) {
 	t := c.term
 	if t == nil || !t.Loaded() {
--- a/internal/node/internal_api.go
+++ b/internal/node/internal_api.go
@@ -30,7 +30,7 @@
 	PathComponents = "/duties/" // prefix of the components' views and changes
 )
 
-// certificateOnlyComponents lists the components that can be changed only on the operators' TLS listener.
+// certificateOnlyComponents lists the components that only the operators' TLS listener can change.
 var certificateOnlyComponents = []string{pools.Name, reconfig.Name}
 
 // maxChangeBytes limits the body of an operator's change request.
@@ -107,8 +107,8 @@
 	writeComponentAnswer(w, raw, err, http.StatusUnprocessableEntity)
 }
 
-// writeComponentAnswer writes a component's answer. refused is the HTTP status for an error of the
-// component itself.
+// writeComponentAnswer writes a component's answer. refusedStatus is the HTTP status for an error
+// of the component itself.
 func writeComponentAnswer(w http.ResponseWriter, raw json.RawMessage, err error, refusedStatus int) {
 	switch {
 	case errors.Is(err, control.ErrUnknown):
--- a/internal/node/leader_heartbeats.go
+++ b/internal/node/leader_heartbeats.go
@@ -13,8 +13,8 @@
 	heartbeatInterval = time.Second
 	peerSilenceLimit  = 4 * time.Second  // a peer that answered longer ago counts as silent
 	resignDuration    = 10 * time.Second // no new candidacy, so that another node takes over
-	// failoverReportIntervals is the number of report intervals within which a machine that lost its
-	// controller reports to another one.
+	// failoverReportIntervals is the number of report intervals within which a machine that lost
+	// its controller reports to another one.
 	failoverReportIntervals = 1.25
 )
 
@@ -50,8 +50,9 @@
 	c.emitLeadership(c.elector.Resign(now, resignDuration))
 }
 
-// inContact reports whether the leader hears from a peer or from enough of its machines, or cannot
-// expect to because it has no peers, no valid lease, or its term has just begun.
+// inContact reports whether the leader hears from a peer or from enough of its machines. It also
+// returns true if the leader has no peers, has no valid lease or has just begun its term, because
+// silence then proves nothing.
 func (c *Core) inContact(now time.Duration) bool {
 	return len(c.settings.Peers) == 0 ||
 		!c.elector.LeaseValid(now) ||
@@ -70,8 +71,8 @@
 	return false
 }
 
-// leaderSilenceLimit returns how long this node must have been without contact to a leader before it
-// acts on that: longer than the lease of a leader that stopped lasts.
+// leaderSilenceLimit returns how long contact must have been lost before this node acts on it. The
+// lease of a stopped leader has expired by then.
 func (c *Core) leaderSilenceLimit() time.Duration { return leaseExpiryDelay(c.settings) }
 
 // leaseExpiryDelay returns a duration after which the lease of a leader that stopped has expired.
@@ -109,8 +110,9 @@
 	c.advanceTerm(now)
 }
 
-// ApplyConfig applies configuration changes from the leader that has just sent a heartbeat, and
-// returns the revision that is then in force on this node.
+// ApplyConfig applies configuration changes that came with a heartbeat, and returns the revision
+// that is then in force on this node. It ignores the changes if this node leads, or if the sender
+// is not the leader.
 func (c *Core) ApplyConfig(now time.Duration, node string, update config.Update) uint64 {
 	if c.term == nil && node == c.elector.LeaderName() {
 		c.config.Apply(now, update)
--- a/internal/node/loopback_test.go
+++ b/internal/node/loopback_test.go
@@ -66,7 +66,7 @@
 		}
 		return status == 201 && out["standing"] == "queued"
 	})
-	eventually(t, "both nodes know the leader", func() bool {
+	eventually(t, "both nodes reach the leader", func() bool {
 		one, _, _ := sendRequest(t, "GET", c.public(0)+"/api/jobs/j-000777", "")
 		other, _, _ := sendRequest(t, "GET", c.public(1)+"/api/jobs/j-000777", "")
 		return one == 404 && other == 404
@@ -178,8 +178,8 @@
 	return commands
 }
 
-// startTask sends reports until it receives the task's start command, and then reports that the task
-// is running.
+// startTask sends reports until it receives the task's start command, and then reports that the
+// task is running.
 func (w *loopbackWorker) startTask(t *testing.T) {
 	t.Helper()
 	eventually(t, "the task is started", func() bool {
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// redirectInterval is how long no machine is redirected after one that had been redirected
-	// within that time came back.
+	// redirectInterval is how long a redirected or rejected machine is remembered. If it comes back
+	// within that time, no machine of this node's shard is redirected or rejected for another
+	// redirectInterval.
 	redirectInterval = 15 * time.Second
 	// simultaneousWindow is the time within which two losses count as simultaneous.
 	simultaneousWindow = 4 * time.Second
@@ -66,8 +67,8 @@
 
 // isIsolatedLeader reports whether this leader lost the state service and all other controllers at
 // the same time. Then the fault is most likely on its own side, and another node leads or will do
-// so soon. The losses must be simultaneous: when the state service failed while the other
-// controllers had not yet restarted after a crash, the leader redirected its machines to
+// so soon. The losses must be simultaneous. Without this condition, when the state service failed
+// while the other controllers had not yet restarted after a crash, the leader sent its machines to
 // controllers that were not running.
 func (c *Core) isIsolatedLeader(now time.Duration) bool {
 	var lastAnswerAt time.Duration
@@ -83,9 +84,9 @@
 		lastAnswerAt > stateServiceAnsweredAt-simultaneousWindow
 }
 
-// isIsolatedFollower is isIsolatedLeader for a node that does not lead: it lost the leader and the
-// state service at about the same time, and has not reached the leader for leaderSilenceLimit and the
-// duration of a call.
+// isIsolatedFollower is the counterpart of isIsolatedLeader for a node that does not lead. It
+// reports whether the node lost the leader and the state service at about the same time, and has
+// not reached the leader for leaderSilenceLimit plus peerTimeout.
 func (c *Core) isIsolatedFollower(now time.Duration) bool {
 	return c.unreachedLeader != "" &&
 		now-c.unreachedSince >= c.leaderSilenceLimit()+peerTimeout &&
@@ -113,12 +114,12 @@
 	return true
 }
 
-// rejectHeartbeat rejects a machine's heartbeat so that the machine tries the other controllers, before the
-// leader treats it as lost. Machines of this node's shard are rejected once: if one comes back, no
-// other controller answered, as in a disconnected zone, so all are kept alive for a while. Other
-// machines are always rejected: when a leader lost the state service and its peers but not its
-// workers, new machines were kept alive there, and the next leader never heard from them. It reports
-// whether the machine was answered.
+// rejectHeartbeat rejects a machine's heartbeat, so that the machine tries the other controllers
+// before the leader treats it as lost. Machines of this node's shard are rejected once: if one
+// comes back, no other controller answered, as in a disconnected zone, so all are kept alive for a
+// while. Other machines are always rejected: when a leader lost the state service and its peers but
+// not its workers, new machines were kept alive there, and the next leader never heard from them.
+// It reports whether the machine was answered.
 func (c *Core) rejectHeartbeat(now time.Duration, to effects.RequestID, report *workers.Report) bool {
 	if c.zoneIsolated(now) {
 		return false
@@ -134,7 +135,7 @@
 	return true
 }
 
-// recordReturn records the return of a machine that was redirected.
+// recordReturn records the return of a machine that was redirected or rejected.
 func (c *Core) recordReturn(now time.Duration, machine string) {
 	if _, redirected := c.redirectedAt[machine]; redirected {
 		c.lastReturnAt = now
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -26,8 +26,8 @@
 	client  atomic.Pointer[rpc.Client] // nil: not connected
 }
 
-// limitExceeded reports whether a call took longer than the limit. In a process that was suspended and
-// resumed, the answer and the timer become ready together. Such an answer may be as old as the
+// limitExceeded reports whether a call took longer than the limit. In a process that was suspended
+// and resumed, the answer and the timer become ready together. Such an answer may be as old as the
 // suspension was long, and the user may have received a newer one from another controller.
 func limitExceeded(began time.Time, limit time.Duration) bool { return time.Since(began) > limit }
 
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -211,8 +211,8 @@
 	}
 }
 
-// injectFaults kills workers and disconnects others for longer than their lease. Meanwhile it shrinks the
-// pool and restarts the first controller.
+// injectFaults kills workers and disconnects others for longer than their lease. Meanwhile it
+// shrinks the pool and restarts the first controller.
 func (p *poolsTest) injectFaults(t *testing.T, stopFirst func()) {
 	t.Helper()
 	for round := range 12 {
@@ -238,8 +238,8 @@
 	}
 }
 
-// checkHolderReceipt requests a receipt for a running attempt, and then one for another attempt of the
-// same task, which must be rejected. It reports whether it found an attempt that gets a receipt.
+// checkHolderReceipt requests a receipt for a running attempt, and then one for another attempt of
+// the same task, which must be rejected. It reports whether it found an attempt that gets a receipt.
 func (p *poolsTest) checkHolderReceipt(t *testing.T) bool {
 	t.Helper()
 	var view pools.View
@@ -272,7 +272,8 @@
 	return status, out
 }
 
-// verifyReceipt checks that a receipt is validly signed and names one numbered unit for the subject.
+// verifyReceipt checks that a receipt is validly signed, is for the subject, and lists one numbered
+// unit.
 func (p *poolsTest) verifyReceipt(t *testing.T, receipt, subject string) {
 	t.Helper()
 	keys, err := receipts.Read([]string{p.file("receipt.key")})
--- a/internal/node/receipts.go
+++ b/internal/node/receipts.go
@@ -14,7 +14,7 @@
 	"bitternmoor/internal/wire"
 )
 
-// PathReceipts is the path of requests for a receipt, which proves the pool units a task holds.
+// PathReceipts is the path of requests for a receipt, which proves that a task holds pool units.
 const PathReceipts = "/receipts"
 
 // receiptRequest is the JSON body of a request for a receipt.
@@ -68,8 +68,8 @@
 
 var errReceiptNotDurable = errors.New("node: the receipt's holding is not durable yet")
 
-// durableReceipt requests a receipt from the pools component. It retries up to maxReceiptRetries times
-// until the holding is durable.
+// durableReceipt requests a receipt from the pools component. While the holding is not durable, it
+// retries up to maxReceiptRetries times.
 func (n *Node) durableReceipt(request json.RawMessage) (*pools.Receipt, error) {
 	for retry := 0; ; retry++ {
 		raw, err := n.ChangeComponent("", pools.Name, request)
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -22,12 +22,12 @@
 	"bitternmoor/internal/scaletest/standin"
 )
 
-// recordedJob is one recorded job of a kind of work, with the durations of its tasks.
+// recordedJob is one line of testdata/recorded_runs.txt: a job and the durations of its tasks.
 type recordedJob struct {
 	round          int
 	class, image   string
 	ownerEstimateS float64
-	fault          string
+	fault          string // "-": none
 	taskDurations  []time.Duration
 }
 
@@ -78,7 +78,7 @@
 	list := readRecordedJobs(t)
 	var mu sync.Mutex
 	jobs := map[string]*replayedJob{}
-	notified := map[string]bool{} // jobs of which the webhook was notified
+	notified := map[string]bool{} // jobs for which the webhook received a raised warning
 	hook := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		var x struct{ What, Job string }
@@ -144,8 +144,8 @@
 	reportReplay(t, jobs, notified)
 }
 
-// pollForecasts records the leader's forecasts and warnings, and which jobs have ended. It returns how
-// many jobs are still open.
+// pollForecasts records the leader's forecasts and warnings, and which jobs have ended. It returns
+// how many jobs are still open, or 1 if the leader does not answer.
 func pollForecasts(addr string, mu *sync.Mutex, jobs map[string]*replayedJob) int {
 	var list []runtimes.Forecast
 	var late []runtimes.Late
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -52,12 +52,14 @@
 		return effects.Unavailable("no leader at present")
 	}
 	var answer effects.Answer
-	// Not the request's context: a user who disconnects does not mean that the leader is unreachable.
+	// The call does not use the request's context. Otherwise a user who disconnects would make the
+	// leader look unreachable.
 	if err := leader.call(context.Background(), forwardMethod(in), in, &answer); err != nil {
 		n.log.Debug("leader not reached", "leader", snapshot.leader, "error", err)
 		var remote rpc.ServerError
 		if !errors.As(err, &remote) {
-			// It may be dropped if the loop's queue is full: the next request or probe finds the same.
+			// If the loop's queue is full, the input is dropped. The next failed request or probe
+			// reports the same.
 			_ = n.tryEnqueue(func(now time.Duration) { n.core.PeerReached(now, snapshot.leader, false) })
 		}
 		return effects.Unavailable("the leader does not answer")
@@ -65,8 +67,8 @@
 	return answer
 }
 
-// forwardMethod returns the RPC method for forwarding a request. For a job that needs pool units it
-// is one that a leader of a version without pools does not have.
+// forwardMethod returns the RPC method for forwarding a request. A job that needs pool units has a
+// separate method, which a leader of a version without pools rejects.
 func forwardMethod(in UserRequest) string {
 	if in.Submission.Job != nil && len(in.Submission.Job.Counted) > 0 {
 		return "Controller.AskCounted"
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -130,7 +130,8 @@
 	c.advanceTerm(now)
 }
 
-// MachineTypesListed handles the cloud's list of machine types; an empty list means that the call failed.
+// MachineTypesListed handles the cloud's list of machine types. An empty list means that the call
+// failed.
 func (c *Core) MachineTypesListed(now time.Duration, epoch uint64, list []eventlog.MachineType) {
 	if c.inLoadedTerm(epoch) {
 		c.term.MachineTypesListed(now, list)
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -18,9 +18,9 @@
 type Status struct {
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
-	Epoch    uint64          `json:"epoch"`
-	Sure     bool            `json:"sure"` // the node leads with a valid lease
-	Loaded   bool            `json:"loaded"`
+	Epoch    uint64          `json:"epoch"`  // highest one that the node has seen
+	Sure     bool            `json:"sure"`   // the node leads with a valid lease
+	Loaded   bool            `json:"loaded"` // the node leads and has read the event log
 	Unsaved  int             `json:"entries_not_yet_durable"`
 	Blocks   []BlockStatus   `json:"blocks,omitempty"`
 	Machines []MachineStatus `json:"machines,omitempty"`
@@ -43,12 +43,13 @@
 	Zone     string  `json:"zone"`
 	Spot     bool    `json:"spot"`
 	State    string  `json:"state"`
-	Holder   string  `json:"holder,omitempty"`
+	Holder   string  `json:"holder,omitempty"` // controller whose shard has the machine
 	FreeCPUs float64 `json:"free_cpus"`
 	Tasks    int     `json:"tasks"`
 }
 
-// JobStatus describes one unfinished job. Sizes are in seconds of work.
+// JobStatus describes one unfinished job. Sizes are in seconds of work; Virtual is what is left of
+// the job in the virtual cluster of the size estimator.
 type JobStatus struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"class"`
@@ -67,7 +68,7 @@
 	Class string   `json:"class"`
 	Team  string   `json:"team"`
 	Tasks int      `json:"tasks"`
-	After []string `json:"after"`
+	After []string `json:"after"` // IDs of its unfinished dependencies
 }
 
 // Status takes a snapshot of this node and, on the leader, of the whole service.
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -73,7 +73,8 @@
 	if err != nil {
 		return term.LoadedLog{}, err
 	}
-	// Sorted, so that a piece left from an earlier list, by whatever version, never overrides a newer one.
+	// The pieces are sorted by version, so that a piece left over from an earlier list never overrides
+	// a newer one, whichever version of the controller wrote it.
 	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Version, b.Version) })
 	for _, piece := range pieces {
 		if err := addSizes(&log, piece); err != nil {
--- a/internal/node/worker_heartbeats.go
+++ b/internal/node/worker_heartbeats.go
@@ -11,8 +11,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// maxRelays is how often one heartbeat is relayed. Its worker waits for the answer for longer than
-// two peerTimeouts.
+// maxRelays limits how often one heartbeat is relayed. Its worker waits for the answer for longer
+// than two peerTimeouts.
 const maxRelays = 2
 
 // openHeartbeat is a heartbeat of one of this node's workers that has not been answered yet.
@@ -30,7 +30,8 @@
 	c.answerOrRelay(now, to, &openHeartbeat{report: report})
 }
 
-// HandleRelayedHeartbeat handles a heartbeat that another controller relayed. It is not relayed again.
+// HandleRelayedHeartbeat handles a heartbeat that another controller relayed. The leader answers it;
+// any other node rejects it, and does not relay it again.
 func (c *Core) HandleRelayedHeartbeat(now time.Duration, to effects.RequestID, in effects.RelayedHeartbeat) {
 	c.checkWorkerEpoch(now, &in.Report)
 	if c.term == nil {
@@ -72,8 +73,8 @@
 	return open.relays < maxRelays && leader != "" && leader != open.relayedTo
 }
 
-// redirectFromUnreachedLeader answers a machine whose heartbeat did not reach the leader so that it
-// reports elsewhere, if that is more likely to succeed. It reports whether it answered.
+// redirectFromUnreachedLeader makes a machine whose heartbeat did not reach the leader report
+// elsewhere, if that is more likely to succeed. It reports whether the machine was answered.
 func (c *Core) redirectFromUnreachedLeader(now time.Duration, to effects.RequestID, report *workers.Report) bool {
 	return c.redirectToLeader(now, to, report) ||
 		(c.isIsolatedFollower(now) && c.rejectHeartbeat(now, to, report))
@@ -83,8 +84,8 @@
 	c.emit(effects.ReplyHeartbeat{To: to, Answer: answer})
 }
 
-// answerOrRelay answers a heartbeat on the leader, and relays it to the leader on any other node. If
-// no leader is known, it keeps the worker alive.
+// answerOrRelay answers a heartbeat if this node leads, and otherwise relays it to the leader. If no
+// leader is known, it answers with keepAliveAnswer.
 func (c *Core) answerOrRelay(now time.Duration, to effects.RequestID, open *openHeartbeat) {
 	in := effects.RelayedHeartbeat{Via: c.settings.Node, Life: c.clockOriginUnixMS, Report: *open.report}
 	leader := c.elector.LeaderName()
@@ -134,8 +135,8 @@
 	return answer
 }
 
-// startOffers lets this node's shard pick from the offers for the machine, and returns their start
-// commands.
+// startOffers renews the machine's lease in this node's shard, lets the shard pick from the offers
+// for the machine, and returns the start commands of the picked offers.
 func (c *Core) startOffers(
 	now time.Duration, report *workers.Report, answer effects.HeartbeatAnswer,
 ) []workers.Command {
@@ -151,8 +152,9 @@
 	return starts
 }
 
-// keepAliveAnswer returns the answer to a worker while no leader can be asked. It has the last token
-// and no commands, so that tasks survive the loss of the leader and outages.
+// keepAliveAnswer returns the answer to a worker while no leader can be asked. For a machine of this
+// node's shard, or in an isolated zone, it has the last token and no commands, so that tasks survive
+// the loss of the leader and outages. Other workers are rejected.
 func (c *Core) keepAliveAnswer(now time.Duration, report *workers.Report) effects.HeartbeatAnswer {
 	if token, ok := c.shards.KeepAlive(now, report); ok {
 		return effects.HeartbeatAnswer{Status: http.StatusOK, Token: token}
