--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -12,41 +12,41 @@
 	"bitternmoor/internal/operators/control"
 )
 
-// errLeaderUnknown says that neither this node can answer, nor a leader it knows of.
+// errLeaderUnknown is returned if this node cannot answer itself and no peer is known to lead.
 var errLeaderUnknown = errors.New("no leader is known at present")
 
-// refusedPrefix marks the error of a component that refuses a change, on its way to a peer:
-// net/rpc carries no more of an error than its text.
+// refusedPrefix marks, in an RPC answer, an error with which a component refused the request.
+// net/rpc transmits only the text of an error, so the error's type cannot mark it.
 const refusedPrefix = "refused: "
 
-// componentCall asks a component of this node's term; known is false on a node that cannot
-// answer for it, and raw nil where there is no such component.
+// componentCall calls a component of this node's term. known is false if this node cannot answer
+// for the component, raw is nil if there is no such component, and err is the component's own error.
 type componentCall = func(now time.Duration) (raw json.RawMessage, known bool, err error)
 
-// ChangeRequest is a change that an operator asks of a component, as one controller forwards
-// it to another.
+// ChangeRequest is an operator's request to change a component, as one controller forwards it to
+// another.
 type ChangeRequest struct {
 	Duty string // name of the component
 	Body []byte // JSON
-	By   string // who asks, by the certificate; older controllers leave it out
+	By   string // name in the operator's certificate; empty without one or from older controllers
 }
 
-// ShowComponent returns a view of a component, from here or from the leader. Its errors are those
-// of ChangeComponent.
-func (n *Node) ShowComponent(what string) (json.RawMessage, error) {
-	return n.askComponent("Controller.Show", what, n.showCall(what))
+// ShowComponent returns a view of a component, named as for Core.Show, from this node or from the
+// leader. It returns the same errors as ChangeComponent.
+func (n *Node) ShowComponent(view string) (json.RawMessage, error) {
+	return n.askComponent("Controller.Show", view, n.showCall(view))
 }
 
-// ChangeComponent has a component make a change that somebody asks for, here or on the leader.
-// Errors are control.ErrUnknown where there is no such component, one that wraps
-// control.ErrRefused where the component refuses, and any other where nobody can tell now.
+// ChangeComponent makes a component apply a requested change, on this node or on the leader. The
+// error is control.ErrUnknown if there is no such component, wraps control.ErrRefused if the
+// component refuses the change, and is any other error if no node can answer now.
 func (n *Node) ChangeComponent(by, component string, body json.RawMessage) (json.RawMessage, error) {
 	in := ChangeRequest{Duty: component, Body: body, By: by}
 	return n.askComponent("Controller.Change", in, n.changeCall(in))
 }
 
-func (n *Node) showCall(what string) componentCall {
-	return func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Show(now, what) }
+func (n *Node) showCall(view string) componentCall {
+	return func(now time.Duration) (json.RawMessage, bool, error) { return n.core.Show(now, view) }
 }
 
 func (n *Node) changeCall(in ChangeRequest) componentCall {
@@ -55,7 +55,7 @@
 	}
 }
 
-// askComponent asks a component, here or on the leader.
+// askComponent calls a component on this node with local, or on the leader with the RPC method.
 func (n *Node) askComponent(method string, in any, local componentCall) (json.RawMessage, error) {
 	var raw []byte
 	var refused error
@@ -78,8 +78,8 @@
 	return raw, nil
 }
 
-// callLocalOrLeader answers on this node's loop if local says that it can, and otherwise calls
-// the leader, within peerTimeout: in and out are the RPC's.
+// callLocalOrLeader runs local on this node's loop. If local returns false, it calls the RPC
+// method on the leader with the argument in and the result out, within peerTimeout.
 func (n *Node) callLocalOrLeader(method string, in, out any, local func(now time.Duration) (answered bool)) error {
 	var answered bool
 	if err := n.runOnLoop(func(now time.Duration) { answered = local(now) }); err != nil {
@@ -95,17 +95,17 @@
 	return leader.call(context.Background(), method, in, out)
 }
 
-// Show serves a peer's operator who looks at a component.
-func (c *Controller) Show(name string, out *[]byte) error {
-	return c.onComponent(out, c.node.showCall(name))
+// Show returns a view of a component to a peer, on behalf of an operator.
+func (c *Controller) Show(view string, out *[]byte) error {
+	return c.serveComponentCall(out, c.node.showCall(view))
 }
 
-// Change serves a peer's operator who changes something of a component.
+// Change applies a change of a component for a peer, on behalf of an operator.
 func (c *Controller) Change(in ChangeRequest, out *[]byte) error {
-	return c.onComponent(out, c.node.changeCall(in))
+	return c.serveComponentCall(out, c.node.changeCall(in))
 }
 
-func (c *Controller) onComponent(out *[]byte, call componentCall) error {
+func (c *Controller) serveComponentCall(out *[]byte, call componentCall) error {
 	known := false
 	var refused error
 	err := c.node.runOnLoop(func(now time.Duration) {
--- a/internal/node/internal_api.go
+++ b/internal/node/internal_api.go
@@ -21,26 +21,26 @@
 	"bitternmoor/internal/wire"
 )
 
-// Paths on the internal address: peers' calls, and the operators' endpoint.
+// Paths on the internal address: peers' RPC, metrics, and operators' requests.
 const (
 	PathPeers      = "/peers"
 	PathStatus     = "/status"
 	PathExplain    = "/explain/"
 	PathMetrics    = "/metrics"
-	PathComponents = "/duties/" // the components' views and changes
+	PathComponents = "/duties/" // prefix of the components' views and changes
 )
 
-// certificateOnly are the components that are changed at the operators' TLS listener alone.
-var certificateOnly = []string{pools.Name, reconfig.Name}
+// certificateOnlyComponents lists the components that only the operators' TLS listener can change.
+var certificateOnlyComponents = []string{pools.Name, reconfig.Name}
 
-// maxChangeBytes bounds what an operator may send at once.
+// maxChangeBytes limits the body of an operator's change request.
 const maxChangeBytes = 16 << 20
 
-// internalHandler serves the internal address.
+// internalHandler returns the handler of the internal address.
 func (n *Node) internalHandler() (http.Handler, error) {
 	peers := rpc.NewServer()
 	if err := peers.RegisterName("Controller", &Controller{n}); err != nil {
-		return nil, fmt.Errorf("node: %w", err)
+		return nil, fmt.Errorf("node: register the RPC service: %w", err)
 	}
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector(), &statusCollector{n})
@@ -93,7 +93,7 @@
 
 func (n *Node) handleChangeComponent(w http.ResponseWriter, r *http.Request) {
 	component := chi.URLParam(r, "*")
-	if slices.Contains(certificateOnly, component) {
+	if slices.Contains(certificateOnlyComponents, component) {
 		why := component + ": is changed at the operators' listener, with a certificate"
 		writeBody(w, http.StatusForbidden, wire.ErrorBody(why))
 		return
@@ -107,14 +107,14 @@
 	writeComponentAnswer(w, raw, err, http.StatusUnprocessableEntity)
 }
 
-// writeComponentAnswer answers with what a component says. refused is the HTTP status of an
-// error of the component's own.
-func writeComponentAnswer(w http.ResponseWriter, raw json.RawMessage, err error, refused int) {
+// writeComponentAnswer writes a component's answer. refusedStatus is the HTTP status for an error
+// of the component itself.
+func writeComponentAnswer(w http.ResponseWriter, raw json.RawMessage, err error, refusedStatus int) {
 	switch {
 	case errors.Is(err, control.ErrUnknown):
 		writeBody(w, http.StatusNotFound, wire.ErrorBody("the leader: "+err.Error()))
 	case errors.Is(err, control.ErrRefused):
-		writeBody(w, refused, wire.ErrorBody(err.Error()))
+		writeBody(w, refusedStatus, wire.ErrorBody(err.Error()))
 	case err != nil:
 		writeBody(w, http.StatusServiceUnavailable, wire.ErrorBody(err.Error()))
 	default:
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -12,43 +12,44 @@
 	"bitternmoor/internal/wire"
 )
 
-// Status is the snapshot of the service that operators may see: of one node and, on the
-// leader, of everything. Peers send it over net/rpc, and views show it as JSON: the names of
-// its fields and keys stay.
+// Status is a snapshot of the service for operators. It describes one node and, on the leader, the
+// whole service. Peers send it over net/rpc, and views encode it as JSON, so its field names and
+// keys must not change.
 type Status struct {
 	Node     string          `json:"node"`
 	Leader   string          `json:"leader"`
-	Epoch    uint64          `json:"epoch"`
-	Sure     bool            `json:"sure"` // the node leads with a valid lease
-	Loaded   bool            `json:"loaded"`
+	Epoch    uint64          `json:"epoch"`  // highest one that the node has seen
+	Sure     bool            `json:"sure"`   // the node leads with a valid lease
+	Loaded   bool            `json:"loaded"` // the node leads and has read the event log
 	Unsaved  int             `json:"entries_not_yet_durable"`
 	Blocks   []BlockStatus   `json:"blocks,omitempty"`
 	Machines []MachineStatus `json:"machines,omitempty"`
-	Queue    []JobStatus     `json:"queue,omitempty"` // in the order in which they are scheduled
+	Queue    []JobStatus     `json:"queue,omitempty"` // in scheduling order
 	Held     []HeldStatus    `json:"held,omitempty"`
 	Counts   cluster.Counts  `json:"counts"`
 }
 
-// BlockStatus is one controller's shard of the machines.
+// BlockStatus describes one controller's shard of the machines.
 type BlockStatus struct {
 	Holder   string  `json:"holder"`
 	Machines int     `json:"machines"`
 	CPUs     float64 `json:"cpus"`
 }
 
-// MachineStatus is one machine.
+// MachineStatus describes one machine.
 type MachineStatus struct {
 	Name     string  `json:"name"`
 	Type     string  `json:"type"`
 	Zone     string  `json:"zone"`
 	Spot     bool    `json:"spot"`
 	State    string  `json:"state"`
-	Holder   string  `json:"holder,omitempty"`
+	Holder   string  `json:"holder,omitempty"` // controller whose shard has the machine
 	FreeCPUs float64 `json:"free_cpus"`
 	Tasks    int     `json:"tasks"`
 }
 
-// JobStatus is one unfinished job. Sizes are in seconds of work.
+// JobStatus describes one unfinished job. Sizes are in seconds of work; Virtual is what is left of
+// the job in the virtual cluster of the size estimator.
 type JobStatus struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"class"`
@@ -61,16 +62,16 @@
 	Finished int     `json:"finished"`
 }
 
-// HeldStatus is a job that waits for its dependencies.
+// HeldStatus describes a job that waits for its dependencies.
 type HeldStatus struct {
 	ID    string   `json:"id"`
 	Class string   `json:"class"`
 	Team  string   `json:"team"`
 	Tasks int      `json:"tasks"`
-	After []string `json:"after"`
+	After []string `json:"after"` // IDs of its unfinished dependencies
 }
 
-// Status takes a snapshot of the node and, on the leader, of everything.
+// Status takes a snapshot of this node and, on the leader, of the whole service.
 func (c *Core) Status(now time.Duration) Status {
 	status := Status{
 		Node:   c.settings.Node,
@@ -91,7 +92,7 @@
 	return status
 }
 
-// machineStatuses lists the machines by name.
+// machineStatuses lists the machines, sorted by name.
 func machineStatuses(t *term.Term) []MachineStatus {
 	var list []MachineStatus
 	for _, m := range t.Inventory.All() {
@@ -110,7 +111,7 @@
 	return list
 }
 
-// machineState is the word for a machine's state in views.
+// machineState returns the description of a machine's state that views show.
 func machineState(m *workers.Machine) string {
 	switch {
 	case m.Deleting:
@@ -131,7 +132,7 @@
 	return "up"
 }
 
-// shardStatuses adds up the machines of each controller's shard, by the controller's name.
+// shardStatuses sums the machines of each controller's shard, sorted by the controller's name.
 func shardStatuses(t *term.Term) []BlockStatus {
 	byHolder := map[string]*BlockStatus{}
 	for _, m := range t.Inventory.All() {
@@ -154,7 +155,7 @@
 	return list
 }
 
-// queueStatuses lists the unfinished jobs in the order in which they are scheduled.
+// queueStatuses lists the unfinished jobs in scheduling order.
 func queueStatuses(t *term.Term, now time.Duration) []JobStatus {
 	var list []JobStatus
 	snapshot := t.Snapshot(now)
@@ -179,7 +180,7 @@
 	}
 }
 
-// heldStatuses lists the jobs that wait for their dependencies, by id.
+// heldStatuses lists the jobs that wait for their dependencies, sorted by ID.
 func heldStatuses(t *term.Term) []HeldStatus {
 	var list []HeldStatus
 	for _, j := range t.Jobs.All() {
@@ -198,7 +199,7 @@
 	return list
 }
 
-// jobIDs are the ids of jobs given by index, sorted.
+// jobIDs returns the sorted IDs of the jobs with the given indices.
 func jobIDs(t *term.Term, indices []int32) []string {
 	var list []string
 	for _, index := range indices {
--- a/internal/node/storage.go
+++ b/internal/node/storage.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	// keysPageSize is how many keys are asked for at once while the log is loaded; the state
-	// service gives fewer where they are large.
+	// keysPageSize is the number of keys requested per page while the log is loaded. The state
+	// service returns fewer if their values are large.
 	keysPageSize = 256
-	// valuesPageSize is how many of a component's own values are read at once: nothing waits for
-	// them, and the answer should not crowd out others.
+	// valuesPageSize is the number of a component's own values requested per page. It is small
+	// because nothing waits for them, and their transfer should not delay other calls.
 	valuesPageSize = 16
 
 	pageTimeout = 3 * time.Second
-	// Between two attempts to load the log there are minLoadRetryDelay and a random part more.
+	// The delay between attempts to load the log is minLoadRetryDelay plus a random part.
 	minLoadRetryDelay    = 150 * time.Millisecond
 	randomLoadRetryDelay = 150 * time.Millisecond
 )
 
-// loadLog reads the whole log and the virtual sizes, trying until it succeeds or the term of
-// that epoch is over.
+// loadLog reads the whole log and the virtual sizes, and retries until it succeeds or the term with
+// the given epoch has ended.
 func (n *Node) loadLog(ctx context.Context, epoch uint64) {
 	for {
 		log, err := n.readDurableLog(ctx)
@@ -45,7 +45,8 @@
 	}
 }
 
-// termOver asks the loop whether the term of that epoch is over; it is when the context ends.
+// termOver reports whether the term with the given epoch has ended. It asks the loop, and returns
+// true if the context ends.
 func (n *Node) termOver(ctx context.Context, epoch uint64) bool {
 	over := make(chan bool, 1)
 	n.enqueue(ctx, func(time.Duration) { over <- n.core.term == nil || n.core.term.Epoch != epoch })
@@ -72,7 +73,8 @@
 	if err != nil {
 		return term.LoadedLog{}, err
 	}
-	// A piece of an earlier list, by whatever version, must not overrule a newer one.
+	// The pieces are sorted by version, so that a piece left over from an earlier list never overrides
+	// a newer one, whichever version of the controller wrote it.
 	slices.SortFunc(pieces, func(a, b wire.Item) int { return cmp.Compare(a.Version, b.Version) })
 	for _, piece := range pieces {
 		if err := addSizes(&log, piece); err != nil {
@@ -96,15 +98,15 @@
 }
 
 func addSizes(log *term.LoadedLog, piece wire.Item) error {
-	var virtual eventlog.VirtualSizes
-	if err := json.Unmarshal(piece.Value, &virtual); err != nil {
-		return fmt.Errorf("%s: %w", piece.Key, err)
+	var sizes eventlog.VirtualSizes
+	if err := json.Unmarshal(piece.Value, &sizes); err != nil {
+		return fmt.Errorf("decode virtual sizes %s: %w", piece.Key, err)
 	}
 	number, err := eventlog.SizesPieceNumber(piece.Key)
 	if err != nil {
 		return err
 	}
-	log.Sizes = append(log.Sizes, virtual.Sizes...)
+	log.Sizes = append(log.Sizes, sizes.Sizes...)
 	log.VirtualSizePieces = max(log.VirtualSizePieces, number+1)
 	return nil
 }
@@ -112,12 +114,12 @@
 func decodeSegment(item wire.Item) ([]eventlog.Entry, error) {
 	entries, err := eventlog.Decode(item.Value)
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", item.Key, err)
+		return nil, fmt.Errorf("decode event log segment %s: %w", item.Key, err)
 	}
 	return entries, nil
 }
 
-// readSegments reads the segments numbered first to end-1; some may be missing.
+// readSegments reads the segments numbered first to end-1. Some of them may not exist.
 func (n *Node) readSegments(ctx context.Context, first, end int) ([]eventlog.Entry, error) {
 	items, _, _, err := n.state.List(ctx, eventlog.Prefix, eventlog.SegmentKey(first-1), end-first)
 	if err != nil {
@@ -137,12 +139,12 @@
 	return entries, nil
 }
 
-// readValues reads the page of a component's own values after the key since; more says whether
-// there are further ones.
+// readValues reads the page of a component's own values after afterKey. more reports whether there
+// are further pages.
 func (n *Node) readValues(
-	ctx context.Context, component, since string,
+	ctx context.Context, component, afterKey string,
 ) (values []eventlog.ComponentValue, more bool, err error) {
-	items, more, _, err := n.state.List(ctx, eventlog.ComponentValuePrefix(component), since, valuesPageSize)
+	items, more, _, err := n.state.List(ctx, eventlog.ComponentValuePrefix(component), afterKey, valuesPageSize)
 	if err != nil {
 		return nil, false, err
 	}
@@ -153,19 +155,19 @@
 	return values, more && len(items) > 0, nil
 }
 
-// readPrefix reads all keys with a prefix in order, page after page.
-func (n *Node) readPrefix(ctx context.Context, prefix string, each func(wire.Item) error) error {
-	since := ""
+// readPrefix reads all keys with a prefix in order, page by page, and calls handle for every item.
+func (n *Node) readPrefix(ctx context.Context, prefix string, handle func(wire.Item) error) error {
+	afterKey := ""
 	for {
-		items, more, err := n.readPage(ctx, prefix, since)
+		items, more, err := n.readPage(ctx, prefix, afterKey)
 		if err != nil {
 			return err
 		}
 		for _, item := range items {
-			if err := each(item); err != nil {
+			if err := handle(item); err != nil {
 				return err
 			}
-			since = item.Key
+			afterKey = item.Key
 		}
 		if !more || len(items) == 0 {
 			return nil
@@ -173,9 +175,9 @@
 	}
 }
 
-func (n *Node) readPage(ctx context.Context, prefix, since string) (items []wire.Item, more bool, err error) {
+func (n *Node) readPage(ctx context.Context, prefix, afterKey string) (items []wire.Item, more bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
-	items, more, _, err = n.state.List(ctx, prefix, since, keysPageSize)
+	items, more, _, err = n.state.List(ctx, prefix, afterKey, keysPageSize)
 	return items, more, err
 }
