--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -9,18 +9,18 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Allows reports whether so many more tasks of a job may start.
+// Allows reports whether the pools have the units to start n more tasks of a job.
 func (d *Component) Allows(j *jobs.Job, n int) bool {
 	_, ok := d.blockingRequirement(j, int64(n))
 	return ok
 }
 
-// noPool is the pool of a requirement that stands for none.
+// noPool is the pool index of a requirement that belongs to no pool.
 const noPool = -1
 
-// blockingRequirement returns the first requirement that keeps a job from starting so
-// many tasks, and false; or true: nothing does. It is of no pool where no unit of any is
-// allocated.
+// blockingRequirement returns the first requirement that prevents a job from starting the given
+// number of tasks, and false, or true if there is none. The pool of the requirement is noPool if
+// no unit of any pool can be allocated to the job.
 func (d *Component) blockingRequirement(j *jobs.Job, tasks int64) (requirement, bool) {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknownPool != "" || !d.store.loaded || d.allocationBlocked {
@@ -54,7 +54,8 @@
 	return t == nil || t.admits(h, r, units, p.shares[j.Team])
 }
 
-// admits reports whether units may be allocated to a job, with at most so many in use.
+// admits reports whether units may be allocated to a job, given the limit on units in use and the
+// units that are reserved for another job.
 func (u *usage) admits(h *holder, r requirement, units, limit int64) bool {
 	reserved := u.reservationBefore(h, r.pool)
 	if u.inUse+units+reserved.next > limit {
@@ -63,9 +64,9 @@
 	if !h.needsJobUnits || h.holdsJobUnits {
 		return true
 	}
-	// A job that will hold units as a whole may begin only if, with those that all such
-	// jobs hold, the largest start of any of them can still come about: then none of them
-	// ever waits for what another one keeps.
+	// A job that needs per-job units may start only if the limit covers the per-job units of
+	// all such jobs plus the largest single start of any of them. Then none of them ever
+	// waits for units that another one keeps.
 	heldByJobs, largestTask := reserved.heldByJobs, reserved.largestTask
 	for _, own := range h.requirements {
 		if own.pool != r.pool {
@@ -80,15 +81,15 @@
 	return heldByJobs+largestTask <= limit
 }
 
-// reservation is what another job's reservation asks for.
+// reservation is what has to stay available for the job that has the next units reserved.
 type reservation struct {
 	next        int64 // units that its next start needs
-	heldByJobs  int64 // as in usage, once it has them
-	largestTask int64 // as in usage, once it has them
+	heldByJobs  int64 // usage.heldByJobs once that job has its units
+	largestTask int64 // usage.largestTask once that job has its units
 }
 
-// reservationBefore is what must be left of a pool for the job that has the next units
-// reserved, if that is another one.
+// reservationBefore returns what must be left of a pool for the job that has the next units
+// reserved, if that is another job than h.
 func (u *usage) reservationBefore(h *holder, pool int32) reservation {
 	out := reservation{heldByJobs: u.heldByJobs, largestTask: u.largestTask}
 	first := u.reservedFor
@@ -107,19 +108,19 @@
 		}
 	}
 	if h.needsJobUnits && h.holdsJobUnits && (!first.needsJobUnits || !first.holdsJobUnits) {
-		// It must get on for the others to get anything.
+		// h holds per-job units and must be able to continue, so that it releases them to others.
 		out.next, out.heldByJobs = 0, u.heldByJobs
 	}
 	return out
 }
 
-// TaskPlaced counts a task that was given room on a machine.
+// TaskPlaced counts the units of a task that was placed on a machine.
 func (d *Component) TaskPlaced(j *jobs.Job) { d.adjustInUse(j, 1) }
 
-// TaskRemoved takes TaskPlaced back.
+// TaskRemoved reverses TaskPlaced.
 func (d *Component) TaskRemoved(j *jobs.Job) { d.adjustInUse(j, -1) }
 
-// adjustInUse counts a task more (1) or less (-1).
+// adjustInUse adds the units of one task of a job (by is 1) or subtracts them (by is -1).
 func (d *Component) adjustInUse(j *jobs.Job, by int64) {
 	h := d.byJob[j.Index]
 	if h == nil {
@@ -143,8 +144,8 @@
 	h.holdsJobUnits = (h.holdsJobUnits || begins) && !ends
 }
 
-// StartableTasks is how many more tasks of a job the units that are left would let start: machines
-// for more would stand idle.
+// StartableTasks returns how many more tasks of a job can start with the units that are left.
+// Machines rented for more tasks would be idle.
 func (d *Component) StartableTasks(j *jobs.Job) int {
 	h := d.byJob[j.Index]
 	if h == nil || h.unknownPool != "" || !d.store.loaded {
@@ -170,7 +171,7 @@
 	return most
 }
 
-// Unsatisfiable says why a job could never have the units that it asks for, or nothing.
+// Unsatisfiable returns why a job can never get the units that it needs, or an empty string.
 func (d *Component) Unsatisfiable(record *eventlog.Job) string {
 	needed, unknownPool := d.neededAtOnce(record)
 	if unknownPool != "" {
@@ -195,8 +196,8 @@
 	return ""
 }
 
-// neededAtOnce is what a job needs of each pool for one start, and as a whole; or the
-// first pool that there is not.
+// neededAtOnce returns how many units of each pool a job needs for one start, including its
+// per-job units, or the name of the first pool that is not in the settings.
 func (d *Component) neededAtOnce(record *eventlog.Job) (needed map[int32]int64, unknownPool string) {
 	needed = map[int32]int64{}
 	together := int64(1)
--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	changesKept = 16 // of each pool, so that repeats are answered alike
-	maxIDBytes  = 64 // of a change
+	changesKept = 16 // per pool, so that a repeated change gets the same answer
+	maxIDBytes  = 64 // of the ID of a change
 )
 
 var (
@@ -24,31 +24,31 @@
 	errValuesLoading = errors.New("pools: what was changed before is still being read: try again in a second")
 )
 
-// Request is what the component can be asked to do: one of its fields is set.
+// Request is a request to the component: one of its fields is set.
 type Request struct {
 	Change  *Change  `json:"change,omitempty"`
 	Receipt *Holding `json:"receipt,omitempty"`
 }
 
-// Change is a change of a pool that an operator asks for. It is idempotent by its id: a
-// repeat is answered alike. Version is that of the pool that it was planned for; where
-// another change came first it is refused.
+// Change is an operator's change of a pool. It is idempotent by its ID: a repeat gets the same
+// answer. Version is the version of the pool that the change was planned for; it is refused if
+// another change has been applied since.
 type Change struct {
 	ID      string `json:"id"`
 	Pool    string `json:"pool"`
 	Version uint64 `json:"version"`
-	Units   *int64 `json:"units,omitempty"` // below 0: as the settings say
+	Units   *int64 `json:"units,omitempty"` // negative: the number in the settings
 	Drain   *bool  `json:"drain,omitempty"`
 }
 
-// Changed is the answer. Until it is durable the same change is to be asked for again.
+// Changed is the answer to a Change. Until the change is durable, the client has to repeat it.
 type Changed struct {
 	Durable bool   `json:"durable"`
 	Version uint64 `json:"version"`
 	Pool    View   `json:"pool"`
 }
 
-// appliedChange is a change that was made, by its id.
+// appliedChange is the ID of an applied change and the version of the pool that it produced.
 type appliedChange struct {
 	ID      string `json:"i"`
 	Version uint64 `json:"c"`
@@ -105,7 +105,7 @@
 	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
 }
 
-// checkChange says what is wrong with a change, whatever its pool.
+// checkChange checks everything about a change that does not depend on its pool.
 func (d *Component) checkChange(c *Change) error {
 	switch {
 	case !d.store.loaded && d.store.unreadableKey != "":
@@ -122,8 +122,8 @@
 	return nil
 }
 
-// apply makes a change: fewer units count at once, more once a new leader would know of
-// them.
+// apply applies a change. A smaller size takes effect at once, a larger one when it is durable, so
+// that a new leader reads it too.
 func (p *pool) apply(c *Change) {
 	p.changeVersion++
 	p.changes = append(p.changes, appliedChange{ID: c.ID, Version: p.changeVersion})
--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -1,13 +1,14 @@
 // Package pools is the component of a leader's term that counts scarce resources which
-// tasks need besides room on a machine, such as licences. They come in pools of so many
-// units, of which never more are in use than there are, whatever fails. docs/pools.md
-// has the design, the argument for its safety, and the operators' page.
+// tasks need besides room on a machine, such as licences. Each pool has a number of units,
+// and never more of them are in use than it has, whatever fails. docs/pools.md describes
+// the design, the argument for its safety, and the operation by operators.
 //
-// A unit is in use from before its task's start leaves the leader until the task is
-// proved gone, by the same proofs as for the task itself. So nothing is written when
-// units are allocated or released: what is in use follows from where tasks count as
-// being, which grants and heartbeats tell a new leader as well. Only operators' changes,
-// and units that stay in use after a loss, are written, to values of the component's own.
+// A unit is in use from before the leader sends the start of its task until the task is
+// proved gone, by the same proofs as for the task itself. So nothing is written when units
+// are allocated or released: the units in use follow from the placements of tasks, which a
+// new leader derives from grants and heartbeats. Only operators' changes and units that
+// stay in use after a loss are written, to the component's own values, and receipts, to
+// the log.
 package pools
 
 import (
@@ -22,13 +23,13 @@
 	"bitternmoor/internal/settings"
 )
 
-// Name is that of the component, of its entries and of its values.
+// Name is the name of the component in its log entries and its values.
 const Name = "pools"
 
-// firstSession is the number of an agent's session that never lost its tasks.
+// firstSession is the session number of an agent that has never lost its tasks.
 const firstSession = 1
 
-// Component counts units in a term.
+// Component counts the units in use during a term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
@@ -37,26 +38,27 @@
 	byName map[string]int32 // index in pools
 
 	// Jobs that need units.
-	holders        []*holder // in the order in which they came
-	candidates     []*holder // those that could start a task in this scheduling cycle, in order
+	holders        []*holder // in the order in which they were added
+	candidates     []*holder // could start a task in this scheduling cycle, in order
 	byJob          map[int32]*holder
-	cancelledNeeds map[uint64][]requirement // of cancelled jobs of earlier terms, by job id
+	cancelledNeeds map[uint64][]requirement // of cancelled jobs of earlier terms, by job ID
 
-	// What is on machines beside the tasks that count as being there.
+	// Tasks on machines that have no placement there.
 	orphans           map[*workers.Machine]*orphanedUnits
-	allocationBlocked bool // a machine may have units of any pool
+	allocationBlocked bool // no unit is allocated, since a machine may have units of any pool
 
 	// Losses of machines and of agents' sessions.
 	losses       []loss
-	restarted    map[*workers.Machine]bool // agents that started anew under their names; not resolved yet
-	justResolved *workers.Machine          // by the heartbeat that is being applied
+	restarted    map[*workers.Machine]bool // unresolved machines whose agent has restarted
+	justResolved *workers.Machine          // resolved by the heartbeat that is being applied
 
-	// What is written.
+	// Stored state.
 	store    valueStore
 	receipts receiptIndex
 }
 
-// New makes the component of a term, with the pools of the operators' settings.
+// New returns the component of a term, with the pools of the operators' settings, and sets s.Pools
+// to it.
 func New(s *cluster.State) *Component {
 	d := &Component{
 		State:          s,
@@ -83,7 +85,8 @@
 	return d
 }
 
-// pool returns the pool of that name, which need not be in the settings.
+// pool returns the pool of the given name, which need not be in the settings, and adds it if it is
+// missing.
 func (d *Component) pool(name string) *pool {
 	i, ok := d.byName[name]
 	if !ok {
@@ -94,8 +97,8 @@
 	return d.pools[i]
 }
 
-// Replay notes the needs of all jobs of the log: of those that are over by its end,
-// tasks may still be running somewhere.
+// Replay records the receipts and the requirements of all jobs in the log. Tasks of jobs that are over
+// by the end of the log may still be running.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Component != nil:
@@ -109,7 +112,8 @@
 	}
 }
 
-// Begin adds the open jobs.
+// Begin adds the jobs that are in the job table. Of the replayed requirements it keeps only those of
+// cancelled jobs.
 func (d *Component) Begin(time.Duration) {
 	for id := range d.cancelledNeeds {
 		if p, _ := d.Jobs.FinalPhase(id); p != jobs.Cancelled {
@@ -125,7 +129,7 @@
 
 func (d *Component) requirementsOf(list []eventlog.PoolUnits) (out []requirement, unknownPool string) {
 	for _, c := range list {
-		p := d.pool(c.Pool) // units may be in use of one that is not in the settings any more
+		p := d.pool(c.Pool) // units of a pool that was removed from the settings may be in use
 		if !p.known {
 			unknownPool = c.Pool
 		}
@@ -144,7 +148,7 @@
 	d.byJob[j.Index] = h
 }
 
-// HandleEvent follows jobs, tasks and machines.
+// HandleEvent processes the events of jobs, tasks and machines.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
@@ -181,7 +185,7 @@
 	d.dropReceipts(j.Record.ID, wholeJobTask)
 }
 
-// removeReferences takes a job that was removed out of all that refers to it.
+// removeReferences removes a job from the candidates and from the reservations.
 func (d *Component) removeReferences(h *holder) {
 	d.candidates = slices.DeleteFunc(d.candidates, func(o *holder) bool { return o == h })
 	for _, r := range h.requirements {
@@ -205,12 +209,13 @@
 func (d *Component) heartbeatApplied(e cluster.Event) {
 	m := e.Machine
 	d.noteOrphans(m, e.Report)
-	// An agent that may have tasks of an earlier term was given a token in that term.
+	// An agent that may have tasks of an earlier term got a token in that term, so an agent
+	// without a token has restarted.
 	if e.Report.Token == 0 && m.Unresolved() {
 		d.restarted[m] = true
 	}
 	if d.justResolved == m && (m.Session > firstSession || d.restarted[m]) {
-		// An agent of an earlier session or incarnation may have died under its tasks.
+		// The agent of an earlier session or incarnation may have died while tasks were running.
 		d.holdUnseenAfterLoss(e.At, m)
 	}
 	if !m.Unresolved() {
@@ -220,7 +225,7 @@
 }
 
 func (d *Component) machineResolved(e cluster.Event) {
-	d.justResolved = e.Machine // what its heartbeat shows is counted first
+	d.justResolved = e.Machine // the tasks in its heartbeat are counted first
 	if d.Inventory.Find(e.Machine.Name) == nil {
 		d.holdUnseenAfterLoss(e.At, e.Machine)
 		d.justResolved = nil
@@ -230,13 +235,13 @@
 func (d *Component) machineProvedGone(e cluster.Event) {
 	delete(d.restarted, e.Machine)
 	d.dropOrphans(e.At, e.Machine)
-	// The losses go to the log before the entry that the machine is gone: otherwise a new
-	// leader would take these units as free.
+	// The losses are appended to the log before the entry that the machine is gone: otherwise
+	// a new leader would count these units as free.
 	d.writeLosses()
 }
 
-// Tick reads and writes values, lets losses expire, and has silent machines deleted early
-// that keep units which others wait for.
+// Tick reads and writes the stored values, removes expired losses, and decommissions silent machines
+// early if they hold units that other jobs wait for.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if !leaseValid {
 		return
--- a/internal/leader/pools/explain.go
+++ b/internal/leader/pools/explain.go
@@ -7,7 +7,8 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// WaitReason says what a job waits for, in plain words; empty: it does not wait for units.
+// WaitReason returns an explanation for the user why a job waits for units, or an empty string if it
+// does not.
 func (d *Component) WaitReason(j *jobs.Job) string {
 	h := d.byJob[j.Index]
 	switch {
@@ -34,7 +35,7 @@
 	return d.explainShortage(h, p, r)
 }
 
-// explainShortage says who has the units of a pool that a job waits for.
+// explainShortage returns an explanation of who has the units of a pool that a job waits for.
 func (d *Component) explainShortage(h *holder, p *pool, r requirement) string {
 	j := h.job
 	var why strings.Builder
--- a/internal/leader/pools/losses.go
+++ b/internal/leader/pools/losses.go
@@ -10,35 +10,36 @@
 	"bitternmoor/internal/settings"
 )
 
-// A licence server may go on counting a holder for a while that died without a word.
-// Units of such a task stay in use for that long (hold_after_loss) after it is proved
-// gone.
+// After a holder has died without releasing its units, a licence server may continue to count it for
+// a while. The units of such a task stay in use for that long (hold_after_loss) after the task is
+// proved gone.
 
-// loss is some units that stay in use after a loss.
+// loss is a number of units that stay in use after a task, or the machine that ran it, was lost.
 type loss struct {
 	Pool  string `json:"p"`
 	Team  string `json:"m"`
 	Units int64  `json:"u"`
-	Until int64  `json:"t"` // time of day, in milliseconds
+	Until int64  `json:"t"` // wall-clock time in milliseconds
 }
 
-// clockSlack is how far the times of day of two controllers may differ.
+// clockSlack is the maximum difference between the wall clocks of two controllers.
 const clockSlack = time.Second
 
-// wallClockMS is the time of day, in milliseconds.
+// wallClockMS returns the wall-clock time in milliseconds.
 func (d *Component) wallClockMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
 
-// lossesNotDurable reports whether losses are known that a new leader would not know of.
-// Until they are durable no unit is allocated of a pool that has a hold after losses: the
-// tasks that died are still waiting then, and the new leader counts them as lost itself.
-// Found by a random day with two crashes in ten seconds: the first leader had started
-// them anew elsewhere, and the second took their units as free.
+// lossesNotDurable reports whether there are losses that a new leader could not read. Until they
+// are durable, a pool that has a hold after losses allocates no units: the lost tasks then still
+// wait, and a new leader counts them as lost itself. A random test with two crashes in ten seconds
+// found the fault: the first leader had restarted the tasks elsewhere, and the second leader counted
+// the units of the lost ones as free.
 func (d *Component) lossesNotDurable() bool {
 	return d.store.lossesDirty || d.store.writes.HasPending(func(w poolWrite) bool { return w.pool == nil })
 }
 
-// holdAfterLoss keeps the units of so many tasks of a job in use where their pool says
-// so. Units that the job holds as a whole stay with it, unless it is over.
+// holdAfterLoss keeps the units of the given number of a job's tasks in use if their pool has a hold
+// after losses. Per-job units are not held while the job is open or has other tasks placed, since
+// the job still has them.
 func (d *Component) holdAfterLoss(now time.Duration, j *jobs.Job, requirements []requirement, tasks int64) {
 	for _, r := range requirements {
 		if r.perJob && (j.Phase == jobs.Open || j.Placed > 1) {
@@ -52,7 +53,7 @@
 	}
 }
 
-// addLoss keeps units in use after a loss, where their pool says so. The team may be
+// addLoss keeps units in use after a loss if their pool has a hold after losses. The team may be
 // unknown.
 func (d *Component) addLoss(now time.Duration, p *pool, team string, units int64) {
 	hold := settings.Seconds(p.conf.HoldAfterLossS)
@@ -64,7 +65,7 @@
 	d.store.lossesDirty = true
 }
 
-// expireLosses drops the losses whose time is over.
+// expireLosses removes the losses whose hold has ended.
 func (d *Component) expireLosses(now time.Duration) {
 	at := d.wallClockMS(now)
 	before := len(d.losses)
@@ -75,8 +76,8 @@
 	}
 }
 
-// holdUnseenAfterLoss is holdAfterLoss for what may have been on a machine that is gone,
-// or whose agent started anew, before it ever reported in this term.
+// holdUnseenAfterLoss calls holdAfterLoss for the tasks that may have been on a machine that was
+// lost, or whose agent restarted, before it reported in this term.
 func (d *Component) holdUnseenAfterLoss(now time.Duration, m *workers.Machine) {
 	for _, h := range d.holders {
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
@@ -88,8 +89,8 @@
 	}
 }
 
-// dropOrphans forgets the orphans of a machine that is gone. Their units stay in use
-// where their pool says so.
+// dropOrphans removes the orphans of a machine that is gone. Their units stay in use if their pool
+// has a hold after losses.
 func (d *Component) dropOrphans(now time.Duration, m *workers.Machine) {
 	s := d.orphans[m]
 	delete(d.orphans, m)
--- a/internal/leader/pools/metrics.go
+++ b/internal/leader/pools/metrics.go
@@ -8,20 +8,20 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// maxLabels is how many pools have a label of their own in metrics.
+// maxLabels is the number of pools that have a label of their own in metrics.
 const maxLabels = 100
 
-// Gauges returns the numbers of each pool. Those of pools beyond the first maxLabels, by
-// name, are summed up.
+// Gauges returns the metrics of each pool. Those of all pools beyond the first maxLabels by name are
+// added up under one label.
 func (d *Component) Gauges(now time.Duration) []cluster.Gauge {
 	d.recount(now)
 	gauges := []cluster.Gauge{
-		{Name: "bitternmoor_pool_units", Help: "Units that a pool has."},
-		{Name: "bitternmoor_pool_units_out", Help: "Units that are out, or may be."},
+		{Name: "bitternmoor_pool_units", Help: "Units of the pool."},
+		{Name: "bitternmoor_pool_units_out", Help: "Units that are in use, or may be."},
 		{Name: "bitternmoor_pool_units_waiting", Help: "Units that waiting tasks need."},
 		{
 			Name: "bitternmoor_pool_units_uncertain",
-			Help: "Units that are out only perhaps: on machines that have not reported since the last takeover.",
+			Help: "Units that may be in use on machines that have not reported since the last takeover.",
 		},
 	}
 	for i := range gauges {
--- a/internal/leader/pools/orphans.go
+++ b/internal/leader/pools/orphans.go
@@ -5,15 +5,14 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// orphanedUnits are the units of a machine's orphans: tasks that it reports and that no
-// placement stands for.
+// orphanedUnits are the units of a machine's orphans: tasks that it reports and that have no
+// placement there.
 type orphanedUnits struct {
 	requirements []requirement
-	unknown      bool // what one of them needs is not known
+	unknown      bool // the requirements of an orphan are not known
 }
 
-// noteOrphans notes the tasks that a heartbeat reports beside those that count as being
-// on the machine.
+// noteOrphans records the units of the tasks in a heartbeat that have no placement on the machine.
 func (d *Component) noteOrphans(m *workers.Machine, r *workers.Report) {
 	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.orphans[m] == nil {
 		return
@@ -54,8 +53,8 @@
 	return found
 }
 
-// mayHaveNeeded reports whether a job that is in no table may have needed units: its
-// entry may have been compacted away.
+// mayHaveNeeded reports whether a job that is not in the job table may have needed units: its log
+// entry may have been removed by compaction.
 func (d *Component) mayHaveNeeded(id uint64) bool {
 	phase, over := d.Jobs.FinalPhase(id)
 	return !over || phase == jobs.Cancelled
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -10,63 +10,63 @@
 // urgentPriority is the lowest priority that may use the reserve of a pool.
 const urgentPriority = 2
 
-// nobody stands for the team of units that belong to no known team.
+// nobody is the team index of units whose team is not known.
 const nobody = -1
 
-// pool is one pool, and what the last recount has found of it.
+// pool is the state of one pool, with the result of the last recount.
 type pool struct {
 	name  string
 	index int32 // in Component.pools
 
 	// From the operators' settings.
 	conf   settings.Pool
-	known  bool            // there is such a pool in the settings
+	known  bool            // the pool is in the settings
 	shares map[int32]int64 // the most units that a team may have in use
 
-	// Changed by operators while the leader runs.
-	size           int64 // units in force
+	// Changed by operators at run time.
+	size           int64 // units that the pool has now
 	pendingSize    int64 // a larger size that is not durable yet; 0: none
-	sizeOverridden bool  // the size is not that of the settings
+	sizeOverridden bool  // an operator's change replaces the size in the settings
 	drained        bool
-	changeVersion  uint64          // counts the changes; 0: there was none
-	durableVersion uint64          // the last of them that is durable
-	changes        []appliedChange // the last ones, so that repeats are answered alike
-	valueNumber    int             // of the value that keeps the changes; 0: none yet
+	changeVersion  uint64          // number of changes
+	durableVersion uint64          // changeVersion of the last durable change
+	changes        []appliedChange // the last changesKept changes
+	valueNumber    int             // number of the value that stores the changes; 0: none yet
 
 	// Found by the last recount.
 	usage
 	teams     map[int32]*usage // of teams with a share
-	uncertain int64            // of the units in use: on machines that have not reported in this term
-	lost      int64            // of the units in use: held after a loss
+	uncertain int64            // part of inUse: may be on machines that have not reported in this term
+	lost      int64            // part of inUse: held after a loss
 	waiting   int64            // units that waiting tasks need
 }
 
-// usage is what is in use of a pool, or of a team's share of it.
+// usage counts the units in use of a pool, or of a team's share of it.
 type usage struct {
 	inUse       int64
-	heldByJobs  int64   // of the units in use: those that jobs hold as a whole
-	largestTask int64   // the most units that one start needs of a job that holds units as a whole
-	reservedFor *holder // the first in order that could start a task but for units
+	heldByJobs  int64   // part of inUse: per-job units
+	largestTask int64   // the most units that one start of a job with per-job units needs
+	reservedFor *holder // the first job in order that lacks only units to start a task
 }
 
-// requirement is what a job needs of a pool.
+// requirement is a number of units that a job needs of a pool.
 type requirement struct {
 	pool   int32
 	units  int64
-	perJob bool // for the job as a whole, else for each task
+	perJob bool // the units are for the whole job, otherwise for each task
 }
 
 // holder is a job that needs units.
 type holder struct {
 	job           *jobs.Job
 	requirements  []requirement
-	unknownPool   string // a pool that it needs and that does not exist; empty: none
-	started       bool   // this leader has started a task of it
-	holdsJobUnits bool   // it holds what it needs as a whole
-	needsJobUnits bool   // it needs something as a whole
+	unknownPool   string // a pool that it needs and that is not in the settings; empty: none
+	started       bool   // a task of it was placed in this term
+	holdsJobUnits bool   // it has its per-job units
+	needsJobUnits bool   // it has requirements for per-job units
 }
 
-// newHolder makes the holder of a job with these requirements.
+// newHolder returns the holder for a job with the given requirements.
 func newHolder(job *jobs.Job, requirements []requirement, unknownPool string) *holder {
 	return &holder{
 		job:           job,
@@ -79,7 +79,8 @@
 // wantsMore reports whether a job still needs units of a pool to start a task.
 func (h *holder) wantsMore(r requirement) bool { return h.job.Waiting > 0 && h.nextUnits(r) > 0 }
 
-// nextUnits is what a job needs of a pool to start the next of its tasks.
+// nextUnits returns how many more units of a pool a job needs to start its next task, or, if it is a
+// gang, all its waiting tasks.
 func (h *holder) nextUnits(r requirement) int64 {
 	switch {
 	case !r.perJob && h.job.Record.Kind == jobs.Gang:
@@ -90,7 +91,8 @@
 	return r.units
 }
 
-// limitFor is how many units of a pool may be in use for a job to start.
+// limitFor returns how many units of a pool may be in use after a job's start. Only urgent jobs may
+// use the reserve.
 func (p *pool) limitFor(j *jobs.Job) int64 {
 	if j.Priority >= urgentPriority {
 		return p.size
@@ -98,7 +100,7 @@
 	return p.size - int64(p.conf.Reserve)
 }
 
-// addInUse counts units as in use, for a team or for nobody.
+// addInUse counts units as in use by a team, which may be nobody.
 func (p *pool) addInUse(team int32, units int64) {
 	p.inUse += units
 	if t := p.teams[team]; t != nil {
@@ -106,7 +108,7 @@
 	}
 }
 
-// addHeldByJob counts units as held by a job as a whole. They are in use too.
+// addHeldByJob counts per-job units of a job. The caller counts them with addInUse too.
 func (p *pool) addHeldByJob(team int32, units int64) {
 	p.heldByJobs += units
 	if t := p.teams[team]; t != nil {
@@ -114,7 +116,7 @@
 	}
 }
 
-// raiseLargestTask counts what one start needs of a job that holds units as a whole.
+// raiseLargestTask raises largestTask to the units that one start of a job with per-job units needs.
 func (p *pool) raiseLargestTask(team int32, units int64) {
 	p.largestTask = max(p.largestTask, units)
 	if t := p.teams[team]; t != nil {
@@ -122,7 +124,7 @@
 	}
 }
 
-// startedTogether is how many of a job's tasks start together.
+// startedTogether returns how many of a job's tasks start together.
 func startedTogether(j *jobs.Job) int64 {
 	if j.Record.Kind == jobs.Gang {
 		return int64(len(j.Tasks))
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -18,8 +18,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// fixture is a leader with pools and room without end, whose state service keeps what
-// it writes.
+// fixture is a leader with pools and unlimited room for tasks. It keeps the values that are written to
+// the state service.
 type fixture struct {
 	t         *testing.T
 	pools     []settings.Pool
@@ -38,7 +38,7 @@
 	return w
 }
 
-// startTerm begins a term; its values are read if so wanted.
+// startTerm starts a term and, if read is true, reads the stored values.
 func (w *fixture) startTerm(read bool) {
 	w.t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
@@ -59,7 +59,7 @@
 
 func (w *fixture) read() {
 	w.component.Tick(w.now, true)
-	w.component.ValuesRead(w.now, nil, true, false) // once in vain
+	w.component.ValuesRead(w.now, nil, true, false) // the first attempt fails
 	w.now += 2 * time.Second
 	w.component.Tick(w.now, true)
 	var list []eventlog.ComponentValue
@@ -75,7 +75,7 @@
 	w.component.ValuesRead(w.now, list, false, true)
 }
 
-// write makes everything durable that waits.
+// write makes all pending writes durable.
 func (w *fixture) write() {
 	for range 20 {
 		w.now += time.Second
@@ -94,7 +94,7 @@
 	}
 }
 
-// job enters a job of so many tasks.
+// job adds a job with the given number of tasks.
 func (w *fixture) job(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.PoolUnits) *jobs.Job {
 	w.ids++
 	j := w.component.Jobs.Add(eventlog.Job{ID: w.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
@@ -111,8 +111,8 @@
 	return eventlog.PoolUnits{Pool: pool, Units: units, PerJob: true}
 }
 
-// schedule gives units to the jobs in this order and says how many tasks of each got
-// them. Gangs get all or nothing.
+// schedule allocates units to the jobs in this order and returns how many tasks of each got them.
+// Gangs get the units of all tasks or none.
 func (w *fixture) schedule(list ...*jobs.Job) (out []int) {
 	waiting := slices.DeleteFunc(slices.Clone(list), func(j *jobs.Job) bool { return j.Waiting == 0 })
 	w.component.BeginCycle(w.now, waiting)
@@ -134,7 +134,7 @@
 	return out
 }
 
-// completeTask has a placed task complete.
+// completeTask completes a placed task.
 func (w *fixture) completeTask(j *jobs.Job, k int) {
 	ref := workers.TaskRef{Job: j.Index, Task: int32(k)}
 	delete(w.component.Placements, ref)
@@ -168,12 +168,12 @@
 	urgentJob := w.job("a", 5, 2, jobs.Array, perTask("p", 1))
 	expect(t, "the reserve", w.schedule(urgentJob, one), "[2 0]")
 	w.completeTask(one, 0)
-	expect(t, "a unit that came back goes to the first in order", w.schedule(urgentJob, one), "[1 0]")
+	expect(t, "a released unit goes to the first job in order", w.schedule(urgentJob, one), "[1 0]")
 	b := w.job("b", 5, 1, jobs.Array, perTask("q", 1))
 	a := w.job("a", 5, 1, jobs.Array, perTask("q", 1))
-	expect(t, "a team's share, the rest to others", w.schedule(b, a), "[1 2]")
+	expect(t, "one team gets its share, the other one the rest", w.schedule(b, a), "[1 2]")
 	if why := w.component.WaitReason(b); !strings.Contains(why, "q") || !strings.Contains(why, "its team has 1 of its 1") {
-		t.Errorf("explained: %s", why)
+		t.Errorf("wait reason: %s", why)
 	}
 	for name, impossible := range map[string]struct {
 		counted eventlog.PoolUnits
@@ -195,24 +195,24 @@
 	}
 }
 
-// Several pools and several units are taken together or not at all, and are kept for
-// the first in order, so that small demands do not starve it.
+// The units that a task needs, also of several pools, are allocated together or not at all, and are
+// reserved for the first job in order, so that small demands do not starve it.
 func TestFirstInOrderIsNotStarved(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 5})
 	small := w.job("a", 1000, 1, jobs.Array, perTask("p", 1))
 	w.schedule(small)
 	big := w.job("a", 1, 1, jobs.Array, perTask("p", 5), perTask("q", 1))
-	other := w.job("a", 9, 1, jobs.Array, perTask("q", 5)) // would leave nothing of q
+	other := w.job("a", 9, 1, jobs.Array, perTask("q", 5)) // would leave no unit of q
 	for k := range 5 {
-		expect(t, "nothing passes", w.schedule(big, small, other), "[0 0 0]")
+		expect(t, "no job overtakes the first one", w.schedule(big, small, other), "[0 0 0]")
 		w.completeTask(small, k)
 	}
-	expect(t, "all five of five", w.schedule(big, small, other), "[1 0 0]")
+	expect(t, "the first job gets all five units", w.schedule(big, small, other), "[1 0 0]")
 	w.completeTask(big, 0)
-	expect(t, "then the others", w.schedule(small, other), "[5 1]")
+	expect(t, "then the other jobs", w.schedule(small, other), "[5 1]")
 }
 
-// What is held for a whole job never keeps another such job from going on.
+// Per-job units that a job holds never prevent another job with per-job units from continuing.
 func TestJobsHoldingUnitsDoNotDeadlock(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 2}, settings.Pool{Name: "q", Units: 2})
 	a := w.job("a", 3, 1, jobs.Array, wholeJob("p", 1), perTask("q", 1))
@@ -236,12 +236,12 @@
 		}
 		w.schedule(slices.DeleteFunc([]*jobs.Job{a, b, c}, func(j *jobs.Job) bool { return j.Waiting == 0 })...)
 	}
-	expect(t, "all is back", []int64{w.inUse("p"), w.inUse("q")}, "[0 0]")
+	expect(t, "all units are released", []int64{w.inUse("p"), w.inUse("q")}, "[0 0]")
 }
 
-// Thousands of random days with demands of all sorts and sizes: never more out than
-// there are by what really runs, no job waits for ever, and none waits while enough is
-// free for it and nobody is before it.
+// Thousands of random runs with varied demands: the running tasks never hold more units than there
+// are, no job waits for ever, and no job waits while enough units are free for it and no other job is
+// before it in the order.
 func TestRandomDemandsStayWithinLimitsAndComplete(t *testing.T) {
 	days := 3000
 	if testing.Short() {
@@ -304,11 +304,11 @@
 			}
 		}
 	}
-	t.Logf("the longest day had %d steps", longest)
+	t.Logf("the longest run had %d steps", longest)
 }
 
-// nobodyWaitsInVain: after a pass, the first job in order that still waits does so for
-// units that are out, or, if it would hold some as a whole, for others that do.
+// nobodyWaitsInVain checks, after a scheduling cycle, that the first job in order that still waits
+// lacks units that are in use, or needs per-job units that it does not hold yet.
 func (w *fixture) nobodyWaitsInVain(seed uint64, left []*jobs.Job) {
 	w.t.Helper()
 	for _, h := range w.component.candidates {
@@ -322,13 +322,13 @@
 			lacks = lacks || p.inUse+h.nextUnits(n) > p.size
 		}
 		if !lacks {
-			w.t.Fatalf("seed %d: %+v waits, and all that it needs is free", seed, j.Record.Counted)
+			w.t.Fatalf("seed %d: %+v waits although all units that it needs are free", seed, j.Record.Counted)
 		}
 		return
 	}
 }
 
-// verify counts the holders by what runs.
+// verify compares the units counted as in use with those that the placed and finished tasks imply.
 func (w *fixture) verify(seed uint64, list []*jobs.Job) {
 	w.t.Helper()
 	sums := map[string]int64{}
@@ -344,16 +344,16 @@
 	}
 	for _, p := range w.pools {
 		if sums[p.Name] > int64(p.Units) {
-			w.t.Fatalf("seed %d: %d of %d units of %s are out", seed, sums[p.Name], p.Units, p.Name)
+			w.t.Fatalf("seed %d: %d of %d units of %s are in use", seed, sums[p.Name], p.Units, p.Name)
 		}
 		if got := w.inUse(p.Name); got != sums[p.Name] {
-			w.t.Fatalf("seed %d: %d units of %s count as out, %d are", seed, got, p.Name, sums[p.Name])
+			w.t.Fatalf("seed %d: %d units of %s count as in use, %d are", seed, got, p.Name, sums[p.Name])
 		}
 	}
 }
 
-// After a takeover what a machine may have that was not heard counts as out, narrowed
-// by grants, until it is heard or gone.
+// After a takeover, the units that an unresolved machine may have by its grants count as in use until
+// it reports or is gone.
 func TestUnheardMachinesCountAsInUseAfterTakeover(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30})
 	w.startTerm(true)
@@ -363,13 +363,13 @@
 	j.FromEarlierTerm, j.UnresolvedMachines, j.UnassignedFrom = true, 1, 3
 	m.Grants[j.Record.ID] = true
 	other := w.job("a", 8, 1, jobs.Array, perTask("p", 1))
-	expect(t, "three may be there", w.inUse("p"), 3)
-	expect(t, "one is left", w.schedule(other), "[1]")
+	expect(t, "three tasks may be on the unresolved machine", w.inUse("p"), 3)
+	expect(t, "one unit is left", w.schedule(other), "[1]")
 	w.component.pools[0].drained = false
 	if raw, err := w.component.Show(w.now, "p"); err != nil || !strings.Contains(string(raw), `"uncertain":3`) || !strings.Contains(string(raw), "machines not heard") {
 		t.Errorf("%s %v", raw, err)
 	}
-	// It is gone without a word: what may have been there stays out for a while.
+	// It is gone without a report: units that it may have had stay in use for a while.
 	w.component.Inventory.Remove("old")
 	w.component.RemoveUnresolved(m)
 	j.UnresolvedMachines--
@@ -378,26 +378,26 @@
 	expect(t, "held after the loss", w.inUse("p"), 4)
 	w.write()
 	w.startTerm(true)
-	expect(t, "and by the next leader", w.inUse("p"), 3)
+	expect(t, "held by the next leader too", w.inUse("p"), 3)
 	w.now += 40 * time.Second
-	expect(t, "until the time is over", w.inUse("p"), 0)
+	expect(t, "released after the hold", w.inUse("p"), 0)
 }
 
-// A task that was on offer to a machine whose worker has died may have run there, while
-// its plan goes on elsewhere: its units stay out besides those of the plan.
+// A task that was on offer to a machine whose worker died may have run there, while its plan continues
+// elsewhere: its units stay in use in addition to those of the plan.
 func TestLostOfferHoldsUnits(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4, HoldAfterLossS: 30}, settings.Pool{Name: "q", Units: 4})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1), perTask("q", 1))
 	w.schedule(j)
 	w.component.HandleEvent(cluster.Event{Kind: cluster.OfferLost, At: w.now, Job: j, Task: 0, Machine: w.machine})
-	expect(t, "the plan and the loss", []int64{w.inUse("p"), w.inUse("q")}, "[2 1]")
+	expect(t, "units of the plan and of the loss", []int64{w.inUse("p"), w.inUse("q")}, "[2 1]")
 	other := w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the loss is written", w.schedule(other), "[0]")
 	w.write()
-	expect(t, "then the others", w.schedule(other), "[2]")
+	expect(t, "then the other job", w.schedule(other), "[2]")
 }
 
-// A cancelled job's task that a machine still shows keeps its units.
+// A task of a cancelled job keeps its units while a machine still reports it as running.
 func TestOrphansKeepTheirUnits(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{perTask("p", 2)}}
@@ -409,11 +409,11 @@
 	w.read()
 	r := &workers.Report{Machine: "m", Tasks: []workers.TaskReport{{Job: 77, Task: 1, Attempt: 5, State: workers.Running}}}
 	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
-	expect(t, "it still runs", w.inUse("p"), 2)
+	expect(t, "the orphan still runs", w.inUse("p"), 2)
 	r.Tasks[0].State = workers.Ended
 	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
-	expect(t, "it has ended", w.inUse("p"), 0)
-	// One of which nothing is known closes all pools while it is there.
+	expect(t, "the orphan has ended", w.inUse("p"), 0)
+	// A task of an unknown job blocks the allocation from all pools while it is there.
 	r.Tasks[0].Job, r.Tasks[0].State = 999, workers.Running
 	w.component.HandleEvent(cluster.Event{Kind: cluster.HeartbeatApplied, At: w.now, Machine: w.machine, Report: r})
 	j := w.job("a", 1, 1, jobs.Array, perTask("p", 1))
@@ -422,8 +422,8 @@
 	expect(t, "gone", w.schedule(j), "[1]")
 }
 
-// Changes: fewer units count at once, more once that is durable; a repeat answers the
-// same, one planned for another version is refused; the next leader knows.
+// A smaller size takes effect at once, a larger one when it is durable. A repeated change gets the
+// same answer, one planned for another version is refused, and the next leader reads the changes.
 func TestChangesAreIdempotentAndVersioned(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	ask := func(body string) (Changed, error) {
@@ -452,7 +452,7 @@
 	}
 	for k := range 4 {
 		w.completeTask(j, k)
-		expect(t, "none while more are out than there are", w.schedule(j), "[0]")
+		expect(t, "none while more units are in use than the pool has", w.schedule(j), "[0]")
 	}
 	w.completeTask(j, 4)
 	expect(t, "one", w.schedule(j), "[1]")
@@ -460,18 +460,18 @@
 		t.Error(err)
 	}
 	w.completeTask(j, 5)
-	expect(t, "none of one that is drained", w.schedule(j), "[0]")
+	expect(t, "none from a drained pool", w.schedule(j), "[0]")
 	w.write()
 	w.startTerm(false)
 	j = w.job("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "none before the changes are read", w.schedule(j), "[0]")
 	w.read()
-	expect(t, "none, it is drained", w.schedule(j), "[0]")
+	expect(t, "none from a drained pool after a takeover", w.schedule(j), "[0]")
 	if undo, err := ask(`{"id":"x5","pool":"p","version":3,"drain":false,"units":-1}`); err != nil || undo.Version != 4 {
 		t.Errorf("%+v %v", undo, err)
 	}
 	w.write()
-	expect(t, "as the settings say", w.schedule(j), "[4]")
+	expect(t, "as many as in the settings", w.schedule(j), "[4]")
 	for _, refused := range []struct{ names, body string }{
 		{names: "pool", body: `{"id":"y","pool":"none","version":0,"units":1}`},
 		{names: "id", body: `{"pool":"p","version":4,"units":1}`},
@@ -485,7 +485,7 @@
 			}
 		})
 	}
-	// A value of a later version: nobody can say what it means.
+	// A value of a later format version cannot be interpreted.
 	w.values[eventlog.ComponentValueKey(Name, 9)] = json.RawMessage(`{"v":2}`)
 	w.startTerm(true)
 	expect(t, "closed", w.schedule(w.job("a", 1, 1, jobs.Array, perTask("p", 1))), "[0]")
@@ -496,12 +496,11 @@
 		}
 	}
 	if !said {
-		t.Error("nothing is said of it")
+		t.Error("no error is logged for the value of a later version")
 	}
 }
 
-// Receipts: units get numbers that nobody else is given while their holder may run,
-// through takeovers too.
+// The numbers of units in a receipt are not given to another holder while theirs may be running.
 func TestReceiptsNumberUnitsUniquely(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 5}, settings.Pool{Name: "q", Units: 3})
 	a := w.job("a", 3, 1, jobs.Array, perTask("p", 2), wholeJob("q", 1))
@@ -538,7 +537,8 @@
 	}
 }
 
-// Where a unit is waited for, a silent machine that keeps one is given up early.
+// A silent machine that holds a unit which another job waits for is decommissioned early, if the
+// setting is not 0.
 func TestSilentMachineIsDecommissionedEarly(t *testing.T) {
 	for _, setting := range []float64{0, 5} {
 		w := newFixture(t, settings.Pool{Name: "p", Units: 1})
@@ -550,14 +550,14 @@
 		w.schedule(b)
 		w.component.Tick(w.now, true)
 		if w.machine.Deleting != (setting > 0) {
-			t.Errorf("with %v s it is given up: %v", setting, w.machine.Deleting)
+			t.Errorf("with a setting of %v s, decommissioned: %v", setting, w.machine.Deleting)
 		}
 	}
 }
 
-// A job that holds something as a whole and is not ready for a moment, since its task
-// has failed, must find what it needs when it is: else it would wait for one that
-// began meanwhile, whose next task waits for what is kept for the first.
+// A job that holds per-job units and is not ready for a moment, since its task has failed, must find
+// the units that it needs when it is ready again. Otherwise it would wait for a job that started
+// meanwhile, whose next task waits for the units that are reserved for the first job.
 func TestNoRingOfWholeJobs(t *testing.T) {
 	w := newFixture(t, settings.Pool{Name: "p", Units: 3}, settings.Pool{Name: "q", Units: 3}, settings.Pool{Name: "s", Units: 1})
 	x := w.job("a", 2, 1, jobs.Array, wholeJob("s", 1), perTask("p", 2), perTask("q", 3))
@@ -567,5 +567,5 @@
 	expect(t, "while the first is not ready", w.schedule(z), "[0]")
 	expect(t, "then", w.schedule(x, z), "[1 0]")
 	w.completeTask(x, 1)
-	expect(t, "and the other one", w.schedule(z), "[1]")
+	expect(t, "then the other job", w.schedule(z), "[1]")
 }
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -10,15 +10,14 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// Receipts name the very units that a task has, so that a licence server can refuse a
-// holder that was replaced. Units get numbers only when a holder asks, and the numbers
-// are logged before it is answered: no other holder is ever given the same while this one
-// may run.
+// Receipts identify the individual units that a task has, so that a licence server can refuse a
+// holder that was replaced. Units get numbers only when a holder requests a receipt, and the numbers
+// are logged before the answer: no other holder ever gets the same numbers while this one may run.
 
-// receiptBytes is roughly what a receipt takes in the log.
+// receiptBytes is the approximate size of a receipt in the log.
 const receiptBytes = 120
 
-// wholeJobTask is the task number of what a job holds as a whole.
+// wholeJobTask is the task number that stands for a job's per-job units.
 const wholeJobTask = -1
 
 var (
@@ -29,18 +28,18 @@
 
 type receiptKey struct {
 	job  uint64
-	task int32 // wholeJobTask: the job as a whole
+	task int32 // wholeJobTask for per-job units
 	pool int32
 }
 
 type issuedReceipt struct {
-	attempt uint64 // 0 for a job as a whole
+	attempt uint64 // 0 for per-job units
 	numbers []int64
 	durable bool
 }
 
-// receiptIndex has the receipts by job, so that the end of a job or task costs work for
-// its own job only.
+// receiptIndex holds the receipts by job, so that the end of a job or task only has to go through the
+// receipts of that job.
 type receiptIndex struct {
 	byJob map[uint64]map[receiptKey]*issuedReceipt
 	total int
@@ -64,8 +63,7 @@
 	}
 }
 
-// storedReceipt is the log's entry of the units that a task, or a job as a whole, was
-// given a receipt for.
+// storedReceipt is the log entry of a receipt for the units of a task or the per-job units of a job.
 type storedReceipt struct {
 	Job     uint64  `json:"j"`
 	Task    int32   `json:"t"`
@@ -74,15 +72,15 @@
 	Numbers []int64 `json:"n"`
 }
 
-// Holding is a task that asks for a receipt.
+// Holding identifies the task that requests a receipt.
 type Holding struct {
 	Job     uint64 `json:"job"`
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
 }
 
-// Receipt is what a task is certified to have. Until it is durable the same is to be
-// asked for again.
+// Receipt lists the units that a task is certified to have. Until it is durable, the client has to
+// repeat the request.
 type Receipt struct {
 	Durable bool           `json:"durable"`
 	Job     uint64         `json:"job"`
@@ -92,14 +90,14 @@
 	Units   []ReceiptUnits `json:"units"`
 }
 
-// ReceiptUnits are the units of one pool.
+// ReceiptUnits are the units of one pool in a receipt.
 type ReceiptUnits struct {
 	Pool    string  `json:"pool"`
 	Numbers []int64 `json:"numbers"`
 	PerJob  bool    `json:"per_job,omitempty"`
 }
 
-// issueReceipt gives a task's units their numbers.
+// issueReceipt returns the receipt of a task and assigns numbers to its units that have none.
 func (d *Component) issueReceipt(now time.Duration, in *Holding) (*Receipt, error) {
 	h, err := d.holderOf(in)
 	if err != nil {
@@ -124,7 +122,8 @@
 	return out, nil
 }
 
-// holderOf returns the job of a task that holds its units now.
+// holderOf returns the job of a task, or an error if the given attempt does not hold the task's units
+// now.
 func (d *Component) holderOf(in *Holding) (*holder, error) {
 	j := d.Jobs.ByID(in.Job)
 	if j == nil || in.Task < 0 || in.Task >= len(j.Tasks) {
@@ -151,7 +150,7 @@
 	}}))
 }
 
-// pickNumbers picks the lowest numbers that nobody may have, and forgets those of holders
+// pickNumbers returns the lowest numbers that no holder may have, and removes the receipts of holders
 // that are gone.
 func (d *Component) pickNumbers(r requirement) (out []int64) {
 	taken := map[int64]bool{}
@@ -177,8 +176,8 @@
 	return out
 }
 
-// mayStillHold reports whether a holder that was given numbers may still be there, or its
-// units count as in use after its loss.
+// mayStillHold reports whether the holder of a receipt may still be running, or its units may be in
+// use after its loss.
 func (d *Component) mayStillHold(key receiptKey, issued *issuedReceipt) bool {
 	if d.pools[key.pool].lost > 0 {
 		return true
@@ -199,8 +198,8 @@
 	return t != nil && t.Attempt == issued.attempt
 }
 
-// dropReceipts forgets the numbers of a task, or with wholeJobTask all of a job that was
-// removed, unless its units stay in use after a loss.
+// dropReceipts removes the durable receipts of a task, or, with wholeJobTask, all durable receipts of
+// a job that was removed. Those of pools with a hold after losses stay.
 func (d *Component) dropReceipts(job uint64, task int) {
 	for key, issued := range d.receipts.byJob[job] {
 		ofTask := task == wholeJobTask || key.task == int32(task)
@@ -213,7 +212,7 @@
 	}
 }
 
-// keyOf is the key of a stored receipt.
+// keyOf returns the key of a stored receipt.
 func (d *Component) keyOf(s *storedReceipt) receiptKey {
 	return receiptKey{job: s.Job, task: s.Task, pool: d.pool(s.Pool).index}
 }
@@ -225,7 +224,7 @@
 	}
 }
 
-// decodeReceipt decodes an entry of the component's own; nil: it is not of a receipt.
+// decodeReceipt decodes a log entry of the component. It returns nil if the entry is not a receipt.
 func decodeReceipt(own *eventlog.ComponentEntry) *storedReceipt {
 	var e entry
 	if json.Unmarshal(own.Data, &e) != nil {
@@ -240,7 +239,7 @@
 	}
 }
 
-// compactReceipt writes anew the numbers of a holder that may still be there.
+// compactReceipt appends a receipt to the log again if its holder may still be running.
 func (d *Component) compactReceipt(e eventlog.Entry) {
 	s := decodeReceipt(e.Component)
 	if s == nil {
@@ -253,7 +252,7 @@
 	}
 }
 
-// issuedNumbers are those that a holder was given, if it asked.
+// issuedNumbers returns the numbers of a holder's units, or nil if it requested no receipt.
 func (d *Component) issuedNumbers(job uint64, task int, pool int32) []int64 {
 	if issued := d.receipts.get(receiptKey{job: job, task: int32(task), pool: pool}); issued != nil {
 		return issued.numbers
--- a/internal/leader/pools/reservations.go
+++ b/internal/leader/pools/reservations.go
@@ -8,9 +8,9 @@
 )
 
 // BeginCycle begins a scheduling cycle. list has the jobs that could start a task if they had
-// units and room, in their order. The next units of a pool are reserved for the first of
-// them that needs some: others may get ahead of it only where they leave so many. Jobs
-// that hold something as a whole come first, so that they get on and give it back.
+// units and room, in their order. The next units of a pool are reserved for the first job that
+// needs some: others may start before it only if they leave that many. Jobs that hold per-job
+// units come first, so that they can continue and release them.
 func (d *Component) BeginCycle(now time.Duration, list []*jobs.Job) {
 	d.recount(now)
 	for _, p := range d.pools {
@@ -27,7 +27,7 @@
 	}
 }
 
-// setCandidates puts the jobs that hold something as a whole before the others.
+// setCandidates sets the candidates, with the jobs that hold per-job units before the others.
 func (d *Component) setCandidates(list []*jobs.Job) {
 	d.candidates = d.candidates[:0]
 	for _, holdsJobUnits := range []bool{true, false} {
@@ -40,7 +40,7 @@
 	}
 }
 
-// reserve reserves the next units of a pool, and of its team's share, for a job if they
+// reserve reserves the next units of a pool, and of the share of the job's team, for a job if they
 // are not reserved yet.
 func (d *Component) reserve(h *holder, r requirement) {
 	p := d.pools[r.pool]
@@ -52,17 +52,16 @@
 	}
 }
 
-// fitsTeamShare reports whether a job wants more units and its team's share lets it have
-// them.
+// fitsTeamShare reports whether a job needs more units and they fit into its team's share.
 func (d *Component) fitsTeamShare(h *holder, r requirement) bool {
 	p := d.pools[r.pool]
 	t := p.teams[h.job.Team]
 	return h.wantsMore(r) && (t == nil || t.inUse+h.nextUnits(r) <= p.shares[h.job.Team])
 }
 
-// refreshReservations settles again for whom the next units of a pool and of a team's
-// share of it are reserved: the job that had them reserved may have got all that it could
-// have in this cycle.
+// refreshReservations reassigns the reservations of a pool and of a team's share of it whose jobs
+// are not entitled to them any more: such a job may have got all units that it can have in this
+// cycle.
 func (d *Component) refreshReservations(r requirement, team int32) {
 	p := d.pools[r.pool]
 	if !stillEntitled(p.reservedFor, r.pool, d.fitsTeamShare) {
@@ -74,15 +73,15 @@
 	}
 }
 
-// stillEntitled reports whether a job is entitled to a reservation by one of its
-// requirements of the pool. Nobody (nil) is: a reservation begins with the cycle only.
+// stillEntitled reports whether a job is entitled to a reservation by one of its requirements of
+// the pool. It is true for nil: a pool that has no reservation when the cycle begins gets none later.
 func stillEntitled(h *holder, pool int32, entitled func(*holder, requirement) bool) bool {
 	return h == nil || slices.ContainsFunc(h.requirements, func(r requirement) bool {
 		return r.pool == pool && entitled(h, r)
 	})
 }
 
-// firstEntitled is the first candidate that is entitled to a reservation; nil: none.
+// firstEntitled returns the first candidate that is entitled to a reservation, or nil.
 func (d *Component) firstEntitled(pool int32, entitled func(*holder, requirement) bool) *holder {
 	for _, h := range d.candidates {
 		if stillEntitled(h, pool, entitled) {
--- a/internal/leader/pools/silent.go
+++ b/internal/leader/pools/silent.go
@@ -10,9 +10,8 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// decommissionSilent gives up machines early that are silent while others wait for units
-// which their tasks hold: the operators' setting weighs the machine's price against the
-// wait.
+// decommissionSilent decommissions machines early that are silent while others wait for units which
+// their tasks hold. With the setting, operators weigh the price of a machine against the wait.
 func (d *Component) decommissionSilent(now, after time.Duration) {
 	scarce := d.scarcePools()
 	if scarce == nil || d.MostMachinesSilent(now) {
@@ -31,8 +30,8 @@
 	}
 }
 
-// scarcePools marks the pools of which the first in order needs more units than are
-// left; nil if there is none with a reservation.
+// scarcePools marks the pools of which the job with the reservation needs more units than are left.
+// It returns nil if no waiting job has a reservation.
 func (d *Component) scarcePools() (scarce []bool) {
 	for i, p := range d.pools {
 		h := p.reservedFor
@@ -51,8 +50,8 @@
 	return scarce
 }
 
-// mayHoldUnits reports whether tasks of a machine hold units of one of the pools, or may
-// if it has not reported in this term.
+// mayHoldUnits reports whether tasks of a machine hold units of one of the marked pools, or may hold
+// some by the machine's grants if it is not resolved.
 func (d *Component) mayHoldUnits(m *workers.Machine, pools []bool) bool {
 	holds := func(j *jobs.Job) bool {
 		h := d.byJob[j.Index]
--- a/internal/leader/pools/store.go
+++ b/internal/leader/pools/store.go
@@ -11,19 +11,19 @@
 	"bitternmoor/internal/leader/valuestore"
 )
 
-// Operators' changes of pools, and units that stay in use after a loss, are kept in
-// values of the component's own, which other versions leave alone. Until they are read no
+// Operators' changes of pools and units that stay in use after a loss are stored in values of the
+// component's own, which other versions of the program do not change. Until the values are read, no
 // unit is allocated.
 
-// valueVersion is the format version of the values. A program that meets a later one
-// allocates no units: it cannot know what it would overlook.
+// valueVersion is the format version of the values. A program that reads a later one allocates no
+// units, since it might miss what the value contains.
 const valueVersion = 1
 
-// lossValue is the number of the value that keeps the losses. The values after it keep a
-// pool each.
+// lossValue is the number of the value that stores the losses. Each of the values after it stores
+// one pool.
 const lossValue = 0
 
-// sizeOfSettings stands for the units of a pool that has as many as the settings say.
+// sizeOfSettings is stored as the units of a pool that has the size in the settings.
 const sizeOfSettings = -1
 
 // storedValue is one value: the losses, or the changes of a pool.
@@ -32,29 +32,29 @@
 	Losses  []loss `json:"l,omitempty"`
 
 	Pool    string          `json:"n,omitempty"`
-	Units   int64           `json:"u"` // below 0: as the settings say
+	Units   int64           `json:"u"` // negative: the number in the settings
 	Drained bool            `json:"d,omitempty"`
-	Changed uint64          `json:"c,omitempty"` // counts the changes
+	Changed uint64          `json:"c,omitempty"` // number of changes
 	Changes []appliedChange `json:"i,omitempty"`
 }
 
 // FormatVersion implements valuestore.Versioned.
 func (v *storedValue) FormatVersion() int { return v.Version }
 
-// valueStore is what is known of the stored values.
+// valueStore tracks the reading and writing of the stored values.
 type valueStore struct {
 	cluster.ValueReader
-	loaded        bool   // all are read, and each could be decoded
-	unreadableKey string // of a value that could not be decoded; empty: there is none
-	nextNumber    int    // values from this one on were never used
+	loaded        bool   // all values were read and decoded
+	unreadableKey string // key of a value that could not be decoded; empty: none
+	nextNumber    int    // value numbers from this one on were never used
 
-	// What is to be written, and what is on its way.
+	// Changes to be written, and writes in progress.
 	lossesDirty bool
 	dirty       []*pool
 	writes      valuestore.Writer[poolWrite]
 }
 
-// writable reports whether the values of earlier terms are known, so that they may be
+// writable reports whether the values of earlier terms were read and decoded, so that they may be
 // overwritten.
 func (s *valueStore) writable() bool { return s.Done && s.unreadableKey == "" }
 
@@ -65,13 +65,13 @@
 	pendingSize   int64  // of the pool when it was written
 }
 
-// entry announces a value, or says which units a receipt was issued for.
+// entry is a log entry of the component: it announces a value or records a receipt.
 type entry struct {
 	Stored  *int           `json:"w,omitempty"`
 	Receipt *storedReceipt `json:"r,omitempty"`
 }
 
-// ValuesRead takes a page of the values of earlier terms.
+// ValuesRead processes a page of the values of earlier terms.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
 	s := &d.store
 	if !s.PageRead(now, list, more, ok) {
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// syncStore reads the values of earlier terms, then writes what has changed: the losses
-// before pools, and one pool at a time.
+// syncStore reads the values of earlier terms, then writes what has changed: first the losses, then
+// one pool at a time.
 func (d *Component) syncStore(now time.Duration) {
 	s := &d.store
 	if !s.Done {
@@ -138,7 +138,7 @@
 	}
 }
 
-// retryRefused marks what the state service has refused as to be written again.
+// retryRefused marks the values that the state service refused, so that they are written again.
 func (d *Component) retryRefused() {
 	for _, w := range d.store.writes.TakeRefused(d.EventLog) {
 		if w.pool == nil {
@@ -179,14 +179,15 @@
 	v.Version = valueVersion
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("pools: a value that cannot be written: %v", err)) // names and numbers
+		panic(fmt.Sprintf("pools: cannot encode value: %v", err)) // the value has only names and numbers
 	}
 	if !d.store.writes.Append(d.EventLog, entry{Stored: &number}, number, raw, w) {
 		d.LogMessage(effects.Error, "pool value is too large to be stored", "value", number, "bytes", len(raw))
 	}
 }
 
-// EntryDurable notes what is durable: a larger size counts from then on.
+// EntryDurable processes a durable log entry. A larger size of a pool takes effect when the entry of
+// its value is durable.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	var own entry
 	if e.Component == nil || json.Unmarshal(e.Component.Data, &own) != nil {
@@ -211,13 +212,13 @@
 	d.NeedsCycle = true
 }
 
-// Compact writes anew which units receipts were issued for; announcements of values are
-// of no use any more.
+// Compact appends receipts to the log again that are still needed. Announcements of values are not
+// needed any more.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
 		d.compactReceipt(e)
 	}
 }
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes returns roughly how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return d.receipts.total * receiptBytes }
--- a/internal/leader/pools/usage.go
+++ b/internal/leader/pools/usage.go
@@ -9,7 +9,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// recount finds out anew what is in use of all pools.
+// recount recomputes the units in use of all pools.
 func (d *Component) recount(now time.Duration) {
 	d.resetUsage()
 	unheard := d.unheardMachines()
@@ -18,7 +18,7 @@
 	d.countLosses(now)
 }
 
-// resetUsage clears the counts; reservations stay.
+// resetUsage clears the counts and keeps the reservations.
 func (d *Component) resetUsage() {
 	for _, p := range d.pools {
 		p.usage = usage{reservedFor: p.reservedFor}
@@ -29,8 +29,8 @@
 	}
 }
 
-// unheardMachines lists the machines that have not reported in this term, and notes
-// whether one of them blocks all allocation.
+// unheardMachines returns the unresolved machines, and sets allocationBlocked to whether one of them
+// blocks all allocation.
 func (d *Component) unheardMachines() (unheard []*workers.Machine) {
 	d.allocationBlocked = false
 	unresolved, _ := d.Unresolved()
@@ -42,15 +42,15 @@
 			continue
 		}
 		unheard = append(unheard, m)
-		// A cancelled job whose needs are not known any more may be there, or no grants
-		// were noted at all.
+		// The machine may have tasks of a cancelled job whose requirements are not known any
+		// more, or no grants are recorded for it.
 		d.allocationBlocked = d.allocationBlocked || m.ClaimedByAnyTeam || m.Number == 0
 	}
 	return unheard
 }
 
-// countJobs counts what the jobs have in use, or may have on machines that have not
-// reported.
+// countJobs counts the units that jobs have in use, or may have on machines that have not reported
+// in this term.
 func (d *Component) countJobs(unheard []*workers.Machine) {
 	var uncertain []*holder
 	for _, h := range d.holders {
@@ -88,10 +88,10 @@
 	}
 }
 
-// capUncertain takes back what counts as in use beyond what the machines that have not
-// reported could hold all together: each job was counted as if it had them for itself.
-// What runs on a machine fits its processors, so it holds no more units than if all of
-// them went to the job that needs most units for a processor.
+// capUncertain limits the uncertain units to what all machines that have not reported can hold
+// together, since each job was counted as if it had all of them to itself. The tasks on a machine
+// fit its processors, so they hold no more units than if all processors were used by the job that
+// needs the most units per processor.
 func (d *Component) capUncertain(uncertain []*holder, unheard []*workers.Machine) {
 	most := map[int32]float64{}
 	for _, m := range unheard {
@@ -99,7 +99,7 @@
 			most[pool] += units
 		}
 	}
-	perJob := map[int32]int64{} // units for jobs as a whole: these stay
+	perJob := map[int32]int64{} // per-job units, which are not limited
 	for _, h := range uncertain {
 		for _, r := range h.requirements {
 			if r.perJob && !h.holdsJobUnits {
@@ -116,8 +116,8 @@
 	}
 }
 
-// mostUnitsOn is the most units of each pool that tasks of any one of the jobs can hold
-// on a machine.
+// mostUnitsOn returns, for each pool, the most units that tasks of any one of the jobs can hold on a
+// machine.
 func mostUnitsOn(m *workers.Machine, holders []*holder) map[int32]float64 {
 	most := map[int32]float64{}
 	for _, h := range holders {
@@ -138,8 +138,8 @@
 	return most
 }
 
-// countJob counts a job, and returns how many tasks of it may run on machines that have
-// not reported.
+// countJob counts the units of a job, and returns how many tasks of it may run on machines that have
+// not reported in this term.
 func (d *Component) countJob(h *holder, unheard []*workers.Machine) int64 {
 	j := h.job
 	unseen := int64(d.unseenTasks(j, unheard))
@@ -169,8 +169,8 @@
 	return unseen
 }
 
-// unseenTasks is how many tasks of a job at most run on machines that have not reported
-// in this term.
+// unseenTasks returns the maximum number of tasks of a job that may run on machines that have not
+// reported in this term.
 func (d *Component) unseenTasks(j *jobs.Job, unheard []*workers.Machine) int {
 	if len(unheard) == 0 || !d.MayRunUnseen(j) {
 		return 0
@@ -187,8 +187,8 @@
 	return min(tasks, room)
 }
 
-// mayBeRunning is how many tasks of a job have no placement and may have been started by
-// an earlier term.
+// mayBeRunning returns how many tasks of a job have no placement and may have been started in an
+// earlier term.
 func mayBeRunning(j *jobs.Job) int {
 	list := j.Tasks
 	if j.Record.Kind != jobs.Gang && !j.HasZoneRule() {
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -14,40 +14,40 @@
 	"bitternmoor/internal/wire"
 )
 
-// View is a pool as operators see it.
+// View is the view of a pool for operators.
 type View struct {
 	Pool      string   `json:"pool"`
 	Units     int64    `json:"units"`
 	Settings  int      `json:"units_in_settings"`
-	Pending   int64    `json:"units_to_come,omitempty"` // once that is durable
+	Pending   int64    `json:"units_to_come,omitempty"` // a larger size, in effect once it is durable
 	Drained   bool     `json:"drained,omitempty"`
 	Out       int64    `json:"out"`
-	Uncertain int64    `json:"uncertain"`  // of those out: on machines that have not reported in this term
-	Lost      int64    `json:"after_loss"` // of those out: for a while after their holder's loss
+	Uncertain int64    `json:"uncertain"`  // part of Out: may be in use on unresolved machines
+	Lost      int64    `json:"after_loss"` // part of Out: held for a while after the loss of their holder
 	Waiting   int64    `json:"waiting"`    // units that waiting tasks need
 	Reserve   int      `json:"reserve,omitempty"`
 	Version   uint64   `json:"version"`
-	First     string   `json:"first,omitempty"` // the job whose next units are kept for it
+	First     string   `json:"first,omitempty"` // the job that has the next units reserved
 	Closed    string   `json:"closed,omitempty"`
 	Holders   []Holder `json:"holders,omitempty"`
 }
 
-// Holder is a task, or a job as a whole, that has units out.
+// Holder is the view of a task that has units in use, or of a job that has per-job units in use.
 type Holder struct {
 	Job     string  `json:"job"`
 	Team    string  `json:"team"`
-	Task    int     `json:"task"` // -1: the job as a whole, or it is not known which
+	Task    int     `json:"task"` // -1: the whole job, or not known
 	Units   int64   `json:"units"`
 	Machine string  `json:"machine,omitempty"`
-	SinceS  float64 `json:"since_s,omitempty"` // seconds ago it was seen to run
-	Numbers []int64 `json:"numbers,omitempty"` // of units, where a receipt was asked for
-	Back    string  `json:"back"`              // by what its units would come back
+	SinceS  float64 `json:"since_s,omitempty"` // seconds since it was first reported as running
+	Numbers []int64 `json:"numbers,omitempty"` // of the units, if a receipt was requested
+	Back    string  `json:"back"`              // what would release its units
 }
 
 func idOf(j *jobs.Job) string { return wire.FormatID(j.Record.ID) }
 
-// Show returns, as JSON, a list of View of all pools, or with the name of one as the view
-// that one with its holders.
+// Show returns the views of all pools as JSON, or, if view is the name of a pool, the view of that
+// pool with its holders.
 func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	d.recount(now)
 	var out any
@@ -67,7 +67,7 @@
 	return raw, nil
 }
 
-// views are all pools by name, without their holders.
+// views returns the views of all pools, sorted by name and without their holders.
 func (d *Component) views(now time.Duration) []View {
 	list := []View{}
 	for _, p := range d.pools {
@@ -101,7 +101,8 @@
 	return v
 }
 
-// closedReason says why no unit of a pool is allocated; empty: some may be.
+// closedReason returns why no unit of a pool is allocated, or an empty string if units may be
+// allocated.
 func (d *Component) closedReason(p *pool) string {
 	switch {
 	case !p.known:
@@ -116,11 +117,11 @@
 	return ""
 }
 
-// releasedByReport is by what the units of a task on a machine come back.
+// releasedByReport describes what releases the units of a task on a machine.
 const releasedByReport = "a newer report of the machine without it, or its answered deletion"
 
-// holdersOf lists who has units of a pool in use, since when, and what would prove that
-// they are back.
+// holdersOf returns the holders of units of a pool, since when they run, and what would release their
+// units.
 func (d *Component) holdersOf(now time.Duration, p *pool) (out []Holder) {
 	for _, h := range d.holders {
 		for _, r := range h.requirements {
@@ -145,7 +146,8 @@
 	return out
 }
 
-// newView makes the view of a job that holds units as a whole, or of its tasks.
+// newView returns the view of a job as a holder of per-job units. For a task, the caller sets the task
+// number.
 func (h *holder) newView(r requirement) Holder {
 	return Holder{Job: idOf(h.job), Team: h.job.Record.Team, Task: wholeJobTask, Units: r.units}
 }
@@ -157,8 +159,8 @@
 	return v
 }
 
-// taskHolders lists the placed tasks of a job, and the machines that have not reported and
-// may have more of them.
+// taskHolders returns the views of a job's placed tasks, and one view for all machines that have not
+// reported and may have more of its tasks.
 func (d *Component) taskHolders(now time.Duration, h *holder, r requirement) (out []Holder) {
 	j := h.job
 	for k, state := range j.Tasks {
