--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -57,8 +57,8 @@
 // admits reports whether units may be allocated to a job, given the limit on units in use and the
 // units that are reserved for another job.
 func (u *usage) admits(h *holder, r requirement, units, limit int64) bool {
-	reserved := u.reservationBefore(h, r.pool)
-	if u.inUse+units+reserved.next > limit {
+	reserved := u.reservedForOther(h, r.pool)
+	if u.inUse+units+reserved.nextStart > limit {
 		return false
 	}
 	if !h.needsJobUnits || h.holdsJobUnits {
@@ -67,7 +67,7 @@
 	// A job that needs per-job units may start only if the limit covers the per-job units of
 	// all such jobs plus the largest single start of any of them. Then none of them ever
 	// waits for units that another one keeps.
-	heldByJobs, largestTask := reserved.heldByJobs, reserved.largestTask
+	heldByJobs, largestStart := reserved.heldByJobs, reserved.largestStart
 	for _, own := range h.requirements {
 		if own.pool != r.pool {
 			continue
@@ -75,41 +75,41 @@
 		if own.perJob {
 			heldByJobs += own.units
 		} else {
-			largestTask = max(largestTask, own.units*startedTogether(h.job))
+			largestStart = max(largestStart, own.units*tasksPerStart(h.job))
 		}
 	}
-	return heldByJobs+largestTask <= limit
+	return heldByJobs+largestStart <= limit
 }
 
 // reservation is what has to stay available for the job that has the next units reserved.
 type reservation struct {
-	next        int64 // units that its next start needs
-	heldByJobs  int64 // usage.heldByJobs once that job has its units
-	largestTask int64 // usage.largestTask once that job has its units
+	nextStart    int64 // units that its next start needs
+	heldByJobs   int64 // usage.heldByJobs once that job has its units
+	largestStart int64 // usage.largestStart once that job has its units
 }
 
-// reservationBefore returns what must be left of a pool for the job that has the next units
+// reservedForOther returns what must be left of a pool for the job that has the next units
 // reserved, if that is another job than h.
-func (u *usage) reservationBefore(h *holder, pool int32) reservation {
-	out := reservation{heldByJobs: u.heldByJobs, largestTask: u.largestTask}
-	first := u.reservedFor
-	if first == nil || first == h {
+func (u *usage) reservedForOther(h *holder, pool int32) reservation {
+	out := reservation{heldByJobs: u.heldByJobs, largestStart: u.largestStart}
+	owner := u.reservedFor
+	if owner == nil || owner == h {
 		return out
 	}
-	for _, r := range first.requirements {
+	for _, r := range owner.requirements {
 		if r.pool != pool {
 			continue
 		}
-		out.next += first.nextUnits(r)
-		if r.perJob && !first.holdsJobUnits {
+		out.nextStart += owner.nextUnits(r)
+		if r.perJob && !owner.holdsJobUnits {
 			out.heldByJobs += r.units
-		} else if !r.perJob && first.needsJobUnits {
-			out.largestTask = max(out.largestTask, r.units*startedTogether(first.job))
+		} else if !r.perJob && owner.needsJobUnits {
+			out.largestStart = max(out.largestStart, r.units*tasksPerStart(owner.job))
 		}
 	}
-	if h.needsJobUnits && h.holdsJobUnits && (!first.needsJobUnits || !first.holdsJobUnits) {
+	if h.needsJobUnits && h.holdsJobUnits && (!owner.needsJobUnits || !owner.holdsJobUnits) {
 		// h holds per-job units and must be able to continue, so that it releases them to others.
-		out.next, out.heldByJobs = 0, u.heldByJobs
+		out.nextStart, out.heldByJobs = 0, u.heldByJobs
 	}
 	return out
 }
@@ -120,25 +120,25 @@
 // TaskRemoved reverses TaskPlaced.
 func (d *Component) TaskRemoved(j *jobs.Job) { d.adjustInUse(j, -1) }
 
-// adjustInUse adds the units of one task of a job (by is 1) or subtracts them (by is -1).
-func (d *Component) adjustInUse(j *jobs.Job, by int64) {
+// adjustInUse adds the units of one task of a job (delta is 1) or subtracts them (delta is -1).
+func (d *Component) adjustInUse(j *jobs.Job, delta int64) {
 	h := d.byJob[j.Index]
 	if h == nil {
 		return
 	}
-	begins := by > 0 && !h.holdsJobUnits
-	ends := by < 0 && j.Placed == 0 && !h.started && j.Finished == 0
+	begins := delta > 0 && !h.holdsJobUnits
+	ends := delta < 0 && j.Placed == 0 && !h.started && j.Finished == 0
 	for _, r := range h.requirements {
 		p := d.pools[r.pool]
 		switch {
 		case !r.perJob:
-			p.addInUse(j.Team, by*r.units)
+			p.addInUse(j.Team, delta*r.units)
 			if begins && h.needsJobUnits {
-				p.raiseLargestTask(j.Team, r.units*startedTogether(j))
+				p.raiseLargestStart(j.Team, r.units*tasksPerStart(j))
 			}
 		case begins, ends:
-			p.addInUse(j.Team, by*r.units)
-			p.addHeldByJob(j.Team, by*r.units)
+			p.addInUse(j.Team, delta*r.units)
+			p.addHeldByJob(j.Team, delta*r.units)
 		}
 	}
 	h.holdsJobUnits = (h.holdsJobUnits || begins) && !ends
@@ -151,7 +151,7 @@
 	if h == nil || h.unknownPool != "" || !d.store.loaded {
 		return 0
 	}
-	most := j.Waiting
+	startable := j.Waiting
 	for _, r := range h.requirements {
 		p := d.pools[r.pool]
 		if p.drained {
@@ -163,12 +163,12 @@
 		}
 		switch {
 		case !r.perJob:
-			most = min(most, int(max(0, left)/r.units))
+			startable = min(startable, int(max(0, left)/r.units))
 		case !h.holdsJobUnits && left < r.units:
 			return 0
 		}
 	}
-	return most
+	return startable
 }
 
 // Unsatisfiable returns why a job can never get the units that it needs, or an empty string.
@@ -180,17 +180,17 @@
 	team, _ := d.Teams.Lookup(record.Team)
 	for _, i := range slices.Sorted(maps.Keys(needed)) {
 		p := d.pools[i]
-		limit, whose := max(p.size, p.pendingSize), "it has"
+		limit, limitSource := max(p.size, p.pendingSize), "it has"
 		if record.Priority < urgentPriority {
 			limit -= int64(p.conf.Reserve)
-			whose = "others than urgent jobs may have of it"
+			limitSource = "others than urgent jobs may have of it"
 		}
 		if share, ok := p.shares[team]; ok && share < limit {
-			limit, whose = share, "its team may have of it"
+			limit, limitSource = share, "its team may have of it"
 		}
 		if needed[i] > limit {
 			return fmt.Sprintf("counted: %d units of %s are needed at once, more than the %d that %s",
-				needed[i], p.name, max(0, limit), whose)
+				needed[i], p.name, max(0, limit), limitSource)
 		}
 	}
 	return ""
@@ -200,18 +200,18 @@
 // per-job units, or the name of the first pool that is not in the settings.
 func (d *Component) neededAtOnce(record *eventlog.Job) (needed map[int32]int64, unknownPool string) {
 	needed = map[int32]int64{}
-	together := int64(1)
+	tasks := int64(1)
 	if record.Kind == jobs.Gang {
-		together = int64(record.Tasks)
+		tasks = int64(record.Tasks)
 	}
 	for _, c := range record.Counted {
 		i, ok := d.byName[c.Pool]
-		if !ok || !d.pools[i].known {
+		if !ok || !d.pools[i].inSettings {
 			return nil, c.Pool
 		}
 		units := int64(c.Units)
 		if !c.PerJob {
-			units *= together
+			units *= tasks
 		}
 		needed[i] += units
 	}
--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	changesKept = 16 // per pool, so that a repeated change gets the same answer
-	maxIDBytes  = 64 // of the ID of a change
+	maxStoredChanges = 16 // per pool, so that a repeated change gets the same answer
+	maxIDBytes       = 64 // of the ID of a change
 )
 
 var (
@@ -82,7 +82,7 @@
 
 func (d *Component) change(now time.Duration, c *Change) (*Changed, error) {
 	i, ok := d.byName[c.Pool]
-	if !ok || !d.pools[i].known {
+	if !ok || !d.pools[i].inSettings {
 		return nil, fmt.Errorf("pools: pool: no such pool: %q", c.Pool)
 	}
 	p := d.pools[i]
@@ -98,7 +98,7 @@
 			c.Version, p.changeVersion)
 	}
 	p.apply(c)
-	d.store.dirty = append(d.store.dirty, p)
+	d.store.dirtyPools = append(d.store.dirtyPools, p)
 	d.NeedsCycle = true
 	d.LogMessage(effects.Info, "pool changed", "pool", p.name, "version", p.changeVersion,
 		"units", max(p.size, p.pendingSize), "drained", p.drained)
@@ -127,7 +127,7 @@
 func (p *pool) apply(c *Change) {
 	p.changeVersion++
 	p.changes = append(p.changes, appliedChange{ID: c.ID, Version: p.changeVersion})
-	p.changes = slices.Delete(p.changes, 0, max(0, len(p.changes)-changesKept))
+	p.changes = slices.Delete(p.changes, 0, max(0, len(p.changes)-maxStoredChanges))
 	if c.Drain != nil {
 		p.drained = *c.Drain
 	}
--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -38,10 +38,10 @@
 	byName map[string]int32 // index in pools
 
 	// Jobs that need units.
-	holders        []*holder // in the order in which they were added
-	candidates     []*holder // could start a task in this scheduling cycle, in order
-	byJob          map[int32]*holder
-	cancelledNeeds map[uint64][]requirement // of cancelled jobs of earlier terms, by job ID
+	holders               []*holder // in the order in which they were added
+	candidates            []*holder // could start a task in this scheduling cycle, in order
+	byJob                 map[int32]*holder
+	cancelledRequirements map[uint64][]requirement // of cancelled jobs of earlier terms, by job ID
 
 	// Tasks on machines that have no placement there.
 	orphans           map[*workers.Machine]*orphanedUnits
@@ -61,18 +61,18 @@
 // to it.
 func New(s *cluster.State) *Component {
 	d := &Component{
-		State:          s,
-		byName:         map[string]int32{},
-		byJob:          map[int32]*holder{},
-		cancelledNeeds: map[uint64][]requirement{},
-		orphans:        map[*workers.Machine]*orphanedUnits{},
-		restarted:      map[*workers.Machine]bool{},
-		store:          valueStore{writes: valuestore.Writer[poolWrite]{Component: Name}},
-		receipts:       receiptIndex{byJob: map[uint64]map[receiptKey]*issuedReceipt{}},
+		State:                 s,
+		byName:                map[string]int32{},
+		byJob:                 map[int32]*holder{},
+		cancelledRequirements: map[uint64][]requirement{},
+		orphans:               map[*workers.Machine]*orphanedUnits{},
+		restarted:             map[*workers.Machine]bool{},
+		store:                 valueStore{writes: valuestore.Writer[poolWrite]{Component: Name}},
+		receipts:              receiptIndex{byJob: map[uint64]map[receiptKey]*issuedReceipt{}},
 	}
 	for _, c := range s.Cfg.Tunables.Pools {
 		p := d.pool(c.Name)
-		p.conf, p.known, p.size = c, true, int64(c.Units)
+		p.conf, p.inSettings, p.size = c, true, int64(c.Units)
 		for _, share := range c.Shares {
 			team := s.Teams.Index(share.Team)
 			if p.shares == nil {
@@ -107,7 +107,7 @@
 		record := *e.Job
 		record.RevealPoolUnits()
 		if len(record.Counted) > 0 {
-			d.cancelledNeeds[record.ID], _ = d.requirementsOf(record.Counted)
+			d.cancelledRequirements[record.ID], _ = d.requirementsOf(record.Counted)
 		}
 	}
 }
@@ -115,9 +115,9 @@
 // Begin adds the jobs that are in the job table. Of the replayed requirements it keeps only those of
 // cancelled jobs.
 func (d *Component) Begin(time.Duration) {
-	for id := range d.cancelledNeeds {
+	for id := range d.cancelledRequirements {
 		if p, _ := d.Jobs.FinalPhase(id); p != jobs.Cancelled {
-			delete(d.cancelledNeeds, id)
+			delete(d.cancelledRequirements, id)
 		}
 	}
 	for _, j := range d.Jobs.All() {
@@ -130,7 +130,7 @@
 func (d *Component) requirementsOf(list []eventlog.PoolUnits) (out []requirement, unknownPool string) {
 	for _, c := range list {
 		p := d.pool(c.Pool) // units of a pool that was removed from the settings may be in use
-		if !p.known {
+		if !p.inSettings {
 			unknownPool = c.Pool
 		}
 		out = append(out, requirement{pool: p.index, units: int64(c.Units), perJob: c.PerJob})
@@ -208,7 +208,7 @@
 
 func (d *Component) heartbeatApplied(e cluster.Event) {
 	m := e.Machine
-	d.noteOrphans(m, e.Report)
+	d.recordOrphans(m, e.Report)
 	// An agent that may have tasks of an earlier term got a token in that term, so an agent
 	// without a token has restarted.
 	if e.Report.Token == 0 && m.Unresolved() {
@@ -216,7 +216,7 @@
 	}
 	if d.justResolved == m && (m.Session > firstSession || d.restarted[m]) {
 		// The agent of an earlier session or incarnation may have died while tasks were running.
-		d.holdUnseenAfterLoss(e.At, m)
+		d.holdUnreportedAfterLoss(e.At, m)
 	}
 	if !m.Unresolved() {
 		delete(d.restarted, m)
@@ -227,7 +227,7 @@
 func (d *Component) machineResolved(e cluster.Event) {
 	d.justResolved = e.Machine // the tasks in its heartbeat are counted first
 	if d.Inventory.Find(e.Machine.Name) == nil {
-		d.holdUnseenAfterLoss(e.At, e.Machine)
+		d.holdUnreportedAfterLoss(e.At, e.Machine)
 		d.justResolved = nil
 	}
 }
--- a/internal/leader/pools/explain.go
+++ b/internal/leader/pools/explain.go
@@ -21,7 +21,7 @@
 	case d.allocationBlocked:
 		return "a machine that has not reported yet may have units of any pool: none are given out before it is heard or gone"
 	}
-	r, ok := d.blockingRequirement(j, startedTogether(j))
+	r, ok := d.blockingRequirement(j, tasksPerStart(j))
 	if ok {
 		return ""
 	}
@@ -54,7 +54,7 @@
 	}
 	for _, first := range []*holder{p.reservedFor, teamReservation(p, j)} {
 		if first != nil && first != h {
-			fmt.Fprintf(&why, "; job %s is before it in the order, and its next units are kept for it", idOf(first.job))
+			fmt.Fprintf(&why, "; job %s is before it in the order, and its next units are kept for it", jobID(first.job))
 			break
 		}
 	}
--- a/internal/leader/pools/losses.go
+++ b/internal/leader/pools/losses.go
@@ -22,8 +22,8 @@
 	Until int64  `json:"t"` // wall-clock time in milliseconds
 }
 
-// clockSlack is the maximum difference between the wall clocks of two controllers.
-const clockSlack = time.Second
+// maxClockSkew is the maximum difference between the wall clocks of two controllers.
+const maxClockSkew = time.Second
 
 // wallClockMS returns the wall-clock time in milliseconds.
 func (d *Component) wallClockMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
@@ -60,7 +60,7 @@
 	if hold <= 0 {
 		return
 	}
-	until := d.wallClockMS(now + hold + clockSlack)
+	until := d.wallClockMS(now + hold + maxClockSkew)
 	d.losses = append(d.losses, loss{Pool: p.name, Team: team, Units: units, Until: until})
 	d.store.lossesDirty = true
 }
@@ -76,14 +76,14 @@
 	}
 }
 
-// holdUnseenAfterLoss calls holdAfterLoss for the tasks that may have been on a machine that was
+// holdUnreportedAfterLoss calls holdAfterLoss for the tasks that may have been on a machine that was
 // lost, or whose agent restarted, before it reported in this term.
-func (d *Component) holdUnseenAfterLoss(now time.Duration, m *workers.Machine) {
+func (d *Component) holdUnreportedAfterLoss(now time.Duration, m *workers.Machine) {
 	for _, h := range d.holders {
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
 			continue
 		}
-		if n := min(mayBeRunning(h.job), scheduler.TasksThatFit(h.job.Need, m.Capacity)); n > 0 {
+		if n := min(countPossiblyRunning(h.job), scheduler.TasksThatFit(h.job.Need, m.Capacity)); n > 0 {
 			d.holdAfterLoss(now, h.job, h.requirements, int64(n))
 		}
 	}
--- a/internal/leader/pools/orphans.go
+++ b/internal/leader/pools/orphans.go
@@ -8,17 +8,17 @@
 // orphanedUnits are the units of a machine's orphans: tasks that it reports and that have no
 // placement there.
 type orphanedUnits struct {
-	requirements []requirement
-	unknown      bool // the requirements of an orphan are not known
+	requirements        []requirement
+	unknownRequirements bool // the requirements of an orphan are not known
 }
 
-// noteOrphans records the units of the tasks in a heartbeat that have no placement on the machine.
-func (d *Component) noteOrphans(m *workers.Machine, r *workers.Report) {
-	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.orphans[m] == nil {
+// recordOrphans records the units of the tasks in a heartbeat that have no placement on the machine.
+func (d *Component) recordOrphans(m *workers.Machine, r *workers.Report) {
+	if len(d.holders) == 0 && len(d.cancelledRequirements) == 0 && d.orphans[m] == nil {
 		return
 	}
 	found := d.findOrphans(m, r)
-	hasOrphans := len(found.requirements) > 0 || found.unknown
+	hasOrphans := len(found.requirements) > 0 || found.unknownRequirements
 	if d.orphans[m] == nil && !hasOrphans {
 		return
 	}
@@ -37,9 +37,9 @@
 		}
 		j := d.Jobs.ByID(t.Job)
 		if j == nil {
-			requirements, known := d.cancelledNeeds[t.Job]
+			requirements, known := d.cancelledRequirements[t.Job]
 			found.requirements = append(found.requirements, requirements...)
-			found.unknown = found.unknown || (!known && d.mayHaveNeeded(t.Job))
+			found.unknownRequirements = found.unknownRequirements || (!known && d.mayHaveNeededUnits(t.Job))
 			continue
 		}
 		h := d.byJob[j.Index]
@@ -53,9 +53,9 @@
 	return found
 }
 
-// mayHaveNeeded reports whether a job that is not in the job table may have needed units: its log
+// mayHaveNeededUnits reports whether a job that is not in the job table may have needed units: its log
 // entry may have been removed by compaction.
-func (d *Component) mayHaveNeeded(id uint64) bool {
+func (d *Component) mayHaveNeededUnits(id uint64) bool {
 	phase, over := d.Jobs.FinalPhase(id)
 	return !over || phase == jobs.Cancelled
 }
--- a/internal/leader/pools/pools.go
+++ b/internal/leader/pools/pools.go
@@ -10,8 +10,8 @@
 // urgentPriority is the lowest priority that may use the reserve of a pool.
 const urgentPriority = 2
 
-// nobody is the team index of units whose team is not known.
-const nobody = -1
+// noTeam is the team index of units whose team is not known.
+const noTeam = -1
 
 // pool is the state of one pool, with the result of the last recount.
 type pool struct {
@@ -19,9 +19,9 @@
 	index int32 // in Component.pools
 
 	// From the operators' settings.
-	conf   settings.Pool
-	known  bool            // the pool is in the settings
-	shares map[int32]int64 // the most units that a team may have in use
+	conf       settings.Pool
+	inSettings bool            // the pool is in the settings
+	shares     map[int32]int64 // the most units that a team may have in use
 
 	// Changed by operators at run time.
 	size           int64 // units that the pool has now
@@ -30,7 +30,7 @@
 	drained        bool
 	changeVersion  uint64          // number of changes
 	durableVersion uint64          // changeVersion of the last durable change
-	changes        []appliedChange // the last changesKept changes
+	changes        []appliedChange // the last maxStoredChanges changes
 	valueNumber    int             // number of the value that stores the changes; 0: none yet
 
 	// Found by the last recount.
@@ -43,10 +43,10 @@
 
 // usage counts the units in use of a pool, or of a team's share of it.
 type usage struct {
-	inUse       int64
-	heldByJobs  int64   // part of inUse: per-job units
-	largestTask int64   // the most units that one start of a job with per-job units needs
-	reservedFor *holder // the first job in order that lacks only units to start a task
+	inUse        int64
+	heldByJobs   int64   // part of inUse: per-job units
+	largestStart int64   // the most units that one start of a job with per-job units needs
+	reservedFor  *holder // the first job in order that lacks only units to start a task
 }
 
 // requirement is a number of units that a job needs of a pool.
@@ -100,7 +100,7 @@
 	return p.size - int64(p.conf.Reserve)
 }
 
-// addInUse counts units as in use by a team, which may be nobody.
+// addInUse counts units as in use by a team, which may be noTeam.
 func (p *pool) addInUse(team int32, units int64) {
 	p.inUse += units
 	if t := p.teams[team]; t != nil {
@@ -116,16 +116,16 @@
 	}
 }
 
-// raiseLargestTask raises largestTask to the units that one start of a job with per-job units needs.
-func (p *pool) raiseLargestTask(team int32, units int64) {
-	p.largestTask = max(p.largestTask, units)
+// raiseLargestStart raises largestStart to the units that one start of a job with per-job units needs.
+func (p *pool) raiseLargestStart(team int32, units int64) {
+	p.largestStart = max(p.largestStart, units)
 	if t := p.teams[team]; t != nil {
-		t.largestTask = max(t.largestTask, units)
+		t.largestStart = max(t.largestStart, units)
 	}
 }
 
-// startedTogether returns how many of a job's tasks start together.
-func startedTogether(j *jobs.Job) int64 {
+// tasksPerStart returns how many of a job's tasks start together.
+func tasksPerStart(j *jobs.Job) int64 {
 	if j.Record.Kind == jobs.Gang {
 		return int64(len(j.Tasks))
 	}
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -212,30 +212,30 @@
 	}
 }
 
-// keyOf returns the key of a stored receipt.
-func (d *Component) keyOf(s *storedReceipt) receiptKey {
+// receiptKeyOf returns the key of a stored receipt.
+func (d *Component) receiptKeyOf(s *storedReceipt) receiptKey {
 	return receiptKey{job: s.Job, task: s.Task, pool: d.pool(s.Pool).index}
 }
 
 func (d *Component) receiptDurable(s *storedReceipt) {
-	issued := d.receipts.get(d.keyOf(s))
+	issued := d.receipts.get(d.receiptKeyOf(s))
 	if issued != nil && issued.attempt == s.Attempt && slices.Equal(issued.numbers, s.Numbers) {
 		issued.durable = true
 	}
 }
 
 // decodeReceipt decodes a log entry of the component. It returns nil if the entry is not a receipt.
-func decodeReceipt(own *eventlog.ComponentEntry) *storedReceipt {
+func decodeReceipt(logged *eventlog.ComponentEntry) *storedReceipt {
 	var e entry
-	if json.Unmarshal(own.Data, &e) != nil {
+	if json.Unmarshal(logged.Data, &e) != nil {
 		return nil
 	}
 	return e.Receipt
 }
 
-func (d *Component) replayReceipt(own *eventlog.ComponentEntry) {
-	if s := decodeReceipt(own); s != nil {
-		d.receipts.set(d.keyOf(s), &issuedReceipt{attempt: s.Attempt, numbers: s.Numbers, durable: true})
+func (d *Component) replayReceipt(logged *eventlog.ComponentEntry) {
+	if s := decodeReceipt(logged); s != nil {
+		d.receipts.set(d.receiptKeyOf(s), &issuedReceipt{attempt: s.Attempt, numbers: s.Numbers, durable: true})
 	}
 }
 
@@ -245,7 +245,7 @@
 	if s == nil {
 		return
 	}
-	key := d.keyOf(s)
+	key := d.receiptKeyOf(s)
 	issued := d.receipts.get(key)
 	if issued != nil && issued.attempt == s.Attempt && d.mayStillHold(key, issued) {
 		d.EventLog.Append(e)
--- a/internal/leader/pools/reservations.go
+++ b/internal/leader/pools/reservations.go
@@ -64,18 +64,18 @@
 // cycle.
 func (d *Component) refreshReservations(r requirement, team int32) {
 	p := d.pools[r.pool]
-	if !stillEntitled(p.reservedFor, r.pool, d.fitsTeamShare) {
+	if !isEntitled(p.reservedFor, r.pool, d.fitsTeamShare) {
 		p.reservedFor = d.firstEntitled(r.pool, d.fitsTeamShare)
 	}
 	ofTeam := func(h *holder, r requirement) bool { return h.job.Team == team && h.wantsMore(r) }
-	if t := p.teams[team]; t != nil && !stillEntitled(t.reservedFor, r.pool, ofTeam) {
+	if t := p.teams[team]; t != nil && !isEntitled(t.reservedFor, r.pool, ofTeam) {
 		t.reservedFor = d.firstEntitled(r.pool, ofTeam)
 	}
 }
 
-// stillEntitled reports whether a job is entitled to a reservation by one of its requirements of
+// isEntitled reports whether a job is entitled to a reservation by one of its requirements of
 // the pool. It is true for nil: a pool that has no reservation when the cycle begins gets none later.
-func stillEntitled(h *holder, pool int32, entitled func(*holder, requirement) bool) bool {
+func isEntitled(h *holder, pool int32, entitled func(*holder, requirement) bool) bool {
 	return h == nil || slices.ContainsFunc(h.requirements, func(r requirement) bool {
 		return r.pool == pool && entitled(h, r)
 	})
@@ -84,7 +84,7 @@
 // firstEntitled returns the first candidate that is entitled to a reservation, or nil.
 func (d *Component) firstEntitled(pool int32, entitled func(*holder, requirement) bool) *holder {
 	for _, h := range d.candidates {
-		if stillEntitled(h, pool, entitled) {
+		if isEntitled(h, pool, entitled) {
 			return h
 		}
 	}
--- a/internal/leader/pools/store.go
+++ b/internal/leader/pools/store.go
@@ -19,12 +19,12 @@
 // units, since it might miss what the value contains.
 const valueVersion = 1
 
-// lossValue is the number of the value that stores the losses. Each of the values after it stores
+// lossValueNumber is the number of the value that stores the losses. Each of the values after it stores
 // one pool.
-const lossValue = 0
+const lossValueNumber = 0
 
-// sizeOfSettings is stored as the units of a pool that has the size in the settings.
-const sizeOfSettings = -1
+// sizeFromSettings is stored as the units of a pool that has the size in the settings.
+const sizeFromSettings = -1
 
 // storedValue is one value: the losses, or the changes of a pool.
 type storedValue struct {
@@ -50,7 +50,7 @@
 
 	// Changes to be written, and writes in progress.
 	lossesDirty bool
-	dirty       []*pool
+	dirtyPools  []*pool
 	writes      valuestore.Writer[poolWrite]
 }
 
@@ -97,7 +97,7 @@
 	if err != nil {
 		return err
 	}
-	if number == lossValue {
+	if number == lossValueNumber {
 		d.losses = append(stored.Losses, d.losses...)
 		return nil
 	}
@@ -131,9 +131,9 @@
 	switch {
 	case s.lossesDirty:
 		d.writeLosses()
-	case len(s.dirty) > 0:
-		p := s.dirty[0]
-		s.dirty = s.dirty[1:]
+	case len(s.dirtyPools) > 0:
+		p := s.dirtyPools[0]
+		s.dirtyPools = s.dirtyPools[1:]
 		d.writePool(p)
 	}
 }
@@ -144,7 +144,7 @@
 		if w.pool == nil {
 			d.store.lossesDirty = true
 		} else {
-			d.store.dirty = append(d.store.dirty, w.pool)
+			d.store.dirtyPools = append(d.store.dirtyPools, w.pool)
 		}
 	}
 }
@@ -153,18 +153,18 @@
 func (d *Component) writeLosses() {
 	if d.store.lossesDirty && d.store.writable() {
 		d.store.lossesDirty = false
-		d.writeValue(lossValue, storedValue{Losses: d.losses}, poolWrite{})
+		d.writeValue(lossValueNumber, storedValue{Losses: d.losses}, poolWrite{})
 	}
 }
 
 func (d *Component) writePool(p *pool) {
 	if p.valueNumber == 0 {
-		p.valueNumber = max(d.store.nextNumber, lossValue+1)
+		p.valueNumber = max(d.store.nextNumber, lossValueNumber+1)
 		d.store.nextNumber = p.valueNumber + 1
 	}
 	v := storedValue{
 		Pool:    p.name,
-		Units:   sizeOfSettings,
+		Units:   sizeFromSettings,
 		Drained: p.drained,
 		Changed: p.changeVersion,
 		Changes: p.changes,
@@ -189,15 +189,15 @@
 // EntryDurable processes a durable log entry. A larger size of a pool takes effect when the entry of
 // its value is durable.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
-	var own entry
-	if e.Component == nil || json.Unmarshal(e.Component.Data, &own) != nil {
+	var decoded entry
+	if e.Component == nil || json.Unmarshal(e.Component.Data, &decoded) != nil {
 		return
 	}
 	switch {
-	case own.Receipt != nil:
-		d.receiptDurable(own.Receipt)
-	case own.Stored != nil:
-		if w, found := d.store.writes.TakeDurable(*own.Stored); found && w.pool != nil {
+	case decoded.Receipt != nil:
+		d.receiptDurable(decoded.Receipt)
+	case decoded.Stored != nil:
+		if w, found := d.store.writes.TakeDurable(*decoded.Stored); found && w.pool != nil {
 			d.poolDurable(w)
 		}
 	}
--- a/internal/leader/pools/usage.go
+++ b/internal/leader/pools/usage.go
@@ -12,8 +12,8 @@
 // recount recomputes the units in use of all pools.
 func (d *Component) recount(now time.Duration) {
 	d.resetUsage()
-	unheard := d.unheardMachines()
-	d.countJobs(unheard)
+	unresolved := d.listUnresolved()
+	d.countJobs(unresolved)
 	d.countOrphans()
 	d.countLosses(now)
 }
@@ -29,46 +29,46 @@
 	}
 }
 
-// unheardMachines returns the unresolved machines, and sets allocationBlocked to whether one of them
+// listUnresolved returns the unresolved machines, and sets allocationBlocked to whether one of them
 // blocks all allocation.
-func (d *Component) unheardMachines() (unheard []*workers.Machine) {
+func (d *Component) listUnresolved() (unresolved []*workers.Machine) {
 	d.allocationBlocked = false
-	unresolved, _ := d.Unresolved()
-	if unresolved == 0 {
+	count, _ := d.Unresolved()
+	if count == 0 {
 		return nil
 	}
 	for _, m := range d.Inventory.All() {
 		if !m.Unresolved() {
 			continue
 		}
-		unheard = append(unheard, m)
+		unresolved = append(unresolved, m)
 		// The machine may have tasks of a cancelled job whose requirements are not known any
 		// more, or no grants are recorded for it.
 		d.allocationBlocked = d.allocationBlocked || m.ClaimedByAnyTeam || m.Number == 0
 	}
-	return unheard
+	return unresolved
 }
 
 // countJobs counts the units that jobs have in use, or may have on machines that have not reported
 // in this term.
-func (d *Component) countJobs(unheard []*workers.Machine) {
+func (d *Component) countJobs(unresolved []*workers.Machine) {
 	var uncertain []*holder
 	for _, h := range d.holders {
-		if d.countJob(h, unheard) > 0 {
+		if d.countJob(h, unresolved) > 0 {
 			uncertain = append(uncertain, h)
 		}
 	}
 	if len(uncertain) > 1 {
-		d.capUncertain(uncertain, unheard)
+		d.capUncertain(uncertain, unresolved)
 	}
 }
 
 func (d *Component) countOrphans() {
 	for _, s := range d.orphans {
 		for _, r := range s.requirements {
-			d.pools[r.pool].addInUse(nobody, r.units)
+			d.pools[r.pool].addInUse(noTeam, r.units)
 		}
-		d.allocationBlocked = d.allocationBlocked || s.unknown
+		d.allocationBlocked = d.allocationBlocked || s.unknownRequirements
 	}
 }
 
@@ -80,7 +80,7 @@
 		}
 		team, ok := d.Teams.Lookup(l.Team)
 		if !ok {
-			team = nobody
+			team = noTeam
 		}
 		p := d.pool(l.Pool)
 		p.addInUse(team, l.Units)
@@ -92,10 +92,10 @@
 // together, since each job was counted as if it had all of them to itself. The tasks on a machine
 // fit its processors, so they hold no more units than if all processors were used by the job that
 // needs the most units per processor.
-func (d *Component) capUncertain(uncertain []*holder, unheard []*workers.Machine) {
+func (d *Component) capUncertain(uncertain []*holder, unresolved []*workers.Machine) {
 	most := map[int32]float64{}
-	for _, m := range unheard {
-		for pool, units := range mostUnitsOn(m, uncertain) {
+	for _, m := range unresolved {
+		for pool, units := range maxUnitsOn(m, uncertain) {
 			most[pool] += units
 		}
 	}
@@ -116,9 +116,9 @@
 	}
 }
 
-// mostUnitsOn returns, for each pool, the most units that tasks of any one of the jobs can hold on a
+// maxUnitsOn returns, for each pool, the most units that tasks of any one of the jobs can hold on a
 // machine.
-func mostUnitsOn(m *workers.Machine, holders []*holder) map[int32]float64 {
+func maxUnitsOn(m *workers.Machine, holders []*holder) map[int32]float64 {
 	most := map[int32]float64{}
 	for _, h := range holders {
 		if !m.MayHaveTasksOf(h.job.Record.ID) {
@@ -140,43 +140,43 @@
 
 // countJob counts the units of a job, and returns how many tasks of it may run on machines that have
 // not reported in this term.
-func (d *Component) countJob(h *holder, unheard []*workers.Machine) int64 {
+func (d *Component) countJob(h *holder, unresolved []*workers.Machine) int64 {
 	j := h.job
-	unseen := int64(d.unseenTasks(j, unheard))
+	unreported := int64(d.unreportedTasks(j, unresolved))
 	h.holdsJobUnits = j.Placed > 0 || ((h.started || j.Finished > 0) && j.Finished < len(j.Tasks))
 	for _, r := range h.requirements {
 		p := d.pools[r.pool]
 		switch {
 		case !r.perJob:
-			p.addInUse(j.Team, r.units*(int64(j.Placed)+unseen))
-			p.uncertain += r.units * unseen
+			p.addInUse(j.Team, r.units*(int64(j.Placed)+unreported))
+			p.uncertain += r.units * unreported
 			if j.Phase == jobs.Open {
 				p.waiting += r.units * int64(j.Waiting)
 			}
 		case h.holdsJobUnits:
 			p.addInUse(j.Team, r.units)
 			p.addHeldByJob(j.Team, r.units)
-		case unseen > 0:
+		case unreported > 0:
 			p.addInUse(j.Team, r.units)
 			p.uncertain += r.units
 		case j.Phase == jobs.Open && j.Waiting > 0:
 			p.waiting += r.units
 		}
 		if !r.perJob && h.needsJobUnits && h.holdsJobUnits {
-			p.raiseLargestTask(j.Team, r.units*startedTogether(j))
+			p.raiseLargestStart(j.Team, r.units*tasksPerStart(j))
 		}
 	}
-	return unseen
+	return unreported
 }
 
-// unseenTasks returns the maximum number of tasks of a job that may run on machines that have not
+// unreportedTasks returns the maximum number of tasks of a job that may run on machines that have not
 // reported in this term.
-func (d *Component) unseenTasks(j *jobs.Job, unheard []*workers.Machine) int {
-	if len(unheard) == 0 || !d.MayRunUnseen(j) {
+func (d *Component) unreportedTasks(j *jobs.Job, unresolved []*workers.Machine) int {
+	if len(unresolved) == 0 || !d.MayRunUnseen(j) {
 		return 0
 	}
-	tasks, room := mayBeRunning(j), 0
-	for _, m := range unheard {
+	tasks, room := countPossiblyRunning(j), 0
+	for _, m := range unresolved {
 		if room >= tasks {
 			break
 		}
@@ -187,9 +187,9 @@
 	return min(tasks, room)
 }
 
-// mayBeRunning returns how many tasks of a job have no placement and may have been started in an
+// countPossiblyRunning returns how many tasks of a job have no placement and may have been started in an
 // earlier term.
-func mayBeRunning(j *jobs.Job) int {
+func countPossiblyRunning(j *jobs.Job) int {
 	list := j.Tasks
 	if j.Record.Kind != jobs.Gang && !j.HasZoneRule() {
 		list = list[:min(j.UnassignedFrom, len(list))]
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -44,7 +44,7 @@
 	Back    string  `json:"back"`              // what would release its units
 }
 
-func idOf(j *jobs.Job) string { return wire.FormatID(j.Record.ID) }
+func jobID(j *jobs.Job) string { return wire.FormatID(j.Record.ID) }
 
 // Show returns the views of all pools as JSON, or, if view is the name of a pool, the view of that
 // pool with its holders.
@@ -93,7 +93,7 @@
 		Closed:    d.closedReason(p),
 	}
 	if p.reservedFor != nil {
-		v.First = idOf(p.reservedFor.job)
+		v.First = jobID(p.reservedFor.job)
 	}
 	if withHolders {
 		v.Holders = d.holdersOf(now, p)
@@ -105,7 +105,7 @@
 // allocated.
 func (d *Component) closedReason(p *pool) string {
 	switch {
-	case !p.known:
+	case !p.inSettings:
 		return "it is not in the leader's settings"
 	case d.store.unreadableKey != "":
 		return d.store.unreadableKey + " cannot be read"
@@ -149,7 +149,7 @@
 // newView returns the view of a job as a holder of per-job units. For a task, the caller sets the task
 // number.
 func (h *holder) newView(r requirement) Holder {
-	return Holder{Job: idOf(h.job), Team: h.job.Record.Team, Task: wholeJobTask, Units: r.units}
+	return Holder{Job: jobID(h.job), Team: h.job.Record.Team, Task: wholeJobTask, Units: r.units}
 }
 
 func (d *Component) jobHolder(h *holder, r requirement) Holder {
