--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -81,7 +81,7 @@
 	return heldByJobs+largestStart <= limit
 }
 
-// reservation is what has to stay available for the job that has the next units reserved.
+// reservation is the part of a pool that has to stay available for the job that has its next units reserved.
 type reservation struct {
 	nextStart    int64 // units that its next start needs
 	heldByJobs   int64 // usage.heldByJobs once that job has its units
@@ -117,7 +117,7 @@
 // TaskPlaced counts the units of a task that was placed on a machine.
 func (d *Component) TaskPlaced(j *jobs.Job) { d.adjustInUse(j, 1) }
 
-// TaskRemoved reverses TaskPlaced.
+// TaskRemoved reverses TaskPlaced for a task whose plan was dropped in the same scheduling cycle.
 func (d *Component) TaskRemoved(j *jobs.Job) { d.adjustInUse(j, -1) }
 
 // adjustInUse adds the units of one task of a job (delta is 1) or subtracts them (delta is -1).
--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	maxStoredChanges = 16 // per pool, so that a repeated change gets the same answer
+	maxStoredChanges = 16 // per pool; they are stored so that a repeated change gets the same answer
 	maxIDBytes       = 64 // of the ID of a change
 )
 
@@ -31,21 +31,21 @@
 }
 
 // Change is an operator's change of a pool. It is idempotent by its ID: a repeat gets the same
-// answer. Version is the version of the pool that the change was planned for; it is refused if
-// another change has been applied since.
+// answer. Version is the version of the pool that the change was planned for; the change is refused
+// if another one has been applied since.
 type Change struct {
 	ID      string `json:"id"`
 	Pool    string `json:"pool"`
 	Version uint64 `json:"version"`
-	Units   *int64 `json:"units,omitempty"` // negative: the number in the settings
-	Drain   *bool  `json:"drain,omitempty"`
+	Units   *int64 `json:"units,omitempty"` // nil: not changed; negative: the number in the settings
+	Drain   *bool  `json:"drain,omitempty"` // nil: not changed; a drained pool allocates no units
 }
 
 // Changed is the answer to a Change. Until the change is durable, the client has to repeat it.
 type Changed struct {
 	Durable bool   `json:"durable"`
-	Version uint64 `json:"version"`
-	Pool    View   `json:"pool"`
+	Version uint64 `json:"version"` // version of the pool that the change produced
+	Pool    View   `json:"pool"`    // as the pool is now
 }
 
 // appliedChange is the ID of an applied change and the version of the pool that it produced.
@@ -105,7 +105,8 @@
 	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
 }
 
-// checkChange checks everything about a change that does not depend on its pool.
+// checkChange returns an error if a change cannot be applied to any pool: it is not valid, or the stored
+// values have not been read.
 func (d *Component) checkChange(c *Change) error {
 	switch {
 	case !d.store.loaded && d.store.unreadableKey != "":
--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -1,7 +1,7 @@
 // Package pools is the component of a leader's term that counts scarce resources which
 // tasks need besides room on a machine, such as licences. Each pool has a number of units,
 // and never more of them are in use than it has, whatever fails. docs/pools.md describes
-// the design, the argument for its safety, and the operation by operators.
+// the design, the argument for its safety, and how operators use it.
 //
 // A unit is in use from before the leader sends the start of its task until the task is
 // proved gone, by the same proofs as for the task itself. So nothing is written when units
@@ -39,7 +39,7 @@
 
 	// Jobs that need units.
 	holders               []*holder // in the order in which they were added
-	candidates            []*holder // could start a task in this scheduling cycle, in order
+	candidates            []*holder // could start a task in this cycle if they had units and room, in order
 	byJob                 map[int32]*holder
 	cancelledRequirements map[uint64][]requirement // of cancelled jobs of earlier terms, by job ID
 
@@ -97,8 +97,8 @@
 	return d.pools[i]
 }
 
-// Replay records the receipts and the requirements of all jobs in the log. Tasks of jobs that are over
-// by the end of the log may still be running.
+// Replay records the receipts in the log and the requirements of all jobs in it, since tasks of jobs that
+// are over by the end of the log may still be running.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	switch {
 	case e.Component != nil:
@@ -241,7 +241,7 @@
 }
 
 // Tick reads and writes the stored values, removes expired losses, and decommissions silent machines
-// early if they hold units that other jobs wait for.
+// early if they hold units that other jobs wait for. It does nothing without a valid lease.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if !leaseValid {
 		return
--- a/internal/leader/pools/explain.go
+++ b/internal/leader/pools/explain.go
@@ -8,7 +8,7 @@
 )
 
 // WaitReason returns an explanation for the user why a job waits for units, or an empty string if it
-// does not.
+// does not wait for units.
 func (d *Component) WaitReason(j *jobs.Job) string {
 	h := d.byJob[j.Index]
 	switch {
--- a/internal/leader/pools/orphans.go
+++ b/internal/leader/pools/orphans.go
@@ -5,7 +5,7 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// orphanedUnits are the units of a machine's orphans: tasks that it reports and that have no
+// orphanedUnits are the units of a machine's orphans: task attempts that it reports and that have no
 // placement there.
 type orphanedUnits struct {
 	requirements        []requirement
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -18,8 +18,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// fixture is a leader with pools and unlimited room for tasks. It keeps the values that are written to
-// the state service.
+// fixture is a leader with pools and unlimited room for tasks. It stores the values that the leader
+// writes to the state service.
 type fixture struct {
 	t         *testing.T
 	pools     []settings.Pool
@@ -28,7 +28,7 @@
 	epoch     uint64
 	component *Component
 	machine   *workers.Machine
-	ids       uint64
+	lastJobID uint64
 }
 
 func newFixture(t *testing.T, pools ...settings.Pool) *fixture {
@@ -96,8 +96,8 @@
 
 // addJob adds a job with the given number of tasks.
 func (f *fixture) addJob(team string, tasks int, priority uint8, kind uint8, counted ...eventlog.PoolUnits) *jobs.Job {
-	f.ids++
-	j := f.component.Jobs.Add(eventlog.Job{ID: f.ids, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
+	f.lastJobID++
+	j := f.component.Jobs.Add(eventlog.Job{ID: f.lastJobID, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
 	j.Team, j.Phase = f.component.Teams.Index(team), jobs.Open
 	f.component.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: f.now, Job: j})
 	return j
@@ -286,7 +286,7 @@
 			left := slices.DeleteFunc(slices.Clone(list), func(j *jobs.Job) bool { return !open(j) })
 			r.Shuffle(len(left), func(i, k int) {
 				if r.IntN(3) == 0 {
-					left[i], left[k] = left[k], left[i] // the order changes as sizes age
+					left[i], left[k] = left[k], left[i] // the order changes as job sizes change with age
 				}
 			})
 			f.schedule(left...)
@@ -367,7 +367,7 @@
 	expect(t, "one unit is left", f.schedule(other), "[1]")
 	f.component.pools[0].drained = false
 	if raw, err := f.component.Show(f.now, "p"); err != nil || !strings.Contains(string(raw), `"uncertain":3`) || !strings.Contains(string(raw), "machines not heard") {
-		t.Errorf("%s %v", raw, err)
+		t.Errorf("the view lacks the uncertain units or their holder: %s %v", raw, err)
 	}
 	// It is gone without a report: units that it may have had stay in use for a while.
 	f.component.Inventory.Remove("old")
@@ -436,19 +436,19 @@
 	}
 	more, err := applyChange(`{"id":"x1","pool":"p","version":0,"units":6}`)
 	if err != nil || more.Durable || more.Pool.Units != 4 || more.Pool.Pending != 6 {
-		t.Errorf("%+v %v", more, err)
+		t.Errorf("a larger size must be pending until it is durable: %+v %v", more, err)
 	}
 	if _, err := applyChange(`{"id":"x2","pool":"p","version":0,"units":9}`); err == nil || !strings.Contains(err.Error(), "version") {
-		t.Errorf("planned for an earlier version: %v", err)
+		t.Errorf("a change planned for an earlier version is not refused for its version: %v", err)
 	}
 	f.commitWrites()
 	if again, err := applyChange(`{"id":"x1","pool":"p","version":0,"units":6}`); err != nil || !again.Durable || again.Version != 1 || again.Pool.Units != 6 {
-		t.Errorf("%+v %v", again, err)
+		t.Errorf("the repeated change must be durable and get the same version: %+v %v", again, err)
 	}
 	j := f.addJob("a", 9, 1, jobs.Array, perTask("p", 1))
 	expect(t, "six", f.schedule(j), "[6]")
 	if less, err := applyChange(`{"id":"x3","pool":"p","version":1,"units":2}`); err != nil || less.Pool.Units != 2 || less.Pool.Out != 6 {
-		t.Errorf("%+v %v", less, err)
+		t.Errorf("a smaller size must take effect at once: %+v %v", less, err)
 	}
 	for k := range 4 {
 		f.completeTask(j, k)
@@ -468,7 +468,7 @@
 	f.readValues()
 	expect(t, "none from a drained pool after a takeover", f.schedule(j), "[0]")
 	if restored, err := applyChange(`{"id":"x5","pool":"p","version":3,"drain":false,"units":-1}`); err != nil || restored.Version != 4 {
-		t.Errorf("%+v %v", restored, err)
+		t.Errorf("restoring the size of the settings: %+v %v", restored, err)
 	}
 	f.commitWrites()
 	expect(t, "as many as in the settings", f.schedule(j), "[4]")
@@ -517,23 +517,23 @@
 		return f.component.Placements[workers.TaskRef{Job: j.Index, Task: int32(k)}]
 	}
 	if _, err := requestReceipt(a, 0, 1); err == nil {
-		t.Error("another attempt gets a receipt")
+		t.Error("a receipt is issued for an attempt that does not hold the units")
 	}
 	one, err := requestReceipt(a, 0, placementOf(a, 0).Attempt)
 	if err != nil || one.Durable {
-		t.Fatalf("%+v %v", one, err)
+		t.Fatalf("the first receipt must not be durable yet: %+v %v", one, err)
 	}
 	f.commitWrites()
 	one, _ = requestReceipt(a, 0, placementOf(a, 0).Attempt)
 	two, _ := requestReceipt(a, 1, placementOf(a, 1).Attempt)
 	f.commitWrites()
 	if !one.Durable || fmt.Sprint(one.Units) != "[{p [1 2] false} {q [1] true}]" || fmt.Sprint(two.Units) != "[{p [3 4] false} {q [1] true}]" {
-		t.Errorf("%+v and %+v", one, two)
+		t.Errorf("receipts of two tasks are not durable or have wrong numbers: %+v and %+v", one, two)
 	}
 	f.completeTask(a, 0)
 	f.schedule(a)
 	if third, err := requestReceipt(a, 2, placementOf(a, 2).Attempt); err != nil || fmt.Sprint(third.Units[0].Numbers) != "[1 2]" {
-		t.Errorf("%+v %v", third, err)
+		t.Errorf("the third task must get the numbers that the first one released: %+v %v", third, err)
 	}
 }
 
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -11,8 +11,9 @@
 )
 
 // Receipts identify the individual units that a task has, so that a licence server can refuse a
-// holder that was replaced. Units get numbers only when a holder requests a receipt, and the numbers
-// are logged before the answer: no other holder ever gets the same numbers while this one may run.
+// holder that was replaced. Units get numbers only when a holder requests a receipt, and the receipt
+// is valid only once its log entry is durable: no other holder gets the same numbers while this one may
+// run.
 
 // receiptBytes is the approximate size of a receipt in the log.
 const receiptBytes = 120
@@ -79,14 +80,14 @@
 	Attempt uint64 `json:"attempt"`
 }
 
-// Receipt lists the units that a task is certified to have. Until it is durable, the client has to
+// Receipt lists the units that a task holds, with their numbers. Until it is durable, the client has to
 // repeat the request.
 type Receipt struct {
 	Durable bool           `json:"durable"`
 	Job     uint64         `json:"job"`
 	Task    int            `json:"task"`
 	Attempt uint64         `json:"attempt"`
-	Epoch   uint64         `json:"epoch"`
+	Epoch   uint64         `json:"epoch"` // of the leader that returned it
 	Units   []ReceiptUnits `json:"units"`
 }
 
--- a/internal/leader/pools/silent.go
+++ b/internal/leader/pools/silent.go
@@ -10,8 +10,9 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// decommissionSilent decommissions machines early that are silent while others wait for units which
-// their tasks hold. With the setting, operators weigh the price of a machine against the wait.
+// decommissionSilent decommissions machines early that have been silent for longer than after and
+// SuspectAfter while jobs wait for units that their tasks may hold. With the setting for after, operators
+// weigh the price of a machine against the wait.
 func (d *Component) decommissionSilent(now, after time.Duration) {
 	scarce := d.scarcePools()
 	if scarce == nil || d.MostMachinesSilent(now) {
--- a/internal/leader/pools/store.go
+++ b/internal/leader/pools/store.go
@@ -67,11 +67,12 @@
 
 // entry is a log entry of the component: it announces a value or records a receipt.
 type entry struct {
-	Stored  *int           `json:"w,omitempty"`
+	Stored  *int           `json:"w,omitempty"` // number of the value
 	Receipt *storedReceipt `json:"r,omitempty"`
 }
 
-// ValuesRead processes a page of the values of earlier terms.
+// ValuesRead processes a page of the values of earlier terms. More pages follow if more is true; the page
+// could not be read if ok is false.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
 	s := &d.store
 	if !s.PageRead(now, list, more, ok) {
@@ -212,7 +213,7 @@
 	d.NeedsCycle = true
 }
 
-// Compact appends receipts to the log again that are still needed. Announcements of values are not
+// Compact appends a receipt to the log again if it is still needed. Announcements of values are not
 // needed any more.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	if e.Component != nil {
--- a/internal/leader/pools/usage.go
+++ b/internal/leader/pools/usage.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// listUnresolved returns the unresolved machines, and sets allocationBlocked to whether one of them
-// blocks all allocation.
+// listUnresolved returns the unresolved machines, and sets allocationBlocked if one of them blocks all
+// allocation. An unresolved machine may have tasks of an earlier term that the leader does not know of.
 func (d *Component) listUnresolved() (unresolved []*workers.Machine) {
 	d.allocationBlocked = false
 	count, _ := d.Unresolved()
--- a/internal/leader/pools/view.go
+++ b/internal/leader/pools/view.go
@@ -21,18 +21,19 @@
 	Settings  int      `json:"units_in_settings"`
 	Pending   int64    `json:"units_to_come,omitempty"` // a larger size, in effect once it is durable
 	Drained   bool     `json:"drained,omitempty"`
-	Out       int64    `json:"out"`
-	Uncertain int64    `json:"uncertain"`  // part of Out: may be in use on unresolved machines
-	Lost      int64    `json:"after_loss"` // part of Out: held for a while after the loss of their holder
-	Waiting   int64    `json:"waiting"`    // units that waiting tasks need
-	Reserve   int      `json:"reserve,omitempty"`
-	Version   uint64   `json:"version"`
-	First     string   `json:"first,omitempty"` // the job that has the next units reserved
-	Closed    string   `json:"closed,omitempty"`
+	Out       int64    `json:"out"`               // units in use
+	Uncertain int64    `json:"uncertain"`         // part of Out: may be in use on unresolved machines
+	Lost      int64    `json:"after_loss"`        // part of Out: held for a while after the loss of their holder
+	Waiting   int64    `json:"waiting"`           // units that waiting tasks need
+	Reserve   int      `json:"reserve,omitempty"` // units that only urgent jobs may use
+	Version   uint64   `json:"version"`           // number of changes by operators
+	First     string   `json:"first,omitempty"`   // the job that has the next units reserved
+	Closed    string   `json:"closed,omitempty"`  // why no unit is allocated; empty: units may be
 	Holders   []Holder `json:"holders,omitempty"`
 }
 
-// Holder is the view of a task that has units in use, or of a job that has per-job units in use.
+// Holder is the view of a task that has units in use, of a job that has per-job units in use, or of units
+// that stay in use after a loss.
 type Holder struct {
 	Job     string  `json:"job"`
 	Team    string  `json:"team"`
@@ -120,8 +121,7 @@
 // releasedByReport describes what releases the units of a task on a machine.
 const releasedByReport = "a newer report of the machine without it, or its answered deletion"
 
-// holdersOf returns the holders of units of a pool, since when they run, and what would release their
-// units.
+// holdersOf returns the views of all holders of units of a pool, sorted by job, task and machine.
 func (d *Component) holdersOf(now time.Duration, p *pool) (out []Holder) {
 	for _, h := range d.holders {
 		for _, r := range h.requirements {
