--- a/internal/leader/pools/explain.go
+++ b/internal/leader/pools/explain.go
@@ -7,7 +7,8 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// WaitReason says what a job waits for, in plain words; empty: it does not wait for units.
+// WaitReason returns an explanation for the user why a job waits for units, or an empty string if it
+// does not wait for units.
 func (d *Component) WaitReason(j *jobs.Job) string {
 	h := d.byJob[j.Index]
 	switch {
@@ -20,7 +21,7 @@
 	case d.allocationBlocked:
 		return "a machine that has not reported yet may have units of any pool: none are given out before it is heard or gone"
 	}
-	r, ok := d.blockingRequirement(j, startedTogether(j))
+	r, ok := d.blockingRequirement(j, tasksPerStart(j))
 	if ok {
 		return ""
 	}
@@ -34,7 +35,7 @@
 	return d.explainShortage(h, p, r)
 }
 
-// explainShortage says who has the units of a pool that a job waits for.
+// explainShortage returns an explanation of who has the units of a pool that a job waits for.
 func (d *Component) explainShortage(h *holder, p *pool, r requirement) string {
 	j := h.job
 	var why strings.Builder
@@ -53,7 +54,7 @@
 	}
 	for _, first := range []*holder{p.reservedFor, teamReservation(p, j)} {
 		if first != nil && first != h {
-			fmt.Fprintf(&why, "; job %s is before it in the order, and its next units are kept for it", idOf(first.job))
+			fmt.Fprintf(&why, "; job %s is before it in the order, and its next units are kept for it", jobID(first.job))
 			break
 		}
 	}
--- a/internal/leader/pools/orphans.go
+++ b/internal/leader/pools/orphans.go
@@ -5,21 +5,20 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// orphanedUnits are the units of a machine's orphans: tasks that it reports and that no
-// placement stands for.
+// orphanedUnits are the units of a machine's orphans: task attempts that it reports and that have no
+// placement there.
 type orphanedUnits struct {
-	requirements []requirement
-	unknown      bool // what one of them needs is not known
+	requirements        []requirement
+	unknownRequirements bool // the requirements of an orphan are not known
 }
 
-// noteOrphans notes the tasks that a heartbeat reports beside those that count as being
-// on the machine.
-func (d *Component) noteOrphans(m *workers.Machine, r *workers.Report) {
-	if len(d.holders) == 0 && len(d.cancelledNeeds) == 0 && d.orphans[m] == nil {
+// recordOrphans records the units of the tasks in a heartbeat that have no placement on the machine.
+func (d *Component) recordOrphans(m *workers.Machine, r *workers.Report) {
+	if len(d.holders) == 0 && len(d.cancelledRequirements) == 0 && d.orphans[m] == nil {
 		return
 	}
 	found := d.findOrphans(m, r)
-	hasOrphans := len(found.requirements) > 0 || found.unknown
+	hasOrphans := len(found.requirements) > 0 || found.unknownRequirements
 	if d.orphans[m] == nil && !hasOrphans {
 		return
 	}
@@ -38,9 +37,9 @@
 		}
 		j := d.Jobs.ByID(t.Job)
 		if j == nil {
-			requirements, known := d.cancelledNeeds[t.Job]
+			requirements, known := d.cancelledRequirements[t.Job]
 			found.requirements = append(found.requirements, requirements...)
-			found.unknown = found.unknown || (!known && d.mayHaveNeeded(t.Job))
+			found.unknownRequirements = found.unknownRequirements || (!known && d.mayHaveNeededUnits(t.Job))
 			continue
 		}
 		h := d.byJob[j.Index]
@@ -54,9 +53,9 @@
 	return found
 }
 
-// mayHaveNeeded reports whether a job that is in no table may have needed units: its
-// entry may have been compacted away.
-func (d *Component) mayHaveNeeded(id uint64) bool {
+// mayHaveNeededUnits reports whether a job that is not in the job table may have needed units: its log
+// entry may have been removed by compaction.
+func (d *Component) mayHaveNeededUnits(id uint64) bool {
 	phase, over := d.Jobs.FinalPhase(id)
 	return !over || phase == jobs.Cancelled
 }
