--- a/internal/leader/runtimes/component.go
+++ b/internal/leader/runtimes/component.go
@@ -1,8 +1,8 @@
-// Package runtimes is the component of a leader's term that learns how long each kind of
-// work usually takes, from its own history, and says with it when open jobs should begin
-// and end and which of them will be late. It is pure: run records and times come in;
-// estimates, warnings and entries of the log come out. docs/run-times.md has the design
-// and the operators' page.
+// Package runtimes is the leader component that learns from past runs how long each kind of
+// work usually takes. From that it forecasts when open jobs begin and end, and warns of
+// jobs that will be late. It does no I/O: it takes run records and times, and produces
+// estimates, warnings and event log entries. docs/run-times.md describes its design and
+// its use by operators.
 package runtimes
 
 import (
@@ -16,43 +16,44 @@
 	"bitternmoor/internal/leader/valuestore"
 )
 
-// Name is that of the component, of its entries and of its values.
+// Name is the name of the component, of its log entries and of its stored values.
 const Name = "run-times"
 
-// bytesPerRecord is roughly what a run record takes in the log.
+// bytesPerRecord is the approximate size of a run record in the log.
 const bytesPerRecord = 160
 
-// leadTimeBounds are the buckets, in seconds, of how long ahead a late job was warned of.
+// leadTimeBounds are the histogram buckets, in seconds, for how long before its learned deadline
+// a late job was reported.
 var leadTimeBounds = []float64{0, 5, 15, 30, 60, 120, 300, 900, 3600}
 
-// Component learns in a term.
+// Component learns run times during one leader term.
 type Component struct {
 	cluster.NopComponent
 	*cluster.State
 
-	// What has been learned.
+	// The learned state.
 	calendar   *calendar.Calendar
 	model      *Model
 	demand     demand
-	lateMargin float64 // the operators' setting, as a factor
+	lateMargin float64 // factor on the learned job time, from the settings
 
-	// What is being learned.
-	runs            map[uint64]*jobRun // of open jobs of which something was seen, by job id
+	// Observations that are still being collected.
+	runs            map[uint64]*jobRun // open jobs with observed tasks, by job id
 	taskPlacedAt    map[workers.TaskRef]time.Duration
 	machineSpeeds   map[string]*machineSpeed // by machine
-	countedRuns     map[uint64]int32         // night of the jobs whose record is counted, by job id
+	countedRuns     map[uint64]int32         // night of each job whose record is counted, by job id
 	today           calendar.Night
-	loggedRecords   int          // entries that compaction may have to keep
-	deferredRecords []*RunRecord // until the history is loaded
-	closingKinds    []Kind       // whose night is over and not closed yet
+	loggedRecords   int          // record entries that compaction may have to keep
+	deferredRecords []*RunRecord // records to count once the history is loaded
+	closingKinds    []Kind       // kinds whose night is over but not closed yet
 
-	// The history in values.
+	// The history in stored values.
 	historyReader cluster.ValueReader
 	store         *valueStore
 	writes        valuestore.Writer[valueWrite]
-	durableNights map[Kind]int32 // the last night of each kind that is durable
+	durableNights map[Kind]int32 // the last durable night of each kind
 	lastWriteAt   time.Duration
-	writeInterval time.Duration // between values
+	writeInterval time.Duration // minimum time between two value writes
 
 	// Jobs that run late.
 	lateJobs    map[uint64]*Late // by job id
@@ -60,13 +61,13 @@
 	leadTimes   *cluster.Histogram
 }
 
-// New makes the component of a term. How many kinds of work it knows, by which calendar
-// it counts nights and what it takes for late is in the operators' settings.
+// New returns the component for a term. The settings give the maximum number of kinds, the
+// calendar that defines nights, and the margin after which a job is late.
 func New(s *cluster.State) *Component {
 	tunables := s.Cfg.Tunables
 	cal, err := tunables.NewCalendar()
 	if err != nil {
-		panic(err) // settings are checked when they are read
+		panic(err) // the settings were validated when they were read
 	}
 	return &Component{
 		State:         s,
@@ -84,13 +85,13 @@
 		writeInterval: writeInterval(s.Cfg.WriteLimits().WriteRPS),
 		lateJobs:      map[uint64]*Late{},
 		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds",
-			"How long before its learned deadline a job was warned of, by why it is late.", "why", leadTimeBounds),
+			"Time from a job's late warning to its learned deadline, by the reason for the delay.", "why", leadTimeBounds),
 	}
 }
 
-// Replay applies an entry of the component's own. A record counts for a kind only if its
-// night is later than those that the kind's value holds, and once for each job: so
-// nothing is counted twice.
+// Replay applies one of the component's log entries. To avoid counting anything twice, a record
+// counts for a kind only if its night is later than the nights in the kind's stored value,
+// and only once per job.
 func (d *Component) Replay(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
@@ -104,9 +105,9 @@
 	}
 }
 
-// HandleEvent learns. Only tasks that this leader has started, that ran from their start
-// to their end in one go, and not on a machine known to be slow, show how long their kind
-// takes.
+// HandleEvent learns from a cluster event. A task's run time counts for its kind only if
+// this leader started the task, the task ran without interruption, and its machine is not
+// known to be slow.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
 	case cluster.JobOrdered:
@@ -127,8 +128,8 @@
 	}
 }
 
-// Tick reads the history after a takeover, writes what nights have shown, and checks for
-// jobs that run late.
+// Tick reads the history after a takeover; later it closes nights, writes their summaries
+// and checks for late jobs.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if !leaseValid {
 		return
@@ -146,11 +147,11 @@
 	d.writeNext(now)
 }
 
-// LiveBytes is roughly how many bytes Compact would write for the whole log.
+// LiveBytes returns approximately how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return d.loggedRecords * bytesPerRecord }
 
-// Compact writes anew a record that is in no value yet, and for some days that a kind was
-// forgotten.
+// Compact appends an entry again if it is still needed: a record until all durable values
+// that it counts for contain it, and a forgotten kind for keepForgottenDays or longer.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -20,17 +20,17 @@
 	"bitternmoor/internal/settings"
 )
 
-// fixture is a state service that holds a log, over the lives of several leaders.
+// fixture simulates a state service that stores the log and values of successive leaders.
 type fixture struct {
 	values map[string]json.RawMessage
 	epoch  uint64
 	now    time.Duration
-	bytes  int // of a value
+	bytes  int // maximum size of a value
 
-	effects []effects.Effect // while the last leader read its history
+	effects []effects.Effect // those that the last leader emitted while it read its history
 }
 
-// lead begins a term that reads the log as it is.
+// lead starts a new leader's term, which replays the log and reads the stored values.
 func (w *fixture) lead(t *testing.T, kinds int) *Component {
 	t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
@@ -64,7 +64,7 @@
 	return d
 }
 
-// history has a leader read its values, a few at a time, some after failures.
+// history lets a leader read its values in small pages; in some terms the first reads fail.
 func (w *fixture) history(d *Component, keys []string) {
 	w.effects = nil
 	for asked := 0; !d.historyReader.Done; asked++ {
@@ -89,7 +89,7 @@
 	w.effects = append(w.effects, d.DrainEffects()...)
 }
 
-// write makes at most so many commits durable.
+// write commits up to the given number of transactions.
 func (w *fixture) write(d *Component, most int) {
 	for range most {
 		w.now += time.Second
@@ -108,7 +108,7 @@
 	}
 }
 
-// job has a job of a class run and end, each of its tasks taking so long.
+// job runs a job of a class to its end, with the given run time for each task.
 func (w *fixture) job(d *Component, id uint64, class string, took float64) {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 10})
 	j.Phase, j.AcceptedAt = jobs.Open, w.now
@@ -123,7 +123,7 @@
 	d.Jobs.Remove(j)
 }
 
-// counted is how many jobs the class has shown.
+// counted returns the number of jobs that are counted for a class.
 func counted(d *Component, class string) int {
 	m := d.model.histories[Kind{Class: class}]
 	if m == nil {
@@ -132,7 +132,7 @@
 	return m.summarize().est.Jobs
 }
 
-// worked is all the work that is counted.
+// worked returns the total counted work.
 func worked(d *Component) float64 {
 	total := 0.0
 	for _, n := range slices.Concat(d.demand.nights, d.demand.open) {
@@ -148,7 +148,7 @@
 	return total
 }
 
-// durable lists the jobs whose records were ever written, with their work.
+// durable adds the jobs whose records are in the stored log, with their work, to a map.
 func (w *fixture) durable(t *testing.T, into map[uint64]float64) {
 	for k, v := range w.values {
 		if strings.HasPrefix(k, eventlog.ComponentValuesPrefix) {
@@ -167,9 +167,9 @@
 	}
 }
 
-// Leaders are killed at any moment, with records, summaries and cleanings half
-// written; nights end in between. Whatever was durable counts once, whatever was
-// not counts for nobody.
+// Leaders are killed at random moments, also in the middle of writing records, summaries or a
+// compaction, while nights end. The next leader must count each durable record exactly
+// once, and no others.
 func TestKilledAtAnyMoment(t *testing.T) {
 	records, lives := 0, 0
 	for seed := range uint64(150) {
@@ -181,10 +181,10 @@
 			d := w.lead(t, 100)
 			lives++
 			if got := counted(d, "c"); got != len(ever) {
-				t.Fatalf("seed %d: %d jobs are counted, %d were written", seed, got, len(ever))
+				t.Fatalf("seed %d: %d jobs are counted, but %d records were durable", seed, got, len(ever))
 			}
 			if got, want := worked(d), sum(maps.Values(ever)); math.Abs(got-want) > .01*want {
-				t.Fatalf("seed %d: %.0f s of work are counted, %.0f were written", seed, got, want)
+				t.Fatalf("seed %d: %.0f s of work are counted, but %.0f s were durable", seed, got, want)
 			}
 			for range 4 + r.IntN(12) {
 				switch r.IntN(7) {
@@ -213,12 +213,12 @@
 		records += len(ever)
 	}
 	if records < 2000 || lives < 900 {
-		t.Errorf("only %d records in %d lives", records, lives)
+		t.Errorf("only %d records in %d terms", records, lives)
 	}
 }
 
-// clean writes anew what is live of the oldest segments, and removes them once that
-// is durable, unless the leader is killed before.
+// clean compacts the oldest segments: it appends their live entries again and removes the segments once
+// these are durable. Sometimes it stops in between, as if the leader were killed.
 func (w *fixture) clean(t *testing.T, d *Component, r *rand.Rand) {
 	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, eventlog.ComponentValuesPrefix) })
 	if len(keys) < 2 {
@@ -237,7 +237,7 @@
 	}
 	d.CompactionDone()
 	if r.IntN(3) == 0 {
-		w.write(d, r.IntN(2)) // killed in the middle
+		w.write(d, r.IntN(2)) // the leader is killed during the compaction
 		return
 	}
 	w.write(d, 100)
@@ -246,8 +246,8 @@
 	}
 }
 
-// Tasks that were retried, moved, stopped, adopted from an earlier leader or ran on
-// a slow machine tell nothing of their kind.
+// The run times of tasks that were retried, moved, stopped, adopted from an earlier leader or run on
+// a slow machine must not count for their kind.
 func TestDisturbedTasksDoNotCount(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
@@ -267,10 +267,10 @@
 	done(2, 50, false, m)
 	done(3, -1, true, m)
 	for k := 4; k < 20; k++ {
-		done(k, 30, true, slow) // the first few tell that it is slow
+		done(k, 30, true, slow) // the first tasks reveal that the machine is slow
 	}
 	if n := d.runs[99].n; n > minTasksForSpeed {
-		t.Errorf("%d tasks count", n)
+		t.Errorf("%d tasks count, want at most those before the machine is known to be slow", n)
 	}
 	for k := 20; k < 40; k++ {
 		done(k, 10, true, m)
@@ -279,7 +279,7 @@
 	if e := d.model.Estimate(Kind{Class: "c"}, 0, 0); e.P50 > 10.5 {
 		t.Errorf("the class is estimated at %+v", e)
 	}
-	// All machines slow together are no slow machines: then the work takes longer.
+	// If all machines become slower together, none counts as slow: the work takes longer.
 	d = w.lead(t, 100)
 	for id := range uint64(30) {
 		w.job(d, 200+id, "c", 10)
@@ -288,12 +288,12 @@
 		w.job(d, 300+id, "c", 30)
 	}
 	if e := d.model.Estimate(Kind{Class: "c"}, 0, 0); e.P90 < 25 {
-		t.Errorf("half of the night was three times slower, the class is estimated at %+v", e)
+		t.Errorf("half of the jobs were three times slower, but the class is estimated at %+v", e)
 	}
 }
 
-// A job that will not make its learned deadline is warned of once, before that
-// passes, with why; the warning is kept up to date and cleared at its end.
+// A job that will miss its learned deadline is reported once, before the deadline, with the
+// reason. The warning is updated meanwhile and removed when the job ends.
 func TestLateJobIsWarnedOfOnce(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
@@ -327,36 +327,36 @@
 		for _, n := range notes() {
 			if n == "job runs late" {
 				if raised >= 0 {
-					t.Fatal("warned of twice")
+					t.Fatal("the job was reported twice")
 				}
 				raised = w.now - begin
 			}
 		}
 	}
 	if raised < 0 || raised > learned {
-		t.Errorf("warned of after %v, its learned deadline was %v", raised, learned)
+		t.Errorf("reported after %v, its learned deadline was %v", raised, learned)
 	}
 	raw, err := d.Show(w.now, "late")
 	if err != nil || !strings.Contains(string(raw), "more work than room") {
-		t.Errorf("shown is %s %v", raw, err)
+		t.Errorf("the view of late jobs is %s, error %v", raw, err)
 	}
 	if raw, err := d.Show(w.now, "forecast"); err != nil || !strings.Contains(string(raw), "its learned deadline") {
-		t.Errorf("the forecast is %s %v", raw, err)
+		t.Errorf("the forecast is %s, error %v", raw, err)
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: w.now, Job: late})
 	if raw, _ := d.Show(w.now, "late"); string(raw) != "[]" || !slices.Contains(notes(), "late job ended") {
-		t.Errorf("after its end: %s", raw)
+		t.Errorf("late jobs after the job's end: %s", raw)
 	}
 	if !slices.Equal(told, []string{"late/j-000050/raised", "late/j-000050/done"}) {
-		t.Errorf("the webhook is told %v", told)
+		t.Errorf("the webhook messages are %v", told)
 	}
 	if _, err := d.Show(w.now, "nothing"); err == nil {
-		t.Error("a view that does not exist is shown")
+		t.Error("an unknown view was accepted")
 	}
 }
 
-// An entry or a value that cannot be read, or that another version has written, is
-// said and left as it is, and learning goes on.
+// An entry or value that cannot be decoded, or that another version wrote, is logged and left
+// unchanged, and learning continues.
 func TestUnreadableEntriesAndValuesAreLeftAlone(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{"log/00000001": json.RawMessage(`{"e":[{"o":{"d":"run-times","v":{"f":7}}}]}`),
 		"own/run-times/000009": json.RawMessage(`{"v":1,"k":7}`), "own/run-times/000010": json.RawMessage(`{"v":99}`), "own/run-times/x": json.RawMessage(`{}`)}, bytes: 8192}
@@ -375,15 +375,15 @@
 		w.write(d, 1)
 	}
 	if said != 4 || counted(d, "c") != 1 {
-		t.Errorf("%d lines, %d jobs counted", said, counted(d, "c"))
+		t.Errorf("%d log messages, %d jobs counted", said, counted(d, "c"))
 	}
 	if string(w.values["own/run-times/000009"]) != `{"v":1,"k":7}` || w.values["own/run-times/000011"] == nil {
-		t.Errorf("what cannot be read was written over: %v", slices.Sorted(maps.Keys(w.values)))
+		t.Errorf("an unreadable value was overwritten, or none written: %v", slices.Sorted(maps.Keys(w.values)))
 	}
 }
 
-// A kind that is forgotten stays so through takeovers, cleaning and records that are
-// still in the log; what it shows afterwards counts.
+// A forgotten kind stays forgotten across takeovers and compactions, although its records are
+// still in the log. Later records count again.
 func TestForgottenKindStaysForgotten(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
@@ -398,19 +398,19 @@
 		}
 	}
 	if _, err := d.Change(w.now, json.RawMessage(`{"forget":["c///","none"]}`)); err == nil || !strings.Contains(err.Error(), "forget[1]") || counted(d, "c") != 6 {
-		t.Errorf("one that is not known: %v, %d counted", err, counted(d, "c"))
+		t.Errorf("forgetting an unknown kind: %v, %d jobs counted", err, counted(d, "c"))
 	}
 	if raw, err := d.Change(w.now, json.RawMessage(`{"forget":["c///"]}`)); err != nil || !strings.Contains(string(raw), `"forgotten":1`) {
-		t.Errorf("%s %v", raw, err)
+		t.Errorf("forgetting a kind: %s, error %v", raw, err)
 	}
 	w.write(d, 9)
 	for life := range 5 {
 		d = w.lead(t, 100)
 		if got := counted(d, "c"); got != life {
-			t.Errorf("life %d: %d jobs are counted", life, got)
+			t.Errorf("term %d: %d jobs are counted", life, got)
 		}
 		if m := d.model.histories[Kind{Class: "c", Team: "t"}]; m == nil || m.summarize().est.Jobs != 6+life {
-			t.Errorf("life %d: its team's is gone too", life)
+			t.Errorf("term %d: the kind of the class and team lost its history", life)
 		}
 		w.now += time.Minute
 		w.job(d, uint64(50+life), "c", 10)
@@ -425,8 +425,8 @@
 	}
 }
 
-// Values that were written when they might be larger are spread over more of them,
-// and none is lost on the way, whenever a leader is killed.
+// When the size limit of values is lowered, their kinds are spread over more values. No kind is
+// lost, whenever a leader is killed during this.
 func TestSmallerValues(t *testing.T) {
 	for kill := range 60 {
 		w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
@@ -452,11 +452,11 @@
 			d.Tick(w.now, true)
 			w.write(d, 1)
 		}
-		for range 2 { // the second reads what the first has written of a kind that is in two values
+		for range 2 { // the second leader reads what the first wrote for kinds that are in two values
 			d = w.lead(t, 100)
 			for id := range 12 {
 				if n := counted(d, fmt.Sprint("class", id)); n != 2 {
-					t.Fatalf("killed after %d: %d jobs of class%d are counted", kill, n, id)
+					t.Fatalf("killed after %d ticks: %d jobs of class%d are counted", kill, n, id)
 				}
 			}
 			for range 9 {
@@ -468,8 +468,8 @@
 	}
 }
 
-// A value that the state service refuses is written in smaller ones, and what it
-// was to hold is still in the log.
+// A value that the state service refuses is written again in smaller values. Until then its
+// content is still in the log.
 func TestRefusedValueIsRetried(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
@@ -498,10 +498,10 @@
 		}
 	}
 	if refused == 0 {
-		t.Fatal("nothing was refused")
+		t.Fatal("no value was refused")
 	}
 	if d.writes.Len() > 0 || len(d.store.dirty) > 0 {
-		t.Errorf("%d values still wait", len(d.store.dirty))
+		t.Errorf("%d values are still not written", len(d.store.dirty))
 	}
 	next := w.lead(t, 100)
 	for id := range 9 {
@@ -516,8 +516,8 @@
 	return durable
 }
 
-// Work is expected at the local time at which it came in the nights before, a
-// holiday's from holidays alone; a new leader expects the same.
+// Work is expected at the local time at which it arrived on previous nights; holidays are learned
+// separately. An outlier night changes only the maximum. A new leader expects the same.
 func TestExpectedDemandFollowsNights(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
@@ -528,7 +528,7 @@
 			id++
 			w.job(d, id, "c", 100)
 		}
-		if day == 9 { // one freak night
+		if day == 9 { // an outlier night
 			for range 30 {
 				id++
 				w.job(d, id, "c", 100)
@@ -554,13 +554,13 @@
 			}
 		}
 		if peak == nil || math.Abs(peak.Work/2400-1) > .03 || math.Abs(peak.Most/(33*800)-1) > .03 || peak.Nights < 7 || math.Abs(peak.InS-7200) > 1 || math.Abs(total-peak.Work) > 1 {
-			t.Errorf("leader %d expects %+v, in all %.0f", i, peak, total)
+			t.Errorf("leader %d expects %+v at the peak, %.0f s of work in total", i, peak, total)
 		}
 	}
 }
 
-// With learned_sizes a job's size starts from what its kind has shown; without it,
-// or where the kind is new, as it always did.
+// With learned_sizes a job's initial size comes from the history of its kind. Without it, or for a
+// new kind, it is the default.
 func TestLearnedSizesSeedTheEstimator(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := w.lead(t, 100)
@@ -578,13 +578,13 @@
 		d.Estimator.Add(j.Index, 0, 8, 1, false)
 		d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, Job: j})
 		if got, _ := d.Estimator.Size(j.Index); math.Abs(got/c.want-1) > .2 {
-			t.Errorf("%+v: its size is %v", c, got)
+			t.Errorf("%+v: the initial size is %v", c, got)
 		}
 	}
 }
 
-// Summaries of many kinds at the end of a night are written one at a time and only
-// when nothing else waits; each fits into a small value.
+// At the end of a night the summaries of many kinds are written one value at a time, and only when
+// no other entry is pending. Each fits into a small value.
 func TestWriteRateIsBounded(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 700}
 	d := w.lead(t, 1000)
@@ -599,7 +599,7 @@
 			before := d.EventLog.PendingCount()
 			d.Tick(w.now, true)
 			if after := d.EventLog.PendingCount(); after > before+1 || (before > 0 && after > before) {
-				t.Fatalf("%d entries at once, with %d waiting", after-before, before)
+				t.Fatalf("%d entries appended in one tick, with %d pending", after-before, before)
 			}
 			w.write(d, 1)
 		}
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// How much work comes at which time of a night, learned from the nights before, so
-// that operators see a nightly peak ahead of it.
+// This file learns how much work arrives at which time of the night from previous nights, so that
+// operators see a nightly peak in advance.
 
-// The slots of a day are local quarters of an hour. An hour that the clocks repeat counts
-// into the same ones, one that they skip leaves them empty, for one night.
+// A day is divided into slots of a quarter of an hour in local time. When clocks change, a
+// repeated hour counts into the same slots twice, and a skipped hour leaves its slots empty
+// for that night.
 const (
 	slotsPerDay = 96
 	slotLength  = 15 * time.Minute
 )
 
-// demandNight is the work, in processor seconds, that came in one night, by the
-// local time at which it was accepted.
+// demandNight is the work of one night, in CPU seconds, by the local time at which it was
+// accepted.
 type demandNight struct {
 	day     int32
 	holiday bool
 	work    [slotsPerDay]float64
 }
 
-// demand is the demand of the last nights. A night is closed once the one after it is over
-// too: its last jobs may end as late as that.
+// demand is the demand of the last nights. A night is closed only once the following night is
+// over too, because its last jobs may end that late.
 type demand struct {
-	nights     []*demandNight // closed ones, by day
+	nights     []*demandNight // closed nights, ordered by day
 	open       []*demandNight
-	durableDay int32 // the last night that is durable
+	durableDay int32 // the last durable night
 }
 
-// storedDemand is a night's demand as it is written, without its last empty slots.
+// storedDemand is the stored form of a night's demand, without trailing empty slots.
 type storedDemand struct {
 	Day     int32     `json:"d"`
 	Holiday bool      `json:"h,omitempty"`
 	Work    []float64 `json:"w"`
 }
 
-// addWork counts work, in processor seconds. That of a night that is closed was counted
-// before.
+// addWork adds work, in CPU seconds, to a slot. Work of a closed night is ignored because it
+// was already counted.
 func (m *demand) addWork(day int32, holiday bool, slot int, work float64) {
 	if n := len(m.nights); n > 0 && day <= m.nights[n-1].day {
 		return
@@ -56,15 +57,15 @@
 	m.open[i].work[slot] += work
 }
 
-// notDurable reports whether a night is known and not in a durable value.
+// notDurable reports whether a night has demand that is not yet in a durable value.
 func (m *demand) notDurable(day int32) bool {
 	isDay := func(n *demandNight) bool { return n.day == day }
 	known := slices.ContainsFunc(m.open, isDay) || slices.ContainsFunc(m.nights, isDay)
 	return day > m.durableDay && known
 }
 
-// closeNights closes the nights that are long over, and returns the numbers of the values
-// that keep them.
+// closeNights closes the nights before yesterday and returns the numbers of the values
+// that store them.
 func (m *demand) closeNights(today int32) (values []int) {
 	for len(m.open) > 0 && m.open[0].day < today-1 {
 		m.keepNight(m.open[0])
@@ -74,10 +75,10 @@
 	return values
 }
 
-// demandValueNumber is the number of the value that keeps a night's demand.
+// demandValueNumber returns the number of the value that stores a night's demand.
 func demandValueNumber(day int32) int { return int((day%maxNights + maxNights) % maxNights) }
 
-// keepNight adds a closed night, in place of the oldest one if there are too many.
+// keepNight adds a closed night and drops the oldest one beyond maxNights.
 func (m *demand) keepNight(n *demandNight) {
 	m.nights = append(m.nights, n)
 	if over := len(m.nights) - maxNights; over > 0 {
@@ -85,7 +86,7 @@
 	}
 }
 
-// restore takes a night of a value.
+// restore adds a night that was read from a stored value.
 func (m *demand) restore(s *storedDemand) {
 	n := &demandNight{day: s.Day, holiday: s.Holiday}
 	copy(n.work[:], s.Work)
@@ -94,7 +95,7 @@
 	m.durableDay = max(m.durableDay, s.Day)
 }
 
-// stored is the night that a value keeps; nil if there is none.
+// stored returns the night that belongs into the value of this number, or nil if there is none.
 func (m *demand) stored(number int) *storedDemand {
 	i := slices.IndexFunc(m.nights, func(n *demandNight) bool { return demandValueNumber(n.day) == number })
 	if i < 0 {
@@ -102,7 +103,7 @@
 	}
 	n := m.nights[i]
 	s := &storedDemand{Day: n.day, Holiday: n.holiday}
-	used := 0 // slots, up to the last one with work
+	used := 0 // number of slots up to the last one with work
 	for slot, work := range n.work {
 		if work > 0 {
 			used = slot + 1
@@ -114,26 +115,26 @@
 	return s
 }
 
-// Expected is what is expected to come in a quarter of an hour.
+// Expected is the demand expected in a slot of a quarter of an hour.
 type Expected struct {
-	At       string  `json:"at"` // local time at which it begins
+	At       string  `json:"at"` // local time at which the slot begins
 	InS      float64 `json:"in_s"`
-	Nights   int     `json:"nights"`      // that were learned from
-	Work     float64 `json:"work_cpu_s"`  // the median night's, in processor seconds
-	Most     float64 `json:"most_cpu_s"`  // the heaviest night's
-	CPUs     float64 `json:"cpus"`        // that the median night's work keeps busy
-	CPUsMost float64 `json:"cpus_most"`   // and the heaviest night's
-	Now      float64 `json:"cpus_rented"` // at present
+	Nights   int     `json:"nights"`      // number of nights it is learned from
+	Work     float64 `json:"work_cpu_s"`  // of the median night, in CPU seconds
+	Most     float64 `json:"most_cpu_s"`  // of the heaviest night, in CPU seconds
+	CPUs     float64 `json:"cpus"`        // processors that the median night's work keeps busy
+	CPUsMost float64 `json:"cpus_most"`   // processors that the heaviest night's work keeps busy
+	Now      float64 `json:"cpus_rented"` // processors of the machines that report at present
 }
 
-// slotForecast is what is expected of a slot: work in processor seconds.
+// slotForecast is the work expected in a slot, in CPU seconds.
 type slotForecast struct {
-	nights       int // that it was learned from
+	nights       int // number of nights it is learned from
 	median, most float64
 }
 
-// expected is a slot's demand, learned from nights of the same sort, or from all of them
-// while there are none of that.
+// expected returns a slot's demand, learned from nights of the same type (holiday or not), or
+// from all nights while there are none of that type.
 func (m *demand) expected(holiday bool, slot int) slotForecast {
 	var sameSort, all []float64
 	for _, n := range m.nights {
@@ -154,10 +155,10 @@
 	return slotForecast{nights: n, median: (list[(n-1)/2] + list[n/2]) / 2, most: list[n-1]}
 }
 
-// expectedSlots is how far the expected demand is shown: twelve hours.
+// expectedSlots is the number of slots for which the expected demand is shown: twelve hours.
 const expectedSlots = 48
 
-// expectedDemand is what is expected over the next hours.
+// expectedDemand returns the expected demand of the next expectedSlots slots.
 func (d *Component) expectedDemand(now time.Duration) []Expected {
 	out := []Expected{}
 	rented := d.CPUs()
--- a/internal/leader/runtimes/entries.go
+++ b/internal/leader/runtimes/entries.go
@@ -8,15 +8,15 @@
 	"bitternmoor/internal/effects"
 )
 
-// entry is one of the component's own in the log: what a job has shown, that a value was
-// written, or that a kind was forgotten.
+// entry is a log entry of the component: a job's run record, the number of a written
+// value, or a forgotten kind.
 type entry struct {
 	Record    *storedRecord    `json:"f,omitempty"`
 	Stored    *int             `json:"w,omitempty"`
 	Forgotten *storedForgotten `json:"x,omitempty"`
 }
 
-// storedRecord is a RunRecord as it is logged.
+// storedRecord is the logged form of a RunRecord.
 type storedRecord struct {
 	ID       uint64     `json:"i"`
 	At       int64      `json:"a"`
@@ -31,22 +31,22 @@
 	Work     float64    `json:"w,omitempty"`
 }
 
-// storedForgotten says that a kind was forgotten.
+// storedForgotten records that a kind was forgotten.
 type storedForgotten struct {
 	Kind    [4]string `json:"k"`
 	Holiday bool      `json:"h,omitempty"`
-	At      int64     `json:"a"` // time of day, in seconds: records up to then count no more
+	At      int64     `json:"a"` // Unix time in seconds: records up to then no longer count
 }
 
-// storedKind is the closed nights of a kind.
+// storedKind is the stored form of a kind's closed nights.
 type storedKind struct {
 	Kind    [4]string     `json:"k"`
 	Holiday bool          `json:"h,omitempty"`
 	At      int64         `json:"a"`
-	Nights  [][11]float64 `json:"n"` // the fields of Night, in their order
+	Nights  [][11]float64 `json:"n"` // the fields of Night, in order
 }
 
-// kindFields are the names of a kind as they are stored, and kindOf is the kind of them.
+// kindFields returns the stored form of a kind's text fields. kindOf is its inverse.
 func kindFields(k Kind) [4]string { return [4]string{k.Class, k.Team, k.Image, k.Shape} }
 
 func kindOf(n [4]string, holiday bool) Kind {
@@ -68,7 +68,7 @@
 	}
 }
 
-// numbers are the fields of a night as they are stored, and nightOf is the night of them.
+// numbers returns the stored form of a night, its fields in order. nightOf is its inverse.
 func (n Night) numbers() [11]float64 {
 	return [11]float64{
 		float64(n.Day),
@@ -101,7 +101,8 @@
 	}
 }
 
-// roundDigits keeps three digits: no estimate is better than that.
+// roundDigits rounds to three significant digits; no estimate is more precise than that. It returns 0
+// for infinities and NaN.
 func roundDigits(v float64) float64 {
 	if v == 0 || math.IsInf(v, 0) || math.IsNaN(v) {
 		return 0
@@ -110,8 +111,8 @@
 	return math.Round(v*scale) / scale
 }
 
-// decode decodes an entry of the component's own; false: it is of another kind, or cannot
-// be decoded.
+// decode decodes a log entry of the component. ok is false if the entry is not a component entry or
+// cannot be decoded.
 func (d *Component) decode(e eventlog.Entry) (out entry, ok bool) {
 	if e.Component == nil {
 		return out, false
@@ -123,9 +124,9 @@
 	return out, true
 }
 
-// appendEntry reports whether the entry fits into the log.
+// appendEntry appends an entry to the log. It returns false if the entry does not fit.
 func (d *Component) appendEntry(e entry) bool {
-	own := eventlog.NewComponentEntry(Name, e) // roundDigits leaves no number that cannot be written
+	own := eventlog.NewComponentEntry(Name, e) // roundDigits leaves no number that JSON cannot encode
 	if !d.EventLog.Fits(own) {
 		return false
 	}
--- a/internal/leader/runtimes/estimate.go
+++ b/internal/leader/runtimes/estimate.go
@@ -5,31 +5,31 @@
 	"math"
 )
 
-// Estimate is how long tasks and jobs of a kind should take, as an interval.
-// Times are in seconds.
+// Estimate is the expected time of the tasks and jobs of a kind, as medians and 90th
+// percentiles in seconds.
 type Estimate struct {
 	P50    float64 `json:"task_p50_s"`
 	P90    float64 `json:"task_p90_s"`
 	Fetch  float64 `json:"fetch_p50_s"`
-	JobP50 float64 `json:"job_p50_s,omitempty"` // from acceptance to end; 0: not known
+	JobP50 float64 `json:"job_p50_s,omitempty"` // from acceptance to end; 0: unknown
 	JobP90 float64 `json:"job_p90_s,omitempty"`
 	Jobs   int     `json:"jobs"`
 	Tasks  int     `json:"tasks"`
 	Nights int     `json:"nights"`
-	AgeS   float64 `json:"age_s"`          // since the last of them
-	From   string  `json:"from"`           // the history that it comes from
-	Wide   string  `json:"wide,omitempty"` // why the interval is wide, where it is
+	AgeS   float64 `json:"age_s"`          // time since the last record
+	From   string  `json:"from"`           // where the estimate comes from
+	Wide   string  `json:"wide,omitempty"` // why the interval is wide; empty if it is not
 }
 
 const (
-	wideRatio = 2.5 // p90 over p50, from which on a kind is said to vary
-	// Without any history of the class: what owners are usually off by.
+	wideRatio = 2.5 // ratio of p90 to p50 above which an interval counts as wide
+	// The usual range of actual times relative to owners' estimates, for a class without history.
 	ownerLowFactor, ownerHighFactor = 1.0, 2.0
-	normalP90                       = 1.2816 // of the standard normal distribution
+	normalP90                       = 1.2816 // 90th percentile of the standard normal distribution
 )
 
-// Mean is the mean of tasks, in seconds, taking them for lognormal: the interval
-// has their median and how far they spread.
+// Mean returns the mean task time in seconds. It assumes a lognormal distribution with the
+// estimate's median and 90th percentile.
 func (e Estimate) Mean() float64 {
 	if e.P50 <= 0 {
 		return 0
@@ -38,9 +38,9 @@
 	return min(e.P90, e.P50*math.Exp(sigma*sigma/2))
 }
 
-// Estimate estimates work of a kind at a time of day, in seconds. owner is the owner's
-// estimate of one task, in seconds, or 0; it is used where there is no history, corrected
-// by what this class's owners have been off by.
+// Estimate estimates work of a kind at the Unix time now. owner is the owner's estimate of
+// one task in seconds, or 0 if there is none. It is used for an image without history,
+// corrected by the ratio of actual to estimated times in its class if that is known.
 func (m *Model) Estimate(k Kind, owner float64, now int64) Estimate {
 	kinds := k.levels()
 	if k.Holiday {
@@ -55,8 +55,8 @@
 		}
 		e := h.estimate(level, now)
 		if k.Image != "" && level.Image == "" && owner > 0 {
-			// A new image of a class that is known: the class's own range, about what
-			// the owner says of this one.
+			// For a new image of a known class, scale the owner's estimate by the
+			// class's usual ratios.
 			return correctedEstimate(h, e, owner)
 		}
 		return e
@@ -72,11 +72,11 @@
 	}
 }
 
-// minCorrectedSpread is the least 90th percentile of a corrected estimate, in medians.
+// minCorrectedSpread is the minimum ratio of p90 to p50 in a corrected estimate.
 const minCorrectedSpread = 1.3
 
-// correctedEstimate is an owner's estimate, corrected by what owners of the class were off
-// by.
+// correctedEstimate returns an owner's estimate, multiplied by the ratios of actual to estimated
+// times in the class.
 func correctedEstimate(h *history, class Estimate, owner float64) Estimate {
 	s := h.summarize()
 	if s.mid <= 0 {
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -10,8 +10,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// Forecast says when an open job should begin and end at the present rate. Times
-// are seconds from now.
+// Forecast is when an open job is expected to begin and end at the present rate. Times
+// are in seconds from now.
 type Forecast struct {
 	Job      string   `json:"job"`
 	Kind     string   `json:"kind"`
@@ -20,21 +20,21 @@
 	BeginS   float64  `json:"begin_s"`
 	EndS     float64  `json:"end_s"`
 	EndP90S  float64  `json:"end_p90_s"`
-	LearnedS float64  `json:"learned_deadline_s,omitempty"` // until its learned deadline; 0: none was learned
+	LearnedS float64  `json:"learned_deadline_s,omitempty"` // until its learned deadline; 0: there is none
 	Misses   []string `json:"misses,omitempty"`
 	Estimate Estimate `json:"estimate"`
-	After    []string `json:"after,omitempty"` // jobs that it waits for
+	After    []string `json:"after,omitempty"` // jobs that it depends on
 
 	job *jobs.Job
 }
 
-// forecasts goes through the jobs in the scheduler's order: what is ahead of a job takes
-// the machines that report first.
+// forecasts returns the forecasts of the open jobs in the scheduler's order, then those of the held
+// jobs. An open job begins once the work before it is done on the machines that report.
 func (d *Component) forecasts(now time.Duration) []Forecast {
 	list := &forecastList{byJob: map[int32]int{}}
 	cpus := max(d.CPUs(), 1)
 	snapshot := d.Snapshot(now)
-	ahead := 0.0 // processor seconds
+	ahead := 0.0 // work of the jobs before this one, in CPU seconds
 	for _, i := range d.Scheduler.JobOrder(&snapshot) {
 		f, work := d.forecastJob(now, d.Jobs.ByIndex(i), ahead/cpus, cpus)
 		ahead += work
@@ -44,10 +44,10 @@
 	return list.forecasts
 }
 
-// forecastList is the forecasts so far.
+// forecastList collects forecasts.
 type forecastList struct {
 	forecasts []Forecast
-	byJob     map[int32]int // place in forecasts, by job index
+	byJob     map[int32]int // position in forecasts, by job index
 }
 
 func (l *forecastList) add(f Forecast) {
@@ -55,8 +55,8 @@
 	l.forecasts = append(l.forecasts, f)
 }
 
-// endOf is when the last of some jobs ends, in the median and in the 90th percentile;
-// false: one of them has no forecast.
+// endOf returns when the last of the listed jobs ends, as median and 90th percentile. known is
+// false if one of them has no forecast.
 func (l *forecastList) endOf(list []int32) (end, p90 float64, known bool) {
 	for _, i := range list {
 		n, known := l.byJob[i]
@@ -69,7 +69,8 @@
 }
 
 // forecastHeld adds the held jobs, which begin when the last of their dependencies ends.
-// Each is forecast once all of those are; a job never depends on a later one.
+// A job is forecast once all of its dependencies are. Dependencies cannot form a cycle, because
+// a job never depends on a later one.
 func (d *Component) forecastHeld(now time.Duration, cpus float64, list *forecastList) {
 	var held []*jobs.Job
 	for _, j := range d.Jobs.All() {
@@ -94,19 +95,19 @@
 			return true
 		})
 		if len(held) == before {
-			return // they wait for a job that has no end, a service
+			return // they depend on a job that has no end, such as a service
 		}
 	}
 }
 
-// minTaskCPUs is the least that a task counts for, in processors.
+// minTaskCPUs is the minimum number of processors that a task counts for.
 const minTaskCPUs = 0.001
 
-// milli is how many of the scheduler's units make a processor.
+// milli is the number of the scheduler's CPU units per processor.
 const milli = 1000
 
-// forecastJob is the forecast of one job that may begin so many seconds from now on, and
-// how much work it is, in processor seconds.
+// forecastJob returns the forecast of a job that can begin in the given number of seconds, and
+// its remaining work in CPU seconds.
 func (d *Component) forecastJob(now time.Duration, j *jobs.Job, begin, cpus float64) (Forecast, float64) {
 	e := d.estimateJob(now, j)
 	f := Forecast{
@@ -139,11 +140,11 @@
 	return f, tasks * e.P50 * perTask
 }
 
-// remainingRounds is how many tasks of a job are left, and in how many rounds they run one
-// after the other, if at most so many run at the same time.
+// remainingRounds returns how many tasks of a job are left, and in how many successive rounds they
+// run if at most the given number run in parallel.
 func remainingRounds(j *jobs.Job, parallel float64) (tasks, rounds float64) {
 	abreast := max(1, min(float64(j.Waiting+j.Placed), parallel))
-	// Half of what is placed is done, on average.
+	// A placed task is half done on average.
 	tasks = float64(j.Waiting) + float64(j.Placed)/2
 	switch {
 	case j.Waiting+j.Placed == 0:
@@ -156,7 +157,7 @@
 	return tasks, rounds
 }
 
-// missedDeadlines names the deadlines that a job will miss.
+// missedDeadlines lists the deadlines that a job is expected to miss.
 func (d *Component) missedDeadlines(now time.Duration, f *Forecast) (misses []string) {
 	j := f.job
 	if f.Estimate.JobP90 > 0 && f.EndS > f.LearnedS {
--- a/internal/leader/runtimes/history.go
+++ b/internal/leader/runtimes/history.go
@@ -7,51 +7,50 @@
 )
 
 const (
-	maxNights      = 9   // closed ones: a freak one among them moves no median
-	enoughJobs     = 2   // for a kind to speak for itself,
-	enoughTasks    = 10  // with so many tasks,
-	soloJobs       = 4   // or so many jobs, however few their tasks
-	maxNightWeight = 200 // tasks: more give a night no more weight
+	maxNights      = 9   // closed nights to keep; one outlier among them hardly moves the median
+	enoughJobs     = 2   // a kind's own history is used from this many jobs
+	enoughTasks    = 10  // and this many tasks on,
+	soloJobs       = 4   // or from this many jobs with any number of tasks
+	maxNightWeight = 200 // in tasks; more tasks do not increase a night's weight
 )
 
-// unknownSpread is how much wider the interval of a kind gets that was seen in one night
-// only; in proportion less for more nights.
+// unknownSpread is the minimum of p90/p50-1 for a kind that was seen in one night only. It is
+// divided by the number of nights.
 const unknownSpread = .3
 
 // history is the history of one kind.
 type history struct {
-	nights       []Night // closed ones, by day
+	nights       []Night // closed nights, ordered by day
 	open         *night
-	lastRecordAt int64           // time of day of its last record, in seconds
-	summary      *historySummary // of all nights; nil: to be worked out anew
+	lastRecordAt int64           // Unix time of its last record, in seconds
+	summary      *historySummary // of all nights; nil: must be recomputed
 }
 
-// historySummary is what all nights of a kind come to.
+// historySummary combines all nights of a kind.
 type historySummary struct {
 	est            Estimate
-	low, mid, high float64 // tasks against their owners' estimates
+	low, mid, high float64 // ratio of task times to their owners' estimates: p10, p50, p90
 }
 
-// night is what the open night has shown so far.
+// night holds the observations of an open night.
 type night struct {
 	day                      int32
 	jobs, n                  int
 	task, fetch, job, ratios *ddsketch.DDSketch
 }
 
-// Night is what a kind has shown in one night: all that is kept of it once it is over.
-// Times are in seconds.
+// Night is the summary of a kind's closed night. Times are in seconds.
 type Night struct {
 	Day                      int32
 	Jobs, N                  int
-	P50, P90                 float64 // of tasks
-	Fetch                    float64 // median
-	JobP50, JobP90           float64 // of jobs, from acceptance to end
-	RatioP10, RatioP50, RP90 float64 // of tasks, against their owners' estimates
+	P50, P90                 float64 // of task times
+	Fetch                    float64 // median time from a task's placement to its running
+	JobP50, JobP90           float64 // of job times, from acceptance to end
+	RatioP10, RatioP50, RP90 float64 // of the ratios of task times to their owners' estimates
 }
 
-// addRecord counts a record. One of a night that is closed for this kind was counted
-// before.
+// addRecord adds a record to its night, and closes the open night if the record is of a later one.
+// A record of a night that is closed for this kind is ignored because it was already counted.
 func (h *history) addRecord(r *RunRecord) {
 	if len(h.nights) > 0 && r.Day <= h.nights[len(h.nights)-1].Day {
 		return
@@ -80,7 +79,7 @@
 	addToSketch(o.job, r.Job, 1)
 }
 
-// closeNight ends the open night.
+// closeNight replaces the open night by its summary.
 func (h *history) closeNight() {
 	if h.open == nil {
 		return
@@ -108,7 +107,7 @@
 	}
 }
 
-// allNights lists the nights, the open one as it stands.
+// allNights returns all nights, including a summary of the open one so far.
 func (h *history) allNights() []Night {
 	if h.open == nil {
 		return h.nights
@@ -121,14 +120,14 @@
 	return e.Jobs >= enoughJobs && e.Tasks >= enoughTasks || e.Jobs >= soloJobs
 }
 
-// estimate makes an estimate of a kind's own history.
+// estimate returns the estimate from a kind's own history.
 func (h *history) estimate(k Kind, now int64) Estimate {
 	e := h.summarize().est
 	e.From, e.AgeS = k.Level(), float64(max(0, now-h.lastRecordAt))
 	return e
 }
 
-// lastDay is the last closed night; noDay: there is none.
+// lastDay returns the day of the last closed night, or noDay if there is none.
 func (h *history) lastDay() int32 {
 	if len(h.nights) == 0 {
 		return noDay
@@ -136,10 +135,10 @@
 	return h.nights[len(h.nights)-1].Day
 }
 
-// noDay is the day of no night.
+// noDay stands for no night.
 const noDay = -1
 
-// summarize is what all nights come to.
+// summarize returns the summary of all nights, computing it if necessary.
 func (h *history) summarize() *historySummary {
 	if h.summary != nil {
 		return h.summary
@@ -157,10 +156,10 @@
 		e.Jobs += n.Jobs
 		e.Tasks += n.N
 	}
-	// Few nights have not shown how much one differs from another.
+	// A few nights do not show how much nights differ, so widen the interval.
 	spread := 1 + unknownSpread/float64(max(1, len(nights)))
 	e.P90 = max(e.P90, e.P50*spread)
-	// A job's time depends on the room it found, which a few jobs have not shown.
+	// A job's time depends on the free capacity it finds, and a few jobs do not show that variation.
 	e.JobP90 = max(e.JobP90, e.JobP50*(spread+1/float64(max(1, e.Jobs))))
 	if e.P90 > wideRatio*e.P50 {
 		e.Wide = "tasks of this kind differ widely among themselves"
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// What another installation has learned can be imported.
+// This file imports kinds that another installation has learned, and forgets kinds.
 
-// Exported is one kind of work as it is exported and imported.
+// Exported is the format in which a kind of work is exported and imported.
 type Exported struct {
 	Kind
-	Nights [][11]float64 `json:"nights"` // the fields of Night, in their order
+	Nights [][11]float64 `json:"nights"` // the fields of Night, in order
 }
 
-// Name is the kind's name.
+// Name returns the kind's name.
 func (x Exported) Name() string { return x.String() }
 
-// maxNumber bounds what is imported, in seconds or as a count.
+// maxNumber is the largest absolute value of an imported number, in seconds or as a count.
 const maxNumber = 1e9
 
-// Check says what is wrong with an exported kind: the field, and why.
+// Check validates an exported kind. Its error names the invalid field and the reason.
 func (x Exported) Check() error {
 	if x.Class == "" {
 		return errors.New("class: missing")
@@ -51,28 +51,27 @@
 	return nil
 }
 
-// Import is what the component can be asked to change: kinds to be imported, and kinds to
-// be forgotten. Those that are known already are left as they are, unless Replace says
-// otherwise.
+// Import is a change request: kinds to import and kinds to forget. Kinds that are already
+// known are left unchanged unless Replace is set.
 type Import struct {
 	Kinds   []Exported `json:"kinds"`
 	Replace bool       `json:"replace"`
-	Forget  []string   `json:"forget,omitempty"` // names of kinds, as they are shown
+	Forget  []string   `json:"forget,omitempty"` // names of kinds, as Show returns them
 }
 
-// Imported says what an import has changed.
+// Imported counts what an import has changed.
 type Imported struct {
 	Added    int `json:"added"`
 	Replaced int `json:"replaced"`
 	Left     int `json:"left_as_they_are"`
-	Dropped  int `json:"dropped"` // for want of room
+	Dropped  int `json:"dropped"` // because the model is full
 	Forgot   int `json:"forgotten,omitempty"`
 }
 
 var errHistoryLoading = errors.New("run-times: the history is still being read: try again in a few seconds")
 
-// Change applies an Import and returns an Imported, as JSON. All kinds are checked before
-// the first is touched; what is imported is written like nights that have ended.
+// Change applies an Import and returns an Imported, both as JSON. All kinds are checked before
+// the first is changed. Imported nights are written like closed ones.
 func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
 	var in Import
 	if err := json.Unmarshal(body, &in); err != nil {
@@ -102,7 +101,7 @@
 
 const secondsPerDay = 24 * 60 * 60
 
-// importKind takes a kind in, and counts what became of it.
+// importKind imports a kind and counts the outcome in out.
 func (d *Component) importKind(x Exported, replace bool, out *Imported) {
 	_, known := d.model.histories[x.Kind]
 	switch {
@@ -127,8 +126,8 @@
 	d.store.markDirty(d.store.assign(x.Kind))
 }
 
-// forgetKinds forgets the kinds of these names, and logs that it has: records that are
-// still in the log count for them no more. Coarser kinds stay.
+// forgetKinds forgets the named kinds and logs this, so that records still in the log no longer
+// count for them. Coarser kinds are kept.
 func (d *Component) forgetKinds(now time.Duration, names []string) error {
 	if len(names) == 0 {
 		return nil
--- a/internal/leader/runtimes/import_test.go
+++ b/internal/leader/runtimes/import_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// What one installation exports another takes in: the same estimates, which its
-// next leader still has. What it knows itself stays, unless it is to be replaced.
+// Kinds exported by one installation give the same estimates when imported by another, also after
+// a change of leader there. Known kinds stay unchanged unless Replace is set.
 func TestExportAndImport(t *testing.T) {
 	old := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	d := old.lead(t, 100)
@@ -45,11 +45,11 @@
 		t.Errorf("%+v", got)
 	}
 	if got := change(in); got != (Imported{Left: 5}) {
-		t.Errorf("again: %+v", got)
+		t.Errorf("second import: %+v", got)
 	}
 	in.Replace = true
 	if got := change(in); got != (Imported{Replaced: 5}) {
-		t.Errorf("replacing: %+v", got)
+		t.Errorf("import with Replace: %+v", got)
 	}
 	for range 60 {
 		fresh.now += n.writeInterval
@@ -58,19 +58,19 @@
 	}
 	for _, x := range []*Component{n, fresh.lead(t, 100)} {
 		a, b := d.model.Estimate(in.Kinds[0].Kind, 5, 0), x.model.Estimate(in.Kinds[0].Kind, 5, 0)
-		if math.Abs(a.P50/b.P50-1) > .005 || math.Abs(a.P90/b.P90-1) > .005 || a.Jobs != b.Jobs { // three digits are exported
-			t.Errorf("estimated there %+v, here %+v", a, b)
+		if math.Abs(a.P50/b.P50-1) > .005 || math.Abs(a.P90/b.P90-1) > .005 || a.Jobs != b.Jobs { // 3 digits are exported
+			t.Errorf("estimate of the exporter: %+v, of the importer: %+v", a, b)
 		}
 	}
 	small := fresh.lead(t, 2)
 	small.model = NewModel(2)
 	body, _ := json.Marshal(in)
 	if answer, err := small.Change(0, body); err != nil || !strings.Contains(string(answer), `"added":2`) || !strings.Contains(string(answer), `"dropped":3`) {
-		t.Errorf("into a full model: %s %v", answer, err)
+		t.Errorf("import into a full model: %s %v", answer, err)
 	}
 }
 
-// One kind that is wrong, and nothing is taken in.
+// An import with one invalid kind is rejected as a whole.
 func TestWrongImportChangesNothing(t *testing.T) {
 	good := `{"class":"c","nights":[[1,2,30,5,9,1,20,30,0.5,1,2]]}`
 	for bad, field := range map[string]string{
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -11,11 +11,10 @@
 	"time"
 )
 
-// TestWeighKeys holds ways of saying what "the same job" is against nights that the
-// scenario engine has played and recorded: for each run, how near the estimate from
-// those before it came, and how often there was one. docs/run-times.md has the table.
-// What is built, the finest of a hierarchy with enough history, must be no worse than
-// any single key by more than a little, and say something about every run.
+// TestWeighKeys compares keys for grouping job history on runs recorded from the scenario
+// engine: how often a key gives an estimate from earlier runs, and how accurate it is.
+// docs/run-times.md has the results. The implementation uses the finest kind with enough
+// history. It must give an estimate for every run and be at least as good as any single key.
 func TestWeighKeys(t *testing.T) {
 	f, err := os.Open("testdata/recorded_facts.jsonl")
 	if err != nil {
@@ -36,7 +35,7 @@
 	}
 	slices.SortFunc(records, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
 	if len(records) < 300 {
-		t.Fatalf("only %d records are recorded", len(records))
+		t.Fatalf("only %d run records in the test data", len(records))
 	}
 	hour := func(f *RunRecord) string { return time.Unix(f.At, 0).UTC().Format("Mon 15:04")[:6] }
 	keys := []struct {
@@ -70,7 +69,7 @@
 				fifty++
 			}
 		}
-		t.Logf("%-30s knows %.2f of %d runs; within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f of those", name, n/float64(len(records)), len(records), ten/n, twenty/n, fifty/n)
+		t.Logf("%-30s estimates %.2f of %d runs; of these, within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f", name, n/float64(len(records)), len(records), ten/n, twenty/n, fifty/n)
 		return twenty / n, n / float64(len(records))
 	}
 	best := 0.0
@@ -99,6 +98,6 @@
 	})
 	share("the owner's estimate", func(f *RunRecord) float64 { return f.Estimate })
 	if known < 1 || near < best {
-		t.Errorf("the hierarchy is within a fifth for %.2f of %.2f, the best single key for %.2f of all", near, known, best)
+		t.Errorf("the hierarchy is within 20 %% for %.2f of %.2f, the best single key for %.2f of all", near, known, best)
 	}
 }
--- a/internal/leader/runtimes/kind.go
+++ b/internal/leader/runtimes/kind.go
@@ -7,24 +7,24 @@
 	"strings"
 )
 
-// Kind is what counts as the same work. Job ids are unique, so history goes by what jobs
-// have in common, finer or coarser.
+// Kind identifies work that is treated as the same. Job ids are unique, so history is grouped by
+// properties that jobs share. A Kind with empty fields is coarser.
 type Kind struct {
 	Class   string `json:"class"`
 	Team    string `json:"team,omitempty"`
 	Image   string `json:"image,omitempty"`
-	Shape   string `json:"shape,omitempty"` // tasks and processors, to a power of two
+	Shape   string `json:"shape,omitempty"` // task count and CPU need, by powers of two
 	Holiday bool   `json:"holiday,omitempty"`
 }
 
-// shape buckets how many tasks a job has and how many thousandths of a processor
-// each takes.
+// shape returns the size bucket of a job, from its number of tasks and the thousandths of a
+// processor that each needs.
 func shape(tasks int, milliCPU int64) string {
 	return fmt.Sprintf("%dx%d", bits.Len(uint(max(tasks, 1))), bits.Len64(uint64(max(milliCPU, 1))))
 }
 
-// levels lists a kind and the coarser ones that stand in for it while it has too
-// little history, the finest first.
+// levels returns a kind and the coarser kinds that replace it while it has too little
+// history, the finest first.
 func (k Kind) levels() []Kind {
 	return slices.Compact([]Kind{
 		k,
@@ -35,7 +35,7 @@
 	})
 }
 
-// Level names how fine a kind is.
+// Level returns the names of the properties that are set in a kind, such as "class+image".
 func (k Kind) Level() string {
 	var parts []string
 	for _, p := range []struct {
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -9,45 +9,45 @@
 	"bitternmoor/internal/effects"
 )
 
-// Late is a warning of a job that runs well past what its kind has shown.
+// Late is a warning about a job that is expected to miss its learned deadline.
 type Late struct {
 	Job      string  `json:"job"`
 	Class    string  `json:"class"`
 	Team     string  `json:"team"`
 	Why      string  `json:"why"`
 	RaisedMS int64   `json:"raised_at_ms"`
-	LeadS    float64 `json:"lead_s"` // before its learned deadline it was raised
+	LeadS    float64 `json:"lead_s"` // time from the warning to the learned deadline
 	AgeS     float64 `json:"age_s"`
 	LearnedS float64 `json:"learned_deadline_s"` // from its acceptance or release
 	EndS     float64 `json:"end_s"`              // expected, from its acceptance or release
 }
 
 const (
-	// Jobs are checked for lateness this often at best, and no more often than leaves
-	// lateCheckPerJob after each job that is checked.
+	// Jobs are checked for lateness at most once per lateCheckInterval, and with many jobs
+	// at most once per lateCheckPerJob times the number of jobs.
 	lateCheckInterval = time.Second
 	lateCheckPerJob   = 5 * time.Millisecond
-	// minLeadShare: a job that will not make its learned deadline is warned of at the
-	// latest when this share of the learned time is left.
+	// minLeadShare delays warnings: a job that is expected to miss its learned deadline is
+	// reported once at most this share of the learned time is left.
 	minLeadShare = 0.2
-	// slowTaskFactor times the learned 90th percentile a task must run to count as slow.
+	// slowTaskFactor is how many times the learned 90th percentile a task must run to count as slow.
 	slowTaskFactor = 2
 )
 
-// What a webhook is told of a warning.
+// Values of webhookNotice.What.
 const (
 	warningRaised     = "raised"
 	endedByCompletion = "done"
 	endedByRemoval    = "over"
 )
 
-// webhookNotice is what the webhook is sent of a warning.
+// webhookNotice is the body of a webhook message about a warning.
 type webhookNotice struct {
 	What string `json:"what"` // raised, done or over
 	Late
 }
 
-// checkLateJobs raises and updates warnings.
+// checkLateJobs raises and updates the warnings of all open jobs.
 func (d *Component) checkLateJobs(now time.Duration) {
 	for _, f := range d.forecasts(now) {
 		if f.Estimate.JobP90 > 0 && f.job.Phase != jobs.Held {
@@ -96,13 +96,15 @@
 	return warning
 }
 
-// learnedDeadline is the learned time of jobs like one, with the operators' margin.
+// learnedDeadline returns the learned 90th percentile of the job time, times the late margin of the
+// settings.
 func (d *Component) learnedDeadline(e Estimate) time.Duration {
 	return time.Duration(e.JobP90 * d.lateMargin * float64(time.Second))
 }
 
-// notifyWebhook sends a warning to the operators' webhook. A job is told of once each way,
-// and again under the same id by a new leader, which does not know that it was.
+// notifyWebhook sends a warning to the operators' webhook. Each leader sends one message for each
+// event of a job. A new leader may send it again under the same id, because it does not have
+// its predecessor's warnings.
 func (d *Component) notifyWebhook(l Late, what string) {
 	if d.Cfg.Tunables.WebhookURL == "" {
 		return
@@ -114,7 +116,7 @@
 	d.Emit(effects.Notify{ID: "late/" + l.Job + "/" + what, Body: raw})
 }
 
-// clearWarning ends a warning.
+// clearWarning removes a job's warning, if there is one, and reports its end.
 func (d *Component) clearWarning(id uint64, how string) {
 	if l := d.lateJobs[id]; l != nil {
 		delete(d.lateJobs, id)
@@ -123,7 +125,7 @@
 	}
 }
 
-// delayReason says what a late job waits for, the worst first.
+// delayReason returns why a job is late. The most important reason takes precedence.
 func (d *Component) delayReason(now time.Duration, j *jobs.Job, f Forecast) string {
 	if d.MayRunUnseen(j) && j.Waiting > 0 {
 		return "held back"
@@ -142,10 +144,11 @@
 	return "it takes longer than its kind"
 }
 
-// placedTasks counts a job's placed tasks. The slow ones are running too.
+// placedTasks counts a job's placed tasks. Slow tasks are also counted as running.
 type placedTasks struct{ running, slow, fetching int }
 
-// countPlacedTasks counts them, at a learned 90th percentile of their run time in seconds.
+// countPlacedTasks counts a job's placed tasks. p90 is the learned 90th percentile of their run time
+// in seconds.
 func (d *Component) countPlacedTasks(now time.Duration, j *jobs.Job, p90 float64) (n placedTasks) {
 	for k, s := range j.Tasks {
 		if s != jobs.Placed {
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -13,45 +13,45 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// maxDeferredRecords bounds the records that wait in memory for the history to be loaded.
+// maxDeferredRecords bounds the records kept in memory until the history is loaded.
 const maxDeferredRecords = 20000
 
-// jobRun is what is known of an open job's tasks.
+// jobRun holds the observations of an open job's tasks.
 type jobRun struct {
 	kind        Kind
-	est         Estimate // when the first of them was seen
+	est         Estimate // at the time of the first observation
 	task, fetch *ddsketch.DDSketch
-	n           int          // tasks whose time counts
-	disturbed   map[int]bool // tasks that were started more than once, or moved
+	n           int          // number of tasks whose run time counts
+	disturbed   map[int]bool // tasks that left a machine before they completed
 }
 
-// RunRecord is what one job has shown, once it is done. Times are in seconds.
+// RunRecord is the observed run times of a finished job, in seconds.
 type RunRecord struct {
 	ID       uint64
-	At       int64 // time of day, in seconds
-	Day      int32 // of the night it belongs to
+	At       int64 // Unix time of its end, in seconds
+	Day      int32 // night in which it ended
 	Kind     Kind
-	N        int // tasks whose time counts
-	Task     [5]float64
-	Fetch    float64 // the median of what passed between a task's start and its running; 0: none was seen
-	Job      float64 // from its acceptance, or release, to its end
-	Estimate float64 // its owner's, of one task
-	Work     float64 // of all its tasks, in processor seconds
+	N        int        // number of tasks whose run time counts
+	Task     [5]float64 // task run times at recordQuantiles
+	Fetch    float64    // median time from a task's placement to its running; 0: not observed
+	Job      float64    // from its acceptance or release to its end
+	Estimate float64    // the owner's estimate of one task
+	Work     float64    // of all its tasks, in CPU seconds
 }
 
-// accepted is when its job was accepted, or released.
+// accepted returns when the job was accepted or released.
 func (r *RunRecord) accepted() time.Time {
 	return time.Unix(r.At, 0).Add(-time.Duration(r.Job * float64(time.Second)))
 }
 
-// Quantiles of a distribution that a record carries; each stands for as many values as lie
-// nearest to it.
+// recordQuantiles are the quantiles of task run times in a record. quantileWeights is the share of
+// the values that are nearest to each of them.
 var (
 	recordQuantiles = [5]float64{.05, .25, .5, .75, .95}
 	quantileWeights = [5]float64{.15, .225, .25, .225, .15}
 )
 
-// mean is the mean of a job's tasks by what is kept of them.
+// mean returns the approximate mean task time from the quantiles of a record.
 func mean(task [5]float64) float64 {
 	sum := 0.0
 	for i, v := range task {
@@ -70,7 +70,7 @@
 	}
 }
 
-// estimateJob is what is expected of a job.
+// estimateJob returns the current estimate for a job.
 func (d *Component) estimateJob(now time.Duration, j *jobs.Job) Estimate {
 	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
@@ -90,8 +90,8 @@
 	return r
 }
 
-// seedEstimator has the estimate of a job's size start from what its kind has shown
-// (learned_sizes).
+// seedEstimator sets the initial size estimate of a job from the history of its kind, if
+// learned_sizes is enabled.
 func (d *Component) seedEstimator(now time.Duration, j *jobs.Job) {
 	if d.Cfg.Tunables.LearnedSizes == 0 || !d.historyReader.Done {
 		return
@@ -135,7 +135,7 @@
 	r.n++
 }
 
-// jobDone makes a record of a job that is durably done.
+// jobDone logs and counts the run record of a job that is durably done.
 func (d *Component) jobDone(now time.Duration, j *jobs.Job) {
 	r := d.runs[j.Record.ID]
 	delete(d.runs, j.Record.ID)
@@ -165,7 +165,8 @@
 	}
 }
 
-// countRecord counts a record, once for each job.
+// countRecord adds a record to the model and the demand, once for each job. It defers the record
+// while the history is not loaded.
 func (d *Component) countRecord(r *RunRecord) {
 	if _, counted := d.countedRuns[r.ID]; counted {
 		return
@@ -184,16 +185,16 @@
 	d.demand.addWork(night.Day, night.Holiday, d.calendar.Slot(accepted), r.Work)
 }
 
-// deferRecord keeps a record until the history is loaded.
+// deferRecord keeps a record until the history is loaded. Records beyond maxDeferredRecords are dropped.
 func (d *Component) deferRecord(r *RunRecord) {
 	if len(d.deferredRecords) < maxDeferredRecords {
 		d.deferredRecords = append(d.deferredRecords, r)
 	}
 }
 
-// historyLoaded counts the records that waited for the history, in the order of their
-// nights: compaction may have left an older one behind a newer one. What they close, and
-// what the last leader has closed and not written, is written.
+// historyLoaded counts the deferred records, sorted by night because compaction may have moved
+// an older record behind a newer one. Nights that these records close, including those that
+// the previous leader closed but did not write, become due for writing.
 func (d *Component) historyLoaded(now time.Duration) {
 	d.model.evict()
 	d.removeFromStore(d.model.takeEvicted())
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// evictionShare: of a full model one in so many kinds is evicted at once.
+// evictionShare is the inverse of the share of maxKinds by which an overfull model is reduced below
+// maxKinds.
 const evictionShare = 16
 
-// Model is the history of all kinds of work.
+// Model holds the histories of all kinds of work.
 type Model struct {
 	maxKinds    int
 	histories   map[Kind]*history
-	forgottenAt map[Kind]int64 // records up to then, in seconds, count no more for a kind
-	evicted     []Kind         // for want of room, since they were last asked for
-	openKinds   []Kind         // with an open night, in the order in which it began; some are closed or gone
+	forgottenAt map[Kind]int64 // Unix time in seconds; records up to then do not count for the kind
+	evicted     []Kind         // kinds evicted since the last takeEvicted
+	openKinds   []Kind         // kinds by the start of their open night; may include closed or removed ones
 }
 
-// NewModel makes an empty model of at most so many kinds.
+// NewModel returns an empty model of at most maxKinds kinds.
 func NewModel(maxKinds int) *Model {
 	return &Model{maxKinds: maxKinds, histories: map[Kind]*history{}, forgottenAt: map[Kind]int64{}}
 }
 
-// historyOf returns the history of a kind, an empty one if there was none.
+// historyOf returns the history of a kind, creating an empty one if there is none.
 func (m *Model) historyOf(k Kind) *history {
 	h := m.histories[k]
 	if h == nil {
@@ -32,8 +33,8 @@
 	return h
 }
 
-// AddRun counts a record for its kind and the coarser ones. It returns the kinds for which
-// that has closed a night.
+// AddRun counts a record for its kind and all coarser ones. It returns the kinds for which
+// this closed a night.
 func (m *Model) AddRun(r *RunRecord) (closed []Kind) {
 	for _, k := range r.Kind.levels() {
 		if at, ok := m.forgottenAt[k]; ok && r.At <= at {
@@ -53,9 +54,9 @@
 	return closed
 }
 
-// evict makes room in a model that is too full, a share of it at once, so that it costs
-// each record little. The least useful kinds go: of those that are finest, the ones that
-// were not seen for longest. Coarser ones speak for many.
+// evict removes kinds from a model that has more than maxKinds. It removes a fixed share at once, so
+// that the cost per record is small. The finest kinds go first, and among these the ones with
+// the oldest last record, because a coarser kind serves as fallback for many others.
 func (m *Model) evict() {
 	if len(m.histories) <= m.maxKinds {
 		return
@@ -63,7 +64,7 @@
 	type candidate struct {
 		kind         Kind
 		name         string
-		levels       int // coarser kinds, itself included
+		levels       int // number of coarser kinds, including itself
 		lastRecordAt int64
 	}
 	list := make([]candidate, 0, len(m.histories))
@@ -84,8 +85,8 @@
 	}
 }
 
-// kindsEndedBefore returns the kinds with an open night before a day, and forgets which
-// nights began before it.
+// kindsEndedBefore returns the kinds with an open night before the given day, and removes them
+// from openKinds.
 func (m *Model) kindsEndedBefore(day int32) (ended []Kind) {
 	m.openKinds = slices.DeleteFunc(m.openKinds, func(k Kind) bool {
 		h := m.histories[k]
@@ -108,5 +109,5 @@
 	return out
 }
 
-// Len is the number of kinds.
+// Len returns the number of kinds.
 func (m *Model) Len() int { return len(m.histories) }
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// recordOf makes a run record of tasks with these times.
+// recordOf returns a run record of tasks with the given times.
 func recordOf(id uint64, day int32, k Kind, owner float64, times []float64) *RunRecord {
 	slices.Sort(times)
 	f := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, N: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
@@ -19,7 +19,7 @@
 	return f
 }
 
-// normal gives n times about a mean, spread by a share of it.
+// normal returns n lognormal times with the median mean; spread is the sigma of their logarithms.
 func normal(r *rand.Rand, n int, mean, spread float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
@@ -30,7 +30,7 @@
 
 var recon = Kind{Class: "recon", Team: "ops", Image: "img-1", Shape: "7x10"}
 
-// nights plays nights of three jobs each; of gives the mean of each night.
+// nights adds n nights of three jobs each; of returns the median task time of a night.
 func nights(b *Model, n int, k Kind, of func(day int) float64) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for day := range n {
@@ -40,8 +40,8 @@
 	}
 }
 
-// One night in thirty on which all machines are three times slower moves the next
-// estimates by less than a tenth.
+// A single night on which all tasks are three times slower changes the next estimates by at
+// most 10 %.
 func TestFreakNight(t *testing.T) {
 	for freak := 3; freak < 30; freak++ {
 		calm, hit := NewModel(100), NewModel(100)
@@ -54,33 +54,33 @@
 		})
 		a, b := calm.Estimate(recon, 20, 0), hit.Estimate(recon, 20, 0)
 		if d := b.P50/a.P50 - 1; math.Abs(d) > .1 {
-			t.Errorf("freak night %d: p50 moves by %.2f", freak, d)
+			t.Errorf("slow night %d: p50 changes by %.2f", freak, d)
 		}
 		if d := b.P90/a.P90 - 1; math.Abs(d) > .1 {
-			t.Errorf("freak night %d: p90 moves by %.2f", freak, d)
+			t.Errorf("slow night %d: p90 changes by %.2f", freak, d)
 		}
 	}
 }
 
-// Thirty nights of slow drift are followed within five of them.
+// During thirty nights of slow drift, estimates lag by at most five nights.
 func TestDriftIsFollowed(t *testing.T) {
 	b := NewModel(100)
 	mean := func(day int) float64 { return 20 * math.Pow(1.02, float64(day)) }
 	nights(b, 30, recon, mean)
 	got := b.Estimate(recon, 20, 0).P50
 	if got < mean(24)*.98 || got > mean(30) {
-		t.Errorf("after 30 nights %.1f s, five nights before it was %.1f and now %.1f", got, mean(24), mean(29))
+		t.Errorf("estimate after 30 nights: %.1f s, actual five nights before: %.1f s, now: %.1f s", got, mean(24), mean(29))
 	}
 }
 
-// A kind without history takes that of coarser ones, and says so; a new image of a
-// known class is its owner's estimate corrected by what such owners were off by.
+// A kind without history uses that of a coarser kind and names it in From. For a new image of a
+// known class, the owner's estimate is corrected by the class's ratio of actual to estimated times.
 func TestEstimateFallsBackToCoarserKinds(t *testing.T) {
 	b := NewModel(100)
 	if e := b.Estimate(recon, 10, 0); e.P50 != 10 || e.P90 < 15 || e.Wide == "" {
 		t.Errorf("without any history: %+v", e)
 	}
-	nights(b, 5, recon, func(int) float64 { return 40 }) // owners said 20
+	nights(b, 5, recon, func(int) float64 { return 40 }) // owners estimated 20
 	if e := b.Estimate(recon, 20, 0); e.From != "class+team+image+shape" || math.Abs(e.P50-40) > 3 || e.Jobs != 15 {
 		t.Errorf("with history: %+v", e)
 	}
@@ -91,12 +91,12 @@
 	}
 	fresh := Kind{Class: "recon", Team: "new", Image: "img-9", Shape: "7x10"}
 	if e := b.Estimate(fresh, 10, 0); math.Abs(e.P50-20) > 2 || e.P90 <= e.P50*1.2 || !strings.Contains(e.Wide, "no history") {
-		t.Errorf("a new image whose owner says 10: %+v", e)
+		t.Errorf("a new image with an owner's estimate of 10: %+v", e)
 	}
 	day := recon
 	day.Holiday = true
 	if e := b.Estimate(day, 20, 0); e.From != "class+team+image+shape" {
-		t.Errorf("a first holiday: %+v", e)
+		t.Errorf("the first holiday: %+v", e)
 	}
 	nights(b, 0, day, nil)
 	r := rand.New(rand.NewPCG(1, 1))
@@ -107,11 +107,11 @@
 		t.Errorf("the next holiday: %+v", e)
 	}
 	if e := b.Estimate(recon, 20, 0); math.Abs(e.P50-40) > 3 {
-		t.Errorf("holidays count for ordinary nights: %+v", e)
+		t.Errorf("a holiday changed the estimate for ordinary nights: %+v", e)
 	}
 }
 
-// Two modes: the interval holds both, and says that it is wide.
+// With a bimodal distribution the interval contains both modes and is marked as wide.
 func TestTwoModesWidenTheInterval(t *testing.T) {
 	b := NewModel(100)
 	r := rand.New(rand.NewPCG(2, 2))
@@ -124,8 +124,8 @@
 	}
 }
 
-// Estimates land near what comes: shares within 10, 20 and 50 % for the first,
-// third and tenth run, against the owner's estimate and the mean of all before.
+// Checks the accuracy of estimates: the share within 10, 20 and 50 % of the actual time for the
+// first, third and tenth run, compared with the owner's estimate and the mean of earlier runs.
 func TestEstimatesLand(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 9))
 	b := NewModel(1000)
@@ -155,10 +155,10 @@
 		sum, n := 0.0, 0.0
 		for run := 1; run <= 10; run++ {
 			id++
-			owner := true50 * .5 * math.Exp(.4*r.NormFloat64()) // owners estimate half
+			owner := true50 * .5 * math.Exp(.4*r.NormFloat64()) // owners estimate half of the actual time
 			slow := 1.0
 			if run == 5 {
-				slow = 3 // a freak night
+				slow = 3 // an outlier night
 			}
 			times := normal(r, 40, true50*slow*math.Exp(.05*r.NormFloat64()), .15)
 			actual := slices.Sorted(slices.Values(times))[20]
@@ -188,30 +188,30 @@
 	}
 	for _, run := range []int{3, 10} {
 		if s := learned[run]; float64(s.twenty)/float64(s.n) < .85 {
-			t.Errorf("run %d: %d of %d within a fifth", run, s.twenty, s.n)
+			t.Errorf("run %d: %d of %d estimates within 20 %%", run, s.twenty, s.n)
 		}
 	}
 	if l, o := learned[1], owners[1]; l.fifty <= o.fifty {
-		t.Errorf("first runs: %d of %d within a half, owners %d", l.fifty, l.n, o.fifty)
+		t.Errorf("first runs: %d of %d within 50 %%, owners' estimates: %d", l.fifty, l.n, o.fifty)
 	}
 }
 
-// The model is bounded, and forgets fine kinds before coarse ones.
+// The model is bounded and evicts fine kinds before coarse ones.
 func TestModelIsBounded(t *testing.T) {
 	b := NewModel(50)
 	r := rand.New(rand.NewPCG(4, 4))
 	for n := range 300 {
 		b.AddRun(recordOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1)))
 		if b.Len() > 50 {
-			t.Fatalf("%d kinds", b.Len())
+			t.Fatalf("%d kinds in a model of at most 50", b.Len())
 		}
 	}
 	if e := b.Estimate(Kind{Class: "c", Team: "t"}, 0, 0); e.Nights < maxNights {
-		t.Errorf("the class is forgotten: %+v", e)
+		t.Errorf("the coarse kind was evicted: %+v", e)
 	}
 }
 
-// What a record costs does not grow with the number of kinds.
+// The cost of a record must not grow with the number of kinds.
 func BenchmarkAddRun(b *testing.B) {
 	for _, kinds := range []int{100, 10000} {
 		b.Run(fmt.Sprint(kinds), func(b *testing.B) {
--- a/internal/leader/runtimes/nights.go
+++ b/internal/leader/runtimes/nights.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	countedRunDays        = 2  // for how long the ids of counted jobs are remembered
-	keepForgottenDays     = 3  // for how long it is logged that a kind was forgotten
-	maxKindsClosedPerTick = 16 // kinds whose night is closed in one tick
+	countedRunDays        = 2  // how long the ids of counted jobs are kept
+	keepForgottenDays     = 3  // how long compaction keeps the entry of a forgotten kind
+	maxKindsClosedPerTick = 16 // maximum number of kinds whose night is closed in one tick
 )
 
-// wallClock is the time of day.
+// wallClock converts the leader's clock to wall clock time.
 func (d *Component) wallClock(now time.Duration) time.Time {
 	return time.UnixMilli(d.ClockZeroMS + now.Milliseconds())
 }
 
-// startNight notes which night it is. Those before it are closed for all kinds.
+// startNight sets the current night. When it changes, earlier nights of all kinds are queued for closing
+// and data that is no longer needed is dropped.
 func (d *Component) startNight(now time.Duration) {
 	today := d.calendar.At(d.wallClock(now))
 	if today == d.today {
@@ -36,7 +37,7 @@
 	}
 }
 
-// closeNights closes the night of some of the kinds for which it is over.
+// closeNights closes the ended night of up to maxKindsClosedPerTick kinds.
 func (d *Component) closeNights() {
 	n := min(maxKindsClosedPerTick, len(d.closingKinds))
 	for _, k := range d.closingKinds[:n] {
@@ -49,13 +50,13 @@
 	d.closingKinds = d.closingKinds[n:]
 }
 
-// nightDurable reports whether a kind's summary up to a night is durable.
+// nightDurable reports whether a kind's history up to and including a night is durable.
 func (d *Component) nightDurable(k Kind, day int32) bool {
 	last, ok := d.durableNights[k]
 	return ok && last >= day
 }
 
-// recordNeeded reports whether a record is not in the values of all that it counts for.
+// recordNeeded reports whether a record is still missing from a durable value that it counts for.
 func (d *Component) recordNeeded(r *RunRecord) bool {
 	for _, k := range r.Kind.levels() {
 		if d.model.histories[k] != nil && !d.nightDurable(k, r.Day) {
@@ -65,8 +66,8 @@
 	return r.Work > 0 && d.demand.notDurable(d.calendar.At(r.accepted()).Day)
 }
 
-// forgottenNeeded reports whether records of a kind that was forgotten may still be in the
-// log, or the kind in a value.
+// forgottenNeeded reports whether the entry of a forgotten kind is still needed, because the log may
+// hold records of the kind or a value may still contain it.
 func (d *Component) forgottenNeeded(f *storedForgotten) bool {
 	if !d.historyReader.Done || d.calendar.At(time.Unix(f.At, 0)).Day >= d.today.Day-keepForgottenDays {
 		return true
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -13,8 +13,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// full gives the values of so many kinds of nine nights, in values of so many bytes,
-// and how large they are in all.
+// full returns stored values of at most the given size that hold the given number of kinds
+// with nine nights each, and their total size.
 func full(kinds, bytes int) (values []eventlog.ComponentValue, total int) {
 	s := newValueStore(bytes)
 	var v storedValue
@@ -52,8 +52,8 @@
 	return New(cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}}))
 }
 
-// What a new leader reads after its term has begun, with a full model: ten thousand
-// kinds of nine nights. Nothing of it stands between its election and its work.
+// Measures how a new leader reads the values of a full model: ten thousand kinds of nine
+// nights. It reads them after its term has begun, so this does not delay its first work.
 func BenchmarkReadTenThousandKinds(b *testing.B) {
 	for _, bytes := range []int{960, 8128} {
 		b.Run(fmt.Sprint(bytes), func(b *testing.B) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// What ten thousand kinds take in memory, with their night open and once it is closed.
+// Measures the memory of nine thousand kinds, with closed nights and with an open one.
 func BenchmarkMemoryTenThousandKinds(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
@@ -104,7 +104,7 @@
 	}
 }
 
-// The end of a night of ten thousand kinds is spread over ticks.
+// Measures the longest tick when the night of nine thousand kinds ends; closing is spread over ticks.
 func BenchmarkNightEnds(b *testing.B) {
 	r := rand.New(rand.NewPCG(4, 4))
 	for b.Loop() {
--- a/internal/leader/runtimes/sketch.go
+++ b/internal/leader/runtimes/sketch.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	sketchAccuracy = 0.02 // relative
+	sketchAccuracy = 0.02 // relative accuracy
 	sketchBins     = 512
-	minSketched    = 1e-6 // no sketch can hold values that are as small,
-	maxSketched    = 1e9  // or as large
+	minSketched    = 1e-6 // sketched values must be above this
+	maxSketched    = 1e9  // and below this
 )
 
 func newSketch() *ddsketch.DDSketch {
@@ -22,23 +22,23 @@
 	return s
 }
 
-// addToSketch counts a value; one that no sketch can hold is left out.
+// addToSketch adds a value to a sketch. Values outside the bounds of sketches are ignored.
 func addToSketch(s *ddsketch.DDSketch, v, count float64) {
 	if v > minSketched && v < maxSketched && count > 0 {
-		_ = s.AddWithCount(v, count) // it fails for values outside these bounds only
+		_ = s.AddWithCount(v, count) // it fails only for values outside these bounds
 	}
 }
 
 func quantile(s *ddsketch.DDSketch, q float64) float64 {
 	v, err := s.GetValueAtQuantile(q)
 	if err != nil {
-		return 0 // it is empty
+		return 0 // the sketch is empty
 	}
 	return v
 }
 
-// median is the weighted median of a value over nights: a night's weight is
-// bounded, and one freak night among several moves it to a neighbour at most.
+// median returns the weighted median of a value over nights. A night's weight is bounded, and a
+// single outlier night among several shifts the result to a neighbouring value at most.
 func median(nights []Night, of func(Night) float64) float64 {
 	type point struct{ v, w float64 }
 	var list []point
@@ -54,8 +54,8 @@
 		return 0
 	}
 	slices.SortFunc(list, func(a, b point) int { return cmp.Compare(a.v, b.v) })
-	// Between the two nights that the middle lies between, in proportion: so that an
-	// even number of nights does not jump.
+	// Interpolate between the two nights around the middle, so that the result does not jump
+	// for an even number of nights.
 	sum := 0.0
 	for i, p := range list {
 		mid := sum + p.w/2
--- a/internal/leader/runtimes/speed.go
+++ b/internal/leader/runtimes/speed.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	minTasksForSpeed = 4   // of a machine, before it is known to be slow
-	slowRatio        = 1.7 // times what was expected, from which on it is
-	knownPerSlow     = 4   // machines; where more than one in so many is slow, none counts as slow
+	minTasksForSpeed = 4   // minimum number of tasks before a machine can count as slow
+	slowRatio        = 1.7 // mean ratio of actual to expected time from which a machine counts as slow
+	knownPerSlow     = 4   // if more than one in this many known machines is slow, none counts as slow
 )
 
-// machineSpeed is how slow a machine's tasks are, as a mean of logarithms.
+// machineSpeed is the average slowness of a machine's tasks.
 type machineSpeed struct {
-	n   int     // tasks
-	log float64 // of the time that a task took next to the expected one
+	n   int     // number of tasks
+	log float64 // moving average of the logarithm of actual over expected task time
 }
 
-// observeSpeed notes how a machine's task went against what was expected, and
-// reports whether the machine is known to be slow.
+// observeSpeed updates a machine's speed with a finished task and reports whether the machine is known
+// to be slow.
 func (d *Component) observeSpeed(r *jobRun, e cluster.Event) bool {
 	if r.est.Tasks == 0 || r.est.P50 <= 0 {
 		return false
@@ -34,8 +34,8 @@
 	return d.isSlow(e.Machine.Name)
 }
 
-// isSlow reports whether a machine is far slower than the others: not when all of them
-// are.
+// isSlow reports whether a machine is known to be slow. It returns false if more than one in
+// knownPerSlow known machines are slow, because then the work itself takes longer.
 func (d *Component) isSlow(machine string) bool {
 	s := d.machineSpeeds[machine]
 	if s == nil || s.n < minTasksForSpeed || s.log < math.Log(slowRatio) {
--- a/internal/leader/runtimes/store.go
+++ b/internal/leader/runtimes/store.go
@@ -2,34 +2,34 @@
 
 import "slices"
 
-// What closed nights have shown is kept in values of the component's own beside the log,
-// a few kinds to a value. A new leader begins its term without them and reads them page by
-// page while it works; until then records wait, and estimates are the owners'.
+// The summaries of closed nights are stored in component values outside the log, several kinds in
+// one value. A new leader begins its term without them and reads them page by page while it
+// works. Until all are read, records are deferred and estimates come from the job owners.
 //
-// Values with a number below maxNights hold the demand of one night each, the others
-// kinds.
+// Each value with a number below maxNights holds the demand of one night; the other values
+// hold kinds.
 
 const (
-	bytesPerNight = 80 // rough size of a night in a value
-	bytesPerKind  = 60 // rough size of a kind in a value, beside its name and nights
-	noValue       = -1 // the number of no value
+	bytesPerNight = 80 // approximate size of a night in a value
+	bytesPerKind  = 60 // approximate size of a kind in a value, without its name and nights
+	noValue       = -1 // stands for no value
 )
 
-// valueStore says which value each kind is kept in, and which values are to be written.
+// valueStore tracks which value each kind is stored in and which values must be written.
 type valueStore struct {
-	maxBytes int // of a value
+	maxBytes int // maximum size of a value
 	groups   map[int]*kindGroup
 	valueOf  map[Kind]int
-	filling  int // the value that takes new kinds; noValue: none yet
-	next     int // numbers from this one on were never used
-	dirty    []int
+	filling  int   // the value that takes new kinds; noValue: none yet
+	next     int   // the lowest number above all that were ever used
+	dirty    []int // numbers of the values to write, in order
 	isDirty  map[int]bool
 }
 
-// kindGroup is what one value holds.
+// kindGroup is the kinds stored in one value.
 type kindGroup struct {
 	kinds []Kind
-	bytes int // roughly, once each of them has all its nights
+	bytes int // approximate size once each kind has all its nights
 }
 
 func newValueStore(maxBytes int) *valueStore {
@@ -43,10 +43,10 @@
 	}
 }
 
-// storedSize is roughly what a kind takes with all its nights.
+// storedSize returns the approximate stored size of a kind with all its nights.
 func storedSize(k Kind) int { return bytesPerKind + len(k.String()) + maxNights*bytesPerNight }
 
-// put keeps a kind in a value.
+// put assigns a kind to a value.
 func (s *valueStore) put(number int, k Kind) {
 	g := s.groups[number]
 	if g == nil {
@@ -59,7 +59,7 @@
 	s.next = max(s.next, number+1)
 }
 
-// remove keeps a kind nowhere.
+// remove removes a kind from its value and marks the value dirty.
 func (s *valueStore) remove(k Kind) {
 	number, ok := s.valueOf[k]
 	if !ok {
@@ -72,7 +72,8 @@
 	s.markDirty(number)
 }
 
-// assign returns the value that a kind is kept in, a new one if need be.
+// assign returns the number of the value that stores a kind. A kind without a value is put into the
+// current one, or into a new one if that is full.
 func (s *valueStore) assign(k Kind) int {
 	if number, ok := s.valueOf[k]; ok {
 		return number
@@ -84,7 +85,7 @@
 	return s.filling
 }
 
-// markDirty has a value written when its turn comes.
+// markDirty queues a value for writing.
 func (s *valueStore) markDirty(number int) {
 	if !s.isDirty[number] {
 		s.isDirty[number] = true
@@ -92,7 +93,7 @@
 	}
 }
 
-// takeDirty returns the value whose turn it is. There must be one.
+// takeDirty removes the next value from the write queue, which must not be empty.
 func (s *valueStore) takeDirty() int {
 	number := s.dirty[0]
 	s.dirty = s.dirty[1:]
@@ -100,9 +101,9 @@
 	return number
 }
 
-// split moves kinds out of a value that is too full, into others: it may have been written
-// when values were larger. It reports whether there was anything to move; the others are
-// written first then, so that every kind is always in one at least.
+// split moves kinds out of an oversized value into others. A value can be oversized if it was
+// written when larger values were allowed. split reports whether it moved any kind. The other
+// values are then written first, so that each kind is always in at least one durable value.
 func (s *valueStore) split(number int) bool {
 	g := s.groups[number]
 	if g == nil || g.bytes <= s.maxBytes || len(g.kinds) < 2 {
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	valueVersion   = 1    // format of the values
-	writeShare     = 0.05 // of the changes a second that the state service takes
-	changesPerPair = 2    // a value costs a change for itself and one for its entry
-	minWriteRate   = 0.01 // changes a second, however slow the state service
+	valueVersion   = 1    // format version of the values
+	writeShare     = 0.05 // share of the state service's write rate that value writes may use
+	changesPerPair = 2    // a value needs one write for itself and one for its log entry
+	minWriteRate   = 0.01 // in writes per second, however slow the state service is
 )
 
-// writeInterval is the time between values, at so many changes a second that the state
-// service takes.
+// writeInterval returns the minimum time between value writes for a state service that accepts the
+// given number of changes per second.
 func writeInterval(changesPerSecond float64) time.Duration {
 	return settings.Seconds(changesPerPair / max(minWriteRate, writeShare*changesPerSecond))
 }
 
-// storedValue is one value: some kinds, or a night's demand.
+// storedValue is the content of one value: some kinds, or a night's demand.
 type storedValue struct {
 	Version int           `json:"v"`
 	Kinds   []storedKind  `json:"k,omitempty"`
@@ -35,14 +35,14 @@
 // FormatVersion implements valuestore.Versioned.
 func (v *storedValue) FormatVersion() int { return v.Version }
 
-// valueWrite is a write of a value.
+// valueWrite describes a value write that is not durable yet.
 type valueWrite struct {
 	number     int
-	lastNights map[Kind]int32 // of each kind in it
-	demandDay  int32          // the night of the demand in it; math.MinInt32: none
+	lastNights map[Kind]int32 // last night of each kind in the value
+	demandDay  int32          // night of the demand in the value; math.MinInt32: none
 }
 
-// ValuesRead takes a page of the history.
+// ValuesRead restores a page of the history.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
 	if !d.historyReader.PageRead(now, list, more, ok) {
 		return
@@ -55,9 +55,8 @@
 	}
 }
 
-// restoreValue takes a value. One that cannot be decoded is left as it is: another version
-// may know it, or somebody may want to see what has become of it. Its number is not used
-// again.
+// restoreValue restores a value. A value that cannot be decoded is left unchanged, because another
+// version may be able to read it or an operator may want to inspect it. Its number is not reused.
 func (d *Component) restoreValue(v eventlog.ComponentValue) {
 	var stored storedValue
 	number, err := valuestore.Decode(Name, v, valueVersion, &stored)
@@ -74,8 +73,9 @@
 	}
 }
 
-// restoreKind takes a kind of a value. It may be in two, while it moved: then the one with
-// the later nights counts, and the other one is written anew.
+// restoreKind restores a kind from a value. A kind may be in two values if a leader ended while
+// moving it. Then the copy with the later nights counts, and the other value is written again
+// without the kind.
 func (d *Component) restoreKind(number int, s *storedKind) {
 	k := kindOf(s.Kind, s.Holiday)
 	if at, ok := d.model.forgottenAt[k]; (ok && s.At <= at) || len(s.Nights) == 0 {
@@ -98,7 +98,7 @@
 	d.durableNights[k] = last
 }
 
-// removeFromStore keeps kinds that are in the model no more nowhere.
+// removeFromStore removes kinds that are no longer in the model from their stored values.
 func (d *Component) removeFromStore(list []Kind) {
 	for _, k := range list {
 		delete(d.durableNights, k)
@@ -106,13 +106,13 @@
 	}
 }
 
-// writeNext writes one value, when nothing else waits and not too often.
+// writeNext writes the next dirty value if no log entry is pending and writeInterval has passed.
 func (d *Component) writeNext(now time.Duration) {
 	for _, refused := range d.writes.TakeRefused(d.EventLog) {
-		d.store.markDirty(refused.number) // with smaller values it is tried again
+		d.store.markDirty(refused.number) // retried in smaller values
 	}
 	if d.writes.Len() > 0 {
-		return // one at a time
+		return // only one value is written at a time
 	}
 	if len(d.store.dirty) == 0 || now-d.lastWriteAt < d.writeInterval || d.EventLog.PendingCount() > 0 {
 		return
@@ -130,8 +130,8 @@
 	}
 }
 
-// marshalWithin encodes a value. Of one that is too large the oldest nights of each kind
-// go first; it may be too large even so.
+// marshalWithin encodes a value. While the result is larger than maxBytes, it drops the oldest night
+// of each kind that has more than one. The result may still be too large.
 func marshalWithin(value *storedValue, maxBytes int) ([]byte, error) {
 	raw, err := json.Marshal(*value)
 	for cut := 1; err == nil && len(raw) > maxBytes && cut < maxNights; cut++ {
@@ -145,7 +145,7 @@
 	return raw, err
 }
 
-// snapshotValue is what a value holds now.
+// snapshotValue returns the current content of a value and the description of its write.
 func (d *Component) snapshotValue(number int) (storedValue, valueWrite) {
 	value := storedValue{Version: valueVersion}
 	write := valueWrite{number: number, lastNights: map[Kind]int32{}, demandDay: math.MinInt32}
@@ -158,7 +158,7 @@
 	}
 	g := d.store.groups[number]
 	if g == nil {
-		return value, write // all that it held is elsewhere
+		return value, write // its kinds were moved to other values
 	}
 	for _, k := range g.kinds {
 		h := d.model.histories[k]
@@ -175,7 +175,7 @@
 	return value, write
 }
 
-// EntryDurable notes which nights are durable.
+// EntryDurable records which nights became durable with a value.
 func (d *Component) EntryDurable(_ time.Duration, _ bool, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	if !ok || x.Stored == nil {
--- a/internal/leader/runtimes/view.go
+++ b/internal/leader/runtimes/view.go
@@ -10,7 +10,7 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// shownKind is one kind as operators see it.
+// shownKind is a kind as Show returns it.
 type shownKind struct {
 	Name string `json:"name"`
 	Kind
@@ -18,16 +18,16 @@
 	Nights   [][11]float64 `json:"nights"`
 }
 
-// Views of the component, beside the empty one.
+// Names of the component's views. The empty name selects the list of kinds.
 const (
 	viewForecast = "forecast"
 	viewLate     = "late"
 	viewAhead    = "ahead"
 )
 
-// Show returns, as JSON, a list of kinds with their estimates and nights; or with the view
-// "forecast" the open jobs in their order, with "late" the warnings, with "ahead" the
-// demand that is expected.
+// Show returns a view as JSON. The empty view lists the kinds with their estimates and nights,
+// "forecast" the forecasts of jobs in scheduling order, "late" the warnings, and "ahead"
+// the expected demand.
 func (d *Component) Show(now time.Duration, view string) (json.RawMessage, error) {
 	var out any
 	switch view {
@@ -49,7 +49,7 @@
 	return raw, nil
 }
 
-// warnings are the late jobs, those warned of first at the front.
+// warnings returns the warnings of late jobs, the oldest first.
 func (d *Component) warnings() []Late {
 	list := []Late{}
 	for _, l := range d.lateJobs {
@@ -61,7 +61,7 @@
 	return list
 }
 
-// shownKinds are all kinds by name.
+// shownKinds returns all kinds, sorted by name.
 func (d *Component) shownKinds(now time.Duration) []shownKind {
 	list := []shownKind{}
 	for k, h := range d.model.histories {
