--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -30,8 +30,8 @@
 	effects []effects.Effect // those that the last leader emitted while it read its history
 }
 
-// lead starts a new leader's term, which replays the log and reads the stored values.
-func (w *fixture) lead(t *testing.T, kinds int) *Component {
+// startTerm starts a new leader's term, which replays the log and reads the stored values.
+func (w *fixture) startTerm(t *testing.T, kinds int) *Component {
 	t.Helper()
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.RunTimesKinds = kinds
@@ -60,12 +60,12 @@
 	}
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: w.bytes, TxnOps: 9}, "lead/epoch", 1, last, 0)
 	d.Begin(w.now)
-	w.history(d, own)
+	w.loadHistory(d, own)
 	return d
 }
 
-// history lets a leader read its values in small pages; in some terms the first reads fail.
-func (w *fixture) history(d *Component, keys []string) {
+// loadHistory lets a leader read its values in small pages; in some terms the first reads fail.
+func (w *fixture) loadHistory(d *Component, keys []string) {
 	w.effects = nil
 	for asked := 0; !d.historyReader.Done; asked++ {
 		w.now += time.Second
@@ -89,8 +89,8 @@
 	w.effects = append(w.effects, d.DrainEffects()...)
 }
 
-// write commits up to the given number of transactions.
-func (w *fixture) write(d *Component, most int) {
+// commit makes up to the given number of transactions durable.
+func (w *fixture) commit(d *Component, most int) {
 	for range most {
 		w.now += time.Second
 		txn := d.EventLog.NextTransaction(w.now)
@@ -108,8 +108,8 @@
 	}
 }
 
-// job runs a job of a class to its end, with the given run time for each task.
-func (w *fixture) job(d *Component, id uint64, class string, took float64) {
+// runJob runs a job of a class to its end, with the given run time for each task.
+func (w *fixture) runJob(d *Component, id uint64, class string, took float64) {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 10})
 	j.Phase, j.AcceptedAt = jobs.Open, w.now
 	m := &workers.Machine{Name: fmt.Sprint("m", id%7)}
@@ -123,17 +123,17 @@
 	d.Jobs.Remove(j)
 }
 
-// counted returns the number of jobs that are counted for a class.
-func counted(d *Component, class string) int {
+// countedJobs returns the number of jobs that are counted for a class.
+func countedJobs(d *Component, class string) int {
 	m := d.model.histories[Kind{Class: class}]
 	if m == nil {
 		return 0
 	}
-	return m.summarize().est.Jobs
+	return m.summarize().estimate.Jobs
 }
 
-// worked returns the total counted work.
-func worked(d *Component) float64 {
+// countedWork returns the total counted work.
+func countedWork(d *Component) float64 {
 	total := 0.0
 	for _, n := range slices.Concat(d.demand.nights, d.demand.open) {
 		total += sum(slices.Values(n.work[:]))
@@ -148,8 +148,8 @@
 	return total
 }
 
-// durable adds the jobs whose records are in the stored log, with their work, to a map.
-func (w *fixture) durable(t *testing.T, into map[uint64]float64) {
+// collectDurable adds the jobs whose records are in the stored log, with their work, to a map.
+func (w *fixture) collectDurable(t *testing.T, into map[uint64]float64) {
 	for k, v := range w.values {
 		if strings.HasPrefix(k, eventlog.ComponentValuesPrefix) {
 			continue
@@ -170,27 +170,27 @@
 // Leaders are killed at random moments, also in the middle of writing records, summaries or a
 // compaction, while nights end. The next leader must count each durable record exactly
 // once, and no others.
-func TestKilledAtAnyMoment(t *testing.T) {
-	records, lives := 0, 0
+func TestRecordsCountOnceAcrossCrashes(t *testing.T) {
+	records, terms := 0, 0
 	for seed := range uint64(150) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		w := &fixture{values: map[string]json.RawMessage{}, bytes: 2048}
-		ever := map[uint64]float64{}
+		durableRecords := map[uint64]float64{}
 		id := uint64(0)
 		for range 6 {
-			d := w.lead(t, 100)
-			lives++
-			if got := counted(d, "c"); got != len(ever) {
-				t.Fatalf("seed %d: %d jobs are counted, but %d records were durable", seed, got, len(ever))
+			d := w.startTerm(t, 100)
+			terms++
+			if got := countedJobs(d, "c"); got != len(durableRecords) {
+				t.Fatalf("seed %d: %d jobs are counted, but %d records were durable", seed, got, len(durableRecords))
 			}
-			if got, want := worked(d), sum(maps.Values(ever)); math.Abs(got-want) > .01*want {
+			if got, want := countedWork(d), sum(maps.Values(durableRecords)); math.Abs(got-want) > .01*want {
 				t.Fatalf("seed %d: %.0f s of work are counted, but %.0f s were durable", seed, got, want)
 			}
 			for range 4 + r.IntN(12) {
 				switch r.IntN(7) {
 				case 0, 1, 2:
 					id++
-					w.job(d, id, "c", 10+r.Float64())
+					w.runJob(d, id, "c", 10+r.Float64())
 				case 3:
 					w.now += time.Duration(r.IntN(9)) * time.Hour
 					d.Tick(w.now, true)
@@ -199,33 +199,33 @@
 						w.now += d.writeInterval
 						d.Tick(w.now, true)
 						if r.IntN(2) == 0 {
-							w.write(d, 1)
+							w.commit(d, 1)
 						}
 					}
 				case 5:
-					w.write(d, r.IntN(3))
+					w.commit(d, r.IntN(3))
 				default:
-					w.clean(t, d, r)
+					w.compact(t, d, r)
 				}
-				w.durable(t, ever)
+				w.collectDurable(t, durableRecords)
 			}
 		}
-		records += len(ever)
+		records += len(durableRecords)
 	}
-	if records < 2000 || lives < 900 {
-		t.Errorf("only %d records in %d terms", records, lives)
+	if records < 2000 || terms < 900 {
+		t.Errorf("only %d records in %d terms", records, terms)
 	}
 }
 
-// clean compacts the oldest segments: it appends their live entries again and removes the segments once
-// these are durable. Sometimes it stops in between, as if the leader were killed.
-func (w *fixture) clean(t *testing.T, d *Component, r *rand.Rand) {
+// compact appends the live entries of the oldest segments again, and removes the segments once these
+// entries are durable. Sometimes it stops in between, as if the leader were killed.
+func (w *fixture) compact(t *testing.T, d *Component, r *rand.Rand) {
 	keys := slices.DeleteFunc(slices.Sorted(maps.Keys(w.values)), func(k string) bool { return strings.HasPrefix(k, eventlog.ComponentValuesPrefix) })
 	if len(keys) < 2 {
 		return
 	}
 	keys = keys[:1+r.IntN(len(keys)-1)]
-	w.write(d, 100)
+	w.commit(d, 100)
 	for _, k := range keys {
 		list, err := eventlog.Decode(w.values[k])
 		if err != nil {
@@ -237,10 +237,10 @@
 	}
 	d.CompactionDone()
 	if r.IntN(3) == 0 {
-		w.write(d, r.IntN(2)) // the leader is killed during the compaction
+		w.commit(d, r.IntN(2)) // the leader is killed during the compaction
 		return
 	}
-	w.write(d, 100)
+	w.commit(d, 100)
 	for _, k := range keys {
 		delete(w.values, k)
 	}
@@ -248,17 +248,17 @@
 
 // The run times of tasks that were retried, moved, stopped, adopted from an earlier leader or run on
 // a slow machine must not count for their kind.
-func TestDisturbedTasksDoNotCount(t *testing.T) {
+func TestInterruptedTasksDoNotCount(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	d := w.lead(t, 100)
+	d := w.startTerm(t, 100)
 	for id := range uint64(10) {
-		w.job(d, id+1, "c", 10)
+		w.runJob(d, id+1, "c", 10)
 	}
 	m, slow := &workers.Machine{Name: "m1"}, &workers.Machine{Name: "slow"}
 	j := d.Jobs.Add(eventlog.Job{ID: 99, Class: "c", Team: "t", Image: "i", Tasks: 40, CPUs: 1, EstimateS: 10})
 	j.Phase = jobs.Open
-	done := func(k int, took float64, mine bool, m *workers.Machine) {
-		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, RunSeconds: took, FromThisTerm: mine, Machine: m})
+	done := func(k int, took float64, fromThisTerm bool, m *workers.Machine) {
+		d.HandleEvent(cluster.Event{Kind: cluster.TaskDone, Job: j, Task: k, RunSeconds: took, FromThisTerm: fromThisTerm, Machine: m})
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.TaskGone, Job: j, Task: 0, Machine: m})
 	done(0, 50, true, m)
@@ -269,7 +269,7 @@
 	for k := 4; k < 20; k++ {
 		done(k, 30, true, slow) // the first tasks reveal that the machine is slow
 	}
-	if n := d.runs[99].n; n > minTasksForSpeed {
+	if n := d.runs[99].countedTasks; n > minTasksForSpeed {
 		t.Errorf("%d tasks count, want at most those before the machine is known to be slow", n)
 	}
 	for k := 20; k < 40; k++ {
@@ -280,12 +280,12 @@
 		t.Errorf("the class is estimated at %+v", e)
 	}
 	// If all machines become slower together, none counts as slow: the work takes longer.
-	d = w.lead(t, 100)
+	d = w.startTerm(t, 100)
 	for id := range uint64(30) {
-		w.job(d, 200+id, "c", 10)
+		w.runJob(d, 200+id, "c", 10)
 	}
 	for id := range uint64(30) {
-		w.job(d, 300+id, "c", 30)
+		w.runJob(d, 300+id, "c", 30)
 	}
 	if e := d.model.Estimate(Kind{Class: "c"}, 0, 0); e.P90 < 25 {
 		t.Errorf("half of the jobs were three times slower, but the class is estimated at %+v", e)
@@ -294,11 +294,11 @@
 
 // A job that will miss its learned deadline is reported once, before the deadline, with the
 // reason. The warning is updated meanwhile and removed when the job ends.
-func TestLateJobIsWarnedOfOnce(t *testing.T) {
+func TestLateJobIsReportedOnce(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	d := w.lead(t, 100)
+	d := w.startTerm(t, 100)
 	for id := range uint64(12) {
-		w.job(d, id+1, "c", 18)
+		w.runJob(d, id+1, "c", 18)
 	}
 	late := d.Jobs.Add(eventlog.Job{ID: 50, Class: "c", Team: "t", Image: "i", Tasks: 8, CPUs: 1, EstimateS: 18})
 	d.Scheduler.AddTeam()
@@ -308,14 +308,14 @@
 	if learned < 20*time.Second || learned > 60*time.Second {
 		t.Fatalf("the learned deadline is %v", learned)
 	}
-	var told []string
-	notes := func() (out []string) {
+	var notified []string
+	drainMessages := func() (out []string) {
 		for _, e := range d.DrainEffects() {
 			switch e := e.(type) {
 			case effects.LogMessage:
 				out = append(out, e.Message)
 			case effects.Notify:
-				told = append(told, e.ID)
+				notified = append(notified, e.ID)
 			}
 		}
 		return out
@@ -324,7 +324,7 @@
 	begin := w.now
 	for ; w.now < begin+2*learned; w.now += time.Second {
 		d.Tick(w.now, true)
-		for _, n := range notes() {
+		for _, n := range drainMessages() {
 			if n == "job runs late" {
 				if raised >= 0 {
 					t.Fatal("the job was reported twice")
@@ -344,11 +344,11 @@
 		t.Errorf("the forecast is %s, error %v", raw, err)
 	}
 	d.HandleEvent(cluster.Event{Kind: cluster.JobDone, At: w.now, Job: late})
-	if raw, _ := d.Show(w.now, "late"); string(raw) != "[]" || !slices.Contains(notes(), "late job ended") {
+	if raw, _ := d.Show(w.now, "late"); string(raw) != "[]" || !slices.Contains(drainMessages(), "late job ended") {
 		t.Errorf("late jobs after the job's end: %s", raw)
 	}
-	if !slices.Equal(told, []string{"late/j-000050/raised", "late/j-000050/done"}) {
-		t.Errorf("the webhook messages are %v", told)
+	if !slices.Equal(notified, []string{"late/j-000050/raised", "late/j-000050/done"}) {
+		t.Errorf("the webhook messages are %v", notified)
 	}
 	if _, err := d.Show(w.now, "nothing"); err == nil {
 		t.Error("an unknown view was accepted")
@@ -360,22 +360,22 @@
 func TestUnreadableEntriesAndValuesAreLeftAlone(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{"log/00000001": json.RawMessage(`{"e":[{"o":{"d":"run-times","v":{"f":7}}}]}`),
 		"own/run-times/000009": json.RawMessage(`{"v":1,"k":7}`), "own/run-times/000010": json.RawMessage(`{"v":99}`), "own/run-times/x": json.RawMessage(`{}`)}, bytes: 8192}
-	d := w.lead(t, 100)
-	said := 0
+	d := w.startTerm(t, 100)
+	logMessages := 0
 	for _, e := range w.effects {
 		if _, ok := e.(effects.LogMessage); ok {
-			said++
+			logMessages++
 		}
 	}
-	w.job(d, 1, "c", 10)
+	w.runJob(d, 1, "c", 10)
 	w.now += 30 * time.Hour
 	for range 20 {
 		w.now += d.writeInterval
 		d.Tick(w.now, true)
-		w.write(d, 1)
+		w.commit(d, 1)
 	}
-	if said != 4 || counted(d, "c") != 1 {
-		t.Errorf("%d log messages, %d jobs counted", said, counted(d, "c"))
+	if logMessages != 4 || countedJobs(d, "c") != 1 {
+		t.Errorf("%d log messages, %d jobs counted", logMessages, countedJobs(d, "c"))
 	}
 	if string(w.values["own/run-times/000009"]) != `{"v":1,"k":7}` || w.values["own/run-times/000011"] == nil {
 		t.Errorf("an unreadable value was overwritten, or none written: %v", slices.Sorted(maps.Keys(w.values)))
@@ -386,83 +386,83 @@
 // still in the log. Later records count again.
 func TestForgottenKindStaysForgotten(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	d := w.lead(t, 100)
+	d := w.startTerm(t, 100)
 	for id := range uint64(6) {
-		w.job(d, id+1, "c", 10)
-		w.write(d, 9)
+		w.runJob(d, id+1, "c", 10)
+		w.commit(d, 9)
 		w.now += 9 * time.Hour
 		for range 12 {
 			w.now += d.writeInterval
 			d.Tick(w.now, true)
-			w.write(d, 1)
+			w.commit(d, 1)
 		}
 	}
-	if _, err := d.Change(w.now, json.RawMessage(`{"forget":["c///","none"]}`)); err == nil || !strings.Contains(err.Error(), "forget[1]") || counted(d, "c") != 6 {
-		t.Errorf("forgetting an unknown kind: %v, %d jobs counted", err, counted(d, "c"))
+	if _, err := d.Change(w.now, json.RawMessage(`{"forget":["c///","none"]}`)); err == nil || !strings.Contains(err.Error(), "forget[1]") || countedJobs(d, "c") != 6 {
+		t.Errorf("forgetting an unknown kind: %v, %d jobs counted", err, countedJobs(d, "c"))
 	}
 	if raw, err := d.Change(w.now, json.RawMessage(`{"forget":["c///"]}`)); err != nil || !strings.Contains(string(raw), `"forgotten":1`) {
 		t.Errorf("forgetting a kind: %s, error %v", raw, err)
 	}
-	w.write(d, 9)
-	for life := range 5 {
-		d = w.lead(t, 100)
-		if got := counted(d, "c"); got != life {
-			t.Errorf("term %d: %d jobs are counted", life, got)
+	w.commit(d, 9)
+	for term := range 5 {
+		d = w.startTerm(t, 100)
+		if got := countedJobs(d, "c"); got != term {
+			t.Errorf("term %d: %d jobs are counted", term, got)
 		}
-		if m := d.model.histories[Kind{Class: "c", Team: "t"}]; m == nil || m.summarize().est.Jobs != 6+life {
-			t.Errorf("term %d: the kind of the class and team lost its history", life)
+		if m := d.model.histories[Kind{Class: "c", Team: "t"}]; m == nil || m.summarize().estimate.Jobs != 6+term {
+			t.Errorf("term %d: the kind of the class and team lost its history", term)
 		}
 		w.now += time.Minute
-		w.job(d, uint64(50+life), "c", 10)
-		w.write(d, 9)
-		w.clean(t, d, rand.New(rand.NewPCG(uint64(life), 2)))
-		w.now += time.Duration(life) * 9 * time.Hour
+		w.runJob(d, uint64(50+term), "c", 10)
+		w.commit(d, 9)
+		w.compact(t, d, rand.New(rand.NewPCG(uint64(term), 2)))
+		w.now += time.Duration(term) * 9 * time.Hour
 		for range 12 {
 			w.now += d.writeInterval
 			d.Tick(w.now, true)
-			w.write(d, 1)
+			w.commit(d, 1)
 		}
 	}
 }
 
 // When the size limit of values is lowered, their kinds are spread over more values. No kind is
 // lost, whenever a leader is killed during this.
-func TestSmallerValues(t *testing.T) {
-	for kill := range 60 {
+func TestLoweredValueSizeLosesNoKind(t *testing.T) {
+	for ticksBeforeKill := range 60 {
 		w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-		d := w.lead(t, 100)
+		d := w.startTerm(t, 100)
 		for id := range uint64(12) {
-			w.job(d, id+1, fmt.Sprint("class", id), 10)
+			w.runJob(d, id+1, fmt.Sprint("class", id), 10)
 		}
 		w.now += 30 * time.Hour
 		for range 40 {
 			w.now += d.writeInterval
 			d.Tick(w.now, true)
-			w.write(d, 1)
+			w.commit(d, 1)
 		}
 		w.bytes = 1500
-		d = w.lead(t, 100)
+		d = w.startTerm(t, 100)
 		for id := range uint64(12) {
-			w.job(d, id+100, fmt.Sprint("class", id), 10)
+			w.runJob(d, id+100, fmt.Sprint("class", id), 10)
 		}
-		w.write(d, 99)
+		w.commit(d, 99)
 		w.now += 24 * time.Hour
-		for range kill {
+		for range ticksBeforeKill {
 			w.now += d.writeInterval
 			d.Tick(w.now, true)
-			w.write(d, 1)
+			w.commit(d, 1)
 		}
 		for range 2 { // the second leader reads what the first wrote for kinds that are in two values
-			d = w.lead(t, 100)
+			d = w.startTerm(t, 100)
 			for id := range 12 {
-				if n := counted(d, fmt.Sprint("class", id)); n != 2 {
-					t.Fatalf("killed after %d ticks: %d jobs of class%d are counted", kill, n, id)
+				if n := countedJobs(d, fmt.Sprint("class", id)); n != 2 {
+					t.Fatalf("killed after %d ticks: %d jobs of class%d are counted", ticksBeforeKill, n, id)
 				}
 			}
 			for range 9 {
 				w.now += d.writeInterval
 				d.Tick(w.now, true)
-				w.write(d, 1)
+				w.commit(d, 1)
 			}
 		}
 	}
@@ -472,11 +472,11 @@
 // content is still in the log.
 func TestRefusedValueIsRetried(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	d := w.lead(t, 100)
+	d := w.startTerm(t, 100)
 	for id := range uint64(9) {
-		w.job(d, id+1, fmt.Sprint("class", id), 10)
+		w.runJob(d, id+1, fmt.Sprint("class", id), 10)
 	}
-	w.write(d, 99)
+	w.commit(d, 99)
 	w.now += 30 * time.Hour
 	refused := 0
 	for range 400 {
@@ -503,9 +503,9 @@
 	if d.writes.Len() > 0 || len(d.store.dirty) > 0 {
 		t.Errorf("%d values are still not written", len(d.store.dirty))
 	}
-	next := w.lead(t, 100)
+	next := w.startTerm(t, 100)
 	for id := range 9 {
-		if n := counted(next, fmt.Sprint("class", id)); n != 1 {
+		if n := countedJobs(next, fmt.Sprint("class", id)); n != 1 {
 			t.Errorf("%d jobs of class%d are counted", n, id)
 		}
 	}
@@ -520,29 +520,29 @@
 // separately. An outlier night changes only the maximum. A new leader expects the same.
 func TestExpectedDemandFollowsNights(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	d := w.lead(t, 100)
+	d := w.startTerm(t, 100)
 	id := uint64(0)
 	for day := range 14 {
 		w.now = time.Duration(day)*24*time.Hour + 22*time.Hour // the peak
 		for range 3 {
 			id++
-			w.job(d, id, "c", 100)
+			w.runJob(d, id, "c", 100)
 		}
 		if day == 9 { // an outlier night
 			for range 30 {
 				id++
-				w.job(d, id, "c", 100)
+				w.runJob(d, id, "c", 100)
 			}
 		}
-		w.write(d, 99)
+		w.commit(d, 99)
 		w.now += 6 * time.Hour
 		for range 30 {
 			w.now += d.writeInterval
 			d.Tick(w.now, true)
-			w.write(d, 1)
+			w.commit(d, 1)
 		}
 	}
-	for i, x := range []*Component{d, w.lead(t, 100)} {
+	for i, x := range []*Component{d, w.startTerm(t, 100)} {
 		x.startNight(w.now)
 		at := 14*24*time.Hour + 20*time.Hour
 		var peak *Expected
@@ -563,9 +563,9 @@
 // new kind, it is the default.
 func TestLearnedSizesSeedTheEstimator(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	d := w.lead(t, 100)
+	d := w.startTerm(t, 100)
 	for id := range uint64(12) {
-		w.job(d, id+1, "c", 18)
+		w.runJob(d, id+1, "c", 18)
 	}
 	for i, c := range []struct {
 		on    int
@@ -587,12 +587,12 @@
 // no other entry is pending. Each fits into a small value.
 func TestWriteRateIsBounded(t *testing.T) {
 	w := &fixture{values: map[string]json.RawMessage{}, bytes: 700}
-	d := w.lead(t, 1000)
+	d := w.startTerm(t, 1000)
 	for day := range 12 {
 		for id := range uint64(20) {
-			w.job(d, uint64(day)*100+id+1, fmt.Sprint("class", id), 10)
+			w.runJob(d, uint64(day)*100+id+1, fmt.Sprint("class", id), 10)
 		}
-		w.write(d, 1000)
+		w.commit(d, 1000)
 		w.now += 24 * time.Hour
 		for range 200 {
 			w.now += d.writeInterval / 5
@@ -601,11 +601,11 @@
 			if after := d.EventLog.PendingCount(); after > before+1 || (before > 0 && after > before) {
 				t.Fatalf("%d entries appended in one tick, with %d pending", after-before, before)
 			}
-			w.write(d, 1)
+			w.commit(d, 1)
 		}
 	}
-	next := w.lead(t, 1000)
-	if a, b := counted(d, "class7"), counted(next, "class7"); a != b || a < 9 {
+	next := w.startTerm(t, 1000)
+	if a, b := countedJobs(d, "class7"), countedJobs(next, "class7"); a != b || a < 9 {
 		t.Errorf("%d jobs are counted, the next leader counts %d", a, b)
 	}
 }
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -68,7 +68,7 @@
 // that store them.
 func (m *demand) closeNights(today int32) (values []int) {
 	for len(m.open) > 0 && m.open[0].day < today-1 {
-		m.keepNight(m.open[0])
+		m.addNight(m.open[0])
 		values = append(values, demandValueNumber(m.open[0].day))
 		m.open = m.open[1:]
 	}
@@ -78,8 +78,8 @@
 // demandValueNumber returns the number of the value that stores a night's demand.
 func demandValueNumber(day int32) int { return int((day%maxNights + maxNights) % maxNights) }
 
-// keepNight adds a closed night and drops the oldest one beyond maxNights.
-func (m *demand) keepNight(n *demandNight) {
+// addNight adds a closed night and drops the oldest one beyond maxNights.
+func (m *demand) addNight(n *demandNight) {
 	m.nights = append(m.nights, n)
 	if over := len(m.nights) - maxNights; over > 0 {
 		m.nights = slices.Delete(m.nights, 0, over)
@@ -129,21 +129,21 @@
 
 // slotForecast is the work expected in a slot, in CPU seconds.
 type slotForecast struct {
-	nights       int // number of nights it is learned from
-	median, most float64
+	nights          int // number of nights it is learned from
+	median, highest float64
 }
 
 // expected returns a slot's demand, learned from nights of the same type (holiday or not), or
 // from all nights while there are none of that type.
 func (m *demand) expected(holiday bool, slot int) slotForecast {
-	var sameSort, all []float64
+	var sameType, all []float64
 	for _, n := range m.nights {
 		all = append(all, n.work[slot])
 		if n.holiday == holiday {
-			sameSort = append(sameSort, n.work[slot])
+			sameType = append(sameType, n.work[slot])
 		}
 	}
-	list := sameSort
+	list := sameType
 	if len(list) == 0 {
 		list = all
 	}
@@ -152,7 +152,7 @@
 		return slotForecast{}
 	}
 	slices.Sort(list)
-	return slotForecast{nights: n, median: (list[(n-1)/2] + list[n/2]) / 2, most: list[n-1]}
+	return slotForecast{nights: n, median: (list[(n-1)/2] + list[n/2]) / 2, highest: list[n-1]}
 }
 
 // expectedSlots is the number of slots for which the expected demand is shown: twelve hours.
@@ -171,9 +171,9 @@
 			InS:      max(0, at.Sub(d.wallClock(now)).Seconds()),
 			Nights:   f.nights,
 			Work:     roundDigits(f.median),
-			Most:     roundDigits(f.most),
+			Most:     roundDigits(f.highest),
 			CPUs:     slotCPUs(f.median),
-			CPUsMost: slotCPUs(f.most),
+			CPUsMost: slotCPUs(f.highest),
 			Now:      roundDigits(rented),
 		})
 		at = at.Add(slotLength)
--- a/internal/leader/runtimes/entries.go
+++ b/internal/leader/runtimes/entries.go
@@ -55,16 +55,16 @@
 
 func (s *storedRecord) runRecord() *RunRecord {
 	return &RunRecord{
-		ID:       s.ID,
-		At:       s.At,
-		Day:      s.Day,
-		Kind:     kindOf(s.Kind, s.Holiday),
-		N:        s.N,
-		Task:     s.Task,
-		Fetch:    s.Fetch,
-		Job:      s.Job,
-		Estimate: s.Estimate,
-		Work:     s.Work,
+		ID:            s.ID,
+		At:            s.At,
+		Day:           s.Day,
+		Kind:          kindOf(s.Kind, s.Holiday),
+		CountedTasks:  s.N,
+		TaskQuantiles: s.Task,
+		Fetch:         s.Fetch,
+		Job:           s.Job,
+		Estimate:      s.Estimate,
+		Work:          s.Work,
 	}
 }
 
@@ -73,7 +73,7 @@
 	return [11]float64{
 		float64(n.Day),
 		float64(n.Jobs),
-		float64(n.N),
+		float64(n.Tasks),
 		roundDigits(n.P50),
 		roundDigits(n.P90),
 		roundDigits(n.Fetch),
@@ -81,7 +81,7 @@
 		roundDigits(n.JobP90),
 		roundDigits(n.RatioP10),
 		roundDigits(n.RatioP50),
-		roundDigits(n.RP90),
+		roundDigits(n.RatioP90),
 	}
 }
 
@@ -89,7 +89,7 @@
 	return Night{
 		Day:      int32(numbers[0]),
 		Jobs:     int(numbers[1]),
-		N:        int(numbers[2]),
+		Tasks:    int(numbers[2]),
 		P50:      numbers[3],
 		P90:      numbers[4],
 		Fetch:    numbers[5],
@@ -97,7 +97,7 @@
 		JobP90:   numbers[7],
 		RatioP10: numbers[8],
 		RatioP50: numbers[9],
-		RP90:     numbers[10],
+		RatioP90: numbers[10],
 	}
 }
 
--- a/internal/leader/runtimes/estimate.go
+++ b/internal/leader/runtimes/estimate.go
@@ -50,7 +50,7 @@
 	}
 	for _, level := range kinds {
 		h := m.histories[level]
-		if h == nil || !h.hasEnough() {
+		if h == nil || !h.hasEnoughData() {
 			continue
 		}
 		e := h.estimate(level, now)
@@ -79,13 +79,13 @@
 // times in the class.
 func correctedEstimate(h *history, class Estimate, owner float64) Estimate {
 	s := h.summarize()
-	if s.mid <= 0 {
+	if s.ratioP50 <= 0 {
 		return class
 	}
 	e := class
 	e.From = "owner's estimate, corrected by " + class.From
-	e.P50, e.P90 = owner*s.mid, max(owner*s.high, owner*s.mid*minCorrectedSpread)
+	e.P50, e.P90 = owner*s.ratioP50, max(owner*s.ratioP90, owner*s.ratioP50*minCorrectedSpread)
 	e.JobP50, e.JobP90 = 0, 0
-	e.Wide = fmt.Sprintf("this image has no history: owners of the class are off by %.2g to %.2g times", s.low, s.high)
+	e.Wide = fmt.Sprintf("this image has no history: owners of the class are off by %.2g to %.2g times", s.ratioP10, s.ratioP90)
 	return e
 }
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -55,9 +55,9 @@
 	l.forecasts = append(l.forecasts, f)
 }
 
-// endOf returns when the last of the listed jobs ends, as median and 90th percentile. known is
+// latestEnd returns when the last of the listed jobs ends, as median and 90th percentile. known is
 // false if one of them has no forecast.
-func (l *forecastList) endOf(list []int32) (end, p90 float64, known bool) {
+func (l *forecastList) latestEnd(list []int32) (end, p90 float64, known bool) {
 	for _, i := range list {
 		n, known := l.byJob[i]
 		if !known {
@@ -81,7 +81,7 @@
 	for len(held) > 0 {
 		before := len(held)
 		held = slices.DeleteFunc(held, func(j *jobs.Job) bool {
-			begin, p90, known := list.endOf(j.Dependencies)
+			begin, p90, known := list.latestEnd(j.Dependencies)
 			if !known {
 				return false
 			}
@@ -103,8 +103,8 @@
 // minTaskCPUs is the minimum number of processors that a task counts for.
 const minTaskCPUs = 0.001
 
-// milli is the number of the scheduler's CPU units per processor.
-const milli = 1000
+// milliPerCPU is the number of the scheduler's CPU units per processor.
+const milliPerCPU = 1000
 
 // forecastJob returns the forecast of a job that can begin in the given number of seconds, and
 // its remaining work in CPU seconds.
@@ -124,7 +124,7 @@
 	}
 	perTask := max(j.CPUShare, j.Need.CPUs(), minTaskCPUs)
 	if limit := d.Scheduler.Limits[j.Team].CPU; limit > 0 {
-		cpus = min(cpus, float64(limit)/milli)
+		cpus = min(cpus, float64(limit)/milliPerCPU)
 	}
 	tasks, rounds := remainingRounds(j, cpus/perTask)
 	wait := 0.0
@@ -143,7 +143,7 @@
 // remainingRounds returns how many tasks of a job are left, and in how many successive rounds they
 // run if at most the given number run in parallel.
 func remainingRounds(j *jobs.Job, parallel float64) (tasks, rounds float64) {
-	abreast := max(1, min(float64(j.Waiting+j.Placed), parallel))
+	parallelTasks := max(1, min(float64(j.Waiting+j.Placed), parallel))
 	// A placed task is half done on average.
 	tasks = float64(j.Waiting) + float64(j.Placed)/2
 	switch {
@@ -152,7 +152,7 @@
 	case j.Waiting == 0:
 		rounds = .5
 	default:
-		rounds = max(1, tasks/abreast)
+		rounds = max(1, tasks/parallelTasks)
 	}
 	return tasks, rounds
 }
--- a/internal/leader/runtimes/history.go
+++ b/internal/leader/runtimes/history.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	maxNights      = 9   // closed nights to keep; one outlier among them hardly moves the median
-	enoughJobs     = 2   // a kind's own history is used from this many jobs
-	enoughTasks    = 10  // and this many tasks on,
-	soloJobs       = 4   // or from this many jobs with any number of tasks
-	maxNightWeight = 200 // in tasks; more tasks do not increase a night's weight
+	maxNights       = 9   // closed nights to keep; one outlier among them hardly moves the median
+	enoughJobs      = 2   // a kind's own history is used from this many jobs
+	enoughTasks     = 10  // and this many tasks on,
+	enoughJobsAlone = 4   // or from this many jobs with any number of tasks
+	maxNightWeight  = 200 // in tasks; more tasks do not increase a night's weight
 )
 
 // unknownSpread is the minimum of p90/p50-1 for a kind that was seen in one night only. It is
@@ -28,25 +28,25 @@
 
 // historySummary combines all nights of a kind.
 type historySummary struct {
-	est            Estimate
-	low, mid, high float64 // ratio of task times to their owners' estimates: p10, p50, p90
+	estimate                     Estimate
+	ratioP10, ratioP50, ratioP90 float64 // ratio of task times to their owners' estimates: p10, p50, p90
 }
 
 // night holds the observations of an open night.
 type night struct {
 	day                      int32
-	jobs, n                  int
+	jobs, tasks              int
 	task, fetch, job, ratios *ddsketch.DDSketch
 }
 
 // Night is the summary of a kind's closed night. Times are in seconds.
 type Night struct {
-	Day                      int32
-	Jobs, N                  int
-	P50, P90                 float64 // of task times
-	Fetch                    float64 // median time from a task's placement to its running
-	JobP50, JobP90           float64 // of job times, from acceptance to end
-	RatioP10, RatioP50, RP90 float64 // of the ratios of task times to their owners' estimates
+	Day                          int32
+	Jobs, Tasks                  int
+	P50, P90                     float64 // of task times
+	Fetch                        float64 // median time from a task's placement to its running
+	JobP50, JobP90               float64 // of job times, from acceptance to end
+	RatioP10, RatioP50, RatioP90 float64 // of the ratios of task times to their owners' estimates
 }
 
 // addRecord adds a record to its night, and closes the open night if the record is of a later one.
@@ -66,17 +66,17 @@
 	}
 	h.lastRecordAt = max(h.lastRecordAt, r.At)
 	h.summary = nil
-	o := h.open
-	o.jobs++
-	o.n += r.N
-	for i, v := range r.Task {
-		addToSketch(o.task, v, quantileWeights[i]*float64(r.N))
+	open := h.open
+	open.jobs++
+	open.tasks += r.CountedTasks
+	for i, v := range r.TaskQuantiles {
+		addToSketch(open.task, v, quantileWeights[i]*float64(r.CountedTasks))
 		if r.Estimate > 0 {
-			addToSketch(o.ratios, v/r.Estimate, quantileWeights[i]*float64(min(r.N, enoughTasks)))
+			addToSketch(open.ratios, v/r.Estimate, quantileWeights[i]*float64(min(r.CountedTasks, enoughTasks)))
 		}
 	}
-	addToSketch(o.fetch, r.Fetch, 1)
-	addToSketch(o.job, r.Job, 1)
+	addToSketch(open.fetch, r.Fetch, 1)
+	addToSketch(open.job, r.Job, 1)
 }
 
 // closeNight replaces the open night by its summary.
@@ -95,7 +95,7 @@
 	return Night{
 		Day:      o.day,
 		Jobs:     o.jobs,
-		N:        o.n,
+		Tasks:    o.tasks,
 		P50:      quantile(o.task, .5),
 		P90:      quantile(o.task, .9),
 		Fetch:    quantile(o.fetch, .5),
@@ -103,7 +103,7 @@
 		JobP90:   quantile(o.job, .9),
 		RatioP10: quantile(o.ratios, .1),
 		RatioP50: quantile(o.ratios, .5),
-		RP90:     quantile(o.ratios, .9),
+		RatioP90: quantile(o.ratios, .9),
 	}
 }
 
@@ -115,14 +115,14 @@
 	return append(h.nights[:len(h.nights):len(h.nights)], h.open.close())
 }
 
-func (h *history) hasEnough() bool {
-	e := &h.summarize().est
-	return e.Jobs >= enoughJobs && e.Tasks >= enoughTasks || e.Jobs >= soloJobs
+func (h *history) hasEnoughData() bool {
+	e := &h.summarize().estimate
+	return e.Jobs >= enoughJobs && e.Tasks >= enoughTasks || e.Jobs >= enoughJobsAlone
 }
 
 // estimate returns the estimate from a kind's own history.
 func (h *history) estimate(k Kind, now int64) Estimate {
-	e := h.summarize().est
+	e := h.summarize().estimate
 	e.From, e.AgeS = k.Level(), float64(max(0, now-h.lastRecordAt))
 	return e
 }
@@ -154,7 +154,7 @@
 	}
 	for _, n := range nights {
 		e.Jobs += n.Jobs
-		e.Tasks += n.N
+		e.Tasks += n.Tasks
 	}
 	// A few nights do not show how much nights differ, so widen the interval.
 	spread := 1 + unknownSpread/float64(max(1, len(nights)))
@@ -165,10 +165,10 @@
 		e.Wide = "tasks of this kind differ widely among themselves"
 	}
 	h.summary = &historySummary{
-		est:  e,
-		low:  median(nights, func(n Night) float64 { return n.RatioP10 }),
-		mid:  median(nights, func(n Night) float64 { return n.RatioP50 }),
-		high: median(nights, func(n Night) float64 { return n.RP90 }),
+		estimate: e,
+		ratioP10: median(nights, func(n Night) float64 { return n.RatioP10 }),
+		ratioP50: median(nights, func(n Night) float64 { return n.RatioP50 }),
+		ratioP90: median(nights, func(n Night) float64 { return n.RatioP90 }),
 	}
 	return h.summary
 }
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -20,8 +20,8 @@
 // Name returns the kind's name.
 func (x Exported) Name() string { return x.String() }
 
-// maxNumber is the largest absolute value of an imported number, in seconds or as a count.
-const maxNumber = 1e9
+// maxImportedNumber is the largest absolute value of an imported number, in seconds or as a count.
+const maxImportedNumber = 1e9
 
 // Check validates an exported kind. Its error names the invalid field and the reason.
 func (x Exported) Check() error {
@@ -33,7 +33,7 @@
 	}
 	for i, n := range x.Nights {
 		for _, v := range n {
-			if math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > maxNumber {
+			if math.IsNaN(v) || math.IsInf(v, 0) || math.Abs(v) > maxImportedNumber {
 				return fmt.Errorf("nights[%d]: a number out of range: %v", i, v)
 			}
 		}
@@ -42,9 +42,9 @@
 			return fmt.Errorf("nights[%d]: day %v does not follow day %v", i, n[0], x.Nights[i-1][0])
 		case slices.Min(n[1:]) < 0:
 			return fmt.Errorf("nights[%d]: a negative number", i)
-		case night.Jobs == 0 || night.N == 0 || night.P50 == 0:
+		case night.Jobs == 0 || night.Tasks == 0 || night.P50 == 0:
 			return fmt.Errorf("nights[%d]: no jobs, tasks or times", i)
-		case night.P90 < night.P50 || night.JobP90 < night.JobP50 || night.RP90 < night.RatioP10:
+		case night.P90 < night.P50 || night.JobP90 < night.JobP50 || night.RatioP90 < night.RatioP10:
 			return fmt.Errorf("nights[%d]: a 90th percentile below the median", i)
 		}
 	}
--- a/internal/leader/runtimes/import_test.go
+++ b/internal/leader/runtimes/import_test.go
@@ -11,12 +11,12 @@
 // Kinds exported by one installation give the same estimates when imported by another, also after
 // a change of leader there. Known kinds stay unchanged unless Replace is set.
 func TestExportAndImport(t *testing.T) {
-	old := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	d := old.lead(t, 100)
+	source := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
+	d := source.startTerm(t, 100)
 	for id := range uint64(12) {
-		old.job(d, id+1, "c", 18)
+		source.runJob(d, id+1, "c", 18)
 	}
-	raw, err := d.Show(old.now, "")
+	raw, err := d.Show(source.now, "")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,15 +24,15 @@
 	if err := json.Unmarshal(raw, &in.Kinds); err != nil || len(in.Kinds) != 5 {
 		t.Fatalf("%d kinds, %v", len(in.Kinds), err)
 	}
-	fresh := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-	n := fresh.lead(t, 100)
+	target := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
+	n := target.startTerm(t, 100)
 	change := func(in Import) (out Imported) {
 		t.Helper()
 		body, err := json.Marshal(in)
 		if err != nil {
 			t.Fatal(err)
 		}
-		answer, err := n.Change(fresh.now, body)
+		answer, err := n.Change(target.now, body)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -52,17 +52,17 @@
 		t.Errorf("import with Replace: %+v", got)
 	}
 	for range 60 {
-		fresh.now += n.writeInterval
-		n.Tick(fresh.now, true)
-		fresh.write(n, 1)
+		target.now += n.writeInterval
+		n.Tick(target.now, true)
+		target.commit(n, 1)
 	}
-	for _, x := range []*Component{n, fresh.lead(t, 100)} {
+	for _, x := range []*Component{n, target.startTerm(t, 100)} {
 		a, b := d.model.Estimate(in.Kinds[0].Kind, 5, 0), x.model.Estimate(in.Kinds[0].Kind, 5, 0)
 		if math.Abs(a.P50/b.P50-1) > .005 || math.Abs(a.P90/b.P90-1) > .005 || a.Jobs != b.Jobs { // 3 digits are exported
 			t.Errorf("estimate of the exporter: %+v, of the importer: %+v", a, b)
 		}
 	}
-	small := fresh.lead(t, 2)
+	small := target.startTerm(t, 2)
 	small.model = NewModel(2)
 	body, _ := json.Marshal(in)
 	if answer, err := small.Change(0, body); err != nil || !strings.Contains(string(answer), `"added":2`) || !strings.Contains(string(answer), `"dropped":3`) {
@@ -71,7 +71,7 @@
 }
 
 // An import with one invalid kind is rejected as a whole.
-func TestWrongImportChangesNothing(t *testing.T) {
+func TestInvalidImportChangesNothing(t *testing.T) {
 	good := `{"class":"c","nights":[[1,2,30,5,9,1,20,30,0.5,1,2]]}`
 	for bad, field := range map[string]string{
 		`{"nights":[[1,2,30,5,9,1,20,30,0.5,1,2]]}`:                                          "class",
@@ -84,7 +84,7 @@
 		`{"class":7}`: "class",
 	} {
 		w := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
-		d := w.lead(t, 100)
+		d := w.startTerm(t, 100)
 		_, err := d.Change(time.Second, json.RawMessage(`{"kinds":[`+good+`,`+bad+`]}`))
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") || d.model.Len() != 0 {
 			t.Errorf("%s: %v, %d kinds", bad, err, d.model.Len())
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// TestWeighKeys compares keys for grouping job history on runs recorded from the scenario
+// TestCompareGroupingKeys compares keys for grouping job history on runs recorded from the scenario
 // engine: how often a key gives an estimate from earlier runs, and how accurate it is.
 // docs/run-times.md has the results. The implementation uses the finest kind with enough
 // history. It must give an estimate for every run and be at least as good as any single key.
-func TestWeighKeys(t *testing.T) {
+func TestCompareGroupingKeys(t *testing.T) {
 	f, err := os.Open("testdata/recorded_facts.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -50,15 +50,15 @@
 		{"class+image+hour of the week", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: hour(f)} }},
 		{"all four", func(f *RunRecord) Kind { return f.Kind }},
 	}
-	share := func(name string, estimate func(f *RunRecord) float64) (near, known float64) {
+	share := func(name string, estimate func(f *RunRecord) float64) (accurate, known float64) {
 		ten, twenty, fifty, n := 0.0, 0.0, 0.0, 0.0
 		for _, f := range records {
-			guess := estimate(f)
-			if guess <= 0 {
+			estimated := estimate(f)
+			if estimated <= 0 {
 				continue
 			}
 			n++
-			switch off := math.Abs(guess/f.Task[2] - 1); {
+			switch off := math.Abs(estimated/f.TaskQuantiles[2] - 1); {
 			case off <= .1:
 				ten++
 				fallthrough
@@ -75,29 +75,29 @@
 	best := 0.0
 	for _, k := range keys {
 		models := map[Kind]*history{}
-		near, known := share(k.name, func(f *RunRecord) float64 {
+		accurate, known := share(k.name, func(f *RunRecord) float64 {
 			m := models[k.of(f)]
 			if m == nil {
 				m = &history{}
 				models[k.of(f)] = m
 			}
-			guess := 0.0
-			if m.hasEnough() {
-				guess = m.summarize().est.P50
+			estimated := 0.0
+			if m.hasEnoughData() {
+				estimated = m.summarize().estimate.P50
 			}
 			m.addRecord(f)
-			return guess
+			return estimated
 		})
-		best = max(best, near*known)
+		best = max(best, accurate*known)
 	}
 	model := NewModel(1000)
-	near, known := share("the hierarchy", func(f *RunRecord) float64 {
-		guess := model.Estimate(f.Kind, f.Estimate, f.At).P50
+	accurate, known := share("the hierarchy", func(f *RunRecord) float64 {
+		estimated := model.Estimate(f.Kind, f.Estimate, f.At).P50
 		model.AddRun(f)
-		return guess
+		return estimated
 	})
 	share("the owner's estimate", func(f *RunRecord) float64 { return f.Estimate })
-	if known < 1 || near < best {
-		t.Errorf("the hierarchy is within 20 %% for %.2f of %.2f, the best single key for %.2f of all", near, known, best)
+	if known < 1 || accurate < best {
+		t.Errorf("the hierarchy is within 20 %% for %.2f of %.2f, the best single key for %.2f of all", accurate, known, best)
 	}
 }
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -18,25 +18,25 @@
 
 // jobRun holds the observations of an open job's tasks.
 type jobRun struct {
-	kind        Kind
-	est         Estimate // at the time of the first observation
-	task, fetch *ddsketch.DDSketch
-	n           int          // number of tasks whose run time counts
-	disturbed   map[int]bool // tasks that left a machine before they completed
+	kind         Kind
+	estimate     Estimate // at the time of the first observation
+	task, fetch  *ddsketch.DDSketch
+	countedTasks int          // number of tasks whose run time counts
+	interrupted  map[int]bool // tasks that left a machine before they completed
 }
 
 // RunRecord is the observed run times of a finished job, in seconds.
 type RunRecord struct {
-	ID       uint64
-	At       int64 // Unix time of its end, in seconds
-	Day      int32 // night in which it ended
-	Kind     Kind
-	N        int        // number of tasks whose run time counts
-	Task     [5]float64 // task run times at recordQuantiles
-	Fetch    float64    // median time from a task's placement to its running; 0: not observed
-	Job      float64    // from its acceptance or release to its end
-	Estimate float64    // the owner's estimate of one task
-	Work     float64    // of all its tasks, in CPU seconds
+	ID            uint64
+	At            int64 // Unix time of its end, in seconds
+	Day           int32 // night in which it ended
+	Kind          Kind
+	CountedTasks  int        // number of tasks whose run time counts
+	TaskQuantiles [5]float64 // task run times at recordQuantiles
+	Fetch         float64    // median time from a task's placement to its running; 0: not observed
+	Job           float64    // from its acceptance or release to its end
+	Estimate      float64    // the owner's estimate of one task
+	Work          float64    // of all its tasks, in CPU seconds
 }
 
 // accepted returns when the job was accepted or released.
@@ -79,11 +79,11 @@
 	r := d.runs[j.Record.ID]
 	if r == nil {
 		r = &jobRun{
-			kind:      d.kindOfJob(j),
-			est:       d.estimateJob(now, j),
-			task:      newSketch(),
-			fetch:     newSketch(),
-			disturbed: map[int]bool{},
+			kind:        d.kindOfJob(j),
+			estimate:    d.estimateJob(now, j),
+			task:        newSketch(),
+			fetch:       newSketch(),
+			interrupted: map[int]bool{},
 		}
 		d.runs[j.Record.ID] = r
 	}
@@ -115,7 +115,7 @@
 func (d *Component) taskGone(e cluster.Event) {
 	delete(d.taskPlacedAt, taskOf(e))
 	if e.Job.Record.Kind == jobs.Array {
-		d.runOf(e.At, e.Job).disturbed[e.Task] = true
+		d.runOf(e.At, e.Job).interrupted[e.Task] = true
 	}
 }
 
@@ -125,14 +125,14 @@
 		return
 	}
 	r := d.runOf(e.At, e.Job)
-	if r.disturbed[e.Task] || e.Job.SavedRunTime[int32(e.Task)] > 0 {
+	if r.interrupted[e.Task] || e.Job.SavedRunTime[int32(e.Task)] > 0 {
 		return
 	}
 	if d.observeSpeed(r, e) {
 		return
 	}
 	addToSketch(r.task, e.RunSeconds, 1)
-	r.n++
+	r.countedTasks++
 }
 
 // jobDone logs and counts the run record of a job that is durably done.
@@ -140,7 +140,7 @@
 	r := d.runs[j.Record.ID]
 	delete(d.runs, j.Record.ID)
 	d.clearWarning(j.Record.ID, endedByCompletion)
-	if r == nil || r.n == 0 {
+	if r == nil || r.countedTasks == 0 {
 		return
 	}
 	d.startNight(now)
@@ -150,7 +150,7 @@
 		Day:      d.today.Day,
 		Kind:     kindFields(r.kind),
 		Holiday:  d.today.Holiday,
-		N:        r.n,
+		N:        r.countedTasks,
 		Fetch:    roundDigits(quantile(r.fetch, .5)),
 		Job:      roundDigits((now - j.AcceptedAt).Seconds()),
 		Estimate: roundDigits(j.Record.EstimateS),
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// evictionShare is the inverse of the share of maxKinds by which an overfull model is reduced below
+// evictionDivisor is the inverse of the share of maxKinds by which an overfull model is reduced below
 // maxKinds.
-const evictionShare = 16
+const evictionDivisor = 16
 
 // Model holds the histories of all kinds of work.
 type Model struct {
@@ -78,7 +78,7 @@
 			cmp.Compare(x.name, y.name),
 		)
 	})
-	keep := m.maxKinds - m.maxKinds/evictionShare
+	keep := m.maxKinds - m.maxKinds/evictionDivisor
 	for _, x := range list[:len(list)-keep] {
 		delete(m.histories, x.kind)
 		m.evicted = append(m.evicted, x.kind)
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -12,52 +12,52 @@
 // recordOf returns a run record of tasks with the given times.
 func recordOf(id uint64, day int32, k Kind, owner float64, times []float64) *RunRecord {
 	slices.Sort(times)
-	f := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, N: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
+	f := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, CountedTasks: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
 	for i, q := range recordQuantiles {
-		f.Task[i] = times[min(int(q*float64(len(times))), len(times)-1)]
+		f.TaskQuantiles[i] = times[min(int(q*float64(len(times))), len(times)-1)]
 	}
 	return f
 }
 
-// normal returns n lognormal times with the median mean; spread is the sigma of their logarithms.
-func normal(r *rand.Rand, n int, mean, spread float64) []float64 {
+// lognormalTimes returns n lognormal times; spread is the standard deviation of their logarithms.
+func lognormalTimes(r *rand.Rand, n int, median, spread float64) []float64 {
 	out := make([]float64, n)
 	for i := range out {
-		out[i] = mean * math.Exp(spread*r.NormFloat64())
+		out[i] = median * math.Exp(spread*r.NormFloat64())
 	}
 	return out
 }
 
-var recon = Kind{Class: "recon", Team: "ops", Image: "img-1", Shape: "7x10"}
+var reconKind = Kind{Class: "recon", Team: "ops", Image: "img-1", Shape: "7x10"}
 
-// nights adds n nights of three jobs each; of returns the median task time of a night.
-func nights(b *Model, n int, k Kind, of func(day int) float64) {
+// addNights adds n nights of three jobs each; medianOf returns the median task time of a night.
+func addNights(b *Model, n int, k Kind, medianOf func(day int) float64) {
 	r := rand.New(rand.NewPCG(5, 5))
 	for day := range n {
 		for j := range 3 {
-			b.AddRun(recordOf(uint64(day*3+j+1), int32(day), k, 20, normal(r, 40, of(day), .15)))
+			b.AddRun(recordOf(uint64(day*3+j+1), int32(day), k, 20, lognormalTimes(r, 40, medianOf(day), .15)))
 		}
 	}
 }
 
 // A single night on which all tasks are three times slower changes the next estimates by at
 // most 10 %.
-func TestFreakNight(t *testing.T) {
-	for freak := 3; freak < 30; freak++ {
-		calm, hit := NewModel(100), NewModel(100)
-		nights(calm, freak+2, recon, func(int) float64 { return 20 })
-		nights(hit, freak+2, recon, func(day int) float64 {
-			if day == freak {
+func TestOutlierNightBarelyMovesEstimates(t *testing.T) {
+	for outlier := 3; outlier < 30; outlier++ {
+		baseline, affected := NewModel(100), NewModel(100)
+		addNights(baseline, outlier+2, reconKind, func(int) float64 { return 20 })
+		addNights(affected, outlier+2, reconKind, func(day int) float64 {
+			if day == outlier {
 				return 60
 			}
 			return 20
 		})
-		a, b := calm.Estimate(recon, 20, 0), hit.Estimate(recon, 20, 0)
+		a, b := baseline.Estimate(reconKind, 20, 0), affected.Estimate(reconKind, 20, 0)
 		if d := b.P50/a.P50 - 1; math.Abs(d) > .1 {
-			t.Errorf("slow night %d: p50 changes by %.2f", freak, d)
+			t.Errorf("slow night %d: p50 changes by %.2f", outlier, d)
 		}
 		if d := b.P90/a.P90 - 1; math.Abs(d) > .1 {
-			t.Errorf("slow night %d: p90 changes by %.2f", freak, d)
+			t.Errorf("slow night %d: p90 changes by %.2f", outlier, d)
 		}
 	}
 }
@@ -66,8 +66,8 @@
 func TestDriftIsFollowed(t *testing.T) {
 	b := NewModel(100)
 	mean := func(day int) float64 { return 20 * math.Pow(1.02, float64(day)) }
-	nights(b, 30, recon, mean)
-	got := b.Estimate(recon, 20, 0).P50
+	addNights(b, 30, reconKind, mean)
+	got := b.Estimate(reconKind, 20, 0).P50
 	if got < mean(24)*.98 || got > mean(30) {
 		t.Errorf("estimate after 30 nights: %.1f s, actual five nights before: %.1f s, now: %.1f s", got, mean(24), mean(29))
 	}
@@ -77,14 +77,14 @@
 // known class, the owner's estimate is corrected by the class's ratio of actual to estimated times.
 func TestEstimateFallsBackToCoarserKinds(t *testing.T) {
 	b := NewModel(100)
-	if e := b.Estimate(recon, 10, 0); e.P50 != 10 || e.P90 < 15 || e.Wide == "" {
+	if e := b.Estimate(reconKind, 10, 0); e.P50 != 10 || e.P90 < 15 || e.Wide == "" {
 		t.Errorf("without any history: %+v", e)
 	}
-	nights(b, 5, recon, func(int) float64 { return 40 }) // owners estimated 20
-	if e := b.Estimate(recon, 20, 0); e.From != "class+team+image+shape" || math.Abs(e.P50-40) > 3 || e.Jobs != 15 {
+	addNights(b, 5, reconKind, func(int) float64 { return 40 }) // owners estimated 20
+	if e := b.Estimate(reconKind, 20, 0); e.From != "class+team+image+shape" || math.Abs(e.P50-40) > 3 || e.Jobs != 15 {
 		t.Errorf("with history: %+v", e)
 	}
-	other := recon
+	other := reconKind
 	other.Shape = "3x10"
 	if e := b.Estimate(other, 20, 0); e.From != "class+image" {
 		t.Errorf("another shape: %+v", e)
@@ -93,51 +93,51 @@
 	if e := b.Estimate(fresh, 10, 0); math.Abs(e.P50-20) > 2 || e.P90 <= e.P50*1.2 || !strings.Contains(e.Wide, "no history") {
 		t.Errorf("a new image with an owner's estimate of 10: %+v", e)
 	}
-	day := recon
+	day := reconKind
 	day.Holiday = true
 	if e := b.Estimate(day, 20, 0); e.From != "class+team+image+shape" {
 		t.Errorf("the first holiday: %+v", e)
 	}
-	nights(b, 0, day, nil)
+	addNights(b, 0, day, nil)
 	r := rand.New(rand.NewPCG(1, 1))
 	for j := range 3 {
-		b.AddRun(recordOf(uint64(900+j), 7, day, 20, normal(r, 40, 80, .1)))
+		b.AddRun(recordOf(uint64(900+j), 7, day, 20, lognormalTimes(r, 40, 80, .1)))
 	}
 	if e := b.Estimate(day, 20, 0); !strings.Contains(e.From, "holiday") || math.Abs(e.P50-80) > 6 {
 		t.Errorf("the next holiday: %+v", e)
 	}
-	if e := b.Estimate(recon, 20, 0); math.Abs(e.P50-40) > 3 {
+	if e := b.Estimate(reconKind, 20, 0); math.Abs(e.P50-40) > 3 {
 		t.Errorf("a holiday changed the estimate for ordinary nights: %+v", e)
 	}
 }
 
 // With a bimodal distribution the interval contains both modes and is marked as wide.
-func TestTwoModesWidenTheInterval(t *testing.T) {
+func TestBimodalTimesWidenTheInterval(t *testing.T) {
 	b := NewModel(100)
 	r := rand.New(rand.NewPCG(2, 2))
 	for n := range 20 {
-		times := append(normal(r, 30, 10, .1), normal(r, 10, 90, .1)...)
-		b.AddRun(recordOf(uint64(n+1), int32(n/4), recon, 20, times))
+		times := append(lognormalTimes(r, 30, 10, .1), lognormalTimes(r, 10, 90, .1)...)
+		b.AddRun(recordOf(uint64(n+1), int32(n/4), reconKind, 20, times))
 	}
-	if e := b.Estimate(recon, 20, 0); e.P50 > 15 || e.P90 < 70 || e.Wide == "" {
+	if e := b.Estimate(reconKind, 20, 0); e.P50 > 15 || e.P90 < 70 || e.Wide == "" {
 		t.Errorf("%+v", e)
 	}
 }
 
 // Checks the accuracy of estimates: the share within 10, 20 and 50 % of the actual time for the
 // first, third and tenth run, compared with the owner's estimate and the mean of earlier runs.
-func TestEstimatesLand(t *testing.T) {
+func TestEstimateAccuracy(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 9))
 	b := NewModel(1000)
 	type score struct{ ten, twenty, fifty, n int }
 	learned, owners, means := map[int]*score{}, map[int]*score{}, map[int]*score{}
-	count := func(m map[int]*score, run int, guess, actual float64) {
+	count := func(m map[int]*score, run int, estimated, actual float64) {
 		s := m[run]
 		if s == nil {
 			s = &score{}
 			m[run] = s
 		}
-		off := math.Abs(guess/actual - 1)
+		off := math.Abs(estimated/actual - 1)
 		s.n++
 		for _, x := range []struct {
 			most float64
@@ -150,17 +150,17 @@
 	}
 	id := uint64(0)
 	for image := range 40 {
-		true50 := 10 * math.Exp(.7*r.NormFloat64())
+		trueMedian := 10 * math.Exp(.7*r.NormFloat64())
 		k := Kind{Class: fmt.Sprint("class", image%4), Team: "ops", Image: fmt.Sprint("img", image), Shape: "6x10"}
 		sum, n := 0.0, 0.0
 		for run := 1; run <= 10; run++ {
 			id++
-			owner := true50 * .5 * math.Exp(.4*r.NormFloat64()) // owners estimate half of the actual time
+			owner := trueMedian * .5 * math.Exp(.4*r.NormFloat64()) // owners estimate half of the actual time
 			slow := 1.0
 			if run == 5 {
 				slow = 3 // an outlier night
 			}
-			times := normal(r, 40, true50*slow*math.Exp(.05*r.NormFloat64()), .15)
+			times := lognormalTimes(r, 40, trueMedian*slow*math.Exp(.05*r.NormFloat64()), .15)
 			actual := slices.Sorted(slices.Values(times))[20]
 			if slow == 1 {
 				count(learned, run, b.Estimate(k, owner, 0).P50, actual)
@@ -201,7 +201,7 @@
 	b := NewModel(50)
 	r := rand.New(rand.NewPCG(4, 4))
 	for n := range 300 {
-		b.AddRun(recordOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1)))
+		b.AddRun(recordOf(uint64(n+1), int32(n), Kind{Class: "c", Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, lognormalTimes(r, 25, 5, .1)))
 		if b.Len() > 50 {
 			t.Fatalf("%d kinds in a model of at most 50", b.Len())
 		}
@@ -219,7 +219,7 @@
 			r := rand.New(rand.NewPCG(4, 4))
 			records := make([]*RunRecord, kinds)
 			for n := range records {
-				records[n] = recordOf(uint64(n+1), 1, Kind{Class: fmt.Sprint("c", n%10), Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, normal(r, 25, 5, .1))
+				records[n] = recordOf(uint64(n+1), 1, Kind{Class: fmt.Sprint("c", n%10), Team: "t", Image: fmt.Sprint(n), Shape: "1x1"}, 5, lognormalTimes(r, 25, 5, .1))
 				model.AddRun(records[n])
 			}
 			b.ReportAllocs()
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -13,9 +13,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// full returns stored values of at most the given size that hold the given number of kinds
+// fullModelValues returns stored values of at most the given size that hold the given number of kinds
 // with nine nights each, and their total size.
-func full(kinds, bytes int) (values []eventlog.ComponentValue, total int) {
+func fullModelValues(kinds, bytes int) (values []eventlog.ComponentValue, total int) {
 	s := newValueStore(bytes)
 	var v storedValue
 	flush := func(n int) {
@@ -37,7 +37,7 @@
 		}
 		x := storedKind{Kind: kindFields(kind), At: 1}
 		for n := range maxNights {
-			x.Nights = append(x.Nights, Night{Day: int32(n), Jobs: 3, N: 120, P50: 20.4, P90: 31.2, Fetch: 3.2, JobP50: 60.2, JobP90: 88.5, RatioP10: .5, RatioP50: 1.1, RP90: 1.8}.numbers())
+			x.Nights = append(x.Nights, Night{Day: int32(n), Jobs: 3, Tasks: 120, P50: 20.4, P90: 31.2, Fetch: 3.2, JobP50: 60.2, JobP90: 88.5, RatioP10: .5, RatioP50: 1.1, RatioP90: 1.8}.numbers())
 		}
 		v.Kinds = append(v.Kinds, x)
 	}
@@ -45,7 +45,7 @@
 	return values, total
 }
 
-func leader(kinds int) *Component {
+func newLeader(kinds int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.RunTimesKinds = kinds
 	cfg.Deployment.State.WriteRPS = 40
@@ -57,10 +57,10 @@
 func BenchmarkReadTenThousandKinds(b *testing.B) {
 	for _, bytes := range []int{960, 8128} {
 		b.Run(fmt.Sprint(bytes), func(b *testing.B) {
-			values, total := full(10000, bytes)
+			values, total := fullModelValues(10000, bytes)
 			b.ReportAllocs()
 			for b.Loop() {
-				d := leader(10000)
+				d := newLeader(10000)
 				d.Begin(0)
 				for i := 0; i < len(values); i += 16 {
 					d.Tick(time.Duration(i)*time.Millisecond, true)
@@ -88,14 +88,14 @@
 	for b.Loop() {
 		before := heap()
 		r := rand.New(rand.NewPCG(4, 4))
-		d := leader(10000)
+		d := newLeader(10000)
 		d.Begin(0)
 		d.Tick(0, true)
-		values, _ := full(9000, 8128)
+		values, _ := fullModelValues(9000, 8128)
 		d.ValuesRead(0, values, false, true)
 		closed := heap()
 		for n := range 9000 {
-			d.countRecord(recordOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(recordOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, lognormalTimes(r, 40, 20, .3)))
 		}
 		open := heap()
 		b.ReportMetric((closed-before)/9000, "closed-B/kind")
@@ -109,13 +109,13 @@
 	r := rand.New(rand.NewPCG(4, 4))
 	for b.Loop() {
 		b.StopTimer()
-		d := leader(10000)
+		d := newLeader(10000)
 		d.Begin(0)
 		d.Tick(0, true)
 		d.ValuesRead(0, nil, false, true)
 		d.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
 		for n := range 9000 {
-			d.countRecord(recordOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(recordOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, lognormalTimes(r, 40, 20, .3)))
 		}
 		b.StartTimer()
 		longest, ticks := time.Duration(0), 0
--- a/internal/leader/runtimes/sketch.go
+++ b/internal/leader/runtimes/sketch.go
@@ -39,13 +39,13 @@
 
 // median returns the weighted median of a value over nights. A night's weight is bounded, and a
 // single outlier night among several shifts the result to a neighbouring value at most.
-func median(nights []Night, of func(Night) float64) float64 {
+func median(nights []Night, value func(Night) float64) float64 {
 	type point struct{ v, w float64 }
 	var list []point
 	total := 0.0
 	for _, n := range nights {
-		if v := of(n); v > 0 {
-			w := float64(min(n.N, maxNightWeight))
+		if v := value(n); v > 0 {
+			w := float64(min(n.Tasks, maxNightWeight))
 			list = append(list, point{v, w})
 			total += w
 		}
@@ -63,9 +63,9 @@
 			if i == 0 {
 				return p.v
 			}
-			q := list[i-1]
-			from := sum - q.w/2
-			return q.v + (p.v-q.v)*(total/2-from)/(mid-from)
+			previous := list[i-1]
+			previousMid := sum - previous.w/2
+			return previous.v + (p.v-previous.v)*(total/2-previousMid)/(mid-previousMid)
 		}
 		sum += p.w
 	}
--- a/internal/leader/runtimes/store.go
+++ b/internal/leader/runtimes/store.go
@@ -20,7 +20,7 @@
 	maxBytes int // maximum size of a value
 	groups   map[int]*kindGroup
 	valueOf  map[Kind]int
-	filling  int   // the value that takes new kinds; noValue: none yet
+	current  int   // the value that takes new kinds; noValue: none yet
 	next     int   // the lowest number above all that were ever used
 	dirty    []int // numbers of the values to write, in order
 	isDirty  map[int]bool
@@ -37,7 +37,7 @@
 		maxBytes: maxBytes,
 		groups:   map[int]*kindGroup{},
 		valueOf:  map[Kind]int{},
-		filling:  noValue,
+		current:  noValue,
 		next:     maxNights,
 		isDirty:  map[int]bool{},
 	}
@@ -78,11 +78,11 @@
 	if number, ok := s.valueOf[k]; ok {
 		return number
 	}
-	if g := s.groups[s.filling]; g == nil || g.bytes+storedSize(k) > s.maxBytes {
-		s.filling = s.next
+	if g := s.groups[s.current]; g == nil || g.bytes+storedSize(k) > s.maxBytes {
+		s.current = s.next
 	}
-	s.put(s.filling, k)
-	return s.filling
+	s.put(s.current, k)
+	return s.current
 }
 
 // markDirty queues a value for writing.
@@ -114,8 +114,8 @@
 		g.kinds = g.kinds[:len(g.kinds)-1]
 		g.bytes -= storedSize(k)
 		delete(s.valueOf, k)
-		if s.filling == number {
-			s.filling = noValue
+		if s.current == number {
+			s.current = noValue
 		}
 		s.markDirty(s.assign(k))
 	}
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	valueVersion   = 1    // format version of the values
-	writeShare     = 0.05 // share of the state service's write rate that value writes may use
-	changesPerPair = 2    // a value needs one write for itself and one for its log entry
-	minWriteRate   = 0.01 // in writes per second, however slow the state service is
+	valueVersion    = 1    // format version of the values
+	writeShare      = 0.05 // share of the state service's write rate that value writes may use
+	changesPerValue = 2    // a value needs one write for itself and one for its log entry
+	minWriteRate    = 0.01 // in writes per second, however slow the state service is
 )
 
 // writeInterval returns the minimum time between value writes for a state service that accepts the
 // given number of changes per second.
 func writeInterval(changesPerSecond float64) time.Duration {
-	return settings.Seconds(changesPerPair / max(minWriteRate, writeShare*changesPerSecond))
+	return settings.Seconds(changesPerValue / max(minWriteRate, writeShare*changesPerSecond))
 }
 
 // storedValue is the content of one value: some kinds, or a night's demand.
