--- a/internal/leader/runtimes/component.go
+++ b/internal/leader/runtimes/component.go
@@ -128,8 +128,8 @@
 	}
 }
 
-// Tick reads the history after a takeover; later it closes nights, writes their summaries
-// and checks for late jobs.
+// Tick reads the history after a takeover. Later it closes nights, writes their summaries
+// and checks for late jobs. It does nothing while the leader's lease is not valid.
 func (d *Component) Tick(now time.Duration, leaseValid bool) {
 	if !leaseValid {
 		return
@@ -150,8 +150,9 @@
 // LiveBytes returns approximately how many bytes Compact would write for the whole log.
 func (d *Component) LiveBytes() int { return d.loggedRecords * bytesPerRecord }
 
-// Compact appends an entry again if it is still needed: a record until all durable values
-// that it counts for contain it, and a forgotten kind for keepForgottenDays or longer.
+// Compact appends an entry again if it is still needed: a record until the durable values of all
+// kinds and of the demand that it counts for contain it, and the entry of a forgotten kind for
+// at least keepForgottenDays.
 func (d *Component) Compact(_ time.Duration, e eventlog.Entry) {
 	x, ok := d.decode(e)
 	switch {
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -95,7 +95,7 @@
 	m.durableDay = max(m.durableDay, s.Day)
 }
 
-// stored returns the night that belongs into the value of this number, or nil if there is none.
+// stored returns the stored form of the night whose value has this number, or nil if there is none.
 func (m *demand) stored(number int) *storedDemand {
 	i := slices.IndexFunc(m.nights, func(n *demandNight) bool { return demandValueNumber(n.day) == number })
 	if i < 0 {
@@ -117,8 +117,8 @@
 
 // Expected is the demand expected in a slot of a quarter of an hour.
 type Expected struct {
-	At       string  `json:"at"` // local time at which the slot begins
-	InS      float64 `json:"in_s"`
+	At       string  `json:"at"`          // local time at which the slot begins
+	InS      float64 `json:"in_s"`        // time until the slot begins, in seconds; 0: it has begun
 	Nights   int     `json:"nights"`      // number of nights it is learned from
 	Work     float64 `json:"work_cpu_s"`  // of the median night, in CPU seconds
 	Most     float64 `json:"most_cpu_s"`  // of the heaviest night, in CPU seconds
--- a/internal/leader/runtimes/estimate.go
+++ b/internal/leader/runtimes/estimate.go
@@ -10,12 +10,12 @@
 type Estimate struct {
 	P50    float64 `json:"task_p50_s"`
 	P90    float64 `json:"task_p90_s"`
-	Fetch  float64 `json:"fetch_p50_s"`
-	JobP50 float64 `json:"job_p50_s,omitempty"` // from acceptance to end; 0: unknown
+	Fetch  float64 `json:"fetch_p50_s"`         // from a task's placement to its start
+	JobP50 float64 `json:"job_p50_s,omitempty"` // from acceptance or release to end; 0: unknown
 	JobP90 float64 `json:"job_p90_s,omitempty"`
-	Jobs   int     `json:"jobs"`
-	Tasks  int     `json:"tasks"`
-	Nights int     `json:"nights"`
+	Jobs   int     `json:"jobs"`           // number of jobs that it is learned from
+	Tasks  int     `json:"tasks"`          // number of tasks that it is learned from
+	Nights int     `json:"nights"`         // number of nights that it is learned from
 	AgeS   float64 `json:"age_s"`          // time since the last record
 	From   string  `json:"from"`           // where the estimate comes from
 	Wide   string  `json:"wide,omitempty"` // why the interval is wide; empty if it is not
@@ -28,8 +28,8 @@
 	normalP90                       = 1.2816 // 90th percentile of the standard normal distribution
 )
 
-// Mean returns the mean task time in seconds. It assumes a lognormal distribution with the
-// estimate's median and 90th percentile.
+// Mean returns the mean task time in seconds, at most the 90th percentile. It assumes a lognormal
+// distribution with the estimate's median and 90th percentile.
 func (e Estimate) Mean() float64 {
 	if e.P50 <= 0 {
 		return 0
@@ -38,9 +38,10 @@
 	return min(e.P90, e.P50*math.Exp(sigma*sigma/2))
 }
 
-// Estimate estimates work of a kind at the Unix time now. owner is the owner's estimate of
-// one task in seconds, or 0 if there is none. It is used for an image without history,
-// corrected by the ratio of actual to estimated times in its class if that is known.
+// Estimate returns the estimate for a kind at the Unix time now, from the kind itself or the
+// finest coarser kind with enough history. owner is the owner's estimate of one task in seconds,
+// or 0 if there is none. It is used for an image without history, corrected by the ratio of
+// actual to estimated times in its class if that is known.
 func (m *Model) Estimate(k Kind, owner float64, now int64) Estimate {
 	kinds := k.levels()
 	if k.Holiday {
--- a/internal/leader/runtimes/forecast.go
+++ b/internal/leader/runtimes/forecast.go
@@ -15,13 +15,13 @@
 type Forecast struct {
 	Job      string   `json:"job"`
 	Kind     string   `json:"kind"`
-	Waiting  int      `json:"waiting"`
-	Placed   int      `json:"placed"`
+	Waiting  int      `json:"waiting"` // number of waiting tasks
+	Placed   int      `json:"placed"`  // number of placed tasks
 	BeginS   float64  `json:"begin_s"`
 	EndS     float64  `json:"end_s"`
 	EndP90S  float64  `json:"end_p90_s"`
 	LearnedS float64  `json:"learned_deadline_s,omitempty"` // until its learned deadline; 0: there is none
-	Misses   []string `json:"misses,omitempty"`
+	Misses   []string `json:"misses,omitempty"`             // deadlines that it is expected to miss
 	Estimate Estimate `json:"estimate"`
 	After    []string `json:"after,omitempty"` // jobs that it depends on
 
--- a/internal/leader/runtimes/history.go
+++ b/internal/leader/runtimes/history.go
@@ -7,10 +7,12 @@
 )
 
 const (
-	maxNights       = 9   // closed nights to keep; one outlier among them hardly moves the median
-	enoughJobs      = 2   // a kind's own history is used from this many jobs
-	enoughTasks     = 10  // and this many tasks on,
-	enoughJobsAlone = 4   // or from this many jobs with any number of tasks
+	maxNights = 9 // closed nights to keep; one outlier among them hardly moves the median
+	// A kind's own history is used once it has at least enoughJobs jobs with enoughTasks tasks
+	// in total, or at least enoughJobsAlone jobs with any number of tasks.
+	enoughJobs      = 2
+	enoughTasks     = 10
+	enoughJobsAlone = 4
 	maxNightWeight  = 200 // in tasks; more tasks do not increase a night's weight
 )
 
@@ -44,7 +46,7 @@
 	Day                          int32
 	Jobs, Tasks                  int
 	P50, P90                     float64 // of task times
-	Fetch                        float64 // median time from a task's placement to its running
+	Fetch                        float64 // median time from a task's placement to its start
 	JobP50, JobP90               float64 // of job times, from acceptance to end
 	RatioP10, RatioP50, RatioP90 float64 // of the ratios of task times to their owners' estimates
 }
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -63,15 +63,16 @@
 type Imported struct {
 	Added    int `json:"added"`
 	Replaced int `json:"replaced"`
-	Left     int `json:"left_as_they_are"`
-	Dropped  int `json:"dropped"` // because the model is full
+	Left     int `json:"left_as_they_are"` // already known and not replaced
+	Dropped  int `json:"dropped"`          // because the model is full
 	Forgot   int `json:"forgotten,omitempty"`
 }
 
 var errHistoryLoading = errors.New("run-times: the history is still being read: try again in a few seconds")
 
 // Change applies an Import and returns an Imported, both as JSON. All kinds are checked before
-// the first is changed. Imported nights are written like closed ones.
+// the first is changed. Imported nights are written like closed ones. Change fails until the
+// history is loaded.
 func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
 	var in Import
 	if err := json.Unmarshal(body, &in); err != nil {
--- a/internal/leader/runtimes/import_test.go
+++ b/internal/leader/runtimes/import_test.go
@@ -22,7 +22,7 @@
 	}
 	var in Import
 	if err := json.Unmarshal(raw, &in.Kinds); err != nil || len(in.Kinds) != 5 {
-		t.Fatalf("%d kinds, %v", len(in.Kinds), err)
+		t.Fatalf("%d kinds were exported, error %v", len(in.Kinds), err)
 	}
 	target := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	n := target.startTerm(t, 100)
@@ -42,7 +42,7 @@
 		return out
 	}
 	if got := change(in); got != (Imported{Added: 5}) {
-		t.Errorf("%+v", got)
+		t.Errorf("first import: %+v", got)
 	}
 	if got := change(in); got != (Imported{Left: 5}) {
 		t.Errorf("second import: %+v", got)
@@ -66,7 +66,7 @@
 	small.model = NewModel(2)
 	body, _ := json.Marshal(in)
 	if answer, err := small.Change(0, body); err != nil || !strings.Contains(string(answer), `"added":2`) || !strings.Contains(string(answer), `"dropped":3`) {
-		t.Errorf("import into a full model: %s %v", answer, err)
+		t.Errorf("import into a full model: %s, error %v", answer, err)
 	}
 }
 
@@ -87,7 +87,7 @@
 		d := w.startTerm(t, 100)
 		_, err := d.Change(time.Second, json.RawMessage(`{"kinds":[`+good+`,`+bad+`]}`))
 		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") || d.model.Len() != 0 {
-			t.Errorf("%s: %v, %d kinds", bad, err, d.model.Len())
+			t.Errorf("import of %s: error %v, %d kinds in the model", bad, err, d.model.Len())
 		}
 	}
 }
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -37,28 +37,28 @@
 	if len(records) < 300 {
 		t.Fatalf("only %d run records in the test data", len(records))
 	}
-	hour := func(f *RunRecord) string { return time.Unix(f.At, 0).UTC().Format("Mon 15:04")[:6] }
+	hour := func(r *RunRecord) string { return time.Unix(r.At, 0).UTC().Format("Mon 15:04")[:6] }
 	keys := []struct {
 		name string
-		of   func(f *RunRecord) Kind
+		of   func(r *RunRecord) Kind
 	}{
-		{"class", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class} }},
-		{"image", func(f *RunRecord) Kind { return Kind{Image: f.Kind.Image} }},
-		{"class+team", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Team: f.Kind.Team} }},
-		{"class+image", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image} }},
-		{"class+image+shape", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: f.Kind.Shape} }},
-		{"class+image+hour of the week", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: hour(f)} }},
-		{"all four", func(f *RunRecord) Kind { return f.Kind }},
+		{"class", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class} }},
+		{"image", func(r *RunRecord) Kind { return Kind{Image: r.Kind.Image} }},
+		{"class+team", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Team: r.Kind.Team} }},
+		{"class+image", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Image: r.Kind.Image} }},
+		{"class+image+shape", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Image: r.Kind.Image, Shape: r.Kind.Shape} }},
+		{"class+image+hour of the week", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Image: r.Kind.Image, Shape: hour(r)} }},
+		{"all four", func(r *RunRecord) Kind { return r.Kind }},
 	}
-	share := func(name string, estimate func(f *RunRecord) float64) (accurate, known float64) {
+	share := func(name string, estimate func(r *RunRecord) float64) (accurate, known float64) {
 		ten, twenty, fifty, n := 0.0, 0.0, 0.0, 0.0
-		for _, f := range records {
-			estimated := estimate(f)
+		for _, r := range records {
+			estimated := estimate(r)
 			if estimated <= 0 {
 				continue
 			}
 			n++
-			switch off := math.Abs(estimated/f.TaskQuantiles[2] - 1); {
+			switch off := math.Abs(estimated/r.TaskQuantiles[2] - 1); {
 			case off <= .1:
 				ten++
 				fallthrough
@@ -74,29 +74,29 @@
 	}
 	best := 0.0
 	for _, k := range keys {
-		models := map[Kind]*history{}
-		accurate, known := share(k.name, func(f *RunRecord) float64 {
-			m := models[k.of(f)]
-			if m == nil {
-				m = &history{}
-				models[k.of(f)] = m
+		histories := map[Kind]*history{}
+		accurate, known := share(k.name, func(r *RunRecord) float64 {
+			h := histories[k.of(r)]
+			if h == nil {
+				h = &history{}
+				histories[k.of(r)] = h
 			}
 			estimated := 0.0
-			if m.hasEnoughData() {
-				estimated = m.summarize().estimate.P50
+			if h.hasEnoughData() {
+				estimated = h.summarize().estimate.P50
 			}
-			m.addRecord(f)
+			h.addRecord(r)
 			return estimated
 		})
 		best = max(best, accurate*known)
 	}
 	model := NewModel(1000)
-	accurate, known := share("the hierarchy", func(f *RunRecord) float64 {
-		estimated := model.Estimate(f.Kind, f.Estimate, f.At).P50
-		model.AddRun(f)
+	accurate, known := share("the hierarchy", func(r *RunRecord) float64 {
+		estimated := model.Estimate(r.Kind, r.Estimate, r.At).P50
+		model.AddRun(r)
 		return estimated
 	})
-	share("the owner's estimate", func(f *RunRecord) float64 { return f.Estimate })
+	share("the owner's estimate", func(r *RunRecord) float64 { return r.Estimate })
 	if known < 1 || accurate < best {
 		t.Errorf("the hierarchy is within 20 %% for %.2f of %.2f, the best single key for %.2f of all", accurate, known, best)
 	}
--- a/internal/leader/runtimes/kind.go
+++ b/internal/leader/runtimes/kind.go
@@ -55,6 +55,7 @@
 	return strings.Join(parts, "+")
 }
 
+// String returns the kind's name: its fields, separated by slashes.
 func (k Kind) String() string {
 	s := k.Class
 	for _, p := range []string{k.Team, k.Image, k.Shape} {
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -15,9 +15,9 @@
 	Class    string  `json:"class"`
 	Team     string  `json:"team"`
 	Why      string  `json:"why"`
-	RaisedMS int64   `json:"raised_at_ms"`
-	LeadS    float64 `json:"lead_s"` // time from the warning to the learned deadline
-	AgeS     float64 `json:"age_s"`
+	RaisedMS int64   `json:"raised_at_ms"`       // Unix time in milliseconds
+	LeadS    float64 `json:"lead_s"`             // time from the warning to the learned deadline
+	AgeS     float64 `json:"age_s"`              // at the last check, from its acceptance or release
 	LearnedS float64 `json:"learned_deadline_s"` // from its acceptance or release
 	EndS     float64 `json:"end_s"`              // expected, from its acceptance or release
 }
@@ -28,7 +28,7 @@
 	lateCheckInterval = time.Second
 	lateCheckPerJob   = 5 * time.Millisecond
 	// minLeadShare delays warnings: a job that is expected to miss its learned deadline is
-	// reported once at most this share of the learned time is left.
+	// reported only when at most this share of the learned time is left.
 	minLeadShare = 0.2
 	// slowTaskFactor is how many times the learned 90th percentile a task must run to count as slow.
 	slowTaskFactor = 2
@@ -47,7 +47,7 @@
 	Late
 }
 
-// checkLateJobs raises and updates the warnings of all open jobs.
+// checkLateJobs raises and updates the warnings of all open jobs that have a learned deadline.
 func (d *Component) checkLateJobs(now time.Duration) {
 	for _, f := range d.forecasts(now) {
 		if f.Estimate.JobP90 > 0 && f.job.Phase != jobs.Held {
@@ -116,7 +116,7 @@
 	d.Emit(effects.Notify{ID: "late/" + l.Job + "/" + what, Body: raw})
 }
 
-// clearWarning removes a job's warning, if there is one, and reports its end.
+// clearWarning removes a job's warning, if there is one, notifies the webhook and logs it.
 func (d *Component) clearWarning(id uint64, how string) {
 	if l := d.lateJobs[id]; l != nil {
 		delete(d.lateJobs, id)
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -33,7 +33,7 @@
 	Kind          Kind
 	CountedTasks  int        // number of tasks whose run time counts
 	TaskQuantiles [5]float64 // task run times at recordQuantiles
-	Fetch         float64    // median time from a task's placement to its running; 0: not observed
+	Fetch         float64    // median time from a task's placement to its start; 0: not observed
 	Job           float64    // from its acceptance or release to its end
 	Estimate      float64    // the owner's estimate of one task
 	Work          float64    // of all its tasks, in CPU seconds
@@ -75,6 +75,7 @@
 	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
 
+// runOf returns the observations of a job's tasks, creating empty ones if there are none.
 func (d *Component) runOf(now time.Duration, j *jobs.Job) *jobRun {
 	r := d.runs[j.Record.ID]
 	if r == nil {
--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// evictionDivisor is the inverse of the share of maxKinds by which an overfull model is reduced below
-// maxKinds.
+// evictionDivisor determines how many kinds an eviction leaves in the model:
+// maxKinds - maxKinds/evictionDivisor.
 const evictionDivisor = 16
 
 // Model holds the histories of all kinds of work.
@@ -15,7 +15,7 @@
 	histories   map[Kind]*history
 	forgottenAt map[Kind]int64 // Unix time in seconds; records up to then do not count for the kind
 	evicted     []Kind         // kinds evicted since the last takeEvicted
-	openKinds   []Kind         // kinds by the start of their open night; may include closed or removed ones
+	openKinds   []Kind         // kinds in the order in which their open nights began; some may be closed or removed
 }
 
 // NewModel returns an empty model of at most maxKinds kinds.
@@ -34,7 +34,7 @@
 }
 
 // AddRun counts a record for its kind and all coarser ones. It returns the kinds for which
-// this closed a night.
+// this closed a night. A record does not count for a kind that was forgotten after it.
 func (m *Model) AddRun(r *RunRecord) (closed []Kind) {
 	for _, k := range r.Kind.levels() {
 		if at, ok := m.forgottenAt[k]; ok && r.At <= at {
@@ -85,9 +85,9 @@
 	}
 }
 
-// kindsEndedBefore returns the kinds with an open night before the given day, and removes them
+// takeKindsOpenBefore returns the kinds with an open night before the given day, and removes them
 // from openKinds.
-func (m *Model) kindsEndedBefore(day int32) (ended []Kind) {
+func (m *Model) takeKindsOpenBefore(day int32) (ended []Kind) {
 	m.openKinds = slices.DeleteFunc(m.openKinds, func(k Kind) bool {
 		h := m.histories[k]
 		if h == nil || h.open == nil {
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -12,11 +12,11 @@
 // recordOf returns a run record of tasks with the given times.
 func recordOf(id uint64, day int32, k Kind, owner float64, times []float64) *RunRecord {
 	slices.Sort(times)
-	f := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, CountedTasks: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
+	record := &RunRecord{ID: id, At: int64(day) * 86400, Day: day, Kind: k, CountedTasks: len(times), Estimate: owner, Job: times[len(times)-1] + 5, Fetch: 2}
 	for i, q := range recordQuantiles {
-		f.TaskQuantiles[i] = times[min(int(q*float64(len(times))), len(times)-1)]
+		record.TaskQuantiles[i] = times[min(int(q*float64(len(times))), len(times)-1)]
 	}
-	return f
+	return record
 }
 
 // lognormalTimes returns n lognormal times; spread is the standard deviation of their logarithms.
@@ -120,11 +120,11 @@
 		b.AddRun(recordOf(uint64(n+1), int32(n/4), reconKind, 20, times))
 	}
 	if e := b.Estimate(reconKind, 20, 0); e.P50 > 15 || e.P90 < 70 || e.Wide == "" {
-		t.Errorf("%+v", e)
+		t.Errorf("bimodal times: %+v", e)
 	}
 }
 
-// Checks the accuracy of estimates: the share within 10, 20 and 50 % of the actual time for the
+// Estimates must be accurate. The test measures the share within 10, 20 and 50 % of the actual time for the
 // first, third and tenth run, compared with the owner's estimate and the mean of earlier runs.
 func TestEstimateAccuracy(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 9))
--- a/internal/leader/runtimes/nights.go
+++ b/internal/leader/runtimes/nights.go
@@ -26,7 +26,7 @@
 			delete(d.countedRuns, id)
 		}
 	}
-	d.closingKinds = append(d.closingKinds, d.model.kindsEndedBefore(today.Day)...)
+	d.closingKinds = append(d.closingKinds, d.model.takeKindsOpenBefore(today.Day)...)
 	for _, number := range d.demand.closeNights(today.Day) {
 		d.store.markDirty(number)
 	}
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -52,7 +52,7 @@
 	return New(cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}}))
 }
 
-// Measures how a new leader reads the values of a full model: ten thousand kinds of nine
+// BenchmarkReadTenThousandKinds measures how a new leader reads the values of a full model: ten thousand kinds of nine
 // nights. It reads them after its term has begun, so this does not delay its first work.
 func BenchmarkReadTenThousandKinds(b *testing.B) {
 	for _, bytes := range []int{960, 8128} {
@@ -77,7 +77,8 @@
 	}
 }
 
-// Measures the memory of nine thousand kinds, with closed nights and with an open one.
+// BenchmarkMemoryTenThousandKinds measures the memory of nine thousand kinds in a model of at most
+// ten thousand, with closed nights and with an open one.
 func BenchmarkMemoryTenThousandKinds(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
@@ -104,7 +105,8 @@
 	}
 }
 
-// Measures the longest tick when the night of nine thousand kinds ends; closing is spread over ticks.
+// BenchmarkNightEnds measures the longest tick when the night of nine thousand kinds ends. Closing is
+// spread over ticks.
 func BenchmarkNightEnds(b *testing.B) {
 	r := rand.New(rand.NewPCG(4, 4))
 	for b.Loop() {
--- a/internal/leader/runtimes/sketch.go
+++ b/internal/leader/runtimes/sketch.go
@@ -10,8 +10,8 @@
 const (
 	sketchAccuracy = 0.02 // relative accuracy
 	sketchBins     = 512
-	minSketched    = 1e-6 // sketched values must be above this
-	maxSketched    = 1e9  // and below this
+	minSketched    = 1e-6 // lower bound of the values in a sketch, exclusive
+	maxSketched    = 1e9  // upper bound of the values in a sketch, exclusive
 )
 
 func newSketch() *ddsketch.DDSketch {
--- a/internal/leader/runtimes/speed.go
+++ b/internal/leader/runtimes/speed.go
@@ -35,7 +35,7 @@
 }
 
 // isSlow reports whether a machine is known to be slow. It returns false if more than one in
-// minKnownPerSlow known machines are slow, because then the work itself takes longer.
+// minKnownPerSlow known machines is slow, because then the work itself takes longer.
 func (d *Component) isSlow(machine string) bool {
 	s := d.machineSpeeds[machine]
 	if s == nil || s.tasks < minTasksForSpeed || s.meanLog < math.Log(slowRatio) {
--- a/internal/leader/runtimes/store.go
+++ b/internal/leader/runtimes/store.go
@@ -17,8 +17,8 @@
 
 // valueStore tracks which value each kind is stored in and which values must be written.
 type valueStore struct {
-	maxBytes int // maximum size of a value
-	groups   map[int]*kindGroup
+	maxBytes int                // maximum size of a value
+	groups   map[int]*kindGroup // by value number
 	valueOf  map[Kind]int
 	current  int   // the value that takes new kinds; noValue: none yet
 	next     int   // the lowest number above all that were ever used
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -13,16 +13,16 @@
 )
 
 const (
-	valueVersion    = 1    // format version of the values
-	writeShare      = 0.05 // share of the state service's write rate that value writes may use
-	changesPerValue = 2    // a value needs one write for itself and one for its log entry
-	minWriteRate    = 0.01 // in writes per second, however slow the state service is
+	valueVersion   = 1    // format version of the values
+	writeShare     = 0.05 // share of the state service's write rate that value writes may use
+	writesPerValue = 2    // a value needs one write for itself and one for its log entry
+	minWriteRate   = 0.01 // writes per second that value writes may use even if the state service is very slow
 )
 
 // writeInterval returns the minimum time between value writes for a state service that accepts the
-// given number of changes per second.
-func writeInterval(changesPerSecond float64) time.Duration {
-	return settings.Seconds(changesPerValue / max(minWriteRate, writeShare*changesPerSecond))
+// given number of writes per second.
+func writeInterval(writesPerSecond float64) time.Duration {
+	return settings.Seconds(writesPerValue / max(minWriteRate, writeShare*writesPerSecond))
 }
 
 // storedValue is the content of one value: some kinds, or a night's demand.
@@ -42,7 +42,8 @@
 	demandDay  int32          // night of the demand in the value; math.MinInt32: none
 }
 
-// ValuesRead restores a page of the history.
+// ValuesRead restores a page of the history. more reports whether further pages follow; ok is
+// false if the read failed.
 func (d *Component) ValuesRead(now time.Duration, list []eventlog.ComponentValue, more, ok bool) {
 	if !d.historyReader.PageRead(now, list, more, ok) {
 		return
