--- a/internal/leader/runtimes/model.go
+++ b/internal/leader/runtimes/model.go
@@ -15,7 +15,7 @@
 	histories   map[Kind]*history
 	forgottenAt map[Kind]int64 // Unix time in seconds; records up to then do not count for the kind
 	evicted     []Kind         // kinds evicted since the last takeEvicted
-	openKinds   []Kind         // kinds in the order in which their open nights began; some may be closed or removed
+	openKinds   []Kind         // in order of the start of their open nights; some may be closed or removed
 }
 
 // NewModel returns an empty model of at most maxKinds kinds.
--- a/internal/leader/runtimes/model_test.go
+++ b/internal/leader/runtimes/model_test.go
@@ -124,8 +124,9 @@
 	}
 }
 
-// Estimates must be accurate. The test measures the share within 10, 20 and 50 % of the actual time for the
-// first, third and tenth run, compared with the owner's estimate and the mean of earlier runs.
+// Estimates must be accurate. The test measures the share within 10, 20 and 50 % of the
+// actual time for the first, third and tenth run, compared with the owner's estimate and the
+// mean of earlier runs.
 func TestEstimateAccuracy(t *testing.T) {
 	r := rand.New(rand.NewPCG(9, 9))
 	b := NewModel(1000)
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -52,8 +52,9 @@
 	return New(cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}}))
 }
 
-// BenchmarkReadTenThousandKinds measures how a new leader reads the values of a full model: ten thousand kinds of nine
-// nights. It reads them after its term has begun, so this does not delay its first work.
+// BenchmarkReadTenThousandKinds measures how a new leader reads the values of a full model:
+// ten thousand kinds of nine nights. It reads them after its term has begun, so this does not delay its first
+// work.
 func BenchmarkReadTenThousandKinds(b *testing.B) {
 	for _, bytes := range []int{960, 8128} {
 		b.Run(fmt.Sprint(bytes), func(b *testing.B) {
--- a/internal/leader/runtimes/values.go
+++ b/internal/leader/runtimes/values.go
@@ -16,7 +16,7 @@
 	valueVersion   = 1    // format version of the values
 	writeShare     = 0.05 // share of the state service's write rate that value writes may use
 	writesPerValue = 2    // a value needs one write for itself and one for its log entry
-	minWriteRate   = 0.01 // writes per second that value writes may use even if the state service is very slow
+	minWriteRate   = 0.01 // writes per second that value writes may use however slow the state service is
 )
 
 // writeInterval returns the minimum time between value writes for a state service that accepts the
