--- a/internal/leader/runtimes/history.go
+++ b/internal/leader/runtimes/history.go
@@ -7,51 +7,52 @@
 )
 
 const (
-	maxNights      = 9   // closed ones: a freak one among them moves no median
-	enoughJobs     = 2   // for a kind to speak for itself,
-	enoughTasks    = 10  // with so many tasks,
-	soloJobs       = 4   // or so many jobs, however few their tasks
-	maxNightWeight = 200 // tasks: more give a night no more weight
+	maxNights = 9 // closed nights to keep; one outlier among them hardly moves the median
+	// A kind's own history is used once it has at least enoughJobs jobs with enoughTasks tasks
+	// in total, or at least enoughJobsAlone jobs with any number of tasks.
+	enoughJobs      = 2
+	enoughTasks     = 10
+	enoughJobsAlone = 4
+	maxNightWeight  = 200 // in tasks; more tasks do not increase a night's weight
 )
 
-// unknownSpread is how much wider the interval of a kind gets that was seen in one night
-// only; in proportion less for more nights.
+// unknownSpread is the minimum of p90/p50-1 for a kind that was seen in one night only. It is
+// divided by the number of nights.
 const unknownSpread = .3
 
 // history is the history of one kind.
 type history struct {
-	nights       []Night // closed ones, by day
+	nights       []Night // closed nights, ordered by day
 	open         *night
-	lastRecordAt int64           // time of day of its last record, in seconds
-	summary      *historySummary // of all nights; nil: to be worked out anew
+	lastRecordAt int64           // Unix time of its last record, in seconds
+	summary      *historySummary // of all nights; nil: must be recomputed
 }
 
-// historySummary is what all nights of a kind come to.
+// historySummary combines all nights of a kind.
 type historySummary struct {
-	est            Estimate
-	low, mid, high float64 // tasks against their owners' estimates
+	estimate                     Estimate
+	ratioP10, ratioP50, ratioP90 float64 // ratio of task times to their owners' estimates: p10, p50, p90
 }
 
-// night is what the open night has shown so far.
+// night holds the observations of an open night.
 type night struct {
 	day                      int32
-	jobs, n                  int
+	jobs, tasks              int
 	task, fetch, job, ratios *ddsketch.DDSketch
 }
 
-// Night is what a kind has shown in one night: all that is kept of it once it is over.
-// Times are in seconds.
+// Night is the summary of a kind's closed night. Times are in seconds.
 type Night struct {
-	Day                      int32
-	Jobs, N                  int
-	P50, P90                 float64 // of tasks
-	Fetch                    float64 // median
-	JobP50, JobP90           float64 // of jobs, from acceptance to end
-	RatioP10, RatioP50, RP90 float64 // of tasks, against their owners' estimates
+	Day                          int32
+	Jobs, Tasks                  int
+	P50, P90                     float64 // of task times
+	Fetch                        float64 // median time from a task's placement to its start
+	JobP50, JobP90               float64 // of job times, from acceptance to end
+	RatioP10, RatioP50, RatioP90 float64 // of the ratios of task times to their owners' estimates
 }
 
-// addRecord counts a record. One of a night that is closed for this kind was counted
-// before.
+// addRecord adds a record to its night, and closes the open night if the record is of a later one.
+// A record of a night that is closed for this kind is ignored because it was already counted.
 func (h *history) addRecord(r *RunRecord) {
 	if len(h.nights) > 0 && r.Day <= h.nights[len(h.nights)-1].Day {
 		return
@@ -67,20 +68,20 @@
 	}
 	h.lastRecordAt = max(h.lastRecordAt, r.At)
 	h.summary = nil
-	o := h.open
-	o.jobs++
-	o.n += r.N
-	for i, v := range r.Task {
-		addToSketch(o.task, v, quantileWeights[i]*float64(r.N))
+	open := h.open
+	open.jobs++
+	open.tasks += r.CountedTasks
+	for i, v := range r.TaskQuantiles {
+		addToSketch(open.task, v, quantileWeights[i]*float64(r.CountedTasks))
 		if r.Estimate > 0 {
-			addToSketch(o.ratios, v/r.Estimate, quantileWeights[i]*float64(min(r.N, enoughTasks)))
+			addToSketch(open.ratios, v/r.Estimate, quantileWeights[i]*float64(min(r.CountedTasks, enoughTasks)))
 		}
 	}
-	addToSketch(o.fetch, r.Fetch, 1)
-	addToSketch(o.job, r.Job, 1)
+	addToSketch(open.fetch, r.Fetch, 1)
+	addToSketch(open.job, r.Job, 1)
 }
 
-// closeNight ends the open night.
+// closeNight replaces the open night by its summary.
 func (h *history) closeNight() {
 	if h.open == nil {
 		return
@@ -96,7 +97,7 @@
 	return Night{
 		Day:      o.day,
 		Jobs:     o.jobs,
-		N:        o.n,
+		Tasks:    o.tasks,
 		P50:      quantile(o.task, .5),
 		P90:      quantile(o.task, .9),
 		Fetch:    quantile(o.fetch, .5),
@@ -104,11 +105,11 @@
 		JobP90:   quantile(o.job, .9),
 		RatioP10: quantile(o.ratios, .1),
 		RatioP50: quantile(o.ratios, .5),
-		RP90:     quantile(o.ratios, .9),
+		RatioP90: quantile(o.ratios, .9),
 	}
 }
 
-// allNights lists the nights, the open one as it stands.
+// allNights returns all nights, including a summary of the open one so far.
 func (h *history) allNights() []Night {
 	if h.open == nil {
 		return h.nights
@@ -116,19 +117,19 @@
 	return append(h.nights[:len(h.nights):len(h.nights)], h.open.close())
 }
 
-func (h *history) hasEnough() bool {
-	e := &h.summarize().est
-	return e.Jobs >= enoughJobs && e.Tasks >= enoughTasks || e.Jobs >= soloJobs
+func (h *history) hasEnoughData() bool {
+	e := &h.summarize().estimate
+	return e.Jobs >= enoughJobs && e.Tasks >= enoughTasks || e.Jobs >= enoughJobsAlone
 }
 
-// estimate makes an estimate of a kind's own history.
+// estimate returns the estimate from a kind's own history.
 func (h *history) estimate(k Kind, now int64) Estimate {
-	e := h.summarize().est
+	e := h.summarize().estimate
 	e.From, e.AgeS = k.Level(), float64(max(0, now-h.lastRecordAt))
 	return e
 }
 
-// lastDay is the last closed night; noDay: there is none.
+// lastDay returns the day of the last closed night, or noDay if there is none.
 func (h *history) lastDay() int32 {
 	if len(h.nights) == 0 {
 		return noDay
@@ -136,10 +137,10 @@
 	return h.nights[len(h.nights)-1].Day
 }
 
-// noDay is the day of no night.
+// noDay stands for no night.
 const noDay = -1
 
-// summarize is what all nights come to.
+// summarize returns the summary of all nights, computing it if necessary.
 func (h *history) summarize() *historySummary {
 	if h.summary != nil {
 		return h.summary
@@ -155,21 +156,21 @@
 	}
 	for _, n := range nights {
 		e.Jobs += n.Jobs
-		e.Tasks += n.N
+		e.Tasks += n.Tasks
 	}
-	// Few nights have not shown how much one differs from another.
+	// A few nights do not show how much nights differ, so widen the interval.
 	spread := 1 + unknownSpread/float64(max(1, len(nights)))
 	e.P90 = max(e.P90, e.P50*spread)
-	// A job's time depends on the room it found, which a few jobs have not shown.
+	// A job's time depends on the free capacity it finds, and a few jobs do not show that variation.
 	e.JobP90 = max(e.JobP90, e.JobP50*(spread+1/float64(max(1, e.Jobs))))
 	if e.P90 > wideRatio*e.P50 {
 		e.Wide = "tasks of this kind differ widely among themselves"
 	}
 	h.summary = &historySummary{
-		est:  e,
-		low:  median(nights, func(n Night) float64 { return n.RatioP10 }),
-		mid:  median(nights, func(n Night) float64 { return n.RatioP50 }),
-		high: median(nights, func(n Night) float64 { return n.RP90 }),
+		estimate: e,
+		ratioP10: median(nights, func(n Night) float64 { return n.RatioP10 }),
+		ratioP50: median(nights, func(n Night) float64 { return n.RatioP50 }),
+		ratioP90: median(nights, func(n Night) float64 { return n.RatioP90 }),
 	}
 	return h.summary
 }
--- a/internal/leader/runtimes/keys_test.go
+++ b/internal/leader/runtimes/keys_test.go
@@ -11,12 +11,11 @@
 	"time"
 )
 
-// TestWeighKeys holds ways of saying what "the same job" is against nights that the
-// scenario engine has played and recorded: for each run, how near the estimate from
-// those before it came, and how often there was one. docs/run-times.md has the table.
-// What is built, the finest of a hierarchy with enough history, must be no worse than
-// any single key by more than a little, and say something about every run.
-func TestWeighKeys(t *testing.T) {
+// TestCompareGroupingKeys compares keys for grouping job history on runs recorded from the scenario
+// engine: how often a key gives an estimate from earlier runs, and how accurate it is.
+// docs/run-times.md has the results. The implementation uses the finest kind with enough
+// history. It must give an estimate for every run and be at least as good as any single key.
+func TestCompareGroupingKeys(t *testing.T) {
 	f, err := os.Open("testdata/recorded_facts.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -36,30 +35,30 @@
 	}
 	slices.SortFunc(records, func(a, b *RunRecord) int { return cmp.Or(cmp.Compare(a.At, b.At), cmp.Compare(a.ID, b.ID)) })
 	if len(records) < 300 {
-		t.Fatalf("only %d records are recorded", len(records))
+		t.Fatalf("only %d run records in the test data", len(records))
 	}
-	hour := func(f *RunRecord) string { return time.Unix(f.At, 0).UTC().Format("Mon 15:04")[:6] }
+	hour := func(r *RunRecord) string { return time.Unix(r.At, 0).UTC().Format("Mon 15:04")[:6] }
 	keys := []struct {
 		name string
-		of   func(f *RunRecord) Kind
+		of   func(r *RunRecord) Kind
 	}{
-		{"class", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class} }},
-		{"image", func(f *RunRecord) Kind { return Kind{Image: f.Kind.Image} }},
-		{"class+team", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Team: f.Kind.Team} }},
-		{"class+image", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image} }},
-		{"class+image+shape", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: f.Kind.Shape} }},
-		{"class+image+hour of the week", func(f *RunRecord) Kind { return Kind{Class: f.Kind.Class, Image: f.Kind.Image, Shape: hour(f)} }},
-		{"all four", func(f *RunRecord) Kind { return f.Kind }},
+		{"class", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class} }},
+		{"image", func(r *RunRecord) Kind { return Kind{Image: r.Kind.Image} }},
+		{"class+team", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Team: r.Kind.Team} }},
+		{"class+image", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Image: r.Kind.Image} }},
+		{"class+image+shape", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Image: r.Kind.Image, Shape: r.Kind.Shape} }},
+		{"class+image+hour of the week", func(r *RunRecord) Kind { return Kind{Class: r.Kind.Class, Image: r.Kind.Image, Shape: hour(r)} }},
+		{"all four", func(r *RunRecord) Kind { return r.Kind }},
 	}
-	share := func(name string, estimate func(f *RunRecord) float64) (near, known float64) {
+	share := func(name string, estimate func(r *RunRecord) float64) (accurate, known float64) {
 		ten, twenty, fifty, n := 0.0, 0.0, 0.0, 0.0
-		for _, f := range records {
-			guess := estimate(f)
-			if guess <= 0 {
+		for _, r := range records {
+			estimated := estimate(r)
+			if estimated <= 0 {
 				continue
 			}
 			n++
-			switch off := math.Abs(guess/f.Task[2] - 1); {
+			switch off := math.Abs(estimated/r.TaskQuantiles[2] - 1); {
 			case off <= .1:
 				ten++
 				fallthrough
@@ -70,35 +69,35 @@
 				fifty++
 			}
 		}
-		t.Logf("%-30s knows %.2f of %d runs; within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f of those", name, n/float64(len(records)), len(records), ten/n, twenty/n, fifty/n)
+		t.Logf("%-30s estimates %.2f of %d runs; of these, within 10 %%: %.2f, 20 %%: %.2f, 50 %%: %.2f", name, n/float64(len(records)), len(records), ten/n, twenty/n, fifty/n)
 		return twenty / n, n / float64(len(records))
 	}
 	best := 0.0
 	for _, k := range keys {
-		models := map[Kind]*history{}
-		near, known := share(k.name, func(f *RunRecord) float64 {
-			m := models[k.of(f)]
-			if m == nil {
-				m = &history{}
-				models[k.of(f)] = m
+		histories := map[Kind]*history{}
+		accurate, known := share(k.name, func(r *RunRecord) float64 {
+			h := histories[k.of(r)]
+			if h == nil {
+				h = &history{}
+				histories[k.of(r)] = h
 			}
-			guess := 0.0
-			if m.hasEnough() {
-				guess = m.summarize().est.P50
+			estimated := 0.0
+			if h.hasEnoughData() {
+				estimated = h.summarize().estimate.P50
 			}
-			m.addRecord(f)
-			return guess
+			h.addRecord(r)
+			return estimated
 		})
-		best = max(best, near*known)
+		best = max(best, accurate*known)
 	}
 	model := NewModel(1000)
-	near, known := share("the hierarchy", func(f *RunRecord) float64 {
-		guess := model.Estimate(f.Kind, f.Estimate, f.At).P50
-		model.AddRun(f)
-		return guess
+	accurate, known := share("the hierarchy", func(r *RunRecord) float64 {
+		estimated := model.Estimate(r.Kind, r.Estimate, r.At).P50
+		model.AddRun(r)
+		return estimated
 	})
-	share("the owner's estimate", func(f *RunRecord) float64 { return f.Estimate })
-	if known < 1 || near < best {
-		t.Errorf("the hierarchy is within a fifth for %.2f of %.2f, the best single key for %.2f of all", near, known, best)
+	share("the owner's estimate", func(r *RunRecord) float64 { return r.Estimate })
+	if known < 1 || accurate < best {
+		t.Errorf("the hierarchy is within 20 %% for %.2f of %.2f, the best single key for %.2f of all", accurate, known, best)
 	}
 }
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -13,45 +13,45 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// maxDeferredRecords bounds the records that wait in memory for the history to be loaded.
+// maxDeferredRecords bounds the records kept in memory until the history is loaded.
 const maxDeferredRecords = 20000
 
-// jobRun is what is known of an open job's tasks.
+// jobRun holds the observations of an open job's tasks.
 type jobRun struct {
-	kind        Kind
-	est         Estimate // when the first of them was seen
-	task, fetch *ddsketch.DDSketch
-	n           int          // tasks whose time counts
-	disturbed   map[int]bool // tasks that were started more than once, or moved
+	kind         Kind
+	estimate     Estimate // at the time of the first observation
+	task, fetch  *ddsketch.DDSketch
+	countedTasks int          // number of tasks whose run time counts
+	interrupted  map[int]bool // tasks that left a machine before they completed
 }
 
-// RunRecord is what one job has shown, once it is done. Times are in seconds.
+// RunRecord is the observed run times of a finished job, in seconds.
 type RunRecord struct {
-	ID       uint64
-	At       int64 // time of day, in seconds
-	Day      int32 // of the night it belongs to
-	Kind     Kind
-	N        int // tasks whose time counts
-	Task     [5]float64
-	Fetch    float64 // the median of what passed between a task's start and its running; 0: none was seen
-	Job      float64 // from its acceptance, or release, to its end
-	Estimate float64 // its owner's, of one task
-	Work     float64 // of all its tasks, in processor seconds
-}
-
-// accepted is when its job was accepted, or released.
+	ID            uint64
+	At            int64 // Unix time of its end, in seconds
+	Day           int32 // night in which it ended
+	Kind          Kind
+	CountedTasks  int        // number of tasks whose run time counts
+	TaskQuantiles [5]float64 // task run times at recordQuantiles
+	Fetch         float64    // median time from a task's placement to its start; 0: not observed
+	Job           float64    // from its acceptance or release to its end
+	Estimate      float64    // the owner's estimate of one task
+	Work          float64    // of all its tasks, in CPU seconds
+}
+
+// accepted returns when the job was accepted or released.
 func (r *RunRecord) accepted() time.Time {
 	return time.Unix(r.At, 0).Add(-time.Duration(r.Job * float64(time.Second)))
 }
 
-// Quantiles of a distribution that a record carries; each stands for as many values as lie
-// nearest to it.
+// recordQuantiles are the quantiles of task run times in a record. quantileWeights is the share of
+// the values that are nearest to each of them.
 var (
 	recordQuantiles = [5]float64{.05, .25, .5, .75, .95}
 	quantileWeights = [5]float64{.15, .225, .25, .225, .15}
 )
 
-// mean is the mean of a job's tasks by what is kept of them.
+// mean returns the approximate mean task time from the quantiles of a record.
 func mean(task [5]float64) float64 {
 	sum := 0.0
 	for i, v := range task {
@@ -70,28 +70,29 @@
 	}
 }
 
-// estimateJob is what is expected of a job.
+// estimateJob returns the current estimate for a job.
 func (d *Component) estimateJob(now time.Duration, j *jobs.Job) Estimate {
 	return d.model.Estimate(d.kindOfJob(j), j.Record.EstimateS, d.wallClock(now).Unix())
 }
 
+// runOf returns the observations of a job's tasks, creating empty ones if there are none.
 func (d *Component) runOf(now time.Duration, j *jobs.Job) *jobRun {
 	r := d.runs[j.Record.ID]
 	if r == nil {
 		r = &jobRun{
-			kind:      d.kindOfJob(j),
-			est:       d.estimateJob(now, j),
-			task:      newSketch(),
-			fetch:     newSketch(),
-			disturbed: map[int]bool{},
+			kind:        d.kindOfJob(j),
+			estimate:    d.estimateJob(now, j),
+			task:        newSketch(),
+			fetch:       newSketch(),
+			interrupted: map[int]bool{},
 		}
 		d.runs[j.Record.ID] = r
 	}
 	return r
 }
 
-// seedEstimator has the estimate of a job's size start from what its kind has shown
-// (learned_sizes).
+// seedEstimator sets the initial size estimate of a job from the history of its kind, if
+// learned_sizes is enabled.
 func (d *Component) seedEstimator(now time.Duration, j *jobs.Job) {
 	if d.Cfg.Tunables.LearnedSizes == 0 || !d.historyReader.Done {
 		return
@@ -115,7 +116,7 @@
 func (d *Component) taskGone(e cluster.Event) {
 	delete(d.taskPlacedAt, taskOf(e))
 	if e.Job.Record.Kind == jobs.Array {
-		d.runOf(e.At, e.Job).disturbed[e.Task] = true
+		d.runOf(e.At, e.Job).interrupted[e.Task] = true
 	}
 }
 
@@ -125,22 +126,22 @@
 		return
 	}
 	r := d.runOf(e.At, e.Job)
-	if r.disturbed[e.Task] || e.Job.SavedRunTime[int32(e.Task)] > 0 {
+	if r.interrupted[e.Task] || e.Job.SavedRunTime[int32(e.Task)] > 0 {
 		return
 	}
 	if d.observeSpeed(r, e) {
 		return
 	}
 	addToSketch(r.task, e.RunSeconds, 1)
-	r.n++
+	r.countedTasks++
 }
 
-// jobDone makes a record of a job that is durably done.
+// jobDone logs and counts the run record of a job that is durably done.
 func (d *Component) jobDone(now time.Duration, j *jobs.Job) {
 	r := d.runs[j.Record.ID]
 	delete(d.runs, j.Record.ID)
 	d.clearWarning(j.Record.ID, endedByCompletion)
-	if r == nil || r.n == 0 {
+	if r == nil || r.countedTasks == 0 {
 		return
 	}
 	d.startNight(now)
@@ -150,7 +151,7 @@
 		Day:      d.today.Day,
 		Kind:     kindFields(r.kind),
 		Holiday:  d.today.Holiday,
-		N:        r.n,
+		N:        r.countedTasks,
 		Fetch:    roundDigits(quantile(r.fetch, .5)),
 		Job:      roundDigits((now - j.AcceptedAt).Seconds()),
 		Estimate: roundDigits(j.Record.EstimateS),
@@ -165,7 +166,8 @@
 	}
 }
 
-// countRecord counts a record, once for each job.
+// countRecord adds a record to the model and the demand, once for each job. It defers the record
+// while the history is not loaded.
 func (d *Component) countRecord(r *RunRecord) {
 	if _, counted := d.countedRuns[r.ID]; counted {
 		return
@@ -184,16 +186,16 @@
 	d.demand.addWork(night.Day, night.Holiday, d.calendar.Slot(accepted), r.Work)
 }
 
-// deferRecord keeps a record until the history is loaded.
+// deferRecord keeps a record until the history is loaded. Records beyond maxDeferredRecords are dropped.
 func (d *Component) deferRecord(r *RunRecord) {
 	if len(d.deferredRecords) < maxDeferredRecords {
 		d.deferredRecords = append(d.deferredRecords, r)
 	}
 }
 
-// historyLoaded counts the records that waited for the history, in the order of their
-// nights: compaction may have left an older one behind a newer one. What they close, and
-// what the last leader has closed and not written, is written.
+// historyLoaded counts the deferred records, sorted by night because compaction may have moved
+// an older record behind a newer one. Nights that these records close, including those that
+// the previous leader closed but did not write, become due for writing.
 func (d *Component) historyLoaded(now time.Duration) {
 	d.model.evict()
 	d.removeFromStore(d.model.takeEvicted())
--- a/internal/leader/runtimes/scale_test.go
+++ b/internal/leader/runtimes/scale_test.go
@@ -13,9 +13,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// full gives the values of so many kinds of nine nights, in values of so many bytes,
-// and how large they are in all.
-func full(kinds, bytes int) (values []eventlog.ComponentValue, total int) {
+// fullModelValues returns stored values of at most the given size that hold the given number of kinds
+// with nine nights each, and their total size.
+func fullModelValues(kinds, bytes int) (values []eventlog.ComponentValue, total int) {
 	s := newValueStore(bytes)
 	var v storedValue
 	flush := func(n int) {
@@ -37,7 +37,7 @@
 		}
 		x := storedKind{Kind: kindFields(kind), At: 1}
 		for n := range maxNights {
-			x.Nights = append(x.Nights, Night{Day: int32(n), Jobs: 3, N: 120, P50: 20.4, P90: 31.2, Fetch: 3.2, JobP50: 60.2, JobP90: 88.5, RatioP10: .5, RatioP50: 1.1, RP90: 1.8}.numbers())
+			x.Nights = append(x.Nights, Night{Day: int32(n), Jobs: 3, Tasks: 120, P50: 20.4, P90: 31.2, Fetch: 3.2, JobP50: 60.2, JobP90: 88.5, RatioP10: .5, RatioP50: 1.1, RatioP90: 1.8}.numbers())
 		}
 		v.Kinds = append(v.Kinds, x)
 	}
@@ -45,22 +45,23 @@
 	return values, total
 }
 
-func leader(kinds int) *Component {
+func newLeader(kinds int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Tunables.RunTimesKinds = kinds
 	cfg.Deployment.State.WriteRPS = 40
 	return New(cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 2, Counts: &cluster.Counts{}}))
 }
 
-// What a new leader reads after its term has begun, with a full model: ten thousand
-// kinds of nine nights. Nothing of it stands between its election and its work.
+// BenchmarkReadTenThousandKinds measures how a new leader reads the values of a full model:
+// ten thousand kinds of nine nights. It reads them after its term has begun, so this does not delay its first
+// work.
 func BenchmarkReadTenThousandKinds(b *testing.B) {
 	for _, bytes := range []int{960, 8128} {
 		b.Run(fmt.Sprint(bytes), func(b *testing.B) {
-			values, total := full(10000, bytes)
+			values, total := fullModelValues(10000, bytes)
 			b.ReportAllocs()
 			for b.Loop() {
-				d := leader(10000)
+				d := newLeader(10000)
 				d.Begin(0)
 				for i := 0; i < len(values); i += 16 {
 					d.Tick(time.Duration(i)*time.Millisecond, true)
@@ -77,7 +78,8 @@
 	}
 }
 
-// What ten thousand kinds take in memory, with their night open and once it is closed.
+// BenchmarkMemoryTenThousandKinds measures the memory of nine thousand kinds in a model of at most
+// ten thousand, with closed nights and with an open one.
 func BenchmarkMemoryTenThousandKinds(b *testing.B) {
 	heap := func() float64 {
 		var m runtime.MemStats
@@ -88,14 +90,14 @@
 	for b.Loop() {
 		before := heap()
 		r := rand.New(rand.NewPCG(4, 4))
-		d := leader(10000)
+		d := newLeader(10000)
 		d.Begin(0)
 		d.Tick(0, true)
-		values, _ := full(9000, 8128)
+		values, _ := fullModelValues(9000, 8128)
 		d.ValuesRead(0, values, false, true)
 		closed := heap()
 		for n := range 9000 {
-			d.countRecord(recordOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(recordOf(uint64(n+1), 40, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, lognormalTimes(r, 40, 20, .3)))
 		}
 		open := heap()
 		b.ReportMetric((closed-before)/9000, "closed-B/kind")
@@ -104,18 +106,19 @@
 	}
 }
 
-// The end of a night of ten thousand kinds is spread over ticks.
+// BenchmarkNightEnds measures the longest tick when the night of nine thousand kinds ends. Closing is
+// spread over ticks.
 func BenchmarkNightEnds(b *testing.B) {
 	r := rand.New(rand.NewPCG(4, 4))
 	for b.Loop() {
 		b.StopTimer()
-		d := leader(10000)
+		d := newLeader(10000)
 		d.Begin(0)
 		d.Tick(0, true)
 		d.ValuesRead(0, nil, false, true)
 		d.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 40, ValueBytes: 8192, TxnOps: 9}, "lead/epoch", 1, 1, 0)
 		for n := range 9000 {
-			d.countRecord(recordOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, normal(r, 40, 20, .3)))
+			d.countRecord(recordOf(uint64(n+1), 0, Kind{fmt.Sprint("class", n%20), "team", fmt.Sprint("image", n), "7x10", false}, 20, lognormalTimes(r, 40, 20, .3)))
 		}
 		b.StartTimer()
 		longest, ticks := time.Duration(0), 0
--- a/internal/leader/runtimes/speed.go
+++ b/internal/leader/runtimes/speed.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	minTasksForSpeed = 4   // of a machine, before it is known to be slow
-	slowRatio        = 1.7 // times what was expected, from which on it is
-	knownPerSlow     = 4   // machines; where more than one in so many is slow, none counts as slow
+	minTasksForSpeed = 4   // minimum number of tasks before a machine can count as slow
+	slowRatio        = 1.7 // mean ratio of actual to expected time from which a machine counts as slow
+	minKnownPerSlow  = 4   // if more than one in this many known machines is slow, none counts as slow
 )
 
-// machineSpeed is how slow a machine's tasks are, as a mean of logarithms.
+// machineSpeed is the average slowness of a machine's tasks.
 type machineSpeed struct {
-	n   int     // tasks
-	log float64 // of the time that a task took next to the expected one
+	tasks   int     // number of tasks
+	meanLog float64 // moving average of the logarithm of actual over expected task time
 }
 
-// observeSpeed notes how a machine's task went against what was expected, and
-// reports whether the machine is known to be slow.
+// observeSpeed updates a machine's speed with a finished task and reports whether the machine is known
+// to be slow.
 func (d *Component) observeSpeed(r *jobRun, e cluster.Event) bool {
-	if r.est.Tasks == 0 || r.est.P50 <= 0 {
+	if r.estimate.Tasks == 0 || r.estimate.P50 <= 0 {
 		return false
 	}
 	s := d.machineSpeeds[e.Machine.Name]
@@ -29,26 +29,26 @@
 		s = &machineSpeed{}
 		d.machineSpeeds[e.Machine.Name] = s
 	}
-	s.n++
-	s.log += (math.Log(e.RunSeconds/r.est.P50) - s.log) / float64(min(s.n, 2*minTasksForSpeed))
+	s.tasks++
+	s.meanLog += (math.Log(e.RunSeconds/r.estimate.P50) - s.meanLog) / float64(min(s.tasks, 2*minTasksForSpeed))
 	return d.isSlow(e.Machine.Name)
 }
 
-// isSlow reports whether a machine is far slower than the others: not when all of them
-// are.
+// isSlow reports whether a machine is known to be slow. It returns false if more than one in
+// minKnownPerSlow known machines is slow, because then the work itself takes longer.
 func (d *Component) isSlow(machine string) bool {
 	s := d.machineSpeeds[machine]
-	if s == nil || s.n < minTasksForSpeed || s.log < math.Log(slowRatio) {
+	if s == nil || s.tasks < minTasksForSpeed || s.meanLog < math.Log(slowRatio) {
 		return false
 	}
 	slow, known := 0, 0
 	for _, o := range d.machineSpeeds {
-		if o.n >= minTasksForSpeed {
+		if o.tasks >= minTasksForSpeed {
 			known++
-			if o.log >= math.Log(slowRatio) {
+			if o.meanLog >= math.Log(slowRatio) {
 				slow++
 			}
 		}
 	}
-	return slow*knownPerSlow <= known
+	return slow*minKnownPerSlow <= known
 }
