--- a/cmd/bitternmoor/certs.go
+++ b/cmd/bitternmoor/certs.go
@@ -12,27 +12,27 @@
 )
 
 func certsCommand() *cobra.Command {
-	top := &cobra.Command{Use: "certs", Short: "Make certificates for the operators' listener of a small installation"}
+	top := &cobra.Command{Use: "certs", Short: "Create certificates for the operators' listener of small installations"}
 	top.AddCommand(certsCACommand(), certsIssueCommand())
 	return top
 }
 
-// certFlags are those of the commands that make certificates.
+// certFlags holds the flags of the commands that create certificates.
 type certFlags struct {
 	dir  string
 	days int
 }
 
 func (f *certFlags) addTo(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().StringVar(&f.dir, "dir", ".", "where certificates and keys are kept")
-	cmd.Flags().IntVar(&f.days, "days", 365, "for how long it is good")
+	cmd.Flags().StringVar(&f.dir, "dir", ".", "directory of certificates and keys")
+	cmd.Flags().IntVar(&f.days, "days", 365, "number of days for which the certificate is valid")
 	return cmd
 }
 
-// maxCertDays is some hundred years.
+// maxCertDays is about one hundred years.
 const maxCertDays = 36500
 
-// lifetime is for how long a certificate is good.
+// lifetime returns how long a certificate is valid.
 func (f *certFlags) lifetime() (time.Duration, error) {
 	if f.days < 1 || f.days > maxCertDays {
 		return 0, fmt.Errorf("--days: must be between 1 and %d, is %d", maxCertDays, f.days)
@@ -43,7 +43,7 @@
 func certsCACommand() *cobra.Command {
 	var flags certFlags
 	return flags.addTo(&cobra.Command{
-		Use: "ca", Short: "Make a CA; it writes over nothing", Args: cobra.NoArgs,
+		Use: "ca", Short: "Create a CA; existing files are not overwritten", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			lifetime, err := flags.lifetime()
 			if err != nil {
@@ -53,7 +53,8 @@
 				return failure{err}
 			}
 			console.Printf(cmd.OutOrStdout(),
-				"%s/ca.pem and its key %s/ca.key are made: whoever has the key can make operators\n", flags.dir, flags.dir)
+				"%s/ca.pem and its key %s/ca.key were created: whoever has the key can issue operator certificates\n",
+				flags.dir, flags.dir)
 			return nil
 		},
 	})
@@ -64,7 +65,7 @@
 	var hosts string
 	cmd := flags.addTo(&cobra.Command{
 		Use:   "issue NAME",
-		Short: "Make a certificate for an operator, or with --hosts for a controller, signed by the CA",
+		Short: "Create a certificate, signed by the CA, for an operator or, with --hosts, for a controller",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			lifetime, err := flags.lifetime()
@@ -75,11 +76,11 @@
 			if err := certs.Issue(flags.dir, name, settings.List(hosts), lifetime); err != nil {
 				return failure{err}
 			}
-			console.Printf(cmd.OutOrStdout(), "%s/%s.pem and its key %s/%s.key are made\n",
+			console.Printf(cmd.OutOrStdout(), "%s/%s.pem and its key %s/%s.key were created\n",
 				flags.dir, name, flags.dir, name)
 			return nil
 		},
 	})
-	cmd.Flags().StringVar(&hosts, "hosts", "", "names and addresses at which a controller is called, separated by commas")
+	cmd.Flags().StringVar(&hosts, "hosts", "", "host names and addresses of a controller, separated by commas")
 	return cmd
 }
--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -19,9 +19,9 @@
 func configCommand() *cobra.Command {
 	top := &cobra.Command{
 		Use:   "config",
-		Short: "Show and change what may change while controllers run: teams, and some tunables",
+		Short: "Show and change the settings that can change while controllers run: teams and some tunables",
 	}
-	history := viewCommand("history", "Show the last changes, the newest first",
+	history := viewCommand("history", "Show the latest changes, newest first",
 		node.PathComponents+reconfig.Name+"/"+reconfig.ViewHistory, printHistory)
 	top.AddCommand(configShow(), history, configSet(), configApply(), configRollback())
 	return top
@@ -31,14 +31,14 @@
 	var client nodeClient
 	return client.addFlags(&cobra.Command{
 		Use:   "show",
-		Short: "Show the configuration, and which revision of it each controller has in force",
+		Short: "Show the configuration, and the revision that is in force on each controller",
 		Args:  cobra.NoArgs,
 		RunE:  func(cmd *cobra.Command, _ []string) error { return client.printConfig(cmd.OutOrStdout()) },
 	})
 }
 
-// printConfig prints the leader's view of the configuration. Where the leader is not reached, it prints what
-// this controller has, and how old that is.
+// printConfig prints the leader's view of the configuration. If the leader cannot be reached, it prints the
+// configuration of the queried controller and its age.
 func (n *nodeClient) printConfig(out io.Writer) error {
 	path := node.PathComponents + reconfig.Name
 	var view reconfig.View
@@ -98,7 +98,7 @@
 	teams.Flush()
 }
 
-// formatLimit is a team's limit; 0 is none.
+// formatLimit formats a team's limit; 0 means that there is none.
 func formatLimit(v float64) string {
 	if v == 0 {
 		return "any"
@@ -106,7 +106,7 @@
 	return fmt.Sprint(v)
 }
 
-// formatSource is what set a value: the settings, or a revision.
+// formatSource formats the source of a value: the settings, or a revision.
 func formatSource(revision uint64) string {
 	if revision == 0 {
 		return "settings"
--- a/cmd/bitternmoor/configchange.go
+++ b/cmd/bitternmoor/configchange.go
@@ -27,12 +27,13 @@
 }
 
 func (c *configChanger) addFlags(cmd *cobra.Command) *cobra.Command {
-	cmd.Flags().StringVar(&c.note, "note", "", "why, for the history")
+	cmd.Flags().StringVar(&c.note, "note", "", "reason for the change, kept in the history")
 	return c.controlClient.addFlags(cmd)
 }
 
-// change shows what changes would do, asks, and has them made: for the revision that was seen, whole or not at
-// all, and until that is durable. plan makes the changes from the leader's view.
+// change prints the effect of changes, asks for confirmation and requests them until they are durable. The
+// leader applies all of them or none, and only to the revision that was shown. plan derives the changes
+// from the leader's view.
 func (c *configChanger) change(
 	cmd *cobra.Command,
 	plan func(ctx context.Context, client *control.Client, v *reconfig.View) ([]config.Change, error),
@@ -70,7 +71,7 @@
 	return c.commit(cmd, client, request)
 }
 
-// printPlan prints what changes would do, as the leader answers to a dry run.
+// printPlan prints the effect of changes, as the leader reports it for a dry run.
 func printPlan(out io.Writer, v *reconfig.View, changes []config.Change, answer *reconfig.Answer) {
 	console.Printf(out, "revision %d would become %d:\n", v.Revision, answer.Revision)
 	for _, change := range changes {
@@ -81,16 +82,17 @@
 	}
 }
 
-// unboundedPlatform is a platform whose values hold names of any length: the leader decides how long one may be.
+// unboundedPlatform returns a platform whose stored values hold names of any length, because the leader is
+// the one that limits the length of a name.
 func unboundedPlatform() *settings.Platform {
 	p := &settings.Platform{}
 	p.Deployment.State.ValueKB = math.MaxInt32
 	return p
 }
 
-// commit requests a change until it is durable.
+// commit repeats a change request until the change is durable.
 func (c *configChanger) commit(cmd *cobra.Command, client *control.Client, request reconfig.Request) error {
-	const unknown = "the change is asked for, and not known to be durable: a takeover may undo it; see config history"
+	const unknown = "the change was requested and is not known to be durable: a takeover may undo it; see config history"
 	return retryUntilDurable(cmd.Context(), unknown, func(ctx context.Context) (bool, error) {
 		var answer reconfig.Answer
 		raw, err := requestChange(ctx, client, request, &answer)
@@ -106,7 +108,7 @@
 	})
 }
 
-// requestChange makes one request of the component that changes the configuration, and decodes its answer.
+// requestChange sends one request to the component that changes the configuration, and decodes the answer.
 func requestChange(
 	ctx context.Context, client *control.Client, request reconfig.Request, answer *reconfig.Answer,
 ) (json.RawMessage, error) {
@@ -133,7 +135,7 @@
 	return decodeAnswer("controller", raw, view)
 }
 
-// teamLimits are a team's limits in a view.
+// teamLimits returns a team's limits in a view, or the zero value if the view does not have the team.
 func teamLimits(v *reconfig.View, team string) config.Limits {
 	i := slices.IndexFunc(v.Teams, func(t reconfig.Team) bool { return t.Name == team })
 	if i < 0 {
@@ -142,7 +144,7 @@
 	return v.Teams[i].Limits
 }
 
-// currentValue says in words what an item is in a view.
+// currentValue formats the value that an item has in a view.
 func currentValue(v *reconfig.View, item config.Item) string {
 	if item.Team != "" {
 		i := slices.IndexFunc(v.Teams, func(t reconfig.Team) bool { return t.Name == item.Team })
@@ -163,8 +165,8 @@
 	var c configChanger
 	return c.addFlags(&cobra.Command{
 		Use: "set CHANGE...",
-		Short: "Change things together: team/NAME/FIELD=N, team/NAME=removed, SECTION.KEY=N, or =settings; " +
-			"says what that does, and asks",
+		Short: "Make all changes or none: team/NAME/FIELD=N, team/NAME=removed, SECTION.KEY=N, or =settings; " +
+			"shows the effect and asks for confirmation",
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			var edits []config.Edit
@@ -184,7 +186,7 @@
 	var c configChanger
 	return c.addFlags(&cobra.Command{
 		Use:   "apply FILE",
-		Short: "Change all that an INI file names, whole or not at all; says what that does, and asks",
+		Short: "Make all changes in an INI file or none; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			edits, err := config.FileEdits(args[0])
@@ -196,8 +198,8 @@
 	})
 }
 
-// changeByEdits makes changes of edits. An edit that is wrong whatever the current values are is refused before the
-// leader is asked.
+// changeByEdits turns edits into changes and makes them. An edit that is invalid regardless of the current
+// values is rejected before the leader is contacted.
 func (c *configChanger) changeByEdits(cmd *cobra.Command, edits []config.Edit) error {
 	if _, err := config.Changes(edits, func(string) config.Limits { return config.Limits{} }); err != nil {
 		return err
@@ -211,7 +213,7 @@
 	var c configChanger
 	return c.addFlags(&cobra.Command{
 		Use:   "rollback REVISION",
-		Short: "Go back to what stood at a revision, by a new one; says what that does, and asks",
+		Short: "Restore the values of an earlier revision in a new one; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			revision, err := strconv.ParseUint(args[0], 10, 63)
@@ -228,7 +230,7 @@
 	})
 }
 
-// planRollback makes the changes that lead back to a revision.
+// planRollback returns the changes that restore an earlier revision.
 func planRollback(
 	ctx context.Context, client *control.Client, v *reconfig.View, revision uint64,
 ) ([]config.Change, error) {
@@ -238,12 +240,12 @@
 	}
 	slices.Reverse(history) // the view has the newest first
 	if n := len(history); n > 0 && history[n-1].Number != v.Revision {
-		return nil, failure{errors.New("the configuration has just changed: look again")}
+		return nil, failure{errors.New("the configuration has just changed: try again")}
 	}
 	changes, err := config.Undo(history, revision)
 	for i := range changes {
 		if changes[i].Value.Removed {
-			changes[i].Value.Limits = nil // the leader knows them
+			changes[i].Value.Limits = nil // the leader has them
 		}
 	}
 	return changes, err
--- a/cmd/bitternmoor/controlclient.go
+++ b/cmd/bitternmoor/controlclient.go
@@ -16,27 +16,27 @@
 	"bitternmoor/internal/operators/control"
 )
 
-// controlClient reaches a controller's operators' listener with the operator's certificate. It holds the
-// flags of the commands that change something.
+// controlClient connects to the operators' listener of a controller with the operator's certificate. It
+// holds the flags of the commands that change something.
 type controlClient struct {
 	address   string
 	files     certs.Files
 	yes, json bool
 }
 
-// addFlags adds the flags to a command, and returns it.
+// addFlags adds the flags to a command and returns the command.
 func (c *controlClient) addFlags(cmd *cobra.Command) *cobra.Command {
 	flags := cmd.Flags()
-	flags.StringVar(&c.address, "control", "", "a controller's operators' listener, host:port")
-	flags.StringVar(&c.files.Cert, "cert", "", "your certificate")
-	flags.StringVar(&c.files.Key, "key", "", "its key")
-	flags.StringVar(&c.files.CA, "ca", "", "certificates of those who sign controllers' certificates")
-	flags.BoolVar(&c.yes, "yes", false, "do not ask")
+	flags.StringVar(&c.address, "control", "", "operators' listener of a controller, host:port")
+	flags.StringVar(&c.files.Cert, "cert", "", "file with your certificate")
+	flags.StringVar(&c.files.Key, "key", "", "file with its private key")
+	flags.StringVar(&c.files.CA, "ca", "", "file with the CA certificates of the controllers")
+	flags.BoolVar(&c.yes, "yes", false, "do not ask for confirmation")
 	flags.BoolVar(&c.json, "json", false, "print JSON")
 	return cmd
 }
 
-// connect checks the flags and makes a client of the listener.
+// connect checks the flags and returns a client of the listener.
 func (c *controlClient) connect() (*control.Client, error) {
 	if _, _, err := net.SplitHostPort(c.address); err != nil {
 		return nil, fmt.Errorf("--control: not host:port: %q", c.address)
@@ -54,14 +54,14 @@
 	return control.NewClient(c.address, pair.Client()), nil
 }
 
-// How long, and how often, it is asked whether a change is durable.
+// Timeout and interval of the repeated requests for a change that is not durable yet.
 const (
 	durableTimeout       = 15 * time.Second
 	durableRetryInterval = 200 * time.Millisecond
 )
 
-// retryUntilDurable makes an idempotent request for a change until it is durable. Where that is not known in
-// time, it fails with the words unknown.
+// retryUntilDurable repeats an idempotent change request until the change is durable. If that is not known
+// within durableTimeout, it fails with the message unknown.
 func retryUntilDurable(
 	ctx context.Context, unknown string, request func(ctx context.Context) (durable bool, err error),
 ) error {
@@ -80,13 +80,13 @@
 	}
 }
 
-// confirm asks before something is changed, unless a script has said yes.
+// confirm asks for confirmation of a change, unless yes is set, as scripts do.
 func confirm(cmd *cobra.Command, yes bool, question string) error {
 	if yes {
 		return nil
 	}
 	console.Printf(cmd.OutOrStdout(), "%s [y/N] ", question)
-	// An error, such as the end of the input, leaves the answer empty, which is a no.
+	// An error, such as the end of the input, leaves the answer empty, which counts as no.
 	line, _ := bufio.NewReader(cmd.InOrStdin()).ReadString('\n')
 	answer := strings.ToLower(strings.TrimSpace(line))
 	if answer != "y" && answer != "yes" {
--- a/cmd/bitternmoor/forecast.go
+++ b/cmd/bitternmoor/forecast.go
@@ -15,7 +15,7 @@
 func forecastCommand() *cobra.Command {
 	cmd := viewCommand("forecast", "Show when open jobs should begin and end, and what they will miss",
 		node.PathComponents+runtimes.Name+"/forecast", printForecasts)
-	cmd.AddCommand(viewCommand("ahead", "Show the work that is expected over the next twelve hours, by nights before",
+	cmd.AddCommand(viewCommand("ahead", "Show the work expected over the next twelve hours, from past nights",
 		node.PathComponents+runtimes.Name+"/ahead", printAhead))
 	return cmd
 }
@@ -50,7 +50,7 @@
 }
 
 func lateCommand() *cobra.Command {
-	return viewCommand("late", "Show the jobs that run well past what their kind has shown, and why",
+	return viewCommand("late", "Show the jobs that run much longer than others of their kind, and why",
 		node.PathComponents+runtimes.Name+"/late", printLate)
 }
 
--- a/cmd/bitternmoor/main.go
+++ b/cmd/bitternmoor/main.go
@@ -1,5 +1,5 @@
-// Command bitternmoor is a cluster scheduler: controllers that rent machines
-// and run users' jobs on them, the smallest first.
+// Command bitternmoor is a cluster scheduler: its controllers rent machines and run users' jobs on them,
+// smallest job first.
 package main
 
 import (
@@ -23,7 +23,7 @@
 
 var version = "0.1.0"
 
-// failure is an error that is none of usage: something was asked for in the right way, and failed.
+// failure is an error of a command that was called correctly; any other error is one of usage.
 type failure struct{ err error }
 
 func (f failure) Error() string { return f.err.Error() }
@@ -37,7 +37,7 @@
 	if err == nil {
 		return
 	}
-	_, _ = fmt.Fprintln(os.Stderr, "bitternmoor:", err) // where that fails, the exit status still tells
+	_, _ = fmt.Fprintln(os.Stderr, "bitternmoor:", err) // on error, the exit status still reports the failure
 	var failed failure
 	if errors.As(err, &failed) {
 		os.Exit(exitFailed)
@@ -45,13 +45,13 @@
 	os.Exit(exitUsage)
 }
 
-// settingsFlags are those that say where settings are read.
+// settingsFlags holds the flags that name the sources of the settings.
 type settingsFlags struct {
 	config, tunables string
 	set              []string
 }
 
-// addConfig adds the flag of the platform's settings to a command.
+// addConfig adds the flag for the platform's settings file to a command.
 func (f *settingsFlags) addConfig(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&f.config, "config", "", "the platform's settings file (TOML)")
 }
@@ -84,7 +84,7 @@
 	persistent := root.PersistentFlags()
 	persistent.StringVar(&flags.tunables, "tunables", "", "the operators' settings file (INI)")
 	persistent.StringArrayVar(&flags.set, "set", nil,
-		"SECTION.KEY=VALUE: one operators' setting, over that of the file; may be given several times")
+		"SECTION.KEY=VALUE: one operators' setting, overrides the file; may be repeated")
 	root.AddCommand(
 		checkConfigCommand(&flags), statusCommand(), explainCommand(), takeoversCommand(), servedCommand(),
 		spreadCommand(), forecastCommand(), lateCommand(), runTimesCommand(), poolsCommand(), configCommand(),
@@ -95,7 +95,7 @@
 
 func checkConfigCommand(flags *settingsFlags) *cobra.Command {
 	cmd := &cobra.Command{
-		Use: "check-config", Short: "Check settings and say what is wrong", Args: cobra.NoArgs,
+		Use: "check-config", Short: "Check settings and report errors", Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			cfg, err := flags.load()
 			if err != nil {
--- a/cmd/bitternmoor/nodeclient.go
+++ b/cmd/bitternmoor/nodeclient.go
@@ -17,26 +17,27 @@
 
 const (
 	requestTimeout = 5 * time.Second
-	maxAnswer      = 64 << 20 // bytes that are read of an answer
+	maxAnswer      = 64 << 20 // bytes of an answer that are read at most
 )
 
-// nodeClient asks a running node, at its internal address. It holds the flags of the commands that do.
+// nodeClient sends requests to a running node at its internal address. It holds the flags of the commands
+// that do so.
 type nodeClient struct {
 	config, address string
 	json            bool
 }
 
-// addFlags adds the flags to a command, and returns it.
+// addFlags adds the flags to a command and returns the command.
 func (n *nodeClient) addFlags(cmd *cobra.Command) *cobra.Command {
 	flags := cmd.Flags()
-	flags.StringVar(&n.address, "address", "", "a node's internal address, host:port")
-	flags.StringVar(&n.config, "config", "", "take the address from this settings file")
+	flags.StringVar(&n.address, "address", "", "internal address of a node, host:port")
+	flags.StringVar(&n.config, "config", "", "settings file to take the address from")
 	flags.BoolVar(&n.json, "json", false, "print JSON")
 	return cmd
 }
 
-// printView reads a path of the node into a view, and calls print. With --json the body is copied as it
-// is instead.
+// printView decodes the answer to a GET of a path into a view, and calls print. With --json it prints the
+// body unchanged instead.
 func (n *nodeClient) printView(out io.Writer, path string, view any, print func()) error {
 	body, err := n.call(http.MethodGet, path, nil)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// statusError is an answer with a status other than 200.
+// statusError is the error for an answer with a status other than 200.
 type statusError struct {
 	node   string
 	status int
@@ -61,18 +62,18 @@
 }
 
 func (e statusError) Error() string {
-	return fmt.Sprintf("node %s answers %d: %s", e.node, e.status, e.body)
+	return fmt.Sprintf("node %s answered %d: %s", e.node, e.status, e.body)
 }
 
 // decodeAnswer decodes the answer of a node or a controller.
 func decodeAnswer(who string, raw []byte, into any) error {
 	if err := json.Unmarshal(raw, into); err != nil {
-		return failure{fmt.Errorf("the %s's answer is not understood: %w", who, err)}
+		return failure{fmt.Errorf("cannot decode the %s's answer: %w", who, err)}
 	}
 	return nil
 }
 
-// call makes one request of the node and returns its answer, or an error for any status but 200.
+// call sends one request to the node and returns the answer, or an error for any status but 200.
 func (n *nodeClient) call(method, path string, body []byte) ([]byte, error) {
 	addr, err := n.resolveAddress()
 	if err != nil {
@@ -87,7 +88,7 @@
 	if err != nil {
 		return nil, failure{fmt.Errorf("node %s cannot be reached: %w", addr, err)}
 	}
-	defer func() { _ = resp.Body.Close() }() // the body is read by then, or the error is returned
+	defer func() { _ = resp.Body.Close() }() // the body has been read, or its error is returned
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
 		return nil, failure{fmt.Errorf("node %s: %w", addr, err)}
@@ -98,7 +99,7 @@
 	return answer, nil
 }
 
-// resolveAddress is the node's internal address, as the flags give it.
+// resolveAddress returns the node's internal address, from the flags or the settings file.
 func (n *nodeClient) resolveAddress() (string, error) {
 	addr := n.address
 	if addr == "" && n.config != "" {
@@ -117,7 +118,7 @@
 	return addr, nil
 }
 
-// viewCommand makes a command that reads one view of a node and prints it.
+// viewCommand returns a command that reads one view of a node and prints it.
 func viewCommand[T any](use, short, path string, print func(io.Writer, T)) *cobra.Command {
 	var client nodeClient
 	return client.addFlags(&cobra.Command{
--- a/cmd/bitternmoor/output_test.go
+++ b/cmd/bitternmoor/output_test.go
@@ -28,10 +28,10 @@
 	"bitternmoor/internal/node"
 )
 
-var update = flag.Bool("update", false, "write testdata/output.golden anew")
+var update = flag.Bool("update", false, "rewrite testdata/output.golden")
 
-// fill fills a value with numbers and words of different lengths. They follow from the JSON names on the path to
-// them, which stay, rather than from the order or the names of Go fields.
+// fill fills a value with numbers and strings of different lengths. It derives them from the JSON names on
+// the path to each value, which are stable, rather than from the order or the names of Go fields.
 func fill(v reflect.Value, path string) {
 	digest := fnv.New32a()
 	_, _ = digest.Write([]byte(path)) // never an error
@@ -81,7 +81,7 @@
 	return v
 }
 
-// printed prints a page that is filled, and one that is empty.
+// printed returns a function that prints a filled value and a zero value.
 func printed[T any](print func(io.Writer, T)) func(io.Writer) error {
 	return func(out io.Writer) error {
 		print(out, filled[T]())
@@ -91,7 +91,7 @@
 	}
 }
 
-// asked runs a command against a node that answers with a value.
+// asked returns a function that runs a command against a node that answers with a value.
 func asked(cmd *cobra.Command, value any, args ...string) func(io.Writer) error {
 	return func(out io.Writer) error {
 		body, err := json.Marshal(value)
@@ -106,7 +106,8 @@
 	}
 }
 
-// What commands print is pinned, byte for byte: operators' scripts read it.
+// TestOutput compares the output of commands with a golden file byte for byte, because operators' scripts
+// read it.
 func TestOutput(t *testing.T) {
 	record := filled[failover.Record]()
 	record.After = map[string]int64{}
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -19,7 +19,7 @@
 )
 
 func poolsCommand() *cobra.Command {
-	top := &cobra.Command{Use: "pools", Short: "Show pools of counted resources, change them, check receipts"}
+	top := &cobra.Command{Use: "pools", Short: "Show and change pools of counted resources, and check receipts"}
 	list := viewCommand("list", "Show all pools", node.PathComponents+pools.Name, printPools)
 	top.AddCommand(list, poolShow(), poolSet(), poolDrain(), verifyCommand())
 	return top
@@ -38,7 +38,7 @@
 	t.Flush()
 }
 
-// poolRemark says what is out of the ordinary of a pool.
+// poolRemark describes any exceptional state of a pool.
 func poolRemark(p pools.View) string {
 	var out []string
 	if p.Closed != "" {
@@ -60,7 +60,7 @@
 	var client nodeClient
 	return client.addFlags(&cobra.Command{
 		Use:   "show POOL",
-		Short: "Show who holds units of a pool, since when, and what would prove that they are back",
+		Short: "Show who holds units of a pool, since when, and what would prove that they were returned",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			out := cmd.OutOrStdout()
@@ -91,8 +91,8 @@
 	t.Flush()
 }
 
-// changePool shows what a change would do to a pool, asks, and has it made: for the version that was shown,
-// and until it is durable. plan says in words what the change would do.
+// changePool prints the effect of a change to a pool, asks for confirmation and requests the change until
+// it is durable, for the version that was shown. plan returns a description of the effect, and the change.
 func (c *controlClient) changePool(
 	cmd *cobra.Command, pool, question string, plan func(p *pools.View) (string, *pools.Change),
 ) error {
@@ -118,13 +118,13 @@
 	if err != nil {
 		return failure{err}
 	}
-	const unknown = "the change is made, and not known to be durable: a takeover may undo it; see pools show"
+	const unknown = "the change was requested and is not known to be durable: a takeover may undo it; see pools show"
 	return retryUntilDurable(cmd.Context(), unknown, func(ctx context.Context) (bool, error) {
 		return c.requestPoolChange(ctx, out, client, body)
 	})
 }
 
-// fetchPool is a pool as the leader has it.
+// fetchPool reads the leader's view of a pool.
 func fetchPool(ctx context.Context, client *control.Client, pool string) (*pools.View, error) {
 	raw, err := client.Show(ctx, pools.Name+"/"+pool)
 	if errors.Is(err, control.ErrUnknown) {
@@ -140,7 +140,7 @@
 	return &p, nil
 }
 
-// requestPoolChange makes one request for a change, and prints the answer once the change is durable.
+// requestPoolChange sends one request for a change, and prints the answer if the change is durable.
 func (c *controlClient) requestPoolChange(
 	ctx context.Context, out io.Writer, client *control.Client, body []byte,
 ) (durable bool, err error) {
@@ -168,7 +168,7 @@
 	return ""
 }
 
-// settingsUnits asks for as many units as the settings say.
+// settingsUnits requests the number of units given in the settings.
 const settingsUnits = -1
 
 func poolSet() *cobra.Command {
@@ -176,7 +176,7 @@
 	var text string
 	cmd := client.addFlags(&cobra.Command{
 		Use:   "set POOL --units N",
-		Short: "Change how many units a pool has; says what that does, and asks",
+		Short: "Change the number of units of a pool; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			units, err := parseUnits(text)
@@ -188,31 +188,31 @@
 			})
 		},
 	})
-	cmd.Flags().StringVar(&text, "units", "", "how many units it is to have, or \"settings\"")
+	cmd.Flags().StringVar(&text, "units", "", "new number of units, or \"settings\"")
 	return cmd
 }
 
-// parseUnits reads a number of units, or "settings".
+// parseUnits parses a number of units, or "settings".
 func parseUnits(text string) (int64, error) {
 	if text == "settings" {
 		return settingsUnits, nil
 	}
 	units, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || units < 0 {
-		return 0, fmt.Errorf("--units: a number, or \"settings\" for what the settings say: %q", text)
+		return 0, fmt.Errorf("--units: neither a number nor \"settings\", for the number in the settings: %q", text)
 	}
 	return units, nil
 }
 
-// describeUnits says what a number of units would mean for a pool.
+// describeUnits describes the effect of a new number of units on a pool.
 func describeUnits(p *pools.View, units int64) string {
 	if units < 0 {
 		units = int64(p.Settings)
 	}
 	words := fmt.Sprintf("it would have %d units", units)
 	if excess := p.Out - units; excess > 0 {
-		words += fmt.Sprintf(": %d more are out than that; nothing is taken from anybody, "+
-			"and none goes out before %d have come back", excess, excess+1)
+		words += fmt.Sprintf(": %d more than that are out; none is revoked, "+
+			"and no unit goes out before %d have come back", excess, excess+1)
 	}
 	return words
 }
@@ -222,20 +222,20 @@
 	var undo bool
 	cmd := client.addFlags(&cobra.Command{
 		Use:   "drain POOL",
-		Short: "Let no more units of a pool go out, or with --undo let them again; says what that does, and asks",
+		Short: "Stop giving out units of a pool, or resume with --undo; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return client.changePool(cmd, args[0], "go on?", func(p *pools.View) (string, *pools.Change) {
 				drain := !undo
-				words := "units would go out again"
+				words := "units would be given out again"
 				if drain {
-					words = fmt.Sprintf("no more units would go out; the %d that are out come back as their tasks end, "+
-						"and jobs that need any wait", p.Out)
+					words = fmt.Sprintf("no more units would be given out; the %d that are out come back as their tasks end, "+
+						"and jobs that need units wait", p.Out)
 				}
 				return words, &pools.Change{Drain: &drain}
 			})
 		},
 	})
-	cmd.Flags().BoolVar(&undo, "undo", false, "let units go out again")
+	cmd.Flags().BoolVar(&undo, "undo", false, "resume giving out units")
 	return cmd
 }
--- a/cmd/bitternmoor/receipts.go
+++ b/cmd/bitternmoor/receipts.go
@@ -18,7 +18,7 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "verify RECEIPT --key-file FILE[,FILE]",
-		Short: "Check a receipt for units, and say what it certifies",
+		Short: "Check a receipt for units, and print what it certifies",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return verifyReceipt(cmd.OutOrStdout(), args[0], settings.List(files), asJSON)
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -16,7 +16,7 @@
 	"bitternmoor/internal/operators/console"
 )
 
-// shownKind is what the leader shows of one kind of work.
+// shownKind is the leader's view of one kind of work.
 type shownKind struct {
 	Name     string            `json:"name"`
 	Estimate runtimes.Estimate `json:"estimate"`
@@ -25,16 +25,16 @@
 
 func runTimesCommand() *cobra.Command {
 	path := node.PathComponents + runtimes.Name
-	top := &cobra.Command{Use: "run-times", Short: "Show, export, import or forget what was learned of run times"}
+	top := &cobra.Command{Use: "run-times", Short: "Show, export, import or delete learned run times"}
 	top.AddCommand(
 		viewCommand("show", "Show each kind of work with its estimate", path, printKinds),
-		viewCommand("export", "Print what was learned as JSON lines, one kind a line, in order of their names",
+		viewCommand("export", "Print learned run times as JSON lines, one kind per line, sorted by name",
 			path, exportKinds),
 		importCommand(), forgetCommand())
 	return top
 }
 
-// fetchKinds lists what the leader has learned.
+// fetchKinds reads the kinds of work that the leader has learned.
 func (n *nodeClient) fetchKinds() (list []shownKind, err error) {
 	page, err := n.call(http.MethodGet, node.PathComponents+runtimes.Name, nil)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return list, decodeAnswer("node", page, &list)
 }
 
-// changeKinds has the leader change what it has learned. With --json its answer is printed as it is,
-// otherwise print is called with it.
+// changeKinds requests a change of the learned run times from the leader. With --json it prints the answer
+// unchanged, otherwise it calls print with the decoded answer.
 func (n *nodeClient) changeKinds(out io.Writer, in runtimes.Import, print func(done runtimes.Imported)) error {
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -76,16 +76,16 @@
 	var im importer
 	cmd := im.addFlags(&cobra.Command{
 		Use:   "import FILE",
-		Short: "Take in what another installation has exported; says what it will change, and asks",
+		Short: "Import the export of another installation; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return im.run(cmd, args[0]) },
 	})
-	cmd.Flags().BoolVar(&im.replace, "replace", false, "replace the history of kinds that are known already")
-	cmd.Flags().BoolVar(&im.yes, "yes", false, "do not ask")
+	cmd.Flags().BoolVar(&im.replace, "replace", false, "replace the history of kinds that already exist")
+	cmd.Flags().BoolVar(&im.yes, "yes", false, "do not ask for confirmation")
 	return cmd
 }
 
-// run reads an export, says what it will change, asks, and has the leader import it.
+// run reads an export, prints its effect, asks for confirmation and sends it to the leader.
 func (im *importer) run(cmd *cobra.Command, path string) error {
 	in, err := readExport(path)
 	if err != nil {
@@ -105,11 +105,11 @@
 	}
 	return im.changeKinds(out, in, func(done runtimes.Imported) {
 		console.Printf(out, "%d added, %d replaced, %d left as they are, %d dropped for want of room; "+
-			"they are written down over the next minutes\n", done.Added, done.Replaced, done.Left, done.Dropped)
+			"they are stored over the next minutes\n", done.Added, done.Replaced, done.Left, done.Dropped)
 	})
 }
 
-// printPlan says how many kinds would be added, and what becomes of those that are known already.
+// printPlan prints how many kinds would be added, and whether those that already exist are kept or replaced.
 func (im *importer) printPlan(out io.Writer, in runtimes.Import, known []shownKind) {
 	both := 0
 	for _, imported := range in.Kinds {
@@ -130,17 +130,18 @@
 	var yes bool
 	cmd := client.addFlags(&cobra.Command{
 		Use:   "forget KEY",
-		Short: "Forget one kind of work, by its name in show; says what it will change, and asks",
+		Short: "Delete one kind of work, by its name in show; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return client.forgetKind(cmd, args[0], yes)
 		},
 	})
-	cmd.Flags().BoolVar(&yes, "yes", false, "do not ask")
+	cmd.Flags().BoolVar(&yes, "yes", false, "do not ask for confirmation")
 	return cmd
 }
 
-// forgetKind says what forgetting a kind of work takes away, asks, and has the leader forget it.
+// forgetKind prints what deleting a kind of work would remove, asks for confirmation and requests the
+// deletion from the leader.
 func (n *nodeClient) forgetKind(cmd *cobra.Command, name string, yes bool) error {
 	known, err := n.fetchKinds()
 	if err != nil {
@@ -163,7 +164,7 @@
 	})
 }
 
-// readExport reads an export and checks every line before any is used.
+// readExport reads an export and checks every line of it.
 func readExport(path string) (in runtimes.Import, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -193,11 +194,11 @@
 	return in, nil
 }
 
-// exportKinds prints each kind on a line of its own.
+// exportKinds prints each kind on its own line.
 func exportKinds(out io.Writer, list []json.RawMessage) {
 	for _, kind := range list {
 		var line bytes.Buffer
-		if json.Compact(&line, kind) == nil { // never an error: it was read as JSON just now
+		if json.Compact(&line, kind) == nil { // never an error: kind was decoded from valid JSON
 			console.Line(out, line.String())
 		}
 	}
--- a/cmd/bitternmoor/runtimes_test.go
+++ b/cmd/bitternmoor/runtimes_test.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 )
 
-// exitOf is the status that the program would end with.
+// exitOf returns the exit status of the program for an error.
 func exitOf(err error) int {
 	var failed failure
 	switch {
@@ -26,13 +26,13 @@
 	return exitUsage
 }
 
-// leader is a node that knows some kinds of work and counts the changes that are asked of it.
+// leader is a node that serves some kinds of work and counts the change requests that it receives.
 type leader struct {
 	address string
 	posts   int
 }
 
-// newLeader starts a node that shows what is known and answers to each change.
+// newLeader starts a node that serves known, and answers each change request with answer.
 func newLeader(t *testing.T, known, answer string) *leader {
 	t.Helper()
 	l := &leader{}
@@ -42,14 +42,14 @@
 			l.posts++
 			page = answer
 		}
-		_, _ = io.WriteString(w, page) // where that fails, the command does
+		_, _ = io.WriteString(w, page) // on error, the command fails too
 	}))
 	t.Cleanup(srv.Close)
 	l.address = srv.Listener.Addr().String()
 	return l
 }
 
-// run runs a command against the node and returns what it prints.
+// run runs a command against the node and returns its output.
 func (l *leader) run(cmd *cobra.Command, input string, args ...string) (printed string, err error) {
 	var out bytes.Buffer
 	cmd.SilenceUsage, cmd.SilenceErrors = true, true
@@ -60,8 +60,8 @@
 	return out.String(), err
 }
 
-// An import says what it will change and changes nothing unconfirmed; a line that is wrong is named, and nothing is
-// sent.
+// TestImport checks that an import prints its effect and sends nothing without confirmation, and that an
+// invalid line is reported by its number and nothing is sent.
 func TestImport(t *testing.T) {
 	const (
 		known = `[{"name":"c///","class":"c","estimate":{},"nights":[]}]`
@@ -71,7 +71,7 @@
 	for _, c := range []struct {
 		name, file, input string
 		args              []string
-		printed, wrong    string // in what is printed, in the error
+		printed, wrong    string // substrings of the output and of the error
 		posts, exit       int
 	}{
 		{"confirmed", one + "\n\n" + two + "\n", "y\n", nil,
@@ -96,13 +96,13 @@
 				t.Errorf("%d posts, exit %d, %v, printed %q", l.posts, exit, err, printed)
 			}
 			if err != nil && (!strings.Contains(err.Error(), c.wrong) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("the error does not say %q in one line: %v", c.wrong, err)
+				t.Errorf("the error does not contain %q, or has several lines: %v", c.wrong, err)
 			}
 		})
 	}
 }
 
-// Forgetting says what it takes away and takes nothing away unconfirmed.
+// TestForget checks that forget prints what it removes, and removes nothing without confirmation.
 func TestForget(t *testing.T) {
 	for _, c := range []struct {
 		name, key, input, printed, wrong string
@@ -121,7 +121,7 @@
 				t.Errorf("%d posts, exit %d, %v, printed %q", l.posts, exit, err, printed)
 			}
 			if err != nil && !strings.Contains(err.Error(), c.wrong) {
-				t.Errorf("the error does not say %q: %v", c.wrong, err)
+				t.Errorf("the error does not contain %q: %v", c.wrong, err)
 			}
 		})
 	}
--- a/cmd/bitternmoor/serve.go
+++ b/cmd/bitternmoor/serve.go
@@ -11,8 +11,8 @@
 	"bitternmoor/internal/settings"
 )
 
-// memoryShare is the share of the machine's memory that the Go runtime aims to stay below; the rest is for
-// what the runtime does not count.
+// memoryShare is the fraction of the machine's memory limit that is set as the soft memory limit of the Go
+// runtime; the rest is for memory that the runtime does not account for.
 const memoryShare = 0.7
 
 const bytesPerMB = 1 << 20
@@ -26,12 +26,12 @@
 	if kinds := cfg.UnknownObjectives(); len(kinds) > 0 {
 		log.Warn("objectives of unknown kinds ignored", "kinds", kinds)
 	}
-	runtime.GOMAXPROCS(1) // a controller has a share of one core
+	runtime.GOMAXPROCS(1) // a controller is limited to part of one core
 	debug.SetMemoryLimit(int64(cfg.Deployment.MachineLimits.RAMMB * memoryShare * bytesPerMB))
 	return node.New(cfg, log).Run(ctx)
 }
 
-// newLogger logs to standard error at a level: error, info or debug; an unknown one counts as info.
+// newLogger returns a logger to standard error at a level: error, info or debug; any other name means info.
 func newLogger(levelName string) *slog.Logger {
 	level, known := slog.LevelInfo, true
 	switch levelName {
--- a/cmd/bitternmoor/served.go
+++ b/cmd/bitternmoor/served.go
@@ -12,7 +12,8 @@
 )
 
 func servedCommand() *cobra.Command {
-	return viewCommand("served", "Show by class and by team how many jobs were due lately, and how many of them were done",
+	return viewCommand("served",
+		"Show, by class and team, how many jobs were due recently, and how many of them were done by then",
 		node.PathComponents+slo.Name, printServed)
 }
 
@@ -31,7 +32,7 @@
 }
 
 func spreadCommand() *cobra.Command {
-	return viewCommand("spread", "Show how reports are spread over controllers",
+	return viewCommand("spread", "Show how worker reports are distributed among controllers",
 		node.PathComponents+rebalance.Name, printSpread)
 }
 
--- a/cmd/bitternmoor/status.go
+++ b/cmd/bitternmoor/status.go
@@ -13,7 +13,7 @@
 )
 
 func statusCommand() *cobra.Command {
-	return viewCommand("status", "Show leader, blocks, machines and the queue", node.PathStatus, printStatus)
+	return viewCommand("status", "Show the leader, blocks, machines and the queue", node.PathStatus, printStatus)
 }
 
 func printStatus(out io.Writer, s node.Status) {
@@ -38,7 +38,7 @@
 	printQueue(out, s)
 }
 
-// printQueue prints the jobs in the order in which they are served, and those that wait for others.
+// printQueue prints the jobs in scheduling order, and then the jobs that wait for other jobs.
 func printQueue(out io.Writer, s node.Status) {
 	console.Line(out, "")
 	queue := console.NewTable(out, "JOB", "CLASS", "TEAM", "VIRTUAL SIZE", "SIZE", "FINAL", "WAITING", "PLACED", "DONE")
@@ -61,7 +61,7 @@
 func explainCommand() *cobra.Command {
 	var client nodeClient
 	return client.addFlags(&cobra.Command{
-		Use: "explain JOB", Short: "Say where a job stands and what it waits for", Args: cobra.ExactArgs(1),
+		Use: "explain JOB", Short: "Explain the state of a job and what it waits for", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if _, ok := wire.ParseID(args[0]); !ok {
 				return fmt.Errorf("not a job id: %q", args[0])
--- a/cmd/bitternmoor/takeovers.go
+++ b/cmd/bitternmoor/takeovers.go
@@ -17,10 +17,10 @@
 )
 
 func takeoversCommand() *cobra.Command {
-	cmd := viewCommand("takeovers", "Show the last takeovers, and when each of their steps was reached",
+	cmd := viewCommand("takeovers", "Show the latest takeovers and the time of each of their steps",
 		node.PathComponents+failover.Name, printTakeovers)
 	cmd.AddCommand(viewCommand("cold",
-		"Show the last starts in which nobody led before: what was found, ordered, and needless",
+		"Show the latest starts without a previous leader: differences found, orders, needless actions",
 		node.PathComponents+coldstart.Name, printColdStarts))
 	return cmd
 }
@@ -70,7 +70,7 @@
 	}
 }
 
-// formatCounts is a list of counts by name, the most frequent first.
+// formatCounts formats counts by name, the highest first.
 func formatCounts(counts map[string]uint64) string {
 	if len(counts) == 0 {
 		return "none"
--- a/cmd/scalerun/fit.go
+++ b/cmd/scalerun/fit.go
@@ -16,7 +16,7 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-// fitFlags are those of scalerun fit.
+// fitFlags holds the flags of scalerun fit.
 type fitFlags struct {
 	experiment, phases, against, at string
 	json                            bool
@@ -26,21 +26,21 @@
 	var f fitFlags
 	cmd := &cobra.Command{
 		Use:   "fit FILE...",
-		Short: "Fit what roles cost, by least squares over results of several sizes",
+		Short: "Fit the cost of each role by least squares over results of several sizes",
 		Args:  cobra.MinimumNArgs(1),
 		RunE:  func(cmd *cobra.Command, args []string) error { return f.run(cmd.OutOrStdout(), args) },
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&f.experiment, "experiment", "", "take the results of this experiment alone")
-	flags.StringVar(&f.phases, "phase", "peak", "the phases that are fitted, taken together, separated by commas")
+	flags.StringVar(&f.experiment, "experiment", "", "use only the results of this experiment")
+	flags.StringVar(&f.phases, "phase", "peak", "phases to fit together, separated by commas")
 	flags.StringVar(&f.against, "against", "workers",
-		"what it is fitted against, separated by commas: "+strings.Join(scalefit.Regressors(), ", "))
-	flags.StringVar(&f.at, "at", "", "print the costs at these values, one for each of --against, separated by commas")
+		"regressors, separated by commas: "+strings.Join(scalefit.Regressors(), ", "))
+	flags.StringVar(&f.at, "at", "", "print the costs at these values of the regressors, separated by commas")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 	return cmd
 }
 
-// run fits the results in files, and prints the fits.
+// run fits the results in files and prints the fits.
 func (f *fitFlags) run(out io.Writer, files []string) error {
 	results, err := readResults(files)
 	if err != nil {
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// parseAt reads where costs are to be given; empty: nowhere.
+// parseAt parses the regressors' values at which costs are printed; an empty text gives none.
 func parseAt(at string, count int) (values []float64, err error) {
 	if at == "" {
 		return nil, nil
@@ -78,12 +78,12 @@
 		values = append(values, v)
 	}
 	if len(values) != count {
-		return nil, errors.New("--at: wants one value for each of --against")
+		return nil, errors.New("--at: needs one value for each regressor of --against")
 	}
 	return values, nil
 }
 
-// readResults reads files of results, a line of JSON each.
+// readResults reads files of results, one JSON object per line.
 func readResults(paths []string) (all []scalerun.Result, err error) {
 	for _, path := range paths {
 		results, err := readResultFile(path)
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = file.Close() }() // it was only read
+	defer func() { _ = file.Close() }() // opened only for reading
 	decoder := json.NewDecoder(file)
 	for {
 		var r scalerun.Result
@@ -109,7 +109,7 @@
 			return results, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("%s: not lines of results: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
+			return nil, fmt.Errorf("%s: invalid line of results: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
 		}
 		results = append(results, r)
 	}
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -1,5 +1,5 @@
-// Command scalerun runs experiments with controllers as real processes and thousands of simulated workers, and fits
-// what they cost. docs/scale-runs.md is its page.
+// Command scalerun runs experiments with controllers as real processes and thousands of simulated workers,
+// and fits their resource cost. It is documented in docs/scale-runs.md.
 package main
 
 import (
@@ -23,11 +23,11 @@
 
 // Exit statuses.
 const (
-	exitFailed = 1 // a broken rule, or a run that could not be played
+	exitFailed = 1 // a broken rule, or a run that could not be carried out
 	exitUsage  = 2
 )
 
-// failure is an error that is none of usage.
+// failure is an error of a command that was called correctly; any other error is one of usage.
 type failure struct{ err error }
 
 func (f failure) Error() string { return f.err.Error() }
@@ -36,7 +36,7 @@
 
 func main() {
 	root := &cobra.Command{
-		Use: "scalerun", Short: "Play experiments at scale, and fit what they cost",
+		Use: "scalerun", Short: "Run experiments at scale, and fit their resource cost",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.AddCommand(runCommand(), fitCommand(), stateCommand(), workerCommand())
@@ -44,7 +44,7 @@
 	defer stop()
 	root.SetOut(os.Stdout)
 	if err := root.ExecuteContext(ctx); err != nil {
-		_, _ = fmt.Fprintln(os.Stderr, "scalerun:", err) // where that fails, the exit status still tells
+		_, _ = fmt.Fprintln(os.Stderr, "scalerun:", err) // on error, the exit status still reports the failure
 		var failed failure
 		if errors.As(err, &failed) {
 			os.Exit(exitFailed)
@@ -53,7 +53,7 @@
 	}
 }
 
-// runFlags are those of scalerun run.
+// runFlags holds the flags of scalerun run.
 type runFlags struct {
 	binary, sizes, seeds, results, samples, keep string
 	json                                         bool
@@ -62,21 +62,21 @@
 func runCommand() *cobra.Command {
 	var f runFlags
 	cmd := &cobra.Command{
-		Use: "run FILE", Short: "Play an experiment", Args: cobra.ExactArgs(1),
+		Use: "run FILE", Short: "Run an experiment", Args: cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error { return f.run(cmd, args[0]) },
 	}
 	flags := cmd.Flags()
-	flags.StringVar(&f.binary, "binary", "target/bitternmoor", "the built controller")
-	flags.StringVar(&f.sizes, "sizes", "", "numbers of workers, separated by commas, in place of the file's")
-	flags.StringVar(&f.seeds, "seeds", "", "seeds, separated by commas, in place of the file's")
-	flags.StringVar(&f.results, "results", "", "a file to which the result of each run is added, as a line of JSON")
-	flags.StringVar(&f.samples, "samples", "", "a file to which every sample is added, as a line of JSON")
-	flags.StringVar(&f.keep, "keep", "", "a folder for settings files and logs; otherwise they are removed")
+	flags.StringVar(&f.binary, "binary", "target/bitternmoor", "path of the controller's binary")
+	flags.StringVar(&f.sizes, "sizes", "", "numbers of workers, separated by commas, instead of those in the file")
+	flags.StringVar(&f.seeds, "seeds", "", "seeds, separated by commas, instead of those in the file")
+	flags.StringVar(&f.results, "results", "", "file to append the result of each run to, as a line of JSON")
+	flags.StringVar(&f.samples, "samples", "", "file to append every sample to, as a line of JSON")
+	flags.StringVar(&f.keep, "keep", "", "directory to keep settings files and logs in; otherwise they are removed")
 	flags.BoolVar(&f.json, "json", false, "print JSON")
 	return cmd
 }
 
-// load reads the experiment as the flags change it.
+// load reads the experiment and applies the flags to it.
 func (f *runFlags) load(path string) (*experiment.Experiment, error) {
 	e, err := experiment.LoadFile(path)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return e, nil
 }
 
-// checkResources logs what the sizes will take, and refuses what this machine cannot carry.
+// checkResources logs the resources that each size needs, and fails if this machine does not have them.
 func checkResources(e *experiment.Experiment, log *slog.Logger) error {
 	fs, err := procfs.NewDefaultFS()
 	if err != nil {
@@ -114,7 +114,7 @@
 		if err := needs.Refuse(*memory.MemTotal<<10, files.Cur); err != nil {
 			return fmt.Errorf("sizes: %d: %w", size, err)
 		}
-		log.Info("a run will take", "needs", needs.String(), "seeds", len(e.Seeds))
+		log.Info("resources needed by a run", "needs", needs.String(), "seeds", len(e.Seeds))
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	if err != nil {
 		return fmt.Errorf("--samples: %w", err)
 	}
-	defer func() { _ = samples.Close() }() // each line was written before, and its error returned
+	defer func() { _ = samples.Close() }() // write errors were returned for each line
 	options.Samples = samples
 	results, err := appendTo(f.results)
 	if err != nil {
@@ -151,18 +151,19 @@
 		if err != nil {
 			return failure{err}
 		}
-		defer func() { _ = os.RemoveAll(parent) }() // what remains is in the folder for temporary files
+		defer func() { _ = os.RemoveAll(parent) }() // on error, files are left in the temporary directory
 	}
 	return f.runAll(cmd, e, options, parent, results)
 }
 
-// findPrograms finds the controller, and this program, which is started anew for the other processes of a run.
+// findPrograms finds the controller and this program, which is also started for the other processes of a
+// run.
 func (f *runFlags) findPrograms() (options scalerun.Options, err error) {
 	if options.Controller, err = filepath.Abs(f.binary); err != nil {
 		return options, failure{err}
 	}
 	if _, err := os.Stat(options.Controller); err != nil {
-		return options, fmt.Errorf("--binary: %w; README says how it is built", err)
+		return options, fmt.Errorf("--binary: %w; see README for how to build it", err)
 	}
 	if options.Self, err = os.Executable(); err != nil {
 		return options, failure{err}
@@ -170,7 +171,8 @@
 	return options, nil
 }
 
-// runAll makes the runs, one after the other, and shows their results. It fails if a rule was broken in any of them.
+// runAll carries out the runs one after the other and outputs their results. It fails if any run broke a
+// rule.
 func (f *runFlags) runAll(
 	cmd *cobra.Command, e *experiment.Experiment, options scalerun.Options, parent string, results io.Writer,
 ) (err error) {
@@ -197,7 +199,7 @@
 	return nil
 }
 
-// show prints a result and adds it to the file of results.
+// show prints a result and appends it to the file of results.
 func (f *runFlags) show(out, results io.Writer, r *scalerun.Result) error {
 	if err := json.NewEncoder(results).Encode(r); err != nil {
 		return err
@@ -209,12 +211,12 @@
 	return nil
 }
 
-// discard stands for a file that was not asked for.
+// discard replaces an output file for which no path is given.
 type discard struct{ io.Writer }
 
 func (discard) Close() error { return nil }
 
-// appendTo opens a file to which lines are added; without a path they are discarded.
+// appendTo opens a file for appending; without a path, writes are discarded.
 func appendTo(path string) (io.WriteCloser, error) {
 	if path == "" {
 		return discard{io.Discard}, nil
--- a/cmd/scalerun/output_test.go
+++ b/cmd/scalerun/output_test.go
@@ -12,7 +12,7 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-var update = flag.Bool("update", false, "write testdata/output.golden anew")
+var update = flag.Bool("update", false, "rewrite testdata/output.golden")
 
 func readJSON(t *testing.T, name string, into any) {
 	t.Helper()
@@ -25,7 +25,7 @@
 	}
 }
 
-// What scalerun prints is pinned, byte for byte.
+// TestOutput compares the output of scalerun with a golden file byte for byte.
 func TestOutput(t *testing.T) {
 	var result scalerun.Result
 	readJSON(t, "result.json", &result)
--- a/cmd/scalerun/print.go
+++ b/cmd/scalerun/print.go
@@ -10,10 +10,10 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-// brokenShown is how many broken rules are printed.
+// brokenShown is the maximum number of broken rules that are printed.
 const brokenShown = 10
 
-// printResult prints what one run has measured.
+// printResult prints the measurements of one run.
 func printResult(out io.Writer, r *scalerun.Result) {
 	console.Printf(out, "%s, %d workers, seed %d: ", r.Experiment, r.Size, r.Seed)
 	console.Printf(out, "%d jobs with %d tasks (%d urgent, %d to cancel), %d accepted, %d over; rules broken: %d\n",
@@ -49,7 +49,7 @@
 	printLatencies(out, p)
 }
 
-// printRoles prints what the processes of each role have used.
+// printRoles prints the resources that the processes of each role used.
 func printRoles(out io.Writer, p *scalerun.Phase) {
 	t := console.NewRightAlignedTable(out, "ROLE", "PROCESSES", "CORES", "MiB", "SOCKETS",
 		"IN kB/s", "OUT kB/s", "MESSAGES/s", "PEERS kB/s")
@@ -62,7 +62,7 @@
 	t.Flush()
 }
 
-// fixed is a number with so many decimals.
+// fixed formats a number with a fixed number of decimals.
 func fixed(v float64, decimals int) string { return fmt.Sprintf("%.*f", decimals, v) }
 
 func printLatencies(out io.Writer, p *scalerun.Phase) {
@@ -85,7 +85,7 @@
 	}
 }
 
-// printFits prints fits and, where at is not nil, the costs at these values of the regressors.
+// printFits prints fits and, if at is not nil, the costs at these values of the regressors.
 func printFits(out io.Writer, fits []scalefit.Fit, at []float64) {
 	t := console.NewTable(out, "ROLE", "COST", "UNIT", "INTERCEPT", "SLOPES", "RESIDUAL", "POINTS", "MEASURED", "AT")
 	for _, f := range fits {
--- a/cmd/scalerun/processes.go
+++ b/cmd/scalerun/processes.go
@@ -8,21 +8,21 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-// stateCommand is the process of a run that stands in for the state service.
+// stateCommand returns the command of the process that simulates the state service in a run.
 func stateCommand() *cobra.Command {
 	var limits scalerun.StateLimits
 	cmd := &cobra.Command{
 		Use: "state", Hidden: true, Args: cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return scalerun.ServeState(limits, os.Stdin, os.Stdout) },
 	}
-	cmd.Flags().Float64Var(&limits.RPS, "rps", 250, "requests a second")
-	cmd.Flags().Float64Var(&limits.WriteRPS, "write-rps", 100, "changes a second")
-	cmd.Flags().Float64Var(&limits.ValueKB, "value-kb", 16, "KiB of a value")
-	cmd.Flags().IntVar(&limits.TxnOps, "txn-ops", 16, "changes of a transaction")
+	cmd.Flags().Float64Var(&limits.RPS, "rps", 250, "requests per second")
+	cmd.Flags().Float64Var(&limits.WriteRPS, "write-rps", 100, "changes per second")
+	cmd.Flags().Float64Var(&limits.ValueKB, "value-kb", 16, "maximum size of a value in KiB")
+	cmd.Flags().IntVar(&limits.TxnOps, "txn-ops", 16, "maximum number of changes in a transaction")
 	return cmd
 }
 
-// workerCommand is the process of a run that has the simulated workers.
+// workerCommand returns the command of the process that simulates one worker in a run.
 func workerCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "worker", Hidden: true, Args: cobra.NoArgs,
--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs reads the certificates with which operators and controllers authenticate each other, reloads them
-// when their files change, warns before they expire, and makes them for a small installation.
+// Package certs reads the certificates with which operators and controllers authenticate each other,
+// reloads them when their files change, warns before they expire, and issues them for small installations.
 package certs
 
 import (
@@ -17,17 +17,17 @@
 type Files struct {
 	Cert string // certificate
 	Key  string // its private key
-	CA   string // certificates of those who sign the other side's
+	CA   string // CA certificates that the other side's certificate is verified against
 }
 
-// Pair is what was read from Files.
+// Pair is the parsed contents of Files.
 type Pair struct {
 	Cert     tls.Certificate
 	Pool     *x509.CertPool
 	NotAfter time.Time // when the certificate expires
 }
 
-// Read reads the files once. An error names the file.
+// Read reads the files. An error names the file.
 func (f Files) Read() (*Pair, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
@@ -43,7 +43,7 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, fmt.Errorf("certs: %s holds no certificate", f.CA)
+		return nil, fmt.Errorf("certs: %s contains no certificate", f.CA)
 	}
 	return &Pair{Cert: cert, Pool: pool, NotAfter: leaf.NotAfter}, nil
 }
@@ -51,19 +51,19 @@
 // checkInterval is how often files are checked for a change.
 const checkInterval = time.Second
 
-// Store keeps what files hold, and reloads it when they change. Where they cannot be read then, what was read before
-// stays in force.
+// Store holds the contents of files and reloads them when the files change. If a reload fails, the former
+// contents stay in force.
 type Store struct {
 	files Files
 	log   *slog.Logger
 
-	mu          sync.Mutex // over all below
+	mu          sync.Mutex // guards the fields below
 	pair        *Pair
 	loadedStamp string
 	checkedAt   time.Time
 }
 
-// NewStore reads the files for the first time.
+// NewStore reads the files and returns a store of them.
 func NewStore(files Files, log *slog.Logger) (*Store, error) {
 	s := &Store{files: files, log: log}
 	pair, err := files.Read()
@@ -74,7 +74,8 @@
 	return s, nil
 }
 
-// stamp changes when a file does. A file that is missing leaves no trace in it.
+// stamp returns a string that changes when the size or modification time of a file changes. Missing files
+// are left out.
 func (f Files) stamp() (out string) {
 	for _, name := range []string{f.Cert, f.Key, f.CA} {
 		if info, err := os.Stat(name); err == nil {
@@ -84,7 +85,7 @@
 	return out
 }
 
-// Pair is what is in force. It looks at the files at most once in checkInterval.
+// Pair returns the certificates in force. It checks the files at most once per checkInterval.
 func (s *Store) Pair() *Pair {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +108,8 @@
 	return s.pair
 }
 
-// Server is the configuration of a listener that accepts only callers whose certificate is signed by one in the CA
-// file. Each connection gets the certificates that are in force when it begins.
+// Server returns the configuration of a listener that accepts only clients whose certificate is signed by
+// one in the CA file. Each connection uses the certificates that are in force when it begins.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -125,18 +126,18 @@
 	}
 }
 
-// Client is the configuration of a caller.
+// Client returns the configuration of a client.
 func (p *Pair) Client() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.Cert}, RootCAs: p.Pool}
 }
 
-// When, and how often, it is logged that a certificate expires.
+// Time before expiry from which a warning is logged, and the interval between warnings.
 const (
 	warnBefore   = 30 * 24 * time.Hour
 	warnInterval = 12 * time.Hour
 )
 
-// Expiry is a warning that the certificate expires soon or has expired; empty: neither.
+// Expiry returns a warning if the certificate expires soon or has expired, and an empty string otherwise.
 func (p *Pair) Expiry(now time.Time) string {
 	left := p.NotAfter.Sub(now)
 	switch {
@@ -148,7 +149,7 @@
 	return ""
 }
 
-// Watch logs, until the context ends, that the certificate is about to expire.
+// Watch logs the warnings of Expiry until the context ends.
 func (s *Store) Watch(ctx context.Context) {
 	for {
 		pair := s.Pair()
--- a/internal/operators/certs/certs_test.go
+++ b/internal/operators/certs/certs_test.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// Certificates are reloaded when their files change, those that cannot be read leave the ones before in force, and
-// a warning comes before they expire.
+// TestStore checks that certificates are reloaded when their files change, that unreadable files leave the
+// former certificates in force, and that a warning is given before expiry.
 func TestStore(t *testing.T) {
 	dir := t.TempDir()
 	if err := MakeCA(dir, "test CA", 24*time.Hour); err != nil {
@@ -30,7 +30,7 @@
 		t.Fatal(err)
 	}
 	if err := Issue(dir, "n0", nil, time.Hour); err == nil {
-		t.Error("a certificate is written over")
+		t.Error("an existing certificate was overwritten")
 	}
 	var logged bytes.Buffer
 	s, err := NewStore(files(dir, "n0"), slog.New(slog.NewTextHandler(&logged, nil)))
@@ -42,7 +42,7 @@
 		t.Errorf("on its last day: %q", warning)
 	}
 	if warning := first.Expiry(time.Now().Add(13 * time.Hour)); !strings.Contains(warning, "has expired") {
-		t.Errorf("after its end: %q", warning)
+		t.Errorf("after its expiry: %q", warning)
 	}
 	for _, f := range []string{"n0.pem", "n0.key"} {
 		if err := os.Remove(filepath.Join(dir, f)); err != nil {
@@ -58,11 +58,11 @@
 	}
 	s.checkedAt = time.Time{}
 	if p := s.Pair(); p == first || bytes.Equal(p.Cert.Certificate[0], first.Cert.Certificate[0]) {
-		t.Error("a new certificate is not taken up")
+		t.Error("the new certificate was not loaded")
 	}
 	conf, err := s.Server().GetConfigForClient(nil)
 	if err != nil || conf.ClientAuth != tls.RequireAndVerifyClientCert {
-		t.Errorf("callers without a certificate: %v %v", conf.ClientAuth, err)
+		t.Errorf("client authentication: %v %v", conf.ClientAuth, err)
 	}
 	right := files(dir, "n0")
 	for name, wrong := range map[string]Files{
--- a/internal/operators/certs/issue.go
+++ b/internal/operators/certs/issue.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// MakeCA makes a certificate that signs others, in DIR/ca.pem and DIR/ca.key. It writes over no file.
+// MakeCA creates a certificate that signs others, in DIR/ca.pem and DIR/ca.key. It overwrites no file.
 func MakeCA(dir, name string, lifetime time.Duration) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -32,11 +32,12 @@
 	return sign(dir, "ca", request{cert: ca, key: key}, ca, key)
 }
 
-// Issue makes a certificate for a name, signed by the CA in DIR, in DIR/NAME.pem and DIR/NAME.key. It writes over no
-// file. hosts are names and addresses at which the holder may serve; none: it only calls.
+// Issue creates a certificate for a name, signed by the CA in DIR, in DIR/NAME.pem and DIR/NAME.key. It
+// overwrites no file. hosts are names and addresses at which the holder may serve; without any, the
+// certificate is only valid for clients.
 func Issue(dir, name string, hosts []string, lifetime time.Duration) error {
 	if name == "" || name == "ca" || filepath.Base(name) != name {
-		return fmt.Errorf("certs: not a name for a certificate: %q", name)
+		return fmt.Errorf("certs: invalid name for a certificate: %q", name)
 	}
 	ca, caKey, err := readCA(dir)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return sign(dir, name, request{cert: cert, key: key}, ca, caKey)
 }
 
-// readCA reads the CA that MakeCA has made.
+// readCA reads the CA that MakeCA created.
 func readCA(dir string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	pair, err := tls.LoadX509KeyPair(filepath.Join(dir, "ca.pem"), filepath.Join(dir, "ca.key"))
 	if err != nil {
@@ -68,12 +69,12 @@
 	}
 	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("certs: the CA's key is not one that was made here")
+		return nil, nil, errors.New("certs: the CA's key is not an ECDSA key, as created by certs ca")
 	}
 	return ca, key, nil
 }
 
-// addHosts lets the holder of a certificate serve at names and addresses.
+// addHosts adds the names and addresses at which the holder of a certificate may serve.
 func addHosts(cert *x509.Certificate, hosts []string) {
 	if len(hosts) > 0 {
 		cert.ExtKeyUsage = append(cert.ExtKeyUsage, x509.ExtKeyUsageServerAuth)
@@ -89,11 +90,12 @@
 
 const (
 	serialBits = 120
-	// clockSkew is how much the clocks of two machines may differ: a certificate is good from so long ago.
+	// clockSkew is the tolerated difference between the clocks of two machines: certificates are valid from
+	// this long before they are created.
 	clockSkew = 5 * time.Minute
 )
 
-// newTemplate is a certificate for a name that is not signed yet.
+// newTemplate returns an unsigned certificate for a name.
 func newTemplate(name string, lifetime time.Duration) (*x509.Certificate, error) {
 	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
 	if err != nil {
@@ -114,7 +116,7 @@
 	key  *ecdsa.PrivateKey
 }
 
-// sign signs a certificate and writes it with its key to files of a name.
+// sign signs a certificate and writes it to DIR/NAME.pem and its key to DIR/NAME.key.
 func sign(dir, name string, r request, ca *x509.Certificate, caKey *ecdsa.PrivateKey) error {
 	cert, err := x509.CreateCertificate(rand.Reader, r.cert, ca, &r.key.PublicKey, caKey)
 	if err != nil {
@@ -131,7 +133,7 @@
 	return writePEM(path+".pem", "CERTIFICATE", cert, 0o644)
 }
 
-// writePEM writes a new file; it is an error if there is one of the name.
+// writePEM writes a new PEM file; it fails if the file exists.
 func writePEM(path, kind string, der []byte, mode os.FileMode) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
--- a/internal/operators/console/console.go
+++ b/internal/operators/console/console.go
@@ -1,7 +1,7 @@
-// Package console prints what operators' commands show: lines, and tables in aligned columns.
+// Package console prints the output of operators' commands: lines, and tables with aligned columns.
 //
-// Errors of printing are dropped here, in one place: when the terminal, or the reader of a pipe, is gone, there is
-// nobody left to tell.
+// It ignores all write errors: they mean that the terminal or the reader of a pipe is gone, so that nobody
+// is left to report them to.
 package console
 
 import (
@@ -16,27 +16,27 @@
 
 // Printf prints to a command's output.
 func Printf(out io.Writer, format string, args ...any) {
-	_, _ = fmt.Fprintf(out, format, args...) // see the package's comment
+	_, _ = fmt.Fprintf(out, format, args...) // write errors are ignored, see the package comment
 }
 
 // Line prints one line to a command's output.
 func Line(out io.Writer, line string) { Printf(out, "%s\n", line) }
 
-// Table is a table in aligned columns. Its rows are printed by Flush.
+// Table is a table with aligned columns. Flush prints its rows.
 type Table struct {
 	writer *tabwriter.Writer
-	end    string // of each row, before the line's end
+	end    string // appended to each row, before the newline
 }
 
-// NewTable begins a table, with the headers of its columns, whose cells are aligned to the left.
+// NewTable returns a table with left-aligned cells and these column headers.
 func NewTable(out io.Writer, headers ...string) Table {
 	return begin(Table{writer: tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)}, headers)
 }
 
-// NewRightAlignedTable begins a table, with the headers of its columns, whose cells are aligned to the right.
+// NewRightAlignedTable returns a table with right-aligned cells and these column headers.
 func NewRightAlignedTable(out io.Writer, headers ...string) Table {
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', tabwriter.AlignRight)
-	return begin(Table{writer: w, end: "\t"}, headers) // the last cell too belongs to a column
+	return begin(Table{writer: w, end: "\t"}, headers) // tabwriter aligns only cells that end in a tab
 }
 
 func begin(t Table, headers []string) Table {
@@ -56,4 +56,4 @@
 func (t Table) printRow(cells []string) { Line(t.writer, strings.Join(cells, "\t")+t.end) }
 
 // Flush prints the table.
-func (t Table) Flush() { _ = t.writer.Flush() } // see the package's comment
+func (t Table) Flush() { _ = t.writer.Flush() } // write errors are ignored, see the package comment
--- a/internal/operators/console/console_test.go
+++ b/internal/operators/console/console_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// Columns are as wide as their widest cell, and cells are aligned to one side.
+// TestTable checks that columns are as wide as their widest cell, and that cells are aligned to the given
+// side.
 func TestTable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -34,7 +35,7 @@
 
 func (brokenPipe) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// Nothing fails where the reader is gone.
+// TestReaderGone checks that write errors are ignored.
 func TestReaderGone(*testing.T) {
 	table := NewTable(brokenPipe{}, "A")
 	table.Row(1)
--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -1,6 +1,6 @@
-// Package control is the operators' service: they read views of the leader's components and change something, over
-// Connect RPC with certificates on both sides. Each change carries an id, so that a call whose answer was lost can be
-// made again: requests are idempotent.
+// Package control implements the operators' service: operators read views of the leader's components and
+// request changes, over Connect RPC with mutual TLS. Each change carries an id, which makes requests
+// idempotent: a call whose answer was lost can be repeated.
 package control
 
 import (
@@ -23,7 +23,7 @@
 )
 
 const (
-	maxBody          = 16 << 20 // of a message, in bytes
+	maxBody          = 16 << 20 // maximum size of a message in bytes
 	callTimeout      = 10 * time.Second
 	handshakeTimeout = 5 * time.Second
 )
@@ -39,34 +39,34 @@
 	Body json.RawMessage `json:"body"`
 }
 
-// Page is an answer, in the component's own JSON.
+// Page is an answer, in the JSON format of the component.
 type Page struct {
 	Body json.RawMessage `json:"body"`
 }
 
-// Errors of a backend that callers tell apart.
+// Errors of a backend that callers distinguish.
 var (
 	ErrUnknown = errors.New("no such duty, or it is switched off")
-	ErrRefused = errors.New("refused") // wrapped in the component's reason
+	ErrRefused = errors.New("refused") // wrapped in an error with the component's reason
 )
 
-// Backend is what the service asks: this controller, and through it the leader.
+// Backend handles the requests of the service: it is this controller, which forwards them to the leader.
 type Backend interface {
-	// ShowComponent reads a view: NAME or NAME/VIEW.
+	// ShowComponent returns a view: NAME or NAME/VIEW.
 	ShowComponent(what string) (json.RawMessage, error)
-	// ChangeComponent changes something for the operator called by.
+	// ChangeComponent makes a change to a component for the operator named by.
 	ChangeComponent(by, component string, body json.RawMessage) (json.RawMessage, error)
 }
 
-// Roles say what the holders of certificates may do, by name.
+// Roles lists the permissions of certificate holders, by name.
 type Roles struct {
 	Read     []string // names that may read views
 	Operate  []string // names that may also change the components in Operable
-	Admin    []string // names that may do everything
+	Admin    []string // names that may read all views and change all components
 	Operable []string // components
 }
 
-// permits says whether the holder of a certificate may read, or change, a component.
+// permits reports whether the holder of a certificate may read a component or, with change, change it.
 func (r *Roles) permits(name, component string, change bool) bool {
 	switch {
 	case name == "":
@@ -82,8 +82,8 @@
 // callerKey is the key of the caller's name in a request's context.
 type callerKey struct{}
 
-// Handler serves the service. It must be behind TLS that verifies callers: it knows them by the name in their
-// certificate.
+// Handler returns the HTTP handler of the service. It must be behind TLS that verifies clients, because it
+// identifies callers by the common name in their certificate.
 func Handler(backend Backend, roles Roles) http.Handler {
 	opts := []connect.HandlerOption{connect.WithCodec(codec{}), connect.WithReadMaxBytes(maxBody)}
 	s := &service{backend: backend, roles: roles}
@@ -99,7 +99,7 @@
 	})
 }
 
-// service serves the procedures.
+// service implements the procedures.
 type service struct {
 	backend Backend
 	roles   Roles
@@ -121,7 +121,8 @@
 	return respond(s.backend.ChangeComponent(name, r.Msg.Duty, r.Msg.Body))
 }
 
-// callerName is the name in the caller's certificate; empty: there is no verified one.
+// callerName returns the common name in the caller's certificate, or an empty string if there is no
+// verified one.
 func callerName(ctx context.Context) string {
 	name, _ := ctx.Value(callerKey{}).(string)
 	return name
@@ -131,8 +132,8 @@
 	return connect.NewError(connect.CodePermissionDenied, fmt.Errorf("%q has no role that may do this", name))
 }
 
-// respond makes a response of what the backend answers. Errors other than the two that callers tell apart mean that
-// the call may be made again.
+// respond converts the backend's answer into a response. Errors other than ErrUnknown and ErrRefused become
+// CodeUnavailable, which means that the call may be repeated.
 func respond(raw json.RawMessage, err error) (*connect.Response[Page], error) {
 	switch {
 	case errors.Is(err, ErrUnknown):
@@ -152,7 +153,7 @@
 	change *connect.Client[ChangeRequest, Page]
 }
 
-// NewClient makes a client of a controller's listener at an address, host:port.
+// NewClient returns a client for a controller's listener at an address, host:port.
 func NewClient(addr string, conf *tls.Config) *Client {
 	caller := &http.Client{Transport: &http.Transport{
 		TLSClientConfig:     conf,
@@ -167,31 +168,33 @@
 	}
 }
 
-// Close ends the connections that the client has kept.
+// Close closes the client's idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Attempts of a call that was not answered, or was answered by a controller that knows no leader at present.
+// Maximum number of attempts and the interval between them, for a call that gets no answer or fails because
+// the controller knows of no leader.
 const (
 	maxAttempts   = 8
 	retryInterval = 400 * time.Millisecond
 )
 
-// Show reads a view: NAME or NAME/VIEW of a component. It fails with ErrUnknown where there is none of that name.
+// Show reads a component's view: NAME or NAME/VIEW. It fails with ErrUnknown if there is no such view.
 func (c *Client) Show(ctx context.Context, what string) (json.RawMessage, error) {
 	return callWithRetry(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
 		return c.show.CallUnary(ctx, connect.NewRequest(&ShowRequest{What: what}))
 	})
 }
 
-// Change has a component change something. The body must carry an id by which the component knows a repeat: it is
-// sent again where an answer is lost.
+// Change requests a change from a component. The body must carry an id by which the component recognises
+// repeats, because the request is sent again if an answer is lost.
 func (c *Client) Change(ctx context.Context, component string, body json.RawMessage) (json.RawMessage, error) {
 	return callWithRetry(ctx, func(ctx context.Context) (*connect.Response[Page], error) {
 		return c.change.CallUnary(ctx, connect.NewRequest(&ChangeRequest{Duty: component, Body: body}))
 	})
 }
 
-// callWithRetry makes a call until it is answered, within callTimeout.
+// callWithRetry repeats a call while its error is CodeUnavailable, for at most maxAttempts attempts and
+// callTimeout.
 func callWithRetry(
 	ctx context.Context, call func(context.Context) (*connect.Response[Page], error),
 ) (json.RawMessage, error) {
@@ -216,7 +219,7 @@
 	}
 }
 
-// codec carries messages as JSON, without generated code.
+// codec encodes messages as JSON, without generated code.
 type codec struct{}
 
 func (codec) Name() string { return "json" }
--- a/internal/operators/control/control_test.go
+++ b/internal/operators/control/control_test.go
@@ -18,7 +18,7 @@
 
 type backend struct {
 	calls atomic.Int32
-	fails int32 // so many calls at first
+	fails int32 // number of calls that fail at the start
 }
 
 func (b *backend) ShowComponent(what string) (json.RawMessage, error) {
@@ -32,7 +32,7 @@
 	if b.calls.Add(1) <= b.fails {
 		return nil, errors.New("no leader is known at present")
 	}
-	if by != "operator" && by != "boss" { // who asks is told by the certificate alone
+	if by != "operator" && by != "boss" { // by must be the name in the caller's certificate
 		return nil, fmt.Errorf("asked by %q (%w)", by, ErrRefused)
 	}
 	if string(body) == `"bad"` {
@@ -41,8 +41,8 @@
 	return body, nil
 }
 
-// Only those with a certificate may call, each within its role; a call that cannot be answered now is made again, one
-// that is refused is not.
+// TestRoles checks that only holders of a valid certificate may call, each within its role, and that a call
+// is repeated if no leader is known but not if it is refused.
 func TestRoles(t *testing.T) {
 	dir, elsewhere := t.TempDir(), t.TempDir()
 	for _, d := range []string{dir, elsewhere} {
@@ -99,19 +99,19 @@
 		t.Run(c.name+" "+c.component, func(t *testing.T) {
 			_, err := client(dir, c.name).Show(ctx, c.component)
 			if (err == nil) != c.show {
-				t.Errorf("shows: %v", err)
+				t.Errorf("Show: %v", err)
 			}
 			raw, err := client(dir, c.name).Change(ctx, c.component, json.RawMessage(`{"id":"x"}`))
 			if (err == nil) != c.change || (c.change && string(raw) != `{"id":"x"}`) {
-				t.Errorf("changes: %s %v", raw, err)
+				t.Errorf("Change: %s %v", raw, err)
 			}
 		})
 	}
 	if _, err := client(elsewhere, "boss").Show(ctx, "pools"); err == nil {
-		t.Error("a certificate of another CA is accepted")
+		t.Error("a certificate of another CA was accepted")
 	}
 	if _, err := http.Get("https://" + srv.Listener.Addr().String() + procedureShow); err == nil {
-		t.Error("a caller without a certificate is accepted")
+		t.Error("a caller without a certificate was accepted")
 	}
 	before := b.calls.Load()
 	_, err = client(dir, "boss").Change(ctx, "pools", json.RawMessage(`"bad"`))
--- a/internal/operators/receipts/receipts.go
+++ b/internal/operators/receipts/receipts.go
@@ -1,6 +1,7 @@
-// Package receipts signs and verifies receipts for the units of pools that a task holds: a JSON Web Token (RFC 7519)
-// with HMAC-SHA256, so that a licence server in any language can refuse a holder that was replaced. Keys are files
-// that the controllers and the licence server share; several are valid at once, so that they can be rotated.
+// Package receipts signs and verifies receipts for the pool units that a task holds. A receipt is a JSON
+// Web Token (RFC 7519) with HMAC-SHA256, so that a licence server in any language can refuse a holder that
+// was replaced. Keys are files shared by the controllers and the licence server; several are valid at once
+// to allow rotation.
 package receipts
 
 import (
@@ -17,28 +18,29 @@
 
 const issuer = "bitternmoor"
 
-// PoolUnits are the units of one pool that a receipt is for.
+// PoolUnits are the units of one pool that a receipt covers.
 type PoolUnits struct {
 	Pool    string  `json:"pool"`
-	Numbers []int64 `json:"numbers"`           // of the units
+	Numbers []int64 `json:"numbers"`           // numbers of the units
 	PerJob  bool    `json:"per_job,omitempty"` // held by the job as a whole, rather than by the task
 }
 
-// Claims are what a receipt certifies: the task is its subject (JOB/TASK). Attempts of a task only grow, as fencing
-// tokens do: a licence server that has seen a higher one refuses a lower.
+// Claims are the claims of a receipt, whose subject is the task (JOB/TASK). The attempt number of a task
+// only grows and serves as a fencing token: a licence server that has seen a higher one refuses a lower
+// one.
 type Claims struct {
 	jwt.RegisteredClaims
 	Attempt uint64      `json:"attempt"`
-	Epoch   uint64      `json:"epoch"` // of the leader that gave the units out
+	Epoch   uint64      `json:"epoch"` // epoch of the leader that granted the units
 	Units   []PoolUnits `json:"units"`
 }
 
 // Keys are the valid keys; the first one signs.
 type Keys []Key
 
-// Key is a secret with a public name.
+// Key is a secret with a public id.
 type Key struct {
-	ID     string // the first digits of a hash, which do not reveal the secret
+	ID     string // first digits of a hash of the secret, which do not reveal it
 	secret []byte
 }
 
@@ -56,7 +58,7 @@
 	return out, nil
 }
 
-// Sign makes a receipt that is valid from now on for a lifetime.
+// Sign returns a signed receipt that is valid for a lifetime from now on.
 func (k Keys) Sign(c Claims, now time.Time, lifetime time.Duration) (string, error) {
 	if len(k) == 0 {
 		return "", errors.New("receipts: there is no key")
@@ -71,7 +73,7 @@
 	return out, nil
 }
 
-// Verify checks a receipt at a moment, and returns what it certifies and the name of the key that has signed it.
+// Verify checks a receipt at a given time, and returns its claims and the id of the key that signed it.
 func (k Keys) Verify(token string, now time.Time) (c Claims, key string, err error) {
 	findKey := func(t *jwt.Token) (any, error) {
 		id, _ := t.Header["kid"].(string)
--- a/internal/operators/receipts/receipts_test.go
+++ b/internal/operators/receipts/receipts_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A receipt is valid until its time is over, with any of the valid keys; one that was changed, or signed with another
-// key, is not.
+// TestReceipts checks that a receipt signed with any of the valid keys is accepted until it expires, and
+// that one that was changed, is unsigned or was signed with another key is rejected.
 func TestReceipts(t *testing.T) {
 	dir := t.TempDir()
 	file := func(name, key string) string {
@@ -31,7 +31,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	two, err := Read([]string{b, a}) // the key was rotated, and the old one is valid yet
+	two, err := Read([]string{b, a}) // the key was rotated, and the old one is still valid
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,7 +59,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if _, _, err := c.keys.Verify(c.receipt, c.at); err == nil {
-				t.Error("the receipt is accepted")
+				t.Error("the receipt was accepted")
 			}
 		})
 	}
--- a/internal/operators/secretfile/secretfile.go
+++ b/internal/operators/secretfile/secretfile.go
@@ -1,4 +1,4 @@
-// Package secretfile reads the secret keys, of webhooks and receipts, that operators keep in files.
+// Package secretfile reads the secret keys of webhooks and receipts from files.
 package secretfile
 
 import (
@@ -7,11 +7,10 @@
 	"os"
 )
 
-// minKeyBytes is how long a key must be at least, in bytes.
+// minKeyBytes is the minimum length of a key in bytes.
 const minKeyBytes = 16
 
-// Read reads the key in a file, without the white space around it. An error names the
-// file.
+// Read reads the key in a file and trims surrounding white space. An error names the file.
 func Read(file string) ([]byte, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -19,7 +18,7 @@
 	}
 	key := bytes.TrimSpace(raw)
 	if len(key) < minKeyBytes {
-		return nil, fmt.Errorf("%s holds a key of less than %d bytes", file, minKeyBytes)
+		return nil, fmt.Errorf("%s contains a key of less than %d bytes", file, minKeyBytes)
 	}
 	return key, nil
 }
--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -1,6 +1,6 @@
-// Package webhook sends warnings to an address of the operators': a signed POST of JSON, at least once. A receiver
-// that refuses, hangs or is away delays nothing else: messages wait in a bounded queue and are sent again with
-// exponential backoff.
+// Package webhook sends warnings to a URL set by the operators, as a signed POST of JSON with at-least-once
+// delivery. A receiver that refuses, hangs or is unreachable delays nothing else: messages wait in a
+// bounded queue and are retried with exponential backoff.
 package webhook
 
 import (
@@ -20,22 +20,23 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Headers of a message. The signature is "sha256=" and, in hexadecimal digits, the HMAC-SHA256 (RFC 2104) with the
-// shared key of time, id and body, joined by dots. A receiver should compare signatures in constant time.
+// Headers of a message. The signature is "sha256=" followed by the hexadecimal HMAC-SHA256 (RFC 2104),
+// under the shared key, of time, id and body joined by dots. A receiver should compare signatures in
+// constant time.
 const (
-	HeaderID        = "X-Bitternmoor-Id"   // the same for repeats: a receiver drops those it has seen
-	HeaderTime      = "X-Bitternmoor-Time" // when it was sent, seconds since 1970: a receiver refuses old ones
+	HeaderID        = "X-Bitternmoor-Id"   // the same for repeats: a receiver drops ids it has seen
+	HeaderTime      = "X-Bitternmoor-Time" // time of sending, in seconds since 1970: a receiver refuses old messages
 	HeaderSignature = "X-Bitternmoor-Signature"
 )
 
 const (
-	maxDiscarded    = 4096 // bytes of a response that are read
+	maxDiscarded    = 4096 // bytes of a response that are read and discarded at most
 	queueLength     = 256
 	attemptTimeout  = 5 * time.Second
 	initialInterval = 500 * time.Millisecond
 	maxInterval     = 2 * time.Minute
 	giveUpAfter     = 30 * time.Minute
-	logDroppedEvery = 100 // messages that found the queue full
+	logDroppedEvery = 100 // number of dropped messages per log line
 )
 
 // Message is one warning.
@@ -44,7 +45,7 @@
 	Body []byte // JSON
 }
 
-// Sender sends messages one after the other, in their order.
+// Sender sends messages one after the other, in the order of Send.
 type Sender struct {
 	url    string
 	key    []byte
@@ -52,18 +53,18 @@
 	client *http.Client
 	queue  chan Message
 
-	dropped int // messages that found the queue full; only Send counts them
+	dropped int // messages dropped because the queue was full; used only by Send
 
-	// Tests set these.
-	initialInterval time.Duration // before the second attempt
+	// Set by tests.
+	initialInterval time.Duration // initial backoff interval
 	now             func() time.Time
 }
 
-// New makes a sender that signs with a key; Run sends.
+// New returns a sender that signs with a key. Run must be called to send the messages.
 func New(url string, key []byte, log *slog.Logger) *Sender {
 	client := &http.Client{
 		Timeout: attemptTimeout,
-		// A redirect is a refusal: the operators' settings name the address.
+		// Redirects count as refusals: messages go only to the address in the operators' settings.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 	return &Sender{
@@ -72,8 +73,9 @@
 	}
 }
 
-// Send queues a message, and never waits. One that finds the queue full is dropped, which is logged: the warning
-// itself stands in the log and on the leader. Send must be called by one goroutine at a time.
+// Send queues a message without blocking. If the queue is full, the message is dropped and the drop is
+// logged; the warning itself is still in the log and on the leader. Only one goroutine may call Send at a
+// time.
 func (s *Sender) Send(m Message) {
 	select {
 	case s.queue <- m:
@@ -85,7 +87,7 @@
 	}
 }
 
-// Run sends until the context ends.
+// Run sends queued messages until the context ends.
 func (s *Sender) Run(ctx context.Context) {
 	for {
 		select {
@@ -97,13 +99,14 @@
 	}
 }
 
-// warnAfter is the attempt whose failure is logged.
+// warnAfter is the number of the attempt whose failure is logged as a warning.
 const warnAfter = 3
 
-// errRefused is an answer other than success.
+// errRefused is the error for a response with a status other than success.
 var errRefused = errors.New("refused")
 
-// deliver sends a message until it is accepted, refused for good, or given up.
+// deliver sends a message until it is accepted, permanently refused, or giveUpAfter has passed, or the
+// context ends.
 func (s *Sender) deliver(ctx context.Context, m Message) {
 	wait := backoff.NewExponentialBackOff()
 	wait.InitialInterval, wait.MaxInterval = s.initialInterval, maxInterval
@@ -125,7 +128,7 @@
 	}
 }
 
-// attempt sends a message once. A permanent error means that it will never be accepted.
+// attempt sends a message once. It returns a permanent error if a retry cannot succeed.
 func (s *Sender) attempt(ctx context.Context, m Message) error {
 	sentAt := strconv.FormatInt(s.now().Unix(), 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, s.url, bytes.NewReader(m.Body))
@@ -140,18 +143,19 @@
 	if err != nil {
 		return fmt.Errorf("webhook: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // its content means nothing
-	// The body is read so that the connection can be used again; an error costs only that.
+	defer func() { _ = resp.Body.Close() }() // the body is not used
+	// The body is read so that the connection can be reused; after a read error it is just not reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded))
 	return checkResponse(resp)
 }
 
-// checkResponse is nil for an accepted message, and otherwise says whether it should be sent again, and when.
+// checkResponse returns nil for an accepted message. Otherwise the error is permanent or temporary, and may
+// carry the time of the next attempt.
 func checkResponse(resp *http.Response) error {
 	if resp.StatusCode >= 200 && resp.StatusCode < 300 {
 		return nil
 	}
-	refused := fmt.Errorf("webhook: %w with %d", errRefused, resp.StatusCode)
+	refused := fmt.Errorf("webhook: %w with status %d", errRefused, resp.StatusCode)
 	if !isTemporary(resp.StatusCode) {
 		return backoff.Permanent(refused)
 	}
@@ -162,12 +166,12 @@
 	return refused
 }
 
-// isTemporary says whether a message that was refused with this status may be accepted later.
+// isTemporary reports whether a message that was refused with this status may be accepted later.
 func isTemporary(status int) bool {
 	return status >= 500 || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
 }
 
-// Sign is the signature of a message; sentAt is the value of HeaderTime.
+// Sign returns the signature of a message; sentAt is the value of HeaderTime.
 func Sign(key []byte, sentAt string, m Message) string {
 	mac := hmac.New(sha256.New, key)
 	mac.Write([]byte(sentAt + "." + m.ID + "."))
--- a/internal/operators/webhook/webhook_test.go
+++ b/internal/operators/webhook/webhook_test.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// receiver is a stand-in that may refuse, hang and be away.
+// receiver is a test receiver whose act can refuse messages or delay responses.
 type receiver struct {
 	mu    sync.Mutex
 	key   []byte
 	got   map[string]int
 	calls int
-	act   func(call int, w http.ResponseWriter) bool // false: it has answered
+	act   func(call int, w http.ResponseWriter) bool // returns false if the message is not to be recorded
 	wrong int
 }
 
@@ -84,8 +84,8 @@
 	t.Fatalf("never: %s", what)
 }
 
-// The receiver refuses, hangs, answers slowly, asks to come back later and is
-// restarted: every message arrives, signed, at least once.
+// TestAtLeastOnce checks that every message arrives, signed, at least once, although the receiver refuses,
+// hangs, responds late, asks for a later retry and is restarted.
 func TestAtLeastOnce(t *testing.T) {
 	key := []byte("0123456789abcdef")
 	r := &receiver{key: key, got: map[string]int{}}
@@ -95,14 +95,14 @@
 			w.WriteHeader(http.StatusInternalServerError)
 			return false
 		case 2:
-			time.Sleep(250 * time.Millisecond) // longer than the sender waits
+			time.Sleep(250 * time.Millisecond) // longer than the sender's timeout
 			return false
 		case 3:
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(http.StatusTooManyRequests)
 			return false
 		case 5:
-			time.Sleep(250 * time.Millisecond) // it has taken the message, and the answer is lost
+			time.Sleep(250 * time.Millisecond) // the message is accepted, but the response is too late
 		}
 		return true
 	}
@@ -123,8 +123,8 @@
 	}
 }
 
-// A receiver that never answers holds up nobody who sends, and messages that find
-// the queue full are dropped and said so.
+// TestNobodyWaits checks that Send does not block, and that messages are dropped and logged once the queue
+// is full.
 func TestNobodyWaits(t *testing.T) {
 	hang := func(int, http.ResponseWriter) bool {
 		time.Sleep(20 * time.Second)
@@ -138,11 +138,12 @@
 		s.Send(Message{ID: fmt.Sprint(n)})
 	}
 	if s.dropped != 150 || strings.Count(out.String(), "queue full") != 2 {
-		t.Errorf("%d dropped, said:\n%s", s.dropped, out.String())
+		t.Errorf("%d dropped, logged:\n%s", s.dropped, out.String())
 	}
 }
 
-// What will never be taken is not tried for ever.
+// TestRefusedForGood checks that a permanently refused message is not retried and does not hold up the next
+// one.
 func TestRefusedForGood(t *testing.T) {
 	r := &receiver{got: map[string]int{}}
 	r.act = func(call int, w http.ResponseWriter) bool {
@@ -162,13 +163,12 @@
 	}
 }
 
-// verify says whether a signature is that of a message, as a receiver does: without revealing by the time that it
-// takes how much of the signature is right.
+// verify checks the signature of a message in constant time, as a receiver does.
 func verify(key []byte, sentAt, signature string, m Message) bool {
 	return hmac.Equal([]byte(Sign(key, sentAt, m)), []byte(signature))
 }
 
-// A signature is right for its key, time and message alone.
+// TestSignature checks that a signature is valid only for its key, time and message.
 func TestSignature(t *testing.T) {
 	m := Message{ID: "id", Body: []byte("body")}
 	signature := Sign([]byte("key"), "7", m)
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -15,8 +15,8 @@
 	"bitternmoor/internal/scaletest/standin"
 )
 
-// world is three controllers of this version under the settings of a cold start, with
-// stand-ins for everything else.
+// world has three controllers of the current version with the settings for cold starts, and simulated
+// workers, cloud and state service.
 type world struct {
 	*cluster
 	fleet  *standin.Fleet
@@ -25,7 +25,7 @@
 	binary string
 }
 
-// newWorld starts one; args are given to the controllers besides.
+// newWorld starts a world; args are further arguments of the controllers.
 func newWorld(t *testing.T, args ...string) *world {
 	w := prepare(t, args...)
 	for i := range 3 {
@@ -35,7 +35,7 @@
 	return w
 }
 
-// prepare makes one that is not started yet.
+// prepare returns a world whose controllers are not started yet.
 func prepare(t *testing.T, args ...string) *world {
 	w := &world{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
 	must(t, root, "go", "build", "-o", w.binary, "./cmd/bitternmoor")
@@ -56,10 +56,10 @@
 	return w
 }
 
-// TestColdStarts kills all three controllers at once under load, ten times over, for less
-// and for longer than a lease, with a third of the busy workers killed, hung or cut off
-// meanwhile, and brings them back one by one. No task runs twice, every job comes to its
-// end, and no worker that could be heard is given up. Reports are spread evenly between.
+// TestColdStarts kills all three controllers at once under load, ten times, for less and for longer than a
+// lease. Meanwhile a third of the busy workers is preempted or paused, some for longer than their lease.
+// The controllers come back one by one. No task may run twice, every job must be done, no reachable worker
+// may be given up, and reports must be spread evenly afterwards.
 func TestColdStarts(t *testing.T) {
 	w := newWorld(t, "--set", "spread.moves=4", "--set", "served.window=120", "--set", "exceptions.served_floor=0.5")
 	c, fleet, store, cloud, binary := w.cluster, w.fleet, w.store, w.cloud, w.binary
@@ -84,12 +84,12 @@
 				continue
 			}
 			switch hit++; r.IntN(3) {
-			case 0: // taken by the cloud, as its list shows
+			case 0: // preempted by the cloud, and no longer in its list
 				cloud.PreemptMachine(m)
 			case 1:
 				fleet.PauseWorker(m, 3*time.Second)
 			default:
-				fleet.PauseWorker(m, 13*time.Second) // past its lease
+				fleet.PauseWorker(m, 13*time.Second) // longer than its lease
 			}
 		}
 		time.Sleep([]time.Duration{time.Second, 4 * time.Second, 12 * time.Second}[round%3])
@@ -107,7 +107,7 @@
 	}
 	var loads []rebalance.View
 	n++
-	ids = append(ids, c.submit(n, 120, 20*time.Second)) // machines for it come to whom they find first
+	ids = append(ids, c.submit(n, 120, 20*time.Second)) // its machines report to the controller they reach first
 	c.eventually("reports are spread evenly", 60*time.Second, func() bool {
 		if get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], rebalance.Name), &loads) != 200 || len(loads) != 3 {
 			return false
@@ -117,15 +117,15 @@
 			machines += l.Machines
 			most = max(most, l.Load)
 		}
-		return machines >= 8 && most <= 1.4 // of a dozen, one more is much
+		return machines >= 8 && most <= 1.4 // with a dozen machines, one more changes the load much
 	})
 	t.Logf("spread: %+v", loads)
 	var list []coldstart.Record
-	c.eventually("the accounts", 10*time.Second, func() bool {
+	c.eventually("the record of the cold start", 10*time.Second, func() bool {
 		return get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], coldstart.Name), &list) == 200 && len(list) > 0
 	})
-	t.Logf("%d jobs, %d workers killed, hung or cut off; the last cold start: %+v", len(ids), hit, list[0])
+	t.Logf("%d jobs, %d workers preempted or paused; the last cold start: %+v", len(ids), hit, list[0])
 	if list[0].Needless[coldstart.DeletedAlive] > 0 || hit < 20 {
-		t.Errorf("given up though alive: %v; %d workers hit", list[0].Needless, hit)
+		t.Errorf("workers given up although alive: %v; %d workers preempted or paused", list[0].Needless, hit)
 	}
 }
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -18,8 +18,8 @@
 	"time"
 )
 
-// gate forwards connections to a controller's internal address, until it is shut: then
-// those that are open end, and new ones are turned away.
+// gate is a proxy to a controller's internal address. While it is shut, it refuses new connections;
+// shutting it closes the open ones.
 type gate struct {
 	listener net.Listener
 	to       string
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { _ = l.Close() }) // it only ends the accept below
+	t.Cleanup(func() { _ = l.Close() }) // closing only ends the accept loop below
 	g := &gate{listener: l, to: to}
 	go func() {
 		for {
@@ -45,7 +45,7 @@
 			}
 			out, err := net.DialTimeout("tcp4", g.to, time.Second)
 			if err != nil || g.shut.Load() {
-				_ = in.Close() // cut on purpose, as is all below
+				_ = in.Close() // closed on purpose, as are those below
 				if err == nil {
 					_ = out.Close()
 				}
@@ -73,8 +73,8 @@
 	}
 }
 
-// apart is a world in which the state service can refuse one controller, and controllers
-// can be cut from one another.
+// apart is a world in which the state service can refuse single controllers, and controllers can be
+// isolated from one another.
 type apart struct {
 	*world
 	refuse [3]atomic.Bool
@@ -114,7 +114,8 @@
 	return a
 }
 
-// begin starts the controllers, the first one before the others, so that it leads.
+// begin starts controller 0 with the binary first, so that it leads, and then the others with the current
+// binary.
 func (a *apart) begin(first string) {
 	a.start(0, first)
 	a.leader()
@@ -122,7 +123,7 @@
 	a.start(2, a.binary)
 }
 
-// cut has a controller and the others reach one another no more, or again.
+// cut isolates a controller from the others if shut is true, and reconnects it otherwise.
 func (a *apart) cut(i int, shut bool) {
 	for k := range 3 {
 		if k != i {
@@ -132,7 +133,7 @@
 	}
 }
 
-// another is a controller that leads by its own word, other than one.
+// another waits for a second controller that reports itself as the leader, and returns its index.
 func (a *apart) another(than int) int {
 	found := -1
 	a.eventually("another leader", 20*time.Second, func() bool {
@@ -151,11 +152,11 @@
 	return found
 }
 
-// TestRefusedThenAll: the state service refuses the leader alone, another controller confirms
-// a cancellation, and then the state service is down for all, for longer than cancel_s, while
-// workers go on reporting to the old leader; with controllers that reach one another, and
-// without, and with the version in production as the old leader. No task of the job runs
-// after its user was told, and no other work is lost.
+// TestRefusedThenAll has the state service refuse only the leader. Another controller confirms a
+// cancellation, then the state service is down for all for longer than cancel_s, while workers go on
+// reporting to the old leader. The variants isolate the old leader from the other controllers, or run it
+// with the version in production. No task of the cancelled job may run after the confirmation and, if the
+// controllers reach one another, no other work may be lost.
 func TestRefusedThenAll(t *testing.T) {
 	production, _ := binaries(t)
 	for _, variant := range []string{"", "cut", "production", "production, cut"} {
@@ -164,7 +165,7 @@
 			cut, first := strings.Contains(variant, "cut"), ""
 			a := newApart(t)
 			if first = a.binary; strings.Contains(variant, "production") {
-				// It knows nothing of the switches that this version is given.
+				// It does not support the settings that the current version is given.
 				first, a.extra = production, func(int) []string { return nil }
 			}
 			a.begin(first)
@@ -188,17 +189,17 @@
 				if err != nil {
 					return false
 				}
-				defer func() { _ = resp.Body.Close() }() // the status alone counts
+				defer func() { _ = resp.Body.Close() }() // only the status is used
 				return resp.StatusCode == 200
 			})
 			told := time.Now()
 			if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
-				t.Errorf("told while %d of its tasks run", len(on))
+				t.Errorf("confirmed while %d of its tasks run", len(on))
 			}
 			a.store.SetDown(true)
 			for time.Since(told) < 40*time.Second { // cancel_s is 30 s
 				if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
-					t.Fatalf("%v after its user was told a task runs on %v", time.Since(told), on)
+					t.Fatalf("%v after the confirmation a task runs on %v", time.Since(told), on)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
@@ -226,10 +227,10 @@
 	}
 }
 
-// TestOneWayTroubles plays, with real processes under load: machines whose reports arrive and
-// that nothing reaches, copies of reports that come up to twice a lease late, and controllers
-// that lose the state service and the others, but neither workers nor users; each with a
-// leader that ends in the middle. No task runs twice, and every job comes to its end.
+// TestOneWayTroubles runs real processes under load with one-way failures: machines whose reports arrive
+// but which receive no answers, copies of reports that arrive up to two leases late, and controllers that
+// lose the state service and their peers but neither workers nor users. Leaders are killed in between. No
+// task may run twice, and every job must be done.
 func TestOneWayTroubles(t *testing.T) {
 	a := newApart(t)
 	a.begin(a.binary)
@@ -263,7 +264,7 @@
 			a.refuse[l].Store(false)
 			a.cut(l, false)
 		}
-		if round%4 > 1 { // besides
+		if round%4 > 1 { // in addition
 			l := a.leader()
 			a.kill(l)
 			load(2)
@@ -275,14 +276,14 @@
 	for _, id := range ids {
 		a.eventually(id+" is done", 120*time.Second, func() bool { return a.state(id) == "done" })
 		if !a.fleet.Finished(id) {
-			t.Errorf("not_done: %s is called done", id)
+			t.Errorf("not_done: %s is reported done, but not all its tasks are", id)
 		}
 	}
 	for _, b := range append(a.fleet.BrokenRules(), a.store.RefusedTransactions()...) {
 		t.Error(b)
 	}
-	t.Logf("%d jobs, %d machines met, half of them deaf, %d late copies, %d leaders ended", len(ids), deafened, a.fleet.LateCopies(), leaders)
+	t.Logf("%d jobs, %d machines selected, half of them without answers, %d late copies, %d leaders killed", len(ids), deafened, a.fleet.LateCopies(), leaders)
 	if a.fleet.LateCopies() < 20 || deafened < 4 {
-		t.Errorf("%d late copies, %d machines met", a.fleet.LateCopies(), deafened)
+		t.Errorf("%d late copies, %d machines selected", a.fleet.LateCopies(), deafened)
 	}
 }
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -17,9 +17,9 @@
 	"bitternmoor/internal/scaletest/standin"
 )
 
-// TestPoolsUnderKills runs real processes with pools against stand-ins for minutes:
-// workers are killed, cut off and come back, leaders are killed, an operator changes a
-// pool by the command line, and what workers really run is counted all the time.
+// TestPoolsUnderKills runs real processes with pools against simulated services for minutes. Workers are
+// killed, or paused and resumed, leaders are killed, and an operator changes a pool by the command line.
+// The units of all running tasks are counted throughout and may not exceed the pools.
 func TestPoolsUnderKills(t *testing.T) {
 	kills, takeovers := 200, 20
 	dir := t.TempDir()
@@ -66,7 +66,7 @@
 		c.start(i, binary)
 	}
 	c.leader()
-	// An operator makes the pool smaller and larger again.
+	// An operator shrinks and grows the pool repeatedly.
 	var changes atomic.Int32
 	stop := make(chan struct{})
 	stopped := make(chan struct{})
@@ -86,16 +86,16 @@
 			out, err := exec.Command(binary, "pools", "set", "licence", "--units", fmt.Sprint(want), "--control", listen[n%3], "--cert", filepath.Join(dir, "ann.pem"),
 				"--key", filepath.Join(dir, "ann.key"), "--ca", filepath.Join(dir, "ca.pem"), "--yes", "--json").CombinedOutput()
 			if err != nil {
-				t.Logf("the change is refused for now: %s", out)
+				t.Logf("the change was refused: %s", out)
 				if want > now {
 					fleet.SetPoolLimit("licence", now)
 				}
-				n++ // the other way next, which changes nothing
+				n++ // with the increment of the loop, the next round requests the same size
 				continue
 			}
 			changes.Add(1)
 			if want < now {
-				time.Sleep(5 * time.Second) // starts that were sent before
+				time.Sleep(5 * time.Second) // tasks whose start was sent before may still begin
 				fleet.SetPoolLimit("licence", want)
 			}
 			now = want
@@ -118,7 +118,7 @@
 			case 1:
 				fleet.PauseWorker(m, 3*time.Second)
 			default:
-				fleet.PauseWorker(m, 13*time.Second) // past its lease
+				fleet.PauseWorker(m, 13*time.Second) // longer than its lease
 			}
 		}
 		if time.Now().After(next) && led < takeovers {
@@ -129,7 +129,7 @@
 			next = time.Now().Add(15 * time.Second)
 		}
 		if killed >= said {
-			t.Logf("%d workers and %d leaders killed", killed, led)
+			t.Logf("%d workers killed or paused, %d leaders killed", killed, led)
 			said += 25
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -145,10 +145,10 @@
 	if fleet.PoolPeak("licence") < 20 || changes.Load() < 3 {
 		t.Errorf("at most %d licences were held, %d changes", fleet.PoolPeak("licence"), changes.Load())
 	}
-	t.Logf("%d workers killed or cut off, %d leaders killed, %d jobs, %d changes of the pool; at most %d licences were held", killed, led, len(submitted), changes.Load(), fleet.PoolPeak("licence"))
+	t.Logf("%d workers killed or paused, %d leaders killed, %d jobs, %d changes of the pool; at most %d licences were held", killed, led, len(submitted), changes.Load(), fleet.PoolPeak("licence"))
 }
 
-// counted submits a job that needs units.
+// counted submits a job that needs units of pools and returns its id.
 func (c *cluster) counted(n, tasks int, run time.Duration, units func(string) map[string]int) string {
 	c.t.Helper()
 	id := fmt.Sprintf("j-%06d", n)
@@ -162,7 +162,7 @@
 	body := fmt.Sprintf(`{"name_id":%q,"herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":%d,"vcpus":1,"gpus":0,"memory_gb":1,"brand":"i","size_gb":0.1,
 	  "breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":%f,"waypoint_s":0,"stow_s":0,"counted":[%s]}`, id, tasks, run.Seconds(), strings.Join(counted, ","))
 	if status, _ := c.post("/api/jobs", body); status != 200 && status != 201 {
-		c.t.Fatalf("%s is answered %d", id, status)
+		c.t.Fatalf("the submission of %s was answered with status %d", id, status)
 	}
 	return id
 }
--- a/internal/upgrade/quick_test.go
+++ b/internal/upgrade/quick_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// TestQuickRestarts kills controllers 200 times under load, one, the leader or all of them,
-// each back in 50 to 500 ms: before its hold has ended, in the middle of elections, with
-// connections and transactions of its former life on their way; one in four times the same
-// one five times in a row. No task runs twice, and every job comes to its end.
+// TestQuickRestarts kills controllers 200 times under load: one, the leader or all of them, or, in about
+// one of four rounds, the leader five times in a row. Each restarts within 50 to 500 ms: before its hold
+// has ended, during elections, and with connections and transactions of the former process in flight. No
+// task may run twice, and every job must be done.
 func TestQuickRestarts(t *testing.T) {
 	w := newWorld(t)
 	c, binary := w.cluster, w.binary
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -55,13 +55,13 @@
 
 type cluster struct {
 	t      *testing.T
-	extra  func(i int) []string // further arguments of node i
+	extra  func(i int) []string // further arguments of controller i
 	config []string
 	doors  []string
 	inside []string
 	procs  []*exec.Cmd
 
-	reserved map[int][]net.Listener // by controller that has not begun yet
+	reserved map[int][]net.Listener // by controller that is not started yet
 
 	mu   sync.Mutex
 	jobs map[string]job
@@ -79,9 +79,9 @@
 	return c.jobs[id]
 }
 
-// reserve takes a free port for a controller, and holds it until the controller begins: until then
-// nothing else on this machine is given it. Found in a run in which a controller's port had gone to
-// another test's server before the controller began, and that one answered a submission.
+// reserve listens on a free port for a controller until the controller starts, so that no other process
+// gets the port. In a run without this, a port went to another test's server before the controller started,
+// and that server answered a submission.
 func (c *cluster) reserve(i int) string {
 	c.t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -92,10 +92,10 @@
 	return l.Addr().String()
 }
 
-// release frees the ports that are held for a controller.
+// release frees the reserved ports of a controller.
 func (c *cluster) release(i int) {
 	for _, l := range c.reserved[i] {
-		_ = l.Close() // nobody has connected
+		_ = l.Close() // there are no connections
 	}
 	delete(c.reserved, i)
 }
@@ -182,7 +182,7 @@
 	}
 }
 
-// leader is the index of the node that leads.
+// leader waits for a leader that is running, and returns its index.
 func (c *cluster) leader() int {
 	found := -1
 	c.eventually("a leader", 20*time.Second, func() bool {
@@ -219,8 +219,7 @@
 	c.t.Fatalf("never: %s", what)
 }
 
-// post sends a request to one node after the other until it is answered for
-// good.
+// post sends a request to one controller after the other until the status of an answer is below 429.
 func (c *cluster) post(path, body string) (status int, standing string) {
 	c.t.Helper()
 	at := 0
@@ -256,7 +255,7 @@
 	body := fmt.Sprintf(`{"name_id":%q,"herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":%d,"vcpus":1,"gpus":0,"memory_gb":1,"brand":"i","size_gb":0.1,
 	  "breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":%f,"waypoint_s":0,"stow_s":0,"follows":%s}`, id, tasks, run.Seconds(), names)
 	if status, _ := c.post("/api/jobs", body); status != 200 && status != 201 {
-		c.t.Fatalf("%s is answered %d", id, status)
+		c.t.Fatalf("the submission of %s was answered with status %d", id, status)
 	}
 	return id
 }
@@ -274,9 +273,9 @@
 	return ""
 }
 
-// Both versions on the same data: old nodes come back new one by one while jobs
-// run, leadership goes old, new, old, new by crashes, the limits are lowered,
-// and then pipelines run over further crashes.
+// TestUpgrade runs both versions on the same data. Controllers of the old version are replaced by the new
+// one, one by one, while jobs run. Then crashes make leadership alternate between the versions, the limits
+// of the state service are lowered, and pipelines of jobs run across further crashes.
 func TestUpgrade(t *testing.T) {
 	old, current := binaries(t)
 	store := &standin.StateService{}
@@ -312,7 +311,7 @@
 		more(3)
 	}
 	t.Log("rolled forward; leader", c.leader())
-	for round := range 4 { // leaders alternate between the versions, by crashes
+	for round := range 4 { // crashes make leaders of both versions alternate
 		for i := range 3 {
 			c.kill(i)
 		}
@@ -334,7 +333,7 @@
 	c.leader()
 	store.SetLimits(1024, 4)
 	n = 500
-	for p := range 6 { // pipelines, with crashes of the leader
+	for p := range 6 { // pipelines of jobs, with crashes of the leader
 		first := n + 1
 		want[c.submit(first, 4, 2*time.Second, 1)] = "done"
 		want[c.submit(first+1, 6, 2*time.Second, first)] = "done"
@@ -349,7 +348,7 @@
 			id := c.submit(n+1, 2, 60*time.Second)
 			after := c.submit(n+2, 2, time.Second, n+1)
 			if status, standing := c.post("/api/jobs/"+id+"/abort", ""); status != 200 || standing != "aborted" {
-				t.Errorf("a cancellation is answered %d %s", status, standing)
+				t.Errorf("a cancellation was answered with %d %s", status, standing)
 			}
 			want[id], want[after] = "aborted", "aborted"
 			n += 2
@@ -358,11 +357,11 @@
 	for id, end := range want {
 		c.eventually(id+" is "+end, 120*time.Second, func() bool { return c.state(id) == end })
 		if end == "done" && !fleet.Finished(id) {
-			t.Errorf("not_done: %s is called done", id)
+			t.Errorf("not_done: %s is reported done, but not all its tasks are", id)
 		}
 	}
 	for _, b := range append(fleet.BrokenRules(), store.RefusedTransactions()...) {
 		t.Error(b)
 	}
-	t.Logf("%d jobs came to their ends", len(want))
+	t.Logf("%d jobs reached their expected states", len(want))
 }
