--- a/cmd/bitternmoor/controlclient.go
+++ b/cmd/bitternmoor/controlclient.go
@@ -47,11 +47,11 @@
 			return nil, fmt.Errorf("--%s is needed", file.flag)
 		}
 	}
-	pair, err := c.files.Read()
+	credentials, err := c.files.Read()
 	if err != nil {
 		return nil, err
 	}
-	return control.NewClient(c.address, pair.Client()), nil
+	return control.NewClient(c.address, credentials.Client()), nil
 }
 
 // Timeout and interval of the repeated requests for a change that is not durable yet.
--- a/cmd/bitternmoor/output_test.go
+++ b/cmd/bitternmoor/output_test.go
@@ -75,24 +75,24 @@
 	}
 }
 
-func filled[T any]() T {
+func filledValue[T any]() T {
 	var v T
 	fill(reflect.ValueOf(&v).Elem(), "")
 	return v
 }
 
-// printed returns a function that prints a filled value and a zero value.
-func printed[T any](print func(io.Writer, T)) func(io.Writer) error {
+// printFilledAndZero returns a function that prints a filled value and a zero value.
+func printFilledAndZero[T any](print func(io.Writer, T)) func(io.Writer) error {
 	return func(out io.Writer) error {
-		print(out, filled[T]())
+		print(out, filledValue[T]())
 		var empty T
 		print(out, empty)
 		return nil
 	}
 }
 
-// asked returns a function that runs a command against a node that answers with a value.
-func asked(cmd *cobra.Command, value any, args ...string) func(io.Writer) error {
+// runAgainstNode returns a function that runs a command against a node that answers with a value.
+func runAgainstNode(cmd *cobra.Command, value any, args ...string) func(io.Writer) error {
 	return func(out io.Writer) error {
 		body, err := json.Marshal(value)
 		if err != nil {
@@ -109,42 +109,42 @@
 // TestOutput compares the output of commands with a golden file byte for byte, because operators' scripts
 // read it.
 func TestOutput(t *testing.T) {
-	record := filled[failover.Record]()
+	record := filledValue[failover.Record]()
 	record.After = map[string]int64{}
 	for i, s := range failover.Steps() {
 		if i%2 == 0 {
 			record.After[s.String()] = int64(1234 * i)
 		}
 	}
-	holder := filled[pools.View]()
+	holder := filledValue[pools.View]()
 	holder.Holders[0].Task = -1
-	ahead := filled[[]runtimes.Expected]()
+	ahead := filledValue[[]runtimes.Expected]()
 	ahead[0].Nights = 3
 	var got bytes.Buffer
 	for _, c := range []struct {
 		name  string
 		print func(io.Writer) error
 	}{
-		{"config", printed(func(out io.Writer, v reconfig.View) { printConfig(out, &v) })},
-		{"config of this controller", printed(func(out io.Writer, v reconfig.LocalView) { printLocalConfig(out, &v) })},
-		{"config history", printed(func(out io.Writer, v []config.Revision) { printHistory(out, v) })},
-		{"status", printed(printStatus)},
-		{"pools", printed(printPools)},
-		{"forecast", printed(printForecasts)},
-		{"ahead", printed(printAhead)},
+		{"config", printFilledAndZero(func(out io.Writer, v reconfig.View) { printConfig(out, &v) })},
+		{"config of this controller", printFilledAndZero(func(out io.Writer, v reconfig.LocalView) { printLocalConfig(out, &v) })},
+		{"config history", printFilledAndZero(func(out io.Writer, v []config.Revision) { printHistory(out, v) })},
+		{"status", printFilledAndZero(printStatus)},
+		{"pools", printFilledAndZero(printPools)},
+		{"forecast", printFilledAndZero(printForecasts)},
+		{"ahead", printFilledAndZero(printAhead)},
 		{"ahead, of some nights", func(out io.Writer) error { printAhead(out, ahead); return nil }},
-		{"late", printed(printLate)},
-		{"run times", printed(printKinds)},
+		{"late", printFilledAndZero(printLate)},
+		{"run times", printFilledAndZero(printKinds)},
 		{"export", func(out io.Writer) error { exportKinds(out, []json.RawMessage{[]byte("{ \"a\": 1 }")}); return nil }},
-		{"served", printed(func(out io.Writer, v []slo.View) { printServed(out, v) })},
-		{"spread", printed(func(out io.Writer, v []rebalance.View) { printSpread(out, v) })},
-		{"takeovers", printed(printTakeovers)},
+		{"served", printFilledAndZero(func(out io.Writer, v []slo.View) { printServed(out, v) })},
+		{"spread", printFilledAndZero(func(out io.Writer, v []rebalance.View) { printSpread(out, v) })},
+		{"takeovers", printFilledAndZero(printTakeovers)},
 		{"a takeover", func(out io.Writer) error { printTakeovers(out, []failover.Record{record}); return nil }},
-		{"cold starts", printed(func(out io.Writer, v []coldstart.Record) { printColdStarts(out, v) })},
-		{"pools show", asked(poolShow(), holder, "p")},
-		{"pools show, with nothing out", asked(poolShow(), pools.View{}, "p")},
-		{"pools show as JSON", asked(poolShow(), holder, "p", "--json")},
-		{"explain", asked(explainCommand(), node.Explanation{ID: "j-000001", Words: []string{"a", "b c"}}, "j-000001")},
+		{"cold starts", printFilledAndZero(func(out io.Writer, v []coldstart.Record) { printColdStarts(out, v) })},
+		{"pools show", runAgainstNode(poolShow(), holder, "p")},
+		{"pools show, with nothing out", runAgainstNode(poolShow(), pools.View{}, "p")},
+		{"pools show as JSON", runAgainstNode(poolShow(), holder, "p", "--json")},
+		{"explain", runAgainstNode(explainCommand(), node.Explanation{ID: "j-000001", Words: []string{"a", "b c"}}, "j-000001")},
 	} {
 		fmt.Fprintf(&got, "== %s\n", c.name)
 		if err := c.print(&got); err != nil {
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -104,12 +104,12 @@
 	if err != nil {
 		return err
 	}
-	words, change := plan(p)
+	description, change := plan(p)
 	change.ID, change.Pool, change.Version = rand.Text(), pool, p.Version
 	out := cmd.OutOrStdout()
 	if !c.json {
 		console.Printf(out, "%s, version %d: %d units, %d out, %d waited for%s\n%s\n",
-			pool, p.Version, p.Units, p.Out, p.Waiting, drainedSuffix(p.Drained), words)
+			pool, p.Version, p.Units, p.Out, p.Waiting, drainedSuffix(p.Drained), description)
 	}
 	if err := confirm(cmd, c.yes, question); err != nil {
 		return err
@@ -209,12 +209,12 @@
 	if units < 0 {
 		units = int64(p.Settings)
 	}
-	words := fmt.Sprintf("it would have %d units", units)
+	description := fmt.Sprintf("it would have %d units", units)
 	if excess := p.Out - units; excess > 0 {
-		words += fmt.Sprintf(": %d more than that are out; none is revoked, "+
+		description += fmt.Sprintf(": %d more than that are out; none is revoked, "+
 			"and no unit goes out before %d have come back", excess, excess+1)
 	}
-	return words
+	return description
 }
 
 func poolDrain() *cobra.Command {
@@ -227,12 +227,12 @@
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return client.changePool(cmd, args[0], "go on?", func(p *pools.View) (string, *pools.Change) {
 				drain := !undo
-				words := "units would be given out again"
+				description := "units would be given out again"
 				if drain {
-					words = fmt.Sprintf("no more units would be given out; the %d that are out come back as their tasks end, "+
+					description = fmt.Sprintf("no more units would be given out; the %d that are out come back as their tasks end, "+
 						"and jobs that need units wait", p.Out)
 				}
-				return words, &pools.Change{Drain: &drain}
+				return description, &pools.Change{Drain: &drain}
 			})
 		},
 	})
--- a/cmd/bitternmoor/runtimes_test.go
+++ b/cmd/bitternmoor/runtimes_test.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 )
 
-// exitOf returns the exit status of the program for an error.
-func exitOf(err error) int {
+// exitStatus returns the exit status of the program for an error.
+func exitStatus(err error) int {
 	var failed failure
 	switch {
 	case err == nil:
@@ -26,16 +26,16 @@
 	return exitUsage
 }
 
-// leader is a node that serves some kinds of work and counts the change requests that it receives.
-type leader struct {
+// fakeLeader is a node that serves some kinds of work and counts the change requests that it receives.
+type fakeLeader struct {
 	address string
 	posts   int
 }
 
-// newLeader starts a node that serves known, and answers each change request with answer.
-func newLeader(t *testing.T, known, answer string) *leader {
+// newFakeLeader starts a node that serves known, and answers each change request with answer.
+func newFakeLeader(t *testing.T, known, answer string) *fakeLeader {
 	t.Helper()
-	l := &leader{}
+	l := &fakeLeader{}
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		page := known
 		if r.Method == http.MethodPost {
@@ -50,7 +50,7 @@
 }
 
 // run runs a command against the node and returns its output.
-func (l *leader) run(cmd *cobra.Command, input string, args ...string) (printed string, err error) {
+func (l *fakeLeader) run(cmd *cobra.Command, input string, args ...string) (printed string, err error) {
 	var out bytes.Buffer
 	cmd.SilenceUsage, cmd.SilenceErrors = true, true
 	cmd.SetOut(&out)
@@ -69,10 +69,10 @@
 		two   = `{"class":"d","nights":[[1,2,30,5,9,1,20,30,0.5,1,2]]}`
 	)
 	for _, c := range []struct {
-		name, file, input string
-		args              []string
-		printed, wrong    string // substrings of the output and of the error
-		posts, exit       int
+		name, file, input     string
+		args                  []string
+		wantOutput, wantError string // substrings of the output and of the error
+		posts, exit           int
 	}{
 		{"confirmed", one + "\n\n" + two + "\n", "y\n", nil,
 			"1 new ones would be added, 1 known ones left as they are", "", 1, 0},
@@ -86,17 +86,17 @@
 		{"an empty file", "\n", "y\n", nil, "", "holds no kind", 0, exitUsage},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLeader(t, known, `{"added":1}`)
+			l := newFakeLeader(t, known, `{"added":1}`)
 			path := filepath.Join(t.TempDir(), "export.jsonl")
 			if err := os.WriteFile(path, []byte(c.file), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			printed, err := l.run(importCommand(), c.input, append([]string{path}, c.args...)...)
-			if exit := exitOf(err); l.posts != c.posts || exit != c.exit || !strings.Contains(printed, c.printed) {
+			if exit := exitStatus(err); l.posts != c.posts || exit != c.exit || !strings.Contains(printed, c.wantOutput) {
 				t.Errorf("%d posts, exit %d, %v, printed %q", l.posts, exit, err, printed)
 			}
-			if err != nil && (!strings.Contains(err.Error(), c.wrong) || strings.Contains(err.Error(), "\n")) {
-				t.Errorf("the error does not contain %q, or has several lines: %v", c.wrong, err)
+			if err != nil && (!strings.Contains(err.Error(), c.wantError) || strings.Contains(err.Error(), "\n")) {
+				t.Errorf("the error does not contain %q, or has several lines: %v", c.wantError, err)
 			}
 		})
 	}
@@ -105,9 +105,9 @@
 // TestForget checks that forget prints what it removes, and removes nothing without confirmation.
 func TestForget(t *testing.T) {
 	for _, c := range []struct {
-		name, key, input, printed, wrong string
-		args                             []string
-		posts, exit                      int
+		name, key, input, wantOutput, wantError string
+		args                                    []string
+		posts, exit                             int
 	}{
 		{"confirmed", "c/t//", "y\n", "c/t// would be forgotten: 7 jobs", "", nil, 1, 0},
 		{"not confirmed", "c/t//", "\n", "forget it? [y/N]", "nothing was changed", nil, 0, exitFailed},
@@ -115,13 +115,13 @@
 		{"not known", "none", "y\n", "", `KEY: no kind of work is called "none"`, nil, 0, exitUsage},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			l := newLeader(t, `[{"name":"c/t//","estimate":{"jobs":7}}]`, `{"forgotten":1}`)
+			l := newFakeLeader(t, `[{"name":"c/t//","estimate":{"jobs":7}}]`, `{"forgotten":1}`)
 			printed, err := l.run(forgetCommand(), c.input, append([]string{c.key}, c.args...)...)
-			if exit := exitOf(err); l.posts != c.posts || exit != c.exit || !strings.Contains(printed, c.printed) {
+			if exit := exitStatus(err); l.posts != c.posts || exit != c.exit || !strings.Contains(printed, c.wantOutput) {
 				t.Errorf("%d posts, exit %d, %v, printed %q", l.posts, exit, err, printed)
 			}
-			if err != nil && !strings.Contains(err.Error(), c.wrong) {
-				t.Errorf("the error does not contain %q: %v", c.wrong, err)
+			if err != nil && !strings.Contains(err.Error(), c.wantError) {
+				t.Errorf("the error does not contain %q: %v", c.wantError, err)
 			}
 		})
 	}
--- a/cmd/scalerun/print.go
+++ b/cmd/scalerun/print.go
@@ -10,8 +10,8 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-// brokenShown is the maximum number of broken rules that are printed.
-const brokenShown = 10
+// maxBrokenPrinted is the maximum number of broken rules that are printed.
+const maxBrokenPrinted = 10
 
 // printResult prints the measurements of one run.
 func printResult(out io.Writer, r *scalerun.Result) {
@@ -19,7 +19,7 @@
 	console.Printf(out, "%d jobs with %d tasks (%d urgent, %d to cancel), %d accepted, %d over; rules broken: %d\n",
 		r.Counts.Jobs, r.Counts.Tasks, r.Counts.Urgent, r.Counts.Cancelled, r.Accepted, r.Over, len(r.Broken))
 	for i, rule := range r.Broken {
-		if i == brokenShown {
+		if i == maxBrokenPrinted {
 			console.Printf(out, "  and %d more\n", len(r.Broken)-i)
 			break
 		}
@@ -55,15 +55,15 @@
 		"IN kB/s", "OUT kB/s", "MESSAGES/s", "PEERS kB/s")
 	for _, r := range p.Roles {
 		if r.Processes > 0 {
-			t.Row(r.Role, fixed(r.Processes, 1), fixed(r.CPU, 4), fixed(r.RSSMiB, 1), r.Sockets,
-				fixed(r.InKBPerS, 2), fixed(r.OutKBPerS, 2), fixed(r.MessagesPS, 2), fixed(r.PeersKBPerS, 1))
+			t.Row(r.Role, formatFixed(r.Processes, 1), formatFixed(r.CPU, 4), formatFixed(r.RSSMiB, 1), r.Sockets,
+				formatFixed(r.InKBPerS, 2), formatFixed(r.OutKBPerS, 2), formatFixed(r.MessagesPS, 2), formatFixed(r.PeersKBPerS, 1))
 		}
 	}
 	t.Flush()
 }
 
-// fixed formats a number with a fixed number of decimals.
-func fixed(v float64, decimals int) string { return fmt.Sprintf("%.*f", decimals, v) }
+// formatFixed formats a number with a fixed number of decimals.
+func formatFixed(v float64, decimals int) string { return fmt.Sprintf("%.*f", decimals, v) }
 
 func printLatencies(out io.Writer, p *scalerun.Phase) {
 	latencies := []struct {
--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -20,15 +20,15 @@
 	CA   string // CA certificates that the other side's certificate is verified against
 }
 
-// Pair is the parsed contents of Files.
-type Pair struct {
+// Credentials are the parsed contents of Files.
+type Credentials struct {
 	Cert     tls.Certificate
 	Pool     *x509.CertPool
 	NotAfter time.Time // when the certificate expires
 }
 
 // Read reads the files. An error names the file.
-func (f Files) Read() (*Pair, error) {
+func (f Files) Read() (*Credentials, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %s with %s: %w", f.Cert, f.Key, err)
@@ -45,7 +45,7 @@
 	if !pool.AppendCertsFromPEM(raw) {
 		return nil, fmt.Errorf("certs: %s contains no certificate", f.CA)
 	}
-	return &Pair{Cert: cert, Pool: pool, NotAfter: leaf.NotAfter}, nil
+	return &Credentials{Cert: cert, Pool: pool, NotAfter: leaf.NotAfter}, nil
 }
 
 // checkInterval is how often files are checked for a change.
@@ -58,7 +58,7 @@
 	log   *slog.Logger
 
 	mu          sync.Mutex // guards the fields below
-	pair        *Pair
+	credentials *Credentials
 	loadedStamp string
 	checkedAt   time.Time
 }
@@ -66,11 +66,11 @@
 // NewStore reads the files and returns a store of them.
 func NewStore(files Files, log *slog.Logger) (*Store, error) {
 	s := &Store{files: files, log: log}
-	pair, err := files.Read()
+	credentials, err := files.Read()
 	if err != nil {
 		return nil, err
 	}
-	s.pair, s.loadedStamp, s.checkedAt = pair, files.stamp(), time.Now()
+	s.credentials, s.loadedStamp, s.checkedAt = credentials, files.stamp(), time.Now()
 	return s, nil
 }
 
@@ -85,27 +85,27 @@
 	return out
 }
 
-// Pair returns the certificates in force. It checks the files at most once per checkInterval.
-func (s *Store) Pair() *Pair {
+// Current returns the certificates in force. It checks the files at most once per checkInterval.
+func (s *Store) Current() *Credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if now.Sub(s.checkedAt) < checkInterval {
-		return s.pair
+		return s.credentials
 	}
 	s.checkedAt = now
 	stamp := s.files.stamp()
 	if stamp == s.loadedStamp {
-		return s.pair
+		return s.credentials
 	}
-	pair, err := s.files.Read()
+	credentials, err := s.files.Read()
 	if err != nil {
 		s.log.Error("changed certificates cannot be read, former ones stay in force", "error", err)
-		return s.pair
+		return s.credentials
 	}
-	s.pair, s.loadedStamp = pair, stamp
-	s.log.Info("certificates reloaded", "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
-	return s.pair
+	s.credentials, s.loadedStamp = credentials, stamp
+	s.log.Info("certificates reloaded", "cert", s.files.Cert, "ends", credentials.NotAfter.UTC().Format(time.RFC3339))
+	return s.credentials
 }
 
 // Server returns the configuration of a listener that accepts only clients whose certificate is signed by
@@ -114,11 +114,11 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			pair := s.Pair()
+			credentials := s.Current()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{pair.Cert},
-				ClientCAs:    pair.Pool,
+				Certificates: []tls.Certificate{credentials.Cert},
+				ClientCAs:    credentials.Pool,
 				ClientAuth:   tls.RequireAndVerifyClientCert,
 				NextProtos:   []string{"h2", "http/1.1"},
 			}, nil
@@ -127,8 +127,8 @@
 }
 
 // Client returns the configuration of a client.
-func (p *Pair) Client() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.Cert}, RootCAs: p.Pool}
+func (c *Credentials) Client() *tls.Config {
+	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{c.Cert}, RootCAs: c.Pool}
 }
 
 // Time before expiry from which a warning is logged, and the interval between warnings.
@@ -138,8 +138,8 @@
 )
 
 // Expiry returns a warning if the certificate expires soon or has expired, and an empty string otherwise.
-func (p *Pair) Expiry(now time.Time) string {
-	left := p.NotAfter.Sub(now)
+func (c *Credentials) Expiry(now time.Time) string {
+	left := c.NotAfter.Sub(now)
 	switch {
 	case left <= 0:
 		return "the controller's certificate has expired: nobody can change anything"
@@ -152,9 +152,9 @@
 // Watch logs the warnings of Expiry until the context ends.
 func (s *Store) Watch(ctx context.Context) {
 	for {
-		pair := s.Pair()
-		if warning := pair.Expiry(time.Now()); warning != "" {
-			s.log.Warn(warning, "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
+		credentials := s.Current()
+		if warning := credentials.Expiry(time.Now()); warning != "" {
+			s.log.Warn(warning, "cert", s.files.Cert, "ends", credentials.NotAfter.UTC().Format(time.RFC3339))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/operators/certs/certs_test.go
+++ b/internal/operators/certs/certs_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-func files(dir, name string) Files {
+func testFiles(dir, name string) Files {
 	return Files{
 		Cert: filepath.Join(dir, name+".pem"),
 		Key:  filepath.Join(dir, name+".key"),
@@ -33,11 +33,11 @@
 		t.Error("an existing certificate was overwritten")
 	}
 	var logged bytes.Buffer
-	s, err := NewStore(files(dir, "n0"), slog.New(slog.NewTextHandler(&logged, nil)))
+	s, err := NewStore(testFiles(dir, "n0"), slog.New(slog.NewTextHandler(&logged, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := s.Pair()
+	first := s.Current()
 	if warning := first.Expiry(time.Now()); !strings.Contains(warning, "expires in 0 days") {
 		t.Errorf("on its last day: %q", warning)
 	}
@@ -50,24 +50,24 @@
 		}
 	}
 	s.checkedAt = time.Time{}
-	if s.Pair() != first || !strings.Contains(logged.String(), "stay in force") {
+	if s.Current() != first || !strings.Contains(logged.String(), "stay in force") {
 		t.Errorf("without its files: %s", logged.String())
 	}
 	if err := Issue(dir, "n0", []string{"127.0.0.1"}, 10*time.Hour); err != nil {
 		t.Fatal(err)
 	}
 	s.checkedAt = time.Time{}
-	if p := s.Pair(); p == first || bytes.Equal(p.Cert.Certificate[0], first.Cert.Certificate[0]) {
+	if p := s.Current(); p == first || bytes.Equal(p.Cert.Certificate[0], first.Cert.Certificate[0]) {
 		t.Error("the new certificate was not loaded")
 	}
 	conf, err := s.Server().GetConfigForClient(nil)
 	if err != nil || conf.ClientAuth != tls.RequireAndVerifyClientCert {
 		t.Errorf("client authentication: %v %v", conf.ClientAuth, err)
 	}
-	right := files(dir, "n0")
+	right := testFiles(dir, "n0")
 	for name, wrong := range map[string]Files{
 		"no files":         {Cert: "none", Key: "none", CA: "none"},
-		"another's key":    {Cert: right.Cert, Key: files(dir, "ca").Key, CA: right.CA},
+		"another's key":    {Cert: right.Cert, Key: testFiles(dir, "ca").Key, CA: right.CA},
 		"a key for the CA": {Cert: right.Cert, Key: right.Key, CA: right.Key},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/operators/console/console.go
+++ b/internal/operators/console/console.go
@@ -24,36 +24,36 @@
 
 // Table is a table with aligned columns. Flush prints its rows.
 type Table struct {
-	writer *tabwriter.Writer
-	end    string // appended to each row, before the newline
+	writer    *tabwriter.Writer
+	rowSuffix string // appended to each row, before the newline
 }
 
 // NewTable returns a table with left-aligned cells and these column headers.
 func NewTable(out io.Writer, headers ...string) Table {
-	return begin(Table{writer: tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)}, headers)
+	return startTable(Table{writer: tabwriter.NewWriter(out, 0, 0, columnGap, ' ', 0)}, headers)
 }
 
 // NewRightAlignedTable returns a table with right-aligned cells and these column headers.
 func NewRightAlignedTable(out io.Writer, headers ...string) Table {
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', tabwriter.AlignRight)
-	return begin(Table{writer: w, end: "\t"}, headers) // tabwriter aligns only cells that end in a tab
+	return startTable(Table{writer: w, rowSuffix: "\t"}, headers) // tabwriter aligns only cells that end in a tab
 }
 
-func begin(t Table, headers []string) Table {
+func startTable(t Table, headers []string) Table {
 	t.printRow(headers)
 	return t
 }
 
 // Row adds a row with a cell for each column.
 func (t Table) Row(cells ...any) {
-	words := make([]string, len(cells))
+	texts := make([]string, len(cells))
 	for i, cell := range cells {
-		words[i] = fmt.Sprint(cell)
+		texts[i] = fmt.Sprint(cell)
 	}
-	t.printRow(words)
+	t.printRow(texts)
 }
 
-func (t Table) printRow(cells []string) { Line(t.writer, strings.Join(cells, "\t")+t.end) }
+func (t Table) printRow(cells []string) { Line(t.writer, strings.Join(cells, "\t")+t.rowSuffix) }
 
 // Flush prints the table.
 func (t Table) Flush() { _ = t.writer.Flush() } // write errors are ignored, see the package comment
--- a/internal/operators/console/console_test.go
+++ b/internal/operators/console/console_test.go
@@ -11,16 +11,16 @@
 // side.
 func TestTable(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		begin func(out io.Writer, headers ...string) Table
-		want  string
+		name     string
+		newTable func(out io.Writer, headers ...string) Table
+		want     string
 	}{
 		{"left", NewTable, "A    LONGER\nxyz  1\nx    true\n"},
 		{"right", NewRightAlignedTable, "    A  LONGER\n  xyz       1\n    x    true\n"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out bytes.Buffer
-			table := c.begin(&out, "A", "LONGER")
+			table := c.newTable(&out, "A", "LONGER")
 			table.Row("xyz", 1)
 			table.Row("x", true)
 			table.Flush()
@@ -35,8 +35,8 @@
 
 func (brokenPipe) Write([]byte) (int, error) { return 0, errors.New("broken pipe") }
 
-// TestReaderGone checks that write errors are ignored.
-func TestReaderGone(*testing.T) {
+// TestWriteErrorsIgnored checks that write errors are ignored.
+func TestWriteErrorsIgnored(*testing.T) {
 	table := NewTable(brokenPipe{}, "A")
 	table.Row(1)
 	table.Flush()
--- a/internal/operators/control/control_test.go
+++ b/internal/operators/control/control_test.go
@@ -17,8 +17,8 @@
 )
 
 type backend struct {
-	calls atomic.Int32
-	fails int32 // number of calls that fail at the start
+	calls     atomic.Int32
+	failFirst int32 // number of calls that fail at the start
 }
 
 func (b *backend) ShowComponent(what string) (json.RawMessage, error) {
@@ -29,7 +29,7 @@
 }
 
 func (b *backend) ChangeComponent(by, duty string, body json.RawMessage) (json.RawMessage, error) {
-	if b.calls.Add(1) <= b.fails {
+	if b.calls.Add(1) <= b.failFirst {
 		return nil, errors.New("no leader is known at present")
 	}
 	if by != "operator" && by != "boss" { // by must be the name in the caller's certificate
@@ -44,8 +44,8 @@
 // TestRoles checks that only holders of a valid certificate may call, each within its role, and that a call
 // is repeated if no leader is known but not if it is refused.
 func TestRoles(t *testing.T) {
-	dir, elsewhere := t.TempDir(), t.TempDir()
-	for _, d := range []string{dir, elsewhere} {
+	dir, otherCA := t.TempDir(), t.TempDir()
+	for _, d := range []string{dir, otherCA} {
 		if err := certs.MakeCA(d, "test CA", time.Hour); err != nil {
 			t.Fatal(err)
 		}
@@ -69,7 +69,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &backend{fails: 2}
+	b := &backend{failFirst: 2}
 	roles := Roles{
 		Read: []string{"looker"}, Operate: []string{"operator"}, Admin: []string{"boss"},
 		Operable: []string{"pools"},
@@ -79,11 +79,11 @@
 	srv.StartTLS()
 	t.Cleanup(srv.Close)
 	client := func(d, name string) *Client {
-		pair, err := filesOf(d, name).Read()
+		credentials, err := filesOf(d, name).Read()
 		if err != nil {
 			t.Fatal(err)
 		}
-		return NewClient(srv.Listener.Addr().String(), pair.Client())
+		return NewClient(srv.Listener.Addr().String(), credentials.Client())
 	}
 	ctx := t.Context()
 	for _, c := range []struct {
@@ -107,7 +107,7 @@
 			}
 		})
 	}
-	if _, err := client(elsewhere, "boss").Show(ctx, "pools"); err == nil {
+	if _, err := client(otherCA, "boss").Show(ctx, "pools"); err == nil {
 		t.Error("a certificate of another CA was accepted")
 	}
 	if _, err := http.Get("https://" + srv.Listener.Addr().String() + procedureShow); err == nil {
--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -105,7 +105,7 @@
 // errRefused is the error for a response with a status other than success.
 var errRefused = errors.New("refused")
 
-// deliver sends a message until it is accepted, permanently refused, or giveUpAfter has passed, or the
+// deliver sends a message until it is accepted or permanently refused, giveUpAfter has passed, or the
 // context ends.
 func (s *Sender) deliver(ctx context.Context, m Message) {
 	wait := backoff.NewExponentialBackOff()
@@ -143,7 +143,7 @@
 	if err != nil {
 		return fmt.Errorf("webhook: %w", err)
 	}
-	defer func() { _ = resp.Body.Close() }() // the body is not used
+	defer func() { _ = resp.Body.Close() }() // the content of the body is not used
 	// The body is read so that the connection can be reused; after a read error it is just not reused.
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxDiscarded))
 	return checkResponse(resp)
--- a/internal/operators/webhook/webhook_test.go
+++ b/internal/operators/webhook/webhook_test.go
@@ -15,14 +15,14 @@
 	"time"
 )
 
-// receiver is a test receiver whose act can refuse messages or delay responses.
+// receiver is a test receiver whose respond function can refuse messages or delay responses.
 type receiver struct {
-	mu    sync.Mutex
-	key   []byte
-	got   map[string]int
-	calls int
-	act   func(call int, w http.ResponseWriter) bool // returns false if the message is not to be recorded
-	wrong int
+	mu                sync.Mutex
+	key               []byte
+	received          map[string]int
+	calls             int
+	respond           func(call int, w http.ResponseWriter) bool // returns false if the message is not to be recorded
+	invalidSignatures int
 }
 
 func (r *receiver) ServeHTTP(w http.ResponseWriter, req *http.Request) {
@@ -32,25 +32,25 @@
 	r.calls++
 	call := r.calls
 	if !verify(r.key, req.Header.Get(HeaderTime), req.Header.Get(HeaderSignature), m) {
-		r.wrong++
+		r.invalidSignatures++
 	}
-	act := r.act
+	respond := r.respond
 	r.mu.Unlock()
-	if act != nil && !act(call, w) {
+	if respond != nil && !respond(call, w) {
 		return
 	}
 	r.mu.Lock()
-	r.got[m.ID]++
+	r.received[m.ID]++
 	r.mu.Unlock()
 }
 
 func (r *receiver) has(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.got[id] > 0
+	return r.received[id] > 0
 }
 
-func start(t *testing.T, addr string, r *receiver) (*http.Server, string) {
+func startReceiver(t *testing.T, addr string, r *receiver) (*http.Server, string) {
 	t.Helper()
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return srv, l.Addr().String()
 }
 
-func sender(t *testing.T, addr string, key []byte) *Sender {
+func startSender(t *testing.T, addr string, key []byte) *Sender {
 	t.Helper()
 	s := New("http://"+addr+"/hook", key, slog.New(slog.DiscardHandler))
 	s.initialInterval = 5 * time.Millisecond
@@ -88,8 +88,8 @@
 // hangs, responds late, asks for a later retry and is restarted.
 func TestAtLeastOnce(t *testing.T) {
 	key := []byte("0123456789abcdef")
-	r := &receiver{key: key, got: map[string]int{}}
-	r.act = func(call int, w http.ResponseWriter) bool {
+	r := &receiver{key: key, received: map[string]int{}}
+	r.respond = func(call int, w http.ResponseWriter) bool {
 		switch call {
 		case 1:
 			w.WriteHeader(http.StatusInternalServerError)
@@ -106,32 +106,32 @@
 		}
 		return true
 	}
-	srv, addr := start(t, "127.0.0.1:0", r)
-	s := sender(t, addr, key)
+	srv, addr := startReceiver(t, "127.0.0.1:0", r)
+	s := startSender(t, addr, key)
 	for n := range 20 {
 		s.Send(Message{ID: fmt.Sprint("m", n), Body: []byte(`{"late":true}`)})
 	}
 	eventually(t, "the first few arrive", func() bool { return r.has("m5") })
 	_ = srv.Close()
 	time.Sleep(30 * time.Millisecond)
-	start(t, addr, r)
+	startReceiver(t, addr, r)
 	for n := range 20 {
 		eventually(t, fmt.Sprintf("m%d arrives", n), func() bool { return r.has(fmt.Sprint("m", n)) })
 	}
-	if r.wrong > 0 {
-		t.Errorf("%d signatures were wrong", r.wrong)
+	if r.invalidSignatures > 0 {
+		t.Errorf("%d signatures were invalid", r.invalidSignatures)
 	}
 }
 
-// TestNobodyWaits checks that Send does not block, and that messages are dropped and logged once the queue
-// is full.
-func TestNobodyWaits(t *testing.T) {
+// TestSendDoesNotBlock checks that Send does not block, and that messages are dropped and logged once the
+// queue is full.
+func TestSendDoesNotBlock(t *testing.T) {
 	hang := func(int, http.ResponseWriter) bool {
 		time.Sleep(20 * time.Second)
 		return false
 	}
-	r := &receiver{got: map[string]int{}, act: hang}
-	_, addr := start(t, "127.0.0.1:0", r)
+	r := &receiver{received: map[string]int{}, respond: hang}
+	_, addr := startReceiver(t, "127.0.0.1:0", r)
 	var out bytes.Buffer
 	s := New("http://"+addr, nil, slog.New(slog.NewTextHandler(&out, nil)))
 	for n := range queueLength + 150 {
@@ -142,19 +142,19 @@
 	}
 }
 
-// TestRefusedForGood checks that a permanently refused message is not retried and does not hold up the next
-// one.
-func TestRefusedForGood(t *testing.T) {
-	r := &receiver{got: map[string]int{}}
-	r.act = func(call int, w http.ResponseWriter) bool {
+// TestPermanentRefusal checks that a permanently refused message is not retried and does not hold up the
+// next one.
+func TestPermanentRefusal(t *testing.T) {
+	r := &receiver{received: map[string]int{}}
+	r.respond = func(call int, w http.ResponseWriter) bool {
 		if call == 1 {
 			w.WriteHeader(http.StatusNotFound)
 			return false
 		}
 		return true
 	}
-	_, addr := start(t, "127.0.0.1:0", r)
-	s := sender(t, addr, nil)
+	_, addr := startReceiver(t, "127.0.0.1:0", r)
+	s := startSender(t, addr, nil)
 	s.Send(Message{ID: "bad"})
 	s.Send(Message{ID: "good"})
 	eventually(t, "the next one arrives", func() bool { return r.has("good") })
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -15,9 +15,9 @@
 	"bitternmoor/internal/scaletest/standin"
 )
 
-// world has three controllers of the current version with the settings for cold starts, and simulated
+// testbed has three controllers of the current version with the settings for cold starts, and simulated
 // workers, cloud and state service.
-type world struct {
+type testbed struct {
 	*cluster
 	fleet  *standin.Fleet
 	store  *standin.StateService
@@ -25,9 +25,9 @@
 	binary string
 }
 
-// newWorld starts a world; args are further arguments of the controllers.
-func newWorld(t *testing.T, args ...string) *world {
-	w := prepare(t, args...)
+// newTestbed starts a testbed; args are further arguments of the controllers.
+func newTestbed(t *testing.T, args ...string) *testbed {
+	w := newStoppedTestbed(t, args...)
 	for i := range 3 {
 		w.start(i, w.binary)
 	}
@@ -35,21 +35,21 @@
 	return w
 }
 
-// prepare returns a world whose controllers are not started yet.
-func prepare(t *testing.T, args ...string) *world {
-	w := &world{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
-	must(t, root, "go", "build", "-o", w.binary, "./cmd/bitternmoor")
+// newStoppedTestbed returns a testbed whose controllers are not started yet.
+func newStoppedTestbed(t *testing.T, args ...string) *testbed {
+	w := &testbed{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
+	runCommand(t, root, "go", "build", "-o", w.binary, "./cmd/bitternmoor")
 	state, clouds := httptest.NewServer(w.store), httptest.NewServer(w.cloud)
 	t.Cleanup(state.Close)
 	t.Cleanup(clouds.Close)
 	w.cluster = newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
-	w.extra = func(int) []string {
+	w.extraArgs = func(int) []string {
 		return append([]string{"--tunables", filepath.Join(root, "deploy/cold-start.ini")}, args...)
 	}
 	w.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
-		JobDuration: func(id string) (time.Duration, []string) { return w.get(id).run, nil },
-		TaskCount:   func(id string) int { return w.get(id).tasks }}
-	for _, d := range w.doors {
+		JobDuration: func(id string) (time.Duration, []string) { return w.job(id).run, nil },
+		TaskCount:   func(id string) int { return w.job(id).tasks }}
+	for _, d := range w.publicAddrs {
 		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+d)
 	}
 	w.cloud.Up, w.cloud.Down = w.fleet.StartWorker, w.fleet.StopWorker
@@ -61,11 +61,11 @@
 // The controllers come back one by one. No task may run twice, every job must be done, no reachable worker
 // may be given up, and reports must be spread evenly afterwards.
 func TestColdStarts(t *testing.T) {
-	w := newWorld(t, "--set", "spread.moves=4", "--set", "served.window=120", "--set", "exceptions.served_floor=0.5")
+	w := newTestbed(t, "--set", "spread.moves=4", "--set", "served.window=120", "--set", "exceptions.served_floor=0.5")
 	c, fleet, store, cloud, binary := w.cluster, w.fleet, w.store, w.cloud, w.binary
 	r := rand.New(rand.NewPCG(1, 22))
 	var ids []string
-	n, hit := 0, 0
+	n, disrupted := 0, 0
 	for round := range 10 {
 		for range 8 {
 			n++
@@ -83,7 +83,7 @@
 			if seen[m] = true; len(seen)%3 != 0 {
 				continue
 			}
-			switch hit++; r.IntN(3) {
+			switch disrupted++; r.IntN(3) {
 			case 0: // preempted by the cloud, and no longer in its list
 				cloud.PreemptMachine(m)
 			case 1:
@@ -109,7 +109,7 @@
 	n++
 	ids = append(ids, c.submit(n, 120, 20*time.Second)) // its machines report to the controller they reach first
 	c.eventually("reports are spread evenly", 60*time.Second, func() bool {
-		if get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], rebalance.Name), &loads) != 200 || len(loads) != 3 {
+		if getJSON(fmt.Sprintf("http://%s/duties/%s", c.internalAddrs[c.leader()], rebalance.Name), &loads) != 200 || len(loads) != 3 {
 			return false
 		}
 		machines, most := 0, 0.0
@@ -122,10 +122,10 @@
 	t.Logf("spread: %+v", loads)
 	var list []coldstart.Record
 	c.eventually("the record of the cold start", 10*time.Second, func() bool {
-		return get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], coldstart.Name), &list) == 200 && len(list) > 0
+		return getJSON(fmt.Sprintf("http://%s/duties/%s", c.internalAddrs[c.leader()], coldstart.Name), &list) == 200 && len(list) > 0
 	})
-	t.Logf("%d jobs, %d workers preempted or paused; the last cold start: %+v", len(ids), hit, list[0])
-	if list[0].Needless[coldstart.DeletedAlive] > 0 || hit < 20 {
-		t.Errorf("workers given up although alive: %v; %d workers preempted or paused", list[0].Needless, hit)
+	t.Logf("%d jobs, %d workers preempted or paused; the last cold start: %+v", len(ids), disrupted, list[0])
+	if list[0].Needless[coldstart.DeletedAlive] > 0 || disrupted < 20 {
+		t.Errorf("workers given up although alive: %v; %d workers preempted or paused", list[0].Needless, disrupted)
 	}
 }
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -18,81 +18,81 @@
 	"time"
 )
 
-// gate is a proxy to a controller's internal address. While it is shut, it refuses new connections;
-// shutting it closes the open ones.
-type gate struct {
+// proxy forwards connections to a controller's internal address. While it is blocked, it refuses new ones;
+// blocking it closes the open ones.
+type proxy struct {
 	listener net.Listener
-	to       string
-	shut     atomic.Bool
+	target   string
+	blocked  atomic.Bool
 
 	mu   sync.Mutex
 	open []net.Conn
 }
 
-func newGate(t *testing.T, to string) *gate {
+func newProxy(t *testing.T, target string) *proxy {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() }) // closing only ends the accept loop below
-	g := &gate{listener: l, to: to}
+	p := &proxy{listener: l, target: target}
 	go func() {
 		for {
 			in, err := l.Accept()
 			if err != nil {
 				return
 			}
-			out, err := net.DialTimeout("tcp4", g.to, time.Second)
-			if err != nil || g.shut.Load() {
+			out, err := net.DialTimeout("tcp4", p.target, time.Second)
+			if err != nil || p.blocked.Load() {
 				_ = in.Close() // closed on purpose, as are those below
 				if err == nil {
 					_ = out.Close()
 				}
 				continue
 			}
-			g.mu.Lock()
-			g.open = append(g.open, in, out)
-			g.mu.Unlock()
+			p.mu.Lock()
+			p.open = append(p.open, in, out)
+			p.mu.Unlock()
 			go func() { _, _ = io.Copy(out, in); _ = out.Close() }()
 			go func() { _, _ = io.Copy(in, out); _ = in.Close() }()
 		}
 	}()
-	return g
+	return p
 }
 
-func (g *gate) set(shut bool) {
-	g.shut.Store(shut)
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if shut {
-		for _, c := range g.open {
+func (p *proxy) setBlocked(blocked bool) {
+	p.blocked.Store(blocked)
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if blocked {
+		for _, c := range p.open {
 			_ = c.Close()
 		}
-		g.open = nil
+		p.open = nil
 	}
 }
 
-// apart is a world in which the state service can refuse single controllers, and controllers can be
-// isolated from one another.
-type apart struct {
-	*world
-	refuse [3]atomic.Bool
-	gates  [3][3]*gate // from, to
+// partitionTestbed is a testbed in which the state service can refuse single controllers, and controllers
+// can be isolated from one another.
+type partitionTestbed struct {
+	*testbed
+	refuseState [3]atomic.Bool
+	proxies     [3][3]*proxy // from, to
 }
 
-func newApart(t *testing.T) *apart {
-	a := &apart{world: prepare(t)}
+func newPartitionTestbed(t *testing.T) *partitionTestbed {
+	a := &partitionTestbed{testbed: newStoppedTestbed(t)}
 	state := ""
 	for i := range 3 {
-		door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if a.refuse[i].Load() {
+		stateProxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			if a.refuseState[i].Load() {
 				w.WriteHeader(503)
 				return
 			}
 			a.store.ServeHTTP(w, r)
 		}))
-		t.Cleanup(door.Close)
+		t.Cleanup(stateProxy.Close)
 		raw, err := os.ReadFile(a.config[i])
 		if err != nil {
 			t.Fatal(err)
@@ -100,11 +100,11 @@
 		text := string(raw)
 		_, state, _ = strings.Cut(text, "state = \"")
 		state, _, _ = strings.Cut(state, "\"")
-		text = strings.Replace(text, state, door.Listener.Addr().String(), 1)
+		text = strings.Replace(text, state, stateProxy.Listener.Addr().String(), 1)
 		for k := range 3 {
 			if k != i {
-				a.gates[i][k] = newGate(t, a.inside[k])
-				text = strings.Replace(text, fmt.Sprintf("endpoint = %q", a.inside[k]), fmt.Sprintf("endpoint = %q", a.gates[i][k].listener.Addr().String()), 1)
+				a.proxies[i][k] = newProxy(t, a.internalAddrs[k])
+				text = strings.Replace(text, fmt.Sprintf("endpoint = %q", a.internalAddrs[k]), fmt.Sprintf("endpoint = %q", a.proxies[i][k].listener.Addr().String()), 1)
 			}
 		}
 		if err := os.WriteFile(a.config[i], []byte(text), 0o600); err != nil {
@@ -114,27 +114,27 @@
 	return a
 }
 
-// begin starts controller 0 with the binary first, so that it leads, and then the others with the current
+// startAll starts controller 0 with the binary first, so that it leads, and then the others with the current
 // binary.
-func (a *apart) begin(first string) {
+func (a *partitionTestbed) startAll(first string) {
 	a.start(0, first)
 	a.leader()
 	a.start(1, a.binary)
 	a.start(2, a.binary)
 }
 
-// cut isolates a controller from the others if shut is true, and reconnects it otherwise.
-func (a *apart) cut(i int, shut bool) {
+// setIsolated isolates a controller from the others, or reconnects it.
+func (a *partitionTestbed) setIsolated(i int, isolated bool) {
 	for k := range 3 {
 		if k != i {
-			a.gates[i][k].set(shut)
-			a.gates[k][i].set(shut)
+			a.proxies[i][k].setBlocked(isolated)
+			a.proxies[k][i].setBlocked(isolated)
 		}
 	}
 }
 
-// another waits for a second controller that reports itself as the leader, and returns its index.
-func (a *apart) another(than int) int {
+// otherLeader waits for a second controller that reports itself as the leader, and returns its index.
+func (a *partitionTestbed) otherLeader(old int) int {
 	found := -1
 	a.eventually("another leader", 20*time.Second, func() bool {
 		for i := range 3 {
@@ -142,7 +142,7 @@
 				Node, Leader string
 				Sure         bool
 			}
-			if i != than && get("http://"+a.inside[i]+"/status", &s) == 200 && s.Leader == s.Node && s.Sure {
+			if i != old && getJSON("http://"+a.internalAddrs[i]+"/status", &s) == 200 && s.Leader == s.Node && s.Sure {
 				found = i
 				return true
 			}
@@ -162,82 +162,82 @@
 	for _, variant := range []string{"", "cut", "production", "production, cut"} {
 		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
-			cut, first := strings.Contains(variant, "cut"), ""
-			a := newApart(t)
+			isolate, first := strings.Contains(variant, "cut"), ""
+			a := newPartitionTestbed(t)
 			if first = a.binary; strings.Contains(variant, "production") {
 				// It does not support the settings that the current version is given.
-				first, a.extra = production, func(int) []string { return nil }
+				first, a.extraArgs = production, func(int) []string { return nil }
 			}
-			a.begin(first)
-			cancelling, stays := a.submit(1, 10, 10*time.Minute), a.submit(2, 6, 75*time.Second)
+			a.startAll(first)
+			cancelling, unrelated := a.submit(1, 10, 10*time.Minute), a.submit(2, 6, 75*time.Second)
 			a.eventually("all run", 60*time.Second, func() bool {
-				return len(a.fleet.MachinesRunning(cancelling)) == 10 && len(a.fleet.MachinesRunning(stays)) == 6
+				return len(a.fleet.MachinesRunning(cancelling)) == 10 && len(a.fleet.MachinesRunning(unrelated)) == 6
 			})
 			before := map[string]uint64{}
 			for task, n := range a.fleet.Attempts() {
 				before[task] = n
 			}
 			old := a.leader()
-			a.refuse[old].Store(true)
-			if cut {
-				a.cut(old, true)
+			a.refuseState[old].Store(true)
+			if isolate {
+				a.setIsolated(old, true)
 			}
-			next := a.another(old)
-			asked := time.Now()
+			next := a.otherLeader(old)
+			requestedAt := time.Now()
 			a.eventually("the cancellation is confirmed", 60*time.Second, func() bool {
-				resp, err := http.Post("http://"+a.doors[next]+"/api/jobs/"+cancelling+"/abort", "application/json", nil)
+				resp, err := http.Post("http://"+a.publicAddrs[next]+"/api/jobs/"+cancelling+"/abort", "application/json", nil)
 				if err != nil {
 					return false
 				}
 				defer func() { _ = resp.Body.Close() }() // only the status is used
 				return resp.StatusCode == 200
 			})
-			told := time.Now()
+			confirmedAt := time.Now()
 			if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
 				t.Errorf("confirmed while %d of its tasks run", len(on))
 			}
 			a.store.SetDown(true)
-			for time.Since(told) < 40*time.Second { // cancel_s is 30 s
+			for time.Since(confirmedAt) < 40*time.Second { // cancel_s is 30 s
 				if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
-					t.Fatalf("%v after the confirmation a task runs on %v", time.Since(told), on)
+					t.Fatalf("%v after the confirmation a task runs on %v", time.Since(confirmedAt), on)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
-			kept := 0
+			survived := 0
 			for task, n := range a.fleet.Attempts() {
-				if strings.HasPrefix(task, stays) && before[task] == n {
-					kept++
+				if strings.HasPrefix(task, unrelated) && before[task] == n {
+					survived++
 				}
 			}
 			a.store.SetDown(false)
-			a.refuse[old].Store(false)
-			a.cut(old, false)
-			a.eventually("the other job is done", 120*time.Second, func() bool { return a.state(stays) == "done" })
+			a.refuseState[old].Store(false)
+			a.setIsolated(old, false)
+			a.eventually("the other job is done", 120*time.Second, func() bool { return a.state(unrelated) == "done" })
 			if got := a.state(cancelling); got != "aborted" {
 				t.Errorf("the cancelled job is %q", got)
 			}
 			for _, b := range append(a.fleet.BrokenRules(), a.store.RefusedTransactions()...) {
 				t.Error(b)
 			}
-			t.Logf("confirmed after %v; %d of 6 tasks of the other job ran on through the outage", told.Sub(asked).Round(10*time.Millisecond), kept)
-			if !cut && kept < 6 {
-				t.Errorf("%d of 6 tasks of the other job were lost", 6-kept)
+			t.Logf("confirmed after %v; %d of 6 tasks of the other job ran on through the outage", confirmedAt.Sub(requestedAt).Round(10*time.Millisecond), survived)
+			if !isolate && survived < 6 {
+				t.Errorf("%d of 6 tasks of the other job were lost", 6-survived)
 			}
 		})
 	}
 }
 
-// TestOneWayTroubles runs real processes under load with one-way failures: machines whose reports arrive
+// TestOneWayFailures runs real processes under load with one-way failures: machines whose reports arrive
 // but which receive no answers, copies of reports that arrive up to two leases late, and controllers that
 // lose the state service and their peers but neither workers nor users. Leaders are killed in between. No
 // task may run twice, and every job must be done.
-func TestOneWayTroubles(t *testing.T) {
-	a := newApart(t)
-	a.begin(a.binary)
+func TestOneWayFailures(t *testing.T) {
+	a := newPartitionTestbed(t)
+	a.startAll(a.binary)
 	r := rand.New(rand.NewPCG(3, 29))
 	var ids []string
-	n, deafened, leaders := 0, 0, 0
-	load := func(count int) {
+	n, selected, leadersKilled := 0, 0, 0
+	submitJobs := func(count int) {
 		for range count {
 			n++
 			ids = append(ids, a.submit(n, 4+r.IntN(5), time.Duration(1+r.IntN(8))*time.Second))
@@ -245,32 +245,32 @@
 	}
 	a.fleet.RepeatHeartbeats(20 * time.Second)
 	for round := range 8 {
-		load(5)
+		submitJobs(5)
 		time.Sleep(2 * time.Second)
 		switch round % 2 {
 		case 0:
 			busy := a.fleet.Busy()
 			slices.Sort(busy)
 			for _, m := range slices.Compact(busy) {
-				if deafened++; deafened%2 == 0 {
+				if selected++; selected%2 == 0 {
 					a.fleet.DropAnswers(m, time.Duration(3+r.IntN(12))*time.Second)
 				}
 			}
 		default:
 			l := a.leader()
-			a.refuse[l].Store(true)
-			a.cut(l, true)
+			a.refuseState[l].Store(true)
+			a.setIsolated(l, true)
 			time.Sleep(time.Duration(4+r.IntN(10)) * time.Second)
-			a.refuse[l].Store(false)
-			a.cut(l, false)
+			a.refuseState[l].Store(false)
+			a.setIsolated(l, false)
 		}
 		if round%4 > 1 { // in addition
 			l := a.leader()
 			a.kill(l)
-			load(2)
+			submitJobs(2)
 			time.Sleep(time.Second)
 			a.start(l, a.binary)
-			leaders++
+			leadersKilled++
 		}
 	}
 	for _, id := range ids {
@@ -282,8 +282,8 @@
 	for _, b := range append(a.fleet.BrokenRules(), a.store.RefusedTransactions()...) {
 		t.Error(b)
 	}
-	t.Logf("%d jobs, %d machines selected, half of them without answers, %d late copies, %d leaders killed", len(ids), deafened, a.fleet.LateCopies(), leaders)
-	if a.fleet.LateCopies() < 20 || deafened < 4 {
-		t.Errorf("%d late copies, %d machines selected", a.fleet.LateCopies(), deafened)
+	t.Logf("%d jobs, %d machines selected, half of them without answers, %d late copies, %d leaders killed", len(ids), selected, a.fleet.LateCopies(), leadersKilled)
+	if a.fleet.LateCopies() < 20 || selected < 4 {
+		t.Errorf("%d late copies, %d machines selected", a.fleet.LateCopies(), selected)
 	}
 }
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -24,10 +24,10 @@
 	kills, takeovers := 200, 20
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "bitternmoor")
-	must(t, root, "go", "build", "-o", binary, "./cmd/bitternmoor")
-	must(t, dir, binary, "certs", "ca", "--dir", dir)
-	must(t, dir, binary, "certs", "issue", "node", "--dir", dir, "--hosts", "127.0.0.1")
-	must(t, dir, binary, "certs", "issue", "ann", "--dir", dir)
+	runCommand(t, root, "go", "build", "-o", binary, "./cmd/bitternmoor")
+	runCommand(t, dir, binary, "certs", "ca", "--dir", dir)
+	runCommand(t, dir, binary, "certs", "issue", "node", "--dir", dir, "--hosts", "127.0.0.1")
+	runCommand(t, dir, binary, "certs", "issue", "ann", "--dir", dir)
 	key := filepath.Join(dir, "receipt.key")
 	if err := os.WriteFile(key, []byte("0123456789abcdef"), 0o600); err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 			t.Fatal(err)
 		}
 	}
-	c.extra = func(i int) []string { return []string{"--tunables", filepath.Join(dir, fmt.Sprintf("n%d.ini", i))} }
+	c.extraArgs = func(i int) []string { return []string{"--tunables", filepath.Join(dir, fmt.Sprintf("n%d.ini", i))} }
 	units := func(id string) map[string]int {
 		if strings.HasSuffix(id, "5") {
 			return map[string]int{"licence": 2, "token": 1}
@@ -54,9 +54,9 @@
 		return map[string]int{"licence": 1}
 	}
 	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, PoolUnits: units,
-		JobDuration: func(id string) (time.Duration, []string) { return c.get(id).run, nil },
-		TaskCount:   func(id string) int { return c.get(id).tasks }}
-	for _, d := range c.doors {
+		JobDuration: func(id string) (time.Duration, []string) { return c.job(id).run, nil },
+		TaskCount:   func(id string) int { return c.job(id).tasks }}
+	for _, d := range c.publicAddrs {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
 	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
@@ -102,13 +102,13 @@
 		}
 	}()
 	r := rand.New(rand.NewPCG(1, 1))
-	n, killed, led, said := 0, 0, 0, 0
-	next := time.Now().Add(8 * time.Second)
+	n, killed, leadersKilled, nextLog := 0, 0, 0, 0
+	nextLeaderKill := time.Now().Add(8 * time.Second)
 	submitted := map[string]bool{}
-	for killed < kills || led < takeovers {
+	for killed < kills || leadersKilled < takeovers {
 		if n < killed/3+30 {
 			n++
-			submitted[c.counted(n, 8, time.Second, units)] = true
+			submitted[c.submitWithUnits(n, 8, time.Second, units)] = true
 		}
 		if busy := fleet.Busy(); len(busy) > 0 {
 			m := busy[r.IntN(len(busy))]
@@ -121,16 +121,16 @@
 				fleet.PauseWorker(m, 13*time.Second) // longer than its lease
 			}
 		}
-		if time.Now().After(next) && led < takeovers {
-			led++
+		if time.Now().After(nextLeaderKill) && leadersKilled < takeovers {
+			leadersKilled++
 			l := c.leader()
 			c.kill(l)
 			c.start(l, binary)
-			next = time.Now().Add(15 * time.Second)
+			nextLeaderKill = time.Now().Add(15 * time.Second)
 		}
-		if killed >= said {
-			t.Logf("%d workers killed or paused, %d leaders killed", killed, led)
-			said += 25
+		if killed >= nextLog {
+			t.Logf("%d workers killed or paused, %d leaders killed", killed, leadersKilled)
+			nextLog += 25
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
@@ -145,22 +145,22 @@
 	if fleet.PoolPeak("licence") < 20 || changes.Load() < 3 {
 		t.Errorf("at most %d licences were held, %d changes", fleet.PoolPeak("licence"), changes.Load())
 	}
-	t.Logf("%d workers killed or paused, %d leaders killed, %d jobs, %d changes of the pool; at most %d licences were held", killed, led, len(submitted), changes.Load(), fleet.PoolPeak("licence"))
+	t.Logf("%d workers killed or paused, %d leaders killed, %d jobs, %d changes of the pool; at most %d licences were held", killed, leadersKilled, len(submitted), changes.Load(), fleet.PoolPeak("licence"))
 }
 
-// counted submits a job that needs units of pools and returns its id.
-func (c *cluster) counted(n, tasks int, run time.Duration, units func(string) map[string]int) string {
+// submitWithUnits submits a job that needs units of pools and returns its id.
+func (c *cluster) submitWithUnits(n, tasks int, run time.Duration, units func(string) map[string]int) string {
 	c.t.Helper()
 	id := fmt.Sprintf("j-%06d", n)
 	c.mu.Lock()
 	c.jobs[id] = job{tasks: tasks, run: run}
 	c.mu.Unlock()
-	var counted []string
+	var poolUnits []string
 	for pool, k := range units(id) {
-		counted = append(counted, fmt.Sprintf(`{"pool":%q,"units":%d,"per":"task"}`, pool, k))
+		poolUnits = append(poolUnits, fmt.Sprintf(`{"pool":%q,"units":%d,"per":"task"}`, pool, k))
 	}
 	body := fmt.Sprintf(`{"name_id":%q,"herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":%d,"vcpus":1,"gpus":0,"memory_gb":1,"brand":"i","size_gb":0.1,
-	  "breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":%f,"waypoint_s":0,"stow_s":0,"counted":[%s]}`, id, tasks, run.Seconds(), strings.Join(counted, ","))
+	  "breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":%f,"waypoint_s":0,"stow_s":0,"counted":[%s]}`, id, tasks, run.Seconds(), strings.Join(poolUnits, ","))
 	if status, _ := c.post("/api/jobs", body); status != 200 && status != 201 {
 		c.t.Fatalf("the submission of %s was answered with status %d", id, status)
 	}
--- a/internal/upgrade/quick_test.go
+++ b/internal/upgrade/quick_test.go
@@ -13,15 +13,15 @@
 // has ended, during elections, and with connections and transactions of the former process in flight. No
 // task may run twice, and every job must be done.
 func TestQuickRestarts(t *testing.T) {
-	w := newWorld(t)
+	w := newTestbed(t)
 	c, binary := w.cluster, w.binary
 	r := rand.New(rand.NewPCG(1, 29))
-	back := func(list ...int) {
-		for _, i := range list {
+	restart := func(controllers ...int) {
+		for _, i := range controllers {
 			c.kill(i)
 		}
 		time.Sleep(time.Duration(50+r.IntN(450)) * time.Millisecond)
-		for _, i := range list {
+		for _, i := range controllers {
 			c.start(i, binary)
 		}
 	}
@@ -32,20 +32,20 @@
 		ids = append(ids, c.submit(n, 6, time.Duration(1+r.IntN(4))*time.Second))
 		switch r.IntN(4) {
 		case 0:
-			back(0, 1, 2)
+			restart(0, 1, 2)
 			kills += 3
 		case 1:
-			who := c.leader()
+			leader := c.leader()
 			for range 5 {
-				back(who)
+				restart(leader)
 				time.Sleep(time.Duration(r.IntN(600)) * time.Millisecond)
 			}
 			kills += 5
 		case 2:
-			back(c.leader())
+			restart(c.leader())
 			kills++
 		default:
-			back(r.IntN(3))
+			restart(r.IntN(3))
 			kills++
 		}
 		time.Sleep(time.Duration(r.IntN(900)) * time.Millisecond)
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -36,15 +36,15 @@
 	}
 	dir := t.TempDir()
 	tree := filepath.Join(dir, "tree")
-	must(t, root, "git", "worktree", "add", "--detach", tree, string(m[1]))
-	t.Cleanup(func() { must(t, root, "git", "worktree", "remove", "--force", tree) })
+	runCommand(t, root, "git", "worktree", "add", "--detach", tree, string(m[1]))
+	t.Cleanup(func() { runCommand(t, root, "git", "worktree", "remove", "--force", tree) })
 	old, current = filepath.Join(dir, "old"), filepath.Join(dir, "new")
-	must(t, tree, "go", "build", "-o", old, "./cmd/bitternmoor")
-	must(t, root, "go", "build", "-o", current, "./cmd/bitternmoor")
+	runCommand(t, tree, "go", "build", "-o", old, "./cmd/bitternmoor")
+	runCommand(t, root, "go", "build", "-o", current, "./cmd/bitternmoor")
 	return old, current
 }
 
-func must(t *testing.T, dir, name string, args ...string) {
+func runCommand(t *testing.T, dir, name string, args ...string) {
 	t.Helper()
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
@@ -54,12 +54,12 @@
 }
 
 type cluster struct {
-	t      *testing.T
-	extra  func(i int) []string // further arguments of controller i
-	config []string
-	doors  []string
-	inside []string
-	procs  []*exec.Cmd
+	t             *testing.T
+	extraArgs     func(i int) []string // further arguments of controller i
+	config        []string
+	publicAddrs   []string
+	internalAddrs []string
+	processes     []*exec.Cmd
 
 	reserved map[int][]net.Listener // by controller that is not started yet
 
@@ -73,7 +73,7 @@
 	follows []string
 }
 
-func (c *cluster) get(id string) job {
+func (c *cluster) job(id string) job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[id]
@@ -102,16 +102,16 @@
 
 func newCluster(t *testing.T, state, cloud string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, jobs: map[string]job{}, procs: make([]*exec.Cmd, 3), reserved: map[int][]net.Listener{}}
+	c := &cluster{t: t, jobs: map[string]job{}, processes: make([]*exec.Cmd, 3), reserved: map[int][]net.Listener{}}
 	for i := range 3 {
-		c.doors, c.inside = append(c.doors, c.reserve(i)), append(c.inside, c.reserve(i))
+		c.publicAddrs, c.internalAddrs = append(c.publicAddrs, c.reserve(i)), append(c.internalAddrs, c.reserve(i))
 	}
 	for i := range 3 {
 		var b strings.Builder
-		fmt.Fprintf(&b, "node = \"n%d\"\ndomain = \"a\"\npublic_addr = %q\ninternal_addr = %q\n", i, c.doors[i], c.inside[i])
+		fmt.Fprintf(&b, "node = \"n%d\"\ndomain = \"a\"\npublic_addr = %q\ninternal_addr = %q\n", i, c.publicAddrs[i], c.internalAddrs[i])
 		for k := range 3 {
 			if k != i {
-				fmt.Fprintf(&b, "[[others]]\nnode = \"n%d\"\ndomain = \"a\"\nendpoint = %q\n", k, c.inside[k])
+				fmt.Fprintf(&b, "[[others]]\nnode = \"n%d\"\ndomain = \"a\"\nendpoint = %q\n", k, c.internalAddrs[k])
 			}
 		}
 		fmt.Fprintf(&b, "[external]\ncloud = %q\nstate = %q\n", cloud, state)
@@ -151,7 +151,7 @@
 		c.config = append(c.config, path)
 	}
 	t.Cleanup(func() {
-		for i := range c.procs {
+		for i := range c.processes {
 			c.kill(i)
 			c.release(i)
 		}
@@ -161,8 +161,8 @@
 
 func (c *cluster) start(i int, binary string) {
 	args := []string{"--config", c.config[i]}
-	if c.extra != nil {
-		args = append(args, c.extra(i)...)
+	if c.extraArgs != nil {
+		args = append(args, c.extraArgs(i)...)
 	}
 	cmd := exec.Command(binary, args...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
@@ -171,14 +171,14 @@
 	if err := cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	c.procs[i] = cmd
+	c.processes[i] = cmd
 }
 
 func (c *cluster) kill(i int) {
-	if p := c.procs[i]; p != nil {
+	if p := c.processes[i]; p != nil {
 		_ = p.Process.Kill()
 		_ = p.Wait()
-		c.procs[i] = nil
+		c.processes[i] = nil
 	}
 }
 
@@ -188,8 +188,8 @@
 	c.eventually("a leader", 20*time.Second, func() bool {
 		for i := range 3 {
 			var s struct{ Node, Leader string }
-			if c.procs[i] != nil && get("http://"+c.inside[i]+"/status", &s) == 200 && s.Leader != "" {
-				if _, err := fmt.Sscanf(s.Leader, "n%d", &found); err == nil && c.procs[found] != nil {
+			if c.processes[i] != nil && getJSON("http://"+c.internalAddrs[i]+"/status", &s) == 200 && s.Leader != "" {
+				if _, err := fmt.Sscanf(s.Leader, "n%d", &found); err == nil && c.processes[found] != nil {
 					return true
 				}
 			}
@@ -199,7 +199,7 @@
 	return found
 }
 
-func get(url string, into any) int {
+func getJSON(url string, into any) int {
 	resp, err := (&http.Client{Timeout: 2 * time.Second}).Get(url)
 	if err != nil {
 		return 0
@@ -225,7 +225,7 @@
 	at := 0
 	c.eventually("an answer to "+path, 60*time.Second, func() bool {
 		at++
-		resp, err := (&http.Client{Timeout: 5 * time.Second}).Post("http://"+c.doors[at%3]+path, "application/json", bytes.NewBufferString(body))
+		resp, err := (&http.Client{Timeout: 5 * time.Second}).Post("http://"+c.publicAddrs[at%3]+path, "application/json", bytes.NewBufferString(body))
 		if err != nil {
 			return false
 		}
@@ -263,7 +263,7 @@
 func (c *cluster) state(id string) string {
 	for i := range 3 {
 		var out struct{ Standing string }
-		switch get("http://"+c.doors[i]+"/api/jobs/"+id, &out) {
+		switch getJSON("http://"+c.publicAddrs[i]+"/api/jobs/"+id, &out) {
 		case 200:
 			return out.Standing
 		case 404:
@@ -285,9 +285,9 @@
 	defer clouds.Close()
 	c := newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
 	fleet := &standin.Fleet{HeartbeatInterval: 600 * time.Millisecond, Lease: 10 * time.Second,
-		JobDuration: func(id string) (time.Duration, []string) { j := c.get(id); return j.run, j.follows },
-		TaskCount:   func(id string) int { return c.get(id).tasks }}
-	for _, d := range c.doors {
+		JobDuration: func(id string) (time.Duration, []string) { j := c.job(id); return j.run, j.follows },
+		TaskCount:   func(id string) int { return c.job(id).tasks }}
+	for _, d := range c.publicAddrs {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
 	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
@@ -297,18 +297,18 @@
 	}
 	want := map[string]string{}
 	n := 0
-	more := func(count int) {
+	submitJobs := func(count int) {
 		for range count {
 			n++
 			want[c.submit(n, 3, 2*time.Second)] = "done"
 		}
 	}
-	more(10)
+	submitJobs(10)
 	for i := range 3 { // the rolling upgrade
 		c.kill(i)
-		more(3)
+		submitJobs(3)
 		c.start(i, current)
-		more(3)
+		submitJobs(3)
 	}
 	t.Log("rolled forward; leader", c.leader())
 	for round := range 4 { // crashes make leaders of both versions alternate
@@ -318,11 +318,11 @@
 		for i := range 3 {
 			c.start(i, []string{old, current}[round%2])
 		}
-		more(8)
+		submitJobs(8)
 		time.Sleep(2 * time.Second)
 		l := c.leader()
 		c.kill(l)
-		more(4)
+		submitJobs(4)
 		c.start(l, []string{current, old}[round%2])
 		time.Sleep(time.Second)
 	}
