--- a/cmd/bitternmoor/configchange.go
+++ b/cmd/bitternmoor/configchange.go
@@ -92,8 +92,8 @@
 
 // commit repeats a change request until the change is durable.
 func (c *configChanger) commit(cmd *cobra.Command, client *control.Client, request reconfig.Request) error {
-	const unknown = "the change was requested and is not known to be durable: a takeover may undo it; see config history"
-	return retryUntilDurable(cmd.Context(), unknown, func(ctx context.Context) (bool, error) {
+	const timeoutMessage = "the change was requested and is not known to be durable: a takeover may undo it; see config history"
+	return retryUntilDurable(cmd.Context(), timeoutMessage, func(ctx context.Context) (bool, error) {
 		var answer reconfig.Answer
 		raw, err := requestChange(ctx, client, request, &answer)
 		if err != nil || !answer.Durable {
@@ -123,7 +123,7 @@
 	return raw, decodeAnswer("controller", raw, answer)
 }
 
-// fetchView reads a component's view through the operators' listener.
+// fetchView reads a view of the configuration through the operators' listener.
 func fetchView(ctx context.Context, client *control.Client, path string, view any) error {
 	raw, err := client.Show(ctx, path)
 	if errors.Is(err, control.ErrUnknown) {
--- a/cmd/bitternmoor/controlclient.go
+++ b/cmd/bitternmoor/controlclient.go
@@ -61,9 +61,9 @@
 )
 
 // retryUntilDurable repeats an idempotent change request until the change is durable. If that is not known
-// within durableTimeout, it fails with the message unknown.
+// within durableTimeout, it fails with timeoutMessage.
 func retryUntilDurable(
-	ctx context.Context, unknown string, request func(ctx context.Context) (durable bool, err error),
+	ctx context.Context, timeoutMessage string, request func(ctx context.Context) (durable bool, err error),
 ) error {
 	ctx, cancel := context.WithTimeout(ctx, durableTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return failure{errors.New(unknown)}
+			return failure{errors.New(timeoutMessage)}
 		case <-time.After(durableRetryInterval):
 		}
 	}
--- a/cmd/bitternmoor/forecast.go
+++ b/cmd/bitternmoor/forecast.go
@@ -13,7 +13,7 @@
 )
 
 func forecastCommand() *cobra.Command {
-	cmd := viewCommand("forecast", "Show when open jobs should begin and end, and what they will miss",
+	cmd := viewCommand("forecast", "Show when open jobs are expected to begin and end, and which targets they will miss",
 		node.PathComponents+runtimes.Name+"/forecast", printForecasts)
 	cmd.AddCommand(viewCommand("ahead", "Show the work expected over the next twelve hours, from past nights",
 		node.PathComponents+runtimes.Name+"/ahead", printAhead))
--- a/cmd/bitternmoor/main.go
+++ b/cmd/bitternmoor/main.go
@@ -23,7 +23,8 @@
 
 var version = "0.1.0"
 
-// failure is an error of a command that was called correctly; any other error is one of usage.
+// failure is the error of a command that was called correctly. Any other error counts as wrong
+// usage.
 type failure struct{ err error }
 
 func (f failure) Error() string { return f.err.Error() }
@@ -84,7 +85,7 @@
 	persistent := root.PersistentFlags()
 	persistent.StringVar(&flags.tunables, "tunables", "", "the operators' settings file (INI)")
 	persistent.StringArrayVar(&flags.set, "set", nil,
-		"SECTION.KEY=VALUE: one operators' setting, overrides the file; may be repeated")
+		"one operators' setting as SECTION.KEY=VALUE, which overrides the file; may be repeated")
 	root.AddCommand(
 		checkConfigCommand(&flags), statusCommand(), explainCommand(), takeoversCommand(), servedCommand(),
 		spreadCommand(), forecastCommand(), lateCommand(), runTimesCommand(), poolsCommand(), configCommand(),
--- a/cmd/bitternmoor/nodeclient.go
+++ b/cmd/bitternmoor/nodeclient.go
@@ -17,7 +17,7 @@
 
 const (
 	requestTimeout = 5 * time.Second
-	maxAnswer      = 64 << 20 // bytes of an answer that are read at most
+	maxAnswer      = 64 << 20 // maximum number of bytes that are read of an answer
 )
 
 // nodeClient sends requests to a running node at its internal address. It holds the flags of the commands
--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -118,8 +118,8 @@
 	if err != nil {
 		return failure{err}
 	}
-	const unknown = "the change was requested and is not known to be durable: a takeover may undo it; see pools show"
-	return retryUntilDurable(cmd.Context(), unknown, func(ctx context.Context) (bool, error) {
+	const timeoutMessage = "the change was requested and is not known to be durable: a takeover may undo it; see pools show"
+	return retryUntilDurable(cmd.Context(), timeoutMessage, func(ctx context.Context) (bool, error) {
 		return c.requestPoolChange(ctx, out, client, body)
 	})
 }
@@ -168,7 +168,7 @@
 	return ""
 }
 
-// settingsUnits requests the number of units given in the settings.
+// settingsUnits, as a requested number of units, stands for the number in the settings.
 const settingsUnits = -1
 
 func poolSet() *cobra.Command {
@@ -199,7 +199,7 @@
 	}
 	units, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || units < 0 {
-		return 0, fmt.Errorf("--units: neither a number nor \"settings\", for the number in the settings: %q", text)
+		return 0, fmt.Errorf("--units: must be a number, or \"settings\" for the number in the settings: %q", text)
 	}
 	return units, nil
 }
--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -164,7 +164,7 @@
 	})
 }
 
-// readExport reads an export and checks every line of it.
+// readExport reads an export. It fails if any line is invalid, so that nothing is imported then.
 func readExport(path string) (in runtimes.Import, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/bitternmoor/runtimes_test.go
+++ b/cmd/bitternmoor/runtimes_test.go
@@ -77,12 +77,12 @@
 		{"confirmed", one + "\n\n" + two + "\n", "y\n", nil,
 			"1 new ones would be added, 1 known ones left as they are", "", 1, 0},
 		{"not confirmed", one + "\n" + two, "n\n", nil, "take them in? [y/N]", "nothing was changed", 0, exitFailed},
-		{"nobody there to ask", one, "", nil, "", "nothing was changed", 0, exitFailed},
+		{"no input", one, "", nil, "", "nothing was changed", 0, exitFailed},
 		{"by a script", one + "\n" + two, "", []string{"--yes", "--replace"}, "1 known ones replaced", "", 1, 0},
-		{"for a machine", two, "", []string{"--yes", "--json"}, `{"added":1}`, "", 1, 0},
-		{"a line that is no JSON", one + "\n{", "y\n", nil, "", "line 2", 0, exitUsage},
-		{"a field that is wrong", one + "\n" + `{"class":"d"}`, "y\n", nil, "", "line 2: nights", 0, exitUsage},
-		{"the same twice", one + "\n" + one, "y\n", nil, "", "line 2: c/// is there twice", 0, exitUsage},
+		{"with JSON output", two, "", []string{"--yes", "--json"}, `{"added":1}`, "", 1, 0},
+		{"a line of invalid JSON", one + "\n{", "y\n", nil, "", "line 2", 0, exitUsage},
+		{"a line without nights", one + "\n" + `{"class":"d"}`, "y\n", nil, "", "line 2: nights", 0, exitUsage},
+		{"the same kind twice", one + "\n" + one, "y\n", nil, "", "line 2: c/// is there twice", 0, exitUsage},
 		{"an empty file", "\n", "y\n", nil, "", "holds no kind", 0, exitUsage},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -27,7 +27,8 @@
 	exitUsage  = 2
 )
 
-// failure is an error of a command that was called correctly; any other error is one of usage.
+// failure is the error of a command that was called correctly. Any other error counts as wrong
+// usage.
 type failure struct{ err error }
 
 func (f failure) Error() string { return f.err.Error() }
@@ -144,7 +145,7 @@
 	if err != nil {
 		return fmt.Errorf("--results: %w", err)
 	}
-	defer func() { _ = results.Close() }() // as above
+	defer func() { _ = results.Close() }() // write errors were returned for each result
 	parent := f.keep
 	if parent == "" {
 		parent, err = os.MkdirTemp("", "scalerun")
--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -23,8 +23,8 @@
 // Credentials are the parsed contents of Files.
 type Credentials struct {
 	Cert     tls.Certificate
-	Pool     *x509.CertPool
-	NotAfter time.Time // when the certificate expires
+	Pool     *x509.CertPool // the CA certificates
+	NotAfter time.Time      // when the certificate expires
 }
 
 // Read reads the files. An error names the file.
@@ -108,8 +108,8 @@
 	return s.credentials
 }
 
-// Server returns the configuration of a listener that accepts only clients whose certificate is signed by
-// one in the CA file. Each connection uses the certificates that are in force when it begins.
+// Server returns the configuration of a listener that accepts only clients whose certificate is signed by a
+// CA in the CA file. Each connection uses the certificates that are in force when it begins.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
--- a/internal/operators/certs/issue.go
+++ b/internal/operators/certs/issue.go
@@ -34,7 +34,7 @@
 
 // Issue creates a certificate for a name, signed by the CA in DIR, in DIR/NAME.pem and DIR/NAME.key. It
 // overwrites no file. hosts are names and addresses at which the holder may serve; without any, the
-// certificate is only valid for clients.
+// certificate is only valid for clients. The certificate expires no later than the CA.
 func Issue(dir, name string, hosts []string, lifetime time.Duration) error {
 	if name == "" || name == "ca" || filepath.Base(name) != name {
 		return fmt.Errorf("certs: invalid name for a certificate: %q", name)
@@ -69,7 +69,7 @@
 	}
 	key, ok := pair.PrivateKey.(*ecdsa.PrivateKey)
 	if !ok {
-		return nil, nil, errors.New("certs: the CA's key is not an ECDSA key, as created by certs ca")
+		return nil, nil, errors.New("certs: the CA's key is not an ECDSA key; certs ca creates such keys")
 	}
 	return ca, key, nil
 }
--- a/internal/operators/console/console.go
+++ b/internal/operators/console/console.go
@@ -36,7 +36,8 @@
 // NewRightAlignedTable returns a table with right-aligned cells and these column headers.
 func NewRightAlignedTable(out io.Writer, headers ...string) Table {
 	w := tabwriter.NewWriter(out, 0, 0, columnGap, ' ', tabwriter.AlignRight)
-	return startTable(Table{writer: w, rowSuffix: "\t"}, headers) // tabwriter aligns only cells that end in a tab
+	// tabwriter aligns only cells that end in a tab.
+	return startTable(Table{writer: w, rowSuffix: "\t"}, headers)
 }
 
 func startTable(t Table, headers []string) Table {
--- a/internal/operators/control/control.go
+++ b/internal/operators/control/control.go
@@ -35,8 +35,8 @@
 
 // ChangeRequest asks a component to change something.
 type ChangeRequest struct {
-	Duty string          `json:"duty"`
-	Body json.RawMessage `json:"body"`
+	Duty string          `json:"duty"` // name of the component
+	Body json.RawMessage `json:"body"` // in the JSON format of the component
 }
 
 // Page is an answer, in the JSON format of the component.
@@ -46,13 +46,13 @@
 
 // Errors of a backend that callers distinguish.
 var (
-	ErrUnknown = errors.New("no such duty, or it is switched off")
-	ErrRefused = errors.New("refused") // wrapped in an error with the component's reason
+	ErrUnknown = errors.New("no such duty, or it is switched off") // no such component or view
+	ErrRefused = errors.New("refused")                             // wrapped in an error with the component's reason
 )
 
 // Backend handles the requests of the service: it is this controller, which forwards them to the leader.
 type Backend interface {
-	// ShowComponent returns a view: NAME or NAME/VIEW.
+	// ShowComponent returns the view that what names: NAME or NAME/VIEW.
 	ShowComponent(what string) (json.RawMessage, error)
 	// ChangeComponent makes a change to a component for the operator named by.
 	ChangeComponent(by, component string, body json.RawMessage) (json.RawMessage, error)
--- a/internal/operators/webhook/webhook.go
+++ b/internal/operators/webhook/webhook.go
@@ -25,12 +25,12 @@
 // constant time.
 const (
 	HeaderID        = "X-Bitternmoor-Id"   // the same for repeats: a receiver drops ids it has seen
-	HeaderTime      = "X-Bitternmoor-Time" // time of sending, in seconds since 1970: a receiver refuses old messages
+	HeaderTime      = "X-Bitternmoor-Time" // sent at, in seconds since 1970: a receiver refuses old messages
 	HeaderSignature = "X-Bitternmoor-Signature"
 )
 
 const (
-	maxDiscarded    = 4096 // bytes of a response that are read and discarded at most
+	maxDiscarded    = 4096 // maximum number of bytes of a response that are read and discarded
 	queueLength     = 256
 	attemptTimeout  = 5 * time.Second
 	initialInterval = 500 * time.Millisecond
@@ -55,7 +55,7 @@
 
 	dropped int // messages dropped because the queue was full; used only by Send
 
-	// Set by tests.
+	// Tests replace these.
 	initialInterval time.Duration // initial backoff interval
 	now             func() time.Time
 }
@@ -149,8 +149,8 @@
 	return checkResponse(resp)
 }
 
-// checkResponse returns nil for an accepted message. Otherwise the error is permanent or temporary, and may
-// carry the time of the next attempt.
+// checkResponse returns nil for an accepted message. Otherwise it returns an error, which is permanent if a
+// retry cannot succeed, and which may carry the delay that the receiver asks for.
 func checkResponse(resp *http.Response) error {
 	if resp.StatusCode >= 200 && resp.StatusCode < 300 {
 		return nil
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -27,33 +27,33 @@
 
 // newTestbed starts a testbed; args are further arguments of the controllers.
 func newTestbed(t *testing.T, args ...string) *testbed {
-	w := newStoppedTestbed(t, args...)
+	tb := newStoppedTestbed(t, args...)
 	for i := range 3 {
-		w.start(i, w.binary)
+		tb.start(i, tb.binary)
 	}
-	w.leader()
-	return w
+	tb.leader()
+	return tb
 }
 
 // newStoppedTestbed returns a testbed whose controllers are not started yet.
 func newStoppedTestbed(t *testing.T, args ...string) *testbed {
-	w := &testbed{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
-	runCommand(t, root, "go", "build", "-o", w.binary, "./cmd/bitternmoor")
-	state, clouds := httptest.NewServer(w.store), httptest.NewServer(w.cloud)
+	tb := &testbed{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
+	runCommand(t, root, "go", "build", "-o", tb.binary, "./cmd/bitternmoor")
+	state, clouds := httptest.NewServer(tb.store), httptest.NewServer(tb.cloud)
 	t.Cleanup(state.Close)
 	t.Cleanup(clouds.Close)
-	w.cluster = newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
-	w.extraArgs = func(int) []string {
+	tb.cluster = newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
+	tb.extraArgs = func(int) []string {
 		return append([]string{"--tunables", filepath.Join(root, "deploy/cold-start.ini")}, args...)
 	}
-	w.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
-		JobDuration: func(id string) (time.Duration, []string) { return w.job(id).run, nil },
-		TaskCount:   func(id string) int { return w.job(id).tasks }}
-	for _, d := range w.publicAddrs {
-		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+d)
+	tb.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
+		JobDuration: func(id string) (time.Duration, []string) { return tb.job(id).run, nil },
+		TaskCount:   func(id string) int { return tb.job(id).tasks }}
+	for _, d := range tb.publicAddrs {
+		tb.fleet.Controllers = append(tb.fleet.Controllers, "http://"+d)
 	}
-	w.cloud.Up, w.cloud.Down = w.fleet.StartWorker, w.fleet.StopWorker
-	return w
+	tb.cloud.Up, tb.cloud.Down = tb.fleet.StartWorker, tb.fleet.StopWorker
+	return tb
 }
 
 // TestColdStarts kills all three controllers at once under load, ten times, for less and for longer than a
@@ -61,8 +61,8 @@
 // The controllers come back one by one. No task may run twice, every job must be done, no reachable worker
 // may be given up, and reports must be spread evenly afterwards.
 func TestColdStarts(t *testing.T) {
-	w := newTestbed(t, "--set", "spread.moves=4", "--set", "served.window=120", "--set", "exceptions.served_floor=0.5")
-	c, fleet, store, cloud, binary := w.cluster, w.fleet, w.store, w.cloud, w.binary
+	tb := newTestbed(t, "--set", "spread.moves=4", "--set", "served.window=120", "--set", "exceptions.served_floor=0.5")
+	c, fleet, store, cloud, binary := tb.cluster, tb.fleet, tb.store, tb.cloud, tb.binary
 	r := rand.New(rand.NewPCG(1, 22))
 	var ids []string
 	n, disrupted := 0, 0
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -45,7 +45,7 @@
 			}
 			out, err := net.DialTimeout("tcp4", p.target, time.Second)
 			if err != nil || p.blocked.Load() {
-				_ = in.Close() // closed on purpose, as are those below
+				_ = in.Close() // errors are ignored here and below: connections are cut on purpose
 				if err == nil {
 					_ = out.Close()
 				}
@@ -82,18 +82,18 @@
 }
 
 func newPartitionTestbed(t *testing.T) *partitionTestbed {
-	a := &partitionTestbed{testbed: newStoppedTestbed(t)}
+	tb := &partitionTestbed{testbed: newStoppedTestbed(t)}
 	state := ""
 	for i := range 3 {
 		stateProxy := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if a.refuseState[i].Load() {
+			if tb.refuseState[i].Load() {
 				w.WriteHeader(503)
 				return
 			}
-			a.store.ServeHTTP(w, r)
+			tb.store.ServeHTTP(w, r)
 		}))
 		t.Cleanup(stateProxy.Close)
-		raw, err := os.ReadFile(a.config[i])
+		raw, err := os.ReadFile(tb.config[i])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -103,46 +103,46 @@
 		text = strings.Replace(text, state, stateProxy.Listener.Addr().String(), 1)
 		for k := range 3 {
 			if k != i {
-				a.proxies[i][k] = newProxy(t, a.internalAddrs[k])
-				text = strings.Replace(text, fmt.Sprintf("endpoint = %q", a.internalAddrs[k]), fmt.Sprintf("endpoint = %q", a.proxies[i][k].listener.Addr().String()), 1)
+				tb.proxies[i][k] = newProxy(t, tb.internalAddrs[k])
+				text = strings.Replace(text, fmt.Sprintf("endpoint = %q", tb.internalAddrs[k]), fmt.Sprintf("endpoint = %q", tb.proxies[i][k].listener.Addr().String()), 1)
 			}
 		}
-		if err := os.WriteFile(a.config[i], []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(tb.config[i], []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return a
+	return tb
 }
 
 // startAll starts controller 0 with the binary first, so that it leads, and then the others with the current
 // binary.
-func (a *partitionTestbed) startAll(first string) {
-	a.start(0, first)
-	a.leader()
-	a.start(1, a.binary)
-	a.start(2, a.binary)
+func (tb *partitionTestbed) startAll(first string) {
+	tb.start(0, first)
+	tb.leader()
+	tb.start(1, tb.binary)
+	tb.start(2, tb.binary)
 }
 
 // setIsolated isolates a controller from the others, or reconnects it.
-func (a *partitionTestbed) setIsolated(i int, isolated bool) {
+func (tb *partitionTestbed) setIsolated(i int, isolated bool) {
 	for k := range 3 {
 		if k != i {
-			a.proxies[i][k].setBlocked(isolated)
-			a.proxies[k][i].setBlocked(isolated)
+			tb.proxies[i][k].setBlocked(isolated)
+			tb.proxies[k][i].setBlocked(isolated)
 		}
 	}
 }
 
 // otherLeader waits for a second controller that reports itself as the leader, and returns its index.
-func (a *partitionTestbed) otherLeader(old int) int {
+func (tb *partitionTestbed) otherLeader(old int) int {
 	found := -1
-	a.eventually("another leader", 20*time.Second, func() bool {
+	tb.eventually("another leader", 20*time.Second, func() bool {
 		for i := range 3 {
 			var s struct {
 				Node, Leader string
 				Sure         bool
 			}
-			if i != old && getJSON("http://"+a.internalAddrs[i]+"/status", &s) == 200 && s.Leader == s.Node && s.Sure {
+			if i != old && getJSON("http://"+tb.internalAddrs[i]+"/status", &s) == 200 && s.Leader == s.Node && s.Sure {
 				found = i
 				return true
 			}
@@ -163,29 +163,29 @@
 		t.Run(variant, func(t *testing.T) {
 			t.Parallel()
 			isolate, first := strings.Contains(variant, "cut"), ""
-			a := newPartitionTestbed(t)
-			if first = a.binary; strings.Contains(variant, "production") {
+			tb := newPartitionTestbed(t)
+			if first = tb.binary; strings.Contains(variant, "production") {
 				// It does not support the settings that the current version is given.
-				first, a.extraArgs = production, func(int) []string { return nil }
+				first, tb.extraArgs = production, func(int) []string { return nil }
 			}
-			a.startAll(first)
-			cancelling, unrelated := a.submit(1, 10, 10*time.Minute), a.submit(2, 6, 75*time.Second)
-			a.eventually("all run", 60*time.Second, func() bool {
-				return len(a.fleet.MachinesRunning(cancelling)) == 10 && len(a.fleet.MachinesRunning(unrelated)) == 6
+			tb.startAll(first)
+			cancelling, unrelated := tb.submit(1, 10, 10*time.Minute), tb.submit(2, 6, 75*time.Second)
+			tb.eventually("all tasks run", 60*time.Second, func() bool {
+				return len(tb.fleet.MachinesRunning(cancelling)) == 10 && len(tb.fleet.MachinesRunning(unrelated)) == 6
 			})
 			before := map[string]uint64{}
-			for task, n := range a.fleet.Attempts() {
+			for task, n := range tb.fleet.Attempts() {
 				before[task] = n
 			}
-			old := a.leader()
-			a.refuseState[old].Store(true)
+			old := tb.leader()
+			tb.refuseState[old].Store(true)
 			if isolate {
-				a.setIsolated(old, true)
+				tb.setIsolated(old, true)
 			}
-			next := a.otherLeader(old)
+			next := tb.otherLeader(old)
 			requestedAt := time.Now()
-			a.eventually("the cancellation is confirmed", 60*time.Second, func() bool {
-				resp, err := http.Post("http://"+a.publicAddrs[next]+"/api/jobs/"+cancelling+"/abort", "application/json", nil)
+			tb.eventually("the cancellation is confirmed", 60*time.Second, func() bool {
+				resp, err := http.Post("http://"+tb.publicAddrs[next]+"/api/jobs/"+cancelling+"/abort", "application/json", nil)
 				if err != nil {
 					return false
 				}
@@ -193,30 +193,30 @@
 				return resp.StatusCode == 200
 			})
 			confirmedAt := time.Now()
-			if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
+			if on := tb.fleet.MachinesRunning(cancelling); len(on) > 0 {
 				t.Errorf("confirmed while %d of its tasks run", len(on))
 			}
-			a.store.SetDown(true)
+			tb.store.SetDown(true)
 			for time.Since(confirmedAt) < 40*time.Second { // cancel_s is 30 s
-				if on := a.fleet.MachinesRunning(cancelling); len(on) > 0 {
+				if on := tb.fleet.MachinesRunning(cancelling); len(on) > 0 {
 					t.Fatalf("%v after the confirmation a task runs on %v", time.Since(confirmedAt), on)
 				}
 				time.Sleep(100 * time.Millisecond)
 			}
 			survived := 0
-			for task, n := range a.fleet.Attempts() {
+			for task, n := range tb.fleet.Attempts() {
 				if strings.HasPrefix(task, unrelated) && before[task] == n {
 					survived++
 				}
 			}
-			a.store.SetDown(false)
-			a.refuseState[old].Store(false)
-			a.setIsolated(old, false)
-			a.eventually("the other job is done", 120*time.Second, func() bool { return a.state(unrelated) == "done" })
-			if got := a.state(cancelling); got != "aborted" {
+			tb.store.SetDown(false)
+			tb.refuseState[old].Store(false)
+			tb.setIsolated(old, false)
+			tb.eventually("the other job is done", 120*time.Second, func() bool { return tb.state(unrelated) == "done" })
+			if got := tb.state(cancelling); got != "aborted" {
 				t.Errorf("the cancelled job is %q", got)
 			}
-			for _, b := range append(a.fleet.BrokenRules(), a.store.RefusedTransactions()...) {
+			for _, b := range append(tb.fleet.BrokenRules(), tb.store.RefusedTransactions()...) {
 				t.Error(b)
 			}
 			t.Logf("confirmed after %v; %d of 6 tasks of the other job ran on through the outage", confirmedAt.Sub(requestedAt).Round(10*time.Millisecond), survived)
@@ -232,58 +232,58 @@
 // lose the state service and their peers but neither workers nor users. Leaders are killed in between. No
 // task may run twice, and every job must be done.
 func TestOneWayFailures(t *testing.T) {
-	a := newPartitionTestbed(t)
-	a.startAll(a.binary)
+	tb := newPartitionTestbed(t)
+	tb.startAll(tb.binary)
 	r := rand.New(rand.NewPCG(3, 29))
 	var ids []string
 	n, selected, leadersKilled := 0, 0, 0
 	submitJobs := func(count int) {
 		for range count {
 			n++
-			ids = append(ids, a.submit(n, 4+r.IntN(5), time.Duration(1+r.IntN(8))*time.Second))
+			ids = append(ids, tb.submit(n, 4+r.IntN(5), time.Duration(1+r.IntN(8))*time.Second))
 		}
 	}
-	a.fleet.RepeatHeartbeats(20 * time.Second)
+	tb.fleet.RepeatHeartbeats(20 * time.Second)
 	for round := range 8 {
 		submitJobs(5)
 		time.Sleep(2 * time.Second)
 		switch round % 2 {
 		case 0:
-			busy := a.fleet.Busy()
+			busy := tb.fleet.Busy()
 			slices.Sort(busy)
 			for _, m := range slices.Compact(busy) {
 				if selected++; selected%2 == 0 {
-					a.fleet.DropAnswers(m, time.Duration(3+r.IntN(12))*time.Second)
+					tb.fleet.DropAnswers(m, time.Duration(3+r.IntN(12))*time.Second)
 				}
 			}
 		default:
-			l := a.leader()
-			a.refuseState[l].Store(true)
-			a.setIsolated(l, true)
+			l := tb.leader()
+			tb.refuseState[l].Store(true)
+			tb.setIsolated(l, true)
 			time.Sleep(time.Duration(4+r.IntN(10)) * time.Second)
-			a.refuseState[l].Store(false)
-			a.setIsolated(l, false)
+			tb.refuseState[l].Store(false)
+			tb.setIsolated(l, false)
 		}
 		if round%4 > 1 { // in addition
-			l := a.leader()
-			a.kill(l)
+			l := tb.leader()
+			tb.kill(l)
 			submitJobs(2)
 			time.Sleep(time.Second)
-			a.start(l, a.binary)
+			tb.start(l, tb.binary)
 			leadersKilled++
 		}
 	}
 	for _, id := range ids {
-		a.eventually(id+" is done", 120*time.Second, func() bool { return a.state(id) == "done" })
-		if !a.fleet.Finished(id) {
+		tb.eventually(id+" is done", 120*time.Second, func() bool { return tb.state(id) == "done" })
+		if !tb.fleet.Finished(id) {
 			t.Errorf("not_done: %s is reported done, but not all its tasks are", id)
 		}
 	}
-	for _, b := range append(a.fleet.BrokenRules(), a.store.RefusedTransactions()...) {
+	for _, b := range append(tb.fleet.BrokenRules(), tb.store.RefusedTransactions()...) {
 		t.Error(b)
 	}
-	t.Logf("%d jobs, %d machines selected, half of them without answers, %d late copies, %d leaders killed", len(ids), selected, a.fleet.LateCopies(), leadersKilled)
-	if a.fleet.LateCopies() < 20 || selected < 4 {
-		t.Errorf("%d late copies, %d machines selected", a.fleet.LateCopies(), selected)
+	t.Logf("%d jobs, %d machines selected, half of them without answers, %d late copies, %d leaders killed", len(ids), selected, tb.fleet.LateCopies(), leadersKilled)
+	if tb.fleet.LateCopies() < 20 || selected < 4 {
+		t.Errorf("%d late copies, %d machines selected", tb.fleet.LateCopies(), selected)
 	}
 }
--- a/internal/upgrade/quick_test.go
+++ b/internal/upgrade/quick_test.go
@@ -13,8 +13,8 @@
 // has ended, during elections, and with connections and transactions of the former process in flight. No
 // task may run twice, and every job must be done.
 func TestQuickRestarts(t *testing.T) {
-	w := newTestbed(t)
-	c, binary := w.cluster, w.binary
+	tb := newTestbed(t)
+	c, binary := tb.cluster, tb.binary
 	r := rand.New(rand.NewPCG(1, 29))
 	restart := func(controllers ...int) {
 		for _, i := range controllers {
@@ -53,7 +53,7 @@
 	for _, id := range ids {
 		c.eventually(id+" is done", 120*time.Second, func() bool { return c.state(id) == "done" })
 	}
-	for _, b := range append(w.fleet.BrokenRules(), w.store.RefusedTransactions()...) {
+	for _, b := range append(tb.fleet.BrokenRules(), tb.store.RefusedTransactions()...) {
 		t.Error(b)
 	}
 	t.Logf("%d jobs, %d restarts", len(ids), kills)
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -53,10 +53,11 @@
 	}
 }
 
+// cluster runs three controllers as processes of their own.
 type cluster struct {
 	t             *testing.T
 	extraArgs     func(i int) []string // further arguments of controller i
-	config        []string
+	config        []string             // paths of the settings files
 	publicAddrs   []string
 	internalAddrs []string
 	processes     []*exec.Cmd
@@ -67,6 +68,7 @@
 	jobs map[string]job
 }
 
+// job is a submitted job: its number of tasks, their run time and the jobs that it waits for.
 type job struct {
 	tasks   int
 	run     time.Duration
@@ -199,12 +201,13 @@
 	return found
 }
 
+// getJSON decodes the answer to a GET into a value and returns the status, or 0 if there is no answer.
 func getJSON(url string, into any) int {
 	resp, err := (&http.Client{Timeout: 2 * time.Second}).Get(url)
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = resp.Body.Close() }() // an error of reading shows in what was read
+	defer func() { _ = resp.Body.Close() }() // a read error leaves the decoded value incomplete
 	_ = json.NewDecoder(resp.Body).Decode(into)
 	return resp.StatusCode
 }
@@ -219,7 +222,8 @@
 	c.t.Fatalf("never: %s", what)
 }
 
-// post sends a request to one controller after the other until the status of an answer is below 429.
+// post sends a request to one controller after the other until the status of an answer is below 429. It
+// returns that status and the job's state.
 func (c *cluster) post(path, body string) (status int, standing string) {
 	c.t.Helper()
 	at := 0
@@ -229,7 +233,7 @@
 		if err != nil {
 			return false
 		}
-		defer func() { _ = resp.Body.Close() }() // an error of reading shows in what was read
+		defer func() { _ = resp.Body.Close() }() // a read error leaves the decoded value incomplete
 		var out struct{ Standing string }
 		_ = json.NewDecoder(resp.Body).Decode(&out)
 		status, standing = resp.StatusCode, out.Standing
@@ -260,6 +264,8 @@
 	return id
 }
 
+// state returns the state of a job from the first controller that answers with one, or an empty string. It
+// reports a test error if a controller does not have the job.
 func (c *cluster) state(id string) string {
 	for i := range 3 {
 		var out struct{ Standing string }
@@ -310,7 +316,7 @@
 		c.start(i, current)
 		submitJobs(3)
 	}
-	t.Log("rolled forward; leader", c.leader())
+	t.Log("all controllers run the new version; leader", c.leader())
 	for round := range 4 { // crashes make leaders of both versions alternate
 		for i := range 3 {
 			c.kill(i)
