--- a/cmd/scalerun/print.go
+++ b/cmd/scalerun/print.go
@@ -10,16 +10,16 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-// brokenShown is how many broken rules are printed.
-const brokenShown = 10
+// maxBrokenPrinted is the maximum number of broken rules that are printed.
+const maxBrokenPrinted = 10
 
-// printResult prints what one run has measured.
+// printResult prints the measurements of one run.
 func printResult(out io.Writer, r *scalerun.Result) {
 	console.Printf(out, "%s, %d workers, seed %d: ", r.Experiment, r.Size, r.Seed)
 	console.Printf(out, "%d jobs with %d tasks (%d urgent, %d to cancel), %d accepted, %d over; rules broken: %d\n",
 		r.Counts.Jobs, r.Counts.Tasks, r.Counts.Urgent, r.Counts.Cancelled, r.Accepted, r.Over, len(r.Broken))
 	for i, rule := range r.Broken {
-		if i == brokenShown {
+		if i == maxBrokenPrinted {
 			console.Printf(out, "  and %d more\n", len(r.Broken)-i)
 			break
 		}
@@ -49,21 +49,21 @@
 	printLatencies(out, p)
 }
 
-// printRoles prints what the processes of each role have used.
+// printRoles prints the resources that the processes of each role used.
 func printRoles(out io.Writer, p *scalerun.Phase) {
 	t := console.NewRightAlignedTable(out, "ROLE", "PROCESSES", "CORES", "MiB", "SOCKETS",
 		"IN kB/s", "OUT kB/s", "MESSAGES/s", "PEERS kB/s")
 	for _, r := range p.Roles {
 		if r.Processes > 0 {
-			t.Row(r.Role, fixed(r.Processes, 1), fixed(r.CPU, 4), fixed(r.RSSMiB, 1), r.Sockets,
-				fixed(r.InKBPerS, 2), fixed(r.OutKBPerS, 2), fixed(r.MessagesPS, 2), fixed(r.PeersKBPerS, 1))
+			t.Row(r.Role, formatFixed(r.Processes, 1), formatFixed(r.CPU, 4), formatFixed(r.RSSMiB, 1), r.Sockets,
+				formatFixed(r.InKBPerS, 2), formatFixed(r.OutKBPerS, 2), formatFixed(r.MessagesPS, 2), formatFixed(r.PeersKBPerS, 1))
 		}
 	}
 	t.Flush()
 }
 
-// fixed is a number with so many decimals.
-func fixed(v float64, decimals int) string { return fmt.Sprintf("%.*f", decimals, v) }
+// formatFixed formats a number with a fixed number of decimals.
+func formatFixed(v float64, decimals int) string { return fmt.Sprintf("%.*f", decimals, v) }
 
 func printLatencies(out io.Writer, p *scalerun.Phase) {
 	latencies := []struct {
@@ -85,7 +85,7 @@
 	}
 }
 
-// printFits prints fits and, where at is not nil, the costs at these values of the regressors.
+// printFits prints fits and, if at is not nil, the costs at these values of the regressors.
 func printFits(out io.Writer, fits []scalefit.Fit, at []float64) {
 	t := console.NewTable(out, "ROLE", "COST", "UNIT", "INTERCEPT", "SLOPES", "RESIDUAL", "POINTS", "MEASURED", "AT")
 	for _, f := range fits {
--- a/internal/operators/certs/certs.go
+++ b/internal/operators/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs reads the certificates with which operators and controllers authenticate each other, reloads them
-// when their files change, warns before they expire, and makes them for a small installation.
+// Package certs reads the certificates with which operators and controllers authenticate each other,
+// reloads them when their files change, warns before they expire, and issues them for small installations.
 package certs
 
 import (
@@ -17,18 +17,18 @@
 type Files struct {
 	Cert string // certificate
 	Key  string // its private key
-	CA   string // certificates of those who sign the other side's
+	CA   string // CA certificates that the other side's certificate is verified against
 }
 
-// Pair is what was read from Files.
-type Pair struct {
+// Credentials are the parsed contents of Files.
+type Credentials struct {
 	Cert     tls.Certificate
-	Pool     *x509.CertPool
-	NotAfter time.Time // when the certificate expires
+	Pool     *x509.CertPool // the CA certificates
+	NotAfter time.Time      // when the certificate expires
 }
 
-// Read reads the files once. An error names the file.
-func (f Files) Read() (*Pair, error) {
+// Read reads the files. An error names the file.
+func (f Files) Read() (*Credentials, error) {
 	cert, err := tls.LoadX509KeyPair(f.Cert, f.Key)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %s with %s: %w", f.Cert, f.Key, err)
@@ -43,38 +43,39 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(raw) {
-		return nil, fmt.Errorf("certs: %s holds no certificate", f.CA)
+		return nil, fmt.Errorf("certs: %s contains no certificate", f.CA)
 	}
-	return &Pair{Cert: cert, Pool: pool, NotAfter: leaf.NotAfter}, nil
+	return &Credentials{Cert: cert, Pool: pool, NotAfter: leaf.NotAfter}, nil
 }
 
 // checkInterval is how often files are checked for a change.
 const checkInterval = time.Second
 
-// Store keeps what files hold, and reloads it when they change. Where they cannot be read then, what was read before
-// stays in force.
+// Store holds the contents of files and reloads them when the files change. If a reload fails, the former
+// contents stay in force.
 type Store struct {
 	files Files
 	log   *slog.Logger
 
-	mu          sync.Mutex // over all below
-	pair        *Pair
+	mu          sync.Mutex // guards the fields below
+	credentials *Credentials
 	loadedStamp string
 	checkedAt   time.Time
 }
 
-// NewStore reads the files for the first time.
+// NewStore reads the files and returns a store of them.
 func NewStore(files Files, log *slog.Logger) (*Store, error) {
 	s := &Store{files: files, log: log}
-	pair, err := files.Read()
+	credentials, err := files.Read()
 	if err != nil {
 		return nil, err
 	}
-	s.pair, s.loadedStamp, s.checkedAt = pair, files.stamp(), time.Now()
+	s.credentials, s.loadedStamp, s.checkedAt = credentials, files.stamp(), time.Now()
 	return s, nil
 }
 
-// stamp changes when a file does. A file that is missing leaves no trace in it.
+// stamp returns a string that changes when the size or modification time of a file changes. Missing files
+// are left out.
 func (f Files) stamp() (out string) {
 	for _, name := range []string{f.Cert, f.Key, f.CA} {
 		if info, err := os.Stat(name); err == nil {
@@ -84,40 +85,40 @@
 	return out
 }
 
-// Pair is what is in force. It looks at the files at most once in checkInterval.
-func (s *Store) Pair() *Pair {
+// Current returns the certificates in force. It checks the files at most once per checkInterval.
+func (s *Store) Current() *Credentials {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
 	if now.Sub(s.checkedAt) < checkInterval {
-		return s.pair
+		return s.credentials
 	}
 	s.checkedAt = now
 	stamp := s.files.stamp()
 	if stamp == s.loadedStamp {
-		return s.pair
+		return s.credentials
 	}
-	pair, err := s.files.Read()
+	credentials, err := s.files.Read()
 	if err != nil {
 		s.log.Error("changed certificates cannot be read, former ones stay in force", "error", err)
-		return s.pair
+		return s.credentials
 	}
-	s.pair, s.loadedStamp = pair, stamp
-	s.log.Info("certificates reloaded", "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
-	return s.pair
+	s.credentials, s.loadedStamp = credentials, stamp
+	s.log.Info("certificates reloaded", "cert", s.files.Cert, "ends", credentials.NotAfter.UTC().Format(time.RFC3339))
+	return s.credentials
 }
 
-// Server is the configuration of a listener that accepts only callers whose certificate is signed by one in the CA
-// file. Each connection gets the certificates that are in force when it begins.
+// Server returns the configuration of a listener that accepts only clients whose certificate is signed by a
+// CA in the CA file. Each connection uses the certificates that are in force when it begins.
 func (s *Store) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			pair := s.Pair()
+			credentials := s.Current()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
-				Certificates: []tls.Certificate{pair.Cert},
-				ClientCAs:    pair.Pool,
+				Certificates: []tls.Certificate{credentials.Cert},
+				ClientCAs:    credentials.Pool,
 				ClientAuth:   tls.RequireAndVerifyClientCert,
 				NextProtos:   []string{"h2", "http/1.1"},
 			}, nil
@@ -125,20 +126,20 @@
 	}
 }
 
-// Client is the configuration of a caller.
-func (p *Pair) Client() *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{p.Cert}, RootCAs: p.Pool}
+// Client returns the configuration of a client.
+func (c *Credentials) Client() *tls.Config {
+	return &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{c.Cert}, RootCAs: c.Pool}
 }
 
-// When, and how often, it is logged that a certificate expires.
+// Time before expiry from which a warning is logged, and the interval between warnings.
 const (
 	warnBefore   = 30 * 24 * time.Hour
 	warnInterval = 12 * time.Hour
 )
 
-// Expiry is a warning that the certificate expires soon or has expired; empty: neither.
-func (p *Pair) Expiry(now time.Time) string {
-	left := p.NotAfter.Sub(now)
+// Expiry returns a warning if the certificate expires soon or has expired, and an empty string otherwise.
+func (c *Credentials) Expiry(now time.Time) string {
+	left := c.NotAfter.Sub(now)
 	switch {
 	case left <= 0:
 		return "the controller's certificate has expired: nobody can change anything"
@@ -148,12 +149,12 @@
 	return ""
 }
 
-// Watch logs, until the context ends, that the certificate is about to expire.
+// Watch logs the warnings of Expiry until the context ends.
 func (s *Store) Watch(ctx context.Context) {
 	for {
-		pair := s.Pair()
-		if warning := pair.Expiry(time.Now()); warning != "" {
-			s.log.Warn(warning, "cert", s.files.Cert, "ends", pair.NotAfter.UTC().Format(time.RFC3339))
+		credentials := s.Current()
+		if warning := credentials.Expiry(time.Now()); warning != "" {
+			s.log.Warn(warning, "cert", s.files.Cert, "ends", credentials.NotAfter.UTC().Format(time.RFC3339))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -15,9 +15,9 @@
 	"bitternmoor/internal/scaletest/standin"
 )
 
-// world is three controllers of this version under the settings of a cold start, with
-// stand-ins for everything else.
-type world struct {
+// testbed has three controllers of the current version with the settings for cold starts, and simulated
+// workers, cloud and state service.
+type testbed struct {
 	*cluster
 	fleet  *standin.Fleet
 	store  *standin.StateService
@@ -25,47 +25,47 @@
 	binary string
 }
 
-// newWorld starts one; args are given to the controllers besides.
-func newWorld(t *testing.T, args ...string) *world {
-	w := prepare(t, args...)
+// newTestbed starts a testbed; args are further arguments of the controllers.
+func newTestbed(t *testing.T, args ...string) *testbed {
+	tb := newStoppedTestbed(t, args...)
 	for i := range 3 {
-		w.start(i, w.binary)
+		tb.start(i, tb.binary)
 	}
-	w.leader()
-	return w
+	tb.leader()
+	return tb
 }
 
-// prepare makes one that is not started yet.
-func prepare(t *testing.T, args ...string) *world {
-	w := &world{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
-	must(t, root, "go", "build", "-o", w.binary, "./cmd/bitternmoor")
-	state, clouds := httptest.NewServer(w.store), httptest.NewServer(w.cloud)
+// newStoppedTestbed returns a testbed whose controllers are not started yet.
+func newStoppedTestbed(t *testing.T, args ...string) *testbed {
+	tb := &testbed{store: &standin.StateService{}, cloud: &standin.Cloud{}, binary: filepath.Join(t.TempDir(), "bitternmoor")}
+	runCommand(t, root, "go", "build", "-o", tb.binary, "./cmd/bitternmoor")
+	state, clouds := httptest.NewServer(tb.store), httptest.NewServer(tb.cloud)
 	t.Cleanup(state.Close)
 	t.Cleanup(clouds.Close)
-	w.cluster = newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
-	w.extra = func(int) []string {
+	tb.cluster = newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
+	tb.extraArgs = func(int) []string {
 		return append([]string{"--tunables", filepath.Join(root, "deploy/cold-start.ini")}, args...)
 	}
-	w.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
-		JobDuration: func(id string) (time.Duration, []string) { return w.get(id).run, nil },
-		TaskCount:   func(id string) int { return w.get(id).tasks }}
-	for _, d := range w.doors {
-		w.fleet.Controllers = append(w.fleet.Controllers, "http://"+d)
+	tb.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
+		JobDuration: func(id string) (time.Duration, []string) { return tb.job(id).run, nil },
+		TaskCount:   func(id string) int { return tb.job(id).tasks }}
+	for _, d := range tb.publicAddrs {
+		tb.fleet.Controllers = append(tb.fleet.Controllers, "http://"+d)
 	}
-	w.cloud.Up, w.cloud.Down = w.fleet.StartWorker, w.fleet.StopWorker
-	return w
+	tb.cloud.Up, tb.cloud.Down = tb.fleet.StartWorker, tb.fleet.StopWorker
+	return tb
 }
 
-// TestColdStarts kills all three controllers at once under load, ten times over, for less
-// and for longer than a lease, with a third of the busy workers killed, hung or cut off
-// meanwhile, and brings them back one by one. No task runs twice, every job comes to its
-// end, and no worker that could be heard is given up. Reports are spread evenly between.
+// TestColdStarts kills all three controllers at once under load, ten times, for less and for longer than a
+// lease. Meanwhile a third of the busy workers is preempted or paused, some for longer than their lease.
+// The controllers come back one by one. No task may run twice, every job must be done, no reachable worker
+// may be given up, and reports must be spread evenly afterwards.
 func TestColdStarts(t *testing.T) {
-	w := newWorld(t, "--set", "spread.moves=4", "--set", "served.window=120", "--set", "exceptions.served_floor=0.5")
-	c, fleet, store, cloud, binary := w.cluster, w.fleet, w.store, w.cloud, w.binary
+	tb := newTestbed(t, "--set", "spread.moves=4", "--set", "served.window=120", "--set", "exceptions.served_floor=0.5")
+	c, fleet, store, cloud, binary := tb.cluster, tb.fleet, tb.store, tb.cloud, tb.binary
 	r := rand.New(rand.NewPCG(1, 22))
 	var ids []string
-	n, hit := 0, 0
+	n, disrupted := 0, 0
 	for round := range 10 {
 		for range 8 {
 			n++
@@ -83,13 +83,13 @@
 			if seen[m] = true; len(seen)%3 != 0 {
 				continue
 			}
-			switch hit++; r.IntN(3) {
-			case 0: // taken by the cloud, as its list shows
+			switch disrupted++; r.IntN(3) {
+			case 0: // preempted by the cloud, and no longer in its list
 				cloud.PreemptMachine(m)
 			case 1:
 				fleet.PauseWorker(m, 3*time.Second)
 			default:
-				fleet.PauseWorker(m, 13*time.Second) // past its lease
+				fleet.PauseWorker(m, 13*time.Second) // longer than its lease
 			}
 		}
 		time.Sleep([]time.Duration{time.Second, 4 * time.Second, 12 * time.Second}[round%3])
@@ -107,9 +107,9 @@
 	}
 	var loads []rebalance.View
 	n++
-	ids = append(ids, c.submit(n, 120, 20*time.Second)) // machines for it come to whom they find first
+	ids = append(ids, c.submit(n, 120, 20*time.Second)) // its machines report to the controller they reach first
 	c.eventually("reports are spread evenly", 60*time.Second, func() bool {
-		if get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], rebalance.Name), &loads) != 200 || len(loads) != 3 {
+		if getJSON(fmt.Sprintf("http://%s/duties/%s", c.internalAddrs[c.leader()], rebalance.Name), &loads) != 200 || len(loads) != 3 {
 			return false
 		}
 		machines, most := 0, 0.0
@@ -117,15 +117,15 @@
 			machines += l.Machines
 			most = max(most, l.Load)
 		}
-		return machines >= 8 && most <= 1.4 // of a dozen, one more is much
+		return machines >= 8 && most <= 1.4 // with a dozen machines, one more changes the load much
 	})
 	t.Logf("spread: %+v", loads)
 	var list []coldstart.Record
-	c.eventually("the accounts", 10*time.Second, func() bool {
-		return get(fmt.Sprintf("http://%s/duties/%s", c.inside[c.leader()], coldstart.Name), &list) == 200 && len(list) > 0
+	c.eventually("the record of the cold start", 10*time.Second, func() bool {
+		return getJSON(fmt.Sprintf("http://%s/duties/%s", c.internalAddrs[c.leader()], coldstart.Name), &list) == 200 && len(list) > 0
 	})
-	t.Logf("%d jobs, %d workers killed, hung or cut off; the last cold start: %+v", len(ids), hit, list[0])
-	if list[0].Needless[coldstart.DeletedAlive] > 0 || hit < 20 {
-		t.Errorf("given up though alive: %v; %d workers hit", list[0].Needless, hit)
+	t.Logf("%d jobs, %d workers preempted or paused; the last cold start: %+v", len(ids), disrupted, list[0])
+	if list[0].Needless[coldstart.DeletedAlive] > 0 || disrupted < 20 {
+		t.Errorf("workers given up although alive: %v; %d workers preempted or paused", list[0].Needless, disrupted)
 	}
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -36,15 +36,15 @@
 	}
 	dir := t.TempDir()
 	tree := filepath.Join(dir, "tree")
-	must(t, root, "git", "worktree", "add", "--detach", tree, string(m[1]))
-	t.Cleanup(func() { must(t, root, "git", "worktree", "remove", "--force", tree) })
+	runCommand(t, root, "git", "worktree", "add", "--detach", tree, string(m[1]))
+	t.Cleanup(func() { runCommand(t, root, "git", "worktree", "remove", "--force", tree) })
 	old, current = filepath.Join(dir, "old"), filepath.Join(dir, "new")
-	must(t, tree, "go", "build", "-o", old, "./cmd/bitternmoor")
-	must(t, root, "go", "build", "-o", current, "./cmd/bitternmoor")
+	runCommand(t, tree, "go", "build", "-o", old, "./cmd/bitternmoor")
+	runCommand(t, root, "go", "build", "-o", current, "./cmd/bitternmoor")
 	return old, current
 }
 
-func must(t *testing.T, dir, name string, args ...string) {
+func runCommand(t *testing.T, dir, name string, args ...string) {
 	t.Helper()
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
@@ -53,35 +53,37 @@
 	}
 }
 
+// cluster runs three controllers as processes of their own.
 type cluster struct {
-	t      *testing.T
-	extra  func(i int) []string // further arguments of node i
-	config []string
-	doors  []string
-	inside []string
-	procs  []*exec.Cmd
+	t             *testing.T
+	extraArgs     func(i int) []string // further arguments of controller i
+	config        []string             // paths of the settings files
+	publicAddrs   []string
+	internalAddrs []string
+	processes     []*exec.Cmd
 
-	reserved map[int][]net.Listener // by controller that has not begun yet
+	reserved map[int][]net.Listener // by controller that is not started yet
 
 	mu   sync.Mutex
 	jobs map[string]job
 }
 
+// job is a submitted job: its number of tasks, their run time and the jobs that it waits for.
 type job struct {
 	tasks   int
 	run     time.Duration
 	follows []string
 }
 
-func (c *cluster) get(id string) job {
+func (c *cluster) job(id string) job {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.jobs[id]
 }
 
-// reserve takes a free port for a controller, and holds it until the controller begins: until then
-// nothing else on this machine is given it. Found in a run in which a controller's port had gone to
-// another test's server before the controller began, and that one answered a submission.
+// reserve listens on a free port for a controller until the controller starts, so that no other process
+// gets the port. In a run without this, a port went to another test's server before the controller started,
+// and that server answered a submission.
 func (c *cluster) reserve(i int) string {
 	c.t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -92,26 +94,26 @@
 	return l.Addr().String()
 }
 
-// release frees the ports that are held for a controller.
+// release frees the reserved ports of a controller.
 func (c *cluster) release(i int) {
 	for _, l := range c.reserved[i] {
-		_ = l.Close() // nobody has connected
+		_ = l.Close() // there are no connections
 	}
 	delete(c.reserved, i)
 }
 
 func newCluster(t *testing.T, state, cloud string) *cluster {
 	t.Helper()
-	c := &cluster{t: t, jobs: map[string]job{}, procs: make([]*exec.Cmd, 3), reserved: map[int][]net.Listener{}}
+	c := &cluster{t: t, jobs: map[string]job{}, processes: make([]*exec.Cmd, 3), reserved: map[int][]net.Listener{}}
 	for i := range 3 {
-		c.doors, c.inside = append(c.doors, c.reserve(i)), append(c.inside, c.reserve(i))
+		c.publicAddrs, c.internalAddrs = append(c.publicAddrs, c.reserve(i)), append(c.internalAddrs, c.reserve(i))
 	}
 	for i := range 3 {
 		var b strings.Builder
-		fmt.Fprintf(&b, "node = \"n%d\"\ndomain = \"a\"\npublic_addr = %q\ninternal_addr = %q\n", i, c.doors[i], c.inside[i])
+		fmt.Fprintf(&b, "node = \"n%d\"\ndomain = \"a\"\npublic_addr = %q\ninternal_addr = %q\n", i, c.publicAddrs[i], c.internalAddrs[i])
 		for k := range 3 {
 			if k != i {
-				fmt.Fprintf(&b, "[[others]]\nnode = \"n%d\"\ndomain = \"a\"\nendpoint = %q\n", k, c.inside[k])
+				fmt.Fprintf(&b, "[[others]]\nnode = \"n%d\"\ndomain = \"a\"\nendpoint = %q\n", k, c.internalAddrs[k])
 			}
 		}
 		fmt.Fprintf(&b, "[external]\ncloud = %q\nstate = %q\n", cloud, state)
@@ -151,7 +153,7 @@
 		c.config = append(c.config, path)
 	}
 	t.Cleanup(func() {
-		for i := range c.procs {
+		for i := range c.processes {
 			c.kill(i)
 			c.release(i)
 		}
@@ -161,8 +163,8 @@
 
 func (c *cluster) start(i int, binary string) {
 	args := []string{"--config", c.config[i]}
-	if c.extra != nil {
-		args = append(args, c.extra(i)...)
+	if c.extraArgs != nil {
+		args = append(args, c.extraArgs(i)...)
 	}
 	cmd := exec.Command(binary, args...)
 	cmd.Env = append(os.Environ(), "LOG_LEVEL=error")
@@ -171,25 +173,25 @@
 	if err := cmd.Start(); err != nil {
 		c.t.Fatal(err)
 	}
-	c.procs[i] = cmd
+	c.processes[i] = cmd
 }
 
 func (c *cluster) kill(i int) {
-	if p := c.procs[i]; p != nil {
+	if p := c.processes[i]; p != nil {
 		_ = p.Process.Kill()
 		_ = p.Wait()
-		c.procs[i] = nil
+		c.processes[i] = nil
 	}
 }
 
-// leader is the index of the node that leads.
+// leader waits for a leader that is running, and returns its index.
 func (c *cluster) leader() int {
 	found := -1
 	c.eventually("a leader", 20*time.Second, func() bool {
 		for i := range 3 {
 			var s struct{ Node, Leader string }
-			if c.procs[i] != nil && get("http://"+c.inside[i]+"/status", &s) == 200 && s.Leader != "" {
-				if _, err := fmt.Sscanf(s.Leader, "n%d", &found); err == nil && c.procs[found] != nil {
+			if c.processes[i] != nil && getJSON("http://"+c.internalAddrs[i]+"/status", &s) == 200 && s.Leader != "" {
+				if _, err := fmt.Sscanf(s.Leader, "n%d", &found); err == nil && c.processes[found] != nil {
 					return true
 				}
 			}
@@ -199,12 +201,13 @@
 	return found
 }
 
-func get(url string, into any) int {
+// getJSON decodes the answer to a GET into a value and returns the status, or 0 if there is no answer.
+func getJSON(url string, into any) int {
 	resp, err := (&http.Client{Timeout: 2 * time.Second}).Get(url)
 	if err != nil {
 		return 0
 	}
-	defer func() { _ = resp.Body.Close() }() // an error of reading shows in what was read
+	defer func() { _ = resp.Body.Close() }() // a read error leaves the decoded value incomplete
 	_ = json.NewDecoder(resp.Body).Decode(into)
 	return resp.StatusCode
 }
@@ -219,18 +222,18 @@
 	c.t.Fatalf("never: %s", what)
 }
 
-// post sends a request to one node after the other until it is answered for
-// good.
+// post sends a request to one controller after the other until the status of an answer is below 429. It
+// returns that status and the job's state.
 func (c *cluster) post(path, body string) (status int, standing string) {
 	c.t.Helper()
 	at := 0
 	c.eventually("an answer to "+path, 60*time.Second, func() bool {
 		at++
-		resp, err := (&http.Client{Timeout: 5 * time.Second}).Post("http://"+c.doors[at%3]+path, "application/json", bytes.NewBufferString(body))
+		resp, err := (&http.Client{Timeout: 5 * time.Second}).Post("http://"+c.publicAddrs[at%3]+path, "application/json", bytes.NewBufferString(body))
 		if err != nil {
 			return false
 		}
-		defer func() { _ = resp.Body.Close() }() // an error of reading shows in what was read
+		defer func() { _ = resp.Body.Close() }() // a read error leaves the decoded value incomplete
 		var out struct{ Standing string }
 		_ = json.NewDecoder(resp.Body).Decode(&out)
 		status, standing = resp.StatusCode, out.Standing
@@ -256,15 +259,17 @@
 	body := fmt.Sprintf(`{"name_id":%q,"herd":"c","keeper":"team","gait":"sweep","urgency":"normal","head":%d,"vcpus":1,"gpus":0,"memory_gb":1,"brand":"i","size_gb":0.1,
 	  "breeds":null,"together":false,"scatter":false,"loaned_stock":true,"trek_s":%f,"waypoint_s":0,"stow_s":0,"follows":%s}`, id, tasks, run.Seconds(), names)
 	if status, _ := c.post("/api/jobs", body); status != 200 && status != 201 {
-		c.t.Fatalf("%s is answered %d", id, status)
+		c.t.Fatalf("the submission of %s was answered with status %d", id, status)
 	}
 	return id
 }
 
+// state returns the state of a job from the first controller that answers with one, or an empty string. It
+// reports a test error if a controller does not have the job.
 func (c *cluster) state(id string) string {
 	for i := range 3 {
 		var out struct{ Standing string }
-		switch get("http://"+c.doors[i]+"/api/jobs/"+id, &out) {
+		switch getJSON("http://"+c.publicAddrs[i]+"/api/jobs/"+id, &out) {
 		case 200:
 			return out.Standing
 		case 404:
@@ -274,9 +279,9 @@
 	return ""
 }
 
-// Both versions on the same data: old nodes come back new one by one while jobs
-// run, leadership goes old, new, old, new by crashes, the limits are lowered,
-// and then pipelines run over further crashes.
+// TestUpgrade runs both versions on the same data. Controllers of the old version are replaced by the new
+// one, one by one, while jobs run. Then crashes make leadership alternate between the versions, the limits
+// of the state service are lowered, and pipelines of jobs run across further crashes.
 func TestUpgrade(t *testing.T) {
 	old, current := binaries(t)
 	store := &standin.StateService{}
@@ -286,9 +291,9 @@
 	defer clouds.Close()
 	c := newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
 	fleet := &standin.Fleet{HeartbeatInterval: 600 * time.Millisecond, Lease: 10 * time.Second,
-		JobDuration: func(id string) (time.Duration, []string) { j := c.get(id); return j.run, j.follows },
-		TaskCount:   func(id string) int { return c.get(id).tasks }}
-	for _, d := range c.doors {
+		JobDuration: func(id string) (time.Duration, []string) { j := c.job(id); return j.run, j.follows },
+		TaskCount:   func(id string) int { return c.job(id).tasks }}
+	for _, d := range c.publicAddrs {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
 	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
@@ -298,32 +303,32 @@
 	}
 	want := map[string]string{}
 	n := 0
-	more := func(count int) {
+	submitJobs := func(count int) {
 		for range count {
 			n++
 			want[c.submit(n, 3, 2*time.Second)] = "done"
 		}
 	}
-	more(10)
+	submitJobs(10)
 	for i := range 3 { // the rolling upgrade
 		c.kill(i)
-		more(3)
+		submitJobs(3)
 		c.start(i, current)
-		more(3)
+		submitJobs(3)
 	}
-	t.Log("rolled forward; leader", c.leader())
-	for round := range 4 { // leaders alternate between the versions, by crashes
+	t.Log("all controllers run the new version; leader", c.leader())
+	for round := range 4 { // crashes make leaders of both versions alternate
 		for i := range 3 {
 			c.kill(i)
 		}
 		for i := range 3 {
 			c.start(i, []string{old, current}[round%2])
 		}
-		more(8)
+		submitJobs(8)
 		time.Sleep(2 * time.Second)
 		l := c.leader()
 		c.kill(l)
-		more(4)
+		submitJobs(4)
 		c.start(l, []string{current, old}[round%2])
 		time.Sleep(time.Second)
 	}
@@ -334,7 +339,7 @@
 	c.leader()
 	store.SetLimits(1024, 4)
 	n = 500
-	for p := range 6 { // pipelines, with crashes of the leader
+	for p := range 6 { // pipelines of jobs, with crashes of the leader
 		first := n + 1
 		want[c.submit(first, 4, 2*time.Second, 1)] = "done"
 		want[c.submit(first+1, 6, 2*time.Second, first)] = "done"
@@ -349,7 +354,7 @@
 			id := c.submit(n+1, 2, 60*time.Second)
 			after := c.submit(n+2, 2, time.Second, n+1)
 			if status, standing := c.post("/api/jobs/"+id+"/abort", ""); status != 200 || standing != "aborted" {
-				t.Errorf("a cancellation is answered %d %s", status, standing)
+				t.Errorf("a cancellation was answered with %d %s", status, standing)
 			}
 			want[id], want[after] = "aborted", "aborted"
 			n += 2
@@ -358,11 +363,11 @@
 	for id, end := range want {
 		c.eventually(id+" is "+end, 120*time.Second, func() bool { return c.state(id) == end })
 		if end == "done" && !fleet.Finished(id) {
-			t.Errorf("not_done: %s is called done", id)
+			t.Errorf("not_done: %s is reported done, but not all its tasks are", id)
 		}
 	}
 	for _, b := range append(fleet.BrokenRules(), store.RefusedTransactions()...) {
 		t.Error(b)
 	}
-	t.Logf("%d jobs came to their ends", len(want))
+	t.Logf("%d jobs reached their expected states", len(want))
 }
