--- a/internal/scaletest/experiment/experiment.go
+++ b/internal/scaletest/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment reads the files that say what a scale run plays: how many workers, zones
-// and teams, what load, what fails, and in which phases.
+// Package experiment reads the files that define a scale run: the numbers of workers, zones and
+// teams, the load, the failures, and the phases in which they occur.
 package experiment
 
 import (
@@ -13,56 +13,56 @@
 	"gopkg.in/ini.v1"
 )
 
-// Event is something that is done at the beginning of a phase's measurement.
+// Event is a fault that is injected when the measurement of a phase begins.
 type Event string
 
-// Events of a phase.
+// Events that a phase may have.
 const (
 	NoEvent     Event = ""
-	KillLeader  Event = "kill-leader"  // the leader's process; it is back after restart_s
-	LoseZone    Event = "lose-zone"    // machines and controllers of a zone stop
-	CutZone     Event = "cut-zone"     // a zone is cut off from everything
-	LoseRack    Event = "lose-rack"    // rack machines of one zone stop
-	CutRegions  Event = "cut-regions"  // the regions do not reach one another
-	KillAll     Event = "kill-all"     // all controllers; they are back after restart_s
-	StateOutage Event = "state-outage" // the state service answers nobody
+	KillLeader  Event = "kill-leader"  // kills the leader's process, which restarts after restart_s
+	LoseZone    Event = "lose-zone"    // stops the machines and controllers of a zone
+	CutZone     Event = "cut-zone"     // partitions a zone from everything else
+	LoseRack    Event = "lose-rack"    // stops as many machines of one zone as a rack holds
+	CutRegions  Event = "cut-regions"  // partitions the regions from one another
+	KillAll     Event = "kill-all"     // kills all controllers, which restart after restart_s
+	StateOutage Event = "state-outage" // makes the state service refuse all requests
 )
 
 var events = []Event{NoEvent, KillLeader, LoseZone, CutZone, LoseRack, CutRegions, KillAll, StateOutage}
 
-// Region is a part of the world with zones of its own. The first region of an experiment has the
-// state service and the cloud.
+// Region is a named group of zones. The first region of an experiment hosts the state service and
+// the cloud.
 type Region struct {
 	Name  string
 	Zones []string
 }
 
-// Phase is a part of a run that is measured by itself.
+// Phase is a part of a run that is measured separately.
 type Phase struct {
 	Name     string
-	SettleS  float64 // played before, not measured
+	SettleS  float64 // duration before the measurement begins
 	MeasureS float64
-	Load     float64 // of the load; 1: the peak
+	Load     float64 // multiplier of the experiment's load; 1 is the peak load
 	Event    Event
-	EventS   float64 // for how long something is cut, lost or out
-	Zone     string  // of a zone's event
+	EventS   float64 // duration of the partition, loss or outage; 0: until the measurement ends
+	Zone     string  // zone that the event affects, if it affects one zone
 }
 
-// Controllers says how many there are and what they are told of their machines.
+// Controllers configures the controllers and the machine limits that their settings declare.
 type Controllers struct {
 	Count        int
 	RoundTripMS  float64 // between regions
-	RestartS     float64 // a controller that was killed is back after so long
-	CPU, RAMMB   float64 // of a core; MiB
+	RestartS     float64 // delay after which a killed controller restarts
+	CPU, RAMMB   float64 // cores; MiB
 	FDLimit      int
-	Set          []string // operators' settings, SECTION.KEY=VALUE
-	HealthyWithS float64  // a run begins once somebody leads, within so long
+	Set          []string // operators' settings as SECTION.KEY=VALUE
+	HealthyWithS float64  // time limit for the election of the first leader, after which the run begins
 }
 
-// Workers describes machines and their workers.
+// Workers configures the machines and their workers.
 type Workers struct {
-	Plan      int // the number for which the load is given
-	Processes int // of them, with a process each
+	Plan      int // number of workers that the load is given for
+	Processes int // number of workers that have a process each
 	CPUs      float64
 	MemoryGB  float64
 	ReportS   float64
@@ -70,49 +70,49 @@
 	CancelS   float64
 	FetchS    float64
 	Images    int
-	Rack      int // machines of a rack
+	Rack      int // number of machines in a rack
 }
 
-// Load is what users ask, at the plan's number of workers.
+// Load describes the users' requests, for the planned number of workers.
 type Load struct {
 	Teams         int
-	TeamShare     float64 // of all processors, that one team may use
-	Starts        float64 // of tasks a second
-	Running       float64 // tasks at once
-	JobTasks      int     // mean number of a job's tasks
-	UrgentShare   float64 // of jobs
-	UrgentTasks   int     // mean number of an urgent job's tasks
+	TeamShare     float64 // share of all processors that one team may use
+	Starts        float64 // task starts per second
+	Running       float64 // tasks running at the same time
+	JobTasks      int     // mean number of tasks in a job
+	UrgentShare   float64 // share of jobs that are urgent
+	UrgentTasks   int     // mean number of tasks in an urgent job
 	UrgentWithinS float64
-	CancelShare   float64 // of jobs
+	CancelShare   float64 // share of jobs that are cancelled
 	PollS         float64
 }
 
-// State has the limits of the state service.
+// State holds the limits of the state service.
 type State struct {
 	RPS, WriteRPS, ValueKB float64
 	TxnOps                 int
 }
 
-// Failures are those of ordinary days, at the plan's number of workers.
+// Failures gives the rates of everyday machine failures, for the planned number of workers.
 type Failures struct {
 	LossesPerDay, RestartsPerDay float64
-	Speed                        float64 // so many times as fast
-	ReplacedS                    float64 // a machine that was lost has its place taken after so long
+	Speed                        float64 // multiplier of both rates
+	ReplacedS                    float64 // delay after which a lost machine is replaced
 }
 
-// Config says how often operators change the configuration while controllers run.
+// Config describes how often operators change the configuration while controllers run.
 type Config struct {
-	EveryS  float64 // between two bursts; 0: never
-	Burst   int     // changes, one after the other
-	History int     // that are remembered
+	EveryS  float64 // time between two bursts; 0: no changes
+	Burst   int     // number of changes in a burst, made one after the other
+	History int     // number of changes that controllers keep
 }
 
-// Experiment is what one file says.
+// Experiment is the content of one experiment file.
 type Experiment struct {
 	Name        string
 	Sizes       []int // numbers of workers
 	Seeds       []uint64
-	DrainS      float64 // how long jobs may take to end after the last phase
+	DrainS      float64 // time limit for jobs to end after the last phase
 	Regions     []Region
 	Controllers Controllers
 	Workers     Workers
@@ -123,12 +123,12 @@
 	Phases      []Phase
 }
 
-// Error names a file and a field that is wrong.
+// Error reports an invalid field of an experiment file.
 type Error struct{ File, Field, Why string }
 
 func (e *Error) Error() string { return e.File + ": " + e.Field + ": " + e.Why }
 
-// key is one of a section's: it reads a value, or says why it cannot.
+// key is a key of a section with the function that parses its value.
 type key struct {
 	name string
 	read func(string) error
@@ -138,7 +138,7 @@
 	return func(s string) error {
 		v, err := strconv.ParseFloat(s, 64)
 		if err != nil || math.IsNaN(v) || v < least || v > most {
-			return fmt.Errorf("must be a number between %v and %v, is %q", least, most, s)
+			return fmt.Errorf("must be a number between %v and %v, got %q", least, most, s)
 		}
 		*to = v
 		return nil
@@ -149,14 +149,14 @@
 	return func(s string) error {
 		v, err := strconv.Atoi(s)
 		if err != nil || v < least || v > most {
-			return fmt.Errorf("must be a whole number between %d and %d, is %q", least, most, s)
+			return fmt.Errorf("must be an integer between %d and %d, got %q", least, most, s)
 		}
 		*to = v
 		return nil
 	}
 }
 
-// list splits a list at commas.
+// list splits a comma-separated list and drops empty parts.
 func list(s string) (out []string) {
 	for part := range strings.SplitSeq(s, ",") {
 		if part = strings.TrimSpace(part); part != "" {
@@ -166,7 +166,7 @@
 	return out
 }
 
-// ParseSizes reads a list of numbers of workers.
+// ParseSizes parses a comma-separated list of numbers of workers.
 func ParseSizes(s string) ([]int, error) {
 	var sizes []int
 	for _, part := range list(s) {
@@ -177,28 +177,28 @@
 		sizes = append(sizes, n)
 	}
 	if len(sizes) == 0 {
-		return nil, fmt.Errorf("names no size")
+		return nil, fmt.Errorf("must list at least one size")
 	}
 	return sizes, nil
 }
 
-// ParseSeeds reads a list of seeds.
+// ParseSeeds parses a comma-separated list of seeds.
 func ParseSeeds(s string) ([]uint64, error) {
 	var seeds []uint64
 	for _, part := range list(s) {
 		n, err := strconv.ParseUint(part, 10, 63)
 		if err != nil {
-			return nil, fmt.Errorf("must be whole numbers, has %q", part)
+			return nil, fmt.Errorf("must be non-negative integers below 2^63, got %q", part)
 		}
 		seeds = append(seeds, n)
 	}
 	if len(seeds) == 0 {
-		return nil, fmt.Errorf("names no seed")
+		return nil, fmt.Errorf("must list at least one seed")
 	}
 	return seeds, nil
 }
 
-// Defaults are the values of what a file leaves out; it must give regions and phases.
+// Defaults returns the values of keys that a file omits. Regions and phases have no defaults.
 func Defaults() Experiment {
 	return Experiment{
 		Sizes: []int{100}, Seeds: []uint64{1}, DrainS: 60,
@@ -213,7 +213,7 @@
 
 const maxSeconds = 86400
 
-// keys lists what each fixed section may have.
+// keys lists the keys of a section with a fixed name; nil means that there is no such section.
 func (e *Experiment) keys(section string) []key {
 	c, w, l, s, f := &e.Controllers, &e.Workers, &e.Load, &e.State, &e.Failures
 	switch section {
@@ -256,7 +256,7 @@
 	phasePrefix  = "phase "
 )
 
-// LoadFile reads a file and checks it.
+// LoadFile reads and validates an experiment file.
 func LoadFile(path string) (*Experiment, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{Insensitive: false}, path)
 	if err != nil {
@@ -293,7 +293,7 @@
 	}
 	known := e.keys(name)
 	if known == nil && (name != ini.DefaultSection || len(section.Keys()) > 0) {
-		return &Error{Field: name, Why: "no such section"}
+		return &Error{Field: name, Why: "unknown section"}
 	}
 	return readKeys(section, known)
 }
@@ -305,7 +305,7 @@
 		{"event", func(v string) error {
 			p.Event = Event(v)
 			if !slices.Contains(events, p.Event) {
-				return fmt.Errorf("must be one of %v, is %q", events[1:], v)
+				return fmt.Errorf("must be one of %v, got %q", events[1:], v)
 			}
 			return nil
 		}},
@@ -317,7 +317,7 @@
 		field := section.Name() + "." + k.Name()
 		i := slices.IndexFunc(known, func(o key) bool { return o.name == k.Name() })
 		if i < 0 {
-			return &Error{Field: field, Why: "no such key"}
+			return &Error{Field: field, Why: "unknown key"}
 		}
 		if err := known[i].read(k.Value()); err != nil {
 			return &Error{Field: field, Why: err.Error()}
@@ -326,31 +326,31 @@
 	return nil
 }
 
-// check says what does not go together.
+// check validates the values against one another and returns the first error.
 func (e *Experiment) check() *Error {
 	wrong := func(field, why string, args ...any) *Error {
 		return &Error{Field: field, Why: fmt.Sprintf(why, args...)}
 	}
 	if len(e.Regions) == 0 {
-		return wrong("region", "there is none")
+		return wrong("region", "at least one region section is required")
 	}
 	if len(e.Phases) == 0 {
-		return wrong("phase", "there is none")
+		return wrong("phase", "at least one phase section is required")
 	}
 	named := map[string]bool{}
 	for _, r := range e.Regions {
 		if len(r.Zones) == 0 {
-			return wrong(regionPrefix+r.Name+".zones", "names no zone")
+			return wrong(regionPrefix+r.Name+".zones", "must list at least one zone")
 		}
 		for _, z := range r.Zones {
 			if named[z] {
-				return wrong(regionPrefix+r.Name+".zones", "%s is named twice", z)
+				return wrong(regionPrefix+r.Name+".zones", "zone %s is listed twice", z)
 			}
 			named[z] = true
 		}
 	}
 	if w := e.Workers; w.LeaseS < 3*w.ReportS {
-		return wrong("workers.lease_s", "must be at least three times report_s, %v, is %v", 3*w.ReportS, w.LeaseS)
+		return wrong("workers.lease_s", "must be at least three times report_s, which is %v, got %v", 3*w.ReportS, w.LeaseS)
 	}
 	for _, p := range e.Phases {
 		field := phasePrefix + p.Name
@@ -359,18 +359,18 @@
 		case p.MeasureS == 0:
 			return wrong(field+".measure_s", "missing")
 		case zonal && !named[p.Zone]:
-			return wrong(field+".zone", "must be a zone of a region, is %q", p.Zone)
+			return wrong(field+".zone", "must be a zone of a region, got %q", p.Zone)
 		case zonal && p.Zone == e.Regions[0].Zones[0] && e.Workers.Processes > 0:
-			return wrong(field+".zone", "%s has the workers with a process each, which cannot be cut off", p.Zone)
+			return wrong(field+".zone", "%s contains the workers with a process each, which cannot be cut off", p.Zone)
 		case p.Event == CutRegions && len(e.Regions) < 2:
-			return wrong(field+".event", "there is one region")
+			return wrong(field+".event", "requires at least two regions")
 		}
 	}
 	return nil
 }
 
-// Zones lists the zones of all regions, in turn one of each, so that controllers are spread
-// over regions first.
+// Zones lists the zones of all regions, taking one zone of each region in turn, so that
+// controllers are spread over the regions first.
 func (e *Experiment) Zones() (out []string) {
 	for i := 0; ; i++ {
 		more := false
@@ -386,13 +386,14 @@
 	}
 }
 
-// RegionOf is the number of the region that a zone belongs to.
+// RegionOf returns the index of the region that a zone belongs to, or -1.
 func (e *Experiment) RegionOf(zone string) int {
 	return slices.IndexFunc(e.Regions, func(r Region) bool { return slices.Contains(r.Zones, zone) })
 }
 
-// Share is which share of the plan's load a number of workers gets.
+// Share returns the share of the planned load that a number of workers gets.
 func (e *Experiment) Share(workers int) float64 { return float64(workers) / float64(e.Workers.Plan) }
 
-// TaskS is the mean run time of a task, in seconds, by which so many run at so many starts a second.
+// TaskS returns the mean run time of a task in seconds that yields the configured number of running
+// tasks at the configured start rate.
 func (e *Experiment) TaskS() float64 { return e.Load.Running / e.Load.Starts }
--- a/internal/scaletest/experiment/experiment_test.go
+++ b/internal/scaletest/experiment/experiment_test.go
@@ -30,7 +30,7 @@
 	return LoadFile(path)
 }
 
-// What is wrong is named by file and field, in one line.
+// TestExperimentFiles checks that an error is one line that names the file and the invalid field.
 func TestExperimentFiles(t *testing.T) {
 	e, err := load(t, good)
 	if err != nil || e.Sizes[1] != 60 || e.Phases[0].Zone != "west-a" || strings.Join(e.Zones(), " ") != "east-a west-a east-b" || e.RegionOf("west-a") != 1 {
@@ -51,12 +51,12 @@
 		_, err := load(t, text)
 		var wrong *Error
 		if !errors.As(err, &wrong) || wrong.Field != field || strings.Contains(err.Error(), "\n") || !strings.Contains(err.Error(), "x.ini") {
-			t.Errorf("%v, want the field %s named", err, field)
+			t.Errorf("got error %v, want one that names the field %s", err, field)
 		}
 	}
 }
 
-// What a machine cannot carry is refused beforehand.
+// TestNeeds checks that a run that needs more than the machine has is refused before it starts.
 func TestNeeds(t *testing.T) {
 	e, err := load(t, good)
 	if err != nil {
@@ -68,12 +68,12 @@
 	}
 	for _, err := range []error{n.Refuse(1<<30, 20000), n.Refuse(16<<30, 1000), Needs{Processes: 301}.Refuse(16<<30, 20000)} {
 		if err == nil {
-			t.Error("more than the machine has was not refused")
+			t.Error("a run that needs more than the machine has was not refused")
 		}
 	}
 }
 
-// The files that come with the project are in order.
+// TestExperimentsOfTheProject checks that the experiment files in the repository are valid.
 func TestExperimentsOfTheProject(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.ini")
 	if err != nil || len(files) < 2 {
--- a/internal/scaletest/experiment/needs.go
+++ b/internal/scaletest/experiment/needs.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// What an experiment may take at most, whatever the machine has.
+// Limits of an experiment, whatever the machine's resources are.
 const (
 	MostWorkers   = 20_000
 	MostProcesses = 300
 )
 
-// What each thing takes, measured roughly on runs of several sizes and rounded up.
+// Resource estimates: rough measurements on runs of several sizes, rounded up.
 const (
 	bytesPerWorker     = 160 << 10 // connection, buffers, tasks
-	bytesPerProcess    = 24 << 20  // a worker with a process of its own
+	bytesPerProcess    = 24 << 20  // a worker that has its own process
 	bytesPerController = 160 << 20
 	bytesBase          = 200 << 20 // the state service, users, samples
-	socketsPerWorker   = 4         // both ends of a report, its address, a direct command
+	socketsPerWorker   = 4         // both ends of a report's connection, the worker's listener, a direct command
 	socketsBase        = 1000
-	memoryShare        = 0.5 // of the machine's, that may be taken
+	memoryShare        = 0.5 // share of the machine's memory that a run may use
 )
 
-// Needs is what a run takes of the machine.
+// Needs is an estimate of the resources that a run uses.
 type Needs struct {
 	Workers, Processes, Sockets int
 	Bytes                       uint64
-	Seconds                     float64 // at least
+	Seconds                     float64 // lower bound of the duration
 }
 
-// Needs says what a run with so many workers takes.
+// Needs estimates the resources of a run with the given number of workers.
 func (e *Experiment) Needs(workers int) Needs {
 	n := Needs{Workers: workers, Processes: 2 + e.Controllers.Count + min(e.Workers.Processes, workers), Sockets: socketsBase + workers*socketsPerWorker}
 	n.Bytes = bytesBase + uint64(workers)*bytesPerWorker + uint64(e.Controllers.Count)*bytesPerController + uint64(e.Workers.Processes)*bytesPerProcess
@@ -40,15 +40,15 @@
 	return fmt.Sprintf("%d workers: %d processes, %d sockets, about %d MiB of memory, %.0f s and the time until all jobs are over", n.Workers, n.Processes, n.Sockets, n.Bytes>>20, n.Seconds)
 }
 
-// Refuse says why a machine cannot carry this, or nothing.
+// Refuse returns an error if a machine with this memory and socket limit cannot carry the run.
 func (n Needs) Refuse(memory uint64, sockets uint64) error {
 	switch {
 	case n.Processes > MostProcesses:
-		return fmt.Errorf("%d processes are more than %d", n.Processes, MostProcesses)
+		return fmt.Errorf("needs %d processes, more than the limit of %d", n.Processes, MostProcesses)
 	case float64(n.Bytes) > memoryShare*float64(memory):
-		return fmt.Errorf("%d MiB are more than half of the machine's %d MiB", n.Bytes>>20, memory>>20)
+		return fmt.Errorf("needs %d MiB of memory, more than half of the machine's %d MiB", n.Bytes>>20, memory>>20)
 	case uint64(n.Sockets) > sockets:
-		return fmt.Errorf("%d sockets are more than the %d that a process may have", n.Sockets, sockets)
+		return fmt.Errorf("needs %d sockets, more than the %d that a process may open", n.Sockets, sockets)
 	}
 	return nil
 }
--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -1,5 +1,5 @@
-// Package netproxy forwards TCP connections to one address: late by a set time, counted, and
-// held up while the network between the two ends is cut.
+// Package netproxy forwards TCP connections to one address. It adds a fixed delay, counts the
+// traffic, and holds data back while a simulated network partition separates the two ends.
 package netproxy
 
 import (
@@ -14,11 +14,11 @@
 
 const (
 	chunkBytes  = 16 << 10
-	chunksAhead = 64 // on their way in one direction of a connection
+	chunksAhead = 64 // maximum number in flight in one direction of a connection
 	dialTimeout = time.Second
 )
 
-// Proxy forwards the connections that are made to its address.
+// Proxy forwards the connections made to its address to a target.
 type Proxy struct {
 	target   string
 	latency  time.Duration // one way
@@ -26,13 +26,13 @@
 	listener net.Listener
 
 	mu     sync.Mutex
-	healed chan struct{} // nil: not cut; otherwise closed at the end of the cut
+	healed chan struct{} // nil: no partition; otherwise closed when the partition ends
 	closed chan struct{}
 	conns  map[net.Conn]bool
 }
 
-// New forwards connections to a target. Traffic counts what the connecting side receives and
-// sends; each of its writes counts as a message.
+// New starts a proxy that forwards connections to a target. The meter counts what the connecting
+// side receives and sends; each chunk read from that side counts as a message.
 func New(target string, latency time.Duration, traffic *traffic.Meter) (*Proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -43,10 +43,11 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Cut begins or ends a cut: meanwhile nothing gets through, and what was sent arrives afterwards.
+// Cut begins or ends a partition. During a partition no data is forwarded; data sent meanwhile
+// arrives after its end.
 func (p *Proxy) Cut(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and all connections of the proxy.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// track notes a connection; false says that the proxy is closed.
+// track registers a connection. It closes the connection and returns false if the proxy is closed.
 func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -108,7 +109,7 @@
 	_ = c.Close()
 }
 
-// passable waits until nothing is cut; false says that the proxy is closed.
+// passable waits until there is no partition. It returns false if the proxy is closed.
 func (p *Proxy) passable() bool {
 	for {
 		p.mu.Lock()
@@ -146,13 +147,14 @@
 	both.Wait()
 }
 
-// chunk is what was read at once, and when it is due at the other end.
+// chunk is the data of one read, and the time at which it is due at the other end.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// copyDelayed forwards one direction until either end is closed, and then closes both.
+// copyDelayed forwards one direction with the proxy's delay until either end is closed, then closes
+// both ends.
 func (p *Proxy) copyDelayed(from io.ReadCloser, to io.WriteCloser, count func(int)) {
 	ahead := make(chan chunk, chunksAhead)
 	go func() {
@@ -172,7 +174,7 @@
 	broken := false
 	for c := range ahead {
 		if broken {
-			continue // the reader is not left waiting for room
+			continue // drain the channel so that the reading goroutine does not block
 		}
 		time.Sleep(time.Until(c.due))
 		if !p.passable() {
--- a/internal/scaletest/netproxy/netproxy_test.go
+++ b/internal/scaletest/netproxy/netproxy_test.go
@@ -10,13 +10,14 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-// What is sent during a cut arrives after it, and all of it is counted.
+// TestProxyHoldsBackAndCounts checks that data sent during a partition arrives after its end, and
+// that all of it is counted.
 func TestProxyHoldsBackAndCounts(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // it only ends the test's own accept
+	defer func() { _ = l.Close() }() // this only ends the test's accept loop
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -36,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }() // what matters was read before
+	defer func() { _ = c.Close() }() // all data was read before
 	lines := bufio.NewReader(c)
 	say := func(s string) {
 		t.Helper()
@@ -55,7 +56,7 @@
 	p.Cut(true)
 	say("two\n")
 	if s, err := hear(200 * time.Millisecond); err == nil {
-		t.Errorf("%q came through a cut", s)
+		t.Errorf("%q was forwarded during a partition", s)
 	}
 	p.Cut(false)
 	if s, err := hear(20 * time.Second); s != "two\n" {
--- a/internal/scaletest/scalefit/scalefit.go
+++ b/internal/scaletest/scalefit/scalefit.go
@@ -1,5 +1,5 @@
-// Package scalefit fits what roles cost against what grows: by least squares over the results
-// of scale runs of several sizes.
+// Package scalefit fits the resource costs of roles as linear functions of the size of a
+// deployment, by least squares over the results of scale runs of several sizes.
 package scalefit
 
 import (
@@ -14,7 +14,7 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-// Regressors are what a cost may be fitted against, by name.
+// regressors maps the names of the variables that a cost may be fitted against to their values.
 var regressors = map[string]func(p *scalerun.Phase) float64{
 	"workers": func(p *scalerun.Phase) float64 { return p.Workers },
 	"starts":  func(p *scalerun.Phase) float64 { return p.StartsPerS },
@@ -22,7 +22,7 @@
 	"teams":   func(p *scalerun.Phase) float64 { return float64(p.Teams) },
 }
 
-// Regressors lists the names of what a cost may be fitted against.
+// Regressors returns the sorted names of the variables that a cost may be fitted against.
 func Regressors() []string {
 	names := []string{}
 	for n := range regressors {
@@ -32,22 +32,22 @@
 	return names
 }
 
-// Fit is one cost of a role as a linear function.
+// Fit is one cost of a role, fitted as a linear function of the regressors.
 type Fit struct {
 	Role      string    `json:"role"`
 	Cost      string    `json:"cost"`
 	Unit      string    `json:"unit"`
 	Against   []string  `json:"against"`
-	Slopes    []float64 `json:"slopes"` // by regressor
+	Slopes    []float64 `json:"slopes"` // one for each regressor
 	Intercept float64   `json:"intercept"`
-	Residual  float64   `json:"residual"` // root of the mean square
+	Residual  float64   `json:"residual"` // root mean square
 	Points    int       `json:"points"`
-	From      []float64 `json:"from"` // range measured, by regressor
+	From      []float64 `json:"from"` // measured range of each regressor
 	To        []float64 `json:"to"`
 }
 
-// At is the cost at values of the regressors; extrapolated says that one of them lies outside
-// of what was measured.
+// At returns the cost at the given values of the regressors. It reports extrapolated if one of them
+// lies outside the measured range.
 func (f *Fit) At(at []float64) (value float64, extrapolated bool) {
 	value = f.Intercept
 	for i, x := range at {
@@ -58,11 +58,11 @@
 	return value, extrapolated
 }
 
-// rangeSlack is how far outside of the range measured a value may lie, as a share of it: what was
-// measured are means over a phase.
+// rangeSlack is the share of a value by which it may lie outside the measured range without
+// counting as extrapolated, because the measured values are means over a phase.
 const rangeSlack = 0.005
 
-// cost is one of those that are fitted.
+// cost is a quantity that is fitted; of returns its value in a phase, and false if there is none.
 type cost struct {
 	role, name, unit string
 	of               func(p *scalerun.Phase) (float64, bool)
@@ -103,7 +103,7 @@
 		state("log", "kB", func(u *scalerun.StateUse) float64 { return u.LogKBMost }))
 }
 
-// Of fits all costs of some phases, taken together, against regressors.
+// Of fits all costs against the regressors, over all phases that have one of the given names.
 func Of(results []scalerun.Result, names, against []string) ([]Fit, error) {
 	var of []func(p *scalerun.Phase) float64
 	for _, name := range against {
@@ -122,7 +122,7 @@
 		}
 	}
 	if len(phases) < len(against)+2 {
-		return nil, fmt.Errorf("phase: %d runs have %s, and %d are needed", len(phases), strings.Join(names, " or "), len(against)+2)
+		return nil, fmt.Errorf("phase: %d runs have a phase %s, but at least %d are needed", len(phases), strings.Join(names, " or "), len(against)+2)
 	}
 	var fits []Fit
 	for _, c := range costs() {
@@ -137,11 +137,11 @@
 	return fits, nil
 }
 
-// conditionMost is up to which condition number of the regressors a fit is taken: above it slopes
-// are known not to tell their causes apart (Belsley, Kuh and Welsch, "Regression Diagnostics").
+// conditionMost is the largest condition number of the regressors at which a fit is accepted. Above
+// it, collinearity makes the slopes unreliable (Belsley, Kuh and Welsch, "Regression Diagnostics").
 const conditionMost = 30
 
-// fit fits one cost; nil: too few runs have it.
+// fit fits one cost. It returns nil if too few runs have this cost.
 func fit(c cost, phases []*scalerun.Phase, against []string, of []func(p *scalerun.Phase) float64) (*Fit, error) {
 	var xs, ys []float64
 	f := &Fit{Role: c.role, Cost: c.name, Unit: c.unit, Against: against, From: filled(len(of), math.Inf(1)), To: filled(len(of), math.Inf(-1))}
@@ -162,8 +162,8 @@
 	if f.Points < len(of)+2 {
 		return nil, nil
 	}
-	// Columns are brought to one scale first, so that the condition number tells of what
-	// depends on one another alone.
+	// The columns are scaled to the same magnitude first, so that the condition number reflects
+	// only the collinearity of the regressors.
 	scale := filled(len(of)+1, 0)
 	for i, x := range xs {
 		scale[i%len(scale)] = max(scale[i%len(scale)], math.Abs(x))
--- a/internal/scaletest/scalefit/scalefit_test.go
+++ b/internal/scaletest/scalefit/scalefit_test.go
@@ -20,12 +20,12 @@
 			return f
 		}
 	}
-	t.Fatal("the leader's processor is not fitted")
+	t.Fatal("no fit for the leader's processor")
 	return Fit{}
 }
 
-// A cost that is a linear function comes out as that function, and what lies outside the range
-// measured is said to.
+// TestFit checks that the fit of a linear cost returns its coefficients, and that values outside the
+// measured range are reported as extrapolated.
 func TestFit(t *testing.T) {
 	var runs []scalerun.Result
 	for _, x := range [][2]float64{{100, 10}, {200, 40}, {300, 20}, {400, 90}, {500, 50}} {
@@ -43,18 +43,19 @@
 		t.Errorf("%v %v", v, outside)
 	}
 	if _, outside := f.At([]float64{500.5, 90}); outside {
-		t.Error("the end of what was measured is outside of it")
+		t.Error("a value at the end of the measured range is reported as extrapolated")
 	}
 	if v, outside := f.At([]float64{2100, 340}); !outside || math.Abs(v-2.83) > 1e-9 {
 		t.Errorf("%v %v", v, outside)
 	}
 	runs[2].Phases[0].Roles[0].CPU += .1
 	if fits, err = Of(runs, []string{"peak"}, []string{"workers"}); err != nil || processor(t, fits).Residual < .01 {
-		t.Errorf("no residual where there is one: %v", err)
+		t.Errorf("the residual of data that is not linear is too small: %v", err)
 	}
 }
 
-// What cannot be told apart is not fitted.
+// TestFitRefuses checks that collinear or constant regressors, unknown names and too few points are
+// refused.
 func TestFitRefuses(t *testing.T) {
 	together := []scalerun.Result{run(100, 10, 1), run(200, 20, 2), run(300, 30, 3), run(400, 40, 4)}
 	for against, want := range map[string]string{"workers,starts": "rise together", "teams": "do not change", "moons": "none of"} {
@@ -63,9 +64,9 @@
 		}
 	}
 	if _, err := Of(together, []string{"rest"}, []string{"workers"}); err == nil || !strings.Contains(err.Error(), "0 runs") {
-		t.Errorf("a phase that there is not: %v", err)
+		t.Errorf("a phase that does not exist was not refused: %v", err)
 	}
 	if _, err := Of(together[:2], []string{"peak"}, []string{"workers"}); err == nil {
-		t.Error("two points were fitted")
+		t.Error("a fit to two points was not refused")
 	}
 }
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -17,30 +17,30 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-// Children write a line when they listen, with their address, and end when their standard
-// input does.
+// Child processes write a line with their address once they listen, and exit when their standard
+// input is closed.
 
-// pathObserve is where the state service's process shows what it has done. It is no part of the
-// platform's protocol.
+// pathObserve is the path at which the state service's process serves its counters. It is not part
+// of the platform's protocol.
 const pathObserve = "/observe"
 
-// pathOutage begins (down=1) or ends an outage of the state service.
+// pathOutage is the path that begins (down=1) or ends an outage of the state service.
 const pathOutage = "/outage"
 
-// observed is what a run looks at in the state service.
+// observed is what a run reads from the state service's process.
 type observed struct {
-	Counts  standin.StateCounts `json:"counts"` // keys and bytes are those of the log
+	Counts  standin.StateCounts `json:"counts"` // Keys and Bytes cover only the event log
 	Leader  string              `json:"leader"`
 	Refused []string            `json:"refused"`
 }
 
-// StateLimits are those of the state service's process.
+// StateLimits are the limits of the state service's process.
 type StateLimits struct {
 	RPS, WriteRPS, ValueKB float64
 	TxnOps                 int
 }
 
-// ServeState is the process of the state service.
+// ServeState runs the process of the state service.
 func ServeState(limits StateLimits, in io.Reader, out io.Writer) error {
 	store := &standin.StateService{}
 	store.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
@@ -53,7 +53,7 @@
 		if raw := store.Value(leadership.HolderKey); raw != nil && json.Unmarshal(raw, &holder) == nil {
 			o.Leader = holder.Node
 		}
-		_ = json.NewEncoder(w).Encode(o) // the run may have ended
+		_ = json.NewEncoder(w).Encode(o) // the client may have disconnected
 	})
 	mux.HandleFunc(pathOutage, func(_ http.ResponseWriter, r *http.Request) { store.SetDown(r.FormValue("down") == "1") })
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -63,12 +63,12 @@
 	if _, err := fmt.Fprintln(out, l.Addr()); err != nil {
 		return fmt.Errorf("state service: %w", err)
 	}
-	go func() { _ = http.Serve(l, mux) }() // it ends with the process
+	go func() { _ = http.Serve(l, mux) }() // runs until the process exits
 	_, err = io.Copy(io.Discard, in)
 	return err
 }
 
-// workerOrder is what a worker's process is told to be.
+// workerOrder configures a worker's process. It is the first line of its standard input.
 type workerOrder struct {
 	Machine  standin.Machine
 	Doors    []string
@@ -78,8 +78,8 @@
 	Workload workload
 }
 
-// workerNote is what it tells: a start or an end, which it reports to nobody before it was
-// acknowledged, or what it has sent and received so far.
+// workerNote is a message from a worker's process: the start or end of a task, which the worker
+// reports to a controller only after the run has acknowledged it, or its traffic so far.
 type workerNote struct {
 	Started string         `json:"started,omitempty"`
 	Attempt uint64         `json:"attempt,omitempty"`
@@ -88,15 +88,15 @@
 	Traffic *traffic.Count `json:"traffic,omitempty"`
 }
 
-// trafficEvery is how often a worker's process tells its traffic.
+// trafficEvery is the interval at which a worker's process sends its traffic counts.
 const trafficEvery = time.Second
 
-// pipe is a worker's way to the run.
+// pipe sends a worker's notes to the run and reads the acknowledgements.
 type pipe struct {
 	mu    sync.Mutex
 	out   *json.Encoder
 	acks  *bufio.Reader
-	ended chan struct{} // closed when the run is gone
+	ended chan struct{} // closed when writing to or reading from the run fails
 	once  sync.Once
 }
 
@@ -114,14 +114,15 @@
 
 func (p *pipe) end() { p.once.Do(func() { close(p.ended) }) }
 
-// Started and Ended make a pipe a standin.Recorder.
+// Started records the start of a task. With Ended it implements standin.Recorder.
 func (p *pipe) Started(task, _ string, attempt uint64) {
 	p.send(workerNote{Started: task, Attempt: attempt})
 }
 
+// Ended records the end of a task.
 func (p *pipe) Ended(task, _ string, done bool) { p.send(workerNote{Ended: task, Done: done}) }
 
-// ServeWorker is the process of one worker.
+// ServeWorker runs the process of one worker.
 func ServeWorker(in io.Reader, out io.Writer) error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -133,7 +134,7 @@
 	lines := bufio.NewReader(in)
 	first, err := lines.ReadBytes('\n')
 	if errors.Is(err, io.EOF) {
-		return nil // it was never needed
+		return nil // the run ended before it used this process
 	}
 	var o workerOrder
 	if err := json.Unmarshal(first, &o); err != nil {
@@ -147,7 +148,7 @@
 		fleet.Traffic = append(fleet.Traffic, &traffic)
 	}
 	fleet.StartWorker(o.Machine)
-	go func() { _ = http.Serve(l, fleet.Handler(o.Machine.Name)) }() // it ends with the process
+	go func() { _ = http.Serve(l, fleet.Handler(o.Machine.Name)) }() // runs until the process exits
 	for {
 		select {
 		case <-p.ended:
@@ -159,7 +160,7 @@
 	}
 }
 
-// fleet plays workers that run this load.
+// fleet returns a fleet whose tasks have the workload's images and run times.
 func (w *workload) fleet(controllers []string, reportS, leaseS, fetchS float64) *standin.Fleet {
 	return &standin.Fleet{Controllers: controllers, HeartbeatInterval: seconds(reportS), Lease: seconds(leaseS), Fetch: seconds(fetchS), ReportsChangesAtOnce: true, Image: w.image, TaskDuration: w.took}
 }
--- a/internal/scaletest/scalerun/doc.go
+++ b/internal/scaletest/scalerun/doc.go
@@ -1,7 +1,7 @@
-// Package scalerun plays experiments: controllers as processes of the built binary, a few
-// workers as processes of their own, and beside them thousands of hollow ones that speak the
-// same protocol over real sockets. It measures what each role spends, and checks the rules.
+// Package scalerun runs experiments: controllers as processes of the built binary, a few workers as
+// separate processes, and thousands of simulated (hollow) workers that use the same protocol over
+// real sockets. It measures the resources that each role uses, and checks the platform's rules.
 //
-// The state service has a process of its own; hollow workers, users and the cloud share the
-// process of the run. Tasks and image fetches are timers everywhere.
+// The state service has its own process; hollow workers, users and the cloud share the process of
+// the run. Tasks and image fetches are timers in all workers.
 package scalerun
--- a/internal/scaletest/scalerun/latency.go
+++ b/internal/scaletest/scalerun/latency.go
@@ -12,7 +12,7 @@
 // sketchError is the relative error of the quantiles.
 const sketchError = 0.01
 
-// Latency is a distribution of times, in seconds.
+// Latency summarizes a distribution of times in seconds.
 type Latency struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median_s"`
@@ -20,13 +20,13 @@
 	Max    float64 `json:"max_s"`
 }
 
-// histogram gathers times of one kind.
+// histogram collects times of one kind.
 type histogram struct{ sketch *ddsketch.DDSketch }
 
 func newHistogram() *histogram {
 	s, err := ddsketch.NewDefaultDDSketch(sketchError)
 	if err != nil {
-		panic("scalerun: " + err.Error()) // the error is a constant
+		panic("scalerun: " + err.Error()) // it fails only for an invalid sketchError, which is a constant
 	}
 	return &histogram{s}
 }
@@ -38,24 +38,24 @@
 	if l.Count == 0 {
 		return l
 	}
-	l.Median, _ = h.sketch.GetValueAtQuantile(0.5) // it is not empty
+	l.Median, _ = h.sketch.GetValueAtQuantile(0.5) // the quantiles fail only on an empty sketch
 	l.P99, _ = h.sketch.GetValueAtQuantile(0.99)
 	l.Max, _ = h.sketch.GetMaxValue()
 	return l
 }
 
-// times are the histograms of one phase.
+// times are the histograms and counters of one phase.
 type times struct {
 	urgent, other, cancel, recovery, changed, inForce *histogram
-	prompt                                            int // urgent starts that were soon enough
-	lost                                              int // tasks that went without being done
+	prompt                                            int // urgent tasks that started within the time limit
+	lost                                              int // tasks that ended without completing
 }
 
 func newTimes() *times {
 	return &times{urgent: newHistogram(), other: newHistogram(), cancel: newHistogram(), recovery: newHistogram(), changed: newHistogram(), inForce: newHistogram()}
 }
 
-// promptShare is the share of urgent starts that were soon enough.
+// promptShare returns the share of urgent tasks that started within the time limit.
 func (t *times) promptShare() float64 {
 	n := t.urgent.sketch.GetCount()
 	if n == 0 {
@@ -64,15 +64,16 @@
 	return float64(t.prompt) / n
 }
 
-// latencies follows jobs from their submission, and tasks from a loss, to their starts.
+// latencies measures the time from the submission of a job, or the loss of a task, to the task's
+// start.
 type latencies struct {
-	soon          time.Duration // within which an urgent task should start
+	soon          time.Duration // time limit for the start of an urgent task
 	mu            sync.Mutex
 	phase         *times
 	jobs          map[string]submitted
 	begun         map[string]bool
-	lost          map[string]time.Time // tasks whose machine was lost
-	failed        map[string]bool      // machines
+	lost          map[string]time.Time // by task: when it was lost with its machine
+	failed        map[string]bool      // machines that were lost or restarted
 	starts, ended uint64
 }
 
@@ -85,7 +86,7 @@
 	return &latencies{soon: soon, phase: newTimes(), jobs: map[string]submitted{}, begun: map[string]bool{}, lost: map[string]time.Time{}, failed: map[string]bool{}}
 }
 
-// submitted notes the first attempt to submit a job.
+// submitted records the time of the first attempt to submit a job.
 func (l *latencies) submitted(job string, urgent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,21 +99,21 @@
 	l.phase.cancel.add(took)
 }
 
-// changed notes how long a change of the configuration took to be durable, inForce how long after
-// that all controllers had it.
+// changed records the time from the request for a configuration change until it was durable.
 func (l *latencies) changed(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.phase.changed.add(took)
 }
 
+// inForce records the time from when a change was durable until all controllers had applied it.
 func (l *latencies) inForce(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.phase.inForce.add(took)
 }
 
-// fail notes that machines are about to be lost.
+// fail records that machines are about to be lost or restarted.
 func (l *latencies) fail(machines ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +122,7 @@
 	}
 }
 
-// observe hears what happens on machines.
+// observe processes a start or an end of a task.
 func (l *latencies) observe(e standin.Event) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,7 +162,7 @@
 	}
 }
 
-// turn gives the histograms gathered so far and begins new ones.
+// turn returns the histograms collected so far and begins new ones.
 func (l *latencies) turn() *times {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scaletest/scalerun/load.go
+++ b/internal/scaletest/scalerun/load.go
@@ -24,19 +24,20 @@
 	taskCPUs     = 1.0
 	taskMemoryGB = 2.0
 	imageGB      = 1.0
-	shortest     = 0.5 // of the mean run time; the longest is as much above it
+	shortest     = 0.5 // shortest run time as a share of the mean; the longest is as far above the mean
 )
 
-// job is one that a user submits.
+// job is a job that a user submits.
 type job struct {
 	id          uint64
-	at          time.Duration // after the load has begun
+	at          time.Duration // submission time, from the beginning of the load
 	tasks, team int
 	urgent      bool
-	cancelAfter time.Duration // 0: it is not cancelled
+	cancelAfter time.Duration // time from acceptance to cancellation; 0: not cancelled
 }
 
-// Counts is what a run asks for: the same for the same seed and size.
+// Counts is the number of jobs and tasks that a run submits. It depends only on the experiment, the
+// seed and the size.
 type Counts struct {
 	Jobs      int `json:"jobs"`
 	Urgent    int `json:"urgent_jobs"`
@@ -44,7 +45,7 @@
 	Cancelled int `json:"jobs_to_cancel"`
 }
 
-// schedule is all jobs of a run, in the order in which they come.
+// schedule generates all jobs of a run in the order of their submission.
 func schedule(e *experiment.Experiment, workers int, seed uint64) (jobs []job, counts Counts) {
 	rng := rand.New(rand.NewPCG(seed, uint64(workers)))
 	l := e.Load
@@ -89,7 +90,7 @@
 
 func (j *job) name() string { return wire.FormatID(j.id) }
 
-// describe is what the user of a job submits.
+// describe returns the job as its user submits it.
 func (j *job) describe(w *workload) *eventlog.Job {
 	d := &eventlog.Job{ID: j.id, Class: classBatch, Team: teamName(j.team), Priority: priorityNormal, Tasks: j.tasks, CPUs: taskCPUs, MemoryGB: taskMemoryGB,
 		Image: w.image(j.name()), ImageGB: imageGB, Spot: true, EstimateS: w.TaskS}
@@ -99,7 +100,7 @@
 	return d
 }
 
-// Priorities of jobs by their numbers, as package wire has them.
+// Numbers of job priorities, as defined in package wire.
 const (
 	priorityNormal = 1
 	priorityUrgent = 2
@@ -109,15 +110,15 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// workload says of each task how long it runs, and of each job which image it has. It is the
-// same in every process of a run.
+// workload determines the run time of each task and the image of each job. It gives the same values
+// in every process of a run.
 type workload struct {
 	Seed   uint64
 	TaskS  float64
 	Images int
 }
 
-// draw is a number from 0 to 1 that belongs to a name.
+// draw returns a pseudorandom number in [0, 1) that depends only on the seed and the name.
 func (w *workload) draw(name string) float64 {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], w.Seed)
--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -11,13 +11,13 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-// NodeSample is what one controller has spent so far.
+// NodeSample is the resource usage and traffic of one controller so far.
 type NodeSample struct {
 	Name    string        `json:"name"`
-	PID     int           `json:"pid"` // 0: it is down
+	PID     int           `json:"pid"` // 0: the controller is down
 	Leads   bool          `json:"leads"`
 	Usage   Usage         `json:"usage"`
-	Workers traffic.Count `json:"workers"` // traffic, as the controller sees it
+	Workers traffic.Count `json:"workers"` // this and the next: as the controller sees it
 	Users   traffic.Count `json:"users"`
 	Peers   traffic.Count `json:"peers"`
 	State   traffic.Count `json:"state"`
@@ -28,39 +28,40 @@
 	return n.Workers.Plus(n.Users).Plus(n.Peers).Plus(n.State).Plus(n.Cloud)
 }
 
-// WorkerSample is what one worker's process has spent so far.
+// WorkerSample is the resource usage and traffic of one worker's process so far.
 type WorkerSample struct {
 	Machine string        `json:"machine"`
 	Usage   Usage         `json:"usage"`
 	Traffic traffic.Count `json:"traffic"`
 }
 
-// Sample is one look at everything. Times and traffic add up from the beginning of the run.
+// Sample is a measurement of all parts of a run. Processor times and traffic are totals since the
+// beginning of the run.
 type Sample struct {
 	Size     int                 `json:"size"`
 	Seed     uint64              `json:"seed"`
 	AtS      float64             `json:"at_s"`
 	Phase    string              `json:"phase"`
-	Measured bool                `json:"measured"` // it belongs to the measured part of its phase
+	Measured bool                `json:"measured"` // whether it belongs to the measured part of its phase
 	Leader   string              `json:"leader"`
 	Nodes    []NodeSample        `json:"nodes"`
 	State    Usage               `json:"state_process"`
 	Counts   standin.StateCounts `json:"state"`
 	Workers  []WorkerSample      `json:"worker_processes"`
 	Hollow   traffic.Count       `json:"hollow"`  // traffic of all hollow workers
-	Run      Usage               `json:"run"`     // hollow workers, users and cloud
-	Up       int                 `json:"workers"` // that are up, hollow ones
+	Run      Usage               `json:"run"`     // the process with hollow workers, users and cloud
+	Up       int                 `json:"workers"` // hollow workers that are up
 	Running  int                 `json:"running"`
 	Starts   uint64              `json:"starts"`
 	Ended    uint64              `json:"ended"`
 }
 
-// swapDirections is traffic as the other side sees it.
+// swapDirections returns the traffic as the other end sees it.
 func swapDirections(c traffic.Count) traffic.Count {
 	return traffic.Count{In: c.Out, Out: c.In, Messages: c.Messages}
 }
 
-// sample looks at everything.
+// sample measures all parts of the run.
 func (w *testbed) sample(begin time.Time, phase string, measured bool) Sample {
 	s := Sample{Size: w.size, Seed: w.seed, AtS: time.Since(begin).Seconds(), Phase: phase, Measured: measured, Up: w.fleet.Workers(), Running: w.fleet.Running()}
 	s.Starts, s.Ended = w.latency.counts()
@@ -94,7 +95,7 @@
 	return s
 }
 
-// writeSample writes a sample down where samples are kept.
+// writeSample writes a sample as a JSON line if the options ask for samples.
 func (w *testbed) writeSample(s Sample) error {
 	if w.options.Samples == nil {
 		return nil
--- a/internal/scaletest/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -9,22 +9,23 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-// noZone is where the state service, the cloud and users are: in the first region, in no zone.
+// noZone is the location of the state service, the cloud and the users: in the first region, outside
+// its zones.
 const noZone = ""
 
-// network knows which parts of the world reach one another, and how long that takes.
+// network simulates the latency and the partitions between zones and regions.
 type network struct {
 	exp *experiment.Experiment
 
 	mu    sync.Mutex
-	zone  string // that is cut off; empty: none
-	apart bool   // the regions do not reach one another
+	zone  string // zone that is partitioned; empty: none
+	apart bool   // whether the regions are partitioned from one another
 	links []*link
 }
 
-// link is the way from one place to another by way of a proxy.
+// link is a proxied path from one location to another.
 type link struct {
-	from, to string // zones
+	from, to string // zones, or noZone
 	proxy    *netproxy.Proxy
 	traffic  traffic.Meter
 }
@@ -36,7 +37,7 @@
 	return n.exp.RegionOf(zone)
 }
 
-// latency is how long a message takes one way.
+// latency returns the one-way latency between two locations.
 func (n *network) latency(from, to string) time.Duration {
 	if n.region(from) == n.region(to) {
 		return 0
@@ -44,7 +45,7 @@
 	return seconds(n.exp.Controllers.RoundTripMS / 2000)
 }
 
-// reaches says whether one place reaches another now.
+// reaches reports whether one location can currently reach another.
 func (n *network) reaches(from, to string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -58,10 +59,10 @@
 	return n.zone == noZone || (from == n.zone) == (to == n.zone)
 }
 
-// isolated says whether a zone is cut off from the first region.
+// isolated reports whether a zone is cut off from the services of the first region.
 func (n *network) isolated(zone string) bool { return !n.reaches(zone, noZone) }
 
-// connect makes the way from one place to an address in another.
+// connect creates a link from one location to an address in another.
 func (n *network) connect(from, to, addr string) (*link, error) {
 	l := &link{from: from, to: to}
 	p, err := netproxy.New(addr, n.latency(from, to), &l.traffic)
@@ -75,7 +76,7 @@
 	return l, nil
 }
 
-// cut has a zone cut off, or the regions apart, or neither.
+// cut partitions a zone, or the regions from one another; noZone and false end all partitions.
 func (n *network) cut(zone string, apart bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -21,13 +21,13 @@
 const (
 	operatorName = "operator"
 	certLife     = 24 * time.Hour
-	lookEvery    = 200 * time.Millisecond // at which revision controllers are
+	lookEvery    = 200 * time.Millisecond // interval at which the controllers' revisions are read
 	lookTimeout  = time.Second
-	durableEvery = 50 * time.Millisecond // a change is asked for again
-	leastLimit   = 0.9                   // of a team's own, that a change gives it
+	durableEvery = 50 * time.Millisecond // interval at which a change request is repeated
+	leastLimit   = 0.9                   // smallest limit that a change sets, as a share of the team's own limit
 )
 
-// operators change the configuration, and watch when it is in force everywhere.
+// operators changes the configuration and measures when all controllers have applied each change.
 type operators struct {
 	world *testbed
 	files certs.Files
@@ -38,13 +38,13 @@
 	made    int
 }
 
-// revisionAt is a revision that is durable, and not in force everywhere yet.
+// revisionAt is a durable revision that not all controllers have applied yet, and when it was durable.
 type revisionAt struct {
 	revision uint64
 	at       time.Time
 }
 
-// newOperators makes the certificates of operators and controllers.
+// newOperators creates the certificates of the operators and controllers.
 func newOperators(w *testbed) (*operators, error) {
 	dir := w.options.Dir
 	if err := certs.MakeCA(dir, "scalerun", certLife); err != nil {
@@ -63,14 +63,14 @@
 	return certs.Files{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), CA: filepath.Join(dir, "ca.pem")}
 }
 
-// settings are what a controller is started with to serve operators.
+// settings returns the settings with which a controller serves operators.
 func (o *operators) settings(listen string) []string {
 	f := filesOf(o.world.options.Dir, "node")
 	return []string{"config.history=" + fmt.Sprint(o.world.exp.Config.History), "operators.listen=" + listen, "operators.cert_file=" + f.Cert,
 		"operators.key_file=" + f.Key, "operators.ca_file=" + f.CA, "operators.operate=" + operatorName}
 }
 
-// run makes bursts of changes until the load ends.
+// run makes bursts of changes until the context is cancelled, when the load ends.
 func (o *operators) run(ctx context.Context) {
 	for {
 		select {
@@ -84,7 +84,7 @@
 	}
 }
 
-// change makes one change, and asks for it until it is durable.
+// change makes one change and repeats the request until the change is durable.
 func (o *operators) change(ctx context.Context) {
 	asked := time.Now()
 	id := fmt.Sprint("change-", o.rng.Uint64())
@@ -103,7 +103,8 @@
 	}
 }
 
-// draw is a change that breaks nothing: a team's limit a little below its own, and a tunable.
+// draw returns a random change with little effect: a team's limit slightly below its own, and a
+// tunable.
 func (o *operators) draw() []config.Change {
 	w := o.world
 	most := w.teamLimit() * (leastLimit + (1-leastLimit)*o.rng.Float64())
@@ -114,10 +115,10 @@
 	}
 }
 
-// errNotDurable is an answer that is to be asked for again.
-var errNotDurable = errors.New("not durable yet")
+// errNotDurable means that the change was not durable in time, so the request must be repeated.
+var errNotDurable = errors.New("change is not durable yet")
 
-// ask makes a request of some controller, and gives the revision once it is durable.
+// ask sends a change to a random controller and returns its revision once it is durable.
 func (o *operators) ask(ctx context.Context, id string, changes []config.Change) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
@@ -153,7 +154,7 @@
 	return 0, errNotDurable
 }
 
-// watch looks at all controllers, and notes what is in force everywhere.
+// watch polls all controllers and records which revisions all of them have applied.
 func (o *operators) watch(ctx context.Context) {
 	client := &http.Client{Timeout: lookTimeout}
 	for ctx.Err() == nil {
@@ -171,7 +172,8 @@
 	}
 }
 
-// lowestRevision is the lowest revision that a controller has; false: one does not answer.
+// lowestRevision returns the lowest revision of all controllers. It returns false if any of them does
+// not answer.
 func (o *operators) lowestRevision(client *http.Client) (least uint64, ok bool) {
 	for i, c := range o.world.controllers {
 		resp, err := client.Get("http://" + c.internal + node.PathComponents + reconfig.Name + "/" + reconfig.ViewHere)
@@ -180,7 +182,7 @@
 		}
 		var here reconfig.LocalView
 		err = json.NewDecoder(resp.Body).Decode(&here)
-		_ = resp.Body.Close() // it was read to its end, or is useless
+		_ = resp.Body.Close() // the body was decoded, or is not used
 		if err != nil || resp.StatusCode != http.StatusOK {
 			return 0, false
 		}
@@ -191,10 +193,10 @@
 	return least, true
 }
 
-// settleWithin is for how long the last changes are waited for.
+// settleWithin is how long a run waits for its last changes to be applied.
 const settleWithin = 11 * time.Second
 
-// settle waits until what was changed is in force everywhere.
+// settle waits until all controllers have applied all changes, or settleWithin has passed.
 func (o *operators) settle(ctx context.Context) {
 	for end := time.Now().Add(settleWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(lookEvery) {
 		if _, waiting := o.counts(); waiting == 0 {
@@ -203,7 +205,7 @@
 	}
 }
 
-// counts says how many changes were made, and how many of them are not in force everywhere.
+// counts returns how many changes were made, and how many of them some controller has not applied yet.
 func (o *operators) counts() (made, waiting int) {
 	if o == nil {
 		return 0, 0
--- a/internal/scaletest/scalerun/process.go
+++ b/internal/scaletest/scalerun/process.go
@@ -15,7 +15,7 @@
 	"github.com/prometheus/procfs"
 )
 
-// process is a child. It ends with this process, whatever becomes of it.
+// process is a child process. The kernel kills it when this process ends for any reason.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
@@ -25,14 +25,14 @@
 	once sync.Once
 }
 
-// Usage is what a process has spent and holds.
+// Usage is the resource usage of a process.
 type Usage struct {
 	CPUSeconds float64 `json:"cpu_s"`
 	RSSBytes   int     `json:"rss_bytes"`
-	Sockets    int     `json:"sockets"` // and other open files
+	Sockets    int     `json:"sockets"` // including other open files
 }
 
-// spawn starts a child whose standard error goes to the log.
+// spawn starts a child process whose standard error goes to the log.
 func spawn(ctx context.Context, name, binary string, log io.Writer, env []string, args ...string) (*process, error) {
 	cmd := exec.CommandContext(ctx, binary, args...)
 	cmd.Stderr = log
@@ -53,7 +53,7 @@
 	return &process{name: name, cmd: cmd, stdin: stdin, lines: bufio.NewReader(stdout)}, nil
 }
 
-// line reads what the child says next.
+// line reads the next line of the child's standard output.
 func (p *process) line() (string, error) {
 	s, err := p.lines.ReadString('\n')
 	if err != nil {
@@ -70,7 +70,7 @@
 	})
 }
 
-// usageOf reads what a process uses; false says that it is gone.
+// usageOf reads the resource usage of a process. It returns false if the process no longer exists.
 func usageOf(pid int) (Usage, bool) {
 	proc, err := procfs.NewProc(pid)
 	if err != nil {
--- a/internal/scaletest/scalerun/result.go
+++ b/internal/scaletest/scalerun/result.go
@@ -15,62 +15,62 @@
 	RoleHollow     = "hollow worker"
 )
 
-// Role is what one process of a role spends, on average while it had that role.
+// Role is the resource usage of one process of a role, averaged over the time that it had the role.
 type Role struct {
 	Role        string  `json:"role"`
-	Processes   float64 `json:"processes"` // mean number
-	CPU         float64 `json:"cpu"`       // of a core
-	RSSMiB      float64 `json:"rss_mib"`   // largest
-	Sockets     int     `json:"sockets"`   // largest number, with other open files
+	Processes   float64 `json:"processes"` // mean number of processes
+	CPU         float64 `json:"cpu"`       // cores
+	RSSMiB      float64 `json:"rss_mib"`   // largest value
+	Sockets     int     `json:"sockets"`   // largest number, including other open files
 	InKBPerS    float64 `json:"in_kb_s"`
 	OutKBPerS   float64 `json:"out_kb_s"`
 	MessagesPS  float64 `json:"messages_s"`
-	PeersKBPerS float64 `json:"peers_kb_s"` // of both directions, with other controllers
+	PeersKBPerS float64 `json:"peers_kb_s"` // traffic with other controllers, in both directions
 }
 
-// StateUse is what is asked of the state service.
+// StateUse is the load on the state service.
 type StateUse struct {
 	RequestsPerS float64 `json:"requests_s"`
 	WritesPerS   float64 `json:"writes_s"`
 	WrittenKBPS  float64 `json:"written_kb_s"`
 	RateLimited  uint64  `json:"rate_limited"`
-	LogKeys      int     `json:"log_keys"` // at the end
+	LogKeys      int     `json:"log_keys"` // at the end of the phase
 	LogKB        float64 `json:"log_kb"`
 	LogKBMost    float64 `json:"log_kb_most"`
 }
 
-// Phase is what one phase of a run has measured.
+// Phase is the result of one phase of a run.
 type Phase struct {
 	Name       string   `json:"phase"`
 	Seconds    float64  `json:"seconds"`
-	Workers    float64  `json:"workers"` // mean, up
-	Running    float64  `json:"running"` // mean, tasks
+	Workers    float64  `json:"workers"` // mean number of workers that are up
+	Running    float64  `json:"running"` // mean number of running tasks
 	Teams      int      `json:"teams"`
 	StartsPerS float64  `json:"starts_s"`
 	EndsPerS   float64  `json:"ends_s"`
 	Roles      []Role   `json:"roles"`
 	State      StateUse `json:"state"`
-	Urgent     Latency  `json:"urgent_start"`  // from the first attempt to submit
-	Prompt     float64  `json:"urgent_prompt"` // share of them that was soon enough
-	Lost       int      `json:"lost"`          // tasks that went without being done: machines and leases lost, cancellations, preemption
+	Urgent     Latency  `json:"urgent_start"`  // from the first attempt to submit the job to the start of a task
+	Prompt     float64  `json:"urgent_prompt"` // share of urgent tasks that started within the time limit
+	Lost       int      `json:"lost"`          // tasks not completed: lost machine or lease, cancelled, preempted
 	Other      Latency  `json:"other_start"`
-	Cancel     Latency  `json:"cancel"`          // from the wish to the answer
-	Recovery   Latency  `json:"recovery"`        // from a machine's loss until a task of it runs again
-	Changed    Latency  `json:"config_durable"`  // from when a change was asked for
-	InForce    Latency  `json:"config_in_force"` // everywhere, from when it was durable
-	NoStartsS  float64  `json:"no_starts_s"`     // seconds in which no task was started
+	Cancel     Latency  `json:"cancel"`          // from the user's decision to cancel to the answer
+	Recovery   Latency  `json:"recovery"`        // from the loss of a task with its machine until it runs again
+	Changed    Latency  `json:"config_durable"`  // from the request for a change until it was durable
+	InForce    Latency  `json:"config_in_force"` // from durable until all controllers applied it
+	NoStartsS  float64  `json:"no_starts_s"`     // total time of the sampling intervals in which no task started
 }
 
-// Result is what one run has measured.
+// Result is the result of one run.
 type Result struct {
 	Experiment string   `json:"experiment"`
 	Size       int      `json:"size"`
 	Seed       uint64   `json:"seed"`
 	Counts     Counts   `json:"counts"`
 	Accepted   uint64   `json:"jobs_accepted"`
-	Over       uint64   `json:"jobs_over"`                // that their users were told to be done or cancelled
-	Changes    int      `json:"config_changes"`           // made
-	Waiting    int      `json:"config_changes_not_there"` // in force everywhere, at the end
+	Over       uint64   `json:"jobs_over"`                // jobs reported to their users as done or cancelled
+	Changes    int      `json:"config_changes"`           // number of changes made
+	Waiting    int      `json:"config_changes_not_there"` // changes not applied everywhere at the end
 	Phases     []Phase  `json:"phases"`
 	Broken     []string `json:"broken"`
 }
@@ -80,7 +80,7 @@
 	miB = 1 << 20
 )
 
-// account adds up what a role spends over samples.
+// account sums the resource usage of a role over samples.
 type account struct {
 	cpu, seconds float64
 	traffic      traffic.Count
@@ -97,7 +97,8 @@
 	a.sockets = max(a.sockets, after.Sockets)
 }
 
-// role gives the account for one process of a role; whole is for how long the phase was measured.
+// role returns the mean usage of one process of a role. The argument whole is the measured duration
+// of the phase in seconds.
 func (a *account) role(name string, whole float64) Role {
 	r := Role{Role: name, RSSMiB: float64(a.rss) / miB, Sockets: a.sockets}
 	if a.seconds == 0 {
@@ -112,7 +113,7 @@
 	return r
 }
 
-// summarize makes the figures of a phase from its samples.
+// summarize computes the result of a phase from its samples.
 func summarize(name string, teams int, samples []Sample, t *times) Phase {
 	p := Phase{Name: name, Teams: teams, Urgent: t.urgent.latency(), Prompt: t.promptShare(), Lost: t.lost, Other: t.other.latency(), Cancel: t.cancel.latency(), Recovery: t.recovery.latency(),
 		Changed: t.changed.latency(), InForce: t.inForce.latency()}
@@ -160,7 +161,7 @@
 	return p
 }
 
-// worker is the sample of a machine's worker; nil: it has no process.
+// worker returns the sample of a machine's worker, or nil if there is none.
 func (s *Sample) worker(machine string) *WorkerSample {
 	i := slices.IndexFunc(s.Workers, func(w WorkerSample) bool { return w.Machine == machine })
 	if i < 0 {
@@ -169,7 +170,7 @@
 	return &s.Workers[i]
 }
 
-// share gives what one of so many in a process spends.
+// share divides the usage of a process by the number of workers in it.
 func (r *Role) share(n float64) {
 	if n == 0 {
 		return
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -13,11 +13,13 @@
 )
 
 const (
-	sampleEvery  = time.Second
-	workersBegin = 3 * time.Second // machines come up spread over this time, and report once, before the load begins
+	sampleEvery = time.Second
+	// workersBegin is the time over which the starts of the machines are spread. The load begins one
+	// report interval later.
+	workersBegin = 3 * time.Second
 )
 
-// Run plays an experiment with so many workers.
+// Run runs an experiment with the given number of workers and seed.
 func Run(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -44,7 +46,7 @@
 	return r, nil
 }
 
-// startMachines has the machines come up.
+// startMachines starts all machines and waits for one report interval.
 func (w *testbed) startMachines() error {
 	for k := range w.size {
 		w.cloud.AddMachine(machineType, w.zoneOf(k), false)
@@ -64,7 +66,7 @@
 	}
 }
 
-// runPhases goes through the phases, and waits until all jobs are over.
+// runPhases runs all phases and waits until all jobs are over or drain_s has passed.
 func (w *testbed) runPhases(r *Result) error {
 	stop, end := context.WithCancel(w.ctx)
 	defer end()
@@ -109,7 +111,7 @@
 	return nil
 }
 
-// drain waits until users have heard of the end of all their jobs, as long as it may take.
+// drain waits until all users have been notified of the end of their jobs, for drain_s at most.
 func (w *testbed) drain(open *sync.WaitGroup) error {
 	over := make(chan struct{})
 	go func() { open.Wait(); close(over) }()
@@ -122,7 +124,7 @@
 	return nil
 }
 
-// runPhase plays one phase and measures it.
+// runPhase runs and measures one phase.
 func (w *testbed) runPhase(p experiment.Phase) (Phase, error) {
 	if _, err := w.watch(p, false, seconds(p.SettleS)); err != nil {
 		return Phase{}, err
@@ -138,7 +140,7 @@
 	return summarize(p.Name, w.exp.Load.Teams, samples, w.latency.turn()), nil
 }
 
-// watch samples for a while.
+// watch samples the run for the given duration and checks for overdue tasks of cancelled jobs.
 func (w *testbed) watch(p experiment.Phase, measured bool, lasts time.Duration) (samples []Sample, err error) {
 	for end := time.Now().Add(lasts); time.Now().Before(end); {
 		s := w.sample(w.users.begin, p.Name, measured)
@@ -160,7 +162,8 @@
 	return samples, nil
 }
 
-// applyEvent does what happens in a phase, and gives what is to be undone at its end.
+// applyEvent injects the event of a phase. It returns a function that ends a partition or an outage
+// that still lasts at the end of the phase.
 func (w *testbed) applyEvent(p experiment.Phase) (undo func()) {
 	undo = func() {}
 	lasts := seconds(p.EventS)
@@ -217,19 +220,19 @@
 	}
 	resp, err := http.Get("http://" + w.stateAddr + pathOutage + "?down=" + flag)
 	if err != nil {
-		w.options.Log.Error("the state service is gone", "error", err)
+		w.options.Log.Error("request to the state service failed", "error", err)
 		return
 	}
-	_ = resp.Body.Close() // the status alone was wanted
+	_ = resp.Body.Close() // the answer has no body
 }
 
-// restart kills a controller, which is back after a while.
+// restart kills a controller and starts it again after the given delay.
 func (w *testbed) restart(c *controller, after time.Duration) {
 	c.kill()
 	time.AfterFunc(after, func() {
 		if w.ctx.Err() == nil {
 			if err := w.start(c); err != nil {
-				w.options.Log.Error("a controller does not come back", "node", c.name, "error", err)
+				w.options.Log.Error("failed to restart a controller", "node", c.name, "error", err)
 			}
 		}
 	})
@@ -244,7 +247,7 @@
 	return names
 }
 
-// loseMachines has machines stop with all that is on them; others take their places after a while.
+// loseMachines stops machines and all tasks on them, and adds replacements after the given delay.
 func (w *testbed) loseMachines(machines []string, replaced time.Duration) {
 	w.latency.fail(machines...)
 	zones := map[string]string{}
@@ -263,7 +266,7 @@
 	})
 }
 
-// failMachines loses and restarts single machines at the rate of ordinary days.
+// failMachines loses and restarts single machines at random, at the rates of the experiment.
 func (w *testbed) failMachines(ctx context.Context) {
 	f := w.exp.Failures
 	perSecond := (f.LossesPerDay + f.RestartsPerDay) * f.Speed * w.exp.Share(w.size) / (24 * time.Hour).Seconds()
@@ -292,7 +295,7 @@
 	}
 }
 
-// MakeDir makes the folder of one run's settings and logs.
+// MakeDir creates the directory for the settings files and logs of one run.
 func MakeDir(parent string, name string) (string, error) {
 	dir := filepath.Join(parent, name)
 	return dir, os.MkdirAll(dir, 0o700)
--- a/internal/scaletest/scalerun/scalerun_test.go
+++ b/internal/scaletest/scalerun/scalerun_test.go
@@ -28,26 +28,27 @@
 	return e
 }
 
-// The same seed and size ask for the same, another seed for something else.
+// TestScheduleRepeats checks that the same seed and size give the same schedule, and another seed a
+// different one.
 func TestScheduleRepeats(t *testing.T) {
 	e := smoke(t)
 	one, counts := schedule(e, 100, 1)
 	again, _ := schedule(e, 100, 1)
 	other, _ := schedule(e, 100, 2)
 	if !reflect.DeepEqual(one, again) || reflect.DeepEqual(one, other) {
-		t.Error("the schedule does not follow the seed")
+		t.Error("the schedule differs for the same seed, or is the same for another seed")
 	}
 	if counts.Jobs != len(one) || counts.Urgent == 0 || counts.Urgent == counts.Jobs || counts.Cancelled == 0 {
 		t.Errorf("%+v", counts)
 	}
 	big, _ := schedule(e, 1000, 1)
 	if ratio := float64(len(big)) / float64(len(one)); ratio < 6 || ratio > 15 {
-		t.Errorf("ten times the workers have %.1f times the jobs", ratio)
+		t.Errorf("ten times the workers have %.1f times the jobs, want about ten times", ratio)
 	}
 }
 
-// A run of 100 workers with real controllers, two workers with processes of their own, and a
-// leader that is killed: all jobs are accepted and over, and no rule is broken.
+// TestSmallRun runs 100 workers with real controllers, two of the workers as processes, and kills the
+// leader. It checks that all jobs are accepted and over, and that no rule is broken.
 func TestSmallRun(t *testing.T) {
 	dir := t.TempDir()
 	build := func(name string) string {
@@ -68,13 +69,13 @@
 	}
 	_, want := schedule(e, 100, 1)
 	if r.Counts != want || int(r.Accepted) != want.Jobs || int(r.Over) != want.Jobs {
-		t.Errorf("asked %+v, accepted %d, over %d, wanted %+v", r.Counts, r.Accepted, r.Over, want)
+		t.Errorf("scheduled %+v, accepted %d, over %d, want %+v", r.Counts, r.Accepted, r.Over, want)
 	}
 	for _, b := range r.Broken {
 		t.Error(b)
 	}
 	if r.Changes < 5 || r.Phases[0].InForce.Count == 0 || r.Waiting > 0 {
-		t.Errorf("%d changes of the configuration, %d not in force everywhere, %+v", r.Changes, r.Waiting, r.Phases[0].InForce)
+		t.Errorf("%d configuration changes, %d not applied by all controllers, latency %+v", r.Changes, r.Waiting, r.Phases[0].InForce)
 	}
 	if len(r.Phases) != 2 || r.Phases[0].Urgent.Count == 0 || r.Phases[0].Other.Count == 0 {
 		t.Fatalf("%+v", r.Phases)
@@ -86,7 +87,8 @@
 	}
 }
 
-// What cannot reach one another in a cut zone, and in regions that are apart.
+// TestNetworkReaches checks which locations can reach one another during a partition of a zone and
+// during a partition between regions.
 func TestNetworkReaches(t *testing.T) {
 	n := &network{exp: smoke(t)}
 	n.cut("east-b", false)
@@ -95,7 +97,7 @@
 		want     bool
 	}{{"east-b", "east-b", true}, {"east-b", "east-a", false}, {noZone, "east-b", false}, {"west-a", noZone, true}} {
 		if got := n.reaches(x.from, x.to); got != x.want {
-			t.Errorf("a zone is cut off: from %q to %q: %v", x.from, x.to, got)
+			t.Errorf("zone partition: reaches from %q to %q is %v", x.from, x.to, got)
 		}
 	}
 	n.cut(noZone, true)
@@ -104,12 +106,13 @@
 		want     bool
 	}{{"west-a", "west-b", true}, {"west-a", "east-b", false}, {noZone, "west-a", false}, {"east-b", noZone, true}} {
 		if got := n.reaches(x.from, x.to); got != x.want {
-			t.Errorf("the regions are apart: from %q to %q: %v", x.from, x.to, got)
+			t.Errorf("partition between regions: reaches from %q to %q is %v", x.from, x.to, got)
 		}
 	}
 }
 
-// A task whose machine was lost is counted once it runs again, and a first start once.
+// TestLatencies checks that the recovery of a task is counted when it runs again after the loss of its
+// machine, and that only its first start counts as a start latency.
 func TestLatencies(t *testing.T) {
 	l := newLatencies(time.Second)
 	l.submitted("j-000001", true)
@@ -127,7 +130,8 @@
 	}
 }
 
-// Controllers of runs beside one another have addresses of their own, and no two of one run the same.
+// TestAddressesAreApart checks that the controllers' addresses are on the loopback address of this
+// process and that no two of them are equal.
 func TestAddressesAreApart(t *testing.T) {
 	addrs, err := freeAddrs(30)
 	if err != nil {
@@ -142,8 +146,9 @@
 	}
 }
 
-// What a worker's process spends is taken from its own samples, in whatever order they stand and
-// whichever others are gone. Paired by their places, each processor's time came out too high.
+// TestWorkersArePairedByMachine checks that the usage of a worker's process is computed from samples
+// of the same machine, whatever their order and even if other workers have disappeared. Pairing them
+// by index had yielded processor times that were too high.
 func TestWorkersArePairedByMachine(t *testing.T) {
 	of := func(machine string, cpu float64, sent uint64) WorkerSample {
 		return WorkerSample{machine, Usage{CPUSeconds: cpu}, traffic.Count{Out: sent}}
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -17,7 +17,7 @@
 	"bitternmoor/internal/wire"
 )
 
-// What the protocol says of users and of their load balancer.
+// Timing and limits of users and their load balancer, as the protocol defines them.
 const (
 	submitTimeout = 5 * time.Second
 	pollTimeout   = 2 * time.Second
@@ -28,7 +28,7 @@
 	answerBytes   = 64 << 10
 )
 
-// controllerClient is a controller as users reach it.
+// controllerClient is the users' HTTP client of one controller.
 type controllerClient struct {
 	url     string
 	zone    string
@@ -36,10 +36,10 @@
 	traffic traffic.Meter
 
 	mu   sync.Mutex
-	skip time.Time // until then nobody is sent there
+	skip time.Time // the load balancer sends no requests there until then
 }
 
-// users submits jobs, asks for them until they are over, and cancels some.
+// users submits jobs, polls them until they are over, and cancels some of them.
 type users struct {
 	net         *network
 	controllers []*controllerClient
@@ -49,7 +49,7 @@
 	latency     *latencies
 	poll        time.Duration
 	begin       time.Time
-	stop        context.Context // jobs that are not over by then are left alone
+	stop        context.Context // when it is cancelled, jobs that are not over are abandoned
 	accepted    atomic.Uint64
 	over        atomic.Uint64
 	told        sync.Map // job -> final wire.JobState
@@ -62,14 +62,14 @@
 	return d
 }
 
-// reply is what a user is answered; status 0: nothing.
+// reply is the answer to a user's request; status 0: there was no answer.
 type reply struct {
 	status int
 	body   []byte
-	after  time.Duration // when to come back
+	after  time.Duration // delay from the Retry-After header
 }
 
-// request sends a request to one controller after the other.
+// request sends a request to the next controller, in rotation.
 func (u *users) request(method, path string, body []byte, timeout time.Duration) reply {
 	ctx, cancel := context.WithTimeout(u.stop, timeout)
 	defer cancel()
@@ -87,7 +87,7 @@
 		d.avoidForAWhile()
 		return reply{}
 	}
-	defer func() { _ = resp.Body.Close() }() // an error of reading is looked at below
+	defer func() { _ = resp.Body.Close() }() // read errors are handled below
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, answerBytes))
 	if err != nil {
 		return reply{}
@@ -97,7 +97,7 @@
 	return reply{resp.StatusCode, raw, time.Duration(after) * time.Second}
 }
 
-// pickController takes the next controller that is not skipped, as the load balancer does.
+// pickController returns the next controller that is not skipped, as the load balancer does.
 func (u *users) pickController() *controllerClient {
 	var d *controllerClient
 	for range u.controllers {
@@ -118,7 +118,7 @@
 	d.skip = time.Now().Add(skipDoorFor)
 }
 
-// sleep waits; false says that the run is over.
+// sleep waits for the duration d. It returns false if the run is over.
 func (u *users) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -130,7 +130,8 @@
 	}
 }
 
-// requestUntilAnswered repeats a request until it has a final answer. 0: it never had one.
+// requestUntilAnswered repeats a request until it has a final answer. It returns status 0 if there is
+// none in time.
 func (u *users) requestUntilAnswered(method, path string, body []byte) reply {
 	for end := time.Now().Add(giveUpAfter); time.Now().Before(end); {
 		r := u.request(method, path, body, submitTimeout)
@@ -145,7 +146,7 @@
 	return reply{}
 }
 
-// runJob is the life of one job, as its user sees it.
+// runJob submits one job and follows it until it is over.
 func (u *users) runJob(j job) {
 	if !u.sleep(time.Until(u.begin.Add(j.at))) {
 		return
@@ -155,7 +156,7 @@
 	r := u.requestUntilAnswered(http.MethodPost, wire.PathJobs, wire.EncodeSubmission(j.describe(u.work)))
 	switch r.status {
 	case 0:
-		return // never accepted
+		return // the job was never accepted
 	case http.StatusOK, http.StatusCreated:
 	default:
 		u.fleet.RuleBroken(fmt.Sprintf("refused: %s is answered %d: %s", id, r.status, r.body))
@@ -182,7 +183,7 @@
 	}
 }
 
-// queryJob asks for a job, and says whether it is over.
+// queryJob requests the state of a job and reports whether the job is over.
 func (u *users) queryJob(id uint64) bool {
 	r := u.request(http.MethodGet, wire.JobPath(id), nil, pollTimeout)
 	if r.status == http.StatusNotFound {
@@ -194,7 +195,7 @@
 	return u.takeAnswer(id, r.body)
 }
 
-// takeAnswer takes what a user is told of a job, and says whether it is over.
+// takeAnswer checks and records the state of a job in an answer, and reports whether the job is over.
 func (u *users) takeAnswer(id uint64, body []byte) bool {
 	name := wire.FormatID(id)
 	state, err := wire.ParseJobAnswer(body)
@@ -227,7 +228,7 @@
 	}
 }
 
-// resubmit asks once more for every job that is over: none may go back.
+// resubmit queries every job that is over once more, to check that its state has not changed.
 func (u *users) resubmit(jobs []job) {
 	for _, j := range jobs {
 		if _, over := u.told.Load(j.name()); over {
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -24,31 +24,31 @@
 	"bitternmoor/internal/settings"
 )
 
-// Options say where a run finds its programs, and where it tells what.
+// Options are the programs that a run starts and the destinations of its output.
 type Options struct {
-	Controller string // the built binary
-	Self       string // this program, whose hidden commands are the state service and the workers
+	Controller string // path of the built controller binary
+	Self       string // path of this program, whose hidden commands run the state service and the workers
 	Log        *slog.Logger
-	Samples    io.Writer // a JSON line for each sample; nil: they are not kept
-	Dir        string    // for settings files and logs
+	Samples    io.Writer // receives a JSON line for each sample; nil: samples are not written
+	Dir        string    // directory for settings files and logs
 }
 
-// controller is a node of the run.
+// controller is a controller of the run.
 type controller struct {
 	name, zone       string
 	public, internal string
-	control          string // where operators change the configuration
+	control          string // address of the operators' listener
 	config           string
 	client           *controllerClient
-	reports          traffic.Meter // of workers, as they see it
+	reports          traffic.Meter // traffic of workers' reports, as the workers see it
 	state, cloud     *link
-	peers            []*link // to the others
+	peers            []*link // to the other controllers, by index; nil for itself
 
 	mu      sync.Mutex
-	process *process // nil: it is down
+	process *process // nil: the controller is down
 }
 
-// workerProcess is a worker with a process of its own.
+// workerProcess is a worker that has its own process.
 type workerProcess struct {
 	process *process
 	addr    string
@@ -56,7 +56,7 @@
 	last    traffic.Count
 }
 
-// testbed is everything of one run.
+// testbed holds all parts of one run.
 type testbed struct {
 	exp         *experiment.Experiment
 	size        int
@@ -70,12 +70,12 @@
 	cloud       *standin.Cloud
 	latency     *latencies
 	users       *users
-	operators   *operators // nil: nobody changes the configuration
+	operators   *operators // nil: the configuration is not changed
 	state       *process
 	stateAddr   string
 	controllers []*controller
 	jobs        []job
-	counts      Counts // of the jobs
+	counts      Counts // numbers of jobs and tasks
 
 	mu      sync.Mutex
 	remotes map[string]*workerProcess // by machine
@@ -105,7 +105,7 @@
 	return w, nil
 }
 
-// close ends all processes and listeners of the run.
+// close kills all processes and closes all listeners of the run.
 func (w *testbed) close() {
 	for _, c := range w.controllers {
 		c.kill()
@@ -139,7 +139,8 @@
 
 func ftoa(v float64) string { return strconv.FormatFloat(v, 'g', -1, 64) }
 
-// zoneOf is where a machine stands: those with a process of their own in the first zone.
+// zoneOf returns the zone of a machine. Machines whose workers have a process each are in the first
+// zone.
 func (w *testbed) zoneOf(machine int) string {
 	zones := w.exp.Zones()
 	if machine < w.exp.Workers.Processes {
@@ -173,15 +174,16 @@
 	return nil
 }
 
-// machineBoot is how long a rented machine takes to come up.
+// machineBoot is the boot time of a rented machine.
 const machineBoot = 20 * time.Second
 
-// teamLimit is how many processors a team may use; 0: any number.
+// teamLimit returns how many processors a team may use; 0: no limit.
 func (w *testbed) teamLimit() float64 {
 	return float64(int(w.exp.Load.TeamShare * float64(w.size) * w.exp.Workers.CPUs))
 }
 
-// address begins a listener for a machine's worker, or the process of a worker.
+// address starts the process of a machine's worker, or a listener for a hollow worker, and returns its
+// address.
 func (w *testbed) address(m standin.Machine) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -191,7 +193,7 @@
 			w.remotes[m.Name] = r
 			return r.addr
 		}
-		w.options.Log.Error("a worker's process does not start", "error", err)
+		w.options.Log.Error("failed to start the process of a worker", "error", err)
 	}
 	addr, err := w.serve(&w.fleet.Direct, http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		h := w.fleet.Handler(m.Name)
@@ -202,12 +204,12 @@
 		h.ServeHTTP(out, r)
 	}))
 	if err != nil {
-		w.options.Log.Error("a worker has no address", "machine", m.Name, "error", err)
+		w.options.Log.Error("failed to listen for a worker", "machine", m.Name, "error", err)
 	}
 	return addr
 }
 
-// serve begins a server that ends with the run; the caller holds the lock.
+// serve starts an HTTP server that runs until the end of the run. The caller holds the lock.
 func (w *testbed) serve(traffic *traffic.Meter, h http.Handler) (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -215,16 +217,16 @@
 	}
 	server := &http.Server{Handler: h, ReadHeaderTimeout: serverTimeout}
 	w.servers = append(w.servers, server)
-	go func() { _ = server.Serve(countingListener{l, traffic}) }() // until it is closed
+	go func() { _ = server.Serve(countingListener{l, traffic}) }() // runs until it is closed
 	return l.Addr().String(), nil
 }
 
 const serverTimeout = 5 * time.Second
 
-// unreachableFor is how long a call to a machine that is gone or cut off has no answer.
+// unreachableFor is how long a request to a stopped or partitioned machine waits before it is aborted.
 const unreachableFor = 3 * time.Second
 
-// countingListener is a listener whose connections' traffic is counted.
+// countingListener counts the traffic of the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	traffic *traffic.Meter
@@ -254,7 +256,7 @@
 	return w.remotes[machine]
 }
 
-// startMachine begins a machine's worker.
+// startMachine starts the worker of a machine.
 func (w *testbed) startMachine(m standin.Machine) {
 	r := w.workerProcess(m.Name)
 	if r == nil {
@@ -263,13 +265,13 @@
 	}
 	order := workerOrder{Machine: m, Doors: w.fleet.Controllers, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
 	if err := json.NewEncoder(r.process.stdin).Encode(order); err != nil {
-		w.options.Log.Error("a worker's process is gone", "machine", m.Name, "error", err)
+		w.options.Log.Error("failed to configure the process of a worker", "machine", m.Name, "error", err)
 		return
 	}
 	go r.readNotes(m.Name, w.fleet)
 }
 
-// readNotes takes what a worker's process tells, until it ends.
+// readNotes processes and acknowledges the notes of a worker's process until it ends.
 func (r *workerProcess) readNotes(machine string, fleet *standin.Fleet) {
 	for {
 		line, err := r.process.line()
@@ -303,30 +305,30 @@
 	w.fleet.StopWorker(m)
 }
 
-// host is the loopback address of the controllers of this process's runs. Runs beside one another
-// have their own, since a port that is free now is taken only once a controller has begun: two runs
-// that were started together had taken the same ports, and served one another's jobs.
+// host returns the loopback address for the controllers of this process's runs. It differs between
+// concurrent processes because a free port is not reserved until a controller listens on it: two
+// runs that were started together had picked the same ports and served one another's jobs.
 func host() string {
 	const digits = 254
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+pid/digits%digits, 1+pid%digits)
 }
 
-// freeAddrs finds so many addresses that nobody listens at.
+// freeAddrs returns the given number of addresses with free ports.
 func freeAddrs(count int) (addrs []string, err error) {
 	for range count {
 		l, err := net.Listen("tcp4", host()+":0")
 		if err != nil {
 			return nil, err
 		}
-		// Not before all are found: otherwise one may be found twice.
+		// Listeners are closed only after all ports are found; otherwise a port could be found twice.
 		defer func() { _ = l.Close() }()
 		addrs = append(addrs, l.Addr().String())
 	}
 	return addrs, nil
 }
 
-// addrsOfController is how many addresses one has.
+// addrsOfController is the number of addresses of a controller.
 const addrsOfController = 3
 
 func (w *testbed) makeControllers() error {
@@ -358,7 +360,7 @@
 	return nil
 }
 
-// connect makes a controller's ways to all others, and its settings.
+// connect creates the links from a controller to the services and its peers, and writes its settings.
 func (w *testbed) connect(c *controller, cloud string) (err error) {
 	if c.state, err = w.network.connect(c.zone, noZone, w.stateAddr); err != nil {
 		return err
@@ -387,7 +389,7 @@
 	return os.WriteFile(c.config, raw, 0o600)
 }
 
-// platform is what the platform would tell a controller.
+// platform returns the part of a controller's settings that the platform provides.
 func (w *testbed) platform(c *controller) settings.Platform {
 	e := w.exp
 	var p settings.Platform
@@ -413,7 +415,7 @@
 	return p
 }
 
-// start begins a controller's process.
+// start starts the process of a controller.
 func (w *testbed) start(c *controller) error {
 	args := []string{"--config", c.config}
 	set := w.exp.Controllers.Set
@@ -442,7 +444,8 @@
 	}
 }
 
-// usage is what the controller's process uses; false says that it is down.
+// usage returns the resource usage and PID of the controller's process. It returns false if the
+// controller is down.
 func (c *controller) usage() (Usage, int, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -454,18 +457,18 @@
 	return u, pid, ok
 }
 
-// observe looks at the state service.
+// observe reads the counters and the leader from the state service's process.
 func (w *testbed) observe() (o observed, err error) {
 	client := http.Client{Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + w.stateAddr + pathObserve)
 	if err != nil {
 		return o, err
 	}
-	defer func() { _ = resp.Body.Close() }() // an error of reading is returned
+	defer func() { _ = resp.Body.Close() }() // read errors are returned
 	return o, json.NewDecoder(resp.Body).Decode(&o)
 }
 
-// awaitLeader waits until somebody leads.
+// awaitLeader waits until there is a leader, for HealthyWithS at most.
 func (w *testbed) awaitLeader() error {
 	for end := time.Now().Add(seconds(w.exp.Controllers.HealthyWithS)); time.Now().Before(end); {
 		if o, err := w.observe(); err == nil && o.Leader != "" {
@@ -477,5 +480,5 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("nobody leads after %v s; %s has the logs", w.exp.Controllers.HealthyWithS, w.log.Name())
+	return fmt.Errorf("no leader elected within %v s; the logs are in %s", w.exp.Controllers.HealthyWithS, w.log.Name())
 }
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -10,22 +10,21 @@
 	"time"
 )
 
-// Recorder is told of each task that begins, or is gone, on a machine before its worker says so
-// to anybody.
+// Recorder records the start and end of each task on a machine before the worker reports it to a
+// controller.
 type Recorder interface {
 	Started(task, machine string, attempt uint64)
 	Ended(task, machine string, done bool)
 }
 
-// audit is what really runs, against which the platform's rules are checked. The lock of its
-// fleet guards it.
+// audit records which tasks actually run, to check the platform's rules. The fleet's mutex guards it.
 type audit struct {
 	runningOn   map[string]string // task -> machine
-	attempts    map[string]uint64 // of the tasks that run
-	done        map[string]bool   // tasks
+	attempts    map[string]uint64 // by running task
+	done        map[string]bool   // completed tasks
 	cpusUsed    map[string]float64
-	cancelledAt map[string]time.Time // by job: when its user was told
-	poolLimits  map[string]int       // units of pools
+	cancelledAt map[string]time.Time // by job: when its user was first notified of its cancellation
+	poolLimits  map[string]int       // number of units by pool
 	poolPeaks   map[string]int
 	brokenRules []string
 }
@@ -41,18 +40,18 @@
 	f.brokenRules = append(f.brokenRules, fmt.Sprintf(rule, args...))
 }
 
-// JobOf is the job of a task, by its name.
+// JobOf returns the name of the job that a task belongs to.
 func JobOf(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
 }
 
-// Started checks the rules that concern a start, and notes it.
+// Started records the start of a task and checks the rules on starts.
 func (f *Fleet) Started(task, machine string, attempt uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.gone[machine] {
-		return // the answer was on its way as the machine went
+		return // the machine was removed while the answer was in flight
 	}
 	f.beginAudit()
 	job := JobOf(task)
@@ -80,7 +79,7 @@
 	}
 }
 
-// Ended notes that a task is gone from a machine.
+// Ended records that a task no longer runs on a machine.
 func (f *Fleet) Ended(task, machine string, done bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,7 +102,7 @@
 	}
 }
 
-// countTeam holds what a team's tasks use against its limit.
+// countTeam updates the number of processors that a team uses, and checks it against the team's limit.
 func (f *Fleet) countTeam(job string, by float64) {
 	if f.Team == nil {
 		return
@@ -115,8 +114,8 @@
 	}
 }
 
-// countUnits holds what is held by what really runs against the limits of the pools that a
-// task needs which has just started.
+// countUnits counts the units that running tasks hold, and checks them against the limits of the
+// pools that the just started task needs.
 func (f *Fleet) countUnits(started string) {
 	held := map[string]int{}
 	for t := range f.runningOn {
@@ -132,8 +131,8 @@
 	}
 }
 
-// Cancelled notes that a user was told that a job is cancelled: from CancelWithin later on
-// nothing of it may run.
+// Cancelled records that a user was notified of a job's cancellation. None of its tasks may run once
+// CancelWithin has passed.
 func (f *Fleet) Cancelled(job string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +142,7 @@
 	}
 }
 
-// Overdue checks that nothing of a cancelled job runs past its time.
+// Overdue checks that no task of a cancelled job runs for longer than CancelWithin.
 func (f *Fleet) Overdue() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -154,21 +153,21 @@
 	}
 }
 
-// RuleBroken notes a broken rule that somebody else has seen.
+// RuleBroken records a broken rule that was detected outside the fleet.
 func (f *Fleet) RuleBroken(rule string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.brokenRules = append(f.brokenRules, rule)
 }
 
-// BrokenRules lists the rules that were broken.
+// BrokenRules returns the broken rules recorded so far.
 func (f *Fleet) BrokenRules() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.brokenRules)
 }
 
-// SetPoolLimit says how many units of a pool there are.
+// SetPoolLimit sets the number of units in a pool.
 func (f *Fleet) SetPoolLimit(pool string, units int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,28 +177,28 @@
 	f.poolLimits[pool] = units
 }
 
-// PoolPeak is the most units of a pool that were ever held at once.
+// PoolPeak returns the largest number of units of a pool held at the same time.
 func (f *Fleet) PoolPeak(pool string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.poolPeaks[pool]
 }
 
-// Running counts the tasks that run.
+// Running returns the number of running tasks.
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.runningOn)
 }
 
-// Busy lists the machines on which something runs, in no order.
+// Busy lists the machine of each running task, in no particular order.
 func (f *Fleet) Busy() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Values(f.runningOn))
 }
 
-// MachinesRunning lists the machines on which tasks of a job run.
+// MachinesRunning lists the machine of each running task of a job.
 func (f *Fleet) MachinesRunning(job string) []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -212,7 +211,7 @@
 	return out
 }
 
-// Finished says whether all tasks of a job have completed.
+// Finished reports whether all tasks of a job have completed.
 func (f *Fleet) Finished(job string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +227,7 @@
 	return true
 }
 
-// Attempts gives the tasks that run now, with their attempts.
+// Attempts returns the running tasks with their attempt numbers.
 func (f *Fleet) Attempts() iter.Seq2[string, uint64] {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -14,30 +14,32 @@
 	"bitternmoor/internal/wire"
 )
 
-// Machine is a machine as the cloud lists it.
+// Machine is a machine in the cloud's list.
 type Machine = eventlog.Machine
 
-// machinesPerPage is the most that one list gives.
+// machinesPerPage is the maximum number of machines in one page of the list.
 const machinesPerPage = 500
 
-// Cloud rents machines. The zero value has as many as are asked for, of one type in zone a.
+// Cloud is a simulated cloud that rents machines. The zero value has one machine type in zone a and
+// unlimited capacity.
 type Cloud struct {
-	// Up is called for each machine that is up and Down for each that is deleted, where they
-	// are set.
+	// Up is called for each machine that has booted, and Down for each one that is deleted or
+	// fails. Either may be nil.
 	Up, Down func(m Machine)
-	// Address gives the address of a machine's worker. Where it is not set nobody listens there.
+	// Address returns the address of a machine's worker. If it is nil, machines get an address
+	// that nothing listens on.
 	Address  func(m Machine) string
-	Types    []eventlog.MachineType // empty: one of 4 processors in zone a
-	Capacity map[string]int         // most machines, by zone; nil: any number
-	Boot     time.Duration          // from a rental until Up
+	Types    []eventlog.MachineType // empty: one type with 4 processors in zone a
+	Capacity map[string]int         // maximum number of machines by zone; nil: unlimited
+	Boot     time.Duration          // time from a rental until Up is called
 
 	mu       sync.Mutex
-	rented   map[string][]string // by request
+	rented   map[string][]string // machine names by the name of the rental request
 	machines map[string]*rental
 	made     int
 }
 
-// rental is a machine and what the cloud knows of it.
+// rental is a rented machine, its time of rental, and whether it has failed.
 type rental struct {
 	Machine
 	at     time.Time
@@ -58,7 +60,7 @@
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody))
 	if err != nil {
-		return // whoever asked is gone
+		return // the client has disconnected
 	}
 	out := c.serve(r, body)
 	w.WriteHeader(out.status)
@@ -131,7 +133,7 @@
 	return reply{http.StatusOK, wire.RentalAnswer(names)}
 }
 
-// freeCapacity is how many more machines a zone has; the caller holds the lock.
+// freeCapacity returns how many more machines a zone can provide. The caller holds the lock.
 func (c *Cloud) freeCapacity(zone string) int {
 	left := c.Capacity[zone]
 	for _, m := range c.machines {
@@ -142,7 +144,7 @@
 	return left
 }
 
-// FreeCapacity is how many more machines a zone has, where there is a capacity.
+// FreeCapacity returns how many more machines a zone can provide. Capacity must be set.
 func (c *Cloud) FreeCapacity(zone string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -174,7 +176,8 @@
 	}
 }
 
-// AddMachine has a machine up that nobody has asked for, as after a request whose answer was lost.
+// AddMachine adds a running machine without a rental request, as after a request whose answer was
+// lost.
 func (c *Cloud) AddMachine(kind, zone string, spot bool) Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,14 +196,14 @@
 	}
 }
 
-// PreemptMachine has the cloud take a machine back, without a word to its worker's controllers.
+// PreemptMachine removes a machine as the cloud's preemption does, without notice to the controllers.
 func (c *Cloud) PreemptMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.removeMachine(name)
 }
 
-// FailMachine has a machine stop with all that is on it; it stays listed, as failed, until it is deleted.
+// FailMachine stops a machine and all tasks on it. It stays in the list as failed until it is deleted.
 func (c *Cloud) FailMachine(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -212,7 +215,7 @@
 	}
 }
 
-// Machines lists the machines that there are, failed ones left out, in the order of their names.
+// Machines returns all machines that have not failed, sorted by name.
 func (c *Cloud) Machines() (list []Machine) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scaletest/standin/doc.go
+++ b/internal/scaletest/standin/doc.go
@@ -1,7 +1,7 @@
-// Package standin has stand-ins of what controllers talk to over real sockets: the state
-// service, the cloud, and the workers of its machines. They speak the platform's protocol, as
-// package wire has it, and check its rules. Tests use them, and cmd/scalerun.
+// Package standin simulates the services that controllers talk to over real sockets: the state
+// service, the cloud, and the workers of its machines. They implement the platform's protocol as
+// defined in package wire, and check its rules. Tests and cmd/scalerun use them.
 //
-// A worker here is hollow: it reports, keeps its lease and carries commands out like any, but
-// its tasks and image fetches are timers. It models no gangs, no saving and no room of its own.
+// A simulated (hollow) worker reports, keeps its lease and carries out commands like a real one, but
+// its tasks and image fetches are timers. It models no gangs, no checkpoints and no capacity limit.
 package standin
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -10,73 +10,75 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-// Fleet plays the workers of a cloud's machines: each reports to one controller at a time and
-// runs what it is told to, and the rules that concern a start are checked.
+// Fleet simulates the workers of a cloud's machines. Each worker reports to one controller at a time
+// and carries out its commands; the fleet checks the platform's rules on running tasks.
 type Fleet struct {
-	Controllers       []string // base addresses of the controllers, which are called n0, n1, …
+	Controllers       []string // base URLs of the controllers, which are named n0, n1, …
 	HeartbeatInterval time.Duration
 	Lease             time.Duration
-	// ReportsChangesAtOnce has changes reported at once, though half a second after the last report at the
-	// soonest, and intervals differ by a quarter, as the protocol has it.
+	// ReportsChangesAtOnce makes workers report changes at once, but no sooner than half a second
+	// after the last report, and varies the intervals by up to a quarter, as the protocol requires.
 	ReportsChangesAtOnce bool
-	// Fetch is how long a machine takes to get an image that it does not have.
+	// Fetch is the time that a machine takes to fetch an image that is not in its cache.
 	Fetch time.Duration
-	// Image names the image of a job; nil: no machine has to get any.
+	// Image returns the image of a job; nil: tasks need no image.
 	Image func(job string) string
-	// JobDuration says how long tasks of a job run, and which jobs must be done before.
+	// JobDuration returns the run time of a job's tasks, and the jobs that must be done first.
 	JobDuration func(job string) (time.Duration, []string)
-	// TaskDuration, where it is set, says it for each task instead.
+	// TaskDuration, if set, returns the run time of each task and replaces that of JobDuration.
 	TaskDuration func(task string) time.Duration
-	// TaskCount is how many tasks a job has.
+	// TaskCount returns the number of tasks in a job.
 	TaskCount func(job string) int
-	// PoolUnits, where it is set, says how many units of which pools each task of a job
-	// holds while it runs; more than SetPoolLimit allows are a broken rule.
+	// PoolUnits, if set, returns how many units of which pools each task of a job holds while it
+	// runs. Holding more than SetPoolLimit allows is a broken rule.
 	PoolUnits func(job string) map[string]int
-	// Team, where it is set, says whose a job is, how many processors each of its tasks uses,
-	// and how many the team may use; 0: any number.
+	// Team, if set, returns the team of a job, how many processors each of its tasks uses, and how
+	// many the team may use; 0: no limit.
 	Team func(job string) (team string, cpus, limit float64)
-	// CancelWithin is how long tasks of a job may run on after its user was told.
+	// CancelWithin is how long tasks of a job may keep running after its user was notified of the
+	// cancellation.
 	CancelWithin time.Duration
-	// Record is told of starts and ends in place of the fleet itself.
+	// Record, if set, receives the starts and ends of tasks instead of the fleet itself.
 	Record Recorder
-	// Observe, where it is set, hears what happens. It must not call the fleet.
+	// Observe, if set, is called for each event while the fleet's lock is held, so it must not
+	// call the fleet.
 	Observe func(Event)
-	// Reaches, where it is set, says whether a zone's workers reach a controller, and how
-	// long a message takes one way.
+	// Reaches, if set, reports whether a zone's workers can reach a controller, and the one-way
+	// latency.
 	Reaches func(zone string, controller int) (ok bool, latency time.Duration)
-	// Traffic counts what is sent to each controller; nil: it is not counted.
+	// Traffic counts the traffic with each controller, as workers see it; nil: it is not counted.
 	Traffic []*traffic.Meter
-	// Direct counts what controllers send to workers.
+	// Direct counts the traffic of controllers' direct requests to workers.
 	Direct traffic.Meter
 
 	mu             sync.Mutex
 	workers        map[string]*worker
-	paused         map[string]time.Time // machines whose workers make no reports until then
-	answersDropped map[string]time.Time // machines that answers do not reach until then
-	copyDelay      time.Duration        // a copy of one in four reports arrives so much later at most; 0: none
-	lateCopies     int                  // copies that did arrive
+	paused         map[string]time.Time // by machine: its worker sends no reports until then
+	answersDropped map[string]time.Time // by machine: answers to its reports are lost until then
+	copyDelay      time.Duration        // largest delay of copied reports; 0: no copies
+	lateCopies     int                  // number of copies that arrived
 	gone           map[string]bool
 	audit
 }
 
-// EventKind says what has happened on a machine.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 // Kinds of events.
 const (
-	TaskStarted   EventKind = iota // Task runs on Machine
-	TaskCompleted                  // and is done
-	TaskLost                       // and is gone from it without being done
+	TaskStarted   EventKind = iota // Task has started on Machine
+	TaskCompleted                  // Task has completed on Machine
+	TaskLost                       // Task has ended on Machine without completing
 )
 
-// Event is something that has happened on a machine.
+// Event is a start or an end of a task on a machine.
 type Event struct {
 	Kind          EventKind
 	Task, Machine string
 	At            time.Time
 }
 
-// StartWorker begins a machine's worker, which ends with StopWorker.
+// StartWorker starts the worker of a machine, which runs until StopWorker.
 func (f *Fleet) StartWorker(m Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +91,7 @@
 	go w.run()
 }
 
-// StopWorker has a machine's worker end, with all that is on it.
+// StopWorker stops the worker of a machine and all tasks on it.
 func (f *Fleet) StopWorker(m Machine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,14 +109,14 @@
 	}
 }
 
-// Workers counts those that are up.
+// Workers returns the number of workers that are up.
 func (f *Fleet) Workers() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.workers)
 }
 
-// Handler is what a machine's worker serves at its address; nil: there is none.
+// Handler returns the HTTP handler of a machine's worker, or nil if it has no worker.
 func (f *Fleet) Handler(machine string) http.Handler {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,8 +126,8 @@
 	return nil
 }
 
-// PauseWorker has a machine's worker make no reports for a while; what runs there runs on
-// until its lease is over.
+// PauseWorker stops the reports of a machine's worker for the duration d. Its tasks keep running
+// until its lease expires.
 func (f *Fleet) PauseWorker(machine string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -135,7 +137,7 @@
 	f.paused[machine] = time.Now().Add(d)
 }
 
-// DropAnswers has a machine's reports arrive, and no answer reach it, for a while.
+// DropAnswers loses the answers to a machine's reports for the duration d; the reports still arrive.
 func (f *Fleet) DropAnswers(machine string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,21 +147,22 @@
 	f.answersDropped[machine] = time.Now().Add(d)
 }
 
-// RepeatHeartbeats has a copy of one in four reports arrive at some controller, so much later at most.
+// RepeatHeartbeats sends a copy of one in four reports to a random controller, up to the given time
+// after the original.
 func (f *Fleet) RepeatHeartbeats(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copyDelay = within
 }
 
-// LateCopies counts the copies of reports that arrived.
+// LateCopies returns how many copies of reports have arrived.
 func (f *Fleet) LateCopies() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lateCopies
 }
 
-// troubles is what a machine's worker meets now.
+// troubles are the faults that currently affect a machine's worker.
 type troubles struct {
 	gone, paused, answersDropped bool
 	copyDelay                    time.Duration
@@ -179,14 +182,14 @@
 	return f
 }
 
-// controllerNumber is the controller with a name.
+// controllerNumber returns the index of the controller with a name, and false if there is none.
 func (f *Fleet) controllerNumber(name string) (int, bool) {
 	number, ok := strings.CutPrefix(name, "n")
 	i, err := strconv.Atoi(number)
 	return i, ok && err == nil && i >= 0 && i < len(f.Controllers)
 }
 
-// traffic counts what is sent to a controller.
+// traffic returns the meter of the traffic with a controller, or an unused one if none is set.
 func (f *Fleet) traffic(controller int) *traffic.Meter {
 	if controller < len(f.Traffic) {
 		return f.Traffic[controller]
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -18,8 +18,8 @@
 	return out
 }
 
-// A follower is told of a change as it comes, and a hold that nobody renews takes its key away:
-// the leaders of a scale run are elected by both.
+// TestStateFollowsAndHolds checks that a watch returns when a key changes, and that an expired lease
+// removes its key. Leader election in scale runs depends on both.
 func TestStateFollowsAndHolds(t *testing.T) {
 	store := &StateService{}
 	server := httptest.NewServer(store)
@@ -34,21 +34,21 @@
 	go func() { told <- c.Watch(ctx, "lead/", view.Revision, 10*time.Second) }()
 	hold, ok := c.CreateLease(ctx, 300*time.Millisecond)
 	if won, _ := c.Claim(ctx, "n0", view, hold); !ok || !won {
-		t.Fatal("nobody could lead")
+		t.Fatal("the leadership could not be claimed")
 	}
 	if !<-told {
-		t.Error("the follower was not told of the claim")
+		t.Error("the watch did not report the claim")
 	}
 	view, _ = c.ReadLeadership(ctx)
 	if view.Holder == nil || !c.Watch(ctx, "lead/", view.Revision, 10*time.Second) {
-		t.Fatal("the follower was not told that the hold has ended")
+		t.Fatal("the watch did not report the expiry of the lease")
 	}
 	if view, _ = c.ReadLeadership(ctx); view.Holder != nil || view.Epoch != 1 {
-		t.Errorf("the key of a hold that has ended is there yet: %+v", view)
+		t.Errorf("the key of an expired lease still exists: %+v", view)
 	}
 }
 
-// What is over a limit is refused, and counted.
+// TestStateLimits checks that changes over the rate limit are refused and counted.
 func TestStateLimits(t *testing.T) {
 	store := &StateService{}
 	store.LimitRates(1000, 2)
@@ -63,8 +63,8 @@
 	}
 }
 
-// A cloud that is full says so, an answered request rents nothing more, and a failed machine
-// makes room.
+// TestCloudCapacity checks that a full cloud reports that it has no capacity, that a repeated request
+// rents no more machines, and that a failed machine frees capacity.
 func TestCloudCapacity(t *testing.T) {
 	cloud := &Cloud{Capacity: map[string]int{"a": 3}}
 	server := httptest.NewServer(cloud)
@@ -82,7 +82,7 @@
 	}
 	cloud.FailMachine("host-000001")
 	if n, _ := rent("r4", 2); n != 1 {
-		t.Errorf("%d machines in the place of a failed one", n)
+		t.Errorf("%d machines were rented in place of a failed one, want 1", n)
 	}
 	list, err := c.List(ctx)
 	if err != nil || len(list) != 4 || !list[0].Failed {
@@ -90,7 +90,7 @@
 	}
 }
 
-// Each rule that the fleet checks is seen when it is broken.
+// TestFleetChecks checks that the fleet detects each of four broken rules.
 func TestFleetChecks(t *testing.T) {
 	f := &Fleet{TaskCount: func(string) int { return 1 }, Team: func(string) (string, float64, float64) { return "team", 2, 3 },
 		JobDuration: func(job string) (time.Duration, []string) {
@@ -100,8 +100,8 @@
 			return 0, nil
 		}}
 	f.Started("j-000001/0", "host-1", 1)
-	f.Started("j-000001/0", "host-2", 2) // twice, and over the limit
-	f.Started("j-000002/0", "host-3", 3) // before the one it follows is done
+	f.Started("j-000001/0", "host-2", 2) // runs twice, and exceeds the team's limit
+	f.Started("j-000002/0", "host-3", 3) // starts before the job that it follows is done
 	f.Cancelled("j-000003")
 	time.Sleep(time.Millisecond)
 	f.Started("j-000003/0", "host-4", 4)
@@ -113,13 +113,13 @@
 	}
 	for _, rule := range []string{"ran_twice", "quota", "too_early", "ran_cancelled"} {
 		if !found[rule] {
-			t.Errorf("%s was not seen: %v", rule, f.BrokenRules())
+			t.Errorf("%s was not detected: %v", rule, f.BrokenRules())
 		}
 	}
 }
 
-// A higher token is reported at once, though no more than once in half of a lease: a new leader
-// learns by that what a machine has.
+// TestHigherTokenIsReported checks that a worker reports a higher token at once, but at most once per
+// half of the lease. A new leader learns from this report which tasks a machine has.
 func TestHigherTokenIsReported(t *testing.T) {
 	token, reports := uint64(1), make(chan uint64, 64)
 	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -131,7 +131,7 @@
 		}
 		reports <- report.Token
 		_, _ = w.Write(wire.ReportAnswer(token, nil))
-		token++ // each answer has a higher one
+		token++ // each answer has a higher token
 	}))
 	defer door.Close()
 	f := &Fleet{Controllers: []string{door.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
@@ -144,11 +144,11 @@
 	w := newWorker(f, Machine{Name: "host-2"})
 	w.noteToken(7)
 	if !w.changed {
-		t.Error("a higher token is no change")
+		t.Error("a higher token does not count as a change")
 	}
 	w.changed = false
 	w.noteToken(8)
 	if w.changed || w.token != 8 {
-		t.Error("a second one within half of a lease is")
+		t.Error("a second higher token within half of the lease counts as a change")
 	}
 }
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -17,42 +17,42 @@
 	"bitternmoor/internal/wire"
 )
 
-// What the state service keeps to, whatever its limits are.
+// Fixed limits of the state service, in addition to those that can be set.
 const (
-	changesKept  = 10_000    // for followers
-	pageMost     = 1000      // items
-	pageBytes    = 512 << 10 // of their values
+	changesKept  = 10_000    // changes kept for watches
+	pageMost     = 1000      // items in a page
+	pageBytes    = 512 << 10 // size of the values in a page
 	followAtMost = time.Minute
 )
 
-// StateService is a state service: versions, conditions, holds that end, followers, and limits.
-// The zero value is ready and without limits.
+// StateService simulates the state service: versioned keys, conditional transactions, leases that
+// expire, watches, and limits. The zero value is ready to use and has no limits.
 type StateService struct {
 	mu       sync.Mutex
 	down     bool
-	value    int           // most bytes of a value; 0: any
-	ops      int           // most changes of a transaction; 0: any
-	requests *rate.Limiter // nil: any number
-	writes   *rate.Limiter // nil: any number
+	value    int           // maximum size of a value in bytes; 0: unlimited
+	ops      int           // maximum number of changes in a transaction; 0: unlimited
+	requests *rate.Limiter // nil: unlimited
+	writes   *rate.Limiter // nil: unlimited
 	revision uint64
 	items    map[string]stored
 	holds    map[uint64]*lease
-	changes  []wire.Item   // the last ones; without a value: a removal
-	changed  chan struct{} // closed at the next change
+	changes  []wire.Item   // most recent changes; an item without a value is a removal
+	changed  chan struct{} // closed on the next change; nil: nothing is watching
 	bad      []string
 	counts   StateCounts
 }
 
-// StateCounts is what a state service has done, and what it keeps.
+// StateCounts counts the operations of a state service and the keys it stores.
 type StateCounts struct {
 	Requests     uint64 `json:"requests"`
-	Writes       uint64 `json:"writes"` // changes of transactions, those of failed ones included
+	Writes       uint64 `json:"writes"` // changes in transactions, including those with failed conditions
 	BytesWritten uint64 `json:"bytes_written"`
-	RateLimited  uint64 `json:"rate_limited"` // requests that a limit refused
-	Transactions uint64 `json:"transactions"` // those that were applied
+	RateLimited  uint64 `json:"rate_limited"` // requests refused by a rate limit
+	Transactions uint64 `json:"transactions"` // applied transactions
 	Largest      int    `json:"largest_value_bytes"`
 	Keys         int    `json:"keys"`
-	Bytes        int    `json:"bytes"` // of all values
+	Bytes        int    `json:"bytes"` // size of all values
 }
 
 type stored struct {
@@ -72,19 +72,19 @@
 	defer s.mu.Unlock()
 	s.down = down
 	for _, h := range s.holds {
-		h.renew() // after an outage every hold has its full time
+		h.renew() // after an outage every lease runs for its full duration again
 	}
 }
 
-// SetLimits has larger values and transactions refused from now on.
+// SetLimits sets the size limits of values and transactions; larger ones are refused.
 func (s *StateService) SetLimits(valueBytes, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value, s.ops = valueBytes, ops
 }
 
-// LimitRates has more requests and changes a second refused from now on; bursts of one second's
-// worth are allowed.
+// LimitRates limits requests and changes per second; further ones are refused. A burst may use the
+// limit of one second at once.
 func (s *StateService) LimitRates(requests, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,14 +92,14 @@
 	s.writes = rate.NewLimiter(rate.Limit(writes), int(writes))
 }
 
-// RefusedTransactions lists what was refused as too large.
+// RefusedTransactions lists the values and transactions that were refused as too large.
 func (s *StateService) RefusedTransactions() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.bad)
 }
 
-// Counts says what the service has done; keys and bytes are those below a prefix.
+// Counts returns the service's counts. Keys and Bytes cover only the keys with the prefix.
 func (s *StateService) Counts(prefix string) StateCounts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +113,7 @@
 	return c
 }
 
-// Value reads a key, without a request.
+// Value returns the value of a key. It does not count as a request.
 func (s *StateService) Value(key string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +125,7 @@
 	h.timer.Reset(h.life)
 }
 
-// expireLease ends a hold whose time is over, but for outages.
+// expireLease removes a lease that has expired. During an outage leases do not expire.
 func (s *StateService) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -149,7 +149,7 @@
 	}
 }
 
-// notifyWatchers tells followers of a change.
+// notifyWatchers records a change and wakes all watches.
 func (s *StateService) notifyWatchers(it wire.Item) {
 	s.changes = append(s.changes, it)
 	if n := len(s.changes) - changesKept; n > 0 {
@@ -161,7 +161,7 @@
 	}
 }
 
-// reply is what a request is answered.
+// reply is the answer to a request.
 type reply struct {
 	status int
 	body   []byte
@@ -222,7 +222,7 @@
 		out = s.serve(r, body)
 	}
 	w.WriteHeader(out.status)
-	_, _ = w.Write(out.body) // whoever asked may be gone
+	_, _ = w.Write(out.body) // the client may have disconnected
 }
 
 func (s *StateService) serve(r *http.Request, body []byte) reply {
@@ -301,7 +301,7 @@
 	return reply{http.StatusOK, wire.LeaseAnswer(id)}
 }
 
-// changeLease renews a hold, ID/renew, or ends it.
+// changeLease renews the lease if the path ends in ID/renew, or removes it if the method is DELETE.
 func (s *StateService) changeLease(method, what string) reply {
 	number, renew := strings.CutSuffix(what, "/renew")
 	id, err := strconv.ParseUint(number, 10, 64)
@@ -322,7 +322,7 @@
 	return reply{http.StatusOK, []byte("{}")}
 }
 
-// watch waits until a key with the prefix has changed. It gives up the lock meanwhile.
+// watch waits until a key with the prefix has changed. It releases the lock while it waits.
 func (s *StateService) watch(r *http.Request, q wire.StateQuery) reply {
 	end := time.NewTimer(min(q.Wait, followAtMost))
 	defer end.Stop()
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -14,37 +14,37 @@
 	"bitternmoor/internal/wire"
 )
 
-// What the protocol says of a worker's reports.
+// Timing and size limits of a worker's reports, as the protocol defines them.
 const (
 	heartbeatTimeout   = 4 * time.Second
 	retryPause         = time.Second
-	minHeartbeatPause  = 500 * time.Millisecond // between two reports
+	minHeartbeatPause  = 500 * time.Millisecond // minimum time between two reports
 	pausedPollInterval = 50 * time.Millisecond
-	maxAnswerBytes     = 1 << 20 // bytes
+	maxAnswerBytes     = 1 << 20
 )
 
-// task is one on a machine. It is fetched, runs, and ends.
+// task is a task on a machine. Its image is fetched, it runs, and it ends.
 type task struct {
 	workers.TaskReport
-	until time.Time // the fetch or the run is over
+	until time.Time // end of the fetch or of the run
 }
 
 func (t *task) name() string { return wire.FormatTask(t.Job, t.Task) }
 
-// attempt names a start.
+// attempt identifies an attempt of a task.
 type attempt struct {
 	job    uint64
 	task   int
 	number uint64
 }
 
-// worker is that of one machine.
+// worker is the simulated worker of one machine.
 type worker struct {
 	fleet   *Fleet
 	machine Machine
 	client  *http.Client
-	down    chan struct{} // closed when the machine is gone
-	wake    chan struct{} // something is to be reported
+	down    chan struct{} // closed when the worker is stopped
+	wake    chan struct{} // signals that commands were carried out and may need a report
 
 	mu             sync.Mutex
 	session, seq   uint64
@@ -52,8 +52,8 @@
 	tasks          map[attempt]*task
 	images         map[string]bool
 	leaseRenewedAt time.Time
-	changed        bool      // since the last report
-	tokenRaisedAt  time.Time // when a higher token last counted as a change
+	changed        bool      // whether there is a change since the last report
+	tokenRaisedAt  time.Time // when a higher token was last counted as a change
 	controller     int
 }
 
@@ -67,7 +67,7 @@
 	return w
 }
 
-// run reports until the machine is gone.
+// run sends reports until the worker is stopped.
 func (w *worker) run() {
 	defer w.client.CloseIdleConnections()
 	next := time.Now()
@@ -100,7 +100,7 @@
 	}
 }
 
-// interval is the time to the next report.
+// interval returns the time until the next report.
 func (w *worker) interval() time.Duration {
 	every := w.fleet.HeartbeatInterval
 	if !w.fleet.ReportsChangesAtOnce {
@@ -109,7 +109,7 @@
 	return every*3/4 + rand.N(every/2)
 }
 
-// nextDue is when the worker has something to do next: a report, or the end of a fetch or a run.
+// nextDue returns when the worker must act next: to report, or to end a fetch or a run.
 func (w *worker) nextDue(next, last time.Time) time.Time {
 	if !w.fleet.ReportsChangesAtOnce {
 		return next
@@ -127,7 +127,7 @@
 	return next
 }
 
-// sleep waits until a time or a change; false says that the machine is gone.
+// sleep waits until the given time or a wake-up. It returns false if the worker is stopped.
 func (w *worker) sleep(until time.Time) bool {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
@@ -146,7 +146,7 @@
 	return w.fleet.ReportsChangesAtOnce && w.changed
 }
 
-// dial reaches the controller that the worker is at.
+// dial connects to the worker's current controller and counts the traffic of the connection.
 func (w *worker) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	return w.fleet.traffic(w.currentController()).DialContext(&net.Dialer{Timeout: heartbeatTimeout})(ctx, network, addr)
 }
@@ -157,7 +157,7 @@
 	return w.controller % len(w.fleet.Controllers)
 }
 
-// encodeReport is the worker's report as of now; the caller holds the lock.
+// encodeReport encodes the worker's current report. The caller holds the lock.
 func (w *worker) encodeReport() []byte {
 	w.seq++
 	r := workers.Report{Machine: w.machine.Name, Address: w.machine.Address, Type: w.machine.Type, Zone: w.machine.Zone, Spot: w.machine.Spot,
@@ -168,7 +168,7 @@
 	return wire.EncodeReport(&r)
 }
 
-// sendHeartbeat makes one report; false says that the next controller is to be tried.
+// sendHeartbeat sends one report. It returns false if the next controller must be tried.
 func (w *worker) sendHeartbeat(x troubles) bool {
 	w.mu.Lock()
 	body := w.encodeReport()
@@ -200,7 +200,7 @@
 	w.controller = controller
 }
 
-// post sends a report to a controller; status 0: there was no answer.
+// post sends a report to a controller. It returns status 0 if there was no answer.
 func (w *worker) post(controller int, body []byte) (int, []byte) {
 	var latency time.Duration
 	if w.fleet.Reaches != nil {
@@ -215,7 +215,7 @@
 	if err != nil {
 		return 0, nil
 	}
-	defer func() { _ = resp.Body.Close() }() // an error of reading is looked at below
+	defer func() { _ = resp.Body.Close() }() // read errors are handled below
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return 0, nil
@@ -235,7 +235,8 @@
 	}
 }
 
-// sendLateCopy sends a copy of a report, now and then; nobody hears the answer.
+// sendLateCopy sends a delayed copy of one in four reports, if copies are enabled, and ignores the
+// answer.
 func (w *worker) sendLateCopy(body []byte, within time.Duration) {
 	if within == 0 || rand.IntN(4) > 0 {
 		return
@@ -244,7 +245,7 @@
 	time.AfterFunc(rand.N(within), func() {
 		resp, err := http.Post(controller+wire.PathReports, "application/json", bytes.NewReader(body))
 		if err == nil {
-			_ = resp.Body.Close() // a repeat has no use for its answer
+			_ = resp.Body.Close() // the answer to a copy is not used
 			w.fleet.mu.Lock()
 			w.fleet.lateCopies++
 			w.fleet.mu.Unlock()
@@ -252,7 +253,7 @@
 	})
 }
 
-// applyAnswer carries out the answer to a report, unless its token is an older one.
+// applyAnswer carries out the answer to a report, unless its token is lower than the worker's.
 func (w *worker) applyAnswer(sent time.Time, token uint64, commands []workers.Command) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -264,7 +265,7 @@
 	w.execute(commands)
 }
 
-// noteToken notes a token. A higher one counts as a change no more than once in half of a lease.
+// noteToken stores a token. A higher one counts as a change at most once per half of the lease.
 func (w *worker) noteToken(token uint64) {
 	if now := time.Now(); token > w.token && now.Sub(w.tokenRaisedAt) >= w.fleet.Lease/2 {
 		w.tokenRaisedAt, w.changed = now, true
@@ -272,7 +273,8 @@
 	w.token = token
 }
 
-// advance ends what has been fetched or has run long enough, and everything when the lease is over.
+// advance completes fetches and runs whose time has passed. If the lease has expired, it drops all
+// tasks and begins a new session.
 func (w *worker) advance(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -321,7 +323,7 @@
 	t.State, t.until = workers.Running, time.Now().Add(runs)
 }
 
-// execute carries out commands; the caller holds the lock.
+// execute carries out commands. The caller holds the lock.
 func (w *worker) execute(commands []workers.Command) {
 	for _, c := range commands {
 		key := attempt{c.Job, c.Task, c.Attempt}
@@ -356,11 +358,11 @@
 	w.runTask(t)
 }
 
-// ServeHTTP serves direct commands, and shows the worker's report.
+// ServeHTTP serves direct commands and requests for the worker's report.
 func (w *worker) ServeHTTP(out http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, wire.MaxBody))
 	if err != nil {
-		return // whoever asked is gone
+		return // the client has disconnected
 	}
 	w.fleet.Direct.Message()
 	status, answer := w.serve(r.URL.Path, body)
--- a/internal/scaletest/traffic/meter.go
+++ b/internal/scaletest/traffic/meter.go
@@ -7,42 +7,42 @@
 	"sync/atomic"
 )
 
-// Meter adds up what crosses connections, as seen from this end. The zero value is ready.
+// Meter counts the traffic of connections, as seen from this end. The zero value is ready to use.
 type Meter struct{ in, out, messages atomic.Uint64 }
 
-// Count is a reading of Traffic.
+// Count is a reading of a Meter.
 type Count struct {
 	In       uint64 `json:"bytes_in"`
 	Out      uint64 `json:"bytes_out"`
-	Messages uint64 `json:"messages"` // requests, each with its answer
+	Messages uint64 `json:"messages"` // requests; a request and its answer count as one
 }
 
-// Minus is what has come since an earlier reading.
+// Minus returns the traffic since an earlier reading.
 func (c Count) Minus(earlier Count) Count {
 	return Count{c.In - earlier.In, c.Out - earlier.Out, c.Messages - earlier.Messages}
 }
 
-// Plus adds two readings up.
+// Plus returns the sum of two readings.
 func (c Count) Plus(other Count) Count {
 	return Count{c.In + other.In, c.Out + other.Out, c.Messages + other.Messages}
 }
 
-// Read gives what has been counted so far.
+// Read returns the counts so far.
 func (t *Meter) Read() Count { return Count{t.in.Load(), t.out.Load(), t.messages.Load()} }
 
-// Message counts one request with its answer.
+// Message counts one request and its answer as one message.
 func (t *Meter) Message() { t.messages.Add(1) }
 
-// In counts bytes that were received.
+// In counts received bytes.
 func (t *Meter) In(n int) { t.in.Add(uint64(n)) }
 
-// Out counts bytes that were sent.
+// Out counts sent bytes.
 func (t *Meter) Out(n int) { t.out.Add(uint64(n)) }
 
-// Conn counts what crosses a connection.
+// Conn returns a connection that counts the bytes read and written.
 func (t *Meter) Conn(c net.Conn) net.Conn { return &conn{c, t} }
 
-// DialContext dials like a net.Dialer, and counts what crosses the connections it makes.
+// DialContext returns a dial function like that of a net.Dialer whose connections are counted.
 func (t *Meter) DialContext(d *net.Dialer) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		c, err := d.DialContext(ctx, network, addr)
