--- a/internal/scaletest/experiment/experiment.go
+++ b/internal/scaletest/experiment/experiment.go
@@ -50,13 +50,13 @@
 
 // Controllers configures the controllers and the machine limits that their settings declare.
 type Controllers struct {
-	Count        int
-	RoundTripMS  float64 // between regions
-	RestartS     float64 // delay after which a killed controller restarts
-	CPU, RAMMB   float64 // cores; MiB
-	FDLimit      int
-	Set          []string // operators' settings as SECTION.KEY=VALUE
-	HealthyWithS float64  // time limit for the election of the first leader, after which the run begins
+	Count         int
+	RoundTripMS   float64 // between regions
+	RestartS      float64 // delay after which a killed controller restarts
+	CPU, RAMMB    float64 // cores; MiB
+	FDLimit       int
+	Set           []string // operators' settings as SECTION.KEY=VALUE
+	LeaderWithinS float64  // time limit for the election of the first leader, after which the run begins
 }
 
 // Workers configures the machines and their workers.
@@ -134,30 +134,30 @@
 	read func(string) error
 }
 
-func number(to *float64, least, most float64) func(string) error {
+func parseFloat(to *float64, minimum, maximum float64) func(string) error {
 	return func(s string) error {
 		v, err := strconv.ParseFloat(s, 64)
-		if err != nil || math.IsNaN(v) || v < least || v > most {
-			return fmt.Errorf("must be a number between %v and %v, got %q", least, most, s)
+		if err != nil || math.IsNaN(v) || v < minimum || v > maximum {
+			return fmt.Errorf("must be a number between %v and %v, got %q", minimum, maximum, s)
 		}
 		*to = v
 		return nil
 	}
 }
 
-func whole(to *int, least, most int) func(string) error {
+func parseInt(to *int, minimum, maximum int) func(string) error {
 	return func(s string) error {
 		v, err := strconv.Atoi(s)
-		if err != nil || v < least || v > most {
-			return fmt.Errorf("must be an integer between %d and %d, got %q", least, most, s)
+		if err != nil || v < minimum || v > maximum {
+			return fmt.Errorf("must be an integer between %d and %d, got %q", minimum, maximum, s)
 		}
 		*to = v
 		return nil
 	}
 }
 
-// list splits a comma-separated list and drops empty parts.
-func list(s string) (out []string) {
+// splitList splits a comma-separated list and drops empty parts.
+func splitList(s string) (out []string) {
 	for part := range strings.SplitSeq(s, ",") {
 		if part = strings.TrimSpace(part); part != "" {
 			out = append(out, part)
@@ -169,9 +169,9 @@
 // ParseSizes parses a comma-separated list of numbers of workers.
 func ParseSizes(s string) ([]int, error) {
 	var sizes []int
-	for _, part := range list(s) {
+	for _, part := range splitList(s) {
 		n := 0
-		if err := whole(&n, 1, MostWorkers)(part); err != nil {
+		if err := parseInt(&n, 1, MaxWorkers)(part); err != nil {
 			return nil, err
 		}
 		sizes = append(sizes, n)
@@ -185,7 +185,7 @@
 // ParseSeeds parses a comma-separated list of seeds.
 func ParseSeeds(s string) ([]uint64, error) {
 	var seeds []uint64
-	for _, part := range list(s) {
+	for _, part := range splitList(s) {
 		n, err := strconv.ParseUint(part, 10, 63)
 		if err != nil {
 			return nil, fmt.Errorf("must be non-negative integers below 2^63, got %q", part)
@@ -202,7 +202,7 @@
 func Defaults() Experiment {
 	return Experiment{
 		Sizes: []int{100}, Seeds: []uint64{1}, DrainS: 60,
-		Controllers: Controllers{Count: 3, RestartS: 8, CPU: 1, RAMMB: 512, FDLimit: 4000, HealthyWithS: 20},
+		Controllers: Controllers{Count: 3, RestartS: 8, CPU: 1, RAMMB: 512, FDLimit: 4000, LeaderWithinS: 20},
 		Workers:     Workers{Plan: 100, CPUs: 8, MemoryGB: 32, ReportS: 5, LeaseS: 26.5, CancelS: 51.5, FetchS: 2, Images: 8, Rack: 40},
 		Load:        Load{Teams: 1, Starts: 10, Running: 100, JobTasks: 20, UrgentTasks: 4, UrgentWithinS: 1.6, PollS: 5},
 		State:       State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16},
@@ -221,32 +221,32 @@
 		return []key{
 			{"sizes", func(v string) (err error) { e.Sizes, err = ParseSizes(v); return err }},
 			{"seeds", func(v string) (err error) { e.Seeds, err = ParseSeeds(v); return err }},
-			{"drain_s", number(&e.DrainS, 0, maxSeconds)},
+			{"drain_s", parseFloat(&e.DrainS, 0, maxSeconds)},
 		}
 	case "controllers":
 		return []key{
-			{"count", whole(&c.Count, 1, 17)}, {"round_trip_ms", number(&c.RoundTripMS, 0, 1000)}, {"restart_s", number(&c.RestartS, 0, maxSeconds)},
-			{"cpu", number(&c.CPU, 0.01, 64)}, {"ram_mb", number(&c.RAMMB, 16, 1e6)}, {"fd_limit", whole(&c.FDLimit, 100, 1e6)},
-			{"set", func(v string) error { c.Set = list(v); return nil }},
+			{"count", parseInt(&c.Count, 1, 17)}, {"round_trip_ms", parseFloat(&c.RoundTripMS, 0, 1000)}, {"restart_s", parseFloat(&c.RestartS, 0, maxSeconds)},
+			{"cpu", parseFloat(&c.CPU, 0.01, 64)}, {"ram_mb", parseFloat(&c.RAMMB, 16, 1e6)}, {"fd_limit", parseInt(&c.FDLimit, 100, 1e6)},
+			{"set", func(v string) error { c.Set = splitList(v); return nil }},
 		}
 	case "workers":
 		return []key{
-			{"plan", whole(&w.Plan, 1, MostWorkers)}, {"processes", whole(&w.Processes, 0, MostProcesses)}, {"cpus", number(&w.CPUs, 0.1, 1e4)},
-			{"memory_gb", number(&w.MemoryGB, 0.1, 1e5)}, {"report_s", number(&w.ReportS, 0.5, 600)}, {"lease_s", number(&w.LeaseS, 1, maxSeconds)},
-			{"cancel_s", number(&w.CancelS, 1, maxSeconds)}, {"fetch_s", number(&w.FetchS, 0, 600)}, {"images", whole(&w.Images, 1, 10000)}, {"rack", whole(&w.Rack, 1, MostWorkers)},
+			{"plan", parseInt(&w.Plan, 1, MaxWorkers)}, {"processes", parseInt(&w.Processes, 0, MaxProcesses)}, {"cpus", parseFloat(&w.CPUs, 0.1, 1e4)},
+			{"memory_gb", parseFloat(&w.MemoryGB, 0.1, 1e5)}, {"report_s", parseFloat(&w.ReportS, 0.5, 600)}, {"lease_s", parseFloat(&w.LeaseS, 1, maxSeconds)},
+			{"cancel_s", parseFloat(&w.CancelS, 1, maxSeconds)}, {"fetch_s", parseFloat(&w.FetchS, 0, 600)}, {"images", parseInt(&w.Images, 1, 10000)}, {"rack", parseInt(&w.Rack, 1, MaxWorkers)},
 		}
 	case "load":
 		return []key{
-			{"teams", whole(&l.Teams, 1, 10000)}, {"team_share", number(&l.TeamShare, 0, 1)}, {"starts", number(&l.Starts, 0.1, 1e5)}, {"running", number(&l.Running, 1, 1e6)},
-			{"job_tasks", whole(&l.JobTasks, 1, 50000)}, {"urgent_share", number(&l.UrgentShare, 0, 1)}, {"urgent_tasks", whole(&l.UrgentTasks, 1, 50000)},
-			{"urgent_within_s", number(&l.UrgentWithinS, 0.1, maxSeconds)}, {"cancel_share", number(&l.CancelShare, 0, 1)}, {"poll_s", number(&l.PollS, 0.5, 600)},
+			{"teams", parseInt(&l.Teams, 1, 10000)}, {"team_share", parseFloat(&l.TeamShare, 0, 1)}, {"starts", parseFloat(&l.Starts, 0.1, 1e5)}, {"running", parseFloat(&l.Running, 1, 1e6)},
+			{"job_tasks", parseInt(&l.JobTasks, 1, 50000)}, {"urgent_share", parseFloat(&l.UrgentShare, 0, 1)}, {"urgent_tasks", parseInt(&l.UrgentTasks, 1, 50000)},
+			{"urgent_within_s", parseFloat(&l.UrgentWithinS, 0.1, maxSeconds)}, {"cancel_share", parseFloat(&l.CancelShare, 0, 1)}, {"poll_s", parseFloat(&l.PollS, 0.5, 600)},
 		}
 	case "state":
-		return []key{{"rps", number(&s.RPS, 1, 1e6)}, {"write_rps", number(&s.WriteRPS, 1, 1e6)}, {"value_kb", number(&s.ValueKB, 0.5, 1e6)}, {"txn_ops", whole(&s.TxnOps, 3, 10000)}}
+		return []key{{"rps", parseFloat(&s.RPS, 1, 1e6)}, {"write_rps", parseFloat(&s.WriteRPS, 1, 1e6)}, {"value_kb", parseFloat(&s.ValueKB, 0.5, 1e6)}, {"txn_ops", parseInt(&s.TxnOps, 3, 10000)}}
 	case "config":
-		return []key{{"every_s", number(&e.Config.EveryS, 0, maxSeconds)}, {"burst", whole(&e.Config.Burst, 1, 1000)}, {"history", whole(&e.Config.History, 1, 1000)}}
+		return []key{{"every_s", parseFloat(&e.Config.EveryS, 0, maxSeconds)}, {"burst", parseInt(&e.Config.Burst, 1, 1000)}, {"history", parseInt(&e.Config.History, 1, 1000)}}
 	case "failures":
-		return []key{{"losses_per_day", number(&f.LossesPerDay, 0, 1e6)}, {"restarts_per_day", number(&f.RestartsPerDay, 0, 1e6)}, {"speed", number(&f.Speed, 1, 1e5)}, {"replaced_s", number(&f.ReplacedS, 0, maxSeconds)}}
+		return []key{{"losses_per_day", parseFloat(&f.LossesPerDay, 0, 1e6)}, {"restarts_per_day", parseFloat(&f.RestartsPerDay, 0, 1e6)}, {"speed", parseFloat(&f.Speed, 1, 1e5)}, {"replaced_s", parseFloat(&f.ReplacedS, 0, maxSeconds)}}
 	}
 	return nil
 }
@@ -281,7 +281,7 @@
 	name := section.Name()
 	if region, ok := strings.CutPrefix(name, regionPrefix); ok {
 		r := Region{Name: region}
-		err := readKeys(section, []key{{"zones", func(v string) error { r.Zones = list(v); return nil }}})
+		err := readKeys(section, []key{{"zones", func(v string) error { r.Zones = splitList(v); return nil }}})
 		e.Regions = append(e.Regions, r)
 		return err
 	}
@@ -300,8 +300,8 @@
 
 func (p *Phase) keys() []key {
 	return []key{
-		{"settle_s", number(&p.SettleS, 0, maxSeconds)}, {"measure_s", number(&p.MeasureS, 1, maxSeconds)}, {"load", number(&p.Load, 0, 100)},
-		{"event_s", number(&p.EventS, 0, maxSeconds)}, {"zone", func(v string) error { p.Zone = v; return nil }},
+		{"settle_s", parseFloat(&p.SettleS, 0, maxSeconds)}, {"measure_s", parseFloat(&p.MeasureS, 1, maxSeconds)}, {"load", parseFloat(&p.Load, 0, 100)},
+		{"event_s", parseFloat(&p.EventS, 0, maxSeconds)}, {"zone", func(v string) error { p.Zone = v; return nil }},
 		{"event", func(v string) error {
 			p.Event = Event(v)
 			if !slices.Contains(events, p.Event) {
@@ -328,42 +328,42 @@
 
 // check validates the values against one another and returns the first error.
 func (e *Experiment) check() *Error {
-	wrong := func(field, why string, args ...any) *Error {
+	fieldError := func(field, why string, args ...any) *Error {
 		return &Error{Field: field, Why: fmt.Sprintf(why, args...)}
 	}
 	if len(e.Regions) == 0 {
-		return wrong("region", "at least one region section is required")
+		return fieldError("region", "at least one region section is required")
 	}
 	if len(e.Phases) == 0 {
-		return wrong("phase", "at least one phase section is required")
+		return fieldError("phase", "at least one phase section is required")
 	}
-	named := map[string]bool{}
+	seenZones := map[string]bool{}
 	for _, r := range e.Regions {
 		if len(r.Zones) == 0 {
-			return wrong(regionPrefix+r.Name+".zones", "must list at least one zone")
+			return fieldError(regionPrefix+r.Name+".zones", "must list at least one zone")
 		}
 		for _, z := range r.Zones {
-			if named[z] {
-				return wrong(regionPrefix+r.Name+".zones", "zone %s is listed twice", z)
+			if seenZones[z] {
+				return fieldError(regionPrefix+r.Name+".zones", "zone %s is listed twice", z)
 			}
-			named[z] = true
+			seenZones[z] = true
 		}
 	}
 	if w := e.Workers; w.LeaseS < 3*w.ReportS {
-		return wrong("workers.lease_s", "must be at least three times report_s, which is %v, got %v", 3*w.ReportS, w.LeaseS)
+		return fieldError("workers.lease_s", "must be at least three times report_s, which is %v, got %v", 3*w.ReportS, w.LeaseS)
 	}
 	for _, p := range e.Phases {
 		field := phasePrefix + p.Name
 		zonal := p.Event == LoseZone || p.Event == CutZone || p.Event == LoseRack
 		switch {
 		case p.MeasureS == 0:
-			return wrong(field+".measure_s", "missing")
-		case zonal && !named[p.Zone]:
-			return wrong(field+".zone", "must be a zone of a region, got %q", p.Zone)
+			return fieldError(field+".measure_s", "missing")
+		case zonal && !seenZones[p.Zone]:
+			return fieldError(field+".zone", "must be a zone of a region, got %q", p.Zone)
 		case zonal && p.Zone == e.Regions[0].Zones[0] && e.Workers.Processes > 0:
-			return wrong(field+".zone", "%s contains the workers with a process each, which cannot be cut off", p.Zone)
+			return fieldError(field+".zone", "%s contains the workers with a process each, which cannot be cut off", p.Zone)
 		case p.Event == CutRegions && len(e.Regions) < 2:
-			return wrong(field+".event", "requires at least two regions")
+			return fieldError(field+".event", "requires at least two regions")
 		}
 	}
 	return nil
--- a/internal/scaletest/experiment/experiment_test.go
+++ b/internal/scaletest/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const good = `
+const validExperiment = `
 [experiment]
 sizes = 30, 60
 [region east]
@@ -32,21 +32,21 @@
 
 // TestExperimentFiles checks that an error is one line that names the file and the invalid field.
 func TestExperimentFiles(t *testing.T) {
-	e, err := load(t, good)
+	e, err := load(t, validExperiment)
 	if err != nil || e.Sizes[1] != 60 || e.Phases[0].Zone != "west-a" || strings.Join(e.Zones(), " ") != "east-a west-a east-b" || e.RegionOf("west-a") != 1 {
 		t.Fatalf("%+v %v", e, err)
 	}
 	for text, field := range map[string]string{
-		good + "[load]\nstars = 3\n":                                                              "load.stars",
-		good + "[load]\nstarts = fast\n":                                                          "load.starts",
-		good + "[loads]\nstarts = 3\n":                                                            "loads",
-		strings.Replace(good, "30, 60", "30, 999999", 1):                                          "experiment.sizes",
-		strings.Replace(good, "west-a\n[phase", "east-a\n[phase", 1):                              "region west.zones",
-		strings.Replace(good, "zone = west-a", "zone = moon", 1):                                  "phase peak.zone",
-		strings.Replace(good, "cut-zone", "dance", 1):                                             "phase peak.event",
-		strings.Replace(good, "measure_s = 5", "settle_s = 5", 1):                                 "phase peak.measure_s",
-		good + "[workers]\nreport_s = 5\nlease_s = 9\n":                                           "workers.lease_s",
-		strings.Replace(good, "zone = west-a", "zone = east-a", 1) + "[workers]\nprocesses = 2\n": "phase peak.zone",
+		validExperiment + "[load]\nstars = 3\n":                                                              "load.stars",
+		validExperiment + "[load]\nstarts = fast\n":                                                          "load.starts",
+		validExperiment + "[loads]\nstarts = 3\n":                                                            "loads",
+		strings.Replace(validExperiment, "30, 60", "30, 999999", 1):                                          "experiment.sizes",
+		strings.Replace(validExperiment, "west-a\n[phase", "east-a\n[phase", 1):                              "region west.zones",
+		strings.Replace(validExperiment, "zone = west-a", "zone = moon", 1):                                  "phase peak.zone",
+		strings.Replace(validExperiment, "cut-zone", "dance", 1):                                             "phase peak.event",
+		strings.Replace(validExperiment, "measure_s = 5", "settle_s = 5", 1):                                 "phase peak.measure_s",
+		validExperiment + "[workers]\nreport_s = 5\nlease_s = 9\n":                                           "workers.lease_s",
+		strings.Replace(validExperiment, "zone = west-a", "zone = east-a", 1) + "[workers]\nprocesses = 2\n": "phase peak.zone",
 	} {
 		_, err := load(t, text)
 		var wrong *Error
@@ -58,7 +58,7 @@
 
 // TestNeeds checks that a run that needs more than the machine has is refused before it starts.
 func TestNeeds(t *testing.T) {
-	e, err := load(t, good)
+	e, err := load(t, validExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestExperimentsOfTheProject checks that the experiment files in the repository are valid.
-func TestExperimentsOfTheProject(t *testing.T) {
+// TestRepositoryExperiments checks that the experiment files in the repository are valid.
+func TestRepositoryExperiments(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.ini")
 	if err != nil || len(files) < 2 {
 		t.Fatalf("%v %v", files, err)
--- a/internal/scaletest/experiment/needs.go
+++ b/internal/scaletest/experiment/needs.go
@@ -4,8 +4,8 @@
 
 // Limits of an experiment, whatever the machine's resources are.
 const (
-	MostWorkers   = 20_000
-	MostProcesses = 300
+	MaxWorkers   = 20_000
+	MaxProcesses = 300
 )
 
 // Resource estimates: rough measurements on runs of several sizes, rounded up.
@@ -43,8 +43,8 @@
 // Refuse returns an error if a machine with this memory and socket limit cannot carry the run.
 func (n Needs) Refuse(memory uint64, sockets uint64) error {
 	switch {
-	case n.Processes > MostProcesses:
-		return fmt.Errorf("needs %d processes, more than the limit of %d", n.Processes, MostProcesses)
+	case n.Processes > MaxProcesses:
+		return fmt.Errorf("needs %d processes, more than the limit of %d", n.Processes, MaxProcesses)
 	case float64(n.Bytes) > memoryShare*float64(memory):
 		return fmt.Errorf("needs %d MiB of memory, more than half of the machine's %d MiB", n.Bytes>>20, memory>>20)
 	case uint64(n.Sockets) > sockets:
--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	chunkBytes  = 16 << 10
-	chunksAhead = 64 // maximum number in flight in one direction of a connection
-	dialTimeout = time.Second
+	chunkBytes     = 16 << 10
+	chunksInFlight = 64 // maximum number in flight in one direction of a connection
+	dialTimeout    = time.Second
 )
 
 // Proxy forwards the connections made to its address to a target.
@@ -25,10 +25,10 @@
 	traffic  *traffic.Meter
 	listener net.Listener
 
-	mu     sync.Mutex
-	healed chan struct{} // nil: no partition; otherwise closed when the partition ends
-	closed chan struct{}
-	conns  map[net.Conn]bool
+	mu           sync.Mutex
+	partitionEnd chan struct{} // nil: no partition; otherwise closed when the partition ends
+	closed       chan struct{}
+	conns        map[net.Conn]bool
 }
 
 // New starts a proxy that forwards connections to a target. The meter counts what the connecting
@@ -46,17 +46,17 @@
 // Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Cut begins or ends a partition. During a partition no data is forwarded; data sent meanwhile
-// arrives after its end.
-func (p *Proxy) Cut(cut bool) {
+// SetPartitioned begins or ends a partition. During a partition no data is forwarded; data sent
+// meanwhile arrives after its end.
+func (p *Proxy) SetPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case cut && p.healed == nil:
-		p.healed = make(chan struct{})
-	case !cut && p.healed != nil:
-		close(p.healed)
-		p.healed = nil
+	case partitioned && p.partitionEnd == nil:
+		p.partitionEnd = make(chan struct{})
+	case !partitioned && p.partitionEnd != nil:
+		close(p.partitionEnd)
+		p.partitionEnd = nil
 	}
 }
 
@@ -102,24 +102,24 @@
 	return true
 }
 
-func (p *Proxy) forget(c net.Conn) {
+func (p *Proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 	_ = c.Close()
 }
 
-// passable waits until there is no partition. It returns false if the proxy is closed.
-func (p *Proxy) passable() bool {
+// waitConnected waits until there is no partition. It returns false if the proxy is closed.
+func (p *Proxy) waitConnected() bool {
 	for {
 		p.mu.Lock()
-		healed := p.healed
+		end := p.partitionEnd
 		p.mu.Unlock()
-		if healed == nil {
+		if end == nil {
 			return true
 		}
 		select {
-		case <-healed:
+		case <-end:
 		case <-p.closed:
 			return false
 		}
@@ -127,15 +127,15 @@
 }
 
 func (p *Proxy) forward(from net.Conn) {
-	defer p.forget(from)
-	if !p.passable() {
+	defer p.untrack(from)
+	if !p.waitConnected() {
 		return
 	}
 	to, err := net.DialTimeout("tcp4", p.target, dialTimeout)
 	if err != nil || !p.track(to) {
 		return
 	}
-	defer p.forget(to)
+	defer p.untrack(to)
 	var both sync.WaitGroup
 	both.Go(func() {
 		p.copyDelayed(from, to, func(n int) {
@@ -156,15 +156,15 @@
 // copyDelayed forwards one direction with the proxy's delay until either end is closed, then closes
 // both ends.
 func (p *Proxy) copyDelayed(from io.ReadCloser, to io.WriteCloser, count func(int)) {
-	ahead := make(chan chunk, chunksAhead)
+	pending := make(chan chunk, chunksInFlight)
 	go func() {
-		defer close(ahead)
+		defer close(pending)
 		for {
 			buf := make([]byte, chunkBytes)
 			n, err := from.Read(buf)
 			if n > 0 {
 				count(n)
-				ahead <- chunk{buf[:n], time.Now().Add(p.latency)}
+				pending <- chunk{buf[:n], time.Now().Add(p.latency)}
 			}
 			if err != nil {
 				return
@@ -172,12 +172,12 @@
 		}
 	}()
 	broken := false
-	for c := range ahead {
+	for c := range pending {
 		if broken {
 			continue // drain the channel so that the reading goroutine does not block
 		}
 		time.Sleep(time.Until(c.due))
-		if !p.passable() {
+		if !p.waitConnected() {
 			broken = true
 		} else if _, err := to.Write(c.data); err != nil {
 			broken = true
--- a/internal/scaletest/netproxy/netproxy_test.go
+++ b/internal/scaletest/netproxy/netproxy_test.go
@@ -39,27 +39,27 @@
 	}
 	defer func() { _ = c.Close() }() // all data was read before
 	lines := bufio.NewReader(c)
-	say := func(s string) {
+	send := func(s string) {
 		t.Helper()
 		if _, err := io.WriteString(c, s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hear := func(within time.Duration) (string, error) {
+	receive := func(within time.Duration) (string, error) {
 		_ = c.SetReadDeadline(time.Now().Add(within))
 		return lines.ReadString('\n')
 	}
-	say("one\n")
-	if s, err := hear(20 * time.Second); s != "one\n" {
+	send("one\n")
+	if s, err := receive(20 * time.Second); s != "one\n" {
 		t.Fatalf("%q %v", s, err)
 	}
-	p.Cut(true)
-	say("two\n")
-	if s, err := hear(200 * time.Millisecond); err == nil {
+	p.SetPartitioned(true)
+	send("two\n")
+	if s, err := receive(200 * time.Millisecond); err == nil {
 		t.Errorf("%q was forwarded during a partition", s)
 	}
-	p.Cut(false)
-	if s, err := hear(20 * time.Second); s != "two\n" {
+	p.SetPartitioned(false)
+	if s, err := receive(20 * time.Second); s != "two\n" {
 		t.Errorf("%q %v", s, err)
 	}
 	if n := traffic.Read(); n.In != 8 || n.Out != 8 || n.Messages != 2 {
--- a/internal/scaletest/scalefit/scalefit.go
+++ b/internal/scaletest/scalefit/scalefit.go
@@ -62,10 +62,10 @@
 // counting as extrapolated, because the measured values are means over a phase.
 const rangeSlack = 0.005
 
-// cost is a quantity that is fitted; of returns its value in a phase, and false if there is none.
+// cost is a fitted quantity; value returns its value in a phase, or false if the phase has none.
 type cost struct {
 	role, name, unit string
-	of               func(p *scalerun.Phase) (float64, bool)
+	value            func(p *scalerun.Phase) (float64, bool)
 }
 
 func roleCost(role, name, unit string, of func(r *scalerun.Role) float64) cost {
@@ -137,16 +137,16 @@
 	return fits, nil
 }
 
-// conditionMost is the largest condition number of the regressors at which a fit is accepted. Above
+// maxCondition is the largest condition number of the regressors at which a fit is accepted. Above
 // it, collinearity makes the slopes unreliable (Belsley, Kuh and Welsch, "Regression Diagnostics").
-const conditionMost = 30
+const maxCondition = 30
 
 // fit fits one cost. It returns nil if too few runs have this cost.
 func fit(c cost, phases []*scalerun.Phase, against []string, of []func(p *scalerun.Phase) float64) (*Fit, error) {
 	var xs, ys []float64
 	f := &Fit{Role: c.role, Cost: c.name, Unit: c.unit, Against: against, From: filled(len(of), math.Inf(1)), To: filled(len(of), math.Inf(-1))}
 	for _, p := range phases {
-		y, ok := c.of(p)
+		y, ok := c.value(p)
 		if !ok {
 			continue
 		}
@@ -172,7 +172,7 @@
 		xs[i] /= cmp.Or(scale[i%len(scale)], 1)
 	}
 	a := mat.NewDense(f.Points, len(scale), xs)
-	if mat.Cond(a, 2) > conditionMost {
+	if mat.Cond(a, 2) > maxCondition {
 		return nil, fmt.Errorf("against: %s rise together, or do not change, in these runs", strings.Join(against, ", "))
 	}
 	b := mat.NewVecDense(f.Points, ys)
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -68,8 +68,8 @@
 	return err
 }
 
-// workerOrder configures a worker's process. It is the first line of its standard input.
-type workerOrder struct {
+// workerConfig configures a worker's process. It is the first line of its standard input.
+type workerConfig struct {
 	Machine  standin.Machine
 	Doors    []string
 	ReportS  float64
@@ -88,8 +88,8 @@
 	Traffic *traffic.Count `json:"traffic,omitempty"`
 }
 
-// trafficEvery is the interval at which a worker's process sends its traffic counts.
-const trafficEvery = time.Second
+// trafficInterval is the interval at which a worker's process sends its traffic counts.
+const trafficInterval = time.Second
 
 // pipe sends a worker's notes to the run and reads the acknowledgements.
 type pipe struct {
@@ -136,7 +136,7 @@
 	if errors.Is(err, io.EOF) {
 		return nil // the run ended before it used this process
 	}
-	var o workerOrder
+	var o workerConfig
 	if err := json.Unmarshal(first, &o); err != nil {
 		return fmt.Errorf("worker: %w", err)
 	}
@@ -153,7 +153,7 @@
 		select {
 		case <-p.ended:
 			return nil
-		case <-time.After(trafficEvery):
+		case <-time.After(trafficInterval):
 			now := traffic.Read().Plus(fleet.Direct.Read())
 			p.send(workerNote{Traffic: &now})
 		}
@@ -162,5 +162,5 @@
 
 // fleet returns a fleet whose tasks have the workload's images and run times.
 func (w *workload) fleet(controllers []string, reportS, leaseS, fetchS float64) *standin.Fleet {
-	return &standin.Fleet{Controllers: controllers, HeartbeatInterval: seconds(reportS), Lease: seconds(leaseS), Fetch: seconds(fetchS), ReportsChangesAtOnce: true, Image: w.image, TaskDuration: w.took}
+	return &standin.Fleet{Controllers: controllers, HeartbeatInterval: seconds(reportS), Lease: seconds(leaseS), Fetch: seconds(fetchS), ReportsChangesAtOnce: true, Image: w.image, TaskDuration: w.taskDuration}
 }
--- a/internal/scaletest/scalerun/latency.go
+++ b/internal/scaletest/scalerun/latency.go
@@ -67,11 +67,11 @@
 // latencies measures the time from the submission of a job, or the loss of a task, to the task's
 // start.
 type latencies struct {
-	soon          time.Duration // time limit for the start of an urgent task
+	urgentLimit   time.Duration // time limit for the start of an urgent task
 	mu            sync.Mutex
 	phase         *times
 	jobs          map[string]submitted
-	begun         map[string]bool
+	seenTasks     map[string]bool
 	lost          map[string]time.Time // by task: when it was lost with its machine
 	failed        map[string]bool      // machines that were lost or restarted
 	starts, ended uint64
@@ -82,8 +82,8 @@
 	urgent bool
 }
 
-func newLatencies(soon time.Duration) *latencies {
-	return &latencies{soon: soon, phase: newTimes(), jobs: map[string]submitted{}, begun: map[string]bool{}, lost: map[string]time.Time{}, failed: map[string]bool{}}
+func newLatencies(urgentLimit time.Duration) *latencies {
+	return &latencies{urgentLimit: urgentLimit, phase: newTimes(), jobs: map[string]submitted{}, seenTasks: map[string]bool{}, lost: map[string]time.Time{}, failed: map[string]bool{}}
 }
 
 // submitted records the time of the first attempt to submit a job.
@@ -113,8 +113,8 @@
 	l.phase.inForce.add(took)
 }
 
-// fail records that machines are about to be lost or restarted.
-func (l *latencies) fail(machines ...string) {
+// markFailed records that machines are about to be lost or restarted.
+func (l *latencies) markFailed(machines ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range machines {
@@ -146,10 +146,10 @@
 		l.phase.recovery.add(e.At.Sub(at))
 		delete(l.lost, e.Task)
 	}
-	if l.begun[e.Task] {
+	if l.seenTasks[e.Task] {
 		return
 	}
-	l.begun[e.Task] = true
+	l.seenTasks[e.Task] = true
 	j := l.jobs[standin.JobOf(e.Task)]
 	took := e.At.Sub(j.at)
 	if !j.urgent {
@@ -157,13 +157,13 @@
 		return
 	}
 	l.phase.urgent.add(took)
-	if took <= l.soon {
+	if took <= l.urgentLimit {
 		l.phase.prompt++
 	}
 }
 
-// turn returns the histograms collected so far and begins new ones.
-func (l *latencies) turn() *times {
+// takePhase returns the histograms collected so far and begins new ones.
+func (l *latencies) takePhase() *times {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t := l.phase
--- a/internal/scaletest/scalerun/load.go
+++ b/internal/scaletest/scalerun/load.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	machineType  = "m"
-	taskCPUs     = 1.0
-	taskMemoryGB = 2.0
-	imageGB      = 1.0
-	shortest     = 0.5 // shortest run time as a share of the mean; the longest is as far above the mean
+	machineType      = "m"
+	taskCPUs         = 1.0
+	taskMemoryGB     = 2.0
+	imageGB          = 1.0
+	minDurationShare = 0.5 // shortest run time as a share of the mean; the longest is as far above the mean
 )
 
 // job is a job that a user submits.
@@ -118,8 +118,8 @@
 	Images int
 }
 
-// draw returns a pseudorandom number in [0, 1) that depends only on the seed and the name.
-func (w *workload) draw(name string) float64 {
+// hashFraction returns a pseudorandom number in [0, 1) that depends only on the seed and the name.
+func (w *workload) hashFraction(name string) float64 {
 	var seed [8]byte
 	binary.LittleEndian.PutUint64(seed[:], w.Seed)
 	h := xxhash.New()
@@ -128,10 +128,10 @@
 	return float64(h.Sum64()>>11) / (1 << 53)
 }
 
-func (w *workload) took(task string) time.Duration {
-	return seconds(w.TaskS * (shortest + 2*(1-shortest)*w.draw(task)))
+func (w *workload) taskDuration(task string) time.Duration {
+	return seconds(w.TaskS * (minDurationShare + 2*(1-minDurationShare)*w.hashFraction(task)))
 }
 
 func (w *workload) image(job string) string {
-	return fmt.Sprintf("image-%d", int(w.draw("image of "+job)*float64(w.Images)))
+	return fmt.Sprintf("image-%d", int(w.hashFraction("image of "+job)*float64(w.Images)))
 }
--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -84,8 +84,8 @@
 	s.Run, _ = usageOf(os.Getpid())
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, machine := range slices.Sorted(maps.Keys(w.remotes)) {
-		r := w.remotes[machine]
+	for _, machine := range slices.Sorted(maps.Keys(w.workerProcesses)) {
+		r := w.workerProcesses[machine]
 		if u, ok := usageOf(r.process.cmd.Process.Pid); ok {
 			r.mu.Lock()
 			s.Workers = append(s.Workers, WorkerSample{machine, u, r.last})
--- a/internal/scaletest/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -17,10 +17,10 @@
 type network struct {
 	exp *experiment.Experiment
 
-	mu    sync.Mutex
-	zone  string // zone that is partitioned; empty: none
-	apart bool   // whether the regions are partitioned from one another
-	links []*link
+	mu                 sync.Mutex
+	partitionedZone    string // zone that is partitioned; empty: none
+	regionsPartitioned bool   // whether the regions are partitioned from one another
+	links              []*link
 }
 
 // link is a proxied path from one location to another.
@@ -53,10 +53,10 @@
 }
 
 func (n *network) connected(from, to string) bool {
-	if n.apart && n.region(from) != n.region(to) {
+	if n.regionsPartitioned && n.region(from) != n.region(to) {
 		return false
 	}
-	return n.zone == noZone || (from == n.zone) == (to == n.zone)
+	return n.partitionedZone == noZone || (from == n.partitionedZone) == (to == n.partitionedZone)
 }
 
 // isolated reports whether a zone is cut off from the services of the first region.
@@ -76,13 +76,13 @@
 	return l, nil
 }
 
-// cut partitions a zone, or the regions from one another; noZone and false end all partitions.
-func (n *network) cut(zone string, apart bool) {
+// setPartition partitions a zone, or the regions from one another; noZone and false end all partitions.
+func (n *network) setPartition(zone string, apart bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.zone, n.apart = zone, apart
+	n.partitionedZone, n.regionsPartitioned = zone, apart
 	for _, l := range n.links {
-		l.proxy.Cut(!n.connected(l.from, l.to))
+		l.proxy.SetPartitioned(!n.connected(l.from, l.to))
 	}
 }
 
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -19,23 +19,23 @@
 )
 
 const (
-	operatorName = "operator"
-	certLife     = 24 * time.Hour
-	lookEvery    = 200 * time.Millisecond // interval at which the controllers' revisions are read
-	lookTimeout  = time.Second
-	durableEvery = 50 * time.Millisecond // interval at which a change request is repeated
-	leastLimit   = 0.9                   // smallest limit that a change sets, as a share of the team's own limit
+	operatorName         = "operator"
+	certLife             = 24 * time.Hour
+	revisionPollInterval = 200 * time.Millisecond // interval at which the controllers' revisions are read
+	revisionPollTimeout  = time.Second
+	changeRetryInterval  = 50 * time.Millisecond // interval at which a change request is repeated
+	minLimitShare        = 0.9                   // smallest limit in a change, as a share of the team's own
 )
 
 // operators changes the configuration and measures when all controllers have applied each change.
 type operators struct {
-	world *testbed
-	files certs.Files
-	rng   *rand.Rand
+	testbed *testbed
+	files   certs.Files
+	rng     *rand.Rand
 
-	mu      sync.Mutex
-	written []revisionAt
-	made    int
+	mu        sync.Mutex
+	unapplied []revisionAt
+	made      int
 }
 
 // revisionAt is a durable revision that not all controllers have applied yet, and when it was durable.
@@ -56,7 +56,7 @@
 	if err := certs.Issue(dir, operatorName, nil, certLife); err != nil {
 		return nil, err
 	}
-	return &operators{world: w, files: filesOf(dir, operatorName), rng: rand.New(rand.NewPCG(w.seed, 3))}, nil
+	return &operators{testbed: w, files: filesOf(dir, operatorName), rng: rand.New(rand.NewPCG(w.seed, 3))}, nil
 }
 
 func filesOf(dir, name string) certs.Files {
@@ -65,8 +65,8 @@
 
 // settings returns the settings with which a controller serves operators.
 func (o *operators) settings(listen string) []string {
-	f := filesOf(o.world.options.Dir, "node")
-	return []string{"config.history=" + fmt.Sprint(o.world.exp.Config.History), "operators.listen=" + listen, "operators.cert_file=" + f.Cert,
+	f := filesOf(o.testbed.options.Dir, "node")
+	return []string{"config.history=" + fmt.Sprint(o.testbed.exp.Config.History), "operators.listen=" + listen, "operators.cert_file=" + f.Cert,
 		"operators.key_file=" + f.Key, "operators.ca_file=" + f.CA, "operators.operate=" + operatorName}
 }
 
@@ -76,9 +76,9 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(seconds(o.world.exp.Config.EveryS)):
+		case <-time.After(seconds(o.testbed.exp.Config.EveryS)):
 		}
-		for range o.world.exp.Config.Burst {
+		for range o.testbed.exp.Config.Burst {
 			o.change(ctx)
 		}
 	}
@@ -88,29 +88,29 @@
 func (o *operators) change(ctx context.Context) {
 	asked := time.Now()
 	id := fmt.Sprint("change-", o.rng.Uint64())
-	changes := o.draw()
+	changes := o.randomChange()
 	for ctx.Err() == nil {
-		revision, err := o.ask(ctx, id, changes)
+		revision, err := o.requestChange(ctx, id, changes)
 		if err == nil {
-			o.world.latency.changed(time.Since(asked))
+			o.testbed.latency.changed(time.Since(asked))
 			o.mu.Lock()
 			o.made++
-			o.written = append(o.written, revisionAt{revision, time.Now()})
+			o.unapplied = append(o.unapplied, revisionAt{revision, time.Now()})
 			o.mu.Unlock()
 			return
 		}
-		time.Sleep(durableEvery)
+		time.Sleep(changeRetryInterval)
 	}
 }
 
-// draw returns a random change with little effect: a team's limit slightly below its own, and a
+// randomChange returns a random change with little effect: a team's limit slightly below its own, and a
 // tunable.
-func (o *operators) draw() []config.Change {
-	w := o.world
-	most := w.teamLimit() * (leastLimit + (1-leastLimit)*o.rng.Float64())
+func (o *operators) randomChange() []config.Change {
+	w := o.testbed
+	limit := w.teamLimit() * (minLimitShare + (1-minLimitShare)*o.rng.Float64())
 	backlog := float64(40 + o.rng.IntN(10))
 	return []config.Change{
-		{Item: config.Item{Team: teamName(o.rng.IntN(w.exp.Load.Teams))}, Value: config.Value{Limits: &config.Limits{CPUsMax: most}}},
+		{Item: config.Item{Team: teamName(o.rng.IntN(w.exp.Load.Teams))}, Value: config.Value{Limits: &config.Limits{CPUsMax: limit}}},
 		{Item: config.Item{Tunable: "fleet.drain_backlog"}, Value: config.Value{Number: &backlog}},
 	}
 }
@@ -118,15 +118,15 @@
 // errNotDurable means that the change was not durable in time, so the request must be repeated.
 var errNotDurable = errors.New("change is not durable yet")
 
-// ask sends a change to a random controller and returns its revision once it is durable.
-func (o *operators) ask(ctx context.Context, id string, changes []config.Change) (uint64, error) {
+// requestChange sends a change to a random controller and returns its revision once it is durable.
+func (o *operators) requestChange(ctx context.Context, id string, changes []config.Change) (uint64, error) {
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
 	pair, err := o.files.Read()
 	if err != nil {
 		return 0, err
 	}
-	client := control.NewClient(o.world.controllers[o.rng.IntN(len(o.world.controllers))].control, pair.Client())
+	client := control.NewClient(o.testbed.controllers[o.rng.IntN(len(o.testbed.controllers))].control, pair.Client())
 	defer client.Close()
 	var view reconfig.View
 	raw, err := client.Show(ctx, reconfig.Name)
@@ -149,24 +149,24 @@
 		if err != nil || answer.Durable {
 			return answer.Revision, err
 		}
-		time.Sleep(durableEvery)
+		time.Sleep(changeRetryInterval)
 	}
 	return 0, errNotDurable
 }
 
-// watch polls all controllers and records which revisions all of them have applied.
-func (o *operators) watch(ctx context.Context) {
-	client := &http.Client{Timeout: lookTimeout}
+// watchRevisions polls all controllers and records which revisions all of them have applied.
+func (o *operators) watchRevisions(ctx context.Context) {
+	client := &http.Client{Timeout: revisionPollTimeout}
 	for ctx.Err() == nil {
-		time.Sleep(lookEvery)
-		least, ok := o.lowestRevision(client)
+		time.Sleep(revisionPollInterval)
+		lowest, ok := o.lowestRevision(client)
 		if !ok {
 			continue
 		}
 		o.mu.Lock()
-		for len(o.written) > 0 && o.written[0].revision <= least {
-			o.world.latency.inForce(time.Since(o.written[0].at))
-			o.written = o.written[1:]
+		for len(o.unapplied) > 0 && o.unapplied[0].revision <= lowest {
+			o.testbed.latency.inForce(time.Since(o.unapplied[0].at))
+			o.unapplied = o.unapplied[1:]
 		}
 		o.mu.Unlock()
 	}
@@ -174,8 +174,8 @@
 
 // lowestRevision returns the lowest revision of all controllers. It returns false if any of them does
 // not answer.
-func (o *operators) lowestRevision(client *http.Client) (least uint64, ok bool) {
-	for i, c := range o.world.controllers {
+func (o *operators) lowestRevision(client *http.Client) (lowest uint64, ok bool) {
+	for i, c := range o.testbed.controllers {
 		resp, err := client.Get("http://" + c.internal + node.PathComponents + reconfig.Name + "/" + reconfig.ViewHere)
 		if err != nil {
 			return 0, false
@@ -186,19 +186,19 @@
 		if err != nil || resp.StatusCode != http.StatusOK {
 			return 0, false
 		}
-		if i == 0 || here.Revision < least {
-			least = here.Revision
+		if i == 0 || here.Revision < lowest {
+			lowest = here.Revision
 		}
 	}
-	return least, true
+	return lowest, true
 }
 
-// settleWithin is how long a run waits for its last changes to be applied.
-const settleWithin = 11 * time.Second
+// applyTimeout is how long a run waits for its last changes to be applied.
+const applyTimeout = 11 * time.Second
 
-// settle waits until all controllers have applied all changes, or settleWithin has passed.
-func (o *operators) settle(ctx context.Context) {
-	for end := time.Now().Add(settleWithin); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(lookEvery) {
+// awaitApplied waits until all controllers have applied all changes, or applyTimeout has passed.
+func (o *operators) awaitApplied(ctx context.Context) {
+	for end := time.Now().Add(applyTimeout); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(revisionPollInterval) {
 		if _, waiting := o.counts(); waiting == 0 {
 			return
 		}
@@ -212,5 +212,5 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.made, len(o.written)
+	return o.made, len(o.unapplied)
 }
--- a/internal/scaletest/scalerun/process.go
+++ b/internal/scaletest/scalerun/process.go
@@ -80,9 +80,9 @@
 	if err != nil {
 		return Usage{}, false
 	}
-	open, err := proc.FileDescriptorsLen()
+	openFiles, err := proc.FileDescriptorsLen()
 	if err != nil {
 		return Usage{}, false
 	}
-	return Usage{CPUSeconds: stat.CPUTime(), RSSBytes: stat.ResidentMemory(), Sockets: open}, true
+	return Usage{CPUSeconds: stat.CPUTime(), RSSBytes: stat.ResidentMemory(), Sockets: openFiles}, true
 }
--- a/internal/scaletest/scalerun/result.go
+++ b/internal/scaletest/scalerun/result.go
@@ -52,7 +52,7 @@
 	State      StateUse `json:"state"`
 	Urgent     Latency  `json:"urgent_start"`  // from the first attempt to submit the job to the start of a task
 	Prompt     float64  `json:"urgent_prompt"` // share of urgent tasks that started within the time limit
-	Lost       int      `json:"lost"`          // tasks not completed: lost machine or lease, cancelled, preempted
+	Lost       int      `json:"lost"`          // ended uncompleted: machine or lease lost, cancelled, preempted
 	Other      Latency  `json:"other_start"`
 	Cancel     Latency  `json:"cancel"`          // from the user's decision to cancel to the answer
 	Recovery   Latency  `json:"recovery"`        // from the loss of a task with its machine until it runs again
@@ -153,7 +153,7 @@
 		hollow.add(dt, a.Run, b.Run, b.Hollow.Minus(a.Hollow), traffic.Count{})
 	}
 	h := hollow.role(RoleHollow, p.Seconds)
-	h.share(float64(last.Up))
+	h.divide(float64(last.Up))
 	p.Roles = []Role{leader.role(RoleLeader, p.Seconds), others.role(RoleController, p.Seconds), state.role(RoleState, p.Seconds), workers.role(RoleWorker, p.Seconds), h}
 	p.StartsPerS = float64(last.Starts-first.Starts) / p.Seconds
 	p.EndsPerS = float64(last.Ended-first.Ended) / p.Seconds
@@ -170,8 +170,8 @@
 	return &s.Workers[i]
 }
 
-// share divides the usage of a process by the number of workers in it.
-func (r *Role) share(n float64) {
+// divide divides the usage of a process by the number of workers in it.
+func (r *Role) divide(n float64) {
 	if n == 0 {
 		return
 	}
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	sampleEvery = time.Second
-	// workersBegin is the time over which the starts of the machines are spread. The load begins one
+	sampleInterval = time.Second
+	// machineStartSpread is the time over which the starts of the machines are spread. The load begins one
 	// report interval later.
-	workersBegin = 3 * time.Second
+	machineStartSpread = 3 * time.Second
 )
 
 // Run runs an experiment with the given number of workers and seed.
@@ -50,7 +50,7 @@
 func (w *testbed) startMachines() error {
 	for k := range w.size {
 		w.cloud.AddMachine(machineType, w.zoneOf(k), false)
-		if err := w.sleep(workersBegin / time.Duration(w.size)); err != nil {
+		if err := w.sleep(machineStartSpread / time.Duration(w.size)); err != nil {
 			return err
 		}
 	}
@@ -74,16 +74,16 @@
 	for _, c := range w.controllers {
 		w.users.controllers = append(w.users.controllers, c.client)
 	}
-	var open sync.WaitGroup
+	var openJobs sync.WaitGroup
 	for _, j := range w.jobs {
-		open.Go(func() { w.users.runJob(j) })
+		openJobs.Go(func() { w.users.runJob(j) })
 	}
 	go w.failMachines(stop)
-	changing, endChanges := context.WithCancel(stop)
+	changesCtx, endChanges := context.WithCancel(stop)
 	defer endChanges()
 	if w.operators != nil {
-		go w.operators.run(changing)
-		go w.operators.watch(stop)
+		go w.operators.run(changesCtx)
+		go w.operators.watchRevisions(stop)
 	}
 	for _, p := range w.exp.Phases {
 		measured, err := w.runPhase(p)
@@ -93,14 +93,14 @@
 		r.Phases = append(r.Phases, measured)
 	}
 	endChanges()
-	if err := w.drain(&open); err != nil {
+	if err := w.drain(&openJobs); err != nil {
 		return err
 	}
-	w.operators.settle(stop)
+	w.operators.awaitApplied(stop)
 	w.users.resubmit(w.jobs)
 	r.Changes, r.Waiting = w.operators.counts()
 	end()
-	open.Wait()
+	openJobs.Wait()
 	r.Accepted, r.Over = w.users.accepted.Load(), w.users.over.Load()
 	r.Broken = append([]string{}, w.fleet.BrokenRules()...)
 	if o, err := w.observe(); err == nil {
@@ -112,9 +112,9 @@
 }
 
 // drain waits until all users have been notified of the end of their jobs, for drain_s at most.
-func (w *testbed) drain(open *sync.WaitGroup) error {
+func (w *testbed) drain(openJobs *sync.WaitGroup) error {
 	over := make(chan struct{})
-	go func() { open.Wait(); close(over) }()
+	go func() { openJobs.Wait(); close(over) }()
 	select {
 	case <-over:
 	case <-time.After(seconds(w.exp.DrainS)):
@@ -129,7 +129,7 @@
 	if _, err := w.watch(p, false, seconds(p.SettleS)); err != nil {
 		return Phase{}, err
 	}
-	w.latency.turn()
+	w.latency.takePhase()
 	w.options.Log.Info("measuring", "size", w.size, "seed", w.seed, "phase", p.Name, "event", p.Event)
 	undo := w.applyEvent(p)
 	samples, err := w.watch(p, true, seconds(p.MeasureS))
@@ -137,7 +137,7 @@
 	if err != nil {
 		return Phase{}, err
 	}
-	return summarize(p.Name, w.exp.Load.Teams, samples, w.latency.turn()), nil
+	return summarize(p.Name, w.exp.Load.Teams, samples, w.latency.takePhase()), nil
 }
 
 // watch samples the run for the given duration and checks for overdue tasks of cancelled jobs.
@@ -148,8 +148,8 @@
 			return nil, err
 		}
 		samples = append(samples, s)
-		w.fleet.Overdue()
-		if err := w.sleep(min(sampleEvery, time.Until(end))); err != nil {
+		w.fleet.CheckOverdue()
+		if err := w.sleep(min(sampleInterval, time.Until(end))); err != nil {
 			return nil, err
 		}
 		if n := len(samples); n%10 == 0 {
@@ -184,11 +184,11 @@
 			w.restart(c, seconds(w.exp.Controllers.RestartS))
 		}
 	case experiment.CutZone, experiment.CutRegions:
-		w.network.cut(p.Zone, p.Event == experiment.CutRegions)
-		heal := time.AfterFunc(lasts, func() { w.network.cut(noZone, false) })
+		w.network.setPartition(p.Zone, p.Event == experiment.CutRegions)
+		heal := time.AfterFunc(lasts, func() { w.network.setPartition(noZone, false) })
 		undo = func() {
 			if heal.Stop() {
-				w.network.cut(noZone, false)
+				w.network.setPartition(noZone, false)
 			}
 		}
 	case experiment.LoseZone:
@@ -202,18 +202,18 @@
 		machines := w.inZone(p.Zone)
 		w.loseMachines(machines[:min(w.exp.Workers.Rack, len(machines))], lasts)
 	case experiment.StateOutage:
-		w.outage(true)
-		back := time.AfterFunc(lasts, func() { w.outage(false) })
+		w.setOutage(true)
+		back := time.AfterFunc(lasts, func() { w.setOutage(false) })
 		undo = func() {
 			if back.Stop() {
-				w.outage(false)
+				w.setOutage(false)
 			}
 		}
 	}
 	return undo
 }
 
-func (w *testbed) outage(down bool) {
+func (w *testbed) setOutage(down bool) {
 	flag := "0"
 	if down {
 		flag = "1"
@@ -249,7 +249,7 @@
 
 // loseMachines stops machines and all tasks on them, and adds replacements after the given delay.
 func (w *testbed) loseMachines(machines []string, replaced time.Duration) {
-	w.latency.fail(machines...)
+	w.latency.markFailed(machines...)
 	zones := map[string]string{}
 	for _, m := range w.cloud.Machines() {
 		zones[m.Name] = m.Zone
@@ -289,7 +289,7 @@
 			w.loseMachines([]string{m.Name}, seconds(f.ReplacedS))
 			continue
 		}
-		w.latency.fail(m.Name)
+		w.latency.markFailed(m.Name)
 		w.cloud.PreemptMachine(m.Name)
 		w.cloud.AddMachine(m.Type, m.Zone, m.Spot)
 	}
--- a/internal/scaletest/scalerun/scalerun_test.go
+++ b/internal/scaletest/scalerun/scalerun_test.go
@@ -91,7 +91,7 @@
 // during a partition between regions.
 func TestNetworkReaches(t *testing.T) {
 	n := &network{exp: smoke(t)}
-	n.cut("east-b", false)
+	n.setPartition("east-b", false)
 	for _, x := range []struct {
 		from, to string
 		want     bool
@@ -100,7 +100,7 @@
 			t.Errorf("zone partition: reaches from %q to %q is %v", x.from, x.to, got)
 		}
 	}
-	n.cut(noZone, true)
+	n.setPartition(noZone, true)
 	for _, x := range []struct {
 		from, to string
 		want     bool
@@ -116,7 +116,7 @@
 func TestLatencies(t *testing.T) {
 	l := newLatencies(time.Second)
 	l.submitted("j-000001", true)
-	l.fail("host-1")
+	l.markFailed("host-1")
 	for _, e := range []standin.Event{
 		{Kind: standin.TaskStarted, Task: "j-000001/0", Machine: "host-1"}, {Kind: standin.TaskLost, Task: "j-000001/0", Machine: "host-1"},
 		{Kind: standin.TaskStarted, Task: "j-000001/0", Machine: "host-2"}, {Kind: standin.TaskCompleted, Task: "j-000001/0", Machine: "host-2"},
@@ -124,15 +124,15 @@
 		l.observe(e)
 	}
 	starts, ended := l.counts()
-	x := l.turn()
+	x := l.takePhase()
 	if starts != 2 || ended != 2 || x.urgent.latency().Count != 1 || x.recovery.latency().Count != 1 || x.other.latency().Count != 0 || x.lost != 1 || x.promptShare() != 1 {
 		t.Errorf("%d starts, %d ends, %+v, %+v", starts, ended, x.urgent.latency(), x.recovery.latency())
 	}
 }
 
-// TestAddressesAreApart checks that the controllers' addresses are on the loopback address of this
-// process and that no two of them are equal.
-func TestAddressesAreApart(t *testing.T) {
+// TestControllerAddressesAreDistinct checks that the controllers' addresses are on the loopback
+// address of this process and that no two of them are equal.
+func TestControllerAddressesAreDistinct(t *testing.T) {
 	addrs, err := freeAddrs(30)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -22,9 +22,9 @@
 	submitTimeout = 5 * time.Second
 	pollTimeout   = 2 * time.Second
 	retryPause    = time.Second
-	retryMost     = 30 * time.Second
+	maxRetryPause = 30 * time.Second
 	giveUpAfter   = 60 * time.Second
-	skipDoorFor   = 3 * time.Second
+	skipDuration  = 3 * time.Second
 	answerBytes   = 64 << 10
 )
 
@@ -35,8 +35,8 @@
 	client  *http.Client
 	traffic traffic.Meter
 
-	mu   sync.Mutex
-	skip time.Time // the load balancer sends no requests there until then
+	mu        sync.Mutex
+	skipUntil time.Time // the load balancer sends no requests there until then
 }
 
 // users submits jobs, polls them until they are over, and cancels some of them.
@@ -52,7 +52,7 @@
 	stop        context.Context // when it is cancelled, jobs that are not over are abandoned
 	accepted    atomic.Uint64
 	over        atomic.Uint64
-	told        sync.Map // job -> final wire.JobState
+	finalStates sync.Map // job -> final wire.JobState
 }
 
 func newControllerClient(addr, zone string) *controllerClient {
@@ -75,7 +75,7 @@
 	defer cancel()
 	d := u.pickController()
 	if !u.net.reaches(noZone, d.zone) {
-		d.avoidForAWhile()
+		d.skipTemporarily()
 		return reply{}
 	}
 	req, err := http.NewRequestWithContext(ctx, method, d.url+path, bytes.NewReader(body))
@@ -84,7 +84,7 @@
 	}
 	resp, err := d.client.Do(req)
 	if err != nil {
-		d.avoidForAWhile()
+		d.skipTemporarily()
 		return reply{}
 	}
 	defer func() { _ = resp.Body.Close() }() // read errors are handled below
@@ -103,7 +103,7 @@
 	for range u.controllers {
 		d = u.controllers[u.next.Add(1)%uint64(len(u.controllers))]
 		d.mu.Lock()
-		skipped := time.Now().Before(d.skip)
+		skipped := time.Now().Before(d.skipUntil)
 		d.mu.Unlock()
 		if !skipped {
 			break
@@ -112,10 +112,10 @@
 	return d
 }
 
-func (d *controllerClient) avoidForAWhile() {
+func (d *controllerClient) skipTemporarily() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.skip = time.Now().Add(skipDoorFor)
+	d.skipUntil = time.Now().Add(skipDuration)
 }
 
 // sleep waits for the duration d. It returns false if the run is over.
@@ -139,7 +139,7 @@
 		case http.StatusOK, http.StatusCreated, http.StatusBadRequest, http.StatusUnprocessableEntity, http.StatusNotFound:
 			return r
 		}
-		if !u.sleep(min(max(retryPause, r.after), retryMost)) {
+		if !u.sleep(min(max(retryPause, r.after), maxRetryPause)) {
 			break
 		}
 	}
@@ -192,18 +192,18 @@
 	if r.status != http.StatusOK {
 		return false
 	}
-	return u.takeAnswer(id, r.body)
+	return u.checkAnswer(id, r.body)
 }
 
-// takeAnswer checks and records the state of a job in an answer, and reports whether the job is over.
-func (u *users) takeAnswer(id uint64, body []byte) bool {
+// checkAnswer checks and records the state of a job in an answer, and reports whether the job is over.
+func (u *users) checkAnswer(id uint64, body []byte) bool {
 	name := wire.FormatID(id)
 	state, err := wire.ParseJobAnswer(body)
 	if err != nil {
 		u.fleet.RuleBroken("unreadable: " + name + ": " + err.Error())
 		return false
 	}
-	if before, ok := u.told.Load(name); ok && before != state {
+	if before, ok := u.finalStates.Load(name); ok && before != state {
 		u.fleet.RuleBroken(fmt.Sprintf("went_back: %s was in state %v and is in %v", name, before, state))
 	}
 	switch state {
@@ -216,22 +216,22 @@
 	default:
 		return false
 	}
-	u.told.Store(name, state)
+	u.finalStates.Store(name, state)
 	return true
 }
 
 func (u *users) cancel(id uint64) {
-	wished := time.Now()
+	requestedAt := time.Now()
 	if r := u.requestUntilAnswered(http.MethodPost, wire.AbortPath(id), nil); r.status == http.StatusOK {
-		u.latency.cancelled(time.Since(wished))
-		u.takeAnswer(id, r.body)
+		u.latency.cancelled(time.Since(requestedAt))
+		u.checkAnswer(id, r.body)
 	}
 }
 
 // resubmit queries every job that is over once more, to check that its state has not changed.
 func (u *users) resubmit(jobs []job) {
 	for _, j := range jobs {
-		if _, over := u.told.Load(j.name()); over {
+		if _, over := u.finalStates.Load(j.name()); over {
 			u.queryJob(j.id)
 		}
 	}
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -77,13 +77,13 @@
 	jobs        []job
 	counts      Counts // numbers of jobs and tasks
 
-	mu      sync.Mutex
-	remotes map[string]*workerProcess // by machine
-	servers []io.Closer
+	mu              sync.Mutex
+	workerProcesses map[string]*workerProcess // by machine
+	servers         []io.Closer
 }
 
 func newTestbed(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*testbed, error) {
-	w := &testbed{exp: e, size: size, seed: seed, options: o, ctx: ctx, network: &network{exp: e}, remotes: map[string]*workerProcess{}, latency: newLatencies(seconds(e.Load.UrgentWithinS)),
+	w := &testbed{exp: e, size: size, seed: seed, options: o, ctx: ctx, network: &network{exp: e}, workerProcesses: map[string]*workerProcess{}, latency: newLatencies(seconds(e.Load.UrgentWithinS)),
 		work: workload{Seed: seed, TaskS: e.TaskS(), Images: e.Workers.Images}}
 	w.jobs, w.counts = schedule(e, size, seed)
 	var err error
@@ -111,7 +111,7 @@
 		c.kill()
 	}
 	w.mu.Lock()
-	for _, r := range w.remotes {
+	for _, r := range w.workerProcesses {
 		r.process.kill()
 	}
 	for _, s := range w.servers {
@@ -187,10 +187,10 @@
 func (w *testbed) address(m standin.Machine) string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.remotes) < min(w.exp.Workers.Processes, w.size) {
+	if len(w.workerProcesses) < min(w.exp.Workers.Processes, w.size) {
 		r, err := w.startWorker(m.Name)
 		if err == nil {
-			w.remotes[m.Name] = r
+			w.workerProcesses[m.Name] = r
 			return r.addr
 		}
 		w.options.Log.Error("failed to start the process of a worker", "error", err)
@@ -198,7 +198,7 @@
 	addr, err := w.serve(&w.fleet.Direct, http.HandlerFunc(func(out http.ResponseWriter, r *http.Request) {
 		h := w.fleet.Handler(m.Name)
 		if h == nil || w.network.isolated(m.Zone) {
-			time.Sleep(unreachableFor)
+			time.Sleep(unreachableDelay)
 			panic(http.ErrAbortHandler)
 		}
 		h.ServeHTTP(out, r)
@@ -223,8 +223,8 @@
 
 const serverTimeout = 5 * time.Second
 
-// unreachableFor is how long a request to a stopped or partitioned machine waits before it is aborted.
-const unreachableFor = 3 * time.Second
+// unreachableDelay is how long a request to a stopped or partitioned machine waits before it is aborted.
+const unreachableDelay = 3 * time.Second
 
 // countingListener counts the traffic of the connections that it accepts.
 type countingListener struct {
@@ -253,7 +253,7 @@
 func (w *testbed) workerProcess(machine string) *workerProcess {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.remotes[machine]
+	return w.workerProcesses[machine]
 }
 
 // startMachine starts the worker of a machine.
@@ -263,7 +263,7 @@
 		w.fleet.StartWorker(m)
 		return
 	}
-	order := workerOrder{Machine: m, Doors: w.fleet.Controllers, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
+	order := workerConfig{Machine: m, Doors: w.fleet.Controllers, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
 	if err := json.NewEncoder(r.process.stdin).Encode(order); err != nil {
 		w.options.Log.Error("failed to configure the process of a worker", "machine", m.Name, "error", err)
 		return
@@ -328,8 +328,8 @@
 	return addrs, nil
 }
 
-// addrsOfController is the number of addresses of a controller.
-const addrsOfController = 3
+// addrsPerController is the number of addresses of a controller.
+const addrsPerController = 3
 
 func (w *testbed) makeControllers() error {
 	w.mu.Lock()
@@ -338,14 +338,14 @@
 	if err != nil {
 		return err
 	}
-	addrs, err := freeAddrs(addrsOfController * w.exp.Controllers.Count)
+	addrs, err := freeAddrs(addrsPerController * w.exp.Controllers.Count)
 	if err != nil {
 		return err
 	}
 	zones := w.exp.Zones()
 	for i := range w.exp.Controllers.Count {
 		c := &controller{name: "n" + strconv.Itoa(i), zone: zones[i%len(zones)]}
-		own := addrs[i*addrsOfController:]
+		own := addrs[i*addrsPerController:]
 		c.public, c.internal, c.control = own[0], own[1], own[2]
 		c.client = newControllerClient(c.public, c.zone)
 		w.controllers = append(w.controllers, c)
@@ -468,9 +468,9 @@
 	return o, json.NewDecoder(resp.Body).Decode(&o)
 }
 
-// awaitLeader waits until there is a leader, for HealthyWithS at most.
+// awaitLeader waits until there is a leader, for LeaderWithinS at most.
 func (w *testbed) awaitLeader() error {
-	for end := time.Now().Add(seconds(w.exp.Controllers.HealthyWithS)); time.Now().Before(end); {
+	for end := time.Now().Add(seconds(w.exp.Controllers.LeaderWithinS)); time.Now().Before(end); {
 		if o, err := w.observe(); err == nil && o.Leader != "" {
 			return nil
 		}
@@ -480,5 +480,5 @@
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("no leader elected within %v s; the logs are in %s", w.exp.Controllers.HealthyWithS, w.log.Name())
+	return fmt.Errorf("no leader elected within %v s; the logs are in %s", w.exp.Controllers.LeaderWithinS, w.log.Name())
 }
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -66,7 +66,7 @@
 			}
 		}
 	}
-	if at, told := f.cancelledAt[job]; told && time.Since(at) > f.CancelWithin {
+	if at, notified := f.cancelledAt[job]; notified && time.Since(at) > f.CancelWithin {
 		f.ruleBroken("ran_cancelled: %s started %v after its user was told", task, time.Since(at).Round(time.Millisecond))
 	}
 	f.runningOn[task], f.attempts[task] = machine, attempt
@@ -115,7 +115,7 @@
 }
 
 // countUnits counts the units that running tasks hold, and checks them against the limits of the
-// pools that the just started task needs.
+// pools that the newly started task needs.
 func (f *Fleet) countUnits(started string) {
 	held := map[string]int{}
 	for t := range f.runningOn {
@@ -137,17 +137,17 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.beginAudit()
-	if _, told := f.cancelledAt[job]; !told {
+	if _, notified := f.cancelledAt[job]; !notified {
 		f.cancelledAt[job] = time.Now()
 	}
 }
 
-// Overdue checks that no task of a cancelled job runs for longer than CancelWithin.
-func (f *Fleet) Overdue() {
+// CheckOverdue checks that no task of a cancelled job runs for longer than CancelWithin.
+func (f *Fleet) CheckOverdue() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for task, machine := range f.runningOn {
-		if at, told := f.cancelledAt[JobOf(task)]; told && time.Since(at) > f.CancelWithin {
+		if at, notified := f.cancelledAt[JobOf(task)]; notified && time.Since(at) > f.CancelWithin {
 			f.ruleBroken("ran_cancelled: %s on %s %v after its user was told", task, machine, time.Since(at).Round(time.Millisecond))
 		}
 	}
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -36,17 +36,17 @@
 	mu       sync.Mutex
 	rented   map[string][]string // machine names by the name of the rental request
 	machines map[string]*rental
-	made     int
+	created  int
 }
 
 // rental is a rented machine, its time of rental, and whether it has failed.
 type rental struct {
 	Machine
-	at     time.Time
-	failed bool
+	rentedAt time.Time
+	failed   bool
 }
 
-func (c *Cloud) begin() {
+func (c *Cloud) initialize() {
 	if c.rented != nil {
 		return
 	}
@@ -70,7 +70,7 @@
 func (c *Cloud) serve(r *http.Request, body []byte) reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begin()
+	c.initialize()
 	switch {
 	case r.URL.Path == wire.PathMachineTypes:
 		return reply{http.StatusOK, wire.MachineTypes(c.Types)}
@@ -109,7 +109,7 @@
 			return reply{http.StatusOK, wire.MachineList(list, true)}
 		}
 		m := c.machines[n]
-		list = append(list, wire.ListedMachine{Machine: m.Machine, Failed: m.failed, RentedForS: time.Since(m.at).Seconds()})
+		list = append(list, wire.ListedMachine{Machine: m.Machine, Failed: m.failed, RentedForS: time.Since(m.rentedAt).Seconds()})
 	}
 	return reply{http.StatusOK, wire.MachineList(list, false)}
 }
@@ -152,12 +152,12 @@
 }
 
 func (c *Cloud) add(kind, zone string, spot bool, boot time.Duration) Machine {
-	c.made++
-	m := Machine{Name: fmt.Sprintf("host-%06d", c.made), Address: "127.0.0.1:1", Type: kind, Zone: zone, Spot: spot}
+	c.created++
+	m := Machine{Name: fmt.Sprintf("host-%06d", c.created), Address: "127.0.0.1:1", Type: kind, Zone: zone, Spot: spot}
 	if c.Address != nil {
 		m.Address = c.Address(m)
 	}
-	c.machines[m.Name] = &rental{Machine: m, at: time.Now()}
+	c.machines[m.Name] = &rental{Machine: m, rentedAt: time.Now()}
 	switch {
 	case c.Up == nil:
 	case boot == 0:
@@ -181,7 +181,7 @@
 func (c *Cloud) AddMachine(kind, zone string, spot bool) Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begin()
+	c.initialize()
 	return c.add(kind, zone, spot, 0)
 }
 
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -96,7 +96,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.workers[m.Name]; w != nil {
-		close(w.down)
+		close(w.stopped)
 		delete(f.workers, m.Name)
 	}
 	if f.gone != nil {
@@ -162,17 +162,17 @@
 	return f.lateCopies
 }
 
-// troubles are the faults that currently affect a machine's worker.
-type troubles struct {
+// faults are the faults that currently affect a machine's worker.
+type faults struct {
 	gone, paused, answersDropped bool
 	copyDelay                    time.Duration
 }
 
-func (f *Fleet) troubles(machine string) troubles {
+func (f *Fleet) currentFaults(machine string) faults {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
-	return troubles{f.gone[machine], now.Before(f.paused[machine]), now.Before(f.answersDropped[machine]), f.copyDelay}
+	return faults{f.gone[machine], now.Before(f.paused[machine]), now.Before(f.answersDropped[machine]), f.copyDelay}
 }
 
 func (f *Fleet) recorder() Recorder {
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -12,15 +12,15 @@
 	"bitternmoor/internal/wire"
 )
 
-func commit(t *testing.T, c *wire.StateClient, key string, mark uint64) eventlog.Outcome {
+func commit(t *testing.T, c *wire.StateClient, key string, version uint64) eventlog.Outcome {
 	t.Helper()
-	out, _, _ := c.Commit(context.Background(), eventlog.Transaction{Conditions: []eventlog.Condition{{Key: key, Version: mark}}, Writes: []eventlog.Write{{Key: key, Value: []byte("1")}}})
+	out, _, _ := c.Commit(context.Background(), eventlog.Transaction{Conditions: []eventlog.Condition{{Key: key, Version: version}}, Writes: []eventlog.Write{{Key: key, Value: []byte("1")}}})
 	return out
 }
 
-// TestStateFollowsAndHolds checks that a watch returns when a key changes, and that an expired lease
+// TestStateWatchAndLease checks that a watch returns when a key changes, and that an expired lease
 // removes its key. Leader election in scale runs depends on both.
-func TestStateFollowsAndHolds(t *testing.T) {
+func TestStateWatchAndLease(t *testing.T) {
 	store := &StateService{}
 	server := httptest.NewServer(store)
 	defer server.Close()
@@ -30,13 +30,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := make(chan bool, 1)
-	go func() { told <- c.Watch(ctx, "lead/", view.Revision, 10*time.Second) }()
+	watched := make(chan bool, 1)
+	go func() { watched <- c.Watch(ctx, "lead/", view.Revision, 10*time.Second) }()
 	hold, ok := c.CreateLease(ctx, 300*time.Millisecond)
 	if won, _ := c.Claim(ctx, "n0", view, hold); !ok || !won {
 		t.Fatal("the leadership could not be claimed")
 	}
-	if !<-told {
+	if !<-watched {
 		t.Error("the watch did not report the claim")
 	}
 	view, _ = c.ReadLeadership(ctx)
@@ -105,7 +105,7 @@
 	f.Cancelled("j-000003")
 	time.Sleep(time.Millisecond)
 	f.Started("j-000003/0", "host-4", 4)
-	f.Overdue()
+	f.CheckOverdue()
 	found := map[string]bool{}
 	for _, b := range f.BrokenRules() {
 		rule, _, _ := strings.Cut(b, ":")
@@ -122,7 +122,7 @@
 // half of the lease. A new leader learns from this report which tasks a machine has.
 func TestHigherTokenIsReported(t *testing.T) {
 	token, reports := uint64(1), make(chan uint64, 64)
-	door := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := wire.ReadBody(r.Body)
 		report, err := wire.ParseReport(body)
 		if err != nil {
@@ -133,8 +133,8 @@
 		_, _ = w.Write(wire.ReportAnswer(token, nil))
 		token++ // each answer has a higher token
 	}))
-	defer door.Close()
-	f := &Fleet{Controllers: []string{door.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
+	defer server.Close()
+	f := &Fleet{Controllers: []string{server.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
 	f.StartWorker(Machine{Name: "host-1"})
 	first, second, third := <-reports, <-reports, <-reports
 	f.StopWorker(Machine{Name: "host-1"})
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -20,27 +20,27 @@
 // Fixed limits of the state service, in addition to those that can be set.
 const (
 	changesKept  = 10_000    // changes kept for watches
-	pageMost     = 1000      // items in a page
-	pageBytes    = 512 << 10 // size of the values in a page
-	followAtMost = time.Minute
+	maxPageItems = 1000      // items in a page
+	maxPageBytes = 512 << 10 // size of the values in a page
+	maxWatchWait = time.Minute
 )
 
 // StateService simulates the state service: versioned keys, conditional transactions, leases that
 // expire, watches, and limits. The zero value is ready to use and has no limits.
 type StateService struct {
-	mu       sync.Mutex
-	down     bool
-	value    int           // maximum size of a value in bytes; 0: unlimited
-	ops      int           // maximum number of changes in a transaction; 0: unlimited
-	requests *rate.Limiter // nil: unlimited
-	writes   *rate.Limiter // nil: unlimited
-	revision uint64
-	items    map[string]stored
-	holds    map[uint64]*lease
-	changes  []wire.Item   // most recent changes; an item without a value is a removal
-	changed  chan struct{} // closed on the next change; nil: nothing is watching
-	bad      []string
-	counts   StateCounts
+	mu            sync.Mutex
+	down          bool
+	maxValueBytes int           // maximum size of a value in bytes; 0: unlimited
+	maxOps        int           // maximum number of changes in a transaction; 0: unlimited
+	requests      *rate.Limiter // nil: unlimited
+	writes        *rate.Limiter // nil: unlimited
+	revision      uint64
+	items         map[string]stored
+	leases        map[uint64]*lease
+	changes       []wire.Item   // most recent changes; an item without a value is a removal
+	changed       chan struct{} // closed on the next change; nil: nothing is watching
+	refused       []string
+	counts        StateCounts
 }
 
 // StateCounts counts the operations of a state service and the keys it stores.
@@ -57,13 +57,13 @@
 
 type stored struct {
 	wire.Item
-	hold uint64
+	leaseID uint64
 }
 
 type lease struct {
-	life  time.Duration
-	ends  time.Time
-	timer *time.Timer
+	duration time.Duration
+	ends     time.Time
+	timer    *time.Timer
 }
 
 // SetDown begins or ends an outage.
@@ -71,7 +71,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
-	for _, h := range s.holds {
+	for _, h := range s.leases {
 		h.renew() // after an outage every lease runs for its full duration again
 	}
 }
@@ -80,7 +80,7 @@
 func (s *StateService) SetLimits(valueBytes, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.value, s.ops = valueBytes, ops
+	s.maxValueBytes, s.maxOps = valueBytes, ops
 }
 
 // LimitRates limits requests and changes per second; further ones are refused. A burst may use the
@@ -96,7 +96,7 @@
 func (s *StateService) RefusedTransactions() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.bad)
+	return slices.Clone(s.refused)
 }
 
 // Counts returns the service's counts. Keys and Bytes cover only the keys with the prefix.
@@ -121,27 +121,27 @@
 }
 
 func (h *lease) renew() {
-	h.ends = time.Now().Add(h.life)
-	h.timer.Reset(h.life)
+	h.ends = time.Now().Add(h.duration)
+	h.timer.Reset(h.duration)
 }
 
 // expireLease removes a lease that has expired. During an outage leases do not expire.
 func (s *StateService) expireLease(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h := s.holds[id]
+	h := s.leases[id]
 	if h != nil && !s.down && !time.Now().Before(h.ends) {
 		s.removeLease(id)
 	}
 }
 
 func (s *StateService) removeLease(id uint64) {
-	if h := s.holds[id]; h != nil {
+	if h := s.leases[id]; h != nil {
 		h.timer.Stop()
 	}
-	delete(s.holds, id)
+	delete(s.leases, id)
 	for k, it := range s.items {
-		if it.hold == id {
+		if it.leaseID == id {
 			s.revision++
 			delete(s.items, k)
 			s.notifyWatchers(wire.Item{Key: k, Version: s.revision})
@@ -171,16 +171,16 @@
 
 func (s *StateService) transact(t wire.StateTransaction) reply {
 	for _, w := range t.Writes {
-		if s.value > 0 && len(w.Value) > s.value {
-			s.bad = append(s.bad, fmt.Sprintf("%s: %d bytes", w.Key, len(w.Value)))
+		if s.maxValueBytes > 0 && len(w.Value) > s.maxValueBytes {
+			s.refused = append(s.refused, fmt.Sprintf("%s: %d bytes", w.Key, len(w.Value)))
 			return refusal(http.StatusBadRequest, "value too large")
 		}
-		if w.LeaseID != 0 && s.holds[w.LeaseID] == nil {
+		if w.LeaseID != 0 && s.leases[w.LeaseID] == nil {
 			return refusal(http.StatusBadRequest, "no such lease")
 		}
 	}
-	if s.ops > 0 && len(t.Writes) > s.ops {
-		s.bad = append(s.bad, fmt.Sprintf("%d changes", len(t.Writes)))
+	if s.maxOps > 0 && len(t.Writes) > s.maxOps {
+		s.refused = append(s.refused, fmt.Sprintf("%d changes", len(t.Writes)))
 		return refusal(http.StatusBadRequest, "too many changes")
 	}
 	if s.writes != nil && !s.writes.AllowN(time.Now(), len(t.Writes)) {
@@ -241,7 +241,7 @@
 		return refusal(http.StatusTooManyRequests, "too many requests a second")
 	}
 	if s.items == nil {
-		s.items, s.holds = map[string]stored{}, map[uint64]*lease{}
+		s.items, s.leases = map[string]stored{}, map[uint64]*lease{}
 	}
 	path := r.URL.Path
 	switch {
@@ -264,15 +264,15 @@
 		if !ok {
 			return reply{http.StatusNotFound, wire.TransactionAnswer(s.revision, nil)}
 		}
-		return reply{http.StatusOK, wire.StateItem(it.Item, it.hold)}
+		return reply{http.StatusOK, wire.StateItem(it.Item, it.leaseID)}
 	}
 	return refusal(http.StatusNotFound, "no such path")
 }
 
 func (s *StateService) page(q wire.StateQuery) reply {
-	most := pageMost
+	limit := maxPageItems
 	if q.Limit > 0 {
-		most = min(most, q.Limit)
+		limit = min(limit, q.Limit)
 	}
 	var rows []wire.Item
 	bytes := 0
@@ -282,7 +282,7 @@
 		}
 		it := s.items[k].Item
 		bytes += len(it.Value)
-		if len(rows) == most || (bytes > pageBytes && len(rows) > 0) {
+		if len(rows) == limit || (bytes > maxPageBytes && len(rows) > 0) {
 			return reply{http.StatusOK, wire.StatePage(rows, true, s.revision)}
 		}
 		rows = append(rows, it)
@@ -297,7 +297,7 @@
 	}
 	s.revision++
 	id := s.revision
-	s.holds[id] = &lease{life: life, ends: time.Now().Add(life), timer: time.AfterFunc(life, func() { s.expireLease(id) })}
+	s.leases[id] = &lease{duration: life, ends: time.Now().Add(life), timer: time.AfterFunc(life, func() { s.expireLease(id) })}
 	return reply{http.StatusOK, wire.LeaseAnswer(id)}
 }
 
@@ -308,7 +308,7 @@
 	if err != nil {
 		return refusal(http.StatusBadRequest, "not a hold's number")
 	}
-	h := s.holds[id]
+	h := s.leases[id]
 	switch {
 	case h == nil:
 		return refusal(http.StatusNotFound, "no such hold")
@@ -324,21 +324,21 @@
 
 // watch waits until a key with the prefix has changed. It releases the lock while it waits.
 func (s *StateService) watch(r *http.Request, q wire.StateQuery) reply {
-	end := time.NewTimer(min(q.Wait, followAtMost))
+	end := time.NewTimer(min(q.Wait, maxWatchWait))
 	defer end.Stop()
 	for over := false; ; {
 		if len(s.changes) == changesKept && s.changes[0].Version > q.Since+1 {
 			return reply{http.StatusGone, wire.TransactionAnswer(s.revision, nil)}
 		}
-		from, _ := slices.BinarySearchFunc(s.changes, q.Since+1, func(it wire.Item, mark uint64) int { return int(it.Version) - int(mark) })
-		var news []wire.Item
+		from, _ := slices.BinarySearchFunc(s.changes, q.Since+1, func(it wire.Item, version uint64) int { return int(it.Version) - int(version) })
+		var matching []wire.Item
 		for _, it := range s.changes[from:] {
 			if strings.HasPrefix(it.Key, q.Prefix) {
-				news = append(news, it)
+				matching = append(matching, it)
 			}
 		}
-		if len(news) > 0 || over {
-			return reply{http.StatusOK, wire.StateChanges(s.revision, news)}
+		if len(matching) > 0 || over {
+			return reply{http.StatusOK, wire.StateChanges(s.revision, matching)}
 		}
 		if s.changed == nil {
 			s.changed = make(chan struct{})
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -43,7 +43,7 @@
 	fleet   *Fleet
 	machine Machine
 	client  *http.Client
-	down    chan struct{} // closed when the worker is stopped
+	stopped chan struct{} // closed when the worker is stopped
 	wake    chan struct{} // signals that commands were carried out and may need a report
 
 	mu             sync.Mutex
@@ -58,7 +58,7 @@
 }
 
 func newWorker(f *Fleet, m Machine) *worker {
-	w := &worker{fleet: f, machine: m, down: make(chan struct{}), wake: make(chan struct{}, 1),
+	w := &worker{fleet: f, machine: m, stopped: make(chan struct{}), wake: make(chan struct{}, 1),
 		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, leaseRenewedAt: time.Now()}
 	w.client = &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	if f.ReportsChangesAtOnce && len(f.Controllers) > 0 {
@@ -81,7 +81,7 @@
 		}
 		now := time.Now()
 		w.advance(now)
-		x := w.fleet.troubles(w.machine.Name)
+		x := w.fleet.currentFaults(w.machine.Name)
 		switch {
 		case x.gone:
 			return
@@ -132,7 +132,7 @@
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
-	case <-w.down:
+	case <-w.stopped:
 		return false
 	case <-w.wake:
 	case <-timer.C:
@@ -169,7 +169,7 @@
 }
 
 // sendHeartbeat sends one report. It returns false if the next controller must be tried.
-func (w *worker) sendHeartbeat(x troubles) bool {
+func (w *worker) sendHeartbeat(x faults) bool {
 	w.mu.Lock()
 	body := w.encodeReport()
 	w.changed = false
@@ -230,7 +230,7 @@
 		return
 	}
 	select {
-	case <-w.down:
+	case <-w.stopped:
 	case <-time.After(d):
 	}
 }
@@ -374,7 +374,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	select {
-	case <-w.down:
+	case <-w.stopped:
 		return http.StatusServiceUnavailable, nil
 	default:
 	}
