--- a/internal/scaletest/experiment/experiment.go
+++ b/internal/scaletest/experiment/experiment.go
@@ -56,7 +56,7 @@
 	CPU, RAMMB    float64 // cores; MiB
 	FDLimit       int
 	Set           []string // operators' settings as SECTION.KEY=VALUE
-	LeaderWithinS float64  // time limit for the election of the first leader, after which the run begins
+	LeaderWithinS float64  // time limit for the election of the first leader; then the run fails
 }
 
 // Workers configures the machines and their workers.
@@ -65,12 +65,12 @@
 	Processes int // number of workers that have a process each
 	CPUs      float64
 	MemoryGB  float64
-	ReportS   float64
-	LeaseS    float64
-	CancelS   float64
-	FetchS    float64
-	Images    int
-	Rack      int // number of machines in a rack
+	ReportS   float64 // time between two reports of a worker
+	LeaseS    float64 // time without an answer to a report after which a worker ends its tasks
+	CancelS   float64 // time limit for the end of all tasks of a cancelled job
+	FetchS    float64 // time to fetch an image
+	Images    int     // number of different images
+	Rack      int     // number of machines in a rack
 }
 
 // Load describes the users' requests, for the planned number of workers.
@@ -82,12 +82,13 @@
 	JobTasks      int     // mean number of tasks in a job
 	UrgentShare   float64 // share of jobs that are urgent
 	UrgentTasks   int     // mean number of tasks in an urgent job
-	UrgentWithinS float64
+	UrgentWithinS float64 // time limit for the start of an urgent task
 	CancelShare   float64 // share of jobs that are cancelled
-	PollS         float64
+	PollS         float64 // time between two queries of a job's state
 }
 
-// State holds the limits of the state service.
+// State holds the limits of the state service: requests and changes per second, the size of a value
+// in KiB, and the number of changes in a transaction.
 type State struct {
 	RPS, WriteRPS, ValueKB float64
 	TxnOps                 int
--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -153,8 +153,8 @@
 	due  time.Time
 }
 
-// copyDelayed forwards one direction with the proxy's delay until either end is closed, then closes
-// both ends.
+// copyDelayed forwards one direction with the proxy's delay until reading or writing fails, then closes
+// the destination. If writing failed, it also closes the source.
 func (p *Proxy) copyDelayed(from io.ReadCloser, to io.WriteCloser, count func(int)) {
 	pending := make(chan chunk, chunksInFlight)
 	go func() {
--- a/internal/scaletest/scalefit/scalefit.go
+++ b/internal/scaletest/scalefit/scalefit.go
@@ -41,9 +41,9 @@
 	Slopes    []float64 `json:"slopes"` // one for each regressor
 	Intercept float64   `json:"intercept"`
 	Residual  float64   `json:"residual"` // root mean square
-	Points    int       `json:"points"`
-	From      []float64 `json:"from"` // measured range of each regressor
-	To        []float64 `json:"to"`
+	Points    int       `json:"points"`   // number of phases
+	From      []float64 `json:"from"`     // lower end of the measured range of each regressor
+	To        []float64 `json:"to"`       // upper end
 }
 
 // At returns the cost at the given values of the regressors. It reports extrapolated if one of them
@@ -68,11 +68,11 @@
 	value            func(p *scalerun.Phase) (float64, bool)
 }
 
-func roleCost(role, name, unit string, of func(r *scalerun.Role) float64) cost {
+func roleCost(role, name, unit string, value func(r *scalerun.Role) float64) cost {
 	return cost{role, name, unit, func(p *scalerun.Phase) (float64, bool) {
 		for i := range p.Roles {
 			if r := &p.Roles[i]; r.Role == role && r.Processes > 0 {
-				return of(r), true
+				return value(r), true
 			}
 		}
 		return 0, false
@@ -94,8 +94,8 @@
 			out = append(out, roleCost(role, "sockets", "", func(r *scalerun.Role) float64 { return float64(r.Sockets) }))
 		}
 	}
-	state := func(name, unit string, of func(u *scalerun.StateUse) float64) cost {
-		return cost{scalerun.RoleState, name, unit, func(p *scalerun.Phase) (float64, bool) { return of(&p.State), true }}
+	state := func(name, unit string, value func(u *scalerun.StateUse) float64) cost {
+		return cost{scalerun.RoleState, name, unit, func(p *scalerun.Phase) (float64, bool) { return value(&p.State), true }}
 	}
 	return append(out, state("requests", "1/s", func(u *scalerun.StateUse) float64 { return u.RequestsPerS }),
 		state("changes", "1/s", func(u *scalerun.StateUse) float64 { return u.WritesPerS }),
@@ -105,13 +105,13 @@
 
 // Of fits all costs against the regressors, over all phases that have one of the given names.
 func Of(results []scalerun.Result, names, against []string) ([]Fit, error) {
-	var of []func(p *scalerun.Phase) float64
+	var variables []func(p *scalerun.Phase) float64
 	for _, name := range against {
 		f, ok := regressors[name]
 		if !ok {
 			return nil, fmt.Errorf("against: %q is none of %s", name, strings.Join(Regressors(), ", "))
 		}
-		of = append(of, f)
+		variables = append(variables, f)
 	}
 	var phases []*scalerun.Phase
 	for i := range results {
@@ -126,7 +126,7 @@
 	}
 	var fits []Fit
 	for _, c := range costs() {
-		f, err := fit(c, phases, against, of)
+		f, err := fit(c, phases, against, variables)
 		if err != nil {
 			return nil, err
 		}
@@ -141,10 +141,10 @@
 // it, collinearity makes the slopes unreliable (Belsley, Kuh and Welsch, "Regression Diagnostics").
 const maxCondition = 30
 
-// fit fits one cost. It returns nil if too few runs have this cost.
-func fit(c cost, phases []*scalerun.Phase, against []string, of []func(p *scalerun.Phase) float64) (*Fit, error) {
+// fit fits one cost. It returns nil if too few phases have this cost.
+func fit(c cost, phases []*scalerun.Phase, against []string, variables []func(p *scalerun.Phase) float64) (*Fit, error) {
 	var xs, ys []float64
-	f := &Fit{Role: c.role, Cost: c.name, Unit: c.unit, Against: against, From: filled(len(of), math.Inf(1)), To: filled(len(of), math.Inf(-1))}
+	f := &Fit{Role: c.role, Cost: c.name, Unit: c.unit, Against: against, From: filled(len(variables), math.Inf(1)), To: filled(len(variables), math.Inf(-1))}
 	for _, p := range phases {
 		y, ok := c.value(p)
 		if !ok {
@@ -152,19 +152,19 @@
 		}
 		ys = append(ys, y)
 		xs = append(xs, 1)
-		for i, x := range of {
+		for i, x := range variables {
 			v := x(p)
 			xs = append(xs, v)
 			f.From[i], f.To[i] = min(f.From[i], v), max(f.To[i], v)
 		}
 	}
 	f.Points = len(ys)
-	if f.Points < len(of)+2 {
+	if f.Points < len(variables)+2 {
 		return nil, nil
 	}
 	// The columns are scaled to the same magnitude first, so that the condition number reflects
 	// only the collinearity of the regressors.
-	scale := filled(len(of)+1, 0)
+	scale := filled(len(variables)+1, 0)
 	for i, x := range xs {
 		scale[i%len(scale)] = max(scale[i%len(scale)], math.Abs(x))
 	}
@@ -173,7 +173,7 @@
 	}
 	a := mat.NewDense(f.Points, len(scale), xs)
 	if mat.Cond(a, 2) > maxCondition {
-		return nil, fmt.Errorf("against: %s rise together, or do not change, in these runs", strings.Join(against, ", "))
+		return nil, fmt.Errorf("against: %s are collinear, or one of them is constant, in these runs", strings.Join(against, ", "))
 	}
 	b := mat.NewVecDense(f.Points, ys)
 	var solved mat.VecDense
@@ -181,7 +181,7 @@
 		return nil, fmt.Errorf("against: %w", err)
 	}
 	f.Intercept = solved.AtVec(0) / scale[0]
-	for i := range of {
+	for i := range variables {
 		f.Slopes = append(f.Slopes, solved.AtVec(i+1)/cmp.Or(scale[i+1], 1))
 	}
 	var estimate mat.VecDense
--- a/internal/scaletest/scalefit/scalefit_test.go
+++ b/internal/scaletest/scalefit/scalefit_test.go
@@ -58,7 +58,7 @@
 // refused.
 func TestFitRefuses(t *testing.T) {
 	together := []scalerun.Result{run(100, 10, 1), run(200, 20, 2), run(300, 30, 3), run(400, 40, 4)}
-	for against, want := range map[string]string{"workers,starts": "rise together", "teams": "do not change", "moons": "none of"} {
+	for against, want := range map[string]string{"workers,starts": "are collinear", "teams": "is constant", "moons": "none of"} {
 		if _, err := Of(together, []string{"peak"}, strings.Split(against, ",")); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", against, err)
 		}
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -34,13 +34,15 @@
 	Refused []string            `json:"refused"`
 }
 
-// StateLimits are the limits of the state service's process.
+// StateLimits are the limits of the state service: requests and changes per second, the size of a value
+// in KiB, and the number of changes in a transaction.
 type StateLimits struct {
 	RPS, WriteRPS, ValueKB float64
 	TxnOps                 int
 }
 
-// ServeState runs the process of the state service.
+// ServeState runs the state service in a child process. It writes the service's address to out and
+// serves requests until in is closed.
 func ServeState(limits StateLimits, in io.Reader, out io.Writer) error {
 	store := &standin.StateService{}
 	store.SetLimits(int(limits.ValueKB*1024), limits.TxnOps)
@@ -71,7 +73,7 @@
 // workerConfig configures a worker's process. It is the first line of its standard input.
 type workerConfig struct {
 	Machine  standin.Machine
-	Doors    []string
+	Doors    []string // base URLs of the controllers
 	ReportS  float64
 	LeaseS   float64
 	FetchS   float64
@@ -122,7 +124,8 @@
 // Ended records the end of a task.
 func (p *pipe) Ended(task, _ string, done bool) { p.send(workerNote{Ended: task, Done: done}) }
 
-// ServeWorker runs the process of one worker.
+// ServeWorker runs one worker in a child process. It writes the worker's address and then its notes to
+// out, and reads the worker's configuration and the acknowledgements of the notes from in.
 func ServeWorker(in io.Reader, out io.Writer) error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/scaletest/scalerun/latency.go
+++ b/internal/scaletest/scalerun/latency.go
@@ -12,7 +12,7 @@
 // sketchError is the relative error of the quantiles.
 const sketchError = 0.01
 
-// Latency summarizes a distribution of times in seconds.
+// Latency summarizes a distribution of durations in seconds.
 type Latency struct {
 	Count  int     `json:"count"`
 	Median float64 `json:"median_s"`
@@ -20,7 +20,7 @@
 	Max    float64 `json:"max_s"`
 }
 
-// histogram collects times of one kind.
+// histogram collects durations of one kind.
 type histogram struct{ sketch *ddsketch.DDSketch }
 
 func newHistogram() *histogram {
@@ -31,7 +31,7 @@
 	return &histogram{s}
 }
 
-func (h *histogram) add(d time.Duration) { _ = h.sketch.Add(max(0, d.Seconds())) } // times are finite
+func (h *histogram) add(d time.Duration) { _ = h.sketch.Add(max(0, d.Seconds())) } // fails only for non-finite values
 
 func (h *histogram) latency() Latency {
 	l := Latency{Count: int(h.sketch.GetCount())}
@@ -64,8 +64,8 @@
 	return float64(t.prompt) / n
 }
 
-// latencies measures the time from the submission of a job, or the loss of a task, to the task's
-// start.
+// latencies collects the latencies of each phase: of task starts after the submission of the job or the
+// loss of the task, of cancellations, and of configuration changes.
 type latencies struct {
 	urgentLimit   time.Duration // time limit for the start of an urgent task
 	mu            sync.Mutex
@@ -93,6 +93,7 @@
 	l.jobs[job] = submitted{time.Now(), urgent}
 }
 
+// cancelled records the time from a user's decision to cancel a job to the answer.
 func (l *latencies) cancelled(took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scaletest/scalerun/measure.go
+++ b/internal/scaletest/scalerun/measure.go
@@ -17,7 +17,7 @@
 	PID     int           `json:"pid"` // 0: the controller is down
 	Leads   bool          `json:"leads"`
 	Usage   Usage         `json:"usage"`
-	Workers traffic.Count `json:"workers"` // this and the next: as the controller sees it
+	Workers traffic.Count `json:"workers"` // Workers to Cloud: traffic with each, as the controller sees it
 	Users   traffic.Count `json:"users"`
 	Peers   traffic.Count `json:"peers"`
 	State   traffic.Count `json:"state"`
@@ -40,7 +40,7 @@
 type Sample struct {
 	Size     int                 `json:"size"`
 	Seed     uint64              `json:"seed"`
-	AtS      float64             `json:"at_s"`
+	AtS      float64             `json:"at_s"` // seconds since the beginning of the load
 	Phase    string              `json:"phase"`
 	Measured bool                `json:"measured"` // whether it belongs to the measured part of its phase
 	Leader   string              `json:"leader"`
@@ -51,9 +51,9 @@
 	Hollow   traffic.Count       `json:"hollow"`  // traffic of all hollow workers
 	Run      Usage               `json:"run"`     // the process with hollow workers, users and cloud
 	Up       int                 `json:"workers"` // hollow workers that are up
-	Running  int                 `json:"running"`
-	Starts   uint64              `json:"starts"`
-	Ended    uint64              `json:"ended"`
+	Running  int                 `json:"running"` // tasks that run now
+	Starts   uint64              `json:"starts"`  // task starts so far
+	Ended    uint64              `json:"ended"`   // task ends so far
 }
 
 // swapDirections returns the traffic as the other end sees it.
--- a/internal/scaletest/scalerun/network.go
+++ b/internal/scaletest/scalerun/network.go
@@ -52,6 +52,7 @@
 	return n.connected(from, to)
 }
 
+// connected does what reaches does; the caller holds the lock.
 func (n *network) connected(from, to string) bool {
 	if n.regionsPartitioned && n.region(from) != n.region(to) {
 		return false
@@ -76,11 +77,12 @@
 	return l, nil
 }
 
-// setPartition partitions a zone, or the regions from one another; noZone and false end all partitions.
-func (n *network) setPartition(zone string, apart bool) {
+// setPartition partitions a zone from all other locations, or the regions from one another if
+// betweenRegions is set; noZone and false end all partitions.
+func (n *network) setPartition(zone string, betweenRegions bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.partitionedZone, n.regionsPartitioned = zone, apart
+	n.partitionedZone, n.regionsPartitioned = zone, betweenRegions
 	for _, l := range n.links {
 		l.proxy.SetPartitioned(!n.connected(l.from, l.to))
 	}
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -24,7 +24,7 @@
 	revisionPollInterval = 200 * time.Millisecond // interval at which the controllers' revisions are read
 	revisionPollTimeout  = time.Second
 	changeRetryInterval  = 50 * time.Millisecond // interval at which a change request is repeated
-	minLimitShare        = 0.9                   // smallest limit in a change, as a share of the team's own
+	minLimitShare        = 0.9                   // smallest limit in a change, as a share of the team's configured limit
 )
 
 // operators changes the configuration and measures when all controllers have applied each change.
@@ -86,13 +86,13 @@
 
 // change makes one change and repeats the request until the change is durable.
 func (o *operators) change(ctx context.Context) {
-	asked := time.Now()
+	requestedAt := time.Now()
 	id := fmt.Sprint("change-", o.rng.Uint64())
 	changes := o.randomChange()
 	for ctx.Err() == nil {
 		revision, err := o.requestChange(ctx, id, changes)
 		if err == nil {
-			o.testbed.latency.changed(time.Since(asked))
+			o.testbed.latency.changed(time.Since(requestedAt))
 			o.mu.Lock()
 			o.made++
 			o.unapplied = append(o.unapplied, revisionAt{revision, time.Now()})
@@ -103,8 +103,8 @@
 	}
 }
 
-// randomChange returns a random change with little effect: a team's limit slightly below its own, and a
-// tunable.
+// randomChange returns a random change with little effect: a limit of a team slightly below the
+// configured one, and a tunable.
 func (o *operators) randomChange() []config.Change {
 	w := o.testbed
 	limit := w.teamLimit() * (minLimitShare + (1-minLimitShare)*o.rng.Float64())
--- a/internal/scaletest/scalerun/result.go
+++ b/internal/scaletest/scalerun/result.go
@@ -15,7 +15,8 @@
 	RoleHollow     = "hollow worker"
 )
 
-// Role is the resource usage of one process of a role, averaged over the time that it had the role.
+// Role is the resource usage of one process of a role, averaged over the time that it had the role. For
+// hollow workers, which share one process, it is the usage per worker.
 type Role struct {
 	Role        string  `json:"role"`
 	Processes   float64 `json:"processes"` // mean number of processes
@@ -36,7 +37,7 @@
 	RateLimited  uint64  `json:"rate_limited"`
 	LogKeys      int     `json:"log_keys"` // at the end of the phase
 	LogKB        float64 `json:"log_kb"`
-	LogKBMost    float64 `json:"log_kb_most"`
+	LogKBMost    float64 `json:"log_kb_most"` // largest size of the log during the phase
 }
 
 // Phase is the result of one phase of a run.
@@ -52,7 +53,7 @@
 	State      StateUse `json:"state"`
 	Urgent     Latency  `json:"urgent_start"`  // from the first attempt to submit the job to the start of a task
 	Prompt     float64  `json:"urgent_prompt"` // share of urgent tasks that started within the time limit
-	Lost       int      `json:"lost"`          // ended uncompleted: machine or lease lost, cancelled, preempted
+	Lost       int      `json:"lost"`          // tasks ended uncompleted: machine or lease lost, cancelled, preempted
 	Other      Latency  `json:"other_start"`
 	Cancel     Latency  `json:"cancel"`          // from the user's decision to cancel to the answer
 	Recovery   Latency  `json:"recovery"`        // from the loss of a task with its machine until it runs again
@@ -72,7 +73,7 @@
 	Changes    int      `json:"config_changes"`           // number of changes made
 	Waiting    int      `json:"config_changes_not_there"` // changes not applied everywhere at the end
 	Phases     []Phase  `json:"phases"`
-	Broken     []string `json:"broken"`
+	Broken     []string `json:"broken"` // descriptions of the rules that were broken
 }
 
 const (
@@ -97,14 +98,14 @@
 	a.sockets = max(a.sockets, after.Sockets)
 }
 
-// role returns the mean usage of one process of a role. The argument whole is the measured duration
-// of the phase in seconds.
-func (a *account) role(name string, whole float64) Role {
+// role returns the mean usage of one process of a role in a phase that was measured for the given
+// number of seconds.
+func (a *account) role(name string, phaseSeconds float64) Role {
 	r := Role{Role: name, RSSMiB: float64(a.rss) / miB, Sockets: a.sockets}
 	if a.seconds == 0 {
 		return r
 	}
-	r.Processes = a.seconds / whole
+	r.Processes = a.seconds / phaseSeconds
 	r.CPU = a.cpu / a.seconds
 	r.InKBPerS = float64(a.traffic.In) / kB / a.seconds
 	r.OutKBPerS = float64(a.traffic.Out) / kB / a.seconds
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -19,7 +19,7 @@
 	machineStartSpread = 3 * time.Second
 )
 
-// Run runs an experiment with the given number of workers and seed.
+// Run runs an experiment with the given number of workers and seed, and returns the measured result.
 func Run(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -97,7 +97,7 @@
 		return err
 	}
 	w.operators.awaitApplied(stop)
-	w.users.resubmit(w.jobs)
+	w.users.recheckFinalStates(w.jobs)
 	r.Changes, r.Waiting = w.operators.counts()
 	end()
 	openJobs.Wait()
@@ -141,8 +141,8 @@
 }
 
 // watch samples the run for the given duration and checks for overdue tasks of cancelled jobs.
-func (w *testbed) watch(p experiment.Phase, measured bool, lasts time.Duration) (samples []Sample, err error) {
-	for end := time.Now().Add(lasts); time.Now().Before(end); {
+func (w *testbed) watch(p experiment.Phase, measured bool, duration time.Duration) (samples []Sample, err error) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		s := w.sample(w.users.begin, p.Name, measured)
 		if err := w.writeSample(s); err != nil {
 			return nil, err
@@ -156,7 +156,7 @@
 			w.options.Log.Info("playing", "size", w.size, "phase", p.Name, "running", s.Running, "workers", s.Up+len(s.Workers), "starts", s.Starts, "leader", s.Leader)
 		}
 	}
-	if lasts > 0 {
+	if duration > 0 {
 		samples = append(samples, w.sample(w.users.begin, p.Name, measured))
 	}
 	return samples, nil
@@ -166,9 +166,9 @@
 // that still lasts at the end of the phase.
 func (w *testbed) applyEvent(p experiment.Phase) (undo func()) {
 	undo = func() {}
-	lasts := seconds(p.EventS)
-	if lasts == 0 {
-		lasts = seconds(p.MeasureS)
+	duration := seconds(p.EventS)
+	if duration == 0 {
+		duration = seconds(p.MeasureS)
 	}
 	switch p.Event {
 	case experiment.KillLeader:
@@ -185,7 +185,7 @@
 		}
 	case experiment.CutZone, experiment.CutRegions:
 		w.network.setPartition(p.Zone, p.Event == experiment.CutRegions)
-		heal := time.AfterFunc(lasts, func() { w.network.setPartition(noZone, false) })
+		heal := time.AfterFunc(duration, func() { w.network.setPartition(noZone, false) })
 		undo = func() {
 			if heal.Stop() {
 				w.network.setPartition(noZone, false)
@@ -194,18 +194,18 @@
 	case experiment.LoseZone:
 		for _, c := range w.controllers {
 			if c.zone == p.Zone {
-				w.restart(c, lasts)
+				w.restart(c, duration)
 			}
 		}
-		w.loseMachines(w.inZone(p.Zone), lasts)
+		w.loseMachines(w.inZone(p.Zone), duration)
 	case experiment.LoseRack:
 		machines := w.inZone(p.Zone)
-		w.loseMachines(machines[:min(w.exp.Workers.Rack, len(machines))], lasts)
+		w.loseMachines(machines[:min(w.exp.Workers.Rack, len(machines))], duration)
 	case experiment.StateOutage:
 		w.setOutage(true)
-		back := time.AfterFunc(lasts, func() { w.setOutage(false) })
+		restore := time.AfterFunc(duration, func() { w.setOutage(false) })
 		undo = func() {
-			if back.Stop() {
+			if restore.Stop() {
 				w.setOutage(false)
 			}
 		}
@@ -295,7 +295,7 @@
 	}
 }
 
-// MakeDir creates the directory for the settings files and logs of one run.
+// MakeDir creates the directory for the settings files and logs of one run, and returns its path.
 func MakeDir(parent string, name string) (string, error) {
 	dir := filepath.Join(parent, name)
 	return dir, os.MkdirAll(dir, 0o700)
--- a/internal/scaletest/scalerun/users.go
+++ b/internal/scaletest/scalerun/users.go
@@ -228,8 +228,8 @@
 	}
 }
 
-// resubmit queries every job that is over once more, to check that its state has not changed.
-func (u *users) resubmit(jobs []job) {
+// recheckFinalStates queries every job that is over once more, to check that its state has not changed.
+func (u *users) recheckFinalStates(jobs []job) {
 	for _, j := range jobs {
 		if _, over := u.finalStates.Load(j.name()); over {
 			u.queryJob(j.id)
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -263,8 +263,8 @@
 		w.fleet.StartWorker(m)
 		return
 	}
-	order := workerConfig{Machine: m, Doors: w.fleet.Controllers, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
-	if err := json.NewEncoder(r.process.stdin).Encode(order); err != nil {
+	config := workerConfig{Machine: m, Doors: w.fleet.Controllers, ReportS: w.exp.Workers.ReportS, LeaseS: w.exp.Workers.LeaseS, FetchS: w.exp.Workers.FetchS, Workload: w.work}
+	if err := json.NewEncoder(r.process.stdin).Encode(config); err != nil {
 		w.options.Log.Error("failed to configure the process of a worker", "machine", m.Name, "error", err)
 		return
 	}
@@ -333,7 +333,7 @@
 
 func (w *testbed) makeControllers() error {
 	w.mu.Lock()
-	clouds, err := w.serve(&traffic.Meter{}, w.cloud)
+	cloudAddr, err := w.serve(&traffic.Meter{}, w.cloud)
 	w.mu.Unlock()
 	if err != nil {
 		return err
@@ -353,7 +353,7 @@
 		w.fleet.Traffic = append(w.fleet.Traffic, &c.reports)
 	}
 	for _, c := range w.controllers {
-		if err := w.connect(c, clouds); err != nil {
+		if err := w.connect(c, cloudAddr); err != nil {
 			return err
 		}
 	}
@@ -361,11 +361,11 @@
 }
 
 // connect creates the links from a controller to the services and its peers, and writes its settings.
-func (w *testbed) connect(c *controller, cloud string) (err error) {
+func (w *testbed) connect(c *controller, cloudAddr string) (err error) {
 	if c.state, err = w.network.connect(c.zone, noZone, w.stateAddr); err != nil {
 		return err
 	}
-	if c.cloud, err = w.network.connect(c.zone, noZone, cloud); err != nil {
+	if c.cloud, err = w.network.connect(c.zone, noZone, cloudAddr); err != nil {
 		return err
 	}
 	p := w.platform(c)
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -151,9 +151,9 @@
 	return c.freeCapacity(zone)
 }
 
-func (c *Cloud) add(kind, zone string, spot bool, boot time.Duration) Machine {
+func (c *Cloud) add(typeName, zone string, spot bool, boot time.Duration) Machine {
 	c.created++
-	m := Machine{Name: fmt.Sprintf("host-%06d", c.created), Address: "127.0.0.1:1", Type: kind, Zone: zone, Spot: spot}
+	m := Machine{Name: fmt.Sprintf("host-%06d", c.created), Address: "127.0.0.1:1", Type: typeName, Zone: zone, Spot: spot}
 	if c.Address != nil {
 		m.Address = c.Address(m)
 	}
@@ -176,13 +176,13 @@
 	}
 }
 
-// AddMachine adds a running machine without a rental request, as after a request whose answer was
-// lost.
-func (c *Cloud) AddMachine(kind, zone string, spot bool) Machine {
+// AddMachine adds a machine that runs at once and belongs to no recorded rental request. To controllers
+// it looks like a machine of a request whose answer was lost.
+func (c *Cloud) AddMachine(typeName, zone string, spot bool) Machine {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.initialize()
-	return c.add(kind, zone, spot, 0)
+	return c.add(typeName, zone, spot, 0)
 }
 
 func (c *Cloud) removeMachine(name string) {
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -182,7 +182,7 @@
 	return f
 }
 
-// controllerNumber returns the index of the controller with a name, and false if there is none.
+// controllerNumber returns the index of the controller with the given name, and false if there is none.
 func (f *Fleet) controllerNumber(name string) (int, bool) {
 	number, ok := strings.CutPrefix(name, "n")
 	i, err := strconv.Atoi(number)
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -32,8 +32,8 @@
 	}
 	watched := make(chan bool, 1)
 	go func() { watched <- c.Watch(ctx, "lead/", view.Revision, 10*time.Second) }()
-	hold, ok := c.CreateLease(ctx, 300*time.Millisecond)
-	if won, _ := c.Claim(ctx, "n0", view, hold); !ok || !won {
+	lease, ok := c.CreateLease(ctx, 300*time.Millisecond)
+	if won, _ := c.Claim(ctx, "n0", view, lease); !ok || !won {
 		t.Fatal("the leadership could not be claimed")
 	}
 	if !<-watched {
--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -302,8 +302,8 @@
 }
 
 // changeLease renews the lease if the path ends in ID/renew, or removes it if the method is DELETE.
-func (s *StateService) changeLease(method, what string) reply {
-	number, renew := strings.CutSuffix(what, "/renew")
+func (s *StateService) changeLease(method, path string) reply {
+	number, renew := strings.CutSuffix(path, "/renew")
 	id, err := strconv.ParseUint(number, 10, 64)
 	if err != nil {
 		return refusal(http.StatusBadRequest, "not a hold's number")
@@ -322,7 +322,8 @@
 	return reply{http.StatusOK, []byte("{}")}
 }
 
-// watch waits until a key with the prefix has changed. It releases the lock while it waits.
+// watch waits until a key with the query's prefix has changed since the query's revision, for the
+// query's wait at most. It releases the lock while it waits.
 func (s *StateService) watch(r *http.Request, q wire.StateQuery) reply {
 	end := time.NewTimer(min(q.Wait, maxWatchWait))
 	defer end.Stop()
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -16,9 +16,9 @@
 
 // Timing and size limits of a worker's reports, as the protocol defines them.
 const (
-	heartbeatTimeout   = 4 * time.Second
+	reportTimeout      = 4 * time.Second
 	retryPause         = time.Second
-	minHeartbeatPause  = 500 * time.Millisecond // minimum time between two reports
+	minReportPause     = 500 * time.Millisecond // minimum time between two reports
 	pausedPollInterval = 50 * time.Millisecond
 	maxAnswerBytes     = 1 << 20
 )
@@ -60,7 +60,7 @@
 func newWorker(f *Fleet, m Machine) *worker {
 	w := &worker{fleet: f, machine: m, stopped: make(chan struct{}), wake: make(chan struct{}, 1),
 		session: 1, tasks: map[attempt]*task{}, images: map[string]bool{}, leaseRenewedAt: time.Now()}
-	w.client = &http.Client{Timeout: heartbeatTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
+	w.client = &http.Client{Timeout: reportTimeout, Transport: &http.Transport{DialContext: w.dial, MaxIdleConnsPerHost: 1, DisableCompression: true}}
 	if f.ReportsChangesAtOnce && len(f.Controllers) > 0 {
 		w.controller = rand.IntN(len(f.Controllers))
 	}
@@ -88,11 +88,11 @@
 		case x.paused:
 			next, last = now.Add(pausedPollInterval), now
 			continue
-		case now.Before(next) && (!w.hasChanged() || now.Sub(last) < minHeartbeatPause):
+		case now.Before(next) && (!w.hasChanged() || now.Sub(last) < minReportPause):
 			continue
 		}
 		last = now
-		if w.sendHeartbeat(x) {
+		if w.sendReport(x) {
 			next = time.Now().Add(w.interval())
 		} else {
 			next = time.Now().Add(retryPause)
@@ -116,7 +116,7 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if soon := last.Add(minHeartbeatPause); w.changed && soon.Before(next) {
+	if soon := last.Add(minReportPause); w.changed && soon.Before(next) {
 		next = soon
 	}
 	for _, t := range w.tasks {
@@ -148,7 +148,7 @@
 
 // dial connects to the worker's current controller and counts the traffic of the connection.
 func (w *worker) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	return w.fleet.traffic(w.currentController()).DialContext(&net.Dialer{Timeout: heartbeatTimeout})(ctx, network, addr)
+	return w.fleet.traffic(w.currentController()).DialContext(&net.Dialer{Timeout: reportTimeout})(ctx, network, addr)
 }
 
 func (w *worker) currentController() int {
@@ -168,8 +168,8 @@
 	return wire.EncodeReport(&r)
 }
 
-// sendHeartbeat sends one report. It returns false if the next controller must be tried.
-func (w *worker) sendHeartbeat(x faults) bool {
+// sendReport sends one report. It returns false if the next controller must be tried.
+func (w *worker) sendReport(x faults) bool {
 	w.mu.Lock()
 	body := w.encodeReport()
 	w.changed = false
@@ -206,7 +206,7 @@
 	if w.fleet.Reaches != nil {
 		ok := false
 		if ok, latency = w.fleet.Reaches(w.machine.Zone, controller); !ok {
-			w.sleepFor(heartbeatTimeout)
+			w.sleepFor(reportTimeout)
 			return 0, nil
 		}
 	}
@@ -253,7 +253,8 @@
 	})
 }
 
-// applyAnswer carries out the answer to a report, unless its token is lower than the worker's.
+// applyAnswer renews the lease and carries out the commands in the answer to a report, unless the
+// answer's token is lower than the worker's.
 func (w *worker) applyAnswer(sent time.Time, token uint64, commands []workers.Command) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/scaletest/traffic/meter.go
+++ b/internal/scaletest/traffic/meter.go
@@ -14,7 +14,7 @@
 type Count struct {
 	In       uint64 `json:"bytes_in"`
 	Out      uint64 `json:"bytes_out"`
-	Messages uint64 `json:"messages"` // requests; a request and its answer count as one
+	Messages uint64 `json:"messages"` // a request and its answer count as one; through package netproxy, each chunk read
 }
 
 // Minus returns the traffic since an earlier reading.
