--- a/internal/scaletest/netproxy/netproxy.go
+++ b/internal/scaletest/netproxy/netproxy.go
@@ -1,5 +1,5 @@
-// Package netproxy forwards TCP connections to one address: late by a set time, counted, and
-// held up while the network between the two ends is cut.
+// Package netproxy forwards TCP connections to one address. It adds a fixed delay, counts the
+// traffic, and holds data back while a simulated network partition separates the two ends.
 package netproxy
 
 import (
@@ -13,26 +13,26 @@
 )
 
 const (
-	chunkBytes  = 16 << 10
-	chunksAhead = 64 // on their way in one direction of a connection
-	dialTimeout = time.Second
+	chunkBytes     = 16 << 10
+	chunksInFlight = 64 // maximum number in flight in one direction of a connection
+	dialTimeout    = time.Second
 )
 
-// Proxy forwards the connections that are made to its address.
+// Proxy forwards the connections made to its address to a target.
 type Proxy struct {
 	target   string
 	latency  time.Duration // one way
 	traffic  *traffic.Meter
 	listener net.Listener
 
-	mu     sync.Mutex
-	healed chan struct{} // nil: not cut; otherwise closed at the end of the cut
-	closed chan struct{}
-	conns  map[net.Conn]bool
+	mu           sync.Mutex
+	partitionEnd chan struct{} // nil: no partition; otherwise closed when the partition ends
+	closed       chan struct{}
+	conns        map[net.Conn]bool
 }
 
-// New forwards connections to a target. Traffic counts what the connecting side receives and
-// sends; each of its writes counts as a message.
+// New starts a proxy that forwards connections to a target. The meter counts what the connecting
+// side receives and sends; each chunk read from that side counts as a message.
 func New(target string, latency time.Duration, traffic *traffic.Meter) (*Proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -43,23 +43,24 @@
 	return p, nil
 }
 
-// Addr is where the proxy listens.
+// Addr returns the address that the proxy listens on.
 func (p *Proxy) Addr() string { return p.listener.Addr().String() }
 
-// Cut begins or ends a cut: meanwhile nothing gets through, and what was sent arrives afterwards.
-func (p *Proxy) Cut(cut bool) {
+// SetPartitioned begins or ends a partition. During a partition no data is forwarded; data sent
+// meanwhile arrives after its end.
+func (p *Proxy) SetPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case cut && p.healed == nil:
-		p.healed = make(chan struct{})
-	case !cut && p.healed != nil:
-		close(p.healed)
-		p.healed = nil
+	case partitioned && p.partitionEnd == nil:
+		p.partitionEnd = make(chan struct{})
+	case !partitioned && p.partitionEnd != nil:
+		close(p.partitionEnd)
+		p.partitionEnd = nil
 	}
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and all connections of the proxy.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -87,7 +88,7 @@
 	}
 }
 
-// track notes a connection; false says that the proxy is closed.
+// track registers a connection. It closes the connection and returns false if the proxy is closed.
 func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -101,24 +102,24 @@
 	return true
 }
 
-func (p *Proxy) forget(c net.Conn) {
+func (p *Proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 	_ = c.Close()
 }
 
-// passable waits until nothing is cut; false says that the proxy is closed.
-func (p *Proxy) passable() bool {
+// waitConnected waits until there is no partition. It returns false if the proxy is closed.
+func (p *Proxy) waitConnected() bool {
 	for {
 		p.mu.Lock()
-		healed := p.healed
+		end := p.partitionEnd
 		p.mu.Unlock()
-		if healed == nil {
+		if end == nil {
 			return true
 		}
 		select {
-		case <-healed:
+		case <-end:
 		case <-p.closed:
 			return false
 		}
@@ -126,15 +127,15 @@
 }
 
 func (p *Proxy) forward(from net.Conn) {
-	defer p.forget(from)
-	if !p.passable() {
+	defer p.untrack(from)
+	if !p.waitConnected() {
 		return
 	}
 	to, err := net.DialTimeout("tcp4", p.target, dialTimeout)
 	if err != nil || !p.track(to) {
 		return
 	}
-	defer p.forget(to)
+	defer p.untrack(to)
 	var both sync.WaitGroup
 	both.Go(func() {
 		p.copyDelayed(from, to, func(n int) {
@@ -146,23 +147,24 @@
 	both.Wait()
 }
 
-// chunk is what was read at once, and when it is due at the other end.
+// chunk is the data of one read, and the time at which it is due at the other end.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// copyDelayed forwards one direction until either end is closed, and then closes both.
+// copyDelayed forwards one direction with the proxy's delay until reading or writing fails, then closes
+// the destination. If writing failed, it also closes the source.
 func (p *Proxy) copyDelayed(from io.ReadCloser, to io.WriteCloser, count func(int)) {
-	ahead := make(chan chunk, chunksAhead)
+	pending := make(chan chunk, chunksInFlight)
 	go func() {
-		defer close(ahead)
+		defer close(pending)
 		for {
 			buf := make([]byte, chunkBytes)
 			n, err := from.Read(buf)
 			if n > 0 {
 				count(n)
-				ahead <- chunk{buf[:n], time.Now().Add(p.latency)}
+				pending <- chunk{buf[:n], time.Now().Add(p.latency)}
 			}
 			if err != nil {
 				return
@@ -170,12 +172,12 @@
 		}
 	}()
 	broken := false
-	for c := range ahead {
+	for c := range pending {
 		if broken {
-			continue // the reader is not left waiting for room
+			continue // drain the channel so that the reading goroutine does not block
 		}
 		time.Sleep(time.Until(c.due))
-		if !p.passable() {
+		if !p.waitConnected() {
 			broken = true
 		} else if _, err := to.Write(c.data); err != nil {
 			broken = true
--- a/internal/scaletest/netproxy/netproxy_test.go
+++ b/internal/scaletest/netproxy/netproxy_test.go
@@ -10,13 +10,14 @@
 	"bitternmoor/internal/scaletest/traffic"
 )
 
-// What is sent during a cut arrives after it, and all of it is counted.
+// TestProxyHoldsBackAndCounts checks that data sent during a partition arrives after its end, and
+// that all of it is counted.
 func TestProxyHoldsBackAndCounts(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = l.Close() }() // it only ends the test's own accept
+	defer func() { _ = l.Close() }() // this only ends the test's accept loop
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -36,29 +37,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { _ = c.Close() }() // what matters was read before
+	defer func() { _ = c.Close() }() // all data was read before
 	lines := bufio.NewReader(c)
-	say := func(s string) {
+	send := func(s string) {
 		t.Helper()
 		if _, err := io.WriteString(c, s); err != nil {
 			t.Fatal(err)
 		}
 	}
-	hear := func(within time.Duration) (string, error) {
+	receive := func(within time.Duration) (string, error) {
 		_ = c.SetReadDeadline(time.Now().Add(within))
 		return lines.ReadString('\n')
 	}
-	say("one\n")
-	if s, err := hear(20 * time.Second); s != "one\n" {
+	send("one\n")
+	if s, err := receive(20 * time.Second); s != "one\n" {
 		t.Fatalf("%q %v", s, err)
 	}
-	p.Cut(true)
-	say("two\n")
-	if s, err := hear(200 * time.Millisecond); err == nil {
-		t.Errorf("%q came through a cut", s)
+	p.SetPartitioned(true)
+	send("two\n")
+	if s, err := receive(200 * time.Millisecond); err == nil {
+		t.Errorf("%q was forwarded during a partition", s)
 	}
-	p.Cut(false)
-	if s, err := hear(20 * time.Second); s != "two\n" {
+	p.SetPartitioned(false)
+	if s, err := receive(20 * time.Second); s != "two\n" {
 		t.Errorf("%q %v", s, err)
 	}
 	if n := traffic.Read(); n.In != 8 || n.Out != 8 || n.Messages != 2 {
--- a/internal/scaletest/scalefit/scalefit.go
+++ b/internal/scaletest/scalefit/scalefit.go
@@ -1,5 +1,5 @@
-// Package scalefit fits what roles cost against what grows: by least squares over the results
-// of scale runs of several sizes.
+// Package scalefit fits the resource costs of roles as linear functions of the size of a
+// deployment, by least squares over the results of scale runs of several sizes.
 package scalefit
 
 import (
@@ -14,7 +14,7 @@
 	"bitternmoor/internal/scaletest/scalerun"
 )
 
-// Regressors are what a cost may be fitted against, by name.
+// regressors maps the names of the variables that a cost may be fitted against to their values.
 var regressors = map[string]func(p *scalerun.Phase) float64{
 	"workers": func(p *scalerun.Phase) float64 { return p.Workers },
 	"starts":  func(p *scalerun.Phase) float64 { return p.StartsPerS },
@@ -22,7 +22,7 @@
 	"teams":   func(p *scalerun.Phase) float64 { return float64(p.Teams) },
 }
 
-// Regressors lists the names of what a cost may be fitted against.
+// Regressors returns the sorted names of the variables that a cost may be fitted against.
 func Regressors() []string {
 	names := []string{}
 	for n := range regressors {
@@ -32,22 +32,22 @@
 	return names
 }
 
-// Fit is one cost of a role as a linear function.
+// Fit is one cost of a role, fitted as a linear function of the regressors.
 type Fit struct {
 	Role      string    `json:"role"`
 	Cost      string    `json:"cost"`
 	Unit      string    `json:"unit"`
 	Against   []string  `json:"against"`
-	Slopes    []float64 `json:"slopes"` // by regressor
+	Slopes    []float64 `json:"slopes"` // one for each regressor
 	Intercept float64   `json:"intercept"`
-	Residual  float64   `json:"residual"` // root of the mean square
-	Points    int       `json:"points"`
-	From      []float64 `json:"from"` // range measured, by regressor
-	To        []float64 `json:"to"`
+	Residual  float64   `json:"residual"` // root mean square
+	Points    int       `json:"points"`   // number of phases
+	From      []float64 `json:"from"`     // lower end of the measured range of each regressor
+	To        []float64 `json:"to"`       // upper end
 }
 
-// At is the cost at values of the regressors; extrapolated says that one of them lies outside
-// of what was measured.
+// At returns the cost at the given values of the regressors. It reports extrapolated if one of them
+// lies outside the measured range.
 func (f *Fit) At(at []float64) (value float64, extrapolated bool) {
 	value = f.Intercept
 	for i, x := range at {
@@ -58,21 +58,21 @@
 	return value, extrapolated
 }
 
-// rangeSlack is how far outside of the range measured a value may lie, as a share of it: what was
-// measured are means over a phase.
+// rangeSlack is the share of a value by which it may lie outside the measured range without
+// counting as extrapolated, because the measured values are means over a phase.
 const rangeSlack = 0.005
 
-// cost is one of those that are fitted.
+// cost is a fitted quantity; value returns its value in a phase, or false if the phase has none.
 type cost struct {
 	role, name, unit string
-	of               func(p *scalerun.Phase) (float64, bool)
+	value            func(p *scalerun.Phase) (float64, bool)
 }
 
-func roleCost(role, name, unit string, of func(r *scalerun.Role) float64) cost {
+func roleCost(role, name, unit string, value func(r *scalerun.Role) float64) cost {
 	return cost{role, name, unit, func(p *scalerun.Phase) (float64, bool) {
 		for i := range p.Roles {
 			if r := &p.Roles[i]; r.Role == role && r.Processes > 0 {
-				return of(r), true
+				return value(r), true
 			}
 		}
 		return 0, false
@@ -94,8 +94,8 @@
 			out = append(out, roleCost(role, "sockets", "", func(r *scalerun.Role) float64 { return float64(r.Sockets) }))
 		}
 	}
-	state := func(name, unit string, of func(u *scalerun.StateUse) float64) cost {
-		return cost{scalerun.RoleState, name, unit, func(p *scalerun.Phase) (float64, bool) { return of(&p.State), true }}
+	state := func(name, unit string, value func(u *scalerun.StateUse) float64) cost {
+		return cost{scalerun.RoleState, name, unit, func(p *scalerun.Phase) (float64, bool) { return value(&p.State), true }}
 	}
 	return append(out, state("requests", "1/s", func(u *scalerun.StateUse) float64 { return u.RequestsPerS }),
 		state("changes", "1/s", func(u *scalerun.StateUse) float64 { return u.WritesPerS }),
@@ -103,15 +103,15 @@
 		state("log", "kB", func(u *scalerun.StateUse) float64 { return u.LogKBMost }))
 }
 
-// Of fits all costs of some phases, taken together, against regressors.
+// Of fits all costs against the regressors, over all phases that have one of the given names.
 func Of(results []scalerun.Result, names, against []string) ([]Fit, error) {
-	var of []func(p *scalerun.Phase) float64
+	var variables []func(p *scalerun.Phase) float64
 	for _, name := range against {
 		f, ok := regressors[name]
 		if !ok {
 			return nil, fmt.Errorf("against: %q is none of %s", name, strings.Join(Regressors(), ", "))
 		}
-		of = append(of, f)
+		variables = append(variables, f)
 	}
 	var phases []*scalerun.Phase
 	for i := range results {
@@ -122,11 +122,11 @@
 		}
 	}
 	if len(phases) < len(against)+2 {
-		return nil, fmt.Errorf("phase: %d runs have %s, and %d are needed", len(phases), strings.Join(names, " or "), len(against)+2)
+		return nil, fmt.Errorf("phase: %d runs have a phase %s, but at least %d are needed", len(phases), strings.Join(names, " or "), len(against)+2)
 	}
 	var fits []Fit
 	for _, c := range costs() {
-		f, err := fit(c, phases, against, of)
+		f, err := fit(c, phases, against, variables)
 		if err != nil {
 			return nil, err
 		}
@@ -137,34 +137,34 @@
 	return fits, nil
 }
 
-// conditionMost is up to which condition number of the regressors a fit is taken: above it slopes
-// are known not to tell their causes apart (Belsley, Kuh and Welsch, "Regression Diagnostics").
-const conditionMost = 30
+// maxCondition is the largest condition number of the regressors at which a fit is accepted. Above
+// it, collinearity makes the slopes unreliable (Belsley, Kuh and Welsch, "Regression Diagnostics").
+const maxCondition = 30
 
-// fit fits one cost; nil: too few runs have it.
-func fit(c cost, phases []*scalerun.Phase, against []string, of []func(p *scalerun.Phase) float64) (*Fit, error) {
+// fit fits one cost. It returns nil if too few phases have this cost.
+func fit(c cost, phases []*scalerun.Phase, against []string, variables []func(p *scalerun.Phase) float64) (*Fit, error) {
 	var xs, ys []float64
-	f := &Fit{Role: c.role, Cost: c.name, Unit: c.unit, Against: against, From: filled(len(of), math.Inf(1)), To: filled(len(of), math.Inf(-1))}
+	f := &Fit{Role: c.role, Cost: c.name, Unit: c.unit, Against: against, From: filled(len(variables), math.Inf(1)), To: filled(len(variables), math.Inf(-1))}
 	for _, p := range phases {
-		y, ok := c.of(p)
+		y, ok := c.value(p)
 		if !ok {
 			continue
 		}
 		ys = append(ys, y)
 		xs = append(xs, 1)
-		for i, x := range of {
+		for i, x := range variables {
 			v := x(p)
 			xs = append(xs, v)
 			f.From[i], f.To[i] = min(f.From[i], v), max(f.To[i], v)
 		}
 	}
 	f.Points = len(ys)
-	if f.Points < len(of)+2 {
+	if f.Points < len(variables)+2 {
 		return nil, nil
 	}
-	// Columns are brought to one scale first, so that the condition number tells of what
-	// depends on one another alone.
-	scale := filled(len(of)+1, 0)
+	// The columns are scaled to the same magnitude first, so that the condition number reflects
+	// only the collinearity of the regressors.
+	scale := filled(len(variables)+1, 0)
 	for i, x := range xs {
 		scale[i%len(scale)] = max(scale[i%len(scale)], math.Abs(x))
 	}
@@ -172,8 +172,8 @@
 		xs[i] /= cmp.Or(scale[i%len(scale)], 1)
 	}
 	a := mat.NewDense(f.Points, len(scale), xs)
-	if mat.Cond(a, 2) > conditionMost {
-		return nil, fmt.Errorf("against: %s rise together, or do not change, in these runs", strings.Join(against, ", "))
+	if mat.Cond(a, 2) > maxCondition {
+		return nil, fmt.Errorf("against: %s are collinear, or one of them is constant, in these runs", strings.Join(against, ", "))
 	}
 	b := mat.NewVecDense(f.Points, ys)
 	var solved mat.VecDense
@@ -181,7 +181,7 @@
 		return nil, fmt.Errorf("against: %w", err)
 	}
 	f.Intercept = solved.AtVec(0) / scale[0]
-	for i := range of {
+	for i := range variables {
 		f.Slopes = append(f.Slopes, solved.AtVec(i+1)/cmp.Or(scale[i+1], 1))
 	}
 	var estimate mat.VecDense
--- a/internal/scaletest/scalerun/run.go
+++ b/internal/scaletest/scalerun/run.go
@@ -13,11 +13,13 @@
 )
 
 const (
-	sampleEvery  = time.Second
-	workersBegin = 3 * time.Second // machines come up spread over this time, and report once, before the load begins
+	sampleInterval = time.Second
+	// machineStartSpread is the time over which the starts of the machines are spread. The load begins one
+	// report interval later.
+	machineStartSpread = 3 * time.Second
 )
 
-// Run plays an experiment with so many workers.
+// Run runs an experiment with the given number of workers and seed, and returns the measured result.
 func Run(ctx context.Context, e *experiment.Experiment, size int, seed uint64, o Options) (*Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -44,11 +46,11 @@
 	return r, nil
 }
 
-// startMachines has the machines come up.
+// startMachines starts all machines and waits for one report interval.
 func (w *testbed) startMachines() error {
 	for k := range w.size {
 		w.cloud.AddMachine(machineType, w.zoneOf(k), false)
-		if err := w.sleep(workersBegin / time.Duration(w.size)); err != nil {
+		if err := w.sleep(machineStartSpread / time.Duration(w.size)); err != nil {
 			return err
 		}
 	}
@@ -64,7 +66,7 @@
 	}
 }
 
-// runPhases goes through the phases, and waits until all jobs are over.
+// runPhases runs all phases and waits until all jobs are over or drain_s has passed.
 func (w *testbed) runPhases(r *Result) error {
 	stop, end := context.WithCancel(w.ctx)
 	defer end()
@@ -72,16 +74,16 @@
 	for _, c := range w.controllers {
 		w.users.controllers = append(w.users.controllers, c.client)
 	}
-	var open sync.WaitGroup
+	var openJobs sync.WaitGroup
 	for _, j := range w.jobs {
-		open.Go(func() { w.users.runJob(j) })
+		openJobs.Go(func() { w.users.runJob(j) })
 	}
 	go w.failMachines(stop)
-	changing, endChanges := context.WithCancel(stop)
+	changesCtx, endChanges := context.WithCancel(stop)
 	defer endChanges()
 	if w.operators != nil {
-		go w.operators.run(changing)
-		go w.operators.watch(stop)
+		go w.operators.run(changesCtx)
+		go w.operators.watchRevisions(stop)
 	}
 	for _, p := range w.exp.Phases {
 		measured, err := w.runPhase(p)
@@ -91,14 +93,14 @@
 		r.Phases = append(r.Phases, measured)
 	}
 	endChanges()
-	if err := w.drain(&open); err != nil {
+	if err := w.drain(&openJobs); err != nil {
 		return err
 	}
-	w.operators.settle(stop)
-	w.users.resubmit(w.jobs)
+	w.operators.awaitApplied(stop)
+	w.users.recheckFinalStates(w.jobs)
 	r.Changes, r.Waiting = w.operators.counts()
 	end()
-	open.Wait()
+	openJobs.Wait()
 	r.Accepted, r.Over = w.users.accepted.Load(), w.users.over.Load()
 	r.Broken = append([]string{}, w.fleet.BrokenRules()...)
 	if o, err := w.observe(); err == nil {
@@ -109,10 +111,10 @@
 	return nil
 }
 
-// drain waits until users have heard of the end of all their jobs, as long as it may take.
-func (w *testbed) drain(open *sync.WaitGroup) error {
+// drain waits until all users have been notified of the end of their jobs, for drain_s at most.
+func (w *testbed) drain(openJobs *sync.WaitGroup) error {
 	over := make(chan struct{})
-	go func() { open.Wait(); close(over) }()
+	go func() { openJobs.Wait(); close(over) }()
 	select {
 	case <-over:
 	case <-time.After(seconds(w.exp.DrainS)):
@@ -122,12 +124,12 @@
 	return nil
 }
 
-// runPhase plays one phase and measures it.
+// runPhase runs and measures one phase.
 func (w *testbed) runPhase(p experiment.Phase) (Phase, error) {
 	if _, err := w.watch(p, false, seconds(p.SettleS)); err != nil {
 		return Phase{}, err
 	}
-	w.latency.turn()
+	w.latency.takePhase()
 	w.options.Log.Info("measuring", "size", w.size, "seed", w.seed, "phase", p.Name, "event", p.Event)
 	undo := w.applyEvent(p)
 	samples, err := w.watch(p, true, seconds(p.MeasureS))
@@ -135,37 +137,38 @@
 	if err != nil {
 		return Phase{}, err
 	}
-	return summarize(p.Name, w.exp.Load.Teams, samples, w.latency.turn()), nil
+	return summarize(p.Name, w.exp.Load.Teams, samples, w.latency.takePhase()), nil
 }
 
-// watch samples for a while.
-func (w *testbed) watch(p experiment.Phase, measured bool, lasts time.Duration) (samples []Sample, err error) {
-	for end := time.Now().Add(lasts); time.Now().Before(end); {
+// watch samples the run for the given duration and checks for overdue tasks of cancelled jobs.
+func (w *testbed) watch(p experiment.Phase, measured bool, duration time.Duration) (samples []Sample, err error) {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		s := w.sample(w.users.begin, p.Name, measured)
 		if err := w.writeSample(s); err != nil {
 			return nil, err
 		}
 		samples = append(samples, s)
-		w.fleet.Overdue()
-		if err := w.sleep(min(sampleEvery, time.Until(end))); err != nil {
+		w.fleet.CheckOverdue()
+		if err := w.sleep(min(sampleInterval, time.Until(end))); err != nil {
 			return nil, err
 		}
 		if n := len(samples); n%10 == 0 {
 			w.options.Log.Info("playing", "size", w.size, "phase", p.Name, "running", s.Running, "workers", s.Up+len(s.Workers), "starts", s.Starts, "leader", s.Leader)
 		}
 	}
-	if lasts > 0 {
+	if duration > 0 {
 		samples = append(samples, w.sample(w.users.begin, p.Name, measured))
 	}
 	return samples, nil
 }
 
-// applyEvent does what happens in a phase, and gives what is to be undone at its end.
+// applyEvent injects the event of a phase. It returns a function that ends a partition or an outage
+// that still lasts at the end of the phase.
 func (w *testbed) applyEvent(p experiment.Phase) (undo func()) {
 	undo = func() {}
-	lasts := seconds(p.EventS)
-	if lasts == 0 {
-		lasts = seconds(p.MeasureS)
+	duration := seconds(p.EventS)
+	if duration == 0 {
+		duration = seconds(p.MeasureS)
 	}
 	switch p.Event {
 	case experiment.KillLeader:
@@ -181,55 +184,55 @@
 			w.restart(c, seconds(w.exp.Controllers.RestartS))
 		}
 	case experiment.CutZone, experiment.CutRegions:
-		w.network.cut(p.Zone, p.Event == experiment.CutRegions)
-		heal := time.AfterFunc(lasts, func() { w.network.cut(noZone, false) })
+		w.network.setPartition(p.Zone, p.Event == experiment.CutRegions)
+		heal := time.AfterFunc(duration, func() { w.network.setPartition(noZone, false) })
 		undo = func() {
 			if heal.Stop() {
-				w.network.cut(noZone, false)
+				w.network.setPartition(noZone, false)
 			}
 		}
 	case experiment.LoseZone:
 		for _, c := range w.controllers {
 			if c.zone == p.Zone {
-				w.restart(c, lasts)
+				w.restart(c, duration)
 			}
 		}
-		w.loseMachines(w.inZone(p.Zone), lasts)
+		w.loseMachines(w.inZone(p.Zone), duration)
 	case experiment.LoseRack:
 		machines := w.inZone(p.Zone)
-		w.loseMachines(machines[:min(w.exp.Workers.Rack, len(machines))], lasts)
+		w.loseMachines(machines[:min(w.exp.Workers.Rack, len(machines))], duration)
 	case experiment.StateOutage:
-		w.outage(true)
-		back := time.AfterFunc(lasts, func() { w.outage(false) })
+		w.setOutage(true)
+		restore := time.AfterFunc(duration, func() { w.setOutage(false) })
 		undo = func() {
-			if back.Stop() {
-				w.outage(false)
+			if restore.Stop() {
+				w.setOutage(false)
 			}
 		}
 	}
 	return undo
 }
 
-func (w *testbed) outage(down bool) {
+func (w *testbed) setOutage(down bool) {
 	flag := "0"
 	if down {
 		flag = "1"
 	}
 	resp, err := http.Get("http://" + w.stateAddr + pathOutage + "?down=" + flag)
 	if err != nil {
-		w.options.Log.Error("the state service is gone", "error", err)
+		w.options.Log.Error("request to the state service failed", "error", err)
 		return
 	}
-	_ = resp.Body.Close() // the status alone was wanted
+	_ = resp.Body.Close() // the answer has no body
 }
 
-// restart kills a controller, which is back after a while.
+// restart kills a controller and starts it again after the given delay.
 func (w *testbed) restart(c *controller, after time.Duration) {
 	c.kill()
 	time.AfterFunc(after, func() {
 		if w.ctx.Err() == nil {
 			if err := w.start(c); err != nil {
-				w.options.Log.Error("a controller does not come back", "node", c.name, "error", err)
+				w.options.Log.Error("failed to restart a controller", "node", c.name, "error", err)
 			}
 		}
 	})
@@ -244,9 +247,9 @@
 	return names
 }
 
-// loseMachines has machines stop with all that is on them; others take their places after a while.
+// loseMachines stops machines and all tasks on them, and adds replacements after the given delay.
 func (w *testbed) loseMachines(machines []string, replaced time.Duration) {
-	w.latency.fail(machines...)
+	w.latency.markFailed(machines...)
 	zones := map[string]string{}
 	for _, m := range w.cloud.Machines() {
 		zones[m.Name] = m.Zone
@@ -263,7 +266,7 @@
 	})
 }
 
-// failMachines loses and restarts single machines at the rate of ordinary days.
+// failMachines loses and restarts single machines at random, at the rates of the experiment.
 func (w *testbed) failMachines(ctx context.Context) {
 	f := w.exp.Failures
 	perSecond := (f.LossesPerDay + f.RestartsPerDay) * f.Speed * w.exp.Share(w.size) / (24 * time.Hour).Seconds()
@@ -286,13 +289,13 @@
 			w.loseMachines([]string{m.Name}, seconds(f.ReplacedS))
 			continue
 		}
-		w.latency.fail(m.Name)
+		w.latency.markFailed(m.Name)
 		w.cloud.PreemptMachine(m.Name)
 		w.cloud.AddMachine(m.Type, m.Zone, m.Spot)
 	}
 }
 
-// MakeDir makes the folder of one run's settings and logs.
+// MakeDir creates the directory for the settings files and logs of one run, and returns its path.
 func MakeDir(parent string, name string) (string, error) {
 	dir := filepath.Join(parent, name)
 	return dir, os.MkdirAll(dir, 0o700)
