--- a/internal/core/config/item.go
+++ b/internal/core/config/item.go
@@ -34,8 +34,8 @@
 	GPUsMax float64 `json:"gpus_max,omitempty"` // maximum
 }
 
-// LimitsOf returns the limits that the settings give a team.
-func LimitsOf(team settings.Team) Limits {
+// LimitsFromSettings returns the limits that the settings give a team.
+func LimitsFromSettings(team settings.Team) Limits {
 	return Limits{CPUs: team.CPUs, CPUsMax: team.CPUsMax, GPUs: team.GPUs, GPUsMax: team.GPUsMax}
 }
 
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -186,7 +186,7 @@
 	if !known {
 		return before, fieldError(c.Item.String(), "there is no such team")
 	}
-	l := config.LimitsOf(t) // its open jobs continue under the previous limit
+	l := config.LimitsFromSettings(t) // its open jobs continue under the previous limit
 	c.Value.Limits = &l
 	return before, nil
 }
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -114,7 +114,7 @@
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		s := d.document.Get(config.Item{Team: name})
 		t, known := d.resolveTeam(name, s.Value)
-		views = append(views, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsOf(t)})
+		views = append(views, Team{Name: name, Revision: s.Revision, Removed: !known, Limits: config.LimitsFromSettings(t)})
 	}
 	return views
 }
