--- a/internal/core/config/change.go
+++ b/internal/core/config/change.go
@@ -73,7 +73,7 @@
 	if value.Limits == nil {
 		return nil
 	}
-	if err := value.Limits.Team(team).Check(c.Item.String()); err != nil {
+	if err := value.Limits.ToSettings(team).Check(c.Item.String()); err != nil {
 		return err
 	}
 	return platform.CheckTeamName(team)
--- a/internal/core/config/item.go
+++ b/internal/core/config/item.go
@@ -39,8 +39,8 @@
 	return Limits{CPUs: team.CPUs, CPUsMax: team.CPUsMax, GPUs: team.GPUs, GPUsMax: team.GPUsMax}
 }
 
-// Team returns a team with a name and these limits in the form that the settings use.
-func (l Limits) Team(name string) settings.Team {
+// ToSettings returns a team with a name and these limits in the form that the settings use.
+func (l Limits) ToSettings(name string) settings.Team {
 	return settings.Team{Name: name, CPUs: l.CPUs, CPUsMax: l.CPUsMax, GPUs: l.GPUs, GPUsMax: l.GPUsMax}
 }
 
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -193,7 +193,7 @@
 // resolveTeam returns a team as set by a value, or else by the settings, and whether it may submit jobs.
 func (d *Component) resolveTeam(name string, v config.Value) (settings.Team, bool) {
 	if v.Limits != nil {
-		return v.Limits.Team(name), !v.Removed
+		return v.Limits.ToSettings(name), !v.Removed
 	}
 	t, known := d.settingsTeams[name]
 	t.Name = name
