--- a/internal/core/config/item.go
+++ b/internal/core/config/item.go
@@ -51,8 +51,8 @@
 	Number  *float64 `json:"number,omitempty"`  // of a tunable
 }
 
-// AsSettings reports whether the value from the settings file applies.
-func (v Value) AsSettings() bool { return v.Limits == nil && !v.Removed && v.Number == nil }
+// IsUnset reports whether the value from the settings file applies.
+func (v Value) IsUnset() bool { return v.Limits == nil && !v.Removed && v.Number == nil }
 
 // Equal reports whether two values are the same.
 func (v Value) Equal(other Value) bool {
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -177,7 +177,7 @@
 		return before, nil
 	}
 	t, known := d.resolveTeam(c.Item.Team, before.Value)
-	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.AsSettings() && !inSettings {
+	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.IsUnset() && !inSettings {
 		c.Value.Removed = true // the settings do not define this team
 	}
 	if !c.Value.Removed {
