--- a/internal/core/config/replica.go
+++ b/internal/core/config/replica.go
@@ -5,7 +5,7 @@
 // Update is sent by the leader to a controller: all items set by the revisions after From, up to To.
 type Update struct {
 	From, To uint64
-	Sets     []Set
+	Sets     []ItemValue
 }
 
 // Replica is a controller's copy of the configuration. It is kept across terms. Its times are
@@ -26,7 +26,7 @@
 func (r *Replica) UpdatedAt() time.Duration { return r.updatedAt }
 
 // All returns all items that have ever been set up to the controller's revision, sorted by item.
-func (r *Replica) All() []Set { return r.document.All() }
+func (r *Replica) All() []ItemValue { return r.document.All() }
 
 // Apply applies a leader's update. It never returns to an older revision: an update that arrives late,
 // or that does not reach back to the replica's revision, changes only UpdatedAt.
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -156,12 +156,12 @@
 }
 
 // currentSet returns the current setting of an item, including revisions that are not durable yet.
-func (d *Component) currentSet(i config.Item) config.Set {
+func (d *Component) currentSet(i config.Item) config.ItemValue {
 	s := d.document.Get(i)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
 			if c.Item == i {
-				s = config.Set{Change: c, Revision: r.Number}
+				s = config.ItemValue{Change: c, Revision: r.Number}
 			}
 		}
 	}
@@ -171,7 +171,7 @@
 // completeChange returns an item's setting before a change, and completes a change of a team: a
 // revert to the settings removes a team that they do not define, and a removed team keeps its
 // limits for its open jobs.
-func (d *Component) completeChange(c *config.Change) (config.Set, error) {
+func (d *Component) completeChange(c *config.Change) (config.ItemValue, error) {
 	before := d.currentSet(c.Item)
 	if c.Item.Team == "" {
 		return before, nil
--- a/internal/leader/reconfig/component.go
+++ b/internal/leader/reconfig/component.go
@@ -26,8 +26,8 @@
 // storedEntry is the content of a log entry: either a revision, or the items that are still set
 // by revisions that are no longer in the history.
 type storedEntry struct {
-	Revision *config.Revision `json:"r,omitempty"`
-	Sets     []config.Set     `json:"s,omitempty"`
+	Revision *config.Revision   `json:"r,omitempty"`
+	Sets     []config.ItemValue `json:"s,omitempty"`
 }
 
 // Component changes the configuration in a term.
@@ -47,8 +47,8 @@
 	missingRevision uint64            // a revision that was in force but is missing from the log; 0: none
 
 	// Compaction of the log.
-	compactedSets []config.Set // to be written again by the running compaction
-	liveBytes     int          // approximate size of what Compact would write for the whole log
+	compactedSets []config.ItemValue // to be written again by the running compaction
+	liveBytes     int                // approximate size of what Compact would write for the whole log
 
 	// Other controllers.
 	controllers map[string]*controller
@@ -248,7 +248,7 @@
 		d.EventLog.Append(e)
 	case x.Revision != nil:
 		for _, c := range x.Revision.Changes {
-			d.collectSet(config.Set{Change: c, Revision: x.Revision.Number})
+			d.collectSet(config.ItemValue{Change: c, Revision: x.Revision.Number})
 		}
 	default:
 		for _, s := range x.Sets {
@@ -259,7 +259,7 @@
 
 // collectSet collects an item whose current setting still comes from the given revision, if that
 // revision is not in the history.
-func (d *Component) collectSet(s config.Set) {
+func (d *Component) collectSet(s config.ItemValue) {
 	if d.document.Get(s.Item).Revision == s.Revision && !d.inHistory(s.Revision) {
 		d.compactedSets = append(d.compactedSets, s)
 	}
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -145,11 +145,11 @@
 // LocalView is the configuration in force on a controller, as reported by itself. It is only for
 // display.
 type LocalView struct {
-	Node     string       `json:"node"`
-	Leads    bool         `json:"leads,omitempty"`
-	Leader   string       `json:"leader,omitempty"`
-	Revision uint64       `json:"revision"`
-	SinceS   float64      `json:"since_s"` // seconds for which it has had this revision
-	AgeS     float64      `json:"age_s"`   // seconds since a leader last sent an update; negative: never
-	Sets     []config.Set `json:"sets"`
+	Node     string             `json:"node"`
+	Leads    bool               `json:"leads,omitempty"`
+	Leader   string             `json:"leader,omitempty"`
+	Revision uint64             `json:"revision"`
+	SinceS   float64            `json:"since_s"` // seconds for which it has had this revision
+	AgeS     float64            `json:"age_s"`   // seconds since a leader last sent an update; negative: never
+	Sets     []config.ItemValue `json:"sets"`
 }
