--- a/internal/core/leadership/lease.go
+++ b/internal/core/leadership/lease.go
@@ -54,8 +54,8 @@
 	e.leaseValidUntil = max(e.leaseValidUntil, until)
 }
 
-// Superseded handles the observation of an epoch: a leader of a lower epoch steps down.
-func (e *Elector) Superseded(now time.Duration, epoch uint64) {
+// EpochObserved handles the observation of an epoch: a leader of a lower epoch steps down.
+func (e *Elector) EpochObserved(now time.Duration, epoch uint64) {
 	if epoch > e.epoch && e.role == Leader {
 		e.stepDown(now)
 	}
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -64,7 +64,7 @@
 ) {
 	if c.inTerm(epoch) {
 		if c.term.Committed(now, c.elector.LeaseValid(now), sequence, outcome, mark, failed) == eventlog.TermLost {
-			c.elector.Superseded(now, c.elector.Epoch()+1)
+			c.elector.EpochObserved(now, c.elector.Epoch()+1)
 		}
 	}
 	c.advanceTerm(now)
--- a/internal/node/worker_heartbeats.go
+++ b/internal/node/worker_heartbeats.go
@@ -113,7 +113,7 @@
 	reportEpoch := report.Token >> cluster.TokenBits
 	state := reconcile.Machine{Epoch: c.elector.Epoch(), ReportEpoch: reportEpoch}
 	if reconcile.Report(state).Resolution() == reconcile.StepDown {
-		c.elector.Superseded(now, reportEpoch)
+		c.elector.EpochObserved(now, reportEpoch)
 		c.advanceTerm(now)
 	}
 }
