--- a/internal/core/leadership/leaderless.go
+++ b/internal/core/leadership/leaderless.go
@@ -55,10 +55,10 @@
 // service treats it as not answering.
 const serviceSilenceLimit = 3 * time.Second
 
-// StateServiceAnswers reports whether the state service has answered within serviceSilenceLimit. The
+// StateServiceResponsive reports whether the state service has answered within serviceSilenceLimit. The
 // result is meaningful only once no leader was observed for SilenceLimit: until then the node only
 // watches the keys and sends no other requests.
-func (e *Elector) StateServiceAnswers(now time.Duration) bool {
+func (e *Elector) StateServiceResponsive(now time.Duration) bool {
 	return now-e.serviceAnsweredAt < serviceSilenceLimit
 }
 
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -62,7 +62,7 @@
 	return heardAt > 0 &&
 		silent > c.leaderSilenceLimit()+peerTimeout &&
 		silent < settings.Seconds(c.settings.Tunables.ZonePatienceS) &&
-		!c.elector.StateServiceAnswers(now)
+		!c.elector.StateServiceResponsive(now)
 }
 
 // isIsolatedLeader reports whether this leader lost the state service and all other controllers at
@@ -90,7 +90,7 @@
 func (c *Core) isIsolatedFollower(now time.Duration) bool {
 	return c.unreachedLeader != "" &&
 		now-c.unreachedSince >= c.leaderSilenceLimit()+peerTimeout &&
-		!c.elector.StateServiceAnswers(now) &&
+		!c.elector.StateServiceResponsive(now) &&
 		c.unreachedSince < c.elector.StateServiceAnsweredAt()+simultaneousWindow
 }
 
