--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -28,9 +28,9 @@
 	Counted []PoolUnits `json:"c"`
 }
 
-// HideFromOlderVersions converts the job's machine types and units of pools into their stored form: the
+// EncodePoolUnits converts the job's machine types and units of pools into their stored form: the
 // name of a machine type that no machine has.
-func (j *Job) HideFromOlderVersions() {
+func (j *Job) EncodePoolUnits() {
 	if len(j.Counted) == 0 {
 		return
 	}
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -22,7 +22,7 @@
 // its entry, it also returns the entries that hold them and precede the job's entry.
 func (c *Component) storedForm(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
 	rec.Rest = 0
-	rec.HideFromOlderVersions()
+	rec.EncodePoolUnits()
 	if rec.ReleasedMS != 0 {
 		rec.Follows = nil
 	}
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -401,7 +401,7 @@
 func TestOrphansKeepTheirUnits(t *testing.T) {
 	f := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{perTask("p", 2)}}
-	rec.HideFromOlderVersions()
+	rec.EncodePoolUnits()
 	f.startTerm(false)
 	f.component.Replay(f.now, eventlog.Entry{Job: &rec})
 	f.component.Jobs.RecordFinalPhase(77, jobs.Cancelled)
--- a/internal/leader/term/pools_bench_test.go
+++ b/internal/leader/term/pools_bench_test.go
@@ -41,7 +41,7 @@
 				{Pool: fmt.Sprint("pool", (i*7+1)%pools), Units: 1},
 			},
 		}
-		rec.HideFromOlderVersions()
+		rec.EncodePoolUnits()
 		entries = append(entries, eventlog.Entry{Job: &rec})
 	}
 	cfg := scaleSettings()
