--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -41,9 +41,9 @@
 	j.Types, j.Counted = []string{poolUnitsTypePrefix + string(raw)}, nil
 }
 
-// RevealPoolUnits reverses HideFromOlderVersions. A name that cannot be decoded is left unchanged, so
+// DecodePoolUnits reverses HideFromOlderVersions. A name that cannot be decoded is left unchanged, so
 // that this version never starts such a job either.
-func (j *Job) RevealPoolUnits() {
+func (j *Job) DecodePoolUnits() {
 	if len(j.Types) != 1 {
 		return
 	}
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -143,7 +143,7 @@
 
 // addJob adds a submitted or replayed job to the table.
 func (c *Component) addJob(rec eventlog.Job, now time.Duration) *jobs.Job {
-	rec.RevealPoolUnits()
+	rec.DecodePoolUnits()
 	j := c.Jobs.Add(rec)
 	j.Team = c.TeamIndex(rec.Team) // possibly no longer configured; its jobs stay accepted
 	j.Image = c.Images.Index(rec.Image)
--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -105,7 +105,7 @@
 		d.replayReceipt(e.Component)
 	case e.Job != nil:
 		record := *e.Job
-		record.RevealPoolUnits()
+		record.DecodePoolUnits()
 		if len(record.Counted) > 0 {
 			d.cancelledRequirements[record.ID], _ = d.requirementsOf(record.Counted)
 		}
