--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -547,7 +547,7 @@
 
 // labelWords collects words that are used as metric labels, in views for operators, or both.
 func (c *collector) labelWords() {
-	for diff := range reconcile.Kinds {
+	for diff := range reconcile.DiffCount {
 		c.add("word", "difference %s: %s", diff, diff.Resolution())
 	}
 	for _, order := range []cluster.Action{cluster.StartNew, cluster.StartAgain, cluster.Rent, cluster.Return, cluster.Delete, cluster.Preempt, cluster.Move} {
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -64,7 +64,7 @@
 	GangSameAttempt    // the task belongs to the known attempt
 	GangOtherAttempt   // the task belongs to another attempt than the known one
 
-	Kinds // the number of Diff values
+	DiffCount // the number of Diff values
 )
 
 // Resolution returns the only resolution of the difference.
--- a/internal/core/reconcile/reconcile_test.go
+++ b/internal/core/reconcile/reconcile_test.go
@@ -149,7 +149,7 @@
 		counts.Count(Absent(random.oneIn(2), random.oneIn(2), random.oneIn(2)))
 		counts.Count(Gang(random.below(3), 1+random.below(2)))
 	}
-	for d := range Kinds {
+	for d := range DiffCount {
 		if counts[d] == 0 {
 			t.Errorf("difference %v never occurred", d)
 		}
--- a/internal/core/reconcile/table.go
+++ b/internal/core/reconcile/table.go
@@ -10,7 +10,7 @@
 }
 
 // table has a row for each difference.
-var table = [Kinds]row{
+var table = [DiffCount]row{
 	// Tasks.
 	AsStored: {
 		label:      "as_stored",
--- a/internal/core/reconcile/tally.go
+++ b/internal/core/reconcile/tally.go
@@ -1,7 +1,7 @@
 package reconcile
 
 // Tally counts differences by kind. A nil Tally counts nothing.
-type Tally [Kinds]uint64
+type Tally [DiffCount]uint64
 
 // Count counts a difference and returns it.
 func (t *Tally) Count(d Diff) Diff {
