--- a/internal/core/workers/grants.go
+++ b/internal/core/workers/grants.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// QueueRegistry returns true the first time that it is called for a machine whose registration is not
+// QueueRegistration returns true the first time that it is called for a machine whose registration is not
 // durable. The caller must then write the registration to the event log.
-func (m *Machine) QueueRegistry() bool {
+func (m *Machine) QueueRegistration() bool {
 	if m.Durable || m.registrationQueued {
 		return false
 	}
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -35,7 +35,7 @@
 		c.Decommission(now, m, cluster.Delete, "its names are too long to be stored")
 		return
 	}
-	if m.QueueRegistry() {
+	if m.QueueRegistration() {
 		c.LastMachineNumber++
 		m.Number = c.LastMachineNumber
 		c.EventLog.AppendTracked(eventlog.Entry{Machine: &entry})
