--- a/internal/core/workers/offers.go
+++ b/internal/core/workers/offers.go
@@ -182,9 +182,9 @@
 	return withoutOffer
 }
 
-// Rehome moves a planned task from a machine that is deleted to one to which it is offered. It returns
+// MoveToOfferedMachine moves a planned task from a machine that is deleted to one to which it is offered. It returns
 // false if there is no such machine.
-func (p *Placement) Rehome() bool {
+func (p *Placement) MoveToOfferedMachine() bool {
 	for m := range p.Offered {
 		p.Machine.RemovePlacement(p.Ref)
 		p.Machine = m
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -143,7 +143,7 @@
 		c.applyTaskEvent(now, m, closed)
 	}
 	for ref, p := range m.Tasks {
-		if p.Planned && p.Rehome() {
+		if p.Planned && p.MoveToOfferedMachine() {
 			c.ListMachineWithPlans(p.Machine)
 			p.Withdrawn = true // a machine that it was offered to may have started it
 			continue
