--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -145,12 +145,12 @@
 // Unresolved reports whether an earlier term may have left unknown tasks on the machine.
 func (m *Machine) Unresolved() bool { return m.Durable && !m.Resolved }
 
-// Settled reports whether nothing is in flight to the machine, or on its behalf through the controller of
+// Quiescent reports whether nothing is in flight to the machine, or on its behalf through the controller of
 // its shard: no offer to it is open, it has no orphans, none of its plans is offered to another machine of
 // the shard, and all tasks placed on it have been reported. Only then may it be moved to another shard,
 // because two controllers could each start the same offer. Found in the benchmark of user requests: both
 // shards started a task that was planned on a moved machine.
-func (m *Machine) Settled() bool {
+func (m *Machine) Quiescent() bool {
 	if len(m.OpenOffers) > 0 || len(m.Orphans) > 0 {
 		return false
 	}
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -129,12 +129,12 @@
 func TestSettledNeedsNoOpenOfferOrStart(t *testing.T) {
 	inventory, m := newMachine()
 	other := inventory.Add(&Machine{Name: "other", Capacity: m.Capacity, Durable: true, Shard: m.Shard})
-	if !m.Settled() {
+	if !m.Quiescent() {
 		t.Error("an empty machine is not settled")
 	}
 	p := &Placement{Ref: TaskRef{Job: 1}, JobID: 1, Need: resources.Need(1, 0, 1), IntentDurable: true}
 	m.Plan(p)
-	if !m.Settled() {
+	if !m.Quiescent() {
 		t.Error("the machine is not settled although its plan is not offered")
 	}
 	other.Grants[1] = true
@@ -143,20 +143,20 @@
 	if len(other.Offer([]*Machine{m}, next, next)) != 1 {
 		t.Fatal("the plan is not offered to the other machine")
 	}
-	if m.Settled() || other.Settled() {
+	if m.Quiescent() || other.Quiescent() {
 		t.Error("a machine is settled although the offer is open")
 	}
 	other.Session, other.Seq = 1, 1
 	applyReport(other, Report{Session: 1, Seq: 2, Token: token})
-	if !m.Settled() || !other.Settled() {
+	if !m.Quiescent() || !other.Quiescent() {
 		t.Error("a machine is not settled although the offer is resolved")
 	}
 	placed := placeTask(other, 2, 0)
-	if other.Settled() {
+	if other.Quiescent() {
 		t.Error("the machine is settled although no report has shown the started task yet")
 	}
 	placed.Seen = true
-	if !other.Settled() {
+	if !other.Quiescent() {
 		t.Error("the machine is not settled although a report has shown its task")
 	}
 }
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -199,7 +199,7 @@
 	}
 	registered := m.Durable && m.Resolved && !m.Deleting
 	idle := report.Token == m.Token && len(commands) == 0
-	if !registered || !idle || !m.Settled() {
+	if !registered || !idle || !m.Quiescent() {
 		return ""
 	}
 	return c.Rebalancer.RedirectTo(now, m)
