--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -93,14 +93,14 @@
 	AvoidUntil     time.Duration // it gets no new tasks before this time
 
 	// Renting and return.
-	RentedAt         time.Duration // when it was requested, or added to the inventory
-	PreemptionNotice bool          // the cloud has announced that it will take the spot instance back
-	PreemptedAt      time.Duration // when it will be taken back
-	Draining         bool          // it gets no new tasks, and is returned once it is empty
-	NotDrainedBefore time.Duration // it must not be drained before this time
-	Deleting         bool          // its deletion is decided, which is final
-	ReturnUnrecorded bool          // the deletion waits for a durable record that the machine is empty
-	DeletionReason   string        // reason for its deletion, shown to operators
+	RentedAt           time.Duration // when it was requested, or added to the inventory
+	PreemptionNotice   bool          // the cloud has announced that it will take the spot instance back
+	PreemptedAt        time.Duration // when it will be taken back
+	Draining           bool          // it gets no new tasks, and is returned once it is empty
+	NotDrainedBefore   time.Duration // it must not be drained before this time
+	Deleting           bool          // its deletion is decided, which is final
+	AwaitsReturnRecord bool          // the deletion waits for a durable record that the machine is empty
+	DeletionReason     string        // reason for its deletion, shown to operators
 
 	// Direct starts. Until the worker has seen a higher token than that of a start, the start may be carried
 	// out, or carried out once more.
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -74,7 +74,7 @@
 	}
 	var names []string
 	for _, m := range c.Inventory.All() {
-		if m.Deleting && !m.ReturnUnrecorded && len(names) < maxDeletions {
+		if m.Deleting && !m.AwaitsReturnRecord && len(names) < maxDeletions {
 			names = append(names, m.Name)
 		}
 	}
--- a/internal/leader/registry/registry.go
+++ b/internal/leader/registry/registry.go
@@ -123,7 +123,7 @@
 // machine is deleted.
 func (c *Component) HandleEvent(e cluster.Event) {
 	if e.Kind == cluster.MachineReturnable && c.Cfg.Tunables.NoteReturns == 1 {
-		e.Machine.ReturnUnrecorded = true
+		e.Machine.AwaitsReturnRecord = true
 		c.returnsToRecord = append(c.returnsToRecord, e.Machine.Name)
 	}
 }
@@ -161,7 +161,7 @@
 	}
 	for _, name := range record.Machines {
 		if m := c.Inventory.Find(name); m != nil {
-			m.ReturnUnrecorded = false
+			m.AwaitsReturnRecord = false
 		}
 	}
 }
