--- a/internal/core/scheduler/preemption_test.go
+++ b/internal/core/scheduler/preemption_test.go
@@ -17,7 +17,7 @@
 
 // setRunning turns a planned task into one that has been running since the given time.
 func setRunning(task *workers.Placement, since time.Duration) {
-	task.Planned, task.Seen = false, true
+	task.Planned, task.Reported = false, true
 	task.State, task.RunningSince = workers.Running, since
 }
 
--- a/internal/core/workers/apply_status.go
+++ b/internal/core/workers/apply_status.go
@@ -262,7 +262,7 @@
 	m.tokenUrgency = max(m.tokenUrgency, TokenEventually)
 	if p := t.placed; p != nil && p.Attempt == t.Attempt {
 		m.tokenUrgency = TokenNow
-		p.Seen, p.lastReportSeq = true, u.report.Seq
+		p.Reported, p.lastReportSeq = true, u.report.Seq
 	}
 }
 
@@ -290,7 +290,7 @@
 		p.RunningSince = u.now
 		u.events = append(u.events, t.event(EventStarted))
 	}
-	p.State, p.Seen, p.lastReportSeq = t.State, true, u.report.Seq
+	p.State, p.Reported, p.lastReportSeq = t.State, true, u.report.Seq
 	if s := u.machine.directStartOf(p); s != nil {
 		s.confirmed = true
 	}
@@ -304,7 +304,7 @@
 			continue
 		}
 		// The task was sent with an earlier answer, and this report does not list it.
-		mayArrive := !p.Seen && m.mayStartLate(p.Ref, p.Attempt, r.Token)
+		mayArrive := !p.Reported && m.mayStartLate(p.Ref, p.Attempt, r.Token)
 		quarantined := m.Quarantined && m.unconfirmedDirectStart(p)
 		diff := u.tally.Count(reconcile.Absent(quarantined, mayArrive || quarantined, u.current))
 		if diff.Resolution() == reconcile.Release {
--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -34,7 +34,7 @@
 	m.Dispatching = false
 	for _, ref := range refs {
 		p := m.Tasks[ref]
-		if p == nil || p.Planned || p.Seen {
+		if p == nil || p.Planned || p.Reported {
 			continue // superseded by a report that was applied meanwhile
 		}
 		start := m.directStartOf(p)
@@ -45,7 +45,7 @@
 			m.suspect(token)
 			continue
 		}
-		p.Seen, p.State, p.lastReportSeq = true, Fetching, max(p.lastReportSeq, r.Seq)
+		p.Reported, p.State, p.lastReportSeq = true, Fetching, max(p.lastReportSeq, r.Seq)
 		start.confirmed = true
 	}
 }
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -155,7 +155,7 @@
 		return false
 	}
 	for _, p := range m.Tasks {
-		if len(p.Offered) > 0 || (!p.Planned && !p.Seen) {
+		if len(p.Offered) > 0 || (!p.Planned && !p.Reported) {
 			return false
 		}
 	}
--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -41,7 +41,7 @@
 
 	// State as reported.
 	State         TaskState
-	Seen          bool          // a report, or the answer to a direct start, has listed it
+	Reported      bool          // a report, or the answer to a direct start, has listed it
 	RunningSince  time.Duration // when a report first showed it running
 	lastReportSeq uint64        // newest report that listed it, or the last one before its start
 
@@ -51,7 +51,7 @@
 }
 
 // IsRunning reports whether the task was running when it was last reported.
-func (p *Placement) IsRunning() bool { return p.Seen && p.State == Running }
+func (p *Placement) IsRunning() bool { return p.Reported && p.State == Running }
 
 // Plan plans a task on the machine, which reserves resources for it until it is started.
 func (m *Machine) Plan(p *Placement) {
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -155,7 +155,7 @@
 	if other.Quiescent() {
 		t.Error("the machine is settled although no report has shown the started task yet")
 	}
-	placed.Seen = true
+	placed.Reported = true
 	if !other.Quiescent() {
 		t.Error("the machine is not settled although a report has shown its task")
 	}
