--- a/internal/core/workers/direct_start.go
+++ b/internal/core/workers/direct_start.go
@@ -26,11 +26,11 @@
 	m.directStarts[attemptKey{p.Ref, p.Attempt}] = &directStart{token: m.Token}
 }
 
-// DispatchResult applies the worker's answer to direct starts that were sent with the given token. r is the
+// ApplyDispatchResult applies the worker's answer to direct starts that were sent with the given token. r is the
 // worker's report after the starts. It is nil if there was no answer, or none that confirms the starts; the
 // machine then becomes suspect. Only the started tasks are read from the report: it may overtake the answer
 // to a regular report, so the tasks that it lacks and the newer data in it are ignored.
-func (m *Machine) DispatchResult(_ time.Duration, token uint64, refs []TaskRef, r *Report) {
+func (m *Machine) ApplyDispatchResult(_ time.Duration, token uint64, refs []TaskRef, r *Report) {
 	m.Dispatching = false
 	for _, ref := range refs {
 		p := m.Tasks[ref]
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -171,7 +171,7 @@
 			refs = append(refs, workers.TaskRef{Job: j.Index, Task: int32(command.Task)})
 		}
 	}
-	m.DispatchResult(now, token, refs, report)
+	m.ApplyDispatchResult(now, token, refs, report)
 }
 
 // View is the component's view for operators: totals of the term and the number of calls in
