--- a/internal/core/workers/tokens.go
+++ b/internal/core/workers/tokens.go
@@ -22,9 +22,9 @@
 // HighestTokenSeen returns the highest token that the machine has reported.
 func (m *Machine) HighestTokenSeen() uint64 { return m.highestTokenSeen }
 
-// NeedsToken reports whether a higher token should be issued to the machine now. If it returns true, it
+// TakeTokenRequest reports whether a higher token should be issued to the machine now. If it returns true, it
 // assumes that the caller issues one, and returns false until a higher token is needed again.
-func (m *Machine) NeedsToken(now time.Duration) bool {
+func (m *Machine) TakeTokenRequest(now time.Duration) bool {
 	if m.tokenUrgency == TokenNotNeeded {
 		return false
 	}
--- a/internal/core/workers/workers_test.go
+++ b/internal/core/workers/workers_test.go
@@ -171,7 +171,7 @@
 	if m.SuspectBelow != 5 || m.Unreachable(60*time.Second, 20*time.Second) {
 		t.Fatal("unreachable although no token was issued to it yet")
 	}
-	if !m.NeedsToken(61*time.Second) || m.Unreachable(90*time.Second, 20*time.Second) {
+	if !m.TakeTokenRequest(61*time.Second) || m.Unreachable(90*time.Second, 20*time.Second) {
 		t.Fatal("unreachable although it has not reported since")
 	}
 	m.LastHeartbeat = 62 * time.Second
--- a/internal/leader/registry/heartbeat.go
+++ b/internal/leader/registry/heartbeat.go
@@ -77,7 +77,7 @@
 		c.redirect(request, target)
 		return
 	}
-	if leaseValid && m.NeedsToken(now) {
+	if leaseValid && m.TakeTokenRequest(now) {
 		m.Token = c.NextToken() // once the worker has seen it, no earlier push dispatch can start
 	}
 	c.replyWhenDurable(leaseValid, &pendingReply{request: request, machine: m, commands: commands, since: now})
@@ -114,7 +114,7 @@
 	answer := effects.HeartbeatAnswer{Status: statusOK, Token: c.Token}
 	if m != nil {
 		m.CheckStale(now, settings.Seconds(staleIntervals*c.Cfg.Deployment.Workers.ReportS))
-		if leaseValid && m.NeedsToken(now) {
+		if leaseValid && m.TakeTokenRequest(now) {
 			m.Token = c.NextToken()
 		}
 		// The answer reaches nobody, or a worker that has restarted and lost its state. Such a
