--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -139,10 +139,10 @@
 	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangBegan
 }
 
-// MayRunUnseen reports whether tasks of the job that were not reported may run on unresolved machines,
+// MayRunUnreported reports whether tasks of the job that were not reported may run on unresolved machines,
 // where an earlier term may have left them. anyJobPossible is true if one of these machines may have tasks
 // of any job.
-func (j *Job) MayRunUnseen(anyJobPossible bool) bool {
+func (j *Job) MayRunUnreported(anyJobPossible bool) bool {
 	return j.FromEarlierTerm && (j.UnresolvedMachines > 0 || anyJobPossible)
 }
 
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -55,7 +55,9 @@
 
 // mayRunUnseen reports whether tasks of a job that an earlier term started may be running on
 // machines that have not reported yet.
-func (snap *Snapshot) mayRunUnseen(job *jobs.Job) bool { return job.MayRunUnseen(snap.UnknownGrants) }
+func (snap *Snapshot) mayRunUnseen(job *jobs.Job) bool {
+	return job.MayRunUnreported(snap.UnknownGrants)
+}
 
 // unitsSuffice reports whether so many more tasks of a job can get the counted units that they need.
 // Without pools no task that needs counted units may start.
--- a/internal/leader/cluster/unresolved.go
+++ b/internal/leader/cluster/unresolved.go
@@ -46,7 +46,9 @@
 
 // MayRunUnseen reports whether tasks of a job that no heartbeat has shown may run on
 // unresolved machines.
-func (s *State) MayRunUnseen(j *jobs.Job) bool { return j.MayRunUnseen(s.unresolvedWithoutNumber > 0) }
+func (s *State) MayRunUnseen(j *jobs.Job) bool {
+	return j.MayRunUnreported(s.unresolvedWithoutNumber > 0)
+}
 
 // Quiescent reports whether no task of a job is on any machine, or can be: none is placed,
 // offered or being started, none may run unseen on an unresolved machine, and none is an
