--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -72,10 +72,10 @@
 	CPUShare float64
 
 	// Life cycle.
-	Phase         Phase
-	AcceptedAt    time.Duration // acceptance, or release if it had dependencies; its times count from then
-	CancelAskedAt time.Duration // when its user requested its cancellation
-	CancelPending bool          // its cancellation is being written to the event log
+	Phase             Phase
+	AcceptedAt        time.Duration // acceptance, or release if it had dependencies; its times count from then
+	CancelRequestedAt time.Duration // when its user requested its cancellation
+	CancelPending     bool          // its cancellation is being written to the event log
 
 	// Tasks that earlier terms may have started, and that may run although no report has shown them.
 	FromEarlierTerm bool // it was accepted in an earlier term
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -32,7 +32,7 @@
 	if j.Phase == jobs.Cancelling || j.Finished == len(j.Tasks) {
 		return // answered by whichever becomes durable first, the cancellation or the completion
 	}
-	j.CancelAskedAt = now
+	j.CancelRequestedAt = now
 	if j.Phase == jobs.Accepting {
 		if !j.CancelPending { // it has no task before its acceptance is durable
 			c.appendCancellation(now, j)
@@ -95,7 +95,7 @@
 // appendCancellation appends the cancellation of a job to the log.
 func (c *Component) appendCancellation(now time.Duration, j *jobs.Job) {
 	j.CancelPending = true
-	took := now - j.CancelAskedAt
+	took := now - j.CancelRequestedAt
 	c.cancelSeconds.Observe(j.Record.Class, took.Seconds())
 	c.LogMessage(effects.Debug, "cancelled job left no tasks",
 		"job", j.Record.ID,
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -87,7 +87,7 @@
 	c.trackZoneOutages(now, check.mostSilent)
 	c.zoneReachable = c.reachableZones(now)
 	for _, j := range c.Jobs.All() {
-		if j != nil && j.Phase == jobs.Cancelling && now-j.CancelAskedAt > check.overdueStop {
+		if j != nil && j.Phase == jobs.Cancelling && now-j.CancelRequestedAt > check.overdueStop {
 			check.lateCancellations = append(check.lateCancellations, j)
 		}
 	}
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -99,7 +99,7 @@
 func (e *Explanation) explainCancelling(now time.Duration, job *jobs.Job) {
 	e.addSentence("its user has asked to cancel it %.0f s ago, and is told so once nothing of it is left anywhere: "+
 		"%d tasks are not proved gone, %d machines that may have some were not heard",
-		(now - job.CancelAskedAt).Seconds(), job.Placed, job.UnresolvedMachines)
+		(now - job.CancelRequestedAt).Seconds(), job.Placed, job.UnresolvedMachines)
 }
 
 // explainSize adds the job's size and how it was determined.
