--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -132,9 +132,9 @@
 	PreemptedAt  time.Duration // when tasks of other jobs were last preempted for it
 }
 
-// HasBegun reports whether a task of the job is placed, has run or is done, as far as the leader knows. For a
+// HasStarted reports whether a task of the job is placed, has run or is done, as far as the leader knows. For a
 // gang, tasks that are placed and have not run do not count.
-func (j *Job) HasBegun() bool {
+func (j *Job) HasStarted() bool {
 	placed := j.Record.Kind != Gang && j.Placed > 0
 	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangBegan
 }
--- a/internal/core/scheduler/order.go
+++ b/internal/core/scheduler/order.go
@@ -109,5 +109,5 @@
 // overdue reports whether a job has waited for BeginWithin or longer without beginning. The
 // largest jobs come last in the size order, and would never begin while smaller ones keep arriving.
 func (s *Scheduler) overdue(snap *Snapshot, job *jobs.Job) bool {
-	return s.BeginWithin > 0 && !job.HasBegun() && snap.Now-job.AcceptedAt >= s.BeginWithin
+	return s.BeginWithin > 0 && !job.HasStarted() && snap.Now-job.AcceptedAt >= s.BeginWithin
 }
--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -191,7 +191,7 @@
 	now time.Duration, machines []*workers.Machine, onDemandOnly []*jobs.Job,
 ) float64 {
 	wait := settings.Seconds(c.Cfg.Tunables.BeginWithinS / 2)
-	waitsTooLong := func(j *jobs.Job) bool { return j.Waiting > 0 && !j.HasBegun() && now-j.AcceptedAt > wait }
+	waitsTooLong := func(j *jobs.Job) bool { return j.Waiting > 0 && !j.HasStarted() && now-j.AcceptedAt > wait }
 	if wait == 0 || !slices.ContainsFunc(onDemandOnly, waitsTooLong) {
 		return 0
 	}
