--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -104,7 +104,7 @@
 	// State of a gang. GangAttempt is the attempt that all its tasks share, 0 while there is none.
 	GangAttempt uint64
 	GangFailed  bool // the attempt cannot succeed; the next one begins once all tasks are proved to be gone
-	GangBegan   bool // its tasks have run together in this attempt, or may have
+	GangStarted bool // its tasks have run together in this attempt, or may have
 
 	// Run times and failures.
 	RunSeconds     float64                 // sum of the measured run times of completed tasks
@@ -136,7 +136,7 @@
 // gang, tasks that are placed and have not run do not count.
 func (j *Job) HasStarted() bool {
 	placed := j.Record.Kind != Gang && j.Placed > 0
-	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangBegan
+	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangStarted
 }
 
 // MayRunUnreported reports whether tasks of the job that were not reported may run on unresolved machines,
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -11,7 +11,7 @@
 // all tasks of the gang have run, lost ones are replaced within the same attempt.
 func (s *Scheduler) placeGang(snap *Snapshot, job *jobs.Job, machines []*workers.Machine) bool {
 	if job.GangFailed ||
-		(job.GangBegan && job.Placed > 0) ||
+		(job.GangStarted && job.Placed > 0) ||
 		!s.withinLimit(snap, job, job.Waiting) ||
 		!snap.unitsSuffice(job, job.Waiting) {
 		return false
--- a/internal/core/scheduler/starvation.go
+++ b/internal/core/scheduler/starvation.go
@@ -117,7 +117,7 @@
 	}
 	return usablePlaces(job, placesByZone) >= need &&
 		!job.GangFailed &&
-		(!job.GangBegan || job.Placed == 0)
+		(!job.GangStarted || job.Placed == 0)
 }
 
 // usablePlaces returns how many of the places in all zones a job may use at once by its zone rule.
--- a/internal/leader/cluster/gangs.go
+++ b/internal/leader/cluster/gangs.go
@@ -32,6 +32,6 @@
 // on any machine. It does nothing for other kinds of jobs.
 func (s *State) ResetGangIfEmpty(j *jobs.Job) {
 	if j.Record.Kind == jobs.Gang && j.Placed == 0 {
-		j.GangAttempt, j.GangFailed, j.GangBegan = 0, false, false
+		j.GangAttempt, j.GangFailed, j.GangStarted = 0, false, false
 	}
 }
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -102,7 +102,7 @@
 	if difference == reconcile.GangAttemptUnknown {
 		j.GangAttempt = attempt
 	}
-	j.GangBegan = true // must be assumed, since it is unknown whether the gang ran
+	j.GangStarted = true // must be assumed, since it is unknown whether the gang ran
 	if difference.Resolution() == reconcile.AdoptAndFailGang {
 		c.FailGang(j)
 	}
@@ -138,7 +138,7 @@
 		j.FirstRunAt = now
 	}
 	j.LastRunAt = now
-	j.GangBegan = j.GangBegan || j.Record.Kind == jobs.Gang
+	j.GangStarted = j.GangStarted || j.Record.Kind == jobs.Gang
 	c.Estimator.TaskStarted(e.Ref.Job, task, now.Seconds())
 	c.Publish(cluster.Event{Kind: cluster.TaskBegan, At: now, Job: j, Task: task, Machine: m})
 }
@@ -191,7 +191,7 @@
 	}
 	c.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
 	c.Unplace(e.Ref)
-	if j.Record.Kind == jobs.Gang && (j.GangBegan || failsGang(e.Reason)) {
+	if j.Record.Kind == jobs.Gang && (j.GangStarted || failsGang(e.Reason)) {
 		c.FailGang(j)
 	}
 	c.ResetGangIfEmpty(j)
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -211,7 +211,7 @@
 func (d *Component) recordOutcome(now time.Duration, t *trackedJob, met bool) {
 	j := t.job
 	began := j.FirstRunAt
-	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
+	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangStarted && !met) {
 		began = now
 	}
 	o := outcome{
