--- a/internal/core/jobs/dependencies.go
+++ b/internal/core/jobs/dependencies.go
@@ -11,9 +11,9 @@
 	dependency.Dependents = append(dependency.Dependents, j.Index)
 }
 
-// RemoveDependency removes a job that is over from the dependency graph. It returns the jobs that waited
+// RemoveFromGraph removes a job that is over from the dependency graph. It returns the jobs that waited
 // for it.
-func (t *Table) RemoveDependency(j *Job) []*Job {
+func (t *Table) RemoveFromGraph(j *Job) []*Job {
 	var dependents []*Job
 	for _, i := range j.Dependents {
 		dependent := t.jobs[i]
--- a/internal/leader/lifecycle/cancellation.go
+++ b/internal/leader/lifecycle/cancellation.go
@@ -131,7 +131,7 @@
 	j.Phase = jobs.Cancelled
 	delete(c.cancelling, j.Record.ID)
 	c.Jobs.RecordFinalPhase(j.Record.ID, jobs.Cancelled)
-	c.Jobs.RemoveDependency(j)
+	c.Jobs.RemoveFromGraph(j)
 	c.Estimator.Remove(j.Index, false, 0, 0)
 	c.RemoveIfFinished(j)
 	c.NeedsCycle = true
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -80,7 +80,7 @@
 	c.Estimator.Remove(j.Index, true, j.RunSeconds, j.RunCount)
 	c.Publish(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 	c.logJobDone(now, j)
-	for _, dependent := range c.Jobs.RemoveDependency(j) {
+	for _, dependent := range c.Jobs.RemoveFromGraph(j) {
 		if len(dependent.Dependencies) == 0 && dependent.Phase == jobs.Held {
 			c.release(now, dependent)
 		}
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -113,7 +113,7 @@
 	for _, j := range cancelled {
 		for _, affected := range append(c.Jobs.TransitiveDependents(j), j) {
 			c.Jobs.RecordFinalPhase(affected.Record.ID, jobs.Cancelled)
-			c.Jobs.RemoveDependency(affected)
+			c.Jobs.RemoveFromGraph(affected)
 			c.Jobs.Remove(affected)
 		}
 	}
