--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -120,7 +120,7 @@
 	PriorityWindows       [][2]time.Duration // periods (start, end) in which it is sorted before them
 	Deadline              time.Duration      // latest time at which it should end; 0: no objective sets one
 	LowRankAfterMissUntil time.Duration      // until then it is sorted after them if it would miss Deadline
-	StartDirectly         bool               // start its tasks directly, without waiting for a report
+	PushDispatch          bool               // start its tasks directly, without waiting for a report
 	Boost                 Boost
 	Guaranteed            bool // it fits its team's guaranteed quota together with earlier jobs
 
--- a/internal/core/scheduler/binpacking.go
+++ b/internal/core/scheduler/binpacking.go
@@ -105,7 +105,7 @@
 // that the fetch takes, and at most maxReplicaImageWait: on a full cluster other room becomes free
 // sooner than that, often on a machine that has the image.
 func (s *Scheduler) replicaWaitsForImage(snap *Snapshot, job *jobs.Job, machine *workers.Machine) bool {
-	if snap.starvedOnly || !job.StartDirectly || job.Record.Kind != jobs.Service || machine.HasImage(job.Image) {
+	if snap.starvedOnly || !job.PushDispatch || job.Record.Kind != jobs.Service || machine.HasImage(job.Image) {
 		return false
 	}
 	if job.DelayedSince == 0 {
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -53,7 +53,7 @@
 		c.addPriorityWindow(j, at, objective.WithinS)
 	}
 	if c.Cfg.Tunables.PushDispatches > 0 && j.Record.Kind != jobs.Gang && c.Cfg.NeedsDispatch(objective) {
-		j.StartDirectly = true
+		j.PushDispatch = true
 	}
 }
 
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -182,7 +182,7 @@
 		Image:          job.Image,
 		Need:           job.Need,
 		BoundToMachine: job.Record.Kind == jobs.Gang || job.HasZoneRule(),
-		StartDirectly:  job.StartDirectly,
+		StartDirectly:  job.PushDispatch,
 	}
 	c.Placements[ref] = plan
 	if job.Record.Kind == jobs.Gang {
