--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -110,8 +110,8 @@
 	return dates
 }
 
-// At returns the night to which a time belongs.
-func (c *Calendar) At(moment time.Time) Night {
+// NightAt returns the night to which a time belongs.
+func (c *Calendar) NightAt(moment time.Time) Night {
 	if !c.cachedFrom.IsZero() && !moment.Before(c.cachedFrom) && moment.Before(c.cachedTo) {
 		return c.cached
 	}
--- a/internal/core/calendar/calendar_test.go
+++ b/internal/core/calendar/calendar_test.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if night := calendar.At(at); night.Date != c.want || night.Holiday != c.holiday {
+			if night := calendar.NightAt(at); night.Date != c.want || night.Holiday != c.holiday {
 				t.Errorf("night is %+v, want %s, holiday %v", night, c.want, c.holiday)
 			}
 		})
@@ -55,12 +55,12 @@
 			calendar := newCalendar(t, nightCron)
 			lastDay := int32(-1)
 			for at := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC); at.Year() < 2028; at = at.Add(97 * time.Minute) {
-				night := calendar.At(at)
+				night := calendar.NightAt(at)
 				if lastDay >= 0 && night.Day != lastDay && night.Day != lastDay+1 {
 					t.Fatalf("at %v night %s follows the night of day %d", at, night.Date, lastDay)
 				}
 				lastDay = night.Day
-				if fresh := newCalendar(t, nightCron).At(at); fresh != night {
+				if fresh := newCalendar(t, nightCron).NightAt(at); fresh != night {
 					t.Fatalf("at %v the calendar returns %+v, a new one %+v", at, night, fresh)
 				}
 			}
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -182,7 +182,7 @@
 	}
 	d.removeFromStore(d.model.takeEvicted())
 	accepted := r.accepted()
-	night := d.calendar.At(accepted)
+	night := d.calendar.NightAt(accepted)
 	d.demand.addWork(night.Day, night.Holiday, d.calendar.Slot(accepted), r.Work)
 }
 
--- a/internal/leader/runtimes/nights.go
+++ b/internal/leader/runtimes/nights.go
@@ -16,7 +16,7 @@
 // startNight sets the current night. When it changes, earlier nights of all kinds are queued for closing
 // and data that is no longer needed is dropped.
 func (d *Component) startNight(now time.Duration) {
-	today := d.calendar.At(d.wallClock(now))
+	today := d.calendar.NightAt(d.wallClock(now))
 	if today == d.today {
 		return
 	}
@@ -63,13 +63,13 @@
 			return true
 		}
 	}
-	return r.Work > 0 && d.demand.notDurable(d.calendar.At(r.accepted()).Day)
+	return r.Work > 0 && d.demand.notDurable(d.calendar.NightAt(r.accepted()).Day)
 }
 
 // forgottenNeeded reports whether the entry of a forgotten kind is still needed, because the log may
 // hold records of the kind or a value may still contain it.
 func (d *Component) forgottenNeeded(f *storedForgotten) bool {
-	if !d.historyReader.Done || d.calendar.At(time.Unix(f.At, 0)).Day >= d.today.Day-keepForgottenDays {
+	if !d.historyReader.Done || d.calendar.NightAt(time.Unix(f.At, 0)).Day >= d.today.Day-keepForgottenDays {
 		return true
 	}
 	number, ok := d.store.valueOf[kindOf(f.Kind, f.Holiday)]
