--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -159,8 +159,8 @@
 
 func sameDate(a, b time.Time) bool { return a.Format(DateLayout) == b.Format(DateLayout) }
 
-// Quarter returns the start of the quarter of an hour that contains a time, in local time.
-func (c *Calendar) Quarter(moment time.Time) time.Time {
+// StartOfQuarterHour returns the start of the quarter of an hour that contains a time, in local time.
+func (c *Calendar) StartOfQuarterHour(moment time.Time) time.Time {
 	local := moment.In(c.location)
 	return local.Add(-time.Duration(local.Minute()%minutesPerQuarter)*time.Minute -
 		time.Duration(local.Second())*time.Second -
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -163,7 +163,7 @@
 	out := []Expected{}
 	rented := d.CPUs()
 	slotCPUs := func(work float64) float64 { return roundDigits(work / slotLength.Seconds()) }
-	at := d.calendar.Quarter(d.wallClock(now))
+	at := d.calendar.StartOfQuarterHour(d.wallClock(now))
 	for range expectedSlots {
 		f := d.demand.expected(d.calendar.NightAt(at).Holiday, d.calendar.Slot(at))
 		out = append(out, Expected{
