--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -167,9 +167,9 @@
 		time.Duration(local.Nanosecond()))
 }
 
-// Slot returns the number of the quarter of an hour that contains a time within its local day, from
+// QuarterHourOfDay returns the number of the quarter of an hour that contains a time within its local day, from
 // 0 to 95. If the clocks repeat an hour, its numbers occur twice.
-func (c *Calendar) Slot(moment time.Time) int {
+func (c *Calendar) QuarterHourOfDay(moment time.Time) int {
 	local := moment.In(c.location)
 	return local.Hour()*quartersPerHour + local.Minute()/minutesPerQuarter
 }
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -165,7 +165,7 @@
 	slotCPUs := func(work float64) float64 { return roundDigits(work / slotLength.Seconds()) }
 	at := d.calendar.StartOfQuarterHour(d.wallClock(now))
 	for range expectedSlots {
-		f := d.demand.expected(d.calendar.NightAt(at).Holiday, d.calendar.Slot(at))
+		f := d.demand.expected(d.calendar.NightAt(at).Holiday, d.calendar.QuarterHourOfDay(at))
 		out = append(out, Expected{
 			At:       d.calendar.LocalTime(at),
 			InS:      max(0, at.Sub(d.wallClock(now)).Seconds()),
--- a/internal/leader/runtimes/learn.go
+++ b/internal/leader/runtimes/learn.go
@@ -183,7 +183,7 @@
 	d.removeFromStore(d.model.takeEvicted())
 	accepted := r.accepted()
 	night := d.calendar.NightAt(accepted)
-	d.demand.addWork(night.Day, night.Holiday, d.calendar.Slot(accepted), r.Work)
+	d.demand.addWork(night.Day, night.Holiday, d.calendar.QuarterHourOfDay(accepted), r.Work)
 }
 
 // deferRecord keeps a record until the history is loaded. Records beyond maxDeferredRecords are dropped.
