--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -99,8 +99,8 @@
 	return first.Sub(midnight) < oneDay && second.Sub(first) == oneDay
 }
 
-// Dates splits a comma-separated list of dates. It does not check the dates.
-func Dates(list string) []string {
+// SplitDates splits a comma-separated list of dates. It does not check the dates.
+func SplitDates(list string) []string {
 	var dates []string
 	for date := range strings.SplitSeq(list, ",") {
 		if date = strings.TrimSpace(date); date != "" {
--- a/internal/core/calendar/calendar_test.go
+++ b/internal/core/calendar/calendar_test.go
@@ -24,7 +24,7 @@
 		{"the start hour is repeated: the day after", "Europe/Sofia", "30 3 * * *", "2026-10-26T03:10:00+02:00", "2026-10-25", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			calendar, err := New(c.zone, c.nightCron, Dates("2026-12-24, 2027-01-01,"))
+			calendar, err := New(c.zone, c.nightCron, SplitDates("2026-12-24, 2027-01-01,"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -78,7 +78,7 @@
 		{"UTC", "0 12 * * 1", "", "night"},
 		{"UTC", "0 12 * * *", "2026-13-01", "holidays"},
 	} {
-		_, err := New(c.zone, c.nightCron, Dates(c.holidays))
+		_, err := New(c.zone, c.nightCron, SplitDates(c.holidays))
 		var wrong *FieldError
 		if !errors.As(err, &wrong) || wrong.Field != c.field {
 			t.Errorf("New with %+v returns error %v, want a *FieldError that names the field", c, err)
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -159,7 +159,7 @@
 
 // NewCalendar returns the operators' calendar.
 func (t *Tunables) NewCalendar() (*calendar.Calendar, error) {
-	return calendar.New(t.TimeZone, t.NightBegins, calendar.Dates(t.Holidays))
+	return calendar.New(t.TimeZone, t.NightBegins, calendar.SplitDates(t.Holidays))
 }
 
 // read sets the values of an operators' file and checks them.
