--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -25,8 +25,8 @@
 	// What may be running on unresolved machines. A machine of an earlier term is unresolved until
 	// it has reported.
 
-	UnresolvedUse []resources.Amounts // by team: what its tasks on these machines may use
-	UnknownGrants bool                // one of these machines may have tasks of any job
+	UnresolvedUse          []resources.Amounts // by team: what its tasks on these machines may use
+	AnyJobMayRunUnreported bool                // one of these machines may have tasks of any job
 
 	// AcceleratedNeed is the result of LargestAcceleratedNeed; zero if no job needs accelerators.
 	AcceleratedNeed resources.Amounts
@@ -56,7 +56,7 @@
 // mayRunUnseen reports whether tasks of a job that an earlier term started may be running on
 // machines that have not reported yet.
 func (snap *Snapshot) mayRunUnseen(job *jobs.Job) bool {
-	return job.MayRunUnreported(snap.UnknownGrants)
+	return job.MayRunUnreported(snap.AnyJobMayRunUnreported)
 }
 
 // unitsSuffice reports whether so many more tasks of a job can get the counted units that they need.
