--- a/internal/core/scheduler/shard.go
+++ b/internal/core/scheduler/shard.go
@@ -81,8 +81,8 @@
 	return picked
 }
 
-// Tick removes accepted offers after acceptedRetention, and expired leases.
-func (h *ShardHolder) Tick(now time.Duration) {
+// Expire removes accepted offers after acceptedRetention, and expired leases.
+func (h *ShardHolder) Expire(now time.Duration) {
 	for serial, at := range h.accepted {
 		if now-at > acceptedRetention {
 			delete(h.accepted, serial)
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -171,7 +171,7 @@
 // Tick advances everything that depends on time. It is called several times a second.
 func (c *Core) Tick(now time.Duration) {
 	c.emitLeadership(c.elector.Tick(now))
-	c.shards.Tick(now)
+	c.shards.Expire(now)
 	c.expireRedirects(now)
 	c.probeUnreachedLeader(now)
 	if c.elector.LeaseValid(now) {
