--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -13,8 +13,8 @@
 	// BeginCycle starts a scheduling cycle. list holds the jobs that could start a task now if they
 	// got units and room, in the order in which they get room.
 	BeginCycle(now time.Duration, list []*jobs.Job)
-	// Allows reports whether the units suffice for so many more tasks of a job.
-	Allows(j *jobs.Job, tasks int) bool
+	// AllowsStart reports whether the units suffice for so many more tasks of a job.
+	AllowsStart(j *jobs.Job, tasks int) bool
 	// TaskPlaced counts a task that was placed.
 	TaskPlaced(j *jobs.Job)
 	// TaskRemoved reverses TaskPlaced for a task whose plan was withdrawn in the same cycle.
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -62,7 +62,7 @@
 // unitsSuffice reports whether so many more tasks of a job can get the counted units that they need.
 // Without pools no task that needs counted units may start.
 func (snap *Snapshot) unitsSuffice(job *jobs.Job, tasks int) bool {
-	return len(job.Record.Counted) == 0 || (snap.Pools != nil && snap.Pools.Allows(job, tasks))
+	return len(job.Record.Counted) == 0 || (snap.Pools != nil && snap.Pools.AllowsStart(job, tasks))
 }
 
 // nextTask returns the number of the job's task to be placed next, or -1. While tasks that an
--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -9,8 +9,8 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Allows reports whether the pools have the units to start n more tasks of a job.
-func (d *Component) Allows(j *jobs.Job, n int) bool {
+// AllowsStart reports whether the pools have the units to start n more tasks of a job.
+func (d *Component) AllowsStart(j *jobs.Job, n int) bool {
 	_, ok := d.blockingRequirement(j, int64(n))
 	return ok
 }
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -118,7 +118,7 @@
 	f.component.BeginCycle(f.now, waiting)
 	for _, j := range list {
 		n := 0
-		for j.Waiting > 0 && f.component.Allows(j, j.GangSize()) {
+		for j.Waiting > 0 && f.component.AllowsStart(j, j.GangSize()) {
 			for range j.GangSize() {
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
