--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -24,9 +24,9 @@
 	// WaitReason returns a text for users on the units that a job waits for, or an empty string if
 	// it waits for none.
 	WaitReason(j *jobs.Job) string
-	// Unsatisfiable returns a text for users on why a job can never get the units that it asks for,
+	// UnsatisfiableReason returns a text for users on why a job can never get the units that it asks for,
 	// or an empty string if it can.
-	Unsatisfiable(rec *eventlog.Job) string
+	UnsatisfiableReason(rec *eventlog.Job) string
 }
 
 // beginUnitCycle passes to the pools the jobs that could start a task in this cycle: services
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -88,7 +88,7 @@
 	if c.Pools == nil {
 		return unavailable("counted: the leader has no pools in its settings")
 	}
-	if reason := c.Pools.Unsatisfiable(rec); reason != "" {
+	if reason := c.Pools.UnsatisfiableReason(rec); reason != "" {
 		return &effects.Answer{Status: statusUnprocessable, Why: reason}
 	}
 	return nil
--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -171,8 +171,8 @@
 	return startable
 }
 
-// Unsatisfiable returns why a job can never get the units that it needs, or an empty string.
-func (d *Component) Unsatisfiable(record *eventlog.Job) string {
+// UnsatisfiableReason returns why a job can never get the units that it needs, or an empty string.
+func (d *Component) UnsatisfiableReason(record *eventlog.Job) string {
 	needed, unknownPool := d.neededAtOnce(record)
 	if unknownPool != "" {
 		return fmt.Sprintf("counted: no such pool: %s", unknownPool)
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -185,12 +185,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			job := &eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{impossible.counted}}
-			if why := f.component.Unsatisfiable(job); !strings.Contains(why, impossible.why) {
+			if why := f.component.UnsatisfiableReason(job); !strings.Contains(why, impossible.why) {
 				t.Errorf("%+v: %s", impossible.counted, why)
 			}
 		})
 	}
-	if why := f.component.Unsatisfiable(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
+	if why := f.component.UnsatisfiableReason(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
 	}
 }
@@ -269,7 +269,7 @@
 				kind = jobs.Gang
 			}
 			rec := &eventlog.Job{Team: "a", Tasks: tasks, Kind: kind, Counted: counted}
-			if len(counted) == 0 || f.component.Unsatisfiable(rec) != "" {
+			if len(counted) == 0 || f.component.UnsatisfiableReason(rec) != "" {
 				continue
 			}
 			list = append(list, f.addJob("a", tasks, 1, kind, counted...))
