--- a/internal/core/ratelimit/adaptive.go
+++ b/internal/core/ratelimit/adaptive.go
@@ -26,9 +26,9 @@
 	return Adaptive{Bucket: NewBucket(now, maxRate, burst), maxRate: maxRate, grownAt: now}
 }
 
-// Failure records that the receiver refused a call, did not answer in time, or failed. It halves the
+// RecordFailure records that the receiver refused a call, did not answer in time, or failed. It halves the
 // rate, down to its lower bound, unless an earlier failure counted less than failureWindow ago.
-func (a *Adaptive) Failure(now time.Duration) {
+func (a *Adaptive) RecordFailure(now time.Duration) {
 	if a.hasFailed && now-a.failedAt < failureWindow {
 		return
 	}
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -41,13 +41,13 @@
 func TestAdaptive(t *testing.T) {
 	a := NewAdaptive(0, 8, 8)
 	for i := range 10 {
-		a.Failure(time.Duration(i) * 50 * time.Millisecond)
+		a.RecordFailure(time.Duration(i) * 50 * time.Millisecond)
 	}
 	if a.Rate != 4 {
 		t.Errorf("rate is %v of 8 after a burst of failures, want 4", a.Rate)
 	}
 	for s := 2; s < 20; s++ {
-		a.Failure(time.Duration(s) * time.Second)
+		a.RecordFailure(time.Duration(s) * time.Second)
 	}
 	if a.Rate != 2 {
 		t.Errorf("rate is %v of 8 after many failures, want the lower bound 2", a.Rate)
@@ -83,7 +83,7 @@
 				a.Success(now)
 				got[i]++
 			} else {
-				a.Failure(now)
+				a.RecordFailure(now)
 			}
 		}
 	}
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -40,7 +40,7 @@
 	case ok:
 		c.callBudget.Success(now)
 	default:
-		c.callBudget.Failure(now)
+		c.callBudget.RecordFailure(now)
 	}
 }
 
