--- a/internal/core/ratelimit/adaptive.go
+++ b/internal/core/ratelimit/adaptive.go
@@ -37,9 +37,9 @@
 	a.tokens = min(a.tokens, 1)
 }
 
-// Success records that the receiver answered. It raises the rate, up to the highest rate, by the growth
+// RecordSuccess records that the receiver answered. It raises the rate, up to the highest rate, by the growth
 // since the last success or failure, unless a failure counted less than growthHoldOff ago.
-func (a *Adaptive) Success(now time.Duration) {
+func (a *Adaptive) RecordSuccess(now time.Duration) {
 	if !a.hasFailed || now-a.failedAt >= growthHoldOff {
 		growth := a.maxRate * (now - a.grownAt).Seconds() / fullGrowthTime.Seconds()
 		a.Rate = min(a.maxRate, a.Rate+growth)
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -55,7 +55,7 @@
 	steps := 0
 	for now := 20 * time.Second; now < 60*time.Second; now += 500 * time.Millisecond {
 		before := a.Rate
-		if a.Success(now); a.Rate > 8 || a.Rate < before {
+		if a.RecordSuccess(now); a.Rate > 8 || a.Rate < before {
 			t.Fatalf("rate is %v after a success at %v, want no less and at most 8", a.Rate, before)
 		}
 		if a.Rate < 8 {
@@ -80,7 +80,7 @@
 				continue
 			}
 			if serve.Take(now, 1) {
-				a.Success(now)
+				a.RecordSuccess(now)
 				got[i]++
 			} else {
 				a.RecordFailure(now)
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -38,7 +38,7 @@
 	switch {
 	case c.Cfg.Tunables.AdaptCalls == 0:
 	case ok:
-		c.callBudget.Success(now)
+		c.callBudget.RecordSuccess(now)
 	default:
 		c.callBudget.RecordFailure(now)
 	}
