--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -30,9 +30,9 @@
 
 // TermStart holds the parameters of a new term.
 type TermStart struct {
-	Cfg         *settings.Settings
-	ClockZeroMS int64 // time of day at the origin of the clock, in Unix milliseconds
-	Epoch       uint64
+	Cfg               *settings.Settings
+	ClockOriginUnixMS int64 // time of day at the origin of the clock, in Unix milliseconds
+	Epoch             uint64
 
 	LastLeaderHeard time.Duration           // when this node last heard from a leader; 0 if never
 	LeaderMissedAt  time.Duration           // when this node detected that there was no leader
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -131,13 +131,13 @@
 // terms may have started and that are not known to have ended. Tasks that were reported
 // while the peers were being asked count as recovered already.
 func (rec *recorder) begin(d *Component, now time.Duration) {
-	rec.current.AtMS = d.ClockZeroMS + d.TermBegan.Milliseconds()
+	rec.current.AtMS = d.ClockOriginUnixMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
 		rec.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
 	}
 	rec.current.DownAtMostMS = -1
 	if d.newestEntryMS > 0 {
-		rec.current.DownAtMostMS = max(0, d.ClockZeroMS+now.Milliseconds()-d.newestEntryMS)
+		rec.current.DownAtMostMS = max(0, d.ClockOriginUnixMS+now.Milliseconds()-d.newestEntryMS)
 	}
 	rec.current.Machines, _ = d.census.Counts()
 	for _, j := range d.Jobs.All() {
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -125,7 +125,7 @@
 	d.current = storedRecord{
 		Epoch:    s.Epoch,
 		Node:     s.Cfg.Node,
-		AtMS:     s.ClockZeroMS + s.LeaderMissedAt.Milliseconds(),
+		AtMS:     s.ClockOriginUnixMS + s.LeaderMissedAt.Milliseconds(),
 		SilentMS: -1,
 	}
 	if s.LastLeaderHeard > 0 {
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -43,7 +43,7 @@
 // depend on the job, the entries carry the time of day.
 func (c *Component) appendTasks(now time.Duration, batch eventlog.CompletedTasks) {
 	if j := c.Jobs.ByID(batch.ID); j != nil && len(j.Dependents) > 0 {
-		batch.AtMS = c.ClockZeroMS + now.Milliseconds()
+		batch.AtMS = c.ClockOriginUnixMS + now.Milliseconds()
 	}
 	maxRanges := max(1, c.EventLog.MaxEntryBytes()/maxRangeBytes-completedOverhead)
 	for len(batch.Ranges) > maxRanges {
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -110,7 +110,7 @@
 // it had just arrived.
 func (c *Component) release(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
-	j.Record.ReleasedMS = c.ClockZeroMS + now.Milliseconds()
+	j.Record.ReleasedMS = c.ClockOriginUnixMS + now.Milliseconds()
 	c.setDeadlines(j, now)
 	c.enqueue(now, j)
 	c.Counts.Released++
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -183,5 +183,5 @@
 // toClock converts a time of day, in Unix milliseconds, to the node's clock. The result is at
 // most now.
 func (c *Component) toClock(ms int64, now time.Duration) time.Duration {
-	return min(now, time.Duration(ms-c.ClockZeroMS)*time.Millisecond)
+	return min(now, time.Duration(ms-c.ClockOriginUnixMS)*time.Millisecond)
 }
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -44,7 +44,7 @@
 		c.reply(to, *refusal)
 		return
 	}
-	s.Job.AtMS = c.ClockZeroMS + now.Milliseconds()
+	s.Job.AtMS = c.ClockOriginUnixMS + now.Milliseconds()
 	if refusal := c.storageRefusal(s.Job); refusal != nil {
 		c.reply(to, *refusal)
 		return
--- a/internal/leader/pools/losses.go
+++ b/internal/leader/pools/losses.go
@@ -26,7 +26,9 @@
 const maxClockSkew = time.Second
 
 // wallClockMS returns the wall-clock time in milliseconds.
-func (d *Component) wallClockMS(now time.Duration) int64 { return d.ClockZeroMS + now.Milliseconds() }
+func (d *Component) wallClockMS(now time.Duration) int64 {
+	return d.ClockOriginUnixMS + now.Milliseconds()
+}
 
 // lossesNotDurable reports whether there are losses that a new leader could not read. Until they
 // are durable, a pool that has a hold after losses allocates no units: the lost tasks then still
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -122,7 +122,7 @@
 		Number:  in.Revision + 1,
 		ID:      in.ID,
 		By:      by,
-		AtMS:    d.ClockZeroMS + now.Milliseconds(),
+		AtMS:    d.ClockOriginUnixMS + now.Milliseconds(),
 		Note:    in.Note,
 		Changes: slices.Clone(in.Changes),
 	}
--- a/internal/leader/runtimes/nights.go
+++ b/internal/leader/runtimes/nights.go
@@ -10,7 +10,7 @@
 
 // wallClock converts the leader's clock to wall clock time.
 func (d *Component) wallClock(now time.Duration) time.Time {
-	return time.UnixMilli(d.ClockZeroMS + now.Milliseconds())
+	return time.UnixMilli(d.ClockOriginUnixMS + now.Milliseconds())
 }
 
 // startNight sets the current night. When it changes, earlier nights of all kinds are queued for closing
