--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -133,7 +133,7 @@
 func (rec *recorder) begin(d *Component, now time.Duration) {
 	rec.current.AtMS = d.ClockOriginUnixMS + d.TermBegan.Milliseconds()
 	if d.LastLeaderHeard > 0 {
-		rec.current.DownAtLeastMS = (d.LeaderMissedAt - d.LastLeaderHeard).Milliseconds()
+		rec.current.DownAtLeastMS = (d.LeaderLossDetectedAt - d.LastLeaderHeard).Milliseconds()
 	}
 	rec.current.DownAtMostMS = -1
 	if d.newestEntryMS > 0 {
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -115,7 +115,7 @@
 	switch {
 	case unresolved == 0 && d.Jobs.Len() == 0:
 		d.setKind(now, failoverStart) // there is nothing to recover
-	case d.isFailoverFrom(d.LeaderMissedAt, d.PreviousLeader):
+	case d.isFailoverFrom(d.LeaderLossDetectedAt, d.PreviousLeader):
 		d.setKind(now, failoverStart)
 	case len(d.Cfg.Peers) == 0:
 		d.setKind(now, coldStart)
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -120,13 +120,13 @@
 	cfg.Deployment.Workers.ReportS = 2
 	cfg.Tunables.ColdListen, cfg.Tunables.ColdKept = 1, 3
 	start := cluster.TermStart{
-		Cfg:               cfg,
-		ClockOriginUnixMS: 1e6,
-		Epoch:             7,
-		LeaderMissedAt:    99 * time.Second,
-		TermBegan:         100 * time.Second,
-		Counts:            &cluster.Counts{},
-		Metrics:           &cluster.Metrics{},
+		Cfg:                  cfg,
+		ClockOriginUnixMS:    1e6,
+		Epoch:                7,
+		LeaderLossDetectedAt: 99 * time.Second,
+		TermBegan:            100 * time.Second,
+		Counts:               &cluster.Counts{},
+		Metrics:              &cluster.Metrics{},
 	}
 	change(&start, &cfg.Tunables)
 	s := cluster.New(start)
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -125,11 +125,11 @@
 	d.current = storedRecord{
 		Epoch:    s.Epoch,
 		Node:     s.Cfg.Node,
-		AtMS:     s.ClockOriginUnixMS + s.LeaderMissedAt.Milliseconds(),
+		AtMS:     s.ClockOriginUnixMS + s.LeaderLossDetectedAt.Milliseconds(),
 		SilentMS: -1,
 	}
 	if s.LastLeaderHeard > 0 {
-		d.current.SilentMS = (s.LeaderMissedAt - s.LastLeaderHeard).Milliseconds()
+		d.current.SilentMS = (s.LeaderLossDetectedAt - s.LastLeaderHeard).Milliseconds()
 	}
 	for i := range d.current.After {
 		d.current.After[i] = -1
@@ -204,7 +204,7 @@
 // recordStep records the time of a step when it is first reached.
 func (d *Component) recordStep(s Step, now time.Duration) {
 	if d.current.After[s] < 0 {
-		d.current.After[s] = max(0, (now - d.LeaderMissedAt).Milliseconds())
+		d.current.After[s] = max(0, (now - d.LeaderLossDetectedAt).Milliseconds())
 		d.stepSeconds.Observe(s.String(), float64(d.current.After[s])/1000)
 	}
 }
@@ -293,7 +293,7 @@
 	if d.current.After[FirstStart] >= 0 {
 		return true
 	}
-	return now-d.LeaderMissedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
+	return now-d.LeaderLossDetectedAt >= time.Duration(last)*time.Millisecond+firstStartTimeout
 }
 
 // LiveBytes returns approximately how many bytes Compact would write for the whole log.
