--- a/internal/leader/cluster/state.go
+++ b/internal/leader/cluster/state.go
@@ -34,10 +34,10 @@
 	ClockOriginUnixMS int64 // time of day at the origin of the clock, in Unix milliseconds
 	Epoch             uint64
 
-	LastLeaderHeard      time.Duration           // when this node last heard from a leader; 0 if never
-	LeaderLossDetectedAt time.Duration           // when this node detected that there was no leader
-	TermBegan            time.Duration           // when this node was elected
-	PreviousLeader       leadership.LeaderRecord // the preceding leader, as observed by this node
+	LastLeaderHeartbeatAt time.Duration           // when this node last heard from a leader; 0 if never
+	LeaderLossDetectedAt  time.Duration           // when this node detected that there was no leader
+	TermBegan             time.Duration           // when this node was elected
+	PreviousLeader        leadership.LeaderRecord // the preceding leader, as observed by this node
 
 	// The following are kept beyond the end of the term.
 	Counts  *Counts
--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -132,8 +132,8 @@
 // while the peers were being asked count as recovered already.
 func (rec *recorder) begin(d *Component, now time.Duration) {
 	rec.current.AtMS = d.ClockOriginUnixMS + d.TermBegan.Milliseconds()
-	if d.LastLeaderHeard > 0 {
-		rec.current.DownAtLeastMS = (d.LeaderLossDetectedAt - d.LastLeaderHeard).Milliseconds()
+	if d.LastLeaderHeartbeatAt > 0 {
+		rec.current.DownAtLeastMS = (d.LeaderLossDetectedAt - d.LastLeaderHeartbeatAt).Milliseconds()
 	}
 	rec.current.DownAtMostMS = -1
 	if d.newestEntryMS > 0 {
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -128,8 +128,8 @@
 		AtMS:     s.ClockOriginUnixMS + s.LeaderLossDetectedAt.Milliseconds(),
 		SilentMS: -1,
 	}
-	if s.LastLeaderHeard > 0 {
-		d.current.SilentMS = (s.LeaderLossDetectedAt - s.LastLeaderHeard).Milliseconds()
+	if s.LastLeaderHeartbeatAt > 0 {
+		d.current.SilentMS = (s.LeaderLossDetectedAt - s.LastLeaderHeartbeatAt).Milliseconds()
 	}
 	for i := range d.current.After {
 		d.current.After[i] = -1
--- a/internal/leader/failover/failover_test.go
+++ b/internal/leader/failover/failover_test.go
@@ -18,14 +18,14 @@
 // that may have tasks on all of them.
 func newComponent(metrics *cluster.Metrics) *Component {
 	s := cluster.New(cluster.TermStart{
-		Cfg:                  &settings.Settings{Tunables: settings.Defaults()},
-		ClockOriginUnixMS:    1e6,
-		Epoch:                7,
-		LastLeaderHeard:      9 * time.Second,
-		LeaderLossDetectedAt: 10 * time.Second,
-		TermBegan:            11 * time.Second,
-		Counts:               &cluster.Counts{},
-		Metrics:              metrics,
+		Cfg:                   &settings.Settings{Tunables: settings.Defaults()},
+		ClockOriginUnixMS:     1e6,
+		Epoch:                 7,
+		LastLeaderHeartbeatAt: 9 * time.Second,
+		LeaderLossDetectedAt:  10 * time.Second,
+		TermBegan:             11 * time.Second,
+		Counts:                &cluster.Counts{},
+		Metrics:               metrics,
 	})
 	s.EventLog = eventlog.NewLog(eventlog.Limits{WriteRPS: 1e6, ValueBytes: 8192, TxnOps: 4}, "lead/epoch", 1, 0, 0)
 	j := s.Jobs.Add(eventlog.Job{ID: 1, Tasks: 20})
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -127,16 +127,16 @@
 	c.counts.Terms++
 	lastHeard, missedAt := c.elector.LeaderlessTimes()
 	c.term = term.New(cluster.TermStart{
-		Cfg:                  c.settings,
-		ClockOriginUnixMS:    c.clockOriginUnixMS,
-		Epoch:                c.elector.Epoch(),
-		LastLeaderHeard:      lastHeard,
-		PreviousLeader:       c.elector.PreviousLeader(c.elector.Epoch()),
-		LeaderLossDetectedAt: missedAt,
-		TermBegan:            now,
-		Counts:               &c.counts,
-		Metrics:              &c.measures,
-		Config:               &c.config,
+		Cfg:                   c.settings,
+		ClockOriginUnixMS:     c.clockOriginUnixMS,
+		Epoch:                 c.elector.Epoch(),
+		LastLeaderHeartbeatAt: lastHeard,
+		PreviousLeader:        c.elector.PreviousLeader(c.elector.Epoch()),
+		LeaderLossDetectedAt:  missedAt,
+		TermBegan:             now,
+		Counts:                &c.counts,
+		Metrics:               &c.measures,
+		Config:                &c.config,
 	})
 	c.emitLog(effects.Info, "elected leader", "epoch", c.term.Epoch)
 	c.emit(effects.LoadLog{Epoch: c.term.Epoch})
