--- a/internal/leader/cluster/unresolved.go
+++ b/internal/leader/cluster/unresolved.go
@@ -44,9 +44,9 @@
 	return s.unresolvedMachines, s.unresolvedWithoutNumber > 0
 }
 
-// MayRunUnseen reports whether tasks of a job that no heartbeat has shown may run on
+// MayRunUnreported reports whether tasks of a job that no heartbeat has shown may run on
 // unresolved machines.
-func (s *State) MayRunUnseen(j *jobs.Job) bool {
+func (s *State) MayRunUnreported(j *jobs.Job) bool {
 	return j.MayRunUnreported(s.unresolvedWithoutNumber > 0)
 }
 
@@ -54,7 +54,7 @@
 // offered or being started, none may run unseen on an unresolved machine, and none is an
 // orphan, which is a task on a machine where it is not counted.
 func (s *State) Quiescent(j *jobs.Job) bool {
-	if j.Placed != 0 || s.MayRunUnseen(j) {
+	if j.Placed != 0 || s.MayRunUnreported(j) {
 		return false
 	}
 	return !slices.ContainsFunc(s.Inventory.All(), func(m *workers.Machine) bool {
--- a/internal/leader/failover/failover.go
+++ b/internal/leader/failover/failover.go
@@ -194,7 +194,7 @@
 func (d *Component) blockedJobs() int {
 	n := 0
 	for _, j := range d.Jobs.All() {
-		if j != nil && j.Phase == jobs.Open && d.MayRunUnseen(j) {
+		if j != nil && j.Phase == jobs.Open && d.MayRunUnreported(j) {
 			n++
 		}
 	}
--- a/internal/leader/pools/usage.go
+++ b/internal/leader/pools/usage.go
@@ -172,7 +172,7 @@
 // unreportedTasks returns the maximum number of tasks of a job that may run on machines that have not
 // reported in this term.
 func (d *Component) unreportedTasks(j *jobs.Job, unresolved []*workers.Machine) int {
-	if len(unresolved) == 0 || !d.MayRunUnseen(j) {
+	if len(unresolved) == 0 || !d.MayRunUnreported(j) {
 		return 0
 	}
 	tasks, room := countPossiblyRunning(j), 0
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -202,7 +202,7 @@
 // opposite is not proved.
 func (c *Component) mayHaveTaskOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
-		return c.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
+		return c.MayRunUnreported(j) && m.MayHaveTasksOf(j.Record.ID)
 	}
 	for _, p := range m.Tasks {
 		if p.Ref.Job == j.Index && !p.Planned {
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -127,7 +127,7 @@
 
 // delayReason returns why a job is late. The most important reason takes precedence.
 func (d *Component) delayReason(now time.Duration, j *jobs.Job, f Forecast) string {
-	if d.MayRunUnseen(j) && j.Waiting > 0 {
+	if d.MayRunUnreported(j) && j.Waiting > 0 {
 		return "held back"
 	}
 	tasks := d.countPlacedTasks(now, j, f.Estimate.P90)
