--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -21,7 +21,7 @@
 		return
 	}
 	p.Machine.RemovePlacement(p.Ref)
-	s.Unplace(p.Ref)
+	s.ReleasePlacement(p.Ref)
 }
 
 // CancelPlans cancels all planned tasks of a machine.
@@ -33,9 +33,9 @@
 	}
 }
 
-// Unplace releases a task's placement in the state of its job, its team and the size
+// ReleasePlacement releases a task's placement in the state of its job, its team and the size
 // estimator. The caller updates the machine's own list of tasks.
-func (s *State) Unplace(ref workers.TaskRef) {
+func (s *State) ReleasePlacement(ref workers.TaskRef) {
 	p := s.Placements[ref]
 	if p == nil {
 		return
--- a/internal/leader/registry/task_events.go
+++ b/internal/leader/registry/task_events.go
@@ -190,7 +190,7 @@
 			"machine", m.Name, "why", e.Reason.String())
 	}
 	c.Publish(cluster.Event{Kind: cluster.TaskGone, At: now, Job: j, Task: task, Machine: m, WorkerDied: e.WorkerLost})
-	c.Unplace(e.Ref)
+	c.ReleasePlacement(e.Ref)
 	if j.Record.Kind == jobs.Gang && (j.GangStarted || failsGang(e.Reason)) {
 		c.FailGang(j)
 	}
