--- a/internal/leader/cluster/events.go
+++ b/internal/leader/cluster/events.go
@@ -24,7 +24,7 @@
 	JobDone                                // the completion of every task of Job is durable
 	MachineReturnable                      // Machine is empty and will be returned; it gets no more tasks
 	MachineResolved                        // it is known which tasks earlier terms left on Machine
-	JobOrdered                             // Job has entered the scheduling order, with a first size unless it is a service
+	JobEnqueued                            // Job has entered the scheduling order, with a first size unless it is a service
 	OfferLost                              // Machine's worker died with Task of Job on offer to it; Task may have run
 	MachineProvedGone                      // Machine is proved gone, after TaskGone for every task on it
 	TaskAdopted                            // Task of Job, which an earlier leader started, was found on Machine
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -195,6 +195,6 @@
 	if j.Record.Kind != jobs.Service {
 		c.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 	}
-	c.Publish(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
+	c.Publish(cluster.Event{Kind: cluster.JobEnqueued, At: now, Job: j})
 	c.NeedsCycle = true
 }
--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -151,7 +151,7 @@
 // HandleEvent processes the events of jobs, tasks and machines.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
-	case cluster.JobOrdered:
+	case cluster.JobEnqueued:
 		d.addJob(e.Job)
 	case cluster.JobRemoved:
 		d.jobRemoved(e.Job)
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -99,7 +99,7 @@
 	f.lastJobID++
 	j := f.component.Jobs.Add(eventlog.Job{ID: f.lastJobID, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
 	j.Team, j.Phase = f.component.Teams.Index(team), jobs.Open
-	f.component.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: f.now, Job: j})
+	f.component.HandleEvent(cluster.Event{Kind: cluster.JobEnqueued, At: f.now, Job: j})
 	return j
 }
 
--- a/internal/leader/runtimes/component.go
+++ b/internal/leader/runtimes/component.go
@@ -110,7 +110,7 @@
 // known to be slow.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
-	case cluster.JobOrdered:
+	case cluster.JobEnqueued:
 		d.seedEstimator(e.At, e.Job)
 	case cluster.TaskPlaced:
 		d.taskPlacedAt[taskOf(e)] = e.At
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -576,7 +576,7 @@
 		j := d.Jobs.Add(eventlog.Job{ID: uint64(50 + i), Class: c.class, Team: "t", Image: c.class, Tasks: 8, CPUs: 1})
 		j.Phase = jobs.Open
 		d.Estimator.Add(j.Index, 0, 8, 1, false)
-		d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, Job: j})
+		d.HandleEvent(cluster.Event{Kind: cluster.JobEnqueued, Job: j})
 		if got, _ := d.Estimator.Size(j.Index); math.Abs(got/c.want-1) > .2 {
 			t.Errorf("%+v: the initial size is %v", c, got)
 		}
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -115,7 +115,7 @@
 // HandleEvent tracks jobs from when they enter the scheduling order until they end.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
-	case cluster.JobOrdered:
+	case cluster.JobEnqueued:
 		d.trackJob(e.At, e.Job)
 	case cluster.JobDone:
 		d.jobEnded(e.At, e.Job, true)
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -29,7 +29,7 @@
 func (d *Component) submit(now time.Duration, id uint64, class string) *jobs.Job {
 	j := d.Jobs.Add(eventlog.Job{ID: id, Class: class, Team: "t", Tasks: 4, CPUs: 1, EstimateS: 20, DeadlineS: 80})
 	j.Phase, j.AcceptedAt, j.CPUShare = jobs.Open, now, 1
-	d.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
+	d.HandleEvent(cluster.Event{Kind: cluster.JobEnqueued, At: now, Job: j})
 	return j
 }
 
