--- a/internal/leader/cluster/silence.go
+++ b/internal/leader/cluster/silence.go
@@ -25,8 +25,8 @@
 	return settings.Seconds(suspectIntervals * s.Cfg.Deployment.Workers.ReportS)
 }
 
-// GiveUpAfter returns how long a worker may be silent before its machine is considered lost.
-func (s *State) GiveUpAfter() time.Duration {
+// LostAfter returns how long a worker may be silent before its machine is considered lost.
+func (s *State) LostAfter() time.Duration {
 	w := s.Cfg.Deployment.Workers
 	return settings.Seconds(max(giveUpIntervals*w.ReportS+giveUpSeconds, giveUpLeaseShare*w.LeaseS))
 }
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -76,7 +76,7 @@
 	check := failureCheck{
 		now:          now,
 		leaseValid:   leaseValid,
-		silenceLimit: c.GiveUpAfter(),
+		silenceLimit: c.LostAfter(),
 		mostSilent:   c.MostMachinesSilent(now),
 		overdueStop:  settings.Seconds(overdueStopShare * w.CancelS),
 	}
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		outage := &c.zoneOutages[zone]
-		if outage.lastSeenAt == 0 || now-outage.lastSeenAt > c.GiveUpAfter() {
+		if outage.lastSeenAt == 0 || now-outage.lastSeenAt > c.LostAfter() {
 			outage.beganAt = now - c.SuspectAfter()
 			c.LogMessage(effects.Warn, "zone silent, waiting for its machines",
 				"zone", c.Zones.Name(int32(zone)), "silent", silent[zone], "of", up[zone], "for", c.Cfg.Tunables.ZonePatienceS)
@@ -93,7 +93,7 @@
 		return false
 	}
 	outage := c.zoneOutages[m.Zone]
-	if outage.lastSeenAt == 0 || now-outage.lastSeenAt > c.GiveUpAfter() {
+	if outage.lastSeenAt == 0 || now-outage.lastSeenAt > c.LostAfter() {
 		return false // no outage, or it ended long enough ago
 	}
 	patience := settings.Seconds(c.Cfg.Tunables.ZonePatienceS)
@@ -102,7 +102,7 @@
 			return false // the outage has lasted too long
 		}
 	}
-	if now-outage.beganAt > patience+c.GiveUpAfter() {
+	if now-outage.beganAt > patience+c.LostAfter() {
 		return false
 	}
 	return !m.Unresolved() || !c.HeldBackByUnresolved()
