--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -5,8 +5,8 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// ListMachineWithPlans adds a machine to MachinesWithPlans unless it is already in it.
-func (s *State) ListMachineWithPlans(m *workers.Machine) {
+// TrackMachineWithPlans adds a machine to MachinesWithPlans unless it is already in it.
+func (s *State) TrackMachineWithPlans(m *workers.Machine) {
 	if !m.ListedWithPlans {
 		m.ListedWithPlans = true
 		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -213,7 +213,7 @@
 // announcePlan lists a plan of the cycle for dispatch, and requests the mark and the grant that
 // must be durable before the plan may be offered.
 func (c *Component) announcePlan(plan *workers.Placement) {
-	c.ListMachineWithPlans(plan.Machine)
+	c.TrackMachineWithPlans(plan.Machine)
 	if plan.StartDirectly {
 		c.DispatchQueue = append(c.DispatchQueue, plan)
 	}
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -144,7 +144,7 @@
 	}
 	for ref, p := range m.Tasks {
 		if p.Planned && p.MoveToOfferedMachine() {
-			c.ListMachineWithPlans(p.Machine)
+			c.TrackMachineWithPlans(p.Machine)
 			p.Withdrawn = true // a machine that it was offered to may have started it
 			continue
 		}
