--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// RequestCycle runs a scheduling cycle after a commit if anything has changed, unless one ran
+// RunCycleAfterCommit runs a scheduling cycle after a commit if anything has changed, unless one ran
 // within minCyclePause.
-func (c *Component) RequestCycle(now time.Duration) {
+func (c *Component) RunCycleAfterCommit(now time.Duration) {
 	if c.NeedsCycle && now-c.cycledAt >= minCyclePause {
 		c.runCycle(now)
 	}
--- a/internal/leader/term/commit.go
+++ b/internal/leader/term/commit.go
@@ -43,7 +43,7 @@
 		t.Emit(effects.ReadBack{Key: t.EventLog.OpenSegmentKey()})
 	}
 	if leaseValid {
-		t.placement.RequestCycle(now)
+		t.placement.RunCycleAfterCommit(now)
 	}
 	t.registry.AnswerHeartbeats(now, leaseValid)
 	if t.dispatch != nil {
