--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -154,8 +154,8 @@
 	return false
 }
 
-// Fleet returns what this leader announces to its peers: whether the fleet's state is known.
-func (d *Component) Fleet() leadership.FleetKnowledge {
+// FleetKnowledge returns what this leader announces to its peers: whether the fleet's state is known.
+func (d *Component) FleetKnowledge() leadership.FleetKnowledge {
 	if d.kind == failoverStart || (d.census != nil && d.census.settled) {
 		return leadership.FleetKnown
 	}
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -105,5 +105,5 @@
 	case !t.loaded:
 		return leadership.FleetReconciling
 	}
-	return t.coldStart.Fleet()
+	return t.coldStart.FleetKnowledge()
 }
