--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -26,8 +26,8 @@
 
 // Request is a request to the component: one of its fields is set.
 type Request struct {
-	Change  *Change  `json:"change,omitempty"`
-	Receipt *Holding `json:"receipt,omitempty"`
+	Change  *Change         `json:"change,omitempty"`
+	Receipt *ReceiptRequest `json:"receipt,omitempty"`
 }
 
 // Change is an operator's change of a pool. It is idempotent by its ID: a repeat gets the same
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -506,7 +506,7 @@
 	a := f.addJob("a", 3, 1, jobs.Array, perTask("p", 2), perJobUnits("q", 1))
 	f.schedule(a)
 	requestReceipt := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
-		body, _ := json.Marshal(Request{Receipt: &Holding{j.Record.ID, k, attempt}})
+		body, _ := json.Marshal(Request{Receipt: &ReceiptRequest{j.Record.ID, k, attempt}})
 		raw, err := f.component.Change(f.now, body)
 		if err == nil {
 			err = json.Unmarshal(raw, &r)
--- a/internal/leader/pools/receipts.go
+++ b/internal/leader/pools/receipts.go
@@ -73,8 +73,8 @@
 	Numbers []int64 `json:"n"`
 }
 
-// Holding identifies the task that requests a receipt.
-type Holding struct {
+// ReceiptRequest identifies the task that requests a receipt.
+type ReceiptRequest struct {
 	Job     uint64 `json:"job"`
 	Task    int    `json:"task"`
 	Attempt uint64 `json:"attempt"`
@@ -99,7 +99,7 @@
 }
 
 // issueReceipt returns the receipt of a task and assigns numbers to its units that have none.
-func (d *Component) issueReceipt(now time.Duration, in *Holding) (*Receipt, error) {
+func (d *Component) issueReceipt(now time.Duration, in *ReceiptRequest) (*Receipt, error) {
 	h, err := d.holderOf(in)
 	if err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 
 // holderOf returns the job of a task, or an error if the given attempt does not hold the task's units
 // now.
-func (d *Component) holderOf(in *Holding) (*holder, error) {
+func (d *Component) holderOf(in *ReceiptRequest) (*holder, error) {
 	j := d.Jobs.ByID(in.Job)
 	if j == nil || in.Task < 0 || in.Task >= len(j.Tasks) {
 		return nil, errNoSuchTask
--- a/internal/node/receipts.go
+++ b/internal/node/receipts.go
@@ -48,7 +48,7 @@
 		writeBody(w, http.StatusBadRequest, wire.ErrorBody("job: not a job id"))
 		return
 	}
-	holding := pools.Holding{Job: id, Task: in.Task, Attempt: in.Attempt}
+	holding := pools.ReceiptRequest{Job: id, Task: in.Task, Attempt: in.Attempt}
 	request, err := json.Marshal(pools.Request{Receipt: &holding})
 	if err != nil {
 		writeBody(w, http.StatusInternalServerError, wire.ErrorBody(err.Error()))
