--- a/internal/leader/fairshare/fairshare.go
+++ b/internal/leader/fairshare/fairshare.go
@@ -70,7 +70,7 @@
 // AfterCycle writes the virtual sizes at the configured interval, while the leader's lease is
 // valid.
 func (c *Component) AfterCycle(now time.Duration, leaseValid bool) {
-	if leaseValid && now-c.sizesWrittenAt >= settings.Seconds(c.Cfg.Tunables.SizesEveryS) {
+	if leaseValid && now-c.sizesWrittenAt >= settings.Seconds(c.Cfg.Tunables.SizeWriteIntervalS) {
 		c.sizesWrittenAt = now
 		c.writeSizes()
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -170,7 +170,7 @@
 		func(t *Tunables) *float64 { return &t.FirstSizeS }),
 	floatSetting("sizing", "write_every", "s", numberRange{Default: 5, Min: 0.5, Max: 3600},
 		"interval at which virtual sizes are written to the state service",
-		func(t *Tunables) *float64 { return &t.SizesEveryS }),
+		func(t *Tunables) *float64 { return &t.SizeWriteIntervalS }),
 	floatSetting("blocks", "locality_delay", "s", numberRange{Default: 2, Min: 0, Max: 60},
 		"how long a job leaves room on machines that lack its image to jobs whose image is there",
 		func(t *Tunables) *float64 { return &t.LocalityS }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -16,13 +16,13 @@
 // document uses a letter for a value, the comment of the field begins with that letter.
 type Tunables struct {
 	// Sizes of jobs, estimated as in HFSP (Hadoop Fair Sojourn Protocol).
-	TrainingTasks  int     // t: number of tasks whose run times determine a job's size
-	TrainingAtOnce int     // T: most training tasks that run at the same time
-	Eagerness      float64 // ξ: factor on a job's size until its training tasks have determined it
-	TrainingLimitS float64 // Δ: run time after which a training task is not awaited any longer but estimated
-	FirstSizeS     float64 // size that is assumed for a job while no job has finished
-	SizesEveryS    float64 // interval at which virtual sizes are written to the state service
-	LearnedSizes   int     // 0 or 1: size estimates start from the run times learned for a job's kind of work
+	TrainingTasks      int     // t: number of tasks whose run times determine a job's size
+	TrainingAtOnce     int     // T: most training tasks that run at the same time
+	Eagerness          float64 // ξ: factor on a job's size until its training tasks have determined it
+	TrainingLimitS     float64 // Δ: run time after which a training task is not awaited any longer but estimated
+	FirstSizeS         float64 // size that is assumed for a job while no job has finished
+	SizeWriteIntervalS float64 // interval at which virtual sizes are written to the state service
+	LearnedSizes       int     // 0 or 1: size estimates start from the run times learned for a job's kind of work
 
 	// Exceptions to the order of jobs by size.
 	UrgentFirst    int // 0 or 1: urgent jobs go ahead
