--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -161,7 +161,7 @@
 
 // bootLimit returns how long after its rental a machine may take to send its first report.
 func (c *Component) bootLimit(m *workers.Machine) time.Duration {
-	return settings.Seconds(c.Cfg.Tunables.BootGiveUpTimes*c.Types[m.Type].BootS) + bootGracePeriod
+	return settings.Seconds(c.Cfg.Tunables.BootTimeoutFactor*c.Types[m.Type].BootS) + bootGracePeriod
 }
 
 // evaluateDelivery decides to delete a machine to which commands may be delivered too late or not
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -268,7 +268,7 @@
 		func(t *Tunables) *float64 { return &t.UsualStayS }),
 	floatSetting("fleet", "boot_give_up", "factor", numberRange{Default: 4, Min: 1.5, Max: 100},
 		"a machine that has not booted after this many times its type's usual boot time is given up",
-		func(t *Tunables) *float64 { return &t.BootGiveUpTimes }),
+		func(t *Tunables) *float64 { return &t.BootTimeoutFactor }),
 	integerSetting("fleet", "note_returns", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"the return of an empty machine is recorded before the machine is returned, so that a new "+
 			"leader need not wait for it",
