--- a/internal/leader/autoscaler/hosting.go
+++ b/internal/leader/autoscaler/hosting.go
@@ -37,7 +37,7 @@
 	for _, index := range j.Dependencies {
 		dependency := c.Jobs.ByIndex(index)
 		placed := dependency.Phase == jobs.Open && dependency.Waiting <= 0
-		if !placed || dependency.MeanRunSeconds() > c.Cfg.Tunables.UsualStayS {
+		if !placed || dependency.MeanRunSeconds() > c.Cfg.Tunables.UsualRentalS {
 			return false
 		}
 	}
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -168,7 +168,7 @@
 		CPUs:       cpus,
 		Spot:       spot,
 		CPUsByZone: cpusByZone,
-		UsualStayS: c.Cfg.Tunables.UsualStayS,
+		UsualStayS: c.Cfg.Tunables.UsualRentalS,
 		Fits: func(t eventlog.MachineType, zone string, spot bool) bool {
 			return c.suitsAnyJob(group, t, zone, spot, forJobs)
 		},
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -265,7 +265,7 @@
 		func(t *Tunables) *float64 { return &t.SpotTaskS }),
 	floatSetting("fleet", "usual_stay", "s", numberRange{Default: 120, Min: 1, Max: 86400},
 		"how long a rented machine is usually kept; its boot time is weighed against it",
-		func(t *Tunables) *float64 { return &t.UsualStayS }),
+		func(t *Tunables) *float64 { return &t.UsualRentalS }),
 	floatSetting("fleet", "boot_give_up", "factor", numberRange{Default: 4, Min: 1.5, Max: 100},
 		"a machine that has not booted after this many times its type's usual boot time is given up",
 		func(t *Tunables) *float64 { return &t.BootTimeoutFactor }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -86,8 +86,8 @@
 	// MoveSaved, 0 or 1: tasks that save checkpoints are moved off machines that are to be returned.
 	MoveSaved int
 	SpotTaskS float64 // tasks with a longer estimate and no checkpoints are kept off spot machines
-	// UsualStayS is how long a rented machine is usually kept. Its boot time is weighed against it.
-	UsualStayS        float64
+	// UsualRentalS is how long a rented machine is usually kept. Its boot time is weighed against it.
+	UsualRentalS      float64
 	BootTimeoutFactor float64 // a machine that has not booted after this many usual boot times is given up
 	AdaptCalls        int     // 0 or 1: the rate of cloud calls adapts to the cloud's responses
 
