--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -106,7 +106,7 @@
 		}
 	}
 	params := Params{
-		Share:    tunables.ColdSettled,
+		Share:    tunables.ColdSettledShare,
 		Interval: settings.Seconds(d.Cfg.Deployment.Workers.ReportS),
 		Peers:    len(d.Cfg.Peers),
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -293,7 +293,7 @@
 		func(t *Tunables) *int { return &t.ColdListen }),
 	floatSetting("cold-start", "settled", "share", numberRange{Default: 0.9, Min: 0, Max: 1},
 		"share of each zone's registered machines that must have reported first; less if no more report",
-		func(t *Tunables) *float64 { return &t.ColdSettled }),
+		func(t *Tunables) *float64 { return &t.ColdSettledShare }),
 	floatSetting("cold-start", "after", "s", numberRange{Default: 5, Min: 0, Max: 3600},
 		"a start counts as a cold start if there was no leader for this time",
 		func(t *Tunables) *float64 { return &t.ColdAfterS }),
