--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -141,7 +141,7 @@
 		}
 	}
 	if latest == 0 {
-		latest = max(d.Cfg.Tunables.ServedWithinS, minDueEstimates*j.Record.EstimateS)
+		latest = max(d.Cfg.Tunables.ServedDefaultDueS, minDueEstimates*j.Record.EstimateS)
 	}
 	return j.AcceptedAt + settings.Seconds(latest)
 }
--- a/internal/leader/slo/slo_test.go
+++ b/internal/leader/slo/slo_test.go
@@ -15,7 +15,7 @@
 
 func newComponent(floor float64) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
-	cfg.Tunables.ServedFloor, cfg.Tunables.ServedWindowS, cfg.Tunables.ServedWithinS = floor, 300, 200
+	cfg.Tunables.ServedFloor, cfg.Tunables.ServedWindowS, cfg.Tunables.ServedDefaultDueS = floor, 300, 200
 	cfg.Deployment.Objectives = []settings.Objective{
 		{Kind: settings.ObjectiveFinished, Class: "a", WithinS: 60}, {Kind: settings.ObjectiveFinished, Class: "a", WithinS: 100},
 		{Kind: settings.ObjectiveDeadline, Class: "b", Times: 1.5},
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -226,7 +226,7 @@
 	floatSetting("served", "within", "s", numberRange{Default: 600, Min: 1, Max: 1e6},
 		"time after which a job is due if its class has no objective for its end; at least twice its "+
 			"owner's estimate",
-		func(t *Tunables) *float64 { return &t.ServedWithinS }),
+		func(t *Tunables) *float64 { return &t.ServedDefaultDueS }),
 	integerSetting("exceptions", "learned_sizes", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"a job's size estimate starts from the run times learned for its kind of work, if there are any, "+
 			"instead of those of all jobs",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -48,8 +48,8 @@
 	PushDispatches int
 
 	// Measurement of the share of jobs of each class and team that are done in time.
-	ServedWindowS float64 // time window of the measurement; 0: nothing is measured
-	ServedWithinS float64 // time after which a job is due if its class has no objective for its end
+	ServedWindowS     float64 // time window of the measurement; 0: nothing is measured
+	ServedDefaultDueS float64 // time after which a job is due if its class has no objective for its end
 
 	// Placement, and the blocks of machines that controllers lease.
 	LocalityS     float64 // how long a job leaves room on machines that lack its image to other jobs
