--- a/internal/leader/autoscaler/demand.go
+++ b/internal/leader/autoscaler/demand.go
@@ -154,7 +154,7 @@
 		}
 	}
 	if shortest == 0 {
-		return c.Cfg.Tunables.OrdinaryBacklogS
+		return c.Cfg.Tunables.OnDemandBacklogS
 	}
 	return max(c.Cfg.Tunables.ObjectiveShare*shortest, c.Cfg.Tunables.DrainBacklogS)
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -236,7 +236,7 @@
 		func(t *Tunables) *float64 { return &t.DrainBacklogS }),
 	floatSetting("fleet", "dear_backlog", "s", numberRange{Default: 100, Min: 1, Max: 86400},
 		"on-demand machines are rented if spot machines leave work waiting longer than this",
-		func(t *Tunables) *float64 { return &t.OrdinaryBacklogS }),
+		func(t *Tunables) *float64 { return &t.OnDemandBacklogS }),
 	floatSetting("fleet", "aim_share", "share", numberRange{Default: 1.1, Min: 0.1, Max: 10},
 		"for a class with objectives, dear_backlog is this share of the tightest one, at least drain_backlog",
 		func(t *Tunables) *float64 { return &t.ObjectiveShare }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -71,9 +71,9 @@
 
 	// Scaling out and in.
 	DrainBacklogS float64 // time within which the waiting work should be done
-	// OrdinaryBacklogS: on-demand machines are rented if spot machines leave work waiting longer than this.
+	// OnDemandBacklogS: on-demand machines are rented if spot machines leave work waiting longer than this.
 	// It holds for classes without objectives.
-	OrdinaryBacklogS float64
+	OnDemandBacklogS float64
 	// ObjectiveShare: for classes with objectives, this share of the tightest one, but at least
 	// DrainBacklogS, replaces OrdinaryBacklogS.
 	ObjectiveShare float64
