--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -121,7 +121,7 @@
 }
 
 func (e *Edit) applyTunable(value *Value) error {
-	number, err := settings.ParseLive(e.Item.Tunable, e.Value)
+	number, err := settings.ParseLiveValue(e.Item.Tunable, e.Value)
 	value.Number = &number
 	return err
 }
--- a/internal/settings/live.go
+++ b/internal/settings/live.go
@@ -57,8 +57,8 @@
 	return findNumber(key).check(value)
 }
 
-// ParseLive parses and checks a new value of a tunable that may change while controllers run.
-func ParseLive(key, value string) (float64, error) {
+// ParseLiveValue parses and checks a new value of a tunable that may change while controllers run.
+func ParseLiveValue(key, value string) (float64, error) {
 	v, err := strconv.ParseFloat(value, 64)
 	if err != nil {
 		return 0, newFieldError(key, "not a number: %q", value)
