--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -541,7 +541,7 @@
 		c.add("number", "%s %d", name, n)
 	}
 	for n := range uint8(4) {
-		c.add("number", "priority %s %d", wire.PriorityWord(n), n)
+		c.add("number", "priority %s %d", wire.PriorityName(n), n)
 	}
 }
 
--- a/internal/node/explain.go
+++ b/internal/node/explain.go
@@ -82,7 +82,7 @@
 	}
 	if job.Priority > job.Record.Priority {
 		e.addSentence("it has taken the priority of a job that needs it: %s instead of %s (exception follow_urgency)",
-			wire.PriorityWord(job.Priority), wire.PriorityWord(job.Record.Priority))
+			wire.PriorityName(job.Priority), wire.PriorityName(job.Record.Priority))
 	}
 }
 
--- a/internal/wire/submission.go
+++ b/internal/wire/submission.go
@@ -21,9 +21,9 @@
 // KnownPriority reports whether priority is the number of a priority.
 func KnownPriority(priority uint8) bool { return int(priority) < len(priorityNames) }
 
-// PriorityWord returns the protocol's name of a priority. A number that is too large gives the name of the
+// PriorityName returns the protocol's name of a priority. A number that is too large gives the name of the
 // highest priority.
-func PriorityWord(priority uint8) string {
+func PriorityName(priority uint8) string {
 	return priorityNames[min(int(priority), len(priorityNames)-1)]
 }
 
