--- a/internal/node/api.go
+++ b/internal/node/api.go
@@ -112,7 +112,7 @@
 		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfter))
 	}
 	if a.Status == http.StatusOK || a.Status == http.StatusCreated {
-		writeBody(w, a.Status, wire.JobAnswer(a.ID, a.State, a.Counts, a.Done, a.Running))
+		writeBody(w, a.Status, wire.EncodeJobAnswer(a.ID, a.State, a.Counts, a.Done, a.Running))
 		return
 	}
 	writeBody(w, a.Status, wire.ErrorBody(a.Why))
--- a/internal/wire/jobs.go
+++ b/internal/wire/jobs.go
@@ -42,9 +42,9 @@
 	Running *int   `json:"running,omitempty"` // number of tasks that run
 }
 
-// JobAnswer encodes the response to a query for a job's state. If counts is set, it includes how many
+// EncodeJobAnswer encodes the response to a query for a job's state. If counts is set, it includes how many
 // tasks are done and how many run.
-func JobAnswer(id uint64, state JobState, counts bool, done, running int) []byte {
+func EncodeJobAnswer(id uint64, state JobState, counts bool, done, running int) []byte {
 	a := jobAnswer{ID: FormatID(id), State: jobStateNames[state]}
 	if counts {
 		a.Done, a.Running = &done, &running
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -55,7 +55,7 @@
 	if got := ParseSubmission(EncodeSubmission(j), false); got.Bad != "" || !reflect.DeepEqual(got.Job, j) {
 		t.Errorf("submission: %+v", got)
 	}
-	if got, err := ParseJobAnswer(JobAnswer(1, Cancelled, true, 2, 3)); err != nil || got != Cancelled {
+	if got, err := ParseJobAnswer(EncodeJobAnswer(1, Cancelled, true, 2, 3)); err != nil || got != Cancelled {
 		t.Errorf("job state: %v %v", got, err)
 	}
 }
