--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -225,7 +225,7 @@
 		t.Fatal(err)
 	}
 	b.commit()
-	b.Acknowledged(b.now, "n1", 3)
+	b.RevisionAcknowledged(b.now, "n1", 3)
 	if _, err := b.request(Request{ID: "b", Revision: 1, Changes: []config.Change{limitChange("red", 5)}}); err == nil || !strings.Contains(err.Error(), "3 was in force") {
 		t.Errorf("%v", err)
 	}
@@ -234,7 +234,7 @@
 // A controller is sent the revisions that it lacks, and has a lag until it reports them.
 func TestControllerUpdatesAndLag(t *testing.T) {
 	b := newFixture(t, 8, nil)
-	b.Acknowledged(b.now, "n1", 0)
+	b.RevisionAcknowledged(b.now, "n1", 0)
 	for i := range uint64(3) {
 		if _, err := b.request(Request{ID: fmt.Sprint(i), Revision: i, Changes: []config.Change{limitChange(fmt.Sprint("t", i), 4)}}); err != nil {
 			t.Fatal(err)
@@ -245,7 +245,7 @@
 		t.Errorf("%+v", u)
 	}
 	b.now += 2 * time.Second
-	b.Acknowledged(b.now, "n1", 2)
+	b.RevisionAcknowledged(b.now, "n1", 2)
 	if u := b.UpdateFor("n1"); u.From != 2 || len(u.Sets) != 1 || u.Sets[0].Item.Team != "t2" {
 		t.Errorf("%+v", u)
 	}
@@ -253,7 +253,7 @@
 	if lag["n0"] != 0 || lag["n1"] <= 0 || lag["n2"] < lag["n1"] {
 		t.Errorf("%v", lag)
 	}
-	b.Acknowledged(b.now, "n1", 3)
+	b.RevisionAcknowledged(b.now, "n1", 3)
 	if v := b.view(b.now); v.Controllers[1].LagS != 0 || v.Controllers[1].Revision != 3 || v.Controllers[2].Heard {
 		t.Errorf("%+v", v.Controllers)
 	}
--- a/internal/leader/reconfig/controllers.go
+++ b/internal/leader/reconfig/controllers.go
@@ -50,8 +50,8 @@
 	return &u
 }
 
-// Acknowledged records the revision that another controller reports as in force.
-func (d *Component) Acknowledged(now time.Duration, name string, revision uint64) {
+// RevisionAcknowledged records the revision that another controller reports as in force.
+func (d *Component) RevisionAcknowledged(now time.Duration, name string, revision uint64) {
 	c := d.controllers[name]
 	if c == nil {
 		return
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -84,7 +84,7 @@
 // force.
 func (t *Term) ConfigAcknowledged(now time.Duration, peer string, revision uint64) {
 	if t.reconfig != nil && t.loaded {
-		t.reconfig.Acknowledged(now, peer, revision)
+		t.reconfig.RevisionAcknowledged(now, peer, revision)
 	}
 }
 
