--- a/internal/core/eventlog/entries.go
+++ b/internal/core/eventlog/entries.go
@@ -111,7 +111,7 @@
 	// ReleasedMS is the time of day, in ms, when the last of them was done. Follows is then left out.
 	ReleasedMS int64 `json:"r,omitempty"`
 
-	// Counted lists the units of pools that the job needs. HideFromOlderVersions encodes them for storage.
+	// Counted lists the units of pools that the job needs. EncodePoolUnits encodes them for storage.
 	Counted []PoolUnits `json:"-"`
 }
 
--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -41,7 +41,7 @@
 	j.Types, j.Counted = []string{poolUnitsTypePrefix + string(raw)}, nil
 }
 
-// DecodePoolUnits reverses HideFromOlderVersions. A name that cannot be decoded is left unchanged, so
+// DecodePoolUnits reverses EncodePoolUnits. A name that cannot be decoded is left unchanged, so
 // that this version never starts such a job either.
 func (j *Job) DecodePoolUnits() {
 	if len(j.Types) != 1 {
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -114,7 +114,7 @@
 	Quarantined bool
 
 	// Fencing tokens and suspicion.
-	Token            uint64 // current token; raised when the machine changes its shard, or by NeedsToken
+	Token            uint64 // current token; raised when the machine changes its shard, or by TakeTokenRequest
 	highestTokenSeen uint64 // highest token in a report that was applied
 	firstTokenOfTerm uint64 // lowest token that it can have in this term
 	// SuspectBelow is the token that a report must exceed before the machine gets new work; 0: the machine is
@@ -124,7 +124,7 @@
 	SuspectBelow     uint64
 	tokenIssuedAt    time.Duration // when a higher token was first issued to clear the suspicion; 0: not yet
 	tokenUrgency     TokenUrgency  // how urgently a higher token is needed
-	tokenRequestedAt time.Duration // when NeedsToken last returned true; 0: never
+	tokenRequestedAt time.Duration // when TakeTokenRequest last returned true; 0: never
 }
 
 // AcceptsPlans reports whether tasks may be planned on the machine. maxSilence is the longest permitted time
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -82,8 +82,8 @@
 }
 
 // toleratesSilence reports whether a silent machine is waited for because its whole zone is
-// silent. The wait ends once the outage has lasted for the setting zone_patience, or GiveUpAfter
-// after the outage has ended, and in any case GiveUpAfter beyond zone_patience. An unresolved
+// silent. The wait ends once the outage has lasted for the setting zone_patience, or LostAfter
+// after the outage has ended, and in any case LostAfter beyond zone_patience. An unresolved
 // machine is not waited for if unresolved machines take much of a team's limit, since no task of
 // that team may start until they are resolved. On days when a zone was cut off for longer than
 // machines are usually waited for, all its tasks were started again on machines that had to be
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -75,7 +75,7 @@
 	// It holds for classes without objectives.
 	OnDemandBacklogS float64
 	// ObjectiveShare: for classes with objectives, this share of the tightest one, but at least
-	// DrainBacklogS, replaces OrdinaryBacklogS.
+	// DrainBacklogS, replaces OnDemandBacklogS.
 	ObjectiveShare float64
 	IdleReturnS    float64 // capacity of on-demand machines that was not needed for this time is returned
 	SpotReturnS    float64 // capacity of spot machines that was not needed for this time is returned
