--- a/internal/contract/contract_test.go
+++ b/internal/contract/contract_test.go
@@ -541,13 +541,13 @@
 		c.add("number", "%s %d", name, n)
 	}
 	for n := range uint8(4) {
-		c.add("number", "priority %s %d", wire.PriorityWord(n), n)
+		c.add("number", "priority %s %d", wire.PriorityName(n), n)
 	}
 }
 
 // labelWords collects words that are used as metric labels, in views for operators, or both.
 func (c *collector) labelWords() {
-	for diff := range reconcile.Kinds {
+	for diff := range reconcile.DiffCount {
 		c.add("word", "difference %s: %s", diff, diff.Resolution())
 	}
 	for _, order := range []cluster.Action{cluster.StartNew, cluster.StartAgain, cluster.Rent, cluster.Return, cluster.Delete, cluster.Preempt, cluster.Move} {
--- a/internal/core/calendar/calendar.go
+++ b/internal/core/calendar/calendar.go
@@ -99,8 +99,8 @@
 	return first.Sub(midnight) < oneDay && second.Sub(first) == oneDay
 }
 
-// Dates splits a comma-separated list of dates. It does not check the dates.
-func Dates(list string) []string {
+// SplitDates splits a comma-separated list of dates. It does not check the dates.
+func SplitDates(list string) []string {
 	var dates []string
 	for date := range strings.SplitSeq(list, ",") {
 		if date = strings.TrimSpace(date); date != "" {
@@ -110,8 +110,8 @@
 	return dates
 }
 
-// At returns the night to which a time belongs.
-func (c *Calendar) At(moment time.Time) Night {
+// NightAt returns the night to which a time belongs.
+func (c *Calendar) NightAt(moment time.Time) Night {
 	if !c.cachedFrom.IsZero() && !moment.Before(c.cachedFrom) && moment.Before(c.cachedTo) {
 		return c.cached
 	}
@@ -159,17 +159,17 @@
 
 func sameDate(a, b time.Time) bool { return a.Format(DateLayout) == b.Format(DateLayout) }
 
-// Quarter returns the start of the quarter of an hour that contains a time, in local time.
-func (c *Calendar) Quarter(moment time.Time) time.Time {
+// StartOfQuarterHour returns the start of the quarter of an hour that contains a time, in local time.
+func (c *Calendar) StartOfQuarterHour(moment time.Time) time.Time {
 	local := moment.In(c.location)
 	return local.Add(-time.Duration(local.Minute()%minutesPerQuarter)*time.Minute -
 		time.Duration(local.Second())*time.Second -
 		time.Duration(local.Nanosecond()))
 }
 
-// Slot returns the number of the quarter of an hour that contains a time within its local day, from
+// QuarterHourOfDay returns the number of the quarter of an hour that contains a time within its local day, from
 // 0 to 95. If the clocks repeat an hour, its numbers occur twice.
-func (c *Calendar) Slot(moment time.Time) int {
+func (c *Calendar) QuarterHourOfDay(moment time.Time) int {
 	local := moment.In(c.location)
 	return local.Hour()*quartersPerHour + local.Minute()/minutesPerQuarter
 }
--- a/internal/core/calendar/calendar_test.go
+++ b/internal/core/calendar/calendar_test.go
@@ -24,7 +24,7 @@
 		{"the start hour is repeated: the day after", "Europe/Sofia", "30 3 * * *", "2026-10-26T03:10:00+02:00", "2026-10-25", false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			calendar, err := New(c.zone, c.nightCron, Dates("2026-12-24, 2027-01-01,"))
+			calendar, err := New(c.zone, c.nightCron, SplitDates("2026-12-24, 2027-01-01,"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -32,7 +32,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if night := calendar.At(at); night.Date != c.want || night.Holiday != c.holiday {
+			if night := calendar.NightAt(at); night.Date != c.want || night.Holiday != c.holiday {
 				t.Errorf("night is %+v, want %s, holiday %v", night, c.want, c.holiday)
 			}
 		})
@@ -55,12 +55,12 @@
 			calendar := newCalendar(t, nightCron)
 			lastDay := int32(-1)
 			for at := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC); at.Year() < 2028; at = at.Add(97 * time.Minute) {
-				night := calendar.At(at)
+				night := calendar.NightAt(at)
 				if lastDay >= 0 && night.Day != lastDay && night.Day != lastDay+1 {
 					t.Fatalf("at %v night %s follows the night of day %d", at, night.Date, lastDay)
 				}
 				lastDay = night.Day
-				if fresh := newCalendar(t, nightCron).At(at); fresh != night {
+				if fresh := newCalendar(t, nightCron).NightAt(at); fresh != night {
 					t.Fatalf("at %v the calendar returns %+v, a new one %+v", at, night, fresh)
 				}
 			}
@@ -78,7 +78,7 @@
 		{"UTC", "0 12 * * 1", "", "night"},
 		{"UTC", "0 12 * * *", "2026-13-01", "holidays"},
 	} {
-		_, err := New(c.zone, c.nightCron, Dates(c.holidays))
+		_, err := New(c.zone, c.nightCron, SplitDates(c.holidays))
 		var wrong *FieldError
 		if !errors.As(err, &wrong) || wrong.Field != c.field {
 			t.Errorf("New with %+v returns error %v, want a *FieldError that names the field", c, err)
--- a/internal/core/config/item.go
+++ b/internal/core/config/item.go
@@ -34,13 +34,13 @@
 	GPUsMax float64 `json:"gpus_max,omitempty"` // maximum
 }
 
-// LimitsOf returns the limits that the settings give a team.
-func LimitsOf(team settings.Team) Limits {
+// LimitsFromSettings returns the limits that the settings give a team.
+func LimitsFromSettings(team settings.Team) Limits {
 	return Limits{CPUs: team.CPUs, CPUsMax: team.CPUsMax, GPUs: team.GPUs, GPUsMax: team.GPUsMax}
 }
 
-// Team returns a team with a name and these limits in the form that the settings use.
-func (l Limits) Team(name string) settings.Team {
+// ToSettings returns a team with a name and these limits in the form that the settings use.
+func (l Limits) ToSettings(name string) settings.Team {
 	return settings.Team{Name: name, CPUs: l.CPUs, CPUsMax: l.CPUsMax, GPUs: l.GPUs, GPUsMax: l.GPUsMax}
 }
 
@@ -51,8 +51,8 @@
 	Number  *float64 `json:"number,omitempty"`  // of a tunable
 }
 
-// AsSettings reports whether the value from the settings file applies.
-func (v Value) AsSettings() bool { return v.Limits == nil && !v.Removed && v.Number == nil }
+// IsUnset reports whether the value from the settings file applies.
+func (v Value) IsUnset() bool { return v.Limits == nil && !v.Removed && v.Number == nil }
 
 // Equal reports whether two values are the same.
 func (v Value) Equal(other Value) bool {
--- a/internal/core/eventlog/pool_units.go
+++ b/internal/core/eventlog/pool_units.go
@@ -28,9 +28,9 @@
 	Counted []PoolUnits `json:"c"`
 }
 
-// HideFromOlderVersions converts the job's machine types and units of pools into their stored form: the
+// EncodePoolUnits converts the job's machine types and units of pools into their stored form: the
 // name of a machine type that no machine has.
-func (j *Job) HideFromOlderVersions() {
+func (j *Job) EncodePoolUnits() {
 	if len(j.Counted) == 0 {
 		return
 	}
@@ -41,9 +41,9 @@
 	j.Types, j.Counted = []string{poolUnitsTypePrefix + string(raw)}, nil
 }
 
-// RevealPoolUnits reverses HideFromOlderVersions. A name that cannot be decoded is left unchanged, so
+// DecodePoolUnits reverses EncodePoolUnits. A name that cannot be decoded is left unchanged, so
 // that this version never starts such a job either.
-func (j *Job) RevealPoolUnits() {
+func (j *Job) DecodePoolUnits() {
 	if len(j.Types) != 1 {
 		return
 	}
--- a/internal/core/jobs/job.go
+++ b/internal/core/jobs/job.go
@@ -72,10 +72,10 @@
 	CPUShare float64
 
 	// Life cycle.
-	Phase         Phase
-	AcceptedAt    time.Duration // acceptance, or release if it had dependencies; its times count from then
-	CancelAskedAt time.Duration // when its user requested its cancellation
-	CancelPending bool          // its cancellation is being written to the event log
+	Phase             Phase
+	AcceptedAt        time.Duration // acceptance, or release if it had dependencies; its times count from then
+	CancelRequestedAt time.Duration // when its user requested its cancellation
+	CancelPending     bool          // its cancellation is being written to the event log
 
 	// Tasks that earlier terms may have started, and that may run although no report has shown them.
 	FromEarlierTerm bool // it was accepted in an earlier term
@@ -104,7 +104,7 @@
 	// State of a gang. GangAttempt is the attempt that all its tasks share, 0 while there is none.
 	GangAttempt uint64
 	GangFailed  bool // the attempt cannot succeed; the next one begins once all tasks are proved to be gone
-	GangBegan   bool // its tasks have run together in this attempt, or may have
+	GangStarted bool // its tasks have run together in this attempt, or may have
 
 	// Run times and failures.
 	RunSeconds     float64                 // sum of the measured run times of completed tasks
@@ -120,7 +120,7 @@
 	PriorityWindows       [][2]time.Duration // periods (start, end) in which it is sorted before them
 	Deadline              time.Duration      // latest time at which it should end; 0: no objective sets one
 	LowRankAfterMissUntil time.Duration      // until then it is sorted after them if it would miss Deadline
-	StartDirectly         bool               // start its tasks directly, without waiting for a report
+	PushDispatch          bool               // start its tasks directly, without waiting for a report
 	Boost                 Boost
 	Guaranteed            bool // it fits its team's guaranteed quota together with earlier jobs
 
@@ -132,17 +132,17 @@
 	PreemptedAt  time.Duration // when tasks of other jobs were last preempted for it
 }
 
-// HasBegun reports whether a task of the job is placed, has run or is done, as far as the leader knows. For a
+// HasStarted reports whether a task of the job is placed, has run or is done, as far as the leader knows. For a
 // gang, tasks that are placed and have not run do not count.
-func (j *Job) HasBegun() bool {
+func (j *Job) HasStarted() bool {
 	placed := j.Record.Kind != Gang && j.Placed > 0
-	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangBegan
+	return placed || j.Finished > 0 || j.FirstRunAt > 0 || j.GangStarted
 }
 
-// MayRunUnseen reports whether tasks of the job that were not reported may run on unresolved machines,
+// MayRunUnreported reports whether tasks of the job that were not reported may run on unresolved machines,
 // where an earlier term may have left them. anyJobPossible is true if one of these machines may have tasks
 // of any job.
-func (j *Job) MayRunUnseen(anyJobPossible bool) bool {
+func (j *Job) MayRunUnreported(anyJobPossible bool) bool {
 	return j.FromEarlierTerm && (j.UnresolvedMachines > 0 || anyJobPossible)
 }
 
--- a/internal/core/ratelimit/adaptive.go
+++ b/internal/core/ratelimit/adaptive.go
@@ -26,9 +26,9 @@
 	return Adaptive{Bucket: NewBucket(now, maxRate, burst), maxRate: maxRate, grownAt: now}
 }
 
-// Failure records that the receiver refused a call, did not answer in time, or failed. It halves the
+// RecordFailure records that the receiver refused a call, did not answer in time, or failed. It halves the
 // rate, down to its lower bound, unless an earlier failure counted less than failureWindow ago.
-func (a *Adaptive) Failure(now time.Duration) {
+func (a *Adaptive) RecordFailure(now time.Duration) {
 	if a.hasFailed && now-a.failedAt < failureWindow {
 		return
 	}
@@ -37,9 +37,9 @@
 	a.tokens = min(a.tokens, 1)
 }
 
-// Success records that the receiver answered. It raises the rate, up to the highest rate, by the growth
+// RecordSuccess records that the receiver answered. It raises the rate, up to the highest rate, by the growth
 // since the last success or failure, unless a failure counted less than growthHoldOff ago.
-func (a *Adaptive) Success(now time.Duration) {
+func (a *Adaptive) RecordSuccess(now time.Duration) {
 	if !a.hasFailed || now-a.failedAt >= growthHoldOff {
 		growth := a.maxRate * (now - a.grownAt).Seconds() / fullGrowthTime.Seconds()
 		a.Rate = min(a.maxRate, a.Rate+growth)
--- a/internal/core/ratelimit/ratelimit_test.go
+++ b/internal/core/ratelimit/ratelimit_test.go
@@ -41,13 +41,13 @@
 func TestAdaptive(t *testing.T) {
 	a := NewAdaptive(0, 8, 8)
 	for i := range 10 {
-		a.Failure(time.Duration(i) * 50 * time.Millisecond)
+		a.RecordFailure(time.Duration(i) * 50 * time.Millisecond)
 	}
 	if a.Rate != 4 {
 		t.Errorf("rate is %v of 8 after a burst of failures, want 4", a.Rate)
 	}
 	for s := 2; s < 20; s++ {
-		a.Failure(time.Duration(s) * time.Second)
+		a.RecordFailure(time.Duration(s) * time.Second)
 	}
 	if a.Rate != 2 {
 		t.Errorf("rate is %v of 8 after many failures, want the lower bound 2", a.Rate)
@@ -55,7 +55,7 @@
 	steps := 0
 	for now := 20 * time.Second; now < 60*time.Second; now += 500 * time.Millisecond {
 		before := a.Rate
-		if a.Success(now); a.Rate > 8 || a.Rate < before {
+		if a.RecordSuccess(now); a.Rate > 8 || a.Rate < before {
 			t.Fatalf("rate is %v after a success at %v, want no less and at most 8", a.Rate, before)
 		}
 		if a.Rate < 8 {
@@ -80,10 +80,10 @@
 				continue
 			}
 			if serve.Take(now, 1) {
-				a.Success(now)
+				a.RecordSuccess(now)
 				got[i]++
 			} else {
-				a.Failure(now)
+				a.RecordFailure(now)
 			}
 		}
 	}
--- a/internal/core/scheduler/pools.go
+++ b/internal/core/scheduler/pools.go
@@ -13,8 +13,8 @@
 	// BeginCycle starts a scheduling cycle. list holds the jobs that could start a task now if they
 	// got units and room, in the order in which they get room.
 	BeginCycle(now time.Duration, list []*jobs.Job)
-	// Allows reports whether the units suffice for so many more tasks of a job.
-	Allows(j *jobs.Job, tasks int) bool
+	// AllowsStart reports whether the units suffice for so many more tasks of a job.
+	AllowsStart(j *jobs.Job, tasks int) bool
 	// TaskPlaced counts a task that was placed.
 	TaskPlaced(j *jobs.Job)
 	// TaskRemoved reverses TaskPlaced for a task whose plan was withdrawn in the same cycle.
@@ -24,9 +24,9 @@
 	// WaitReason returns a text for users on the units that a job waits for, or an empty string if
 	// it waits for none.
 	WaitReason(j *jobs.Job) string
-	// Unsatisfiable returns a text for users on why a job can never get the units that it asks for,
+	// UnsatisfiableReason returns a text for users on why a job can never get the units that it asks for,
 	// or an empty string if it can.
-	Unsatisfiable(rec *eventlog.Job) string
+	UnsatisfiableReason(rec *eventlog.Job) string
 }
 
 // beginUnitCycle passes to the pools the jobs that could start a task in this cycle: services
--- a/internal/core/scheduler/snapshot.go
+++ b/internal/core/scheduler/snapshot.go
@@ -25,8 +25,8 @@
 	// What may be running on unresolved machines. A machine of an earlier term is unresolved until
 	// it has reported.
 
-	UnresolvedUse []resources.Amounts // by team: what its tasks on these machines may use
-	UnknownGrants bool                // one of these machines may have tasks of any job
+	UnresolvedUse          []resources.Amounts // by team: what its tasks on these machines may use
+	AnyJobMayRunUnreported bool                // one of these machines may have tasks of any job
 
 	// AcceleratedNeed is the result of LargestAcceleratedNeed; zero if no job needs accelerators.
 	AcceleratedNeed resources.Amounts
@@ -55,12 +55,14 @@
 
 // mayRunUnseen reports whether tasks of a job that an earlier term started may be running on
 // machines that have not reported yet.
-func (snap *Snapshot) mayRunUnseen(job *jobs.Job) bool { return job.MayRunUnseen(snap.UnknownGrants) }
+func (snap *Snapshot) mayRunUnseen(job *jobs.Job) bool {
+	return job.MayRunUnreported(snap.AnyJobMayRunUnreported)
+}
 
 // unitsSuffice reports whether so many more tasks of a job can get the counted units that they need.
 // Without pools no task that needs counted units may start.
 func (snap *Snapshot) unitsSuffice(job *jobs.Job, tasks int) bool {
-	return len(job.Record.Counted) == 0 || (snap.Pools != nil && snap.Pools.Allows(job, tasks))
+	return len(job.Record.Counted) == 0 || (snap.Pools != nil && snap.Pools.AllowsStart(job, tasks))
 }
 
 // nextTask returns the number of the job's task to be placed next, or -1. While tasks that an
--- a/internal/core/workers/machine.go
+++ b/internal/core/workers/machine.go
@@ -93,14 +93,14 @@
 	AvoidUntil     time.Duration // it gets no new tasks before this time
 
 	// Renting and return.
-	RentedAt         time.Duration // when it was requested, or added to the inventory
-	PreemptionNotice bool          // the cloud has announced that it will take the spot instance back
-	PreemptedAt      time.Duration // when it will be taken back
-	Draining         bool          // it gets no new tasks, and is returned once it is empty
-	NotDrainedBefore time.Duration // it must not be drained before this time
-	Deleting         bool          // its deletion is decided, which is final
-	ReturnUnrecorded bool          // the deletion waits for a durable record that the machine is empty
-	DeletionReason   string        // reason for its deletion, shown to operators
+	RentedAt           time.Duration // when it was requested, or added to the inventory
+	PreemptionNotice   bool          // the cloud has announced that it will take the spot instance back
+	PreemptedAt        time.Duration // when it will be taken back
+	Draining           bool          // it gets no new tasks, and is returned once it is empty
+	NotDrainedBefore   time.Duration // it must not be drained before this time
+	Deleting           bool          // its deletion is decided, which is final
+	AwaitsReturnRecord bool          // the deletion waits for a durable record that the machine is empty
+	DeletionReason     string        // reason for its deletion, shown to operators
 
 	// Direct starts. Until the worker has seen a higher token than that of a start, the start may be carried
 	// out, or carried out once more.
@@ -114,7 +114,7 @@
 	Quarantined bool
 
 	// Fencing tokens and suspicion.
-	Token            uint64 // current token; raised when the machine changes its shard, or by NeedsToken
+	Token            uint64 // current token; raised when the machine changes its shard, or by TakeTokenRequest
 	highestTokenSeen uint64 // highest token in a report that was applied
 	firstTokenOfTerm uint64 // lowest token that it can have in this term
 	// SuspectBelow is the token that a report must exceed before the machine gets new work; 0: the machine is
@@ -124,7 +124,7 @@
 	SuspectBelow     uint64
 	tokenIssuedAt    time.Duration // when a higher token was first issued to clear the suspicion; 0: not yet
 	tokenUrgency     TokenUrgency  // how urgently a higher token is needed
-	tokenRequestedAt time.Duration // when NeedsToken last returned true; 0: never
+	tokenRequestedAt time.Duration // when TakeTokenRequest last returned true; 0: never
 }
 
 // AcceptsPlans reports whether tasks may be planned on the machine. maxSilence is the longest permitted time
@@ -145,17 +145,17 @@
 // Unresolved reports whether an earlier term may have left unknown tasks on the machine.
 func (m *Machine) Unresolved() bool { return m.Durable && !m.Resolved }
 
-// Settled reports whether nothing is in flight to the machine, or on its behalf through the controller of
+// Quiescent reports whether nothing is in flight to the machine, or on its behalf through the controller of
 // its shard: no offer to it is open, it has no orphans, none of its plans is offered to another machine of
 // the shard, and all tasks placed on it have been reported. Only then may it be moved to another shard,
 // because two controllers could each start the same offer. Found in the benchmark of user requests: both
 // shards started a task that was planned on a moved machine.
-func (m *Machine) Settled() bool {
+func (m *Machine) Quiescent() bool {
 	if len(m.OpenOffers) > 0 || len(m.Orphans) > 0 {
 		return false
 	}
 	for _, p := range m.Tasks {
-		if len(p.Offered) > 0 || (!p.Planned && !p.Seen) {
+		if len(p.Offered) > 0 || (!p.Planned && !p.Reported) {
 			return false
 		}
 	}
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -38,9 +38,9 @@
 	switch {
 	case c.Cfg.Tunables.AdaptCalls == 0:
 	case ok:
-		c.callBudget.Success(now)
+		c.callBudget.RecordSuccess(now)
 	default:
-		c.callBudget.Failure(now)
+		c.callBudget.RecordFailure(now)
 	}
 }
 
@@ -74,7 +74,7 @@
 	}
 	var names []string
 	for _, m := range c.Inventory.All() {
-		if m.Deleting && !m.ReturnUnrecorded && len(names) < maxDeletions {
+		if m.Deleting && !m.AwaitsReturnRecord && len(names) < maxDeletions {
 			names = append(names, m.Name)
 		}
 	}
--- a/internal/leader/cluster/plans.go
+++ b/internal/leader/cluster/plans.go
@@ -5,8 +5,8 @@
 	"bitternmoor/internal/core/workers"
 )
 
-// ListMachineWithPlans adds a machine to MachinesWithPlans unless it is already in it.
-func (s *State) ListMachineWithPlans(m *workers.Machine) {
+// TrackMachineWithPlans adds a machine to MachinesWithPlans unless it is already in it.
+func (s *State) TrackMachineWithPlans(m *workers.Machine) {
 	if !m.ListedWithPlans {
 		m.ListedWithPlans = true
 		s.MachinesWithPlans = append(s.MachinesWithPlans, m)
@@ -21,7 +21,7 @@
 		return
 	}
 	p.Machine.RemovePlacement(p.Ref)
-	s.Unplace(p.Ref)
+	s.ReleasePlacement(p.Ref)
 }
 
 // CancelPlans cancels all planned tasks of a machine.
@@ -33,9 +33,9 @@
 	}
 }
 
-// Unplace releases a task's placement in the state of its job, its team and the size
+// ReleasePlacement releases a task's placement in the state of its job, its team and the size
 // estimator. The caller updates the machine's own list of tasks.
-func (s *State) Unplace(ref workers.TaskRef) {
+func (s *State) ReleasePlacement(ref workers.TaskRef) {
 	p := s.Placements[ref]
 	if p == nil {
 		return
--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -106,7 +106,7 @@
 		}
 	}
 	params := Params{
-		Share:    tunables.ColdSettled,
+		Share:    tunables.ColdSettledShare,
 		Interval: settings.Seconds(d.Cfg.Deployment.Workers.ReportS),
 		Peers:    len(d.Cfg.Peers),
 	}
@@ -115,7 +115,7 @@
 	switch {
 	case unresolved == 0 && d.Jobs.Len() == 0:
 		d.setKind(now, failoverStart) // there is nothing to recover
-	case d.isFailoverFrom(d.LeaderMissedAt, d.PreviousLeader):
+	case d.isFailoverFrom(d.LeaderLossDetectedAt, d.PreviousLeader):
 		d.setKind(now, failoverStart)
 	case len(d.Cfg.Peers) == 0:
 		d.setKind(now, coldStart)
@@ -154,8 +154,8 @@
 	return false
 }
 
-// Fleet returns what this leader announces to its peers: whether the fleet's state is known.
-func (d *Component) Fleet() leadership.FleetKnowledge {
+// FleetKnowledge returns what this leader announces to its peers: whether the fleet's state is known.
+func (d *Component) FleetKnowledge() leadership.FleetKnowledge {
 	if d.kind == failoverStart || (d.census != nil && d.census.settled) {
 		return leadership.FleetKnown
 	}
--- a/internal/leader/lifecycle/completion.go
+++ b/internal/leader/lifecycle/completion.go
@@ -43,7 +43,7 @@
 // depend on the job, the entries carry the time of day.
 func (c *Component) appendTasks(now time.Duration, batch eventlog.CompletedTasks) {
 	if j := c.Jobs.ByID(batch.ID); j != nil && len(j.Dependents) > 0 {
-		batch.AtMS = c.ClockZeroMS + now.Milliseconds()
+		batch.AtMS = c.ClockOriginUnixMS + now.Milliseconds()
 	}
 	maxRanges := max(1, c.EventLog.MaxEntryBytes()/maxRangeBytes-completedOverhead)
 	for len(batch.Ranges) > maxRanges {
@@ -80,7 +80,7 @@
 	c.Estimator.Remove(j.Index, true, j.RunSeconds, j.RunCount)
 	c.Publish(cluster.Event{Kind: cluster.JobDone, At: now, Job: j})
 	c.logJobDone(now, j)
-	for _, dependent := range c.Jobs.RemoveDependency(j) {
+	for _, dependent := range c.Jobs.RemoveFromGraph(j) {
 		if len(dependent.Dependencies) == 0 && dependent.Phase == jobs.Held {
 			c.release(now, dependent)
 		}
--- a/internal/leader/lifecycle/dependencies.go
+++ b/internal/leader/lifecycle/dependencies.go
@@ -22,7 +22,7 @@
 // its entry, it also returns the entries that hold them and precede the job's entry.
 func (c *Component) storedForm(rec eventlog.Job) (eventlog.Job, []eventlog.Entry) {
 	rec.Rest = 0
-	rec.HideFromOlderVersions()
+	rec.EncodePoolUnits()
 	if rec.ReleasedMS != 0 {
 		rec.Follows = nil
 	}
@@ -110,7 +110,7 @@
 // it had just arrived.
 func (c *Component) release(now time.Duration, j *jobs.Job) {
 	j.Phase = jobs.Open
-	j.Record.ReleasedMS = c.ClockZeroMS + now.Milliseconds()
+	j.Record.ReleasedMS = c.ClockOriginUnixMS + now.Milliseconds()
 	c.setDeadlines(j, now)
 	c.enqueue(now, j)
 	c.Counts.Released++
--- a/internal/leader/lifecycle/replay.go
+++ b/internal/leader/lifecycle/replay.go
@@ -113,7 +113,7 @@
 	for _, j := range cancelled {
 		for _, affected := range append(c.Jobs.TransitiveDependents(j), j) {
 			c.Jobs.RecordFinalPhase(affected.Record.ID, jobs.Cancelled)
-			c.Jobs.RemoveDependency(affected)
+			c.Jobs.RemoveFromGraph(affected)
 			c.Jobs.Remove(affected)
 		}
 	}
@@ -183,5 +183,5 @@
 // toClock converts a time of day, in Unix milliseconds, to the node's clock. The result is at
 // most now.
 func (c *Component) toClock(ms int64, now time.Duration) time.Duration {
-	return min(now, time.Duration(ms-c.ClockZeroMS)*time.Millisecond)
+	return min(now, time.Duration(ms-c.ClockOriginUnixMS)*time.Millisecond)
 }
--- a/internal/leader/lifecycle/submission.go
+++ b/internal/leader/lifecycle/submission.go
@@ -44,7 +44,7 @@
 		c.reply(to, *refusal)
 		return
 	}
-	s.Job.AtMS = c.ClockZeroMS + now.Milliseconds()
+	s.Job.AtMS = c.ClockOriginUnixMS + now.Milliseconds()
 	if refusal := c.storageRefusal(s.Job); refusal != nil {
 		c.reply(to, *refusal)
 		return
@@ -88,7 +88,7 @@
 	if c.Pools == nil {
 		return unavailable("counted: the leader has no pools in its settings")
 	}
-	if reason := c.Pools.Unsatisfiable(rec); reason != "" {
+	if reason := c.Pools.UnsatisfiableReason(rec); reason != "" {
 		return &effects.Answer{Status: statusUnprocessable, Why: reason}
 	}
 	return nil
@@ -143,7 +143,7 @@
 
 // addJob adds a submitted or replayed job to the table.
 func (c *Component) addJob(rec eventlog.Job, now time.Duration) *jobs.Job {
-	rec.RevealPoolUnits()
+	rec.DecodePoolUnits()
 	j := c.Jobs.Add(rec)
 	j.Team = c.TeamIndex(rec.Team) // possibly no longer configured; its jobs stay accepted
 	j.Image = c.Images.Index(rec.Image)
@@ -195,6 +195,6 @@
 	if j.Record.Kind != jobs.Service {
 		c.Estimator.Add(j.Index, j.Team, len(j.Tasks), j.Record.CPUs, j.Record.Kind == jobs.Gang)
 	}
-	c.Publish(cluster.Event{Kind: cluster.JobOrdered, At: now, Job: j})
+	c.Publish(cluster.Event{Kind: cluster.JobEnqueued, At: now, Job: j})
 	c.NeedsCycle = true
 }
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -142,9 +142,9 @@
 	}
 }
 
-// RequestCycle runs a scheduling cycle after a commit if anything has changed, unless one ran
+// RunCycleAfterCommit runs a scheduling cycle after a commit if anything has changed, unless one ran
 // within minCyclePause.
-func (c *Component) RequestCycle(now time.Duration) {
+func (c *Component) RunCycleAfterCommit(now time.Duration) {
 	if c.NeedsCycle && now-c.cycledAt >= minCyclePause {
 		c.runCycle(now)
 	}
@@ -182,7 +182,7 @@
 		Image:          job.Image,
 		Need:           job.Need,
 		BoundToMachine: job.Record.Kind == jobs.Gang || job.HasZoneRule(),
-		StartDirectly:  job.StartDirectly,
+		StartDirectly:  job.PushDispatch,
 	}
 	c.Placements[ref] = plan
 	if job.Record.Kind == jobs.Gang {
@@ -213,7 +213,7 @@
 // announcePlan lists a plan of the cycle for dispatch, and requests the mark and the grant that
 // must be durable before the plan may be offered.
 func (c *Component) announcePlan(plan *workers.Placement) {
-	c.ListMachineWithPlans(plan.Machine)
+	c.TrackMachineWithPlans(plan.Machine)
 	if plan.StartDirectly {
 		c.DispatchQueue = append(c.DispatchQueue, plan)
 	}
--- a/internal/leader/pools/admission.go
+++ b/internal/leader/pools/admission.go
@@ -9,8 +9,8 @@
 	"bitternmoor/internal/core/jobs"
 )
 
-// Allows reports whether the pools have the units to start n more tasks of a job.
-func (d *Component) Allows(j *jobs.Job, n int) bool {
+// AllowsStart reports whether the pools have the units to start n more tasks of a job.
+func (d *Component) AllowsStart(j *jobs.Job, n int) bool {
 	_, ok := d.blockingRequirement(j, int64(n))
 	return ok
 }
@@ -171,8 +171,8 @@
 	return startable
 }
 
-// Unsatisfiable returns why a job can never get the units that it needs, or an empty string.
-func (d *Component) Unsatisfiable(record *eventlog.Job) string {
+// UnsatisfiableReason returns why a job can never get the units that it needs, or an empty string.
+func (d *Component) UnsatisfiableReason(record *eventlog.Job) string {
 	needed, unknownPool := d.neededAtOnce(record)
 	if unknownPool != "" {
 		return fmt.Sprintf("counted: no such pool: %s", unknownPool)
--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -105,7 +105,7 @@
 		d.replayReceipt(e.Component)
 	case e.Job != nil:
 		record := *e.Job
-		record.RevealPoolUnits()
+		record.DecodePoolUnits()
 		if len(record.Counted) > 0 {
 			d.cancelledRequirements[record.ID], _ = d.requirementsOf(record.Counted)
 		}
@@ -151,7 +151,7 @@
 // HandleEvent processes the events of jobs, tasks and machines.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
-	case cluster.JobOrdered:
+	case cluster.JobEnqueued:
 		d.addJob(e.Job)
 	case cluster.JobRemoved:
 		d.jobRemoved(e.Job)
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -99,7 +99,7 @@
 	f.lastJobID++
 	j := f.component.Jobs.Add(eventlog.Job{ID: f.lastJobID, Team: team, Tasks: tasks, CPUs: 1, Kind: kind, Priority: priority, Counted: counted})
 	j.Team, j.Phase = f.component.Teams.Index(team), jobs.Open
-	f.component.HandleEvent(cluster.Event{Kind: cluster.JobOrdered, At: f.now, Job: j})
+	f.component.HandleEvent(cluster.Event{Kind: cluster.JobEnqueued, At: f.now, Job: j})
 	return j
 }
 
@@ -118,7 +118,7 @@
 	f.component.BeginCycle(f.now, waiting)
 	for _, j := range list {
 		n := 0
-		for j.Waiting > 0 && f.component.Allows(j, j.GangSize()) {
+		for j.Waiting > 0 && f.component.AllowsStart(j, j.GangSize()) {
 			for range j.GangSize() {
 				k := j.NextWaiting(len(j.Tasks))
 				j.Place(k)
@@ -185,12 +185,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			job := &eventlog.Job{Team: "a", Tasks: 1, Priority: 1, Counted: []eventlog.PoolUnits{impossible.counted}}
-			if why := f.component.Unsatisfiable(job); !strings.Contains(why, impossible.why) {
+			if why := f.component.UnsatisfiableReason(job); !strings.Contains(why, impossible.why) {
 				t.Errorf("%+v: %s", impossible.counted, why)
 			}
 		})
 	}
-	if why := f.component.Unsatisfiable(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
+	if why := f.component.UnsatisfiableReason(&eventlog.Job{Team: "b", Tasks: 3, Kind: jobs.Gang, Counted: []eventlog.PoolUnits{perTask("q", 1)}}); !strings.Contains(why, "its team") {
 		t.Errorf("a gang's tasks need their units together: %s", why)
 	}
 }
@@ -269,7 +269,7 @@
 				kind = jobs.Gang
 			}
 			rec := &eventlog.Job{Team: "a", Tasks: tasks, Kind: kind, Counted: counted}
-			if len(counted) == 0 || f.component.Unsatisfiable(rec) != "" {
+			if len(counted) == 0 || f.component.UnsatisfiableReason(rec) != "" {
 				continue
 			}
 			list = append(list, f.addJob("a", tasks, 1, kind, counted...))
@@ -401,7 +401,7 @@
 func TestOrphansKeepTheirUnits(t *testing.T) {
 	f := newFixture(t, settings.Pool{Name: "p", Units: 4})
 	rec := eventlog.Job{ID: 77, Team: "a", Tasks: 3, CPUs: 1, Counted: []eventlog.PoolUnits{perTask("p", 2)}}
-	rec.HideFromOlderVersions()
+	rec.EncodePoolUnits()
 	f.startTerm(false)
 	f.component.Replay(f.now, eventlog.Entry{Job: &rec})
 	f.component.Jobs.RecordFinalPhase(77, jobs.Cancelled)
@@ -506,7 +506,7 @@
 	a := f.addJob("a", 3, 1, jobs.Array, perTask("p", 2), perJobUnits("q", 1))
 	f.schedule(a)
 	requestReceipt := func(j *jobs.Job, k int, attempt uint64) (r Receipt, err error) {
-		body, _ := json.Marshal(Request{Receipt: &Holding{j.Record.ID, k, attempt}})
+		body, _ := json.Marshal(Request{Receipt: &ReceiptRequest{j.Record.ID, k, attempt}})
 		raw, err := f.component.Change(f.now, body)
 		if err == nil {
 			err = json.Unmarshal(raw, &r)
--- a/internal/leader/reconfig/change.go
+++ b/internal/leader/reconfig/change.go
@@ -122,7 +122,7 @@
 		Number:  in.Revision + 1,
 		ID:      in.ID,
 		By:      by,
-		AtMS:    d.ClockZeroMS + now.Milliseconds(),
+		AtMS:    d.ClockOriginUnixMS + now.Milliseconds(),
 		Note:    in.Note,
 		Changes: slices.Clone(in.Changes),
 	}
@@ -156,12 +156,12 @@
 }
 
 // currentSet returns the current setting of an item, including revisions that are not durable yet.
-func (d *Component) currentSet(i config.Item) config.Set {
+func (d *Component) currentSet(i config.Item) config.ItemValue {
 	s := d.document.Get(i)
 	for _, r := range d.pending {
 		for _, c := range r.Changes {
 			if c.Item == i {
-				s = config.Set{Change: c, Revision: r.Number}
+				s = config.ItemValue{Change: c, Revision: r.Number}
 			}
 		}
 	}
@@ -171,13 +171,13 @@
 // completeChange returns an item's setting before a change, and completes a change of a team: a
 // revert to the settings removes a team that they do not define, and a removed team keeps its
 // limits for its open jobs.
-func (d *Component) completeChange(c *config.Change) (config.Set, error) {
+func (d *Component) completeChange(c *config.Change) (config.ItemValue, error) {
 	before := d.currentSet(c.Item)
 	if c.Item.Team == "" {
 		return before, nil
 	}
 	t, known := d.resolveTeam(c.Item.Team, before.Value)
-	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.AsSettings() && !inSettings {
+	if _, inSettings := d.settingsTeams[c.Item.Team]; c.Value.IsUnset() && !inSettings {
 		c.Value.Removed = true // the settings do not define this team
 	}
 	if !c.Value.Removed {
@@ -186,7 +186,7 @@
 	if !known {
 		return before, fieldError(c.Item.String(), "there is no such team")
 	}
-	l := config.LimitsOf(t) // its open jobs continue under the previous limit
+	l := config.LimitsFromSettings(t) // its open jobs continue under the previous limit
 	c.Value.Limits = &l
 	return before, nil
 }
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -76,7 +76,7 @@
 	check := failureCheck{
 		now:          now,
 		leaseValid:   leaseValid,
-		silenceLimit: c.GiveUpAfter(),
+		silenceLimit: c.LostAfter(),
 		mostSilent:   c.MostMachinesSilent(now),
 		overdueStop:  settings.Seconds(overdueStopShare * w.CancelS),
 	}
@@ -87,7 +87,7 @@
 	c.trackZoneOutages(now, check.mostSilent)
 	c.zoneReachable = c.reachableZones(now)
 	for _, j := range c.Jobs.All() {
-		if j != nil && j.Phase == jobs.Cancelling && now-j.CancelAskedAt > check.overdueStop {
+		if j != nil && j.Phase == jobs.Cancelling && now-j.CancelRequestedAt > check.overdueStop {
 			check.lateCancellations = append(check.lateCancellations, j)
 		}
 	}
@@ -161,7 +161,7 @@
 
 // bootLimit returns how long after its rental a machine may take to send its first report.
 func (c *Component) bootLimit(m *workers.Machine) time.Duration {
-	return settings.Seconds(c.Cfg.Tunables.BootGiveUpTimes*c.Types[m.Type].BootS) + bootGracePeriod
+	return settings.Seconds(c.Cfg.Tunables.BootTimeoutFactor*c.Types[m.Type].BootS) + bootGracePeriod
 }
 
 // evaluateDelivery decides to delete a machine to which commands may be delivered too late or not
@@ -202,7 +202,7 @@
 // opposite is not proved.
 func (c *Component) mayHaveTaskOn(j *jobs.Job, m *workers.Machine) bool {
 	if m.Unresolved() {
-		return c.MayRunUnseen(j) && m.MayHaveTasksOf(j.Record.ID)
+		return c.MayRunUnreported(j) && m.MayHaveTasksOf(j.Record.ID)
 	}
 	for _, p := range m.Tasks {
 		if p.Ref.Job == j.Index && !p.Planned {
--- a/internal/leader/registry/registration.go
+++ b/internal/leader/registry/registration.go
@@ -35,7 +35,7 @@
 		c.Decommission(now, m, cluster.Delete, "its names are too long to be stored")
 		return
 	}
-	if m.QueueRegistry() {
+	if m.QueueRegistration() {
 		c.LastMachineNumber++
 		m.Number = c.LastMachineNumber
 		c.EventLog.AppendTracked(eventlog.Entry{Machine: &entry})
@@ -143,8 +143,8 @@
 		c.applyTaskEvent(now, m, closed)
 	}
 	for ref, p := range m.Tasks {
-		if p.Planned && p.Rehome() {
-			c.ListMachineWithPlans(p.Machine)
+		if p.Planned && p.MoveToOfferedMachine() {
+			c.TrackMachineWithPlans(p.Machine)
 			p.Withdrawn = true // a machine that it was offered to may have started it
 			continue
 		}
--- a/internal/leader/slo/slo.go
+++ b/internal/leader/slo/slo.go
@@ -115,7 +115,7 @@
 // HandleEvent tracks jobs from when they enter the scheduling order until they end.
 func (d *Component) HandleEvent(e cluster.Event) {
 	switch e.Kind {
-	case cluster.JobOrdered:
+	case cluster.JobEnqueued:
 		d.trackJob(e.At, e.Job)
 	case cluster.JobDone:
 		d.jobEnded(e.At, e.Job, true)
@@ -141,7 +141,7 @@
 		}
 	}
 	if latest == 0 {
-		latest = max(d.Cfg.Tunables.ServedWithinS, minDueEstimates*j.Record.EstimateS)
+		latest = max(d.Cfg.Tunables.ServedDefaultDueS, minDueEstimates*j.Record.EstimateS)
 	}
 	return j.AcceptedAt + settings.Seconds(latest)
 }
@@ -211,7 +211,7 @@
 func (d *Component) recordOutcome(now time.Duration, t *trackedJob, met bool) {
 	j := t.job
 	began := j.FirstRunAt
-	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangBegan && !met) {
+	if began == 0 || (j.Record.Kind == jobs.Gang && !j.GangStarted && !met) {
 		began = now
 	}
 	o := outcome{
--- a/internal/leader/term/inputs.go
+++ b/internal/leader/term/inputs.go
@@ -84,7 +84,7 @@
 // force.
 func (t *Term) ConfigAcknowledged(now time.Duration, peer string, revision uint64) {
 	if t.reconfig != nil && t.loaded {
-		t.reconfig.Acknowledged(now, peer, revision)
+		t.reconfig.RevisionAcknowledged(now, peer, revision)
 	}
 }
 
@@ -105,5 +105,5 @@
 	case !t.loaded:
 		return leadership.FleetReconciling
 	}
-	return t.coldStart.Fleet()
+	return t.coldStart.FleetKnowledge()
 }
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -127,16 +127,16 @@
 	c.counts.Terms++
 	lastHeard, missedAt := c.elector.LeaderlessTimes()
 	c.term = term.New(cluster.TermStart{
-		Cfg:             c.settings,
-		ClockZeroMS:     c.clockOriginUnixMS,
-		Epoch:           c.elector.Epoch(),
-		LastLeaderHeard: lastHeard,
-		PreviousLeader:  c.elector.PreviousLeader(c.elector.Epoch()),
-		LeaderMissedAt:  missedAt,
-		TermBegan:       now,
-		Counts:          &c.counts,
-		Metrics:         &c.measures,
-		Config:          &c.config,
+		Cfg:                   c.settings,
+		ClockOriginUnixMS:     c.clockOriginUnixMS,
+		Epoch:                 c.elector.Epoch(),
+		LastLeaderHeartbeatAt: lastHeard,
+		PreviousLeader:        c.elector.PreviousLeader(c.elector.Epoch()),
+		LeaderLossDetectedAt:  missedAt,
+		TermBegan:             now,
+		Counts:                &c.counts,
+		Metrics:               &c.measures,
+		Config:                &c.config,
 	})
 	c.emitLog(effects.Info, "elected leader", "epoch", c.term.Epoch)
 	c.emit(effects.LoadLog{Epoch: c.term.Epoch})
@@ -171,7 +171,7 @@
 // Tick advances everything that depends on time. It is called several times a second.
 func (c *Core) Tick(now time.Duration) {
 	c.emitLeadership(c.elector.Tick(now))
-	c.shards.Tick(now)
+	c.shards.Expire(now)
 	c.expireRedirects(now)
 	c.probeUnreachedLeader(now)
 	if c.elector.LeaseValid(now) {
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -16,13 +16,13 @@
 // document uses a letter for a value, the comment of the field begins with that letter.
 type Tunables struct {
 	// Sizes of jobs, estimated as in HFSP (Hadoop Fair Sojourn Protocol).
-	TrainingTasks  int     // t: number of tasks whose run times determine a job's size
-	TrainingAtOnce int     // T: most training tasks that run at the same time
-	Eagerness      float64 // ξ: factor on a job's size until its training tasks have determined it
-	TrainingLimitS float64 // Δ: run time after which a training task is not awaited any longer but estimated
-	FirstSizeS     float64 // size that is assumed for a job while no job has finished
-	SizesEveryS    float64 // interval at which virtual sizes are written to the state service
-	LearnedSizes   int     // 0 or 1: size estimates start from the run times learned for a job's kind of work
+	TrainingTasks      int     // t: number of tasks whose run times determine a job's size
+	TrainingAtOnce     int     // T: most training tasks that run at the same time
+	Eagerness          float64 // ξ: factor on a job's size until its training tasks have determined it
+	TrainingLimitS     float64 // Δ: run time after which a training task is not awaited any longer but estimated
+	FirstSizeS         float64 // size that is assumed for a job while no job has finished
+	SizeWriteIntervalS float64 // interval at which virtual sizes are written to the state service
+	LearnedSizes       int     // 0 or 1: size estimates start from the run times learned for a job's kind of work
 
 	// Exceptions to the order of jobs by size.
 	UrgentFirst    int // 0 or 1: urgent jobs go ahead
@@ -48,8 +48,8 @@
 	PushDispatches int
 
 	// Measurement of the share of jobs of each class and team that are done in time.
-	ServedWindowS float64 // time window of the measurement; 0: nothing is measured
-	ServedWithinS float64 // time after which a job is due if its class has no objective for its end
+	ServedWindowS     float64 // time window of the measurement; 0: nothing is measured
+	ServedDefaultDueS float64 // time after which a job is due if its class has no objective for its end
 
 	// Placement, and the blocks of machines that controllers lease.
 	LocalityS     float64 // how long a job leaves room on machines that lack its image to other jobs
@@ -62,20 +62,20 @@
 	TakeoversKept int     // number of takeovers that are recorded; 0: none
 	// ColdListen, 0 or 1: after a cold start, before which there was no leader, the leader waits for
 	// reports before it rents, returns, stops or moves anything.
-	ColdListen  int
-	ColdSettled float64 // share of each zone's machines that must have reported for that
-	ColdAfterS  float64 // time without a leader after which a start counts as a cold start
-	ColdStarts  float64 // task starts per second in one zone while the leader catches up; 0: any number
-	ColdImages  int     // images that one machine fetches at once during that time; 0: any number
-	ColdKept    int     // number of cold starts that are recorded; 0: none
+	ColdListen       int
+	ColdSettledShare float64 // share of each zone's machines that must have reported for that
+	ColdAfterS       float64 // time without a leader after which a start counts as a cold start
+	ColdStarts       float64 // task starts per second in one zone while the leader catches up; 0: any number
+	ColdImages       int     // images that one machine fetches at once during that time; 0: any number
+	ColdKept         int     // number of cold starts that are recorded; 0: none
 
 	// Scaling out and in.
 	DrainBacklogS float64 // time within which the waiting work should be done
-	// OrdinaryBacklogS: on-demand machines are rented if spot machines leave work waiting longer than this.
+	// OnDemandBacklogS: on-demand machines are rented if spot machines leave work waiting longer than this.
 	// It holds for classes without objectives.
-	OrdinaryBacklogS float64
+	OnDemandBacklogS float64
 	// ObjectiveShare: for classes with objectives, this share of the tightest one, but at least
-	// DrainBacklogS, replaces OrdinaryBacklogS.
+	// DrainBacklogS, replaces OnDemandBacklogS.
 	ObjectiveShare float64
 	IdleReturnS    float64 // capacity of on-demand machines that was not needed for this time is returned
 	SpotReturnS    float64 // capacity of spot machines that was not needed for this time is returned
@@ -86,10 +86,10 @@
 	// MoveSaved, 0 or 1: tasks that save checkpoints are moved off machines that are to be returned.
 	MoveSaved int
 	SpotTaskS float64 // tasks with a longer estimate and no checkpoints are kept off spot machines
-	// UsualStayS is how long a rented machine is usually kept. Its boot time is weighed against it.
-	UsualStayS      float64
-	BootGiveUpTimes float64 // a machine that has not booted after this many usual boot times is given up
-	AdaptCalls      int     // 0 or 1: the rate of cloud calls adapts to the cloud's responses
+	// UsualRentalS is how long a rented machine is usually kept. Its boot time is weighed against it.
+	UsualRentalS      float64
+	BootTimeoutFactor float64 // a machine that has not booted after this many usual boot times is given up
+	AdaptCalls        int     // 0 or 1: the rate of cloud calls adapts to the cloud's responses
 
 	// Machines that fall silent.
 
@@ -159,7 +159,7 @@
 
 // NewCalendar returns the operators' calendar.
 func (t *Tunables) NewCalendar() (*calendar.Calendar, error) {
-	return calendar.New(t.TimeZone, t.NightBegins, calendar.Dates(t.Holidays))
+	return calendar.New(t.TimeZone, t.NightBegins, calendar.SplitDates(t.Holidays))
 }
 
 // read sets the values of an operators' file and checks them.
