--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Shorthands for what CI and the deployment call.
+# Shortcuts for the commands that CI and the deployment run.
 
 .PHONY: build test lint ci
 
