--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -11,21 +11,21 @@
 	"bitternmoor/internal/wire"
 )
 
-// checker watches the platform's rules all the time.
+// checker checks the platform's invariants throughout a simulation.
 type checker struct {
 	s         *sim
-	on        map[task]map[string]bool // machines that have a task, once it has its image
+	on        map[task]map[string]bool // machines that run a task, after its image was fetched
 	zones     map[string]string
 	completeN map[task]bool
 	broken    []string
 	starts    int
-	calm      time.Duration              // when the last trouble is over; 0: not yet
-	answered  map[*userJob]time.Duration // when a question about a job was last answered
-	begun     map[uint64]time.Duration   // when a job's first task began; of a gang, its last
+	calm      time.Duration              // when fault injection ended; 0: not yet
+	answered  map[*userJob]time.Duration // when a query about a job was last answered
+	begun     map[uint64]time.Duration   // when a job's first task started; for a gang, its last
 	ghosts    []ghost
-	began     map[string]int     // how many units there were when a job began, by job and pool
-	use       map[string]float64 // processors that each team's tasks have, kept up start by start
-	idle      map[idleKind]int   // what really happened, for needless orders: see cold_test.go
+	began     map[string]int     // largest pool size since a job started, by job and pool
+	use       map[string]float64 // CPUs in use by each team's tasks, updated at each start and end
+	idle      map[idleKind]int   // number of unnecessary commands by kind, see cold_test.go
 }
 
 func (c *checker) fail(rule, format string, a ...any) {
@@ -37,7 +37,7 @@
 	j := c.s.jobs[t.job]
 	j.lastStart = c.s.now
 	if j.gone && !j.byProduction {
-		c.fail("ran_cancelled", "%d/%d started on %s after its user was told that it is cancelled", t.job, t.k, w.name)
+		c.fail("ran_cancelled", "task %d/%d started on %s after its user was told that the job is cancelled", t.job, t.k, w.name)
 	}
 	if c.begun == nil {
 		c.begun = map[uint64]time.Duration{}
@@ -47,16 +47,16 @@
 	}
 	for m := range c.on[t] {
 		if m != w.name {
-			c.fail("ran_twice", "%d/%d on %s while on %s", t.job, t.k, w.name, m)
+			c.fail("ran_twice", "task %d/%d runs on %s while it runs on %s", t.job, t.k, w.name, m)
 		}
 	}
 	spec := j.spec.Job
 	if (w.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != w.zone) {
-		c.fail("wrong_place", "%d/%d on %s", t.job, t.k, w.name)
+		c.fail("wrong_place", "task %d/%d runs on %s", t.job, t.k, w.name)
 	}
 	for _, f := range spec.Follows {
 		if !c.over(f) {
-			c.fail("too_early", "%d/%d started before %d was done", t.job, t.k, f)
+			c.fail("too_early", "task %d/%d started before job %d was done", t.job, t.k, f)
 		}
 	}
 	if c.completeN[t] {
@@ -65,13 +65,13 @@
 	inZone := 0
 	tasks := spec.Tasks
 	if !spec.OneZone && !spec.Spread {
-		tasks = 0 // nobody asks where the others are
+		tasks = 0 // the places of the other tasks do not matter
 	}
 	for k := range tasks {
 		for m := range c.on[task{t.job, k}] {
 			z := c.zones[m]
 			if spec.OneZone && z != w.zone && k != t.k {
-				c.fail("wrong_place", "%d in zones %s and %s", t.job, z, w.zone)
+				c.fail("wrong_place", "job %d runs in zones %s and %s", t.job, z, w.zone)
 			}
 			if z == w.zone && k != t.k {
 				inZone++
@@ -79,7 +79,7 @@
 		}
 	}
 	if spec.Spread && inZone+1 > (spec.Tasks+1)/2 {
-		c.fail("wrong_place", "%d of %d tasks of %d in zone %s", inZone+1, spec.Tasks, t.job, w.zone)
+		c.fail("wrong_place", "%d of %d tasks of job %d run in zone %s", inZone+1, spec.Tasks, t.job, w.zone)
 	}
 	if c.on[t] == nil {
 		c.on[t] = map[string]bool{}
@@ -96,12 +96,13 @@
 	c.on[t][w.name] = true
 	c.zones[w.name] = w.zone
 	if j.gone && c.s.now > j.goneAt+settingsSeconds(c.s.cfg.Deployment.Workers.CancelS) {
-		c.fail("ran_cancelled", "%d/%d started on %s", t.job, t.k, w.name)
+		c.fail("ran_cancelled", "task %d/%d started on %s", t.job, t.k, w.name)
 	}
 	units := c.units()
-	for _, x := range spec.Counted { // more may be out only of a pool that was made smaller, and then none goes out
+	// Only a pool that was shrunk may be over its size, and then no task that needs it starts.
+	for _, x := range spec.Counted {
 		most := c.s.poolUnits[x.Pool]
-		if x.PerJob { // a job that began when there were more keeps what it has
+		if x.PerJob { // a job that started when the pool was larger keeps its units
 			key := fmt.Sprint(t.job, x.Pool)
 			if c.began == nil {
 				c.began = map[string]int{}
@@ -110,12 +111,12 @@
 			most = c.began[key]
 		}
 		if units[x.Pool] > most {
-			c.fail("overdrawn", "%d units of %s are out, there are %d: %d/%d on %s", units[x.Pool], x.Pool, most, t.job, t.k, w.name)
+			c.fail("overdrawn", "%d units of pool %s are in use of %d: task %d/%d on %s", units[x.Pool], x.Pool, most, t.job, t.k, w.name)
 		}
 	}
 	for _, team := range c.s.cfg.Deployment.Teams {
 		if limit := c.s.teamLimit(team); limit > 0 && c.use[team.Name] > limit && (team.Name == spec.Team || len(c.s.configs.limits) == 0) {
-			c.fail("quota", "%s uses %v of %v", team.Name, c.use[team.Name], limit)
+			c.fail("quota", "team %s uses %v CPUs of %v", team.Name, c.use[team.Name], limit)
 		}
 	}
 }
@@ -128,9 +129,8 @@
 	}
 }
 
-// served holds what each class and each team got against what it asked for: a day on
-// which less than half of the accepted jobs of any one of them are done has failed.
-// Jobs that their users cancelled do not count, nor those that came after a time.
+// served checks that at least half of the accepted jobs of each class and of each team are
+// done. Services, cancelled jobs and jobs accepted after the given time do not count.
 func (c *checker) served(until time.Duration) {
 	type sum struct{ asked, done int }
 	by := map[string]*sum{}
@@ -155,12 +155,12 @@
 	}
 }
 
-// asked holds a question about a job against the rule that none is forgotten: once all
-// troubles are over, one of 75 seconds is answered, however others fare.
+// asked checks at each query that an accepted job is not forgotten: once fault injection has
+// ended, a query about it is answered at least every 75 seconds.
 func (c *checker) asked(j *userJob) {
 	since := max(c.calm, c.answered[j], j.acceptedAt)
 	if c.calm > 0 && j.accepted && !j.asked && !j.gone && c.s.now-since > forgottenAfter {
-		c.fail("forgotten", "no question about %d was answered since %v", j.id, since.Round(time.Second))
+		c.fail("forgotten", "no query about job %d was answered since %v", j.id, since.Round(time.Second))
 	}
 }
 
@@ -169,20 +169,20 @@
 	beginsWithin   = 4 * time.Minute
 	leftWaiting    = 90 * time.Second
 
-	// olderMost is how long after a newer answer an older one may reach its user: it was on
-	// its way to the controller that the user had asked, which gives such a call up.
+	// olderMost is how long after a newer answer an older one may reach its user. It may be on
+	// its way to the controller that forwarded the request, which times out after that long.
 	olderMost = wait + 50*time.Millisecond
 )
 
-// What an answer tells of a job: nothing, that it is accepted, or how it ended.
+// Information levels of an answer about a job: none, that it is accepted, or how it ended.
 const (
 	nothing = iota
 	accepted
 	final
 )
 
-// inOrder holds an answer, when it reaches its user, against all that any controller has
-// told that user before.
+// inOrder checks that an answer does not reach its user more than olderMost after an answer
+// of a higher information level from any controller.
 func (c *checker) inOrder(j *userJob, a answer) {
 	tells := nothing
 	switch {
@@ -198,7 +198,7 @@
 		if at := j.newest[more]; at > 0 {
 			c.s.saw("an answer that a newer one had overtaken")
 			if c.s.now-at > olderMost {
-				c.fail("older_answer", "%d: an answer made at %v comes %v after a newer one", j.id, a.made.Round(time.Millisecond), (c.s.now - at).Round(time.Millisecond))
+				c.fail("older_answer", "job %d: an answer created at %v arrives %v after a newer one", j.id, a.made.Round(time.Millisecond), (c.s.now - at).Round(time.Millisecond))
 			}
 		}
 	}
@@ -207,20 +207,20 @@
 	}
 }
 
-// unfit takes the answer to a submission of a job that can never run, or is malformed.
+// unfit checks the answer to a submission that is malformed or can never run.
 func (c *checker) unfit(id uint64, spec wire.Submission, a answer, ok bool) {
 	switch {
 	case !ok || a.Status == 429 || a.Status == 503:
 	case spec.Job == nil && a.Status != 400, spec.Job != nil && a.Status != 422:
-		c.fail("accepted_unfit", "%d gets %d", id, a.Status)
+		c.fail("accepted_unfit", "job %d is answered with %d", id, a.Status)
 	default:
 		c.s.saw("an odd submission refused")
 	}
 }
 
-// stillWaiting looks for jobs that are left waiting: troubles over, one of which a task waits while
-// a machine that fits it has room and its team is under its limit, for all of the time, and
-// none of whose tasks starts. What machines have is looked up on the machines.
+// stillWaiting checks for starvation after fault injection has ended: a job has a waiting task,
+// a suitable machine has room and its team is under its limit, all for the whole time, and
+// none of its tasks starts. The state of machines is read from the machines themselves.
 func (c *checker) stillWaiting() {
 	if c.calm == 0 {
 		return
@@ -234,13 +234,14 @@
 			j.roomSince = c.s.now
 		}
 		if since := max(j.roomSince, j.lastStart, c.calm); c.s.now-since > leftWaiting {
-			c.fail("left_waiting", "%d has waited since %v beside a machine with room", j.id, since.Round(time.Second))
+			c.fail("left_waiting", "job %d has waited since %v although machines have room", j.id, since.Round(time.Second))
 			j.roomSince = 0
 		}
 	}
 }
 
-// waits says whether a task of a job could start now but for room; of a gang all of them.
+// waits reports whether a job has a task that could start now if there is room; for a gang, all
+// tasks must wait.
 func (c *checker) waits(j *userJob) bool {
 	spec := j.spec.Job
 	if spec == nil || !j.accepted || j.asked || j.gone || j.toldDone || len(spec.Counted) > 0 {
@@ -263,7 +264,7 @@
 			n++
 		}
 	}
-	for _, w := range c.s.cloud.machines { // fetching its image
+	for _, w := range c.s.cloud.machines { // a task that fetches its image does not wait
 		for t, x := range w.tasks {
 			if t.job == j.id && x.state == workers.Fetching && len(c.on[t]) == 0 {
 				n--
@@ -273,8 +274,8 @@
 	return n
 }
 
-// hasRoom says whether machines that a job may use have room for one more of its tasks, or
-// for all of a gang, with its team under its limit.
+// hasRoom reports whether the machines that a job may use have room for one more of its tasks,
+// or for a whole gang, within its team's limit.
 func (c *checker) hasRoom(j *userJob) bool {
 	spec := j.spec.Job
 	need := 1
@@ -318,7 +319,8 @@
 	return all >= need
 }
 
-// largest picks a class's largest jobs: the tenth with most work, and the widest.
+// largest returns a class's largest jobs: the tenth with the most work, and the one with the most
+// tasks.
 func largest(class []*userJob) []*userJob {
 	work := func(j *userJob) float64 { return float64(j.spec.Job.Tasks) * j.run.Seconds() }
 	n := (len(class) + 9) / 10
@@ -331,8 +333,8 @@
 	return out
 }
 
-// beginInTime holds the largest jobs of each class against the time in which they must
-// begin. Jobs that came after a time do not count.
+// beginInTime checks that the largest jobs of each class started within beginsWithin. Jobs
+// accepted after the given time do not count.
 func (c *checker) beginInTime(until time.Duration) {
 	by := map[string][]*userJob{}
 	for _, j := range c.s.jobs {
@@ -343,13 +345,13 @@
 	for class, list := range by {
 		for _, j := range largest(list) {
 			if at, ok := c.begun[j.id]; !ok || at-j.acceptedAt > beginsWithin {
-				c.fail("begins_late", "%d, of the largest of class %s, %d tasks, accepted at %v, began at %v", j.id, class, j.spec.Job.Tasks, j.acceptedAt.Round(time.Second), at.Round(time.Second))
+				c.fail("begins_late", "job %d, one of the largest of class %s, with %d tasks, accepted at %v, started at %v", j.id, class, j.spec.Job.Tasks, j.acceptedAt.Round(time.Second), at.Round(time.Second))
 			}
 		}
 	}
 }
 
-// over says whether all tasks of a job have completed.
+// over reports whether all tasks of a job have completed.
 func (c *checker) over(id uint64) bool {
 	for k := range c.s.jobs[id].spec.Job.Tasks {
 		if !c.completeN[task{id, k}] {
@@ -359,7 +361,7 @@
 	return true
 }
 
-// before lists the jobs that a job needs, directly or through others.
+// before returns the jobs that a job depends on, directly and transitively.
 func (c *checker) before(j *userJob) []*userJob {
 	var out []*userJob
 	if j.spec.Job == nil {
@@ -380,8 +382,8 @@
 	c.completeN[t] = true
 }
 
-// told takes an answer to a request that was sent at a time: one sent before
-// another answer was told may be overtaken by it.
+// told checks an answer to a request that was sent at the given time. An answer to a request
+// sent before the job's end was reported may be out of date, and its state is not checked.
 func (c *checker) told(j *userJob, a effects.Answer, sent time.Duration) {
 	if a.Status == 200 || a.Status == 201 {
 		if c.answered == nil {
@@ -391,9 +393,9 @@
 	}
 	switch {
 	case a.Status == 404 && j.accepted:
-		c.fail("forgotten", "%d gets 404", j.id)
+		c.fail("forgotten", "job %d is answered with 404", j.id)
 	case (a.Status == 200 || a.Status == 201) && j.spec.Job == nil:
-		c.fail("invented", "%d gets %d", j.id, a.Status)
+		c.fail("invented", "job %d, which was never submitted, is answered with %d", j.id, a.Status)
 	}
 	if a.Status == 404 {
 		j.state = "unknown"
@@ -406,17 +408,17 @@
 	}
 	j.state = []string{"queued", "running", "done", "cancelled"}[a.State]
 	if j.toldDone && sent > j.goneAt && a.State != wire.Done {
-		c.fail("went_back", "%d was done, is %s", j.id, j.state)
+		c.fail("went_back", "job %d was reported done and is now %s", j.id, j.state)
 	}
 	if j.gone && sent > j.goneAt && a.State != wire.Cancelled {
-		c.fail("went_back", "%d was cancelled, is %s", j.id, j.state)
+		c.fail("went_back", "job %d was reported cancelled and is now %s", j.id, j.state)
 	}
 	limit := settingsSeconds(c.s.cfg.Deployment.Workers.CancelS)
 	mayEnd := j.asked
 	for _, b := range c.before(j) {
 		mayEnd = mayEnd || b.asked
 		if b.gone && sent > b.goneAt+limit && (a.State == wire.Queued || a.State == wire.Running) {
-			c.fail("orphaned", "%d is %s, though %d is cancelled", j.id, j.state, b.id)
+			c.fail("orphaned", "job %d is %s although job %d is cancelled", j.id, j.state, b.id)
 		}
 	}
 	switch a.State {
@@ -427,23 +429,23 @@
 		}
 		for k := range j.spec.Job.Tasks {
 			if !c.completeN[task{j.id, k}] {
-				c.fail("not_done", "%d is called done without task %d", j.id, k)
+				c.fail("not_done", "job %d is reported done without task %d", j.id, k)
 			}
 		}
 	case wire.Cancelled:
 		if !mayEnd {
-			c.fail("went_back", "%d was not cancelled by its user", j.id)
+			c.fail("went_back", "job %d is reported cancelled, but its user did not cancel it", j.id)
 		}
 		if !j.gone {
 			if n := c.s.somewhere(j.id); n > 0 && !j.byProduction {
-				c.fail("told_early", "%d is called cancelled while %d of its tasks are on machines", j.id, n)
+				c.fail("told_early", "job %d is reported cancelled while %d of its tasks are on machines", j.id, n)
 			}
 			j.gone, j.goneAt = true, c.s.now
 			c.s.look(j, false)
 			c.s.after(limit, func() {
 				for k := range j.spec.Job.Tasks {
 					for m := range c.on[task{j.id, k}] {
-						c.fail("ran_cancelled", "%d/%d is still on %s", j.id, k, m)
+						c.fail("ran_cancelled", "task %d/%d is still on %s after the cancellation deadline", j.id, k, m)
 					}
 				}
 			})
--- a/internal/scenario/record_test.go
+++ b/internal/scenario/record_test.go
@@ -16,10 +16,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestRecordNights plays nights of work of a few kinds, with a peak, a leader that
-// crashes and a night on which everything is slow, and writes what the leaders have
-// noted of it into a file: RECORD names it. The weighing of what is "the same job"
-// goes by that file (internal/runtimes/testdata).
+// TestRecordNights simulates nights of several kinds of jobs, with a peak load, a leader
+// crash and one night on which all jobs run slowly. It writes the run-time facts that the
+// leaders logged to the file that RECORD names. The choice of the key that identifies
+// "the same job" was evaluated on that file (internal/runtimes/testdata).
 func TestRecordNights(t *testing.T) {
 	path := os.Getenv("RECORD")
 	if path == "" {
@@ -44,18 +44,21 @@
 			id++
 			class, team, image := fmt.Sprint("class", r.IntN(3)), fmt.Sprint("t", r.IntN(2)), fmt.Sprint("image", r.IntN(8))
 			tasks := []int{6, 24}[r.IntN(2)]
-			key := class + image // users give one image different work in different classes
+			key := class + image // one image does different work in different classes
 			if base[key] == 0 {
 				base[key] = 6 * math.Exp(.6*r.NormFloat64())
 			}
 			took := base[key] * map[bool]float64{false: 1, true: 1.25}[tasks > 10] * math.Exp(.08*r.NormFloat64()) * slow
 			owner := base[key] * .6 * math.Exp(.5*r.NormFloat64())
-			job := &eventlog.Job{ID: id, Class: class, Team: team, Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: image, ImageGB: .3, Spot: true, EstimateS: owner}
+			job := &eventlog.Job{
+				ID: id, Class: class, Team: team, Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1,
+				Image: image, ImageGB: .3, Spot: true, EstimateS: owner,
+			}
 			j := &userJob{id: id, run: time.Duration(took * float64(time.Second)), spec: wire.Submission{ID: id, HasID: true, Job: job}}
 			s.jobs[id] = j
 			at := time.Duration(n) * 8 * time.Second
 			if n > 20 && n < 35 {
-				at = time.Duration(160+n) * time.Second // the peak
+				at = time.Duration(160+n) * time.Second // the peak load
 			}
 			s.after(at, func() { s.submit(j, n%3, func() bool { return true }) })
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -22,8 +22,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestScenarios plays every file of testdata. The first line of a file's
-// first command says what failure it stands for.
+// TestScenarios runs every scenario file of testdata. The comment at the head of a file
+// describes the failure that it guards against.
 func TestScenarios(t *testing.T) {
 	datadriven.Walk(t, "testdata", func(t *testing.T, path string) {
 		var p *player
@@ -37,9 +37,9 @@
 			}
 			return p.play(t, d)
 		})
-		// Whatever a file looks at, no rule may be broken in it.
+		// No invariant may be violated in a scenario, whatever else it checks.
 		if p != nil && len(p.s.check.broken) > 0 {
-			t.Errorf("rules broken: %s", strings.Join(p.s.check.broken, "; "))
+			t.Errorf("violated invariants: %s", strings.Join(p.s.check.broken, "; "))
 		}
 	})
 }
@@ -77,7 +77,8 @@
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(arg(t, d, "limit", 0))
 	if d.HasArg("guaranteed") {
-		c.Deployment.Teams = append(c.Deployment.Teams, settings.Team{Name: "other", CPUs: float64(arg(t, d, "guaranteed", 0))})
+		c.Deployment.Teams = append(c.Deployment.Teams,
+			settings.Team{Name: "other", CPUs: float64(arg(t, d, "guaranteed", 0))})
 	}
 	c.Deployment.State.WriteRPS = float64(arg(t, d, "write-rps", 20))
 	if v := arg(t, d, "value-bytes", 0); v > 0 {
@@ -100,7 +101,7 @@
 		c.Tunables.ColdListen, c.Tunables.ColdKept, c.Tunables.ListFirst, c.Tunables.AdaptCalls = 1, 5, 1, 1
 		c.Tunables.ColdStarts, c.Tunables.ColdImages = float64(arg(t, d, "starts", 0)), arg(t, d, "images", 0)
 	}
-	if d.HasArg("direct") { // every job should start sooner than an idle worker reports
+	if d.HasArg("direct") { // the wait objective is shorter than an idle worker's report interval
 		c.Tunables.PushDispatches, c.Tunables.ReadyWindowS, c.Tunables.ProbeSilent = arg(t, d, "direct", 8), 600, arg(t, d, "ask", 0)
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
@@ -114,7 +115,9 @@
 				d.Fatalf(t, "pools: %v", err)
 			}
 			units[name] = v
-			c.Tunables.Pools = append(c.Tunables.Pools, settings.Pool{Name: name, Units: v, HoldAfterLossS: float64(arg(t, d, "hold-after-loss", 0))})
+			c.Tunables.Pools = append(c.Tunables.Pools, settings.Pool{
+				Name: name, Units: v, HoldAfterLossS: float64(arg(t, d, "hold-after-loss", 0)),
+			})
 		}
 	}
 	p := &player{newSim(c, uint64(arg(t, d, "seed", 1)), arg(t, d, "nodes", 3), d.HasArg("old"))}
@@ -158,7 +161,9 @@
 		return j.state
 	case "abort":
 		s.abort(s.jobs[id], arg(t, d, "at", 0))
-	case "told-by-production": // a leader of that version has a cancellation written and tells its user at once, whatever runs, and ends
+	case "told-by-production":
+		// A leader of the version in production writes a cancellation, reports it to the user at
+		// once although tasks may still run, and terminates.
 		j := s.jobs[id]
 		for _, c := range s.nodes {
 			if c.up {
@@ -184,7 +189,7 @@
 			}
 			return true
 		}) {
-			return "not all are over"
+			return "not all jobs have ended"
 		}
 	case "await-running":
 		n := arg(t, d, "tasks", 1)
@@ -210,12 +215,12 @@
 				c.start(d.HasArg("old"))
 			}
 		}
-	case "quick": // killed, and back in a tenth of a second, so many times
+	case "quick": // crashes the leader, or all controllers, repeatedly, with a restart after 100 ms
 		for range arg(t, d, "times", 1) {
 			list := slices.Clone(s.nodes)
 			if arg(t, d, "node", "") != "all" {
 				if !s.until(30*time.Second, func() bool { return s.leader() != nil }) {
-					return "nobody leads"
+					return "no leader"
 				}
 				list = []*controller{s.leader()}
 			}
@@ -268,7 +273,7 @@
 	case "cut":
 		for _, h := range p.hosts(t, d) {
 			from := []string{arg(t, d, "from", "")}
-			if from[0] == "others" { // all controllers but the leader
+			if from[0] == "others" { // all controllers except the leader
 				from = from[:0]
 				for _, c := range s.nodes {
 					if c != s.leader() {
@@ -280,15 +285,15 @@
 				s.cuts = append(s.cuts, &cut{host: h, with: w, hold: d.HasArg("hold")})
 			}
 		}
-	case "cut-zone": // its machines and a controller that is in it reach one another, and nobody else
+	case "cut-zone": // partitions a zone: its machines and one controller reach only one another
 		s.cutZone(arg(t, d, "zone", "b"), arg(t, d, "node", "n2"), 0, d.HasArg("hold"))
-	case "refuse-peers": // no controller reaches another
+	case "refuse-peers": // partitions every pair of controllers
 		for i, a := range s.nodes {
 			for _, b := range s.nodes[i+1:] {
 				s.cuts = append(s.cuts, &cut{host: a.name, with: b.name})
 			}
 		}
-	case "apart": // nodes that do not reach the leader, and say so to the load balancer
+	case "apart": // the number of controllers that report to the load balancer that they are partitioned
 		n := 0
 		for _, c := range s.nodes {
 			if c.up && c.core.Partitioned(c.clock()) {
@@ -296,7 +301,7 @@
 			}
 		}
 		return fmt.Sprintf("%d", n)
-	case "deafen": // the leader hears neither machines nor peers
+	case "deafen": // partitions the leader from all machines and peers
 		l := s.leader()
 		for _, c := range s.nodes {
 			if c != l {
@@ -325,57 +330,57 @@
 			w.hung = true
 			s.after(span(t, d, "for"), func() { w.hung = false })
 		}
-	case "deaf": // their reports arrive, and nothing reaches them
+	case "deaf": // one-way partition: drops all packets to the machines; their reports still arrive
 		for _, h := range p.hosts(t, d) {
 			s.deaf[h] = true
 			if v := span(t, d, "for"); v > 0 {
 				s.after(v, func() { delete(s.deaf, h) })
 			}
 		}
-	case "mute": // they reach no controller, while direct commands reach them
+	case "mute": // one-way partition: drops the machines' reports; direct commands still reach them
 		for _, h := range p.hosts(t, d) {
 			s.mute[h] = true
 			if v := span(t, d, "for"); v > 0 {
 				s.after(v, func() { delete(s.mute, h) })
 			}
 		}
-	case "keep-reports": // of that share of reports a copy is kept for the next leader
+	case "keep-reports": // keeps a copy of this share of the reports, to be replayed to the next leader
 		s.keep = arg(t, d, "share", 0.5)
-	case "freeze": // controllers stand still, while their clocks run on
+	case "freeze": // pauses controllers while their clocks keep running
 		for _, c := range p.pick(t, d) {
 			s.frozen[c.name] = s.now + span(t, d, "for")
 		}
-	case "cancel-now": // users call off that many jobs that run, within a fifth of a second
+	case "cancel-now": // users cancel up to that many running jobs within 200 ms
 		s.cancelNow(s.rng, arg(t, d, "count", 1), span(t, d, "hang"))
-	case "cancel-at-end": // of that share of the jobs that end
+	case "cancel-at-end": // users cancel this share of the jobs at the moment their last task completes
 		s.atEnd = arg(t, d, "share", 1.0)
-	case "looks": // users look closely
+	case "looks": // users poll intensively after each new answer
 		s.looks = !d.HasArg("off")
-	case "odd": // odd requests about a job
+	case "odd": // users send invalid or redundant requests about a job
 		for i := range arg(t, d, "times", 1) {
 			s.odd(s.jobs[id], i)
 			s.run(300 * time.Millisecond)
 		}
-	case "slow": // controllers, or machines with tasks of a job, take so much longer for everything
+	case "slow": // delays all packets to controllers, or to machines with tasks of a job
 		for _, h := range p.hosts(t, d) {
 			s.slow[h] = span(t, d, "by")
 			if v := span(t, d, "for"); v > 0 {
 				s.after(v, func() { delete(s.slow, h) })
 			}
 		}
-	case "burst": // more work than room, urgent and not
+	case "burst": // submits more work than fits, at several priorities
 		s.burst(s.rng, arg(t, d, "count", 12))
-	case "stream": // one-task jobs, four a second, a quarter of them cancelled
+	case "stream": // submits four one-task jobs a second and cancels a quarter of them
 		s.stream(s.rng, span(t, d, "for"))
-	case "calm": // all troubles are over
+	case "calm": // marks the end of fault injection
 		s.check.calm = s.now
-	case "reborn": // back at once under their names, with nothing on them
+	case "reborn": // restarts machines at once under the same names, with all state lost
 		for _, h := range p.hosts(t, d) {
 			s.cloud.machines[h].reborn()
 		}
-	case "repeat": // reports and direct commands arrive once more, now and then, so much later at most
+	case "repeat": // duplicates some reports and direct commands, delayed by at most this long
 		s.again = span(t, d, "late")
-	case "apart-node": // a controller loses the state service and the others, and not its workers
+	case "apart-node": // partitions a controller from the state service and its peers, but not from its workers
 		for _, c := range p.pick(t, d) {
 			s.state.refuse[c.name] = true
 			for _, o := range s.nodes {
@@ -384,9 +389,9 @@
 				}
 			}
 		}
-	case "left": // tasks of a job that are still anywhere
+	case "left": // the number of tasks of a job that are on any machine
 		return fmt.Sprint(s.somewhere(id))
-	case "sent": // whether starts were sent straight to workers
+	case "sent": // whether starts were sent directly to workers
 		return fmt.Sprint(s.launches > 0)
 	case "faulty":
 		for _, h := range p.hosts(t, d) {
@@ -412,7 +417,7 @@
 		return fmt.Sprintf("%d", n)
 	case "deleted":
 		return fmt.Sprintf("%v", s.cloud.deleted > 0)
-	case "switch": // what the nodes' settings say when they next start
+	case "switch": // changes a setting of all controllers, which applies at their next start
 		for _, c := range s.nodes {
 			c.cfg.Tunables.TakeoversKept = arg(t, d, "takeovers", 0)
 		}
@@ -422,13 +427,13 @@
 		return s.configState()
 	case "resize":
 		s.resize(fmt.Sprint(s.now), arg(t, d, "pool", "licence"), arg(t, d, "units", 1))
-	case "out": // units by what really runs
+	case "out": // the units in use, counted from the tasks that run
 		return fmt.Sprint(s.check.units()[arg(t, d, "pool", "licence")])
-	case "takeovers": // those that the leader knows, the last one first: epoch, and how many of their steps were reached
+	case "takeovers": // the takeovers that the leader has recorded, latest first, with their steps reached
 		l := s.leader()
 		raw, known, err := l.core.Show(l.clock(), failover.Name)
 		if err != nil || !known {
-			return fmt.Sprintf("cannot tell: %v", err)
+			return fmt.Sprintf("not available: %v", err)
 		}
 		if raw == nil {
 			return "switched off"
@@ -442,14 +447,14 @@
 			out = append(out, fmt.Sprintf("epoch %d: %d steps", r.Epoch, len(r.After)))
 		}
 		return strings.Join(out, "\n")
-	case "cold": // the leader's account: whether it was a cold start, differences by name, needless orders
+	case "cold": // the leader's record of a cold start: differences by name, and unnecessary commands
 		l := s.leader()
 		if l == nil {
-			return "nobody leads"
+			return "no leader"
 		}
 		raw, known, err := l.core.Show(l.clock(), coldstart.Name)
 		if err != nil || !known {
-			return fmt.Sprintf("cannot tell: %v", err)
+			return fmt.Sprintf("not available: %v", err)
 		}
 		var list []coldstart.Record
 		if err := json.Unmarshal(raw, &list); err != nil {
@@ -468,10 +473,12 @@
 			out = append(out, fmt.Sprintf("needless: %s %d", name, list[0].Needless[name]))
 		}
 		return strings.Join(out, "\n")
-	case "spread": // whether no controller has much more than its share, the leader's being smaller
+	case "spread":
+		// Reports whether no controller holds more than 1.25 times its share of the machines,
+		// plus one. The leader's share is smaller.
 		l := s.leader()
 		if l == nil {
-			return "nobody leads"
+			return "no leader"
 		}
 		up, weight, machines := 0, 0.0, 0
 		for _, c := range s.nodes {
@@ -495,12 +502,12 @@
 			}
 		}
 		return "even"
-	case "take": // the cloud takes machines that run tasks of a job, without notice
+	case "take": // the cloud reclaims machines that run tasks of a job, without notice
 		for _, h := range p.hosts(t, d) {
 			s.cloud.machines[h].vanish()
 			delete(s.cloud.machines, h)
 		}
-	case "started": // how many tasks have started so far
+	case "started": // the number of tasks started so far
 		return fmt.Sprint(s.check.starts)
 	case "noted":
 		for _, c := range s.nodes {
@@ -514,7 +521,7 @@
 	case "explain":
 		e, ok := s.leader().core.Explain(s.leader().clock(), id)
 		if !ok {
-			return "cannot tell"
+			return "not available"
 		}
 		return strings.Join(e.Words, "\n")
 	case "rules":
@@ -525,7 +532,7 @@
 	case "answer":
 		return s.jobs[id].state
 	default:
-		d.Fatalf(t, "%s: not played", d.Cmd)
+		d.Fatalf(t, "%s: command not implemented", d.Cmd)
 	}
 	return "ok"
 }
@@ -533,10 +540,14 @@
 func (p *player) submit(t *testing.T, d *datadriven.TestData, id uint64) {
 	kinds := map[string]uint8{"array": 0, "gang": 1, "service": 2}
 	runS := span(t, d, "run")
-	job := &eventlog.Job{ID: id, Class: "class", Team: arg(t, d, "team", "team"), Kind: kinds[arg(t, d, "kind", "array")], Priority: uint8(arg(t, d, "priority", 1)), Checkpoint: float64(arg(t, d, "checkpoint", 0)),
+	job := &eventlog.Job{
+		ID: id, Class: "class", Team: arg(t, d, "team", "team"), Kind: kinds[arg(t, d, "kind", "array")],
+		Priority: uint8(arg(t, d, "priority", 1)), Checkpoint: float64(arg(t, d, "checkpoint", 0)),
 		Tasks: arg(t, d, "tasks", 1), CPUs: float64(arg(t, d, "cpus", 1)), MemoryGB: 1, Image: "image", ImageGB: 0.3,
-		Zone: arg(t, d, "zone", ""), OneZone: d.HasArg("one-zone"), Spread: d.HasArg("spread"), Spot: !d.HasArg("no-spot"), EstimateS: max(1, runS.Seconds())}
-	if counted := arg(t, d, "counted", ""); counted != "" { // POOL:UNITS, each with /job where it is for the job as a whole
+		Zone: arg(t, d, "zone", ""), OneZone: d.HasArg("one-zone"), Spread: d.HasArg("spread"),
+		Spot: !d.HasArg("no-spot"), EstimateS: max(1, runS.Seconds()),
+	}
+	if counted := arg(t, d, "counted", ""); counted != "" { // POOL:UNITS, …; /job: per job instead of per task
 		for c := range strings.SplitSeq(counted, ",") {
 			c, whole := strings.CutSuffix(c, "/job")
 			pool, units, _ := strings.Cut(c, ":")
@@ -570,19 +581,19 @@
 		if l := p.s.leader(); l != nil {
 			return []*controller{l}
 		}
-		d.Fatalf(t, "nobody leads")
+		d.Fatalf(t, "no leader")
 	default:
 		for _, c := range p.s.nodes {
 			if c.name == who {
 				return []*controller{c}
 			}
 		}
-		d.Fatalf(t, "no node %s", who)
+		d.Fatalf(t, "unknown node %s", who)
 	}
 	return nil
 }
 
-// hosts picks nodes, or machines that run tasks of a job.
+// hosts returns the names of the selected controllers, or of machines that run tasks of a job.
 func (p *player) hosts(t *testing.T, d *datadriven.TestData) []string {
 	if d.HasArg("node") {
 		var out []string
@@ -623,8 +634,8 @@
 	return n
 }
 
-// freshChecked is a world without controllers, with a job of four tasks of a team that may use two
-// processors, and two machines.
+// freshChecked returns a simulation without controllers, an accepted job of four tasks whose team
+// is limited to two CPUs, and two machines.
 func freshChecked() (*sim, *userJob, *worker, *worker) {
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = 2
@@ -635,7 +646,7 @@
 	return s, j, &worker{s: s, name: "w1", zone: "a"}, &worker{s: s, name: "w2", zone: "b"}
 }
 
-// TestCheckerCatches breaks each rule on purpose: a checker that sees
+// TestCheckerCatches violates each invariant on purpose, because a checker that detects
 // nothing would pass every scenario.
 func TestCheckerCatches(t *testing.T) {
 	cases := []struct {
@@ -677,14 +688,14 @@
 			s.cloud.machines[w1.name] = w1
 			s.check.told(j, effects.Answer{Status: 200, State: wire.Cancelled}, s.now)
 		}},
-		{"ran_cancelled", func(s *sim, j *userJob, w1, _ *worker) { // at once, and not only later
+		{"ran_cancelled", func(s *sim, j *userJob, w1, _ *worker) { // detected at once, not only after the deadline
 			j.asked = true
 			s.check.told(j, effects.Answer{Status: 200, State: wire.Cancelled}, s.now)
 			s.check.started(task{1, 0}, w1)
 		}},
-		{"ran_cancelled", func(s *sim, j *userJob, w1, _ *worker) { // one that goes on after its machine hung
+		{"ran_cancelled", func(s *sim, j *userJob, w1, _ *worker) { // the task continues after its machine hung
 			j.asked, j.byProduction, j.run = true, true, 90*time.Second
-			w1.session, w1.tasks = 1, map[task]*run{} // it reports to nobody here
+			w1.session, w1.tasks = 1, map[task]*run{} // there is no controller to report to
 			w1.startTask(task{1, 0}, 1)
 			s.run(time.Second)
 			w1.hung = true
@@ -696,7 +707,7 @@
 			s.cloud.machines[w1.name] = w1
 			s.run(100 * time.Second)
 		}},
-		{"left_waiting", func(s *sim, j *userJob, w1, w2 *worker) { // a gang, over two machines
+		{"left_waiting", func(s *sim, j *userJob, w1, w2 *worker) { // a gang that fits on two machines together
 			j.spec.Job.Kind, s.cfg.Deployment.Teams[0].CPUsMax = 1, 4
 			w1.tasks = map[task]*run{{9, 0}: {}}
 			s.jobs[9] = &userJob{id: 9, spec: wire.Submission{ID: 9, Job: &eventlog.Job{ID: 9, CPUs: 3}}}
@@ -725,7 +736,7 @@
 			s.check.inOrder(j, answer{effects.Answer{Status: 404}, time.Second})
 		}},
 		{"forgotten", func(s *sim, j *userJob, _, _ *worker) { s.check.told(j, effects.Answer{Status: 404}, s.now) }},
-		{"forgotten", func(s *sim, j *userJob, _, _ *worker) { // one whose questions are shed for ever
+		{"forgotten", func(s *sim, j *userJob, _, _ *worker) { // every query about the job is rejected with 503
 			s.check.calm = 1
 			s.check.told(j, effects.Answer{Status: 503}, s.now)
 			s.run(76 * time.Second)
@@ -754,7 +765,7 @@
 			second.Follows = []uint64{1}
 			s.jobs[2] = &userJob{id: 2, spec: wire.Submission{ID: 2, Job: &second}}
 			for k := range 3 {
-				s.check.completed(task{1, k}) // all but one
+				s.check.completed(task{1, k}) // all tasks but one
 			}
 			s.check.started(task{2, 0}, w1)
 		}},
@@ -771,7 +782,7 @@
 		s, j, w1, w2 := freshChecked()
 		c.do(s, j, w1, w2)
 		if !slices.ContainsFunc(s.check.broken, func(b string) bool { return strings.HasPrefix(b, c.rule) }) {
-			t.Errorf("%s broken on purpose was not seen: %v", c.rule, s.check.broken)
+			t.Errorf("%s violated on purpose was not detected: %v", c.rule, s.check.broken)
 		}
 	}
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -16,8 +16,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// stateService is a stand-in for the state service, with versions,
-// conditions, holds and watches.
+// stateService simulates the state service, with versions, conditional transactions, leases
+// and watches.
 type stateService struct {
 	s       *sim
 	rev     uint64
@@ -26,22 +26,22 @@
 	nextID  uint64
 	holder  string
 	outage  bool
-	refuse  map[string]bool // nodes that are served 503
-	loseOut int             // so many answers to transactions are lost
-	delayed time.Duration   // the next transaction is given up on, and applied this much later
-	// That share of transactions has no answer and is carried out 2 to 12 s later, after
-	// newer ones.
+	refuse  map[string]bool // controllers whose requests are answered with 503
+	loseOut int             // number of answers to transactions that are still to be lost
+	delayed time.Duration   // the next transaction times out, and is applied after this delay
+	// Share of transactions that are not answered, and are applied 2 to 12 s later, out of
+	// order with newer ones.
 	lateShare float64
-	// Of these they are carried out at once, and only the answer is lost. Holds and renewals
-	// count as transactions then.
+	// With atOnce, that share of transactions is applied at once and only the answer is lost.
+	// It then applies to the creation and renewal of leases as well.
 	atOnce  bool
 	watches []func()
 	writes  int
-	rates   map[time.Duration]int // changes by second; nil: not counted
+	rates   map[time.Duration]int // writes by second; nil: not counted
 	cleaned int
-	facts   map[uint64]bool       // jobs whose facts of run times were durable; nil: not watched
-	record  func(json.RawMessage) // takes each new one of them
-	lowered bool                  // the announced limits are in force
+	facts   map[uint64]bool       // jobs whose run-time facts have been durable; nil: not recorded
+	record  func(json.RawMessage) // receives each new run-time fact; may be nil
+	lowered bool                  // the announced lower limits apply
 }
 
 type item struct {
@@ -98,6 +98,7 @@
 	}
 }
 
+// recover ends the outage and extends every lease by its full length.
 func (st *stateService) recover() {
 	st.outage = false
 	for _, h := range st.holds {
@@ -133,12 +134,12 @@
 	}
 	for _, w := range writes {
 		if len(w.Value) > int(lim.ValueKB*1024) {
-			st.s.check.fail("state limits", "a value of %d bytes for %s", len(w.Value), w.Key)
+			st.s.check.fail("state limits", "a value of %d bytes for key %s", len(w.Value), w.Key)
 			return txnResult{out: eventlog.Invalid}
 		}
 	}
 	if len(writes) > lim.TxnOps {
-		st.s.check.fail("state limits", "a transaction of %d changes", len(writes))
+		st.s.check.fail("state limits", "a transaction of %d writes", len(writes))
 		return txnResult{out: eventlog.Invalid}
 	}
 	if failed != nil {
@@ -161,8 +162,8 @@
 	return txnResult{out: eventlog.Applied, mark: st.rev}
 }
 
-// lateWrite says whether a transaction is one that has no answer, and has it carried out
-// later.
+// lateWrite decides at random whether a transaction is not answered; if so, it schedules the
+// delayed application and returns true.
 func (st *stateService) lateWrite(writes []eventlog.Write, apply func() eventlog.Outcome) bool {
 	if st.lateShare == 0 || st.atOnce || st.s.rng.Float64() >= st.lateShare {
 		return false
@@ -187,7 +188,7 @@
 	return true
 }
 
-// answerLost says whether the answer to something that was carried out is lost.
+// answerLost decides at random whether the answer to an applied request is lost.
 func (st *stateService) answerLost(what ...string) bool {
 	if !st.atOnce || st.s.rng.Float64() >= st.lateShare {
 		return false
@@ -198,7 +199,7 @@
 	return true
 }
 
-// written names what a transaction changes, by kind.
+// written lists the key prefixes that a transaction writes or removes.
 func written(writes []eventlog.Write) []string {
 	var out []string
 	for _, w := range writes {
@@ -269,7 +270,7 @@
 	})
 }
 
-// steps names what a transaction makes durable on the way from a rental to a start.
+// steps lists the steps from a rental to a start that a transaction makes durable.
 func (st *stateService) steps(writes []eventlog.Write) []string {
 	if st.s.moment == nil {
 		return nil
@@ -300,7 +301,7 @@
 	return slices.Compact(out)
 }
 
-// append writes an entry into the log as its last one.
+// append writes an entry as the last one of the log.
 func (st *stateService) append(t *testing.T, e eventlog.Entry) {
 	last := 0
 	for k := range st.items {
@@ -313,7 +314,7 @@
 		t.Fatal(err)
 	}
 	if r := st.apply(nil, []eventlog.Write{{Key: eventlog.SegmentKey(last + 1), Value: raw}}, 0); r.out != eventlog.Applied {
-		t.Fatalf("not written: %v", r)
+		t.Fatalf("entry not applied: %v", r)
 	}
 }
 
@@ -353,7 +354,7 @@
 	})
 }
 
-// values reads a page of a duty's own values, a few at a time.
+// values reads a page of up to three values of a leader component.
 func (st *stateService) values(c *controller, duty, since string) {
 	type page struct {
 		list []eventlog.ComponentValue
@@ -545,23 +546,26 @@
 
 func settingsSeconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// cloud is a stand-in for the cloud.
+// cloud simulates the cloud provider.
 type cloud struct {
 	s        *sim
 	answers  map[string][]string
 	machines map[string]*worker
-	told     map[string]bool // machines of rentals whose answer has arrived
+	told     map[string]bool // machines whose rental's answer has arrived
 	next     int
 	capacity int
 	boot     time.Duration
-	answer   time.Duration // its answers to rentals take so much longer
-	dud      int           // so many of the next machines never come up
-	late     time.Duration // the next rental is given up on, and executed this much later
+	answer   time.Duration // added latency of answers to rentals
+	dud      int           // number of the next machines that never boot
+	late     time.Duration // the next rental times out, and is executed after this delay
 	outage   bool
 	deleted  int
 }
 
-var types = []eventlog.MachineType{{Name: "m4", CPUs: machineCPUs, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 5, Zones: []string{"a", "b"}}}
+var types = []eventlog.MachineType{{
+	Name: "m4", CPUs: machineCPUs, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3,
+	BootS: 5, Zones: []string{"a", "b"},
+}}
 
 func (cl *cloud) execute(r eventlog.Rental) []string {
 	if got, ok := cl.answers[r.Name]; ok {
@@ -689,7 +693,7 @@
 		w := cl.machines[n]
 		list = append(list, wire.ListedMachine{Machine: eventlog.Machine{Name: n, Address: n, Type: "m4", Zone: w.zone, Spot: w.spot}})
 	}
-	// The list is as old as the time it takes to come.
+	// The list is a snapshot from the time of the request, and stale when it arrives.
 	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]wire.ListedMachine)) {
 		if !cl.outage {
 			cl.s.after(2*time.Second, func() { reply(list) })
@@ -701,7 +705,7 @@
 	})
 }
 
-// learned notes the jobs whose facts of run times were ever durable.
+// learned records the jobs whose run-time facts became durable.
 func (st *stateService) learned(w eventlog.Write) {
 	if _, err := eventlog.SegmentNumber(w.Key); st.facts == nil || err != nil {
 		return
@@ -728,7 +732,7 @@
 	}
 }
 
-// owned counts the entries of a duty that are in the log.
+// owned counts the log entries of a leader component.
 func (st *stateService) owned(duty string) int {
 	n := 0
 	for k, it := range st.items {
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -18,7 +18,7 @@
 	"bitternmoor/internal/wire"
 )
 
-// event is something due at a time; seq keeps the order of equal times.
+// event is a callback that is due at a simulated time; seq orders events with equal times.
 type event struct {
 	at  time.Duration
 	seq int
@@ -40,17 +40,17 @@
 	return e
 }
 
-// cut is an interruption between a host and others. Held packets arrive when
-// it ends, others are lost.
+// cut is a network partition between a host and others. With hold, packets are delivered when
+// it heals; otherwise they are lost.
 type cut struct {
 	host   string
-	with   string          // empty: all hosts
-	inside map[string]bool // of a zone that is cut off: hosts that go on reaching one another
+	with   string          // the other host; empty: all hosts
+	inside map[string]bool // hosts on the same side of the partition, which still reach one another
 	hold   bool
 	held   []func()
 }
 
-// sim is the simulated world.
+// sim is a discrete-event simulation of the platform.
 type sim struct {
 	now   time.Duration
 	q     queue
@@ -62,47 +62,54 @@
 	cloud *cloud
 	check *checker
 	cuts  []*cut
-	cutAt map[string][]*cut // by host, of the first so many cuts; made anew when their number differs
+	cutAt map[string][]*cut // index of cuts by host, rebuilt when the number of cuts differs from cutN
 	cutN  int
-	slow  map[string]time.Duration // hosts that take so much longer for everything
+	slow  map[string]time.Duration // added latency of packets, by receiving host
 	jobs  map[uint64]*userJob
-	deaf  map[string]bool // hosts that are heard, and that nothing reaches
-	again time.Duration   // reports and direct commands arrive once more, so much later at most; 0: not
-	mute  map[string]bool // machines that reach no controller, while direct commands reach them
+	deaf  map[string]bool // hosts that all packets to are dropped, while those from them arrive
+	again time.Duration   // largest delay of duplicated reports and direct commands; 0: no duplicates
+	mute  map[string]bool // machines whose reports are dropped, while direct commands reach them
 
-	frozen    map[string]time.Duration // controllers that stand still, and until when; their clocks run on
-	keep      float64                  // of that share of the reports a copy is kept for the next leader
+	frozen    map[string]time.Duration // paused controllers, and until when; their clocks keep running
+	keep      float64                  // share of the reports that are copied, to be replayed to the next leader
 	kept      []*workers.Report
-	preempted func(j *userJob, w *worker) // told of tasks that run and are stopped; nil: nobody listens
-	moment    func(what string)           // told of steps on the way from a rental to a start; nil: nobody listens
-	atEnd     float64                     // that share of the jobs that end is cancelled at the moment of its end
-	looks     bool                        // users ask at all controllers, and submit again, right after an answer that tells something new
-	strange   uint64                      // ids of odd submissions, which nobody may be told of, count down from here
+	preempted func(j *userJob, w *worker) // called when a running task is stopped; may be nil
+	moment    func(what string)           // called around each step from a rental to a start; may be nil
+	atEnd     float64                     // share of the jobs that are cancelled as their last task completes
+	looks     bool                        // users poll and resubmit at all controllers after new answers
+	strange   uint64                      // id of the latest invalid new submission; counts down
 
-	began time.Duration // time of day at time 0
+	began time.Duration // time of day at simulated time 0
 
-	moved    []time.Duration        // when machines were sent, or went, to another controller
-	launches int                    // direct starts that were sent
-	ends     map[task]time.Duration // when the last start of a task will have run
-	seen     map[string]int         // what troubles really brought about, by its words
-	scale    *scaleCounts           // nil but on days that are measured
+	moved    []time.Duration        // when machines were redirected, or failed over, to another controller
+	launches int                    // number of start commands sent directly to workers
+	ends     map[task]time.Duration // when the latest run of a task is due to complete
+	seen     map[string]int         // coverage: how often each effect of a fault occurred, by description
+	scale    *scaleCounts           // nil except in runs that measure scale
 
 	configs   configPlay
-	poolUnits map[string]int      // most units that may be out, by pool
-	resizes   map[string][]func() // changes of pools that wait for one another, the one under way first
+	poolUnits map[string]int      // most units that may be in use, by pool
+	resizes   map[string][]func() // queued resize requests by pool, the one in progress first
 }
 
-// newSim makes a world of so many controllers; with old they begin with the
-// version in production.
+// newSim returns a simulation with count controllers; with old they start on the version in
+// production.
 func newSim(cfg settings.Settings, seed uint64, count int, old bool) *sim {
 	return newSimAt(0, cfg, seed, count, old)
 }
 
-// newSimAt makes one that begins at a time of day.
+// newSimAt is newSim with a time of day at which the simulation begins.
 func newSimAt(began time.Duration, cfg settings.Settings, seed uint64, count int, old bool) *sim {
-	s := &sim{began: began, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, jobs: map[uint64]*userJob{}, deaf: map[string]bool{}, mute: map[string]bool{}, frozen: map[string]time.Duration{}, strange: 999_000, slow: map[string]time.Duration{}, ends: map[task]time.Duration{}}
+	s := &sim{
+		began: began, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, jobs: map[uint64]*userJob{},
+		deaf: map[string]bool{}, mute: map[string]bool{}, frozen: map[string]time.Duration{},
+		strange: 999_000, slow: map[string]time.Duration{}, ends: map[task]time.Duration{},
+	}
 	s.state = &stateService{s: s, items: map[string]item{}, holds: map[uint64]*hold{}, refuse: map[string]bool{}}
-	s.cloud = &cloud{s: s, answers: map[string][]string{}, machines: map[string]*worker{}, told: map[string]bool{}, capacity: 40, boot: 5 * time.Second}
+	s.cloud = &cloud{
+		s: s, answers: map[string][]string{}, machines: map[string]*worker{}, told: map[string]bool{},
+		capacity: 40, boot: 5 * time.Second,
+	}
 	s.check = &checker{s: s, on: map[task]map[string]bool{}}
 	for i := range count {
 		c := cfg
@@ -142,7 +149,8 @@
 	s.now = end
 }
 
-// until runs until the condition holds, and says whether it came to hold.
+// until runs the simulation until the condition holds or the limit is reached, and reports
+// whether the condition holds.
 func (s *sim) until(limit time.Duration, done func() bool) bool {
 	end := s.now + limit
 	for s.now < end && !done() {
@@ -151,8 +159,9 @@
 	return done()
 }
 
+// between returns a partition that separates two hosts, or nil.
 func (s *sim) between(a, b string) *cut {
-	if len(s.cuts) != s.cutN { // half of a large fleet may be cut off: not all are looked through for each packet
+	if len(s.cuts) != s.cutN { // half of a large fleet may be cut off, so the cuts are indexed by host
 		s.cutAt, s.cutN = map[string][]*cut{}, len(s.cuts)
 		for _, c := range s.cuts {
 			s.cutAt[c.host] = append(s.cutAt[c.host], c)
@@ -168,14 +177,14 @@
 	return nil
 }
 
-// comes tells whoever listens that a step is about to be done, or was.
+// comes calls the hook, if there is one, before or after a step.
 func (s *sim) comes(what string) {
 	if s.moment != nil {
 		s.moment(what)
 	}
 }
 
-// saw counts something that a trouble really brought about.
+// saw counts an effect of a fault that occurred.
 func (s *sim) saw(what string) {
 	if s.seen == nil {
 		s.seen = map[string]int{}
@@ -183,15 +192,15 @@
 	s.seen[what]++
 }
 
-// copies has a message arrive once more, now and then.
+// copies duplicates one message in four, with a random delay, while duplication is on.
 func (s *sim) copies(f func()) {
 	if s.again > 0 && s.rng.IntN(4) == 0 {
 		s.after(time.Duration(s.rng.Int64N(int64(s.again))), f)
 	}
 }
 
-// deliverKept has the copies of reports that were kept reach every controller: as a new
-// leader begins, and once it has acted.
+// deliverKept replays the copied reports to every controller, both as a new leader's term
+// starts and after the leader has acted.
 func (s *sim) deliverKept() {
 	list := s.kept
 	s.kept = nil
@@ -210,7 +219,7 @@
 							s.saw("a kept report of an earlier session")
 						}
 					}
-					n.core.HandleHeartbeat(n.clock(), 0, r) // nobody hears the answer
+					n.core.HandleHeartbeat(n.clock(), 0, r) // the answer is discarded
 					n.drain()
 				})
 			}
@@ -218,7 +227,7 @@
 	}
 }
 
-// send carries a packet; f runs at its arrival.
+// send transmits a packet between two hosts; f runs when it arrives.
 func (s *sim) send(from, to string, f func()) {
 	if s.deaf[to] {
 		s.saw("a packet to a deaf machine lost")
@@ -233,11 +242,11 @@
 	s.after(s.stands(to)+time.Millisecond+s.slow[to]+time.Duration(s.rng.IntN(3000))*time.Microsecond, f)
 }
 
-// stands is for how long a host will stand still yet.
+// stands returns for how long a host remains paused.
 func (s *sim) stands(host string) time.Duration { return max(0, s.frozen[host]-s.now) }
 
-// cutZone has a zone's machines and a controller reach one another and nobody else, for a
-// while; 0: until all is healed.
+// cutZone partitions a zone: its machines and one controller reach only one another, for the
+// given length, or until healed if it is 0.
 func (s *sim) cutZone(zone, node string, length time.Duration, hold bool) {
 	inside := map[string]bool{node: true}
 	for n, w := range s.cloud.machines {
@@ -253,6 +262,7 @@
 	}
 }
 
+// heal ends the partitions of a host and delivers the packets that were held.
 func (s *sim) heal(host string) {
 	s.cutN = -1
 	s.cuts = slices.DeleteFunc(s.cuts, func(c *cut) bool {
@@ -266,8 +276,8 @@
 	})
 }
 
-// call makes a request with a deadline. serve runs at the server and hands
-// its result to reply; done gets the result, or ok false at the deadline.
+// call makes a request with a deadline. serve runs at the server and passes its result to
+// reply; done receives the result, or ok false at the deadline.
 func call[T any](s *sim, from, to string, limit time.Duration, serve func(reply func(T)), done func(res T, ok bool)) {
 	over := false
 	s.send(from, to, func() {
@@ -284,7 +294,7 @@
 	late = func() {
 		switch still := s.stands(from); {
 		case over:
-		case still > 0: // it notices only then, and takes no answer that is as late
+		case still > 0: // a paused caller times out when it resumes; an answer as late is dropped
 			s.after(still, late)
 		default:
 			over = true
@@ -295,14 +305,14 @@
 	s.after(limit, late)
 }
 
-// controller runs a core.
+// controller runs a controller's core in the simulation.
 type controller struct {
 	s       *sim
 	index   int
 	name    string
 	cfg     *settings.Settings
 	core    *node.Core
-	life    int // counts starts; inputs of an earlier life are dropped
+	life    int // number of process starts and crashes; inputs for an earlier one are dropped
 	began   time.Duration
 	up      bool
 	old     bool // runs the version in production, see frozen_test.go
@@ -319,7 +329,7 @@
 	c.began = c.s.now
 	cfg := *c.cfg
 	if old {
-		cfg.Deployment.State.Next = nil // it does not know of them
+		cfg.Deployment.State.Next = nil // not supported by that version
 		cfg.Tunables.NoteReturns, cfg.Tunables.NoteTasks, cfg.Tunables.TakeoversKept, cfg.Tunables.RunTimesKinds = 0, 0, 0, 0
 		cfg.Tunables.ColdListen, cfg.Tunables.ColdKept, cfg.Tunables.ListFirst, cfg.Tunables.AdaptCalls, cfg.Tunables.ZonePatienceS, cfg.Tunables.RebalanceMoves = 0, 0, 0, 0, 0, 0
 		cfg.Tunables.Pools, cfg.Tunables.PushDispatches, cfg.Tunables.ProbeSilent, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
@@ -344,7 +354,8 @@
 	c.s.after(time.Duration(c.index)*7*time.Millisecond, tick)
 }
 
-// replace has a controller with the version in production end, and be back with this one.
+// replace upgrades a controller from the version in production to the current one at the given
+// time, with 8 seconds of downtime.
 func (s *sim) replace(n *controller, at time.Duration) {
 	s.after(at, func() {
 		n.crash()
@@ -357,7 +368,7 @@
 	})
 }
 
-// entries reads a segment as this controller's version does.
+// entries decodes a log segment as this controller's version does.
 func (c *controller) entries(value json.RawMessage) []eventlog.Entry {
 	if c.old {
 		value = asProductionReads(value)
@@ -371,14 +382,15 @@
 
 func (c *controller) crash() { c.up = false; c.life++ }
 
-// clock is the node's steady clock: it starts with the process, and the
-// clocks of nodes run apart as far as they may.
+// clock returns the node's monotonic clock. It starts with the process, and the clocks of
+// nodes drift apart at the largest rate that is allowed.
 func (c *controller) clock() time.Duration {
 	d := c.s.now - c.began
 	return d + time.Duration(float64(d)*0.0005*float64(c.index%2))
 }
 
-// into wraps an input so that it is dropped when the process has ended.
+// into wraps an input to the core: it is dropped if the process has ended since, and delayed
+// while the controller is paused.
 func (c *controller) into(f func(now time.Duration)) func() {
 	life := c.life
 	var run func()
@@ -471,7 +483,7 @@
 			call(s, c.name, o.name, wait, func(reply func(leadership.LeaderRecord)) {
 				if o.up && !o.old {
 					led, now := o.core.PreviousLeader(e.Epoch), o.clock()
-					led.Since, led.Until = led.Since-now, led.Until-now // so long before
+					led.Since, led.Until = led.Since-now, led.Until-now // relative, because clocks differ
 					reply(led)
 				}
 			}, func(led leadership.LeaderRecord, ok bool) {
@@ -496,7 +508,7 @@
 	case effects.SendStops:
 		for _, cmd := range e.Stops {
 			if cmd.Op != workers.Stop {
-				s.check.fail("starts", "a direct command that is no stop")
+				s.check.fail("starts", "a direct command other than a stop")
 			}
 		}
 		if w := s.cloud.machines[e.Address]; w != nil {
@@ -551,17 +563,18 @@
 	}
 }
 
-// answer is an answer to a user, and when the leader made it.
+// answer is an answer to a user, with the time at which the leader created it.
 type answer struct {
 	effects.Answer
 	made time.Duration
 }
 
-// ask carries a user's request to the core, by way of the leader.
+// ask passes a user's request to the core of the leader, forwarding it once if this node does
+// not lead.
 func (c *controller) ask(hop bool, f func(c *controller, now time.Duration, to effects.RequestID), done func(answer)) {
 	unavailable := answer{Answer: effects.Answer{Status: 503, RetryAfter: 1}}
 	if !c.up {
-		return // the connection is refused; the user's deadline stands in for it
+		return // the connection is refused; simulated as a timeout at the user
 	}
 	leading, leader := c.core.Leading()
 	if !leading && !hop {
@@ -586,28 +599,28 @@
 	c.drain()
 }
 
-// userJob is a job as its user sees it.
+// userJob is a job as its user observes it.
 type userJob struct {
 	id           uint64
 	spec         wire.Submission
 	run          time.Duration
-	apart        time.Duration // each further task of an array runs for so much longer
+	apart        time.Duration // extra run time of each further task of an array
 	accepted     bool
 	acceptedAt   time.Duration
 	toldDone     bool
-	gone         bool // told cancelled
-	asked        bool // its user asked to cancel it
-	byProduction bool // told so by the version in production, at once
+	gone         bool // its user was told that it is cancelled
+	asked        bool // its user requested its cancellation
+	byProduction bool // reported cancelled at once, by the version in production
 	goneAt       time.Duration
 	state        string
 
-	newest    [final + 1]time.Duration // when an answer that tells as much was first told; 0: not yet
-	lastStart time.Duration            // when one of its tasks last started
-	roomSince time.Duration            // since when it has waited while there was room for it; 0: it does not
+	newest    [final + 1]time.Duration // when an answer of at least this level was first received; 0: never
+	lastStart time.Duration            // when a task of it last started
+	roomSince time.Duration            // since when it has waited although machines have room; 0: it does not
 }
 
-// somewhere counts the tasks of a job that are on any machine in truth, or wait for their
-// image there.
+// somewhere counts the tasks of a job that are actually on a machine that is up, including
+// tasks that are fetching their image.
 func (s *sim) somewhere(id uint64) int {
 	n := 0
 	for _, w := range s.cloud.machines {
@@ -620,15 +633,17 @@
 	return n
 }
 
-// runs is how long a task of an array runs.
+// runs returns the run time of a task.
 func (j *userJob) runs(k int) time.Duration { return j.run + time.Duration(k)*j.apart }
 
-// request carries a user's request to a node.
+// request sends a user's request to a controller, with a timeout.
 func (s *sim) request(at int, limit time.Duration, f func(c *controller, now time.Duration, to effects.RequestID), done func(a answer, ok bool)) {
 	c := s.nodes[at%len(s.nodes)]
 	call(s, "users", c.name, limit, func(reply func(answer)) { c.ask(false, f, reply) }, done)
 }
 
+// submit sends a job to a controller, and retries at the next one every second while again
+// returns true.
 func (s *sim) submit(j *userJob, at int, again func() bool) {
 	sent := s.now
 	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
@@ -655,7 +670,7 @@
 		}
 		if ok && (a.Status == 400 || a.Status == 422) {
 			if j.accepted {
-				s.check.fail("forgotten", "%d refused with %d after it was accepted", j.id, a.Status)
+				s.check.fail("forgotten", "job %d rejected with %d after it was accepted", j.id, a.Status)
 			}
 			j.state = fmt.Sprintf("refused %d: %s", a.Status, a.Why)
 			return
@@ -666,6 +681,7 @@
 	})
 }
 
+// poll queries the state of a job and checks the answer.
 func (s *sim) poll(j *userJob, at int) {
 	sent := s.now
 	s.check.asked(j)
@@ -677,6 +693,7 @@
 	})
 }
 
+// abort requests the cancellation of a job, and retries at the next controller until it succeeds.
 func (s *sim) abort(j *userJob, at int) {
 	sent := s.now
 	j.asked = true
@@ -690,9 +707,9 @@
 	})
 }
 
-// look has a user look closely, where users do: ask at all controllers, again and again
-// within milliseconds, and submit again, right after something new was told; one in six
-// that were accepted is cancelled at once.
+// look polls intensively, if that is enabled: right after an answer with new information the
+// user queries all controllers repeatedly within a second and resubmits the job to each. One
+// in six newly accepted jobs is cancelled at once.
 func (s *sim) look(j *userJob, accepted bool) {
 	if !s.looks || j.spec.Job == nil {
 		return
@@ -709,9 +726,9 @@
 	}
 }
 
-// odd makes a request that users should not make, and holds its answer against the rules:
-// repeats of jobs that are known, whatever else the body holds; cancelling what is done;
-// new jobs that can never run, or whose description is malformed.
+// odd sends an invalid or redundant request and checks its answer: a repeated submission of a
+// known job id with a malformed or infeasible body, a cancellation of a completed job, or a
+// new job that can never run or whose description is malformed.
 func (s *sim) odd(j *userJob, at int) {
 	bad := wire.Submission{ID: j.id, HasID: true, Bad: "herd: missing"}
 	unfit := bad
@@ -719,16 +736,16 @@
 	*unfit.Job = *j.spec.Job
 	unfit.Job.CPUs = 1e5
 	switch kind := s.rng.IntN(4); kind {
-	case 0, 1: // a repeat
+	case 0, 1: // a repeated submission
 		spec := []wire.Submission{bad, unfit}[kind]
 		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
 			if ok && (a.Status == 400 || a.Status == 422) {
-				s.check.fail("forgotten", "%d, submitted again, gets %d", j.id, a.Status)
+				s.check.fail("forgotten", "job %d, submitted again, is answered with %d", j.id, a.Status)
 			} else if ok && a.Status == 200 {
 				s.saw("an odd repeat answered")
 			}
 		})
-	case 2: // cancelling what is done
+	case 2: // a cancellation of a completed job
 		if !j.toldDone {
 			return
 		}
@@ -739,7 +756,7 @@
 				s.check.told(j, a.Answer, sent)
 			}
 		})
-	default: // a new one
+	default: // a new job, which must never be reported to a user
 		s.strange--
 		id := s.strange
 		spec := []wire.Submission{bad, unfit}[s.rng.IntN(2)]
@@ -751,12 +768,12 @@
 		}
 		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
 			s.check.unfit(id, spec, a, ok)
-			s.poll(&userJob{id: id}, at) // nobody may be told of it
+			s.poll(&userJob{id: id}, at) // a query must not find it
 		})
 	}
 }
 
-// node is the controller with a name, or nil.
+// node returns the controller with the given name, or nil.
 func (s *sim) node(name string) *controller {
 	for _, c := range s.nodes {
 		if c.name == name {
@@ -766,7 +783,8 @@
 	return nil
 }
 
-// leader is the node that leads with the highest epoch, or nil.
+// leader returns the controller that leads and that the state service records as the holder of
+// leadership, or nil.
 func (s *sim) leader() *controller {
 	for _, c := range s.nodes {
 		if l, _ := c.coreLeading(); l && s.state.holder == c.name {
--- a/internal/scenario/stage_test.go
+++ b/internal/scenario/stage_test.go
@@ -13,8 +13,8 @@
 	"bitternmoor/internal/wire"
 )
 
-// playDays plays so many days of a meeting, and fails where anything that they must bring
-// about never came about. Days count it in their worlds (sim.saw).
+// playDays runs a randomized simulation with so many seeds in parallel. It fails if an effect
+// in must occurred in none of them; the runs count effects with sim.saw.
 func playDays(t *testing.T, days int, day func(t *testing.T, seed uint64) *sim, must ...string) map[string]int {
 	t.Helper()
 	var mu sync.Mutex
@@ -35,13 +35,13 @@
 	for _, what := range must {
 		t.Logf("%s: %d times", what, seen[what])
 		if seen[what] == 0 {
-			t.Errorf("%s: never brought about", what)
+			t.Errorf("%s: never occurred", what)
 		}
 	}
 	return seen
 }
 
-// stage is a world for one meeting.
+// stage is a simulation for one test, with a random source and a fault injector.
 type stage struct {
 	*sim
 	t  *testing.T
@@ -49,10 +49,10 @@
 	tr *troubles
 }
 
-// stageControllers is how many controllers a stage has.
+// stageControllers is the number of controllers that newStage creates.
 const stageControllers = 3
 
-// newStage makes one; conf changes its settings.
+// newStage returns a simulation for a test; conf, if not nil, changes its settings.
 func newStage(t *testing.T, seed uint64, conf func(c *settings.Settings)) *stage {
 	c := baseSettings()
 	if conf != nil {
@@ -63,8 +63,8 @@
 	return &stage{sim: s, t: t, r: r, tr: &troubles{s: s, r: r, say: func(string, ...any) {}}}
 }
 
-// add has a user submit a job now, at one controller after the other for as long as users
-// try. What the description leaves out is filled in.
+// add submits a job now and retries at the controllers in turn for up to 60 seconds. It fills
+// in the fields that the description leaves out.
 func (d *stage) add(run time.Duration, job eventlog.Job) *userJob {
 	if job.ID == 0 {
 		job.ID = uint64(len(d.jobs) + 1)
@@ -86,31 +86,31 @@
 	return j
 }
 
-// startsDirectly are the settings of days on which tasks are sent straight to their workers.
+// startsDirectly changes the settings so that starts are sent directly to workers.
 func startsDirectly(c *settings.Settings) {
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
 	c.Tunables.PushDispatches, c.Tunables.ReadyWindowS = 8, 600
 	c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 }
 
-// warmUp has a first job be done, so that machines are there which are kept ready.
+// warmUp runs a first job to completion, so that machines are rented and kept ready.
 func (d *stage) warmUp(run time.Duration, job eventlog.Job) {
 	d.t.Helper()
 	j := d.add(run, job)
 	d.askAll(2 * time.Second)
 	if !d.until(60*time.Second, func() bool { return d.check.over(j.id) }) {
-		d.t.Fatal("the first job is not done")
+		d.t.Fatal("the first job did not complete within 60 seconds")
 	}
 }
 
-// addAt does so later.
+// addAt is add after a delay.
 func (d *stage) addAt(after, run time.Duration, job eventlog.Job) {
 	job.ID = uint64(len(d.jobs) + 1)
 	d.jobs[job.ID] = &userJob{id: job.ID, spec: wire.Submission{ID: job.ID, HasID: true, Job: &eventlog.Job{}}}
 	d.after(after, func() { d.add(run, job) })
 }
 
-// runs waits until that many tasks of a job run.
+// runs waits until at least so many tasks of a job run.
 func (d *stage) runs(j *userJob, tasks int) {
 	d.t.Helper()
 	if !d.until(2*time.Minute, func() bool { return d.running(j.id) >= tasks }) {
@@ -118,16 +118,16 @@
 	}
 }
 
-// leads waits until somebody leads.
+// leads waits until there is a leader and returns it.
 func (d *stage) leads() *controller {
 	d.t.Helper()
 	if !d.until(40*time.Second, func() bool { return d.leader() != nil }) {
-		d.t.Fatal("nobody leads")
+		d.t.Fatal("no leader within 40 seconds")
 	}
 	return d.leader()
 }
 
-// endLeader has the leader end, if there is one, and be back later.
+// endLeader crashes the leader, if there is one, and restarts it after a delay.
 func (d *stage) endLeader(back time.Duration) {
 	if l := d.leader(); l != nil {
 		l.crash()
@@ -135,21 +135,22 @@
 	}
 }
 
-// cancel has a user ask to cancel a job that was accepted.
+// cancel cancels an accepted job, unless its user has done so already.
 func (d *stage) cancel(j *userJob, at int) {
 	if j.accepted && !j.asked {
 		d.abort(j, at)
 	}
 }
 
-// busy lists the machines with tasks of a job.
+// busy returns the machines with tasks of a job.
 func (d *stage) busy(j *userJob) []*worker {
 	return slices.DeleteFunc(d.machines(), func(w *worker) bool {
 		return !slices.ContainsFunc(w.on(), func(t task) bool { return t.job == j.id })
 	})
 }
 
-// trouble has machines cut off, deaf, hanging, reaching nobody, or their answers held up.
+// trouble injects a fault of a named kind into machines: a partition, a one-way partition, a
+// hang, or added latency.
 func (d *stage) trouble(what string, list []*worker, length time.Duration) {
 	for _, w := range list {
 		switch what {
@@ -166,7 +167,7 @@
 		case "slow":
 			d.slow[w.name] = 6 * time.Second
 		default:
-			d.t.Fatalf("%s: no such trouble", what)
+			d.t.Fatalf("%s: unknown fault", what)
 		}
 		d.after(length, func() {
 			w.hung = false
@@ -178,7 +179,7 @@
 	}
 }
 
-// over ends a day: from now on nothing is troubled, and all comes to its end.
+// over marks the end of fault injection and waits until every job has ended.
 func (d *stage) over(limit time.Duration) *sim {
 	d.t.Helper()
 	d.check.calm = d.now
@@ -186,9 +187,9 @@
 	return d.sim
 }
 
-// TestServedAgain has each trouble by itself meet a steady stream of small jobs, and measures
-// for how long no submission was accepted, no question answered and no task started. Users
-// are served again after each.
+// TestServedAgain injects each kind of fault by itself into a steady stream of small jobs. It
+// measures the longest time without an accepted submission, an answered query and a started
+// task, and checks that service resumes after the fault.
 func TestServedAgain(t *testing.T) {
 	for kind := range kindsOfTrouble {
 		t.Run(troubleNames[kind], func(t *testing.T) {
@@ -239,7 +240,7 @@
 			}
 			t.Logf("| %s | %.1f | %.1f | %.1f |", troubleNames[kind], gap(accepted).Seconds(), gap(answered).Seconds(), gap(started).Seconds())
 			if len(accepted) == 0 || len(answered) == 0 || len(started) == 0 || accepted[len(accepted)-1] < 100*time.Second {
-				t.Errorf("after %s users are not served: %d acceptances, %d answers, %d starts", troubleNames[kind], len(accepted), len(answered), len(started))
+				t.Errorf("service did not resume after %s: %d acceptances, %d answers, %d starts", troubleNames[kind], len(accepted), len(answered), len(started))
 			}
 			d.over(5 * time.Minute)
 		})
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/troubles_test.go
@@ -12,10 +12,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// trouble is a kind of trouble of a random day.
+// trouble is a kind of fault that simulations inject.
 type trouble int
 
-// Kinds of trouble.
+// Kinds of faults.
 const (
 	nodeCrash trouble = iota
 	allCrash
@@ -51,28 +51,66 @@
 	kindsOfTrouble
 )
 
-var troubleNames = [kindsOfTrouble]string{"a node crashes", "all crash", "outage", "a node refused", "a node or zone cut", "a machine cut", "a machine dies", "a machine hangs", "a late transaction or rental",
-	"a node back at once", "all back at once", "deaf machines", "late copies", "a node apart with its workers", "machines begin anew",
-	"late writes, out of order", "a slow state service", "answers and commands held up", "leaders hand over again and again", "the leader refused, then all",
-	"machines that reach nobody", "only answers lost", "reports kept for the next leader", "jobs cancelled together", "jobs cancelled at their end", "machines up at once", "odd requests", "close looks", "a node stands still", "more work than room over slow links", "one-task jobs four a second"}
+var troubleNames = [kindsOfTrouble]string{
+	"a node crashes",
+	"all crash",
+	"outage",
+	"a node refused",
+	"a node or zone cut",
+	"a machine cut",
+	"a machine dies",
+	"a machine hangs",
+	"a late transaction or rental",
+	"a node back at once",
+	"all back at once",
+	"deaf machines",
+	"late copies",
+	"a node apart with its workers",
+	"machines begin anew",
+	"late writes, out of order",
+	"a slow state service",
+	"answers and commands held up",
+	"leaders hand over again and again",
+	"the leader refused, then all",
+	"machines that reach nobody",
+	"only answers lost",
+	"reports kept for the next leader",
+	"jobs cancelled together",
+	"jobs cancelled at their end",
+	"machines up at once",
+	"odd requests",
+	"close looks",
+	"a node stands still",
+	"more work than room over slow links",
+	"one-task jobs four a second",
+}
 
-// Troubles of a random day, and those that take the place of some of them on harsh days.
+// Faults of a random run, and those that replace some of them in harsh runs.
 var (
-	mildTroubles  = []trouble{nodeCrash, nodeCrash, allCrash, outage, nodeRefused, nodeCut, machineCut, machineDies, machineHangs, lateOnce}
-	harshTroubles = []trouble{nodeBack, allBack, machinesDeaf, lateCopies, nodeApart, machinesReborn, lateWrites, slowState, heldUp, handOvers}
-	laterTroubles = []trouble{machinesMute, refusedThenAll, answersLost, reportsKept, cancelNow, cancelAtEnd, quickBoots, oddRequests, closeLooks, nodeFreezes, moreWork, oneTaskJobs}
+	mildTroubles = []trouble{
+		nodeCrash, nodeCrash, allCrash, outage, nodeRefused,
+		nodeCut, machineCut, machineDies, machineHangs, lateOnce,
+	}
+	harshTroubles = []trouble{
+		nodeBack, allBack, machinesDeaf, lateCopies, nodeApart,
+		machinesReborn, lateWrites, slowState, heldUp, handOvers,
+	}
+	laterTroubles = []trouble{
+		machinesMute, refusedThenAll, answersLost, reportsKept, cancelNow, cancelAtEnd,
+		quickBoots, oddRequests, closeLooks, nodeFreezes, moreWork, oneTaskJobs,
+	}
 )
 
-// troubles brings them about in a world.
+// troubles injects faults into a simulation.
 type troubles struct {
 	s     *sim
 	r     *rand.Rand
-	zones bool // zones are cut as a whole, now and then
-	many  int  // machines that a trouble meets, on days with many
+	zones bool // a node partition may be a partition of a whole zone instead
+	many  int  // largest number of machines that a fault affects, in runs with many machines
 	say   func(f string, a ...any)
 }
 
-// machines lists those that are up, by name.
+// machines returns the machines that are up, sorted by name.
 func (s *sim) machines() []*worker {
 	var out []*worker
 	for _, w := range s.cloud.machines {
@@ -84,7 +122,7 @@
 	return out
 }
 
-// some are up to so many of them.
+// some picks at random up to so many machines, with repetition; many may raise the bound.
 func (tr *troubles) some(most int) []*worker {
 	ms := tr.s.machines()
 	var out []*worker
@@ -94,7 +132,7 @@
 	return out
 }
 
-// back has a controller that is not up started again after a while.
+// back restarts a controller after a delay if it is not up then.
 func (tr *troubles) back(n *controller, after time.Duration) {
 	tr.s.after(after, func() {
 		if !n.up {
@@ -103,10 +141,11 @@
 	})
 }
 
-// soon is a fraction of a second.
+// soon returns a random delay of 50 to 500 ms.
 func (tr *troubles) soon() time.Duration { return time.Duration(50+tr.r.IntN(450)) * time.Millisecond }
 
-// begin brings a trouble about, which lasts so long where that means something.
+// begin injects a fault, for the given length where the kind has a duration. who is the index
+// of the controller that is affected, where the kind affects one.
 func (tr *troubles) begin(kind trouble, length time.Duration, who int) {
 	s, r, n := tr.s, tr.r, tr.s.nodes[who]
 	tr.say("%s for %v, node %d", troubleNames[kind], length, who)
@@ -152,7 +191,7 @@
 		if r.IntN(2) == 0 {
 			s.cloud.late = length
 		}
-	case nodeBack: // several times in a row
+	case nodeBack: // up to five times
 		for i := range 1 + r.IntN(5) {
 			s.after(time.Duration(i)*time.Duration(600+r.IntN(2000))*time.Millisecond, func() {
 				if n.up {
@@ -168,7 +207,7 @@
 				tr.back(n, tr.soon())
 			}
 		}
-	case machinesDeaf: // heard, and deaf
+	case machinesDeaf: // their own packets still arrive
 		for _, m := range tr.some(4) {
 			s.deaf[m.name] = true
 			s.after(length, func() { delete(s.deaf, m.name) })
@@ -176,7 +215,7 @@
 	case lateCopies:
 		s.again = time.Duration(1+r.IntN(30)) * time.Second
 		s.after(length, func() { s.again = 0 })
-	case nodeApart: // without the state service and the other controllers, not without workers
+	case nodeApart: // partitioned from the state service and its peers, but not from workers
 		s.state.refuse[n.name] = true
 		for _, o := range s.nodes {
 			if o != n {
@@ -187,7 +226,7 @@
 			delete(s.state.refuse, n.name)
 			s.heal(n.name)
 		})
-	case machinesReborn: // back at once under their names, with nothing on them
+	case machinesReborn: // restarted at once under the same names, with all state lost
 		for _, m := range tr.some(4) {
 			m.reborn()
 		}
@@ -211,7 +250,7 @@
 				}
 			})
 		}
-	case refusedThenAll: // the second for longer than a cancellation has
+	case refusedThenAll: // the outage lasts longer than the cancellation deadline
 		if l := s.leader(); l != nil {
 			n = l
 		}
@@ -221,7 +260,7 @@
 			delete(s.state.refuse, n.name)
 			s.state.recover()
 		})
-	case machinesMute: // for longer than a lease, now and then
+	case machinesMute: // may last longer than a lease
 		for _, m := range tr.some(4) {
 			s.mute[m.name] = true
 			s.after(length, func() { delete(s.mute, m.name) })
@@ -232,12 +271,12 @@
 	case reportsKept:
 		s.keep = 0.05 + 0.2*r.Float64()
 		s.after(length, func() { s.keep = 0 })
-	case cancelNow: // within a fifth of a second, some of their machines hanging
+	case cancelNow: // within 200 ms, while some of their machines hang
 		s.cancelNow(r, 2+r.IntN(6), length/2)
 	case cancelAtEnd:
 		s.atEnd = 0.3 + 0.7*r.Float64()
 		s.after(length, func() { s.atEnd = 0 })
-	case quickBoots: // before the cloud has said that they are there; some are taken, so that others are rented
+	case quickBoots: // some machines are removed so that others are rented, which boot before the cloud answers
 		before := s.cloud.boot
 		s.cloud.boot, s.cloud.answer = 0, time.Duration(500+r.IntN(3000))*time.Millisecond
 		for _, m := range tr.some(4) {
@@ -273,9 +312,9 @@
 	}
 }
 
-// extra has a user submit a further job of the class and team that random days have.
+// extra submits a further job of the class and team that random runs use.
 func (s *sim) extra(run time.Duration, job eventlog.Job) *userJob {
-	job.ID = uint64(len(s.jobs) + 1) // those of a day are numbered through
+	job.ID = uint64(len(s.jobs) + 1) // the jobs of a run are numbered consecutively
 	job.Class, job.Team, job.MemoryGB, job.Image, job.ImageGB, job.Spot, job.EstimateS = "class", "team", 1, "image", 0.3, true, run.Seconds()
 	j := &userJob{id: job.ID, run: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
 	s.jobs[j.id] = j
@@ -284,7 +323,7 @@
 	return j
 }
 
-// burst has so many jobs come at once, urgent and not, each of them with many tasks.
+// burst submits so many jobs at once, at several priorities, each with many tasks.
 func (s *sim) burst(r *rand.Rand, count int) {
 	for i := range count {
 		s.extra(time.Duration(2000+r.IntN(9000))*time.Millisecond, eventlog.Job{Tasks: 6 + r.IntN(10), CPUs: float64(1 + i%2), Priority: uint8(i % 4)})
@@ -292,7 +331,7 @@
 	s.saw("more work than room")
 }
 
-// stream has one-task jobs come four a second, of which a quarter is cancelled.
+// stream submits four one-task jobs a second and cancels a quarter of them.
 func (s *sim) stream(r *rand.Rand, length time.Duration) {
 	for i := range int(length / (250 * time.Millisecond)) {
 		s.after(time.Duration(i)*250*time.Millisecond, func() {
@@ -309,7 +348,7 @@
 	}
 }
 
-// acceptedJobs lists the jobs whose users were told that they are accepted, by id.
+// acceptedJobs returns the jobs whose acceptance has reached their users, sorted by id.
 func (s *sim) acceptedJobs() []*userJob {
 	var out []*userJob
 	for _, id := range slices.Sorted(maps.Keys(s.jobs)) {
@@ -320,8 +359,8 @@
 	return out
 }
 
-// cancelNow has users call off up to so many jobs that run, those with longest to go first,
-// within a fifth of a second, while up to eight of their machines begin to hang.
+// cancelNow cancels up to so many running jobs within 200 ms, those with the longest tasks
+// first, while up to eight of their machines start to hang.
 func (s *sim) cancelNow(r *rand.Rand, count int, hang time.Duration) {
 	var list []*userJob
 	for _, j := range s.acceptedJobs() {
@@ -348,8 +387,7 @@
 	}
 }
 
-// askAll has the users of all accepted jobs ask about them from now on, at one controller
-// after the other.
+// askAll periodically queries all accepted jobs from now on, at the controllers in turn.
 func (s *sim) askAll(every time.Duration) {
 	at := 0
 	var poll func()
@@ -363,8 +401,8 @@
 	s.after(0, poll)
 }
 
-// allEnd waits until every accepted job is done or cancelled, as its user was told, and
-// reports those that are not, and rules that were broken.
+// allEnd waits for quiescence: every accepted job is done or cancelled, as reported to its
+// user. It fails the test for jobs that do not end within the limit and for violated invariants.
 func (s *sim) allEnd(t *testing.T, limit time.Duration) {
 	t.Helper()
 	open := func(j *userJob) bool { return j.accepted && !j.toldDone && !j.gone }
@@ -378,11 +416,11 @@
 	}) {
 		for _, j := range s.jobs {
 			if open(j) {
-				t.Errorf("job %d never came to its end: %+v, %s", j.id, *j.spec.Job, j.state)
+				t.Errorf("job %d did not end: %+v, %s", j.id, *j.spec.Job, j.state)
 			}
 		}
 	}
 	if len(s.check.broken) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(s.check.broken, "\n"))
+		t.Errorf("violated invariants: %s", strings.Join(s.check.broken, "\n"))
 	}
 }
--- a/internal/scenario/words_test.go
+++ b/internal/scenario/words_test.go
@@ -11,9 +11,11 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// words are the commands of scenario files with the words that each may have.
+// words maps each command of scenario files to the arguments that it accepts.
 var words = map[string]string{
-	"world":              "seed nodes old capacity limit guaranteed write-rps value-bytes txn-ops next-value-bytes next-txn-ops lease cancel report takeovers zone-patience spread-moves begin cold starts images direct ask pools hold-after-loss config",
+	"world": "seed nodes old capacity limit guaranteed write-rps value-bytes txn-ops next-value-bytes next-txn-ops " +
+		"lease cancel report takeovers zone-patience spread-moves begin cold starts images direct ask pools " +
+		"hold-after-loss config",
 	"submit":             "id count kind team priority checkpoint tasks cpus zone one-zone spread no-spot counted follows run at",
 	"resubmit":           "id at",
 	"ask":                "id",
@@ -77,31 +79,32 @@
 	"answer":             "id",
 }
 
-// timed and portions are the words whose values are lengths of time, or shares from 0 to 1.
+// timed lists the arguments whose values are durations, and portions those whose values are
+// shares from 0 to 1.
 var (
 	timed    = strings.Fields("for within every delay late boot answers in hang by")
 	portions = strings.Fields("share answers-lost")
 )
 
-// checkWords says in one line what is wrong with a command, and what is allowed; empty:
-// nothing.
+// checkWords returns a one-line description of what is wrong with a command and what is
+// allowed, or the empty string for a valid command.
 func checkWords(d *datadriven.TestData) string {
 	allowed, known := words[d.Cmd]
 	if !known {
-		return fmt.Sprintf("%s: no such command; there are %s", d.Cmd, strings.Join(slices.Sorted(maps.Keys(words)), ", "))
+		return fmt.Sprintf("%s: unknown command; the commands are %s", d.Cmd, strings.Join(slices.Sorted(maps.Keys(words)), ", "))
 	}
 	list := strings.Fields(allowed)
 	for _, a := range d.CmdArgs {
 		if !slices.Contains(list, a.Key) {
 			if len(list) == 0 {
-				list = []string{"no words"}
+				list = []string{"no arguments"}
 			}
-			return fmt.Sprintf("%s: %s: no such word; allowed: %s", d.Cmd, a.Key, strings.Join(list, ", "))
+			return fmt.Sprintf("%s: %s: unknown argument; allowed: %s", d.Cmd, a.Key, strings.Join(list, ", "))
 		}
 		value := strings.Join(a.Vals, ",")
 		if slices.Contains(timed, a.Key) {
 			if v, err := time.ParseDuration(value); err != nil || v < 0 {
-				return fmt.Sprintf("%s: %s=%s: not a length of time, as in 1.5s or 200ms", d.Cmd, a.Key, value)
+				return fmt.Sprintf("%s: %s=%s: not a duration such as 1.5s or 200ms", d.Cmd, a.Key, value)
 			}
 		}
 		if slices.Contains(portions, a.Key) {
@@ -114,20 +117,20 @@
 	return ""
 }
 
-// TestWords holds bad words and values of scenario files to one clear line each.
+// TestWords checks that each invalid command, argument or value is reported in one clear line.
 func TestWords(t *testing.T) {
 	for line, want := range map[string]string{
 		"mute job=1 for=5s":            "",
 		"state answers-lost=0.4":       "",
-		"mite job=1":                   "mite: no such command; there are abort, ",
-		"mute jib=1":                   "mute: jib: no such word; allowed: job, count, for",
-		"mute job=1 for=soon":          "mute: for=soon: not a length of time, as in 1.5s or 200ms",
-		"mute job=1 for=-1s":           "mute: for=-1s: not a length of time",
+		"mite job=1":                   "mite: unknown command; the commands are abort, ",
+		"mute jib=1":                   "mute: jib: unknown argument; allowed: job, count, for",
+		"mute job=1 for=soon":          "mute: for=soon: not a duration such as 1.5s or 200ms",
+		"mute job=1 for=-1s":           "mute: for=-1s: not a duration",
 		"keep-reports share=2":         "keep-reports: share=2: not a share from 0 to 1",
 		"keep-reports share=half":      "keep-reports: share=half: not a share from 0 to 1",
 		"state answers-lost":           "state: answers-lost=: not a share from 0 to 1",
-		"rules now":                    "rules: now: no such word; allowed: no words",
-		"cancel-at-end share=0.5 at=1": "cancel-at-end: at: no such word; allowed: share",
+		"rules now":                    "rules: now: unknown argument; allowed: no arguments",
+		"cancel-at-end share=0.5 at=1": "cancel-at-end: at: unknown argument; allowed: share",
 	} {
 		cmd, args, err := datadriven.ParseLine(line)
 		if err != nil {
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -10,7 +10,7 @@
 	"bitternmoor/internal/leader/cluster"
 )
 
-// machineCPUs is what the one type of machine has.
+// machineCPUs is the number of CPUs of the only machine type.
 const machineCPUs = 4
 
 type task struct {
@@ -18,7 +18,7 @@
 	k   int
 }
 
-// run is an attempt of a task on a machine.
+// run is an attempt to run a task on a machine.
 type run struct {
 	attempt uint64
 	state   workers.TaskState
@@ -26,7 +26,7 @@
 	saved   bool
 }
 
-// worker is a stand-in for a machine's worker.
+// worker simulates a machine and its worker process.
 type worker struct {
 	s         *sim
 	name      string
@@ -35,20 +35,20 @@
 	up        bool
 	hung      bool
 	session   uint64
-	life      int // counts its processes
+	life      int // number of restarts of its process
 	seq       uint64
 	token     uint64
 	tasks     map[task]*run
 	ended     []endedRun
-	at        int // node it reports to
+	at        int // index of the controller that it reports to
 	flight    bool
 	last      time.Duration
-	renewed   time.Duration // when the last answered report was sent
-	notice    time.Duration // when the cloud takes it; 0: no notice
-	plan      int           // counts planned reports: only the last counts
+	renewed   time.Duration // when the last report that was answered was sent
+	notice    time.Duration // when the cloud reclaims it; 0: no notice given
+	plan      int           // number of the latest scheduled report; earlier ones are not sent
 	faulty    bool
-	used      bool          // it has had a task
-	fineSince time.Duration // since when it was neither hung nor cut off
+	used      bool          // it has been assigned a task
+	fineSince time.Duration // since when it has been neither hung nor partitioned
 }
 
 type endedRun struct {
@@ -70,7 +70,7 @@
 	w.report(w.plan)
 }
 
-// vanish: the machine and everything on it are gone.
+// vanish removes the machine with everything that runs on it.
 func (w *worker) vanish() {
 	w.results()
 	for t := range w.tasks {
@@ -79,6 +79,8 @@
 	w.up = false
 }
 
+// lease schedules the check of the worker's lease. When the lease expires, the worker discards
+// its tasks and starts a new session.
 func (w *worker) lease() {
 	life := settingsSeconds(w.s.cfg.Deployment.Workers.LeaseS)
 	w.s.after(w.renewed+life-w.s.now+time.Millisecond, func() {
@@ -100,7 +102,7 @@
 	})
 }
 
-// soon plans a report because something changed.
+// soon schedules a report after a change, at least 500 ms after the previous one.
 func (w *worker) soon() {
 	w.schedule(max(0, w.last+500*time.Millisecond-w.s.now))
 }
@@ -134,7 +136,7 @@
 			if l := w.s.leader(); l != nil && l.core.Epoch() > r.Token>>cluster.TokenBits {
 				w.s.saw("a copy of a report of an earlier term")
 			}
-			o.core.HandleHeartbeat(o.clock(), 0, r) // nobody hears the answer
+			o.core.HandleHeartbeat(o.clock(), 0, r) // the answer is discarded
 			o.drain()
 		}
 	})
@@ -163,7 +165,7 @@
 		c.drain()
 	}, func(a effects.HeartbeatAnswer, ok bool) {
 		if life != w.life {
-			return // it was asked by a process that is gone
+			return // the process that sent the report has ended
 		}
 		w.flight = false
 		if !w.up {
@@ -205,10 +207,10 @@
 	})
 }
 
-// on lists the tasks that the machine has.
+// on returns the tasks that are on the machine.
 func (w *worker) on() []task { return slices.Collect(maps.Keys(w.tasks)) }
 
-// snapshot is the worker's report of this moment.
+// snapshot returns a report of the worker's current state.
 func (w *worker) snapshot() *workers.Report {
 	w.seq++
 	r := &workers.Report{Machine: w.name, Address: w.name, Type: "m4", Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.seq, Token: w.token}
@@ -227,8 +229,8 @@
 	return r
 }
 
-// direct takes a command that was sent straight to the worker. One that hangs may carry
-// it out later, whatever its sender thinks by then.
+// direct handles commands that were sent directly to the worker. A hung worker may execute
+// them later, when their sender has given up on them.
 func (w *worker) direct(token, session uint64, cmds []workers.Command, reply func(*workers.Report)) {
 	switch {
 	case !w.up:
@@ -252,7 +254,7 @@
 	}
 }
 
-// reborn: the machine is back at once under its name, with nothing on it and no memory.
+// reborn restarts the machine at once under the same name, with all its state lost.
 func (w *worker) reborn() {
 	w.vanish()
 	w.life++
@@ -323,7 +325,7 @@
 		}
 		w.s.check.started(t, w)
 		if w.s.check.completeN[t] {
-			w.finish(t, workers.Completed) // its result was kept
+			w.finish(t, workers.Completed) // the result of an earlier run is still stored
 			return
 		}
 		if w.faulty {
@@ -359,15 +361,15 @@
 		w.s.abort(j, w.s.rng.IntN(len(w.s.nodes)))
 	}
 	if spec := w.s.jobs[t.job].spec.Job; spec.Kind == 1 {
-		for k := range spec.Tasks { // when one task of a gang is done, all are
+		for k := range spec.Tasks { // a gang completes as a whole when one of its tasks does
 			w.s.check.completed(task{t.job, k})
 		}
 	}
 	w.finish(t, workers.Completed)
 }
 
-// gather lets a gang run once all of its tasks wait, and gives up after a
-// while.
+// gather starts a gang's tasks once all of them wait at the barrier; a task that waits for
+// longer than GangWaitS ends with GangIncomplete.
 func (w *worker) gather(t task, x *run) {
 	j := w.s.jobs[t.job]
 	x.state = workers.Gathering
@@ -399,7 +401,7 @@
 	})
 }
 
-// finish ends a task that stays in the reports until it is reaped.
+// finish ends a task, which stays in the reports until the leader reaps it.
 func (w *worker) finish(t task, why workers.Reason) {
 	x := w.tasks[t]
 	delete(w.tasks, t)
@@ -413,7 +415,7 @@
 	w.soon()
 }
 
-// end takes a task away without a word.
+// end removes a task without a report of its end.
 func (w *worker) end(t task, _ workers.Reason) {
 	x := w.tasks[t]
 	delete(w.tasks, t)
@@ -424,7 +426,7 @@
 	}
 }
 
-// peers tells the other tasks of a running gang that one is gone.
+// peers ends the other tasks of a running gang, GangPeerS after one of its tasks was lost.
 func (w *worker) peers(t task, attempt uint64) {
 	w.s.after(settingsSeconds(w.s.cfg.Deployment.Workers.GangPeerS), func() {
 		for _, o := range w.s.cloud.machines {
