--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -196,7 +196,7 @@
 	}
 	for more := tells + 1; more <= final; more++ {
 		if at := j.newest[more]; at > 0 {
-			c.s.saw("an answer that a newer one had overtaken")
+			c.s.saw("answer overtaken by a newer one")
 			if c.s.now-at > olderMost {
 				c.fail("older_answer", "job %d: an answer created at %v arrives %v after a newer one", j.id, a.made.Round(time.Millisecond), (c.s.now - at).Round(time.Millisecond))
 			}
@@ -214,7 +214,7 @@
 	case spec.Job == nil && a.Status != 400, spec.Job != nil && a.Status != 422:
 		c.fail("accepted_unfit", "job %d is answered with %d", id, a.Status)
 	default:
-		c.s.saw("an odd submission refused")
+		c.s.saw("invalid submission rejected")
 	}
 }
 
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -268,7 +268,7 @@
 
 // TestConfigCheckerCatches breaks each rule of the configuration on purpose.
 func TestConfigCheckerCatches(t *testing.T) {
-	s, j, w1, _ := freshChecked()
+	s, j, w1, _ := newCheckedSim()
 	j.spec.Job.Tasks = 9
 	s.setLimit("team", 2)
 	for k := range 2 {
--- a/internal/scenario/troubles_test.go
+++ b/internal/scenario/faults_test.go
@@ -12,102 +12,102 @@
 	"bitternmoor/internal/wire"
 )
 
-// trouble is a kind of fault that simulations inject.
-type trouble int
+// faultKind is a kind of fault that simulations inject.
+type faultKind int
 
 // Kinds of faults.
 const (
-	nodeCrash trouble = iota
+	nodeCrash faultKind = iota
 	allCrash
-	outage
+	stateOutage
 	nodeRefused
-	nodeCut
-	machineCut
-	machineDies
-	machineHangs
-	lateOnce
-	nodeBack
-	allBack
-	machinesDeaf
-	lateCopies
-	nodeApart
-	machinesReborn
-	lateWrites
+	nodePartition
+	machinePartition
+	machineCrash
+	machineHang
+	delayedRequest
+	nodeRestart
+	allRestart
+	machinesInboundLoss
+	delayedDuplicates
+	nodeIsolated
+	machinesRestartEmpty
+	delayedWrites
 	slowState
-	heldUp
-	handOvers
-	refusedThenAll
-	machinesMute
-	answersLost
-	reportsKept
-	cancelNow
-	cancelAtEnd
-	quickBoots
-	oddRequests
-	closeLooks
-	nodeFreezes
-	moreWork
-	oneTaskJobs
-	kindsOfTrouble
+	slowMachines
+	repeatedHandover
+	refusedThenOutage
+	machinesOutboundLoss
+	stateAnswersLost
+	reportsReplayed
+	concurrentCancellations
+	cancellationsAtCompletion
+	earlyBoots
+	invalidRequests
+	intensivePolling
+	nodePause
+	overload
+	jobStream
+	numFaultKinds
 )
 
-var troubleNames = [kindsOfTrouble]string{
-	"a node crashes",
-	"all crash",
-	"outage",
-	"a node refused",
-	"a node or zone cut",
-	"a machine cut",
-	"a machine dies",
-	"a machine hangs",
-	"a late transaction or rental",
-	"a node back at once",
-	"all back at once",
-	"deaf machines",
-	"late copies",
-	"a node apart with its workers",
-	"machines begin anew",
-	"late writes, out of order",
-	"a slow state service",
-	"answers and commands held up",
-	"leaders hand over again and again",
-	"the leader refused, then all",
-	"machines that reach nobody",
-	"only answers lost",
-	"reports kept for the next leader",
-	"jobs cancelled together",
-	"jobs cancelled at their end",
-	"machines up at once",
-	"odd requests",
-	"close looks",
-	"a node stands still",
-	"more work than room over slow links",
-	"one-task jobs four a second",
+var faultNames = [numFaultKinds]string{
+	"node crash",
+	"crash of all nodes",
+	"state service outage",
+	"node refused by the state service",
+	"node or zone partitioned",
+	"machine partitioned",
+	"machine crash",
+	"machine hang",
+	"delayed transaction or rental",
+	"node restarts at once",
+	"all nodes restart at once",
+	"one-way partition to machines",
+	"delayed duplicates",
+	"node partitioned with its workers",
+	"machines restart empty",
+	"delayed writes out of order",
+	"slow state service",
+	"delayed answers and commands",
+	"repeated leadership handover",
+	"leader refused, then state service outage",
+	"one-way partition from machines",
+	"lost answers only",
+	"reports replayed to the next leader",
+	"concurrent cancellations",
+	"cancellations at completion",
+	"machines boot before the rental's answer",
+	"invalid requests",
+	"intensive polling",
+	"node pause",
+	"overload with slow links",
+	"stream of one-task jobs",
 }
 
-// Faults of a random run, and those that replace some of them in harsh runs.
+// Random runs draw each fault from one of these lists, picked at random.
 var (
-	mildTroubles = []trouble{
-		nodeCrash, nodeCrash, allCrash, outage, nodeRefused,
-		nodeCut, machineCut, machineDies, machineHangs, lateOnce,
+	mildFaults = []faultKind{
+		nodeCrash, nodeCrash, allCrash, stateOutage, nodeRefused,
+		nodePartition, machinePartition, machineCrash, machineHang, delayedRequest,
 	}
-	harshTroubles = []trouble{
-		nodeBack, allBack, machinesDeaf, lateCopies, nodeApart,
-		machinesReborn, lateWrites, slowState, heldUp, handOvers,
+	harshFaults = []faultKind{
+		nodeRestart, allRestart, machinesInboundLoss, delayedDuplicates, nodeIsolated,
+		machinesRestartEmpty, delayedWrites, slowState, slowMachines, repeatedHandover,
 	}
-	laterTroubles = []trouble{
-		machinesMute, refusedThenAll, answersLost, reportsKept, cancelNow, cancelAtEnd,
-		quickBoots, oddRequests, closeLooks, nodeFreezes, moreWork, oneTaskJobs,
+	specialFaults = []faultKind{
+		machinesOutboundLoss, refusedThenOutage, stateAnswersLost, reportsReplayed, concurrentCancellations, cancellationsAtCompletion,
+		earlyBoots, invalidRequests, intensivePolling, nodePause, overload, jobStream,
 	}
 )
 
-// troubles injects faults into a simulation.
-type troubles struct {
-	s     *sim
-	r     *rand.Rand
-	zones bool // a node partition may be a partition of a whole zone instead
-	many  int  // largest number of machines that a fault affects, in runs with many machines
-	say   func(f string, a ...any)
+// faultInjector injects faults into a simulation.
+type faultInjector struct {
+	sim            *sim
+	random         *rand.Rand
+	zonePartitions bool // a node partition may be a partition of a whole zone instead
+	maxMachines    int  // largest number of machines that a fault affects, in runs with many machines
+	logf           func(f string, a ...any)
 }
 
 // machines returns the machines that are up, sorted by name.
@@ -122,126 +122,129 @@
 	return out
 }
 
-// some picks at random up to so many machines, with repetition; many may raise the bound.
-func (tr *troubles) some(most int) []*worker {
-	ms := tr.s.machines()
+// pickMachines picks at random up to so many machines, with repetition; maxMachines may raise
+// the bound.
+func (f *faultInjector) pickMachines(most int) []*worker {
+	ms := f.sim.machines()
 	var out []*worker
-	for range min(len(ms), 1+tr.r.IntN(max(most, tr.many))) {
-		out = append(out, ms[tr.r.IntN(len(ms))])
+	for range min(len(ms), 1+f.random.IntN(max(most, f.maxMachines))) {
+		out = append(out, ms[f.random.IntN(len(ms))])
 	}
 	return out
 }
 
-// back restarts a controller after a delay if it is not up then.
-func (tr *troubles) back(n *controller, after time.Duration) {
-	tr.s.after(after, func() {
+// restartAfter restarts a controller after a delay if it is not up then.
+func (f *faultInjector) restartAfter(n *controller, after time.Duration) {
+	f.sim.after(after, func() {
 		if !n.up {
 			n.start(n.old)
 		}
 	})
 }
 
-// soon returns a random delay of 50 to 500 ms.
-func (tr *troubles) soon() time.Duration { return time.Duration(50+tr.r.IntN(450)) * time.Millisecond }
+// shortDelay returns a random delay of 50 to 500 ms.
+func (f *faultInjector) shortDelay() time.Duration {
+	return time.Duration(50+f.random.IntN(450)) * time.Millisecond
+}
 
-// begin injects a fault, for the given length where the kind has a duration. who is the index
-// of the controller that is affected, where the kind affects one.
-func (tr *troubles) begin(kind trouble, length time.Duration, who int) {
-	s, r, n := tr.s, tr.r, tr.s.nodes[who]
-	tr.say("%s for %v, node %d", troubleNames[kind], length, who)
+// inject injects a fault, for the given time where the kind has a duration. nodeIndex selects
+// the affected controller, where the kind affects one.
+func (f *faultInjector) inject(kind faultKind, duration time.Duration, nodeIndex int) {
+	s, r, n := f.sim, f.random, f.sim.nodes[nodeIndex]
+	f.logf("%s for %v, node %d", faultNames[kind], duration, nodeIndex)
 	switch kind {
 	case nodeCrash:
 		n.crash()
-		tr.back(n, 8*time.Second)
+		f.restartAfter(n, 8*time.Second)
 	case allCrash:
 		for _, n := range s.nodes {
 			n.crash()
-			tr.back(n, 8*time.Second)
+			f.restartAfter(n, 8*time.Second)
 		}
-	case outage:
+	case stateOutage:
 		s.state.outage = true
-		s.after(length, s.state.recover)
+		s.after(duration, s.state.recover)
 	case nodeRefused:
 		s.state.refuse[n.name] = true
-		s.after(length, func() { delete(s.state.refuse, n.name) })
-	case nodeCut:
-		if tr.zones && r.IntN(2) == 0 {
-			s.cutZone([]string{"a", "b"}[r.IntN(2)], n.name, length, r.IntN(2) == 0)
+		s.after(duration, func() { delete(s.state.refuse, n.name) })
+	case nodePartition:
+		if f.zonePartitions && r.IntN(2) == 0 {
+			s.cutZone([]string{"a", "b"}[r.IntN(2)], n.name, duration, r.IntN(2) == 0)
 			return
 		}
 		s.cuts = append(s.cuts, &cut{host: n.name, hold: r.IntN(2) == 0})
-		s.after(length, func() { s.heal(n.name) })
-	case machineCut:
-		for _, m := range tr.some(1) {
+		s.after(duration, func() { s.heal(n.name) })
+	case machinePartition:
+		for _, m := range f.pickMachines(1) {
 			s.cuts = append(s.cuts, &cut{host: m.name, hold: r.IntN(2) == 0})
-			s.after(length, func() { s.heal(m.name) })
+			s.after(duration, func() { s.heal(m.name) })
 		}
-	case machineDies:
-		for _, m := range tr.some(1) {
+	case machineCrash:
+		for _, m := range f.pickMachines(1) {
 			m.vanish()
 		}
-	case machineHangs:
-		for _, m := range tr.some(1) {
+	case machineHang:
+		for _, m := range f.pickMachines(1) {
 			m.hung = true
-			s.after(length, func() { m.hung = false })
+			s.after(duration, func() { m.hung = false })
 		}
-	case lateOnce:
+	case delayedRequest:
 		s.state.loseOut += r.IntN(2)
 		s.state.delayed = time.Duration(r.IntN(6)) * time.Second
 		if r.IntN(2) == 0 {
-			s.cloud.late = length
+			s.cloud.late = duration
 		}
-	case nodeBack: // up to five times
+	case nodeRestart: // up to five times
 		for i := range 1 + r.IntN(5) {
 			s.after(time.Duration(i)*time.Duration(600+r.IntN(2000))*time.Millisecond, func() {
 				if n.up {
 					n.crash()
-					tr.back(n, tr.soon())
+					f.restartAfter(n, f.shortDelay())
 				}
 			})
 		}
-	case allBack:
+	case allRestart:
 		for _, n := range s.nodes {
 			if n.up {
 				n.crash()
-				tr.back(n, tr.soon())
+				f.restartAfter(n, f.shortDelay())
 			}
 		}
-	case machinesDeaf: // their own packets still arrive
-		for _, m := range tr.some(4) {
+	case machinesInboundLoss: // their own packets still arrive
+		for _, m := range f.pickMachines(4) {
 			s.deaf[m.name] = true
-			s.after(length, func() { delete(s.deaf, m.name) })
+			s.after(duration, func() { delete(s.deaf, m.name) })
 		}
-	case lateCopies:
+	case delayedDuplicates:
 		s.again = time.Duration(1+r.IntN(30)) * time.Second
-		s.after(length, func() { s.again = 0 })
-	case nodeApart: // partitioned from the state service and its peers, but not from workers
+		s.after(duration, func() { s.again = 0 })
+	case nodeIsolated: // partitioned from the state service and its peers, but not from workers
 		s.state.refuse[n.name] = true
 		for _, o := range s.nodes {
 			if o != n {
 				s.cuts = append(s.cuts, &cut{host: n.name, with: o.name, hold: r.IntN(2) == 0})
 			}
 		}
-		s.after(length, func() {
+		s.after(duration, func() {
 			delete(s.state.refuse, n.name)
 			s.heal(n.name)
 		})
-	case machinesReborn: // restarted at once under the same names, with all state lost
-		for _, m := range tr.some(4) {
+	case machinesRestartEmpty: // restarted at once under the same names, with all state lost
+		for _, m := range f.pickMachines(4) {
 			m.reborn()
 		}
-	case lateWrites:
+	case delayedWrites:
 		s.state.lateShare = 0.1 + 0.5*r.Float64()
-		s.after(length, func() { s.state.lateShare = 0 })
+		s.after(duration, func() { s.state.lateShare = 0 })
 	case slowState:
 		s.slow["state"] = time.Duration(200+r.IntN(3800)) * time.Millisecond
-		s.after(length, func() { delete(s.slow, "state") })
-	case heldUp:
-		for _, m := range tr.some(4) {
+		s.after(duration, func() { delete(s.slow, "state") })
+	case slowMachines:
+		for _, m := range f.pickMachines(4) {
 			s.slow[m.name] = time.Duration(500+r.IntN(7500)) * time.Millisecond
-			s.after(length, func() { delete(s.slow, m.name) })
+			s.after(duration, func() { delete(s.slow, m.name) })
 		}
-	case handOvers:
+	case repeatedHandover:
 		for i := range 2 + r.IntN(4) {
 			s.after(time.Duration(i)*time.Duration(200+r.IntN(2500))*time.Millisecond, func() {
 				if l := s.leader(); l != nil {
@@ -250,42 +253,42 @@
 				}
 			})
 		}
-	case refusedThenAll: // the outage lasts longer than the cancellation deadline
+	case refusedThenOutage: // the outage lasts longer than the cancellation deadline
 		if l := s.leader(); l != nil {
 			n = l
 		}
 		s.state.refuse[n.name] = true
 		s.after(time.Duration(2000+r.IntN(8000))*time.Millisecond, func() { s.state.outage = true })
-		s.after(10*time.Second+length+settingsSeconds(s.cfg.Deployment.Workers.CancelS), func() {
+		s.after(10*time.Second+duration+settingsSeconds(s.cfg.Deployment.Workers.CancelS), func() {
 			delete(s.state.refuse, n.name)
 			s.state.recover()
 		})
-	case machinesMute: // may last longer than a lease
-		for _, m := range tr.some(4) {
+	case machinesOutboundLoss: // may last longer than a lease
+		for _, m := range f.pickMachines(4) {
 			s.mute[m.name] = true
-			s.after(length, func() { delete(s.mute, m.name) })
+			s.after(duration, func() { delete(s.mute, m.name) })
 		}
-	case answersLost:
+	case stateAnswersLost:
 		s.state.lateShare, s.state.atOnce = 0.1+0.5*r.Float64(), true
-		s.after(length, func() { s.state.lateShare, s.state.atOnce = 0, false })
-	case reportsKept:
+		s.after(duration, func() { s.state.lateShare, s.state.atOnce = 0, false })
+	case reportsReplayed:
 		s.keep = 0.05 + 0.2*r.Float64()
-		s.after(length, func() { s.keep = 0 })
-	case cancelNow: // within 200 ms, while some of their machines hang
-		s.cancelNow(r, 2+r.IntN(6), length/2)
-	case cancelAtEnd:
+		s.after(duration, func() { s.keep = 0 })
+	case concurrentCancellations: // within 200 ms, while some of their machines hang
+		s.cancelNow(r, 2+r.IntN(6), duration/2)
+	case cancellationsAtCompletion:
 		s.atEnd = 0.3 + 0.7*r.Float64()
-		s.after(length, func() { s.atEnd = 0 })
-	case quickBoots: // some machines are removed so that others are rented, which boot before the cloud answers
+		s.after(duration, func() { s.atEnd = 0 })
+	case earlyBoots: // some machines are removed so that others are rented, which boot before the cloud answers
 		before := s.cloud.boot
 		s.cloud.boot, s.cloud.answer = 0, time.Duration(500+r.IntN(3000))*time.Millisecond
-		for _, m := range tr.some(4) {
+		for _, m := range f.pickMachines(4) {
 			m.vanish()
 			delete(s.cloud.machines, m.name)
 		}
-		s.after(length, func() { s.cloud.boot, s.cloud.answer = max(before, 5*time.Second), 0 })
-	case oddRequests:
-		end := s.now + length
+		s.after(duration, func() { s.cloud.boot, s.cloud.answer = max(before, 5*time.Second), 0 })
+	case invalidRequests:
+		end := s.now + duration
 		var next func()
 		next = func() {
 			if list := s.acceptedJobs(); len(list) > 0 {
@@ -296,19 +299,19 @@
 			}
 		}
 		next()
-	case closeLooks:
+	case intensivePolling:
 		s.looks = true
-		s.after(length, func() { s.looks = false })
-	case nodeFreezes:
-		s.frozen[n.name] = s.now + length/2
-	case moreWork:
+		s.after(duration, func() { s.looks = false })
+	case nodePause:
+		s.frozen[n.name] = s.now + duration/2
+	case overload:
 		for _, n := range s.nodes {
 			s.slow[n.name] = time.Duration(50+r.IntN(250)) * time.Millisecond
-			s.after(length, func() { delete(s.slow, n.name) })
+			s.after(duration, func() { delete(s.slow, n.name) })
 		}
 		s.burst(r, 12)
-	case oneTaskJobs:
-		s.stream(r, length)
+	case jobStream:
+		s.stream(r, duration)
 	}
 }
 
@@ -371,7 +374,7 @@
 	slices.SortStableFunc(list, func(a, b *userJob) int { return int(b.run - a.run) })
 	list = list[:min(count, len(list))]
 	if len(list) > 1 {
-		s.saw("several jobs that run cancelled together")
+		s.saw("running jobs cancelled concurrently")
 	}
 	hung := 0
 	for _, j := range list {
@@ -379,7 +382,7 @@
 		for _, w := range s.machines() {
 			if hung < 8 && hang > 0 && !w.hung && r.IntN(2) == 0 && slices.ContainsFunc(w.on(), func(t task) bool { return t.job == j.id }) {
 				hung++
-				s.saw("a machine of a job that is cancelled hangs")
+				s.saw("machine of a cancelled job hangs")
 				w.hung = true
 				s.after(hang, func() { w.hung = false })
 			}
--- a/internal/scenario/hands_test.go
+++ b/internal/scenario/hands_test.go
@@ -13,13 +13,13 @@
 // the machine is not heard by the next one for a while. Nothing may have been started there:
 // nobody would know.
 func TestStartsWaitForGrants(t *testing.T) {
-	playDays(t, 12, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, nil)
+	runSeeds(t, 12, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, nil)
 		d.cloud.capacity = 4
-		first := d.add(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
+		first := d.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 		d.askAll(time.Second)
-		d.runs(first, 4)
-		next := d.add(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
+		d.awaitRunning(first, 4)
+		next := d.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
 		d.run(3 * time.Second)
 		d.cloud.capacity, d.cloud.boot = 12, 0 // for what would start elsewhere
 		end := time.Hour
@@ -27,18 +27,18 @@
 			end = min(end, d.ends[task{first.id, k}])
 		}
 		d.run(end - d.now - time.Duration(seed%4*150)*time.Millisecond)
-		l := d.leads()
+		l := d.awaitLeader()
 		d.state.refuse[l.name] = true
 		d.run(1700 * time.Millisecond)
 		if d.check.over(first.id) || d.running(first.id) < 4 {
 			d.saw("machines free while the leader is refused")
 		}
-		d.trouble("held", append(d.busy(next), d.machines()...)[:1], 12*time.Second)
+		d.injectMachineFault("held", append(d.machinesWithTasks(next), d.machines()...)[:1], 12*time.Second)
 		l.crash()
 		d.state.refuse = map[string]bool{}
-		d.tr.back(l, 8*time.Second)
+		d.faults.restartAfter(l, 8*time.Second)
 		d.run(20 * time.Second)
-		return d.over(5 * time.Minute)
+		return d.endFaultsAndSettle(5 * time.Minute)
 	}, "machines free while the leader is refused")
 }
 
@@ -46,62 +46,62 @@
 // a second, while they start tasks on other machines of their block than those on which room
 // is kept: the new life knows of no offer that the former one has taken up.
 func TestHolderBackAtOnce(t *testing.T) {
-	playDays(t, 16, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, func(c *settings.Settings) {
+	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 5, 26.5
 		})
 		d.cloud.capacity = 40
-		warm := d.add(50*time.Second, eventlog.Job{Tasks: 60, Priority: 1, Spot: true})
+		warm := d.submitJob(50*time.Second, eventlog.Job{Tasks: 60, Priority: 1, Spot: true})
 		d.askAll(2 * time.Second)
-		d.runs(warm, 40)
+		d.awaitRunning(warm, 40)
 		for i := range 160 {
-			d.addAt(time.Duration(i)*200*time.Millisecond, time.Duration(2000+d.r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true})
+			d.submitJobAfter(time.Duration(i)*200*time.Millisecond, time.Duration(2000+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true})
 		}
 		for i := range 50 { // some that have just begun tasks are not heard for a moment
 			d.after(time.Duration(i)*650*time.Millisecond, func() {
-				for _, w := range d.tr.some(5) {
-					d.trouble("mute", []*worker{w}, 2500*time.Millisecond)
+				for _, w := range d.faults.pickMachines(5) {
+					d.injectMachineFault("mute", []*worker{w}, 2500*time.Millisecond)
 				}
 			})
 		}
 		for i := range 40 {
-			d.after(time.Duration(i)*800*time.Millisecond+time.Duration(d.r.IntN(500))*time.Millisecond, func() {
+			d.after(time.Duration(i)*800*time.Millisecond+time.Duration(d.random.IntN(500))*time.Millisecond, func() {
 				l := d.leader()
 				for _, n := range d.nodes {
-					if n != l && n.up && d.r.IntN(2) == 0 {
+					if n != l && n.up && d.random.IntN(2) == 0 {
 						n.crash()
-						d.tr.back(n, 100*time.Millisecond)
+						d.faults.restartAfter(n, 100*time.Millisecond)
 						d.saw("a holder back at once")
 					}
 				}
 			})
 		}
 		d.run(40 * time.Second)
-		return d.over(5 * time.Minute)
+		return d.endFaultsAndSettle(5 * time.Minute)
 	}, "a holder back at once")
 }
 
 // TestRepeatedStartAfterReap has copies of starts sent straight to workers arrive after their
 // jobs were cancelled, and their ended tasks reaped: none may begin once more.
 func TestRepeatedStartAfterReap(t *testing.T) {
-	playDays(t, 8, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, startsDirectly)
+	runSeeds(t, 8, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, directDispatchSettings)
 		d.warmUp(5*time.Second, eventlog.Job{Tasks: 24, CPUs: 2, Priority: 1, Spot: true})
 		d.again = 9 * time.Second
 		for i := range 40 {
 			d.after(time.Duration(i)*600*time.Millisecond, func() {
-				j := d.add(20*time.Second, eventlog.Job{Tasks: 1 + i%3, Priority: 1, Spot: true})
+				j := d.submitJob(20*time.Second, eventlog.Job{Tasks: 1 + i%3, Priority: 1, Spot: true})
 				sent := d.launches
-				d.after(time.Duration(700+d.r.IntN(1500))*time.Millisecond, func() {
+				d.after(time.Duration(700+d.random.IntN(1500))*time.Millisecond, func() {
 					if d.launches > sent && j.accepted {
 						d.saw("cancelled after it was sent straight to a worker")
-						d.cancel(j, i)
+						d.cancelJob(j, i)
 					}
 				})
 			})
 		}
 		d.run(45 * time.Second)
 		d.again = 0
-		return d.over(5 * time.Minute)
+		return d.endFaultsAndSettle(5 * time.Minute)
 	}, "cancelled after it was sent straight to a worker")
 }
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -14,43 +14,43 @@
 // told, and nobody waits for room that is long free.
 func TestLimitsAndCancellations(t *testing.T) {
 	trials := []string{"cut", "held", "hung", "deaf", "mute", "slow"}
-	playDays(t, 9*len(trials), func(t *testing.T, seed uint64) *sim {
+	runSeeds(t, 9*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newStage(t, seed, func(c *settings.Settings) {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 12}, {Name: "other", CPUsMax: 10, CPUs: 6}, {Name: "third", CPUsMax: 8}}
 			c.Tunables.ZonePatienceS = float64(variant % 2 * 40)
 		})
 		teams := []string{"team", "other", "third"}
 		var first, waiting []*userJob
 		for i := range 6 {
-			first = append(first, d.add(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
+			first = append(first, d.submitJob(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
 		}
 		d.askAll(time.Second)
 		for _, j := range first {
-			d.runs(j, j.spec.Job.Tasks)
+			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		for i := range 6 {
-			waiting = append(waiting, d.add(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
+			waiting = append(waiting, d.submitJob(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
 		}
 		d.run(5 * time.Second)
 		if d.running(waiting[0].id) == 0 {
 			d.saw("jobs wait for their team's limit")
 		}
 		length := time.Duration(5+4*variant) * time.Second
-		on := d.busy(first[0])
-		d.trouble(trial, append(on[:1:1], d.busy(first[4])[0]), length)
+		on := d.machinesWithTasks(first[0])
+		d.injectMachineFault(trial, append(on[:1:1], d.machinesWithTasks(first[4])[0]), length)
 		when := time.Duration(variant%3-1) * 2500 * time.Millisecond // the leader ends before, at, or after
 		d.after(3*time.Second, func() {
 			for _, i := range []int{0, 1, 4, 5} {
-				d.cancel(first[i], i)
+				d.cancelJob(first[i], i)
 			}
 		})
 		d.after(3*time.Second+when, func() {
-			d.endLeader(8 * time.Second)
+			d.restartLeader(8 * time.Second)
 			d.saw([]string{"the leader ended before", "the leader ended at once", "the leader ended after"}[variant%3])
 		})
 		if variant > 5 {
-			d.after(9*time.Second, func() { d.endLeader(8 * time.Second) })
+			d.after(9*time.Second, func() { d.restartLeader(8 * time.Second) })
 		}
 		d.run(max(length, 12*time.Second))
 		if !d.until(45*time.Second, func() bool { return first[0].gone && first[1].gone && first[4].gone && first[5].gone }) {
@@ -60,7 +60,7 @@
 		if !d.until(15*time.Second, func() bool { return d.check.begun[waiting[0].id] > 0 && d.check.begun[waiting[1].id] > 0 }) {
 			t.Error("jobs wait though what was cancelled has made room")
 		}
-		return d.over(6 * time.Minute)
+		return d.endFaultsAndSettle(6 * time.Minute)
 	}, "jobs wait for their team's limit", "the leader ended before", "the leader ended at once", "the leader ended after")
 }
 
@@ -73,9 +73,9 @@
 	for _, trial := range trials {
 		must = append(must, trial+": cancelled while machines went to another controller")
 	}
-	playDays(t, 10*len(trials), func(t *testing.T, seed uint64) *sim {
+	runSeeds(t, 10*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newStage(t, seed, func(c *settings.Settings) {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			if trial == "balance" || variant%2 == 0 {
 				c.Tunables.RebalanceMoves = 8
 			}
@@ -86,24 +86,24 @@
 		})
 		next := func() *userJob {
 			i := len(d.jobs)
-			return d.add(time.Duration(4+i%9*6)*time.Second, eventlog.Job{Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5})
+			return d.submitJob(time.Duration(4+i%9*6)*time.Second, eventlog.Job{Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5})
 		}
 		for range 8 {
 			next()
 		}
 		d.askAll(time.Second)
 		d.run(12 * time.Second)
-		l := d.leads()
+		l := d.awaitLeader()
 		n := d.nodes[(l.index+1)%3]
 		switch trial {
 		case "a controller ends":
 			n.crash()
-			d.tr.back(n, 8*time.Second)
+			d.faults.restartAfter(n, 8*time.Second)
 		case "a roll":
 			for i, n := range d.nodes {
 				d.after(time.Duration(4*i)*time.Second, func() {
 					n.crash()
-					d.tr.back(n, 3*time.Second)
+					d.faults.restartAfter(n, 3*time.Second)
 				})
 			}
 		case "the leader hands over":
@@ -123,9 +123,9 @@
 		for i := range 60 { // more come, and are cancelled soon after they were accepted
 			d.after(time.Duration(i)*200*time.Millisecond, func() {
 				j := next()
-				d.after(time.Duration(100+d.r.IntN(2500))*time.Millisecond, func() {
-					if j.accepted && d.r.IntN(2) == 0 {
-						d.cancel(j, i)
+				d.after(time.Duration(100+d.random.IntN(2500))*time.Millisecond, func() {
+					if j.accepted && d.random.IntN(2) == 0 {
+						d.cancelJob(j, i)
 						for _, at := range d.moved {
 							if d.now-at < time.Second {
 								d.saw(trial + ": cancelled while machines went to another controller")
@@ -137,10 +137,10 @@
 			})
 		}
 		for _, id := range []uint64{2, 4, 6} {
-			d.after(time.Duration(d.r.IntN(6000))*time.Millisecond, func() { d.cancel(d.jobs[id], int(id)) })
+			d.after(time.Duration(d.random.IntN(6000))*time.Millisecond, func() { d.cancelJob(d.jobs[id], int(id)) })
 		}
 		d.run(25 * time.Second)
-		return d.over(8 * time.Minute)
+		return d.endFaultsAndSettle(8 * time.Minute)
 	}, must...)
 }
 
@@ -148,16 +148,16 @@
 // lose machines while the zone has room for others, and while it has none: they go on there,
 // nothing starts in another zone before the old tasks are gone, and none is stuck for ever.
 func TestBoundToOneZone(t *testing.T) {
-	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, nil)
+	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, nil)
 		var list []*userJob
 		for i, job := range []eventlog.Job{{Zone: "b", Tasks: 5}, {Zone: "b", Tasks: 3, Kind: 1}, {OneZone: true, Tasks: 5}, {OneZone: true, Tasks: 3, Kind: 1}, {Zone: "a", Tasks: 4, OneZone: true}} {
 			job.Priority, job.Spot = 1, i%2 == int(seed)%2 || i == 2
-			list = append(list, d.add(time.Duration(25+5*i)*time.Second, job))
+			list = append(list, d.submitJob(time.Duration(25+5*i)*time.Second, job))
 		}
 		d.askAll(time.Second)
 		for _, j := range list {
-			d.runs(j, j.spec.Job.Tasks)
+			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		room := d.cloud.capacity
 		if seed%3 > 0 { // there is no more to be had for a while
@@ -165,32 +165,32 @@
 			d.after(time.Duration(20+20*(seed%3))*time.Second, func() { d.cloud.capacity = room })
 		}
 		for _, j := range list {
-			on := d.busy(j)
-			if len(on) > 1 && d.r.IntN(2) == 0 {
+			on := d.machinesWithTasks(j)
+			if len(on) > 1 && d.random.IntN(2) == 0 {
 				on = on[:1]
 			}
 			for _, w := range on {
-				switch d.r.IntN(3) {
+				switch d.random.IntN(3) {
 				case 0: // the cloud takes it
 					w.vanish()
 					delete(d.cloud.machines, w.name)
 				case 1:
 					w.vanish()
 				default: // nobody hears it, and its tasks go on
-					d.trouble([]string{"cut", "mute", "deaf"}[d.r.IntN(3)], []*worker{w}, time.Duration(3+d.r.IntN(12))*time.Second)
+					d.injectMachineFault([]string{"cut", "mute", "deaf"}[d.random.IntN(3)], []*worker{w}, time.Duration(3+d.random.IntN(12))*time.Second)
 				}
 				d.saw("a machine of a bound job lost")
 			}
 		}
 		if seed%2 == 1 {
-			d.after(time.Duration(d.r.IntN(9000))*time.Millisecond, func() { d.endLeader(8 * time.Second) })
+			d.after(time.Duration(d.random.IntN(9000))*time.Millisecond, func() { d.restartLeader(8 * time.Second) })
 		}
 		before := d.check.starts
 		d.run(70 * time.Second)
 		if d.check.starts > before {
 			d.saw("tasks of bound jobs started again")
 		}
-		return d.over(6 * time.Minute)
+		return d.endFaultsAndSettle(6 * time.Minute)
 	}, "a machine of a bound job lost", "tasks of bound jobs started again")
 }
 
@@ -198,14 +198,14 @@
 // half of each class, of each team and of the largest is served, nobody is stopped for work of
 // equal or lower priority, and all comes to its end.
 func TestMoreWorkThanRoom(t *testing.T) {
-	playDays(t, 6, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, func(c *settings.Settings) {
+	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 30}, {Name: "other", CPUsMax: 30}}
 			c.Tunables.BeginWithinS = 120
 		})
 		d.cloud.capacity = 10
 		for _, n := range d.nodes {
-			d.slow[n.name] = time.Duration(100+d.r.IntN(250)) * time.Millisecond
+			d.slow[n.name] = time.Duration(100+d.random.IntN(250)) * time.Millisecond
 		}
 		d.slow["state"] = 150 * time.Millisecond
 		d.preempted = func(j *userJob, w *worker) {
@@ -228,13 +228,13 @@
 			default:
 				job.Tasks, job.CPUs = 1+i%3, 2
 			}
-			d.addAt(time.Duration(i)*700*time.Millisecond, time.Duration(3+d.r.IntN(8))*time.Second, job)
+			d.submitJobAfter(time.Duration(i)*700*time.Millisecond, time.Duration(3+d.random.IntN(8))*time.Second, job)
 		}
 		d.askAll(3 * time.Second)
 		d.run(4 * time.Minute)
 		d.check.served(d.now)
 		d.check.beginInTime(d.now)
-		return d.over(10 * time.Minute)
+		return d.endFaultsAndSettle(10 * time.Minute)
 	}, "a task stopped for another job")
 }
 
@@ -243,22 +243,22 @@
 // left. None may wait 90 s so, and the first one is not forgotten for it.
 func TestLeftWaiting(t *testing.T) {
 	for _, kind := range []uint8{0, 1} {
-		d := newStage(t, uint64(kind), nil)
+		d := newHarness(t, uint64(kind), nil)
 		d.cloud.capacity = 6
-		stays := d.add(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
+		stays := d.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
 		d.askAll(2 * time.Second)
-		d.runs(stays, 6)
-		long := d.add(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and ends together
-		d.runs(long, 5)
+		d.awaitRunning(stays, 6)
+		long := d.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and ends together
+		d.awaitRunning(long, 5)
 		if kind == 0 {
 			d.until(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.somewhere(long.id) > 0 })
 		}
-		d.cancel(long, 0)
-		first := d.add(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has so much
+		d.cancelJob(long, 0)
+		first := d.submitJob(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has so much
 		d.run(2 * time.Second)
 		var small []*userJob
 		for i := range 3 {
-			small = append(small, d.add(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
+			small = append(small, d.submitJob(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
 		}
 		d.run(10 * time.Second)
 		d.check.calm = d.now
@@ -268,7 +268,7 @@
 				t.Errorf("kind %d: job %d has not begun", kind, j.id)
 			}
 		}
-		d.cancel(stays, 1)
+		d.cancelJob(stays, 1)
 		if !d.until(4*time.Minute, func() bool { return first.toldDone }) {
 			t.Errorf("kind %d: the first job is %s", kind, first.state)
 		}
@@ -281,16 +281,16 @@
 // TestSpreadWithOneZone has a spread array wait while machines with room are in one zone only:
 // another is rented in the other.
 func TestSpreadWithOneZone(t *testing.T) {
-	d := newStage(t, 5, nil)
-	bound := d.add(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
+	d := newHarness(t, 5, nil)
+	bound := d.submitJob(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
 	d.askAll(2 * time.Second)
-	d.runs(bound, 9)
-	spread := d.add(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // there is room for all, in one zone
+	d.awaitRunning(bound, 9)
+	spread := d.submitJob(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // there is room for all, in one zone
 	d.run(20 * time.Second)
 	d.check.calm = d.now
 	d.run(40 * time.Second)
 	if n := d.running(spread.id); n != 3 {
 		t.Errorf("%d of 3 tasks run", n)
 	}
-	d.over(8 * time.Minute)
+	d.endFaultsAndSettle(8 * time.Minute)
 }
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -28,17 +28,17 @@
 	size, _ := strconv.Atoi(os.Getenv("PAIR_MACHINES"))
 	only := os.Getenv("PAIR_FIRST")
 	var mu sync.Mutex
-	seen, played, overtook := map[string]int{}, [kindsOfTrouble][kindsOfTrouble]int{}, 0
+	seen, played, overtook := map[string]int{}, [numFaultKinds][numFaultKinds]int{}, 0
 	t.Run("pairs", func(t *testing.T) {
-		for a := range kindsOfTrouble {
-			if only != "" && troubleNames[a] != only {
+		for a := range numFaultKinds {
+			if only != "" && faultNames[a] != only {
 				continue
 			}
-			for b := range kindsOfTrouble {
+			for b := range numFaultKinds {
 				for day := range days {
-					t.Run(fmt.Sprintf("%s/%s/%d", troubleNames[a], troubleNames[b], day), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%s/%s/%d", faultNames[a], faultNames[b], day), func(t *testing.T) {
 						t.Parallel()
-						s, met, terms := pairDay(t, a, b, uint64(day)*1000+uint64(a)*uint64(kindsOfTrouble)+uint64(b), size)
+						s, met, terms := pairDay(t, a, b, uint64(day)*1000+uint64(a)*uint64(numFaultKinds)+uint64(b), size)
 						mu.Lock()
 						defer mu.Unlock()
 						if met {
@@ -64,19 +64,19 @@
 		for b := range played[a] {
 			if played[a][b] == 0 {
 				never++
-				t.Errorf("%s never met %s", troubleNames[a], troubleNames[b])
+				t.Errorf("%s never met %s", faultNames[a], faultNames[b])
 			}
 		}
 	}
-	t.Logf("%d pairs, %d of them never met; a leader followed another on %d days", kindsOfTrouble*kindsOfTrouble, never, overtook)
+	t.Logf("%d pairs, %d of them never met; a leader followed another on %d days", numFaultKinds*numFaultKinds, never, overtook)
 	if overtook == 0 {
 		t.Error("nobody ever followed a leader")
 	}
-	for _, what := range []string{"late write of log, after newer ones", "late write of lead, after newer ones", "a copy of a report after newer ones", "a copy of a report of an earlier session", "a copy of a report of an earlier term",
-		"commands carried out that were held up", "a direct command met a machine that hangs", "a direct command turned away for its token or session", "an answer dropped for its token or session", "a packet to a deaf machine lost",
-		"a report of a mute machine lost", "a direct command reached a mute machine", "only the answer lost: log", "only the answer lost: claim", "only the answer lost: hold", "only the answer lost: renewal", "a kept report reached the next leader",
-		"several jobs that run cancelled together", "a machine of a job that is cancelled hangs", "a cancellation at the end of the last task", "a machine up before its rental was answered",
-		"an odd repeat answered", "an odd submission refused", "a done job asked to be cancelled", "close looks", "more work than room", "a one-task job cancelled", "beside the version in production"} {
+	for _, what := range []string{"late write of log, after newer ones", "late write of lead, after newer ones", "duplicate report after newer ones", "duplicate report of an earlier session", "duplicate report of an earlier term",
+		"delayed commands executed", "direct command to a hung machine", "direct command rejected for its token or session", "an answer dropped for its token or session", "packet to a machine lost in a one-way partition",
+		"report of a machine lost in a one-way partition", "direct command reached a machine whose reports are lost", "only the answer lost: log", "only the answer lost: claim", "only the answer lost: hold", "only the answer lost: renewal", "replayed report reached the next leader",
+		"running jobs cancelled concurrently", "machine of a cancelled job hangs", "cancellation at the completion of the last task", "a machine up before its rental was answered",
+		"invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job", "intensive polling", "more work than room", "a one-task job cancelled", "beside the version in production"} {
 		t.Logf("%s: %d times", what, seen[what])
 		if seen[what] == 0 {
 			t.Errorf("%s: never brought about", what)
@@ -86,7 +86,7 @@
 
 // pairDay plays a day on which two troubles meet, and says whether they did and how many
 // leaders there were.
-func pairDay(t *testing.T, a, b trouble, seed uint64, size int) (s *sim, met bool, terms uint64) {
+func pairDay(t *testing.T, a, b faultKind, seed uint64, size int) (s *sim, met bool, terms uint64) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(16 + r.IntN(30))
@@ -118,7 +118,7 @@
 		}
 	}
 	var log []string
-	tr := &troubles{s: s, r: r, zones: seed%5 == 0, many: size / 20, say: func(f string, a ...any) {
+	tr := &faultInjector{sim: s, random: r, zonePartitions: seed%5 == 0, maxMachines: size / 20, logf: func(f string, a ...any) {
 		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, a...))
 	}}
 	for i := range uint64(12 + size/25) {
@@ -151,10 +151,10 @@
 	s.askAll(2 * time.Second)
 	s.run(38 * time.Second)
 	length := time.Duration(5+r.IntN(25)) * time.Second
-	s.after(0, func() { tr.begin(a, length, r.IntN(count)) })
+	s.after(0, func() { tr.inject(a, length, r.IntN(count)) })
 	s.after(time.Duration(r.Int64N(int64(length))), func() {
 		met = true
-		tr.begin(b, time.Duration(5+r.IntN(25))*time.Second, r.IntN(count))
+		tr.inject(b, time.Duration(5+r.IntN(25))*time.Second, r.IntN(count))
 	})
 	if beside {
 		s.saw("beside the version in production")
@@ -163,7 +163,7 @@
 		s.after(time.Duration(r.IntN(30000))*time.Millisecond, func() {
 			if l := s.leader(); l != nil {
 				l.crash()
-				tr.back(l, 8*time.Second)
+				tr.restartAfter(l, 8*time.Second)
 			}
 		})
 	}
@@ -267,7 +267,7 @@
 // TestLateWrites has transactions of every kind carried out 2 to 12 s later, after newer
 // ones of the same controller, of later terms, and of processes that have ended.
 func TestLateWrites(t *testing.T) {
-	playDays(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, false) },
+	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, false) },
 		"late write of lead, after newer ones", "late write of log, after newer ones", "late removal of log, after newer ones", "late write of sizes, after newer ones", "late write of own/pools, after newer ones", "late write of own/run-times, after newer ones")
 }
 
@@ -453,7 +453,7 @@
 				}
 				s := newSim(c, seed, 3, false)
 				r := rand.New(rand.NewPCG(seed, 13))
-				tr := &troubles{s: s, r: r, say: func(string, ...any) {}}
+				tr := &faultInjector{sim: s, random: r, logf: func(string, ...any) {}}
 				for i := range uint64(14) {
 					job := &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 15, Kind: uint8(r.IntN(5) / 4)}
 					j := &userJob{id: i + 1, run: time.Duration(1000+r.IntN(40000)) * time.Millisecond, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
@@ -471,20 +471,20 @@
 				s.askAll(time.Second)
 				s.run(10 * time.Second)
 				for range 6 {
-					tr.begin(handOvers, 0, 0)
+					tr.inject(repeatedHandover, 0, 0)
 					s.run(time.Duration(1+r.IntN(5)) * time.Second)
 					if l := s.leader(); l != nil && r.IntN(2) == 0 { // hands over and is gone at once, and back
 						l.core.Stop(l.clock())
 						l.drain()
 						l.crash()
-						tr.back(l, tr.soon())
+						tr.restartAfter(l, tr.shortDelay())
 						s.run(time.Duration(r.IntN(900)) * time.Millisecond)
 					}
 					for i, n := range s.nodes { // all end, and one returns; the others follow later
 						if n.up {
 							n.crash()
 						}
-						tr.back(n, tr.soon()+time.Duration(i)*4*time.Second)
+						tr.restartAfter(n, tr.shortDelay()+time.Duration(i)*4*time.Second)
 					}
 					s.run(time.Duration(500+r.IntN(4000)) * time.Millisecond)
 					if l := s.leader(); l != nil && l == s.nodes[0] && !s.nodes[1].up {
@@ -516,8 +516,8 @@
 // after that. Found by random day 3368, where the task had been started elsewhere meanwhile.
 func TestHeldStartMeetsNewLife(t *testing.T) {
 	const held = 22 * time.Second
-	playDays(t, 32, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, 1+seed/16, startsDirectly)
+	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, 1+seed/16, directDispatchSettings)
 		d.warmUp(12*time.Second, eventlog.Job{Tasks: 8, CPUs: 4, Priority: 1, Spot: true})
 		d.run(8 * time.Second)
 		ms := d.machines()
@@ -525,7 +525,7 @@
 			d.slow[m.name] = held
 		}
 		sent := d.launches
-		j := d.add(60*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
+		j := d.submitJob(60*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
 		if !d.until(3*time.Second, func() bool { return d.launches > sent }) {
 			t.Fatal("nothing was sent straight to a worker")
 		}
@@ -554,22 +554,22 @@
 		if !d.until(time.Minute, func() bool { return d.running(j.id) == 1 }) {
 			t.Error("its task runs nowhere")
 		}
-		return d.over(5 * time.Minute)
-	}, "a later session, and then a new life", "a start carried out by the machine's next life")
+		return d.endFaultsAndSettle(5 * time.Minute)
+	}, "a later session, and then a new life", "start executed by a later incarnation of the machine")
 }
 
 // TestLostStartThenLaterSession has a start sent straight to a worker be lost, and a later
 // session show that the worker has nothing: its machine is deleted, and the task starts
 // elsewhere then. Without the deletion it would count there for ever.
 func TestLostStartThenLaterSession(t *testing.T) {
-	d := newStage(t, 2, startsDirectly)
+	d := newHarness(t, 2, directDispatchSettings)
 	d.warmUp(12*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 	d.run(8 * time.Second)
 	sent := d.launches
 	for _, m := range d.machines() {
 		d.deaf[m.name] = true // heard, and nothing reaches them
 	}
-	j := d.add(20*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
+	j := d.submitJob(20*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
 	if !d.until(3*time.Second, func() bool { return d.launches > sent }) {
 		t.Fatal("nothing was sent straight to a worker")
 	}
@@ -579,5 +579,5 @@
 	if !d.until(40*time.Second, func() bool { return d.running(j.id) == 1 }) {
 		t.Error("its task runs nowhere")
 	}
-	d.over(2 * time.Minute)
+	d.endFaultsAndSettle(2 * time.Minute)
 }
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -20,9 +20,9 @@
 	for _, step := range steps {
 		must = append(must, "the leader ended "+step)
 	}
-	playDays(t, 4*len(steps), func(t *testing.T, seed uint64) *sim {
+	runSeeds(t, 4*len(steps), func(t *testing.T, seed uint64) *sim {
 		step, variant := steps[int(seed)%len(steps)], int(seed)/len(steps)
-		d := newStage(t, seed, func(c *settings.Settings) {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 24
 			if variant%2 == 1 {
 				c.Tunables.PushDispatches = 8
@@ -30,7 +30,7 @@
 			}
 		})
 		d.cloud.boot, d.cloud.answer = 0, 1500*time.Millisecond
-		d.leads()
+		d.awaitLeader()
 		d.slow["state"] = time.Duration(50+300*variant) * time.Millisecond
 		d.after(40*time.Second, func() { delete(d.slow, "state") })
 		times := 0 // the step, by which the leader ends
@@ -47,22 +47,22 @@
 					if variant%2 == 1 { // and what has just begun is not heard by the next one
 						for _, w := range d.machines() {
 							if len(w.tasks) > 0 {
-								d.trouble("held", []*worker{w}, 7*time.Second)
+								d.injectMachineFault("held", []*worker{w}, 7*time.Second)
 							}
 						}
 					}
 					l.crash()
-					d.tr.back(l, []time.Duration{200 * time.Millisecond, 8 * time.Second}[variant/2])
+					d.faults.restartAfter(l, []time.Duration{200 * time.Millisecond, 8 * time.Second}[variant/2])
 				})
 			}
 		}
 		for i := range 10 {
-			d.add(time.Duration(6+i)*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i / 8), Priority: 1, Spot: i%3 > 0})
+			d.submitJob(time.Duration(6+i)*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i / 8), Priority: 1, Spot: i%3 > 0})
 			d.run(1200 * time.Millisecond)
 		}
 		d.askAll(time.Second)
 		d.run(40 * time.Second)
-		d.over(5 * time.Minute)
+		d.endFaultsAndSettle(5 * time.Minute)
 		if !d.until(3*time.Minute, func() bool { return len(d.machines()) <= 2 }) {
 			t.Errorf("%d machines are kept though there is nothing to do", len(d.machines()))
 		}
@@ -74,7 +74,7 @@
 // lost, while other controllers read them: the leader goes on or ends its term within seconds,
 // nothing is done twice, and nobody is told the opposite.
 func TestOnlyTheAnswerIsLost(t *testing.T) {
-	playDays(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, true) },
+	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, true) },
 		"only the answer lost: log", "only the answer lost: removal of log", "only the answer lost: sizes", "only the answer lost: own/pools", "only the answer lost: own/run-times",
 		"only the answer lost: hold", "only the answer lost: claim", "only the answer lost: renewal")
 }
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -26,7 +26,7 @@
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
 		days = v
 	}
-	var played [kindsOfTrouble]atomic.Int64
+	var played [numFaultKinds]atomic.Int64
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -35,12 +35,12 @@
 			})
 		}
 	})
-	for kind, name := range troubleNames {
+	for kind, name := range faultNames {
 		t.Logf("%s: %d times", name, played[kind].Load())
 	}
 }
 
-func randomDay(t *testing.T, seed uint64, played *[kindsOfTrouble]atomic.Int64) {
+func randomDay(t *testing.T, seed uint64, played *[numFaultKinds]atomic.Int64) {
 	r := rand.New(rand.NewPCG(seed, 99))
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(8 + r.IntN(40))
@@ -181,14 +181,14 @@
 			})
 		}
 	}
-	tr := &troubles{s: s, r: r, zones: spreads, say: say}
+	tr := &faultInjector{sim: s, random: r, zonePartitions: spreads, logf: say}
 	for range 3 + r.IntN(8) {
 		at, length, who := sometime(), time.Duration(1+r.IntN(30))*time.Second, r.IntN(count)
-		kinds := [][]trouble{mildTroubles, harshTroubles, laterTroubles}[r.IntN(3)]
+		kinds := [][]faultKind{mildFaults, harshFaults, specialFaults}[r.IntN(3)]
 		kind := kinds[r.IntN(len(kinds))]
 		s.after(at, func() {
 			played[kind].Add(1)
-			tr.begin(kind, length, who)
+			tr.inject(kind, length, who)
 		})
 	}
 	var poll func()
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -17,11 +17,11 @@
 // slow, cut off or stand still, and leaders change. No answer may be older than what was told
 // before, but for what was on its way already, and that is given up in a bounded time.
 func TestCloseLooks(t *testing.T) {
-	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, nil)
+	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, nil)
 		d.looks = true
 		for i := range 25 {
-			d.addAt(time.Duration(2000+d.r.IntN(45000))*time.Millisecond, time.Duration(300+d.r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + d.r.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
+			d.submitJobAfter(time.Duration(2000+d.random.IntN(45000))*time.Millisecond, time.Duration(300+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + d.random.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
 		}
 		d.askAll(2 * time.Second)
 		for i := range 8 { // a controller between users and the leader
@@ -31,10 +31,10 @@
 					return
 				}
 				n := d.nodes[(l.index+1+i%2)%3]
-				length := time.Duration(1000+d.r.IntN(3000)) * time.Millisecond
+				length := time.Duration(1000+d.random.IntN(3000)) * time.Millisecond
 				switch (i + int(seed)) % 4 {
 				case 0:
-					d.slow[n.name] = time.Duration(100+d.r.IntN(1500)) * time.Millisecond
+					d.slow[n.name] = time.Duration(100+d.random.IntN(1500)) * time.Millisecond
 					d.after(length, func() { delete(d.slow, n.name) })
 				case 1:
 					d.cuts = append(d.cuts, &cut{host: n.name, with: l.name, hold: true})
@@ -48,28 +48,28 @@
 		}
 		if seed%2 == 1 {
 			for i := range 3 {
-				d.after(time.Duration(12+14*i)*time.Second+time.Duration(d.r.IntN(4000))*time.Millisecond, func() { d.endLeader(8 * time.Second) })
+				d.after(time.Duration(12+14*i)*time.Second+time.Duration(d.random.IntN(4000))*time.Millisecond, func() { d.restartLeader(8 * time.Second) })
 			}
 		}
 		d.run(60 * time.Second)
-		return d.over(5 * time.Minute)
-	}, "close looks", "an answer that a newer one had overtaken")
+		return d.endFaultsAndSettle(5 * time.Minute)
+	}, "intensive polling", "answer overtaken by a newer one")
 }
 
 // TestEndMeetsRequest has a cancellation, a question or a repeated submission arrive at the
 // end of a job's last task, with no other trouble, with the answer to the write lost, and with
 // a change of leader: each job has one outcome, for ever.
 func TestEndMeetsRequest(t *testing.T) {
-	seen := playDays(t, 48, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, nil)
+	seen := runSeeds(t, 48, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, nil)
 		trial := seed % 4
 		list := make([]*userJob, 8)
 		for i := range list {
-			list[i] = d.add(25*time.Second, eventlog.Job{Tasks: 1 + i%3, Kind: uint8(i / 6), Priority: 1, Spot: true})
+			list[i] = d.submitJob(25*time.Second, eventlog.Job{Tasks: 1 + i%3, Kind: uint8(i / 6), Priority: 1, Spot: true})
 		}
 		d.askAll(time.Second)
 		for _, j := range list {
-			d.runs(j, j.spec.Job.Tasks)
+			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		if trial == 2 {
 			d.slow["state"] = 300 * time.Millisecond
@@ -90,7 +90,7 @@
 					d.state.loseOut = 1
 				}
 				if trial == 3 && i == 3 {
-					d.endLeader(8 * time.Second)
+					d.restartLeader(8 * time.Second)
 				}
 				if before := d.check.over(j.id); before {
 					d.saw("asked after the last task had ended")
@@ -99,18 +99,18 @@
 				}
 				switch (i + int(seed)/4) % 3 {
 				case 0, 1:
-					d.cancel(j, i)
+					d.cancelJob(j, i)
 				default:
 					d.submit(j, i, func() bool { return false })
 					d.poll(j, i+1)
 				}
 			})
 			if trial == 2 && i == 3 {
-				d.after(at+time.Duration(d.r.IntN(80))*time.Millisecond, func() { d.endLeader(8 * time.Second) })
+				d.after(at+time.Duration(d.random.IntN(80))*time.Millisecond, func() { d.restartLeader(8 * time.Second) })
 			}
 		}
 		d.run(40 * time.Second)
-		d.over(5 * time.Minute)
+		d.endFaultsAndSettle(5 * time.Minute)
 		for _, j := range list {
 			if j.asked && j.toldDone {
 				d.saw("a cancelled job done")
@@ -126,8 +126,8 @@
 				}
 			}
 			d.run(3 * time.Second)
-			d.endLeader(8 * time.Second)
-			d.leads()
+			d.restartLeader(8 * time.Second)
+			d.awaitLeader()
 		}
 		if len(d.check.broken) > 0 {
 			t.Errorf("rules broken: %v", d.check.broken)
@@ -142,7 +142,7 @@
 // what is written stays within the limits, the log stays short, and all are served.
 func TestOneTaskJobs(t *testing.T) {
 	const count = 720
-	d := newStage(t, 3, func(c *settings.Settings) {
+	d := newHarness(t, 3, func(c *settings.Settings) {
 		st := &c.Deployment.State
 		st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps = 200, 15, 2, 4
 	})
@@ -157,20 +157,20 @@
 		at := time.Duration(i) * 250 * time.Millisecond
 		d.after(at, func() {
 			all[id].sent = d.now
-			j := d.add(time.Duration(1000+d.r.IntN(5000))*time.Millisecond, eventlog.Job{ID: id, Priority: uint8(i % 4), Spot: true})
+			j := d.submitJob(time.Duration(1000+d.random.IntN(5000))*time.Millisecond, eventlog.Job{ID: id, Priority: uint8(i % 4), Spot: true})
 			if i%4 == 1 {
 				cancelled++
-				d.after(time.Duration(500+d.r.IntN(4000))*time.Millisecond, func() {
+				d.after(time.Duration(500+d.random.IntN(4000))*time.Millisecond, func() {
 					if j.accepted {
 						all[id].asked = d.now
-						d.cancel(j, i)
+						d.cancelJob(j, i)
 					}
 				})
 			}
 		})
 	}
 	d.askAll(5 * time.Second)
-	d.after(90*time.Second, func() { d.endLeader(8 * time.Second) })
+	d.after(90*time.Second, func() { d.restartLeader(8 * time.Second) })
 	segments := 0
 	for d.now < count*250*time.Millisecond+20*time.Second {
 		d.run(time.Second)
@@ -182,7 +182,7 @@
 		}
 		segments = max(segments, n)
 	}
-	d.over(4 * time.Minute)
+	d.endFaultsAndSettle(4 * time.Minute)
 	var accept, confirm, begin []time.Duration
 	for id := uint64(1); id <= count; id++ {
 		j := d.jobs[id]
@@ -224,14 +224,14 @@
 // cancel what is done, and submit what can never run, at every controller and over a change of
 // leader: known ids are answered with their state, the others refused, and nothing is kept.
 func TestOddRequests(t *testing.T) {
-	playDays(t, 6, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, nil)
+	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, nil)
 		for i := range 12 {
-			d.addAt(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+d.r.IntN(9))*time.Second, eventlog.Job{Tasks: 1 + i%4, Priority: 1, Spot: true})
+			d.submitJobAfter(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+d.random.IntN(9))*time.Second, eventlog.Job{Tasks: 1 + i%4, Priority: 1, Spot: true})
 		}
 		d.askAll(time.Second)
-		d.after(3*time.Second, func() { d.tr.begin(oddRequests, 50*time.Second, 0) })
-		d.after(20*time.Second, func() { d.endLeader(8 * time.Second) })
+		d.after(3*time.Second, func() { d.faults.inject(invalidRequests, 50*time.Second, 0) })
+		d.after(20*time.Second, func() { d.restartLeader(8 * time.Second) })
 		d.run(60 * time.Second)
 		entries := 0
 		for k, it := range d.state.items {
@@ -251,14 +251,14 @@
 		if entries > 0 {
 			t.Errorf("%d jobs that nobody may run are in the log", entries)
 		}
-		return d.over(5 * time.Minute)
-	}, "an odd repeat answered", "an odd submission refused", "a done job asked to be cancelled")
+		return d.endFaultsAndSettle(5 * time.Minute)
+	}, "invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job")
 }
 
 // TestOverLimits submits jobs that can never run for each reason that there is.
 func TestOverLimits(t *testing.T) {
-	d := newStage(t, 1, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
-	d.leads()
+	d := newHarness(t, 1, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
+	d.awaitLeader()
 	d.run(2 * time.Second)
 	base := eventlog.Job{Class: "class", Team: "team", Tasks: 4, CPUs: 2, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true}
 	for i, c := range []struct {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -634,9 +634,9 @@
 	return n
 }
 
-// freshChecked returns a simulation without controllers, an accepted job of four tasks whose team
+// newCheckedSim returns a simulation without controllers, an accepted job of four tasks whose team
 // is limited to two CPUs, and two machines.
-func freshChecked() (*sim, *userJob, *worker, *worker) {
+func newCheckedSim() (*sim, *userJob, *worker, *worker) {
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = 2
 	s := newSim(c, 1, 0, false)
@@ -779,7 +779,7 @@
 		}},
 	}
 	for _, c := range cases {
-		s, j, w1, w2 := freshChecked()
+		s, j, w1, w2 := newCheckedSim()
 		c.do(s, j, w1, w2)
 		if !slices.ContainsFunc(s.check.broken, func(b string) bool { return strings.HasPrefix(b, c.rule) }) {
 			t.Errorf("%s violated on purpose was not detected: %v", c.rule, s.check.broken)
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -212,11 +212,11 @@
 						return
 					}
 					if leads, _ := n.core.Leading(); leads && n.core.Epoch() > r.Token>>cluster.TokenBits {
-						s.saw("a kept report reached the next leader")
+						s.saw("replayed report reached the next leader")
 						if w := s.cloud.machines[r.Machine]; w == nil {
-							s.saw("a kept report of a machine deleted since")
+							s.saw("replayed report of a deleted machine")
 						} else if r.Session < w.session {
-							s.saw("a kept report of an earlier session")
+							s.saw("replayed report of an earlier session")
 						}
 					}
 					n.core.HandleHeartbeat(n.clock(), 0, r) // the answer is discarded
@@ -230,7 +230,7 @@
 // send transmits a packet between two hosts; f runs when it arrives.
 func (s *sim) send(from, to string, f func()) {
 	if s.deaf[to] {
-		s.saw("a packet to a deaf machine lost")
+		s.saw("packet to a machine lost in a one-way partition")
 		return
 	}
 	if c := s.between(from, to); c != nil {
@@ -535,7 +535,7 @@
 			begun := w.life
 			arrives := func() {
 				if w.life != begun && w.up && !w.hung && e.Session == w.session && e.Token >= w.token {
-					s.saw("a start carried out by the machine's next life")
+					s.saw("start executed by a later incarnation of the machine")
 				}
 			}
 			s.copies(func() { w.direct(e.Token, e.Session, e.Starts, func(*workers.Report) {}) })
@@ -714,7 +714,7 @@
 	if !s.looks || j.spec.Job == nil {
 		return
 	}
-	s.saw("close looks")
+	s.saw("intensive polling")
 	for at := range s.nodes {
 		for _, after := range []time.Duration{0, 1, 3, 10, 30, 100, 300, 1000} {
 			s.after(after*time.Millisecond, func() { s.poll(j, at) })
@@ -742,7 +742,7 @@
 			if ok && (a.Status == 400 || a.Status == 422) {
 				s.check.fail("forgotten", "job %d, submitted again, is answered with %d", j.id, a.Status)
 			} else if ok && a.Status == 200 {
-				s.saw("an odd repeat answered")
+				s.saw("invalid repeated submission answered")
 			}
 		})
 	case 2: // a cancellation of a completed job
@@ -752,7 +752,7 @@
 		sent := s.now
 		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Cancel(now, to, j.id) }, func(a answer, ok bool) {
 			if ok && a.Status == 200 {
-				s.saw("a done job asked to be cancelled")
+				s.saw("cancellation of a completed job")
 				s.check.told(j, a.Answer, sent)
 			}
 		})
--- a/internal/scenario/unheard_test.go
+++ b/internal/scenario/unheard_test.go
@@ -13,18 +13,18 @@
 // and of machines deleted since, reach every controller just as a new leader begins, and once
 // it has acted: also where all controllers ended and nobody led for a while.
 func TestOldReportsAtANewLeader(t *testing.T) {
-	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, func(c *settings.Settings) {
+	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 30
 			if seed%2 == 1 {
 				c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
 			}
 		})
 		for i := range 14 {
-			d.addAt(time.Duration(i)*2500*time.Millisecond, time.Duration(4+d.r.IntN(20))*time.Second, eventlog.Job{Tasks: 1 + d.r.IntN(6), Kind: uint8(i % 5 / 4), Priority: 1, Spot: true, OneZone: i%4 == 0})
+			d.submitJobAfter(time.Duration(i)*2500*time.Millisecond, time.Duration(4+d.random.IntN(20))*time.Second, eventlog.Job{Tasks: 1 + d.random.IntN(6), Kind: uint8(i % 5 / 4), Priority: 1, Spot: true, OneZone: i%4 == 0})
 		}
 		for _, id := range []uint64{3, 7, 11} {
-			d.after(time.Duration(10+3*id)*time.Second, func() { d.cancel(d.jobs[id], int(id)) })
+			d.after(time.Duration(10+3*id)*time.Second, func() { d.cancelJob(d.jobs[id], int(id)) })
 		}
 		d.askAll(time.Second)
 		d.run(8 * time.Second)
@@ -34,28 +34,28 @@
 				switch {
 				case i > 4:
 				case i%4 == 0:
-					d.trouble("deaf", []*worker{w}, 14*time.Second)
+					d.injectMachineFault("deaf", []*worker{w}, 14*time.Second)
 				case i%4 == 1:
 					w.reborn()
 				case i%4 == 2:
 					w.vanish()
 				}
 			}
-			d.run(time.Duration(2+d.r.IntN(14)) * time.Second)
+			d.run(time.Duration(2+d.random.IntN(14)) * time.Second)
 			d.keep = 0
 			if seed%3 == 0 {
 				for _, n := range d.nodes {
 					n.crash()
-					d.tr.back(n, 8*time.Second)
+					d.faults.restartAfter(n, 8*time.Second)
 				}
 			} else {
-				d.endLeader(8 * time.Second)
+				d.restartLeader(8 * time.Second)
 			}
 			d.run(9 * time.Second)
 		}
 		d.run(20 * time.Second)
-		return d.over(5 * time.Minute)
-	}, "a kept report reached the next leader", "a kept report of a machine deleted since", "a kept report of an earlier session")
+		return d.endFaultsAndSettle(5 * time.Minute)
+	}, "replayed report reached the next leader", "replayed report of a deleted machine", "replayed report of an earlier session")
 }
 
 // TestMuteMachines has machines reach no controller for longer than a lease, while direct
@@ -63,8 +63,8 @@
 // tasks start elsewhere in time, cancelled ones are gone in time, and an answer to a question
 // is no sign that the lease lives.
 func TestMuteMachines(t *testing.T) {
-	playDays(t, 32, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, func(c *settings.Settings) {
+	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 20
 			c.Tunables.ProbeSilent, c.Tunables.PushDispatches, c.Tunables.ReadyWindowS = int(seed%2)*2, 8, 600
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
@@ -72,26 +72,26 @@
 		})
 		var list []*userJob
 		for i := range 5 {
-			list = append(list, d.add(150*time.Second, eventlog.Job{Tasks: 3, Kind: uint8(i / 4), Priority: 1, Spot: true, OneZone: i == 2}))
+			list = append(list, d.submitJob(150*time.Second, eventlog.Job{Tasks: 3, Kind: uint8(i / 4), Priority: 1, Spot: true, OneZone: i == 2}))
 		}
 		d.askAll(time.Second)
 		for _, j := range list {
-			d.runs(j, 3)
+			d.awaitRunning(j, 3)
 		}
 		length := time.Duration(6+6*(seed/2%8)) * time.Second
-		on := d.busy(list[0])
+		on := d.machinesWithTasks(list[0])
 		before := d.check.starts
-		d.trouble("mute", on, length)
+		d.injectMachineFault("mute", on, length)
 		for i := range 6 { // some are sent straight to them
-			d.after(time.Duration(d.r.IntN(9000))*time.Millisecond, func() { d.add(20*time.Second, eventlog.Job{Tasks: 1 + i%2, Priority: 2, Spot: true}) })
+			d.after(time.Duration(d.random.IntN(9000))*time.Millisecond, func() { d.submitJob(20*time.Second, eventlog.Job{Tasks: 1 + i%2, Priority: 2, Spot: true}) })
 		}
-		d.after(2*time.Second, func() { d.cancel(list[1], 0) })
+		d.after(2*time.Second, func() { d.cancelJob(list[1], 0) })
 		if seed%4 > 1 {
-			d.after(time.Duration(1+d.r.IntN(12))*time.Second, func() { d.endLeader(8 * time.Second) })
+			d.after(time.Duration(1+d.random.IntN(12))*time.Second, func() { d.restartLeader(8 * time.Second) })
 		}
 		if seed%4 < 2 && length > 35*time.Second { // while they are mute: silence, the deletion, a boot
 			d.run(35 * time.Second)
-			if n := d.running(1); n != 3 || len(d.busy(list[0])) == 0 || d.mute[d.busy(list[0])[0].name] {
+			if n := d.running(1); n != 3 || len(d.machinesWithTasks(list[0])) == 0 || d.mute[d.machinesWithTasks(list[0])[0].name] {
 				t.Errorf("35 s after its machines had become mute %d of 3 tasks of a job run, or run there", n)
 			}
 			if !list[1].gone {
@@ -116,8 +116,8 @@
 		if !d.until(time.Minute, func() bool { return list[1].gone }) {
 			t.Errorf("a cancelled job is %s", list[1].state)
 		}
-		return d.over(5 * time.Minute)
-	}, "a report of a mute machine lost", "a direct command reached a mute machine", "a session rose with nobody hearing it", "begun elsewhere while its machines were mute", "tasks started after machines had become mute")
+		return d.endFaultsAndSettle(5 * time.Minute)
+	}, "report of a machine lost in a one-way partition", "direct command reached a machine whose reports are lost", "a session rose with nobody hearing it", "begun elsewhere while its machines were mute", "tasks started after machines had become mute")
 }
 
 // TestAllAway has all controllers away for longer than a lease, a zone with workers and a
@@ -125,10 +125,10 @@
 // inside an outage. Afterwards all is served again, and no job is left waiting.
 func TestAllAway(t *testing.T) {
 	trials := []string{"all away", "a zone cut", "a zone cut with the leader", "ten leaders", "ten leaders in an outage"}
-	playDays(t, 8*len(trials), func(t *testing.T, seed uint64) *sim {
+	runSeeds(t, 8*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial := trials[int(seed)%len(trials)]
 		variant := int(seed) / len(trials)
-		d := newStage(t, seed, func(c *settings.Settings) {
+		d := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 28
 			if variant%2 == 1 {
 				c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
@@ -138,21 +138,21 @@
 			}
 		})
 		for i := range 10 {
-			d.addAt(time.Duration(i)*900*time.Millisecond, time.Duration(15+d.r.IntN(60))*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i % 4 / 3), Priority: uint8(i % 3), Spot: true, OneZone: i%4 == 1, Spread: i%4 == 2})
+			d.submitJobAfter(time.Duration(i)*900*time.Millisecond, time.Duration(15+d.random.IntN(60))*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i % 4 / 3), Priority: uint8(i % 3), Spot: true, OneZone: i%4 == 1, Spread: i%4 == 2})
 		}
 		d.askAll(time.Second)
 		d.run(25 * time.Second)
 		away := time.Duration(12+6*variant) * time.Second // a lease is 10 s
-		d.after(away/2, func() { d.cancel(d.jobs[2], variant) })
+		d.after(away/2, func() { d.cancelJob(d.jobs[2], variant) })
 		switch trial {
 		case "all away":
 			for i, n := range d.nodes {
 				n.crash()
-				d.tr.back(n, away+time.Duration(i)*300*time.Millisecond)
+				d.faults.restartAfter(n, away+time.Duration(i)*300*time.Millisecond)
 			}
 			d.run(away + time.Second)
 		case "a zone cut", "a zone cut with the leader":
-			l := d.leads()
+			l := d.awaitLeader()
 			n := l
 			if trial == "a zone cut" {
 				n = d.nodes[(l.index+1)%3]
@@ -161,15 +161,15 @@
 			d.run(away + time.Second)
 		default:
 			for i := range 10 {
-				d.after(time.Duration(12*i)*time.Second+time.Duration(d.r.IntN(4000))*time.Millisecond, func() { d.endLeader(5 * time.Second) })
+				d.after(time.Duration(12*i)*time.Second+time.Duration(d.random.IntN(4000))*time.Millisecond, func() { d.restartLeader(5 * time.Second) })
 			}
 			if trial == "ten leaders in an outage" {
 				d.after(20*time.Second, func() { d.state.outage = true })
 				d.after(20*time.Second+away, d.state.recover)
 			}
-			epoch := d.leads().core.Epoch()
+			epoch := d.awaitLeader().core.Epoch()
 			d.run(125 * time.Second)
-			if now := d.leads().core.Epoch(); now >= epoch+6 {
+			if now := d.awaitLeader().core.Epoch(); now >= epoch+6 {
 				d.saw("leaders changed again and again")
 			}
 		}
@@ -186,7 +186,7 @@
 		if !d.until(30*time.Second, func() bool { return d.leader() != nil && d.leader().core.Status(d.leader().clock()).Sure }) {
 			t.Error("nobody leads again")
 		}
-		return d.over(5 * time.Minute)
+		return d.endFaultsAndSettle(5 * time.Minute)
 	}, "all away", "a zone cut", "a zone cut with the leader", "ten leaders", "ten leaders in an outage", "leaders changed again and again", "all away: leases ran out")
 }
 
@@ -200,25 +200,25 @@
 	for _, after := range delays {
 		must = append(must, fmt.Sprintf("cancelled %v after the refusal", after))
 	}
-	playDays(t, 2*len(trials)*len(delays), func(t *testing.T, seed uint64) *sim {
+	runSeeds(t, 2*len(trials)*len(delays), func(t *testing.T, seed uint64) *sim {
 		trial, after := trials[int(seed)%len(trials)], delays[int(seed)/len(trials)%len(delays)]
-		d := newStage(t, seed, nil)
+		d := newHarness(t, seed, nil)
 		var list []*userJob
 		for i, kind := range []uint8{0, 1, 2, 0} {
-			list = append(list, d.add(200*time.Second, eventlog.Job{Tasks: 2 + i, Kind: kind, Priority: 1, Spot: true}))
+			list = append(list, d.submitJob(200*time.Second, eventlog.Job{Tasks: 2 + i, Kind: kind, Priority: 1, Spot: true}))
 		}
-		stays := d.add(150*time.Second, eventlog.Job{Tasks: 4, Priority: 1, Spot: true})
+		stays := d.submitJob(150*time.Second, eventlog.Job{Tasks: 4, Priority: 1, Spot: true})
 		d.askAll(time.Second)
 		for _, j := range append(list, stays) {
-			d.runs(j, j.spec.Job.Tasks)
+			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
-		l := d.leads()
+		l := d.awaitLeader()
 		d.state.refuse[l.name] = true
 		if trial != "well" {
-			d.trouble(trial, d.busy(list[0])[:1], 50*time.Second)
+			d.injectMachineFault(trial, d.machinesWithTasks(list[0])[:1], 50*time.Second)
 		}
 		for i, j := range list {
-			d.after(after, func() { d.cancel(j, l.index+i+int(seed)) })
+			d.after(after, func() { d.cancelJob(j, l.index+i+int(seed)) })
 		}
 		d.after(after, func() { d.saw(fmt.Sprintf("cancelled %v after the refusal", after)) })
 		// Or so late that another controller leads, and has confirmed what it could.
@@ -253,6 +253,6 @@
 		if gone < len(list) {
 			d.saw("confirmed after it")
 		}
-		return d.over(8 * time.Minute)
+		return d.endFaultsAndSettle(8 * time.Minute)
 	}, must...)
 }
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -129,12 +129,12 @@
 		if o := w.s.nodes[w.s.rng.IntN(len(w.s.nodes))]; o.up {
 			switch {
 			case r.Session < w.session:
-				w.s.saw("a copy of a report of an earlier session")
+				w.s.saw("duplicate report of an earlier session")
 			case r.Seq < w.seq:
-				w.s.saw("a copy of a report after newer ones")
+				w.s.saw("duplicate report after newer ones")
 			}
 			if l := w.s.leader(); l != nil && l.core.Epoch() > r.Token>>cluster.TokenBits {
-				w.s.saw("a copy of a report of an earlier term")
+				w.s.saw("duplicate report of an earlier term")
 			}
 			o.core.HandleHeartbeat(o.clock(), 0, r) // the answer is discarded
 			o.drain()
@@ -150,7 +150,7 @@
 		w.schedule(time.Second)
 	}
 	if w.s.mute[w.name] {
-		w.s.saw("a report of a mute machine lost")
+		w.s.saw("report of a machine lost in a one-way partition")
 		w.flight = false
 		next()
 		return
@@ -193,7 +193,7 @@
 				return
 			}
 			if w.s.now-sent > time.Second && len(a.Commands) > 0 {
-				w.s.saw("commands carried out that were held up")
+				w.s.saw("delayed commands executed")
 			}
 			changed := a.Token > w.token
 			w.token, w.renewed = a.Token, sent
@@ -235,14 +235,14 @@
 	switch {
 	case !w.up:
 	case w.hung:
-		w.s.saw("a direct command met a machine that hangs")
+		w.s.saw("direct command to a hung machine")
 		w.s.after(500*time.Millisecond, func() { w.direct(token, session, cmds, reply) })
 	case token < w.token || session != w.session:
-		w.s.saw("a direct command turned away for its token or session")
+		w.s.saw("direct command rejected for its token or session")
 		reply(nil)
 	default:
 		if w.s.mute[w.name] {
-			w.s.saw("a direct command reached a mute machine")
+			w.s.saw("direct command reached a machine whose reports are lost")
 		}
 		w.token = token
 		for _, cmd := range cmds {
@@ -357,7 +357,7 @@
 	}
 	w.s.check.completed(t)
 	if j := w.s.jobs[t.job]; w.s.atEnd > 0 && w.s.check.over(t.job) && !j.asked && w.s.rng.Float64() < w.s.atEnd {
-		w.s.saw("a cancellation at the end of the last task")
+		w.s.saw("cancellation at the completion of the last task")
 		w.s.abort(j, w.s.rng.IntN(len(w.s.nodes)))
 	}
 	if spec := w.s.jobs[t.job].spec.Job; spec.Kind == 1 {
