--- a/internal/scenario/cold_test.go
+++ b/internal/scenario/cold_test.go
@@ -17,40 +17,40 @@
 	"bitternmoor/internal/wire"
 )
 
-// idleKind is an order that somebody who sees everything would not have given.
-type idleKind uint8
+// unnecessaryKind is an order that somebody who sees everything would not have given.
+type unnecessaryKind uint8
 
 const (
-	startedDone  idleKind = iota // a task that had its result already
-	resultsLost                  // no order: results that nobody had heard, gone with their machine or session
-	deletedBusy                  // a machine that ran something, could be heard, and was not taken by the cloud
-	rentedUnused                 // a machine that came up, and was deleted without ever having had a task
-	stopped                      // a running task whose user had not cancelled it
+	startedCompleted unnecessaryKind = iota // a task that had its result already
+	resultsLost                             // no order: results that nobody had heard, gone with their machine or session
+	deletedBusy                             // a machine that ran something, could be heard, and was not taken by the cloud
+	rentedUnused                            // a machine that came up, and was deleted without ever having had a task
+	stoppedRunning                          // a running task whose user had not cancelled it
 )
 
-func (c *checker) count(k idleKind) {
-	if c.idle == nil {
-		c.idle = map[idleKind]int{}
+func (c *checker) countUnnecessary(k unnecessaryKind) {
+	if c.unnecessary == nil {
+		c.unnecessary = map[unnecessaryKind]int{}
 	}
-	c.idle[k]++
+	c.unnecessary[k]++
 }
 
 // reachable says whether a machine has been up, awake and connected for a while.
 func (s *sim) reachable(w *worker) bool {
-	return w.up && !w.hung && w.notice == 0 && s.between(w.name, "cloud") == nil && s.now-w.fineSince > 20*time.Second
+	return w.up && !w.hung && w.reclaimAt == 0 && s.partitionBetween(w.name, "cloud") == nil && s.now-w.healthySince > 20*time.Second
 }
 
-// deleted holds a deletion against what was really on the machine.
-func (c *checker) deleted(w *worker) {
+// machineDeleted holds a deletion against what was really on the machine.
+func (c *checker) machineDeleted(w *worker) {
 	busy := false
 	for t := range w.tasks {
-		busy = busy || !c.s.jobs[t.job].asked
+		busy = busy || !c.sim.jobs[t.job].cancelRequested
 	}
-	if busy && c.s.reachable(w) {
-		c.count(deletedBusy)
+	if busy && c.sim.reachable(w) {
+		c.countUnnecessary(deletedBusy)
 	}
-	if w.up && !w.used {
-		c.count(rentedUnused)
+	if w.up && !w.everUsed {
+		c.countUnnecessary(rentedUnused)
 	}
 }
 
@@ -71,7 +71,7 @@
 	r := rand.New(rand.NewPCG(seed, 22))
 	s := newSim(coldSettings(on), seed, 3, false)
 	s.cloud.capacity = machines
-	s.slow = map[string]time.Duration{}
+	s.latency = map[string]time.Duration{}
 	var log []string
 	say := func(f string, a ...any) {
 		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, a...))
@@ -86,7 +86,7 @@
 		if r.IntN(10) == 0 {
 			job.Kind, job.Tasks = 1, 1+r.IntN(12)
 		}
-		j := &userJob{id: i, run: run, spec: wire.Submission{ID: i, HasID: true, Job: job}}
+		j := &userJob{id: i, runTime: run, spec: wire.Submission{ID: i, HasID: true, Job: job}}
 		s.after(at, func() {
 			s.jobs[i] = j
 			s.submit(j, r.IntN(3), func() bool { return s.now < at+60*time.Second })
@@ -94,7 +94,7 @@
 		if r.IntN(9) == 0 {
 			s.after(at+time.Duration(r.IntN(50))*time.Second, func() {
 				if j.accepted {
-					s.abort(j, r.IntN(3))
+					s.cancel(j, r.IntN(3))
 				}
 			})
 		}
@@ -122,10 +122,10 @@
 				n.crash()
 				continue
 			}
-			s.cuts = append(s.cuts, &cut{host: n.name, with: "state"}, &cut{host: n.name, with: "cloud"}, &cut{host: n.name, with: "users"})
+			s.partitions = append(s.partitions, &partition{host: n.name, peer: "state"}, &partition{host: n.name, peer: "cloud"}, &partition{host: n.name, peer: "users"})
 			for _, o := range s.nodes {
 				if o != n {
-					s.cuts = append(s.cuts, &cut{host: n.name, with: o.name})
+					s.partitions = append(s.partitions, &partition{host: n.name, peer: o.name})
 				}
 			}
 			s.after(down+12*time.Second, func() { s.heal(n.name) })
@@ -148,18 +148,18 @@
 			s.after(at, func() {
 				switch what {
 				case 0:
-					w.vanish()
+					w.terminate()
 				case 1:
 					w.hung = true
-					s.after(length, func() { w.hung, w.fineSince = false, s.now })
+					s.after(length, func() { w.hung, w.healthySince = false, s.now })
 				case 2:
-					s.cuts = append(s.cuts, &cut{host: n, hold: r.IntN(2) == 0})
-					s.after(length, func() { s.heal(n); w.fineSince = s.now })
+					s.partitions = append(s.partitions, &partition{host: n, holdPackets: r.IntN(2) == 0})
+					s.after(length, func() { s.heal(n); w.healthySince = s.now })
 				case 3: // taken by the cloud
-					w.vanish()
+					w.terminate()
 					delete(s.cloud.machines, n)
 				default: // its last report and what follows are lost: it only comes late
-					w.at = r.IntN(3)
+					w.controllerIndex = r.IntN(3)
 				}
 			})
 		}
@@ -188,13 +188,13 @@
 				}
 				n.start(old && i == first)
 				if r.IntN(6) == 0 {
-					s.slow[n.name] = 700 * time.Millisecond
-					s.after(15*time.Second, func() { delete(s.slow, n.name) })
+					s.latency[n.name] = 700 * time.Millisecond
+					s.after(15*time.Second, func() { delete(s.latency, n.name) })
 					say("%s is slow", n.name)
 				}
 				if i > 0 && r.IntN(6) == 0 {
-					s.state.refuse[n.name] = true
-					s.after(12*time.Second, func() { delete(s.state.refuse, n.name) })
+					s.state.refused[n.name] = true
+					s.after(12*time.Second, func() { delete(s.state.refused, n.name) })
 					say("%s is refused by the state service", n.name)
 				}
 			})
@@ -215,7 +215,7 @@
 	if old { // in the end all are new
 		s.after(back+40*time.Second, func() {
 			for _, n := range s.nodes {
-				if n.old {
+				if n.oldVersion {
 					n.crash()
 					s.after(2*time.Second, func() { n.start(false) })
 				}
@@ -225,7 +225,7 @@
 	var poll func()
 	poll = func() {
 		for i := range id {
-			if j := s.jobs[i+1]; j != nil && j.accepted && !j.toldDone && !j.gone {
+			if j := s.jobs[i+1]; j != nil && j.accepted && !j.toldDone && !j.toldCancelled {
 				s.poll(j, int(i))
 			}
 		}
@@ -233,28 +233,28 @@
 	}
 	s.after(0, poll)
 	s.run(back + 70*time.Second)
-	over := s.until(40*time.Minute, func() bool {
+	over := s.runUntil(40*time.Minute, func() bool {
 		for _, j := range s.jobs {
-			if j.accepted && !j.toldDone && !j.gone {
+			if j.accepted && !j.toldDone && !j.toldCancelled {
 				return false
 			}
 		}
 		return true
 	})
-	s.check.served(s.now)
+	s.check.checkServedShare(s.now)
 	if !over {
 		log = append(log, s.stuck()...)
 	}
-	if len(s.check.broken) > 0 || !over {
-		t.Errorf("over %v; rules broken: %s\n%s", over, strings.Join(s.check.broken, "\n"), strings.Join(log, "\n"))
+	if len(s.check.violations) > 0 || !over {
+		t.Errorf("over %v; rules broken: %s\n%s", over, strings.Join(s.check.violations, "\n"), strings.Join(log, "\n"))
 	}
 	if s.check.starts == 0 {
 		t.Error("nothing ran")
 	}
 	// Nobody could have known of results that went with their machines; every other
 	// task is started only as often as it has to be.
-	if s.check.idle[startedDone] > s.check.idle[resultsLost] {
-		t.Errorf("%d tasks were started that were done, though only %d results were lost\n%s", s.check.idle[startedDone], s.check.idle[resultsLost], strings.Join(log, "\n"))
+	if s.check.unnecessary[startedCompleted] > s.check.unnecessary[resultsLost] {
+		t.Errorf("%d tasks were started that were done, though only %d results were lost\n%s", s.check.unnecessary[startedCompleted], s.check.unnecessary[resultsLost], strings.Join(log, "\n"))
 	}
 	return s
 }
@@ -262,7 +262,7 @@
 // stuck says what the leader has to say of jobs that do not come to their end.
 func (s *sim) stuck() (out []string) {
 	for id, j := range s.jobs {
-		if !j.accepted || j.toldDone || j.gone {
+		if !j.accepted || j.toldDone || j.toldCancelled {
 			continue
 		}
 		out = append(out, fmt.Sprintf("job %d is %s: %+v", id, j.state, *j.spec.Job))
@@ -289,16 +289,16 @@
 		machines = v
 	}
 	on := os.Getenv("COLD_OFF") == "" // to compare
-	sums := make([]map[idleKind]int, days)
+	sums := make([]map[unnecessaryKind]int, days)
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				sums[seed] = coldDay(t, seed, machines, on).check.idle
+				sums[seed] = coldDay(t, seed, machines, on).check.unnecessary
 			})
 		}
 	})
-	all := map[idleKind]int{}
+	all := map[unnecessaryKind]int{}
 	for i, x := range sums {
 		for k, n := range x {
 			all[k] += n
@@ -308,17 +308,17 @@
 		}
 	}
 	t.Logf("%d days: tasks started that were done %d (results lost %d), busy machines deleted %d, machines rented and not used %d, tasks stopped %d",
-		days, all[startedDone], all[resultsLost], all[deletedBusy], all[rentedUnused], all[stopped])
+		days, all[startedCompleted], all[resultsLost], all[deletedBusy], all[rentedUnused], all[stoppedRunning])
 	if on && all[rentedUnused] > days*machines/10 {
 		t.Errorf("%d machines were rented and not used on %d days", all[rentedUnused], days)
 	}
 }
 
-// results counts those that go with a machine or a session before anybody has heard them.
-func (w *worker) results() {
+// countLostResults counts those that go with a machine or a session before anybody has heard them.
+func (w *worker) countLostResults() {
 	for _, x := range w.ended {
 		if x.reason == workers.Completed {
-			w.s.check.count(resultsLost)
+			w.sim.check.countUnnecessary(resultsLost)
 		}
 	}
 }
@@ -350,7 +350,7 @@
 	s.scale = &scaleCounts{sent: map[string]int{}, spent: map[string]time.Duration{}}
 	for i := range uint64(machines / 25) {
 		job := &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 110, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(i % 16), ImageGB: 0.3, Spot: true, EstimateS: 60}
-		j := &userJob{id: i + 1, run: 60 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
+		j := &userJob{id: i + 1, runTime: 60 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 		s.jobs[i+1] = j
 		s.after(time.Duration(i%40)*500*time.Millisecond, func() { s.submit(j, int(i), func() bool { return true }) })
 	}
@@ -363,17 +363,17 @@
 		w := s.cloud.machines[n]
 		switch i % 30 {
 		case 0: // killed
-			w.vanish()
+			w.terminate()
 		case 1: // taken by the cloud
-			w.vanish()
+			w.terminate()
 			delete(s.cloud.machines, n)
 		case 2: // cut off, and back later
-			s.cuts = append(s.cuts, &cut{host: n})
+			s.partitions = append(s.partitions, &partition{host: n})
 			s.after(down+20*time.Second, func() { s.heal(n) })
 		}
 	}
-	for t := range s.check.on {
-		if !s.check.completeN[t] {
+	for t := range s.check.placements {
+		if !s.check.completedTasks[t] {
 			running[t] = true // was under way when the controllers went down
 		}
 	}
@@ -382,7 +382,7 @@
 		s.after(time.Duration(i)*700*time.Millisecond, func() { n.start(false) })
 	}
 	began, before := s.now, maps.Clone(s.scale.sent)
-	starts, deleted, writes := s.check.starts, s.cloud.deleted, s.state.writes
+	starts, deleted, writes := s.check.starts, s.cloud.deletions, s.state.writes
 	peak := map[string]int{}
 	back := map[int]time.Duration{}
 	for s.now < began+90*time.Second {
@@ -395,7 +395,7 @@
 		peak["changes"] = max(peak["changes"], s.state.writes-lastWrites)
 		n := 0
 		for t := range running {
-			if s.check.completeN[t] || len(s.check.on[t]) > 0 {
+			if s.check.completedTasks[t] || len(s.check.placements[t]) > 0 {
 				n++
 			}
 		}
@@ -412,9 +412,9 @@
 	sent := func(k string) int { return s.scale.sent[k] - before[k] }
 	t.Logf("%d machines, down for %v, on %v: %d tasks under way, back 50 %% %v, 90 %% %v, all %v; starts %d (peak %d), rental requests %d (peak %d), deletions %d machines, %d requests (peak %d), "+
 		"changes written %d (peak %d), answers to users %d (peak %d); busy machines deleted %d, rented and not used %d, done tasks started %d; in the cores %.1f s in all",
-		machines, down, on, len(running), back[50], back[90], back[100], s.check.starts-starts, peak["starts"], sent("Rent"), peak["Rent"], s.cloud.deleted-deleted, sent("Delete"), peak["Delete"],
-		s.state.writes-writes, peak["changes"], sent("Reply"), peak["Reply"], s.check.idle[deletedBusy], s.check.idle[rentedUnused], s.check.idle[startedDone], spent.Seconds())
-	if len(s.check.broken) > 0 {
-		t.Errorf("rules broken: %d, the first: %s", len(s.check.broken), s.check.broken[0])
+		machines, down, on, len(running), back[50], back[90], back[100], s.check.starts-starts, peak["starts"], sent("Rent"), peak["Rent"], s.cloud.deletions-deleted, sent("Delete"), peak["Delete"],
+		s.state.writes-writes, peak["changes"], sent("Reply"), peak["Reply"], s.check.unnecessary[deletedBusy], s.check.unnecessary[rentedUnused], s.check.unnecessary[startedCompleted], spent.Seconds())
+	if len(s.check.violations) > 0 {
+		t.Errorf("rules broken: %d, the first: %s", len(s.check.violations), s.check.violations[0])
 	}
 }
--- a/internal/scenario/words_test.go
+++ b/internal/scenario/commands_test.go
@@ -11,8 +11,8 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// words maps each command of scenario files to the arguments that it accepts.
-var words = map[string]string{
+// commandArgs maps each command of scenario files to the arguments that it accepts.
+var commandArgs = map[string]string{
 	"world": "seed nodes old capacity limit guaranteed write-rps value-bytes txn-ops next-value-bytes next-txn-ops " +
 		"lease cancel report takeovers zone-patience spread-moves begin cold starts images direct ask pools " +
 		"hold-after-loss config",
@@ -79,38 +79,38 @@
 	"answer":             "id",
 }
 
-// timed lists the arguments whose values are durations, and portions those whose values are
+// durationArgs lists the arguments whose values are durations, and portions those whose values are
 // shares from 0 to 1.
 var (
-	timed    = strings.Fields("for within every delay late boot answers in hang by")
-	portions = strings.Fields("share answers-lost")
+	durationArgs = strings.Fields("for within every delay late boot answers in hang by")
+	shareArgs    = strings.Fields("share answers-lost")
 )
 
-// checkWords returns a one-line description of what is wrong with a command and what is
+// checkCommand returns a one-line description of what is wrong with a command and what is
 // allowed, or the empty string for a valid command.
-func checkWords(d *datadriven.TestData) string {
-	allowed, known := words[d.Cmd]
-	if !known {
-		return fmt.Sprintf("%s: unknown command; the commands are %s", d.Cmd, strings.Join(slices.Sorted(maps.Keys(words)), ", "))
+func checkCommand(d *datadriven.TestData) string {
+	allowed, ok := commandArgs[d.Cmd]
+	if !ok {
+		return fmt.Sprintf("%s: unknown command; the commands are %s", d.Cmd, strings.Join(slices.Sorted(maps.Keys(commandArgs)), ", "))
 	}
 	list := strings.Fields(allowed)
-	for _, a := range d.CmdArgs {
-		if !slices.Contains(list, a.Key) {
+	for _, arg := range d.CmdArgs {
+		if !slices.Contains(list, arg.Key) {
 			if len(list) == 0 {
 				list = []string{"no arguments"}
 			}
-			return fmt.Sprintf("%s: %s: unknown argument; allowed: %s", d.Cmd, a.Key, strings.Join(list, ", "))
+			return fmt.Sprintf("%s: %s: unknown argument; allowed: %s", d.Cmd, arg.Key, strings.Join(list, ", "))
 		}
-		value := strings.Join(a.Vals, ",")
-		if slices.Contains(timed, a.Key) {
+		value := strings.Join(arg.Vals, ",")
+		if slices.Contains(durationArgs, arg.Key) {
 			if v, err := time.ParseDuration(value); err != nil || v < 0 {
-				return fmt.Sprintf("%s: %s=%s: not a duration such as 1.5s or 200ms", d.Cmd, a.Key, value)
+				return fmt.Sprintf("%s: %s=%s: not a duration such as 1.5s or 200ms", d.Cmd, arg.Key, value)
 			}
 		}
-		if slices.Contains(portions, a.Key) {
+		if slices.Contains(shareArgs, arg.Key) {
 			var v float64
 			if n, err := fmt.Sscanf(value+" ", "%g ", &v); n != 1 || err != nil || v < 0 || v > 1 {
-				return fmt.Sprintf("%s: %s=%s: not a share from 0 to 1", d.Cmd, a.Key, value)
+				return fmt.Sprintf("%s: %s=%s: not a share from 0 to 1", d.Cmd, arg.Key, value)
 			}
 		}
 	}
@@ -136,7 +136,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", line, err)
 		}
-		got := checkWords(&datadriven.TestData{Cmd: cmd, CmdArgs: args})
+		got := checkCommand(&datadriven.TestData{Cmd: cmd, CmdArgs: args})
 		if !strings.HasPrefix(got, want) || (want == "") != (got == "") || strings.Contains(got, "\n") {
 			t.Errorf("%s: %q, want %q", line, got, want)
 		}
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -80,7 +80,7 @@
 	try = func() {
 		again := func() { s.after(700*time.Millisecond, try) }
 		l := s.leader()
-		if l == nil || l.old || s.stands(l.name) > 0 {
+		if l == nil || l.oldVersion || s.pausedFor(l.name) > 0 {
 			again()
 			return
 		}
@@ -123,7 +123,7 @@
 
 // configView is what a leader shows, if it is sure to lead.
 func (c *controller) configView() (view reconfig.View, ok bool) {
-	if c.old || !c.up || !c.core.Status(c.clock()).Sure {
+	if c.oldVersion || !c.up || !c.core.Status(c.clock()).Sure {
 		return view, false
 	}
 	raw, known, err := c.core.Show(c.clock(), reconfig.Name)
@@ -133,7 +133,7 @@
 // tellConfig has a controller take what the leader tells of the configuration, and gives the
 // revision that it has then.
 func (s *sim) tellConfig(from, to *controller, u *config.Update) uint64 {
-	if u == nil || to.old {
+	if u == nil || to.oldVersion {
 		return 0
 	}
 	s.watchConfig(to)
@@ -144,14 +144,14 @@
 // watchConfig holds that no controller goes back to an older revision, and that a leader has all
 // that is durable.
 func (s *sim) watchConfig(c *controller) {
-	if !c.up || c.old || c.cfg.Tunables.ConfigHistory == 0 {
+	if !c.up || c.oldVersion || c.cfg.Tunables.ConfigHistory == 0 {
 		return
 	}
 	p := &s.configs
 	if p.seen == nil {
 		p.seen = map[string]uint64{}
 	}
-	key := fmt.Sprint(c.name, c.life)
+	key := fmt.Sprint(c.name, c.incarnation)
 	now := c.core.LocalConfig(c.clock()).Revision
 	if now < p.seen[key] {
 		s.check.fail("config_went_back", "%s had revision %d and has %d", c.name, p.seen[key], now)
@@ -197,7 +197,7 @@
 // configEverywhere holds that all controllers have what the leader has, soon after the last change.
 func (s *sim) configEverywhere(t *testing.T) {
 	t.Helper()
-	if !s.until(2*time.Minute, func() bool { return len(s.configs.queue) == 0 && s.leader() != nil }) {
+	if !s.runUntil(2*time.Minute, func() bool { return len(s.configs.queue) == 0 && s.leader() != nil }) {
 		t.Fatalf("%d changes are not made", len(s.configs.queue))
 	}
 	same := func() bool {
@@ -211,7 +211,7 @@
 		}
 		return ok && view.Revision >= s.configs.durable
 	}
-	if !s.until(inForceWithin, same) {
+	if !s.runUntil(inForceWithin, same) {
 		t.Errorf("not in force everywhere: %s", s.configState())
 	}
 	if s.configs.changes == 0 {
@@ -240,7 +240,7 @@
 		}
 	}
 	for _, c := range s.nodes {
-		if c.up && !c.old {
+		if c.up && !c.oldVersion {
 			out = append(out, fmt.Sprintf("%s has %d", c.name, c.core.LocalConfig(c.clock()).Revision))
 		}
 	}
@@ -272,13 +272,13 @@
 	j.spec.Job.Tasks = 9
 	s.setLimit("team", 2)
 	for k := range 2 {
-		s.check.started(task{1, k}, w1)
+		s.check.taskStarted(task{1, k}, w1)
 	}
-	if len(s.check.broken) > 0 {
-		t.Fatal(s.check.broken)
+	if len(s.check.violations) > 0 {
+		t.Fatal(s.check.violations)
 	}
 	s.setLimit("team", 1) // what runs may go on, and nothing may start
-	s.check.started(task{1, 2}, w1)
+	s.check.taskStarted(task{1, 2}, w1)
 	c := baseSettings()
 	c.Tunables.ConfigHistory = 3
 	d := newSim(c, 1, 3, false)
@@ -288,12 +288,12 @@
 		t.Fatal("nobody leads")
 	}
 	d.configs.durable = 7
-	d.configs.seen = map[string]uint64{fmt.Sprint(l.name, l.life): 9}
+	d.configs.seen = map[string]uint64{fmt.Sprint(l.name, l.incarnation): 9}
 	d.watchConfig(l)
 	for _, x := range []struct {
 		rule   string
 		broken []string
-	}{{"quota", s.check.broken}, {"config_went_back", d.check.broken}, {"config_lost", d.check.broken}} {
+	}{{"quota", s.check.violations}, {"config_went_back", d.check.violations}, {"config_lost", d.check.violations}} {
 		if !slices.ContainsFunc(x.broken, func(b string) bool { return strings.HasPrefix(b, x.rule) }) {
 			t.Errorf("%s was not seen: %v", x.rule, x.broken)
 		}
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_test.go
@@ -78,20 +78,22 @@
 	}
 	s := newSim(c, seed, 3, false)
 	submit := func(id uint64, kind uint8, tasks int, follows ...uint64) *userJob {
-		j := &userJob{id: id, run: 300 * time.Second, spec: wire.Submission{ID: id, HasID: true, Job: &eventlog.Job{ID: id, Class: "class", Team: "team", Kind: kind, Priority: 1,
+		j := &userJob{id: id, runTime: 300 * time.Second, spec: wire.Submission{ID: id, HasID: true, Job: &eventlog.Job{ID: id, Class: "class", Team: "team", Kind: kind, Priority: 1,
 			Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 300, Follows: follows}}}
 		s.jobs[id] = j
 		s.submit(j, int(id), func() bool { return s.now < 60*time.Second })
 		return j
 	}
 	array, gang, service, stays := submit(1, 0, 6), submit(2, 1, 3), submit(3, 2, 2), submit(5, 0, 4)
-	if !s.until(200*time.Second, func() bool { return s.running(1) == 6 && s.running(2) == 3 && s.running(3) == 2 && s.running(5) == 4 }) {
+	if !s.runUntil(200*time.Second, func() bool {
+		return s.runningTasks(1) == 6 && s.runningTasks(2) == 3 && s.runningTasks(3) == 2 && s.runningTasks(5) == 4
+	}) {
 		t.Fatal("they never run")
 	}
 	follows := submit(4, 0, 2, 1)
 	s.run(2 * time.Second)
 	cancelling := []*userJob{array, gang, service, follows}
-	s.askAll(2 * time.Second)
+	s.pollAll(2 * time.Second)
 
 	l := s.leader()
 	var others []string
@@ -106,7 +108,7 @@
 			on = append(on, w)
 		}
 	}
-	cutOff := func(a, b string) { s.cuts = append(s.cuts, &cut{host: a, with: b}) }
+	cutOff := func(a, b string) { s.partitions = append(s.partitions, &partition{host: a, peer: b}) }
 	for _, o := range others {
 		if !m.peers {
 			cutOff(l.name, o)
@@ -118,38 +120,38 @@
 		}
 	}
 	if m.trial == "being stopped by the old leader" {
-		s.abort(array, l.index)
-		s.abort(gang, l.index)
+		s.cancel(array, l.index)
+		s.cancel(gang, l.index)
 		s.run(time.Duration(seed%8) * 100 * time.Millisecond)
 	}
-	s.state.refuse[l.name] = true
+	s.state.refused[l.name] = true
 	switch m.trial {
 	case "deaf":
-		s.deaf[on[0].name] = true
-		s.after(90*time.Second, func() { delete(s.deaf, on[0].name) })
+		s.inboundLost[on[0].name] = true
+		s.after(90*time.Second, func() { delete(s.inboundLost, on[0].name) })
 	case "hung":
 		on[0].hung = true
 		s.after(90*time.Second, func() { on[0].hung = false })
 	case "in a zone cut with the old leader":
-		s.cutZone(on[0].zone, l.name, 0, true)
+		s.partitionZone(on[0].zone, l.name, 0, true)
 	}
 	s.cloud.outage = !m.cloud
-	if !s.until(30*time.Second, func() bool { n := s.leader(); return n != nil && n != l }) {
+	if !s.runUntil(30*time.Second, func() bool { n := s.leader(); return n != nil && n != l }) {
 		t.Fatal("nobody else leads")
 	}
 	asked := s.now
 	for _, j := range cancelling {
-		if !j.asked {
-			s.abort(j, s.leader().index)
+		if !j.cancelRequested {
+			s.cancel(j, s.leader().index)
 		}
 	}
 	if m.trial == "taking starts" { // some are on their way
 		submit(6, 0, 5)
 	}
-	if s.until(40*time.Second, func() bool { return array.gone }) {
+	if s.runUntil(40*time.Second, func() bool { return array.toldCancelled }) {
 		sum.Lock()
 		sum.before++
-		sum.waited = append(sum.waited, array.goneAt-asked)
+		sum.waited = append(sum.waited, array.endToldAt-asked)
 		sum.Unlock()
 		s.run(m.delay)
 	}
@@ -173,9 +175,9 @@
 	}
 	s.run(70 * time.Second)
 	s.state.recover()
-	s.state.refuse = map[string]bool{}
+	s.state.refused = map[string]bool{}
 	s.cloud.outage = false
-	for _, c := range slices.Clone(s.cuts) {
+	for _, c := range slices.Clone(s.partitions) {
 		s.heal(c.host)
 	}
 	for _, n := range s.nodes {
@@ -183,22 +185,22 @@
 			n.start(false)
 		}
 	}
-	if !s.until(5*time.Minute, func() bool {
-		return !slices.ContainsFunc(cancelling, func(j *userJob) bool { return !j.gone })
+	if !s.runUntil(5*time.Minute, func() bool {
+		return !slices.ContainsFunc(cancelling, func(j *userJob) bool { return !j.toldCancelled })
 	}) {
 		t.Errorf("not all cancellations came to their end: %s, %s, %s, %s", array.state, gang.state, service.state, follows.state)
 	}
-	if !s.until(10*time.Minute, func() bool { return stays.toldDone }) {
+	if !s.runUntil(10*time.Minute, func() bool { return stays.toldDone }) {
 		t.Errorf("the job that nobody cancelled is %s", stays.state)
 	}
-	if len(s.check.broken) > 0 {
-		t.Errorf("rules broken: %v", s.check.broken)
+	if len(s.check.violations) > 0 {
+		t.Errorf("rules broken: %v", s.check.violations)
 	}
 	sum.Lock()
 	defer sum.Unlock()
 	sum.played++
 	for _, j := range cancelling {
-		if j.gone {
+		if j.toldCancelled {
 			sum.confirmed++
 		}
 	}
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -137,7 +137,7 @@
 func (f *faultInjector) restartAfter(n *controller, after time.Duration) {
 	f.sim.after(after, func() {
 		if !n.up {
-			n.start(n.old)
+			n.start(n.oldVersion)
 		}
 	})
 }
@@ -165,23 +165,23 @@
 		s.state.outage = true
 		s.after(duration, s.state.recover)
 	case nodeRefused:
-		s.state.refuse[n.name] = true
-		s.after(duration, func() { delete(s.state.refuse, n.name) })
+		s.state.refused[n.name] = true
+		s.after(duration, func() { delete(s.state.refused, n.name) })
 	case nodePartition:
 		if f.zonePartitions && r.IntN(2) == 0 {
-			s.cutZone([]string{"a", "b"}[r.IntN(2)], n.name, duration, r.IntN(2) == 0)
+			s.partitionZone([]string{"a", "b"}[r.IntN(2)], n.name, duration, r.IntN(2) == 0)
 			return
 		}
-		s.cuts = append(s.cuts, &cut{host: n.name, hold: r.IntN(2) == 0})
+		s.partitions = append(s.partitions, &partition{host: n.name, holdPackets: r.IntN(2) == 0})
 		s.after(duration, func() { s.heal(n.name) })
 	case machinePartition:
 		for _, m := range f.pickMachines(1) {
-			s.cuts = append(s.cuts, &cut{host: m.name, hold: r.IntN(2) == 0})
+			s.partitions = append(s.partitions, &partition{host: m.name, holdPackets: r.IntN(2) == 0})
 			s.after(duration, func() { s.heal(m.name) })
 		}
 	case machineCrash:
 		for _, m := range f.pickMachines(1) {
-			m.vanish()
+			m.terminate()
 		}
 	case machineHang:
 		for _, m := range f.pickMachines(1) {
@@ -189,10 +189,10 @@
 			s.after(duration, func() { m.hung = false })
 		}
 	case delayedRequest:
-		s.state.loseOut += r.IntN(2)
-		s.state.delayed = time.Duration(r.IntN(6)) * time.Second
+		s.state.answersToLose += r.IntN(2)
+		s.state.delayNext = time.Duration(r.IntN(6)) * time.Second
 		if r.IntN(2) == 0 {
-			s.cloud.late = duration
+			s.cloud.delayNext = duration
 		}
 	case nodeRestart: // up to five times
 		for i := range 1 + r.IntN(5) {
@@ -212,37 +212,37 @@
 		}
 	case machinesInboundLoss: // their own packets still arrive
 		for _, m := range f.pickMachines(4) {
-			s.deaf[m.name] = true
-			s.after(duration, func() { delete(s.deaf, m.name) })
+			s.inboundLost[m.name] = true
+			s.after(duration, func() { delete(s.inboundLost, m.name) })
 		}
 	case delayedDuplicates:
-		s.again = time.Duration(1+r.IntN(30)) * time.Second
-		s.after(duration, func() { s.again = 0 })
+		s.duplicateDelay = time.Duration(1+r.IntN(30)) * time.Second
+		s.after(duration, func() { s.duplicateDelay = 0 })
 	case nodeIsolated: // partitioned from the state service and its peers, but not from workers
-		s.state.refuse[n.name] = true
+		s.state.refused[n.name] = true
 		for _, o := range s.nodes {
 			if o != n {
-				s.cuts = append(s.cuts, &cut{host: n.name, with: o.name, hold: r.IntN(2) == 0})
+				s.partitions = append(s.partitions, &partition{host: n.name, peer: o.name, holdPackets: r.IntN(2) == 0})
 			}
 		}
 		s.after(duration, func() {
-			delete(s.state.refuse, n.name)
+			delete(s.state.refused, n.name)
 			s.heal(n.name)
 		})
 	case machinesRestartEmpty: // restarted at once under the same names, with all state lost
 		for _, m := range f.pickMachines(4) {
-			m.reborn()
+			m.restartEmpty()
 		}
 	case delayedWrites:
-		s.state.lateShare = 0.1 + 0.5*r.Float64()
-		s.after(duration, func() { s.state.lateShare = 0 })
+		s.state.lossShare = 0.1 + 0.5*r.Float64()
+		s.after(duration, func() { s.state.lossShare = 0 })
 	case slowState:
-		s.slow["state"] = time.Duration(200+r.IntN(3800)) * time.Millisecond
-		s.after(duration, func() { delete(s.slow, "state") })
+		s.latency["state"] = time.Duration(200+r.IntN(3800)) * time.Millisecond
+		s.after(duration, func() { delete(s.latency, "state") })
 	case slowMachines:
 		for _, m := range f.pickMachines(4) {
-			s.slow[m.name] = time.Duration(500+r.IntN(7500)) * time.Millisecond
-			s.after(duration, func() { delete(s.slow, m.name) })
+			s.latency[m.name] = time.Duration(500+r.IntN(7500)) * time.Millisecond
+			s.after(duration, func() { delete(s.latency, m.name) })
 		}
 	case repeatedHandover:
 		for i := range 2 + r.IntN(4) {
@@ -257,42 +257,42 @@
 		if l := s.leader(); l != nil {
 			n = l
 		}
-		s.state.refuse[n.name] = true
+		s.state.refused[n.name] = true
 		s.after(time.Duration(2000+r.IntN(8000))*time.Millisecond, func() { s.state.outage = true })
 		s.after(10*time.Second+duration+settingsSeconds(s.cfg.Deployment.Workers.CancelS), func() {
-			delete(s.state.refuse, n.name)
+			delete(s.state.refused, n.name)
 			s.state.recover()
 		})
 	case machinesOutboundLoss: // may last longer than a lease
 		for _, m := range f.pickMachines(4) {
-			s.mute[m.name] = true
-			s.after(duration, func() { delete(s.mute, m.name) })
+			s.reportsLost[m.name] = true
+			s.after(duration, func() { delete(s.reportsLost, m.name) })
 		}
 	case stateAnswersLost:
-		s.state.lateShare, s.state.atOnce = 0.1+0.5*r.Float64(), true
-		s.after(duration, func() { s.state.lateShare, s.state.atOnce = 0, false })
+		s.state.lossShare, s.state.onlyAnswerLost = 0.1+0.5*r.Float64(), true
+		s.after(duration, func() { s.state.lossShare, s.state.onlyAnswerLost = 0, false })
 	case reportsReplayed:
-		s.keep = 0.05 + 0.2*r.Float64()
-		s.after(duration, func() { s.keep = 0 })
+		s.replayShare = 0.05 + 0.2*r.Float64()
+		s.after(duration, func() { s.replayShare = 0 })
 	case concurrentCancellations: // within 200 ms, while some of their machines hang
-		s.cancelNow(r, 2+r.IntN(6), duration/2)
+		s.cancelRunning(r, 2+r.IntN(6), duration/2)
 	case cancellationsAtCompletion:
-		s.atEnd = 0.3 + 0.7*r.Float64()
-		s.after(duration, func() { s.atEnd = 0 })
+		s.cancelAtEndShare = 0.3 + 0.7*r.Float64()
+		s.after(duration, func() { s.cancelAtEndShare = 0 })
 	case earlyBoots: // some machines are removed so that others are rented, which boot before the cloud answers
-		before := s.cloud.boot
-		s.cloud.boot, s.cloud.answer = 0, time.Duration(500+r.IntN(3000))*time.Millisecond
+		before := s.cloud.bootTime
+		s.cloud.bootTime, s.cloud.answerDelay = 0, time.Duration(500+r.IntN(3000))*time.Millisecond
 		for _, m := range f.pickMachines(4) {
-			m.vanish()
+			m.terminate()
 			delete(s.cloud.machines, m.name)
 		}
-		s.after(duration, func() { s.cloud.boot, s.cloud.answer = max(before, 5*time.Second), 0 })
+		s.after(duration, func() { s.cloud.bootTime, s.cloud.answerDelay = max(before, 5*time.Second), 0 })
 	case invalidRequests:
 		end := s.now + duration
 		var next func()
 		next = func() {
 			if list := s.acceptedJobs(); len(list) > 0 {
-				s.odd(list[r.IntN(len(list))], r.IntN(len(s.nodes)))
+				s.sendInvalidRequest(list[r.IntN(len(list))], r.IntN(len(s.nodes)))
 			}
 			if s.now < end {
 				s.after(400*time.Millisecond, next)
@@ -300,50 +300,52 @@
 		}
 		next()
 	case intensivePolling:
-		s.looks = true
-		s.after(duration, func() { s.looks = false })
+		s.intensivePolling = true
+		s.after(duration, func() { s.intensivePolling = false })
 	case nodePause:
-		s.frozen[n.name] = s.now + duration/2
+		s.pausedUntil[n.name] = s.now + duration/2
 	case overload:
 		for _, n := range s.nodes {
-			s.slow[n.name] = time.Duration(50+r.IntN(250)) * time.Millisecond
-			s.after(duration, func() { delete(s.slow, n.name) })
+			s.latency[n.name] = time.Duration(50+r.IntN(250)) * time.Millisecond
+			s.after(duration, func() { delete(s.latency, n.name) })
 		}
-		s.burst(r, 12)
+		s.submitBurst(r, 12)
 	case jobStream:
-		s.stream(r, duration)
+		s.submitStream(r, duration)
 	}
 }
 
-// extra submits a further job of the class and team that random runs use.
-func (s *sim) extra(run time.Duration, job eventlog.Job) *userJob {
+// submitExtra submits a further job of the class and team that random runs use.
+func (s *sim) submitExtra(run time.Duration, job eventlog.Job) *userJob {
 	job.ID = uint64(len(s.jobs) + 1) // the jobs of a run are numbered consecutively
 	job.Class, job.Team, job.MemoryGB, job.Image, job.ImageGB, job.Spot, job.EstimateS = "class", "team", 1, "image", 0.3, true, run.Seconds()
-	j := &userJob{id: job.ID, run: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
+	j := &userJob{id: job.ID, runTime: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
 	s.jobs[j.id] = j
 	first := s.now
 	s.submit(j, int(j.id), func() bool { return s.now-first < time.Minute })
 	return j
 }
 
-// burst submits so many jobs at once, at several priorities, each with many tasks.
-func (s *sim) burst(r *rand.Rand, count int) {
+// submitBurst submits so many jobs at once, at several priorities, each with many tasks.
+func (s *sim) submitBurst(r *rand.Rand, count int) {
 	for i := range count {
-		s.extra(time.Duration(2000+r.IntN(9000))*time.Millisecond, eventlog.Job{Tasks: 6 + r.IntN(10), CPUs: float64(1 + i%2), Priority: uint8(i % 4)})
+		s.submitExtra(time.Duration(2000+r.IntN(9000))*time.Millisecond, eventlog.Job{
+			Tasks: 6 + r.IntN(10), CPUs: float64(1 + i%2), Priority: uint8(i % 4),
+		})
 	}
-	s.saw("more work than room")
+	s.cover("more work than room")
 }
 
-// stream submits four one-task jobs a second and cancels a quarter of them.
-func (s *sim) stream(r *rand.Rand, length time.Duration) {
-	for i := range int(length / (250 * time.Millisecond)) {
+// submitStream submits four one-task jobs a second and cancels a quarter of them.
+func (s *sim) submitStream(r *rand.Rand, duration time.Duration) {
+	for i := range int(duration / (250 * time.Millisecond)) {
 		s.after(time.Duration(i)*250*time.Millisecond, func() {
-			j := s.extra(time.Duration(500+r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1, CPUs: 1, Priority: uint8(i % 4)})
+			j := s.submitExtra(time.Duration(500+r.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1, CPUs: 1, Priority: uint8(i % 4)})
 			if i%4 == 1 {
 				s.after(time.Duration(200+r.IntN(2500))*time.Millisecond, func() {
 					if j.accepted {
-						s.saw("a one-task job cancelled")
-						s.abort(j, i)
+						s.cover("a one-task job cancelled")
+						s.cancel(j, i)
 					}
 				})
 			}
@@ -362,27 +364,27 @@
 	return out
 }
 
-// cancelNow cancels up to so many running jobs within 200 ms, those with the longest tasks
+// cancelRunning cancels up to so many running jobs within 200 ms, those with the longest tasks
 // first, while up to eight of their machines start to hang.
-func (s *sim) cancelNow(r *rand.Rand, count int, hang time.Duration) {
-	var list []*userJob
+func (s *sim) cancelRunning(r *rand.Rand, count int, hang time.Duration) {
+	var candidates []*userJob
 	for _, j := range s.acceptedJobs() {
-		if !j.asked && !j.toldDone && s.running(j.id) > 0 {
-			list = append(list, j)
+		if !j.cancelRequested && !j.toldDone && s.runningTasks(j.id) > 0 {
+			candidates = append(candidates, j)
 		}
 	}
-	slices.SortStableFunc(list, func(a, b *userJob) int { return int(b.run - a.run) })
-	list = list[:min(count, len(list))]
-	if len(list) > 1 {
-		s.saw("running jobs cancelled concurrently")
+	slices.SortStableFunc(candidates, func(a, b *userJob) int { return int(b.runTime - a.runTime) })
+	candidates = candidates[:min(count, len(candidates))]
+	if len(candidates) > 1 {
+		s.cover("running jobs cancelled concurrently")
 	}
 	hung := 0
-	for _, j := range list {
-		s.after(time.Duration(r.IntN(200))*time.Millisecond, func() { s.abort(j, r.IntN(len(s.nodes))) })
+	for _, j := range candidates {
+		s.after(time.Duration(r.IntN(200))*time.Millisecond, func() { s.cancel(j, r.IntN(len(s.nodes))) })
 		for _, w := range s.machines() {
-			if hung < 8 && hang > 0 && !w.hung && r.IntN(2) == 0 && slices.ContainsFunc(w.on(), func(t task) bool { return t.job == j.id }) {
+			if hung < 8 && hang > 0 && !w.hung && r.IntN(2) == 0 && slices.ContainsFunc(w.taskList(), func(t task) bool { return t.job == j.id }) {
 				hung++
-				s.saw("machine of a cancelled job hangs")
+				s.cover("machine of a cancelled job hangs")
 				w.hung = true
 				s.after(hang, func() { w.hung = false })
 			}
@@ -390,8 +392,8 @@
 	}
 }
 
-// askAll periodically queries all accepted jobs from now on, at the controllers in turn.
-func (s *sim) askAll(every time.Duration) {
+// pollAll periodically queries all accepted jobs from now on, at the controllers in turn.
+func (s *sim) pollAll(every time.Duration) {
 	at := 0
 	var poll func()
 	poll = func() {
@@ -404,26 +406,26 @@
 	s.after(0, poll)
 }
 
-// allEnd waits for quiescence: every accepted job is done or cancelled, as reported to its
+// awaitQuiescence waits for quiescence: every accepted job is done or cancelled, as reported to its
 // user. It fails the test for jobs that do not end within the limit and for violated invariants.
-func (s *sim) allEnd(t *testing.T, limit time.Duration) {
+func (s *sim) awaitQuiescence(t *testing.T, limit time.Duration) {
 	t.Helper()
-	open := func(j *userJob) bool { return j.accepted && !j.toldDone && !j.gone }
-	if !s.until(limit, func() bool {
+	unfinished := func(j *userJob) bool { return j.accepted && !j.toldDone && !j.toldCancelled }
+	if !s.runUntil(limit, func() bool {
 		for _, j := range s.jobs {
-			if open(j) {
+			if unfinished(j) {
 				return false
 			}
 		}
 		return true
 	}) {
 		for _, j := range s.jobs {
-			if open(j) {
+			if unfinished(j) {
 				t.Errorf("job %d did not end: %+v, %s", j.id, *j.spec.Job, j.state)
 			}
 		}
 	}
-	if len(s.check.broken) > 0 {
-		t.Errorf("violated invariants: %s", strings.Join(s.check.broken, "\n"))
+	if len(s.check.violations) > 0 {
+		t.Errorf("violated invariants: %s", strings.Join(s.check.violations, "\n"))
 	}
 }
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -267,7 +267,7 @@
 
 // between is a report on its way from one controller to another.
 func between(from, to *controller, r effects.RelayedHeartbeat) effects.RelayedHeartbeat {
-	if from.old == to.old {
+	if from.oldVersion == to.oldVersion {
 		return r
 	}
 	var there prodRelayed
@@ -279,7 +279,7 @@
 
 // answered is the answer to it on its way back.
 func answered(from, to *controller, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
-	if from.old == to.old {
+	if from.oldVersion == to.oldVersion {
 		return a
 	}
 	var there prodReportAnswer
@@ -292,7 +292,7 @@
 // forwarded is a submission that came in at one controller and is served by
 // another.
 func forwarded(at, served *controller, s wire.Submission) wire.Submission {
-	if (!at.old && !served.old) || s.Job == nil {
+	if (!at.oldVersion && !served.oldVersion) || s.Job == nil {
 		return s
 	}
 	var there prodSubmission
--- a/internal/scenario/hands_test.go
+++ b/internal/scenario/hands_test.go
@@ -17,25 +17,25 @@
 		d := newHarness(t, seed, nil)
 		d.cloud.capacity = 4
 		first := d.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		d.awaitRunning(first, 4)
 		next := d.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
 		d.run(3 * time.Second)
-		d.cloud.capacity, d.cloud.boot = 12, 0 // for what would start elsewhere
+		d.cloud.capacity, d.cloud.bootTime = 12, 0 // for what would start elsewhere
 		end := time.Hour
 		for k := range 4 {
-			end = min(end, d.ends[task{first.id, k}])
+			end = min(end, d.runEnds[task{first.id, k}])
 		}
 		d.run(end - d.now - time.Duration(seed%4*150)*time.Millisecond)
 		l := d.awaitLeader()
-		d.state.refuse[l.name] = true
+		d.state.refused[l.name] = true
 		d.run(1700 * time.Millisecond)
-		if d.check.over(first.id) || d.running(first.id) < 4 {
-			d.saw("machines free while the leader is refused")
+		if d.check.allCompleted(first.id) || d.runningTasks(first.id) < 4 {
+			d.cover("machines free while the leader is refused")
 		}
 		d.injectMachineFault("held", append(d.machinesWithTasks(next), d.machines()...)[:1], 12*time.Second)
 		l.crash()
-		d.state.refuse = map[string]bool{}
+		d.state.refused = map[string]bool{}
 		d.faults.restartAfter(l, 8*time.Second)
 		d.run(20 * time.Second)
 		return d.endFaultsAndSettle(5 * time.Minute)
@@ -52,7 +52,7 @@
 		})
 		d.cloud.capacity = 40
 		warm := d.submitJob(50*time.Second, eventlog.Job{Tasks: 60, Priority: 1, Spot: true})
-		d.askAll(2 * time.Second)
+		d.pollAll(2 * time.Second)
 		d.awaitRunning(warm, 40)
 		for i := range 160 {
 			d.submitJobAfter(time.Duration(i)*200*time.Millisecond, time.Duration(2000+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true})
@@ -71,7 +71,7 @@
 					if n != l && n.up && d.random.IntN(2) == 0 {
 						n.crash()
 						d.faults.restartAfter(n, 100*time.Millisecond)
-						d.saw("a holder back at once")
+						d.cover("a holder back at once")
 					}
 				}
 			})
@@ -87,21 +87,21 @@
 	runSeeds(t, 8, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, directDispatchSettings)
 		d.warmUp(5*time.Second, eventlog.Job{Tasks: 24, CPUs: 2, Priority: 1, Spot: true})
-		d.again = 9 * time.Second
+		d.duplicateDelay = 9 * time.Second
 		for i := range 40 {
 			d.after(time.Duration(i)*600*time.Millisecond, func() {
 				j := d.submitJob(20*time.Second, eventlog.Job{Tasks: 1 + i%3, Priority: 1, Spot: true})
-				sent := d.launches
+				sent := d.directDispatches
 				d.after(time.Duration(700+d.random.IntN(1500))*time.Millisecond, func() {
-					if d.launches > sent && j.accepted {
-						d.saw("cancelled after it was sent straight to a worker")
+					if d.directDispatches > sent && j.accepted {
+						d.cover("cancelled after it was sent straight to a worker")
 						d.cancelJob(j, i)
 					}
 				})
 			})
 		}
 		d.run(45 * time.Second)
-		d.again = 0
+		d.duplicateDelay = 0
 		return d.endFaultsAndSettle(5 * time.Minute)
 	}, "cancelled after it was sent straight to a worker")
 }
--- a/internal/scenario/harness_test.go
+++ b/internal/scenario/harness_test.go
@@ -14,7 +14,7 @@
 )
 
 // runSeeds runs a randomized simulation with so many seeds in parallel. It fails if an effect
-// in must occurred in none of them; the runs count effects with sim.saw.
+// in must occurred in none of them; the runs count effects with sim.cover.
 func runSeeds(t *testing.T, days int, day func(t *testing.T, seed uint64) *sim, must ...string) map[string]int {
 	t.Helper()
 	var mu sync.Mutex
@@ -26,7 +26,7 @@
 				s := day(t, seed)
 				mu.Lock()
 				defer mu.Unlock()
-				for what, n := range s.seen {
+				for what, n := range s.coverage {
 					seen[what] += n
 				}
 			})
@@ -79,7 +79,7 @@
 		job.CPUs = 1
 	}
 	job.Tasks, job.MemoryGB, job.Image, job.ImageGB, job.EstimateS = max(job.Tasks, 1), 1, "image", 0.3, max(1, run.Seconds())
-	j := &userJob{id: job.ID, run: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
+	j := &userJob{id: job.ID, runTime: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
 	h.jobs[j.id] = j
 	first := h.now
 	h.submit(j, int(j.id), func() bool { return h.now-first < 60*time.Second })
@@ -97,8 +97,8 @@
 func (h *harness) warmUp(run time.Duration, job eventlog.Job) {
 	h.t.Helper()
 	j := h.submitJob(run, job)
-	h.askAll(2 * time.Second)
-	if !h.until(60*time.Second, func() bool { return h.check.over(j.id) }) {
+	h.pollAll(2 * time.Second)
+	if !h.runUntil(60*time.Second, func() bool { return h.check.allCompleted(j.id) }) {
 		h.t.Fatal("the first job did not complete within 60 seconds")
 	}
 }
@@ -113,15 +113,15 @@
 // awaitRunning waits until at least so many tasks of a job run.
 func (h *harness) awaitRunning(j *userJob, tasks int) {
 	h.t.Helper()
-	if !h.until(2*time.Minute, func() bool { return h.running(j.id) >= tasks }) {
-		h.t.Fatalf("%d of %d tasks of %d run", h.running(j.id), tasks, j.id)
+	if !h.runUntil(2*time.Minute, func() bool { return h.runningTasks(j.id) >= tasks }) {
+		h.t.Fatalf("%d of %d tasks of %d run", h.runningTasks(j.id), tasks, j.id)
 	}
 }
 
 // awaitLeader waits until there is a leader and returns it.
 func (h *harness) awaitLeader() *controller {
 	h.t.Helper()
-	if !h.until(40*time.Second, func() bool { return h.leader() != nil }) {
+	if !h.runUntil(40*time.Second, func() bool { return h.leader() != nil }) {
 		h.t.Fatal("no leader within 40 seconds")
 	}
 	return h.leader()
@@ -137,15 +137,15 @@
 
 // cancelJob cancels an accepted job, unless its user has done so already.
 func (h *harness) cancelJob(j *userJob, at int) {
-	if j.accepted && !j.asked {
-		h.abort(j, at)
+	if j.accepted && !j.cancelRequested {
+		h.cancel(j, at)
 	}
 }
 
 // machinesWithTasks returns the machines with tasks of a job.
 func (h *harness) machinesWithTasks(j *userJob) []*worker {
 	return slices.DeleteFunc(h.machines(), func(w *worker) bool {
-		return !slices.ContainsFunc(w.on(), func(t task) bool { return t.job == j.id })
+		return !slices.ContainsFunc(w.taskList(), func(t task) bool { return t.job == j.id })
 	})
 }
 
@@ -155,25 +155,25 @@
 	for _, w := range list {
 		switch what {
 		case "cut":
-			h.cuts = append(h.cuts, &cut{host: w.name})
+			h.partitions = append(h.partitions, &partition{host: w.name})
 		case "held":
-			h.cuts = append(h.cuts, &cut{host: w.name, hold: true})
+			h.partitions = append(h.partitions, &partition{host: w.name, holdPackets: true})
 		case "deaf":
-			h.deaf[w.name] = true
+			h.inboundLost[w.name] = true
 		case "hung":
 			w.hung = true
 		case "mute":
-			h.mute[w.name] = true
+			h.reportsLost[w.name] = true
 		case "slow":
-			h.slow[w.name] = 6 * time.Second
+			h.latency[w.name] = 6 * time.Second
 		default:
 			h.t.Fatalf("%s: unknown fault", what)
 		}
 		h.after(length, func() {
 			w.hung = false
-			delete(h.deaf, w.name)
-			delete(h.mute, w.name)
-			delete(h.slow, w.name)
+			delete(h.inboundLost, w.name)
+			delete(h.reportsLost, w.name)
+			delete(h.latency, w.name)
 			h.heal(w.name)
 		})
 	}
@@ -182,8 +182,8 @@
 // endFaultsAndSettle marks the end of fault injection and waits until every job has ended.
 func (h *harness) endFaultsAndSettle(limit time.Duration) *sim {
 	h.t.Helper()
-	h.check.calm = h.now
-	h.allEnd(h.t, limit)
+	h.check.faultsEndedAt = h.now
+	h.awaitQuiescence(h.t, limit)
 	return h.sim
 }
 
@@ -200,7 +200,7 @@
 			for i := range 320 {
 				d.submitJobAfter(time.Duration(i)*400*time.Millisecond, time.Duration(2+i%5)*time.Second, eventlog.Job{Priority: 1, Spot: true})
 			}
-			d.askAll(time.Second)
+			d.pollAll(time.Second)
 			d.after(begins, func() {
 				who := 0
 				if l := d.leader(); l != nil {
@@ -224,7 +224,7 @@
 				if n > total {
 					total, accepted = n, append(accepted, at)
 				}
-				for _, last := range d.check.answered {
+				for _, last := range d.check.lastAnswer {
 					if at-last < 100*time.Millisecond {
 						answered = append(answered, at)
 						break
--- a/internal/scenario/hot_test.go
+++ b/internal/scenario/hot_test.go
@@ -31,7 +31,7 @@
 		id++
 		i := id
 		job := &eventlog.Job{ID: i, Class: class, Team: team, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: class, ImageGB: 0.3, Spot: true, EstimateS: run.Seconds()}
-		j := &userJob{id: i, run: run, spec: wire.Submission{ID: i, HasID: true, Job: job}}
+		j := &userJob{id: i, runTime: run, spec: wire.Submission{ID: i, HasID: true, Job: job}}
 		s.after(at, func() {
 			s.jobs[i] = j
 			s.submit(j, r.IntN(3), func() bool { return true })
@@ -57,14 +57,14 @@
 	}
 	s.after(0, poll)
 	s.run(460 * time.Second)
-	if len(s.check.broken) > 0 {
-		t.Errorf("rules broken: %v", s.check.broken[0])
+	if len(s.check.violations) > 0 {
+		t.Errorf("rules broken: %v", s.check.violations[0])
 	}
 	asked, met := map[string]float64{}, map[string]float64{}
 	for _, j := range s.jobs {
 		for _, w := range []string{"class " + j.spec.Job.Class, "team " + j.spec.Job.Team} {
 			asked[w]++
-			if j.toldDone && (j.goneAt-j.acceptedAt).Seconds() <= within[j.spec.Job.Class]+2 {
+			if j.toldDone && (j.endToldAt-j.acceptedAt).Seconds() <= within[j.spec.Job.Class]+2 {
 				met[w]++
 			}
 		}
--- a/internal/scenario/largest_test.go
+++ b/internal/scenario/largest_test.go
@@ -23,7 +23,7 @@
 	r := rand.New(rand.NewPCG(3, 33))
 	add := func(at time.Duration, job eventlog.Job, run time.Duration) {
 		job.ID, job.Team, job.Priority, job.MemoryGB, job.Image, job.ImageGB, job.Spot, job.EstimateS = uint64(len(s.jobs)+1), "team", 1, 1, job.Class, 0.3, true, run.Seconds()
-		j := &userJob{id: job.ID, run: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
+		j := &userJob{id: job.ID, runTime: run, spec: wire.Submission{ID: job.ID, HasID: true, Job: &job}}
 		s.jobs[job.ID] = j
 		s.after(at, func() { s.submit(j, r.IntN(3), func() bool { return true }) })
 	}
@@ -35,7 +35,7 @@
 	add(64*time.Second, eventlog.Job{Class: "wide", Tasks: 60, CPUs: 3}, 30*time.Second)
 	add(66*time.Second, eventlog.Job{Class: "zone", Kind: 1, Tasks: 5, CPUs: 4, OneZone: true}, 30*time.Second)
 	s.run(700 * time.Second)
-	s.check.beginInTime(s.now)
+	s.check.checkStartDelay(s.now)
 	return s
 }
 
@@ -43,20 +43,20 @@
 // without the exception some of them do not.
 func TestLargestBegin(t *testing.T) {
 	late := func(s *sim) bool {
-		return slices.ContainsFunc(s.check.broken, func(b string) bool { return strings.HasPrefix(b, "begins_late") })
+		return slices.ContainsFunc(s.check.violations, func(b string) bool { return strings.HasPrefix(b, "begins_late") })
 	}
 	if s := largestDay(0); !late(s) {
 		t.Error("without the exception all begin in time: the day is not hard enough")
 	}
 	s := largestDay(120)
-	if len(s.check.broken) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(s.check.broken, "\n"))
+	if len(s.check.violations) > 0 {
+		t.Errorf("rules broken: %s", strings.Join(s.check.violations, "\n"))
 	}
 	small, done := 0, 0
 	for _, j := range s.jobs {
 		if j.spec.Job.Class == "small" {
 			small++
-			if s.check.over(j.id) {
+			if s.check.allCompleted(j.id) {
 				done++
 			}
 		}
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -25,7 +25,7 @@
 		for i := range 6 {
 			first = append(first, d.submitJob(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		for _, j := range first {
 			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
@@ -33,8 +33,8 @@
 			waiting = append(waiting, d.submitJob(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
 		}
 		d.run(5 * time.Second)
-		if d.running(waiting[0].id) == 0 {
-			d.saw("jobs wait for their team's limit")
+		if d.runningTasks(waiting[0].id) == 0 {
+			d.cover("jobs wait for their team's limit")
 		}
 		length := time.Duration(5+4*variant) * time.Second
 		on := d.machinesWithTasks(first[0])
@@ -47,17 +47,19 @@
 		})
 		d.after(3*time.Second+when, func() {
 			d.restartLeader(8 * time.Second)
-			d.saw([]string{"the leader ended before", "the leader ended at once", "the leader ended after"}[variant%3])
+			d.cover([]string{"the leader ended before", "the leader ended at once", "the leader ended after"}[variant%3])
 		})
 		if variant > 5 {
 			d.after(9*time.Second, func() { d.restartLeader(8 * time.Second) })
 		}
 		d.run(max(length, 12*time.Second))
-		if !d.until(45*time.Second, func() bool { return first[0].gone && first[1].gone && first[4].gone && first[5].gone }) {
+		if !d.runUntil(45*time.Second, func() bool {
+			return first[0].toldCancelled && first[1].toldCancelled && first[4].toldCancelled && first[5].toldCancelled
+		}) {
 			t.Errorf("cancelled jobs are %s, %s, %s, %s", first[0].state, first[1].state, first[4].state, first[5].state)
 		}
 		// Room is free then: it need not be waited for.
-		if !d.until(15*time.Second, func() bool { return d.check.begun[waiting[0].id] > 0 && d.check.begun[waiting[1].id] > 0 }) {
+		if !d.runUntil(15*time.Second, func() bool { return d.check.startedAt[waiting[0].id] > 0 && d.check.startedAt[waiting[1].id] > 0 }) {
 			t.Error("jobs wait though what was cancelled has made room")
 		}
 		return d.endFaultsAndSettle(6 * time.Minute)
@@ -91,7 +93,7 @@
 		for range 8 {
 			next()
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		d.run(12 * time.Second)
 		l := d.awaitLeader()
 		n := d.nodes[(l.index+1)%3]
@@ -110,10 +112,10 @@
 			l.core.Stop(l.clock())
 			l.drain()
 		case "the leader is refused":
-			d.state.refuse[l.name] = true
-			d.after(12*time.Second, func() { delete(d.state.refuse, l.name) })
+			d.state.refused[l.name] = true
+			d.after(12*time.Second, func() { delete(d.state.refused, l.name) })
 		case "a controller cut off":
-			d.cuts = append(d.cuts, &cut{host: n.name, hold: variant%2 == 0})
+			d.partitions = append(d.partitions, &partition{host: n.name, holdPackets: variant%2 == 0})
 			d.after(7*time.Second, func() { d.heal(n.name) })
 		case "balance": // one is back, and gets its share
 			n.crash()
@@ -126,9 +128,9 @@
 				d.after(time.Duration(100+d.random.IntN(2500))*time.Millisecond, func() {
 					if j.accepted && d.random.IntN(2) == 0 {
 						d.cancelJob(j, i)
-						for _, at := range d.moved {
+						for _, at := range d.redirects {
 							if d.now-at < time.Second {
-								d.saw(trial + ": cancelled while machines went to another controller")
+								d.cover(trial + ": cancelled while machines went to another controller")
 								break
 							}
 						}
@@ -155,7 +157,7 @@
 			job.Priority, job.Spot = 1, i%2 == int(seed)%2 || i == 2
 			list = append(list, d.submitJob(time.Duration(25+5*i)*time.Second, job))
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		for _, j := range list {
 			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
@@ -172,14 +174,14 @@
 			for _, w := range on {
 				switch d.random.IntN(3) {
 				case 0: // the cloud takes it
-					w.vanish()
+					w.terminate()
 					delete(d.cloud.machines, w.name)
 				case 1:
-					w.vanish()
+					w.terminate()
 				default: // nobody hears it, and its tasks go on
 					d.injectMachineFault([]string{"cut", "mute", "deaf"}[d.random.IntN(3)], []*worker{w}, time.Duration(3+d.random.IntN(12))*time.Second)
 				}
-				d.saw("a machine of a bound job lost")
+				d.cover("a machine of a bound job lost")
 			}
 		}
 		if seed%2 == 1 {
@@ -188,7 +190,7 @@
 		before := d.check.starts
 		d.run(70 * time.Second)
 		if d.check.starts > before {
-			d.saw("tasks of bound jobs started again")
+			d.cover("tasks of bound jobs started again")
 		}
 		return d.endFaultsAndSettle(6 * time.Minute)
 	}, "a machine of a bound job lost", "tasks of bound jobs started again")
@@ -205,13 +207,13 @@
 		})
 		d.cloud.capacity = 10
 		for _, n := range d.nodes {
-			d.slow[n.name] = time.Duration(100+d.random.IntN(250)) * time.Millisecond
+			d.latency[n.name] = time.Duration(100+d.random.IntN(250)) * time.Millisecond
 		}
-		d.slow["state"] = 150 * time.Millisecond
-		d.preempted = func(j *userJob, w *worker) {
-			d.saw("a task stopped for another job")
+		d.latency["state"] = 150 * time.Millisecond
+		d.onPreempt = func(j *userJob, w *worker) {
+			d.cover("a task stopped for another job")
 			for _, o := range d.jobs {
-				if o.accepted && !o.asked && !o.toldDone && o.spec.Job.Priority > j.spec.Job.Priority {
+				if o.accepted && !o.cancelRequested && !o.toldDone && o.spec.Job.Priority > j.spec.Job.Priority {
 					return
 				}
 			}
@@ -230,10 +232,10 @@
 			}
 			d.submitJobAfter(time.Duration(i)*700*time.Millisecond, time.Duration(3+d.random.IntN(8))*time.Second, job)
 		}
-		d.askAll(3 * time.Second)
+		d.pollAll(3 * time.Second)
 		d.run(4 * time.Minute)
-		d.check.served(d.now)
-		d.check.beginInTime(d.now)
+		d.check.checkServedShare(d.now)
+		d.check.checkStartDelay(d.now)
 		return d.endFaultsAndSettle(10 * time.Minute)
 	}, "a task stopped for another job")
 }
@@ -246,12 +248,12 @@
 		d := newHarness(t, uint64(kind), nil)
 		d.cloud.capacity = 6
 		stays := d.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
-		d.askAll(2 * time.Second)
+		d.pollAll(2 * time.Second)
 		d.awaitRunning(stays, 6)
 		long := d.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and ends together
 		d.awaitRunning(long, 5)
 		if kind == 0 {
-			d.until(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.somewhere(long.id) > 0 })
+			d.runUntil(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.tasksOnMachines(long.id) > 0 })
 		}
 		d.cancelJob(long, 0)
 		first := d.submitJob(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has so much
@@ -261,19 +263,19 @@
 			small = append(small, d.submitJob(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
 		}
 		d.run(10 * time.Second)
-		d.check.calm = d.now
+		d.check.faultsEndedAt = d.now
 		d.run(3 * time.Minute)
 		for _, j := range small {
-			if d.check.begun[j.id] == 0 {
+			if d.check.startedAt[j.id] == 0 {
 				t.Errorf("kind %d: job %d has not begun", kind, j.id)
 			}
 		}
 		d.cancelJob(stays, 1)
-		if !d.until(4*time.Minute, func() bool { return first.toldDone }) {
+		if !d.runUntil(4*time.Minute, func() bool { return first.toldDone }) {
 			t.Errorf("kind %d: the first job is %s", kind, first.state)
 		}
-		if len(d.check.broken) > 0 {
-			t.Errorf("kind %d: rules broken: %v", kind, d.check.broken)
+		if len(d.check.violations) > 0 {
+			t.Errorf("kind %d: rules broken: %v", kind, d.check.violations)
 		}
 	}
 }
@@ -283,13 +285,13 @@
 func TestSpreadWithOneZone(t *testing.T) {
 	d := newHarness(t, 5, nil)
 	bound := d.submitJob(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
-	d.askAll(2 * time.Second)
+	d.pollAll(2 * time.Second)
 	d.awaitRunning(bound, 9)
 	spread := d.submitJob(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // there is room for all, in one zone
 	d.run(20 * time.Second)
-	d.check.calm = d.now
+	d.check.faultsEndedAt = d.now
 	d.run(40 * time.Second)
-	if n := d.running(spread.id); n != 3 {
+	if n := d.runningTasks(spread.id); n != 3 {
 		t.Errorf("%d of 3 tasks run", n)
 	}
 	d.endFaultsAndSettle(8 * time.Minute)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -47,7 +47,7 @@
 						if terms > 1 {
 							overtook++
 						}
-						for what, n := range s.seen {
+						for what, n := range s.coverage {
 							seen[what] += n
 						}
 					})
@@ -114,7 +114,7 @@
 	s.cloud.capacity = max(s.cloud.capacity, size)
 	if beside {
 		for i, n := range s.nodes {
-			s.replace(n, time.Duration(25000+20000*i/count*3+r.IntN(12000))*time.Millisecond)
+			s.upgrade(n, time.Duration(25000+20000*i/count*3+r.IntN(12000))*time.Millisecond)
 		}
 	}
 	var log []string
@@ -133,9 +133,9 @@
 		if r.IntN(4) == 0 {
 			job.Kind, job.Tasks, job.CPUs = 1, 2+r.IntN(3), 1
 		}
-		j := &userJob{id: id, run: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
+		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		if job.Kind == 0 && r.IntN(2) == 0 {
-			j.apart = time.Duration(r.IntN(6000)) * time.Millisecond * 8 / time.Duration(max(8, job.Tasks)) // the last of many ends no later than that of a few
+			j.runTimeStep = time.Duration(r.IntN(6000)) * time.Millisecond * 8 / time.Duration(max(8, job.Tasks)) // the last of many ends no later than that of a few
 		}
 		s.jobs[id] = j
 		at := time.Duration(r.IntN(60000)) * time.Millisecond
@@ -143,12 +143,12 @@
 		if id%3 == 0 { // cancelled in the middle
 			s.after(35*time.Second+time.Duration(r.IntN(40000))*time.Millisecond, func() {
 				if j.accepted {
-					s.abort(j, r.IntN(count))
+					s.cancel(j, r.IntN(count))
 				}
 			})
 		}
 	}
-	s.askAll(2 * time.Second)
+	s.pollAll(2 * time.Second)
 	s.run(38 * time.Second)
 	length := time.Duration(5+r.IntN(25)) * time.Second
 	s.after(0, func() { tr.inject(a, length, r.IntN(count)) })
@@ -157,7 +157,7 @@
 		tr.inject(b, time.Duration(5+r.IntN(25))*time.Second, r.IntN(count))
 	})
 	if beside {
-		s.saw("beside the version in production")
+		s.cover("beside the version in production")
 	}
 	if seed%2 == 1 { // a takeover besides
 		s.after(time.Duration(r.IntN(30000))*time.Millisecond, func() {
@@ -168,8 +168,8 @@
 		})
 	}
 	s.run(110 * time.Second)
-	s.check.calm = s.now
-	s.allEnd(t, 15*time.Minute)
+	s.check.faultsEndedAt = s.now
+	s.awaitQuiescence(t, 15*time.Minute)
 	if t.Failed() {
 		t.Log(strings.Join(log, "\n"))
 	}
@@ -196,19 +196,19 @@
 						s := newSim(baseSettings(), uint64(step), 3, false)
 						var list []*userJob
 						for i := range uint64(4) {
-							j := &userJob{id: i + 1, run: 12 * time.Second, apart: 7 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true,
+							j := &userJob{id: i + 1, runTime: 12 * time.Second, runTimeStep: 7 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true,
 								Job: &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 10}}}
 							s.jobs[j.id] = j
 							s.submit(j, int(i), func() bool { return s.now < 60*time.Second })
 							list = append(list, j)
 						}
-						s.askAll(time.Second)
-						if !s.until(90*time.Second, func() bool { return s.running(1) == tasks }) {
+						s.pollAll(time.Second)
+						if !s.runUntil(90*time.Second, func() bool { return s.runningTasks(1) == tasks }) {
 							t.Fatal("they never run")
 						}
 						// From just before the end of the first task, or of the last but one, on.
 						first := step % 2 * (tasks - 2)
-						s.run(s.ends[task{1, first}] - s.now + time.Duration(step-3)*150*time.Millisecond)
+						s.run(s.runEnds[task{1, first}] - s.now + time.Duration(step-3)*150*time.Millisecond)
 						var m *worker
 						for _, w := range s.cloud.machines {
 							if _, here := w.tasks[task{1, tasks - 1}]; here {
@@ -220,30 +220,30 @@
 						}
 						switch trial {
 						case "cut":
-							s.cuts = append(s.cuts, &cut{host: m.name, hold: step%2 == 0})
+							s.partitions = append(s.partitions, &partition{host: m.name, holdPackets: step%2 == 0})
 							s.after(9*time.Second, func() { s.heal(m.name) })
 						case "deaf":
-							s.deaf[m.name] = true
-							s.after(9*time.Second, func() { delete(s.deaf, m.name) })
+							s.inboundLost[m.name] = true
+							s.after(9*time.Second, func() { delete(s.inboundLost, m.name) })
 						case "dies":
-							m.vanish()
+							m.terminate()
 						case "hangs":
 							m.hung = true
 							s.after(9*time.Second, func() { m.hung = false })
 						case "begins anew":
-							m.reborn()
+							m.restartEmpty()
 						}
 						for range 2 { // two leaders end
 							l := s.leader()
 							l.crash()
 							s.after(8*time.Second, func() { l.start(false) })
 							s.run(4 * time.Second)
-							if !s.until(20*time.Second, func() bool { return s.leader() != nil }) {
+							if !s.runUntil(20*time.Second, func() bool { return s.leader() != nil }) {
 								t.Fatal("nobody leads")
 							}
 						}
-						apart := s.check.completeN[task{1, first}] && !s.check.over(1)
-						s.allEnd(t, 5*time.Minute)
+						apart := s.check.completedTasks[task{1, first}] && !s.check.allCompleted(1)
+						s.awaitQuiescence(t, 5*time.Minute)
 						mu.Lock()
 						defer mu.Unlock()
 						days++
@@ -282,20 +282,20 @@
 	s.poolUnits = map[string]int{"licence": 6}
 	r := rand.New(rand.NewPCG(seed, 11))
 	s.run(3 * time.Second)
-	s.state.lateShare, s.state.atOnce = 0.4, atOnce
+	s.state.lossShare, s.state.onlyAnswerLost = 0.4, atOnce
 	for i := range uint64(60) {
 		job := &eventlog.Job{ID: i + 1, Class: fmt.Sprint("class", i%7), Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 4}
 		if i%4 == 0 {
 			job.Counted = []eventlog.PoolUnits{{Pool: "licence", Units: 1}}
 		}
-		j := &userJob{id: i + 1, run: time.Duration(1+r.IntN(6)) * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
+		j := &userJob{id: i + 1, runTime: time.Duration(1+r.IntN(6)) * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 		s.jobs[j.id] = j
 		at := time.Duration(r.IntN(60000)) * time.Millisecond
 		s.after(at, func() { s.submit(j, int(i), func() bool { return s.now < at+80*time.Second }) })
 		if i%10 == 0 {
 			s.after(at+8*time.Second, func() {
 				if j.accepted {
-					s.abort(j, int(i))
+					s.cancel(j, int(i))
 				}
 			})
 		}
@@ -310,7 +310,7 @@
 	}
 	s.after(30*time.Second, func() { s.resize("a", "licence", 4) })
 	s.after(31*time.Second, func() { s.resize("b", "licence", 6) })
-	s.askAll(2 * time.Second)
+	s.pollAll(2 * time.Second)
 	led, longest := s.now, time.Duration(0) // without a leader who is sure
 	for end := s.now + 100*time.Second; s.now < end; s.run(200 * time.Millisecond) {
 		if l := s.leader(); l != nil && l.core.Status(l.clock()).Sure {
@@ -321,10 +321,10 @@
 	if atOnce && longest > leaderless {
 		t.Errorf("for %v no leader was sure of its term", longest)
 	}
-	s.state.lateShare, s.state.atOnce = 0, false
+	s.state.lossShare, s.state.onlyAnswerLost = 0, false
 	s.run(13 * time.Second)
-	s.check.calm = s.now
-	s.allEnd(t, 10*time.Minute)
+	s.check.faultsEndedAt = s.now
+	s.awaitQuiescence(t, 10*time.Minute)
 	return s
 }
 
@@ -354,20 +354,22 @@
 						submit := func(i int) {
 							k := kinds[i]
 							k.ID, k.Class, k.Team, k.Priority, k.CPUs, k.MemoryGB, k.Image, k.ImageGB, k.Spot, k.EstimateS = uint64(i+1), "class", "team", 1, 1, 1, "image", 0.3, true, 90
-							j := &userJob{id: k.ID, run: 90 * time.Second, spec: wire.Submission{ID: k.ID, HasID: true, Job: &k}}
+							j := &userJob{id: k.ID, runTime: 90 * time.Second, spec: wire.Submission{ID: k.ID, HasID: true, Job: &k}}
 							s.jobs[j.id] = j
 							s.submit(j, i, func() bool { return s.now < 200*time.Second })
 						}
 						for i := range 5 { // the fifth has a machine rented in the other zone
 							submit(i)
 						}
-						s.askAll(2 * time.Second)
-						if !s.until(90*time.Second, func() bool { return s.running(1) == 4 && s.running(2) == 4 && s.running(3) == 3 && s.running(4) == 3 }) {
+						s.pollAll(2 * time.Second)
+						if !s.runUntil(90*time.Second, func() bool {
+							return s.runningTasks(1) == 4 && s.runningTasks(2) == 4 && s.runningTasks(3) == 3 && s.runningTasks(4) == 3
+						}) {
 							t.Fatal("they never run")
 						}
 						submit(5)
-						if !s.until(60*time.Second, func() bool { return s.running(6) >= 3 }) {
-							t.Fatalf("%d tasks of the last one run", s.running(6))
+						if !s.runUntil(60*time.Second, func() bool { return s.runningTasks(6) >= 3 }) {
+							t.Fatalf("%d tasks of the last one run", s.runningTasks(6))
 						}
 						l := s.leader()
 						lasts := time.Duration(3+5*length) * time.Second
@@ -380,24 +382,24 @@
 						for _, w := range on {
 							switch trial {
 							case "cut", "cut, packets held":
-								s.cuts = append(s.cuts, &cut{host: w.name, hold: trial != "cut"})
+								s.partitions = append(s.partitions, &partition{host: w.name, holdPackets: trial != "cut"})
 							case "deaf":
-								s.deaf[w.name] = true
+								s.inboundLost[w.name] = true
 							case "hung":
 								w.hung = true
 							case "cut from all but the old leader":
 								for _, n := range s.nodes {
 									if n != l {
-										s.cuts = append(s.cuts, &cut{host: w.name, with: n.name})
+										s.partitions = append(s.partitions, &partition{host: w.name, peer: n.name})
 									}
 								}
 							case "answers held up":
-								s.slow[w.name] = 6 * time.Second
+								s.latency[w.name] = 6 * time.Second
 							}
 							s.after(lasts, func() {
 								w.hung = false
-								delete(s.deaf, w.name)
-								delete(s.slow, w.name)
+								delete(s.inboundLost, w.name)
+								delete(s.latency, w.name)
 								s.heal(w.name)
 							})
 						}
@@ -405,7 +407,7 @@
 							n := s.leader()
 							n.crash()
 							s.after(8*time.Second, func() { n.start(false) })
-							if !s.until(20*time.Second, func() bool { return s.leader() != nil }) {
+							if !s.runUntil(20*time.Second, func() bool { return s.leader() != nil }) {
 								t.Fatal("nobody leads")
 							}
 							s.run(time.Second)
@@ -417,7 +419,7 @@
 							}
 						}
 						before := s.check.starts
-						s.allEnd(t, 10*time.Minute)
+						s.awaitQuiescence(t, 10*time.Minute)
 						mu.Lock()
 						defer mu.Unlock()
 						days++
@@ -456,19 +458,19 @@
 				tr := &faultInjector{sim: s, random: r, logf: func(string, ...any) {}}
 				for i := range uint64(14) {
 					job := &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 15, Kind: uint8(r.IntN(5) / 4)}
-					j := &userJob{id: i + 1, run: time.Duration(1000+r.IntN(40000)) * time.Millisecond, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
+					j := &userJob{id: i + 1, runTime: time.Duration(1000+r.IntN(40000)) * time.Millisecond, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 					s.jobs[j.id] = j
 					at := time.Duration(r.IntN(50000)) * time.Millisecond
 					s.after(at, func() { s.submit(j, int(i), func() bool { return s.now < at+60*time.Second }) })
 					if i%3 == 0 {
 						s.after(at+time.Duration(r.IntN(20000))*time.Millisecond, func() {
 							if j.accepted {
-								s.abort(j, int(i))
+								s.cancel(j, int(i))
 							}
 						})
 					}
 				}
-				s.askAll(time.Second)
+				s.pollAll(time.Second)
 				s.run(10 * time.Second)
 				for range 6 {
 					tr.inject(repeatedHandover, 0, 0)
@@ -494,8 +496,8 @@
 					}
 				}
 				s.run(10 * time.Second)
-				s.check.calm = s.now
-				s.allEnd(t, 10*time.Minute)
+				s.check.faultsEndedAt = s.now
+				s.awaitQuiescence(t, 10*time.Minute)
 				mu.Lock()
 				defer mu.Unlock()
 				terms += s.leader().core.Epoch()
@@ -522,11 +524,11 @@
 		d.run(8 * time.Second)
 		ms := d.machines()
 		for _, m := range ms {
-			d.slow[m.name] = held
+			d.latency[m.name] = held
 		}
-		sent := d.launches
+		sent := d.directDispatches
 		j := d.submitJob(60*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
-		if !d.until(3*time.Second, func() bool { return d.launches > sent }) {
+		if !d.runUntil(3*time.Second, func() bool { return d.directDispatches > sent }) {
 			t.Fatal("nothing was sent straight to a worker")
 		}
 		at := d.now
@@ -537,21 +539,21 @@
 			}
 		}
 		for _, x := range ms {
-			delete(d.slow, x.name)
+			delete(d.latency, x.name)
 		}
-		d.deaf[m.name] = true // what is on its way arrives, and nothing after it
+		d.inboundLost[m.name] = true // what is on its way arrives, and nothing after it
 		d.cloud.outage = seed%2 == 1
 		d.run(at + held - time.Duration(100+seed%16/2*700)*time.Millisecond - d.now)
 		if d.cloud.machines[m.name] == m {
 			if m.session > 1 {
-				d.saw("a later session, and then a new life")
+				d.cover("a later session, and then a new life")
 			}
-			m.reborn()
+			m.restartEmpty()
 		}
 		d.run(10 * time.Second)
 		d.cloud.outage = false
-		delete(d.deaf, m.name)
-		if !d.until(time.Minute, func() bool { return d.running(j.id) == 1 }) {
+		delete(d.inboundLost, m.name)
+		if !d.runUntil(time.Minute, func() bool { return d.runningTasks(j.id) == 1 }) {
 			t.Error("its task runs nowhere")
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
@@ -565,18 +567,18 @@
 	d := newHarness(t, 2, directDispatchSettings)
 	d.warmUp(12*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 	d.run(8 * time.Second)
-	sent := d.launches
+	sent := d.directDispatches
 	for _, m := range d.machines() {
-		d.deaf[m.name] = true // heard, and nothing reaches them
+		d.inboundLost[m.name] = true // heard, and nothing reaches them
 	}
 	j := d.submitJob(20*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
-	if !d.until(3*time.Second, func() bool { return d.launches > sent }) {
+	if !d.runUntil(3*time.Second, func() bool { return d.directDispatches > sent }) {
 		t.Fatal("nothing was sent straight to a worker")
 	}
 	d.run(20 * time.Second) // their leases run out
-	clear(d.deaf)
+	clear(d.inboundLost)
 	d.run(3 * time.Second)
-	if !d.until(40*time.Second, func() bool { return d.running(j.id) == 1 }) {
+	if !d.runUntil(40*time.Second, func() bool { return d.runningTasks(j.id) == 1 }) {
 		t.Error("its task runs nowhere")
 	}
 	d.endFaultsAndSettle(2 * time.Minute)
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -29,12 +29,12 @@
 				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
-		d.cloud.boot, d.cloud.answer = 0, 1500*time.Millisecond
+		d.cloud.bootTime, d.cloud.answerDelay = 0, 1500*time.Millisecond
 		d.awaitLeader()
-		d.slow["state"] = time.Duration(50+300*variant) * time.Millisecond
-		d.after(40*time.Second, func() { delete(d.slow, "state") })
+		d.latency["state"] = time.Duration(50+300*variant) * time.Millisecond
+		d.after(40*time.Second, func() { delete(d.latency, "state") })
 		times := 0 // the step, by which the leader ends
-		d.moment = func(what string) {
+		d.onStep = func(what string) {
 			if what != step {
 				return
 			}
@@ -42,7 +42,7 @@
 				return
 			}
 			if l := d.leader(); l != nil {
-				d.saw("the leader ended " + step)
+				d.cover("the leader ended " + step)
 				d.after(0, func() {
 					if variant%2 == 1 { // and what has just begun is not heard by the next one
 						for _, w := range d.machines() {
@@ -60,10 +60,10 @@
 			d.submitJob(time.Duration(6+i)*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i / 8), Priority: 1, Spot: i%3 > 0})
 			d.run(1200 * time.Millisecond)
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		d.run(40 * time.Second)
 		d.endFaultsAndSettle(5 * time.Minute)
-		if !d.until(3*time.Minute, func() bool { return len(d.machines()) <= 2 }) {
+		if !d.runUntil(3*time.Minute, func() bool { return len(d.machines()) <= 2 }) {
 			t.Errorf("%d machines are kept though there is nothing to do", len(d.machines()))
 		}
 		return d.sim
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -16,23 +16,23 @@
 	"bitternmoor/internal/wire"
 )
 
-// ghost is a holder that a licence server goes on counting after its death.
-type ghost struct {
+// orphanedUnits is a holder that a licence server goes on counting after its death.
+type orphanedUnits struct {
 	pool  string
 	units int
 	until time.Duration
 }
 
-// units counts what is out of each pool by what workers really run, and by what
+// unitsInUse counts what is out of each pool by what workers really run, and by what
 // licence servers still count.
-func (c *checker) units() map[string]int {
+func (c *checker) unitsInUse() map[string]int {
 	out := map[string]int{}
-	if len(c.s.poolUnits) == 0 {
+	if len(c.sim.poolUnits) == 0 {
 		return out
 	}
 	whole := map[uint64]bool{}
-	for t, ms := range c.on {
-		for _, x := range c.s.jobs[t.job].spec.Job.Counted {
+	for t, ms := range c.placements {
+		for _, x := range c.sim.jobs[t.job].spec.Job.Counted {
 			if !x.PerJob {
 				out[x.Pool] += x.Units * len(ms)
 			} else if len(ms) > 0 && !whole[t.job] {
@@ -41,23 +41,23 @@
 		}
 		whole[t.job] = whole[t.job] || len(ms) > 0
 	}
-	for _, g := range c.ghosts {
-		if g.until > c.s.now {
+	for _, g := range c.orphaned {
+		if g.until > c.sim.now {
 			out[g.pool] += g.units
 		}
 	}
 	return out
 }
 
-// died notes that a task's worker was lost under it.
-func (c *checker) died(t task, w *worker) {
-	if !c.on[t][w.name] {
+// taskLost notes that a task's worker was lost under it.
+func (c *checker) taskLost(t task, w *worker) {
+	if !c.placements[t][w.name] {
 		return
 	}
-	for _, x := range c.s.jobs[t.job].spec.Job.Counted {
-		for _, p := range c.s.cfg.Tunables.Pools {
+	for _, x := range c.sim.jobs[t.job].spec.Job.Counted {
+		for _, p := range c.sim.cfg.Tunables.Pools {
 			if p.Name == x.Pool && p.HoldAfterLossS > 0 && !x.PerJob {
-				c.ghosts = append(c.ghosts, ghost{x.Pool, x.Units, c.s.now + settingsSeconds(p.HoldAfterLossS)})
+				c.orphaned = append(c.orphaned, orphanedUnits{x.Pool, x.Units, c.sim.now + settingsSeconds(p.HoldAfterLossS)})
 			}
 		}
 	}
@@ -70,20 +70,20 @@
 		return false
 	}
 	if len(j.spec.Job.Counted) > 0 {
-		return door.old || served.old // of two old ones: users are told to wait until all are new
+		return door.oldVersion || served.oldVersion // of two old ones: users are told to wait until all are new
 	}
-	return door.old && !served.old
+	return door.oldVersion && !served.oldVersion
 }
 
 // resize has an operator change a pool: asked for again until it is durable.
 // One follows the other.
 func (s *sim) resize(id, pool string, units int) {
-	if s.resizes == nil {
-		s.resizes = map[string][]func(){}
+	if s.resizeQueues == nil {
+		s.resizeQueues = map[string][]func(){}
 	}
-	s.resizes[pool] = append(s.resizes[pool], func() { s.resizeNow(id, pool, units) })
-	if len(s.resizes[pool]) == 1 {
-		s.resizes[pool][0]()
+	s.resizeQueues[pool] = append(s.resizeQueues[pool], func() { s.resizeNow(id, pool, units) })
+	if len(s.resizeQueues[pool]) == 1 {
+		s.resizeQueues[pool][0]()
 	}
 }
 
@@ -96,7 +96,7 @@
 	try = func() {
 		again := func() { s.after(700*time.Millisecond, try) }
 		l := s.leader()
-		if l == nil || l.old {
+		if l == nil || l.oldVersion {
 			again()
 			return
 		}
@@ -116,9 +116,9 @@
 		}
 		s.after(6*time.Second, func() { // what was sent before may be on its way yet
 			s.poolUnits[pool] = units
-			s.resizes[pool] = s.resizes[pool][1:]
-			if len(s.resizes[pool]) > 0 {
-				s.resizes[pool][0]()
+			s.resizeQueues[pool] = s.resizeQueues[pool][1:]
+			if len(s.resizeQueues[pool]) > 0 {
+				s.resizeQueues[pool][0]()
 			}
 		})
 	}
@@ -162,11 +162,11 @@
 		for id := range uint64(2) {
 			job := &eventlog.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: .5, MemoryGB: 1, Image: "i", Spot: true, EstimateS: run.Seconds(),
 				Counted: []eventlog.PoolUnits{{Pool: "licence", Units: 1}}}
-			s.jobs[id+1] = &userJob{id: id + 1, run: run, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
+			s.jobs[id+1] = &userJob{id: id + 1, runTime: run, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
 			s.submit(s.jobs[id+1], 0, func() bool { return true })
 		}
 		s.run(25 * time.Second)
-		if got := s.check.units()["licence"]; got != units {
+		if got := s.check.unitsInUse()["licence"]; got != units {
 			t.Fatalf("%d of %d units are out", got, units)
 		}
 		return s
@@ -189,7 +189,7 @@
 		"a unit is freed on silence": func() *sim {
 			s := start(1, 4, 0, long)
 			w := holder(s)
-			s.cuts = append(s.cuts, &cut{host: w.name})
+			s.partitions = append(s.partitions, &partition{host: w.name})
 			l := s.leader()
 			l.core.MachinesDeleted(l.clock(), l.core.Epoch(), []string{w.name}, true) // nobody has deleted it
 			l.drain()
@@ -199,7 +199,7 @@
 		"a unit is forgotten at a takeover": func() *sim {
 			s := start(2, 4, 0, long)
 			w := holder(s)
-			s.cuts = append(s.cuts, &cut{host: w.name})
+			s.partitions = append(s.partitions, &partition{host: w.name})
 			for k, it := range s.state.items { // the log says that the machine is gone
 				if _, err := eventlog.SegmentNumber(k); err == nil {
 					it.value = json.RawMessage(strings.TrimSuffix(string(it.value), "]}") + `,{"x":["` + w.name + `"]}]}`)
@@ -215,7 +215,7 @@
 			w := holder(s)
 			for k, x := range w.tasks { // it reports their end, and they run on
 				delete(w.tasks, k)
-				w.ended = append(w.ended, endedRun{k, run{attempt: x.attempt, state: workers.Ended, reason: workers.Completed}})
+				w.ended = append(w.ended, endedAttempt{k, taskAttempt{attempt: x.attempt, state: workers.Ended, reason: workers.Completed}})
 			}
 			s.run(40 * time.Second)
 			return s
@@ -236,7 +236,7 @@
 		"a loss is not waited for": func() *sim {
 			s := start(5, 4, 100, long)
 			w := holder(s)
-			w.vanish()
+			w.terminate()
 			for _, n := range s.nodes {
 				n.cfg.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 4}}
 				n.crash()
@@ -247,8 +247,8 @@
 		},
 	} {
 		s := fault()
-		if !slices.ContainsFunc(s.check.broken, func(b string) bool { return strings.HasPrefix(b, "overdrawn") }) {
-			t.Errorf("%s, and nothing is seen: %v", name, s.check.broken)
+		if !slices.ContainsFunc(s.check.violations, func(b string) bool { return strings.HasPrefix(b, "overdrawn") }) {
+			t.Errorf("%s, and nothing is seen: %v", name, s.check.violations)
 		}
 	}
 }
@@ -264,10 +264,10 @@
 		before := s.state.writes
 		for id := range uint64(5) {
 			job := &eventlog.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", Spot: true, EstimateS: 9, Counted: counted}
-			s.jobs[id+1] = &userJob{id: id + 1, run: 9 * time.Second, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
+			s.jobs[id+1] = &userJob{id: id + 1, runTime: 9 * time.Second, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
 			s.submit(s.jobs[id+1], 0, func() bool { return true })
 		}
-		if !s.until(5*time.Minute, func() bool { return s.check.over(5) && s.check.over(1) }) {
+		if !s.runUntil(5*time.Minute, func() bool { return s.check.allCompleted(5) && s.check.allCompleted(1) }) {
 			t.Fatal("the jobs are not done")
 		}
 		s.run(5 * time.Second)
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -92,7 +92,7 @@
 		}
 	}
 	if learns {
-		s.state.facts = map[uint64]bool{}
+		s.state.durableFacts = map[uint64]bool{}
 	}
 	if configures {
 		configDay(s, seed)
@@ -102,7 +102,7 @@
 		for i, n := range s.nodes {
 			at := time.Duration(10000+15000*i+r.IntN(12000)) * time.Millisecond
 			upgraded = at + 9*time.Second
-			s.replace(n, at)
+			s.upgrade(n, at)
 		}
 	}
 	// Back to the version in production for a while, and forth again: with pools, and
@@ -122,7 +122,7 @@
 			}
 		}
 	}
-	s.after(upgraded+time.Duration(r.IntN(60))*time.Second, func() { s.state.lowered = true })
+	s.after(upgraded+time.Duration(r.IntN(60))*time.Second, func() { s.state.limitsLowered = true })
 	var log []string
 	say := func(f string, a ...any) {
 		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, a...))
@@ -146,7 +146,7 @@
 		if counted {
 			demands(r, job)
 		}
-		j := &userJob{id: id, run: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
+		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		s.jobs[id] = j
 		at := sometime()
 		follows := r.IntN(5) < 2 && !back
@@ -166,7 +166,7 @@
 			end = func() {
 				switch {
 				case j.accepted:
-					s.abort(j, r.IntN(3))
+					s.cancel(j, r.IntN(3))
 				case service: // they run until they are cancelled
 					s.after(5*time.Second, end)
 				}
@@ -202,12 +202,12 @@
 	}
 	s.after(0, poll)
 	s.run(160 * time.Second)
-	s.check.calm = s.now
+	s.check.faultsEndedAt = s.now
 	limit := 900 * time.Second
 	if counted {
 		limit = 40 * time.Minute // few units make long queues
 	}
-	s.allEnd(t, limit)
+	s.awaitQuiescence(t, limit)
 	if t.Failed() {
 		t.Log(strings.Join(log, "\n"))
 	}
@@ -226,7 +226,7 @@
 // ever durable: each counts once, whoever was killed at whatever moment.
 func countLearned(t *testing.T, s *sim) {
 	s.run(10 * time.Second)
-	if !s.until(30*time.Second, func() bool { return s.leader() != nil }) {
+	if !s.runUntil(30*time.Second, func() bool { return s.leader() != nil }) {
 		t.Fatal("nobody leads in the end")
 	}
 	l := s.leader()
@@ -247,7 +247,7 @@
 			got = k.Estimate.Jobs
 		}
 	}
-	if got != len(s.state.facts) {
-		t.Errorf("%d jobs are counted, %d facts were durable", got, len(s.state.facts))
+	if got != len(s.state.durableFacts) {
+		t.Errorf("%d jobs are counted, %d facts were durable", got, len(s.state.durableFacts))
 	}
 }
--- a/internal/scenario/record_test.go
+++ b/internal/scenario/record_test.go
@@ -54,7 +54,7 @@
 				ID: id, Class: class, Team: team, Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1,
 				Image: image, ImageGB: .3, Spot: true, EstimateS: owner,
 			}
-			j := &userJob{id: id, run: time.Duration(took * float64(time.Second)), spec: wire.Submission{ID: id, HasID: true, Job: job}}
+			j := &userJob{id: id, runTime: time.Duration(took * float64(time.Second)), spec: wire.Submission{ID: id, HasID: true, Job: job}}
 			s.jobs[id] = j
 			at := time.Duration(n) * 8 * time.Second
 			if n > 20 && n < 35 {
@@ -68,13 +68,13 @@
 				s.after(8*time.Second, func() { l.start(false) })
 			}
 		})
-		s.state.facts = map[uint64]bool{}
-		s.state.record = func(raw json.RawMessage) { fmt.Fprintln(&out, string(raw)) }
+		s.state.durableFacts = map[uint64]bool{}
+		s.state.onFact = func(raw json.RawMessage) { fmt.Fprintln(&out, string(raw)) }
 		s.run(15 * time.Minute)
-		if len(s.check.broken) > 0 {
-			t.Fatal(s.check.broken)
+		if len(s.check.violations) > 0 {
+			t.Fatal(s.check.violations)
 		}
-		t.Logf("night %d: %d facts", night, len(s.state.facts))
+		t.Logf("night %d: %d facts", night, len(s.state.durableFacts))
 	}
 	lines := bytes.Split(bytes.TrimSpace(out.Bytes()), []byte("\n"))
 	slices.SortFunc(lines, bytes.Compare)
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -19,11 +19,11 @@
 func TestCloseLooks(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, nil)
-		d.looks = true
+		d.intensivePolling = true
 		for i := range 25 {
 			d.submitJobAfter(time.Duration(2000+d.random.IntN(45000))*time.Millisecond, time.Duration(300+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + d.random.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
 		}
-		d.askAll(2 * time.Second)
+		d.pollAll(2 * time.Second)
 		for i := range 8 { // a controller between users and the leader
 			d.after(time.Duration(6+6*i)*time.Second, func() {
 				l := d.leader()
@@ -34,15 +34,15 @@
 				length := time.Duration(1000+d.random.IntN(3000)) * time.Millisecond
 				switch (i + int(seed)) % 4 {
 				case 0:
-					d.slow[n.name] = time.Duration(100+d.random.IntN(1500)) * time.Millisecond
-					d.after(length, func() { delete(d.slow, n.name) })
+					d.latency[n.name] = time.Duration(100+d.random.IntN(1500)) * time.Millisecond
+					d.after(length, func() { delete(d.latency, n.name) })
 				case 1:
-					d.cuts = append(d.cuts, &cut{host: n.name, with: l.name, hold: true})
+					d.partitions = append(d.partitions, &partition{host: n.name, peer: l.name, holdPackets: true})
 					d.after(length, func() { d.heal(n.name) })
 				case 2:
-					d.frozen[n.name] = d.now + length
+					d.pausedUntil[n.name] = d.now + length
 				default:
-					d.frozen[l.name] = d.now + length
+					d.pausedUntil[l.name] = d.now + length
 				}
 			})
 		}
@@ -67,18 +67,18 @@
 		for i := range list {
 			list[i] = d.submitJob(25*time.Second, eventlog.Job{Tasks: 1 + i%3, Kind: uint8(i / 6), Priority: 1, Spot: true})
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		for _, j := range list {
 			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		if trial == 2 {
-			d.slow["state"] = 300 * time.Millisecond
-			d.after(30*time.Second, func() { delete(d.slow, "state") })
+			d.latency["state"] = 300 * time.Millisecond
+			d.after(30*time.Second, func() { delete(d.latency, "state") })
 		}
 		for i, j := range list {
 			last := time.Duration(0)
 			for k := range j.spec.Job.Tasks {
-				last = max(last, d.ends[task{j.id, k}])
+				last = max(last, d.runEnds[task{j.id, k}])
 			}
 			// From before the end until after it is durable and told.
 			at := last - d.now + time.Duration(int(seed)/4*8+i-20)*15*time.Millisecond
@@ -87,15 +87,15 @@
 			}
 			d.after(at, func() {
 				if trial == 1 {
-					d.state.loseOut = 1
+					d.state.answersToLose = 1
 				}
 				if trial == 3 && i == 3 {
 					d.restartLeader(8 * time.Second)
 				}
-				if before := d.check.over(j.id); before {
-					d.saw("asked after the last task had ended")
+				if before := d.check.allCompleted(j.id); before {
+					d.cover("asked after the last task had ended")
 				} else {
-					d.saw("asked before the last task had ended")
+					d.cover("asked before the last task had ended")
 				}
 				switch (i + int(seed)/4) % 3 {
 				case 0, 1:
@@ -112,10 +112,10 @@
 		d.run(40 * time.Second)
 		d.endFaultsAndSettle(5 * time.Minute)
 		for _, j := range list {
-			if j.asked && j.toldDone {
-				d.saw("a cancelled job done")
-			} else if j.asked {
-				d.saw("a cancelled job cancelled")
+			if j.cancelRequested && j.toldDone {
+				d.cover("a cancelled job done")
+			} else if j.cancelRequested {
+				d.cover("a cancelled job cancelled")
 			}
 		}
 		for range 2 { // for ever, whoever leads
@@ -129,8 +129,8 @@
 			d.restartLeader(8 * time.Second)
 			d.awaitLeader()
 		}
-		if len(d.check.broken) > 0 {
-			t.Errorf("rules broken: %v", d.check.broken)
+		if len(d.check.violations) > 0 {
+			t.Errorf("rules broken: %v", d.check.violations)
 		}
 		return d.sim
 	}, "asked after the last task had ended", "asked before the last task had ended", "a cancelled job done", "a cancelled job cancelled")
@@ -147,7 +147,7 @@
 		st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps = 200, 15, 2, 4
 	})
 	d.cloud.capacity = 30
-	d.state.rates = map[time.Duration]int{}
+	d.state.writesBySecond = map[time.Duration]int{}
 	type times struct{ sent, asked time.Duration }
 	all := make([]times, count+1)
 	d.run(2 * time.Second)
@@ -169,7 +169,7 @@
 			}
 		})
 	}
-	d.askAll(5 * time.Second)
+	d.pollAll(5 * time.Second)
 	d.after(90*time.Second, func() { d.restartLeader(8 * time.Second) })
 	segments := 0
 	for d.now < count*250*time.Millisecond+20*time.Second {
@@ -191,9 +191,9 @@
 			continue
 		}
 		accept = append(accept, j.acceptedAt-all[id].sent)
-		if j.gone {
-			confirm = append(confirm, j.goneAt-all[id].asked)
-		} else if at, ok := d.check.begun[id]; ok {
+		if j.toldCancelled {
+			confirm = append(confirm, j.endToldAt-all[id].asked)
+		} else if at, ok := d.check.startedAt[id]; ok {
 			begin = append(begin, at-j.acceptedAt)
 		}
 	}
@@ -205,15 +205,15 @@
 	tell("to confirmation", confirm)
 	tell("to the start", begin)
 	most, sum := 0, 0
-	for _, n := range d.state.rates {
+	for _, n := range d.state.writesBySecond {
 		most, sum = max(most, n), sum+n
 	}
-	t.Logf("changes a second: mean %.1f, most %d, of %v; the log had %d segments at most, %d were read back to be cleaned; %d asked to be cancelled", float64(sum)/float64(len(d.state.rates)), most, d.cfg.Deployment.State.WriteRPS, segments, d.state.cleaned, cancelled)
+	t.Logf("changes a second: mean %.1f, most %d, of %v; the log had %d segments at most, %d were read back to be cleaned; %d asked to be cancelled", float64(sum)/float64(len(d.state.writesBySecond)), most, d.cfg.Deployment.State.WriteRPS, segments, d.state.segmentsRead, cancelled)
 	if most > 2*15 { // bursts of one second's worth beside a second's own
 		t.Errorf("%d changes in one second", most)
 	}
-	if segments > 150 || d.state.cleaned == 0 {
-		t.Errorf("the log grew to %d segments, %d were cleaned", segments, d.state.cleaned)
+	if segments > 150 || d.state.segmentsRead == 0 {
+		t.Errorf("the log grew to %d segments, %d were cleaned", segments, d.state.segmentsRead)
 	}
 	if len(confirm) < count/8 {
 		t.Errorf("%d cancellations confirmed", len(confirm))
@@ -229,7 +229,7 @@
 		for i := range 12 {
 			d.submitJobAfter(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+d.random.IntN(9))*time.Second, eventlog.Job{Tasks: 1 + i%4, Priority: 1, Spot: true})
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		d.after(3*time.Second, func() { d.faults.inject(invalidRequests, 50*time.Second, 0) })
 		d.after(20*time.Second, func() { d.restartLeader(8 * time.Second) })
 		d.run(60 * time.Second)
@@ -283,7 +283,7 @@
 		job.ID = uint64(i + 1)
 		c.change(&job)
 		got := 0
-		d.request(i, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+		d.sendRequest(i, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
 			c.core.Submit(now, to, wire.Submission{ID: job.ID, HasID: true, Job: &job})
 		}, func(a answer, _ bool) { got = a.Status })
 		d.run(2 * time.Second)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -54,7 +54,7 @@
 			id++
 			job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 16), ImageGB: 0.3,
 				Spot: true, EstimateS: run.Seconds()}
-			j := &userJob{id: id, run: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
+			j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 			s.jobs[id] = j
 			s.submit(j, int(id), func() bool { return true })
 		}
@@ -82,7 +82,7 @@
 				up++
 			}
 		}
-		t.Logf("%6.1f s %-34s machines %4d, open jobs %3d, log %3d segments with %5d entries, %d removed", s.now.Seconds(), what, up, open, log, entries, s.state.cleaned)
+		t.Logf("%6.1f s %-34s machines %4d, open jobs %3d, log %3d segments with %5d entries, %d removed", s.now.Seconds(), what, up, open, log, entries, s.state.segmentsRead)
 	}
 	wave(machines/25, 180, 30*time.Second)
 	s.run(60 * time.Second)
@@ -94,7 +94,7 @@
 	report("steady")
 	for name, m := range s.cloud.machines {
 		if m.zone == "b" {
-			s.cuts = append(s.cuts, &cut{host: name, hold: true})
+			s.partitions = append(s.partitions, &partition{host: name, holdPackets: true})
 		}
 	}
 	s.run(8 * time.Second)
@@ -102,7 +102,7 @@
 		l.crash()
 	}
 	s.run(30 * time.Second)
-	for _, x := range slices.Clone(s.cuts) {
+	for _, x := range slices.Clone(s.partitions) {
 		s.heal(x.host)
 	}
 	for _, n := range s.nodes {
@@ -129,7 +129,7 @@
 	}
 	s.run(60 * time.Second)
 	report("after all controllers crashed")
-	s.until(600*time.Second, func() bool {
+	s.runUntil(600*time.Second, func() bool {
 		for _, j := range s.jobs {
 			if !j.toldDone {
 				return false
@@ -140,8 +140,8 @@
 	report("all done")
 	s.run(120 * time.Second)
 	report("two minutes later")
-	if len(s.check.broken) > 0 {
-		t.Errorf("rules broken: %d, the first: %s", len(s.check.broken), s.check.broken[0])
+	if len(s.check.violations) > 0 {
+		t.Errorf("rules broken: %d, the first: %s", len(s.check.violations), s.check.violations[0])
 	}
 	if l := s.leader(); l != nil {
 		raw, _, err := l.core.Show(l.clock(), "takeovers")
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -19,77 +19,77 @@
 // stateService simulates the state service, with versions, conditional transactions, leases
 // and watches.
 type stateService struct {
-	s       *sim
-	rev     uint64
-	items   map[string]item
-	holds   map[uint64]*hold
-	nextID  uint64
-	holder  string
-	outage  bool
-	refuse  map[string]bool // controllers whose requests are answered with 503
-	loseOut int             // number of answers to transactions that are still to be lost
-	delayed time.Duration   // the next transaction times out, and is applied after this delay
+	sim           *sim
+	revision      uint64
+	items         map[string]item
+	leases        map[uint64]*lease
+	lastLeaseID   uint64
+	holder        string
+	outage        bool
+	refused       map[string]bool // controllers whose requests are answered with 503
+	answersToLose int             // number of answers to transactions that are still to be lost
+	delayNext     time.Duration   // the next transaction times out, and is applied after this delay
 	// Share of transactions that are not answered, and are applied 2 to 12 s later, out of
 	// order with newer ones.
-	lateShare float64
-	// With atOnce, that share of transactions is applied at once and only the answer is lost.
+	lossShare float64
+	// With onlyAnswerLost, that share of transactions is applied at once and only the answer is lost.
 	// It then applies to the creation and renewal of leases as well.
-	atOnce  bool
-	watches []func()
-	writes  int
-	rates   map[time.Duration]int // writes by second; nil: not counted
-	cleaned int
-	facts   map[uint64]bool       // jobs whose run-time facts have been durable; nil: not recorded
-	record  func(json.RawMessage) // receives each new run-time fact; may be nil
-	lowered bool                  // the announced lower limits apply
+	onlyAnswerLost bool
+	watches        []func()
+	writes         int
+	writesBySecond map[time.Duration]int // writes by second; nil: not counted
+	segmentsRead   int
+	durableFacts   map[uint64]bool       // jobs whose run-time facts have been durable; nil: not recorded
+	onFact         func(json.RawMessage) // receives each new run-time fact; may be nil
+	limitsLowered  bool                  // the announced lower limits apply
 }
 
 type item struct {
-	value json.RawMessage
-	mark  uint64
-	hold  uint64
+	value   json.RawMessage
+	version uint64
+	leaseID uint64
 }
 
-type hold struct {
-	life time.Duration
-	ends time.Duration
+type lease struct {
+	ttl       time.Duration
+	expiresAt time.Duration
 }
 
-func (st *stateService) down(c *controller) bool { return st.outage || st.refuse[c.name] }
+func (st *stateService) unavailable(c *controller) bool { return st.outage || st.refused[c.name] }
 
-func (st *stateService) expire() {
-	for id, h := range st.holds {
-		if !st.outage && st.s.now >= h.ends {
-			st.drop(id)
+func (st *stateService) expireLeases() {
+	for id, h := range st.leases {
+		if !st.outage && st.sim.now >= h.expiresAt {
+			st.dropLease(id)
 		}
 	}
 }
 
-func (st *stateService) drop(id uint64) {
-	delete(st.holds, id)
-	for k, it := range st.items {
-		if it.hold == id {
-			st.rev++
-			delete(st.items, k)
-			st.changed(k)
+func (st *stateService) dropLease(id uint64) {
+	delete(st.leases, id)
+	for key, entry := range st.items {
+		if entry.leaseID == id {
+			st.revision++
+			delete(st.items, key)
+			st.keyChanged(key)
 		}
 	}
 }
 
-func (st *stateService) changed(key string) {
+func (st *stateService) keyChanged(key string) {
 	if !strings.HasPrefix(key, leadership.Prefix) {
 		return
 	}
-	before := st.holder
+	previous := st.holder
 	st.holder = ""
-	if it, ok := st.items[leadership.HolderKey]; ok {
-		var h leadership.LeaseHolder
-		if json.Unmarshal(it.value, &h) == nil {
-			st.holder = h.Node
+	if entry, ok := st.items[leadership.HolderKey]; ok {
+		var holder leadership.LeaseHolder
+		if json.Unmarshal(entry.value, &holder) == nil {
+			st.holder = holder.Node
 		}
 	}
-	if st.holder != "" && st.holder != before {
-		st.s.deliverKept()
+	if st.holder != "" && st.holder != previous {
+		st.sim.replayToNewLeader()
 	}
 	list := st.watches
 	st.watches = nil
@@ -101,178 +101,180 @@
 // recover ends the outage and extends every lease by its full length.
 func (st *stateService) recover() {
 	st.outage = false
-	for _, h := range st.holds {
-		h.ends = st.s.now + h.life
-		st.s.after(h.life, st.expire)
+	for _, h := range st.leases {
+		h.expiresAt = st.sim.now + h.ttl
+		st.sim.after(h.ttl, st.expireLeases)
 	}
 }
 
 type txnResult struct {
-	out    eventlog.Outcome
-	mark   uint64
-	failed []string
+	outcome eventlog.Outcome
+	version uint64
+	failed  []string
 }
 
-func (st *stateService) apply(conds []eventlog.Condition, writes []eventlog.Write, held uint64) txnResult {
-	st.expire()
-	if held != 0 && st.holds[held] == nil {
-		return txnResult{out: eventlog.Refused}
+func (st *stateService) apply(conditions []eventlog.Condition, writes []eventlog.Write, leaseID uint64) txnResult {
+	st.expireLeases()
+	if leaseID != 0 && st.leases[leaseID] == nil {
+		return txnResult{outcome: eventlog.Refused}
 	}
 	var failed []string
-	for _, c := range conds {
-		if st.items[c.Key].mark != c.Version {
+	for _, c := range conditions {
+		if st.items[c.Key].version != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	st.writes += len(writes)
-	if st.rates != nil {
-		st.rates[st.s.now/time.Second] += len(writes)
+	if st.writesBySecond != nil {
+		st.writesBySecond[st.sim.now/time.Second] += len(writes)
 	}
-	lim := st.s.cfg.Deployment.State.StateLimits
-	if st.lowered {
-		lim = st.s.cfg.WriteLimits()
+	limits := st.sim.cfg.Deployment.State.StateLimits
+	if st.limitsLowered {
+		limits = st.sim.cfg.WriteLimits()
 	}
 	for _, w := range writes {
-		if len(w.Value) > int(lim.ValueKB*1024) {
-			st.s.check.fail("state limits", "a value of %d bytes for key %s", len(w.Value), w.Key)
-			return txnResult{out: eventlog.Invalid}
+		if len(w.Value) > int(limits.ValueKB*1024) {
+			st.sim.check.fail("state limits", "a value of %d bytes for key %s", len(w.Value), w.Key)
+			return txnResult{outcome: eventlog.Invalid}
 		}
 	}
-	if len(writes) > lim.TxnOps {
-		st.s.check.fail("state limits", "a transaction of %d writes", len(writes))
-		return txnResult{out: eventlog.Invalid}
+	if len(writes) > limits.TxnOps {
+		st.sim.check.fail("state limits", "a transaction of %d writes", len(writes))
+		return txnResult{outcome: eventlog.Invalid}
 	}
 	if failed != nil {
-		return txnResult{out: eventlog.Conflict, failed: failed}
+		return txnResult{outcome: eventlog.Conflict, failed: failed}
 	}
-	st.rev++
+	st.revision++
 	for _, w := range writes {
 		if w.Remove {
 			delete(st.items, w.Key)
 		} else {
-			it := item{value: w.Value, mark: st.rev}
+			entry := item{value: w.Value, version: st.revision}
 			if w.Key == leadership.HolderKey {
-				it.hold = held
+				entry.leaseID = leaseID
 			}
-			st.items[w.Key] = it
-			st.learned(w)
+			st.items[w.Key] = entry
+			st.recordFacts(w)
 		}
-		st.changed(w.Key)
+		st.keyChanged(w.Key)
 	}
-	return txnResult{out: eventlog.Applied, mark: st.rev}
+	return txnResult{outcome: eventlog.Applied, version: st.revision}
 }
 
-// lateWrite decides at random whether a transaction is not answered; if so, it schedules the
+// delayWrite decides at random whether a transaction is not answered; if so, it schedules the
 // delayed application and returns true.
-func (st *stateService) lateWrite(writes []eventlog.Write, apply func() eventlog.Outcome) bool {
-	if st.lateShare == 0 || st.atOnce || st.s.rng.Float64() >= st.lateShare {
+func (st *stateService) delayWrite(writes []eventlog.Write, apply func() eventlog.Outcome) bool {
+	if st.lossShare == 0 || st.onlyAnswerLost || st.sim.rng.Float64() >= st.lossShare {
 		return false
 	}
-	before := st.rev
-	st.s.after(2*time.Second+time.Duration(st.s.rng.Int64N(int64(10*time.Second))), func() {
-		newer := st.rev > before
-		out := apply()
+	before := st.revision
+	st.sim.after(2*time.Second+time.Duration(st.sim.rng.Int64N(int64(10*time.Second))), func() {
+		newer := st.revision > before
+		outcome := apply()
 		for _, w := range writes {
 			what := "late write of " + w.Key[:strings.LastIndex(w.Key, "/")]
 			if w.Remove {
 				what = "late removal of " + w.Key[:strings.LastIndex(w.Key, "/")]
 			}
 			if newer {
-				st.s.saw(what + ", after newer ones")
+				st.sim.cover(what + ", after newer ones")
 			}
-			if out == eventlog.Applied {
-				st.s.saw(what + ", carried out")
+			if outcome == eventlog.Applied {
+				st.sim.cover(what + ", carried out")
 			}
 		}
 	})
 	return true
 }
 
-// answerLost decides at random whether the answer to an applied request is lost.
-func (st *stateService) answerLost(what ...string) bool {
-	if !st.atOnce || st.s.rng.Float64() >= st.lateShare {
+// loseAnswer decides at random whether the answer to an applied request is lost.
+func (st *stateService) loseAnswer(what ...string) bool {
+	if !st.onlyAnswerLost || st.sim.rng.Float64() >= st.lossShare {
 		return false
 	}
 	for _, w := range what {
-		st.s.saw("only the answer lost: " + w)
+		st.sim.cover("only the answer lost: " + w)
 	}
 	return true
 }
 
-// written lists the key prefixes that a transaction writes or removes.
-func written(writes []eventlog.Write) []string {
-	var out []string
+// writtenKinds lists the key prefixes that a transaction writes or removes.
+func writtenKinds(writes []eventlog.Write) []string {
+	var kinds []string
 	for _, w := range writes {
 		kind := w.Key[:strings.LastIndex(w.Key, "/")]
 		if w.Remove {
 			kind = "removal of " + kind
 		}
-		out = append(out, kind)
+		kinds = append(kinds, kind)
 	}
-	return out
+	return kinds
 }
 
-func (st *stateService) commit(c *controller, t eventlog.Transaction) {
+func (st *stateService) commit(c *controller, txn eventlog.Transaction) {
 	epoch := epochOf(c)
-	done := func(r txnResult, ok bool) {
+	done := func(result txnResult, ok bool) {
 		if !ok {
-			r = txnResult{out: eventlog.Unknown}
+			result = txnResult{outcome: eventlog.Unknown}
 		}
-		c.into(func(now time.Duration) { c.core.Committed(now, epoch, t.Sequence, r.out, r.mark, r.failed) })()
+		c.input(func(now time.Duration) {
+			c.core.Committed(now, epoch, txn.Sequence, result.outcome, result.version, result.failed)
+		})()
 	}
-	if c.old {
-		st.s.check.productionWrites(t)
+	if c.oldVersion {
+		st.sim.check.productionWrites(txn)
 	}
-	life := c.life
-	if st.lateWrite(t.Writes, func() eventlog.Outcome { return st.apply(t.Conditions, t.Writes, 0).out }) {
-		st.s.after(wait, func() {
-			if c.life == life {
+	incarnation := c.incarnation
+	if st.delayWrite(txn.Writes, func() eventlog.Outcome { return st.apply(txn.Conditions, txn.Writes, 0).outcome }) {
+		st.sim.after(callTimeout, func() {
+			if c.incarnation == incarnation {
 				done(txnResult{}, false)
 			}
 		})
 		return
 	}
-	if st.delayed > 0 {
-		late := st.delayed
-		st.delayed = 0
-		st.s.after(late, func() { st.apply(t.Conditions, t.Writes, 0) })
-		st.s.after(wait, func() {
-			if c.life == life {
+	if st.delayNext > 0 {
+		delay := st.delayNext
+		st.delayNext = 0
+		st.sim.after(delay, func() { st.apply(txn.Conditions, txn.Writes, 0) })
+		st.sim.after(callTimeout, func() {
+			if c.incarnation == incarnation {
 				done(txnResult{}, false)
 			}
 		})
 		return
 	}
-	call(st.s, c.name, "state", wait, func(reply func(txnResult)) {
-		if st.down(c) {
-			reply(txnResult{out: eventlog.Refused})
+	call(st.sim, c.name, "state", callTimeout, func(reply func(txnResult)) {
+		if st.unavailable(c) {
+			reply(txnResult{outcome: eventlog.Refused})
 			return
 		}
-		for _, step := range st.steps(t.Writes) {
-			st.s.comes("before " + step)
+		for _, step := range st.stepsOf(txn.Writes) {
+			st.sim.reachStep("before " + step)
 		}
-		r := st.apply(t.Conditions, t.Writes, 0)
-		for _, step := range st.steps(t.Writes) {
-			st.s.comes("after " + step)
+		result := st.apply(txn.Conditions, txn.Writes, 0)
+		for _, step := range st.stepsOf(txn.Writes) {
+			st.sim.reachStep("after " + step)
 		}
-		if st.loseOut > 0 {
-			st.loseOut--
+		if st.answersToLose > 0 {
+			st.answersToLose--
 			return
 		}
-		if r.out == eventlog.Applied && st.answerLost(written(t.Writes)...) {
+		if result.outcome == eventlog.Applied && st.loseAnswer(writtenKinds(txn.Writes)...) {
 			return
 		}
-		st.s.after(4*time.Millisecond, func() { reply(r) })
-	}, func(r txnResult, ok bool) {
-		if c.life == life {
-			done(r, ok)
+		st.sim.after(4*time.Millisecond, func() { reply(result) })
+	}, func(result txnResult, ok bool) {
+		if c.incarnation == incarnation {
+			done(result, ok)
 		}
 	})
 }
 
-// steps lists the steps from a rental to a start that a transaction makes durable.
-func (st *stateService) steps(writes []eventlog.Write) []string {
-	if st.s.moment == nil {
+// stepsOf lists the steps from a rental to a start that a transaction makes durable.
+func (st *stateService) stepsOf(writes []eventlog.Write) []string {
+	if st.sim.onStep == nil {
 		return nil
 	}
 	var out []string
@@ -301,244 +303,244 @@
 	return slices.Compact(out)
 }
 
-// append writes an entry as the last one of the log.
-func (st *stateService) append(t *testing.T, e eventlog.Entry) {
+// appendEntry writes an entry as the last one of the log.
+func (st *stateService) appendEntry(t *testing.T, entry eventlog.Entry) {
 	last := 0
-	for k := range st.items {
-		if n, err := eventlog.SegmentNumber(k); err == nil {
+	for key := range st.items {
+		if n, err := eventlog.SegmentNumber(key); err == nil {
 			last = max(last, n)
 		}
 	}
-	raw, err := json.Marshal(map[string][]eventlog.Entry{"e": {e}})
+	raw, err := json.Marshal(map[string][]eventlog.Entry{"e": {entry}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := st.apply(nil, []eventlog.Write{{Key: eventlog.SegmentKey(last + 1), Value: raw}}, 0); r.out != eventlog.Applied {
-		t.Fatalf("entry not applied: %v", r)
+	if result := st.apply(nil, []eventlog.Write{{Key: eventlog.SegmentKey(last + 1), Value: raw}}, 0); result.outcome != eventlog.Applied {
+		t.Fatalf("entry not applied: %v", result)
 	}
 }
 
 func epochOf(c *controller) uint64 { return c.core.Epoch() }
 
-func (st *stateService) recheck(c *controller, key string) {
-	epoch, life := epochOf(c), c.life
-	call(st.s, c.name, "state", wait, func(reply func(item)) {
-		if !st.down(c) {
+func (st *stateService) readBack(c *controller, key string) {
+	epoch, incarnation := epochOf(c), c.incarnation
+	call(st.sim, c.name, "state", callTimeout, func(reply func(item)) {
+		if !st.unavailable(c) {
 			reply(st.items[key])
 		}
-	}, func(it item, ok bool) {
-		if c.life == life {
-			c.into(func(now time.Duration) { c.core.ReadBack(now, epoch, ok, it.mark, it.value) })()
+	}, func(entry item, ok bool) {
+		if c.incarnation == incarnation {
+			c.input(func(now time.Duration) { c.core.ReadBack(now, epoch, ok, entry.version, entry.value) })()
 		}
 	})
 }
 
-func (st *stateService) clean(c *controller, first, end int) {
-	epoch, life := epochOf(c), c.life
-	call(st.s, c.name, "state", wait, func(reply func([]eventlog.Entry)) {
-		if st.down(c) {
+func (st *stateService) readSegments(c *controller, first, end int) {
+	epoch, incarnation := epochOf(c), c.incarnation
+	call(st.sim, c.name, "state", callTimeout, func(reply func([]eventlog.Entry)) {
+		if st.unavailable(c) {
 			return
 		}
 		var list []eventlog.Entry
 		for n := first; n < end; n++ {
-			if it, ok := st.items[eventlog.SegmentKey(n)]; ok {
-				list = append(list, c.entries(it.value)...)
-				st.cleaned++
+			if entry, ok := st.items[eventlog.SegmentKey(n)]; ok {
+				list = append(list, c.decodeSegment(entry.value)...)
+				st.segmentsRead++
 			}
 		}
 		reply(list)
 	}, func(list []eventlog.Entry, ok bool) {
-		if c.life == life {
-			c.into(func(now time.Duration) { c.core.SegmentsRead(now, epoch, first, end, ok, list) })()
+		if c.incarnation == incarnation {
+			c.input(func(now time.Duration) { c.core.SegmentsRead(now, epoch, first, end, ok, list) })()
 		}
 	})
 }
 
-// values reads a page of up to three values of a leader component.
-func (st *stateService) values(c *controller, duty, since string) {
+// readValues reads a page of up to three values of a leader component.
+func (st *stateService) readValues(c *controller, component, afterKey string) {
 	type page struct {
 		list []eventlog.ComponentValue
 		more bool
 	}
-	epoch, life := epochOf(c), c.life
-	call(st.s, c.name, "state", wait, func(reply func(page)) {
-		if st.down(c) {
+	epoch, incarnation := epochOf(c), c.incarnation
+	call(st.sim, c.name, "state", callTimeout, func(reply func(page)) {
+		if st.unavailable(c) {
 			return
 		}
 		var keys []string
-		for k := range st.items {
-			if strings.HasPrefix(k, eventlog.ComponentValuePrefix(duty)) && k > since {
-				keys = append(keys, k)
+		for key := range st.items {
+			if strings.HasPrefix(key, eventlog.ComponentValuePrefix(component)) && key > afterKey {
+				keys = append(keys, key)
 			}
 		}
 		slices.Sort(keys)
 		p := page{more: len(keys) > 3}
-		for _, k := range keys[:min(len(keys), 3)] {
-			p.list = append(p.list, eventlog.ComponentValue{Key: k, Data: st.items[k].value})
+		for _, key := range keys[:min(len(keys), 3)] {
+			p.list = append(p.list, eventlog.ComponentValue{Key: key, Data: st.items[key].value})
 		}
 		reply(p)
 	}, func(p page, ok bool) {
-		if c.life == life {
-			c.into(func(now time.Duration) { c.core.ValuesRead(now, epoch, duty, p.list, p.more, ok) })()
+		if c.incarnation == incarnation {
+			c.input(func(now time.Duration) { c.core.ValuesRead(now, epoch, component, p.list, p.more, ok) })()
 		}
 	})
 }
 
-func (st *stateService) load(c *controller, epoch uint64) {
-	life := c.life
-	call(st.s, c.name, "state", wait, func(reply func(term.LoadedLog)) {
-		if st.down(c) {
+func (st *stateService) loadLog(c *controller, epoch uint64) {
+	incarnation := c.incarnation
+	call(st.sim, c.name, "state", callTimeout, func(reply func(term.LoadedLog)) {
+		if st.unavailable(c) {
 			return
 		}
-		var r term.LoadedLog
+		var log term.LoadedLog
 		var keys []string
-		for k := range st.items {
-			if strings.HasPrefix(k, eventlog.Prefix) {
-				keys = append(keys, k)
+		for key := range st.items {
+			if strings.HasPrefix(key, eventlog.Prefix) {
+				keys = append(keys, key)
 			}
 		}
 		slices.Sort(keys)
-		for _, k := range keys {
-			r.Last, _ = eventlog.SegmentNumber(k)
-			if r.First == 0 {
-				r.First = r.Last
+		for _, key := range keys {
+			log.Last, _ = eventlog.SegmentNumber(key)
+			if log.First == 0 {
+				log.First = log.Last
 			}
-			r.Entries = append(r.Entries, c.entries(st.items[k].value)...)
+			log.Entries = append(log.Entries, c.decodeSegment(st.items[key].value)...)
 		}
 		keys = keys[:0]
-		for k := range st.items {
-			if strings.HasPrefix(k, eventlog.SizesPrefix) {
-				keys = append(keys, k)
+		for key := range st.items {
+			if strings.HasPrefix(key, eventlog.SizesPrefix) {
+				keys = append(keys, key)
 			}
 		}
-		slices.SortFunc(keys, func(a, b string) int { return cmp.Compare(st.items[a].mark, st.items[b].mark) })
-		for _, k := range keys {
+		slices.SortFunc(keys, func(a, b string) int { return cmp.Compare(st.items[a].version, st.items[b].version) })
+		for _, key := range keys {
 			var v eventlog.VirtualSizes
-			if json.Unmarshal(st.items[k].value, &v) == nil {
-				r.Sizes = append(r.Sizes, v.Sizes...)
+			if json.Unmarshal(st.items[key].value, &v) == nil {
+				log.Sizes = append(log.Sizes, v.Sizes...)
 			}
-			n, _ := eventlog.SizesPieceNumber(k)
-			r.VirtualSizePieces = max(r.VirtualSizePieces, n+1)
+			n, _ := eventlog.SizesPieceNumber(key)
+			log.VirtualSizePieces = max(log.VirtualSizePieces, n+1)
 		}
-		reply(r)
-	}, func(r term.LoadedLog, ok bool) {
-		if c.life != life {
+		reply(log)
+	}, func(log term.LoadedLog, ok bool) {
+		if c.incarnation != incarnation {
 			return
 		}
 		if !ok {
-			st.s.after(300*time.Millisecond, c.into(func(time.Duration) {
+			st.sim.after(300*time.Millisecond, c.input(func(time.Duration) {
 				if epochOf(c) == epoch {
-					st.load(c, epoch)
+					st.loadLog(c, epoch)
 				}
 			}))
 			return
 		}
-		st.s.scale.read(r)
-		c.into(func(now time.Duration) { c.core.LogLoaded(now, epoch, r) })()
+		st.sim.scale.read(log)
+		c.input(func(now time.Duration) { c.core.LogLoaded(now, epoch, log) })()
 	})
 }
 
-type leadResult struct {
-	ok, gone bool
-	id       uint64
-	view     leadership.View
+type leadershipResult struct {
+	ok, expired bool
+	id          uint64
+	view        leadership.View
 }
 
-func (st *stateService) lead(c *controller, o leadership.Request) {
-	life := c.life
-	finish := func(r leadResult, ok bool) {
-		if c.life != life {
+func (st *stateService) handleLeadership(c *controller, request leadership.Request) {
+	incarnation := c.incarnation
+	finish := func(r leadershipResult, ok bool) {
+		if c.incarnation != incarnation {
 			return
 		}
 		r.ok = r.ok && ok
-		c.into(func(now time.Duration) {
-			switch o.Action {
+		c.input(func(now time.Duration) {
+			switch request.Action {
 			case leadership.ReadKeys:
-				c.core.KeysRead(now, o.Sequence, r.ok, r.view)
+				c.core.KeysRead(now, request.Sequence, r.ok, r.view)
 			case leadership.WatchKeys:
-				c.core.WatchEnded(now, o.Sequence, r.ok)
+				c.core.WatchEnded(now, request.Sequence, r.ok)
 			case leadership.CreateLease:
-				c.core.LeaseCreated(now, o.Sequence, r.ok, r.id)
+				c.core.LeaseCreated(now, request.Sequence, r.ok, r.id)
 			case leadership.ClaimLeadership:
-				c.core.LeadershipClaimed(now, o.Sequence, r.ok, r.id)
+				c.core.LeadershipClaimed(now, request.Sequence, r.ok, r.id)
 			case leadership.RenewLease:
-				c.core.LeaseRenewed(now, o.Sequence, r.ok, r.gone && ok)
+				c.core.LeaseRenewed(now, request.Sequence, r.ok, r.expired && ok)
 			}
 		})()
 	}
-	limit := wait
-	if o.Action == leadership.WatchKeys {
+	limit := callTimeout
+	if request.Action == leadership.WatchKeys {
 		limit = 12 * time.Second
 	}
-	call(st.s, c.name, "state", limit, func(reply func(leadResult)) {
-		if st.down(c) {
-			reply(leadResult{})
+	call(st.sim, c.name, "state", limit, func(reply func(leadershipResult)) {
+		if st.unavailable(c) {
+			reply(leadershipResult{})
 			return
 		}
-		st.expire()
-		switch o.Action {
+		st.expireLeases()
+		switch request.Action {
 		case leadership.ReadKeys:
-			reply(leadResult{ok: true, view: st.view()})
+			reply(leadershipResult{ok: true, view: st.view()})
 		case leadership.WatchKeys:
-			if st.rev > o.Revision && (st.items[leadership.HolderKey].mark > o.Revision || st.holder == "") {
-				reply(leadResult{ok: true})
+			if st.revision > request.Revision && (st.items[leadership.HolderKey].version > request.Revision || st.holder == "") {
+				reply(leadershipResult{ok: true})
 				return
 			}
-			st.watches = append(st.watches, func() { reply(leadResult{ok: true}) })
-			st.s.after(10*time.Second, func() { reply(leadResult{ok: true}) })
+			st.watches = append(st.watches, func() { reply(leadershipResult{ok: true}) })
+			st.sim.after(10*time.Second, func() { reply(leadershipResult{ok: true}) })
 		case leadership.CreateLease:
-			st.nextID++
-			life := settingsSeconds(c.cfg.Tunables.LeaderLeaseS)
-			st.holds[st.nextID] = &hold{life, st.s.now + life}
-			st.s.after(life, st.expire)
-			if st.answerLost("hold") {
+			st.lastLeaseID++
+			ttl := settingsSeconds(c.cfg.Tunables.LeaderLeaseS)
+			st.leases[st.lastLeaseID] = &lease{ttl, st.sim.now + ttl}
+			st.sim.after(ttl, st.expireLeases)
+			if st.loseAnswer("hold") {
 				return
 			}
-			reply(leadResult{ok: true, id: st.nextID})
+			reply(leadershipResult{ok: true, id: st.lastLeaseID})
 		case leadership.ClaimLeadership:
-			value, _ := json.Marshal(leadership.LeaseHolder{Node: c.name, Epoch: o.View.Epoch + 1})
+			value, _ := json.Marshal(leadership.LeaseHolder{Node: c.name, Epoch: request.View.Epoch + 1})
 			claim := func() txnResult {
-				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: o.View.EpochVersion}},
-					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, o.LeaseID)
+				return st.apply([]eventlog.Condition{{Key: leadership.HolderKey}, {Key: leadership.EpochKey, Version: request.View.EpochVersion}},
+					[]eventlog.Write{{Key: leadership.HolderKey, Value: value}, {Key: leadership.EpochKey, Value: value}}, request.LeaseID)
 			}
-			if st.lateWrite([]eventlog.Write{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().out }) {
+			if st.delayWrite([]eventlog.Write{{Key: leadership.EpochKey}}, func() eventlog.Outcome { return claim().outcome }) {
 				return
 			}
 			r := claim()
-			if r.out == eventlog.Applied && st.answerLost("claim") {
+			if r.outcome == eventlog.Applied && st.loseAnswer("claim") {
 				return
 			}
-			reply(leadResult{ok: r.out == eventlog.Applied, id: r.mark})
+			reply(leadershipResult{ok: r.outcome == eventlog.Applied, id: r.version})
 		case leadership.RenewLease:
-			h := st.holds[o.LeaseID]
-			if h == nil {
-				reply(leadResult{gone: true})
+			held := st.leases[request.LeaseID]
+			if held == nil {
+				reply(leadershipResult{expired: true})
 				return
 			}
-			h.ends = st.s.now + h.life
-			st.s.after(h.life, st.expire)
-			if st.answerLost("renewal") {
+			held.expiresAt = st.sim.now + held.ttl
+			st.sim.after(held.ttl, st.expireLeases)
+			if st.loseAnswer("renewal") {
 				return
 			}
-			reply(leadResult{ok: true})
+			reply(leadershipResult{ok: true})
 		case leadership.ReleaseLease:
-			st.drop(o.LeaseID)
+			st.dropLease(request.LeaseID)
 		}
 	}, finish)
 }
 
 func (st *stateService) view() leadership.View {
-	v := leadership.View{Revision: st.rev}
-	for _, k := range []string{leadership.HolderKey, leadership.EpochKey} {
-		it, ok := st.items[k]
-		var h leadership.LeaseHolder
-		if !ok || json.Unmarshal(it.value, &h) != nil {
+	v := leadership.View{Revision: st.revision}
+	for _, key := range []string{leadership.HolderKey, leadership.EpochKey} {
+		entry, ok := st.items[key]
+		var holder leadership.LeaseHolder
+		if !ok || json.Unmarshal(entry.value, &holder) != nil {
 			continue
 		}
-		if k == leadership.HolderKey {
-			v.Holder, v.HolderVersion = &h, it.mark
+		if key == leadership.HolderKey {
+			v.Holder, v.HolderVersion = &holder, entry.version
 		} else {
-			v.Epoch, v.EpochNode, v.EpochVersion = h.Epoch, h.Node, it.mark
+			v.Epoch, v.EpochNode, v.EpochVersion = holder.Epoch, holder.Node, entry.version
 		}
 	}
 	return v
@@ -548,27 +550,27 @@
 
 // cloud simulates the cloud provider.
 type cloud struct {
-	s        *sim
-	answers  map[string][]string
-	machines map[string]*worker
-	told     map[string]bool // machines whose rental's answer has arrived
-	next     int
-	capacity int
-	boot     time.Duration
-	answer   time.Duration // added latency of answers to rentals
-	dud      int           // number of the next machines that never boot
-	late     time.Duration // the next rental times out, and is executed after this delay
-	outage   bool
-	deleted  int
-}
-
-var types = []eventlog.MachineType{{
+	sim            *sim
+	rentalAnswers  map[string][]string
+	machines       map[string]*worker
+	rentalAnswered map[string]bool // machines whose rental's answer has arrived
+	nextMachine    int
+	capacity       int
+	bootTime       time.Duration
+	answerDelay    time.Duration // added latency of answers to rentals
+	bootFailures   int           // number of the next machines that never boot
+	delayNext      time.Duration // the next rental times out, and is executed after this delay
+	outage         bool
+	deletions      int
+}
+
+var machineTypes = []eventlog.MachineType{{
 	Name: "m4", CPUs: machineCPUs, MemoryGB: 16, CacheGB: 20, FetchGBPS: 1, Price: 1, SpotPrice: 0.3,
 	BootS: 5, Zones: []string{"a", "b"},
 }}
 
 func (cl *cloud) execute(r eventlog.Rental) []string {
-	if got, ok := cl.answers[r.Name]; ok {
+	if got, ok := cl.rentalAnswers[r.Name]; ok {
 		return got
 	}
 	names := []string{}
@@ -576,113 +578,113 @@
 		if len(cl.machines) >= cl.capacity {
 			break
 		}
-		name := fmt.Sprintf("host-%06d", cl.next)
-		cl.next++
+		name := fmt.Sprintf("host-%06d", cl.nextMachine)
+		cl.nextMachine++
 		names = append(names, name)
-		cl.add(name, r.Zone, r.Spot)
+		cl.addMachine(name, r.Zone, r.Spot)
 	}
-	cl.answers[r.Name] = names
+	cl.rentalAnswers[r.Name] = names
 	return names
 }
 
-func (cl *cloud) add(name, zone string, spot bool) {
-	w := &worker{s: cl.s, name: name, zone: zone, spot: spot, session: 1, tasks: map[task]*run{}}
+func (cl *cloud) addMachine(name, zone string, spot bool) {
+	w := &worker{sim: cl.sim, name: name, zone: zone, spot: spot, session: 1, tasks: map[task]*taskAttempt{}}
 	cl.machines[name] = w
-	if cl.dud > 0 {
-		cl.dud--
+	if cl.bootFailures > 0 {
+		cl.bootFailures--
 		return
 	}
-	cl.s.after(cl.boot+time.Duration(cl.s.rng.IntN(1000))*time.Millisecond, w.boot)
+	cl.sim.after(cl.bootTime+time.Duration(cl.sim.rng.IntN(1000))*time.Millisecond, w.boot)
 }
 
 type rentResult struct {
-	names []string
-	res   wire.RentResult
+	names  []string
+	result wire.RentResult
 }
 
 func (cl *cloud) rent(c *controller, r eventlog.Rental) {
-	epoch, life := epochOf(c), c.life
-	if cl.late > 0 {
-		cl.s.after(cl.late, func() { cl.execute(r) })
-		cl.late = 0
-		cl.s.after(wait, func() {
-			if c.life == life {
-				c.into(func(now time.Duration) { c.core.RentalAnswered(now, epoch, r.Name, nil, wire.NoAnswer) })()
+	epoch, incarnation := epochOf(c), c.incarnation
+	if cl.delayNext > 0 {
+		cl.sim.after(cl.delayNext, func() { cl.execute(r) })
+		cl.delayNext = 0
+		cl.sim.after(callTimeout, func() {
+			if c.incarnation == incarnation {
+				c.input(func(now time.Duration) { c.core.RentalAnswered(now, epoch, r.Name, nil, wire.NoAnswer) })()
 			}
 		})
 		return
 	}
-	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func(rentResult)) {
+	call(cl.sim, c.name, "cloud", 5*time.Second, func(reply func(rentResult)) {
 		if cl.outage {
 			reply(rentResult{nil, wire.NoAnswer})
 			return
 		}
-		cl.s.comes("before the rental carried out")
+		cl.sim.reachStep("before the rental carried out")
 		names := cl.execute(r)
-		cl.s.comes("after the rental carried out")
+		cl.sim.reachStep("after the rental carried out")
 		if len(names) == 0 {
-			delete(cl.answers, r.Name)
+			delete(cl.rentalAnswers, r.Name)
 			reply(rentResult{nil, wire.NoCapacity})
 			return
 		}
-		cl.s.after(cl.answer, func() {
-			cl.s.comes("before the rental answered")
+		cl.sim.after(cl.answerDelay, func() {
+			cl.sim.reachStep("before the rental answered")
 			reply(rentResult{names, wire.Rented})
-			cl.s.after(10*time.Millisecond, func() { cl.s.comes("after the rental answered") })
+			cl.sim.after(10*time.Millisecond, func() { cl.sim.reachStep("after the rental answered") })
 		})
-	}, func(x rentResult, ok bool) {
+	}, func(answer rentResult, ok bool) {
 		if !ok {
-			x.res = wire.NoAnswer
+			answer.result = wire.NoAnswer
 		}
-		for _, n := range x.names {
-			cl.told[n] = true
+		for _, n := range answer.names {
+			cl.rentalAnswered[n] = true
 		}
-		if c.life == life {
-			c.into(func(now time.Duration) { c.core.RentalAnswered(now, epoch, r.Name, x.names, x.res) })()
+		if c.incarnation == incarnation {
+			c.input(func(now time.Duration) { c.core.RentalAnswered(now, epoch, r.Name, answer.names, answer.result) })()
 		}
 	})
 }
 
-func (cl *cloud) delete(c *controller, names []string) {
-	epoch, life := epochOf(c), c.life
-	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func(bool)) {
+func (cl *cloud) deleteMachines(c *controller, names []string) {
+	epoch, incarnation := epochOf(c), c.incarnation
+	call(cl.sim, c.name, "cloud", 5*time.Second, func(reply func(bool)) {
 		if cl.outage {
 			reply(false)
 			return
 		}
 		for _, n := range names {
 			if w := cl.machines[n]; w != nil {
-				cl.s.check.deleted(w)
-				w.vanish()
+				cl.sim.check.machineDeleted(w)
+				w.terminate()
 				delete(cl.machines, n)
-				cl.deleted++
+				cl.deletions++
 			}
 		}
 		reply(true)
 	}, func(res, ok bool) {
-		if c.life == life {
-			c.into(func(now time.Duration) { c.core.MachinesDeleted(now, epoch, names, res && ok) })()
+		if c.incarnation == incarnation {
+			c.input(func(now time.Duration) { c.core.MachinesDeleted(now, epoch, names, res && ok) })()
 		}
 	})
 }
 
-func (cl *cloud) types(c *controller) {
-	epoch, life := epochOf(c), c.life
-	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]eventlog.MachineType)) {
+func (cl *cloud) listTypes(c *controller) {
+	epoch, incarnation := epochOf(c), c.incarnation
+	call(cl.sim, c.name, "cloud", 5*time.Second, func(reply func([]eventlog.MachineType)) {
 		if cl.outage {
 			reply(nil)
 			return
 		}
-		reply(types)
+		reply(machineTypes)
 	}, func(list []eventlog.MachineType, _ bool) {
-		if c.life == life {
-			c.into(func(now time.Duration) { c.core.MachineTypesListed(now, epoch, list) })()
+		if c.incarnation == incarnation {
+			c.input(func(now time.Duration) { c.core.MachineTypesListed(now, epoch, list) })()
 		}
 	})
 }
 
-func (cl *cloud) list(c *controller) {
-	epoch, life := epochOf(c), c.life
+func (cl *cloud) listMachines(c *controller) {
+	epoch, incarnation := epochOf(c), c.incarnation
 	var list []wire.ListedMachine
 	var names []string
 	for n := range cl.machines {
@@ -694,20 +696,20 @@
 		list = append(list, wire.ListedMachine{Machine: eventlog.Machine{Name: n, Address: n, Type: "m4", Zone: w.zone, Spot: w.spot}})
 	}
 	// The list is a snapshot from the time of the request, and stale when it arrives.
-	call(cl.s, c.name, "cloud", 5*time.Second, func(reply func([]wire.ListedMachine)) {
+	call(cl.sim, c.name, "cloud", 5*time.Second, func(reply func([]wire.ListedMachine)) {
 		if !cl.outage {
-			cl.s.after(2*time.Second, func() { reply(list) })
+			cl.sim.after(2*time.Second, func() { reply(list) })
 		}
 	}, func(list []wire.ListedMachine, ok bool) {
-		if c.life == life {
-			c.into(func(now time.Duration) { c.core.MachinesListed(now, epoch, list, ok) })()
+		if c.incarnation == incarnation {
+			c.input(func(now time.Duration) { c.core.MachinesListed(now, epoch, list, ok) })()
 		}
 	})
 }
 
-// learned records the jobs whose run-time facts became durable.
-func (st *stateService) learned(w eventlog.Write) {
-	if _, err := eventlog.SegmentNumber(w.Key); st.facts == nil || err != nil {
+// recordFacts records the jobs whose run-time facts became durable.
+func (st *stateService) recordFacts(w eventlog.Write) {
+	if _, err := eventlog.SegmentNumber(w.Key); st.durableFacts == nil || err != nil {
 		return
 	}
 	list, err := eventlog.Decode(w.Value)
@@ -718,33 +720,33 @@
 		if e.Component == nil || e.Component.Name != runtimes.Name {
 			continue
 		}
-		var x struct {
+		var component struct {
 			Fact *struct {
 				ID uint64 `json:"i"`
 			} `json:"f"`
 		}
-		if json.Unmarshal(e.Component.Data, &x) == nil && x.Fact != nil {
-			if st.record != nil && !st.facts[x.Fact.ID] {
-				st.record(e.Component.Data)
+		if json.Unmarshal(e.Component.Data, &component) == nil && component.Fact != nil {
+			if st.onFact != nil && !st.durableFacts[component.Fact.ID] {
+				st.onFact(e.Component.Data)
 			}
-			st.facts[x.Fact.ID] = true
+			st.durableFacts[component.Fact.ID] = true
 		}
 	}
 }
 
-// owned counts the log entries of a leader component.
-func (st *stateService) owned(duty string) int {
+// countComponentEntries counts the log entries of a leader component.
+func (st *stateService) countComponentEntries(component string) int {
 	n := 0
-	for k, it := range st.items {
+	for k, entry := range st.items {
 		if _, err := eventlog.SegmentNumber(k); err != nil {
 			continue
 		}
-		list, err := eventlog.Decode(it.value)
+		list, err := eventlog.Decode(entry.value)
 		if err != nil {
 			panic(err)
 		}
 		for _, e := range list {
-			if e.Component != nil && e.Component.Name == duty {
+			if e.Component != nil && e.Component.Name == component {
 				n++
 			}
 		}
--- a/internal/scenario/spread_test.go
+++ b/internal/scenario/spread_test.go
@@ -51,7 +51,7 @@
 		id := i + 1
 		run := time.Duration(700+r.IntN(3000)) * time.Millisecond
 		job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(3)), Tasks: 10 + r.IntN(40), CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 2), ImageGB: 0.3, Spot: true, EstimateS: 3}
-		j := &userJob{id: id, run: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
+		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		s.jobs[id] = j
 		s.after(time.Duration(r.IntN(90000))*time.Millisecond, func() { s.submit(j, r.IntN(3), func() bool { return true }) })
 	}
@@ -75,7 +75,7 @@
 	}
 	s.after(0, poll)
 	s.run(100 * time.Second)
-	over := s.until(400*time.Second, func() bool {
+	over := s.runUntil(400*time.Second, func() bool {
 		for _, j := range s.jobs {
 			if !j.toldDone {
 				return false
@@ -83,8 +83,8 @@
 		}
 		return true
 	})
-	if len(s.check.broken) > 0 || !over {
-		t.Errorf("over %v, rules broken: %v", over, s.check.broken)
+	if len(s.check.violations) > 0 || !over {
+		t.Errorf("over %v, rules broken: %v", over, s.check.violations)
 	}
 	return s.scale.moved
 }
--- a/internal/scenario/unheard_test.go
+++ b/internal/scenario/unheard_test.go
@@ -26,23 +26,23 @@
 		for _, id := range []uint64{3, 7, 11} {
 			d.after(time.Duration(10+3*id)*time.Second, func() { d.cancelJob(d.jobs[id], int(id)) })
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		d.run(8 * time.Second)
 		for range 4 {
-			d.keep = 0.5
+			d.replayShare = 0.5
 			for i, w := range d.machines() { // some begin later sessions or lives, some are gone, while copies of their reports wait
 				switch {
 				case i > 4:
 				case i%4 == 0:
 					d.injectMachineFault("deaf", []*worker{w}, 14*time.Second)
 				case i%4 == 1:
-					w.reborn()
+					w.restartEmpty()
 				case i%4 == 2:
-					w.vanish()
+					w.terminate()
 				}
 			}
 			d.run(time.Duration(2+d.random.IntN(14)) * time.Second)
-			d.keep = 0
+			d.replayShare = 0
 			if seed%3 == 0 {
 				for _, n := range d.nodes {
 					n.crash()
@@ -74,7 +74,7 @@
 		for i := range 5 {
 			list = append(list, d.submitJob(150*time.Second, eventlog.Job{Tasks: 3, Kind: uint8(i / 4), Priority: 1, Spot: true, OneZone: i == 2}))
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		for _, j := range list {
 			d.awaitRunning(j, 3)
 		}
@@ -91,29 +91,29 @@
 		}
 		if seed%4 < 2 && length > 35*time.Second { // while they are mute: silence, the deletion, a boot
 			d.run(35 * time.Second)
-			if n := d.running(1); n != 3 || len(d.machinesWithTasks(list[0])) == 0 || d.mute[d.machinesWithTasks(list[0])[0].name] {
+			if n := d.runningTasks(1); n != 3 || len(d.machinesWithTasks(list[0])) == 0 || d.reportsLost[d.machinesWithTasks(list[0])[0].name] {
 				t.Errorf("35 s after its machines had become mute %d of 3 tasks of a job run, or run there", n)
 			}
-			if !list[1].gone {
+			if !list[1].toldCancelled {
 				t.Errorf("35 s after its machines had become mute a cancelled job is %s", list[1].state)
 			}
-			d.saw("begun elsewhere while its machines were mute")
+			d.cover("begun elsewhere while its machines were mute")
 			length -= 35 * time.Second
 		}
 		d.run(length + 2*time.Second)
 		for _, w := range on {
 			if w.session > 1 {
-				d.saw("a session rose with nobody hearing it")
+				d.cover("a session rose with nobody hearing it")
 			}
 		}
 		if d.check.starts > before {
-			d.saw("tasks started after machines had become mute")
+			d.cover("tasks started after machines had become mute")
 		}
 		// Silence, the deletion, a boot, and where a leader ended its takeover.
-		if !d.until(45*time.Second, func() bool { return d.running(1) == 3 }) {
-			t.Errorf("%d of 3 tasks of a job run, its machines were mute for %v", d.running(1), length)
+		if !d.runUntil(45*time.Second, func() bool { return d.runningTasks(1) == 3 }) {
+			t.Errorf("%d of 3 tasks of a job run, its machines were mute for %v", d.runningTasks(1), length)
 		}
-		if !d.until(time.Minute, func() bool { return list[1].gone }) {
+		if !d.runUntil(time.Minute, func() bool { return list[1].toldCancelled }) {
 			t.Errorf("a cancelled job is %s", list[1].state)
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
@@ -140,7 +140,7 @@
 		for i := range 10 {
 			d.submitJobAfter(time.Duration(i)*900*time.Millisecond, time.Duration(15+d.random.IntN(60))*time.Second, eventlog.Job{Tasks: 2 + i%4, Kind: uint8(i % 4 / 3), Priority: uint8(i % 3), Spot: true, OneZone: i%4 == 1, Spread: i%4 == 2})
 		}
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		d.run(25 * time.Second)
 		away := time.Duration(12+6*variant) * time.Second // a lease is 10 s
 		d.after(away/2, func() { d.cancelJob(d.jobs[2], variant) })
@@ -157,7 +157,7 @@
 			if trial == "a zone cut" {
 				n = d.nodes[(l.index+1)%3]
 			}
-			d.cutZone("b", n.name, away, variant%2 == 0)
+			d.partitionZone("b", n.name, away, variant%2 == 0)
 			d.run(away + time.Second)
 		default:
 			for i := range 10 {
@@ -170,7 +170,7 @@
 			epoch := d.awaitLeader().core.Epoch()
 			d.run(125 * time.Second)
 			if now := d.awaitLeader().core.Epoch(); now >= epoch+6 {
-				d.saw("leaders changed again and again")
+				d.cover("leaders changed again and again")
 			}
 		}
 		lost := 0
@@ -180,10 +180,10 @@
 			}
 		}
 		if lost > 0 {
-			d.saw(trial + ": leases ran out")
+			d.cover(trial + ": leases ran out")
 		}
-		d.saw(trial)
-		if !d.until(30*time.Second, func() bool { return d.leader() != nil && d.leader().core.Status(d.leader().clock()).Sure }) {
+		d.cover(trial)
+		if !d.runUntil(30*time.Second, func() bool { return d.leader() != nil && d.leader().core.Status(d.leader().clock()).Sure }) {
 			t.Error("nobody leads again")
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
@@ -208,41 +208,41 @@
 			list = append(list, d.submitJob(200*time.Second, eventlog.Job{Tasks: 2 + i, Kind: kind, Priority: 1, Spot: true}))
 		}
 		stays := d.submitJob(150*time.Second, eventlog.Job{Tasks: 4, Priority: 1, Spot: true})
-		d.askAll(time.Second)
+		d.pollAll(time.Second)
 		for _, j := range append(list, stays) {
 			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		l := d.awaitLeader()
-		d.state.refuse[l.name] = true
+		d.state.refused[l.name] = true
 		if trial != "well" {
 			d.injectMachineFault(trial, d.machinesWithTasks(list[0])[:1], 50*time.Second)
 		}
 		for i, j := range list {
 			d.after(after, func() { d.cancelJob(j, l.index+i+int(seed)) })
 		}
-		d.after(after, func() { d.saw(fmt.Sprintf("cancelled %v after the refusal", after)) })
+		d.after(after, func() { d.cover(fmt.Sprintf("cancelled %v after the refusal", after)) })
 		// Or so late that another controller leads, and has confirmed what it could.
 		out := []time.Duration{time.Second, 12 * time.Second}[int(seed)/len(trials)/len(delays)]
 		d.after(out, func() {
 			d.state.outage = true
 			for _, j := range list {
-				if j.gone {
-					d.saw("confirmed before the outage")
+				if j.toldCancelled {
+					d.cover("confirmed before the outage")
 				}
 			}
 		})
 		d.run(out + time.Duration(35+5*(seed%4))*time.Second) // longer than a cancellation has
 		gone := 0
 		for _, j := range list {
-			if j.gone {
+			if j.toldCancelled {
 				gone++
 			}
 		}
 		d.state.recover()
-		d.state.refuse = map[string]bool{}
-		if !d.until(90*time.Second, func() bool {
+		d.state.refused = map[string]bool{}
+		if !d.runUntil(90*time.Second, func() bool {
 			for _, j := range list {
-				if !j.gone {
+				if !j.toldCancelled {
 					return false
 				}
 			}
@@ -251,7 +251,7 @@
 			t.Error("not all cancellations came to their end")
 		}
 		if gone < len(list) {
-			d.saw("confirmed after it")
+			d.cover("confirmed after it")
 		}
 		return d.endFaultsAndSettle(8 * time.Minute)
 	}, must...)
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/leader/cluster"
@@ -13,13 +14,14 @@
 // machineCPUs is the number of CPUs of the only machine type.
 const machineCPUs = 4
 
+// task identifies a task by its job and its index in the job.
 type task struct {
-	job uint64
-	k   int
+	job   uint64
+	index int
 }
 
-// run is an attempt to run a task on a machine.
-type run struct {
+// taskAttempt is an attempt to run a task on a machine.
+type taskAttempt struct {
 	attempt uint64
 	state   workers.TaskState
 	reason  workers.Reason
@@ -28,411 +30,417 @@
 
 // worker simulates a machine and its worker process.
 type worker struct {
-	s         *sim
-	name      string
-	zone      string
-	spot      bool
-	up        bool
-	hung      bool
-	session   uint64
-	life      int // number of restarts of its process
-	seq       uint64
-	token     uint64
-	tasks     map[task]*run
-	ended     []endedRun
-	at        int // index of the controller that it reports to
-	flight    bool
-	last      time.Duration
-	renewed   time.Duration // when the last report that was answered was sent
-	notice    time.Duration // when the cloud reclaims it; 0: no notice given
-	plan      int           // number of the latest scheduled report; earlier ones are not sent
-	faulty    bool
-	used      bool          // it has been assigned a task
-	fineSince time.Duration // since when it has been neither hung nor partitioned
+	sim             *sim
+	name            string
+	zone            string
+	spot            bool
+	up              bool
+	hung            bool
+	session         uint64
+	incarnation     int // number of restarts of its process
+	seq             uint64
+	token           uint64
+	tasks           map[task]*taskAttempt
+	ended           []endedAttempt
+	controllerIndex int // index of the controller that it reports to
+	reportInFlight  bool
+	lastReport      time.Duration
+	leaseRenewedAt  time.Duration // when the last report that was answered was sent
+	reclaimAt       time.Duration // when the cloud reclaims it; 0: no notice given
+	scheduledReport int           // number of the latest scheduled report; earlier ones are not sent
+	faulty          bool
+	everUsed        bool          // it has been assigned a task
+	healthySince    time.Duration // since when it has been neither hung nor partitioned
 }
 
-type endedRun struct {
+type endedAttempt struct {
 	task
-	run
+	taskAttempt
 }
 
 func (w *worker) boot() {
-	if w.s.cloud.machines[w.name] != w {
+	if w.sim.cloud.machines[w.name] != w {
 		return
 	}
-	if !w.s.cloud.told[w.name] {
-		w.s.saw("a machine up before its rental was answered")
+	if !w.sim.cloud.rentalAnswered[w.name] {
+		w.sim.cover("a machine up before its rental was answered")
 	}
 	w.up = true
-	w.renewed = w.s.now
-	w.lease()
-	w.plan++
-	w.report(w.plan)
+	w.leaseRenewedAt = w.sim.now
+	w.watchLease()
+	w.scheduledReport++
+	w.sendReport(w.scheduledReport)
 }
 
-// vanish removes the machine with everything that runs on it.
-func (w *worker) vanish() {
-	w.results()
+// terminate removes the machine with everything that runs on it.
+func (w *worker) terminate() {
+	w.countLostResults()
 	for t := range w.tasks {
-		w.end(t, workers.Vanished)
+		w.loseTask(t, workers.Vanished)
 	}
 	w.up = false
 }
 
-// lease schedules the check of the worker's lease. When the lease expires, the worker discards
-// its tasks and starts a new session.
-func (w *worker) lease() {
-	life := settingsSeconds(w.s.cfg.Deployment.Workers.LeaseS)
-	w.s.after(w.renewed+life-w.s.now+time.Millisecond, func() {
+// watchLease schedules the check of the worker's lease. When the lease expires, the worker
+// discards its tasks and starts a new session.
+func (w *worker) watchLease() {
+	length := settingsSeconds(w.sim.cfg.Deployment.Workers.LeaseS)
+	w.sim.after(w.leaseRenewedAt+length-w.sim.now+time.Millisecond, func() {
 		if !w.up {
 			return
 		}
-		if w.s.now-w.renewed > life {
+		if w.sim.now-w.leaseRenewedAt > length {
 			for t := range w.tasks {
-				w.end(t, workers.Vanished)
+				w.loseTask(t, workers.Vanished)
 			}
-			w.results()
-			w.tasks = map[task]*run{}
+			w.countLostResults()
+			w.tasks = map[task]*taskAttempt{}
 			w.ended = nil
 			w.session++
-			w.renewed = w.s.now
-			w.soon()
+			w.leaseRenewedAt = w.sim.now
+			w.reportSoon()
 		}
-		w.lease()
+		w.watchLease()
 	})
 }
 
-// soon schedules a report after a change, at least 500 ms after the previous one.
-func (w *worker) soon() {
-	w.schedule(max(0, w.last+500*time.Millisecond-w.s.now))
+// reportSoon schedules a report after a change, at least 500 ms after the previous one.
+func (w *worker) reportSoon() {
+	w.scheduleReport(max(0, w.lastReport+500*time.Millisecond-w.sim.now))
 }
 
-func (w *worker) schedule(d time.Duration) {
-	w.plan++
-	p := w.plan
-	w.s.after(d, func() { w.report(p) })
+func (w *worker) scheduleReport(delay time.Duration) {
+	w.scheduledReport++
+	scheduled := w.scheduledReport
+	w.sim.after(delay, func() { w.sendReport(scheduled) })
 }
 
-func (w *worker) report(plan int) {
-	if !w.up || plan != w.plan {
+func (w *worker) sendReport(scheduled int) {
+	if !w.up || scheduled != w.scheduledReport {
 		return
 	}
-	if w.flight || w.hung {
-		w.schedule(200 * time.Millisecond)
+	if w.reportInFlight || w.hung {
+		w.scheduleReport(200 * time.Millisecond)
 		return
 	}
-	w.flight = true
-	w.last = w.s.now
-	r := w.snapshot()
-	c := w.s.nodes[w.at%len(w.s.nodes)]
-	w.s.copies(func() {
-		if o := w.s.nodes[w.s.rng.IntN(len(w.s.nodes))]; o.up {
+	w.reportInFlight = true
+	w.lastReport = w.sim.now
+	report := w.snapshot()
+	target := w.sim.nodes[w.controllerIndex%len(w.sim.nodes)]
+	w.sim.maybeDuplicate(func() {
+		if other := w.sim.nodes[w.sim.rng.IntN(len(w.sim.nodes))]; other.up {
 			switch {
-			case r.Session < w.session:
-				w.s.saw("duplicate report of an earlier session")
-			case r.Seq < w.seq:
-				w.s.saw("duplicate report after newer ones")
+			case report.Session < w.session:
+				w.sim.cover("duplicate report of an earlier session")
+			case report.Seq < w.seq:
+				w.sim.cover("duplicate report after newer ones")
 			}
-			if l := w.s.leader(); l != nil && l.core.Epoch() > r.Token>>cluster.TokenBits {
-				w.s.saw("duplicate report of an earlier term")
+			if leader := w.sim.leader(); leader != nil && leader.core.Epoch() > report.Token>>cluster.TokenBits {
+				w.sim.cover("duplicate report of an earlier term")
 			}
-			o.core.HandleHeartbeat(o.clock(), 0, r) // the answer is discarded
-			o.drain()
+			other.core.HandleHeartbeat(other.clock(), 0, report) // the answer is discarded
+			other.drain()
 		}
 	})
-	if w.s.keep > 0 && w.s.rng.Float64() < w.s.keep {
-		w.s.kept = append(w.s.kept, r)
+	if w.sim.replayShare > 0 && w.sim.rng.Float64() < w.sim.replayShare {
+		w.sim.replayReports = append(w.sim.replayReports, report)
 	}
-	sent, session, life := w.s.now, w.session, w.life
-	next := func() {
-		w.s.moved = append(w.s.moved, w.s.now)
-		w.at++
-		w.schedule(time.Second)
+	sent, session, incarnation := w.sim.now, w.session, w.incarnation
+	failOver := func() {
+		w.sim.redirects = append(w.sim.redirects, w.sim.now)
+		w.controllerIndex++
+		w.scheduleReport(time.Second)
 	}
-	if w.s.mute[w.name] {
-		w.s.saw("report of a machine lost in a one-way partition")
-		w.flight = false
-		next()
+	if w.sim.reportsLost[w.name] {
+		w.sim.cover("report of a machine lost in a one-way partition")
+		w.reportInFlight = false
+		failOver()
 		return
 	}
-	call(w.s, w.name, c.name, 4*time.Second, func(reply func(effects.HeartbeatAnswer)) {
-		if !c.up {
+	call(w.sim, w.name, target.name, 4*time.Second, func(reply func(effects.HeartbeatAnswer)) {
+		if !target.up {
 			return
 		}
-		c.asker++
-		c.reports[c.asker] = reply
-		w.s.scale.time("reports", func() { c.core.HandleHeartbeat(c.clock(), c.asker, r) })
-		c.drain()
-	}, func(a effects.HeartbeatAnswer, ok bool) {
-		if life != w.life {
+		target.lastRequest++
+		target.reportReplies[target.lastRequest] = reply
+		w.sim.scale.time("reports", func() { target.core.HandleHeartbeat(target.clock(), target.lastRequest, report) })
+		target.drain()
+	}, func(answer effects.HeartbeatAnswer, ok bool) {
+		if incarnation != w.incarnation {
 			return // the process that sent the report has ended
 		}
-		w.flight = false
+		w.reportInFlight = false
 		if !w.up {
 			return
 		}
 		switch {
 		case !ok:
-			next()
-		case a.Status == 421:
-			for i, o := range w.s.nodes {
-				if o.name == a.Node && o != c {
-					w.s.moved = append(w.s.moved, w.s.now)
-					w.at = i
-					w.schedule(100 * time.Millisecond)
+			failOver()
+		case answer.Status == 421:
+			for i, other := range w.sim.nodes {
+				if other.name == answer.Node && other != target {
+					w.sim.redirects = append(w.sim.redirects, w.sim.now)
+					w.controllerIndex = i
+					w.scheduleReport(100 * time.Millisecond)
 					return
 				}
 			}
-			next()
-		case a.Status != 200:
-			next()
+			failOver()
+		case answer.Status != 200:
+			failOver()
 		default:
-			w.schedule(settingsSeconds(w.s.cfg.Deployment.Workers.ReportS * (0.75 + 0.5*w.s.rng.Float64())))
-			if a.Token < w.token || session != w.session {
-				w.s.saw("an answer dropped for its token or session")
+			w.scheduleReport(settingsSeconds(w.sim.cfg.Deployment.Workers.ReportS * (0.75 + 0.5*w.sim.rng.Float64())))
+			if answer.Token < w.token || session != w.session {
+				w.sim.cover("an answer dropped for its token or session")
 				return
 			}
-			if w.s.now-sent > time.Second && len(a.Commands) > 0 {
-				w.s.saw("delayed commands executed")
+			if w.sim.now-sent > time.Second && len(answer.Commands) > 0 {
+				w.sim.cover("delayed commands executed")
 			}
-			changed := a.Token > w.token
-			w.token, w.renewed = a.Token, sent
-			for _, cmd := range a.Commands {
+			changed := answer.Token > w.token
+			w.token, w.leaseRenewedAt = answer.Token, sent
+			for _, cmd := range answer.Commands {
 				changed = w.execute(cmd) || changed
 			}
 			if changed {
-				w.soon()
+				w.reportSoon()
 			}
 		}
 	})
 }
 
-// on returns the tasks that are on the machine.
-func (w *worker) on() []task { return slices.Collect(maps.Keys(w.tasks)) }
+// taskList returns the tasks that are on the machine.
+func (w *worker) taskList() []task { return slices.Collect(maps.Keys(w.tasks)) }
 
 // snapshot returns a report of the worker's current state.
 func (w *worker) snapshot() *workers.Report {
 	w.seq++
-	r := &workers.Report{Machine: w.name, Address: w.name, Type: "m4", Zone: w.zone, Spot: w.spot, Session: w.session, Seq: w.seq, Token: w.token}
-	if w.notice > 0 {
-		r.Notice, r.NoticeS = true, (w.notice - w.s.now).Seconds()
+	report := &workers.Report{
+		Machine: w.name, Address: w.name, Type: "m4", Zone: w.zone, Spot: w.spot,
+		Session: w.session, Seq: w.seq, Token: w.token,
 	}
-	for t, x := range w.tasks {
-		r.Tasks = append(r.Tasks, workers.TaskReport{Job: t.job, Task: t.k, Attempt: x.attempt, State: x.state})
+	if w.reclaimAt > 0 {
+		report.Notice, report.NoticeS = true, (w.reclaimAt - w.sim.now).Seconds()
 	}
-	for _, x := range w.ended {
-		r.Tasks = append(r.Tasks, workers.TaskReport{Job: x.job, Task: x.k, Attempt: x.attempt, State: workers.Ended, Reason: x.reason, Saved: x.saved})
+	for t, run := range w.tasks {
+		report.Tasks = append(report.Tasks, workers.TaskReport{Job: t.job, Task: t.index, Attempt: run.attempt, State: run.state})
 	}
-	slices.SortFunc(r.Tasks, func(a, b workers.TaskReport) int {
+	for _, run := range w.ended {
+		report.Tasks = append(report.Tasks, workers.TaskReport{
+			Job: run.job, Task: run.index, Attempt: run.attempt, State: workers.Ended, Reason: run.reason, Saved: run.saved,
+		})
+	}
+	slices.SortFunc(report.Tasks, func(a, b workers.TaskReport) int {
 		return int(int64(a.Job)-int64(b.Job))*1000 + a.Task - b.Task
 	})
-	return r
+	return report
 }
 
-// direct handles commands that were sent directly to the worker. A hung worker may execute
+// handleDirect handles commands that were sent directly to the worker. A hung worker may execute
 // them later, when their sender has given up on them.
-func (w *worker) direct(token, session uint64, cmds []workers.Command, reply func(*workers.Report)) {
+func (w *worker) handleDirect(token, session uint64, cmds []workers.Command, reply func(*workers.Report)) {
 	switch {
 	case !w.up:
 	case w.hung:
-		w.s.saw("direct command to a hung machine")
-		w.s.after(500*time.Millisecond, func() { w.direct(token, session, cmds, reply) })
+		w.sim.cover("direct command to a hung machine")
+		w.sim.after(500*time.Millisecond, func() { w.handleDirect(token, session, cmds, reply) })
 	case token < w.token || session != w.session:
-		w.s.saw("direct command rejected for its token or session")
+		w.sim.cover("direct command rejected for its token or session")
 		reply(nil)
 	default:
-		if w.s.mute[w.name] {
-			w.s.saw("direct command reached a machine whose reports are lost")
+		if w.sim.reportsLost[w.name] {
+			w.sim.cover("direct command reached a machine whose reports are lost")
 		}
 		w.token = token
 		for _, cmd := range cmds {
 			if w.execute(cmd) {
-				w.soon()
+				w.reportSoon()
 			}
 		}
 		reply(w.snapshot())
 	}
 }
 
-// reborn restarts the machine at once under the same name, with all its state lost.
-func (w *worker) reborn() {
-	w.vanish()
-	w.life++
-	w.tasks, w.ended = map[task]*run{}, nil
-	w.up, w.hung, w.flight = true, false, false
-	w.session, w.seq, w.token, w.renewed = 1, 0, 0, w.s.now
-	w.plan++
-	w.report(w.plan)
+// restartEmpty restarts the machine at once under the same name, with all its state lost.
+func (w *worker) restartEmpty() {
+	w.terminate()
+	w.incarnation++
+	w.tasks, w.ended = map[task]*taskAttempt{}, nil
+	w.up, w.hung, w.reportInFlight = true, false, false
+	w.session, w.seq, w.token, w.leaseRenewedAt = 1, 0, 0, w.sim.now
+	w.scheduledReport++
+	w.sendReport(w.scheduledReport)
 }
 
-func (w *worker) execute(c workers.Command) bool {
-	t := task{c.Job, c.Task}
-	switch c.Op {
+func (w *worker) execute(command workers.Command) bool {
+	t := task{command.Job, command.Task}
+	switch command.Op {
 	case workers.Start:
-		return w.startTask(t, c.Attempt)
+		return w.startTask(t, command.Attempt)
 	case workers.Stop:
-		x := w.tasks[t]
-		if x == nil || x.attempt != c.Attempt {
+		run := w.tasks[t]
+		if run == nil || run.attempt != command.Attempt {
 			return false
 		}
-		if j := w.s.jobs[t.job]; !j.asked && x.state == workers.Running {
-			w.s.check.count(stopped)
-			if w.s.preempted != nil && w.notice == 0 {
-				w.s.preempted(j, w)
+		if j := w.sim.jobs[t.job]; !j.cancelRequested && run.state == workers.Running {
+			w.sim.check.countUnnecessary(stoppedRunning)
+			if w.sim.onPreempt != nil && w.reclaimAt == 0 {
+				w.sim.onPreempt(j, w)
 			}
 		}
-		w.finish(t, workers.Stopped)
+		w.endTask(t, workers.Stopped)
 		return true
 	default:
-		n := len(w.ended)
-		w.ended = slices.DeleteFunc(w.ended, func(x endedRun) bool { return x.task == t && x.attempt == c.Attempt })
-		return n != len(w.ended)
+		before := len(w.ended)
+		w.ended = slices.DeleteFunc(w.ended, func(run endedAttempt) bool { return run.task == t && run.attempt == command.Attempt })
+		return before != len(w.ended)
 	}
 }
 
 func (w *worker) startTask(t task, attempt uint64) bool {
-	j := w.s.jobs[t.job]
-	if x := w.tasks[t]; x != nil {
-		if x.attempt != attempt {
-			w.ended = append(w.ended, endedRun{t, run{attempt: attempt, reason: workers.Busy}})
+	j := w.sim.jobs[t.job]
+	if run := w.tasks[t]; run != nil {
+		if run.attempt != attempt {
+			w.ended = append(w.ended, endedAttempt{t, taskAttempt{attempt: attempt, reason: workers.Busy}})
 		}
-		return x.attempt != attempt
+		return run.attempt != attempt
 	}
-	if slices.ContainsFunc(w.ended, func(x endedRun) bool { return x.task == t && x.attempt == attempt }) {
+	if slices.ContainsFunc(w.ended, func(run endedAttempt) bool { return run.task == t && run.attempt == attempt }) {
 		return false
 	}
 	if j == nil || j.spec.Job == nil {
-		w.ended = append(w.ended, endedRun{t, run{attempt: attempt, reason: workers.UnknownTask}})
+		w.ended = append(w.ended, endedAttempt{t, taskAttempt{attempt: attempt, reason: workers.UnknownTask}})
 		return true
 	}
 	used := j.spec.Job.CPUs
-	for o := range w.tasks {
-		used += w.s.jobs[o.job].spec.Job.CPUs
+	for other := range w.tasks {
+		used += w.sim.jobs[other.job].spec.Job.CPUs
 	}
 	if used > machineCPUs {
-		w.ended = append(w.ended, endedRun{t, run{attempt: attempt, reason: workers.InsufficientResources}})
+		w.ended = append(w.ended, endedAttempt{t, taskAttempt{attempt: attempt, reason: workers.InsufficientResources}})
 		return true
 	}
-	w.s.comes("before the start carried out")
-	w.used = true
-	defer w.s.comes("after the start carried out")
-	x := &run{attempt: attempt, state: workers.Fetching}
-	w.tasks[t] = x
+	w.sim.reachStep("before the start carried out")
+	w.everUsed = true
+	defer w.sim.reachStep("after the start carried out")
+	run := &taskAttempt{attempt: attempt, state: workers.Fetching}
+	w.tasks[t] = run
 	session := w.session
-	w.s.after(300*time.Millisecond, func() {
-		if w.tasks[t] != x || w.session != session {
+	w.sim.after(300*time.Millisecond, func() {
+		if w.tasks[t] != run || w.session != session {
 			return
 		}
-		w.s.check.started(t, w)
-		if w.s.check.completeN[t] {
-			w.finish(t, workers.Completed) // the result of an earlier run is still stored
+		w.sim.check.taskStarted(t, w)
+		if w.sim.check.completedTasks[t] {
+			w.endTask(t, workers.Completed) // the result of an earlier run is still stored
 			return
 		}
 		if w.faulty {
-			w.finish(t, workers.Failed)
+			w.endTask(t, workers.Failed)
 			return
 		}
-		if j.spec.Job.Kind == 1 {
-			w.gather(t, x)
+		if j.spec.Job.Kind == jobs.Gang {
+			w.gather(t, run)
 			return
 		}
-		x.state = workers.Running
-		w.soon()
-		if j.spec.Job.Kind == 2 {
+		run.state = workers.Running
+		w.reportSoon()
+		if j.spec.Job.Kind == jobs.Service {
 			return
 		}
-		w.s.ends[t] = w.s.now + j.runs(t.k)
-		w.s.after(j.runs(t.k), func() { w.complete(t, x) })
+		w.sim.runEnds[t] = w.sim.now + j.taskRunTime(t.index)
+		w.sim.after(j.taskRunTime(t.index), func() { w.complete(t, run) })
 	})
 	return true
 }
 
-func (w *worker) complete(t task, x *run) {
-	if w.tasks[t] != x {
+func (w *worker) complete(t task, run *taskAttempt) {
+	if w.tasks[t] != run {
 		return
 	}
 	if w.hung {
-		w.s.after(time.Second, func() { w.complete(t, x) })
+		w.sim.after(time.Second, func() { w.complete(t, run) })
 		return
 	}
-	w.s.check.completed(t)
-	if j := w.s.jobs[t.job]; w.s.atEnd > 0 && w.s.check.over(t.job) && !j.asked && w.s.rng.Float64() < w.s.atEnd {
-		w.s.saw("cancellation at the completion of the last task")
-		w.s.abort(j, w.s.rng.IntN(len(w.s.nodes)))
+	w.sim.check.taskCompleted(t)
+	if j := w.sim.jobs[t.job]; w.sim.cancelAtEndShare > 0 && w.sim.check.allCompleted(t.job) && !j.cancelRequested &&
+		w.sim.rng.Float64() < w.sim.cancelAtEndShare {
+		w.sim.cover("cancellation at the completion of the last task")
+		w.sim.cancel(j, w.sim.rng.IntN(len(w.sim.nodes)))
 	}
-	if spec := w.s.jobs[t.job].spec.Job; spec.Kind == 1 {
-		for k := range spec.Tasks { // a gang completes as a whole when one of its tasks does
-			w.s.check.completed(task{t.job, k})
+	if spec := w.sim.jobs[t.job].spec.Job; spec.Kind == jobs.Gang {
+		for index := range spec.Tasks { // a gang completes as a whole when one of its tasks does
+			w.sim.check.taskCompleted(task{t.job, index})
 		}
 	}
-	w.finish(t, workers.Completed)
+	w.endTask(t, workers.Completed)
 }
 
 // gather starts a gang's tasks once all of them wait at the barrier; a task that waits for
 // longer than GangWaitS ends with GangIncomplete.
-func (w *worker) gather(t task, x *run) {
-	j := w.s.jobs[t.job]
-	x.state = workers.Gathering
-	w.soon()
-	var all []func()
+func (w *worker) gather(t task, run *taskAttempt) {
+	j := w.sim.jobs[t.job]
+	run.state = workers.Gathering
+	w.reportSoon()
+	var starts []func()
 	found := map[int]bool{}
-	for _, o := range w.s.cloud.machines {
-		for ot, ox := range o.tasks {
-			if ot.job == t.job && ox.attempt == x.attempt && ox.state == workers.Gathering {
-				found[ot.k] = true
-				all = append(all, func() {
-					ox.state = workers.Running
-					o.soon()
-					w.s.after(j.run, func() { o.complete(ot, ox) })
+	for _, other := range w.sim.cloud.machines {
+		for otherTask, otherRun := range other.tasks {
+			if otherTask.job == t.job && otherRun.attempt == run.attempt && otherRun.state == workers.Gathering {
+				found[otherTask.index] = true
+				starts = append(starts, func() {
+					otherRun.state = workers.Running
+					other.reportSoon()
+					w.sim.after(j.runTime, func() { other.complete(otherTask, otherRun) })
 				})
 			}
 		}
 	}
 	if len(found) == j.spec.Job.Tasks {
-		for _, f := range all {
-			f()
+		for _, start := range starts {
+			start()
 		}
 		return
 	}
-	w.s.after(settingsSeconds(w.s.cfg.Deployment.Workers.GangWaitS), func() {
-		if w.tasks[t] == x && x.state == workers.Gathering {
-			w.finish(t, workers.GangIncomplete)
+	w.sim.after(settingsSeconds(w.sim.cfg.Deployment.Workers.GangWaitS), func() {
+		if w.tasks[t] == run && run.state == workers.Gathering {
+			w.endTask(t, workers.GangIncomplete)
 		}
 	})
 }
 
-// finish ends a task, which stays in the reports until the leader reaps it.
-func (w *worker) finish(t task, why workers.Reason) {
-	x := w.tasks[t]
+// endTask ends a task, which stays in the reports until the leader reaps it.
+func (w *worker) endTask(t task, reason workers.Reason) {
+	run := w.tasks[t]
 	delete(w.tasks, t)
-	ended := *x
-	ended.state, ended.reason = workers.Ended, why
-	w.ended = append(w.ended, endedRun{t, ended})
-	w.s.check.left(t, w)
-	if j := w.s.jobs[t.job]; why != workers.Completed && x.state == workers.Running && j.spec.Job.Kind == 1 {
-		w.peers(t, x.attempt)
+	ended := *run
+	ended.state, ended.reason = workers.Ended, reason
+	w.ended = append(w.ended, endedAttempt{t, ended})
+	w.sim.check.taskRemoved(t, w)
+	if j := w.sim.jobs[t.job]; reason != workers.Completed && run.state == workers.Running && j.spec.Job.Kind == jobs.Gang {
+		w.endPeers(t, run.attempt)
 	}
-	w.soon()
+	w.reportSoon()
 }
 
-// end removes a task without a report of its end.
-func (w *worker) end(t task, _ workers.Reason) {
-	x := w.tasks[t]
+// loseTask removes a task without a report of its end.
+func (w *worker) loseTask(t task, _ workers.Reason) {
+	run := w.tasks[t]
 	delete(w.tasks, t)
-	w.s.check.died(t, w)
-	w.s.check.left(t, w)
-	if w.s.jobs[t.job].spec.Job.Kind == 1 && x.state == workers.Running {
-		w.peers(t, x.attempt)
+	w.sim.check.taskLost(t, w)
+	w.sim.check.taskRemoved(t, w)
+	if w.sim.jobs[t.job].spec.Job.Kind == jobs.Gang && run.state == workers.Running {
+		w.endPeers(t, run.attempt)
 	}
 }
 
-// peers ends the other tasks of a running gang, GangPeerS after one of its tasks was lost.
-func (w *worker) peers(t task, attempt uint64) {
-	w.s.after(settingsSeconds(w.s.cfg.Deployment.Workers.GangPeerS), func() {
-		for _, o := range w.s.cloud.machines {
-			for ot, ox := range o.tasks {
-				if ot.job == t.job && ox.attempt == attempt && ox.state == workers.Running {
-					o.finish(ot, workers.PeersLost)
+// endPeers ends the other tasks of a running gang, GangPeerS after one of its tasks was lost.
+func (w *worker) endPeers(t task, attempt uint64) {
+	w.sim.after(settingsSeconds(w.sim.cfg.Deployment.Workers.GangPeerS), func() {
+		for _, other := range w.sim.cloud.machines {
+			for otherTask, otherRun := range other.tasks {
+				if otherTask.job == t.job && otherRun.attempt == attempt && otherRun.state == workers.Running {
+					other.endTask(otherTask, workers.PeersLost)
 				}
 			}
 		}
