--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -279,7 +279,7 @@
 	case cancellationsAtCompletion:
 		s.cancelAtEndShare = 0.3 + 0.7*r.Float64()
 		s.after(duration, func() { s.cancelAtEndShare = 0 })
-	case earlyBoots: // some machines are removed so that others are rented, which boot before the cloud answers
+	case earlyBoots: // removes some machines; those rented instead boot before the cloud answers
 		before := s.cloud.bootTime
 		s.cloud.bootTime, s.cloud.answerDelay = 0, time.Duration(500+r.IntN(3000))*time.Millisecond
 		for _, m := range f.pickMachines(4) {
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -102,7 +102,7 @@
 		cfg.Tunables.ColdStarts, cfg.Tunables.ColdImages = float64(arg(t, d, "starts", 0)), arg(t, d, "images", 0)
 	}
 	if d.HasArg("direct") { // the wait objective is shorter than an idle worker's report interval
-		cfg.Tunables.PushDispatches, cfg.Tunables.ReadyWindowS, cfg.Tunables.ProbeSilent = arg(t, d, "direct", 8), 600, arg(t, d, "ask", 0)
+		cfg.Tunables.PushDispatches, cfg.Tunables.ReadyWindowS, cfg.Tunables.ProbeSilent = arg(t, d, "direct", 8), 600, arg(t, d, "probe-silent", 0)
 		cfg.Deployment.Workers.ReportS, cfg.Deployment.Workers.LeaseS = 4, 18
 		cfg.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 	}
@@ -161,7 +161,7 @@
 		return j.state
 	case "abort":
 		s.cancel(s.jobs[id], arg(t, d, "at", 0))
-	case "told-by-production":
+	case "cancelled-by-old-version":
 		// A leader of the version in production writes a cancellation, reports it to the user at
 		// once although tasks may still run, and terminates.
 		j := s.jobs[id]
@@ -215,7 +215,7 @@
 				c.start(d.HasArg("old"))
 			}
 		}
-	case "quick": // crashes the leader, or all controllers, repeatedly, with a restart after 100 ms
+	case "crash-loop": // crashes the leader, or all controllers, repeatedly, with a restart after 100 ms
 		for range arg(t, d, "times", 1) {
 			list := slices.Clone(s.nodes)
 			if arg(t, d, "node", "") != "all" {
@@ -244,7 +244,7 @@
 		if d.HasArg("outage") {
 			s.state.outage = true
 		}
-		if d.HasArg("back") {
+		if d.HasArg("recover") {
 			s.state.recover()
 			s.state.refused = map[string]bool{}
 		}
@@ -253,24 +253,24 @@
 				s.state.refused[c.name] = true
 			}
 		}
-		s.state.limitsLowered = s.state.limitsLowered || d.HasArg("lower")
-		s.state.answersToLose += arg(t, d, "lose", 0)
+		s.state.limitsLowered = s.state.limitsLowered || d.HasArg("lower-limits")
+		s.state.answersToLose += arg(t, d, "lose-answers", 0)
 		s.state.delayNext = durationArg(t, d, "delay")
 		if d.HasArg("answers-lost") {
 			s.state.lossShare, s.state.onlyAnswerLost = arg(t, d, "answers-lost", 0.0), true
 		}
 	case "cloud":
 		s.cloud.outage = d.HasArg("outage")
-		s.cloud.bootFailures += arg(t, d, "dud", 0)
-		s.cloud.delayNext = durationArg(t, d, "late")
+		s.cloud.bootFailures += arg(t, d, "boot-failures", 0)
+		s.cloud.delayNext = durationArg(t, d, "delay")
 		if d.HasArg("boot") {
 			s.cloud.bootTime = durationArg(t, d, "boot")
 		}
-		s.cloud.answerDelay = durationArg(t, d, "answers")
+		s.cloud.answerDelay = durationArg(t, d, "answer-delay")
 		if d.HasArg("capacity") {
 			s.cloud.capacity = arg(t, d, "capacity", 0)
 		}
-	case "cut":
+	case "partition":
 		for _, h := range r.hosts(t, d) {
 			from := []string{arg(t, d, "from", "")}
 			if from[0] == "others" { // all controllers except the leader
@@ -285,15 +285,15 @@
 				s.partitions = append(s.partitions, &partition{host: h, peer: w, holdPackets: d.HasArg("hold")})
 			}
 		}
-	case "cut-zone": // partitions a zone: its machines and one controller reach only one another
+	case "partition-zone": // partitions a zone: its machines and one controller reach only one another
 		s.partitionZone(arg(t, d, "zone", "b"), arg(t, d, "node", "n2"), 0, d.HasArg("hold"))
-	case "refuse-peers": // partitions every pair of controllers
+	case "partition-peers": // partitions every pair of controllers
 		for i, a := range s.nodes {
 			for _, b := range s.nodes[i+1:] {
 				s.partitions = append(s.partitions, &partition{host: a.name, peer: b.name})
 			}
 		}
-	case "apart": // the number of controllers that report to the load balancer that they are partitioned
+	case "partitioned-nodes": // the number of controllers that report themselves as partitioned
 		n := 0
 		for _, c := range s.nodes {
 			if c.up && c.core.Partitioned(c.clock()) {
@@ -301,7 +301,7 @@
 			}
 		}
 		return fmt.Sprintf("%d", n)
-	case "deafen": // partitions the leader from all machines and peers
+	case "isolate-leader": // partitions the leader from all machines and peers
 		leader := s.leader()
 		for _, c := range s.nodes {
 			if c != leader {
@@ -330,33 +330,33 @@
 			w.hung = true
 			s.after(durationArg(t, d, "for"), func() { w.hung = false })
 		}
-	case "deaf": // one-way partition: drops all packets to the machines; their reports still arrive
+	case "drop-inbound": // one-way partition: drops all packets to the machines; their reports still arrive
 		for _, h := range r.hosts(t, d) {
 			s.inboundLost[h] = true
 			if v := durationArg(t, d, "for"); v > 0 {
 				s.after(v, func() { delete(s.inboundLost, h) })
 			}
 		}
-	case "mute": // one-way partition: drops the machines' reports; direct commands still reach them
+	case "drop-reports": // one-way partition: drops the machines' reports; direct commands still reach them
 		for _, h := range r.hosts(t, d) {
 			s.reportsLost[h] = true
 			if v := durationArg(t, d, "for"); v > 0 {
 				s.after(v, func() { delete(s.reportsLost, h) })
 			}
 		}
-	case "keep-reports": // keeps a copy of this share of the reports, to be replayed to the next leader
+	case "replay-reports": // keeps a copy of this share of the reports, to be replayed to the next leader
 		s.replayShare = arg(t, d, "share", 0.5)
 	case "freeze": // pauses controllers while their clocks keep running
 		for _, c := range r.controllers(t, d) {
 			s.pausedUntil[c.name] = s.now + durationArg(t, d, "for")
 		}
-	case "cancel-now": // users cancel up to that many running jobs within 200 ms
+	case "cancel-running": // users cancel up to that many running jobs within 200 ms
 		s.cancelRunning(s.rng, arg(t, d, "count", 1), durationArg(t, d, "hang"))
-	case "cancel-at-end": // users cancel this share of the jobs at the moment their last task completes
+	case "cancel-at-completion": // users cancel this share of the jobs at the moment their last task completes
 		s.cancelAtEndShare = arg(t, d, "share", 1.0)
-	case "looks": // users poll intensively after each new answer
+	case "intensive-polling": // users poll intensively after each new answer
 		s.intensivePolling = !d.HasArg("off")
-	case "odd": // users send invalid or redundant requests about a job
+	case "invalid-requests": // users send invalid or redundant requests about a job
 		for i := range arg(t, d, "times", 1) {
 			s.sendInvalidRequest(s.jobs[id], i)
 			s.run(300 * time.Millisecond)
@@ -372,15 +372,15 @@
 		s.submitBurst(s.rng, arg(t, d, "count", 12))
 	case "stream": // submits four one-task jobs a second and cancels a quarter of them
 		s.submitStream(s.rng, durationArg(t, d, "for"))
-	case "calm": // marks the end of fault injection
+	case "end-faults": // marks the end of fault injection
 		s.check.faultsEndedAt = s.now
-	case "reborn": // restarts machines at once under the same names, with all state lost
+	case "restart-empty": // restarts machines at once under the same names, with all state lost
 		for _, h := range r.hosts(t, d) {
 			s.cloud.machines[h].restartEmpty()
 		}
-	case "repeat": // duplicates some reports and direct commands, delayed by at most this long
-		s.duplicateDelay = durationArg(t, d, "late")
-	case "apart-node": // partitions a controller from the state service and its peers, but not from its workers
+	case "duplicate-messages": // duplicates some reports and direct commands, delayed by at most this long
+		s.duplicateDelay = durationArg(t, d, "max-delay")
+	case "isolate-node": // partitions a controller from the state service and its peers, not from workers
 		for _, c := range r.controllers(t, d) {
 			s.state.refused[c.name] = true
 			for _, o := range s.nodes {
@@ -389,9 +389,9 @@
 				}
 			}
 		}
-	case "left": // the number of tasks of a job that are on any machine
+	case "remaining-tasks": // the number of tasks of a job that are on any machine
 		return fmt.Sprint(s.tasksOnMachines(id))
-	case "sent": // whether starts were sent directly to workers
+	case "direct-dispatches": // whether starts were sent directly to workers
 		return fmt.Sprint(s.directDispatches > 0)
 	case "faulty":
 		for _, h := range r.hosts(t, d) {
@@ -405,7 +405,7 @@
 			w.reportSoon()
 			s.after(in, w.terminate)
 		}
-	case "cleaned":
+	case "segments-read":
 		return fmt.Sprintf("%v", s.state.segmentsRead > 3)
 	case "machines":
 		n := 0
@@ -417,7 +417,7 @@
 		return fmt.Sprintf("%d", n)
 	case "deleted":
 		return fmt.Sprintf("%v", s.cloud.deletions > 0)
-	case "switch": // changes a setting of all controllers, which applies at their next start
+	case "set-takeovers": // changes a setting of all controllers, which applies at their next start
 		for _, c := range s.nodes {
 			c.cfg.Tunables.TakeoversKept = arg(t, d, "takeovers", 0)
 		}
@@ -427,7 +427,7 @@
 		return s.configState()
 	case "resize":
 		s.resize(fmt.Sprint(s.now), arg(t, d, "pool", "licence"), arg(t, d, "units", 1))
-	case "out": // the units in use, counted from the tasks that run
+	case "units-in-use": // the units in use, counted from the tasks that run
 		return fmt.Sprint(s.check.unitsInUse()[arg(t, d, "pool", "licence")])
 	case "takeovers": // the takeovers that the leader has recorded, latest first, with their steps reached
 		leader := s.leader()
@@ -447,7 +447,7 @@
 			out = append(out, fmt.Sprintf("epoch %d: %d steps", r.Epoch, len(r.After)))
 		}
 		return strings.Join(out, "\n")
-	case "cold": // the leader's record of a cold start: differences by name, and unnecessary commands
+	case "cold-start": // the leader's record of a cold start: differences by name, and unnecessary commands
 		leader := s.leader()
 		if leader == nil {
 			return "no leader"
@@ -502,14 +502,14 @@
 			}
 		}
 		return "even"
-	case "take": // the cloud reclaims machines that run tasks of a job, without notice
+	case "reclaim": // the cloud reclaims machines that run tasks of a job, without notice
 		for _, h := range r.hosts(t, d) {
 			s.cloud.machines[h].terminate()
 			delete(s.cloud.machines, h)
 		}
 	case "started": // the number of tasks started so far
 		return fmt.Sprint(s.check.starts)
-	case "noted":
+	case "logged":
 		for _, c := range s.nodes {
 			for _, n := range c.logMessages {
 				if strings.Contains(n, d.CmdArgs[0].Vals[0]) {
@@ -524,7 +524,7 @@
 			return "not available"
 		}
 		return strings.Join(e.Words, "\n")
-	case "rules":
+	case "invariants":
 		if len(s.check.violations) > 0 {
 			return strings.Join(s.check.violations, "\n")
 		}
