--- a/internal/scenario/cold_test.go
+++ b/internal/scenario/cold_test.go
@@ -17,15 +17,15 @@
 	"bitternmoor/internal/wire"
 )
 
-// unnecessaryKind is an order that somebody who sees everything would not have given.
+// unnecessaryKind is a kind of command that a leader with complete information would not have issued.
 type unnecessaryKind uint8
 
 const (
-	startedCompleted unnecessaryKind = iota // a task that had its result already
-	resultsLost                             // no order: results that nobody had heard, gone with their machine or session
-	deletedBusy                             // a machine that ran something, could be heard, and was not taken by the cloud
-	rentedUnused                            // a machine that came up, and was deleted without ever having had a task
-	stoppedRunning                          // a running task whose user had not cancelled it
+	startedCompleted unnecessaryKind = iota // a completed task was started again
+	resultsLost                             // not a command: results that no controller had received were lost with their machine or session
+	deletedBusy                             // a machine was deleted that ran tasks, was reachable and had not been reclaimed by the cloud
+	rentedUnused                            // a machine booted and was deleted without ever having run a task
+	stoppedRunning                          // a running task was stopped although its user had not cancelled its job
 )
 
 func (c *checker) countUnnecessary(k unnecessaryKind) {
@@ -35,12 +35,12 @@
 	c.unnecessary[k]++
 }
 
-// reachable says whether a machine has been up, awake and connected for a while.
+// reachable reports whether a machine is up, not hung and connected, and has been so for 20 seconds.
 func (s *sim) reachable(w *worker) bool {
 	return w.up && !w.hung && w.reclaimAt == 0 && s.partitionBetween(w.name, "cloud") == nil && s.now-w.healthySince > 20*time.Second
 }
 
-// machineDeleted holds a deletion against what was really on the machine.
+// machineDeleted counts a deletion as unnecessary if the machine was busy or had never been used.
 func (c *checker) machineDeleted(w *worker) {
 	busy := false
 	for t := range w.tasks {
@@ -54,7 +54,7 @@
 	}
 }
 
-// coldSettings is a deployment with two teams and the cold start switched on.
+// coldSettings returns settings with two teams and, if on, with the cold start features enabled.
 func coldSettings(on bool) settings.Settings {
 	c := baseSettings()
 	c.Deployment.Teams = []settings.Team{{Name: "team", CPUs: 40, CPUsMax: 160}, {Name: "other", CPUs: 40, CPUsMax: 120}}
@@ -65,8 +65,8 @@
 	return c
 }
 
-// coldDay plays a day on which all controllers go down at once, come back one by one,
-// and a share of the machines has died, hung, been cut off or been taken meanwhile.
+// coldDay simulates a cold start: all controllers go down at once and return one by one, while a share
+// of the machines crashes, hangs, is partitioned or is reclaimed by the cloud.
 func coldDay(t *testing.T, seed uint64, machines int, on bool) *sim {
 	r := rand.New(rand.NewPCG(seed, 22))
 	s := newSim(coldSettings(on), seed, 3, false)
@@ -116,7 +116,7 @@
 	}
 	old, apart := seed%6 == 1, seed%7 == 3
 	s.after(crash, func() {
-		kept := r.IntN(3) // goes on answering its workers, cut off from everybody else
+		kept := r.IntN(3) // with apart, this controller stays up and reaches only its workers
 		for i, n := range s.nodes {
 			if !apart || i != kept {
 				n.crash()
@@ -129,7 +129,7 @@
 				}
 			}
 			s.after(down+12*time.Second, func() { s.heal(n.name) })
-			say("%s is cut off from all but its workers", n.name)
+			say("%s is partitioned from all but its workers", n.name)
 		}
 		say("all controllers are down for %v", down)
 		names := make([]string, 0, len(s.cloud.machines))
@@ -155,18 +155,18 @@
 				case 2:
 					s.partitions = append(s.partitions, &partition{host: n, holdPackets: r.IntN(2) == 0})
 					s.after(length, func() { s.heal(n); w.healthySince = s.now })
-				case 3: // taken by the cloud
+				case 3: // reclaimed by the cloud
 					w.terminate()
 					delete(s.cloud.machines, n)
-				default: // its last report and what follows are lost: it only comes late
+				default: // switches to another controller, so that its reports arrive late
 					w.controllerIndex = r.IntN(3)
 				}
 			})
 		}
-		say("%d of %d machines are hit meanwhile", len(hit), len(names))
+		say("%d of %d machines are affected by faults meanwhile", len(hit), len(names))
 	})
 	back := crash + down
-	switch r.IntN(5) { // an outage that ends before, during and after
+	switch r.IntN(5) { // a state service outage that ends before, at or after the controllers' return
 	case 0:
 		s.after(crash, func() { s.state.outage = true })
 		s.after(back-time.Second, func() { s.state.recover() })
@@ -179,7 +179,7 @@
 	}
 	returns := func(from time.Duration) {
 		at := from
-		first := r.IntN(3) // which of them is old
+		first := r.IntN(3) // the one that starts on the old version
 		for i, k := range r.Perm(3) {
 			n := s.nodes[k]
 			s.after(at, func() {
@@ -195,14 +195,14 @@
 				if i > 0 && r.IntN(6) == 0 {
 					s.state.refused[n.name] = true
 					s.after(12*time.Second, func() { delete(s.state.refused, n.name) })
-					say("%s is refused by the state service", n.name)
+					say("the state service refuses %s", n.name)
 				}
 			})
 			at += time.Duration(r.IntN(9000)) * time.Millisecond
 		}
 	}
 	returns(back)
-	for again := r.IntN(3); again > 0; again-- { // down again before the census is over
+	for again := r.IntN(3); again > 0; again-- { // all crash again before the census has ended
 		at := back + time.Duration(r.IntN(9000))*time.Millisecond
 		s.after(at, func() {
 			for _, n := range s.nodes {
@@ -212,7 +212,7 @@
 		})
 		returns(at + 3*time.Second)
 	}
-	if old { // in the end all are new
+	if old { // finally all run the new version
 		s.after(back+40*time.Second, func() {
 			for _, n := range s.nodes {
 				if n.oldVersion {
@@ -246,20 +246,20 @@
 		log = append(log, s.stuck()...)
 	}
 	if len(s.check.violations) > 0 || !over {
-		t.Errorf("over %v; rules broken: %s\n%s", over, strings.Join(s.check.violations, "\n"), strings.Join(log, "\n"))
+		t.Errorf("all jobs ended: %v; violated invariants: %s\n%s", over, strings.Join(s.check.violations, "\n"), strings.Join(log, "\n"))
 	}
 	if s.check.starts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task ran")
 	}
-	// Nobody could have known of results that went with their machines; every other
-	// task is started only as often as it has to be.
+	// Results lost with their machines are unknown to the leader; no other completed task may be
+	// started again.
 	if s.check.unnecessary[startedCompleted] > s.check.unnecessary[resultsLost] {
-		t.Errorf("%d tasks were started that were done, though only %d results were lost\n%s", s.check.unnecessary[startedCompleted], s.check.unnecessary[resultsLost], strings.Join(log, "\n"))
+		t.Errorf("%d completed tasks were started again, but only %d results were lost\n%s", s.check.unnecessary[startedCompleted], s.check.unnecessary[resultsLost], strings.Join(log, "\n"))
 	}
 	return s
 }
 
-// stuck says what the leader has to say of jobs that do not come to their end.
+// stuck describes the jobs that have not ended, with the leader's explanation of each.
 func (s *sim) stuck() (out []string) {
 	for id, j := range s.jobs {
 		if !j.accepted || j.toldDone || j.toldCancelled {
@@ -275,11 +275,12 @@
 	return out
 }
 
-// TestColdDays plays random cold starts of fifty machines. Nothing runs twice, nothing is
-// forgotten, each class and team is served, and needless orders stay within a bound,
-// over all days: no machine is deleted that ran something and could be heard, and hardly
-// any is rented that is not used. SCENARIO_DAYS sets how many days, COLD_MACHINES of how
-// many machines.
+// TestColdDays simulates random cold starts with fifty machines. No task may run twice, no job may be
+// lost, and each class and team must be served. Over all runs, unnecessary commands stay within
+// bounds: no reachable machine with tasks is deleted, and few machines are rented and never used.
+// SCENARIO_DAYS sets the number of runs, COLD_MACHINES the number of machines.
+//
+// COLD_OFF disables the cold start features, for comparison.
 func TestColdDays(t *testing.T) {
 	days, machines := 40, 50
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
@@ -288,7 +289,7 @@
 	if v, err := strconv.Atoi(os.Getenv("COLD_MACHINES")); err == nil {
 		machines = v
 	}
-	on := os.Getenv("COLD_OFF") == "" // to compare
+	on := os.Getenv("COLD_OFF") == ""
 	sums := make([]map[unnecessaryKind]int, days)
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(days) {
@@ -303,18 +304,18 @@
 		for k, n := range x {
 			all[k] += n
 		}
-		if on && x[deletedBusy] > 0 && i%6 != 1 { // there a leader of the version in production does as it always did
-			t.Errorf("day %d: %d machines were deleted that ran something and could be heard", i, x[deletedBusy])
+		if on && x[deletedBusy] > 0 && i%6 != 1 { // in those runs a leader of the version in production may delete them
+			t.Errorf("seed %d: %d reachable machines with tasks were deleted", i, x[deletedBusy])
 		}
 	}
-	t.Logf("%d days: tasks started that were done %d (results lost %d), busy machines deleted %d, machines rented and not used %d, tasks stopped %d",
+	t.Logf("%d runs: completed tasks started again %d (results lost %d), busy machines deleted %d, machines rented and not used %d, tasks stopped %d",
 		days, all[startedCompleted], all[resultsLost], all[deletedBusy], all[rentedUnused], all[stoppedRunning])
 	if on && all[rentedUnused] > days*machines/10 {
-		t.Errorf("%d machines were rented and not used on %d days", all[rentedUnused], days)
+		t.Errorf("%d machines were rented and not used in %d runs", all[rentedUnused], days)
 	}
 }
 
-// countLostResults counts those that go with a machine or a session before anybody has heard them.
+// countLostResults counts the results that a worker loses before it has reported them.
 func (w *worker) countLostResults() {
 	for _, x := range w.ended {
 		if x.reason == workers.Completed {
@@ -323,9 +324,9 @@
 	}
 }
 
-// TestColdScale plays one cold start of so many machines as COLD_SCALE says, with and
-// without what is new, and prints what is ordered, at most in a second and in all, and when
-// the work is back. It is for docs/cold-start.md; CI leaves it out.
+// TestColdScale simulates a cold start with COLD_SCALE machines, with and without the cold start
+// features. It logs the number of commands, in all and at most in a second, and how long it takes until
+// the tasks run again. The figures are for docs/cold-start.md; CI skips this test.
 func TestColdScale(t *testing.T) {
 	machines, _ := strconv.Atoi(os.Getenv("COLD_SCALE"))
 	if machines == 0 {
@@ -364,17 +365,17 @@
 		switch i % 30 {
 		case 0: // killed
 			w.terminate()
-		case 1: // taken by the cloud
+		case 1: // reclaimed by the cloud
 			w.terminate()
 			delete(s.cloud.machines, n)
-		case 2: // cut off, and back later
+		case 2: // partitioned for a while
 			s.partitions = append(s.partitions, &partition{host: n})
 			s.after(down+20*time.Second, func() { s.heal(n) })
 		}
 	}
 	for t := range s.check.placements {
 		if !s.check.completedTasks[t] {
-			running[t] = true // was under way when the controllers went down
+			running[t] = true // in progress when the controllers went down
 		}
 	}
 	s.run(down)
@@ -410,11 +411,11 @@
 		spent += x
 	}
 	sent := func(k string) int { return s.scale.sent[k] - before[k] }
-	t.Logf("%d machines, down for %v, on %v: %d tasks under way, back 50 %% %v, 90 %% %v, all %v; starts %d (peak %d), rental requests %d (peak %d), deletions %d machines, %d requests (peak %d), "+
-		"changes written %d (peak %d), answers to users %d (peak %d); busy machines deleted %d, rented and not used %d, done tasks started %d; in the cores %.1f s in all",
+	t.Logf("%d machines, down for %v, features on %v: %d tasks in progress, running again 50 %% %v, 90 %% %v, all %v; starts %d (peak %d), rental requests %d (peak %d), deletions %d machines, %d requests (peak %d), "+
+		"changes written %d (peak %d), answers to users %d (peak %d); busy machines deleted %d, rented and not used %d, completed tasks started again %d; %.1f s of real time in the cores",
 		machines, down, on, len(running), back[50], back[90], back[100], s.check.starts-starts, peak["starts"], sent("Rent"), peak["Rent"], s.cloud.deletions-deleted, sent("Delete"), peak["Delete"],
 		s.state.writes-writes, peak["changes"], sent("Reply"), peak["Reply"], s.check.unnecessary[deletedBusy], s.check.unnecessary[rentedUnused], s.check.unnecessary[startedCompleted], spent.Seconds())
 	if len(s.check.violations) > 0 {
-		t.Errorf("rules broken: %d, the first: %s", len(s.check.violations), s.check.violations[0])
+		t.Errorf("%d violated invariants, the first: %s", len(s.check.violations), s.check.violations[0])
 	}
 }
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -16,19 +16,19 @@
 	"bitternmoor/internal/settings"
 )
 
-// configPlay is what operators change of the configuration on a day, and what must hold of it.
+// configPlay is the state of configuration changes in a simulation and of the invariants on them.
 type configPlay struct {
-	limits  map[string]float64 // most processors of a team, where they were changed; 0: any number
-	queue   []func()           // changes that wait for one another, the one under way first
-	durable uint64             // the newest revision that an operator knows to be durable
-	seen    map[string]uint64  // by controller and life, the newest revision that it had
+	limits  map[string]float64 // CPU limits of the teams whose limit was changed; 0: none
+	queue   []func()           // queued changes, the one in progress first
+	durable uint64             // newest revision that was reported durable to an operator
+	seen    map[string]uint64  // newest revision observed, by controller and incarnation
 	changes int
 }
 
-// onItsWay is for how long a start may be on its way that was sent before a change.
+// onItsWay is how long a start that was sent before a change may still be in flight.
 const onItsWay = 6 * time.Second
 
-// teamLimit is how many processors a team may use now.
+// teamLimit returns the number of CPUs that a team may use now.
 func (s *sim) teamLimit(t settings.Team) float64 {
 	if v, changed := s.configs.limits[t.Name]; changed {
 		return v
@@ -43,7 +43,7 @@
 	s.configs.limits[name] = v
 }
 
-// limitIn is the limit that a change gives a team.
+// limitIn returns the CPU limit of a team after a change.
 func (s *sim) limitIn(c config.Change) float64 {
 	if c.Value.Limits != nil {
 		return c.Value.Limits.CPUsMax
@@ -58,8 +58,8 @@
 
 func higher(a, b float64) bool { return b != 0 && (a == 0 || a > b) }
 
-// reconfigure has an operator make a change: asked for again until it is durable. One follows
-// the other.
+// reconfigure queues an operator's change, which is retried until it is durable. Changes are made one
+// after the other.
 func (s *sim) reconfigure(id string, changes []config.Change) {
 	p := &s.configs
 	p.queue = append(p.queue, func() { s.reconfigureNow(id, changes) })
@@ -72,7 +72,7 @@
 	for _, c := range changes {
 		for _, t := range s.cfg.Deployment.Teams {
 			if to := s.limitIn(c); t.Name == c.Item.Team && higher(to, s.teamLimit(t)) {
-				s.setLimit(t.Name, to) // it may count from now on
+				s.setLimit(t.Name, to) // a higher limit may be in force from now on
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 	try()
 }
 
-// configured has lower limits count, and the next change begin.
+// configured puts the limits of a durable change in force for the checker and starts the next change.
 func (s *sim) configured(changes []config.Change) {
 	for _, c := range changes {
 		if c.Item.Team != "" {
@@ -121,7 +121,7 @@
 	}
 }
 
-// configView is what a leader shows, if it is sure to lead.
+// configView returns the leader's view of the configuration, if the leader is sure of its term.
 func (c *controller) configView() (view reconfig.View, ok bool) {
 	if c.oldVersion || !c.up || !c.core.Status(c.clock()).Sure {
 		return view, false
@@ -130,8 +130,8 @@
 	return view, err == nil && known && raw != nil && json.Unmarshal(raw, &view) == nil
 }
 
-// tellConfig has a controller take what the leader tells of the configuration, and gives the
-// revision that it has then.
+// tellConfig applies the leader's configuration update at a controller and returns the controller's
+// revision afterwards.
 func (s *sim) tellConfig(from, to *controller, u *config.Update) uint64 {
 	if u == nil || to.oldVersion {
 		return 0
@@ -141,8 +141,8 @@
 	return to.core.ApplyConfig(to.clock(), from.name, *u)
 }
 
-// watchConfig holds that no controller goes back to an older revision, and that a leader has all
-// that is durable.
+// watchConfig checks that a controller never returns to an older revision, and that a leader has every
+// durable revision.
 func (s *sim) watchConfig(c *controller) {
 	if !c.up || c.oldVersion || c.cfg.Tunables.ConfigHistory == 0 {
 		return
@@ -162,8 +162,8 @@
 	}
 }
 
-// configDay has operators change limits and tunables on a random day, and give jobs their room
-// in the end.
+// configDay schedules random changes of limits and tunables, and a final one that restores the team's
+// limit so that its jobs can run.
 func configDay(s *sim, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 77))
 	limit := func(v float64) config.Change {
@@ -191,14 +191,14 @@
 	s.after(0, watch)
 }
 
-// inForceWithin is how soon a change must be in force everywhere once nothing fails.
+// inForceWithin is the time within which a change must be in force everywhere once faults have ended.
 const inForceWithin = 11 * time.Second
 
-// configEverywhere holds that all controllers have what the leader has, soon after the last change.
+// configEverywhere checks that all controllers have the leader's revision soon after the last change.
 func (s *sim) configEverywhere(t *testing.T) {
 	t.Helper()
 	if !s.runUntil(2*time.Minute, func() bool { return len(s.configs.queue) == 0 && s.leader() != nil }) {
-		t.Fatalf("%d changes are not made", len(s.configs.queue))
+		t.Fatalf("%d changes are still queued", len(s.configs.queue))
 	}
 	same := func() bool {
 		l := s.leader()
@@ -215,11 +215,11 @@
 		t.Errorf("not in force everywhere: %s", s.configState())
 	}
 	if s.configs.changes == 0 {
-		t.Error("nothing was changed")
+		t.Error("no change was made")
 	}
 }
 
-// configState is what the leader and each controller have.
+// configState describes the leader's configuration and the revision of each controller.
 func (s *sim) configState() string {
 	var out []string
 	if l := s.leader(); l != nil {
@@ -247,7 +247,7 @@
 	return strings.Join(out, "\n")
 }
 
-// configChanges reads a command's changes.
+// configChanges returns the changes that a scenario command describes.
 func configChanges(t *testing.T, d *datadriven.TestData) (out []config.Change) {
 	t.Helper()
 	item := config.Item{Team: arg(t, d, "team", "team")}
@@ -266,7 +266,7 @@
 	return out
 }
 
-// TestConfigCheckerCatches breaks each rule of the configuration on purpose.
+// TestConfigCheckerCatches violates each invariant of the configuration and checks that it is detected.
 func TestConfigCheckerCatches(t *testing.T) {
 	s, j, w1, _ := newCheckedSim()
 	j.spec.Job.Tasks = 9
@@ -277,7 +277,7 @@
 	if len(s.check.violations) > 0 {
 		t.Fatal(s.check.violations)
 	}
-	s.setLimit("team", 1) // what runs may go on, and nothing may start
+	s.setLimit("team", 1) // running tasks may go on, but none may start
 	s.check.taskStarted(task{1, 2}, w1)
 	c := baseSettings()
 	c.Tunables.ConfigHistory = 3
@@ -285,7 +285,7 @@
 	d.run(10 * time.Second)
 	l := d.leader()
 	if l == nil {
-		t.Fatal("nobody leads")
+		t.Fatal("no leader")
 	}
 	d.configs.durable = 7
 	d.configs.seen = map[string]uint64{fmt.Sprint(l.name, l.incarnation): 9}
@@ -295,7 +295,7 @@
 		broken []string
 	}{{"quota", s.check.violations}, {"config_went_back", d.check.violations}, {"config_lost", d.check.violations}} {
 		if !slices.ContainsFunc(x.broken, func(b string) bool { return strings.HasPrefix(b, x.rule) }) {
-			t.Errorf("%s was not seen: %v", x.rule, x.broken)
+			t.Errorf("%s was not detected: %v", x.rule, x.broken)
 		}
 	}
 }
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_test.go
@@ -12,14 +12,14 @@
 	"bitternmoor/internal/wire"
 )
 
-// meeting is a day on which the state service refuses the leader alone, another controller
-// is asked to cancel jobs, and then the state service is down for all.
+// meeting is a variant of TestConfirmedThenOutage: the state service refuses only the leader, jobs are
+// cancelled at another controller, and then the state service has an outage.
 type meeting struct {
-	peers  bool   // the old leader and the others reach one another
-	direct bool   // the others reach the machines
-	cloud  bool   // the cloud answers, and does not only after the outage
-	trial  string // what troubles machines of the jobs
-	then   string // what becomes of the controllers once a cancellation was confirmed
+	peers  bool   // the old leader and the other controllers reach one another
+	direct bool   // the other controllers reach the machines
+	cloud  bool   // the cloud is available; otherwise only after the outage
+	trial  string // the fault of machines that run the jobs
+	then   string // what happens to the controllers once a cancellation was confirmed
 	delay  time.Duration
 }
 
@@ -28,16 +28,17 @@
 	return fmt.Sprintf("peers %s/machines %s/cloud %s/machines are %s/then %s/outage after %v", yes[m.peers], yes[m.direct], yes[m.cloud], m.trial, m.then, m.delay)
 }
 
-// met counts what the meetings brought about.
+// met accumulates the results of all variants.
 type met struct {
 	sync.Mutex
 	played, confirmed, before, kept int
-	waited                          []time.Duration // from the wish to the confirmation
+	waited                          []time.Duration // times from request to confirmation
 }
 
-// TestConfirmedThenOutage plays the meeting in all its variants: no task of a job may run
-// for longer than a cancellation has after its user was told, and every cancellation comes
-// to its end once the troubles are over.
+// TestConfirmedThenOutage guards against tasks that outlive a confirmed cancellation: the state service
+// refuses only the leader, another controller confirms a cancellation, and then a state outage begins.
+// In no variant may a task run on past the cancellation deadline, and every cancellation completes once
+// the faults have ended.
 func TestConfirmedThenOutage(t *testing.T) {
 	var sum met
 	t.Run("days", func(t *testing.T) {
@@ -61,10 +62,10 @@
 		}
 	})
 	slices.Sort(sum.waited)
-	t.Logf("%d days: %d cancellations confirmed, %d of them before the outage; %d jobs left to run on; from wish to confirmation: median %v, nine of ten within %v", sum.played, sum.confirmed, sum.before, sum.kept,
+	t.Logf("%d runs: %d cancellations confirmed, %d of them before the outage; %d other jobs completed; from request to confirmation: median %v, 90th percentile %v", sum.played, sum.confirmed, sum.before, sum.kept,
 		sum.waited[len(sum.waited)/2].Round(10*time.Millisecond), sum.waited[len(sum.waited)*9/10].Round(10*time.Millisecond))
 	if sum.before < sum.played/2 || sum.kept < sum.played {
-		t.Errorf("%d of %d days had a cancellation confirmed before the outage, %d jobs ran on", sum.before, sum.played, sum.kept)
+		t.Errorf("%d of %d runs had a cancellation confirmed before the outage, %d other jobs completed", sum.before, sum.played, sum.kept)
 	}
 }
 
@@ -88,7 +89,7 @@
 	if !s.runUntil(200*time.Second, func() bool {
 		return s.runningTasks(1) == 6 && s.runningTasks(2) == 3 && s.runningTasks(3) == 2 && s.runningTasks(5) == 4
 	}) {
-		t.Fatal("they never run")
+		t.Fatal("the tasks did not all start")
 	}
 	follows := submit(4, 0, 2, 1)
 	s.run(2 * time.Second)
@@ -137,7 +138,7 @@
 	}
 	s.cloud.outage = !m.cloud
 	if !s.runUntil(30*time.Second, func() bool { n := s.leader(); return n != nil && n != l }) {
-		t.Fatal("nobody else leads")
+		t.Fatal("no other controller leads")
 	}
 	asked := s.now
 	for _, j := range cancelling {
@@ -145,7 +146,7 @@
 			s.cancel(j, s.leader().index)
 		}
 	}
-	if m.trial == "taking starts" { // some are on their way
+	if m.trial == "taking starts" { // some of its starts are in flight
 		submit(6, 0, 5)
 	}
 	if s.runUntil(40*time.Second, func() bool { return array.toldCancelled }) {
@@ -188,13 +189,13 @@
 	if !s.runUntil(5*time.Minute, func() bool {
 		return !slices.ContainsFunc(cancelling, func(j *userJob) bool { return !j.toldCancelled })
 	}) {
-		t.Errorf("not all cancellations came to their end: %s, %s, %s, %s", array.state, gang.state, service.state, follows.state)
+		t.Errorf("not all cancellations completed: %s, %s, %s, %s", array.state, gang.state, service.state, follows.state)
 	}
 	if !s.runUntil(10*time.Minute, func() bool { return stays.toldDone }) {
-		t.Errorf("the job that nobody cancelled is %s", stays.state)
+		t.Errorf("the job that was not cancelled is %s", stays.state)
 	}
 	if len(s.check.violations) > 0 {
-		t.Errorf("rules broken: %v", s.check.violations)
+		t.Errorf("violated invariants: %v", s.check.violations)
 	}
 	sum.Lock()
 	defer sum.Unlock()
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -11,11 +11,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// The types below are those of the version in production (deploy/service.toml
-// names its commit), as it writes them into the log and sends them between
-// controllers. They are frozen: they change only with the version in
-// production. A controller that a scenario runs as old reads and writes
-// through them, so that whatever that version does not know gets lost.
+// The types below are those that the version in production (deploy/service.toml names its commit) writes
+// to the log and sends between controllers. They are frozen and change only with the version in
+// production. A simulated controller of the old version encodes and decodes through them, so that fields
+// unknown to that version are lost.
 
 type prodEntry struct {
 	Job      *prodJob      `json:"j,omitempty"`
@@ -117,8 +116,7 @@
 	E []prodEntry `json:"e"`
 }
 
-// What production's controllers say to one another, as gob sees it: names and
-// types of fields are what counts.
+// Messages between controllers of the version in production. Gob matches fields by name and type.
 type (
 	prodAmounts struct{ CPU, GPU, Mem int64 }
 	prodCommand struct {
@@ -230,11 +228,11 @@
 	}
 )
 
-// asProductionReads is what production makes of a segment.
+// asProductionReads decodes a log segment with the types of the version in production and encodes it again.
 func asProductionReads(value json.RawMessage) json.RawMessage {
 	var v prodSegment
 	if err := json.Unmarshal(value, &v); err != nil {
-		panic(fmt.Sprintf("production cannot read a segment: %v", err))
+		panic(fmt.Sprintf("the version in production cannot decode a segment: %v", err))
 	}
 	out, err := json.Marshal(v)
 	if err != nil {
@@ -243,18 +241,17 @@
 	return out
 }
 
-// productionWrites checks that what an old controller writes is something
-// that production could have written.
+// productionWrites checks that a controller of the old version writes only log segments that the version
+// in production can write.
 func (c *checker) productionWrites(t eventlog.Transaction) {
 	for _, w := range t.Writes {
 		if n, err := eventlog.SegmentNumber(w.Key); err == nil && n > 0 && !w.Remove && !bytes.Equal(asProductionReads(w.Value), w.Value) {
-			c.fail("old version", "%s holds what production cannot write: %s", w.Key, w.Value)
+			c.fail("old version", "%s holds data that the version in production cannot write: %s", w.Key, w.Value)
 		}
 	}
 }
 
-// throughGob sends a message as one version encodes it and the other decodes
-// it.
+// throughGob encodes a message as one version does and decodes it as the other does.
 func throughGob(from, to any) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(from); err != nil {
@@ -265,7 +262,7 @@
 	}
 }
 
-// between is a report on its way from one controller to another.
+// between converts a relayed heartbeat as the versions of its sender and receiver do.
 func between(from, to *controller, r effects.RelayedHeartbeat) effects.RelayedHeartbeat {
 	if from.oldVersion == to.oldVersion {
 		return r
@@ -277,7 +274,7 @@
 	return out
 }
 
-// answered is the answer to it on its way back.
+// answered converts the answer to a relayed heartbeat as the versions of both controllers do.
 func answered(from, to *controller, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
 	if from.oldVersion == to.oldVersion {
 		return a
@@ -289,8 +286,7 @@
 	return out
 }
 
-// forwarded is a submission that came in at one controller and is served by
-// another.
+// forwarded converts a submission that one controller forwards to another as their versions do.
 func forwarded(at, served *controller, s wire.Submission) wire.Submission {
 	if (!at.oldVersion && !served.oldVersion) || s.Job == nil {
 		return s
--- a/internal/scenario/hands_test.go
+++ b/internal/scenario/hands_test.go
@@ -8,10 +8,10 @@
 	"bitternmoor/internal/settings"
 )
 
-// TestStartsWaitForGrants has the state service refuse the leader alone just before a machine
-// comes free, so that the grant of the next job there cannot be noted; then the leader ends, and
-// the machine is not heard by the next one for a while. Nothing may have been started there:
-// nobody would know.
+// TestStartsWaitForGrants guards against starts without a durable grant, which the next leader would not
+// find. The state service refuses only the leader just before machines become free, so the next job's
+// grants cannot be written. Then the leader crashes, and its successor does not hear one of the machines
+// for a while: no task may have been started there.
 func TestStartsWaitForGrants(t *testing.T) {
 	runSeeds(t, 12, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, nil)
@@ -21,7 +21,7 @@
 		d.awaitRunning(first, 4)
 		next := d.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
 		d.run(3 * time.Second)
-		d.cloud.capacity, d.cloud.bootTime = 12, 0 // for what would start elsewhere
+		d.cloud.capacity, d.cloud.bootTime = 12, 0 // so that the next job can start elsewhere
 		end := time.Hour
 		for k := range 4 {
 			end = min(end, d.runEnds[task{first.id, k}])
@@ -42,9 +42,9 @@
 	}, "machines free while the leader is refused")
 }
 
-// TestHolderBackAtOnce has the controllers that hold blocks end and be back within a tenth of
-// a second, while they start tasks on other machines of their block than those on which room
-// is kept: the new life knows of no offer that the former one has taken up.
+// TestHolderBackAtOnce guards against offers that are taken up twice. Controllers that hold blocks restart
+// within a tenth of a second, while they start tasks on machines of their block other than those with
+// reserved room. The new process does not know which offers the previous one has taken up.
 func TestHolderBackAtOnce(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, func(c *settings.Settings) {
@@ -57,7 +57,7 @@
 		for i := range 160 {
 			d.submitJobAfter(time.Duration(i)*200*time.Millisecond, time.Duration(2000+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true})
 		}
-		for i := range 50 { // some that have just begun tasks are not heard for a moment
+		for i := range 50 { // reports of machines with newly started tasks are lost for a moment
 			d.after(time.Duration(i)*650*time.Millisecond, func() {
 				for _, w := range d.faults.pickMachines(5) {
 					d.injectMachineFault("mute", []*worker{w}, 2500*time.Millisecond)
@@ -71,18 +71,18 @@
 					if n != l && n.up && d.random.IntN(2) == 0 {
 						n.crash()
 						d.faults.restartAfter(n, 100*time.Millisecond)
-						d.cover("a holder back at once")
+						d.cover("a block holder restarted at once")
 					}
 				}
 			})
 		}
 		d.run(40 * time.Second)
 		return d.endFaultsAndSettle(5 * time.Minute)
-	}, "a holder back at once")
+	}, "a block holder restarted at once")
 }
 
-// TestRepeatedStartAfterReap has copies of starts sent straight to workers arrive after their
-// jobs were cancelled, and their ended tasks reaped: none may begin once more.
+// TestRepeatedStartAfterReap guards against tasks that start again after they were reaped. Duplicates of
+// starts sent directly to workers arrive after the jobs were cancelled and their ended tasks reaped.
 func TestRepeatedStartAfterReap(t *testing.T) {
 	runSeeds(t, 8, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, directDispatchSettings)
@@ -94,7 +94,7 @@
 				sent := d.directDispatches
 				d.after(time.Duration(700+d.random.IntN(1500))*time.Millisecond, func() {
 					if d.directDispatches > sent && j.accepted {
-						d.cover("cancelled after it was sent straight to a worker")
+						d.cover("cancelled after it was sent directly to a worker")
 						d.cancelJob(j, i)
 					}
 				})
@@ -103,5 +103,5 @@
 		d.run(45 * time.Second)
 		d.duplicateDelay = 0
 		return d.endFaultsAndSettle(5 * time.Minute)
-	}, "cancelled after it was sent straight to a worker")
+	}, "cancelled after it was sent directly to a worker")
 }
--- a/internal/scenario/hot_test.go
+++ b/internal/scenario/hot_test.go
@@ -11,9 +11,9 @@
 	"bitternmoor/internal/wire"
 )
 
-// hotDay has one class of one team come at a rate that takes up more than what there is
-// for five minutes, beside two others at their usual ones. It returns the share of each
-// class and team that was done in time, by what users were told.
+// hotDay simulates five minutes in which the jobs of one class of one team exceed the capacity, beside two
+// other classes at their usual rates. It returns the share of jobs of each class and team whose users were
+// told in time that they are done.
 func hotDay(t *testing.T, seed uint64, floor float64, hot uint8) map[string]float64 {
 	c := baseSettings()
 	c.Deployment.Teams = []settings.Team{{Name: "team"}, {Name: "other"}}
@@ -39,7 +39,7 @@
 	}
 	for at := 10 * time.Second; at < 310*time.Second; at += time.Second {
 		if at%(3*time.Second) == 0 {
-			add("hot", "team", hot, at, 20, time.Duration(6+r.IntN(8))*time.Second) // 65 processors of 48
+			add("hot", "team", hot, at, 20, time.Duration(6+r.IntN(8))*time.Second) // demands 65 CPUs of 48
 		}
 		if at%(10*time.Second) == 0 {
 			add("slow", "other", 0, at, 4, time.Duration(20+r.IntN(10))*time.Second)
@@ -58,7 +58,7 @@
 	s.after(0, poll)
 	s.run(460 * time.Second)
 	if len(s.check.violations) > 0 {
-		t.Errorf("rules broken: %v", s.check.violations[0])
+		t.Errorf("violated invariants: %v", s.check.violations[0])
 	}
 	asked, met := map[string]float64{}, map[string]float64{}
 	for _, j := range s.jobs {
@@ -76,9 +76,9 @@
 	return out
 }
 
-// Where one class alone wants more than there is, urgent or not, every class and team has
-// half of its jobs in time at least. Without the exception an urgent one leaves the others
-// nothing.
+// TestHotClass checks that when one class alone demands more than the capacity, urgent or not, every class
+// and team still has at least half of its jobs done in time. Without the served_floor exception, an urgent
+// class leaves the others nothing.
 func TestHotClass(t *testing.T) {
 	for _, hot := range []uint8{1, 2} {
 		t.Run(fmt.Sprint("priority ", hot), func(t *testing.T) {
@@ -87,14 +87,14 @@
 			t.Logf("without %s, with %s", shares(off), shares(on))
 			for w := range on {
 				if on[w] < 0.5 {
-					t.Errorf("%s is served %.2f", w, on[w])
+					t.Errorf("%s: share done in time %.2f", w, on[w])
 				}
 				if hot == 2 && w != "class hot" && w != "team team" && off[w] >= 0.5 {
-					t.Errorf("%s is served %.2f without the exception: the day is not hard enough", w, off[w])
+					t.Errorf("%s: share done in time %.2f without the exception: the load is too low for this test", w, off[w])
 				}
 			}
 			if on["class hot"] < off["class hot"]-0.2 { // the others' floor is a seventh of the machines
-				t.Errorf("the hot class falls from %.2f to %.2f", off["class hot"], on["class hot"])
+				t.Errorf("the overloaded class falls from %.2f to %.2f", off["class hot"], on["class hot"])
 			}
 		})
 	}
--- a/internal/scenario/largest_test.go
+++ b/internal/scenario/largest_test.go
@@ -11,9 +11,9 @@
 	"bitternmoor/internal/wire"
 )
 
-// largestDay has small jobs come for six and a half minutes, a fifth more than there is room for,
-// and beside them, from the first minute on, two gangs that each want most of the machines, a
-// wide array of large tasks, and a gang of one zone.
+// largestDay simulates small jobs that arrive for six and a half minutes at a fifth above the capacity.
+// After the first minute come two gangs that each need most of the machines, a wide array of large tasks,
+// and a gang that must run in one zone.
 func largestDay(begin float64) *sim {
 	c := baseSettings()
 	c.Deployment.State.WriteRPS = 60
@@ -39,18 +39,18 @@
 	return s
 }
 
-// Where smaller jobs keep coming, the largest begin within four minutes all the same;
-// without the exception some of them do not.
+// TestLargestBegin checks that the largest jobs start within four minutes although smaller ones keep
+// arriving. Without the begin_within exception some of them do not.
 func TestLargestBegin(t *testing.T) {
 	late := func(s *sim) bool {
 		return slices.ContainsFunc(s.check.violations, func(b string) bool { return strings.HasPrefix(b, "begins_late") })
 	}
 	if s := largestDay(0); !late(s) {
-		t.Error("without the exception all begin in time: the day is not hard enough")
+		t.Error("without the exception all jobs start in time: the load is too low for this test")
 	}
 	s := largestDay(120)
 	if len(s.check.violations) > 0 {
-		t.Errorf("rules broken: %s", strings.Join(s.check.violations, "\n"))
+		t.Errorf("violated invariants: %s", strings.Join(s.check.violations, "\n"))
 	}
 	small, done := 0, 0
 	for _, j := range s.jobs {
@@ -62,6 +62,6 @@
 		}
 	}
 	if done*2 < small {
-		t.Errorf("%d of %d small jobs are done: they pay too much", done, small)
+		t.Errorf("only %d of %d small jobs are done", done, small)
 	}
 }
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -8,10 +8,10 @@
 	"bitternmoor/internal/settings"
 )
 
-// TestLimitsAndCancellations has every team at its limit while jobs are cancelled whose
-// machines are cut off, hang, are deaf or mute, and the leader changes before, at or after the
-// cancellation: no team gets more than its limit, what is cancelled is gone before its user is
-// told, and nobody waits for room that is long free.
+// TestLimitsAndCancellations cancels jobs while every team is at its limit, their machines are
+// partitioned, hang, are slow or lose packets one way, and the leader changes before, at or after the
+// cancellation. No team may exceed its limit, the tasks are gone before the user is told, and no job
+// waits for room that has long been free.
 func TestLimitsAndCancellations(t *testing.T) {
 	trials := []string{"cut", "held", "hung", "deaf", "mute", "slow"}
 	runSeeds(t, 9*len(trials), func(t *testing.T, seed uint64) *sim {
@@ -39,7 +39,7 @@
 		length := time.Duration(5+4*variant) * time.Second
 		on := d.machinesWithTasks(first[0])
 		d.injectMachineFault(trial, append(on[:1:1], d.machinesWithTasks(first[4])[0]), length)
-		when := time.Duration(variant%3-1) * 2500 * time.Millisecond // the leader ends before, at, or after
+		when := time.Duration(variant%3-1) * 2500 * time.Millisecond // the leader crashes before, at or after the cancellation
 		d.after(3*time.Second, func() {
 			for _, i := range []int{0, 1, 4, 5} {
 				d.cancelJob(first[i], i)
@@ -47,7 +47,7 @@
 		})
 		d.after(3*time.Second+when, func() {
 			d.restartLeader(8 * time.Second)
-			d.cover([]string{"the leader ended before", "the leader ended at once", "the leader ended after"}[variant%3])
+			d.cover([]string{"the leader crashed before", "the leader crashed at the same time", "the leader crashed after"}[variant%3])
 		})
 		if variant > 5 {
 			d.after(9*time.Second, func() { d.restartLeader(8 * time.Second) })
@@ -56,21 +56,22 @@
 		if !d.runUntil(45*time.Second, func() bool {
 			return first[0].toldCancelled && first[1].toldCancelled && first[4].toldCancelled && first[5].toldCancelled
 		}) {
-			t.Errorf("cancelled jobs are %s, %s, %s, %s", first[0].state, first[1].state, first[4].state, first[5].state)
+			t.Errorf("not all cancellations completed: %s, %s, %s, %s", first[0].state, first[1].state, first[4].state, first[5].state)
 		}
-		// Room is free then: it need not be waited for.
+		// Room is free then, and the waiting jobs must start.
 		if !d.runUntil(15*time.Second, func() bool { return d.check.startedAt[waiting[0].id] > 0 && d.check.startedAt[waiting[1].id] > 0 }) {
-			t.Error("jobs wait though what was cancelled has made room")
+			t.Error("jobs wait although the cancelled jobs have made room")
 		}
 		return d.endFaultsAndSettle(6 * time.Minute)
-	}, "jobs wait for their team's limit", "the leader ended before", "the leader ended at once", "the leader ended after")
+	}, "jobs wait for their team's limit", "the leader crashed before", "the leader crashed at the same time", "the leader crashed after")
 }
 
-// TestCancelledWhileWorkChangesHands cancels jobs in the seconds in which one controller's work
-// changes hands: it ends, is restarted in a roll, hands over, is refused, or its machines are
-// sent to others for balance, with offers, relayed reports and direct starts on their way.
+// TestCancelledWhileWorkChangesHands cancels jobs while machines switch to another controller: theirs
+// crashes, restarts in a rolling restart, hands over leadership, is refused by the state service, is
+// partitioned, or redirects machines to rebalance. Offers, relayed reports and direct starts are in
+// flight.
 func TestCancelledWhileWorkChangesHands(t *testing.T) {
-	trials := []string{"a controller ends", "a roll", "the leader hands over", "the leader is refused", "a controller cut off", "balance"}
+	trials := []string{"a controller crashes", "a rolling restart", "the leader hands over", "the leader is refused", "a controller partitioned", "rebalancing"}
 	var must []string
 	for _, trial := range trials {
 		must = append(must, trial+": cancelled while machines went to another controller")
@@ -78,7 +79,7 @@
 	runSeeds(t, 10*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
 		d := newHarness(t, seed, func(c *settings.Settings) {
-			if trial == "balance" || variant%2 == 0 {
+			if trial == "rebalancing" || variant%2 == 0 {
 				c.Tunables.RebalanceMoves = 8
 			}
 			if variant%3 == 1 {
@@ -98,10 +99,10 @@
 		l := d.awaitLeader()
 		n := d.nodes[(l.index+1)%3]
 		switch trial {
-		case "a controller ends":
+		case "a controller crashes":
 			n.crash()
 			d.faults.restartAfter(n, 8*time.Second)
-		case "a roll":
+		case "a rolling restart":
 			for i, n := range d.nodes {
 				d.after(time.Duration(4*i)*time.Second, func() {
 					n.crash()
@@ -114,15 +115,15 @@
 		case "the leader is refused":
 			d.state.refused[l.name] = true
 			d.after(12*time.Second, func() { delete(d.state.refused, l.name) })
-		case "a controller cut off":
+		case "a controller partitioned":
 			d.partitions = append(d.partitions, &partition{host: n.name, holdPackets: variant%2 == 0})
 			d.after(7*time.Second, func() { d.heal(n.name) })
-		case "balance": // one is back, and gets its share
+		case "rebalancing": // one returns, and machines are redirected to it
 			n.crash()
 			d.run(3 * time.Second)
 			n.start(false)
 		}
-		for i := range 60 { // more come, and are cancelled soon after they were accepted
+		for i := range 60 { // more jobs arrive, and half of them are cancelled soon after they were accepted
 			d.after(time.Duration(i)*200*time.Millisecond, func() {
 				j := next()
 				d.after(time.Duration(100+d.random.IntN(2500))*time.Millisecond, func() {
@@ -146,9 +147,9 @@
 	}, must...)
 }
 
-// TestBoundToOneZone has jobs that are bound to one zone, or to one zone for all their tasks,
-// lose machines while the zone has room for others, and while it has none: they go on there,
-// nothing starts in another zone before the old tasks are gone, and none is stuck for ever.
+// TestBoundToOneZone checks jobs that must run in a given zone, or all in one zone, and lose machines while
+// the zone has room for others and while it has none. They continue there, no task starts in another zone
+// before the old tasks are gone, and no job is stuck forever.
 func TestBoundToOneZone(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, nil)
@@ -162,7 +163,7 @@
 			d.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		room := d.cloud.capacity
-		if seed%3 > 0 { // there is no more to be had for a while
+		if seed%3 > 0 { // the cloud has no more machines for a while
 			d.cloud.capacity = 0
 			d.after(time.Duration(20+20*(seed%3))*time.Second, func() { d.cloud.capacity = room })
 		}
@@ -173,12 +174,12 @@
 			}
 			for _, w := range on {
 				switch d.random.IntN(3) {
-				case 0: // the cloud takes it
+				case 0: // reclaimed by the cloud
 					w.terminate()
 					delete(d.cloud.machines, w.name)
 				case 1:
 					w.terminate()
-				default: // nobody hears it, and its tasks go on
+				default: // its reports or its commands are lost while its tasks go on
 					d.injectMachineFault([]string{"cut", "mute", "deaf"}[d.random.IntN(3)], []*worker{w}, time.Duration(3+d.random.IntN(12))*time.Second)
 				}
 				d.cover("a machine of a bound job lost")
@@ -196,9 +197,9 @@
 	}, "a machine of a bound job lost", "tasks of bound jobs started again")
 }
 
-// TestMoreWorkThanRoom has far more work than room, urgent and not, over slow links: at least
-// half of each class, of each team and of the largest is served, nobody is stopped for work of
-// equal or lower priority, and all comes to its end.
+// TestMoreWorkThanRoom submits far more work than the capacity, urgent and not, over slow links. At least
+// half of the jobs of each class, of each team and of the largest are served, no task is stopped for work
+// of equal or lower priority, and every job ends.
 func TestMoreWorkThanRoom(t *testing.T) {
 	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, func(c *settings.Settings) {
@@ -217,7 +218,7 @@
 					return
 				}
 			}
-			d.check.fail("preempted", "a task of %d on %s, and no job of higher priority is there", j.id, w.name)
+			d.check.fail("preempted", "a task of job %d on %s was stopped, but there is no job of higher priority", j.id, w.name)
 		}
 		d.run(3 * time.Second)
 		for i := range 90 {
@@ -240,9 +241,9 @@
 	}, "a task stopped for another job")
 }
 
-// TestLeftWaiting has jobs wait beside machines with room: room that is held for a first job
-// that does not fit and will not for long, and room in the only zone that a spread job has
-// left. None may wait 90 s so, and the first one is not forgotten for it.
+// TestLeftWaiting guards against jobs that wait beside free room. The room is held for the first job in the
+// order, which does not fit for a long time. No other job may wait 90 s for it, and the first job
+// must still run in the end.
 func TestLeftWaiting(t *testing.T) {
 	for _, kind := range []uint8{0, 1} {
 		d := newHarness(t, uint64(kind), nil)
@@ -250,13 +251,13 @@
 		stays := d.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
 		d.pollAll(2 * time.Second)
 		d.awaitRunning(stays, 6)
-		long := d.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and ends together
+		long := d.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and all of its tasks end together
 		d.awaitRunning(long, 5)
 		if kind == 0 {
 			d.runUntil(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.tasksOnMachines(long.id) > 0 })
 		}
 		d.cancelJob(long, 0)
-		first := d.submitJob(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has so much
+		first := d.submitJob(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has that much room
 		d.run(2 * time.Second)
 		var small []*userJob
 		for i := range 3 {
@@ -267,7 +268,7 @@
 		d.run(3 * time.Minute)
 		for _, j := range small {
 			if d.check.startedAt[j.id] == 0 {
-				t.Errorf("kind %d: job %d has not begun", kind, j.id)
+				t.Errorf("kind %d: job %d has not started", kind, j.id)
 			}
 		}
 		d.cancelJob(stays, 1)
@@ -275,19 +276,19 @@
 			t.Errorf("kind %d: the first job is %s", kind, first.state)
 		}
 		if len(d.check.violations) > 0 {
-			t.Errorf("kind %d: rules broken: %v", kind, d.check.violations)
+			t.Errorf("kind %d: violated invariants: %v", kind, d.check.violations)
 		}
 	}
 }
 
-// TestSpreadWithOneZone has a spread array wait while machines with room are in one zone only:
-// another is rented in the other.
+// TestSpreadWithOneZone submits a spread array while all machines with room are in one zone. A machine must
+// be rented in the other zone.
 func TestSpreadWithOneZone(t *testing.T) {
 	d := newHarness(t, 5, nil)
 	bound := d.submitJob(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
 	d.pollAll(2 * time.Second)
 	d.awaitRunning(bound, 9)
-	spread := d.submitJob(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // there is room for all, in one zone
+	spread := d.submitJob(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // one zone has room for all
 	d.run(20 * time.Second)
 	d.check.faultsEndedAt = d.now
 	d.run(40 * time.Second)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -15,11 +15,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestPairsOfTroubles has each two kinds of trouble meet: the second begins while the first
-// lasts, with cancellations, questions and a takeover in the middle, and tasks some of which
-// run for longer than a cancellation has. PAIR_DAYS sets how many days each pair is played,
-// PAIR_MACHINES with about how many machines instead of a handful, and PAIR_FIRST the only
-// trouble that others are paired with.
+// TestPairsOfTroubles injects every pair of fault kinds: the second fault begins while the first lasts.
+// Meanwhile jobs are cancelled and queried, the leader changes, and some tasks run for longer than the
+// cancellation deadline. PAIR_DAYS sets the number of runs per pair, PAIR_MACHINES the approximate number of
+// machines instead of a few, and PAIR_FIRST the only kind to use as the first fault.
 func TestPairsOfTroubles(t *testing.T) {
 	days := 1
 	if v, err := strconv.Atoi(os.Getenv("PAIR_DAYS")); err == nil {
@@ -57,41 +56,41 @@
 	})
 	if only != "" {
 		t.Log(seen)
-		return // a part of them, which need not bring everything about
+		return // some of the pairs need not produce every effect
 	}
 	never := 0
 	for a := range played {
 		for b := range played[a] {
 			if played[a][b] == 0 {
 				never++
-				t.Errorf("%s never met %s", faultNames[a], faultNames[b])
+				t.Errorf("%s never overlapped %s", faultNames[a], faultNames[b])
 			}
 		}
 	}
-	t.Logf("%d pairs, %d of them never met; a leader followed another on %d days", numFaultKinds*numFaultKinds, never, overtook)
+	t.Logf("%d pairs, %d of them never overlapped; the leader changed in %d runs", numFaultKinds*numFaultKinds, never, overtook)
 	if overtook == 0 {
-		t.Error("nobody ever followed a leader")
+		t.Error("the leader never changed")
 	}
 	for _, what := range []string{"late write of log, after newer ones", "late write of lead, after newer ones", "duplicate report after newer ones", "duplicate report of an earlier session", "duplicate report of an earlier term",
 		"delayed commands executed", "direct command to a hung machine", "direct command rejected for its token or session", "an answer dropped for its token or session", "packet to a machine lost in a one-way partition",
 		"report of a machine lost in a one-way partition", "direct command reached a machine whose reports are lost", "only the answer lost: log", "only the answer lost: claim", "only the answer lost: hold", "only the answer lost: renewal", "replayed report reached the next leader",
 		"running jobs cancelled concurrently", "machine of a cancelled job hangs", "cancellation at the completion of the last task", "a machine up before its rental was answered",
-		"invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job", "intensive polling", "more work than room", "a one-task job cancelled", "beside the version in production"} {
+		"invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job", "intensive polling", "more work than room", "a one-task job cancelled", "together with the version in production"} {
 		t.Logf("%s: %d times", what, seen[what])
 		if seen[what] == 0 {
-			t.Errorf("%s: never brought about", what)
+			t.Errorf("%s: never occurred", what)
 		}
 	}
 }
 
-// pairDay plays a day on which two troubles meet, and says whether they did and how many
-// leaders there were.
+// pairDay simulates two overlapping faults. It returns whether the second was injected, and the number of
+// leadership terms.
 func pairDay(t *testing.T, a, b faultKind, seed uint64, size int) (s *sim, met bool, terms uint64) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(16 + r.IntN(30))
 	if seed%3 == 0 {
-		c.Deployment.State.ValueKB = 0.8 // so that the log is cleaned all the time
+		c.Deployment.State.ValueKB = 0.8 // so that the log is compacted all the time
 	}
 	if seed%2 == 0 {
 		c.Tunables.PushDispatches, c.Tunables.ProbeSilent = 4, int(seed%4/2)
@@ -109,7 +108,7 @@
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 5, 26.5, 51.5
 		c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps, c.Deployment.Cloud.RPS = 100, 16, 16, 9
 	}
-	beside := seed%4 >= 2 // beside the version in production, of which one after the other is replaced
+	beside := seed%4 >= 2 // start on the version in production and upgrade one controller after the other
 	s = newSim(c, seed, count, beside)
 	s.cloud.capacity = max(s.cloud.capacity, size)
 	if beside {
@@ -135,12 +134,12 @@
 		}
 		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		if job.Kind == 0 && r.IntN(2) == 0 {
-			j.runTimeStep = time.Duration(r.IntN(6000)) * time.Millisecond * 8 / time.Duration(max(8, job.Tasks)) // the last of many ends no later than that of a few
+			j.runTimeStep = time.Duration(r.IntN(6000)) * time.Millisecond * 8 / time.Duration(max(8, job.Tasks)) // the last of many tasks ends no later than the last of a few
 		}
 		s.jobs[id] = j
 		at := time.Duration(r.IntN(60000)) * time.Millisecond
 		s.after(at, func() { s.submit(j, r.IntN(count), func() bool { return s.now < at+60*time.Second }) })
-		if id%3 == 0 { // cancelled in the middle
+		if id%3 == 0 { // cancelled during the faults
 			s.after(35*time.Second+time.Duration(r.IntN(40000))*time.Millisecond, func() {
 				if j.accepted {
 					s.cancel(j, r.IntN(count))
@@ -157,9 +156,9 @@
 		tr.inject(b, time.Duration(5+r.IntN(25))*time.Second, r.IntN(count))
 	})
 	if beside {
-		s.cover("beside the version in production")
+		s.cover("together with the version in production")
 	}
-	if seed%2 == 1 { // a takeover besides
+	if seed%2 == 1 { // a leader crash in addition
 		s.after(time.Duration(r.IntN(30000))*time.Millisecond, func() {
 			if l := s.leader(); l != nil {
 				l.crash()
@@ -181,9 +180,9 @@
 	return s, met, terms
 }
 
-// TestEndsFarApart has the tasks of small jobs end far apart while leaders change: one end
-// is durable, one is reported and not noted yet, one machine is cut off or gone with an end
-// that nobody has heard. The job does become done, once, and not before all of it is.
+// TestEndsFarApart checks jobs whose tasks complete far apart in time while leaders change. One completion
+// is durable, one is reported but not yet logged, and one is unreported on a machine that is partitioned or
+// lost. The job must become done, once, and only when all of its tasks are.
 func TestEndsFarApart(t *testing.T) {
 	var mu sync.Mutex
 	days, spread, lost := 0, 0, 0
@@ -204,9 +203,9 @@
 						}
 						s.pollAll(time.Second)
 						if !s.runUntil(90*time.Second, func() bool { return s.runningTasks(1) == tasks }) {
-							t.Fatal("they never run")
+							t.Fatal("the tasks did not all start")
 						}
-						// From just before the end of the first task, or of the last but one, on.
+						// Start just before or after the end of the first task, or of the last but one.
 						first := step % 2 * (tasks - 2)
 						s.run(s.runEnds[task{1, first}] - s.now + time.Duration(step-3)*150*time.Millisecond)
 						var m *worker
@@ -216,7 +215,7 @@
 							}
 						}
 						if m == nil {
-							t.Fatal("its last task runs nowhere")
+							t.Fatal("the last task of job 1 is on no machine")
 						}
 						switch trial {
 						case "cut":
@@ -233,13 +232,13 @@
 						case "begins anew":
 							m.restartEmpty()
 						}
-						for range 2 { // two leaders end
+						for range 2 { // two leaders crash
 							l := s.leader()
 							l.crash()
 							s.after(8*time.Second, func() { l.start(false) })
 							s.run(4 * time.Second)
 							if !s.runUntil(20*time.Second, func() bool { return s.leader() != nil }) {
-								t.Fatal("nobody leads")
+								t.Fatal("no leader")
 							}
 						}
 						apart := s.check.completedTasks[task{1, first}] && !s.check.allCompleted(1)
@@ -258,27 +257,27 @@
 			}
 		}
 	})
-	t.Logf("%d days: on %d one task had ended and another not when the second leader was there; on %d tasks had to start again", days, spread, lost)
+	t.Logf("%d runs: in %d, one task had completed and another had not when the second new leader was elected; in %d, tasks started again", days, spread, lost)
 	if spread*4 < days || lost == 0 {
-		t.Errorf("%d days: on %d ends were apart over two leaders, on %d tasks started again", days, spread, lost)
+		t.Errorf("%d runs: in %d, completions were apart across two leader changes; in %d, tasks started again", days, spread, lost)
 	}
 }
 
-// TestLateWrites has transactions of every kind carried out 2 to 12 s later, after newer
-// ones of the same controller, of later terms, and of processes that have ended.
+// TestLateWrites applies transactions of every kind 2 to 12 s late: after newer ones of the same
+// controller, after those of later terms, and after the process that sent them has ended.
 func TestLateWrites(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, false) },
 		"late write of lead, after newer ones", "late write of log, after newer ones", "late removal of log, after newer ones", "late write of sizes, after newer ones", "late write of own/pools, after newer ones", "late write of own/run-times, after newer ones")
 }
 
-// lateWritesDay plays a day on which four in ten writes have no answer: carried out later, or,
-// with atOnce, at once.
+// lateWritesDay simulates a state service that leaves four in ten writes unanswered. It applies them later
+// or, with atOnce, at once.
 func lateWritesDay(t *testing.T, seed uint64, atOnce bool) *sim {
 	c := baseSettings()
 	c.Deployment.State.ValueKB = 0.8
 	c.Tunables.TakeoversKept, c.Tunables.RunTimesKinds = 5, 100
 	c.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 6, HoldAfterLossS: 5}}
-	s := newSimAt(12*time.Hour-50*time.Second, c, seed, 3, false) // a night ends in between, and is stored
+	s := newSimAt(12*time.Hour-50*time.Second, c, seed, 3, false) // a night ends during the run, and its run times are stored
 	s.poolUnits = map[string]int{"licence": 6}
 	r := rand.New(rand.NewPCG(seed, 11))
 	s.run(3 * time.Second)
@@ -311,7 +310,7 @@
 	s.after(30*time.Second, func() { s.resize("a", "licence", 4) })
 	s.after(31*time.Second, func() { s.resize("b", "licence", 6) })
 	s.pollAll(2 * time.Second)
-	led, longest := s.now, time.Duration(0) // without a leader who is sure
+	led, longest := s.now, time.Duration(0) // the longest time without a leader that is sure of its term
 	for end := s.now + 100*time.Second; s.now < end; s.run(200 * time.Millisecond) {
 		if l := s.leader(); l != nil && l.core.Status(l.clock()).Sure {
 			led = s.now
@@ -319,7 +318,7 @@
 		longest = max(longest, s.now-led)
 	}
 	if atOnce && longest > leaderless {
-		t.Errorf("for %v no leader was sure of its term", longest)
+		t.Errorf("no leader was sure of its term for %v", longest)
 	}
 	s.state.lossShare, s.state.onlyAnswerLost = 0, false
 	s.run(13 * time.Second)
@@ -328,13 +327,13 @@
 	return s
 }
 
-// leaderless is how long nobody may lead where four in ten writes have no answer: four
-// elections, each of which takes a hold's life and some, and one leader ends besides.
+// leaderless is the longest permitted time without a leader when four in ten writes are unanswered and
+// leaders crash. It covers four elections, each of which takes slightly longer than a leadership lease.
 const leaderless = 15 * time.Second
 
-// TestLeaderEndsMachinesUnreached has leaders end while machines with long tasks cannot be
-// reached, or do not hear the new leader's answers: jobs with a limit that is nearly used up,
-// with all tasks in one zone, with half of them in each, and gangs.
+// TestLeaderEndsMachinesUnreached crashes leaders while machines with long tasks are unreachable or do not
+// receive the new leader's answers. The new leader must not start their tasks twice or exceed a limit that
+// is nearly used up. The jobs include some in one zone, some spread over both, and gangs.
 func TestLeaderEndsMachinesUnreached(t *testing.T) {
 	var mu sync.Mutex
 	days, unheard, again := 0, 0, 0
@@ -345,7 +344,7 @@
 					t.Run(fmt.Sprintf("%s/%d/%d", trial, length, ends), func(t *testing.T) {
 						t.Parallel()
 						c := baseSettings()
-						if length%3 > 0 { // without one, nothing but what it does not know holds the new leader back
+						if length%3 > 0 { // without a limit, only the unreported machines hold the new leader back
 							c.Deployment.Teams[0].CPUsMax = 23
 						}
 						c.Tunables.ZonePatienceS = float64(length % 2 * 40)
@@ -358,18 +357,18 @@
 							s.jobs[j.id] = j
 							s.submit(j, i, func() bool { return s.now < 200*time.Second })
 						}
-						for i := range 5 { // the fifth has a machine rented in the other zone
+						for i := range 5 { // the fifth makes the leader rent a machine in the other zone
 							submit(i)
 						}
 						s.pollAll(2 * time.Second)
 						if !s.runUntil(90*time.Second, func() bool {
 							return s.runningTasks(1) == 4 && s.runningTasks(2) == 4 && s.runningTasks(3) == 3 && s.runningTasks(4) == 3
 						}) {
-							t.Fatal("they never run")
+							t.Fatal("the tasks did not all start")
 						}
 						submit(5)
 						if !s.runUntil(60*time.Second, func() bool { return s.runningTasks(6) >= 3 }) {
-							t.Fatalf("%d tasks of the last one run", s.runningTasks(6))
+							t.Fatalf("%d tasks of the last job run", s.runningTasks(6))
 						}
 						l := s.leader()
 						lasts := time.Duration(3+5*length) * time.Second
@@ -408,7 +407,7 @@
 							n.crash()
 							s.after(8*time.Second, func() { n.start(false) })
 							if !s.runUntil(20*time.Second, func() bool { return s.leader() != nil }) {
-								t.Fatal("nobody leads")
+								t.Fatal("no leader")
 							}
 							s.run(time.Second)
 						}
@@ -434,14 +433,14 @@
 			}
 		}
 	})
-	t.Logf("%d days: on %d the new leader did not hear all machines, on %d tasks started under it", days, unheard, again)
+	t.Logf("%d runs: in %d, the new leader did not hear from all machines; in %d, it started tasks", days, unheard, again)
 	if unheard*2 < days || again == 0 {
-		t.Errorf("%d days: on %d the new leader did not hear all machines, on %d tasks started under it", days, unheard, again)
+		t.Errorf("%d runs: in %d, the new leader did not hear from all machines; in %d, it started tasks", days, unheard, again)
 	}
 }
 
-// TestHandOvers has controllers hand over and back, all end, and one return, within a
-// second, again and again, while jobs come, are cancelled and asked about.
+// TestHandOvers makes leaders hand over repeatedly, crashes all controllers and restarts one of them within a
+// second, again and again, while jobs are submitted, cancelled and queried.
 func TestHandOvers(t *testing.T) {
 	var mu sync.Mutex
 	terms, alone := uint64(0), 0
@@ -475,14 +474,14 @@
 				for range 6 {
 					tr.inject(repeatedHandover, 0, 0)
 					s.run(time.Duration(1+r.IntN(5)) * time.Second)
-					if l := s.leader(); l != nil && r.IntN(2) == 0 { // hands over and is gone at once, and back
+					if l := s.leader(); l != nil && r.IntN(2) == 0 { // hands over, crashes at once and restarts
 						l.core.Stop(l.clock())
 						l.drain()
 						l.crash()
 						tr.restartAfter(l, tr.shortDelay())
 						s.run(time.Duration(r.IntN(900)) * time.Millisecond)
 					}
-					for i, n := range s.nodes { // all end, and one returns; the others follow later
+					for i, n := range s.nodes { // all crash; one restarts, the others follow later
 						if n.up {
 							n.crash()
 						}
@@ -504,18 +503,18 @@
 			})
 		}
 	})
-	t.Logf("%d terms on 24 days; %d times one that returned alone led", terms, alone)
+	t.Logf("%d terms in 24 runs; a controller that restarted alone led %d times", terms, alone)
 	if terms < 24*6 || alone < 10 {
-		t.Errorf("%d terms on 24 days, %d times one that returned alone led", terms, alone)
+		t.Errorf("%d terms in 24 runs, a controller that restarted alone led %d times", terms, alone)
 	}
 }
 
-// TestHeldStartMeetsNewLife has three troubles meet: a start sent straight to a worker is held
-// up for longer than the worker's lease, so that a later session shows that it has nothing;
-// then the machine begins anew under its name, in the session that the start names and with no
-// token, and the start arrives and is carried out. The machine begins anew at any moment from
-// before its lease runs out until the start arrives, and the cloud deletes it at once, or only
-// after that. Found by random day 3368, where the task had been started elsewhere meanwhile.
+// TestHeldStartMeetsNewLife guards against a task that runs twice because a delayed direct start reaches a
+// restarted machine. The start is delayed beyond the worker's lease, so a later session reports no tasks.
+// Then the machine restarts empty under its name, in the session that the start names and without a token,
+// and executes the start. The restart happens at any time from before the lease expires until the start
+// arrives; the cloud deletes the machine at once or only afterwards. Found by seed 3368 of TestRandomDays,
+// where the task had been started elsewhere meanwhile.
 func TestHeldStartMeetsNewLife(t *testing.T) {
 	const held = 22 * time.Second
 	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
@@ -529,7 +528,7 @@
 		sent := d.directDispatches
 		j := d.submitJob(60*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
 		if !d.runUntil(3*time.Second, func() bool { return d.directDispatches > sent }) {
-			t.Fatal("nothing was sent straight to a worker")
+			t.Fatal("no start was sent directly to a worker")
 		}
 		at := d.now
 		var m *worker
@@ -541,12 +540,12 @@
 		for _, x := range ms {
 			delete(d.latency, x.name)
 		}
-		d.inboundLost[m.name] = true // what is on its way arrives, and nothing after it
+		d.inboundLost[m.name] = true // packets in flight arrive, later ones are lost
 		d.cloud.outage = seed%2 == 1
 		d.run(at + held - time.Duration(100+seed%16/2*700)*time.Millisecond - d.now)
 		if d.cloud.machines[m.name] == m {
 			if m.session > 1 {
-				d.cover("a later session, and then a new life")
+				d.cover("a later session, and then an empty restart")
 			}
 			m.restartEmpty()
 		}
@@ -554,32 +553,32 @@
 		d.cloud.outage = false
 		delete(d.inboundLost, m.name)
 		if !d.runUntil(time.Minute, func() bool { return d.runningTasks(j.id) == 1 }) {
-			t.Error("its task runs nowhere")
+			t.Error("the task does not run")
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
-	}, "a later session, and then a new life", "start executed by a later incarnation of the machine")
+	}, "a later session, and then an empty restart", "start executed by a later incarnation of the machine")
 }
 
-// TestLostStartThenLaterSession has a start sent straight to a worker be lost, and a later
-// session show that the worker has nothing: its machine is deleted, and the task starts
-// elsewhere then. Without the deletion it would count there for ever.
+// TestLostStartThenLaterSession guards against a task that is counted on a machine forever. A direct start
+// to a worker is lost, and a later session reports no tasks. The machine must be deleted, and the task then
+// starts elsewhere.
 func TestLostStartThenLaterSession(t *testing.T) {
 	d := newHarness(t, 2, directDispatchSettings)
 	d.warmUp(12*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
 	d.run(8 * time.Second)
 	sent := d.directDispatches
 	for _, m := range d.machines() {
-		d.inboundLost[m.name] = true // heard, and nothing reaches them
+		d.inboundLost[m.name] = true // their reports arrive, but no packet reaches them
 	}
 	j := d.submitJob(20*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
 	if !d.runUntil(3*time.Second, func() bool { return d.directDispatches > sent }) {
-		t.Fatal("nothing was sent straight to a worker")
+		t.Fatal("no start was sent directly to a worker")
 	}
-	d.run(20 * time.Second) // their leases run out
+	d.run(20 * time.Second) // their leases expire
 	clear(d.inboundLost)
 	d.run(3 * time.Second)
 	if !d.runUntil(40*time.Second, func() bool { return d.runningTasks(j.id) == 1 }) {
-		t.Error("its task runs nowhere")
+		t.Error("the task does not run")
 	}
 	d.endFaultsAndSettle(2 * time.Minute)
 }
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -8,9 +8,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// TestUpAtOnce has new machines up before their rental is answered, with work for them at
-// once, while writes lag and the leader ends just before or after each step from the rental to
-// the first start: nothing runs twice, no machine is kept for nothing, and all is done.
+// TestUpAtOnce boots new machines before their rental is answered and gives them work at once, while
+// writes are slow and the leader crashes just before or after each step from the rental to the first
+// start. No task may run twice, no machine may be kept without work, and every job completes.
 func TestUpAtOnce(t *testing.T) {
 	var steps []string
 	for _, step := range []string{"the rental noted", "the rental carried out", "the rental answered", "the answer noted", "the machine registered", "the grant noted", "the start carried out"} {
@@ -18,7 +18,7 @@
 	}
 	must := []string{"a machine up before its rental was answered"}
 	for _, step := range steps {
-		must = append(must, "the leader ended "+step)
+		must = append(must, "the leader crashed "+step)
 	}
 	runSeeds(t, 4*len(steps), func(t *testing.T, seed uint64) *sim {
 		step, variant := steps[int(seed)%len(steps)], int(seed)/len(steps)
@@ -33,7 +33,7 @@
 		d.awaitLeader()
 		d.latency["state"] = time.Duration(50+300*variant) * time.Millisecond
 		d.after(40*time.Second, func() { delete(d.latency, "state") })
-		times := 0 // the step, by which the leader ends
+		times := 0 // how often the step has been reached; the leader crashes at one of them
 		d.onStep = func(what string) {
 			if what != step {
 				return
@@ -42,9 +42,9 @@
 				return
 			}
 			if l := d.leader(); l != nil {
-				d.cover("the leader ended " + step)
+				d.cover("the leader crashed " + step)
 				d.after(0, func() {
-					if variant%2 == 1 { // and what has just begun is not heard by the next one
+					if variant%2 == 1 { // and the next leader does not hear of the tasks that have just started
 						for _, w := range d.machines() {
 							if len(w.tasks) > 0 {
 								d.injectMachineFault("held", []*worker{w}, 7*time.Second)
@@ -64,15 +64,15 @@
 		d.run(40 * time.Second)
 		d.endFaultsAndSettle(5 * time.Minute)
 		if !d.runUntil(3*time.Minute, func() bool { return len(d.machines()) <= 2 }) {
-			t.Errorf("%d machines are kept though there is nothing to do", len(d.machines()))
+			t.Errorf("%d machines are kept although there is no work", len(d.machines()))
 		}
 		return d.sim
 	}, must...)
 }
 
-// TestOnlyTheAnswerIsLost has writes of every kind carried out at once, and only their answer
-// lost, while other controllers read them: the leader goes on or ends its term within seconds,
-// nothing is done twice, and nobody is told the opposite.
+// TestOnlyTheAnswerIsLost applies writes of every kind at once and loses only their answers, while other
+// controllers read them. The leader continues or ends its term within seconds, no command is executed
+// twice, and no user is told the opposite of an earlier answer.
 func TestOnlyTheAnswerIsLost(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, true) },
 		"only the answer lost: log", "only the answer lost: removal of log", "only the answer lost: sizes", "only the answer lost: own/pools", "only the answer lost: own/run-times",
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -16,15 +16,14 @@
 	"bitternmoor/internal/wire"
 )
 
-// orphanedUnits is a holder that a licence server goes on counting after its death.
+// orphanedUnits are units that a licence server still counts after the worker that held them was lost.
 type orphanedUnits struct {
 	pool  string
 	units int
 	until time.Duration
 }
 
-// unitsInUse counts what is out of each pool by what workers really run, and by what
-// licence servers still count.
+// unitsInUse returns the units of each pool that running tasks use or that licence servers still count.
 func (c *checker) unitsInUse() map[string]int {
 	out := map[string]int{}
 	if len(c.sim.poolUnits) == 0 {
@@ -49,7 +48,7 @@
 	return out
 }
 
-// taskLost notes that a task's worker was lost under it.
+// taskLost records the units that stay in use after a task was lost with its worker.
 func (c *checker) taskLost(t task, w *worker) {
 	if !c.placements[t][w.name] {
 		return
@@ -63,20 +62,20 @@
 	}
 }
 
-// poolsRefuse is what controllers do with a submission while some of them know of
-// pools and others do not (node.Controller's Ask and AskCounted).
+// poolsRefuse reports whether a submission is refused because the version of the controller that received
+// it or of the one that serves it does not support pools (node.Controller's Ask and AskCounted).
 func (s *sim) poolsRefuse(door, served *controller, j *userJob) bool {
 	if len(s.cfg.Tunables.Pools) == 0 || j.spec.Job == nil {
 		return false
 	}
 	if len(j.spec.Job.Counted) > 0 {
-		return door.oldVersion || served.oldVersion // of two old ones: users are told to wait until all are new
+		return door.oldVersion || served.oldVersion // users must not submit such jobs until all controllers are upgraded
 	}
 	return door.oldVersion && !served.oldVersion
 }
 
-// resize has an operator change a pool: asked for again until it is durable.
-// One follows the other.
+// resize queues an operator's change of a pool, which is retried until it is durable. Changes of a pool
+// are made one after the other.
 func (s *sim) resize(id, pool string, units int) {
 	if s.resizeQueues == nil {
 		s.resizeQueues = map[string][]func(){}
@@ -90,7 +89,7 @@
 func (s *sim) resizeNow(id, pool string, units int) {
 	now := s.poolUnits[pool]
 	if units > now {
-		s.poolUnits[pool] = units // they exist from now on
+		s.poolUnits[pool] = units // the new units may be used from now on
 	}
 	var try func()
 	try = func() {
@@ -114,7 +113,7 @@
 			again()
 			return
 		}
-		s.after(6*time.Second, func() { // what was sent before may be on its way yet
+		s.after(6*time.Second, func() { // starts that were sent before may still be in flight
 			s.poolUnits[pool] = units
 			s.resizeQueues[pool] = s.resizeQueues[pool][1:]
 			if len(s.resizeQueues[pool]) > 0 {
@@ -125,13 +124,13 @@
 	try()
 }
 
-// poolDay gives a random day pools, and its jobs demands.
+// poolDay configures random pools for a run.
 func poolDay(c *settings.Settings, r *rand.Rand, upgrade bool) {
 	c.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 3 + r.IntN(4), HoldAfterLossS: float64(r.IntN(2) * 20)}, {Name: "token", Units: 4 + r.IntN(5), Reserve: r.IntN(2)}}
 	if r.IntN(2) == 0 {
 		c.Tunables.UnitsSilentS = 4
 	}
-	if upgrade { // a leader that knows of no pools notes no losses
+	if upgrade { // a leader without support for pools does not record losses
 		c.Tunables.Pools[0].HoldAfterLossS = 0
 	}
 }
@@ -150,8 +149,8 @@
 	}
 }
 
-// TestOverdrawnIsSeen commits each fault on purpose that pools must not have: the
-// checker would be of no use if it saw none of them.
+// TestOverdrawnIsSeen injects each way in which a pool can be overdrawn and checks that the checker detects
+// it.
 func TestOverdrawnIsSeen(t *testing.T) {
 	start := func(seed uint64, units int, hold float64, run time.Duration) *sim {
 		c := baseSettings()
@@ -167,7 +166,7 @@
 		}
 		s.run(25 * time.Second)
 		if got := s.check.unitsInUse()["licence"]; got != units {
-			t.Fatalf("%d of %d units are out", got, units)
+			t.Fatalf("%d of %d units are in use", got, units)
 		}
 		return s
 	}
@@ -181,26 +180,26 @@
 		}) {
 			return s.cloud.machines[name]
 		}
-		t.Fatal("nothing runs")
+		t.Fatal("no task runs")
 		return nil
 	}
 	const long = 200 * time.Second
 	for name, fault := range map[string]func() *sim{
-		"a unit is freed on silence": func() *sim {
+		"a unit is freed because its machine is silent": func() *sim {
 			s := start(1, 4, 0, long)
 			w := holder(s)
 			s.partitions = append(s.partitions, &partition{host: w.name})
 			l := s.leader()
-			l.core.MachinesDeleted(l.clock(), l.core.Epoch(), []string{w.name}, true) // nobody has deleted it
+			l.core.MachinesDeleted(l.clock(), l.core.Epoch(), []string{w.name}, true) // a false report: the machine was not deleted
 			l.drain()
-			s.run(40 * time.Second) // its lease still holds
+			s.run(40 * time.Second) // the machine's lease is still valid
 			return s
 		},
 		"a unit is forgotten at a takeover": func() *sim {
 			s := start(2, 4, 0, long)
 			w := holder(s)
 			s.partitions = append(s.partitions, &partition{host: w.name})
-			for k, it := range s.state.items { // the log says that the machine is gone
+			for k, it := range s.state.items { // appends an entry that records the machine as gone
 				if _, err := eventlog.SegmentNumber(k); err == nil {
 					it.value = json.RawMessage(strings.TrimSuffix(string(it.value), "]}") + `,{"x":["` + w.name + `"]}]}`)
 					s.state.items[k] = it
@@ -210,10 +209,10 @@
 			s.run(40 * time.Second)
 			return s
 		},
-		"a unit comes back twice": func() *sim {
+		"a unit is freed while its task runs": func() *sim {
 			s := start(3, 4, 0, long)
 			w := holder(s)
-			for k, x := range w.tasks { // it reports their end, and they run on
+			for k, x := range w.tasks { // it reports the tasks as completed although they still run
 				delete(w.tasks, k)
 				w.ended = append(w.ended, endedAttempt{k, taskAttempt{attempt: x.attempt, state: workers.Ended, reason: workers.Completed}})
 			}
@@ -233,7 +232,7 @@
 			s.run(60 * time.Second)
 			return s
 		},
-		"a loss is not waited for": func() *sim {
+		"the hold after a loss is ignored": func() *sim {
 			s := start(5, 4, 100, long)
 			w := holder(s)
 			w.terminate()
@@ -248,12 +247,12 @@
 	} {
 		s := fault()
 		if !slices.ContainsFunc(s.check.violations, func(b string) bool { return strings.HasPrefix(b, "overdrawn") }) {
-			t.Errorf("%s, and nothing is seen: %v", name, s.check.violations)
+			t.Errorf("%s, but overdrawn was not reported: %v", name, s.check.violations)
 		}
 	}
 }
 
-// Starts with units write nothing that starts without them do not.
+// TestPoolsWriteNothing checks that starts with units cause no more writes than starts without.
 func TestPoolsWriteNothing(t *testing.T) {
 	writes := func(counted []eventlog.PoolUnits) int {
 		c := baseSettings()
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -17,10 +17,9 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestRandomDays plays days of random jobs and overlapping troubles. Every
-// rule must hold, and once the troubles are over every job must come to its
-// end. SCENARIO_DAYS sets how many; a seed that failed becomes a file of its
-// own in testdata.
+// TestRandomDays simulates random jobs with overlapping faults. Every invariant must hold, and once the
+// faults have ended every job must end. SCENARIO_DAYS sets the number of runs. A case found by a seed is
+// added to testdata as a scenario.
 func TestRandomDays(t *testing.T) {
 	days := 60
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
@@ -45,7 +44,7 @@
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(8 + r.IntN(40))
 	if seed%3 == 0 {
-		c.Deployment.State.ValueKB = 0.8 // so that the log is cleaned all the time
+		c.Deployment.State.ValueKB = 0.8 // so that the log is compacted all the time
 	}
 	if seed%2 == 0 {
 		kb, ops := 0.7, 4
@@ -56,22 +55,22 @@
 	began := time.Duration(0)
 	if learns {
 		c.Tunables.RunTimesKinds, c.Tunables.TakeoversKept = 100, 5
-		began = 12*time.Hour - 90*time.Second // the night ends in between
+		began = 12*time.Hour - 90*time.Second // the night ends during the run
 	}
-	spreads := seed%3 == 1 // reports are spread, zones waited for and cut, shares kept
+	spreads := seed%3 == 1 // machines are rebalanced, zones are partitioned and waited for, shares are guaranteed
 	if spreads {
 		c.Tunables.RebalanceMoves, c.Tunables.ZonePatienceS, c.Tunables.ServedFloor, c.Tunables.ServedWindowS = 4, 20, 0.6, 120
 		c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
 	}
-	if seed%3 == 2 || seed%6 == 1 { // tasks are sent straight to their workers
+	if seed%3 == 2 || seed%6 == 1 { // starts are sent directly to workers
 		c.Tunables.PushDispatches, c.Tunables.ProbeSilent = 4, int(seed%2)
 		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5})
 	}
-	counted := seed%4 == 1 || seed%4 == 2 // of these one in two begins with the version in production
+	counted := seed%4 == 1 || seed%4 == 2 // half of these runs start on the version in production
 	if counted {
 		poolDay(&c, r, upgrade)
 	}
-	configures := !upgrade && seed%5 < 3 // teams and tunables are changed all the time
+	configures := !upgrade && seed%5 < 3 // teams and tunables are changed throughout the run
 	if configures {
 		c.Tunables.ConfigHistory = 3
 	}
@@ -97,7 +96,7 @@
 	if configures {
 		configDay(s, seed)
 	}
-	upgraded := time.Duration(0) // nothing new is asked of the service before
+	upgraded := time.Duration(0) // before this time, no feature is used that the old version lacks
 	if upgrade {
 		for i, n := range s.nodes {
 			at := time.Duration(10000+15000*i+r.IntN(12000)) * time.Millisecond
@@ -105,8 +104,8 @@
 			s.upgrade(n, at)
 		}
 	}
-	// Back to the version in production for a while, and forth again: with pools, and
-	// with nothing else that it does not know.
+	// Downgrade to the version in production for a while and upgrade again, with pools and no other feature
+	// that the old version lacks.
 	back := counted && upgrade && !learns && seed%8 == 1
 	if back {
 		for i, n := range s.nodes {
@@ -115,7 +114,7 @@
 				s.after(at, func() {
 					n.crash()
 					s.after(8*time.Second, func() {
-						n.crash() // it may have come back from another trouble
+						n.crash() // it may have restarted after another fault
 						n.start(old)
 					})
 				})
@@ -152,7 +151,7 @@
 		follows := r.IntN(5) < 2 && !back
 		s.after(at, func() {
 			if follows && s.now >= upgraded {
-				// A user names what was accepted, in whatever state it is.
+				// The dependencies are accepted jobs in any state.
 				for _, f := range rand.New(rand.NewPCG(seed, id)).Perm(int(id))[:min(3, id)] {
 					if b := s.jobs[uint64(f)]; b != nil && b != j && b.accepted {
 						job.Follows = append(job.Follows, b.id)
@@ -167,7 +166,7 @@
 				switch {
 				case j.accepted:
 					s.cancel(j, r.IntN(3))
-				case service: // they run until they are cancelled
+				case service: // services run until they are cancelled
 					s.after(5*time.Second, end)
 				}
 			}
@@ -205,14 +204,14 @@
 	s.check.faultsEndedAt = s.now
 	limit := 900 * time.Second
 	if counted {
-		limit = 40 * time.Minute // few units make long queues
+		limit = 40 * time.Minute // few units cause long queues
 	}
 	s.awaitQuiescence(t, limit)
 	if t.Failed() {
 		t.Log(strings.Join(log, "\n"))
 	}
 	if s.check.starts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task ran")
 	}
 	if configures {
 		s.configEverywhere(t)
@@ -222,17 +221,17 @@
 	}
 }
 
-// countLearned holds what the last leader has learned against the facts that were
-// ever durable: each counts once, whoever was killed at whatever moment.
+// countLearned checks that the last leader has counted each durable run-time fact exactly once, whichever
+// controllers crashed and when.
 func countLearned(t *testing.T, s *sim) {
 	s.run(10 * time.Second)
 	if !s.runUntil(30*time.Second, func() bool { return s.leader() != nil }) {
-		t.Fatal("nobody leads in the end")
+		t.Fatal("no leader at the end")
 	}
 	l := s.leader()
 	raw, known, err := l.core.Show(l.clock(), runtimes.Name)
 	if err != nil || !known {
-		t.Fatalf("what was learned is not shown: %v", err)
+		t.Fatalf("the learned run times are not shown: %v", err)
 	}
 	var kinds []struct {
 		Name     string
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -12,10 +12,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestCloseLooks has users ask at all controllers within milliseconds after something was
-// told, submit again, and cancel at once, while controllers between them and the leader are
-// slow, cut off or stand still, and leaders change. No answer may be older than what was told
-// before, but for what was on its way already, and that is given up in a bounded time.
+// TestCloseLooks guards against answers that are older than earlier ones. Users query all controllers
+// within milliseconds after an answer, resubmit, and cancel at once, while controllers between them and the
+// leader are slow, partitioned or paused, and leaders change. Only an answer that was already in flight may
+// be older, and only for a bounded time.
 func TestCloseLooks(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, nil)
@@ -24,7 +24,7 @@
 			d.submitJobAfter(time.Duration(2000+d.random.IntN(45000))*time.Millisecond, time.Duration(300+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + d.random.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
 		}
 		d.pollAll(2 * time.Second)
-		for i := range 8 { // a controller between users and the leader
+		for i := range 8 { // faults of a controller between the users and the leader
 			d.after(time.Duration(6+6*i)*time.Second, func() {
 				l := d.leader()
 				if l == nil {
@@ -56,9 +56,9 @@
 	}, "intensive polling", "answer overtaken by a newer one")
 }
 
-// TestEndMeetsRequest has a cancellation, a question or a repeated submission arrive at the
-// end of a job's last task, with no other trouble, with the answer to the write lost, and with
-// a change of leader: each job has one outcome, for ever.
+// TestEndMeetsRequest sends a cancellation, a query or a repeated submission just as a job's last task
+// completes: without another fault, with a lost answer to the write, and with a leader change. Each job
+// must have one outcome, which never changes.
 func TestEndMeetsRequest(t *testing.T) {
 	seen := runSeeds(t, 48, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, nil)
@@ -80,9 +80,9 @@
 			for k := range j.spec.Job.Tasks {
 				last = max(last, d.runEnds[task{j.id, k}])
 			}
-			// From before the end until after it is durable and told.
+			// At times from before the completion until after it is durable and reported to users.
 			at := last - d.now + time.Duration(int(seed)/4*8+i-20)*15*time.Millisecond
-			for n := range 12 { // the write of the end takes its time, and users ask
+			for n := range 12 { // users query while the write of the completion is in progress
 				d.after(at+time.Duration(25*n)*time.Millisecond, func() { d.poll(j, n) })
 			}
 			d.after(at, func() {
@@ -93,9 +93,9 @@
 					d.restartLeader(8 * time.Second)
 				}
 				if before := d.check.allCompleted(j.id); before {
-					d.cover("asked after the last task had ended")
+					d.cover("request after the last task had completed")
 				} else {
-					d.cover("asked before the last task had ended")
+					d.cover("request before the last task had completed")
 				}
 				switch (i + int(seed)/4) % 3 {
 				case 0, 1:
@@ -118,7 +118,7 @@
 				d.cover("a cancelled job cancelled")
 			}
 		}
-		for range 2 { // for ever, whoever leads
+		for range 2 { // the outcome stays the same under later leaders
 			for _, j := range list {
 				for at := range d.nodes {
 					d.poll(j, at)
@@ -130,16 +130,16 @@
 			d.awaitLeader()
 		}
 		if len(d.check.violations) > 0 {
-			t.Errorf("rules broken: %v", d.check.violations)
+			t.Errorf("violated invariants: %v", d.check.violations)
 		}
 		return d.sim
-	}, "asked after the last task had ended", "asked before the last task had ended", "a cancelled job done", "a cancelled job cancelled")
+	}, "request after the last task had completed", "request before the last task had completed", "a cancelled job done", "a cancelled job cancelled")
 	t.Log(seen)
 }
 
-// TestOneTaskJobs has one-task jobs come four a second for three minutes, a quarter of them
-// cancelled, at the smallest limits of any deployment, with a change of leader in the middle:
-// what is written stays within the limits, the log stays short, and all are served.
+// TestOneTaskJobs submits four one-task jobs a second for three minutes and cancels a quarter of them, at
+// the smallest limits of any deployment and with a leader change halfway. The writes stay within the
+// limits, the log stays short, and all jobs are served.
 func TestOneTaskJobs(t *testing.T) {
 	const count = 720
 	d := newHarness(t, 3, func(c *settings.Settings) {
@@ -208,21 +208,21 @@
 	for _, n := range d.state.writesBySecond {
 		most, sum = max(most, n), sum+n
 	}
-	t.Logf("changes a second: mean %.1f, most %d, of %v; the log had %d segments at most, %d were read back to be cleaned; %d asked to be cancelled", float64(sum)/float64(len(d.state.writesBySecond)), most, d.cfg.Deployment.State.WriteRPS, segments, d.state.segmentsRead, cancelled)
-	if most > 2*15 { // bursts of one second's worth beside a second's own
+	t.Logf("changes per second: mean %.1f, largest %d, limit %v; the log had at most %d segments, %d were read back for compaction; %d cancellations were requested", float64(sum)/float64(len(d.state.writesBySecond)), most, d.cfg.Deployment.State.WriteRPS, segments, d.state.segmentsRead, cancelled)
+	if most > 2*15 { // a burst of one second's allowance in addition to the second's own
 		t.Errorf("%d changes in one second", most)
 	}
 	if segments > 150 || d.state.segmentsRead == 0 {
-		t.Errorf("the log grew to %d segments, %d were cleaned", segments, d.state.segmentsRead)
+		t.Errorf("the log grew to %d segments, %d were compacted", segments, d.state.segmentsRead)
 	}
 	if len(confirm) < count/8 {
 		t.Errorf("%d cancellations confirmed", len(confirm))
 	}
 }
 
-// TestOddRequests has users repeat submissions with bodies that lack a field or fit nothing,
-// cancel what is done, and submit what can never run, at every controller and over a change of
-// leader: known ids are answered with their state, the others refused, and nothing is kept.
+// TestOddRequests sends invalid requests to every controller and across a leader change: repeated
+// submissions with malformed or infeasible bodies, cancellations of completed jobs, and jobs that can never
+// run. Known ids are answered with their state, the others are rejected, and none of these is logged.
 func TestOddRequests(t *testing.T) {
 	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, nil)
@@ -249,13 +249,13 @@
 			}
 		}
 		if entries > 0 {
-			t.Errorf("%d jobs that nobody may run are in the log", entries)
+			t.Errorf("the log has %d rejected jobs", entries)
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
 	}, "invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job")
 }
 
-// TestOverLimits submits jobs that can never run for each reason that there is.
+// TestOverLimits submits jobs that can never run, for each possible reason, and checks the status.
 func TestOverLimits(t *testing.T) {
 	d := newHarness(t, 1, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
 	d.awaitLeader()
@@ -265,7 +265,7 @@
 		status int
 		change func(j *eventlog.Job)
 	}{
-		{201, func(*eventlog.Job) {}}, // an array: one task counts
+		{201, func(*eventlog.Job) {}}, // for an array, the CPUs of one task must fit the limit
 		{422, func(j *eventlog.Job) { j.Kind = 1 }},
 		{422, func(j *eventlog.Job) { j.Kind = 2 }},
 		{201, func(j *eventlog.Job) { j.Kind, j.Tasks = 1, 3 }},
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -19,11 +19,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestScaleDay plays a day on so many machines as SCALE_DAY says, with waves of
-// jobs, a zone cut during which the leader crashes, a state outage, and a crash of
-// all controllers. It prints what a leader sends, how large the log is, what is
-// read back at a takeover, and how much memory that takes. It is for
-// docs/scale.md; CI leaves it out.
+// TestScaleDay simulates a fleet of SCALE_DAY machines with waves of jobs, a zone partition during which the
+// leader crashes, a state outage, and a crash of all controllers. It logs the controllers' requests, the size
+// of the log, and the time and memory of its replay at a takeover. The figures are for docs/scale.md; CI
+// skips this test.
 func TestScaleDay(t *testing.T) {
 	machines, _ := strconv.Atoi(os.Getenv("SCALE_DAY"))
 	if machines == 0 {
@@ -110,7 +109,7 @@
 			n.start(false)
 		}
 	}
-	report("after a zone cut with a crash")
+	report("after a zone partition with a crash")
 	s.run(30 * time.Second)
 	s.state.outage = true
 	s.run(10 * time.Second)
@@ -141,7 +140,7 @@
 	s.run(120 * time.Second)
 	report("two minutes later")
 	if len(s.check.violations) > 0 {
-		t.Errorf("rules broken: %d, the first: %s", len(s.check.violations), s.check.violations[0])
+		t.Errorf("%d violated invariants, the first: %s", len(s.check.violations), s.check.violations[0])
 	}
 	if l := s.leader(); l != nil {
 		raw, _, err := l.core.Show(l.clock(), "takeovers")
@@ -153,14 +152,14 @@
 	}
 	for _, k := range slices.Sorted(maps.Keys(s.scale.spent)) {
 		total += s.scale.spent[k]
-		t.Logf("in the cores, %-20s %8.2f s", k, s.scale.spent[k].Seconds())
+		t.Logf("real time in the cores, %-20s %8.2f s", k, s.scale.spent[k].Seconds())
 	}
-	t.Logf("in the cores of three controllers: %.2f s of %.0f s played", total.Seconds(), s.now.Seconds())
+	t.Logf("real time in the cores of three controllers: %.2f s for %.0f s of simulated time", total.Seconds(), s.now.Seconds())
 	measureReplay(t, s, c)
 }
 
-// measureReplay reads the whole log back, as a new leader does, and says how long
-// that takes and how much memory the term then has.
+// measureReplay replays the largest log, as a new leader does, and logs how long that takes and how much
+// memory the term then holds.
 func measureReplay(t *testing.T, s *sim, c settings.Settings) {
 	if s.scale.largest == nil {
 		t.Fatal("no leader has read the log")
@@ -179,12 +178,12 @@
 	runtime.KeepAlive(x)
 }
 
-// scaleCounts counts what controllers send, and the time in their cores.
+// scaleCounts counts the controllers' effects and the real time spent in their cores.
 type scaleCounts struct {
 	sent    map[string]int
 	spent   map[string]time.Duration
 	largest *term.LoadedLog // the largest log that a new leader has read
-	moved   int             // workers that were sent to another controller
+	moved   int             // number of reports that were redirected to another controller
 }
 
 func (x *scaleCounts) effect(e effects.Effect) {
@@ -196,7 +195,7 @@
 	}
 }
 
-// time runs an input and counts its time.
+// time runs an input to a core and adds up the real time that it takes.
 func (x *scaleCounts) time(what string, f func()) {
 	if x == nil {
 		f()
--- a/internal/scenario/spread_test.go
+++ b/internal/scenario/spread_test.go
@@ -12,9 +12,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestSpreadDays has reports spread all the time, far more eagerly than anybody would set
-// it, while many short tasks are on offer to whole blocks and controllers come and go. No
-// task may run twice: a machine is moved only when nothing is on its way to it or for it.
+// TestSpreadDays guards against tasks that run twice because their machine moves to another controller. With
+// settings far more aggressive than in production, machines are rebalanced all the time, while many short
+// tasks are on offer to whole blocks and controllers crash. A machine may move only while no command or
+// offer for it is in flight.
 func TestSpreadDays(t *testing.T) {
 	days := 12
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
@@ -35,7 +36,7 @@
 	}
 	t.Logf("%d moves", sum)
 	if sum < 20*days {
-		t.Errorf("only %d moves on %d days", sum, days)
+		t.Errorf("only %d moves in %d runs", sum, days)
 	}
 }
 
@@ -84,7 +85,7 @@
 		return true
 	})
 	if len(s.check.violations) > 0 || !over {
-		t.Errorf("over %v, rules broken: %v", over, s.check.violations)
+		t.Errorf("all jobs done: %v, violated invariants: %v", over, s.check.violations)
 	}
 	return s.scale.moved
 }
--- a/internal/scenario/unheard_test.go
+++ b/internal/scenario/unheard_test.go
@@ -9,9 +9,9 @@
 	"bitternmoor/internal/settings"
 )
 
-// TestOldReportsAtANewLeader has copies of reports, of earlier sessions, attempts and lives
-// and of machines deleted since, reach every controller just as a new leader begins, and once
-// it has acted: also where all controllers ended and nobody led for a while.
+// TestOldReportsAtANewLeader replays old reports to every controller just as a new leader's term starts, and
+// again after it has acted, also after a crash of all controllers. The reports come from earlier sessions,
+// attempts and incarnations, and from machines that were deleted since.
 func TestOldReportsAtANewLeader(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, func(c *settings.Settings) {
@@ -30,7 +30,7 @@
 		d.run(8 * time.Second)
 		for range 4 {
 			d.replayShare = 0.5
-			for i, w := range d.machines() { // some begin later sessions or lives, some are gone, while copies of their reports wait
+			for i, w := range d.machines() { // while copies of their reports wait, some start a new session, some restart empty, some crash
 				switch {
 				case i > 4:
 				case i%4 == 0:
@@ -58,10 +58,9 @@
 	}, "replayed report reached the next leader", "replayed report of a deleted machine", "replayed report of an earlier session")
 }
 
-// TestMuteMachines has machines reach no controller for longer than a lease, while direct
-// commands and questions reach them, and their sessions rise with nobody hearing it. Their
-// tasks start elsewhere in time, cancelled ones are gone in time, and an answer to a question
-// is no sign that the lease lives.
+// TestMuteMachines drops the reports of machines for up to and beyond a lease, while direct commands and
+// probes still reach them and their sessions advance unreported. Their tasks must start elsewhere in time,
+// cancelled ones must be gone in time, and an answered probe must not count as a renewed lease.
 func TestMuteMachines(t *testing.T) {
 	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, func(c *settings.Settings) {
@@ -82,49 +81,49 @@
 		on := d.machinesWithTasks(list[0])
 		before := d.check.starts
 		d.injectMachineFault("mute", on, length)
-		for i := range 6 { // some are sent straight to them
+		for i := range 6 { // some of their starts are sent directly to those machines
 			d.after(time.Duration(d.random.IntN(9000))*time.Millisecond, func() { d.submitJob(20*time.Second, eventlog.Job{Tasks: 1 + i%2, Priority: 2, Spot: true}) })
 		}
 		d.after(2*time.Second, func() { d.cancelJob(list[1], 0) })
 		if seed%4 > 1 {
 			d.after(time.Duration(1+d.random.IntN(12))*time.Second, func() { d.restartLeader(8 * time.Second) })
 		}
-		if seed%4 < 2 && length > 35*time.Second { // while they are mute: silence, the deletion, a boot
+		if seed%4 < 2 && length > 35*time.Second { // long enough for the silence limit, the deletion and a boot during the fault
 			d.run(35 * time.Second)
 			if n := d.runningTasks(1); n != 3 || len(d.machinesWithTasks(list[0])) == 0 || d.reportsLost[d.machinesWithTasks(list[0])[0].name] {
-				t.Errorf("35 s after its machines had become mute %d of 3 tasks of a job run, or run there", n)
+				t.Errorf("35 s after the reports of its machines were lost, %d of 3 tasks of a job run, or they run there", n)
 			}
 			if !list[1].toldCancelled {
-				t.Errorf("35 s after its machines had become mute a cancelled job is %s", list[1].state)
+				t.Errorf("35 s after the reports of its machines were lost, a cancelled job is %s", list[1].state)
 			}
-			d.cover("begun elsewhere while its machines were mute")
+			d.cover("started elsewhere while its machines' reports were lost")
 			length -= 35 * time.Second
 		}
 		d.run(length + 2*time.Second)
 		for _, w := range on {
 			if w.session > 1 {
-				d.cover("a session rose with nobody hearing it")
+				d.cover("a session advanced unreported")
 			}
 		}
 		if d.check.starts > before {
-			d.cover("tasks started after machines had become mute")
+			d.cover("tasks started after reports of machines were lost")
 		}
-		// Silence, the deletion, a boot, and where a leader ended its takeover.
+		// Allow for the silence limit, the deletion, a boot and, after a leader crash, the takeover.
 		if !d.runUntil(45*time.Second, func() bool { return d.runningTasks(1) == 3 }) {
-			t.Errorf("%d of 3 tasks of a job run, its machines were mute for %v", d.runningTasks(1), length)
+			t.Errorf("%d of 3 tasks of a job run; the reports of its machines were lost for %v", d.runningTasks(1), length)
 		}
 		if !d.runUntil(time.Minute, func() bool { return list[1].toldCancelled }) {
 			t.Errorf("a cancelled job is %s", list[1].state)
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
-	}, "report of a machine lost in a one-way partition", "direct command reached a machine whose reports are lost", "a session rose with nobody hearing it", "begun elsewhere while its machines were mute", "tasks started after machines had become mute")
+	}, "report of a machine lost in a one-way partition", "direct command reached a machine whose reports are lost", "a session advanced unreported", "started elsewhere while its machines' reports were lost", "tasks started after reports of machines were lost")
 }
 
-// TestAllAway has all controllers away for longer than a lease, a zone with workers and a
-// controller cut off for longer than a lease, and leaders change ten times in two minutes, also
-// inside an outage. Afterwards all is served again, and no job is left waiting.
+// TestAllAway checks recovery from long faults: all controllers are down for longer than a lease, a zone with
+// workers and a controller is partitioned for longer than a lease, or leaders crash ten times in two
+// minutes, also during a state outage. Afterwards all jobs are served and none is left waiting.
 func TestAllAway(t *testing.T) {
-	trials := []string{"all away", "a zone cut", "a zone cut with the leader", "ten leaders", "ten leaders in an outage"}
+	trials := []string{"all controllers down", "a zone partitioned", "a zone partitioned with the leader", "ten leader crashes", "ten leader crashes in an outage"}
 	runSeeds(t, 8*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial := trials[int(seed)%len(trials)]
 		variant := int(seed) / len(trials)
@@ -145,16 +144,16 @@
 		away := time.Duration(12+6*variant) * time.Second // a lease is 10 s
 		d.after(away/2, func() { d.cancelJob(d.jobs[2], variant) })
 		switch trial {
-		case "all away":
+		case "all controllers down":
 			for i, n := range d.nodes {
 				n.crash()
 				d.faults.restartAfter(n, away+time.Duration(i)*300*time.Millisecond)
 			}
 			d.run(away + time.Second)
-		case "a zone cut", "a zone cut with the leader":
+		case "a zone partitioned", "a zone partitioned with the leader":
 			l := d.awaitLeader()
 			n := l
-			if trial == "a zone cut" {
+			if trial == "a zone partitioned" {
 				n = d.nodes[(l.index+1)%3]
 			}
 			d.partitionZone("b", n.name, away, variant%2 == 0)
@@ -163,14 +162,14 @@
 			for i := range 10 {
 				d.after(time.Duration(12*i)*time.Second+time.Duration(d.random.IntN(4000))*time.Millisecond, func() { d.restartLeader(5 * time.Second) })
 			}
-			if trial == "ten leaders in an outage" {
+			if trial == "ten leader crashes in an outage" {
 				d.after(20*time.Second, func() { d.state.outage = true })
 				d.after(20*time.Second+away, d.state.recover)
 			}
 			epoch := d.awaitLeader().core.Epoch()
 			d.run(125 * time.Second)
 			if now := d.awaitLeader().core.Epoch(); now >= epoch+6 {
-				d.cover("leaders changed again and again")
+				d.cover("leaders changed repeatedly")
 			}
 		}
 		lost := 0
@@ -180,19 +179,20 @@
 			}
 		}
 		if lost > 0 {
-			d.cover(trial + ": leases ran out")
+			d.cover(trial + ": leases expired")
 		}
 		d.cover(trial)
 		if !d.runUntil(30*time.Second, func() bool { return d.leader() != nil && d.leader().core.Status(d.leader().clock()).Sure }) {
-			t.Error("nobody leads again")
+			t.Error("no leader after the fault")
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
-	}, "all away", "a zone cut", "a zone cut with the leader", "ten leaders", "ten leaders in an outage", "leaders changed again and again", "all away: leases ran out")
+	}, "all controllers down", "a zone partitioned", "a zone partitioned with the leader", "ten leader crashes", "ten leader crashes in an outage", "leaders changed repeatedly", "all controllers down: leases expired")
 }
 
-// TestRefusedCancelledOut has jobs cancelled at the very moment at which the state service
-// refuses the leader alone, by way of the old leader and of the others, and a second later the
-// state service out for longer than a cancellation has.
+// TestRefusedCancelledOut guards against tasks that outlive a confirmed cancellation. Jobs are cancelled
+// through the old leader and the other controllers when the state service starts to refuse only the
+// leader or up to a second later. After 1 s or 12 s a state outage begins that lasts beyond the
+// cancellation deadline.
 func TestRefusedCancelledOut(t *testing.T) {
 	trials := []string{"well", "deaf", "hung", "mute", "cut"}
 	delays := []time.Duration{0, 10 * time.Millisecond, 100 * time.Millisecond, time.Second}
@@ -221,7 +221,7 @@
 			d.after(after, func() { d.cancelJob(j, l.index+i+int(seed)) })
 		}
 		d.after(after, func() { d.cover(fmt.Sprintf("cancelled %v after the refusal", after)) })
-		// Or so late that another controller leads, and has confirmed what it could.
+		// After 12 s another controller leads and has confirmed the cancellations that it could.
 		out := []time.Duration{time.Second, 12 * time.Second}[int(seed)/len(trials)/len(delays)]
 		d.after(out, func() {
 			d.state.outage = true
@@ -231,7 +231,7 @@
 				}
 			}
 		})
-		d.run(out + time.Duration(35+5*(seed%4))*time.Second) // longer than a cancellation has
+		d.run(out + time.Duration(35+5*(seed%4))*time.Second) // longer than the cancellation deadline
 		gone := 0
 		for _, j := range list {
 			if j.toldCancelled {
@@ -248,7 +248,7 @@
 			}
 			return true
 		}) {
-			t.Error("not all cancellations came to their end")
+			t.Error("not all cancellations completed")
 		}
 		if gone < len(list) {
 			d.cover("confirmed after it")
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -28,9 +28,9 @@
 	return bytes.TrimSuffix(raw, []byte("\n"))
 }
 
-// What production stored is read whole, and written again byte for byte: an
-// entry without anything new looks as it always did. The frozen types do the
-// same, or they would not be production's.
+// TestProductionsLog checks that data stored by the version in production is read completely and that its
+// log segment is encoded again byte for byte, so entries without new fields keep their form. The frozen
+// types must encode it identically as well.
 func TestProductionsLog(t *testing.T) {
 	raw := golden(t, "segment.json")
 	list, err := eventlog.Decode(raw)
@@ -47,14 +47,14 @@
 		}
 	}
 	if want := reflect.TypeFor[prodEntry]().NumField(); len(kinds) != want {
-		t.Errorf("%d kinds of entries in the file, production has %d", len(kinds), want)
+		t.Errorf("%d kinds of entries in the file, the version in production has %d", len(kinds), want)
 	}
 	again, err := json.Marshal(map[string]any{"e": list})
 	if err != nil || !bytes.Equal(again, raw) {
-		t.Errorf("written again as\n%s, was\n%s", again, raw)
+		t.Errorf("encoded again as\n%s, was\n%s", again, raw)
 	}
 	if got := asProductionReads(raw); !bytes.Equal(got, raw) {
-		t.Errorf("the frozen types write\n%s, production wrote\n%s", got, raw)
+		t.Errorf("the frozen types write\n%s, the version in production wrote\n%s", got, raw)
 	}
 	var sizes eventlog.VirtualSizes
 	if err := json.Unmarshal(golden(t, "sizes.json"), &sizes); err != nil || !reflect.DeepEqual(sizes.Sizes, []eventlog.VirtualSize{{ID: 413, Size: 31.5, Virtual: 12.3}}) {
@@ -66,8 +66,8 @@
 	}
 }
 
-// What is new in the log is left out by production's reading, and everything
-// beside it is read as it is.
+// TestProductionReadsTheNewLog checks that the version in production drops the fields and entries that it
+// does not know and reads everything else unchanged.
 func TestProductionReadsTheNewLog(t *testing.T) {
 	job := eventlog.Job{ID: 9, Class: "c", Team: "t", Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", EstimateS: 5, AtMS: 7}
 	next := job
@@ -87,12 +87,12 @@
 		t.Fatal(err)
 	}
 	if got := asProductionReads(raw); !bytes.Equal(got, want) {
-		t.Errorf("production reads\n%s, want\n%s", got, want)
+		t.Errorf("the version in production reads\n%s, want\n%s", got, want)
 	}
 }
 
-// Messages between controllers: what production sent is understood, and it
-// understands what is sent to it, field by field.
+// TestProductionsMessages checks, field by field, that the current version decodes messages of the version
+// in production and that the latter decodes the current ones.
 func TestProductionsMessages(t *testing.T) {
 	job := &eventlog.Job{ID: 412, Class: "train", Team: "vision", Kind: 1, Priority: 2, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64.5,
 		Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true,
@@ -102,8 +102,8 @@
 	start := workers.Command{Op: workers.Start, Job: 413, Task: 2, Attempt: 10}
 	for _, c := range []struct {
 		file string
-		now  any // what the file means, in the types of today
-		then any // points to production's type
+		now  any // the content of the file in the current types
+		then any // pointer to the frozen type
 	}{
 		{"relay.gob", effects.RelayedHeartbeat{Via: "drover-1", Life: 1764590000000, Report: report}, &prodRelayed{}},
 		{"relay_answer.gob", effects.HeartbeatAnswer{Status: 200, Token: 7<<20 + 5, Commands: []workers.Command{{Op: workers.Stop, Job: 412, Task: 1, Attempt: 4, GraceS: 9}},
@@ -133,18 +133,18 @@
 			continue
 		}
 		if !reflect.DeepEqual(sent.Interface(), c.then) {
-			t.Errorf("%s: production reads %+v of what it is sent today, and %+v of its own", c.file, sent.Elem(), reflect.ValueOf(c.then).Elem())
+			t.Errorf("%s: the version in production decodes %+v from the current version and %+v from its own", c.file, sent.Elem(), reflect.ValueOf(c.then).Elem())
 		}
 	}
 }
 
-// The calls that production makes are still served, with arguments of the same
-// names.
+// TestProductionsCalls checks that the RPC methods, paths and keys that the version in production uses are
+// unchanged.
 func TestProductionsCalls(t *testing.T) {
 	c := reflect.TypeFor[*node.Controller]()
 	for _, name := range []string{"Ask", "Hail", "Relay", "Status", "Explain"} {
 		if _, ok := c.MethodByName(name); !ok {
-			t.Errorf("Controller.%s is not served any more", name)
+			t.Errorf("Controller.%s is no longer served", name)
 		}
 	}
 	if node.PathPeers != "/peers" || leadership.HolderKey != "lead/holder" || leadership.EpochKey != "lead/epoch" ||
