--- a/internal/scenario/cold_test.go
+++ b/internal/scenario/cold_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
@@ -84,7 +85,7 @@
 		job := &eventlog.Job{ID: i, Class: []string{"quick", "usual", "long"}[i%3], Team: []string{"team", "other"}[i%2], Priority: []uint8{2, 1, 0}[i%3], Tasks: 1 + r.IntN(machines*3/4), CPUs: 1, MemoryGB: 1,
 			Image: fmt.Sprint(r.IntN(6)), ImageGB: 0.3, Spot: r.IntN(5) > 0, EstimateS: run.Seconds(), Checkpoint: float64(r.IntN(2) * 5), SaveS: 1}
 		if r.IntN(10) == 0 {
-			job.Kind, job.Tasks = 1, 1+r.IntN(12)
+			job.Kind, job.Tasks = jobs.Gang, 1+r.IntN(12)
 		}
 		j := &userJob{id: i, runTime: run, spec: wire.Submission{ID: i, HasID: true, Job: job}}
 		s.after(at, func() {
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -24,7 +25,7 @@
 }
 
 func (m meeting) String() string {
-	yes := map[bool]string{true: "reached", false: "cut"}
+	yes := map[bool]string{true: "reachable", false: "unreachable"}
 	return fmt.Sprintf("peers %s/machines %s/cloud %s/machines are %s/then %s/outage after %v", yes[m.peers], yes[m.direct], yes[m.cloud], m.trial, m.then, m.delay)
 }
 
@@ -46,9 +47,23 @@
 		for _, peers := range []bool{true, false} {
 			for _, direct := range []bool{true, false} {
 				for _, cloud := range []bool{true, false} {
-					for _, trial := range []string{"well", "deaf", "hung", "in a zone cut with the old leader", "taking starts", "being stopped by the old leader"} {
-						for _, then := range []string{"all stay", "the new leader ends", "the new leader is back at once", "all end and come back", "the new leader hands over"} {
-							m := meeting{peers, direct, cloud, trial, then, []time.Duration{100 * time.Millisecond, time.Second, 3 * time.Second, 22 * time.Second}[n%4]}
+					for _, trial := range []string{
+						"healthy",
+						"losing inbound packets",
+						"hung",
+						"in a zone partitioned with the old leader",
+						"receiving starts",
+						"being stopped by the old leader",
+					} {
+						for _, then := range []string{
+							"no crash",
+							"the new leader crashes",
+							"the new leader restarts at once",
+							"all crash and restart",
+							"the new leader hands over",
+						} {
+							delays := []time.Duration{100 * time.Millisecond, time.Second, 3 * time.Second, 22 * time.Second}
+							m := meeting{peers, direct, cloud, trial, then, delays[n%4]}
 							seed := uint64(n)
 							n++
 							t.Run(m.String(), func(t *testing.T) {
@@ -73,7 +88,7 @@
 	c := baseSettings()
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 3, 22, 47
 	c.Tunables.ZonePatienceS = float64(seed % 2 * 60)
-	if m.trial == "taking starts" {
+	if m.trial == "receiving starts" {
 		c.Tunables.PushDispatches = 8
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
@@ -85,13 +100,13 @@
 		s.submit(j, int(id), func() bool { return s.now < 60*time.Second })
 		return j
 	}
-	array, gang, service, stays := submit(1, 0, 6), submit(2, 1, 3), submit(3, 2, 2), submit(5, 0, 4)
+	array, gang, service, stays := submit(1, jobs.Array, 6), submit(2, jobs.Gang, 3), submit(3, jobs.Service, 2), submit(5, jobs.Array, 4)
 	if !s.runUntil(200*time.Second, func() bool {
 		return s.runningTasks(1) == 6 && s.runningTasks(2) == 3 && s.runningTasks(3) == 2 && s.runningTasks(5) == 4
 	}) {
 		t.Fatal("the tasks did not all start")
 	}
-	follows := submit(4, 0, 2, 1)
+	follows := submit(4, jobs.Array, 2, 1)
 	s.run(2 * time.Second)
 	cancelling := []*userJob{array, gang, service, follows}
 	s.pollAll(2 * time.Second)
@@ -127,13 +142,13 @@
 	}
 	s.state.refused[l.name] = true
 	switch m.trial {
-	case "deaf":
+	case "losing inbound packets":
 		s.inboundLost[on[0].name] = true
 		s.after(90*time.Second, func() { delete(s.inboundLost, on[0].name) })
 	case "hung":
 		on[0].hung = true
 		s.after(90*time.Second, func() { on[0].hung = false })
-	case "in a zone cut with the old leader":
+	case "in a zone partitioned with the old leader":
 		s.partitionZone(on[0].zone, l.name, 0, true)
 	}
 	s.cloud.outage = !m.cloud
@@ -146,8 +161,8 @@
 			s.cancel(j, s.leader().index)
 		}
 	}
-	if m.trial == "taking starts" { // some of its starts are in flight
-		submit(6, 0, 5)
+	if m.trial == "receiving starts" { // some of its starts are in flight
+		submit(6, jobs.Array, 5)
 	}
 	if s.runUntil(40*time.Second, func() bool { return array.toldCancelled }) {
 		sum.Lock()
@@ -160,12 +175,12 @@
 	n := s.leader()
 	switch {
 	case n == nil:
-	case m.then == "the new leader ends":
+	case m.then == "the new leader crashes":
 		n.crash()
-	case m.then == "the new leader is back at once":
+	case m.then == "the new leader restarts at once":
 		n.crash()
 		s.after(200*time.Millisecond, func() { n.start(false) })
-	case m.then == "all end and come back":
+	case m.then == "all crash and restart":
 		for _, n := range s.nodes {
 			n.crash()
 			s.after(8*time.Second, func() { n.start(false) })
--- a/internal/scenario/hands_test.go
+++ b/internal/scenario/hands_test.go
@@ -33,7 +33,7 @@
 		if d.check.allCompleted(first.id) || d.runningTasks(first.id) < 4 {
 			d.cover("machines free while the leader is refused")
 		}
-		d.injectMachineFault("held", append(d.machinesWithTasks(next), d.machines()...)[:1], 12*time.Second)
+		d.injectMachineFault("packets held", append(d.machinesWithTasks(next), d.machines()...)[:1], 12*time.Second)
 		l.crash()
 		d.state.refused = map[string]bool{}
 		d.faults.restartAfter(l, 8*time.Second)
@@ -60,7 +60,7 @@
 		for i := range 50 { // reports of machines with newly started tasks are lost for a moment
 			d.after(time.Duration(i)*650*time.Millisecond, func() {
 				for _, w := range d.faults.pickMachines(5) {
-					d.injectMachineFault("mute", []*worker{w}, 2500*time.Millisecond)
+					d.injectMachineFault("outbound loss", []*worker{w}, 2500*time.Millisecond)
 				}
 			})
 		}
--- a/internal/scenario/harness_test.go
+++ b/internal/scenario/harness_test.go
@@ -154,15 +154,15 @@
 func (h *harness) injectMachineFault(what string, list []*worker, length time.Duration) {
 	for _, w := range list {
 		switch what {
-		case "cut":
+		case "partitioned":
 			h.partitions = append(h.partitions, &partition{host: w.name})
-		case "held":
+		case "packets held":
 			h.partitions = append(h.partitions, &partition{host: w.name, holdPackets: true})
-		case "deaf":
+		case "inbound loss":
 			h.inboundLost[w.name] = true
 		case "hung":
 			w.hung = true
-		case "mute":
+		case "outbound loss":
 			h.reportsLost[w.name] = true
 		case "slow":
 			h.latency[w.name] = 6 * time.Second
--- a/internal/scenario/largest_test.go
+++ b/internal/scenario/largest_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/wire"
 )
 
@@ -30,10 +31,10 @@
 	for at := 10 * time.Second; at < 400*time.Second; at += time.Second {
 		add(at, eventlog.Job{Class: "small", Tasks: 4, CPUs: 1}, time.Duration(10+r.IntN(9))*time.Second)
 	}
-	add(60*time.Second, eventlog.Job{Class: "gang", Kind: 1, Tasks: 9, CPUs: 4}, 40*time.Second)
-	add(62*time.Second, eventlog.Job{Class: "gang", Kind: 1, Tasks: 10, CPUs: 4}, 40*time.Second)
+	add(60*time.Second, eventlog.Job{Class: "gang", Kind: jobs.Gang, Tasks: 9, CPUs: 4}, 40*time.Second)
+	add(62*time.Second, eventlog.Job{Class: "gang", Kind: jobs.Gang, Tasks: 10, CPUs: 4}, 40*time.Second)
 	add(64*time.Second, eventlog.Job{Class: "wide", Tasks: 60, CPUs: 3}, 30*time.Second)
-	add(66*time.Second, eventlog.Job{Class: "zone", Kind: 1, Tasks: 5, CPUs: 4, OneZone: true}, 30*time.Second)
+	add(66*time.Second, eventlog.Job{Class: "zone", Kind: jobs.Gang, Tasks: 5, CPUs: 4, OneZone: true}, 30*time.Second)
 	s.run(700 * time.Second)
 	s.check.checkStartDelay(s.now)
 	return s
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/settings"
 )
 
@@ -13,7 +14,7 @@
 // cancellation. No team may exceed its limit, the tasks are gone before the user is told, and no job
 // waits for room that has long been free.
 func TestLimitsAndCancellations(t *testing.T) {
-	trials := []string{"cut", "held", "hung", "deaf", "mute", "slow"}
+	trials := []string{"partitioned", "packets held", "hung", "inbound loss", "outbound loss", "slow"}
 	runSeeds(t, 9*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
 		d := newHarness(t, seed, func(c *settings.Settings) {
@@ -63,7 +64,11 @@
 			t.Error("jobs wait although the cancelled jobs have made room")
 		}
 		return d.endFaultsAndSettle(6 * time.Minute)
-	}, "jobs wait for their team's limit", "the leader crashed before", "the leader crashed at the same time", "the leader crashed after")
+	},
+		"jobs wait for their team's limit",
+		"the leader crashed before",
+		"the leader crashed at the same time",
+		"the leader crashed after")
 }
 
 // TestCancelledWhileWorkChangesHands cancels jobs while machines switch to another controller: theirs
@@ -154,7 +159,13 @@
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
 		d := newHarness(t, seed, nil)
 		var list []*userJob
-		for i, job := range []eventlog.Job{{Zone: "b", Tasks: 5}, {Zone: "b", Tasks: 3, Kind: 1}, {OneZone: true, Tasks: 5}, {OneZone: true, Tasks: 3, Kind: 1}, {Zone: "a", Tasks: 4, OneZone: true}} {
+		for i, job := range []eventlog.Job{
+			{Zone: "b", Tasks: 5},
+			{Zone: "b", Tasks: 3, Kind: jobs.Gang},
+			{OneZone: true, Tasks: 5},
+			{OneZone: true, Tasks: 3, Kind: jobs.Gang},
+			{Zone: "a", Tasks: 4, OneZone: true},
+		} {
 			job.Priority, job.Spot = 1, i%2 == int(seed)%2 || i == 2
 			list = append(list, d.submitJob(time.Duration(25+5*i)*time.Second, job))
 		}
@@ -180,7 +191,7 @@
 				case 1:
 					w.terminate()
 				default: // its reports or its commands are lost while its tasks go on
-					d.injectMachineFault([]string{"cut", "mute", "deaf"}[d.random.IntN(3)], []*worker{w}, time.Duration(3+d.random.IntN(12))*time.Second)
+					d.injectMachineFault([]string{"partitioned", "outbound loss", "inbound loss"}[d.random.IntN(3)], []*worker{w}, time.Duration(3+d.random.IntN(12))*time.Second)
 				}
 				d.cover("a machine of a bound job lost")
 			}
@@ -245,15 +256,15 @@
 // order, which does not fit for a long time. No other job may wait 90 s for it, and the first job
 // must still run in the end.
 func TestLeftWaiting(t *testing.T) {
-	for _, kind := range []uint8{0, 1} {
+	for _, kind := range []uint8{jobs.Array, jobs.Gang} {
 		d := newHarness(t, uint64(kind), nil)
 		d.cloud.capacity = 6
-		stays := d.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
+		stays := d.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: jobs.Service, Priority: 1})
 		d.pollAll(2 * time.Second)
 		d.awaitRunning(stays, 6)
 		long := d.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and all of its tasks end together
 		d.awaitRunning(long, 5)
-		if kind == 0 {
+		if kind == jobs.Array {
 			d.runUntil(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.tasksOnMachines(long.id) > 0 })
 		}
 		d.cancelJob(long, 0)
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
@@ -71,11 +72,36 @@
 	if overtook == 0 {
 		t.Error("the leader never changed")
 	}
-	for _, what := range []string{"late write of log, after newer ones", "late write of lead, after newer ones", "duplicate report after newer ones", "duplicate report of an earlier session", "duplicate report of an earlier term",
-		"delayed commands executed", "direct command to a hung machine", "direct command rejected for its token or session", "an answer dropped for its token or session", "packet to a machine lost in a one-way partition",
-		"report of a machine lost in a one-way partition", "direct command reached a machine whose reports are lost", "only the answer lost: log", "only the answer lost: claim", "only the answer lost: hold", "only the answer lost: renewal", "replayed report reached the next leader",
-		"running jobs cancelled concurrently", "machine of a cancelled job hangs", "cancellation at the completion of the last task", "a machine up before its rental was answered",
-		"invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job", "intensive polling", "more work than room", "a one-task job cancelled", "together with the version in production"} {
+	for _, what := range []string{
+		"late write of log, after newer ones",
+		"late write of lead, after newer ones",
+		"duplicate report after newer ones",
+		"duplicate report of an earlier session",
+		"duplicate report of an earlier term",
+		"delayed commands executed",
+		"direct command to a hung machine",
+		"direct command rejected for its token or session",
+		"an answer dropped for its token or session",
+		"packet to a machine lost in a one-way partition",
+		"report of a machine lost in a one-way partition",
+		"direct command reached a machine whose reports are lost",
+		"only the answer lost: log",
+		"only the answer lost: claim",
+		"only the answer lost: hold",
+		"only the answer lost: renewal",
+		"replayed report reached the next leader",
+		"running jobs cancelled concurrently",
+		"machine of a cancelled job hangs",
+		"cancellation at the completion of the last task",
+		"a machine up before its rental was answered",
+		"invalid repeated submission answered",
+		"invalid submission rejected",
+		"cancellation of a completed job",
+		"intensive polling",
+		"more work than room",
+		"a one-task job cancelled",
+		"together with the version in production",
+	} {
 		t.Logf("%s: %d times", what, seen[what])
 		if seen[what] == 0 {
 			t.Errorf("%s: never occurred", what)
@@ -130,10 +156,10 @@
 			Image: fmt.Sprint(r.IntN(3)), ImageGB: 0.3, Spot: r.IntN(4) > 0, EstimateS: run.Seconds(), OneZone: r.IntN(5) == 0}
 		job.Spread = !job.OneZone && r.IntN(5) == 0
 		if r.IntN(4) == 0 {
-			job.Kind, job.Tasks, job.CPUs = 1, 2+r.IntN(3), 1
+			job.Kind, job.Tasks, job.CPUs = jobs.Gang, 2+r.IntN(3), 1
 		}
 		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
-		if job.Kind == 0 && r.IntN(2) == 0 {
+		if job.Kind == jobs.Array && r.IntN(2) == 0 {
 			j.runTimeStep = time.Duration(r.IntN(6000)) * time.Millisecond * 8 / time.Duration(max(8, job.Tasks)) // the last of many tasks ends no later than the last of a few
 		}
 		s.jobs[id] = j
@@ -188,7 +214,7 @@
 	days, spread, lost := 0, 0, 0
 	t.Run("days", func(t *testing.T) {
 		for _, tasks := range []int{2, 3} {
-			for _, trial := range []string{"none", "cut", "deaf", "dies", "hangs", "begins anew"} {
+			for _, trial := range []string{"no fault", "partition", "inbound loss", "crash", "hang", "empty restart"} {
 				for step := range 12 {
 					t.Run(fmt.Sprintf("%d tasks/%s/%d", tasks, trial, step), func(t *testing.T) {
 						t.Parallel()
@@ -218,18 +244,18 @@
 							t.Fatal("the last task of job 1 is on no machine")
 						}
 						switch trial {
-						case "cut":
+						case "partition":
 							s.partitions = append(s.partitions, &partition{host: m.name, holdPackets: step%2 == 0})
 							s.after(9*time.Second, func() { s.heal(m.name) })
-						case "deaf":
+						case "inbound loss":
 							s.inboundLost[m.name] = true
 							s.after(9*time.Second, func() { delete(s.inboundLost, m.name) })
-						case "dies":
+						case "crash":
 							m.terminate()
-						case "hangs":
+						case "hang":
 							m.hung = true
 							s.after(9*time.Second, func() { m.hung = false })
-						case "begins anew":
+						case "empty restart":
 							m.restartEmpty()
 						}
 						for range 2 { // two leaders crash
@@ -267,7 +293,12 @@
 // controller, after those of later terms, and after the process that sent them has ended.
 func TestLateWrites(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, false) },
-		"late write of lead, after newer ones", "late write of log, after newer ones", "late removal of log, after newer ones", "late write of sizes, after newer ones", "late write of own/pools, after newer ones", "late write of own/run-times, after newer ones")
+		"late write of lead, after newer ones",
+		"late write of log, after newer ones",
+		"late removal of log, after newer ones",
+		"late write of sizes, after newer ones",
+		"late write of own/pools, after newer ones",
+		"late write of own/run-times, after newer ones")
 }
 
 // lateWritesDay simulates a state service that leaves four in ten writes unanswered. It applies them later
@@ -338,7 +369,14 @@
 	var mu sync.Mutex
 	days, unheard, again := 0, 0, 0
 	t.Run("days", func(t *testing.T) {
-		for _, trial := range []string{"cut", "cut, packets held", "deaf", "hung", "cut from all but the old leader", "answers held up"} {
+		for _, trial := range []string{
+			"partition",
+			"partition, packets held",
+			"inbound loss",
+			"hang",
+			"partition from all but the old leader",
+			"delayed answers",
+		} {
 			for length := range 6 {
 				for _, ends := range []int{1, 2} {
 					t.Run(fmt.Sprintf("%s/%d/%d", trial, length, ends), func(t *testing.T) {
@@ -349,7 +387,14 @@
 						}
 						c.Tunables.ZonePatienceS = float64(length % 2 * 40)
 						s := newSim(c, uint64(length*2+ends), 3, false)
-						kinds := []eventlog.Job{{Tasks: 4, OneZone: true}, {Tasks: 4, Spread: true}, {Tasks: 3, Kind: 1}, {Tasks: 3, Kind: 1, OneZone: true}, {Tasks: 6, Zone: "b"}, {Tasks: 12}}
+						kinds := []eventlog.Job{
+							{Tasks: 4, OneZone: true},
+							{Tasks: 4, Spread: true},
+							{Tasks: 3, Kind: jobs.Gang},
+							{Tasks: 3, Kind: jobs.Gang, OneZone: true},
+							{Tasks: 6, Zone: "b"},
+							{Tasks: 12},
+						}
 						submit := func(i int) {
 							k := kinds[i]
 							k.ID, k.Class, k.Team, k.Priority, k.CPUs, k.MemoryGB, k.Image, k.ImageGB, k.Spot, k.EstimateS = uint64(i+1), "class", "team", 1, 1, 1, "image", 0.3, true, 90
@@ -380,19 +425,19 @@
 						}
 						for _, w := range on {
 							switch trial {
-							case "cut", "cut, packets held":
-								s.partitions = append(s.partitions, &partition{host: w.name, holdPackets: trial != "cut"})
-							case "deaf":
+							case "partition", "partition, packets held":
+								s.partitions = append(s.partitions, &partition{host: w.name, holdPackets: trial != "partition"})
+							case "inbound loss":
 								s.inboundLost[w.name] = true
-							case "hung":
+							case "hang":
 								w.hung = true
-							case "cut from all but the old leader":
+							case "partition from all but the old leader":
 								for _, n := range s.nodes {
 									if n != l {
 										s.partitions = append(s.partitions, &partition{host: w.name, peer: n.name})
 									}
 								}
-							case "answers held up":
+							case "delayed answers":
 								s.latency[w.name] = 6 * time.Second
 							}
 							s.after(lasts, func() {
--- a/internal/scenario/moments_test.go
+++ b/internal/scenario/moments_test.go
@@ -13,7 +13,15 @@
 // start. No task may run twice, no machine may be kept without work, and every job completes.
 func TestUpAtOnce(t *testing.T) {
 	var steps []string
-	for _, step := range []string{"the rental noted", "the rental carried out", "the rental answered", "the answer noted", "the machine registered", "the grant noted", "the start carried out"} {
+	for _, step := range []string{
+		"the rental noted",
+		"the rental carried out",
+		"the rental answered",
+		"the answer noted",
+		"the machine registered",
+		"the grant noted",
+		"the start carried out",
+	} {
 		steps = append(steps, "before "+step, "after "+step)
 	}
 	must := []string{"a machine up before its rental was answered"}
@@ -47,7 +55,7 @@
 					if variant%2 == 1 { // and the next leader does not hear of the tasks that have just started
 						for _, w := range d.machines() {
 							if len(w.tasks) > 0 {
-								d.injectMachineFault("held", []*worker{w}, 7*time.Second)
+								d.injectMachineFault("packets held", []*worker{w}, 7*time.Second)
 							}
 						}
 					}
@@ -75,6 +83,12 @@
 // twice, and no user is told the opposite of an earlier answer.
 func TestOnlyTheAnswerIsLost(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, true) },
-		"only the answer lost: log", "only the answer lost: removal of log", "only the answer lost: sizes", "only the answer lost: own/pools", "only the answer lost: own/run-times",
-		"only the answer lost: hold", "only the answer lost: claim", "only the answer lost: renewal")
+		"only the answer lost: log",
+		"only the answer lost: removal of log",
+		"only the answer lost: sizes",
+		"only the answer lost: own/pools",
+		"only the answer lost: own/run-times",
+		"only the answer lost: hold",
+		"only the answer lost: claim",
+		"only the answer lost: renewal")
 }
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/core/workers"
 	"bitternmoor/internal/leader/pools"
 	"bitternmoor/internal/settings"
@@ -141,7 +142,7 @@
 			continue
 		}
 		x := eventlog.PoolUnits{Pool: name, Units: 1 + r.IntN(2), PerJob: r.IntN(4) == 0}
-		if job.Kind == 1 {
+		if job.Kind == jobs.Gang {
 			x.Units = 1
 			job.Tasks = min(job.Tasks, 2)
 		}
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
@@ -136,11 +137,11 @@
 			job.Spread = false
 		}
 		if r.IntN(4) == 0 {
-			job.Kind, job.Tasks, job.CPUs = 1, 1+r.IntN(6), 1
+			job.Kind, job.Tasks, job.CPUs = jobs.Gang, 1+r.IntN(6), 1
 		}
 		service := count == 7 && r.IntN(4) == 0
 		if service {
-			job.Kind, job.Spot, job.CPUs = 2, false, 1
+			job.Kind, job.Spot, job.CPUs = jobs.Service, false, 1
 		}
 		if counted {
 			demands(r, job)
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/effects"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
@@ -133,7 +134,11 @@
 			t.Errorf("violated invariants: %v", d.check.violations)
 		}
 		return d.sim
-	}, "request after the last task had completed", "request before the last task had completed", "a cancelled job done", "a cancelled job cancelled")
+	},
+		"request after the last task had completed",
+		"request before the last task had completed",
+		"a cancelled job done",
+		"a cancelled job cancelled")
 	t.Log(seen)
 }
 
@@ -266,9 +271,9 @@
 		change func(j *eventlog.Job)
 	}{
 		{201, func(*eventlog.Job) {}}, // for an array, the CPUs of one task must fit the limit
-		{422, func(j *eventlog.Job) { j.Kind = 1 }},
-		{422, func(j *eventlog.Job) { j.Kind = 2 }},
-		{201, func(j *eventlog.Job) { j.Kind, j.Tasks = 1, 3 }},
+		{422, func(j *eventlog.Job) { j.Kind = jobs.Gang }},
+		{422, func(j *eventlog.Job) { j.Kind = jobs.Service }},
+		{201, func(j *eventlog.Job) { j.Kind, j.Tasks = jobs.Gang, 3 }},
 		{422, func(j *eventlog.Job) { j.Team = "nobody" }},
 		{422, func(j *eventlog.Job) { j.CPUs = 5 }},
 		{422, func(j *eventlog.Job) { j.MemoryGB = 17 }},
--- a/internal/scenario/unheard_test.go
+++ b/internal/scenario/unheard_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/settings"
 )
 
@@ -34,7 +35,7 @@
 				switch {
 				case i > 4:
 				case i%4 == 0:
-					d.injectMachineFault("deaf", []*worker{w}, 14*time.Second)
+					d.injectMachineFault("inbound loss", []*worker{w}, 14*time.Second)
 				case i%4 == 1:
 					w.restartEmpty()
 				case i%4 == 2:
@@ -80,7 +81,7 @@
 		length := time.Duration(6+6*(seed/2%8)) * time.Second
 		on := d.machinesWithTasks(list[0])
 		before := d.check.starts
-		d.injectMachineFault("mute", on, length)
+		d.injectMachineFault("outbound loss", on, length)
 		for i := range 6 { // some of their starts are sent directly to those machines
 			d.after(time.Duration(d.random.IntN(9000))*time.Millisecond, func() { d.submitJob(20*time.Second, eventlog.Job{Tasks: 1 + i%2, Priority: 2, Spot: true}) })
 		}
@@ -116,14 +117,25 @@
 			t.Errorf("a cancelled job is %s", list[1].state)
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
-	}, "report of a machine lost in a one-way partition", "direct command reached a machine whose reports are lost", "a session advanced unreported", "started elsewhere while its machines' reports were lost", "tasks started after reports of machines were lost")
+	},
+		"report of a machine lost in a one-way partition",
+		"direct command reached a machine whose reports are lost",
+		"a session advanced unreported",
+		"started elsewhere while its machines' reports were lost",
+		"tasks started after reports of machines were lost")
 }
 
 // TestAllAway checks recovery from long faults: all controllers are down for longer than a lease, a zone with
 // workers and a controller is partitioned for longer than a lease, or leaders crash ten times in two
 // minutes, also during a state outage. Afterwards all jobs are served and none is left waiting.
 func TestAllAway(t *testing.T) {
-	trials := []string{"all controllers down", "a zone partitioned", "a zone partitioned with the leader", "ten leader crashes", "ten leader crashes in an outage"}
+	trials := []string{
+		"all controllers down",
+		"a zone partitioned",
+		"a zone partitioned with the leader",
+		"ten leader crashes",
+		"ten leader crashes in an outage",
+	}
 	runSeeds(t, 8*len(trials), func(t *testing.T, seed uint64) *sim {
 		trial := trials[int(seed)%len(trials)]
 		variant := int(seed) / len(trials)
@@ -186,7 +198,14 @@
 			t.Error("no leader after the fault")
 		}
 		return d.endFaultsAndSettle(5 * time.Minute)
-	}, "all controllers down", "a zone partitioned", "a zone partitioned with the leader", "ten leader crashes", "ten leader crashes in an outage", "leaders changed repeatedly", "all controllers down: leases expired")
+	},
+		"all controllers down",
+		"a zone partitioned",
+		"a zone partitioned with the leader",
+		"ten leader crashes",
+		"ten leader crashes in an outage",
+		"leaders changed repeatedly",
+		"all controllers down: leases expired")
 }
 
 // TestRefusedCancelledOut guards against tasks that outlive a confirmed cancellation. Jobs are cancelled
@@ -194,7 +213,7 @@
 // leader or up to a second later. After 1 s or 12 s a state outage begins that lasts beyond the
 // cancellation deadline.
 func TestRefusedCancelledOut(t *testing.T) {
-	trials := []string{"well", "deaf", "hung", "mute", "cut"}
+	trials := []string{"healthy", "inbound loss", "hung", "outbound loss", "partitioned"}
 	delays := []time.Duration{0, 10 * time.Millisecond, 100 * time.Millisecond, time.Second}
 	must := []string{"confirmed before the outage", "confirmed after it"}
 	for _, after := range delays {
@@ -204,7 +223,7 @@
 		trial, after := trials[int(seed)%len(trials)], delays[int(seed)/len(trials)%len(delays)]
 		d := newHarness(t, seed, nil)
 		var list []*userJob
-		for i, kind := range []uint8{0, 1, 2, 0} {
+		for i, kind := range []uint8{jobs.Array, jobs.Gang, jobs.Service, jobs.Array} {
 			list = append(list, d.submitJob(200*time.Second, eventlog.Job{Tasks: 2 + i, Kind: kind, Priority: 1, Spot: true}))
 		}
 		stays := d.submitJob(150*time.Second, eventlog.Job{Tasks: 4, Priority: 1, Spot: true})
@@ -214,7 +233,7 @@
 		}
 		l := d.awaitLeader()
 		d.state.refused[l.name] = true
-		if trial != "well" {
+		if trial != "healthy" {
 			d.injectMachineFault(trial, d.machinesWithTasks(list[0])[:1], 50*time.Second)
 		}
 		for i, j := range list {
