--- a/internal/scenario/cold_test.go
+++ b/internal/scenario/cold_test.go
@@ -66,15 +66,15 @@
 	return c
 }
 
-// coldDay simulates a cold start: all controllers go down at once and return one by one, while a share
-// of the machines crashes, hangs, is partitioned or is reclaimed by the cloud.
-func coldDay(t *testing.T, seed uint64, machines int, on bool) *sim {
+// simulateColdStart simulates a cold start: all controllers go down at once and return one by one, while
+// a share of the machines crashes, hangs, is partitioned or is reclaimed by the cloud.
+func simulateColdStart(t *testing.T, seed uint64, machines int, on bool) *sim {
 	r := rand.New(rand.NewPCG(seed, 22))
 	s := newSim(coldSettings(on), seed, 3, false)
 	s.cloud.capacity = machines
 	s.latency = map[string]time.Duration{}
 	var log []string
-	say := func(f string, a ...any) {
+	logFault := func(f string, a ...any) {
 		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, a...))
 	}
 	id := uint64(0)
@@ -104,22 +104,22 @@
 		submit(time.Duration(r.IntN(35000)) * time.Millisecond)
 	}
 	lease := settingsSeconds(s.cfg.Deployment.Workers.LeaseS)
-	down := []time.Duration{2 * time.Second, 8 * time.Second, lease - time.Second, lease + 1500*time.Millisecond, time.Minute}[r.IntN(5)]
+	downtime := []time.Duration{2 * time.Second, 8 * time.Second, lease - time.Second, lease + 1500*time.Millisecond, time.Minute}[r.IntN(5)]
 	switch seed % 40 {
 	case 19:
-		down = 5 * time.Minute
+		downtime = 5 * time.Minute
 	case 39:
-		down = time.Hour
+		downtime = time.Hour
 	}
-	crash := 45*time.Second + time.Duration(r.IntN(5000))*time.Millisecond
+	crashAt := 45*time.Second + time.Duration(r.IntN(5000))*time.Millisecond
 	for range 8 {
-		submit(crash + time.Duration(r.IntN(60000))*time.Millisecond)
+		submit(crashAt + time.Duration(r.IntN(60000))*time.Millisecond)
 	}
-	old, apart := seed%6 == 1, seed%7 == 3
-	s.after(crash, func() {
-		kept := r.IntN(3) // with apart, this controller stays up and reaches only its workers
+	oldFirst, isolateOne := seed%6 == 1, seed%7 == 3
+	s.after(crashAt, func() {
+		isolated := r.IntN(3) // with isolateOne, this controller stays up and reaches only its workers
 		for i, n := range s.nodes {
-			if !apart || i != kept {
+			if !isolateOne || i != isolated {
 				n.crash()
 				continue
 			}
@@ -129,10 +129,10 @@
 					s.partitions = append(s.partitions, &partition{host: n.name, peer: o.name})
 				}
 			}
-			s.after(down+12*time.Second, func() { s.heal(n.name) })
-			say("%s is partitioned from all but its workers", n.name)
+			s.after(downtime+12*time.Second, func() { s.heal(n.name) })
+			logFault("%s is partitioned from all but its workers", n.name)
 		}
-		say("all controllers are down for %v", down)
+		logFault("all controllers are down for %v", downtime)
 		names := make([]string, 0, len(s.cloud.machines))
 		for n, w := range s.cloud.machines {
 			if w.up {
@@ -141,21 +141,21 @@
 		}
 		slices.Sort(names)
 		r.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
-		hit := names[:len(names)*[]int{0, 3, 20}[r.IntN(3)]/60]
-		for i, n := range hit {
+		affected := names[:len(names)*[]int{0, 3, 20}[r.IntN(3)]/60]
+		for i, n := range affected {
 			w := s.cloud.machines[n]
-			at, length := time.Duration(r.Int64N(int64(down))), time.Duration(2+r.IntN(25))*time.Second
-			what := (i + int(seed)) % 5
+			at, duration := time.Duration(r.Int64N(int64(downtime))), time.Duration(2+r.IntN(25))*time.Second
+			fault := (i + int(seed)) % 5
 			s.after(at, func() {
-				switch what {
+				switch fault {
 				case 0:
 					w.terminate()
 				case 1:
 					w.hung = true
-					s.after(length, func() { w.hung, w.healthySince = false, s.now })
+					s.after(duration, func() { w.hung, w.healthySince = false, s.now })
 				case 2:
 					s.partitions = append(s.partitions, &partition{host: n, holdPackets: r.IntN(2) == 0})
-					s.after(length, func() { s.heal(n); w.healthySince = s.now })
+					s.after(duration, func() { s.heal(n); w.healthySince = s.now })
 				case 3: // reclaimed by the cloud
 					w.terminate()
 					delete(s.cloud.machines, n)
@@ -164,19 +164,19 @@
 				}
 			})
 		}
-		say("%d of %d machines are affected by faults meanwhile", len(hit), len(names))
+		logFault("%d of %d machines are affected by faults meanwhile", len(affected), len(names))
 	})
-	back := crash + down
+	returnAt := crashAt + downtime
 	switch r.IntN(5) { // a state service outage that ends before, at or after the controllers' return
 	case 0:
-		s.after(crash, func() { s.state.outage = true })
-		s.after(back-time.Second, func() { s.state.recover() })
+		s.after(crashAt, func() { s.state.outage = true })
+		s.after(returnAt-time.Second, func() { s.state.recover() })
 	case 1:
-		s.after(back-time.Second, func() { s.state.outage = true })
-		s.after(back+4*time.Second, func() { s.state.recover() })
+		s.after(returnAt-time.Second, func() { s.state.outage = true })
+		s.after(returnAt+4*time.Second, func() { s.state.recover() })
 	case 2:
-		s.after(back+2*time.Second, func() { s.state.outage = true })
-		s.after(back+14*time.Second, func() { s.state.recover() })
+		s.after(returnAt+2*time.Second, func() { s.state.outage = true })
+		s.after(returnAt+14*time.Second, func() { s.state.recover() })
 	}
 	returns := func(from time.Duration) {
 		at := from
@@ -187,34 +187,34 @@
 				if n.up {
 					return
 				}
-				n.start(old && i == first)
+				n.start(oldFirst && i == first)
 				if r.IntN(6) == 0 {
 					s.latency[n.name] = 700 * time.Millisecond
 					s.after(15*time.Second, func() { delete(s.latency, n.name) })
-					say("%s is slow", n.name)
+					logFault("%s is slow", n.name)
 				}
 				if i > 0 && r.IntN(6) == 0 {
 					s.state.refused[n.name] = true
 					s.after(12*time.Second, func() { delete(s.state.refused, n.name) })
-					say("the state service refuses %s", n.name)
+					logFault("the state service refuses %s", n.name)
 				}
 			})
 			at += time.Duration(r.IntN(9000)) * time.Millisecond
 		}
 	}
-	returns(back)
-	for again := r.IntN(3); again > 0; again-- { // all crash again before the census has ended
-		at := back + time.Duration(r.IntN(9000))*time.Millisecond
+	returns(returnAt)
+	for crashes := r.IntN(3); crashes > 0; crashes-- { // all crash again before the census has ended
+		at := returnAt + time.Duration(r.IntN(9000))*time.Millisecond
 		s.after(at, func() {
 			for _, n := range s.nodes {
 				n.crash()
 			}
-			say("all controllers are down again")
+			logFault("all controllers are down again")
 		})
 		returns(at + 3*time.Second)
 	}
-	if old { // finally all run the new version
-		s.after(back+40*time.Second, func() {
+	if oldFirst { // finally all run the new version
+		s.after(returnAt+40*time.Second, func() {
 			for _, n := range s.nodes {
 				if n.oldVersion {
 					n.crash()
@@ -233,8 +233,8 @@
 		s.after(2*time.Second, poll)
 	}
 	s.after(0, poll)
-	s.run(back + 70*time.Second)
-	over := s.runUntil(40*time.Minute, func() bool {
+	s.run(returnAt + 70*time.Second)
+	ended := s.runUntil(40*time.Minute, func() bool {
 		for _, j := range s.jobs {
 			if j.accepted && !j.toldDone && !j.toldCancelled {
 				return false
@@ -243,11 +243,11 @@
 		return true
 	})
 	s.check.checkServedShare(s.now)
-	if !over {
-		log = append(log, s.stuck()...)
+	if !ended {
+		log = append(log, s.explainUnfinished()...)
 	}
-	if len(s.check.violations) > 0 || !over {
-		t.Errorf("all jobs ended: %v; violated invariants: %s\n%s", over, strings.Join(s.check.violations, "\n"), strings.Join(log, "\n"))
+	if len(s.check.violations) > 0 || !ended {
+		t.Errorf("all jobs ended: %v; violated invariants: %s\n%s", ended, strings.Join(s.check.violations, "\n"), strings.Join(log, "\n"))
 	}
 	if s.check.starts == 0 {
 		t.Error("no task ran")
@@ -255,13 +255,14 @@
 	// Results lost with their machines are unknown to the leader; no other completed task may be
 	// started again.
 	if s.check.unnecessary[startedCompleted] > s.check.unnecessary[resultsLost] {
-		t.Errorf("%d completed tasks were started again, but only %d results were lost\n%s", s.check.unnecessary[startedCompleted], s.check.unnecessary[resultsLost], strings.Join(log, "\n"))
+		t.Errorf("%d completed tasks were started again, but only %d results were lost\n%s",
+			s.check.unnecessary[startedCompleted], s.check.unnecessary[resultsLost], strings.Join(log, "\n"))
 	}
 	return s
 }
 
-// stuck describes the jobs that have not ended, with the leader's explanation of each.
-func (s *sim) stuck() (out []string) {
+// explainUnfinished describes the jobs that have not ended, with the leader's explanation of each.
+func (s *sim) explainUnfinished() (out []string) {
 	for id, j := range s.jobs {
 		if !j.accepted || j.toldDone || j.toldCancelled {
 			continue
@@ -290,29 +291,29 @@
 	if v, err := strconv.Atoi(os.Getenv("COLD_MACHINES")); err == nil {
 		machines = v
 	}
-	on := os.Getenv("COLD_OFF") == ""
-	sums := make([]map[unnecessaryKind]int, days)
+	enabled := os.Getenv("COLD_OFF") == ""
+	results := make([]map[unnecessaryKind]int, days)
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				sums[seed] = coldDay(t, seed, machines, on).check.unnecessary
+				results[seed] = simulateColdStart(t, seed, machines, enabled).check.unnecessary
 			})
 		}
 	})
-	all := map[unnecessaryKind]int{}
-	for i, x := range sums {
+	total := map[unnecessaryKind]int{}
+	for i, x := range results {
 		for k, n := range x {
-			all[k] += n
+			total[k] += n
 		}
-		if on && x[deletedBusy] > 0 && i%6 != 1 { // in those runs a leader of the version in production may delete them
+		if enabled && x[deletedBusy] > 0 && i%6 != 1 { // in those runs a leader of the version in production may delete them
 			t.Errorf("seed %d: %d reachable machines with tasks were deleted", i, x[deletedBusy])
 		}
 	}
 	t.Logf("%d runs: completed tasks started again %d (results lost %d), busy machines deleted %d, machines rented and not used %d, tasks stopped %d",
-		days, all[startedCompleted], all[resultsLost], all[deletedBusy], all[rentedUnused], all[stoppedRunning])
-	if on && all[rentedUnused] > days*machines/10 {
-		t.Errorf("%d machines were rented and not used in %d runs", all[rentedUnused], days)
+		days, total[startedCompleted], total[resultsLost], total[deletedBusy], total[rentedUnused], total[stoppedRunning])
+	if enabled && total[rentedUnused] > days*machines/10 {
+		t.Errorf("%d machines were rented and not used in %d runs", total[rentedUnused], days)
 	}
 }
 
@@ -335,23 +336,26 @@
 	}
 	for _, down := range []time.Duration{8 * time.Second, 40 * time.Second} {
 		for _, on := range []bool{false, true} {
-			coldScale(t, machines, down, on)
+			measureColdStart(t, machines, down, on)
 		}
 	}
 }
 
-func coldScale(t *testing.T, machines int, down time.Duration, on bool) {
-	c := coldSettings(on)
+func measureColdStart(t *testing.T, machines int, down time.Duration, enabled bool) {
+	c := coldSettings(enabled)
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
-	d := &c.Deployment
-	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = 5, 26.5, 51.5
-	d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 100, 16, 16
-	d.Cloud.RPS = 9
+	deployment := &c.Deployment
+	deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 5, 26.5, 51.5
+	deployment.State.WriteRPS, deployment.State.ValueKB, deployment.State.TxnOps = 100, 16, 16
+	deployment.Cloud.RPS = 9
 	s := newSim(c, 1, 3, false)
 	s.cloud.capacity = machines
-	s.scale = &scaleCounts{sent: map[string]int{}, spent: map[string]time.Duration{}}
+	s.loadStats = &loadStats{effects: map[string]int{}, coreTime: map[string]time.Duration{}}
 	for i := range uint64(machines / 25) {
-		job := &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 110, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(i % 16), ImageGB: 0.3, Spot: true, EstimateS: 60}
+		job := &eventlog.Job{
+			ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 110, CPUs: 1, MemoryGB: 1,
+			Image: fmt.Sprint(i % 16), ImageGB: 0.3, Spot: true, EstimateS: 60,
+		}
 		j := &userJob{id: i + 1, runTime: 60 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 		s.jobs[i+1] = j
 		s.after(time.Duration(i%40)*500*time.Millisecond, func() { s.submit(j, int(i), func() bool { return true }) })
@@ -383,14 +387,14 @@
 	for i, n := range s.nodes {
 		s.after(time.Duration(i)*700*time.Millisecond, func() { n.start(false) })
 	}
-	began, before := s.now, maps.Clone(s.scale.sent)
+	returnedAt, before := s.now, maps.Clone(s.loadStats.effects)
 	starts, deleted, writes := s.check.starts, s.cloud.deletions, s.state.writes
 	peak := map[string]int{}
-	back := map[int]time.Duration{}
-	for s.now < began+90*time.Second {
-		last, lastStarts, lastWrites := maps.Clone(s.scale.sent), s.check.starts, s.state.writes
+	recoveredAfter := map[int]time.Duration{}
+	for s.now < returnedAt+90*time.Second {
+		last, lastStarts, lastWrites := maps.Clone(s.loadStats.effects), s.check.starts, s.state.writes
 		s.run(time.Second)
-		for k, n := range s.scale.sent {
+		for k, n := range s.loadStats.effects {
 			peak[k] = max(peak[k], n-last[k])
 		}
 		peak["starts"] = max(peak["starts"], s.check.starts-lastStarts)
@@ -402,20 +406,20 @@
 			}
 		}
 		for _, share := range []int{50, 90, 100} {
-			if _, there := back[share]; !there && n*100 >= len(running)*share {
-				back[share] = s.now - began
+			if _, there := recoveredAfter[share]; !there && n*100 >= len(running)*share {
+				recoveredAfter[share] = s.now - returnedAt
 			}
 		}
 	}
-	var spent time.Duration
-	for _, x := range s.scale.spent {
-		spent += x
+	var totalCoreTime time.Duration
+	for _, x := range s.loadStats.coreTime {
+		totalCoreTime += x
 	}
-	sent := func(k string) int { return s.scale.sent[k] - before[k] }
+	sent := func(k string) int { return s.loadStats.effects[k] - before[k] }
 	t.Logf("%d machines, down for %v, features on %v: %d tasks in progress, running again 50 %% %v, 90 %% %v, all %v; starts %d (peak %d), rental requests %d (peak %d), deletions %d machines, %d requests (peak %d), "+
 		"changes written %d (peak %d), answers to users %d (peak %d); busy machines deleted %d, rented and not used %d, completed tasks started again %d; %.1f s of real time in the cores",
-		machines, down, on, len(running), back[50], back[90], back[100], s.check.starts-starts, peak["starts"], sent("Rent"), peak["Rent"], s.cloud.deletions-deleted, sent("Delete"), peak["Delete"],
-		s.state.writes-writes, peak["changes"], sent("Reply"), peak["Reply"], s.check.unnecessary[deletedBusy], s.check.unnecessary[rentedUnused], s.check.unnecessary[startedCompleted], spent.Seconds())
+		machines, down, enabled, len(running), recoveredAfter[50], recoveredAfter[90], recoveredAfter[100], s.check.starts-starts, peak["starts"], sent("Rent"), peak["Rent"], s.cloud.deletions-deleted, sent("Delete"), peak["Delete"],
+		s.state.writes-writes, peak["changes"], sent("Reply"), peak["Reply"], s.check.unnecessary[deletedBusy], s.check.unnecessary[rentedUnused], s.check.unnecessary[startedCompleted], totalCoreTime.Seconds())
 	if len(s.check.violations) > 0 {
 		t.Errorf("%d violated invariants, the first: %s", len(s.check.violations), s.check.violations[0])
 	}
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -16,17 +16,17 @@
 	"bitternmoor/internal/settings"
 )
 
-// configPlay is the state of configuration changes in a simulation and of the invariants on them.
-type configPlay struct {
-	limits  map[string]float64 // CPU limits of the teams whose limit was changed; 0: none
-	queue   []func()           // queued changes, the one in progress first
-	durable uint64             // newest revision that was reported durable to an operator
-	seen    map[string]uint64  // newest revision observed, by controller and incarnation
-	changes int
+// configTracker is the state of configuration changes in a simulation and of the invariants on them.
+type configTracker struct {
+	limits          map[string]float64 // CPU limits of the teams whose limit was changed; 0: none
+	queue           []func()           // queued changes, the one in progress first
+	durableRevision uint64             // newest revision that was reported durable to an operator
+	seenRevisions   map[string]uint64  // newest revision observed, by controller and incarnation
+	changesMade     int
 }
 
-// onItsWay is how long a start that was sent before a change may still be in flight.
-const onItsWay = 6 * time.Second
+// startInFlightLimit is how long a start that was sent before a change may still be in flight.
+const startInFlightLimit = 6 * time.Second
 
 // teamLimit returns the number of CPUs that a team may use now.
 func (s *sim) teamLimit(t settings.Team) float64 {
@@ -43,8 +43,8 @@
 	s.configs.limits[name] = v
 }
 
-// limitIn returns the CPU limit of a team after a change.
-func (s *sim) limitIn(c config.Change) float64 {
+// limitAfter returns the CPU limit of a team after a change.
+func (s *sim) limitAfter(c config.Change) float64 {
 	if c.Value.Limits != nil {
 		return c.Value.Limits.CPUsMax
 	}
@@ -56,22 +56,22 @@
 	return s.configs.limits[c.Item.Team] // a removed team keeps its limit
 }
 
-func higher(a, b float64) bool { return b != 0 && (a == 0 || a > b) }
+func higherLimit(a, b float64) bool { return b != 0 && (a == 0 || a > b) }
 
 // reconfigure queues an operator's change, which is retried until it is durable. Changes are made one
 // after the other.
 func (s *sim) reconfigure(id string, changes []config.Change) {
-	p := &s.configs
-	p.queue = append(p.queue, func() { s.reconfigureNow(id, changes) })
-	if len(p.queue) == 1 {
-		p.queue[0]()
+	tracker := &s.configs
+	tracker.queue = append(tracker.queue, func() { s.reconfigureNow(id, changes) })
+	if len(tracker.queue) == 1 {
+		tracker.queue[0]()
 	}
 }
 
 func (s *sim) reconfigureNow(id string, changes []config.Change) {
 	for _, c := range changes {
 		for _, t := range s.cfg.Deployment.Teams {
-			if to := s.limitIn(c); t.Name == c.Item.Team && higher(to, s.teamLimit(t)) {
+			if to := s.limitAfter(c); t.Name == c.Item.Team && higherLimit(to, s.teamLimit(t)) {
 				s.setLimit(t.Name, to) // a higher limit may be in force from now on
 			}
 		}
@@ -79,12 +79,12 @@
 	var try func()
 	try = func() {
 		again := func() { s.after(700*time.Millisecond, try) }
-		l := s.leader()
-		if l == nil || l.oldVersion || s.pausedFor(l.name) > 0 {
+		leader := s.leader()
+		if leader == nil || leader.oldVersion || s.pausedFor(leader.name) > 0 {
 			again()
 			return
 		}
-		view, ok := l.configView()
+		view, ok := leader.configView()
 		if !ok {
 			again()
 			return
@@ -93,31 +93,31 @@
 		if err != nil {
 			panic(err)
 		}
-		raw, _, err := l.core.Change(l.clock(), reconfig.Name, "operator", body)
-		l.drain()
-		var done reconfig.Answer
-		if err != nil || raw == nil || json.Unmarshal(raw, &done) != nil || !done.Durable {
+		raw, _, err := leader.core.Change(leader.clock(), reconfig.Name, "operator", body)
+		leader.drain()
+		var result reconfig.Answer
+		if err != nil || raw == nil || json.Unmarshal(raw, &result) != nil || !result.Durable {
 			again()
 			return
 		}
-		s.configs.durable = max(s.configs.durable, done.Revision)
-		s.configs.changes++
-		s.after(onItsWay, func() { s.configured(changes) })
+		s.configs.durableRevision = max(s.configs.durableRevision, result.Revision)
+		s.configs.changesMade++
+		s.after(startInFlightLimit, func() { s.finishChange(changes) })
 	}
 	try()
 }
 
-// configured puts the limits of a durable change in force for the checker and starts the next change.
-func (s *sim) configured(changes []config.Change) {
+// finishChange puts the limits of a durable change in force for the checker and starts the next change.
+func (s *sim) finishChange(changes []config.Change) {
 	for _, c := range changes {
 		if c.Item.Team != "" {
-			s.setLimit(c.Item.Team, s.limitIn(c))
+			s.setLimit(c.Item.Team, s.limitAfter(c))
 		}
 	}
-	p := &s.configs
-	p.queue = p.queue[1:]
-	if len(p.queue) > 0 {
-		p.queue[0]()
+	tracker := &s.configs
+	tracker.queue = tracker.queue[1:]
+	if len(tracker.queue) > 0 {
+		tracker.queue[0]()
 	}
 }
 
@@ -130,41 +130,41 @@
 	return view, err == nil && known && raw != nil && json.Unmarshal(raw, &view) == nil
 }
 
-// tellConfig applies the leader's configuration update at a controller and returns the controller's
+// applyConfigUpdate applies the leader's configuration update at a controller and returns the controller's
 // revision afterwards.
-func (s *sim) tellConfig(from, to *controller, u *config.Update) uint64 {
-	if u == nil || to.oldVersion {
+func (s *sim) applyConfigUpdate(from, to *controller, update *config.Update) uint64 {
+	if update == nil || to.oldVersion {
 		return 0
 	}
-	s.watchConfig(to)
-	defer s.watchConfig(to)
-	return to.core.ApplyConfig(to.clock(), from.name, *u)
+	s.checkConfig(to)
+	defer s.checkConfig(to)
+	return to.core.ApplyConfig(to.clock(), from.name, *update)
 }
 
-// watchConfig checks that a controller never returns to an older revision, and that a leader has every
+// checkConfig checks that a controller never returns to an older revision, and that a leader has every
 // durable revision.
-func (s *sim) watchConfig(c *controller) {
+func (s *sim) checkConfig(c *controller) {
 	if !c.up || c.oldVersion || c.cfg.Tunables.ConfigHistory == 0 {
 		return
 	}
-	p := &s.configs
-	if p.seen == nil {
-		p.seen = map[string]uint64{}
+	tracker := &s.configs
+	if tracker.seenRevisions == nil {
+		tracker.seenRevisions = map[string]uint64{}
 	}
 	key := fmt.Sprint(c.name, c.incarnation)
-	now := c.core.LocalConfig(c.clock()).Revision
-	if now < p.seen[key] {
-		s.check.fail("config_went_back", "%s had revision %d and has %d", c.name, p.seen[key], now)
+	revision := c.core.LocalConfig(c.clock()).Revision
+	if revision < tracker.seenRevisions[key] {
+		s.check.fail("config_went_back", "%s had revision %d and has %d", c.name, tracker.seenRevisions[key], revision)
 	}
-	p.seen[key] = now
-	if view, ok := c.configView(); ok && view.Revision < p.durable {
-		s.check.fail("config_lost", "%s leads with revision %d, %d was durable", c.name, view.Revision, p.durable)
+	tracker.seenRevisions[key] = revision
+	if view, ok := c.configView(); ok && view.Revision < tracker.durableRevision {
+		s.check.fail("config_lost", "%s leads with revision %d, %d was durable", c.name, view.Revision, tracker.durableRevision)
 	}
 }
 
-// configDay schedules random changes of limits and tunables, and a final one that restores the team's
-// limit so that its jobs can run.
-func configDay(s *sim, seed uint64) {
+// scheduleConfigChanges schedules random changes of limits and tunables, and a final one that restores
+// the team's limit so that its jobs can run.
+func scheduleConfigChanges(s *sim, seed uint64) {
 	r := rand.New(rand.NewPCG(seed, 77))
 	limit := func(v float64) config.Change {
 		return config.Change{Item: config.Item{Team: "team"}, Value: config.Value{Limits: &config.Limits{CPUsMax: v}}}
@@ -184,43 +184,44 @@
 	var watch func()
 	watch = func() {
 		for _, c := range s.nodes {
-			s.watchConfig(c)
+			s.checkConfig(c)
 		}
 		s.after(500*time.Millisecond, watch)
 	}
 	s.after(0, watch)
 }
 
-// inForceWithin is the time within which a change must be in force everywhere once faults have ended.
-const inForceWithin = 11 * time.Second
+// configPropagationLimit is the time within which a change must be in force everywhere once faults have
+// ended.
+const configPropagationLimit = 11 * time.Second
 
-// configEverywhere checks that all controllers have the leader's revision soon after the last change.
-func (s *sim) configEverywhere(t *testing.T) {
+// checkConfigEverywhere checks that all controllers have the leader's revision soon after the last change.
+func (s *sim) checkConfigEverywhere(t *testing.T) {
 	t.Helper()
 	if !s.runUntil(2*time.Minute, func() bool { return len(s.configs.queue) == 0 && s.leader() != nil }) {
 		t.Fatalf("%d changes are still queued", len(s.configs.queue))
 	}
-	same := func() bool {
-		l := s.leader()
-		if l == nil {
+	inForce := func() bool {
+		leader := s.leader()
+		if leader == nil {
 			return false
 		}
-		view, ok := l.configView()
+		view, ok := leader.configView()
 		for _, c := range s.nodes {
 			ok = ok && c.up && c.core.LocalConfig(c.clock()).Revision == view.Revision
 		}
-		return ok && view.Revision >= s.configs.durable
+		return ok && view.Revision >= s.configs.durableRevision
 	}
-	if !s.runUntil(inForceWithin, same) {
-		t.Errorf("not in force everywhere: %s", s.configState())
+	if !s.runUntil(configPropagationLimit, inForce) {
+		t.Errorf("not in force everywhere: %s", s.describeConfig())
 	}
-	if s.configs.changes == 0 {
+	if s.configs.changesMade == 0 {
 		t.Error("no change was made")
 	}
 }
 
-// configState describes the leader's configuration and the revision of each controller.
-func (s *sim) configState() string {
+// describeConfig describes the leader's configuration and the revision of each controller.
+func (s *sim) describeConfig() string {
 	var out []string
 	if l := s.leader(); l != nil {
 		if view, ok := l.configView(); ok {
@@ -247,8 +248,8 @@
 	return strings.Join(out, "\n")
 }
 
-// configChanges returns the changes that a scenario command describes.
-func configChanges(t *testing.T, d *datadriven.TestData) (out []config.Change) {
+// parseConfigChanges returns the changes that a scenario command describes.
+func parseConfigChanges(t *testing.T, d *datadriven.TestData) (out []config.Change) {
 	t.Helper()
 	item := config.Item{Team: arg(t, d, "team", "team")}
 	switch {
@@ -281,21 +282,21 @@
 	s.check.taskStarted(task{1, 2}, w1)
 	c := baseSettings()
 	c.Tunables.ConfigHistory = 3
-	d := newSim(c, 1, 3, false)
-	d.run(10 * time.Second)
-	l := d.leader()
-	if l == nil {
+	second := newSim(c, 1, 3, false)
+	second.run(10 * time.Second)
+	leader := second.leader()
+	if leader == nil {
 		t.Fatal("no leader")
 	}
-	d.configs.durable = 7
-	d.configs.seen = map[string]uint64{fmt.Sprint(l.name, l.incarnation): 9}
-	d.watchConfig(l)
-	for _, x := range []struct {
+	second.configs.durableRevision = 7
+	second.configs.seenRevisions = map[string]uint64{fmt.Sprint(leader.name, leader.incarnation): 9}
+	second.checkConfig(leader)
+	for _, want := range []struct {
 		rule   string
 		broken []string
-	}{{"quota", s.check.violations}, {"config_went_back", d.check.violations}, {"config_lost", d.check.violations}} {
-		if !slices.ContainsFunc(x.broken, func(b string) bool { return strings.HasPrefix(b, x.rule) }) {
-			t.Errorf("%s was not detected: %v", x.rule, x.broken)
+	}{{"quota", s.check.violations}, {"config_went_back", second.check.violations}, {"config_lost", second.check.violations}} {
+		if !slices.ContainsFunc(want.broken, func(b string) bool { return strings.HasPrefix(b, want.rule) }) {
+			t.Errorf("%s was not detected: %v", want.rule, want.broken)
 		}
 	}
 }
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_test.go
@@ -13,27 +13,29 @@
 	"bitternmoor/internal/wire"
 )
 
-// meeting is a variant of TestConfirmedThenOutage: the state service refuses only the leader, jobs are
-// cancelled at another controller, and then the state service has an outage.
-type meeting struct {
-	peers  bool   // the old leader and the other controllers reach one another
-	direct bool   // the other controllers reach the machines
-	cloud  bool   // the cloud is available; otherwise only after the outage
-	trial  string // the fault of machines that run the jobs
-	then   string // what happens to the controllers once a cancellation was confirmed
-	delay  time.Duration
+// confirmationCase is a variant of TestConfirmedThenOutage: the state service refuses only the leader,
+// jobs are cancelled at another controller, and then the state service has an outage.
+type confirmationCase struct {
+	peers           bool   // the old leader and the other controllers reach one another
+	direct          bool   // the other controllers reach the machines
+	cloud           bool   // the cloud is available; otherwise only after the outage
+	machineFault    string // the fault of machines that run the jobs
+	controllerFault string // what happens to the controllers once a cancellation was confirmed
+	outageDelay     time.Duration
 }
 
-func (m meeting) String() string {
-	yes := map[bool]string{true: "reachable", false: "unreachable"}
-	return fmt.Sprintf("peers %s/machines %s/cloud %s/machines are %s/then %s/outage after %v", yes[m.peers], yes[m.direct], yes[m.cloud], m.trial, m.then, m.delay)
+func (m confirmationCase) String() string {
+	reachability := map[bool]string{true: "reachable", false: "unreachable"}
+	return fmt.Sprintf("peers %s/machines %s/cloud %s/machines are %s/then %s/outage after %v",
+		reachability[m.peers], reachability[m.direct], reachability[m.cloud], m.machineFault,
+		m.controllerFault, m.outageDelay)
 }
 
-// met accumulates the results of all variants.
-type met struct {
+// confirmationStats accumulates the results of all variants.
+type confirmationStats struct {
 	sync.Mutex
-	played, confirmed, before, kept int
-	waited                          []time.Duration // times from request to confirmation
+	runs, confirmed, confirmedBeforeOutage, othersCompleted int
+	confirmTimes                                            []time.Duration // times from request to confirmation
 }
 
 // TestConfirmedThenOutage guards against tasks that outlive a confirmed cancellation: the state service
@@ -41,13 +43,13 @@
 // In no variant may a task run on past the cancellation deadline, and every cancellation completes once
 // the faults have ended.
 func TestConfirmedThenOutage(t *testing.T) {
-	var sum met
+	var stats confirmationStats
 	t.Run("days", func(t *testing.T) {
-		n := 0
+		variants := 0
 		for _, peers := range []bool{true, false} {
 			for _, direct := range []bool{true, false} {
 				for _, cloud := range []bool{true, false} {
-					for _, trial := range []string{
+					for _, machineFault := range []string{
 						"healthy",
 						"losing inbound packets",
 						"hung",
@@ -55,7 +57,7 @@
 						"receiving starts",
 						"being stopped by the old leader",
 					} {
-						for _, then := range []string{
+						for _, controllerFault := range []string{
 							"no crash",
 							"the new leader crashes",
 							"the new leader restarts at once",
@@ -63,12 +65,12 @@
 							"the new leader hands over",
 						} {
 							delays := []time.Duration{100 * time.Millisecond, time.Second, 3 * time.Second, 22 * time.Second}
-							m := meeting{peers, direct, cloud, trial, then, delays[n%4]}
-							seed := uint64(n)
-							n++
-							t.Run(m.String(), func(t *testing.T) {
+							variant := confirmationCase{peers, direct, cloud, machineFault, controllerFault, delays[variants%4]}
+							seed := uint64(variants)
+							variants++
+							t.Run(variant.String(), func(t *testing.T) {
 								t.Parallel()
-								m.play(t, seed, &sum)
+								variant.run(t, seed, &stats)
 							})
 						}
 					}
@@ -76,19 +78,20 @@
 			}
 		}
 	})
-	slices.Sort(sum.waited)
-	t.Logf("%d runs: %d cancellations confirmed, %d of them before the outage; %d other jobs completed; from request to confirmation: median %v, 90th percentile %v", sum.played, sum.confirmed, sum.before, sum.kept,
-		sum.waited[len(sum.waited)/2].Round(10*time.Millisecond), sum.waited[len(sum.waited)*9/10].Round(10*time.Millisecond))
-	if sum.before < sum.played/2 || sum.kept < sum.played {
-		t.Errorf("%d of %d runs had a cancellation confirmed before the outage, %d other jobs completed", sum.before, sum.played, sum.kept)
+	slices.Sort(stats.confirmTimes)
+	t.Logf("%d runs: %d cancellations confirmed, %d of them before the outage; %d other jobs completed; from request to confirmation: median %v, 90th percentile %v", stats.runs, stats.confirmed, stats.confirmedBeforeOutage, stats.othersCompleted,
+		stats.confirmTimes[len(stats.confirmTimes)/2].Round(10*time.Millisecond), stats.confirmTimes[len(stats.confirmTimes)*9/10].Round(10*time.Millisecond))
+	if stats.confirmedBeforeOutage < stats.runs/2 || stats.othersCompleted < stats.runs {
+		t.Errorf("%d of %d runs had a cancellation confirmed before the outage, %d other jobs completed",
+			stats.confirmedBeforeOutage, stats.runs, stats.othersCompleted)
 	}
 }
 
-func (m meeting) play(t *testing.T, seed uint64, sum *met) {
+func (m confirmationCase) run(t *testing.T, seed uint64, stats *confirmationStats) {
 	c := baseSettings()
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 3, 22, 47
 	c.Tunables.ZonePatienceS = float64(seed % 2 * 60)
-	if m.trial == "receiving starts" {
+	if m.machineFault == "receiving starts" {
 		c.Tunables.PushDispatches = 8
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
@@ -100,7 +103,7 @@
 		s.submit(j, int(id), func() bool { return s.now < 60*time.Second })
 		return j
 	}
-	array, gang, service, stays := submit(1, jobs.Array, 6), submit(2, jobs.Gang, 3), submit(3, jobs.Service, 2), submit(5, jobs.Array, 4)
+	array, gang, service, uncancelled := submit(1, jobs.Array, 6), submit(2, jobs.Gang, 3), submit(3, jobs.Service, 2), submit(5, jobs.Array, 4)
 	if !s.runUntil(200*time.Second, func() bool {
 		return s.runningTasks(1) == 6 && s.runningTasks(2) == 3 && s.runningTasks(3) == 2 && s.runningTasks(5) == 4
 	}) {
@@ -108,84 +111,84 @@
 	}
 	follows := submit(4, jobs.Array, 2, 1)
 	s.run(2 * time.Second)
-	cancelling := []*userJob{array, gang, service, follows}
+	cancelled := []*userJob{array, gang, service, follows}
 	s.pollAll(2 * time.Second)
 
-	l := s.leader()
+	oldLeader := s.leader()
 	var others []string
 	for _, n := range s.nodes {
-		if n != l {
+		if n != oldLeader {
 			others = append(others, n.name)
 		}
 	}
-	var on []*worker
+	var busy []*worker
 	for _, w := range s.machines() {
 		if len(w.tasks) > 0 {
-			on = append(on, w)
+			busy = append(busy, w)
 		}
 	}
-	cutOff := func(a, b string) { s.partitions = append(s.partitions, &partition{host: a, peer: b}) }
+	partitionFrom := func(a, b string) { s.partitions = append(s.partitions, &partition{host: a, peer: b}) }
 	for _, o := range others {
 		if !m.peers {
-			cutOff(l.name, o)
+			partitionFrom(oldLeader.name, o)
 		}
 		if !m.direct {
-			for _, w := range on {
-				cutOff(w.name, o)
+			for _, w := range busy {
+				partitionFrom(w.name, o)
 			}
 		}
 	}
-	if m.trial == "being stopped by the old leader" {
-		s.cancel(array, l.index)
-		s.cancel(gang, l.index)
+	if m.machineFault == "being stopped by the old leader" {
+		s.cancel(array, oldLeader.index)
+		s.cancel(gang, oldLeader.index)
 		s.run(time.Duration(seed%8) * 100 * time.Millisecond)
 	}
-	s.state.refused[l.name] = true
-	switch m.trial {
+	s.state.refused[oldLeader.name] = true
+	switch m.machineFault {
 	case "losing inbound packets":
-		s.inboundLost[on[0].name] = true
-		s.after(90*time.Second, func() { delete(s.inboundLost, on[0].name) })
+		s.inboundLost[busy[0].name] = true
+		s.after(90*time.Second, func() { delete(s.inboundLost, busy[0].name) })
 	case "hung":
-		on[0].hung = true
-		s.after(90*time.Second, func() { on[0].hung = false })
+		busy[0].hung = true
+		s.after(90*time.Second, func() { busy[0].hung = false })
 	case "in a zone partitioned with the old leader":
-		s.partitionZone(on[0].zone, l.name, 0, true)
+		s.partitionZone(busy[0].zone, oldLeader.name, 0, true)
 	}
 	s.cloud.outage = !m.cloud
-	if !s.runUntil(30*time.Second, func() bool { n := s.leader(); return n != nil && n != l }) {
+	if !s.runUntil(30*time.Second, func() bool { n := s.leader(); return n != nil && n != oldLeader }) {
 		t.Fatal("no other controller leads")
 	}
-	asked := s.now
-	for _, j := range cancelling {
+	requestedAt := s.now
+	for _, j := range cancelled {
 		if !j.cancelRequested {
 			s.cancel(j, s.leader().index)
 		}
 	}
-	if m.trial == "receiving starts" { // some of its starts are in flight
+	if m.machineFault == "receiving starts" { // some of its starts are in flight
 		submit(6, jobs.Array, 5)
 	}
 	if s.runUntil(40*time.Second, func() bool { return array.toldCancelled }) {
-		sum.Lock()
-		sum.before++
-		sum.waited = append(sum.waited, array.endToldAt-asked)
-		sum.Unlock()
-		s.run(m.delay)
+		stats.Lock()
+		stats.confirmedBeforeOutage++
+		stats.confirmTimes = append(stats.confirmTimes, array.endToldAt-requestedAt)
+		stats.Unlock()
+		s.run(m.outageDelay)
 	}
 	s.state.outage = true
 	n := s.leader()
 	switch {
 	case n == nil:
-	case m.then == "the new leader crashes":
+	case m.controllerFault == "the new leader crashes":
 		n.crash()
-	case m.then == "the new leader restarts at once":
+	case m.controllerFault == "the new leader restarts at once":
 		n.crash()
 		s.after(200*time.Millisecond, func() { n.start(false) })
-	case m.then == "all crash and restart":
+	case m.controllerFault == "all crash and restart":
 		for _, n := range s.nodes {
 			n.crash()
 			s.after(8*time.Second, func() { n.start(false) })
 		}
-	case m.then == "the new leader hands over":
+	case m.controllerFault == "the new leader hands over":
 		n.core.Stop(n.clock())
 		n.drain()
 	}
@@ -202,25 +205,25 @@
 		}
 	}
 	if !s.runUntil(5*time.Minute, func() bool {
-		return !slices.ContainsFunc(cancelling, func(j *userJob) bool { return !j.toldCancelled })
+		return !slices.ContainsFunc(cancelled, func(j *userJob) bool { return !j.toldCancelled })
 	}) {
 		t.Errorf("not all cancellations completed: %s, %s, %s, %s", array.state, gang.state, service.state, follows.state)
 	}
-	if !s.runUntil(10*time.Minute, func() bool { return stays.toldDone }) {
-		t.Errorf("the job that was not cancelled is %s", stays.state)
+	if !s.runUntil(10*time.Minute, func() bool { return uncancelled.toldDone }) {
+		t.Errorf("the job that was not cancelled is %s", uncancelled.state)
 	}
 	if len(s.check.violations) > 0 {
 		t.Errorf("violated invariants: %v", s.check.violations)
 	}
-	sum.Lock()
-	defer sum.Unlock()
-	sum.played++
-	for _, j := range cancelling {
+	stats.Lock()
+	defer stats.Unlock()
+	stats.runs++
+	for _, j := range cancelled {
 		if j.toldCancelled {
-			sum.confirmed++
+			stats.confirmed++
 		}
 	}
-	if stays.toldDone {
-		sum.kept++
+	if uncancelled.toldDone {
+		stats.othersCompleted++
 	}
 }
--- a/internal/scenario/frozen_test.go
+++ b/internal/scenario/frozen_test.go
@@ -228,8 +228,9 @@
 	}
 )
 
-// asProductionReads decodes a log segment with the types of the version in production and encodes it again.
-func asProductionReads(value json.RawMessage) json.RawMessage {
+// reencodeAsProduction decodes a log segment with the types of the version in production and encodes it
+// again.
+func reencodeAsProduction(value json.RawMessage) json.RawMessage {
 	var v prodSegment
 	if err := json.Unmarshal(value, &v); err != nil {
 		panic(fmt.Sprintf("the version in production cannot decode a segment: %v", err))
@@ -241,18 +242,18 @@
 	return out
 }
 
-// productionWrites checks that a controller of the old version writes only log segments that the version
-// in production can write.
-func (c *checker) productionWrites(t eventlog.Transaction) {
+// checkProductionWrites checks that a controller of the old version writes only log segments that the
+// version in production can write.
+func (c *checker) checkProductionWrites(t eventlog.Transaction) {
 	for _, w := range t.Writes {
-		if n, err := eventlog.SegmentNumber(w.Key); err == nil && n > 0 && !w.Remove && !bytes.Equal(asProductionReads(w.Value), w.Value) {
+		if n, err := eventlog.SegmentNumber(w.Key); err == nil && n > 0 && !w.Remove && !bytes.Equal(reencodeAsProduction(w.Value), w.Value) {
 			c.fail("old version", "%s holds data that the version in production cannot write: %s", w.Key, w.Value)
 		}
 	}
 }
 
-// throughGob encodes a message as one version does and decodes it as the other does.
-func throughGob(from, to any) {
+// transcodeGob encodes a message as one version does and decodes it as the other does.
+func transcodeGob(from, to any) {
 	var b bytes.Buffer
 	if err := gob.NewEncoder(&b).Encode(from); err != nil {
 		panic(err)
@@ -262,38 +263,38 @@
 	}
 }
 
-// between converts a relayed heartbeat as the versions of its sender and receiver do.
-func between(from, to *controller, r effects.RelayedHeartbeat) effects.RelayedHeartbeat {
+// convertRelay converts a relayed heartbeat as the versions of its sender and receiver do.
+func convertRelay(from, to *controller, r effects.RelayedHeartbeat) effects.RelayedHeartbeat {
 	if from.oldVersion == to.oldVersion {
 		return r
 	}
 	var there prodRelayed
 	var out effects.RelayedHeartbeat
-	throughGob(r, &there)
-	throughGob(there, &out)
+	transcodeGob(r, &there)
+	transcodeGob(there, &out)
 	return out
 }
 
-// answered converts the answer to a relayed heartbeat as the versions of both controllers do.
-func answered(from, to *controller, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
+// convertRelayAnswer converts the answer to a relayed heartbeat as the versions of both controllers do.
+func convertRelayAnswer(from, to *controller, a effects.HeartbeatAnswer) effects.HeartbeatAnswer {
 	if from.oldVersion == to.oldVersion {
 		return a
 	}
 	var there prodReportAnswer
 	var out effects.HeartbeatAnswer
-	throughGob(a, &there)
-	throughGob(there, &out)
+	transcodeGob(a, &there)
+	transcodeGob(there, &out)
 	return out
 }
 
-// forwarded converts a submission that one controller forwards to another as their versions do.
-func forwarded(at, served *controller, s wire.Submission) wire.Submission {
+// convertSubmission converts a submission that one controller forwards to another as their versions do.
+func convertSubmission(at, served *controller, s wire.Submission) wire.Submission {
 	if (!at.oldVersion && !served.oldVersion) || s.Job == nil {
 		return s
 	}
 	var there prodSubmission
 	var out wire.Submission
-	throughGob(s, &there)
-	throughGob(there, &out)
+	transcodeGob(s, &there)
+	transcodeGob(there, &out)
 	return out
 }
--- a/internal/scenario/hands_test.go
+++ b/internal/scenario/hands_test.go
@@ -14,31 +14,31 @@
 // for a while: no task may have been started there.
 func TestStartsWaitForGrants(t *testing.T) {
 	runSeeds(t, 12, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, nil)
-		d.cloud.capacity = 4
-		first := d.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
-		d.pollAll(time.Second)
-		d.awaitRunning(first, 4)
-		next := d.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
-		d.run(3 * time.Second)
-		d.cloud.capacity, d.cloud.bootTime = 12, 0 // so that the next job can start elsewhere
-		end := time.Hour
+		h := newHarness(t, seed, nil)
+		h.cloud.capacity = 4
+		first := h.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
+		h.pollAll(time.Second)
+		h.awaitRunning(first, 4)
+		nextJob := h.submitJob(60*time.Second, eventlog.Job{Tasks: 4, CPUs: 2, Priority: 1, Spot: true})
+		h.run(3 * time.Second)
+		h.cloud.capacity, h.cloud.bootTime = 12, 0 // so that the next job can start elsewhere
+		firstEnd := time.Hour
 		for k := range 4 {
-			end = min(end, d.runEnds[task{first.id, k}])
+			firstEnd = min(firstEnd, h.runEnds[task{first.id, k}])
 		}
-		d.run(end - d.now - time.Duration(seed%4*150)*time.Millisecond)
-		l := d.awaitLeader()
-		d.state.refused[l.name] = true
-		d.run(1700 * time.Millisecond)
-		if d.check.allCompleted(first.id) || d.runningTasks(first.id) < 4 {
-			d.cover("machines free while the leader is refused")
+		h.run(firstEnd - h.now - time.Duration(seed%4*150)*time.Millisecond)
+		leader := h.awaitLeader()
+		h.state.refused[leader.name] = true
+		h.run(1700 * time.Millisecond)
+		if h.check.allCompleted(first.id) || h.runningTasks(first.id) < 4 {
+			h.cover("machines free while the leader is refused")
 		}
-		d.injectMachineFault("packets held", append(d.machinesWithTasks(next), d.machines()...)[:1], 12*time.Second)
-		l.crash()
-		d.state.refused = map[string]bool{}
-		d.faults.restartAfter(l, 8*time.Second)
-		d.run(20 * time.Second)
-		return d.endFaultsAndSettle(5 * time.Minute)
+		h.injectMachineFault("packets held", append(h.machinesWithTasks(nextJob), h.machines()...)[:1], 12*time.Second)
+		leader.crash()
+		h.state.refused = map[string]bool{}
+		h.faults.restartAfter(leader, 8*time.Second)
+		h.run(20 * time.Second)
+		return h.endFaultsAndSettle(5 * time.Minute)
 	}, "machines free while the leader is refused")
 }
 
@@ -47,37 +47,39 @@
 // reserved room. The new process does not know which offers the previous one has taken up.
 func TestHolderBackAtOnce(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, func(c *settings.Settings) {
+		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 5, 26.5
 		})
-		d.cloud.capacity = 40
-		warm := d.submitJob(50*time.Second, eventlog.Job{Tasks: 60, Priority: 1, Spot: true})
-		d.pollAll(2 * time.Second)
-		d.awaitRunning(warm, 40)
+		h.cloud.capacity = 40
+		first := h.submitJob(50*time.Second, eventlog.Job{Tasks: 60, Priority: 1, Spot: true})
+		h.pollAll(2 * time.Second)
+		h.awaitRunning(first, 40)
 		for i := range 160 {
-			d.submitJobAfter(time.Duration(i)*200*time.Millisecond, time.Duration(2000+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true})
+			h.submitJobAfter(time.Duration(i)*200*time.Millisecond, time.Duration(2000+h.random.IntN(4000))*time.Millisecond, eventlog.Job{
+				Tasks: 1 + i%4, Priority: uint8(i % 3), Spot: true,
+			})
 		}
 		for i := range 50 { // reports of machines with newly started tasks are lost for a moment
-			d.after(time.Duration(i)*650*time.Millisecond, func() {
-				for _, w := range d.faults.pickMachines(5) {
-					d.injectMachineFault("outbound loss", []*worker{w}, 2500*time.Millisecond)
+			h.after(time.Duration(i)*650*time.Millisecond, func() {
+				for _, w := range h.faults.pickMachines(5) {
+					h.injectMachineFault("outbound loss", []*worker{w}, 2500*time.Millisecond)
 				}
 			})
 		}
 		for i := range 40 {
-			d.after(time.Duration(i)*800*time.Millisecond+time.Duration(d.random.IntN(500))*time.Millisecond, func() {
-				l := d.leader()
-				for _, n := range d.nodes {
-					if n != l && n.up && d.random.IntN(2) == 0 {
+			h.after(time.Duration(i)*800*time.Millisecond+time.Duration(h.random.IntN(500))*time.Millisecond, func() {
+				leader := h.leader()
+				for _, n := range h.nodes {
+					if n != leader && n.up && h.random.IntN(2) == 0 {
 						n.crash()
-						d.faults.restartAfter(n, 100*time.Millisecond)
-						d.cover("a block holder restarted at once")
+						h.faults.restartAfter(n, 100*time.Millisecond)
+						h.cover("a block holder restarted at once")
 					}
 				}
 			})
 		}
-		d.run(40 * time.Second)
-		return d.endFaultsAndSettle(5 * time.Minute)
+		h.run(40 * time.Second)
+		return h.endFaultsAndSettle(5 * time.Minute)
 	}, "a block holder restarted at once")
 }
 
@@ -85,23 +87,23 @@
 // starts sent directly to workers arrive after the jobs were cancelled and their ended tasks reaped.
 func TestRepeatedStartAfterReap(t *testing.T) {
 	runSeeds(t, 8, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, directDispatchSettings)
-		d.warmUp(5*time.Second, eventlog.Job{Tasks: 24, CPUs: 2, Priority: 1, Spot: true})
-		d.duplicateDelay = 9 * time.Second
+		h := newHarness(t, seed, directDispatchSettings)
+		h.warmUp(5*time.Second, eventlog.Job{Tasks: 24, CPUs: 2, Priority: 1, Spot: true})
+		h.duplicateDelay = 9 * time.Second
 		for i := range 40 {
-			d.after(time.Duration(i)*600*time.Millisecond, func() {
-				j := d.submitJob(20*time.Second, eventlog.Job{Tasks: 1 + i%3, Priority: 1, Spot: true})
-				sent := d.directDispatches
-				d.after(time.Duration(700+d.random.IntN(1500))*time.Millisecond, func() {
-					if d.directDispatches > sent && j.accepted {
-						d.cover("cancelled after it was sent directly to a worker")
-						d.cancelJob(j, i)
+			h.after(time.Duration(i)*600*time.Millisecond, func() {
+				j := h.submitJob(20*time.Second, eventlog.Job{Tasks: 1 + i%3, Priority: 1, Spot: true})
+				sent := h.directDispatches
+				h.after(time.Duration(700+h.random.IntN(1500))*time.Millisecond, func() {
+					if h.directDispatches > sent && j.accepted {
+						h.cover("cancelled after it was sent directly to a worker")
+						h.cancelJob(j, i)
 					}
 				})
 			})
 		}
-		d.run(45 * time.Second)
-		d.duplicateDelay = 0
-		return d.endFaultsAndSettle(5 * time.Minute)
+		h.run(45 * time.Second)
+		h.duplicateDelay = 0
+		return h.endFaultsAndSettle(5 * time.Minute)
 	}, "cancelled after it was sent directly to a worker")
 }
--- a/internal/scenario/hot_test.go
+++ b/internal/scenario/hot_test.go
@@ -11,10 +11,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// hotDay simulates five minutes in which the jobs of one class of one team exceed the capacity, beside two
-// other classes at their usual rates. It returns the share of jobs of each class and team whose users were
-// told in time that they are done.
-func hotDay(t *testing.T, seed uint64, floor float64, hot uint8) map[string]float64 {
+// simulateHotClass simulates five minutes in which the jobs of one class of one team exceed the capacity,
+// beside two other classes at their usual rates. It returns the share of jobs of each class and team
+// whose users were told in time that they are done.
+func simulateHotClass(t *testing.T, seed uint64, floor float64, hotPriority uint8) map[string]float64 {
 	c := baseSettings()
 	c.Deployment.Teams = []settings.Team{{Name: "team"}, {Name: "other"}}
 	c.Deployment.State.WriteRPS = 60
@@ -30,7 +30,10 @@
 	add := func(class, team string, priority uint8, at time.Duration, tasks int, run time.Duration) {
 		id++
 		i := id
-		job := &eventlog.Job{ID: i, Class: class, Team: team, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: class, ImageGB: 0.3, Spot: true, EstimateS: run.Seconds()}
+		job := &eventlog.Job{
+			ID: i, Class: class, Team: team, Priority: priority, Tasks: tasks, CPUs: 1, MemoryGB: 1,
+			Image: class, ImageGB: 0.3, Spot: true, EstimateS: run.Seconds(),
+		}
 		j := &userJob{id: i, runTime: run, spec: wire.Submission{ID: i, HasID: true, Job: job}}
 		s.after(at, func() {
 			s.jobs[i] = j
@@ -39,7 +42,7 @@
 	}
 	for at := 10 * time.Second; at < 310*time.Second; at += time.Second {
 		if at%(3*time.Second) == 0 {
-			add("hot", "team", hot, at, 20, time.Duration(6+r.IntN(8))*time.Second) // demands 65 CPUs of 48
+			add("hot", "team", hotPriority, at, 20, time.Duration(6+r.IntN(8))*time.Second) // demands 65 CPUs of 48
 		}
 		if at%(10*time.Second) == 0 {
 			add("slow", "other", 0, at, 4, time.Duration(20+r.IntN(10))*time.Second)
@@ -60,18 +63,18 @@
 	if len(s.check.violations) > 0 {
 		t.Errorf("violated invariants: %v", s.check.violations[0])
 	}
-	asked, met := map[string]float64{}, map[string]float64{}
+	submitted, inTime := map[string]float64{}, map[string]float64{}
 	for _, j := range s.jobs {
-		for _, w := range []string{"class " + j.spec.Job.Class, "team " + j.spec.Job.Team} {
-			asked[w]++
+		for _, group := range []string{"class " + j.spec.Job.Class, "team " + j.spec.Job.Team} {
+			submitted[group]++
 			if j.toldDone && (j.endToldAt-j.acceptedAt).Seconds() <= within[j.spec.Job.Class]+2 {
-				met[w]++
+				inTime[group]++
 			}
 		}
 	}
 	out := map[string]float64{}
-	for w := range asked {
-		out[w] = met[w] / asked[w]
+	for group := range submitted {
+		out[group] = inTime[group] / submitted[group]
 	}
 	return out
 }
@@ -80,17 +83,17 @@
 // and team still has at least half of its jobs done in time. Without the served_floor exception, an urgent
 // class leaves the others nothing.
 func TestHotClass(t *testing.T) {
-	for _, hot := range []uint8{1, 2} {
-		t.Run(fmt.Sprint("priority ", hot), func(t *testing.T) {
+	for _, priority := range []uint8{1, 2} {
+		t.Run(fmt.Sprint("priority ", priority), func(t *testing.T) {
 			t.Parallel()
-			off, on := hotDay(t, 1, 0, hot), hotDay(t, 1, 0.55, hot)
-			t.Logf("without %s, with %s", shares(off), shares(on))
-			for w := range on {
-				if on[w] < 0.5 {
-					t.Errorf("%s: share done in time %.2f", w, on[w])
+			off, on := simulateHotClass(t, 1, 0, priority), simulateHotClass(t, 1, 0.55, priority)
+			t.Logf("without %s, with %s", formatShares(off), formatShares(on))
+			for group := range on {
+				if on[group] < 0.5 {
+					t.Errorf("%s: share done in time %.2f", group, on[group])
 				}
-				if hot == 2 && w != "class hot" && w != "team team" && off[w] >= 0.5 {
-					t.Errorf("%s: share done in time %.2f without the exception: the load is too low for this test", w, off[w])
+				if priority == 2 && group != "class hot" && group != "team team" && off[group] >= 0.5 {
+					t.Errorf("%s: share done in time %.2f without the exception: the load is too low for this test", group, off[group])
 				}
 			}
 			if on["class hot"] < off["class hot"]-0.2 { // the others' floor is a seventh of the machines
@@ -100,9 +103,9 @@
 	}
 }
 
-func shares(m map[string]float64) (out string) {
-	for _, w := range []string{"class hot", "class slow", "class small", "team team", "team other"} {
-		out += fmt.Sprintf(" %s %.2f", w, m[w])
+func formatShares(shares map[string]float64) (out string) {
+	for _, group := range []string{"class hot", "class slow", "class small", "team team", "team other"} {
+		out += fmt.Sprintf(" %s %.2f", group, shares[group])
 	}
 	return out
 }
--- a/internal/scenario/largest_test.go
+++ b/internal/scenario/largest_test.go
@@ -12,13 +12,13 @@
 	"bitternmoor/internal/wire"
 )
 
-// largestDay simulates small jobs that arrive for six and a half minutes at a fifth above the capacity.
-// After the first minute come two gangs that each need most of the machines, a wide array of large tasks,
-// and a gang that must run in one zone.
-func largestDay(begin float64) *sim {
+// simulateLargestJobs simulates small jobs that arrive for six and a half minutes at a fifth above the
+// capacity. After the first minute come two gangs that each need most of the machines, a wide array of
+// large tasks, and a gang that must run in one zone.
+func simulateLargestJobs(beginWithinS float64) *sim {
 	c := baseSettings()
 	c.Deployment.State.WriteRPS = 60
-	c.Tunables.BeginWithinS = begin
+	c.Tunables.BeginWithinS = beginWithinS
 	s := newSim(c, 3, 3, false)
 	s.cloud.capacity = 12
 	r := rand.New(rand.NewPCG(3, 33))
@@ -46,10 +46,10 @@
 	late := func(s *sim) bool {
 		return slices.ContainsFunc(s.check.violations, func(b string) bool { return strings.HasPrefix(b, "begins_late") })
 	}
-	if s := largestDay(0); !late(s) {
+	if s := simulateLargestJobs(0); !late(s) {
 		t.Error("without the exception all jobs start in time: the load is too low for this test")
 	}
-	s := largestDay(120)
+	s := simulateLargestJobs(120)
 	if len(s.check.violations) > 0 {
 		t.Errorf("violated invariants: %s", strings.Join(s.check.violations, "\n"))
 	}
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -14,56 +14,56 @@
 // cancellation. No team may exceed its limit, the tasks are gone before the user is told, and no job
 // waits for room that has long been free.
 func TestLimitsAndCancellations(t *testing.T) {
-	trials := []string{"partitioned", "packets held", "hung", "inbound loss", "outbound loss", "slow"}
-	runSeeds(t, 9*len(trials), func(t *testing.T, seed uint64) *sim {
-		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newHarness(t, seed, func(c *settings.Settings) {
+	faults := []string{"partitioned", "packets held", "hung", "inbound loss", "outbound loss", "slow"}
+	runSeeds(t, 9*len(faults), func(t *testing.T, seed uint64) *sim {
+		fault, variant := faults[int(seed)%len(faults)], int(seed)/len(faults)
+		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 12}, {Name: "other", CPUsMax: 10, CPUs: 6}, {Name: "third", CPUsMax: 8}}
 			c.Tunables.ZonePatienceS = float64(variant % 2 * 40)
 		})
 		teams := []string{"team", "other", "third"}
-		var first, waiting []*userJob
+		var running, waiting []*userJob
 		for i := range 6 {
-			first = append(first, d.submitJob(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
+			running = append(running, h.submitJob(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
 		}
-		d.pollAll(time.Second)
-		for _, j := range first {
-			d.awaitRunning(j, j.spec.Job.Tasks)
+		h.pollAll(time.Second)
+		for _, j := range running {
+			h.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		for i := range 6 {
-			waiting = append(waiting, d.submitJob(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
+			waiting = append(waiting, h.submitJob(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
 		}
-		d.run(5 * time.Second)
-		if d.runningTasks(waiting[0].id) == 0 {
-			d.cover("jobs wait for their team's limit")
+		h.run(5 * time.Second)
+		if h.runningTasks(waiting[0].id) == 0 {
+			h.cover("jobs wait for their team's limit")
 		}
-		length := time.Duration(5+4*variant) * time.Second
-		on := d.machinesWithTasks(first[0])
-		d.injectMachineFault(trial, append(on[:1:1], d.machinesWithTasks(first[4])[0]), length)
-		when := time.Duration(variant%3-1) * 2500 * time.Millisecond // the leader crashes before, at or after the cancellation
-		d.after(3*time.Second, func() {
+		duration := time.Duration(5+4*variant) * time.Second
+		machines := h.machinesWithTasks(running[0])
+		h.injectMachineFault(fault, append(machines[:1:1], h.machinesWithTasks(running[4])[0]), duration)
+		crashOffset := time.Duration(variant%3-1) * 2500 * time.Millisecond // the leader crashes before, at or after the cancellation
+		h.after(3*time.Second, func() {
 			for _, i := range []int{0, 1, 4, 5} {
-				d.cancelJob(first[i], i)
+				h.cancelJob(running[i], i)
 			}
 		})
-		d.after(3*time.Second+when, func() {
-			d.restartLeader(8 * time.Second)
-			d.cover([]string{"the leader crashed before", "the leader crashed at the same time", "the leader crashed after"}[variant%3])
+		h.after(3*time.Second+crashOffset, func() {
+			h.restartLeader(8 * time.Second)
+			h.cover([]string{"the leader crashed before", "the leader crashed at the same time", "the leader crashed after"}[variant%3])
 		})
 		if variant > 5 {
-			d.after(9*time.Second, func() { d.restartLeader(8 * time.Second) })
+			h.after(9*time.Second, func() { h.restartLeader(8 * time.Second) })
 		}
-		d.run(max(length, 12*time.Second))
-		if !d.runUntil(45*time.Second, func() bool {
-			return first[0].toldCancelled && first[1].toldCancelled && first[4].toldCancelled && first[5].toldCancelled
+		h.run(max(duration, 12*time.Second))
+		if !h.runUntil(45*time.Second, func() bool {
+			return running[0].toldCancelled && running[1].toldCancelled && running[4].toldCancelled && running[5].toldCancelled
 		}) {
-			t.Errorf("not all cancellations completed: %s, %s, %s, %s", first[0].state, first[1].state, first[4].state, first[5].state)
+			t.Errorf("not all cancellations completed: %s, %s, %s, %s", running[0].state, running[1].state, running[4].state, running[5].state)
 		}
 		// Room is free then, and the waiting jobs must start.
-		if !d.runUntil(15*time.Second, func() bool { return d.check.startedAt[waiting[0].id] > 0 && d.check.startedAt[waiting[1].id] > 0 }) {
+		if !h.runUntil(15*time.Second, func() bool { return h.check.startedAt[waiting[0].id] > 0 && h.check.startedAt[waiting[1].id] > 0 }) {
 			t.Error("jobs wait although the cancelled jobs have made room")
 		}
-		return d.endFaultsAndSettle(6 * time.Minute)
+		return h.endFaultsAndSettle(6 * time.Minute)
 	},
 		"jobs wait for their team's limit",
 		"the leader crashed before",
@@ -76,15 +76,15 @@
 // partitioned, or redirects machines to rebalance. Offers, relayed reports and direct starts are in
 // flight.
 func TestCancelledWhileWorkChangesHands(t *testing.T) {
-	trials := []string{"a controller crashes", "a rolling restart", "the leader hands over", "the leader is refused", "a controller partitioned", "rebalancing"}
-	var must []string
-	for _, trial := range trials {
-		must = append(must, trial+": cancelled while machines went to another controller")
+	faults := []string{"a controller crashes", "a rolling restart", "the leader hands over", "the leader is refused", "a controller partitioned", "rebalancing"}
+	var requiredCoverage []string
+	for _, fault := range faults {
+		requiredCoverage = append(requiredCoverage, fault+": cancelled while machines went to another controller")
 	}
-	runSeeds(t, 10*len(trials), func(t *testing.T, seed uint64) *sim {
-		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newHarness(t, seed, func(c *settings.Settings) {
-			if trial == "rebalancing" || variant%2 == 0 {
+	runSeeds(t, 10*len(faults), func(t *testing.T, seed uint64) *sim {
+		fault, variant := faults[int(seed)%len(faults)], int(seed)/len(faults)
+		h := newHarness(t, seed, func(c *settings.Settings) {
+			if fault == "rebalancing" || variant%2 == 0 {
 				c.Tunables.RebalanceMoves = 8
 			}
 			if variant%3 == 1 {
@@ -92,51 +92,53 @@
 				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
-		next := func() *userJob {
-			i := len(d.jobs)
-			return d.submitJob(time.Duration(4+i%9*6)*time.Second, eventlog.Job{Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5})
+		submitNext := func() *userJob {
+			i := len(h.jobs)
+			return h.submitJob(time.Duration(4+i%9*6)*time.Second, eventlog.Job{
+				Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5,
+			})
 		}
 		for range 8 {
-			next()
+			submitNext()
 		}
-		d.pollAll(time.Second)
-		d.run(12 * time.Second)
-		l := d.awaitLeader()
-		n := d.nodes[(l.index+1)%3]
-		switch trial {
+		h.pollAll(time.Second)
+		h.run(12 * time.Second)
+		leader := h.awaitLeader()
+		n := h.nodes[(leader.index+1)%3]
+		switch fault {
 		case "a controller crashes":
 			n.crash()
-			d.faults.restartAfter(n, 8*time.Second)
+			h.faults.restartAfter(n, 8*time.Second)
 		case "a rolling restart":
-			for i, n := range d.nodes {
-				d.after(time.Duration(4*i)*time.Second, func() {
+			for i, n := range h.nodes {
+				h.after(time.Duration(4*i)*time.Second, func() {
 					n.crash()
-					d.faults.restartAfter(n, 3*time.Second)
+					h.faults.restartAfter(n, 3*time.Second)
 				})
 			}
 		case "the leader hands over":
-			l.core.Stop(l.clock())
-			l.drain()
+			leader.core.Stop(leader.clock())
+			leader.drain()
 		case "the leader is refused":
-			d.state.refused[l.name] = true
-			d.after(12*time.Second, func() { delete(d.state.refused, l.name) })
+			h.state.refused[leader.name] = true
+			h.after(12*time.Second, func() { delete(h.state.refused, leader.name) })
 		case "a controller partitioned":
-			d.partitions = append(d.partitions, &partition{host: n.name, holdPackets: variant%2 == 0})
-			d.after(7*time.Second, func() { d.heal(n.name) })
+			h.partitions = append(h.partitions, &partition{host: n.name, holdPackets: variant%2 == 0})
+			h.after(7*time.Second, func() { h.heal(n.name) })
 		case "rebalancing": // one returns, and machines are redirected to it
 			n.crash()
-			d.run(3 * time.Second)
+			h.run(3 * time.Second)
 			n.start(false)
 		}
 		for i := range 60 { // more jobs arrive, and half of them are cancelled soon after they were accepted
-			d.after(time.Duration(i)*200*time.Millisecond, func() {
-				j := next()
-				d.after(time.Duration(100+d.random.IntN(2500))*time.Millisecond, func() {
-					if j.accepted && d.random.IntN(2) == 0 {
-						d.cancelJob(j, i)
-						for _, at := range d.redirects {
-							if d.now-at < time.Second {
-								d.cover(trial + ": cancelled while machines went to another controller")
+			h.after(time.Duration(i)*200*time.Millisecond, func() {
+				j := submitNext()
+				h.after(time.Duration(100+h.random.IntN(2500))*time.Millisecond, func() {
+					if j.accepted && h.random.IntN(2) == 0 {
+						h.cancelJob(j, i)
+						for _, at := range h.redirects {
+							if h.now-at < time.Second {
+								h.cover(fault + ": cancelled while machines went to another controller")
 								break
 							}
 						}
@@ -145,11 +147,11 @@
 			})
 		}
 		for _, id := range []uint64{2, 4, 6} {
-			d.after(time.Duration(d.random.IntN(6000))*time.Millisecond, func() { d.cancelJob(d.jobs[id], int(id)) })
+			h.after(time.Duration(h.random.IntN(6000))*time.Millisecond, func() { h.cancelJob(h.jobs[id], int(id)) })
 		}
-		d.run(25 * time.Second)
-		return d.endFaultsAndSettle(8 * time.Minute)
-	}, must...)
+		h.run(25 * time.Second)
+		return h.endFaultsAndSettle(8 * time.Minute)
+	}, requiredCoverage...)
 }
 
 // TestBoundToOneZone checks jobs that must run in a given zone, or all in one zone, and lose machines while
@@ -157,8 +159,8 @@
 // before the old tasks are gone, and no job is stuck forever.
 func TestBoundToOneZone(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, nil)
-		var list []*userJob
+		h := newHarness(t, seed, nil)
+		var bound []*userJob
 		for i, job := range []eventlog.Job{
 			{Zone: "b", Tasks: 5},
 			{Zone: "b", Tasks: 3, Kind: jobs.Gang},
@@ -167,44 +169,44 @@
 			{Zone: "a", Tasks: 4, OneZone: true},
 		} {
 			job.Priority, job.Spot = 1, i%2 == int(seed)%2 || i == 2
-			list = append(list, d.submitJob(time.Duration(25+5*i)*time.Second, job))
+			bound = append(bound, h.submitJob(time.Duration(25+5*i)*time.Second, job))
 		}
-		d.pollAll(time.Second)
-		for _, j := range list {
-			d.awaitRunning(j, j.spec.Job.Tasks)
+		h.pollAll(time.Second)
+		for _, j := range bound {
+			h.awaitRunning(j, j.spec.Job.Tasks)
 		}
-		room := d.cloud.capacity
+		capacity := h.cloud.capacity
 		if seed%3 > 0 { // the cloud has no more machines for a while
-			d.cloud.capacity = 0
-			d.after(time.Duration(20+20*(seed%3))*time.Second, func() { d.cloud.capacity = room })
+			h.cloud.capacity = 0
+			h.after(time.Duration(20+20*(seed%3))*time.Second, func() { h.cloud.capacity = capacity })
 		}
-		for _, j := range list {
-			on := d.machinesWithTasks(j)
-			if len(on) > 1 && d.random.IntN(2) == 0 {
-				on = on[:1]
+		for _, j := range bound {
+			machines := h.machinesWithTasks(j)
+			if len(machines) > 1 && h.random.IntN(2) == 0 {
+				machines = machines[:1]
 			}
-			for _, w := range on {
-				switch d.random.IntN(3) {
+			for _, w := range machines {
+				switch h.random.IntN(3) {
 				case 0: // reclaimed by the cloud
 					w.terminate()
-					delete(d.cloud.machines, w.name)
+					delete(h.cloud.machines, w.name)
 				case 1:
 					w.terminate()
 				default: // its reports or its commands are lost while its tasks go on
-					d.injectMachineFault([]string{"partitioned", "outbound loss", "inbound loss"}[d.random.IntN(3)], []*worker{w}, time.Duration(3+d.random.IntN(12))*time.Second)
+					h.injectMachineFault([]string{"partitioned", "outbound loss", "inbound loss"}[h.random.IntN(3)], []*worker{w}, time.Duration(3+h.random.IntN(12))*time.Second)
 				}
-				d.cover("a machine of a bound job lost")
+				h.cover("a machine of a bound job lost")
 			}
 		}
 		if seed%2 == 1 {
-			d.after(time.Duration(d.random.IntN(9000))*time.Millisecond, func() { d.restartLeader(8 * time.Second) })
+			h.after(time.Duration(h.random.IntN(9000))*time.Millisecond, func() { h.restartLeader(8 * time.Second) })
 		}
-		before := d.check.starts
-		d.run(70 * time.Second)
-		if d.check.starts > before {
-			d.cover("tasks of bound jobs started again")
+		before := h.check.starts
+		h.run(70 * time.Second)
+		if h.check.starts > before {
+			h.cover("tasks of bound jobs started again")
 		}
-		return d.endFaultsAndSettle(6 * time.Minute)
+		return h.endFaultsAndSettle(6 * time.Minute)
 	}, "a machine of a bound job lost", "tasks of bound jobs started again")
 }
 
@@ -213,27 +215,30 @@
 // of equal or lower priority, and every job ends.
 func TestMoreWorkThanRoom(t *testing.T) {
 	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, func(c *settings.Settings) {
+		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 30}, {Name: "other", CPUsMax: 30}}
 			c.Tunables.BeginWithinS = 120
 		})
-		d.cloud.capacity = 10
-		for _, n := range d.nodes {
-			d.latency[n.name] = time.Duration(100+d.random.IntN(250)) * time.Millisecond
+		h.cloud.capacity = 10
+		for _, n := range h.nodes {
+			h.latency[n.name] = time.Duration(100+h.random.IntN(250)) * time.Millisecond
 		}
-		d.latency["state"] = 150 * time.Millisecond
-		d.onPreempt = func(j *userJob, w *worker) {
-			d.cover("a task stopped for another job")
-			for _, o := range d.jobs {
+		h.latency["state"] = 150 * time.Millisecond
+		h.onPreempt = func(j *userJob, w *worker) {
+			h.cover("a task stopped for another job")
+			for _, o := range h.jobs {
 				if o.accepted && !o.cancelRequested && !o.toldDone && o.spec.Job.Priority > j.spec.Job.Priority {
 					return
 				}
 			}
-			d.check.fail("preempted", "a task of job %d on %s was stopped, but there is no job of higher priority", j.id, w.name)
+			h.check.fail("preempted", "a task of job %d on %s was stopped, but there is no job of higher priority", j.id, w.name)
 		}
-		d.run(3 * time.Second)
+		h.run(3 * time.Second)
 		for i := range 90 {
-			job := eventlog.Job{Class: []string{"large", "small", "urgent"}[i%3], Team: []string{"team", "other"}[i/3%2], Priority: []uint8{0, 1, 2}[i%3], Spot: true}
+			job := eventlog.Job{
+				Class: []string{"large", "small", "urgent"}[i%3], Team: []string{"team", "other"}[i/3%2],
+				Priority: []uint8{0, 1, 2}[i%3], Spot: true,
+			}
 			switch i % 3 {
 			case 0:
 				job.Tasks, job.Checkpoint = 6+i%5, 5
@@ -242,13 +247,13 @@
 			default:
 				job.Tasks, job.CPUs = 1+i%3, 2
 			}
-			d.submitJobAfter(time.Duration(i)*700*time.Millisecond, time.Duration(3+d.random.IntN(8))*time.Second, job)
+			h.submitJobAfter(time.Duration(i)*700*time.Millisecond, time.Duration(3+h.random.IntN(8))*time.Second, job)
 		}
-		d.pollAll(3 * time.Second)
-		d.run(4 * time.Minute)
-		d.check.checkServedShare(d.now)
-		d.check.checkStartDelay(d.now)
-		return d.endFaultsAndSettle(10 * time.Minute)
+		h.pollAll(3 * time.Second)
+		h.run(4 * time.Minute)
+		h.check.checkServedShare(h.now)
+		h.check.checkStartDelay(h.now)
+		return h.endFaultsAndSettle(10 * time.Minute)
 	}, "a task stopped for another job")
 }
 
@@ -257,37 +262,37 @@
 // must still run in the end.
 func TestLeftWaiting(t *testing.T) {
 	for _, kind := range []uint8{jobs.Array, jobs.Gang} {
-		d := newHarness(t, uint64(kind), nil)
-		d.cloud.capacity = 6
-		stays := d.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: jobs.Service, Priority: 1})
-		d.pollAll(2 * time.Second)
-		d.awaitRunning(stays, 6)
-		long := d.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and all of its tasks end together
-		d.awaitRunning(long, 5)
+		h := newHarness(t, uint64(kind), nil)
+		h.cloud.capacity = 6
+		service := h.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: jobs.Service, Priority: 1})
+		h.pollAll(2 * time.Second)
+		h.awaitRunning(service, 6)
+		long := h.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and all of its tasks end together
+		h.awaitRunning(long, 5)
 		if kind == jobs.Array {
-			d.runUntil(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.tasksOnMachines(long.id) > 0 })
+			h.runUntil(6*time.Minute, func() bool { return len(h.machines()) == 6 && h.tasksOnMachines(long.id) > 0 })
 		}
-		d.cancelJob(long, 0)
-		first := d.submitJob(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has that much room
-		d.run(2 * time.Second)
+		h.cancelJob(long, 0)
+		first := h.submitJob(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has that much room
+		h.run(2 * time.Second)
 		var small []*userJob
 		for i := range 3 {
-			small = append(small, d.submitJob(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
+			small = append(small, h.submitJob(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
 		}
-		d.run(10 * time.Second)
-		d.check.faultsEndedAt = d.now
-		d.run(3 * time.Minute)
+		h.run(10 * time.Second)
+		h.check.faultsEndedAt = h.now
+		h.run(3 * time.Minute)
 		for _, j := range small {
-			if d.check.startedAt[j.id] == 0 {
+			if h.check.startedAt[j.id] == 0 {
 				t.Errorf("kind %d: job %d has not started", kind, j.id)
 			}
 		}
-		d.cancelJob(stays, 1)
-		if !d.runUntil(4*time.Minute, func() bool { return first.toldDone }) {
+		h.cancelJob(service, 1)
+		if !h.runUntil(4*time.Minute, func() bool { return first.toldDone }) {
 			t.Errorf("kind %d: the first job is %s", kind, first.state)
 		}
-		if len(d.check.violations) > 0 {
-			t.Errorf("kind %d: violated invariants: %v", kind, d.check.violations)
+		if len(h.check.violations) > 0 {
+			t.Errorf("kind %d: violated invariants: %v", kind, h.check.violations)
 		}
 	}
 }
@@ -295,16 +300,16 @@
 // TestSpreadWithOneZone submits a spread array while all machines with room are in one zone. A machine must
 // be rented in the other zone.
 func TestSpreadWithOneZone(t *testing.T) {
-	d := newHarness(t, 5, nil)
-	bound := d.submitJob(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
-	d.pollAll(2 * time.Second)
-	d.awaitRunning(bound, 9)
-	spread := d.submitJob(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // one zone has room for all
-	d.run(20 * time.Second)
-	d.check.faultsEndedAt = d.now
-	d.run(40 * time.Second)
-	if n := d.runningTasks(spread.id); n != 3 {
+	h := newHarness(t, 5, nil)
+	bound := h.submitJob(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
+	h.pollAll(2 * time.Second)
+	h.awaitRunning(bound, 9)
+	spread := h.submitJob(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // one zone has room for all
+	h.run(20 * time.Second)
+	h.check.faultsEndedAt = h.now
+	h.run(40 * time.Second)
+	if n := h.runningTasks(spread.id); n != 3 {
 		t.Errorf("%d of 3 tasks run", n)
 	}
-	d.endFaultsAndSettle(8 * time.Minute)
+	h.endFaultsAndSettle(8 * time.Minute)
 }
--- a/internal/scenario/meetings_test.go
+++ b/internal/scenario/meetings_test.go
@@ -18,8 +18,8 @@
 
 // TestPairsOfTroubles injects every pair of fault kinds: the second fault begins while the first lasts.
 // Meanwhile jobs are cancelled and queried, the leader changes, and some tasks run for longer than the
-// cancellation deadline. PAIR_DAYS sets the number of runs per pair, PAIR_MACHINES the approximate number of
-// machines instead of a few, and PAIR_FIRST the only kind to use as the first fault.
+// cancellation deadline. PAIR_DAYS sets the number of runs per pair, PAIR_MACHINES the approximate number
+// of machines instead of a few, and PAIR_FIRST the only kind to use as the first fault.
 func TestPairsOfTroubles(t *testing.T) {
 	days := 1
 	if v, err := strconv.Atoi(os.Getenv("PAIR_DAYS")); err == nil {
@@ -28,27 +28,27 @@
 	size, _ := strconv.Atoi(os.Getenv("PAIR_MACHINES"))
 	only := os.Getenv("PAIR_FIRST")
 	var mu sync.Mutex
-	seen, played, overtook := map[string]int{}, [numFaultKinds][numFaultKinds]int{}, 0
+	coverage, overlaps, leaderChanges := map[string]int{}, [numFaultKinds][numFaultKinds]int{}, 0
 	t.Run("pairs", func(t *testing.T) {
-		for a := range numFaultKinds {
-			if only != "" && faultNames[a] != only {
+		for first := range numFaultKinds {
+			if only != "" && faultNames[first] != only {
 				continue
 			}
-			for b := range numFaultKinds {
+			for second := range numFaultKinds {
 				for day := range days {
-					t.Run(fmt.Sprintf("%s/%s/%d", faultNames[a], faultNames[b], day), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%s/%s/%d", faultNames[first], faultNames[second], day), func(t *testing.T) {
 						t.Parallel()
-						s, met, terms := pairDay(t, a, b, uint64(day)*1000+uint64(a)*uint64(numFaultKinds)+uint64(b), size)
+						s, overlapped, terms := simulateFaultPair(t, first, second, uint64(day)*1000+uint64(first)*uint64(numFaultKinds)+uint64(second), size)
 						mu.Lock()
 						defer mu.Unlock()
-						if met {
-							played[a][b]++
+						if overlapped {
+							overlaps[first][second]++
 						}
 						if terms > 1 {
-							overtook++
+							leaderChanges++
 						}
-						for what, n := range s.coverage {
-							seen[what] += n
+						for effect, n := range s.coverage {
+							coverage[effect] += n
 						}
 					})
 				}
@@ -56,23 +56,23 @@
 		}
 	})
 	if only != "" {
-		t.Log(seen)
+		t.Log(coverage)
 		return // some of the pairs need not produce every effect
 	}
-	never := 0
-	for a := range played {
-		for b := range played[a] {
-			if played[a][b] == 0 {
-				never++
-				t.Errorf("%s never overlapped %s", faultNames[a], faultNames[b])
+	missing := 0
+	for first := range overlaps {
+		for second := range overlaps[first] {
+			if overlaps[first][second] == 0 {
+				missing++
+				t.Errorf("%s never overlapped %s", faultNames[first], faultNames[second])
 			}
 		}
 	}
-	t.Logf("%d pairs, %d of them never overlapped; the leader changed in %d runs", numFaultKinds*numFaultKinds, never, overtook)
-	if overtook == 0 {
+	t.Logf("%d pairs, %d of them never overlapped; the leader changed in %d runs", numFaultKinds*numFaultKinds, missing, leaderChanges)
+	if leaderChanges == 0 {
 		t.Error("the leader never changed")
 	}
-	for _, what := range []string{
+	for _, effect := range []string{
 		"late write of log, after newer ones",
 		"late write of lead, after newer ones",
 		"duplicate report after newer ones",
@@ -102,16 +102,16 @@
 		"a one-task job cancelled",
 		"together with the version in production",
 	} {
-		t.Logf("%s: %d times", what, seen[what])
-		if seen[what] == 0 {
-			t.Errorf("%s: never occurred", what)
+		t.Logf("%s: %d times", effect, coverage[effect])
+		if coverage[effect] == 0 {
+			t.Errorf("%s: never occurred", effect)
 		}
 	}
 }
 
-// pairDay simulates two overlapping faults. It returns whether the second was injected, and the number of
-// leadership terms.
-func pairDay(t *testing.T, a, b faultKind, seed uint64, size int) (s *sim, met bool, terms uint64) {
+// simulateFaultPair simulates two overlapping faults. It returns whether the second was injected, and the
+// number of leadership terms.
+func simulateFaultPair(t *testing.T, first, second faultKind, seed uint64, size int) (s *sim, overlapped bool, terms uint64) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(16 + r.IntN(30))
@@ -134,17 +134,17 @@
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 5, 26.5, 51.5
 		c.Deployment.State.WriteRPS, c.Deployment.State.ValueKB, c.Deployment.State.TxnOps, c.Deployment.Cloud.RPS = 100, 16, 16, 9
 	}
-	beside := seed%4 >= 2 // start on the version in production and upgrade one controller after the other
-	s = newSim(c, seed, count, beside)
+	mixedVersions := seed%4 >= 2 // start on the version in production and upgrade one controller after the other
+	s = newSim(c, seed, count, mixedVersions)
 	s.cloud.capacity = max(s.cloud.capacity, size)
-	if beside {
+	if mixedVersions {
 		for i, n := range s.nodes {
 			s.upgrade(n, time.Duration(25000+20000*i/count*3+r.IntN(12000))*time.Millisecond)
 		}
 	}
 	var log []string
-	tr := &faultInjector{sim: s, random: r, zonePartitions: seed%5 == 0, maxMachines: size / 20, logf: func(f string, a ...any) {
-		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, a...))
+	faults := &faultInjector{sim: s, random: r, zonePartitions: seed%5 == 0, maxMachines: size / 20, logf: func(f string, args ...any) {
+		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, args...))
 	}}
 	for i := range uint64(12 + size/25) {
 		id := i + 1
@@ -175,20 +175,20 @@
 	}
 	s.pollAll(2 * time.Second)
 	s.run(38 * time.Second)
-	length := time.Duration(5+r.IntN(25)) * time.Second
-	s.after(0, func() { tr.inject(a, length, r.IntN(count)) })
-	s.after(time.Duration(r.Int64N(int64(length))), func() {
-		met = true
-		tr.inject(b, time.Duration(5+r.IntN(25))*time.Second, r.IntN(count))
+	duration := time.Duration(5+r.IntN(25)) * time.Second
+	s.after(0, func() { faults.inject(first, duration, r.IntN(count)) })
+	s.after(time.Duration(r.Int64N(int64(duration))), func() {
+		overlapped = true
+		faults.inject(second, time.Duration(5+r.IntN(25))*time.Second, r.IntN(count))
 	})
-	if beside {
+	if mixedVersions {
 		s.cover("together with the version in production")
 	}
 	if seed%2 == 1 { // a leader crash in addition
 		s.after(time.Duration(r.IntN(30000))*time.Millisecond, func() {
 			if l := s.leader(); l != nil {
 				l.crash()
-				tr.restartAfter(l, 8*time.Second)
+				faults.restartAfter(l, 8*time.Second)
 			}
 		})
 	}
@@ -203,7 +203,7 @@
 			terms = max(terms, n.core.Epoch())
 		}
 	}
-	return s, met, terms
+	return s, overlapped, terms
 }
 
 // TestEndsFarApart checks jobs whose tasks complete far apart in time while leaders change. One completion
@@ -211,21 +211,21 @@
 // lost. The job must become done, once, and only when all of its tasks are.
 func TestEndsFarApart(t *testing.T) {
 	var mu sync.Mutex
-	days, spread, lost := 0, 0, 0
+	runs, apartRuns, restartedRuns := 0, 0, 0
 	t.Run("days", func(t *testing.T) {
 		for _, tasks := range []int{2, 3} {
-			for _, trial := range []string{"no fault", "partition", "inbound loss", "crash", "hang", "empty restart"} {
+			for _, fault := range []string{"no fault", "partition", "inbound loss", "crash", "hang", "empty restart"} {
 				for step := range 12 {
-					t.Run(fmt.Sprintf("%d tasks/%s/%d", tasks, trial, step), func(t *testing.T) {
+					t.Run(fmt.Sprintf("%d tasks/%s/%d", tasks, fault, step), func(t *testing.T) {
 						t.Parallel()
 						s := newSim(baseSettings(), uint64(step), 3, false)
-						var list []*userJob
+						var submitted []*userJob
 						for i := range uint64(4) {
 							j := &userJob{id: i + 1, runTime: 12 * time.Second, runTimeStep: 7 * time.Second, spec: wire.Submission{ID: i + 1, HasID: true,
 								Job: &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 4, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 10}}}
 							s.jobs[j.id] = j
 							s.submit(j, int(i), func() bool { return s.now < 60*time.Second })
-							list = append(list, j)
+							submitted = append(submitted, j)
 						}
 						s.pollAll(time.Second)
 						if !s.runUntil(90*time.Second, func() bool { return s.runningTasks(1) == tasks }) {
@@ -234,29 +234,29 @@
 						// Start just before or after the end of the first task, or of the last but one.
 						first := step % 2 * (tasks - 2)
 						s.run(s.runEnds[task{1, first}] - s.now + time.Duration(step-3)*150*time.Millisecond)
-						var m *worker
+						var machine *worker
 						for _, w := range s.cloud.machines {
 							if _, here := w.tasks[task{1, tasks - 1}]; here {
-								m = w
+								machine = w
 							}
 						}
-						if m == nil {
+						if machine == nil {
 							t.Fatal("the last task of job 1 is on no machine")
 						}
-						switch trial {
+						switch fault {
 						case "partition":
-							s.partitions = append(s.partitions, &partition{host: m.name, holdPackets: step%2 == 0})
-							s.after(9*time.Second, func() { s.heal(m.name) })
+							s.partitions = append(s.partitions, &partition{host: machine.name, holdPackets: step%2 == 0})
+							s.after(9*time.Second, func() { s.heal(machine.name) })
 						case "inbound loss":
-							s.inboundLost[m.name] = true
-							s.after(9*time.Second, func() { delete(s.inboundLost, m.name) })
+							s.inboundLost[machine.name] = true
+							s.after(9*time.Second, func() { delete(s.inboundLost, machine.name) })
 						case "crash":
-							m.terminate()
+							machine.terminate()
 						case "hang":
-							m.hung = true
-							s.after(9*time.Second, func() { m.hung = false })
+							machine.hung = true
+							s.after(9*time.Second, func() { machine.hung = false })
 						case "empty restart":
-							m.restartEmpty()
+							machine.restartEmpty()
 						}
 						for range 2 { // two leaders crash
 							l := s.leader()
@@ -271,28 +271,29 @@
 						s.awaitQuiescence(t, 5*time.Minute)
 						mu.Lock()
 						defer mu.Unlock()
-						days++
+						runs++
 						if apart {
-							spread++
+							apartRuns++
 						}
-						if s.check.starts > tasks*len(list) {
-							lost++
+						if s.check.starts > tasks*len(submitted) {
+							restartedRuns++
 						}
 					})
 				}
 			}
 		}
 	})
-	t.Logf("%d runs: in %d, one task had completed and another had not when the second new leader was elected; in %d, tasks started again", days, spread, lost)
-	if spread*4 < days || lost == 0 {
-		t.Errorf("%d runs: in %d, completions were apart across two leader changes; in %d, tasks started again", days, spread, lost)
+	t.Logf("%d runs: in %d, one task had completed and another had not when the second new leader was elected; in %d, tasks started again",
+		runs, apartRuns, restartedRuns)
+	if apartRuns*4 < runs || restartedRuns == 0 {
+		t.Errorf("%d runs: in %d, completions were apart across two leader changes; in %d, tasks started again", runs, apartRuns, restartedRuns)
 	}
 }
 
 // TestLateWrites applies transactions of every kind 2 to 12 s late: after newer ones of the same
 // controller, after those of later terms, and after the process that sent them has ended.
 func TestLateWrites(t *testing.T) {
-	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return lateWritesDay(t, seed, false) },
+	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return simulateLateWrites(t, seed, false) },
 		"late write of lead, after newer ones",
 		"late write of log, after newer ones",
 		"late removal of log, after newer ones",
@@ -301,9 +302,9 @@
 		"late write of own/run-times, after newer ones")
 }
 
-// lateWritesDay simulates a state service that leaves four in ten writes unanswered. It applies them later
-// or, with atOnce, at once.
-func lateWritesDay(t *testing.T, seed uint64, atOnce bool) *sim {
+// simulateLateWrites simulates a state service that leaves four in ten writes unanswered. It applies them
+// later or, with atOnce, at once.
+func simulateLateWrites(t *testing.T, seed uint64, atOnce bool) *sim {
 	c := baseSettings()
 	c.Deployment.State.ValueKB = 0.8
 	c.Tunables.TakeoversKept, c.Tunables.RunTimesKinds = 5, 100
@@ -314,16 +315,19 @@
 	s.run(3 * time.Second)
 	s.state.lossShare, s.state.onlyAnswerLost = 0.4, atOnce
 	for i := range uint64(60) {
-		job := &eventlog.Job{ID: i + 1, Class: fmt.Sprint("class", i%7), Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 4}
+		job := &eventlog.Job{
+			ID: i + 1, Class: fmt.Sprint("class", i%7), Team: "team", Priority: 1, Tasks: 1 + r.IntN(6),
+			CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 4,
+		}
 		if i%4 == 0 {
 			job.Counted = []eventlog.PoolUnits{{Pool: "licence", Units: 1}}
 		}
 		j := &userJob{id: i + 1, runTime: time.Duration(1+r.IntN(6)) * time.Second, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 		s.jobs[j.id] = j
-		at := time.Duration(r.IntN(60000)) * time.Millisecond
-		s.after(at, func() { s.submit(j, int(i), func() bool { return s.now < at+80*time.Second }) })
+		submitAt := time.Duration(r.IntN(60000)) * time.Millisecond
+		s.after(submitAt, func() { s.submit(j, int(i), func() bool { return s.now < submitAt+80*time.Second }) })
 		if i%10 == 0 {
-			s.after(at+8*time.Second, func() {
+			s.after(submitAt+8*time.Second, func() {
 				if j.accepted {
 					s.cancel(j, int(i))
 				}
@@ -341,14 +345,14 @@
 	s.after(30*time.Second, func() { s.resize("a", "licence", 4) })
 	s.after(31*time.Second, func() { s.resize("b", "licence", 6) })
 	s.pollAll(2 * time.Second)
-	led, longest := s.now, time.Duration(0) // the longest time without a leader that is sure of its term
+	lastSure, longest := s.now, time.Duration(0) // the longest time without a leader that is sure of its term
 	for end := s.now + 100*time.Second; s.now < end; s.run(200 * time.Millisecond) {
 		if l := s.leader(); l != nil && l.core.Status(l.clock()).Sure {
-			led = s.now
+			lastSure = s.now
 		}
-		longest = max(longest, s.now-led)
+		longest = max(longest, s.now-lastSure)
 	}
-	if atOnce && longest > leaderless {
+	if atOnce && longest > maxLeaderlessTime {
 		t.Errorf("no leader was sure of its term for %v", longest)
 	}
 	s.state.lossShare, s.state.onlyAnswerLost = 0, false
@@ -358,18 +362,19 @@
 	return s
 }
 
-// leaderless is the longest permitted time without a leader when four in ten writes are unanswered and
-// leaders crash. It covers four elections, each of which takes slightly longer than a leadership lease.
-const leaderless = 15 * time.Second
+// maxLeaderlessTime is the longest permitted time without a leader when four in ten writes are unanswered
+// and leaders crash. It covers four elections, each of which takes slightly longer than a leadership
+// lease.
+const maxLeaderlessTime = 15 * time.Second
 
 // TestLeaderEndsMachinesUnreached crashes leaders while machines with long tasks are unreachable or do not
 // receive the new leader's answers. The new leader must not start their tasks twice or exceed a limit that
 // is nearly used up. The jobs include some in one zone, some spread over both, and gangs.
 func TestLeaderEndsMachinesUnreached(t *testing.T) {
 	var mu sync.Mutex
-	days, unheard, again := 0, 0, 0
+	runs, unheardRuns, startedRuns := 0, 0, 0
 	t.Run("days", func(t *testing.T) {
-		for _, trial := range []string{
+		for _, fault := range []string{
 			"partition",
 			"partition, packets held",
 			"inbound loss",
@@ -378,15 +383,15 @@
 			"delayed answers",
 		} {
 			for length := range 6 {
-				for _, ends := range []int{1, 2} {
-					t.Run(fmt.Sprintf("%s/%d/%d", trial, length, ends), func(t *testing.T) {
+				for _, crashes := range []int{1, 2} {
+					t.Run(fmt.Sprintf("%s/%d/%d", fault, length, crashes), func(t *testing.T) {
 						t.Parallel()
 						c := baseSettings()
 						if length%3 > 0 { // without a limit, only the unreported machines hold the new leader back
 							c.Deployment.Teams[0].CPUsMax = 23
 						}
 						c.Tunables.ZonePatienceS = float64(length % 2 * 40)
-						s := newSim(c, uint64(length*2+ends), 3, false)
+						s := newSim(c, uint64(length*2+crashes), 3, false)
 						kinds := []eventlog.Job{
 							{Tasks: 4, OneZone: true},
 							{Tasks: 4, Spread: true},
@@ -415,39 +420,39 @@
 						if !s.runUntil(60*time.Second, func() bool { return s.runningTasks(6) >= 3 }) {
 							t.Fatalf("%d tasks of the last job run", s.runningTasks(6))
 						}
-						l := s.leader()
-						lasts := time.Duration(3+5*length) * time.Second
-						var on []*worker
+						oldLeader := s.leader()
+						duration := time.Duration(3+5*length) * time.Second
+						var affected []*worker
 						for _, w := range s.machines() {
-							if len(w.tasks) > 0 && len(on) < 2 {
-								on = append(on, w)
+							if len(w.tasks) > 0 && len(affected) < 2 {
+								affected = append(affected, w)
 							}
 						}
-						for _, w := range on {
-							switch trial {
+						for _, w := range affected {
+							switch fault {
 							case "partition", "partition, packets held":
-								s.partitions = append(s.partitions, &partition{host: w.name, holdPackets: trial != "partition"})
+								s.partitions = append(s.partitions, &partition{host: w.name, holdPackets: fault != "partition"})
 							case "inbound loss":
 								s.inboundLost[w.name] = true
 							case "hang":
 								w.hung = true
 							case "partition from all but the old leader":
 								for _, n := range s.nodes {
-									if n != l {
+									if n != oldLeader {
 										s.partitions = append(s.partitions, &partition{host: w.name, peer: n.name})
 									}
 								}
 							case "delayed answers":
 								s.latency[w.name] = 6 * time.Second
 							}
-							s.after(lasts, func() {
+							s.after(duration, func() {
 								w.hung = false
 								delete(s.inboundLost, w.name)
 								delete(s.latency, w.name)
 								s.heal(w.name)
 							})
 						}
-						for range ends {
+						for range crashes {
 							n := s.leader()
 							n.crash()
 							s.after(8*time.Second, func() { n.start(false) })
@@ -466,29 +471,29 @@
 						s.awaitQuiescence(t, 10*time.Minute)
 						mu.Lock()
 						defer mu.Unlock()
-						days++
+						runs++
 						if missing > 0 {
-							unheard++
+							unheardRuns++
 						}
 						if s.check.starts > before {
-							again++
+							startedRuns++
 						}
 					})
 				}
 			}
 		}
 	})
-	t.Logf("%d runs: in %d, the new leader did not hear from all machines; in %d, it started tasks", days, unheard, again)
-	if unheard*2 < days || again == 0 {
-		t.Errorf("%d runs: in %d, the new leader did not hear from all machines; in %d, it started tasks", days, unheard, again)
+	t.Logf("%d runs: in %d, the new leader did not hear from all machines; in %d, it started tasks", runs, unheardRuns, startedRuns)
+	if unheardRuns*2 < runs || startedRuns == 0 {
+		t.Errorf("%d runs: in %d, the new leader did not hear from all machines; in %d, it started tasks", runs, unheardRuns, startedRuns)
 	}
 }
 
-// TestHandOvers makes leaders hand over repeatedly, crashes all controllers and restarts one of them within a
-// second, again and again, while jobs are submitted, cancelled and queried.
+// TestHandOvers makes leaders hand over repeatedly, crashes all controllers and restarts one of them
+// within a second, again and again, while jobs are submitted, cancelled and queried.
 func TestHandOvers(t *testing.T) {
 	var mu sync.Mutex
-	terms, alone := uint64(0), 0
+	terms, ledAlone := uint64(0), 0
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(24) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -499,9 +504,13 @@
 				}
 				s := newSim(c, seed, 3, false)
 				r := rand.New(rand.NewPCG(seed, 13))
-				tr := &faultInjector{sim: s, random: r, logf: func(string, ...any) {}}
+				faults := &faultInjector{sim: s, random: r, logf: func(string, ...any) {}}
 				for i := range uint64(14) {
-					job := &eventlog.Job{ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 15, Kind: uint8(r.IntN(5) / 4)}
+					job := &eventlog.Job{
+						ID: i + 1, Class: "class", Team: "team", Priority: 1, Tasks: 1 + r.IntN(6), CPUs: 1,
+						MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true, EstimateS: 15,
+						Kind: uint8(r.IntN(5) / 4),
+					}
 					j := &userJob{id: i + 1, runTime: time.Duration(1000+r.IntN(40000)) * time.Millisecond, spec: wire.Submission{ID: i + 1, HasID: true, Job: job}}
 					s.jobs[j.id] = j
 					at := time.Duration(r.IntN(50000)) * time.Millisecond
@@ -517,25 +526,25 @@
 				s.pollAll(time.Second)
 				s.run(10 * time.Second)
 				for range 6 {
-					tr.inject(repeatedHandover, 0, 0)
+					faults.inject(repeatedHandover, 0, 0)
 					s.run(time.Duration(1+r.IntN(5)) * time.Second)
 					if l := s.leader(); l != nil && r.IntN(2) == 0 { // hands over, crashes at once and restarts
 						l.core.Stop(l.clock())
 						l.drain()
 						l.crash()
-						tr.restartAfter(l, tr.shortDelay())
+						faults.restartAfter(l, faults.shortDelay())
 						s.run(time.Duration(r.IntN(900)) * time.Millisecond)
 					}
 					for i, n := range s.nodes { // all crash; one restarts, the others follow later
 						if n.up {
 							n.crash()
 						}
-						tr.restartAfter(n, tr.shortDelay()+time.Duration(i)*4*time.Second)
+						faults.restartAfter(n, faults.shortDelay()+time.Duration(i)*4*time.Second)
 					}
 					s.run(time.Duration(500+r.IntN(4000)) * time.Millisecond)
 					if l := s.leader(); l != nil && l == s.nodes[0] && !s.nodes[1].up {
 						mu.Lock()
-						alone++
+						ledAlone++
 						mu.Unlock()
 					}
 				}
@@ -548,9 +557,9 @@
 			})
 		}
 	})
-	t.Logf("%d terms in 24 runs; a controller that restarted alone led %d times", terms, alone)
-	if terms < 24*6 || alone < 10 {
-		t.Errorf("%d terms in 24 runs, a controller that restarted alone led %d times", terms, alone)
+	t.Logf("%d terms in 24 runs; a controller that restarted alone led %d times", terms, ledAlone)
+	if terms < 24*6 || ledAlone < 10 {
+		t.Errorf("%d terms in 24 runs, a controller that restarted alone led %d times", terms, ledAlone)
 	}
 }
 
@@ -561,46 +570,46 @@
 // arrives; the cloud deletes the machine at once or only afterwards. Found by seed 3368 of TestRandomDays,
 // where the task had been started elsewhere meanwhile.
 func TestHeldStartMeetsNewLife(t *testing.T) {
-	const held = 22 * time.Second
+	const delay = 22 * time.Second
 	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, 1+seed/16, directDispatchSettings)
-		d.warmUp(12*time.Second, eventlog.Job{Tasks: 8, CPUs: 4, Priority: 1, Spot: true})
-		d.run(8 * time.Second)
-		ms := d.machines()
-		for _, m := range ms {
-			d.latency[m.name] = held
+		h := newHarness(t, 1+seed/16, directDispatchSettings)
+		h.warmUp(12*time.Second, eventlog.Job{Tasks: 8, CPUs: 4, Priority: 1, Spot: true})
+		h.run(8 * time.Second)
+		machines := h.machines()
+		for _, machine := range machines {
+			h.latency[machine.name] = delay
 		}
-		sent := d.directDispatches
-		j := d.submitJob(60*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
-		if !d.runUntil(3*time.Second, func() bool { return d.directDispatches > sent }) {
+		sent := h.directDispatches
+		j := h.submitJob(60*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
+		if !h.runUntil(3*time.Second, func() bool { return h.directDispatches > sent }) {
 			t.Fatal("no start was sent directly to a worker")
 		}
-		at := d.now
-		var m *worker
-		for _, x := range d.leader().core.Status(d.leader().clock()).Machines {
-			if x.Tasks > 0 {
-				m = d.cloud.machines[x.Name]
+		at := h.now
+		var machine *worker
+		for _, other := range h.leader().core.Status(h.leader().clock()).Machines {
+			if other.Tasks > 0 {
+				machine = h.cloud.machines[other.Name]
 			}
 		}
-		for _, x := range ms {
-			delete(d.latency, x.name)
+		for _, other := range machines {
+			delete(h.latency, other.name)
 		}
-		d.inboundLost[m.name] = true // packets in flight arrive, later ones are lost
-		d.cloud.outage = seed%2 == 1
-		d.run(at + held - time.Duration(100+seed%16/2*700)*time.Millisecond - d.now)
-		if d.cloud.machines[m.name] == m {
-			if m.session > 1 {
-				d.cover("a later session, and then an empty restart")
+		h.inboundLost[machine.name] = true // packets in flight arrive, later ones are lost
+		h.cloud.outage = seed%2 == 1
+		h.run(at + delay - time.Duration(100+seed%16/2*700)*time.Millisecond - h.now)
+		if h.cloud.machines[machine.name] == machine {
+			if machine.session > 1 {
+				h.cover("a later session, and then an empty restart")
 			}
-			m.restartEmpty()
+			machine.restartEmpty()
 		}
-		d.run(10 * time.Second)
-		d.cloud.outage = false
-		delete(d.inboundLost, m.name)
-		if !d.runUntil(time.Minute, func() bool { return d.runningTasks(j.id) == 1 }) {
+		h.run(10 * time.Second)
+		h.cloud.outage = false
+		delete(h.inboundLost, machine.name)
+		if !h.runUntil(time.Minute, func() bool { return h.runningTasks(j.id) == 1 }) {
 			t.Error("the task does not run")
 		}
-		return d.endFaultsAndSettle(5 * time.Minute)
+		return h.endFaultsAndSettle(5 * time.Minute)
 	}, "a later session, and then an empty restart", "start executed by a later incarnation of the machine")
 }
 
@@ -608,22 +617,22 @@
 // to a worker is lost, and a later session reports no tasks. The machine must be deleted, and the task then
 // starts elsewhere.
 func TestLostStartThenLaterSession(t *testing.T) {
-	d := newHarness(t, 2, directDispatchSettings)
-	d.warmUp(12*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
-	d.run(8 * time.Second)
-	sent := d.directDispatches
-	for _, m := range d.machines() {
-		d.inboundLost[m.name] = true // their reports arrive, but no packet reaches them
+	h := newHarness(t, 2, directDispatchSettings)
+	h.warmUp(12*time.Second, eventlog.Job{Tasks: 4, CPUs: 4, Priority: 1, Spot: true})
+	h.run(8 * time.Second)
+	sent := h.directDispatches
+	for _, m := range h.machines() {
+		h.inboundLost[m.name] = true // their reports arrive, but no packet reaches them
 	}
-	j := d.submitJob(20*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
-	if !d.runUntil(3*time.Second, func() bool { return d.directDispatches > sent }) {
+	j := h.submitJob(20*time.Second, eventlog.Job{CPUs: 4, Priority: 1, Spot: true})
+	if !h.runUntil(3*time.Second, func() bool { return h.directDispatches > sent }) {
 		t.Fatal("no start was sent directly to a worker")
 	}
-	d.run(20 * time.Second) // their leases expire
-	clear(d.inboundLost)
-	d.run(3 * time.Second)
-	if !d.runUntil(40*time.Second, func() bool { return d.runningTasks(j.id) == 1 }) {
+	h.run(20 * time.Second) // their leases expire
+	clear(h.inboundLost)
+	h.run(3 * time.Second)
+	if !h.runUntil(40*time.Second, func() bool { return h.runningTasks(j.id) == 1 }) {
 		t.Error("the task does not run")
 	}
-	d.endFaultsAndSettle(2 * time.Minute)
+	h.endFaultsAndSettle(2 * time.Minute)
 }
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -30,20 +30,20 @@
 	if len(c.sim.poolUnits) == 0 {
 		return out
 	}
-	whole := map[uint64]bool{}
-	for t, ms := range c.placements {
-		for _, x := range c.sim.jobs[t.job].spec.Job.Counted {
-			if !x.PerJob {
-				out[x.Pool] += x.Units * len(ms)
-			} else if len(ms) > 0 && !whole[t.job] {
-				out[x.Pool] += x.Units
+	counted := map[uint64]bool{}
+	for t, machines := range c.placements {
+		for _, need := range c.sim.jobs[t.job].spec.Job.Counted {
+			if !need.PerJob {
+				out[need.Pool] += need.Units * len(machines)
+			} else if len(machines) > 0 && !counted[t.job] {
+				out[need.Pool] += need.Units
 			}
 		}
-		whole[t.job] = whole[t.job] || len(ms) > 0
+		counted[t.job] = counted[t.job] || len(machines) > 0
 	}
-	for _, g := range c.orphaned {
-		if g.until > c.sim.now {
-			out[g.pool] += g.units
+	for _, orphan := range c.orphaned {
+		if orphan.until > c.sim.now {
+			out[orphan.pool] += orphan.units
 		}
 	}
 	return out
@@ -54,25 +54,25 @@
 	if !c.placements[t][w.name] {
 		return
 	}
-	for _, x := range c.sim.jobs[t.job].spec.Job.Counted {
-		for _, p := range c.sim.cfg.Tunables.Pools {
-			if p.Name == x.Pool && p.HoldAfterLossS > 0 && !x.PerJob {
-				c.orphaned = append(c.orphaned, orphanedUnits{x.Pool, x.Units, c.sim.now + settingsSeconds(p.HoldAfterLossS)})
+	for _, need := range c.sim.jobs[t.job].spec.Job.Counted {
+		for _, pool := range c.sim.cfg.Tunables.Pools {
+			if pool.Name == need.Pool && pool.HoldAfterLossS > 0 && !need.PerJob {
+				c.orphaned = append(c.orphaned, orphanedUnits{need.Pool, need.Units, c.sim.now + settingsSeconds(pool.HoldAfterLossS)})
 			}
 		}
 	}
 }
 
-// poolsRefuse reports whether a submission is refused because the version of the controller that received
-// it or of the one that serves it does not support pools (node.Controller's Ask and AskCounted).
-func (s *sim) poolsRefuse(door, served *controller, j *userJob) bool {
+// refusesPoolUnits reports whether a submission is refused because the version of the controller that
+// received it or of the one that serves it does not support pools (node.Controller's Ask and AskCounted).
+func (s *sim) refusesPoolUnits(entry, served *controller, j *userJob) bool {
 	if len(s.cfg.Tunables.Pools) == 0 || j.spec.Job == nil {
 		return false
 	}
 	if len(j.spec.Job.Counted) > 0 {
-		return door.oldVersion || served.oldVersion // users must not submit such jobs until all controllers are upgraded
+		return entry.oldVersion || served.oldVersion // users must not submit such jobs until all controllers are upgraded
 	}
-	return door.oldVersion && !served.oldVersion
+	return entry.oldVersion && !served.oldVersion
 }
 
 // resize queues an operator's change of a pool, which is retried until it is durable. Changes of a pool
@@ -88,29 +88,29 @@
 }
 
 func (s *sim) resizeNow(id, pool string, units int) {
-	now := s.poolUnits[pool]
-	if units > now {
+	current := s.poolUnits[pool]
+	if units > current {
 		s.poolUnits[pool] = units // the new units may be used from now on
 	}
 	var try func()
 	try = func() {
 		again := func() { s.after(700*time.Millisecond, try) }
-		l := s.leader()
-		if l == nil || l.oldVersion {
+		leader := s.leader()
+		if leader == nil || leader.oldVersion {
 			again()
 			return
 		}
 		var view pools.View
-		raw, known, err := l.core.Show(l.clock(), pools.Name+"/"+pool)
+		raw, known, err := leader.core.Show(leader.clock(), pools.Name+"/"+pool)
 		if err != nil || !known || raw == nil || json.Unmarshal(raw, &view) != nil {
 			again()
 			return
 		}
 		body := fmt.Sprintf(`{"change":{"id":%q,"pool":%q,"version":%d,"units":%d}}`, id, pool, view.Version, units)
-		raw, _, err = l.core.Change(l.clock(), pools.Name, "operator", json.RawMessage(body))
-		l.drain()
-		var done pools.Changed
-		if err != nil || json.Unmarshal(raw, &done) != nil || !done.Durable {
+		raw, _, err = leader.core.Change(leader.clock(), pools.Name, "operator", json.RawMessage(body))
+		leader.drain()
+		var result pools.Changed
+		if err != nil || json.Unmarshal(raw, &result) != nil || !result.Durable {
 			again()
 			return
 		}
@@ -125,8 +125,8 @@
 	try()
 }
 
-// poolDay configures random pools for a run.
-func poolDay(c *settings.Settings, r *rand.Rand, upgrade bool) {
+// configureRandomPools configures random pools for a run.
+func configureRandomPools(c *settings.Settings, r *rand.Rand, upgrade bool) {
 	c.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 3 + r.IntN(4), HoldAfterLossS: float64(r.IntN(2) * 20)}, {Name: "token", Units: 4 + r.IntN(5), Reserve: r.IntN(2)}}
 	if r.IntN(2) == 0 {
 		c.Tunables.UnitsSilentS = 4
@@ -136,17 +136,17 @@
 	}
 }
 
-func demands(r *rand.Rand, job *eventlog.Job) {
+func addPoolUnits(r *rand.Rand, job *eventlog.Job) {
 	for _, name := range []string{"licence", "token"} {
 		if r.IntN(2) > 0 {
 			continue
 		}
-		x := eventlog.PoolUnits{Pool: name, Units: 1 + r.IntN(2), PerJob: r.IntN(4) == 0}
+		need := eventlog.PoolUnits{Pool: name, Units: 1 + r.IntN(2), PerJob: r.IntN(4) == 0}
 		if job.Kind == jobs.Gang {
-			x.Units = 1
+			need.Units = 1
 			job.Tasks = min(job.Tasks, 2)
 		}
-		job.Counted = append(job.Counted, x)
+		job.Counted = append(job.Counted, need)
 	}
 }
 
@@ -263,7 +263,10 @@
 		s.run(10 * time.Second)
 		before := s.state.writes
 		for id := range uint64(5) {
-			job := &eventlog.Job{ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: 1, MemoryGB: 1, Image: "i", Spot: true, EstimateS: 9, Counted: counted}
+			job := &eventlog.Job{
+				ID: id + 1, Class: "class", Team: "team", Priority: 1, Tasks: 6, CPUs: 1, MemoryGB: 1,
+				Image: "i", Spot: true, EstimateS: 9, Counted: counted,
+			}
 			s.jobs[id+1] = &userJob{id: id + 1, runTime: 9 * time.Second, spec: wire.Submission{ID: id + 1, HasID: true, Job: job}}
 			s.submit(s.jobs[id+1], 0, func() bool { return true })
 		}
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -31,7 +31,7 @@
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				randomDay(t, seed, &played)
+				simulateRandomFaults(t, seed, &played)
 			})
 		}
 	})
@@ -40,7 +40,7 @@
 	}
 }
 
-func randomDay(t *testing.T, seed uint64, played *[numFaultKinds]atomic.Int64) {
+func simulateRandomFaults(t *testing.T, seed uint64, played *[numFaultKinds]atomic.Int64) {
 	r := rand.New(rand.NewPCG(seed, 99))
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(8 + r.IntN(40))
@@ -52,14 +52,14 @@
 		c.Deployment.State.Next = &settings.NextLimits{ValueKB: &kb, TxnOps: &ops}
 	}
 	upgrade := seed%4 < 2
-	learns := seed%5 == 3
+	learnsRunTimes := seed%5 == 3
 	began := time.Duration(0)
-	if learns {
+	if learnsRunTimes {
 		c.Tunables.RunTimesKinds, c.Tunables.TakeoversKept = 100, 5
 		began = 12*time.Hour - 90*time.Second // the night ends during the run
 	}
-	spreads := seed%3 == 1 // machines are rebalanced, zones are partitioned and waited for, shares are guaranteed
-	if spreads {
+	rebalances := seed%3 == 1 // machines are rebalanced, zones are partitioned and waited for, shares are guaranteed
+	if rebalances {
 		c.Tunables.RebalanceMoves, c.Tunables.ZonePatienceS, c.Tunables.ServedFloor, c.Tunables.ServedWindowS = 4, 20, 0.6, 120
 		c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
 	}
@@ -67,12 +67,12 @@
 		c.Tunables.PushDispatches, c.Tunables.ProbeSilent = 4, int(seed%2)
 		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5})
 	}
-	counted := seed%4 == 1 || seed%4 == 2 // half of these runs start on the version in production
-	if counted {
-		poolDay(&c, r, upgrade)
+	usesPools := seed%4 == 1 || seed%4 == 2 // half of these runs start on the version in production
+	if usesPools {
+		configureRandomPools(&c, r, upgrade)
 	}
-	configures := !upgrade && seed%5 < 3 // teams and tunables are changed throughout the run
-	if configures {
+	changesConfig := !upgrade && seed%5 < 3 // teams and tunables are changed throughout the run
+	if changesConfig {
 		c.Tunables.ConfigHistory = 3
 	}
 	count := 3
@@ -80,7 +80,7 @@
 		count = 7
 	}
 	s := newSimAt(began, c, seed, count, upgrade)
-	if counted {
+	if usesPools {
 		s.poolUnits = map[string]int{}
 		for i, p := range c.Tunables.Pools {
 			s.poolUnits[p.Name] = p.Units
@@ -91,11 +91,11 @@
 			s.after(140*time.Second, func() { s.resize(fmt.Sprint("back", i), p.Name, p.Units) })
 		}
 	}
-	if learns {
+	if learnsRunTimes {
 		s.state.durableFacts = map[uint64]bool{}
 	}
-	if configures {
-		configDay(s, seed)
+	if changesConfig {
+		scheduleConfigChanges(s, seed)
 	}
 	upgraded := time.Duration(0) // before this time, no feature is used that the old version lacks
 	if upgrade {
@@ -107,8 +107,8 @@
 	}
 	// Downgrade to the version in production for a while and upgrade again, with pools and no other feature
 	// that the old version lacks.
-	back := counted && upgrade && !learns && seed%8 == 1
-	if back {
+	downgrades := usesPools && upgrade && !learnsRunTimes && seed%8 == 1
+	if downgrades {
 		for i, n := range s.nodes {
 			for k, old := range []bool{true, false} {
 				at := upgraded + time.Duration(10+35*k+9*i+r.IntN(8))*time.Second
@@ -124,7 +124,7 @@
 	}
 	s.after(upgraded+time.Duration(r.IntN(60))*time.Second, func() { s.state.limitsLowered = true })
 	var log []string
-	say := func(f string, a ...any) {
+	logFault := func(f string, a ...any) {
 		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, a...))
 	}
 	sometime := func() time.Duration { return time.Duration(r.IntN(120000)) * time.Millisecond }
@@ -143,13 +143,13 @@
 		if service {
 			job.Kind, job.Spot, job.CPUs = jobs.Service, false, 1
 		}
-		if counted {
-			demands(r, job)
+		if usesPools {
+			addPoolUnits(r, job)
 		}
 		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		s.jobs[id] = j
 		at := sometime()
-		follows := r.IntN(5) < 2 && !back
+		follows := r.IntN(5) < 2 && !downgrades
 		s.after(at, func() {
 			if follows && s.now >= upgraded {
 				// The dependencies are accepted jobs in any state.
@@ -181,14 +181,14 @@
 			})
 		}
 	}
-	tr := &faultInjector{sim: s, random: r, zonePartitions: spreads, logf: say}
+	faults := &faultInjector{sim: s, random: r, zonePartitions: rebalances, logf: logFault}
 	for range 3 + r.IntN(8) {
-		at, length, who := sometime(), time.Duration(1+r.IntN(30))*time.Second, r.IntN(count)
+		at, duration, nodeIndex := sometime(), time.Duration(1+r.IntN(30))*time.Second, r.IntN(count)
 		kinds := [][]faultKind{mildFaults, harshFaults, specialFaults}[r.IntN(3)]
 		kind := kinds[r.IntN(len(kinds))]
 		s.after(at, func() {
 			played[kind].Add(1)
-			tr.inject(kind, length, who)
+			faults.inject(kind, duration, nodeIndex)
 		})
 	}
 	var poll func()
@@ -204,7 +204,7 @@
 	s.run(160 * time.Second)
 	s.check.faultsEndedAt = s.now
 	limit := 900 * time.Second
-	if counted {
+	if usesPools {
 		limit = 40 * time.Minute // few units cause long queues
 	}
 	s.awaitQuiescence(t, limit)
@@ -214,23 +214,23 @@
 	if s.check.starts == 0 {
 		t.Error("no task ran")
 	}
-	if configures {
-		s.configEverywhere(t)
+	if changesConfig {
+		s.checkConfigEverywhere(t)
 	}
-	if learns {
-		countLearned(t, s)
+	if learnsRunTimes {
+		checkLearnedRunTimes(t, s)
 	}
 }
 
-// countLearned checks that the last leader has counted each durable run-time fact exactly once, whichever
-// controllers crashed and when.
-func countLearned(t *testing.T, s *sim) {
+// checkLearnedRunTimes checks that the last leader has counted each durable run-time fact exactly once,
+// whichever controllers crashed and when.
+func checkLearnedRunTimes(t *testing.T, s *sim) {
 	s.run(10 * time.Second)
 	if !s.runUntil(30*time.Second, func() bool { return s.leader() != nil }) {
 		t.Fatal("no leader at the end")
 	}
-	l := s.leader()
-	raw, known, err := l.core.Show(l.clock(), runtimes.Name)
+	leader := s.leader()
+	raw, known, err := leader.core.Show(leader.clock(), runtimes.Name)
 	if err != nil || !known {
 		t.Fatalf("the learned run times are not shown: %v", err)
 	}
@@ -241,13 +241,13 @@
 	if err := json.Unmarshal(raw, &kinds); err != nil {
 		t.Fatal(err)
 	}
-	got := 0
+	counted := 0
 	for _, k := range kinds {
 		if k.Name == "class///" {
-			got = k.Estimate.Jobs
+			counted = k.Estimate.Jobs
 		}
 	}
-	if got != len(s.state.durableFacts) {
-		t.Errorf("%d jobs are counted, %d facts were durable", got, len(s.state.durableFacts))
+	if counted != len(s.state.durableFacts) {
+		t.Errorf("%d jobs are counted, %d facts were durable", counted, len(s.state.durableFacts))
 	}
 }
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -19,41 +19,43 @@
 // be older, and only for a bounded time.
 func TestCloseLooks(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, nil)
-		d.intensivePolling = true
+		h := newHarness(t, seed, nil)
+		h.intensivePolling = true
 		for i := range 25 {
-			d.submitJobAfter(time.Duration(2000+d.random.IntN(45000))*time.Millisecond, time.Duration(300+d.random.IntN(4000))*time.Millisecond, eventlog.Job{Tasks: 1 + d.random.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true})
+			h.submitJobAfter(time.Duration(2000+h.random.IntN(45000))*time.Millisecond, time.Duration(300+h.random.IntN(4000))*time.Millisecond, eventlog.Job{
+				Tasks: 1 + h.random.IntN(3), Kind: uint8(i % 8 / 7), Priority: 1, Spot: true,
+			})
 		}
-		d.pollAll(2 * time.Second)
+		h.pollAll(2 * time.Second)
 		for i := range 8 { // faults of a controller between the users and the leader
-			d.after(time.Duration(6+6*i)*time.Second, func() {
-				l := d.leader()
-				if l == nil {
+			h.after(time.Duration(6+6*i)*time.Second, func() {
+				leader := h.leader()
+				if leader == nil {
 					return
 				}
-				n := d.nodes[(l.index+1+i%2)%3]
-				length := time.Duration(1000+d.random.IntN(3000)) * time.Millisecond
+				n := h.nodes[(leader.index+1+i%2)%3]
+				duration := time.Duration(1000+h.random.IntN(3000)) * time.Millisecond
 				switch (i + int(seed)) % 4 {
 				case 0:
-					d.latency[n.name] = time.Duration(100+d.random.IntN(1500)) * time.Millisecond
-					d.after(length, func() { delete(d.latency, n.name) })
+					h.latency[n.name] = time.Duration(100+h.random.IntN(1500)) * time.Millisecond
+					h.after(duration, func() { delete(h.latency, n.name) })
 				case 1:
-					d.partitions = append(d.partitions, &partition{host: n.name, peer: l.name, holdPackets: true})
-					d.after(length, func() { d.heal(n.name) })
+					h.partitions = append(h.partitions, &partition{host: n.name, peer: leader.name, holdPackets: true})
+					h.after(duration, func() { h.heal(n.name) })
 				case 2:
-					d.pausedUntil[n.name] = d.now + length
+					h.pausedUntil[n.name] = h.now + duration
 				default:
-					d.pausedUntil[l.name] = d.now + length
+					h.pausedUntil[leader.name] = h.now + duration
 				}
 			})
 		}
 		if seed%2 == 1 {
 			for i := range 3 {
-				d.after(time.Duration(12+14*i)*time.Second+time.Duration(d.random.IntN(4000))*time.Millisecond, func() { d.restartLeader(8 * time.Second) })
+				h.after(time.Duration(12+14*i)*time.Second+time.Duration(h.random.IntN(4000))*time.Millisecond, func() { h.restartLeader(8 * time.Second) })
 			}
 		}
-		d.run(60 * time.Second)
-		return d.endFaultsAndSettle(5 * time.Minute)
+		h.run(60 * time.Second)
+		return h.endFaultsAndSettle(5 * time.Minute)
 	}, "intensive polling", "answer overtaken by a newer one")
 }
 
@@ -61,85 +63,85 @@
 // completes: without another fault, with a lost answer to the write, and with a leader change. Each job
 // must have one outcome, which never changes.
 func TestEndMeetsRequest(t *testing.T) {
-	seen := runSeeds(t, 48, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, nil)
-		trial := seed % 4
-		list := make([]*userJob, 8)
-		for i := range list {
-			list[i] = d.submitJob(25*time.Second, eventlog.Job{Tasks: 1 + i%3, Kind: uint8(i / 6), Priority: 1, Spot: true})
+	coverage := runSeeds(t, 48, func(t *testing.T, seed uint64) *sim {
+		h := newHarness(t, seed, nil)
+		variant := seed % 4
+		submitted := make([]*userJob, 8)
+		for i := range submitted {
+			submitted[i] = h.submitJob(25*time.Second, eventlog.Job{Tasks: 1 + i%3, Kind: uint8(i / 6), Priority: 1, Spot: true})
 		}
-		d.pollAll(time.Second)
-		for _, j := range list {
-			d.awaitRunning(j, j.spec.Job.Tasks)
+		h.pollAll(time.Second)
+		for _, j := range submitted {
+			h.awaitRunning(j, j.spec.Job.Tasks)
 		}
-		if trial == 2 {
-			d.latency["state"] = 300 * time.Millisecond
-			d.after(30*time.Second, func() { delete(d.latency, "state") })
+		if variant == 2 {
+			h.latency["state"] = 300 * time.Millisecond
+			h.after(30*time.Second, func() { delete(h.latency, "state") })
 		}
-		for i, j := range list {
+		for i, j := range submitted {
 			last := time.Duration(0)
 			for k := range j.spec.Job.Tasks {
-				last = max(last, d.runEnds[task{j.id, k}])
+				last = max(last, h.runEnds[task{j.id, k}])
 			}
 			// At times from before the completion until after it is durable and reported to users.
-			at := last - d.now + time.Duration(int(seed)/4*8+i-20)*15*time.Millisecond
+			at := last - h.now + time.Duration(int(seed)/4*8+i-20)*15*time.Millisecond
 			for n := range 12 { // users query while the write of the completion is in progress
-				d.after(at+time.Duration(25*n)*time.Millisecond, func() { d.poll(j, n) })
+				h.after(at+time.Duration(25*n)*time.Millisecond, func() { h.poll(j, n) })
 			}
-			d.after(at, func() {
-				if trial == 1 {
-					d.state.answersToLose = 1
+			h.after(at, func() {
+				if variant == 1 {
+					h.state.answersToLose = 1
 				}
-				if trial == 3 && i == 3 {
-					d.restartLeader(8 * time.Second)
+				if variant == 3 && i == 3 {
+					h.restartLeader(8 * time.Second)
 				}
-				if before := d.check.allCompleted(j.id); before {
-					d.cover("request after the last task had completed")
+				if before := h.check.allCompleted(j.id); before {
+					h.cover("request after the last task had completed")
 				} else {
-					d.cover("request before the last task had completed")
+					h.cover("request before the last task had completed")
 				}
 				switch (i + int(seed)/4) % 3 {
 				case 0, 1:
-					d.cancelJob(j, i)
+					h.cancelJob(j, i)
 				default:
-					d.submit(j, i, func() bool { return false })
-					d.poll(j, i+1)
+					h.submit(j, i, func() bool { return false })
+					h.poll(j, i+1)
 				}
 			})
-			if trial == 2 && i == 3 {
-				d.after(at+time.Duration(d.random.IntN(80))*time.Millisecond, func() { d.restartLeader(8 * time.Second) })
+			if variant == 2 && i == 3 {
+				h.after(at+time.Duration(h.random.IntN(80))*time.Millisecond, func() { h.restartLeader(8 * time.Second) })
 			}
 		}
-		d.run(40 * time.Second)
-		d.endFaultsAndSettle(5 * time.Minute)
-		for _, j := range list {
+		h.run(40 * time.Second)
+		h.endFaultsAndSettle(5 * time.Minute)
+		for _, j := range submitted {
 			if j.cancelRequested && j.toldDone {
-				d.cover("a cancelled job done")
+				h.cover("a cancelled job done")
 			} else if j.cancelRequested {
-				d.cover("a cancelled job cancelled")
+				h.cover("a cancelled job cancelled")
 			}
 		}
 		for range 2 { // the outcome stays the same under later leaders
-			for _, j := range list {
-				for at := range d.nodes {
-					d.poll(j, at)
-					d.submit(j, at, func() bool { return false })
+			for _, j := range submitted {
+				for at := range h.nodes {
+					h.poll(j, at)
+					h.submit(j, at, func() bool { return false })
 				}
 			}
-			d.run(3 * time.Second)
-			d.restartLeader(8 * time.Second)
-			d.awaitLeader()
+			h.run(3 * time.Second)
+			h.restartLeader(8 * time.Second)
+			h.awaitLeader()
 		}
-		if len(d.check.violations) > 0 {
-			t.Errorf("violated invariants: %v", d.check.violations)
+		if len(h.check.violations) > 0 {
+			t.Errorf("violated invariants: %v", h.check.violations)
 		}
-		return d.sim
+		return h.sim
 	},
 		"request after the last task had completed",
 		"request before the last task had completed",
 		"a cancelled job done",
 		"a cancelled job cancelled")
-	t.Log(seen)
+	t.Log(coverage)
 }
 
 // TestOneTaskJobs submits four one-task jobs a second for three minutes and cancels a quarter of them, at
@@ -147,50 +149,50 @@
 // limits, the log stays short, and all jobs are served.
 func TestOneTaskJobs(t *testing.T) {
 	const count = 720
-	d := newHarness(t, 3, func(c *settings.Settings) {
-		st := &c.Deployment.State
-		st.RPS, st.WriteRPS, st.ValueKB, st.TxnOps = 200, 15, 2, 4
+	h := newHarness(t, 3, func(c *settings.Settings) {
+		state := &c.Deployment.State
+		state.RPS, state.WriteRPS, state.ValueKB, state.TxnOps = 200, 15, 2, 4
 	})
-	d.cloud.capacity = 30
-	d.state.writesBySecond = map[time.Duration]int{}
+	h.cloud.capacity = 30
+	h.state.writesBySecond = map[time.Duration]int{}
 	type times struct{ sent, asked time.Duration }
 	all := make([]times, count+1)
-	d.run(2 * time.Second)
+	h.run(2 * time.Second)
 	cancelled := 0
 	for i := range count {
 		id := uint64(i + 1)
 		at := time.Duration(i) * 250 * time.Millisecond
-		d.after(at, func() {
-			all[id].sent = d.now
-			j := d.submitJob(time.Duration(1000+d.random.IntN(5000))*time.Millisecond, eventlog.Job{ID: id, Priority: uint8(i % 4), Spot: true})
+		h.after(at, func() {
+			all[id].sent = h.now
+			j := h.submitJob(time.Duration(1000+h.random.IntN(5000))*time.Millisecond, eventlog.Job{ID: id, Priority: uint8(i % 4), Spot: true})
 			if i%4 == 1 {
 				cancelled++
-				d.after(time.Duration(500+d.random.IntN(4000))*time.Millisecond, func() {
+				h.after(time.Duration(500+h.random.IntN(4000))*time.Millisecond, func() {
 					if j.accepted {
-						all[id].asked = d.now
-						d.cancelJob(j, i)
+						all[id].asked = h.now
+						h.cancelJob(j, i)
 					}
 				})
 			}
 		})
 	}
-	d.pollAll(5 * time.Second)
-	d.after(90*time.Second, func() { d.restartLeader(8 * time.Second) })
+	h.pollAll(5 * time.Second)
+	h.after(90*time.Second, func() { h.restartLeader(8 * time.Second) })
 	segments := 0
-	for d.now < count*250*time.Millisecond+20*time.Second {
-		d.run(time.Second)
+	for h.now < count*250*time.Millisecond+20*time.Second {
+		h.run(time.Second)
 		n := 0
-		for k := range d.state.items {
+		for k := range h.state.items {
 			if _, err := eventlog.SegmentNumber(k); err == nil {
 				n++
 			}
 		}
 		segments = max(segments, n)
 	}
-	d.endFaultsAndSettle(4 * time.Minute)
+	h.endFaultsAndSettle(4 * time.Minute)
 	var accept, confirm, begin []time.Duration
 	for id := uint64(1); id <= count; id++ {
-		j := d.jobs[id]
+		j := h.jobs[id]
 		if !j.accepted {
 			t.Errorf("job %d was never accepted", id)
 			continue
@@ -198,27 +200,31 @@
 		accept = append(accept, j.acceptedAt-all[id].sent)
 		if j.toldCancelled {
 			confirm = append(confirm, j.endToldAt-all[id].asked)
-		} else if at, ok := d.check.startedAt[id]; ok {
+		} else if at, ok := h.check.startedAt[id]; ok {
 			begin = append(begin, at-j.acceptedAt)
 		}
 	}
-	tell := func(what string, list []time.Duration) {
+	logTimes := func(what string, list []time.Duration) {
 		slices.Sort(list)
-		t.Logf("%s: %d, median %v, .99 %v, largest %v", what, len(list), list[len(list)/2].Round(time.Millisecond), list[len(list)*99/100].Round(time.Millisecond), list[len(list)-1].Round(time.Millisecond))
+		t.Logf("%s: %d, median %v, .99 %v, largest %v",
+			what, len(list), list[len(list)/2].Round(time.Millisecond),
+			list[len(list)*99/100].Round(time.Millisecond), list[len(list)-1].Round(time.Millisecond))
 	}
-	tell("to acceptance", accept)
-	tell("to confirmation", confirm)
-	tell("to the start", begin)
-	most, sum := 0, 0
-	for _, n := range d.state.writesBySecond {
-		most, sum = max(most, n), sum+n
+	logTimes("to acceptance", accept)
+	logTimes("to confirmation", confirm)
+	logTimes("to the start", begin)
+	largest, sum := 0, 0
+	for _, n := range h.state.writesBySecond {
+		largest, sum = max(largest, n), sum+n
 	}
-	t.Logf("changes per second: mean %.1f, largest %d, limit %v; the log had at most %d segments, %d were read back for compaction; %d cancellations were requested", float64(sum)/float64(len(d.state.writesBySecond)), most, d.cfg.Deployment.State.WriteRPS, segments, d.state.segmentsRead, cancelled)
-	if most > 2*15 { // a burst of one second's allowance in addition to the second's own
-		t.Errorf("%d changes in one second", most)
+	t.Logf("changes per second: mean %.1f, largest %d, limit %v; the log had at most %d segments, %d were read back for compaction; %d cancellations were requested",
+		float64(sum)/float64(len(h.state.writesBySecond)), largest, h.cfg.Deployment.State.WriteRPS, segments,
+		h.state.segmentsRead, cancelled)
+	if largest > 2*15 { // a burst of one second's allowance in addition to the second's own
+		t.Errorf("%d changes in one second", largest)
 	}
-	if segments > 150 || d.state.segmentsRead == 0 {
-		t.Errorf("the log grew to %d segments, %d were compacted", segments, d.state.segmentsRead)
+	if segments > 150 || h.state.segmentsRead == 0 {
+		t.Errorf("the log grew to %d segments, %d were compacted", segments, h.state.segmentsRead)
 	}
 	if len(confirm) < count/8 {
 		t.Errorf("%d cancellations confirmed", len(confirm))
@@ -230,16 +236,18 @@
 // run. Known ids are answered with their state, the others are rejected, and none of these is logged.
 func TestOddRequests(t *testing.T) {
 	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
-		d := newHarness(t, seed, nil)
+		h := newHarness(t, seed, nil)
 		for i := range 12 {
-			d.submitJobAfter(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+d.random.IntN(9))*time.Second, eventlog.Job{Tasks: 1 + i%4, Priority: 1, Spot: true})
+			h.submitJobAfter(time.Duration(500+i*1500)*time.Millisecond, time.Duration(1+h.random.IntN(9))*time.Second, eventlog.Job{
+				Tasks: 1 + i%4, Priority: 1, Spot: true,
+			})
 		}
-		d.pollAll(time.Second)
-		d.after(3*time.Second, func() { d.faults.inject(invalidRequests, 50*time.Second, 0) })
-		d.after(20*time.Second, func() { d.restartLeader(8 * time.Second) })
-		d.run(60 * time.Second)
+		h.pollAll(time.Second)
+		h.after(3*time.Second, func() { h.faults.inject(invalidRequests, 50*time.Second, 0) })
+		h.after(20*time.Second, func() { h.restartLeader(8 * time.Second) })
+		h.run(60 * time.Second)
 		entries := 0
-		for k, it := range d.state.items {
+		for k, it := range h.state.items {
 			if _, err := eventlog.SegmentNumber(k); err != nil {
 				continue
 			}
@@ -248,7 +256,7 @@
 				t.Fatal(err)
 			}
 			for _, e := range list {
-				if e.Job != nil && d.jobs[e.Job.ID] == nil {
+				if e.Job != nil && h.jobs[e.Job.ID] == nil {
 					entries++
 				}
 			}
@@ -256,15 +264,15 @@
 		if entries > 0 {
 			t.Errorf("the log has %d rejected jobs", entries)
 		}
-		return d.endFaultsAndSettle(5 * time.Minute)
+		return h.endFaultsAndSettle(5 * time.Minute)
 	}, "invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job")
 }
 
 // TestOverLimits submits jobs that can never run, for each possible reason, and checks the status.
 func TestOverLimits(t *testing.T) {
-	d := newHarness(t, 1, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
-	d.awaitLeader()
-	d.run(2 * time.Second)
+	h := newHarness(t, 1, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
+	h.awaitLeader()
+	h.run(2 * time.Second)
 	base := eventlog.Job{Class: "class", Team: "team", Tasks: 4, CPUs: 2, MemoryGB: 1, Image: "image", ImageGB: 0.3, Spot: true}
 	for i, c := range []struct {
 		status int
@@ -288,10 +296,10 @@
 		job.ID = uint64(i + 1)
 		c.change(&job)
 		got := 0
-		d.sendRequest(i, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+		h.sendRequest(i, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
 			c.core.Submit(now, to, wire.Submission{ID: job.ID, HasID: true, Job: &job})
 		}, func(a answer, _ bool) { got = a.Status })
-		d.run(2 * time.Second)
+		h.run(2 * time.Second)
 		if got != c.status {
 			t.Errorf("job %d: %d, want %d: %s", i+1, got, c.status, fmt.Sprintf("%+v", job))
 		}
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -19,24 +19,24 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestScaleDay simulates a fleet of SCALE_DAY machines with waves of jobs, a zone partition during which the
-// leader crashes, a state outage, and a crash of all controllers. It logs the controllers' requests, the size
-// of the log, and the time and memory of its replay at a takeover. The figures are for docs/scale.md; CI
-// skips this test.
+// TestScaleDay simulates a fleet of SCALE_DAY machines with waves of jobs, a zone partition during which
+// the leader crashes, a state outage, and a crash of all controllers. It logs the controllers' requests,
+// the size of the log, and the time and memory of its replay at a takeover. The figures are for
+// docs/scale.md; CI skips this test.
 func TestScaleDay(t *testing.T) {
 	machines, _ := strconv.Atoi(os.Getenv("SCALE_DAY"))
 	if machines == 0 {
 		t.Skip("only to measure: SCALE_DAY=1300")
 	}
 	c := baseSettings()
-	d := &c.Deployment
-	d.Workers.ReportS, d.Workers.LeaseS, d.Workers.CancelS = 5, 26.5, 51.5
-	d.State.WriteRPS, d.State.ValueKB, d.State.TxnOps = 100, 16, 16
-	d.Cloud.RPS = 9
+	deployment := &c.Deployment
+	deployment.Workers.ReportS, deployment.Workers.LeaseS, deployment.Workers.CancelS = 5, 26.5, 51.5
+	deployment.State.WriteRPS, deployment.State.ValueKB, deployment.State.TxnOps = 100, 16, 16
+	deployment.Cloud.RPS = 9
 	c.Tunables.TakeoversKept = 50
 	s := newSim(c, 1, 3, false)
 	s.cloud.capacity = machines
-	s.scale = &scaleCounts{sent: map[string]int{}, spent: map[string]time.Duration{}}
+	s.loadStats = &loadStats{effects: map[string]int{}, coreTime: map[string]time.Duration{}}
 	var poll func()
 	poll = func() {
 		for i, j := range s.jobs {
@@ -48,7 +48,7 @@
 	}
 	s.after(0, poll)
 	id := uint64(0)
-	wave := func(count, tasks int, run time.Duration) {
+	submitWave := func(count, tasks int, run time.Duration) {
 		for range count {
 			id++
 			job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: 1, Tasks: tasks, CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 16), ImageGB: 0.3,
@@ -58,7 +58,7 @@
 			s.submit(j, int(id), func() bool { return true })
 		}
 	}
-	report := func(what string) {
+	logState := func(what string) {
 		log, entries := 0, 0
 		for k, it := range s.state.items {
 			if _, err := eventlog.SegmentNumber(k); err == nil {
@@ -81,16 +81,17 @@
 				up++
 			}
 		}
-		t.Logf("%6.1f s %-34s machines %4d, open jobs %3d, log %3d segments with %5d entries, %d removed", s.now.Seconds(), what, up, open, log, entries, s.state.segmentsRead)
+		t.Logf("%6.1f s %-34s machines %4d, open jobs %3d, log %3d segments with %5d entries, %d removed",
+			s.now.Seconds(), what, up, open, log, entries, s.state.segmentsRead)
 	}
-	wave(machines/25, 180, 30*time.Second)
+	submitWave(machines/25, 180, 30*time.Second)
 	s.run(60 * time.Second)
-	report("full")
+	logState("full")
 	for range 12 {
-		wave(machines/100, 120, 30*time.Second)
+		submitWave(machines/100, 120, 30*time.Second)
 		s.run(5 * time.Second)
 	}
-	report("steady")
+	logState("steady")
 	for name, m := range s.cloud.machines {
 		if m.zone == "b" {
 			s.partitions = append(s.partitions, &partition{host: name, holdPackets: true})
@@ -109,16 +110,16 @@
 			n.start(false)
 		}
 	}
-	report("after a zone partition with a crash")
+	logState("after a zone partition with a crash")
 	s.run(30 * time.Second)
 	s.state.outage = true
 	s.run(10 * time.Second)
 	s.state.recover()
 	for range 6 {
-		wave(machines/100, 120, 30*time.Second)
+		submitWave(machines/100, 120, 30*time.Second)
 		s.run(5 * time.Second)
 	}
-	report("after an outage")
+	logState("after an outage")
 	for _, n := range s.nodes {
 		n.crash()
 	}
@@ -127,7 +128,7 @@
 		n.start(false)
 	}
 	s.run(60 * time.Second)
-	report("after all controllers crashed")
+	logState("after all controllers crashed")
 	s.runUntil(600*time.Second, func() bool {
 		for _, j := range s.jobs {
 			if !j.toldDone {
@@ -136,9 +137,9 @@
 		}
 		return true
 	})
-	report("all done")
+	logState("all done")
 	s.run(120 * time.Second)
-	report("two minutes later")
+	logState("two minutes later")
 	if len(s.check.violations) > 0 {
 		t.Errorf("%d violated invariants, the first: %s", len(s.check.violations), s.check.violations[0])
 	}
@@ -146,68 +147,68 @@
 		raw, _, err := l.core.Show(l.clock(), "takeovers")
 		t.Logf("takeovers: %s %v", raw, err)
 	}
-	var total time.Duration
-	for _, k := range slices.Sorted(maps.Keys(s.scale.sent)) {
-		t.Logf("%-22s %8d, %7.1f a second", k, s.scale.sent[k], float64(s.scale.sent[k])/s.now.Seconds())
+	var totalCoreTime time.Duration
+	for _, k := range slices.Sorted(maps.Keys(s.loadStats.effects)) {
+		t.Logf("%-22s %8d, %7.1f a second", k, s.loadStats.effects[k], float64(s.loadStats.effects[k])/s.now.Seconds())
 	}
-	for _, k := range slices.Sorted(maps.Keys(s.scale.spent)) {
-		total += s.scale.spent[k]
-		t.Logf("real time in the cores, %-20s %8.2f s", k, s.scale.spent[k].Seconds())
+	for _, k := range slices.Sorted(maps.Keys(s.loadStats.coreTime)) {
+		totalCoreTime += s.loadStats.coreTime[k]
+		t.Logf("real time in the cores, %-20s %8.2f s", k, s.loadStats.coreTime[k].Seconds())
 	}
-	t.Logf("real time in the cores of three controllers: %.2f s for %.0f s of simulated time", total.Seconds(), s.now.Seconds())
+	t.Logf("real time in the cores of three controllers: %.2f s for %.0f s of simulated time", totalCoreTime.Seconds(), s.now.Seconds())
 	measureReplay(t, s, c)
 }
 
 // measureReplay replays the largest log, as a new leader does, and logs how long that takes and how much
 // memory the term then holds.
 func measureReplay(t *testing.T, s *sim, c settings.Settings) {
-	if s.scale.largest == nil {
+	if s.loadStats.largestLog == nil {
 		t.Fatal("no leader has read the log")
 	}
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	at := time.Now()
-	x := term.New(cluster.TermStart{Cfg: &c, Epoch: 99, Counts: &cluster.Counts{}})
-	x.Load(0, 1, *s.scale.largest)
-	took := time.Since(at)
+	start := time.Now()
+	newTerm := term.New(cluster.TermStart{Cfg: &c, Epoch: 99, Counts: &cluster.Counts{}})
+	newTerm.Load(0, 1, *s.loadStats.largestLog)
+	took := time.Since(start)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	t.Logf("the largest log that was read: %d segments, %d entries; replayed in %.1f ms, %.1f MB held by the term", s.scale.largest.Last-s.scale.largest.First+1,
-		len(s.scale.largest.Entries), float64(took.Microseconds())/1000, float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc))/(1<<20))
-	runtime.KeepAlive(x)
+	t.Logf("the largest log that was read: %d segments, %d entries; replayed in %.1f ms, %.1f MB held by the term", s.loadStats.largestLog.Last-s.loadStats.largestLog.First+1,
+		len(s.loadStats.largestLog.Entries), float64(took.Microseconds())/1000, float64(after.HeapAlloc-min(before.HeapAlloc, after.HeapAlloc))/(1<<20))
+	runtime.KeepAlive(newTerm)
 }
 
-// scaleCounts counts the controllers' effects and the real time spent in their cores.
-type scaleCounts struct {
-	sent    map[string]int
-	spent   map[string]time.Duration
-	largest *term.LoadedLog // the largest log that a new leader has read
-	moved   int             // number of reports that were redirected to another controller
+// loadStats counts the controllers' effects and the real time spent in their cores.
+type loadStats struct {
+	effects           map[string]int
+	coreTime          map[string]time.Duration
+	largestLog        *term.LoadedLog // the largest log that a new leader has read
+	redirectedReports int             // number of reports that were redirected to another controller
 }
 
-func (x *scaleCounts) effect(e effects.Effect) {
-	if x != nil {
+func (stats *loadStats) countEffect(e effects.Effect) {
+	if stats != nil {
 		if a, ok := e.(effects.ReplyHeartbeat); ok && a.Answer.Status == 421 {
-			x.moved++
+			stats.redirectedReports++
 		}
-		x.sent[reflect.TypeOf(e).Name()]++
+		stats.effects[reflect.TypeOf(e).Name()]++
 	}
 }
 
-// time runs an input to a core and adds up the real time that it takes.
-func (x *scaleCounts) time(what string, f func()) {
-	if x == nil {
+// timeInput runs an input to a core and adds up the real timeInput that it takes.
+func (stats *loadStats) timeInput(what string, f func()) {
+	if stats == nil {
 		f()
 		return
 	}
 	at := time.Now()
 	f()
-	x.spent[what] += time.Since(at)
+	stats.coreTime[what] += time.Since(at)
 }
 
-func (x *scaleCounts) read(d term.LoadedLog) {
-	if x != nil && (x.largest == nil || len(d.Entries) > len(x.largest.Entries)) {
-		x.largest = &d
+func (stats *loadStats) recordLog(log term.LoadedLog) {
+	if stats != nil && (stats.largestLog == nil || len(log.Entries) > len(stats.largestLog.Entries)) {
+		stats.largestLog = &log
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -422,9 +422,9 @@
 			c.cfg.Tunables.TakeoversKept = arg(t, d, "takeovers", 0)
 		}
 	case "config":
-		s.reconfigure(fmt.Sprint(s.now), configChanges(t, d))
+		s.reconfigure(fmt.Sprint(s.now), parseConfigChanges(t, d))
 	case "config-state":
-		return s.configState()
+		return s.describeConfig()
 	case "resize":
 		s.resize(fmt.Sprint(s.now), arg(t, d, "pool", "licence"), arg(t, d, "units", 1))
 	case "units-in-use": // the units in use, counted from the tasks that run
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -223,7 +223,7 @@
 		})()
 	}
 	if c.oldVersion {
-		st.sim.check.productionWrites(txn)
+		st.sim.check.checkProductionWrites(txn)
 	}
 	incarnation := c.incarnation
 	if st.delayWrite(txn.Writes, func() eventlog.Outcome { return st.apply(txn.Conditions, txn.Writes, 0).outcome }) {
@@ -435,7 +435,7 @@
 			}))
 			return
 		}
-		st.sim.scale.read(log)
+		st.sim.loadStats.recordLog(log)
 		c.input(func(now time.Duration) { c.core.LogLoaded(now, epoch, log) })()
 	})
 }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -85,9 +85,9 @@
 	directDispatches int                    // number of start commands sent directly to workers
 	runEnds          map[task]time.Duration // when the latest run of a task is due to complete
 	coverage         map[string]int         // how often each effect of a fault occurred, by description
-	scale            *scaleCounts           // nil except in runs that measure scale
+	loadStats        *loadStats             // nil except in runs that measure scale
 
-	configs      configPlay
+	configs      configTracker
 	poolUnits    map[string]int      // most units that may be in use, by pool
 	resizeQueues map[string][]func() // queued resize requests by pool, the one in progress first
 }
@@ -347,7 +347,7 @@
 			c.sim.after(remaining, tick)
 			return
 		}
-		c.sim.scale.time("ticks", func() { c.core.Tick(c.clock()) })
+		c.sim.loadStats.timeInput("ticks", func() { c.core.Tick(c.clock()) })
 		c.drain()
 		c.sim.after(50*time.Millisecond, tick)
 	}
@@ -371,7 +371,7 @@
 // decodeSegment decodes a log segment as this controller's version does.
 func (c *controller) decodeSegment(value json.RawMessage) []eventlog.Entry {
 	if c.oldVersion {
-		value = asProductionReads(value)
+		value = reencodeAsProduction(value)
 	}
 	list, err := eventlog.Decode(value)
 	if err != nil {
@@ -402,7 +402,7 @@
 			c.sim.after(remaining, run)
 			return
 		}
-		c.sim.scale.time("results", func() { f(c.clock()) })
+		c.sim.loadStats.timeInput("results", func() { f(c.clock()) })
 		c.drain()
 	}
 	return run
@@ -418,7 +418,7 @@
 
 func (c *controller) execute(e effects.Effect) {
 	s := c.sim
-	s.scale.effect(e)
+	s.loadStats.countEffect(e)
 	switch e := e.(type) {
 	case effects.Reply:
 		if f := c.userReplies[e.To]; f != nil {
@@ -439,12 +439,12 @@
 				}
 				peer.lastRequest++
 				peer.reportReplies[peer.lastRequest] = reply
-				s.scale.time("reports of peers", func() {
-					peer.core.HandleRelayedHeartbeat(peer.clock(), peer.lastRequest, between(c, peer, e.Report))
+				s.loadStats.timeInput("reports of peers", func() {
+					peer.core.HandleRelayedHeartbeat(peer.clock(), peer.lastRequest, convertRelay(c, peer, e.Report))
 				})
 				peer.drain()
 			}, func(a effects.HeartbeatAnswer, ok bool) {
-				a = answered(c, peer, a)
+				a = convertRelayAnswer(c, peer, a)
 				if c.incarnation == incarnation {
 					c.input(func(now time.Duration) { c.core.RelayAnswered(now, e.To, a, ok) })()
 				}
@@ -455,7 +455,7 @@
 			call(s, c.name, peer.name, callTimeout, func(reply func(uint64)) {
 				if peer.up {
 					peer.core.HeartbeatReceived(peer.clock(), c.name, e.Epoch, e.Fleet)
-					reply(s.tellConfig(c, peer, e.Config))
+					reply(s.applyConfigUpdate(c, peer, e.Config))
 					peer.drain()
 				}
 			}, func(revision uint64, ok bool) {
@@ -597,7 +597,7 @@
 	c.lastRequest++
 	to := c.lastRequest
 	c.userReplies[to] = func(a effects.Answer) { done(answer{a, c.sim.now}) }
-	c.sim.scale.time("users", func() { f(c, c.clock(), to) })
+	c.sim.loadStats.timeInput("users", func() { f(c, c.clock(), to) })
 	c.drain()
 }
 
@@ -651,13 +651,13 @@
 	sent := s.now
 	s.sendRequest(nodeIndex, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
 		entry := s.nodes[nodeIndex%len(s.nodes)]
-		if s.poolsRefuse(entry, c, j) {
+		if s.refusesPoolUnits(entry, c, j) {
 			f := c.userReplies[to]
 			delete(c.userReplies, to)
 			f(effects.Answer{Status: 503, RetryAfter: 1})
 			return
 		}
-		c.core.Submit(now, to, forwarded(entry, c, j.spec))
+		c.core.Submit(now, to, convertSubmission(entry, c, j.spec))
 	}, func(a answer, ok bool) {
 		if ok && (a.Status == 200 || a.Status == 201) {
 			first := !j.accepted
--- a/internal/scenario/spread_test.go
+++ b/internal/scenario/spread_test.go
@@ -12,10 +12,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestSpreadDays guards against tasks that run twice because their machine moves to another controller. With
-// settings far more aggressive than in production, machines are rebalanced all the time, while many short
-// tasks are on offer to whole blocks and controllers crash. A machine may move only while no command or
-// offer for it is in flight.
+// TestSpreadDays guards against tasks that run twice because their machine moves to another controller.
+// With settings far more aggressive than in production, machines are rebalanced all the time, while many
+// short tasks are on offer to whole blocks and controllers crash. A machine may move only while no
+// command or offer for it is in flight.
 func TestSpreadDays(t *testing.T) {
 	days := 12
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
@@ -26,7 +26,7 @@
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				moves[seed] = spreadDay(t, seed)
+				moves[seed] = simulateRebalancing(t, seed)
 			})
 		}
 	})
@@ -40,18 +40,21 @@
 	}
 }
 
-func spreadDay(t *testing.T, seed uint64) int {
+func simulateRebalancing(t *testing.T, seed uint64) int {
 	r := rand.New(rand.NewPCG(seed, 41))
 	c := baseSettings()
 	c.Deployment.State.WriteRPS = 60
 	c.Tunables.RebalanceMoves, c.Tunables.RebalanceMaxLoad = 30, 1.06
 	s := newSim(c, seed, 3, false)
 	s.cloud.capacity = 40
-	s.scale = &scaleCounts{sent: map[string]int{}, spent: map[string]time.Duration{}}
+	s.loadStats = &loadStats{effects: map[string]int{}, coreTime: map[string]time.Duration{}}
 	for i := range uint64(110) {
 		id := i + 1
 		run := time.Duration(700+r.IntN(3000)) * time.Millisecond
-		job := &eventlog.Job{ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(3)), Tasks: 10 + r.IntN(40), CPUs: 1, MemoryGB: 1, Image: fmt.Sprint(id % 2), ImageGB: 0.3, Spot: true, EstimateS: 3}
+		job := &eventlog.Job{
+			ID: id, Class: "class", Team: "team", Priority: uint8(r.IntN(3)), Tasks: 10 + r.IntN(40), CPUs: 1,
+			MemoryGB: 1, Image: fmt.Sprint(id % 2), ImageGB: 0.3, Spot: true, EstimateS: 3,
+		}
 		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		s.jobs[id] = j
 		s.after(time.Duration(r.IntN(90000))*time.Millisecond, func() { s.submit(j, r.IntN(3), func() bool { return true }) })
@@ -76,7 +79,7 @@
 	}
 	s.after(0, poll)
 	s.run(100 * time.Second)
-	over := s.runUntil(400*time.Second, func() bool {
+	ended := s.runUntil(400*time.Second, func() bool {
 		for _, j := range s.jobs {
 			if !j.toldDone {
 				return false
@@ -84,8 +87,8 @@
 		}
 		return true
 	})
-	if len(s.check.violations) > 0 || !over {
-		t.Errorf("all jobs done: %v, violated invariants: %v", over, s.check.violations)
+	if len(s.check.violations) > 0 || !ended {
+		t.Errorf("all jobs done: %v, violated invariants: %v", ended, s.check.violations)
 	}
-	return s.scale.moved
+	return s.loadStats.redirectedReports
 }
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -19,7 +19,7 @@
 	"bitternmoor/internal/wire"
 )
 
-func golden(t *testing.T, name string) []byte {
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("production", name))
 	if err != nil {
@@ -32,7 +32,7 @@
 // log segment is encoded again byte for byte, so entries without new fields keep their form. The frozen
 // types must encode it identically as well.
 func TestProductionsLog(t *testing.T) {
-	raw := golden(t, "segment.json")
+	raw := readGolden(t, "segment.json")
 	list, err := eventlog.Decode(raw)
 	if err != nil {
 		t.Fatal(err)
@@ -53,15 +53,15 @@
 	if err != nil || !bytes.Equal(again, raw) {
 		t.Errorf("encoded again as\n%s, was\n%s", again, raw)
 	}
-	if got := asProductionReads(raw); !bytes.Equal(got, raw) {
+	if got := reencodeAsProduction(raw); !bytes.Equal(got, raw) {
 		t.Errorf("the frozen types write\n%s, the version in production wrote\n%s", got, raw)
 	}
 	var sizes eventlog.VirtualSizes
-	if err := json.Unmarshal(golden(t, "sizes.json"), &sizes); err != nil || !reflect.DeepEqual(sizes.Sizes, []eventlog.VirtualSize{{ID: 413, Size: 31.5, Virtual: 12.3}}) {
+	if err := json.Unmarshal(readGolden(t, "sizes.json"), &sizes); err != nil || !reflect.DeepEqual(sizes.Sizes, []eventlog.VirtualSize{{ID: 413, Size: 31.5, Virtual: 12.3}}) {
 		t.Errorf("sizes are read as %+v, %v", sizes, err)
 	}
 	var h leadership.LeaseHolder
-	if err := json.Unmarshal(golden(t, "leader.json"), &h); err != nil || h != (leadership.LeaseHolder{Node: "drover-1", Epoch: 7}) {
+	if err := json.Unmarshal(readGolden(t, "leader.json"), &h); err != nil || h != (leadership.LeaseHolder{Node: "drover-1", Epoch: 7}) {
 		t.Errorf("the leader is read as %+v, %v", h, err)
 	}
 }
@@ -86,7 +86,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := asProductionReads(raw); !bytes.Equal(got, want) {
+	if got := reencodeAsProduction(raw); !bytes.Equal(got, want) {
 		t.Errorf("the version in production reads\n%s, want\n%s", got, want)
 	}
 }
@@ -100,7 +100,7 @@
 	report := workers.Report{Machine: "host-000231", Address: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 2, Seq: 88, Token: 7<<20 + 5,
 		Notice: true, NoticeS: 7.5, Tasks: []workers.TaskReport{{Job: 413, Task: 1, Attempt: 9, State: workers.Ended, Reason: workers.Stopped, Saved: true}}}
 	start := workers.Command{Op: workers.Start, Job: 413, Task: 2, Attempt: 10}
-	for _, c := range []struct {
+	for _, message := range []struct {
 		file string
 		now  any // the content of the file in the current types
 		then any // pointer to the frozen type
@@ -117,23 +117,23 @@
 			Counts: cluster.Counts{Terms: 1, TasksDone: 9}}, &prodStatus{}},
 		{"explain.gob", node.Explanation{ID: "j-000413", Place: 2, Words: []string{"it is number 2 in the order"}}, &prodExplanation{}},
 	} {
-		raw := golden(t, c.file)
-		got := reflect.New(reflect.TypeOf(c.now))
+		raw := readGolden(t, message.file)
+		got := reflect.New(reflect.TypeOf(message.now))
 		if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(got.Interface()); err != nil {
-			t.Errorf("%s: %v", c.file, err)
+			t.Errorf("%s: %v", message.file, err)
 			continue
 		}
-		if !reflect.DeepEqual(got.Elem().Interface(), c.now) {
-			t.Errorf("%s is read as %+v, want %+v", c.file, got.Elem(), c.now)
+		if !reflect.DeepEqual(got.Elem().Interface(), message.now) {
+			t.Errorf("%s is read as %+v, want %+v", message.file, got.Elem(), message.now)
 		}
-		sent := reflect.New(reflect.TypeOf(c.then).Elem())
-		throughGob(c.now, sent.Interface())
-		if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(c.then); err != nil {
-			t.Errorf("%s: %v", c.file, err)
+		sent := reflect.New(reflect.TypeOf(message.then).Elem())
+		transcodeGob(message.now, sent.Interface())
+		if err := gob.NewDecoder(bytes.NewReader(raw)).Decode(message.then); err != nil {
+			t.Errorf("%s: %v", message.file, err)
 			continue
 		}
-		if !reflect.DeepEqual(sent.Interface(), c.then) {
-			t.Errorf("%s: the version in production decodes %+v from the current version and %+v from its own", c.file, sent.Elem(), reflect.ValueOf(c.then).Elem())
+		if !reflect.DeepEqual(sent.Interface(), message.then) {
+			t.Errorf("%s: the version in production decodes %+v from the current version and %+v from its own", message.file, sent.Elem(), reflect.ValueOf(message.then).Elem())
 		}
 	}
 }
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -163,7 +163,7 @@
 		}
 		target.lastRequest++
 		target.reportReplies[target.lastRequest] = reply
-		w.sim.scale.time("reports", func() { target.core.HandleHeartbeat(target.clock(), target.lastRequest, report) })
+		w.sim.loadStats.timeInput("reports", func() { target.core.HandleHeartbeat(target.clock(), target.lastRequest, report) })
 		target.drain()
 	}, func(answer effects.HeartbeatAnswer, ok bool) {
 		if incarnation != w.incarnation {
