--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -26,7 +26,7 @@
 	orphaned       []orphanedUnits            // units that licence servers still count after a worker was lost
 	poolAtStart    map[string]int             // largest pool size since a job started, by job and pool
 	cpusInUse      map[string]float64         // CPUs in use by each team's tasks, updated at each start and end
-	unnecessary    map[unnecessaryKind]int    // number of unnecessary commands by kind, see cold_test.go
+	unnecessary    map[unnecessaryKind]int    // number of unnecessary commands by kind, see cold_start_test.go
 }
 
 func (c *checker) fail(rule, format string, a ...any) {
--- a/internal/scenario/confirmed_test.go
+++ b/internal/scenario/confirmed_cancellation_test.go
@@ -64,8 +64,10 @@
 							"all crash and restart",
 							"the new leader hands over",
 						} {
-							delays := []time.Duration{100 * time.Millisecond, time.Second, 3 * time.Second, 22 * time.Second}
-							variant := confirmationCase{peers, direct, cloud, machineFault, controllerFault, delays[variants%4]}
+							variant := confirmationCase{
+								peers, direct, cloud, machineFault, controllerFault,
+								[]time.Duration{100 * time.Millisecond, time.Second, 3 * time.Second, 22 * time.Second}[variants%4],
+							}
 							seed := uint64(variants)
 							variants++
 							t.Run(variant.String(), func(t *testing.T) {
