--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -29,10 +29,13 @@
 	unnecessary    map[unnecessaryKind]int    // number of unnecessary commands by kind, see cold_start_test.go
 }
 
+// fail records a violation of the named invariant.
 func (c *checker) fail(rule, format string, a ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%s at %v: %s", rule, c.sim.now.Round(time.Millisecond), fmt.Sprintf(format, a...)))
 }
 
+// taskStarted records that a task runs on a machine from now on, after its image was fetched, and checks
+// the invariants that concern the start of a task.
 func (c *checker) taskStarted(t task, w *worker) {
 	c.starts++
 	j := c.sim.jobs[t.job]
@@ -53,7 +56,7 @@
 	}
 	spec := j.spec.Job
 	if (w.spot && !spec.Spot) || (spec.Zone != "" && spec.Zone != w.zone) {
-		c.fail("wrong_place", "task %d/%d runs on %s", t.job, t.index, w.name)
+		c.fail("wrong_place", "task %d/%d runs on %s, which its job may not use", t.job, t.index, w.name)
 	}
 	for _, dependency := range spec.Follows {
 		if !c.allCompleted(dependency) {
@@ -97,7 +100,7 @@
 	c.placements[t][w.name] = true
 	c.machineZones[w.name] = w.zone
 	if j.toldCancelled && c.sim.now > j.endToldAt+settingsSeconds(c.sim.cfg.Deployment.Workers.CancelS) {
-		c.fail("ran_cancelled", "task %d/%d started on %s", t.job, t.index, w.name)
+		c.fail("ran_cancelled", "task %d/%d started on %s after the cancellation deadline", t.job, t.index, w.name)
 	}
 	units := c.unitsInUse()
 	// Only a pool that was shrunk may be over its size, and then no task that needs it starts.
@@ -112,16 +115,17 @@
 			size = c.poolAtStart[key]
 		}
 		if units[need.Pool] > size {
-			c.fail("overdrawn", "%d units of pool %s are in use of %d: task %d/%d on %s", units[need.Pool], need.Pool, size, t.job, t.index, w.name)
+			c.fail("overdrawn", "%d units of pool %s are in use, at most %d are allowed: task %d/%d on %s", units[need.Pool], need.Pool, size, t.job, t.index, w.name)
 		}
 	}
 	for _, team := range c.sim.cfg.Deployment.Teams {
 		if limit := c.sim.teamLimit(team); limit > 0 && c.cpusInUse[team.Name] > limit && (team.Name == spec.Team || len(c.sim.configs.limits) == 0) {
-			c.fail("quota", "team %s uses %v CPUs of %v", team.Name, c.cpusInUse[team.Name], limit)
+			c.fail("quota", "team %s uses %v CPUs, its limit is %v", team.Name, c.cpusInUse[team.Name], limit)
 		}
 	}
 }
 
+// taskRemoved records that a task no longer runs on a machine.
 func (c *checker) taskRemoved(t task, w *worker) {
 	if c.placements[t][w.name] {
 		spec := c.sim.jobs[t.job].spec.Job
@@ -166,12 +170,12 @@
 }
 
 const (
-	maxUnanswered   = 75 * time.Second
-	maxStartDelay   = 4 * time.Minute
-	maxWaitWithRoom = 90 * time.Second
+	maxUnanswered   = 75 * time.Second // longest time without an answer to a query about a job
+	maxStartDelay   = 4 * time.Minute  // longest time from a large job's acceptance to its start
+	maxWaitWithRoom = 90 * time.Second // longest time that a job waits although machines have room
 
-	// maxAnswerReordering is how long after a newer answer an older one may reach its user. It
-	// may be on its way to the controller that forwarded the request, which times out after that long.
+	// maxAnswerReordering is how long after a newer answer an older one may reach its user. The older
+	// answer may be on its way to the controller that forwarded the request, which waits for callTimeout.
 	maxAnswerReordering = callTimeout + 50*time.Millisecond
 )
 
@@ -321,8 +325,8 @@
 	return total >= need
 }
 
-// largestJobs returns a class's largest jobs: the tenth with the most work, and the one with the
-// most tasks.
+// largestJobs returns a class's largest jobs: the tenth of its jobs with the most work, and the job with
+// the most tasks.
 func largestJobs(class []*userJob) []*userJob {
 	work := func(j *userJob) float64 { return float64(j.spec.Job.Tasks) * j.runTime.Seconds() }
 	n := (len(class) + 9) / 10
@@ -378,6 +382,7 @@
 	return out
 }
 
+// taskCompleted records that a task has completed.
 func (c *checker) taskCompleted(t task) {
 	if c.completedTasks == nil {
 		c.completedTasks = map[task]bool{}
--- a/internal/scenario/commands_test.go
+++ b/internal/scenario/commands_test.go
@@ -79,7 +79,7 @@
 	"answer":                   "id",
 }
 
-// durationArgs lists the arguments whose values are durations, and portions those whose values are
+// durationArgs lists the arguments whose values are durations, and shareArgs those whose values are
 // shares from 0 to 1.
 var (
 	durationArgs = strings.Fields("for within every delay max-delay boot answer-delay in hang by")
@@ -117,8 +117,9 @@
 	return ""
 }
 
-// TestWords checks that each invalid command, argument or value is reported in one clear line.
-func TestWords(t *testing.T) {
+// TestCheckCommand checks that an invalid command, argument or value is reported in one clear line, and
+// that valid commands are accepted.
+func TestCheckCommand(t *testing.T) {
 	for line, want := range map[string]string{
 		"drop-reports job=1 for=5s":           "",
 		"state answers-lost=0.4":              "",
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -122,8 +122,8 @@
 	return out
 }
 
-// pickMachines picks at random up to so many machines, with repetition; maxMachines may raise
-// the bound.
+// pickMachines picks a random number of random machines, with repetition: at most the given number, or
+// maxMachines if that is larger.
 func (f *faultInjector) pickMachines(most int) []*worker {
 	ms := f.sim.machines()
 	var out []*worker
@@ -326,7 +326,7 @@
 	return j
 }
 
-// submitBurst submits so many jobs at once, at several priorities, each with many tasks.
+// submitBurst submits count jobs at once, at several priorities, each with many tasks.
 func (s *sim) submitBurst(r *rand.Rand, count int) {
 	for i := range count {
 		s.submitExtra(time.Duration(2000+r.IntN(9000))*time.Millisecond, eventlog.Job{
@@ -364,8 +364,8 @@
 	return out
 }
 
-// cancelRunning cancels up to so many running jobs within 200 ms, those with the longest tasks
-// first, while up to eight of their machines start to hang.
+// cancelRunning cancels up to count running jobs within 200 ms, those with the longest tasks, while up to
+// eight of their machines hang.
 func (s *sim) cancelRunning(r *rand.Rand, count int, hang time.Duration) {
 	var candidates []*userJob
 	for _, j := range s.acceptedJobs() {
--- a/internal/scenario/harness_test.go
+++ b/internal/scenario/harness_test.go
@@ -13,17 +13,17 @@
 	"bitternmoor/internal/wire"
 )
 
-// runSeeds runs a randomized simulation with so many seeds in parallel. It fails if an effect
-// in must occurred in none of them; the runs count effects with sim.cover.
-func runSeeds(t *testing.T, days int, day func(t *testing.T, seed uint64) *sim, must ...string) map[string]int {
+// runSeeds runs a randomized simulation in parallel with each seed below seeds. The runs count effects of
+// faults with sim.cover; runSeeds returns the sums, and fails if a required effect occurred in no run.
+func runSeeds(t *testing.T, seeds int, simulate func(t *testing.T, seed uint64) *sim, required ...string) map[string]int {
 	t.Helper()
 	var mu sync.Mutex
 	seen := map[string]int{}
 	t.Run("days", func(t *testing.T) {
-		for seed := range uint64(days) {
+		for seed := range uint64(seeds) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				s := day(t, seed)
+				s := simulate(t, seed)
 				mu.Lock()
 				defer mu.Unlock()
 				for what, n := range s.coverage {
@@ -32,7 +32,7 @@
 			})
 		}
 	})
-	for _, what := range must {
+	for _, what := range required {
 		t.Logf("%s: %d times", what, seen[what])
 		if seen[what] == 0 {
 			t.Errorf("%s: never occurred", what)
@@ -103,18 +103,18 @@
 	}
 }
 
-// submitJobAfter is submitJob after a delay.
+// submitJobAfter reserves the next job id and submits the job after a delay.
 func (h *harness) submitJobAfter(after, run time.Duration, job eventlog.Job) {
 	job.ID = uint64(len(h.jobs) + 1)
 	h.jobs[job.ID] = &userJob{id: job.ID, spec: wire.Submission{ID: job.ID, HasID: true, Job: &eventlog.Job{}}}
 	h.after(after, func() { h.submitJob(run, job) })
 }
 
-// awaitRunning waits until at least so many tasks of a job run.
+// awaitRunning waits until at least the given number of a job's tasks run.
 func (h *harness) awaitRunning(j *userJob, tasks int) {
 	h.t.Helper()
 	if !h.runUntil(2*time.Minute, func() bool { return h.runningTasks(j.id) >= tasks }) {
-		h.t.Fatalf("%d of %d tasks of %d run", h.runningTasks(j.id), tasks, j.id)
+		h.t.Fatalf("%d of %d tasks of job %d run", h.runningTasks(j.id), tasks, j.id)
 	}
 }
 
@@ -149,8 +149,8 @@
 	})
 }
 
-// injectMachineFault injects a fault of a named kind into machines: a partition, a one-way partition, a
-// hang, or added latency.
+// injectMachineFault injects a fault of a named kind into machines for the given time: a partition, a
+// one-way partition, a hang, or added latency.
 func (h *harness) injectMachineFault(what string, list []*worker, length time.Duration) {
 	for _, w := range list {
 		switch what {
@@ -194,29 +194,29 @@
 	for kind := range numFaultKinds {
 		t.Run(faultNames[kind], func(t *testing.T) {
 			t.Parallel()
-			d := newHarness(t, 7, nil)
-			d.run(3 * time.Second)
+			h := newHarness(t, 7, nil)
+			h.run(3 * time.Second)
 			const begins, ends = 40 * time.Second, 140 * time.Second
 			for i := range 320 {
-				d.submitJobAfter(time.Duration(i)*400*time.Millisecond, time.Duration(2+i%5)*time.Second, eventlog.Job{Priority: 1, Spot: true})
+				h.submitJobAfter(time.Duration(i)*400*time.Millisecond, time.Duration(2+i%5)*time.Second, eventlog.Job{Priority: 1, Spot: true})
 			}
-			d.pollAll(time.Second)
-			d.after(begins, func() {
-				who := 0
-				if l := d.leader(); l != nil {
-					who = l.index
+			h.pollAll(time.Second)
+			h.after(begins, func() {
+				leaderIndex := 0
+				if l := h.leader(); l != nil {
+					leaderIndex = l.index
 				}
-				d.faults.inject(kind, 15*time.Second, who)
+				h.faults.inject(kind, 15*time.Second, leaderIndex)
 			})
 			var accepted, started, answered []time.Duration
 			starts, total := 0, 0
 			for at := begins; at < ends; at += 100 * time.Millisecond {
-				d.run(at - d.now)
-				if n := d.check.starts; n > starts {
+				h.run(at - h.now)
+				if n := h.check.starts; n > starts {
 					starts, started = n, append(started, at)
 				}
 				n := 0
-				for _, j := range d.jobs {
+				for _, j := range h.jobs {
 					if j.accepted {
 						n++
 					}
@@ -224,7 +224,7 @@
 				if n > total {
 					total, accepted = n, append(accepted, at)
 				}
-				for _, last := range d.check.lastAnswer {
+				for _, last := range h.check.lastAnswer {
 					if at-last < 100*time.Millisecond {
 						answered = append(answered, at)
 						break
@@ -242,7 +242,7 @@
 			if len(accepted) == 0 || len(answered) == 0 || len(started) == 0 || accepted[len(accepted)-1] < 100*time.Second {
 				t.Errorf("service did not resume after %s: %d acceptances, %d answers, %d starts", faultNames[kind], len(accepted), len(answered), len(started))
 			}
-			d.endFaultsAndSettle(5 * time.Minute)
+			h.endFaultsAndSettle(5 * time.Minute)
 		})
 	}
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -44,8 +44,10 @@
 	})
 }
 
+// runner runs the commands of a scenario file on its simulation.
 type runner struct{ sim *sim }
 
+// baseSettings returns the settings that simulations start from.
 func baseSettings() settings.Settings {
 	var cfg settings.Settings
 	cfg.Tunables = settings.Defaults()
@@ -57,6 +59,7 @@
 	return cfg
 }
 
+// arg returns a command's argument, or def if it is absent.
 func arg[T any](t *testing.T, d *datadriven.TestData, key string, def T) T {
 	t.Helper()
 	v := def
@@ -64,6 +67,7 @@
 	return v
 }
 
+// durationArg returns a command's argument as a duration, or 0 if it is absent.
 func durationArg(t *testing.T, d *datadriven.TestData, key string) time.Duration {
 	t.Helper()
 	v, err := time.ParseDuration(arg(t, d, key, "0s"))
@@ -73,6 +77,7 @@
 	return v
 }
 
+// newRunner creates the simulation that a "world" command describes. Its users poll every two seconds.
 func newRunner(t *testing.T, d *datadriven.TestData) *runner {
 	cfg := baseSettings()
 	cfg.Deployment.Teams[0].CPUsMax = float64(arg(t, d, "limit", 0))
@@ -142,6 +147,7 @@
 	return r
 }
 
+// runCommand runs a command and returns its output.
 func (r *runner) runCommand(t *testing.T, d *datadriven.TestData) string {
 	s := r.sim
 	id := uint64(arg(t, d, "id", 1))
@@ -154,7 +160,7 @@
 	case "resubmit":
 		again := false
 		s.submit(s.jobs[id], arg(t, d, "at", 1), func() bool { return again })
-	case "ask":
+	case "ask": // queries a job id once
 		j := &userJob{id: id}
 		s.poll(j, 0)
 		s.run(2 * time.Second)
@@ -233,7 +239,7 @@
 			}
 			s.run(700 * time.Millisecond)
 		}
-	case "roll":
+	case "roll": // restarts the controllers one after the other, with 8 seconds of downtime each
 		for _, c := range s.nodes {
 			c.crash()
 			s.run(8 * time.Second)
@@ -393,11 +399,11 @@
 		return fmt.Sprint(s.tasksOnMachines(id))
 	case "direct-dispatches": // whether starts were sent directly to workers
 		return fmt.Sprint(s.directDispatches > 0)
-	case "faulty":
+	case "faulty": // tasks that start on the machines from now on fail
 		for _, h := range r.hosts(t, d) {
 			s.cloud.machines[h].faulty = true
 		}
-	case "notice":
+	case "notice": // the cloud gives notice that it reclaims machines, and terminates them at that time
 		for _, h := range r.hosts(t, d) {
 			w := s.cloud.machines[h]
 			in := durationArg(t, d, "in")
@@ -405,9 +411,9 @@
 			w.reportSoon()
 			s.after(in, w.terminate)
 		}
-	case "segments-read":
+	case "segments-read": // whether more than three log segments have been read back
 		return fmt.Sprintf("%v", s.state.segmentsRead > 3)
-	case "machines":
+	case "machines": // the number of machines that are rented
 		n := 0
 		for _, m := range s.cloud.machines {
 			if !d.HasArg("no-spot") || !m.spot {
@@ -415,7 +421,7 @@
 			}
 		}
 		return fmt.Sprintf("%d", n)
-	case "deleted":
+	case "deleted": // whether the cloud has deleted machines on request
 		return fmt.Sprintf("%v", s.cloud.deletions > 0)
 	case "set-takeovers": // changes a setting of all controllers, which applies at their next start
 		for _, c := range s.nodes {
@@ -509,7 +515,7 @@
 		}
 	case "started": // the number of tasks started so far
 		return fmt.Sprint(s.check.starts)
-	case "logged":
+	case "logged": // whether a controller has logged a message that contains the text
 		for _, c := range s.nodes {
 			for _, n := range c.logMessages {
 				if strings.Contains(n, d.CmdArgs[0].Vals[0]) {
@@ -529,7 +535,7 @@
 			return strings.Join(s.check.violations, "\n")
 		}
 		return "kept"
-	case "answer":
+	case "answer": // the state of a job in the latest answer to its user
 		return s.jobs[id].state
 	default:
 		d.Fatalf(t, "%s: command not implemented", d.Cmd)
@@ -537,6 +543,7 @@
 	return "ok"
 }
 
+// submit submits the job that a "submit" command describes.
 func (r *runner) submit(t *testing.T, d *datadriven.TestData, id uint64) {
 	kinds := map[string]uint8{"array": 0, "gang": 1, "service": 2}
 	runS := durationArg(t, d, "run")
@@ -549,13 +556,13 @@
 	}
 	if counted := arg(t, d, "counted", ""); counted != "" { // POOL:UNITS, …; /job: per job instead of per task
 		for c := range strings.SplitSeq(counted, ",") {
-			c, whole := strings.CutSuffix(c, "/job")
+			c, perJob := strings.CutSuffix(c, "/job")
 			pool, units, _ := strings.Cut(c, ":")
 			n, err := strconv.Atoi(units)
 			if err != nil {
 				d.Fatalf(t, "counted: %v", err)
 			}
-			job.Counted = append(job.Counted, eventlog.PoolUnits{Pool: pool, Units: n, PerJob: whole})
+			job.Counted = append(job.Counted, eventlog.PoolUnits{Pool: pool, Units: n, PerJob: perJob})
 		}
 	}
 	if follows := arg(t, d, "follows", ""); follows != "" {
@@ -573,6 +580,7 @@
 	r.sim.submit(j, arg(t, d, "at", 0), func() bool { return r.sim.now-first < 60*time.Second })
 }
 
+// controllers returns the selected controllers; the default is the leader.
 func (r *runner) controllers(t *testing.T, d *datadriven.TestData) []*controller {
 	switch who := arg(t, d, "node", "leader"); who {
 	case "all":
@@ -625,8 +633,8 @@
 func (s *sim) tasksInState(id uint64, state workers.TaskState) int {
 	n := 0
 	for _, w := range s.cloud.machines {
-		for k, x := range w.tasks {
-			if k.job == id && x.state == state {
+		for t, run := range w.tasks {
+			if t.job == id && run.state == state {
 				n++
 			}
 		}
@@ -782,7 +790,7 @@
 		s, j, w1, w2 := newCheckedSim()
 		c.do(s, j, w1, w2)
 		if !slices.ContainsFunc(s.check.violations, func(b string) bool { return strings.HasPrefix(b, c.rule) }) {
-			t.Errorf("%s violated on purpose was not detected: %v", c.rule, s.check.violations)
+			t.Errorf("invariant %s was violated on purpose and not detected: %v", c.rule, s.check.violations)
 		}
 	}
 }
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -26,7 +26,7 @@
 	lastLeaseID   uint64
 	holder        string
 	outage        bool
-	refused       map[string]bool // controllers whose requests are answered with 503
+	refused       map[string]bool // controllers whose requests are refused or not answered
 	answersToLose int             // number of answers to transactions that are still to be lost
 	delayNext     time.Duration   // the next transaction times out, and is applied after this delay
 	// Share of transactions that are not answered, and are applied 2 to 12 s later, out of
@@ -39,7 +39,7 @@
 	writes         int
 	writesBySecond map[time.Duration]int // writes by second; nil: not counted
 	segmentsRead   int
-	durableFacts   map[uint64]bool       // jobs whose run-time facts have been durable; nil: not recorded
+	durableFacts   map[uint64]bool       // jobs whose run-time facts have become durable; nil: not recorded
 	onFact         func(json.RawMessage) // receives each new run-time fact; may be nil
 	limitsLowered  bool                  // the announced lower limits apply
 }
@@ -76,6 +76,7 @@
 	}
 }
 
+// keyChanged updates the holder of leadership and ends the watches, if a key of leadership changed.
 func (st *stateService) keyChanged(key string) {
 	if !strings.HasPrefix(key, leadership.Prefix) {
 		return
@@ -113,6 +114,8 @@
 	failed  []string
 }
 
+// apply applies a transaction if its conditions hold, and checks it against the service's limits. The
+// holder key is bound to the lease; leaseID is 0 for a transaction that needs no lease.
 func (st *stateService) apply(conditions []eventlog.Condition, writes []eventlog.Write, leaseID uint64) txnResult {
 	st.expireLeases()
 	if leaseID != 0 && st.leases[leaseID] == nil {
@@ -212,6 +215,7 @@
 	return kinds
 }
 
+// commit handles a transaction of a controller, subject to the faults that affect transactions.
 func (st *stateService) commit(c *controller, txn eventlog.Transaction) {
 	epoch := epochOf(c)
 	done := func(result txnResult, ok bool) {
@@ -569,6 +573,8 @@
 	BootS: 5, Zones: []string{"a", "b"},
 }}
 
+// execute rents machines, up to the capacity. A request that is repeated under its name gets
+// the same answer.
 func (cl *cloud) execute(r eventlog.Rental) []string {
 	if got, ok := cl.rentalAnswers[r.Name]; ok {
 		return got
@@ -587,6 +593,7 @@
 	return names
 }
 
+// addMachine creates a machine, which boots after the boot time unless bootFailures makes it fail.
 func (cl *cloud) addMachine(name, zone string, spot bool) {
 	w := &worker{sim: cl.sim, name: name, zone: zone, spot: spot, session: 1, tasks: map[task]*taskAttempt{}}
 	cl.machines[name] = w
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -134,11 +134,13 @@
 	return s
 }
 
+// after schedules f to run after a simulated delay.
 func (s *sim) after(d time.Duration, f func()) {
 	s.seq++
 	heap.Push(&s.events, event{s.now + max(d, 0), s.seq, f})
 }
 
+// run runs the events of the next d of simulated time.
 func (s *sim) run(d time.Duration) {
 	end := s.now + d
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -163,14 +165,14 @@
 func (s *sim) partitionBetween(a, b string) *partition {
 	if len(s.partitions) != s.indexedPartitions { // indexed by host, as half of a large fleet may be partitioned
 		s.partitionsByHost, s.indexedPartitions = map[string][]*partition{}, len(s.partitions)
-		for _, cut := range s.partitions {
-			s.partitionsByHost[cut.host] = append(s.partitionsByHost[cut.host], cut)
+		for _, p := range s.partitions {
+			s.partitionsByHost[p.host] = append(s.partitionsByHost[p.host], p)
 		}
 	}
 	for _, pair := range [2][2]string{{a, b}, {b, a}} {
-		for _, cut := range s.partitionsByHost[pair[0]] {
-			if (cut.peer == "" || cut.peer == pair[1]) && !cut.sameSide[pair[1]] {
-				return cut
+		for _, p := range s.partitionsByHost[pair[0]] {
+			if (p.peer == "" || p.peer == pair[1]) && !p.sameSide[pair[1]] {
+				return p
 			}
 		}
 	}
@@ -233,9 +235,9 @@
 		s.cover("packet to a machine lost in a one-way partition")
 		return
 	}
-	if cut := s.partitionBetween(from, to); cut != nil {
-		if cut.holdPackets {
-			cut.heldPackets = append(cut.heldPackets, f)
+	if p := s.partitionBetween(from, to); p != nil {
+		if p.holdPackets {
+			p.heldPackets = append(p.heldPackets, f)
 		}
 		return
 	}
@@ -265,11 +267,11 @@
 // heal ends the partitions of a host and delivers the packets that were held.
 func (s *sim) heal(host string) {
 	s.indexedPartitions = -1
-	s.partitions = slices.DeleteFunc(s.partitions, func(cut *partition) bool {
-		if cut.host != host {
+	s.partitions = slices.DeleteFunc(s.partitions, func(p *partition) bool {
+		if p.host != host {
 			return false
 		}
-		for _, f := range cut.heldPackets {
+		for _, f := range p.heldPackets {
 			s.after(time.Millisecond, f)
 		}
 		return true
@@ -294,7 +296,7 @@
 	expire = func() {
 		switch remaining := s.pausedFor(from); {
 		case finished:
-		case remaining > 0: // a paused caller times out when it resumes; an answer as late is dropped
+		case remaining > 0: // a paused caller times out when it resumes; an answer that the pause delayed is dropped
 			s.after(remaining, expire)
 		default:
 			finished = true
@@ -510,7 +512,7 @@
 	case effects.SendStops:
 		for _, cmd := range e.Stops {
 			if cmd.Op != workers.Stop {
-				s.check.fail("starts", "a direct command other than a stop")
+				s.check.fail("starts", "a SendStops effect has a command other than a stop")
 			}
 		}
 		if target := s.cloud.machines[e.Address]; target != nil {
@@ -609,12 +611,12 @@
 	runTimeStep           time.Duration // extra run time of each further task of an array
 	accepted              bool
 	acceptedAt            time.Duration
-	toldDone              bool
-	toldCancelled         bool // its user was told that it is cancelled
-	cancelRequested       bool // its user requested its cancellation
-	cancelledByOldVersion bool // reported cancelled at once, by the version in production
-	endToldAt             time.Duration
-	state                 string
+	toldDone              bool          // reported done to its user
+	toldCancelled         bool          // reported cancelled to its user
+	cancelRequested       bool          // its user requested its cancellation
+	cancelledByOldVersion bool          // reported cancelled at once, by the version in production
+	endToldAt             time.Duration // when its end was reported to its user
+	state                 string        // from the latest answer, or why the submission was refused
 
 	firstAtLevel [jobEnded + 1]time.Duration // when an answer of at least this level first arrived; 0: never
 	lastStart    time.Duration               // when a task of it last started
@@ -636,7 +638,9 @@
 }
 
 // taskRunTime returns the run time of a task.
-func (j *userJob) taskRunTime(k int) time.Duration { return j.runTime + time.Duration(k)*j.runTimeStep }
+func (j *userJob) taskRunTime(index int) time.Duration {
+	return j.runTime + time.Duration(index)*j.runTimeStep
+}
 
 // sendRequest sends a user's request to a controller, with a timeout.
 func (s *sim) sendRequest(nodeIndex int, limit time.Duration,
@@ -645,7 +649,7 @@
 	call(s, "users", c.name, limit, func(reply func(answer)) { c.handleRequest(false, f, reply) }, done)
 }
 
-// submit sends a job to a controller, and retries at the next one every second while again
+// submit sends a job to a controller, and retries at the next one every second while retry
 // returns true.
 func (s *sim) submit(j *userJob, nodeIndex int, retry func() bool) {
 	sent := s.now
@@ -714,9 +718,9 @@
 	})
 }
 
-// pollIntensively simulates a user who, if that is enabled, reacts to each answer with new
-// information: it queries all controllers repeatedly within a second and resubmits the job to
-// each. One in six newly accepted jobs is cancelled at once.
+// pollIntensively simulates, if intensivePolling is set, a user who reacts to new information in an
+// answer: the user queries all controllers repeatedly within a second and resubmits the job to each. One
+// in six newly accepted jobs is cancelled at once.
 func (s *sim) pollIntensively(j *userJob, accepted bool) {
 	if !s.intensivePolling || j.spec.Job == nil {
 		return
--- a/internal/scenario/worker_test.go
+++ b/internal/scenario/worker_test.go
@@ -35,20 +35,20 @@
 	zone            string
 	spot            bool
 	up              bool
-	hung            bool
+	hung            bool // sends no reports, executes no direct commands and completes no tasks
 	session         uint64
 	incarnation     int // number of restarts of its process
 	seq             uint64
-	token           uint64
+	token           uint64 // of the latest answer or direct command that it accepted
 	tasks           map[task]*taskAttempt
-	ended           []endedAttempt
-	controllerIndex int // index of the controller that it reports to
+	ended           []endedAttempt // not yet reaped by the leader
+	controllerIndex int            // index of the controller that it reports to
 	reportInFlight  bool
 	lastReport      time.Duration
 	leaseRenewedAt  time.Duration // when the last report that was answered was sent
 	reclaimAt       time.Duration // when the cloud reclaims it; 0: no notice given
 	scheduledReport int           // number of the latest scheduled report; earlier ones are not sent
-	faulty          bool
+	faulty          bool          // every task that starts on it fails
 	everUsed        bool          // it has been assigned a task
 	healthySince    time.Duration // since when it has been neither hung nor partitioned
 }
@@ -212,7 +212,7 @@
 // taskList returns the tasks that are on the machine.
 func (w *worker) taskList() []task { return slices.Collect(maps.Keys(w.tasks)) }
 
-// snapshot returns a report of the worker's current state.
+// snapshot returns a report of the worker's current state, with the next sequence number.
 func (w *worker) snapshot() *workers.Report {
 	w.seq++
 	report := &workers.Report{
@@ -272,6 +272,7 @@
 	w.sendReport(w.scheduledReport)
 }
 
+// execute executes a command and reports whether that changed the worker's state.
 func (w *worker) execute(command workers.Command) bool {
 	t := task{command.Job, command.Task}
 	switch command.Op {
@@ -297,6 +298,8 @@
 	}
 }
 
+// startTask starts an attempt of a task, or records why it cannot. It reports whether the worker's state
+// changed.
 func (w *worker) startTask(t task, attempt uint64) bool {
 	j := w.sim.jobs[t.job]
 	if run := w.tasks[t]; run != nil {
@@ -354,6 +357,7 @@
 	return true
 }
 
+// complete ends a task with a result; on a hung machine it does so when the machine resumes.
 func (w *worker) complete(t task, run *taskAttempt) {
 	if w.tasks[t] != run {
 		return
