--- a/internal/scenario/cold_start_test.go
+++ b/internal/scenario/cold_start_test.go
@@ -36,12 +36,14 @@
 	c.unnecessary[k]++
 }
 
-// reachable reports whether a machine is up, not hung and connected, and has been so for 20 seconds.
+// reachable reports whether a machine is up, not hung, connected and without a reclaim notice, and its
+// last hang or partition ended more than 20 seconds ago.
 func (s *sim) reachable(w *worker) bool {
 	return w.up && !w.hung && w.reclaimAt == 0 && s.partitionBetween(w.name, "cloud") == nil && s.now-w.healthySince > 20*time.Second
 }
 
-// machineDeleted counts a deletion as unnecessary if the machine was busy or had never been used.
+// machineDeleted counts a deletion as unnecessary if the machine was reachable and had tasks of jobs that
+// are not being cancelled, or if it was up and had never been used.
 func (c *checker) machineDeleted(w *worker) {
 	busy := false
 	for t := range w.tasks {
@@ -55,22 +57,23 @@
 	}
 }
 
-// coldSettings returns settings with two teams and, if on, with the cold start features enabled.
-func coldSettings(on bool) settings.Settings {
+// coldSettings returns settings with two teams and, if enabled, with the cold start features.
+func coldSettings(enabled bool) settings.Settings {
 	c := baseSettings()
 	c.Deployment.Teams = []settings.Team{{Name: "team", CPUs: 40, CPUsMax: 160}, {Name: "other", CPUs: 40, CPUsMax: 120}}
 	c.Deployment.State.WriteRPS = 40
-	if on {
+	if enabled {
 		c.Tunables.ColdListen, c.Tunables.ColdKept, c.Tunables.ListFirst, c.Tunables.AdaptCalls = 1, 5, 1, 1
 	}
 	return c
 }
 
 // simulateColdStart simulates a cold start: all controllers go down at once and return one by one, while
-// a share of the machines crashes, hangs, is partitioned or is reclaimed by the cloud.
-func simulateColdStart(t *testing.T, seed uint64, machines int, on bool) *sim {
+// a share of the machines crashes, hangs, is partitioned or is reclaimed by the cloud. The cold start
+// features are in use if enabled is true.
+func simulateColdStart(t *testing.T, seed uint64, machines int, enabled bool) *sim {
 	r := rand.New(rand.NewPCG(seed, 22))
-	s := newSim(coldSettings(on), seed, 3, false)
+	s := newSim(coldSettings(enabled), seed, 3, false)
 	s.cloud.capacity = machines
 	s.latency = map[string]time.Duration{}
 	var log []string
@@ -178,7 +181,7 @@
 		s.after(returnAt+2*time.Second, func() { s.state.outage = true })
 		s.after(returnAt+14*time.Second, func() { s.state.recover() })
 	}
-	returns := func(from time.Duration) {
+	scheduleReturns := func(from time.Duration) {
 		at := from
 		first := r.IntN(3) // the one that starts on the old version
 		for i, k := range r.Perm(3) {
@@ -202,7 +205,7 @@
 			at += time.Duration(r.IntN(9000)) * time.Millisecond
 		}
 	}
-	returns(returnAt)
+	scheduleReturns(returnAt)
 	for crashes := r.IntN(3); crashes > 0; crashes-- { // all crash again before the census has ended
 		at := returnAt + time.Duration(r.IntN(9000))*time.Millisecond
 		s.after(at, func() {
@@ -211,7 +214,7 @@
 			}
 			logFault("all controllers are down again")
 		})
-		returns(at + 3*time.Second)
+		scheduleReturns(at + 3*time.Second)
 	}
 	if oldFirst { // finally all run the new version
 		s.after(returnAt+40*time.Second, func() {
@@ -335,12 +338,13 @@
 		t.Skip("only to measure: COLD_SCALE=1300")
 	}
 	for _, down := range []time.Duration{8 * time.Second, 40 * time.Second} {
-		for _, on := range []bool{false, true} {
-			measureColdStart(t, machines, down, on)
+		for _, enabled := range []bool{false, true} {
+			measureColdStart(t, machines, down, enabled)
 		}
 	}
 }
 
+// measureColdStart simulates the cold start of one variant of TestColdScale and logs its figures.
 func measureColdStart(t *testing.T, machines int, down time.Duration, enabled bool) {
 	c := coldSettings(enabled)
 	c.Deployment.Teams = []settings.Team{{Name: "team"}}
@@ -417,7 +421,7 @@
 	}
 	sent := func(k string) int { return s.loadStats.effects[k] - before[k] }
 	t.Logf("%d machines, down for %v, features on %v: %d tasks in progress, running again 50 %% %v, 90 %% %v, all %v; starts %d (peak %d), rental requests %d (peak %d), deletions %d machines, %d requests (peak %d), "+
-		"changes written %d (peak %d), answers to users %d (peak %d); busy machines deleted %d, rented and not used %d, completed tasks started again %d; %.1f s of real time in the cores",
+		"writes %d (peak %d), answers to users %d (peak %d); busy machines deleted %d, rented and not used %d, completed tasks started again %d; %.1f s of real time in the cores",
 		machines, down, enabled, len(running), recoveredAfter[50], recoveredAfter[90], recoveredAfter[100], s.check.starts-starts, peak["starts"], sent("Rent"), peak["Rent"], s.cloud.deletions-deleted, sent("Delete"), peak["Delete"],
 		s.state.writes-writes, peak["changes"], sent("Reply"), peak["Reply"], s.check.unnecessary[deletedBusy], s.check.unnecessary[rentedUnused], s.check.unnecessary[startedCompleted], totalCoreTime.Seconds())
 	if len(s.check.violations) > 0 {
--- a/internal/scenario/config_test.go
+++ b/internal/scenario/config_test.go
@@ -56,6 +56,7 @@
 	return s.configs.limits[c.Item.Team] // a removed team keeps its limit
 }
 
+// higherLimit reports whether the CPU limit a is higher than b; 0 means that there is no limit.
 func higherLimit(a, b float64) bool { return b != 0 && (a == 0 || a > b) }
 
 // reconfigure queues an operator's change, which is retried until it is durable. Changes are made one
@@ -68,6 +69,7 @@
 	}
 }
 
+// reconfigureNow makes an operator's change and retries it until it is durable.
 func (s *sim) reconfigureNow(id string, changes []config.Change) {
 	for _, c := range changes {
 		for _, t := range s.cfg.Deployment.Teams {
--- a/internal/scenario/fault_pairs_test.go
+++ b/internal/scenario/fault_pairs_test.go
@@ -16,11 +16,11 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestPairsOfTroubles injects every pair of fault kinds: the second fault begins while the first lasts.
+// TestFaultPairs injects every pair of fault kinds: the second fault begins while the first lasts.
 // Meanwhile jobs are cancelled and queried, the leader changes, and some tasks run for longer than the
 // cancellation deadline. PAIR_DAYS sets the number of runs per pair, PAIR_MACHINES the approximate number
 // of machines instead of a few, and PAIR_FIRST the only kind to use as the first fault.
-func TestPairsOfTroubles(t *testing.T) {
+func TestFaultPairs(t *testing.T) {
 	days := 1
 	if v, err := strconv.Atoi(os.Getenv("PAIR_DAYS")); err == nil {
 		days = v
@@ -206,10 +206,10 @@
 	return s, overlapped, terms
 }
 
-// TestEndsFarApart checks jobs whose tasks complete far apart in time while leaders change. One completion
-// is durable, one is reported but not yet logged, and one is unreported on a machine that is partitioned or
-// lost. The job must become done, once, and only when all of its tasks are.
-func TestEndsFarApart(t *testing.T) {
+// TestCompletionsFarApart checks jobs whose tasks complete far apart in time while leaders change. One
+// completion is durable, one is reported but not yet logged, and one is unreported on a machine that is
+// partitioned or lost. The job must become done, once, and only when all of its tasks are.
+func TestCompletionsFarApart(t *testing.T) {
 	var mu sync.Mutex
 	runs, apartRuns, restartedRuns := 0, 0, 0
 	t.Run("days", func(t *testing.T) {
@@ -367,10 +367,10 @@
 // lease.
 const maxLeaderlessTime = 15 * time.Second
 
-// TestLeaderEndsMachinesUnreached crashes leaders while machines with long tasks are unreachable or do not
-// receive the new leader's answers. The new leader must not start their tasks twice or exceed a limit that
-// is nearly used up. The jobs include some in one zone, some spread over both, and gangs.
-func TestLeaderEndsMachinesUnreached(t *testing.T) {
+// TestLeaderCrashWithUnreachableMachines crashes leaders while machines with long tasks are unreachable or
+// do not receive the new leader's answers. The new leader must not start their tasks twice or exceed a
+// limit that is nearly used up. The jobs include some in one zone, some spread over both, and gangs.
+func TestLeaderCrashWithUnreachableMachines(t *testing.T) {
 	var mu sync.Mutex
 	runs, unheardRuns, startedRuns := 0, 0, 0
 	t.Run("days", func(t *testing.T) {
@@ -489,9 +489,9 @@
 	}
 }
 
-// TestHandOvers makes leaders hand over repeatedly, crashes all controllers and restarts one of them
+// TestRepeatedHandovers makes leaders hand over repeatedly, crashes all controllers and restarts one of them
 // within a second, again and again, while jobs are submitted, cancelled and queried.
-func TestHandOvers(t *testing.T) {
+func TestRepeatedHandovers(t *testing.T) {
 	var mu sync.Mutex
 	terms, ledAlone := uint64(0), 0
 	t.Run("days", func(t *testing.T) {
@@ -563,13 +563,13 @@
 	}
 }
 
-// TestHeldStartMeetsNewLife guards against a task that runs twice because a delayed direct start reaches a
-// restarted machine. The start is delayed beyond the worker's lease, so a later session reports no tasks.
-// Then the machine restarts empty under its name, in the session that the start names and without a token,
-// and executes the start. The restart happens at any time from before the lease expires until the start
-// arrives; the cloud deletes the machine at once or only afterwards. Found by seed 3368 of TestRandomDays,
-// where the task had been started elsewhere meanwhile.
-func TestHeldStartMeetsNewLife(t *testing.T) {
+// TestDelayedStartAfterEmptyRestart guards against a task that runs twice because a delayed direct start
+// reaches a restarted machine. The start is delayed beyond the worker's lease, so a later session reports
+// no tasks. Then the machine restarts empty under its name, in the session that the start names and
+// without a token, and executes the start. The restart happens at any time from before the lease expires
+// until the start arrives; the cloud deletes the machine at once or only afterwards. Found by seed 3368 of
+// TestRandomDays, where the task had been started elsewhere meanwhile.
+func TestDelayedStartAfterEmptyRestart(t *testing.T) {
 	const delay = 22 * time.Second
 	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, 1+seed/16, directDispatchSettings)
--- a/internal/scenario/large_jobs_test.go
+++ b/internal/scenario/large_jobs_test.go
@@ -40,14 +40,14 @@
 	return s
 }
 
-// TestLargestBegin checks that the largest jobs start within four minutes although smaller ones keep
+// TestLargestJobsStart checks that the largest jobs start within four minutes although smaller ones keep
 // arriving. Without the begin_within exception some of them do not.
-func TestLargestBegin(t *testing.T) {
+func TestLargestJobsStart(t *testing.T) {
 	late := func(s *sim) bool {
 		return slices.ContainsFunc(s.check.violations, func(b string) bool { return strings.HasPrefix(b, "begins_late") })
 	}
 	if s := simulateLargestJobs(0); !late(s) {
-		t.Error("without the exception all jobs start in time: the load is too low for this test")
+		t.Error("without the exception, all jobs start in time: the load is too low for this test")
 	}
 	s := simulateLargestJobs(120)
 	if len(s.check.violations) > 0 {
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -71,11 +71,11 @@
 		"the leader crashed after")
 }
 
-// TestCancelledWhileWorkChangesHands cancels jobs while machines switch to another controller: theirs
+// TestCancelWhileMachinesSwitchController cancels jobs while machines switch to another controller: theirs
 // crashes, restarts in a rolling restart, hands over leadership, is refused by the state service, is
 // partitioned, or redirects machines to rebalance. Offers, relayed reports and direct starts are in
 // flight.
-func TestCancelledWhileWorkChangesHands(t *testing.T) {
+func TestCancelWhileMachinesSwitchController(t *testing.T) {
 	faults := []string{"a controller crashes", "a rolling restart", "the leader hands over", "the leader is refused", "a controller partitioned", "rebalancing"}
 	var requiredCoverage []string
 	for _, fault := range faults {
@@ -192,7 +192,7 @@
 					delete(h.cloud.machines, w.name)
 				case 1:
 					w.terminate()
-				default: // its reports or its commands are lost while its tasks go on
+				default: // its reports, its commands or both are lost while its tasks go on
 					h.injectMachineFault([]string{"partitioned", "outbound loss", "inbound loss"}[h.random.IntN(3)], []*worker{w}, time.Duration(3+h.random.IntN(12))*time.Second)
 				}
 				h.cover("a machine of a bound job lost")
--- a/internal/scenario/overloaded_class_test.go
+++ b/internal/scenario/overloaded_class_test.go
@@ -11,10 +11,10 @@
 	"bitternmoor/internal/wire"
 )
 
-// simulateHotClass simulates five minutes in which the jobs of one class of one team exceed the capacity,
-// beside two other classes at their usual rates. It returns the share of jobs of each class and team
-// whose users were told in time that they are done.
-func simulateHotClass(t *testing.T, seed uint64, floor float64, hotPriority uint8) map[string]float64 {
+// simulateOverloadedClass simulates five minutes in which the jobs of one class of one team exceed the
+// capacity, beside two other classes at their usual rates. It returns the share of jobs of each class and
+// team whose users were told in time that they are done.
+func simulateOverloadedClass(t *testing.T, seed uint64, floor float64, hotPriority uint8) map[string]float64 {
 	c := baseSettings()
 	c.Deployment.Teams = []settings.Team{{Name: "team"}, {Name: "other"}}
 	c.Deployment.State.WriteRPS = 60
@@ -79,14 +79,14 @@
 	return out
 }
 
-// TestHotClass checks that when one class alone demands more than the capacity, urgent or not, every class
-// and team still has at least half of its jobs done in time. Without the served_floor exception, an urgent
-// class leaves the others nothing.
-func TestHotClass(t *testing.T) {
+// TestOverloadedClass checks that when one class alone demands more than the capacity, urgent or not,
+// every class and team still has at least half of its jobs done in time. Without the served_floor
+// exception, an urgent class leaves the others nothing.
+func TestOverloadedClass(t *testing.T) {
 	for _, priority := range []uint8{1, 2} {
 		t.Run(fmt.Sprint("priority ", priority), func(t *testing.T) {
 			t.Parallel()
-			off, on := simulateHotClass(t, 1, 0, priority), simulateHotClass(t, 1, 0.55, priority)
+			off, on := simulateOverloadedClass(t, 1, 0, priority), simulateOverloadedClass(t, 1, 0.55, priority)
 			t.Logf("without %s, with %s", formatShares(off), formatShares(on))
 			for group := range on {
 				if on[group] < 0.5 {
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -87,6 +87,7 @@
 	}
 }
 
+// resizeNow makes an operator's change of a pool and retries it until it is durable.
 func (s *sim) resizeNow(id, pool string, units int) {
 	current := s.poolUnits[pool]
 	if units > current {
@@ -136,6 +137,8 @@
 	}
 }
 
+// addPoolUnits makes a job need units of random pools. Gangs get at most two tasks with one unit each, so
+// that their units fit into the smallest pool.
 func addPoolUnits(r *rand.Rand, job *eventlog.Job) {
 	for _, name := range []string{"licence", "token"} {
 		if r.IntN(2) > 0 {
@@ -150,9 +153,9 @@
 	}
 }
 
-// TestOverdrawnIsSeen injects each way in which a pool can be overdrawn and checks that the checker detects
-// it.
-func TestOverdrawnIsSeen(t *testing.T) {
+// TestOverdrawnPoolIsDetected injects each way in which a pool can be overdrawn and checks that the
+// checker detects it.
+func TestOverdrawnPoolIsDetected(t *testing.T) {
 	start := func(seed uint64, units int, hold float64, run time.Duration) *sim {
 		c := baseSettings()
 		c.Deployment.Workers.LeaseS = 60
@@ -253,8 +256,9 @@
 	}
 }
 
-// TestPoolsWriteNothing checks that starts with units cause no more writes than starts without.
-func TestPoolsWriteNothing(t *testing.T) {
+// TestPoolUnitsCauseNoWrites checks that starts with units cause at most a tenth more writes than starts
+// without.
+func TestPoolUnitsCauseNoWrites(t *testing.T) {
 	writes := func(counted []eventlog.PoolUnits) int {
 		c := baseSettings()
 		c.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 100}}
@@ -278,7 +282,7 @@
 	}
 	with, without := writes([]eventlog.PoolUnits{{Pool: "licence", Units: 1}}), writes(nil)
 	if with > without+without/10 {
-		t.Errorf("%d changes with units, %d without", with, without)
+		t.Errorf("%d writes with units, %d without", with, without)
 	}
-	t.Logf("%d changes with units, %d without", with, without)
+	t.Logf("%d writes with units, %d without", with, without)
 }
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -26,21 +26,23 @@
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
 		days = v
 	}
-	var played [numFaultKinds]atomic.Int64
+	var injected [numFaultKinds]atomic.Int64
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				simulateRandomFaults(t, seed, &played)
+				simulateRandomFaults(t, seed, &injected)
 			})
 		}
 	})
 	for kind, name := range faultNames {
-		t.Logf("%s: %d times", name, played[kind].Load())
+		t.Logf("%s: %d times", name, injected[kind].Load())
 	}
 }
 
-func simulateRandomFaults(t *testing.T, seed uint64, played *[numFaultKinds]atomic.Int64) {
+// simulateRandomFaults simulates one run of TestRandomDays. The seed also determines which features are in
+// use. It counts the injected faults by kind.
+func simulateRandomFaults(t *testing.T, seed uint64, injected *[numFaultKinds]atomic.Int64) {
 	r := rand.New(rand.NewPCG(seed, 99))
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(8 + r.IntN(40))
@@ -187,7 +189,7 @@
 		kinds := [][]faultKind{mildFaults, harshFaults, specialFaults}[r.IntN(3)]
 		kind := kinds[r.IntN(len(kinds))]
 		s.after(at, func() {
-			played[kind].Add(1)
+			injected[kind].Add(1)
 			faults.inject(kind, duration, nodeIndex)
 		})
 	}
--- a/internal/scenario/rebalancing_test.go
+++ b/internal/scenario/rebalancing_test.go
@@ -12,11 +12,11 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestSpreadDays guards against tasks that run twice because their machine moves to another controller.
+// TestRebalancing guards against tasks that run twice because their machine moves to another controller.
 // With settings far more aggressive than in production, machines are rebalanced all the time, while many
 // short tasks are on offer to whole blocks and controllers crash. A machine may move only while no
 // command or offer for it is in flight.
-func TestSpreadDays(t *testing.T) {
+func TestRebalancing(t *testing.T) {
 	days := 12
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
 		days = v
@@ -40,6 +40,7 @@
 	}
 }
 
+// simulateRebalancing simulates one run and returns how many reports were redirected to another controller.
 func simulateRebalancing(t *testing.T, seed uint64) int {
 	r := rand.New(rand.NewPCG(seed, 41))
 	c := baseSettings()
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -13,11 +13,11 @@
 	"bitternmoor/internal/wire"
 )
 
-// TestCloseLooks guards against answers that are older than earlier ones. Users query all controllers
+// TestIntensivePolling guards against answers that are older than earlier ones. Users query all controllers
 // within milliseconds after an answer, resubmit, and cancel at once, while controllers between them and the
 // leader are slow, partitioned or paused, and leaders change. Only an answer that was already in flight may
 // be older, and only for a bounded time.
-func TestCloseLooks(t *testing.T) {
+func TestIntensivePolling(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, seed, nil)
 		h.intensivePolling = true
@@ -59,10 +59,10 @@
 	}, "intensive polling", "answer overtaken by a newer one")
 }
 
-// TestEndMeetsRequest sends a cancellation, a query or a repeated submission just as a job's last task
+// TestRequestAtCompletion sends a cancellation, a query or a repeated submission just as a job's last task
 // completes: without another fault, with a lost answer to the write, and with a leader change. Each job
 // must have one outcome, which never changes.
-func TestEndMeetsRequest(t *testing.T) {
+func TestRequestAtCompletion(t *testing.T) {
 	coverage := runSeeds(t, 48, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, seed, nil)
 		variant := seed % 4
@@ -217,24 +217,24 @@
 	for _, n := range h.state.writesBySecond {
 		largest, sum = max(largest, n), sum+n
 	}
-	t.Logf("changes per second: mean %.1f, largest %d, limit %v; the log had at most %d segments, %d were read back for compaction; %d cancellations were requested",
+	t.Logf("writes per second: mean %.1f, largest %d, limit %v; the log had at most %d segments, %d were read back for compaction; %d cancellations were requested",
 		float64(sum)/float64(len(h.state.writesBySecond)), largest, h.cfg.Deployment.State.WriteRPS, segments,
 		h.state.segmentsRead, cancelled)
 	if largest > 2*15 { // a burst of one second's allowance in addition to the second's own
-		t.Errorf("%d changes in one second", largest)
+		t.Errorf("%d writes in one second", largest)
 	}
 	if segments > 150 || h.state.segmentsRead == 0 {
-		t.Errorf("the log grew to %d segments, %d were compacted", segments, h.state.segmentsRead)
+		t.Errorf("the log grew to %d segments, %d were read back for compaction", segments, h.state.segmentsRead)
 	}
 	if len(confirm) < count/8 {
 		t.Errorf("%d cancellations confirmed", len(confirm))
 	}
 }
 
-// TestOddRequests sends invalid requests to every controller and across a leader change: repeated
+// TestInvalidRequests sends invalid requests to every controller and across a leader change: repeated
 // submissions with malformed or infeasible bodies, cancellations of completed jobs, and jobs that can never
 // run. Known ids are answered with their state, the others are rejected, and none of these is logged.
-func TestOddRequests(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, seed, nil)
 		for i := range 12 {
@@ -268,8 +268,8 @@
 	}, "invalid repeated submission answered", "invalid submission rejected", "cancellation of a completed job")
 }
 
-// TestOverLimits submits jobs that can never run, for each possible reason, and checks the status.
-func TestOverLimits(t *testing.T) {
+// TestInfeasibleJobs submits jobs that can never run, for each possible reason, and checks the status.
+func TestInfeasibleJobs(t *testing.T) {
 	h := newHarness(t, 1, func(c *settings.Settings) { c.Deployment.Teams[0].CPUsMax = 6 })
 	h.awaitLeader()
 	h.run(2 * time.Second)
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -81,7 +81,7 @@
 				up++
 			}
 		}
-		t.Logf("%6.1f s %-34s machines %4d, open jobs %3d, log %3d segments with %5d entries, %d removed",
+		t.Logf("%6.1f s %-34s machines %4d, open jobs %3d, log %3d segments with %5d entries, %d segments read back for compaction",
 			s.now.Seconds(), what, up, open, log, entries, s.state.segmentsRead)
 	}
 	submitWave(machines/25, 180, 30*time.Second)
@@ -187,6 +187,7 @@
 	redirectedReports int             // number of reports that were redirected to another controller
 }
 
+// countEffect counts an effect by its type, and redirected reports in addition.
 func (stats *loadStats) countEffect(e effects.Effect) {
 	if stats != nil {
 		if a, ok := e.(effects.ReplyHeartbeat); ok && a.Answer.Status == 421 {
@@ -196,7 +197,7 @@
 	}
 }
 
-// timeInput runs an input to a core and adds up the real timeInput that it takes.
+// timeInput runs an input to a core and adds the real time that it takes to coreTime.
 func (stats *loadStats) timeInput(what string, f func()) {
 	if stats == nil {
 		f()
@@ -207,6 +208,7 @@
 	stats.coreTime[what] += time.Since(at)
 }
 
+// recordLog keeps a log that a new leader has read if it is the largest so far.
 func (stats *loadStats) recordLog(log term.LoadedLog) {
 	if stats != nil && (stats.largestLog == nil || len(log.Entries) > len(stats.largestLog.Entries)) {
 		stats.largestLog = &log
--- a/internal/scenario/starts_test.go
+++ b/internal/scenario/starts_test.go
@@ -42,10 +42,10 @@
 	}, "machines free while the leader is refused")
 }
 
-// TestHolderBackAtOnce guards against offers that are taken up twice. Controllers that hold blocks restart
+// TestBlockHolderRestart guards against offers that are taken up twice. Controllers that hold blocks restart
 // within a tenth of a second, while they start tasks on machines of their block other than those with
 // reserved room. The new process does not know which offers the previous one has taken up.
-func TestHolderBackAtOnce(t *testing.T) {
+func TestBlockHolderRestart(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 5, 26.5
--- a/internal/scenario/timing_test.go
+++ b/internal/scenario/timing_test.go
@@ -8,10 +8,10 @@
 	"bitternmoor/internal/settings"
 )
 
-// TestUpAtOnce boots new machines before their rental is answered and gives them work at once, while
-// writes are slow and the leader crashes just before or after each step from the rental to the first
-// start. No task may run twice, no machine may be kept without work, and every job completes.
-func TestUpAtOnce(t *testing.T) {
+// TestMachineUpBeforeRentalAnswer boots new machines before their rental is answered and gives them work
+// at once, while writes are slow and the leader crashes just before or after each step from the rental to
+// the first start. No task may run twice, no machine may be kept without work, and every job completes.
+func TestMachineUpBeforeRentalAnswer(t *testing.T) {
 	var steps []string
 	for _, step := range []string{
 		"the rental noted",
@@ -78,10 +78,10 @@
 	}, requiredCoverage...)
 }
 
-// TestOnlyTheAnswerIsLost applies writes of every kind at once and loses only their answers, while other
+// TestWriteAnswersLost applies writes of every kind at once and loses only their answers, while other
 // controllers read them. The leader continues or ends its term within seconds, no command is executed
 // twice, and no user is told the opposite of an earlier answer.
-func TestOnlyTheAnswerIsLost(t *testing.T) {
+func TestWriteAnswersLost(t *testing.T) {
 	runSeeds(t, 16, func(t *testing.T, seed uint64) *sim { return simulateLateWrites(t, seed, true) },
 		"only the answer lost: log",
 		"only the answer lost: removal of log",
--- a/internal/scenario/unreachable_test.go
+++ b/internal/scenario/unreachable_test.go
@@ -10,10 +10,10 @@
 	"bitternmoor/internal/settings"
 )
 
-// TestOldReportsAtANewLeader replays old reports to every controller just as a new leader's term starts,
+// TestReplayedReportsAtTakeover replays old reports to every controller just as a new leader's term starts,
 // and again after it has acted, also after a crash of all controllers. The reports come from earlier
 // sessions, attempts and incarnations, and from machines that were deleted since.
-func TestOldReportsAtANewLeader(t *testing.T) {
+func TestReplayedReportsAtTakeover(t *testing.T) {
 	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 30
@@ -62,10 +62,10 @@
 	}, "replayed report reached the next leader", "replayed report of a deleted machine", "replayed report of an earlier session")
 }
 
-// TestMuteMachines drops the reports of machines for up to and beyond a lease, while direct commands and
+// TestReportsLost drops the reports of machines for up to and beyond a lease, while direct commands and
 // probes still reach them and their sessions advance unreported. Their tasks must start elsewhere in time,
 // cancelled ones must be gone in time, and an answered probe must not count as a renewed lease.
-func TestMuteMachines(t *testing.T) {
+func TestReportsLost(t *testing.T) {
 	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 20
@@ -128,10 +128,10 @@
 		"tasks started after reports of machines were lost")
 }
 
-// TestAllAway checks recovery from long faults: all controllers are down for longer than a lease, a zone
+// TestLongFaults checks recovery from long faults: all controllers are down for longer than a lease, a zone
 // with workers and a controller is partitioned for longer than a lease, or leaders crash ten times in two
 // minutes, also during a state outage. Afterwards all jobs are served and none is left waiting.
-func TestAllAway(t *testing.T) {
+func TestLongFaults(t *testing.T) {
 	faults := []string{
 		"all controllers down",
 		"a zone partitioned",
@@ -214,11 +214,11 @@
 		"all controllers down: leases expired")
 }
 
-// TestRefusedCancelledOut guards against tasks that outlive a confirmed cancellation. Jobs are cancelled
+// TestCancelWhileLeaderRefused guards against tasks that outlive a confirmed cancellation. Jobs are cancelled
 // through the old leader and the other controllers when the state service starts to refuse only the
 // leader or up to a second later. After 1 s or 12 s a state outage begins that lasts beyond the
 // cancellation deadline.
-func TestRefusedCancelledOut(t *testing.T) {
+func TestCancelWhileLeaderRefused(t *testing.T) {
 	faults := []string{"healthy", "inbound loss", "hung", "outbound loss", "partitioned"}
 	delays := []time.Duration{0, 10 * time.Millisecond, 100 * time.Millisecond, time.Second}
 	requiredCoverage := []string{"confirmed before the outage", "confirmed after it"}
--- a/internal/scenario/upgrade_test.go
+++ b/internal/scenario/upgrade_test.go
@@ -28,10 +28,10 @@
 	return bytes.TrimSuffix(raw, []byte("\n"))
 }
 
-// TestProductionsLog checks that data stored by the version in production is read completely and that its
+// TestProductionLog checks that data stored by the version in production is read completely and that its
 // log segment is encoded again byte for byte, so entries without new fields keep their form. The frozen
 // types must encode it identically as well.
-func TestProductionsLog(t *testing.T) {
+func TestProductionLog(t *testing.T) {
 	raw := readGolden(t, "segment.json")
 	list, err := eventlog.Decode(raw)
 	if err != nil {
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestProductionReadsTheNewLog checks that the version in production drops the fields and entries that it
+// TestProductionReadsNewLog checks that the version in production drops the fields and entries that it
 // does not know and reads everything else unchanged.
-func TestProductionReadsTheNewLog(t *testing.T) {
+func TestProductionReadsNewLog(t *testing.T) {
 	job := eventlog.Job{ID: 9, Class: "c", Team: "t", Tasks: 3, CPUs: 1, MemoryGB: 2, Image: "i", EstimateS: 5, AtMS: 7}
 	next := job
 	next.Follows, next.Rest, next.ReleasedMS = []uint64{1, 2}, 3, 99
@@ -91,9 +91,9 @@
 	}
 }
 
-// TestProductionsMessages checks, field by field, that the current version decodes messages of the version
+// TestProductionMessages checks, field by field, that the current version decodes messages of the version
 // in production and that the latter decodes the current ones.
-func TestProductionsMessages(t *testing.T) {
+func TestProductionMessages(t *testing.T) {
 	job := &eventlog.Job{ID: 412, Class: "train", Team: "vision", Kind: 1, Priority: 2, Tasks: 16, CPUs: 8, GPUs: 1, MemoryGB: 64.5,
 		Image: "img-07", ImageGB: 6.2, Types: []string{"g8"}, Zone: "a", OneZone: true, Spot: true,
 		EstimateS: 240, Checkpoint: 30, SaveS: 4, DeadlineS: 900, AtMS: 1764590000123}
@@ -138,9 +138,9 @@
 	}
 }
 
-// TestProductionsCalls checks that the RPC methods, paths and keys that the version in production uses are
+// TestProductionCalls checks that the RPC methods, paths and keys that the version in production uses are
 // unchanged.
-func TestProductionsCalls(t *testing.T) {
+func TestProductionCalls(t *testing.T) {
 	c := reflect.TypeFor[*node.Controller]()
 	for _, name := range []string{"Ask", "Hail", "Relay", "Status", "Explain"} {
 		if _, ok := c.MethodByName(name); !ok {
