--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -5,78 +5,86 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/settings"
 )
 
-// TestLimitsAndCancellations has every team at its limit while jobs are cancelled whose
-// machines are cut off, hang, are deaf or mute, and the leader changes before, at or after the
-// cancellation: no team gets more than its limit, what is cancelled is gone before its user is
-// told, and nobody waits for room that is long free.
+// TestLimitsAndCancellations cancels jobs while every team is at its limit, their machines are
+// partitioned, hang, are slow or lose packets one way, and the leader changes before, at or after the
+// cancellation. No team may exceed its limit, the tasks are gone before the user is told, and no job
+// waits for room that has long been free.
 func TestLimitsAndCancellations(t *testing.T) {
-	trials := []string{"cut", "held", "hung", "deaf", "mute", "slow"}
-	playDays(t, 9*len(trials), func(t *testing.T, seed uint64) *sim {
-		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newStage(t, seed, func(c *settings.Settings) {
+	faults := []string{"partitioned", "packets held", "hung", "inbound loss", "outbound loss", "slow"}
+	runSeeds(t, 9*len(faults), func(t *testing.T, seed uint64) *sim {
+		fault, variant := faults[int(seed)%len(faults)], int(seed)/len(faults)
+		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 12}, {Name: "other", CPUsMax: 10, CPUs: 6}, {Name: "third", CPUsMax: 8}}
 			c.Tunables.ZonePatienceS = float64(variant % 2 * 40)
 		})
 		teams := []string{"team", "other", "third"}
-		var first, waiting []*userJob
+		var running, waiting []*userJob
 		for i := range 6 {
-			first = append(first, d.add(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
+			running = append(running, h.submitJob(120*time.Second, eventlog.Job{Team: teams[i%3], Tasks: []int{6, 5, 4}[i%3], Kind: uint8(i / 3), Priority: 1, Spot: true}))
 		}
-		d.askAll(time.Second)
-		for _, j := range first {
-			d.runs(j, j.spec.Job.Tasks)
+		h.pollAll(time.Second)
+		for _, j := range running {
+			h.awaitRunning(j, j.spec.Job.Tasks)
 		}
 		for i := range 6 {
-			waiting = append(waiting, d.add(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
+			waiting = append(waiting, h.submitJob(20*time.Second, eventlog.Job{Team: teams[i%3], Tasks: 2 + i%3, Kind: uint8(i / 5), Priority: uint8(1 + i%2), Spot: true}))
 		}
-		d.run(5 * time.Second)
-		if d.running(waiting[0].id) == 0 {
-			d.saw("jobs wait for their team's limit")
+		h.run(5 * time.Second)
+		if h.runningTasks(waiting[0].id) == 0 {
+			h.cover("jobs wait for their team's limit")
 		}
-		length := time.Duration(5+4*variant) * time.Second
-		on := d.busy(first[0])
-		d.trouble(trial, append(on[:1:1], d.busy(first[4])[0]), length)
-		when := time.Duration(variant%3-1) * 2500 * time.Millisecond // the leader ends before, at, or after
-		d.after(3*time.Second, func() {
+		duration := time.Duration(5+4*variant) * time.Second
+		machines := h.machinesWithTasks(running[0])
+		h.injectMachineFault(fault, append(machines[:1:1], h.machinesWithTasks(running[4])[0]), duration)
+		crashOffset := time.Duration(variant%3-1) * 2500 * time.Millisecond // the leader crashes before, at or after the cancellation
+		h.after(3*time.Second, func() {
 			for _, i := range []int{0, 1, 4, 5} {
-				d.cancel(first[i], i)
+				h.cancelJob(running[i], i)
 			}
 		})
-		d.after(3*time.Second+when, func() {
-			d.endLeader(8 * time.Second)
-			d.saw([]string{"the leader ended before", "the leader ended at once", "the leader ended after"}[variant%3])
+		h.after(3*time.Second+crashOffset, func() {
+			h.restartLeader(8 * time.Second)
+			h.cover([]string{"the leader crashed before", "the leader crashed at the same time", "the leader crashed after"}[variant%3])
 		})
 		if variant > 5 {
-			d.after(9*time.Second, func() { d.endLeader(8 * time.Second) })
+			h.after(9*time.Second, func() { h.restartLeader(8 * time.Second) })
 		}
-		d.run(max(length, 12*time.Second))
-		if !d.until(45*time.Second, func() bool { return first[0].gone && first[1].gone && first[4].gone && first[5].gone }) {
-			t.Errorf("cancelled jobs are %s, %s, %s, %s", first[0].state, first[1].state, first[4].state, first[5].state)
+		h.run(max(duration, 12*time.Second))
+		if !h.runUntil(45*time.Second, func() bool {
+			return running[0].toldCancelled && running[1].toldCancelled && running[4].toldCancelled && running[5].toldCancelled
+		}) {
+			t.Errorf("not all cancellations completed: %s, %s, %s, %s", running[0].state, running[1].state, running[4].state, running[5].state)
 		}
-		// Room is free then: it need not be waited for.
-		if !d.until(15*time.Second, func() bool { return d.check.begun[waiting[0].id] > 0 && d.check.begun[waiting[1].id] > 0 }) {
-			t.Error("jobs wait though what was cancelled has made room")
+		// Room is free then, and the waiting jobs must start.
+		if !h.runUntil(15*time.Second, func() bool { return h.check.startedAt[waiting[0].id] > 0 && h.check.startedAt[waiting[1].id] > 0 }) {
+			t.Error("jobs wait although the cancelled jobs have made room")
 		}
-		return d.over(6 * time.Minute)
-	}, "jobs wait for their team's limit", "the leader ended before", "the leader ended at once", "the leader ended after")
+		return h.endFaultsAndSettle(6 * time.Minute)
+	},
+		"jobs wait for their team's limit",
+		"the leader crashed before",
+		"the leader crashed at the same time",
+		"the leader crashed after")
 }
 
-// TestCancelledWhileWorkChangesHands cancels jobs in the seconds in which one controller's work
-// changes hands: it ends, is restarted in a roll, hands over, is refused, or its machines are
-// sent to others for balance, with offers, relayed reports and direct starts on their way.
-func TestCancelledWhileWorkChangesHands(t *testing.T) {
-	trials := []string{"a controller ends", "a roll", "the leader hands over", "the leader is refused", "a controller cut off", "balance"}
-	var must []string
-	for _, trial := range trials {
-		must = append(must, trial+": cancelled while machines went to another controller")
+// TestCancelWhileMachinesSwitchController cancels jobs while machines switch to another controller: theirs
+// crashes, restarts in a rolling restart, hands over leadership, is refused by the state service, is
+// partitioned, or redirects machines to rebalance. Offers, relayed reports and direct starts are in
+// flight.
+func TestCancelWhileMachinesSwitchController(t *testing.T) {
+	faults := []string{"a controller crashes", "a rolling restart", "the leader hands over", "the leader is refused", "a controller partitioned", "rebalancing"}
+	var requiredCoverage []string
+	for _, fault := range faults {
+		requiredCoverage = append(requiredCoverage, fault+": cancelled while machines went to another controller")
 	}
-	playDays(t, 10*len(trials), func(t *testing.T, seed uint64) *sim {
-		trial, variant := trials[int(seed)%len(trials)], int(seed)/len(trials)
-		d := newStage(t, seed, func(c *settings.Settings) {
-			if trial == "balance" || variant%2 == 0 {
+	runSeeds(t, 10*len(faults), func(t *testing.T, seed uint64) *sim {
+		fault, variant := faults[int(seed)%len(faults)], int(seed)/len(faults)
+		h := newHarness(t, seed, func(c *settings.Settings) {
+			if fault == "rebalancing" || variant%2 == 0 {
 				c.Tunables.RebalanceMoves = 8
 			}
 			if variant%3 == 1 {
@@ -84,51 +92,53 @@
 				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
-		next := func() *userJob {
-			i := len(d.jobs)
-			return d.add(time.Duration(4+i%9*6)*time.Second, eventlog.Job{Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5})
+		submitNext := func() *userJob {
+			i := len(h.jobs)
+			return h.submitJob(time.Duration(4+i%9*6)*time.Second, eventlog.Job{
+				Tasks: 2 + i%5, Kind: uint8(i % 5 / 4), Priority: uint8(i % 3), Spot: true, OneZone: i%6 == 5,
+			})
 		}
 		for range 8 {
-			next()
+			submitNext()
 		}
-		d.askAll(time.Second)
-		d.run(12 * time.Second)
-		l := d.leads()
-		n := d.nodes[(l.index+1)%3]
-		switch trial {
-		case "a controller ends":
+		h.pollAll(time.Second)
+		h.run(12 * time.Second)
+		leader := h.awaitLeader()
+		n := h.nodes[(leader.index+1)%3]
+		switch fault {
+		case "a controller crashes":
 			n.crash()
-			d.tr.back(n, 8*time.Second)
-		case "a roll":
-			for i, n := range d.nodes {
-				d.after(time.Duration(4*i)*time.Second, func() {
+			h.faults.restartAfter(n, 8*time.Second)
+		case "a rolling restart":
+			for i, n := range h.nodes {
+				h.after(time.Duration(4*i)*time.Second, func() {
 					n.crash()
-					d.tr.back(n, 3*time.Second)
+					h.faults.restartAfter(n, 3*time.Second)
 				})
 			}
 		case "the leader hands over":
-			l.core.Stop(l.clock())
-			l.drain()
+			leader.core.Stop(leader.clock())
+			leader.drain()
 		case "the leader is refused":
-			d.state.refuse[l.name] = true
-			d.after(12*time.Second, func() { delete(d.state.refuse, l.name) })
-		case "a controller cut off":
-			d.cuts = append(d.cuts, &cut{host: n.name, hold: variant%2 == 0})
-			d.after(7*time.Second, func() { d.heal(n.name) })
-		case "balance": // one is back, and gets its share
+			h.state.refused[leader.name] = true
+			h.after(12*time.Second, func() { delete(h.state.refused, leader.name) })
+		case "a controller partitioned":
+			h.partitions = append(h.partitions, &partition{host: n.name, holdPackets: variant%2 == 0})
+			h.after(7*time.Second, func() { h.heal(n.name) })
+		case "rebalancing": // one returns, and machines are redirected to it
 			n.crash()
-			d.run(3 * time.Second)
+			h.run(3 * time.Second)
 			n.start(false)
 		}
-		for i := range 60 { // more come, and are cancelled soon after they were accepted
-			d.after(time.Duration(i)*200*time.Millisecond, func() {
-				j := next()
-				d.after(time.Duration(100+d.r.IntN(2500))*time.Millisecond, func() {
-					if j.accepted && d.r.IntN(2) == 0 {
-						d.cancel(j, i)
-						for _, at := range d.moved {
-							if d.now-at < time.Second {
-								d.saw(trial + ": cancelled while machines went to another controller")
+		for i := range 60 { // more jobs arrive, and half of them are cancelled soon after they were accepted
+			h.after(time.Duration(i)*200*time.Millisecond, func() {
+				j := submitNext()
+				h.after(time.Duration(100+h.random.IntN(2500))*time.Millisecond, func() {
+					if j.accepted && h.random.IntN(2) == 0 {
+						h.cancelJob(j, i)
+						for _, at := range h.redirects {
+							if h.now-at < time.Second {
+								h.cover(fault + ": cancelled while machines went to another controller")
 								break
 							}
 						}
@@ -137,89 +147,98 @@
 			})
 		}
 		for _, id := range []uint64{2, 4, 6} {
-			d.after(time.Duration(d.r.IntN(6000))*time.Millisecond, func() { d.cancel(d.jobs[id], int(id)) })
+			h.after(time.Duration(h.random.IntN(6000))*time.Millisecond, func() { h.cancelJob(h.jobs[id], int(id)) })
 		}
-		d.run(25 * time.Second)
-		return d.over(8 * time.Minute)
-	}, must...)
+		h.run(25 * time.Second)
+		return h.endFaultsAndSettle(8 * time.Minute)
+	}, requiredCoverage...)
 }
 
-// TestBoundToOneZone has jobs that are bound to one zone, or to one zone for all their tasks,
-// lose machines while the zone has room for others, and while it has none: they go on there,
-// nothing starts in another zone before the old tasks are gone, and none is stuck for ever.
+// TestBoundToOneZone checks jobs that must run in a given zone, or all in one zone, and lose machines while
+// the zone has room for others and while it has none. They continue there, no task starts in another zone
+// before the old tasks are gone, and no job is stuck forever.
 func TestBoundToOneZone(t *testing.T) {
-	playDays(t, 24, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, nil)
-		var list []*userJob
-		for i, job := range []eventlog.Job{{Zone: "b", Tasks: 5}, {Zone: "b", Tasks: 3, Kind: 1}, {OneZone: true, Tasks: 5}, {OneZone: true, Tasks: 3, Kind: 1}, {Zone: "a", Tasks: 4, OneZone: true}} {
+	runSeeds(t, 24, func(t *testing.T, seed uint64) *sim {
+		h := newHarness(t, seed, nil)
+		var bound []*userJob
+		for i, job := range []eventlog.Job{
+			{Zone: "b", Tasks: 5},
+			{Zone: "b", Tasks: 3, Kind: jobs.Gang},
+			{OneZone: true, Tasks: 5},
+			{OneZone: true, Tasks: 3, Kind: jobs.Gang},
+			{Zone: "a", Tasks: 4, OneZone: true},
+		} {
 			job.Priority, job.Spot = 1, i%2 == int(seed)%2 || i == 2
-			list = append(list, d.add(time.Duration(25+5*i)*time.Second, job))
+			bound = append(bound, h.submitJob(time.Duration(25+5*i)*time.Second, job))
 		}
-		d.askAll(time.Second)
-		for _, j := range list {
-			d.runs(j, j.spec.Job.Tasks)
+		h.pollAll(time.Second)
+		for _, j := range bound {
+			h.awaitRunning(j, j.spec.Job.Tasks)
 		}
-		room := d.cloud.capacity
-		if seed%3 > 0 { // there is no more to be had for a while
-			d.cloud.capacity = 0
-			d.after(time.Duration(20+20*(seed%3))*time.Second, func() { d.cloud.capacity = room })
+		capacity := h.cloud.capacity
+		if seed%3 > 0 { // the cloud has no more machines for a while
+			h.cloud.capacity = 0
+			h.after(time.Duration(20+20*(seed%3))*time.Second, func() { h.cloud.capacity = capacity })
 		}
-		for _, j := range list {
-			on := d.busy(j)
-			if len(on) > 1 && d.r.IntN(2) == 0 {
-				on = on[:1]
+		for _, j := range bound {
+			machines := h.machinesWithTasks(j)
+			if len(machines) > 1 && h.random.IntN(2) == 0 {
+				machines = machines[:1]
 			}
-			for _, w := range on {
-				switch d.r.IntN(3) {
-				case 0: // the cloud takes it
-					w.vanish()
-					delete(d.cloud.machines, w.name)
+			for _, w := range machines {
+				switch h.random.IntN(3) {
+				case 0: // reclaimed by the cloud
+					w.terminate()
+					delete(h.cloud.machines, w.name)
 				case 1:
-					w.vanish()
-				default: // nobody hears it, and its tasks go on
-					d.trouble([]string{"cut", "mute", "deaf"}[d.r.IntN(3)], []*worker{w}, time.Duration(3+d.r.IntN(12))*time.Second)
+					w.terminate()
+				default: // its reports, its commands or both are lost while its tasks go on
+					h.injectMachineFault([]string{"partitioned", "outbound loss", "inbound loss"}[h.random.IntN(3)], []*worker{w}, time.Duration(3+h.random.IntN(12))*time.Second)
 				}
-				d.saw("a machine of a bound job lost")
+				h.cover("a machine of a bound job lost")
 			}
 		}
 		if seed%2 == 1 {
-			d.after(time.Duration(d.r.IntN(9000))*time.Millisecond, func() { d.endLeader(8 * time.Second) })
+			h.after(time.Duration(h.random.IntN(9000))*time.Millisecond, func() { h.restartLeader(8 * time.Second) })
 		}
-		before := d.check.starts
-		d.run(70 * time.Second)
-		if d.check.starts > before {
-			d.saw("tasks of bound jobs started again")
+		before := h.check.starts
+		h.run(70 * time.Second)
+		if h.check.starts > before {
+			h.cover("tasks of bound jobs started again")
 		}
-		return d.over(6 * time.Minute)
+		return h.endFaultsAndSettle(6 * time.Minute)
 	}, "a machine of a bound job lost", "tasks of bound jobs started again")
 }
 
-// TestMoreWorkThanRoom has far more work than room, urgent and not, over slow links: at least
-// half of each class, of each team and of the largest is served, nobody is stopped for work of
-// equal or lower priority, and all comes to its end.
+// TestMoreWorkThanRoom submits far more work than the capacity, urgent and not, over slow links. At least
+// half of the jobs of each class, of each team and of the largest are served, no task is stopped for work
+// of equal or lower priority, and every job ends.
 func TestMoreWorkThanRoom(t *testing.T) {
-	playDays(t, 6, func(t *testing.T, seed uint64) *sim {
-		d := newStage(t, seed, func(c *settings.Settings) {
+	runSeeds(t, 6, func(t *testing.T, seed uint64) *sim {
+		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams = []settings.Team{{Name: "team", CPUsMax: 30}, {Name: "other", CPUsMax: 30}}
 			c.Tunables.BeginWithinS = 120
 		})
-		d.cloud.capacity = 10
-		for _, n := range d.nodes {
-			d.slow[n.name] = time.Duration(100+d.r.IntN(250)) * time.Millisecond
+		h.cloud.capacity = 10
+		for _, n := range h.nodes {
+			h.latency[n.name] = time.Duration(100+h.random.IntN(250)) * time.Millisecond
 		}
-		d.slow["state"] = 150 * time.Millisecond
-		d.preempted = func(j *userJob, w *worker) {
-			d.saw("a task stopped for another job")
-			for _, o := range d.jobs {
-				if o.accepted && !o.asked && !o.toldDone && o.spec.Job.Priority > j.spec.Job.Priority {
+		h.latency["state"] = 150 * time.Millisecond
+		h.onPreempt = func(j *userJob, w *worker) {
+			h.cover("a task stopped for another job")
+			for _, o := range h.jobs {
+				if o.accepted && !o.cancelRequested && !o.toldDone && o.spec.Job.Priority > j.spec.Job.Priority {
 					return
 				}
 			}
-			d.check.fail("preempted", "a task of %d on %s, and no job of higher priority is there", j.id, w.name)
+			h.check.fail("preempted", "a task of job %d on %s was stopped, but there is no job of higher priority", j.id, w.name)
 		}
-		d.run(3 * time.Second)
+		h.run(3 * time.Second)
 		for i := range 90 {
-			job := eventlog.Job{Class: []string{"large", "small", "urgent"}[i%3], Team: []string{"team", "other"}[i/3%2], Priority: []uint8{0, 1, 2}[i%3], Spot: true}
+			job := eventlog.Job{
+				Class: []string{"large", "small", "urgent"}[i%3], Team: []string{"team", "other"}[i/3%2],
+				Priority: []uint8{0, 1, 2}[i%3], Spot: true,
+			}
 			switch i % 3 {
 			case 0:
 				job.Tasks, job.Checkpoint = 6+i%5, 5
@@ -228,69 +247,69 @@
 			default:
 				job.Tasks, job.CPUs = 1+i%3, 2
 			}
-			d.addAt(time.Duration(i)*700*time.Millisecond, time.Duration(3+d.r.IntN(8))*time.Second, job)
+			h.submitJobAfter(time.Duration(i)*700*time.Millisecond, time.Duration(3+h.random.IntN(8))*time.Second, job)
 		}
-		d.askAll(3 * time.Second)
-		d.run(4 * time.Minute)
-		d.check.served(d.now)
-		d.check.beginInTime(d.now)
-		return d.over(10 * time.Minute)
+		h.pollAll(3 * time.Second)
+		h.run(4 * time.Minute)
+		h.check.checkServedShare(h.now)
+		h.check.checkStartDelay(h.now)
+		return h.endFaultsAndSettle(10 * time.Minute)
 	}, "a task stopped for another job")
 }
 
-// TestLeftWaiting has jobs wait beside machines with room: room that is held for a first job
-// that does not fit and will not for long, and room in the only zone that a spread job has
-// left. None may wait 90 s so, and the first one is not forgotten for it.
+// TestLeftWaiting guards against jobs that wait beside free room. The room is held for the first job in the
+// order, which does not fit for a long time. No other job may wait 90 s for it, and the first job
+// must still run in the end.
 func TestLeftWaiting(t *testing.T) {
-	for _, kind := range []uint8{0, 1} {
-		d := newStage(t, uint64(kind), nil)
-		d.cloud.capacity = 6
-		stays := d.add(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: 2, Priority: 1})
-		d.askAll(2 * time.Second)
-		d.runs(stays, 6)
-		long := d.add(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and ends together
-		d.runs(long, 5)
-		if kind == 0 {
-			d.until(6*time.Minute, func() bool { return len(d.machines()) == 6 && d.somewhere(long.id) > 0 })
+	for _, kind := range []uint8{jobs.Array, jobs.Gang} {
+		h := newHarness(t, uint64(kind), nil)
+		h.cloud.capacity = 6
+		service := h.submitJob(time.Hour, eventlog.Job{Tasks: 6, CPUs: 2, Kind: jobs.Service, Priority: 1})
+		h.pollAll(2 * time.Second)
+		h.awaitRunning(service, 6)
+		long := h.submitJob(4*time.Minute, eventlog.Job{Tasks: 6, CPUs: 2, Priority: 1}) // leaves no room, and all of its tasks end together
+		h.awaitRunning(long, 5)
+		if kind == jobs.Array {
+			h.runUntil(6*time.Minute, func() bool { return len(h.machines()) == 6 && h.tasksOnMachines(long.id) > 0 })
 		}
-		d.cancel(long, 0)
-		first := d.add(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has so much
-		d.run(2 * time.Second)
+		h.cancelJob(long, 0)
+		first := h.submitJob(30*time.Second, eventlog.Job{Tasks: 6, CPUs: 4, Kind: kind, Priority: 2}) // no machine has that much room
+		h.run(2 * time.Second)
 		var small []*userJob
 		for i := range 3 {
-			small = append(small, d.add(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
+			small = append(small, h.submitJob(40*time.Second, eventlog.Job{Tasks: 2, Kind: uint8(i / 2), Priority: 1}))
 		}
-		d.run(10 * time.Second)
-		d.check.calm = d.now
-		d.run(3 * time.Minute)
+		h.run(10 * time.Second)
+		h.check.faultsEndedAt = h.now
+		h.run(3 * time.Minute)
 		for _, j := range small {
-			if d.check.begun[j.id] == 0 {
-				t.Errorf("kind %d: job %d has not begun", kind, j.id)
+			if h.check.startedAt[j.id] == 0 {
+				t.Errorf("kind %d: job %d has not started", kind, j.id)
 			}
 		}
-		d.cancel(stays, 1)
-		if !d.until(4*time.Minute, func() bool { return first.toldDone }) {
+		h.cancelJob(service, 1)
+		if !h.runUntil(4*time.Minute, func() bool { return first.toldDone }) {
 			t.Errorf("kind %d: the first job is %s", kind, first.state)
 		}
-		if len(d.check.broken) > 0 {
-			t.Errorf("kind %d: rules broken: %v", kind, d.check.broken)
+		if len(h.check.violations) > 0 {
+			t.Errorf("kind %d: violated invariants: %v", kind, h.check.violations)
 		}
 	}
 }
 
-// TestSpreadWithOneZone has a spread array wait while machines with room are in one zone only:
-// another is rented in the other.
+// TestSpreadWithOneZone submits a spread array while all machines with room are in one zone. A machine must
+// be rented in the other zone.
 func TestSpreadWithOneZone(t *testing.T) {
-	d := newStage(t, 5, nil)
-	bound := d.add(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
-	d.askAll(2 * time.Second)
-	d.runs(bound, 9)
-	spread := d.add(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // there is room for all, in one zone
-	d.run(20 * time.Second)
-	d.check.calm = d.now
-	d.run(40 * time.Second)
-	if n := d.running(spread.id); n != 3 {
+	h := newHarness(t, 5, nil)
+	bound := h.submitJob(6*time.Minute, eventlog.Job{Tasks: 9, Zone: "a", Priority: 1, Spot: true})
+	h.pollAll(2 * time.Second)
+	h.awaitRunning(bound, 9)
+	spread := h.submitJob(3*time.Minute, eventlog.Job{Tasks: 3, Spread: true, Priority: 1, Spot: true}) // one zone has room for all
+	h.run(20 * time.Second)
+	h.check.faultsEndedAt = h.now
+	h.run(40 * time.Second)
+	if n := h.runningTasks(spread.id); n != 3 {
 		t.Errorf("%d of 3 tasks run", n)
 	}
-	d.over(8 * time.Minute)
+	h.endFaultsAndSettle(8 * time.Minute)
 }
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -12,67 +12,69 @@
 	"time"
 
 	"bitternmoor/internal/core/eventlog"
+	"bitternmoor/internal/core/jobs"
 	"bitternmoor/internal/leader/runtimes"
 	"bitternmoor/internal/settings"
 	"bitternmoor/internal/wire"
 )
 
-// TestRandomDays plays days of random jobs and overlapping troubles. Every
-// rule must hold, and once the troubles are over every job must come to its
-// end. SCENARIO_DAYS sets how many; a seed that failed becomes a file of its
-// own in testdata.
+// TestRandomDays simulates random jobs with overlapping faults. Every invariant must hold, and once the
+// faults have ended every job must end. SCENARIO_DAYS sets the number of runs. A case found by a seed is
+// added to testdata as a scenario.
 func TestRandomDays(t *testing.T) {
 	days := 60
 	if v, err := strconv.Atoi(os.Getenv("SCENARIO_DAYS")); err == nil {
 		days = v
 	}
-	var played [kindsOfTrouble]atomic.Int64
+	var injected [numFaultKinds]atomic.Int64
 	t.Run("days", func(t *testing.T) {
 		for seed := range uint64(days) {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				randomDay(t, seed, &played)
+				simulateRandomFaults(t, seed, &injected)
 			})
 		}
 	})
-	for kind, name := range troubleNames {
-		t.Logf("%s: %d times", name, played[kind].Load())
+	for kind, name := range faultNames {
+		t.Logf("%s: %d times", name, injected[kind].Load())
 	}
 }
 
-func randomDay(t *testing.T, seed uint64, played *[kindsOfTrouble]atomic.Int64) {
+// simulateRandomFaults simulates one run of TestRandomDays. The seed also determines which features are in
+// use. It counts the injected faults by kind.
+func simulateRandomFaults(t *testing.T, seed uint64, injected *[numFaultKinds]atomic.Int64) {
 	r := rand.New(rand.NewPCG(seed, 99))
 	c := baseSettings()
 	c.Deployment.Teams[0].CPUsMax = float64(8 + r.IntN(40))
 	if seed%3 == 0 {
-		c.Deployment.State.ValueKB = 0.8 // so that the log is cleaned all the time
+		c.Deployment.State.ValueKB = 0.8 // so that the log is compacted all the time
 	}
 	if seed%2 == 0 {
 		kb, ops := 0.7, 4
 		c.Deployment.State.Next = &settings.NextLimits{ValueKB: &kb, TxnOps: &ops}
 	}
 	upgrade := seed%4 < 2
-	learns := seed%5 == 3
+	learnsRunTimes := seed%5 == 3
 	began := time.Duration(0)
-	if learns {
+	if learnsRunTimes {
 		c.Tunables.RunTimesKinds, c.Tunables.TakeoversKept = 100, 5
-		began = 12*time.Hour - 90*time.Second // the night ends in between
+		began = 12*time.Hour - 90*time.Second // the night ends during the run
 	}
-	spreads := seed%3 == 1 // reports are spread, zones waited for and cut, shares kept
-	if spreads {
+	rebalances := seed%3 == 1 // machines are rebalanced, zones are partitioned and waited for, shares are guaranteed
+	if rebalances {
 		c.Tunables.RebalanceMoves, c.Tunables.ZonePatienceS, c.Tunables.ServedFloor, c.Tunables.ServedWindowS = 4, 20, 0.6, 120
 		c.Tunables.ColdListen, c.Tunables.ListFirst = 1, 1
 	}
-	if seed%3 == 2 || seed%6 == 1 { // tasks are sent straight to their workers
+	if seed%3 == 2 || seed%6 == 1 { // starts are sent directly to workers
 		c.Tunables.PushDispatches, c.Tunables.ProbeSilent = 4, int(seed%2)
 		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5})
 	}
-	counted := seed%4 == 1 || seed%4 == 2 // of these one in two begins with the version in production
-	if counted {
-		poolDay(&c, r, upgrade)
+	usesPools := seed%4 == 1 || seed%4 == 2 // half of these runs start on the version in production
+	if usesPools {
+		configureRandomPools(&c, r, upgrade)
 	}
-	configures := !upgrade && seed%5 < 3 // teams and tunables are changed all the time
-	if configures {
+	changesConfig := !upgrade && seed%5 < 3 // teams and tunables are changed throughout the run
+	if changesConfig {
 		c.Tunables.ConfigHistory = 3
 	}
 	count := 3
@@ -80,7 +82,7 @@
 		count = 7
 	}
 	s := newSimAt(began, c, seed, count, upgrade)
-	if counted {
+	if usesPools {
 		s.poolUnits = map[string]int{}
 		for i, p := range c.Tunables.Pools {
 			s.poolUnits[p.Name] = p.Units
@@ -91,40 +93,40 @@
 			s.after(140*time.Second, func() { s.resize(fmt.Sprint("back", i), p.Name, p.Units) })
 		}
 	}
-	if learns {
-		s.state.facts = map[uint64]bool{}
+	if learnsRunTimes {
+		s.state.durableFacts = map[uint64]bool{}
 	}
-	if configures {
-		configDay(s, seed)
+	if changesConfig {
+		scheduleConfigChanges(s, seed)
 	}
-	upgraded := time.Duration(0) // nothing new is asked of the service before
+	upgraded := time.Duration(0) // before this time, no feature is used that the old version lacks
 	if upgrade {
 		for i, n := range s.nodes {
 			at := time.Duration(10000+15000*i+r.IntN(12000)) * time.Millisecond
 			upgraded = at + 9*time.Second
-			s.replace(n, at)
+			s.upgrade(n, at)
 		}
 	}
-	// Back to the version in production for a while, and forth again: with pools, and
-	// with nothing else that it does not know.
-	back := counted && upgrade && !learns && seed%8 == 1
-	if back {
+	// Downgrade to the version in production for a while and upgrade again, with pools and no other feature
+	// that the old version lacks.
+	downgrades := usesPools && upgrade && !learnsRunTimes && seed%8 == 1
+	if downgrades {
 		for i, n := range s.nodes {
 			for k, old := range []bool{true, false} {
 				at := upgraded + time.Duration(10+35*k+9*i+r.IntN(8))*time.Second
 				s.after(at, func() {
 					n.crash()
 					s.after(8*time.Second, func() {
-						n.crash() // it may have come back from another trouble
+						n.crash() // it may have restarted after another fault
 						n.start(old)
 					})
 				})
 			}
 		}
 	}
-	s.after(upgraded+time.Duration(r.IntN(60))*time.Second, func() { s.state.lowered = true })
+	s.after(upgraded+time.Duration(r.IntN(60))*time.Second, func() { s.state.limitsLowered = true })
 	var log []string
-	say := func(f string, a ...any) {
+	logFault := func(f string, a ...any) {
 		log = append(log, fmt.Sprintf("%v ", s.now.Round(time.Millisecond))+fmt.Sprintf(f, a...))
 	}
 	sometime := func() time.Duration { return time.Duration(r.IntN(120000)) * time.Millisecond }
@@ -137,22 +139,22 @@
 			job.Spread = false
 		}
 		if r.IntN(4) == 0 {
-			job.Kind, job.Tasks, job.CPUs = 1, 1+r.IntN(6), 1
+			job.Kind, job.Tasks, job.CPUs = jobs.Gang, 1+r.IntN(6), 1
 		}
 		service := count == 7 && r.IntN(4) == 0
 		if service {
-			job.Kind, job.Spot, job.CPUs = 2, false, 1
+			job.Kind, job.Spot, job.CPUs = jobs.Service, false, 1
 		}
-		if counted {
-			demands(r, job)
+		if usesPools {
+			addPoolUnits(r, job)
 		}
-		j := &userJob{id: id, run: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
+		j := &userJob{id: id, runTime: run, spec: wire.Submission{ID: id, HasID: true, Job: job}}
 		s.jobs[id] = j
 		at := sometime()
-		follows := r.IntN(5) < 2 && !back
+		follows := r.IntN(5) < 2 && !downgrades
 		s.after(at, func() {
 			if follows && s.now >= upgraded {
-				// A user names what was accepted, in whatever state it is.
+				// The dependencies are accepted jobs in any state.
 				for _, f := range rand.New(rand.NewPCG(seed, id)).Perm(int(id))[:min(3, id)] {
 					if b := s.jobs[uint64(f)]; b != nil && b != j && b.accepted {
 						job.Follows = append(job.Follows, b.id)
@@ -166,8 +168,8 @@
 			end = func() {
 				switch {
 				case j.accepted:
-					s.abort(j, r.IntN(3))
-				case service: // they run until they are cancelled
+					s.cancel(j, r.IntN(3))
+				case service: // services run until they are cancelled
 					s.after(5*time.Second, end)
 				}
 			}
@@ -181,14 +183,14 @@
 			})
 		}
 	}
-	tr := &troubles{s: s, r: r, zones: spreads, say: say}
+	faults := &faultInjector{sim: s, random: r, zonePartitions: rebalances, logf: logFault}
 	for range 3 + r.IntN(8) {
-		at, length, who := sometime(), time.Duration(1+r.IntN(30))*time.Second, r.IntN(count)
-		kinds := [][]trouble{mildTroubles, harshTroubles, laterTroubles}[r.IntN(3)]
+		at, duration, nodeIndex := sometime(), time.Duration(1+r.IntN(30))*time.Second, r.IntN(count)
+		kinds := [][]faultKind{mildFaults, harshFaults, specialFaults}[r.IntN(3)]
 		kind := kinds[r.IntN(len(kinds))]
 		s.after(at, func() {
-			played[kind].Add(1)
-			tr.begin(kind, length, who)
+			injected[kind].Add(1)
+			faults.inject(kind, duration, nodeIndex)
 		})
 	}
 	var poll func()
@@ -202,37 +204,37 @@
 	}
 	s.after(0, poll)
 	s.run(160 * time.Second)
-	s.check.calm = s.now
+	s.check.faultsEndedAt = s.now
 	limit := 900 * time.Second
-	if counted {
-		limit = 40 * time.Minute // few units make long queues
+	if usesPools {
+		limit = 40 * time.Minute // few units cause long queues
 	}
-	s.allEnd(t, limit)
+	s.awaitQuiescence(t, limit)
 	if t.Failed() {
 		t.Log(strings.Join(log, "\n"))
 	}
 	if s.check.starts == 0 {
-		t.Error("nothing ran")
+		t.Error("no task ran")
 	}
-	if configures {
-		s.configEverywhere(t)
+	if changesConfig {
+		s.checkConfigEverywhere(t)
 	}
-	if learns {
-		countLearned(t, s)
+	if learnsRunTimes {
+		checkLearnedRunTimes(t, s)
 	}
 }
 
-// countLearned holds what the last leader has learned against the facts that were
-// ever durable: each counts once, whoever was killed at whatever moment.
-func countLearned(t *testing.T, s *sim) {
+// checkLearnedRunTimes checks that the last leader has counted each durable run-time fact exactly once,
+// whichever controllers crashed and when.
+func checkLearnedRunTimes(t *testing.T, s *sim) {
 	s.run(10 * time.Second)
-	if !s.until(30*time.Second, func() bool { return s.leader() != nil }) {
-		t.Fatal("nobody leads in the end")
+	if !s.runUntil(30*time.Second, func() bool { return s.leader() != nil }) {
+		t.Fatal("no leader at the end")
 	}
-	l := s.leader()
-	raw, known, err := l.core.Show(l.clock(), runtimes.Name)
+	leader := s.leader()
+	raw, known, err := leader.core.Show(leader.clock(), runtimes.Name)
 	if err != nil || !known {
-		t.Fatalf("what was learned is not shown: %v", err)
+		t.Fatalf("the learned run times are not shown: %v", err)
 	}
 	var kinds []struct {
 		Name     string
@@ -241,13 +243,13 @@
 	if err := json.Unmarshal(raw, &kinds); err != nil {
 		t.Fatal(err)
 	}
-	got := 0
+	counted := 0
 	for _, k := range kinds {
 		if k.Name == "class///" {
-			got = k.Estimate.Jobs
+			counted = k.Estimate.Jobs
 		}
 	}
-	if got != len(s.state.facts) {
-		t.Errorf("%d jobs are counted, %d facts were durable", got, len(s.state.facts))
+	if counted != len(s.state.durableFacts) {
+		t.Errorf("%d jobs are counted, %d facts were durable", counted, len(s.state.durableFacts))
 	}
 }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -18,132 +18,142 @@
 	"bitternmoor/internal/wire"
 )
 
-// event is something due at a time; seq keeps the order of equal times.
+// event is a callback that is due at a simulated time; seq orders events with equal times.
 type event struct {
 	at  time.Duration
 	seq int
-	f   func()
+	run func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	return q[i].at < q[j].at || (q[i].at == q[j].at && q[i].seq < q[j].seq)
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	e := old[len(old)-1]
 	*q = old[:len(old)-1]
 	return e
 }
 
-// cut is an interruption between a host and others. Held packets arrive when
-// it ends, others are lost.
-type cut struct {
-	host   string
-	with   string          // empty: all hosts
-	inside map[string]bool // of a zone that is cut off: hosts that go on reaching one another
-	hold   bool
-	held   []func()
+// partition is a network partition between a host and others. With holdPackets, packets are
+// delivered when it heals; otherwise they are lost.
+type partition struct {
+	host        string
+	peer        string          // the other host; empty: all hosts
+	sameSide    map[string]bool // hosts on the same side of the partition, which still reach one another
+	holdPackets bool
+	heldPackets []func()
 }
 
-// sim is the simulated world.
+// sim is a discrete-event simulation of the platform.
 type sim struct {
-	now   time.Duration
-	q     queue
-	seq   int
-	rng   *rand.Rand
-	cfg   settings.Settings
-	nodes []*controller
-	state *stateService
-	cloud *cloud
-	check *checker
-	cuts  []*cut
-	cutAt map[string][]*cut // by host, of the first so many cuts; made anew when their number differs
-	cutN  int
-	slow  map[string]time.Duration // hosts that take so much longer for everything
-	jobs  map[uint64]*userJob
-	deaf  map[string]bool // hosts that are heard, and that nothing reaches
-	again time.Duration   // reports and direct commands arrive once more, so much later at most; 0: not
-	mute  map[string]bool // machines that reach no controller, while direct commands reach them
-
-	frozen    map[string]time.Duration // controllers that stand still, and until when; their clocks run on
-	keep      float64                  // of that share of the reports a copy is kept for the next leader
-	kept      []*workers.Report
-	preempted func(j *userJob, w *worker) // told of tasks that run and are stopped; nil: nobody listens
-	moment    func(what string)           // told of steps on the way from a rental to a start; nil: nobody listens
-	atEnd     float64                     // that share of the jobs that end is cancelled at the moment of its end
-	looks     bool                        // users ask at all controllers, and submit again, right after an answer that tells something new
-	strange   uint64                      // ids of odd submissions, which nobody may be told of, count down from here
-
-	began time.Duration // time of day at time 0
-
-	moved    []time.Duration        // when machines were sent, or went, to another controller
-	launches int                    // direct starts that were sent
-	ends     map[task]time.Duration // when the last start of a task will have run
-	seen     map[string]int         // what troubles really brought about, by its words
-	scale    *scaleCounts           // nil but on days that are measured
-
-	configs   configPlay
-	poolUnits map[string]int      // most units that may be out, by pool
-	resizes   map[string][]func() // changes of pools that wait for one another, the one under way first
-}
-
-// newSim makes a world of so many controllers; with old they begin with the
-// version in production.
-func newSim(cfg settings.Settings, seed uint64, count int, old bool) *sim {
-	return newSimAt(0, cfg, seed, count, old)
-}
-
-// newSimAt makes one that begins at a time of day.
-func newSimAt(began time.Duration, cfg settings.Settings, seed uint64, count int, old bool) *sim {
-	s := &sim{began: began, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, jobs: map[uint64]*userJob{}, deaf: map[string]bool{}, mute: map[string]bool{}, frozen: map[string]time.Duration{}, strange: 999_000, slow: map[string]time.Duration{}, ends: map[task]time.Duration{}}
-	s.state = &stateService{s: s, items: map[string]item{}, holds: map[uint64]*hold{}, refuse: map[string]bool{}}
-	s.cloud = &cloud{s: s, answers: map[string][]string{}, machines: map[string]*worker{}, told: map[string]bool{}, capacity: 40, boot: 5 * time.Second}
-	s.check = &checker{s: s, on: map[task]map[string]bool{}}
+	now               time.Duration
+	events            eventQueue
+	seq               int
+	rng               *rand.Rand
+	cfg               settings.Settings
+	nodes             []*controller
+	state             *stateService
+	cloud             *cloud
+	check             *checker
+	partitions        []*partition
+	partitionsByHost  map[string][]*partition  // index, rebuilt when indexedPartitions is out of date
+	indexedPartitions int                      // number of partitions in the index
+	latency           map[string]time.Duration // added latency of packets, by receiving host
+	jobs              map[uint64]*userJob
+	inboundLost       map[string]bool // hosts to which all packets are lost, while those from them arrive
+	duplicateDelay    time.Duration   // largest delay of duplicated reports and commands; 0: none
+	reportsLost       map[string]bool // machines whose reports are dropped, while direct commands reach them
+
+	pausedUntil      map[string]time.Duration // paused controllers, and until when; their clocks keep running
+	replayShare      float64                  // share of the reports to be replayed to the next leader
+	replayReports    []*workers.Report
+	onPreempt        func(j *userJob, w *worker) // called when a running task is stopped; may be nil
+	onStep           func(what string)           // called around each step from a rental to a start; may be nil
+	cancelAtEndShare float64                     // share of the jobs cancelled as their last task completes
+	intensivePolling bool                        // users poll and resubmit at all controllers after new answers
+	lastInvalidID    uint64                      // id of the latest invalid new submission; counts down
+
+	startTimeOfDay time.Duration // time of day at simulated time 0
+
+	redirects        []time.Duration        // when machines switched to another controller
+	directDispatches int                    // number of start commands sent directly to workers
+	runEnds          map[task]time.Duration // when the latest run of a task is due to complete
+	coverage         map[string]int         // how often each effect of a fault occurred, by description
+	loadStats        *loadStats             // nil except in runs that measure scale
+
+	configs      configTracker
+	poolUnits    map[string]int      // most units that may be in use, by pool
+	resizeQueues map[string][]func() // queued resize requests by pool, the one in progress first
+}
+
+// newSim returns a simulation with count controllers; with oldVersion they start on the version
+// in production.
+func newSim(cfg settings.Settings, seed uint64, count int, oldVersion bool) *sim {
+	return newSimAt(0, cfg, seed, count, oldVersion)
+}
+
+// newSimAt is newSim with a time of day at which the simulation begins.
+func newSimAt(startTimeOfDay time.Duration, cfg settings.Settings, seed uint64, count int, oldVersion bool) *sim {
+	s := &sim{
+		startTimeOfDay: startTimeOfDay, rng: rand.New(rand.NewPCG(seed, 7)), cfg: cfg, jobs: map[uint64]*userJob{},
+		inboundLost: map[string]bool{}, reportsLost: map[string]bool{}, pausedUntil: map[string]time.Duration{},
+		lastInvalidID: 999_000, latency: map[string]time.Duration{}, runEnds: map[task]time.Duration{},
+	}
+	s.state = &stateService{sim: s, items: map[string]item{}, leases: map[uint64]*lease{}, refused: map[string]bool{}}
+	s.cloud = &cloud{
+		sim: s, rentalAnswers: map[string][]string{}, machines: map[string]*worker{}, rentalAnswered: map[string]bool{},
+		capacity: 40, bootTime: 5 * time.Second,
+	}
+	s.check = &checker{sim: s, placements: map[task]map[string]bool{}}
 	for i := range count {
-		c := cfg
-		c.Node = fmt.Sprintf("n%d", i)
-		c.Peers = nil
-		for k := range count {
-			if k != i {
-				c.Peers = append(c.Peers, settings.Peer{Node: fmt.Sprintf("n%d", k), Zone: []string{"a", "a", "b"}[k%3]})
+		nodeCfg := cfg
+		nodeCfg.Node = fmt.Sprintf("n%d", i)
+		nodeCfg.Peers = nil
+		for peerIndex := range count {
+			if peerIndex != i {
+				nodeCfg.Peers = append(nodeCfg.Peers, settings.Peer{Node: fmt.Sprintf("n%d", peerIndex), Zone: []string{"a", "a", "b"}[peerIndex%3]})
 			}
 		}
-		s.nodes = append(s.nodes, &controller{s: s, index: i, name: c.Node, cfg: &c})
+		s.nodes = append(s.nodes, &controller{sim: s, index: i, name: nodeCfg.Node, cfg: &nodeCfg})
 	}
 	for _, n := range s.nodes {
-		n.start(old)
+		n.start(oldVersion)
 	}
-	var look func()
-	look = func() {
-		s.check.stillWaiting()
-		s.after(time.Second, look)
+	var checkWaiting func()
+	checkWaiting = func() {
+		s.check.checkStarvation()
+		s.after(time.Second, checkWaiting)
 	}
-	s.after(0, look)
+	s.after(0, checkWaiting)
 	return s
 }
 
+// after schedules f to run after a simulated delay.
 func (s *sim) after(d time.Duration, f func()) {
 	s.seq++
-	heap.Push(&s.q, event{s.now + max(d, 0), s.seq, f})
+	heap.Push(&s.events, event{s.now + max(d, 0), s.seq, f})
 }
 
+// run runs the events of the next d of simulated time.
 func (s *sim) run(d time.Duration) {
 	end := s.now + d
-	for len(s.q) > 0 && s.q[0].at <= end {
-		e := heap.Pop(&s.q).(event)
+	for len(s.events) > 0 && s.events[0].at <= end {
+		e := heap.Pop(&s.events).(event)
 		s.now = e.at
-		e.f()
+		e.run()
 	}
 	s.now = end
 }
 
-// until runs until the condition holds, and says whether it came to hold.
-func (s *sim) until(limit time.Duration, done func() bool) bool {
+// runUntil runs the simulation until the condition holds or the limit is reached, and reports
+// whether the condition holds.
+func (s *sim) runUntil(limit time.Duration, done func() bool) bool {
 	end := s.now + limit
 	for s.now < end && !done() {
 		s.run(100 * time.Millisecond)
@@ -151,66 +161,67 @@
 	return done()
 }
 
-func (s *sim) between(a, b string) *cut {
-	if len(s.cuts) != s.cutN { // half of a large fleet may be cut off: not all are looked through for each packet
-		s.cutAt, s.cutN = map[string][]*cut{}, len(s.cuts)
-		for _, c := range s.cuts {
-			s.cutAt[c.host] = append(s.cutAt[c.host], c)
+// partitionBetween returns a partition that separates two hosts, or nil.
+func (s *sim) partitionBetween(a, b string) *partition {
+	if len(s.partitions) != s.indexedPartitions { // indexed by host, as half of a large fleet may be partitioned
+		s.partitionsByHost, s.indexedPartitions = map[string][]*partition{}, len(s.partitions)
+		for _, p := range s.partitions {
+			s.partitionsByHost[p.host] = append(s.partitionsByHost[p.host], p)
 		}
 	}
-	for _, x := range [2][2]string{{a, b}, {b, a}} {
-		for _, c := range s.cutAt[x[0]] {
-			if (c.with == "" || c.with == x[1]) && !c.inside[x[1]] {
-				return c
+	for _, pair := range [2][2]string{{a, b}, {b, a}} {
+		for _, p := range s.partitionsByHost[pair[0]] {
+			if (p.peer == "" || p.peer == pair[1]) && !p.sameSide[pair[1]] {
+				return p
 			}
 		}
 	}
 	return nil
 }
 
-// comes tells whoever listens that a step is about to be done, or was.
-func (s *sim) comes(what string) {
-	if s.moment != nil {
-		s.moment(what)
+// reachStep calls the hook, if there is one, before or after a step.
+func (s *sim) reachStep(what string) {
+	if s.onStep != nil {
+		s.onStep(what)
 	}
 }
 
-// saw counts something that a trouble really brought about.
-func (s *sim) saw(what string) {
-	if s.seen == nil {
-		s.seen = map[string]int{}
+// cover counts an effect of a fault that occurred, to verify the coverage of randomized runs.
+func (s *sim) cover(what string) {
+	if s.coverage == nil {
+		s.coverage = map[string]int{}
 	}
-	s.seen[what]++
+	s.coverage[what]++
 }
 
-// copies has a message arrive once more, now and then.
-func (s *sim) copies(f func()) {
-	if s.again > 0 && s.rng.IntN(4) == 0 {
-		s.after(time.Duration(s.rng.Int64N(int64(s.again))), f)
+// maybeDuplicate duplicates one message in four, with a random delay, while duplication is on.
+func (s *sim) maybeDuplicate(deliver func()) {
+	if s.duplicateDelay > 0 && s.rng.IntN(4) == 0 {
+		s.after(time.Duration(s.rng.Int64N(int64(s.duplicateDelay))), deliver)
 	}
 }
 
-// deliverKept has the copies of reports that were kept reach every controller: as a new
-// leader begins, and once it has acted.
-func (s *sim) deliverKept() {
-	list := s.kept
-	s.kept = nil
-	for _, r := range list {
+// replayToNewLeader replays the copied reports to every controller, both as a new leader's term
+// starts and after the leader has acted.
+func (s *sim) replayToNewLeader() {
+	reports := s.replayReports
+	s.replayReports = nil
+	for _, r := range reports {
 		for _, n := range s.nodes {
 			for _, after := range []time.Duration{0, 5, 20, 1000, 5000} {
 				s.after(after*time.Millisecond+time.Duration(s.rng.IntN(4000))*time.Microsecond, func() {
-					if !n.up || s.stands(n.name) > 0 {
+					if !n.up || s.pausedFor(n.name) > 0 {
 						return
 					}
 					if leads, _ := n.core.Leading(); leads && n.core.Epoch() > r.Token>>cluster.TokenBits {
-						s.saw("a kept report reached the next leader")
+						s.cover("replayed report reached the next leader")
 						if w := s.cloud.machines[r.Machine]; w == nil {
-							s.saw("a kept report of a machine deleted since")
+							s.cover("replayed report of a deleted machine")
 						} else if r.Session < w.session {
-							s.saw("a kept report of an earlier session")
+							s.cover("replayed report of an earlier session")
 						}
 					}
-					n.core.HandleHeartbeat(n.clock(), 0, r) // nobody hears the answer
+					n.core.HandleHeartbeat(n.clock(), 0, r) // the answer is discarded
 					n.drain()
 				})
 			}
@@ -218,149 +229,151 @@
 	}
 }
 
-// send carries a packet; f runs at its arrival.
+// send transmits a packet between two hosts; f runs when it arrives.
 func (s *sim) send(from, to string, f func()) {
-	if s.deaf[to] {
-		s.saw("a packet to a deaf machine lost")
+	if s.inboundLost[to] {
+		s.cover("packet to a machine lost in a one-way partition")
 		return
 	}
-	if c := s.between(from, to); c != nil {
-		if c.hold {
-			c.held = append(c.held, f)
+	if p := s.partitionBetween(from, to); p != nil {
+		if p.holdPackets {
+			p.heldPackets = append(p.heldPackets, f)
 		}
 		return
 	}
-	s.after(s.stands(to)+time.Millisecond+s.slow[to]+time.Duration(s.rng.IntN(3000))*time.Microsecond, f)
+	s.after(s.pausedFor(to)+time.Millisecond+s.latency[to]+time.Duration(s.rng.IntN(3000))*time.Microsecond, f)
 }
 
-// stands is for how long a host will stand still yet.
-func (s *sim) stands(host string) time.Duration { return max(0, s.frozen[host]-s.now) }
+// pausedFor returns for how long a host remains paused.
+func (s *sim) pausedFor(host string) time.Duration { return max(0, s.pausedUntil[host]-s.now) }
 
-// cutZone has a zone's machines and a controller reach one another and nobody else, for a
-// while; 0: until all is healed.
-func (s *sim) cutZone(zone, node string, length time.Duration, hold bool) {
+// partitionZone partitions a zone: its machines and one controller reach only one another, for
+// the given duration, or until healed if it is 0.
+func (s *sim) partitionZone(zone, node string, duration time.Duration, hold bool) {
 	inside := map[string]bool{node: true}
-	for n, w := range s.cloud.machines {
+	for name, w := range s.cloud.machines {
 		if w.zone == zone {
-			inside[n] = true
+			inside[name] = true
 		}
 	}
-	for h := range inside {
-		s.cuts = append(s.cuts, &cut{host: h, inside: inside, hold: hold})
-		if length > 0 {
-			s.after(length, func() { s.heal(h) })
+	for host := range inside {
+		s.partitions = append(s.partitions, &partition{host: host, sameSide: inside, holdPackets: hold})
+		if duration > 0 {
+			s.after(duration, func() { s.heal(host) })
 		}
 	}
 }
 
+// heal ends the partitions of a host and delivers the packets that were held.
 func (s *sim) heal(host string) {
-	s.cutN = -1
-	s.cuts = slices.DeleteFunc(s.cuts, func(c *cut) bool {
-		if c.host != host {
+	s.indexedPartitions = -1
+	s.partitions = slices.DeleteFunc(s.partitions, func(p *partition) bool {
+		if p.host != host {
 			return false
 		}
-		for _, f := range c.held {
+		for _, f := range p.heldPackets {
 			s.after(time.Millisecond, f)
 		}
 		return true
 	})
 }
 
-// call makes a request with a deadline. serve runs at the server and hands
-// its result to reply; done gets the result, or ok false at the deadline.
-func call[T any](s *sim, from, to string, limit time.Duration, serve func(reply func(T)), done func(res T, ok bool)) {
-	over := false
+// call makes a request with a deadline. serve runs at the server and passes its result to
+// reply; done receives the result, or ok false at the deadline.
+func call[T any](s *sim, from, to string, timeout time.Duration, serve func(reply func(T)), done func(res T, ok bool)) {
+	finished := false
 	s.send(from, to, func() {
 		serve(func(res T) {
 			s.send(to, from, func() {
-				if !over {
-					over = true
+				if !finished {
+					finished = true
 					done(res, true)
 				}
 			})
 		})
 	})
-	var late func()
-	late = func() {
-		switch still := s.stands(from); {
-		case over:
-		case still > 0: // it notices only then, and takes no answer that is as late
-			s.after(still, late)
+	var expire func()
+	expire = func() {
+		switch remaining := s.pausedFor(from); {
+		case finished:
+		case remaining > 0: // a paused caller times out when it resumes; an answer that the pause delayed is dropped
+			s.after(remaining, expire)
 		default:
-			over = true
-			var none T
-			done(none, false)
+			finished = true
+			var zero T
+			done(zero, false)
 		}
 	}
-	s.after(limit, late)
+	s.after(timeout, expire)
 }
 
-// controller runs a core.
+// controller runs a controller's core in the simulation.
 type controller struct {
-	s       *sim
-	index   int
-	name    string
-	cfg     *settings.Settings
-	core    *node.Core
-	life    int // counts starts; inputs of an earlier life are dropped
-	began   time.Duration
-	up      bool
-	old     bool // runs the version in production, see frozen_test.go
-	asker   effects.RequestID
-	users   map[effects.RequestID]func(effects.Answer)
-	reports map[effects.RequestID]func(effects.HeartbeatAnswer)
-	notes   []string
-}
-
-func (c *controller) start(old bool) {
-	c.life++
+	sim           *sim
+	index         int
+	name          string
+	cfg           *settings.Settings
+	core          *node.Core
+	incarnation   int // number of process starts and crashes; inputs for an earlier one are dropped
+	startedAt     time.Duration
+	up            bool
+	oldVersion    bool // runs the version in production, see frozen_test.go
+	lastRequest   effects.RequestID
+	userReplies   map[effects.RequestID]func(effects.Answer)
+	reportReplies map[effects.RequestID]func(effects.HeartbeatAnswer)
+	logMessages   []string
+}
+
+func (c *controller) start(oldVersion bool) {
+	c.incarnation++
 	c.up = true
-	c.old = old
-	c.began = c.s.now
+	c.oldVersion = oldVersion
+	c.startedAt = c.sim.now
 	cfg := *c.cfg
-	if old {
-		cfg.Deployment.State.Next = nil // it does not know of them
+	if oldVersion {
+		cfg.Deployment.State.Next = nil // not supported by that version
 		cfg.Tunables.NoteReturns, cfg.Tunables.NoteTasks, cfg.Tunables.TakeoversKept, cfg.Tunables.RunTimesKinds = 0, 0, 0, 0
 		cfg.Tunables.ColdListen, cfg.Tunables.ColdKept, cfg.Tunables.ListFirst, cfg.Tunables.AdaptCalls, cfg.Tunables.ZonePatienceS, cfg.Tunables.RebalanceMoves = 0, 0, 0, 0, 0, 0
 		cfg.Tunables.Pools, cfg.Tunables.PushDispatches, cfg.Tunables.ProbeSilent, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
 	}
-	c.core = node.NewCore(&cfg, (c.s.began + c.s.now).Milliseconds())
-	c.users = map[effects.RequestID]func(effects.Answer){}
-	c.reports = map[effects.RequestID]func(effects.HeartbeatAnswer){}
-	life := c.life
+	c.core = node.NewCore(&cfg, (c.sim.startTimeOfDay + c.sim.now).Milliseconds())
+	c.userReplies = map[effects.RequestID]func(effects.Answer){}
+	c.reportReplies = map[effects.RequestID]func(effects.HeartbeatAnswer){}
+	incarnation := c.incarnation
 	var tick func()
 	tick = func() {
-		if c.life != life || !c.up {
+		if c.incarnation != incarnation || !c.up {
 			return
 		}
-		if still := c.s.stands(c.name); still > 0 {
-			c.s.after(still, tick)
+		if remaining := c.sim.pausedFor(c.name); remaining > 0 {
+			c.sim.after(remaining, tick)
 			return
 		}
-		c.s.scale.time("ticks", func() { c.core.Tick(c.clock()) })
+		c.sim.loadStats.timeInput("ticks", func() { c.core.Tick(c.clock()) })
 		c.drain()
-		c.s.after(50*time.Millisecond, tick)
+		c.sim.after(50*time.Millisecond, tick)
 	}
-	c.s.after(time.Duration(c.index)*7*time.Millisecond, tick)
+	c.sim.after(time.Duration(c.index)*7*time.Millisecond, tick)
 }
 
-// replace has a controller with the version in production end, and be back with this one.
-func (s *sim) replace(n *controller, at time.Duration) {
+// upgrade upgrades a controller from the version in production to the current one at the given
+// time, with 8 seconds of downtime.
+func (s *sim) upgrade(n *controller, at time.Duration) {
 	s.after(at, func() {
 		n.crash()
-		n.old = false
+		n.oldVersion = false
 		s.after(8*time.Second, func() {
 			if !n.up {
-				n.start(n.old)
+				n.start(n.oldVersion)
 			}
 		})
 	})
 }
 
-// entries reads a segment as this controller's version does.
-func (c *controller) entries(value json.RawMessage) []eventlog.Entry {
-	if c.old {
-		value = asProductionReads(value)
+// decodeSegment decodes a log segment as this controller's version does.
+func (c *controller) decodeSegment(value json.RawMessage) []eventlog.Entry {
+	if c.oldVersion {
+		value = reencodeAsProduction(value)
 	}
 	list, err := eventlog.Decode(value)
 	if err != nil {
@@ -369,28 +382,29 @@
 	return list
 }
 
-func (c *controller) crash() { c.up = false; c.life++ }
+func (c *controller) crash() { c.up = false; c.incarnation++ }
 
-// clock is the node's steady clock: it starts with the process, and the
-// clocks of nodes run apart as far as they may.
+// clock returns the node's monotonic clock. It starts with the process, and the clocks of
+// nodes drift apart at the largest rate that is allowed.
 func (c *controller) clock() time.Duration {
-	d := c.s.now - c.began
+	d := c.sim.now - c.startedAt
 	return d + time.Duration(float64(d)*0.0005*float64(c.index%2))
 }
 
-// into wraps an input so that it is dropped when the process has ended.
-func (c *controller) into(f func(now time.Duration)) func() {
-	life := c.life
+// input wraps an input to the core: it is dropped if the process has ended since, and delayed
+// while the controller is paused.
+func (c *controller) input(f func(now time.Duration)) func() {
+	incarnation := c.incarnation
 	var run func()
 	run = func() {
-		if c.life != life || !c.up {
+		if c.incarnation != incarnation || !c.up {
 			return
 		}
-		if still := c.s.stands(c.name); still > 0 {
-			c.s.after(still, run)
+		if remaining := c.sim.pausedFor(c.name); remaining > 0 {
+			c.sim.after(remaining, run)
 			return
 		}
-		c.s.scale.time("results", func() { f(c.clock()) })
+		c.sim.loadStats.timeInput("results", func() { f(c.clock()) })
 		c.drain()
 	}
 	return run
@@ -398,176 +412,179 @@
 
 func (c *controller) drain() {
 	for _, e := range c.core.TakeEffects() {
-		c.do(e)
+		c.execute(e)
 	}
 }
 
-const wait = 1200 * time.Millisecond
+const callTimeout = 1200 * time.Millisecond
 
-func (c *controller) do(e effects.Effect) {
-	s := c.s
-	s.scale.effect(e)
+func (c *controller) execute(e effects.Effect) {
+	s := c.sim
+	s.loadStats.countEffect(e)
 	switch e := e.(type) {
 	case effects.Reply:
-		if f := c.users[e.To]; f != nil {
-			delete(c.users, e.To)
+		if f := c.userReplies[e.To]; f != nil {
+			delete(c.userReplies, e.To)
 			f(e.Answer)
 		}
 	case effects.ReplyHeartbeat:
-		if f := c.reports[e.To]; f != nil {
-			delete(c.reports, e.To)
+		if f := c.reportReplies[e.To]; f != nil {
+			delete(c.reportReplies, e.To)
 			f(e.Answer)
 		}
 	case effects.RelayHeartbeat:
-		life := c.life
-		if o := s.node(e.Leader); o != nil {
-			call(s, c.name, o.name, wait, func(reply func(effects.HeartbeatAnswer)) {
-				if !o.up {
+		incarnation := c.incarnation
+		if peer := s.node(e.Leader); peer != nil {
+			call(s, c.name, peer.name, callTimeout, func(reply func(effects.HeartbeatAnswer)) {
+				if !peer.up {
 					return
 				}
-				o.asker++
-				o.reports[o.asker] = reply
-				s.scale.time("reports of peers", func() { o.core.HandleRelayedHeartbeat(o.clock(), o.asker, between(c, o, e.Report)) })
-				o.drain()
+				peer.lastRequest++
+				peer.reportReplies[peer.lastRequest] = reply
+				s.loadStats.timeInput("reports of peers", func() {
+					peer.core.HandleRelayedHeartbeat(peer.clock(), peer.lastRequest, convertRelay(c, peer, e.Report))
+				})
+				peer.drain()
 			}, func(a effects.HeartbeatAnswer, ok bool) {
-				a = answered(c, o, a)
-				if c.life == life {
-					c.into(func(now time.Duration) { c.core.RelayAnswered(now, e.To, a, ok) })()
+				a = convertRelayAnswer(c, peer, a)
+				if c.incarnation == incarnation {
+					c.input(func(now time.Duration) { c.core.RelayAnswered(now, e.To, a, ok) })()
 				}
 			})
 		}
 	case effects.Heartbeat:
-		if o := s.node(e.Peer); o != nil {
-			call(s, c.name, o.name, wait, func(reply func(uint64)) {
-				if o.up {
-					o.core.HeartbeatReceived(o.clock(), c.name, e.Epoch, e.Fleet)
-					reply(s.tellConfig(c, o, e.Config))
-					o.drain()
+		if peer := s.node(e.Peer); peer != nil {
+			call(s, c.name, peer.name, callTimeout, func(reply func(uint64)) {
+				if peer.up {
+					peer.core.HeartbeatReceived(peer.clock(), c.name, e.Epoch, e.Fleet)
+					reply(s.applyConfigUpdate(c, peer, e.Config))
+					peer.drain()
 				}
 			}, func(revision uint64, ok bool) {
 				if ok {
-					c.into(func(now time.Duration) {
-						c.core.HeartbeatAnswered(now, o.name)
-						if e.Config != nil && !o.old {
-							c.core.ConfigAcknowledged(now, e.Epoch, o.name, revision)
+					c.input(func(now time.Duration) {
+						c.core.HeartbeatAnswered(now, peer.name)
+						if e.Config != nil && !peer.oldVersion {
+							c.core.ConfigAcknowledged(now, e.Epoch, peer.name, revision)
 						}
 					})()
 				}
 			})
 		}
 	case effects.ProbePeer:
-		if o := s.node(e.Peer); o != nil {
-			call(s, c.name, o.name, wait, func(reply func(bool)) {
-				if o.up {
+		if peer := s.node(e.Peer); peer != nil {
+			call(s, c.name, peer.name, callTimeout, func(reply func(bool)) {
+				if peer.up {
 					reply(true)
 				}
 			}, func(_, ok bool) {
-				c.into(func(now time.Duration) { c.core.PeerReached(now, o.name, ok) })()
+				c.input(func(now time.Duration) { c.core.PeerReached(now, peer.name, ok) })()
 			})
 		}
 	case effects.AskPreviousLeader:
-		if o := s.node(e.Peer); o != nil {
-			life := c.life
-			call(s, c.name, o.name, wait, func(reply func(leadership.LeaderRecord)) {
-				if o.up && !o.old {
-					led, now := o.core.PreviousLeader(e.Epoch), o.clock()
-					led.Since, led.Until = led.Since-now, led.Until-now // so long before
-					reply(led)
+		if peer := s.node(e.Peer); peer != nil {
+			incarnation := c.incarnation
+			call(s, c.name, peer.name, callTimeout, func(reply func(leadership.LeaderRecord)) {
+				if peer.up && !peer.oldVersion {
+					record, now := peer.core.PreviousLeader(e.Epoch), peer.clock()
+					record.Since, record.Until = record.Since-now, record.Until-now // relative, because clocks differ
+					reply(record)
 				}
-			}, func(led leadership.LeaderRecord, ok bool) {
-				if c.life == life {
-					c.into(func(now time.Duration) {
-						led.Since, led.Until = now+led.Since, now+led.Until
-						c.core.PreviousLeaderReported(now, e.Epoch, o.name, led, ok)
+			}, func(record leadership.LeaderRecord, ok bool) {
+				if c.incarnation == incarnation {
+					c.input(func(now time.Duration) {
+						record.Since, record.Until = now+record.Since, now+record.Until
+						c.core.PreviousLeaderReported(now, e.Epoch, peer.name, record, ok)
 					})()
 				}
 			})
 		}
 	case effects.LeadershipRequest:
-		s.state.lead(c, e.Request)
+		s.state.handleLeadership(c, e.Request)
 	case effects.LoadLog:
-		s.state.load(c, e.Epoch)
+		s.state.loadLog(c, e.Epoch)
 	case effects.Commit:
 		s.state.commit(c, e.Txn)
 	case effects.ReadBack:
-		s.state.recheck(c, e.Key)
+		s.state.readBack(c, e.Key)
 	case effects.ReadValues:
-		s.state.values(c, e.Component, e.AfterKey)
+		s.state.readValues(c, e.Component, e.AfterKey)
 	case effects.SendStops:
 		for _, cmd := range e.Stops {
 			if cmd.Op != workers.Stop {
-				s.check.fail("starts", "a direct command that is no stop")
+				s.check.fail("starts", "a SendStops effect has a command other than a stop")
 			}
 		}
-		if w := s.cloud.machines[e.Address]; w != nil {
-			s.send(c.name, w.name, func() { w.direct(e.Token, e.Session, e.Stops, func(*workers.Report) {}) })
+		if target := s.cloud.machines[e.Address]; target != nil {
+			s.send(c.name, target.name, func() { target.handleDirect(e.Token, e.Session, e.Stops, func(*workers.Report) {}) })
 		}
 	case effects.ProbeWorker:
-		if w := s.cloud.machines[e.Address]; w != nil {
-			life, epoch := c.life, c.core.Epoch()
-			call(s, c.name, w.name, time.Second, func(reply func(bool)) {
-				if w.up && !w.hung {
+		if target := s.cloud.machines[e.Address]; target != nil {
+			incarnation, epoch := c.incarnation, c.core.Epoch()
+			call(s, c.name, target.name, time.Second, func(reply func(bool)) {
+				if target.up && !target.hung {
 					reply(true)
 				}
 			}, func(_, ok bool) {
-				if c.life == life {
-					c.into(func(now time.Duration) { c.core.WorkerProbed(now, epoch, e.Machine, ok) })()
+				if c.incarnation == incarnation {
+					c.input(func(now time.Duration) { c.core.WorkerProbed(now, epoch, e.Machine, ok) })()
 				}
 			})
 		}
 	case effects.Dispatch:
-		life := c.life
+		incarnation := c.incarnation
 		epoch := c.core.Epoch()
-		if w := s.cloud.machines[e.Address]; w != nil {
-			s.launches++
-			begun := w.life
-			arrives := func() {
-				if w.life != begun && w.up && !w.hung && e.Session == w.session && e.Token >= w.token {
-					s.saw("a start carried out by the machine's next life")
+		if target := s.cloud.machines[e.Address]; target != nil {
+			s.directDispatches++
+			targetIncarnation := target.incarnation
+			recordArrival := func() {
+				if target.incarnation != targetIncarnation && target.up && !target.hung && e.Session == target.session && e.Token >= target.token {
+					s.cover("start executed by a later incarnation of the machine")
 				}
 			}
-			s.copies(func() { w.direct(e.Token, e.Session, e.Starts, func(*workers.Report) {}) })
-			call(s, c.name, w.name, time.Second, func(reply func(*workers.Report)) {
-				arrives()
-				w.direct(e.Token, e.Session, e.Starts, reply)
-			}, func(r *workers.Report, _ bool) {
-				if c.life == life {
-					c.into(func(now time.Duration) { c.core.Dispatched(now, epoch, e.Machine, e.Token, e.Starts, r) })()
+			s.maybeDuplicate(func() { target.handleDirect(e.Token, e.Session, e.Starts, func(*workers.Report) {}) })
+			call(s, c.name, target.name, time.Second, func(reply func(*workers.Report)) {
+				recordArrival()
+				target.handleDirect(e.Token, e.Session, e.Starts, reply)
+			}, func(report *workers.Report, _ bool) {
+				if c.incarnation == incarnation {
+					c.input(func(now time.Duration) { c.core.Dispatched(now, epoch, e.Machine, e.Token, e.Starts, report) })()
 				}
 			})
 		}
 	case effects.ReadSegments:
-		s.state.clean(c, e.First, e.First+e.Count)
+		s.state.readSegments(c, e.First, e.First+e.Count)
 	case effects.RentMachines:
 		s.cloud.rent(c, e.Rental)
 	case effects.DeleteMachines:
-		s.cloud.delete(c, e.Machines)
+		s.cloud.deleteMachines(c, e.Machines)
 	case effects.ListMachines:
-		s.cloud.list(c)
+		s.cloud.listMachines(c)
 	case effects.ListMachineTypes:
-		s.cloud.types(c)
+		s.cloud.listTypes(c)
 	case effects.LogMessage:
-		c.notes = append(c.notes, e.Message)
+		c.logMessages = append(c.logMessages, e.Message)
 	}
 }
 
-// answer is an answer to a user, and when the leader made it.
+// answer is an answer to a user, with the time at which the leader created it.
 type answer struct {
 	effects.Answer
-	made time.Duration
+	createdAt time.Duration
 }
 
-// ask carries a user's request to the core, by way of the leader.
-func (c *controller) ask(hop bool, f func(c *controller, now time.Duration, to effects.RequestID), done func(answer)) {
+// handleRequest passes a user's request to the core of the leader, forwarding it once if this
+// node does not lead.
+func (c *controller) handleRequest(forwarded bool, f func(c *controller, now time.Duration, to effects.RequestID), done func(answer)) {
 	unavailable := answer{Answer: effects.Answer{Status: 503, RetryAfter: 1}}
 	if !c.up {
-		return // the connection is refused; the user's deadline stands in for it
+		return // the connection is refused; simulated as a timeout at the user
 	}
 	leading, leader := c.core.Leading()
-	if !leading && !hop {
-		for _, o := range c.s.nodes {
-			if o.name == leader {
-				call(c.s, c.name, o.name, wait, func(reply func(answer)) { o.ask(true, f, reply) }, func(a answer, ok bool) {
+	if !leading && !forwarded {
+		for _, other := range c.sim.nodes {
+			if other.name == leader {
+				call(c.sim, c.name, other.name, callTimeout, func(reply func(answer)) { other.handleRequest(true, f, reply) }, func(a answer, ok bool) {
 					if !ok {
 						a = unavailable
 					}
@@ -579,36 +596,36 @@
 		done(unavailable)
 		return
 	}
-	c.asker++
-	to := c.asker
-	c.users[to] = func(a effects.Answer) { done(answer{a, c.s.now}) }
-	c.s.scale.time("users", func() { f(c, c.clock(), to) })
+	c.lastRequest++
+	to := c.lastRequest
+	c.userReplies[to] = func(a effects.Answer) { done(answer{a, c.sim.now}) }
+	c.sim.loadStats.timeInput("users", func() { f(c, c.clock(), to) })
 	c.drain()
 }
 
-// userJob is a job as its user sees it.
+// userJob is a job as its user observes it.
 type userJob struct {
-	id           uint64
-	spec         wire.Submission
-	run          time.Duration
-	apart        time.Duration // each further task of an array runs for so much longer
-	accepted     bool
-	acceptedAt   time.Duration
-	toldDone     bool
-	gone         bool // told cancelled
-	asked        bool // its user asked to cancel it
-	byProduction bool // told so by the version in production, at once
-	goneAt       time.Duration
-	state        string
-
-	newest    [final + 1]time.Duration // when an answer that tells as much was first told; 0: not yet
-	lastStart time.Duration            // when one of its tasks last started
-	roomSince time.Duration            // since when it has waited while there was room for it; 0: it does not
-}
-
-// somewhere counts the tasks of a job that are on any machine in truth, or wait for their
-// image there.
-func (s *sim) somewhere(id uint64) int {
+	id                    uint64
+	spec                  wire.Submission
+	runTime               time.Duration
+	runTimeStep           time.Duration // extra run time of each further task of an array
+	accepted              bool
+	acceptedAt            time.Duration
+	toldDone              bool          // reported done to its user
+	toldCancelled         bool          // reported cancelled to its user
+	cancelRequested       bool          // its user requested its cancellation
+	cancelledByOldVersion bool          // reported cancelled at once, by the version in production
+	endToldAt             time.Duration // when its end was reported to its user
+	state                 string        // from the latest answer, or why the submission was refused
+
+	firstAtLevel [jobEnded + 1]time.Duration // when an answer of at least this level first arrived; 0: never
+	lastStart    time.Duration               // when a task of it last started
+	roomSince    time.Duration               // since when it has waited while there was room; 0: it does not
+}
+
+// tasksOnMachines counts the tasks of a job that are actually on a machine that is up, including
+// tasks that are fetching their image.
+func (s *sim) tasksOnMachines(id uint64) int {
 	n := 0
 	for _, w := range s.cloud.machines {
 		for k := range w.tasks {
@@ -620,128 +637,143 @@
 	return n
 }
 
-// runs is how long a task of an array runs.
-func (j *userJob) runs(k int) time.Duration { return j.run + time.Duration(k)*j.apart }
+// taskRunTime returns the run time of a task.
+func (j *userJob) taskRunTime(index int) time.Duration {
+	return j.runTime + time.Duration(index)*j.runTimeStep
+}
 
-// request carries a user's request to a node.
-func (s *sim) request(at int, limit time.Duration, f func(c *controller, now time.Duration, to effects.RequestID), done func(a answer, ok bool)) {
-	c := s.nodes[at%len(s.nodes)]
-	call(s, "users", c.name, limit, func(reply func(answer)) { c.ask(false, f, reply) }, done)
+// sendRequest sends a user's request to a controller, with a timeout.
+func (s *sim) sendRequest(nodeIndex int, limit time.Duration,
+	f func(c *controller, now time.Duration, to effects.RequestID), done func(a answer, ok bool)) {
+	c := s.nodes[nodeIndex%len(s.nodes)]
+	call(s, "users", c.name, limit, func(reply func(answer)) { c.handleRequest(false, f, reply) }, done)
 }
 
-func (s *sim) submit(j *userJob, at int, again func() bool) {
+// submit sends a job to a controller, and retries at the next one every second while retry
+// returns true.
+func (s *sim) submit(j *userJob, nodeIndex int, retry func() bool) {
 	sent := s.now
-	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
-		door := s.nodes[at%len(s.nodes)]
-		if s.poolsRefuse(door, c, j) {
-			f := c.users[to]
-			delete(c.users, to)
+	s.sendRequest(nodeIndex, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+		entry := s.nodes[nodeIndex%len(s.nodes)]
+		if s.refusesPoolUnits(entry, c, j) {
+			f := c.userReplies[to]
+			delete(c.userReplies, to)
 			f(effects.Answer{Status: 503, RetryAfter: 1})
 			return
 		}
-		c.core.Submit(now, to, forwarded(door, c, j.spec))
+		c.core.Submit(now, to, convertSubmission(entry, c, j.spec))
 	}, func(a answer, ok bool) {
 		if ok && (a.Status == 200 || a.Status == 201) {
 			first := !j.accepted
 			if first {
 				j.accepted, j.acceptedAt = true, s.now
 			}
-			s.check.inOrder(j, a)
-			s.check.told(j, a.Answer, sent)
+			s.check.checkAnswerOrder(j, a)
+			s.check.checkAnswer(j, a.Answer, sent)
 			if first {
-				s.look(j, true)
+				s.pollIntensively(j, true)
 			}
 			return
 		}
 		if ok && (a.Status == 400 || a.Status == 422) {
 			if j.accepted {
-				s.check.fail("forgotten", "%d refused with %d after it was accepted", j.id, a.Status)
+				s.check.fail("forgotten", "job %d rejected with %d after it was accepted", j.id, a.Status)
 			}
 			j.state = fmt.Sprintf("refused %d: %s", a.Status, a.Why)
 			return
 		}
-		if again() {
-			s.after(time.Second, func() { s.submit(j, at+1, again) })
+		if retry() {
+			s.after(time.Second, func() { s.submit(j, nodeIndex+1, retry) })
 		}
 	})
 }
 
-func (s *sim) poll(j *userJob, at int) {
+// poll queries the state of a job and checks the answer.
+func (s *sim) poll(j *userJob, nodeIndex int) {
 	sent := s.now
-	s.check.asked(j)
-	s.request(at, 2*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Query(now, to, j.id) }, func(a answer, ok bool) {
+	s.check.checkAnswered(j)
+	s.sendRequest(nodeIndex, 2*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+		c.core.Query(now, to, j.id)
+	}, func(a answer, ok bool) {
 		if ok {
-			s.check.inOrder(j, a)
-			s.check.told(j, a.Answer, sent)
+			s.check.checkAnswerOrder(j, a)
+			s.check.checkAnswer(j, a.Answer, sent)
 		}
 	})
 }
 
-func (s *sim) abort(j *userJob, at int) {
+// cancel requests the cancellation of a job, and retries at the next controller until it succeeds.
+func (s *sim) cancel(j *userJob, nodeIndex int) {
 	sent := s.now
-	j.asked = true
-	s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Cancel(now, to, j.id) }, func(a answer, ok bool) {
+	j.cancelRequested = true
+	s.sendRequest(nodeIndex, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+		c.core.Cancel(now, to, j.id)
+	}, func(a answer, ok bool) {
 		if ok && a.Status == 200 {
-			s.check.inOrder(j, a)
-			s.check.told(j, a.Answer, sent)
+			s.check.checkAnswerOrder(j, a)
+			s.check.checkAnswer(j, a.Answer, sent)
 			return
 		}
-		s.after(time.Second, func() { s.abort(j, at+1) })
+		s.after(time.Second, func() { s.cancel(j, nodeIndex+1) })
 	})
 }
 
-// look has a user look closely, where users do: ask at all controllers, again and again
-// within milliseconds, and submit again, right after something new was told; one in six
-// that were accepted is cancelled at once.
-func (s *sim) look(j *userJob, accepted bool) {
-	if !s.looks || j.spec.Job == nil {
+// pollIntensively simulates, if intensivePolling is set, a user who reacts to new information in an
+// answer: the user queries all controllers repeatedly within a second and resubmits the job to each. One
+// in six newly accepted jobs is cancelled at once.
+func (s *sim) pollIntensively(j *userJob, accepted bool) {
+	if !s.intensivePolling || j.spec.Job == nil {
 		return
 	}
-	s.saw("close looks")
-	for at := range s.nodes {
+	s.cover("intensive polling")
+	for nodeIndex := range s.nodes {
 		for _, after := range []time.Duration{0, 1, 3, 10, 30, 100, 300, 1000} {
-			s.after(after*time.Millisecond, func() { s.poll(j, at) })
+			s.after(after*time.Millisecond, func() { s.poll(j, nodeIndex) })
 		}
-		s.after(time.Duration(s.rng.IntN(20))*time.Millisecond, func() { s.submit(j, at, func() bool { return false }) })
+		s.after(time.Duration(s.rng.IntN(20))*time.Millisecond, func() { s.submit(j, nodeIndex, func() bool { return false }) })
 	}
 	if accepted && s.rng.IntN(6) == 0 {
-		s.abort(j, s.rng.IntN(len(s.nodes)))
+		s.cancel(j, s.rng.IntN(len(s.nodes)))
 	}
 }
 
-// odd makes a request that users should not make, and holds its answer against the rules:
-// repeats of jobs that are known, whatever else the body holds; cancelling what is done;
-// new jobs that can never run, or whose description is malformed.
-func (s *sim) odd(j *userJob, at int) {
+// sendInvalidRequest sends an invalid or redundant request and checks its answer: a repeated
+// submission of a known job id with a malformed or infeasible body, a cancellation of a
+// completed job, or a new job that can never run or whose description is malformed.
+func (s *sim) sendInvalidRequest(j *userJob, nodeIndex int) {
 	bad := wire.Submission{ID: j.id, HasID: true, Bad: "herd: missing"}
 	unfit := bad
 	unfit.Bad, unfit.Job = "", &eventlog.Job{}
 	*unfit.Job = *j.spec.Job
 	unfit.Job.CPUs = 1e5
-	switch kind := s.rng.IntN(4); kind {
-	case 0, 1: // a repeat
-		spec := []wire.Submission{bad, unfit}[kind]
-		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
+	switch choice := s.rng.IntN(4); choice {
+	case 0, 1: // a repeated submission
+		spec := []wire.Submission{bad, unfit}[choice]
+		s.sendRequest(nodeIndex, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+			c.core.Submit(now, to, spec)
+		}, func(a answer, ok bool) {
 			if ok && (a.Status == 400 || a.Status == 422) {
-				s.check.fail("forgotten", "%d, submitted again, gets %d", j.id, a.Status)
+				s.check.fail("forgotten", "job %d, submitted again, is answered with %d", j.id, a.Status)
 			} else if ok && a.Status == 200 {
-				s.saw("an odd repeat answered")
+				s.cover("invalid repeated submission answered")
 			}
 		})
-	case 2: // cancelling what is done
+	case 2: // a cancellation of a completed job
 		if !j.toldDone {
 			return
 		}
 		sent := s.now
-		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Cancel(now, to, j.id) }, func(a answer, ok bool) {
+		s.sendRequest(nodeIndex, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+			c.core.Cancel(now, to, j.id)
+		}, func(a answer, ok bool) {
 			if ok && a.Status == 200 {
-				s.saw("a done job asked to be cancelled")
-				s.check.told(j, a.Answer, sent)
+				s.cover("cancellation of a completed job")
+				s.check.checkAnswer(j, a.Answer, sent)
 			}
 		})
-	default: // a new one
-		s.strange--
-		id := s.strange
+	default: // a new job, which must never be reported to a user
+		s.lastInvalidID--
+		id := s.lastInvalidID
 		spec := []wire.Submission{bad, unfit}[s.rng.IntN(2)]
 		if spec.ID = id; spec.Job != nil {
 			spec.Job.ID, spec.Job.Follows, spec.Job.Counted = id, nil, nil
@@ -749,14 +781,16 @@
 				spec.Job.CPUs, spec.Job.Team = 1, "nobody"
 			}
 		}
-		s.request(at, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) { c.core.Submit(now, to, spec) }, func(a answer, ok bool) {
-			s.check.unfit(id, spec, a, ok)
-			s.poll(&userJob{id: id}, at) // nobody may be told of it
+		s.sendRequest(nodeIndex, 5*time.Second, func(c *controller, now time.Duration, to effects.RequestID) {
+			c.core.Submit(now, to, spec)
+		}, func(a answer, ok bool) {
+			s.check.checkRejected(id, spec, a, ok)
+			s.poll(&userJob{id: id}, nodeIndex) // a query must not find it
 		})
 	}
 }
 
-// node is the controller with a name, or nil.
+// node returns the controller with the given name, or nil.
 func (s *sim) node(name string) *controller {
 	for _, c := range s.nodes {
 		if c.name == name {
@@ -766,17 +800,18 @@
 	return nil
 }
 
-// leader is the node that leads with the highest epoch, or nil.
+// leader returns the controller that leads and that the state service records as the holder of
+// leadership, or nil.
 func (s *sim) leader() *controller {
 	for _, c := range s.nodes {
-		if l, _ := c.coreLeading(); l && s.state.holder == c.name {
+		if l, _ := c.leading(); l && s.state.holder == c.name {
 			return c
 		}
 	}
 	return nil
 }
 
-func (c *controller) coreLeading() (bool, string) {
+func (c *controller) leading() (bool, string) {
 	if !c.up {
 		return false, ""
 	}
