--- a/cmd/bitternmoor/configchange.go
+++ b/cmd/bitternmoor/configchange.go
@@ -242,7 +242,7 @@
 	if n := len(history); n > 0 && history[n-1].Number != v.Revision {
 		return nil, failure{errors.New("the configuration has just changed: try again")}
 	}
-	changes, err := config.Undo(history, revision)
+	changes, err := config.ChangesToRestore(history, revision)
 	for i := range changes {
 		if changes[i].Value.Removed {
 			changes[i].Value.Limits = nil // the leader has them
--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -79,12 +79,12 @@
 		4: {{idleReturn, number(5)}},
 		5: {{red, limit(9)}},
 	} {
-		if got, err := Undo(history, to); err != nil || !reflect.DeepEqual(got, want) {
+		if got, err := ChangesToRestore(history, to); err != nil || !reflect.DeepEqual(got, want) {
 			t.Errorf("undo to %d: changes %v, error %v, want %v", to, got, err, want)
 		}
 	}
 	for _, to := range []uint64{1, 6, 7} {
-		if _, err := Undo(history, to); err == nil {
+		if _, err := ChangesToRestore(history, to); err == nil {
 			t.Errorf("undo to %d was accepted", to)
 		}
 	}
--- a/internal/core/config/revision.go
+++ b/internal/core/config/revision.go
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// Undo returns the changes that restore the configuration in force at a revision, sorted by item. The
+// ChangesToRestore returns the changes that restore the configuration in force at a revision, sorted by item. The
 // history must be in ascending order, have no gaps and end with the current revision.
-func Undo(history []Revision, to uint64) ([]Change, error) {
+func ChangesToRestore(history []Revision, to uint64) ([]Change, error) {
 	first := slices.IndexFunc(history, func(r Revision) bool { return r.Number == to+1 })
 	if first < 0 {
 		return nil, fieldError("revision",
--- a/internal/leader/reconfig/component_test.go
+++ b/internal/leader/reconfig/component_test.go
@@ -140,7 +140,7 @@
 		t.Fatal(err)
 	}
 	b.commit()
-	changes, err := config.Undo(b.history, 0)
+	changes, err := config.ChangesToRestore(b.history, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
