--- a/cmd/bitternmoor/configchange.go
+++ b/cmd/bitternmoor/configchange.go
@@ -201,11 +201,11 @@
 // changeByEdits turns edits into changes and makes them. An edit that is invalid regardless of the current
 // values is rejected before the leader is contacted.
 func (c *configChanger) changeByEdits(cmd *cobra.Command, edits []config.Edit) error {
-	if _, err := config.Changes(edits, func(string) config.Limits { return config.Limits{} }); err != nil {
+	if _, err := config.CombineEdits(edits, func(string) config.Limits { return config.Limits{} }); err != nil {
 		return err
 	}
 	return c.change(cmd, func(_ context.Context, _ *control.Client, v *reconfig.View) ([]config.Change, error) {
-		return config.Changes(edits, func(team string) config.Limits { return teamLimits(v, team) })
+		return config.CombineEdits(edits, func(team string) config.Limits { return teamLimits(v, team) })
 	})
 }
 
--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -79,9 +79,9 @@
 	return edit
 }
 
-// Changes combines edits into one change per item, in the order in which the edits first name the
+// CombineEdits combines edits into one change per item, in the order in which the edits first name the
 // items. Fields of a team that no edit names keep the values that limits returns.
-func Changes(edits []Edit, limits func(team string) Limits) ([]Change, error) {
+func CombineEdits(edits []Edit, limits func(team string) Limits) ([]Change, error) {
 	var changes []Change
 	indexOf := map[Item]int{}
 	for _, edit := range edits {
--- a/internal/core/config/edit_test.go
+++ b/internal/core/config/edit_test.go
@@ -32,7 +32,7 @@
 		{green, Value{Removed: true}},
 		{Item{Tunable: "fleet.spot_return"}, Value{}},
 	}
-	if got, err := Changes(edits, currentLimits); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := CombineEdits(edits, currentLimits); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("changes %v, error %v", got, err)
 	}
 	path := filepath.Join(t.TempDir(), "changes.ini")
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Changes(edits, currentLimits); err != nil || len(got) != 4 || !reflect.DeepEqual(got[0], want[0]) {
+	if got, err := CombineEdits(edits, currentLimits); err != nil || len(got) != 4 || !reflect.DeepEqual(got[0], want[0]) {
 		t.Errorf("changes %v, error %v", got, err)
 	}
 }
@@ -59,7 +59,7 @@
 		}
 		edits = append(edits, edit)
 	}
-	_, err := Changes(edits, currentLimits)
+	_, err := CombineEdits(edits, currentLimits)
 	return err
 }
 
