--- a/cmd/bitternmoor/configchange.go
+++ b/cmd/bitternmoor/configchange.go
@@ -189,7 +189,7 @@
 		Short: "Make all changes in an INI file or none; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			edits, err := config.FileEdits(args[0])
+			edits, err := config.ReadEditsFile(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/core/config/edit.go
+++ b/internal/core/config/edit.go
@@ -50,9 +50,9 @@
 	return edit, nil
 }
 
-// FileEdits reads edits from an INI file that has sections [team NAME], with fields or with the key
+// ReadEditsFile reads edits from an INI file that has sections [team NAME], with fields or with the key
 // "is", and sections of tunables.
-func FileEdits(path string) ([]Edit, error) {
+func ReadEditsFile(path string) ([]Edit, error) {
 	file, err := ini.Load(path)
 	if err != nil {
 		return nil, fieldError(path, "cannot be read: %s", strings.ReplaceAll(err.Error(), "\n", " "))
--- a/internal/core/config/edit_test.go
+++ b/internal/core/config/edit_test.go
@@ -40,7 +40,7 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	edits, err := FileEdits(path)
+	edits, err := ReadEditsFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -84,7 +84,7 @@
 			}
 		})
 	}
-	if _, err := FileEdits("none.ini"); err == nil {
+	if _, err := ReadEditsFile("none.ini"); err == nil {
 		t.Error("a missing file was read without an error")
 	}
 }
