--- a/cmd/bitternmoor/certs.go
+++ b/cmd/bitternmoor/certs.go
@@ -73,7 +73,7 @@
 				return err
 			}
 			name := args[0]
-			if err := certs.Issue(flags.dir, name, settings.List(hosts), lifetime); err != nil {
+			if err := certs.Issue(flags.dir, name, settings.SplitList(hosts), lifetime); err != nil {
 				return failure{err}
 			}
 			console.Printf(cmd.OutOrStdout(), "%s/%s.pem and its key %s/%s.key were created\n",
--- a/cmd/bitternmoor/receipts.go
+++ b/cmd/bitternmoor/receipts.go
@@ -21,7 +21,7 @@
 		Short: "Check a receipt for units, and print what it certifies",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return verifyReceipt(cmd.OutOrStdout(), args[0], settings.List(files), asJSON)
+			return verifyReceipt(cmd.OutOrStdout(), args[0], settings.SplitList(files), asJSON)
 		},
 	}
 	cmd.Flags().StringVar(&files, "key-file", "", "files with the keys, separated by commas")
--- a/internal/settings/operators.go
+++ b/internal/settings/operators.go
@@ -21,7 +21,7 @@
 func (t *Tunables) Operators() Operators {
 	return Operators{
 		Listen: t.OperatorsListen, CertFile: t.OperatorsCert, KeyFile: t.OperatorsKey, CAFile: t.OperatorsCA,
-		Read: List(t.OperatorsRead), Operate: List(t.OperatorsOperate), Admin: List(t.OperatorsAdmin),
+		Read: SplitList(t.OperatorsRead), Operate: SplitList(t.OperatorsOperate), Admin: SplitList(t.OperatorsAdmin),
 	}
 }
 
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -146,10 +146,10 @@
 }
 
 // ReceiptKeys returns the files with the keys for receipts. New receipts are signed with the first one.
-func (t *Tunables) ReceiptKeys() []string { return List(t.ReceiptKeyFiles) }
+func (t *Tunables) ReceiptKeys() []string { return SplitList(t.ReceiptKeyFiles) }
 
-// List splits a comma-separated list of names and leaves out empty ones.
-func List(s string) []string {
+// SplitList splits a comma-separated list of names and leaves out empty ones.
+func SplitList(s string) []string {
 	var out []string
 	for part := range strings.SplitSeq(s, ",") {
 		if part = strings.TrimSpace(part); part != "" {
