--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -73,7 +73,7 @@
 	c.initialize()
 	switch {
 	case r.URL.Path == wire.PathMachineTypes:
-		return reply{http.StatusOK, wire.MachineTypes(c.Types)}
+		return reply{http.StatusOK, wire.EncodeMachineTypes(c.Types)}
 	case r.URL.Path == wire.PathRentals && r.Method == http.MethodGet:
 		return c.list(r.URL.Query().Get("since"), r.URL.Query().Get("most"))
 	case r.URL.Path == wire.PathRentals:
--- a/internal/wire/cloudserver.go
+++ b/internal/wire/cloudserver.go
@@ -9,8 +9,8 @@
 	"bitternmoor/internal/core/eventlog"
 )
 
-// MachineTypes encodes the response that lists the cloud's machine types.
-func MachineTypes(types []eventlog.MachineType) []byte {
+// EncodeMachineTypes encodes the response that lists the cloud's machine types.
+func EncodeMachineTypes(types []eventlog.MachineType) []byte {
 	var out machineTypes
 	for _, t := range types {
 		out.Types = append(out.Types, machineType{
