--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -106,12 +106,12 @@
 			continue
 		}
 		if len(list) == limit {
-			return reply{http.StatusOK, wire.MachineList(list, true)}
+			return reply{http.StatusOK, wire.EncodeMachineList(list, true)}
 		}
 		m := c.machines[n]
 		list = append(list, wire.ListedMachine{Machine: m.Machine, Failed: m.failed, RentedForS: time.Since(m.rentedAt).Seconds()})
 	}
-	return reply{http.StatusOK, wire.MachineList(list, false)}
+	return reply{http.StatusOK, wire.EncodeMachineList(list, false)}
 }
 
 func (c *Cloud) rent(req eventlog.Rental) reply {
--- a/internal/wire/cloudserver.go
+++ b/internal/wire/cloudserver.go
@@ -45,8 +45,8 @@
 // NoCapacityBody encodes the response with which the cloud refuses a rental for lack of machines.
 func NoCapacityBody() []byte { return ErrorBody(noCapacityError) }
 
-// MachineList encodes one page of the cloud's machine list; more is set if further pages follow.
-func MachineList(list []ListedMachine, more bool) []byte {
+// EncodeMachineList encodes one page of the cloud's machine list; more is set if further pages follow.
+func EncodeMachineList(list []ListedMachine, more bool) []byte {
 	out := machineList{Machines: make([]listedMachine, len(list)), More: more}
 	for i, l := range list {
 		m := l.Machine
