--- a/internal/node/api.go
+++ b/internal/node/api.go
@@ -100,7 +100,7 @@
 	case err != nil:
 		w.WriteHeader(http.StatusServiceUnavailable)
 	case answer.Status == http.StatusOK:
-		writeBody(w, answer.Status, wire.ReportAnswer(answer.Token, answer.Commands))
+		writeBody(w, answer.Status, wire.EncodeReportAnswer(answer.Token, answer.Commands))
 	default:
 		writeBody(w, answer.Status, wire.RedirectAnswer(answer.Node))
 	}
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -130,7 +130,7 @@
 			return
 		}
 		reports <- report.Token
-		_, _ = w.Write(wire.ReportAnswer(token, nil))
+		_, _ = w.Write(wire.EncodeReportAnswer(token, nil))
 		token++ // each answer has a higher token
 	}))
 	defer server.Close()
--- a/internal/wire/roundtrip_test.go
+++ b/internal/wire/roundtrip_test.go
@@ -33,7 +33,7 @@
 		{Op: workers.Stop, Job: 1, Attempt: 4, GraceS: 5},
 		{Op: workers.Reap, Job: 2, Attempt: 6},
 	}
-	token, got, err := ParseReportAnswer(ReportAnswer(7, commands))
+	token, got, err := ParseReportAnswer(EncodeReportAnswer(7, commands))
 	if err != nil || token != 7 || !reflect.DeepEqual(got, commands) {
 		t.Errorf("response to a report: %d %+v %v", token, got, err)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -120,7 +120,7 @@
 	if running.Job != 412 || running.Task != 3 || ended.Reason != workers.Stopped || !ended.Saved {
 		t.Errorf("read as %+v", r)
 	}
-	got := string(ReportAnswer(41, []workers.Command{
+	got := string(EncodeReportAnswer(41, []workers.Command{
 		{Op: workers.Start, Job: 412, Task: 4, Attempt: 2},
 		{Op: workers.Stop, Job: 377, Task: 1, Attempt: 1, GraceS: 10},
 		{Op: workers.Reap, Job: 398, Attempt: 1},
--- a/internal/wire/workers.go
+++ b/internal/wire/workers.go
@@ -142,8 +142,8 @@
 // opNames are the protocol's names of operations, indexed by workers.Op.
 var opNames = []string{"start", "stop", "reap"}
 
-// ReportAnswer encodes the response to a report.
-func ReportAnswer(token uint64, commands []workers.Command) []byte {
+// EncodeReportAnswer encodes the response to a report.
+func EncodeReportAnswer(token uint64, commands []workers.Command) []byte {
 	return encode(reportAnswer{Token: token, Commands: formatCommands(commands)})
 }
 
