--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -283,11 +283,11 @@
 		it := s.items[k].Item
 		bytes += len(it.Value)
 		if len(rows) == limit || (bytes > maxPageBytes && len(rows) > 0) {
-			return reply{http.StatusOK, wire.StatePage(rows, true, s.revision)}
+			return reply{http.StatusOK, wire.EncodeStatePage(rows, true, s.revision)}
 		}
 		rows = append(rows, it)
 	}
-	return reply{http.StatusOK, wire.StatePage(rows, false, s.revision)}
+	return reply{http.StatusOK, wire.EncodeStatePage(rows, false, s.revision)}
 }
 
 func (s *StateService) createLease(body []byte) reply {
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -98,8 +98,8 @@
 	return encode(leasedItem{storedItem: newStoredItem(item), LeaseID: lease})
 }
 
-// StatePage encodes one page of a list of keys; more is set if further pages follow.
-func StatePage(items []Item, more bool, revision uint64) []byte {
+// EncodeStatePage encodes one page of a list of keys; more is set if further pages follow.
+func EncodeStatePage(items []Item, more bool, revision uint64) []byte {
 	stored := make([]storedItem, len(items))
 	for i, item := range items {
 		stored[i] = newStoredItem(item)
