--- a/internal/scaletest/standin/state.go
+++ b/internal/scaletest/standin/state.go
@@ -339,7 +339,7 @@
 			}
 		}
 		if len(matching) > 0 || over {
-			return reply{http.StatusOK, wire.StateChanges(s.revision, matching)}
+			return reply{http.StatusOK, wire.EncodeStateChanges(s.revision, matching)}
 		}
 		if s.changed == nil {
 			s.changed = make(chan struct{})
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -121,8 +121,8 @@
 	Changes  []keyChange `json:"news"`
 }
 
-// StateChanges encodes the response that lists changes of keys; an item without a value is a removal.
-func StateChanges(revision uint64, changed []Item) []byte {
+// EncodeStateChanges encodes the response that lists changes of keys; an item without a value is a removal.
+func EncodeStateChanges(revision uint64, changed []Item) []byte {
 	list := make([]keyChange, len(changed))
 	for i, item := range changed {
 		list[i] = keyChange{Write: item.Key, Value: item.Value, Version: item.Version}
