--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -176,14 +176,14 @@
 			continue
 		}
 		number := i + 1
-		var kind runtimes.Exported
+		var kind runtimes.ExportedKind
 		if err := json.Unmarshal(line, &kind); err != nil {
 			return in, fmt.Errorf("%s: line %d: not a kind of work as JSON: %w", path, number, err)
 		}
 		if err := kind.Check(); err != nil {
 			return in, fmt.Errorf("%s: line %d: %w", path, number, err)
 		}
-		if slices.ContainsFunc(in.Kinds, func(other runtimes.Exported) bool { return other.Kind == kind.Kind }) {
+		if slices.ContainsFunc(in.Kinds, func(other runtimes.ExportedKind) bool { return other.Kind == kind.Kind }) {
 			return in, fmt.Errorf("%s: line %d: %s is there twice", path, number, kind.Name())
 		}
 		in.Kinds = append(in.Kinds, kind)
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -11,20 +11,20 @@
 
 // This file imports kinds that another installation has learned, and forgets kinds.
 
-// Exported is the format in which a kind of work is exported and imported.
-type Exported struct {
+// ExportedKind is the format in which a kind of work is exported and imported.
+type ExportedKind struct {
 	Kind
 	Nights [][11]float64 `json:"nights"` // the fields of Night, in order
 }
 
 // Name returns the kind's name.
-func (x Exported) Name() string { return x.String() }
+func (x ExportedKind) Name() string { return x.String() }
 
 // maxImportedNumber is the largest absolute value of an imported number, in seconds or as a count.
 const maxImportedNumber = 1e9
 
 // Check validates an exported kind. Its error names the invalid field and the reason.
-func (x Exported) Check() error {
+func (x ExportedKind) Check() error {
 	if x.Class == "" {
 		return errors.New("class: missing")
 	}
@@ -54,9 +54,9 @@
 // Import is a change request: kinds to import and kinds to forget. Kinds that are already
 // known are left unchanged unless Replace is set.
 type Import struct {
-	Kinds   []Exported `json:"kinds"`
-	Replace bool       `json:"replace"`
-	Forget  []string   `json:"forget,omitempty"` // names of kinds, as Show returns them
+	Kinds   []ExportedKind `json:"kinds"`
+	Replace bool           `json:"replace"`
+	Forget  []string       `json:"forget,omitempty"` // names of kinds, as Show returns them
 }
 
 // Imported counts what an import has changed.
@@ -103,7 +103,7 @@
 const secondsPerDay = 24 * 60 * 60
 
 // importKind imports a kind and counts the outcome in out.
-func (d *Component) importKind(x Exported, replace bool, out *Imported) {
+func (d *Component) importKind(x ExportedKind, replace bool, out *Imported) {
 	_, known := d.model.histories[x.Kind]
 	switch {
 	case known && !replace:
