--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -45,7 +45,7 @@
 
 // changeKinds requests a change of the learned run times from the leader. With --json it prints the answer
 // unchanged, otherwise it calls print with the decoded answer.
-func (n *nodeClient) changeKinds(out io.Writer, in runtimes.Import, print func(done runtimes.Imported)) error {
+func (n *nodeClient) changeKinds(out io.Writer, in runtimes.ImportRequest, print func(done runtimes.Imported)) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return failure{err}
@@ -110,7 +110,7 @@
 }
 
 // printPlan prints how many kinds would be added, and whether those that already exist are kept or replaced.
-func (im *importer) printPlan(out io.Writer, in runtimes.Import, known []shownKind) {
+func (im *importer) printPlan(out io.Writer, in runtimes.ImportRequest, known []shownKind) {
 	both := 0
 	for _, imported := range in.Kinds {
 		if slices.ContainsFunc(known, func(k shownKind) bool { return k.Name == imported.Name() }) {
@@ -159,13 +159,13 @@
 	if err := confirm(cmd, yes, "forget it?"); err != nil {
 		return err
 	}
-	return n.changeKinds(out, runtimes.Import{Forget: []string{name}}, func(runtimes.Imported) {
+	return n.changeKinds(out, runtimes.ImportRequest{Forget: []string{name}}, func(runtimes.Imported) {
 		console.Line(out, "forgotten")
 	})
 }
 
 // readExport reads an export. It fails if any line is invalid, so that nothing is imported then.
-func readExport(path string) (in runtimes.Import, err error) {
+func readExport(path string) (in runtimes.ImportRequest, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return in, err
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -51,9 +51,9 @@
 	return nil
 }
 
-// Import is a change request: kinds to import and kinds to forget. Kinds that are already
+// ImportRequest is a change request: kinds to import and kinds to forget. Kinds that are already
 // known are left unchanged unless Replace is set.
-type Import struct {
+type ImportRequest struct {
 	Kinds   []ExportedKind `json:"kinds"`
 	Replace bool           `json:"replace"`
 	Forget  []string       `json:"forget,omitempty"` // names of kinds, as Show returns them
@@ -74,7 +74,7 @@
 // the first is changed. Imported nights are written like closed ones. Change fails until the
 // history is loaded.
 func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
-	var in Import
+	var in ImportRequest
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, fmt.Errorf("run-times: %w", err)
 	}
--- a/internal/leader/runtimes/import_test.go
+++ b/internal/leader/runtimes/import_test.go
@@ -20,13 +20,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var in Import
+	var in ImportRequest
 	if err := json.Unmarshal(raw, &in.Kinds); err != nil || len(in.Kinds) != 5 {
 		t.Fatalf("%d kinds were exported, error %v", len(in.Kinds), err)
 	}
 	target := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	n := target.startTerm(t, 100)
-	change := func(in Import) (out Imported) {
+	change := func(in ImportRequest) (out Imported) {
 		t.Helper()
 		body, err := json.Marshal(in)
 		if err != nil {
