--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -45,7 +45,7 @@
 
 // changeKinds requests a change of the learned run times from the leader. With --json it prints the answer
 // unchanged, otherwise it calls print with the decoded answer.
-func (n *nodeClient) changeKinds(out io.Writer, in runtimes.ImportRequest, print func(done runtimes.Imported)) error {
+func (n *nodeClient) changeKinds(out io.Writer, in runtimes.ImportRequest, print func(done runtimes.ImportResult)) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return failure{err}
@@ -58,7 +58,7 @@
 		console.Printf(out, "%s\n", answer)
 		return nil
 	}
-	var done runtimes.Imported
+	var done runtimes.ImportResult
 	if err := decodeAnswer("node", answer, &done); err != nil {
 		return err
 	}
@@ -103,7 +103,7 @@
 	if err := confirm(cmd, im.yes, "take them in?"); err != nil {
 		return err
 	}
-	return im.changeKinds(out, in, func(done runtimes.Imported) {
+	return im.changeKinds(out, in, func(done runtimes.ImportResult) {
 		console.Printf(out, "%d added, %d replaced, %d left as they are, %d dropped for want of room; "+
 			"they are stored over the next minutes\n", done.Added, done.Replaced, done.Left, done.Dropped)
 	})
@@ -159,7 +159,7 @@
 	if err := confirm(cmd, yes, "forget it?"); err != nil {
 		return err
 	}
-	return n.changeKinds(out, runtimes.ImportRequest{Forget: []string{name}}, func(runtimes.Imported) {
+	return n.changeKinds(out, runtimes.ImportRequest{Forget: []string{name}}, func(runtimes.ImportResult) {
 		console.Line(out, "forgotten")
 	})
 }
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -59,8 +59,8 @@
 	Forget  []string       `json:"forget,omitempty"` // names of kinds, as Show returns them
 }
 
-// Imported counts what an import has changed.
-type Imported struct {
+// ImportResult counts what an import has changed.
+type ImportResult struct {
 	Added    int `json:"added"`
 	Replaced int `json:"replaced"`
 	Left     int `json:"left_as_they_are"` // already known and not replaced
@@ -89,7 +89,7 @@
 	if err := d.forgetKinds(now, in.Forget); err != nil {
 		return nil, err
 	}
-	out := Imported{Forgot: len(in.Forget)}
+	out := ImportResult{Forgot: len(in.Forget)}
 	for _, x := range in.Kinds {
 		d.importKind(x, in.Replace, &out)
 	}
@@ -103,7 +103,7 @@
 const secondsPerDay = 24 * 60 * 60
 
 // importKind imports a kind and counts the outcome in out.
-func (d *Component) importKind(x ExportedKind, replace bool, out *Imported) {
+func (d *Component) importKind(x ExportedKind, replace bool, out *ImportResult) {
 	_, known := d.model.histories[x.Kind]
 	switch {
 	case known && !replace:
--- a/internal/leader/runtimes/import_test.go
+++ b/internal/leader/runtimes/import_test.go
@@ -26,7 +26,7 @@
 	}
 	target := &fixture{values: map[string]json.RawMessage{}, bytes: 8192}
 	n := target.startTerm(t, 100)
-	change := func(in ImportRequest) (out Imported) {
+	change := func(in ImportRequest) (out ImportResult) {
 		t.Helper()
 		body, err := json.Marshal(in)
 		if err != nil {
@@ -41,14 +41,14 @@
 		}
 		return out
 	}
-	if got := change(in); got != (Imported{Added: 5}) {
+	if got := change(in); got != (ImportResult{Added: 5}) {
 		t.Errorf("first import: %+v", got)
 	}
-	if got := change(in); got != (Imported{Left: 5}) {
+	if got := change(in); got != (ImportResult{Left: 5}) {
 		t.Errorf("second import: %+v", got)
 	}
 	in.Replace = true
-	if got := change(in); got != (Imported{Replaced: 5}) {
+	if got := change(in); got != (ImportResult{Replaced: 5}) {
 		t.Errorf("import with Replace: %+v", got)
 	}
 	for range 60 {
