--- a/cmd/bitternmoor/forecast.go
+++ b/cmd/bitternmoor/forecast.go
@@ -20,7 +20,7 @@
 	return cmd
 }
 
-func printAhead(out io.Writer, list []runtimes.Expected) {
+func printAhead(out io.Writer, list []runtimes.ExpectedDemand) {
 	if len(list) == 0 || list[0].Nights == 0 {
 		console.Line(out, "no night was learned from yet: a night counts once the one after it is over")
 		return
--- a/cmd/bitternmoor/output_test.go
+++ b/cmd/bitternmoor/output_test.go
@@ -118,7 +118,7 @@
 	}
 	holder := filledValue[pools.View]()
 	holder.Holders[0].Task = -1
-	ahead := filledValue[[]runtimes.Expected]()
+	ahead := filledValue[[]runtimes.ExpectedDemand]()
 	ahead[0].Nights = 3
 	var got bytes.Buffer
 	for _, c := range []struct {
--- a/internal/leader/runtimes/component_test.go
+++ b/internal/leader/runtimes/component_test.go
@@ -545,7 +545,7 @@
 	for i, x := range []*Component{d, w.startTerm(t, 100)} {
 		x.startNight(w.now)
 		at := 14*24*time.Hour + 20*time.Hour
-		var peak *Expected
+		var peak *ExpectedDemand
 		total := 0.0
 		for _, e := range x.expectedDemand(at) {
 			total += e.Work
--- a/internal/leader/runtimes/demand.go
+++ b/internal/leader/runtimes/demand.go
@@ -115,8 +115,8 @@
 	return s
 }
 
-// Expected is the demand expected in a slot of a quarter of an hour.
-type Expected struct {
+// ExpectedDemand is the demand expected in a slot of a quarter of an hour.
+type ExpectedDemand struct {
 	At       string  `json:"at"`          // local time at which the slot begins
 	InS      float64 `json:"in_s"`        // time until the slot begins, in seconds; 0: it has begun
 	Nights   int     `json:"nights"`      // number of nights it is learned from
@@ -159,14 +159,14 @@
 const expectedSlots = 48
 
 // expectedDemand returns the expected demand of the next expectedSlots slots.
-func (d *Component) expectedDemand(now time.Duration) []Expected {
-	out := []Expected{}
+func (d *Component) expectedDemand(now time.Duration) []ExpectedDemand {
+	out := []ExpectedDemand{}
 	rented := d.CPUs()
 	slotCPUs := func(work float64) float64 { return roundDigits(work / slotLength.Seconds()) }
 	at := d.calendar.StartOfQuarterHour(d.wallClock(now))
 	for range expectedSlots {
 		f := d.demand.expected(d.calendar.NightAt(at).Holiday, d.calendar.QuarterHourOfDay(at))
-		out = append(out, Expected{
+		out = append(out, ExpectedDemand{
 			At:       d.calendar.LocalTime(at),
 			InS:      max(0, at.Sub(d.wallClock(now)).Seconds()),
 			Nights:   f.nights,
