--- a/cmd/bitternmoor/forecast.go
+++ b/cmd/bitternmoor/forecast.go
@@ -54,7 +54,7 @@
 		node.PathComponents+runtimes.Name+"/late", printLate)
 }
 
-func printLate(out io.Writer, list []runtimes.Late) {
+func printLate(out io.Writer, list []runtimes.LateJob) {
 	if len(list) == 0 {
 		console.Line(out, "no job is late")
 		return
--- a/internal/leader/runtimes/component.go
+++ b/internal/leader/runtimes/component.go
@@ -56,7 +56,7 @@
 	writeInterval time.Duration // minimum time between two value writes
 
 	// Jobs that run late.
-	lateJobs    map[uint64]*Late // by job id
+	lateJobs    map[uint64]*LateJob // by job id
 	lastCheckAt time.Duration
 	leadTimes   *cluster.Histogram
 }
@@ -83,7 +83,7 @@
 		writes:        valuestore.Writer[valueWrite]{Component: Name},
 		durableNights: map[Kind]int32{},
 		writeInterval: writeInterval(s.Cfg.WriteLimits().WriteRPS),
-		lateJobs:      map[uint64]*Late{},
+		lateJobs:      map[uint64]*LateJob{},
 		leadTimes: s.Metrics.Histogram("bitternmoor_late_job_lead_seconds",
 			"Time from a job's late warning to its learned deadline, by the reason for the delay.", "why", leadTimeBounds),
 	}
--- a/internal/leader/runtimes/late.go
+++ b/internal/leader/runtimes/late.go
@@ -9,8 +9,8 @@
 	"bitternmoor/internal/effects"
 )
 
-// Late is a warning about a job that is expected to miss its learned deadline.
-type Late struct {
+// LateJob is a warning about a job that is expected to miss its learned deadline.
+type LateJob struct {
 	Job      string  `json:"job"`
 	Class    string  `json:"class"`
 	Team     string  `json:"team"`
@@ -44,7 +44,7 @@
 // webhookNotice is the body of a webhook message about a warning.
 type webhookNotice struct {
 	What string `json:"what"` // raised, done or over
-	Late
+	LateJob
 }
 
 // checkLateJobs raises and updates the warnings of all open jobs that have a learned deadline.
@@ -84,8 +84,8 @@
 	}
 }
 
-func (d *Component) raiseWarning(now time.Duration, f Forecast, left time.Duration) *Late {
-	warning := &Late{
+func (d *Component) raiseWarning(now time.Duration, f Forecast, left time.Duration) *LateJob {
+	warning := &LateJob{
 		Job:      f.Job,
 		Class:    f.job.Record.Class,
 		Team:     f.job.Record.Team,
@@ -105,7 +105,7 @@
 // notifyWebhook sends a warning to the operators' webhook. Each leader sends one message for each
 // event of a job. A new leader may send it again under the same id, because it does not have
 // its predecessor's warnings.
-func (d *Component) notifyWebhook(l Late, what string) {
+func (d *Component) notifyWebhook(l LateJob, what string) {
 	if d.Cfg.Tunables.WebhookURL == "" {
 		return
 	}
--- a/internal/leader/runtimes/view.go
+++ b/internal/leader/runtimes/view.go
@@ -50,12 +50,12 @@
 }
 
 // warnings returns the warnings of late jobs, the oldest first.
-func (d *Component) warnings() []Late {
-	list := []Late{}
+func (d *Component) warnings() []LateJob {
+	list := []LateJob{}
 	for _, l := range d.lateJobs {
 		list = append(list, *l)
 	}
-	slices.SortFunc(list, func(a, b Late) int {
+	slices.SortFunc(list, func(a, b LateJob) int {
 		return cmp.Or(cmp.Compare(a.RaisedMS, b.RaisedMS), cmp.Compare(a.Job, b.Job))
 	})
 	return list
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -148,7 +148,7 @@
 // how many jobs are still open, or 1 if the leader does not answer.
 func pollForecasts(addr string, mu *sync.Mutex, jobs map[string]*replayedJob) int {
 	var list []runtimes.Forecast
-	var late []runtimes.Late
+	var late []runtimes.LateJob
 	if !getView(addr, "run-times/forecast", &list) || !getView(addr, "run-times/late", &late) {
 		return 1
 	}
