--- a/cmd/bitternmoor/config.go
+++ b/cmd/bitternmoor/config.go
@@ -48,7 +48,7 @@
 		return err
 	}
 	var local reconfig.LocalView
-	return n.printView(out, path+"/"+reconfig.ViewHere, &local, func() { printLocalConfig(out, &local) })
+	return n.printView(out, path+"/"+reconfig.ViewLocal, &local, func() { printLocalConfig(out, &local) })
 }
 
 func printConfig(out io.Writer, v *reconfig.View) {
--- a/internal/leader/reconfig/view.go
+++ b/internal/leader/reconfig/view.go
@@ -52,7 +52,7 @@
 // Names of the views of the component, besides the default one, whose name is empty.
 const (
 	ViewHistory = "history"
-	ViewHere    = "here" // what one controller has in force; answered by that controller itself
+	ViewLocal   = "here" // what one controller has in force; answered by that controller itself
 )
 
 // Show returns, as JSON, the configuration as a View or, for ViewHistory, the list of revisions,
--- a/internal/node/core_requests.go
+++ b/internal/node/core_requests.go
@@ -48,7 +48,7 @@
 // alone or as COMPONENT/VIEW. known is false on a node that cannot answer, raw is nil if there is
 // no such view, and err is the component's own error.
 func (c *Core) Show(now time.Duration, view string) (raw json.RawMessage, known bool, err error) {
-	if view == reconfig.Name+"/"+reconfig.ViewHere && c.settings.Tunables.ConfigHistory > 0 {
+	if view == reconfig.Name+"/"+reconfig.ViewLocal && c.settings.Tunables.ConfigHistory > 0 {
 		raw, err = json.Marshal(c.LocalConfig(now)) // this node's own, whether or not it leads
 		return raw, true, err
 	}
--- a/internal/scaletest/scalerun/operators.go
+++ b/internal/scaletest/scalerun/operators.go
@@ -176,7 +176,7 @@
 // not answer.
 func (o *operators) lowestRevision(client *http.Client) (lowest uint64, ok bool) {
 	for i, c := range o.testbed.controllers {
-		resp, err := client.Get("http://" + c.internal + node.PathComponents + reconfig.Name + "/" + reconfig.ViewHere)
+		resp, err := client.Get("http://" + c.internal + node.PathComponents + reconfig.Name + "/" + reconfig.ViewLocal)
 		if err != nil {
 			return 0, false
 		}
