--- a/cmd/scalerun/main.go
+++ b/cmd/scalerun/main.go
@@ -112,7 +112,7 @@
 	}
 	for _, size := range e.Sizes {
 		needs := e.Needs(size)
-		if err := needs.Refuse(*memory.MemTotal<<10, files.Cur); err != nil {
+		if err := needs.CheckLimits(*memory.MemTotal<<10, files.Cur); err != nil {
 			return fmt.Errorf("sizes: %d: %w", size, err)
 		}
 		log.Info("resources needed by a run", "needs", needs.String(), "seeds", len(e.Seeds))
--- a/internal/scaletest/experiment/experiment_test.go
+++ b/internal/scaletest/experiment/experiment_test.go
@@ -63,10 +63,10 @@
 		t.Fatal(err)
 	}
 	n := e.Needs(2000)
-	if err := n.Refuse(16<<30, 20000); err != nil {
+	if err := n.CheckLimits(16<<30, 20000); err != nil {
 		t.Error(err)
 	}
-	for _, err := range []error{n.Refuse(1<<30, 20000), n.Refuse(16<<30, 1000), Needs{Processes: 301}.Refuse(16<<30, 20000)} {
+	for _, err := range []error{n.CheckLimits(1<<30, 20000), n.CheckLimits(16<<30, 1000), Needs{Processes: 301}.CheckLimits(16<<30, 20000)} {
 		if err == nil {
 			t.Error("a run that needs more than the machine has was not refused")
 		}
--- a/internal/scaletest/experiment/needs.go
+++ b/internal/scaletest/experiment/needs.go
@@ -40,9 +40,9 @@
 	return fmt.Sprintf("%d workers: %d processes, %d sockets, about %d MiB of memory, %.0f s and the time until all jobs are over", n.Workers, n.Processes, n.Sockets, n.Bytes>>20, n.Seconds)
 }
 
-// Refuse returns an error if the run needs more than MaxProcesses processes, more than memoryShare of
+// CheckLimits returns an error if the run needs more than MaxProcesses processes, more than memoryShare of
 // the given memory in bytes, or more than the given number of sockets.
-func (n Needs) Refuse(memory uint64, sockets uint64) error {
+func (n Needs) CheckLimits(memory uint64, sockets uint64) error {
 	switch {
 	case n.Processes > MaxProcesses:
 		return fmt.Errorf("needs %d processes, more than the limit of %d", n.Processes, MaxProcesses)
