--- a/cmd/scalerun/fit.go
+++ b/cmd/scalerun/fit.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		return err
 	}
-	fits, err := scalefit.Of(results, strings.Split(f.phases, ","), regressors)
+	fits, err := scalefit.FitCosts(results, strings.Split(f.phases, ","), regressors)
 	if err != nil {
 		return fmt.Errorf("--%w", err)
 	}
--- a/internal/scaletest/scalefit/scalefit.go
+++ b/internal/scaletest/scalefit/scalefit.go
@@ -103,8 +103,8 @@
 		state("log", "kB", func(u *scalerun.StateUse) float64 { return u.LogKBMost }))
 }
 
-// Of fits all costs against the regressors, over all phases that have one of the given names.
-func Of(results []scalerun.Result, names, against []string) ([]Fit, error) {
+// FitCosts fits all costs against the regressors, over all phases that have one of the given names.
+func FitCosts(results []scalerun.Result, names, against []string) ([]Fit, error) {
 	var variables []func(p *scalerun.Phase) float64
 	for _, name := range against {
 		f, ok := regressors[name]
--- a/internal/scaletest/scalefit/scalefit_test.go
+++ b/internal/scaletest/scalefit/scalefit_test.go
@@ -31,7 +31,7 @@
 	for _, x := range [][2]float64{{100, 10}, {200, 40}, {300, 20}, {400, 90}, {500, 50}} {
 		runs = append(runs, run(x[0], x[1], 0.05+0.001*x[0]+0.002*x[1]))
 	}
-	fits, err := Of(runs, []string{"peak"}, []string{"workers", "starts"})
+	fits, err := FitCosts(runs, []string{"peak"}, []string{"workers", "starts"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 		t.Errorf("%v %v", v, outside)
 	}
 	runs[2].Phases[0].Roles[0].CPU += .1
-	if fits, err = Of(runs, []string{"peak"}, []string{"workers"}); err != nil || processor(t, fits).Residual < .01 {
+	if fits, err = FitCosts(runs, []string{"peak"}, []string{"workers"}); err != nil || processor(t, fits).Residual < .01 {
 		t.Errorf("the residual of data that is not linear is too small: %v", err)
 	}
 }
@@ -59,14 +59,14 @@
 func TestFitRefuses(t *testing.T) {
 	together := []scalerun.Result{run(100, 10, 1), run(200, 20, 2), run(300, 30, 3), run(400, 40, 4)}
 	for against, want := range map[string]string{"workers,starts": "are collinear", "teams": "is constant", "moons": "none of"} {
-		if _, err := Of(together, []string{"peak"}, strings.Split(against, ",")); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := FitCosts(together, []string{"peak"}, strings.Split(against, ",")); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", against, err)
 		}
 	}
-	if _, err := Of(together, []string{"rest"}, []string{"workers"}); err == nil || !strings.Contains(err.Error(), "0 runs") {
+	if _, err := FitCosts(together, []string{"rest"}, []string{"workers"}); err == nil || !strings.Contains(err.Error(), "0 runs") {
 		t.Errorf("a phase that does not exist was not refused: %v", err)
 	}
-	if _, err := Of(together[:2], []string{"peak"}, []string{"workers"}); err == nil {
+	if _, err := FitCosts(together[:2], []string{"peak"}, []string{"workers"}); err == nil {
 		t.Error("a fit to two points was not refused")
 	}
 }
