--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -147,9 +147,9 @@
 	f.answersDropped[machine] = time.Now().Add(d)
 }
 
-// RepeatHeartbeats sends a copy of one in four reports to a random controller, up to the given time
+// DuplicateReports sends a copy of one in four reports to a random controller, up to the given time
 // after the original.
-func (f *Fleet) RepeatHeartbeats(within time.Duration) {
+func (f *Fleet) DuplicateReports(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copyDelay = within
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -243,7 +243,7 @@
 			ids = append(ids, tb.submit(n, 4+r.IntN(5), time.Duration(1+r.IntN(8))*time.Second))
 		}
 	}
-	tb.fleet.RepeatHeartbeats(20 * time.Second)
+	tb.fleet.DuplicateReports(20 * time.Second)
 	for round := range 8 {
 		submitJobs(5)
 		time.Sleep(2 * time.Second)
