--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -23,9 +23,9 @@
 // Cloud is a simulated cloud that rents machines. The zero value has one machine type in zone a and
 // unlimited capacity.
 type Cloud struct {
-	// Up is called for each machine that has booted, and Down for each one that is deleted or
+	// OnMachineUp is called for each machine that has booted, and Down for each one that is deleted or
 	// fails. Either may be nil.
-	Up, Down func(m Machine)
+	OnMachineUp, Down func(m Machine)
 	// Address returns the address of a machine's worker. If it is nil, machines get an address
 	// that nothing listens on.
 	Address  func(m Machine) string
@@ -159,9 +159,9 @@
 	}
 	c.machines[m.Name] = &rental{Machine: m, rentedAt: time.Now()}
 	switch {
-	case c.Up == nil:
+	case c.OnMachineUp == nil:
 	case boot == 0:
-		c.Up(m)
+		c.OnMachineUp(m)
 	default:
 		time.AfterFunc(boot, func() { c.booted(m) })
 	}
@@ -172,7 +172,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.machines[m.Name] != nil {
-		c.Up(m)
+		c.OnMachineUp(m)
 	}
 }
 
