--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -80,7 +80,7 @@
 	}
 	p.makeCertificates(t)
 	p.fleet.SetPoolLimit("licence", 3)
-	cloud := &standin.Cloud{OnMachineUp: p.fleet.StartWorker, Down: p.fleet.StopWorker}
+	cloud := &standin.Cloud{OnMachineUp: p.fleet.StartWorker, OnMachineDeleted: p.fleet.StopWorker}
 	p.testCluster = newCluster(t, p.store, cloud, func(c *settings.Settings) {
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = .5, 6
 		x := &c.Tunables
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -107,7 +107,7 @@
 			return jobs[id].taskDurations[n]
 		},
 		TaskCount: func(id string) int { mu.Lock(); defer mu.Unlock(); return len(jobs[id].taskDurations) }}
-	cloud.OnMachineUp, cloud.Down = fleet.StartWorker, fleet.StopWorker
+	cloud.OnMachineUp, cloud.OnMachineDeleted = fleet.StartWorker, fleet.StopWorker
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() {
--- a/internal/scaletest/scalerun/world.go
+++ b/internal/scaletest/scalerun/world.go
@@ -169,7 +169,7 @@
 	for k := range w.size {
 		capacity[w.zoneOf(k)]++
 	}
-	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, OnMachineUp: w.startMachine, Down: w.stopMachine, Address: w.address,
+	w.cloud = &standin.Cloud{Capacity: capacity, Boot: machineBoot, OnMachineUp: w.startMachine, OnMachineDeleted: w.stopMachine, Address: w.address,
 		Types: []eventlog.MachineType{{Name: machineType, CPUs: e.Workers.CPUs, MemoryGB: e.Workers.MemoryGB, CacheGB: 100, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: machineBoot.Seconds(), Zones: e.Zones()}}}
 	return nil
 }
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -23,9 +23,9 @@
 // Cloud is a simulated cloud that rents machines. The zero value has one machine type in zone a and
 // unlimited capacity.
 type Cloud struct {
-	// OnMachineUp is called for each machine that has booted, and Down for each one that is deleted or
+	// OnMachineUp is called for each machine that has booted, and OnMachineDeleted for each one that is deleted or
 	// fails. Either may be nil.
-	OnMachineUp, Down func(m Machine)
+	OnMachineUp, OnMachineDeleted func(m Machine)
 	// Address returns the address of a machine's worker. If it is nil, machines get an address
 	// that nothing listens on.
 	Address  func(m Machine) string
@@ -191,8 +191,8 @@
 		return
 	}
 	delete(c.machines, name)
-	if c.Down != nil {
-		c.Down(m.Machine)
+	if c.OnMachineDeleted != nil {
+		c.OnMachineDeleted(m.Machine)
 	}
 }
 
@@ -209,8 +209,8 @@
 	defer c.mu.Unlock()
 	if m := c.machines[name]; m != nil && !m.failed {
 		m.failed = true
-		if c.Down != nil {
-			c.Down(m.Machine)
+		if c.OnMachineDeleted != nil {
+			c.OnMachineDeleted(m.Machine)
 		}
 	}
 }
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -52,7 +52,7 @@
 	for _, d := range tb.publicAddrs {
 		tb.fleet.Controllers = append(tb.fleet.Controllers, "http://"+d)
 	}
-	tb.cloud.OnMachineUp, tb.cloud.Down = tb.fleet.StartWorker, tb.fleet.StopWorker
+	tb.cloud.OnMachineUp, tb.cloud.OnMachineDeleted = tb.fleet.StartWorker, tb.fleet.StopWorker
 	return tb
 }
 
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -59,7 +59,7 @@
 	for _, d := range c.publicAddrs {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
-	cloud.OnMachineUp, cloud.Down = fleet.StartWorker, fleet.StopWorker
+	cloud.OnMachineUp, cloud.OnMachineDeleted = fleet.StartWorker, fleet.StopWorker
 	fleet.SetPoolLimit("licence", 24)
 	fleet.SetPoolLimit("token", 40)
 	for i := range 3 {
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -296,7 +296,7 @@
 	for _, d := range c.publicAddrs {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
-	cloud.OnMachineUp, cloud.Down = fleet.StartWorker, fleet.StopWorker
+	cloud.OnMachineUp, cloud.OnMachineDeleted = fleet.StartWorker, fleet.StopWorker
 
 	for i := range 3 {
 		c.start(i, old)
