--- a/internal/core/workers/placement.go
+++ b/internal/core/workers/placement.go
@@ -37,7 +37,7 @@
 	IntentDurable      bool              // a durable record allows the job's tasks up to this one to be started
 	NoNewOffers        bool              // it is not offered again until all its offers are closed
 	Withdrawn          bool              // the plan is withdrawn once all its offers are closed
-	StartDirectly      bool              // to be started directly, without waiting for an idle worker's report
+	PushDispatch       bool              // to be started directly, without waiting for an idle worker's report
 
 	// State as reported.
 	State         TaskState
--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -147,7 +147,7 @@
 	if p.NoNewOffers || p.Withdrawn || len(p.Offered) > 0 {
 		return false
 	}
-	return p.StartDirectly && m.Grants[p.JobID] && p.IntentDurable
+	return p.PushDispatch && m.Grants[p.JobID] && p.IntentDurable
 }
 
 // Dispatched applies the report with which a worker answered dispatched starts; report is nil if
--- a/internal/leader/placement/placement.go
+++ b/internal/leader/placement/placement.go
@@ -182,7 +182,7 @@
 		Image:          job.Image,
 		Need:           job.Need,
 		BoundToMachine: job.Record.Kind == jobs.Gang || job.HasZoneRule(),
-		StartDirectly:  job.PushDispatch,
+		PushDispatch:   job.PushDispatch,
 	}
 	c.Placements[ref] = plan
 	if job.Record.Kind == jobs.Gang {
@@ -214,7 +214,7 @@
 // must be durable before the plan may be offered.
 func (c *Component) announcePlan(plan *workers.Placement) {
 	c.TrackMachineWithPlans(plan.Machine)
-	if plan.StartDirectly {
+	if plan.PushDispatch {
 		c.DispatchQueue = append(c.DispatchQueue, plan)
 	}
 	c.markPlan(plan)
