--- a/internal/leader/autoscaler/provisioner.go
+++ b/internal/leader/autoscaler/provisioner.go
@@ -66,10 +66,10 @@
 
 // Demand describes the missing capacity and which machines may cover it.
 type Demand struct {
-	CPUs       float64            // processors
-	Spot       bool               // spot machines, else on-demand ones
-	CPUsByZone map[string]float64 // existing processors in each zone
-	UsualStayS float64            // seconds that a machine is usually kept; its boot time is paid for too
+	CPUs         float64            // processors
+	Spot         bool               // spot machines, else on-demand ones
+	CPUsByZone   map[string]float64 // existing processors in each zone
+	UsualRentalS float64            // seconds that a machine is usually kept; its boot time is paid for too
 
 	// Fits reports whether machines of a type, zone and kind may cover the demand.
 	Fits func(t eventlog.MachineType, zone string, spot bool) bool
@@ -121,7 +121,7 @@
 			if demand.Spot {
 				price = t.SpotPrice
 			}
-			price *= 1 + t.BootS/demand.UsualStayS
+			price *= 1 + t.BootS/demand.UsualRentalS
 			count := max(1, min(maxMachinesPerRental, int(math.Ceil(missing/t.CPUs-roundingTolerance))))
 			covered := min(missing, float64(count)*t.CPUs)
 			cost := price * float64(count) / covered
--- a/internal/leader/autoscaler/provisioner_test.go
+++ b/internal/leader/autoscaler/provisioner_test.go
@@ -17,7 +17,7 @@
 // demandOf returns a demand of this many processors that any machine may cover; zone a has more
 // capacity.
 func demandOf(cpus float64, spot bool) Demand {
-	return Demand{CPUs: cpus, Spot: spot, UsualStayS: 120, CPUsByZone: map[string]float64{"a": 8}, Fits: fitsAnywhere}
+	return Demand{CPUs: cpus, Spot: spot, UsualRentalS: 120, CPUsByZone: map[string]float64{"a": 8}, Fits: fitsAnywhere}
 }
 
 // The boot time is paid for as well. For much work the type that boots faster is the cheapest,
@@ -64,7 +64,7 @@
 func TestRentLeavesOutAvoidedZones(t *testing.T) {
 	types := []eventlog.MachineType{{Name: "t", CPUs: 4, Price: 1, SpotPrice: 1, Zones: []string{"a", "b"}}}
 	provisioner := NewProvisioner("r")
-	demand := Demand{CPUs: 4, UsualStayS: 100, CPUsByZone: map[string]float64{"a": 1, "b": 9}, Fits: fitsAnywhere}
+	demand := Demand{CPUs: 4, UsualRentalS: 100, CPUsByZone: map[string]float64{"a": 1, "b": 9}, Fits: fitsAnywhere}
 	provisioner.AvoidZone("a", 10*time.Second)
 	if got := provisioner.Rent(5*time.Second, types, demand); len(got) != 1 || got[0].Zone != "b" {
 		t.Errorf("rented %v while zone a is avoided", got)
--- a/internal/leader/autoscaler/scale_out.go
+++ b/internal/leader/autoscaler/scale_out.go
@@ -165,10 +165,10 @@
 		cpusByZone[c.Zones.Name(m.Zone)] += m.Capacity.CPUs()
 	}
 	return Demand{
-		CPUs:       cpus,
-		Spot:       spot,
-		CPUsByZone: cpusByZone,
-		UsualStayS: c.Cfg.Tunables.UsualRentalS,
+		CPUs:         cpus,
+		Spot:         spot,
+		CPUsByZone:   cpusByZone,
+		UsualRentalS: c.Cfg.Tunables.UsualRentalS,
 		Fits: func(t eventlog.MachineType, zone string, spot bool) bool {
 			return c.suitsAnyJob(group, t, zone, spot, forJobs)
 		},
