--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -71,11 +71,11 @@
 		dir:   t.TempDir(),
 		store: &standin.StateService{},
 		fleet: &standin.Fleet{
-			HeartbeatInterval: 200 * time.Millisecond,
-			Lease:             6 * time.Second,
-			JobDuration:       func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
-			TaskCount:         func(string) int { return 3 },
-			PoolUnits:         func(string) map[string]int { return map[string]int{"licence": 1} },
+			ReportInterval: 200 * time.Millisecond,
+			Lease:          6 * time.Second,
+			JobDuration:    func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
+			TaskCount:      func(string) int { return 3 },
+			PoolUnits:      func(string) map[string]int { return map[string]int{"licence": 1} },
 		},
 	}
 	p.makeCertificates(t)
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -97,7 +97,7 @@
 	c.External.Cloud, c.External.State = clouds.Listener.Addr().String(), state.Listener.Addr().String()
 	c.Deployment.State.WriteRPS, c.Deployment.MachineLimits.FDLimit = 60, 2000
 	c.Tunables.RunTimesKinds, c.Tunables.WebhookURL, c.WebhookKey = 2000, hook.URL, []byte("0123456789abcdef")
-	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Controllers: []string{"http://" + c.PublicAddr},
+	fleet := &standin.Fleet{ReportInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Controllers: []string{"http://" + c.PublicAddr},
 		JobDuration: func(string) (time.Duration, []string) { return 0, nil },
 		TaskDuration: func(task string) time.Duration {
 			id, k, _ := strings.Cut(task, "/")
--- a/internal/scaletest/scalerun/children.go
+++ b/internal/scaletest/scalerun/children.go
@@ -165,5 +165,5 @@
 
 // fleet returns a fleet whose tasks have the workload's images and run times.
 func (w *workload) fleet(controllers []string, reportS, leaseS, fetchS float64) *standin.Fleet {
-	return &standin.Fleet{Controllers: controllers, HeartbeatInterval: seconds(reportS), Lease: seconds(leaseS), Fetch: seconds(fetchS), ReportsChangesAtOnce: true, Image: w.image, TaskDuration: w.taskDuration}
+	return &standin.Fleet{Controllers: controllers, ReportInterval: seconds(reportS), Lease: seconds(leaseS), Fetch: seconds(fetchS), ReportsChangesAtOnce: true, Image: w.image, TaskDuration: w.taskDuration}
 }
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -13,9 +13,9 @@
 // Fleet simulates the workers of a cloud's machines. Each worker reports to one controller at a time
 // and carries out its commands; the fleet checks the platform's rules on running tasks.
 type Fleet struct {
-	Controllers       []string // base URLs of the controllers, which are named n0, n1, …
-	HeartbeatInterval time.Duration
-	Lease             time.Duration
+	Controllers    []string // base URLs of the controllers, which are named n0, n1, …
+	ReportInterval time.Duration
+	Lease          time.Duration
 	// ReportsChangesAtOnce makes workers report changes at once, but no sooner than half a second
 	// after the last report, and varies the intervals by up to a quarter, as the protocol requires.
 	ReportsChangesAtOnce bool
--- a/internal/scaletest/standin/standin_test.go
+++ b/internal/scaletest/standin/standin_test.go
@@ -134,7 +134,7 @@
 		token++ // each answer has a higher token
 	}))
 	defer server.Close()
-	f := &Fleet{Controllers: []string{server.URL}, HeartbeatInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
+	f := &Fleet{Controllers: []string{server.URL}, ReportInterval: time.Second, Lease: time.Hour, ReportsChangesAtOnce: true}
 	f.StartWorker(Machine{Name: "host-1"})
 	first, second, third := <-reports, <-reports, <-reports
 	f.StopWorker(Machine{Name: "host-1"})
--- a/internal/scaletest/standin/worker.go
+++ b/internal/scaletest/standin/worker.go
@@ -72,7 +72,7 @@
 	defer w.client.CloseIdleConnections()
 	next := time.Now()
 	if w.fleet.ReportsChangesAtOnce {
-		next = next.Add(rand.N(w.fleet.HeartbeatInterval))
+		next = next.Add(rand.N(w.fleet.ReportInterval))
 	}
 	var last time.Time
 	for {
@@ -102,7 +102,7 @@
 
 // interval returns the time until the next report.
 func (w *worker) interval() time.Duration {
-	every := w.fleet.HeartbeatInterval
+	every := w.fleet.ReportInterval
 	if !w.fleet.ReportsChangesAtOnce {
 		return every
 	}
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -46,7 +46,7 @@
 	tb.extraArgs = func(int) []string {
 		return append([]string{"--tunables", filepath.Join(root, "deploy/cold-start.ini")}, args...)
 	}
-	tb.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
+	tb.fleet = &standin.Fleet{ReportInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
 		JobDuration: func(id string) (time.Duration, []string) { return tb.job(id).run, nil },
 		TaskCount:   func(id string) int { return tb.job(id).tasks }}
 	for _, d := range tb.publicAddrs {
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -53,7 +53,7 @@
 		}
 		return map[string]int{"licence": 1}
 	}
-	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, PoolUnits: units,
+	fleet := &standin.Fleet{ReportInterval: 200 * time.Millisecond, Lease: 10 * time.Second, PoolUnits: units,
 		JobDuration: func(id string) (time.Duration, []string) { return c.job(id).run, nil },
 		TaskCount:   func(id string) int { return c.job(id).tasks }}
 	for _, d := range c.publicAddrs {
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/upgrade/upgrade_test.go
@@ -290,7 +290,7 @@
 	defer state.Close()
 	defer clouds.Close()
 	c := newCluster(t, state.Listener.Addr().String(), clouds.Listener.Addr().String())
-	fleet := &standin.Fleet{HeartbeatInterval: 600 * time.Millisecond, Lease: 10 * time.Second,
+	fleet := &standin.Fleet{ReportInterval: 600 * time.Millisecond, Lease: 10 * time.Second,
 		JobDuration: func(id string) (time.Duration, []string) { j := c.job(id); return j.run, j.follows },
 		TaskCount:   func(id string) int { return c.job(id).tasks }}
 	for _, d := range c.publicAddrs {
