--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -216,8 +216,8 @@
 func (p *poolsTest) injectFaults(t *testing.T, stopFirst func()) {
 	t.Helper()
 	for round := range 12 {
-		p.await(t, "a task runs", func() bool { return len(p.fleet.Busy()) > 0 })
-		if busy := p.fleet.Busy(); len(busy) > 0 && round%2 == 0 {
+		p.await(t, "a task runs", func() bool { return len(p.fleet.BusyMachines()) > 0 })
+		if busy := p.fleet.BusyMachines(); len(busy) > 0 && round%2 == 0 {
 			p.fleet.StopWorker(standin.Machine{Name: busy[0]})
 		} else if len(busy) > 0 {
 			p.fleet.PauseWorker(busy[0], 7*time.Second)
--- a/internal/scaletest/standin/audit.go
+++ b/internal/scaletest/standin/audit.go
@@ -191,8 +191,8 @@
 	return len(f.runningOn)
 }
 
-// Busy lists the machine of each running task, in no particular order.
-func (f *Fleet) Busy() []string {
+// BusyMachines lists the machine of each running task, in no particular order.
+func (f *Fleet) BusyMachines() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Collect(maps.Values(f.runningOn))
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -76,7 +76,7 @@
 			c.kill(i)
 		}
 		seen := map[string]bool{}
-		for _, m := range fleet.Busy() {
+		for _, m := range fleet.BusyMachines() {
 			if seen[m] {
 				continue
 			}
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -249,7 +249,7 @@
 		time.Sleep(2 * time.Second)
 		switch round % 2 {
 		case 0:
-			busy := tb.fleet.Busy()
+			busy := tb.fleet.BusyMachines()
 			slices.Sort(busy)
 			for _, m := range slices.Compact(busy) {
 				if selected++; selected%2 == 0 {
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -110,7 +110,7 @@
 			n++
 			submitted[c.submitWithUnits(n, 8, time.Second, units)] = true
 		}
-		if busy := fleet.Busy(); len(busy) > 0 {
+		if busy := fleet.BusyMachines(); len(busy) > 0 {
 			m := busy[r.IntN(len(busy))]
 			switch killed++; r.IntN(3) {
 			case 0:
