--- a/internal/core/config/config_test.go
+++ b/internal/core/config/config_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// Undo restores the earlier values and returns an error for a revision that the history does not cover.
+// ChangesToRestore returns changes to the earlier values and returns an error for a revision that the history does not cover.
 func TestUndo(t *testing.T) {
 	history := []Revision{
 		{Number: 4, Changes: []Change{{idleReturn, number(5)}}, Before: []Value{{}}},
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -70,7 +70,7 @@
 
 var errHistoryLoading = errors.New("run-times: the history is still being read: try again in a few seconds")
 
-// Change applies an Import and returns an Imported, both as JSON. All kinds are checked before
+// Change applies an ImportRequest and returns an ImportResult, both as JSON. All kinds are checked before
 // the first is changed. Imported nights are written like closed ones. Change fails until the
 // history is loaded.
 func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -31,7 +31,7 @@
 	Address  func(m Machine) string
 	Types    []eventlog.MachineType // empty: one type with 4 processors in zone a
 	Capacity map[string]int         // maximum number of machines by zone; nil: unlimited
-	Boot     time.Duration          // time from a rental until Up is called
+	Boot     time.Duration          // time from a rental until OnMachineUp is called
 
 	mu       sync.Mutex
 	rented   map[string][]string // machine names by the name of the rental request
