--- a/cmd/bitternmoor/runtimes.go
+++ b/cmd/bitternmoor/runtimes.go
@@ -45,7 +45,7 @@
 
 // changeKinds requests a change of the learned run times from the leader. With --json it prints the answer
 // unchanged, otherwise it calls print with the decoded answer.
-func (n *nodeClient) changeKinds(out io.Writer, in runtimes.Import, print func(done runtimes.Imported)) error {
+func (n *nodeClient) changeKinds(out io.Writer, in runtimes.ImportRequest, print func(done runtimes.ImportResult)) error {
 	body, err := json.Marshal(in)
 	if err != nil {
 		return failure{err}
@@ -58,7 +58,7 @@
 		console.Printf(out, "%s\n", answer)
 		return nil
 	}
-	var done runtimes.Imported
+	var done runtimes.ImportResult
 	if err := decodeAnswer("node", answer, &done); err != nil {
 		return err
 	}
@@ -103,14 +103,14 @@
 	if err := confirm(cmd, im.yes, "take them in?"); err != nil {
 		return err
 	}
-	return im.changeKinds(out, in, func(done runtimes.Imported) {
+	return im.changeKinds(out, in, func(done runtimes.ImportResult) {
 		console.Printf(out, "%d added, %d replaced, %d left as they are, %d dropped for want of room; "+
 			"they are stored over the next minutes\n", done.Added, done.Replaced, done.Left, done.Dropped)
 	})
 }
 
 // printPlan prints how many kinds would be added, and whether those that already exist are kept or replaced.
-func (im *importer) printPlan(out io.Writer, in runtimes.Import, known []shownKind) {
+func (im *importer) printPlan(out io.Writer, in runtimes.ImportRequest, known []shownKind) {
 	both := 0
 	for _, imported := range in.Kinds {
 		if slices.ContainsFunc(known, func(k shownKind) bool { return k.Name == imported.Name() }) {
@@ -159,13 +159,13 @@
 	if err := confirm(cmd, yes, "forget it?"); err != nil {
 		return err
 	}
-	return n.changeKinds(out, runtimes.Import{Forget: []string{name}}, func(runtimes.Imported) {
+	return n.changeKinds(out, runtimes.ImportRequest{Forget: []string{name}}, func(runtimes.ImportResult) {
 		console.Line(out, "forgotten")
 	})
 }
 
 // readExport reads an export. It fails if any line is invalid, so that nothing is imported then.
-func readExport(path string) (in runtimes.Import, err error) {
+func readExport(path string) (in runtimes.ImportRequest, err error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return in, err
@@ -176,14 +176,14 @@
 			continue
 		}
 		number := i + 1
-		var kind runtimes.Exported
+		var kind runtimes.ExportedKind
 		if err := json.Unmarshal(line, &kind); err != nil {
 			return in, fmt.Errorf("%s: line %d: not a kind of work as JSON: %w", path, number, err)
 		}
 		if err := kind.Check(); err != nil {
 			return in, fmt.Errorf("%s: line %d: %w", path, number, err)
 		}
-		if slices.ContainsFunc(in.Kinds, func(other runtimes.Exported) bool { return other.Kind == kind.Kind }) {
+		if slices.ContainsFunc(in.Kinds, func(other runtimes.ExportedKind) bool { return other.Kind == kind.Kind }) {
 			return in, fmt.Errorf("%s: line %d: %s is there twice", path, number, kind.Name())
 		}
 		in.Kinds = append(in.Kinds, kind)
--- a/internal/leader/runtimes/import.go
+++ b/internal/leader/runtimes/import.go
@@ -11,20 +11,20 @@
 
 // This file imports kinds that another installation has learned, and forgets kinds.
 
-// Exported is the format in which a kind of work is exported and imported.
-type Exported struct {
+// ExportedKind is the format in which a kind of work is exported and imported.
+type ExportedKind struct {
 	Kind
 	Nights [][11]float64 `json:"nights"` // the fields of Night, in order
 }
 
 // Name returns the kind's name.
-func (x Exported) Name() string { return x.String() }
+func (x ExportedKind) Name() string { return x.String() }
 
 // maxImportedNumber is the largest absolute value of an imported number, in seconds or as a count.
 const maxImportedNumber = 1e9
 
 // Check validates an exported kind. Its error names the invalid field and the reason.
-func (x Exported) Check() error {
+func (x ExportedKind) Check() error {
 	if x.Class == "" {
 		return errors.New("class: missing")
 	}
@@ -51,16 +51,16 @@
 	return nil
 }
 
-// Import is a change request: kinds to import and kinds to forget. Kinds that are already
+// ImportRequest is a change request: kinds to import and kinds to forget. Kinds that are already
 // known are left unchanged unless Replace is set.
-type Import struct {
-	Kinds   []Exported `json:"kinds"`
-	Replace bool       `json:"replace"`
-	Forget  []string   `json:"forget,omitempty"` // names of kinds, as Show returns them
+type ImportRequest struct {
+	Kinds   []ExportedKind `json:"kinds"`
+	Replace bool           `json:"replace"`
+	Forget  []string       `json:"forget,omitempty"` // names of kinds, as Show returns them
 }
 
-// Imported counts what an import has changed.
-type Imported struct {
+// ImportResult counts what an import has changed.
+type ImportResult struct {
 	Added    int `json:"added"`
 	Replaced int `json:"replaced"`
 	Left     int `json:"left_as_they_are"` // already known and not replaced
@@ -70,11 +70,11 @@
 
 var errHistoryLoading = errors.New("run-times: the history is still being read: try again in a few seconds")
 
-// Change applies an Import and returns an Imported, both as JSON. All kinds are checked before
+// Change applies an ImportRequest and returns an ImportResult, both as JSON. All kinds are checked before
 // the first is changed. Imported nights are written like closed ones. Change fails until the
 // history is loaded.
 func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
-	var in Import
+	var in ImportRequest
 	if err := json.Unmarshal(body, &in); err != nil {
 		return nil, fmt.Errorf("run-times: %w", err)
 	}
@@ -89,7 +89,7 @@
 	if err := d.forgetKinds(now, in.Forget); err != nil {
 		return nil, err
 	}
-	out := Imported{Forgot: len(in.Forget)}
+	out := ImportResult{Forgot: len(in.Forget)}
 	for _, x := range in.Kinds {
 		d.importKind(x, in.Replace, &out)
 	}
@@ -103,7 +103,7 @@
 const secondsPerDay = 24 * 60 * 60
 
 // importKind imports a kind and counts the outcome in out.
-func (d *Component) importKind(x Exported, replace bool, out *Imported) {
+func (d *Component) importKind(x ExportedKind, replace bool, out *ImportResult) {
 	_, known := d.model.histories[x.Kind]
 	switch {
 	case known && !replace:
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -71,16 +71,16 @@
 		dir:   t.TempDir(),
 		store: &standin.StateService{},
 		fleet: &standin.Fleet{
-			HeartbeatInterval: 200 * time.Millisecond,
-			Lease:             6 * time.Second,
-			JobDuration:       func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
-			TaskCount:         func(string) int { return 3 },
-			PoolUnits:         func(string) map[string]int { return map[string]int{"licence": 1} },
+			ReportInterval: 200 * time.Millisecond,
+			Lease:          6 * time.Second,
+			JobDuration:    func(string) (time.Duration, []string) { return 700 * time.Millisecond, nil },
+			TaskCount:      func(string) int { return 3 },
+			PoolUnits:      func(string) map[string]int { return map[string]int{"licence": 1} },
 		},
 	}
 	p.makeCertificates(t)
 	p.fleet.SetPoolLimit("licence", 3)
-	cloud := &standin.Cloud{Up: p.fleet.StartWorker, Down: p.fleet.StopWorker}
+	cloud := &standin.Cloud{OnMachineUp: p.fleet.StartWorker, OnMachineDeleted: p.fleet.StopWorker}
 	p.testCluster = newCluster(t, p.store, cloud, func(c *settings.Settings) {
 		c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = .5, 6
 		x := &c.Tunables
@@ -216,8 +216,8 @@
 func (p *poolsTest) injectFaults(t *testing.T, stopFirst func()) {
 	t.Helper()
 	for round := range 12 {
-		p.await(t, "a task runs", func() bool { return len(p.fleet.Busy()) > 0 })
-		if busy := p.fleet.Busy(); len(busy) > 0 && round%2 == 0 {
+		p.await(t, "a task runs", func() bool { return len(p.fleet.BusyMachines()) > 0 })
+		if busy := p.fleet.BusyMachines(); len(busy) > 0 && round%2 == 0 {
 			p.fleet.StopWorker(standin.Machine{Name: busy[0]})
 		} else if len(busy) > 0 {
 			p.fleet.PauseWorker(busy[0], 7*time.Second)
--- a/internal/node/replay_test.go
+++ b/internal/node/replay_test.go
@@ -97,7 +97,7 @@
 	c.External.Cloud, c.External.State = clouds.Listener.Addr().String(), state.Listener.Addr().String()
 	c.Deployment.State.WriteRPS, c.Deployment.MachineLimits.FDLimit = 60, 2000
 	c.Tunables.RunTimesKinds, c.Tunables.WebhookURL, c.WebhookKey = 2000, hook.URL, []byte("0123456789abcdef")
-	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Controllers: []string{"http://" + c.PublicAddr},
+	fleet := &standin.Fleet{ReportInterval: 200 * time.Millisecond, Lease: 10 * time.Second, Controllers: []string{"http://" + c.PublicAddr},
 		JobDuration: func(string) (time.Duration, []string) { return 0, nil },
 		TaskDuration: func(task string) time.Duration {
 			id, k, _ := strings.Cut(task, "/")
@@ -107,7 +107,7 @@
 			return jobs[id].taskDurations[n]
 		},
 		TaskCount: func(id string) int { mu.Lock(); defer mu.Unlock(); return len(jobs[id].taskDurations) }}
-	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
+	cloud.OnMachineUp, cloud.OnMachineDeleted = fleet.StartWorker, fleet.StopWorker
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() {
@@ -148,7 +148,7 @@
 // how many jobs are still open, or 1 if the leader does not answer.
 func pollForecasts(addr string, mu *sync.Mutex, jobs map[string]*replayedJob) int {
 	var list []runtimes.Forecast
-	var late []runtimes.Late
+	var late []runtimes.LateJob
 	if !getView(addr, "run-times/forecast", &list) || !getView(addr, "run-times/late", &late) {
 		return 1
 	}
--- a/internal/scaletest/standin/cloud.go
+++ b/internal/scaletest/standin/cloud.go
@@ -23,15 +23,15 @@
 // Cloud is a simulated cloud that rents machines. The zero value has one machine type in zone a and
 // unlimited capacity.
 type Cloud struct {
-	// Up is called for each machine that has booted, and Down for each one that is deleted or
+	// OnMachineUp is called for each machine that has booted, and OnMachineDeleted for each one that is deleted or
 	// fails. Either may be nil.
-	Up, Down func(m Machine)
+	OnMachineUp, OnMachineDeleted func(m Machine)
 	// Address returns the address of a machine's worker. If it is nil, machines get an address
 	// that nothing listens on.
 	Address  func(m Machine) string
 	Types    []eventlog.MachineType // empty: one type with 4 processors in zone a
 	Capacity map[string]int         // maximum number of machines by zone; nil: unlimited
-	Boot     time.Duration          // time from a rental until Up is called
+	Boot     time.Duration          // time from a rental until OnMachineUp is called
 
 	mu       sync.Mutex
 	rented   map[string][]string // machine names by the name of the rental request
@@ -73,7 +73,7 @@
 	c.initialize()
 	switch {
 	case r.URL.Path == wire.PathMachineTypes:
-		return reply{http.StatusOK, wire.MachineTypes(c.Types)}
+		return reply{http.StatusOK, wire.EncodeMachineTypes(c.Types)}
 	case r.URL.Path == wire.PathRentals && r.Method == http.MethodGet:
 		return c.list(r.URL.Query().Get("since"), r.URL.Query().Get("most"))
 	case r.URL.Path == wire.PathRentals:
@@ -106,12 +106,12 @@
 			continue
 		}
 		if len(list) == limit {
-			return reply{http.StatusOK, wire.MachineList(list, true)}
+			return reply{http.StatusOK, wire.EncodeMachineList(list, true)}
 		}
 		m := c.machines[n]
 		list = append(list, wire.ListedMachine{Machine: m.Machine, Failed: m.failed, RentedForS: time.Since(m.rentedAt).Seconds()})
 	}
-	return reply{http.StatusOK, wire.MachineList(list, false)}
+	return reply{http.StatusOK, wire.EncodeMachineList(list, false)}
 }
 
 func (c *Cloud) rent(req eventlog.Rental) reply {
@@ -159,9 +159,9 @@
 	}
 	c.machines[m.Name] = &rental{Machine: m, rentedAt: time.Now()}
 	switch {
-	case c.Up == nil:
+	case c.OnMachineUp == nil:
 	case boot == 0:
-		c.Up(m)
+		c.OnMachineUp(m)
 	default:
 		time.AfterFunc(boot, func() { c.booted(m) })
 	}
@@ -172,7 +172,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.machines[m.Name] != nil {
-		c.Up(m)
+		c.OnMachineUp(m)
 	}
 }
 
@@ -191,8 +191,8 @@
 		return
 	}
 	delete(c.machines, name)
-	if c.Down != nil {
-		c.Down(m.Machine)
+	if c.OnMachineDeleted != nil {
+		c.OnMachineDeleted(m.Machine)
 	}
 }
 
@@ -209,8 +209,8 @@
 	defer c.mu.Unlock()
 	if m := c.machines[name]; m != nil && !m.failed {
 		m.failed = true
-		if c.Down != nil {
-			c.Down(m.Machine)
+		if c.OnMachineDeleted != nil {
+			c.OnMachineDeleted(m.Machine)
 		}
 	}
 }
--- a/internal/scaletest/standin/fleet.go
+++ b/internal/scaletest/standin/fleet.go
@@ -13,9 +13,9 @@
 // Fleet simulates the workers of a cloud's machines. Each worker reports to one controller at a time
 // and carries out its commands; the fleet checks the platform's rules on running tasks.
 type Fleet struct {
-	Controllers       []string // base URLs of the controllers, which are named n0, n1, …
-	HeartbeatInterval time.Duration
-	Lease             time.Duration
+	Controllers    []string // base URLs of the controllers, which are named n0, n1, …
+	ReportInterval time.Duration
+	Lease          time.Duration
 	// ReportsChangesAtOnce makes workers report changes at once, but no sooner than half a second
 	// after the last report, and varies the intervals by up to a quarter, as the protocol requires.
 	ReportsChangesAtOnce bool
@@ -147,9 +147,9 @@
 	f.answersDropped[machine] = time.Now().Add(d)
 }
 
-// RepeatHeartbeats sends a copy of one in four reports to a random controller, up to the given time
+// DuplicateReports sends a copy of one in four reports to a random controller, up to the given time
 // after the original.
-func (f *Fleet) RepeatHeartbeats(within time.Duration) {
+func (f *Fleet) DuplicateReports(within time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copyDelay = within
--- a/internal/upgrade/pools_test.go
+++ b/internal/upgrade/pools_test.go
@@ -53,13 +53,13 @@
 		}
 		return map[string]int{"licence": 1}
 	}
-	fleet := &standin.Fleet{HeartbeatInterval: 200 * time.Millisecond, Lease: 10 * time.Second, PoolUnits: units,
+	fleet := &standin.Fleet{ReportInterval: 200 * time.Millisecond, Lease: 10 * time.Second, PoolUnits: units,
 		JobDuration: func(id string) (time.Duration, []string) { return c.job(id).run, nil },
 		TaskCount:   func(id string) int { return c.job(id).tasks }}
 	for _, d := range c.publicAddrs {
 		fleet.Controllers = append(fleet.Controllers, "http://"+d)
 	}
-	cloud.Up, cloud.Down = fleet.StartWorker, fleet.StopWorker
+	cloud.OnMachineUp, cloud.OnMachineDeleted = fleet.StartWorker, fleet.StopWorker
 	fleet.SetPoolLimit("licence", 24)
 	fleet.SetPoolLimit("token", 40)
 	for i := range 3 {
@@ -110,7 +110,7 @@
 			n++
 			submitted[c.submitWithUnits(n, 8, time.Second, units)] = true
 		}
-		if busy := fleet.Busy(); len(busy) > 0 {
+		if busy := fleet.BusyMachines(); len(busy) > 0 {
 			m := busy[r.IntN(len(busy))]
 			switch killed++; r.IntN(3) {
 			case 0:
