--- a/cmd/bitternmoor/configchange.go
+++ b/cmd/bitternmoor/configchange.go
@@ -189,7 +189,7 @@
 		Short: "Make all changes in an INI file or none; shows the effect and asks for confirmation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			edits, err := config.FileEdits(args[0])
+			edits, err := config.ReadEditsFile(args[0])
 			if err != nil {
 				return err
 			}
@@ -201,11 +201,11 @@
 // changeByEdits turns edits into changes and makes them. An edit that is invalid regardless of the current
 // values is rejected before the leader is contacted.
 func (c *configChanger) changeByEdits(cmd *cobra.Command, edits []config.Edit) error {
-	if _, err := config.Changes(edits, func(string) config.Limits { return config.Limits{} }); err != nil {
+	if _, err := config.CombineEdits(edits, func(string) config.Limits { return config.Limits{} }); err != nil {
 		return err
 	}
 	return c.change(cmd, func(_ context.Context, _ *control.Client, v *reconfig.View) ([]config.Change, error) {
-		return config.Changes(edits, func(team string) config.Limits { return teamLimits(v, team) })
+		return config.CombineEdits(edits, func(team string) config.Limits { return teamLimits(v, team) })
 	})
 }
 
@@ -242,7 +242,7 @@
 	if n := len(history); n > 0 && history[n-1].Number != v.Revision {
 		return nil, failure{errors.New("the configuration has just changed: try again")}
 	}
-	changes, err := config.Undo(history, revision)
+	changes, err := config.ChangesToRestore(history, revision)
 	for i := range changes {
 		if changes[i].Value.Removed {
 			changes[i].Value.Limits = nil // the leader has them
--- a/internal/upgrade/cold_test.go
+++ b/internal/upgrade/cold_test.go
@@ -46,13 +46,13 @@
 	tb.extraArgs = func(int) []string {
 		return append([]string{"--tunables", filepath.Join(root, "deploy/cold-start.ini")}, args...)
 	}
-	tb.fleet = &standin.Fleet{HeartbeatInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
+	tb.fleet = &standin.Fleet{ReportInterval: 500 * time.Millisecond, Lease: 10 * time.Second,
 		JobDuration: func(id string) (time.Duration, []string) { return tb.job(id).run, nil },
 		TaskCount:   func(id string) int { return tb.job(id).tasks }}
 	for _, d := range tb.publicAddrs {
 		tb.fleet.Controllers = append(tb.fleet.Controllers, "http://"+d)
 	}
-	tb.cloud.Up, tb.cloud.Down = tb.fleet.StartWorker, tb.fleet.StopWorker
+	tb.cloud.OnMachineUp, tb.cloud.OnMachineDeleted = tb.fleet.StartWorker, tb.fleet.StopWorker
 	return tb
 }
 
@@ -76,7 +76,7 @@
 			c.kill(i)
 		}
 		seen := map[string]bool{}
-		for _, m := range fleet.Busy() {
+		for _, m := range fleet.BusyMachines() {
 			if seen[m] {
 				continue
 			}
--- a/internal/upgrade/oneway_test.go
+++ b/internal/upgrade/oneway_test.go
@@ -243,13 +243,13 @@
 			ids = append(ids, tb.submit(n, 4+r.IntN(5), time.Duration(1+r.IntN(8))*time.Second))
 		}
 	}
-	tb.fleet.RepeatHeartbeats(20 * time.Second)
+	tb.fleet.DuplicateReports(20 * time.Second)
 	for round := range 8 {
 		submitJobs(5)
 		time.Sleep(2 * time.Second)
 		switch round % 2 {
 		case 0:
-			busy := tb.fleet.Busy()
+			busy := tb.fleet.BusyMachines()
 			slices.Sort(busy)
 			for _, m := range slices.Compact(busy) {
 				if selected++; selected%2 == 0 {
--- a/internal/wire/stateserver.go
+++ b/internal/wire/stateserver.go
@@ -98,8 +98,8 @@
 	return encode(leasedItem{storedItem: newStoredItem(item), LeaseID: lease})
 }
 
-// StatePage encodes one page of a list of keys; more is set if further pages follow.
-func StatePage(items []Item, more bool, revision uint64) []byte {
+// EncodeStatePage encodes one page of a list of keys; more is set if further pages follow.
+func EncodeStatePage(items []Item, more bool, revision uint64) []byte {
 	stored := make([]storedItem, len(items))
 	for i, item := range items {
 		stored[i] = newStoredItem(item)
@@ -121,8 +121,8 @@
 	Changes  []keyChange `json:"news"`
 }
 
-// StateChanges encodes the response that lists changes of keys; an item without a value is a removal.
-func StateChanges(revision uint64, changed []Item) []byte {
+// EncodeStateChanges encodes the response that lists changes of keys; an item without a value is a removal.
+func EncodeStateChanges(revision uint64, changed []Item) []byte {
 	list := make([]keyChange, len(changed))
 	for i, item := range changed {
 		list[i] = keyChange{Write: item.Key, Value: item.Value, Version: item.Version}
