--- a/cmd/bitternmoor/pools.go
+++ b/cmd/bitternmoor/pools.go
@@ -148,7 +148,7 @@
 	if err != nil {
 		return false, failure{err}
 	}
-	var done pools.Changed
+	var done pools.ChangeResult
 	if err := decodeAnswer("controller", raw, &done); err != nil || !done.Durable {
 		return false, err
 	}
--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -41,8 +41,8 @@
 	Drain   *bool  `json:"drain,omitempty"` // nil: not changed; a drained pool allocates no units
 }
 
-// Changed is the answer to a Change. Until the change is durable, the client has to repeat it.
-type Changed struct {
+// ChangeResult is the answer to a Change. Until the change is durable, the client has to repeat it.
+type ChangeResult struct {
 	Durable bool   `json:"durable"`
 	Version uint64 `json:"version"` // version of the pool that the change produced
 	Pool    View   `json:"pool"`    // as the pool is now
@@ -80,7 +80,7 @@
 	return raw, nil
 }
 
-func (d *Component) change(now time.Duration, c *Change) (*Changed, error) {
+func (d *Component) change(now time.Duration, c *Change) (*ChangeResult, error) {
 	i, ok := d.byName[c.Pool]
 	if !ok || !d.pools[i].inSettings {
 		return nil, fmt.Errorf("pools: pool: no such pool: %q", c.Pool)
@@ -91,7 +91,7 @@
 	}
 	if n := slices.IndexFunc(p.changes, func(o appliedChange) bool { return o.ID == c.ID }); n >= 0 {
 		version := p.changes[n].Version
-		return &Changed{Durable: version <= p.durableVersion, Version: version, Pool: d.view(now, p, false)}, nil
+		return &ChangeResult{Durable: version <= p.durableVersion, Version: version, Pool: d.view(now, p, false)}, nil
 	}
 	if c.Version != p.changeVersion {
 		return nil, fmt.Errorf("pools: version: this was planned for version %d, and another change has made it %d",
@@ -102,7 +102,7 @@
 	d.NeedsCycle = true
 	d.LogMessage(effects.Info, "pool changed", "pool", p.name, "version", p.changeVersion,
 		"units", max(p.size, p.pendingSize), "drained", p.drained)
-	return &Changed{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
+	return &ChangeResult{Version: p.changeVersion, Pool: d.view(now, p, false)}, nil
 }
 
 // checkChange returns an error if a change cannot be applied to any pool: it is not valid, or the stored
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -426,9 +426,9 @@
 // same answer, one planned for another version is refused, and the next leader reads the changes.
 func TestChangesAreIdempotentAndVersioned(t *testing.T) {
 	f := newFixture(t, settings.Pool{Name: "p", Units: 4})
-	applyChange := func(body string) (Changed, error) {
+	applyChange := func(body string) (ChangeResult, error) {
 		raw, err := f.component.Change(f.now, json.RawMessage(`{"change":`+body+`}`))
-		var out Changed
+		var out ChangeResult
 		if err == nil {
 			err = json.Unmarshal(raw, &out)
 		}
--- a/internal/node/pools_test.go
+++ b/internal/node/pools_test.go
@@ -169,7 +169,7 @@
 }
 
 // change sends a change of the pool to the second controller.
-func (p *poolsTest) change(t *testing.T, body string) (changed pools.Changed, err error) {
+func (p *poolsTest) change(t *testing.T, body string) (changed pools.ChangeResult, err error) {
 	t.Helper()
 	raw, err := p.client(1).Change(t.Context(), pools.Name, json.RawMessage(`{"change":`+body+`}`))
 	if err == nil {
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -110,7 +110,7 @@
 		body := fmt.Sprintf(`{"change":{"id":%q,"pool":%q,"version":%d,"units":%d}}`, id, pool, view.Version, units)
 		raw, _, err = leader.core.Change(leader.clock(), pools.Name, "operator", json.RawMessage(body))
 		leader.drain()
-		var result pools.Changed
+		var result pools.ChangeResult
 		if err != nil || json.Unmarshal(raw, &result) != nil || !result.Durable {
 			again()
 			return
