--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -260,7 +260,7 @@
 func (n *Node) readBack(ctx context.Context, epoch uint64, e effects.ReadBack) {
 	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		item, err := n.state.Get(ctx, e.Key)
-		return func(now time.Duration) { n.core.ReadBack(now, epoch, err == nil, item.Version, item.Value) }
+		return func(now time.Duration) { n.core.CommitReadBack(now, epoch, err == nil, item.Version, item.Value) }
 	})
 }
 
--- a/internal/node/results.go
+++ b/internal/node/results.go
@@ -70,8 +70,8 @@
 	c.advanceTerm(now)
 }
 
-// ReadBack handles the value that was read to determine the outcome of an unanswered commit.
-func (c *Core) ReadBack(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
+// CommitReadBack handles the value that was read to determine the outcome of an unanswered commit.
+func (c *Core) CommitReadBack(now time.Duration, epoch uint64, read bool, mark uint64, value json.RawMessage) {
 	if c.inTerm(epoch) {
 		c.term.ReadBack(now, c.elector.LeaseValid(now), read, mark, value)
 	}
--- a/internal/scenario/services_test.go
+++ b/internal/scenario/services_test.go
@@ -334,7 +334,7 @@
 		}
 	}, func(entry item, ok bool) {
 		if c.incarnation == incarnation {
-			c.input(func(now time.Duration) { c.core.ReadBack(now, epoch, ok, entry.version, entry.value) })()
+			c.input(func(now time.Duration) { c.core.CommitReadBack(now, epoch, ok, entry.version, entry.value) })()
 		}
 	})
 }
