--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -204,7 +204,7 @@
 	}
 	n.calls.Go(func() {
 		ok := p.reachable(ctx)
-		n.enqueue(ctx, func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
+		n.enqueue(ctx, func(now time.Duration) { n.core.LeaderContactResult(now, e.Peer, ok) })
 	})
 }
 
--- a/internal/node/partition.go
+++ b/internal/node/partition.go
@@ -18,8 +18,8 @@
 	simultaneousWindow = 4 * time.Second
 )
 
-// PeerReached records whether a call or a probe reached the leader with the given name.
-func (c *Core) PeerReached(now time.Duration, leader string, ok bool) {
+// LeaderContactResult records whether a call or a probe reached the leader with the given name.
+func (c *Core) LeaderContactResult(now time.Duration, leader string, ok bool) {
 	switch {
 	case leader != c.elector.LeaderName():
 	case ok:
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -60,7 +60,7 @@
 		if !errors.As(err, &remote) {
 			// If the loop's queue is full, the input is dropped. The next failed request or probe
 			// reports the same.
-			_ = n.tryEnqueue(func(now time.Duration) { n.core.PeerReached(now, snapshot.leader, false) })
+			_ = n.tryEnqueue(func(now time.Duration) { n.core.LeaderContactResult(now, snapshot.leader, false) })
 		}
 		return effects.Unavailable("the leader does not answer")
 	}
--- a/internal/node/worker_heartbeats.go
+++ b/internal/node/worker_heartbeats.go
@@ -50,7 +50,7 @@
 	if open == nil {
 		return
 	}
-	c.PeerReached(now, open.relayedTo, ok)
+	c.LeaderContactResult(now, open.relayedTo, ok)
 	if !ok && c.canRelayAgain(open) {
 		c.answerOrRelay(now, to, open) // another node, perhaps this one, leads by now
 		return
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -478,7 +478,7 @@
 					reply(true)
 				}
 			}, func(_, ok bool) {
-				c.input(func(now time.Duration) { c.core.PeerReached(now, peer.name, ok) })()
+				c.input(func(now time.Duration) { c.core.LeaderContactResult(now, peer.name, ok) })()
 			})
 		}
 	case effects.AskPreviousLeader:
