--- a/internal/leader/probe/probe.go
+++ b/internal/leader/probe/probe.go
@@ -77,7 +77,7 @@
 	if m.UnansweredSince < heard {
 		m.UnansweredProbes, m.UnansweredSince = 0, heard
 	}
-	if m.UnansweredProbes < c.Cfg.Tunables.ProbeSilent {
+	if m.UnansweredProbes < c.Cfg.Tunables.MaxUnansweredProbes {
 		c.inFlight[m.Name] = heard
 		c.Emit(effects.ProbeWorker{Machine: m.Name, Address: m.Address})
 	}
--- a/internal/leader/registry/failure_detector.go
+++ b/internal/leader/registry/failure_detector.go
@@ -230,7 +230,7 @@
 // probesUnanswered reports whether enough liveness probes of a silent machine went unanswered
 // while its zone is reachable. Such a machine is decommissioned earlier than other silent ones.
 func (c *Component) probesUnanswered(m *workers.Machine, heard time.Duration) bool {
-	limit := c.Cfg.Tunables.ProbeSilent
+	limit := c.Cfg.Tunables.MaxUnansweredProbes
 	if limit <= 0 || m.UnansweredProbes < limit || m.UnansweredSince < heard {
 		return false
 	}
--- a/internal/leader/registry/zone_outages.go
+++ b/internal/leader/registry/zone_outages.go
@@ -28,7 +28,7 @@
 // machine is no more likely to be dead than to be cut off. The result is nil if silent machines
 // are not probed.
 func (c *Component) reachableZones(now time.Duration) []bool {
-	if c.Cfg.Tunables.ProbeSilent == 0 || !c.Cfg.AnyNeedsDispatch() {
+	if c.Cfg.Tunables.MaxUnansweredProbes == 0 || !c.Cfg.AnyNeedsDispatch() {
 		return nil
 	}
 	lateAfter := settings.Seconds(lateHeartbeatFactor * c.Cfg.Deployment.Workers.ReportS)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -147,7 +147,7 @@
 		t.dispatch = dispatch.New(t.State)
 		t.add(dispatch.Name, t.dispatch)
 	}
-	if tunables.ProbeSilent > 0 && start.Cfg.AnyNeedsDispatch() {
+	if tunables.MaxUnansweredProbes > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.probe = probe.New(t.State)
 		t.add("", t.probe)
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -250,7 +250,7 @@
 		"if a class should start within a report interval, a machine that is silent while its zone is "+
 			"reachable is probed directly, and given up after this many unanswered probes; 0: it "+
 			"is not probed",
-		func(t *Tunables) *int { return &t.ProbeSilent }),
+		func(t *Tunables) *int { return &t.MaxUnansweredProbes }),
 	floatSetting("fleet", "ready_window", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"if a class should start sooner than the quickest machine boots, capacity is returned only when it "+
 			"was not needed for at least this time; 0: the usual times apply",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -93,9 +93,9 @@
 
 	// Machines that fall silent.
 
-	// ProbeSilent is the number of unanswered liveness probes after which a silent machine is given up, if
+	// MaxUnansweredProbes is the number of unanswered liveness probes after which a silent machine is given up, if
 	// a class should start within a report interval; 0: no probes.
-	ProbeSilent int
+	MaxUnansweredProbes int
 	// ListFirst, 0 or 1: a new leader requests the cloud's machine list at once, and silent machines that
 	// are missing from the list are given up.
 	ListFirst int
