--- a/internal/leader/placement/marks.go
+++ b/internal/leader/placement/marks.go
@@ -107,7 +107,7 @@
 // recoverMarks determines which tasks earlier terms may have handed out.
 func (c *Component) recoverMarks() {
 	marks := &c.marks
-	marks.enabled = c.Cfg.Tunables.NoteTasks == 1
+	marks.enabled = c.Cfg.Tunables.WriteMarks == 1
 	marks.recoverSpan(c.Epoch)
 	trusted := marks.spanStart > 0 && !marks.unreadable
 	if trusted {
--- a/internal/leader/placement/marks_test.go
+++ b/internal/leader/placement/marks_test.go
@@ -22,7 +22,7 @@
 // each.
 func newTermComponent(epoch uint64, noteTasks int, jobCount int) *Component {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
-	cfg.Tunables.NoteTasks = noteTasks
+	cfg.Tunables.WriteMarks = noteTasks
 	state := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: epoch, Counts: &cluster.Counts{}})
 	limits := eventlog.Limits{WriteRPS: 1e6, ValueBytes: maxValueBytes, TxnOps: 4}
 	state.EventLog = eventlog.NewLog(limits, "lead/epoch", 1, 0, 0)
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -180,7 +180,7 @@
 	integerSetting("blocks", "note_tasks", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"record the highest task number of each job that may have been handed out, so that a new leader "+
 			"may start the tasks above it at once",
-		func(t *Tunables) *int { return &t.NoteTasks }),
+		func(t *Tunables) *int { return &t.WriteMarks }),
 	floatSetting("leadership", "hold", "s", numberRange{Default: 2, Min: 1, Max: 60},
 		"duration of the leader's lease",
 		func(t *Tunables) *float64 { return &t.LeaderLeaseS }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -55,7 +55,7 @@
 	LocalityS     float64 // how long a job leaves room on machines that lack its image to other jobs
 	ZoneAffinityS float64 // cost of a machine outside the zone of a job's first task, in seconds of fetching
 	BlockLeaseS   float64 // duration of the lease of a block of machines
-	NoteTasks     int     // 0 or 1: record the highest task number of each job that may have been handed out
+	WriteMarks    int     // 0 or 1: record the highest task number of each job that may have been handed out
 
 	// Leadership, and records of takeovers and cold starts.
 	LeaderLeaseS  float64 // duration of the leader's lease
