--- a/internal/leader/registry/registry.go
+++ b/internal/leader/registry/registry.go
@@ -122,7 +122,7 @@
 // HandleEvent queues the record of an empty machine's return, which must be durable before the
 // machine is deleted.
 func (c *Component) HandleEvent(e cluster.Event) {
-	if e.Kind == cluster.MachineReturnable && c.Cfg.Tunables.NoteReturns == 1 {
+	if e.Kind == cluster.MachineReturnable && c.Cfg.Tunables.RecordReturns == 1 {
 		e.Machine.AwaitsReturnRecord = true
 		c.returnsToRecord = append(c.returnsToRecord, e.Machine.Name)
 	}
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -272,7 +272,7 @@
 	integerSetting("fleet", "note_returns", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"the return of an empty machine is recorded before the machine is returned, so that a new "+
 			"leader need not wait for it",
-		func(t *Tunables) *int { return &t.NoteReturns }),
+		func(t *Tunables) *int { return &t.RecordReturns }),
 	floatSetting("pools", "silent_after", "s", numberRange{Default: 0, Min: 0, Max: 3600},
 		"a machine that holds units for which others wait is given up after it has been silent for this "+
 			"time; 0: the same rules apply as for all machines",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -81,8 +81,8 @@
 	SpotReturnS    float64 // capacity of spot machines that was not needed for this time is returned
 	// ReadyWindowS is the least value of these two if work should start sooner than a machine boots; 0: the
 	// two apply unchanged.
-	ReadyWindowS float64
-	NoteReturns  int // 0 or 1: the return of an empty machine is recorded before the machine is returned
+	ReadyWindowS  float64
+	RecordReturns int // 0 or 1: the return of an empty machine is recorded before the machine is returned
 	// MoveSaved, 0 or 1: tasks that save checkpoints are moved off machines that are to be returned.
 	MoveSaved int
 	SpotTaskS float64 // tasks with a longer estimate and no checkpoints are kept off spot machines
