--- a/internal/leader/autoscaler/autoscaler.go
+++ b/internal/leader/autoscaler/autoscaler.go
@@ -110,7 +110,7 @@
 	for _, rental := range c.pendingRentals {
 		c.provisioner.Restore(rental)
 	}
-	if c.Cfg.Tunables.ListFirst == 1 && len(c.registered) > 0 {
+	if c.Cfg.Tunables.DecommissionUnlisted == 1 && len(c.registered) > 0 {
 		// List at once: machines preempted in the meantime need not be waited for.
 		c.listedAt = c.TermBegan - listInterval
 	}
--- a/internal/leader/autoscaler/cloud.go
+++ b/internal/leader/autoscaler/cloud.go
@@ -176,7 +176,7 @@
 			c.Decommission(now, m, cluster.Delete, "failed")
 		}
 	}
-	if c.Cfg.Tunables.ListFirst == 1 {
+	if c.Cfg.Tunables.DecommissionUnlisted == 1 {
 		c.decommissionMissing(now, list)
 	}
 }
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -308,7 +308,7 @@
 		func(t *Tunables) *int { return &t.ColdKept }),
 	integerSetting("fleet", "list_first", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"a new leader requests the cloud's list at once, and silent machines missing from it are given up",
-		func(t *Tunables) *int { return &t.ListFirst }),
+		func(t *Tunables) *int { return &t.DecommissionUnlisted }),
 	integerSetting("fleet", "adapt_calls", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"the rate of calls to the cloud is halved when it refuses a call or does not answer, and grows "+
 			"again while it answers",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -96,9 +96,9 @@
 	// MaxUnansweredProbes is the number of unanswered liveness probes after which a silent machine is given up, if
 	// a class should start within a report interval; 0: no probes.
 	MaxUnansweredProbes int
-	// ListFirst, 0 or 1: a new leader requests the cloud's machine list at once, and silent machines that
+	// DecommissionUnlisted, 0 or 1: a new leader requests the cloud's machine list at once, and silent machines that
 	// are missing from the list are given up.
-	ListFirst int
+	DecommissionUnlisted int
 	// ZonePatienceS is how long machines of a zone that is cut off as a whole are waited for; 0: no longer
 	// than others.
 	ZonePatienceS float64
