--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -74,7 +74,7 @@
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, peersAsked: map[string]bool{}, peerHeardAt: map[string]time.Duration{}}
 	d.recorder.initialize(s)
-	if s.Cfg.Tunables.ColdListen == 1 {
+	if s.Cfg.Tunables.ColdStartCensus == 1 {
 		s.Gate, s.StartPacer = d, d
 	}
 	return d
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -118,7 +118,7 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Deployment.Workers.ReportS = 2
-	cfg.Tunables.ColdListen, cfg.Tunables.ColdKept = 1, 3
+	cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdKept = 1, 3
 	start := cluster.TermStart{
 		Cfg:                  cfg,
 		ClockOriginUnixMS:    1e6,
@@ -303,7 +303,7 @@
 func TestFirstStartOfAnInstallationIsNoColdStart(t *testing.T) {
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}}
-	cfg.Tunables.ColdListen = 1
+	cfg.Tunables.ColdStartCensus = 1
 	s := cluster.New(cluster.TermStart{Cfg: cfg, Epoch: 1, Counts: &cluster.Counts{}})
 	d := New(s)
 	d.Begin(0)
--- a/internal/node/core.go
+++ b/internal/node/core.go
@@ -53,7 +53,7 @@
 // compute how long a job has been waiting.
 func NewCore(cfg *settings.Settings, clockOriginUnixMS int64) *Core {
 	elector := leadership.NewElector(cfg.Node, settings.Seconds(cfg.Tunables.LeaderLeaseS))
-	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdListen == 1 {
+	if cfg.Tunables.ZonePatienceS > 0 || cfg.Tunables.ColdStartCensus == 1 {
 		// Distinguishes a leader that merely cannot reach this node from one that has stopped.
 		elector.SilenceLimit = leaseExpiryDelay(cfg)
 	}
--- a/internal/scenario/fault_pairs_test.go
+++ b/internal/scenario/fault_pairs_test.go
@@ -123,7 +123,7 @@
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
 	if seed%5 == 0 {
-		c.Tunables.ZonePatienceS, c.Tunables.ColdListen, c.Tunables.DecommissionUnlisted = 20, 1, 1
+		c.Tunables.ZonePatienceS, c.Tunables.ColdStartCensus, c.Tunables.DecommissionUnlisted = 20, 1, 1
 	}
 	count := 3
 	if seed%7 == 0 {
@@ -500,7 +500,7 @@
 				t.Parallel()
 				c := baseSettings()
 				if seed%2 == 1 {
-					c.Tunables.ColdListen, c.Tunables.DecommissionUnlisted = 1, 1
+					c.Tunables.ColdStartCensus, c.Tunables.DecommissionUnlisted = 1, 1
 				}
 				s := newSim(c, seed, 3, false)
 				r := rand.New(rand.NewPCG(seed, 13))
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -63,7 +63,7 @@
 	rebalances := seed%3 == 1 // machines are rebalanced, zones are partitioned and waited for, shares are guaranteed
 	if rebalances {
 		c.Tunables.RebalanceMoves, c.Tunables.ZonePatienceS, c.Tunables.ServedFloor, c.Tunables.ServedWindowS = 4, 20, 0.6, 120
-		c.Tunables.ColdListen, c.Tunables.DecommissionUnlisted = 1, 1
+		c.Tunables.ColdStartCensus, c.Tunables.DecommissionUnlisted = 1, 1
 	}
 	if seed%3 == 2 || seed%6 == 1 { // starts are sent directly to workers
 		c.Tunables.PushDispatches, c.Tunables.MaxUnansweredProbes = 4, int(seed%2)
--- a/internal/scenario/unreachable_test.go
+++ b/internal/scenario/unreachable_test.go
@@ -18,7 +18,7 @@
 		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 30
 			if seed%2 == 1 {
-				c.Tunables.ColdListen, c.Tunables.DecommissionUnlisted = 1, 1
+				c.Tunables.ColdStartCensus, c.Tunables.DecommissionUnlisted = 1, 1
 			}
 		})
 		for i := range 14 {
@@ -145,7 +145,7 @@
 		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 28
 			if variant%2 == 1 {
-				c.Tunables.ColdListen, c.Tunables.DecommissionUnlisted = 1, 1
+				c.Tunables.ColdStartCensus, c.Tunables.DecommissionUnlisted = 1, 1
 			}
 			if variant%4 > 1 {
 				c.Tunables.ZonePatienceS = 40
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -290,7 +290,7 @@
 	integerSetting("cold-start", "listen", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"after a cold start, before which there was no leader, machines are rented and returned, and "+
 			"tasks stopped or moved, only once the fleet has reported",
-		func(t *Tunables) *int { return &t.ColdListen }),
+		func(t *Tunables) *int { return &t.ColdStartCensus }),
 	floatSetting("cold-start", "settled", "share", numberRange{Default: 0.9, Min: 0, Max: 1},
 		"share of each zone's registered machines that must have reported first; less if no more report",
 		func(t *Tunables) *float64 { return &t.ColdSettledShare }),
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -274,7 +274,7 @@
 		t.Fatal(err)
 	}
 	tunables := &s.Tunables
-	if tunables.IdleReturnS != 5 || tunables.SpotReturnS != 8 || tunables.ColdListen != 1 || tunables.TimeZone != "Europe/Sofia" {
+	if tunables.IdleReturnS != 5 || tunables.SpotReturnS != 8 || tunables.ColdStartCensus != 1 || tunables.TimeZone != "Europe/Sofia" {
 		t.Errorf("%+v", tunables)
 	}
 	wrong := map[string]string{
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -60,9 +60,9 @@
 	// Leadership, and records of takeovers and cold starts.
 	LeaderLeaseS  float64 // duration of the leader's lease
 	TakeoversKept int     // number of takeovers that are recorded; 0: none
-	// ColdListen, 0 or 1: after a cold start, before which there was no leader, the leader waits for
+	// ColdStartCensus, 0 or 1: after a cold start, before which there was no leader, the leader waits for
 	// reports before it rents, returns, stops or moves anything.
-	ColdListen       int
+	ColdStartCensus  int
 	ColdSettledShare float64 // share of each zone's machines that must have reported for that
 	ColdAfterS       float64 // time without a leader after which a start counts as a cold start
 	ColdStarts       float64 // task starts per second in one zone while the leader catches up; 0: any number
