--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -299,7 +299,7 @@
 		func(t *Tunables) *float64 { return &t.ColdAfterS }),
 	floatSetting("cold-start", "starts", "a second", numberRange{Default: 0, Min: 0, Max: 1e6},
 		"most task starts in one zone until the work is running again, for a minute at most; 0: any number",
-		func(t *Tunables) *float64 { return &t.ColdStarts }),
+		func(t *Tunables) *float64 { return &t.ColdStartsPerSecond }),
 	integerSetting("cold-start", "images", "images", numberRange{Default: 0, Min: 0, Max: 100},
 		"most images that one machine fetches at once during that time; 0: any number",
 		func(t *Tunables) *int { return &t.ColdImages }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -62,12 +62,12 @@
 	TakeoversKept int     // number of takeovers that are recorded; 0: none
 	// ColdStartCensus, 0 or 1: after a cold start, before which there was no leader, the leader waits for
 	// reports before it rents, returns, stops or moves anything.
-	ColdStartCensus  int
-	ColdSettledShare float64 // share of each zone's machines that must have reported for that
-	ColdAfterS       float64 // time without a leader after which a start counts as a cold start
-	ColdStarts       float64 // task starts per second in one zone while the leader catches up; 0: any number
-	ColdImages       int     // images that one machine fetches at once during that time; 0: any number
-	ColdKept         int     // number of cold starts that are recorded; 0: none
+	ColdStartCensus     int
+	ColdSettledShare    float64 // share of each zone's machines that must have reported for that
+	ColdAfterS          float64 // time without a leader after which a start counts as a cold start
+	ColdStartsPerSecond float64 // task starts per second in one zone while the leader catches up; 0: any number
+	ColdImages          int     // images that one machine fetches at once during that time; 0: any number
+	ColdKept            int     // number of cold starts that are recorded; 0: none
 
 	// Scaling out and in.
 	DrainBacklogS float64 // time within which the waiting work should be done
