--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -111,7 +111,7 @@
 		Peers:    len(d.Cfg.Peers),
 	}
 	d.census = NewCensus(now, params, unresolvedByZone)
-	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.StartLimits{ZoneStartsPerSecond: tunables.ColdStartsPerSecond, MaxImageFetches: tunables.ColdImages})
+	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.StartLimits{ZoneStartsPerSecond: tunables.ColdStartsPerSecond, MaxImageFetches: tunables.ColdMaxImageFetches})
 	switch {
 	case unresolved == 0 && d.Jobs.Len() == 0:
 		d.setKind(now, failoverStart) // there is nothing to recover
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -302,7 +302,7 @@
 		func(t *Tunables) *float64 { return &t.ColdStartsPerSecond }),
 	integerSetting("cold-start", "images", "images", numberRange{Default: 0, Min: 0, Max: 100},
 		"most images that one machine fetches at once during that time; 0: any number",
-		func(t *Tunables) *int { return &t.ColdImages }),
+		func(t *Tunables) *int { return &t.ColdMaxImageFetches }),
 	integerSetting("cold-start", "keep", "accounts", numberRange{Default: 0, Min: 0, Max: 100},
 		"number of cold starts that are recorded; 0: none, and nothing is written",
 		func(t *Tunables) *int { return &t.ColdKept }),
