--- a/internal/leader/coldstart/account.go
+++ b/internal/leader/coldstart/account.go
@@ -100,7 +100,7 @@
 	rec.startedAt = map[workers.TaskRef]time.Duration{}
 	rec.returnedAt = map[string]time.Duration{}
 	rec.deletedSilent = map[*workers.Machine]bool{}
-	if s.Cfg.Tunables.ColdKept > 0 {
+	if s.Cfg.Tunables.ColdRecordsKept > 0 {
 		rec.stepSeconds = s.Metrics.Histogram("bitternmoor_cold_start_seconds",
 			"Time from the start of a term with a cold start to each recovery step.", "step", stepSecondsBuckets)
 	}
@@ -113,7 +113,7 @@
 		s.LogMessage(effects.Warn, "cold start record cannot be read: skipped", "error", err)
 		return
 	}
-	rec.addRecord(r, s.Cfg.Tunables.ColdKept)
+	rec.addRecord(r, s.Cfg.Tunables.ColdRecordsKept)
 }
 
 // addRecord inserts a record by its epoch and drops the oldest records beyond maxRecords.
@@ -321,8 +321,8 @@
 	rec.copyDifferences(d)
 	rec.log(d)
 	rec.unrecoveredTasks, rec.unusedRentals, rec.startedAt, rec.returnedAt, rec.deletedSilent = nil, nil, nil, nil, nil
-	if d.Cfg.Tunables.ColdKept > 0 {
-		rec.addRecord(rec.current, d.Cfg.Tunables.ColdKept)
+	if d.Cfg.Tunables.ColdRecordsKept > 0 {
+		rec.addRecord(rec.current, d.Cfg.Tunables.ColdRecordsKept)
 		rec.store(d)
 	}
 }
--- a/internal/leader/coldstart/coldstart_test.go
+++ b/internal/leader/coldstart/coldstart_test.go
@@ -118,7 +118,7 @@
 	cfg := &settings.Settings{Tunables: settings.Defaults()}
 	cfg.Peers = []settings.Peer{{Node: "n1"}, {Node: "n2"}}
 	cfg.Deployment.Workers.ReportS = 2
-	cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdKept = 1, 3
+	cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdRecordsKept = 1, 3
 	start := cluster.TermStart{
 		Cfg:                  cfg,
 		ClockOriginUnixMS:    1e6,
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -133,7 +133,7 @@
 		t.reconfig = reconfig.New(t.State)
 		t.add(reconfig.Name, t.reconfig)
 	}
-	if tunables.ColdStartCensus == 1 || tunables.ColdKept > 0 {
+	if tunables.ColdStartCensus == 1 || tunables.ColdRecordsKept > 0 {
 		t.coldStart = coldstart.New(t.State)
 		t.add(coldstart.Name, t.coldStart)
 	}
--- a/internal/scenario/cold_start_test.go
+++ b/internal/scenario/cold_start_test.go
@@ -63,7 +63,7 @@
 	c.Deployment.Teams = []settings.Team{{Name: "team", CPUs: 40, CPUsMax: 160}, {Name: "other", CPUs: 40, CPUsMax: 120}}
 	c.Deployment.State.WriteRPS = 40
 	if enabled {
-		c.Tunables.ColdStartCensus, c.Tunables.ColdKept, c.Tunables.DecommissionUnlisted, c.Tunables.AdaptCalls = 1, 5, 1, 1
+		c.Tunables.ColdStartCensus, c.Tunables.ColdRecordsKept, c.Tunables.DecommissionUnlisted, c.Tunables.AdaptCalls = 1, 5, 1, 1
 	}
 	return c
 }
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -103,7 +103,7 @@
 	cfg.Tunables.RebalanceMoves = float64(arg(t, d, "spread-moves", 0))
 	cfg.Tunables.BeginWithinS = float64(arg(t, d, "begin", 0))
 	if d.HasArg("cold") {
-		cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdKept, cfg.Tunables.DecommissionUnlisted, cfg.Tunables.AdaptCalls = 1, 5, 1, 1
+		cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdRecordsKept, cfg.Tunables.DecommissionUnlisted, cfg.Tunables.AdaptCalls = 1, 5, 1, 1
 		cfg.Tunables.ColdStartsPerSecond, cfg.Tunables.ColdMaxImageFetches = float64(arg(t, d, "starts", 0)), arg(t, d, "images", 0)
 	}
 	if d.HasArg("direct") { // the wait objective is shorter than an idle worker's report interval
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -305,7 +305,7 @@
 		func(t *Tunables) *int { return &t.ColdMaxImageFetches }),
 	integerSetting("cold-start", "keep", "accounts", numberRange{Default: 0, Min: 0, Max: 100},
 		"number of cold starts that are recorded; 0: none, and nothing is written",
-		func(t *Tunables) *int { return &t.ColdKept }),
+		func(t *Tunables) *int { return &t.ColdRecordsKept }),
 	integerSetting("fleet", "list_first", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"a new leader requests the cloud's list at once, and silent machines missing from it are given up",
 		func(t *Tunables) *int { return &t.DecommissionUnlisted }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -67,7 +67,7 @@
 	ColdAfterS          float64 // time without a leader after which a start counts as a cold start
 	ColdStartsPerSecond float64 // task starts per second in one zone while the leader catches up; 0: any number
 	ColdMaxImageFetches int     // images that one machine fetches at once during that time; 0: any number
-	ColdKept            int     // number of cold starts that are recorded; 0: none
+	ColdRecordsKept     int     // number of cold starts that are recorded; 0: none
 
 	// Scaling out and in.
 	DrainBacklogS float64 // time within which the waiting work should be done
