--- a/internal/leader/pools/component.go
+++ b/internal/leader/pools/component.go
@@ -248,7 +248,7 @@
 	}
 	d.syncStore(now)
 	d.expireLosses(now)
-	if after := d.Cfg.Tunables.UnitsSilentS; after > 0 {
+	if after := d.Cfg.Tunables.PoolSilentAfterS; after > 0 {
 		d.decommissionSilent(now, settings.Seconds(after))
 	}
 }
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -542,7 +542,7 @@
 func TestSilentMachineIsDecommissionedEarly(t *testing.T) {
 	for _, setting := range []float64{0, 5} {
 		f := newFixture(t, settings.Pool{Name: "p", Units: 1})
-		f.component.Cfg.Tunables.UnitsSilentS = setting
+		f.component.Cfg.Tunables.PoolSilentAfterS = setting
 		a, b := f.addJob("a", 1, 1, jobs.Array, perTask("p", 1)), f.addJob("a", 1, 1, jobs.Array, perTask("p", 1))
 		f.machine.LastHeartbeat = f.now
 		f.schedule(a, b)
--- a/internal/scenario/pools_test.go
+++ b/internal/scenario/pools_test.go
@@ -130,7 +130,7 @@
 func configureRandomPools(c *settings.Settings, r *rand.Rand, upgrade bool) {
 	c.Tunables.Pools = []settings.Pool{{Name: "licence", Units: 3 + r.IntN(4), HoldAfterLossS: float64(r.IntN(2) * 20)}, {Name: "token", Units: 4 + r.IntN(5), Reserve: r.IntN(2)}}
 	if r.IntN(2) == 0 {
-		c.Tunables.UnitsSilentS = 4
+		c.Tunables.PoolSilentAfterS = 4
 	}
 	if upgrade { // a leader without support for pools does not record losses
 		c.Tunables.Pools[0].HoldAfterLossS = 0
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -276,7 +276,7 @@
 	floatSetting("pools", "silent_after", "s", numberRange{Default: 0, Min: 0, Max: 3600},
 		"a machine that holds units for which others wait is given up after it has been silent for this "+
 			"time; 0: the same rules apply as for all machines",
-		func(t *Tunables) *float64 { return &t.UnitsSilentS }),
+		func(t *Tunables) *float64 { return &t.PoolSilentAfterS }),
 	floatSetting("pools", "receipt_life", "s", numberRange{Default: 60, Min: 5, Max: 86400},
 		"how long a receipt for units is valid",
 		func(t *Tunables) *float64 { return &t.ReceiptLifeS }),
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -125,11 +125,11 @@
 
 	// Pools of counted resources.
 	Pools []Pool
-	// UnitsSilentS: a machine that holds units for which others wait is given up after it has been silent
+	// PoolSilentAfterS: a machine that holds units for which others wait is given up after it has been silent
 	// for this time; 0: the same rules apply as for all machines.
-	UnitsSilentS    float64
-	ReceiptLifeS    float64 // how long a receipt for units is valid
-	ReceiptKeyFiles string  // comma-separated files with keys for receipts: the first one signs
+	PoolSilentAfterS float64
+	ReceiptLifeS     float64 // how long a receipt for units is valid
+	ReceiptKeyFiles  string  // comma-separated files with keys for receipts: the first one signs
 
 	// Changes while controllers run, and the operators' listener. Lists are separated by commas.
 
