--- a/internal/leader/dispatch/dispatch.go
+++ b/internal/leader/dispatch/dispatch.go
@@ -99,7 +99,7 @@
 
 // hasCallBudget reports whether another command may be sent now.
 func (c *Component) hasCallBudget() bool {
-	return c.callsInFlight < c.Cfg.Tunables.PushDispatches && !c.TokensRunLow()
+	return c.callsInFlight < c.Cfg.Tunables.MaxPushDispatches && !c.TokensRunLow()
 }
 
 // isDispatchable reports whether starts may be sent straight to a machine. Its worker must be
--- a/internal/leader/lifecycle/deadlines.go
+++ b/internal/leader/lifecycle/deadlines.go
@@ -52,7 +52,7 @@
 	if c.Cfg.Tunables.WaitLeadS > 0 {
 		c.addPriorityWindow(j, at, objective.WithinS)
 	}
-	if c.Cfg.Tunables.PushDispatches > 0 && j.Record.Kind != jobs.Gang && c.Cfg.NeedsDispatch(objective) {
+	if c.Cfg.Tunables.MaxPushDispatches > 0 && j.Record.Kind != jobs.Gang && c.Cfg.NeedsDispatch(objective) {
 		j.PushDispatch = true
 	}
 }
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -143,7 +143,7 @@
 // heartbeats, and the one that distributes heartbeats over controllers.
 func (t *Term) addDispatching(start cluster.TermStart) {
 	tunables := &start.Cfg.Tunables
-	if tunables.PushDispatches > 0 && start.Cfg.AnyNeedsDispatch() {
+	if tunables.MaxPushDispatches > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.dispatch = dispatch.New(t.State)
 		t.add(dispatch.Name, t.dispatch)
 	}
--- a/internal/scenario/confirmed_cancellation_test.go
+++ b/internal/scenario/confirmed_cancellation_test.go
@@ -94,7 +94,7 @@
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS, c.Deployment.Workers.CancelS = 3, 22, 47
 	c.Tunables.ZonePatienceS = float64(seed % 2 * 60)
 	if m.machineFault == "receiving starts" {
-		c.Tunables.PushDispatches = 8
+		c.Tunables.MaxPushDispatches = 8
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
 	s := newSim(c, seed, 3, false)
--- a/internal/scenario/fault_pairs_test.go
+++ b/internal/scenario/fault_pairs_test.go
@@ -119,7 +119,7 @@
 		c.Deployment.State.ValueKB = 0.8 // so that the log is compacted all the time
 	}
 	if seed%2 == 0 {
-		c.Tunables.PushDispatches, c.Tunables.MaxUnansweredProbes = 4, int(seed%4/2)
+		c.Tunables.MaxPushDispatches, c.Tunables.MaxUnansweredProbes = 4, int(seed%4/2)
 		c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 	}
 	if seed%5 == 0 {
--- a/internal/scenario/harness_test.go
+++ b/internal/scenario/harness_test.go
@@ -89,7 +89,7 @@
 // directDispatchSettings changes the settings so that starts are sent directly to workers.
 func directDispatchSettings(c *settings.Settings) {
 	c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
-	c.Tunables.PushDispatches, c.Tunables.ReadyWindowS = 8, 600
+	c.Tunables.MaxPushDispatches, c.Tunables.ReadyWindowS = 8, 600
 	c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 }
 
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -88,7 +88,7 @@
 				c.Tunables.RebalanceMoves = 8
 			}
 			if variant%3 == 1 {
-				c.Tunables.PushDispatches = 8
+				c.Tunables.MaxPushDispatches = 8
 				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
--- a/internal/scenario/random_test.go
+++ b/internal/scenario/random_test.go
@@ -66,7 +66,7 @@
 		c.Tunables.ColdStartCensus, c.Tunables.DecommissionUnlisted = 1, 1
 	}
 	if seed%3 == 2 || seed%6 == 1 { // starts are sent directly to workers
-		c.Tunables.PushDispatches, c.Tunables.MaxUnansweredProbes = 4, int(seed%2)
+		c.Tunables.MaxPushDispatches, c.Tunables.MaxUnansweredProbes = 4, int(seed%2)
 		c.Deployment.Objectives = append(c.Deployment.Objectives, settings.Objective{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5})
 	}
 	usesPools := seed%4 == 1 || seed%4 == 2 // half of these runs start on the version in production
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -107,7 +107,7 @@
 		cfg.Tunables.ColdStartsPerSecond, cfg.Tunables.ColdMaxImageFetches = float64(arg(t, d, "starts", 0)), arg(t, d, "images", 0)
 	}
 	if d.HasArg("direct") { // the wait objective is shorter than an idle worker's report interval
-		cfg.Tunables.PushDispatches, cfg.Tunables.ReadyWindowS, cfg.Tunables.MaxUnansweredProbes = arg(t, d, "direct", 8), 600, arg(t, d, "probe-silent", 0)
+		cfg.Tunables.MaxPushDispatches, cfg.Tunables.ReadyWindowS, cfg.Tunables.MaxUnansweredProbes = arg(t, d, "direct", 8), 600, arg(t, d, "probe-silent", 0)
 		cfg.Deployment.Workers.ReportS, cfg.Deployment.Workers.LeaseS = 4, 18
 		cfg.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 	}
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -334,7 +334,7 @@
 		cfg.Deployment.State.Next = nil // not supported by that version
 		cfg.Tunables.RecordReturns, cfg.Tunables.WriteMarks, cfg.Tunables.TakeoversKept, cfg.Tunables.RunTimesKinds = 0, 0, 0, 0
 		cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdRecordsKept, cfg.Tunables.DecommissionUnlisted, cfg.Tunables.AdaptCalls, cfg.Tunables.ZonePatienceS, cfg.Tunables.RebalanceMoves = 0, 0, 0, 0, 0, 0
-		cfg.Tunables.Pools, cfg.Tunables.PushDispatches, cfg.Tunables.MaxUnansweredProbes, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
+		cfg.Tunables.Pools, cfg.Tunables.MaxPushDispatches, cfg.Tunables.MaxUnansweredProbes, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
 	}
 	c.core = node.NewCore(&cfg, (c.sim.startTimeOfDay + c.sim.now).Milliseconds())
 	c.userReplies = map[effects.RequestID]func(effects.Answer){}
--- a/internal/scenario/timing_test.go
+++ b/internal/scenario/timing_test.go
@@ -33,7 +33,7 @@
 		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 24
 			if variant%2 == 1 {
-				c.Tunables.PushDispatches = 8
+				c.Tunables.MaxPushDispatches = 8
 				c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 			}
 		})
--- a/internal/scenario/unreachable_test.go
+++ b/internal/scenario/unreachable_test.go
@@ -69,7 +69,7 @@
 	runSeeds(t, 32, func(t *testing.T, seed uint64) *sim {
 		h := newHarness(t, seed, func(c *settings.Settings) {
 			c.Deployment.Teams[0].CPUsMax = 20
-			c.Tunables.MaxUnansweredProbes, c.Tunables.PushDispatches, c.Tunables.ReadyWindowS = int(seed%2)*2, 8, 600
+			c.Tunables.MaxUnansweredProbes, c.Tunables.MaxPushDispatches, c.Tunables.ReadyWindowS = int(seed%2)*2, 8, 600
 			c.Deployment.Workers.ReportS, c.Deployment.Workers.LeaseS = 4, 18
 			c.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 0.5}}
 		})
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -204,7 +204,7 @@
 	integerSetting("exceptions", "direct_starts", "calls", numberRange{Default: 0, Min: 0, Max: 1000},
 		"most concurrent calls that start tasks directly at their workers, for classes whose wait "+
 			"objective is shorter than a report interval; 0: none, and starts wait for reports",
-		func(t *Tunables) *int { return &t.PushDispatches }),
+		func(t *Tunables) *int { return &t.MaxPushDispatches }),
 	floatSetting("exceptions", "begin_within", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"jobs of which no task has begun this long after their arrival or release go ahead of all but "+
 			"urgent jobs; 0: never",
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,9 +39,9 @@
 // descriptors.
 func (s *Settings) checkPushDispatches() error {
 	most := s.Deployment.MachineLimits.FDLimit / 4
-	if s.Tunables.PushDispatches > most {
+	if s.Tunables.MaxPushDispatches > most {
 		return newFieldError("exceptions.direct_starts",
-			"must be at most a quarter of deployment.machine_limits.fd_limit, %d, is %d", most, s.Tunables.PushDispatches)
+			"must be at most a quarter of deployment.machine_limits.fd_limit, %d, is %d", most, s.Tunables.MaxPushDispatches)
 	}
 	return nil
 }
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -43,9 +43,9 @@
 	// ServedFloor is the share of the jobs of each class and team that is to be done in time; 0: no such
 	// share is enforced.
 	ServedFloor float64
-	// PushDispatches is the most concurrent push dispatches, for classes whose wait objective is shorter
+	// MaxPushDispatches is the most concurrent push dispatches, for classes whose wait objective is shorter
 	// than a report interval; 0: none.
-	PushDispatches int
+	MaxPushDispatches int
 
 	// Measurement of the share of jobs of each class and team that are done in time.
 	ServedWindowS     float64 // time window of the measurement; 0: nothing is measured
