--- a/internal/effects/effects.go
+++ b/internal/effects/effects.go
@@ -92,7 +92,7 @@
 	Config *config.Update // the changes that the peer lacks; nil: not sent
 }
 
-// ProbePeer checks whether a peer can be reached at all. Its result is PeerReached.
+// ProbePeer checks whether a peer can be reached at all. Its result is LeaderContactResult.
 type ProbePeer struct{ Peer string }
 
 // AskPreviousLeader asks a peer when it last heard from a leader of an epoch before this one.
@@ -116,7 +116,7 @@
 type Commit struct{ Txn eventlog.Transaction }
 
 // ReadBack reads a key to determine the outcome of a commit without an answer. Its result is
-// ReadBack.
+// CommitReadBack.
 type ReadBack struct{ Key string }
 
 // ReadSegments reads Count segments of the event log, starting with number First. Its result is
--- a/internal/leader/pools/change.go
+++ b/internal/leader/pools/change.go
@@ -54,7 +54,7 @@
 	Version uint64 `json:"c"`
 }
 
-// Change applies a Request and returns a Changed or a Receipt, as JSON.
+// Change applies a Request and returns a ChangeResult or a Receipt, as JSON.
 func (d *Component) Change(now time.Duration, body json.RawMessage) (json.RawMessage, error) {
 	var in Request
 	if err := json.Unmarshal(body, &in); err != nil {
--- a/internal/scenario/checker_test.go
+++ b/internal/scenario/checker_test.go
@@ -40,7 +40,7 @@
 	c.starts++
 	j := c.sim.jobs[t.job]
 	j.lastStart = c.sim.now
-	if j.toldCancelled && !j.cancelledByOldVersion {
+	if j.reportedCancelled && !j.cancelledByOldVersion {
 		c.fail("ran_cancelled", "task %d/%d started on %s after its user was told that the job is cancelled", t.job, t.index, w.name)
 	}
 	if c.startedAt == nil {
@@ -99,7 +99,7 @@
 	}
 	c.placements[t][w.name] = true
 	c.machineZones[w.name] = w.zone
-	if j.toldCancelled && c.sim.now > j.endToldAt+settingsSeconds(c.sim.cfg.Deployment.Workers.CancelS) {
+	if j.reportedCancelled && c.sim.now > j.endReportedAt+settingsSeconds(c.sim.cfg.Deployment.Workers.CancelS) {
 		c.fail("ran_cancelled", "task %d/%d started on %s after the cancellation deadline", t.job, t.index, w.name)
 	}
 	units := c.unitsInUse()
@@ -140,7 +140,7 @@
 	type share struct{ asked, done int }
 	shares := map[string]*share{}
 	for _, j := range c.sim.jobs {
-		if j.spec.Job == nil || !j.accepted || j.cancelRequested || j.toldCancelled || j.spec.Job.Kind == jobs.Service || j.acceptedAt > until {
+		if j.spec.Job == nil || !j.accepted || j.cancelRequested || j.reportedCancelled || j.spec.Job.Kind == jobs.Service || j.acceptedAt > until {
 			continue
 		}
 		for _, group := range []string{"class " + j.spec.Job.Class, "team " + j.spec.Job.Team} {
@@ -148,7 +148,7 @@
 				shares[group] = &share{}
 			}
 			shares[group].asked++
-			if j.toldDone {
+			if j.reportedDone {
 				shares[group].done++
 			}
 		}
@@ -164,7 +164,7 @@
 // ended, a query about it is answered at least every 75 seconds.
 func (c *checker) checkAnswered(j *userJob) {
 	since := max(c.faultsEndedAt, c.lastAnswer[j], j.acceptedAt)
-	if c.faultsEndedAt > 0 && j.accepted && !j.cancelRequested && !j.toldCancelled && c.sim.now-since > maxUnanswered {
+	if c.faultsEndedAt > 0 && j.accepted && !j.cancelRequested && !j.reportedCancelled && c.sim.now-since > maxUnanswered {
 		c.fail("forgotten", "no query about job %d was answered since %v", j.id, since.Round(time.Second))
 	}
 }
@@ -250,7 +250,7 @@
 // gang, all tasks must wait.
 func (c *checker) waitsForRoom(j *userJob) bool {
 	spec := j.spec.Job
-	if spec == nil || !j.accepted || j.cancelRequested || j.toldCancelled || j.toldDone || len(spec.Counted) > 0 {
+	if spec == nil || !j.accepted || j.cancelRequested || j.reportedCancelled || j.reportedDone || len(spec.Counted) > 0 {
 		return false
 	}
 	for _, dependency := range spec.Follows {
@@ -344,7 +344,7 @@
 func (c *checker) checkStartDelay(until time.Duration) {
 	byClass := map[string][]*userJob{}
 	for _, j := range c.sim.jobs {
-		if j.spec.Job != nil && j.accepted && !j.cancelRequested && !j.toldCancelled && j.acceptedAt <= until {
+		if j.spec.Job != nil && j.accepted && !j.cancelRequested && !j.reportedCancelled && j.acceptedAt <= until {
 			byClass[j.spec.Job.Class] = append(byClass[j.spec.Job.Class], j)
 		}
 	}
@@ -411,28 +411,28 @@
 	if a.Status != 200 && a.Status != 201 {
 		return
 	}
-	if (j.toldDone || j.toldCancelled) && sent <= j.endToldAt {
+	if (j.reportedDone || j.reportedCancelled) && sent <= j.endReportedAt {
 		return
 	}
 	j.state = []string{"queued", "running", "done", "cancelled"}[a.State]
-	if j.toldDone && sent > j.endToldAt && a.State != wire.Done {
+	if j.reportedDone && sent > j.endReportedAt && a.State != wire.Done {
 		c.fail("went_back", "job %d was reported done and is now %s", j.id, j.state)
 	}
-	if j.toldCancelled && sent > j.endToldAt && a.State != wire.Cancelled {
+	if j.reportedCancelled && sent > j.endReportedAt && a.State != wire.Cancelled {
 		c.fail("went_back", "job %d was reported cancelled and is now %s", j.id, j.state)
 	}
 	limit := settingsSeconds(c.sim.cfg.Deployment.Workers.CancelS)
 	mayBeCancelled := j.cancelRequested
 	for _, dependency := range c.dependencies(j) {
 		mayBeCancelled = mayBeCancelled || dependency.cancelRequested
-		if dependency.toldCancelled && sent > dependency.endToldAt+limit && (a.State == wire.Queued || a.State == wire.Running) {
+		if dependency.reportedCancelled && sent > dependency.endReportedAt+limit && (a.State == wire.Queued || a.State == wire.Running) {
 			c.fail("orphaned", "job %d is %s although job %d is cancelled", j.id, j.state, dependency.id)
 		}
 	}
 	switch a.State {
 	case wire.Done:
-		if !j.toldDone {
-			j.toldDone, j.endToldAt = true, c.sim.now
+		if !j.reportedDone {
+			j.reportedDone, j.endReportedAt = true, c.sim.now
 			c.sim.pollIntensively(j, false)
 		}
 		for index := range j.spec.Job.Tasks {
@@ -444,11 +444,11 @@
 		if !mayBeCancelled {
 			c.fail("went_back", "job %d is reported cancelled without a cancellation request", j.id)
 		}
-		if !j.toldCancelled {
+		if !j.reportedCancelled {
 			if n := c.sim.tasksOnMachines(j.id); n > 0 && !j.cancelledByOldVersion {
 				c.fail("told_early", "job %d is reported cancelled while %d of its tasks are on machines", j.id, n)
 			}
-			j.toldCancelled, j.endToldAt = true, c.sim.now
+			j.reportedCancelled, j.endReportedAt = true, c.sim.now
 			c.sim.pollIntensively(j, false)
 			c.sim.after(limit, func() {
 				for index := range j.spec.Job.Tasks {
--- a/internal/scenario/cold_start_test.go
+++ b/internal/scenario/cold_start_test.go
@@ -229,7 +229,7 @@
 	var poll func()
 	poll = func() {
 		for i := range id {
-			if j := s.jobs[i+1]; j != nil && j.accepted && !j.toldDone && !j.toldCancelled {
+			if j := s.jobs[i+1]; j != nil && j.accepted && !j.reportedDone && !j.reportedCancelled {
 				s.poll(j, int(i))
 			}
 		}
@@ -239,7 +239,7 @@
 	s.run(returnAt + 70*time.Second)
 	ended := s.runUntil(40*time.Minute, func() bool {
 		for _, j := range s.jobs {
-			if j.accepted && !j.toldDone && !j.toldCancelled {
+			if j.accepted && !j.reportedDone && !j.reportedCancelled {
 				return false
 			}
 		}
@@ -267,7 +267,7 @@
 // explainUnfinished describes the jobs that have not ended, with the leader's explanation of each.
 func (s *sim) explainUnfinished() (out []string) {
 	for id, j := range s.jobs {
-		if !j.accepted || j.toldDone || j.toldCancelled {
+		if !j.accepted || j.reportedDone || j.reportedCancelled {
 			continue
 		}
 		out = append(out, fmt.Sprintf("job %d is %s: %+v", id, j.state, *j.spec.Job))
--- a/internal/scenario/confirmed_cancellation_test.go
+++ b/internal/scenario/confirmed_cancellation_test.go
@@ -169,10 +169,10 @@
 	if m.machineFault == "receiving starts" { // some of its starts are in flight
 		submit(6, jobs.Array, 5)
 	}
-	if s.runUntil(40*time.Second, func() bool { return array.toldCancelled }) {
+	if s.runUntil(40*time.Second, func() bool { return array.reportedCancelled }) {
 		stats.Lock()
 		stats.confirmedBeforeOutage++
-		stats.confirmTimes = append(stats.confirmTimes, array.endToldAt-requestedAt)
+		stats.confirmTimes = append(stats.confirmTimes, array.endReportedAt-requestedAt)
 		stats.Unlock()
 		s.run(m.outageDelay)
 	}
@@ -207,11 +207,11 @@
 		}
 	}
 	if !s.runUntil(5*time.Minute, func() bool {
-		return !slices.ContainsFunc(cancelled, func(j *userJob) bool { return !j.toldCancelled })
+		return !slices.ContainsFunc(cancelled, func(j *userJob) bool { return !j.reportedCancelled })
 	}) {
 		t.Errorf("not all cancellations completed: %s, %s, %s, %s", array.state, gang.state, service.state, follows.state)
 	}
-	if !s.runUntil(10*time.Minute, func() bool { return uncancelled.toldDone }) {
+	if !s.runUntil(10*time.Minute, func() bool { return uncancelled.reportedDone }) {
 		t.Errorf("the job that was not cancelled is %s", uncancelled.state)
 	}
 	if len(s.check.violations) > 0 {
@@ -221,11 +221,11 @@
 	defer stats.Unlock()
 	stats.runs++
 	for _, j := range cancelled {
-		if j.toldCancelled {
+		if j.reportedCancelled {
 			stats.confirmed++
 		}
 	}
-	if uncancelled.toldDone {
+	if uncancelled.reportedDone {
 		stats.othersCompleted++
 	}
 }
--- a/internal/scenario/faults_test.go
+++ b/internal/scenario/faults_test.go
@@ -369,7 +369,7 @@
 func (s *sim) cancelRunning(r *rand.Rand, count int, hang time.Duration) {
 	var candidates []*userJob
 	for _, j := range s.acceptedJobs() {
-		if !j.cancelRequested && !j.toldDone && s.runningTasks(j.id) > 0 {
+		if !j.cancelRequested && !j.reportedDone && s.runningTasks(j.id) > 0 {
 			candidates = append(candidates, j)
 		}
 	}
@@ -410,7 +410,7 @@
 // user. It fails the test for jobs that do not end within the limit and for violated invariants.
 func (s *sim) awaitQuiescence(t *testing.T, limit time.Duration) {
 	t.Helper()
-	unfinished := func(j *userJob) bool { return j.accepted && !j.toldDone && !j.toldCancelled }
+	unfinished := func(j *userJob) bool { return j.accepted && !j.reportedDone && !j.reportedCancelled }
 	if !s.runUntil(limit, func() bool {
 		for _, j := range s.jobs {
 			if unfinished(j) {
--- a/internal/scenario/limits_test.go
+++ b/internal/scenario/limits_test.go
@@ -55,7 +55,7 @@
 		}
 		h.run(max(duration, 12*time.Second))
 		if !h.runUntil(45*time.Second, func() bool {
-			return running[0].toldCancelled && running[1].toldCancelled && running[4].toldCancelled && running[5].toldCancelled
+			return running[0].reportedCancelled && running[1].reportedCancelled && running[4].reportedCancelled && running[5].reportedCancelled
 		}) {
 			t.Errorf("not all cancellations completed: %s, %s, %s, %s", running[0].state, running[1].state, running[4].state, running[5].state)
 		}
@@ -227,7 +227,7 @@
 		h.onPreempt = func(j *userJob, w *worker) {
 			h.cover("a task stopped for another job")
 			for _, o := range h.jobs {
-				if o.accepted && !o.cancelRequested && !o.toldDone && o.spec.Job.Priority > j.spec.Job.Priority {
+				if o.accepted && !o.cancelRequested && !o.reportedDone && o.spec.Job.Priority > j.spec.Job.Priority {
 					return
 				}
 			}
@@ -288,7 +288,7 @@
 			}
 		}
 		h.cancelJob(service, 1)
-		if !h.runUntil(4*time.Minute, func() bool { return first.toldDone }) {
+		if !h.runUntil(4*time.Minute, func() bool { return first.reportedDone }) {
 			t.Errorf("kind %d: the first job is %s", kind, first.state)
 		}
 		if len(h.check.violations) > 0 {
--- a/internal/scenario/overloaded_class_test.go
+++ b/internal/scenario/overloaded_class_test.go
@@ -52,7 +52,7 @@
 	var poll func()
 	poll = func() {
 		for i, j := range s.jobs {
-			if j.accepted && !j.toldDone {
+			if j.accepted && !j.reportedDone {
 				s.poll(j, int(i))
 			}
 		}
@@ -67,7 +67,7 @@
 	for _, j := range s.jobs {
 		for _, group := range []string{"class " + j.spec.Job.Class, "team " + j.spec.Job.Team} {
 			submitted[group]++
-			if j.toldDone && (j.endToldAt-j.acceptedAt).Seconds() <= within[j.spec.Job.Class]+2 {
+			if j.reportedDone && (j.endReportedAt-j.acceptedAt).Seconds() <= within[j.spec.Job.Class]+2 {
 				inTime[group]++
 			}
 		}
--- a/internal/scenario/rebalancing_test.go
+++ b/internal/scenario/rebalancing_test.go
@@ -72,7 +72,7 @@
 	var poll func()
 	poll = func() {
 		for id, j := range s.jobs {
-			if j.accepted && !j.toldDone {
+			if j.accepted && !j.reportedDone {
 				s.poll(j, int(id))
 			}
 		}
@@ -82,7 +82,7 @@
 	s.run(100 * time.Second)
 	ended := s.runUntil(400*time.Second, func() bool {
 		for _, j := range s.jobs {
-			if !j.toldDone {
+			if !j.reportedDone {
 				return false
 			}
 		}
--- a/internal/scenario/requests_test.go
+++ b/internal/scenario/requests_test.go
@@ -115,7 +115,7 @@
 		h.run(40 * time.Second)
 		h.endFaultsAndSettle(5 * time.Minute)
 		for _, j := range submitted {
-			if j.cancelRequested && j.toldDone {
+			if j.cancelRequested && j.reportedDone {
 				h.cover("a cancelled job done")
 			} else if j.cancelRequested {
 				h.cover("a cancelled job cancelled")
@@ -198,8 +198,8 @@
 			continue
 		}
 		accept = append(accept, j.acceptedAt-all[id].sent)
-		if j.toldCancelled {
-			confirm = append(confirm, j.endToldAt-all[id].asked)
+		if j.reportedCancelled {
+			confirm = append(confirm, j.endReportedAt-all[id].asked)
 		} else if at, ok := h.check.startedAt[id]; ok {
 			begin = append(begin, at-j.acceptedAt)
 		}
--- a/internal/scenario/scale_test.go
+++ b/internal/scenario/scale_test.go
@@ -40,7 +40,7 @@
 	var poll func()
 	poll = func() {
 		for i, j := range s.jobs {
-			if j.accepted && !j.toldDone {
+			if j.accepted && !j.reportedDone {
 				s.poll(j, int(i))
 			}
 		}
@@ -72,7 +72,7 @@
 		}
 		open, up := 0, 0
 		for _, j := range s.jobs {
-			if !j.toldDone {
+			if !j.reportedDone {
 				open++
 			}
 		}
@@ -131,7 +131,7 @@
 	logState("after all controllers crashed")
 	s.runUntil(600*time.Second, func() bool {
 		for _, j := range s.jobs {
-			if !j.toldDone {
+			if !j.reportedDone {
 				return false
 			}
 		}
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -189,7 +189,7 @@
 	case "await-all":
 		if !s.runUntil(durationArg(t, d, "within"), func() bool {
 			for _, j := range s.jobs {
-				if !j.toldDone && !j.toldCancelled && !strings.HasPrefix(j.state, "refused") {
+				if !j.reportedDone && !j.reportedCancelled && !strings.HasPrefix(j.state, "refused") {
 					return false
 				}
 			}
@@ -762,7 +762,7 @@
 			s.check.checkAnswer(j, effects.Answer{Status: 200, State: wire.Done}, s.now)
 		}},
 		{"went_back", func(s *sim, j *userJob, _, _ *worker) {
-			j.toldDone, j.endToldAt = true, -1
+			j.reportedDone, j.endReportedAt = true, -1
 			s.check.checkAnswer(j, effects.Answer{Status: 200, State: wire.Running}, s.now)
 		}},
 		{"went_back", func(s *sim, j *userJob, _, _ *worker) {
--- a/internal/scenario/unreachable_test.go
+++ b/internal/scenario/unreachable_test.go
@@ -97,7 +97,7 @@
 			if n := h.runningTasks(1); n != 3 || len(h.machinesWithTasks(submitted[0])) == 0 || h.reportsLost[h.machinesWithTasks(submitted[0])[0].name] {
 				t.Errorf("35 s after the reports of its machines were lost, %d of 3 tasks of a job run, or they run there", n)
 			}
-			if !submitted[1].toldCancelled {
+			if !submitted[1].reportedCancelled {
 				t.Errorf("35 s after the reports of its machines were lost, a cancelled job is %s", submitted[1].state)
 			}
 			h.cover("started elsewhere while its machines' reports were lost")
@@ -116,7 +116,7 @@
 		if !h.runUntil(45*time.Second, func() bool { return h.runningTasks(1) == 3 }) {
 			t.Errorf("%d of 3 tasks of a job run; the reports of its machines were lost for %v", h.runningTasks(1), duration)
 		}
-		if !h.runUntil(time.Minute, func() bool { return submitted[1].toldCancelled }) {
+		if !h.runUntil(time.Minute, func() bool { return submitted[1].reportedCancelled }) {
 			t.Errorf("a cancelled job is %s", submitted[1].state)
 		}
 		return h.endFaultsAndSettle(5 * time.Minute)
@@ -251,7 +251,7 @@
 		h.after(outageAt, func() {
 			h.state.outage = true
 			for _, j := range cancelled {
-				if j.toldCancelled {
+				if j.reportedCancelled {
 					h.cover("confirmed before the outage")
 				}
 			}
@@ -259,7 +259,7 @@
 		h.run(outageAt + time.Duration(35+5*(seed%4))*time.Second) // longer than the cancellation deadline
 		confirmed := 0
 		for _, j := range cancelled {
-			if j.toldCancelled {
+			if j.reportedCancelled {
 				confirmed++
 			}
 		}
@@ -267,7 +267,7 @@
 		h.state.refused = map[string]bool{}
 		if !h.runUntil(90*time.Second, func() bool {
 			for _, j := range cancelled {
-				if !j.toldCancelled {
+				if !j.reportedCancelled {
 					return false
 				}
 			}
