--- a/internal/core/eventlog/log_test.go
+++ b/internal/core/eventlog/log_test.go
@@ -38,17 +38,17 @@
 
 func (s *store) ids(t *testing.T) []uint64 {
 	t.Helper()
-	var ids []uint64
+	var jobIDs []uint64
 	for n := 1; s.versions[SegmentKey(n)] != 0; n++ {
 		entries, err := Decode(s.data[SegmentKey(n)])
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range entries {
-			ids = append(ids, *e.Cancel)
+			jobIDs = append(jobIDs, *e.Cancel)
 		}
 	}
-	return ids
+	return jobIDs
 }
 
 func cancelEntry(n uint64) Entry { return Entry{Cancel: &n} }
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -611,11 +611,11 @@
 	runTimeStep           time.Duration // extra run time of each further task of an array
 	accepted              bool
 	acceptedAt            time.Duration
-	reportedDone              bool          // reported done to its user
-	reportedCancelled         bool          // reported cancelled to its user
+	reportedDone          bool          // reported done to its user
+	reportedCancelled     bool          // reported cancelled to its user
 	cancelRequested       bool          // its user requested its cancellation
 	cancelledByOldVersion bool          // reported cancelled at once, by the version in production
-	endReportedAt             time.Duration // when its end was reported to its user
+	endReportedAt         time.Duration // when its end was reported to its user
 	state                 string        // from the latest answer, or why the submission was refused
 
 	firstAtLevel [jobEnded + 1]time.Duration // when an answer of at least this level first arrived; 0: never
