--- a/internal/leader/coldstart/coldstart.go
+++ b/internal/leader/coldstart/coldstart.go
@@ -74,7 +74,7 @@
 func New(s *cluster.State) *Component {
 	d := &Component{State: s, peersAsked: map[string]bool{}, peerHeardAt: map[string]time.Duration{}}
 	d.recorder.initialize(s)
-	if s.Cfg.Tunables.ColdListen == 1 {
+	if s.Cfg.Tunables.ColdStartCensus == 1 {
 		s.Gate, s.StartPacer = d, d
 	}
 	return d
@@ -111,7 +111,7 @@
 		Peers:    len(d.Cfg.Peers),
 	}
 	d.census = NewCensus(now, params, unresolvedByZone)
-	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.StartLimits{ZoneStartsPerSecond: tunables.ColdStarts, MaxImageFetches: tunables.ColdImages})
+	d.startLimiter = ratelimit.NewStartLimiter(ratelimit.StartLimits{ZoneStartsPerSecond: tunables.ColdStartsPerSecond, MaxImageFetches: tunables.ColdMaxImageFetches})
 	switch {
 	case unresolved == 0 && d.Jobs.Len() == 0:
 		d.setKind(now, failoverStart) // there is nothing to recover
--- a/internal/leader/pools/pools_test.go
+++ b/internal/leader/pools/pools_test.go
@@ -426,9 +426,9 @@
 // same answer, one planned for another version is refused, and the next leader reads the changes.
 func TestChangesAreIdempotentAndVersioned(t *testing.T) {
 	f := newFixture(t, settings.Pool{Name: "p", Units: 4})
-	applyChange := func(body string) (Changed, error) {
+	applyChange := func(body string) (ChangeResult, error) {
 		raw, err := f.component.Change(f.now, json.RawMessage(`{"change":`+body+`}`))
-		var out Changed
+		var out ChangeResult
 		if err == nil {
 			err = json.Unmarshal(raw, &out)
 		}
@@ -542,7 +542,7 @@
 func TestSilentMachineIsDecommissionedEarly(t *testing.T) {
 	for _, setting := range []float64{0, 5} {
 		f := newFixture(t, settings.Pool{Name: "p", Units: 1})
-		f.component.Cfg.Tunables.UnitsSilentS = setting
+		f.component.Cfg.Tunables.PoolSilentAfterS = setting
 		a, b := f.addJob("a", 1, 1, jobs.Array, perTask("p", 1)), f.addJob("a", 1, 1, jobs.Array, perTask("p", 1))
 		f.machine.LastHeartbeat = f.now
 		f.schedule(a, b)
--- a/internal/leader/term/term.go
+++ b/internal/leader/term/term.go
@@ -133,7 +133,7 @@
 		t.reconfig = reconfig.New(t.State)
 		t.add(reconfig.Name, t.reconfig)
 	}
-	if tunables.ColdListen == 1 || tunables.ColdKept > 0 {
+	if tunables.ColdStartCensus == 1 || tunables.ColdRecordsKept > 0 {
 		t.coldStart = coldstart.New(t.State)
 		t.add(coldstart.Name, t.coldStart)
 	}
@@ -143,11 +143,11 @@
 // heartbeats, and the one that distributes heartbeats over controllers.
 func (t *Term) addDispatching(start cluster.TermStart) {
 	tunables := &start.Cfg.Tunables
-	if tunables.PushDispatches > 0 && start.Cfg.AnyNeedsDispatch() {
+	if tunables.MaxPushDispatches > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.dispatch = dispatch.New(t.State)
 		t.add(dispatch.Name, t.dispatch)
 	}
-	if tunables.ProbeSilent > 0 && start.Cfg.AnyNeedsDispatch() {
+	if tunables.MaxUnansweredProbes > 0 && start.Cfg.AnyNeedsDispatch() {
 		t.probe = probe.New(t.State)
 		t.add("", t.probe)
 	}
--- a/internal/node/execute.go
+++ b/internal/node/execute.go
@@ -204,7 +204,7 @@
 	}
 	n.calls.Go(func() {
 		ok := p.reachable(ctx)
-		n.enqueue(ctx, func(now time.Duration) { n.core.PeerReached(now, e.Peer, ok) })
+		n.enqueue(ctx, func(now time.Duration) { n.core.LeaderContactResult(now, e.Peer, ok) })
 	})
 }
 
@@ -260,7 +260,7 @@
 func (n *Node) readBack(ctx context.Context, epoch uint64, e effects.ReadBack) {
 	n.callExternal(ctx, stateTimeout, func(ctx context.Context) input {
 		item, err := n.state.Get(ctx, e.Key)
-		return func(now time.Duration) { n.core.ReadBack(now, epoch, err == nil, item.Version, item.Value) }
+		return func(now time.Duration) { n.core.CommitReadBack(now, epoch, err == nil, item.Version, item.Value) }
 	})
 }
 
--- a/internal/scenario/scenario_test.go
+++ b/internal/scenario/scenario_test.go
@@ -103,11 +103,11 @@
 	cfg.Tunables.RebalanceMoves = float64(arg(t, d, "spread-moves", 0))
 	cfg.Tunables.BeginWithinS = float64(arg(t, d, "begin", 0))
 	if d.HasArg("cold") {
-		cfg.Tunables.ColdListen, cfg.Tunables.ColdKept, cfg.Tunables.ListFirst, cfg.Tunables.AdaptCalls = 1, 5, 1, 1
-		cfg.Tunables.ColdStarts, cfg.Tunables.ColdImages = float64(arg(t, d, "starts", 0)), arg(t, d, "images", 0)
+		cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdRecordsKept, cfg.Tunables.DecommissionUnlisted, cfg.Tunables.AdaptCalls = 1, 5, 1, 1
+		cfg.Tunables.ColdStartsPerSecond, cfg.Tunables.ColdMaxImageFetches = float64(arg(t, d, "starts", 0)), arg(t, d, "images", 0)
 	}
 	if d.HasArg("direct") { // the wait objective is shorter than an idle worker's report interval
-		cfg.Tunables.PushDispatches, cfg.Tunables.ReadyWindowS, cfg.Tunables.ProbeSilent = arg(t, d, "direct", 8), 600, arg(t, d, "probe-silent", 0)
+		cfg.Tunables.MaxPushDispatches, cfg.Tunables.ReadyWindowS, cfg.Tunables.MaxUnansweredProbes = arg(t, d, "direct", 8), 600, arg(t, d, "probe-silent", 0)
 		cfg.Deployment.Workers.ReportS, cfg.Deployment.Workers.LeaseS = 4, 18
 		cfg.Deployment.Objectives = []settings.Objective{{Kind: settings.ObjectiveWait, Class: "class", WithinS: 1}}
 	}
@@ -189,7 +189,7 @@
 	case "await-all":
 		if !s.runUntil(durationArg(t, d, "within"), func() bool {
 			for _, j := range s.jobs {
-				if !j.toldDone && !j.toldCancelled && !strings.HasPrefix(j.state, "refused") {
+				if !j.reportedDone && !j.reportedCancelled && !strings.HasPrefix(j.state, "refused") {
 					return false
 				}
 			}
@@ -762,7 +762,7 @@
 			s.check.checkAnswer(j, effects.Answer{Status: 200, State: wire.Done}, s.now)
 		}},
 		{"went_back", func(s *sim, j *userJob, _, _ *worker) {
-			j.toldDone, j.endToldAt = true, -1
+			j.reportedDone, j.endReportedAt = true, -1
 			s.check.checkAnswer(j, effects.Answer{Status: 200, State: wire.Running}, s.now)
 		}},
 		{"went_back", func(s *sim, j *userJob, _, _ *worker) {
--- a/internal/scenario/sim_test.go
+++ b/internal/scenario/sim_test.go
@@ -332,9 +332,9 @@
 	cfg := *c.cfg
 	if oldVersion {
 		cfg.Deployment.State.Next = nil // not supported by that version
-		cfg.Tunables.NoteReturns, cfg.Tunables.NoteTasks, cfg.Tunables.TakeoversKept, cfg.Tunables.RunTimesKinds = 0, 0, 0, 0
-		cfg.Tunables.ColdListen, cfg.Tunables.ColdKept, cfg.Tunables.ListFirst, cfg.Tunables.AdaptCalls, cfg.Tunables.ZonePatienceS, cfg.Tunables.RebalanceMoves = 0, 0, 0, 0, 0, 0
-		cfg.Tunables.Pools, cfg.Tunables.PushDispatches, cfg.Tunables.ProbeSilent, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
+		cfg.Tunables.RecordReturns, cfg.Tunables.WriteMarks, cfg.Tunables.TakeoversKept, cfg.Tunables.RunTimesKinds = 0, 0, 0, 0
+		cfg.Tunables.ColdStartCensus, cfg.Tunables.ColdRecordsKept, cfg.Tunables.DecommissionUnlisted, cfg.Tunables.AdaptCalls, cfg.Tunables.ZonePatienceS, cfg.Tunables.RebalanceMoves = 0, 0, 0, 0, 0, 0
+		cfg.Tunables.Pools, cfg.Tunables.MaxPushDispatches, cfg.Tunables.MaxUnansweredProbes, cfg.Tunables.ConfigHistory = nil, 0, 0, 0
 	}
 	c.core = node.NewCore(&cfg, (c.sim.startTimeOfDay + c.sim.now).Milliseconds())
 	c.userReplies = map[effects.RequestID]func(effects.Answer){}
@@ -478,7 +478,7 @@
 					reply(true)
 				}
 			}, func(_, ok bool) {
-				c.input(func(now time.Duration) { c.core.PeerReached(now, peer.name, ok) })()
+				c.input(func(now time.Duration) { c.core.LeaderContactResult(now, peer.name, ok) })()
 			})
 		}
 	case effects.AskPreviousLeader:
@@ -611,11 +611,11 @@
 	runTimeStep           time.Duration // extra run time of each further task of an array
 	accepted              bool
 	acceptedAt            time.Duration
-	toldDone              bool          // reported done to its user
-	toldCancelled         bool          // reported cancelled to its user
+	reportedDone          bool          // reported done to its user
+	reportedCancelled     bool          // reported cancelled to its user
 	cancelRequested       bool          // its user requested its cancellation
 	cancelledByOldVersion bool          // reported cancelled at once, by the version in production
-	endToldAt             time.Duration // when its end was reported to its user
+	endReportedAt         time.Duration // when its end was reported to its user
 	state                 string        // from the latest answer, or why the submission was refused
 
 	firstAtLevel [jobEnded + 1]time.Duration // when an answer of at least this level first arrived; 0: never
@@ -759,7 +759,7 @@
 			}
 		})
 	case 2: // a cancellation of a completed job
-		if !j.toldDone {
+		if !j.reportedDone {
 			return
 		}
 		sent := s.now
--- a/internal/settings/keys.go
+++ b/internal/settings/keys.go
@@ -180,7 +180,7 @@
 	integerSetting("blocks", "note_tasks", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"record the highest task number of each job that may have been handed out, so that a new leader "+
 			"may start the tasks above it at once",
-		func(t *Tunables) *int { return &t.NoteTasks }),
+		func(t *Tunables) *int { return &t.WriteMarks }),
 	floatSetting("leadership", "hold", "s", numberRange{Default: 2, Min: 1, Max: 60},
 		"duration of the leader's lease",
 		func(t *Tunables) *float64 { return &t.LeaderLeaseS }),
@@ -204,7 +204,7 @@
 	integerSetting("exceptions", "direct_starts", "calls", numberRange{Default: 0, Min: 0, Max: 1000},
 		"most concurrent calls that start tasks directly at their workers, for classes whose wait "+
 			"objective is shorter than a report interval; 0: none, and starts wait for reports",
-		func(t *Tunables) *int { return &t.PushDispatches }),
+		func(t *Tunables) *int { return &t.MaxPushDispatches }),
 	floatSetting("exceptions", "begin_within", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"jobs of which no task has begun this long after their arrival or release go ahead of all but "+
 			"urgent jobs; 0: never",
@@ -250,7 +250,7 @@
 		"if a class should start within a report interval, a machine that is silent while its zone is "+
 			"reachable is probed directly, and given up after this many unanswered probes; 0: it "+
 			"is not probed",
-		func(t *Tunables) *int { return &t.ProbeSilent }),
+		func(t *Tunables) *int { return &t.MaxUnansweredProbes }),
 	floatSetting("fleet", "ready_window", "s", numberRange{Default: 0, Min: 0, Max: 86400},
 		"if a class should start sooner than the quickest machine boots, capacity is returned only when it "+
 			"was not needed for at least this time; 0: the usual times apply",
@@ -272,11 +272,11 @@
 	integerSetting("fleet", "note_returns", "0 or 1", numberRange{Default: 1, Min: 0, Max: 1},
 		"the return of an empty machine is recorded before the machine is returned, so that a new "+
 			"leader need not wait for it",
-		func(t *Tunables) *int { return &t.NoteReturns }),
+		func(t *Tunables) *int { return &t.RecordReturns }),
 	floatSetting("pools", "silent_after", "s", numberRange{Default: 0, Min: 0, Max: 3600},
 		"a machine that holds units for which others wait is given up after it has been silent for this "+
 			"time; 0: the same rules apply as for all machines",
-		func(t *Tunables) *float64 { return &t.UnitsSilentS }),
+		func(t *Tunables) *float64 { return &t.PoolSilentAfterS }),
 	floatSetting("pools", "receipt_life", "s", numberRange{Default: 60, Min: 5, Max: 86400},
 		"how long a receipt for units is valid",
 		func(t *Tunables) *float64 { return &t.ReceiptLifeS }),
@@ -290,7 +290,7 @@
 	integerSetting("cold-start", "listen", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"after a cold start, before which there was no leader, machines are rented and returned, and "+
 			"tasks stopped or moved, only once the fleet has reported",
-		func(t *Tunables) *int { return &t.ColdListen }),
+		func(t *Tunables) *int { return &t.ColdStartCensus }),
 	floatSetting("cold-start", "settled", "share", numberRange{Default: 0.9, Min: 0, Max: 1},
 		"share of each zone's registered machines that must have reported first; less if no more report",
 		func(t *Tunables) *float64 { return &t.ColdSettledShare }),
@@ -299,16 +299,16 @@
 		func(t *Tunables) *float64 { return &t.ColdAfterS }),
 	floatSetting("cold-start", "starts", "a second", numberRange{Default: 0, Min: 0, Max: 1e6},
 		"most task starts in one zone until the work is running again, for a minute at most; 0: any number",
-		func(t *Tunables) *float64 { return &t.ColdStarts }),
+		func(t *Tunables) *float64 { return &t.ColdStartsPerSecond }),
 	integerSetting("cold-start", "images", "images", numberRange{Default: 0, Min: 0, Max: 100},
 		"most images that one machine fetches at once during that time; 0: any number",
-		func(t *Tunables) *int { return &t.ColdImages }),
+		func(t *Tunables) *int { return &t.ColdMaxImageFetches }),
 	integerSetting("cold-start", "keep", "accounts", numberRange{Default: 0, Min: 0, Max: 100},
 		"number of cold starts that are recorded; 0: none, and nothing is written",
-		func(t *Tunables) *int { return &t.ColdKept }),
+		func(t *Tunables) *int { return &t.ColdRecordsKept }),
 	integerSetting("fleet", "list_first", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"a new leader requests the cloud's list at once, and silent machines missing from it are given up",
-		func(t *Tunables) *int { return &t.ListFirst }),
+		func(t *Tunables) *int { return &t.DecommissionUnlisted }),
 	integerSetting("fleet", "adapt_calls", "0 or 1", numberRange{Default: 0, Min: 0, Max: 1},
 		"the rate of calls to the cloud is halved when it refuses a call or does not answer, and grows "+
 			"again while it answers",
--- a/internal/settings/tunables.go
+++ b/internal/settings/tunables.go
@@ -43,9 +43,9 @@
 	// ServedFloor is the share of the jobs of each class and team that is to be done in time; 0: no such
 	// share is enforced.
 	ServedFloor float64
-	// PushDispatches is the most concurrent push dispatches, for classes whose wait objective is shorter
+	// MaxPushDispatches is the most concurrent push dispatches, for classes whose wait objective is shorter
 	// than a report interval; 0: none.
-	PushDispatches int
+	MaxPushDispatches int
 
 	// Measurement of the share of jobs of each class and team that are done in time.
 	ServedWindowS     float64 // time window of the measurement; 0: nothing is measured
@@ -55,19 +55,19 @@
 	LocalityS     float64 // how long a job leaves room on machines that lack its image to other jobs
 	ZoneAffinityS float64 // cost of a machine outside the zone of a job's first task, in seconds of fetching
 	BlockLeaseS   float64 // duration of the lease of a block of machines
-	NoteTasks     int     // 0 or 1: record the highest task number of each job that may have been handed out
+	WriteMarks    int     // 0 or 1: record the highest task number of each job that may have been handed out
 
 	// Leadership, and records of takeovers and cold starts.
 	LeaderLeaseS  float64 // duration of the leader's lease
 	TakeoversKept int     // number of takeovers that are recorded; 0: none
-	// ColdListen, 0 or 1: after a cold start, before which there was no leader, the leader waits for
+	// ColdStartCensus, 0 or 1: after a cold start, before which there was no leader, the leader waits for
 	// reports before it rents, returns, stops or moves anything.
-	ColdListen       int
-	ColdSettledShare float64 // share of each zone's machines that must have reported for that
-	ColdAfterS       float64 // time without a leader after which a start counts as a cold start
-	ColdStarts       float64 // task starts per second in one zone while the leader catches up; 0: any number
-	ColdImages       int     // images that one machine fetches at once during that time; 0: any number
-	ColdKept         int     // number of cold starts that are recorded; 0: none
+	ColdStartCensus     int
+	ColdSettledShare    float64 // share of each zone's machines that must have reported for that
+	ColdAfterS          float64 // time without a leader after which a start counts as a cold start
+	ColdStartsPerSecond float64 // task starts per second in one zone while the leader catches up; 0: any number
+	ColdMaxImageFetches int     // images that one machine fetches at once during that time; 0: any number
+	ColdRecordsKept     int     // number of cold starts that are recorded; 0: none
 
 	// Scaling out and in.
 	DrainBacklogS float64 // time within which the waiting work should be done
@@ -81,8 +81,8 @@
 	SpotReturnS    float64 // capacity of spot machines that was not needed for this time is returned
 	// ReadyWindowS is the least value of these two if work should start sooner than a machine boots; 0: the
 	// two apply unchanged.
-	ReadyWindowS float64
-	NoteReturns  int // 0 or 1: the return of an empty machine is recorded before the machine is returned
+	ReadyWindowS  float64
+	RecordReturns int // 0 or 1: the return of an empty machine is recorded before the machine is returned
 	// MoveSaved, 0 or 1: tasks that save checkpoints are moved off machines that are to be returned.
 	MoveSaved int
 	SpotTaskS float64 // tasks with a longer estimate and no checkpoints are kept off spot machines
@@ -93,12 +93,12 @@
 
 	// Machines that fall silent.
 
-	// ProbeSilent is the number of unanswered liveness probes after which a silent machine is given up, if
+	// MaxUnansweredProbes is the number of unanswered liveness probes after which a silent machine is given up, if
 	// a class should start within a report interval; 0: no probes.
-	ProbeSilent int
-	// ListFirst, 0 or 1: a new leader requests the cloud's machine list at once, and silent machines that
+	MaxUnansweredProbes int
+	// DecommissionUnlisted, 0 or 1: a new leader requests the cloud's machine list at once, and silent machines that
 	// are missing from the list are given up.
-	ListFirst int
+	DecommissionUnlisted int
 	// ZonePatienceS is how long machines of a zone that is cut off as a whole are waited for; 0: no longer
 	// than others.
 	ZonePatienceS float64
@@ -125,11 +125,11 @@
 
 	// Pools of counted resources.
 	Pools []Pool
-	// UnitsSilentS: a machine that holds units for which others wait is given up after it has been silent
+	// PoolSilentAfterS: a machine that holds units for which others wait is given up after it has been silent
 	// for this time; 0: the same rules apply as for all machines.
-	UnitsSilentS    float64
-	ReceiptLifeS    float64 // how long a receipt for units is valid
-	ReceiptKeyFiles string  // comma-separated files with keys for receipts: the first one signs
+	PoolSilentAfterS float64
+	ReceiptLifeS     float64 // how long a receipt for units is valid
+	ReceiptKeyFiles  string  // comma-separated files with keys for receipts: the first one signs
 
 	// Changes while controllers run, and the operators' listener. Lists are separated by commas.
 
