--- a/internal/upgrade/quick_test.go
+++ b/internal/upgrade/quick_test.go
@@ -9,8 +9,8 @@
 )
 
 // TestQuickRestarts kills controllers 200 times under load: one, the leader or all of them, or, in about
-// one of four rounds, the leader five times in a row. Each restarts within 50 to 500 ms: before its hold
-// has ended, during elections, and with connections and transactions of the former process in flight. No
+// one of four rounds, the leader five times in a row. Each restarts within 50 to 500 ms: before its lease
+// has expired, during elections, and with connections and transactions of the former process in flight. No
 // task may run twice, and every job must be done.
 func TestQuickRestarts(t *testing.T) {
 	tb := newTestbed(t)
